--- /dev/null
+++ b/tests/test_stored_fixtures.py
@@ -0,0 +1,379 @@
+"""Files that earlier revisions wrote are read as they were meant: bytes under `fixtures/stored`, values as literals.
+
+A test opens a copy of a file with today's code, compares every field with a literal and, where the program writes such
+bytes, checks that it writes the same again.  Values are handed to the types by place: names on disk need not be those
+of the code.  A failure here means that a fleet which is upgraded loses or misreads what it has on disk.
+"""
+
+from __future__ import annotations
+
+import shutil
+from pathlib import Path
+from typing import Any
+from zlib import crc32
+
+import apsw
+import msgspec
+import pytest
+
+from kelptrail.copies.holder import Work
+from kelptrail.copies.shelves import Reading, Shelves, open_shelves
+from kelptrail.copies.terms import Item, Members, note, read_note
+from kelptrail.lease.ledger import Ledger, open_ledger
+from kelptrail.lease.terms import NOTHING, Noted, Row, Token
+from kelptrail.lease.voter import Memory, Stage, Write
+from kelptrail.store.book import Life, open_book
+from kelptrail.store.entries import Accepted, Ended, MayRun, pack, unpack
+
+STORED = Path(__file__).parent / "fixtures" / "stored"
+T = 1764684000000.0  # the wall clock's ms in all of them
+TEXT = b'{"text":"' + b"kelp " * 400 + b'"}'  # is stored compressed from format 2 on
+TENSORS = b'{"inputs":[{"name":"x","datatype":"FP32","shape":[2],"data":[1.5,-2.0]}]}'
+TRACE = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
+NORTH, SOUTH, WEST = "north.1f2e3d4c5b6a", "south.00aa11bb22cc", "west.9988776655ff"  # books
+
+
+def copy(name: str, folder: Path) -> Path:
+    """A file's copy, as opening one may change it."""
+    return Path(shutil.copy(STORED / name, folder / name))
+
+
+def ask(file: Path, text: str, *values: Any) -> list[tuple[Any, ...]]:
+    """Rows of a file by the library alone, without the program's code."""
+    db = apsw.Connection(str(file))
+    try:
+        return list(db.execute(text, values))
+    finally:
+        db.close()
+
+
+def id_of(number: int) -> str:
+    """The id of an activation in these files."""
+    return f"5a3f9c{number:026x}"
+
+
+def written_again(entry: Accepted | MayRun | Ended, body: bytes) -> bytes:
+    """What an entry is written as.  A compressed result is taken over as it is: its bytes are the compressor's choice,
+    and may differ with its release."""
+    raw = msgspec.msgpack.decode(body)
+    if raw.get("packed"):
+        entry = Ended(
+            raw["id"],
+            raw["end"],
+            raw["answer"],
+            raw["code"],
+            raw["result"],
+            raw["return_ms"],
+            raw["repeat_within_ms"],
+            raw["sends"],
+            True,
+        )
+    return pack(entry)[0]
+
+
+# --- The book.
+
+
+def lives_of_format_3() -> list[Life]:
+    """What the file in format 3 holds, in order."""
+    raw = next(body for (body,) in ask(STORED / "book-format-3.sqlite", NOISE, id_of(5)))
+    noise = msgspec.msgpack.decode(raw)["result"]
+    assert len(noise) == 1100 and crc32(noise) == NOISE_CRC
+    return [
+        Life(Accepted(id_of(1), "north", "desk/sum", T + 0.25, 60000.0, b'{"a":1}', None, "", "", True, "json")),
+        Life(
+            Accepted(
+                id_of(2),
+                "north",
+                "desk/sum",
+                T + 1.5,
+                900.0,
+                b'{"a":2}',
+                "order-17",
+                "sha256:ab12",
+                TRACE,
+                True,
+                "json",
+            ),
+            MayRun(id_of(2), T + 7.75, "worker-3"),
+        ),
+        Life(
+            Accepted(id_of(3), "south", "desk/see", T + 2.0, 5000.0, TENSORS, None, "", "", False, "tensors"),
+            MayRun(id_of(3), T + 9.0, "worker-1"),
+            Ended(id_of(3), T + 44.5, "completed", 0, b'{"outputs":[]}', 1.25, 2.5, 2, False),
+        ),
+        Life(
+            Accepted(id_of(4), "south", "päck/grüß", T + 3.0, 1000.0, b"\x00\xff\x80", None, "", "", True, "json"),
+            None,
+            Ended(id_of(4), T + 4.0, "completed", 0, TEXT, 0.0, 0.0, 1, False),
+        ),
+        Life(
+            Accepted(id_of(5), "south", "desk/raw", T + 4.0, 1000.0, b"", None, "", "", True, "json"),
+            None,
+            Ended(id_of(5), T + 5.0, "completed", 2, noise, 0.0, 0.0, 1, False),
+        ),
+        Life(
+            Accepted(id_of(6), "north", "desk/sum", T + 5.0, 250.0, b"{}", None, "", "", True, "json"),
+            None,
+            Ended(id_of(6), T + 255.0, "rejected", 3, b'{"error":"no time is left"}', 0.0, 0.0, 0, False),
+        ),
+        Life(
+            Accepted(id_of(7), "north", "desk/sum", T + 6.0, 250.0, b"{}", "order-18", "sha256:cd34", "", True, "json"),
+            MayRun(id_of(7), T + 8.0, "worker-2"),
+            Ended(id_of(7), T + 300.0, "aborted", 3, b'{"error":"it may have run"}', 0.0, 86400000.0, 3, False),
+        ),
+    ]
+
+
+NOISE = "SELECT body FROM entries WHERE id = ? AND kind = 2"
+NOISE_CRC = 0xEE3BB58D
+
+
+def test_a_book_in_format_3_gives_what_was_written(tmp_path: Path) -> None:
+    """Every field of accepted, may-run and ended entries: deferred and not, with a key, with tensors, bytes that are no
+    text, a compressed and an incompressible result, each of the three ends; an orphan is dropped."""
+    file = copy("book-format-3.sqlite", tmp_path)
+    assert ask(file, "SELECT kind FROM entries WHERE id = ?", id_of(8)) == [(1,)], "an orphan"
+    book, aside = open_book(file)
+    assert aside is None
+    assert list(book.lives()) == lives_of_format_3()
+    assert book.damaged == 0 and book.count() == 7
+    book.close()
+    assert ask(file, "SELECT kind FROM entries WHERE id = ?", id_of(8)) == []
+
+
+def test_entries_of_format_3_are_written_again_byte_for_byte() -> None:
+    """Names, tags, order of fields and checksums on disk are what they were: else an older program, or another holder
+    of a book, would see other entries."""
+    rows = ask(STORED / "book-format-3.sqlite", "SELECT kind, start, crc, body FROM entries ORDER BY id, kind")
+    assert len(rows) == 16
+    for kind, start, crc, body in rows:
+        entry = unpack(body, crc)
+        assert type(entry) is (Accepted, MayRun, Ended)[kind]
+        assert start == (msgspec.msgpack.decode(body)["start"] if kind == 0 else 0.0)
+        assert written_again(entry, body) == body
+
+
+def test_a_book_written_today_holds_the_rows_of_format_3(tmp_path: Path) -> None:
+    """The same lives, written to a new file: same format, same tables, same rows.  Compressed results are compared by
+    what they unpack to."""
+    book, _ = open_book(tmp_path / "new")
+    for life in lives_of_format_3():
+        book.commit([e for e in (life.accepted, life.may_run, life.ended) if e is not None])
+    book.commit([MayRun(id_of(8), T + 8.0, "worker-2")])
+    book.close()
+    old, new = STORED / "book-format-3.sqlite", tmp_path / "new"
+    assert ask(new, "PRAGMA user_version") == ask(old, "PRAGMA user_version") == [(3,)]
+    schema = "SELECT type, name, tbl_name, sql FROM sqlite_schema ORDER BY name"
+    assert ask(new, schema) == ask(old, schema)
+    rows = "SELECT id, kind, start, crc, body FROM entries WHERE NOT (id = ? AND kind = 2) ORDER BY id, kind"
+    assert ask(new, rows, id_of(4)) == ask(old, rows, id_of(4))
+    ((crc, body),) = ask(new, "SELECT crc, body FROM entries WHERE id = ? AND kind = 2", id_of(4))
+    assert msgspec.msgpack.decode(body)["packed"] is True and unpack(body, crc) == lives_of_format_3()[3].ended
+
+
+@pytest.mark.parametrize(
+    ("number", "digest"), [pytest.param(1, "", id="format-1"), pytest.param(2, "sha256:ab12", id="format-2")]
+)
+def test_a_book_in_an_older_format_is_read_and_brought_to_format_3(tmp_path: Path, number: int, digest: str) -> None:
+    """Format 1: the table `rows`, no digest, no compression.  Format 2: no form.  What was added has its default; old
+    rows stay as they are."""
+    file = copy(f"book-format-{number}.sqlite", tmp_path)
+    table = "rows" if number == 1 else "entries"
+    before = ask(file, f"SELECT * FROM {table} ORDER BY id, kind")
+    assert ask(file, "PRAGMA user_version") == [(number,)]
+    assert len(before) == 4
+    assert all("form" not in msgspec.msgpack.decode(row[4]) for row in before)
+    expected = [
+        Life(Accepted(id_of(1), "north", "desk/sum", T + 0.25, 60000.0, b'{"a":1}', None, "", "", True, "json")),
+        Life(
+            Accepted(
+                id_of(2),
+                "north",
+                "desk/sum",
+                T + 1.5,
+                900.0,
+                b'{"a":2}',
+                "order-17",
+                digest,
+                "trace-2",
+                False,
+                "json",
+            ),
+            MayRun(id_of(2), T + 7.75, "worker-3"),
+            Ended(id_of(2), T + 44.5, "completed", 0, TEXT, 1.25, 2.5, 2, False),
+        ),
+    ]
+    book, aside = open_book(file)
+    assert aside is None and list(book.lives()) == expected and book.damaged == 0
+    book.close()
+    assert ask(file, "PRAGMA user_version") == [(3,)]
+    assert ask(file, "SELECT * FROM entries ORDER BY id, kind") == before
+    again, aside = open_book(file)
+    assert aside is None and list(again.lives()) == expected
+    again.close()
+
+
+# --- Books with copies.
+
+
+def test_shelves_in_format_1_give_what_was_written(tmp_path: Path) -> None:
+    """The disk's name, each book's token and owner (one book was shut: its token alone stays), its lives with times by
+    this machine's clock, and the digests that holders compare."""
+    file = copy("copies.sqlite", tmp_path)
+    assert ask(file, "PRAGMA user_version") == [(1,)]
+    shelves, aside = open_shelves(file)
+    assert aside is None and shelves.disk == "f49c05565e22"
+    assert shelves.books() == {
+        NORTH: (Token(7, "north/1f2e3d4c"), "north"),
+        SOUTH: (Token(3, "south/77"), "south"),
+        WEST: (Token(2, "west/5"), ""),
+    }
+    assert shelves.ids() == {id_of(1), id_of(2), id_of(3)}
+    assert {b: {n: d for n, d in enumerate(shelves.digests_of(b)) if d} for b in (NORTH, SOUTH, WEST)} == {
+        NORTH: {90: 16026056754501041349, 224: 1633695219369970741},
+        SOUTH: {204: 11394445161795177697},
+        WEST: {},
+    }
+    first, second = Reading(NORTH), Reading(SOUTH)
+    shelves.commit([first, second])
+    wall = T + 100_000.0  # when it came here, by the holder's clock
+    one = Accepted(
+        id_of(1),
+        "north",
+        "desk/sum",
+        wall - 252.5,
+        60000.0,
+        b'{"a":1}',
+        "order-17",
+        "sha256:ab12",
+        "trace-1",
+        True,
+        "json",
+    )
+    two = Accepted(id_of(2), "north", "desk/see", wall - 500.0, 5000.0, b'{"inputs":[]}', None, "", "", True, "tensors")
+    assert sorted(first.lives, key=lambda life: life.accepted.id) == [
+        Life(one),
+        Life(
+            two,
+            MayRun(id_of(2), wall - 125.0, "worker-3"),
+            Ended(id_of(2), wall - 500.0 + 43.5, "completed", 0, TEXT, 1.25, 2.5, 2, False),
+        ),
+    ]
+    three = Accepted(id_of(3), "south", "desk/sum", wall + 1, 900.0, b"{}", None, "", "", True, "json")
+    assert second.lives == [Life(three)]
+    assert first.damaged == second.damaged == 0
+    shelves.close()
+
+
+def test_a_bucket_of_shelves_is_handed_on_as_the_bytes_on_disk(tmp_path: Path) -> None:
+    """Copies are sent on as they are stored: kinds, ages and bodies of a bucket, and the bodies are written again byte
+    for byte."""
+    file = copy("copies.sqlite", tmp_path)
+    bodies = dict(ask(file, "SELECT kind, body FROM entries WHERE id = ?", id_of(2)))
+    shelves, _ = open_shelves(file)
+    bucket = Reading(NORTH, 90, T + 101_000.0)
+    shelves.commit([bucket])
+    assert bucket.items == (
+        Item(id_of(2), 0, 1500.0, bodies[0]),
+        Item(id_of(2), 1, 1125.0, bodies[1]),
+        Item(id_of(2), 2, 1500.0, bodies[2]),
+    )
+    for body in bodies.values():
+        assert written_again(unpack(body, crc32(body)), body) == body
+    shelves.close()
+
+
+def test_shelves_written_today_hold_the_rows_of_format_1(tmp_path: Path) -> None:
+    """The stored entries put again into a new file: same format, tables, buckets, times, checksums and bodies."""
+    old, new = STORED / "copies.sqlite", tmp_path / "new"
+    shelves = Shelves(new)
+    wall = T + 100_000.0
+    books = ((NORTH, 7, "north/1f2e3d4c", "north", wall), (SOUTH, 3, "south/77", "south", wall + 1))
+    for book, round_, who, owner, at in books:
+        found = ask(old, "SELECT id, kind, since, body FROM entries WHERE book = ?", book)
+        items = tuple(Item(id_, kind, at - since, body) for id_, kind, since, body in found)
+        shelves.commit([Work(book, fence=(Token(round_, who), owner), wall_ms=at), Work(book, items=items, wall_ms=at)])
+    shelves.commit([Work(WEST, fence=(Token(2, "west/5"), ""), shut=True, wall_ms=wall + 3)])
+    shelves.close()
+    for text in (
+        "PRAGMA user_version",
+        "SELECT type, name, tbl_name, sql FROM sqlite_schema ORDER BY name",
+        "SELECT * FROM shelves ORDER BY book",
+        "SELECT * FROM entries ORDER BY book, bucket, id, kind",
+    ):
+        assert ask(new, text) == ask(old, text)
+
+
+MEMBERS = Members("north", {"north": "0a1b2c3d4e5f", "south": "ffeeddccbbaa", "pär": ""})
+
+
+def test_the_note_with_a_books_lease_is_read_and_written_the_same() -> None:
+    """Who owned a book and who has the whole of it on which disk; whoever takes the book over goes by it."""
+    text = (STORED / "lease-note-of-a-book.bin").read_bytes()
+    assert read_note(text) == MEMBERS
+    assert (MEMBERS.owner, MEMBERS.disks) == ("north", {"north": "0a1b2c3d4e5f", "south": "ffeeddccbbaa", "pär": ""})
+    assert note(MEMBERS) == text
+
+
+# --- A voter's ledger.
+
+
+USAGE = Row("usage", Token(41, "north/1f2e3d4c"), 3000.0, False, NOTHING)
+GIVEN_BACK = Row("vrrp/12", Token(5, "south/77"), 2500.5, True, NOTHING)
+
+
+def test_a_ledger_in_format_2_gives_what_was_written(tmp_path: Path) -> None:
+    """The voter's memory and each task's token, length, whether it was given back, and last note."""
+    file = copy("leases-format-2.sqlite", tmp_path)
+    ledger, memory, rows, reason = open_ledger(file)
+    ledger.close()
+    text = (STORED / "lease-note-of-a-book.bin").read_bytes()
+    book = Row("book/" + NORTH, Token(7, "north/1f2e3d4c"), 10000.0, False, Noted(Token(6, "west/5"), 9, text))
+    assert reason == "" and memory == Memory(4, Stage.VOTING, True)
+    assert rows == (book, USAGE, GIVEN_BACK)
+    assert read_note(rows[0].noted.text) == MEMBERS
+
+
+def test_a_ledger_in_format_1_is_read_and_brought_to_format_2(tmp_path: Path) -> None:
+    """Its rows had no note; tokens granted before must still be known, as the next must be above them."""
+    file = copy("leases-format-1.sqlite", tmp_path)
+    assert ask(file, "PRAGMA user_version") == [(1,)]
+    bodies = [body for (body,) in ask(file, "SELECT body FROM kept WHERE name != '' ORDER BY name")]
+    assert [len(msgspec.msgpack.decode(body)) for body in bodies] == [4, 4]
+    ledger, memory, rows, reason = open_ledger(file)
+    ledger.close()
+    assert reason == "" and memory == Memory(4, Stage.VOTING, True) and rows == (USAGE, GIVEN_BACK)
+    assert ask(file, "PRAGMA user_version") == [(2,)]
+
+
+def test_a_ledger_written_today_holds_the_rows_of_format_2(tmp_path: Path) -> None:
+    """What was read from the file, written to a new one: same format, table, names, checksums and bodies."""
+    old, new = copy("leases-format-2.sqlite", tmp_path), tmp_path / "new"
+    ledger, memory, rows, _ = open_ledger(old)
+    ledger.close()
+    ledger = Ledger(new)
+    ledger.commit([Write(1, rows, memory)])
+    ledger.close()
+    for text in ("PRAGMA user_version", "SELECT name, sql FROM sqlite_schema", "SELECT * FROM kept ORDER BY name"):
+        assert ask(new, text) == ask(STORED / "leases-format-2.sqlite", text)
+
+
+@pytest.mark.parametrize(
+    ("body", "memory"),
+    [
+        pytest.param("930ca5656d707479c2", Memory(12, Stage.EMPTY, False), id="empty"),
+        pytest.param("930ca8666f756e64696e67c2", Memory(12, Stage.FOUNDING, False), id="founding"),
+        pytest.param("930ca86368616e67696e67c3", Memory(12, Stage.CHANGING, True), id="changing"),
+        pytest.param("930ca6766f74696e67c2", Memory(12, Stage.VOTING, False), id="voting"),
+    ],
+)
+def test_each_stage_of_a_voter_is_read_and_written_the_same(tmp_path: Path, body: str, memory: Memory) -> None:
+    """The row without a name: number of the set, stage, whether all of the set before is remembered."""
+    file, raw = copy("leases-format-2.sqlite", tmp_path), bytes.fromhex(body)
+    ask(file, "INSERT OR REPLACE INTO kept VALUES ('', ?, ?)", crc32(raw), raw)
+    ledger, found, rows, reason = open_ledger(file)
+    assert reason == "" and found == memory and len(rows) == 3
+    ledger.commit([Write(1, (), memory)])
+    ledger.close()
+    assert ask(file, "SELECT crc, body FROM kept WHERE name = ''") == [(crc32(raw), raw)]
