--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -8,22 +8,43 @@
 from __future__ import annotations
 
 import shutil
+from datetime import UTC, datetime
 from pathlib import Path
+from types import SimpleNamespace
 from typing import Any
 from zlib import crc32
 
 import apsw
 import msgspec
 import pytest
-
+import zstandard
+from cryptography import x509
+from program import Silent, run
+from pyarrow import parquet
+from test_edge import FAST
+
+from kelptrail.audit.judge import judge, read
+from kelptrail.badday.report import latencies, timeline
 from kelptrail.copies.holder import Work
 from kelptrail.copies.shelves import Reading, Shelves, open_shelves
 from kelptrail.copies.terms import Item, Members, note, read_note
+from kelptrail.keys.authority import Authority, read_certificate, shown
+from kelptrail.keys.names import digest
+from kelptrail.lab.compare import compare
 from kelptrail.lease.ledger import Ledger, open_ledger
 from kelptrail.lease.terms import NOTHING, Noted, Row, Token
 from kelptrail.lease.voter import Memory, Stage, Write
+from kelptrail.load import results
+from kelptrail.load.arrivals import read_trace
+from kelptrail.planner.edge import Kept, PlanFollower
+from kelptrail.planner.plan import Head, Plan, digest_of
+from kelptrail.planner.program import Options, PlannerProgram, Snapshot
+from kelptrail.roster.client import RosterClient
+from kelptrail.roster.members import Entry, Listing, Peer, id_prefix
+from kelptrail.settings.deployment import parse
 from kelptrail.store.book import Life, open_book
 from kelptrail.store.entries import Accepted, Ended, MayRun, pack, unpack
+from kelptrail.vrrp.driver import next_epoch
 
 STORED = Path(__file__).parent / "fixtures" / "stored"
 T = 1764684000000.0  # the wall clock's ms in all of them
@@ -35,7 +56,7 @@
 
 def copy(name: str, folder: Path) -> Path:
     """A file's copy, as opening one may change it."""
-    return Path(shutil.copy(STORED / name, folder / name))
+    return Path(shutil.copy(STORED / name, folder / Path(name).name))
 
 
 def ask(file: Path, text: str, *values: Any) -> list[tuple[Any, ...]]:
@@ -377,3 +398,272 @@
     ledger.commit([Write(1, (), memory)])
     ledger.close()
     assert ask(file, "SELECT crc, body FROM kept WHERE name = ''") == [(crc32(raw), raw)]
+
+
+# --- Other files in STATE.
+
+
+def plan_on_disk() -> Plan:
+    """The plan in `plan.bin`."""
+    seal = bytes.fromhex("51c3f63de17a6ff9d3d20c062ab274af")
+    return Plan(
+        Head("coast", 9, "planner-1", 14, 90000.0, ("bb9b7433", 7), seal),
+        {"desk-sum": {"worker-1": 2, "worker-2": 1}, "desk-see": {"worker-2": 3}},
+    )
+
+
+def unpacked(name: str) -> bytes:
+    """A file's bytes without its compression."""
+    return zstandard.ZstdDecompressor().decompress((STORED / name).read_bytes(), 1 << 20)
+
+
+def test_an_edge_takes_up_the_plan_on_disk(tmp_path: Path) -> None:
+    """`STATE/plan.bin`: an edge that starts without a planner follows the plan that it had."""
+    file, told = copy("plan.bin", tmp_path), list[Any]()
+    workers = [SimpleNamespace(id=name, live=True) for name in ("worker-1", "worker-2")]
+    gateway: Any = SimpleNamespace(members=workers, planned=told.append)
+
+    async def main() -> None:
+        log = Silent()
+        edge = PlanFollower([], "edge", "coast", gateway, lambda: None, file, log)
+        assert edge.start_from_last() and log.lines == []
+        assert edge.follower.plan == plan_on_disk() and edge.follower.fence == (9, "planner-1", 14)
+
+    run(main())
+    assert told == [plan_on_disk().wants]
+
+
+def test_a_plan_on_disk_is_sealed_and_written_as_before() -> None:
+    """The digest over what a plan says, and the bytes of `plan.bin` before compression."""
+    plan = plan_on_disk()
+    assert digest_of(plan.head, plan.wants) == plan.head.digest
+    assert msgspec.msgpack.encode(Kept(plan, 60000.0, 4e12)) == unpacked("plan.bin")
+
+
+def test_a_planner_takes_up_its_snapshot(tmp_path: Path) -> None:
+    """`STATE/planner.bin`: the plan that a planner goes on from, and what was usual by hour; written as before."""
+    copy("planner.bin", tmp_path)
+    wants = {"check": {"worker-1": 2}, "grant": {"worker-1": 1, "worker-2": 1}}
+    hours = {"check": [n * 0.5 for n in range(24)], "grant": [0.0] * 23 + [4.25]}
+    leases: Any = SimpleNamespace()
+
+    async def main() -> None:
+        options = Options("planner-0", "127.0.0.1", 0, "", tmp_path, None, "greedy")
+        planner = PlannerProgram(parse(FAST, "fast"), options, leases, 1000.0, Silent())
+        assert planner.restore()
+        assert planner.core.wants == wants
+        assert {name: planner.core.demand.functions[name].hours for name in hours} == hours
+
+    run(main())
+    assert msgspec.msgpack.encode(Snapshot(9, wants, hours)) == unpacked("planner.bin")
+
+
+def test_the_last_worker_list_is_taken_up(tmp_path: Path) -> None:
+    """`STATE/last-list.json`, as a roster had sent it: all that a dispatcher knows of workers and of other dispatchers
+    until a roster answers.  Its version and lineage are dropped."""
+    found = list[Listing]()
+    log = Silent()
+    client = RosterClient("127.0.0.1:1", "dispatcher-1", found.append, copy("last-list.json", tmp_path), log)
+    assert client.start_from_last() and log.lines == []
+    workers = [
+        Entry("worker-1", "127.0.0.1:40411", "live", "5a6b0ce3", 6592.870176000055, "south", 0, 0, 1.0),
+        Entry("worker-0", "127.0.0.1:33225", "live", "c7409d81", 6544.928987000079, "north", 0, 0, 1.0),
+    ]
+    peers = [Peer("dispatcher-0", "127.0.0.1:43649", "", ""), Peer("dispatcher-1", "127.0.0.1:44799", "", "")]
+    assert found == [Listing(-1, workers, "last", peers)]
+
+
+def test_the_epoch_of_a_shared_address_only_grows(tmp_path: Path) -> None:
+    """`STATE/vrrp-epoch`: digits alone.  With a smaller number after an upgrade its packets would be refused as old."""
+    file = copy("vrrp-epoch", tmp_path)
+    assert next_epoch(file) == 4_000_000_000_001 and file.read_bytes() == b"4000000000001"
+
+
+# --- Keys.
+
+
+def test_a_folder_of_an_authority_is_shown_and_goes_on_issuing(tmp_path: Path) -> None:
+    """Names, uses, serials and ends of what was issued, the one before a rotation too; a rotation keeps names and use,
+    and what is issued now is signed by the stored key."""
+    folder = Path(shutil.copytree(STORED / "keys", tmp_path / "keys"))
+    begins, soon = datetime(2026, 12, 2, 11, 55, tzinfo=UTC), datetime(2036, 11, 29, 12, 0, tzinfo=UTC)
+    late = datetime(2126, 11, 8, 12, 0, tzinfo=UTC)
+    front = ["front", "127.0.0.1", "front.example"]
+    authority = Authority(folder)
+    assert [(i.name, i.names, i.use, i.serial, i.begins, i.ends) for i in authority.show()] == [
+        ("authority", ["kelptrail-fixtures"], "authority", "3aa1950db5f7229ff3ab85833dff0e0a0017b90e", begins, late),
+        ("both", ["both"], "server+client", "e769ef89092102112b1ed098806fdd3789c4aab", begins, soon),
+        (
+            "caller-one",
+            ["caller-one", "spiffe://coast/caller-one"],
+            "client",
+            "105a907b67002346467ba536d5189149a1a342ee",
+            begins,
+            soon,
+        ),
+        ("front", front, "server", "533585f17147bad75dcc565ba4fedd022ac85e38", begins, soon),
+    ]
+    old = shown("front", read_certificate((folder / "front.pem.old").read_bytes()))
+    assert (old.names, old.serial) == (front, "5807c6a6f91d35842d3d1820870e0b853a62d565")
+    kept = (folder / "front.pem").read_bytes()
+    rotated = authority.rotate("front", 30, datetime(2027, 1, 1, tzinfo=UTC))
+    assert (rotated.names, rotated.use) == (front, "server")
+    assert (folder / "front.pem.old").read_bytes() == kept
+    root = x509.load_pem_x509_certificate((STORED / "keys" / "authority.pem").read_bytes())
+    read_certificate((folder / "front.pem").read_bytes()).verify_directly_issued_by(root)
+
+
+def test_the_digest_of_a_namespaces_key_stays() -> None:
+    """Settings hold digests alone: with another one every caller would be refused."""
+    assert digest("desk-key-1") == "sha256:ac23cb81a08de5755491ecbfbd28d61fa70d80423dfd144fe99647b80cbb4d93"
+
+
+# --- What a run of processes left: its book, captures and report.
+
+
+def test_the_book_of_a_dispatcher_that_ran_is_read_whole(tmp_path: Path) -> None:
+    """As processes wrote it under load: nothing is damaged, entries are written again byte for byte, and ids begin with
+    what the dispatcher's name gives, by which others know whom to ask."""
+    file = copy("day/book.sqlite", tmp_path)
+    rows = ask(file, "SELECT kind, crc, body FROM entries ORDER BY id, kind")
+    assert [sum(kind == k for kind, _, _ in rows) for k in (0, 1, 2)] == [9, 4, 9]
+    assert all(written_again(unpack(body, crc), body) == body for _, crc, body in rows)
+    book, aside = open_book(file)
+    lives = list(book.lives())
+    book.close()
+    assert aside is None and book.damaged == 0 and len(lives) == 9
+    assert all(life.ended is not None and life.ended.answer == "completed" for life in lives)
+    assert {life.accepted.id[:6] for life in lives} == {id_prefix("dispatcher-1")} == {"1112a1"}
+    (keyed,) = [life for life in lives if life.accepted.id == "1112a179d976af530000000000000008"]
+    assert keyed == Life(
+        Accepted(
+            "1112a179d976af530000000000000008",
+            "families",
+            "places/place-activate",
+            1796220253508.982,
+            5000.0,
+            b'{"ticket":"t13"}',
+            "t13",
+            "0d847dd4fff8bb265f89b3d6427788c1",
+            "00-bc57cd285b7a56d1000000000000000b-000000000000000b-00",
+            False,
+            "json",
+        ),
+        MayRun("1112a179d976af530000000000000008", 1796220253510.3223, "worker-1"),
+        Ended(
+            "1112a179d976af530000000000000008",
+            1796220253559.3992,
+            "completed",
+            0,
+            b'{"by":"place-activate","echo":{"ticket":"t13"}}',
+            0.0,
+            0.0,
+            1,
+            False,
+        ),
+    )
+
+
+def test_captures_of_a_bad_day_are_judged_as_they_were() -> None:
+    """`kelptrail audit` on captures that were kept: the counts that the report of that day has, none of them broken."""
+    verdict = judge(read(STORED / "day" / "captures"))
+    report = msgspec.json.decode((STORED / "day" / "report.json").read_bytes())
+    counts = verdict.counts()
+    assert counts == {name: report[name] for name in counts} and not verdict.broken
+    assert {name: count for name, count in counts.items() if count} == {
+        "taken": 23,
+        "completed": 21,
+        "lost_with_dispatcher": 2,
+        "not_taken": 8,
+        "sends": 26,
+        "loads": 12,
+        "effects": 24,
+    }
+
+
+def test_the_report_of_a_bad_day_comes_from_its_captures() -> None:
+    """Latencies, the timeline of seconds and the troubles in `report.json` are those that its captures still give."""
+    events = read(STORED / "day" / "captures")
+    report = msgspec.json.decode((STORED / "day" / "report.json").read_bytes())
+    assert latencies(events) == report["latency_ms"]
+    assert timeline(events) == (report["timeline"], report["troubles"])
+    assert [(t["kind"], t["of"]) for t in report["troubles"]] == [
+        ("answers-lost", ["worker-1"]),
+        ("kill-dispatchers", ["dispatcher-0"]),
+    ]
+
+
+# --- Results of the lab and of the load tool, and recordings.
+
+
+def test_tables_of_results_are_read_and_compared() -> None:
+    """`runs`, `seconds` and `spread` in Parquet: every column by its name, and two variants told apart."""
+    runs, seconds = results.read_runs(STORED / "results"), results.read_seconds(STORED / "results")
+    assert [(r["variant"], r["seed"]) for r in runs] == [("as-is", 1), ("as-is", 2), ("other", 1), ("other", 2)]
+    who = {"experiment": "short", "variant": "as-is", "point": "", "value": 0.0, "seed": 1}
+    assert runs[0] == who | {
+        "calls": 22,
+        "wishes": 21,
+        "completed": 21,
+        "in_time": 20,
+        "served_share": 20 / 21,
+        "rejected": 1,
+        "aborted": 0,
+        "lost": 0,
+        "not_taken": 0,
+        "sends": 23,
+        "orders": 2,
+        "loads": 1,
+        "p50_ms": 2.5,
+        "p99_ms": 9.85,
+        "recovery_s": 2.0,
+        "events": 100,
+        "extra_ms": 0.5,
+    }
+    assert len(seconds) == 8
+    assert seconds[0] == who | {
+        "second": 0,
+        "calls": 10,
+        "completed": 9,
+        "in_time": 8,
+        "rejected": 1,
+        "aborted": 0,
+        "lost": 0,
+        "not_taken": 0,
+        "sends": 11,
+        "orders": 2,
+        "loads": 1,
+        "repeats": 1,
+        "in_hand": 3,
+        "idle_mb": 128.5,
+        "storming": 0,
+    }
+    spread = results.read(STORED / "results", "spread")
+    assert len(spread) == 48
+    assert spread[0] == who | {"what": "latency_ms", "name": "check", "part": 1.0, "value": 1.52}
+    assert spread[11] == who | {"what": "give_ups", "name": "no-worker", "part": 0.0, "value": 2.0}
+    told = {d.figure: d.verdict for d in compare(runs[:2], runs[2:])}
+    assert told["p99_ms"] == "worse" and told["served_share"] == "not told apart"
+
+
+def test_tables_written_today_have_the_columns_of_stored_ones(tmp_path: Path) -> None:
+    """Results of two revisions are compared with each other: names, order and types of columns stay."""
+    found = [
+        results.Second(10, 9, 8, 1, 0, 0, 0, 11, 2, 1, 1, 3, 128.5, 0),
+        results.Second(12, 12, 12, 0, 0, 0, 0, 12, 0, 0, 0, 0, 64.25, 1),
+    ]
+    result = results.Result(found, {"check": [1.5, 2.5, 10.0]}, {"no-worker": 2}, 100, 1, {"extra_ms": 0.5})
+    who = {"experiment": "short", "variant": "as-is", "point": "", "value": 0.0, "seed": 1}
+    runs = [who | results.figures(2.0, 0.0, result)]
+    results.write(tmp_path, runs, results.rows_of(who, 2.0, result), results.spread_of(who, result))
+    for name, count in (("runs", 1), ("seconds", 2), ("spread", 12)):
+        new, old = (parquet.read_table(folder / f"{name}.parquet") for folder in (tmp_path, STORED / "results"))
+        assert new.schema == old.schema
+        assert new.to_pylist() == old.to_pylist()[:count]
+
+
+def test_a_recording_of_arrivals_is_read() -> None:
+    """A load's recording: seconds, with an action or without, remarks and empty lines."""
+    trace = read_trace(STORED / "arrivals.csv")
+    assert trace.times.tolist() == [0.25, 0.5, 0.5, 2.75] and trace.seconds == 3.4375
+    assert trace.actions == ["desk/sum", "", "desk/see", "desk/sum"]
