--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -24,7 +24,7 @@
 from test_edge import FAST
 
 from kelptrail.audit.judge import judge, read
-from kelptrail.badday.report import latencies, timeline
+from kelptrail.badday.report import holders, latencies, timeline
 from kelptrail.copies.holder import Work
 from kelptrail.copies.shelves import Reading, Shelves, open_shelves
 from kelptrail.copies.terms import Item, Members, note, read_note
@@ -564,6 +564,64 @@
     )
 
 
+def test_the_copies_of_a_dispatcher_that_ran_are_read_whole(tmp_path: Path) -> None:
+    """As processes wrote them, a machine lost meanwhile: tokens and owners of three books, of which one was taken over,
+    all lives, and bodies that are written again byte for byte."""
+    file = copy("day-of-leases/copies.sqlite", tmp_path)
+    bodies = [body for (body,) in ask(file, "SELECT body FROM entries")]
+    assert len(bodies) == 10
+    assert all(written_again(unpack(body, crc32(body)), body) == body for body in bodies)
+    shelves, aside = open_shelves(file)
+    assert aside is None and shelves.books() == {
+        "dispatcher-0.b733a7160eac": (Token(6, "dispatcher-0/eb45c6d5"), "dispatcher-0"),
+        "dispatcher-4.d9c91e73a1a4": (Token(6, "dispatcher-4/e16ef1cd"), "dispatcher-4"),
+        "dispatcher-6.6f14cf209f05": (Token(8, "dispatcher-2/5d67778e"), "dispatcher-2"),
+    }
+    found = {}
+    for book in shelves.books():
+        reading = Reading(book)
+        shelves.commit([reading])
+        assert reading.damaged == 0
+        found[book] = [(life.may_run is not None, life.ended is not None) for life in reading.lives]
+    shelves.close()
+    assert {book: sorted(ends) for book, ends in found.items()} == {
+        "dispatcher-0.b733a7160eac": [],
+        "dispatcher-4.d9c91e73a1a4": [(False, True), (True, True), (True, True)],
+        "dispatcher-6.6f14cf209f05": [(False, True)],
+    }
+
+
+def test_the_ledger_of_a_voter_that_ran_is_read_whole_and_written_the_same(tmp_path: Path) -> None:
+    """As processes wrote it: nine tasks, books with the notes of their owners among them.  Rows and notes that are
+    written again have the same bytes."""
+    file = copy("day-of-leases/leases.sqlite", tmp_path)
+    kept = ask(file, "SELECT * FROM kept ORDER BY name")
+    ledger, memory, rows, reason = open_ledger(file)
+    ledger.close()
+    assert reason == "" and memory == Memory(1, Stage.VOTING, False) and len(rows) == 9
+    assert rows[-1] == Row("sweep", Token(5, "dispatcher-5/efd7844a"), 1500.0, True, NOTHING)
+    lost = next(row for row in rows if row.task == "book/dispatcher-6.6f14cf209f05")
+    assert (lost.token, lost.released) == (Token(18, "dispatcher-4/e16ef1cd"), True)
+    assert (lost.noted.token, lost.noted.seq) == (Token(8, "dispatcher-2/5d67778e"), 30)
+    disks = {"dispatcher-2": "99fd856208ce", "dispatcher-3": "6312fbad89f7", "dispatcher-4": "59a7dd32ac1c"}
+    assert read_note(lost.noted.text) == Members("dispatcher-2", disks)
+    notes = [row.noted.text for row in rows if row.noted.text]
+    assert len(notes) == 7 and all(note(read_note(text)) == text for text in notes)
+    again = Ledger(tmp_path / "new")
+    again.commit([Write(1, rows, memory)])
+    again.close()
+    assert ask(tmp_path / "new", "SELECT * FROM kept ORDER BY name") == kept
+
+
+def test_captures_of_acts_under_leases_are_judged_as_they_were() -> None:
+    """The witness's lines, by which `kelptrail audit` tells two holders of a task, and the report who held it when."""
+    events = read(STORED / "day-of-leases" / "captures")
+    verdict = judge(events)
+    assert not verdict.broken and {name: n for name, n in verdict.counts().items() if n} == {"acts": 10}
+    span = {"by": "dispatcher-5", "token": "5.dispatcher-5/efd7844a", "from": -2.129, "until": -1.51}
+    assert holders(events, 4) == {"sweep": {"spans": [span], "without_s": 5.51, "longest_without_s": 5.51, "acts": 20}}
+
+
 def test_captures_of_a_bad_day_are_judged_as_they_were() -> None:
     """`kelptrail audit` on captures that were kept: the counts that the report of that day has, none of them broken."""
     verdict = judge(read(STORED / "day" / "captures"))
