--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -8,6 +8,7 @@
 
 import dataclasses
 import enum
+import hashlib
 import json
 from collections.abc import Mapping
 from pathlib import Path, PurePath
@@ -21,8 +22,12 @@
 import kelptrail.lease.terms as lease_terms
 import kelptrail.planner.channel as planner_channel
 import kelptrail.service.usage as usage_terms
+from kelptrail.badday import script
+from kelptrail.drill.__main__ import Drill
+from kelptrail.lab import experiment
 from kelptrail.peers import wire
 from kelptrail.planner import plan
+from kelptrail.settings import deployment
 
 FIXTURES = Path(__file__).parent / "fixtures" / "wire"
 ROOT = Path(__file__).parent.parent
@@ -130,3 +135,51 @@
     assert copies_terms.pack_digests(told["digests"]).hex() == told["packed"]
     assert copies_terms.unpack_digests(bytes.fromhex(told["packed"])) == told["digests"]
     assert told["constants"] == [copies_terms.BUCKETS, copies_terms.DIGEST, copies_terms.PREFIX]
+
+
+# The simulator's protocol.
+
+
+@pytest.mark.parametrize("name", ["two-dispatchers", "no-cancel-no-load-control"])
+def test_simulator_gets_the_recorded_replies(name: str) -> None:
+    """A recorded conversation at the simulator's door, line for line: requests of three classes, answers of all nine
+    endings, refusals, revocations, changes of the list, timers, an instance that ends and one that begins.  The first
+    is of two dispatchers with all that is allowed, the second of one that may neither cancel, nor try twice, nor order
+    copies."""
+    sent = (FIXTURES / f"drill-{name}.in.jsonl").read_text(encoding="utf-8").splitlines()
+    expected = (FIXTURES / f"drill-{name}.out.jsonl").read_text(encoding="utf-8").splitlines()
+    drill = Drill()
+    for number, (line, reply) in enumerate(zip(sent, expected, strict=True), 1):
+        assert json.dumps(drill.reply(line), separators=(",", ":")) == reply, f"line {number}: {line}"
+
+
+# Settings.
+
+SETTINGS: dict[str, Any] = stored("settings")
+READERS = {"examples": deployment.load, "bad-days": script.load, "experiments": experiment.load}
+
+
+def digest(value: Any) -> str:
+    """Of a plain value; 1, 1.0 and true differ."""
+    return hashlib.sha256(json.dumps(value, sort_keys=True).encode()).hexdigest()[:20]
+
+
+def text(value: Any) -> str:
+    """A plain value to be compared; 1, 1.0 and true differ."""
+    return json.dumps(value, sort_keys=True, indent=1)
+
+
+def test_settings_have_a_fixture_for_every_example() -> None:
+    """No file of the examples is gone; one that is added needs an entry."""
+    assert sorted(p.relative_to(ROOT).as_posix() for p in (ROOT / "examples").rglob("*.sexp")) == sorted(SETTINGS)
+
+
+@pytest.mark.parametrize("file", SETTINGS)
+def test_settings_of_an_example_keep_their_values(file: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A deployment, script or experiment is read as the same values in the same order: a key, a default or a unit that
+    changes fails.  `values` are whole; `parts` are digests of each field of the outermost form."""
+    monkeypatch.chdir(ROOT)
+    found = plain(READERS[Path(file).parent.name](file))
+    assert [digest(part) for part in found] == SETTINGS[file]["parts"]
+    if "values" in SETTINGS[file]:
+        assert text(found) == text(SETTINGS[file]["values"])
