--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -6,11 +6,15 @@
 
 from __future__ import annotations
 
+import ast
 import dataclasses
 import enum
 import hashlib
 import json
+import tomllib
+from collections import Counter, deque
 from collections.abc import Mapping
+from ipaddress import ip_address
 from pathlib import Path, PurePath
 from typing import Any
 
@@ -23,11 +27,24 @@
 import kelptrail.planner.channel as planner_channel
 import kelptrail.service.usage as usage_terms
 from kelptrail.badday import script
+from kelptrail.codec import events, feed, frames, http, infer, lines
+from kelptrail.codec.tensors import JsonTensor
 from kelptrail.drill.__main__ import Drill
+from kelptrail.front.invoke import views
+from kelptrail.gateway.records import Record
+from kelptrail.gateway.storm import Storm, StormSettings
+from kelptrail.host import settings as host_settings
 from kelptrail.lab import experiment
+from kelptrail.lab.site import LabSettings
 from kelptrail.peers import wire
 from kelptrail.planner import plan
+from kelptrail.platform import config as platform_config
+from kelptrail.platform.front import Asked
+from kelptrail.roster import members
 from kelptrail.settings import deployment
+from kelptrail.settings.reader import Place
+from kelptrail.vrrp import packet as vrrp_packet
+from kelptrail.vrrp import seal as vrrp_seal
 
 FIXTURES = Path(__file__).parent / "fixtures" / "wire"
 ROOT = Path(__file__).parent.parent
@@ -60,7 +77,7 @@
         return {str(plain(key)): plain(part) for key, part in value.items()}
     if isinstance(value, set | frozenset):
         return sorted((plain(part) for part in value), key=repr)
-    if isinstance(value, list | tuple):
+    if isinstance(value, list | tuple | deque):
         return [plain(part) for part in value]
     if type(value).__module__ == "ipaddress":
         return str(value)
@@ -183,3 +200,259 @@
     assert [digest(part) for part in found] == SETTINGS[file]["parts"]
     if "values" in SETTINGS[file]:
         assert text(found) == text(SETTINGS[file]["values"])
+
+
+# The platform's protocol, HTTP and the workers' protocol.
+
+BYTES: dict[str, Any] = stored("bytes")
+SETTINGS_KEYS = {section: keys for section, keys in BYTES["experiments"].items() if section != "no-such"}
+ITEM = "7f3a9c21e0b4d655"
+V4 = ip_address("192.0.2.1"), ip_address("224.0.0.18")
+V6 = ip_address("fe80::1"), ip_address("ff02::12")
+KEYS = vrrp_seal.Key(7, b"first secret"), vrrp_seal.Key(8, b"second secret")
+
+
+def record_of(answer: str, code: int, **more: Any) -> Any:
+    """A record with its final answer; the tests hand over by name only what follows the answer."""
+    made = Record("0a" * 16, "guest", "pack/act", "check", "repeatable", 1700000000123.0, 5.0, 9000.0, "00-aa-bb-01")
+    ended = 1700000000456.0
+    names = [field.name for field in dataclasses.fields(made)]
+    for place, value in {9: ended, 10: answer, 11: code, 12: b'{"x":1}', **more.pop("at", {})}.items():
+        setattr(made, names[place], value)
+    return made
+
+
+def records() -> dict[str, Any]:
+    """One record of each final answer; by place: 13 return_ms, 14 repeat_within_ms, 15 sends, 17 waited_ms, 26 logs."""
+    shared = {15: 3, 17: 41.6}
+    return {
+        "completed": record_of("completed", 0, at=shared),
+        "rejected": record_of("rejected", 3, at={**shared, 13: 812.3456, 14: 4000.4}),
+        "aborted": record_of("aborted", 3, at=shared),
+    }
+
+
+def written() -> dict[str, bytes]:
+    """Everything that is compared byte for byte, by a name of its own."""
+    inputs = b'{"inputs":[{"name":"x","datatype":"INT32","shape":[2],"data":[1,2]}],"parameters":{"own":"v","limit":1}}'
+    head: dict[str, str | int | float | bool] = {"limit": 1500, "again": True}
+    tensor = JsonTensor("y", "FP32", [2], [0.5, 1.5], {"p": "q"})
+    sealer = vrrp_seal.Sealer(KEYS[0], 99, V4[0])
+    advert = vrrp_packet.Advertisement(51, 200, 100, (ip_address("192.0.2.10"), ip_address("192.0.2.11")))
+    advert_6 = vrrp_packet.Advertisement(52, 0, 4095, (ip_address("fe80::10"), ip_address("2001:db8::10")))
+    packet = vrrp_packet.encode(advert, *V4)
+    out = {
+        "line/call": lines.call("0" * 15 + "1", "t", ITEM, 1500, "", b"body\r\n"),
+        "line/call-with-key": lines.call("0" * 15 + "2", "k", ITEM, 1, "key-1", b""),
+        "line/cancel": lines.cancel("0" * 15 + "1"),
+        "line/load": lines.load("o3", ITEM, 2),
+        "line/load-asks": lines.load("o4", ITEM, 0),
+        "frame/request": frames.frame(frames.REQUEST, 3, frames.fields({"verb": "t", "txn": "é"}) + b"body"),
+        "frame/cancel": frames.frame(frames.CANCEL, 4),
+        "frame/ask-ready": frames.frame(frames.ASK_READY, 5, b"\0"),
+        "frame/go-away": frames.frame(frames.GO_AWAY, 0),
+        "frame/served": frames.answer(6, frames.SERVED, b"result"),
+        "frame/refused": frames.answer(7, frames.REFUSED, b"", 1234),
+        "frame/failed": frames.answer(8, frames.FAILED),
+        "frame/ready": frames.ready(9, True),
+        "frame/not-ready": frames.ready(10, False),
+        "feed/ask": feed.ask(77),
+        "http/request": http.encode_request("POST", "/a?b=c", "h:1", b"{}", {"x-one": "1"}),
+        "http/request-empty": http.encode_request("GET", "/", "h:2"),
+        "http/response": http.encode_response(503, b'{"a":1}', {"retry-after": "2"}, False),
+        "http/response-204": http.encode_response(204, b""),
+        "http/head": http.encode_head(200, {"x-one": "1"}, "text/event-stream", False),
+        "http/chunk": http.encode_chunk(b"twelve bytes"),
+        "events/event": events.encode_event(b"one\ntwo", "part"),
+        "infer/json": infer.infer_request("h:1", "a/b", "m1", b'{"n":1}', head, {"traceparent": "t"}),
+        "infer/tensors": infer.infer_request("h:1", "m", "m2", inputs, head | {"form": "tensors"}, {}, "tensors"),
+        "infer/answer": infer.infer_answer("m", "m3", '{"r":2}', False),
+        "infer/tensors-answer": infer.tensors_answer("m", "m4", [tensor], success=True, final=False),
+        "infer/load": infer.load_request("h:1", "a b", 3, "d1"),
+        "infer/error": infer.error_response(404, "no copy", {infer.NEVER_RAN: "miss", "load-failed": "1"}),
+        "infer/report": infer.write_report(0.25, found=1, company=4).encode(),
+        "vrrp/v4": packet,
+        "vrrp/v4-no-pseudo-header": vrrp_packet.encode(advert, *V4, False),
+        "vrrp/v6-release": vrrp_packet.encode(advert_6, *V6),
+        "vrrp/sealed": sealer.seal(packet),
+        "vrrp/sealed-next": sealer.seal(packet),
+        "invoke/error": views.error("no such action", "0a0b", extra=1),
+    }
+    for name, record in records().items():
+        for view in (views.activation, views.summary, views.result):
+            out[f"invoke/{view.__name__}/{name}"] = views.encode(view(record))
+    copies = deployment.load(ROOT / "examples" / "copies.sexp")
+    for path, item in copies.actions.items():
+        out[f"invoke/action/{path}"] = views.encode(views.action(copies, "families", item))
+    return out
+
+
+@pytest.mark.parametrize("name", BYTES["written"])
+def test_what_is_written_keeps_its_bytes(name: str) -> None:
+    """Lines to the platform's workers, frames to its clients, HTTP, the workers' inference protocol, VRRP with and
+    without a seal, and the bodies of the invoke API: the same bytes for the same values."""
+    assert written()[name].hex() == BYTES["written"][name]
+
+
+def test_all_that_is_written_has_a_fixture() -> None:
+    """Nothing is compared with less than it was."""
+    assert sorted(written()) == sorted(BYTES["written"])
+
+
+def drained(reader: Any, data: bytes) -> list[Any]:
+    """All that a reader with `feed` and `next` makes of bytes that come one by one."""
+    out = []
+    for byte in data:
+        reader.feed(bytes((byte,)))
+        while (one := reader.next()) is not None:
+            out.append(plain(one))
+    return out
+
+
+def read_response(data: bytes) -> http.Response:
+    """One whole response."""
+    found = http.ResponseReader(1 << 20).feed(data)
+    assert found is not None
+    return found
+
+
+def read(kind: str, data: bytes) -> Any:
+    """What the reader of that kind makes of bytes."""
+    if kind == "lines":
+        return drained(lines.LineReader(1000), data)
+    if kind == "frames":
+        return [[k, s, payload["hex"]] for k, s, payload in drained(frames.FrameReader(), data)]
+    if kind == "fields":
+        return plain(frames.read_fields(data))
+    if kind == "feed":
+        return drained(feed.FeedReader(2, 2), data)
+    if kind == "events":
+        return plain(events.EventReader(1000).feed(data))
+    if kind == "http":
+        return plain(http.RequestReader(10_000, 10_000).feed(data))
+    if kind == "infer":
+        return plain(infer.read_infer(data))
+    if kind == "load":
+        return plain(infer.read_load(data))
+    if kind in ("answer json", "answer tensors"):
+        return plain(infer.read_answer(read_response(data), "m3", kind.partition(" ")[2]))
+    if kind == "loaded":
+        return plain(infer.read_loaded(read_response(data)))
+    if kind == "vrrp v4":
+        return plain(vrrp_packet.decode(data, *V4))
+    if kind == "vrrp v6":
+        return plain(vrrp_packet.decode(data, *V6))
+    if kind == "seal":
+        return plain(vrrp_seal.Opener(KEYS).open(data, V4[0]))
+    assert kind == "worker list"
+    return plain(msgspec.json.decode(data, type=members.Listing))
+
+
+@pytest.mark.parametrize("number", range(len(BYTES["read"])), ids=[one["kind"] for one in BYTES["read"]])
+def test_what_is_read_keeps_its_meaning(number: int) -> None:
+    """Answers of the platform's workers, frames of its clients, events of its worker list, HTTP, the inference
+    protocol, VRRP and the worker list's JSON: the same bytes give the same values."""
+    one = BYTES["read"][number]
+    assert text(read(one["kind"], bytes.fromhex(one["bytes"]))) == text(one["values"])
+
+
+def test_fields_of_a_platform_request_keep_their_names() -> None:
+    """`txn`, `item`, `unique`, `verb`, `team`, `limit`, `info` and `cpu` of a client's request, and within `info`
+    `memory_mb`, `lanes` and `load_ms`, say what they said."""
+    told = BYTES["asked"]
+    made = platform_config.parse(json.dumps(BYTES["config"]["told"]))
+    read_as = host_settings.read(made.settings)
+    types = {kind.name: kind for kind in read_as.types}
+    customers = {customer.name: customer for customer in read_as.customers}
+    most_mb = made.sockets.most_mb
+    found = Asked(told["fields"], types, made.sockets.longest_ms, customers, most_mb)
+    shown = []
+    for slot in type(found).__slots__:
+        value = getattr(found, slot)
+        shown.append(value.name if hasattr(value, "name") else value)
+    assert sorted(map(repr, shown)) == told["values"]
+
+
+def test_platform_settings_keep_their_values() -> None:
+    """The platform's JSON configuration, and the settings object that it shares with the simulator: the same keys and
+    units give the same values in the same order."""
+    told = BYTES["config"]
+    made = platform_config.parse(json.dumps(told["told"]))
+    assert text(plain(made)) == text(told["values"])
+    assert text(plain(host_settings.read(made.settings))) == text(told["deployment"])
+
+
+@pytest.mark.parametrize("key", BYTES["config"]["needed"])
+def test_platform_settings_need_the_same_keys(key: str) -> None:
+    """Without this key the configuration is refused, and the message names the key by its place."""
+    told = json.loads(json.dumps(BYTES["config"]["told"]))
+    *path, last = key.split(".")
+    at = told
+    for part in path:
+        at = at[int(part)] if part.isdecimal() else at[part]
+    del at[last]
+    with pytest.raises(platform_config.ConfigError) as caught:
+        platform_config.parse(json.dumps(told))
+    assert str(caught.value) == BYTES["config"]["needed"][key]
+
+
+def test_keys_of_experiments_keep_their_names() -> None:
+    """`(set SECTION.KEY VALUE)` knows the sections and keys that it knew.  They are taken from field names, so a field
+    that gets another name needs its old key kept."""
+    day = script.load(ROOT / "examples" / "bad-days" / "first.sexp")
+    whole = deployment.load(day.deployment)
+    place = Place("x", 1, 1)
+    found = {}
+    for section in ("no-such", *SETTINGS_KEYS):
+        with pytest.raises(ValueError) as caught:
+            experiment.changed(day, whole, LabSettings(), [experiment.Change(section, "no-such", 1.0, place)])
+        found[section] = str(caught.value)
+    assert found == {"no-such": BYTES["experiments"]["no-such"], **SETTINGS_KEYS}
+
+
+def test_deploy_file_keeps_its_keys() -> None:
+    """deploy/balancer.toml has its keys, and what it names is there."""
+    told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
+    assert {key: type(value).__name__ for key, value in told.items()} == BYTES["deploy"]
+    assert all((ROOT / path).exists() for path in [*told["policy"], *told["node"]])
+    for key in ("run", "sim"):
+        words = told[key].split()
+        assert words[:3] == ["exec", ".venv/bin/python", "-m"]
+        assert (ROOT / words[3].replace(".", "/") / "__main__.py").exists()
+
+
+# What operators are shown.
+
+
+def shown_keys() -> Counter[tuple[str, ...]]:
+    """The keys of every dict that is written out in the package's code."""
+    out: Counter[tuple[str, ...]] = Counter()
+    for file in sorted((ROOT / "kelptrail").rglob("*.py")):
+        for node in ast.walk(ast.parse(file.read_text(encoding="utf-8"))):
+            if isinstance(node, ast.Dict):
+                out[tuple(k.value for k in node.keys if isinstance(k, ast.Constant) and isinstance(k.value, str))] += 1
+    return out
+
+
+def test_answers_to_operators_keep_their_keys() -> None:
+    """`/state`, `/vrrp`, `/leases`, `/copies`, `/usage` and the planner's answers, the standing in of the worker list:
+    each set of keys is written out somewhere in the code, in its order.  Looked up in the source, so a key that stays
+    but gets another value is not seen here."""
+    found = shown_keys()
+    for name, keys in BYTES["shown"].items():
+        assert found[tuple(keys)] >= 1, f"{name}: {keys}"
+
+
+def test_usage_is_shown_with_its_keys() -> None:
+    """The answer of `/usage`, whole, made from a total that was told."""
+    token = lease_terms.Token(9, "d2/r2")
+    told = usage_terms.Told()
+    assert told.told(usage_terms.Total(token, 73, 3, {"n1": (1.234, 2.5, 3.5)}))
+    usage = usage_terms.Usage.__new__(usage_terms.Usage)
+    usage.told = told
+    assert text(usage.status()) == text(BYTES["usage"])
+
+
+def test_storm_is_shown_with_its_keys() -> None:
+    """The part `storm` of `/state`, before anything has come."""
+    assert text(Storm(StormSettings(), 1).status()) == text(BYTES["storm"])
