--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -7,13 +7,17 @@
 from __future__ import annotations
 
 import ast
+import asyncio
+import contextlib
 import dataclasses
 import enum
 import hashlib
 import json
+import logging
+import re
 import tomllib
 from collections import Counter, deque
-from collections.abc import Mapping
+from collections.abc import Coroutine, Mapping
 from ipaddress import ip_address
 from pathlib import Path, PurePath
 from typing import Any
@@ -36,13 +40,18 @@
 from kelptrail.host import settings as host_settings
 from kelptrail.lab import experiment
 from kelptrail.lab.site import LabSettings
+from kelptrail.net.client import Errand
 from kelptrail.peers import wire
 from kelptrail.planner import plan
 from kelptrail.platform import config as platform_config
 from kelptrail.platform.front import Asked
+from kelptrail.platform.service import Service
 from kelptrail.roster import members
+from kelptrail.roster.client import RosterClient
 from kelptrail.settings import deployment
 from kelptrail.settings.reader import Place
+from kelptrail.standin.capture import Capture
+from kelptrail.standin.roster import RosterSource
 from kelptrail.vrrp import packet as vrrp_packet
 from kelptrail.vrrp import seal as vrrp_seal
 
@@ -459,3 +468,162 @@
 def test_storm_is_shown_with_its_keys() -> None:
     """The part `storm` of `/state`, before anything has come."""
     assert text(Storm(StormSettings(), 1).status()) == text(BYTES["storm"])
+
+
+# On sockets: what goes out unasked, and in which words.
+
+SOCKETS: dict[str, Any] = stored("sockets")
+
+
+def run(main: Coroutine[Any, Any, Any]) -> Any:
+    """The outcome of a conversation on loopback, within a bound."""
+
+    async def bounded() -> Any:
+        async with asyncio.timeout(30):
+            return await main
+
+    return asyncio.run(bounded())
+
+
+async def heard_of_the_platform_service() -> dict[str, list[str]]:
+    """One dispatcher between a client, a worker and the worker list: what each of these three is sent.  The time left
+    in a call and the number of copies are masked, commands to the worker are sorted and told once."""
+    to_worker, to_list = set[bytes](), set[bytes]()
+    hangs, cancelled = asyncio.Event(), asyncio.Event()
+
+    async def worker(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        with contextlib.suppress(OSError, asyncio.IncompleteReadError):
+            while line := await reader.readline():
+                word, id_, *rest = line.split()
+                body = await reader.readexactly(int(rest[-1]) + 2) if word == b"CALL" else b""
+                to_worker.add(re.sub(rb"limit=[0-9]+", b"limit=...", line) + body)
+                if word == b"LOAD":
+                    writer.write(id_ + b" OK units=1 0\r\n\r\n")
+                elif word == b"CANCEL":
+                    cancelled.set()
+                elif body.startswith(b"hang"):
+                    hangs.set()
+                else:
+                    writer.write(id_ + b" OK tell=up,meter=cpu:0.5;x0:0.2 6\r\nresult\r\n")
+        writer.close()
+
+    async def worker_list(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        with contextlib.suppress(OSError, asyncio.IncompleteReadError):
+            to_list.add(await reader.readexactly(8))
+            await reader.read()
+        writer.close()
+
+    at_worker = await asyncio.start_server(worker, "127.0.0.1", 0)
+    at_list = await asyncio.start_server(worker_list, "127.0.0.1", 0)
+    told = json.loads(json.dumps(BYTES["config"]["told"]))
+    target = told["known"]["entries"][0]["hosts"]["targets"][0]
+    target |= {"endpoint": f"127.0.0.1:{at_worker.sockets[0].getsockname()[1]}", "boot_ms": 0}
+    told["known"] = {"pos": 1, "entries": [{"pos": 1, "hosts": {"rev": 1, "all": True, "targets": [target]}}]}
+    told["settings"]["specifics"]["not_loaded"] = "miss"  # so that copies are ordered
+    for kind in told["settings"]["classes"]:
+        kind["give_up_us"] = 20_000_000
+    told |= {"listen": "127.0.0.1:0", "journal": f"127.0.0.1:{at_list.sockets[0].getsockname()[1]}"}
+    service = Service(asyncio.get_running_loop(), platform_config.parse(json.dumps(told)))
+    reader, writer = await asyncio.open_connection("127.0.0.1", service.open())
+    ours = frames.FrameReader()
+    to_client: list[bytes] = []
+
+    async def answered(sent: bytes) -> None:
+        writer.write(sent)
+        while (found := ours.next()) is None:
+            ours.feed(await reader.read(65536))
+        to_client.append(frames.frame(*found))
+
+    def request(stream: int, body: bytes, **other: str) -> bytes:
+        said = {"verb": "t", "txn": f"{stream:016x}", "limit": "15000", "team": "acme", "item": ITEM}
+        said |= {"info": "memory_mb:512;lanes:2"} | other
+        return frames.frame(frames.REQUEST, stream, frames.fields(said) + body)
+
+    await answered(frames.frame(frames.ASK_READY, 7, b"\0"))
+    await answered(request(3, b"hello\r\n"))
+    await answered(request(4, b"", verb="k", unique="key-1"))
+    await answered(request(5, b"", team="nobody"))
+    writer.write(request(6, b"hang"))
+    await hangs.wait()
+    writer.write(frames.frame(frames.CANCEL, 6))
+    await cancelled.wait()
+    service.end()
+    await answered(b"")
+    writer.close()
+    service.close()
+    at_worker.close()
+    at_list.close()
+    return {
+        "client": [data.hex() for data in to_client],
+        "worker": sorted(data.decode() for data in to_worker if data[:4] != b"LOAD"),
+        "orders": sorted(
+            {re.sub("LOAD o[0-9]+|units=[0-9]+", "...", d.decode()) for d in to_worker if d[:4] == b"LOAD"}
+        ),
+        "list": sorted(data.hex() for data in to_list),
+    }
+
+
+def test_platform_service_says_what_it_said() -> None:
+    """A whole dispatcher on loopback sockets: the frames that a client gets, the lines that a worker gets, the
+    question that the worker list gets."""
+    assert run(heard_of_the_platform_service()) == SOCKETS["platform"]
+
+
+async def heard_of_the_worker_list(tmp_path: Path) -> dict[str, Any]:
+    """The question of a dispatcher that follows the worker list, and what it takes from an answer."""
+    questions: list[str] = []
+    lists: list[Any] = []
+    two = asyncio.Event()
+    body = json.dumps(SOCKETS["listing"]).encode()
+
+    async def source(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        with contextlib.suppress(OSError, asyncio.IncompleteReadError):
+            while True:
+                questions.append((await reader.readuntil(b"\r\n\r\n")).decode())
+                if len(questions) == 2:
+                    two.set()
+                    await asyncio.sleep(10)
+                writer.write(http.encode_response(200, body))
+
+    server = await asyncio.start_server(source, "127.0.0.1", 0)
+    address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+    client = RosterClient(address, "d1/r1", lists.append, tmp_path / "last.json", logging.getLogger("test"), 1500.0)
+    client.own, client.channel, client.hall = "10.0.1.1:8", "10.0.1.1:9", "south"
+    task = asyncio.create_task(client.follow())
+    await two.wait()
+    task.cancel()
+    server.close()
+    again = RosterClient(address, "d1/r2", lists.append, tmp_path / "last.json", logging.getLogger("test"))
+    return {
+        "questions": [question.replace(address, "ADDRESS") for question in questions],
+        "from_last": again.start_from_last(),
+        "lists": plain(lists),
+    }
+
+
+def test_worker_list_is_asked_and_read_as_before(tmp_path: Path) -> None:
+    """The long poll's target with all its parameters, the list that an answer gives, and the list that a restart
+    takes up from the file beside it."""
+    assert text(run(heard_of_the_worker_list(tmp_path))) == text(SOCKETS["followed"])
+
+
+async def told_by_the_stand_in() -> Any:
+    """What the stand-in worker list answers after a worker and a dispatcher are known; its run and ages are masked."""
+    source = RosterSource(Capture(None, "list"))
+    errand = Errand(f"127.0.0.1:{source.server.listen('127.0.0.1', 0)}")
+    for target, body in SOCKETS["told_to_list"]:
+        assert (await errand.ask("POST", target, body)).status == 200
+    target = "/workers?who=d1/r1&at=10.0.1.1:8&channel=10.0.1.1:9&hall=south&known=&wait=0"
+    found = json.loads((await errand.ask("GET", target)).body)
+    errand.close()
+    source.server.stop_listening()
+    found["lineage"] = "..."
+    for worker in found["workers"]:
+        assert 1000 <= worker["age_ms"] < 20_000
+        worker["age_ms"] = 0
+    return found
+
+
+def test_stand_in_list_tells_as_before() -> None:
+    """`POST /register`, `POST /state` and `GET /workers` of the stand-in worker list: paths, keys and values."""
+    assert text(run(told_by_the_stand_in())) == text(SOCKETS["list"])
