--- a/bench/copies.py
+++ b/bench/copies.py
@@ -26,15 +26,15 @@
 
 from kelptrail.clock import now_ms, wall_ms
 from kelptrail.codec.infer import Answer
-from kelptrail.copies.holder import Work
-from kelptrail.copies.model import World as Walk
-from kelptrail.copies.shelves import Reading, open_shelves
-from kelptrail.copies.terms import Item
-from kelptrail.dispatch.terms import Outcome
+from kelptrail.dispatch.entities import Outcome
 from kelptrail.gateway.build import World
 from kelptrail.gateway.core import Final, Gateway, PlaceOrder, StartSend
-from kelptrail.lease.terms import Token
-from kelptrail.roster.members import Entry, Listing
+from kelptrail.lease.messages import Token
+from kelptrail.membership.members import Entry, Listing
+from kelptrail.replication.messages import Item
+from kelptrail.replication.model import World as Walk
+from kelptrail.replication.replica import Work
+from kelptrail.replication.replica_store import Reading, open_shelves
 from kelptrail.settings.deployment import parse
 from kelptrail.store.entries import Accepted, Ended, MayRun, pack
 
--- a/bench/crash_points.py
+++ b/bench/crash_points.py
@@ -25,11 +25,11 @@
 
 import uvloop
 
-from kelptrail.audit.judge import read
 from kelptrail.codec.http import HttpError
-from kelptrail.net.client import Errand
+from kelptrail.emulator.cluster import Child, Place, ask
+from kelptrail.history_checker.checker import read
+from kelptrail.net.http_client import Errand
 from kelptrail.settings.deployment import load
-from kelptrail.standin.place import Child, Place, ask
 
 STEPS = ("accepted", "journalled", "cleared", "sent", "answered", "ended")
 ACTIONS = {"repeatable": "places/place-check", "deduplicated": "places/place-activate", "once-only": "grant"}
--- a/bench/deferred.py
+++ b/bench/deferred.py
@@ -19,9 +19,9 @@
 from kelptrail.gateway.build import World
 from kelptrail.gateway.core import Gateway
 from kelptrail.settings.deployment import parse
-from kelptrail.store.book import open_book
+from kelptrail.store.activation_journal import open_book
 from kelptrail.store.entries import Accepted, Ended
-from kelptrail.store.journal import Journal
+from kelptrail.store.group_commit import Journal
 
 
 def rates(runs: int, seconds: float) -> dict[str, Any]:
--- a/bench/guard_cost.py
+++ b/bench/guard_cost.py
@@ -20,9 +20,9 @@
 from soak import Soak
 
 from kelptrail.codec import frames
-from kelptrail.dispatch.gate import Gate
-from kelptrail.dispatch.terms import Activation, Copy, Effect, Function, NamespaceType, Send, Worker
-from kelptrail.host.invariants import Invariants
+from kelptrail.dispatch.entities import Activation, Copy, Effect, Function, NamespaceType, Send, Worker
+from kelptrail.dispatch.safety import Gate
+from kelptrail.engine.invariants import Invariants
 
 CONNECTIONS = 8
 
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -25,16 +25,16 @@
 import numpy as np
 import uvloop
 
-from kelptrail.audit.judge import judge, read
-from kelptrail.badday.report import world_of
-from kelptrail.lab.engine import Engine
-from kelptrail.lab.leased import LabLeases
+from kelptrail.emulator.capture import Capture
+from kelptrail.emulator.cluster import Child, Place, ask
+from kelptrail.fault_scenario.report import world_of
+from kelptrail.history_checker.checker import judge, read
+from kelptrail.lease.messages import LeaseSettings
 from kelptrail.lease.model import Budget, Make, World
-from kelptrail.lease.terms import LeaseSettings
-from kelptrail.search import explore, wander
+from kelptrail.model_checking.explorer import explore, wander
 from kelptrail.settings.deployment import load
-from kelptrail.standin.capture import Capture
-from kelptrail.standin.place import Child, Place, ask
+from kelptrail.simulation.event_queue import Engine
+from kelptrail.simulation.leases import LabLeases
 
 ROOT = Path(__file__).parent.parent
 FIGURES: dict[str, Any] = {
--- a/bench/planner.py
+++ b/bench/planner.py
@@ -19,13 +19,13 @@
 import uvloop
 
 from kelptrail.clock import now_ms
-from kelptrail.gateway.tally import Tally
-from kelptrail.peers.wire import VERSION, Beat, FrameReader, Hello, frame
+from kelptrail.emulator.cluster import Place, ask
+from kelptrail.gateway.counters import Tally
+from kelptrail.peers.messages import VERSION, Beat, FrameReader, Hello, frame
 from kelptrail.planner.channel import READ, Report
-from kelptrail.planner.place import Host, Need, greedy, solve, valid
+from kelptrail.planner.placement import Host, Need, greedy, solve, valid
 from kelptrail.planner.plan import FIRST
 from kelptrail.settings.deployment import load
-from kelptrail.standin.place import Place, ask
 
 ROOT = Path(__file__).parent.parent
 SIZES = ((10, 50), (30, 150), (100, 500), (300, 1500), (1000, 5000))
--- a/bench/soak_mutants.py
+++ b/bench/soak_mutants.py
@@ -38,13 +38,13 @@
 MUTANTS = (
     Mutant(
         "an attempt begins whatever came after its decision",
-        "kelptrail/dispatch/gate.py",
+        "kelptrail/dispatch/safety.py",
         "        if not (item.copy.worker.live and now < item.until):\n            return False\n"
         "        if isinstance(item, Order):\n            return item.copy.order is item\n"
         "        return item.outcome is None and not item.revoked and item.act.verdict is None\n",
         "        return True\n",
         Edit(
-            "kelptrail/platform/workers.py",
+            "kelptrail/platform/worker_connections.py",
             "        if piece is not None and self.link is not None and not self.link.withdraw(piece):\n",
             "        if True:\n",
         ),
@@ -57,13 +57,13 @@
     ),
     Mutant(
         "a once-only request is repeated",
-        "kelptrail/dispatch/gate.py",
+        "kelptrail/dispatch/safety.py",
         "else 0.0\n",
         'else float("inf")\n',
     ),
     Mutant(
         "a deduplicated request is repeated past its window",
-        "kelptrail/dispatch/gate.py",
+        "kelptrail/dispatch/safety.py",
         "first.sent + act.type.remembered_ms - 20",
         'float("inf")',
     ),
@@ -87,7 +87,7 @@
     ),
     Mutant(
         "connections are closed whatever stands in them",
-        "kelptrail/platform/front.py",
+        "kelptrail/platform/client_server.py",
         "        if client.open or self._under_way(client):\n            return False\n",
         "",
     ),
@@ -116,13 +116,13 @@
     ),
     Mutant(
         "workers that drain are sent to",
-        "kelptrail/dispatch/terms.py",
+        "kelptrail/dispatch/entities.py",
         "        return self.state is State.LIVE\n",
         "        return self.state is not State.GONE\n",
     ),
     Mutant(
         "an answer is given twice",
-        "kelptrail/platform/front.py",
+        "kelptrail/platform/client_server.py",
         "            client.link.write(frames.answer(request.stream, code, body, later_ms))\n",
         "            client.link.write(frames.answer(request.stream, code, body, later_ms) * 2)\n",
     ),
--- a/bench/split.py
+++ b/bench/split.py
@@ -14,10 +14,10 @@
 
 from kelptrail.codec.http import RequestReader, ResponseReader, encode_request, encode_response
 from kelptrail.codec.infer import infer_answer, infer_request, read_answer
-from kelptrail.dispatch.terms import Activation, Order, Outcome, Send
+from kelptrail.dispatch.entities import Activation, Order, Outcome, Send
 from kelptrail.gateway.build import World
 from kelptrail.gateway.core import Final, Gateway, PlaceOrder, StartSend
-from kelptrail.roster.members import Entry, Listing
+from kelptrail.membership.members import Entry, Listing
 from kelptrail.settings.deployment import parse
 
 TEXT = """(deployment bench
--- a/bench/vrrp_explore.py
+++ b/bench/vrrp_explore.py
@@ -12,9 +12,9 @@
 
 import numpy as np
 
-from kelptrail.vrrp.explore import Budget, explore
-from kelptrail.vrrp.machine import Router, RouterSettings
-from kelptrail.vrrp.simulate import failovers
+from kelptrail.vrrp.model import Budget, explore
+from kelptrail.vrrp.simulation import failovers
+from kelptrail.vrrp.state_machine import Router, RouterSettings
 
 FRONT = (ip_address("127.0.2.1"),)
 PRODUCTS = (
--- a/bench/vrrp_failover.py
+++ b/bench/vrrp_failover.py
@@ -23,14 +23,14 @@
 import numpy as np
 import uvloop
 
-from kelptrail.audit.judge import judge, read
-from kelptrail.badday.report import latencies, world_of
 from kelptrail.clock import now_ms
+from kelptrail.emulator.capture import Capture
+from kelptrail.emulator.clients import Clients
+from kelptrail.emulator.cluster import Child, Place, ask
+from kelptrail.fault_scenario.report import latencies, world_of
+from kelptrail.history_checker.checker import judge, read
 from kelptrail.load.plan import steady
 from kelptrail.settings.deployment import Deployment, load
-from kelptrail.standin.capture import Capture
-from kelptrail.standin.clients import Clients
-from kelptrail.standin.place import Child, Place, ask
 
 # a master that is only cut off from what the others send keeps the address, as they hear it: no take-over
 KINDS = ("kill", "term", "pause", "cut", "cut-out", "cut-in")
--- a/kelptrail/cli/main.py
+++ b/kelptrail/cli/main.py
@@ -47,7 +47,7 @@
 
 
 def _script(script: str) -> Any:
-    from kelptrail.badday.script import load
+    from kelptrail.fault_scenario.scenario import load
 
     return _read(load, script)
 
@@ -272,7 +272,7 @@
 ) -> None:
     """Plan loads and placement ahead for edges, until SIGTERM, while it holds the lease; others stand by."""
     deployment = _settings(file)
-    from kelptrail.planner.program import Options
+    from kelptrail.planner.driver import Options
     from kelptrail.service.planner import serve as run
 
     log = _log(context, planner=name)
@@ -309,7 +309,7 @@
 def vrrp_status(control: str, as_json: bool) -> None:
     """State, master, timers, counters and last transitions with their causes."""
     from kelptrail.codec.http import HttpError
-    from kelptrail.standin.place import ask
+    from kelptrail.emulator.cluster import ask
 
     try:
         status = _run(ask(control, "GET", "/vrrp"))
@@ -338,7 +338,7 @@
 def _shown(control: str, target: str) -> Any:
     """What a control port shows; ends the process where it shows nothing."""
     from kelptrail.codec.http import HttpError
-    from kelptrail.standin.place import ask
+    from kelptrail.emulator.cluster import ask
 
     try:
         return _run(ask(control, "GET", target))
@@ -421,7 +421,7 @@
 def retire(name: str, control: str, within: float) -> None:
     """Move everything off the dispatcher NAME, whose control port is CONTROL, before its machine is taken away."""
     from kelptrail.codec.http import HttpError
-    from kelptrail.standin.place import ask
+    from kelptrail.emulator.cluster import ask
 
     async def go() -> str:
         status = await ask(control, "GET", "/copies")
@@ -455,7 +455,7 @@
 def demo(context: click.Context, file: str, workers: int | None, quiet_logs: bool) -> None:
     """Run a whole place on loopback: worker list, model store, workers, one dispatcher."""
     deployment = _settings(file)
-    from kelptrail.standin.place import Place
+    from kelptrail.emulator.cluster import Place
 
     async def go() -> bool:
         import signal
@@ -522,7 +522,7 @@
     import base64
 
     from kelptrail.codec.http import HttpError
-    from kelptrail.net.client import Errand
+    from kelptrail.net.http_client import Errand
 
     errand = Errand(url.removeprefix("http://").rstrip("/"))
     try:
@@ -610,9 +610,9 @@
 @click.pass_context
 def bad_day(context: click.Context, script: str, seed: int, out: Path) -> None:
     """Play a scripted bad day through real processes and judge it.  Exit 6 where a rule was broken."""
-    from kelptrail.audit.judge import judge, read
-    from kelptrail.badday.player import Player
-    from kelptrail.badday.report import write
+    from kelptrail.fault_scenario.report import write
+    from kelptrail.fault_scenario.runner import Player
+    from kelptrail.history_checker.checker import judge, read
 
     day = _script(script)
     try:
@@ -639,7 +639,7 @@
 def campaign(settings: Path, seeds: int, first: int, at_once: int, out: Path) -> None:
     """Play drawn bad days between real processes: of copies where the settings have any, else of leases.  Exit 6 where
     any of them broke a rule."""
-    from kelptrail.badday.campaign import play, total
+    from kelptrail.fault_scenario.campaign import play, total
 
     peers = _settings(str(settings)).peers
     kind = "copies" if peers is not None and peers.copies else "leases"
@@ -657,7 +657,7 @@
 @click.argument("folder", type=click.Path(path_type=Path, exists=True))
 def audit(folder: Path) -> None:
     """Judge captures that were made before.  Exit 6 where a rule was broken."""
-    from kelptrail.audit.judge import judge, read
+    from kelptrail.history_checker.checker import judge, read
 
     try:
         verdict = judge(read(folder))
@@ -679,7 +679,7 @@
 @click.option("--out", type=click.Path(path_type=Path), required=True, help="Folder for the two files.")
 def turn(tap: Path, name: str, scale: float, workers: int, dispatchers: int, out: Path) -> None:
     """Turn a captured bench day into a deployment and a script for bad-day."""
-    from kelptrail.badday.turn import turn as run
+    from kelptrail.fault_scenario.import_capture import turn as run
 
     try:
         deployment, script = run(tap, name, scale, workers, dispatchers)
@@ -734,11 +734,11 @@
     """Play a bad day's SCRIPT in the lab and judge it by the audit; exit 6 where a rule is broken."""
     import time
 
-    from kelptrail.audit.judge import judge
-    from kelptrail.badday.report import latencies
-    from kelptrail.lab.shards import ShardError, play_sharded
-    from kelptrail.lab.site import LabSettings, Site, result_of
+    from kelptrail.fault_scenario.report import latencies
+    from kelptrail.history_checker.checker import judge
     from kelptrail.load.results import figures
+    from kelptrail.simulation.cluster import LabSettings, Site, result_of
+    from kelptrail.simulation.sharding import ShardError, play_sharded
 
     day = _script(script)
     deployment, settings = _settings(day.deployment), LabSettings(network_ms=network_ms)
@@ -786,10 +786,10 @@
 @click.option("--processes", default=4, show_default=True, type=click.IntRange(1, 256))
 def lab_run(experiment: str, out: Path, processes: int) -> None:
     """Play an EXPERIMENT's variants, points and seeds in parallel; write columns, plots and a report."""
-    from kelptrail.lab.compare import report
-    from kelptrail.lab.experiment import load
-    from kelptrail.lab.experiment import run as run_all
     from kelptrail.load.results import read
+    from kelptrail.simulation.compare import report
+    from kelptrail.simulation.experiment import load
+    from kelptrail.simulation.experiment import run as run_all
 
     count = sum(1 for _ in _read(load, experiment).runs())
     with click.progressbar(length=count, label="runs", file=sys.stderr) as bar:
@@ -807,8 +807,8 @@
     """Say of each figure whether the second variant is better, worse or not told apart."""
     from dataclasses import asdict
 
-    from kelptrail.lab.compare import compare
     from kelptrail.load.results import read_runs
+    from kelptrail.simulation.compare import compare
 
     one = [r for r in read_runs(folder) if r["variant"] == first]
     two = [r for r in read_runs(other_folder or folder) if r["variant"] == second]
@@ -853,8 +853,8 @@
     connections: int,
 ) -> None:
     """Drive running dispatchers with a SCRIPT's load; its troubles are not played.  Tables as the lab's."""
-    from kelptrail.load.hand import HandSettings
-    from kelptrail.load.tool import HandError, drive, keep
+    from kelptrail.load.coordinator import HandError, drive, keep
+    from kelptrail.load.generator import HandSettings
 
     day = _script(script)
     settings = HandSettings(addresses, 0, processes, seed, churn, connections)
@@ -887,7 +887,7 @@
     connections: int,
 ) -> None:
     """One process of the load tool."""
-    from kelptrail.load.hand import Hand, HandSettings, packed
+    from kelptrail.load.generator import Hand, HandSettings, packed
 
     day = _script(script)
 
@@ -905,7 +905,7 @@
 
 
 def _authority(work: Callable[[], Any]) -> Any:
-    from kelptrail.keys.authority import AuthorityError
+    from kelptrail.certificates.authority import AuthorityError
 
     try:
         return work()
@@ -936,7 +936,7 @@
     """Make an authority in FOLDER.  One that is there is never written over."""
     from datetime import UTC, datetime
 
-    from kelptrail.keys.authority import Authority
+    from kelptrail.certificates.authority import Authority
 
     _tell(_authority(lambda: Authority.make(folder, name, days, datetime.now(UTC)).show()[0]))
 
@@ -952,7 +952,7 @@
     """Issue a certificate: FOLDER/NAME.pem holds its key and itself."""
     from datetime import UTC, datetime
 
-    from kelptrail.keys.authority import Authority
+    from kelptrail.certificates.authority import Authority
 
     _tell(_authority(lambda: Authority(folder).issue(name, also, server, client, days, datetime.now(UTC))))
 
@@ -965,7 +965,7 @@
     """Renew a certificate with a new key; running fronts take it up by themselves."""
     from datetime import UTC, datetime
 
-    from kelptrail.keys.authority import Authority
+    from kelptrail.certificates.authority import Authority
 
     _tell(_authority(lambda: Authority(folder).rotate(name, days, datetime.now(UTC))))
 
@@ -974,7 +974,7 @@
 @click.argument("folder", type=click.Path(path_type=Path))
 def show(folder: Path) -> None:
     """Show the authority and what it issued, one JSON line each; never a key."""
-    from kelptrail.keys.authority import Authority
+    from kelptrail.certificates.authority import Authority
 
     for one in _authority(lambda: Authority(folder).show()):
         _tell(one)
@@ -983,7 +983,7 @@
 @keys.command(cls=_Examples, example="kelptrail keys api")
 def api() -> None:
     """Make a key for a namespace: hand out `key`, put `key_hash` into the settings."""
-    from kelptrail.keys.authority import api_key
+    from kelptrail.certificates.authority import api_key
 
     key, hashed = api_key()
     _say(key=key, key_hash=hashed)
@@ -1006,8 +1006,8 @@
 def store(file: str, host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
     """The model store, with the ledger by which workers drop repeats."""
     deployment = _settings(file)
-    from kelptrail.standin.capture import Capture
-    from kelptrail.standin.store import Store
+    from kelptrail.emulator.capture import Capture
+    from kelptrail.emulator.model_store import Store
 
     async def go() -> None:
         made = Store(deployment.store, Capture(capture, "store"))
@@ -1041,8 +1041,8 @@
     import gc
 
     from kelptrail.clock import now_ms
-    from kelptrail.standin.capture import Capture
-    from kelptrail.standin.clients import Clients
+    from kelptrail.emulator.capture import Capture
+    from kelptrail.emulator.clients import Clients
 
     day = _script(script)
     deployment = _settings(day.deployment)
@@ -1074,8 +1074,8 @@
 @_standin
 def roster(host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
     """The worker list."""
-    from kelptrail.standin.capture import Capture
-    from kelptrail.standin.roster import RosterSource
+    from kelptrail.emulator.capture import Capture
+    from kelptrail.emulator.endpoint_service import RosterSource
 
     async def go() -> None:
         made = RosterSource(Capture(capture, "roster"))
@@ -1090,8 +1090,8 @@
 @_standin
 def witness(host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
     """What is acted on under leases: notes who acts when, refuses old tokens."""
-    from kelptrail.standin.capture import Capture
-    from kelptrail.standin.witness import Witness
+    from kelptrail.emulator.capture import Capture
+    from kelptrail.emulator.side_effect_log import Witness
 
     async def go() -> None:
         made = Witness(Capture(capture, "witness"))
@@ -1117,8 +1117,8 @@
     with_stdin: bool,
 ) -> None:
     """A relay for the channel between dispatchers that cuts, slows and resets as told."""
-    from kelptrail.standin.capture import Capture
-    from kelptrail.standin.links import Links
+    from kelptrail.emulator.capture import Capture
+    from kelptrail.emulator.channel_proxy import Links
 
     async def go() -> None:
         made = Links(list(sources), list(targets), Capture(capture, "links"), seed)
@@ -1136,8 +1136,8 @@
 def relay(file: str, seed: int, host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
     """A relay that harms VRRP datagrams as told."""
     deployment = _settings(file)
-    from kelptrail.standin.capture import Capture
-    from kelptrail.standin.relay import Relay
+    from kelptrail.emulator.capture import Capture
+    from kelptrail.emulator.datagram_proxy import Relay
 
     if deployment.vrrp is None:
         click.echo(f"{file}: no vrrp section", err=True)
@@ -1184,8 +1184,8 @@
 ) -> None:
     """One runner that holds copies of models."""
     deployment = _settings(file)
-    from kelptrail.standin.capture import Capture
-    from kelptrail.standin.worker import Runner
+    from kelptrail.emulator.capture import Capture
+    from kelptrail.emulator.worker import Runner
 
     async def go() -> None:
         made = Runner(deployment, id_, hall, cell, store_, roster_, Capture(capture, id_), seed, warm)
--- a/kelptrail/dispatch/dispatcher.py
+++ b/kelptrail/dispatch/dispatcher.py
@@ -1,6 +1,6 @@
 """All decisions of kelptrail, joined.  Build the parts and a `Dispatcher` from them, tell it what happens
 (`taken`, `answered`, `told`, `left`, `listed`, `beat`), then pull `decide(now)` until it returns None.  Its
-interface is in `terms.py`, due times in `agenda.py`, its host in `kelptrail/host`, the design in
+interface is in `terms.py`, due times in `agenda.py`, its host in `kelptrail/engine`, the design in
 `docs/design.md`.  Times are milliseconds.
 """
 
@@ -9,14 +9,14 @@
 from collections import defaultdict, deque
 from collections.abc import Iterable
 
-from .agenda import Agenda
-from .gate import Gate
-from .health import Health
-from .instances import Copies
+from .entities import Activation, Copy, Effect, EndReason, Function, Order, Outcome, Send, View, Worker
+from .instance_table import Copies
+from .outlier_detection import Health
 from .placement import Placement
 from .queues import Queues
 from .retries import Attempts
-from .terms import Activation, Copy, Effect, EndReason, Function, Order, Outcome, Send, View, Worker
+from .safety import Gate
+from .timer_queue import Agenda
 
 Decision = Send | Order | Activation | str
 
--- a/kelptrail/dispatch/instances.py
+++ b/kelptrail/dispatch/instance_table.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from .agenda import Agenda
-from .terms import Copy, Function, Worker
+from .entities import Copy, Function, Worker
+from .timer_queue import Agenda
 
 
 class Copies:
--- a/kelptrail/dispatch/health.py
+++ b/kelptrail/dispatch/outlier_detection.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from .terms import Effect, Send, View, Worker
-from .terms import NamespaceType as Type
+from .entities import Effect, Send, View, Worker
+from .entities import NamespaceType as Type
 
 
 class Health:
--- a/kelptrail/dispatch/placement.py
+++ b/kelptrail/dispatch/placement.py
@@ -4,10 +4,10 @@
 
 from zlib import crc32
 
-from .gate import Gate
-from .health import Health
-from .terms import Activation, Copy, Function, Worker
-from .terms import NamespaceType as Type
+from .entities import Activation, Copy, Function, Worker
+from .entities import NamespaceType as Type
+from .outlier_detection import Health
+from .safety import Gate
 
 
 class Placement:
--- a/kelptrail/dispatch/queues.py
+++ b/kelptrail/dispatch/queues.py
@@ -4,9 +4,9 @@
 
 from zlib import crc32
 
-from .span import drop_until
-from .terms import Activation, Customer, Function
-from .terms import NamespaceType as Type
+from .entities import Activation, Customer, Function
+from .entities import NamespaceType as Type
+from .sliding_window import drop_until
 
 
 class Queues:
--- a/kelptrail/dispatch/retries.py
+++ b/kelptrail/dispatch/retries.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .terms import Function, Worker
+from .entities import Function, Worker
 
 
 class Attempts:
--- a/kelptrail/dispatch/gate.py
+++ b/kelptrail/dispatch/safety.py
@@ -5,9 +5,9 @@
 from collections import deque
 from contextlib import suppress
 
+from .entities import Activation, Copy, Effect, Order, Send, Worker
+from .sliding_window import drop_until
 from .slow_start import SlowStart
-from .span import drop_until
-from .terms import Activation, Copy, Effect, Order, Send, Worker
 
 
 class Gate(SlowStart):
--- a/kelptrail/dispatch/slow_start.py
+++ b/kelptrail/dispatch/slow_start.py
@@ -10,8 +10,8 @@
 from collections.abc import Sequence
 from zlib import crc32
 
-from .span import drop_until
-from .terms import Worker
+from .entities import Worker
+from .sliding_window import drop_until
 
 
 class SlowStart:
--- a/kelptrail/standin/links.py
+++ b/kelptrail/emulator/channel_proxy.py
@@ -19,7 +19,7 @@
 from kelptrail.net.server import Exchange, HttpServer
 
 from .capture import Capture
-from .weather import Weather
+from .network_faults import Weather
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closed with a reset
 
--- a/kelptrail/standin/clients.py
+++ b/kelptrail/emulator/clients.py
@@ -22,7 +22,7 @@
 from kelptrail.front.inference import inference_pb2 as pb
 from kelptrail.front.inference.api import SERVICE
 from kelptrail.load.arrivals import Arrivals, popularity
-from kelptrail.load.habits import Habits, Heard, again, habits_of
+from kelptrail.load.client_behavior import Habits, Heard, again, habits_of
 from kelptrail.load.plan import Load
 from kelptrail.net.grpc_client import Ended, GrpcClient
 from kelptrail.net.pool import Call, Ending, WorkerPool
--- a/kelptrail/standin/place.py
+++ b/kelptrail/emulator/cluster.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from kelptrail.net.client import Errand
+from kelptrail.net.http_client import Errand
 from kelptrail.settings.deployment import Deployment
 
 EVERY_PAIR = 12  # dispatchers up to which all pairs go through the relay; beyond, those to voters and planners
--- a/kelptrail/standin/relay.py
+++ b/kelptrail/emulator/datagram_proxy.py
@@ -18,7 +18,7 @@
 from kelptrail.vrrp.driver import HOPS, Where, split
 
 from .capture import Capture
-from .weather import Weather
+from .network_faults import Weather
 
 
 class Relay:
--- a/kelptrail/standin/worker.py
+++ b/kelptrail/emulator/worker.py
@@ -36,7 +36,7 @@
     tensors_answer,
     write_report,
 )
-from kelptrail.net.client import Errand
+from kelptrail.net.http_client import Errand
 from kelptrail.net.pool import Call, Ending, WorkerPool
 from kelptrail.net.server import Exchange, HttpServer, Limits
 from kelptrail.service.build import tls_keeper
--- a/kelptrail/host/host.py
+++ b/kelptrail/engine/engine.py
@@ -1,7 +1,7 @@
 """Hosts one dispatcher: builds it from the settings object and turns ids into objects and back.
 
-Both doors use it: the simulator's (`kelptrail/drill`) and the platform's (`kelptrail/platform`).  Nothing is chosen
-here.  Times are milliseconds with fractions on whatever clock the door keeps.
+The simulator's adapter (`kelptrail/simulator_adapter`) and the platform (`kelptrail/platform`) use it.  Nothing is
+chosen here.  Times are milliseconds with fractions on the caller's clock.
 """
 
 from __future__ import annotations
@@ -10,14 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from kelptrail.dispatch.agenda import Agenda
 from kelptrail.dispatch.dispatcher import Decision, Dispatcher
-from kelptrail.dispatch.gate import Gate
-from kelptrail.dispatch.health import Health
-from kelptrail.dispatch.instances import Copies
-from kelptrail.dispatch.placement import Placement
-from kelptrail.dispatch.queues import Queues
-from kelptrail.dispatch.terms import (
+from kelptrail.dispatch.entities import (
     Activation,
     Customer,
     Function,
@@ -28,6 +22,12 @@
     State,
     Worker,
 )
+from kelptrail.dispatch.instance_table import Copies
+from kelptrail.dispatch.outlier_detection import Health
+from kelptrail.dispatch.placement import Placement
+from kelptrail.dispatch.queues import Queues
+from kelptrail.dispatch.safety import Gate
+from kelptrail.dispatch.timer_queue import Agenda
 
 from .settings import read
 
--- a/kelptrail/host/invariants.py
+++ b/kelptrail/engine/invariants.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from kelptrail.dispatch.terms import NEVER_RAN, Effect, Order, Send
+from kelptrail.dispatch.entities import NEVER_RAN, Effect, Order, Send
 
 CLIENT_GONE_SLACK_MS = 100.0  # an attempt may begin so long after its client has gone
 LIMIT_SLACK_MS = 150.0  # the limit passed to a worker may exceed what the client has left by so much
--- a/kelptrail/host/settings.py
+++ b/kelptrail/engine/settings.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from kelptrail.dispatch.terms import Customer, Effect, NamespaceType
+from kelptrail.dispatch.entities import Customer, Effect, NamespaceType
 
 EFFECTS = {"free": Effect.REPEATABLE, "guarded": Effect.DEDUPLICATED, "single_shot": Effect.ONCE_ONLY}
 SCOPES = {scope: scope for scope in ("all", "zone", "cell")}
--- a/kelptrail/badday/campaign.py
+++ b/kelptrail/fault_scenario/campaign.py
@@ -17,7 +17,7 @@
 import msgspec
 import numpy as np
 
-from kelptrail.audit.judge import Verdict
+from kelptrail.history_checker.checker import Verdict
 
 SECONDS, LOAD = 16.0, 10.0
 BOUND = 0.01  # of clock rates, as the drawn settings state it
--- a/kelptrail/badday/report.py
+++ b/kelptrail/fault_scenario/report.py
@@ -10,7 +10,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from kelptrail.audit.judge import Event, Verdict
+from kelptrail.history_checker.checker import Event, Verdict
 from kelptrail.settings.deployment import Deployment
 
 
--- a/kelptrail/badday/player.py
+++ b/kelptrail/fault_scenario/runner.py
@@ -16,13 +16,13 @@
 
 from kelptrail.clock import now_ms
 from kelptrail.codec.http import HttpError
+from kelptrail.emulator.capture import Capture
+from kelptrail.emulator.clients import Clients
+from kelptrail.emulator.cluster import Child, Place, ask, memory_kb
 from kelptrail.settings.deployment import Deployment
-from kelptrail.standin.capture import Capture
-from kelptrail.standin.clients import Clients
-from kelptrail.standin.place import Child, Place, ask, memory_kb
 
 from .report import world_of
-from .script import ON_DISKS, ON_PEERS, ON_PLANNERS, ON_STORE, ON_WORKERS, BadDay, Trouble
+from .scenario import ON_DISKS, ON_PEERS, ON_PLANNERS, ON_STORE, ON_WORKERS, BadDay, Trouble
 
 READY_S = 20.0  # for voters to found themselves and books to be won
 
--- a/kelptrail/front/callers.py
+++ b/kelptrail/front/callers.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from kelptrail.keys.names import digest, names_in
+from kelptrail.certificates.names import digest, names_in
 from kelptrail.settings.deployment import Deployment, NamespaceSettings
 
 UNSURE = 0.75  # of a call's time, after which its client is told that it is not known whether others keep it
--- a/kelptrail/front/invoke/api.py
+++ b/kelptrail/front/invoke/api.py
@@ -28,8 +28,8 @@
 from kelptrail.gateway.driver import Driver
 from kelptrail.gateway.limits import WORDS
 from kelptrail.gateway.records import Record
+from kelptrail.membership.members import PREFIX
 from kelptrail.net.server import Exchange
-from kelptrail.roster.members import PREFIX
 from kelptrail.settings.deployment import ActionSettings, Deployment, NamespaceSettings
 
 from . import views
--- a/kelptrail/gateway/build.py
+++ b/kelptrail/gateway/build.py
@@ -2,15 +2,15 @@
 
 from __future__ import annotations
 
-from kelptrail.dispatch.agenda import Agenda
 from kelptrail.dispatch.dispatcher import Dispatcher
-from kelptrail.dispatch.gate import Gate
-from kelptrail.dispatch.health import Health
-from kelptrail.dispatch.instances import Copies
+from kelptrail.dispatch.entities import Customer, Effect, Function, NamespaceType
+from kelptrail.dispatch.instance_table import Copies
+from kelptrail.dispatch.outlier_detection import Health
 from kelptrail.dispatch.placement import Placement
 from kelptrail.dispatch.queues import Queues
 from kelptrail.dispatch.retries import Attempts
-from kelptrail.dispatch.terms import Customer, Effect, Function, NamespaceType
+from kelptrail.dispatch.safety import Gate
+from kelptrail.dispatch.timer_queue import Agenda
 from kelptrail.settings.deployment import Deployment
 
 
--- a/kelptrail/gateway/sight.py
+++ b/kelptrail/gateway/connection_health.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from kelptrail.dispatch.terms import Outcome
+from kelptrail.dispatch.entities import Outcome
 
 REACHED = frozenset({Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL, Outcome.MISS})
 NOT_REACHED = frozenset({Outcome.UNREACHABLE, Outcome.BROKEN, Outcome.SILENT})
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -16,21 +16,21 @@
 import msgspec
 
 from kelptrail.codec.infer import Answer
-from kelptrail.dispatch.agenda import Agenda
-from kelptrail.dispatch.terms import Activation, Copy, Effect, Order, Outcome, Send, Worker
-from kelptrail.roster.members import Listing, Members
+from kelptrail.dispatch.entities import Activation, Copy, Effect, Order, Outcome, Send, Worker
+from kelptrail.dispatch.timer_queue import Agenda
+from kelptrail.membership.members import Listing, Members
 from kelptrail.settings.deployment import ActionSettings
-from kelptrail.store.book import Life
+from kelptrail.store.activation_journal import Life
 from kelptrail.store.entries import Accepted, Ended, MayRun
-from kelptrail.store.journal import Journal
+from kelptrail.store.group_commit import Journal
 from kelptrail.store.recovery import End, Pace, Resume, Rule, judge
 
 from .build import World
+from .counters import Tally
 from .lifecycle import Need, Passage, Stage
 from .limits import EARLY, RETURN_MS, Holdings
+from .overload import Storm, StormSettings
 from .records import Keeping, Record, Records
-from .storm import Storm, StormSettings
-from .tally import Tally
 
 OUTCOMES = {"completed": Outcome.COMPLETED, "error": Outcome.ERROR, "full": Outcome.FULL, "miss": Outcome.MISS}
 MAY_HAVE_RUN = b'{"error":"The activation was aborted: it may have run, so trying again may repeat its effect."}'
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -24,13 +24,13 @@
     read_loaded,
     read_part,
 )
-from kelptrail.dispatch.terms import Order, Outcome, Send, Worker
+from kelptrail.dispatch.entities import Order, Outcome, Send, Worker
+from kelptrail.membership.members import Listing
 from kelptrail.net.pool import Call, Ending, WorkerPool
-from kelptrail.roster.members import Listing
 from kelptrail.store.driver import JournalDriver
 
+from .connection_health import LinkSight
 from .core import OUTCOMES, Final, Gateway, GiveUp, Ivk, Note, Part, PlaceOrder, StartSend
-from .sight import LinkSight
 
 BEHIND_MS = 50.0  # a timer that rings so late is told of: the loop has too much to do
 MOST_ANSWER_MS = 2.0  # what one answer may be taken to cost: a stall is not the answers'
--- a/kelptrail/lease/voter.py
+++ b/kelptrail/lease/acceptor.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from .terms import (
+from .messages import (
     NONE,
     NOTHING,
     Ask,
--- a/kelptrail/lease/ledger.py
+++ b/kelptrail/lease/acceptor_store.py
@@ -14,10 +14,10 @@
 import apsw
 import msgspec
 
-from kelptrail.store.book import BookError
+from kelptrail.store.activation_journal import BookError
 
-from .terms import Row
-from .voter import Memory, Stage, Write
+from .acceptor import Memory, Stage, Write
+from .messages import Row
 
 FORMAT = 2  # 1: rows had no note
 TABLE = "CREATE TABLE kept (name TEXT PRIMARY KEY, crc INTEGER NOT NULL, body BLOB NOT NULL) WITHOUT ROWID"
--- a/kelptrail/lease/asker.py
+++ b/kelptrail/lease/client.py
@@ -14,7 +14,7 @@
 from enum import Enum
 from zlib import crc32
 
-from .terms import (
+from .messages import (
     NONE,
     NOTHING,
     Ask,
--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -11,13 +11,14 @@
 
 from kelptrail.clock import now_ms
 from kelptrail.peers.driver import Peers
-from kelptrail.store.book import BookError
+from kelptrail.store.activation_journal import BookError
 from kelptrail.store.driver import JournalDriver
-from kelptrail.store.journal import Journal
+from kelptrail.store.group_commit import Journal
 
-from .asker import Asker, Kept, Lost, Won
-from .ledger import open_ledger
-from .terms import (
+from .acceptor import Voter, Write
+from .acceptor_store import open_ledger
+from .client import Asker, Kept, Lost, Won
+from .messages import (
     Ask,
     Granted,
     Handed,
@@ -31,7 +32,6 @@
     Release,
     Token,
 )
-from .voter import Voter, Write
 
 SPEAKS = "lease"
 KINDS = (Ask, Granted, Refused, Release, Handed, Learn, Learnt, Note, Left)
--- a/kelptrail/lease/model.py
+++ b/kelptrail/lease/model.py
@@ -14,11 +14,11 @@
 from dataclasses import dataclass, field, replace
 from functools import partial
 
-from kelptrail.search import PropertyError, Step
+from kelptrail.model_checking.explorer import PropertyError, Step
 
-from .asker import Asker, Kept, Won
-from .terms import NONE, NOTHING, LeaseSettings, Message, Noted, Row, Token
-from .voter import Memory, Stage, Voter, Write
+from .acceptor import Memory, Stage, Voter, Write
+from .client import Asker, Kept, Won
+from .messages import NONE, NOTHING, LeaseSettings, Message, Noted, Row, Token
 
 TASK = "task"
 ROUNDING = 1e-6  # ms; a time that was divided by a rate and multiplied again is reached for sure
--- a/kelptrail/load/tool.py
+++ b/kelptrail/load/coordinator.py
@@ -16,9 +16,9 @@
 from hdrh.histogram import HdrHistogram
 
 from kelptrail.clock import now_ms
-from kelptrail.net.client import Errand
+from kelptrail.net.http_client import Errand
 
-from .hand import DIGITS, LONGEST_US, HandSettings
+from .generator import DIGITS, LONGEST_US, HandSettings
 from .plan import Script
 from .results import PARTS, Result, Rows, Second, figures, rows_of, write
 
--- a/kelptrail/load/hand.py
+++ b/kelptrail/load/generator.py
@@ -24,7 +24,7 @@
 from kelptrail.settings.deployment import ActionSettings, Deployment, NamespaceSettings
 
 from .arrivals import Arrivals, popularity
-from .habits import Habits, Heard, again, habits_of
+from .client_behavior import Habits, Heard, again, habits_of
 from .plan import Load, Script
 from .results import Second
 
--- a/kelptrail/roster/client.py
+++ b/kelptrail/membership/client.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from kelptrail.codec.http import HttpError
-from kelptrail.net.client import Errand
+from kelptrail.net.http_client import Errand
 
 from .members import Listing
 
--- a/kelptrail/roster/members.py
+++ b/kelptrail/membership/members.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from kelptrail.dispatch.terms import State, Worker
+from kelptrail.dispatch.entities import State, Worker
 
 PREFIX = 6  # hex digits of an id that tell which dispatcher gave it
 STATES = {"live": State.LIVE, "draining": State.DRAINING, "gone": State.GONE}
--- /dev/null
+++ b/kelptrail/model_checking/__init__.py
@@ -0,0 +1,1 @@
+"""Exhaustive and random search over the states of a model."""
--- a/kelptrail/net/link.py
+++ b/kelptrail/net/connection.py
@@ -16,7 +16,7 @@
 from errno import EALREADY, EINPROGRESS, EINTR, EISCONN
 
 from .errors import is_momentary, may_connect_later
-from .wire import Wire
+from .transport import Wire
 
 BUFFER = 8_192
 CHUNK = 65_536
--- a/kelptrail/net/grpc_client.py
+++ b/kelptrail/net/grpc_client.py
@@ -29,7 +29,7 @@
 
 from kelptrail.codec.grpc import Code, GrpcError, MessageReader, encode_message, read_trailers
 
-from .wire import TlsWire, Wire
+from .transport import TlsWire, Wire
 
 BUFFER, WINDOW = 65_536, 1 << 20
 
--- a/kelptrail/net/grpc_server.py
+++ b/kelptrail/net/grpc_server.py
@@ -36,9 +36,9 @@
 
 from kelptrail.codec.grpc import Code, GrpcError, MessageReader, encode_message, timeout_ms, trailers
 
-from .door import ConnectPace, Door
 from .guard import Act, Guard, GuardSettings, Stage
-from .wire import TlsWire, Wire
+from .listener import ConnectPace, Door
+from .transport import TlsWire, Wire
 
 BUFFER = 65_536
 HEARD_MS = 100.0  # how long a warning may take to be heard
--- a/kelptrail/net/pool.py
+++ b/kelptrail/net/pool.py
@@ -16,7 +16,7 @@
 
 from kelptrail.codec.http import HttpError, Response, ResponseReader
 
-from .wire import TlsWire, Wire
+from .transport import TlsWire, Wire
 
 BUFFER = 16_384
 
--- a/kelptrail/net/server.py
+++ b/kelptrail/net/server.py
@@ -28,8 +28,8 @@
     encode_response,
 )
 
-from .door import ConnectPace, Door
-from .wire import TlsWire, Wire
+from .listener import ConnectPace, Door
+from .transport import TlsWire, Wire
 
 FIRST_BUFFER, LARGEST_BUFFER = 8192, 262_144
 TOO_MANY = encode_response(
--- a/kelptrail/net/tls.py
+++ b/kelptrail/net/tls.py
@@ -15,8 +15,8 @@
 
 from cryptography.hazmat.primitives.serialization import Encoding
 
-from kelptrail.keys.authority import AuthorityError, read_certificate
-from kelptrail.keys.names import names_in
+from kelptrail.certificates.authority import AuthorityError, read_certificate
+from kelptrail.certificates.names import names_in
 
 VERSIONS = {"tls-1.2": ssl.TLSVersion.TLSv1_2, "tls-1.3": ssl.TLSVersion.TLSv1_3}
 DAY_MS = 86_400_000.0
--- a/kelptrail/peers/link.py
+++ b/kelptrail/peers/connection.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from .wire import OLDEST, VERSION, Beat, ChannelError, Decode, FrameReader, Hello, frame
+from .messages import OLDEST, VERSION, Beat, ChannelError, Decode, FrameReader, Hello, frame
 
 
 @dataclass(frozen=True, slots=True)
--- a/kelptrail/peers/driver.py
+++ b/kelptrail/peers/driver.py
@@ -16,10 +16,10 @@
 import msgspec
 
 from kelptrail.clock import now_ms
-from kelptrail.net.door import Door
+from kelptrail.net.listener import Door
 
-from .link import Link, LinkSettings
-from .wire import VERSION, ChannelError, Hello, decoder
+from .connection import Link, LinkSettings
+from .messages import VERSION, ChannelError, Hello, decoder
 
 PAUSE_MS, LONGEST_PAUSE_MS = 100.0, 2000.0
 Handler = Callable[[str, Any], None]
--- a/kelptrail/planner/build.py
+++ b/kelptrail/planner/build.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from kelptrail.roster.members import Listing
+from kelptrail.membership.members import Listing
 from kelptrail.settings.deployment import Deployment
 
 from .core import Model, PlannerSettings
-from .place import Host
+from .placement import Host
 
 
 def settings_of(deployment: Deployment) -> PlannerSettings:
--- a/kelptrail/planner/channel.py
+++ b/kelptrail/planner/channel.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from kelptrail.gateway.tally import Tally
-from kelptrail.peers.wire import VERSION, Beat, ChannelError, Hello, decoder, frame
+from kelptrail.gateway.counters import Tally
+from kelptrail.peers.messages import VERSION, Beat, ChannelError, Hello, decoder, frame
 
-from .follow import Follower
 from .plan import Order, Plan, PlanError, Wants, pack, unpack
+from .plan_follower import Follower
 
 
 class Report(msgspec.Struct, frozen=True, tag="report", array_like=True):
--- a/kelptrail/planner/core.py
+++ b/kelptrail/planner/core.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from kelptrail.gateway.tally import Tally
+from kelptrail.gateway.counters import Tally
 
 from .demand import Demand
-from .place import Host, Need, Placed
+from .placement import Host, Need, Placed
 from .plan import FIRST, Order, Plan, Wants, changes, make
 
 
--- a/kelptrail/planner/demand.py
+++ b/kelptrail/planner/demand.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass, field
 
-from kelptrail.gateway.tally import Tally
+from kelptrail.gateway.counters import Tally
 
 HOURS = 24
 
--- a/kelptrail/planner/program.py
+++ b/kelptrail/planner/driver.py
@@ -21,16 +21,16 @@
 from kelptrail.background.driver import Background
 from kelptrail.clock import now_ms, wall_ms
 from kelptrail.lease.driver import Leases
-from kelptrail.lease.terms import Token
-from kelptrail.net.door import Door
-from kelptrail.peers.wire import Beat, ChannelError, FrameReader, Hello, frame
-from kelptrail.roster.members import Listing
+from kelptrail.lease.messages import Token
+from kelptrail.membership.members import Listing
+from kelptrail.net.listener import Door
+from kelptrail.peers.messages import Beat, ChannelError, FrameReader, Hello, frame
 from kelptrail.settings.deployment import Deployment
 
 from .build import hosts_of, models_of, settings_of
 from .channel import READ, PlannerLink, Reply, Report
 from .core import Planner, Role
-from .place import Host, Placed, greedy, solve
+from .placement import Host, Placed, greedy, solve
 from .plan import Wants
 
 BEAT_MS, SILENT_MS = 500.0, 5000.0
--- a/kelptrail/planner/edge.py
+++ b/kelptrail/planner/edge_driver.py
@@ -18,11 +18,11 @@
 
 from kelptrail.clock import now_ms, wall_ms
 from kelptrail.gateway.core import Gateway
-from kelptrail.peers.wire import Beat, ChannelError, FrameReader, frame
+from kelptrail.peers.messages import Beat, ChannelError, FrameReader, frame
 
 from .channel import READ, EdgeLink, Led
-from .follow import Follower
 from .plan import FIRST, Order, Plan
+from .plan_follower import Follower
 
 BEAT_MS, SILENT_MS, PAUSE_MS = 500.0, 3000.0, 300.0
 
--- a/kelptrail/platform/front.py
+++ b/kelptrail/platform/client_server.py
@@ -15,13 +15,13 @@
 
 from kelptrail.codec import frames
 from kelptrail.codec.frames import FrameError, FrameReader
-from kelptrail.dispatch.terms import Activation, Customer, Effect, NamespaceType
-from kelptrail.host.invariants import Invariants, Violation
-from kelptrail.net.door import Door
-from kelptrail.net.link import Link
+from kelptrail.dispatch.entities import Activation, Customer, Effect, NamespaceType
+from kelptrail.engine.invariants import Invariants, Violation
+from kelptrail.net.connection import Link
+from kelptrail.net.listener import Door
 
+from .close_reasons import CloseReason, RequestRefusal
 from .config import Sockets
-from .reasons import CloseReason, RequestRefusal
 
 OPEN = 32  # requests that one connection may have open
 WAITING = 1 << 20  # bytes that a client may leave unread
--- a/kelptrail/platform/config.py
+++ b/kelptrail/platform/config.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from kelptrail.codec.feed import Event, FeedError, read_known
-from kelptrail.host.settings import MalformedError, Told
-from kelptrail.host.settings import read as read_settings
+from kelptrail.engine.settings import MalformedError, Told
+from kelptrail.engine.settings import read as read_settings
 
 PORTS = 65_535
 
--- a/kelptrail/platform/feed.py
+++ b/kelptrail/platform/endpoint_watch.py
@@ -14,7 +14,7 @@
 from functools import partial
 
 from kelptrail.codec.feed import Event, FeedError, FeedReader, ask
-from kelptrail.net.link import Link, connect
+from kelptrail.net.connection import Link, connect
 
 SILENT_MS = 2_000.0  # two of the list's empty events are missing
 LONGEST_SILENT_MS = 8_000.0  # while bytes come, and no whole event
--- a/kelptrail/platform/service.py
+++ b/kelptrail/platform/service.py
@@ -11,19 +11,19 @@
 from kelptrail.codec import frames
 from kelptrail.codec.feed import GONE, READY, Event, FeedReader, Record
 from kelptrail.codec.lines import Answer, call
-from kelptrail.dispatch.agenda import Agenda
+from kelptrail.dispatch.entities import Activation, Order, Outcome, Send, State, Worker
 from kelptrail.dispatch.shutdown import ARRIVALS_MS, NOT_PLANNED, plan_shutdown
-from kelptrail.dispatch.terms import Activation, Order, Outcome, Send, State, Worker
-from kelptrail.host.host import Entry, Host
-from kelptrail.host.invariants import Invariants
-from kelptrail.host.wall_clock import WallClockReader
+from kelptrail.dispatch.timer_queue import Agenda
+from kelptrail.engine.engine import Entry, Host
+from kelptrail.engine.invariants import Invariants
+from kelptrail.engine.wall_clock import WallClockReader
 
+from .client_server import Asked, Front, Request
+from .close_reasons import WithdrawReason
 from .config import Config
-from .feed import Feed
-from .front import Asked, Front, Request
+from .endpoint_watch import Feed
 from .log import EventLog
-from .reasons import WithdrawReason
-from .workers import Bounds, Item, WorkerLinks
+from .worker_connections import Bounds, Item, WorkerLinks
 
 STATES = {READY: State.LIVE, GONE: State.GONE}
 STATE_MS = 5_000.0  # how often the log compares what is believed with what the sockets show
--- a/kelptrail/platform/workers.py
+++ b/kelptrail/platform/worker_connections.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 from kelptrail.codec.lines import Answer, LineError, LineReader, cancel, load
-from kelptrail.dispatch.terms import Order, Outcome, Send
+from kelptrail.dispatch.entities import Order, Outcome, Send
+from kelptrail.net.connection import Link, Piece, connect
 from kelptrail.net.errors import is_local_shortage
-from kelptrail.net.link import Link, Piece, connect
 
 WORDS = {
     "OK": Outcome.COMPLETED,
--- a/kelptrail/copies/driver.py
+++ b/kelptrail/replication/driver.py
@@ -15,19 +15,16 @@
 
 from kelptrail.clock import now_ms, wall_ms
 from kelptrail.lease.driver import Leases
-from kelptrail.lease.terms import NONE, Token
+from kelptrail.lease.messages import NONE, Token
 from kelptrail.peers.driver import Peers
-from kelptrail.store.book import KINDS, Life
+from kelptrail.store.activation_journal import KINDS, Life
 from kelptrail.store.driver import JournalDriver
 from kelptrail.store.entries import Accepted, Ended, Entry, pack
-from kelptrail.store.journal import Journal
-
-from .holder import Holder, Work
-from .owner import Owner
-from .place import Member, ranked
-from .questions import HERE, NO, PENDING, Questions
-from .shelves import Reading, Shelves
-from .terms import (
+from kelptrail.store.group_commit import Journal
+
+from .failover import Watch
+from .lookup import HERE, NO, PENDING, Questions
+from .messages import (
     PREFIX,
     CopySettings,
     Fenced,
@@ -46,7 +43,10 @@
     note,
     read_note,
 )
-from .watch import Watch
+from .primary import Owner
+from .replica import Holder, Work
+from .replica_placement import Member, ranked
+from .replica_store import Reading, Shelves
 
 SPEAKS = "copies"
 KINDS_OF = (Open, Put, Told, Kept, Fenced, Shut, Take, Leaving, Find, Found)
--- a/kelptrail/copies/terms.py
+++ b/kelptrail/replication/messages.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from kelptrail.lease.terms import Token
+from kelptrail.lease.messages import Token
 
 BUCKETS = 256  # ranges of ids in which two books are compared
 DIGEST = 8  # bytes of each
--- a/kelptrail/copies/model.py
+++ b/kelptrail/replication/model.py
@@ -15,12 +15,12 @@
 from functools import partial
 from typing import Any
 
-from kelptrail.lease.terms import NONE, Token
-from kelptrail.search import PropertyError
+from kelptrail.lease.messages import NONE, Token
+from kelptrail.model_checking.explorer import PropertyError
 
-from .holder import Holder, Work
-from .owner import Batch, Owner
-from .terms import BUCKETS, CopySettings, Item, Members, Open, Put, Shut, bucket_of, digests_of, pack_digests
+from .messages import BUCKETS, CopySettings, Item, Members, Open, Put, Shut, bucket_of, digests_of, pack_digests
+from .primary import Batch, Owner
+from .replica import Holder, Work
 
 BOOK = "b"
 RECORD, MAY_RUN, END = 0, 1, 2
--- a/kelptrail/copies/owner.py
+++ b/kelptrail/replication/primary.py
@@ -19,9 +19,9 @@
 
 import msgspec
 
-from kelptrail.lease.terms import NONE, Token
+from kelptrail.lease.messages import NONE, Token
 
-from .terms import (
+from .messages import (
     BUCKETS,
     Answer,
     CopySettings,
--- a/kelptrail/copies/holder.py
+++ b/kelptrail/replication/replica.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from kelptrail.lease.terms import NONE, Token
+from kelptrail.lease.messages import NONE, Token
 
-from .terms import Fenced, Item, Kept, Open, Put, Shut, Told
+from .messages import Fenced, Item, Kept, Open, Put, Shut, Told
 
 
 @dataclass(slots=True, eq=False)
--- a/kelptrail/copies/shelves.py
+++ b/kelptrail/replication/replica_store.py
@@ -18,12 +18,12 @@
 import apsw
 import msgspec
 
-from kelptrail.lease.terms import Token
-from kelptrail.store.book import BookError, Life
+from kelptrail.lease.messages import Token
+from kelptrail.store.activation_journal import BookError, Life
 from kelptrail.store.entries import Accepted, DamagedError, Ended, MayRun, unpack
 
-from .holder import Work
-from .terms import BUCKETS, Item, bucket_of, digest, pack_digests
+from .messages import BUCKETS, Item, bucket_of, digest, pack_digests
+from .replica import Work
 
 FORMAT = 1
 DAMAGED = ("NotADB", "Corrupt", "malformed", "not a database")
--- a/kelptrail/service/control.py
+++ b/kelptrail/service/control.py
@@ -13,7 +13,7 @@
 from kelptrail.net.server import Exchange, HttpServer
 from kelptrail.net.tls import TlsKeeper
 
-from .standing import Standing
+from .front_addresses import Standing
 
 
 class Control:
--- a/kelptrail/service/fleet.py
+++ b/kelptrail/service/fleet.py
@@ -7,17 +7,17 @@
 from pathlib import Path
 from typing import Any
 
-from kelptrail.copies.driver import Copies
-from kelptrail.copies.place import Member
-from kelptrail.copies.shelves import Shelves, open_shelves
-from kelptrail.copies.terms import CopySettings
 from kelptrail.lease.driver import Leases
-from kelptrail.lease.terms import LeaseSettings
+from kelptrail.lease.messages import LeaseSettings
+from kelptrail.membership.members import Listing
+from kelptrail.peers.connection import LinkSettings
 from kelptrail.peers.driver import Peers
-from kelptrail.peers.link import LinkSettings
-from kelptrail.roster.members import Listing
+from kelptrail.replication.driver import Copies
+from kelptrail.replication.messages import CopySettings
+from kelptrail.replication.replica_placement import Member
+from kelptrail.replication.replica_store import Shelves, open_shelves
 from kelptrail.settings.deployment import Deployment, LeasesPlan, PeersPlan
-from kelptrail.store.book import BookError
+from kelptrail.store.activation_journal import BookError
 
 
 @dataclass(frozen=True, slots=True)
--- a/kelptrail/service/standing.py
+++ b/kelptrail/service/front_addresses.py
@@ -16,11 +16,11 @@
 from kelptrail.net.server import Handler, HttpServer, Limits
 from kelptrail.settings.deployment import FrontSettings, VrrpSettings
 from kelptrail.vrrp.address import FrontAddress
+from kelptrail.vrrp.authentication import Key, Opener, Sealer
 from kelptrail.vrrp.driver import VrrpDriver, next_epoch, split
 from kelptrail.vrrp.instance import Instance
-from kelptrail.vrrp.machine import RouterSettings
-from kelptrail.vrrp.seal import Key, Opener, Sealer
-from kelptrail.vrrp.track import Tracking, TrackSettings
+from kelptrail.vrrp.state_machine import RouterSettings
+from kelptrail.vrrp.tracking import Tracking, TrackSettings
 
 LOOK_MS = 200.0  # how often what is tracked is told
 LOOKED_AT = 3  # workers that are tried when no send tells whether any can be reached
--- a/kelptrail/service/carry.py
+++ b/kelptrail/service/journal_takeover.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from kelptrail.clock import now_ms
-from kelptrail.copies.driver import Copies, Held
 from kelptrail.gateway.core import Gateway
 from kelptrail.gateway.driver import Driver
-from kelptrail.roster.members import PREFIX, id_prefix
-from kelptrail.store.book import Life
+from kelptrail.membership.members import PREFIX, id_prefix
+from kelptrail.replication.driver import Copies, Held
+from kelptrail.store.activation_journal import Life
 
 
 def carry_on(copies: Copies | None, gateway: Gateway, driver: Driver, at_once: int, least_ms: float) -> None:
--- a/kelptrail/service/trial.py
+++ b/kelptrail/service/lease_trial.py
@@ -18,8 +18,8 @@
 from kelptrail.clock import harm, now_ms, true_ms
 from kelptrail.codec.http import HttpError
 from kelptrail.lease.driver import Leases
-from kelptrail.lease.terms import Token
-from kelptrail.net.client import Errand
+from kelptrail.lease.messages import Token
+from kelptrail.net.http_client import Errand
 
 EVERY_MS, WORK_MS, LOOK_MS = 50.0, 15.0, 50.0
 
--- a/kelptrail/service/planner.py
+++ b/kelptrail/service/planner.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
+from kelptrail.membership.client import RosterClient
+from kelptrail.membership.members import Listing
 from kelptrail.net.server import Exchange, HttpServer, Limits
-from kelptrail.planner.program import Options, PlannerProgram
-from kelptrail.roster.client import RosterClient
-from kelptrail.roster.members import Listing
+from kelptrail.planner.driver import Options, PlannerProgram
 from kelptrail.settings.deployment import Deployment
 
 from .fleet import Fleet, FleetOptions
--- a/kelptrail/service/serve.py
+++ b/kelptrail/service/serve.py
@@ -17,34 +17,34 @@
 from kelptrail.background.core import SchedulerSettings
 from kelptrail.background.driver import Background
 from kelptrail.clock import now_ms, wall_ms
-from kelptrail.copies.terms import PREFIX as BOOKS
 from kelptrail.front.callers import Callers
 from kelptrail.front.inference.api import InferenceApi
 from kelptrail.front.invoke.api import InvokeApi
 from kelptrail.gateway.build import World
 from kelptrail.gateway.core import Gateway
 from kelptrail.gateway.driver import Driver
-from kelptrail.net.door import ConnectPace, PaceSettings
+from kelptrail.membership.client import RosterClient
+from kelptrail.membership.members import PREFIX, Listing, id_prefix
 from kelptrail.net.grpc_server import GrpcServer
+from kelptrail.net.listener import ConnectPace, PaceSettings
 from kelptrail.net.server import Handler, HttpServer, Limits
 from kelptrail.net.tls import TlsKeeper
-from kelptrail.planner.edge import PlanFollower
-from kelptrail.planner.program import Options as PlannerOptions
-from kelptrail.planner.program import PlannerProgram
-from kelptrail.roster.client import RosterClient
-from kelptrail.roster.members import PREFIX, Listing, id_prefix
+from kelptrail.planner.driver import Options as PlannerOptions
+from kelptrail.planner.driver import PlannerProgram
+from kelptrail.planner.edge_driver import PlanFollower
+from kelptrail.replication.messages import PREFIX as BOOKS
 from kelptrail.settings.deployment import Deployment, FrontSettings, InferenceSettings
-from kelptrail.store.book import Book, BookError, open_book
+from kelptrail.store.activation_journal import Book, BookError, open_book
 from kelptrail.store.driver import JournalDriver
-from kelptrail.store.harmed import HarmedDisk
-from kelptrail.store.journal import Journal
+from kelptrail.store.faulty_disk import HarmedDisk
+from kelptrail.store.group_commit import Journal
 
 from .build import grpc_limits, limits, tls_keeper
-from .carry import carry_on
 from .control import Control
 from .fleet import Fleet, FleetOptions
-from .standing import Standing
-from .trial import HarmedClock, Trial
+from .front_addresses import Standing
+from .journal_takeover import carry_on
+from .lease_trial import HarmedClock, Trial
 from .usage import Usage
 
 
--- a/kelptrail/service/usage.py
+++ b/kelptrail/service/usage.py
@@ -17,7 +17,7 @@
 
 from kelptrail.clock import now_ms
 from kelptrail.lease.driver import Leases
-from kelptrail.lease.terms import NONE, Token
+from kelptrail.lease.messages import NONE, Token
 from kelptrail.peers.driver import Peers
 
 TASK, SPEAKS = "usage", "usage"
--- a/kelptrail/settings/deployment.py
+++ b/kelptrail/settings/deployment.py
@@ -331,7 +331,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeasesPlan:
-    """Leases on fleet-wide tasks; see `kelptrail/lease/terms.py`."""
+    """Leases on fleet-wide tasks; see `kelptrail/lease/messages.py`."""
 
     voters: tuple[str, ...]
     number: int
--- a/kelptrail/lab/site.py
+++ b/kelptrail/simulation/cluster.py
@@ -14,31 +14,31 @@
 
 import numpy as np
 
-from kelptrail.badday.report import world_of
-from kelptrail.badday.script import ON_DISKS, ON_PEERS, ON_PLANNERS, ON_STORE, ON_WORKERS, BadDay, Trouble
 from kelptrail.codec.infer import Answer
-from kelptrail.dispatch.terms import Order, Outcome, Send
+from kelptrail.dispatch.entities import Order, Outcome, Send
+from kelptrail.fault_scenario.report import world_of
+from kelptrail.fault_scenario.scenario import ON_DISKS, ON_PEERS, ON_PLANNERS, ON_STORE, ON_WORKERS, BadDay, Trouble
 from kelptrail.gateway.build import World
 from kelptrail.gateway.core import Final, Gateway, GiveUp, Ivk, PlaceOrder, StartSend
+from kelptrail.gateway.overload import Stage as Calm
 from kelptrail.gateway.records import Record
-from kelptrail.gateway.storm import Stage as Calm
 from kelptrail.load.arrivals import Arrivals, popularity
-from kelptrail.load.habits import Habits, Heard, again, habits_of
+from kelptrail.load.client_behavior import Habits, Heard, again, habits_of
 from kelptrail.load.plan import Load
 from kelptrail.load.results import Result, Second
-from kelptrail.planner.program import TASK
-from kelptrail.roster.members import Listing
+from kelptrail.membership.members import Listing
+from kelptrail.planner.driver import TASK
 from kelptrail.service.fleet import lease_settings
 from kelptrail.settings.deployment import ActionSettings, Deployment, NamespaceSettings
-from kelptrail.store.book import Life
+from kelptrail.store.activation_journal import Life
 from kelptrail.store.entries import Accepted, Ended, MayRun
-from kelptrail.store.journal import Journal
+from kelptrail.store.group_commit import Journal
 
-from .engine import Engine, Timer
-from .fleet import LabStore, LabWorker
-from .leased import LabLeases
-from .planned import LabEdge, LabPlanner
-from .shards import RemoteDispatcher, RemoteStore, RemoteWorker, Shard, SharedLedger, answer_remote
+from .event_queue import Engine, Timer
+from .leases import LabLeases
+from .planners import LabEdge, LabPlanner
+from .sharding import RemoteDispatcher, RemoteStore, RemoteWorker, Shard, SharedLedger, answer_remote
+from .workers import LabStore, LabWorker
 
 POLL_MS, PATIENCE_MS, WALL = 150.0, 3000.0, 1e12
 
--- a/kelptrail/lab/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -19,15 +19,15 @@
 from pathlib import Path
 from typing import Any
 
-from kelptrail.badday.script import BadDay
-from kelptrail.badday.script import load as load_script
+from kelptrail.fault_scenario.scenario import BadDay
+from kelptrail.fault_scenario.scenario import load as load_script
 from kelptrail.load.results import Rows, figures, rows_of, spread_of, write
 from kelptrail.settings.deployment import Deployment
 from kelptrail.settings.deployment import load as load_deployment
 from kelptrail.settings.reader import Form, Place, read
 from kelptrail.settings.shape import Checker
 
-from .site import LabSettings, play
+from .cluster import LabSettings, play
 
 OF_DEPLOYMENT = ("dispatcher", "rules", "fleet", "store", "front", "pool", "journal", "storm")
 
--- a/kelptrail/lab/leased.py
+++ b/kelptrail/simulation/leases.py
@@ -12,14 +12,14 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from kelptrail.lease.asker import Asker, Won
-from kelptrail.lease.terms import NONE, Ask, Learn, Learnt, LeaseSettings, Message, Release, Row, Token
-from kelptrail.lease.voter import Memory, Voter, Write
+from kelptrail.lease.acceptor import Memory, Voter, Write
+from kelptrail.lease.client import Asker, Won
+from kelptrail.lease.messages import NONE, Ask, Learn, Learnt, LeaseSettings, Message, Release, Row, Token
 
-from .engine import Engine, Timer
+from .event_queue import Engine, Timer
 
 if TYPE_CHECKING:
-    from kelptrail.badday.script import Trouble
+    from kelptrail.fault_scenario.scenario import Trouble
 
 ACT_MS, AGAIN_MS = 50.0, 100.0
 TO_VOTERS = (Ask, Release, Learn, Learnt)
--- a/kelptrail/lab/planned.py
+++ b/kelptrail/simulation/planners.py
@@ -4,18 +4,18 @@
 
 from typing import TYPE_CHECKING
 
-from kelptrail.lease.terms import Token
+from kelptrail.lease.messages import Token
+from kelptrail.membership.members import Listing
 from kelptrail.planner.build import hosts_of, models_of, settings_of
 from kelptrail.planner.channel import Led
 from kelptrail.planner.core import Planner, Problem, Role
-from kelptrail.planner.follow import Follower
-from kelptrail.planner.place import greedy, solve
+from kelptrail.planner.driver import TASK
+from kelptrail.planner.placement import greedy, solve
 from kelptrail.planner.plan import FORMAT, Order, Packet, Plan, Wants
-from kelptrail.planner.program import TASK
-from kelptrail.roster.members import Listing
+from kelptrail.planner.plan_follower import Follower
 
 if TYPE_CHECKING:
-    from .site import LabDispatcher, Site
+    from .cluster import LabDispatcher, Site
 
 TICK_MS, REPORT_MS, HOUR = 250.0, 1000.0, 8
 SOLVE_MS = 200.0  # what a plan takes, beyond what a trouble adds
--- a/kelptrail/lab/shards.py
+++ b/kelptrail/simulation/sharding.py
@@ -19,15 +19,15 @@
 from multiprocessing.connection import Connection
 from typing import TYPE_CHECKING, Any
 
-from kelptrail.badday.script import BadDay
+from kelptrail.fault_scenario.scenario import BadDay
 from kelptrail.load.results import Result, Second
-from kelptrail.roster.members import Entry
+from kelptrail.membership.members import Entry
 from kelptrail.settings.deployment import Deployment
 
-from .engine import Engine
+from .event_queue import Engine
 
 if TYPE_CHECKING:
-    from .site import LabSettings
+    from .cluster import LabSettings
 
 SPAN = 0.999  # of the least way: a window ends before what its own events cause elsewhere
 Message = tuple[float, int, str, tuple[Any, ...]]  # when it arrives, at which shard, what, with which words
@@ -169,7 +169,7 @@
 def _mind(pipe: Connection, number: int, of: int, words: tuple[Any, ...], capture: bool) -> None:
     """One shard's process: play up to where it is told, hand over the mail."""
     try:
-        from .site import Site
+        from .cluster import Site
 
         day, deployment, seed, settings = words
         shard = Shard(number, of)
--- a/kelptrail/lab/fleet.py
+++ b/kelptrail/simulation/workers.py
@@ -16,11 +16,11 @@
 import numpy as np
 
 from kelptrail.codec.infer import Answer
-from kelptrail.dispatch.terms import Outcome
-from kelptrail.roster.members import Entry
+from kelptrail.dispatch.entities import Outcome
+from kelptrail.membership.members import Entry
 from kelptrail.settings.deployment import ActionSettings, Deployment, StoreSettings, TypeSettings
 
-from .engine import Engine
+from .event_queue import Engine
 
 Reply = Callable[[Outcome, Answer | None], None]
 Note = Callable[..., None]
--- a/kelptrail/drill/__main__.py
+++ b/kelptrail/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m kelptrail.drill`: batches on standard input, one reply to each on standard output."""
+"""`python -m kelptrail.simulator_adapter`: batches on standard input, one reply to each on standard output."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-from kelptrail.drill.instance import Fields, Instance
-from kelptrail.host.settings import MalformedError
+from kelptrail.engine.settings import MalformedError
+from kelptrail.simulator_adapter.instance import Fields, Instance
 
 CALLS: dict[str, Callable[[Instance, float, Fields], None]] = {
     "Req": Instance.taken,
@@ -76,7 +76,7 @@
         try:
             reply = drill.reply(line)
         except (MalformedError, ValueError, KeyError, TypeError, AttributeError, IndexError) as cause:
-            print(f"kelptrail.drill: malformed input: {type(cause).__name__}: {cause}", file=sys.stderr)
+            print(f"kelptrail.simulator_adapter: malformed input: {type(cause).__name__}: {cause}", file=sys.stderr)
             return 2
         sink.write(json.dumps(reply, separators=(",", ":")) + "\n")
         sink.flush()
--- a/kelptrail/drill/instance.py
+++ b/kelptrail/simulator_adapter/instance.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from kelptrail.dispatch.dispatcher import Decision
-from kelptrail.dispatch.terms import Activation, Order, Outcome, State
-from kelptrail.host.host import Entry, Host
-from kelptrail.host.settings import MalformedError
+from kelptrail.dispatch.entities import Activation, Order, Outcome, State
+from kelptrail.engine.engine import Entry, Host
+from kelptrail.engine.settings import MalformedError
 
 Fields = dict[str, Any]
 
--- a/kelptrail/store/driver.py
+++ b/kelptrail/store/driver.py
@@ -9,8 +9,8 @@
 
 from kelptrail.clock import now_ms
 
-from .book import BookError
-from .journal import Batch, Journal
+from .activation_journal import BookError
+from .group_commit import Batch, Journal
 
 FORGET_AT_ONCE = 500  # a commit that comes meanwhile waits for so much
 FORGET_AT_LAST = 20_000  # so many stale ones are dropped whether or not there is time
--- a/kelptrail/store/recovery.py
+++ b/kelptrail/store/recovery.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from .book import Life
+from .activation_journal import Life
 
 WAS_DOWN = "Its dispatcher was down until its time was up"
 
--- a/kelptrail/vrrp/driver.py
+++ b/kelptrail/vrrp/driver.py
@@ -19,8 +19,8 @@
 from kelptrail.clock import now_ms, wall_ms
 
 from .instance import Datagram, Instance
-from .machine import GiveUp, Moved, Take
 from .packet import Address
+from .state_machine import GiveUp, Moved, Take
 
 HOPS = 255
 IP_RECVTTL = 12  # ip(7); the socket module does not name it on all versions
--- a/kelptrail/vrrp/instance.py
+++ b/kelptrail/vrrp/instance.py
@@ -9,10 +9,10 @@
 from collections import Counter, deque
 from dataclasses import dataclass
 
-from .machine import GiveUp, Moved, Output, Router, RouterSettings, State, Take, Transmit
+from .authentication import Opener, Sealer
 from .packet import Address, PacketError, decode, encode
-from .seal import Opener, Sealer
-from .track import Tracking
+from .state_machine import GiveUp, Moved, Output, Router, RouterSettings, State, Take, Transmit
+from .tracking import Tracking
 
 
 @dataclass(frozen=True, slots=True)
--- a/kelptrail/vrrp/explore.py
+++ b/kelptrail/vrrp/model.py
@@ -13,11 +13,11 @@
 from dataclasses import dataclass, replace
 from functools import partial
 
-from kelptrail import search
-from kelptrail.search import PropertyError, Step
+from kelptrail.model_checking import explorer
+from kelptrail.model_checking.explorer import PropertyError, Step
 
-from .machine import GiveUp, Router, State, Take, Transmit
 from .packet import Advertisement
+from .state_machine import GiveUp, Router, State, Take, Transmit
 
 MOST_AT_ONCE = 60  # advertisements sent without time passing, in a healed network of three
 
@@ -247,7 +247,7 @@
 
 
 @dataclass(slots=True)
-class Found(search.Looked):
+class Found(explorer.Looked):
     """What was explored."""
 
     most_masters: int = 0
@@ -267,6 +267,6 @@
         world.check()
         heal(world, heal_ms)
 
-    looked = search.explore(start(make, budget), look, depth, most_states)
+    looked = explorer.explore(start(make, budget), look, depth, most_states)
     found.states, found.edges, found.depth, found.whole = looked.states, looked.edges, looked.depth, looked.whole
     return found
--- a/kelptrail/vrrp/simulate.py
+++ b/kelptrail/vrrp/simulation.py
@@ -8,11 +8,11 @@
 from heapq import heappop, heappush
 from itertools import pairwise
 
+from .authentication import Key, Opener, Sealer
 from .instance import Datagram, Instance
-from .machine import GiveUp, Moved, RouterSettings, Take
 from .packet import Address
-from .seal import Key, Opener, Sealer
-from .track import Tracking, TrackSettings
+from .state_machine import GiveUp, Moved, RouterSettings, Take
+from .tracking import Tracking, TrackSettings
 
 KEY = Key(1, b"simulated")
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,14 +4,8 @@
 
 from typing import Any
 
-from kelptrail.dispatch.agenda import Agenda
 from kelptrail.dispatch.dispatcher import Dispatcher
-from kelptrail.dispatch.gate import Gate
-from kelptrail.dispatch.health import Health
-from kelptrail.dispatch.instances import Copies
-from kelptrail.dispatch.placement import Placement
-from kelptrail.dispatch.queues import Queues
-from kelptrail.dispatch.terms import (
+from kelptrail.dispatch.entities import (
     Activation,
     Customer,
     Effect,
@@ -21,6 +15,12 @@
     Send,
     Worker,
 )
+from kelptrail.dispatch.instance_table import Copies
+from kelptrail.dispatch.outlier_detection import Health
+from kelptrail.dispatch.placement import Placement
+from kelptrail.dispatch.queues import Queues
+from kelptrail.dispatch.safety import Gate
+from kelptrail.dispatch.timer_queue import Agenda
 
 GATE = {
     "seed": 1,
--- a/tests/program.py
+++ b/tests/program.py
@@ -23,9 +23,9 @@
 from kelptrail.gateway.build import World
 from kelptrail.gateway.core import Gateway
 from kelptrail.gateway.driver import Driver
+from kelptrail.membership.members import Entry, Listing
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.server import Exchange, HttpServer, Limits
-from kelptrail.roster.members import Entry, Listing
 from kelptrail.service.build import grpc_limits
 from kelptrail.service.fleet import Fleet, FleetOptions
 from kelptrail.settings.deployment import Deployment, parse
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from kelptrail.audit.judge import judge, read
+from kelptrail.history_checker.checker import judge, read
 
 BOOT = "0123456789abcdef"
 WHO = f"d0/{BOOT}"
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -15,22 +15,33 @@
 import pytest
 from program import auth, exchange, run, verdict
 
-from kelptrail.audit.judge import judge
 from kelptrail.codec.http import encode_request
-from kelptrail.copies.holder import Holder, Work
-from kelptrail.copies.model import Faults, Node, World
-from kelptrail.copies.owner import Owner, Stage
-from kelptrail.copies.place import Member, moves, ranked, spread
-from kelptrail.copies.questions import HERE, NO, PENDING, Questions
-from kelptrail.copies.shelves import Reading, Shelves, open_shelves
-from kelptrail.copies.terms import CopySettings, Fenced, Item, Kept, Open, Put, Shut, Told, digests_of, pack_digests
-from kelptrail.copies.watch import QUIET_MS, SHUN_MS, Watch
-from kelptrail.lease.terms import Token
-from kelptrail.search import PropertyError
+from kelptrail.emulator.cluster import Place, ask
+from kelptrail.history_checker.checker import judge
+from kelptrail.lease.messages import Token
+from kelptrail.model_checking.explorer import PropertyError
+from kelptrail.replication.failover import QUIET_MS, SHUN_MS, Watch
+from kelptrail.replication.lookup import HERE, NO, PENDING, Questions
+from kelptrail.replication.messages import (
+    CopySettings,
+    Fenced,
+    Item,
+    Kept,
+    Open,
+    Put,
+    Shut,
+    Told,
+    digests_of,
+    pack_digests,
+)
+from kelptrail.replication.model import Faults, Node, World
+from kelptrail.replication.primary import Owner, Stage
+from kelptrail.replication.replica import Holder, Work
+from kelptrail.replication.replica_placement import Member, moves, ranked, spread
+from kelptrail.replication.replica_store import Reading, Shelves, open_shelves
 from kelptrail.settings.deployment import load, parse
 from kelptrail.settings.reader import SettingsError
-from kelptrail.standin.place import Place, ask
-from kelptrail.store.book import BookError
+from kelptrail.store.activation_journal import BookError
 from kelptrail.store.entries import Accepted, Ended, MayRun, pack
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,11 +22,12 @@
 
 from kelptrail.codec import frames
 from kelptrail.codec.lines import call
-from kelptrail.dispatch.terms import Outcome
-from kelptrail.net.link import connect
-from kelptrail.platform import service, workers
-from kelptrail.platform.front import OPEN
-from kelptrail.platform.workers import Bounds, WorkerLinks
+from kelptrail.dispatch.entities import Outcome
+from kelptrail.net.connection import connect
+from kelptrail.platform import service
+from kelptrail.platform import worker_connections as workers
+from kelptrail.platform.client_server import OPEN
+from kelptrail.platform.worker_connections import Bounds, WorkerLinks
 
 SMALL = 4096  # bytes of a socket's buffer, where it shall be full soon
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -10,7 +10,7 @@
 from program import Silent, connect, exchange, read_reply, run
 
 from kelptrail.codec.http import Request, encode_request
-from kelptrail.net.door import ConnectPace, PaceSettings
+from kelptrail.net.listener import ConnectPace, PaceSettings
 from kelptrail.net.server import Exchange, HttpServer, Limits
 
 CALL = encode_request("GET", "/", "x", b"", {})
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -78,7 +78,7 @@
 
 def drill(*batches: tuple[int, list[dict[str, Any]]] | str) -> tuple[int, list[Any], str]:
     lines = [b if isinstance(b, str) else json.dumps({"now_us": b[0], "arrivals": b[1]}) for b in batches]
-    command, text = [sys.executable, "-m", "kelptrail.drill"], "\n".join(lines) + "\n"
+    command, text = [sys.executable, "-m", "kelptrail.simulator_adapter"], "\n".join(lines) + "\n"
     done = subprocess.run(command, input=text, capture_output=True, text=True, timeout=30)
     return done.returncode, [json.loads(line)["actions"] for line in done.stdout.splitlines()], done.stderr
 
@@ -120,4 +120,4 @@
         code, replies, errors = drill(bad)
         assert code != 0 and not replies
         assert bad is not spoilt or "settings.rules.fall_us" in errors
-        assert errors.startswith("kelptrail.drill: malformed input") and errors.count("\n") == 1
+        assert errors.startswith("kelptrail.simulator_adapter: malformed input") and errors.count("\n") == 1
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -12,13 +12,13 @@
 from program import DEPLOYMENT, PEERS, Dispatcher, ScriptedWorker, Silent, Voters, run
 
 from kelptrail.clock import now_ms
-from kelptrail.peers.wire import VERSION, Beat, FrameReader, Hello, frame
+from kelptrail.membership.members import Listing
+from kelptrail.peers.messages import VERSION, Beat, FrameReader, Hello, frame
 from kelptrail.planner.channel import READ, Offer, Reply
 from kelptrail.planner.core import Role
-from kelptrail.planner.edge import PlanFollower
+from kelptrail.planner.driver import Options, PlannerProgram
+from kelptrail.planner.edge_driver import PlanFollower
 from kelptrail.planner.plan import make, pack
-from kelptrail.planner.program import Options, PlannerProgram
-from kelptrail.roster.members import Listing
 from kelptrail.settings.deployment import parse
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,15 +14,15 @@
 import pytest
 from program import DEPLOYMENT, PEERS, Voters, run
 
-from kelptrail.badday.player import Player
-from kelptrail.badday.script import load
 from kelptrail.codec.http import Request
+from kelptrail.fault_scenario.runner import Player
+from kelptrail.fault_scenario.scenario import load
+from kelptrail.lease.acceptor_store import open_ledger
 from kelptrail.lease.driver import Leases
-from kelptrail.lease.ledger import open_ledger
-from kelptrail.lease.terms import Ask, Token
+from kelptrail.lease.messages import Ask, Token
 from kelptrail.net.server import Exchange, HttpServer
-from kelptrail.peers.link import Link, LinkSettings
-from kelptrail.peers.wire import VERSION, Beat, ChannelError, FrameReader, Hello, decoder, frame
+from kelptrail.peers.connection import Link, LinkSettings
+from kelptrail.peers.messages import VERSION, Beat, ChannelError, FrameReader, Hello, decoder, frame
 from kelptrail.service.usage import Collector, Told, Total, Usage, Used
 from kelptrail.settings.deployment import parse
 from kelptrail.settings.reader import SettingsError
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -24,9 +24,9 @@
 
 from kelptrail.codec.http import Request, encode_request, encode_response
 from kelptrail.codec.infer import infer_answer, read_infer
-from kelptrail.dispatch.terms import Outcome
+from kelptrail.dispatch.entities import Outcome
+from kelptrail.membership.members import Listing, Peer, id_prefix
 from kelptrail.net.server import Exchange, HttpServer, Limits
-from kelptrail.roster.members import Listing, Peer, id_prefix
 from kelptrail.settings.deployment import parse
 
 BASE = "/api/v1/namespaces/_"
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -8,12 +8,12 @@
 from program import DEPLOYMENT
 
 from kelptrail.codec.infer import Answer
-from kelptrail.dispatch.terms import NEVER_RAN, Effect, Outcome, Send, State
+from kelptrail.dispatch.entities import NEVER_RAN, Effect, Outcome, Send, State
 from kelptrail.gateway.build import World
 from kelptrail.gateway.core import Final, Gateway, GiveUp, Ivk, PlaceOrder, StartSend
 from kelptrail.gateway.limits import Holdings
 from kelptrail.gateway.records import AlreadyFinalError, Record, Records
-from kelptrail.roster.members import Entry, Listing, Members
+from kelptrail.membership.members import Entry, Listing, Members
 from kelptrail.settings.deployment import parse
 
 
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -878,8 +878,8 @@
 @pytest.mark.processes
 def test_a_client_library_against_the_real_program_with_faults(tmp_path: Path) -> None:
     """Processes of their own: a place, one dispatcher; a worker's faults are set while calls run."""
+    from kelptrail.emulator.cluster import Place
     from kelptrail.settings.deployment import load
-    from kelptrail.standin.place import Place
 
     file = str(ROOT / "examples" / "streams.sexp")
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -19,11 +19,11 @@
 from program import DEPLOYMENT, Dispatcher, ScriptedWorker, Silent, answer, auth, parts, place, refuse, run, silent
 from test_inference import Client, tensor
 
+from kelptrail.certificates.authority import Authority, AuthorityError, api_key
 from kelptrail.codec.events import EventReader, TooLongError, encode_event
 from kelptrail.codec.http import ResponseReader, encode_request
 from kelptrail.front.callers import Callers
 from kelptrail.front.inference import inference_pb2 as pb
-from kelptrail.keys.authority import Authority, AuthorityError, api_key
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.server import HttpServer
 from kelptrail.net.tls import Expiry, TlsFiles, TlsKeeper
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,19 +11,19 @@
 import pytest
 from helpers import activation, make, model, pull
 
-from kelptrail.audit.judge import judge
-from kelptrail.badday.script import load as load_script
-from kelptrail.dispatch.terms import Order, Outcome
-from kelptrail.lab.compare import compare, interval, report
-from kelptrail.lab.engine import Engine
-from kelptrail.lab.experiment import load as load_experiment
-from kelptrail.lab.experiment import run
-from kelptrail.lab.fleet import LabStore, LabWorker
-from kelptrail.lab.site import LabSettings, Site, play
+from kelptrail.dispatch.entities import Order, Outcome
+from kelptrail.fault_scenario.scenario import load as load_script
+from kelptrail.history_checker.checker import judge
 from kelptrail.load.plan import steady
 from kelptrail.load.results import Result, Second, read, read_runs, read_seconds, recovery
 from kelptrail.settings.deployment import load
 from kelptrail.settings.reader import SettingsError
+from kelptrail.simulation.cluster import LabSettings, Site, play
+from kelptrail.simulation.compare import compare, interval, report
+from kelptrail.simulation.event_queue import Engine
+from kelptrail.simulation.experiment import load as load_experiment
+from kelptrail.simulation.experiment import run
+from kelptrail.simulation.workers import LabStore, LabWorker
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -9,11 +9,11 @@
 import apsw
 import pytest
 
-from kelptrail.audit.judge import judge
-from kelptrail.lease.asker import Asker, Lost, State, Won
-from kelptrail.lease.ledger import open_ledger
-from kelptrail.lease.model import TASK, Budget, Make, World
-from kelptrail.lease.terms import (
+from kelptrail.history_checker.checker import judge
+from kelptrail.lease.acceptor import Memory, Seat, Stage, Voter, Write
+from kelptrail.lease.acceptor_store import open_ledger
+from kelptrail.lease.client import Asker, Lost, State, Won
+from kelptrail.lease.messages import (
     NONE,
     Ask,
     Granted,
@@ -29,8 +29,8 @@
     Row,
     Token,
 )
-from kelptrail.lease.voter import Memory, Seat, Stage, Voter, Write
-from kelptrail.search import PropertyError, explore, wander
+from kelptrail.lease.model import TASK, Budget, Make, World
+from kelptrail.model_checking.explorer import PropertyError, explore, wander
 from kelptrail.settings.deployment import load, parse
 from kelptrail.settings.reader import SettingsError
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -12,20 +12,20 @@
 import pytest
 from program import Dispatcher, ScriptedWorker, answer, run
 
-from kelptrail.badday.script import BadDay
-from kelptrail.badday.script import load as load_script
 from kelptrail.clock import now_ms
 from kelptrail.codec.http import Request
-from kelptrail.lab.site import Site
+from kelptrail.fault_scenario.scenario import BadDay
+from kelptrail.fault_scenario.scenario import load as load_script
 from kelptrail.load.arrivals import Arrivals, read_trace
-from kelptrail.load.habits import Habits, Heard, again, habits_of
-from kelptrail.load.hand import Hand, HandSettings, packed
+from kelptrail.load.client_behavior import Habits, Heard, again, habits_of
+from kelptrail.load.coordinator import joined, keep
+from kelptrail.load.generator import Hand, HandSettings, packed
 from kelptrail.load.plan import LOAD, Load, steady
 from kelptrail.load.results import read
-from kelptrail.load.tool import joined, keep
 from kelptrail.net.server import Exchange
 from kelptrail.settings.deployment import load
 from kelptrail.settings.reader import SettingsError
+from kelptrail.simulation.cluster import Site
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_place.py
+++ b/tests/test_place.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from kelptrail.badday.turn import look, troubles, turn
+from kelptrail.fault_scenario.import_capture import look, troubles, turn
 from kelptrail.settings.deployment import parse
 
 pytestmark = pytest.mark.processes  # one at a time: they measure time
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -12,17 +12,17 @@
 from helpers import activation, make, model, pull
 
 from kelptrail.dispatch.dispatcher import Dispatcher
-from kelptrail.dispatch.terms import Order as HoldOrder
-from kelptrail.dispatch.terms import Outcome, State, Worker
-from kelptrail.gateway.tally import Tally
-from kelptrail.peers.wire import VERSION, Beat, ChannelError, FrameReader, Hello, frame
+from kelptrail.dispatch.entities import Order as HoldOrder
+from kelptrail.dispatch.entities import Outcome, State, Worker
+from kelptrail.gateway.counters import Tally
+from kelptrail.peers.messages import VERSION, Beat, ChannelError, FrameReader, Hello, frame
 from kelptrail.planner.channel import READ, EdgeLink, Led, Offer, PlannerLink, Reply, Report
 from kelptrail.planner.core import Model, Planner, PlannerSettings, Role
 from kelptrail.planner.demand import Demand
-from kelptrail.planner.follow import Follower, Refusal
-from kelptrail.planner.place import Host, Need, greedy, price, solve, valid
+from kelptrail.planner.placement import Host, Need, greedy, price, solve, valid
 from kelptrail.planner.plan import FIRST, Plan, PlanError, Wants, changed, changes, pack, unpack
 from kelptrail.planner.plan import make as make_plan
+from kelptrail.planner.plan_follower import Follower, Refusal
 
 LIVE = {f"w{n}" for n in range(6)}
 ROSTER = ("list", 5)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -23,7 +23,7 @@
 from test_drill import ENV
 
 from kelptrail.codec import feed, frames, lines
-from kelptrail.host.settings import read as read_settings
+from kelptrail.engine.settings import read as read_settings
 from kelptrail.platform import config
 from kelptrail.platform.service import Service
 
@@ -442,13 +442,13 @@
         "kelptrail.clock",
         "kelptrail.peers",
         "kelptrail.lease",
-        "kelptrail.copies",
+        "kelptrail.replication",
         "kelptrail.rollout",
         "kelptrail.planner",
         "kelptrail.vrrp",
         "kelptrail.service",
-        "kelptrail.lab",
-        "kelptrail.badday",
+        "kelptrail.simulation",
+        "kelptrail.fault_scenario",
     ]
     code = f"import sys, kelptrail.platform.__main__; sys.exit(any(m in sys.modules for m in {heavy}))"
     assert subprocess.run([sys.executable, "-c", code], timeout=30).returncode == 0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,9 +10,7 @@
 from helpers import GATE, activation, kind, make, model, pull
 
 from kelptrail.dispatch.dispatcher import Decision, Dispatcher
-from kelptrail.dispatch.gate import Gate
-from kelptrail.dispatch.instances import Copies
-from kelptrail.dispatch.terms import (
+from kelptrail.dispatch.entities import (
     NEVER_RAN,
     Activation,
     Copy,
@@ -25,6 +23,8 @@
     State,
     Worker,
 )
+from kelptrail.dispatch.instance_table import Copies
+from kelptrail.dispatch.safety import Gate
 
 KINDS = [kind(), kind(Effect.DEDUPLICATED), kind(Effect.DEDUPLICATED, "zone"), kind(Effect.ONCE_ONLY)]
 SLACK_MS = 16.0
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from kelptrail.badday import script
+from kelptrail.fault_scenario import scenario as script
 from kelptrail.settings.deployment import load, parse
 from kelptrail.settings.reader import SettingsError, read
 
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from kelptrail.audit.judge import judge
-from kelptrail.badday.script import BadDay, Trouble
-from kelptrail.lab.engine import Engine
-from kelptrail.lab.shards import RemoteStore, Shard, ShardError, SharedLedger, play_sharded
-from kelptrail.lab.site import LabSettings, Site, result_of
+from kelptrail.fault_scenario.scenario import BadDay, Trouble
+from kelptrail.history_checker.checker import judge
 from kelptrail.load.plan import steady
 from kelptrail.load.results import figures
 from kelptrail.settings.deployment import load
+from kelptrail.simulation.cluster import LabSettings, Site, result_of
+from kelptrail.simulation.event_queue import Engine
+from kelptrail.simulation.sharding import RemoteStore, Shard, ShardError, SharedLedger, play_sharded
 
 ROOT = Path(__file__).parent.parent
 SETTINGS = LabSettings(network_ms=1.0)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -10,10 +10,10 @@
 
 from kelptrail.codec.http import Request, encode_response
 from kelptrail.codec.infer import infer_answer, read_infer
-from kelptrail.dispatch.terms import Outcome
+from kelptrail.dispatch.entities import Outcome
+from kelptrail.membership.members import Entry
 from kelptrail.net.pool import Ending, WorkerPool
 from kelptrail.net.server import Exchange
-from kelptrail.roster.members import Entry
 
 EFFECTS = ("p/check", "activate", "grant")
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -14,11 +14,11 @@
 from test_inference import Client, tensor
 
 from kelptrail.codec.http import Request, encode_request
-from kelptrail.dispatch.terms import Outcome
-from kelptrail.gateway.sight import LinkSight
+from kelptrail.dispatch.entities import Outcome
+from kelptrail.gateway.connection_health import LinkSight
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.server import Exchange, Limits
-from kelptrail.service.standing import Standing
+from kelptrail.service.front_addresses import Standing
 from kelptrail.settings.deployment import parse
 from kelptrail.vrrp.address import FrontAddress
 from kelptrail.vrrp.driver import next_epoch
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,18 +18,18 @@
 from program import DEPLOYMENT, Dispatcher, ScriptedWorker, Silent, answer, run, silent, verdict
 
 from kelptrail.codec.http import Request
-from kelptrail.dispatch.terms import Outcome
+from kelptrail.dispatch.entities import Outcome
 from kelptrail.gateway.build import World
 from kelptrail.gateway.core import Final, Gateway, GiveUp, PlaceOrder, StartSend
+from kelptrail.membership.members import Entry as Listed
+from kelptrail.membership.members import Listing
 from kelptrail.net.server import Exchange
-from kelptrail.roster.members import Entry as Listed
-from kelptrail.roster.members import Listing
 from kelptrail.settings.deployment import parse
-from kelptrail.store.book import Book, BookError, Life, open_book
+from kelptrail.store.activation_journal import Book, BookError, Life, open_book
 from kelptrail.store.driver import JournalDriver
 from kelptrail.store.entries import Accepted, DamagedError, Ended, MayRun, pack, unpack
-from kelptrail.store.harmed import HarmedDisk
-from kelptrail.store.journal import Journal, OutOfTurnError
+from kelptrail.store.faulty_disk import HarmedDisk
+from kelptrail.store.group_commit import Journal, OutOfTurnError
 from kelptrail.store.recovery import End, Pace, Resume, Rule, judge
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -23,26 +23,26 @@
 from pyarrow import parquet
 from test_edge import FAST
 
-from kelptrail.audit.judge import judge, read
-from kelptrail.badday.report import holders, latencies, timeline
-from kelptrail.copies.holder import Work
-from kelptrail.copies.shelves import Reading, Shelves, open_shelves
-from kelptrail.copies.terms import Item, Members, note, read_note
-from kelptrail.keys.authority import Authority, read_certificate, shown
-from kelptrail.keys.names import digest
-from kelptrail.lab.compare import compare
-from kelptrail.lease.ledger import Ledger, open_ledger
-from kelptrail.lease.terms import NOTHING, Noted, Row, Token
-from kelptrail.lease.voter import Memory, Stage, Write
+from kelptrail.certificates.authority import Authority, read_certificate, shown
+from kelptrail.certificates.names import digest
+from kelptrail.fault_scenario.report import holders, latencies, timeline
+from kelptrail.history_checker.checker import judge, read
+from kelptrail.lease.acceptor import Memory, Stage, Write
+from kelptrail.lease.acceptor_store import Ledger, open_ledger
+from kelptrail.lease.messages import NOTHING, Noted, Row, Token
 from kelptrail.load import results
 from kelptrail.load.arrivals import read_trace
-from kelptrail.planner.edge import Kept, PlanFollower
+from kelptrail.membership.client import RosterClient
+from kelptrail.membership.members import Entry, Listing, Peer, id_prefix
+from kelptrail.planner.driver import Options, PlannerProgram, Snapshot
+from kelptrail.planner.edge_driver import Kept, PlanFollower
 from kelptrail.planner.plan import Head, Plan, digest_of
-from kelptrail.planner.program import Options, PlannerProgram, Snapshot
-from kelptrail.roster.client import RosterClient
-from kelptrail.roster.members import Entry, Listing, Peer, id_prefix
+from kelptrail.replication.messages import Item, Members, note, read_note
+from kelptrail.replication.replica import Work
+from kelptrail.replication.replica_store import Reading, Shelves, open_shelves
 from kelptrail.settings.deployment import parse
-from kelptrail.store.book import Life, open_book
+from kelptrail.simulation.compare import compare
+from kelptrail.store.activation_journal import Life, open_book
 from kelptrail.store.entries import Accepted, Ended, MayRun, pack, unpack
 from kelptrail.vrrp.driver import next_epoch
 
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -5,7 +5,7 @@
 import random
 from heapq import heappop, heappush
 
-from kelptrail.gateway.storm import Stage, Storm, StormSettings
+from kelptrail.gateway.overload import Stage, Storm, StormSettings
 
 
 def rush(
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -21,7 +21,7 @@
 from test_worker_list import List, follow
 
 from kelptrail.codec import feed, frames
-from kelptrail.host.wall_clock import WallClockReader
+from kelptrail.engine.wall_clock import WallClockReader
 
 FAILING_ACCEPT = (
     errno.ECONNABORTED,
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -10,11 +10,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from kelptrail.search import PropertyError
-from kelptrail.vrrp import machine
-from kelptrail.vrrp.explore import Budget, explore
+from kelptrail.model_checking.explorer import PropertyError
+from kelptrail.vrrp import state_machine as machine
+from kelptrail.vrrp.authentication import (
+    SEAL_ERRORS,
+    ForgedError,
+    Key,
+    Opener,
+    ReplayError,
+    Sealer,
+    UnknownKeyError,
+    UnsealedError,
+)
 from kelptrail.vrrp.instance import Datagram, Instance
-from kelptrail.vrrp.machine import GiveUp, Moved, Router, RouterSettings, State, Take, Transmit
+from kelptrail.vrrp.model import Budget, explore
 from kelptrail.vrrp.packet import (
     ERRORS,
     Advertisement,
@@ -33,18 +42,9 @@
     encode,
     pseudo_header,
 )
-from kelptrail.vrrp.seal import (
-    SEAL_ERRORS,
-    ForgedError,
-    Key,
-    Opener,
-    ReplayError,
-    Sealer,
-    UnknownKeyError,
-    UnsealedError,
-)
-from kelptrail.vrrp.simulate import Sea, failovers
-from kelptrail.vrrp.track import Track, TrackSettings
+from kelptrail.vrrp.simulation import Sea, failovers
+from kelptrail.vrrp.state_machine import GiveUp, Moved, Router, RouterSettings, State, Take, Transmit
+from kelptrail.vrrp.tracking import Track, TrackSettings
 
 A, B, C = (ip_address(f"127.0.1.{n}") for n in (1, 2, 3))
 FRONT = (ip_address("127.0.2.1"),)
--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -26,34 +26,34 @@
 import pytest
 import zstandard
 
-import kelptrail.copies.terms as copies_terms
-import kelptrail.lease.terms as lease_terms
+import kelptrail.lease.messages as lease_terms
 import kelptrail.planner.channel as planner_channel
+import kelptrail.replication.messages as copies_terms
 import kelptrail.service.usage as usage_terms
-from kelptrail.badday import script
 from kelptrail.codec import events, feed, frames, http, infer, lines
 from kelptrail.codec.tensors import JsonTensor
-from kelptrail.drill.__main__ import Drill
+from kelptrail.emulator.capture import Capture
+from kelptrail.emulator.endpoint_service import RosterSource
+from kelptrail.engine import settings as host_settings
+from kelptrail.fault_scenario import scenario as script
 from kelptrail.front.invoke import views
+from kelptrail.gateway.overload import Storm, StormSettings
 from kelptrail.gateway.records import Record
-from kelptrail.gateway.storm import Storm, StormSettings
-from kelptrail.host import settings as host_settings
-from kelptrail.lab import experiment
-from kelptrail.lab.site import LabSettings
-from kelptrail.net.client import Errand
-from kelptrail.peers import wire
+from kelptrail.membership import members
+from kelptrail.membership.client import RosterClient
+from kelptrail.net.http_client import Errand
+from kelptrail.peers import messages as wire
 from kelptrail.planner import plan
 from kelptrail.platform import config as platform_config
-from kelptrail.platform.front import Asked
+from kelptrail.platform.client_server import Asked
 from kelptrail.platform.service import Service
-from kelptrail.roster import members
-from kelptrail.roster.client import RosterClient
 from kelptrail.settings import deployment
 from kelptrail.settings.reader import Place
-from kelptrail.standin.capture import Capture
-from kelptrail.standin.roster import RosterSource
+from kelptrail.simulation import experiment
+from kelptrail.simulation.cluster import LabSettings
+from kelptrail.simulator_adapter.__main__ import Drill
 from kelptrail.vrrp import packet as vrrp_packet
-from kelptrail.vrrp import seal as vrrp_seal
+from kelptrail.vrrp import authentication as vrrp_seal
 
 FIXTURES = Path(__file__).parent / "fixtures" / "wire"
 ROOT = Path(__file__).parent.parent
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -20,8 +20,9 @@
 from test_platform import Place, Runner, configuration, echo, event, run
 
 from kelptrail.codec import frames
-from kelptrail.net.link import connect
-from kelptrail.platform import config, feed
+from kelptrail.net.connection import connect
+from kelptrail.platform import config
+from kelptrail.platform import endpoint_watch as feed
 
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
