--- a/bench/copies.py
+++ b/bench/copies.py
@@ -26,7 +26,7 @@
 
 from kelptrail.clock import now_ms, wall_ms
 from kelptrail.codec.infer import Answer
-from kelptrail.dispatch.entities import Outcome
+from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.gateway.build import World
 from kelptrail.gateway.core import Final, Gateway, PlaceOrder, StartSend
 from kelptrail.lease.messages import Token
@@ -241,13 +241,13 @@
                     finals.add(effect.ivk.record.id)
                     last = now
                 if isinstance(effect, PlaceOrder):
-                    gateway.told(now, effect.order, Outcome.COMPLETED, 64)
+                    gateway.told(now, effect.order, AttemptStatus.COMPLETED, 64)
                 elif isinstance(effect, StartSend):
                     first = first or now
                     loop.call_later(run_ms / 1000, answered, effect.send)
 
         def answered(send: Any) -> None:
-            gateway.answered(now_ms(), send, Outcome.COMPLETED, Answer("completed", result=b"{}", success=True))
+            gateway.answered(now_ms(), send, AttemptStatus.COMPLETED, Answer("completed", result=b"{}", success=True))
             loop.call_soon(stir)
 
         lives = sorted(reading.lives, key=lambda life: (life.ended is not None, life.accepted.start))
--- a/bench/guard_cost.py
+++ b/bench/guard_cost.py
@@ -20,8 +20,8 @@
 from soak import Soak
 
 from kelptrail.codec import frames
-from kelptrail.dispatch.entities import Activation, Copy, Effect, Function, NamespaceType, Send, Worker
-from kelptrail.dispatch.safety import Gate
+from kelptrail.dispatch.entities import Request, Instance, Idempotency, Function, RequestClass, Attempt, Worker
+from kelptrail.dispatch.safety import SafetyGuard
 from kelptrail.engine.invariants import Invariants
 
 CONNECTIONS = 8
@@ -85,16 +85,16 @@
 
 def check_s(rounds: int = 100_000) -> float:
     """CPU seconds of the checks of one attempt."""
-    type_ = NamespaceType("t", Effect.REPEATABLE, 200.0, 1.0)
+    type_ = RequestClass("t", Idempotency.IDEMPOTENT, 200.0, 1.0)
     function = Function("f", type_, 300.0, 4)
-    gate = Gate(1, True, 6, 3.0, 2000.0, 0.3, 5000.0, (True, 20.0, 0.5, 5000.0), 250.0)
+    gate = SafetyGuard(1, True, 6, 3.0, 2000.0, 0.3, 5000.0, (True, 20.0, 0.5, 5000.0), 250.0)
     invariants = Invariants(lambda *_, **__: None)
-    request = Activation("a", type_, function, None, 0.0, 1500.0)
-    send = Send(request, Copy(function, Worker("w")), 0, 1.0)
-    request.sends.append(send)
+    request = Request("a", type_, function, None, 0.0, 1500.0)
+    send = Attempt(request, Instance(function, Worker("w")), 0, 1.0)
+    request.attempts.append(send)
     before = time.process_time()
     for _ in range(rounds):
-        gate.may_begin(2.0, send)
+        gate.may_start(2.0, send)
         invariants.attempt_begins(2.0, send, None, 1400.0)
     return (time.process_time() - before) / rounds
 
--- a/bench/split.py
+++ b/bench/split.py
@@ -14,7 +14,7 @@
 
 from kelptrail.codec.http import RequestReader, ResponseReader, encode_request, encode_response
 from kelptrail.codec.infer import infer_answer, infer_request, read_answer
-from kelptrail.dispatch.entities import Activation, Order, Outcome, Send
+from kelptrail.dispatch.entities import Request, LoadOrder, AttemptStatus, Attempt
 from kelptrail.gateway.build import World
 from kelptrail.gateway.core import Final, Gateway, PlaceOrder, StartSend
 from kelptrail.membership.members import Entry, Listing
@@ -76,9 +76,9 @@
         gateway.take(now, now, "n", action, b"{}")
         while (effect := gateway.effect(now)) is not None:
             if isinstance(effect, StartSend):
-                gateway.answered(now + 0.2, effect.send, Outcome.COMPLETED)
+                gateway.answered(now + 0.2, effect.send, AttemptStatus.COMPLETED)
             elif isinstance(effect, PlaceOrder):
-                gateway.told(now, effect.order, Outcome.COMPLETED, effect.order.count)
+                gateway.told(now, effect.order, AttemptStatus.COMPLETED, effect.order.count)
             else:
                 assert isinstance(effect, Final)
 
@@ -98,14 +98,14 @@
         now = clock[0]
         if now - beat[0] >= 100:
             beat[0] = now
-            dispatcher.beat(now)
-        act = Activation("a", function.type, function, world.customers["n"], now, now + 9950)
-        dispatcher.taken(now, act)
+            dispatcher.on_tick(now)
+        act = Request("a", function.request_class, function, world.customers["n"], now, now + 9950)
+        dispatcher.on_request(now, act)
         while (decision := dispatcher.decide(now)) is not None:
-            if isinstance(decision, Send):
-                dispatcher.answered(now + 0.2, decision, Outcome.COMPLETED, True, False, True, 0, None)
-            elif isinstance(decision, Order):
-                dispatcher.told(now, decision, Outcome.COMPLETED, decision.count)
+            if isinstance(decision, Attempt):
+                dispatcher.on_attempt_finished(now + 0.2, decision, AttemptStatus.COMPLETED, True, False, True, 0, None)
+            elif isinstance(decision, LoadOrder):
+                dispatcher.on_load_report(now, decision, AttemptStatus.COMPLETED, decision.count)
 
     return run
 
--- a/kelptrail/dispatch/instance_table.py
+++ b/kelptrail/dispatch/instance_table.py
@@ -2,46 +2,52 @@
 
 from __future__ import annotations
 
-from .entities import Copy, Function, Worker
-from .timer_queue import Agenda
+from .entities import Instance, Function, Worker
+from .timer_queue import TimerQueue
 
 
-class Copies:
+class InstanceTable:
     """What is believed to stand where: holding, renewing, expiring."""
 
-    def __init__(self, agenda: Agenda, keep_ms: float, loads: bool = False, idle_ms: float = 10_000) -> None:
-        self._agenda, self._keep_ms, self._idle_stop_ms, self._loads = agenda, keep_ms, idle_ms, loads
-        self.shared = 0.5 + loads  # the recent share of copies that stood where first asked for, or load
+    def __init__(
+        self, timers: TimerQueue, keep_ms: float, loads: bool = False, idle_ms: float = 10_000
+    ) -> None:
+        self._agenda, self._keep_ms, self._idle_stop_ms, self._loads = timers, keep_ms, idle_ms, loads
+        self.shared_ratio = (
+            0.5 + loads
+        )  # the recent share of copies that stood where first asked for, or load
 
-    def met(self, stood: bool) -> None:
-        self.shared += 0.1 * ((stood or self._loads) - self.shared)
+    def observe_first_use(self, stood: bool) -> None:
+        self.shared_ratio += 0.1 * ((stood or self._loads) - self.shared_ratio)
 
-    def at(self, function: Function, worker: Worker) -> Copy:
-        if worker not in function.copies:
-            function.copies[worker] = worker.copies[function] = Copy(function, worker)
-        return function.copies[worker]
+    def get_or_add(self, function: Function, worker: Worker) -> Instance:
+        if worker not in function.instances:
+            function.instances[worker] = worker.instances[function] = Instance(function, worker)
+        return function.instances[worker]
 
-    def stands(self, now: float, copy: Copy, count: int) -> None:
-        if count and not copy.standing:
-            self._agenda.add(now + 0.8 * self._keep_ms, copy)
-        copy.standing, copy.touched = count, now
+    def set_loaded(self, now: float, instance: Instance, count: int) -> None:
+        if count and not instance.loaded:
+            self._agenda.add(now + 0.8 * self._keep_ms, instance)
+        instance.loaded, instance.idle_since = count, now
 
-    def due(self, now: float, copy: Copy) -> bool:
+    def needs_renewal(self, now: float, instance: Instance) -> bool:
         """Whether the copy should be renewed now; a copy past its keep-alive is forgotten."""
-        if copy.function.copies.get(copy.worker) is not copy:
+        if instance.function.instances.get(instance.worker) is not instance:
             return False
-        if copy.sends:
-            copy.touched = now
-        if now >= copy.touched + self._keep_ms or not copy.standing:
-            copy.standing = 0
-            if copy.order is None and not copy.sends and now >= copy.barred_until:
-                self.forget(copy)
+        if instance.in_flight:
+            instance.idle_since = now
+        if now >= instance.idle_since + self._keep_ms or not instance.loaded:
+            instance.loaded = 0
+            if instance.load_order is None and not instance.in_flight and now >= instance.unavailable_until:
+                self.remove(instance)
             return False
-        near = now >= copy.touched + 0.8 * self._keep_ms - 1
-        self._agenda.add(copy.touched + (1.0 if near else 0.8) * self._keep_ms, copy)
-        used = now - copy.used < self._idle_stop_ms and not copy.function.planned
-        return near and copy.order is None and (used or copy.wanted > 0)  # a plan says which idle ones stay
-
-    def forget(self, copy: Copy) -> None:
-        copy.function.copies.pop(copy.worker, None)
-        copy.worker.copies.pop(copy.function, None)
+        near = now >= instance.idle_since + 0.8 * self._keep_ms - 1
+        self._agenda.add(instance.idle_since + (1.0 if near else 0.8) * self._keep_ms, instance)
+        used = now - instance.last_used_at < self._idle_stop_ms and not instance.function.planned
+        return (
+            near and instance.load_order is None and (used or instance.planned_count > 0)
+        )  # a plan says which idle ones stay
+
+    def remove(self, instance: Instance) -> None:
+        instance.function.instances.pop(instance.worker, None)
+        instance.worker.instances.pop(instance.function, None)
--- a/kelptrail/dispatch/retries.py
+++ b/kelptrail/dispatch/retries.py
@@ -5,29 +5,31 @@
 from .entities import Function, Worker
 
 
-class Attempts:
+class RetryBudget:
     """When a send is out for so long that a second is worth it, and what second sends may cost in all."""
 
     def __init__(self, share: float = 0.2, most: float = 60.0) -> None:
         self._share, self._most, self._left = share, most, most
 
-    def took(self, function: Function, worker: Worker, ms: float) -> None:
+    def observe_latency(self, function: Function, worker: Worker, ms: float) -> None:
         """An answer: usual time and spread (in the manner of RFC 6298, section 2), and the pace."""
-        if usual := function.usual_ms:
-            function.stray_ms += 0.25 * (abs(ms - usual) - function.stray_ms)
-            worker.pace += 0.1 * (min(4.0, ms / usual) - worker.pace)
-            function.usual_ms += 0.2 * (ms - usual)
+        if usual := function.mean_latency_ms:
+            function.latency_deviation_ms += 0.25 * (abs(ms - usual) - function.latency_deviation_ms)
+            worker.relative_latency += 0.1 * (min(4.0, ms / usual) - worker.relative_latency)
+            function.mean_latency_ms += 0.2 * (ms - usual)
         else:
-            function.usual_ms, function.stray_ms = ms, ms / 2
+            function.mean_latency_ms, function.latency_deviation_ms = ms, ms / 2
 
-    def wait(self, function: Function, worker: Worker) -> float:
+    def hedge_delay(self, function: Function, worker: Worker) -> float:
         """Past that an answer is unusual for the function; a worker known to be slow gets up to twice it."""
-        return max(1.0, min(2.0, worker.pace)) * (function.usual_ms + 4 * function.stray_ms)
+        return max(1.0, min(2.0, worker.relative_latency)) * (
+            function.mean_latency_ms + 4 * function.latency_deviation_ms
+        )
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Guards against second sends that feed an overload: the budget follows what workers complete."""
         self._left = min(self._most, self._left + self._share)
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         self._left -= (may := self._left >= 1)
         return may
--- a/kelptrail/dispatch/safety.py
+++ b/kelptrail/dispatch/safety.py
@@ -5,12 +5,12 @@
 from collections import deque
 from contextlib import suppress
 
-from .entities import Activation, Copy, Effect, Order, Send, Worker
+from .entities import Request, Instance, Idempotency, LoadOrder, Attempt, Worker
 from .sliding_window import drop_until
 from .slow_start import SlowStart
 
 
-class Gate(SlowStart):
+class SafetyGuard(SlowStart):
     """The five rules, enforced where every send, order and final answer passes."""
 
     def __init__(
@@ -26,80 +26,101 @@
         connect_ms: float = 0.0,
     ) -> None:
         super().__init__(seed, tip, tip_ms, cold_share, cold_ms, connect_ms)
-        self._parallel, self._most_sends = parallel, most_sends
+        self._parallel, self._max_attempts = parallel, most_sends
         self._loads, self._free, self._share, self._span = ration  # any orders; free ones, a share, a time
-        self._orders, self.taken = deque[float](), deque[float]()
+        self._load_times, self.request_times = deque[float](), deque[float]()
 
-    def open(self, now: float, act: Activation) -> bool:
+    def accepts_attempt(self, now: float, request: Request) -> bool:
         """Rules 1 and 2, as far as they do not depend on the worker."""
-        out = sum(send.outcome is None for send in act.sends)
-        if act.verdict or act.bound or len(act.sends) >= self._most_sends or out > self._parallel:
+        out = sum(attempt.status is None for attempt in request.attempts)
+        if (
+            request.final_status
+            or request.streaming_attempt
+            or len(request.attempts) >= self._max_attempts
+            or out > self._parallel
+        ):
             return False
-        return now < min(act.deadline, self.shuts(act))
+        return now < min(request.deadline, self.retry_closes_at(request))
 
-    def shuts(self, act: Activation) -> float:
+    def retry_closes_at(self, request: Request) -> float:
         """When another run has a second effect, where the group that drops repeats is kept to."""
         if (
-            act.type.effect is Effect.REPEATABLE
-            or (first := next((send for send in act.sends if send.may_have_run), None)) is None
+            request.request_class.idempotency is Idempotency.IDEMPOTENT
+            or (first := next((attempt for attempt in request.attempts if attempt.may_have_run), None))
+            is None
         ):
             return float("inf")
-        return first.sent + act.type.remembered_ms - 20 if act.type.effect is Effect.DEDUPLICATED else 0.0
+        return (
+            first.started_at + request.request_class.deduplication_window_ms - 20
+            if request.request_class.idempotency is Idempotency.DEDUPLICATED
+            else 0.0
+        )
 
-    def may_send(self, now: float, act: Activation, worker: Worker) -> bool:
-        if not worker.live or not self.open(now, act):
+    def may_attempt(self, now: float, request: Request, worker: Worker) -> bool:
+        if not worker.live or not self.accepts_attempt(now, request):
             return False
-        if act.type.effect is Effect.DEDUPLICATED and act.type.scope != "all":
-            first = next((s.copy.worker for s in act.sends if s.may_have_run), worker)
-            if getattr(first, act.type.scope) != getattr(worker, act.type.scope):
+        if (
+            request.request_class.idempotency is Idempotency.DEDUPLICATED
+            and request.request_class.deduplication_scope != "all"
+        ):
+            first = next((s.instance.worker for s in request.attempts if s.may_have_run), worker)
+            if getattr(first, request.request_class.deduplication_scope) != getattr(
+                worker, request.request_class.deduplication_scope
+            ):
                 return False
-        return self.spare(now, worker)
+        return self.has_budget(now, worker)
 
-    def send(self, now: float, act: Activation, copy: Copy) -> Send | None:
-        if not self.may_send(now, act, copy.worker):
+    def start_attempt(self, now: float, request: Request, instance: Instance) -> Attempt | None:
+        if not self.may_attempt(now, request, instance.worker):
             return None
-        until = self.shuts(act)
-        if self.warmth(now, copy.worker) < 1:
-            copy.worker.recent.append(now)
-            until = min(until, now + (self._late or float("inf")))
-        send = Send(act, copy, len(act.sends), now, until=until)
-        act.sends.append(send)
-        return send
+        until = self.retry_closes_at(request)
+        if self.capacity_factor(now, instance.worker) < 1:
+            instance.worker.recent_times.append(now)
+            until = min(until, now + (self._max_delivery_ms or float("inf")))
+        attempt = Attempt(request, instance, len(request.attempts), now, latest_start=until)
+        request.attempts.append(attempt)
+        return attempt
 
-    def order(self, now: float, copy: Copy, count: int, spare: float = 0.0) -> Order | None:
+    def start_load(self, now: float, instance: Instance, count: int, spare: float = 0.0) -> LoadOrder | None:
         """A hold order within the ration; `spare` of the ration is left for others.  Count 0 only asks.
         Guards against orders that wait for a connection and arrive among those of the time after."""
         if count and self._loads:
-            ration = self._free + self._share * len(drop_until(self.taken, now - self._span + self._late + 1))
-            orders = len(drop_until(self._orders, now - self._span - self._late)) + 1
-            if not copy.worker.live or (self._span and orders > ration * (1 - spare)):
+            ration = self._free + self._share * len(
+                drop_until(self.request_times, now - self._span + self._max_delivery_ms + 1)
+            )
+            orders = len(drop_until(self._load_times, now - self._span - self._max_delivery_ms)) + 1
+            if not instance.worker.live or (self._span and orders > ration * (1 - spare)):
                 return None
-            self._orders.append(now)
+            self._load_times.append(now)
         if not self._loads:
             return None
-        until = now + self._late if count and self._late else float("inf")
-        return Order(copy, min(count, 16), now, until)  # the most that an order may name
+        until = now + self._max_delivery_ms if count and self._max_delivery_ms else float("inf")
+        return LoadOrder(instance, min(count, 16), now, until)  # the most that an order may name
 
-    def may_begin(self, now: float, item: Send | Order) -> bool:
+    def may_start(self, now: float, item: Attempt | LoadOrder) -> bool:
         """Whether a send or an order that was decided may begin to leave now.  Guards against what came
         between the decision and a connection that takes it: a client that went, an answer, a drain, time."""
-        if not (item.copy.worker.live and now < item.until):
+        if not (item.instance.worker.live and now < item.latest_start):
             return False
-        if isinstance(item, Order):
-            return item.copy.order is item
-        return item.outcome is None and not item.revoked and item.act.verdict is None
+        if isinstance(item, LoadOrder):
+            return item.instance.load_order is item
+        return item.status is None and not item.cancelled and item.request.final_status is None
 
-    def uncount(self, act: Activation) -> None:
+    def uncount_request(self, request: Request) -> None:
         """It earns no orders.  Guards against calls that are no work: taken back unsent, nowhere loadable."""
         with suppress(ValueError):
-            self.taken.remove(act.taken)
+            self.request_times.remove(request.received_at)
 
-    def end(self, now: float, act: Activation, return_ms: float = 0.0) -> Activation:
+    def finish(self, now: float, request: Request, return_ms: float = 0.0) -> Request:
         """The one final answer: rejected where that promises the truth, else aborted.  Guards against clients
         that come again without the mark, or when nobody remembers it, and have a second effect; `return_ms`
         is when they are told to."""
-        free = act.type.effect is not Effect.DEDUPLICATED or (act.marked and act.type.scope == "all")
-        again = (free and now + return_ms < self.shuts(act)) or not any(s.may_have_run for s in act.sends)
-        again = again and act.bound is None  # its client has seen a part of a streamed answer
-        act.verdict = "rejected" if again else "aborted"
-        return act
+        free = request.request_class.idempotency is not Idempotency.DEDUPLICATED or (
+            request.has_idempotency_key and request.request_class.deduplication_scope == "all"
+        )
+        again = (free and now + return_ms < self.retry_closes_at(request)) or not any(
+            s.may_have_run for s in request.attempts
+        )
+        again = again and request.streaming_attempt is None  # its client has seen a part of a streamed answer
+        request.final_status = "rejected" if again else "aborted"
+        return request
--- a/kelptrail/dispatch/slow_start.py
+++ b/kelptrail/dispatch/slow_start.py
@@ -21,42 +21,50 @@
         self, seed: int, tip: float, tip_ms: float, cold_share: float, cold_ms: float, late_ms: float
     ) -> None:
         self._seed = seed
-        self._tip, self._tip_ms, self._cold_share, self._cold_ms = tip, tip_ms, cold_share, cold_ms
-        self._late = late_ms  # a send or an order may arrive so much after it was given
-        self.listed([])
+        self._overload_multiple, self._overload_window_ms, self._initial_capacity, self._slow_start_ms = (
+            tip,
+            tip_ms,
+            cold_share,
+            cold_ms,
+        )
+        self._max_delivery_ms = late_ms  # a send or an order may arrive so much after it was given
+        self.set_workers([])
 
-    def listed(self, workers: Sequence[Worker]) -> None:
+    def set_workers(self, workers: Sequence[Worker]) -> None:
         """The workers that there are."""
         self._fleet, self._sized, self._usual = workers, -1e9, 0.0
 
-    def usual(self, now: float) -> float:
+    def warm_throughput(self, now: float) -> float:
         """What a warm worker of size 1 completes from here in the time of the budget."""
         if now >= self._sized + 50:
             self._sized = now
-            warm = [w for w in self._fleet if w.live and self.warmth(now, w) >= 1]
-            done = sum(len(drop_until(w.recent, now - self._tip_ms)) for w in warm)
+            warm = [w for w in self._fleet if w.live and self.capacity_factor(now, w) >= 1]
+            done = sum(len(drop_until(w.recent_times, now - self._overload_window_ms)) for w in warm)
             self._usual = done / (sum(w.size for w in warm) or 1.0)
         return self._usual
 
-    def warmth(self, now: float, worker: Worker) -> float:
+    def capacity_factor(self, now: float, worker: Worker) -> float:
         """The share of its capacity that a worker has at least, by its age."""
-        if worker.started is None or (age := now - worker.started) >= self._cold_ms:
+        if worker.started_at is None or (age := now - worker.started_at) >= self._slow_start_ms:
             return 1.0
-        return 1 - min(1.0, 1 - age / self._cold_ms) * (1 - self._cold_share)
+        return 1 - min(1.0, 1 - age / self._slow_start_ms) * (1 - self._initial_capacity)
 
-    def spare(self, now: float, worker: Worker) -> bool:
+    def has_budget(self, now: float, worker: Worker) -> bool:
         """A cold one may be sent a part of what warm ones of its size carry: so all together stay under."""
-        if (warmth := self.warmth(now, worker)) >= 1:
+        if (warmth := self.capacity_factor(now, worker)) >= 1:
             return True
-        budget, span = 0.5 * self._tip * warmth * self.usual(now) * worker.size, self._tip_ms + self._late
-        sent = drop_until(worker.recent, now - 2 * span)
+        budget, span = (
+            0.5 * self._overload_multiple * warmth * self.warm_throughput(now) * worker.size,
+            self._overload_window_ms + self._max_delivery_ms,
+        )
+        sent = drop_until(worker.recent_times, now - 2 * span)
         if budget >= 1:
             return sum(at > now - span for at in sent) < budget
-        turn = (now - (worker.started or 0.0)) / span + crc32(f"{self._seed} {worker.id}".encode()) / 2**32
+        turn = (now - (worker.started_at or 0.0)) / span + crc32(f"{self._seed} {worker.id}".encode()) / 2**32
         return not (sent and sent[-1] >= now - turn % 1 * span) and (
             crc32(f"{self._seed} {worker.id} {int(turn)}".encode()) < 0.8 * budget * 2**32
         )  # two spans meet
 
     def completed(self, now: float, worker: Worker) -> None:
-        if self.warmth(now, worker) >= 1:  # in overload it is sent far more than it can carry
-            drop_until(worker.recent, now - self._tip_ms).append(now)
+        if self.capacity_factor(now, worker) >= 1:  # in overload it is sent far more than it can carry
+            drop_until(worker.recent_times, now - self._overload_window_ms).append(now)
--- a/kelptrail/dispatch/timer_queue.py
+++ b/kelptrail/dispatch/timer_queue.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 
-class Agenda:
+class TimerQueue:
     """Things with a due time, handed out in order of that time and, at one time, of their entry."""
 
     def __init__(self) -> None:
--- a/kelptrail/engine/engine.py
+++ b/kelptrail/engine/engine.py
@@ -12,169 +12,169 @@
 
 from kelptrail.dispatch.dispatcher import Decision, Dispatcher
 from kelptrail.dispatch.entities import (
-    Activation,
-    Customer,
+    Request,
+    Tenant,
     Function,
-    NamespaceType,
-    Order,
-    Outcome,
-    Send,
-    State,
+    RequestClass,
+    LoadOrder,
+    AttemptStatus,
+    Attempt,
+    WorkerState,
     Worker,
 )
-from kelptrail.dispatch.instance_table import Copies
-from kelptrail.dispatch.outlier_detection import Health
+from kelptrail.dispatch.instance_table import InstanceTable
+from kelptrail.dispatch.outlier_detection import OutlierDetector
 from kelptrail.dispatch.placement import Placement
-from kelptrail.dispatch.queues import Queues
-from kelptrail.dispatch.safety import Gate
-from kelptrail.dispatch.timer_queue import Agenda
+from kelptrail.dispatch.queues import RequestQueues
+from kelptrail.dispatch.safety import SafetyGuard
+from kelptrail.dispatch.timer_queue import TimerQueue
 
-from .settings import read
+from .settings import read_settings
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class Endpoint:
     """One line of a worker list; `started` on the door's clock, None for long ago."""
 
     id: str
     zone: int
     kind: int
     cell: int
-    state: State
+    state: WorkerState
     size: float
-    started: float | None
+    started_at: float | None
 
 
-class Host:
+class Engine:
     """One dispatcher, apart from all others, and the objects behind the ids it is told of."""
 
     def __init__(self, seed: int, settings: Mapping[str, Any]) -> None:
-        told = read(settings)
-        self.types, self.customers, self.fields = told.types, told.customers, told.fields
-        self.tells_warm = told.tells_warm
-        agenda, health = Agenda(), Health()
-        gate = Gate(
+        told = read_settings(settings)
+        self.request_classes, self.tenants, self.report_fields = told.request_classes, told.tenants, told.report_fields
+        self.reports_warm = told.reports_warm
+        timers, outliers = TimerQueue(), OutlierDetector()
+        safety = SafetyGuard(
             seed,
-            told.parallel,
-            told.most_sends,
-            told.tip,
-            told.tip_ms,
-            told.cold_share,
-            told.cold_ms,
-            told.ration,
-            told.connect_ms,
+            told.parallel_attempts,
+            told.max_attempts,
+            told.overload_multiple,
+            told.overload_window_ms,
+            told.initial_capacity,
+            told.slow_start_ms,
+            told.load_ration,
+            told.connect_timeout_ms,
         )
         self._dispatcher = Dispatcher(
-            gate,
-            health,
-            Placement(gate, health, told.zone, seed),
-            Copies(agenda, told.keep_ms, told.loads),
-            Queues(seed, self.types, self.customers),
-            agenda,
-            told.cancels,
-            told.longest_return_ms,
+            safety,
+            outliers,
+            Placement(safety, outliers, told.zone, seed),
+            InstanceTable(timers, told.keep_alive_ms, told.loads_on_demand),
+            RequestQueues(seed, self.request_classes, self.tenants),
+            timers,
+            told.can_cancel,
+            told.max_retry_after_ms,
         )
-        self.beat_ms = self._dispatcher.beat_ms
-        self.next_due = agenda.next_due
+        self.tick_ms = self._dispatcher.tick_ms
+        self.next_due = timers.next_due
         self.workers: dict[str, Worker] = {}
         self.functions: dict[str, Function] = {}
-        self.acts: dict[str, Activation] = {}
+        self.requests: dict[str, Request] = {}
 
-    def taken(
+    def on_request(
         self,
         now: float,
         id_: str,
-        type_: NamespaceType,
-        customer: Customer | None,
+        request_class: RequestClass,
+        tenant: Tenant | None,
         function_id: str,
         left_ms: float,
         memory_mb: float,
         lanes: int,
         load_ms: float | None,
         effort_ms: float | None,
-    ) -> Activation:
+    ) -> Request:
         """An activation that is owed a final answer within `left_ms`."""
         function = self.functions.get(function_id)
         if function is None:
             function = self.functions[function_id] = Function(
-                function_id, type_, memory_mb, max(1, lanes), load_ms or 0.0
+                function_id, request_class, memory_mb, max(1, lanes), load_ms or 0.0
             )
-        act = Activation(id_, type_, function, customer, now, now + left_ms, effort_ms)
-        self.acts[id_] = act
-        self._dispatcher.taken(now, act)
-        return act
+        request = Request(id_, request_class, function, tenant, now, now + left_ms, effort_ms)
+        self.requests[id_] = request
+        self._dispatcher.on_request(now, request)
+        return request
 
-    def answered(
+    def on_attempt_finished(
         self,
         now: float,
-        send: Send,
-        outcome: Outcome,
+        attempt: Attempt,
+        status: AttemptStatus,
         over: bool,
         load_failed: bool = False,
         warm: bool | None = None,
-        company: int = 0,
+        foreign_in_flight: int = 0,
         report: Sequence[float] | None = None,
     ) -> None:
         """How a send ended; `report` in the order of the settings' fields."""
-        told = dict(zip(self.fields, report, strict=True)) if report else None
-        self._dispatcher.answered(
-            now, send, outcome, over, load_failed, warm if self.tells_warm else None, company, told
+        told = dict(zip(self.report_fields, report, strict=True)) if report else None
+        self._dispatcher.on_attempt_finished(
+            now, attempt, status, over, load_failed, warm if self.reports_warm else None, foreign_in_flight, told
         )
-        self.settle(send.act)
+        self.forget_if_settled(attempt.request)
 
-    def left(self, act: Activation) -> None:
+    def on_client_gone(self, request: Request) -> None:
         """Nobody waits for it any more."""
-        self._dispatcher.left(act)
-        self.settle(act)
+        self._dispatcher.on_client_gone(request)
+        self.forget_if_settled(request)
 
-    def told(self, now: float, order: Order, outcome: Outcome, standing: int) -> None:
+    def on_load_report(self, now: float, order: LoadOrder, status: AttemptStatus, standing: int) -> None:
         """How a hold order ended, and how many copies stand."""
-        self._dispatcher.told(now, order, outcome, standing)
+        self._dispatcher.on_load_report(now, order, status, standing)
 
-    def listed(self, now: float, whole: bool, entries: Iterable[Entry]) -> list[Worker]:
+    def on_endpoints(self, now: float, whole: bool, entries: Iterable[Endpoint]) -> list[Worker]:
         """A list or what changed of it; returns the workers that started anew under their id."""
         entries = list(entries)
         named = {entry.id for entry in entries}
         restarted = []
         for id_, worker in self.workers.items():
             if whole and id_ not in named:
-                worker.state = State.GONE
+                worker.state = WorkerState.REMOVED
         for entry in entries:
             worker = self.workers.get(entry.id)
             if worker is None:
                 worker = self.workers[entry.id] = Worker(entry.id)
-            if entry.started != worker.started and entry.started is not None:
+            if entry.started_at != worker.started_at and entry.started_at is not None:
                 restarted.append(worker)
             worker.zone, worker.cell, worker.kind = entry.zone, entry.cell, entry.kind
-            worker.size, worker.state, worker.started = entry.size, entry.state, entry.started
-        self._dispatcher.listed(now, list(self.workers.values()), restarted)
-        for id_ in [id_ for id_, worker in self.workers.items() if worker.gone and not worker.sends]:
+            worker.size, worker.state, worker.started_at = entry.size, entry.state, entry.started_at
+        self._dispatcher.on_endpoints(now, list(self.workers.values()), restarted)
+        for id_ in [id_ for id_, worker in self.workers.items() if worker.removed and not worker.attempts]:
             del self.workers[id_]
         return restarted
 
-    def stopped(self, now: float, act: Activation) -> Activation:
+    def terminate(self, now: float, request: Request) -> Request:
         """The process ends and can wait for a request no longer: the request with its final answer."""
-        ended = self._dispatcher.stopped(now, act)
-        self.settle(ended)
+        ended = self._dispatcher.terminate(now, request)
+        self.forget_if_settled(ended)
         return ended
 
-    def may_begin(self, now: float, item: Send | Order) -> bool:
+    def may_start(self, now: float, item: Attempt | LoadOrder) -> bool:
         """Whether a send or an order that was decided may still begin to leave."""
-        return self._dispatcher.may_begin(now, item)
+        return self._dispatcher.may_start(now, item)
 
-    def beat(self, now: float) -> None:
+    def on_tick(self, now: float) -> None:
         """The periodic work, every `beat_ms`."""
-        if (stale := self._dispatcher.beat(now)) is not None:
+        if (stale := self._dispatcher.on_tick(now)) is not None:
             del self.functions[stale.id]
 
     def decide(self, now: float) -> Decision | None:
         """The next decision of the moment, or None."""
         decision = self._dispatcher.decide(now)
-        if isinstance(decision, Activation):
-            self.settle(decision)
+        if isinstance(decision, Request):
+            self.forget_if_settled(decision)
         return decision
 
-    def settle(self, act: Activation) -> None:
+    def forget_if_settled(self, request: Request) -> None:
         """Forget an activation once it is over and nothing of it is out."""
-        if act.verdict is not None and all(send.outcome is not None for send in act.sends):
-            self.acts.pop(act.id, None)
+        if request.final_status is not None and all(attempt.status is not None for attempt in request.attempts):
+            self.requests.pop(request.id, None)
--- a/kelptrail/engine/invariants.py
+++ b/kelptrail/engine/invariants.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from kelptrail.dispatch.entities import NEVER_RAN, Effect, Order, Send
+from kelptrail.dispatch.entities import NEVER_RAN, Idempotency, LoadOrder, Attempt
 
 CLIENT_GONE_SLACK_MS = 100.0  # an attempt may begin so long after its client has gone
 LIMIT_SLACK_MS = 150.0  # the limit passed to a worker may exceed what the client has left by so much
@@ -48,36 +48,40 @@
         self.violations[violation.value] += 1
         self._note("invariant violated", rule=violation.value, request=request, **fields)
 
-    def attempt_begins(self, now: float, send: Send, client_gone: float | None, limit_ms: float) -> None:
+    def attempt_begins(self, now: float, attempt: Attempt, client_gone: float | None, limit_ms: float) -> None:
         """An attempt's first byte is about to leave, with that limit; its client went at `client_gone`."""
-        request, act = send.act, send.act.id
+        request, act = attempt.request, attempt.request.id
         if client_gone is not None and now > client_gone + CLIENT_GONE_SLACK_MS:
             self.violated(Violation.ATTEMPT_AFTER_CLIENT_LEFT, act, late_ms=round(now - client_gone))
-        if request.verdict is not None:
-            self.violated(Violation.ATTEMPT_AFTER_ANSWER, act, verdict=request.verdict)
+        if request.final_status is not None:
+            self.violated(Violation.ATTEMPT_AFTER_ANSWER, act, verdict=request.final_status)
         if limit_ms > request.deadline - now + LIMIT_SLACK_MS:
             self.violated(Violation.LIMIT_OVER_TIME_LEFT, act, limit_ms=limit_ms, left_ms=round(request.deadline - now))
-        if now > send.until + DRAIN_SLACK_MS:
-            self.violated(Violation.ATTEMPT_PAST_ITS_TIME, act, late_ms=round(now - send.until))
-        if not send.copy.worker.live:
-            self.violated(Violation.ATTEMPT_TO_DRAINING_WORKER, act, worker=send.copy.worker.id)
-        self._effect(now, send)
+        if now > attempt.latest_start + DRAIN_SLACK_MS:
+            self.violated(Violation.ATTEMPT_PAST_ITS_TIME, act, late_ms=round(now - attempt.latest_start))
+        if not attempt.instance.worker.live:
+            self.violated(Violation.ATTEMPT_TO_DRAINING_WORKER, act, worker=attempt.instance.worker.id)
+        self._effect(now, attempt)
 
-    def _effect(self, now: float, send: Send) -> None:
+    def _effect(self, now: float, attempt: Attempt) -> None:
         """No attempt may have a second effect beside one before it that may have run."""
-        request = send.act
-        earlier = [other for other in request.sends if other is not send and other.may_have_run]
-        begun = [other for other in earlier if other.begun is not None or other.outcome not in (None, *NEVER_RAN)]
+        request = attempt.request
+        earlier = [other for other in request.attempts if other is not attempt and other.may_have_run]
+        begun = [
+            other for other in earlier if other.write_started_at is not None or other.status not in (None, *NEVER_RAN)
+        ]
         if not begun:
             return
-        if request.type.effect is Effect.ONCE_ONLY:
-            self.violated(Violation.SECOND_EFFECT, request.id, attempt=send.number)
-        elif request.type.effect is Effect.DEDUPLICATED:
-            first = min(other.sent if other.begun is None else other.begun for other in begun)
-            if now > first + request.type.remembered_ms:
-                self.violated(Violation.SECOND_EFFECT, request.id, attempt=send.number, after_ms=round(now - first))
-
-    def order_begins(self, now: float, order: Order) -> None:
+        if request.request_class.idempotency is Idempotency.AT_MOST_ONCE:
+            self.violated(Violation.SECOND_EFFECT, request.id, attempt=attempt.number)
+        elif request.request_class.idempotency is Idempotency.DEDUPLICATED:
+            first = min(
+                other.started_at if other.write_started_at is None else other.write_started_at for other in begun
+            )
+            if now > first + request.request_class.deduplication_window_ms:
+                self.violated(Violation.SECOND_EFFECT, request.id, attempt=attempt.number, after_ms=round(now - first))
+
+    def order_begins(self, now: float, order: LoadOrder) -> None:
         """A load order's first byte is about to leave."""
-        if now > order.until + DRAIN_SLACK_MS or not order.copy.worker.live:
-            self.violated(Violation.LOAD_ORDER_LATE, order.copy.function.id, worker=order.copy.worker.id)
+        if now > order.latest_start + DRAIN_SLACK_MS or not order.instance.worker.live:
+            self.violated(Violation.LOAD_ORDER_LATE, order.instance.function.id, worker=order.instance.worker.id)
--- a/kelptrail/engine/settings.py
+++ b/kelptrail/engine/settings.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from kelptrail.dispatch.entities import Customer, Effect, NamespaceType
+from kelptrail.dispatch.entities import Tenant, Idempotency, RequestClass
 
-EFFECTS = {"free": Effect.REPEATABLE, "guarded": Effect.DEDUPLICATED, "single_shot": Effect.ONCE_ONLY}
+EFFECTS = {"free": Idempotency.IDEMPOTENT, "guarded": Idempotency.DEDUPLICATED, "single_shot": Idempotency.AT_MOST_ONCE}
 SCOPES = {scope: scope for scope in ("all", "zone", "cell")}
 REPORTED = {"cpu": "util"}
 LONGEST = 1e15  # microseconds, some thirty years
@@ -20,7 +20,7 @@
     """Input that is not of the protocol, or settings that cannot be used."""
 
 
-class Told:
+class SettingsObject:
     """A JSON object, and where it stands."""
 
     def __init__(self, told: Any, at: str) -> None:
@@ -38,9 +38,9 @@
             raise MalformedError(f"{self.at}.{name}: missing")
         return found
 
-    def part(self, name: str) -> Told:
+    def object(self, name: str) -> SettingsObject:
         """An object within."""
-        return Told(self.find(name), f"{self.at}.{name}")
+        return SettingsObject(self.find(name), f"{self.at}.{name}")
 
     def items(self, name: str) -> list[Any]:
         """A list."""
@@ -48,9 +48,9 @@
             raise MalformedError(f"{self.at}.{name}: no list")
         return found
 
-    def parts(self, name: str) -> Iterator[Told]:
+    def objects(self, name: str) -> Iterator[SettingsObject]:
         """A list of objects."""
-        return (Told(item, f"{self.at}.{name}[{n}]") for n, item in enumerate(self.items(name)))
+        return (SettingsObject(item, f"{self.at}.{name}[{n}]") for n, item in enumerate(self.items(name)))
 
     def number(self, name: str, least: float = 0.0, most: float = LONGEST) -> float:
         """A number within a range, both ends included."""
@@ -61,7 +61,7 @@
             raise MalformedError(f"{self.at}.{name}: {_short(found)} is not from {least:g} to {most:g}")
         return float(found)
 
-    def whole(self, name: str, least: int = 0, most: int = 1 << 40) -> int:
+    def integer(self, name: str, least: int = 0, most: int = 1 << 40) -> int:
         """A whole number within a range."""
         if (found := self.number(name, least, most)) != int(found):
             raise MalformedError(f"{self.at}.{name}: {found:g} is no whole number")
@@ -91,7 +91,7 @@
             raise MalformedError(f"{self.at}.{name}: not all of it is text")
         return found
 
-    def one_of(self, name: str, choices: Mapping[str, T]) -> T:
+    def choice(self, name: str, choices: Mapping[str, T]) -> T:
         """What a text stands for."""
         if (found := self.text(name)) not in choices:
             raise MalformedError(f"{self.at}.{name}: {_short(found)} is none of {', '.join(choices)}")
@@ -99,77 +99,77 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Deployment:
+class DispatcherSettings:
     """What one dispatcher is built from."""
 
-    types: list[NamespaceType]
-    customers: list[Customer]
-    fields: list[str]
+    request_classes: list[RequestClass]
+    tenants: list[Tenant]
+    report_fields: list[str]
     zone: int
-    tells_warm: bool
-    parallel: bool
-    cancels: bool
-    most_sends: int
-    longest_return_ms: float
-    tip: float
-    tip_ms: float
-    cold_share: float
-    cold_ms: float
-    keep_ms: float
-    loads: bool  # a worker without the function loads it for a send
-    ration: tuple[bool, float, float, float]
-    connect_ms: float
-
-
-def read(settings: Any) -> Deployment:
+    reports_warm: bool
+    parallel_attempts: bool
+    can_cancel: bool
+    max_attempts: int
+    max_retry_after_ms: float
+    overload_multiple: float
+    overload_window_ms: float
+    initial_capacity: float
+    slow_start_ms: float
+    keep_alive_ms: float
+    loads_on_demand: bool  # a worker without the function loads it for a send
+    load_ration: tuple[bool, float, float, float]
+    connect_timeout_ms: float
+
+
+def read_settings(settings: Any) -> DispatcherSettings:
     """The settings object of a start.  Raises `MalformedError`."""
-    told = Told(settings, "settings")
-    rules, bounds, extras = told.part("rules"), told.part("bounds"), told.part("specifics")
-    types = [_type(each) for each in told.parts("classes")]
-    if not types or len({type_.name for type_ in types}) < len(types):
+    told = SettingsObject(settings, "settings")
+    rules, bounds, extras = told.object("rules"), told.object("bounds"), told.object("specifics")
+    types = [_type(each) for each in told.objects("classes")]
+    if not types or len({request_class.name for request_class in types}) < len(types):
         raise MalformedError(f"{told.at}.classes: none, or one name twice")
     customers = [
-        Customer(each.text("name"), each.number("allowance_per_s"))
-        for each in (told.parts("customers") if told.has("customers") else ())
+        Tenant(each.text("name"), each.number("allowance_per_s"))
+        for each in (told.objects("customers") if told.has("customers") else ())
     ]
-    if customers and not sum(customer.allowed_per_s for customer in customers):
+    if customers and not sum(tenant.quota_per_s for tenant in customers):
         raise MalformedError(f"{told.at}.customers: none of them has an allowance_per_s over 0")
-    return Deployment(
-        types=types,
-        customers=customers,
-        fields=[REPORTED.get(name, name) for name in told.part("report").texts("fields")],
-        zone=told.whole("my_zone"),
-        tells_warm=extras.flag("says_warm"),
-        parallel=bounds.flag("parallel_tries"),
-        cancels=bounds.flag("may_cancel"),
-        most_sends=bounds.whole("max_attempts", 1),
-        longest_return_ms=bounds.ms("max_retry_after_us") if bounds.flag("retry_after") else 0.0,
-        tip=rules.number("tip_multiple"),
-        tip_ms=rules.ms("fall_us", 1),
-        cold_share=rules.number("start_capacity", 0, 1),
-        cold_ms=rules.ms("cold_us"),
-        keep_ms=extras.ms("idle_life_us"),
-        loads=extras.has("not_loaded") and extras.one_of("not_loaded", {"load": True, "miss": False}),
-        ration=(
+    return DispatcherSettings(
+        request_classes=types,
+        tenants=customers,
+        report_fields=[REPORTED.get(name, name) for name in told.object("report").texts("fields")],
+        zone=told.integer("my_zone"),
+        reports_warm=extras.flag("says_warm"),
+        parallel_attempts=bounds.flag("parallel_tries"),
+        can_cancel=bounds.flag("may_cancel"),
+        max_attempts=bounds.integer("max_attempts", 1),
+        max_retry_after_ms=bounds.ms("max_retry_after_us") if bounds.flag("retry_after") else 0.0,
+        overload_multiple=rules.number("tip_multiple"),
+        overload_window_ms=rules.ms("fall_us", 1),
+        initial_capacity=rules.number("start_capacity", 0, 1),
+        slow_start_ms=rules.ms("cold_us"),
+        keep_alive_ms=extras.ms("idle_life_us"),
+        loads_on_demand=extras.has("not_loaded") and extras.choice("not_loaded", {"load": True, "miss": False}),
+        load_ration=(
             extras.flag("load_control"),
             extras.number("free_loads"),
             extras.number("load_share"),
             extras.ms("load_span_us"),
         ),
-        connect_ms=bounds.ms("connect_timeout_us", 1),
+        connect_timeout_ms=bounds.ms("connect_timeout_us", 1),
     )
 
 
-def _type(told: Told) -> NamespaceType:
-    effect = told.one_of("effect", EFFECTS)
-    guarded = effect is Effect.DEDUPLICATED
-    return NamespaceType(
+def _type(told: SettingsObject) -> RequestClass:
+    effect = told.choice("effect", EFFECTS)
+    guarded = effect is Idempotency.DEDUPLICATED
+    return RequestClass(
         told.text("name"),
         effect,
         told.ms("aim_us", 1),
         told.number("gain", 1e-9),
         told.number("late_worth"),
-        told.one_of("key_scope", SCOPES) if guarded and told.has("key_scope") else "all",
+        told.choice("key_scope", SCOPES) if guarded and told.has("key_scope") else "all",
         told.ms("window_us") if guarded else 0.0,
     )
 
--- a/kelptrail/front/invoke/api.py
+++ b/kelptrail/front/invoke/api.py
@@ -468,7 +468,7 @@
         ivk = self._driver.gateway.in_hand_of(record.id)
         if record.final or ivk is None:
             raise ApiError(409, "The activation has its final answer, or is being resumed; nothing was cancelled.")
-        if record.effect != "repeatable" and any(send.may_have_run for send in ivk.act.sends):
+        if record.effect != "repeatable" and any(send.may_have_run for send in ivk.act.attempts):
             raise ApiError(409, "The activation may have run; cancelling would not undo its effect.")
         self._driver.gateway.left(now_ms(), ivk)
         self._driver.stir_soon()
--- a/kelptrail/gateway/build.py
+++ b/kelptrail/gateway/build.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from kelptrail.dispatch.dispatcher import Dispatcher
-from kelptrail.dispatch.entities import Customer, Effect, Function, NamespaceType
-from kelptrail.dispatch.instance_table import Copies
-from kelptrail.dispatch.outlier_detection import Health
+from kelptrail.dispatch.entities import Tenant, Idempotency, Function, RequestClass
+from kelptrail.dispatch.instance_table import InstanceTable
+from kelptrail.dispatch.outlier_detection import OutlierDetector
 from kelptrail.dispatch.placement import Placement
-from kelptrail.dispatch.queues import Queues
-from kelptrail.dispatch.retries import Attempts
-from kelptrail.dispatch.safety import Gate
-from kelptrail.dispatch.timer_queue import Agenda
+from kelptrail.dispatch.queues import RequestQueues
+from kelptrail.dispatch.retries import RetryBudget
+from kelptrail.dispatch.safety import SafetyGuard
+from kelptrail.dispatch.timer_queue import TimerQueue
 from kelptrail.settings.deployment import Deployment
 
 
@@ -21,14 +21,14 @@
         place, rules = deployment.dispatcher, deployment.rules
         self.deployment = deployment
         self.types = {
-            t.name: NamespaceType(
-                t.name, Effect(t.effect), t.target_ms, t.utility, t.late_share, t.scope, t.remembered_ms, t.hedge
+            t.name: RequestClass(
+                t.name, Idempotency(t.effect), t.target_ms, t.utility, t.late_share, t.scope, t.remembered_ms, t.hedge
             )
             for t in deployment.types.values()
         }
-        self.customers = {n.name: Customer(n.name, n.allowed_per_s) for n in deployment.namespaces.values()}
+        self.customers = {n.name: Tenant(n.name, n.allowed_per_s) for n in deployment.namespaces.values()}
         self.zones = {name: number for number, name in enumerate(deployment.halls)}
-        gate = self.gate = Gate(
+        gate = self.gate = SafetyGuard(
             seed,
             place.parallel,
             place.most_sends,
@@ -38,17 +38,17 @@
             rules.cold_ms,
             (rules.orders, rules.free_loads, rules.load_share, rules.load_span_ms),
         )
-        health, agenda = Health(), Agenda()
+        health, timers = OutlierDetector(), TimerQueue()
         self.dispatcher = Dispatcher(
             gate,
             health,
             Placement(gate, health, self.zones.get(hall, 0), seed),
-            Copies(agenda, place.keep_ms),
-            Queues(seed, list(self.types.values()), list(self.customers.values())),
-            agenda,
+            InstanceTable(timers, place.keep_ms),
+            RequestQueues(seed, list(self.types.values()), list(self.customers.values())),
+            timers,
             place.cancels,
             place.longest_return_ms,
-            Attempts(place.second_share, place.second_most),
+            RetryBudget(place.second_share, place.second_most),
         )
         self._functions: dict[str, Function] = {}
         self.paths = {action.model: path for path, action in deployment.actions.items()}
--- a/kelptrail/gateway/connection_health.py
+++ b/kelptrail/gateway/connection_health.py
@@ -6,10 +6,12 @@
 
 from __future__ import annotations
 
-from kelptrail.dispatch.entities import Outcome
+from kelptrail.dispatch.entities import AttemptStatus
 
-REACHED = frozenset({Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL, Outcome.MISS})
-NOT_REACHED = frozenset({Outcome.UNREACHABLE, Outcome.BROKEN, Outcome.SILENT})
+REACHED = frozenset(
+    {AttemptStatus.COMPLETED, AttemptStatus.ERROR, AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.NOT_LOADED}
+)
+NOT_REACHED = frozenset({AttemptStatus.UNREACHABLE, AttemptStatus.CONNECTION_LOST, AttemptStatus.SILENT})
 
 
 class LinkSight:
@@ -19,7 +21,7 @@
         self._span_ms = span_ms
         self._reached = self._failed = float("-inf")
 
-    def ended(self, now: float, outcome: Outcome) -> None:
+    def ended(self, now: float, outcome: AttemptStatus) -> None:
         """A send or an order has ended."""
         if outcome in REACHED:
             self._reached = now
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -16,8 +16,8 @@
 import msgspec
 
 from kelptrail.codec.infer import Answer
-from kelptrail.dispatch.entities import Activation, Copy, Effect, Order, Outcome, Send, Worker
-from kelptrail.dispatch.timer_queue import Agenda
+from kelptrail.dispatch.entities import Request, Instance, Idempotency, LoadOrder, AttemptStatus, Attempt, Worker
+from kelptrail.dispatch.timer_queue import TimerQueue
 from kelptrail.membership.members import Listing, Members
 from kelptrail.settings.deployment import ActionSettings
 from kelptrail.store.activation_journal import Life
@@ -32,7 +32,12 @@
 from .overload import Storm, StormSettings
 from .records import Keeping, Record, Records
 
-OUTCOMES = {"completed": Outcome.COMPLETED, "error": Outcome.ERROR, "full": Outcome.FULL, "miss": Outcome.MISS}
+OUTCOMES = {
+    "completed": AttemptStatus.COMPLETED,
+    "error": AttemptStatus.ERROR,
+    "full": AttemptStatus.OUT_OF_CAPACITY,
+    "miss": AttemptStatus.NOT_LOADED,
+}
 MAY_HAVE_RUN = b'{"error":"The activation was aborted: it may have run, so trying again may repeat its effect."}'
 MOST_MARGIN = 0.25  # of a call's time: at the most so much earlier it is given up
 CUT_OFF = b'{"error":"The activation was aborted in the middle of its stream; what was given stands."}'
@@ -43,7 +48,7 @@
 class Ivk:
     """One call in hand: the decisions' activation, its record, and what a send carries."""
 
-    act: Activation
+    act: Request
     record: Record
     action: ActionSettings
     payload: bytes
@@ -62,7 +67,7 @@
     promises: list[Callable[[bool | None], None]] = field(default_factory=list)  # see `promise`
     refused: bool = False  # too few have its record: its end is written before its client is told
     moved: bool = False  # from this dispatcher's disk alone to a book with copies
-    held: list[Send] = field(default_factory=list)  # sends that wait until "may run" is safe
+    held: list[Attempt] = field(default_factory=list)  # sends that wait until "may run" is safe
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,14 +75,14 @@
     """Send the call to its worker."""
 
     ivk: Ivk
-    send: Send
+    send: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
     """Stop waiting for a send; `reason` is "revoked" or "silent"."""
 
-    send: Send
+    send: Attempt
     reason: str
 
 
@@ -85,7 +90,7 @@
 class PlaceOrder:
     """Give a worker a hold order."""
 
-    order: Order
+    order: LoadOrder
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,9 +128,9 @@
     )
 
 
-def _second(send: Send) -> bool:
+def _second(send: Attempt) -> bool:
     """Whether it went out beside, or after, one that may have run."""
-    return any(other.may_have_run for other in send.act.sends[: send.number])
+    return any(other.may_have_run for other in send.request.attempts[: send.number])
 
 
 EffectOut = StartSend | GiveUp | PlaceOrder | Part | Final | Note
@@ -143,7 +148,7 @@
     orders: int = 0
     second_sends: int = 0  # sent while an earlier send of the same activation may have run
     second_saved: int = 0  # of these, those that brought the final answer; the rest was wasted
-    outcomes: dict[Outcome, int] = field(default_factory=dict)
+    outcomes: dict[AttemptStatus, int] = field(default_factory=dict)
 
 
 class KeyConflictError(Exception):
@@ -163,18 +168,18 @@
         self._margin_ms = place.answer_margin_ms
         self.answer_ms = 0.0  # what answering one call takes the host; kept by it
         self._dispatcher = world.dispatcher
-        self._ivks: dict[Activation, Ivk] = {}
+        self._ivks: dict[Request, Ivk] = {}
         self._owed: deque[EffectOut] = deque()
-        self._due = Agenda()  # activations whose sends are given up on
+        self._due = TimerQueue()  # activations whose sends are given up on
         self._next_beat = -1e18
         self.journal = journal
         self.holdings = Holdings(place.held, place.held_mb * 1e6, place.held_each)
         self.promising: Callable[[], Keeping | None] | None = None  # the book with copies that new calls go to
         self._short: deque[Ivk] = deque()  # those whose record too few have
-        self._unsafe: deque[Send] = deque()  # sends that will not be: the journal failed
+        self._unsafe: deque[Attempt] = deque()  # sends that will not be: the journal failed
         self._keys: dict[tuple[str, str, str], Record] = {}
         self._joined: dict[str, Ivk] = {}  # calls in hand by id
-        self._certain: deque[Activation] = deque()  # deferred calls whose records have become safe
+        self._certain: deque[Request] = deque()  # deferred calls whose records have become safe
         damping = world.deployment.storm
         self.storm = Storm(
             StormSettings(damping.damp, longest_ms=damping.longest_return_ms, most_known=damping.most_known),
@@ -237,14 +242,14 @@
         # Guards against a herd of calls that came at one moment and must all be answered at one: so many answers take
         # their time, and the last of them would be late.
         margin = min(MOST_MARGIN * record.timeout_ms, self._margin_ms + self.answer_ms * len(self._ivks))
-        act = Activation(
+        act = Request(
             id_,
             self._world.types[action.type],
             self._world.function(action.path),
             self._world.customers[namespace],
             now,
             now + record.timeout_ms - max(self._margin_ms, margin),
-            marked=key is not None,
+            has_idempotency_key=key is not None,
         )
         mark = f"{namespace}/{action.path}/{key}" if key is not None else id_
         if deferred and self.promising is not None:
@@ -253,7 +258,7 @@
             record.book = book if kept else None
         else:
             kept = self.journal is not None and self.journal.takes() and (deferred or key is not None)
-        passage = Passage(settings.effect == Effect.REPEATABLE.value, kept, deferred)
+        passage = Passage(settings.effect == Idempotency.IDEMPOTENT.value, kept, deferred)
         ivk = Ivk(act, record, action, payload, mark, passage, [waiter] if waiter is not None else [])
         ivk.form, ivk.streamed, ivk.until, ivk.deferred = form, streamed, act.deadline, deferred
         ivk.who = f"{namespace}/{action.path}/{who or key or id_}"
@@ -269,7 +274,7 @@
         self.holdings.take(namespace, len(payload))
         ivk.passage.queue()
         # Guards against load orders earned by calls that a failing disk turns away: they were not taken.
-        self._dispatcher.taken(now, act, anew=not (kept and deferred))
+        self._dispatcher.on_request(now, act, anew=not (kept and deferred))
         return ivk
 
     def door(self, now: float, namespace: str, path: str, size: int, mark: str) -> tuple[str, float] | None:
@@ -295,7 +300,7 @@
         if (
             record is None
             or record.answer == "rejected"
-            or (record.answer == "aborted" and record.effect == Effect.REPEATABLE.value)
+            or (record.answer == "aborted" and record.effect == Idempotency.IDEMPOTENT.value)
         ):
             return None
         if record.digest != digest:
@@ -367,9 +372,9 @@
                     partial(self._recorded, ivk, journal),
                 )
             elif need is Need.MAY_RUN:
-                first = next(send for send in ivk.act.sends if send.may_have_run)
-                sent = record.start + (first.sent - record.taken)
-                journal.write(MayRun(record.id, sent, first.copy.worker.id), partial(self._cleared, ivk, journal))
+                first = next(send for send in ivk.act.attempts if send.may_have_run)
+                sent = record.start + (first.started_at - record.taken)
+                journal.write(MayRun(record.id, sent, first.instance.worker.id), partial(self._cleared, ivk, journal))
             else:
                 self.passes("answered")
                 if ivk.passage.owed:
@@ -438,7 +443,7 @@
             if ivk is None:
                 continue
             if not ivk.passage.final:
-                self._dispatcher.left(ivk.act)
+                self._dispatcher.on_client_gone(ivk.act)
                 self.holdings.give(record.namespace, len(ivk.payload))
                 self._release(ivk, False)
             ivk.passage.let_go()
@@ -451,50 +456,52 @@
         self.records.take_out(gone)
         return len(gone)
 
-    def _go(self, ivk: Ivk, send: Send) -> None:
+    def _go(self, ivk: Ivk, send: Attempt) -> None:
         ivk.passage.go()
         self.counts.second_sends += _second(send)
         ivk.record.sends += 1
         self.counts.sends += 1
 
     def answered(
-        self, now: float, send: Send, outcome: Outcome, answer: Answer | None = None, went: bool = True
+        self, now: float, send: Attempt, outcome: AttemptStatus, answer: Answer | None = None, went: bool = True
     ) -> None:
         """How a send ended, as seen on its socket; `went` is False for one that was held and never went out."""
-        if send.outcome is not None:
-            raise ValueError(f"send {send.number} of {send.act.id} has ended already")
+        if send.status is not None:
+            raise ValueError(f"send {send.number} of {send.request.id} has ended already")
         self.counts.outcomes[outcome] = self.counts.outcomes.get(outcome, 0) + 1
-        act, ivk = send.act, self._ivks.get(send.act)
+        act, ivk = send.request, self._ivks.get(send.request)
         if ivk is not None and went:
             ivk.passage.back()
-        over = act.verdict is not None or outcome is Outcome.COMPLETED
-        if ivk is not None and act.verdict is None and outcome is Outcome.COMPLETED:
+        over = act.final_status is not None or outcome is AttemptStatus.COMPLETED
+        if ivk is not None and act.final_status is None and outcome is AttemptStatus.COMPLETED:
             ivk.answer = answer
             self.counts.second_saved += _second(send)
         heard = answer or Answer("none")
-        if ivk is not None and outcome in (Outcome.COMPLETED, Outcome.MISS):
-            self.storm.met(now, outcome is Outcome.MISS)
+        if ivk is not None and outcome in (AttemptStatus.COMPLETED, AttemptStatus.NOT_LOADED):
+            self.storm.met(now, outcome is AttemptStatus.NOT_LOADED)
             tally = self._tally(ivk.record.path)
-            tally.missed += outcome is Outcome.MISS
-            if outcome is Outcome.COMPLETED:
+            tally.missed += outcome is AttemptStatus.NOT_LOADED
+            if outcome is AttemptStatus.COMPLETED:
                 tally.completed += 1
-                tally.work_ms += now - send.sent
-                tally.late += now - act.taken > act.type.target_ms
-        self._dispatcher.answered(now, send, outcome, over, heard.load_failed, heard.found, heard.company, heard.report)
-        if ivk is not None and not ivk.record.final and act.verdict == "completed":
+                tally.work_ms += now - send.started_at
+                tally.late += now - act.received_at > act.request_class.latency_objective_ms
+        self._dispatcher.on_attempt_finished(
+            now, send, outcome, over, heard.load_failed, heard.found, heard.company, heard.report
+        )
+        if ivk is not None and not ivk.record.final and act.final_status == "completed":
             self._finish(now, ivk, "completed")
         self._settle(act)
 
-    def piece(self, now: float, send: Send, data: bytes) -> None:
+    def piece(self, now: float, send: Attempt, data: bytes) -> None:
         """A part of a streamed answer has come.  The first binds the call to its send; others are not heard."""
-        ivk = self._ivks.get(send.act)
+        ivk = self._ivks.get(send.request)
         if ivk is None or ivk.passage.final or not ivk.streamed:
             return
-        if send.act.bound is None:
+        if send.request.streaming_attempt is None:
             kind = self._world.deployment.types[ivk.record.kind]
-            whole = send.act.taken + min(kind.stream_ms, ivk.stream_limit_ms) - self._margin_ms
-            self._dispatcher.began(now, send, max(now, whole))
-        if send.act.bound is not send:
+            whole = send.request.received_at + min(kind.stream_ms, ivk.stream_limit_ms) - self._margin_ms
+            self._dispatcher.on_response_started(now, send, max(now, whole))
+        if send.request.streaming_attempt is not send:
             return
         ivk.parts += 1
         self.flow(now, ivk, True)
@@ -502,28 +509,28 @@
 
     def flow(self, now: float, ivk: Ivk, goes: bool) -> None:
         """Whether parts of a stream are read on; while a slow client holds them back no stall is counted."""
-        if ivk.act.bound is not None and not ivk.passage.final:
+        if ivk.act.streaming_attempt is not None and not ivk.passage.final:
             stall = self._world.deployment.types[ivk.record.kind].stall_ms if goes else float("inf")
             before, ivk.until = ivk.until, min(ivk.act.deadline, now + stall)
             if ivk.until < before or ivk.parts == 1:
                 self._due.add(ivk.until, ivk.act)
 
-    def told(self, now: float, order: Order, outcome: Outcome, standing: int) -> None:
+    def told(self, now: float, order: LoadOrder, outcome: AttemptStatus, standing: int) -> None:
         """How a hold order ended."""
-        self._dispatcher.told(now, order, outcome, standing)
+        self._dispatcher.on_load_report(now, order, outcome, standing)
 
     def left(self, now: float, ivk: Ivk) -> None:
         """The client of a call has gone away before its final answer."""
         if ivk.record.final:
             return
-        self._dispatcher.left(ivk.act)
+        self._dispatcher.on_client_gone(ivk.act)
         self._finish(now, ivk, "aborted", b'{"error":"The client went away before the answer."}')
         self._settle(ivk.act)
 
     def listed(self, now: float, listing: Listing) -> None:
         """The worker list has changed."""
         workers, restarted = self.members.apply(now, listing)
-        self._dispatcher.listed(now, workers, restarted)
+        self._dispatcher.on_endpoints(now, workers, restarted)
         self.members.purge()
 
     def planned(self, wants: Mapping[str, Mapping[str, int]] | None) -> None:
@@ -533,22 +540,22 @@
         for model, at in (wants or {}).items():
             if (path := self._world.paths.get(model)) is not None:
                 found[self._world.function(path)] = {by_id[w]: count for w, count in at.items() if w in by_id}
-        self._dispatcher.planned(found)
+        self._dispatcher.on_plan(found)
 
     def tallies(self) -> dict[str, Tally]:
         """What was asked of each function since the last time."""
         out, self._tallies = self._tallies, {}
         for model, tally in out.items():
-            tally.lag = self._world.function(self._world.paths[model]).lag
+            tally.lag = self._world.function(self._world.paths[model]).queue_depth
         return out
 
     def standing(self) -> dict[str, dict[str, int]]:
         """Copies as the decisions believe in them: model, worker, how many."""
         out: dict[str, dict[str, int]] = {}
         for worker in self.members:
-            for function, copy in worker.copies.items():
-                if copy.standing:
-                    out.setdefault(function.id, {})[worker.id] = copy.standing
+            for function, copy in worker.instances.items():
+                if copy.loaded:
+                    out.setdefault(function.id, {})[worker.id] = copy.loaded
         return out
 
     def _tally(self, path: str) -> Tally:
@@ -563,14 +570,14 @@
     def effect(self, now: float) -> EffectOut | None:
         """The next thing to carry out, or None."""
         if now >= self._next_beat:
-            self._next_beat = now + self._dispatcher.beat_ms
-            stale = self._dispatcher.beat(now)
+            self._next_beat = now + self._dispatcher.tick_ms
+            stale = self._dispatcher.on_tick(now)
             if stale is not None:
                 self._world.forget(stale)
             self.records.trim(now)
             if now >= self._next_count:  # CPU: a large fleet is not counted at each beat
                 self._next_count = now + 1000
-                cold = [w.started is not None and now - w.started < self._cold_ms for w in self.members if w.live]
+                cold = [w.started_at is not None and now - w.started_at < self._cold_ms for w in self.members if w.live]
                 self.storm.cold_share = sum(cold) / len(cold) if cold else 0.0
         while (act := self._due.pop_due(now)) is not None:
             flowing = self._ivks.get(act)
@@ -584,17 +591,17 @@
             if late is not None and late.passage.stage is Stage.FINAL and not late.passage.owed:
                 self._show(late, True)  # a slow disk does not make a waiting client's answer late
         while self._certain:
-            self._dispatcher.counted(now, self._certain.popleft())
+            self._dispatcher.count_request(now, self._certain.popleft())
         while self._short:
             short = self._short.popleft()
             if not short.passage.final:
-                short.act.return_ms, short.promises = RETURN_MS, []
-                self._dispatcher.left(short.act)
+                short.act.retry_after_ms, short.promises = RETURN_MS, []
+                self._dispatcher.on_client_gone(short.act)
                 self._finish(now, short, "rejected")
         while self._unsafe:  # nothing of it was written to a worker
             send = self._unsafe.popleft()
-            if send.outcome is None:
-                self.answered(now, send, Outcome.UNSENT, None, False)
+            if send.status is None:
+                self.answered(now, send, AttemptStatus.NOT_SENT, None, False)
         if self._pace is not None:
             self._resume(now)
         while True:
@@ -606,21 +613,21 @@
             if (effect := self._follow(now, decision)) is not None:
                 return effect
 
-    def _follow(self, now: float, decision: Send | Order | Activation | str) -> EffectOut | None:
+    def _follow(self, now: float, decision: Attempt | LoadOrder | Request | str) -> EffectOut | None:
         """One decision as an effect; None where its effect waits for the disk or was owed."""
         if isinstance(decision, str):
             return Note(decision)
-        if isinstance(decision, Order):
+        if isinstance(decision, LoadOrder):
             self.counts.orders += 1
             return PlaceOrder(decision)
-        if isinstance(decision, Activation):
-            self._finish(now, self._ivks[decision], decision.verdict or "aborted")
+        if isinstance(decision, Request):
+            self._finish(now, self._ivks[decision], decision.final_status or "aborted")
             self._settle(decision)
             return None
-        if decision.revoked:
+        if decision.cancelled:
             self._give_up(now, decision, "revoked")
             return None
-        ivk = self._ivks[decision.act]
+        ivk = self._ivks[decision.request]
         if decision.number == 0:
             ivk.record.waited_ms = now - ivk.record.taken
         book = ivk.record.book
@@ -633,42 +640,44 @@
         self._go(ivk, decision)
         return StartSend(ivk, decision)
 
-    def _give_up(self, now: float, send: Send, reason: str) -> None:
-        ivk = self._ivks.get(send.act)
+    def _give_up(self, now: float, send: Attempt, reason: str) -> None:
+        ivk = self._ivks.get(send.request)
         if ivk is not None and send in ivk.held:  # it never went out
             ivk.held.remove(send)
             ivk.passage.drop()
-            self.answered(now, send, Outcome.UNSENT, None, False)
+            self.answered(now, send, AttemptStatus.NOT_SENT, None, False)
         else:
             self._owed.append(GiveUp(send, reason))
 
     def next_due(self) -> float:
         """When `effect` should be pulled again at the latest."""
-        dues = (self._next_beat, self._due.next_due(), self._dispatcher.agenda.next_due())
+        dues = (self._next_beat, self._due.next_due(), self._dispatcher.timers.next_due())
         return min(due for due in dues if due is not None)
 
     def _finish(self, now: float, ivk: Ivk, verdict: str, result: bytes | None = None) -> None:
         record, act = ivk.record, ivk.act
-        ran = [send for send in act.sends if send.may_have_run]
+        ran = [send for send in act.attempts if send.may_have_run]
         if verdict == "completed" and ivk.answer is not None:
             self.counts.completed += 1
-            self.storm.completed(now, ivk.who, record.namespace, now - act.taken > act.type.target_ms)
+            self.storm.completed(
+                now, ivk.who, record.namespace, now - act.received_at > act.request_class.latency_objective_ms
+            )
             self.records.end(now, record, verdict, 0 if ivk.answer.success else 1, ivk.answer.result)
         elif verdict == "rejected":
             self.counts.rejected += 1
             self._tally(record.path).rejected += 1
-            record.return_ms = act.return_ms
+            record.return_ms = act.retry_after_ms
             if not ran:
-                record.return_ms = self.storm.turn(now, ivk.who, act.return_ms, record.namespace)
-            if ran and act.type.effect is Effect.DEDUPLICATED:
-                record.repeat_within_ms = max(0.0, ran[0].sent + act.type.remembered_ms - now)
+                record.return_ms = self.storm.turn(now, ivk.who, act.retry_after_ms, record.namespace)
+            if ran and act.request_class.idempotency is Idempotency.DEDUPLICATED:
+                record.repeat_within_ms = max(0.0, ran[0].started_at + act.request_class.deduplication_window_ms - now)
             self.records.end(
                 now, record, verdict, 3, b'{"error":"The activation was rejected; trying again is harmless."}'
             )
         else:
             self.counts.aborted += 1
             record.timed_out = now >= act.deadline - self._margin_ms
-            why = CUT_OFF if act.bound else MAY_HAVE_RUN if ran else NEVER_RAN
+            why = CUT_OFF if act.streaming_attempt else MAY_HAVE_RUN if ran else NEVER_RAN
             self.records.end(now, record, "aborted", 3, result or why)
         self.holdings.give(record.namespace, len(ivk.payload))
         ivk.payload = b""
@@ -820,18 +829,18 @@
         action = self._world.deployment.actions[a.path]
         kind, function = self._world.types[action.type], self._world.function(a.path)
         left = what.left_ms - (now - self._paced)
-        act = Activation(
+        act = Request(
             a.id,
             kind,
             function,
             self._world.customers[a.namespace],
             now,
             now + left - self._margin_ms,
-            marked=a.key is not None,
+            has_idempotency_key=a.key is not None,
         )
         if ran is not None and what.again_ms is not None:  # an earlier send that may have run, at a lost worker
-            sent = now + what.again_ms - (now - self._paced) - kind.remembered_ms
-            act.sends.append(Send(act, Copy(function, Worker(ran.worker)), 0, sent, Outcome.SILENT))
+            sent = now + what.again_ms - (now - self._paced) - kind.deduplication_window_ms
+            act.attempts.append(Attempt(act, Instance(function, Worker(ran.worker)), 0, sent, AttemptStatus.SILENT))
         mark = f"{a.namespace}/{a.path}/{a.key}" if a.key is not None else a.id
         ivk = Ivk(
             act,
@@ -839,7 +848,7 @@
             action,
             a.payload,
             mark,
-            Passage.resumed(kind.effect is Effect.REPEATABLE, ran is not None),
+            Passage.resumed(kind.idempotency is Idempotency.IDEMPOTENT, ran is not None),
             form=a.form,
             until=act.deadline,
         )
@@ -849,13 +858,13 @@
         self._due.add(act.deadline, act)
         self.counts.taken += 1
         self.holdings.take(a.namespace, len(a.payload))
-        self._dispatcher.taken(now, act, anew=False)
+        self._dispatcher.on_request(now, act, anew=False)
 
-    def _settle(self, act: Activation) -> None:
+    def _settle(self, act: Request) -> None:
         """Forget an activation once its final answer stands in its record and nothing of it is out."""
         ivk = self._ivks.get(act)
-        if ivk is not None and ivk.passage.stage is Stage.SHOWN and all(send.outcome for send in act.sends):
+        if ivk is not None and ivk.passage.stage is Stage.SHOWN and all(send.status for send in act.attempts):
             ivk.passage.forget()
             del self._ivks[act]
             self._joined.pop(ivk.record.id, None)
-            act.sends = []  # sends point back at it: let go of them without a collector
+            act.attempts = []  # sends point back at it: let go of them without a collector
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -24,7 +24,7 @@
     read_loaded,
     read_part,
 )
-from kelptrail.dispatch.entities import Order, Outcome, Send, Worker
+from kelptrail.dispatch.entities import LoadOrder, AttemptStatus, Attempt, Worker
 from kelptrail.membership.members import Listing
 from kelptrail.net.pool import Call, Ending, WorkerPool
 from kelptrail.store.driver import JournalDriver
@@ -35,12 +35,16 @@
 BEHIND_MS = 50.0  # a timer that rings so late is told of: the loop has too much to do
 MOST_ANSWER_MS = 2.0  # what one answer may be taken to cost: a stall is not the answers'
 GIVEN_UP = {
-    "revoked": Outcome.REVOKED,
-    "silent": Outcome.SILENT,
-    "order-time": Outcome.SILENT,
-    "malformed": Outcome.BROKEN,
+    "revoked": AttemptStatus.CANCELLED,
+    "silent": AttemptStatus.SILENT,
+    "order-time": AttemptStatus.SILENT,
+    "malformed": AttemptStatus.CONNECTION_LOST,
+}
+ENDED = {
+    Ending.UNREACHABLE: AttemptStatus.UNREACHABLE,
+    Ending.UNSENT: AttemptStatus.NOT_SENT,
+    Ending.BROKEN: AttemptStatus.CONNECTION_LOST,
 }
-ENDED = {Ending.UNREACHABLE: Outcome.UNREACHABLE, Ending.UNSENT: Outcome.UNSENT, Ending.BROKEN: Outcome.BROKEN}
 
 
 class Stream:
@@ -48,7 +52,7 @@
 
     __slots__ = ("_driver", "_events", "_fault", "_final", "_ivk", "_send", "call")
 
-    def __init__(self, driver: Driver, ivk: Ivk, send: Send, most: int) -> None:
+    def __init__(self, driver: Driver, ivk: Ivk, send: Attempt, most: int) -> None:
         self._driver, self._ivk, self._send = driver, ivk, send
         self._events, self._final, self._fault = EventReader(most), None, False
         self.call: Call | None = None
@@ -73,12 +77,12 @@
                 self.call.give_up("malformed")
         self._driver.stir_soon()
 
-    def ended(self, now: float, answer: Answer) -> tuple[Outcome, Answer]:
+    def ended(self, now: float, answer: Answer) -> tuple[AttemptStatus, Answer]:
         """What a whole response comes to.  A stream without its last part broke off; a worker that does not stream
         gave all in one."""
         if self._final is not None and not self._fault:
-            return Outcome.COMPLETED, replace(answer, result=self._final[0], success=self._final[1])
-        return (Outcome.BROKEN if answer.streamed or self._fault else Outcome.COMPLETED), answer
+            return AttemptStatus.COMPLETED, replace(answer, result=self._final[0], success=self._final[1])
+        return (AttemptStatus.CONNECTION_LOST if answer.streamed or self._fault else AttemptStatus.COMPLETED), answer
 
 
 class Driver:
@@ -88,7 +92,7 @@
         self.gateway, self.name, self._settings, self._log = gateway, name, pool, log
         self._loop = asyncio.get_running_loop()
         self._pools: dict[Worker, WorkerPool] = {}
-        self._calls: dict[Send, Call] = {}
+        self._calls: dict[Attempt, Call] = {}
         self._streams: dict[Call, Stream] = {}
         self._orders: dict[Call, asyncio.TimerHandle] = {}
         self._timer: asyncio.TimerHandle | None = None
@@ -127,10 +131,10 @@
         if ending is Ending.ANSWERED and response is not None:
             answer = read_answer(response, ivk.mark, ivk.form)
             outcome = OUTCOMES[answer.kind]
-            if stream is not None and outcome is Outcome.COMPLETED:
+            if stream is not None and outcome is AttemptStatus.COMPLETED:
                 outcome, answer = stream.ended(now_ms(), answer)
         elif ending is Ending.GIVEN_UP:
-            outcome = GIVEN_UP.get(call.reason, Outcome.REVOKED)  # no reason: the loop ends
+            outcome = GIVEN_UP.get(call.reason, AttemptStatus.CANCELLED)  # no reason: the loop ends
         else:
             outcome = ENDED[ending]
         if self.debug:
@@ -149,7 +153,7 @@
 
     def told(self, call: Call, ending: Ending, response: Response | None) -> None:
         """A hold order's call has ended."""
-        order: Order = call.tag
+        order: LoadOrder = call.tag
         timer = self._orders.pop(call, None)
         if timer is not None:
             timer.cancel()
@@ -161,8 +165,8 @@
         if self.debug:
             self._log.debug(
                 "order-ended",
-                function=order.copy.function.id,
-                worker=order.copy.worker.id,
+                function=order.instance.function.id,
+                worker=order.instance.worker.id,
                 outcome=outcome.value,
                 standing=standing,
             )
@@ -254,18 +258,18 @@
             )
         return pool
 
-    def _start(self, ivk: Ivk, send: Send) -> None:
+    def _start(self, ivk: Ivk, send: Attempt) -> None:
         record = ivk.record
         if record.book is not None and not record.book.acting(now_ms()):
             # Looked at right before the write: another may have the book since the send was decided.
-            self.gateway.answered(now_ms(), send, Outcome.UNSENT)
+            self.gateway.answered(now_ms(), send, AttemptStatus.NOT_SENT)
             return
-        pool = self._pool(send.copy.worker)
+        pool = self._pool(send.instance.worker)
         parameters: dict[str, str | int | float | bool] = {
             "dispatcher": self.name,
             "activation": record.id,
             "send": send.number,
-            "limit_ms": round(send.act.deadline - send.sent, 1),
+            "limit_ms": round(send.request.deadline - send.started_at, 1),
         }  # past it a worker does not begin
         if ivk.streamed:
             parameters["stream"] = True
@@ -291,15 +295,19 @@
             self._loop.call_later(0.01, self.gateway.passes, "sent")
         if self.debug:
             self._log.debug(
-                "send", activation=record.id, trace=record.trace, send=send.number, worker=send.copy.worker.id
+                "send", activation=record.id, trace=record.trace, send=send.number, worker=send.instance.worker.id
             )
 
-    def _order(self, order: Order) -> None:
-        pool = self._pool(order.copy.worker)
-        call = pool.start(load_request(pool.address, order.copy.function.id, order.count, self.name), self.told, order)
+    def _order(self, order: LoadOrder) -> None:
+        pool = self._pool(order.instance.worker)
+        call = pool.start(
+            load_request(pool.address, order.instance.function.id, order.count, self.name), self.told, order
+        )
         self._orders[call] = self._loop.call_later(self._settings.order_ms / 1000, call.give_up, "order-time")
         if self.debug:
-            self._log.debug("order", function=order.copy.function.id, worker=order.copy.worker.id, count=order.count)
+            self._log.debug(
+                "order", function=order.instance.function.id, worker=order.instance.worker.id, count=order.count
+            )
 
     def _final(self, ivk: Ivk) -> None:
         record = ivk.record
@@ -319,7 +327,7 @@
 
     def flow(self, ivk: Ivk, goes: bool) -> None:
         """A stream's client reads on, or does not: its worker's connection is read on, or is not."""
-        bound = ivk.act.bound
+        bound = ivk.act.streaming_attempt
         call = self._calls.get(bound) if bound is not None else None
         if call is not None:
             (call.resume if goes else call.pause)()
--- a/kelptrail/membership/members.py
+++ b/kelptrail/membership/members.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from kelptrail.dispatch.entities import State, Worker
+from kelptrail.dispatch.entities import WorkerState, Worker
 
 PREFIX = 6  # hex digits of an id that tell which dispatcher gave it
-STATES = {"live": State.LIVE, "draining": State.DRAINING, "gone": State.GONE}
+STATES = {"live": WorkerState.LIVE, "draining": WorkerState.DRAINING, "gone": WorkerState.REMOVED}
 
 
 class Entry(msgspec.Struct, frozen=True):
@@ -84,20 +84,20 @@
             worker = self._workers.get(entry.id)
             known = self._incarnations.get(entry.id)
             if worker is None:
-                if STATES.get(entry.state, State.LIVE) is State.GONE:
+                if STATES.get(entry.state, WorkerState.LIVE) is WorkerState.REMOVED:
                     continue
                 worker = self._workers[entry.id] = Worker(entry.id)
             elif entry.incarnation != known:
                 restarted.append(worker)
             if entry.incarnation != known:
-                worker.started = now - entry.age_ms
+                worker.started_at = now - entry.age_ms
                 self._incarnations[entry.id] = entry.incarnation
             worker.zone, worker.cell, worker.kind = self._zones.get(entry.hall, 0), entry.cell, entry.kind
-            worker.size, worker.state = entry.size, STATES.get(entry.state, State.LIVE)
+            worker.size, worker.state = entry.size, STATES.get(entry.state, WorkerState.LIVE)
             self.addresses[worker] = entry.address
         for id_, worker in self._workers.items():
             if id_ not in named:
-                worker.state = State.GONE
+                worker.state = WorkerState.REMOVED
         return list(self._workers.values()), restarted
 
     def asked_at(self, id_: str) -> Peer | None:
@@ -106,6 +106,6 @@
 
     def purge(self) -> None:
         """Forget those that are gone and have nothing out."""
-        for id_ in [id_ for id_, w in self._workers.items() if w.gone and not w.sends]:
+        for id_ in [id_ for id_, w in self._workers.items() if w.removed and not w.attempts]:
             self.addresses.pop(self._workers.pop(id_), None)
             self._incarnations.pop(id_, None)
--- a/kelptrail/platform/__main__.py
+++ b/kelptrail/platform/__main__.py
@@ -72,8 +72,8 @@
         signal.SIGTERM: service.end,
         signal.SIGINT: service.end,
     }
-    for number, act in acts.items():
-        loop.add_signal_handler(number, act)
+    for number, request in acts.items():
+        loop.add_signal_handler(number, request)
     came = held.release()
     if signal.SIGTERM not in came and signal.SIGINT not in came:
         await open_door(service)
--- a/kelptrail/platform/client_server.py
+++ b/kelptrail/platform/client_server.py
@@ -15,7 +15,7 @@
 
 from kelptrail.codec import frames
 from kelptrail.codec.frames import FrameError, FrameReader
-from kelptrail.dispatch.entities import Activation, Customer, Effect, NamespaceType
+from kelptrail.dispatch.entities import Request, Tenant, Idempotency, RequestClass
 from kelptrail.engine.invariants import Invariants, Violation
 from kelptrail.net.connection import Link
 from kelptrail.net.listener import Door
@@ -48,7 +48,7 @@
 
     def __init__(self, client: Client, stream: int, id_: str, key: str, body: bytes) -> None:
         self.client, self.stream, self.id, self.key, self.body = client, stream, id_, key, body
-        self.act: Activation | None = None
+        self.act: Request | None = None
         self.gone_ms: float | None = None  # when its client went
         self.answered = False
 
@@ -61,9 +61,9 @@
     def __init__(
         self,
         told: dict[str, str],
-        types: Mapping[str, NamespaceType],
+        types: Mapping[str, RequestClass],
         longest: Mapping[str, float],
-        customers: Mapping[str, Customer],
+        customers: Mapping[str, Tenant],
         most_mb: float,
     ) -> None:
         self.id, self.item, self.key = told.get("txn", ""), told.get("item", ""), told.get("unique", "")
@@ -74,7 +74,9 @@
         self.type, self.customer = type_, customers.get(told.get("team", ""))
         if customers and self.customer is None:
             raise UnusableError("an unknown tenant")
-        if (self.key and not _KEY.fullmatch(self.key)) or (not self.key and type_.effect is Effect.DEDUPLICATED):
+        if (self.key and not _KEY.fullmatch(self.key)) or (
+            not self.key and type_.idempotency is Idempotency.DEDUPLICATED
+        ):
             raise UnusableError("an idempotency key that is none")
         self.left_ms = _figure(told.get("limit", ""), 1, longest[type_.name])
         further = {}
@@ -134,8 +136,8 @@
         self,
         loop: asyncio.AbstractEventLoop,
         sockets: Sockets,
-        types: list[NamespaceType],
-        customers: list[Customer],
+        types: list[RequestClass],
+        customers: list[Tenant],
         most: int,
         most_bytes: int,
         take: Callable[[Request, Asked], None],
--- a/kelptrail/platform/config.py
+++ b/kelptrail/platform/config.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from kelptrail.codec.feed import Event, FeedError, read_known
-from kelptrail.engine.settings import MalformedError, Told
-from kelptrail.engine.settings import read as read_settings
+from kelptrail.engine.settings import MalformedError, SettingsObject
+from kelptrail.engine.settings import read_settings as read_settings
 
 PORTS = 65_535
 
@@ -53,7 +53,7 @@
     settings: dict[str, Any]
 
 
-def address(told: Told, name: str) -> tuple[str, int]:
+def address(told: SettingsObject, name: str) -> tuple[str, int]:
     """Host and port of `host:port`.  Raises `MalformedError`."""
     host, _, port = (text := told.text(name)).rpartition(":")
     host = host.strip("[]")
@@ -85,18 +85,18 @@
     except (ValueError, RecursionError) as cause:
         raise IncompleteConfigError(f"no JSON: {cause}") from None
     try:
-        told = Told(found, "configuration")
+        told = SettingsObject(found, "configuration")
         journal = address(told, "journal")
-        settings, limits = told.find("settings"), told.part("limits")
+        settings, limits = told.find("settings"), told.object("limits")
         read_settings(settings)
-        sockets = _sockets(Told(settings, "settings"))
+        sockets = _sockets(SettingsObject(settings, "settings"))
         if before is not None:
             return replace(before, journal=journal)
         return Config(
             told.text("name"),
             address(told, "listen"),
             _seed(told),
-            limits.whole("sockets", 16),
+            limits.integer("sockets", 16),
             limits.number("memory_mb", 1),
             journal,
             read_known(told.find("known"), sockets.zones, sockets.kinds),
@@ -107,27 +107,29 @@
         raise ConfigError(str(cause)) from None
 
 
-def _sockets(told: Told) -> Sockets:
-    bounds, extras = told.part("bounds"), told.part("specifics")
+def _sockets(told: SettingsObject) -> Sockets:
+    bounds, extras = told.object("bounds"), told.object("specifics")
     zones, kinds = told.texts("failure_domains", 1), told.texts("models", 1)
-    told.whole("my_zone", 0, len(zones) - 1)
-    memories = Told({str(n): mb for n, mb in enumerate(extras.items("machine_mb"))}, f"{extras.at}.machine_mb")
+    told.integer("my_zone", 0, len(zones) - 1)
+    memories = SettingsObject(
+        {str(n): mb for n, mb in enumerate(extras.items("machine_mb"))}, f"{extras.at}.machine_mb"
+    )
     most_mb = max(memories.number(str(n), 1) for n in range(len(kinds)))
     return Sockets(
         zones,
         kinds,
-        {each.text("name"): each.ms("give_up_us", 1000) for each in told.parts("classes")},
+        {each.text("name"): each.ms("give_up_us", 1000) for each in told.objects("classes")},
         most_mb,
         extras.ms("answer_within_us", 1),
         bounds.ms("connect_timeout_us", 1),
         bounds.ms("idle_close_us", 1),
-        bounds.whole("multiplex", 1),
+        bounds.integer("multiplex", 1),
         bounds.flag("may_cancel"),
         bounds.flag("parallel_tries"),
     )
 
 
-def _seed(told: Told) -> int:
+def _seed(told: SettingsObject) -> int:
     try:
         return int(text := told.text("seed"), 16)
     except ValueError:
--- a/kelptrail/platform/service.py
+++ b/kelptrail/platform/service.py
@@ -11,10 +11,10 @@
 from kelptrail.codec import frames
 from kelptrail.codec.feed import GONE, READY, Event, FeedReader, Record
 from kelptrail.codec.lines import Answer, call
-from kelptrail.dispatch.entities import Activation, Order, Outcome, Send, State, Worker
+from kelptrail.dispatch.entities import Request, LoadOrder, AttemptStatus, Attempt, WorkerState, Worker
 from kelptrail.dispatch.shutdown import ARRIVALS_MS, NOT_PLANNED, plan_shutdown
-from kelptrail.dispatch.timer_queue import Agenda
-from kelptrail.engine.engine import Entry, Host
+from kelptrail.dispatch.timer_queue import TimerQueue
+from kelptrail.engine.engine import Endpoint, Engine
 from kelptrail.engine.invariants import Invariants
 from kelptrail.engine.wall_clock import WallClockReader
 
@@ -25,7 +25,7 @@
 from .log import EventLog
 from .worker_connections import Bounds, Item, WorkerLinks
 
-STATES = {READY: State.LIVE, GONE: State.GONE}
+STATES = {READY: WorkerState.LIVE, GONE: WorkerState.REMOVED}
 STATE_MS = 5_000.0  # how often the log compares what is believed with what the sockets show
 LAST_MS = ARRIVALS_MS
 PART_MS = 50.0  # for which clients may read on at the end
@@ -55,7 +55,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config) -> None:
         self._loop, self.config, sockets = loop, config, config.sockets
         loop.set_exception_handler(failed)
-        self._host = Host(config.seed, config.settings)
+        self._host = Engine(config.seed, config.settings)
         self._wall_clock = WallClockReader(time.time() * 1000, self._now())
         self._started: dict[str, tuple[int, float]] = {}  # of each worker: as the list tells it, and on our clock
         self._order_ms, self._descriptors = sockets.order_ms, config.descriptors
@@ -77,23 +77,23 @@
         self._front = Front(
             loop,
             sockets,
-            self._host.types,
-            self._host.customers,
+            self._host.request_classes,
+            self._host.tenants,
             clients,
             int(config.memory_mb * (1 << 20) / 16),
             self._take,
             self._left,
-            lambda id_: id_ in self._host.acts,
+            lambda id_: id_ in self._host.requests,
             note,
             self.invariants,
         )
-        self._requests: dict[Activation, Request] = {}
+        self._requests: dict[Request, Request] = {}
         self._links: dict[Worker, WorkerLinks] = {}
         self._addresses: dict[str, tuple[str, int]] = {}
-        self._due = Agenda()  # what the sockets owe: sends whose time is up, orders out for too long
+        self._due = TimerQueue()  # what the sockets owe: sends whose time is up, orders out for too long
         self._timer: asyncio.TimerHandle | None = None
         self._armed = float("inf")
-        self._beat_due = self._now() + self._host.beat_ms
+        self._beat_due = self._now() + self._host.tick_ms
         self._soon = self._closed = False
         self._state_due = self._now() + STATE_MS
         self._counts: Counter[str] = Counter()
@@ -163,8 +163,8 @@
         if unfinished and now < plan.end:
             self._loop.call_later(0.02, self._end_if_idle)
             return
-        for act in list(self._requests):
-            self._final(self._host.stopped(now, act))
+        for request in list(self._requests):
+            self._final(self._host.terminate(now, request))
         self._front.finish(PART_MS)
         self._loop.call_later(PART_MS / 1000, self._end)
 
@@ -178,7 +178,7 @@
     # What happens.
 
     def _take(self, request: Request, asked: Asked) -> None:
-        act = request.act = self._host.taken(
+        act = request.act = self._host.on_request(
             self._now(),
             asked.id,
             asked.type,
@@ -195,35 +195,37 @@
 
     def _left(self, request: Request) -> None:
         if request.act is not None and self._requests.pop(request.act, None) is not None:
-            self._host.left(request.act)
+            self._host.on_client_gone(request.act)
             self._take_back(request.act, WithdrawReason.CLIENT_GONE)
             self._stir_soon()
 
-    def _take_back(self, act: Activation, reason: WithdrawReason) -> None:
+    def _take_back(self, request: Request, reason: WithdrawReason) -> None:
         """Nobody waits any more for what has not begun to leave: behind a slow worker, or a connection not up yet."""
-        for send in act.sends:
-            if send.outcome is None:
-                self._withdraw(send, reason)
-
-    def _withdraw(self, send: Send, reason: WithdrawReason) -> None:
-        links = self._links.get(send.copy.worker)
-        if links is not None and links.withdraw(send):
-            note("attempt withdrawn", request=send.act.id, attempt=send.number, reason=reason.value)
-            self._host.answered(self._now(), send, Outcome.UNSENT, send.act.verdict is not None)
+        for attempt in request.attempts:
+            if attempt.status is None:
+                self._withdraw(attempt, reason)
+
+    def _withdraw(self, attempt: Attempt, reason: WithdrawReason) -> None:
+        links = self._links.get(attempt.instance.worker)
+        if links is not None and links.withdraw(attempt):
+            note("attempt withdrawn", request=attempt.request.id, attempt=attempt.number, reason=reason.value)
+            self._host.on_attempt_finished(
+                self._now(), attempt, AttemptStatus.NOT_SENT, attempt.request.final_status is not None
+            )
             self._stir_soon()
 
-    def _ended(self, item: Item, outcome: Outcome, answer: Answer | None) -> None:
+    def _ended(self, item: Item, status: AttemptStatus, answer: Answer | None) -> None:
         now = self._now()
-        self._counts[outcome.value] += 1
-        if isinstance(item, Order):
+        self._counts[status.value] += 1
+        if isinstance(item, LoadOrder):
             units = answer.units if answer is not None else 0
-            self._host.told(now, item, outcome, units)
+            self._host.on_load_report(now, item, status, units)
         else:
-            over = item.act.verdict is not None
+            over = item.request.final_status is not None
             if (
-                outcome is Outcome.COMPLETED
+                status is AttemptStatus.COMPLETED
                 and answer is not None
-                and (request := self._requests.pop(item.act, None)) is not None
+                and (request := self._requests.pop(item.request, None)) is not None
             ):
                 self._front.answer(request, frames.SERVED, answer.body)
                 over = True
@@ -233,23 +235,25 @@
                 if said.meter is None
                 else [
                     said.meter.get(name, said.meter.get("cpu", 0.0) if name == "util" else 0.0)
-                    for name in self._host.fields
+                    for name in self._host.report_fields
                 ]
             )
-            self._host.answered(now, item, outcome, over, said.tell == "crashed", said.tell == "up", said.ahead, report)
+            self._host.on_attempt_finished(
+                now, item, status, over, said.tell == "crashed", said.tell == "up", said.ahead, report
+            )
             if over:
-                self._take_back(item.act, WithdrawReason.FINISHED)
+                self._take_back(item.request, WithdrawReason.FINISHED)
         self._stir_soon()
 
     def _listed(self, event: Event) -> None:
         now = self._now()
         entries = [
-            Entry(
+            Endpoint(
                 r.id,
                 r.zone,
                 r.kind,
                 r.cell,
-                STATES.get(r.state, State.DRAINING),
+                STATES.get(r.state, WorkerState.DRAINING),
                 r.size,
                 self._started_at(now, r),
             )
@@ -257,23 +261,23 @@
         ]
         before = dict(self._host.workers)
         states = {id_: worker.state for id_, worker in before.items()}
-        restarted = self._host.listed(now, event.whole, entries)
+        restarted = self._host.on_endpoints(now, event.whole, entries)
         for record in event.records or ():
             self._addresses[record.id] = record.address, record.port
         for worker in {**before, **self._host.workers}.values():
-            if worker.state is not states.get(worker.id, State.LIVE) or worker in restarted:
+            if worker.state is not states.get(worker.id, WorkerState.LIVE) or worker in restarted:
                 note("worker state", worker=worker.id, state=worker.state.value, restarted=worker in restarted)
             links = self._links.get(worker)
             if links is not None and (worker in restarted or links.address != self._addresses[worker.id]):
                 del self._links[worker]
                 links.close()
-            elif links is not None and worker.gone:  # its address may be another's from now on
+            elif links is not None and worker.removed:  # its address may be another's from now on
                 links.unreached()
             elif links is not None and not worker.live:  # what waits behind others could leave after the grace
                 for item in links.withdraw_all():
                     note("withdrawn", worker=worker.id, reason=WithdrawReason.DRAINING.value)
-                    self._ended(item, Outcome.UNSENT, None)
-            if worker.gone and worker.id not in self._host.workers:
+                    self._ended(item, AttemptStatus.NOT_SENT, None)
+            if worker.removed and worker.id not in self._host.workers:
                 self._addresses.pop(worker.id, None)
                 self._started.pop(worker.id, None)
         live = sum(worker.live for worker in self._host.workers.values())
@@ -308,76 +312,80 @@
         now = self._now()
         try:
             while (decision := self._host.decide(now)) is not None:
-                if isinstance(decision, Send):
-                    if decision.revoked:
-                        self._give_up(now, decision, Outcome.REVOKED)
+                if isinstance(decision, Attempt):
+                    if decision.cancelled:
+                        self._give_up(now, decision, AttemptStatus.CANCELLED)
                     else:
                         self._send(now, decision)
-                elif isinstance(decision, Order):
+                elif isinstance(decision, LoadOrder):
                     self._order(decision)
                     self._due.add(now + self._order_ms, decision)
-                elif isinstance(decision, Activation):
+                elif isinstance(decision, Request):
                     self._final(decision)
                 else:
                     note(decision)
         finally:
             self._arm()
 
-    def _send(self, now: float, send: Send) -> None:
-        act, request = send.act, self._requests.get(send.act)
+    def _send(self, now: float, attempt: Attempt) -> None:
+        act, request = attempt.request, self._requests.get(attempt.request)
         if request is None:  # guards against one decision too many: it must not end the round
-            self._host.answered(now, send, Outcome.UNSENT, True)
+            self._host.on_attempt_finished(now, attempt, AttemptStatus.NOT_SENT, True)
             return
-        if send.until < act.deadline:
-            self._due.add(send.until, send)
-        if send.number:
-            note("retry", request=act.id, attempt=send.number, after=[_how(other) for other in act.sends[:-1]])
+        if attempt.latest_start < act.deadline:
+            self._due.add(attempt.latest_start, attempt)
+        if attempt.number:
+            note("retry", request=act.id, attempt=attempt.number, after=[_how(other) for other in act.attempts[:-1]])
         size = len(request.body) + CALL_BYTES
-        self._links_to(send.copy.worker).send(send, lambda: self._call(send, request), size)
+        self._links_to(attempt.instance.worker).send(attempt, lambda: self._call(attempt, request), size)
 
-    def _order(self, order: Order) -> None:
+    def _order(self, order: LoadOrder) -> None:
         def may_leave() -> bool:
             now = time.monotonic() * 1000
-            if may := self._host.may_begin(now, order):
+            if may := self._host.may_start(now, order):
                 self.invariants.order_begins(now, order)
             return may
 
-        self._links_to(order.copy.worker).order(order, may_leave)
+        self._links_to(order.instance.worker).order(order, may_leave)
 
-    def _call(self, send: Send, request: Request) -> bytes:
+    def _call(self, attempt: Attempt, request: Request) -> bytes:
         """The bytes of a send as it leaves, with the time that its client has left then; none if it may not begin."""
-        act, now = send.act, time.monotonic() * 1000
+        act, now = attempt.request, time.monotonic() * 1000
         limit_ms = int(act.deadline - now)
-        if limit_ms < 1 or not self._host.may_begin(now, send):
-            note("attempt not begun", request=act.id, attempt=send.number, left_ms=limit_ms)
+        if limit_ms < 1 or not self._host.may_start(now, attempt):
+            note("attempt not begun", request=act.id, attempt=attempt.number, left_ms=limit_ms)
             return b""
-        send.begun = now
-        self.invariants.attempt_begins(now, send, request.gone_ms, limit_ms)
-        return call(act.id, act.type.name, act.function.id, limit_ms, request.key, request.body)
+        attempt.write_started_at = now
+        self.invariants.attempt_begins(now, attempt, request.gone_ms, limit_ms)
+        return call(act.id, act.request_class.name, act.function.id, limit_ms, request.key, request.body)
 
-    def _final(self, act: Activation) -> None:
+    def _final(self, act: Request) -> None:
         request = self._requests.pop(act, None)
         if request is not None:
-            rejected = act.verdict == "rejected"
+            rejected = act.final_status == "rejected"
             note(
                 "request refused" if rejected else "request failed",
                 request=act.id,
                 reason=None if act.reason is None else act.reason.value,
-                attempts=[_how(send) for send in act.sends],
+                attempts=[_how(attempt) for attempt in act.attempts],
             )
             self._front.answer(
-                request, frames.REFUSED if rejected else frames.FAILED, later_ms=round(act.return_ms) if rejected else 0
+                request,
+                frames.REFUSED if rejected else frames.FAILED,
+                later_ms=round(act.retry_after_ms) if rejected else 0,
             )
         self._take_back(act, WithdrawReason.FINISHED)
-        for send in act.sends:
-            if send.outcome is None:
+        for send in act.attempts:
+            if send.status is None:
                 self._due.add(act.deadline, send)
 
-    def _give_up(self, now: float, send: Send, outcome: Outcome) -> None:
-        links = self._links.get(send.copy.worker)
-        arrived = None if links is None else links.give_up(send)
-        if send.outcome is None and arrived is not None:
-            self._host.answered(now, send, outcome if arrived else Outcome.UNSENT, send.act.verdict is not None)
+    def _give_up(self, now: float, attempt: Attempt, status: AttemptStatus) -> None:
+        links = self._links.get(attempt.instance.worker)
+        arrived = None if links is None else links.give_up(attempt)
+        if attempt.status is None and arrived is not None:
+            self._host.on_attempt_finished(
+                now, attempt, status if arrived else AttemptStatus.NOT_SENT, attempt.request.final_status is not None
+            )
 
     def _links_to(self, worker: Worker) -> WorkerLinks:
         links = self._links.get(worker)
@@ -400,11 +408,11 @@
             "state",
             in_hand=len(self._requests),
             clients=len(self._front),
-            believed_out=sum(len(worker.sends) for worker in workers),
+            believed_out=sum(len(worker.attempts) for worker in workers),
             open=sum(links.open for links in self._links.values()),
             connections=sum(len(links) for links in self._links.values()),
-            barred=sum(self._now() < worker.whole.barred_until for worker in workers),
-            doubted=sum(worker.doubted for worker in workers),
+            barred=sum(self._now() < worker.outlier_state.ejected_until for worker in workers),
+            doubted=sum(worker.suspect for worker in workers),
             ends=dict(self._counts),
             violations=dict(self.invariants.violations),
             events=dict(note.counts),
@@ -430,23 +438,25 @@
 
     def _periodic(self, now: float) -> None:
         while (item := self._due.pop_due(now)) is not None:
-            if isinstance(item, Send) and item.act.verdict is None:  # it may begin no more; if it has, it goes on
+            if (
+                isinstance(item, Attempt) and item.request.final_status is None
+            ):  # it may begin no more; if it has, it goes on
                 self._withdraw(item, WithdrawReason.TOO_LATE_TO_BEGIN)
-            elif isinstance(item, Send):
-                self._give_up(now, item, Outcome.SILENT)
+            elif isinstance(item, Attempt):
+                self._give_up(now, item, AttemptStatus.SILENT)
             else:
                 links = self._links.get(item.copy.worker)
                 if links is not None and links.give_up(item) is not None:
-                    self._host.told(now, item, Outcome.SILENT, 0)
+                    self._host.on_load_report(now, item, AttemptStatus.SILENT, 0)
         if now >= self._beat_due:
-            self._beat_due = now + self._host.beat_ms
+            self._beat_due = now + self._host.tick_ms
             if self._wall_clock.observe(time.time() * 1000, now):
                 note("wall clock stepped", steps=self._wall_clock.steps)
-            self._host.beat(now)
+            self._host.on_tick(now)
             self._front.sweep()
             for worker, links in list(self._links.items()):
                 links.sweep()
-                if worker.gone and not links.open:
+                if worker.removed and not links.open:
                     del self._links[worker]
                     links.close()
         if now >= self._state_due:
@@ -454,6 +464,6 @@
             self._state()
 
 
-def _how(send: Send) -> str:
+def _how(attempt: Attempt) -> str:
     """How an attempt ended."""
-    return "out" if send.outcome is None else send.outcome.value
+    return "out" if attempt.status is None else attempt.status.value
--- a/kelptrail/platform/worker_connections.py
+++ b/kelptrail/platform/worker_connections.py
@@ -15,22 +15,22 @@
 from typing import Any
 
 from kelptrail.codec.lines import Answer, LineError, LineReader, cancel, load
-from kelptrail.dispatch.entities import Order, Outcome, Send
+from kelptrail.dispatch.entities import LoadOrder, AttemptStatus, Attempt
 from kelptrail.net.connection import Link, Piece, connect
 from kelptrail.net.errors import is_local_shortage
 
 WORDS = {
-    "OK": Outcome.COMPLETED,
-    "MISS": Outcome.MISS,
-    "BUSY": Outcome.FULL,
-    "ERR": Outcome.ERROR,
-    "VOID": Outcome.UNSENT,
+    "OK": AttemptStatus.COMPLETED,
+    "MISS": AttemptStatus.NOT_LOADED,
+    "BUSY": AttemptStatus.OUT_OF_CAPACITY,
+    "ERR": AttemptStatus.ERROR,
+    "VOID": AttemptStatus.NOT_SENT,
 }
 WAITING = 1 << 20  # bytes that a worker may leave unread
 UNSENT_IN_KERNEL = 16_384  # bytes that the kernel may hold unsent: what it holds can be neither changed nor taken back
 
-Item = Send | Order
-Ended = Callable[[Item, Outcome, Answer | None], None]
+Item = Attempt | LoadOrder
+Ended = Callable[[Item, AttemptStatus, Answer | None], None]
 Make = Callable[[], bytes]
 
 
@@ -166,7 +166,7 @@
             self._task.cancel()
         if self.link is not None:
             self.link.close()
-        self._over(Outcome.UNSENT)
+        self._over(AttemptStatus.NOT_SENT)
 
     async def _connect(self) -> None:
         try:
@@ -175,9 +175,9 @@
             return
         except OSError as cause:
             self._task = None  # without a descriptor for it nothing is known of the worker
-            outcome = Outcome.UNSENT if is_local_shortage(cause) else Outcome.UNREACHABLE
-            self._owner.note("worker connect failed", worker=self._owner.id, cause=cause, outcome=outcome.value)
-            self._over(outcome)
+            status = AttemptStatus.NOT_SENT if is_local_shortage(cause) else AttemptStatus.UNREACHABLE
+            self._owner.note("worker connect failed", worker=self._owner.id, cause=cause, outcome=status.value)
+            self._over(status)
             return
         self._task = None
         self.heard = self._loop.time()
@@ -197,20 +197,20 @@
                 if found is not None:  # else a second copy, a late one, or one that nobody asked for
                     self.used = self.heard  # a second copy comes soon, if one comes
                     self.spent[answer.id] = self.heard + self._owner.bounds.connect_ms / 1000
-                    self._owner.finished(found.item, WORDS.get(answer.word, Outcome.BROKEN), answer)
+                    self._owner.finished(found.item, WORDS.get(answer.word, AttemptStatus.CONNECTION_LOST), answer)
         except LineError as cause:
             self._owner.note("worker unreadable", worker=self._owner.id, cause=str(cause))
             self.close()
 
     def _ended(self) -> None:
-        self._over(Outcome.UNSENT)
+        self._over(AttemptStatus.NOT_SENT)
 
-    def _over(self, unsent: Outcome) -> None:
+    def _over(self, unsent: AttemptStatus) -> None:
         self._owner.gone(self)
         ended, self.open = self.open, {}
         for opened in ended.values():
             arrived = opened.piece is not None and opened.piece.sent
-            self._owner.finished(opened.item, Outcome.BROKEN if arrived else unsent, None)
+            self._owner.finished(opened.item, AttemptStatus.CONNECTION_LOST if arrived else unsent, None)
 
 
 class WorkerLinks:
@@ -239,21 +239,21 @@
         """Sends and orders that are open."""
         return sum(len(connection.open) for connection in self._connections)
 
-    def send(self, send: Send, make: Make, size: int) -> None:
+    def send(self, attempt: Attempt, make: Make, size: int) -> None:
         """Carry out a send, whose bytes are made as they leave."""
-        self._start(send.act.id, send, make, size)
+        self._start(attempt.request.id, attempt, make, size)
 
-    def order(self, order: Order, may_leave: Callable[[], bool]) -> None:
+    def order(self, order: LoadOrder, may_leave: Callable[[], bool]) -> None:
         """Carry out a hold order, if it may still leave once the connection takes it."""
         self._tags += 1
         tag = f"o{self._tags}"
-        data = load(tag, order.copy.function.id, order.count)
+        data = load(tag, order.instance.function.id, order.count)
         self._start(tag, order, lambda: data if may_leave() else b"", len(data))
 
     def unsent(self, item: Item) -> None:
         """It was not to leave any more."""
         if self.withdraw(item):
-            self._ended(item, Outcome.UNSENT, None)
+            self._ended(item, AttemptStatus.NOT_SENT, None)
 
     def give_up(self, item: Item) -> bool | None:
         """Call something off; whether it may arrive.  None: it has ended."""
@@ -301,10 +301,10 @@
         for connection in list(self._connections):
             connection.close()
 
-    def finished(self, item: Item, outcome: Outcome, answer: Answer | None) -> None:
+    def finished(self, item: Item, status: AttemptStatus, answer: Answer | None) -> None:
         """Something open has ended."""
         del self._at[item]
-        self._ended(item, outcome, answer)
+        self._ended(item, status, answer)
 
     def gone(self, connection: Connection) -> None:
         """A connection has ended."""
@@ -326,7 +326,7 @@
                 if (idle := self.idlest) is not None:
                     idle.close()
                 elif len(self._connections) >= self.bounds.most or not self.bounds.make_room():
-                    self._ended(item, Outcome.UNSENT, None)
+                    self._ended(item, AttemptStatus.NOT_SENT, None)
                     return
             best = Connection(self, self._loop)
             self._connections[best] = None
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -15,7 +15,7 @@
 import numpy as np
 
 from kelptrail.codec.infer import Answer
-from kelptrail.dispatch.entities import Order, Outcome, Send
+from kelptrail.dispatch.entities import LoadOrder, AttemptStatus, Attempt
 from kelptrail.fault_scenario.report import world_of
 from kelptrail.fault_scenario.scenario import ON_DISKS, ON_PEERS, ON_PLANNERS, ON_STORE, ON_WORKERS, BadDay, Trouble
 from kelptrail.gateway.build import World
@@ -98,8 +98,8 @@
         self.gateway = Gateway(world, self.boot, self.journal)
         self.gateway.answer_ms = 2 * self._settings.cpu_ms
         self._busy, self._wake, self._wake_at, self._stirring = 0.0, None, float("inf"), False
-        self._orders: dict[Order, Timer] = {}
-        self._open: dict[Send, None] = {}
+        self._orders: dict[LoadOrder, Timer] = {}
+        self._open: dict[Attempt, None] = {}
         self._syncing = False
         self.up = True
         if self.journal is not None and self._book:
@@ -177,7 +177,7 @@
                     self._order(effect.order)
                 elif isinstance(effect, GiveUp) and effect.send in self._open:
                     del self._open[effect.send]
-                    outcome = Outcome.REVOKED if effect.reason == "revoked" else Outcome.SILENT
+                    outcome = AttemptStatus.CANCELLED if effect.reason == "revoked" else AttemptStatus.SILENT
                     self._engine.after(0.0, self._answered, self.starts, effect.send, outcome, None)
         finally:
             self._stirring = False
@@ -194,13 +194,13 @@
             self._wake, self._wake_at = None, float("inf")
             self.stir()
 
-    def _answered(self, start: int, send: Send, outcome: Outcome, answer: Answer | None) -> None:
-        if start == self.starts and self.up and send.outcome is None:
+    def _answered(self, start: int, send: Attempt, outcome: AttemptStatus, answer: Answer | None) -> None:
+        if start == self.starts and self.up and send.status is None:
             self.gateway.answered(self._engine.now, send, outcome, answer)
             self.stir()
 
-    def _send(self, ivk: Ivk, send: Send) -> None:
-        worker = self._site.workers[send.copy.worker.id]
+    def _send(self, ivk: Ivk, send: Attempt) -> None:
+        worker = self._site.workers[send.instance.worker.id]
         start, net = self.starts, self._settings.network_ms
         self._open[send] = None
         self._site.second().sends += 1
@@ -214,16 +214,16 @@
                     ivk.record.id,
                     send.number,
                     self.who,
-                    send.act.deadline - send.sent,
+                    send.request.deadline - send.started_at,
                 )
             else:
-                self._engine.after(2 * net, lambda: over(Outcome.UNREACHABLE, None))
+                self._engine.after(2 * net, lambda: over(AttemptStatus.UNREACHABLE, None))
 
-        def back(outcome: Outcome, answer: Answer | None) -> None:
+        def back(outcome: AttemptStatus, answer: Answer | None) -> None:
             if send in self._open:
                 self._engine.after(net, over, outcome, answer)
 
-        def over(outcome: Outcome, answer: Answer | None) -> None:
+        def over(outcome: AttemptStatus, answer: Answer | None) -> None:
             if self.up and start == self.starts and send in self._open:
                 del self._open[send]
                 self.do(self._answered, start, send, outcome, answer)
@@ -231,12 +231,14 @@
         def arrive() -> None:
             assert not isinstance(worker, RemoteWorker)
             if not worker.up:
-                back(Outcome.UNREACHABLE, None)
+                back(AttemptStatus.UNREACHABLE, None)
                 return
             worker.out[back] = None
-            worker.send(ivk.action, ivk.mark, ivk.record.id, send.number, self.who, send.act.deadline - send.sent, end)
+            worker.send(
+                ivk.action, ivk.mark, ivk.record.id, send.number, self.who, send.request.deadline - send.started_at, end
+            )
 
-        def end(outcome: Outcome, answer: Answer | None) -> None:
+        def end(outcome: AttemptStatus, answer: Answer | None) -> None:
             assert not isinstance(worker, RemoteWorker)
             worker.out.pop(back, None)
             back(outcome, answer)
@@ -244,16 +246,16 @@
         if not isinstance(worker, RemoteWorker):
             self._engine.after(net, arrive)
 
-    def _order(self, order: Order) -> None:
-        worker, start, net = self._site.workers[order.copy.worker.id], self.starts, self._settings.network_ms
-        action = self._site.by_model[order.copy.function.id]
+    def _order(self, order: LoadOrder) -> None:
+        worker, start, net = self._site.workers[order.instance.worker.id], self.starts, self._settings.network_ms
+        action = self._site.by_model[order.instance.function.id]
         if order.count:
             self._site.second().orders += 1
 
-        def told(outcome: Outcome, standing: int) -> None:
+        def told(outcome: AttemptStatus, standing: int) -> None:
             self._engine.after(net, over, outcome, standing)
 
-        def over(outcome: Outcome, standing: int) -> None:
+        def over(outcome: AttemptStatus, standing: int) -> None:
             timer = self._orders.pop(order, None) if start == self.starts else None
             if timer is not None and self.up:
                 timer.cancel()
@@ -265,11 +267,11 @@
             if worker.up:
                 worker.order(action, order.count, self.who, told)
             else:
-                told(Outcome.UNREACHABLE, 0)
+                told(AttemptStatus.UNREACHABLE, 0)
 
-        self._orders[order] = self._engine.after(self._site.deployment.pool.order_ms, over, Outcome.SILENT, 0)
+        self._orders[order] = self._engine.after(self._site.deployment.pool.order_ms, over, AttemptStatus.SILENT, 0)
         if isinstance(worker, RemoteWorker):
-            worker.go("order", over, order.copy.function.id, order.count, self.who)
+            worker.go("order", over, order.instance.function.id, order.count, self.who)
         else:
             self._engine.after(net, arrive)
 
@@ -692,14 +694,14 @@
             worker = self.workers[rest[0]]
             assert isinstance(worker, _Worker)
             if not worker.up:
-                reply(Outcome.UNREACHABLE, None if what == "send" else 0)
+                reply(AttemptStatus.UNREACHABLE, None if what == "send" else 0)
             elif what == "order":
                 worker.order(self.by_model[rest[1]], rest[2], rest[3], reply)
             else:
                 path, mark, activation, send, who, limit = rest[1:]
                 worker.out[reply] = None
 
-                def end(outcome: Outcome, answer: Answer | None) -> None:
+                def end(outcome: AttemptStatus, answer: Answer | None) -> None:
                     worker.out.pop(reply, None)
                     reply(outcome, answer)
 
@@ -867,14 +869,14 @@
     """A worker with the ends of its connections."""
 
     def __init__(self, *words: Any) -> None:
-        self.out: dict[Callable[[Outcome, Answer | None], None], None] = {}
+        self.out: dict[Callable[[AttemptStatus, Answer | None], None], None] = {}
         super().__init__(*words)
 
     def break_all(self) -> None:
         """All its connections end."""
         out, self.out = self.out, {}
         for back in out:
-            back(Outcome.BROKEN, None)
+            back(AttemptStatus.CONNECTION_LOST, None)
 
 
 def result_of(site: Site) -> Result:
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -16,13 +16,13 @@
 import numpy as np
 
 from kelptrail.codec.infer import Answer
-from kelptrail.dispatch.entities import Outcome
+from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.membership.members import Entry
 from kelptrail.settings.deployment import ActionSettings, Deployment, StoreSettings, TypeSettings
 
 from .event_queue import Engine
 
-Reply = Callable[[Outcome, Answer | None], None]
+Reply = Callable[[AttemptStatus, Answer | None], None]
 Note = Callable[..., None]
 
 
@@ -110,7 +110,7 @@
     busy: int = 0
     used: float = 0.0
     waiting: deque[_Job] = field(default_factory=deque)
-    asked: list[tuple[int, Callable[[Outcome, int], None]]] = field(default_factory=list)
+    asked: list[tuple[int, Callable[[AttemptStatus, int], None]]] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
@@ -256,11 +256,11 @@
         fast = self.faults.get("fail-fast")
         kind = self.faults.get("fail-type")
         if (fast and self._chance.random() < fast.share) or (kind and model.type.name == kind.type):
-            reply(Outcome.ERROR, Answer("error"))
+            reply(AttemptStatus.ERROR, Answer("error"))
         elif not model.standing and not model.loading:
-            reply(Outcome.MISS, Answer("miss", report=self._report()))
+            reply(AttemptStatus.NOT_LOADED, Answer("miss", report=self._report()))
         elif self.draining or len(self._queue) >= self._fleet.queue:
-            reply(Outcome.FULL, Answer("full", report=self._report()))
+            reply(AttemptStatus.OUT_OF_CAPACITY, Answer("full", report=self._report()))
         else:
             company = min(30, model.busy + len(model.waiting))
             model.waiting.append(
@@ -300,7 +300,7 @@
                 model.busy += 1
                 self._engine.after(self._work(model), self._worked, job, self._starts)
             else:
-                job.reply(Outcome.ERROR, Answer("error"))
+                job.reply(AttemptStatus.ERROR, Answer("error"))
 
     def _work(self, model: _Model) -> float:
         if not len(self._works):
@@ -344,7 +344,7 @@
         if "silent" not in self.faults and not (lost and self._chance.random() < lost.share):
             answer = Answer("completed", b"{}", True, False, job.found, job.company, self._report())
             late = self.faults.get("answers-late")
-            self._engine.after(late.ms if late else 0.0, job.reply, Outcome.COMPLETED, answer)
+            self._engine.after(late.ms if late else 0.0, job.reply, AttemptStatus.COMPLETED, answer)
         self._pump()
 
     def _report(self) -> dict[str, float]:
@@ -366,7 +366,7 @@
         action: ActionSettings,
         copies: int,
         dispatcher: str,
-        tell: Callable[[Outcome, int], None],
+        tell: Callable[[AttemptStatus, int], None],
         lag: float = 0.0,
     ) -> None:
         """A hold order is read, `lag` ms after it arrived."""
@@ -380,12 +380,12 @@
         if "hang" in self.faults or "silent" in self.faults:
             return
         if self.draining:
-            tell(Outcome.FULL, model.standing)
+            tell(AttemptStatus.OUT_OF_CAPACITY, model.standing)
             return
         model.used = self._engine.now
         while model.standing + model.loading < copies:
             if len(self._load_queue) >= 2 * self._fleet.loads or not self._room(model):
-                tell(Outcome.FULL, model.standing)
+                tell(AttemptStatus.OUT_OF_CAPACITY, model.standing)
                 return
             model.loading += 1
             self._memory += action.memory_mb
@@ -393,7 +393,7 @@
             self._load_queue.append(model)
             self._start_loads()
         if model.standing >= copies:
-            tell(Outcome.COMPLETED, model.standing)
+            tell(AttemptStatus.COMPLETED, model.standing)
         else:
             model.asked.append((copies, tell))
 
@@ -457,14 +457,16 @@
         asked, model.asked = model.asked, []
         for copies, tell in asked:
             if model.standing >= copies:
-                tell(Outcome.COMPLETED, model.standing)
+                tell(AttemptStatus.COMPLETED, model.standing)
             elif not good:
-                tell(Outcome.ERROR, model.standing)
+                tell(AttemptStatus.ERROR, model.standing)
             else:
                 model.asked.append((copies, tell))
         if not model.standing and not model.loading:
             while model.waiting:
-                model.waiting.popleft().reply(Outcome.MISS, Answer("miss", load_failed=True, report=self._report()))
+                model.waiting.popleft().reply(
+                    AttemptStatus.NOT_LOADED, Answer("miss", load_failed=True, report=self._report())
+                )
         self._start_loads()
         self._pump()
 
--- a/kelptrail/simulator_adapter/instance.py
+++ b/kelptrail/simulator_adapter/instance.py
@@ -7,23 +7,23 @@
 from typing import Any
 
 from kelptrail.dispatch.dispatcher import Decision
-from kelptrail.dispatch.entities import Activation, Order, Outcome, State
-from kelptrail.engine.engine import Entry, Host
+from kelptrail.dispatch.entities import Request, LoadOrder, AttemptStatus, WorkerState
+from kelptrail.engine.engine import Endpoint, Engine
 from kelptrail.engine.settings import MalformedError
 
 Fields = dict[str, Any]
 
-STATES = {"live": State.LIVE, "quiescing": State.DRAINING, "dead": State.GONE}
+STATES = {"live": WorkerState.LIVE, "quiescing": WorkerState.DRAINING, "dead": WorkerState.REMOVED}
 OUTCOMES = {
-    "S": Outcome.COMPLETED,
-    "E": Outcome.ERROR,
-    "F": Outcome.FULL,
-    "T": Outcome.SILENT,
-    "C": Outcome.UNREACHABLE,
-    "R": Outcome.BROKEN,
-    "X": Outcome.REVOKED,
-    "N": Outcome.UNSENT,
-    "M": Outcome.MISS,
+    "S": AttemptStatus.COMPLETED,
+    "E": AttemptStatus.ERROR,
+    "F": AttemptStatus.OUT_OF_CAPACITY,
+    "T": AttemptStatus.SILENT,
+    "C": AttemptStatus.UNREACHABLE,
+    "R": AttemptStatus.CONNECTION_LOST,
+    "X": AttemptStatus.CANCELLED,
+    "N": AttemptStatus.NOT_SENT,
+    "M": AttemptStatus.NOT_LOADED,
 }
 BEAT, DUE = "beat", "due"
 
@@ -32,8 +32,8 @@
     """One instance of the dispatcher, apart from all others."""
 
     def __init__(self, name: str, seed: int, env: Fields) -> None:
-        self._name, self._host = name, Host(seed, env)
-        self._orders: dict[tuple[str, str], deque[Order]] = {}
+        self._name, self._host = name, Engine(seed, env)
+        self._orders: dict[tuple[str, str], deque[LoadOrder]] = {}
         self._armed: float | None = None
         self._beats = False
 
@@ -41,11 +41,11 @@
 
     def taken(self, now: float, e: Fields) -> None:
         host, hint = self._host, e["cost_guess_us"]
-        host.taken(
+        host.on_request(
             now,
             e["handle"],
-            host.types[e["class"]],
-            host.customers[e["project"] or 0] if host.customers else None,
+            host.request_classes[e["class"]],
+            host.tenants[e["project"] or 0] if host.tenants else None,
             e["fn"],
             e["grace_us"] / 1000,
             e["memory_mb"],
@@ -55,31 +55,31 @@
         )
 
     def answered(self, now: float, e: Fields) -> None:
-        act = self._host.acts.get(e["handle"])
-        if act is None:
+        request = self._host.requests.get(e["handle"])
+        if request is None:
             return
-        send = act.sends[e["shot"]]
-        if send.outcome is not None:
+        attempt = request.attempts[e["shot"]]
+        if attempt.outcome is not None:
             return
         note = e["remark"] or 0
-        self._host.answered(
-            now, send, OUTCOMES[e["ending"]], e["done_flag"], note % 8 == 4, note % 8 == 1, note // 8, e["stats"]
+        self._host.on_attempt_finished(
+            now, attempt, OUTCOMES[e["ending"]], e["done_flag"], note % 8 == 4, note % 8 == 1, note // 8, e["stats"]
         )
 
     def left(self, now: float, e: Fields) -> None:
-        act = self._host.acts.get(e["handle"])
-        if act is not None:
-            self._host.left(act)
+        request = self._host.requests.get(e["handle"])
+        if request is not None:
+            self._host.on_client_gone(request)
 
     def begun(self, now: float, e: Fields) -> None:
-        act = self._host.acts.get(e["handle"])
-        if act is not None:
-            act.verdict = act.verdict or "completed"
+        request = self._host.requests.get(e["handle"])
+        if request is not None:
+            request.final_status = request.final_status or "completed"
 
     def told(self, now: float, e: Fields) -> None:
         out = self._orders.get((e["runner"], e["fn"]))
         if out:
-            self._host.told(now, out.popleft(), OUTCOMES[e["ending"]], e["copies"])
+            self._host.on_load_report(now, out.popleft(), OUTCOMES[e["ending"]], e["copies"])
             if not out:
                 del self._orders[e["runner"], e["fn"]]
 
@@ -88,11 +88,11 @@
             return
         if entries is None:
             raise MalformedError(f"Membership names a table that never came: {e['table']}")
-        self._host.listed(
+        self._host.on_endpoints(
             now,
             e["how"] != "D",
             [
-                Entry(
+                Endpoint(
                     entry["runner"],
                     entry["az"],
                     entry["shape"],
@@ -108,7 +108,7 @@
     def timer(self, now: float, e: Fields) -> None:
         if e["token"] == BEAT:
             self._beats = False
-            self._host.beat(now)
+            self._host.on_tick(now)
         else:
             self._armed = None
 
@@ -124,7 +124,7 @@
             out.append(self._encode(decision))
         if not self._beats:
             self._beats = True
-            out.append(self._alarm(self._host.beat_ms, BEAT))
+            out.append(self._alarm(self._host.tick_ms, BEAT))
         due = self._host.next_due()
         if due is not None and (self._armed is None or due < self._armed):
             self._armed = due
@@ -134,8 +134,8 @@
     def _encode(self, decision: Decision) -> Fields:
         if isinstance(decision, str):
             return {"Record": {"i": self._name, "message": decision}}
-        if isinstance(decision, Order):
-            worker, function = decision.copy.worker, decision.copy.function
+        if isinstance(decision, LoadOrder):
+            worker, function = decision.instance.worker, decision.instance.function
             self._orders.setdefault((worker.id, function.id), deque()).append(decision)
             return {
                 "StartCopy": {
@@ -145,19 +145,19 @@
                     "copies": decision.count,
                 }
             }
-        if isinstance(decision, Activation):
-            if decision.verdict == "rejected":
+        if isinstance(decision, Request):
+            if decision.final_status == "rejected":
                 return {
                     "Refuse": {
                         "i": self._name,
                         "handle": decision.id,
-                        "stay_away_us": round(decision.return_ms * 1000) or None,
+                        "stay_away_us": round(decision.retry_after_ms * 1000) or None,
                     }
                 }
             return {"DropRequest": {"i": self._name, "handle": decision.id}}
-        if decision.revoked:
-            return {"Revoke": {"i": self._name, "handle": decision.act.id, "shot": decision.number}}
-        return {"Try": {"i": self._name, "handle": decision.act.id, "runner": decision.copy.worker.id}}
+        if decision.cancelled:
+            return {"Revoke": {"i": self._name, "handle": decision.request.id, "shot": decision.number}}
+        return {"Try": {"i": self._name, "handle": decision.request.id, "runner": decision.instance.worker.id}}
 
     def _alarm(self, delay_ms: float, token: str) -> Fields:
         return {"SetAlarm": {"i": self._name, "delay_us": max(0, math.ceil(delay_ms * 1000)), "token": token}}
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 
 from kelptrail.codec import frames
 from kelptrail.codec.lines import call
-from kelptrail.dispatch.entities import Outcome
+from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.net.connection import connect
 from kelptrail.platform import service
 from kelptrail.platform import worker_connections as workers
@@ -391,7 +391,7 @@
         self.listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL)
         self.listening.bind(("127.0.0.1", 0))
         self.listening.listen()
-        self.ended: list[tuple[Any, Outcome]] = []
+        self.ended: list[tuple[Any, AttemptStatus]] = []
         bounds = Bounds(150.0, 15_000.0, 100, in_all, 1 << 17, cancels, parallel, 2000.0, lambda: False)
         bounds.most = most
         self.links = WorkerLinks(
@@ -467,7 +467,7 @@
         sock.close()  # a reset, as bytes wait there
         await until(lambda: len(bare.ended) == 4)
         told = dict(bare.ended)
-        assert [told[thing] for thing in things][1:] == [Outcome.UNSENT] * 3
+        assert [told[thing] for thing in things][1:] == [AttemptStatus.NOT_SENT] * 3
         assert not len(bare.links) and not bare.links.bounds.held
 
     run(main())
@@ -515,7 +515,7 @@
         sock, (begun, *others) = await bare.full()
         assert bare.links.give_up(begun) is True
         assert bool(len(bare.links)) is parallel, "what it was sent is given up by the end of its connection"
-        assert [outcome for _, outcome in bare.ended] == ([] if parallel else [Outcome.UNSENT] * len(others))
+        assert [outcome for _, outcome in bare.ended] == ([] if parallel else [AttemptStatus.NOT_SENT] * len(others))
         bare.links.close()
         sock.close()
 
@@ -592,7 +592,7 @@
 def test_one_decision_too_many_does_not_end_the_round() -> None:
     async def main() -> None:
         async with Place(Runner(echo)) as place:
-            client, taken = await place.client(), place.service._host.taken
+            client, taken = await place.client(), place.service._host.on_request
 
             def forget_the_first(*args: Any) -> Any:
                 act = taken(*args)
@@ -600,7 +600,7 @@
                     place.service._loop.call_soon(place.service._requests.pop, act)
                 return act
 
-            place.service._host.taken = forget_the_first  # type: ignore[method-assign]
+            place.service._host.on_request = forget_the_first  # type: ignore[method-assign]
             stir = place.service._stir
             place.service._stir_soon = lambda: asyncio.get_running_loop().call_soon(  # type: ignore[method-assign]
                 asyncio.get_running_loop().call_soon, stir
@@ -741,7 +741,7 @@
         monkeypatch.setattr(workers, "connect", none)
         thing = bare.send("a" * 16, 10)
         await until(lambda: bare.ended)
-        assert bare.ended == [(thing, Outcome.UNSENT)]
+        assert bare.ended == [(thing, AttemptStatus.NOT_SENT)]
 
     run(main())
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -24,7 +24,7 @@
 
 from kelptrail.codec.http import Request, encode_request, encode_response
 from kelptrail.codec.infer import infer_answer, read_infer
-from kelptrail.dispatch.entities import Outcome
+from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.membership.members import Listing, Peer, id_prefix
 from kelptrail.net.server import Exchange, HttpServer, Limits
 from kelptrail.settings.deployment import parse
@@ -444,8 +444,8 @@
             status, _, record = await dispatcher.call(action, body={"a": 1}, key="k")
             assert verdict(record)["answer"] == answered and (status == 200) == (answered == "completed")
             assert sum(len(w.sends) for w in made) == sends
-            assert dispatcher.gateway.counts.outcomes == {Outcome.BROKEN: 1} | (
-                {Outcome.COMPLETED: 1} if sends == 2 else {}
+            assert dispatcher.gateway.counts.outcomes == {AttemptStatus.CONNECTION_LOST: 1} | (
+                {AttemptStatus.COMPLETED: 1} if sends == 2 else {}
             )
 
     run(main())
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -8,7 +8,7 @@
 from program import DEPLOYMENT
 
 from kelptrail.codec.infer import Answer
-from kelptrail.dispatch.entities import NEVER_RAN, Effect, Outcome, Send, State
+from kelptrail.dispatch.entities import NEVER_RAN, Idempotency, AttemptStatus, Attempt, WorkerState
 from kelptrail.gateway.build import World
 from kelptrail.gateway.core import Final, Gateway, GiveUp, Ivk, PlaceOrder, StartSend
 from kelptrail.gateway.limits import Holdings
@@ -30,7 +30,7 @@
         self.gateway = Gateway(World(deployment, "a", seed), f"{seed:016x}")
         self.actions = list(deployment.actions.values())
         self.now, self.version = 1000.0, 0
-        self.out: list[tuple[float, Send, Outcome]] = []
+        self.out: list[tuple[float, Attempt, AttemptStatus]] = []
         self.orders: list[tuple[float, PlaceOrder]] = []
         self.finals: dict[str, float] = {}
         self.taken: list[Ivk] = []
@@ -54,8 +54,10 @@
         for entry in [e for e in self.out if e[0] <= now]:
             self.out.remove(entry)
             _, send, outcome = entry
-            if send.outcome is None:
-                answer = Answer("completed", b"{}", chance.random() < 0.9) if outcome is Outcome.COMPLETED else None
+            if send.status is None:
+                answer = (
+                    Answer("completed", b"{}", chance.random() < 0.9) if outcome is AttemptStatus.COMPLETED else None
+                )
                 gateway.answered(now, send, outcome, answer)
         for due, order in [o for o in self.orders if o[0] <= now]:
             self.orders.remove((due, order))
@@ -63,7 +65,9 @@
             gateway.told(
                 now,
                 order.order,
-                Outcome.COMPLETED if good else chance.choice([Outcome.FULL, Outcome.SILENT]),
+                AttemptStatus.COMPLETED
+                if good
+                else chance.choice([AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.SILENT]),
                 order.order.count if good else 0,
             )
         if chance.random() < 0.02 and self.taken:
@@ -76,26 +80,28 @@
         now, chance = self.now, self.chance
         while (effect := self.gateway.effect(now)) is not None:
             if isinstance(effect, StartSend):
-                act, worker = effect.ivk.act, effect.send.copy.worker
+                act, worker = effect.ivk.act, effect.send.instance.worker
                 assert not effect.ivk.record.final and act.id not in self.finals, "nothing is sent after the end"
-                assert worker.state is State.LIVE and now < effect.ivk.record.taken + 900
-                if act.type.effect is Effect.ONCE_ONLY:
-                    assert all(s.outcome in NEVER_RAN for s in act.sends[:-1]), "once-only goes out once"
-                outcome = chance.choices(list(Outcome), [60, 8, 6, 8, 3, 4, 0, 2, 6])[0]
-                wait = 3000.0 if outcome is Outcome.SILENT else chance.uniform(5, 300)
+                assert worker.state is WorkerState.LIVE and now < effect.ivk.record.taken + 900
+                if act.request_class.idempotency is Idempotency.AT_MOST_ONCE:
+                    assert all(s.status in NEVER_RAN for s in act.attempts[:-1]), "once-only goes out once"
+                outcome = chance.choices(list(AttemptStatus), [60, 8, 6, 8, 3, 4, 0, 2, 6])[0]
+                wait = 3000.0 if outcome is AttemptStatus.SILENT else chance.uniform(5, 300)
                 self.out.append((now + wait, effect.send, outcome))
-            elif isinstance(effect, GiveUp) and effect.send.outcome is None:
+            elif isinstance(effect, GiveUp) and effect.send.status is None:
                 self.out = [e for e in self.out if e[1] is not effect.send]
-                self.out.append((now, effect.send, Outcome.SILENT if effect.reason == "silent" else Outcome.REVOKED))
+                self.out.append(
+                    (now, effect.send, AttemptStatus.SILENT if effect.reason == "silent" else AttemptStatus.CANCELLED)
+                )
             elif isinstance(effect, PlaceOrder):
-                assert effect.order.copy.worker.state is State.LIVE
+                assert effect.order.instance.worker.state is WorkerState.LIVE
                 self.orders.append((now + chance.uniform(1, 200), effect))
             elif isinstance(effect, Final):
                 record = effect.ivk.record
                 assert record.id not in self.finals and record.final, "one final answer"
                 self.finals[record.id] = now
                 if record.answer == "rejected" and record.effect == "once-only":
-                    assert all(s.outcome in NEVER_RAN for s in effect.ivk.act.sends)
+                    assert all(s.status in NEVER_RAN for s in effect.ivk.act.attempts)
                 for waiter in effect.ivk.waiters:
                     waiter(record)
 
@@ -144,15 +150,15 @@
 def test_members_by_list_restart_and_age() -> None:
     members = Members({"a": 0, "b": 1})
     first, _ = members.apply(1000.0, Listing(5, [Entry("w", "h:1", "live", "i1", 400.0, "b")], "x"))
-    assert first[0].started == 600.0 and first[0].zone == 1
+    assert first[0].started_at == 600.0 and first[0].zone == 1
     same, restarted = members.apply(1100.0, Listing(4, [], "x"))
     assert same == first and first[0].live, "an older list changes nothing"
     _, restarted = members.apply(1200.0, Listing(6, [Entry("w", "h:1", "live", "i1", 700.0, "b")], "x"))
-    assert not restarted and first[0].started == 600.0, "ages drift; a start is told by its incarnation"
+    assert not restarted and first[0].started_at == 600.0, "ages drift; a start is told by its incarnation"
     _, restarted = members.apply(1300.0, Listing(7, [Entry("w", "h:1", "live", "i2", 10.0, "b")], "x"))
-    assert restarted == first and first[0].started == 1290.0
+    assert restarted == first and first[0].started_at == 1290.0
     gone, _ = members.apply(1400.0, Listing(1, [], "y"))
-    assert gone == first and first[0].gone
+    assert gone == first and first[0].removed
     members.purge()
     assert len(members) == 0 and not members.addresses
 
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -557,7 +557,7 @@
         workers = [ScriptedWorker(f"w{n}", parts(3, gate=all_open)) for n in range(4)]
         dispatcher = Dispatcher(workers, settings)
         for known in dispatcher.gateway.members:
-            known.window = 400.0
+            known.concurrency_limit = 400.0
         client = Client(dispatcher.grpc.address)
 
         async def watch() -> int:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,7 +11,7 @@
 import pytest
 from helpers import activation, make, model, pull
 
-from kelptrail.dispatch.entities import Order, Outcome
+from kelptrail.dispatch.entities import LoadOrder, AttemptStatus
 from kelptrail.fault_scenario.scenario import load as load_script
 from kelptrail.history_checker.checker import judge
 from kelptrail.load.plan import steady
@@ -67,18 +67,18 @@
     action = deployment.actions["places/place-activate"]
     ends: list[Any] = []
     worker.send(action, "m", "a1", 0, "d", 1000.0, lambda outcome, _: ends.append(outcome))
-    assert ends == [Outcome.MISS]
+    assert ends == [AttemptStatus.NOT_LOADED]
     worker.order(action, 1, "d", lambda outcome, standing: ends.append((outcome, standing)))
     engine.run(1000)
-    assert ends[-1] == (Outcome.COMPLETED, 1)
+    assert ends[-1] == (AttemptStatus.COMPLETED, 1)
     for number in range(2):
         worker.send(action, "m", f"a{number}", number, "d", 1000.0, lambda outcome, _: ends.append(outcome))
     engine.run(1500)
-    assert ends[-2:] == [Outcome.COMPLETED] * 2
+    assert ends[-2:] == [AttemptStatus.COMPLETED] * 2
     assert sum(what == "effect" for what, _ in noted) == 1, "the same mark has one effect"
     engine.run(20_000)
     worker.send(action, "n", "a9", 0, "d", 1000.0, lambda outcome, _: ends.append(outcome))
-    assert ends[-1] is Outcome.MISS, "idle past its keep-alive, the copy has gone"
+    assert ends[-1] is AttemptStatus.NOT_LOADED, "idle past its keep-alive, the copy has gone"
     worker.begin(warm=False)
     for number in range(400):
         worker.send(action, f"x{number}", "b", 0, "d", 1000.0, lambda outcome, _: ends.append(outcome))
@@ -123,11 +123,11 @@
     while now < 4500:
         for _ in range(8):  # more than any number of its copies bears
             number += 1
-            dispatcher.taken(now, activation(function, now, number, 60_000.0))
+            dispatcher.on_request(now, activation(function, now, number, 60_000.0))
         for decision in pull(dispatcher, now):
-            if isinstance(decision, Order):
-                dispatcher.told(now, decision, Outcome.COMPLETED, decision.count)
-        limits.append(function.limit)
+            if isinstance(decision, LoadOrder):
+                dispatcher.on_load_report(now, decision, AttemptStatus.COMPLETED, decision.count)
+        limits.append(function.instance_limit)
         now += 20
     seen = list(dict.fromkeys(limits))
     assert seen[0] == 4 and seen[-1] >= 16, seen
@@ -135,9 +135,9 @@
     assert len(seen) <= 5, "once a load time"
     quiet = make(60, ration=(True, 999.0, 0.3, 5000.0))
     shallow = model("g", lanes=8)
-    shallow.load_ms, shallow.lag_since, shallow.limit = 1000.0, 0.0, 4
-    shallow.waiting.extend(activation(shallow, 0.0, n) for n in range(5))
-    assert quiet._queues.limit(1500.0, shallow, True) == 5, "a shallow lag still adds one"
+    shallow.load_ms, shallow.queued_since, shallow.instance_limit = 1000.0, 0.0, 4
+    shallow.queue.extend(activation(shallow, 0.0, n) for n in range(5))
+    assert quiet._queues.instance_limit(1500.0, shallow, True) == 5, "a shallow lag still adds one"
 
 
 # Experiments.
@@ -248,7 +248,7 @@
     engine.run(2500)
     assert not ends
     engine.run(4000)
-    assert [outcome for _, outcome in ends] == [Outcome.COMPLETED] * 2 and all(3000 <= t < 3400 for t, _ in ends)
+    assert [outcome for _, outcome in ends] == [AttemptStatus.COMPLETED] * 2 and all(3000 <= t < 3400 for t, _ in ends)
     assert [fields["lag"] for what, fields in noted if what == "send"] == [0.0, 2000.0], "as the sockets' audit has it"
     heavy = next(t for t in day.trouble if t.kind == "heavy-work")  # 3 in 100, twenty times
     worker.faults["heavy-work"] = heavy
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -12,8 +12,8 @@
 from helpers import activation, make, model, pull
 
 from kelptrail.dispatch.dispatcher import Dispatcher
-from kelptrail.dispatch.entities import Order as HoldOrder
-from kelptrail.dispatch.entities import Outcome, State, Worker
+from kelptrail.dispatch.entities import LoadOrder as HoldOrder
+from kelptrail.dispatch.entities import AttemptStatus, WorkerState, Worker
 from kelptrail.gateway.counters import Tally
 from kelptrail.peers.messages import VERSION, Beat, ChannelError, FrameReader, Hello, frame
 from kelptrail.planner.channel import READ, EdgeLink, Led, Offer, PlannerLink, Reply, Report
@@ -377,12 +377,12 @@
 
 def told(dispatcher: Dispatcher, now: float, orders: list[HoldOrder]) -> None:
     for order in orders:
-        dispatcher.told(now, order, Outcome.COMPLETED, order.count)
+        dispatcher.on_load_report(now, order, AttemptStatus.COMPLETED, order.count)
 
 
 def beaten(dispatcher: Dispatcher, now: float) -> list[HoldOrder]:
     """The hold orders of a beat."""
-    dispatcher.beat(now)
+    dispatcher.on_tick(now)
     return [d for d in pull(dispatcher, now) if isinstance(d, HoldOrder)]
 
 
@@ -390,18 +390,18 @@
     dispatcher = make(8, ration=(True, 6.0, 0.0, 10_000.0))
     workers: list[Worker] = dispatcher.workers
     function = model(lanes=2)
-    dispatcher.taken(0.0, activation(function, 0.0, 1))
+    dispatcher.on_request(0.0, activation(function, 0.0, 1))
     first = beaten(dispatcher, 0.0)
     told(dispatcher, 0.0, first)
-    dispatcher.planned({function: dict.fromkeys(workers[:6], 1)})
-    workers[0].state = workers[1].state = State.DRAINING
-    workers[2].started = 0.0  # cold
+    dispatcher.on_plan({function: dict.fromkeys(workers[:6], 1)})
+    workers[0].state = workers[1].state = WorkerState.DRAINING
+    workers[2].started_at = 0.0  # cold
     orders = [o for n in range(1, 12) for o in beaten(dispatcher, 100.0 * n)]
     assert len(first) == 1 and len(orders) == 2, "half of six, with the one that the queue asked for"
     told(dispatcher, 1200.0, orders)
     again = [o for n in range(120, 130) for o in beaten(dispatcher, 100.0 * n)]
-    ordered = {o.copy.worker for o in [*orders, *again]}
-    assert ordered <= set(workers[2:6]) and all(o.copy.worker.live for o in orders)
+    ordered = {o.instance.worker for o in [*orders, *again]}
+    assert ordered <= set(workers[2:6]) and all(o.instance.worker.live for o in orders)
     assert len(ordered) >= 3, "once the span has passed there is room for more"
 
 
@@ -409,22 +409,22 @@
     def play(plan: bool) -> list[tuple[float, str, int]]:
         dispatcher = make(4, ration=(True, 999.0, 0.0, 10_000.0))
         function, out = model(lanes=2), list[tuple[float, str, int]]()
-        dispatcher.taken(0.0, activation(function, 0.0, 1))
+        dispatcher.on_request(0.0, activation(function, 0.0, 1))
         for step in range(600):
             now = 100.0 * step
             if plan and step == 1:
-                dispatcher.planned({function: {dispatcher.workers[3]: 1}})
+                dispatcher.on_plan({function: {dispatcher.workers[3]: 1}})
             if plan and step == 300:
-                dispatcher.planned({})
+                dispatcher.on_plan({})
             if step % 100 == 0:  # it is asked for now and then, so that it is not forgotten
-                dispatcher.taken(now, activation(function, now, step))
-            dispatcher.beat(now)
+                dispatcher.on_request(now, activation(function, now, step))
+            dispatcher.on_tick(now)
             for decision in pull(dispatcher, now):
                 if isinstance(decision, HoldOrder):
-                    out.append((now, decision.copy.worker.id, decision.count))
-                    dispatcher.told(now, decision, Outcome.COMPLETED, decision.count)
+                    out.append((now, decision.instance.worker.id, decision.count))
+                    dispatcher.on_load_report(now, decision, AttemptStatus.COMPLETED, decision.count)
                 elif hasattr(decision, "act"):
-                    dispatcher.answered(now, decision, Outcome.COMPLETED, True, False, True, 0, None)
+                    dispatcher.on_attempt_finished(now, decision, AttemptStatus.COMPLETED, True, False, True, 0, None)
         return out
 
     planned, plain = play(True), play(False)
@@ -436,15 +436,15 @@
 def test_what_lag_asks_for_goes_to_the_plans_open_places_first_and_then_by_the_default_rule() -> None:
     """Guards against each dispatcher's loading copies of its own after a release."""
     function, dispatcher = model(lanes=1), make(8, ration=(True, 999.0, 0.0, 10_000.0))
-    dispatcher.taken(0.0, activation(function, 0.0, 0))
-    own = next(d for d in pull(dispatcher, 0.0) if isinstance(d, HoldOrder)).copy.worker
+    dispatcher.on_request(0.0, activation(function, 0.0, 0))
+    own = next(d for d in pull(dispatcher, 0.0) if isinstance(d, HoldOrder)).instance.worker
     planned = [w for w in dispatcher.workers if w is not own][-2:]
-    dispatcher.planned({function: dict.fromkeys(planned, 1)})
+    dispatcher.on_plan({function: dict.fromkeys(planned, 1)})
     orders: list[Worker] = []
     for step in range(60):  # lag without a beat: nothing is ordered ahead
         now = 30.0 * step
-        dispatcher.taken(now, activation(function, now, step + 1, 60_000.0))
-        orders += [d.copy.worker for d in pull(dispatcher, now) if isinstance(d, HoldOrder)]
+        dispatcher.on_request(now, activation(function, now, step + 1, 60_000.0))
+        orders += [d.instance.worker for d in pull(dispatcher, now) if isinstance(d, HoldOrder)]
     assert set(orders[:2]) == set(planned) and len(orders) > 2
     assert not set(orders[2:]) & set(planned), "each has its order; growth goes on elsewhere"
 
@@ -463,10 +463,10 @@
         if act < 0.4:
             number += 1
             function = chance.choice(functions)
-            dispatcher.taken(now, activation(function, now, number))
+            dispatcher.on_request(now, activation(function, now, number))
             taken.append(now)
         elif act < 0.45:
-            dispatcher.planned(
+            dispatcher.on_plan(
                 {
                     f: {w: chance.randint(0, 3) for w in chance.sample(dispatcher.workers, 5)}
                     for f in chance.sample(functions, 4)
@@ -476,22 +476,31 @@
             )
         elif act < 0.47:
             worker = chance.choice(dispatcher.workers)
-            worker.state = State.DRAINING if worker.live else State.LIVE
-            dispatcher.listed(now, list(dispatcher.workers), [])
-        dispatcher.beat(now)
+            worker.state = WorkerState.DRAINING if worker.live else WorkerState.LIVE
+            dispatcher.on_endpoints(now, list(dispatcher.workers), [])
+        dispatcher.on_tick(now)
         for decision in pull(dispatcher, now):
             if isinstance(decision, HoldOrder):
-                assert decision.copy.worker.live
+                assert decision.instance.worker.live
                 if decision.count:
                     placed.append(now)
                     ration = 5.0 + 0.3 * sum(t > now - 5000 for t in taken)
                     assert sum(t > now - 5000 for t in placed) <= ration + 1e-9
-                outcome = chance.choice([Outcome.COMPLETED] * 4 + [Outcome.FULL, Outcome.ERROR, Outcome.SILENT])
-                dispatcher.told(now, decision, outcome, decision.count if outcome is Outcome.COMPLETED else 0)
+                outcome = chance.choice(
+                    [AttemptStatus.COMPLETED] * 4
+                    + [AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.ERROR, AttemptStatus.SILENT]
+                )
+                dispatcher.on_load_report(
+                    now, decision, outcome, decision.count if outcome is AttemptStatus.COMPLETED else 0
+                )
             elif hasattr(decision, "act"):
-                assert decision.copy.worker.live
-                outcome = chance.choice([Outcome.COMPLETED] * 5 + [Outcome.MISS, Outcome.FULL])
-                dispatcher.answered(now, decision, outcome, outcome is Outcome.COMPLETED, False, True, 0, None)
+                assert decision.instance.worker.live
+                outcome = chance.choice(
+                    [AttemptStatus.COMPLETED] * 5 + [AttemptStatus.NOT_LOADED, AttemptStatus.OUT_OF_CAPACITY]
+                )
+                dispatcher.on_attempt_finished(
+                    now, decision, outcome, outcome is AttemptStatus.COMPLETED, False, True, 0, None
+                )
     assert placed
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -23,7 +23,7 @@
 from test_drill import ENV
 
 from kelptrail.codec import feed, frames, lines
-from kelptrail.engine.settings import read as read_settings
+from kelptrail.engine.settings import read_settings as read_settings
 from kelptrail.platform import config
 from kelptrail.platform.service import Service
 
@@ -733,7 +733,7 @@
     told = configuration()
     for says, loads in (("load", True), ("miss", False), (None, False)):
         told["settings"]["specifics"]["not_loaded"] = says
-        assert read_settings(told["settings"]).loads is loads
+        assert read_settings(told["settings"]).loads_on_demand is loads
     told["settings"]["specifics"]["not_loaded"] = "perhaps"
     with pytest.raises(config.ConfigError, match=r"specifics\.not_loaded: 'perhaps' is none of load, miss"):
         config.parse(json.dumps(told))
