--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,21 +12,21 @@
 from kelptrail.dispatch.dispatcher import Decision, Dispatcher
 from kelptrail.dispatch.entities import (
     NEVER_RAN,
-    Activation,
-    Copy,
-    Effect,
+    Request,
+    Instance,
+    Idempotency,
     Function,
-    NamespaceType,
-    Order,
-    Outcome,
-    Send,
-    State,
+    RequestClass,
+    LoadOrder,
+    AttemptStatus,
+    Attempt,
+    WorkerState,
     Worker,
 )
-from kelptrail.dispatch.instance_table import Copies
-from kelptrail.dispatch.safety import Gate
+from kelptrail.dispatch.instance_table import InstanceTable
+from kelptrail.dispatch.safety import SafetyGuard
 
-KINDS = [kind(), kind(Effect.DEDUPLICATED), kind(Effect.DEDUPLICATED, "zone"), kind(Effect.ONCE_ONLY)]
+KINDS = [kind(), kind(Idempotency.DEDUPLICATED), kind(Idempotency.DEDUPLICATED, "zone"), kind(Idempotency.AT_MOST_ONCE)]
 SLACK_MS = 16.0
 PLENTY = (True, 99.0, 0.3, 5000.0)
 
@@ -36,58 +36,64 @@
 
     def __init__(self, **gate: Any) -> None:
         self.gate = GATE | gate
-        self.ended: dict[Activation, float] = {}
+        self.ended: dict[Request, float] = {}
         self.taken: list[float] = []
         self.orders: list[float] = []
-        self.sends: list[Send] = []
+        self.sends: list[Attempt] = []
         self.told: dict[Worker, float] = {}  # when a start was told
         self.fleet: list[Worker] = []
 
-    def end(self, now: float, act: Activation) -> None:
+    def end(self, now: float, act: Request) -> None:
         assert act not in self.ended, "one final answer"
         assert now <= act.deadline + SLACK_MS, "in time"
         self.ended[act] = now
 
     def see(self, now: float, decision: Decision) -> None:
-        if isinstance(decision, Activation):
+        if isinstance(decision, Request):
             self.end(now, decision)
-            if decision.verdict == "rejected":
-                doubtful = [s for s in decision.sends if s.outcome not in NEVER_RAN]
-                effect, scope = decision.type.effect, decision.type.scope
-                kept = all(now < s.sent + decision.type.remembered_ms for s in doubtful)
-                dropped = effect is Effect.DEDUPLICATED and scope == "all" and decision.marked and kept
-                harmless = not doubtful or effect is Effect.REPEATABLE or dropped
+            if decision.final_status == "rejected":
+                doubtful = [s for s in decision.attempts if s.status not in NEVER_RAN]
+                effect, scope = decision.request_class.idempotency, decision.request_class.deduplication_scope
+                kept = all(now < s.started_at + decision.request_class.deduplication_window_ms for s in doubtful)
+                dropped = (
+                    effect is Idempotency.DEDUPLICATED and scope == "all" and decision.has_idempotency_key and kept
+                )
+                harmless = not doubtful or effect is Idempotency.IDEMPOTENT or dropped
                 assert harmless, "a rejection promises the truth"
-        elif isinstance(decision, Order) and decision.count:
-            assert decision.copy.worker.state is State.LIVE, "drains kept for orders"
+        elif isinstance(decision, LoadOrder) and decision.count:
+            assert decision.instance.worker.state is WorkerState.LIVE, "drains kept for orders"
             self.orders.append(now)
             _, free, share, length = self.gate["ration"]
             span = now - length
             allowed = free + share * sum(t > span for t in self.taken)
             assert sum(t > span for t in self.orders) <= allowed, "orders rationed"
-        elif isinstance(decision, Send) and not decision.revoked:
+        elif isinstance(decision, Attempt) and not decision.cancelled:
             self.sent(now, decision)
 
-    def sent(self, now: float, send: Send) -> None:
-        act, worker = send.act, send.copy.worker
-        assert act not in self.ended and act.verdict is None, "nothing sent after the end"
-        assert worker.state is State.LIVE, "drains kept for sends"
-        earlier = act.sends[:-1]
-        assert len(act.sends) <= self.gate["most_sends"]
-        assert sum(s.outcome is None for s in earlier) <= (1 if self.gate["parallel"] else 0)
-        doubtful = [s for s in earlier if s.outcome not in NEVER_RAN]
-        if doubtful and act.type.effect is not Effect.REPEATABLE:
-            assert act.type.effect is Effect.DEDUPLICATED, "once-only is never sent twice"
-            assert now <= doubtful[0].sent + act.type.remembered_ms, "within what runners remember"
-            assert act.type.scope == "all" or worker.zone == doubtful[0].copy.worker.zone, "inside the group"
+    def sent(self, now: float, send: Attempt) -> None:
+        act, worker = send.request, send.instance.worker
+        assert act not in self.ended and act.final_status is None, "nothing sent after the end"
+        assert worker.state is WorkerState.LIVE, "drains kept for sends"
+        earlier = act.attempts[:-1]
+        assert len(act.attempts) <= self.gate["most_sends"]
+        assert sum(s.status is None for s in earlier) <= (1 if self.gate["parallel"] else 0)
+        doubtful = [s for s in earlier if s.status not in NEVER_RAN]
+        if doubtful and act.request_class.idempotency is not Idempotency.IDEMPOTENT:
+            assert act.request_class.idempotency is Idempotency.DEDUPLICATED, "once-only is never sent twice"
+            assert now <= doubtful[0].started_at + act.request_class.deduplication_window_ms, (
+                "within what runners remember"
+            )
+            assert act.request_class.deduplication_scope == "all" or worker.zone == doubtful[0].instance.worker.zone, (
+                "inside the group"
+            )
         self.sends.append(send)
-        if worker.started is not None and now - worker.started < self.gate["cold_ms"]:
+        if worker.started_at is not None and now - worker.started_at < self.gate["cold_ms"]:
             span = now - self.gate["tip_ms"]
-            mine = sum(s.sent > max(span, self.told[worker]) and s.copy.worker is worker for s in self.sends)
+            mine = sum(s.started_at > max(span, self.told[worker]) and s.instance.worker is worker for s in self.sends)
             warm_ms, least = self.gate["cold_ms"], self.gate["cold_share"]
-            others = [w for w in self.fleet if w.state is State.LIVE and now - (w.started or -1e9) >= warm_ms]
-            warm = sum(s.sent > span and s.copy.worker in others for s in self.sends)
-            share = least + (1 - least) * (now - worker.started) / warm_ms
+            others = [w for w in self.fleet if w.state is WorkerState.LIVE and now - (w.started_at or -1e9) >= warm_ms]
+            warm = sum(s.started_at > span and s.instance.worker in others for s in self.sends)
+            share = least + (1 - least) * (now - worker.started_at) / warm_ms
             usual = warm / max(1, len(others))
             assert mine <= max(1.0, self.gate["tip"] * share * usual), "a cold worker is not pushed over"
 
@@ -100,7 +106,7 @@
     functions = [model(f"f{n}", chance.choice((1, 2, 4)), KINDS[n % len(KINDS)]) for n in range(8)]
     now, serial, out, orders, open_acts = 0.0, 0, [], [], []
     for step in range(steps + 400):
-        due = dispatcher.agenda.next_due()  # the host never sleeps past a due time
+        due = dispatcher.timers.next_due()  # the host never sleeps past a due time
         ahead = chance.choice((0.0, 1.0, 4.0, 15.0)) if step < steps else 50.0
         now = min(now + ahead, max(now, due or now) + 4)
         for _ in range(chance.randrange(4) if step < steps else 0):
@@ -108,39 +114,43 @@
             act = activation(chance.choice(functions), now, serial, chance.choice((300.0, 1500.0, 4000.0)))
             watch.taken.append(now)
             open_acts.append(act)
-            dispatcher.taken(now, act)
+            dispatcher.on_request(now, act)
         for order in [o for o in orders if chance.random() < 0.05]:
             orders.remove(order)
-            outcome = chance.choice([Outcome.COMPLETED] * 6 + [Outcome.FULL, Outcome.BROKEN])
-            dispatcher.told(now, order, outcome, chance.randrange(order.count + 2))
+            outcome = chance.choice(
+                [AttemptStatus.COMPLETED] * 6 + [AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.CONNECTION_LOST]
+            )
+            dispatcher.on_load_report(now, order, outcome, chance.randrange(order.count + 2))
         for send in [s for s in out if s.copy.worker is not fleet[seed % 6] and chance.random() < 0.1]:
             out.remove(send)
-            outcome = chance.choice([Outcome.COMPLETED] * 9 + list(Outcome)[1:])
-            outcome = Outcome.REVOKED if send.revoked else outcome
-            if outcome is Outcome.COMPLETED and send.act.verdict is None and now <= send.act.deadline:
+            outcome = chance.choice([AttemptStatus.COMPLETED] * 9 + list(AttemptStatus)[1:])
+            outcome = AttemptStatus.CANCELLED if send.revoked else outcome
+            if outcome is AttemptStatus.COMPLETED and send.act.verdict is None and now <= send.act.deadline:
                 watch.end(now, send.act)
-                dispatcher.answered(now, send, outcome, True, False, None, 0, None)
+                dispatcher.on_attempt_finished(now, send, outcome, True, False, None, 0, None)
             else:
                 ended = send.act in watch.ended
-                outcome = Outcome.SILENT if outcome is Outcome.COMPLETED else outcome
-                dispatcher.answered(now, send, outcome, ended, False, None, 0, None)
+                outcome = AttemptStatus.SILENT if outcome is AttemptStatus.COMPLETED else outcome
+                dispatcher.on_attempt_finished(now, send, outcome, ended, False, None, 0, None)
         for act in [a for a in open_acts if a.verdict is None and chance.random() < 0.0005]:
             watch.end(now, act)
-            dispatcher.left(act)
+            dispatcher.on_client_gone(act)
         if chance.random() < 0.02:
             worker = chance.choice(fleet[:3])
-            worker.state = chance.choice([State.LIVE, State.LIVE, State.DRAINING, State.GONE])
-            restarted = [worker] if worker.state is State.LIVE and chance.random() < 0.7 else []
+            worker.state = chance.choice(
+                [WorkerState.LIVE, WorkerState.LIVE, WorkerState.DRAINING, WorkerState.REMOVED]
+            )
+            restarted = [worker] if worker.state is WorkerState.LIVE and chance.random() < 0.7 else []
             for again in restarted:
-                again.started, watch.told[again] = now - chance.choice((0.0, 500.0)), now
-            dispatcher.listed(now, [w for w in fleet if w.state is not State.GONE], restarted)
+                again.started_at, watch.told[again] = now - chance.choice((0.0, 500.0)), now
+            dispatcher.on_endpoints(now, [w for w in fleet if w.state is not WorkerState.REMOVED], restarted)
         if step % 5 == 0:
-            dispatcher.beat(now)
+            dispatcher.on_tick(now)
         while (decision := dispatcher.decide(now)) is not None:
             watch.see(now, decision)
-            if isinstance(decision, Send) and not decision.revoked:
+            if isinstance(decision, Attempt) and not decision.cancelled:
                 out.append(decision)
-            elif isinstance(decision, Order):
+            elif isinstance(decision, LoadOrder):
                 orders.append(decision)
     assert len(watch.ended) == serial, "every activation got its final answer"
     assert len(watch.sends) > steps / 10 and watch.orders
@@ -156,8 +166,8 @@
     return lambda *_: answer
 
 
-def reject(_: Gate, now: float, act: Activation, return_ms: float = 0.0) -> Activation:
-    act.verdict = "rejected"
+def reject(_: SafetyGuard, now: float, act: Request, return_ms: float = 0.0) -> Request:
+    act.final_status = "rejected"
     return act
 
 
@@ -172,11 +182,11 @@
         ),
         ("warmth", always(1.0), "pushed over"),
         ("end", reject, "promises the truth"),
-        ("order", lambda self, now, copy, count, spare=0.0: Order(copy, count, now), "rationed|drains kept"),
+        ("order", lambda self, now, copy, count, spare=0.0: LoadOrder(copy, count, now), "rationed|drains kept"),
     ],
 )
 def test_a_missing_guard_is_seen(monkeypatch: pytest.MonkeyPatch, guard: str, instead: Any, message: str) -> None:
-    monkeypatch.setattr(Gate, guard, instead)
+    monkeypatch.setattr(SafetyGuard, guard, instead)
     with pytest.raises(AssertionError, match=message):
         for seed in range(4):
             play(seed)
@@ -188,24 +198,24 @@
 def ready(dispatcher: Dispatcher, function: Function, now: float = 0.0, copies: int = 1) -> Worker:
     """Have one activation ordered for, its copies standing, and its send answered."""
     act = activation(function, now)
-    dispatcher.taken(now, act)
-    dispatcher._copies.shared = 0.0
+    dispatcher.on_request(now, act)
+    dispatcher._instances.shared_ratio = 0.0
     (order,) = pull(dispatcher, now)
-    assert isinstance(order, Order)
-    dispatcher.told(now, order, Outcome.COMPLETED, copies)
+    assert isinstance(order, LoadOrder)
+    dispatcher.on_load_report(now, order, AttemptStatus.COMPLETED, copies)
     (send,) = pull(dispatcher, now)
-    assert isinstance(send, Send)
+    assert isinstance(send, Attempt)
     complete(dispatcher, send, now + 50)
-    return send.copy.worker
+    return send.instance.worker
 
 
-def complete(dispatcher: Dispatcher, send: Send, now: float) -> None:
-    dispatcher.answered(now, send, Outcome.COMPLETED, True, False, True, 0, None)
+def complete(dispatcher: Dispatcher, send: Attempt, now: float) -> None:
+    dispatcher.on_attempt_finished(now, send, AttemptStatus.COMPLETED, True, False, True, 0, None)
 
 
 def take(dispatcher: Dispatcher, function: Function, now: float, count: int, ms: float = 3000.0) -> list[Decision]:
     for n in range(count):
-        dispatcher.taken(now, activation(function, now, n, ms))
+        dispatcher.on_request(now, activation(function, now, n, ms))
     return pull(dispatcher, now)
 
 
@@ -213,12 +223,12 @@
     dispatcher, function = make(), model(lanes=2)
     first = ready(dispatcher, function)
     found = take(dispatcher, function, 100.0, 30)
-    assert [d.copy.worker for d in found if isinstance(d, Send)] == [first] * 2, "two lanes, on its own copy"
-    orders = [d for d in found if isinstance(d, Order)]
-    assert orders and all(o.count == 1 and o.copy.worker is not first for o in orders), "one that holds none"
-    refused = [d for d in found if isinstance(d, Activation)]
-    assert refused and all(a.verdict == "rejected" and a.return_ms > 0 for a in refused)
-    assert len(function.waiting) + 2 == 8, "four a lane, two of them sent on"
+    assert [d.instance.worker for d in found if isinstance(d, Attempt)] == [first] * 2, "two lanes, on its own copy"
+    orders = [d for d in found if isinstance(d, LoadOrder)]
+    assert orders and all(o.count == 1 and o.instance.worker is not first for o in orders), "one that holds none"
+    refused = [d for d in found if isinstance(d, Request)]
+    assert refused and all(a.final_status == "rejected" and a.retry_after_ms > 0 for a in refused)
+    assert len(function.queue) + 2 == 8, "four a lane, two of them sent on"
 
 
 def test_dispatchers_that_share_nothing_choose_the_same_worker() -> None:
@@ -229,30 +239,34 @@
 
 
 def test_a_miss_orders_again_and_sends_again() -> None:
-    dispatcher, function = make(), model(type_=kind(Effect.ONCE_ONLY))
+    dispatcher, function = make(), model(type_=kind(Idempotency.AT_MOST_ONCE))
     ready(dispatcher, function)
     (send,) = take(dispatcher, function, 100.0, 1)
-    dispatcher.answered(101.0, send, Outcome.MISS, False, False, None, 0, None)
+    dispatcher.on_attempt_finished(101.0, send, AttemptStatus.NOT_LOADED, False, False, None, 0, None)
     (order,) = pull(dispatcher, 101.0)
-    assert isinstance(order, Order) and order.count == 1
-    dispatcher.told(900.0, order, Outcome.COMPLETED, 1)
+    assert isinstance(order, LoadOrder) and order.count == 1
+    dispatcher.on_load_report(900.0, order, AttemptStatus.COMPLETED, 1)
     (again,) = pull(dispatcher, 900.0)
-    assert again.act is send.act and again.number == 1
+    assert again.request is send.request and again.number == 1
 
 
 def test_a_used_copy_is_renewed_and_an_idle_one_runs_out() -> None:
     dispatcher, function = make(), model()
     worker = ready(dispatcher, function)
     (renewal,) = pull(dispatcher, 6500.0)
-    assert isinstance(renewal, Order) and renewal.copy.worker is worker and renewal.count == 1
-    dispatcher.told(6501.0, renewal, Outcome.COMPLETED, 1)
+    assert isinstance(renewal, LoadOrder) and renewal.instance.worker is worker and renewal.count == 1
+    dispatcher.on_load_report(6501.0, renewal, AttemptStatus.COMPLETED, 1)
     assert pull(dispatcher, 13000.0) == [], "idle for more than ten seconds"
     pull(dispatcher, 14600.0)
-    assert not function.copies
+    assert not function.instances
 
 
 def test_a_hung_worker_neither_stalls_its_queue_nor_keeps_what_may_run_again() -> None:
-    for effect, again in ((Effect.REPEATABLE, True), (Effect.DEDUPLICATED, True), (Effect.ONCE_ONLY, False)):
+    for effect, again in (
+        (Idempotency.IDEMPOTENT, True),
+        (Idempotency.DEDUPLICATED, True),
+        (Idempotency.AT_MOST_ONCE, False),
+    ):
         dispatcher, function = make(), model(lanes=4, type_=kind(effect))
         hung = ready(dispatcher, function)
         for n in range(20):
@@ -261,37 +275,40 @@
         (send,) = take(dispatcher, function, 2000.0, 1, 5000.0)
         found = []
         for step in range(60):
-            dispatcher.beat(2000.0 + 50 * step)
+            dispatcher.on_tick(2000.0 + 50 * step)
             found += pull(dispatcher, 2000.0 + 50 * step)
         assert any(isinstance(d, str) and hung.id in d for d in found), "the log names it"
-        orders = [d for d in found if isinstance(d, Order) and d.copy.worker is not hung]
+        orders = [d for d in found if isinstance(d, LoadOrder) and d.instance.worker is not hung]
         assert bool(orders) is again
         if again:
-            dispatcher.told(5000.0, orders[0], Outcome.COMPLETED, 1)
-            assert [d.act for d in pull(dispatcher, 5000.0) if isinstance(d, Send)] == [send.act]
+            dispatcher.on_load_report(5000.0, orders[0], AttemptStatus.COMPLETED, 1)
+            assert [d.request for d in pull(dispatcher, 5000.0) if isinstance(d, Attempt)] == [send.request]
 
 
 def test_a_worker_that_fails_fast_is_barred_then_tried_with_one_send() -> None:
     dispatcher, function = make(workers=1), model(lanes=4)
     worker, now = ready(dispatcher, function), 100.0
     for send in take(dispatcher, function, now, 4):
-        dispatcher.answered(now + 1, send, Outcome.ERROR, False, False, None, 0, None)
-    assert [d for d in pull(dispatcher, now + 2) if isinstance(d, Send)] == [], "they come back to the queue"
+        dispatcher.on_attempt_finished(now + 1, send, AttemptStatus.ERROR, False, False, None, 0, None)
+    assert [d for d in pull(dispatcher, now + 2) if isinstance(d, Attempt)] == [], "they come back to the queue"
     tried = [d for step in range(15) for d in pull(dispatcher, stir(dispatcher, now + 50 * step))]
-    assert len([d for d in tried if isinstance(d, Send)]) == 1 and worker.views[function.type].bar_ms > 0
+    assert (
+        len([d for d in tried if isinstance(d, Attempt)]) == 1
+        and worker.outlier_state_by_class[function.request_class].ejection_ms > 0
+    )
 
 
 def stir(dispatcher: Dispatcher, now: float) -> float:
-    dispatcher.beat(now)
+    dispatcher.on_tick(now)
     return now
 
 
 def test_what_a_client_will_not_wait_for_is_refused_at_once() -> None:
     dispatcher, function = make(), model()
     ready(dispatcher, function)
-    function.usual_ms = 400.0
+    function.mean_latency_ms = 400.0
     (end,) = take(dispatcher, function, 100.0, 1, 150.0)
-    assert isinstance(end, Activation) and end.verdict == "rejected"
+    assert isinstance(end, Request) and end.final_status == "rejected"
 
 
 def test_a_send_turned_away_bars_that_copy_and_leaves_its_worker_open() -> None:
@@ -299,19 +316,19 @@
     worker = ready(dispatcher, function)
     ready(dispatcher, other, 60.0)
     (send,) = take(dispatcher, function, 200.0, 1)
-    dispatcher.answered(201.0, send, Outcome.FULL, False, False, None, 0, None)
-    assert not [d for d in pull(dispatcher, 201.0) if isinstance(d, Send)]
-    assert [d.copy.worker for d in take(dispatcher, other, 202.0, 1) if isinstance(d, Send)] == [worker]
+    dispatcher.on_attempt_finished(201.0, send, AttemptStatus.OUT_OF_CAPACITY, False, False, None, 0, None)
+    assert not [d for d in pull(dispatcher, 201.0) if isinstance(d, Attempt)]
+    assert [d.instance.worker for d in take(dispatcher, other, 202.0, 1) if isinstance(d, Attempt)] == [worker]
 
 
 def test_functions_no_longer_asked_for_and_finished_activations_are_forgotten() -> None:
     dispatcher = make(ration=PLENTY)
     for n in range(30):
         ready(dispatcher, model(f"scan{n}"), 200.0 * n)
-    gone = [dispatcher.beat(80_000.0 + n) for n in range(40)]
+    gone = [dispatcher.on_tick(80_000.0 + n) for n in range(40)]
     pull(dispatcher, 90_000.0)
-    assert sum(f is not None for f in gone) == 30 and not dispatcher.agenda
-    assert not any(w.copies or w.sends for w in dispatcher.workers)
+    assert sum(f is not None for f in gone) == 30 and not dispatcher.timers
+    assert not any(w.instances or w.attempts for w in dispatcher.workers)
 
 
 def test_broken_connections_bar_nobody_that_answers_and_void_nothing_four_in_a_row_bar() -> None:
@@ -320,84 +337,88 @@
     for n in range(12):  # every third is lost: the rest is answered
         (send,) = take(dispatcher, function, 100.0 + 50 * n, 1)
         if n % 3 == 2:
-            dispatcher.answered(110.0 + 50 * n, send, Outcome.BROKEN, False, False, None, 0, None)
-            (again,) = (d for d in pull(dispatcher, 110.0 + 50 * n) if isinstance(d, Send))
-            assert again.act is send.act
+            dispatcher.on_attempt_finished(
+                110.0 + 50 * n, send, AttemptStatus.CONNECTION_LOST, False, False, None, 0, None
+            )
+            (again,) = (d for d in pull(dispatcher, 110.0 + 50 * n) if isinstance(d, Attempt))
+            assert again.request is send.request
             send = again
         complete(dispatcher, send, 120.0 + 50 * n)
-    assert not worker.whole.bar_ms
+    assert not worker.outlier_state.ejection_ms
     for n, send in enumerate(take(dispatcher, function, 1000.0, 4)):
-        assert not worker.whole.bar_ms or n > 1
-        dispatcher.answered(1001.0 + n, send, Outcome.BROKEN, False, False, None, 0, None)
-    assert worker.whole.barred_until > 1004.0 and function.copies[worker].standing == 1
-    assert not [d for d in pull(dispatcher, 1004.0) if isinstance(d, Send)]
+        assert not worker.outlier_state.ejection_ms or n > 1
+        dispatcher.on_attempt_finished(1001.0 + n, send, AttemptStatus.CONNECTION_LOST, False, False, None, 0, None)
+    assert worker.outlier_state.ejected_until > 1004.0 and function.instances[worker].loaded == 1
+    assert not [d for d in pull(dispatcher, 1004.0) if isinstance(d, Attempt)]
 
 
 def test_an_order_whose_connection_breaks_voids_nothing_and_is_given_again() -> None:
     dispatcher, function = make(workers=2, ration=PLENTY), model(lanes=1)
-    dispatcher.taken(0.0, activation(function, 0.0))
-    (order,) = (d for d in pull(dispatcher, 0.0) if isinstance(d, Order))
-    dispatcher.told(5.0, order, Outcome.BROKEN, 0)
-    (again,) = (d for d in pull(dispatcher, 40.0) if isinstance(d, Order))
-    assert again.copy is order.copy and not order.copy.worker.whole.bar_ms
-    dispatcher.told(900.0, again, Outcome.COMPLETED, 1)
+    dispatcher.on_request(0.0, activation(function, 0.0))
+    (order,) = (d for d in pull(dispatcher, 0.0) if isinstance(d, LoadOrder))
+    dispatcher.on_load_report(5.0, order, AttemptStatus.CONNECTION_LOST, 0)
+    (again,) = (d for d in pull(dispatcher, 40.0) if isinstance(d, LoadOrder))
+    assert again.instance is order.instance and not order.instance.worker.outlier_state.ejection_ms
+    dispatcher.on_load_report(900.0, again, AttemptStatus.COMPLETED, 1)
     for n in range(3):
-        dispatcher.taken(901.0, activation(function, 901.0, n))
-    (more,) = (d for d in pull(dispatcher, 901.0) if isinstance(d, Order))
-    dispatcher.told(905.0, more, Outcome.BROKEN, 0)
-    assert function.copies[again.copy.worker].standing == 1
+        dispatcher.on_request(901.0, activation(function, 901.0, n))
+    (more,) = (d for d in pull(dispatcher, 901.0) if isinstance(d, LoadOrder))
+    dispatcher.on_load_report(905.0, more, AttemptStatus.CONNECTION_LOST, 0)
+    assert function.instances[again.instance.worker].loaded == 1
 
 
 def test_a_spent_ration_sends_unordered_and_a_miss_bars_that_copy() -> None:
     dispatcher, function = make(ration=(True, 0.0, 0.0, 5000.0)), model()
     (send,) = take(dispatcher, function, 0.0, 1)
-    assert isinstance(send, Send)
-    dispatcher.answered(1.0, send, Outcome.MISS, False, False, None, 0, None)
+    assert isinstance(send, Attempt)
+    dispatcher.on_attempt_finished(1.0, send, AttemptStatus.NOT_LOADED, False, False, None, 0, None)
     again = [d for step in range(50) for d in pull(dispatcher, stir(dispatcher, 30.0 + 30 * step))]
-    (second,) = [d for d in again if isinstance(d, Send)]
-    assert second.sent > 1000.0, "not another worker at once: a copy there is no likelier"
+    (second,) = [d for d in again if isinstance(d, Attempt)]
+    assert second.started_at > 1000.0, "not another worker at once: a copy there is no likelier"
 
 
 def test_where_copies_mostly_stand_for_others_a_send_goes_first_and_a_miss_is_ordered_at_once() -> None:
     dispatcher, stands, missing = make(shared=0.6), model("stands"), model("missing")
     (send,) = take(dispatcher, stands, 0.0, 1)
-    assert isinstance(send, Send), "no part of the ration is spent on asking"
+    assert isinstance(send, Attempt), "no part of the ration is spent on asking"
     complete(dispatcher, send, 50.0)
-    assert dispatcher._copies.shared > 0.6 and send.copy.standing == 1
+    assert dispatcher._instances.shared_ratio > 0.6 and send.instance.loaded == 1
     (send,) = take(dispatcher, missing, 60.0, 1)
-    assert isinstance(send, Send)
-    dispatcher.answered(62.0, send, Outcome.MISS, False, False, None, 0, None)
+    assert isinstance(send, Attempt)
+    dispatcher.on_attempt_finished(62.0, send, AttemptStatus.NOT_LOADED, False, False, None, 0, None)
     (order,) = pull(dispatcher, 62.0)
-    assert isinstance(order, Order) and order.copy is send.copy and order.count == 1
-    shared = dispatcher._copies.shared
-    dispatcher.told(900.0, order, Outcome.COMPLETED, 1)
-    assert dispatcher._copies.shared == shared, "one find is counted once"
-    assert [d.copy for d in pull(dispatcher, 900.0) if isinstance(d, Send)] == [send.copy]
+    assert isinstance(order, LoadOrder) and order.instance is send.instance and order.count == 1
+    shared = dispatcher._instances.shared_ratio
+    dispatcher.on_load_report(900.0, order, AttemptStatus.COMPLETED, 1)
+    assert dispatcher._instances.shared_ratio == shared, "one find is counted once"
+    assert [d.instance for d in pull(dispatcher, 900.0) if isinstance(d, Attempt)] == [send.instance]
 
 
 def test_what_is_believed_of_others_copies_follows_orders_and_first_sends() -> None:
     dispatcher = make(8, shared=0.5, ration=PLENTY)
     for n, took in enumerate([0.0] * 4 + [900.0] * 12):
-        dispatcher.taken(2000.0 * n, activation(model(f"f{n}"), 2000.0 * n))
+        dispatcher.on_request(2000.0 * n, activation(model(f"f{n}"), 2000.0 * n))
         (first,) = (
-            d for d in pull(dispatcher, 2000.0 * n) if isinstance(d, Send | Order) and (d.copy.function.id == f"f{n}")
+            d
+            for d in pull(dispatcher, 2000.0 * n)
+            if isinstance(d, Attempt | LoadOrder) and (d.instance.function.id == f"f{n}")
         )
-        if isinstance(first, Send):
-            found = Outcome.MISS if took else Outcome.COMPLETED
-            dispatcher.answered(2000.0 * n + 1, first, found, not took, False, None, 0, None)
+        if isinstance(first, Attempt):
+            found = AttemptStatus.NOT_LOADED if took else AttemptStatus.COMPLETED
+            dispatcher.on_attempt_finished(2000.0 * n + 1, first, found, not took, False, None, 0, None)
         else:
-            assert isinstance(first, Order)
-            dispatcher.told(2000.0 * n + took, first, Outcome.COMPLETED, 1)
+            assert isinstance(first, LoadOrder)
+            dispatcher.on_load_report(2000.0 * n + took, first, AttemptStatus.COMPLETED, 1)
         pull(dispatcher, 2000.0 * n + took)
-        assert isinstance(first, Send) == (1 <= n <= 6), n
+        assert isinstance(first, Attempt) == (1 <= n <= 6), n
 
 
 def test_orders_that_wait_for_a_connection_keep_the_ration_when_they_arrive() -> None:
-    gate, dispatcher = Gate(**GATE, connect_ms=250.0), make(8)
-    copies = [dispatcher._copies.at(model(f"f{n}"), dispatcher.workers[0]) for n in range(12)]
-    given = [now for now in (0.0, 5100.0) for copy in copies if gate.order(now, copy, 1)]
+    gate, dispatcher = SafetyGuard(**GATE, connect_ms=250.0), make(8)
+    copies = [dispatcher._instances.get_or_add(model(f"f{n}"), dispatcher.workers[0]) for n in range(12)]
+    given = [now for now in (0.0, 5100.0) for copy in copies if gate.start_load(now, copy, 1)]
     assert given == [0.0] * 5, "those of the start may have arrived 250 ms late"
-    assert gate.order(5251.0, copies[0], 1) is not None
+    assert gate.start_load(5251.0, copies[0], 1) is not None
 
 
 def test_a_copy_goes_to_its_usual_worker_until_that_is_far_over_the_average() -> None:
@@ -405,72 +426,75 @@
         dispatcher, function = make(8), model()
         home = ready(dispatcher, function)
         for worker in dispatcher.workers:  # all were heard of, with one load under way each
-            worker.gap, worker.report = 10.0, {"x1": reported if worker is home else 1.0, "util": 0.7}
-        host, _ = dispatcher._placement.host(5000.0, model(), dispatcher.workers)
+            worker.mean_response_gap, worker.load_report = (
+                10.0,
+                {"x1": reported if worker is home else 1.0, "util": 0.7},
+            )
+        host, _ = dispatcher._placement.choose_worker(5000.0, model(), dispatcher.workers)
         assert (host is home) == at_home
 
 
 def test_a_list_of_the_same_workers_costs_no_sorting_and_an_answer_without_lag_no_look_at_copies() -> None:
     dispatcher, function = make(8), model()
     ready(dispatcher, function)
-    homes = function.homes
-    dispatcher.listed(100.0, list(dispatcher.workers), [])
-    dispatcher._placement.host(100.0, function, dispatcher.workers)
-    assert function.homes is homes
-    dispatcher.listed(200.0, [*dispatcher.workers, Worker("new")], [])
-    dispatcher._placement.host(200.0, function, dispatcher.workers)
-    assert len(function.homes) == 9 and function.homes is not homes
+    homes = function.preferred_workers
+    dispatcher.on_endpoints(100.0, list(dispatcher.workers), [])
+    dispatcher._placement.choose_worker(100.0, function, dispatcher.workers)
+    assert function.preferred_workers is homes
+    dispatcher.on_endpoints(200.0, [*dispatcher.workers, Worker("new")], [])
+    dispatcher._placement.choose_worker(200.0, function, dispatcher.workers)
+    assert len(function.preferred_workers) == 9 and function.preferred_workers is not homes
     seen = list[float]()
-    dispatcher._gate.spare = lambda now, worker: not seen.append(now)  # type: ignore[method-assign]
+    dispatcher._safety.has_budget = lambda now, worker: not seen.append(now)  # type: ignore[method-assign]
     (send,) = take(dispatcher, function, 300.0, 1)
     seen.clear()
-    assert isinstance(send, Send)
+    assert isinstance(send, Attempt)
     complete(dispatcher, send, 340.0)
     assert not pull(dispatcher, 340.0) and not seen
 
 
 def test_an_order_names_sixteen_copies_at_most() -> None:
     dispatcher, function = make(workers=1), model()
-    copy = ready(dispatcher, function, copies=16).copies[function]
-    assert dispatcher._gate.order(100.0, copy, 17).count == 16
+    copy = ready(dispatcher, function, copies=16).instances[function]
+    assert dispatcher._safety.start_load(100.0, copy, 17).count == 16
 
 
 def test_company_met_spreads_a_function_and_an_empty_copy_draws_it_together() -> None:
     dispatcher, function = make(8, ration=PLENTY), model(lanes=1)
     ready(dispatcher, function)
     for company, wider in ((9, True), (0, False)):
-        before = function.spread
+        before = function.target_worker_count
         for n in range(12):
             now = 1000.0 * (n + 1) + 20_000 * (not wider)
             for decision in take(dispatcher, function, now, 1) + pull(dispatcher, now + 2):
-                if isinstance(decision, Send):
-                    how = Outcome.COMPLETED
-                    dispatcher.answered(now + 40, decision, how, True, False, True, company, None)
-                elif isinstance(decision, Order):
-                    dispatcher.told(now + 1, decision, Outcome.COMPLETED, 1)
-        assert (function.spread > before) is wider
-        assert not wider or len(function.copies) > 3
+                if isinstance(decision, Attempt):
+                    how = AttemptStatus.COMPLETED
+                    dispatcher.on_attempt_finished(now + 40, decision, how, True, False, True, company, None)
+                elif isinstance(decision, LoadOrder):
+                    dispatcher.on_load_report(now + 1, decision, AttemptStatus.COMPLETED, 1)
+        assert (function.target_worker_count > before) is wider
+        assert not wider or len(function.instances) > 3
 
 
 def test_a_worker_that_fails_one_type_serves_the_others_and_a_lost_answer_is_sent_again() -> None:
-    dispatcher, fails, well = make(workers=1), model("a", 4), model("b", 4, kind(Effect.ONCE_ONLY))
+    dispatcher, fails, well = make(workers=1), model("a", 4), model("b", 4, kind(Idempotency.AT_MOST_ONCE))
     worker = ready(dispatcher, fails)
     ready(dispatcher, well, 60.0)
     for send in take(dispatcher, fails, 200.0, 3):
-        dispatcher.answered(201.0, send, Outcome.ERROR, True, False, None, 0, None)
-    assert not dispatcher._health.usable(202.0, worker, fails.type)
-    (lost, *_) = [d for d in take(dispatcher, well, 202.0, 1) if isinstance(d, Send)]
-    assert lost.copy.worker is worker
+        dispatcher.on_attempt_finished(201.0, send, AttemptStatus.ERROR, True, False, None, 0, None)
+    assert not dispatcher._outliers.usable(202.0, worker, fails.request_class)
+    (lost, *_) = [d for d in take(dispatcher, well, 202.0, 1) if isinstance(d, Attempt)]
+    assert lost.instance.worker is worker
     dispatcher, function = make(workers=2, ration=PLENTY), model(lanes=4)
     ready(dispatcher, function)
     (lost,) = take(dispatcher, function, 100.0, 1)
     found: list[Decision] = []
     for n in range(10):  # the worker goes on answering others
         found += take(dispatcher, function, 200.0 + 60 * n, 1)
-        for send in [d for d in found if isinstance(d, Send) and d.act is not lost.act and d.outcome is None]:
+        for send in [d for d in found if isinstance(d, Attempt) and d.request is not lost.request and d.status is None]:
             complete(dispatcher, send, 240.0 + 60 * n)
         found += pull(dispatcher, stir(dispatcher, 245.0 + 60 * n))
-    assert lost.lost and len(lost.act.sends) + lost.act.queued > 1
+    assert lost.overdue and len(lost.request.attempts) + lost.request.queued > 1
 
 
 def test_many_small_dispatchers_together_spare_a_cold_worker() -> None:
@@ -479,10 +503,10 @@
         dispatcher, function = make(workers=5, ration=PLENTY, seed=seed), model(f"f{seed}")
         ready(dispatcher, function)  # each completes one: a hundred on four warm workers
         cold = dispatcher.workers[seed % 5]
-        cold.started = 100.0
-        dispatcher.listed(100.0, dispatcher.workers, [cold])
+        cold.started_at = 100.0
+        dispatcher.on_endpoints(100.0, dispatcher.workers, [cold])
         act = activation(function, 110.0)
-        sent += dispatcher._gate.may_send(110.0, act, cold)
+        sent += dispatcher._safety.may_attempt(110.0, act, cold)
     assert 0 < sent < 0.5 * 3.0 * 0.2 * 100 / 4 * 3
 
 
@@ -490,14 +514,14 @@
     drawn = {100.0: 0, 2100.0: 0, 4100.0: 0}
     again = 0
     for seed in range(400):
-        gate, cold = Gate(**GATE | {"seed": seed, "cold_ms": 1e9}), Worker("cold", started=0.0)
+        gate, cold = SafetyGuard(**GATE | {"seed": seed, "cold_ms": 1e9}), Worker("cold", started_at=0.0)
         gate._usual, gate._sized = 0.5, 1e9  # what warm ones carry: a part of 0.15 from here
         one, two = (activation(model(), 4000.0, n) for n in (1, 2))
         for now in drawn:
-            drawn[now] += gate.may_send(now, one, cold)
-        if gate.may_send(4100.0, one, cold):
-            gate.send(4100.0, one, Copy(one.function, cold, 1))
-            again += gate.may_send(4101.0, two, cold)
+            drawn[now] += gate.may_attempt(now, one, cold)
+        if gate.may_attempt(4100.0, one, cold):
+            gate.start_attempt(4100.0, one, Instance(one.function, cold, 1))
+            again += gate.may_attempt(4101.0, two, cold)
     assert all(0.7 * 400 * 0.12 < count < 1.3 * 400 * 0.12 for count in drawn.values()), "as many at any time"
     assert not again, "each draw is used once"
 
@@ -516,10 +540,12 @@
         chance, start, function = random.Random(seed), 4000.0, model()
         weights = [chance.lognormvariate(0, 1.2) if uneven else 1.0 for _ in range(many)]
 
-        def gate(chance: random.Random = chance, start: float = start) -> tuple[Gate, list[Worker], Worker]:
-            made = Gate(chance.getrandbits(64), True, 100, tip, tip_ms, least, cold_ms, (False, 0.0, 0.0, 0.0), 250.0)
-            workers, cold = [Worker(f"w{n}") for n in range(warm)], Worker("cold", started=start)
-            made.listed([*workers, cold])
+        def gate(chance: random.Random = chance, start: float = start) -> tuple[SafetyGuard, list[Worker], Worker]:
+            made = SafetyGuard(
+                chance.getrandbits(64), True, 100, tip, tip_ms, least, cold_ms, (False, 0.0, 0.0, 0.0), 250.0
+            )
+            workers, cold = [Worker(f"w{n}") for n in range(warm)], Worker("cold", started_at=start)
+            made.set_workers([*workers, cold])
             return made, workers, cold
 
         fleet = [gate() for _ in range(many)]
@@ -533,7 +559,7 @@
                 due = weights[n] / sum(weights) * per_s * 0.05
                 for _ in range(int(due) + (chance.random() < due % 1)):
                     own.completed(now, chance.choice(workers))
-                while now >= told[n] and own.send(now, activation(function, now), Copy(function, cold, 1)):
+                while now >= told[n] and own.start_attempt(now, activation(function, now), Instance(function, cold, 1)):
                     times.append(now)
         sent += len(times)
         for at in times:
@@ -549,58 +575,58 @@
 def test_where_a_worker_loads_for_a_send_the_first_goes_without_an_order() -> None:
     for loads in (True, False):
         dispatcher, function = make(4, ration=PLENTY), model()
-        dispatcher._copies = Copies(dispatcher.agenda, 8000.0, loads)
+        dispatcher._instances = InstanceTable(dispatcher.timers, 8000.0, loads)
         for _ in range(20):
-            dispatcher._copies.met(False)  # nothing stood for others
+            dispatcher._instances.observe_first_use(False)  # nothing stood for others
         found = take(dispatcher, function, 10.0, 1)
-        assert [type(each) for each in found] == [Send if loads else Order]
+        assert [type(each) for each in found] == [Attempt if loads else LoadOrder]
 
 
 def test_copies_go_where_this_dispatcher_may_send_and_barred_lanes_are_not_held() -> None:
     dispatcher, function = make(8, ration=PLENTY), model()
     home = ready(dispatcher, function)
-    home.started = 2000.0
-    dispatcher.listed(2000.0, dispatcher.workers, [home])
-    home.copies[function].standing = 1  # loaded again, for others
-    dispatcher._gate._usual, dispatcher._gate._sized = 0.0, 1e9  # nothing may be sent to a cold worker
-    (order,) = (d for d in take(dispatcher, function, 2001.0, 1) if isinstance(d, Order))
-    assert order.copy.worker is not home
+    home.started_at = 2000.0
+    dispatcher.on_endpoints(2000.0, dispatcher.workers, [home])
+    home.instances[function].loaded = 1  # loaded again, for others
+    dispatcher._safety._usual, dispatcher._safety._sized = 0.0, 1e9  # nothing may be sent to a cold worker
+    (order,) = (d for d in take(dispatcher, function, 2001.0, 1) if isinstance(d, LoadOrder))
+    assert order.instance.worker is not home
 
 
 def test_late_answers_close_admission_for_the_least_useful_first_and_timely_ones_open_it() -> None:
     queues = make()._queues
     for n in range(60):
-        queues.felt(model(f"f{n}"), True)
-    low = sum(queues.shed(1.0, activation(model(), 0.0)) for _ in range(200))
-    high = sum(queues.shed(1.0, activation(model(type_=kind(utility=8.0)), 0.0)) for _ in range(200))
+        queues.observe_worker_delay(model(f"f{n}"), True)
+    low = sum(queues.should_shed(1.0, activation(model(), 0.0)) for _ in range(200))
+    high = sum(queues.should_shed(1.0, activation(model(type_=kind(utility=8.0)), 0.0)) for _ in range(200))
     assert low > 190 > high > 0
     for _ in range(60):
-        queues.felt(model(), False)
-    assert not any(queues.shed(1.0, activation(model(), 0.0)) for _ in range(200))
+        queues.observe_worker_delay(model(), False)
+    assert not any(queues.should_shed(1.0, activation(model(), 0.0)) for _ in range(200))
 
 
 def test_a_deduplicated_one_that_may_have_run_is_rejected_only_while_its_mark_holds() -> None:
     cases = ((True, 100.0, "rejected"), (True, 9000.0, "aborted"), (False, 100.0, "aborted"))
     for marked, later, verdict in cases:
         dispatcher = make(workers=1)
-        function = model(type_=kind(Effect.DEDUPLICATED))
+        function = model(type_=kind(Idempotency.DEDUPLICATED))
         ready(dispatcher, function)
         (send,) = take(dispatcher, function, 100.0, 1)
-        send.act.marked = marked
-        assert dispatcher._gate.end(100.0 + later, send.act).verdict == verdict
+        send.request.has_idempotency_key = marked
+        assert dispatcher._safety.finish(100.0 + later, send.request).final_status == verdict
 
 
 def test_a_refusal_that_names_a_time_beyond_the_window_is_none() -> None:
     """A client that comes back when it was told to must still be remembered."""
     dispatcher = make(workers=1, return_ms=500.0)
-    function = model(type_=kind(Effect.DEDUPLICATED))
+    function = model(type_=kind(Idempotency.DEDUPLICATED))
     ready(dispatcher, function)
     (send,) = take(dispatcher, function, 100.0, 1)
     function.load_ms = 1000.0
     within, beyond = 100.0 + 5000.0 - 600.0, 100.0 + 5000.0 - 400.0  # of the window of 5 s, half a second to come back
-    assert dispatcher.stopped(within, send.act).verdict == "rejected"
-    send.act.verdict = None
-    assert dispatcher.stopped(beyond, send.act).verdict == "aborted"
+    assert dispatcher.terminate(within, send.request).final_status == "rejected"
+    send.request.final_status = None
+    assert dispatcher.terminate(beyond, send.request).final_status == "aborted"
 
 
 # Second sends.
@@ -611,25 +637,25 @@
     for number in range(n):
         _, sends = out(dispatcher, function, now, 1000 + number)
         for send in sends:
-            dispatcher.answered(now + took, send, Outcome.COMPLETED, True, False, None, 0, None)
+            dispatcher.on_attempt_finished(now + took, send, AttemptStatus.COMPLETED, True, False, None, 0, None)
         now += took
         pull(dispatcher, now)
     return now
 
 
-def hedged(effect: Effect = Effect.REPEATABLE) -> NamespaceType:
-    return NamespaceType(effect.value, effect, 500.0, 2.0, 0.3, "all", 5000.0, True)
+def hedged(effect: Idempotency = Idempotency.IDEMPOTENT) -> RequestClass:
+    return RequestClass(effect.value, effect, 500.0, 2.0, 0.3, "all", 5000.0, True)
 
 
-def out(dispatcher: Dispatcher, function: Function, now: float, n: int = 1) -> tuple[Activation, list[Send]]:
+def out(dispatcher: Dispatcher, function: Function, now: float, n: int = 1) -> tuple[Request, list[Attempt]]:
     act = activation(function, now, n)
-    dispatcher.taken(now, act)
+    dispatcher.on_request(now, act)
     sends = []
     for _ in range(3):
         for decision in pull(dispatcher, now):
-            if isinstance(decision, Order):
-                dispatcher.told(now, decision, Outcome.COMPLETED, decision.count)
-            elif isinstance(decision, Send):
+            if isinstance(decision, LoadOrder):
+                dispatcher.on_load_report(now, decision, AttemptStatus.COMPLETED, decision.count)
+            elif isinstance(decision, Attempt):
                 sends.append(decision)
     return act, sends
 
@@ -637,23 +663,23 @@
 def stand(dispatcher: Dispatcher, function: Function, now: float) -> None:
     """A copy at every worker."""
     for worker in dispatcher.workers:
-        dispatcher._copies.stands(now, dispatcher._copies.at(function, worker), 1)
+        dispatcher._instances.set_loaded(now, dispatcher._instances.get_or_add(function, worker), 1)
 
 
-@pytest.mark.parametrize("effect", [Effect.REPEATABLE, Effect.DEDUPLICATED])
-def test_a_hedge_goes_past_the_spread_of_times_to_another_worker(effect: Effect) -> None:
+@pytest.mark.parametrize("effect", [Idempotency.IDEMPOTENT, Idempotency.DEDUPLICATED])
+def test_a_hedge_goes_past_the_spread_of_times_to_another_worker(effect: Idempotency) -> None:
     dispatcher = make(3, ration=PLENTY)
     function = model(type_=hedged(effect))
     now = settle(dispatcher, function, 0.0, 40.0, 30)
     stand(dispatcher, function, now)
     act, (first,) = out(dispatcher, function, now)
-    wait = dispatcher._attempts.wait(function, first.copy.worker)
+    wait = dispatcher._retry_budget.hedge_delay(function, first.instance.worker)
     assert 40 <= wait < 60, "steady times leave little doubt"
     assert not pull(dispatcher, now + wait - 1)
-    (second,) = [d for d in pull(dispatcher, now + wait + 1) if isinstance(d, Send)]
-    assert second.act is act and second.copy.worker is not first.copy.worker
-    dispatcher.answered(now + 90, second, Outcome.COMPLETED, True, False, None, 0, None)
-    assert [d for d in pull(dispatcher, now + 90) if isinstance(d, Send)] == [first] and first.revoked
+    (second,) = [d for d in pull(dispatcher, now + wait + 1) if isinstance(d, Attempt)]
+    assert second.request is act and second.instance.worker is not first.instance.worker
+    dispatcher.on_attempt_finished(now + 90, second, AttemptStatus.COMPLETED, True, False, None, 0, None)
+    assert [d for d in pull(dispatcher, now + 90) if isinstance(d, Attempt)] == [first] and first.cancelled
 
 
 def test_no_hedge_without_leave_without_a_free_lane_or_without_budget() -> None:
@@ -664,27 +690,27 @@
         if copies:
             stand(dispatcher, function, now)
         if not budget:
-            while dispatcher._attempts.spend():
+            while dispatcher._retry_budget.try_spend():
                 pass
         _, (first,) = out(dispatcher, function, now)
-        others = [copy for copy in function.copies.values() if copy is not first.copy and copy.standing]
+        others = [copy for copy in function.instances.values() if copy is not first.instance and copy.loaded]
         for copy in () if copies else others:
-            copy.standing = 0
-        assert not [d for d in pull(dispatcher, now + 150) if isinstance(d, Send)]
-        assert not function.lag, "a hedge never waits in a queue"
+            copy.loaded = 0
+        assert not [d for d in pull(dispatcher, now + 150) if isinstance(d, Attempt)]
+        assert not function.queue_depth, "a hedge never waits in a queue"
 
 
 def test_the_budget_for_second_sends_follows_what_is_completed() -> None:
     dispatcher = make(2, ration=PLENTY)
-    attempts = dispatcher._attempts
+    attempts = dispatcher._retry_budget
     spent = 0
-    while attempts.spend():
+    while attempts.try_spend():
         spent += 1
     assert 0 < spent <= 100
     for _ in range(51):
-        attempts.earn()
+        attempts.deposit()
     again = 0
-    while attempts.spend():
+    while attempts.try_spend():
         again += 1
     assert again == 10, "a fifth of what was completed"
 
@@ -695,71 +721,80 @@
     function = model(lanes=8)
     now = settle(dispatcher, function, 0.0, 40.0, 20)
     stand(dispatcher, function, now)
-    while dispatcher._attempts.spend():
+    while dispatcher._retry_budget.try_spend():
         pass
     acts = [out(dispatcher, function, now, n) for n in range(6)]
     sends = [send for _, found in acts for send in found]
     assert len(sends) == 6
     now += 1500  # unusually long
-    dispatcher.beat(now)
-    assert all(send.lost for send in sends) and not [d for d in pull(dispatcher, now) if isinstance(d, Send)]
+    dispatcher.on_tick(now)
+    assert all(send.overdue for send in sends) and not [d for d in pull(dispatcher, now) if isinstance(d, Attempt)]
     for _ in range(11):
-        dispatcher._attempts.earn()
+        dispatcher._retry_budget.deposit()
     now += 600  # workers that fell silent are barred for a time
-    dispatcher.beat(now)
-    assert len([d for d in pull(dispatcher, now) if isinstance(d, Send)]) == 2
-    dispatcher.answered(now + 50, sends[5], Outcome.COMPLETED, True, False, None, 0, None)
+    dispatcher.on_tick(now)
+    assert len([d for d in pull(dispatcher, now) if isinstance(d, Attempt)]) == 2
+    dispatcher.on_attempt_finished(now + 50, sends[5], AttemptStatus.COMPLETED, True, False, None, 0, None)
     for _ in range(100):
-        dispatcher._attempts.earn()
-    dispatcher.beat(now + 100)
-    late = [d for d in pull(dispatcher, now + 100) if isinstance(d, Send) and not d.revoked]
-    assert 0 < len(late) <= 4 and all(d.act is not sends[5].act for d in late), "what has ended is not sent again"
+        dispatcher._retry_budget.deposit()
+    dispatcher.on_tick(now + 100)
+    late = [d for d in pull(dispatcher, now + 100) if isinstance(d, Attempt) and not d.cancelled]
+    assert 0 < len(late) <= 4 and all(d.request is not sends[5].request for d in late), (
+        "what has ended is not sent again"
+    )
 
 
 def test_a_spread_of_times_and_a_slow_worker_make_the_wait_longer() -> None:
     dispatcher = make(2, ration=PLENTY)
-    steady, spread, attempts = model("a"), model("b"), dispatcher._attempts
+    steady, spread, attempts = model("a"), model("b"), dispatcher._retry_budget
     one, slow = dispatcher.workers
     for n in range(200):
-        attempts.took(steady, one, 40.0)
-        attempts.took(spread, one, 10.0 if n % 2 else 70.0)
-    assert attempts.wait(spread, one) > 2 * attempts.wait(steady, one)
+        attempts.observe_latency(steady, one, 40.0)
+        attempts.observe_latency(spread, one, 10.0 if n % 2 else 70.0)
+    assert attempts.hedge_delay(spread, one) > 2 * attempts.hedge_delay(steady, one)
     for _ in range(50):
-        attempts.took(spread, slow, 3 * spread.usual_ms)
-        attempts.took(spread, one, 0.3 * spread.usual_ms)
-    assert attempts.wait(spread, slow) == pytest.approx(2 * (spread.usual_ms + 4 * spread.stray_ms), rel=0.2)
+        attempts.observe_latency(spread, slow, 3 * spread.mean_latency_ms)
+        attempts.observe_latency(spread, one, 0.3 * spread.mean_latency_ms)
+    assert attempts.hedge_delay(spread, slow) == pytest.approx(
+        2 * (spread.mean_latency_ms + 4 * spread.latency_deviation_ms), rel=0.2
+    )
 
 
 def test_what_a_client_takes_back_or_nobody_can_load_earns_no_orders() -> None:
     dispatcher = make(3, ration=(True, 2.0, 0.5, 5000.0))
-    gate, bogus = dispatcher._gate, model("bogus")
+    gate, bogus = dispatcher._safety, model("bogus")
     for n in range(40):
         act = activation(model(f"t{n}"), 0.0, n)
-        dispatcher.taken(0.0, act)
-        dispatcher.left(act)
-    assert not gate.taken and not pull(dispatcher, 0.0)
+        dispatcher.on_request(0.0, act)
+        dispatcher.on_client_gone(act)
+    assert not gate.request_times and not pull(dispatcher, 0.0)
     calls = [activation(bogus, 1.0, n) for n in range(4)]
     for act in calls:
-        dispatcher.taken(1.0, act)
-    (first,) = (d for d in pull(dispatcher, 1.0) if isinstance(d, Order))
-    dispatcher.told(2.0, first, Outcome.ERROR, 0)
-    assert not gate.taken
-    (second,) = (d for d in pull(dispatcher, 30.0) if isinstance(d, Order))
-    dispatcher.told(31.0, second, Outcome.ERROR, 0)
-    assert {d for d in pull(dispatcher, 31.0) if isinstance(d, Activation)} == set(calls), "given up at once"
-    assert all(act.verdict == "rejected" for act in calls)
+        dispatcher.on_request(1.0, act)
+    (first,) = (d for d in pull(dispatcher, 1.0) if isinstance(d, LoadOrder))
+    dispatcher.on_load_report(2.0, first, AttemptStatus.ERROR, 0)
+    assert not gate.request_times
+    (second,) = (d for d in pull(dispatcher, 30.0) if isinstance(d, LoadOrder))
+    dispatcher.on_load_report(31.0, second, AttemptStatus.ERROR, 0)
+    assert {d for d in pull(dispatcher, 31.0) if isinstance(d, Request)} == set(calls), "given up at once"
+    assert all(act.final_status == "rejected" for act in calls)
 
 
 def test_a_load_that_fails_of_a_function_that_stood_gives_up_nothing() -> None:
     dispatcher, function = make(3, ration=PLENTY), model()
     now = 0.0
-    for outcome, standing in ((Outcome.COMPLETED, 1), (Outcome.ERROR, 0), (Outcome.ERROR, 0), (Outcome.ERROR, 0)):
+    for outcome, standing in (
+        (AttemptStatus.COMPLETED, 1),
+        (AttemptStatus.ERROR, 0),
+        (AttemptStatus.ERROR, 0),
+        (AttemptStatus.ERROR, 0),
+    ):
         for n in range(4):
-            dispatcher.taken(now, activation(function, now, n))
-        found = [d for d in pull(dispatcher, now) if isinstance(d, Order)]
+            dispatcher.on_request(now, activation(function, now, n))
+        found = [d for d in pull(dispatcher, now) if isinstance(d, LoadOrder)]
         for order in found:
-            dispatcher.told(now + 1, order, outcome, standing)
-        assert not [d for d in pull(dispatcher, now + 1) if isinstance(d, Activation)]
+            dispatcher.on_load_report(now + 1, order, outcome, standing)
+        assert not [d for d in pull(dispatcher, now + 1) if isinstance(d, Request)]
         now += 30
 
 
@@ -768,60 +803,60 @@
     worker = dispatcher.workers[0]
     acts = [activation(function, 0.0, n, 9000.0) for n in range(3)]
     for act in acts:
-        dispatcher.taken(0.0, act)
-    (order,) = (d for d in pull(dispatcher, 0.0) if isinstance(d, Order))
-    dispatcher.told(0.0, order, Outcome.COMPLETED, 1)
-    sends = [d for d in pull(dispatcher, 0.0) if isinstance(d, Send)]
-    dispatcher.answered(100.0, sends[0], Outcome.COMPLETED, True, False, True, 0, None)
-    dispatcher.answered(101.0, sends[1], Outcome.COMPLETED, True, False, True, 0, None)
-    dispatcher.beat(600.0)
-    assert not worker.whole.bar_ms, "four usual times"
-    dispatcher.beat(1400.0)
-    assert sends[2].lost and not worker.whole.bar_ms, "one answer is missing"
+        dispatcher.on_request(0.0, act)
+    (order,) = (d for d in pull(dispatcher, 0.0) if isinstance(d, LoadOrder))
+    dispatcher.on_load_report(0.0, order, AttemptStatus.COMPLETED, 1)
+    sends = [d for d in pull(dispatcher, 0.0) if isinstance(d, Attempt)]
+    dispatcher.on_attempt_finished(100.0, sends[0], AttemptStatus.COMPLETED, True, False, True, 0, None)
+    dispatcher.on_attempt_finished(101.0, sends[1], AttemptStatus.COMPLETED, True, False, True, 0, None)
+    dispatcher.on_tick(600.0)
+    assert not worker.outlier_state.ejection_ms, "four usual times"
+    dispatcher.on_tick(1400.0)
+    assert sends[2].overdue and not worker.outlier_state.ejection_ms, "one answer is missing"
     for n in (8, 9):
-        dispatcher.taken(1400.0, activation(function, 1400.0, n, 9000.0))
-    assert len([d for d in pull(dispatcher, 1400.0) if isinstance(d, Send)]) == 2
-    dispatcher.beat(2900.0)
-    assert worker.whole.bar_ms, "two more are missing, and nothing else came"
+        dispatcher.on_request(1400.0, activation(function, 1400.0, n, 9000.0))
+    assert len([d for d in pull(dispatcher, 1400.0) if isinstance(d, Attempt)]) == 2
+    dispatcher.on_tick(2900.0)
+    assert worker.outlier_state.ejection_ms, "two more are missing, and nothing else came"
 
 
 def test_an_order_at_a_barred_worker_is_no_lane_under_way_and_load_times_are_learnt() -> None:
     dispatcher, function = make(3, ration=PLENTY), model()
-    dispatcher.taken(0.0, activation(function, 0.0))
-    (order,) = (d for d in pull(dispatcher, 0.0) if isinstance(d, Order))
-    dispatcher._health.bar(100.0, order.copy.worker.whole)
-    dispatcher.beat(200.0)
-    (other,) = (d for d in pull(dispatcher, 200.0) if isinstance(d, Order))
-    assert other.copy.worker is not order.copy.worker
-    dispatcher.told(800.0, other, Outcome.COMPLETED, 1)
+    dispatcher.on_request(0.0, activation(function, 0.0))
+    (order,) = (d for d in pull(dispatcher, 0.0) if isinstance(d, LoadOrder))
+    dispatcher._outliers.eject(100.0, order.instance.worker.outlier_state)
+    dispatcher.on_tick(200.0)
+    (other,) = (d for d in pull(dispatcher, 200.0) if isinstance(d, LoadOrder))
+    assert other.instance.worker is not order.instance.worker
+    dispatcher.on_load_report(800.0, other, AttemptStatus.COMPLETED, 1)
     assert 600.0 < function.load_ms < 1000.0
 
 
 # Ways in which the module gives up: each final answer comes in the round of decisions in which it falls.
 
 
-def placed(dispatcher: Dispatcher, act: Activation, now: float) -> Send:
+def placed(dispatcher: Dispatcher, act: Request, now: float) -> Attempt:
     """Taken, and sent to a copy that its order brought, if none stood."""
-    dispatcher.taken(now, act)
+    dispatcher.on_request(now, act)
     found = pull(dispatcher, now)
-    for order in (d for d in found if isinstance(d, Order)):
-        dispatcher.told(now, order, Outcome.COMPLETED, order.count)
-    (send,) = (d for d in [*found, *pull(dispatcher, now)] if isinstance(d, Send))
+    for order in (d for d in found if isinstance(d, LoadOrder)):
+        dispatcher.on_load_report(now, order, AttemptStatus.COMPLETED, order.count)
+    (send,) = (d for d in [*found, *pull(dispatcher, now)] if isinstance(d, Attempt))
     return send
 
 
-def answer(dispatcher: Dispatcher, send: Send, outcome: Outcome, now: float) -> None:
-    dispatcher.answered(now, send, outcome, False, False, None, 0, None)
+def answer(dispatcher: Dispatcher, send: Attempt, outcome: AttemptStatus, now: float) -> None:
+    dispatcher.on_attempt_finished(now, send, outcome, False, False, None, 0, None)
 
 
-Given = tuple[float, list[Activation], str]  # when, what is given up then, and with which answer
+Given = tuple[float, list[Request], str]  # when, what is given up then, and with which answer
 
 
 def past_the_bound(dispatcher: Dispatcher) -> Given:
     acts = [activation(model("f", 1), 0.0, n) for n in range(30)]
     for act in acts:
         act.function = acts[0].function
-        dispatcher.taken(0.0, act)
+        dispatcher.on_request(0.0, act)
     return 0.0, acts[4:], "rejected"
 
 
@@ -829,26 +864,26 @@
     function = model()
     complete(dispatcher, placed(dispatcher, activation(function, 0.0), 0.0), 400.0)
     act = activation(function, 500.0, 1, 150.0)
-    dispatcher.taken(500.0, act)
+    dispatcher.on_request(500.0, act)
     return 500.0, [act], "rejected"
 
 
 def out_of_sends(dispatcher: Dispatcher) -> Given:
-    dispatcher._gate._most_sends = 1
+    dispatcher._safety._max_attempts = 1
     act = activation(model(), 0.0)
-    answer(dispatcher, placed(dispatcher, act, 0.0), Outcome.FULL, 40.0)
+    answer(dispatcher, placed(dispatcher, act, 0.0), AttemptStatus.OUT_OF_CAPACITY, 40.0)
     return 40.0, [act], "rejected"
 
 
 def once_only_broke(dispatcher: Dispatcher) -> Given:
-    act = activation(model(type_=kind(Effect.ONCE_ONLY)), 0.0)
-    answer(dispatcher, placed(dispatcher, act, 0.0), Outcome.BROKEN, 40.0)
+    act = activation(model(type_=kind(Idempotency.AT_MOST_ONCE)), 0.0)
+    answer(dispatcher, placed(dispatcher, act, 0.0), AttemptStatus.CONNECTION_LOST, 40.0)
     return 40.0, [act], "aborted"
 
 
 def remembered_no_more(dispatcher: Dispatcher) -> Given:
-    act = activation(model(type_=kind(Effect.DEDUPLICATED)), 0.0, 0, 9000.0)
-    answer(dispatcher, placed(dispatcher, act, 0.0), Outcome.BROKEN, 5100.0)
+    act = activation(model(type_=kind(Idempotency.DEDUPLICATED)), 0.0, 0, 9000.0)
+    answer(dispatcher, placed(dispatcher, act, 0.0), AttemptStatus.CONNECTION_LOST, 5100.0)
     return 5100.0, [act], "aborted"
 
 
@@ -856,7 +891,7 @@
     function = model()
     complete(dispatcher, placed(dispatcher, activation(function, 0.0), 0.0), 400.0)
     act = activation(function, 500.0, 1, 900.0)
-    answer(dispatcher, placed(dispatcher, act, 500.0), Outcome.FULL, 1250.0)
+    answer(dispatcher, placed(dispatcher, act, 500.0), AttemptStatus.OUT_OF_CAPACITY, 1250.0)
     return 1250.0, [act], "rejected"
 
 
@@ -864,10 +899,10 @@
     acts = [activation(model("bogus"), 0.0, n) for n in range(4)]
     for act in acts:
         act.function = acts[0].function
-        dispatcher.taken(0.0, act)
+        dispatcher.on_request(0.0, act)
     for now in (0.0, 30.0):
-        (order,) = (d for d in pull(dispatcher, stir(dispatcher, now)) if isinstance(d, Order))
-        dispatcher.told(now + 1, order, Outcome.ERROR, 0)
+        (order,) = (d for d in pull(dispatcher, stir(dispatcher, now)) if isinstance(d, LoadOrder))
+        dispatcher.on_load_report(now + 1, order, AttemptStatus.ERROR, 0)
     return 31.0, acts, "rejected"
 
 
@@ -875,12 +910,12 @@
     dispatcher._queues._open = 0.05
     acts = [activation(model(), 0.0, n) for n in range(2)]
     for act in acts:
-        dispatcher.taken(0.0, act)
+        dispatcher.on_request(0.0, act)
     return 0.0, acts, "rejected"
 
 
 def time_is_up(dispatcher: Dispatcher) -> Given:
-    act = activation(model(type_=kind(Effect.ONCE_ONLY)), 0.0)
+    act = activation(model(type_=kind(Idempotency.AT_MOST_ONCE)), 0.0)
     placed(dispatcher, act, 0.0)
     return 2995.0, [act], "aborted"
 
@@ -890,23 +925,23 @@
     complete(dispatcher, placed(dispatcher, activation(function, 0.0), 0.0), 400.0)
     placed(dispatcher, activation(function, 500.0, 1), 500.0)
     for worker in dispatcher.workers:
-        dispatcher._health.bar(500.0, worker.whole)
+        dispatcher._outliers.eject(500.0, worker.outlier_state)
     behind = activation(function, 500.0, 3, 800.0)
     for act in (activation(function, 500.0, 2), behind):
-        dispatcher.taken(500.0, act)
+        dispatcher.on_request(500.0, act)
     pull(dispatcher, 500.0)
     return 1100.0, [behind], "rejected"  # half of the usual time is left, and the first may still wait
 
 
 def forgotten_behind_others(dispatcher: Dispatcher) -> Given:
-    function = model(lanes=1, type_=kind(Effect.DEDUPLICATED))
+    function = model(lanes=1, type_=kind(Idempotency.DEDUPLICATED))
     act = activation(function, 0.0, 0, 9000.0)
     send = placed(dispatcher, act, 0.0)
     for worker in dispatcher.workers:
-        worker.whole.barred_until = 8000.0
-    answer(dispatcher, send, Outcome.BROKEN, 100.0)
+        worker.outlier_state.ejected_until = 8000.0
+    answer(dispatcher, send, AttemptStatus.CONNECTION_LOST, 100.0)
     pull(dispatcher, 100.0)
-    function.waiting.appendleft(activation(function, 100.0, 1, 9000.0))
+    function.queue.appendleft(activation(function, 100.0, 1, 9000.0))
     return 4980.0, [act], "aborted"
 
 
@@ -932,8 +967,8 @@
 ) -> None:
     dispatcher = make(return_ms=longest)
     now, acts, verdict = way(dispatcher)
-    ended = [d for d in pull(dispatcher, now) if isinstance(d, Activation)]
+    ended = [d for d in pull(dispatcher, now) if isinstance(d, Request)]
     assert sorted(a.id for a in ended) == sorted(a.id for a in acts)
     for act in ended:
-        assert act.verdict == verdict
-        assert act.return_ms == (longest if verdict == "rejected" else 0.0)
+        assert act.final_status == verdict
+        assert act.retry_after_ms == (longest if verdict == "rejected" else 0.0)
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -14,7 +14,7 @@
 from test_inference import Client, tensor
 
 from kelptrail.codec.http import Request, encode_request
-from kelptrail.dispatch.entities import Outcome
+from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.gateway.connection_health import LinkSight
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.server import Exchange, Limits
@@ -204,11 +204,11 @@
 def test_sight_speaks_only_of_what_is_recent() -> None:
     sight = LinkSight(1000.0)
     assert sight.well(0.0) is None
-    sight.ended(100.0, Outcome.UNREACHABLE)
+    sight.ended(100.0, AttemptStatus.UNREACHABLE)
     assert sight.well(200.0) is False
-    sight.ended(150.0, Outcome.FULL)  # a refusal shows that somebody was reached
+    sight.ended(150.0, AttemptStatus.OUT_OF_CAPACITY)  # a refusal shows that somebody was reached
     assert sight.well(1100.0) is True and sight.well(1200.0) is None
-    sight.ended(1300.0, Outcome.REVOKED)
+    sight.ended(1300.0, AttemptStatus.CANCELLED)
     assert sight.well(1300.0) is None
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,7 +18,7 @@
 from program import DEPLOYMENT, Dispatcher, ScriptedWorker, Silent, answer, run, silent, verdict
 
 from kelptrail.codec.http import Request
-from kelptrail.dispatch.entities import Outcome
+from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.gateway.build import World
 from kelptrail.gateway.core import Final, Gateway, GiveUp, PlaceOrder, StartSend
 from kelptrail.membership.members import Entry as Listed
@@ -334,9 +334,14 @@
         for due, send in [e for e in self.out if e[0] <= self.now]:
             self.out.remove((due, send))
             if send.outcome is None:
-                ends = [Outcome.COMPLETED, Outcome.ERROR, Outcome.BROKEN, Outcome.FULL]
+                ends = [
+                    AttemptStatus.COMPLETED,
+                    AttemptStatus.ERROR,
+                    AttemptStatus.CONNECTION_LOST,
+                    AttemptStatus.OUT_OF_CAPACITY,
+                ]
                 outcome = chance.choices(ends, [6, 1, 1, 1])[0]
-                if outcome is not Outcome.FULL:
+                if outcome is not AttemptStatus.OUT_OF_CAPACITY:
                     self.effects[send.act.id] = self.effects.get(send.act.id, 0) + 1
                 gateway.answered(self.now, send, outcome)
         if chance.random() < 0.5 and (batch := self.journal.ready(self.now)) is not None:
@@ -358,15 +363,15 @@
     def pull(self) -> None:
         while (effect := self.gateway.effect(self.now)) is not None:
             if isinstance(effect, StartSend):
-                id_, kind = effect.send.act.id, effect.ivk.record.effect
+                id_, kind = effect.send.request.id, effect.ivk.record.effect
                 if kind != "repeatable":
                     assert any(isinstance(e, MayRun) and e.id == id_ for e in self.disk), "may run is safe before"
                 self.out.append((self.now + self.chance.uniform(5, 200), effect.send))
-            elif isinstance(effect, GiveUp) and effect.send.outcome is None:
+            elif isinstance(effect, GiveUp) and effect.send.status is None:
                 self.out = [e for e in self.out if e[1] is not effect.send]
-                self.gateway.answered(self.now, effect.send, Outcome.REVOKED)
+                self.gateway.answered(self.now, effect.send, AttemptStatus.CANCELLED)
             elif isinstance(effect, PlaceOrder):
-                self.gateway.told(self.now, effect.order, Outcome.COMPLETED, effect.order.count)
+                self.gateway.told(self.now, effect.order, AttemptStatus.COMPLETED, effect.order.count)
             elif isinstance(effect, Final):
                 assert effect.ivk.record.shown
 
@@ -389,7 +394,7 @@
     assert gateway.recover(0.0, 1100.0, lives, 100.0, 16)["resumed"] == 5
     while gateway.effect(1.0) is not None:
         pass
-    assert gateway.counts.taken == 5 and not world.gate.taken, "they were counted by the run that took them"
+    assert gateway.counts.taken == 5 and not world.gate.request_times, "they were counted by the run that took them"
 
 
 def test_a_deferred_call_earns_load_orders_only_once_it_is_certain_that_it_is_taken() -> None:
@@ -402,16 +407,16 @@
         ivk = gateway.take(float(number), 1000.0, "one", action, b"{}", deferred=True)
         gateway.promise(ivk, lambda _safe: None)
         batch = journal.ready(0.0)
-        assert batch is not None and len(world.gate.taken) == number
+        assert batch is not None and len(world.gate.request_times) == number
         if safe:
             journal.safe(batch.number)
         else:
             journal.failed(0.0, batch.number, "full")
         while gateway.effect(float(number)) is not None:
             pass
-    assert len(world.gate.taken) == 1
+    assert len(world.gate.request_times) == 1
     gateway.take(3.0, 1000.0, "one", action, b"{}")
-    assert len(world.gate.taken) == 2, "a blocking call gets an answer in any case"
+    assert len(world.gate.request_times) == 2, "a blocking call gets an answer in any case"
 
 
 # The API with a journal.
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -92,8 +92,8 @@
             started = int(real() * 1000 + step_ms) - 100
             place.service._listed(worker_event(2, 7, started))
             worker = place.service._host.workers["s-00000007"]
-            assert worker.started is not None
-            assert 90.0 <= now_ms() - worker.started <= 400.0
+            assert worker.started_at is not None
+            assert 90.0 <= now_ms() - worker.started_at <= 400.0
 
     run(main())
 
@@ -225,8 +225,8 @@
         async with Place(Runner(echo), Runner(echo)) as place:
             place.service._listed(worker_event(2, 7, int(real() * 1000) - 100))
             worker = place.service._host.workers["s-00000007"]
-            assert worker.started is not None
-            assert place.service._now() - worker.started <= 1000.0
+            assert worker.started_at is not None
+            assert place.service._now() - worker.started_at <= 1000.0
 
     run(main())
 
--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -370,9 +370,9 @@
     `memory_mb`, `lanes` and `load_ms`, say what they said."""
     told = BYTES["asked"]
     made = platform_config.parse(json.dumps(BYTES["config"]["told"]))
-    read_as = host_settings.read(made.settings)
-    types = {kind.name: kind for kind in read_as.types}
-    customers = {customer.name: customer for customer in read_as.customers}
+    read_as = host_settings.read_settings(made.settings)
+    types = {kind.name: kind for kind in read_as.request_classes}
+    customers = {customer.name: customer for customer in read_as.tenants}
     most_mb = made.sockets.most_mb
     found = Asked(told["fields"], types, made.sockets.longest_ms, customers, most_mb)
     shown = []
@@ -388,7 +388,7 @@
     told = BYTES["config"]
     made = platform_config.parse(json.dumps(told["told"]))
     assert text(plain(made)) == text(told["values"])
-    assert text(plain(host_settings.read(made.settings))) == text(told["deployment"])
+    assert text(plain(host_settings.read_settings(made.settings))) == text(told["deployment"])
 
 
 @pytest.mark.parametrize("key", BYTES["config"]["needed"])
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -51,7 +51,7 @@
 def test_an_event_that_could_not_be_taken_in_is_asked_for_again() -> None:
     async def main() -> None:
         async with Place(Runner(echo), Runner(echo)) as place:
-            host, listed, fails = place.service._host, place.service._host.listed, [True]
+            host, listed, fails = place.service._host, place.service._host.on_endpoints, [True]
 
             def once(*args: Any) -> Any:
                 if fails:
@@ -59,7 +59,7 @@
                     raise RuntimeError("not foreseen")
                 return listed(*args)
 
-            host.listed = once  # type: ignore[method-assign]
+            host.on_endpoints = once  # type: ignore[method-assign]
             place.events = [event(2, 2, (1, 9, 1))]
             place.service.reload(place.service.config)
             await until(lambda: place.service.number == 2)
