--- a/bench/copies.py
+++ b/bench/copies.py
@@ -27,14 +27,14 @@
 from kelptrail.clock import now_ms, wall_ms
 from kelptrail.codec.infer import Answer
 from kelptrail.dispatch.entities import AttemptStatus
-from kelptrail.gateway.build import World
-from kelptrail.gateway.core import Final, Gateway, PlaceOrder, StartSend
-from kelptrail.lease.messages import Token
-from kelptrail.membership.members import Entry, Listing
-from kelptrail.replication.messages import Item
-from kelptrail.replication.model import World as Walk
+from kelptrail.gateway.build import DispatcherParts
+from kelptrail.gateway.core import FinalAnswer, Gateway, StartAttempt, StartLoad
+from kelptrail.lease.messages import FencingToken
+from kelptrail.membership.members import Endpoint, EndpointList
+from kelptrail.replication.messages import ReplicaEntry
+from kelptrail.replication.model import Model as Walk
 from kelptrail.replication.replica import Work
-from kelptrail.replication.replica_store import Reading, open_shelves
+from kelptrail.replication.replica_store import Reading, open_replica_store
 from kelptrail.settings.deployment import parse
 from kelptrail.store.entries import Accepted, Ended, MayRun, pack
 
@@ -213,41 +213,43 @@
     loop, wall = asyncio.get_running_loop(), wall_ms()
     with tempfile.TemporaryDirectory(dir=".") as folder:
         file = Path(folder) / "copies.sqlite"
-        shelves, _ = open_shelves(file)
-        items: list[Item] = []
+        shelves, _ = open_replica_store(file)
+        items: list[ReplicaEntry] = []
         for n in range(count):
             id_ = f"{n:032x}"
             entries: list[Any] = [Accepted(id_, "n", "f-0", wall - 3000, 600_000.0, b'{"family":7}' * 20)]
             if n >= count * share:
                 entries += [MayRun(id_, wall - 2000, "w0"), Ended(id_, wall, "completed", 0, b'{"family":7}' * 20)]
-            items += [Item(e.id, (Accepted, MayRun, Ended).index(type(e)), 3000.0, pack(e)[0]) for e in entries]
-        shelves.commit([Work("lost.1", tuple(items), fence=(Token(1, "lost/1"), "lost"), wall_ms=wall)])
+            items += [ReplicaEntry(e.id, (Accepted, MayRun, Ended).index(type(e)), 3000.0, pack(e)[0]) for e in entries]
+        shelves.commit([Work("lost.1", tuple(items), fence=(FencingToken(1, "lost/1"), "lost"), wall_ms=wall)])
         gc.collect()
         gc.freeze()
         gc.set_threshold(50_000, 20, 1_000_000)  # as the program does
         began, reading = now_ms(), Reading("lost.1", wall_ms=wall_ms())
         await loop.run_in_executor(None, shelves.commit, [reading])
         read = now_ms() - began
-        gateway, book = Gateway(World(deployment, "hall", 1), "b" * 16), Book()
-        gateway.listed(now_ms(), Listing(1, [Entry(f"w{n}", f"127.0.0.1:{n + 1}") for n in range(4)]))
+        gateway, book = Gateway(DispatcherParts(deployment, "hall", 1), "b" * 16), Book()
+        gateway.on_endpoints(now_ms(), EndpointList(1, [Endpoint(f"w{n}", f"127.0.0.1:{n + 1}") for n in range(4)]))
         first = last = 0.0
         finals: set[str] = set()
 
         def stir() -> None:
             nonlocal first, last
             now = now_ms()
-            while (effect := gateway.effect(now)) is not None:
-                if isinstance(effect, Final):
-                    finals.add(effect.ivk.record.id)
+            while (effect := gateway.on_decision_done(now)) is not None:
+                if isinstance(effect, FinalAnswer):
+                    finals.add(effect.invocation.record.id)
                     last = now
-                if isinstance(effect, PlaceOrder):
-                    gateway.told(now, effect.order, AttemptStatus.COMPLETED, 64)
-                elif isinstance(effect, StartSend):
+                if isinstance(effect, StartLoad):
+                    gateway.on_load_report(now, effect.order, AttemptStatus.COMPLETED, 64)
+                elif isinstance(effect, StartAttempt):
                     first = first or now
-                    loop.call_later(run_ms / 1000, answered, effect.send)
+                    loop.call_later(run_ms / 1000, answered, effect.attempt)
 
         def answered(send: Any) -> None:
-            gateway.answered(now_ms(), send, AttemptStatus.COMPLETED, Answer("completed", result=b"{}", success=True))
+            gateway.on_attempt_finished(
+                now_ms(), send, AttemptStatus.COMPLETED, Answer("completed", result=b"{}", success=True)
+            )
             loop.call_soon(stir)
 
         lives = sorted(reading.lives, key=lambda life: (life.ended is not None, life.accepted.start))
--- a/bench/crash_points.py
+++ b/bench/crash_points.py
@@ -26,9 +26,9 @@
 import uvloop
 
 from kelptrail.codec.http import HttpError
-from kelptrail.emulator.cluster import Child, Place, ask
+from kelptrail.emulator.cluster import Child, Cluster, ask
 from kelptrail.history_checker.checker import read
-from kelptrail.net.http_client import Errand
+from kelptrail.net.http_client import HttpClient
 from kelptrail.settings.deployment import load
 
 STEPS = ("accepted", "journalled", "cleared", "sent", "answered", "ended")
@@ -50,10 +50,10 @@
         self._remembered_ms = remembered_ms
         space = next(iter(self.deployment.namespaces.values()))
         self._auth = "Basic " + base64.b64encode(f"{space.uuid}:{space.key}".encode()).decode()
-        self.place = Place(self.deployment, self.file, folder, quiet=True)
+        self.place = Cluster(self.deployment, self.file, folder, quiet=True)
 
     async def ask(self, address: str, method: str, target: str, body: Any = None, key: str = "") -> tuple[int, Any]:
-        errand = Errand(address)
+        errand = HttpClient(address)
         headers = {"authorization": self._auth} | ({"idempotency-key": key} if key else {})
         try:
             response = await errand.ask(method, f"/api/v1/namespaces/_/{target}", body, 8000, headers)
@@ -205,7 +205,7 @@
     async def _follow(self, address: str, method: str, target: str, body: Any = None, key: str = "") -> tuple[int, Any]:
         """Ask until it is known, wherever a dispatcher leads."""
         for _ in range(200):
-            errand = Errand(address)
+            errand = HttpClient(address)
             headers = {"authorization": self._auth} | ({"idempotency-key": key} if key else {})
             try:
                 response = await errand.ask(method, f"/api/v1/namespaces/_/{target}", body, 8000, headers)
--- a/bench/deferred.py
+++ b/bench/deferred.py
@@ -16,12 +16,12 @@
 
 from overhead import DEPLOYMENT, STARTED, List, Process, load
 
-from kelptrail.gateway.build import World
+from kelptrail.gateway.build import DispatcherParts
 from kelptrail.gateway.core import Gateway
 from kelptrail.settings.deployment import parse
-from kelptrail.store.activation_journal import open_book
+from kelptrail.store.activation_journal import open_journal
 from kelptrail.store.entries import Accepted, Ended
-from kelptrail.store.group_commit import Journal
+from kelptrail.store.group_commit import GroupCommit
 
 
 def rates(runs: int, seconds: float) -> dict[str, Any]:
@@ -78,14 +78,14 @@
     """Memory that so many activations in hand take, without their connections; measured in this process."""
     settings = DEPLOYMENT.format(functions=2).replace("(records 5000)", "(records 1000000) (held 1000000)")
     deployment = parse(settings, "bench")
-    gateway = Gateway(World(deployment, "hall", 1), "b" * 16, Journal())
+    gateway = Gateway(DispatcherParts(deployment, "hall", 1), "b" * 16, GroupCommit())
     action = deployment.actions["f-0"]
     gc.collect()
     before = memory()
     for n in range(count):
-        gateway.take(0.0, 1e12, "n", action, bytes(body) + b" ", f"key-{n}", "0" * 55, None, True)
+        gateway.submit(0.0, 1e12, "n", action, bytes(body) + b" ", f"key-{n}", "0" * 55, None, True)
     gc.collect()
-    return {"in_hand": gateway.in_hand, "body_bytes": len(body), "bytes_each": round((memory() - before) / count)}
+    return {"in_hand": gateway.in_flight, "body_bytes": len(body), "bytes_each": round((memory() - before) / count)}
 
 
 def memory() -> int:
@@ -97,7 +97,7 @@
     deployment = parse(DEPLOYMENT.format(functions=2).replace("(records 5000)", "(records 1000000)"), "bench")
     wall = time.time() * 1000
     with tempfile.TemporaryDirectory(dir=".") as folder:
-        book, _ = open_book(Path(folder) / "book.sqlite")
+        book, _ = open_journal(Path(folder) / "book.sqlite")
         entries: list[Any] = []
         for n in range(count):
             id_ = f"{n:032x}"
@@ -107,9 +107,9 @@
         book.commit(entries)
         book.close()
         began = time.monotonic()
-        book, _ = open_book(Path(folder) / "book.sqlite")
-        gateway = Gateway(World(deployment, "hall", 1), "b" * 16, Journal())
-        counts = gateway.recover(0.0, wall, book.lives(), 200.0, 64)
+        book, _ = open_journal(Path(folder) / "book.sqlite")
+        gateway = Gateway(DispatcherParts(deployment, "hall", 1), "b" * 16, GroupCommit())
+        counts = gateway.recover(0.0, wall, book.activations(), 200.0, 64)
         took = time.monotonic() - began
         size = (Path(folder) / "book.sqlite").stat().st_size
         book.close()
--- a/bench/guard_cost.py
+++ b/bench/guard_cost.py
@@ -20,7 +20,7 @@
 from soak import Soak
 
 from kelptrail.codec import frames
-from kelptrail.dispatch.entities import Request, Instance, Idempotency, Function, RequestClass, Attempt, Worker
+from kelptrail.dispatch.entities import Attempt, Function, Idempotency, Instance, Request, RequestClass, Worker
 from kelptrail.dispatch.safety import SafetyGuard
 from kelptrail.engine.invariants import Invariants
 
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -26,15 +26,15 @@
 import uvloop
 
 from kelptrail.emulator.capture import Capture
-from kelptrail.emulator.cluster import Child, Place, ask
+from kelptrail.emulator.cluster import Child, Cluster, ask
 from kelptrail.fault_scenario.report import world_of
-from kelptrail.history_checker.checker import judge, read
+from kelptrail.history_checker.checker import check_history, read
 from kelptrail.lease.messages import LeaseSettings
-from kelptrail.lease.model import Budget, Make, World
+from kelptrail.lease.model import Budget, Make, Model
 from kelptrail.model_checking.explorer import explore, wander
 from kelptrail.settings.deployment import load
-from kelptrail.simulation.event_queue import Engine
-from kelptrail.simulation.leases import LabLeases
+from kelptrail.simulation.event_queue import EventQueue
+from kelptrail.simulation.leases import SimulatedLeases
 
 ROOT = Path(__file__).parent.parent
 FIGURES: dict[str, Any] = {
@@ -79,13 +79,13 @@
     askers, budget, depth, how = PRODUCTS[name]
     began, looks = time.monotonic(), Counter[str]()
 
-    def look(world: World) -> None:
+    def look(world: Model) -> None:
         world.check()
         looks["states"] += 1
         if looks["states"] % 20 == 0:  # healing is a whole run of its own
             world.heal(3000.0)
 
-    found = explore(World(Make(SET, askers, budget, rates=RATES, **how)), look, depth, most_states)
+    found = explore(Model(Make(SET, askers, budget, rates=RATES, **how)), look, depth, most_states)
     return {"product": name, **asdict(found), "seconds": round(time.monotonic() - began, 1)}
 
 
@@ -93,9 +93,9 @@
     budget, faults, length, how = WALKS[name]
     states = 0
     for seed in range(first, first + count):
-        last = [World(Make(SET, ("x", "y") if seed % 2 else ("x", "y", "z"), budget, rates=RATES, **how))]
+        last = [Model(Make(SET, ("x", "y") if seed % 2 else ("x", "y", "z"), budget, rates=RATES, **how))]
 
-        def look(world: World, last: list[World] = last) -> None:
+        def look(world: Model, last: list[Model] = last) -> None:
             world.check()
             last[0] = world
 
@@ -129,7 +129,7 @@
         self.deployment, self.folder = load(ROOT / "examples" / "fleet.sexp"), folder
         (folder / "captures").mkdir(parents=True)
         self.capture = Capture(folder / "captures" / "player.jsonl", "player")
-        self.place = Place(
+        self.place = Cluster(
             self.deployment, str(ROOT / "examples" / "fleet.sexp"), folder / "captures", 1, "info", folder
         )
         self.chance = np.random.default_rng(7)
@@ -219,7 +219,7 @@
         print(json.dumps({"bound_ms": round(bound)}))
         if plot is not None:
             draw(plot, every, bound)
-        verdict = judge([e for e in events if e["what"] in ("act", "done", "world", "trouble")])
+        verdict = check_history([e for e in events if e["what"] in ("act", "done", "world", "trouble")])
         print(
             json.dumps(
                 {"acts": verdict.acts, "holders_two": verdict.holders_two, "old_tokens_taken": verdict.old_tokens_taken}
@@ -280,10 +280,12 @@
 
 def lab_askers(count: int, seconds: float, outage: bool) -> dict[str, Any]:
     """`count` dispatchers want one task, five of them vote; with `outage` all links are cut for a while first."""
-    engine, names = Engine(), [f"dispatcher-{n:03d}" for n in range(count)]
+    engine, names = EventQueue(), [f"dispatcher-{n:03d}" for n in range(count)]
     settings = LeaseSettings(tuple(names[:5]), longest_ms=4000.0)
     acts: list[float] = []
-    leases = LabLeases(engine, settings, 4000.0, names, 1, 2.0, 0.2, 3000.0, lambda what, **f: acts.append(engine.now))
+    leases = SimulatedLeases(
+        engine, settings, 4000.0, names, 1, 2.0, 0.2, 3000.0, lambda what, **f: acts.append(engine.now)
+    )
     leases.contend(("sweep",), names)
     engine.run(20_000.0)
     if outage:
--- a/bench/planner.py
+++ b/bench/planner.py
@@ -19,11 +19,11 @@
 import uvloop
 
 from kelptrail.clock import now_ms
-from kelptrail.emulator.cluster import Place, ask
-from kelptrail.gateway.counters import Tally
-from kelptrail.peers.messages import VERSION, Beat, FrameReader, Hello, frame
+from kelptrail.emulator.cluster import Cluster, ask
+from kelptrail.gateway.counters import FunctionCounters
+from kelptrail.peers.messages import VERSION, FrameReader, Heartbeat, Hello, frame
 from kelptrail.planner.channel import READ, Report
-from kelptrail.planner.placement import Host, Need, greedy, solve, valid
+from kelptrail.planner.placement import FunctionDemand, WorkerCapacity, greedy, solve, valid
 from kelptrail.planner.plan import FIRST
 from kelptrail.settings.deployment import load
 
@@ -31,16 +31,16 @@
 SIZES = ((10, 50), (30, 150), (100, 500), (300, 1500), (1000, 5000))
 
 
-def world(workers: int, functions: int, seed: int, tight: float) -> tuple[list[Host], list[Need]]:
+def world(workers: int, functions: int, seed: int, tight: float) -> tuple[list[WorkerCapacity], list[FunctionDemand]]:
     chance = np.random.default_rng(seed)
-    hosts = [Host(f"worker-{n}", 24_000.0 * tight, 4) for n in range(workers)]
+    hosts = [WorkerCapacity(f"worker-{n}", 24_000.0 * tight, 4) for n in range(workers)]
     rates = 1 / np.arange(1, functions + 1) ** 0.8
     rates *= 0.5 * workers * 4 / 0.1 / rates.sum()
     needs = []
     for n in range(functions):
         standing = {f"worker-{int(w)}": 1 for w in chance.integers(workers, size=1 + n % 2)}
         needs.append(
-            Need(
+            FunctionDemand(
                 f"m-{n}",
                 float(chance.choice([250, 500, 1000])),
                 4,
@@ -133,12 +133,12 @@
         while True:
             counts = chance.poisson(self._rate, len(self._models))
             tallies = {
-                m: Tally(int(c), int(c), 0, 0, 0, 0, 100.0 * float(c))
+                m: FunctionCounters(int(c), int(c), 0, 0, 0, 0, 100.0 * float(c))
                 for m, c in zip(self._models, counts, strict=True)
                 if c
             }
             self._write(writer, frame(Report(FIRST, now_ms() - began, tallies, {}, False)))
-            self._write(writer, frame(Beat()))
+            self._write(writer, frame(Heartbeat()))
             await asyncio.sleep(1.0)
             if task.done():
                 return
@@ -151,7 +151,7 @@
 async def _planned(out: Path, big: bool, seconds: float, edges: int = 4) -> dict[str, Any]:
     """An edge on the example place under a steady load, and a planner beside it that is busy, idle or not there."""
     file = str(ROOT / "examples" / "nursery.sexp")
-    place = Place(load(file), file, None, 1, "warning", None, quiet=True)
+    place = Cluster(load(file), file, None, 1, "warning", None, quiet=True)
     await place.start(4, 1, None)
     large = ROOT / "examples" / "large.sexp"
     roster = await place._child("roster-2", ["standin", "roster"])
@@ -227,7 +227,7 @@
     """30 edges, 1,000 workers, 5,000 functions at 3,000 calls a second in all, for half a minute."""
     large = ROOT / "examples" / "large.sexp"
     deployment = load(large)
-    place = Place(deployment, str(large), None, 1, "warning", None, quiet=True)
+    place = Cluster(deployment, str(large), None, 1, "warning", None, quiet=True)
     roster = await place._child("roster", ["standin", "roster"])
     planner = await place._child(
         "planner", ["planner", str(large), "--roster", roster.said["address"], "--control", "127.0.0.1:0"]
--- a/bench/split.py
+++ b/bench/split.py
@@ -14,10 +14,10 @@
 
 from kelptrail.codec.http import RequestReader, ResponseReader, encode_request, encode_response
 from kelptrail.codec.infer import infer_answer, infer_request, read_answer
-from kelptrail.dispatch.entities import Request, LoadOrder, AttemptStatus, Attempt
-from kelptrail.gateway.build import World
-from kelptrail.gateway.core import Final, Gateway, PlaceOrder, StartSend
-from kelptrail.membership.members import Entry, Listing
+from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder, Request
+from kelptrail.gateway.build import DispatcherParts
+from kelptrail.gateway.core import FinalAnswer, Gateway, StartAttempt, StartLoad
+from kelptrail.membership.members import Endpoint, EndpointList
 from kelptrail.settings.deployment import parse
 
 TEXT = """(deployment bench
@@ -66,31 +66,31 @@
 def core() -> Callable[[], None]:
     """One activation through the gateway core: taken, sent, answered, ended."""
     deployment = parse(TEXT, "bench")
-    gateway = Gateway(World(deployment, "hall", 1), "b" * 16)
-    gateway.listed(0.0, Listing(1, [Entry(f"w{n}", f"h:{n}", incarnation="1") for n in range(2)], "x"))
+    gateway = Gateway(DispatcherParts(deployment, "hall", 1), "b" * 16)
+    gateway.on_endpoints(0.0, EndpointList(1, [Endpoint(f"w{n}", f"h:{n}", incarnation="1") for n in range(2)], "x"))
     action, clock = deployment.actions["f"], [0.0]
 
     def run() -> None:
         clock[0] += 0.3
         now = clock[0]
-        gateway.take(now, now, "n", action, b"{}")
-        while (effect := gateway.effect(now)) is not None:
-            if isinstance(effect, StartSend):
-                gateway.answered(now + 0.2, effect.send, AttemptStatus.COMPLETED)
-            elif isinstance(effect, PlaceOrder):
-                gateway.told(now, effect.order, AttemptStatus.COMPLETED, effect.order.count)
+        gateway.submit(now, now, "n", action, b"{}")
+        while (effect := gateway.on_decision_done(now)) is not None:
+            if isinstance(effect, StartAttempt):
+                gateway.on_attempt_finished(now + 0.2, effect.attempt, AttemptStatus.COMPLETED)
+            elif isinstance(effect, StartLoad):
+                gateway.on_load_report(now, effect.order, AttemptStatus.COMPLETED, effect.order.count)
             else:
-                assert isinstance(effect, Final)
+                assert isinstance(effect, FinalAnswer)
 
     return run
 
 
 def module() -> Callable[[], None]:
     """The same through the module alone."""
-    world = World(parse(TEXT, "bench"), "hall", 1)
+    world = DispatcherParts(parse(TEXT, "bench"), "hall", 1)
     dispatcher, function = world.dispatcher, world.function("f")
     gateway = Gateway(world, "b" * 16)
-    gateway.listed(0.0, Listing(1, [Entry(f"w{n}", f"h:{n}", incarnation="1") for n in range(2)], "x"))
+    gateway.on_endpoints(0.0, EndpointList(1, [Endpoint(f"w{n}", f"h:{n}", incarnation="1") for n in range(2)], "x"))
     clock, beat = [0.0], [0.0]
 
     def run() -> None:
@@ -99,7 +99,7 @@
         if now - beat[0] >= 100:
             beat[0] = now
             dispatcher.on_tick(now)
-        act = Request("a", function.request_class, function, world.customers["n"], now, now + 9950)
+        act = Request("a", function.request_class, function, world.tenants["n"], now, now + 9950)
         dispatcher.on_request(now, act)
         while (decision := dispatcher.decide(now)) is not None:
             if isinstance(decision, Attempt):
--- a/bench/vrrp_failover.py
+++ b/bench/vrrp_failover.py
@@ -25,10 +25,10 @@
 
 from kelptrail.clock import now_ms
 from kelptrail.emulator.capture import Capture
-from kelptrail.emulator.clients import Clients
-from kelptrail.emulator.cluster import Child, Place, ask
+from kelptrail.emulator.clients import ClientEmulator
+from kelptrail.emulator.cluster import Child, Cluster, ask
 from kelptrail.fault_scenario.report import latencies, world_of
-from kelptrail.history_checker.checker import judge, read
+from kelptrail.history_checker.checker import check_history, read
 from kelptrail.load.plan import steady
 from kelptrail.settings.deployment import Deployment, load
 
@@ -78,7 +78,7 @@
         for old in (out / "captures").glob("*.jsonl"):
             old.unlink()
         self._capture = Capture(out / "captures" / "player.jsonl", "player")
-        self._place = Place(deployment, file, out / "captures", seed, logs=out / "logs")
+        self._place = Cluster(deployment, file, out / "captures", seed, logs=out / "logs")
         assert deployment.vrrp is not None
         self._routers = deployment.vrrp.router
         self._sampler = Sampler([(r.address, r.port) for r in self._routers])
@@ -95,7 +95,7 @@
         while not self._sampler.now():
             await asyncio.sleep(0.02)
         await asyncio.sleep(1.0)
-        clients = Clients(
+        clients = ClientEmulator(
             self._deployment,
             [f"{r.address}:{r.port}" for r in self._routers],
             Capture(self._out / "captures" / "clients.jsonl", "clients"),
@@ -246,7 +246,7 @@
     trial = Trial(deployment, options.settings, options.seed, options.out, options.rate)
     clean = uvloop.run(trial.play(options.failovers))
     events = read(options.out / "captures")
-    verdict = judge(events)
+    verdict = check_history(events)
     first = deployment.vrrp.router[0]
     interval = first.interval_cs * 10.0
     priorities = sorted((m.priority for m in first.member), reverse=True)
--- a/kelptrail/cli/main.py
+++ b/kelptrail/cli/main.py
@@ -455,7 +455,7 @@
 def demo(context: click.Context, file: str, workers: int | None, quiet_logs: bool) -> None:
     """Run a whole place on loopback: worker list, model store, workers, one dispatcher."""
     deployment = _settings(file)
-    from kelptrail.emulator.cluster import Place
+    from kelptrail.emulator.cluster import Cluster
 
     async def go() -> bool:
         import signal
@@ -463,7 +463,7 @@
         stop = asyncio.Event()
         for sign in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(sign, stop.set)
-        place = Place(deployment, file, None, log_level=context.obj["level"], quiet=quiet_logs)
+        place = Cluster(deployment, file, None, log_level=context.obj["level"], quiet=quiet_logs)
         try:
             await place.start(max(4, workers or deployment.fleet.workers) if workers is None else workers, 1, None)
             invoke = place.dispatchers[0].said["invoke"]
@@ -522,9 +522,9 @@
     import base64
 
     from kelptrail.codec.http import HttpError
-    from kelptrail.net.http_client import Errand
+    from kelptrail.net.http_client import HttpClient
 
-    errand = Errand(url.removeprefix("http://").rstrip("/"))
+    errand = HttpClient(url.removeprefix("http://").rstrip("/"))
     try:
         response = await errand.ask(
             method,
@@ -611,18 +611,18 @@
 def bad_day(context: click.Context, script: str, seed: int, out: Path) -> None:
     """Play a scripted bad day through real processes and judge it.  Exit 6 where a rule was broken."""
     from kelptrail.fault_scenario.report import write
-    from kelptrail.fault_scenario.runner import Player
-    from kelptrail.history_checker.checker import judge, read
+    from kelptrail.fault_scenario.runner import ScenarioRunner
+    from kelptrail.history_checker.checker import check_history, read
 
     day = _script(script)
     try:
-        player = Player(day, _settings(day.deployment), seed, out, context.obj["level"], script)
+        player = ScenarioRunner(day, _settings(day.deployment), seed, out, context.obj["level"], script)
     except ValueError as cause:
         click.echo(f"{script}: {cause}", err=True)
         sys.exit(UNUSABLE)
     clean = bool(_run(player.play()))
     events = read(out / "captures")
-    report = write(out, day.name, seed, events, judge(events), clean, player.memory, player.states)
+    report = write(out, day.name, seed, events, check_history(events), clean, player.memory, player.states)
     brief = {k: v for k, v in report.items() if k not in ("timeline", "details", "troubles")}
     click.echo(msgspec.json.format(msgspec.json.encode(brief)).decode())
     for line in report["details"][:20]:
@@ -657,10 +657,10 @@
 @click.argument("folder", type=click.Path(path_type=Path, exists=True))
 def audit(folder: Path) -> None:
     """Judge captures that were made before.  Exit 6 where a rule was broken."""
-    from kelptrail.history_checker.checker import judge, read
+    from kelptrail.history_checker.checker import check_history, read
 
     try:
-        verdict = judge(read(folder))
+        verdict = check_history(read(folder))
     except ValueError as cause:
         click.echo(f"{folder}: {cause}", err=True)
         sys.exit(UNUSABLE)
@@ -679,7 +679,7 @@
 @click.option("--out", type=click.Path(path_type=Path), required=True, help="Folder for the two files.")
 def turn(tap: Path, name: str, scale: float, workers: int, dispatchers: int, out: Path) -> None:
     """Turn a captured bench day into a deployment and a script for bad-day."""
-    from kelptrail.fault_scenario.import_capture import turn as run
+    from kelptrail.fault_scenario.import_capture import import_capture as run
 
     try:
         deployment, script = run(tap, name, scale, workers, dispatchers)
@@ -735,13 +735,13 @@
     import time
 
     from kelptrail.fault_scenario.report import latencies
-    from kelptrail.history_checker.checker import judge
+    from kelptrail.history_checker.checker import check_history
     from kelptrail.load.results import figures
-    from kelptrail.simulation.cluster import LabSettings, Site, result_of
+    from kelptrail.simulation.cluster import SimulatedCluster, SimulationSettings, result_of
     from kelptrail.simulation.sharding import ShardError, play_sharded
 
     day = _script(script)
-    deployment, settings = _settings(day.deployment), LabSettings(network_ms=network_ms)
+    deployment, settings = _settings(day.deployment), SimulationSettings(network_ms=network_ms)
     if processes > 1 and day.planners:
         click.echo("planners are played in one process only", err=True)
         sys.exit(UNUSABLE)
@@ -750,7 +750,7 @@
         sys.exit(UNUSABLE)
     began = time.perf_counter()
     if processes == 1:
-        site = Site(day, deployment, seed, settings, judged)
+        site = SimulatedCluster(day, deployment, seed, settings, judged)
         site.run()
         result, events = result_of(site), sorted(site.events, key=lambda event: event["t"])
     else:
@@ -765,7 +765,7 @@
     if not judged:
         _say(name=day.name, seed=seed, **row, **pace)
         return
-    verdict = judge(events)
+    verdict = check_history(events)
     _say(
         name=day.name,
         seed=seed,
@@ -853,14 +853,14 @@
     connections: int,
 ) -> None:
     """Drive running dispatchers with a SCRIPT's load; its troubles are not played.  Tables as the lab's."""
-    from kelptrail.load.coordinator import HandError, drive, keep
-    from kelptrail.load.generator import HandSettings
+    from kelptrail.load.coordinator import GeneratorError, drive, keep
+    from kelptrail.load.generator import GeneratorSettings
 
     day = _script(script)
-    settings = HandSettings(addresses, 0, processes, seed, churn, connections)
+    settings = GeneratorSettings(addresses, 0, processes, seed, churn, connections)
     try:
         found = _run(drive(script, day, settings, list(controls)))
-    except HandError as cause:
+    except GeneratorError as cause:
         click.echo(str(cause), err=True)
         sys.exit(FAILED)
     who = {"experiment": day.name, "variant": variant, "point": "", "value": 0.0, "seed": seed}
@@ -887,14 +887,14 @@
     connections: int,
 ) -> None:
     """One process of the load tool."""
-    from kelptrail.load.generator import Hand, HandSettings, packed
+    from kelptrail.load.generator import GeneratorSettings, LoadGenerator, packed
 
     day = _script(script)
 
-    settings = HandSettings(addresses, number, of, seed, churn, connections)
+    settings = GeneratorSettings(addresses, number, of, seed, churn, connections)
 
     async def go() -> None:
-        _say(**packed(await Hand(day, _settings(day.deployment), settings, start).play()))
+        _say(**packed(await LoadGenerator(day, _settings(day.deployment), settings, start).play()))
 
     _run(go())
 
@@ -1007,10 +1007,10 @@
     """The model store, with the ledger by which workers drop repeats."""
     deployment = _settings(file)
     from kelptrail.emulator.capture import Capture
-    from kelptrail.emulator.model_store import Store
+    from kelptrail.emulator.model_store import ModelStore
 
     async def go() -> None:
-        made = Store(deployment.store, Capture(capture, "store"))
+        made = ModelStore(deployment.store, Capture(capture, "store"))
         made.server.listen(host, port)
         _say(ready=True, address=made.server.address)
         await _until_stopped(with_stdin)
@@ -1042,14 +1042,14 @@
 
     from kelptrail.clock import now_ms
     from kelptrail.emulator.capture import Capture
-    from kelptrail.emulator.clients import Clients
+    from kelptrail.emulator.clients import ClientEmulator
 
     day = _script(script)
     deployment = _settings(day.deployment)
 
     async def go() -> None:
         name = f"clients-{number}"
-        made = Clients(
+        made = ClientEmulator(
             deployment,
             list(addresses),
             Capture(capture / f"{name}.jsonl" if capture else None, name),
@@ -1075,10 +1075,10 @@
 def roster(host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
     """The worker list."""
     from kelptrail.emulator.capture import Capture
-    from kelptrail.emulator.endpoint_service import RosterSource
+    from kelptrail.emulator.endpoint_service import EndpointService
 
     async def go() -> None:
-        made = RosterSource(Capture(capture, "roster"))
+        made = EndpointService(Capture(capture, "roster"))
         made.server.listen(host, port)
         _say(ready=True, address=made.server.address)
         await _until_stopped(with_stdin)
@@ -1091,10 +1091,10 @@
 def witness(host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
     """What is acted on under leases: notes who acts when, refuses old tokens."""
     from kelptrail.emulator.capture import Capture
-    from kelptrail.emulator.side_effect_log import Witness
+    from kelptrail.emulator.side_effect_log import SideEffectLog
 
     async def go() -> None:
-        made = Witness(Capture(capture, "witness"))
+        made = SideEffectLog(Capture(capture, "witness"))
         made.server.listen(host, port)
         _say(ready=True, address=made.server.address)
         await _until_stopped(with_stdin)
@@ -1118,10 +1118,10 @@
 ) -> None:
     """A relay for the channel between dispatchers that cuts, slows and resets as told."""
     from kelptrail.emulator.capture import Capture
-    from kelptrail.emulator.channel_proxy import Links
+    from kelptrail.emulator.channel_proxy import ChannelProxy
 
     async def go() -> None:
-        made = Links(list(sources), list(targets), Capture(capture, "links"), seed)
+        made = ChannelProxy(list(sources), list(targets), Capture(capture, "links"), seed)
         made.server.listen(host, port)
         _say(ready=True, address=made.server.address, routes=made.routes)
         await _until_stopped(with_stdin)
@@ -1137,14 +1137,14 @@
     """A relay that harms VRRP datagrams as told."""
     deployment = _settings(file)
     from kelptrail.emulator.capture import Capture
-    from kelptrail.emulator.datagram_proxy import Relay
+    from kelptrail.emulator.datagram_proxy import DatagramProxy
 
     if deployment.vrrp is None:
         click.echo(f"{file}: no vrrp section", err=True)
         sys.exit(UNUSABLE)
 
     async def go() -> None:
-        made = Relay(deployment.vrrp, Capture(capture, "relay"), seed)
+        made = DatagramProxy(deployment.vrrp, Capture(capture, "relay"), seed)
         made.server.listen(host, port)
         _say(ready=True, address=made.server.address)
         await _until_stopped(with_stdin)
@@ -1185,10 +1185,10 @@
     """One runner that holds copies of models."""
     deployment = _settings(file)
     from kelptrail.emulator.capture import Capture
-    from kelptrail.emulator.worker import Runner
+    from kelptrail.emulator.worker import WorkerEmulator
 
     async def go() -> None:
-        made = Runner(deployment, id_, hall, cell, store_, roster_, Capture(capture, id_), seed, warm)
+        made = WorkerEmulator(deployment, id_, hall, cell, store_, roster_, Capture(capture, id_), seed, warm)
         made.server.listen(host, port)
         made.control.listen(host, control_port)
         await made.announce(made.server.address)
--- a/kelptrail/dispatch/dispatcher.py
+++ b/kelptrail/dispatch/dispatcher.py
@@ -10,15 +10,16 @@
 from collections.abc import Iterable
 
 from .entities import (
-    Request,
-    Instance,
-    Idempotency,
-    TerminationReason,
+    Attempt,
+    AttemptStatus,
+    FinalStatus,
     Function,
+    Idempotency,
+    Instance,
     LoadOrder,
-    AttemptStatus,
-    Attempt,
     OutlierState,
+    Request,
+    TerminationReason,
     Worker,
 )
 from .instance_table import InstanceTable
@@ -83,7 +84,7 @@
             request.tenant.request_times.append(now)
 
     def on_client_gone(self, request: Request) -> None:
-        request.final_status = request.final_status or "left"
+        request.final_status = request.final_status or FinalStatus.CLIENT_GONE
         if not request.attempts:
             self._safety.uncount_request(request)
         self._cancel_attempts(request)
@@ -180,7 +181,7 @@
                 max(foreign_in_flight, worker.concurrency_limit * (status is AttemptStatus.OUT_OF_CAPACITY)),
             )
         if over:
-            request.final_status = request.final_status or "completed"
+            request.final_status = request.final_status or FinalStatus.COMPLETED
             self._cancel_attempts(request)
         elif request.final_status is None:
             self._requeue(now, request)
@@ -511,7 +512,7 @@
         """Given up: at once, and a rejection names when what it lacked may stand."""
         request.reason = reason
         return_ms = min(self._max_retry_after_ms, request.function.load_ms)
-        again = self._safety.finish(now, request, return_ms).final_status == "rejected"
+        again = self._safety.finish(now, request, return_ms).final_status is FinalStatus.REJECTED
         request.retry_after_ms = return_ms if again else 0.0
         return request
 
--- a/kelptrail/dispatch/entities.py
+++ b/kelptrail/dispatch/entities.py
@@ -8,7 +8,7 @@
 
 from collections import defaultdict, deque
 from dataclasses import dataclass, field
-from enum import Enum
+from enum import Enum, StrEnum
 
 
 class Idempotency(Enum):
@@ -33,6 +33,15 @@
     NOT_LOADED = "miss"
 
 
+class FinalStatus(StrEnum):
+    """The one final answer of a request."""
+
+    COMPLETED = "completed"
+    REJECTED = "rejected"  # no effect: trying again is harmless
+    FAILED = "aborted"  # it may have run
+    CLIENT_GONE = "left"  # nobody waits for an answer any more
+
+
 class TerminationReason(Enum):
     """Why the decisions gave a request up."""
 
@@ -209,8 +218,8 @@
     has_idempotency_key: bool = True  # its client's repeat would carry the same mark
     attempts: list[Attempt] = field(default_factory=list)
     queued: bool = False
-    final_status: str | None = None  # "completed", "rejected", "aborted"; once set it stays
-    reason: TerminationReason | None = None  # with "rejected" and "aborted"
+    final_status: FinalStatus | None = None  # once set it stays
+    reason: TerminationReason | None = None  # of a request that was rejected or failed
     retry_after_ms: float = 0.0  # with a rejection: when to come back
     streaming_attempt: Attempt | None = (
         None  # of a streamed answer a part was given: it goes on there or not at all
--- a/kelptrail/dispatch/instance_table.py
+++ b/kelptrail/dispatch/instance_table.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .entities import Instance, Function, Worker
+from .entities import Function, Instance, Worker
 from .timer_queue import TimerQueue
 
 
--- a/kelptrail/dispatch/outlier_detection.py
+++ b/kelptrail/dispatch/outlier_detection.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .entities import Idempotency, Attempt, OutlierState, Worker
+from .entities import Attempt, Idempotency, OutlierState, Worker
 from .entities import RequestClass as Type
 
 
--- a/kelptrail/dispatch/placement.py
+++ b/kelptrail/dispatch/placement.py
@@ -4,7 +4,7 @@
 
 from zlib import crc32
 
-from .entities import Request, Instance, Function, Worker
+from .entities import Function, Instance, Request, Worker
 from .entities import RequestClass as Type
 from .outlier_detection import OutlierDetector
 from .safety import SafetyGuard
--- a/kelptrail/dispatch/queues.py
+++ b/kelptrail/dispatch/queues.py
@@ -4,7 +4,7 @@
 
 from zlib import crc32
 
-from .entities import Request, Tenant, Function
+from .entities import Function, Request, Tenant
 from .entities import RequestClass as Type
 from .sliding_window import drop_until
 
--- a/kelptrail/dispatch/safety.py
+++ b/kelptrail/dispatch/safety.py
@@ -5,7 +5,7 @@
 from collections import deque
 from contextlib import suppress
 
-from .entities import Request, Instance, Idempotency, LoadOrder, Attempt, Worker
+from .entities import Attempt, FinalStatus, Idempotency, Instance, LoadOrder, Request, Worker
 from .sliding_window import drop_until
 from .slow_start import SlowStart
 
@@ -122,5 +122,5 @@
             s.may_have_run for s in request.attempts
         )
         again = again and request.streaming_attempt is None  # its client has seen a part of a streamed answer
-        request.final_status = "rejected" if again else "aborted"
+        request.final_status = FinalStatus.REJECTED if again else FinalStatus.FAILED
         return request
--- a/kelptrail/emulator/channel_proxy.py
+++ b/kelptrail/emulator/channel_proxy.py
@@ -19,17 +19,17 @@
 from kelptrail.net.server import Exchange, HttpServer
 
 from .capture import Capture
-from .network_faults import Weather
+from .network_faults import NetworkFaults
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closed with a reset
 
 
-class Links:
+class ChannelProxy:
     """From each of `sources` to each of `targets`.  Knobs at its control port: `at` (addresses),
     `cut` (ordered pairs whose bytes are held), `slow` (ms and share of pieces), `reset` (share of connections, now)."""
 
     def __init__(self, sources: list[str], targets: list[str], capture: Capture, seed: int) -> None:
-        self._capture, self._weather = capture, Weather(seed, 5)
+        self._capture, self._weather = capture, NetworkFaults(seed, 5)
         self._loop = asyncio.get_running_loop()
         self._at: dict[str, str] = {}
         self._slow = (0.0, 0.0)
--- a/kelptrail/emulator/clients.py
+++ b/kelptrail/emulator/clients.py
@@ -22,7 +22,7 @@
 from kelptrail.front.inference import inference_pb2 as pb
 from kelptrail.front.inference.api import SERVICE
 from kelptrail.load.arrivals import Arrivals, popularity
-from kelptrail.load.client_behavior import Habits, Heard, again, habits_of
+from kelptrail.load.client_behavior import ClientBehavior, Heard, again, behavior_of
 from kelptrail.load.plan import Load
 from kelptrail.net.grpc_client import Ended, GrpcClient
 from kelptrail.net.pool import Call, Ending, WorkerPool
@@ -44,7 +44,7 @@
     action: ActionSettings
     namespace: NamespaceSettings
     deferred: bool
-    habits: Habits
+    habits: ClientBehavior
     tries: int
     dispatcher: int = 0
     began: float = 0.0
@@ -56,7 +56,7 @@
     parts: int = 0
 
 
-class Clients:
+class ClientEmulator:
     """All clients of one place."""
 
     def __init__(
@@ -121,7 +121,7 @@
             action,
             space,
             bool(self._chance.random() < deferred),
-            habits_of(float(self._chance.random()), heed, half),
+            behavior_of(float(self._chance.random()), heed, half),
             1 + retries,
         )
         if grpc:
--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from kelptrail.net.http_client import Errand
+from kelptrail.net.http_client import HttpClient
 from kelptrail.settings.deployment import Deployment
 
 EVERY_PAIR = 12  # dispatchers up to which all pairs go through the relay; beyond, those to voters and planners
@@ -40,7 +40,7 @@
         return self.process is not None and self.process.returncode is None
 
 
-class Place:
+class Cluster:
     """Starts, minds and ends the processes of one deployment."""
 
     def __init__(
@@ -383,7 +383,7 @@
 
 async def ask(address: str, method: str, target: str, body: Any = None) -> Any:
     """One errand on a connection of its own."""
-    errand = Errand(address)
+    errand = HttpClient(address)
     try:
         return await errand.json(method, target, body)
     finally:
--- a/kelptrail/emulator/datagram_proxy.py
+++ b/kelptrail/emulator/datagram_proxy.py
@@ -18,14 +18,14 @@
 from kelptrail.vrrp.driver import HOPS, Where, split
 
 from .capture import Capture
-from .network_faults import Weather
+from .network_faults import NetworkFaults
 
 
-class Relay:
+class DatagramProxy:
     """All instances' datagrams; knobs at its control port: loss, copy (shares), delay_ms (a pair), cut (pairs)."""
 
     def __init__(self, settings: VrrpSettings, capture: Capture, seed: int) -> None:
-        self._capture, self._weather = capture, Weather(seed, 3)
+        self._capture, self._weather = capture, NetworkFaults(seed, 3)
         self._loop = asyncio.get_running_loop()
         self._names = {split(i.udp)[0]: i.name for i in settings.instance}
         self._loss = self._copy = 0.0
--- a/kelptrail/emulator/endpoint_service.py
+++ b/kelptrail/emulator/endpoint_service.py
@@ -34,7 +34,7 @@
     timer: asyncio.TimerHandle = field(repr=False)
 
 
-class RosterSource:
+class EndpointService:
     """The list and whoever waits for its next version; `late_ms` delays changes."""
 
     def __init__(self, capture: Capture) -> None:
--- a/kelptrail/emulator/model_store.py
+++ b/kelptrail/emulator/model_store.py
@@ -20,7 +20,7 @@
 from .capture import Capture
 
 
-class Store:
+class ModelStore:
     """The store's state and its faults: `slow` (a factor), `refuse` and `stopped`."""
 
     def __init__(self, settings: StoreSettings, capture: Capture) -> None:
--- a/kelptrail/emulator/network_faults.py
+++ b/kelptrail/emulator/network_faults.py
@@ -8,7 +8,7 @@
 import numpy as np
 
 
-class Weather:
+class NetworkFaults:
     """`cut`: ordered pairs of names, from and to."""
 
     def __init__(self, seed: int, salt: int) -> None:
--- a/kelptrail/emulator/side_effect_log.py
+++ b/kelptrail/emulator/side_effect_log.py
@@ -16,7 +16,7 @@
 from .capture import Capture
 
 
-class Witness:
+class SideEffectLog:
     """One witness of all tasks."""
 
     def __init__(self, capture: Capture) -> None:
--- a/kelptrail/emulator/worker.py
+++ b/kelptrail/emulator/worker.py
@@ -36,7 +36,7 @@
     tensors_answer,
     write_report,
 )
-from kelptrail.net.http_client import Errand
+from kelptrail.net.http_client import HttpClient
 from kelptrail.net.pool import Call, Ending, WorkerPool
 from kelptrail.net.server import Exchange, HttpServer, Limits
 from kelptrail.service.build import tls_keeper
@@ -69,7 +69,7 @@
     until: float  # past it the work is not begun: nobody waits, and a repeat's mark may be forgotten
 
 
-class Runner:
+class WorkerEmulator:
     """One worker."""
 
     def __init__(
@@ -90,7 +90,7 @@
         self._chance = np.random.default_rng([seed, zlib.crc32(id_.encode())])
         pool = deployment.pool
         self._store = WorkerPool(store, 256, 2000.0, pool.idle_ms, 1 << 20)
-        self._roster = Errand(roster)
+        self._roster = HttpClient(roster)
         limits = Limits(self._fleet.connections, idle_ms=120_000.0)
         tls = tls_keeper(deployment, "runners", ["http/1.1"], None)
         self.server = HttpServer(self._handle, limits, tls=tls.context if tls else None)
--- a/kelptrail/engine/engine.py
+++ b/kelptrail/engine/engine.py
@@ -12,15 +12,15 @@
 
 from kelptrail.dispatch.dispatcher import Decision, Dispatcher
 from kelptrail.dispatch.entities import (
-    Request,
-    Tenant,
+    Attempt,
+    AttemptStatus,
     Function,
-    RequestClass,
     LoadOrder,
-    AttemptStatus,
-    Attempt,
-    WorkerState,
+    Request,
+    RequestClass,
+    Tenant,
     Worker,
+    WorkerState,
 )
 from kelptrail.dispatch.instance_table import InstanceTable
 from kelptrail.dispatch.outlier_detection import OutlierDetector
--- a/kelptrail/engine/invariants.py
+++ b/kelptrail/engine/invariants.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from kelptrail.dispatch.entities import NEVER_RAN, Idempotency, LoadOrder, Attempt
+from kelptrail.dispatch.entities import NEVER_RAN, Attempt, Idempotency, LoadOrder
 
 CLIENT_GONE_SLACK_MS = 100.0  # an attempt may begin so long after its client has gone
 LIMIT_SLACK_MS = 150.0  # the limit passed to a worker may exceed what the client has left by so much
--- a/kelptrail/engine/settings.py
+++ b/kelptrail/engine/settings.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from kelptrail.dispatch.entities import Tenant, Idempotency, RequestClass
+from kelptrail.dispatch.entities import Idempotency, RequestClass, Tenant
 
 EFFECTS = {"free": Idempotency.IDEMPOTENT, "guarded": Idempotency.DEDUPLICATED, "single_shot": Idempotency.AT_MOST_ONCE}
 SCOPES = {scope: scope for scope in ("all", "zone", "cell")}
--- a/kelptrail/fault_scenario/import_capture.py
+++ b/kelptrail/fault_scenario/import_capture.py
@@ -104,7 +104,7 @@
 
 
 @dataclass(slots=True)
-class Spell:
+class FaultInterval:
     """One trouble for the script."""
 
     kind: str
@@ -118,9 +118,9 @@
         return f"  (trouble {self.kind} (at {self.at:.1f}) (for {self.last:.1f}) (part {self.part:.2f}){more})"
 
 
-def troubles(seen: Seen) -> list[Spell]:
+def fault_intervals(seen: Seen) -> list[FaultInterval]:
     """Troubles read off lists and outcomes; each by the sign that only it gives, where there is one."""
-    found: list[Spell] = []
+    found: list[FaultInterval] = []
     length = max(at for at, _, _ in seen.requests)
     downs = []
     for at, name in seen.exits:
@@ -183,7 +183,7 @@
             run[2].append(sign[1])
 
 
-def _fleet_wide(seen: Seen, seconds: int) -> list[Spell]:
+def _fleet_wide(seen: Seen, seconds: int) -> list[FaultInterval]:
     """Signs that all workers show at once: misses (a release), slow loads (the store), new hot functions."""
     found = []
     misses, answers = np.zeros(seconds + 1), np.ones(seconds + 1)
@@ -196,7 +196,9 @@
     second = 3
     while second < seconds:
         if share[second] > max(0.15, 4 * usual) and share[second] > 2 * share[second - 1]:
-            found.append(Spell("models-voided", float(second), 1.0, 1.0, {"share": float(min(1.0, 2 * share[second]))}))
+            found.append(
+                FaultInterval("models-voided", float(second), 1.0, 1.0, {"share": float(min(1.0, 2 * share[second]))})
+            )
             second += 5
         second += 1
     if seen.loads:
@@ -211,7 +213,7 @@
             if last - first >= 2:
                 here = took[(times >= first) & (times <= last + 1)]
                 found.append(
-                    Spell(
+                    FaultInterval(
                         "store-slow",
                         float(first),
                         float(last - first + 1),
@@ -234,20 +236,20 @@
 
 def _gather(
     kind: str, spells: list[tuple[float, float]], of: int, more: dict[str, float | str] | None = None
-) -> list[Spell]:
+) -> list[FaultInterval]:
     """One trouble for spells that begin within two seconds of each other."""
-    out: list[Spell] = []
+    out: list[FaultInterval] = []
     group: list[tuple[float, float]] = []
     for spell in [*sorted(spells), (float("inf"), 0.0)]:
         if group and spell[0] - group[0][0] > 2.0:
             last = float(np.median([length for _, length in group]))
-            out.append(Spell(kind, group[0][0], last, min(1.0, len(group) / max(1, of)), dict(more or {})))
+            out.append(FaultInterval(kind, group[0][0], last, min(1.0, len(group) / max(1, of)), dict(more or {})))
             group = []
         group.append(spell)
     return out
 
 
-def turn(file: Path, name: str, rate_scale: float, workers: int, dispatchers: int) -> tuple[str, str]:
+def import_capture(file: Path, name: str, rate_scale: float, workers: int, dispatchers: int) -> tuple[str, str]:
     """A tap as the texts of a deployment file and of a script that names it `NAME.sexp`.
 
     `rate_scale` scales arrivals; function counts stay.  Raises ValueError for what is no tap.
@@ -322,7 +324,7 @@
                 f"  (load (rate {max(0.01, blocks[block] / last * rate_scale):.1f}) (at {block * BLOCK_S}) "
                 f"(for {last:.1f}) (zipf {min(4.0, max(0.0, zipf)):.2f}) (deferred 0.1))"
             )
-    script += [spell.write() for spell in troubles(seen)]
+    script += [spell.write() for spell in fault_intervals(seen)]
     return "\n".join(out), "\n".join(script) + ")\n"
 
 
--- a/kelptrail/fault_scenario/runner.py
+++ b/kelptrail/fault_scenario/runner.py
@@ -17,22 +17,28 @@
 from kelptrail.clock import now_ms
 from kelptrail.codec.http import HttpError
 from kelptrail.emulator.capture import Capture
-from kelptrail.emulator.clients import Clients
-from kelptrail.emulator.cluster import Child, Place, ask, memory_kb
+from kelptrail.emulator.clients import ClientEmulator
+from kelptrail.emulator.cluster import Child, Cluster, ask, memory_kb
 from kelptrail.settings.deployment import Deployment
 
 from .report import world_of
-from .scenario import ON_DISKS, ON_PEERS, ON_PLANNERS, ON_STORE, ON_WORKERS, BadDay, Trouble
+from .scenario import ON_DISKS, ON_PEERS, ON_PLANNERS, ON_STORE, ON_WORKERS, Fault, FaultScenario
 
 READY_S = 20.0  # for voters to found themselves and books to be won
 
 
-class Player:
+class ScenarioRunner:
     """One run.  The seed settles arrivals, victims and the stand-ins' chance.  Raises `ValueError` for troubles that
     the deployment has no place for."""
 
     def __init__(
-        self, day: BadDay, deployment: Deployment, seed: int, out: Path, log_level: str = "info", script: str = ""
+        self,
+        day: FaultScenario,
+        deployment: Deployment,
+        seed: int,
+        out: Path,
+        log_level: str = "info",
+        script: str = "",
     ) -> None:
         if len(deployment.halls) < 2 and any(t.kind in ON_PEERS for t in day.trouble):
             raise ValueError(
@@ -48,7 +54,7 @@
         for old in captures.glob("*.jsonl"):
             old.unlink()
         self._capture = Capture(captures / "player.jsonl", "player")
-        self._place = Place(deployment, day.deployment, captures, seed, log_level, logs)
+        self._place = Cluster(deployment, day.deployment, captures, seed, log_level, logs)
         self._seed = seed
         self._tasks: set[asyncio.Task[None]] = set()
         self.memory: list[tuple[float, list[int]]] = []
@@ -67,10 +73,10 @@
             await self._promising(READY_S)
         addresses = [d.said["address"] for d in self._place.dispatchers]
         second = [d.said["grpc"] for d in self._place.dispatchers]
-        clients: Clients | None = None
+        clients: ClientEmulator | None = None
         arrivals: list[tuple[float, Callable[[], None]]] = []
         if day.client_processes == 1:
-            clients = Clients(
+            clients = ClientEmulator(
                 deployment,
                 addresses,
                 Capture(self._out / "captures" / "clients.jsonl", "clients"),
@@ -120,7 +126,7 @@
                 self.memory.append(((now_ms() - self.start) / 1000, [memory_kb(pid) for pid in pids]))
             await asyncio.sleep(1)
 
-    async def _at(self, trouble: Trouble) -> None:
+    async def _at(self, trouble: Fault) -> None:
         await asyncio.sleep(max(0.0, (self.start - now_ms()) / 1000 + trouble.at))
         names: list[Child] = []
         if trouble.kind in ON_WORKERS:
@@ -149,7 +155,7 @@
         count = max(1, round(part * len(children)))
         return [children[int(n)] for n in self._chance.choice(len(children), count, replace=False)]
 
-    async def _befall(self, trouble: Trouble, victims: list[Child]) -> None:
+    async def _befall(self, trouble: Fault, victims: list[Child]) -> None:
         place, kind, ms = self._place, trouble.kind, trouble.last * 1000
         if kind in ON_STORE:
             await place.fault(place.store, kind=kind.removeprefix("store-"), for_ms=ms, factor=trouble.factor)
@@ -189,7 +195,7 @@
                 extra["type"] = trouble.type
             await asyncio.gather(*(place.fault(v, kind=kind, for_ms=ms, **extra) for v in victims))
 
-    async def _peers(self, trouble: Trouble, victims: list[Child]) -> None:
+    async def _peers(self, trouble: Fault, victims: list[Child]) -> None:
         """What befalls dispatchers and what is between them."""
         place, kind = self._place, trouble.kind
         if kind == "cut-peers":
@@ -217,7 +223,7 @@
             for victim in victims:
                 place.harm_clock(victim)
 
-    async def _cut_off(self, trouble: Trouble, victims: list[Child]) -> None:
+    async def _cut_off(self, trouble: Fault, victims: list[Child]) -> None:
         """Between the victims and all others; one way: what they say, or what they are told, drawn for each."""
         names = {child.name for child in victims}
         others = [c.name for c in (*self._place.dispatchers, *self._place.planners) if c.name not in names]
@@ -286,7 +292,7 @@
         await self._place.launch(victim)
         self._capture.note("restarted", dispatcher=number)
 
-    async def _planner(self, victim: Child, trouble: Trouble) -> None:
+    async def _planner(self, victim: Child, trouble: Fault) -> None:
         """A planner that is slow, or killed and started again, with what it kept or with nothing."""
         if trouble.kind in ("planners-slow", "planners-wrong"):
             fault = {"ms": trouble.ms} if trouble.kind == "planners-slow" else {"factor": trouble.factor}
@@ -321,7 +327,7 @@
         if again:
             await self._place.launch(victim)
 
-    async def _nobody(self, trouble: Trouble) -> None:
+    async def _nobody(self, trouble: Fault) -> None:
         """A worker in the list that nobody listens for."""
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
@@ -343,7 +349,7 @@
         await asyncio.sleep(trouble.last)
         await ask(roster, "POST", "/state", {"id": "worker-nobody", "state": "gone"})
 
-    async def _connections(self, trouble: Trouble) -> None:
+    async def _connections(self, trouble: Fault) -> None:
         """Clients that hold connections: idle ones, or ones that read a byte a second."""
         loop = asyncio.get_running_loop()
         socks = []
--- a/kelptrail/fault_scenario/scenario.py
+++ b/kelptrail/fault_scenario/scenario.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from kelptrail.load.plan import LOAD, Load, check_load
-from kelptrail.settings.reader import Form, Place, read
+from kelptrail.settings.reader import Form, SourcePosition, read
 from kelptrail.settings.shape import Checker, Many, Shape, number, some, word, yes_no
 
 ON_WORKERS = (
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class Fault:
     """One trouble: its kind, from when, for how long, on which part of those it can befall."""
 
     kind: str
@@ -57,16 +57,16 @@
         for name, value in {"kind": kind, "at": at, "last": rest.pop("for"), **rest}.items():
             object.__setattr__(self, name, value)
 
-    def as_kind(self, kind: str) -> Trouble:
+    def as_kind(self, kind: str) -> Fault:
         """The same of another kind."""
         rest: dict[str, object] = {
             f.name: getattr(self, f.name) for f in fields(self) if f.name not in ("kind", "last")
         }
-        return Trouble(kind, **rest | {"for": self.last})  # type: ignore[arg-type]
+        return Fault(kind, **rest | {"for": self.last})  # type: ignore[arg-type]
 
 
 @dataclass(frozen=True, slots=True)
-class BadDay:
+class FaultScenario:
     """A whole script."""
 
     name: str
@@ -78,7 +78,7 @@
     planners: int
     solver: str
     load: list[Load]
-    trouble: list[Trouble]
+    trouble: list[Fault]
     tasks: tuple[str, ...] = ()  # wanted by all dispatchers under leases, acted under at the witness
 
     @property
@@ -101,7 +101,7 @@
         "hall": word(default=""),
     },
     ("kind",),
-    build=Trouble,
+    build=Fault,
 )
 
 BAD_DAY = Shape(
@@ -118,17 +118,17 @@
         "trouble": Many(TROUBLE),
     },
     ("name",),
-    BadDay,
+    FaultScenario,
 )
 
 
-def load(path: str | Path) -> BadDay:
+def load(path: str | Path) -> FaultScenario:
     """Read and check a script.  Raises `SettingsError` with every fault, `OSError` where unreadable."""
     text = Path(path).read_text(encoding="utf-8", errors="replace")
     checker = Checker()
     forms = read(text, str(path))
     if len(forms) != 1 or not isinstance(forms[0], Form) or forms[0].head != "bad-day":
-        checker.fault(Place(str(path), 1, 1), f"{len(forms)} expressions", "one (bad-day NAME ...)")
+        checker.fault(SourcePosition(str(path), 1, 1), f"{len(forms)} expressions", "one (bad-day NAME ...)")
         checker.done()
     whole = forms[0]
     assert isinstance(whole, Form)
@@ -139,7 +139,7 @@
                 checker.fault(kind.place, kind, "a kind of trouble: " + ", ".join(KINDS))
     day = checker.form(whole, BAD_DAY)
     checker.done()
-    made: BadDay = day
+    made: FaultScenario = day
     for form, one in zip((i for i in whole.items if isinstance(i, Form) and i.head == "load"), made.load, strict=True):
         check_load(checker, form.place, one, Path(path).parent)
     for form, trouble in zip(
--- a/kelptrail/front/inference/api.py
+++ b/kelptrail/front/inference/api.py
@@ -23,8 +23,8 @@
 from kelptrail.codec.infer import Payload
 from kelptrail.codec.tensors import JsonTensor, TensorError, fill, scalars, to_json, write_scalars
 from kelptrail.front.callers import UNSURE, Callers, Finder
-from kelptrail.gateway.core import Ivk, KeyConflictError
-from kelptrail.gateway.driver import Driver
+from kelptrail.gateway.core import Invocation, KeyConflictError
+from kelptrail.gateway.driver import GatewayDriver
 from kelptrail.gateway.limits import WORDS
 from kelptrail.gateway.records import Record
 from kelptrail.net.grpc_server import GrpcStream
@@ -54,7 +54,7 @@
 class InferenceApi:
     """Handles the calls of one dispatcher's second front."""
 
-    def __init__(self, deployment: Deployment, driver: Driver, callers: Callers) -> None:
+    def __init__(self, deployment: Deployment, driver: GatewayDriver, callers: Callers) -> None:
         self._deployment, self._driver, self._callers = deployment, driver, callers
         self._front = deployment.inference
         self._loop = asyncio.get_running_loop()
@@ -187,7 +187,7 @@
                 "NOT_TAKEN",
             )
         who = self.admit(caller, action, payload, key)
-        ivk = gateway.take(
+        ivk = gateway.submit(
             now_ms(),
             wall_ms(),
             caller.name,
@@ -203,10 +203,10 @@
             who=who,
         )
         if deferred:
-            self._driver.stir_soon(lambda: waits.promise(ivk))
+            self._driver.schedule_decisions(lambda: waits.promise(ivk))
             return
         waits.wait(ivk, key)
-        self._driver.stir_soon()
+        self._driver.schedule_decisions()
 
     def admit(self, caller: NamespaceSettings, action: ActionSettings, payload: bytes, key: str | None = None) -> str:
         """Refuse what is beyond a bound, or comes while the dispatcher closes, before anything is done for it.
@@ -216,7 +216,7 @@
                 Code.UNAVAILABLE, "This dispatcher is closing; the call was not taken.", 1000.0, "NOT_TAKEN"
             )
         who = key or f"{zlib.crc32(payload):08x}{len(payload):x}"
-        refused = self._driver.gateway.door(now_ms(), caller.name, action.path, len(payload), who)
+        refused = self._driver.gateway.on_connect(now_ms(), caller.name, action.path, len(payload), who)
         if refused is not None:
             raise GrpcError(Code.RESOURCE_EXHAUSTED, WORDS[refused[0]], refused[1], "NOT_TAKEN")
         return who
@@ -287,7 +287,7 @@
         if record.shown:
             waits.ended(record)
             return
-        ivk = gateway.in_hand_of(id_)
+        ivk = gateway.in_flight_of(id_)
         if not wait or ivk is None:
             raise GrpcError(Code.UNAVAILABLE, "The activation is in hand and has no result yet.", 1000.0, "IN_HAND")
         waits.long_poll(ivk, min(float(wait), self._deployment.front.longest_wait_ms))
@@ -386,24 +386,24 @@
         self._api, self._stream, self._id, self._raw = api, stream, id_, raw
         self._timer: asyncio.TimerHandle | None = None
 
-    def wait(self, ivk: Ivk, key: str | None) -> None:
+    def wait(self, ivk: Invocation, key: str | None) -> None:
         """Wait for the final answer; the client's deadline, should it come first, ends the wait with its status."""
         gateway, stream = self._api._driver.gateway, self._stream
 
         def gone() -> None:
             self._cancel()
             if key is not None:  # one that named a mark may come back for the answer
-                gateway.part(ivk.record, self.ended)
+                gateway.on_response_part(ivk.record, self.ended)
             else:
                 ivk.waiters.clear()
-                gateway.left(now_ms(), ivk)
-                self._api._driver.stir_soon()
+                gateway.on_client_gone(now_ms(), ivk)
+                self._api._driver.schedule_decisions()
 
         stream.on_gone = gone
         if stream.deadline is not None:
 
             def late() -> None:
-                gateway.part(ivk.record, self.ended)
+                gateway.on_response_part(ivk.record, self.ended)
                 stream.on_gone = _nothing
                 told = {"activation": ivk.record.id, "retrying": RISK[ivk.record.effect]}
                 stream.finish(Code.DEADLINE_EXCEEDED, "The client's deadline has come.", None, "MAY_HAVE_RUN", told)
@@ -416,7 +416,7 @@
 
     def join(self, record: Record, deferred: bool) -> None:
         """A client's own repeat: the recorded answer, or that of the activation in hand."""
-        ivk = self._api._driver.gateway.in_hand_of(record.id)
+        ivk = self._api._driver.gateway.in_flight_of(record.id)
         if record.shown:
             self.ended(record)
         elif deferred or ivk is None:
@@ -425,19 +425,19 @@
             ivk.waiters.append(self.ended)
             self.wait(ivk, record.key)
 
-    def long_poll(self, ivk: Ivk, wait_ms: float) -> None:
+    def long_poll(self, ivk: Invocation, wait_ms: float) -> None:
         """Answer when the final answer is there, at the latest after `wait_ms`."""
         gateway = self._api._driver.gateway
 
         def late() -> None:
-            gateway.part(ivk.record, self.ended)
+            gateway.on_response_part(ivk.record, self.ended)
             self._stream.fail(
                 GrpcError(Code.UNAVAILABLE, "The activation is in hand and has no result yet.", 1000.0, "IN_HAND")
             )
 
         def gone() -> None:
             self._cancel()
-            gateway.part(ivk.record, self.ended)
+            gateway.on_response_part(ivk.record, self.ended)
 
         if self._stream.deadline is not None:
             wait_ms = max(0.0, min(wait_ms, self._stream.deadline - now_ms() - 20))
@@ -445,7 +445,7 @@
         self._stream.on_gone = gone
         ivk.waiters.append(self.ended)
 
-    def promise(self, ivk: Ivk) -> None:
+    def promise(self, ivk: Invocation) -> None:
         """The id once the call's record is safe."""
         if not self._stream.ended:
             self._api._driver.gateway.promise(ivk, lambda safe: self._promised(ivk, safe))
@@ -455,7 +455,7 @@
                     UNSURE * ivk.record.timeout_ms / 1000, self._promised, ivk, None
                 )
 
-    def _promised(self, ivk: Ivk, safe: bool | None) -> None:
+    def _promised(self, ivk: Invocation, safe: bool | None) -> None:
         if safe:
             self.deferred(ivk.record)
         elif safe is None:
@@ -471,8 +471,8 @@
             self._stream.fail(
                 GrpcError(Code.UNAVAILABLE, "The call could not be kept safe and was not taken.", 1000.0, "NOT_TAKEN")
             )
-            self._api._driver.gateway.left(now_ms(), ivk)
-            self._api._driver.stir_soon()
+            self._api._driver.gateway.on_client_gone(now_ms(), ivk)
+            self._api._driver.schedule_decisions()
 
     def deferred(self, record: Record) -> None:
         """The id, unless the final answer has been given."""
@@ -504,7 +504,7 @@
 
     def __init__(self, api: InferenceApi, stream: GrpcStream, caller: NamespaceSettings) -> None:
         self._api, self._stream, self._caller = api, stream, caller
-        self._out: dict[Ivk, tuple[str, bool]] = {}  # what is under way: the request's id, whether in raw form
+        self._out: dict[Invocation, tuple[str, bool]] = {}  # what is under way: the request's id, whether in raw form
         self._held = False  # the client does not read: workers wait
         self._client_ended = False
         stream.on_message, stream.on_end, stream.on_gone = self._request, self._ended, self._gone
@@ -534,7 +534,7 @@
             return
         # Until its first part it has its type's time, then the time of a stream.
         limit = api._limit(self._stream)
-        ivk = api._driver.gateway.take(
+        ivk = api._driver.gateway.submit(
             now_ms(),
             wall_ms(),
             self._caller.name,
@@ -554,9 +554,9 @@
         ivk.on_part = lambda part: self._part(ivk, part)
         ivk.waiters.append(lambda record: self._final(ivk, record))
         self._out[ivk] = (request.id, bool(request.raw_input_contents))
-        api._driver.stir_soon()
+        api._driver.schedule_decisions()
 
-    def _part(self, ivk: Ivk, data: bytes) -> None:
+    def _part(self, ivk: Invocation, data: bytes) -> None:
         found = self._out.get(ivk)
         if found is None or self._stream.ended:
             return
@@ -565,10 +565,10 @@
         except GrpcError as cause:
             del self._out[ivk]
             self._refuse(found[0], ivk.record.path, cause)
-            self._api._driver.gateway.left(now_ms(), ivk)
-            self._api._driver.stir_soon()
+            self._api._driver.gateway.on_client_gone(now_ms(), ivk)
+            self._api._driver.schedule_decisions()
 
-    def _final(self, ivk: Ivk, record: Record) -> None:
+    def _final(self, ivk: Invocation, record: Record) -> None:
         found = self._out.pop(ivk, None)
         if found is not None and not self._stream.ended:
             if record.answer == "completed" and not record.code:
@@ -625,8 +625,8 @@
         for ivk in out:
             ivk.waiters.clear()
             ivk.on_part = None
-            self._api._driver.gateway.left(now_ms(), ivk)
-        self._api._driver.stir_soon()
+            self._api._driver.gateway.on_client_gone(now_ms(), ivk)
+        self._api._driver.schedule_decisions()
 
     def _gone(self) -> None:
         self._cancel()
--- a/kelptrail/front/invoke/api.py
+++ b/kelptrail/front/invoke/api.py
@@ -24,8 +24,8 @@
 from kelptrail.codec.events import encode_event
 from kelptrail.codec.http import Request
 from kelptrail.front.callers import UNSURE, Callers, Finder
-from kelptrail.gateway.core import Ivk, KeyConflictError
-from kelptrail.gateway.driver import Driver
+from kelptrail.gateway.core import Invocation, KeyConflictError
+from kelptrail.gateway.driver import GatewayDriver
 from kelptrail.gateway.limits import WORDS
 from kelptrail.gateway.records import Record
 from kelptrail.membership.members import PREFIX
@@ -62,7 +62,9 @@
 class InvokeApi:
     """Handles the requests of one dispatcher's front."""
 
-    def __init__(self, deployment: Deployment, driver: Driver, boot: str, callers: Callers | None = None) -> None:
+    def __init__(
+        self, deployment: Deployment, driver: GatewayDriver, boot: str, callers: Callers | None = None
+    ) -> None:
         self._deployment, self._driver, self._boot = deployment, driver, boot
         self._front = deployment.front
         self._most_promised = deployment.most_promised
@@ -232,7 +234,7 @@
             )
             return
         who = key or f"{zlib.crc32(payload):08x}{len(payload):x}"
-        if (refused := gateway.door(now_ms(), caller.name, action.path, len(payload), who)) is not None:
+        if (refused := gateway.on_connect(now_ms(), caller.name, action.path, len(payload), who)) is not None:
             reason, back = refused
             raise ApiError(
                 429,
@@ -245,14 +247,14 @@
             self._flow(exchange, caller, action, payload, trace, route.bare, who)
             return
         wait = _Wait(self, exchange, route.bare)
-        ivk = gateway.take(
+        ivk = gateway.submit(
             now_ms(), wall_ms(), caller.name, action, payload, key, trace, wait.ended, not blocking, digest, who=who
         )
         if blocking:
             exchange.on_gone = lambda: self._left(ivk, wait)
             wait.blocking(ivk, route.wait_ms)
         # A deferred call that is refused at once is answered 429, not 202: so decide first.
-        self._driver.stir_soon(None if blocking else lambda: wait.promise(ivk))
+        self._driver.schedule_decisions(None if blocking else lambda: wait.promise(ivk))
 
     def _flow(
         self,
@@ -266,7 +268,7 @@
     ) -> None:
         """A streamed answer as server-sent events: `part`s, then one `final` with the record."""
         driver = self._driver
-        ivk = driver.gateway.take(
+        ivk = driver.gateway.submit(
             now_ms(), wall_ms(), caller.name, action, payload, None, trace, streamed=True, who=who
         )
         held = False
@@ -297,25 +299,25 @@
         def gone() -> None:
             ivk.waiters.clear()
             ivk.on_part = None
-            driver.gateway.left(now_ms(), ivk)
-            driver.stir_soon()
+            driver.gateway.on_client_gone(now_ms(), ivk)
+            driver.schedule_decisions()
 
         ivk.on_part, exchange.on_gone, exchange.on_room = part, gone, room
         ivk.waiters.append(ended)
-        driver.stir_soon()
+        driver.schedule_decisions()
 
-    def _left(self, ivk: Ivk, wait: _Wait) -> None:
+    def _left(self, ivk: Invocation, wait: _Wait) -> None:
         """A client went away.  One that named a key may come back for the answer; without one nobody wants it."""
         if ivk.record.key:
-            self._driver.gateway.part(ivk.record, wait.ended)
+            self._driver.gateway.on_response_part(ivk.record, wait.ended)
             return
         ivk.waiters.clear()
-        self._driver.gateway.left(now_ms(), ivk)
-        self._driver.stir_soon()
+        self._driver.gateway.on_client_gone(now_ms(), ivk)
+        self._driver.schedule_decisions()
 
     def _repeat(self, exchange: Exchange, record: Record, route: _Route) -> None:
         """A client's own repeat: it gets the recorded answer or joins the activation in hand."""
-        wait, ivk = _Wait(self, exchange, route.bare), self._driver.gateway.in_hand_of(record.id)
+        wait, ivk = _Wait(self, exchange, route.bare), self._driver.gateway.in_flight_of(record.id)
         if record.shown:
             record.told = True
             wait.ended(record)
@@ -323,13 +325,13 @@
             wait.deferred(record)
         else:
             ivk.waiters.append(wait.ended)
-            exchange.on_gone = lambda: self._driver.gateway.part(record, wait.ended)
+            exchange.on_gone = lambda: self._driver.gateway.on_response_part(record, wait.ended)
             wait.blocking(ivk, route.wait_ms)
 
-    def cannot_promise(self, ivk: Ivk) -> None:
+    def cannot_promise(self, ivk: Invocation) -> None:
         """A deferred call whose record did not become safe: its client was promised nothing, and nobody will ask."""
-        self._driver.gateway.left(now_ms(), ivk)
-        self._driver.stir_soon()
+        self._driver.gateway.on_client_gone(now_ms(), ivk)
+        self._driver.schedule_decisions()
 
     def reply_final(self, exchange: Exchange, record: Record, bare: bool) -> None:
         """The final answer of a blocking call, or of a deferred one that is refused at once."""
@@ -388,7 +390,7 @@
             exchange.reply(200, views.encode(shown(record)))
             return
         wait_ms = _number(query, "wait", 0, self._front.longest_wait_ms) if "wait" in query else 0.0
-        ivk = self._driver.gateway.in_hand_of(record.id)
+        ivk = self._driver.gateway.in_flight_of(record.id)
         if not wait_ms or ivk is None:  # as specified: no record until there is a result
             raise ApiError(404, IN_HAND, {"retry-after": "1"})
         self._long_poll(exchange, ivk, wait_ms, shown)
@@ -442,7 +444,7 @@
             {"location": f"http://{peer.address}{request.target}"},
         )
 
-    def _long_poll(self, exchange: Exchange, ivk: Ivk, wait_ms: float, shown: Callable[[Record], Any]) -> None:
+    def _long_poll(self, exchange: Exchange, ivk: Invocation, wait_ms: float, shown: Callable[[Record], Any]) -> None:
         """Answer when the final answer is there, at the latest after `wait_ms`."""
 
         def ended(record: Record) -> None:
@@ -451,7 +453,7 @@
             exchange.reply(200, views.encode(shown(record)))
 
         def late() -> None:
-            self._driver.gateway.part(ivk.record, ended)
+            self._driver.gateway.on_response_part(ivk.record, ended)
             exchange.reply(404, views.error(IN_HAND, f"{self._boot[:8]}{self._requests:x}"), {"retry-after": "1"})
 
         timer = self._loop.call_later(wait_ms / 1000, late)
@@ -459,19 +461,19 @@
 
         def gone() -> None:
             timer.cancel()
-            self._driver.gateway.part(ivk.record, ended)
+            self._driver.gateway.on_response_part(ivk.record, ended)
 
         exchange.on_gone = gone
 
     def _cancel(self, exchange: Exchange, record: Record) -> None:
         """Cancel one in hand where no effect can be half done: never sent, or repeatable."""
-        ivk = self._driver.gateway.in_hand_of(record.id)
+        ivk = self._driver.gateway.in_flight_of(record.id)
         if record.final or ivk is None:
             raise ApiError(409, "The activation has its final answer, or is being resumed; nothing was cancelled.")
-        if record.effect != "repeatable" and any(send.may_have_run for send in ivk.act.attempts):
+        if record.effect != "repeatable" and any(send.may_have_run for send in ivk.request.attempts):
             raise ApiError(409, "The activation may have run; cancelling would not undo its effect.")
-        self._driver.gateway.left(now_ms(), ivk)
-        self._driver.stir_soon()
+        self._driver.gateway.on_client_gone(now_ms(), ivk)
+        self._driver.schedule_decisions()
         exchange.reply(202, views.encode({"activationId": record.id}))
 
     @staticmethod
@@ -491,22 +493,22 @@
         self._api, self._exchange, self._bare = api, exchange, bare
         self._timer: asyncio.TimerHandle | None = None
 
-    def blocking(self, ivk: Ivk, wait_ms: float) -> None:
+    def blocking(self, ivk: Invocation, wait_ms: float) -> None:
         """Wait for the final answer; past `wait_ms` the client gets the id and may poll."""
         if wait_ms < ivk.record.timeout_ms:
             self._timer = self._api._loop.call_later(wait_ms / 1000, self._past, ivk)
 
-    def _past(self, ivk: Ivk) -> None:
+    def _past(self, ivk: Invocation) -> None:
         """The wait is over: the client goes on with the id, which must be worth something after a crash."""
         gateway = self._api._driver.gateway
-        gateway.make_lasting(now_ms(), ivk)
-        if ivk.passage.kept:
+        gateway.make_durable(now_ms(), ivk)
+        if ivk.lifecycle.kept:
             gateway.promise(ivk, lambda _safe: self.deferred(ivk.record))
-            self._api._driver.stir_soon()
+            self._api._driver.schedule_decisions()
         else:
             self.deferred(ivk.record)
 
-    def promise(self, ivk: Ivk) -> None:
+    def promise(self, ivk: Invocation) -> None:
         """202 once the call's record is safe; 503 where it cannot be."""
         if not self._exchange.replied:
             self._api._driver.gateway.promise(ivk, lambda safe: self._promised(ivk, safe))
@@ -517,7 +519,7 @@
                     UNSURE * ivk.record.timeout_ms / 1000, self._taken_over, ivk.record, 0
                 )
 
-    def _promised(self, ivk: Ivk, safe: bool | None) -> None:
+    def _promised(self, ivk: Invocation, safe: bool | None) -> None:
         if safe:
             self.deferred(ivk.record)
         elif safe is None:
--- a/kelptrail/gateway/build.py
+++ b/kelptrail/gateway/build.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from kelptrail.dispatch.dispatcher import Dispatcher
-from kelptrail.dispatch.entities import Tenant, Idempotency, Function, RequestClass
+from kelptrail.dispatch.entities import Function, Idempotency, RequestClass, Tenant
 from kelptrail.dispatch.instance_table import InstanceTable
 from kelptrail.dispatch.outlier_detection import OutlierDetector
 from kelptrail.dispatch.placement import Placement
@@ -14,21 +14,21 @@
 from kelptrail.settings.deployment import Deployment
 
 
-class World:
+class DispatcherParts:
     """The objects that the decisions are about, as one deployment names them."""
 
     def __init__(self, deployment: Deployment, hall: str, seed: int) -> None:
         place, rules = deployment.dispatcher, deployment.rules
         self.deployment = deployment
-        self.types = {
+        self.request_classes = {
             t.name: RequestClass(
                 t.name, Idempotency(t.effect), t.target_ms, t.utility, t.late_share, t.scope, t.remembered_ms, t.hedge
             )
             for t in deployment.types.values()
         }
-        self.customers = {n.name: Tenant(n.name, n.allowed_per_s) for n in deployment.namespaces.values()}
+        self.tenants = {n.name: Tenant(n.name, n.allowed_per_s) for n in deployment.namespaces.values()}
         self.zones = {name: number for number, name in enumerate(deployment.halls)}
-        gate = self.gate = SafetyGuard(
+        gate = self.safety = SafetyGuard(
             seed,
             place.parallel,
             place.most_sends,
@@ -44,7 +44,7 @@
             health,
             Placement(gate, health, self.zones.get(hall, 0), seed),
             InstanceTable(timers, place.keep_ms),
-            RequestQueues(seed, list(self.types.values()), list(self.customers.values())),
+            RequestQueues(seed, list(self.request_classes.values()), list(self.tenants.values())),
             timers,
             place.cancels,
             place.longest_return_ms,
@@ -59,7 +59,7 @@
         if function is None:
             action = self.deployment.actions[path]
             function = self._functions[path] = Function(
-                action.model, self.types[action.type], action.memory_mb, action.lanes, action.load_ms
+                action.model, self.request_classes[action.type], action.memory_mb, action.lanes, action.load_ms
             )
         return function
 
--- a/kelptrail/gateway/connection_health.py
+++ b/kelptrail/gateway/connection_health.py
@@ -14,28 +14,28 @@
 NOT_REACHED = frozenset({AttemptStatus.UNREACHABLE, AttemptStatus.CONNECTION_LOST, AttemptStatus.SILENT})
 
 
-class LinkSight:
+class ConnectionHealth:
     """Whether any worker can be reached; `span_ms` is how long an end speaks for."""
 
     def __init__(self, span_ms: float = 1000.0) -> None:
         self._span_ms = span_ms
         self._reached = self._failed = float("-inf")
 
-    def ended(self, now: float, outcome: AttemptStatus) -> None:
+    def on_attempt_finished(self, now: float, outcome: AttemptStatus) -> None:
         """A send or an order has ended."""
         if outcome in REACHED:
             self._reached = now
         elif outcome in NOT_REACHED:
             self._failed = now
 
-    def looked(self, now: float, reached: bool) -> None:
+    def on_connect_result(self, now: float, reached: bool) -> None:
         """The host looked for itself."""
         if reached:
             self._reached = now
         else:
             self._failed = now
 
-    def well(self, now: float) -> bool | None:
+    def is_healthy(self, now: float) -> bool | None:
         """True, False, or None where nothing recent tells."""
         if now - self._reached <= self._span_ms:
             return True
--- a/kelptrail/gateway/counters.py
+++ b/kelptrail/gateway/counters.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Tally(msgspec.Struct, array_like=True):
+class FunctionCounters(msgspec.Struct, array_like=True):
     """One function at one edge since its last report.  `work_ms`: the sum of times from a send to its answer."""
 
     taken: int = 0
@@ -13,17 +13,17 @@
     rejected: int = 0
     missed: int = 0
     late: int = 0
-    lag: int = 0
+    queue_depth: int = 0
     work_ms: float = 0.0
 
-    def plus(self, later: Tally) -> Tally:
+    def plus(self, later: FunctionCounters) -> FunctionCounters:
         """Both together; the lag is the later one's."""
-        return Tally(
+        return FunctionCounters(
             self.taken + later.taken,
             self.completed + later.completed,
             self.rejected + later.rejected,
             self.missed + later.missed,
             self.late + later.late,
-            later.lag,
+            later.queue_depth,
             self.work_ms + later.work_ms,
         )
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -24,13 +24,23 @@
     read_loaded,
     read_part,
 )
-from kelptrail.dispatch.entities import LoadOrder, AttemptStatus, Attempt, Worker
-from kelptrail.membership.members import Listing
+from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder, Worker
+from kelptrail.membership.members import EndpointList
 from kelptrail.net.pool import Call, Ending, WorkerPool
 from kelptrail.store.driver import JournalDriver
 
-from .connection_health import LinkSight
-from .core import OUTCOMES, Final, Gateway, GiveUp, Ivk, Note, Part, PlaceOrder, StartSend
+from .connection_health import ConnectionHealth
+from .core import (
+    OUTCOMES,
+    CancelAttempt,
+    FinalAnswer,
+    Gateway,
+    Invocation,
+    LogEvent,
+    ResponsePart,
+    StartAttempt,
+    StartLoad,
+)
 
 BEHIND_MS = 50.0  # a timer that rings so late is told of: the loop has too much to do
 MOST_ANSWER_MS = 2.0  # what one answer may be taken to cost: a stall is not the answers'
@@ -52,7 +62,7 @@
 
     __slots__ = ("_driver", "_events", "_fault", "_final", "_ivk", "_send", "call")
 
-    def __init__(self, driver: Driver, ivk: Ivk, send: Attempt, most: int) -> None:
+    def __init__(self, driver: GatewayDriver, ivk: Invocation, send: Attempt, most: int) -> None:
         self._driver, self._ivk, self._send = driver, ivk, send
         self._events, self._final, self._fault = EventReader(most), None, False
         self.call: Call | None = None
@@ -75,7 +85,7 @@
             self._fault = True
             if self.call is not None:
                 self.call.give_up("malformed")
-        self._driver.stir_soon()
+        self._driver.schedule_decisions()
 
     def ended(self, now: float, answer: Answer) -> tuple[AttemptStatus, Answer]:
         """What a whole response comes to.  A stream without its last part broke off; a worker that does not stream
@@ -85,7 +95,7 @@
         return (AttemptStatus.CONNECTION_LOST if answer.streamed or self._fault else AttemptStatus.COMPLETED), answer
 
 
-class Driver:
+class GatewayDriver:
     """One dispatcher on the loop: the core, a pool for each worker, one timer."""
 
     def __init__(self, gateway: Gateway, name: str, pool: Any, log: Any) -> None:
@@ -100,18 +110,18 @@
         self._stirring = self._soon = False
         self._after: list[Callable[[], None]] = []
         self._swept = 0.0
-        self.sight = LinkSight()
+        self.connection_health = ConnectionHealth()
         self.journal: JournalDriver | None = None
-        self.copies: Callable[[], None] | None = None  # starts what waits to be copied
+        self.replication: Callable[[], None] | None = None  # starts what waits to be copied
         self.debug = False
         self.tls: Callable[[], ssl.SSLContext] | None = None  # towards workers
 
     # What happens.
 
-    def listed(self, listing: Listing) -> None:
+    def on_endpoints(self, listing: EndpointList) -> None:
         """A new worker list."""
         gateway = self.gateway
-        gateway.listed(now_ms(), listing)
+        gateway.on_endpoints(now_ms(), listing)
         addresses = gateway.members.addresses
         for worker, pool in list(self._pools.items()):
             if addresses.get(worker) != pool.address:
@@ -120,9 +130,9 @@
         self._log.info(
             "list", version=listing.version, workers=len(listing.workers), live=sum(w.live for w in gateway.members)
         )
-        self.stir()
+        self.decide()
 
-    def answered(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def on_attempt_finished(self, call: Call, ending: Ending, response: Response | None) -> None:
         """A send's call has ended."""
         ivk, send = call.tag
         self._calls.pop(send, None)
@@ -147,11 +157,11 @@
                 outcome=outcome.value,
             )
         now = now_ms()
-        self.sight.ended(now, outcome)
-        self.gateway.answered(now, send, outcome, answer)
-        self.stir_soon()
+        self.connection_health.on_attempt_finished(now, outcome)
+        self.gateway.on_attempt_finished(now, send, outcome, answer)
+        self.schedule_decisions()
 
-    def told(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def on_load_report(self, call: Call, ending: Ending, response: Response | None) -> None:
         """A hold order's call has ended."""
         order: LoadOrder = call.tag
         timer = self._orders.pop(call, None)
@@ -171,13 +181,13 @@
                 standing=standing,
             )
         now = now_ms()
-        self.sight.ended(now, outcome)
-        self.gateway.told(now, order, outcome, standing)
-        self.stir_soon()
+        self.connection_health.on_attempt_finished(now, outcome)
+        self.gateway.on_load_report(now, order, outcome, standing)
+        self.schedule_decisions()
 
     # What to do.
 
-    def stir_soon(self, after: Callable[[], None] | None = None) -> None:
+    def schedule_decisions(self, after: Callable[[], None] | None = None) -> None:
         """Stir once all that the loop has ready was taken in; `after` is called when that is carried out.
 
         Guards against deciding anew for each of a hundred answers that came together, in overload above all.
@@ -186,30 +196,30 @@
             self._after.append(after)
         if not self._soon:
             self._soon = True
-            self._loop.call_soon(self.stir)
+            self._loop.call_soon(self.decide)
 
-    def stir(self) -> None:
+    def decide(self) -> None:
         """Pull effects until there is none, then see to the timer."""
         if self._stirring:
             return
         self._stirring, self._soon = True, False
         now, finals = now_ms(), 0
         try:
-            while (effect := self.gateway.effect(now)) is not None:
-                if isinstance(effect, StartSend):
-                    self._start(effect.ivk, effect.send)
-                elif isinstance(effect, Final):
-                    self._final(effect.ivk)
+            while (effect := self.gateway.on_decision_done(now)) is not None:
+                if isinstance(effect, StartAttempt):
+                    self._start(effect.invocation, effect.attempt)
+                elif isinstance(effect, FinalAnswer):
+                    self._final(effect.invocation)
                     finals += 1
-                elif isinstance(effect, Part):
-                    if effect.ivk.on_part is not None:
-                        effect.ivk.on_part(effect.data)
-                elif isinstance(effect, PlaceOrder):
+                elif isinstance(effect, ResponsePart):
+                    if effect.invocation.on_part is not None:
+                        effect.invocation.on_part(effect.data)
+                elif isinstance(effect, StartLoad):
                     self._order(effect.order)
-                elif isinstance(effect, GiveUp):
-                    if (call := self._calls.get(effect.send)) is not None:
+                elif isinstance(effect, CancelAttempt):
+                    if (call := self._calls.get(effect.attempt)) is not None:
                         call.give_up(effect.reason)
-                elif isinstance(effect, Note):
+                elif isinstance(effect, LogEvent):
                     self._log.warning("unusual", what=effect.text)
         finally:
             self._stirring = False
@@ -223,7 +233,7 @@
             took = min(MOST_ANSWER_MS, 2 * (done - now) / finals)
             self.gateway.answer_ms += 0.02 * (took - self.gateway.answer_ms)
         if done - now > BEHIND_MS:
-            self._log.warning("long-decision", ms=round(done - now), in_hand=self.gateway.in_hand)
+            self._log.warning("long-decision", ms=round(done - now), in_hand=self.gateway.in_flight)
         due = self.gateway.next_due()
         if due < self._armed - 0.01:
             if self._timer is not None:
@@ -235,19 +245,19 @@
         """Start what waits to be made safe."""
         if self.journal is not None:
             self.journal.pump()
-        if self.copies is not None:
-            self.copies()
+        if self.replication is not None:
+            self.replication()
 
     def _rung(self) -> None:
         now = now_ms()
         if now - self._armed > BEHIND_MS:
-            self._log.warning("behind", ms=round(now - self._armed), in_hand=self.gateway.in_hand)
+            self._log.warning("behind", ms=round(now - self._armed), in_hand=self.gateway.in_flight)
         self._timer, self._armed = None, float("inf")
         if now - self._swept >= 1000.0:
             self._swept = now
             for pool in self._pools.values():
                 pool.sweep()
-        self.stir()
+        self.decide()
 
     def _pool(self, worker: Worker) -> WorkerPool:
         pool = self._pools.get(worker)
@@ -258,11 +268,11 @@
             )
         return pool
 
-    def _start(self, ivk: Ivk, send: Attempt) -> None:
+    def _start(self, ivk: Invocation, send: Attempt) -> None:
         record = ivk.record
         if record.book is not None and not record.book.acting(now_ms()):
             # Looked at right before the write: another may have the book since the send was decided.
-            self.gateway.answered(now_ms(), send, AttemptStatus.NOT_SENT)
+            self.gateway.on_attempt_finished(now_ms(), send, AttemptStatus.NOT_SENT)
             return
         pool = self._pool(send.instance.worker)
         parameters: dict[str, str | int | float | bool] = {
@@ -286,12 +296,12 @@
         )
         if ivk.streamed:
             stream = Stream(self, ivk, send, self._settings.answer_bytes)
-            call = pool.start(data, self.answered, (ivk, send), stream.piece)
+            call = pool.start(data, self.on_attempt_finished, (ivk, send), stream.piece)
             self._streams[call], stream.call = stream, call
         else:
-            call = pool.start(data, self.answered, (ivk, send))
+            call = pool.start(data, self.on_attempt_finished, (ivk, send))
         self._calls[send] = call
-        if ivk.passage.kept:
+        if ivk.lifecycle.kept:
             self._loop.call_later(0.01, self.gateway.passes, "sent")
         if self.debug:
             self._log.debug(
@@ -301,7 +311,7 @@
     def _order(self, order: LoadOrder) -> None:
         pool = self._pool(order.instance.worker)
         call = pool.start(
-            load_request(pool.address, order.instance.function.id, order.count, self.name), self.told, order
+            load_request(pool.address, order.instance.function.id, order.count, self.name), self.on_load_report, order
         )
         self._orders[call] = self._loop.call_later(self._settings.order_ms / 1000, call.give_up, "order-time")
         if self.debug:
@@ -309,7 +319,7 @@
                 "order", function=order.instance.function.id, worker=order.instance.worker.id, count=order.count
             )
 
-    def _final(self, ivk: Ivk) -> None:
+    def _final(self, ivk: Invocation) -> None:
         record = ivk.record
         if self.debug:
             self._log.debug(
@@ -325,9 +335,9 @@
         for waiter in waiters:
             waiter(record)
 
-    def flow(self, ivk: Ivk, goes: bool) -> None:
+    def flow(self, ivk: Invocation, goes: bool) -> None:
         """A stream's client reads on, or does not: its worker's connection is read on, or is not."""
-        bound = ivk.act.streaming_attempt
+        bound = ivk.request.streaming_attempt
         call = self._calls.get(bound) if bound is not None else None
         if call is not None:
             (call.resume if goes else call.pause)()
@@ -338,9 +348,9 @@
     async def drain(self, within_ms: float) -> bool:
         """Wait until all that was taken has its final answer; True if it has."""
         end = now_ms() + within_ms
-        while self.gateway.in_hand and now_ms() < end:
+        while self.gateway.in_flight and now_ms() < end:
             await asyncio.sleep(0.005)
-        clean = not self.gateway.in_hand
+        clean = not self.gateway.in_flight
         if self._timer is not None:
             self._timer.cancel()
         for pool in self._pools.values():
--- a/kelptrail/gateway/lifecycle.py
+++ b/kelptrail/gateway/lifecycle.py
@@ -57,7 +57,7 @@
     """A step that the life of an activation does not have, or one before what it needs is safe."""
 
 
-class Passage:
+class RequestLifecycle:
     """One activation's way.  `repeatable`: running it twice does no harm; `kept`: it outlives this process."""
 
     __slots__ = ("_needs", "end", "held", "kept", "may_run", "out", "owed", "record", "repeatable", "sends", "stage")
@@ -71,7 +71,7 @@
         self._needs: list[Need] = []
 
     @classmethod
-    def resumed(cls, repeatable: bool, ran: bool) -> Passage:
+    def resumed(cls, repeatable: bool, ran: bool) -> RequestLifecycle:
         """One that a restart found on disk; `ran`: "may run" stands there, too."""
         passage = cls(repeatable, True, True)
         passage.record = Safe.YES
--- a/kelptrail/gateway/overload.py
+++ b/kelptrail/gateway/overload.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StormSettings:
+class OverloadSettings:
     """`damp`: no, nothing but the decisions' own return times.  Shares of repeats among the comers of a window decide
     the stage; `longest_ms` bounds a return time; `most_known` how many turned-away ones are remembered."""
 
@@ -59,10 +59,10 @@
     early: int = 0  # how often it came before the time
 
 
-class Storm:
+class OverloadController:
     """One dispatcher's view.  Times in milliseconds; `seed` spreads return times."""
 
-    def __init__(self, settings: StormSettings, seed: int, shares: Mapping[str, float] | None = None) -> None:
+    def __init__(self, settings: OverloadSettings, seed: int, shares: Mapping[str, float] | None = None) -> None:
         """`shares`: of each customer, what it may ask for beside the others'."""
         self._settings, self._seed, self._draws = settings, seed, 0
         whole = sum((shares or {}).values()) or 1.0
--- a/kelptrail/gateway/records.py
+++ b/kelptrail/gateway/records.py
@@ -12,7 +12,7 @@
 from typing import Any, Protocol
 
 
-class Keeping(Protocol):
+class RecordKeeper(Protocol):
     """A book that other dispatchers hold copies of, as its owner writes to it."""
 
     def takes(self) -> bool:
@@ -62,7 +62,7 @@
     deferred: bool = False  # its client was given the id and will ask
     told: bool = False  # its final answer was shown
     logs: list[str] = field(default_factory=list)
-    book: Keeping | None = None  # where it is kept, if not on this dispatcher's disk alone
+    book: RecordKeeper | None = None  # where it is kept, if not on this dispatcher's disk alone
 
     @property
     def final(self) -> bool:
@@ -144,7 +144,7 @@
             if self.on_drop is not None:
                 self.on_drop(record)
 
-    def of(self, book: Keeping) -> list[Record]:
+    def of(self, book: RecordKeeper) -> list[Record]:
         """All that a book keeps."""
         return [record for record in self._by_id.values() if record.book is book]
 
--- a/kelptrail/history_checker/checker.py
+++ b/kelptrail/history_checker/checker.py
@@ -104,7 +104,7 @@
     return events
 
 
-def judge(events: Iterable[Event]) -> Verdict:
+def check_history(events: Iterable[Event]) -> Verdict:
     """The verdict on a run."""
     by_kind: dict[str, list[Event]] = defaultdict(list)
     for event in events:
--- a/kelptrail/lease/acceptor.py
+++ b/kelptrail/lease/acceptor.py
@@ -17,22 +17,22 @@
 from enum import Enum
 
 from .messages import (
-    NONE,
+    NO_TOKEN,
     NOTHING,
-    Ask,
-    Granted,
-    Handed,
-    Learn,
-    Learnt,
+    AcquireRequest,
+    FencingToken,
+    Grant,
+    LeaseNote,
+    LeaseRow,
     LeaseSettings,
-    Left,
     Message,
-    Note,
-    Noted,
-    Refused,
+    NoteWritten,
+    Refusal,
     Release,
-    Row,
-    Token,
+    StateReply,
+    StateRequest,
+    Transferred,
+    WriteNote,
     majority,
 )
 
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Memory:
+class DurableState:
     """What a voter has on disk beside its rows."""
 
     number: int
@@ -63,47 +63,54 @@
     """To be made safe, all or nothing; then what waits for it may be said."""
 
     number: int
-    rows: tuple[Row, ...]
-    memory: Memory | None = None
+    rows: tuple[LeaseRow, ...]
+    memory: DurableState | None = None
     to: str = ""
     reply: Message | None = None
 
 
 @dataclass(slots=True)
-class Seat:
+class LeaseRecord:
     """One task at one voter.  `until`: when the grant ends here; `kept`: the token that is on disk."""
 
-    highest: Token = NONE
+    highest: FencingToken = NO_TOKEN
     length_ms: float = 0.0
     until: float = float("-inf")
     released: bool = False
-    kept: Token = NONE
+    kept: FencingToken = NO_TOKEN
     next: str = ""  # whom it was handed to
     next_until: float = float("-inf")
-    noted: Noted = NOTHING
+    noted: LeaseNote = NOTHING
 
 
-class Voter:
+class Acceptor:
     """One voter.  `memory` and `rows`: what its disk held; None: nothing that can be gone on from."""
 
     def __init__(
-        self, name: str, settings: LeaseSettings, now: float, memory: Memory | None, rows: tuple[Row, ...] = ()
+        self,
+        name: str,
+        settings: LeaseSettings,
+        now: float,
+        memory: DurableState | None,
+        rows: tuple[LeaseRow, ...] = (),
     ) -> None:
         self.name, self.settings = name, settings
-        self.seats: dict[str, Seat] = {}
+        self.seats: dict[str, LeaseRecord] = {}
         self.out: deque[tuple[str, Message]] = deque()
         self.writes: deque[Write] = deque()
         self.waiting: dict[str, dict[str, float]] = {}  # task: those who were told to wait, and when they are due
         self.number, self.stage, self.was = settings.number, Stage.EMPTY, False
         self.since: float | None = now  # since when nothing can have been granted that is not learnt
-        self._answers: dict[str, Learnt] = {}
+        self._answers: dict[str, StateReply] = {}
         self._nonce = 0
         self._next_learn = now
         self._writes = 0
         self._settled = True  # the stage is on disk
         for row in rows:
             until = now + row.length_ms if not row.released else float("-inf")
-            self.seats[row.task] = Seat(row.token, row.length_ms, until, row.released, row.token, noted=row.noted)
+            self.seats[row.task] = LeaseRecord(
+                row.token, row.length_ms, until, row.released, row.token, noted=row.noted
+            )
         if memory is None:
             return
         self.stage, self.was = memory.stage, memory.was
@@ -121,17 +128,17 @@
 
     def received(self, now: float, sender: str, message: Message) -> None:
         """A message from an asker or another voter; others are not for a voter."""
-        if isinstance(message, Ask):
+        if isinstance(message, AcquireRequest):
             self._asked(now, sender, message)
         elif isinstance(message, Release):
             self._released(now, message)
-        elif isinstance(message, Note):
+        elif isinstance(message, WriteNote):
             self._note(sender, message)
-        elif isinstance(message, Learn):
+        elif isinstance(message, StateRequest):
             if self._settled and sender in (*self.settings.voters, *self.settings.before):
                 rows = tuple(self._row(task) for task in sorted(self.seats))
-                self.out.append((sender, Learnt(self.number, message.nonce, self.stage.value, self.was, rows)))
-        elif isinstance(message, Learnt):
+                self.out.append((sender, StateReply(self.number, message.nonce, self.stage.value, self.was, rows)))
+        elif isinstance(message, StateReply):
             self._learnt(now, sender, message)
 
     def written(self, write: Write, safe: bool) -> None:
@@ -156,7 +163,7 @@
         self._answers = {}
         for name in dict.fromkeys((*self.settings.voters, *self.settings.before)):
             if name != self.name:
-                self.out.append((name, Learn(self.number, self._nonce)))
+                self.out.append((name, StateRequest(self.number, self._nonce)))
 
     def due(self) -> float | None:
         """When `tick` is due; None: never."""
@@ -164,27 +171,27 @@
 
     # Granting.
 
-    def _asked(self, now: float, sender: str, ask: Ask) -> None:
+    def _asked(self, now: float, sender: str, ask: AcquireRequest) -> None:
         reason = self._reason(now, sender, ask)
-        seat = self.seats.setdefault(ask.task, Seat())
+        seat = self.seats.setdefault(ask.task, LeaseRecord())
         if reason:
             left = self._left(now, ask.task, sender, seat, reason)
-            highest = max(seat.highest, Token(self.settings.first_round, ""))
+            highest = max(seat.highest, FencingToken(self.settings.first_round, ""))
             voters = self.settings.voters if self.stage is not Stage.BEHIND else ()
-            self.out.append((sender, Refused(ask.task, ask.token, ask.seq, reason, highest, left, self.number, voters)))
+            self.out.append((sender, Refusal(ask.task, ask.token, ask.seq, reason, highest, left, self.number, voters)))
             return
         seat.highest, seat.length_ms, seat.released = ask.token, ask.length_ms, False
         seat.until, seat.next = now + ask.length_ms, ""
         self.waiting.get(ask.task, {}).pop(sender, None)
-        reply = Granted(ask.task, ask.token, ask.seq, seat.noted)
+        reply = Grant(ask.task, ask.token, ask.seq, seat.noted)
         if seat.kept == ask.token:  # a renewal: after a restart it counts from then anyway
             self.out.append((sender, reply))
         else:
             self._write((self._row(ask.task),), to=sender, reply=reply)
 
-    def _reason(self, now: float, sender: str, ask: Ask) -> str:
+    def _reason(self, now: float, sender: str, ask: AcquireRequest) -> str:
         """Why not; empty: granted."""
-        seat = self.seats.get(ask.task, Seat())
+        seat = self.seats.get(ask.task, LeaseRecord())
         if self.stage is not Stage.VOTING or not self._settled:
             return "settling" if self.stage is Stage.VOTING else self.stage.value
         if ask.number != self.number:
@@ -201,7 +208,7 @@
             return "reserved"
         return ""
 
-    def _left(self, now: float, task: str, sender: str, seat: Seat, reason: str) -> float:
+    def _left(self, now: float, task: str, sender: str, seat: LeaseRecord, reason: str) -> float:
         """How long an asker should wait: until the task may be free, each a gap behind who came before it.  Guards
         against all askers of a fleet coming at the same instant."""
         if reason not in ("held", "reserved"):
@@ -219,7 +226,7 @@
         return due - now
 
     def _released(self, now: float, message: Release) -> None:
-        seat = self.seats.setdefault(message.task, Seat())
+        seat = self.seats.setdefault(message.task, LeaseRecord())
         if self.stage is not Stage.VOTING or not self._settled:
             return
         if message.token < seat.highest or (message.token > seat.highest and now < seat.until and not seat.released):
@@ -232,10 +239,10 @@
             seat.next, seat.next_until = message.to, now + self.settings.reserve_ms
         # Who was told to wait would come only when the lease would have ended.
         if to := message.to or next(iter(self.waiting.get(message.task, ())), ""):
-            self.out.append((to, Handed(message.task)))
+            self.out.append((to, Transferred(message.task)))
         self._write((self._row(message.task),))
 
-    def _note(self, sender: str, note: Note) -> None:
+    def _note(self, sender: str, note: WriteNote) -> None:
         """Keep a note of the task's holder.  One under an older token than was granted is passed over: whoever was
         granted the newer one has been told what stood here then."""
         seat, noted = self.seats.get(note.task), note.noted
@@ -244,14 +251,14 @@
         if noted.token != seat.highest or seat.released or noted < seat.noted:
             return
         seat.noted = noted
-        self._write((self._row(note.task),), to=sender, reply=Left(note.task, noted.token, noted.seq))
+        self._write((self._row(note.task),), to=sender, reply=NoteWritten(note.task, noted.token, noted.seq))
 
-    def _row(self, task: str) -> Row:
+    def _row(self, task: str) -> LeaseRow:
         seat = self.seats[task]
-        return Row(task, seat.highest, seat.length_ms, seat.released, seat.noted)
+        return LeaseRow(task, seat.highest, seat.length_ms, seat.released, seat.noted)
 
     def _write(
-        self, rows: tuple[Row, ...], memory: Memory | None = None, to: str = "", reply: Message | None = None
+        self, rows: tuple[LeaseRow, ...], memory: DurableState | None = None, to: str = "", reply: Message | None = None
     ) -> None:
         self._writes += 1
         self.writes.append(Write(self._writes, rows, memory, to, reply))
@@ -261,9 +268,9 @@
     def _to(self, stage: Stage, was: bool) -> None:
         """Take up a stage, to be on disk before anything is said in it."""
         self.stage, self.was, self._settled = stage, was, False
-        self._write(tuple(self._row(task) for task in sorted(self.seats)), Memory(self.number, stage, was))
+        self._write(tuple(self._row(task) for task in sorted(self.seats)), DurableState(self.number, stage, was))
 
-    def _learnt(self, now: float, sender: str, answer: Learnt) -> None:
+    def _learnt(self, now: float, sender: str, answer: StateReply) -> None:
         if self.stage in (Stage.VOTING, Stage.BEHIND) or not self._settled:
             return
         if answer.number != self.number or answer.nonce != self._nonce:
@@ -318,7 +325,7 @@
     def _vote(self, now: float) -> None:
         for answer in self._answers.values():
             for row in answer.rows:
-                seat = self.seats.setdefault(row.task, Seat())
+                seat = self.seats.setdefault(row.task, LeaseRecord())
                 seat.noted = max(seat.noted, row.noted)
                 if row.token > seat.highest:
                     seat.highest, seat.length_ms, seat.released = row.token, row.length_ms, row.released
@@ -329,9 +336,9 @@
 
     # For the explorer.
 
-    def copy(self) -> Voter:
+    def copy(self) -> Acceptor:
         """A copy that goes its own way."""
-        twin = Voter.__new__(type(self))
+        twin = Acceptor.__new__(type(self))
         twin.__dict__.update(self.__dict__)
         twin.seats = {task: replace(seat) for task, seat in self.seats.items()}
         twin.out, twin.writes = self.out.copy(), self.writes.copy()
--- a/kelptrail/lease/acceptor_store.py
+++ b/kelptrail/lease/acceptor_store.py
@@ -14,21 +14,21 @@
 import apsw
 import msgspec
 
-from kelptrail.store.activation_journal import BookError
+from kelptrail.store.activation_journal import JournalError
 
-from .acceptor import Memory, Stage, Write
-from .messages import Row
+from .acceptor import DurableState, Stage, Write
+from .messages import LeaseRow
 
 FORMAT = 2  # 1: rows had no note
 TABLE = "CREATE TABLE kept (name TEXT PRIMARY KEY, crc INTEGER NOT NULL, body BLOB NOT NULL) WITHOUT ROWID"
 DAMAGED = ("NotADB", "Corrupt", "malformed", "not a database", "DecodeError", "ValidationError")
 MEMORY = ""  # the name of the row that is no task's
 
-_row = msgspec.msgpack.Decoder(Row).decode
+_row = msgspec.msgpack.Decoder(LeaseRow).decode
 _memory = msgspec.msgpack.Decoder(tuple[int, str, bool]).decode
 
 
-class Ledger:
+class AcceptorStore:
     """One file; one thread at a time uses it."""
 
     def __init__(self, file: Path, vfs: str | None = None) -> None:
@@ -39,31 +39,31 @@
             self._run("PRAGMA synchronous=FULL")
             version = self._run("PRAGMA user_version")[0][0]
             if version > FORMAT:
-                raise BookError(f"format {version} is newer than {FORMAT}, which is known here")
+                raise JournalError(f"format {version} is newer than {FORMAT}, which is known here")
             if not version:
                 self._run(TABLE)
             if version < FORMAT:  # rows of format 1 are read as they are: what was added has a default
                 self._run(f"PRAGMA user_version={FORMAT}")
         except apsw.Error as cause:
-            raise BookError(f"{type(cause).__name__}: {cause}") from None
+            raise JournalError(f"{type(cause).__name__}: {cause}") from None
 
     def _run(self, text: str, values: tuple[object, ...] = ()) -> list[tuple]:
         return list(self._db.execute(text, values))
 
-    def read(self) -> tuple[Memory | None, tuple[Row, ...]]:
+    def read(self) -> tuple[DurableState | None, tuple[LeaseRow, ...]]:
         """All of it.  Raises `BookError` where any of it cannot be read."""
         memory, rows = None, []
         try:
             for name, crc, body in self._db.execute("SELECT name, crc, body FROM kept ORDER BY name"):
                 if crc32(body) != crc:
-                    raise BookError(f"Corrupt: the row {name!r}")
+                    raise JournalError(f"Corrupt: the row {name!r}")
                 if name == MEMORY:
                     number, stage, was = _memory(body)
-                    memory = Memory(number, Stage(stage), was)
+                    memory = DurableState(number, Stage(stage), was)
                 else:
                     rows.append(_row(body))
         except (apsw.Error, msgspec.MsgspecError, ValueError) as cause:
-            raise BookError(f"{type(cause).__name__}: {cause}") from None
+            raise JournalError(f"{type(cause).__name__}: {cause}") from None
         return memory, tuple(rows)
 
     def commit(self, writes: Iterable[Write]) -> None:
@@ -85,7 +85,7 @@
             if self._db.in_transaction:
                 with contextlib.suppress(apsw.Error):
                     self._run("ROLLBACK")
-            raise BookError(f"{type(cause).__name__}: {cause}") from None
+            raise JournalError(f"{type(cause).__name__}: {cause}") from None
 
     def forget(self, ids: Iterable[str]) -> None:
         """Nothing is ever forgotten: a token that was is what the next must be above."""
@@ -96,17 +96,19 @@
             self._db.close()
 
 
-def open_ledger(file: Path, vfs: str | None = None) -> tuple[Ledger, Memory | None, tuple[Row, ...], str]:
+def open_acceptor_store(
+    file: Path, vfs: str | None = None
+) -> tuple[AcceptorStore, DurableState | None, tuple[LeaseRow, ...], str]:
     """Open a ledger and read it; a damaged one is set aside, with the reason.  Raises `BookError` where none can be
     made, and where the disk fails: what it holds may still be there."""
     try:
-        ledger = Ledger(file, vfs)
+        ledger = AcceptorStore(file, vfs)
         try:
             return (ledger, *ledger.read(), "")
-        except BookError:
+        except JournalError:
             ledger.close()
             raise
-    except BookError as cause:
+    except JournalError as cause:
         reason = str(cause)
         if not any(word in reason for word in DAMAGED):
             raise
@@ -117,4 +119,4 @@
         part = file.with_name(file.name + end)
         with contextlib.suppress(OSError):
             part.rename(aside.with_name(aside.name + end))
-    return Ledger(file, vfs), None, (), reason
+    return AcceptorStore(file, vfs), None, (), reason
--- a/kelptrail/lease/client.py
+++ b/kelptrail/lease/client.py
@@ -15,19 +15,19 @@
 from zlib import crc32
 
 from .messages import (
-    NONE,
+    NO_TOKEN,
     NOTHING,
-    Ask,
-    Granted,
-    Handed,
+    AcquireRequest,
+    FencingToken,
+    Grant,
+    LeaseNote,
     LeaseSettings,
-    Left,
     Message,
-    Note,
-    Noted,
-    Refused,
+    NoteWritten,
+    Refusal,
     Release,
-    Token,
+    Transferred,
+    WriteNote,
     majority,
 )
 
@@ -44,31 +44,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Won:
+class LeaseAcquired:
     """The task is held under a token until a time of this asker's clock.  `noted`: what a holder before left with it;
     no older holder's note is kept from here on."""
 
     task: str
-    token: Token
+    token: FencingToken
     until: float
-    noted: Noted = NOTHING
+    noted: LeaseNote = NOTHING
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class NoteStored:
     """A note of this asker's is kept by a majority: whoever holds the task next is told it, or a later one."""
 
     task: str
-    token: Token
+    token: FencingToken
     seq: int
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class LeaseLost:
     """It is not held any more, as `reason` says: "expired", "released"."""
 
     task: str
-    token: Token
+    token: FencingToken
     reason: str
 
 
@@ -81,14 +81,14 @@
 
 
 @dataclass(slots=True)
-class Wish:
+class LeaseRequest:
     """One task that is wanted.  `due`: when something is to be done about it."""
 
     task: str
     length_ms: float
     state: State
     due: float
-    token: Token = NONE
+    token: FencingToken = NO_TOKEN
     until: float = float("-inf")
     questions: dict[int, Question] = field(default_factory=dict)
     asked: set[str] = field(default_factory=set)  # in this attempt
@@ -96,22 +96,22 @@
     first: bool = False  # only the first voter has been asked
     attempts: int = 0  # in a row that met nobody who holds it
     handed: float = float("-inf")  # until when it is kept for this asker
-    noted: Noted = NOTHING  # the last note that voters told of
-    leaving: Noted | None = None  # the note that is to be kept, and by whom it is
+    noted: LeaseNote = NOTHING  # the last note that voters told of
+    leaving: LeaseNote | None = None  # the note that is to be kept, and by whom it is
     left: set[str] = field(default_factory=set)
 
 
-class Asker:
+class LeaseClient:
     """One dispatcher's leases.  `who`: its name and run, never the same for two runs."""
 
     def __init__(self, name: str, who: str, settings: LeaseSettings) -> None:
         self.name, self.who, self.settings = name, who, settings
         self.voters, self.number = settings.voters, settings.number
-        self.wishes: dict[str, Wish] = {}
+        self.wishes: dict[str, LeaseRequest] = {}
         self.rounds: dict[str, int] = {}  # the highest round seen, by task
-        self.seen: dict[str, tuple[Token, float]] = {}  # who was told to hold a task last, and until about when
+        self.seen: dict[str, tuple[FencingToken, float]] = {}  # who was told to hold a task last, and until about when
         self.out: deque[tuple[str, Message]] = deque()
-        self.events: deque[Won | Lost | Kept] = deque()
+        self.events: deque[LeaseAcquired | LeaseLost | NoteStored] = deque()
         self._seq = self._draws = 0
 
     # Inputs.
@@ -122,7 +122,7 @@
         if not 0 < length_ms <= self.settings.longest_ms:
             raise ValueError(f"a lease of {length_ms:g} ms, at most {self.settings.longest_ms:g}")
         if task not in self.wishes:
-            self.wishes[task] = Wish(task, length_ms, State.WAITING, now)
+            self.wishes[task] = LeaseRequest(task, length_ms, State.WAITING, now)
 
     def release(self, now: float, task: str, to: str = "") -> None:
         """Give a task back, to whoever is named next if anybody; it is not wanted any more."""
@@ -131,7 +131,7 @@
             return
         self._give_back(wish, self.voters if wish.state is State.HOLDING else tuple(sorted(wish.asked)), to)
         if wish.state is State.HOLDING:
-            self.events.append(Lost(task, wish.token, "released"))
+            self.events.append(LeaseLost(task, wish.token, "released"))
 
     def note(self, task: str, text: bytes) -> int | None:
         """Leave a note with a task that is held, in place of the one before; `Kept` tells when it is.  Its number, or
@@ -140,26 +140,26 @@
         if wish is None or wish.state is not State.HOLDING:
             return None
         self._seq += 1
-        wish.leaving, wish.left = Noted(wish.token, self._seq, text), set()
+        wish.leaving, wish.left = LeaseNote(wish.token, self._seq, text), set()
         self._leave(wish)
         return self._seq
 
-    def _leave(self, wish: Wish) -> None:
+    def _leave(self, wish: LeaseRequest) -> None:
         if wish.leaving is not None:
             for voter in self.voters:
                 if voter not in wish.left:
-                    self.out.append((voter, Note(wish.task, wish.leaving, self.number)))
+                    self.out.append((voter, WriteNote(wish.task, wish.leaving, self.number)))
 
-    def _left(self, sender: str, wish: Wish, answer: Left) -> None:
+    def _left(self, sender: str, wish: LeaseRequest, answer: NoteWritten) -> None:
         note = wish.leaving
         if note is None or (note.token, note.seq) != (answer.token, answer.seq) or sender not in self.voters:
             return
         wish.left.add(sender)
         if len(wish.left) >= majority(self.voters):
             wish.leaving = None
-            self.events.append(Kept(wish.task, note.token, note.seq))
+            self.events.append(NoteStored(wish.task, note.token, note.seq))
 
-    def holds(self, now: float, task: str) -> Token | None:
+    def holds(self, now: float, task: str) -> FencingToken | None:
         """The token under which an act on a task may begin at this instant; None: it may not."""
         wish = self.wishes.get(task)
         if wish is None or wish.state is not State.HOLDING or now >= wish.until:
@@ -173,14 +173,16 @@
 
     def received(self, now: float, sender: str, message: Message) -> None:
         """An answer of a voter, or a hand-over; others are not for an asker."""
-        wish = self.wishes.get(message.task) if isinstance(message, Granted | Refused | Handed | Left) else None
+        wish = (
+            self.wishes.get(message.task) if isinstance(message, Grant | Refusal | Transferred | NoteWritten) else None
+        )
         if wish is None:
             return
-        if isinstance(message, Granted):
+        if isinstance(message, Grant):
             self._granted(now, sender, wish, message)
-        elif isinstance(message, Refused):
+        elif isinstance(message, Refusal):
             self._refused(now, sender, wish, message)
-        elif isinstance(message, Left):
+        elif isinstance(message, NoteWritten):
             self._left(sender, wish, message)
         elif wish.state is State.WAITING:
             wish.due, wish.handed = now, now + self.settings.reserve_ms
@@ -200,7 +202,7 @@
 
     # Steps.
 
-    def _step(self, now: float, wish: Wish) -> None:
+    def _step(self, now: float, wish: LeaseRequest) -> None:
         if wish.state is State.HOLDING:
             if now >= wish.until:
                 self._lose(now, wish)
@@ -213,10 +215,10 @@
         else:
             self._give_up(now, wish)
 
-    def _attempt(self, now: float, wish: Wish) -> None:
+    def _attempt(self, now: float, wish: LeaseRequest) -> None:
         round_ = max(self.rounds.get(wish.task, 0), self.settings.first_round) + 1
         self.rounds[wish.task] = round_
-        wish.state, wish.token, wish.first = State.ASKING, Token(round_, self.who), True
+        wish.state, wish.token, wish.first = State.ASKING, FencingToken(round_, self.who), True
         wish.noted, wish.leaving = NOTHING, None
         wish.questions, wish.refused, wish.asked = {}, {}, set()
         self._seq += 1
@@ -224,14 +226,14 @@
         wish.due = now + self.settings.ask_ms
         self._ask(wish, self._order(wish.task)[0])
 
-    def _ask_rest(self, now: float, wish: Wish) -> None:
+    def _ask_rest(self, now: float, wish: LeaseRequest) -> None:
         wish.first = False
         wish.due = now + 2 * self.settings.ask_ms
         for voter in self._order(wish.task):
             if voter not in wish.asked:
                 self._ask(wish, voter)
 
-    def _renew(self, now: float, wish: Wish) -> None:
+    def _renew(self, now: float, wish: LeaseRequest) -> None:
         self._seq += 1
         wish.questions[self._seq] = Question(now)
         for seq in list(wish.questions)[:-MOST_QUESTIONS]:
@@ -241,11 +243,11 @@
         self._leave(wish)  # again to those that have not said that they keep it
         wish.due = min(wish.until, now + self.settings.held_ms(wish.length_ms) / 3)
 
-    def _ask(self, wish: Wish, voter: str) -> None:
+    def _ask(self, wish: LeaseRequest, voter: str) -> None:
         wish.asked.add(voter)
-        self.out.append((voter, Ask(wish.task, wish.token, wish.length_ms, self._seq, self.number)))
+        self.out.append((voter, AcquireRequest(wish.task, wish.token, wish.length_ms, self._seq, self.number)))
 
-    def _granted(self, now: float, sender: str, wish: Wish, answer: Granted) -> None:
+    def _granted(self, now: float, sender: str, wish: LeaseRequest, answer: Grant) -> None:
         question = wish.questions.get(answer.seq)
         if wish.state is State.WAITING or question is None or answer.token != wish.token or sender not in self.voters:
             return
@@ -257,16 +259,16 @@
         elif wish.state is State.ASKING and wish.first:
             self._ask_rest(now, wish)
 
-    def _won(self, now: float, wish: Wish, until: float) -> None:
+    def _won(self, now: float, wish: LeaseRequest, until: float) -> None:
         if wish.state is State.HOLDING:
             if until > wish.until:
                 wish.until = until
             return
         wish.state, wish.until, wish.attempts = State.HOLDING, until, 0
         wish.due = min(until, now + self.settings.held_ms(wish.length_ms) / 3)
-        self.events.append(Won(wish.task, wish.token, until, wish.noted))
+        self.events.append(LeaseAcquired(wish.task, wish.token, until, wish.noted))
 
-    def _refused(self, now: float, sender: str, wish: Wish, answer: Refused) -> None:
+    def _refused(self, now: float, sender: str, wish: LeaseRequest, answer: Refusal) -> None:
         self.rounds[wish.task] = max(self.rounds.get(wish.task, 0), answer.highest.round)
         if answer.reason == "held":
             self.seen[wish.task] = answer.highest, now + answer.left_ms
@@ -291,7 +293,7 @@
             wish.questions, wish.left = {}, set()
         self.voters, self.number = voters, number
 
-    def _give_up(self, now: float, wish: Wish) -> None:
+    def _give_up(self, now: float, wish: LeaseRequest) -> None:
         """An attempt has failed: what was granted is given back; again once the task may be free, or, where nobody is
         known to hold it, after a pause that grows.  Each asker's pause differs."""
         self._give_back(wish, tuple(sorted(wish.asked)), "")
@@ -301,12 +303,12 @@
         wish.state, wish.due = State.WAITING, max(now, free) + pause * (0.5 + self._draw())
         wish.questions, wish.first = {}, False
 
-    def _lose(self, now: float, wish: Wish) -> None:
-        self.events.append(Lost(wish.task, wish.token, "expired"))
+    def _lose(self, now: float, wish: LeaseRequest) -> None:
+        self.events.append(LeaseLost(wish.task, wish.token, "expired"))
         wish.state, wish.until, wish.questions = State.WAITING, float("-inf"), {}
         wish.due = now + self.settings.retry_ms * (0.5 + self._draw())
 
-    def _give_back(self, wish: Wish, voters: tuple[str, ...], to: str) -> None:
+    def _give_back(self, wish: LeaseRequest, voters: tuple[str, ...], to: str) -> None:
         for voter in voters:
             if voter not in wish.refused:
                 self.out.append((voter, Release(wish.task, wish.token, to)))
@@ -323,9 +325,9 @@
 
     # For the explorer.
 
-    def copy(self) -> Asker:
+    def copy(self) -> LeaseClient:
         """A copy that goes its own way."""
-        twin = Asker.__new__(type(self))
+        twin = LeaseClient.__new__(type(self))
         twin.__dict__.update(self.__dict__)
         twin.wishes = {
             task: replace(
--- a/kelptrail/lease/messages.py
+++ b/kelptrail/lease/messages.py
@@ -12,7 +12,7 @@
 import msgspec
 
 
-class Token(msgspec.Struct, frozen=True, order=True, array_like=True):
+class FencingToken(msgspec.Struct, frozen=True, order=True, array_like=True):
     """Names one lease.  Tokens of a task are in one order: by round, then by `who`, the asker and its run."""
 
     round: int
@@ -22,65 +22,65 @@
         return f"{self.round}.{self.who}"
 
 
-NONE = Token(0, "")
+NO_TOKEN = FencingToken(0, "")
 
 
-class Ask(msgspec.Struct, frozen=True, tag="ask", array_like=True):
+class AcquireRequest(msgspec.Struct, frozen=True, tag="ask", array_like=True):
     """May I hold the task for `length_ms`, or go on holding it?  `seq` tells one question from the next; `number` is
     the set of voters that the asker believes in."""
 
     task: str
-    token: Token
+    token: FencingToken
     length_ms: float
     seq: int
     number: int
 
 
-class Noted(msgspec.Struct, frozen=True, order=True, array_like=True):
+class LeaseNote(msgspec.Struct, frozen=True, order=True, array_like=True):
     """What a holder has left with a task, for whoever holds it next; ordered by when it was left."""
 
-    token: Token
+    token: FencingToken
     seq: int
     text: bytes = b""
 
 
-NOTHING = Noted(NONE, 0)
+NOTHING = LeaseNote(NO_TOKEN, 0)
 
 
-class Granted(msgspec.Struct, frozen=True, tag="granted", array_like=True):
+class Grant(msgspec.Struct, frozen=True, tag="granted", array_like=True):
     """Yes, and it is on disk.  `noted`: the last note that this voter knows of the task."""
 
     task: str
-    token: Token
+    token: FencingToken
     seq: int
-    noted: Noted = NOTHING
+    noted: LeaseNote = NOTHING
 
 
-class Note(msgspec.Struct, frozen=True, tag="note", array_like=True):
+class WriteNote(msgspec.Struct, frozen=True, tag="note", array_like=True):
     """From the holder: leave this with the task, in place of what was left before."""
 
     task: str
-    noted: Noted
+    noted: LeaseNote
     number: int
 
 
-class Left(msgspec.Struct, frozen=True, tag="left", array_like=True):
+class NoteWritten(msgspec.Struct, frozen=True, tag="left", array_like=True):
     """A note is on disk."""
 
     task: str
-    token: Token
+    token: FencingToken
     seq: int
 
 
-class Refused(msgspec.Struct, frozen=True, tag="refused", array_like=True):
+class Refusal(msgspec.Struct, frozen=True, tag="refused", array_like=True):
     """No.  `highest`: of the task; `left_ms`: when it is worth asking again; `number` and `voters`: the set in force
     here."""
 
     task: str
-    token: Token
+    token: FencingToken
     seq: int
     reason: str
-    highest: Token
+    highest: FencingToken
     left_ms: float
     number: int
     voters: tuple[str, ...]
@@ -90,35 +90,35 @@
     """The lease is given back before its end, or the attempt is given up; `to`: who should have it next."""
 
     task: str
-    token: Token
+    token: FencingToken
     to: str = ""
 
 
-class Handed(msgspec.Struct, frozen=True, tag="handed", array_like=True):
+class Transferred(msgspec.Struct, frozen=True, tag="handed", array_like=True):
     """From a voter to whom a holder has named as the next, else to who has waited longest: ask now."""
 
     task: str
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True):
+class LeaseRow(msgspec.Struct, frozen=True, array_like=True):
     """What a voter keeps of a task: the highest token that it granted, for how long, whether it was given back, and
     the last note."""
 
     task: str
-    token: Token
+    token: FencingToken
     length_ms: float
     released: bool
-    noted: Noted = NOTHING
+    noted: LeaseNote = NOTHING
 
 
-class Learn(msgspec.Struct, frozen=True, tag="learn", array_like=True):
+class StateRequest(msgspec.Struct, frozen=True, tag="learn", array_like=True):
     """From a voter that does not vote yet: what do you know?"""
 
     number: int
     nonce: int
 
 
-class Learnt(msgspec.Struct, frozen=True, tag="learnt", array_like=True):
+class StateReply(msgspec.Struct, frozen=True, tag="learnt", array_like=True):
     """What a voter knows.  `stage`: see `voter.Stage`; `was`: it remembers all that it granted in the set before
     this one, and grants nothing in that any more."""
 
@@ -126,10 +126,10 @@
     nonce: int
     stage: str
     was: bool
-    rows: tuple[Row, ...]
+    rows: tuple[LeaseRow, ...]
 
 
-Message = Ask | Granted | Refused | Release | Handed | Learn | Learnt | Note | Left
+Message = AcquireRequest | Grant | Refusal | Release | Transferred | StateRequest | StateReply | WriteNote | NoteWritten
 
 
 @dataclass(frozen=True, slots=True)
--- a/kelptrail/lease/model.py
+++ b/kelptrail/lease/model.py
@@ -16,9 +16,9 @@
 
 from kelptrail.model_checking.explorer import PropertyError, Step
 
-from .acceptor import Memory, Stage, Voter, Write
-from .client import Asker, Kept, Won
-from .messages import NONE, NOTHING, LeaseSettings, Message, Noted, Row, Token
+from .acceptor import Acceptor, DurableState, Stage, Write
+from .client import LeaseAcquired, LeaseClient, NoteStored
+from .messages import NO_TOKEN, NOTHING, FencingToken, LeaseNote, LeaseRow, LeaseSettings, Message
 
 TASK = "task"
 ROUNDING = 1e-6  # ms; a time that was divided by a rate and multiplied again is reached for sure
@@ -44,8 +44,8 @@
 class Disk:
     """What a voter's disk holds."""
 
-    memory: Memory | None = None
-    rows: dict[str, Row] = field(default_factory=dict)
+    memory: DurableState | None = None
+    rows: dict[str, LeaseRow] = field(default_factory=dict)
 
     def sync(self, write: Write) -> None:
         """A write is safe."""
@@ -65,7 +65,7 @@
     sender: str
     to: str
     message: Message | None
-    token: Token = NONE
+    token: FencingToken = NO_TOKEN
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,8 +77,8 @@
     askers: tuple[str, ...]
     budget: Budget
     length_ms: float = 100.0
-    voter: type[Voter] = Voter
-    asker: type[Asker] = Asker
+    voter: type[Acceptor] = Acceptor
+    asker: type[LeaseClient] = LeaseClient
     rates: tuple[tuple[str, float], ...] = ()
     founded: bool = True
     fenced: bool = True
@@ -92,7 +92,7 @@
         return dict(self.rates).get(name, 1.0)
 
 
-class World:
+class Model:
     """One state."""
 
     __slots__ = (
@@ -121,13 +121,13 @@
         self.taken: frozenset[str] = frozenset()  # those that have taken up the next set
         if make.founded:
             for name in settings.voters:
-                self.disks[name].memory = Memory(settings.number, Stage.VOTING, False)
+                self.disks[name].memory = DurableState(settings.number, Stage.VOTING, False)
         self.voters = {name: make.voter(name, settings, 0.0, self.disks[name].memory) for name in settings.voters}
         self.runs = dict.fromkeys(make.askers, 1)
         self.askers = {name: make.asker(name, f"{name}/1", settings) for name in make.askers}
         self.flying: tuple[Flying, ...] = ()
         self.paused: frozenset[str] = frozenset()
-        self.fence = self.won = NONE  # the highest token that was acted under, and won
+        self.fence = self.won = NO_TOKEN  # the highest token that was acted under, and won
         self.left = NOTHING  # the last note that its holder was told is kept
         self.fault = ""
         self.trail: tuple[str, ...] = ()
@@ -143,9 +143,9 @@
         """What a process reads at its next start."""
         return self.make.later if self.make.later is not None and name in self.taken else self.make.settings
 
-    def copy(self) -> World:
+    def copy(self) -> Model:
         """A copy that goes its own way."""
-        twin = World.__new__(World)
+        twin = Model.__new__(Model)
         twin.make, twin.budget, twin.now, twin.flying = self.make, self.budget, self.now, self.flying
         twin.disks = {name: disk.copy() for name, disk in self.disks.items()}
         twin.voters = {name: voter.copy() for name, voter in self.voters.items()}
@@ -216,7 +216,7 @@
 
     # Steps.
 
-    def steps(self) -> Iterator[Step[World]]:
+    def steps(self) -> Iterator[Step[Model]]:
         """Every step that can follow."""
         if self.fault:
             return
@@ -258,12 +258,12 @@
                 if left.releases:
                     yield Step(f"release {name}", partial(self._release, name))
 
-    def _spend(self, **what: int) -> World:
+    def _spend(self, **what: int) -> Model:
         twin = self.copy()
         twin.budget = replace(self.budget, **{name: getattr(self.budget, name) - n for name, n in what.items()})
         return twin
 
-    def _deliver(self, number: int) -> World:
+    def _deliver(self, number: int) -> Model:
         twin = self.copy()
         flying = self.flying[number]
         twin.flying = self.flying[:number] + self.flying[number + 1 :]
@@ -282,17 +282,17 @@
         elif flying.to in self.askers:
             self.askers[flying.to].received(self.local(flying.to), flying.sender, flying.message)
 
-    def _lose(self, number: int) -> World:
+    def _lose(self, number: int) -> Model:
         twin = self._spend(drops=1)
         twin.flying = self.flying[:number] + self.flying[number + 1 :]
         return twin
 
-    def _copied(self, number: int) -> World:
+    def _copied(self, number: int) -> Model:
         twin = self._spend(copies=1)
         twin.flying = (*self.flying, self.flying[number])
         return twin
 
-    def _sync(self, name: str, well: bool) -> World:
+    def _sync(self, name: str, well: bool) -> Model:
         twin = self.copy() if well else self._spend(failures=1)
         voter = twin.voters[name]
         write = voter.writes.popleft()
@@ -302,7 +302,7 @@
         twin._collect()
         return twin
 
-    def _start(self, name: str, empty: bool) -> World:
+    def _start(self, name: str, empty: bool) -> Model:
         """The process ends at this instant, with what was not synced, and starts at once: a longer pause is a loss of
         messages."""
         twin = self._spend(wipes=1) if empty else self._spend(starts=1)
@@ -318,7 +318,7 @@
             name, self.settings(name), self.local(name), disk.memory, tuple(disk.rows.values())
         )
 
-    def _take_up(self, name: str) -> World:
+    def _take_up(self, name: str) -> Model:
         """It starts anew with the next set of voters in its settings."""
         twin = self.copy()
         twin.taken = self.taken | {name}
@@ -330,7 +330,7 @@
 
     def _next(self) -> float | None:
         """When something is due next: a timer, or the end of a grant or of a belief."""
-        cores: list[tuple[str, Voter | Asker]] = [*self.askers.items(), *self.voters.items()]
+        cores: list[tuple[str, Acceptor | LeaseClient]] = [*self.askers.items(), *self.voters.items()]
         dues = [
             max(self.now, due / self.make.rate(name))
             for name, core in cores
@@ -341,7 +341,7 @@
         dues += [end / self.make.rate(name) for name, end in ends if end / self.make.rate(name) > self.now]
         return min(dues, default=None)
 
-    def _pass(self, busy: bool) -> World:
+    def _pass(self, busy: bool) -> Model:
         twin = self._spend(delays=1) if busy else self.copy()
         due = self._next()
         assert due is not None
@@ -357,7 +357,7 @@
                 asker.tick(self.local(name))
         self._collect()
 
-    def _pause(self, name: str, paused: bool) -> World:
+    def _pause(self, name: str, paused: bool) -> Model:
         twin = self._spend(pauses=1) if paused else self.copy()
         twin.paused = self.paused | {name} if paused else self.paused - {name}
         if not paused:
@@ -365,10 +365,10 @@
             twin._collect()
         return twin
 
-    def _again(self, name: str) -> World:
+    def _again(self, name: str) -> Model:
         return self._spend(runs=1)._run(name)
 
-    def _run(self, name: str) -> World:
+    def _run(self, name: str) -> Model:
         twin = self.copy()
         twin.runs[name] += 1
         twin.askers[name] = self.make.asker(name, f"{name}/{twin.runs[name]}", twin.settings(name))
@@ -377,14 +377,14 @@
         twin._collect()
         return twin
 
-    def _act(self, name: str) -> World:
+    def _act(self, name: str) -> Model:
         twin = self._spend(acts=1)
         token = self.askers[name].holds(self.local(name), TASK)
         assert token is not None
         twin.flying = (*self.flying, Flying(name, "thing", None, token))
         return twin
 
-    def _release(self, name: str) -> World:
+    def _release(self, name: str) -> Model:
         twin = self._spend(releases=1)
         asker, now = twin.askers[name], twin.local(name)
         others = [other for other in self.askers if other != name]
@@ -399,7 +399,7 @@
         left = self.budget
         if not (left.starts or left.wipes or left.failures):  # when a sync ends makes no difference any more
             self._sync_all()
-        cores: list[tuple[str, Voter | Asker]] = [*self.voters.items(), *self.askers.items()]
+        cores: list[tuple[str, Acceptor | LeaseClient]] = [*self.voters.items(), *self.askers.items()]
         for name, core in cores:
             while core.out:
                 to, message = core.out.popleft()
@@ -407,7 +407,7 @@
         for name, asker in self.askers.items():
             while asker.events:
                 event = asker.events.popleft()
-                if isinstance(event, Won):
+                if isinstance(event, LeaseAcquired):
                     if event.token <= self.won:
                         self.fault = f"{name} won under {event.token} after {self.won}"
                     if event.noted < self.left:
@@ -415,8 +415,8 @@
                     self.won = max(self.won, event.token)
                     if self.make.notes:
                         asker.note(TASK, b"")
-                elif isinstance(event, Kept):
-                    self.left = max(self.left, Noted(event.token, event.seq))
+                elif isinstance(event, NoteStored):
+                    self.left = max(self.left, LeaseNote(event.token, event.seq))
             while asker.out:  # a note
                 to, message = asker.out.popleft()
                 self.flying += (Flying(name, to, message),)
--- a/kelptrail/load/client_behavior.py
+++ b/kelptrail/load/client_behavior.py
@@ -23,20 +23,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Habits:
+class ClientBehavior:
     """One client's."""
 
     heed: float = 1.0
     spread: tuple[float, float] = (1.0, 1.2)  # of what it waits
 
 
-def habits_of(draw: float, heed: float, half: float) -> Habits:
+def behavior_of(draw: float, heed: float, half: float) -> ClientBehavior:
     """A client's habits by a draw from 0 to 1: shares of clients that heed, that wait half, and the rest."""
-    return Habits(1.0 if draw < heed else 0.5 if draw < heed + half else 0.0)
+    return ClientBehavior(1.0 if draw < heed else 0.5 if draw < heed + half else 0.0)
 
 
 def again(
-    habits: Habits,
+    habits: ClientBehavior,
     heard: Heard,
     effect: str,
     timeout_ms: float,
--- a/kelptrail/load/coordinator.py
+++ b/kelptrail/load/coordinator.py
@@ -16,20 +16,20 @@
 from hdrh.histogram import HdrHistogram
 
 from kelptrail.clock import now_ms
-from kelptrail.net.http_client import Errand
+from kelptrail.net.http_client import HttpClient
 
-from .generator import DIGITS, LONGEST_US, HandSettings
+from .generator import DIGITS, LONGEST_US, GeneratorSettings
 from .plan import Script
 from .results import PARTS, Result, Rows, Second, figures, rows_of, write
 
 START_MS = 1500.0  # for the processes to be there
 
 
-class HandError(Exception):
+class GeneratorError(Exception):
     """A process of the tool ended without its tally."""
 
 
-async def drive(script: str, day: Script, settings: HandSettings, controls: list[str]) -> list[dict[str, Any]]:
+async def drive(script: str, day: Script, settings: GeneratorSettings, controls: list[str]) -> list[dict[str, Any]]:
     """Run all processes; their tallies as they were packed, and the dispatchers' states each second as the last."""
     start = now_ms() + START_MS
     words = [
@@ -63,7 +63,7 @@
     tallies = []
     for number, (out, _) in enumerate(outs):
         if hands[number].returncode or not out:
-            raise HandError(f"process {number} of the load tool ended with {hands[number].returncode}")
+            raise GeneratorError(f"process {number} of the load tool ended with {hands[number].returncode}")
         tallies.append(msgspec.json.decode(out))
     return [*tallies, {"states": states}]
 
@@ -78,7 +78,7 @@
 
 
 async def _state(control: str) -> dict[str, Any]:
-    errand = Errand(control)
+    errand = HttpClient(control)
     try:
         async with asyncio.timeout(0.8):
             found: dict[str, Any] = await errand.json("GET", "/state")
--- a/kelptrail/load/generator.py
+++ b/kelptrail/load/generator.py
@@ -24,7 +24,7 @@
 from kelptrail.settings.deployment import ActionSettings, Deployment, NamespaceSettings
 
 from .arrivals import Arrivals, popularity
-from .client_behavior import Habits, Heard, again, habits_of
+from .client_behavior import ClientBehavior, Heard, again, behavior_of
 from .plan import Load, Script
 from .results import Second
 
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandSettings:
+class GeneratorSettings:
     """What differs from one process to the next.  `churn`: the share of calls that close their connection."""
 
     addresses: tuple[str, ...]
@@ -64,7 +64,7 @@
     space: NamespaceSettings
     load: Load
     deferred: bool
-    habits: Habits
+    habits: ClientBehavior
     tries: int
     due: float  # of this try
     first: float
@@ -78,10 +78,10 @@
     return HdrHistogram(1, LONGEST_US, DIGITS)
 
 
-class Hand:
+class LoadGenerator:
     """Plays its share of a script's load from `start` (ms of the clock)."""
 
-    def __init__(self, day: Script, deployment: Deployment, settings: HandSettings, start: float) -> None:
+    def __init__(self, day: Script, deployment: Deployment, settings: GeneratorSettings, start: float) -> None:
         self._day, self._deployment, self._settings, self._start = day, deployment, settings, start
         self._chance = np.random.default_rng([settings.seed, 29, settings.number])
         self._loop = asyncio.get_running_loop()
@@ -171,7 +171,7 @@
             space,
             load,
             bool(chance.random() < load.deferred),
-            habits_of(float(chance.random()), load.heed, load.half_heed),
+            behavior_of(float(chance.random()), load.heed, load.half_heed),
             1 + load.retries,
             due,
             due,
--- a/kelptrail/load/plan.py
+++ b/kelptrail/load/plan.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from kelptrail.settings.reader import Place
+from kelptrail.settings.reader import SourcePosition
 from kelptrail.settings.shape import Checker, Shape, Value, number, word
 
 from .arrivals import SHAPES, read_trace
@@ -94,7 +94,7 @@
 )
 
 
-def check_load(checker: Checker, place: Place, load: Load, folder: Path) -> None:
+def check_load(checker: Checker, place: SourcePosition, load: Load, folder: Path) -> None:
     """What goes beyond single fields; a recording's path is taken from the script's `folder`."""
     if load.heed + load.half_heed > 1 + 1e-9:
         checker.fault(place, f"{load.heed:g} and {load.half_heed:g}", "shares heed and half-heed of 1 at most")
--- a/kelptrail/membership/client.py
+++ b/kelptrail/membership/client.py
@@ -15,21 +15,21 @@
 import msgspec
 
 from kelptrail.codec.http import HttpError
-from kelptrail.net.http_client import Errand
+from kelptrail.net.http_client import HttpClient
 
-from .members import Listing
+from .members import EndpointList
 
-_decode = msgspec.json.Decoder(Listing).decode
+_decode = msgspec.json.Decoder(EndpointList).decode
 
 
-class RosterClient:
+class EndpointClient:
     """One source; `changed` is called with every new list.  Times are milliseconds."""
 
     def __init__(
         self,
         address: str,
         who: str,
-        changed: Callable[[Listing], None],
+        changed: Callable[[EndpointList], None],
         last: Path | None,
         log: Any,
         wait_ms: float = 2000.0,
@@ -40,7 +40,7 @@
         self.own = ""  # where this dispatcher can be asked for what it took
         self.channel = ""  # where its channel to other dispatchers listens
         self.hall = ""  # where it stands
-        self.listing: Listing | None = None
+        self.listing: EndpointList | None = None
         self.saved = True  # whether the last list could be kept
 
     def start_from_last(self) -> bool:
@@ -53,12 +53,12 @@
             self._log.warning("last-list-unusable", file=str(self._last), reason=str(cause))
             return False
         # Its lineage is dropped: whatever the source says first replaces it.
-        self._changed(Listing(-1, listing.workers, "last", listing.dispatchers))
+        self._changed(EndpointList(-1, listing.workers, "last", listing.dispatchers))
         return True
 
     async def follow(self) -> None:
         """Ask on and on; failures keep the old list and are tried again after a pause."""
-        errand, pause = Errand(self._address), self._pause_ms
+        errand, pause = HttpClient(self._address), self._pause_ms
         while True:
             known = f"{self.listing.lineage}:{self.listing.version}" if self.listing else ""
             try:
--- a/kelptrail/membership/members.py
+++ b/kelptrail/membership/members.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from kelptrail.dispatch.entities import WorkerState, Worker
+from kelptrail.dispatch.entities import Worker, WorkerState
 
 PREFIX = 6  # hex digits of an id that tell which dispatcher gave it
 STATES = {"live": WorkerState.LIVE, "draining": WorkerState.DRAINING, "gone": WorkerState.REMOVED}
 
 
-class Entry(msgspec.Struct, frozen=True):
+class Endpoint(msgspec.Struct, frozen=True):
     """One worker of a list; `age_ms` is how long its process has run."""
 
     id: str
@@ -41,11 +41,11 @@
     hall: str = ""
 
 
-class Listing(msgspec.Struct, frozen=True):
+class EndpointList(msgspec.Struct, frozen=True):
     """A whole list.  `lineage` names the source's run; versions only grow within one."""
 
     version: int
-    workers: list[Entry]
+    workers: list[Endpoint]
     lineage: str = ""
     dispatchers: list[Peer] = []
 
@@ -72,7 +72,7 @@
     def __iter__(self) -> Iterator[Worker]:
         return iter(self._workers.values())
 
-    def apply(self, now: float, listing: Listing) -> tuple[list[Worker], list[Worker]]:
+    def apply(self, now: float, listing: EndpointList) -> tuple[list[Worker], list[Worker]]:
         """Take in a list; returns all workers, those just gone included, and those that have restarted."""
         if listing.lineage == self.lineage and listing.version < self.version:
             return list(self._workers.values()), []
--- a/kelptrail/model_checking/explorer.py
+++ b/kelptrail/model_checking/explorer.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class Looked:
+class SearchResult:
     """What was looked through."""
 
     states: int = 0
@@ -50,10 +50,10 @@
     whole: bool = False  # nothing left within the depth
 
 
-def explore(first: S, look: Callable[[S], None], depth: int, most_states: int) -> Looked:
+def explore(first: S, look: Callable[[S], None], depth: int, most_states: int) -> SearchResult:
     """Breadth first to `depth` steps or `most_states` states.  `look` raises `PropertyError`; so does this, with the
     way to the state."""
-    found, seen = Looked(), {first.key()}
+    found, seen = SearchResult(), {first.key()}
     line: deque[tuple[int, S]] = deque([(0, first)])
     while line:
         at, world = line.popleft()
@@ -74,10 +74,10 @@
     return found
 
 
-def wander(first: S, look: Callable[[S], None], seed: int, length: int, faults: float = 0.1) -> Looked:
+def wander(first: S, look: Callable[[S], None], seed: int, length: int, faults: float = 0.1) -> SearchResult:
     """One walk of `length` steps, each drawn from those that can follow, a fault at a share of `faults`; it goes deeper
     than all states can be followed.  Raises `PropertyError` with the way."""
-    chance, found, world = random.Random(seed), Looked(), first
+    chance, found, world = random.Random(seed), SearchResult(), first
     for _ in range(length):
         _look(look, world)
         steps = list(world.steps())
--- a/kelptrail/net/connection.py
+++ b/kelptrail/net/connection.py
@@ -16,7 +16,7 @@
 from errno import EALREADY, EINPROGRESS, EINTR, EISCONN
 
 from .errors import is_momentary, may_connect_later
-from .transport import Wire
+from .transport import Transport
 
 BUFFER = 8_192
 CHUNK = 65_536
@@ -26,7 +26,7 @@
 CONNECT_RETRY_MS, LONGEST_CONNECT_RETRY_MS = 10.0, 80.0
 
 
-class Piece:
+class PendingWrite:
     """Bytes that leave together: those of one message, given at once or made when they are about to leave."""
 
     __slots__ = ("_data", "_left", "_make", "begun", "sent", "size", "withdrawn")
@@ -61,7 +61,7 @@
         return self._left == len(self._data)
 
 
-class Link:
+class Connection:
     """One open connection.  `got` takes bytes as they come; `ended` is called once, when the peer ended or the
     connection broke, and not after `close`."""
 
@@ -94,8 +94,14 @@
     ) -> None:
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.wire, self._loop, self._got, self._ended, self._most = Wire(loop, sock), loop, got, ended, most_waiting
-        self._out: deque[Piece] = deque()  # what has not left whole
+        self.wire, self._loop, self._got, self._ended, self._most = (
+            Transport(loop, sock),
+            loop,
+            got,
+            ended,
+            most_waiting,
+        )
+        self._out: deque[PendingWrite] = deque()  # what has not left whole
         self._unsent = 0  # the size of all of that
         self.moved = loop.time()  # when the socket last took bytes, or had none to take
         self.closed = self._closing = self._writing = self._waits = False
@@ -108,16 +114,16 @@
         """Whether bytes wait for the socket to take them."""
         return bool(self._out)
 
-    def write(self, data: bytes) -> Piece:
+    def write(self, data: bytes) -> PendingWrite:
         """Give bytes."""
-        return self._queue(Piece(len(data), data))
+        return self._queue(PendingWrite(len(data), data))
 
-    def write_made(self, make: Callable[[], bytes], size: int) -> Piece:
+    def write_made(self, make: Callable[[], bytes], size: int) -> PendingWrite:
         """Give some `size` bytes that `make` makes when they are about to leave; where it makes none, none leave.  It
         may be asked several times, and must not act on the link."""
-        return self._queue(Piece(size, make=make))
+        return self._queue(PendingWrite(size, make=make))
 
-    def _queue(self, piece: Piece) -> Piece:
+    def _queue(self, piece: PendingWrite) -> PendingWrite:
         if self.closed or self._closing:
             return piece
         if not self._out:
@@ -131,7 +137,7 @@
             self._loop.call_soon(self._flush)
         return piece
 
-    def withdraw(self, piece: Piece) -> bool:
+    def withdraw(self, piece: PendingWrite) -> bool:
         """Take a piece back; False once the first of it has left, as the rest must follow for the peer to tell what
         comes after."""
         if piece.begun or piece.withdrawn:
--- a/kelptrail/net/grpc_client.py
+++ b/kelptrail/net/grpc_client.py
@@ -29,7 +29,7 @@
 
 from kelptrail.codec.grpc import Code, GrpcError, MessageReader, encode_message, read_trailers
 
-from .transport import TlsWire, Wire
+from .transport import TlsTransport, Transport
 
 BUFFER, WINDOW = 65_536, 1 << 20
 
@@ -142,9 +142,9 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             async with asyncio.timeout(self._connect_ms / 1000):
                 await self._loop.sock_connect(sock, self._where)
-                wire = Wire(self._loop, sock)
+                wire = Transport(self._loop, sock)
                 if self._tls is not None:
-                    wire = secure = TlsWire(self._loop, sock, self._tls(), False, self._where[0])
+                    wire = secure = TlsTransport(self._loop, sock, self._tls(), False, self._where[0])
                     await secure.handshake(self._connect_ms)
         except OSError:
             sock.close()
@@ -174,7 +174,7 @@
 class _Link:
     """One connection."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, wire: Wire) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, wire: Transport) -> None:
         self._loop, self._wire = loop, wire
         self._h2 = H2Connection(
             H2Configuration(client_side=True, header_encoding="utf-8", validate_outbound_headers=False)
--- a/kelptrail/net/grpc_server.py
+++ b/kelptrail/net/grpc_server.py
@@ -36,9 +36,9 @@
 
 from kelptrail.codec.grpc import Code, GrpcError, MessageReader, encode_message, timeout_ms, trailers
 
-from .guard import Act, Guard, GuardSettings, Stage
-from .listener import ConnectPace, Door
-from .transport import TlsWire, Wire
+from .guard import Guard, GuardAction, GuardSettings, Stage
+from .listener import ConnectPace, Listener
+from .transport import TlsTransport, Transport
 
 BUFFER = 65_536
 HEARD_MS = 100.0  # how long a warning may take to be heard
@@ -173,7 +173,7 @@
 class GrpcConnection:
     """One client's connection."""
 
-    def __init__(self, server: GrpcServer, wire: Wire, peer: str, identity: str) -> None:
+    def __init__(self, server: GrpcServer, wire: Transport, peer: str, identity: str) -> None:
         self.server, self._wire, self.peer, self.identity = server, wire, peer, identity
         limits, now = server.limits, server.now()
         # Inbound names and values are checked: they come from anybody.  Outbound ones are our own.
@@ -254,7 +254,7 @@
                 else:
                     self._call(stream, stream.on_end)
         elif isinstance(event, StreamReset):
-            if not self.guard.spend(self.server.now(), Act.RESET):
+            if not self.guard.spend(self.server.now(), GuardAction.RESET):
                 self._calm("streams are reset too often")
             if (stream := self.streams.get(event.stream_id)) is not None:
                 self._drop(stream)
@@ -266,11 +266,11 @@
                 for stream in list(self.streams.values()):
                     self.pump(stream, False)
         elif isinstance(event, RemoteSettingsChanged):
-            if not self.guard.spend(self.server.now(), Act.SETTINGS):
+            if not self.guard.spend(self.server.now(), GuardAction.SETTINGS):
                 self._calm("settings come too often")
             for stream in list(self.streams.values()):
                 self.pump(stream, False)
-        elif isinstance(event, PingReceived) and not self.guard.spend(self.server.now(), Act.PING):
+        elif isinstance(event, PingReceived) and not self.guard.spend(self.server.now(), GuardAction.PING):
             self._calm("pings come too often")
 
     def _request(self, event: RequestReceived) -> None:
@@ -309,7 +309,7 @@
 
     def _data(self, event: DataReceived) -> None:
         count, id_ = event.flow_controlled_length or 0, event.stream_id or 0
-        if not event.data and not event.stream_ended and not self.guard.spend(self.server.now(), Act.EMPTY):
+        if not event.data and not event.stream_ended and not self.guard.spend(self.server.now(), GuardAction.EMPTY):
             self._calm("empty frames come too often")
             return
         stream = self.streams.get(id_)
@@ -537,7 +537,7 @@
         self.handle, self.limits = handler, limits or GrpcLimits()
         self.note = note or (lambda *_args, **_fields: None)
         self._tls, self._who = tls, who or (lambda _certificate: "")
-        self.door = Door(self.loop, self._came, self._early, self.note, pace)
+        self.door = Listener(self.loop, self._came, self._early, self.note, pace)
         self._tasks: set[asyncio.Task[Any]] = set()
         self._connections: dict[GrpcConnection, None] = {}
         self._accepted = 0  # connections whose handshake is under way, too
@@ -596,12 +596,12 @@
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._accepted += 1
         if self._tls is None:
-            self._connections[GrpcConnection(self, Wire(self.loop, client), peer, "")] = None
+            self._connections[GrpcConnection(self, Transport(self.loop, client), peer, "")] = None
         else:
             self._begin(self._shake(client, peer, self._tls()))
 
     async def _shake(self, client: socket.socket, peer: str, context: ssl.SSLContext) -> None:
-        wire = TlsWire(self.loop, client, context, True)
+        wire = TlsTransport(self.loop, client, context, True)
         try:
             await wire.handshake(self.limits.handshake_ms)
             if wire.protocol != "h2":
--- a/kelptrail/net/guard.py
+++ b/kelptrail/net/guard.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 
-class Act(Enum):
+class GuardAction(Enum):
     """What is counted."""
 
     RESET = "reset"
@@ -44,16 +44,16 @@
 
     def __init__(self, settings: GuardSettings, now: float, spread: float = 0.0) -> None:
         self._settings = settings
-        self._left = {act: float(settings.at_once) for act in Act}
+        self._left = {act: float(settings.at_once) for act in GuardAction}
         self._filled = now
         self._old_at = now + settings.age_ms * (0.9 + 0.2 * spread) if settings.age_ms else float("inf")
         self._warned_at = self._closed_at = float("inf")
         self.stage = Stage.OPEN
 
-    def spend(self, now: float, act: Act) -> bool:
+    def spend(self, now: float, act: GuardAction) -> bool:
         """Whether an act is within its budget."""
         grown, self._filled = (now - self._filled) / 1000 * self._settings.per_s, now
-        for kind in Act:
+        for kind in GuardAction:
             self._left[kind] = min(float(self._settings.at_once), self._left[kind] + grown)
         self._left[act] -= 1
         return self._left[act] >= 0
--- a/kelptrail/net/http_client.py
+++ b/kelptrail/net/http_client.py
@@ -11,7 +11,7 @@
 from kelptrail.codec.http import HttpError, Response, ResponseReader, encode_request
 
 
-class Errand:
+class HttpClient:
     """A kept connection to one address.  Errors are `OSError`, `TimeoutError` and `HttpError`."""
 
     def __init__(self, address: str, answer_bytes: int = 1 << 26) -> None:
--- a/kelptrail/net/listener.py
+++ b/kelptrail/net/listener.py
@@ -62,7 +62,7 @@
         return max(50.0, (self._row - now) * spread)
 
 
-class Door:
+class Listener:
     """Listening sockets of one server.  `came` gets each client that is let in, `early` each that comes too fast."""
 
     def __init__(
--- a/kelptrail/net/pool.py
+++ b/kelptrail/net/pool.py
@@ -16,7 +16,7 @@
 
 from kelptrail.codec.http import HttpError, Response, ResponseReader
 
-from .transport import TlsWire, Wire
+from .transport import TlsTransport, Transport
 
 BUFFER = 16_384
 
@@ -84,7 +84,7 @@
 
     __slots__ = ("buffer", "reader", "used", "wire")
 
-    def __init__(self, wire: Wire, answer_bytes: int) -> None:
+    def __init__(self, wire: Transport, answer_bytes: int) -> None:
         self.wire, self.reader, self.used = wire, ResponseReader(answer_bytes), 0.0
         self.buffer = bytearray(BUFFER)
 
@@ -201,9 +201,9 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             async with asyncio.timeout(self._connect_ms / 1000):
                 await self._loop.sock_connect(sock, self._where)
-                wire = Wire(self._loop, sock)
+                wire = Transport(self._loop, sock)
                 if self._tls is not None:  # a worker that is not vouched for is not reached
-                    wire = secure = TlsWire(self._loop, sock, self._tls(), False, self._where[0])
+                    wire = secure = TlsTransport(self._loop, sock, self._tls(), False, self._where[0])
                     await secure.handshake(self._connect_ms)
         except BaseException as cause:
             sock.close()
--- a/kelptrail/net/server.py
+++ b/kelptrail/net/server.py
@@ -28,8 +28,8 @@
     encode_response,
 )
 
-from .listener import ConnectPace, Door
-from .transport import TlsWire, Wire
+from .listener import ConnectPace, Listener
+from .transport import TlsTransport, Transport
 
 FIRST_BUFFER, LARGEST_BUFFER = 8192, 262_144
 TOO_MANY = encode_response(
@@ -163,7 +163,7 @@
 class Connection:
     """One client: a task that reads, a task that writes, the exchanges between them."""
 
-    def __init__(self, server: HttpServer, wire: Wire, peer: str, identity: str = "") -> None:
+    def __init__(self, server: HttpServer, wire: Transport, peer: str, identity: str = "") -> None:
         self._server, self._wire, self.peer, self.identity = server, wire, peer, identity
         self._reader = RequestReader(server.limits.header_bytes, server.limits.body_bytes)
         self._exchanges: deque[Exchange] = deque()
@@ -403,7 +403,7 @@
         self.limits = limits or Limits()
         self.handle = handler
         self._note = note or (lambda *_args, **_fields: None)
-        self.door = Door(self.loop, self._came, self._early, self._note, pace)
+        self.door = Listener(self.loop, self._came, self._early, self._note, pace)
         self._tasks: list[asyncio.Task[Any]] = []
         self._connections: dict[Connection, None] = {}
         self.bytes_in = 0
@@ -505,7 +505,7 @@
         client.setblocking(False)
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self._tls is None:
-            self._connections[Connection(self, Wire(self.loop, client), peer)] = None
+            self._connections[Connection(self, Transport(self.loop, client), peer)] = None
             return
         self._shaking += 1
         task = self.loop.create_task(self._shake(client, peer, self._tls()))
@@ -513,7 +513,7 @@
         task.add_done_callback(self._handshakes.discard)
 
     async def _shake(self, client: socket.socket, peer: str, context: ssl.SSLContext) -> None:
-        wire = TlsWire(self.loop, client, context, True)
+        wire = TlsTransport(self.loop, client, context, True)
         try:
             await wire.handshake(self.limits.read_ms)
         except (ssl.SSLError, OSError) as cause:
--- a/kelptrail/net/tls.py
+++ b/kelptrail/net/tls.py
@@ -51,7 +51,7 @@
         return left
 
 
-class TlsKeeper:
+class CertificateReloader:
     """One side's context.  Raises `ValueError` at the first start where the files cannot be used."""
 
     def __init__(
--- a/kelptrail/net/transport.py
+++ b/kelptrail/net/transport.py
@@ -23,7 +23,7 @@
 BUFFER = 65_536
 
 
-class Wire:
+class Transport:
     """A plain connection."""
 
     __slots__ = ("__weakref__", "recv_into", "sendall", "sock")
@@ -69,7 +69,7 @@
         self.sock.close()
 
 
-class TlsWire(Wire):
+class TlsTransport(Transport):
     """A connection under TLS; `handshake` comes first."""
 
     __slots__ = ("_buffer", "_in", "_lock", "_loop", "_out", "_tls")
--- a/kelptrail/peers/connection.py
+++ b/kelptrail/peers/connection.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from .messages import OLDEST, VERSION, Beat, ChannelError, Decode, FrameReader, Hello, frame
+from .messages import OLDEST, VERSION, ChannelError, Decode, FrameReader, Heartbeat, Hello, frame
 
 
 @dataclass(frozen=True, slots=True)
-class LinkSettings:
+class PeerSettings:
     """Times in milliseconds.  `beat_ms`: after so long without a word a heartbeat goes; `silent_ms`: after so long
     without one the peer counts as gone; `most_bytes`: that wait to be written; `per_s`: messages that are taken from a
     peer, and as many at once; `most_frame`: bytes of one message."""
@@ -29,10 +29,10 @@
     most_frame: int = 1 << 20
 
 
-class Link:
+class PeerConnection:
     """One connection.  `hello` is what this side says of itself."""
 
-    def __init__(self, hello: Hello, settings: LinkSettings, read: tuple[Decode, frozenset[str]], now: float) -> None:
+    def __init__(self, hello: Hello, settings: PeerSettings, read: tuple[Decode, frozenset[str]], now: float) -> None:
         self._settings, self._lineage = settings, hello.lineage
         self._reader = FrameReader(read, settings.most_frame)
         self.out: deque[bytes] = deque([frame(hello)])
@@ -55,7 +55,7 @@
         for message in self._reader.feed(data):
             if isinstance(message, Hello):
                 self._greeted(message)
-            elif not isinstance(message, Beat):
+            elif not isinstance(message, Heartbeat):
                 if self._left < 1:
                     self.flooded += 1
                     continue
@@ -80,7 +80,7 @@
     def tick(self, now: float) -> bool:
         """Heartbeats; False once the peer counts as gone."""
         if now - self._spoke >= self._settings.beat_ms:
-            self._put(now, frame(Beat()))
+            self._put(now, frame(Heartbeat()))
         return now - self.heard < self._settings.silent_ms
 
     def _put(self, now: float, data: bytes) -> bool:
--- a/kelptrail/peers/driver.py
+++ b/kelptrail/peers/driver.py
@@ -16,9 +16,9 @@
 import msgspec
 
 from kelptrail.clock import now_ms
-from kelptrail.net.listener import Door
+from kelptrail.net.listener import Listener
 
-from .connection import Link, LinkSettings
+from .connection import PeerConnection, PeerSettings
 from .messages import VERSION, ChannelError, Hello, decoder
 
 PAUSE_MS, LONGEST_PAUSE_MS = 100.0, 2000.0
@@ -29,18 +29,18 @@
     """This process's links.  Rooms register what they speak before `start`; `where` tells a peer's address, or nothing
     while it is not known."""
 
-    def __init__(self, name: str, lineage: str, settings: LinkSettings, where: Callable[[str], str], log: Any) -> None:
+    def __init__(self, name: str, lineage: str, settings: PeerSettings, where: Callable[[str], str], log: Any) -> None:
         self.name, self._lineage, self._settings, self._where, self._log = name, lineage, settings, where, log
         self._loop = asyncio.get_running_loop()
         self._handlers: dict[type, Handler] = {}
         self._needs: dict[type, str] = {}
         self._read = decoder()
-        self._links: dict[Link, socket.socket] = {}
-        self._by_name: dict[str, Link] = {}
-        self._writing: set[Link] = set()
+        self._links: dict[PeerConnection, socket.socket] = {}
+        self._by_name: dict[str, PeerConnection] = {}
+        self._writing: set[PeerConnection] = set()
         self._wanted: dict[str, asyncio.Task[None]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._door = Door(self._loop, self._came, lambda sock, peer, back: sock.close(), log.warning)
+        self._door = Listener(self._loop, self._came, lambda sock, peer, back: sock.close(), log.warning)
         self._beats: asyncio.Task[None] | None = None
         self.address = ""
         self.lost = 0
@@ -156,7 +156,7 @@
     async def _talk(self, sock: socket.socket, expected: str = "") -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         can = tuple(sorted(set(self._needs.values())))
-        link = Link(Hello(VERSION, self.name, self._lineage, can=can), self._settings, self._read, now_ms())
+        link = PeerConnection(Hello(VERSION, self.name, self._lineage, can=can), self._settings, self._read, now_ms())
         self._links[link] = sock
         buffer = bytearray(65_536)
         try:
@@ -196,7 +196,7 @@
                     with contextlib.suppress(OSError):
                         sock.shutdown(socket.SHUT_RDWR)
 
-    def _write(self, link: Link) -> None:
+    def _write(self, link: PeerConnection) -> None:
         if not link.out or link in self._writing:
             return
         sock = self._links[link]
@@ -213,7 +213,7 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _rest(self, link: Link, sock: socket.socket, data: bytes) -> None:
+    async def _rest(self, link: PeerConnection, sock: socket.socket, data: bytes) -> None:
         link.waiting += len(data)
         with contextlib.suppress(OSError):
             await self._loop.sock_sendall(sock, data)
--- a/kelptrail/peers/messages.py
+++ b/kelptrail/peers/messages.py
@@ -31,7 +31,7 @@
     can: tuple[str, ...] = ()
 
 
-class Beat(msgspec.Struct, frozen=True, tag="beat", array_like=True):
+class Heartbeat(msgspec.Struct, frozen=True, tag="beat", array_like=True):
     """Alive.  Of a planner: whether it acts, and its epoch."""
 
     acting: bool = False
@@ -51,7 +51,7 @@
 
 def decoder(*kinds: type[msgspec.Struct]) -> tuple[Decode, frozenset[str]]:
     """A reader of these kinds beside `Hello` and `Beat`, and their names."""
-    every: tuple[type[msgspec.Struct], ...] = (Hello, Beat, *kinds)
+    every: tuple[type[msgspec.Struct], ...] = (Hello, Heartbeat, *kinds)
     union: Any = every[0]
     for kind in every[1:]:
         union = union | kind
--- a/kelptrail/planner/build.py
+++ b/kelptrail/planner/build.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from kelptrail.membership.members import Listing
+from kelptrail.membership.members import EndpointList
 from kelptrail.settings.deployment import Deployment
 
 from .core import Model, PlannerSettings
-from .placement import Host
+from .placement import WorkerCapacity
 
 
 def settings_of(deployment: Deployment) -> PlannerSettings:
@@ -25,11 +25,11 @@
     }
 
 
-def hosts_of(deployment: Deployment, listing: Listing) -> list[Host]:
+def hosts_of(deployment: Deployment, listing: EndpointList) -> list[WorkerCapacity]:
     """The live workers of a list; what each holds is the settings' matter."""
     fleet, cold_ms = deployment.fleet, deployment.rules.cold_ms
     return [
-        Host(w.id, fleet.memory_mb, fleet.cores * w.size, w.age_ms < cold_ms)
+        WorkerCapacity(w.id, fleet.memory_mb, fleet.cores * w.size, w.age_ms < cold_ms)
         for w in listing.workers
         if w.state == "live"
     ]
--- a/kelptrail/planner/channel.py
+++ b/kelptrail/planner/channel.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from kelptrail.gateway.counters import Tally
-from kelptrail.peers.messages import VERSION, Beat, ChannelError, Hello, decoder, frame
+from kelptrail.gateway.counters import FunctionCounters
+from kelptrail.peers.messages import VERSION, ChannelError, Heartbeat, Hello, decoder, frame
 
 from .plan import Order, Plan, PlanError, Wants, pack, unpack
-from .plan_follower import Follower
+from .plan_follower import PlanState
 
 
 class Report(msgspec.Struct, frozen=True, tag="report", array_like=True):
@@ -23,7 +23,7 @@
 
     order: Order
     quiet_ms: float
-    tallies: dict[str, Tally]
+    tallies: dict[str, FunctionCounters]
     standing: Wants
     whole: bool
 
@@ -42,7 +42,7 @@
     text: str = ""
 
 
-Message = Hello | Beat | Report | Offer | Reply
+Message = Hello | Heartbeat | Report | Offer | Reply
 READ = decoder(Report, Offer, Reply)
 
 
@@ -50,11 +50,11 @@
     """An edge's end of one connection to a planner; several links share one follower and one `Led`."""
 
     def __init__(
-        self, who: str, lineage: str, follower: Follower, led: Led, now: float, report_ms: float = 1000.0
+        self, who: str, lineage: str, follower: PlanState, led: Led, now: float, report_ms: float = 1000.0
     ) -> None:
         self._follower, self._led, self._report_ms = follower, led, report_ms
         self.out: list[bytes] = [frame(Hello(VERSION, who, lineage, follower.fence))]
-        self._counts: dict[str, Tally] = {}  # since the last report on this connection
+        self._counts: dict[str, FunctionCounters] = {}  # since the last report on this connection
         self._told: Wants | None = None  # copies as the planner knows them; None: nothing yet
         self._next = now
         self.heard = now
@@ -66,7 +66,7 @@
         self.heard = now
         if isinstance(message, Hello):
             self.planner = message.who
-        elif isinstance(message, Beat):
+        elif isinstance(message, Heartbeat):
             if message.acting and (message.epoch, self.planner) >= self._follower.fence[:2]:
                 self._led.at = now
         elif isinstance(message, Offer):
@@ -93,11 +93,11 @@
         """Whether a report may go."""
         return now >= self._next
 
-    def counted(self, tallies: dict[str, Tally]) -> None:
+    def counted(self, tallies: dict[str, FunctionCounters]) -> None:
         """What was asked of functions; it goes with the next report.  Each link counts for itself: planners that are
         told at different moments must each hear all of it."""
         for model, tally in tallies.items():
-            self._counts[model] = self._counts.get(model, Tally()).plus(tally)
+            self._counts[model] = self._counts.get(model, FunctionCounters()).plus(tally)
 
     def report(self, now: float, standing: Wants) -> None:
         """Put a report into the output."""
@@ -164,7 +164,7 @@
             else:
                 self._sent = None  # the next one goes whole
             self._under_way = None
-        elif not isinstance(message, Beat):
+        elif not isinstance(message, Heartbeat):
             raise ChannelError(f"{type(message).__name__} is not for a planner")
         return message
 
--- a/kelptrail/planner/core.py
+++ b/kelptrail/planner/core.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from kelptrail.gateway.counters import Tally
+from kelptrail.gateway.counters import FunctionCounters
 
 from .demand import Demand
-from .placement import Host, Need, Placed
+from .placement import FunctionDemand, Placed, WorkerCapacity
 from .plan import FIRST, Order, Plan, Wants, changes, make
 
 
@@ -57,8 +57,8 @@
     """What a solver is asked."""
 
     number: int
-    hosts: list[Host]
-    needs: list[Need]
+    hosts: list[WorkerCapacity]
+    needs: list[FunctionDemand]
     budget: int
     roster: tuple[str, int]
 
@@ -90,7 +90,7 @@
         self.name, self._settings, self._models = name, settings, models
         self.role, self.epoch, self.owner, self._number = Role.STANDBY, 0, name, 0
         self.demand = Demand()
-        self.hosts: list[Host] = []
+        self.hosts: list[WorkerCapacity] = []
         self.roster: tuple[str, int] = ("", -1)
         self.edges: dict[str, Edge] = {}
         self.wants: Wants = {}
@@ -103,7 +103,7 @@
 
     # Inputs.
 
-    def listed(self, now: float, hosts: list[Host], roster: tuple[str, int]) -> None:
+    def listed(self, now: float, hosts: list[WorkerCapacity], roster: tuple[str, int]) -> None:
         """The worker list: those that are live.  A plan that names others is made anew at once."""
         self.hosts, self.roster = hosts, roster
         live = {h.id for h in hosts}
@@ -123,7 +123,9 @@
         self.role = Role.STANDBY
         self._dirty.clear()
 
-    def reported(self, now: float, edge: str, order: Order, tallies: dict[str, Tally], standing: Wants) -> None:
+    def reported(
+        self, now: float, edge: str, order: Order, tallies: dict[str, FunctionCounters], standing: Wants
+    ) -> None:
         """An edge's report.  `order`: the latest plan it has seen; `standing`: copies as it believes in them."""
         mine = self.edges.get(edge)
         if mine is None:
@@ -238,15 +240,15 @@
         if self.role is Role.ACTING and order[:2] > (self.epoch, self.owner):
             self.stand_down()
 
-    def _needs(self, now: float, hour: int) -> list[Need]:
-        settings, out = self._settings, list[Need]()
+    def _needs(self, now: float, hour: int) -> list[FunctionDemand]:
+        settings, out = self._settings, list[FunctionDemand]()
         for model, mine in self.demand.functions.items():
             known = self._models.get(model)
             if known is None:
                 continue
             rate = self.demand.ahead(model, hour)
             standing = {w: n for w, (n, at) in self._standing.get(model, {}).items() if n and now - at < 30_000}
-            need = Need(
+            need = FunctionDemand(
                 model,
                 known.memory_mb,
                 known.lanes,
@@ -268,7 +270,7 @@
         return out
 
     @staticmethod
-    def _at_least(need: Need, copies: int) -> Need:
+    def _at_least(need: FunctionDemand, copies: int) -> FunctionDemand:
         """The same need at a rate for which as many copies are wanted as before."""
         low, high = need.rate, max(1.0, need.rate)
         while replace(need, rate=high).copies < copies:
--- a/kelptrail/planner/demand.py
+++ b/kelptrail/planner/demand.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass, field
 
-from kelptrail.gateway.counters import Tally
+from kelptrail.gateway.counters import FunctionCounters
 
 HOURS = 24
 
@@ -21,7 +21,7 @@
     missed: float = 0.0
     calm_since: float = 0.0  # since when it has been below what is planned
     planned: int = 0
-    now: dict[str, Tally] = field(default_factory=dict)  # of this window, by edge
+    now: dict[str, FunctionCounters] = field(default_factory=dict)  # of this window, by edge
     hours: list[float] = field(default_factory=lambda: [0.0] * HOURS)  # usual calls a second by hour
 
 
@@ -35,12 +35,12 @@
         self._closed: float | None = None
         self.edges: dict[str, dict[str, float]] = {}  # of each edge its functions, and when it last asked for them
 
-    def report(self, now: float, edge: str, tallies: dict[str, Tally]) -> None:
+    def report(self, now: float, edge: str, tallies: dict[str, FunctionCounters]) -> None:
         """An edge's counts since its last report."""
         asked = self.edges.setdefault(edge, {})
         for model, tally in tallies.items():
             mine = self.functions.setdefault(model, Asked())
-            mine.now[edge] = mine.now.get(edge, Tally()).plus(tally)
+            mine.now[edge] = mine.now.get(edge, FunctionCounters()).plus(tally)
             if tally.taken:
                 asked[model] = now
 
@@ -73,7 +73,7 @@
             done = sum(t.completed for t in tallies)
             mine.fast += fast * (rate - mine.fast)
             mine.slow += slow * (rate - mine.slow)
-            mine.lag += fast * (sum(t.lag for t in tallies) - mine.lag)
+            mine.lag += fast * (sum(t.queue_depth for t in tallies) - mine.lag)
             mine.missed += fast * (sum(t.missed for t in tallies) / seconds - mine.missed)
             if done:
                 spent = sum(t.work_ms for t in tallies) / done
--- a/kelptrail/planner/driver.py
+++ b/kelptrail/planner/driver.py
@@ -20,17 +20,17 @@
 from kelptrail.background.core import SchedulerSettings
 from kelptrail.background.driver import Background
 from kelptrail.clock import now_ms, wall_ms
-from kelptrail.lease.driver import Leases
-from kelptrail.lease.messages import Token
-from kelptrail.membership.members import Listing
-from kelptrail.net.listener import Door
-from kelptrail.peers.messages import Beat, ChannelError, FrameReader, Hello, frame
+from kelptrail.lease.driver import LeaseDriver
+from kelptrail.lease.messages import FencingToken
+from kelptrail.membership.members import EndpointList
+from kelptrail.net.listener import Listener
+from kelptrail.peers.messages import ChannelError, FrameReader, Heartbeat, Hello, frame
 from kelptrail.settings.deployment import Deployment
 
 from .build import hosts_of, models_of, settings_of
 from .channel import READ, PlannerLink, Reply, Report
 from .core import Planner, Role
-from .placement import Host, Placed, greedy, solve
+from .placement import Placed, WorkerCapacity, greedy, solve
 from .plan import Wants
 
 BEAT_MS, SILENT_MS = 500.0, 5000.0
@@ -65,17 +65,19 @@
 _decode = msgspec.msgpack.Decoder(Snapshot).decode
 
 
-def solve_one(solver: str, slow_ms: float, hosts: list[Host], needs: Any, budget: int) -> Placed:
+def solve_one(solver: str, slow_ms: float, hosts: list[WorkerCapacity], needs: Any, budget: int) -> Placed:
     """In the solver's process."""
     if slow_ms:
         time.sleep(slow_ms / 1000)
     return greedy(hosts, needs, budget) if solver == "greedy" else solve(hosts, needs, budget)
 
 
-class PlannerProgram:
+class PlannerDriver:
     """One planner on the loop.  `leases`: of this process."""
 
-    def __init__(self, deployment: Deployment, options: Options, leases: Leases, length_ms: float, log: Any) -> None:
+    def __init__(
+        self, deployment: Deployment, options: Options, leases: LeaseDriver, length_ms: float, log: Any
+    ) -> None:
         self._leases, self._length_ms = leases, length_ms
         self._deployment, self._options, self._log = deployment, options, log
         self._loop = asyncio.get_running_loop()
@@ -83,7 +85,7 @@
         self.core = Planner(options.name, settings, models_of(deployment), now_ms())
         self.background = Background(SchedulerSettings(share=0.5), now_ms, lambda: False, log)
         self._links: dict[PlannerLink, tuple[socket.socket, list[bool]]] = {}
-        self._door = Door(self._loop, self._came, lambda sock, peer, back: sock.close(), log.warning)
+        self._door = Listener(self._loop, self._came, lambda sock, peer, back: sock.close(), log.warning)
         self._tasks: set[asyncio.Task[Any]] = set()
         self._pool: ProcessPoolExecutor | None = None
         self._file = options.state / "planner.bin" if options.state is not None else None
@@ -142,7 +144,7 @@
         now, core = now_ms(), self.core
         if isinstance(message, Hello):
             core.reported(now, link.edge, message.order, {}, {})
-            link.out.append(frame(Beat(core.role is Role.ACTING, core.epoch)))
+            link.out.append(frame(Heartbeat(core.role is Role.ACTING, core.epoch)))
         elif isinstance(message, Report):
             core.reported(now, link.edge, message.order, message.tallies, link.standing)
         elif isinstance(message, Reply) and message.reason:
@@ -215,7 +217,7 @@
                 process.kill()
             pool.shutdown(wait=False, cancel_futures=True)
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: EndpointList) -> None:
         """A new worker list."""
         self.core.listed(now_ms(), hosts_of(self._deployment, listing), (listing.lineage, listing.version))
         self.background.want("tick")
@@ -223,7 +225,7 @@
     def beat(self) -> None:
         """Background work: heartbeats."""
         for link in self._links:
-            link.out.append(frame(Beat(self.core.role is Role.ACTING, self.core.epoch)))
+            link.out.append(frame(Heartbeat(self.core.role is Role.ACTING, self.core.epoch)))
             self._write(link)
 
     # What outlives it.
@@ -287,12 +289,12 @@
             "background": self.background.scheduler.status(),
         }
 
-    def _led(self, token: Token) -> None:
+    def _led(self, token: FencingToken) -> None:
         self.core.lead(now_ms(), token.round, token.who)
         self._log.info("role", role=self.core.role.value, epoch=token.round)
         self.beat()
 
-    def _stood_down(self, token: Token, reason: str) -> None:
+    def _stood_down(self, token: FencingToken, reason: str) -> None:
         self.core.stand_down()
         self._log.info("role", role=self.core.role.value, epoch=token.round, reason=reason)
         self.beat()
--- a/kelptrail/planner/edge_driver.py
+++ b/kelptrail/planner/edge_driver.py
@@ -18,11 +18,11 @@
 
 from kelptrail.clock import now_ms, wall_ms
 from kelptrail.gateway.core import Gateway
-from kelptrail.peers.messages import Beat, ChannelError, FrameReader, frame
+from kelptrail.peers.messages import ChannelError, FrameReader, Heartbeat, frame
 
 from .channel import READ, EdgeLink, Led
 from .plan import FIRST, Order, Plan
-from .plan_follower import Follower
+from .plan_follower import PlanState
 
 BEAT_MS, SILENT_MS, PAUSE_MS = 500.0, 3000.0, 300.0
 
@@ -53,7 +53,7 @@
     ) -> None:
         self._addresses, self._who, self._lineage, self._gateway = addresses, who, lineage, gateway
         self._stir, self._file, self._log = stir, file, log
-        self.follower, self.led = Follower(lineage), Led(now_ms())
+        self.follower, self.led = PlanState(lineage), Led(now_ms())
         self._loop = asyncio.get_running_loop()
         self._tasks: list[asyncio.Task[None]] = []
         self._links: dict[EdgeLink, socket.socket] = {}
@@ -111,18 +111,18 @@
         order = self.follower.plan.head.order if wants is not None and self.follower.plan is not None else FIRST
         if order != self._applied:
             self._applied = order
-            self._gateway.planned(wants)
+            self._gateway.on_plan(wants)
             self._stir()
 
     def report(self) -> None:
         """Background work: what was asked since the last time, to each planner that listens and is ready for more."""
         now = now_ms()
         self.apply()  # it may have run out
-        tallies = self._gateway.tallies()
+        tallies = self._gateway.counters()
         for link in self._links:
             link.counted(tallies)
         ready = [link for link in self._links if link.due(now) and not link.out and not link.writing]
-        standing = self._gateway.standing() if ready else {}
+        standing = self._gateway.loaded_instances() if ready else {}
         for link in ready:
             link.report(now, standing)
             self._write(link)
@@ -218,7 +218,7 @@
     async def _beat(self, link: EdgeLink) -> None:
         while True:
             await asyncio.sleep(BEAT_MS / 1000)
-            link.out.append(frame(Beat()))
+            link.out.append(frame(Heartbeat()))
             self._write(link)
 
     def _write(self, link: EdgeLink) -> None:
--- a/kelptrail/planner/placement.py
+++ b/kelptrail/planner/placement.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Host:
+class WorkerCapacity:
     """A live worker.  `cold`: it started lately, and no new copies are planned for it."""
 
     id: str
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class FunctionDemand:
     """A function: what a copy takes, what it is asked for, and where it stands."""
 
     model: str
@@ -68,7 +68,7 @@
     by: str
 
 
-def valid(wants: Wants, hosts: list[Host], needs: list[Need], budget: int) -> list[str]:
+def valid(wants: Wants, hosts: list[WorkerCapacity], needs: list[FunctionDemand], budget: int) -> list[str]:
     """What a placement breaks: nothing, for both of ours."""
     by_id, memory = {h.id: h for h in hosts}, dict[str, float]()
     size, standing = {n.model: n.memory_mb for n in needs}, {n.model: n.standing for n in needs}
@@ -88,7 +88,7 @@
     return out
 
 
-def price(wants: Wants, hosts: list[Host], needs: list[Need]) -> tuple[float, int, int]:
+def price(wants: Wants, hosts: list[WorkerCapacity], needs: list[FunctionDemand]) -> tuple[float, int, int]:
     """The price, how many copies are missing, how many are new."""
     total, missing, moves = 0.0, 0, 0
     used = dict.fromkeys((h.id for h in hosts), 0.0)
@@ -108,16 +108,16 @@
     return total, missing, moves
 
 
-def _load(need: Need) -> float:
+def _load(need: FunctionDemand) -> float:
     return max(0.05, need.load_ms / 1000)
 
 
-def _homes(need: Need, hosts: list[Host], count: int) -> list[Host]:
+def _homes(need: FunctionDemand, hosts: list[WorkerCapacity], count: int) -> list[WorkerCapacity]:
     """Workers that a function prefers, by a hash of both names: the same from plan to plan."""
     return sorted(hosts, key=lambda h: crc32(f"{need.model} {h.id}".encode()))[:count]
 
 
-def greedy(hosts: list[Host], needs: list[Need], budget: int) -> Placed:
+def greedy(hosts: list[WorkerCapacity], needs: list[FunctionDemand], budget: int) -> Placed:
     """The most useful first: kept where it stands, then on the least used worker with room."""
     by_id = {h.id: h for h in hosts}
     room = {h.id: h.memory_mb * MEMORY_SHARE for h in hosts}
@@ -125,7 +125,7 @@
     wants: Wants = {}
     order = sorted(needs, key=lambda n: (-n.utility * n.rate, n.model))
 
-    def put(need: Need, worker: str, count: int) -> None:
+    def put(need: FunctionDemand, worker: str, count: int) -> None:
         at = wants.setdefault(need.model, {})
         at[worker] = at.get(worker, 0) + count
         room[worker] -= count * need.memory_mb
@@ -164,8 +164,8 @@
 
 
 def solve(
-    hosts: list[Host],
-    needs: list[Need],
+    hosts: list[WorkerCapacity],
+    needs: list[FunctionDemand],
     budget: int,
     nodes: int = 200,
     seconds: float = 20.0,
--- a/kelptrail/planner/plan_follower.py
+++ b/kelptrail/planner/plan_follower.py
@@ -35,7 +35,7 @@
     text: str
 
 
-class Follower:
+class PlanState:
     """One edge's plan.  Times in milliseconds of the edge's own clock."""
 
     def __init__(self, lineage: str) -> None:
--- a/kelptrail/platform/client_server.py
+++ b/kelptrail/platform/client_server.py
@@ -15,10 +15,10 @@
 
 from kelptrail.codec import frames
 from kelptrail.codec.frames import FrameError, FrameReader
-from kelptrail.dispatch.entities import Request, Tenant, Idempotency, RequestClass
+from kelptrail.dispatch.entities import Idempotency, Request, RequestClass, Tenant
 from kelptrail.engine.invariants import Invariants, Violation
-from kelptrail.net.connection import Link
-from kelptrail.net.listener import Door
+from kelptrail.net.connection import Connection
+from kelptrail.net.listener import Listener
 
 from .close_reasons import CloseReason, RequestRefusal
 from .config import Sockets
@@ -41,7 +41,7 @@
     """A request that cannot be used."""
 
 
-class Request:
+class ClientRequest:
     """A request that was taken, until its answer is given."""
 
     __slots__ = ("act", "answered", "body", "client", "gone_ms", "id", "key", "stream")
@@ -53,7 +53,7 @@
         self.answered = False
 
 
-class Asked:
+class ParsedRequest:
     """What a request says, checked."""
 
     __slots__ = ("customer", "id", "item", "key", "lanes", "left_ms", "load_ms", "memory_mb", "type", "work_ms")
@@ -100,13 +100,13 @@
 
     __slots__ = ("_front", "begun", "crowds", "heard", "link", "open", "reader", "since")
 
-    def __init__(self, front: Front, sock: socket.socket) -> None:
+    def __init__(self, front: ClientServer, sock: socket.socket) -> None:
         self._front, self.reader = front, FrameReader()
-        self.open: dict[int, Request] = {}
+        self.open: dict[int, ClientRequest] = {}
         self.since = self.heard = front.time()  # connected, or last had something open; last sent bytes
         self.begun: float | None = None  # since when a frame is not whole
         self.crowds = False  # it came when there was no room
-        self.link = Link(front.loop, sock, self._got, self._ended, WAITING)
+        self.link = Connection(front.loop, sock, self._got, self._ended, WAITING)
 
     def _got(self, data: memoryview) -> None:
         self.heard = self._front.time()
@@ -128,7 +128,7 @@
         self._front.gone(self)
 
 
-class Front:
+class ClientServer:
     """All clients of one dispatcher.  `take` gets each request that can be used, `left` each that nobody waits for
     any more."""
 
@@ -140,8 +140,8 @@
         customers: list[Tenant],
         most: int,
         most_bytes: int,
-        take: Callable[[Request, Asked], None],
-        left: Callable[[Request], None],
+        take: Callable[[ClientRequest, ParsedRequest], None],
+        left: Callable[[ClientRequest], None],
         known: Callable[[str], bool],
         note: Callable[..., None],
         invariants: Invariants,
@@ -158,7 +158,7 @@
         self._leaving: dict[Client, None] = {}  # told why and to be closed
         self._crowd: dict[Client, None] = {}  # those that came when there was no room
         self._longest_s = max(FIRST_MS, *sockets.longest_ms.values()) / 1000
-        self._door = Door(loop, self._came, _nobody, note)
+        self._door = Listener(loop, self._came, _nobody, note)
         self._door.has_room, self._door.on_shortage = self._has_room, self._make_room
         self.ready = True
         self._refuses = False
@@ -229,7 +229,7 @@
         for client in self._clients:
             client.link.write(frames.frame(frames.GO_AWAY, 0))
 
-    def answer(self, request: Request, code: int, body: bytes = b"", later_ms: int = 0) -> None:
+    def answer(self, request: ClientRequest, code: int, body: bytes = b"", later_ms: int = 0) -> None:
         """The one final answer of a request."""
         client = request.client
         if request.answered:
@@ -347,7 +347,7 @@
         if len(body) > frames.BODY:
             raise FrameError("a body that is too long", stream)
         try:
-            asked = Asked(told, self._types, self._longest, self._customers, self._most_mb)
+            asked = ParsedRequest(told, self._types, self._longest, self._customers, self._most_mb)
             if self._known(asked.id):
                 raise UnusableError("the id of an open request")
         except UnusableError as cause:
@@ -360,7 +360,7 @@
             client.since = self.time()
             return
         self._bytes += len(body)
-        request = client.open[stream] = Request(client, stream, asked.id, asked.key, body)
+        request = client.open[stream] = ClientRequest(client, stream, asked.id, asked.key, body)
         self._idle.pop(client, None)
         self._busy[client] = None
         self._take(request, asked)
@@ -374,7 +374,7 @@
             return RequestRefusal.NO_MEMORY
         return None
 
-    def _forget(self, request: Request) -> None:
+    def _forget(self, request: ClientRequest) -> None:
         client = request.client
         del client.open[request.stream]
         request.gone_ms = self.time() * 1000
