--- a/kelptrail/platform/endpoint_watch.py
+++ b/kelptrail/platform/endpoint_watch.py
@@ -14,7 +14,7 @@
 from functools import partial
 
 from kelptrail.codec.feed import Event, FeedError, FeedReader, ask
-from kelptrail.net.connection import Link, connect
+from kelptrail.net.connection import Connection, connect
 
 SILENT_MS = 2_000.0  # two of the list's empty events are missing
 LONGEST_SILENT_MS = 8_000.0  # while bytes come, and no whole event
@@ -29,14 +29,14 @@
 class Watch:
     """One connection to the list, from the connect to its end."""
 
-    def __init__(self, feed: Feed, loop: asyncio.AbstractEventLoop, address: tuple[str, int]) -> None:
+    def __init__(self, feed: EndpointWatch, loop: asyncio.AbstractEventLoop, address: tuple[str, int]) -> None:
         self._feed, self._loop, self.address = feed, loop, address
         self.reader = feed.new_reader()
         self.since = loop.time()  # opened, came up, or last told a whole event
         self.opened = self.since
         self.heard = 0  # whole events, empty ones among them
         self.trickles = False  # bytes came since the last whole event
-        self.link: Link | None = None
+        self.link: Connection | None = None
         self.closed = False
         self._task: asyncio.Task[None] | None = loop.create_task(self._connect())
 
@@ -54,7 +54,7 @@
             sock.close()
             return
         self.since = self._loop.time()
-        self.link = Link(self._loop, sock, partial(self._feed.got, self), self._end, UNREAD_BYTES)
+        self.link = Connection(self._loop, sock, partial(self._feed.got, self), self._end, UNREAD_BYTES)
         self._feed.connected(self)
 
     def _end(self) -> None:
@@ -78,7 +78,7 @@
             self.link.close()
 
 
-class Feed:
+class EndpointWatch:
     """One follower; `told` gets each new event, in order and once.  Descriptors are kept for its next connections."""
 
     def __init__(
--- a/kelptrail/platform/service.py
+++ b/kelptrail/platform/service.py
@@ -11,19 +11,19 @@
 from kelptrail.codec import frames
 from kelptrail.codec.feed import GONE, READY, Event, FeedReader, Record
 from kelptrail.codec.lines import Answer, call
-from kelptrail.dispatch.entities import Request, LoadOrder, AttemptStatus, Attempt, WorkerState, Worker
+from kelptrail.dispatch.entities import Attempt, AttemptStatus, FinalStatus, LoadOrder, Request, Worker, WorkerState
 from kelptrail.dispatch.shutdown import ARRIVALS_MS, NOT_PLANNED, plan_shutdown
 from kelptrail.dispatch.timer_queue import TimerQueue
 from kelptrail.engine.engine import Endpoint, Engine
 from kelptrail.engine.invariants import Invariants
 from kelptrail.engine.wall_clock import WallClockReader
 
-from .client_server import Asked, Front, Request
+from .client_server import ClientRequest, ClientServer, ParsedRequest
 from .close_reasons import WithdrawReason
 from .config import Config
-from .endpoint_watch import Feed
+from .endpoint_watch import EndpointWatch
 from .log import EventLog
-from .worker_connections import Bounds, Item, WorkerLinks
+from .worker_connections import Bounds, Item, WorkerConnections
 
 STATES = {READY: WorkerState.LIVE, GONE: WorkerState.REMOVED}
 STATE_MS = 5_000.0  # how often the log compares what is believed with what the sockets show
@@ -74,7 +74,7 @@
             self._make_room,
         )
         self.invariants = Invariants(note)
-        self._front = Front(
+        self._front = ClientServer(
             loop,
             sockets,
             self._host.request_classes,
@@ -87,8 +87,8 @@
             note,
             self.invariants,
         )
-        self._requests: dict[Request, Request] = {}
-        self._links: dict[Worker, WorkerLinks] = {}
+        self._requests: dict[Request, ClientRequest] = {}
+        self._links: dict[Worker, WorkerConnections] = {}
         self._addresses: dict[str, tuple[str, int]] = {}
         self._due = TimerQueue()  # what the sockets owe: sends whose time is up, orders out for too long
         self._timer: asyncio.TimerHandle | None = None
@@ -99,11 +99,11 @@
         self._counts: Counter[str] = Counter()
         self._shutdown = NOT_PLANNED
         self.over = loop.create_future()
-        self._feed: Feed | None = None
+        self._feed: EndpointWatch | None = None
         for event in config.known:
             self._listed(event)
         zones, kinds = len(sockets.zones), len(sockets.kinds)
-        self._feed = Feed(
+        self._feed = EndpointWatch(
             loop,
             config.journal,
             config.known[-1].number if config.known else 0,
@@ -177,7 +177,7 @@
 
     # What happens.
 
-    def _take(self, request: Request, asked: Asked) -> None:
+    def _take(self, request: ClientRequest, asked: ParsedRequest) -> None:
         act = request.act = self._host.on_request(
             self._now(),
             asked.id,
@@ -193,7 +193,7 @@
         self._requests[act] = request
         self._stir_soon()
 
-    def _left(self, request: Request) -> None:
+    def _left(self, request: ClientRequest) -> None:
         if request.act is not None and self._requests.pop(request.act, None) is not None:
             self._host.on_client_gone(request.act)
             self._take_back(request.act, WithdrawReason.CLIENT_GONE)
@@ -348,7 +348,7 @@
 
         self._links_to(order.instance.worker).order(order, may_leave)
 
-    def _call(self, attempt: Attempt, request: Request) -> bytes:
+    def _call(self, attempt: Attempt, request: ClientRequest) -> bytes:
         """The bytes of a send as it leaves, with the time that its client has left then; none if it may not begin."""
         act, now = attempt.request, time.monotonic() * 1000
         limit_ms = int(act.deadline - now)
@@ -362,7 +362,7 @@
     def _final(self, act: Request) -> None:
         request = self._requests.pop(act, None)
         if request is not None:
-            rejected = act.final_status == "rejected"
+            rejected = act.final_status is FinalStatus.REJECTED
             note(
                 "request refused" if rejected else "request failed",
                 request=act.id,
@@ -387,10 +387,10 @@
                 now, attempt, status if arrived else AttemptStatus.NOT_SENT, attempt.request.final_status is not None
             )
 
-    def _links_to(self, worker: Worker) -> WorkerLinks:
+    def _links_to(self, worker: Worker) -> WorkerConnections:
         links = self._links.get(worker)
         if links is None:
-            links = self._links[worker] = WorkerLinks(
+            links = self._links[worker] = WorkerConnections(
                 self._loop, worker.id, self._addresses[worker.id], self._bounds, self._ended, note
             )
         return links
--- a/kelptrail/platform/worker_connections.py
+++ b/kelptrail/platform/worker_connections.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from kelptrail.codec.lines import Answer, LineError, LineReader, cancel, load
-from kelptrail.dispatch.entities import LoadOrder, AttemptStatus, Attempt
-from kelptrail.net.connection import Link, Piece, connect
+from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder
+from kelptrail.net.connection import Connection, PendingWrite, connect
 from kelptrail.net.errors import is_local_shortage
 
 WORDS = {
@@ -41,7 +41,7 @@
     item: Item
     make: Make
     size: int
-    piece: Piece | None = None
+    piece: PendingWrite | None = None
 
 
 class Bounds:
@@ -82,7 +82,7 @@
         self.answer_bytes, self.cancels, self.parallel, self.longest_ms = answer_bytes, cancels, parallel, longest_ms
 
 
-class Connection:
+class WorkerConnection:
     """One connection and what is open on it."""
 
     __slots__ = (
@@ -98,14 +98,14 @@
         "used",
     )
 
-    def __init__(self, owner: WorkerLinks, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, owner: WorkerConnections, loop: asyncio.AbstractEventLoop) -> None:
         self._owner, self._loop = owner, loop
         self._reader = LineReader(owner.bounds.answer_bytes)
         self.open: dict[str, Opened] = {}  # in the order in which it was opened
         self.spent: dict[str, float] = {}  # ids that were used on it, and until when an answer of then may still come
         self.doubtful = False  # something on it was given up unanswered, and nothing was heard since
         self.used = self.heard = loop.time()
-        self.link: Link | None = None
+        self.link: Connection | None = None
         self._task: asyncio.Task[None] | None = loop.create_task(self._connect())
 
     @property
@@ -121,7 +121,7 @@
         if self.link is not None:
             self._write(self.link, opened)
 
-    def _write(self, link: Link, opened: Opened) -> None:
+    def _write(self, link: Connection, opened: Opened) -> None:
         def made() -> bytes:
             data = opened.make()
             if not data:
@@ -183,7 +183,7 @@
         self.heard = self._loop.time()
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, UNSENT_IN_KERNEL)
-        self.link = Link(self._loop, sock, self._got, self._ended, WAITING)
+        self.link = Connection(self._loop, sock, self._got, self._ended, WAITING)
         for opened in self.open.values():
             self._write(self.link, opened)
 
@@ -213,7 +213,7 @@
             self._owner.finished(opened.item, AttemptStatus.CONNECTION_LOST if arrived else unsent, None)
 
 
-class WorkerLinks:
+class WorkerConnections:
     """The connections to one worker; `ended` is called once for each send and order that was not given up."""
 
     def __init__(
@@ -227,8 +227,8 @@
     ) -> None:
         self._loop, self.id, self.address, self.bounds = loop, id_, address, bounds
         self._ended, self.note = ended, note
-        self._connections: dict[Connection, None] = {}
-        self._at: dict[Item, tuple[Connection, str]] = {}
+        self._connections: dict[WorkerConnection, None] = {}
+        self._at: dict[Item, tuple[WorkerConnection, str]] = {}
         self._tags = 0
 
     def __len__(self) -> int:
@@ -273,7 +273,7 @@
         return [item for item in list(self._at) if self.withdraw(item)]
 
     @property
-    def idlest(self) -> Connection | None:
+    def idlest(self) -> WorkerConnection | None:
         """The connection with nothing open that was used the longest ago."""
         return min((each for each in self._connections if not each.open), key=lambda each: each.used, default=None)
 
@@ -306,7 +306,7 @@
         del self._at[item]
         self._ended(item, status, answer)
 
-    def gone(self, connection: Connection) -> None:
+    def gone(self, connection: WorkerConnection) -> None:
         """A connection has ended."""
         if connection in self._connections:
             del self._connections[connection]
@@ -328,7 +328,7 @@
                 elif len(self._connections) >= self.bounds.most or not self.bounds.make_room():
                     self._ended(item, AttemptStatus.NOT_SENT, None)
                     return
-            best = Connection(self, self._loop)
+            best = WorkerConnection(self, self._loop)
             self._connections[best] = None
             self.bounds.held += 1
         self._at[item] = best, id_
--- a/kelptrail/replication/driver.py
+++ b/kelptrail/replication/driver.py
@@ -14,42 +14,42 @@
 import msgspec
 
 from kelptrail.clock import now_ms, wall_ms
-from kelptrail.lease.driver import Leases
-from kelptrail.lease.messages import NONE, Token
+from kelptrail.lease.driver import LeaseDriver
+from kelptrail.lease.messages import NO_TOKEN, FencingToken
 from kelptrail.peers.driver import Peers
-from kelptrail.store.activation_journal import KINDS, Life
+from kelptrail.store.activation_journal import KINDS, ActivationEntries
 from kelptrail.store.driver import JournalDriver
 from kelptrail.store.entries import Accepted, Ended, Entry, pack
-from kelptrail.store.group_commit import Journal
+from kelptrail.store.group_commit import GroupCommit
 
-from .failover import Watch
-from .lookup import HERE, NO, PENDING, Questions
+from .failover import FailoverMonitor
+from .lookup import HERE, NO, PENDING, LookupService
 from .messages import (
     PREFIX,
-    CopySettings,
-    Fenced,
-    Find,
-    Found,
-    Item,
-    Kept,
+    Append,
+    AppendAck,
+    Claim,
+    CloseStream,
+    CommitIndex,
+    FencedReply,
     Leaving,
+    Lookup,
+    LookupReply,
     Members,
     Message,
-    Open,
-    Put,
-    Shut,
-    Take,
-    Told,
+    OpenStream,
+    ReplicaEntry,
+    ReplicationSettings,
     note,
     read_note,
 )
-from .primary import Owner
-from .replica import Holder, Work
+from .primary import Primary
+from .replica import Replica, Work
 from .replica_placement import Member, ranked
-from .replica_store import Reading, Shelves
+from .replica_store import Reading, ReplicaStore
 
 SPEAKS = "copies"
-KINDS_OF = (Open, Put, Told, Kept, Fenced, Shut, Take, Leaving, Find, Found)
+KINDS_OF = (OpenStream, Append, CommitIndex, AppendAck, FencedReply, CloseStream, Claim, Leaving, Lookup, LookupReply)
 TICK_MS = 25.0
 AT_ONCE = 200  # lives that are taken up in one go: a large book must not stop the loop
 FIND_MS = 300.0
@@ -60,14 +60,14 @@
 FEW = 32  # dispatchers that all keep links to each other
 
 
-class Held:
+class PrimaryHandle:
     """A book that this process owns, as the gateway writes to it."""
 
-    def __init__(self, copies: Copies, core: Owner) -> None:
+    def __init__(self, copies: ReplicationDriver, core: Primary) -> None:
         self._copies, self.core, self.book = copies, core, core.book
         self.live = False  # what was in it has been taken up
         self.note = 0  # number of the last one
-        self.token = NONE  # under which it was won last
+        self.token = NO_TOKEN  # under which it was won last
         self.probe_at = 0.0  # when members may be asked whether another owns it
 
     def takes(self) -> bool:
@@ -90,27 +90,27 @@
         accepted = isinstance(entry, Accepted)
         age = max(0.0, wall_ms() - entry.start) if isinstance(entry, Accepted) else 0.0
         from_core = waiter if accepted or waiter is None else (lambda _full: waiter(True))
-        self.core.write([Item(entry.id, KINDS[type(entry)], age, data)], from_core)
+        self.core.write([ReplicaEntry(entry.id, KINDS[type(entry)], age, data)], from_core)
 
     def forget(self, id_: str) -> None:
         """An activation whose record is no longer kept."""
         self.core.write((), None, (id_,))
 
 
-class Copies:
+class ReplicationDriver:
     """One process's books: those it owns, and those it holds for others.  `own`: where the books of its own runs are,
     `others`: all others; one and the same where copies are on disk.  `members`: dispatchers that are known."""
 
     def __init__(
         self,
         name: str,
-        settings: CopySettings,
+        settings: ReplicationSettings,
         take_ms: float,
         length_ms: float,
         peers: Peers,
-        leases: Leases,
-        own: Shelves,
-        others: Shelves,
+        leases: LeaseDriver,
+        own: ReplicaStore,
+        others: ReplicaStore,
         members: Callable[[], list[Member]],
         log: Any,
     ) -> None:
@@ -119,19 +119,19 @@
         self._loop = asyncio.get_running_loop()
         self._own_shelves, self._other_shelves = own, others
         self._disks = {
-            id(shelves): JournalDriver(Journal(1_000_000), shelves, self.carry, log) for shelves in (own, others)
+            id(shelves): JournalDriver(GroupCommit(1_000_000), shelves, self.carry, log) for shelves in (own, others)
         }
-        self.holder = Holder(own.books() | others.books(), lambda book: self._at(book).disk)
-        self.books: dict[str, Held] = {}
-        self.current: Held | None = None  # the book that new calls go to
-        self.watch = Watch(name, take_ms, now_ms())
+        self.holder = Replica(own.books() | others.books(), lambda book: self._at(book).disk)
+        self.books: dict[str, PrimaryHandle] = {}
+        self.current: PrimaryHandle | None = None  # the book that new calls go to
+        self.watch = FailoverMonitor(name, take_ms, now_ms())
         self._carrying = self._stopped = False
         self._told = 0  # batches that were safe when that was last said
         self._timer: asyncio.TimerHandle | None = None
         self._ranked: tuple[tuple[Member, ...], tuple[str, ...]] = ((), ())
         self._released: set[str] = set()  # books that were let go, until another owner writes here
         self._believed: dict[str, str] = {}  # who is said to own a book whose stream does not come here
-        self._questions = Questions(leases.asker.who, FIND_MS)
+        self._questions = LookupService(leases.client.who, FIND_MS)
         self._taking: set[asyncio.Task[None]] = set()
         self._begin_at, self._begin_pause = float("inf"), FIRST_PAUSE_MS
         self._off_ms = wall_ms() - now_ms()
@@ -139,12 +139,12 @@
         self.retiring, self._retire_by, self._leaving_at = False, 0.0, 0.0
         self.taken_up = self.let_go = 0
         # Set by who joins this to a gateway.
-        self.on_taken: Callable[[Held, list[Life]], None] = lambda held, lives: None
-        self.on_acts: Callable[[Held], None] = lambda held: None
-        self.on_lost: Callable[[Held], int] = lambda held: 0
+        self.on_taken: Callable[[PrimaryHandle, list[ActivationEntries]], None] = lambda held, lives: None
+        self.on_acts: Callable[[PrimaryHandle], None] = lambda held: None
+        self.on_lost: Callable[[PrimaryHandle], int] = lambda held: 0
         self.has: Callable[[str], bool] = lambda id_: False
         self.born: Callable[[str, str], bool] = lambda name, id_: False  # whether that dispatcher gave that id
-        self.busy: Callable[[Held], bool] = lambda held: False  # whether calls of a book are in hand
+        self.busy: Callable[[PrimaryHandle], bool] = lambda held: False  # whether calls of a book are in hand
         self.progress: Callable[[], None] = lambda: None  # something may have become safe
         peers.speak(SPEAKS, self._came, *KINDS_OF)
 
@@ -206,11 +206,11 @@
                 if held.book in self.holder.shelves:
                     self.holder.shelves[held.book].owner = to  # who says when it may be forgotten here
 
-    def promising(self) -> Held | None:
+    def promising(self) -> PrimaryHandle | None:
         """The book that new calls go to."""
         return self.current if not self.retiring else None
 
-    def _at(self, book: str) -> Shelves:
+    def _at(self, book: str) -> ReplicaStore:
         return self._own_shelves if self._born_here(book) else self._other_shelves
 
     def _write(self, work: Work | Reading, told: Callable[[bool], None] | None = None) -> None:
@@ -242,7 +242,7 @@
 
     # Leases.
 
-    def _won(self, book: str, token: Token) -> None:
+    def _won(self, book: str, token: FencingToken) -> None:
         try:
             members = read_note(self.leases.noted(PREFIX + book))
         except msgspec.MsgspecError as cause:
@@ -267,8 +267,8 @@
         if held is not None and not goes_on:
             self._drop(held)
         if not goes_on or held is None:
-            held = self.books[book] = Held(
-                self, Owner(book, self.name, self._at(book).disk, self.settings, partial(self._digests, book))
+            held = self.books[book] = PrimaryHandle(
+                self, Primary(book, self.name, self._at(book).disk, self.settings, partial(self._digests, book))
             )
         held.token = token
         self._released.discard(book)
@@ -290,13 +290,15 @@
             self._drop(held)
         self._leave(book, to)
         if to:
-            self._peers.send(to, Take(book))
+            self._peers.send(to, Claim(book))
         self.watch.shuns(now_ms(), book)
         if members.owner and not members.disks:  # it was closed: nobody needs what is here
             self._shut(book)
         self._begin_anew()
 
-    def _owned(self, held: Held, token: Token, members: Mapping[str, str], before: str, safe: bool) -> None:
+    def _owned(
+        self, held: PrimaryHandle, token: FencingToken, members: Mapping[str, str], before: str, safe: bool
+    ) -> None:
         if self.books.get(held.book) is not held or self.leases.holds(PREFIX + held.book) != token:
             return
         if not safe:
@@ -308,7 +310,7 @@
         held.core.write((), partial(self._settled, held, token, before))
         self.carry()
 
-    def _settled(self, held: Held, token: Token, before: str, _full: bool) -> None:
+    def _settled(self, held: PrimaryHandle, token: FencingToken, before: str, _full: bool) -> None:
         """All that the own disk has is safe: what is there may be acted on."""
         if held.live:
             self._log.info("book-goes-on", book=held.book, token=str(token))
@@ -317,7 +319,7 @@
         reading = Reading(held.book, wall_ms=self.wall_ms())
         self._write(reading, partial(self._read_lives, held, token, before, reading))
 
-    def _read_lives(self, held: Held, token: Token, before: str, reading: Reading, safe: bool) -> None:
+    def _read_lives(self, held: PrimaryHandle, token: FencingToken, before: str, reading: Reading, safe: bool) -> None:
         if not safe:
             self._hand_over(held, "its disk fails")
             return
@@ -325,7 +327,7 @@
         self._taking.add(task)
         task.add_done_callback(self._taking.discard)
 
-    async def _take_up(self, held: Held, token: Token, before: str, reading: Reading) -> None:
+    async def _take_up(self, held: PrimaryHandle, token: FencingToken, before: str, reading: Reading) -> None:
         """The lives of a book go to the gateway, some at a time."""
         began = now_ms()
         # What can still be answered in time comes first; what has ended may wait.
@@ -352,27 +354,27 @@
         self.on_acts(held)
         self.carry()
 
-    def _lost(self, book: str, token: Token, reason: str) -> None:
+    def _lost(self, book: str, token: FencingToken, reason: str) -> None:
         if (held := self.books.get(book)) is not None:
             held.core.ready = False
 
-    def _noted(self, book: str, token: Token, number: int) -> None:
+    def _noted(self, book: str, token: FencingToken, number: int) -> None:
         held = self.books.get(book)
         if held is not None and held.core.token == token and held.note == number:
             held.core.noted(now_ms())
             self.carry()
 
-    def _hand_over(self, held: Held, reason: str) -> None:
+    def _hand_over(self, held: PrimaryHandle, reason: str) -> None:
         """To another member, if there is one: what is here may not be acted on any more."""
         others = [name for name in sorted(held.core.members) if name != self.name and name in self._peers.heard()]
         self._log.error("book-handed-over", book=held.book, reason=reason, to=others[0] if others else "")
         self._end(held, others[0] if others else "")
 
-    def _end(self, held: Held, to: str = "") -> None:
+    def _end(self, held: PrimaryHandle, to: str = "") -> None:
         self._drop(held)
         self._leave(held.book, to)
         if to:
-            self._peers.send(to, Take(held.book))
+            self._peers.send(to, Claim(held.book))
         self.watch.shuns(now_ms(), held.book)
         self._begin_anew()
 
@@ -389,7 +391,7 @@
         if self.current is None and not any(self._born_here(book) for book in self.watch.wanted):
             self._begin()
 
-    def _drop(self, held: Held) -> None:
+    def _drop(self, held: PrimaryHandle) -> None:
         """Nothing of it is acted on here any more."""
         self.books.pop(held.book, None)
         self._released.add(held.book)
@@ -404,30 +406,30 @@
     def _came(self, sender: str, message: Message) -> None:
         now = now_ms()
         self.watch.heard(sender, now)
-        if isinstance(message, Open | Put | Shut):
+        if isinstance(message, OpenStream | Append | CloseStream):
             self._believed.pop(message.book, None)
             self._released.discard(message.book)
             self.watch.put(message.book, now)
             self.holder.received(sender, message)
             for work in self.holder.work:
                 work.wall_ms = work.wall_ms or self.wall_ms()
-        elif isinstance(message, Told | Kept | Fenced):
+        elif isinstance(message, CommitIndex | AppendAck | FencedReply):
             if (held := self.books.get(message.book)) is not None:
                 held.core.received(now, sender, message)
         elif isinstance(message, Leaving):
             for held in self.books.values():
                 held.core.leaving.add(sender)
-        elif isinstance(message, Take):
+        elif isinstance(message, Claim):
             if message.book in self.holder.shelves and not self.watch.has(message.book):
                 self.watch.welcome(message.book)
                 self._want(message.book)
-        elif isinstance(message, Find):
+        elif isinstance(message, Lookup):
             if self.has(message.what):
-                self._peers.send(sender, Found(message.what, HERE, self.leases.asker.who, self.own))
+                self._peers.send(sender, LookupReply(message.what, HERE, self.leases.client.who, self.own))
             else:
                 state = PENDING if self._pending(message.what) else NO
                 self._peers.send(
-                    sender, Found(message.what, state, self.leases.asker.who, owners=self._owners(message.what))
+                    sender, LookupReply(message.what, state, self.leases.client.who, owners=self._owners(message.what))
                 )
         else:
             self._questions.answered(sender, message.what, message.state, message.at, message.by, message.owners)
@@ -466,7 +468,7 @@
         # What is under a key may be with one that cannot be heard only as far as that one's book has holders.
         unheard = not what.startswith(KEY) and any(m.name not in heard and m.name != self.name for m in self._members())
         # One that does not read the question holds nothing.
-        asked = [name for name in heard if self._peers.send(name, Find(what))]
+        asked = [name for name in heard if self._peers.send(name, Lookup(what))]
         self._questions.ask(now_ms(), what, asked, self._owners(what), unheard or self._pending(what), done)
 
     # Carrying out.
@@ -496,7 +498,7 @@
                     self._log.info("book-wanted", book=book, owner=shelf.owner)
                     self._want(book)
             elif self._others(book):
-                self._believed[book] = who = self.leases.asker.seen[PREFIX + book][0].who
+                self._believed[book] = who = self.leases.client.seen[PREFIX + book][0].who
                 shelf.owner = who.partition("/")[0]
                 if self._born_here(book):  # it was taken over: this run begins its own
                     self._leave(book)
@@ -511,7 +513,7 @@
         self._questions.tick(now)
         self.carry()
 
-    def _judge(self, held: Held) -> None:
+    def _judge(self, held: PrimaryHandle) -> None:
         """What has become of a book that this process believes to own."""
         core, now = held.core, now_ms()
         if core.failed:
@@ -523,7 +525,7 @@
             self._end(held)
         elif not core.ready and core.token.round and now >= held.probe_at and self._others(held.book):
             held.probe_at = now + self.settings.again_ms  # who was told to hold the lease may not have acted
-            core.probe(self.leases.asker.seen[PREFIX + held.book][0].who.partition("/")[0])
+            core.probe(self.leases.client.seen[PREFIX + held.book][0].who.partition("/")[0])
         elif (
             held is not self.current
             and held.live
@@ -535,7 +537,7 @@
 
     def _others(self, book: str) -> bool:
         """Whether another was last said to hold a book's lease."""
-        seen = self.leases.asker.seen.get(PREFIX + book)
+        seen = self.leases.client.seen.get(PREFIX + book)
         return (
             seen is not None
             and not seen[0].who.startswith(f"{self.name}/")
@@ -553,7 +555,7 @@
         if book in self.holder.shelves:
             self.holder.shut(book, self.holder.shelves[book].token)
 
-    def _close(self, held: Held) -> None:
+    def _close(self, held: PrimaryHandle) -> None:
         """All of a book that was taken over is forgotten: nobody needs to hold it any more."""
         if not held.core.closing:
             held.core.close()
@@ -621,7 +623,7 @@
         return any_
 
     @staticmethod
-    def _bucket(core: Owner, name: str, stream: int, reading: Reading, safe: bool) -> None:
+    def _bucket(core: Primary, name: str, stream: int, reading: Reading, safe: bool) -> None:
         core.read(now_ms(), name, stream, reading.bucket, reading.items if safe else None)
 
     # For operators.
--- a/kelptrail/replication/failover.py
+++ b/kelptrail/replication/failover.py
@@ -6,7 +6,7 @@
 QUIET_MS = 2500.0  # some looks of an owner at a holder's disk
 
 
-class Watch:
+class FailoverMonitor:
     """Who was heard when, by this process's clock; all count as heard at its start."""
 
     def __init__(self, name: str, take_ms: float, now: float) -> None:
--- a/kelptrail/replication/lookup.py
+++ b/kelptrail/replication/lookup.py
@@ -26,7 +26,7 @@
     done: list[Done] = field(default_factory=list)
 
 
-class Questions:
+class LookupService:
     """All that are open, by what is asked for."""
 
     def __init__(self, who: str, within_ms: float) -> None:
--- a/kelptrail/replication/messages.py
+++ b/kelptrail/replication/messages.py
@@ -17,14 +17,14 @@
 
 import msgspec
 
-from kelptrail.lease.messages import Token
+from kelptrail.lease.messages import FencingToken
 
 BUCKETS = 256  # ranges of ids in which two books are compared
 DIGEST = 8  # bytes of each
 PREFIX = "book/"  # of the lease on a book
 
 
-class Item(msgspec.Struct, frozen=True, array_like=True):
+class ReplicaEntry(msgspec.Struct, frozen=True, array_like=True):
     """One entry of a book, `data` as `store.entries.pack` has it.  `age_ms`, when it was put out: since the call was
     taken, or, of what may have run, since that was written."""
 
@@ -34,23 +34,23 @@
     data: bytes
 
 
-class Open(msgspec.Struct, frozen=True, tag="copies-open", array_like=True):
+class OpenStream(msgspec.Struct, frozen=True, tag="copies-open", array_like=True):
     """A stream of a book begins, under its owner's token; `stream` grows with each.  What do you have of it?"""
 
     book: str
-    token: Token
+    token: FencingToken
     stream: int
 
 
-class Put(msgspec.Struct, frozen=True, tag="put", array_like=True):
+class Append(msgspec.Struct, frozen=True, tag="put", array_like=True):
     """The next of a stream: entries, and ids that are forgotten.  `bucket`: of it nothing but `only` is to be left, -1:
     all is.  `check`: tell what the disk has of these buckets, from and up to.  `waited_ms`: since it was put out."""
 
     book: str
-    token: Token
+    token: FencingToken
     stream: int
     number: int
-    items: tuple[Item, ...] = ()
+    items: tuple[ReplicaEntry, ...] = ()
     drops: tuple[str, ...] = ()
     bucket: int = -1
     only: tuple[tuple[str, int], ...] = ()
@@ -58,12 +58,12 @@
     waited_ms: float = 0.0
 
 
-class Told(msgspec.Struct, frozen=True, tag="copies-told", array_like=True):
+class CommitIndex(msgspec.Struct, frozen=True, tag="copies-told", array_like=True):
     """What a holder has, after `number` of a stream: digests of buckets from the `first` one on.  `disk`: the name of
     its disk, never the same for two."""
 
     book: str
-    token: Token
+    token: FencingToken
     stream: int
     number: int
     first: int
@@ -71,31 +71,31 @@
     disk: str = ""
 
 
-class Kept(msgspec.Struct, frozen=True, tag="kept", array_like=True):
+class AppendAck(msgspec.Struct, frozen=True, tag="kept", array_like=True):
     """All up to `number` of a stream is kept, as safe as the settings ask for."""
 
     book: str
-    token: Token
+    token: FencingToken
     stream: int
     number: int
 
 
-class Fenced(msgspec.Struct, frozen=True, tag="fenced", array_like=True):
+class FencedReply(msgspec.Struct, frozen=True, tag="fenced", array_like=True):
     """A later token has been seen: nothing more is taken under an older one."""
 
     book: str
-    token: Token
+    token: FencingToken
 
 
-class Shut(msgspec.Struct, frozen=True, tag="copies-shut", array_like=True):
+class CloseStream(msgspec.Struct, frozen=True, tag="copies-shut", array_like=True):
     """The holder is none of this book any more and may forget it; `stream` as in `Open`."""
 
     book: str
-    token: Token
+    token: FencingToken
     stream: int
 
 
-class Take(msgspec.Struct, frozen=True, tag="copies-take", array_like=True):
+class Claim(msgspec.Struct, frozen=True, tag="copies-take", array_like=True):
     """The lease on a book was given back for whom this is sent to: want it now."""
 
     book: str
@@ -105,13 +105,13 @@
     """Its sender's machine is to be taken away: books should go elsewhere, with no time at risk."""
 
 
-class Find(msgspec.Struct, frozen=True, tag="find", array_like=True):
+class Lookup(msgspec.Struct, frozen=True, tag="find", array_like=True):
     """Who has this: an activation by its id, or the call under a key as `key:NAMESPACE/ACTION/KEY`?"""
 
     what: str
 
 
-class Found(msgspec.Struct, frozen=True, tag="found", array_like=True):
+class LookupReply(msgspec.Struct, frozen=True, tag="found", array_like=True):
     """It is here, at `at`; or may come to be; or is not: see `questions`.  `by`: who says so, name and run; `owners`:
     the same of whoever owns a book that is held here and may have it."""
 
@@ -130,8 +130,10 @@
     disks: dict[str, str]
 
 
-Answer = Told | Kept | Fenced
-Message = Open | Put | Told | Kept | Fenced | Shut | Take | Leaving | Find | Found
+Answer = CommitIndex | AppendAck | FencedReply
+Message = (
+    OpenStream | Append | CommitIndex | AppendAck | FencedReply | CloseStream | Claim | Leaving | Lookup | LookupReply
+)
 
 _read_members = msgspec.msgpack.Decoder(Members).decode
 
@@ -166,7 +168,7 @@
     return [int.from_bytes(data[n : n + DIGEST]) for n in range(0, len(data), DIGEST)]
 
 
-def digests_of(items: Iterable[Item]) -> list[int]:
+def digests_of(items: Iterable[ReplicaEntry]) -> list[int]:
     """Of all buckets, from entries."""
     found: list[list[int]] = [[] for _ in range(BUCKETS)]
     for item in items:
@@ -175,7 +177,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CopySettings:
+class ReplicationSettings:
     """`count`: further dispatchers that hold each record; `short`: calls are promised with fewer, too; `again_ms`: what
     was not answered is sent again; `slow_ms`: a holder that has not answered, or was not heard, for so long is given
     up, and asked again after `pause_ms`; `most_bytes`: that wait for the slowest; `window_bytes`: out to one holder;
--- a/kelptrail/replication/model.py
+++ b/kelptrail/replication/model.py
@@ -15,16 +15,27 @@
 from functools import partial
 from typing import Any
 
-from kelptrail.lease.messages import NONE, Token
+from kelptrail.lease.messages import NO_TOKEN, FencingToken
 from kelptrail.model_checking.explorer import PropertyError
 
-from .messages import BUCKETS, CopySettings, Item, Members, Open, Put, Shut, bucket_of, digests_of, pack_digests
-from .primary import Batch, Owner
-from .replica import Holder, Work
+from .messages import (
+    BUCKETS,
+    Append,
+    CloseStream,
+    Members,
+    OpenStream,
+    ReplicaEntry,
+    ReplicationSettings,
+    bucket_of,
+    digests_of,
+    pack_digests,
+)
+from .primary import Batch, Primary
+from .replica import Replica, Work
 
 BOOK = "b"
 RECORD, MAY_RUN, END = 0, 1, 2
-SETTINGS = CopySettings(2, again_ms=100.0, slow_ms=600.0, pause_ms=500.0, check_ms=300.0, fill_per_ms=1e9)
+SETTINGS = ReplicationSettings(2, again_ms=100.0, slow_ms=600.0, pause_ms=500.0, check_ms=300.0, fill_per_ms=1e9)
 
 
 @dataclass(slots=True)
@@ -45,7 +56,7 @@
 class Disk:
     """What a dispatcher's disk has of the book; `names`: none before its first."""
 
-    token: Token = NONE
+    token: FencingToken = NO_TOKEN
     owner: str = ""
     items: dict[tuple[str, int], bytes] = field(default_factory=dict)
 
@@ -68,15 +79,15 @@
         """Of all buckets."""
         return digests_of(self.all())
 
-    def all(self) -> list[Item]:
+    def all(self) -> list[ReplicaEntry]:
         """Every entry."""
-        return [Item(id_, kind, 0.0, data) for (id_, kind), data in sorted(self.items.items())]
+        return [ReplicaEntry(id_, kind, 0.0, data) for (id_, kind), data in sorted(self.items.items())]
 
 
 class Node:
     """One dispatcher: its disk, and what its process has in memory."""
 
-    def __init__(self, world: World, name: str) -> None:
+    def __init__(self, world: Model, name: str) -> None:
         self.world, self.name, self.disk, self.lost = world, name, Disk(), 0
         self.work: deque[tuple[Work, Any]] = deque()
         self.boot()
@@ -91,16 +102,16 @@
         self.believes = False
         self.calls: dict[str, str] = {}  # those in hand, and what is waited for
 
-    def token(self) -> Token:
+    def token(self) -> FencingToken:
         """The newest that it has seen as a holder."""
-        return self.holder.shelves[BOOK].token if BOOK in self.holder.shelves else NONE
+        return self.holder.shelves[BOOK].token if BOOK in self.holder.shelves else NO_TOKEN
 
-    def fresh(self) -> Owner:
+    def fresh(self) -> Primary:
         """An owner that has nothing in hand."""
         return self.world.kinds[0](BOOK, self.name, f"{self.lost}", SETTINGS, lambda: self.disk.digests())
 
 
-class World:
+class Model:
     """A walk; `kinds`: cores, changed on purpose in tests."""
 
     def __init__(
@@ -108,13 +119,13 @@
         seed: int,
         nodes: int = 4,
         faults: Faults | None = None,
-        kinds: tuple[type[Owner], type[Holder]] = (Owner, Holder),
+        kinds: tuple[type[Primary], type[Replica]] = (Primary, Replica),
     ) -> None:
         self.chance, self.faults, self.kinds = random.Random(seed), faults or Faults(), kinds
         self.now, self.calls = 0.0, 0
         self.nodes = {f"d{n}": Node(self, f"d{n}") for n in range(nodes)}
         self.mail: list[tuple[str, str, Any]] = []
-        self.token, self.note, self.leader = NONE, Members("", {}), ""  # what the voters know
+        self.token, self.note, self.leader = NO_TOKEN, Members("", {}), ""  # what the voters know
         self.promised: set[str] = set()
         self.ran: dict[str, str] = {}
         self.finals: dict[str, str] = {}
@@ -126,7 +137,7 @@
     def _win(self, node: Node) -> None:
         """The lease goes to a node; nobody believes in an older one any more."""
         first = not self.token.round
-        self.token, self.leader = Token(self.token.round + 1, node.name), node.name
+        self.token, self.leader = FencingToken(self.token.round + 1, node.name), node.name
         members = self.note
         if not first and members.disks.get(node.name) != f"{node.lost}":
             self.leader = ""  # it has not the whole: given to another
@@ -149,7 +160,7 @@
             (work, partial(self._owned, node, self.token, {n: d for n, d in members.disks.items() if n not in gone}))
         )
 
-    def _owned(self, node: Node, token: Token, members: dict[str, str], safe: bool) -> None:
+    def _owned(self, node: Node, token: FencingToken, members: dict[str, str], safe: bool) -> None:
         if not node.believes or token != self.token:
             return
         if not safe:
@@ -159,7 +170,7 @@
         node.owner.won(self.now, token, members)
         node.owner.write((), partial(self._take_up, node, node.owner))
 
-    def _take_up(self, node: Node, owner: Owner, _full: bool) -> None:
+    def _take_up(self, node: Node, owner: Primary, _full: bool) -> None:
         kept = {id_ for id_, _ in node.disk.items}
         if (lost := self.promised - kept) and not self._all_lost():
             raise PropertyError(f"{node.name} owns the book and has not {sorted(lost)}, which were promised")
@@ -190,11 +201,11 @@
         self.calls += 1
         id_ = f"c{self.calls}"
         node.calls[id_] = "record"
-        node.owner.write([Item(id_, RECORD, 0.0, b"")], partial(self._recorded, node, node.owner, id_))
+        node.owner.write([ReplicaEntry(id_, RECORD, 0.0, b"")], partial(self._recorded, node, node.owner, id_))
         if self.chance.random() < 0.5:
             self._send(node, id_)
 
-    def _recorded(self, node: Node, owner: Owner, id_: str, full: bool) -> None:
+    def _recorded(self, node: Node, owner: Primary, id_: str, full: bool) -> None:
         if full:
             self.promised.add(id_)
         if not full and node.calls.get(id_) == "record":
@@ -204,9 +215,9 @@
 
     def _send(self, node: Node, id_: str) -> None:
         node.calls[id_] = "may-run"
-        node.owner.write([Item(id_, MAY_RUN, 0.0, b"")], partial(self._cleared, node, node.owner, id_))
+        node.owner.write([ReplicaEntry(id_, MAY_RUN, 0.0, b"")], partial(self._cleared, node, node.owner, id_))
 
-    def _cleared(self, node: Node, owner: Owner, id_: str, _full: bool) -> None:
+    def _cleared(self, node: Node, owner: Primary, id_: str, _full: bool) -> None:
         """The first byte goes out, also of one that was stopped after its last look at the lease."""
         if id_ in self.ran:
             raise PropertyError(f"{id_} ran at {self.ran[id_]} and at {node.name}")
@@ -215,7 +226,7 @@
 
     def _end(self, node: Node, id_: str, answer: str) -> None:
         node.calls[id_] = "end"
-        node.owner.write([Item(id_, END, 0.0, answer.encode())], lambda _: self._final(id_, answer))
+        node.owner.write([ReplicaEntry(id_, END, 0.0, answer.encode())], lambda _: self._final(id_, answer))
 
     def _final(self, id_: str, answer: str) -> None:
         if self.finals.setdefault(id_, answer) != answer:
@@ -286,7 +297,7 @@
         owner.notes.clear()
 
     @staticmethod
-    def _local(node: Node, owner: Owner, batch: Batch, safe: bool) -> None:
+    def _local(node: Node, owner: Primary, batch: Batch, safe: bool) -> None:
         if node.owner is owner:
             owner.written(batch, safe)
 
@@ -308,7 +319,7 @@
                 self.mail.append(letter)
             sender, to, message = letter
             node = self.nodes[to]
-            if isinstance(message, Open | Put | Shut):
+            if isinstance(message, OpenStream | Append | CloseStream):
                 before = node.token()
                 node.holder.received(sender, message)
                 if BOOK in node.holder.shelves and node.token() < before:
@@ -316,7 +327,7 @@
             else:
                 node.owner.received(self.now, sender, message)
 
-    def _noted(self, sender: str, _to: str, told: tuple[Token, dict[str, str]]) -> None:
+    def _noted(self, sender: str, _to: str, told: tuple[FencingToken, dict[str, str]]) -> None:
         token, members = told
         if token != self.token:
             return
--- a/kelptrail/replication/primary.py
+++ b/kelptrail/replication/primary.py
@@ -19,19 +19,19 @@
 
 import msgspec
 
-from kelptrail.lease.messages import NONE, Token
+from kelptrail.lease.messages import NO_TOKEN, FencingToken
 
 from .messages import (
     BUCKETS,
     Answer,
-    CopySettings,
-    Fenced,
-    Item,
-    Kept,
-    Open,
-    Put,
-    Shut,
-    Told,
+    Append,
+    AppendAck,
+    CloseStream,
+    CommitIndex,
+    FencedReply,
+    OpenStream,
+    ReplicaEntry,
+    ReplicationSettings,
     unpack_digests,
 )
 
@@ -52,7 +52,7 @@
     """Entries that become safe together.  `waiters`: told whether as many have it as the settings ask for."""
 
     number: int
-    items: list[Item] = field(default_factory=list)
+    items: list[ReplicaEntry] = field(default_factory=list)
     drops: list[str] = field(default_factory=list)
     waiters: list[Waiter] = field(default_factory=list)
     size: int = 0
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Way:
+class ReplicaStream:
     """One holder.  `since`: from when what is out to it has waited; `behind`: batches that go out after the filling."""
 
     name: str
@@ -77,7 +77,7 @@
     fill_at: float = 0.0
     reading: int = -1  # the bucket that is being read
     differs: deque[int] = field(default_factory=deque)
-    queue: deque[tuple[Put, int, int, float]] = field(default_factory=deque)  # not answered: size, batch, since
+    queue: deque[tuple[Append, int, int, float]] = field(default_factory=deque)  # not answered: size, batch, since
     behind: list[Batch] = field(default_factory=list)
     sent: int = 0
     bytes: int = 0  # in the queue
@@ -86,19 +86,21 @@
     checked: int = 0  # the bucket from which on it is looked at next
 
 
-class Owner:
+class Primary:
     """One book under its owner `me`.  `disk`: the name of its own, `digests`: what that has, asked when needed."""
 
-    def __init__(self, book: str, me: str, disk: str, settings: CopySettings, digests: Callable[[], list[int]]) -> None:
+    def __init__(
+        self, book: str, me: str, disk: str, settings: ReplicationSettings, digests: Callable[[], list[int]]
+    ) -> None:
         self.book, self.me, self.disk, self.settings, self._digests = book, me, disk, settings, digests
-        self.token, self.members = NONE, dict[str, str]()
-        self.ways: dict[str, Way] = {}
-        self.out: deque[tuple[str, Open | Put | Shut]] = deque()
+        self.token, self.members = NO_TOKEN, dict[str, str]()
+        self.ways: dict[str, ReplicaStream] = {}
+        self.out: deque[tuple[str, OpenStream | Append | CloseStream]] = deque()
         self.locals: deque[Batch] = deque()  # to be written to the own disk
         self.reads: deque[tuple[str, int, int]] = deque()  # holder, stream, bucket of the own disk
         self.notes: deque[dict[str, str]] = deque()  # members and their disks, to be left with the lease
         self.ready = False  # the first note under this token is kept: it may act
-        self.fenced: Token | None = None  # under which another owns it
+        self.fenced: FencingToken | None = None  # under which another owns it
         self.failed = False  # the own disk has
         self.noting: dict[str, str] | None = None
         self.short_since: float | None = None  # since when fewer than wanted have the whole
@@ -116,7 +118,7 @@
 
     # The lease.
 
-    def won(self, now: float, token: Token, members: Mapping[str, str]) -> None:
+    def won(self, now: float, token: FencingToken, members: Mapping[str, str]) -> None:
         """The book is owned under this token; `members` as the note has them, without who is lost for sure."""
         self.token, self.ready, self.fenced = token, False, None
         self._left |= self.ways.keys()
@@ -152,7 +154,7 @@
         token."""
         for name in sorted({*self.members, said} - {self.me}):
             self._streams += 1
-            self.out.append((name, Open(self.book, self.token, self._streams)))
+            self.out.append((name, OpenStream(self.book, self.token, self._streams)))
 
     @property
     def full(self) -> bool:
@@ -171,7 +173,7 @@
 
     # What is written.
 
-    def write(self, items: Iterable[Item], waiter: Waiter | None, drops: Iterable[str] = ()) -> None:
+    def write(self, items: Iterable[ReplicaEntry], waiter: Waiter | None, drops: Iterable[str] = ()) -> None:
         """Write entries down, and forget others.  `waiter` is told once they are safe, True where that is with as many
         as the settings ask for; never, where the book is lost before.  Without entries it tells when all that the own
         disk has is safe: after a takeover nothing found there may be acted on before, as others may not have it."""
@@ -252,7 +254,7 @@
             if name not in self.members and self.noting is None and self.ready:
                 self._left.discard(name)
                 self._streams += 1
-                self.out.append((name, Shut(self.book, self.token, self._streams)))
+                self.out.append((name, CloseStream(self.book, self.token, self._streams)))
 
     def heard(self, now: float, name: str) -> None:
         """A holder with nothing out to it was heard."""
@@ -260,14 +262,14 @@
         if way is not None and not way.queue and way.stage is Stage.WHOLE:
             way.since = now
 
-    def _begin(self, now: float, name: str) -> Way:
+    def _begin(self, now: float, name: str) -> ReplicaStream:
         self._streams += 1
-        way = self.ways[name] = Way(name, self._streams, now, again=now + self.settings.again_ms)
+        way = self.ways[name] = ReplicaStream(name, self._streams, now, again=now + self.settings.again_ms)
         self._left.discard(name)
-        self.out.append((name, Open(self.book, self.token, way.stream)))
+        self.out.append((name, OpenStream(self.book, self.token, way.stream)))
         return way
 
-    def _give_up(self, now: float, way: Way) -> None:
+    def _give_up(self, now: float, way: ReplicaStream) -> None:
         del self.ways[way.name]
         self._lost[way.name] = now + self.settings.pause_ms
         self._left.add(way.name)
@@ -305,14 +307,14 @@
 
     def received(self, now: float, holder: str, answer: Answer) -> None:
         """A holder's answer; one to another stream says nothing here."""
-        if isinstance(answer, Fenced):
+        if isinstance(answer, FencedReply):
             if answer.token > self.token:
-                self.fenced = max(answer.token, self.fenced or NONE)
+                self.fenced = max(answer.token, self.fenced or NO_TOKEN)
             return
         way = self.ways.get(holder)
         if way is None or (answer.token, answer.stream) != (self.token, way.stream):
             return
-        if isinstance(answer, Kept):
+        if isinstance(answer, AppendAck):
             self._kept(now, way, answer.number)
         elif way.stage is Stage.OPENING:
             mine = self._digests()
@@ -332,7 +334,7 @@
         """The last batch that is safe."""
         return self._open[0].number - 1 if self._open else self._next.number - 1
 
-    def _fill(self, now: float, way: Way) -> None:
+    def _fill(self, now: float, way: ReplicaStream) -> None:
         if way.whole_at or way.reading >= 0:
             return
         if way.differs:
@@ -345,7 +347,7 @@
             self._queue_batch(now, way, batch)
         way.behind, way.whole_at = [], way.number
 
-    def read(self, now: float, name: str, stream: int, bucket: int, items: tuple[Item, ...] | None) -> None:
+    def read(self, now: float, name: str, stream: int, bucket: int, items: tuple[ReplicaEntry, ...] | None) -> None:
         """A bucket of the own disk; None: it could not be read, and is read again."""
         way = self.ways.get(name)
         if way is None or way.stream != stream or way.reading != bucket:
@@ -365,15 +367,15 @@
         way.fill_at = max(way.fill_at, now) + sent / self.settings.fill_per_ms
         self._fill(now, way)
 
-    def _queue_batch(self, now: float, way: Way, batch: Batch) -> None:
+    def _queue_batch(self, now: float, way: ReplicaStream, batch: Batch) -> None:
         *parts, last = self._parts(batch.items)
         for part in parts:
             self._queue(now, way, part, ())
         self._queue(now, way, last, tuple(batch.drops), batch=batch.number)
 
-    def _parts(self, items: Iterable[Item]) -> list[tuple[Item, ...]]:
+    def _parts(self, items: Iterable[ReplicaEntry]) -> list[tuple[ReplicaEntry, ...]]:
         """Entries as messages of half a window at most, or one entry: a link carries no larger ones."""
-        parts, size = list[list[Item]]([[]]), 0
+        parts, size = list[list[ReplicaEntry]]([[]]), 0
         for item in items:
             add = len(item.id) + len(item.data)
             if parts[-1] and size + add > self.settings.window_bytes // 2:
@@ -383,7 +385,7 @@
             size += add
         return [tuple(part) for part in parts]
 
-    def _compare(self, now: float, way: Way, told: Told) -> None:
+    def _compare(self, now: float, way: ReplicaStream, told: CommitIndex) -> None:
         """What a holder's disk has beside the own.  Only while nothing is on its way: else both are right."""
         mine = self._digests()[told.first : told.first + self.settings.check_step]
         if told.number != way.number or any(not batch.local for batch in self._open):
@@ -399,8 +401,8 @@
     def _queue(
         self,
         now: float,
-        way: Way,
-        items: tuple[Item, ...],
+        way: ReplicaStream,
+        items: tuple[ReplicaEntry, ...],
         drops: tuple[str, ...],
         bucket: int = -1,
         only: tuple[tuple[str, int], ...] = (),
@@ -412,12 +414,12 @@
         if not way.queue:
             way.since, way.again = now, now + self.settings.again_ms
         way.queue.append(
-            (Put(self.book, self.token, way.stream, way.number, items, drops, bucket, only, check), size, batch, now)
+            (Append(self.book, self.token, way.stream, way.number, items, drops, bucket, only, check), size, batch, now)
         )
         way.bytes += size
         self._send(now, way)
 
-    def _send(self, now: float, way: Way) -> None:
+    def _send(self, now: float, way: ReplicaStream) -> None:
         """What fits into the window."""
         left = self.settings.window_bytes
         for put, size, _, since in way.queue:
@@ -429,7 +431,7 @@
                 self.bytes_out += size
                 way.sent = put.number
 
-    def _kept(self, now: float, way: Way, number: int) -> None:
+    def _kept(self, now: float, way: ReplicaStream, number: int) -> None:
         if not way.kept < number <= way.number:
             return
         while way.queue and way.queue[0][0].number <= number:
@@ -456,7 +458,7 @@
             elif out and now >= way.again:
                 way.again = now + self.settings.again_ms
                 if way.stage is Stage.OPENING:
-                    self.out.append((way.name, Open(self.book, self.token, way.stream)))
+                    self.out.append((way.name, OpenStream(self.book, self.token, way.stream)))
                 else:
                     way.sent = way.kept
                     self._send(now, way)
--- a/kelptrail/replication/replica_store.py
+++ b/kelptrail/replication/replica_store.py
@@ -18,11 +18,11 @@
 import apsw
 import msgspec
 
-from kelptrail.lease.messages import Token
-from kelptrail.store.activation_journal import BookError, Life
+from kelptrail.lease.messages import FencingToken
+from kelptrail.store.activation_journal import ActivationEntries, JournalError
 from kelptrail.store.entries import Accepted, DamagedError, Ended, MayRun, unpack
 
-from .messages import BUCKETS, Item, bucket_of, digest, pack_digests
+from .messages import BUCKETS, ReplicaEntry, bucket_of, digest, pack_digests
 from .replica import Work
 
 FORMAT = 1
@@ -44,12 +44,12 @@
     book: str
     bucket: int = -1
     wall_ms: float = 0.0  # now
-    items: tuple[Item, ...] | None = None
-    lives: list[Life] = field(default_factory=list)
+    items: tuple[ReplicaEntry, ...] | None = None
+    lives: list[ActivationEntries] = field(default_factory=list)
     damaged: int = 0
 
 
-class Shelves:
+class ReplicaStore:
     """One file; `file` None: in memory.  Raises `BookError`."""
 
     def __init__(self, file: Path | None, vfs: str | None = None) -> None:
@@ -64,7 +64,7 @@
             self._run("PRAGMA synchronous=FULL")
             version = self._run("PRAGMA user_version")[0][0]
             if version > FORMAT:
-                raise BookError(f"format {version} is newer than {FORMAT}, which is known here")
+                raise JournalError(f"format {version} is newer than {FORMAT}, which is known here")
             if not version:
                 with self._whole():
                     for table in TABLES:
@@ -76,7 +76,7 @@
                 self._digest(book)[bucket] ^= digest(id_, kind, crc)
             self.digests = self._staged
         except (apsw.Error, IndexError) as cause:
-            raise BookError(f"{type(cause).__name__}: {cause}") from None
+            raise JournalError(f"{type(cause).__name__}: {cause}") from None
 
     def _run(self, text: str, values: tuple[object, ...] = ()) -> list[tuple]:
         return list(self._db.execute(text, values))
@@ -100,10 +100,10 @@
         """Of all buckets of a book."""
         return self.digests.get(book, [0] * BUCKETS)
 
-    def books(self) -> dict[str, tuple[Token, str]]:
+    def books(self) -> dict[str, tuple[FencingToken, str]]:
         """Token and owner of each."""
         return {
-            book: (Token(round_, who), owner)
+            book: (FencingToken(round_, who), owner)
             for book, round_, who, owner in self._run("SELECT book, round, who, owner FROM shelves")
         }
 
@@ -122,7 +122,7 @@
                     else:
                         self._do(work)
         except apsw.Error as cause:
-            raise BookError(f"{type(cause).__name__}: {cause}") from None
+            raise JournalError(f"{type(cause).__name__}: {cause}") from None
         self.digests = self._staged
 
     def _do(self, work: Work) -> None:
@@ -178,14 +178,14 @@
     def _read(self, reading: Reading) -> None:
         if reading.bucket >= 0:
             reading.items = tuple(
-                Item(id_, kind, max(0.0, reading.wall_ms - since), bytes(body))
+                ReplicaEntry(id_, kind, max(0.0, reading.wall_ms - since), bytes(body))
                 for id_, kind, since, body in self._run(
                     "SELECT id, kind, since, body FROM entries WHERE book = ? AND bucket = ? ORDER BY id, kind",
                     (reading.book, reading.bucket),
                 )
             )
             return
-        life, shift = cast(Life | None, None), 0.0
+        life, shift = cast(ActivationEntries | None, None), 0.0
         for id_, kind, since, crc, body in self._db.execute(
             "SELECT id, kind, since, crc, body FROM entries WHERE book = ? ORDER BY bucket, id, kind", (reading.book,)
         ):
@@ -199,7 +199,7 @@
                 continue
             if isinstance(entry, Accepted):
                 # Its times are told by this machine's clock, as that of its owner may have been another.
-                life, shift = Life(msgspec.structs.replace(entry, start=since)), since - entry.start
+                life, shift = ActivationEntries(msgspec.structs.replace(entry, start=since)), since - entry.start
                 reading.lives.append(life)
             elif life is not None and life.accepted.id == id_:
                 if isinstance(entry, MayRun):
@@ -220,12 +220,12 @@
             self._db.close()
 
 
-def open_shelves(file: Path | None, vfs: str | None = None) -> tuple[Shelves, Path | None]:
+def open_replica_store(file: Path | None, vfs: str | None = None) -> tuple[ReplicaStore, Path | None]:
     """Open; a file that cannot be read is set aside, its new name returned: it counts as a lost disk, and is filled up
     from others.  Raises `BookError`."""
     try:
-        return Shelves(file, vfs), None
-    except BookError as cause:
+        return ReplicaStore(file, vfs), None
+    except JournalError as cause:
         if file is None or not any(word in str(cause) for word in DAMAGED):
             raise
     number = 1
@@ -235,4 +235,4 @@
         part = file.with_name(file.name + end)
         if part.exists():
             part.rename(aside.with_name(aside.name + end))
-    return Shelves(file, vfs), aside
+    return ReplicaStore(file, vfs), aside
--- a/kelptrail/service/build.py
+++ b/kelptrail/service/build.py
@@ -9,7 +9,7 @@
 from kelptrail.net.grpc_server import GrpcLimits
 from kelptrail.net.guard import GuardSettings
 from kelptrail.net.server import Limits
-from kelptrail.net.tls import TlsFiles, TlsKeeper
+from kelptrail.net.tls import CertificateReloader, TlsFiles
 from kelptrail.settings.deployment import Deployment, FrontSettings, InferenceSettings
 
 
@@ -45,7 +45,7 @@
     )
 
 
-def tls_keeper(deployment: Deployment, side: str, alpn: list[str], log: Any) -> TlsKeeper | None:
+def tls_keeper(deployment: Deployment, side: str, alpn: list[str], log: Any) -> CertificateReloader | None:
     """One side's TLS, if the settings have it.  Raises `ValueError` where its files cannot be used."""
     found = deployment.tls.get(side)
     if found is None:
@@ -63,4 +63,4 @@
         found.ciphers,
         found.warn_days,
     )
-    return TlsKeeper(files, side != "to-workers", alpn, log, wall_ms)
+    return CertificateReloader(files, side != "to-workers", alpn, log, wall_ms)
--- a/kelptrail/service/control.py
+++ b/kelptrail/service/control.py
@@ -8,12 +8,12 @@
 import msgspec
 
 from kelptrail.codec.http import Request
-from kelptrail.gateway.driver import Driver
+from kelptrail.gateway.driver import GatewayDriver
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.server import Exchange, HttpServer
-from kelptrail.net.tls import TlsKeeper
+from kelptrail.net.tls import CertificateReloader
 
-from .front_addresses import Standing
+from .front_addresses import FrontAddresses
 
 
 class Control:
@@ -21,11 +21,11 @@
 
     def __init__(
         self,
-        driver: Driver,
+        driver: GatewayDriver,
         front: HttpServer,
         second: GrpcServer,
-        standing: Standing | None,
-        keepers: dict[str, TlsKeeper] | None = None,
+        standing: FrontAddresses | None,
+        keepers: dict[str, CertificateReloader] | None = None,
         more: dict[str, Callable[[], Any]] | None = None,
         retire: Callable[[], None] | None = None,
     ) -> None:
@@ -63,7 +63,7 @@
         gateway = self._driver.gateway
         counts = gateway.counts
         return {
-            "in_hand": gateway.in_hand,
+            "in_hand": gateway.in_flight,
             "taken": counts.taken,
             "completed": counts.completed,
             "rejected": counts.rejected,
@@ -86,7 +86,7 @@
                 "floods": self._second.floods,
                 "faults": self._second.faults,
             },
-            "storm": gateway.storm.status(),
+            "storm": gateway.overload.status(),
             "tls": {name: keeper.status() for name, keeper in self._keepers.items()},
             "held_bytes": gateway.holdings.bytes,
             "refused": dict(gateway.holdings.refused),
--- a/kelptrail/service/fleet.py
+++ b/kelptrail/service/fleet.py
@@ -7,17 +7,17 @@
 from pathlib import Path
 from typing import Any
 
-from kelptrail.lease.driver import Leases
+from kelptrail.lease.driver import LeaseDriver
 from kelptrail.lease.messages import LeaseSettings
-from kelptrail.membership.members import Listing
-from kelptrail.peers.connection import LinkSettings
+from kelptrail.membership.members import EndpointList
+from kelptrail.peers.connection import PeerSettings
 from kelptrail.peers.driver import Peers
-from kelptrail.replication.driver import Copies
-from kelptrail.replication.messages import CopySettings
+from kelptrail.replication.driver import ReplicationDriver
+from kelptrail.replication.messages import ReplicationSettings
 from kelptrail.replication.replica_placement import Member
-from kelptrail.replication.replica_store import Shelves, open_shelves
+from kelptrail.replication.replica_store import ReplicaStore, open_replica_store
 from kelptrail.settings.deployment import Deployment, LeasesPlan, PeersPlan
-from kelptrail.store.activation_journal import BookError
+from kelptrail.store.activation_journal import JournalError
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,9 +34,9 @@
     hall: str = ""
 
 
-def link_settings(plan: PeersPlan) -> LinkSettings:
+def link_settings(plan: PeersPlan) -> PeerSettings:
     """The channel's figures as links take them."""
-    return LinkSettings(
+    return PeerSettings(
         plan.beat_ms, plan.silent_ms, plan.connect_ms, int(plan.most_kb * 1024), plan.per_s, int(plan.most_kb * 1024)
     )
 
@@ -57,9 +57,9 @@
     )
 
 
-def copy_settings(plan: PeersPlan) -> CopySettings:
+def copy_settings(plan: PeersPlan) -> ReplicationSettings:
     """The copies' figures as owners take them."""
-    return CopySettings(
+    return ReplicationSettings(
         plan.copies,
         plan.copies_short == "promise",
         slow_ms=plan.slow_ms,
@@ -81,12 +81,12 @@
         self._stated = {peer.name: peer.at for peer in plan.peer if peer.at}
         self.length_ms = leases.length_ms if leases is not None else 0.0
         self.peers = Peers(options.name, deployment.name, link_settings(plan), self.where, log)
-        self.leases: Leases | None = None
-        self.copies: Copies | None = None
+        self.leases: LeaseDriver | None = None
+        self.copies: ReplicationDriver | None = None
         self._halls = {peer.name: peer.hall for peer in plan.peer}
         if leases is None:
             return
-        self.leases = Leases(options.name, options.run, lease_settings(leases), self.peers, log)
+        self.leases = LeaseDriver(options.name, options.run, lease_settings(leases), self.peers, log)
         if options.name in (*leases.voters, *leases.before):
             if options.state is None:
                 raise ValueError(f"{options.name} is a voter and needs --state: its promises are kept there")
@@ -99,14 +99,14 @@
         if state is None or self.leases is None:
             raise ValueError(f"{options.name} keeps copies and needs --state")
         try:
-            own, aside = open_shelves(state / "copies.sqlite", options.vfs)
-            others = own if plan.copies_in == "disk" else Shelves(None)
-        except BookError as cause:
+            own, aside = open_replica_store(state / "copies.sqlite", options.vfs)
+            others = own if plan.copies_in == "disk" else ReplicaStore(None)
+        except JournalError as cause:
             log.error("copies-unusable", reason=str(cause))
             return
         if aside is not None:
             log.error("copies-set-aside", file=str(aside))
-        self.copies = Copies(
+        self.copies = ReplicationDriver(
             options.name,
             copy_settings(plan),
             plan.take_ms,
@@ -134,7 +134,7 @@
         """Dispatchers that are known."""
         return {*self._listed, *self._stated, *self._options.at, *(self.leases.settings.voters if self.leases else ())}
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: EndpointList) -> None:
         """The worker list names dispatchers, too."""
         self._listed = {peer.name: peer.channel for peer in listing.dispatchers if peer.channel}
         self._halls |= {peer.name: peer.hall for peer in listing.dispatchers if peer.hall}
--- a/kelptrail/service/front_addresses.py
+++ b/kelptrail/service/front_addresses.py
@@ -11,7 +11,7 @@
 
 from kelptrail.clock import now_ms
 from kelptrail.front.invoke.api import InvokeApi
-from kelptrail.gateway.driver import Driver
+from kelptrail.gateway.driver import GatewayDriver
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.server import Handler, HttpServer, Limits
 from kelptrail.settings.deployment import FrontSettings, VrrpSettings
@@ -26,7 +26,7 @@
 LOOKED_AT = 3  # workers that are tried when no send tells whether any can be reached
 
 
-class Standing:
+class FrontAddresses:
     """One dispatcher's part in the virtual routers of its deployment."""
 
     def __init__(
@@ -34,7 +34,7 @@
         settings: VrrpSettings,
         name: str,
         state: Path | None,
-        driver: Driver,
+        driver: GatewayDriver,
         api: InvokeApi,
         limits: Limits,
         front: FrontSettings,
@@ -115,14 +115,14 @@
 
     async def _look(self) -> None:
         """Tell what is tracked; look for workers only while no send tells of them."""
-        sight = self._driver.sight
+        sight = self._driver.connection_health
         while True:
             await asyncio.sleep(LOOK_MS / 1000)
             if "workers" in self.vrrp.instance.tracking.tracks:
-                well = sight.well(now_ms())
+                well = sight.is_healthy(now_ms())
                 if well is None:
-                    sight.looked(now_ms(), await self._reach_any())
-                    well = sight.well(now_ms())
+                    sight.on_connect_result(now_ms(), await self._reach_any())
+                    well = sight.is_healthy(now_ms())
                 self.vrrp.told("workers", bool(well))
             servers = self.servers()
             away = sum(server.turned_away for server in servers)
--- a/kelptrail/service/lease_trial.py
+++ b/kelptrail/service/lease_trial.py
@@ -17,18 +17,18 @@
 
 from kelptrail.clock import harm, now_ms, true_ms
 from kelptrail.codec.http import HttpError
-from kelptrail.lease.driver import Leases
-from kelptrail.lease.messages import Token
-from kelptrail.net.http_client import Errand
+from kelptrail.lease.driver import LeaseDriver
+from kelptrail.lease.messages import FencingToken
+from kelptrail.net.http_client import HttpClient
 
 EVERY_MS, WORK_MS, LOOK_MS = 50.0, 15.0, 50.0
 
 
-class Trial:
+class LeaseTrial:
     """One dispatcher's acts on some tasks.  After SIGUSR1 the process stops itself (SIGSTOP) once, between the next
     look at a lease and the act; SIGUSR2 calls that off.  Whoever plays the trial wakes it."""
 
-    def __init__(self, leases: Leases, witness: str, tasks: tuple[str, ...], length_ms: float) -> None:
+    def __init__(self, leases: LeaseDriver, witness: str, tasks: tuple[str, ...], length_ms: float) -> None:
         self._leases, self._witness, self._tasks, self._length_ms = leases, witness, tasks, length_ms
         self._stops = False
         self._loop = asyncio.get_running_loop()
@@ -47,20 +47,20 @@
         for task in self._acting.values():
             task.cancel()
 
-    def _won(self, task: str) -> Callable[[Token], None]:
-        def won(token: Token) -> None:
+    def _won(self, task: str) -> Callable[[FencingToken], None]:
+        def won(token: FencingToken) -> None:
             self._acting[task] = self._loop.create_task(self._act(task, token))
 
         return won
 
-    def _lost(self, task: str) -> Callable[[Token, str], None]:
-        def lost(token: Token, reason: str) -> None:
+    def _lost(self, task: str) -> Callable[[FencingToken, str], None]:
+        def lost(token: FencingToken, reason: str) -> None:
             self._acting.pop(task).cancel()
 
         return lost
 
-    async def _act(self, task: str, token: Token) -> None:
-        errand = Errand(self._witness)
+    async def _act(self, task: str, token: FencingToken) -> None:
+        errand = HttpClient(self._witness)
         try:
             while True:
                 with contextlib.suppress(OSError, HttpError, TimeoutError):
@@ -70,7 +70,7 @@
         finally:
             errand.close()
 
-    async def _once(self, errand: Errand, task: str, token: Token) -> bool:
+    async def _once(self, errand: HttpClient, task: str, token: FencingToken) -> bool:
         looked, said = true_ms(), {"task": task, "token": [token.round, token.who], "who": self._leases.name}
         if self._stops:
             self._stops = False
@@ -84,7 +84,7 @@
         return bool((await errand.json("POST", "/done", said | {"looked": true_ms()}))["taken"])
 
 
-class HarmedClock:
+class FaultyClock:
     """Looks at a file that says what ails this process's clock: `{"rate": 1.01, "step_ms": 0}`; none: it is sound."""
 
     def __init__(self, file: Any, log: Any) -> None:
--- a/kelptrail/service/planner.py
+++ b/kelptrail/service/planner.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from kelptrail.membership.client import RosterClient
-from kelptrail.membership.members import Listing
+from kelptrail.membership.client import EndpointClient
+from kelptrail.membership.members import EndpointList
 from kelptrail.net.server import Exchange, HttpServer, Limits
-from kelptrail.planner.driver import Options, PlannerProgram
+from kelptrail.planner.driver import Options, PlannerDriver
 from kelptrail.settings.deployment import Deployment
 
 from .fleet import Fleet, FleetOptions
@@ -35,7 +35,7 @@
         raise ValueError("planners act under a lease: (peers ...) and (leases ...) are needed")
     fleet = Fleet(deployment, FleetOptions(options.name, os.urandom(4).hex(), None, options.at), log)
     assert fleet.leases is not None
-    program = PlannerProgram(deployment, options, fleet.leases, fleet.length_ms, log)
+    program = PlannerDriver(deployment, options, fleet.leases, fleet.length_ms, log)
     had = program.restore()
     program.listen()
     last = options.state / "last-list.json" if options.state is not None else None
@@ -45,11 +45,11 @@
     fleet.start()
     program.start()
 
-    def changed(listing: Listing) -> None:
+    def changed(listing: EndpointList) -> None:
         fleet.listed(listing)
         program.listed(listing)
 
-    roster = RosterClient(options.roster, "", changed, last, log)
+    roster = EndpointClient(options.roster, "", changed, last, log)
     roster.start_from_last()
     follower = loop.create_task(roster.follow())
 
--- a/kelptrail/service/serve.py
+++ b/kelptrail/service/serve.py
@@ -20,31 +20,31 @@
 from kelptrail.front.callers import Callers
 from kelptrail.front.inference.api import InferenceApi
 from kelptrail.front.invoke.api import InvokeApi
-from kelptrail.gateway.build import World
+from kelptrail.gateway.build import DispatcherParts
 from kelptrail.gateway.core import Gateway
-from kelptrail.gateway.driver import Driver
-from kelptrail.membership.client import RosterClient
-from kelptrail.membership.members import PREFIX, Listing, id_prefix
+from kelptrail.gateway.driver import GatewayDriver
+from kelptrail.membership.client import EndpointClient
+from kelptrail.membership.members import PREFIX, EndpointList, id_prefix
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.listener import ConnectPace, PaceSettings
 from kelptrail.net.server import Handler, HttpServer, Limits
-from kelptrail.net.tls import TlsKeeper
+from kelptrail.net.tls import CertificateReloader
 from kelptrail.planner.driver import Options as PlannerOptions
-from kelptrail.planner.driver import PlannerProgram
+from kelptrail.planner.driver import PlannerDriver
 from kelptrail.planner.edge_driver import PlanFollower
 from kelptrail.replication.messages import PREFIX as BOOKS
 from kelptrail.settings.deployment import Deployment, FrontSettings, InferenceSettings
-from kelptrail.store.activation_journal import Book, BookError, open_book
+from kelptrail.store.activation_journal import ActivationJournal, JournalError, open_journal
 from kelptrail.store.driver import JournalDriver
-from kelptrail.store.faulty_disk import HarmedDisk
-from kelptrail.store.group_commit import Journal
+from kelptrail.store.faulty_disk import FaultyDisk
+from kelptrail.store.group_commit import GroupCommit
 
 from .build import grpc_limits, limits, tls_keeper
 from .control import Control
 from .fleet import Fleet, FleetOptions
-from .front_addresses import Standing
-from .journal_takeover import carry_on
-from .lease_trial import HarmedClock, Trial
+from .front_addresses import FrontAddresses
+from .journal_takeover import take_over_journal
+from .lease_trial import FaultyClock, LeaseTrial
 from .usage import Usage
 
 
@@ -72,11 +72,11 @@
     tasks: tuple[str, ...] = ()
 
 
-def _open(file: Path, most_bytes: float, vfs: str | None, log: Any) -> Book | None:
+def _open(file: Path, most_bytes: float, vfs: str | None, log: Any) -> ActivationJournal | None:
     """The book, or None where it cannot be used: then deferred calls are refused."""
     try:
-        book, aside = open_book(file, most_bytes, vfs)
-    except BookError as cause:
+        book, aside = open_journal(file, most_bytes, vfs)
+    except JournalError as cause:
         log.error("book-unusable", file=str(file), reason=str(cause))
         return None
     if aside is not None:
@@ -84,7 +84,7 @@
     return book
 
 
-def _look(keepers: dict[str, TlsKeeper]) -> None:
+def _look(keepers: dict[str, CertificateReloader]) -> None:
     for keeper in keepers.values():
         keeper.look()
 
@@ -98,7 +98,7 @@
     def step(self) -> None:
         """One look."""
         self._rests += 1
-        if not self._gateway.in_hand or self._rests >= self._most:
+        if not self._gateway.in_flight or self._rests >= self._most:
             self._rests = 0
             gc.collect()
 
@@ -118,18 +118,18 @@
         loop.add_signal_handler(sign, stop.set)
     # Ids tell which dispatcher gave them; the rest is new at each start, so that they never meet another run's.
     boot = id_prefix(options.name) + os.urandom(8).hex()[PREFIX:]
-    world = World(
+    world = DispatcherParts(
         deployment, options.hall or deployment.dispatcher.hall or deployment.halls[0], zlib.crc32(boot.encode())
     )
     settings, book = deployment.journal, None
-    disk = HarmedDisk(options.harmed) if options.harmed is not None else None
-    harmed_clock = HarmedClock(options.harmed_clock, log) if options.harmed_clock is not None else None
+    disk = FaultyDisk(options.harmed) if options.harmed is not None else None
+    harmed_clock = FaultyClock(options.harmed_clock, log) if options.harmed_clock is not None else None
     if options.state is not None:
         with contextlib.suppress(OSError):  # what cannot be kept there is told by whoever needs it
             options.state.mkdir(parents=True, exist_ok=True)
         if settings.keep:
             book = _open(options.state / "book.sqlite", settings.most_mb * 1e6, disk.vfs_name if disk else None, log)
-    journal = Journal(settings.most_waiting) if options.state is not None and settings.keep else None
+    journal = GroupCommit(settings.most_waiting) if options.state is not None and settings.keep else None
     if journal is not None and book is None:  # blocking calls go on; nothing new is promised
         journal.failing, journal.reason = True, "the book cannot be used"
     gateway = Gateway(world, boot, journal)
@@ -144,7 +144,7 @@
                 os.kill(os.getpid(), signal.SIGSTOP)
 
         gateway.passes = stand_still
-    driver = Driver(gateway, f"{options.name}/{boot}", deployment.pool, log)
+    driver = GatewayDriver(gateway, f"{options.name}/{boot}", deployment.pool, log)
     driver.debug = debug
     keepers = {
         name: keeper
@@ -167,7 +167,7 @@
         )
 
     def connected() -> None:
-        gateway.storm.connected(now_ms())
+        gateway.overload.connected(now_ms())
 
     api = InvokeApi(deployment, driver, boot, callers)
     inference = InferenceApi(deployment, driver, callers)
@@ -212,26 +212,28 @@
         )
         if deployment.peers.copies:
             fleet.hold(deployment.peers, log)
-            carry_on(fleet.copies, gateway, driver, settings.resume_at_once, 2 * deployment.dispatcher.answer_margin_ms)
+            take_over_journal(
+                fleet.copies, gateway, driver, settings.resume_at_once, 2 * deployment.dispatcher.answer_margin_ms
+            )
             api.copies = inference.copies = fleet.copies
     if book is not None and journal is not None:
-        driver.journal = JournalDriver(journal, book, driver.stir_soon, log)
+        driver.journal = JournalDriver(journal, book, driver.schedule_decisions, log)
         gateway.on_forget = driver.journal.forget
         began = now_ms()
         # Half the margin is the least in which a run is worth beginning, as little time as a send and its answer take.
         # What moved on to a book with copies is found there.
         moved = fleet.copies.ids() if fleet is not None and fleet.copies is not None else set()
-        lives = (life for life in book.lives() if life.accepted.id not in moved)
+        lives = (life for life in book.activations() if life.accepted.id not in moved)
         found = gateway.recover(
             began, wall_ms(), lives, 2 * deployment.dispatcher.answer_margin_ms, settings.resume_at_once
         )
         log.info("recovered", ms=round(now_ms() - began), damaged=book.damaged, **found)
     listed = asyncio.Event()
     plans: PlanFollower | None = None
-    inner: PlannerProgram | None = None
+    inner: PlannerDriver | None = None
 
-    def changed(listing: Listing) -> None:
-        driver.listed(listing)
+    def changed(listing: EndpointList) -> None:
+        driver.on_endpoints(listing)
         if fleet is not None:
             fleet.listed(listing)
         if plans is not None:
@@ -240,9 +242,9 @@
             inner.listed(listing)
         listed.set()
 
-    roster = RosterClient(options.roster, driver.name, changed, last, log)
+    roster = EndpointClient(options.roster, driver.name, changed, last, log)
     had = roster.start_from_last()
-    trial: Trial | None = None
+    trial: LeaseTrial | None = None
     usage: Usage | None = None
     if fleet is not None:
         if fleet.leases is not None and options.crash_at:
@@ -263,14 +265,14 @@
             usage.start()
         roster.channel, roster.hall = fleet.peers.address, options.hall
         if fleet.leases is not None and options.witness:
-            trial = Trial(fleet.leases, options.witness, options.tasks, fleet.length_ms)
+            trial = LeaseTrial(fleet.leases, options.witness, options.tasks, fleet.length_ms)
             trial.start()
     # What stands now stands for good; the rest goes without a collector, but for rare cycles.  Guards against full
     # collections of 100 ms in the middle of calls: they come while nothing is in hand, else every ten minutes.
     gc.collect()
     gc.freeze()
     gc.set_threshold(50_000, 20, 1_000_000)
-    background = Background(SchedulerSettings(), now_ms, lambda: bool(gateway.in_hand), log)
+    background = Background(SchedulerSettings(), now_ms, lambda: bool(gateway.in_flight), log)
     collector = _Collector(gateway)
     background.add("collect", collector.step, 9, 60_000.0, 600_000.0, 0.05)
     port = server.listen(options.host, options.port, options.shared_port)
@@ -283,7 +285,7 @@
         background.add("certificates", partial(_look, keepers), 5, 1000.0)
     planners = list(options.planners)
     if deployment.planner.within and fleet is not None and fleet.leases is not None:
-        inner = PlannerProgram(
+        inner = PlannerDriver(
             deployment,
             PlannerOptions(f"{options.name}-planner", "127.0.0.1", 0, options.roster, options.state),
             fleet.leases,
@@ -300,7 +302,7 @@
             options.name,
             deployment.name,
             gateway,
-            driver.stir_soon,
+            driver.schedule_decisions,
             options.state / "plan.bin" if options.state is not None else None,
             log,
         )
@@ -314,13 +316,13 @@
         wanted = deployment.inference.port if options.grpc_port is None else options.grpc_port
         second.listen(options.host, wanted, options.shared_port)
     follower = loop.create_task(roster.follow())
-    driver.stir()
+    driver.decide()
     with contextlib.suppress(TimeoutError):
         await asyncio.wait_for(listed.wait(), 3.0)
     log.info("serving", address=server.address, grpc=second.address, boot=boot, from_last_list=had)
-    standing: Standing | None = None
+    standing: FrontAddresses | None = None
     if deployment.vrrp is not None and options.name in {i.name for i in deployment.vrrp.instance}:
-        standing = Standing(
+        standing = FrontAddresses(
             deployment.vrrp,
             options.name,
             options.state,
@@ -361,7 +363,7 @@
     if ready is not None:
         ready(port, control.address, second.address, fleet.peers.address if fleet is not None else "")
     await stop.wait()
-    log.info("draining", in_hand=gateway.in_hand, connections=server.connections)
+    log.info("draining", in_hand=gateway.in_flight, connections=server.connections)
     api.leaving = inference.leaving = True
     second.leave()
     within = deployment.front.drain_ms
--- a/kelptrail/service/usage.py
+++ b/kelptrail/service/usage.py
@@ -16,8 +16,8 @@
 import msgspec
 
 from kelptrail.clock import now_ms
-from kelptrail.lease.driver import Leases
-from kelptrail.lease.messages import NONE, Token
+from kelptrail.lease.driver import LeaseDriver
+from kelptrail.lease.messages import NO_TOKEN, FencingToken
 from kelptrail.peers.driver import Peers
 
 TASK, SPEAKS = "usage", "usage"
@@ -28,7 +28,7 @@
 class Collect(msgspec.Struct, frozen=True, tag="collect", array_like=True):
     """What have you counted?"""
 
-    token: Token
+    token: FencingToken
     turn: int
 
 
@@ -43,7 +43,7 @@
 class Total(msgspec.Struct, frozen=True, tag="total", array_like=True):
     """Calls a second over the fleet, from `dispatchers` that answered both this turn and the one before."""
 
-    token: Token
+    token: FencingToken
     turn: int
     dispatchers: int
     rates: Rates
@@ -52,7 +52,7 @@
 class Collector:
     """The holder's side; free of I/O and clocks."""
 
-    def __init__(self, token: Token) -> None:
+    def __init__(self, token: FencingToken) -> None:
         self.token, self.turn = token, 0
         self._asked = 0.0
         self._last: dict[str, tuple[float, str, Counts]] = {}  # by name: when asked, run, counts
@@ -91,10 +91,10 @@
     """Every dispatcher's side: the newest total, and which questions are answered; free of I/O and clocks."""
 
     def __init__(self) -> None:
-        self.token, self.total = NONE, Total(NONE, 0, 0, {})
+        self.token, self.total = NO_TOKEN, Total(NO_TOKEN, 0, 0, {})
         self.refused = 0
 
-    def takes(self, token: Token) -> bool:
+    def takes(self, token: FencingToken) -> bool:
         """Whether an act under this token is taken; an older one is not."""
         if token < self.token:
             self.refused += 1
@@ -115,7 +115,7 @@
 
     def __init__(
         self,
-        leases: Leases,
+        leases: LeaseDriver,
         peers: Peers,
         run: str,
         every_ms: float,
@@ -138,13 +138,13 @@
 
     def stop(self) -> None:
         """Collect no more."""
-        self._lost(NONE, "")
+        self._lost(NO_TOKEN, "")
 
-    def _won(self, token: Token) -> None:
+    def _won(self, token: FencingToken) -> None:
         self._collector = Collector(token)
         self._turn()
 
-    def _lost(self, _token: Token, _reason: str) -> None:
+    def _lost(self, _token: FencingToken, _reason: str) -> None:
         self._collector = None
         if self._timer is not None:
             self._timer.cancel()
--- a/kelptrail/settings/deployment.py
+++ b/kelptrail/settings/deployment.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from .reader import Form, Place, read
+from .reader import Form, SourcePosition, read
 from .shape import Checker, Group, Many, Shape, Value, number, some, word, yes_no
 
 _NAME = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_@ .\-]{0,254}")
@@ -706,7 +706,7 @@
     """Check the text of a deployment file; see `load`."""
     checker = Checker()
     forms = read(text, file)
-    start = Place(file, 1, 1)
+    start = SourcePosition(file, 1, 1)
     whole = [f for f in forms if isinstance(f, Form) and f.head == "deployment"]
     for item in forms:
         if item not in whole:
@@ -758,8 +758,8 @@
 
 def _across(checker: Checker, whole: Form) -> None:
     """Faults that show only between forms: names twice, types that nothing names, keys shared."""
-    named: dict[tuple[str, str], Place] = {}
-    keys: dict[str, Place] = {}
+    named: dict[tuple[str, str], SourcePosition] = {}
+    keys: dict[str, SourcePosition] = {}
     parts = [f for f in whole.items if isinstance(f, Form)]
     types = {_first(f) for f in parts if f.head == "type"}
     halls = {str(a) for f in parts if f.head == "halls" for a in f.items[1:]} or {"hall"}
@@ -869,7 +869,7 @@
                 checker.fault(value[1], value[0], f"an address and a port for {key}, such as 127.0.1.1:8112")
     if len(set(families.values())) > 1:
         checker.fault(whole.place, "IPv4 and IPv6 instances", "one family for all instances")
-    seen: dict[str, Place] = {}
+    seen: dict[str, SourcePosition] = {}
     for form in parts:
         name = _first(form)
         if form.head in ("router", "key", "instance", "track"):
@@ -958,7 +958,7 @@
         )
 
 
-def _across_tls(checker: Checker, form: Form, side: str, named: dict[tuple[str, str], Place]) -> None:
+def _across_tls(checker: Checker, form: Form, side: str, named: dict[tuple[str, str], SourcePosition]) -> None:
     """Sides that there are, once each, with what they cannot do without."""
     if side not in SIDES:
         checker.fault(form.place, side, "one of " + ", ".join(SIDES))
@@ -978,7 +978,7 @@
     return str(form.items[1]) if len(form.items) > 1 and not isinstance(form.items[1], Form) else ""
 
 
-def _value(form: Form, key: str) -> tuple[str, Place] | None:
+def _value(form: Form, key: str) -> tuple[str, SourcePosition] | None:
     for item in form.items:
         if isinstance(item, Form) and item.head == key and len(item.items) == 2:
             value = item.items[1]
--- a/kelptrail/settings/reader.py
+++ b/kelptrail/settings/reader.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class SourcePosition:
     """Where something stood: a file, a line and a column, both from 1."""
 
     file: str
@@ -41,7 +41,7 @@
 class Fault:
     """One thing wrong with a settings file."""
 
-    place: Place
+    place: SourcePosition
     read: str
     expected: str
 
@@ -63,7 +63,7 @@
 
     value: str | float
     kind: str  # "word", "string" or "number"
-    place: Place
+    place: SourcePosition
 
     def __str__(self) -> str:
         if self.kind == "number":
@@ -76,7 +76,7 @@
     """A list; `head` is its first word, if it starts with one."""
 
     items: tuple[Atom | Form, ...]
-    place: Place
+    place: SourcePosition
 
     @property
     def head(self) -> str | None:
@@ -100,7 +100,7 @@
         raise SettingsError(
             [
                 Fault(
-                    Place(file, cause.line, cause.column),
+                    SourcePosition(file, cause.line, cause.column),
                     repr(cause.char),
                     "a word, a number, a closed string or a bracket",
                 )
@@ -112,7 +112,13 @@
         if cause.token.type == "$END":
             raise SettingsError([_open_bracket(text, file)]) from None
         raise SettingsError(
-            [Fault(Place(file, cause.line, cause.column), repr(str(cause.token)), "no bracket that closes nothing")]
+            [
+                Fault(
+                    SourcePosition(file, cause.line, cause.column),
+                    repr(str(cause.token)),
+                    "no bracket that closes nothing",
+                )
+            ]
         ) from None
     return [_convert(child, file) for child in tree.children]
 
@@ -126,16 +132,16 @@
         elif token.type == "RPAR" and left:
             left.pop()
     last = left[-1]
-    return Fault(Place(file, last.line or 1, last.column or 1), "the end of the file", "a ) for this bracket")
+    return Fault(SourcePosition(file, last.line or 1, last.column or 1), "the end of the file", "a ) for this bracket")
 
 
 def _convert(node: Token | Tree, file: str) -> Atom | Form:
     if isinstance(node, Token):
-        place = Place(file, node.line or 1, node.column or 1)
+        place = SourcePosition(file, node.line or 1, node.column or 1)
         if node.type == "NUMBER":
             return Atom(float(node), "number", place)
         if node.type == "STRING":
             return Atom(node[1:-1].replace('\\"', '"').replace("\\\\", "\\"), "string", place)
         return Atom(str(node), "word", place)
-    place = Place(file, node.meta.line, node.meta.column)
+    place = SourcePosition(file, node.meta.line, node.meta.column)
     return Form(tuple(_convert(child, file) for child in node.children), place)
--- a/kelptrail/settings/shape.py
+++ b/kelptrail/settings/shape.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from .reader import Atom, Fault, Form, Place, SettingsError
+from .reader import Atom, Fault, Form, SettingsError, SourcePosition
 
 REQUIRED: Any = object()
 
@@ -103,7 +103,7 @@
     def __init__(self) -> None:
         self.faults: list[Fault] = []
 
-    def fault(self, place: Place, read: object, expected: str) -> None:
+    def fault(self, place: SourcePosition, read: object, expected: str) -> None:
         """Note a fault and go on."""
         self.faults.append(Fault(place, str(read), expected))
 
@@ -120,7 +120,7 @@
                 out[name] = str(items.pop(0)).strip('"')
             else:
                 self.fault(form.place, form, f"({form.head} {name.upper()} ...)")
-        seen: dict[str, Place] = {}
+        seen: dict[str, SourcePosition] = {}
         lists: dict[str, list[Any]] = {k: [] for k, f in shape.fields.items() if isinstance(f, Many)}
         for item in items:
             if not isinstance(item, Form) or item.head is None:
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -15,36 +15,44 @@
 import numpy as np
 
 from kelptrail.codec.infer import Answer
-from kelptrail.dispatch.entities import LoadOrder, AttemptStatus, Attempt
+from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder
 from kelptrail.fault_scenario.report import world_of
-from kelptrail.fault_scenario.scenario import ON_DISKS, ON_PEERS, ON_PLANNERS, ON_STORE, ON_WORKERS, BadDay, Trouble
-from kelptrail.gateway.build import World
-from kelptrail.gateway.core import Final, Gateway, GiveUp, Ivk, PlaceOrder, StartSend
+from kelptrail.fault_scenario.scenario import (
+    ON_DISKS,
+    ON_PEERS,
+    ON_PLANNERS,
+    ON_STORE,
+    ON_WORKERS,
+    Fault,
+    FaultScenario,
+)
+from kelptrail.gateway.build import DispatcherParts
+from kelptrail.gateway.core import CancelAttempt, FinalAnswer, Gateway, Invocation, StartAttempt, StartLoad
 from kelptrail.gateway.overload import Stage as Calm
 from kelptrail.gateway.records import Record
 from kelptrail.load.arrivals import Arrivals, popularity
-from kelptrail.load.client_behavior import Habits, Heard, again, habits_of
+from kelptrail.load.client_behavior import ClientBehavior, Heard, again, behavior_of
 from kelptrail.load.plan import Load
 from kelptrail.load.results import Result, Second
-from kelptrail.membership.members import Listing
+from kelptrail.membership.members import EndpointList
 from kelptrail.planner.driver import TASK
 from kelptrail.service.fleet import lease_settings
 from kelptrail.settings.deployment import ActionSettings, Deployment, NamespaceSettings
-from kelptrail.store.activation_journal import Life
+from kelptrail.store.activation_journal import ActivationEntries
 from kelptrail.store.entries import Accepted, Ended, MayRun
-from kelptrail.store.group_commit import Journal
+from kelptrail.store.group_commit import GroupCommit
 
-from .event_queue import Engine, Timer
-from .leases import LabLeases
-from .planners import LabEdge, LabPlanner
-from .sharding import RemoteDispatcher, RemoteStore, RemoteWorker, Shard, SharedLedger, answer_remote
-from .workers import LabStore, LabWorker
+from .event_queue import EventQueue, Timer
+from .leases import SimulatedLeases
+from .planners import SimulatedEdge, SimulatedPlanner
+from .sharding import RemoteDispatcher, RemoteStore, RemoteWorker, Shard, SharedEffectLog, answer_remote
+from .workers import SimulatedStore, SimulatedWorker
 
 POLL_MS, PATIENCE_MS, WALL = 150.0, 3000.0, 1e12
 
 
 @dataclass(frozen=True, slots=True)
-class LabSettings:
+class SimulationSettings:
     """What the emulation assumes of machines and networks.  Milliseconds."""
 
     network_ms: float = 0.15  # one way, with what the loops on both ends add
@@ -62,7 +70,7 @@
     action: ActionSettings
     space: NamespaceSettings
     deferred: bool
-    habits: Habits
+    habits: ClientBehavior
     tries: int
     dispatcher: int = 0
     began: float = 0.0
@@ -70,22 +78,22 @@
     number: str = ""
     first: float = 0.0  # when it first came
     patience: Timer | None = None
-    ivk: Ivk | None = None
+    ivk: Invocation | None = None
     run: int = 0  # of the dispatcher that took it
     after: Callable[[], None] | None = None  # of a closed loop: what its client does next
 
 
-class LabDispatcher:
+class SimulatedDispatcher:
     """One dispatcher's process."""
 
-    def __init__(self, site: Site, number: int, hall: str) -> None:
+    def __init__(self, site: SimulatedCluster, number: int, hall: str) -> None:
         self._site, self.number, self.name, self._hall = site, number, f"dispatcher-{number}", hall
-        self.up, self.starts, self._book = False, 0, dict[str, Life]()
+        self.up, self.starts, self._book = False, 0, dict[str, ActivationEntries]()
         self._settings, self._engine = site.settings, site.engine
         self.sync_ms, self.disk_fails = site.settings.sync_ms, False
-        self.listing: Listing | None = None
+        self.listing: EndpointList | None = None
         self.begin()
-        self.edge = LabEdge(site, self) if site.day.planners else None
+        self.edge = SimulatedEdge(site, self) if site.day.planners else None
 
     def begin(self) -> None:
         """Start with nothing but the last list and the book."""
@@ -93,8 +101,8 @@
         self.boot = f"{zlib.crc32(f'{self.name}/{self.starts}'.encode()):08x}{self.number:04x}{self.starts:04x}"
         self.who = f"{self.name}/{self.boot}"
         site = self._site
-        self.journal = Journal(site.deployment.journal.most_waiting) if site.deployment.journal.keep else None
-        world = World(site.deployment, self._hall, zlib.crc32(self.boot.encode()))
+        self.journal = GroupCommit(site.deployment.journal.most_waiting) if site.deployment.journal.keep else None
+        world = DispatcherParts(site.deployment, self._hall, zlib.crc32(self.boot.encode()))
         self.gateway = Gateway(world, self.boot, self.journal)
         self.gateway.answer_ms = 2 * self._settings.cpu_ms
         self._busy, self._wake, self._wake_at, self._stirring = 0.0, None, float("inf"), False
@@ -112,11 +120,11 @@
                 site.deployment.journal.resume_at_once,
             )
         if self.listing is not None:
-            self.gateway.listed(self._engine.now, self.listing)
+            self.gateway.on_endpoints(self._engine.now, self.listing)
         self.stir()
 
     _wake: Timer | None
-    edge: LabEdge | None
+    edge: SimulatedEdge | None
 
     def kill(self) -> None:
         """The process is gone; its book stays."""
@@ -130,11 +138,11 @@
         """It does nothing for a while; what comes waits for its turn."""
         self._busy = max(self._busy, self._engine.now) + for_ms
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: EndpointList) -> None:
         """A new list."""
         self.listing = listing
         if self.up:
-            self.gateway.listed(self._engine.now, listing)
+            self.gateway.on_endpoints(self._engine.now, listing)
             if self.edge is not None:
                 self.edge.listed()
             if self._site.note is not None:
@@ -166,19 +174,19 @@
         self._stirring = True
         now, gateway = self._engine.now, self.gateway
         try:
-            while (effect := gateway.effect(now)) is not None:
-                if isinstance(effect, StartSend):
-                    self._send(effect.ivk, effect.send)
-                elif isinstance(effect, Final):
-                    waiters, effect.ivk.waiters = effect.ivk.waiters, []
+            while (effect := gateway.on_decision_done(now)) is not None:
+                if isinstance(effect, StartAttempt):
+                    self._send(effect.invocation, effect.attempt)
+                elif isinstance(effect, FinalAnswer):
+                    waiters, effect.invocation.waiters = effect.invocation.waiters, []
                     for waiter in waiters:
-                        waiter(effect.ivk.record)
-                elif isinstance(effect, PlaceOrder):
+                        waiter(effect.invocation.record)
+                elif isinstance(effect, StartLoad):
                     self._order(effect.order)
-                elif isinstance(effect, GiveUp) and effect.send in self._open:
-                    del self._open[effect.send]
+                elif isinstance(effect, CancelAttempt) and effect.attempt in self._open:
+                    del self._open[effect.attempt]
                     outcome = AttemptStatus.CANCELLED if effect.reason == "revoked" else AttemptStatus.SILENT
-                    self._engine.after(0.0, self._answered, self.starts, effect.send, outcome, None)
+                    self._engine.after(0.0, self._answered, self.starts, effect.attempt, outcome, None)
         finally:
             self._stirring = False
         self._sync()
@@ -196,10 +204,10 @@
 
     def _answered(self, start: int, send: Attempt, outcome: AttemptStatus, answer: Answer | None) -> None:
         if start == self.starts and self.up and send.status is None:
-            self.gateway.answered(self._engine.now, send, outcome, answer)
+            self.gateway.on_attempt_finished(self._engine.now, send, outcome, answer)
             self.stir()
 
-    def _send(self, ivk: Ivk, send: Attempt) -> None:
+    def _send(self, ivk: Invocation, send: Attempt) -> None:
         worker = self._site.workers[send.instance.worker.id]
         start, net = self.starts, self._settings.network_ms
         self._open[send] = None
@@ -259,7 +267,7 @@
             timer = self._orders.pop(order, None) if start == self.starts else None
             if timer is not None and self.up:
                 timer.cancel()
-                self.gateway.told(self._engine.now, order, outcome, standing)
+                self.gateway.on_load_report(self._engine.now, order, outcome, standing)
                 self.stir()
 
         def arrive() -> None:
@@ -293,7 +301,7 @@
         else:
             for entry in batch.entries:
                 if isinstance(entry, Accepted):
-                    self._book.setdefault(entry.id, Life(entry))
+                    self._book.setdefault(entry.id, ActivationEntries(entry))
                 elif (life := self._book.get(entry.id)) is not None:
                     if isinstance(entry, MayRun):
                         life.may_run = life.may_run or entry
@@ -303,15 +311,15 @@
         self.stir()
 
 
-class Site:
+class SimulatedCluster:
     """One run of a script.  `capture`: keep all events, so that the audit and the bad days' report can read them."""
 
     def __init__(
         self,
-        day: BadDay,
+        day: FaultScenario,
         deployment: Deployment,
         seed: int,
-        settings: LabSettings | None = None,
+        settings: SimulationSettings | None = None,
         capture: bool = False,
         shard: Shard | None = None,
     ) -> None:
@@ -319,17 +327,17 @@
         part, self.shard = (shard.number, shard.of) if shard is not None else (0, 1), shard
         self._seed = seed
         self._part, self._mark = part, f"{part[0]}-" if part[1] > 1 else ""
-        self.day, self.deployment, self.settings = day, deployment, settings or LabSettings()
-        self.engine = Engine()
+        self.day, self.deployment, self.settings = day, deployment, settings or SimulationSettings()
+        self.engine = EventQueue()
         self.events: list[dict[str, Any]] = []
         self.note = self._note if capture else None
         self._chance = np.random.default_rng([seed, 11])
         self._clients = np.random.default_rng([seed, 7, *part] if part[1] > 1 else [seed, 7])
-        self.store: Any = LabStore(self.engine, deployment.store)
+        self.store: Any = SimulatedStore(self.engine, deployment.store)
         self.by_model = {a.model: a for a in deployment.actions.values()}
         self._ledger: dict[tuple[str, str], float] = {}
         if shard is not None:
-            self._ledger = SharedLedger(shard, self.engine, self.settings)
+            self._ledger = SharedEffectLog(shard, self.engine, self.settings)
             if shard.number:
                 self.store = RemoteStore(shard, self.engine, self.settings)
         self._listed_ms, self._version = 0.0, 0
@@ -352,20 +360,22 @@
                 self.workers[id_] = _Worker(
                     self.engine, deployment, id_, hall, cell, self.store, self._ledger, seed, True, self.note
                 )
-        self.dispatchers: list[LabDispatcher | RemoteDispatcher] = [
-            LabDispatcher(self, n, halls[n % len(halls)]) if shard is None or shard.has(n) else RemoteDispatcher(n)
+        self.dispatchers: list[SimulatedDispatcher | RemoteDispatcher] = [
+            SimulatedDispatcher(self, n, halls[n % len(halls)])
+            if shard is None or shard.has(n)
+            else RemoteDispatcher(n)
             for n in range(day.dispatchers)
         ]
-        self.listing: Listing | None = None
-        self.planners: list[LabPlanner] = []
-        self.leases: LabLeases | None = None
-        self.own = [d for d in self.dispatchers if isinstance(d, LabDispatcher)]
+        self.listing: EndpointList | None = None
+        self.planners: list[SimulatedPlanner] = []
+        self.leases: SimulatedLeases | None = None
+        self.own = [d for d in self.dispatchers if isinstance(d, SimulatedDispatcher)]
         if day.planners and deployment.leases is None:
             raise ValueError(f"{day.name}: planners act under a lease: {day.deployment} needs (leases ...)")
-        self.planners = [LabPlanner(self, n, day.solver) for n in range(day.planners)]
+        self.planners = [SimulatedPlanner(self, n, day.solver) for n in range(day.planners)]
         if deployment.leases is not None and shard is None:
             names = [d.name for d in self.own]
-            self.leases = LabLeases(
+            self.leases = SimulatedLeases(
                 self.engine,
                 lease_settings(deployment.leases),
                 deployment.leases.length_ms,
@@ -398,10 +408,10 @@
     def _sample(self) -> None:
         """What a second ends with."""
         second = self.second()
-        second.in_hand = sum(d.gateway.in_hand for d in self.own if d.up)
+        second.in_hand = sum(d.gateway.in_flight for d in self.own if d.up)
         second.loads, self._fetched = self.store.fetches - self._fetched, self.store.fetches
         second.idle_mb = sum(w.idle_mb for w in self.workers.values() if isinstance(w, _Worker) and w.up)
-        second.storming = sum(d.up and d.gateway.storm.stage is not Calm.CALM for d in self.own)
+        second.storming = sum(d.up and d.gateway.overload.stage is not Calm.CALM for d in self.own)
         if self.engine.now < self.start + (len(self.seconds) - 1) * 1000:
             self.engine.after(1000.0, self._sample)
 
@@ -422,7 +432,7 @@
     def _tell_lists(self) -> None:
         self._version += 1
         entries = [worker.entry for worker in self.workers.values() if worker.up]
-        listing = self.listing = Listing(self._version, entries, "lab")
+        listing = self.listing = EndpointList(self._version, entries, "lab")
         for planner in self.planners:
             if planner.up:
                 self.engine.after(self._listed_ms + self.settings.network_ms, planner.listed, listing)
@@ -476,7 +486,7 @@
             action,
             space,
             bool(chance.random() < load.deferred),
-            habits_of(float(chance.random()), load.heed, load.half_heed),
+            behavior_of(float(chance.random()), load.heed, load.half_heed),
             1 + load.retries,
             first=self.engine.now,
             after=after,
@@ -509,7 +519,7 @@
         wish.patience = self.engine.after(kind.timeout_ms + 500, self._patience, wish, wish.number)
         self.engine.after(self.settings.network_ms, self._arrive, dispatcher, wish, wish.number)
 
-    def _arrive(self, dispatcher: LabDispatcher, wish: Wish, number: str) -> None:
+    def _arrive(self, dispatcher: SimulatedDispatcher, wish: Wish, number: str) -> None:
         if not dispatcher.up:
             self._not_taken(wish)
         else:
@@ -527,7 +537,7 @@
             wish.patience.cancel()
             wish.patience = None
 
-    def _taken(self, dispatcher: LabDispatcher, wish: Wish, number: str) -> None:
+    def _taken(self, dispatcher: SimulatedDispatcher, wish: Wish, number: str) -> None:
         if wish.number != number:
             return
         gateway, now = dispatcher.gateway, self.engine.now
@@ -541,11 +551,11 @@
         if wish.deferred and gateway.journal is not None and not gateway.journal.takes():
             self._not_taken(wish)
             return
-        refused = gateway.door(now, wish.space.name, wish.action.path, 100, wish.ticket)
+        refused = gateway.on_connect(now, wish.space.name, wish.action.path, 100, wish.ticket)
         if refused is not None:
             self._final(wish, "", "rejected", refused[1], None)
             return
-        ivk = gateway.take(
+        ivk = gateway.submit(
             now,
             WALL + now,
             wish.space.name,
@@ -564,8 +574,8 @@
                 gateway.promise(ivk, lambda safe: self._promised(dispatcher, wish, ivk, safe))
                 dispatcher.stir()
 
-    def _join(self, dispatcher: LabDispatcher, wish: Wish, record: Record) -> None:
-        ivk = dispatcher.gateway.in_hand_of(record.id)
+    def _join(self, dispatcher: SimulatedDispatcher, wish: Wish, record: Record) -> None:
+        ivk = dispatcher.gateway.in_flight_of(record.id)
         if record.shown:
             self._waited(wish, wish.number, record)
         elif wish.deferred or ivk is None:
@@ -574,12 +584,12 @@
             number = wish.number
             ivk.waiters.append(lambda ended: self._waited(wish, number, ended))
 
-    def _promised(self, dispatcher: LabDispatcher, wish: Wish, ivk: Ivk, safe: bool | None) -> None:
+    def _promised(self, dispatcher: SimulatedDispatcher, wish: Wish, ivk: Invocation, safe: bool | None) -> None:
         if safe:
             ivk.waiters.clear()
             self._accepted(wish, ivk.record.id)
         else:
-            dispatcher.gateway.left(self.engine.now, ivk)
+            dispatcher.gateway.on_client_gone(self.engine.now, ivk)
             self._not_taken(wish)
 
     def _accepted(self, wish: Wish, id_: str) -> None:
@@ -621,8 +631,8 @@
             self._lost(wish, "no-answer")
 
     @staticmethod
-    def _left(dispatcher: LabDispatcher, ivk: Ivk) -> None:
-        dispatcher.gateway.left(dispatcher._engine.now, ivk)
+    def _left(dispatcher: SimulatedDispatcher, ivk: Invocation) -> None:
+        dispatcher.gateway.on_client_gone(dispatcher._engine.now, ivk)
 
     def _lost(self, wish: Wish, ending: str) -> None:
         self.second().lost += 1
@@ -683,7 +693,7 @@
         if what == "reply":
             shard.replied(*words)
         elif what == "mark":
-            assert isinstance(self._ledger, SharedLedger)
+            assert isinstance(self._ledger, SharedEffectLog)
             self._ledger.heard(*words)
         else:
             to, number, *rest = words
@@ -709,7 +719,7 @@
 
     # Troubles.
 
-    def _befall(self, trouble: Trouble) -> None:
+    def _befall(self, trouble: Fault) -> None:
         kind = trouble.kind
         if kind in ON_WORKERS:
             up = [w for w in self.workers.values() if w.up]
@@ -771,7 +781,7 @@
                     self.leases.disk(dispatcher.name, dispatcher.sync_ms, dispatcher.disk_fails)
                 self.engine.after(trouble.last * 1000, self._heal_disk, dispatcher)
 
-    def _on_planners(self, trouble: Trouble) -> None:
+    def _on_planners(self, trouble: Fault) -> None:
         count = max(1, round(trouble.part * len(self.planners))) if self.planners else 0
         victims = (
             [self.planners[int(n)] for n in self._chance.choice(len(self.planners), count, replace=False)]
@@ -798,16 +808,18 @@
                     trouble.last * 1000 + self.settings.start_ms, planner.begin, trouble.kind == "planners-forget"
                 )
 
-    def _trouble(self, kind: str, trouble: Trouble, of: list[str]) -> None:
+    def _trouble(self, kind: str, trouble: Fault, of: list[str]) -> None:
         if self.note is not None and self._part[0] == 0:
             self.note("trouble", kind=kind, seconds=trouble.last, factor=trouble.factor, of=of)
 
-    def _heal_disk(self, dispatcher: LabDispatcher | RemoteDispatcher) -> None:
+    def _heal_disk(self, dispatcher: SimulatedDispatcher | RemoteDispatcher) -> None:
         dispatcher.sync_ms, dispatcher.disk_fails = self.settings.sync_ms, False
         if self.leases is not None:
             self.leases.disk(dispatcher.name, dispatcher.sync_ms, False)
 
-    def _kill(self, dispatcher: LabDispatcher | RemoteDispatcher, down_ms: float | None, disk: bool = False) -> None:
+    def _kill(
+        self, dispatcher: SimulatedDispatcher | RemoteDispatcher, down_ms: float | None, disk: bool = False
+    ) -> None:
         if not dispatcher.up:
             return
         if self.note is not None and dispatcher in self.own:
@@ -815,23 +827,23 @@
             if disk:
                 self.note("disk-lost", dispatcher=dispatcher.number)
         dispatcher.kill()
-        if disk and isinstance(dispatcher, LabDispatcher):
+        if disk and isinstance(dispatcher, SimulatedDispatcher):
             dispatcher.lose_disk()
         if self.leases is not None:
             self.leases.kill(dispatcher.name, disk)
         if down_ms is not None:
             self.engine.after(down_ms + self.settings.start_ms, self._up_again, dispatcher)
 
-    def _up_again(self, dispatcher: LabDispatcher | RemoteDispatcher) -> None:
+    def _up_again(self, dispatcher: SimulatedDispatcher | RemoteDispatcher) -> None:
         dispatcher.begin()
         if self.leases is not None:
             self.leases.begin(self.leases.nodes[dispatcher.name])
-        if isinstance(dispatcher, LabDispatcher) and dispatcher.edge is not None:
+        if isinstance(dispatcher, SimulatedDispatcher) and dispatcher.edge is not None:
             dispatcher.edge.begin()
         if self.note is not None and dispatcher in self.own:
             self.note("restarted", dispatcher=dispatcher.number)
 
-    def _woken(self, dispatcher: LabDispatcher) -> None:
+    def _woken(self, dispatcher: SimulatedDispatcher) -> None:
         if self.note is not None:
             self.note("woken", dispatcher=dispatcher.number)
 
@@ -865,7 +877,7 @@
         self.engine.after(down, stop)
 
 
-class _Worker(LabWorker):
+class _Worker(SimulatedWorker):
     """A worker with the ends of its connections."""
 
     def __init__(self, *words: Any) -> None:
@@ -879,7 +891,7 @@
             back(AttemptStatus.CONNECTION_LOST, None)
 
 
-def result_of(site: Site) -> Result:
+def result_of(site: SimulatedCluster) -> Result:
     """What a run in one process came to."""
     served = {f"served_{name}": good / wanted for name, (wanted, good) in site.by_space.items() if wanted}
     planned = {
@@ -890,8 +902,8 @@
     return Result(site.seconds, site.latency, site.give_ups, site.engine.events, site.store.fetches, served | planned)
 
 
-def play(day: BadDay, deployment: Deployment, seed: int, settings: LabSettings | None = None) -> Result:
+def play(day: FaultScenario, deployment: Deployment, seed: int, settings: SimulationSettings | None = None) -> Result:
     """One run, for figures."""
-    site = Site(day, deployment, seed, settings)
+    site = SimulatedCluster(day, deployment, seed, settings)
     site.run()
     return result_of(site)
--- a/kelptrail/simulation/event_queue.py
+++ b/kelptrail/simulation/event_queue.py
@@ -25,7 +25,7 @@
         self.what, self.words = None, ()
 
 
-class Engine:
+class EventQueue:
     """Simulated time in milliseconds."""
 
     def __init__(self) -> None:
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -19,15 +19,15 @@
 from pathlib import Path
 from typing import Any
 
-from kelptrail.fault_scenario.scenario import BadDay
+from kelptrail.fault_scenario.scenario import FaultScenario
 from kelptrail.fault_scenario.scenario import load as load_script
 from kelptrail.load.results import Rows, figures, rows_of, spread_of, write
 from kelptrail.settings.deployment import Deployment
 from kelptrail.settings.deployment import load as load_deployment
-from kelptrail.settings.reader import Form, Place, read
+from kelptrail.settings.reader import Form, SourcePosition, read
 from kelptrail.settings.shape import Checker
 
-from .cluster import LabSettings, play
+from .cluster import SimulationSettings, play
 
 OF_DEPLOYMENT = ("dispatcher", "rules", "fleet", "store", "front", "pool", "journal", "storm")
 
@@ -39,7 +39,7 @@
     section: str
     key: str
     value: float | bool | str
-    place: Place
+    place: SourcePosition
 
     def __str__(self) -> str:
         return f"{self.section}.{self.key.replace('_', '-')}={self.value}"
@@ -65,7 +65,7 @@
 
 def load(path: str | Path) -> Experiment:
     """Read and check an experiment.  Raises `SettingsError` with every fault, `OSError` where unreadable."""
-    checker, start = Checker(), Place(str(path), 1, 1)
+    checker, start = Checker(), SourcePosition(str(path), 1, 1)
     forms = read(Path(path).read_text(encoding="utf-8", errors="replace"), str(path))
     whole = forms[0] if forms else None
     if len(forms) != 1 or not isinstance(whole, Form) or whole.head != "experiment" or len(whole.items) < 2:
@@ -106,7 +106,7 @@
     deployment = load_deployment(day.deployment)
     for change in [*(c for changes in made.variants.values() for c in changes), *made.sweep]:
         try:
-            changed(day, deployment, LabSettings(), [change])
+            changed(day, deployment, SimulationSettings(), [change])
         except ValueError as cause:
             checker.fault(change.place, str(change), str(cause))
     checker.done()
@@ -117,7 +117,7 @@
     return getattr(item, "value", item)
 
 
-def _change(checker: Checker, place: Place, name: Any, value: Any) -> list[Change]:
+def _change(checker: Checker, place: SourcePosition, name: Any, value: Any) -> list[Change]:
     section, dot, key = str(_value(name)).partition(".")
     if not dot or not key:
         checker.fault(place, name, "SECTION.KEY")
@@ -132,8 +132,8 @@
 
 
 def changed(
-    day: BadDay, deployment: Deployment, lab: LabSettings, changes: list[Change]
-) -> tuple[BadDay, Deployment, LabSettings]:
+    day: FaultScenario, deployment: Deployment, lab: SimulationSettings, changes: list[Change]
+) -> tuple[FaultScenario, Deployment, SimulationSettings]:
     """The three with changes made.  Raises `ValueError` for a name that there is not, or a value of another kind."""
     for change in changes:
         section, key, value = change.section, change.key, change.value
@@ -179,7 +179,7 @@
     experiment = load(path)
     day = load_script(experiment.script)
     changes = [*experiment.variants[variant], *([point] if point is not None else [])]
-    day, deployment, lab = changed(day, load_deployment(day.deployment), LabSettings(), changes)
+    day, deployment, lab = changed(day, load_deployment(day.deployment), SimulationSettings(), changes)
     began = time.perf_counter()
     result = play(day, deployment, seed, lab)
     took = time.perf_counter() - began
--- a/kelptrail/simulation/leases.py
+++ b/kelptrail/simulation/leases.py
@@ -12,17 +12,27 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from kelptrail.lease.acceptor import Memory, Voter, Write
-from kelptrail.lease.client import Asker, Won
-from kelptrail.lease.messages import NONE, Ask, Learn, Learnt, LeaseSettings, Message, Release, Row, Token
-
-from .event_queue import Engine, Timer
+from kelptrail.lease.acceptor import Acceptor, DurableState, Write
+from kelptrail.lease.client import LeaseAcquired, LeaseClient
+from kelptrail.lease.messages import (
+    NO_TOKEN,
+    AcquireRequest,
+    FencingToken,
+    LeaseRow,
+    LeaseSettings,
+    Message,
+    Release,
+    StateReply,
+    StateRequest,
+)
+
+from .event_queue import EventQueue, Timer
 
 if TYPE_CHECKING:
-    from kelptrail.fault_scenario.scenario import Trouble
+    from kelptrail.fault_scenario.scenario import Fault
 
 ACT_MS, AGAIN_MS = 50.0, 100.0
-TO_VOTERS = (Ask, Release, Learn, Learnt)
+TO_VOTERS = (AcquireRequest, Release, StateRequest, StateReply)
 
 
 @dataclass(slots=True, eq=False)
@@ -32,10 +42,10 @@
     name: str
     votes: bool
     sync_ms: float
-    asker: Asker | None = None
-    voter: Voter | None = None
-    memory: Memory | None = None
-    rows: dict[str, Row] = field(default_factory=dict)
+    asker: LeaseClient | None = None
+    voter: Acceptor | None = None
+    memory: DurableState | None = None
+    rows: dict[str, LeaseRow] = field(default_factory=dict)
     runs: int = 0
     up: bool = True
     paused: bool = False
@@ -45,7 +55,7 @@
     since: float = 0.0
     disk_fails: bool = False
     wake: Timer | None = None
-    wants: dict[str, tuple[Callable[[Token], None], Callable[[], None]]] = field(default_factory=dict)
+    wants: dict[str, tuple[Callable[[FencingToken], None], Callable[[], None]]] = field(default_factory=dict)
     told: int = 0  # messages that came
     acts: int = 0
 
@@ -54,12 +64,12 @@
         return self.base + (now - self.since) * self.rate
 
 
-class LabLeases:
+class SimulatedLeases:
     """All nodes of a site.  `note` takes what a witness would see; `delay` tells how long a message takes."""
 
     def __init__(
         self,
-        engine: Engine,
+        engine: EventQueue,
         settings: LeaseSettings,
         length_ms: float,
         names: list[str],
@@ -77,7 +87,7 @@
         self._silent_ms = silent_ms
         self._slow: list[tuple[float, float]] = []
         self._draws = 0
-        self._fence: dict[str, Token] = {}
+        self._fence: dict[str, FencingToken] = {}
         self.nodes = {name: Node(name, name in settings.voters, sync_ms) for name in names}
         for node in self.nodes.values():
             self.begin(node)
@@ -86,15 +96,15 @@
         """A process starts, with what its disk holds."""
         node.runs += 1
         node.up, node.paused, node.unread = True, False, []
-        node.asker = Asker(node.name, f"{node.name}/{self._seed}-{node.runs}", self.settings)
+        node.asker = LeaseClient(node.name, f"{node.name}/{self._seed}-{node.runs}", self.settings)
         now = node.local(self._engine.now)
         if node.votes:
-            node.voter = Voter(node.name, self.settings, now, node.memory, tuple(node.rows.values()))
+            node.voter = Acceptor(node.name, self.settings, now, node.memory, tuple(node.rows.values()))
         for task in node.wants:
             node.asker.want(now, task, self._length_ms)
         self._carry(node)
 
-    def want(self, node: Node, task: str, won: Callable[[Token], None], lost: Callable[[], None]) -> None:
+    def want(self, node: Node, task: str, won: Callable[[FencingToken], None], lost: Callable[[], None]) -> None:
         """Have a node hold a task whenever it can."""
         node.wants[task] = won, lost
         if node.up and node.asker is not None:
@@ -112,14 +122,14 @@
                     lambda: None,
                 )
 
-    def holds(self, name: str, task: str) -> Token | None:
+    def holds(self, name: str, task: str) -> FencingToken | None:
         """The token under which a node may act now."""
         node = self.nodes[name]
         if not node.up or node.paused or node.asker is None:
             return None
         return node.asker.holds(node.local(self._engine.now), task)
 
-    def _act(self, node: Node, run: int, task: str, token: Token) -> None:
+    def _act(self, node: Node, run: int, task: str, token: FencingToken) -> None:
         if not node.up or node.runs != run or node.asker is None:
             return
         if not node.paused:
@@ -127,8 +137,8 @@
                 return
             if self.holds(node.name, task) == token:
                 node.acts += 1
-                taken = token >= self._fence.get(task, NONE)
-                self._fence[task] = max(token, self._fence.get(task, NONE))
+                taken = token >= self._fence.get(task, NO_TOKEN)
+                self._fence[task] = max(token, self._fence.get(task, NO_TOKEN))
                 if self._note is not None:
                     self._note(
                         "act",
@@ -166,7 +176,7 @@
             while node.asker.events:
                 event = node.asker.events.popleft()
                 won, lost = node.wants[event.task]
-                if isinstance(event, Won):
+                if isinstance(event, LeaseAcquired):
                     won(event.token)
                 else:
                     lost()
@@ -225,7 +235,7 @@
         if disk:
             node.memory, node.rows = None, {}
 
-    def befall(self, trouble: Trouble, victims: list[str], one_way: Callable[[], bool]) -> None:
+    def befall(self, trouble: Fault, victims: list[str], one_way: Callable[[], bool]) -> None:
         """One of the troubles between dispatchers; kills and lost machines are told by `kill` and `begin`."""
         kind, last, engine = trouble.kind, trouble.last * 1000, self._engine
         nodes = [self.nodes[name] for name in victims if name in self.nodes]
--- a/kelptrail/simulation/planners.py
+++ b/kelptrail/simulation/planners.py
@@ -4,27 +4,27 @@
 
 from typing import TYPE_CHECKING
 
-from kelptrail.lease.messages import Token
-from kelptrail.membership.members import Listing
+from kelptrail.lease.messages import FencingToken
+from kelptrail.membership.members import EndpointList
 from kelptrail.planner.build import hosts_of, models_of, settings_of
 from kelptrail.planner.channel import Led
 from kelptrail.planner.core import Planner, Problem, Role
 from kelptrail.planner.driver import TASK
 from kelptrail.planner.placement import greedy, solve
 from kelptrail.planner.plan import FORMAT, Order, Packet, Plan, Wants
-from kelptrail.planner.plan_follower import Follower
+from kelptrail.planner.plan_follower import PlanState
 
 if TYPE_CHECKING:
-    from .cluster import LabDispatcher, Site
+    from .cluster import SimulatedCluster, SimulatedDispatcher
 
 TICK_MS, REPORT_MS, HOUR = 250.0, 1000.0, 8
 SOLVE_MS = 200.0  # what a plan takes, beyond what a trouble adds
 
 
-class LabPlanner:
+class SimulatedPlanner:
     """One planner's process."""
 
-    def __init__(self, site: Site, number: int, solver: str) -> None:
+    def __init__(self, site: SimulatedCluster, number: int, solver: str) -> None:
         self._site, self.name, self._solver = site, f"planner-{number}", solver
         self._settings = settings_of(site.deployment)
         self._models = models_of(site.deployment)
@@ -46,7 +46,7 @@
             self.listed(self._site.listing)
         self._site.engine.after(TICK_MS, self._tick, self._starts)
 
-    def led(self, token: Token) -> None:
+    def led(self, token: FencingToken) -> None:
         """It holds the lease."""
         self.core.lead(self._site.engine.now, token.round, token.who)
 
@@ -60,7 +60,7 @@
         if self._site.leases is not None:
             self._site.leases.kill(self.name)
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: EndpointList) -> None:
         """A new list."""
         self.core.listed(
             self._site.engine.now, hosts_of(self._site.deployment, listing), (listing.lineage, listing.version)
@@ -99,10 +99,10 @@
         return self.up and self.core.role is Role.ACTING
 
 
-class LabEdge:
+class SimulatedEdge:
     """The edge's side in one dispatcher's process; a new start keeps the last plan, as the disk does."""
 
-    def __init__(self, site: Site, dispatcher: LabDispatcher) -> None:
+    def __init__(self, site: SimulatedCluster, dispatcher: SimulatedDispatcher) -> None:
         self._site, self._dispatcher = site, dispatcher
         self._kept: Plan | None = None
         self.begin()
@@ -111,7 +111,7 @@
         """A new start of the dispatcher."""
         now = self._site.engine.now
         self._start = self._dispatcher.starts
-        self.follower, self._led = Follower(self._site.deployment.name), Led(now)
+        self.follower, self._led = PlanState(self._site.deployment.name), Led(now)
         self._applied: Order | None = None
         if self._kept is not None:
             self.follower.restore(now, self._kept, 10_000.0, self._live())
@@ -134,10 +134,10 @@
         order = self.follower.plan.head.order if wants is not None and self.follower.plan is not None else None
         if order != self._applied or order is None:
             self._applied = order
-            self._dispatcher.gateway.planned(wants)
+            self._dispatcher.gateway.on_plan(wants)
             self._dispatcher.stir()
 
-    def offered(self, planner: LabPlanner, plan: Plan, age_ms: float) -> None:
+    def offered(self, planner: SimulatedPlanner, plan: Plan, age_ms: float) -> None:
         """A plan has come."""
         if not self._dispatcher.up:
             return
@@ -162,7 +162,7 @@
         if start != self._dispatcher.starts or not self._dispatcher.up:
             return
         now, gateway = self._site.engine.now, self._dispatcher.gateway
-        tallies, standing = gateway.tallies(), gateway.standing()
+        tallies, standing = gateway.counters(), gateway.loaded_instances()
         for planner in self._site.planners:
             if planner.up:
                 if planner.acting and (planner.core.epoch, planner.core.owner) >= self.follower.fence[:2]:
--- a/kelptrail/simulation/sharding.py
+++ b/kelptrail/simulation/sharding.py
@@ -19,15 +19,15 @@
 from multiprocessing.connection import Connection
 from typing import TYPE_CHECKING, Any
 
-from kelptrail.fault_scenario.scenario import BadDay
+from kelptrail.fault_scenario.scenario import FaultScenario
 from kelptrail.load.results import Result, Second
-from kelptrail.membership.members import Entry
+from kelptrail.membership.members import Endpoint
 from kelptrail.settings.deployment import Deployment
 
-from .event_queue import Engine
+from .event_queue import EventQueue
 
 if TYPE_CHECKING:
-    from .cluster import LabSettings
+    from .cluster import SimulationSettings
 
 SPAN = 0.999  # of the least way: a window ends before what its own events cause elsewhere
 Message = tuple[float, int, str, tuple[Any, ...]]  # when it arrives, at which shard, what, with which words
@@ -77,8 +77,8 @@
         id_: str,
         hall: str,
         cell: int,
-        engine: Engine,
-        settings: LabSettings,
+        engine: EventQueue,
+        settings: SimulationSettings,
         cold_ms: float,
     ) -> None:
         self.id, self._hall, self._cell, self._cold_ms = id_, hall, cell, cold_ms
@@ -94,9 +94,9 @@
         self.started = self._engine.now - (self._cold_ms + 1 if warm else 0.0)
 
     @property
-    def entry(self) -> Entry:
+    def entry(self) -> Endpoint:
         """As the list tells of it."""
-        return Entry(
+        return Endpoint(
             self.id, self.id, self.state, self.incarnation, self._engine.now - self.started, self._hall, self._cell
         )
 
@@ -135,7 +135,7 @@
 class RemoteStore:
     """The store, seen from another shard."""
 
-    def __init__(self, shard: Shard, engine: Engine, settings: LabSettings) -> None:
+    def __init__(self, shard: Shard, engine: EventQueue, settings: SimulationSettings) -> None:
         self._shard, self._engine, self._settings = shard, engine, settings
         self.fetches = 0
 
@@ -147,10 +147,10 @@
         """It acts in the first shard."""
 
 
-class SharedLedger(dict[tuple[str, str], float]):
+class SharedEffectLog(dict[tuple[str, str], float]):
     """Marks against repeats; those set here are told to all shards."""
 
-    def __init__(self, shard: Shard, engine: Engine, settings: LabSettings) -> None:
+    def __init__(self, shard: Shard, engine: EventQueue, settings: SimulationSettings) -> None:
         super().__init__()
         self._shard, self._engine, self._settings = shard, engine, settings
 
@@ -169,11 +169,11 @@
 def _mind(pipe: Connection, number: int, of: int, words: tuple[Any, ...], capture: bool) -> None:
     """One shard's process: play up to where it is told, hand over the mail."""
     try:
-        from .cluster import Site
+        from .cluster import SimulatedCluster
 
         day, deployment, seed, settings = words
         shard = Shard(number, of)
-        site = Site(day, deployment, seed, settings, capture, shard)
+        site = SimulatedCluster(day, deployment, seed, settings, capture, shard)
         pipe.send((site.engine.next_at(), shard.out))
         shard.out = []
         while (told := pipe.recv()) is not None:
@@ -206,10 +206,10 @@
 
 
 def play_sharded(
-    day: BadDay,
+    day: FaultScenario,
     deployment: Deployment,
     seed: int,
-    settings: LabSettings,
+    settings: SimulationSettings,
     processes: int,
     capture: bool = False,
     progress: Callable[[float], None] | None = None,
@@ -250,9 +250,9 @@
 
 def _conduct(
     pipes: list[Connection],
-    day: BadDay,
+    day: FaultScenario,
     deployment: Deployment,
-    settings: LabSettings,
+    settings: SimulationSettings,
     progress: Callable[[float], None] | None,
 ) -> tuple[Result, list[dict[str, Any]]]:
     longest = max(t.timeout_ms for t in deployment.types.values())
@@ -304,7 +304,7 @@
     return whole, sorted(events, key=lambda event: event["t"])
 
 
-def answer_remote(shard: Shard, engine: Engine, network_ms: float, to: int, number: int) -> Callable[..., None]:
+def answer_remote(shard: Shard, engine: EventQueue, network_ms: float, to: int, number: int) -> Callable[..., None]:
     """What a worker or the store is given to reply with, for an asker in another shard; the first reply counts."""
 
     def reply(*words: Any) -> None:
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -17,19 +17,19 @@
 
 from kelptrail.codec.infer import Answer
 from kelptrail.dispatch.entities import AttemptStatus
-from kelptrail.membership.members import Entry
+from kelptrail.membership.members import Endpoint
 from kelptrail.settings.deployment import ActionSettings, Deployment, StoreSettings, TypeSettings
 
-from .event_queue import Engine
+from .event_queue import EventQueue
 
 Reply = Callable[[AttemptStatus, Answer | None], None]
 Note = Callable[..., None]
 
 
-class LabStore:
+class SimulatedStore:
     """The model store: more fetches than it serves at once slow all of them; past a limit it refuses."""
 
-    def __init__(self, engine: Engine, settings: StoreSettings) -> None:
+    def __init__(self, engine: EventQueue, settings: StoreSettings) -> None:
         self._engine, self._settings = engine, settings
         self._left: dict[int, tuple[float, Callable[[bool], None]]] = {}  # ms of work left of each fetch
         self._number, self._seen = 0, 0.0
@@ -125,17 +125,17 @@
     until: float
 
 
-class LabWorker:
+class SimulatedWorker:
     """One worker; `note` takes what the audit wants to know, or is None."""
 
     def __init__(
         self,
-        engine: Engine,
+        engine: EventQueue,
         deployment: Deployment,
         id_: str,
         hall: str,
         cell: int,
-        store: LabStore,
+        store: SimulatedStore,
         ledger: dict[tuple[str, str], float],
         seed: int,
         warm: bool,
@@ -179,9 +179,9 @@
             )
 
     @property
-    def entry(self) -> Entry:
+    def entry(self) -> Endpoint:
         """As the list tells of it."""
-        return Entry(
+        return Endpoint(
             self.id, self.id, self.state, self.incarnation, self._engine.now - self.started, self.hall, self.cell
         )
 
--- a/kelptrail/simulator_adapter/instance.py
+++ b/kelptrail/simulator_adapter/instance.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from kelptrail.dispatch.dispatcher import Decision
-from kelptrail.dispatch.entities import Request, LoadOrder, AttemptStatus, WorkerState
+from kelptrail.dispatch.entities import AttemptStatus, FinalStatus, LoadOrder, Request, WorkerState
 from kelptrail.engine.engine import Endpoint, Engine
 from kelptrail.engine.settings import MalformedError
 
@@ -59,7 +59,7 @@
         if request is None:
             return
         attempt = request.attempts[e["shot"]]
-        if attempt.outcome is not None:
+        if attempt.status is not None:
             return
         note = e["remark"] or 0
         self._host.on_attempt_finished(
@@ -74,7 +74,7 @@
     def begun(self, now: float, e: Fields) -> None:
         request = self._host.requests.get(e["handle"])
         if request is not None:
-            request.final_status = request.final_status or "completed"
+            request.final_status = request.final_status or FinalStatus.COMPLETED
 
     def told(self, now: float, e: Fields) -> None:
         out = self._orders.get((e["runner"], e["fn"]))
@@ -146,7 +146,7 @@
                 }
             }
         if isinstance(decision, Request):
-            if decision.final_status == "rejected":
+            if decision.final_status is FinalStatus.REJECTED:
                 return {
                     "Refuse": {
                         "i": self._name,
--- a/kelptrail/store/activation_journal.py
+++ b/kelptrail/store/activation_journal.py
@@ -22,12 +22,12 @@
 INDEX = "CREATE INDEX by_start ON entries (start)"
 
 
-class BookError(Exception):
+class JournalError(Exception):
     """The book could not be opened, read or written; the text is the library's."""
 
 
 @dataclass(slots=True)
-class Life:
+class ActivationEntries:
     """All that is known of one activation."""
 
     accepted: Accepted
@@ -35,7 +35,7 @@
     ended: Ended | None = None
 
 
-class Book:
+class ActivationJournal:
     """One file.  `most_bytes` bounds it (a commit beyond fails as a full disk does); `vfs` is for tests."""
 
     def __init__(self, file: Path, most_bytes: float = 1e12, vfs: str | None = None) -> None:
@@ -50,7 +50,7 @@
             self._run(f"PRAGMA max_page_count={max(16, int(most_bytes // size))}")
             self._prepare(self._run("PRAGMA user_version")[0][0])
         except apsw.Error as cause:
-            raise BookError(f"{type(cause).__name__}: {cause}") from None
+            raise JournalError(f"{type(cause).__name__}: {cause}") from None
 
     def _run(self, text: str, values: tuple[object, ...] = ()) -> list[tuple]:
         return list(self._db.execute(text, values))
@@ -71,7 +71,7 @@
 
     def _prepare(self, version: int) -> None:
         if version > FORMAT:
-            raise BookError(f"format {version} is newer than {FORMAT}, which is known here")
+            raise JournalError(f"format {version} is newer than {FORMAT}, which is known here")
         if version == 0:
             with self._whole():
                 self._run(TABLE)
@@ -91,7 +91,7 @@
             with self._whole():
                 self._run("DELETE FROM entries WHERE kind != 0 AND id NOT IN (SELECT id FROM entries WHERE kind = 0)")
         except apsw.Error as cause:
-            raise BookError(f"{type(cause).__name__}: {cause}") from None
+            raise JournalError(f"{type(cause).__name__}: {cause}") from None
 
     def commit(self, entries: Iterable[Entry]) -> None:
         """Make entries safe, all or none.  An entry written again is left as it was.  Raises `BookError`."""
@@ -104,13 +104,13 @@
             with self._whole():
                 self._db.executemany("INSERT OR IGNORE INTO entries VALUES (?, ?, ?, ?, ?)", rows)
         except apsw.Error as cause:
-            raise BookError(f"{type(cause).__name__}: {cause}") from None
+            raise JournalError(f"{type(cause).__name__}: {cause}") from None
 
-    def lives(self) -> Iterator[Life]:
+    def activations(self) -> Iterator[ActivationEntries]:
         """All activations in order of their start; damaged rows are counted and passed over."""
         try:
             for (id_,) in self._db.execute("SELECT id FROM entries WHERE kind = 0 ORDER BY start, id"):
-                life: Life | None = None
+                life: ActivationEntries | None = None
                 for crc, body in self._db.execute("SELECT crc, body FROM entries WHERE id = ? ORDER BY kind", (id_,)):
                     try:
                         entry = unpack(bytes(body), crc)
@@ -121,7 +121,7 @@
                             life.may_run = MayRun(id_, life.accepted.start, "")
                         continue
                     if isinstance(entry, Accepted):
-                        life = Life(entry)
+                        life = ActivationEntries(entry)
                     elif life is not None and isinstance(entry, MayRun):
                         life.may_run = entry
                     elif life is not None and isinstance(entry, Ended):
@@ -129,7 +129,7 @@
                 if life is not None:
                     yield life
         except apsw.Error as cause:
-            raise BookError(f"{type(cause).__name__}: {cause}") from None
+            raise JournalError(f"{type(cause).__name__}: {cause}") from None
 
     def forget(self, ids: Iterable[str]) -> None:
         """Drop activations whose records are no longer kept, and give room back.  Raises `BookError`."""
@@ -138,7 +138,7 @@
                 self._db.executemany("DELETE FROM entries WHERE id = ?", [(id_,) for id_ in ids])
             self._run("PRAGMA incremental_vacuum(2000)")
         except apsw.Error as cause:
-            raise BookError(f"{type(cause).__name__}: {cause}") from None
+            raise JournalError(f"{type(cause).__name__}: {cause}") from None
 
     def count(self) -> int:
         """Activations in it."""
@@ -150,16 +150,16 @@
             self._db.close()
 
 
-def open_book(file: Path, most_bytes: float = 1e12, vfs: str | None = None) -> tuple[Book, Path | None]:
+def open_journal(file: Path, most_bytes: float = 1e12, vfs: str | None = None) -> tuple[ActivationJournal, Path | None]:
     """Open a book; one that cannot be read is set aside first, its new name returned.  Raises `BookError`."""
     try:
-        book = Book(file, most_bytes, vfs)
+        book = ActivationJournal(file, most_bytes, vfs)
         book.clear_orphans()
         return book, None
-    except (BookError, apsw.Error) as cause:
+    except (JournalError, apsw.Error) as cause:
         text = str(cause)
         if not any(word in text for word in ("NotADB", "Corrupt", "malformed", "not a database")):
-            raise BookError(text) from None
+            raise JournalError(text) from None
     number = 1
     while (aside := file.with_name(f"{file.name}.damaged-{number}")).exists():
         number += 1
@@ -167,4 +167,4 @@
         part = file.with_name(file.name + end)
         if part.exists():
             part.rename(aside.with_name(aside.name + end))
-    return Book(file, most_bytes, vfs), aside
+    return ActivationJournal(file, most_bytes, vfs), aside
--- a/kelptrail/store/driver.py
+++ b/kelptrail/store/driver.py
@@ -9,14 +9,14 @@
 
 from kelptrail.clock import now_ms
 
-from .activation_journal import BookError
-from .group_commit import Batch, Journal
+from .activation_journal import JournalError
+from .group_commit import Batch, GroupCommit
 
 FORGET_AT_ONCE = 500  # a commit that comes meanwhile waits for so much
 FORGET_AT_LAST = 20_000  # so many stale ones are dropped whether or not there is time
 
 
-class Keeper(Protocol):
+class EntryStore(Protocol):
     """What keeps entries; one thread at a time uses it."""
 
     def commit(self, entries: Iterable[Any], /) -> None:
@@ -32,7 +32,7 @@
 class JournalDriver:
     """Makes batches safe as they become ready; `progress` is called after each."""
 
-    def __init__(self, journal: Journal, book: Keeper, progress: Callable[[], None], log: Any) -> None:
+    def __init__(self, journal: GroupCommit, book: EntryStore, progress: Callable[[], None], log: Any) -> None:
         self.journal, self._book, self._progress, self._log = journal, book, progress, log
         self._loop = asyncio.get_running_loop()
         self._thread = ThreadPoolExecutor(1, "book")
@@ -90,7 +90,7 @@
         entries = batch.entries
         try:
             self._book.commit(entries)
-        except BookError as cause:
+        except JournalError as cause:
             reason = str(cause)
             return lambda: self._failed(batch.number, reason)
         return lambda: self._safe(batch.number)
@@ -107,7 +107,7 @@
     def _forget(self, stale: list[str]) -> Callable[[], None]:
         try:
             self._book.forget(stale)
-        except BookError as cause:
+        except JournalError as cause:
             reason = str(cause)
             return lambda: self._log.warning("journal-keeps-stale", reason=reason)
         return lambda: None
--- a/kelptrail/store/faulty_disk.py
+++ b/kelptrail/store/faulty_disk.py
@@ -17,7 +17,7 @@
 NAME = "harmed"
 
 
-class HarmedDisk(apsw.VFS):  # type: ignore[misc]
+class FaultyDisk(apsw.VFS):  # type: ignore[misc]
     """A disk whose faults are set through `file`, or, without one, by whoever holds it."""
 
     def __init__(self, file: Path | None = None) -> None:
@@ -39,7 +39,7 @@
 
 
 class _HarmedFile(apsw.VFSFile):  # type: ignore[misc]
-    def __init__(self, disk: HarmedDisk, name: Any, flags: Any) -> None:
+    def __init__(self, disk: FaultyDisk, name: Any, flags: Any) -> None:
         self._disk = disk
         super().__init__("", name, flags)
 
--- a/kelptrail/store/group_commit.py
+++ b/kelptrail/store/group_commit.py
@@ -29,7 +29,7 @@
     """A batch was told of that is not out."""
 
 
-class Journal:
+class GroupCommit:
     """What waits to be safe.  Times in milliseconds."""
 
     def __init__(self, most_waiting: int = 100_000, retry_ms: float = 500.0) -> None:
--- a/kelptrail/store/recovery.py
+++ b/kelptrail/store/recovery.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from .activation_journal import Life
+from .activation_journal import ActivationEntries
 
 WAS_DOWN = "Its dispatcher was down until its time was up"
 
@@ -30,7 +30,7 @@
 class End:
     """Give it its final answer now."""
 
-    life: Life
+    life: ActivationEntries
     answer: str  # "rejected" or "aborted"
     reason: str
 
@@ -39,13 +39,13 @@
 class Resume:
     """Take it up again, with so much time left; `again_ms`: for how much longer a repeat is dropped, None: any time."""
 
-    life: Life
+    life: ActivationEntries
     left_ms: float
     again_ms: float | None
     weight: float
 
 
-def judge(life: Life, rule: Rule, wall: float, least_ms: float) -> End | Resume:
+def judge(life: ActivationEntries, rule: Rule, wall: float, least_ms: float) -> End | Resume:
     """What becomes of one; `least_ms` is the least time in which a run is worth beginning."""
     accepted, ran = life.accepted, life.may_run
     gone = wall - accepted.start
--- a/kelptrail/vrrp/model.py
+++ b/kelptrail/vrrp/model.py
@@ -43,7 +43,7 @@
     delay: int = 1  # steps of time that an advertisement may be held up
 
 
-class World:
+class Model:
     """One state."""
 
     __slots__ = ("alive", "budget", "flying", "holds", "now", "paused", "routers", "trail")
@@ -56,9 +56,9 @@
         self.paused = [False] * len(routers)
         self.trail: tuple[str, ...] = ()
 
-    def copy(self) -> World:
+    def copy(self) -> Model:
         """A copy that goes its own way."""
-        twin = World.__new__(World)
+        twin = Model.__new__(Model)
         twin.routers = [r.copy() for r in self.routers]
         twin.budget, twin.now, twin.flying, twin.trail = self.budget, self.now, self.flying, self.trail
         twin.holds, twin.alive, twin.paused = list(self.holds), list(self.alive), list(self.paused)
@@ -75,7 +75,7 @@
             self.budget,
         )
 
-    def steps(self) -> Iterator[Step[World]]:
+    def steps(self) -> Iterator[Step[Model]]:
         """Every step that can follow."""
         for name, after in steps(self):
             after.collect()
@@ -134,23 +134,23 @@
         return True
 
 
-def _made(world: World) -> World:
+def _made(world: Model) -> Model:
     return world
 
 
 Make = Callable[[], list[Router]]
 
 
-def start(make: Make, budget: Budget) -> World:
+def start(make: Make, budget: Budget) -> Model:
     """The first state: all routers started, one after the other at one moment."""
-    world = World(make(), budget)
+    world = Model(make(), budget)
     for router in world.routers:
         router.startup(world.now)
     world.collect()
     return world
 
 
-def steps(world: World) -> Iterator[tuple[str, World]]:
+def steps(world: Model) -> Iterator[tuple[str, Model]]:
     """Every state that can follow."""
     budget = world.budget
     for number, flying in enumerate(world.flying):
@@ -198,14 +198,14 @@
             yield f"restart {number}", twin
 
 
-def _restart(world: World, number: int) -> None:
+def _restart(world: Model, number: int) -> None:
     old = world.routers[number]
     world.routers[number] = Router(old.settings, old.primary)
     world.alive[number], world.holds[number] = True, False
     world.routers[number].startup(world.now)
 
 
-def heal(world: World, within_ms: float) -> World:
+def heal(world: Model, within_ms: float) -> Model:
     """All faults end, paused ones wake, the dead stay dead; play on for `within_ms` and check what must come."""
     world = world.copy()
     for number, paused in enumerate(world.paused):
@@ -234,7 +234,7 @@
     return world
 
 
-def _settle(world: World) -> None:
+def _settle(world: Model) -> None:
     """Deliver all that flies, until nothing does."""
     sent = 0
     while world.flying:
@@ -247,7 +247,7 @@
 
 
 @dataclass(slots=True)
-class Found(explorer.Looked):
+class Found(explorer.SearchResult):
     """What was explored."""
 
     most_masters: int = 0
@@ -259,7 +259,7 @@
     """Breadth first to `depth` steps or `most_states` states.  Raises `PropertyError` with the way to it."""
     found = Found()
 
-    def look(world: World) -> None:
+    def look(world: Model) -> None:
         masters = sum(a and r.state is State.MASTER for a, r in zip(world.alive, world.routers, strict=True))
         found.most_masters = max(found.most_masters, masters)
         found.two_masters += masters > 1
--- a/kelptrail/vrrp/simulation.py
+++ b/kelptrail/vrrp/simulation.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Weather:
+class NetworkFaults:
     """What the network does to a datagram: shares, and a pair of milliseconds."""
 
     loss: float = 0.0
@@ -27,7 +27,7 @@
     cut: set[tuple[Address, Address]] = field(default_factory=set)  # one way each
 
 
-class Sea:
+class SimulatedNetwork:
     """Instances of one virtual router, as (primary address, priority), on a network."""
 
     def __init__(
@@ -41,7 +41,7 @@
         self._chance = random.Random(seed)
         self._members, self._interval, self._preempt = members, interval_cs, preempt
         self._tracks = tracks or []
-        self.weather, self.now = Weather(), 0.0
+        self.weather, self.now = NetworkFaults(), 0.0
         self._epochs = dict.fromkeys((a for a, _ in members), 0)
         self._flying: list[tuple[float, int, Datagram, Address]] = []
         self._number = 0
@@ -174,7 +174,7 @@
     for seed in seeds:
         chance = random.Random(seed)
         members = [(_address(n), p) for n, p in enumerate((200, 150, 100))]
-        sea = Sea(seed, members, interval_cs, preempt=chance.random() < 0.7)
+        sea = SimulatedNetwork(seed, members, interval_cs, preempt=chance.random() < 0.7)
         sea.weather.delay = (0.1, chance.uniform(1.0, 30.0))
         sea.weather.loss, sea.weather.copies = chance.uniform(0.0, 0.1), chance.uniform(0.0, 0.2)
         interval = interval_cs * 10.0
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,13 +6,13 @@
 
 from kelptrail.dispatch.dispatcher import Dispatcher
 from kelptrail.dispatch.entities import (
-    Request,
-    Tenant,
-    Idempotency,
+    Attempt,
     Function,
-    RequestClass,
+    Idempotency,
     LoadOrder,
-    Attempt,
+    Request,
+    RequestClass,
+    Tenant,
     Worker,
 )
 from kelptrail.dispatch.instance_table import InstanceTable
--- a/tests/program.py
+++ b/tests/program.py
@@ -20,10 +20,10 @@
 from kelptrail.front.callers import Callers
 from kelptrail.front.inference.api import InferenceApi
 from kelptrail.front.invoke.api import InvokeApi
-from kelptrail.gateway.build import World
+from kelptrail.gateway.build import DispatcherParts
 from kelptrail.gateway.core import Gateway
-from kelptrail.gateway.driver import Driver
-from kelptrail.membership.members import Entry, Listing
+from kelptrail.gateway.driver import GatewayDriver
+from kelptrail.membership.members import Endpoint, EndpointList
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.server import Exchange, HttpServer, Limits
 from kelptrail.service.build import grpc_limits
@@ -101,8 +101,8 @@
         self.script(self, request, exchange)
 
     @property
-    def entry(self) -> Entry:
-        return Entry(self.id, self.address, self.state, "1")
+    def entry(self) -> Endpoint:
+        return Endpoint(self.id, self.address, self.state, "1")
 
 
 def answer(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
@@ -179,9 +179,9 @@
         self, workers: list[ScriptedWorker], deployment: Deployment | None = None, boot: str = "b" * 16
     ) -> None:
         self.deployment = deployment or parse(DEPLOYMENT, "test")
-        self.gateway = Gateway(World(self.deployment, "a", 1), boot)
+        self.gateway = Gateway(DispatcherParts(self.deployment, "a", 1), boot)
         self.log = Silent()
-        self.driver = Driver(self.gateway, f"d/{boot}", self.deployment.pool, self.log)
+        self.driver = GatewayDriver(self.gateway, f"d/{boot}", self.deployment.pool, self.log)
         front = self.deployment.front
         self.api = InvokeApi(self.deployment, self.driver, boot)
         self.server = HttpServer(
@@ -204,10 +204,10 @@
         self.version = 0
         self.list(workers)
 
-    def list(self, workers: list[ScriptedWorker], *more: Entry) -> None:
+    def list(self, workers: list[ScriptedWorker], *more: Endpoint) -> None:
         """A new worker list."""
         self.version += 1
-        self.driver.listed(Listing(self.version, [w.entry for w in workers] + list(more), "test"))
+        self.driver.on_endpoints(EndpointList(self.version, [w.entry for w in workers] + list(more), "test"))
 
     async def call(
         self,
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from kelptrail.history_checker.checker import judge, read
+from kelptrail.history_checker.checker import check_history, read
 
 BOOT = "0123456789abcdef"
 WHO = f"d0/{BOOT}"
@@ -113,7 +113,7 @@
 
 
 def test_a_sound_capture_breaks_nothing() -> None:
-    verdict = judge(sound())
+    verdict = check_history(sound())
     assert not verdict.broken, verdict.details
     assert (verdict.taken, verdict.completed, verdict.sends, verdict.loads, verdict.effects) == (6, 6, 6, 2, 6)
 
@@ -204,7 +204,7 @@
     events = copy.deepcopy(sound())
     doctor(events)
     events.sort(key=lambda e: e["t"])
-    verdict = judge(events)
+    verdict = check_history(events)
     assert getattr(verdict, name) >= 1, verdict.counts()
     others = set(verdict.BREACHES) - {name, "sends_after_final"}
     assert not any(getattr(verdict, other) for other in others), verdict.details
@@ -215,7 +215,7 @@
     send = pick(events, "send", activation=f"{BOOT}{5:016x}")
     send.update(t=3700, worker="w0", incarnation="i0", lag=400)  # read late by a worker that was held up
     pick(events, "final", call="c5")["t"] = 3800
-    assert not judge(sorted(events, key=lambda e: e["t"])).broken
+    assert not check_history(sorted(events, key=lambda e: e["t"])).broken
 
 
 def test_a_worker_told_to_be_live_again_within_the_doubt_was_open() -> None:
@@ -223,7 +223,7 @@
     pick(events, "send", activation=f"{BOOT}{5:016x}").update(t=3700, worker="w0", incarnation="i0", lag=50)
     pick(events, "final", call="c5")["t"] = 3800
     events.append({"t": 3680, "what": "list", "to": WHO, "workers": {"w0": ["live", "i0"], "w1": ["live", "i1"]}})
-    assert not judge(sorted(events, key=lambda e: e["t"])).broken
+    assert not check_history(sorted(events, key=lambda e: e["t"])).broken
 
 
 def test_calls_of_a_killed_dispatcher_are_no_longer_its_duty() -> None:
@@ -233,7 +233,7 @@
         {"t": 1810, "what": "kill", "dispatcher": 0},
         {"t": 1812, "what": "no-answer", "call": "c2", "ending": "broken"},
     ]
-    verdict = judge(sorted(events, key=lambda e: e["t"]))
+    verdict = check_history(sorted(events, key=lambda e: e["t"]))
     assert not verdict.broken and verdict.lost_with_dispatcher == 1
 
 
@@ -246,14 +246,14 @@
         {"t": 2400, "what": "restarted", "dispatcher": 0},
         {"t": 6000, "what": "no-answer", "call": "c1", "ending": "polled"},
     ]
-    verdict = judge(sorted(events, key=lambda e: e["t"]))
+    verdict = check_history(sorted(events, key=lambda e: e["t"]))
     assert verdict.accepted_lost == 1 and verdict.broken
 
 
 def test_captures_are_read_in_order_and_a_torn_line_is_passed_over(tmp_path: Path) -> None:
     (tmp_path / "a.jsonl").write_text("\n".join(json.dumps(e) for e in sound()[::2]) + '\n{"t": 1, "wh')
     (tmp_path / "b.jsonl").write_text("\n".join(json.dumps(e) for e in sound()[1::2]) + "\n")
-    assert not judge(read(tmp_path)).broken
+    assert not check_history(read(tmp_path)).broken
     (tmp_path / "c.jsonl").write_text('nonsense\n{"t": 1}\n{"t": 2}\n')
     with pytest.raises(ValueError, match=r"c\.jsonl:1"):
         read(tmp_path)
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -16,32 +16,32 @@
 from program import auth, exchange, run, verdict
 
 from kelptrail.codec.http import encode_request
-from kelptrail.emulator.cluster import Place, ask
-from kelptrail.history_checker.checker import judge
-from kelptrail.lease.messages import Token
+from kelptrail.emulator.cluster import Cluster, ask
+from kelptrail.history_checker.checker import check_history
+from kelptrail.lease.messages import FencingToken
 from kelptrail.model_checking.explorer import PropertyError
-from kelptrail.replication.failover import QUIET_MS, SHUN_MS, Watch
-from kelptrail.replication.lookup import HERE, NO, PENDING, Questions
+from kelptrail.replication.failover import QUIET_MS, SHUN_MS, FailoverMonitor
+from kelptrail.replication.lookup import HERE, NO, PENDING, LookupService
 from kelptrail.replication.messages import (
-    CopySettings,
-    Fenced,
-    Item,
-    Kept,
-    Open,
-    Put,
-    Shut,
-    Told,
+    Append,
+    AppendAck,
+    CloseStream,
+    CommitIndex,
+    FencedReply,
+    OpenStream,
+    ReplicaEntry,
+    ReplicationSettings,
     digests_of,
     pack_digests,
 )
-from kelptrail.replication.model import Faults, Node, World
-from kelptrail.replication.primary import Owner, Stage
-from kelptrail.replication.replica import Holder, Work
+from kelptrail.replication.model import Faults, Model, Node
+from kelptrail.replication.primary import Primary, Stage
+from kelptrail.replication.replica import Replica, Work
 from kelptrail.replication.replica_placement import Member, moves, ranked, spread
-from kelptrail.replication.replica_store import Reading, Shelves, open_shelves
+from kelptrail.replication.replica_store import Reading, ReplicaStore, open_replica_store
 from kelptrail.settings.deployment import load, parse
 from kelptrail.settings.reader import SettingsError
-from kelptrail.store.activation_journal import BookError
+from kelptrail.store.activation_journal import JournalError
 from kelptrail.store.entries import Accepted, Ended, MayRun, pack
 
 
@@ -75,7 +75,7 @@
 # The world of one book.
 
 
-def walk(world: World, steps: int = 300) -> World:
+def walk(world: Model, steps: int = 300) -> Model:
     for _ in range(steps):
         world.step()
     world.heal()
@@ -85,7 +85,7 @@
 def test_what_was_promised_is_found_and_nothing_runs_twice_through_all_that_goes_wrong() -> None:
     took = promised = broken = 0
     for seed in range(60):
-        world = walk(World(seed))
+        world = walk(Model(seed))
         took, promised, broken = took + world.took, promised + len(world.promised), broken + bool(world.broken)
     assert took > 200 and promised > 1000 and broken < 20, "and enough happened"
 
@@ -94,7 +94,7 @@
     """Only one disk rots, and nothing else goes wrong with disks: what a promise needs is found elsewhere."""
     mended = 0
     for seed in range(12):
-        world = World(seed, faults=Faults(wipe=0.0, rot=0.004, lease=0.0, start=0.0, sync=0.0))
+        world = Model(seed, faults=Faults(wipe=0.0, rot=0.004, lease=0.0, start=0.0, sync=0.0))
         walk(world)
         mended += sum(node.owner.mended for node in world.nodes.values())
         (owner,) = [node for node in world.nodes.values() if node.believes]
@@ -103,14 +103,14 @@
     assert mended > 5
 
 
-class SafeOnItsOwnDisk(Owner):
+class SafeOnItsOwnDisk(Primary):
     def _settle(self) -> None:
         for way in self.ways.values():
             way.batch = 10**9
         super()._settle()
 
 
-class TakesFillingForWhole(Owner):
+class TakesFillingForWhole(Primary):
     def received(self, now: float, holder: str, answer: Any) -> None:
         super().received(now, holder, answer)
         if (way := self.ways.get(holder)) is not None and way.stage is Stage.FILLING:
@@ -118,7 +118,7 @@
             self._change()
 
 
-class GoesOnWithoutNote(Owner):
+class GoesOnWithoutNote(Primary):
     def _give_up(self, now: float, way: Any) -> None:
         super()._give_up(now, way)
         if self.noting is not None:
@@ -126,56 +126,56 @@
             self.notes.clear()
 
 
-class ActsWithoutItsNote(Owner):
-    def won(self, now: float, token: Token, members: Any) -> None:
+class ActsWithoutItsNote(Primary):
+    def won(self, now: float, token: FencingToken, members: Any) -> None:
         super().won(now, token, {})
         self.ready, self.noting = True, None
         self.notes.clear()
 
 
-class ForgetsWhatIsBehind(Owner):
+class ForgetsWhatIsBehind(Primary):
     def _fill(self, now: float, way: Any) -> None:
         way.behind = []
         super()._fill(now, way)
 
 
-class SafeBeforeItsDisk(Owner):
+class SafeBeforeItsDisk(Primary):
     def pump(self, now: float) -> None:
         super().pump(now)
         for batch in self._open:
             batch.local = True
 
 
-class AnswersFirst(Holder):
+class AnswersFirst(Replica):
     def received(self, sender: str, message: Any) -> None:
         super().received(sender, message)
-        if isinstance(message, Put) and (shelf := self.shelves.get(message.book)) is not None:
-            self.out.append((sender, Kept(message.book, message.token, message.stream, shelf.number)))
+        if isinstance(message, Append) and (shelf := self.shelves.get(message.book)) is not None:
+            self.out.append((sender, AppendAck(message.book, message.token, message.stream, shelf.number)))
 
 
-class TakesOlder(Holder):
+class TakesOlder(Replica):
     def received(self, sender: str, message: Any) -> None:
         if (shelf := self.shelves.get(message.book)) is not None and message.token < shelf.token:
             shelf.token, shelf.stream = message.token, message.stream
         super().received(sender, message)
 
 
-class SkipsAhead(Holder):
+class SkipsAhead(Replica):
     def received(self, sender: str, message: Any) -> None:
         shelf = self.shelves.get(message.book)
-        if isinstance(message, Put) and shelf is not None and shelf.number >= 0:
+        if isinstance(message, Append) and shelf is not None and shelf.number >= 0:
             shelf.number, shelf.safe = message.number - 1, message.number - 1
         super().received(sender, message)
 
 
-class ActsOnWhatItFinds(World):
-    def _owned(self, node: Node, token: Token, members: dict[str, str], safe: bool) -> None:
+class ActsOnWhatItFinds(Model):
+    def _owned(self, node: Node, token: FencingToken, members: dict[str, str], safe: bool) -> None:
         super()._owned(node, token, members, safe)
         if safe and node.believes and token == self.token:
             self._take_up(node, node.owner, True)
 
 
-class TakesEmptyForWhole(World):
+class TakesEmptyForWhole(Model):
     def __init__(self, seed: int, **how: Any) -> None:
         super().__init__(seed, faults=Faults(wipe=0.03), **how)
 
@@ -188,21 +188,21 @@
 @pytest.mark.parametrize(
     ("kinds", "world"),
     [
-        ((SafeOnItsOwnDisk, Holder), World),
-        ((TakesFillingForWhole, Holder), World),
-        ((GoesOnWithoutNote, Holder), World),
-        ((ActsWithoutItsNote, Holder), World),
-        ((ForgetsWhatIsBehind, Holder), World),
-        ((SafeBeforeItsDisk, Holder), World),
-        ((Owner, AnswersFirst), World),
-        ((Owner, TakesOlder), World),
-        ((Owner, SkipsAhead), World),
-        ((Owner, Holder), ActsOnWhatItFinds),
-        ((Owner, Holder), TakesEmptyForWhole),
+        ((SafeOnItsOwnDisk, Replica), Model),
+        ((TakesFillingForWhole, Replica), Model),
+        ((GoesOnWithoutNote, Replica), Model),
+        ((ActsWithoutItsNote, Replica), Model),
+        ((ForgetsWhatIsBehind, Replica), Model),
+        ((SafeBeforeItsDisk, Replica), Model),
+        ((Primary, AnswersFirst), Model),
+        ((Primary, TakesOlder), Model),
+        ((Primary, SkipsAhead), Model),
+        ((Primary, Replica), ActsOnWhatItFinds),
+        ((Primary, Replica), TakesEmptyForWhole),
     ],
     ids=lambda found: found.__name__ if isinstance(found, type) else "-".join(kind.__name__ for kind in found),
 )
-def test_rules_broken_on_purpose_are_found(kinds: Any, world: type[World]) -> None:
+def test_rules_broken_on_purpose_are_found(kinds: Any, world: type[Model]) -> None:
     with pytest.raises(PropertyError):
         for seed in range(400):
             walk(world(seed, kinds=kinds))
@@ -210,21 +210,21 @@
 
 # Owner and holder, step by step.
 
-ONE, TWO = Token(1, "a/1"), Token(2, "b/1")
+ONE, TWO = FencingToken(1, "a/1"), FencingToken(2, "b/1")
 EMPTY = pack_digests(digests_of(()))
 
 
-def owner(count: int = 1, **how: Any) -> Owner:
-    made = Owner("b", "a", "disk-a", CopySettings(count, **how), lambda: digests_of(()))
+def owner(count: int = 1, **how: Any) -> Primary:
+    made = Primary("b", "a", "disk-a", ReplicationSettings(count, **how), lambda: digests_of(()))
     made.won(0.0, ONE, {})
     made.noted(0.0)
     return made
 
 
-def whole(core: Owner, now: float, name: str) -> None:
+def whole(core: Primary, now: float, name: str) -> None:
     core.seek(now, [name], [name])
-    core.received(now, name, Told("b", ONE, core.ways[name].stream, 0, 0, EMPTY, f"disk-{name}"))
-    core.received(now, name, Kept("b", ONE, core.ways[name].stream, core.ways[name].number))
+    core.received(now, name, CommitIndex("b", ONE, core.ways[name].stream, 0, 0, EMPTY, f"disk-{name}"))
+    core.received(now, name, AppendAck("b", ONE, core.ways[name].stream, core.ways[name].number))
     core.noted(now)
 
 
@@ -233,7 +233,7 @@
     assert not core.takes(), "too few have it"
     whole(core, 1.0, "h")
     assert core.takes() and core.members == {"a": "disk-a", "h": "disk-h"} and core.risk_ms == 1.0
-    core.write([Item("i", 0, 0.0, b"x")], told.append)
+    core.write([ReplicaEntry("i", 0, 0.0, b"x")], told.append)
     core.pump(2.0)
     core.written(core.locals.popleft(), True)
     assert not told, "the holder has not answered"
@@ -248,8 +248,8 @@
 
 def test_an_owner_that_was_fenced_is_told_and_tells_nobody_that_anything_is_safe() -> None:
     core, told = owner(0), list[bool]()
-    core.received(1.0, "h", Fenced("b", TWO))
-    core.write([Item("i", 0, 0.0, b"x")], told.append)
+    core.received(1.0, "h", FencedReply("b", TWO))
+    core.write([ReplicaEntry("i", 0, 0.0, b"x")], told.append)
     core.pump(1.0)
     core.written(core.locals.popleft(), True)
     assert core.fenced and not told and not core.takes()
@@ -257,7 +257,7 @@
 
 def test_an_owner_whose_disk_fails_promises_nothing_more() -> None:
     core = owner(0)
-    core.write([Item("i", 0, 0.0, b"x")], None)
+    core.write([ReplicaEntry("i", 0, 0.0, b"x")], None)
     core.pump(1.0)
     core.written(core.locals.popleft(), False)
     assert core.failed and not core.takes()
@@ -268,14 +268,14 @@
     whole(core, 1.0, "h")
     core.out.clear()
     for n in range(4):
-        core.write([Item(f"i{n}", 0, 0.0, b"x" * 1500)], None)
+        core.write([ReplicaEntry(f"i{n}", 0, 0.0, b"x" * 1500)], None)
         core.pump(2.0)
-    sent = [m for _, m in core.out if isinstance(m, Put)]
+    sent = [m for _, m in core.out if isinstance(m, Append)]
     assert len(sent) == 1 and not core.takes(), "one that fills the window, and no more is taken"
-    core.received(3.0, "h", Kept("b", ONE, core.ways["h"].stream, sent[0].number))
-    assert len([m for _, m in core.out if isinstance(m, Put)]) == 2
+    core.received(3.0, "h", AppendAck("b", ONE, core.ways["h"].stream, sent[0].number))
+    assert len([m for _, m in core.out if isinstance(m, Append)]) == 2
     core.tick(400.0)
-    again = [m for _, m in core.out if isinstance(m, Put)][2]
+    again = [m for _, m in core.out if isinstance(m, Append)][2]
     assert again.number == sent[0].number + 1 and again.waited_ms == 398.0, "sent again, and older by so much"
 
 
@@ -283,15 +283,15 @@
     core, told = owner(1, window_bytes=1000), list[bool]()
     whole(core, 1.0, "h")
     core.out.clear()
-    core.write([Item(f"i{n}", 0, 0.0, b"x" * 300) for n in range(5)], told.append, ["old"])
+    core.write([ReplicaEntry(f"i{n}", 0, 0.0, b"x" * 300) for n in range(5)], told.append, ["old"])
     core.pump(2.0)
     core.written(core.locals.popleft(), True)
     way = core.ways["h"]
     parts = [put for put, *_ in way.queue]
     assert [len(put.items) for put in parts] == [1, 1, 1, 1, 1] and [put.drops for put in parts][3:] == [(), ("old",)]
-    core.received(3.0, "h", Kept("b", ONE, way.stream, way.number - 1))
+    core.received(3.0, "h", AppendAck("b", ONE, way.stream, way.number - 1))
     assert not told
-    core.received(4.0, "h", Kept("b", ONE, way.stream, way.number))
+    core.received(4.0, "h", AppendAck("b", ONE, way.stream, way.number))
     assert told == [True]
 
 
@@ -303,19 +303,19 @@
     core.out.clear()
     core.seek(5001.0, ["h", "k"], ["k"])
     ((to, shut),) = core.out
-    assert to == "h" and isinstance(shut, Shut)
-    holder = Holder({}, lambda _: "disk")
-    holder.received("a", Open("b", ONE, shut.stream + 1))
+    assert to == "h" and isinstance(shut, CloseStream)
+    holder = Replica({}, lambda _: "disk")
+    holder.received("a", OpenStream("b", ONE, shut.stream + 1))
     holder.received("a", shut)
     assert "b" in holder.shelves, "it has been asked again meanwhile"
-    holder.received("a", Shut("b", ONE, shut.stream + 2))
+    holder.received("a", CloseStream("b", ONE, shut.stream + 2))
     assert not holder.shelves["b"].owner and holder.work[-1].shut
-    holder.received("old", Open("b", Token(0, "old/1"), 99))
-    assert isinstance(holder.out.pop()[1], Fenced), "what is forgotten is not who came last"
+    holder.received("old", OpenStream("b", FencingToken(0, "old/1"), 99))
+    assert isinstance(holder.out.pop()[1], FencedReply), "what is forgotten is not who came last"
 
 
 def test_books_are_wanted_once_their_owner_is_silent_or_looks_at_them_no_more() -> None:
-    watch = Watch("me", 1000.0, 0.0)
+    watch = FailoverMonitor("me", 1000.0, 0.0)
     watch.heard("a", 500.0)
     watch.put("b", 500.0)
     assert not watch.is_due(1400.0, "b", "a") and watch.is_due(1500.0, "b", "a") and watch.is_due(0.0, "b", "me")
@@ -339,21 +339,23 @@
 CALL = Accepted("c1", "n", "p/a", 1000.0, 5000.0, b"{}", "key", "digest", deferred=True)
 
 
-def items(*entries: Any) -> tuple[Item, ...]:
+def items(*entries: Any) -> tuple[ReplicaEntry, ...]:
     kinds = {Accepted: 0, MayRun: 1, Ended: 2}
-    return tuple(Item(e.id, kinds[type(e)], 250.0 if isinstance(e, Accepted) else 0.0, pack(e)[0]) for e in entries)
+    return tuple(
+        ReplicaEntry(e.id, kinds[type(e)], 250.0 if isinstance(e, Accepted) else 0.0, pack(e)[0]) for e in entries
+    )
 
 
 def test_times_are_told_by_the_clock_of_whoever_holds_the_book(tmp_path: Path) -> None:
     """The owner's clock was an hour off: what counts is how long ago its entries were."""
-    shelves, _ = open_shelves(tmp_path / "copies.sqlite")
+    shelves, _ = open_replica_store(tmp_path / "copies.sqlite")
     hour = 3_600_000.0
     ended = Ended("c1", CALL.start + 150.0, "completed", 0, b"{}")
     shelves.commit(
         [Work("b", items(CALL, MayRun("c1", 1100.0, "w1"), ended), fence=(ONE, "a"), waited_ms=50.0, wall_ms=hour)]
     )
     shelves.close()
-    again, aside = open_shelves(tmp_path / "copies.sqlite")
+    again, aside = open_replica_store(tmp_path / "copies.sqlite")
     reading = Reading("b", wall_ms=hour + 500.0)
     again.commit([reading])
     (life,) = reading.lives
@@ -365,7 +367,7 @@
 
 
 def test_a_bucket_is_swept_of_what_does_not_belong_there_and_forgetting_changes_the_digest(tmp_path: Path) -> None:
-    shelves, _ = open_shelves(None)
+    shelves, _ = open_replica_store(None)
     shelves.commit([Work("b", items(CALL, MayRun("c1", 1.0, "w")), fence=(ONE, "a"))])
     both = list(shelves.digests["b"])
     bucket = next(n for n, found in enumerate(both) if found)
@@ -379,7 +381,7 @@
 
 def test_a_flipped_bit_is_seen_by_reading_back_and_what_follows_it_may_have_run(tmp_path: Path) -> None:
     file = tmp_path / "copies.sqlite"
-    shelves, _ = open_shelves(file)
+    shelves, _ = open_replica_store(file)
     shelves.commit([Work("b", items(CALL, MayRun("c1", 1.0, "w")), fence=(ONE, "a"))])
     other = apsw.Connection(str(file))
     list(other.execute("UPDATE entries SET body = CAST(replace(body, 'w', 'v') AS BLOB) WHERE kind = 1"))
@@ -393,15 +395,15 @@
 
 def test_a_file_that_cannot_be_read_is_set_aside_as_a_lost_disk_and_a_newer_one_left_alone(tmp_path: Path) -> None:
     file = tmp_path / "copies.sqlite"
-    before = open_shelves(file)[0]
+    before = open_replica_store(file)[0]
     before.close()
     file.write_bytes(b"no database at all, " * 300)
     (tmp_path / "copies.sqlite-wal").unlink(missing_ok=True)
-    made, aside = open_shelves(file)
+    made, aside = open_replica_store(file)
     assert aside is not None and aside.exists() and made.disk != before.disk
     list(apsw.Connection(str(file)).execute("PRAGMA user_version=9"))
-    with pytest.raises(BookError, match="newer"):
-        Shelves(file)
+    with pytest.raises(JournalError, match="newer"):
+        ReplicaStore(file)
 
 
 # Settings and audit.
@@ -459,10 +461,10 @@
         {"what": "no-answer", "t": 9.0, "call": "c1", "ending": "polled"},
     ]
     denied = {"what": "denied", "t": 4.0, "call": "c1", "activation": "x", "at": "d1"}
-    assert judge([world, call, accepted, *lost]).accepted_lost == 1, "with copies a lost disk is no excuse"
-    assert judge([world | {"copies": 0}, call, accepted, *lost]).lost_with_disk == 1
-    assert judge([world, call, accepted, denied, *lost]).promises_denied == 1
-    assert judge([world, call, denied, *lost]).promises_denied == 0, "what was never promised may be unknown"
+    assert check_history([world, call, accepted, *lost]).accepted_lost == 1, "with copies a lost disk is no excuse"
+    assert check_history([world | {"copies": 0}, call, accepted, *lost]).lost_with_disk == 1
+    assert check_history([world, call, accepted, denied, *lost]).promises_denied == 1
+    assert check_history([world, call, denied, *lost]).promises_denied == 0, "what was never promised may be unknown"
 
 
 # Who has it.
@@ -470,7 +472,7 @@
 
 def test_that_nobody_has_it_takes_the_word_of_all_and_of_who_owns_a_book_that_may() -> None:
     told: list[Any] = []
-    asks = Questions("me/1", 300.0)
+    asks = LookupService("me/1", 300.0)
     asks.ask(0.0, "x", ["a", "b"], ["me/1"], False, told.append)
     assert asks.joined("x", told.append) and not asks.joined("y", told.append)
     asks.answered("a", "x", NO, "", "a/1", ["b/1"])
@@ -584,7 +586,7 @@
     file = str(ROOT / "examples" / "copies.sexp")
 
     async def main() -> None:
-        rig = Place(load(file), file, tmp_path / "captures", quiet=True)
+        rig = Cluster(load(file), file, tmp_path / "captures", quiet=True)
         (tmp_path / "captures").mkdir()
         await rig.start(2, 5, tmp_path / "state")
         try:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -27,7 +27,7 @@
 from kelptrail.platform import service
 from kelptrail.platform import worker_connections as workers
 from kelptrail.platform.client_server import OPEN
-from kelptrail.platform.worker_connections import Bounds, WorkerLinks
+from kelptrail.platform.worker_connections import Bounds, WorkerConnections
 
 SMALL = 4096  # bytes of a socket's buffer, where it shall be full soon
 
@@ -394,7 +394,7 @@
         self.ended: list[tuple[Any, AttemptStatus]] = []
         bounds = Bounds(150.0, 15_000.0, 100, in_all, 1 << 17, cancels, parallel, 2000.0, lambda: False)
         bounds.most = most
-        self.links = WorkerLinks(
+        self.links = WorkerConnections(
             asyncio.get_running_loop(),
             "w",
             self.listening.getsockname(),
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -12,11 +12,11 @@
 from program import DEPLOYMENT, PEERS, Dispatcher, ScriptedWorker, Silent, Voters, run
 
 from kelptrail.clock import now_ms
-from kelptrail.membership.members import Listing
-from kelptrail.peers.messages import VERSION, Beat, FrameReader, Hello, frame
+from kelptrail.membership.members import EndpointList
+from kelptrail.peers.messages import VERSION, FrameReader, Heartbeat, Hello, frame
 from kelptrail.planner.channel import READ, Offer, Reply
 from kelptrail.planner.core import Role
-from kelptrail.planner.driver import Options, PlannerProgram
+from kelptrail.planner.driver import Options, PlannerDriver
 from kelptrail.planner.edge_driver import PlanFollower
 from kelptrail.planner.plan import make, pack
 from kelptrail.settings.deployment import parse
@@ -46,10 +46,10 @@
         self.planners = [self.planner(n) for n in range(planners)]
         self.edge = self.follower()
 
-    def planner(self, number: int, state: Path | None = None, port: int = 0) -> PlannerProgram:
+    def planner(self, number: int, state: Path | None = None, port: int = 0) -> PlannerDriver:
         fleet = self.voters.join(f"planner-{number}")
         assert fleet.leases is not None
-        made = PlannerProgram(
+        made = PlannerDriver(
             self.dispatcher.deployment,
             Options(f"planner-{number}", "127.0.0.1", port, "", state or self.state / f"p{number}", None, "greedy"),
             fleet.leases,
@@ -59,7 +59,7 @@
         made.restore()
         made.listen()
         made.start()
-        made.listed(Listing(self.dispatcher.version, [w.entry for w in self.workers], "test"))
+        made.listed(EndpointList(self.dispatcher.version, [w.entry for w in self.workers], "test"))
         return made
 
     def follower(self) -> PlanFollower:
@@ -68,7 +68,7 @@
             "edge",
             self.dispatcher.deployment.name,
             self.dispatcher.gateway,
-            self.dispatcher.driver.stir_soon,
+            self.dispatcher.driver.schedule_decisions,
             self.state / "plan.bin",
             self.log,
         )
@@ -156,7 +156,7 @@
             frames = FrameReader(READ)
             while data := await reader.read(65536):
                 said.extend(frames.feed(data))
-                writer.write(frame(Beat()))
+                writer.write(frame(Heartbeat()))
                 while offers:
                     writer.write(frame(Offer(offers.pop(0))))
 
@@ -167,7 +167,7 @@
             "edge",
             pair.dispatcher.deployment.name,
             pair.dispatcher.gateway,
-            pair.dispatcher.driver.stir_soon,
+            pair.dispatcher.driver.schedule_decisions,
             None,
             pair.log,
         )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,21 +15,21 @@
 from program import DEPLOYMENT, PEERS, Voters, run
 
 from kelptrail.codec.http import Request
-from kelptrail.fault_scenario.runner import Player
+from kelptrail.fault_scenario.runner import ScenarioRunner
 from kelptrail.fault_scenario.scenario import load
-from kelptrail.lease.acceptor_store import open_ledger
-from kelptrail.lease.driver import Leases
-from kelptrail.lease.messages import Ask, Token
+from kelptrail.lease.acceptor_store import open_acceptor_store
+from kelptrail.lease.driver import LeaseDriver
+from kelptrail.lease.messages import AcquireRequest, FencingToken
 from kelptrail.net.server import Exchange, HttpServer
-from kelptrail.peers.connection import Link, LinkSettings
-from kelptrail.peers.messages import VERSION, Beat, ChannelError, FrameReader, Hello, decoder, frame
+from kelptrail.peers.connection import PeerConnection, PeerSettings
+from kelptrail.peers.messages import VERSION, ChannelError, FrameReader, Heartbeat, Hello, decoder, frame
 from kelptrail.service.usage import Collector, Told, Total, Usage, Used
 from kelptrail.settings.deployment import parse
 from kelptrail.settings.reader import SettingsError
 
 ROOT = Path(__file__).parent.parent
-READ = decoder(Ask)
-SOME = Ask("t", Token(1, "x"), 1.0, 1, 1)
+READ = decoder(AcquireRequest)
+SOME = AcquireRequest("t", FencingToken(1, "x"), 1.0, 1, 1)
 FLEET = parse(DEPLOYMENT.replace("(pool (connect-ms 150))", f"(pool (connect-ms 150))\n{PEERS}"), "fleet")
 
 
@@ -39,8 +39,8 @@
     what: int = 1
 
 
-def link(**figures: Any) -> Link:
-    return Link(Hello(VERSION, "me", "here", can=("lease",)), LinkSettings(**figures), READ, 0.0)
+def link(**figures: Any) -> PeerConnection:
+    return PeerConnection(Hello(VERSION, "me", "here", can=("lease",)), PeerSettings(**figures), READ, 0.0)
 
 
 def test_a_link_speaks_to_the_version_before_passes_over_a_later_one_and_ends_at_rubbish() -> None:
@@ -56,7 +56,7 @@
         (frame(Later()), "no message"),
         (frame(Hello(2, "", "here")), "says who"),
         (b"\x7f\0\0\0", "a frame of"),
-        (frame(Beat()), "hello must come first"),
+        (frame(Heartbeat()), "hello must come first"),
     ):
         with pytest.raises(ChannelError, match=word):
             link().feed(1.0, rubbish)
@@ -82,7 +82,7 @@
         await asyncio.sleep(0.01)
 
 
-def hold(leases: Leases, held: list[tuple[str, str]]) -> None:
+def hold(leases: LeaseDriver, held: list[tuple[str, str]]) -> None:
     leases.want(
         "t",
         1000.0,
@@ -106,7 +106,7 @@
         assert first.holds("t") is not None and second.holds("t") is None
         first.release("t", second.name)
         await until(lambda: second.holds("t"))
-        assert held[-1][0] == second.name and Token(int(held[-1][1].partition(".")[0]), "") > Token(1, "")
+        assert held[-1][0] == second.name and FencingToken(int(held[-1][1].partition(".")[0]), "") > FencingToken(1, "")
         time.sleep(2.05)  # the whole loop, for two lengths of a lease
         assert second.holds("t") is None, "by the clock, before any timer has rung"
         await until(lambda: (second.name, "expired") in held)
@@ -167,9 +167,9 @@
         assert before is not None and between is not None and between > before and asker.holds("t") is None
         cut_off.peers.need({"v0", "v1", "v2"})
         other.release("t")
-        await until(lambda: asker.asker.number == 2 and asker.holds("t"))
+        await until(lambda: asker.client.number == 2 and asker.holds("t"))
         after = asker.holds("t")
-        assert after is not None and after > between and asker.asker.voters == ("v0", "v1", "v3")
+        assert after is not None and after > between and asker.client.voters == ("v0", "v1", "v3")
         await voters.stop()
 
     run(main())
@@ -213,15 +213,15 @@
         assert await process.wait() == -9
         await until(lambda: asker.holds("t"))
         token = asker.holds("t")
-        _, memory, rows, reason = open_ledger(tmp_path / "v2" / "leases.sqlite")
+        _, memory, rows, reason = open_acceptor_store(tmp_path / "v2" / "leases.sqlite")
         kept = {row.task: row.token for row in rows}
         assert memory is not None and not reason and kept and token is not None
         assert kept.get("t", token) <= token
         voters.join("v2", voters.at["v2"])
         again = voters.fleets[-1].leases
-        assert again is not None and again.voter is not None
+        assert again is not None and again.acceptor is not None
         for task, written in kept.items():
-            assert again.voter.seats[task].highest == written, "what was on disk counts, though nobody heard of it"
+            assert again.acceptor.seats[task].highest == written, "what was on disk counts, though nobody heard of it"
         await voters.stop()
 
     run(main())
@@ -252,14 +252,14 @@
 
 
 def test_usage_is_summed_over_the_fleet_and_old_collectors_are_not_heard(tmp_path: Path) -> None:
-    told, first, second = Told(), Collector(Token(1, "a")), Collector(Token(2, "b"))
+    told, first, second = Told(), Collector(FencingToken(1, "a")), Collector(FencingToken(2, "b"))
     counts = {"one": (10, 1, 0)}
     for now, completed in ((0.0, 10), (2000.0, 30)):
         question = first.begin(now)
         assert told.takes(question.token)
         first.heard("x", Used(question.turn, "r1", {"one": (completed, 1, 0)}))
         first.heard("y", Used(question.turn - 1, "r1", counts))
-    assert first.total() == Total(Token(1, "a"), 2, 1, {"one": (10.0, 0.0, 0.0)}) and told.told(first.total())
+    assert first.total() == Total(FencingToken(1, "a"), 2, 1, {"one": (10.0, 0.0, 0.0)}) and told.told(first.total())
     first.begin(4000.0)
     first.heard("x", Used(3, "r2", {"one": (4, 0, 2)}))
     assert first.total().rates == {"one": (2.0, 0.0, 1.0)}, "a new run counts from nothing"
@@ -307,7 +307,7 @@
     day = load(ROOT / "examples" / "bad-days" / "leases.sexp")
     assert day.dispatchers == 7 and day.tasks == ("sweep", "tally", "ledger") and any(t.one_way for t in day.trouble)
     with pytest.raises(ValueError, match="different halls"):
-        Player(day, parse(DEPLOYMENT.replace("(halls a b)", "(halls a)"), "one"), 1, tmp_path)
+        ScenarioRunner(day, parse(DEPLOYMENT.replace("(halls a b)", "(halls a)"), "one"), 1, tmp_path)
     for old, new, word in (
         ("(dispatchers 7)", "(dispatchers 4)", "5 dispatchers at least"),
         ("(part 0.28) (ms 300)", "(part 0.28) (ms -300)", "only clock-step goes back"),
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -25,7 +25,7 @@
 from kelptrail.codec.http import Request, encode_request, encode_response
 from kelptrail.codec.infer import infer_answer, read_infer
 from kelptrail.dispatch.entities import AttemptStatus
-from kelptrail.membership.members import Listing, Peer, id_prefix
+from kelptrail.membership.members import EndpointList, Peer, id_prefix
 from kelptrail.net.server import Exchange, HttpServer, Limits
 from kelptrail.settings.deployment import parse
 
@@ -342,7 +342,7 @@
         worker = ScriptedWorker("w", silent)
         dispatcher = Dispatcher([worker], settings)
         calls = [asyncio.create_task(dispatcher.call("p/check", body={})) for _ in range(3)]
-        while dispatcher.gateway.in_hand < 3:
+        while dispatcher.gateway.in_flight < 3:
             await asyncio.sleep(0.01)
         status, headers, body = await dispatcher.call("p/check", body={})
         assert status == 429 and headers["retry-after"] == "1" and "in flight" in body["error"]
@@ -397,7 +397,7 @@
         one = Dispatcher([worker], boot=id_prefix("one") + "1" * 10)
         two = Dispatcher([worker], boot=id_prefix("two") + "2" * 10)
         peers = [Peer("one", one.server.address), Peer("two", two.server.address)]
-        two.driver.listed(Listing(9, [worker.entry], "test", peers))
+        two.driver.on_endpoints(EndpointList(9, [worker.entry], "test", peers))
         status, _, told = await one.call("grant", blocking=False, body={})
         assert status == 202
         target = f"{BASE}/activations/{told['activationId']}"
