--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -8,17 +8,17 @@
 from program import DEPLOYMENT
 
 from kelptrail.codec.infer import Answer
-from kelptrail.dispatch.entities import NEVER_RAN, Idempotency, AttemptStatus, Attempt, WorkerState
-from kelptrail.gateway.build import World
-from kelptrail.gateway.core import Final, Gateway, GiveUp, Ivk, PlaceOrder, StartSend
+from kelptrail.dispatch.entities import NEVER_RAN, Attempt, AttemptStatus, Idempotency, WorkerState
+from kelptrail.gateway.build import DispatcherParts
+from kelptrail.gateway.core import CancelAttempt, FinalAnswer, Gateway, Invocation, StartAttempt, StartLoad
 from kelptrail.gateway.limits import Holdings
 from kelptrail.gateway.records import AlreadyFinalError, Record, Records
-from kelptrail.membership.members import Entry, Listing, Members
+from kelptrail.membership.members import Endpoint, EndpointList, Members
 from kelptrail.settings.deployment import parse
 
 
-def entries(count: int, **states: str) -> list[Entry]:
-    return [Entry(f"w{n}", f"127.0.0.1:{9000 + n}", states.get(f"w{n}", "live"), "1") for n in range(count)]
+def entries(count: int, **states: str) -> list[Endpoint]:
+    return [Endpoint(f"w{n}", f"127.0.0.1:{9000 + n}", states.get(f"w{n}", "live"), "1") for n in range(count)]
 
 
 class Life:
@@ -27,19 +27,19 @@
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
         deployment = parse(DEPLOYMENT.replace("(cold-ms 0)", "(cold-ms 500)"), "t")
-        self.gateway = Gateway(World(deployment, "a", seed), f"{seed:016x}")
+        self.gateway = Gateway(DispatcherParts(deployment, "a", seed), f"{seed:016x}")
         self.actions = list(deployment.actions.values())
         self.now, self.version = 1000.0, 0
         self.out: list[tuple[float, Attempt, AttemptStatus]] = []
-        self.orders: list[tuple[float, PlaceOrder]] = []
+        self.orders: list[tuple[float, StartLoad]] = []
         self.finals: dict[str, float] = {}
-        self.taken: list[Ivk] = []
+        self.taken: list[Invocation] = []
         self.told: list[tuple[float, str]] = []
         self.list()
 
     def list(self, **states: str) -> None:
         self.version += 1
-        self.gateway.listed(self.now, Listing(self.version, entries(4, **states), "x"))
+        self.gateway.on_endpoints(self.now, EndpointList(self.version, entries(4, **states), "x"))
 
     def step(self, load: bool) -> None:
         chance, gateway = self.chance, self.gateway
@@ -48,7 +48,9 @@
         if load and chance.random() < 0.6:
             action, key = chance.choice(self.actions), chance.choice([None, f"k{chance.randrange(10**9)}"])
             before = len(self.told)
-            ivk = gateway.take(now, 5e12 + now, "one", action, b"{}", key, "", lambda r: self.told.append((now, r.id)))
+            ivk = gateway.submit(
+                now, 5e12 + now, "one", action, b"{}", key, "", lambda r: self.told.append((now, r.id))
+            )
             assert len(self.told) == before, "answers come as effects only"
             self.taken.append(ivk)
         for entry in [e for e in self.out if e[0] <= now]:
@@ -58,11 +60,11 @@
                 answer = (
                     Answer("completed", b"{}", chance.random() < 0.9) if outcome is AttemptStatus.COMPLETED else None
                 )
-                gateway.answered(now, send, outcome, answer)
+                gateway.on_attempt_finished(now, send, outcome, answer)
         for due, order in [o for o in self.orders if o[0] <= now]:
             self.orders.remove((due, order))
             good = chance.random() < 0.8
-            gateway.told(
+            gateway.on_load_report(
                 now,
                 order.order,
                 AttemptStatus.COMPLETED
@@ -71,38 +73,42 @@
                 order.order.count if good else 0,
             )
         if chance.random() < 0.02 and self.taken:
-            gateway.left(now, chance.choice(self.taken))
+            gateway.on_client_gone(now, chance.choice(self.taken))
         if chance.random() < 0.01:
             self.list(w0=chance.choice(["live", "draining", "gone"]), w1=chance.choice(["live", "draining"]))
         self.pull()
 
     def pull(self) -> None:
         now, chance = self.now, self.chance
-        while (effect := self.gateway.effect(now)) is not None:
-            if isinstance(effect, StartSend):
-                act, worker = effect.ivk.act, effect.send.instance.worker
-                assert not effect.ivk.record.final and act.id not in self.finals, "nothing is sent after the end"
-                assert worker.state is WorkerState.LIVE and now < effect.ivk.record.taken + 900
+        while (effect := self.gateway.on_decision_done(now)) is not None:
+            if isinstance(effect, StartAttempt):
+                act, worker = effect.invocation.request, effect.attempt.instance.worker
+                assert not effect.invocation.record.final and act.id not in self.finals, "nothing is sent after the end"
+                assert worker.state is WorkerState.LIVE and now < effect.invocation.record.taken + 900
                 if act.request_class.idempotency is Idempotency.AT_MOST_ONCE:
                     assert all(s.status in NEVER_RAN for s in act.attempts[:-1]), "once-only goes out once"
                 outcome = chance.choices(list(AttemptStatus), [60, 8, 6, 8, 3, 4, 0, 2, 6])[0]
                 wait = 3000.0 if outcome is AttemptStatus.SILENT else chance.uniform(5, 300)
-                self.out.append((now + wait, effect.send, outcome))
-            elif isinstance(effect, GiveUp) and effect.send.status is None:
-                self.out = [e for e in self.out if e[1] is not effect.send]
+                self.out.append((now + wait, effect.attempt, outcome))
+            elif isinstance(effect, CancelAttempt) and effect.attempt.status is None:
+                self.out = [e for e in self.out if e[1] is not effect.attempt]
                 self.out.append(
-                    (now, effect.send, AttemptStatus.SILENT if effect.reason == "silent" else AttemptStatus.CANCELLED)
+                    (
+                        now,
+                        effect.attempt,
+                        AttemptStatus.SILENT if effect.reason == "silent" else AttemptStatus.CANCELLED,
+                    )
                 )
-            elif isinstance(effect, PlaceOrder):
+            elif isinstance(effect, StartLoad):
                 assert effect.order.instance.worker.state is WorkerState.LIVE
                 self.orders.append((now + chance.uniform(1, 200), effect))
-            elif isinstance(effect, Final):
-                record = effect.ivk.record
+            elif isinstance(effect, FinalAnswer):
+                record = effect.invocation.record
                 assert record.id not in self.finals and record.final, "one final answer"
                 self.finals[record.id] = now
                 if record.answer == "rejected" and record.effect == "once-only":
-                    assert all(s.status in NEVER_RAN for s in effect.ivk.act.attempts)
-                for waiter in effect.ivk.waiters:
+                    assert all(s.status in NEVER_RAN for s in effect.invocation.request.attempts)
+                for waiter in effect.invocation.waiters:
                     waiter(record)
 
 
@@ -120,7 +126,7 @@
     counts = life.gateway.counts
     assert counts.completed and counts.rejected and counts.aborted
     assert counts.taken == counts.completed + counts.rejected + counts.aborted == len(life.told)
-    assert life.gateway.in_hand == 0 and not life.gateway._ivks, "nothing is left behind"
+    assert life.gateway.in_flight == 0 and not life.gateway._ivks, "nothing is left behind"
     assert life.gateway.holdings.held == life.gateway.holdings.bytes == 0
 
 
@@ -149,15 +155,15 @@
 
 def test_members_by_list_restart_and_age() -> None:
     members = Members({"a": 0, "b": 1})
-    first, _ = members.apply(1000.0, Listing(5, [Entry("w", "h:1", "live", "i1", 400.0, "b")], "x"))
+    first, _ = members.apply(1000.0, EndpointList(5, [Endpoint("w", "h:1", "live", "i1", 400.0, "b")], "x"))
     assert first[0].started_at == 600.0 and first[0].zone == 1
-    same, restarted = members.apply(1100.0, Listing(4, [], "x"))
+    same, restarted = members.apply(1100.0, EndpointList(4, [], "x"))
     assert same == first and first[0].live, "an older list changes nothing"
-    _, restarted = members.apply(1200.0, Listing(6, [Entry("w", "h:1", "live", "i1", 700.0, "b")], "x"))
+    _, restarted = members.apply(1200.0, EndpointList(6, [Endpoint("w", "h:1", "live", "i1", 700.0, "b")], "x"))
     assert not restarted and first[0].started_at == 600.0, "ages drift; a start is told by its incarnation"
-    _, restarted = members.apply(1300.0, Listing(7, [Entry("w", "h:1", "live", "i2", 10.0, "b")], "x"))
+    _, restarted = members.apply(1300.0, EndpointList(7, [Endpoint("w", "h:1", "live", "i2", 10.0, "b")], "x"))
     assert restarted == first and first[0].started_at == 1290.0
-    gone, _ = members.apply(1400.0, Listing(1, [], "y"))
+    gone, _ = members.apply(1400.0, EndpointList(1, [], "y"))
     assert gone == first and first[0].removed
     members.purge()
     assert len(members) == 0 and not members.addresses
@@ -181,12 +187,12 @@
 def test_calls_that_came_at_one_moment_are_given_up_in_time_to_answer_them_all() -> None:
     """Guards against a herd of deadlines: two thousand calls taken within 100 ms by a dispatcher that had just come
     back were answered up to 140 ms late."""
-    gateway = Gateway(World(parse(DEPLOYMENT, "t"), "a", 1), "b" * 16)
+    gateway = Gateway(DispatcherParts(parse(DEPLOYMENT, "t"), "a", 1), "b" * 16)
     action = gateway._world.deployment.actions["p/check"]
-    plain = [gateway.take(0.0, 0.0, "one", action, b"{}").act.deadline for _ in range(20)]
+    plain = [gateway.submit(0.0, 0.0, "one", action, b"{}").request.deadline for _ in range(20)]
     assert set(plain) == {800.0}, "900 less the margin"
     gateway.answer_ms = 0.5
-    herd = [gateway.take(0.0, 0.0, "one", action, b"{}").act.deadline for _ in range(1000)]
+    herd = [gateway.submit(0.0, 0.0, "one", action, b"{}").request.deadline for _ in range(1000)]
     assert herd[0] == 790.0 and herd == sorted(herd, reverse=True)
     assert herd[200] == 900 - 100 - 0.5 * 220, "so much earlier that those before it can be answered"
     assert herd[-1] == 900 - 0.25 * 900, "at the most a quarter of its time"
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -37,7 +37,7 @@
 from kelptrail.front.inference import inference_pb2 as pb
 from kelptrail.front.inference.api import SERVICE
 from kelptrail.net.grpc_server import GrpcLimits, GrpcServer, GrpcStream
-from kelptrail.net.guard import Act, Guard, GuardSettings, Stage
+from kelptrail.net.guard import Guard, GuardAction, GuardSettings, Stage
 from kelptrail.settings.deployment import parse
 
 ROOT = Path(__file__).parent.parent
@@ -184,9 +184,9 @@
 
 def test_budgets_fill_again_and_ages_come_in_steps() -> None:
     guard = Guard(GuardSettings(10, 5.0, 1000.0, 300.0), 0.0, 0.5)
-    assert [guard.spend(0.0, Act.RESET) for _ in range(11)] == [True] * 10 + [False]
-    assert guard.spend(0.0, Act.PING), "each act has its own"
-    assert guard.spend(1000.0, Act.RESET)
+    assert [guard.spend(0.0, GuardAction.RESET) for _ in range(11)] == [True] * 10 + [False]
+    assert guard.spend(0.0, GuardAction.PING), "each act has its own"
+    assert guard.spend(1000.0, GuardAction.RESET)
     assert guard.due(990.0, 3, 100.0) is None and guard.takes
     assert guard.due(1000.0, 3, 100.0) is Stage.WARNED and guard.takes
     assert guard.due(1050.0, 3, 100.0) is None
@@ -878,14 +878,14 @@
 @pytest.mark.processes
 def test_a_client_library_against_the_real_program_with_faults(tmp_path: Path) -> None:
     """Processes of their own: a place, one dispatcher; a worker's faults are set while calls run."""
-    from kelptrail.emulator.cluster import Place
+    from kelptrail.emulator.cluster import Cluster
     from kelptrail.settings.deployment import load
 
     file = str(ROOT / "examples" / "streams.sexp")
 
     async def main() -> None:
         deployment = load(file)
-        made = Place(deployment, file, tmp_path, quiet=True)
+        made = Cluster(deployment, file, tmp_path, quiet=True)
         await made.start(2, 1, tmp_path / "state")
         try:
             space = deployment.namespaces["families"]
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -26,7 +26,7 @@
 from kelptrail.front.inference import inference_pb2 as pb
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.server import HttpServer
-from kelptrail.net.tls import Expiry, TlsFiles, TlsKeeper
+from kelptrail.net.tls import CertificateReloader, Expiry, TlsFiles
 from kelptrail.service.build import grpc_limits, tls_keeper
 from kelptrail.settings.deployment import parse
 from kelptrail.settings.reader import SettingsError
@@ -251,7 +251,7 @@
     async def main() -> None:
         one = Secure(tmp_path)
         files = TlsFiles(stranger / "worker.pem")
-        one.worker.server._tls = TlsKeeper(files, True, [], one.log, lambda: time.time() * 1000).context
+        one.worker.server._tls = CertificateReloader(files, True, [], one.log, lambda: time.time() * 1000).context
         response = (await https(one.http.address, context(tmp_path), auth()))[0]
         assert response.status == 429 and not one.worker.sends, "unreachable, so it never ran"
         await one.end()
@@ -307,11 +307,11 @@
     authority(tmp_path)
     log = Silent()
     late = (NOW + timedelta(days=10)).timestamp() * 1000
-    keeper = TlsKeeper(TlsFiles(tmp_path / "front.pem"), True, [], log, lambda: late)
+    keeper = CertificateReloader(TlsFiles(tmp_path / "front.pem"), True, [], log, lambda: late)
     keeper.look()
     assert [event for event, _ in log.lines] == ["certificate-ends"] and keeper.status()["days_left"] < 11
     with pytest.raises(ValueError, match=r"nothing\.pem"):
-        TlsKeeper(TlsFiles(tmp_path / "nothing.pem"), True, [], log, lambda: late)
+        CertificateReloader(TlsFiles(tmp_path / "nothing.pem"), True, [], log, lambda: late)
 
 
 def test_secrets_stay_out_of_logs_at_every_level(tmp_path: Path) -> None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,25 +11,25 @@
 import pytest
 from helpers import activation, make, model, pull
 
-from kelptrail.dispatch.entities import LoadOrder, AttemptStatus
+from kelptrail.dispatch.entities import AttemptStatus, LoadOrder
 from kelptrail.fault_scenario.scenario import load as load_script
-from kelptrail.history_checker.checker import judge
+from kelptrail.history_checker.checker import check_history
 from kelptrail.load.plan import steady
 from kelptrail.load.results import Result, Second, read, read_runs, read_seconds, recovery
 from kelptrail.settings.deployment import load
 from kelptrail.settings.reader import SettingsError
-from kelptrail.simulation.cluster import LabSettings, Site, play
+from kelptrail.simulation.cluster import SimulatedCluster, SimulationSettings, play
 from kelptrail.simulation.compare import compare, interval, report
-from kelptrail.simulation.event_queue import Engine
+from kelptrail.simulation.event_queue import EventQueue
 from kelptrail.simulation.experiment import load as load_experiment
 from kelptrail.simulation.experiment import run
-from kelptrail.simulation.workers import LabStore, LabWorker
+from kelptrail.simulation.workers import SimulatedStore, SimulatedWorker
 
 ROOT = Path(__file__).parent.parent
 
 
 def test_events_come_in_order_of_time_and_entry_and_can_be_called_off() -> None:
-    engine, seen = Engine(), list[Any]()
+    engine, seen = EventQueue(), list[Any]()
     engine.at(5, seen.append, "b")
     off = engine.at(4, seen.append, "never")
     engine.at(5, seen.append, "c")
@@ -42,8 +42,8 @@
 
 def test_the_store_slows_all_fetches_beyond_its_number_and_refuses_past_its_most() -> None:
     deployment = load(ROOT / "examples" / "nursery.sexp")  # 8 at full pace, 32 at most
-    engine = Engine()
-    store = LabStore(engine, deployment.store)
+    engine = EventQueue()
+    store = SimulatedStore(engine, deployment.store)
     ends: list[tuple[float, bool]] = []
     for _ in range(40):
         store.fetch(100.0, lambda good: ends.append((engine.now, good)))
@@ -58,10 +58,10 @@
 
 def test_a_worker_loads_queues_drops_repeats_and_falls_when_pushed_cold() -> None:
     deployment = load(ROOT / "examples" / "nursery.sexp")
-    engine = Engine()
+    engine = EventQueue()
     noted: list[tuple[str, dict[str, Any]]] = []
-    store, ledger = LabStore(engine, deployment.store), dict[tuple[str, str], float]()
-    worker = LabWorker(
+    store, ledger = SimulatedStore(engine, deployment.store), dict[tuple[str, str], float]()
+    worker = SimulatedWorker(
         engine, deployment, "w", "north", 0, store, ledger, 1, True, lambda what, **fields: noted.append((what, fields))
     )
     action = deployment.actions["places/place-activate"]
@@ -88,9 +88,9 @@
 @pytest.mark.parametrize("name", ["kills", "second-sends", "first"])
 def test_scripts_of_the_bad_days_play_in_the_lab_and_the_audit_finds_nothing(name: str) -> None:
     day = load_script(ROOT / "examples" / "bad-days" / f"{name}.sexp")
-    site = Site(day, load(day.deployment), 3, capture=True)
+    site = SimulatedCluster(day, load(day.deployment), 3, capture=True)
     site.run()
-    verdict = judge(sorted(site.events, key=lambda event: event["t"]))
+    verdict = check_history(sorted(site.events, key=lambda event: event["t"]))
     assert not verdict.broken, verdict.details
     assert verdict.taken > 3000 and verdict.completed > 0.9 * verdict.taken and verdict.unanswered == 0
     assert verdict.completed == sum(s.completed for s in site.seconds)
@@ -109,7 +109,7 @@
     day = load_script(ROOT / "examples" / "bad-days" / "second-sends.sexp")
     deployment = load(day.deployment)
     day = replace(day, seconds=5.0, workers=6, dispatchers=1, load=[steady(200.0, 5.0, 0.8)], trouble=[])
-    runs = [play(day, deployment, 1, LabSettings(cpu_ms=cpu)) for cpu in (0.1, 2.6)]
+    runs = [play(day, deployment, 1, SimulationSettings(cpu_ms=cpu)) for cpu in (0.1, 2.6)]
     medians = [float(np.median(run.latency["check"])) for run in runs]
     assert medians[1] > 4 * medians[0]
 
@@ -218,14 +218,14 @@
     """Guards against a lab that flatters: it dropped what a paused worker got, and made 2% of the work heavy where the
     script said all of it (99th percentile 759 ms beside 2,640 on sockets)."""
     deployment = load(ROOT / "examples" / "nursery.sexp")
-    engine, noted, ends = Engine(), list[tuple[str, dict[str, Any]]](), list[tuple[float, Any]]()
-    worker = LabWorker(
+    engine, noted, ends = EventQueue(), list[tuple[str, dict[str, Any]]](), list[tuple[float, Any]]()
+    worker = SimulatedWorker(
         engine,
         deployment,
         "w",
         "north",
         0,
-        LabStore(engine, deployment.store),
+        SimulatedStore(engine, deployment.store),
         {},
         1,
         True,
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -9,27 +9,27 @@
 import apsw
 import pytest
 
-from kelptrail.history_checker.checker import judge
-from kelptrail.lease.acceptor import Memory, Seat, Stage, Voter, Write
-from kelptrail.lease.acceptor_store import open_ledger
-from kelptrail.lease.client import Asker, Lost, State, Won
+from kelptrail.history_checker.checker import check_history
+from kelptrail.lease.acceptor import Acceptor, DurableState, LeaseRecord, Stage, Write
+from kelptrail.lease.acceptor_store import open_acceptor_store
+from kelptrail.lease.client import LeaseAcquired, LeaseClient, LeaseLost, State
 from kelptrail.lease.messages import (
-    NONE,
-    Ask,
-    Granted,
-    Handed,
-    Learnt,
+    NO_TOKEN,
+    AcquireRequest,
+    FencingToken,
+    Grant,
+    LeaseNote,
+    LeaseRow,
     LeaseSettings,
-    Left,
     Message,
-    Note,
-    Noted,
-    Refused,
+    NoteWritten,
+    Refusal,
     Release,
-    Row,
-    Token,
+    StateReply,
+    Transferred,
+    WriteNote,
 )
-from kelptrail.lease.model import TASK, Budget, Make, World
+from kelptrail.lease.model import TASK, Budget, Make, Model
 from kelptrail.model_checking.explorer import PropertyError, explore, wander
 from kelptrail.settings.deployment import load, parse
 from kelptrail.settings.reader import SettingsError
@@ -45,15 +45,15 @@
 CHANGE = Budget(drops=5, copies=3, delays=100, starts=3, runs=2)
 
 
-def world(seed: int, budget: Budget, **how: Any) -> World:
+def world(seed: int, budget: Budget, **how: Any) -> Model:
     askers = ("x", "y") if seed % 2 else ("x", "y", "z")
-    return World(Make(how.pop("settings", SET), askers, budget, rates=RATES, **how))
+    return Model(Make(how.pop("settings", SET), askers, budget, rates=RATES, **how))
 
 
 def walk(seed: int, budget: Budget, faults: float, length: int, **how: Any) -> None:
     last = [world(seed, budget, **how)]
 
-    def look(state: World) -> None:
+    def look(state: Model) -> None:
         state.check()
         last[0] = state
 
@@ -81,72 +81,77 @@
 
 
 def test_near_states_break_nothing() -> None:
-    found = explore(world(1, Budget(drops=1, delays=1, starts=1, acts=1)), World.check, 7, 5000)
+    found = explore(world(1, Budget(drops=1, delays=1, starts=1, acts=1)), Model.check, 7, 5000)
     assert found.states > 3000 and found.depth >= 6
 
 
-class GrantsWhatIsHeld(Voter):
-    def _reason(self, now: float, sender: str, ask: Ask) -> str:
+class GrantsWhatIsHeld(Acceptor):
+    def _reason(self, now: float, sender: str, ask: AcquireRequest) -> str:
         return "" if (reason := super()._reason(now, sender, ask)) == "held" else reason
 
 
-class SaysBeforeDisk(Voter):
+class SaysBeforeDisk(Acceptor):
     def _write(
-        self, rows: tuple[Row, ...], memory: Memory | None = None, to: str = "", reply: Message | None = None
+        self, rows: tuple[LeaseRow, ...], memory: DurableState | None = None, to: str = "", reply: Message | None = None
     ) -> None:
         super()._write(rows, memory, to)
         if reply is not None:
             self.out.append((to, reply))
 
 
-class ForgetsGrants(Voter):
+class ForgetsGrants(Acceptor):
     def __init__(self, *words: Any) -> None:
         super().__init__(*words)
         for seat in self.seats.values():
             seat.until = float("-inf")
 
 
-class VotesWithoutMemory(Voter):
+class VotesWithoutMemory(Acceptor):
     def __init__(
-        self, name: str, settings: LeaseSettings, now: float, memory: Memory | None, rows: tuple[Row, ...] = ()
+        self,
+        name: str,
+        settings: LeaseSettings,
+        now: float,
+        memory: DurableState | None,
+        rows: tuple[LeaseRow, ...] = (),
     ) -> None:
-        super().__init__(name, settings, now, memory or Memory(settings.number, Stage.VOTING, False), rows)
+        super().__init__(name, settings, now, memory or DurableState(settings.number, Stage.VOTING, False), rows)
 
 
-class GrantsOlder(Voter):
-    def _reason(self, now: float, sender: str, ask: Ask) -> str:
-        seat, reason = self.seats.get(ask.task, Seat()), super()._reason(now, sender, ask)
+class GrantsOlder(Acceptor):
+    def _reason(self, now: float, sender: str, ask: AcquireRequest) -> str:
+        seat, reason = self.seats.get(ask.task, LeaseRecord()), super()._reason(now, sender, ask)
         return "" if reason == "older" and (now >= seat.until or seat.released) else reason
 
 
-class ChangesAtOnce(Voter):
+class ChangesAtOnce(Acceptor):
     def _changed(self, now: float) -> None:
         self._vote(now)
         for seat in self.seats.values():
             seat.until = now
 
 
-class CountsFromTheAnswer(Asker):
-    def _granted(self, now: float, sender: str, wish: Any, answer: Granted) -> None:
+class CountsFromTheAnswer(LeaseClient):
+    def _granted(self, now: float, sender: str, wish: Any, answer: Grant) -> None:
         if (question := wish.questions.get(answer.seq)) is not None:
             question.sent = now
         super()._granted(now, sender, wish, answer)
 
 
-class BelievesItsState(Asker):
-    def holds(self, now: float, task: str) -> Token | None:
+class BelievesItsState(LeaseClient):
+    def holds(self, now: float, task: str) -> FencingToken | None:
         wish = self.wishes.get(task)
         return wish.token if wish is not None and wish.state is State.HOLDING else None
 
 
-class TakesOneForKept(Asker):
-    def _left(self, sender: str, wish: Any, answer: Left) -> None:
+class TakesOneForKept(LeaseClient):
+    def _left(self, sender: str, wish: Any, answer: NoteWritten) -> None:
         wish.left |= {"b", "c"}
         super()._left(sender, wish, answer)
 
 
-class CountsOneVoterTwice(Asker):
-    def _granted(self, now: float, sender: str, wish: Any, answer: Granted) -> None:
+class CountsOneVoterTwice(LeaseClient):
+    def _granted(self, now: float, sender: str, wish: Any, answer: Grant) -> None:
         if (question := wish.questions.get(answer.seq)) is not None:
             question.granted.add("c")
         super()._granted(now, sender, wish, answer)
@@ -200,18 +205,26 @@
 
 def test_a_voter_keeps_no_note_under_an_older_token_and_learns_what_others_keep() -> None:
     """Both are too rare for walks to break within seconds."""
-    old, new = Token(1, "x/1"), Token(2, "y/1")
-    voter = Voter("a", SET, 0.0, Memory(1, Stage.VOTING, False), (Row("t", new, 10.0, False, Noted(old, 3, b"first")),))
-    voter.received(1.0, "x", Note("t", Noted(old, 4, b"late"), 1))
-    voter.received(1.0, "y", Note("t", Noted(new, 1, b"next"), 2))
+    old, new = FencingToken(1, "x/1"), FencingToken(2, "y/1")
+    voter = Acceptor(
+        "a",
+        SET,
+        0.0,
+        DurableState(1, Stage.VOTING, False),
+        (LeaseRow("t", new, 10.0, False, LeaseNote(old, 3, b"first")),),
+    )
+    voter.received(1.0, "x", WriteNote("t", LeaseNote(old, 4, b"late"), 1))
+    voter.received(1.0, "y", WriteNote("t", LeaseNote(new, 1, b"next"), 2))
     assert not voter.writes and not voter.out, "neither under an older token nor for another set"
-    voter.received(1.0, "y", Note("t", Noted(new, 1, b"next"), 1))
+    voter.received(1.0, "y", WriteNote("t", LeaseNote(new, 1, b"next"), 1))
     voter.written(voter.writes.popleft(), True)
-    voter.received(1.0, "y", Note("t", Noted(new, 0, b"before"), 1))
-    assert [m for _, m in voter.out] == [Left("t", new, 1)] and voter.seats["t"].noted.text == b"next"
-    empty = Voter("c", SET, 0.0, None)
+    voter.received(1.0, "y", WriteNote("t", LeaseNote(new, 0, b"before"), 1))
+    assert [m for _, m in voter.out] == [NoteWritten("t", new, 1)] and voter.seats["t"].noted.text == b"next"
+    empty = Acceptor("c", SET, 0.0, None)
     empty.stage, empty._settled = Stage.EMPTY, True
-    empty._answers = {"a": Learnt(1, 0, "voting", False, (Row("t", old, 10.0, True, Noted(new, 1, b"next")),))}
+    empty._answers = {
+        "a": StateReply(1, 0, "voting", False, (LeaseRow("t", old, 10.0, True, LeaseNote(new, 1, b"next")),))
+    }
     empty._vote(200.0)
     assert empty.seats["t"].noted.text == b"next"
 
@@ -221,9 +234,9 @@
     rates = (("a", 1.2), ("b", 1.2), ("c", 1.2), ("x", 0.8), ("y", 0.8))
     both = 0
     for seed in range(150):
-        state = World(Make(SET, ("x", "y"), LATE, rates=rates, believed=False))
+        state = Model(Make(SET, ("x", "y"), LATE, rates=rates, believed=False))
 
-        def look(one: World) -> None:
+        def look(one: Model) -> None:
             nonlocal both
             one.check()
             both += sum(a.holds(one.local(n), TASK) is not None for n, a in one.askers.items()) > 1
@@ -235,25 +248,25 @@
 # Askers.
 
 
-def asked(asker: Asker) -> list[tuple[str, Ask]]:
-    found = [(to, m) for to, m in asker.out if isinstance(m, Ask)]
+def asked(asker: LeaseClient) -> list[tuple[str, AcquireRequest]]:
+    found = [(to, m) for to, m in asker.out if isinstance(m, AcquireRequest)]
     asker.out.clear()
     return found
 
 
-def held(asker: Asker, now: float = 0.0) -> Token:
+def held(asker: LeaseClient, now: float = 0.0) -> FencingToken:
     asker.want(now, "t", 100.0)
     asker.tick(now)
     while questions := asked(asker):
         for to, ask in questions:
-            asker.received(now, to, Granted("t", ask.token, ask.seq))
+            asker.received(now, to, Grant("t", ask.token, ask.seq))
     won = asker.events.popleft()
-    assert isinstance(won, Won)
+    assert isinstance(won, LeaseAcquired)
     return won.token
 
 
 def test_renewals_count_only_answers_to_one_question_and_from_when_it_was_asked() -> None:
-    asker = Asker("x", "x/1", SET)
+    asker = LeaseClient("x", "x/1", SET)
     token = held(asker)
     until = SET.held_ms(100.0)
     assert asker.holds(until - 0.01, "t") == token and asker.holds(until, "t") is None
@@ -261,35 +274,35 @@
     first = asked(asker)
     asker.tick(75.0)
     second = asked(asker)
-    asker.received(76.0, "a", Granted("t", token, first[0][1].seq))
-    asker.received(76.0, "b", Granted("t", token, second[0][1].seq))
+    asker.received(76.0, "a", Grant("t", token, first[0][1].seq))
+    asker.received(76.0, "b", Grant("t", token, second[0][1].seq))
     assert asker.left_ms(76.0, "t") == pytest.approx(until - 76.0), "two halves are no majority"
-    asker.received(77.0, "c", Granted("t", token, first[0][1].seq))
+    asker.received(77.0, "c", Grant("t", token, first[0][1].seq))
     assert asker.left_ms(77.0, "t") == pytest.approx(40.0 + until - 77.0)
-    asker.received(78.0, "c", Granted("t", token, first[0][1].seq))
-    asker.received(78.0, "stranger", Granted("t", token, second[0][1].seq))
+    asker.received(78.0, "c", Grant("t", token, first[0][1].seq))
+    asker.received(78.0, "stranger", Grant("t", token, second[0][1].seq))
     assert asker.left_ms(78.0, "t") == pytest.approx(40.0 + until - 78.0)
     asker.tick(200.0)
-    assert asker.events.popleft() == Lost("t", token, "expired") and asker.holds(200.0, "t") is None
+    assert asker.events.popleft() == LeaseLost("t", token, "expired") and asker.holds(200.0, "t") is None
 
 
 def test_answers_of_the_set_before_do_not_count_for_the_next() -> None:
-    asker = Asker("x", "x/1", SET)
+    asker = LeaseClient("x", "x/1", SET)
     asker.want(0.0, "t", 100.0)
     asker.tick(0.0)
     [(first, ask)] = asked(asker)
-    asker.received(1.0, first, Granted("t", ask.token, ask.seq))
+    asker.received(1.0, first, Grant("t", ask.token, ask.seq))
     rest = asked(asker)
-    asker.received(2.0, rest[0][0], Refused("t", ask.token, ask.seq, "set", NONE, 0.0, 2, ("a", "b", "d")))
-    asker.received(3.0, rest[1][0], Granted("t", ask.token, ask.seq))
+    asker.received(2.0, rest[0][0], Refusal("t", ask.token, ask.seq, "set", NO_TOKEN, 0.0, 2, ("a", "b", "d")))
+    asker.received(3.0, rest[1][0], Grant("t", ask.token, ask.seq))
     assert asker.number == 2 and not asker.events and asker.wishes["t"].state is State.WAITING
     with pytest.raises(ValueError, match="at most"):
         asker.want(0.0, "u", 101.0)
 
 
 def test_what_is_handed_over_is_had_at_once_by_whom_it_was_meant_for() -> None:
-    voters = {name: Voter(name, SET, 0.0, Memory(1, Stage.VOTING, False)) for name in SET.voters}
-    askers = {name: Asker(name, f"{name}/1", SET) for name in ("x", "y", "z")}
+    voters = {name: Acceptor(name, SET, 0.0, DurableState(1, Stage.VOTING, False)) for name in SET.voters}
+    askers = {name: LeaseClient(name, f"{name}/1", SET) for name in ("x", "y", "z")}
     told: list[str] = []
 
     def pump(now: float) -> None:
@@ -297,12 +310,12 @@
         while busy:
             busy = False
             for name, core in [*voters.items(), *askers.items()]:
-                while isinstance(core, Voter) and core.writes:
+                while isinstance(core, Acceptor) and core.writes:
                     core.written(core.writes.popleft(), True)
                 while core.out:
                     to, message = core.out.popleft()
                     busy = True
-                    told.append(to) if isinstance(message, Handed) else None
+                    told.append(to) if isinstance(message, Transferred) else None
                     (voters.get(to) or askers[to]).received(now, name, message)
 
     held_by = askers["x"]
@@ -318,22 +331,22 @@
     pump(10.0)
     second = askers["z"].holds(10.0, "t")
     assert second is not None and second > first and told.count("z") == 3
-    assert askers["y"].holds(10.0, "t") is None and held_by.events.pop() == Lost("t", first, "released")
+    assert askers["y"].holds(10.0, "t") is None and held_by.events.pop() == LeaseLost("t", first, "released")
 
 
 def test_a_fleet_that_waits_is_given_places_one_after_another() -> None:
     settings = dataclasses.replace(SET, gap_ms=20.0)
-    voter = Voter("a", settings, 0.0, Memory(1, Stage.VOTING, False))
-    voter.received(0.0, "x", Ask("t", Token(1, "x/1"), 100.0, 1, 1))
+    voter = Acceptor("a", settings, 0.0, DurableState(1, Stage.VOTING, False))
+    voter.received(0.0, "x", AcquireRequest("t", FencingToken(1, "x/1"), 100.0, 1, 1))
     voter.written(voter.writes.popleft(), True)
     voter.out.clear()
     for number in range(200):
-        voter.received(1.0, f"y{number}", Ask("t", Token(2, f"y{number}/1"), 100.0, 1, 1))
-    left = [message.left_ms for _, message in voter.out if isinstance(message, Refused)]
+        voter.received(1.0, f"y{number}", AcquireRequest("t", FencingToken(2, f"y{number}/1"), 100.0, 1, 1))
+    left = [message.left_ms for _, message in voter.out if isinstance(message, Refusal)]
     assert left == pytest.approx([99.0 + 20.0 * n for n in range(200)])
     voter.out.clear()
-    voter.received(2.0, "x", Release("t", Token(1, "x/1")))
-    assert list(voter.out) == [("y0", Handed("t"))], "the first in line need not wait for an end that has come"
+    voter.received(2.0, "x", Release("t", FencingToken(1, "x/1")))
+    assert list(voter.out) == [("y0", Transferred("t"))], "the first in line need not wait for an end that has come"
 
 
 # A voter's memory.
@@ -341,41 +354,45 @@
 
 def test_a_voter_goes_on_from_its_ledger_and_without_one_does_not_vote(tmp_path: Path) -> None:
     file = tmp_path / "leases.sqlite"
-    ledger, memory, rows, reason = open_ledger(file)
+    ledger, memory, rows, reason = open_acceptor_store(file)
     assert memory is None and not rows and not reason
-    kept = Row("t", Token(7, "x/1"), 100.0, False)
-    ledger.commit([Write(1, (kept,), Memory(1, Stage.VOTING, False)), Write(2, (Row("u", NONE, 0.0, True),))])
+    kept = LeaseRow("t", FencingToken(7, "x/1"), 100.0, False)
+    ledger.commit(
+        [Write(1, (kept,), DurableState(1, Stage.VOTING, False)), Write(2, (LeaseRow("u", NO_TOKEN, 0.0, True),))]
+    )
     ledger.close()
-    ledger, memory, rows, _ = open_ledger(file)
-    assert memory == Memory(1, Stage.VOTING, False) and rows == (kept, Row("u", NONE, 0.0, True))
+    ledger, memory, rows, _ = open_acceptor_store(file)
+    assert memory == DurableState(1, Stage.VOTING, False) and rows == (kept, LeaseRow("u", NO_TOKEN, 0.0, True))
     ledger.close()
-    voter = Voter("a", SET, 50.0, memory, rows)
-    voter.received(60.0, "y", Ask("t", Token(8, "y/1"), 100.0, 1, 1))
-    assert isinstance(refused := voter.out.popleft()[1], Refused) and refused.left_ms == pytest.approx(90.0)
-    voter.received(151.0, "y", Ask("t", Token(8, "y/1"), 100.0, 2, 1))
+    voter = Acceptor("a", SET, 50.0, memory, rows)
+    voter.received(60.0, "y", AcquireRequest("t", FencingToken(8, "y/1"), 100.0, 1, 1))
+    assert isinstance(refused := voter.out.popleft()[1], Refusal) and refused.left_ms == pytest.approx(90.0)
+    voter.received(151.0, "y", AcquireRequest("t", FencingToken(8, "y/1"), 100.0, 2, 1))
     assert not voter.out, "not before it is on disk"
     voter.written(voter.writes.popleft(), False)
     assert not voter.out, "nor where it cannot be"
     database = apsw.Connection(str(file))
     database.execute("UPDATE kept SET body = zeroblob(length(body)) WHERE name = 't'")
     database.close()
-    ledger, memory, rows, reason = open_ledger(file)
+    ledger, memory, rows, reason = open_acceptor_store(file)
     assert memory is None and not rows and "Corrupt" in reason and (tmp_path / "leases.sqlite.damaged-1").exists()
     ledger.close()
-    empty = Voter("a", SET, 0.0, memory, rows)
-    empty.received(1.0, "y", Ask("t", Token(9, "y/1"), 100.0, 1, 1))
-    assert isinstance(refused := empty.out.popleft()[1], Refused) and refused.reason == "empty"
+    empty = Acceptor("a", SET, 0.0, memory, rows)
+    empty.received(1.0, "y", AcquireRequest("t", FencingToken(9, "y/1"), 100.0, 1, 1))
+    assert isinstance(refused := empty.out.popleft()[1], Refusal) and refused.reason == "empty"
 
 
 def test_a_voter_without_memory_learns_after_the_longest_lease_from_a_majority_that_votes() -> None:
-    voter = Voter("a", SET, 0.0, None)
+    voter = Acceptor("a", SET, 0.0, None)
 
     def answered(now: float, stages: dict[str, str]) -> Stage:
         voter.tick(now)
         nonce = voter.out[-1][1].nonce  # type: ignore[union-attr]
         voter.out.clear()
         for name, stage in stages.items():
-            voter.received(now, name, Learnt(1, nonce, stage, False, (Row("t", Token(5, "x/1"), 100.0, False),)))
+            voter.received(
+                now, name, StateReply(1, nonce, stage, False, (LeaseRow("t", FencingToken(5, "x/1"), 100.0, False),))
+            )
         while voter.writes:
             voter.written(voter.writes.popleft(), True)
         return voter.stage
@@ -383,10 +400,10 @@
     assert answered(1.0, {"b": "voting", "c": "voting"}) is Stage.EMPTY
     assert answered(SET.wait_ms + 1, {"b": "voting", "c": "empty"}) is Stage.EMPTY, "one is no majority"
     assert answered(SET.wait_ms + 20, {"b": "voting", "c": "voting"}) is Stage.VOTING
-    voter.received(130.0, "y", Ask("t", Token(5, "a/1"), 100.0, 1, 1))
-    voter.received(130.0, "x", Ask("t", Token(5, "x/1"), 100.0, 1, 1))
+    voter.received(130.0, "y", AcquireRequest("t", FencingToken(5, "a/1"), 100.0, 1, 1))
+    voter.received(130.0, "x", AcquireRequest("t", FencingToken(5, "x/1"), 100.0, 1, 1))
     (_, old), (_, renewed) = voter.out
-    assert isinstance(old, Refused) and old.reason == "older" and isinstance(renewed, Granted)
+    assert isinstance(old, Refusal) and old.reason == "older" and isinstance(renewed, Grant)
 
 
 # Settings and the audit.
@@ -456,14 +473,14 @@
         "rules": {"drain_grace_ms": 1, "tip": 1, "tip_ms": 1, "load_span_ms": 0},
     }
     good = [act(10, 1, 9), act(20, 1, 19, what="done"), act(30, 2, 29, "e"), act(40, 1, 19, taken=False)]
-    verdict = judge([world, *good])
+    verdict = check_history([world, *good])
     assert not verdict.broken and verdict.old_tokens_refused == 1 and verdict.acts == 3
-    two = judge([world, *good, act(50, 1, 45, taken=False)])
+    two = check_history([world, *good, act(50, 1, 45, taken=False)])
     assert two.holders_two == 1 and two.broken and not two.old_tokens_taken
-    taken = judge([world, *good, act(50, 1, 19)])
+    taken = check_history([world, *good, act(50, 1, 19)])
     assert taken.old_tokens_taken == 1 and not taken.holders_two
     clock = {"t": 25.0, "who": "player", "what": "trouble", "kind": "clock-rate", "seconds": 1.0, "factor": 1.1}
-    beyond = judge([world, clock, *good, act(50, 1, 45, taken=False)])
+    beyond = check_history([world, clock, *good, act(50, 1, 45, taken=False)])
     assert beyond.holders_two_by_clocks == 1 and not beyond.broken
-    within = judge([world, clock | {"factor": 1.01}, *good, act(50, 1, 45, taken=False)])
+    within = check_history([world, clock | {"factor": 1.01}, *good, act(50, 1, 45, taken=False)])
     assert within.holders_two == 1
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from kelptrail.gateway.lifecycle import LEGAL, IllegalStepError, Need, Passage, Safe, Stage
+from kelptrail.gateway.lifecycle import LEGAL, IllegalStepError, Need, RequestLifecycle, Safe, Stage
 
 EVENTS = (
     "queue",
@@ -31,7 +31,7 @@
     """A passage beside what the outside has seen of it, judged by the promises' own words."""
 
     def __init__(self, repeatable: bool, kept: bool, owed: bool) -> None:
-        self.passage = Passage(repeatable, kept, owed)
+        self.passage = RequestLifecycle(repeatable, kept, owed)
         self.asked: list[Need] = []
         self.safe: set[Need] = set()
         self.finals = self.shown = 0
@@ -110,7 +110,7 @@
 
 
 def test_named_errors_for_steps_out_of_order() -> None:
-    passage = Passage(False, True, True)
+    passage = RequestLifecycle(False, True, True)
     with pytest.raises(IllegalStepError, match="before the decisions"):
         passage.decide()
     passage.queue()
@@ -142,7 +142,7 @@
 
 
 def test_what_failed_to_be_written_is_held_back_and_may_be_asked_for_again() -> None:
-    passage = Passage(False, True, False)
+    passage = RequestLifecycle(False, True, False)
     passage.queue()
     passage.decide()
     while passage.next_need():
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -14,18 +14,18 @@
 
 from kelptrail.clock import now_ms
 from kelptrail.codec.http import Request
-from kelptrail.fault_scenario.scenario import BadDay
+from kelptrail.fault_scenario.scenario import FaultScenario
 from kelptrail.fault_scenario.scenario import load as load_script
 from kelptrail.load.arrivals import Arrivals, read_trace
-from kelptrail.load.client_behavior import Habits, Heard, again, habits_of
+from kelptrail.load.client_behavior import ClientBehavior, Heard, again, behavior_of
 from kelptrail.load.coordinator import joined, keep
-from kelptrail.load.generator import Hand, HandSettings, packed
+from kelptrail.load.generator import GeneratorSettings, LoadGenerator, packed
 from kelptrail.load.plan import LOAD, Load, steady
 from kelptrail.load.results import read
 from kelptrail.net.server import Exchange
 from kelptrail.settings.deployment import load
 from kelptrail.settings.reader import SettingsError
-from kelptrail.simulation.cluster import Site
+from kelptrail.simulation.cluster import SimulatedCluster
 
 ROOT = Path(__file__).parent.parent
 
@@ -84,7 +84,7 @@
 
 
 def test_clients_repeat_only_what_is_harmless_and_heed_as_they_do() -> None:
-    heeds, half, none = (habits_of(d, 0.5, 0.3) for d in (0.49, 0.79, 0.81))
+    heeds, half, none = (behavior_of(d, 0.5, 0.3) for d in (0.49, 0.79, 0.81))
     assert (heeds.heed, half.heed, none.heed) == (1.0, 0.5, 0.0)
     assert [again(h, Heard.REJECTED, "once-only", 900, 400) for h in (heeds, half, none)] == [400, 200, 0]
     assert again(heeds, Heard.REJECTED, "deduplicated", 900, 400, 1000) is None, "the mark would be forgotten"
@@ -97,7 +97,7 @@
         ("once-only", Heard.NOT_TAKEN, 50),
         ("repeatable", Heard.COMPLETED, None),
     ):
-        assert again(Habits(), heard, effect, 900) == wait
+        assert again(ClientBehavior(), heard, effect, 900) == wait
     assert again(heeds, Heard.NOT_TAKEN, "repeatable", 900, 700) == 700
     assert again(heeds, Heard.NOT_TAKEN, "repeatable", 900, 700, since_ms=3000) is None
 
@@ -123,7 +123,7 @@
     day = load_script(ROOT / "examples" / "bad-days" / "steady.sexp")
     closed = shaped("closed", clients=30, think=0.2, deferred=0.0)
     made = replace(day, load=[closed], trouble=[])
-    site = Site(made, load(day.deployment), 1)
+    site = SimulatedCluster(made, load(day.deployment), 1)
     site.run()
     calls = sum(s.calls for s in site.seconds)
     cycle = 0.2 + 0.05
@@ -145,9 +145,11 @@
                 answer(worker, request, exchange)
 
         dispatcher = Dispatcher([ScriptedWorker("w", script)])
-        day = BadDay("x", "", 1.5, 1, 1, 1, 0, "program", [shaped("poisson", 60.0, action="p/check", deferred=0.2)], [])
-        hand = Hand(
-            day, dispatcher.deployment, HandSettings((dispatcher.server.address,), 0, 1, 5, 0.3, 1), now_ms() + 50
+        day = FaultScenario(
+            "x", "", 1.5, 1, 1, 1, 0, "program", [shaped("poisson", 60.0, action="p/check", deferred=0.2)], []
+        )
+        hand = LoadGenerator(
+            day, dispatcher.deployment, GeneratorSettings((dispatcher.server.address,), 0, 1, 5, 0.3, 1), now_ms() + 50
         )
         tally = await hand.play()
         slow = sum(
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -12,17 +12,17 @@
 from helpers import activation, make, model, pull
 
 from kelptrail.dispatch.dispatcher import Dispatcher
+from kelptrail.dispatch.entities import AttemptStatus, Worker, WorkerState
 from kelptrail.dispatch.entities import LoadOrder as HoldOrder
-from kelptrail.dispatch.entities import AttemptStatus, WorkerState, Worker
-from kelptrail.gateway.counters import Tally
-from kelptrail.peers.messages import VERSION, Beat, ChannelError, FrameReader, Hello, frame
+from kelptrail.gateway.counters import FunctionCounters
+from kelptrail.peers.messages import VERSION, ChannelError, FrameReader, Heartbeat, Hello, frame
 from kelptrail.planner.channel import READ, EdgeLink, Led, Offer, PlannerLink, Reply, Report
 from kelptrail.planner.core import Model, Planner, PlannerSettings, Role
 from kelptrail.planner.demand import Demand
-from kelptrail.planner.placement import Host, Need, greedy, price, solve, valid
+from kelptrail.planner.placement import FunctionDemand, WorkerCapacity, greedy, price, solve, valid
 from kelptrail.planner.plan import FIRST, Plan, PlanError, Wants, changed, changes, pack, unpack
 from kelptrail.planner.plan import make as make_plan
-from kelptrail.planner.plan_follower import Follower, Refusal
+from kelptrail.planner.plan_follower import PlanState, Refusal
 
 LIVE = {f"w{n}" for n in range(6)}
 ROSTER = ("list", 5)
@@ -59,7 +59,7 @@
             del broken[chance.randrange(len(broken)) :]
         else:
             broken[chance.randrange(len(broken))] ^= 1 << chance.randrange(8)
-        follower = Follower("here")
+        follower = PlanState("here")
         try:
             packet = unpack(bytes(broken))
         except PlanError:
@@ -69,7 +69,7 @@
 
 
 def test_an_edge_takes_a_plan_whole_or_not_at_all_and_says_why() -> None:
-    follower = Follower("here")
+    follower = PlanState("here")
 
     def offer(
         plan: Plan,
@@ -109,20 +109,22 @@
     assert follower.wants(700.0) == {"m": {"new": 1}}
     kept = follower.plan
     assert kept is not None
-    anew = Follower("here")
+    anew = PlanState("here")
     assert not anew.restore(0.0, kept, 5000.0, LIVE) and anew.wants(0.0) is None, "its worker has gone"
     assert anew.fence == kept.head.order, "but it fences"
     assert anew.restore(0.0, kept, 5000.0, LIVE | {"new"}) and anew.left_ms(0.0) == 5000.0
-    assert not Follower("there").restore(0.0, kept, 5000.0, LIVE | {"new"})
+    assert not PlanState("there").restore(0.0, kept, 5000.0, LIVE | {"new"})
 
 
 # Placements.
 
 
-def world(seed: int, workers: int, models: int, tight: float = 1.0) -> tuple[list[Host], list[Need], int]:
+def world(
+    seed: int, workers: int, models: int, tight: float = 1.0
+) -> tuple[list[WorkerCapacity], list[FunctionDemand], int]:
     chance = np.random.default_rng(seed)
     hosts = [
-        Host(f"w{n}", float(chance.choice([1500, 3000])) * tight, 4, bool(chance.random() < 0.15))
+        WorkerCapacity(f"w{n}", float(chance.choice([1500, 3000])) * tight, 4, bool(chance.random() < 0.15))
         for n in range(workers)
     ]
     needs = []
@@ -131,7 +133,7 @@
             f"w{w}": 1 for w in chance.choice(workers + 2, min(workers, 2), replace=False) if chance.random() < 0.5
         }
         needs.append(
-            Need(
+            FunctionDemand(
                 f"m{n}",
                 float(chance.choice([200, 500, 900])),
                 2,
@@ -163,9 +165,9 @@
 def test_small_cases_come_within_a_margin_of_the_optimum(seed: int) -> None:
     """All placements of three functions on three workers, by brute force."""
     chance = np.random.default_rng(seed)
-    hosts = [Host(f"w{n}", 1250.0, 2) for n in range(3)]  # 1,000 MB may be used
+    hosts = [WorkerCapacity(f"w{n}", 1250.0, 2) for n in range(3)]  # 1,000 MB may be used
     needs = [
-        Need(
+        FunctionDemand(
             f"m{n}",
             float(chance.choice([300, 450])),
             2,
@@ -198,13 +200,13 @@
     for hour, rate in ((7, 10), (8, 80)):
         for second in range(1200):
             now = (hour * 1200 + second) * 1000.0
-            demand.report(now, "e", {"m": Tally(rate, rate, 0, 0, 0, 0, rate * 50.0)})
+            demand.report(now, "e", {"m": FunctionCounters(rate, rate, 0, 0, 0, 0, rate * 50.0)})
             demand.close(now, hour)
     assert demand.functions["m"].fast == pytest.approx(80, rel=0.01)
     assert demand.functions["m"].work_ms == pytest.approx(50, rel=0.01)
     for second in range(60):  # the next day, before eight
         now = 1e8 + second * 1000.0
-        demand.report(now, "e", {"m": Tally(10, 10, 0, 0, 0, 0, 500.0)})
+        demand.report(now, "e", {"m": FunctionCounters(10, 10, 0, 0, 0, 0, 500.0)})
         demand.close(now, 7)
     now_rate = max(demand.functions["m"].fast, 0.7 * demand.functions["m"].slow)
     assert demand.ahead("m", 8) == pytest.approx(2 * now_rate), "eight times as much is usual: twice is planned"
@@ -214,7 +216,7 @@
 
 MODELS = {f"m{n}": Model(500.0, 4, 1000.0, 2.0) for n in range(20)}
 SETTINGS = PlannerSettings("here", every_ms=2000.0, down_ms=20_000.0, quiet_ms=1e9)
-HOSTS = [Host(f"w{n}", 8000.0, 8) for n in range(6)]
+HOSTS = [WorkerCapacity(f"w{n}", 8000.0, 8) for n in range(6)]
 
 
 def led(
@@ -223,7 +225,7 @@
     """Reports of one function, a second each, with all that the planner wants done."""
     for _ in range(steps):
         now += 1000
-        planner.reported(now, edge, order, {"m1": Tally(rate, rate, 0, 0, 0, 0, rate * 100.0)}, {})
+        planner.reported(now, edge, order, {"m1": FunctionCounters(rate, rate, 0, 0, 0, 0, rate * 100.0)}, {})
         planner.tick(now, 8)
         if (problem := planner.problem(now, 8)) is not None:
             planner.solved(now, problem.number, greedy(problem.hosts, problem.needs, problem.budget))
@@ -259,7 +261,7 @@
     for seed in range(15):
         chance = random.Random(seed)
         planners = {name: Planner(name, SETTINGS, MODELS, 0.0) for name in ("p", "q")}
-        edges = {f"e{n}": Follower("here") for n in range(4)}
+        edges = {f"e{n}": PlanState("here") for n in range(4)}
         mail: list[tuple[float, str, Plan]] = []
         lead: list[tuple[float, str, int]] = []  # when a planner hears that it holds, or (0) that it does not
         now, taken, epoch, holder = 0.0, 0, 0, ""
@@ -281,7 +283,7 @@
             for planner in planners.values():
                 for edge, follower in edges.items():
                     if now >= 40_000 or chance.random() < 0.8:
-                        planner.reported(now, edge, follower.fence, {"m1": Tally(5, 5, 0, 0, 0, 0, 9.0)}, {})
+                        planner.reported(now, edge, follower.fence, {"m1": FunctionCounters(5, 5, 0, 0, 0, 0, 9.0)}, {})
                 planner.tick(now, 8)
                 if (problem := planner.problem(now, 8)) is not None:
                     planner.solved(now, problem.number, greedy(problem.hosts, problem.needs, problem.budget))
@@ -307,17 +309,17 @@
 def test_frames_are_read_in_any_pieces_and_faults_are_named() -> None:
     messages = [
         Hello(VERSION, "e", "here", (3, "p", 1)),
-        Beat(True, 4),
+        Heartbeat(True, 4),
         Offer(b"x" * 100),
         Reply((1, "p", 2), "older"),
-        Report(FIRST, 5.0, {"m": Tally(1)}, {"m": {"w": 1}}, True),
+        Report(FIRST, 5.0, {"m": FunctionCounters(1)}, {"m": {"w": 1}}, True),
     ]
     data = b"".join(frame(m) for m in messages)
     for size in (1, 3, 7, len(data)):
         reader = FrameReader(READ)
         assert [m for n in range(0, len(data), size) for m in reader.feed(data[n : n + size])] == messages
     for bad, word in (
-        (frame(Beat()), "hello must come first"),
+        (frame(Heartbeat()), "hello must come first"),
         (frame(messages[0]) * 2, "one hello"),
         (frame(Hello(0, "e", "here")), "version 0"),
         (b"\xff\xff\xff\xff", "a frame of"),
@@ -335,7 +337,7 @@
 
 
 def test_a_slow_edge_gets_the_latest_plan_not_all_and_reports_go_as_changes() -> None:
-    link, follower, told = PlannerLink("p", "here"), Follower("here"), Led(0.0)
+    link, follower, told = PlannerLink("p", "here"), PlanState("here"), Led(0.0)
     edge, reader = EdgeLink("e", "here", follower, told, 0.0), FrameReader(READ)
     back = FrameReader(READ)
     for message in back.feed(b"".join(edge.out)):
@@ -357,12 +359,12 @@
     assert follower.fence == (1, "p", 5) and follower.wants(2.0) == {"m": {"w5": 1}}, "the ones between were left out"
     assert follower.taken == 2 and told.quiet_ms(2.0) == 0.0
     for standing in ({"a": {"w1": 2}}, {"a": {"w1": 1}, "b": {"w2": 1}}, {"b": {"w2": 1}}):
-        edge.counted({"a": Tally(1, 1, 0, 0, 0, 4, 5.0)})
-        edge.counted({"a": Tally(2, 1, 0, 0, 0, 2, 5.0)})
+        edge.counted({"a": FunctionCounters(1, 1, 0, 0, 0, 4, 5.0)})
+        edge.counted({"a": FunctionCounters(2, 1, 0, 0, 0, 2, 5.0)})
         edge.report(3.0, standing)
         edge.out, sent = [], list(edge.out)
         heard = [link.received(message) for message in back.feed(b"".join(sent))][-1]
-        assert isinstance(heard, Report) and heard.tallies == {"a": Tally(3, 2, 0, 0, 0, 2, 10.0)}
+        assert isinstance(heard, Report) and heard.tallies == {"a": FunctionCounters(3, 2, 0, 0, 0, 2, 10.0)}
         joined = {m: kept for m, at in link.standing.items() if (kept := {w: n for w, n in at.items() if n})}
         assert joined == standing
     assert not edge.due(3.5) and edge.due(1003.0)
@@ -506,13 +508,13 @@
 
 def test_planners_that_are_told_at_different_moments_each_hear_all() -> None:
     """Guards against a demand that is shared out among the planners that listen."""
-    follower, led = Follower("here"), Led(0.0)
+    follower, led = PlanState("here"), Led(0.0)
     links = [EdgeLink("e", "here", follower, led, start, 1000.0) for start in (0.0, 500.0)]
     heard = [0, 0]
     readers = [FrameReader(READ), FrameReader(READ)]
     for step in range(41):
         for number, (link, reader) in enumerate(zip(links, readers, strict=True)):
-            link.counted({"m": Tally(1)})
+            link.counted({"m": FunctionCounters(1)})
             if link.due(step * 250.0):
                 link.report(step * 250.0, {})
             for message in reader.feed(b"".join(link.out)):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,16 +12,16 @@
 from kelptrail.dispatch.dispatcher import Decision, Dispatcher
 from kelptrail.dispatch.entities import (
     NEVER_RAN,
-    Request,
-    Instance,
-    Idempotency,
+    Attempt,
+    AttemptStatus,
     Function,
-    RequestClass,
+    Idempotency,
+    Instance,
     LoadOrder,
-    AttemptStatus,
-    Attempt,
-    WorkerState,
+    Request,
+    RequestClass,
     Worker,
+    WorkerState,
 )
 from kelptrail.dispatch.instance_table import InstanceTable
 from kelptrail.dispatch.safety import SafetyGuard
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -6,26 +6,26 @@
 
 import pytest
 
-from kelptrail.fault_scenario.scenario import BadDay, Trouble
-from kelptrail.history_checker.checker import judge
+from kelptrail.fault_scenario.scenario import Fault, FaultScenario
+from kelptrail.history_checker.checker import check_history
 from kelptrail.load.plan import steady
 from kelptrail.load.results import figures
 from kelptrail.settings.deployment import load
-from kelptrail.simulation.cluster import LabSettings, Site, result_of
-from kelptrail.simulation.event_queue import Engine
-from kelptrail.simulation.sharding import RemoteStore, Shard, ShardError, SharedLedger, play_sharded
+from kelptrail.simulation.cluster import SimulatedCluster, SimulationSettings, result_of
+from kelptrail.simulation.event_queue import EventQueue
+from kelptrail.simulation.sharding import RemoteStore, Shard, ShardError, SharedEffectLog, play_sharded
 
 ROOT = Path(__file__).parent.parent
-SETTINGS = LabSettings(network_ms=1.0)
+SETTINGS = SimulationSettings(network_ms=1.0)
 
 
-def day_of(trouble: list[Trouble]) -> BadDay:
+def day_of(trouble: list[Fault]) -> FaultScenario:
     file = str(ROOT / "examples" / "nursery.sexp")
-    return BadDay("sharded", file, 8.0, 12, 6, 1, 0, "program", [steady(180.0, 8.0, 1.0)], trouble)
+    return FaultScenario("sharded", file, 8.0, 12, 6, 1, 0, "program", [steady(180.0, 8.0, 1.0)], trouble)
 
 
-def trouble(kind: str, at: float, seconds: float, part: float) -> Trouble:
-    return Trouble(
+def trouble(kind: str, at: float, seconds: float, part: float) -> Fault:
+    return Fault(
         kind,
         at,
         **{"for": seconds},
@@ -42,7 +42,7 @@
 
 def test_a_run_over_processes_is_the_same_each_time_and_close_to_one_in_a_single_process() -> None:
     day, deployment = day_of([]), load(ROOT / "examples" / "nursery.sexp")
-    one = Site(day, deployment, 2, SETTINGS)
+    one = SimulatedCluster(day, deployment, 2, SETTINGS)
     one.run()
     whole = figures(8.0, 0.0, result_of(one))
     (first, _), (second, _) = (play_sharded(day, deployment, 2, SETTINGS, 3) for _ in range(2))
@@ -66,7 +66,7 @@
     ]
     day, deployment = day_of(troubles), load(ROOT / "examples" / "nursery.sexp")
     _, events = play_sharded(day, deployment, 5, SETTINGS, 3, capture=True)
-    verdict = judge(events)
+    verdict = check_history(events)
     assert not verdict.broken, verdict.details
     assert verdict.taken > 800 and verdict.unanswered == 0 and verdict.completed > 0.8 * verdict.taken
     assert [e["kind"] for e in events if e["what"] == "trouble"] == sorted(
@@ -81,8 +81,8 @@
 
 
 def test_a_mark_set_in_one_shard_is_known_in_the_others_a_way_later() -> None:
-    engine, shard = Engine(), Shard(1, 3)
-    ledger = SharedLedger(shard, engine, SETTINGS)
+    engine, shard = EventQueue(), Shard(1, 3)
+    ledger = SharedEffectLog(shard, engine, SETTINGS)
     ledger["all", "m"] = 5.0
     ledger["cell-2", "n"] = 6.0
     assert shard.out == [(1.0, to, "mark", (("all", "m"), 5.0)) for to in (0, 2)], "a cell is in one shard"
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -11,7 +11,7 @@
 from kelptrail.codec.http import Request, encode_response
 from kelptrail.codec.infer import infer_answer, read_infer
 from kelptrail.dispatch.entities import AttemptStatus
-from kelptrail.membership.members import Entry
+from kelptrail.membership.members import Endpoint
 from kelptrail.net.pool import Ending, WorkerPool
 from kelptrail.net.server import Exchange
 
@@ -107,7 +107,7 @@
             probe.bind(("127.0.0.1", 0))
             address = f"127.0.0.1:{probe.getsockname()[1]}"
             async with place(answer) as (dispatcher, workers):
-                dispatcher.list(workers, Entry("ghost", address, incarnation="g"))
+                dispatcher.list(workers, Endpoint("ghost", address, incarnation="g"))
                 for n in range(12):
                     status, _, _ = await dispatcher.call("grant" if n % 2 else "activate", body={"n": n})
                     assert status == 200
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -15,10 +15,10 @@
 
 from kelptrail.codec.http import Request, encode_request
 from kelptrail.dispatch.entities import AttemptStatus
-from kelptrail.gateway.connection_health import LinkSight
+from kelptrail.gateway.connection_health import ConnectionHealth
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.server import Exchange, Limits
-from kelptrail.service.front_addresses import Standing
+from kelptrail.service.front_addresses import FrontAddresses
 from kelptrail.settings.deployment import parse
 from kelptrail.vrrp.address import FrontAddress
 from kelptrail.vrrp.driver import next_epoch
@@ -69,7 +69,7 @@
         reply = await read_reply(idle)
         assert reply.status == 503 and reply.headers["retry-after"] == "1" and not reply.keep_alive
         await old.left()
-        assert dispatcher.gateway.counts.taken == 1 and dispatcher.gateway.in_hand == 0
+        assert dispatcher.gateway.counts.taken == 1 and dispatcher.gateway.in_flight == 0
         new.give_up(0.0)
         await new.left()
         for sock in (idle, busy, late):
@@ -122,7 +122,7 @@
         for name, dispatcher in zip("ab", both, strict=True):
             (tmp_path / name).mkdir()
             standings.append(
-                Standing(
+                FrontAddresses(
                     deployment.vrrp,
                     name,
                     tmp_path / name,
@@ -202,14 +202,14 @@
 
 
 def test_sight_speaks_only_of_what_is_recent() -> None:
-    sight = LinkSight(1000.0)
-    assert sight.well(0.0) is None
-    sight.ended(100.0, AttemptStatus.UNREACHABLE)
-    assert sight.well(200.0) is False
-    sight.ended(150.0, AttemptStatus.OUT_OF_CAPACITY)  # a refusal shows that somebody was reached
-    assert sight.well(1100.0) is True and sight.well(1200.0) is None
-    sight.ended(1300.0, AttemptStatus.CANCELLED)
-    assert sight.well(1300.0) is None
+    sight = ConnectionHealth(1000.0)
+    assert sight.is_healthy(0.0) is None
+    sight.on_attempt_finished(100.0, AttemptStatus.UNREACHABLE)
+    assert sight.is_healthy(200.0) is False
+    sight.on_attempt_finished(150.0, AttemptStatus.OUT_OF_CAPACITY)  # a refusal shows that somebody was reached
+    assert sight.is_healthy(1100.0) is True and sight.is_healthy(1200.0) is None
+    sight.on_attempt_finished(1300.0, AttemptStatus.CANCELLED)
+    assert sight.is_healthy(1300.0) is None
 
 
 @pytest.mark.processes
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -19,17 +19,17 @@
 
 from kelptrail.codec.http import Request
 from kelptrail.dispatch.entities import AttemptStatus
-from kelptrail.gateway.build import World
-from kelptrail.gateway.core import Final, Gateway, GiveUp, PlaceOrder, StartSend
-from kelptrail.membership.members import Entry as Listed
-from kelptrail.membership.members import Listing
+from kelptrail.gateway.build import DispatcherParts
+from kelptrail.gateway.core import CancelAttempt, FinalAnswer, Gateway, StartAttempt, StartLoad
+from kelptrail.membership.members import Endpoint as Listed
+from kelptrail.membership.members import EndpointList
 from kelptrail.net.server import Exchange
 from kelptrail.settings.deployment import parse
-from kelptrail.store.activation_journal import Book, BookError, Life, open_book
+from kelptrail.store.activation_journal import ActivationEntries, ActivationJournal, JournalError, open_journal
 from kelptrail.store.driver import JournalDriver
 from kelptrail.store.entries import Accepted, DamagedError, Ended, MayRun, pack, unpack
-from kelptrail.store.faulty_disk import HarmedDisk
-from kelptrail.store.group_commit import Journal, OutOfTurnError
+from kelptrail.store.faulty_disk import FaultyDisk
+from kelptrail.store.group_commit import GroupCommit, OutOfTurnError
 from kelptrail.store.recovery import End, Pace, Resume, Rule, judge
 
 ROOT = Path(__file__).parent.parent
@@ -60,7 +60,7 @@
 
 
 def test_calls_that_come_together_share_a_sync_and_are_told_in_order() -> None:
-    journal, told = Journal(), list[tuple[int, bool]]()
+    journal, told = GroupCommit(), list[tuple[int, bool]]()
     for n in range(5):
         journal.write(MayRun(str(n), 0.0, "w"), lambda safe, n=n: told.append((n, safe)))
     first = journal.ready(0.0)
@@ -76,7 +76,7 @@
 
 
 def test_a_failing_sync_promises_nothing_and_final_answers_are_kept_for_later() -> None:
-    journal, told = Journal(retry_ms=500.0), list[tuple[str, bool]]()
+    journal, told = GroupCommit(retry_ms=500.0), list[tuple[str, bool]]()
     journal.write(ACCEPTED, lambda safe: told.append(("accepted", safe)))
     journal.write(ended(), lambda safe: told.append(("ended", safe)), keep=True)
     batch = journal.ready(0.0)
@@ -99,29 +99,29 @@
 
 
 def test_lives_by_start_retention_and_writing_twice(tmp_path: Path) -> None:
-    book = Book(tmp_path / "b")
+    book = ActivationJournal(tmp_path / "b")
     book.commit([Accepted(f"{n:032x}", "one", "grant", 100.0 - n, 900.0, b"{}") for n in range(5)])
     book.commit([MayRun(f"{1:032x}", 120.0, "w"), MayRun(f"{1:032x}", 999.0, "v"), ended(f"{2:032x}")])
-    lives = list(book.lives())
+    lives = list(book.activations())
     assert [life.accepted.start for life in lives] == [96, 97, 98, 99, 100]
     assert lives[3].may_run == MayRun(f"{1:032x}", 120.0, "w"), "the first time counts"
     assert lives[2].ended == ended(f"{2:032x}")
     book.forget([f"{n:032x}" for n in range(3)])
     book.close()
-    assert Book(tmp_path / "b").count() == 2
+    assert ActivationJournal(tmp_path / "b").count() == 2
 
 
 def test_flipped_bytes_in_a_row_count_against_running_again(tmp_path: Path) -> None:
-    book = Book(tmp_path / "b")
+    book = ActivationJournal(tmp_path / "b")
     book.commit([ACCEPTED, ended()])
     book._run("UPDATE entries SET body = zeroblob(length(body)) WHERE kind = 2")
-    (life,) = book.lives()
+    (life,) = book.activations()
     assert book.damaged == 1 and life.ended is None and life.may_run is not None, "it may have run"
 
 
 def test_torn_tails_lose_only_what_was_not_said(tmp_path: Path) -> None:
     file = tmp_path / "b"
-    book = Book(file)
+    book = ActivationJournal(file)
     book._run("PRAGMA wal_autocheckpoint=0")
     for n in range(20):
         book.commit([Accepted(f"{n:032x}", "one", "grant", float(n), 900.0, b"{}" * 200)])
@@ -132,21 +132,21 @@
         place.mkdir()
         (place / "b").write_bytes(base)
         (place / "b-wal").write_bytes(wal[: chance.randrange(len(wal))])
-        torn, aside = open_book(place / "b")
-        lives = [life.accepted.start for life in torn.lives()]
+        torn, aside = open_journal(place / "b")
+        lives = [life.accepted.start for life in torn.activations()]
         assert aside is None and lives == [float(i) for i in range(len(lives))], "a prefix, whole"
-    assert len([1 for _ in book.lives()]) == 20
+    assert len([1 for _ in book.activations()]) == 20
 
 
 def test_a_book_that_cannot_be_read_is_set_aside_and_a_newer_one_left_alone(tmp_path: Path) -> None:
     file = tmp_path / "b"
     file.write_bytes(os.urandom(8192))
-    book, aside = open_book(file)
+    book, aside = open_journal(file)
     assert aside is not None and aside.stat().st_size == 8192 and book.count() == 0
     book._run("PRAGMA user_version=99")
     book.close()
-    with pytest.raises(BookError, match="newer"):
-        open_book(file)
+    with pytest.raises(JournalError, match="newer"):
+        open_journal(file)
 
 
 def test_format_1_is_read(tmp_path: Path) -> None:
@@ -158,31 +158,31 @@
     data, crc = pack(ACCEPTED)
     old.execute("INSERT INTO rows VALUES (?, 0, ?, ?, ?)", (ACCEPTED.id, ACCEPTED.start, crc, data))
     old.close()
-    book, aside = open_book(tmp_path / "b")
-    assert aside is None and [life.accepted for life in book.lives()] == [ACCEPTED]
+    book, aside = open_journal(tmp_path / "b")
+    assert aside is None and [life.accepted for life in book.activations()] == [ACCEPTED]
 
 
 def test_failing_syncs_a_full_disk_and_a_read_only_folder(tmp_path: Path) -> None:
-    disk = HarmedDisk()
-    book = Book(tmp_path / "b", vfs="harmed")
+    disk = FaultyDisk()
+    book = ActivationJournal(tmp_path / "b", vfs="harmed")
     book.commit([ACCEPTED])
     assert disk.syncs > 0, "a commit syncs"
     disk.fault = {"fails": True}
-    with pytest.raises(BookError, match="IOError"):
+    with pytest.raises(JournalError, match="IOError"):
         book.commit([ended()])
     disk.fault = {}
     book.commit([ended()])
-    assert next(book.lives()).ended == ended()
-    small = Book(tmp_path / "small", most_bytes=100_000)
-    with pytest.raises(BookError, match="Full"):
+    assert next(book.activations()).ended == ended()
+    small = ActivationJournal(tmp_path / "small", most_bytes=100_000)
+    with pytest.raises(JournalError, match="Full"):
         for n in range(200):
             small.commit([Accepted(f"{n:032x}", "one", "grant", float(n), 900.0, os.urandom(4000))])
     kept = small.count()
     assert 0 < kept < 200
-    small.forget([life.accepted.id for life in small.lives()][: kept // 2])
+    small.forget([life.accepted.id for life in small.activations()][: kept // 2])
     small.commit([ACCEPTED])  # there is room again
-    with pytest.raises(BookError):
-        Book(tmp_path / "no-such-folder" / "b")
+    with pytest.raises(JournalError):
+        ActivationJournal(tmp_path / "no-such-folder" / "b")
     book.close()
 
 
@@ -190,15 +190,15 @@
 @pytest.mark.parametrize("fault", ["fails", "full"])
 def test_a_commit_that_failed_is_not_there_after_a_kill(tmp_path: Path, fault: str, before: int) -> None:
     """Its caller was refused and tries elsewhere: the next start must not find it and run it."""
-    disk = HarmedDisk()
-    book = Book(tmp_path / "b", vfs="harmed")
+    disk = FaultyDisk()
+    book = ActivationJournal(tmp_path / "b", vfs="harmed")
     accepted = [Accepted(f"{n:032x}", "one", "grant", float(n), 900.0, b"{}") for n in range(before + 2)]
     for entry in accepted[:before]:
         book.commit([entry])
     try:
         disk.fault = {fault: True}
         for _ in range(2):
-            with pytest.raises(BookError):
+            with pytest.raises(JournalError):
                 book.commit([accepted[before]])
         found = found_after_a_kill(tmp_path)
     finally:
@@ -216,9 +216,9 @@
     left.mkdir()
     for file in folder.glob("b*"):
         shutil.copy(file, left / file.name)
-    book, aside = open_book(left / "b")
+    book, aside = open_journal(left / "b")
     assert aside is None
-    found = [life.accepted for life in book.lives()]
+    found = [life.accepted for life in book.activations()]
     book.close()
     return found
 
@@ -254,7 +254,7 @@
 )
 def test_what_becomes_of_one_by_effect_sends_and_time(effect: str, ran: bool, later: float, what: str) -> None:
     accepted = Accepted("x", "one", "p", 1000.0, 2500.0, b"{}")
-    life = Life(accepted, MayRun("x", 1000.0, "w") if ran else None)
+    life = ActivationEntries(accepted, MayRun("x", 1000.0, "w") if ran else None)
     found = judge(life, RULES[effect], 1000.0 + later, 100.0)
     assert (found.answer if isinstance(found, End) else "resume") == what
     if isinstance(found, Resume):
@@ -262,7 +262,9 @@
 
 
 def test_the_pace_takes_the_most_useful_first_only_so_many_at_once() -> None:
-    found = [Resume(Life(Accepted(str(n), "one", "p", 0, 1000, b"")), 1000.0, None, float(n)) for n in range(10)]
+    found = [
+        Resume(ActivationEntries(Accepted(str(n), "one", "p", 0, 1000, b"")), 1000.0, None, float(n)) for n in range(10)
+    ]
     pace = Pace(found, 3, 100.0)
     taken = [pace.next(10.0 * n) for n in range(5)]
     assert [t.life.accepted.id for t in taken if t] == ["9", "8", "7"] and taken[3:] == [None, None]
@@ -293,15 +295,17 @@
 
     def start(self) -> None:
         self.boots += 1
-        self.journal = Journal(retry_ms=20.0)
-        self.gateway = Gateway(World(self.deployment, "a", self.boots), f"{self.boots:016x}", self.journal)
-        self.gateway.listed(self.now, Listing(1, [Listed(f"w{n}", f"h:{n}", incarnation="1") for n in range(3)], "x"))
-        lives: dict[str, Life] = {}
+        self.journal = GroupCommit(retry_ms=20.0)
+        self.gateway = Gateway(DispatcherParts(self.deployment, "a", self.boots), f"{self.boots:016x}", self.journal)
+        self.gateway.on_endpoints(
+            self.now, EndpointList(1, [Listed(f"w{n}", f"h:{n}", incarnation="1") for n in range(3)], "x")
+        )
+        lives: dict[str, ActivationEntries] = {}
         for entry in self.disk:
             if entry.id not in lives and not isinstance(entry, Accepted):
                 continue  # the book passes it over, too
             if isinstance(entry, Accepted):
-                lives.setdefault(entry.id, Life(entry))
+                lives.setdefault(entry.id, ActivationEntries(entry))
             elif isinstance(entry, MayRun) and lives[entry.id].may_run is None:
                 lives[entry.id].may_run = entry
             elif isinstance(entry, Ended) and lives[entry.id].ended is None:
@@ -324,12 +328,13 @@
         self.now, self.wall = self.now + passed, self.wall + passed
         if chance.random() < 0.4 and self.journal.takes():  # else the API refuses
             action = chance.choice(list(self.deployment.actions.values()))
-            ivk = gateway.take(self.now, self.wall, "one", action, b"{}", None, deferred=True)
+            ivk = gateway.submit(self.now, self.wall, "one", action, b"{}", None, deferred=True)
             self.kinds[ivk.record.id] = ivk.record.effect
             self.pull()
             if not ivk.record.final:
                 gateway.promise(
-                    ivk, lambda safe: self.promised.add(ivk.record.id) if safe else gateway.left(self.now, ivk)
+                    ivk,
+                    lambda safe: self.promised.add(ivk.record.id) if safe else gateway.on_client_gone(self.now, ivk),
                 )
         for due, send in [e for e in self.out if e[0] <= self.now]:
             self.out.remove((due, send))
@@ -343,7 +348,7 @@
                 outcome = chance.choices(ends, [6, 1, 1, 1])[0]
                 if outcome is not AttemptStatus.OUT_OF_CAPACITY:
                     self.effects[send.act.id] = self.effects.get(send.act.id, 0) + 1
-                gateway.answered(self.now, send, outcome)
+                gateway.on_attempt_finished(self.now, send, outcome)
         if chance.random() < 0.5 and (batch := self.journal.ready(self.now)) is not None:
             if chance.random() < 0.06:
                 self.journal.failed(self.now, batch.number, "full")
@@ -361,19 +366,19 @@
             self.start()
 
     def pull(self) -> None:
-        while (effect := self.gateway.effect(self.now)) is not None:
-            if isinstance(effect, StartSend):
-                id_, kind = effect.send.request.id, effect.ivk.record.effect
+        while (effect := self.gateway.on_decision_done(self.now)) is not None:
+            if isinstance(effect, StartAttempt):
+                id_, kind = effect.attempt.request.id, effect.invocation.record.effect
                 if kind != "repeatable":
                     assert any(isinstance(e, MayRun) and e.id == id_ for e in self.disk), "may run is safe before"
-                self.out.append((self.now + self.chance.uniform(5, 200), effect.send))
-            elif isinstance(effect, GiveUp) and effect.send.status is None:
-                self.out = [e for e in self.out if e[1] is not effect.send]
-                self.gateway.answered(self.now, effect.send, AttemptStatus.CANCELLED)
-            elif isinstance(effect, PlaceOrder):
-                self.gateway.told(self.now, effect.order, AttemptStatus.COMPLETED, effect.order.count)
-            elif isinstance(effect, Final):
-                assert effect.ivk.record.shown
+                self.out.append((self.now + self.chance.uniform(5, 200), effect.attempt))
+            elif isinstance(effect, CancelAttempt) and effect.attempt.status is None:
+                self.out = [e for e in self.out if e[1] is not effect.attempt]
+                self.gateway.on_attempt_finished(self.now, effect.attempt, AttemptStatus.CANCELLED)
+            elif isinstance(effect, StartLoad):
+                self.gateway.on_load_report(self.now, effect.order, AttemptStatus.COMPLETED, effect.order.count)
+            elif isinstance(effect, FinalAnswer):
+                assert effect.invocation.record.shown
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -388,35 +393,35 @@
 
 def test_what_is_resumed_earns_no_load_orders() -> None:
     deployment = parse(DEPLOYMENT, "t")
-    world = World(deployment, "a", 1)
-    gateway = Gateway(world, "b" * 16, Journal())
-    lives = [Life(Accepted(f"{n:032x}", "one", "p/check", 1000.0, 900.0, b"{}")) for n in range(5)]
+    world = DispatcherParts(deployment, "a", 1)
+    gateway = Gateway(world, "b" * 16, GroupCommit())
+    lives = [ActivationEntries(Accepted(f"{n:032x}", "one", "p/check", 1000.0, 900.0, b"{}")) for n in range(5)]
     assert gateway.recover(0.0, 1100.0, lives, 100.0, 16)["resumed"] == 5
-    while gateway.effect(1.0) is not None:
+    while gateway.on_decision_done(1.0) is not None:
         pass
-    assert gateway.counts.taken == 5 and not world.gate.request_times, "they were counted by the run that took them"
+    assert gateway.counts.taken == 5 and not world.safety.request_times, "they were counted by the run that took them"
 
 
 def test_a_deferred_call_earns_load_orders_only_once_it_is_certain_that_it_is_taken() -> None:
     """Found in ten minutes of faults: calls turned away by a failing disk had earned an order each."""
-    world = World(parse(DEPLOYMENT, "t"), "a", 1)
-    journal = Journal()
+    world = DispatcherParts(parse(DEPLOYMENT, "t"), "a", 1)
+    journal = GroupCommit()
     gateway = Gateway(world, "b" * 16, journal)
     action = world.deployment.actions["p/check"]
     for number, safe in enumerate((True, False)):
-        ivk = gateway.take(float(number), 1000.0, "one", action, b"{}", deferred=True)
+        ivk = gateway.submit(float(number), 1000.0, "one", action, b"{}", deferred=True)
         gateway.promise(ivk, lambda _safe: None)
         batch = journal.ready(0.0)
-        assert batch is not None and len(world.gate.request_times) == number
+        assert batch is not None and len(world.safety.request_times) == number
         if safe:
             journal.safe(batch.number)
         else:
             journal.failed(0.0, batch.number, "full")
-        while gateway.effect(float(number)) is not None:
+        while gateway.on_decision_done(float(number)) is not None:
             pass
-    assert len(world.gate.request_times) == 1
-    gateway.take(3.0, 1000.0, "one", action, b"{}")
-    assert len(world.gate.request_times) == 2, "a blocking call gets an answer in any case"
+    assert len(world.safety.request_times) == 1
+    gateway.submit(3.0, 1000.0, "one", action, b"{}")
+    assert len(world.safety.request_times) == 2, "a blocking call gets an answer in any case"
 
 
 # The API with a journal.
@@ -428,10 +433,10 @@
     def __init__(self, workers: list[ScriptedWorker], file: Path, boot: str = "b" * 16, vfs: str | None = None) -> None:
         deployment = parse(DEPLOYMENT, "t")
         super().__init__([], deployment, boot)
-        book, _ = open_book(file, vfs=vfs)
-        self.gateway.journal = Journal(retry_ms=100.0)
-        self.driver.journal = JournalDriver(self.gateway.journal, book, self.driver.stir_soon, self.log)
-        self.found = self.gateway.recover(*now(), book.lives(), 100.0, 16)
+        book, _ = open_journal(file, vfs=vfs)
+        self.gateway.journal = GroupCommit(retry_ms=100.0)
+        self.driver.journal = JournalDriver(self.gateway.journal, book, self.driver.schedule_decisions, self.log)
+        self.found = self.gateway.recover(*now(), book.activations(), 100.0, 16)
         self.list(workers)
 
     async def end(self) -> None:
@@ -484,7 +489,7 @@
 
 def test_a_failing_disk_refuses_deferred_calls_and_keeps_blocking_ones(tmp_path: Path) -> None:
     async def main() -> None:
-        disk = HarmedDisk()
+        disk = FaultyDisk()
         worker = ScriptedWorker("w", answer)
         one = Kept([worker], tmp_path / "b", vfs="harmed")
         assert (await one.call("grant", blocking=False, body={}))[0] == 202
@@ -554,10 +559,10 @@
 
 def test_compaction_goes_in_slices_and_commits_go_between_them(tmp_path: Path) -> None:
     async def main() -> None:
-        book, told = Book(tmp_path / "b"), list[bool]()
+        book, told = ActivationJournal(tmp_path / "b"), list[bool]()
         ids = [f"{n:032x}" for n in range(1700)]
         book.commit([Accepted(id_, "one", "grant", 100.0, 900.0, b"{}") for id_ in ids])
-        driver = JournalDriver(Journal(100), book, lambda: None, Silent())
+        driver = JournalDriver(GroupCommit(100), book, lambda: None, Silent())
         for id_ in ids:
             driver.forget(id_)
         assert not driver._busy, "nothing before background work has its turn"
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -26,23 +26,23 @@
 from kelptrail.certificates.authority import Authority, read_certificate, shown
 from kelptrail.certificates.names import digest
 from kelptrail.fault_scenario.report import holders, latencies, timeline
-from kelptrail.history_checker.checker import judge, read
-from kelptrail.lease.acceptor import Memory, Stage, Write
-from kelptrail.lease.acceptor_store import Ledger, open_ledger
-from kelptrail.lease.messages import NOTHING, Noted, Row, Token
+from kelptrail.history_checker.checker import check_history, read
+from kelptrail.lease.acceptor import DurableState, Stage, Write
+from kelptrail.lease.acceptor_store import AcceptorStore, open_acceptor_store
+from kelptrail.lease.messages import NOTHING, FencingToken, LeaseNote, LeaseRow
 from kelptrail.load import results
 from kelptrail.load.arrivals import read_trace
-from kelptrail.membership.client import RosterClient
-from kelptrail.membership.members import Entry, Listing, Peer, id_prefix
-from kelptrail.planner.driver import Options, PlannerProgram, Snapshot
+from kelptrail.membership.client import EndpointClient
+from kelptrail.membership.members import Endpoint, EndpointList, Peer, id_prefix
+from kelptrail.planner.driver import Options, PlannerDriver, Snapshot
 from kelptrail.planner.edge_driver import Kept, PlanFollower
 from kelptrail.planner.plan import Head, Plan, digest_of
-from kelptrail.replication.messages import Item, Members, note, read_note
+from kelptrail.replication.messages import Members, ReplicaEntry, note, read_note
 from kelptrail.replication.replica import Work
-from kelptrail.replication.replica_store import Reading, Shelves, open_shelves
+from kelptrail.replication.replica_store import Reading, ReplicaStore, open_replica_store
 from kelptrail.settings.deployment import parse
 from kelptrail.simulation.compare import compare
-from kelptrail.store.activation_journal import Life, open_book
+from kelptrail.store.activation_journal import ActivationEntries, open_journal
 from kelptrail.store.entries import Accepted, Ended, MayRun, pack, unpack
 from kelptrail.vrrp.driver import next_epoch
 
@@ -95,14 +95,16 @@
 # --- The book.
 
 
-def lives_of_format_3() -> list[Life]:
+def lives_of_format_3() -> list[ActivationEntries]:
     """What the file in format 3 holds, in order."""
     raw = next(body for (body,) in ask(STORED / "book-format-3.sqlite", NOISE, id_of(5)))
     noise = msgspec.msgpack.decode(raw)["result"]
     assert len(noise) == 1100 and crc32(noise) == NOISE_CRC
     return [
-        Life(Accepted(id_of(1), "north", "desk/sum", T + 0.25, 60000.0, b'{"a":1}', None, "", "", True, "json")),
-        Life(
+        ActivationEntries(
+            Accepted(id_of(1), "north", "desk/sum", T + 0.25, 60000.0, b'{"a":1}', None, "", "", True, "json")
+        ),
+        ActivationEntries(
             Accepted(
                 id_of(2),
                 "north",
@@ -118,27 +120,27 @@
             ),
             MayRun(id_of(2), T + 7.75, "worker-3"),
         ),
-        Life(
+        ActivationEntries(
             Accepted(id_of(3), "south", "desk/see", T + 2.0, 5000.0, TENSORS, None, "", "", False, "tensors"),
             MayRun(id_of(3), T + 9.0, "worker-1"),
             Ended(id_of(3), T + 44.5, "completed", 0, b'{"outputs":[]}', 1.25, 2.5, 2, False),
         ),
-        Life(
+        ActivationEntries(
             Accepted(id_of(4), "south", "päck/grüß", T + 3.0, 1000.0, b"\x00\xff\x80", None, "", "", True, "json"),
             None,
             Ended(id_of(4), T + 4.0, "completed", 0, TEXT, 0.0, 0.0, 1, False),
         ),
-        Life(
+        ActivationEntries(
             Accepted(id_of(5), "south", "desk/raw", T + 4.0, 1000.0, b"", None, "", "", True, "json"),
             None,
             Ended(id_of(5), T + 5.0, "completed", 2, noise, 0.0, 0.0, 1, False),
         ),
-        Life(
+        ActivationEntries(
             Accepted(id_of(6), "north", "desk/sum", T + 5.0, 250.0, b"{}", None, "", "", True, "json"),
             None,
             Ended(id_of(6), T + 255.0, "rejected", 3, b'{"error":"no time is left"}', 0.0, 0.0, 0, False),
         ),
-        Life(
+        ActivationEntries(
             Accepted(id_of(7), "north", "desk/sum", T + 6.0, 250.0, b"{}", "order-18", "sha256:cd34", "", True, "json"),
             MayRun(id_of(7), T + 8.0, "worker-2"),
             Ended(id_of(7), T + 300.0, "aborted", 3, b'{"error":"it may have run"}', 0.0, 86400000.0, 3, False),
@@ -155,9 +157,9 @@
     text, a compressed and an incompressible result, each of the three ends; an orphan is dropped."""
     file = copy("book-format-3.sqlite", tmp_path)
     assert ask(file, "SELECT kind FROM entries WHERE id = ?", id_of(8)) == [(1,)], "an orphan"
-    book, aside = open_book(file)
+    book, aside = open_journal(file)
     assert aside is None
-    assert list(book.lives()) == lives_of_format_3()
+    assert list(book.activations()) == lives_of_format_3()
     assert book.damaged == 0 and book.count() == 7
     book.close()
     assert ask(file, "SELECT kind FROM entries WHERE id = ?", id_of(8)) == []
@@ -178,7 +180,7 @@
 def test_a_book_written_today_holds_the_rows_of_format_3(tmp_path: Path) -> None:
     """The same lives, written to a new file: same format, same tables, same rows.  Compressed results are compared by
     what they unpack to."""
-    book, _ = open_book(tmp_path / "new")
+    book, _ = open_journal(tmp_path / "new")
     for life in lives_of_format_3():
         book.commit([e for e in (life.accepted, life.may_run, life.ended) if e is not None])
     book.commit([MayRun(id_of(8), T + 8.0, "worker-2")])
@@ -206,8 +208,10 @@
     assert len(before) == 4
     assert all("form" not in msgspec.msgpack.decode(row[4]) for row in before)
     expected = [
-        Life(Accepted(id_of(1), "north", "desk/sum", T + 0.25, 60000.0, b'{"a":1}', None, "", "", True, "json")),
-        Life(
+        ActivationEntries(
+            Accepted(id_of(1), "north", "desk/sum", T + 0.25, 60000.0, b'{"a":1}', None, "", "", True, "json")
+        ),
+        ActivationEntries(
             Accepted(
                 id_of(2),
                 "north",
@@ -225,13 +229,13 @@
             Ended(id_of(2), T + 44.5, "completed", 0, TEXT, 1.25, 2.5, 2, False),
         ),
     ]
-    book, aside = open_book(file)
-    assert aside is None and list(book.lives()) == expected and book.damaged == 0
+    book, aside = open_journal(file)
+    assert aside is None and list(book.activations()) == expected and book.damaged == 0
     book.close()
     assert ask(file, "PRAGMA user_version") == [(3,)]
     assert ask(file, "SELECT * FROM entries ORDER BY id, kind") == before
-    again, aside = open_book(file)
-    assert aside is None and list(again.lives()) == expected
+    again, aside = open_journal(file)
+    assert aside is None and list(again.activations()) == expected
     again.close()
 
 
@@ -243,12 +247,12 @@
     this machine's clock, and the digests that holders compare."""
     file = copy("copies.sqlite", tmp_path)
     assert ask(file, "PRAGMA user_version") == [(1,)]
-    shelves, aside = open_shelves(file)
+    shelves, aside = open_replica_store(file)
     assert aside is None and shelves.disk == "f49c05565e22"
     assert shelves.books() == {
-        NORTH: (Token(7, "north/1f2e3d4c"), "north"),
-        SOUTH: (Token(3, "south/77"), "south"),
-        WEST: (Token(2, "west/5"), ""),
+        NORTH: (FencingToken(7, "north/1f2e3d4c"), "north"),
+        SOUTH: (FencingToken(3, "south/77"), "south"),
+        WEST: (FencingToken(2, "west/5"), ""),
     }
     assert shelves.ids() == {id_of(1), id_of(2), id_of(3)}
     assert {b: {n: d for n, d in enumerate(shelves.digests_of(b)) if d} for b in (NORTH, SOUTH, WEST)} == {
@@ -274,15 +278,15 @@
     )
     two = Accepted(id_of(2), "north", "desk/see", wall - 500.0, 5000.0, b'{"inputs":[]}', None, "", "", True, "tensors")
     assert sorted(first.lives, key=lambda life: life.accepted.id) == [
-        Life(one),
-        Life(
+        ActivationEntries(one),
+        ActivationEntries(
             two,
             MayRun(id_of(2), wall - 125.0, "worker-3"),
             Ended(id_of(2), wall - 500.0 + 43.5, "completed", 0, TEXT, 1.25, 2.5, 2, False),
         ),
     ]
     three = Accepted(id_of(3), "south", "desk/sum", wall + 1, 900.0, b"{}", None, "", "", True, "json")
-    assert second.lives == [Life(three)]
+    assert second.lives == [ActivationEntries(three)]
     assert first.damaged == second.damaged == 0
     shelves.close()
 
@@ -292,13 +296,13 @@
     for byte."""
     file = copy("copies.sqlite", tmp_path)
     bodies = dict(ask(file, "SELECT kind, body FROM entries WHERE id = ?", id_of(2)))
-    shelves, _ = open_shelves(file)
+    shelves, _ = open_replica_store(file)
     bucket = Reading(NORTH, 90, T + 101_000.0)
     shelves.commit([bucket])
     assert bucket.items == (
-        Item(id_of(2), 0, 1500.0, bodies[0]),
-        Item(id_of(2), 1, 1125.0, bodies[1]),
-        Item(id_of(2), 2, 1500.0, bodies[2]),
+        ReplicaEntry(id_of(2), 0, 1500.0, bodies[0]),
+        ReplicaEntry(id_of(2), 1, 1125.0, bodies[1]),
+        ReplicaEntry(id_of(2), 2, 1500.0, bodies[2]),
     )
     for body in bodies.values():
         assert written_again(unpack(body, crc32(body)), body) == body
@@ -308,14 +312,16 @@
 def test_shelves_written_today_hold_the_rows_of_format_1(tmp_path: Path) -> None:
     """The stored entries put again into a new file: same format, tables, buckets, times, checksums and bodies."""
     old, new = STORED / "copies.sqlite", tmp_path / "new"
-    shelves = Shelves(new)
+    shelves = ReplicaStore(new)
     wall = T + 100_000.0
     books = ((NORTH, 7, "north/1f2e3d4c", "north", wall), (SOUTH, 3, "south/77", "south", wall + 1))
     for book, round_, who, owner, at in books:
         found = ask(old, "SELECT id, kind, since, body FROM entries WHERE book = ?", book)
-        items = tuple(Item(id_, kind, at - since, body) for id_, kind, since, body in found)
-        shelves.commit([Work(book, fence=(Token(round_, who), owner), wall_ms=at), Work(book, items=items, wall_ms=at)])
-    shelves.commit([Work(WEST, fence=(Token(2, "west/5"), ""), shut=True, wall_ms=wall + 3)])
+        items = tuple(ReplicaEntry(id_, kind, at - since, body) for id_, kind, since, body in found)
+        shelves.commit(
+            [Work(book, fence=(FencingToken(round_, who), owner), wall_ms=at), Work(book, items=items, wall_ms=at)]
+        )
+    shelves.commit([Work(WEST, fence=(FencingToken(2, "west/5"), ""), shut=True, wall_ms=wall + 3)])
     shelves.close()
     for text in (
         "PRAGMA user_version",
@@ -340,18 +346,24 @@
 # --- A voter's ledger.
 
 
-USAGE = Row("usage", Token(41, "north/1f2e3d4c"), 3000.0, False, NOTHING)
-GIVEN_BACK = Row("vrrp/12", Token(5, "south/77"), 2500.5, True, NOTHING)
+USAGE = LeaseRow("usage", FencingToken(41, "north/1f2e3d4c"), 3000.0, False, NOTHING)
+GIVEN_BACK = LeaseRow("vrrp/12", FencingToken(5, "south/77"), 2500.5, True, NOTHING)
 
 
 def test_a_ledger_in_format_2_gives_what_was_written(tmp_path: Path) -> None:
     """The voter's memory and each task's token, length, whether it was given back, and last note."""
     file = copy("leases-format-2.sqlite", tmp_path)
-    ledger, memory, rows, reason = open_ledger(file)
+    ledger, memory, rows, reason = open_acceptor_store(file)
     ledger.close()
     text = (STORED / "lease-note-of-a-book.bin").read_bytes()
-    book = Row("book/" + NORTH, Token(7, "north/1f2e3d4c"), 10000.0, False, Noted(Token(6, "west/5"), 9, text))
-    assert reason == "" and memory == Memory(4, Stage.VOTING, True)
+    book = LeaseRow(
+        "book/" + NORTH,
+        FencingToken(7, "north/1f2e3d4c"),
+        10000.0,
+        False,
+        LeaseNote(FencingToken(6, "west/5"), 9, text),
+    )
+    assert reason == "" and memory == DurableState(4, Stage.VOTING, True)
     assert rows == (book, USAGE, GIVEN_BACK)
     assert read_note(rows[0].noted.text) == MEMBERS
 
@@ -362,18 +374,18 @@
     assert ask(file, "PRAGMA user_version") == [(1,)]
     bodies = [body for (body,) in ask(file, "SELECT body FROM kept WHERE name != '' ORDER BY name")]
     assert [len(msgspec.msgpack.decode(body)) for body in bodies] == [4, 4]
-    ledger, memory, rows, reason = open_ledger(file)
+    ledger, memory, rows, reason = open_acceptor_store(file)
     ledger.close()
-    assert reason == "" and memory == Memory(4, Stage.VOTING, True) and rows == (USAGE, GIVEN_BACK)
+    assert reason == "" and memory == DurableState(4, Stage.VOTING, True) and rows == (USAGE, GIVEN_BACK)
     assert ask(file, "PRAGMA user_version") == [(2,)]
 
 
 def test_a_ledger_written_today_holds_the_rows_of_format_2(tmp_path: Path) -> None:
     """What was read from the file, written to a new one: same format, table, names, checksums and bodies."""
     old, new = copy("leases-format-2.sqlite", tmp_path), tmp_path / "new"
-    ledger, memory, rows, _ = open_ledger(old)
+    ledger, memory, rows, _ = open_acceptor_store(old)
     ledger.close()
-    ledger = Ledger(new)
+    ledger = AcceptorStore(new)
     ledger.commit([Write(1, rows, memory)])
     ledger.close()
     for text in ("PRAGMA user_version", "SELECT name, sql FROM sqlite_schema", "SELECT * FROM kept ORDER BY name"):
@@ -383,17 +395,17 @@
 @pytest.mark.parametrize(
     ("body", "memory"),
     [
-        pytest.param("930ca5656d707479c2", Memory(12, Stage.EMPTY, False), id="empty"),
-        pytest.param("930ca8666f756e64696e67c2", Memory(12, Stage.FOUNDING, False), id="founding"),
-        pytest.param("930ca86368616e67696e67c3", Memory(12, Stage.CHANGING, True), id="changing"),
-        pytest.param("930ca6766f74696e67c2", Memory(12, Stage.VOTING, False), id="voting"),
+        pytest.param("930ca5656d707479c2", DurableState(12, Stage.EMPTY, False), id="empty"),
+        pytest.param("930ca8666f756e64696e67c2", DurableState(12, Stage.FOUNDING, False), id="founding"),
+        pytest.param("930ca86368616e67696e67c3", DurableState(12, Stage.CHANGING, True), id="changing"),
+        pytest.param("930ca6766f74696e67c2", DurableState(12, Stage.VOTING, False), id="voting"),
     ],
 )
-def test_each_stage_of_a_voter_is_read_and_written_the_same(tmp_path: Path, body: str, memory: Memory) -> None:
+def test_each_stage_of_a_voter_is_read_and_written_the_same(tmp_path: Path, body: str, memory: DurableState) -> None:
     """The row without a name: number of the set, stage, whether all of the set before is remembered."""
     file, raw = copy("leases-format-2.sqlite", tmp_path), bytes.fromhex(body)
     ask(file, "INSERT OR REPLACE INTO kept VALUES ('', ?, ?)", crc32(raw), raw)
-    ledger, found, rows, reason = open_ledger(file)
+    ledger, found, rows, reason = open_acceptor_store(file)
     assert reason == "" and found == memory and len(rows) == 3
     ledger.commit([Write(1, (), memory)])
     ledger.close()
@@ -449,7 +461,7 @@
 
     async def main() -> None:
         options = Options("planner-0", "127.0.0.1", 0, "", tmp_path, None, "greedy")
-        planner = PlannerProgram(parse(FAST, "fast"), options, leases, 1000.0, Silent())
+        planner = PlannerDriver(parse(FAST, "fast"), options, leases, 1000.0, Silent())
         assert planner.restore()
         assert planner.core.wants == wants
         assert {name: planner.core.demand.functions[name].hours for name in hours} == hours
@@ -461,16 +473,16 @@
 def test_the_last_worker_list_is_taken_up(tmp_path: Path) -> None:
     """`STATE/last-list.json`, as a roster had sent it: all that a dispatcher knows of workers and of other dispatchers
     until a roster answers.  Its version and lineage are dropped."""
-    found = list[Listing]()
+    found = list[EndpointList]()
     log = Silent()
-    client = RosterClient("127.0.0.1:1", "dispatcher-1", found.append, copy("last-list.json", tmp_path), log)
+    client = EndpointClient("127.0.0.1:1", "dispatcher-1", found.append, copy("last-list.json", tmp_path), log)
     assert client.start_from_last() and log.lines == []
     workers = [
-        Entry("worker-1", "127.0.0.1:40411", "live", "5a6b0ce3", 6592.870176000055, "south", 0, 0, 1.0),
-        Entry("worker-0", "127.0.0.1:33225", "live", "c7409d81", 6544.928987000079, "north", 0, 0, 1.0),
+        Endpoint("worker-1", "127.0.0.1:40411", "live", "5a6b0ce3", 6592.870176000055, "south", 0, 0, 1.0),
+        Endpoint("worker-0", "127.0.0.1:33225", "live", "c7409d81", 6544.928987000079, "north", 0, 0, 1.0),
     ]
     peers = [Peer("dispatcher-0", "127.0.0.1:43649", "", ""), Peer("dispatcher-1", "127.0.0.1:44799", "", "")]
-    assert found == [Listing(-1, workers, "last", peers)]
+    assert found == [EndpointList(-1, workers, "last", peers)]
 
 
 def test_the_epoch_of_a_shared_address_only_grows(tmp_path: Path) -> None:
@@ -528,14 +540,14 @@
     rows = ask(file, "SELECT kind, crc, body FROM entries ORDER BY id, kind")
     assert [sum(kind == k for kind, _, _ in rows) for k in (0, 1, 2)] == [9, 4, 9]
     assert all(written_again(unpack(body, crc), body) == body for _, crc, body in rows)
-    book, aside = open_book(file)
-    lives = list(book.lives())
+    book, aside = open_journal(file)
+    lives = list(book.activations())
     book.close()
     assert aside is None and book.damaged == 0 and len(lives) == 9
     assert all(life.ended is not None and life.ended.answer == "completed" for life in lives)
     assert {life.accepted.id[:6] for life in lives} == {id_prefix("dispatcher-1")} == {"1112a1"}
     (keyed,) = [life for life in lives if life.accepted.id == "1112a179d976af530000000000000008"]
-    assert keyed == Life(
+    assert keyed == ActivationEntries(
         Accepted(
             "1112a179d976af530000000000000008",
             "families",
@@ -571,11 +583,11 @@
     bodies = [body for (body,) in ask(file, "SELECT body FROM entries")]
     assert len(bodies) == 10
     assert all(written_again(unpack(body, crc32(body)), body) == body for body in bodies)
-    shelves, aside = open_shelves(file)
+    shelves, aside = open_replica_store(file)
     assert aside is None and shelves.books() == {
-        "dispatcher-0.b733a7160eac": (Token(6, "dispatcher-0/eb45c6d5"), "dispatcher-0"),
-        "dispatcher-4.d9c91e73a1a4": (Token(6, "dispatcher-4/e16ef1cd"), "dispatcher-4"),
-        "dispatcher-6.6f14cf209f05": (Token(8, "dispatcher-2/5d67778e"), "dispatcher-2"),
+        "dispatcher-0.b733a7160eac": (FencingToken(6, "dispatcher-0/eb45c6d5"), "dispatcher-0"),
+        "dispatcher-4.d9c91e73a1a4": (FencingToken(6, "dispatcher-4/e16ef1cd"), "dispatcher-4"),
+        "dispatcher-6.6f14cf209f05": (FencingToken(8, "dispatcher-2/5d67778e"), "dispatcher-2"),
     }
     found = {}
     for book in shelves.books():
@@ -596,18 +608,18 @@
     written again have the same bytes."""
     file = copy("day-of-leases/leases.sqlite", tmp_path)
     kept = ask(file, "SELECT * FROM kept ORDER BY name")
-    ledger, memory, rows, reason = open_ledger(file)
+    ledger, memory, rows, reason = open_acceptor_store(file)
     ledger.close()
-    assert reason == "" and memory == Memory(1, Stage.VOTING, False) and len(rows) == 9
-    assert rows[-1] == Row("sweep", Token(5, "dispatcher-5/efd7844a"), 1500.0, True, NOTHING)
+    assert reason == "" and memory == DurableState(1, Stage.VOTING, False) and len(rows) == 9
+    assert rows[-1] == LeaseRow("sweep", FencingToken(5, "dispatcher-5/efd7844a"), 1500.0, True, NOTHING)
     lost = next(row for row in rows if row.task == "book/dispatcher-6.6f14cf209f05")
-    assert (lost.token, lost.released) == (Token(18, "dispatcher-4/e16ef1cd"), True)
-    assert (lost.noted.token, lost.noted.seq) == (Token(8, "dispatcher-2/5d67778e"), 30)
+    assert (lost.token, lost.released) == (FencingToken(18, "dispatcher-4/e16ef1cd"), True)
+    assert (lost.noted.token, lost.noted.seq) == (FencingToken(8, "dispatcher-2/5d67778e"), 30)
     disks = {"dispatcher-2": "99fd856208ce", "dispatcher-3": "6312fbad89f7", "dispatcher-4": "59a7dd32ac1c"}
     assert read_note(lost.noted.text) == Members("dispatcher-2", disks)
     notes = [row.noted.text for row in rows if row.noted.text]
     assert len(notes) == 7 and all(note(read_note(text)) == text for text in notes)
-    again = Ledger(tmp_path / "new")
+    again = AcceptorStore(tmp_path / "new")
     again.commit([Write(1, rows, memory)])
     again.close()
     assert ask(tmp_path / "new", "SELECT * FROM kept ORDER BY name") == kept
@@ -616,7 +628,7 @@
 def test_captures_of_acts_under_leases_are_judged_as_they_were() -> None:
     """The witness's lines, by which `kelptrail audit` tells two holders of a task, and the report who held it when."""
     events = read(STORED / "day-of-leases" / "captures")
-    verdict = judge(events)
+    verdict = check_history(events)
     assert not verdict.broken and {name: n for name, n in verdict.counts().items() if n} == {"acts": 10}
     span = {"by": "dispatcher-5", "token": "5.dispatcher-5/efd7844a", "from": -2.129, "until": -1.51}
     assert holders(events, 4) == {"sweep": {"spans": [span], "without_s": 5.51, "longest_without_s": 5.51, "acts": 20}}
@@ -624,7 +636,7 @@
 
 def test_captures_of_a_bad_day_are_judged_as_they_were() -> None:
     """`kelptrail audit` on captures that were kept: the counts that the report of that day has, none of them broken."""
-    verdict = judge(read(STORED / "day" / "captures"))
+    verdict = check_history(read(STORED / "day" / "captures"))
     report = msgspec.json.decode((STORED / "day" / "report.json").read_bytes())
     counts = verdict.counts()
     assert counts == {name: report[name] for name in counts} and not verdict.broken
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -5,11 +5,11 @@
 import random
 from heapq import heappop, heappush
 
-from kelptrail.gateway.overload import Stage, Storm, StormSettings
+from kelptrail.gateway.overload import OverloadController, OverloadSettings, Stage
 
 
 def rush(
-    storm: Storm,
+    storm: OverloadController,
     start: float,
     seconds: float,
     per_s: float,
@@ -39,7 +39,7 @@
 
 
 def test_a_storm_is_seen_as_it_starts_and_ends_in_steps() -> None:
-    storm = Storm(StormSettings(), 1)
+    storm = OverloadController(OverloadSettings(), 1)
     now, told = rush(storm, 0.0, 10, 400, 0.0, 1.0)
     assert storm.stage is Stage.CALM and not told
     began = now
@@ -58,7 +58,7 @@
 
 def test_a_rush_that_is_served_and_a_few_refusals_are_no_storm() -> None:
     for turned, per_s in ((0.0, 2000.0), (0.1, 400.0), (0.1, 1200.0)):
-        storm = Storm(StormSettings(), 1)
+        storm = OverloadController(OverloadSettings(), 1)
         now, _ = rush(storm, 0.0, 10, 400, 0.0, 1.0)
         _, told = rush(storm, now, 8, per_s, turned, 1.0, 2)
         assert storm.stage is Stage.CALM, (turned, per_s)
@@ -66,7 +66,7 @@
 
 
 def test_return_times_stand_in_a_row_that_fits_what_can_be_taken() -> None:
-    storm = Storm(StormSettings(longest_ms=600_000.0), 1)
+    storm = OverloadController(OverloadSettings(longest_ms=600_000.0), 1)
     now, _ = rush(storm, 0.0, 10, 400, 0.0, 1.0)
     now, _ = rush(storm, now, 4, 1600, 0.7, 1.0, 2)
     assert storm.stage is Stage.STORM
@@ -75,7 +75,7 @@
     times = sorted(now + storm.turn(now, f"x{n}", 0.0) for n in range(200))
     assert storm._slot - before > 0.9 * 200 * 1000 / spare, "each has a place of its own"
     assert len({round(t) for t in times}) > 190, "not all at one moment"
-    bounded = Storm(StormSettings(longest_ms=3000.0), 1)
+    bounded = OverloadController(OverloadSettings(longest_ms=3000.0), 1)
     now, _ = rush(bounded, 0.0, 10, 400, 0.0, 1.0)
     now, told = rush(bounded, now, 6, 4000, 0.95, 1.0, 2)
     assert max(told) <= 3000 and len({round(t) for t in told[-200:]}) > 100, "spread also at the bound"
@@ -83,7 +83,7 @@
 
 
 def test_whoever_comes_early_is_refused_at_the_door_and_told_longer_but_not_without_end() -> None:
-    storm = Storm(StormSettings(), 1)
+    storm = OverloadController(OverloadSettings(), 1)
     now, _ = rush(storm, 0.0, 10, 400, 0.0, 1.0)
     now, _ = rush(storm, now, 6, 1600, 0.8, 1.0, 2, again=0.6)
     assert storm.stage is Stage.STORM
@@ -99,7 +99,7 @@
 
 
 def test_whoever_never_comes_back_is_forgotten() -> None:
-    storm = Storm(StormSettings(known_ms=2000.0), 1)
+    storm = OverloadController(OverloadSettings(known_ms=2000.0), 1)
     now, _ = rush(storm, 0.0, 5, 400, 0.3, 1.0)
     assert len(storm._known) > 300
     rush(storm, now, 5, 200, 0.0, 1.0, 2)
@@ -107,7 +107,7 @@
 
 
 def test_undamped_it_only_watches_and_memory_is_bounded() -> None:
-    storm = Storm(StormSettings(damp=False, most_known=500), 1)
+    storm = OverloadController(OverloadSettings(damp=False, most_known=500), 1)
     now, _ = rush(storm, 0.0, 5, 400, 0.0, 1.0)
     _, told = rush(storm, now, 6, 1600, 0.8, 1.0, 2, again=0.6)
     assert storm.stage is Stage.STORM and set(told) == {1000.0} and len(storm._known) <= 500
@@ -115,7 +115,7 @@
 
 
 def test_connects_and_misses_raise_an_alarm_but_no_storm() -> None:
-    storm = Storm(StormSettings(), 1)
+    storm = OverloadController(OverloadSettings(), 1)
     now = 0.0
     while now < 10_000:
         now += 5
@@ -140,7 +140,7 @@
 
 def test_repeats_of_a_customer_over_its_share_take_what_is_left() -> None:
     """One customer storms, the other asks for what it always does: its first tries and its repeats go on."""
-    storm, chance, now = Storm(StormSettings(), 1, {"quiet": 1.0, "loud": 1.0}), random.Random(3), 0.0
+    storm, chance, now = OverloadController(OverloadSettings(), 1, {"quiet": 1.0, "loud": 1.0}), random.Random(3), 0.0
     held, passed, number, told = {"quiet": 0, "loud": 0}, {"quiet": 0, "loud": 0}, 0, list[tuple[float, str, str]]()
     while now < 30_000:
         now += 1
@@ -169,7 +169,7 @@
 
 
 def test_one_customer_over_its_share_is_held_back_while_the_others_are_hurt_and_no_longer() -> None:
-    storm, chance, now = Storm(StormSettings(), 1, {"quiet": 2.0, "loud": 1.0}), random.Random(5), 0.0
+    storm, chance, now = OverloadController(OverloadSettings(), 1, {"quiet": 2.0, "loud": 1.0}), random.Random(5), 0.0
     let_in: dict[float, list[int]] = {}
     while now < 30_000:
         now += 1
@@ -191,7 +191,7 @@
     share = {second: good / came for second, (came, good) in let_in.items() if came}
     assert all(share[n] == 1.0 for n in range(10)) and all(share[n] < 0.6 for n in range(13, 20))
     assert all(share[n] == 1.0 for n in range(24, 30)), "and no longer"
-    other = Storm(StormSettings(), 1, {"quiet": 2.0, "loud": 1.0})
+    other = OverloadController(OverloadSettings(), 1, {"quiet": 2.0, "loud": 1.0})
     for step in range(20_000):  # over its share, and nobody is the worse for it
         space = "loud" if step % 2 else "quiet"
         assert other.came(step, f"{space} {step}", space) is None
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -42,7 +42,7 @@
     encode,
     pseudo_header,
 )
-from kelptrail.vrrp.simulation import Sea, failovers
+from kelptrail.vrrp.simulation import SimulatedNetwork, failovers
 from kelptrail.vrrp.state_machine import GiveUp, Moved, Router, RouterSettings, State, Take, Transmit
 from kelptrail.vrrp.tracking import Track, TrackSettings
 
@@ -307,7 +307,7 @@
 
 
 def test_a_master_that_loses_its_workers_hands_over_in_bounded_time_and_does_not_flap() -> None:
-    sea = Sea(1, [(A, 200), (B, 150), (C, 100)], tracks=[TrackSettings("workers", 120, 500.0, 2000.0)])
+    sea = SimulatedNetwork(1, [(A, 200), (B, 150), (C, 100)], tracks=[TrackSettings("workers", 120, 500.0, 2000.0)])
     sea.run(6000.0)
     assert sea.holders() == [A]
     sea.instances[A].told(sea.now, "workers", False)
@@ -321,7 +321,7 @@
 
 
 def test_release_by_tracking_takes_a_skew() -> None:
-    sea = Sea(2, [(A, 200), (B, 150)], tracks=[TrackSettings("workers", 0, 100.0, 500.0, release=True)])
+    sea = SimulatedNetwork(2, [(A, 200), (B, 150)], tracks=[TrackSettings("workers", 0, 100.0, 500.0, release=True)])
     sea.run(6000.0)
     sea.instances[A].told(sea.now, "workers", False)
     began = sea.now
--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -33,27 +33,27 @@
 from kelptrail.codec import events, feed, frames, http, infer, lines
 from kelptrail.codec.tensors import JsonTensor
 from kelptrail.emulator.capture import Capture
-from kelptrail.emulator.endpoint_service import RosterSource
+from kelptrail.emulator.endpoint_service import EndpointService
 from kelptrail.engine import settings as host_settings
 from kelptrail.fault_scenario import scenario as script
 from kelptrail.front.invoke import views
-from kelptrail.gateway.overload import Storm, StormSettings
+from kelptrail.gateway.overload import OverloadController, OverloadSettings
 from kelptrail.gateway.records import Record
 from kelptrail.membership import members
-from kelptrail.membership.client import RosterClient
-from kelptrail.net.http_client import Errand
+from kelptrail.membership.client import EndpointClient
+from kelptrail.net.http_client import HttpClient
 from kelptrail.peers import messages as wire
 from kelptrail.planner import plan
 from kelptrail.platform import config as platform_config
-from kelptrail.platform.client_server import Asked
+from kelptrail.platform.client_server import ParsedRequest
 from kelptrail.platform.service import Service
 from kelptrail.settings import deployment
-from kelptrail.settings.reader import Place
+from kelptrail.settings.reader import SourcePosition
 from kelptrail.simulation import experiment
-from kelptrail.simulation.cluster import LabSettings
+from kelptrail.simulation.cluster import SimulationSettings
 from kelptrail.simulator_adapter.__main__ import Drill
-from kelptrail.vrrp import packet as vrrp_packet
 from kelptrail.vrrp import authentication as vrrp_seal
+from kelptrail.vrrp import packet as vrrp_packet
 
 FIXTURES = Path(__file__).parent / "fixtures" / "wire"
 ROOT = Path(__file__).parent.parent
@@ -354,7 +354,7 @@
     if kind == "seal":
         return plain(vrrp_seal.Opener(KEYS).open(data, V4[0]))
     assert kind == "worker list"
-    return plain(msgspec.json.decode(data, type=members.Listing))
+    return plain(msgspec.json.decode(data, type=members.EndpointList))
 
 
 @pytest.mark.parametrize("number", range(len(BYTES["read"])), ids=[one["kind"] for one in BYTES["read"]])
@@ -374,7 +374,7 @@
     types = {kind.name: kind for kind in read_as.request_classes}
     customers = {customer.name: customer for customer in read_as.tenants}
     most_mb = made.sockets.most_mb
-    found = Asked(told["fields"], types, made.sockets.longest_ms, customers, most_mb)
+    found = ParsedRequest(told["fields"], types, made.sockets.longest_ms, customers, most_mb)
     shown = []
     for slot in type(found).__slots__:
         value = getattr(found, slot)
@@ -410,11 +410,11 @@
     that gets another name needs its old key kept."""
     day = script.load(ROOT / "examples" / "bad-days" / "first.sexp")
     whole = deployment.load(day.deployment)
-    place = Place("x", 1, 1)
+    place = SourcePosition("x", 1, 1)
     found = {}
     for section in ("no-such", *SETTINGS_KEYS):
         with pytest.raises(ValueError) as caught:
-            experiment.changed(day, whole, LabSettings(), [experiment.Change(section, "no-such", 1.0, place)])
+            experiment.changed(day, whole, SimulationSettings(), [experiment.Change(section, "no-such", 1.0, place)])
         found[section] = str(caught.value)
     assert found == {"no-such": BYTES["experiments"]["no-such"], **SETTINGS_KEYS}
 
@@ -457,7 +457,7 @@
 
 def test_usage_is_shown_with_its_keys() -> None:
     """The answer of `/usage`, whole, made from a total that was told."""
-    token = lease_terms.Token(9, "d2/r2")
+    token = lease_terms.FencingToken(9, "d2/r2")
     told = usage_terms.Told()
     assert told.told(usage_terms.Total(token, 73, 3, {"n1": (1.234, 2.5, 3.5)}))
     usage = usage_terms.Usage.__new__(usage_terms.Usage)
@@ -467,7 +467,7 @@
 
 def test_storm_is_shown_with_its_keys() -> None:
     """The part `storm` of `/state`, before anything has come."""
-    assert text(Storm(StormSettings(), 1).status()) == text(BYTES["storm"])
+    assert text(OverloadController(OverloadSettings(), 1).status()) == text(BYTES["storm"])
 
 
 # On sockets: what goes out unasked, and in which words.
@@ -585,13 +585,13 @@
 
     server = await asyncio.start_server(source, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    client = RosterClient(address, "d1/r1", lists.append, tmp_path / "last.json", logging.getLogger("test"), 1500.0)
+    client = EndpointClient(address, "d1/r1", lists.append, tmp_path / "last.json", logging.getLogger("test"), 1500.0)
     client.own, client.channel, client.hall = "10.0.1.1:8", "10.0.1.1:9", "south"
     task = asyncio.create_task(client.follow())
     await two.wait()
     task.cancel()
     server.close()
-    again = RosterClient(address, "d1/r2", lists.append, tmp_path / "last.json", logging.getLogger("test"))
+    again = EndpointClient(address, "d1/r2", lists.append, tmp_path / "last.json", logging.getLogger("test"))
     return {
         "questions": [question.replace(address, "ADDRESS") for question in questions],
         "from_last": again.start_from_last(),
@@ -607,8 +607,8 @@
 
 async def told_by_the_stand_in() -> Any:
     """What the stand-in worker list answers after a worker and a dispatcher are known; its run and ages are masked."""
-    source = RosterSource(Capture(None, "list"))
-    errand = Errand(f"127.0.0.1:{source.server.listen('127.0.0.1', 0)}")
+    source = EndpointService(Capture(None, "list"))
+    errand = HttpClient(f"127.0.0.1:{source.server.listen('127.0.0.1', 0)}")
     for target, body in SOCKETS["told_to_list"]:
         assert (await errand.ask("POST", target, body)).status == 200
     target = "/workers?who=d1/r1&at=10.0.1.1:8&channel=10.0.1.1:9&hall=south&known=&wait=0"
