--- a/bench/soak_mutants.py
+++ b/bench/soak_mutants.py
@@ -39,9 +39,9 @@
     Mutant(
         "an attempt begins whatever came after its decision",
         "kelptrail/dispatch/safety.py",
-        "        if not (item.copy.worker.live and now < item.until):\n            return False\n"
-        "        if isinstance(item, Order):\n            return item.copy.order is item\n"
-        "        return item.outcome is None and not item.revoked and item.act.verdict is None\n",
+        "        if not (item.instance.worker.live and now < item.latest_start):\n            return False\n"
+        "        if isinstance(item, LoadOrder):\n            return item.instance.load_order is item\n"
+        "        return item.status is None and not item.cancelled and item.request.final_status is None\n",
         "        return True\n",
         Edit(
             "kelptrail/platform/worker_connections.py",
--- a/kelptrail/dispatch/dispatcher.py
+++ b/kelptrail/dispatch/dispatcher.py
@@ -327,7 +327,7 @@
             elif isinstance(item, Attempt):
                 if hedge := self._start_hedge(now, item):
                     return hedge
-            elif item.verdict is None and (ended := self._check_deadline(now, item)):
+            elif item.final_status is None and (ended := self._check_deadline(now, item)):
                 return ended
         if self._pending_decisions:
             return self._pending_decisions.popleft()
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -593,8 +593,8 @@
             if flowing is not None and flowing.until > now:  # something has come meanwhile
                 self._due.add(flowing.until, act)
                 continue
-            for send in act.sends:
-                if send.outcome is None:
+            for send in act.attempts:
+                if send.status is None:
                     self._give_up(now, send, "silent")
             late = self._ivks.get(act)
             if late is not None and late.lifecycle.stage is Stage.FINAL and not late.lifecycle.owed:
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -150,10 +150,10 @@
         if self.debug:
             self._log.debug(
                 "send-ended",
-                activation=send.act.id,
+                activation=send.request.id,
                 trace=ivk.record.trace,
                 send=send.number,
-                worker=send.copy.worker.id,
+                worker=send.instance.worker.id,
                 outcome=outcome.value,
             )
         now = now_ms()
--- a/kelptrail/platform/service.py
+++ b/kelptrail/platform/service.py
@@ -445,7 +445,7 @@
             elif isinstance(item, Attempt):
                 self._give_up(now, item, AttemptStatus.SILENT)
             else:
-                links = self._links.get(item.copy.worker)
+                links = self._links.get(item.instance.worker)
                 if links is not None and links.give_up(item) is not None:
                     self._host.on_load_report(now, item, AttemptStatus.SILENT, 0)
         if now >= self._beat_due:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -367,7 +367,7 @@
     """Something to send, as far as the links know of it."""
 
     def __init__(self, id_: str) -> None:
-        self.id, self.act = id_, self
+        self.id, self.request = id_, self
 
 
 class Bare:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -273,7 +273,7 @@
                 await asyncio.sleep(0.01)
             gone.close()  # a plain close: only writing to it can tell it from a half-closed one
             await asyncio.sleep(0.15)
-            assert dispatcher.gateway.counts.aborted == 1 and dispatcher.gateway.in_hand == 1
+            assert dispatcher.gateway.counts.aborted == 1 and dispatcher.gateway.in_flight == 1
             answer(worker, *held[0])
             assert (await read_reply(half)).body == b'{"a":1}'
             half.close()
@@ -462,6 +462,6 @@
                 answer(*line)
             await asyncio.sleep(0.05)
             again = (await dispatcher.ask("GET", f"{BASE}/activations/{record['activationId']}"))[2]
-            assert again == record and len(worker.sends) == 1 and not dispatcher.gateway.in_hand
+            assert again == record and len(worker.sends) == 1 and not dispatcher.gateway.in_flight
 
     run(main())
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -348,7 +348,7 @@
             while len(held) < 2:
                 await asyncio.sleep(0.01)
             call.cancel()
-            while dispatcher.gateway.in_hand:
+            while dispatcher.gateway.in_flight:
                 await asyncio.sleep(0.01)
             assert dispatcher.gateway.counts.aborted == 2, "a cancelled call is told to the decisions"
             # A mark joins what is in hand, on either front; another body conflicts.
@@ -412,7 +412,7 @@
                 assert responses[-1].infer_response.parameters["final_response"].bool_param
                 assert sum(r.infer_response.parameters["final_response"].bool_param for r in responses) == 1
             assert sum(len(w.sends) for w in workers) == 6
-            assert dispatcher.gateway.counts.completed == 6 and not dispatcher.gateway.in_hand
+            assert dispatcher.gateway.counts.completed == 6 and not dispatcher.gateway.in_flight
             # One that does not stream gives all in one; a faulty request ends alone.
             workers[0].script = workers[1].script = answer
             out = [r async for r in client.stream([ask("p/check", [tensor("INT8", [3])]), ask("nobody", id_="n")])]
@@ -497,7 +497,7 @@
             assert out[-1].error_message.startswith("DEADLINE_EXCEEDED") and 2 < len(out) < 7
             never = client.stream(endless(), timeout=0.3)
             assert (await fails(never.read()))[0] == "DEADLINE_EXCEEDED"
-            while dispatcher.gateway.in_hand:
+            while dispatcher.gateway.in_flight:
                 await asyncio.sleep(0.01)
             await client.channel.close()
 
@@ -536,7 +536,7 @@
             await asyncio.sleep(0.3)
             given = worker.given
             await asyncio.sleep(0.2)
-            assert worker.given <= given + 1 < 100 and not dispatcher.gateway.in_hand
+            assert worker.given <= given + 1 < 100 and not dispatcher.gateway.in_flight
             assert dispatcher.gateway.counts.aborted == 1
             await client.channel.close()
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -441,7 +441,7 @@
             await asyncio.sleep(0.3)
             given = worker.given
             await asyncio.sleep(0.2)
-            assert worker.given <= given + 1 and not dispatcher.gateway.in_hand
+            assert worker.given <= given + 1 and not dispatcher.gateway.in_flight
 
     run(main())
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -121,18 +121,22 @@
                 [AttemptStatus.COMPLETED] * 6 + [AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.CONNECTION_LOST]
             )
             dispatcher.on_load_report(now, order, outcome, chance.randrange(order.count + 2))
-        for send in [s for s in out if s.copy.worker is not fleet[seed % 6] and chance.random() < 0.1]:
+        for send in [s for s in out if s.instance.worker is not fleet[seed % 6] and chance.random() < 0.1]:
             out.remove(send)
             outcome = chance.choice([AttemptStatus.COMPLETED] * 9 + list(AttemptStatus)[1:])
-            outcome = AttemptStatus.CANCELLED if send.revoked else outcome
-            if outcome is AttemptStatus.COMPLETED and send.act.verdict is None and now <= send.act.deadline:
-                watch.end(now, send.act)
+            outcome = AttemptStatus.CANCELLED if send.cancelled else outcome
+            if (
+                outcome is AttemptStatus.COMPLETED
+                and send.request.final_status is None
+                and now <= send.request.deadline
+            ):
+                watch.end(now, send.request)
                 dispatcher.on_attempt_finished(now, send, outcome, True, False, None, 0, None)
             else:
-                ended = send.act in watch.ended
+                ended = send.request in watch.ended
                 outcome = AttemptStatus.SILENT if outcome is AttemptStatus.COMPLETED else outcome
                 dispatcher.on_attempt_finished(now, send, outcome, ended, False, None, 0, None)
-        for act in [a for a in open_acts if a.verdict is None and chance.random() < 0.0005]:
+        for act in [a for a in open_acts if a.final_status is None and chance.random() < 0.0005]:
             watch.end(now, act)
             dispatcher.on_client_gone(act)
         if chance.random() < 0.02:
@@ -174,15 +178,15 @@
 @pytest.mark.parametrize(
     ("guard", "instead", "message"),
     [
-        ("open", always(True), "once-only is never sent twice|end|remember|assert"),
+        ("accepts_attempt", always(True), "once-only is never sent twice|end|remember|assert"),
         (
-            "may_send",
-            lambda self, now, act, worker: self.open(now, act),
+            "may_attempt",
+            lambda self, now, act, worker: self.accepts_attempt(now, act),
             "drains kept|inside the group|pushed over",
         ),
-        ("warmth", always(1.0), "pushed over"),
-        ("end", reject, "promises the truth"),
-        ("order", lambda self, now, copy, count, spare=0.0: LoadOrder(copy, count, now), "rationed|drains kept"),
+        ("capacity_factor", always(1.0), "pushed over"),
+        ("finish", reject, "promises the truth"),
+        ("start_load", lambda self, now, copy, count, spare=0.0: LoadOrder(copy, count, now), "rationed|drains kept"),
     ],
 )
 def test_a_missing_guard_is_seen(monkeypatch: pytest.MonkeyPatch, guard: str, instead: Any, message: str) -> None:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -50,7 +50,7 @@
             count = sends(workers)
             await asyncio.sleep(0.2)
             assert sends(workers) == count, "nothing is sent after the final answer"
-            assert dispatcher.gateway.in_hand == 0
+            assert dispatcher.gateway.in_flight == 0
 
     run(main())
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -338,7 +338,7 @@
                 )
         for due, send in [e for e in self.out if e[0] <= self.now]:
             self.out.remove((due, send))
-            if send.outcome is None:
+            if send.status is None:
                 ends = [
                     AttemptStatus.COMPLETED,
                     AttemptStatus.ERROR,
@@ -347,7 +347,7 @@
                 ]
                 outcome = chance.choices(ends, [6, 1, 1, 1])[0]
                 if outcome is not AttemptStatus.OUT_OF_CAPACITY:
-                    self.effects[send.act.id] = self.effects.get(send.act.id, 0) + 1
+                    self.effects[send.request.id] = self.effects.get(send.request.id, 0) + 1
                 gateway.on_attempt_finished(self.now, send, outcome)
         if chance.random() < 0.5 and (batch := self.journal.ready(self.now)) is not None:
             if chance.random() < 0.06:
@@ -360,7 +360,7 @@
         if chance.random() < 0.015:  # whatever went out may have run, whatever was not synced is gone
             for _, send in self.out:
                 if chance.random() < 0.5:
-                    self.effects[send.act.id] = self.effects.get(send.act.id, 0) + 1
+                    self.effects[send.request.id] = self.effects.get(send.request.id, 0) + 1
             passed = chance.uniform(5, 400)
             self.now, self.wall = self.now + passed, self.wall + passed
             self.start()
