--- a/kelptrail/gateway/connection_health.py
+++ b/kelptrail/gateway/connection_health.py
@@ -6,34 +6,36 @@
 
 from __future__ import annotations
 
-from kelptrail.dispatch.entities import Outcome
+from kelptrail.dispatch.entities import AttemptStatus
 
-REACHED = frozenset({Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL, Outcome.MISS})
-NOT_REACHED = frozenset({Outcome.UNREACHABLE, Outcome.BROKEN, Outcome.SILENT})
+REACHED = frozenset(
+    {AttemptStatus.COMPLETED, AttemptStatus.ERROR, AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.NOT_LOADED}
+)
+NOT_REACHED = frozenset({AttemptStatus.UNREACHABLE, AttemptStatus.CONNECTION_LOST, AttemptStatus.SILENT})
 
 
-class LinkSight:
+class ConnectionHealth:
     """Whether any worker can be reached; `span_ms` is how long an end speaks for."""
 
     def __init__(self, span_ms: float = 1000.0) -> None:
         self._span_ms = span_ms
         self._reached = self._failed = float("-inf")
 
-    def ended(self, now: float, outcome: Outcome) -> None:
+    def on_attempt_finished(self, now: float, outcome: AttemptStatus) -> None:
         """A send or an order has ended."""
         if outcome in REACHED:
             self._reached = now
         elif outcome in NOT_REACHED:
             self._failed = now
 
-    def looked(self, now: float, reached: bool) -> None:
+    def on_connect_result(self, now: float, reached: bool) -> None:
         """The host looked for itself."""
         if reached:
             self._reached = now
         else:
             self._failed = now
 
-    def well(self, now: float) -> bool | None:
+    def is_healthy(self, now: float) -> bool | None:
         """True, False, or None where nothing recent tells."""
         if now - self._reached <= self._span_ms:
             return True
--- a/kelptrail/membership/members.py
+++ b/kelptrail/membership/members.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from kelptrail.dispatch.entities import State, Worker
+from kelptrail.dispatch.entities import Worker, WorkerState
 
 PREFIX = 6  # hex digits of an id that tell which dispatcher gave it
-STATES = {"live": State.LIVE, "draining": State.DRAINING, "gone": State.GONE}
+STATES = {"live": WorkerState.LIVE, "draining": WorkerState.DRAINING, "gone": WorkerState.REMOVED}
 
 
-class Entry(msgspec.Struct, frozen=True):
+class Endpoint(msgspec.Struct, frozen=True):
     """One worker of a list; `age_ms` is how long its process has run."""
 
     id: str
@@ -41,11 +41,11 @@
     hall: str = ""
 
 
-class Listing(msgspec.Struct, frozen=True):
+class EndpointList(msgspec.Struct, frozen=True):
     """A whole list.  `lineage` names the source's run; versions only grow within one."""
 
     version: int
-    workers: list[Entry]
+    workers: list[Endpoint]
     lineage: str = ""
     dispatchers: list[Peer] = []
 
@@ -72,7 +72,7 @@
     def __iter__(self) -> Iterator[Worker]:
         return iter(self._workers.values())
 
-    def apply(self, now: float, listing: Listing) -> tuple[list[Worker], list[Worker]]:
+    def apply(self, now: float, listing: EndpointList) -> tuple[list[Worker], list[Worker]]:
         """Take in a list; returns all workers, those just gone included, and those that have restarted."""
         if listing.lineage == self.lineage and listing.version < self.version:
             return list(self._workers.values()), []
@@ -84,20 +84,20 @@
             worker = self._workers.get(entry.id)
             known = self._incarnations.get(entry.id)
             if worker is None:
-                if STATES.get(entry.state, State.LIVE) is State.GONE:
+                if STATES.get(entry.state, WorkerState.LIVE) is WorkerState.REMOVED:
                     continue
                 worker = self._workers[entry.id] = Worker(entry.id)
             elif entry.incarnation != known:
                 restarted.append(worker)
             if entry.incarnation != known:
-                worker.started = now - entry.age_ms
+                worker.started_at = now - entry.age_ms
                 self._incarnations[entry.id] = entry.incarnation
             worker.zone, worker.cell, worker.kind = self._zones.get(entry.hall, 0), entry.cell, entry.kind
-            worker.size, worker.state = entry.size, STATES.get(entry.state, State.LIVE)
+            worker.size, worker.state = entry.size, STATES.get(entry.state, WorkerState.LIVE)
             self.addresses[worker] = entry.address
         for id_, worker in self._workers.items():
             if id_ not in named:
-                worker.state = State.GONE
+                worker.state = WorkerState.REMOVED
         return list(self._workers.values()), restarted
 
     def asked_at(self, id_: str) -> Peer | None:
@@ -106,6 +106,6 @@
 
     def purge(self) -> None:
         """Forget those that are gone and have nothing out."""
-        for id_ in [id_ for id_, w in self._workers.items() if w.gone and not w.sends]:
+        for id_ in [id_ for id_, w in self._workers.items() if w.removed and not w.attempts]:
             self.addresses.pop(self._workers.pop(id_), None)
             self._incarnations.pop(id_, None)
--- a/kelptrail/platform/worker_connections.py
+++ b/kelptrail/platform/worker_connections.py
@@ -15,22 +15,22 @@
 from typing import Any
 
 from kelptrail.codec.lines import Answer, LineError, LineReader, cancel, load
-from kelptrail.dispatch.entities import Order, Outcome, Send
-from kelptrail.net.connection import Link, Piece, connect
+from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder
+from kelptrail.net.connection import Connection, PendingWrite, connect
 from kelptrail.net.errors import is_local_shortage
 
 WORDS = {
-    "OK": Outcome.COMPLETED,
-    "MISS": Outcome.MISS,
-    "BUSY": Outcome.FULL,
-    "ERR": Outcome.ERROR,
-    "VOID": Outcome.UNSENT,
+    "OK": AttemptStatus.COMPLETED,
+    "MISS": AttemptStatus.NOT_LOADED,
+    "BUSY": AttemptStatus.OUT_OF_CAPACITY,
+    "ERR": AttemptStatus.ERROR,
+    "VOID": AttemptStatus.NOT_SENT,
 }
 WAITING = 1 << 20  # bytes that a worker may leave unread
 UNSENT_IN_KERNEL = 16_384  # bytes that the kernel may hold unsent: what it holds can be neither changed nor taken back
 
-Item = Send | Order
-Ended = Callable[[Item, Outcome, Answer | None], None]
+Item = Attempt | LoadOrder
+Ended = Callable[[Item, AttemptStatus, Answer | None], None]
 Make = Callable[[], bytes]
 
 
@@ -41,7 +41,7 @@
     item: Item
     make: Make
     size: int
-    piece: Piece | None = None
+    piece: PendingWrite | None = None
 
 
 class Bounds:
@@ -82,7 +82,7 @@
         self.answer_bytes, self.cancels, self.parallel, self.longest_ms = answer_bytes, cancels, parallel, longest_ms
 
 
-class Connection:
+class WorkerConnection:
     """One connection and what is open on it."""
 
     __slots__ = (
@@ -98,14 +98,14 @@
         "used",
     )
 
-    def __init__(self, owner: WorkerLinks, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, owner: WorkerConnections, loop: asyncio.AbstractEventLoop) -> None:
         self._owner, self._loop = owner, loop
         self._reader = LineReader(owner.bounds.answer_bytes)
         self.open: dict[str, Opened] = {}  # in the order in which it was opened
         self.spent: dict[str, float] = {}  # ids that were used on it, and until when an answer of then may still come
         self.doubtful = False  # something on it was given up unanswered, and nothing was heard since
         self.used = self.heard = loop.time()
-        self.link: Link | None = None
+        self.link: Connection | None = None
         self._task: asyncio.Task[None] | None = loop.create_task(self._connect())
 
     @property
@@ -121,7 +121,7 @@
         if self.link is not None:
             self._write(self.link, opened)
 
-    def _write(self, link: Link, opened: Opened) -> None:
+    def _write(self, link: Connection, opened: Opened) -> None:
         def made() -> bytes:
             data = opened.make()
             if not data:
@@ -166,7 +166,7 @@
             self._task.cancel()
         if self.link is not None:
             self.link.close()
-        self._over(Outcome.UNSENT)
+        self._over(AttemptStatus.NOT_SENT)
 
     async def _connect(self) -> None:
         try:
@@ -175,15 +175,15 @@
             return
         except OSError as cause:
             self._task = None  # without a descriptor for it nothing is known of the worker
-            outcome = Outcome.UNSENT if is_local_shortage(cause) else Outcome.UNREACHABLE
-            self._owner.note("worker connect failed", worker=self._owner.id, cause=cause, outcome=outcome.value)
-            self._over(outcome)
+            status = AttemptStatus.NOT_SENT if is_local_shortage(cause) else AttemptStatus.UNREACHABLE
+            self._owner.note("worker connect failed", worker=self._owner.id, cause=cause, outcome=status.value)
+            self._over(status)
             return
         self._task = None
         self.heard = self._loop.time()
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, UNSENT_IN_KERNEL)
-        self.link = Link(self._loop, sock, self._got, self._ended, WAITING)
+        self.link = Connection(self._loop, sock, self._got, self._ended, WAITING)
         for opened in self.open.values():
             self._write(self.link, opened)
 
@@ -197,23 +197,23 @@
                 if found is not None:  # else a second copy, a late one, or one that nobody asked for
                     self.used = self.heard  # a second copy comes soon, if one comes
                     self.spent[answer.id] = self.heard + self._owner.bounds.connect_ms / 1000
-                    self._owner.finished(found.item, WORDS.get(answer.word, Outcome.BROKEN), answer)
+                    self._owner.finished(found.item, WORDS.get(answer.word, AttemptStatus.CONNECTION_LOST), answer)
         except LineError as cause:
             self._owner.note("worker unreadable", worker=self._owner.id, cause=str(cause))
             self.close()
 
     def _ended(self) -> None:
-        self._over(Outcome.UNSENT)
+        self._over(AttemptStatus.NOT_SENT)
 
-    def _over(self, unsent: Outcome) -> None:
+    def _over(self, unsent: AttemptStatus) -> None:
         self._owner.gone(self)
         ended, self.open = self.open, {}
         for opened in ended.values():
             arrived = opened.piece is not None and opened.piece.sent
-            self._owner.finished(opened.item, Outcome.BROKEN if arrived else unsent, None)
+            self._owner.finished(opened.item, AttemptStatus.CONNECTION_LOST if arrived else unsent, None)
 
 
-class WorkerLinks:
+class WorkerConnections:
     """The connections to one worker; `ended` is called once for each send and order that was not given up."""
 
     def __init__(
@@ -227,8 +227,8 @@
     ) -> None:
         self._loop, self.id, self.address, self.bounds = loop, id_, address, bounds
         self._ended, self.note = ended, note
-        self._connections: dict[Connection, None] = {}
-        self._at: dict[Item, tuple[Connection, str]] = {}
+        self._connections: dict[WorkerConnection, None] = {}
+        self._at: dict[Item, tuple[WorkerConnection, str]] = {}
         self._tags = 0
 
     def __len__(self) -> int:
@@ -239,21 +239,21 @@
         """Sends and orders that are open."""
         return sum(len(connection.open) for connection in self._connections)
 
-    def send(self, send: Send, make: Make, size: int) -> None:
+    def send(self, attempt: Attempt, make: Make, size: int) -> None:
         """Carry out a send, whose bytes are made as they leave."""
-        self._start(send.act.id, send, make, size)
+        self._start(attempt.request.id, attempt, make, size)
 
-    def order(self, order: Order, may_leave: Callable[[], bool]) -> None:
+    def order(self, order: LoadOrder, may_leave: Callable[[], bool]) -> None:
         """Carry out a hold order, if it may still leave once the connection takes it."""
         self._tags += 1
         tag = f"o{self._tags}"
-        data = load(tag, order.copy.function.id, order.count)
+        data = load(tag, order.instance.function.id, order.count)
         self._start(tag, order, lambda: data if may_leave() else b"", len(data))
 
     def unsent(self, item: Item) -> None:
         """It was not to leave any more."""
         if self.withdraw(item):
-            self._ended(item, Outcome.UNSENT, None)
+            self._ended(item, AttemptStatus.NOT_SENT, None)
 
     def give_up(self, item: Item) -> bool | None:
         """Call something off; whether it may arrive.  None: it has ended."""
@@ -273,7 +273,7 @@
         return [item for item in list(self._at) if self.withdraw(item)]
 
     @property
-    def idlest(self) -> Connection | None:
+    def idlest(self) -> WorkerConnection | None:
         """The connection with nothing open that was used the longest ago."""
         return min((each for each in self._connections if not each.open), key=lambda each: each.used, default=None)
 
@@ -301,12 +301,12 @@
         for connection in list(self._connections):
             connection.close()
 
-    def finished(self, item: Item, outcome: Outcome, answer: Answer | None) -> None:
+    def finished(self, item: Item, status: AttemptStatus, answer: Answer | None) -> None:
         """Something open has ended."""
         del self._at[item]
-        self._ended(item, outcome, answer)
+        self._ended(item, status, answer)
 
-    def gone(self, connection: Connection) -> None:
+    def gone(self, connection: WorkerConnection) -> None:
         """A connection has ended."""
         if connection in self._connections:
             del self._connections[connection]
@@ -326,9 +326,9 @@
                 if (idle := self.idlest) is not None:
                     idle.close()
                 elif len(self._connections) >= self.bounds.most or not self.bounds.make_room():
-                    self._ended(item, Outcome.UNSENT, None)
+                    self._ended(item, AttemptStatus.NOT_SENT, None)
                     return
-            best = Connection(self, self._loop)
+            best = WorkerConnection(self, self._loop)
             self._connections[best] = None
             self.bounds.held += 1
         self._at[item] = best, id_
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -24,8 +24,8 @@
 
 from kelptrail.codec.http import Request, encode_request, encode_response
 from kelptrail.codec.infer import infer_answer, read_infer
-from kelptrail.dispatch.entities import Outcome
-from kelptrail.membership.members import Listing, Peer, id_prefix
+from kelptrail.dispatch.entities import AttemptStatus
+from kelptrail.membership.members import EndpointList, Peer, id_prefix
 from kelptrail.net.server import Exchange, HttpServer, Limits
 from kelptrail.settings.deployment import parse
 
@@ -273,7 +273,7 @@
                 await asyncio.sleep(0.01)
             gone.close()  # a plain close: only writing to it can tell it from a half-closed one
             await asyncio.sleep(0.15)
-            assert dispatcher.gateway.counts.aborted == 1 and dispatcher.gateway.in_hand == 1
+            assert dispatcher.gateway.counts.aborted == 1 and dispatcher.gateway.in_flight == 1
             answer(worker, *held[0])
             assert (await read_reply(half)).body == b'{"a":1}'
             half.close()
@@ -342,7 +342,7 @@
         worker = ScriptedWorker("w", silent)
         dispatcher = Dispatcher([worker], settings)
         calls = [asyncio.create_task(dispatcher.call("p/check", body={})) for _ in range(3)]
-        while dispatcher.gateway.in_hand < 3:
+        while dispatcher.gateway.in_flight < 3:
             await asyncio.sleep(0.01)
         status, headers, body = await dispatcher.call("p/check", body={})
         assert status == 429 and headers["retry-after"] == "1" and "in flight" in body["error"]
@@ -397,7 +397,7 @@
         one = Dispatcher([worker], boot=id_prefix("one") + "1" * 10)
         two = Dispatcher([worker], boot=id_prefix("two") + "2" * 10)
         peers = [Peer("one", one.server.address), Peer("two", two.server.address)]
-        two.driver.listed(Listing(9, [worker.entry], "test", peers))
+        two.driver.on_endpoints(EndpointList(9, [worker.entry], "test", peers))
         status, _, told = await one.call("grant", blocking=False, body={})
         assert status == 202
         target = f"{BASE}/activations/{told['activationId']}"
@@ -444,8 +444,8 @@
             status, _, record = await dispatcher.call(action, body={"a": 1}, key="k")
             assert verdict(record)["answer"] == answered and (status == 200) == (answered == "completed")
             assert sum(len(w.sends) for w in made) == sends
-            assert dispatcher.gateway.counts.outcomes == {Outcome.BROKEN: 1} | (
-                {Outcome.COMPLETED: 1} if sends == 2 else {}
+            assert dispatcher.gateway.counts.outcomes == {AttemptStatus.CONNECTION_LOST: 1} | (
+                {AttemptStatus.COMPLETED: 1} if sends == 2 else {}
             )
 
     run(main())
@@ -462,6 +462,6 @@
                 answer(*line)
             await asyncio.sleep(0.05)
             again = (await dispatcher.ask("GET", f"{BASE}/activations/{record['activationId']}"))[2]
-            assert again == record and len(worker.sends) == 1 and not dispatcher.gateway.in_hand
+            assert again == record and len(worker.sends) == 1 and not dispatcher.gateway.in_flight
 
     run(main())
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -37,7 +37,7 @@
 from kelptrail.front.inference import inference_pb2 as pb
 from kelptrail.front.inference.api import SERVICE
 from kelptrail.net.grpc_server import GrpcLimits, GrpcServer, GrpcStream
-from kelptrail.net.guard import Act, Guard, GuardSettings, Stage
+from kelptrail.net.guard import Guard, GuardAction, GuardSettings, Stage
 from kelptrail.settings.deployment import parse
 
 ROOT = Path(__file__).parent.parent
@@ -184,9 +184,9 @@
 
 def test_budgets_fill_again_and_ages_come_in_steps() -> None:
     guard = Guard(GuardSettings(10, 5.0, 1000.0, 300.0), 0.0, 0.5)
-    assert [guard.spend(0.0, Act.RESET) for _ in range(11)] == [True] * 10 + [False]
-    assert guard.spend(0.0, Act.PING), "each act has its own"
-    assert guard.spend(1000.0, Act.RESET)
+    assert [guard.spend(0.0, GuardAction.RESET) for _ in range(11)] == [True] * 10 + [False]
+    assert guard.spend(0.0, GuardAction.PING), "each act has its own"
+    assert guard.spend(1000.0, GuardAction.RESET)
     assert guard.due(990.0, 3, 100.0) is None and guard.takes
     assert guard.due(1000.0, 3, 100.0) is Stage.WARNED and guard.takes
     assert guard.due(1050.0, 3, 100.0) is None
@@ -348,7 +348,7 @@
             while len(held) < 2:
                 await asyncio.sleep(0.01)
             call.cancel()
-            while dispatcher.gateway.in_hand:
+            while dispatcher.gateway.in_flight:
                 await asyncio.sleep(0.01)
             assert dispatcher.gateway.counts.aborted == 2, "a cancelled call is told to the decisions"
             # A mark joins what is in hand, on either front; another body conflicts.
@@ -412,7 +412,7 @@
                 assert responses[-1].infer_response.parameters["final_response"].bool_param
                 assert sum(r.infer_response.parameters["final_response"].bool_param for r in responses) == 1
             assert sum(len(w.sends) for w in workers) == 6
-            assert dispatcher.gateway.counts.completed == 6 and not dispatcher.gateway.in_hand
+            assert dispatcher.gateway.counts.completed == 6 and not dispatcher.gateway.in_flight
             # One that does not stream gives all in one; a faulty request ends alone.
             workers[0].script = workers[1].script = answer
             out = [r async for r in client.stream([ask("p/check", [tensor("INT8", [3])]), ask("nobody", id_="n")])]
@@ -497,7 +497,7 @@
             assert out[-1].error_message.startswith("DEADLINE_EXCEEDED") and 2 < len(out) < 7
             never = client.stream(endless(), timeout=0.3)
             assert (await fails(never.read()))[0] == "DEADLINE_EXCEEDED"
-            while dispatcher.gateway.in_hand:
+            while dispatcher.gateway.in_flight:
                 await asyncio.sleep(0.01)
             await client.channel.close()
 
@@ -536,7 +536,7 @@
             await asyncio.sleep(0.3)
             given = worker.given
             await asyncio.sleep(0.2)
-            assert worker.given <= given + 1 < 100 and not dispatcher.gateway.in_hand
+            assert worker.given <= given + 1 < 100 and not dispatcher.gateway.in_flight
             assert dispatcher.gateway.counts.aborted == 1
             await client.channel.close()
 
@@ -557,7 +557,7 @@
         workers = [ScriptedWorker(f"w{n}", parts(3, gate=all_open)) for n in range(4)]
         dispatcher = Dispatcher(workers, settings)
         for known in dispatcher.gateway.members:
-            known.window = 400.0
+            known.concurrency_limit = 400.0
         client = Client(dispatcher.grpc.address)
 
         async def watch() -> int:
@@ -878,14 +878,14 @@
 @pytest.mark.processes
 def test_a_client_library_against_the_real_program_with_faults(tmp_path: Path) -> None:
     """Processes of their own: a place, one dispatcher; a worker's faults are set while calls run."""
-    from kelptrail.emulator.cluster import Place
+    from kelptrail.emulator.cluster import Cluster
     from kelptrail.settings.deployment import load
 
     file = str(ROOT / "examples" / "streams.sexp")
 
     async def main() -> None:
         deployment = load(file)
-        made = Place(deployment, file, tmp_path, quiet=True)
+        made = Cluster(deployment, file, tmp_path, quiet=True)
         await made.start(2, 1, tmp_path / "state")
         try:
             space = deployment.namespaces["families"]
