--- a/kelptrail/platform/__init__.py
+++ b/kelptrail/platform/__init__.py
@@ -1,1 +1,5 @@
-"""The dispatcher's door on the platform's sockets; all choices are the module's, by way of `kelptrail.engine`."""
+"""The program that `run` starts: one dispatcher on the users' own protocol.
+
+It parses client requests, follows the endpoint list and carries out what `kelptrail.engine` decides.  No decision is
+made in this package.
+"""
--- /dev/null
+++ b/kelptrail/platform/client_connection.py
@@ -0,0 +1,97 @@
+"""One client's connection, and the requests that are open on it."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+from typing import Protocol
+
+from kelptrail.codec.frames import FrameError, FrameReader
+from kelptrail.dispatch.entities import Request
+from kelptrail.net.connection import Connection
+
+MAX_UNREAD_BYTES = 1 << 20  # written to a client that does not read; beyond it the connection is closed
+READ_STALL_MS = 1_000.0  # a client that has read nothing for so long is not waited for
+
+
+class ClientRequest:
+    """A request that was accepted, until its final answer is written."""
+
+    __slots__ = ("answered", "body", "client", "client_gone_ms", "id", "key", "request", "stream")
+
+    def __init__(self, client: ClientConnection, stream: int, id_: str, key: str, body: bytes) -> None:
+        self.client, self.stream, self.id, self.key, self.body = client, stream, id_, key, body
+        self.request: Request | None = None  # the engine's record of it
+        self.client_gone_ms: float | None = None  # when its client went, on the loop's clock
+        self.answered = False
+
+
+class FrameHandler(Protocol):
+    """Receives the frames of all clients; `time` is the loop's clock in seconds."""
+
+    loop: asyncio.AbstractEventLoop
+    time: Callable[[], float]
+
+    def on_whole_frame(self, client: ClientConnection) -> None:
+        """A complete frame was read."""
+
+    def on_frame(self, client: ClientConnection, kind: int, stream: int, payload: bytes) -> None:
+        """Handle that frame.  Raises `FrameError`."""
+
+    def close_unreadable(self, client: ClientConnection, cause: FrameError) -> None:
+        """The bytes received cannot be parsed."""
+
+    def on_closed(self, client: ClientConnection) -> None:
+        """The connection has ended."""
+
+
+class ClientConnection:
+    """Reads the frames of one client.  Times are seconds of the loop's clock."""
+
+    __slots__ = (
+        "_handler",
+        "connection",
+        "idle_since",
+        "is_overflow",
+        "last_received_at",
+        "open_requests",
+        "partial_frame_since",
+        "reader",
+    )
+
+    def __init__(self, handler: FrameHandler, sock: socket.socket) -> None:
+        self._handler, self.reader = handler, FrameReader()
+        self.open_requests: dict[int, ClientRequest] = {}  # by stream
+        self.idle_since = self.last_received_at = handler.time()  # connected, or the last open request ended
+        self.partial_frame_since: float | None = None
+        self.is_overflow = False  # accepted over the connection limit
+        self.connection = Connection(handler.loop, sock, self._on_data, self._on_closed, MAX_UNREAD_BYTES)
+
+    def has_pending_io(self) -> bool:
+        """Whether a frame is half read, bytes are unread in the socket, or the client is still reading an answer."""
+        connection = self.connection
+        if connection.closed:
+            return False
+        if connection.unwritten and (self._handler.time() - connection.moved) * 1000 < READ_STALL_MS:
+            return True
+        return self.partial_frame_since is not None or connection.wire.quiet() is None
+
+    def _on_data(self, data: memoryview) -> None:
+        self.last_received_at = self._handler.time()
+        self.reader.feed(data)
+        try:
+            while not self.connection.closed and (frame := self.reader.next()) is not None:
+                self.partial_frame_since = None
+                self._handler.on_whole_frame(self)
+                self._handler.on_frame(self, *frame)
+        except FrameError as cause:
+            self._handler.close_unreadable(self, cause)
+            return
+        if not len(self.reader):
+            self.partial_frame_since = None
+        elif self.partial_frame_since is None:
+            self.partial_frame_since = self.last_received_at
+
+    def _on_closed(self) -> None:
+        self._handler.on_closed(self)
--- a/kelptrail/platform/close_reasons.py
+++ b/kelptrail/platform/close_reasons.py
@@ -1,4 +1,4 @@
-"""Why a connection is closed and why a request or an attempt ends: the typed words of the log and its counts."""
+"""The reasons that the log and its counts give for closed connections, cancelled attempts and refused requests."""
 
 from __future__ import annotations
 
@@ -8,27 +8,26 @@
 class CloseReason(Enum):
     """Why the dispatcher closes a client's connection."""
 
-    SILENT = "said nothing in time"
+    SILENT = "no frame in time"
     IDLE = "idle"
     MADE_ROOM = "made room for a new connection"
-    NO_ROOM = "came when there was no room"
+    NO_ROOM = "over the connection limit"
     UNREADABLE = "unreadable"
-    ENDING = "the process ends"
 
 
-class WithdrawReason(Enum):
-    """Why an attempt that had not begun to leave was taken back."""
+class CancelReason(Enum):
+    """Why an attempt or load was cancelled before its first byte was sent."""
 
     CLIENT_GONE = "client gone"
-    TOO_LATE_TO_BEGIN = "may begin no more"
+    TOO_LATE_TO_START = "too late to start"
     DRAINING = "worker drains"
     FINISHED = "request finished"
 
 
 class RequestRefusal(Enum):
-    """Why a request was refused or failed before the decisions saw it."""
+    """Why a request was refused or failed before it reached the engine."""
 
     UNUSABLE = "unusable"
-    NO_ROOM = "no room for the connection"
+    NO_ROOM = "over the connection limit"
     NO_MEMORY = "no memory for its body"
-    ENDING = "the process ends"
+    SHUTTING_DOWN = "the process ends"
--- a/kelptrail/platform/config.py
+++ b/kelptrail/platform/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a dispatcher at its start, and anew on SIGHUP."""
+"""Reads and checks the configuration file, at the start and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from kelptrail.engine.settings import MalformedError, SettingsObject
 from kelptrail.engine.settings import read_settings as read_settings
 
-PORTS = 65_535
+MAX_PORT = 65_535
 
 
 class ConfigError(ValueError):
@@ -19,50 +19,50 @@
 
 
 class IncompleteConfigError(ConfigError):
-    """A file that cannot be read, or is no JSON: it may be whole a little later."""
+    """A file that cannot be read or is not valid JSON: it may be complete a little later."""
 
 
 @dataclass(frozen=True, slots=True)
-class Sockets:
-    """What the settings say of sockets and of what may be asked for."""
+class SocketSettings:
+    """The settings of the sockets, and the limits of what a request may ask for.  Times are milliseconds."""
 
     zones: list[str]
     kinds: list[str]
-    longest_ms: dict[str, float]  # that a client of each namespace type may wait
-    most_mb: float  # that a function may take
-    order_ms: float  # that an order may be out
-    connect_ms: float
-    idle_ms: float
-    streams: int  # that one connection to a worker carries
-    cancels: bool  # whether a send may be called off
-    parallel: bool  # whether two sends of an activation may be out at once
+    max_timeout_ms: dict[str, float]  # of a request, by request class
+    max_function_mb: float  # the memory of the largest worker
+    load_timeout_ms: float
+    connect_ms: float  # for a connection to a worker to come up
+    idle_ms: float  # after which a worker closes an idle connection
+    streams: int  # open attempts and loads on one connection to a worker
+    may_cancel: bool  # whether an attempt may be cancelled
+    parallel_attempts: bool  # whether two attempts of a request may be in flight at once
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration file, read."""
+    """A checked configuration."""
 
     name: str
     listen: tuple[str, int]
     seed: int
-    descriptors: int  # that the process may hold
+    descriptors: int  # file descriptors that the process may hold
     memory_mb: float
-    journal: tuple[str, int]
-    known: list[Event]
-    sockets: Sockets
+    endpoint_list: tuple[str, int]  # the address of its service
+    initial_events: list[Event]  # of the endpoint list
+    sockets: SocketSettings
     settings: dict[str, Any]
 
 
-def address(told: SettingsObject, name: str) -> tuple[str, int]:
+def read_address(source: SettingsObject, name: str) -> tuple[str, int]:
     """Host and port of `host:port`.  Raises `MalformedError`."""
-    host, _, port = (text := told.text(name)).rpartition(":")
+    host, _, port = (text := source.text(name)).rpartition(":")
     host = host.strip("[]")
     try:
         socket.inet_pton(socket.AF_INET6 if ":" in host else socket.AF_INET, host)
-        if not (port.isascii() and port.isdecimal()) or int(port) > PORTS:
+        if not (port.isascii() and port.isdecimal()) or int(port) > MAX_PORT:
             raise ValueError
     except (OSError, ValueError):
-        raise MalformedError(f"{told.at}.{name}: {text!r} is no address") from None
+        raise MalformedError(f"{source.at}.{name}: {text!r} is no address") from None
     return host, int(port)
 
 
@@ -78,28 +78,28 @@
 
 
 def parse(text: str, before: Config | None = None) -> Config:
-    """A configuration, checked whole; of one that replaces another only what a running dispatcher can take up is
-    used, the address of the worker list.  Raises `ConfigError`."""
+    """The configuration in `text`.  All of it is checked; of one that replaces `before` only the address of the
+    endpoint list is used, as a running dispatcher can change nothing else.  Raises `ConfigError`."""
     try:
-        found = json.loads(text)
+        content = json.loads(text)
     except (ValueError, RecursionError) as cause:
-        raise IncompleteConfigError(f"no JSON: {cause}") from None
+        raise IncompleteConfigError(f"not valid JSON: {cause}") from None
     try:
-        told = SettingsObject(found, "configuration")
-        journal = address(told, "journal")
-        settings, limits = told.find("settings"), told.object("limits")
+        source = SettingsObject(content, "configuration")
+        endpoint_list = read_address(source, "journal")
+        settings, limits = source.find("settings"), source.object("limits")
         read_settings(settings)
-        sockets = _sockets(SettingsObject(settings, "settings"))
+        sockets = _read_sockets(SettingsObject(settings, "settings"))
         if before is not None:
-            return replace(before, journal=journal)
+            return replace(before, endpoint_list=endpoint_list)
         return Config(
-            told.text("name"),
-            address(told, "listen"),
-            _seed(told),
+            source.text("name"),
+            read_address(source, "listen"),
+            _read_seed(source),
             limits.integer("sockets", 16),
             limits.number("memory_mb", 1),
-            journal,
-            read_known(told.find("known"), sockets.zones, sockets.kinds),
+            endpoint_list,
+            read_known(source.find("known"), sockets.zones, sockets.kinds),
             sockets,
             settings,
         )
@@ -107,20 +107,20 @@
         raise ConfigError(str(cause)) from None
 
 
-def _sockets(told: SettingsObject) -> Sockets:
-    bounds, extras = told.object("bounds"), told.object("specifics")
-    zones, kinds = told.texts("failure_domains", 1), told.texts("models", 1)
-    told.integer("my_zone", 0, len(zones) - 1)
+def _read_sockets(settings: SettingsObject) -> SocketSettings:
+    bounds, specifics = settings.object("bounds"), settings.object("specifics")
+    zones, kinds = settings.texts("failure_domains", 1), settings.texts("models", 1)
+    settings.integer("my_zone", 0, len(zones) - 1)
     memories = SettingsObject(
-        {str(n): mb for n, mb in enumerate(extras.items("machine_mb"))}, f"{extras.at}.machine_mb"
+        {str(n): mb for n, mb in enumerate(specifics.items("machine_mb"))}, f"{specifics.at}.machine_mb"
     )
-    most_mb = max(memories.number(str(n), 1) for n in range(len(kinds)))
-    return Sockets(
+    max_function_mb = max(memories.number(str(n), 1) for n in range(len(kinds)))
+    return SocketSettings(
         zones,
         kinds,
-        {each.text("name"): each.ms("give_up_us", 1000) for each in told.objects("classes")},
-        most_mb,
-        extras.ms("answer_within_us", 1),
+        {each.text("name"): each.ms("give_up_us", 1000) for each in settings.objects("classes")},
+        max_function_mb,
+        specifics.ms("answer_within_us", 1),
         bounds.ms("connect_timeout_us", 1),
         bounds.ms("idle_close_us", 1),
         bounds.integer("multiplex", 1),
@@ -129,8 +129,8 @@
     )
 
 
-def _seed(told: SettingsObject) -> int:
+def _read_seed(source: SettingsObject) -> int:
     try:
-        return int(text := told.text("seed"), 16)
+        return int(text := source.text("seed"), 16)
     except ValueError:
-        raise MalformedError(f"{told.at}.seed: {text!r} is no number in hex") from None
+        raise MalformedError(f"{source.at}.seed: {text!r} is no number in hex") from None
--- /dev/null
+++ b/kelptrail/platform/decision_executor.py
@@ -0,0 +1,248 @@
+"""Carries out the engine's decisions on the sockets, and reports to the engine how each ended."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections import Counter
+from collections.abc import Callable
+
+from kelptrail.codec import frames
+from kelptrail.codec.lines import Answer, call
+from kelptrail.dispatch.entities import Attempt, AttemptStatus, FinalStatus, LoadOrder, Request
+from kelptrail.dispatch.timer_queue import TimerQueue
+from kelptrail.engine.engine import Engine
+from kelptrail.engine.invariants import Invariants
+
+from . import log_events
+from .client_connection import ClientRequest
+from .client_server import ClientServer
+from .close_reasons import CancelReason
+from .config import Config
+from .log import LogWriter
+from .parsed_request import ParsedRequest
+from .worker_connection import WorkItem
+from .worker_pool import WorkerPool
+
+CALL_HEADER_BYTES = 160  # of a call beside its body, about
+
+
+class DecisionExecutor:
+    """Connects clients' requests, the engine and the workers.  Times are milliseconds of the loop's clock."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        config: Config,
+        engine: Engine,
+        client_server: ClientServer,
+        max_worker_connections: int,
+        schedule_decisions: Callable[[], None],
+        log: LogWriter,
+        invariants: Invariants,
+    ) -> None:
+        self._loop, self._engine, self._client_server = loop, engine, client_server
+        self._schedule_decisions, self._log, self._invariants = schedule_decisions, log, invariants
+        self._load_timeout_ms = config.sockets.load_timeout_ms
+        self.workers = WorkerPool(
+            loop, config.sockets, max_worker_connections, config.descriptors, self.on_item_finished, log
+        )
+        self.client_requests: dict[Request, ClientRequest] = {}  # accepted and not answered
+        self.timeouts = TimerQueue()  # attempts past their latest start or final answer, loads past their timeout
+        self.status_counts: Counter[str] = Counter()  # of ended attempts and loads since the last state line
+
+    # Events of the clients.
+
+    def on_request(self, client_request: ClientRequest, parsed: ParsedRequest) -> None:
+        """Hand an accepted request to the engine."""
+        request = client_request.request = self._engine.on_request(
+            self._loop.time() * 1000,
+            parsed.id,
+            parsed.request_class,
+            parsed.tenant,
+            parsed.function_id,
+            parsed.timeout_ms,
+            parsed.memory_mb,
+            parsed.slots,
+            parsed.load_ms,
+            parsed.work_ms,
+        )
+        self.client_requests[request] = client_request
+        self._schedule_decisions()
+
+    def on_client_gone(self, client_request: ClientRequest) -> None:
+        """No client waits for the answer any more."""
+        request = client_request.request
+        if request is not None and self.client_requests.pop(request, None) is not None:
+            self._engine.on_client_gone(request)
+            self._cancel_unsent_attempts(request, CancelReason.CLIENT_GONE)
+            self._schedule_decisions()
+
+    def is_open(self, request_id: str) -> bool:
+        """Whether the engine has an unfinished request of that id."""
+        return request_id in self._engine.requests
+
+    # Events of the workers.
+
+    def on_item_finished(self, item: WorkItem, status: AttemptStatus, answer: Answer | None) -> None:
+        """An attempt or load has ended."""
+        now = self._loop.time() * 1000
+        self.status_counts[status.value] += 1
+        if isinstance(item, LoadOrder):
+            self._engine.on_load_report(now, item, status, answer.units if answer is not None else 0)
+        else:
+            self._on_attempt_finished(now, item, status, answer)
+        self._schedule_decisions()
+
+    def _on_attempt_finished(self, now: float, attempt: Attempt, status: AttemptStatus, answer: Answer | None) -> None:
+        request = attempt.request
+        is_final = request.final_status is not None
+        if (
+            status is AttemptStatus.COMPLETED
+            and answer is not None
+            and (client_request := self.client_requests.pop(request, None)) is not None
+        ):
+            self._client_server.answer(client_request, frames.SERVED, answer.body)
+            is_final = True
+        if answer is None:
+            self._engine.on_attempt_finished(now, attempt, status, is_final, False, False)
+        else:
+            report = self._load_report(answer)
+            crashed, started = answer.tell == "crashed", answer.tell == "up"
+            self._engine.on_attempt_finished(now, attempt, status, is_final, crashed, started, answer.ahead, report)
+        if is_final:
+            self._cancel_unsent_attempts(request, CancelReason.FINISHED)
+
+    def _load_report(self, answer: Answer) -> list[float] | None:
+        """The metrics of an answer in the order of the settings; `cpu` stands in for a missing `util`."""
+        if answer.meter is None:
+            return None
+        return [
+            answer.meter.get(name, answer.meter.get("cpu", 0.0) if name == "util" else 0.0)
+            for name in self._engine.report_fields
+        ]
+
+    # Decisions.
+
+    def execute_decisions(self, now: float) -> None:
+        """Carry out all decisions that the engine has at this time."""
+        while (decision := self._engine.decide(now)) is not None:
+            if isinstance(decision, Attempt):
+                if decision.cancelled:
+                    self._cancel_attempt(now, decision, AttemptStatus.CANCELLED)
+                else:
+                    self._start_attempt(now, decision)
+            elif isinstance(decision, LoadOrder):
+                self._start_load(decision)
+                self.timeouts.add(now + self._load_timeout_ms, decision)
+            elif isinstance(decision, Request):
+                self.answer_final(decision)
+            else:
+                self._log(decision)
+
+    def _start_attempt(self, now: float, attempt: Attempt) -> None:
+        request, client_request = attempt.request, self.client_requests.get(attempt.request)
+        if client_request is None:  # an attempt for an answered request must not end the round of decisions
+            self._engine.on_attempt_finished(now, attempt, AttemptStatus.NOT_SENT, True)
+            return
+        if attempt.latest_start < request.deadline:
+            self.timeouts.add(attempt.latest_start, attempt)
+        if attempt.number:
+            results = [_attempt_result(earlier) for earlier in request.attempts[:-1]]
+            self._log(log_events.RETRY, request=request.id, attempt=attempt.number, after=results)
+        size = len(client_request.body) + CALL_HEADER_BYTES
+        self.workers.get_or_create(attempt.instance.worker).start_attempt(
+            attempt, lambda: self._render_call(attempt, client_request), size
+        )
+
+    def _start_load(self, order: LoadOrder) -> None:
+        def may_start() -> bool:
+            now = time.monotonic() * 1000
+            if may := self._engine.may_start(now, order):
+                self._invariants.order_begins(now, order)
+            return may
+
+        self.workers.get_or_create(order.instance.worker).start_load(order, may_start)
+
+    def _render_call(self, attempt: Attempt, client_request: ClientRequest) -> bytes:
+        """The bytes of an attempt as they are sent, with the time that its client has left then; none if it may no
+        longer start."""
+        request, now = attempt.request, time.monotonic() * 1000
+        limit_ms = int(request.deadline - now)
+        if limit_ms < 1 or not self._engine.may_start(now, attempt):
+            self._log(log_events.ATTEMPT_NOT_STARTED, request=request.id, attempt=attempt.number, left_ms=limit_ms)
+            return b""
+        attempt.write_started_at = now
+        self._invariants.attempt_begins(now, attempt, client_request.client_gone_ms, limit_ms)
+        return call(
+            request.id,
+            request.request_class.name,
+            request.function.id,
+            limit_ms,
+            client_request.key,
+            client_request.body,
+        )
+
+    def answer_final(self, request: Request) -> None:
+        """Answer a request that was rejected or has failed."""
+        client_request = self.client_requests.pop(request, None)
+        if client_request is not None:
+            is_rejected = request.final_status is FinalStatus.REJECTED
+            self._log(
+                log_events.REQUEST_REFUSED if is_rejected else log_events.REQUEST_FAILED,
+                request=client_request.id,
+                reason=None if request.reason is None else request.reason.value,
+                attempts=[_attempt_result(attempt) for attempt in request.attempts],
+            )
+            code = frames.REFUSED if is_rejected else frames.FAILED
+            later_ms = round(request.retry_after_ms) if is_rejected else 0
+            self._client_server.answer(client_request, code, later_ms=later_ms)
+        self._cancel_unsent_attempts(request, CancelReason.FINISHED)
+        for attempt in request.attempts:
+            if attempt.status is None:
+                self.timeouts.add(request.deadline, attempt)
+
+    # Cancelling and timeouts.
+
+    def expire_timeouts(self, now: float) -> None:
+        """Cancel attempts and loads whose time is over."""
+        while (item := self.timeouts.pop_due(now)) is not None:
+            if isinstance(item, LoadOrder):
+                self._expire_load(now, item)
+            elif item.request.final_status is None:  # past its latest start; if it was sent, it goes on
+                self._cancel_before_send(item, CancelReason.TOO_LATE_TO_START)
+            else:
+                self._cancel_attempt(now, item, AttemptStatus.SILENT)
+
+    def _expire_load(self, now: float, order: LoadOrder) -> None:
+        connections = self.workers.get(order.instance.worker)
+        if connections is not None and connections.cancel(order) is not None:
+            self._engine.on_load_report(now, order, AttemptStatus.SILENT, 0)
+
+    def _cancel_attempt(self, now: float, attempt: Attempt, status: AttemptStatus) -> None:
+        connections = self.workers.get(attempt.instance.worker)
+        may_arrive = None if connections is None else connections.cancel(attempt)
+        if attempt.status is None and may_arrive is not None:
+            is_final = attempt.request.final_status is not None
+            self._engine.on_attempt_finished(now, attempt, status if may_arrive else AttemptStatus.NOT_SENT, is_final)
+
+    def _cancel_unsent_attempts(self, request: Request, reason: CancelReason) -> None:
+        """Cancel attempts that wait behind others on a slow worker, or for a connection that is not up yet."""
+        for attempt in request.attempts:
+            if attempt.status is None:
+                self._cancel_before_send(attempt, reason)
+
+    def _cancel_before_send(self, attempt: Attempt, reason: CancelReason) -> None:
+        connections = self.workers.get(attempt.instance.worker)
+        if connections is not None and connections.cancel_before_send(attempt):
+            request = attempt.request
+            self._log(log_events.ATTEMPT_CANCELLED, request=request.id, attempt=attempt.number, reason=reason.value)
+            self._engine.on_attempt_finished(
+                self._loop.time() * 1000, attempt, AttemptStatus.NOT_SENT, request.final_status is not None
+            )
+            self._schedule_decisions()
+
+
+def _attempt_result(attempt: Attempt) -> str:
+    """How an attempt ended, for the log."""
+    return "in flight" if attempt.status is None else attempt.status.value
--- /dev/null
+++ b/kelptrail/platform/endpoint_updates.py
@@ -0,0 +1,132 @@
+"""Applies the events of the endpoint list: to the engine's workers, and to the connections to them."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable
+from functools import partial
+
+from kelptrail.codec.feed import GONE, READY, Event, FeedReader, Record
+from kelptrail.dispatch.entities import AttemptStatus, Worker, WorkerState
+from kelptrail.engine.engine import Endpoint, Engine
+from kelptrail.engine.wall_clock import WallClockReader
+
+from . import log_events
+from .close_reasons import CancelReason
+from .config import Config
+from .endpoint_watch import EndpointWatch
+from .log import LogWriter
+from .worker_connections import OnItemFinished
+from .worker_pool import WorkerPool
+
+WORKER_STATES = {READY: WorkerState.LIVE, GONE: WorkerState.REMOVED}  # all other states of the list: draining
+
+
+class EndpointUpdates:
+    """Follows the endpoint list from the configuration's initial events on.  Times are milliseconds."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        engine: Engine,
+        workers: WorkerPool,
+        wall_clock: WallClockReader,
+        on_item_finished: OnItemFinished,
+        schedule_decisions: Callable[[], None],
+        log: LogWriter,
+    ) -> None:
+        self._loop, self._engine, self._workers, self._wall_clock = loop, engine, workers, wall_clock
+        self._on_item_finished, self._schedule_decisions, self._log = on_item_finished, schedule_decisions, log
+        self._started: dict[str, tuple[int, float]] = {}  # by worker: as the list has it, and on the loop's clock
+        self.watch: EndpointWatch | None = None  # from `follow` on
+
+    @property
+    def last_event_number(self) -> int:
+        """The number of the last event that was applied."""
+        return 0 if self.watch is None else self.watch.last_event_number
+
+    def follow(self, config: Config) -> None:
+        """Apply the initial events, then watch the list."""
+        for event in config.initial_events:
+            self.on_event(event)
+        self.watch = EndpointWatch(
+            self._loop,
+            config.endpoint_list,
+            config.initial_events[-1].number if config.initial_events else 0,
+            partial(FeedReader, len(config.sockets.zones), len(config.sockets.kinds)),
+            self.on_event,
+            self._log,
+        )
+
+    def set_address(self, address: tuple[str, int]) -> None:
+        """Watch the list at another address."""
+        if self.watch is not None:
+            self.watch.set_address(address)
+
+    def close(self) -> None:
+        """Stop watching."""
+        if self.watch is not None:
+            self.watch.close()
+
+    def on_event(self, event: Event) -> None:
+        """Apply one event."""
+        now = self._loop.time() * 1000
+        records = event.records or ()
+        endpoints = [self._endpoint(now, record) for record in records]
+        before = dict(self._engine.workers)
+        states_before = {id_: worker.state for id_, worker in before.items()}
+        restarted = self._engine.on_endpoints(now, event.whole, endpoints)
+        for record in records:
+            self._workers.addresses[record.id] = record.address, record.port
+        for worker in {**before, **self._engine.workers}.values():
+            is_restarted = worker in restarted
+            if worker.state is not states_before.get(worker.id, WorkerState.LIVE) or is_restarted:
+                state = worker.state.value
+                self._log(log_events.WORKER_STATE, worker=worker.id, state=state, restarted=is_restarted)
+            self._update_connections(worker, is_restarted)
+            if worker.removed and worker.id not in self._engine.workers:
+                self._workers.addresses.pop(worker.id, None)
+                self._started.pop(worker.id, None)
+        count = len(self._engine.workers)
+        live = sum(worker.live for worker in self._engine.workers.values())
+        self._workers.share_descriptors(count)
+        self._log(log_events.ENDPOINT_LIST, number=event.number, workers=count, live=live)
+        self._schedule_decisions()
+
+    def _endpoint(self, now: float, record: Record) -> Endpoint:
+        return Endpoint(
+            record.id,
+            record.zone,
+            record.kind,
+            record.cell,
+            WORKER_STATES.get(record.state, WorkerState.DRAINING),
+            record.size,
+            self._started_at(now, record),
+        )
+
+    def _update_connections(self, worker: Worker, is_restarted: bool) -> None:
+        connections = self._workers.get(worker)
+        if connections is None:
+            return
+        if is_restarted or connections.address != self._workers.addresses[worker.id]:
+            self._workers.drop(worker)
+        elif worker.removed:  # its address may be another worker's from now on
+            connections.close_connecting()
+        elif not worker.live:  # items queued behind others could be sent after the drain grace
+            for item in connections.cancel_all_before_send():
+                self._log(log_events.CANCELLED_FOR_DRAIN, worker=worker.id, reason=CancelReason.DRAINING.value)
+                self._on_item_finished(item, AttemptStatus.NOT_SENT, None)
+
+    def _started_at(self, now: float, record: Record) -> float | None:
+        """When a worker started.  The same `record.started` always gives the same time, whatever steps the wall clock
+        makes in between."""
+        if not record.started:
+            return None
+        known, started = self._started.get(record.id, (0, 0.0))
+        if known != record.started:
+            self._wall_clock.observe(time.time() * 1000, now)
+            unknown_at = self.watch.last_heard_at * 1000 if self.watch is not None else float("-inf")
+            started = self._wall_clock.monotonic_ms(record.started, now, unknown_at)
+            self._started[record.id] = record.started, started
+        return started
--- a/kelptrail/platform/endpoint_watch.py
+++ b/kelptrail/platform/endpoint_watch.py
@@ -1,8 +1,8 @@
-"""Follows the platform's worker list: connects, asks for what came after the last event, and asks again.
+"""Watches the users' endpoint list: connects, asks for the events after the last one, reconnects where needed.
 
-The list tells a whole event each second, be it an empty one, so silence says that something is wrong; it does not say
-whether with the connection or with a service that is slow.  A further connection is opened beside the silent one, and
-whichever speaks first is kept.  A break is followed by a new connection at once, then at growing pauses.
+The list's service sends an event each second, be it an empty one, so silence is a fault; of the connection or of a slow
+service, which cannot be told apart.  A further connection is opened beside the silent one, and the first that delivers
+an event is kept.  After a disconnect the watch reconnects at once, then with exponential backoff.
 """
 
 from __future__ import annotations
@@ -16,231 +16,239 @@
 from kelptrail.codec.feed import Event, FeedError, FeedReader, ask
 from kelptrail.net.connection import Connection, connect
 
-SILENT_MS = 2_000.0  # two of the list's empty events are missing
-LONGEST_SILENT_MS = 8_000.0  # while bytes come, and no whole event
-CONNECT_PATIENCE_MS = 1_000.0  # after which a further connection is tried beside one that is not up
-LONGEST_CONNECT_MS = 8_000.0
-PAUSE_MS, LONGEST_PAUSE_MS = 50.0, 1_000.0
-MOST_CONNECTIONS = 4  # at a time, those that are not up yet among them
-KEPT_DESCRIPTORS = 2  # for a connection that tells and one to the next address
-UNREAD_BYTES = 1 << 16
-
-
-class Watch:
-    """One connection to the list, from the connect to its end."""
-
-    def __init__(self, feed: EndpointWatch, loop: asyncio.AbstractEventLoop, address: tuple[str, int]) -> None:
-        self._feed, self._loop, self.address = feed, loop, address
-        self.reader = feed.new_reader()
-        self.since = loop.time()  # opened, came up, or last told a whole event
-        self.opened = self.since
-        self.heard = 0  # whole events, empty ones among them
-        self.trickles = False  # bytes came since the last whole event
-        self.link: Connection | None = None
+from . import log_events
+from .log import LogWriter
+
+SILENCE_TIMEOUT_MS = 2_000.0  # two of the empty events are missing
+MAX_SILENCE_TIMEOUT_MS = 8_000.0  # while bytes come, and no complete event
+EXTRA_CONNECT_AFTER_MS = 1_000.0  # a further connection is tried beside one that is not up by then
+CONNECT_TIMEOUT_MS = 8_000.0
+BACKOFF_MS, MAX_BACKOFF_MS = 50.0, 1_000.0
+MAX_BACKOFF_DOUBLINGS = 10
+MAX_CONNECTIONS = 4  # at a time, including those that are not up yet
+RESERVED_DESCRIPTORS = 2  # one for the connection in use and one for the next address
+MAX_UNREAD_BYTES = 1 << 16
+
+OnEvent = Callable[[Event], None]
+
+
+class WatchConnection:
+    """One connection to the list, from connect to close.  Times are seconds of the loop's clock."""
+
+    def __init__(self, watch: EndpointWatch, loop: asyncio.AbstractEventLoop, address: tuple[str, int]) -> None:
+        self._watch, self._loop, self.address = watch, loop, address
+        self.reader = watch.new_reader()
+        self.last_progress_at = loop.time()  # created, connected, or last delivered an event
+        self.created_at = self.last_progress_at
+        self.event_count = 0  # complete events, including empty ones
+        self.has_partial_event = False  # bytes came since the last complete event
+        self.connection: Connection | None = None
         self.closed = False
-        self._task: asyncio.Task[None] | None = loop.create_task(self._connect())
+        self._connect_task: asyncio.Task[None] | None = loop.create_task(self._connect())
 
     async def _connect(self) -> None:
-        self._feed.spend_one()  # in the same turn the connect takes the descriptor
+        self._watch.release_descriptor()  # in the same turn of the loop the connect uses it
         try:
-            sock = await connect(self._loop, self.address, LONGEST_CONNECT_MS)
+            sock = await connect(self._loop, self.address, CONNECT_TIMEOUT_MS)
         except OSError as cause:
-            self._feed.note("feed unreachable", cause=str(cause))
-            self._end()
+            self._watch.log(log_events.FEED_UNREACHABLE, cause=str(cause))
+            self._on_closed()
             return
         finally:
-            self._task = None
+            self._connect_task = None
         if self.closed:
             sock.close()
             return
-        self.since = self._loop.time()
-        self.link = Connection(self._loop, sock, partial(self._feed.got, self), self._end, UNREAD_BYTES)
-        self._feed.connected(self)
+        self.last_progress_at = self._loop.time()
+        on_data = partial(self._watch.on_data, self)
+        self.connection = Connection(self._loop, sock, on_data, self._on_closed, MAX_UNREAD_BYTES)
+        self._watch.on_connected(self)
 
-    def _end(self) -> None:
+    def _on_closed(self) -> None:
         if not self.closed:
             self.closed = True
-            self._feed.ended(self)
+            self._watch.on_closed(self)
 
     def fail(self) -> None:
-        """End it from within: nothing further of it is used."""
-        link, self.link = self.link, None
-        if link is not None:
-            link.close()
-        self._end()
+        """Close it and report it as closed: nothing further that it delivers is used."""
+        connection, self.connection = self.connection, None
+        if connection is not None:
+            connection.close()
+        self._on_closed()
 
     def close(self) -> None:
-        """Close it; nothing is told of it any more."""
+        """Close it without a report."""
         self.closed = True
-        if self._task is not None:
-            self._task.cancel()
-        if self.link is not None:
-            self.link.close()
+        if self._connect_task is not None:
+            self._connect_task.cancel()
+        if self.connection is not None:
+            self.connection.close()
 
 
 class EndpointWatch:
-    """One follower; `told` gets each new event, in order and once.  Descriptors are kept for its next connections."""
+    """Calls `on_event` for each new event, in order and once.  Keeps descriptors in reserve for its next connections.
+    Times are seconds of the loop's clock."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         address: tuple[str, int],
-        number: int,
-        reader: Callable[[], FeedReader],
-        told: Callable[[Event], None],
-        note: Callable[..., None],
+        last_event_number: int,
+        new_reader: Callable[[], FeedReader],
+        on_event: OnEvent,
+        log: LogWriter,
     ) -> None:
-        self._loop, self._address, self.new_reader, self._told, self._note = loop, address, reader, told, note
-        self.number = number
-        self.heard_at = loop.time()  # when the list was last heard to tell nothing more than is known
-        self._watches: list[Watch] = []  # the oldest first
-        self._short = 0  # connections in a row that told nothing, or served for a short time
-        self._patience_ms = SILENT_MS
+        self._loop, self._address, self.new_reader, self._on_event, self.log = loop, address, new_reader, on_event, log
+        self.last_event_number = last_event_number
+        self.last_heard_at = loop.time()  # when the last complete event came
+        self._connections: list[WatchConnection] = []  # the oldest first
+        self._failures = 0  # connections in a row that delivered nothing, or lasted a short time
+        self._silence_timeout_ms = SILENCE_TIMEOUT_MS
         self._timer: asyncio.TimerHandle | None = None
-        self._due = 0.0
-        self._kept: list[int] = []
-        self._keep()
-        self._open()
-
-    def note(self, event: str, **fields: object) -> None:
-        """A line of the log."""
-        self._note(event, **fields)
-
-    def moved(self, address: tuple[str, int]) -> None:
-        """The list is at another address: it is asked there at once, beside what is under way.  At the same address it
-        is asked again after a while: who is told the same over and over must not ask a crowded service as often."""
+        self._timer_due = 0.0
+        self._reserved: list[int] = []  # descriptors
+        self._reserve_descriptors()
+        self._open_connection()
+
+    def set_address(self, address: tuple[str, int]) -> None:
+        """Watch the list at another address: connect there at once, beside the present connections.  At the same
+        address it reconnects after a while, so that repeated reloads do not overload a slow service."""
         if address == self._address:
-            last = self._newest
-            again = last.opened + LONGEST_PAUSE_MS / 1000 if last is not None else self._due
-            self._wake_at(min(self._due, max(self._loop.time(), again)))
+            newest = self._newest
+            retry_at = newest.created_at + MAX_BACKOFF_MS / 1000 if newest is not None else self._timer_due
+            self._set_timer(min(self._timer_due, max(self._loop.time(), retry_at)))
             return
         self._address = address
-        under_way = next((watch for watch in self._watches if watch.address == address), None)
-        if under_way is None:
-            self._open()
+        present = next((each for each in self._connections if each.address == address), None)
+        if present is None:
+            self._open_connection()
             return
-        self._watches.remove(under_way)  # it is the newest again
-        self._watches.append(under_way)
-        patience_ms = CONNECT_PATIENCE_MS if under_way.link is None else SILENT_MS
-        self._wake_at(under_way.since + patience_ms / 1000)
+        self._connections.remove(present)  # it becomes the newest again
+        self._connections.append(present)
+        timeout_ms = EXTRA_CONNECT_AFTER_MS if present.connection is None else SILENCE_TIMEOUT_MS
+        self._set_timer(present.last_progress_at + timeout_ms / 1000)
 
     def close(self) -> None:
-        """Follow no longer."""
+        """Stop watching."""
         if self._timer is not None:
             self._timer.cancel()
-        for watch in self._watches:
-            watch.close()
-        self._watches.clear()
-        while self._kept:
-            self.spend_one()
+        for connection in self._connections:
+            connection.close()
+        self._connections.clear()
+        while self._reserved:
+            self.release_descriptor()
 
-    # What the connections tell.
+    # Events of the connections.
 
-    def connected(self, watch: Watch) -> None:
+    def on_connected(self, connection: WatchConnection) -> None:
         """A connection is up."""
-        self._keep()
-        if watch.link is not None:
-            watch.link.write(ask(self.number))
-        if watch is self._newest:
-            self._wake_at(watch.since + self._patience_ms / 1000)
+        self._reserve_descriptors()
+        if connection.connection is not None:
+            connection.connection.write(ask(self.last_event_number))
+        if connection is self._newest:
+            self._set_timer(connection.last_progress_at + self._silence_timeout_ms / 1000)
 
-    def ended(self, watch: Watch) -> None:
+    def on_closed(self, connection: WatchConnection) -> None:
         """A connection has ended, or could not be made."""
-        if watch not in self._watches:
+        if connection not in self._connections:
             return
-        newest = watch is self._newest
-        self._watches.remove(watch)
-        self._keep()
-        if watch.address != self._address or not newest:
+        was_newest = connection is self._newest
+        self._connections.remove(connection)
+        self._reserve_descriptors()
+        if connection.address != self._address or not was_newest:
             return
-        served_long = watch.heard and (self._loop.time() - watch.opened) * 1000 > LONGEST_PAUSE_MS
-        self._short = 1 if served_long else self._short + 1
-        doublings = self._short - 1 - bool(watch.heard)
-        pause_ms = min(LONGEST_PAUSE_MS, PAUSE_MS * 2 ** min(doublings, 10)) if doublings >= 0 else 0.0
-        self._wake_at(self._loop.time() + pause_ms / 1000)
+        lasted = connection.event_count and (self._loop.time() - connection.created_at) * 1000 > MAX_BACKOFF_MS
+        self._failures = 1 if lasted else self._failures + 1
+        doublings = self._failures - 1 - bool(connection.event_count)
+        backoff_ms = BACKOFF_MS * 2 ** min(doublings, MAX_BACKOFF_DOUBLINGS) if doublings >= 0 else 0.0
+        self._set_timer(self._loop.time() + min(MAX_BACKOFF_MS, backoff_ms) / 1000)
 
-    def got(self, watch: Watch, data: memoryview) -> None:
+    def on_data(self, connection: WatchConnection, data: memoryview) -> None:
         """Bytes came."""
-        if watch.closed:
+        if connection.closed:
             return
-        watch.reader.feed(data)
-        watch.trickles = True
+        connection.reader.feed(data)
+        connection.has_partial_event = True
         try:
-            while not watch.closed and (event := watch.reader.next()) is not None:
-                self._take(event)
-                self._heard(watch)
+            while not connection.closed and (event := connection.reader.next()) is not None:
+                self._apply(event)
+                self._on_event_applied(connection)
         except FeedError as cause:
-            self.note("feed unreadable", cause=str(cause))
-            watch.fail()
-        except Exception as cause:  # it must not end the following
-            self._loop.call_exception_handler({"message": "an event could not be taken in", "exception": cause})
-            watch.fail()
-
-    def _take(self, event: Event) -> None:
-        if event.number <= self.number:
+            self.log(log_events.FEED_UNREADABLE, cause=str(cause))
+            connection.fail()
+        except Exception as cause:  # it must not stop the watch
+            self._loop.call_exception_handler({"message": "an event could not be applied", "exception": cause})
+            connection.fail()
+
+    def _apply(self, event: Event) -> None:
+        if event.number <= self.last_event_number:
             return
         if event.records is None:
             raise FeedError("events are missing")
-        if event.number != self.number + 1 and not event.whole:
-            raise FeedError(f"event {event.number} after {self.number}")
-        self._told(event)
-        self.number = event.number  # after it was taken in: one that fails is asked for again
-
-    def _heard(self, watch: Watch) -> None:
-        """A whole event: where it is of the address that counts, no other connection is of use."""
-        watch.heard += 1
-        watch.trickles = False
-        watch.since = self.heard_at = self._loop.time()
-        if watch.address != self._address:
+        if event.number != self.last_event_number + 1 and not event.whole:
+            raise FeedError(f"event {event.number} after {self.last_event_number}")
+        self._on_event(event)
+        self.last_event_number = event.number  # only once it was applied: one that fails is requested again
+
+    def _on_event_applied(self, connection: WatchConnection) -> None:
+        """After a complete event from the current address no other connection is needed."""
+        connection.event_count += 1
+        connection.has_partial_event = False
+        connection.last_progress_at = self.last_heard_at = self._loop.time()
+        if connection.address != self._address:
             return
-        self._patience_ms = SILENT_MS
-        for other in [other for other in self._watches if other is not watch]:
+        self._silence_timeout_ms = SILENCE_TIMEOUT_MS
+        for other in [other for other in self._connections if other is not connection]:
             self._drop(other)
-        if watch in self._watches:
-            self._wake_at(watch.since + SILENT_MS / 1000)
+        if connection in self._connections:
+            self._set_timer(connection.last_progress_at + SILENCE_TIMEOUT_MS / 1000)
 
-    # When to ask again.
+    # Reconnecting.
 
     @property
-    def _newest(self) -> Watch | None:
-        return self._watches[-1] if self._watches else None
-
-    def _open(self) -> None:
-        """Ask on a new connection, beside those that there are."""
-        while len(self._watches) >= MOST_CONNECTIONS:
-            self._drop(self._watches[0])
-        watch = Watch(self, self._loop, self._address)
-        self._watches.append(watch)
-        self._wake_at(watch.opened + CONNECT_PATIENCE_MS / 1000)
-
-    def _drop(self, watch: Watch) -> None:
-        watch.close()
-        self._watches.remove(watch)
-        self._keep()
-
-    def _wake_at(self, due: float) -> None:
+    def _newest(self) -> WatchConnection | None:
+        return self._connections[-1] if self._connections else None
+
+    def _open_connection(self) -> None:
+        """Open a connection beside the present ones."""
+        while len(self._connections) >= MAX_CONNECTIONS:
+            self._drop(self._connections[0])
+        connection = WatchConnection(self, self._loop, self._address)
+        self._connections.append(connection)
+        self._set_timer(connection.created_at + EXTRA_CONNECT_AFTER_MS / 1000)
+
+    def _drop(self, connection: WatchConnection) -> None:
+        connection.close()
+        self._connections.remove(connection)
+        self._reserve_descriptors()
+
+    def _set_timer(self, due: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._due = due
-        self._timer = self._loop.call_at(due, self._overdue)
+        self._timer_due = due
+        self._timer = self._loop.call_at(due, self._on_timer)
 
-    def _overdue(self) -> None:
-        """Nothing was heard in time, or a pause is over."""
+    def _on_timer(self) -> None:
+        """No event came in time, or a backoff is over."""
         newest = self._newest
         if newest is not None and newest.address == self._address:
-            self.note("feed silent" if newest.link is not None else "feed slow to connect", number=self.number)
-            # Guards against a link too slow for one event within the usual time: it is given more.
-            self._patience_ms = min(LONGEST_SILENT_MS, 2 * self._patience_ms) if newest.trickles else SILENT_MS
-        self._open()
-
-    def _keep(self) -> None:
-        """Hold descriptors for the next connections.  Guards against clients that fill them all while the list is
-        down."""
+            event = log_events.FEED_SILENT if newest.connection is not None else log_events.FEED_SLOW_TO_CONNECT
+            self.log(event, number=self.last_event_number)
+            # A connection too slow for one event within the usual time is given more.
+            longer_ms = min(MAX_SILENCE_TIMEOUT_MS, 2 * self._silence_timeout_ms)
+            self._silence_timeout_ms = longer_ms if newest.has_partial_event else SILENCE_TIMEOUT_MS
+        self._open_connection()
+
+    # Descriptors in reserve.
+
+    def _reserve_descriptors(self) -> None:
+        """Reserve descriptors for the next connections, which clients would otherwise use up while the list's service
+        is down."""
         with contextlib.suppress(OSError):
-            while len(self._kept) < KEPT_DESCRIPTORS:
-                self._kept.append(os.open(os.devnull, os.O_RDONLY))
+            while len(self._reserved) < RESERVED_DESCRIPTORS:
+                self._reserved.append(os.open(os.devnull, os.O_RDONLY))
 
-    def spend_one(self) -> None:
-        """Let a descriptor go, for the connection that is about to be made."""
-        if self._kept:
-            os.close(self._kept.pop())
+    def release_descriptor(self) -> None:
+        """Free a descriptor for the connection that is about to be made."""
+        if self._reserved:
+            os.close(self._reserved.pop())
--- /dev/null
+++ b/kelptrail/platform/graceful_shutdown.py
@@ -0,0 +1,76 @@
+"""The steps of a graceful shutdown, at the times that `kelptrail.dispatch.shutdown` plans.
+
+GOAWAY is sent at once, requests that still arrive are served for `ACCEPT_MS`, then new ones are refused, and at the end
+of the plan what is still open gets its final answer.  The process may end sooner, once nothing is open.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+from kelptrail.dispatch.shutdown import ARRIVALS_MS, NOT_PLANNED, plan_shutdown
+from kelptrail.engine.engine import Engine
+
+from . import log_events
+from .client_server import ClientServer
+from .decision_executor import DecisionExecutor
+from .log import LogWriter
+
+ACCEPT_MS = ARRIVALS_MS  # new connections are accepted for so long
+CHECK_INTERVAL_S = 0.02
+CLOSE_LINGER_MS = 50.0  # clients may read on for so long after the last answer
+
+
+class GracefulShutdown:
+    """Ends one dispatcher; `finished` is done when the process may exit."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        engine: Engine,
+        client_server: ClientServer,
+        executor: DecisionExecutor,
+        log: LogWriter,
+    ) -> None:
+        self._loop, self._engine, self._client_server = loop, engine, client_server
+        self._executor, self._log = executor, log
+        self._plan = NOT_PLANNED
+        self.finished = loop.create_future()
+
+    @property
+    def has_begun(self) -> bool:
+        """Whether shutdown was requested."""
+        return not self._client_server.ready
+
+    def begin(self) -> None:
+        """Start to shut down; a second call changes nothing."""
+        if self.has_begun:
+            return
+        self._log(log_events.SHUTTING_DOWN, in_flight=len(self._executor.client_requests))
+        self._client_server.send_go_away()
+        self._plan = plan_shutdown(self._now(), self._executor.workers.limits.max_timeout_ms, ACCEPT_MS)
+        self._loop.call_later(ACCEPT_MS / 1000, self._finish_if_idle)
+
+    def _finish_if_idle(self) -> None:
+        """Check for open work and close in the same turn of the loop, so that nothing can arrive in between."""
+        now, plan = self._now(), self._plan
+        if now >= plan.refuse:
+            self._client_server.refuse_new()
+        if self._has_open_work() and now < plan.end:
+            self._loop.call_later(CHECK_INTERVAL_S, self._finish_if_idle)
+            return
+        for request in list(self._executor.client_requests):
+            self._executor.answer_final(self._engine.terminate(now, request))
+        self._client_server.close_gracefully(CLOSE_LINGER_MS)
+        self._loop.call_later(CLOSE_LINGER_MS / 1000, self._finish)
+
+    def _has_open_work(self) -> bool:
+        server = self._client_server
+        return not server.stop_accepting() or bool(self._executor.client_requests) or not server.connections.is_settled
+
+    def _finish(self) -> None:
+        if not self.finished.done():
+            self.finished.set_result(None)
+
+    def _now(self) -> float:
+        return self._loop.time() * 1000
--- /dev/null
+++ b/kelptrail/platform/log_events.py
@@ -0,0 +1,33 @@
+"""The names of the log events of this program; `docs/ops/platform.md` says what an operator does about each.
+
+`bench/soak.py` looks for `UNEXPECTED_ERROR` and for the engine's `invariant violated` in the log.
+"""
+
+from __future__ import annotations
+
+from typing import Final
+
+ATTEMPT_CANCELLED: Final = "attempt cancelled"
+ATTEMPT_NOT_STARTED: Final = "attempt not started"
+CANNOT_LISTEN: Final = "cannot listen yet"
+CANCELLED_FOR_DRAIN: Final = "cancelled for drain"
+CLIENT_CONNECTION_CLOSED: Final = "connection closed"
+CONFIGURATION: Final = "configuration"
+CONFIGURATION_INCOMPLETE: Final = "configuration incomplete"
+CONFIGURATION_KEPT: Final = "configuration kept"
+ENDPOINT_LIST: Final = "list"
+FEED_SILENT: Final = "feed silent"
+FEED_SLOW_TO_CONNECT: Final = "feed slow to connect"
+FEED_UNREACHABLE: Final = "feed unreachable"
+FEED_UNREADABLE: Final = "feed unreadable"
+REQUEST_FAILED: Final = "request failed"
+REQUEST_REFUSED: Final = "request refused"
+RETRY: Final = "retry"
+SHUTTING_DOWN: Final = "shutting down"
+STATE: Final = "state"
+UNEXPECTED_ERROR: Final = "failed"
+WALL_CLOCK_STEPPED: Final = "wall clock stepped"
+WORKER_CONNECT_FAILED: Final = "worker connect failed"
+WORKER_STALLED: Final = "worker stalled in an answer"
+WORKER_STATE: Final = "worker state"
+WORKER_UNREADABLE: Final = "worker unreadable"
--- a/kelptrail/platform/signals.py
+++ b/kelptrail/platform/signals.py
@@ -1,4 +1,4 @@
-"""Signals that come while the program is still being imported and put together: kept, and acted on afterwards."""
+"""Holds the process's signals from its first line until the event loop can handle them."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
 
-class Held:
-    """Keeps the signals of a planned end and of a new configuration.  Guards against their defaults, which end the
-    process: a crash to whoever sent them."""
+class HeldSignals:
+    """Records the signals for shutdown and reload.  Their default action would end the process at once, which the
+    sender would see as a crash."""
 
     def __init__(self, numbers: tuple[int, ...] = SIGNALS) -> None:
-        self._came: list[int] = []
-        for each in numbers:
-            signal.signal(each, self._keep)
+        self._received: list[int] = []
+        for number in numbers:
+            signal.signal(number, self._record)
 
     def release(self) -> list[int]:
-        """Those that came before other handlers stood, each once, in order."""
-        came, self._came = list(dict.fromkeys(self._came)), []
-        return came
+        """The signals received before other handlers were installed, each once, in order of arrival."""
+        received, self._received = list(dict.fromkeys(self._received)), []
+        return received
 
     @staticmethod
     def block() -> None:
-        """None of them is acted on any more: the process ends by itself."""
+        """Block all of them: the process is about to exit by itself."""
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
-    def _keep(self, number: int, _: FrameType | None) -> None:
-        self._came.append(number)
+    def _record(self, number: int, _: FrameType | None) -> None:
+        self._received.append(number)
--- /dev/null
+++ b/kelptrail/platform/worker_pool.py
@@ -0,0 +1,95 @@
+"""The connections to all workers, within the descriptors that the process has for them."""
+
+from __future__ import annotations
+
+import asyncio
+
+from kelptrail.codec import frames
+from kelptrail.dispatch.entities import Worker
+
+from .config import SocketSettings
+from .log import LogWriter
+from .worker_connection import WorkerConnectionLimits
+from .worker_connections import OnItemFinished, WorkerConnections
+
+MIN_CONNECTIONS_PER_WORKER = 2
+MAX_ANSWER_BYTES = 8 * frames.BODY
+
+
+class WorkerPool:
+    """All workers' connections, opened when first used."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        settings: SocketSettings,
+        max_connections: int,
+        descriptors: int,
+        on_finished: OnItemFinished,
+        log: LogWriter,
+    ) -> None:
+        self._loop, self._descriptors, self._on_finished, self._log = loop, descriptors, on_finished, log
+        self.addresses: dict[str, tuple[str, int]] = {}  # by worker id
+        self.connections: dict[Worker, WorkerConnections] = {}
+        self.limits = WorkerConnectionLimits(
+            connect_ms=settings.connect_ms,
+            idle_ms=settings.idle_ms,
+            streams=settings.streams,
+            max_in_all=max_connections,
+            answer_bytes=MAX_ANSWER_BYTES,
+            may_cancel=settings.may_cancel,
+            parallel_attempts=settings.parallel_attempts,
+            max_timeout_ms=max(settings.max_timeout_ms.values()),
+            close_longest_idle=self._close_longest_idle,
+        )
+
+    @property
+    def connection_count(self) -> int:
+        """Connections to all workers."""
+        return sum(len(connections) for connections in self.connections.values())
+
+    @property
+    def open_items(self) -> int:
+        """Attempts and loads that are open on the sockets."""
+        return sum(connections.open_items for connections in self.connections.values())
+
+    def share_descriptors(self, worker_count: int) -> None:
+        """Let each worker have its part of a quarter of the process's descriptors."""
+        share = self._descriptors // 4 // max(1, worker_count)
+        self.limits.max_per_worker = max(MIN_CONNECTIONS_PER_WORKER, share)
+
+    def get(self, worker: Worker) -> WorkerConnections | None:
+        """The connections to a worker, if any was opened."""
+        return self.connections.get(worker)
+
+    def get_or_create(self, worker: Worker) -> WorkerConnections:
+        """The connections to a worker whose address is known."""
+        connections = self.connections.get(worker)
+        if connections is None:
+            connections = self.connections[worker] = WorkerConnections(
+                self._loop, worker.id, self.addresses[worker.id], self.limits, self._on_finished, self._log
+            )
+        return connections
+
+    def drop(self, worker: Worker) -> None:
+        """Close all connections to a worker."""
+        self.connections.pop(worker).close()
+
+    def sweep(self) -> None:
+        """Close idle and stalled connections, and those to removed workers once nothing is open on them."""
+        for worker, connections in list(self.connections.items()):
+            connections.sweep()
+            if worker.removed and not connections.open_items:
+                del self.connections[worker]
+                connections.close()
+
+    def close(self) -> None:
+        """Close all connections."""
+        for connections in list(self.connections.values()):
+            connections.close()
+
+    def _close_longest_idle(self) -> bool:
+        idle = [found for connections in self.connections.values() if (found := connections.longest_idle) is not None]
+        if idle:
+            min(idle, key=lambda connection: connection.last_used_at).close()
+        return bool(idle)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,10 +24,11 @@
 from kelptrail.codec.lines import call
 from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.net.connection import connect
-from kelptrail.platform import service
-from kelptrail.platform import worker_connections as workers
-from kelptrail.platform.client_server import OPEN
-from kelptrail.platform.worker_connections import Bounds, WorkerConnections
+from kelptrail.platform import graceful_shutdown
+from kelptrail.platform import worker_connection as workers
+from kelptrail.platform.client_server import MAX_OPEN_REQUESTS
+from kelptrail.platform.worker_connection import WorkerConnectionLimits
+from kelptrail.platform.worker_connections import WorkerConnections
 
 SMALL = 4096  # bytes of a socket's buffer, where it shall be full soon
 
@@ -113,16 +114,16 @@
             later = loop.call_later
 
             def crossing(delay: float, back: Callable[..., Any], *args: Any, **more: Any) -> Any:
-                ends = getattr(back, "__name__", "") in ("set_result", "_end")
+                ends = getattr(back, "__name__", "") in ("set_result", "_finish")
                 if ends and not asked:  # the last look has found nothing: now a request comes
                     asked.append(2)
                     client.ask(2)
                 return later(delay, back, *args, **more)
 
-            place.service._loop = Crossing(loop, crossing)
-            place.service.end()
+            place.service._shutdown._loop = Crossing(loop, crossing)
+            place.service.shut_down()
             assert await client.next() == (frames.GO_AWAY, 0, b"")
-            await asyncio.wait_for(place.service.over, 3.0)
+            await asyncio.wait_for(place.service.finished, 3.0)
             assert asked
             place.service.close()
             code = await client.code()
@@ -151,22 +152,22 @@
     async def main() -> None:
         async with Place(runner := Runner(large)) as place:
             sock = raw(place.port, SMALL)
-            await until(lambda: len(place.service._front))
-            (client,) = place.service._front._fresh
-            client.link.wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
+            await until(lambda: len(place.service.client_server.connections))
+            (client,) = place.service.client_server.connections.fresh
+            client.connection.wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
             sock.sendall(request(1))
-            await until(lambda: len(runner.calls) and client.link._writing)
+            await until(lambda: len(runner.calls) and client.connection._writing)
             began = time.monotonic()
-            place.service.end()
+            place.service.shut_down()
             if not reads:
-                await asyncio.wait_for(place.service.over, 2.5)
+                await asyncio.wait_for(place.service.finished, 2.5)
                 sock.close()
                 return
             await asyncio.sleep(0.8)  # the last look comes after 0.7 s
-            assert not place.service.over.done()
+            assert not place.service.finished.done()
             found = await asyncio.to_thread(read_all, sock)
             assert answers(found) == {1: frames.SERVED} and found[0][2] == b"\0\0" + body
-            await asyncio.wait_for(place.service.over, 1.0)
+            await asyncio.wait_for(place.service.finished, 1.0)
             assert time.monotonic() - began < 2.5
             sock.close()
 
@@ -176,22 +177,22 @@
 def test_half_a_frame_at_the_end_is_waited_for_and_whoever_stands_in_the_door_is_let_in() -> None:
     async def main() -> None:
         async with Place(Runner(echo)) as place:
-            half, front = await place.client(), place.service._front
+            half, front = await place.client(), place.service.client_server
             data = request(1)
             half.writer.write(data[:30])
-            await until(lambda: any(each.begun for each in front._fresh))
-            (listening,) = front._door._sockets
+            await until(lambda: any(each.partial_frame_since for each in front.connections.fresh))
+            (listening,) = front._listener._sockets
             loop = asyncio.get_running_loop()
             loop.remove_reader(listening)  # whoever comes stands in the queue of the kernel
-            place.service.end()
+            place.service.shut_down()
             assert await half.next() == (frames.GO_AWAY, 0, b"")
             late = raw(place.port)
             late.sendall(request(2))
             await asyncio.sleep(0.75)
-            assert not place.service.over.done()
+            assert not place.service.finished.done()
             half.writer.write(data[30:])
             assert await half.code() == frames.SERVED
-            await asyncio.wait_for(place.service.over, 2.0)
+            await asyncio.wait_for(place.service.finished, 2.0)
             place.service.close()
             assert answers(await asyncio.to_thread(read_all, late)) == {2: frames.SERVED}
             late.close()
@@ -200,7 +201,7 @@
 
 
 def test_who_asks_on_and_on_does_not_keep_a_process_that_was_told_to_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(service, "LAST_MS", 100.0)
+    monkeypatch.setattr(graceful_shutdown, "ACCEPT_MS", 100.0)
     monkeypatch.setitem(SETTINGS, "classes", [CLASS | {"give_up_us": 400_000}])
 
     async def main() -> None:
@@ -209,9 +210,9 @@
 
         async with Place(Runner(slowly)) as place:
             client, stream = await place.client(), 0
-            place.service.end()
+            place.service.shut_down()
             async with asyncio.timeout(1.0):
-                while not place.service.over.done():
+                while not place.service.finished.done():
                     stream += 1
                     client.ask(stream, limit="400")
                     await asyncio.sleep(0.02)
@@ -232,7 +233,7 @@
             await asyncio.sleep(0.05)
             assert answers(read_all(sock)) == {0: frames.FAILED}
             sock.close()
-            await until(lambda: not len(place.service._front))
+            await until(lambda: not len(place.service.client_server.connections))
 
     run(main())
 
@@ -392,13 +393,23 @@
         self.listening.bind(("127.0.0.1", 0))
         self.listening.listen()
         self.ended: list[tuple[Any, AttemptStatus]] = []
-        bounds = Bounds(150.0, 15_000.0, 100, in_all, 1 << 17, cancels, parallel, 2000.0, lambda: False)
-        bounds.most = most
-        self.links = WorkerConnections(
+        limits = WorkerConnectionLimits(
+            connect_ms=150.0,
+            idle_ms=15_000.0,
+            streams=100,
+            max_in_all=in_all,
+            answer_bytes=1 << 17,
+            may_cancel=cancels,
+            parallel_attempts=parallel,
+            max_timeout_ms=2000.0,
+            close_longest_idle=lambda: False,
+            max_per_worker=most,
+        )
+        self.connections = WorkerConnections(
             asyncio.get_running_loop(),
             "w",
             self.listening.getsockname(),
-            bounds,
+            limits,
             lambda item, outcome, _: self.ended.append((item, outcome)),
             silent,
         )
@@ -406,21 +417,21 @@
     def send(self, id_: str, size: int = 16_000) -> Any:
         thing = Thing(id_)
         data = call(id_, "t", "a" * 16, 1000, "", bytes(size))
-        self.links.send(thing, lambda: data, len(data))  # type: ignore[arg-type]
+        self.connections.start_attempt(thing, lambda: data, len(data))  # type: ignore[arg-type]
         return thing
 
     async def take(self) -> socket.socket:
         """The worker's end of the connection, once it is up."""
         sock, _ = await asyncio.to_thread(self.listening.accept)
-        await until(lambda: all(each.link for each in self.links._connections))
+        await until(lambda: all(each.connection for each in self.connections._connections))
         return sock
 
     async def full(self, count: int = 4) -> tuple[socket.socket, list[Any]]:
         """Sends behind a socket that takes no more of the first."""
         things = [self.send(f"{n:016x}") for n in range(count)]
         sock = await self.take()
-        (connection,) = self.links._connections
-        await until(lambda: connection.link is not None and connection.link._waits)
+        (connection,) = self.connections._connections
+        await until(lambda: connection.connection is not None and connection.connection._waits)
         return sock, things
 
 
@@ -449,12 +460,12 @@
     async def main() -> None:
         bare = Bare(monkeypatch)
         sock, (begun, second, third, _) = await bare.full()
-        assert bare.links.give_up(begun) is True, "it will arrive: nobody may take it for unsent"
-        assert bare.links.give_up(third) is False and bare.links.withdraw(second)
-        assert not bare.links.withdraw(second) and bare.links.give_up(third) is None
+        assert bare.connections.cancel(begun) is True, "it will arrive: nobody may take it for unsent"
+        assert bare.connections.cancel(third) is False and bare.connections.cancel_before_send(second)
+        assert not bare.connections.cancel_before_send(second) and bare.connections.cancel(third) is None
         found = await asyncio.to_thread(commands, sock)
         assert found == [b"CALL %016d" % 0, b"CALL %016d" % 3, b"CANCEL %016d" % 0]
-        bare.links.close()
+        bare.connections.close()
         sock.close()
 
     run(main())
@@ -468,7 +479,7 @@
         await until(lambda: len(bare.ended) == 4)
         told = dict(bare.ended)
         assert [told[thing] for thing in things][1:] == [AttemptStatus.NOT_SENT] * 3
-        assert not len(bare.links) and not bare.links.bounds.held
+        assert not len(bare.connections) and not bare.connections.limits.open_count
 
     run(main())
 
@@ -479,9 +490,9 @@
         thing = bare.send("a" * 16, 10)
         sock = await bare.take()
         await asyncio.sleep(0.05)
-        assert bare.links.give_up(thing) is True
+        assert bare.connections.cancel(thing) is True
         assert await asyncio.to_thread(commands, sock) == [b"CALL " + b"a" * 16]
-        bare.links.close()
+        bare.connections.close()
 
     run(main())
 
@@ -497,11 +508,11 @@
         ends[0].setblocking(False)
         assert ends[0].recv(1000).startswith(b"CALL")
         second.send("c" * 16, 10)  # its link is about to write
-        assert first.links.give_up(thing) is True
+        assert first.connections.cancel(thing) is True
         second.send("a" * 16, 10)
         assert ends[0].recv(1000) == b"CANCEL " + b"a" * 16 + b"\r\n", "in the same turn, before any link's flush"
         for bare in (first, second):
-            bare.links.close()
+            bare.connections.close()
 
     run(main())
 
@@ -513,10 +524,10 @@
     async def main() -> None:
         bare = Bare(monkeypatch, parallel=parallel)
         sock, (begun, *others) = await bare.full()
-        assert bare.links.give_up(begun) is True
-        assert bool(len(bare.links)) is parallel, "what it was sent is given up by the end of its connection"
+        assert bare.connections.cancel(begun) is True
+        assert bool(len(bare.connections)) is parallel, "what it was sent is given up by the end of its connection"
         assert [outcome for _, outcome in bare.ended] == ([] if parallel else [AttemptStatus.NOT_SENT] * len(others))
-        bare.links.close()
+        bare.connections.close()
         sock.close()
 
     run(main())
@@ -534,7 +545,7 @@
             stays = await place.client()
             stays.ask(1)
             assert await stays.code() == frames.SERVED  # a copy stands
-            for links in place.service._links.values():
+            for links in place.service.executor.workers.connections.values():
                 links.close()
             held = Held(monkeypatch)
             sock = raw(place.port)
@@ -548,7 +559,7 @@
                 if leaves == "reset":
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 sock.close()
-            await until(lambda: not place.service._requests)
+            await until(lambda: not place.service.executor.client_requests)
             held.gate.set()
             await asyncio.sleep(0.15)
             assert place.runners[0].calls == [b"%016x" % 1]
@@ -575,13 +586,13 @@
 
             sock = raw(place.port)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
-            data = b"".join(request(n, bytes(15_000), item="7f3a9c21e0b4d655") for n in range(1, OPEN + 1))
-            await until(lambda: len(place.service._front))
+            data = b"".join(request(n, bytes(15_000), item="7f3a9c21e0b4d655") for n in range(1, MAX_OPEN_REQUESTS + 1))
+            await until(lambda: len(place.service.client_server.connections))
             work()
             await asyncio.to_thread(sock.sendall, data)
             closed = time.monotonic()
             sock.close()
-            await until(lambda: not len(place.service._front))
+            await until(lambda: not len(place.service.client_server.connections))
             await asyncio.sleep(0.1)
             busy = False
             assert not [at - closed for at in began if at > closed + 0.1]
@@ -592,18 +603,18 @@
 def test_one_decision_too_many_does_not_end_the_round() -> None:
     async def main() -> None:
         async with Place(Runner(echo)) as place:
-            client, taken = await place.client(), place.service._host.on_request
+            client, taken = await place.client(), place.service.engine.on_request
 
             def forget_the_first(*args: Any) -> Any:
-                act = taken(*args)
-                if act.id == f"{1:016x}":
-                    place.service._loop.call_soon(place.service._requests.pop, act)
-                return act
-
-            place.service._host.on_request = forget_the_first  # type: ignore[method-assign]
-            stir = place.service._stir
-            place.service._stir_soon = lambda: asyncio.get_running_loop().call_soon(  # type: ignore[method-assign]
-                asyncio.get_running_loop().call_soon, stir
+                accepted = taken(*args)
+                if accepted.id == f"{1:016x}":
+                    place.service._loop.call_soon(place.service.executor.client_requests.pop, accepted)
+                return accepted
+
+            place.service.engine.on_request = forget_the_first  # type: ignore[method-assign]
+            decide = place.service._decide
+            place.service.executor._schedule_decisions = lambda: asyncio.get_running_loop().call_soon(
+                asyncio.get_running_loop().call_soon, decide
             )
             failed: list[Any] = []
             asyncio.get_running_loop().set_exception_handler(lambda _, context: failed.append(context))
@@ -645,18 +656,18 @@
 def test_an_address_that_passes_to_another_worker_while_a_connect_is_under_way(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         async with Place(Runner(echo)) as place:
-            place.service._bounds.connect_ms = 5000.0
+            place.service.executor.workers.limits.connect_ms = 5000.0
             held, client = Held(monkeypatch), await place.client()
             client.ask(1)
             await until(lambda: held.waiting)
             (port,) = {
                 int(t["endpoint"].rpartition(":")[2]) for t in place.told["known"]["entries"][0]["hosts"]["targets"]
             }
-            (old,) = place.service._links.values()
+            (old,) = place.service.executor.workers.connections.values()
             connecting = list(old._connections)
             place.events = [event(2, 2, (0, port, 2)), event(3, 2, (7, port, 0))]
             place.service.reload(place.service.config)
-            await until(lambda: place.service.number == 3)
+            await until(lambda: place.service.last_event_number == 3)
             assert not any(each in old._connections for each in connecting), "who answers there is not certain"
             held.gate.set()
             assert await client.code() == frames.SERVED
@@ -668,20 +679,20 @@
 def test_nothing_begins_at_a_worker_that_drains_once_it_was_told(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         async with Place(Runner(echo), Runner(echo)) as place:
-            place.service._bounds.connect_ms = 5000.0
+            place.service.executor.workers.limits.connect_ms = 5000.0
             ports = [
                 int(t["endpoint"].rpartition(":")[2]) for t in place.told["known"]["entries"][0]["hosts"]["targets"]
             ]
             held, client = Held(monkeypatch), await place.client()
             client.ask(1)
             await until(lambda: held.waiting)
-            ((first, links),) = place.service._links.items()
+            ((first, links),) = place.service.executor.workers.connections.items()
             number = int(first.id[2:], 16)
-            assert links.open
+            assert links.open_items
             place.events = [event(2, 2, (number, ports[number], 1))]  # it drains
             place.service.reload(place.service.config)
-            await until(lambda: place.service.number == 2)
-            assert not links.open
+            await until(lambda: place.service.last_event_number == 2)
+            assert not links.open_items
             held.gate.set()
             assert await client.code() == frames.SERVED
             assert not place.runners[number].calls and len(place.runners[1 - number].calls) == 1
@@ -720,14 +731,14 @@
 def test_connections_to_workers_stay_within_the_descriptors_and_idle_ones_make_way() -> None:
     async def main() -> None:
         async with Place(*(Runner(echo) for _ in range(24)), sockets=32) as place:
-            most = place.service._bounds.most_in_all
+            most = place.service.executor.workers.limits.max_in_all
             assert most < 24
             client = await place.client()
             for n in range(1, 30):
                 client.ask(n, item=f"{n:016x}")
                 assert await client.code() == frames.SERVED
-                held = sum(len(links) for links in place.service._links.values())
-                assert held == place.service._bounds.held <= most
+                held = sum(len(links) for links in place.service.executor.workers.connections.values())
+                assert held == place.service.executor.workers.limits.open_count <= most
 
     run(main())
 
@@ -756,20 +767,20 @@
 
     async def main() -> None:
         async with Place(Runner(echo)) as place:
-            slow, stuck, front = await place.client(), await place.client(), place.service._front
+            slow, stuck, front = await place.client(), await place.client(), place.service.client_server
             for client in (slow, stuck):
                 client.ask(1, txn=f"{id(client) % 2**32:016x}")
                 assert await client.code() == frames.SERVED
             data = request(2, item="7f3a9c21e0b4d655")
             slow.writer.write(data[:20])
             stuck.writer.write(request(3)[:20])
-            await until(lambda: all(each.begun for each in front._idle))
-            mine, other = front._idle
+            await until(lambda: all(each.partial_frame_since for each in front.connections.idle))
+            mine, other = front.connections.idle
             for each in (mine, other):  # it began so long ago
-                each.begun -= 2.5
-                each.since -= 7.0
-            other.heard -= 2.5
-            front.sweep()
+                each.partial_frame_since -= 2.5
+                each.idle_since -= 7.0
+            other.last_received_at -= 2.5
+            front.connections.sweep()
             slow.writer.write(data[20:])
             assert await slow.code() == frames.SERVED
             assert await stuck.code() == frames.FAILED and await stuck.next() is None
@@ -780,15 +791,15 @@
 def test_a_newcomer_among_busy_clients_is_told_that_there_is_no_room() -> None:
     async def main() -> None:
         async with Place(Runner(silent), sockets=32) as place:
-            front, busy = place.service._front, []
-            for n in range(front._most):
+            front, busy = place.service.client_server, []
+            for n in range(front.connections._max_connections):
                 busy.append(await place.client())
                 busy[-1].ask(1, txn=f"{n:016x}", item=f"{n:016x}")
-            await until(lambda: len(front._busy) == front._most)
+            await until(lambda: len(front.connections.busy) == front.connections._max_connections)
             late = await place.client()
             late.ask(1, txn="f" * 16)
             assert await late.code() == frames.REFUSED and await late.next() is None
-            assert len(front._busy) == front._most, "nobody lost anything for it"
+            assert len(front.connections.busy) == front.connections._max_connections, "nobody lost anything for it"
 
     run(main())
 
@@ -796,13 +807,13 @@
 def test_who_has_asked_and_was_not_yet_read_does_not_make_way_for_others() -> None:
     async def main() -> None:
         async with Place(Runner(echo), sockets=32) as place:
-            front, loop = place.service._front, asyncio.get_running_loop()
-            (listening,) = front._door._sockets
+            front, loop = place.service.client_server, asyncio.get_running_loop()
+            (listening,) = front._listener._sockets
             loop.remove_reader(listening)
-            asked = [raw(place.port) for _ in range(front._most + 4)]
+            asked = [raw(place.port) for _ in range(front.connections._max_connections + 4)]
             for n, sock in enumerate(asked):
                 sock.sendall(request(n + 1))
-            loop.add_reader(listening, front._door._ready, listening)  # all are let in in one turn
+            loop.add_reader(listening, front._listener._ready, listening)  # all are let in in one turn
             found = [await asyncio.to_thread(lambda sock=sock: answers(read_some(sock))) for sock in asked]
             assert [list(each) for each in found] == [[n + 1] for n in range(len(asked))], "each is answered"
             for sock in asked:
@@ -826,14 +837,14 @@
     async def main() -> None:
         async with Place(Runner(echo)) as place:
             sock = raw(place.port, SMALL)
-            await until(lambda: len(place.service._front))
-            (client,) = place.service._front._fresh
-            client.link.wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
+            await until(lambda: len(place.service.client_server.connections))
+            (client,) = place.service.client_server.connections.fresh
+            client.connection.wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
             sock.sendall(frames.frame(frames.ASK_READY, 7, b"\0") * 3000)
-            await until(lambda: client.link._writing)
+            await until(lambda: client.connection._writing)
             sock.sendall(b"\0\0\0\2no")
-            await until(lambda: client.link.closed, 2.5)
-            assert not len(place.service._front)
+            await until(lambda: client.connection.closed, 2.5)
+            assert not len(place.service.client_server.connections)
             sock.close()
 
     run(main())
@@ -852,9 +863,9 @@
             client.ask(1, limit="8000")
             await until(lambda: place.runners[0].calls)
             began = time.monotonic()
-            place.service.end()
+            place.service.shut_down()
             assert await client.next() == (frames.GO_AWAY, 0, b"")
             assert await client.code(3.7) == frames.REFUSED, "it may run again, and does so elsewhere"
-            await asyncio.wait_for(place.service.over, 3.7 - (time.monotonic() - began))
+            await asyncio.wait_for(place.service.finished, 3.7 - (time.monotonic() - began))
 
     run(main())
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -358,7 +358,7 @@
             assert set(place.asked) == {1, 2}
             place.events, place.after = [event(3, 2, (1, 9, 2))], "stay"
             await asyncio.sleep(0.3)
-            assert place.service.number == 3
+            assert place.service.last_event_number == 3
 
     run(main())
 
@@ -376,13 +376,13 @@
             gone.writer.close()
             await asyncio.sleep(0.05)
             assert place.runners[0].cancelled == [b"%016x" % 1]
-            place.service.end()
+            place.service.shut_down()
             assert await stays.next() == (frames.GO_AWAY, 0, b"")
             late = await place.client()
             late.ask(3)  # it was under way when the end began
             assert await late.next() == (frames.GO_AWAY, 0, b"")  # so is whoever comes after it
             assert await stays.code() == frames.SERVED and await late.code() == frames.SERVED
-            await asyncio.wait_for(place.service.over, 1.0)
+            await asyncio.wait_for(place.service.finished, 1.0)
 
     run(main())
 
@@ -390,16 +390,16 @@
 def test_no_connection_is_closed_over_a_request_that_waits_to_be_read() -> None:
     async def main() -> None:
         async with Place(Runner(echo)) as place:
-            client, front = await place.client(), place.service._front
+            client, front = await place.client(), place.service.client_server
             client.ask(1)
             assert await client.code() == frames.SERVED
-            (mine,) = front._idle
-            mine.since -= 100.0
+            (mine,) = front.connections.idle
+            mine.idle_since -= 100.0
             client.ask(2)  # written, and not yet read
-            front.sweep()
-            place.service._end_if_idle()
-            assert await client.code() == frames.SERVED and not place.service.over.done()
-            await asyncio.wait_for(place.service.over, 1.0)
+            front.connections.sweep()
+            place.service._shutdown._finish_if_idle()
+            assert await client.code() == frames.SERVED and not place.service.finished.done()
+            await asyncio.wait_for(place.service.finished, 1.0)
 
     run(main())
 
@@ -408,14 +408,14 @@
     async def main() -> None:
         async with Place(Runner(echo)) as place:
             bad, good = await place.client(), await place.client()
-            front, frame = place.service._front, place.service._front.frame
+            front, frame = place.service.client_server, place.service.client_server.on_frame
 
             def fail(client: Any, kind: int, stream: int, payload: bytes) -> None:
                 if stream == 99:
                     raise RuntimeError("not foreseen")
                 frame(client, kind, stream, payload)
 
-            monkeypatch.setattr(front, "frame", fail)
+            monkeypatch.setattr(front, "on_frame", fail)
             bad.ask(99)
             good.ask(1)
             assert await bad.next() is None and await good.code() == frames.SERVED
--- a/tests/test_platform_load.py
+++ b/tests/test_platform_load.py
@@ -160,9 +160,9 @@
                         assert not (ran and code == frames.REFUSED), "a rejection promises the truth"
                 caller.close()
             assert told[frames.SERVED] > 0.5 * sum(told.values()) and sum(told.values()) > 700
-            assert place.service.number == 2 and runners[3].last < drained + 0.5, "drains kept"
+            assert place.service.last_event_number == 2 and runners[3].last < drained + 0.5, "drains kept"
             async with asyncio.timeout(4):
-                while place.service._host.requests:  # till the sends that nobody answers have had their time
+                while place.service.engine.requests:  # till the sends that nobody answers have had their time
                     await asyncio.sleep(0.05)
 
     run(main())
@@ -230,7 +230,7 @@
                 gc.collect()
                 held.append((tracemalloc.get_traced_memory()[0], len(os.listdir("/proc/self/fd"))))
             tracemalloc.stop()
-            assert not place.service._host.requests and not len(place.service._front)
+            assert not place.service.engine.requests and not len(place.service.client_server.connections)
             assert held[-1][1] <= held[1][1] + 4, "descriptors"
             assert held[-1][0] - held[2][0] < 150_000, "bytes over a thousand requests"
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -64,10 +64,10 @@
             client = await place.client()
             client.ask(1)
             assert await client.code() == frames.SERVED
-            (worker_links,) = place.service._links.values()
+            (worker_links,) = place.service.executor.workers.connections.values()
             (connection,) = worker_links._connections
-            (front_client,) = place.service._front._idle
-            for each in (connection.link, front_client.link):
+            (front_client,) = place.service.client_server.connections.idle
+            for each in (connection.connection, front_client.connection):
                 assert each is not None
                 each.wire.sock = Failing(each.wire.sock, "send", [code, code])  # type: ignore[assignment]
             client.ask(2)
@@ -90,8 +90,8 @@
             monkeypatch.setattr("time.time", lambda: real() + step_ms / 1000)
             await asyncio.sleep(0.25)  # the periodic work sees the step
             started = int(real() * 1000 + step_ms) - 100
-            place.service._listed(worker_event(2, 7, started))
-            worker = place.service._host.workers["s-00000007"]
+            place.service.endpoints.on_event(worker_event(2, 7, started))
+            worker = place.service.engine.workers["s-00000007"]
             assert worker.started_at is not None
             assert 90.0 <= now_ms() - worker.started_at <= 400.0
 
@@ -124,7 +124,7 @@
             client = await place.client()
             client.ask(1)
             assert await client.code() == frames.SERVED  # an instance is loaded
-            for links in place.service._links.values():
+            for links in place.service.executor.workers.connections.values():
                 links.close()
             held = Held(monkeypatch)
             client.ask(2, limit="1500")
@@ -157,15 +157,15 @@
 
     async def main() -> None:
         async with Place(Runner(echo)) as place:
-            door = place.service._front._door
+            door = place.service.client_server._listener
             (listening,) = door._sockets
             asyncio.get_running_loop().remove_reader(listening)  # whoever comes stands in the queue of the kernel
             clients = [raw(place.port) for _ in range(3)]
             for number, client in enumerate(clients, 1):
                 client.sendall(request(number))
             door._sockets = {Failing(listening, "accept", list(codes)): None}  # type: ignore[dict-item]
-            place.service.end()
-            await asyncio.wait_for(place.service.over, 3.0)
+            place.service.shut_down()
+            await asyncio.wait_for(place.service.finished, 3.0)
             place.service.close()
             for number, client in enumerate(clients, 1):
                 assert answers(await asyncio.to_thread(read_all, client)) == {number: frames.SERVED}
@@ -182,7 +182,7 @@
             busy = [raw(place.port) for _ in range(20)]
             for number, client in enumerate(busy, 1):
                 client.sendall(request(number))
-            await until(lambda: len(place.service._requests) == 20)
+            await until(lambda: len(place.service.executor.client_requests) == 20)
             crowd = [raw(place.port) for _ in range(30)]
             for number, client in enumerate(crowd, 100):
                 client.sendall(request(number))
@@ -223,8 +223,8 @@
 
     async def main() -> None:
         async with Place(Runner(echo), Runner(echo)) as place:
-            place.service._listed(worker_event(2, 7, int(real() * 1000) - 100))
-            worker = place.service._host.workers["s-00000007"]
+            place.service.endpoints.on_event(worker_event(2, 7, int(real() * 1000) - 100))
+            worker = place.service.engine.workers["s-00000007"]
             assert worker.started_at is not None
             assert place.service._now() - worker.started_at <= 1000.0
 
@@ -236,13 +236,13 @@
 
     async def main() -> None:
         async with Place(Runner(echo)) as place:
-            client, front = await place.client(), place.service._front
+            client, front = await place.client(), place.service.client_server
             client.ask(1)
             assert await client.code() == frames.SERVED
-            (mine,) = front._idle
+            (mine,) = front.connections.idle
             client.ask(2)  # written, and not yet read
-            mine.link.wire.sock = Failing(mine.link.wire.sock, "recv", [errno.ENOMEM])  # type: ignore[assignment]
-            front._make_room()
+            mine.connection.wire.sock = Failing(mine.connection.wire.sock, "recv", [errno.ENOMEM])  # type: ignore[assignment]
+            front.connections.make_room()
             assert await client.code() == frames.SERVED
 
     run(main())
@@ -305,13 +305,13 @@
 
     async def main() -> None:
         async with Place(Runner(large)) as place:
-            front, slow = place.service._front, raw(place.port, SMALL)
-            await until(lambda: len(front))
-            (client,) = front._fresh
-            client.link.wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
+            front, slow = place.service.client_server, raw(place.port, SMALL)
+            await until(lambda: len(front.connections))
+            (client,) = front.connections.fresh
+            client.connection.wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
             slow.sendall(request(1))
-            await until(lambda: client in front._idle and client.link.unwritten)
-            front._make_room()
+            await until(lambda: client in front.connections.idle and client.connection.unwritten)
+            front.connections.make_room()
             slow.settimeout(3.0)
             found = await asyncio.to_thread(read_frame, slow)
             assert found[2] == b"\0\0" + body
@@ -350,15 +350,15 @@
 def test_an_accept_that_fails_for_what_the_whole_system_lacks_closes_no_other_client(code: int) -> None:
     async def main() -> None:
         async with Place(Runner(echo)) as place:
-            resting, front = await place.client(), place.service._front
+            resting, front = await place.client(), place.service.client_server
             resting.ask(1)
             assert await resting.code() == frames.SERVED
-            (listening,) = front._door._sockets
+            (listening,) = front._listener._sockets
             loop = asyncio.get_running_loop()
             loop.remove_reader(listening)
             failing = Failing(listening, "accept", [code] * 3)
-            front._door._sockets = {failing: None}  # type: ignore[dict-item]
-            loop.add_reader(listening, front._door._ready, failing)
+            front._listener._sockets = {failing: None}  # type: ignore[dict-item]
+            loop.add_reader(listening, front._listener._ready, failing)
             late = await place.client()
             late.ask(2)
             assert await late.code() == frames.SERVED
--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -45,7 +45,7 @@
 from kelptrail.peers import messages as wire
 from kelptrail.planner import plan
 from kelptrail.platform import config as platform_config
-from kelptrail.platform.client_server import ParsedRequest
+from kelptrail.platform.parsed_request import ParsedRequest, RequestRules
 from kelptrail.platform.service import Service
 from kelptrail.settings import deployment
 from kelptrail.settings.reader import SourcePosition
@@ -373,8 +373,8 @@
     read_as = host_settings.read_settings(made.settings)
     types = {kind.name: kind for kind in read_as.request_classes}
     customers = {customer.name: customer for customer in read_as.tenants}
-    most_mb = made.sockets.most_mb
-    found = ParsedRequest(told["fields"], types, made.sockets.longest_ms, customers, most_mb)
+    rules = RequestRules(types, customers, made.sockets.max_timeout_ms, made.sockets.max_function_mb)
+    found = ParsedRequest(told["fields"], rules)
     shown = []
     for slot in type(found).__slots__:
         value = getattr(found, slot)
@@ -547,7 +547,7 @@
     await hangs.wait()
     writer.write(frames.frame(frames.CANCEL, 6))
     await cancelled.wait()
-    service.end()
+    service.shut_down()
     await answered(b"")
     writer.close()
     service.close()
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -45,13 +45,13 @@
 
 
 async def follow(place: Place, port: int) -> None:
-    place.service._feed.moved(("127.0.0.1", port))
+    place.service.endpoints.watch.set_address(("127.0.0.1", port))
 
 
 def test_an_event_that_could_not_be_taken_in_is_asked_for_again() -> None:
     async def main() -> None:
         async with Place(Runner(echo), Runner(echo)) as place:
-            host, listed, fails = place.service._host, place.service._host.on_endpoints, [True]
+            host, listed, fails = place.service.engine, place.service.engine.on_endpoints, [True]
 
             def once(*args: Any) -> Any:
                 if fails:
@@ -62,7 +62,7 @@
             host.on_endpoints = once  # type: ignore[method-assign]
             place.events = [event(2, 2, (1, 9, 1))]
             place.service.reload(place.service.config)
-            await until(lambda: place.service.number == 2)
+            await until(lambda: place.service.last_event_number == 2)
             assert not fails and not host.workers["s-00000001"].live
 
     run(main())
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("says", ["bytes of a frame that never ends", "nothing", "empty events, then nothing"])
 def test_a_list_that_tells_no_whole_event_is_asked_again(says: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(feed, "SILENT_MS", 200.0)
+    monkeypatch.setattr(feed, "SILENCE_TIMEOUT_MS", 200.0)
 
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -93,9 +93,9 @@
 
 
 def test_a_link_too_slow_for_one_event_is_given_more_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(feed, "SILENT_MS", 100.0)
-    monkeypatch.setattr(feed, "PAUSE_MS", 5.0)  # while it pauses it still hears the connection of before
-    monkeypatch.setattr(feed, "LONGEST_PAUSE_MS", 10.0)
+    monkeypatch.setattr(feed, "SILENCE_TIMEOUT_MS", 100.0)
+    monkeypatch.setattr(feed, "BACKOFF_MS", 5.0)  # while it pauses it still hears the connection of before
+    monkeypatch.setattr(feed, "MAX_BACKOFF_MS", 10.0)
 
     async def main() -> None:
         async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -108,7 +108,7 @@
         port = await asked.open()
         async with Place(Runner(echo)) as place:
             await follow(place, port)
-            await until(lambda: place.service.number == 2)
+            await until(lambda: place.service.last_event_number == 2)
             assert len(asked.asked) > 1, "not at the first time"
 
     run(main())
@@ -143,7 +143,7 @@
             await until(lambda: held.waiting)
             place.told["journal"] = f"127.0.0.1:{port}"
             place.service.reload(feed_config(place))
-            await until(lambda: place.service.number == 2, 0.5)
+            await until(lambda: place.service.last_event_number == 2, 0.5)
 
     run(main())
 
@@ -153,8 +153,8 @@
 
 
 def test_a_move_while_it_pauses_waits_for_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(feed, "PAUSE_MS", 60_000.0)
-    monkeypatch.setattr(feed, "LONGEST_PAUSE_MS", 60_000.0)
+    monkeypatch.setattr(feed, "BACKOFF_MS", 60_000.0)
+    monkeypatch.setattr(feed, "MAX_BACKOFF_MS", 60_000.0)
 
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -165,11 +165,11 @@
         port = await asked.open()
         async with Place(Runner(echo)) as place:
             unreachable: list[str] = []
-            place.service._feed._note = lambda what, **_: unreachable.append(what)
+            place.service.endpoints.watch.log = lambda what, **_: unreachable.append(what)
             await follow(place, 9)  # nobody listens there
             await until(lambda: unreachable)
             await follow(place, port)
-            await until(lambda: place.service.number == 2, 0.5)
+            await until(lambda: place.service.last_event_number == 2, 0.5)
 
     run(main())
 
@@ -197,9 +197,9 @@
             writers[0].write(event(2, 2, (1, 9, 1))[:30])
             await asyncio.sleep(0.02)
             writers[0].write(event(2, 2, (1, 9, 1))[30:])
-            await until(lambda: place.service.number == 2)
+            await until(lambda: place.service.last_event_number == 2)
             held.gate.set()
-            await until(lambda: place.service.number == 3)
+            await until(lambda: place.service.last_event_number == 3)
             assert second.asked == [2], "nothing is asked for twice"
 
     run(main())
@@ -306,7 +306,7 @@
 
 def test_a_service_that_is_slow_to_its_first_byte_is_heard(monkeypatch: pytest.MonkeyPatch) -> None:
     """It needs longer than the silence after which it is asked again: the connection that it answers is still there."""
-    monkeypatch.setattr(feed, "SILENT_MS", 200.0)
+    monkeypatch.setattr(feed, "SILENCE_TIMEOUT_MS", 200.0)
 
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -318,8 +318,8 @@
         port = await asked.open()
         async with Place(Runner(echo)) as place:
             await follow(place, port)
-            await until(lambda: place.service.number == 2, 1.5)
-            await until(lambda: len(place.service._feed._watches) == 1)
+            await until(lambda: place.service.last_event_number == 2, 1.5)
+            await until(lambda: len(place.service.endpoints.watch._connections) == 1)
 
     run(main())
 
@@ -345,7 +345,7 @@
             for _ in range(20):
                 await asyncio.sleep(0.05)
                 await follow(place, port)
-            await until(lambda: place.service.number == 2, 0.5)
+            await until(lambda: place.service.last_event_number == 2, 0.5)
 
     run(main())
 
@@ -369,7 +369,7 @@
             for turn in range(20):
                 await follow(place, ports[turn % 2])
                 await asyncio.sleep(0.05)
-            assert place.service.number == 2, "reached between the turns"
+            assert place.service.last_event_number == 2, "reached between the turns"
             assert sum(len(service.asked) for service in services) <= 4
 
     run(main())
