--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -433,7 +433,7 @@
     """`STATE/plan.bin`: an edge that starts without a planner follows the plan that it had."""
     file, told = copy("plan.bin", tmp_path), list[Any]()
     workers = [SimpleNamespace(id=name, live=True) for name in ("worker-1", "worker-2")]
-    gateway: Any = SimpleNamespace(members=workers, planned=told.append)
+    gateway: Any = SimpleNamespace(members=workers, on_plan=told.append)
 
     async def main() -> None:
         log = Silent()
