--- a/bench/soak_mutants.py
+++ b/bench/soak_mutants.py
@@ -1,4 +1,4 @@
-"""Takes one guard at a time out of a scratch copy and plays the soak on it: each has to turn the soak red.
+"""Removes one guard at a time from a scratch copy of the sources and runs the soak on it: each must fail the soak.
 
     python bench/soak_mutants.py --seeds 4
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """One place of a guard, and what stands there without it."""
+    """One text of a source file, and what replaces it to remove the guard."""
 
     file: str
     old: str
@@ -28,7 +28,7 @@
 
 
 class Mutant:
-    """A guard, and how it is taken out: in all its places, where it has more than one."""
+    """One guard removed: what the program then does wrong, and the edits that remove it."""
 
     def __init__(self, name: str, file: str, old: str, new: str, *further: Edit) -> None:
         self.name = name
@@ -44,106 +44,106 @@
         "        return item.status is None and not item.cancelled and item.request.final_status is None\n",
         "        return True\n",
         Edit(
-            "kelptrail/platform/worker_connections.py",
-            "        if piece is not None and self.link is not None and not self.link.withdraw(piece):\n",
+            "kelptrail/platform/worker_connection.py",
+            "        if write is not None and self.connection is not None and not self.connection.withdraw(write):\n",
             "        if True:\n",
         ),
     ),
     Mutant(
-        "what waits for a client that went is not taken back",
-        "kelptrail/platform/service.py",
-        "        if request.act is not None and self._requests.pop(request.act, None) is not None:\n",
+        "an attempt that waits for a client that went is not cancelled",
+        "kelptrail/platform/decision_executor.py",
+        "        if request is not None and self.client_requests.pop(request, None) is not None:\n",
         "        if False:\n",
     ),
     Mutant(
-        "a once-only request is repeated",
+        "an at-most-once request is retried",
         "kelptrail/dispatch/safety.py",
         "else 0.0\n",
         'else float("inf")\n',
     ),
     Mutant(
-        "a deduplicated request is repeated past its window",
+        "a deduplicated request is retried past its window",
         "kelptrail/dispatch/safety.py",
-        "first.sent + act.type.remembered_ms - 20",
+        "first.started_at + request.request_class.deduplication_window_ms - 20",
         'float("inf")',
     ),
     Mutant(
         "the limit is that of the decision",
-        "kelptrail/platform/service.py",
-        "limit_ms = int(act.deadline - now)",
-        "limit_ms = int(act.deadline - act.taken)",
+        "kelptrail/platform/decision_executor.py",
+        "limit_ms = int(request.deadline - now)",
+        "limit_ms = int(request.deadline - request.received_at)",
     ),
     Mutant(
         "a worker in slow start gets what a warm one gets",
         "kelptrail/dispatch/slow_start.py",
-        "        if (warmth := self.warmth(now, worker)) >= 1:\n            return True\n        budget",
+        "        if (warmth := self.capacity_factor(now, worker)) >= 1:\n            return True\n        budget",
         "        return True\n        warmth = 1.0\n        budget",
     ),
     Mutant(
-        "a momentary failure of send ends the connection",
+        "a transient failure of a send ends the connection",
         "kelptrail/net/errors.py",
         "    return cause.errno in MOMENTARY\n",
         "    return False\n",
     ),
     Mutant(
-        "connections are closed whatever stands in them",
-        "kelptrail/platform/client_server.py",
-        "        if client.open or self._under_way(client):\n            return False\n",
+        "connections are closed whatever is pending on them",
+        "kelptrail/platform/client_connections.py",
+        "        if client.open_requests or client.has_pending_io():\n            return False\n",
         "",
     ),
     Mutant(
-        "the end does not wait for what is in hand, and leaves it unanswered",
-        "kelptrail/platform/service.py",
-        "if unfinished and now < plan.end:",
-        "if False:",
+        "shutdown does not wait for open requests, and leaves them unanswered",
+        "kelptrail/platform/graceful_shutdown.py",
+        "if self._has_open_work() and now < plan.end:",
+        "if self._has_open_work() and False:",
         Edit(
-            "kelptrail/platform/service.py",
-            "            self._final(self._host.stopped(now, act))\n",
+            "kelptrail/platform/graceful_shutdown.py",
+            "            self._executor.answer_final(self._engine.terminate(now, request))\n",
             "            pass\n",
         ),
     ),
     Mutant(
-        "an aborted client ends the queue",
+        "a client that has gone ends the accepting of those behind it",
         "kelptrail/net/errors.py",
         "    return cause.errno in CLIENT_GONE\n",
         "    return False\n",
     ),
     Mutant(
-        "a start gives up at the first failure",
+        "a start ends at the first failure",
         "kelptrail/platform/__main__.py",
         "            if not is_local_shortage(cause) or",
         "            if True or",
     ),
     Mutant(
-        "workers that drain are sent to",
+        "draining workers get attempts",
         "kelptrail/dispatch/entities.py",
-        "        return self.state is State.LIVE\n",
-        "        return self.state is not State.GONE\n",
+        "        return self.state is WorkerState.LIVE\n",
+        "        return self.state is not WorkerState.REMOVED\n",
     ),
     Mutant(
-        "an answer is given twice",
+        "an answer is written twice",
         "kelptrail/platform/client_server.py",
-        "            client.link.write(frames.answer(request.stream, code, body, later_ms))\n",
-        "            client.link.write(frames.answer(request.stream, code, body, later_ms) * 2)\n",
+        "            client.connection.write(frames.answer(request.stream, code, body, later_ms))\n",
+        "            client.connection.write(frames.answer(request.stream, code, body, later_ms) * 2)\n",
     ),
 )
 
 
-def play(mutant: Mutant, seeds: int, first: int, folder: Path) -> str | None:
-    """What the soak says of a copy without the guard: the line of the first seed that finds it, or None."""
-    copy = folder / "copy"
-    shutil.rmtree(copy, ignore_errors=True)
+def run_soak(mutant: Mutant, seeds: int, first: int, folder: Path) -> str | None:
+    """What the soak finds in a copy without the guard, with the first seed that finds it; None if none does."""
+    sources = folder / "sources"
+    shutil.rmtree(sources, ignore_errors=True)
     for part in ("kelptrail", "bench"):
-        shutil.copytree(ROOT / part, copy / part, ignore=shutil.ignore_patterns("tmp*", "__pycache__"))
+        shutil.copytree(ROOT / part, sources / part, ignore=shutil.ignore_patterns("tmp*", "__pycache__"))
     for edit in mutant.edits:
-        file = copy / edit.file
+        file = sources / edit.file
         text = file.read_text()
         if text.count(edit.old) != 1:
-            return f"NOT PLAYED: its text stands {text.count(edit.old)} times in {edit.file}"
+            return f"NOT RUN: its text occurs {text.count(edit.old)} times in {edit.file}"
         file.write_text(text.replace(edit.old, edit.new))
     for seed in range(first, first + seeds):
         command = [sys.executable, "bench/soak.py", "--seeds", "1", "--first", str(seed)]
-        done = subprocess.run(command, cwd=copy, capture_output=True, text=True, timeout=300)
+        done = subprocess.run(command, cwd=sources, capture_output=True, text=True, timeout=300)
         if done.returncode:
             found = [line.strip() for line in done.stdout.splitlines() if line.startswith("    ")]
             return f"seed {seed}: {found[0] if found else done.stderr[-300:]}"
@@ -154,15 +154,15 @@
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--seeds", type=int, default=4, help="seeds until a mutant counts as never found")
     parser.add_argument("--first", type=int, default=1)
-    parser.add_argument("--only", help="mutants whose name holds this")
-    asks = parser.parse_args()
+    parser.add_argument("--only", help="only mutants whose name contains this")
+    options = parser.parse_args()
     missed = 0
     with tempfile.TemporaryDirectory() as folder:
         for mutant in MUTANTS:
-            if asks.only and asks.only not in mutant.name:
+            if options.only and options.only not in mutant.name:
                 continue
-            found = play(mutant, asks.seeds, asks.first, Path(folder))
-            missed += found is None or found.startswith("NOT PLAYED")
+            found = run_soak(mutant, options.seeds, options.first, Path(folder))
+            missed += found is None or found.startswith("NOT RUN")
             print(f"{mutant.name}: {found or 'NEVER FOUND'}", flush=True)
     print(f"{missed} mutants were not found")
     return 1 if missed else 0
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The short twin of bench/soak.py, and the parts of it that judge."""
+"""A short run of bench/soak.py, the parts of it that judge, and the source texts that bench/soak_mutants.py edits."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 sys.path.insert(0, str(ROOT / "bench"))
 
 from soak import CommandReader  # noqa: E402
+from soak_mutants import MUTANTS, Mutant  # noqa: E402
 
 
 @pytest.mark.rigs
@@ -29,3 +30,17 @@
     for at in range(0, len(data), size):
         found += reader.feed(data[at : at + size])
     assert [words[0] for words in found] == ["CALL", "LOAD", "CALL", "CANCEL"]
+
+
+@pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
+def test_every_text_that_a_mutant_replaces_occurs_exactly_once_in_its_file(mutant: Mutant) -> None:
+    """A change of the sources that a mutant no longer matches would leave its guard unchecked.  The texts of all its
+    edits are replaced, as the program does, and what comes out is a Python file that differs."""
+    texts: dict[str, str] = {}
+    for edit in mutant.edits:
+        text = texts.get(edit.file) or (ROOT / edit.file).read_text()
+        assert text.count(edit.old) == 1, f"{edit.file}: {edit.old!r}"
+        texts[edit.file] = text.replace(edit.old, edit.new)
+    for file, text in texts.items():
+        assert text != (ROOT / file).read_text()
+        compile(text, file, "exec")
