--- a/bench/planner.py
+++ b/bench/planner.py
@@ -22,9 +22,9 @@
 from kelptrail.emulator.cluster import Cluster, ask
 from kelptrail.gateway.counters import FunctionCounters
 from kelptrail.peers.messages import VERSION, FrameReader, Heartbeat, Hello, frame
-from kelptrail.planner.channel import READ, Report
-from kelptrail.planner.placement import FunctionDemand, WorkerCapacity, greedy, solve, valid
-from kelptrail.planner.plan import FIRST
+from kelptrail.planner.channel import READ, UsageReport
+from kelptrail.planner.placement import FunctionDemand, WorkerCapacity, place_by_program, place_greedily, violations
+from kelptrail.planner.plan import BEFORE_ALL_PLANS
 from kelptrail.settings.deployment import load
 
 ROOT = Path(__file__).parent.parent
@@ -60,22 +60,22 @@
         for tight in (1.0, 0.12):
             hosts, needs = world(workers, functions, 1, tight)
             budget = max(8, functions // 5)
-            for name, how in (("greedy", greedy), ("program", solve)):
+            for name, how in (("greedy", place_greedily), ("program", place_by_program)):
                 began = time.perf_counter()
                 found = how(hosts, needs, budget)
                 took = time.perf_counter() - began
-                assert not valid(found.wants, hosts, needs, budget)
+                assert not violations(found.instances, hosts, needs, budget)
                 rows.append(
                     {
                         "workers": workers,
                         "functions": functions,
                         "memory": tight,
                         "how": name,
-                        "by": found.by,
+                        "by": found.solver,
                         "s": round(took, 3),
-                        "price": round(found.price, 1),
+                        "price": round(found.cost, 1),
                         "missing": found.missing,
-                        "moves": found.moves,
+                        "moves": found.new,
                     }
                 )
                 print(json.dumps(rows[-1]), flush=True)
@@ -116,17 +116,17 @@
         frames = FrameReader(READ)
 
         async def read() -> None:
-            from kelptrail.planner.channel import Offer, Reply
-            from kelptrail.planner.plan import unpack
+            from kelptrail.planner.channel import PlanOffer, PlanReply
+            from kelptrail.planner.plan import decode_plan
 
             while data := await reader.read(1 << 16):
                 self.bytes_in += len(data)
                 for message in frames.feed(data):
-                    if isinstance(message, Offer):
+                    if isinstance(message, PlanOffer):
                         self.plans += 1
-                        self._write(writer, frame(Reply(unpack(message.data).head.order)))
+                        self._write(writer, frame(PlanReply(decode_plan(message.data).header.order)))
 
-        self._write(writer, frame(Hello(VERSION, self.name, self._lineage, FIRST)))
+        self._write(writer, frame(Hello(VERSION, self.name, self._lineage, BEFORE_ALL_PLANS)))
         task = asyncio.create_task(read())
         chance = np.random.default_rng(zlib.crc32(self.name.encode()))
         began = now_ms()
@@ -137,7 +137,7 @@
                 for m, c in zip(self._models, counts, strict=True)
                 if c
             }
-            self._write(writer, frame(Report(FIRST, now_ms() - began, tallies, {}, False)))
+            self._write(writer, frame(UsageReport(BEFORE_ALL_PLANS, now_ms() - began, tallies, {}, False)))
             self._write(writer, frame(Heartbeat()))
             await asyncio.sleep(1.0)
             if task.done():
--- a/kelptrail/cli/main.py
+++ b/kelptrail/cli/main.py
@@ -161,12 +161,12 @@
 
 def _dispatch(context: click.Context, file: str, planners: tuple[str, ...], **words: Any) -> None:
     deployment = _settings(file)
-    from kelptrail.service.serve import Options
+    from kelptrail.service.serve import DispatcherOptions
     from kelptrail.service.serve import serve as run
 
     host, port, name = words["host"], words["port"], words["name"]
     log = _log(context, dispatcher=name)
-    options = Options(
+    options = DispatcherOptions(
         name,
         words["hall"],
         host,
@@ -272,13 +272,13 @@
 ) -> None:
     """Plan loads and placement ahead for edges, until SIGTERM, while it holds the lease; others stand by."""
     deployment = _settings(file)
-    from kelptrail.planner.driver import Options
+    from kelptrail.planner.driver import PlannerOptions
     from kelptrail.service.planner import serve as run
 
     log = _log(context, planner=name)
     if control_port is not None:
         control = f"127.0.0.1:{control_port}"
-    options = Options(name, host, port, roster, state, control, solver, slow_ms, at=_addresses(at))
+    options = PlannerOptions(name, host, port, roster, state, control, solver, slow_ms, peer_addresses=_addresses(at))
 
     async def go() -> None:
         stop = asyncio.Event()
--- a/kelptrail/emulator/datagram_proxy.py
+++ b/kelptrail/emulator/datagram_proxy.py
@@ -15,7 +15,7 @@
 from kelptrail.codec.http import Request
 from kelptrail.net.server import Exchange, HttpServer
 from kelptrail.settings.deployment import VrrpSettings
-from kelptrail.vrrp.driver import HOPS, Where, split
+from kelptrail.vrrp.driver import TTL, SocketAddress, parse_socket_address
 
 from .capture import Capture
 from .network_faults import NetworkFaults
@@ -27,24 +27,26 @@
     def __init__(self, settings: VrrpSettings, capture: Capture, seed: int) -> None:
         self._capture, self._weather = capture, NetworkFaults(seed, 3)
         self._loop = asyncio.get_running_loop()
-        self._names = {split(i.udp)[0]: i.name for i in settings.instance}
+        self._names = {parse_socket_address(i.udp)[0]: i.name for i in settings.instance}
         self._loss = self._copy = 0.0
         self._delay = (0.0, 0.0)
         self._out: dict[str, socket.socket] = {}
         for instance in settings.instance:
             out = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             out.setblocking(False)
-            out.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, HOPS)
-            out.bind((split(instance.udp)[0], 0))
+            out.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, TTL)
+            out.bind((parse_socket_address(instance.udp)[0], 0))
             self._out[instance.name] = out
         for instance in settings.instance:
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sock.setblocking(False)
-            sock.bind(split(instance.reached_at))
-            self._loop.add_reader(sock.fileno(), self._readable, sock, instance.name, split(instance.udp))
+            sock.bind(parse_socket_address(instance.reached_at))
+            self._loop.add_reader(
+                sock.fileno(), self._readable, sock, instance.name, parse_socket_address(instance.udp)
+            )
         self.server = HttpServer(self._handle)
 
-    def _readable(self, sock: socket.socket, to: str, where: Where) -> None:
+    def _readable(self, sock: socket.socket, to: str, where: SocketAddress) -> None:
         while True:
             try:
                 data, source = sock.recvfrom(4096)
@@ -66,7 +68,7 @@
                 wait = float(self._weather.chance.uniform(*self._delay))
                 self._loop.call_later(wait / 1000, self._send, sender, data, where)
 
-    def _send(self, sender: str, data: bytes, where: Where) -> None:
+    def _send(self, sender: str, data: bytes, where: SocketAddress) -> None:
         try:
             self._out[sender].sendto(data, where)
         except OSError as cause:
--- a/kelptrail/emulator/worker.py
+++ b/kelptrail/emulator/worker.py
@@ -39,7 +39,7 @@
 from kelptrail.net.http_client import HttpClient
 from kelptrail.net.pool import Call, Ending, WorkerPool
 from kelptrail.net.server import Exchange, HttpServer, Limits
-from kelptrail.service.build import tls_keeper
+from kelptrail.service.build import certificate_reloader
 from kelptrail.settings.deployment import ActionSettings, Deployment, TypeSettings
 
 from .capture import Capture, Lag
@@ -92,7 +92,7 @@
         self._store = WorkerPool(store, 256, 2000.0, pool.idle_ms, 1 << 20)
         self._roster = HttpClient(roster)
         limits = Limits(self._fleet.connections, idle_ms=120_000.0)
-        tls = tls_keeper(deployment, "runners", ["http/1.1"], None)
+        tls = certificate_reloader(deployment, "runners", ["http/1.1"], None)
         self.server = HttpServer(self._handle, limits, tls=tls.context if tls else None)
         self.control = HttpServer(self._command)
         self._faults: dict[str, dict[str, Any]] = {}
--- a/kelptrail/planner/build.py
+++ b/kelptrail/planner/build.py
@@ -5,11 +5,11 @@
 from kelptrail.membership.members import EndpointList
 from kelptrail.settings.deployment import Deployment
 
-from .core import Model, PlannerSettings
+from .core import FunctionProfile, PlannerSettings
 from .placement import WorkerCapacity
 
 
-def settings_of(deployment: Deployment) -> PlannerSettings:
+def planner_settings(deployment: Deployment) -> PlannerSettings:
     """A deployment's planner settings."""
     plan = deployment.planner
     return PlannerSettings(
@@ -17,15 +17,15 @@
     )
 
 
-def models_of(deployment: Deployment) -> dict[str, Model]:
+def function_profiles(deployment: Deployment) -> dict[str, FunctionProfile]:
     """What the settings say of functions."""
     return {
-        a.model: Model(a.memory_mb, a.lanes, a.load_ms, deployment.types[a.type].utility)
+        a.model: FunctionProfile(a.memory_mb, a.lanes, a.load_ms, deployment.types[a.type].utility)
         for a in deployment.actions.values()
     }
 
 
-def hosts_of(deployment: Deployment, listing: EndpointList) -> list[WorkerCapacity]:
+def worker_capacities(deployment: Deployment, listing: EndpointList) -> list[WorkerCapacity]:
     """The live workers of a list; what each holds is the settings' matter."""
     fleet, cold_ms = deployment.fleet, deployment.rules.cold_ms
     return [
--- a/kelptrail/planner/channel.py
+++ b/kelptrail/planner/channel.py
@@ -14,62 +14,62 @@
 from kelptrail.gateway.counters import FunctionCounters
 from kelptrail.peers.messages import VERSION, ChannelError, Heartbeat, Hello, decoder, frame
 
-from .plan import Order, Plan, PlanError, Wants, pack, unpack
+from .plan import InstanceCounts, Plan, PlanError, PlanOrder, decode_plan, encode_plan
 from .plan_follower import PlanState
 
 
-class Report(msgspec.Struct, frozen=True, tag="report", array_like=True):
+class UsageReport(msgspec.Struct, frozen=True, tag="report", array_like=True):
     """An edge's counts since its last report, and changes in the copies that it believes in (`whole`: all of them)."""
 
-    order: Order
-    quiet_ms: float
-    tallies: dict[str, FunctionCounters]
-    standing: Wants
-    whole: bool
+    order: PlanOrder
+    leader_silent_ms: float
+    counters: dict[str, FunctionCounters]
+    loaded: InstanceCounts
+    complete: bool
 
 
-class Offer(msgspec.Struct, frozen=True, tag="offer", array_like=True):
+class PlanOffer(msgspec.Struct, frozen=True, tag="offer", array_like=True):
     """A plan, packed."""
 
     data: bytes
 
 
-class Reply(msgspec.Struct, frozen=True, tag="reply", array_like=True):
+class PlanReply(msgspec.Struct, frozen=True, tag="reply", array_like=True):
     """What became of a plan: `reason` empty where it was taken."""
 
-    order: Order
+    order: PlanOrder
     reason: str = ""
     text: str = ""
 
 
-Message = Hello | Heartbeat | Report | Offer | Reply
-READ = decoder(Report, Offer, Reply)
+Message = Hello | Heartbeat | UsageReport | PlanOffer | PlanReply
+READ = decoder(UsageReport, PlanOffer, PlanReply)
 
 
-class EdgeLink:
+class EdgeChannel:
     """An edge's end of one connection to a planner; several links share one follower and one `Led`."""
 
     def __init__(
-        self, who: str, lineage: str, follower: PlanState, led: Led, now: float, report_ms: float = 1000.0
+        self, who: str, lineage: str, follower: PlanState, led: LeaderContact, now: float, report_ms: float = 1000.0
     ) -> None:
         self._follower, self._led, self._report_ms = follower, led, report_ms
-        self.out: list[bytes] = [frame(Hello(VERSION, who, lineage, follower.fence))]
+        self.output: list[bytes] = [frame(Hello(VERSION, who, lineage, follower.fence))]
         self._counts: dict[str, FunctionCounters] = {}  # since the last report on this connection
-        self._told: Wants | None = None  # copies as the planner knows them; None: nothing yet
+        self._told: InstanceCounts | None = None  # copies as the planner knows them; None: nothing yet
         self._next = now
-        self.heard = now
+        self.last_heard = now
         self.planner = ""
         self.writing = False  # by the host: some of the output is on its way
 
-    def received(self, now: float, message: Message, live: Collection[str], roster: tuple[str, int]) -> str:
+    def on_message(self, now: float, message: Message, live: Collection[str], roster: tuple[str, int]) -> str:
         """A message from the planner: "" or "taken", "refused"."""
-        self.heard = now
+        self.last_heard = now
         if isinstance(message, Hello):
             self.planner = message.who
         elif isinstance(message, Heartbeat):
             if message.acting and (message.epoch, self.planner) >= self._follower.fence[:2]:
-                self._led.at = now
-        elif isinstance(message, Offer):
+                self._led.last_ms = now
+        elif isinstance(message, PlanOffer):
             return self._offered(now, message.data, live, roster)
         else:
             raise ChannelError(f"{type(message).__name__} is not for an edge")
@@ -77,29 +77,29 @@
 
     def _offered(self, now: float, data: bytes, live: Collection[str], roster: tuple[str, int]) -> str:
         try:
-            packet = unpack(data)
+            packet = decode_plan(data)
         except PlanError as cause:
-            self.out.append(frame(Reply(self._follower.fence, "digest", str(cause))))
+            self.output.append(frame(PlanReply(self._follower.fence, "digest", str(cause))))
             return "refused"
-        report = self._follower.offer(now, packet, live, roster)
+        report = self._follower.on_plan(now, packet, live, roster)
         if report is None:
-            self._led.at = now
-            self.out.append(frame(Reply(packet.head.order)))
+            self._led.last_ms = now
+            self.output.append(frame(PlanReply(packet.header.order)))
             return "taken"
-        self.out.append(frame(Reply(self._follower.fence, report.reason.value, report.text)))
+        self.output.append(frame(PlanReply(self._follower.fence, report.reason.value, report.text)))
         return "refused"
 
-    def due(self, now: float) -> bool:
+    def report_due(self, now: float) -> bool:
         """Whether a report may go."""
         return now >= self._next
 
-    def counted(self, tallies: dict[str, FunctionCounters]) -> None:
+    def add_counters(self, tallies: dict[str, FunctionCounters]) -> None:
         """What was asked of functions; it goes with the next report.  Each link counts for itself: planners that are
         told at different moments must each hear all of it."""
         for model, tally in tallies.items():
             self._counts[model] = self._counts.get(model, FunctionCounters()).plus(tally)
 
-    def report(self, now: float, standing: Wants) -> None:
+    def queue_report(self, now: float, standing: InstanceCounts) -> None:
         """Put a report into the output."""
         self._next = now + self._report_ms
         before = self._told
@@ -114,37 +114,39 @@
         )
         self._told = standing
         counts, self._counts = self._counts, {}
-        self.out.append(frame(Report(self._follower.fence, self._led.quiet_ms(now), counts, moved, before is None)))
+        self.output.append(
+            frame(UsageReport(self._follower.fence, self._led.silent_ms(now), counts, moved, before is None))
+        )
 
 
 def _moved(before: dict[str, int], after: dict[str, int]) -> dict[str, int]:
     return {w: after.get(w, 0) for w in before.keys() | after.keys() if before.get(w) != after.get(w)}
 
 
-class Led:
+class LeaderContact:
     """When an edge last heard from a planner that acts."""
 
     def __init__(self, now: float) -> None:
-        self.at = now
+        self.last_ms = now
 
-    def quiet_ms(self, now: float) -> float:
+    def silent_ms(self, now: float) -> float:
         """Since then."""
-        return now - self.at
+        return now - self.last_ms
 
 
-class PlannerLink:
+class PlannerChannel:
     """A planner's end of one connection to an edge."""
 
     def __init__(self, who: str, lineage: str) -> None:
         self._lineage = lineage
-        self.out: list[bytes] = [frame(Hello(VERSION, who, lineage))]
+        self.output: list[bytes] = [frame(Hello(VERSION, who, lineage))]
         self.edge = ""
-        self.standing: Wants = {}  # of the edge, joined from its changes
+        self.loaded: InstanceCounts = {}  # of the edge, joined from its changes
         self._waiting: tuple[Plan, float] | None = None  # and when it was made
         self._sent: Plan | None = None  # the last that the edge took
         self._under_way: Plan | None = None
 
-    def received(self, message: Message) -> Message:
+    def on_message(self, message: Message) -> Message:
         """A message from the edge, checked; of a report the copies are joined into `standing`."""
         if isinstance(message, Hello):
             if message.lineage != self._lineage:
@@ -152,14 +154,14 @@
             if not message.who or len(message.who) > 200:
                 raise ChannelError("an edge says who it is")
             self.edge = message.who
-        elif isinstance(message, Report):
-            if message.whole:
-                self.standing = {}
-            for model, at in message.standing.items():
-                mine = self.standing.setdefault(model, {})
+        elif isinstance(message, UsageReport):
+            if message.complete:
+                self.loaded = {}
+            for model, at in message.loaded.items():
+                mine = self.loaded.setdefault(model, {})
                 mine |= at
-        elif isinstance(message, Reply):
-            if self._under_way is not None and not message.reason and message.order == self._under_way.head.order:
+        elif isinstance(message, PlanReply):
+            if self._under_way is not None and not message.reason and message.order == self._under_way.header.order:
                 self._sent = self._under_way
             else:
                 self._sent = None  # the next one goes whole
@@ -168,15 +170,15 @@
             raise ChannelError(f"{type(message).__name__} is not for a planner")
         return message
 
-    def offer(self, plan: Plan, made: float) -> None:
+    def offer_plan(self, plan: Plan, made: float) -> None:
         """A plan for this edge; it takes the place of one that still waits."""
         self._waiting = plan, made
 
-    def pump(self, now: float) -> bool:
+    def queue_next_plan(self, now: float) -> bool:
         """Put what waits into the output, if nothing is under way."""
         if self._waiting is None or self._under_way is not None:
             return False
         (plan, made), self._waiting = self._waiting, None
-        self.out.append(frame(Offer(pack(plan, now - made, self._sent))))
+        self.output.append(frame(PlanOffer(encode_plan(plan, now - made, self._sent))))
         self._under_way = plan
         return True
--- a/kelptrail/service/build.py
+++ b/kelptrail/service/build.py
@@ -13,7 +13,7 @@
 from kelptrail.settings.deployment import Deployment, FrontSettings, InferenceSettings
 
 
-def limits(front: FrontSettings) -> Limits:
+def front_limits(front: FrontSettings) -> Limits:
     """The door's limits as the server takes them."""
     return Limits(
         front.connections,
@@ -45,7 +45,7 @@
     )
 
 
-def tls_keeper(deployment: Deployment, side: str, alpn: list[str], log: Any) -> CertificateReloader | None:
+def certificate_reloader(deployment: Deployment, side: str, alpn: list[str], log: Any) -> CertificateReloader | None:
     """One side's TLS, if the settings have it.  Raises `ValueError` where its files cannot be used."""
     found = deployment.tls.get(side)
     if found is None:
--- a/kelptrail/service/fleet.py
+++ b/kelptrail/service/fleet.py
@@ -26,15 +26,15 @@
     `at`: addresses that go before those of settings and list, by name."""
 
     name: str
-    run: str
+    run_id: str
     listen: str | None = None
-    at: dict[str, str] = field(default_factory=dict)
-    state: Path | None = None
+    peer_addresses: dict[str, str] = field(default_factory=dict)
+    state_folder: Path | None = None
     vfs: str | None = None
-    hall: str = ""
+    zone: str = ""
 
 
-def link_settings(plan: PeersPlan) -> PeerSettings:
+def peer_settings(plan: PeersPlan) -> PeerSettings:
     """The channel's figures as links take them."""
     return PeerSettings(
         plan.beat_ms, plan.silent_ms, plan.connect_ms, int(plan.most_kb * 1024), plan.per_s, int(plan.most_kb * 1024)
@@ -57,7 +57,7 @@
     )
 
 
-def copy_settings(plan: PeersPlan) -> ReplicationSettings:
+def replication_settings(plan: PeersPlan) -> ReplicationSettings:
     """The copies' figures as owners take them."""
     return ReplicationSettings(
         plan.copies,
@@ -79,23 +79,23 @@
         assert plan is not None
         self._options, self._listed = options, dict[str, str]()
         self._stated = {peer.name: peer.at for peer in plan.peer if peer.at}
-        self.length_ms = leases.length_ms if leases is not None else 0.0
-        self.peers = Peers(options.name, deployment.name, link_settings(plan), self.where, log)
+        self.lease_length_ms = leases.length_ms if leases is not None else 0.0
+        self.peers = Peers(options.name, deployment.name, peer_settings(plan), self.address_of, log)
         self.leases: LeaseDriver | None = None
-        self.copies: ReplicationDriver | None = None
+        self.replication: ReplicationDriver | None = None
         self._halls = {peer.name: peer.hall for peer in plan.peer}
         if leases is None:
             return
-        self.leases = LeaseDriver(options.name, options.run, lease_settings(leases), self.peers, log)
+        self.leases = LeaseDriver(options.name, options.run_id, lease_settings(leases), self.peers, log)
         if options.name in (*leases.voters, *leases.before):
-            if options.state is None:
+            if options.state_folder is None:
                 raise ValueError(f"{options.name} is a voter and needs --state: its promises are kept there")
-            self.leases.vote(options.state / "leases.sqlite", options.vfs)
+            self.leases.vote(options.state_folder / "leases.sqlite", options.vfs)
 
-    def hold(self, plan: PeersPlan, log: Any) -> None:
+    def enable_replication(self, plan: PeersPlan, log: Any) -> None:
         """Copies of what is held for others, in the state folder.  Where they cannot be had there, none are held and
         nothing is promised."""
-        options, state = self._options, self._options.state
+        options, state = self._options, self._options.state_folder
         if state is None or self.leases is None:
             raise ValueError(f"{options.name} keeps copies and needs --state")
         try:
@@ -106,11 +106,11 @@
             return
         if aside is not None:
             log.error("copies-set-aside", file=str(aside))
-        self.copies = ReplicationDriver(
+        self.replication = ReplicationDriver(
             options.name,
-            copy_settings(plan),
+            replication_settings(plan),
             plan.take_ms,
-            self.length_ms,
+            self.lease_length_ms,
             self.peers,
             self.leases,
             own,
@@ -121,20 +121,27 @@
 
     def members(self) -> list[Member]:
         """Dispatchers that are known, and where they stand."""
-        return [Member(name, self._halls.get(name, "")) for name in sorted({*self.names(), self._options.name})]
+        return [
+            Member(name, self._halls.get(name, "")) for name in sorted({*self.dispatcher_names(), self._options.name})
+        ]
 
-    def where(self, name: str) -> str:
+    def address_of(self, name: str) -> str:
         """A peer's address; empty while it is not known."""
-        for known in (self._options.at, self._stated, self._listed):
+        for known in (self._options.peer_addresses, self._stated, self._listed):
             if known.get(name):
                 return known[name]
         return ""
 
-    def names(self) -> set[str]:
+    def dispatcher_names(self) -> set[str]:
         """Dispatchers that are known."""
-        return {*self._listed, *self._stated, *self._options.at, *(self.leases.settings.voters if self.leases else ())}
-
-    def listed(self, listing: EndpointList) -> None:
+        return {
+            *self._listed,
+            *self._stated,
+            *self._options.peer_addresses,
+            *(self.leases.settings.voters if self.leases else ()),
+        }
+
+    def on_endpoints(self, listing: EndpointList) -> None:
         """The worker list names dispatchers, too."""
         self._listed = {peer.name: peer.channel for peer in listing.dispatchers if peer.channel}
         self._halls |= {peer.name: peer.hall for peer in listing.dispatchers if peer.hall}
@@ -147,8 +154,8 @@
         self.peers.start()
         if self.leases is not None:
             self.leases.start()
-        if self.copies is not None:
-            self.copies.start()
+        if self.replication is not None:
+            self.replication.start()
 
     async def stop(self) -> None:
         """Give back leases and close links."""
@@ -161,6 +168,6 @@
         shown: dict[str, Callable[[], Any]] = {"peers": self.peers.status}
         if self.leases is not None:
             shown["leases"] = self.leases.status
-        if self.copies is not None:
-            shown["copies"] = self.copies.status
+        if self.replication is not None:
+            shown["copies"] = self.replication.status
         return shown
--- a/kelptrail/service/front_addresses.py
+++ b/kelptrail/service/front_addresses.py
@@ -17,7 +17,7 @@
 from kelptrail.settings.deployment import FrontSettings, VrrpSettings
 from kelptrail.vrrp.address import FrontAddress
 from kelptrail.vrrp.authentication import Key, Opener, Sealer
-from kelptrail.vrrp.driver import VrrpDriver, next_epoch, split
+from kelptrail.vrrp.driver import VrrpDriver, next_epoch, parse_socket_address
 from kelptrail.vrrp.instance import Instance
 from kelptrail.vrrp.state_machine import RouterSettings
 from kelptrail.vrrp.tracking import Tracking, TrackSettings
@@ -45,8 +45,8 @@
     ) -> None:
         mine = next(i for i in settings.instance if i.name == name)
         others = [i for i in settings.instance if i.name != name]
-        primary = ip_address(split(mine.udp)[0])
-        peers = {ip_address(split(i.udp)[0]): split(i.reached_at) for i in others}
+        primary = ip_address(parse_socket_address(mine.udp)[0])
+        peers = {ip_address(parse_socket_address(i.udp)[0]): parse_socket_address(i.reached_at) for i in others}
         routers, self.addresses = [], dict[int, FrontAddress]()
         for router in settings.router:
             part = next((m for m in router.member if m.name == name), None)
@@ -89,7 +89,7 @@
         self._turn = 0
         self.vrrp = VrrpDriver(
             instance,
-            split(mine.udp),
+            parse_socket_address(mine.udp),
             peers,
             lambda vrid: self.addresses[vrid].take(),
             lambda vrid: self.addresses[vrid].give_up(front.drain_ms),
@@ -136,7 +136,7 @@
         addresses = [self._driver.gateway.members.addresses[w] for w in self._driver.gateway.members if w.live]
         for _ in range(min(LOOKED_AT, len(addresses))):
             self._turn += 1
-            host, port = split(addresses[self._turn % len(addresses)])
+            host, port = parse_socket_address(addresses[self._turn % len(addresses)])
             sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
             sock.setblocking(False)
             try:
--- a/kelptrail/service/planner.py
+++ b/kelptrail/service/planner.py
@@ -14,7 +14,7 @@
 from kelptrail.membership.client import EndpointClient
 from kelptrail.membership.members import EndpointList
 from kelptrail.net.server import Exchange, HttpServer, Limits
-from kelptrail.planner.driver import Options, PlannerDriver
+from kelptrail.planner.driver import PlannerDriver, PlannerOptions
 from kelptrail.settings.deployment import Deployment
 
 from .fleet import Fleet, FleetOptions
@@ -22,7 +22,7 @@
 
 async def serve(
     deployment: Deployment,
-    options: Options,
+    options: PlannerOptions,
     log: Any,
     ready: Callable[[str, str], None] | None = None,
     stop: asyncio.Event | None = None,
@@ -33,23 +33,23 @@
         loop.add_signal_handler(sign, stop.set)
     if deployment.peers is None or deployment.leases is None:
         raise ValueError("planners act under a lease: (peers ...) and (leases ...) are needed")
-    fleet = Fleet(deployment, FleetOptions(options.name, os.urandom(4).hex(), None, options.at), log)
+    fleet = Fleet(deployment, FleetOptions(options.name, os.urandom(4).hex(), None, options.peer_addresses), log)
     assert fleet.leases is not None
-    program = PlannerDriver(deployment, options, fleet.leases, fleet.length_ms, log)
+    program = PlannerDriver(deployment, options, fleet.leases, fleet.lease_length_ms, log)
     had = program.restore()
     program.listen()
-    last = options.state / "last-list.json" if options.state is not None else None
-    if options.state is not None:
+    last = options.state_folder / "last-list.json" if options.state_folder is not None else None
+    if options.state_folder is not None:
         with contextlib.suppress(OSError):
-            options.state.mkdir(parents=True, exist_ok=True)
+            options.state_folder.mkdir(parents=True, exist_ok=True)
     fleet.start()
     program.start()
 
     def changed(listing: EndpointList) -> None:
-        fleet.listed(listing)
-        program.listed(listing)
+        fleet.on_endpoints(listing)
+        program.on_endpoints(listing)
 
-    roster = EndpointClient(options.roster, "", changed, last, log)
+    roster = EndpointClient(options.endpoint_service, "", changed, last, log)
     roster.start_from_last()
     follower = loop.create_task(roster.follow())
 
@@ -59,8 +59,11 @@
             return
         if request.method == "POST" and request.path == "/fault":  # for trials: plans that take longer
             body = msgspec.json.decode(request.body)
-            program.slow_ms, program.core.demand.factor = float(body.get("ms", 0.0)), float(body.get("factor", 1.0))
-            loop.call_later(float(body["for_ms"]) / 1000, program.sound)
+            program.solve_delay_ms, program.planner.demand.error_factor = (
+                float(body.get("ms", 0.0)),
+                float(body.get("factor", 1.0)),
+            )
+            loop.call_later(float(body["for_ms"]) / 1000, program.clear_faults)
         exchange.reply(200, msgspec.json.encode(program.status()))
 
     control = HttpServer(handle, Limits(connections=64))
--- a/kelptrail/service/serve.py
+++ b/kelptrail/service/serve.py
@@ -29,8 +29,8 @@
 from kelptrail.net.listener import ConnectPace, PaceSettings
 from kelptrail.net.server import Handler, HttpServer, Limits
 from kelptrail.net.tls import CertificateReloader
-from kelptrail.planner.driver import Options as PlannerOptions
 from kelptrail.planner.driver import PlannerDriver
+from kelptrail.planner.driver import PlannerOptions as PlannerOptions
 from kelptrail.planner.edge_driver import PlanFollower
 from kelptrail.replication.messages import PREFIX as BOOKS
 from kelptrail.settings.deployment import Deployment, FrontSettings, InferenceSettings
@@ -39,37 +39,37 @@
 from kelptrail.store.faulty_disk import FaultyDisk
 from kelptrail.store.group_commit import GroupCommit
 
-from .build import grpc_limits, limits, tls_keeper
+from .build import certificate_reloader, front_limits, grpc_limits
 from .control import Control
 from .fleet import Fleet, FleetOptions
 from .front_addresses import FrontAddresses
 from .journal_takeover import take_over_journal
 from .lease_trial import FaultyClock, LeaseTrial
-from .usage import Usage
+from .usage import UsageDriver
 
 
 @dataclass(frozen=True, slots=True)
-class Options:
+class DispatcherOptions:
     """What differs from one dispatcher of a deployment to the next."""
 
     name: str
-    hall: str
+    zone: str
     host: str
     port: int
-    roster: str
-    state: Path | None
+    endpoint_service: str
+    state_folder: Path | None
     shared_port: bool = False
     crash_at: str = ""  # a step at which the process kills itself, for crash tests
     pause_at: str = ""  # a step at which the process stops itself, once, for tests of what stands still
     control: str | None = None  # address of the control port; None: no such port
     grpc_port: int | None = None  # of the second front; None: the settings'
     planners: tuple[str, ...] = ()  # addresses of planners to follow
-    harmed: Path | None = None  # a file that says what ails the disk under the book, for tests
+    disk_fault_file: Path | None = None  # a file that says what ails the disk under the book, for tests
     peers: str | None = None  # where its channel listens; None: as the settings say, or a free port
-    at: dict[str, str] = field(default_factory=dict)  # where peers are, by name, before settings and list
-    harmed_clock: Path | None = None  # a file that says what ails the clock, for trials
-    witness: str = ""  # of acts under leases on `tasks`, for trials
-    tasks: tuple[str, ...] = ()
+    peer_addresses: dict[str, str] = field(default_factory=dict)  # where peers are, by name, before settings and list
+    clock_fault_file: Path | None = None  # a file that says what ails the clock, for trials
+    trial_witness: str = ""  # of acts under leases on `tasks`, for trials
+    trial_leases: tuple[str, ...] = ()
 
 
 def _open(file: Path, most_bytes: float, vfs: str | None, log: Any) -> ActivationJournal | None:
@@ -105,7 +105,7 @@
 
 async def serve(
     deployment: Deployment,
-    options: Options,
+    options: DispatcherOptions,
     log: Any,
     debug: bool = False,
     ready: Callable[[int, str, str, str], None] | None = None,
@@ -119,17 +119,19 @@
     # Ids tell which dispatcher gave them; the rest is new at each start, so that they never meet another run's.
     boot = id_prefix(options.name) + os.urandom(8).hex()[PREFIX:]
     world = DispatcherParts(
-        deployment, options.hall or deployment.dispatcher.hall or deployment.halls[0], zlib.crc32(boot.encode())
+        deployment, options.zone or deployment.dispatcher.hall or deployment.halls[0], zlib.crc32(boot.encode())
     )
     settings, book = deployment.journal, None
-    disk = FaultyDisk(options.harmed) if options.harmed is not None else None
-    harmed_clock = FaultyClock(options.harmed_clock, log) if options.harmed_clock is not None else None
-    if options.state is not None:
+    disk = FaultyDisk(options.disk_fault_file) if options.disk_fault_file is not None else None
+    harmed_clock = FaultyClock(options.clock_fault_file, log) if options.clock_fault_file is not None else None
+    if options.state_folder is not None:
         with contextlib.suppress(OSError):  # what cannot be kept there is told by whoever needs it
-            options.state.mkdir(parents=True, exist_ok=True)
+            options.state_folder.mkdir(parents=True, exist_ok=True)
         if settings.keep:
-            book = _open(options.state / "book.sqlite", settings.most_mb * 1e6, disk.vfs_name if disk else None, log)
-    journal = GroupCommit(settings.most_waiting) if options.state is not None and settings.keep else None
+            book = _open(
+                options.state_folder / "book.sqlite", settings.most_mb * 1e6, disk.vfs_name if disk else None, log
+            )
+    journal = GroupCommit(settings.most_waiting) if options.state_folder is not None and settings.keep else None
     if journal is not None and book is None:  # blocking calls go on; nothing new is promised
         journal.failing, journal.reason = True, "the book cannot be used"
     gateway = Gateway(world, boot, journal)
@@ -153,7 +155,7 @@
             ("grpc", "front", ["h2"]),
             ("to-workers", "to-workers", ["http/1.1"]),
         )
-        if (keeper := tls_keeper(deployment, side, alpn, log)) is not None
+        if (keeper := certificate_reloader(deployment, side, alpn, log)) is not None
     }
     if "to-workers" in keepers:
         driver.tls = keepers["to-workers"].context
@@ -174,7 +176,7 @@
 
     def first_door(handler: Handler) -> HttpServer:
         made = HttpServer(
-            handler, limits(deployment.front), log.warning, http_tls, callers.named, pace(deployment.front)
+            handler, front_limits(deployment.front), log.warning, http_tls, callers.named, pace(deployment.front)
         )
         made.door.on_connect = connected
         return made
@@ -193,7 +195,7 @@
 
     second = second_door()
     server = first_door(api.handle)
-    last = options.state / "last-list.json" if options.state is not None else None
+    last = options.state_folder / "last-list.json" if options.state_folder is not None else None
     fleet: Fleet | None = None
     if deployment.peers is not None:
         stated = {peer.name: peer.at for peer in deployment.peers.peer}.get(options.name)
@@ -203,26 +205,26 @@
                 options.name,
                 os.urandom(4).hex(),
                 options.peers or stated or f"{options.host}:0",
-                options.at,
-                options.state,
+                options.peer_addresses,
+                options.state_folder,
                 disk.vfs_name if disk else None,
-                options.hall,
+                options.zone,
             ),
             log,
         )
         if deployment.peers.copies:
-            fleet.hold(deployment.peers, log)
+            fleet.enable_replication(deployment.peers, log)
             take_over_journal(
-                fleet.copies, gateway, driver, settings.resume_at_once, 2 * deployment.dispatcher.answer_margin_ms
+                fleet.replication, gateway, driver, settings.resume_at_once, 2 * deployment.dispatcher.answer_margin_ms
             )
-            api.copies = inference.copies = fleet.copies
+            api.copies = inference.copies = fleet.replication
     if book is not None and journal is not None:
         driver.journal = JournalDriver(journal, book, driver.schedule_decisions, log)
         gateway.on_forget = driver.journal.forget
         began = now_ms()
         # Half the margin is the least in which a run is worth beginning, as little time as a send and its answer take.
         # What moved on to a book with copies is found there.
-        moved = fleet.copies.ids() if fleet is not None and fleet.copies is not None else set()
+        moved = fleet.replication.ids() if fleet is not None and fleet.replication is not None else set()
         lives = (life for life in book.activations() if life.accepted.id not in moved)
         found = gateway.recover(
             began, wall_ms(), lives, 2 * deployment.dispatcher.answer_margin_ms, settings.resume_at_once
@@ -235,37 +237,37 @@
     def changed(listing: EndpointList) -> None:
         driver.on_endpoints(listing)
         if fleet is not None:
-            fleet.listed(listing)
+            fleet.on_endpoints(listing)
         if plans is not None:
-            plans.listed()
+            plans.on_endpoints()
         if inner is not None:
-            inner.listed(listing)
+            inner.on_endpoints(listing)
         listed.set()
 
-    roster = EndpointClient(options.roster, driver.name, changed, last, log)
+    roster = EndpointClient(options.endpoint_service, driver.name, changed, last, log)
     had = roster.start_from_last()
     trial: LeaseTrial | None = None
-    usage: Usage | None = None
+    usage: UsageDriver | None = None
     if fleet is not None:
         if fleet.leases is not None and options.crash_at:
             fleet.leases.passes = gateway.passes
         if fleet.leases is not None and deployment.leases is not None and deployment.leases.usage_ms:
-            usage = Usage(
+            usage = UsageDriver(
                 fleet.leases,
                 fleet.peers,
                 boot,
                 deployment.leases.usage_ms,
-                fleet.length_ms,
+                fleet.lease_length_ms,
                 lambda: {space: (n[0], n[1], n[2]) for space, n in gateway.records.used.items()},
-                fleet.names,
+                fleet.dispatcher_names,
                 log,
             )
         fleet.start()
         if usage is not None:
             usage.start()
-        roster.channel, roster.hall = fleet.peers.address, options.hall
-        if fleet.leases is not None and options.witness:
-            trial = LeaseTrial(fleet.leases, options.witness, options.tasks, fleet.length_ms)
+        roster.channel, roster.hall = fleet.peers.address, options.zone
+        if fleet.leases is not None and options.trial_witness:
+            trial = LeaseTrial(fleet.leases, options.trial_witness, options.trial_leases, fleet.lease_length_ms)
             trial.start()
     # What stands now stands for good; the rest goes without a collector, but for rare cycles.  Guards against full
     # collections of 100 ms in the middle of calls: they come while nothing is in hand, else every ten minutes.
@@ -277,8 +279,8 @@
     background.add("collect", collector.step, 9, 60_000.0, 600_000.0, 0.05)
     port = server.listen(options.host, options.port, options.shared_port)
     api.own, roster.own = f"{'https' if http_tls else 'http'}://{server.address}", server.address
-    if fleet is not None and fleet.copies is not None:
-        fleet.copies.own = server.address
+    if fleet is not None and fleet.replication is not None:
+        fleet.replication.own = server.address
     if driver.journal is not None:
         background.add("compact", driver.journal.compact, 7, 2000.0, 30_000.0)
     if keepers:
@@ -287,9 +289,9 @@
     if deployment.planner.within and fleet is not None and fleet.leases is not None:
         inner = PlannerDriver(
             deployment,
-            PlannerOptions(f"{options.name}-planner", "127.0.0.1", 0, options.roster, options.state),
+            PlannerOptions(f"{options.name}-planner", "127.0.0.1", 0, options.endpoint_service, options.state_folder),
             fleet.leases,
-            fleet.length_ms,
+            fleet.lease_length_ms,
             log,
         )
         inner.restore()
@@ -303,13 +305,13 @@
             deployment.name,
             gateway,
             driver.schedule_decisions,
-            options.state / "plan.bin" if options.state is not None else None,
+            options.state_folder / "plan.bin" if options.state_folder is not None else None,
             log,
         )
-        background.add("report", plans.report, 2, 250.0, 1500.0, 0.05)
-        background.add("save-plan", plans.save, 6, 2000.0, 20_000.0)
-        if plans.start_from_last():
-            log.info("plan-from-last", order=list(plans.follower.fence))
+        background.add("report", plans.send_reports, 2, 250.0, 1500.0, 0.05)
+        background.add("save-plan", plans.save_plan, 6, 2000.0, 20_000.0)
+        if plans.load_saved_plan():
+            log.info("plan-from-last", order=list(plans.plan_state.fence))
         plans.start()
     background.start()
     if deployment.inference.serve:
@@ -325,10 +327,10 @@
         standing = FrontAddresses(
             deployment.vrrp,
             options.name,
-            options.state,
+            options.state_folder,
             driver,
             api,
-            limits(deployment.front),
+            front_limits(deployment.front),
             deployment.front,
             log,
             lambda: roster.saved and not (journal and journal.failing),
@@ -353,7 +355,7 @@
             standing,
             keepers,
             more,
-            fleet.copies.retire if fleet is not None and fleet.copies is not None else None,
+            fleet.replication.retire if fleet is not None and fleet.replication is not None else None,
         ).handle,
         Limits(connections=64),
     )
@@ -380,8 +382,8 @@
     # Whoever was given an id may still ask, at our own address.
     while gateway.records.untold(now_ms() - within) and now_ms() < end:
         await asyncio.sleep(0.05)
-    if fleet is not None and fleet.copies is not None:
-        answered = await fleet.copies.stop(max(500.0, end - now_ms())) and answered
+    if fleet is not None and fleet.replication is not None:
+        answered = await fleet.replication.stop(max(500.0, end - now_ms())) and answered
     if fleet is not None and fleet.leases is not None:
         await fleet.leases.stop()
     if driver.journal is not None:
--- a/kelptrail/service/usage.py
+++ b/kelptrail/service/usage.py
@@ -25,14 +25,14 @@
 Rates = dict[str, tuple[float, float, float]]  # the same a second
 
 
-class Collect(msgspec.Struct, frozen=True, tag="collect", array_like=True):
+class UsageRequest(msgspec.Struct, frozen=True, tag="collect", array_like=True):
     """What have you counted?"""
 
     token: FencingToken
     turn: int
 
 
-class Used(msgspec.Struct, frozen=True, tag="used", array_like=True):
+class UsageCounts(msgspec.Struct, frozen=True, tag="used", array_like=True):
     """So much since the start of this run."""
 
     turn: int
@@ -40,7 +40,7 @@
     counts: Counts
 
 
-class Total(msgspec.Struct, frozen=True, tag="total", array_like=True):
+class UsageTotal(msgspec.Struct, frozen=True, tag="total", array_like=True):
     """Calls a second over the fleet, from `dispatchers` that answered both this turn and the one before."""
 
     token: FencingToken
@@ -49,7 +49,7 @@
     rates: Rates
 
 
-class Collector:
+class UsageCollector:
     """The holder's side; free of I/O and clocks."""
 
     def __init__(self, token: FencingToken) -> None:
@@ -58,18 +58,18 @@
         self._last: dict[str, tuple[float, str, Counts]] = {}  # by name: when asked, run, counts
         self._now: dict[str, tuple[float, str, Counts]] = {}
 
-    def begin(self, now: float) -> Collect:
+    def start_turn(self, now: float) -> UsageRequest:
         """A new turn."""
         self.turn += 1
         self._last, self._now, self._asked = self._last | self._now, {}, now
-        return Collect(self.token, self.turn)
+        return UsageRequest(self.token, self.turn)
 
-    def heard(self, name: str, used: Used) -> None:
+    def on_counts(self, name: str, used: UsageCounts) -> None:
         """An answer; one to an earlier turn is dropped."""
         if used.turn == self.turn:
             self._now[name] = self._asked, used.run, used.counts
 
-    def total(self) -> Total:
+    def total(self) -> UsageTotal:
         """What the turn came to."""
         rates: dict[str, list[float]] = {}
         known = 0
@@ -84,17 +84,17 @@
                 sums = rates.setdefault(space, [0.0, 0.0, 0.0])
                 for n, count in enumerate(three):
                     sums[n] += (count - old.get(space, (0, 0, 0))[n]) * 1000 / (asked - before[0])
-        return Total(self.token, self.turn, known, {s: (r[0], r[1], r[2]) for s, r in sorted(rates.items())})
+        return UsageTotal(self.token, self.turn, known, {s: (r[0], r[1], r[2]) for s, r in sorted(rates.items())})
 
 
-class Told:
+class UsageView:
     """Every dispatcher's side: the newest total, and which questions are answered; free of I/O and clocks."""
 
     def __init__(self) -> None:
-        self.token, self.total = NO_TOKEN, Total(NO_TOKEN, 0, 0, {})
+        self.token, self.total = NO_TOKEN, UsageTotal(NO_TOKEN, 0, 0, {})
         self.refused = 0
 
-    def takes(self, token: FencingToken) -> bool:
+    def accepts(self, token: FencingToken) -> bool:
         """Whether an act under this token is taken; an older one is not."""
         if token < self.token:
             self.refused += 1
@@ -102,15 +102,15 @@
         self.token = token
         return True
 
-    def told(self, total: Total) -> bool:
+    def on_total(self, total: UsageTotal) -> bool:
         """A total; an older one is refused."""
-        if not self.takes(total.token) or (total.token, total.turn) <= (self.total.token, self.total.turn):
+        if not self.accepts(total.token) or (total.token, total.turn) <= (self.total.token, self.total.turn):
             return False
         self.total = total
         return True
 
 
-class Usage:
+class UsageDriver:
     """One dispatcher's part.  `counts` tells what it has counted, `names` whom it knows."""
 
     def __init__(
@@ -127,10 +127,10 @@
         self._leases, self._peers, self._run, self._every_ms = leases, peers, run, every_ms
         self._length_ms, self._counts, self._names, self._log = length_ms, counts, names, log
         self._loop = asyncio.get_running_loop()
-        self.told = Told()
-        self._collector: Collector | None = None
+        self.view = UsageView()
+        self._collector: UsageCollector | None = None
         self._timer: asyncio.TimerHandle | None = None
-        peers.speak(SPEAKS, self._came, Collect, Used, Total)
+        peers.speak(SPEAKS, self._came, UsageRequest, UsageCounts, UsageTotal)
 
     def start(self) -> None:
         """Want the lease."""
@@ -141,7 +141,7 @@
         self._lost(NO_TOKEN, "")
 
     def _won(self, token: FencingToken) -> None:
-        self._collector = Collector(token)
+        self._collector = UsageCollector(token)
         self._turn()
 
     def _lost(self, _token: FencingToken, _reason: str) -> None:
@@ -161,32 +161,32 @@
             total = collector.total()
             for name in names:
                 self._peers.send(name, total)
-            self.told.told(total)
-        question = collector.begin(now_ms())
+            self.view.on_total(total)
+        question = collector.start_turn(now_ms())
         for name in names:
             self._peers.send(name, question)
-        if self.told.takes(collector.token):
-            collector.heard(self._leases.name, Used(collector.turn, self._run, self._counts()))
+        if self.view.accepts(collector.token):
+            collector.on_counts(self._leases.name, UsageCounts(collector.turn, self._run, self._counts()))
         self._timer = self._loop.call_later(self._every_ms / 1000, self._turn)
 
-    def _came(self, sender: str, message: Collect | Used | Total) -> None:
-        if isinstance(message, Total):
-            self.told.told(message)
-        elif isinstance(message, Used):
+    def _came(self, sender: str, message: UsageRequest | UsageCounts | UsageTotal) -> None:
+        if isinstance(message, UsageTotal):
+            self.view.on_total(message)
+        elif isinstance(message, UsageCounts):
             if self._collector is not None:
-                self._collector.heard(sender, message)
-        elif self.told.takes(message.token):
-            self._peers.send(sender, Used(message.turn, self._run, self._counts()))
+                self._collector.on_counts(sender, message)
+        elif self.view.accepts(message.token):
+            self._peers.send(sender, UsageCounts(message.turn, self._run, self._counts()))
 
     def status(self) -> dict[str, Any]:
         """What operators are shown; rates are calls a second."""
-        total = self.told.total
+        total = self.view.total
         return {
             "collected_by": total.token.who.partition("/")[0],
             "token": str(total.token),
             "turn": total.turn,
             "dispatchers": total.dispatchers,
-            "refused": self.told.refused,
+            "refused": self.view.refused,
             "namespaces": {
                 space: {"completed": round(r[0], 2), "rejected": round(r[1], 2), "aborted": round(r[2], 2)}
                 for space, r in total.rates.items()
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -35,7 +35,7 @@
 from kelptrail.load.plan import Load
 from kelptrail.load.results import Result, Second
 from kelptrail.membership.members import EndpointList
-from kelptrail.planner.driver import TASK
+from kelptrail.planner.driver import LEASE_NAME
 from kelptrail.service.fleet import lease_settings
 from kelptrail.settings.deployment import ActionSettings, Deployment, NamespaceSettings
 from kelptrail.store.activation_journal import ActivationEntries
@@ -388,7 +388,7 @@
             )
             self.leases.contend(day.tasks, names)
             for planner in self.planners:
-                self.leases.want(self.leases.nodes[planner.name], TASK, planner.led, planner.stood_down)
+                self.leases.want(self.leases.nodes[planner.name], LEASE_NAME, planner.led, planner.stood_down)
         self._tell_lists()
         self.by_space: dict[str, list[int]] = {n: [0, 0] for n in deployment.namespaces}  # wanted, served in time
         self._tickets = self._calls = 0
@@ -793,8 +793,8 @@
                 planner.slow_ms = trouble.ms
                 self.engine.after(trouble.last * 1000, setattr, planner, "slow_ms", 0.0)
             elif trouble.kind == "planners-wrong":
-                planner.core.demand.factor = trouble.factor
-                self.engine.after(trouble.last * 1000, setattr, planner.core.demand, "factor", 1.0)
+                planner.core.demand.error_factor = trouble.factor
+                self.engine.after(trouble.last * 1000, setattr, planner.core.demand, "error_factor", 1.0)
             elif trouble.kind in ("pause-planners", "cut-planners"):
                 assert self.leases is not None
                 self.leases.befall(
--- a/kelptrail/vrrp/driver.py
+++ b/kelptrail/vrrp/driver.py
@@ -22,12 +22,12 @@
 from .packet import Address
 from .state_machine import GiveUp, Moved, Take
 
-HOPS = 255
+TTL = 255
 IP_RECVTTL = 12  # ip(7); the socket module does not name it on all versions
-Where = tuple[str, int]
+SocketAddress = tuple[str, int]
 
 
-def split(text: str) -> Where:
+def parse_socket_address(text: str) -> SocketAddress:
     """`address:port` as the two."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
@@ -57,8 +57,8 @@
     def __init__(
         self,
         instance: Instance,
-        here: Where,
-        peers: dict[Address, Where],
+        here: SocketAddress,
+        peers: dict[Address, SocketAddress],
         take: Callable[[int], None],
         give_up: Callable[[int], None],
         log: Any,
@@ -71,10 +71,10 @@
         self._sock.setblocking(False)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if family == socket.AF_INET:
-            self._sock.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, HOPS)
+            self._sock.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, TTL)
             self._sock.setsockopt(socket.IPPROTO_IP, IP_RECVTTL, 1)
         else:
-            self._sock.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_UNICAST_HOPS, HOPS)
+            self._sock.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_UNICAST_HOPS, TTL)
             self._sock.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_RECVHOPLIMIT, 1)
         self._sock.bind(here)
         self._timer: asyncio.TimerHandle | None = None
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -14,11 +14,11 @@
 from kelptrail.clock import now_ms
 from kelptrail.membership.members import EndpointList
 from kelptrail.peers.messages import VERSION, FrameReader, Heartbeat, Hello, frame
-from kelptrail.planner.channel import READ, Offer, Reply
+from kelptrail.planner.channel import READ, PlanOffer, PlanReply
 from kelptrail.planner.core import Role
-from kelptrail.planner.driver import Options, PlannerDriver
+from kelptrail.planner.driver import PlannerDriver, PlannerOptions
 from kelptrail.planner.edge_driver import PlanFollower
-from kelptrail.planner.plan import make, pack
+from kelptrail.planner.plan import encode_plan, make_plan
 from kelptrail.settings.deployment import parse
 
 ROOT = Path(__file__).parent.parent
@@ -51,15 +51,17 @@
         assert fleet.leases is not None
         made = PlannerDriver(
             self.dispatcher.deployment,
-            Options(f"planner-{number}", "127.0.0.1", port, "", state or self.state / f"p{number}", None, "greedy"),
+            PlannerOptions(
+                f"planner-{number}", "127.0.0.1", port, "", state or self.state / f"p{number}", None, "greedy"
+            ),
             fleet.leases,
-            fleet.length_ms,
+            fleet.lease_length_ms,
             self.log,
         )
         made.restore()
         made.listen()
         made.start()
-        made.listed(EndpointList(self.dispatcher.version, [w.entry for w in self.workers], "test"))
+        made.on_endpoints(EndpointList(self.dispatcher.version, [w.entry for w in self.workers], "test"))
         return made
 
     def follower(self) -> PlanFollower:
@@ -72,7 +74,7 @@
             self.state / "plan.bin",
             self.log,
         )
-        edge.start_from_last()
+        edge.load_saved_plan()
         edge.start()
         return edge
 
@@ -83,7 +85,7 @@
             status, _, _ = await self.dispatcher.call("p/check")
             assert status == 200
             done += 1
-            self.edge.report()
+            self.edge.send_reports()
             await asyncio.sleep(0.01)
         return done
 
@@ -103,22 +105,22 @@
         pair = Pair(tmp_path)
         planner = pair.planners[0]
         calling = asyncio.create_task(pair.calls(3.0))
-        await until(lambda: pair.edge.follower.wants(now_ms()))
-        assert planner.core.role is Role.ACTING and set(pair.edge.follower.wants(now_ms()) or ()) == {"check"}
+        await until(lambda: pair.edge.plan_state.target(now_ms()))
+        assert planner.planner.role is Role.LEADER and set(pair.edge.plan_state.target(now_ms()) or ()) == {"check"}
         await calling
         await planner.stop()  # gone: the plan goes on until it runs out, calls all the while
-        assert await pair.calls(2.5) > 30 and pair.edge.follower.wants(now_ms()) is None
+        assert await pair.calls(2.5) > 30 and pair.edge.plan_state.target(now_ms()) is None
         assert not any(f.planned for f in pair.dispatcher.gateway._world._functions.values())
         pair.planners = [pair.planner(0, port=int(planner.address.rpartition(":")[2]))]
-        await asyncio.gather(until(lambda: pair.edge.follower.wants(now_ms())), pair.calls(3.0))
-        assert pair.planners[0].core.epoch > planner.core.epoch, "a new epoch fences what the first may still say"
+        await asyncio.gather(until(lambda: pair.edge.plan_state.target(now_ms())), pair.calls(3.0))
+        assert pair.planners[0].planner.epoch > planner.planner.epoch, "a new epoch fences what the first may still say"
         await pair.stop()
         again = pair.follower()
-        assert again.follower.fence == pair.edge.follower.fence, "the next start knows the last plan"
+        assert again.plan_state.fence == pair.edge.plan_state.fence, "the next start knows the last plan"
         await again.stop()
         (tmp_path / "plan.bin").write_bytes(b"nonsense")
         broken = pair.follower()
-        assert broken.follower.plan is None and any(e == "last-plan-unusable" for e, _ in pair.log.lines)
+        assert broken.plan_state.plan is None and any(e == "last-plan-unusable" for e, _ in pair.log.lines)
         await broken.stop()
 
     run(main())
@@ -128,16 +130,16 @@
     async def main() -> None:
         pair = Pair(tmp_path, 2)
         await pair.calls(2.5)
-        acting = [p for p in pair.planners if p.core.role is Role.ACTING]
+        acting = [p for p in pair.planners if p.planner.role is Role.LEADER]
         assert len(acting) == 1
         first = acting[0]
         await first.stop()
         pair.planners.remove(first)
         began = now_ms()
-        core = pair.planners[0].core
-        await asyncio.gather(until(lambda: core.role is Role.ACTING), pair.calls(2.0))
-        while pair.edge.follower.fence[:2] != (core.epoch, core.owner):  # its first plan is on its way
-            assert now_ms() - began < 6000, (pair.edge.follower.fence, core.epoch, core.owner)
+        core = pair.planners[0].planner
+        await asyncio.gather(until(lambda: core.role is Role.LEADER), pair.calls(2.0))
+        while pair.edge.plan_state.fence[:2] != (core.epoch, core.owner):  # its first plan is on its way
+            assert now_ms() - began < 6000, (pair.edge.plan_state.fence, core.epoch, core.owner)
             await pair.calls(0.1)
         assert now_ms() - began < 6000
         await pair.stop()
@@ -158,7 +160,7 @@
                 said.extend(frames.feed(data))
                 writer.write(frame(Heartbeat()))
                 while offers:
-                    writer.write(frame(Offer(offers.pop(0))))
+                    writer.write(frame(PlanOffer(offers.pop(0))))
 
         server = await asyncio.start_server(forger, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
@@ -173,26 +175,28 @@
         )
         edge.start()
         await pair.calls(0.2)
-        name, roster = pair.dispatcher.deployment.name, edge.roster
-        good = make(name, (1, "forger", 1), 9e5, roster, {"check": {"w0": 2, "w1": 2, "w2": 2}, "activate": {"w1": 1}})
-        offers.append(pack(good, 0.0))
-        await asyncio.gather(until(lambda: edge.follower.taken == 1), pair.calls(0.5))
+        name, roster = pair.dispatcher.deployment.name, edge.endpoints_version
+        good = make_plan(
+            name, (1, "forger", 1), 9e5, roster, {"check": {"w0": 2, "w1": 2, "w2": 2}, "activate": {"w1": 1}}
+        )
+        offers.append(encode_plan(good, 0.0))
+        await asyncio.gather(until(lambda: edge.plan_state.accepted == 1), pair.calls(0.5))
         orders = sum(w.orders for w in pair.workers)
         assert orders >= 2, "copies ahead of calls"
         pair.workers[1].state = "draining"
         pair.dispatcher.list(pair.workers)
-        edge.listed()
+        edge.on_endpoints()
         before = pair.workers[1].orders, len(pair.workers[1].sends)
         await pair.calls(1.0)
         assert (pair.workers[1].orders, len(pair.workers[1].sends)) == before, "nothing to a drain, planned or not"
         offers += [
-            pack(make(name, (1, "forger", n), 9e5, roster, {"check": {w: 1}}), 0.0)
+            encode_plan(make_plan(name, (1, "forger", n), 9e5, roster, {"check": {w: 1}}), 0.0)
             for n, w in ((2, "w1"), (3, "nobody"), (1, "w0"))
-        ] + [pack(good, 0.0)[:-3], b"", b"\x28\xb5"]
-        await until(lambda: sum(isinstance(m, Reply) for m in said) >= 7)
-        reasons = [m.reason for m in said if isinstance(m, Reply)]
+        ] + [encode_plan(good, 0.0)[:-3], b"", b"\x28\xb5"]
+        await until(lambda: sum(isinstance(m, PlanReply) for m in said) >= 7)
+        reasons = [m.reason for m in said if isinstance(m, PlanReply)]
         assert reasons == ["", "workers", "workers", "older", "digest", "digest", "digest"]
-        assert edge.follower.fence == (1, "forger", 1)
+        assert edge.plan_state.fence == (1, "forger", 1)
         await edge.stop()
         server.close()
         await pair.stop()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,7 +23,7 @@
 from kelptrail.net.server import Exchange, HttpServer
 from kelptrail.peers.connection import PeerConnection, PeerSettings
 from kelptrail.peers.messages import VERSION, ChannelError, FrameReader, Heartbeat, Hello, decoder, frame
-from kelptrail.service.usage import Collector, Told, Total, Usage, Used
+from kelptrail.service.usage import UsageCollector, UsageCounts, UsageDriver, UsageTotal, UsageView
 from kelptrail.settings.deployment import parse
 from kelptrail.settings.reader import SettingsError
 
@@ -252,18 +252,24 @@
 
 
 def test_usage_is_summed_over_the_fleet_and_old_collectors_are_not_heard(tmp_path: Path) -> None:
-    told, first, second = Told(), Collector(FencingToken(1, "a")), Collector(FencingToken(2, "b"))
+    told, first, second = UsageView(), UsageCollector(FencingToken(1, "a")), UsageCollector(FencingToken(2, "b"))
     counts = {"one": (10, 1, 0)}
     for now, completed in ((0.0, 10), (2000.0, 30)):
-        question = first.begin(now)
-        assert told.takes(question.token)
-        first.heard("x", Used(question.turn, "r1", {"one": (completed, 1, 0)}))
-        first.heard("y", Used(question.turn - 1, "r1", counts))
-    assert first.total() == Total(FencingToken(1, "a"), 2, 1, {"one": (10.0, 0.0, 0.0)}) and told.told(first.total())
-    first.begin(4000.0)
-    first.heard("x", Used(3, "r2", {"one": (4, 0, 2)}))
+        question = first.start_turn(now)
+        assert told.accepts(question.token)
+        first.on_counts("x", UsageCounts(question.turn, "r1", {"one": (completed, 1, 0)}))
+        first.on_counts("y", UsageCounts(question.turn - 1, "r1", counts))
+    assert first.total() == UsageTotal(FencingToken(1, "a"), 2, 1, {"one": (10.0, 0.0, 0.0)}) and told.on_total(
+        first.total()
+    )
+    first.start_turn(4000.0)
+    first.on_counts("x", UsageCounts(3, "r2", {"one": (4, 0, 2)}))
     assert first.total().rates == {"one": (2.0, 0.0, 1.0)}, "a new run counts from nothing"
-    assert told.takes(second.begin(0.0).token) and not told.takes(first.token) and not told.told(first.total())
+    assert (
+        told.accepts(second.start_turn(0.0).token)
+        and not told.accepts(first.token)
+        and not told.on_total(first.total())
+    )
     assert told.refused == 2
 
     async def main() -> None:
@@ -278,21 +284,21 @@
             fleet = voters.join(f"v{n}", "127.0.0.1:0")
             assert fleet.leases is not None
             parts.append(
-                Usage(
+                UsageDriver(
                     fleet.leases,
                     fleet.peers,
                     f"r{n}",
                     100.0,
                     1000.0,
                     lambda n=n: {"one": (calls[n], 0, 0)},
-                    fleet.names,
+                    fleet.dispatcher_names,
                     voters.log,
                 )
             )
             parts[-1].start()
         end = time.monotonic() + 10
         while time.monotonic() < end and not all(
-            p.told.total.dispatchers == 3 and p.told.total.rates["one"][0] > 0 for p in parts
+            p.view.total.dispatchers == 3 and p.view.total.rates["one"][0] > 0 for p in parts
         ):
             calls[:] = [c + 2 for c in calls]
             await asyncio.sleep(0.02)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -27,7 +27,7 @@
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.server import HttpServer
 from kelptrail.net.tls import CertificateReloader, Expiry, TlsFiles
-from kelptrail.service.build import grpc_limits, tls_keeper
+from kelptrail.service.build import certificate_reloader, grpc_limits
 from kelptrail.settings.deployment import parse
 from kelptrail.settings.reader import SettingsError
 
@@ -132,10 +132,10 @@
     def __init__(self, folder: Path, script: Any = answer) -> None:
         self.deployment, self.log = secure(folder), Silent()
         keep = {
-            side: tls_keeper(self.deployment, side, alpn, self.log)
+            side: certificate_reloader(self.deployment, side, alpn, self.log)
             for side, alpn in (("front", ["http/1.1"]), ("to-workers", ["http/1.1"]), ("runners", ["http/1.1"]))
         }
-        self.h2 = tls_keeper(self.deployment, "front", ["h2"], self.log)
+        self.h2 = certificate_reloader(self.deployment, "front", ["h2"], self.log)
         self.keep = keep
         self.worker = ScriptedWorker("w0", script)
         self.worker.server._tls = keep["runners"].context  # type: ignore[union-attr]
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -16,13 +16,37 @@
 from kelptrail.dispatch.entities import LoadOrder as HoldOrder
 from kelptrail.gateway.counters import FunctionCounters
 from kelptrail.peers.messages import VERSION, ChannelError, FrameReader, Heartbeat, Hello, frame
-from kelptrail.planner.channel import READ, EdgeLink, Led, Offer, PlannerLink, Reply, Report
-from kelptrail.planner.core import Model, Planner, PlannerSettings, Role
+from kelptrail.planner.channel import (
+    READ,
+    EdgeChannel,
+    LeaderContact,
+    PlannerChannel,
+    PlanOffer,
+    PlanReply,
+    UsageReport,
+)
+from kelptrail.planner.core import FunctionProfile, Planner, PlannerSettings, Role
 from kelptrail.planner.demand import Demand
-from kelptrail.planner.placement import FunctionDemand, WorkerCapacity, greedy, price, solve, valid
-from kelptrail.planner.plan import FIRST, Plan, PlanError, Wants, changed, changes, pack, unpack
-from kelptrail.planner.plan import make as make_plan
-from kelptrail.planner.plan_follower import PlanState, Refusal
+from kelptrail.planner.placement import (
+    FunctionDemand,
+    WorkerCapacity,
+    place_by_program,
+    place_greedily,
+    placement_cost,
+    violations,
+)
+from kelptrail.planner.plan import (
+    BEFORE_ALL_PLANS,
+    InstanceCounts,
+    Plan,
+    PlanError,
+    apply_difference,
+    decode_plan,
+    difference,
+    encode_plan,
+)
+from kelptrail.planner.plan import make_plan as make_plan
+from kelptrail.planner.plan_follower import PlanState, RefusalReason
 
 LIVE = {f"w{n}" for n in range(6)}
 ROSTER = ("list", 5)
@@ -32,7 +56,7 @@
     number: int = 1,
     epoch: int = 1,
     owner: str = "p",
-    wants: Wants | None = None,
+    wants: InstanceCounts | None = None,
     lineage: str = "here",
     valid: float = 10_000.0,
     roster: tuple[str, int] = ROSTER,
@@ -45,13 +69,16 @@
 
 def test_a_plan_goes_whole_and_as_a_delta_and_anything_altered_is_named() -> None:
     first = plan_of(1, wants={f"m{n}": {"w1": 1, "w2": n % 3} for n in range(300)})
-    second = plan_of(2, wants=changed(first.wants, {"m3": {"w1": 0}, "m9": {"w4": 2}, "new": {"w0": 1}}))
-    whole, delta = pack(second, 5.0), pack(second, 5.0, first)
+    second = plan_of(2, wants=apply_difference(first.instances, {"m3": {"w1": 0}, "m9": {"w4": 2}, "new": {"w0": 1}}))
+    whole, delta = encode_plan(second, 5.0), encode_plan(second, 5.0, first)
     assert len(delta) < len(whole) / 4
-    assert unpack(whole).wants == second.wants and unpack(whole).base == 0
-    assert changed(first.wants, unpack(delta).wants) == second.wants and unpack(delta).base == 1
-    assert changes(first.wants, first.wants) == {}
-    assert pack(plan_of(1, epoch=2), 0.0, first) == pack(plan_of(1, epoch=2), 0.0), "no delta over epochs"
+    assert decode_plan(whole).instances == second.instances and decode_plan(whole).base_number == 0
+    assert (
+        apply_difference(first.instances, decode_plan(delta).instances) == second.instances
+        and decode_plan(delta).base_number == 1
+    )
+    assert difference(first.instances, first.instances) == {}
+    assert encode_plan(plan_of(1, epoch=2), 0.0, first) == encode_plan(plan_of(1, epoch=2), 0.0), "no delta over epochs"
     chance = random.Random(3)
     for _ in range(400):
         broken = bytearray(whole)
@@ -61,11 +88,11 @@
             broken[chance.randrange(len(broken))] ^= 1 << chance.randrange(8)
         follower = PlanState("here")
         try:
-            packet = unpack(bytes(broken))
+            packet = decode_plan(bytes(broken))
         except PlanError:
             continue
-        if follower.offer(0.0, packet, LIVE, ROSTER) is None and follower.plan is not None:
-            assert follower.plan.wants == second.wants, "whatever is taken is what was meant"
+        if follower.on_plan(0.0, packet, LIVE, ROSTER) is None and follower.plan is not None:
+            assert follower.plan.instances == second.instances, "whatever is taken is what was meant"
 
 
 def test_an_edge_takes_a_plan_whole_or_not_at_all_and_says_why() -> None:
@@ -78,41 +105,43 @@
         before: Plan | None = None,
         live: set[str] | None = None,
         roster: tuple[str, int] = ROSTER,
-    ) -> Refusal | None:
-        found = follower.offer(now, unpack(pack(plan, age, before)), LIVE if live is None else live, roster)
+    ) -> RefusalReason | None:
+        found = follower.on_plan(
+            now, decode_plan(encode_plan(plan, age, before)), LIVE if live is None else live, roster
+        )
         return found.reason if found is not None else None
 
-    assert follower.wants(0.0) is None
+    assert follower.target(0.0) is None
     first = plan_of(1)
-    assert offer(first) is None and follower.wants(0.0) == {"m": {"w1": 1}}
-    assert offer(first) is Refusal.OLDER and offer(plan_of(0)) is Refusal.OLDER
-    assert offer(plan_of(2, lineage="there")) is Refusal.LINEAGE
-    assert offer(plan_of(2), age=10_000.0) is Refusal.EXPIRED
-    assert offer(plan_of(2, wants={"m": {"w1": 1, "gone": 1}})) is Refusal.WORKERS
-    assert offer(plan_of(2, wants={"m": {"w1": 1}}), live=LIVE - {"w1"}) is Refusal.WORKERS, "it drains"
-    packet = unpack(pack(plan_of(2), 0.0))
-    lied = follower.offer(0.0, msgspec.structs.replace(packet, wants={"m": {"w2": 1}}), LIVE, ROSTER)
-    assert lied is not None and lied.reason is Refusal.DIGEST
-    assert follower.wants(0.0) == {"m": {"w1": 1}}, "nothing of what was refused"
+    assert offer(first) is None and follower.target(0.0) == {"m": {"w1": 1}}
+    assert offer(first) is RefusalReason.OLDER and offer(plan_of(0)) is RefusalReason.OLDER
+    assert offer(plan_of(2, lineage="there")) is RefusalReason.LINEAGE
+    assert offer(plan_of(2), age=10_000.0) is RefusalReason.EXPIRED
+    assert offer(plan_of(2, wants={"m": {"w1": 1, "gone": 1}})) is RefusalReason.WORKERS
+    assert offer(plan_of(2, wants={"m": {"w1": 1}}), live=LIVE - {"w1"}) is RefusalReason.WORKERS, "it drains"
+    packet = decode_plan(encode_plan(plan_of(2), 0.0))
+    lied = follower.on_plan(0.0, msgspec.structs.replace(packet, instances={"m": {"w2": 1}}), LIVE, ROSTER)
+    assert lied is not None and lied.reason is RefusalReason.DIGEST
+    assert follower.target(0.0) == {"m": {"w1": 1}}, "nothing of what was refused"
     second, third = plan_of(2, wants={"m": {"w2": 1}}), plan_of(3, wants={"m": {"w3": 1}})
-    assert offer(third, before=second) is Refusal.BASE
+    assert offer(third, before=second) is RefusalReason.BASE
     assert offer(second, 100.0, 400.0, first) is None
-    assert follower.left_ms(100.0) == 9600 and follower.wants(9700.1) is None, "it has run out"
+    assert follower.remaining_ms(100.0) == 9600 and follower.target(9700.1) is None, "it has run out"
     assert offer(plan_of(1, epoch=1, owner="q")) is None, "of one epoch the later name"
-    assert offer(plan_of(9, epoch=1, owner="p")) is Refusal.OLDER
+    assert offer(plan_of(9, epoch=1, owner="p")) is RefusalReason.OLDER
     assert offer(plan_of(1, epoch=2, owner="a")) is None
-    assert offer(plan_of(9, epoch=1, owner="q")) is Refusal.OLDER, "fenced"
+    assert offer(plan_of(9, epoch=1, owner="q")) is RefusalReason.OLDER, "fenced"
     ahead = plan_of(2, epoch=2, owner="a", wants={"m": {"new": 1}}, roster=("list", 7))
-    assert offer(ahead, 500.0) is None and follower.wants(500.0) == {"m": {"w1": 1}}, "our list is behind: it waits"
-    assert follower.listed(600.0, LIVE, ("list", 6)) is None and follower.wants(600.0) == {"m": {"w1": 1}}
-    assert follower.listed(700.0, LIVE | {"new"}, ("list", 7)) is None
-    assert follower.wants(700.0) == {"m": {"new": 1}}
+    assert offer(ahead, 500.0) is None and follower.target(500.0) == {"m": {"w1": 1}}, "our list is behind: it waits"
+    assert follower.on_endpoints(600.0, LIVE, ("list", 6)) is None and follower.target(600.0) == {"m": {"w1": 1}}
+    assert follower.on_endpoints(700.0, LIVE | {"new"}, ("list", 7)) is None
+    assert follower.target(700.0) == {"m": {"new": 1}}
     kept = follower.plan
     assert kept is not None
     anew = PlanState("here")
-    assert not anew.restore(0.0, kept, 5000.0, LIVE) and anew.wants(0.0) is None, "its worker has gone"
-    assert anew.fence == kept.head.order, "but it fences"
-    assert anew.restore(0.0, kept, 5000.0, LIVE | {"new"}) and anew.left_ms(0.0) == 5000.0
+    assert not anew.restore(0.0, kept, 5000.0, LIVE) and anew.target(0.0) is None, "its worker has gone"
+    assert anew.fence == kept.header.order, "but it fences"
+    assert anew.restore(0.0, kept, 5000.0, LIVE | {"new"}) and anew.remaining_ms(0.0) == 5000.0
     assert not PlanState("there").restore(0.0, kept, 5000.0, LIVE | {"new"})
 
 
@@ -150,15 +179,17 @@
 @pytest.mark.parametrize("seed", range(25))
 def test_placements_keep_memory_drains_and_budget_and_the_program_is_never_worse(seed: int) -> None:
     hosts, needs, budget = world(seed, 6, 14, 0.7)
-    found = [greedy(hosts, needs, budget), solve(hosts, needs, budget)]
+    found = [place_greedily(hosts, needs, budget), place_by_program(hosts, needs, budget)]
     for placed in found:
-        assert not valid(placed.wants, hosts, needs, budget)
-        assert placed.price == pytest.approx(price(placed.wants, hosts, needs)[0])
-    assert found[1].price <= found[0].price + 1e-9
-    assert solve(hosts, needs, budget) == found[1] and greedy(hosts, needs, budget) == found[0], "the same again"
+        assert not violations(placed.instances, hosts, needs, budget)
+        assert placed.cost == pytest.approx(placement_cost(placed.instances, hosts, needs)[0])
+    assert found[1].cost <= found[0].cost + 1e-9
+    assert place_by_program(hosts, needs, budget) == found[1] and place_greedily(hosts, needs, budget) == found[0], (
+        "the same again"
+    )
     shuffled = random.Random(seed).sample(needs, len(needs))
-    assert greedy(hosts, shuffled, budget).price == pytest.approx(found[0].price, rel=0.05)
-    assert greedy([], needs, budget).wants == {} and solve([], needs, budget).wants == {}
+    assert place_greedily(hosts, shuffled, budget).cost == pytest.approx(found[0].cost, rel=0.05)
+    assert place_greedily([], needs, budget).instances == {} and place_by_program([], needs, budget).instances == {}
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -184,12 +215,12 @@
     for counts in itertools.product(each, repeat=3):
         wants = {n.model: {f"w{w}": c for w, c in enumerate(at) if c} for n, at in zip(needs, counts, strict=True)}
         wants = {m: at for m, at in wants.items() if at}
-        if all(sum(at.values()) <= n.copies for n in needs if (at := wants.get(n.model, {}))) and not valid(
-            wants, hosts, needs, 4
-        ):
-            best = min(best, price(wants, hosts, needs)[0])
-    assert solve(hosts, needs, 4).price <= best * 1.01 + 0.01
-    assert greedy(hosts, needs, 4).price >= best - 1e-9, "nothing valid is better than the best"
+        if all(
+            sum(at.values()) <= n.instances_needed for n in needs if (at := wants.get(n.model, {}))
+        ) and not violations(wants, hosts, needs, 4):
+            best = min(best, placement_cost(wants, hosts, needs)[0])
+    assert place_by_program(hosts, needs, 4).cost <= best * 1.01 + 0.01
+    assert place_greedily(hosts, needs, 4).cost >= best - 1e-9, "nothing valid is better than the best"
 
 
 # Demand and the planner.
@@ -200,59 +231,66 @@
     for hour, rate in ((7, 10), (8, 80)):
         for second in range(1200):
             now = (hour * 1200 + second) * 1000.0
-            demand.report(now, "e", {"m": FunctionCounters(rate, rate, 0, 0, 0, 0, rate * 50.0)})
-            demand.close(now, hour)
-    assert demand.functions["m"].fast == pytest.approx(80, rel=0.01)
+            demand.add_report(now, "e", {"m": FunctionCounters(rate, rate, 0, 0, 0, 0, rate * 50.0)})
+            demand.close_window(now, hour)
+    assert demand.functions["m"].fast_rate == pytest.approx(80, rel=0.01)
     assert demand.functions["m"].work_ms == pytest.approx(50, rel=0.01)
     for second in range(60):  # the next day, before eight
         now = 1e8 + second * 1000.0
-        demand.report(now, "e", {"m": FunctionCounters(10, 10, 0, 0, 0, 0, 500.0)})
-        demand.close(now, 7)
-    now_rate = max(demand.functions["m"].fast, 0.7 * demand.functions["m"].slow)
-    assert demand.ahead("m", 8) == pytest.approx(2 * now_rate), "eight times as much is usual: twice is planned"
-    assert demand.ahead("m", 7) == pytest.approx(now_rate)
-    assert demand.asks(1e8 + 60_000, "e", 5000.0) == {"m"} and not demand.asks(2e8, "e", 5000.0)
-
-
-MODELS = {f"m{n}": Model(500.0, 4, 1000.0, 2.0) for n in range(20)}
-SETTINGS = PlannerSettings("here", every_ms=2000.0, down_ms=20_000.0, quiet_ms=1e9)
+        demand.add_report(now, "e", {"m": FunctionCounters(10, 10, 0, 0, 0, 0, 500.0)})
+        demand.close_window(now, 7)
+    now_rate = max(demand.functions["m"].fast_rate, 0.7 * demand.functions["m"].slow_rate)
+    assert demand.forecast("m", 8) == pytest.approx(2 * now_rate), "eight times as much is usual: twice is planned"
+    assert demand.forecast("m", 7) == pytest.approx(now_rate)
+    assert demand.recently_requested(1e8 + 60_000, "e", 5000.0) == {"m"} and not demand.recently_requested(
+        2e8, "e", 5000.0
+    )
+
+
+MODELS = {f"m{n}": FunctionProfile(500.0, 4, 1000.0, 2.0) for n in range(20)}
+SETTINGS = PlannerSettings("here", interval_ms=2000.0, scale_down_ms=20_000.0, edge_timeout_ms=1e9)
 HOSTS = [WorkerCapacity(f"w{n}", 8000.0, 8) for n in range(6)]
 
 
 def led(
-    planner: Planner, now: float, rate: int, edge: str = "e", order: tuple[int, str, int] = FIRST, steps: int = 30
+    planner: Planner,
+    now: float,
+    rate: int,
+    edge: str = "e",
+    order: tuple[int, str, int] = BEFORE_ALL_PLANS,
+    steps: int = 30,
 ) -> float:
     """Reports of one function, a second each, with all that the planner wants done."""
     for _ in range(steps):
         now += 1000
-        planner.reported(now, edge, order, {"m1": FunctionCounters(rate, rate, 0, 0, 0, 0, rate * 100.0)}, {})
+        planner.on_report(now, edge, order, {"m1": FunctionCounters(rate, rate, 0, 0, 0, 0, rate * 100.0)}, {})
         planner.tick(now, 8)
-        if (problem := planner.problem(now, 8)) is not None:
-            planner.solved(now, problem.number, greedy(problem.hosts, problem.needs, problem.budget))
+        if (problem := planner.next_problem(now, 8)) is not None:
+            planner.on_solution(now, problem.number, place_greedily(problem.workers, problem.demands, problem.budget))
     return now
 
 
 def test_copies_go_up_at_once_and_down_after_a_while_and_plans_do_not_thrash() -> None:
     planner = Planner("p", SETTINGS, MODELS, 0.0)
-    planner.listed(0.0, HOSTS, ROSTER)
+    planner.on_endpoints(0.0, HOSTS, ROSTER)
     led(planner, 0.0, 90)
-    assert not planner.counts.plans, "not before it holds the lease"
-    planner.lead(30_000.0, 1, "p/1")
+    assert not planner.counters.plans, "not before it holds the lease"
+    planner.on_lease_acquired(30_000.0, 1, "p/1")
     now = led(planner, 30_000.0, 90)
-    assert planner.role is Role.ACTING and planner.epoch == 1
-    high = sum(planner.wants["m1"].values())
-    assert high == replace(planner._needs(now, 8)[0]).copies == 4
-    same = planner.counts.same
+    assert planner.role is Role.LEADER and planner.epoch == 1
+    high = sum(planner.target["m1"].values())
+    assert high == replace(planner._needs(now, 8)[0]).instances_needed == 4
+    same = planner.counters.unchanged
     now = led(planner, now, 90)
-    assert planner.counts.same >= same + 10, "nothing changes, so the plan does not"
+    assert planner.counters.unchanged >= same + 10, "nothing changes, so the plan does not"
     now = led(planner, now, 20, steps=12)
-    assert sum(planner.wants["m1"].values()) == high, "not yet"
+    assert sum(planner.target["m1"].values()) == high, "not yet"
     now = led(planner, now, 20, steps=200)
-    assert sum(planner.wants["m1"].values()) < high
-    before = planner.counts.plans
-    planner.listed(now, HOSTS[1:], ("list", 6))
+    assert sum(planner.target["m1"].values()) < high
+    before = planner.counters.plans
+    planner.on_endpoints(now, HOSTS[1:], ("list", 6))
     now = led(planner, now, 20, steps=1)
-    assert planner.counts.plans == before + 1 and all("w0" not in at for at in planner.wants.values())
+    assert planner.counters.plans == before + 1 and all("w0" not in at for at in planner.target.values())
 
 
 def test_edges_fence_a_planner_that_still_believes() -> None:
@@ -266,7 +304,7 @@
         lead: list[tuple[float, str, int]] = []  # when a planner hears that it holds, or (0) that it does not
         now, taken, epoch, holder = 0.0, 0, 0, ""
         for planner in planners.values():
-            planner.listed(0.0, HOSTS, ROSTER)
+            planner.on_endpoints(0.0, HOSTS, ROSTER)
         while now < 60_000:
             now += 250
             if not holder or (chance.random() < 0.02 and now < 40_000):
@@ -276,30 +314,34 @@
                 lead.append((now, holder, epoch))
             for _, name, number in [one for one in lead if one[0] <= now]:
                 if number:
-                    planners[name].lead(now, number, name)
-                elif planners[name].epoch < epoch and planners[name].role is Role.ACTING and name != holder:
-                    planners[name].stand_down()
+                    planners[name].on_lease_acquired(now, number, name)
+                elif planners[name].epoch < epoch and planners[name].role is Role.LEADER and name != holder:
+                    planners[name].on_lease_lost()
             lead = [one for one in lead if one[0] > now]
             for planner in planners.values():
                 for edge, follower in edges.items():
                     if now >= 40_000 or chance.random() < 0.8:
-                        planner.reported(now, edge, follower.fence, {"m1": FunctionCounters(5, 5, 0, 0, 0, 0, 9.0)}, {})
+                        planner.on_report(
+                            now, edge, follower.fence, {"m1": FunctionCounters(5, 5, 0, 0, 0, 0, 9.0)}, {}
+                        )
                 planner.tick(now, 8)
-                if (problem := planner.problem(now, 8)) is not None:
-                    planner.solved(now, problem.number, greedy(problem.hosts, problem.needs, problem.budget))
-                for edge, plan in planner.plans(now):
+                if (problem := planner.next_problem(now, 8)) is not None:
+                    planner.on_solution(
+                        now, problem.number, place_greedily(problem.workers, problem.demands, problem.budget)
+                    )
+                for edge, plan in planner.plans_to_send(now):
                     for _ in range(1 + (chance.random() < 0.1)):
                         mail.append((now + chance.choice([0, 100, 100, 3000]), edge, plan))
             due = [letter for letter in mail if letter[0] <= now]
             mail = [letter for letter in mail if letter[0] > now]
             for _, edge, plan in due:
                 follower, before = edges[edge], edges[edge].fence
-                report = follower.offer(now, unpack(pack(plan, 0.0)), LIVE, ROSTER)
+                report = follower.on_plan(now, decode_plan(encode_plan(plan, 0.0)), LIVE, ROSTER)
                 taken += report is None
                 assert follower.fence >= before and (report is None) == (follower.fence > before)
-                if report is not None and plan.head.owner in planners:
-                    planners[plan.head.owner].refused(now, edge, report.reason.value, follower.fence)
-        assert [p.name for p in planners.values() if p.role is Role.ACTING] == [holder] and taken > 20, seed
+                if report is not None and plan.header.owner in planners:
+                    planners[plan.header.owner].on_plan_refused(now, edge, report.reason.value, follower.fence)
+        assert [p.name for p in planners.values() if p.role is Role.LEADER] == [holder] and taken > 20, seed
         assert {f.fence[:2] for f in edges.values()} == {(epoch, holder)}
 
 
@@ -310,9 +352,9 @@
     messages = [
         Hello(VERSION, "e", "here", (3, "p", 1)),
         Heartbeat(True, 4),
-        Offer(b"x" * 100),
-        Reply((1, "p", 2), "older"),
-        Report(FIRST, 5.0, {"m": FunctionCounters(1)}, {"m": {"w": 1}}, True),
+        PlanOffer(b"x" * 100),
+        PlanReply((1, "p", 2), "older"),
+        UsageReport(BEFORE_ALL_PLANS, 5.0, {"m": FunctionCounters(1)}, {"m": {"w": 1}}, True),
     ]
     data = b"".join(frame(m) for m in messages)
     for size in (1, 3, 7, len(data)):
@@ -337,41 +379,41 @@
 
 
 def test_a_slow_edge_gets_the_latest_plan_not_all_and_reports_go_as_changes() -> None:
-    link, follower, told = PlannerLink("p", "here"), PlanState("here"), Led(0.0)
-    edge, reader = EdgeLink("e", "here", follower, told, 0.0), FrameReader(READ)
+    link, follower, told = PlannerChannel("p", "here"), PlanState("here"), LeaderContact(0.0)
+    edge, reader = EdgeChannel("e", "here", follower, told, 0.0), FrameReader(READ)
     back = FrameReader(READ)
-    for message in back.feed(b"".join(edge.out)):
-        link.received(message)
-    edge.out.clear()
+    for message in back.feed(b"".join(edge.output)):
+        link.on_message(message)
+    edge.output.clear()
     for number in range(1, 6):
-        link.offer(plan_of(number, wants={"m": {f"w{number}": 1}}), 0.0)
-        link.pump(0.0)
-    assert len(link.out) == 2, "one under way"
-    for message in reader.feed(b"".join(link.out)):
-        edge.received(1.0, message, LIVE, ROSTER)
-    link.out.clear()
-    for message in back.feed(b"".join(edge.out)):
-        link.received(message)
-    edge.out.clear()
-    assert link.pump(2.0) and not link.pump(2.0)
-    for message in reader.feed(b"".join(link.out)):
-        assert edge.received(2.0, message, LIVE, ROSTER) == "taken"
-    assert follower.fence == (1, "p", 5) and follower.wants(2.0) == {"m": {"w5": 1}}, "the ones between were left out"
-    assert follower.taken == 2 and told.quiet_ms(2.0) == 0.0
+        link.offer_plan(plan_of(number, wants={"m": {f"w{number}": 1}}), 0.0)
+        link.queue_next_plan(0.0)
+    assert len(link.output) == 2, "one under way"
+    for message in reader.feed(b"".join(link.output)):
+        edge.on_message(1.0, message, LIVE, ROSTER)
+    link.output.clear()
+    for message in back.feed(b"".join(edge.output)):
+        link.on_message(message)
+    edge.output.clear()
+    assert link.queue_next_plan(2.0) and not link.queue_next_plan(2.0)
+    for message in reader.feed(b"".join(link.output)):
+        assert edge.on_message(2.0, message, LIVE, ROSTER) == "taken"
+    assert follower.fence == (1, "p", 5) and follower.target(2.0) == {"m": {"w5": 1}}, "the ones between were left out"
+    assert follower.accepted == 2 and told.silent_ms(2.0) == 0.0
     for standing in ({"a": {"w1": 2}}, {"a": {"w1": 1}, "b": {"w2": 1}}, {"b": {"w2": 1}}):
-        edge.counted({"a": FunctionCounters(1, 1, 0, 0, 0, 4, 5.0)})
-        edge.counted({"a": FunctionCounters(2, 1, 0, 0, 0, 2, 5.0)})
-        edge.report(3.0, standing)
-        edge.out, sent = [], list(edge.out)
-        heard = [link.received(message) for message in back.feed(b"".join(sent))][-1]
-        assert isinstance(heard, Report) and heard.tallies == {"a": FunctionCounters(3, 2, 0, 0, 0, 2, 10.0)}
-        joined = {m: kept for m, at in link.standing.items() if (kept := {w: n for w, n in at.items() if n})}
+        edge.add_counters({"a": FunctionCounters(1, 1, 0, 0, 0, 4, 5.0)})
+        edge.add_counters({"a": FunctionCounters(2, 1, 0, 0, 0, 2, 5.0)})
+        edge.queue_report(3.0, standing)
+        edge.output, sent = [], list(edge.output)
+        heard = [link.on_message(message) for message in back.feed(b"".join(sent))][-1]
+        assert isinstance(heard, UsageReport) and heard.counters == {"a": FunctionCounters(3, 2, 0, 0, 0, 2, 10.0)}
+        joined = {m: kept for m, at in link.loaded.items() if (kept := {w: n for w, n in at.items() if n})}
         assert joined == standing
-    assert not edge.due(3.5) and edge.due(1003.0)
+    assert not edge.report_due(3.5) and edge.report_due(1003.0)
     with pytest.raises(ChannelError, match="not for a planner"):
-        link.received(Offer(b""))
+        link.on_message(PlanOffer(b""))
     with pytest.raises(ChannelError, match="lineage"):
-        PlannerLink("p", "there").received(Hello(VERSION, "e", "here"))
+        PlannerChannel("p", "there").on_message(Hello(VERSION, "e", "here"))
 
 
 # The module and a plan.
@@ -508,16 +550,16 @@
 
 def test_planners_that_are_told_at_different_moments_each_hear_all() -> None:
     """Guards against a demand that is shared out among the planners that listen."""
-    follower, led = PlanState("here"), Led(0.0)
-    links = [EdgeLink("e", "here", follower, led, start, 1000.0) for start in (0.0, 500.0)]
+    follower, led = PlanState("here"), LeaderContact(0.0)
+    links = [EdgeChannel("e", "here", follower, led, start, 1000.0) for start in (0.0, 500.0)]
     heard = [0, 0]
     readers = [FrameReader(READ), FrameReader(READ)]
     for step in range(41):
         for number, (link, reader) in enumerate(zip(links, readers, strict=True)):
-            link.counted({"m": FunctionCounters(1)})
-            if link.due(step * 250.0):
-                link.report(step * 250.0, {})
-            for message in reader.feed(b"".join(link.out)):
-                heard[number] += message.tallies["m"].taken if isinstance(message, Report) else 0
-            link.out.clear()
+            link.add_counters({"m": FunctionCounters(1)})
+            if link.report_due(step * 250.0):
+                link.queue_report(step * 250.0, {})
+            for message in reader.feed(b"".join(link.output)):
+                heard[number] += message.counters["m"].taken if isinstance(message, UsageReport) else 0
+            link.output.clear()
     assert heard[0] == 41 and heard[1] == 39, "all but what came since the last report"
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -34,9 +34,9 @@
 from kelptrail.load.arrivals import read_trace
 from kelptrail.membership.client import EndpointClient
 from kelptrail.membership.members import Endpoint, EndpointList, Peer, id_prefix
-from kelptrail.planner.driver import Options, PlannerDriver, Snapshot
-from kelptrail.planner.edge_driver import Kept, PlanFollower
-from kelptrail.planner.plan import Head, Plan, digest_of
+from kelptrail.planner.driver import PlannerDriver, PlannerOptions, Snapshot
+from kelptrail.planner.edge_driver import PlanFollower, SavedPlan
+from kelptrail.planner.plan import Plan, PlanHeader, digest_of
 from kelptrail.replication.messages import Members, ReplicaEntry, note, read_note
 from kelptrail.replication.replica import Work
 from kelptrail.replication.replica_store import Reading, ReplicaStore, open_replica_store
@@ -419,7 +419,7 @@
     """The plan in `plan.bin`."""
     seal = bytes.fromhex("51c3f63de17a6ff9d3d20c062ab274af")
     return Plan(
-        Head("coast", 9, "planner-1", 14, 90000.0, ("bb9b7433", 7), seal),
+        PlanHeader("coast", 9, "planner-1", 14, 90000.0, ("bb9b7433", 7), seal),
         {"desk-sum": {"worker-1": 2, "worker-2": 1}, "desk-see": {"worker-2": 3}},
     )
 
@@ -433,23 +433,23 @@
     """`STATE/plan.bin`: an edge that starts without a planner follows the plan that it had."""
     file, told = copy("plan.bin", tmp_path), list[Any]()
     workers = [SimpleNamespace(id=name, live=True) for name in ("worker-1", "worker-2")]
-    gateway: Any = SimpleNamespace(members=workers, planned=told.append)
+    gateway: Any = SimpleNamespace(members=workers, on_plan=told.append)
 
     async def main() -> None:
         log = Silent()
         edge = PlanFollower([], "edge", "coast", gateway, lambda: None, file, log)
-        assert edge.start_from_last() and log.lines == []
-        assert edge.follower.plan == plan_on_disk() and edge.follower.fence == (9, "planner-1", 14)
+        assert edge.load_saved_plan() and log.lines == []
+        assert edge.plan_state.plan == plan_on_disk() and edge.plan_state.fence == (9, "planner-1", 14)
 
     run(main())
-    assert told == [plan_on_disk().wants]
+    assert told == [plan_on_disk().instances]
 
 
 def test_a_plan_on_disk_is_sealed_and_written_as_before() -> None:
     """The digest over what a plan says, and the bytes of `plan.bin` before compression."""
     plan = plan_on_disk()
-    assert digest_of(plan.head, plan.wants) == plan.head.digest
-    assert msgspec.msgpack.encode(Kept(plan, 60000.0, 4e12)) == unpacked("plan.bin")
+    assert digest_of(plan.header, plan.instances) == plan.header.digest
+    assert msgspec.msgpack.encode(SavedPlan(plan, 60000.0, 4e12)) == unpacked("plan.bin")
 
 
 def test_a_planner_takes_up_its_snapshot(tmp_path: Path) -> None:
@@ -460,11 +460,11 @@
     leases: Any = SimpleNamespace()
 
     async def main() -> None:
-        options = Options("planner-0", "127.0.0.1", 0, "", tmp_path, None, "greedy")
+        options = PlannerOptions("planner-0", "127.0.0.1", 0, "", tmp_path, None, "greedy")
         planner = PlannerDriver(parse(FAST, "fast"), options, leases, 1000.0, Silent())
         assert planner.restore()
-        assert planner.core.wants == wants
-        assert {name: planner.core.demand.functions[name].hours for name in hours} == hours
+        assert planner.planner.target == wants
+        assert {name: planner.planner.demand.functions[name].hourly_rates for name in hours} == hours
 
     run(main())
     assert msgspec.msgpack.encode(Snapshot(9, wants, hours)) == unpacked("planner.bin")
--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -140,13 +140,13 @@
     """A packed plan, whole or as changes, is read as its values; what is packed again says the same bytes under the
     compression, whose own bytes belong to its library."""
     told = CHANNEL["plans"][name]
-    packet = plan.unpack(bytes.fromhex(told["packed"]))
+    packet = plan.decode_plan(bytes.fromhex(told["packed"]))
     assert plain(packet) == told["values"]
     assert msgspec.msgpack.encode(packet).hex() == told["inner"]
-    if packet.base == 0:
-        again = plan.pack(plan.Plan(packet.head, packet.wants), packet.age_ms)
+    if packet.base_number == 0:
+        again = plan.encode_plan(plan.Plan(packet.header, packet.instances), packet.age_ms)
         assert zstandard.ZstdDecompressor().decompress(again).hex() == told["inner"]
-        assert plan.digest_of(packet.head, packet.wants).hex() == told["digest"]
+        assert plan.digest_of(packet.header, packet.instances).hex() == told["digest"]
 
 
 def test_notes_and_digests_of_books_keep_their_bytes() -> None:
@@ -458,10 +458,10 @@
 def test_usage_is_shown_with_its_keys() -> None:
     """The answer of `/usage`, whole, made from a total that was told."""
     token = lease_terms.FencingToken(9, "d2/r2")
-    told = usage_terms.Told()
-    assert told.told(usage_terms.Total(token, 73, 3, {"n1": (1.234, 2.5, 3.5)}))
-    usage = usage_terms.Usage.__new__(usage_terms.Usage)
-    usage.told = told
+    told = usage_terms.UsageView()
+    assert told.on_total(usage_terms.UsageTotal(token, 73, 3, {"n1": (1.234, 2.5, 3.5)}))
+    usage = usage_terms.UsageDriver.__new__(usage_terms.UsageDriver)
+    usage.view = told
     assert text(usage.status()) == text(BYTES["usage"])
 
 
