--- a/bench/crash_points.py
+++ b/bench/crash_points.py
@@ -27,7 +27,7 @@
 
 from kelptrail.codec.http import HttpError
 from kelptrail.emulator.cluster import Child, Cluster, ask
-from kelptrail.history_checker.checker import read
+from kelptrail.history_checker.checker import read_captures
 from kelptrail.net.http_client import HttpClient
 from kelptrail.settings.deployment import load
 
@@ -118,7 +118,7 @@
         marks = {found, promised}
         effects = [
             e
-            for e in read(self._folder)
+            for e in read_captures(self._folder)
             if e["what"] == "effect" and (e["activation"] in marks or (keyed and e["mark"].endswith(f"/{key}")))
         ]
         out["effects"] = len(effects)
@@ -190,7 +190,7 @@
                     else str(status)
                 )
         await self.place.end(child)
-        effects = [e for e in read(self._folder) if e["what"] == "effect" and e["mark"].endswith(f"/{key}")]
+        effects = [e for e in read_captures(self._folder) if e["what"] == "effect" and e["mark"].endswith(f"/{key}")]
         out |= {"effects": len(effects), "answers": [sorted(answers) for answers in told.values()]}
         twice = effect != "repeatable" and len(effects) > 1
         out["window"] = twice and effect == "deduplicated" and bool(self._remembered_ms)
@@ -270,7 +270,7 @@
             out["answer"] = {200: "completed", 429: "rejected", 502: "aborted"}.get(out["after"])
         await asyncio.sleep(0.3)
         await self.place.end(child)
-        effects = [e for e in read(self._folder) if e["what"] == "effect" and self._of(e, name, promised, key)]
+        effects = [e for e in read_captures(self._folder) if e["what"] == "effect" and self._of(e, name, promised, key)]
         out["effects"] = len(effects)
         out["broken"] = (
             (effect != "repeatable" and len(effects) > 1)
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -28,7 +28,7 @@
 from kelptrail.emulator.capture import Capture
 from kelptrail.emulator.cluster import Child, Cluster, ask
 from kelptrail.fault_scenario.report import world_of
-from kelptrail.history_checker.checker import check_history, read
+from kelptrail.history_checker.checker import check_history, read_captures
 from kelptrail.lease.messages import LeaseSettings
 from kelptrail.lease.model import Budget, Make, Model
 from kelptrail.model_checking.explorer import explore, wander
@@ -182,7 +182,7 @@
                 began.setdefault(kind, []).append(time.monotonic() * 1000)
                 await rig.befall(kind, child)
         await rig.place.stop()
-        events = read(Path(name) / "captures")
+        events = read_captures(Path(name) / "captures")
         acts = sorted((e for e in events if e["what"] in ("act", "done") and e["taken"]), key=lambda e: e["looked"])
         every: dict[str, list[float]] = {}
         for kind, moments in began.items():
--- a/bench/vrrp_failover.py
+++ b/bench/vrrp_failover.py
@@ -28,8 +28,8 @@
 from kelptrail.emulator.clients import ClientEmulator
 from kelptrail.emulator.cluster import Child, Cluster, ask
 from kelptrail.fault_scenario.report import latencies, world_of
-from kelptrail.history_checker.checker import check_history, read
-from kelptrail.load.plan import steady
+from kelptrail.history_checker.checker import check_history, read_captures
+from kelptrail.load.plan import steady_load
 from kelptrail.settings.deployment import Deployment, load
 
 # a master that is only cut off from what the others send keeps the address, as they hear it: no take-over
@@ -105,7 +105,7 @@
         seconds = failovers * (HARM_S + REST_S + 1.5) + 2
         arrivals: list[tuple[float, Callable[[], None]]] = [
             (when, partial(clients.wish, action, 0.25, 1.0, 1))
-            for when, action in clients.arrivals(steady(self._rate, seconds, 0.8), seconds)
+            for when, action in clients.arrivals(steady_load(self._rate, seconds, 0.8), seconds)
         ]
         self.start = now_ms()
         self._capture.note("begin", start=self.start, seconds=seconds)
@@ -245,7 +245,7 @@
     assert deployment.vrrp is not None
     trial = Trial(deployment, options.settings, options.seed, options.out, options.rate)
     clean = uvloop.run(trial.play(options.failovers))
-    events = read(options.out / "captures")
+    events = read_captures(options.out / "captures")
     verdict = check_history(events)
     first = deployment.vrrp.router[0]
     interval = first.interval_cs * 10.0
--- a/kelptrail/cli/main.py
+++ b/kelptrail/cli/main.py
@@ -612,7 +612,7 @@
     """Play a scripted bad day through real processes and judge it.  Exit 6 where a rule was broken."""
     from kelptrail.fault_scenario.report import write
     from kelptrail.fault_scenario.runner import ScenarioRunner
-    from kelptrail.history_checker.checker import check_history, read
+    from kelptrail.history_checker.checker import check_history, read_captures
 
     day = _script(script)
     try:
@@ -621,7 +621,7 @@
         click.echo(f"{script}: {cause}", err=True)
         sys.exit(UNUSABLE)
     clean = bool(_run(player.play()))
-    events = read(out / "captures")
+    events = read_captures(out / "captures")
     report = write(out, day.name, seed, events, check_history(events), clean, player.memory, player.states)
     brief = {k: v for k, v in report.items() if k not in ("timeline", "details", "troubles")}
     click.echo(msgspec.json.format(msgspec.json.encode(brief)).decode())
@@ -657,10 +657,10 @@
 @click.argument("folder", type=click.Path(path_type=Path, exists=True))
 def audit(folder: Path) -> None:
     """Judge captures that were made before.  Exit 6 where a rule was broken."""
-    from kelptrail.history_checker.checker import check_history, read
+    from kelptrail.history_checker.checker import check_history, read_captures
 
     try:
-        verdict = check_history(read(folder))
+        verdict = check_history(read_captures(folder))
     except ValueError as cause:
         click.echo(f"{folder}: {cause}", err=True)
         sys.exit(UNUSABLE)
@@ -853,18 +853,18 @@
     connections: int,
 ) -> None:
     """Drive running dispatchers with a SCRIPT's load; its troubles are not played.  Tables as the lab's."""
-    from kelptrail.load.coordinator import GeneratorError, drive, keep
+    from kelptrail.load.coordinator import GeneratorError, run_generators, write_results
     from kelptrail.load.generator import GeneratorSettings
 
     day = _script(script)
     settings = GeneratorSettings(addresses, 0, processes, seed, churn, connections)
     try:
-        found = _run(drive(script, day, settings, list(controls)))
+        found = _run(run_generators(script, day, settings, list(controls)))
     except GeneratorError as cause:
         click.echo(str(cause), err=True)
         sys.exit(FAILED)
     who = {"experiment": day.name, "variant": variant, "point": "", "value": 0.0, "seed": seed}
-    _say(**keep(out, who, day, found))
+    _say(**write_results(out, who, day, found))
 
 
 @main.command("load-hand", hidden=True)
@@ -887,14 +887,14 @@
     connections: int,
 ) -> None:
     """One process of the load tool."""
-    from kelptrail.load.generator import GeneratorSettings, LoadGenerator, packed
+    from kelptrail.load.generator import GeneratorSettings, LoadGenerator, pack_counters
 
     day = _script(script)
 
     settings = GeneratorSettings(addresses, number, of, seed, churn, connections)
 
     async def go() -> None:
-        _say(**packed(await LoadGenerator(day, _settings(day.deployment), settings, start).play()))
+        _say(**pack_counters(await LoadGenerator(day, _settings(day.deployment), settings, start).run()))
 
     _run(go())
 
--- a/kelptrail/emulator/clients.py
+++ b/kelptrail/emulator/clients.py
@@ -22,7 +22,7 @@
 from kelptrail.front.inference import inference_pb2 as pb
 from kelptrail.front.inference.api import SERVICE
 from kelptrail.load.arrivals import Arrivals, popularity
-from kelptrail.load.client_behavior import ClientBehavior, Heard, again, behavior_of
+from kelptrail.load.client_behavior import ClientBehavior, ClientOutcome, behavior_of, retry_delay_ms
 from kelptrail.load.plan import Load
 from kelptrail.net.grpc_client import Ended, GrpcClient
 from kelptrail.net.pool import Call, Ending, WorkerPool
@@ -247,7 +247,7 @@
             code=0 if answer == "completed" else None,
         )
         if answer in ("rejected", "aborted"):
-            self._again(wish, Heard(answer), retry_ms, within_ms)
+            self._again(wish, ClientOutcome(answer), retry_ms, within_ms)
 
     def _over(self, wish: Wish, ended: Ended) -> None:
         self.out -= 1
@@ -255,10 +255,10 @@
             return
         if ended.refused or not ended.written or ended.reason == "NOT_TAKEN":
             self._capture.note("not-taken", call=wish.number)
-            self._again(wish, Heard.NOT_TAKEN, ended.retry_ms or 0.0)
+            self._again(wish, ClientOutcome.NOT_TAKEN, ended.retry_ms or 0.0)
         elif ended.code is None:
             self._capture.note("no-answer", call=wish.number, ending=ended.text)
-            self._again(wish, Heard.LOST)
+            self._again(wish, ClientOutcome.LOST)
         else:
             answer = (
                 "rejected"
@@ -282,11 +282,11 @@
         if ending in (Ending.UNREACHABLE, Ending.UNSENT) or (response is not None and response.status == 503):
             self._capture.note("not-taken", call=wish.number)
             told = response.headers.get("retry-after-ms", "0") if response is not None else "0"
-            self._again(wish, Heard.NOT_TAKEN, float(told))
+            self._again(wish, ClientOutcome.NOT_TAKEN, float(told))
             return
         if response is None:
             self._capture.note("no-answer", call=wish.number, ending=ending.value)
-            self._again(wish, Heard.LOST)
+            self._again(wish, ClientOutcome.LOST)
             return
         if response.status == 307:  # another has the call under this key
             wish.asked_at = response.headers["location"].removeprefix("http://").partition("/")[0]
@@ -317,18 +317,22 @@
             code=body.get("response", {}).get("statusCode"),
         )
         if answer in ("rejected", "aborted"):
-            self._again(wish, Heard(answer), float(told.get("retry_after_ms", 0.0)), told.get("repeat_within_ms"))
+            self._again(
+                wish, ClientOutcome(answer), float(told.get("retry_after_ms", 0.0)), told.get("repeat_within_ms")
+            )
 
-    def _again(self, wish: Wish, heard: Heard, told_ms: float = 0.0, within_ms: float | None = None) -> None:
+    def _again(self, wish: Wish, heard: ClientOutcome, told_ms: float = 0.0, within_ms: float | None = None) -> None:
         kind = self._deployment.types[wish.action.type]
-        wait = again(wish.habits, heard, kind.effect, kind.timeout_ms, told_ms, within_ms, now_ms() - wish.began)
+        wait = retry_delay_ms(
+            wish.habits, heard, kind.effect, kind.timeout_ms, told_ms, within_ms, now_ms() - wish.began
+        )
         if wait is None:
             return
-        if heard is Heard.NOT_TAKEN:
+        if heard is ClientOutcome.NOT_TAKEN:
             if wish.tries > -20:
                 self._loop.call_later(wait / 1000, self._try, wish, wish.dispatcher)
         elif wish.tries > 0:
-            self._loop.call_later(wait / 1000 * float(self._chance.uniform(*wish.habits.spread)), self._try, wish)
+            self._loop.call_later(wait / 1000 * float(self._chance.uniform(*wish.habits.jitter)), self._try, wish)
 
     def _poll(self, wish: Wish) -> None:
         kind = self._deployment.types[wish.action.type]
@@ -369,7 +373,7 @@
         """All that comes by a script's loads: when (seconds), and the coming.  Closed loops are the load tool's."""
         out: list[tuple[float, Callable[[], None]]] = []
         for load in loads:
-            for when, action in self.arrivals(load, min(seconds, load.at + load.last)):
+            for when, action in self.arrivals(load, min(seconds, load.at + load.duration)):
                 out.append(
                     (
                         when,
@@ -377,11 +381,11 @@
                             self.wish,
                             action,
                             load.deferred,
-                            load.heed,
+                            load.retry_after_share,
                             load.retries,
                             load.grpc,
                             load.streams,
-                            load.half_heed,
+                            load.half_retry_after_share,
                             load.namespace,
                         ),
                     )
--- a/kelptrail/fault_scenario/campaign.py
+++ b/kelptrail/fault_scenario/campaign.py
@@ -17,7 +17,7 @@
 import msgspec
 import numpy as np
 
-from kelptrail.history_checker.checker import Verdict
+from kelptrail.history_checker.checker import CheckResult
 
 SECONDS, LOAD = 16.0, 10.0
 BOUND = 0.01  # of clock rates, as the drawn settings state it
@@ -165,7 +165,7 @@
         "exit": process.returncode,
         "dispatchers": report["dispatchers"],
         "troubles": [t["kind"] for t in report["troubles"]],
-        "broken": {name: report[name] for name in Verdict.BREACHES if report[name]},
+        "broken": {name: report[name] for name in CheckResult.BREACHES if report[name]},
         "without_s": max((t["without_s"] for t in report["leases"].values()), default=0.0),
         "longest_without_s": max((t["longest_without_s"] for t in report["leases"].values()), default=0.0),
         "holders": sum(len(t["spans"]) for t in report["leases"].values()),
--- a/kelptrail/fault_scenario/report.py
+++ b/kelptrail/fault_scenario/report.py
@@ -10,7 +10,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from kelptrail.history_checker.checker import Event, Verdict
+from kelptrail.history_checker.checker import CheckResult, Event
 from kelptrail.settings.deployment import Deployment
 
 
@@ -130,7 +130,7 @@
     name: str,
     seed: int,
     events: list[Event],
-    verdict: Verdict,
+    verdict: CheckResult,
     clean: bool,
     memory: list[tuple[float, list[int]]],
     states: list[dict[str, Any]],
--- a/kelptrail/history_checker/checker.py
+++ b/kelptrail/history_checker/checker.py
@@ -15,13 +15,13 @@
 from typing import Any
 
 Event = dict[str, Any]
-STARTS_MS = 250.0  # a process that says it is ready still reads what came while it started: that waited untaken
-AFTER_MS = 10_000.0  # so long after a clock ran wrong beliefs of that time may last
+STARTUP_MS = 250.0  # a process that says it is ready still reads what came while it started: that waited untaken
+CLOCK_RECOVERY_MS = 10_000.0  # so long after a clock ran wrong beliefs of that time may last
 SLACK_MS = 60.0  # what loopback, a loaded machine and the reader's own loop may add to a time
 
 
 @dataclass(slots=True)
-class Verdict:
+class CheckResult:
     """Counts, breaches of each rule with a few words on each, and what is needed for a picture."""
 
     taken: int = 0
@@ -76,7 +76,7 @@
         """Whether any rule was broken."""
         return any(getattr(self, name) for name in self.BREACHES)
 
-    def breach(self, name: str, words: str) -> None:
+    def add_breach(self, name: str, words: str) -> None:
         """Count a breach and keep a few words on it."""
         setattr(self, name, getattr(self, name) + 1)
         if len(self.details) < 200:
@@ -87,7 +87,7 @@
         return {name: value for name in self.__slots__ if isinstance(value := getattr(self, name), int)}
 
 
-def read(folder: Path) -> list[Event]:
+def read_captures(folder: Path) -> list[Event]:
     """All captures of a folder in order of time.  A torn last line of a killed process is passed over."""
     events: list[Event] = []
     for file in sorted(folder.glob("*.jsonl")):
@@ -104,29 +104,29 @@
     return events
 
 
-def check_history(events: Iterable[Event]) -> Verdict:
+def check_history(events: Iterable[Event]) -> CheckResult:
     """The verdict on a run."""
     by_kind: dict[str, list[Event]] = defaultdict(list)
     for event in events:
         by_kind[event["what"]].append(event)
-    (world,) = by_kind["world"]
-    verdict = Verdict()
+    (deployment,) = by_kind["world"]
+    result = CheckResult()
     calls = {event["call"]: event for event in by_kind["call"]}
-    finals = _answers(verdict, by_kind, calls)
-    _effects(verdict, by_kind, calls, finals, world)
-    _after_final(verdict, by_kind, finals)
-    _after_part(verdict, by_kind)
-    _drains(verdict, by_kind, world)
-    _cold(verdict, by_kind, world)
-    _ration(verdict, by_kind, calls, finals, world)
-    _leases(verdict, by_kind, world)
-    verdict.sends = len(by_kind["send"])
-    verdict.loads = sum(event["copies"] > 0 for event in by_kind["order"])
-    verdict.effects = len(by_kind["effect"])
-    return verdict
-
-
-def _answers(verdict: Verdict, by_kind: dict[str, list[Event]], calls: dict[str, Event]) -> dict[str, Event]:
+    finals = _check_answers(result, by_kind, calls)
+    _check_effects(result, by_kind, calls, finals, deployment)
+    _check_attempts_after_final(result, by_kind, finals)
+    _check_attempts_after_part(result, by_kind)
+    _check_draining(result, by_kind, deployment)
+    _check_slow_start(result, by_kind, deployment)
+    _check_load_ration(result, by_kind, calls, finals, deployment)
+    _check_leases(result, by_kind, deployment)
+    result.sends = len(by_kind["send"])
+    result.loads = sum(event["copies"] > 0 for event in by_kind["order"])
+    result.effects = len(by_kind["effect"])
+    return result
+
+
+def _check_answers(result: CheckResult, by_kind: dict[str, list[Event]], calls: dict[str, Event]) -> dict[str, Event]:
     """Rule 1, at the clients: each call taken has one final answer in time.  Returns finals by activation."""
     downs: dict[int, list[tuple[float, float]]] = defaultdict(list)  # from a kill or a pause until it runs again
     for event in [*by_kind["kill"], *by_kind["stopped"]]:
@@ -145,17 +145,17 @@
     def was_down(call: Event, end: float) -> bool:
         """Whether whoever may have taken the call did not run at some time of it."""
         spans = [s for found in downs.values() for s in found] if call.get("front") else downs[call["dispatcher"]]
-        return any(call["t"] <= back + STARTS_MS and since <= end + SLACK_MS for since, back in spans)
+        return any(call["t"] <= back + STARTUP_MS and since <= end + SLACK_MS for since, back in spans)
 
     not_taken = {event["call"] for event in by_kind["not-taken"]}
-    verdict.not_taken = len(not_taken)
+    result.not_taken = len(not_taken)
     # What was acknowledged must be found again, whatever became of its dispatcher, where that keeps a book.
     accepted = {event["call"] for event in by_kind["accepted"]} if by_kind["world"][0].get("kept") else set()
     copied = by_kind["world"][0].get("copies", 0)
     gone = {event["dispatcher"] for event in by_kind["disk-lost"]} if not copied else set()
     for event in by_kind["denied"]:
         if event["call"] in accepted:
-            verdict.breach("promises_denied", f"{event['activation']} at {event['at']}")
+            result.add_breach("promises_denied", f"{event['activation']} at {event['at']}")
     final_of: dict[str, list[Event]] = defaultdict(list)
     ends: dict[str, float] = {event["call"]: event["t"] for event in by_kind["no-answer"]}
     by_activation: dict[str, Event] = {}
@@ -164,30 +164,30 @@
         if event["activation"]:
             known = by_activation.setdefault(event["activation"], event)
             if known is not event and known["answer"] != event["answer"]:
-                verdict.breach("finals_twice", f"{event['activation']} {known['answer']}, {event['answer']}")
+                result.add_breach("finals_twice", f"{event['activation']} {known['answer']}, {event['answer']}")
     for number, call in calls.items():
         if number in not_taken:
             continue
-        verdict.taken += 1
+        result.taken += 1
         found = final_of.get(number)
         if not found:
             end = ends.get(number, float("inf"))
             if number in accepted and call["dispatcher"] in gone:
-                verdict.lost_with_disk += 1  # kept on that one disk alone
+                result.lost_with_disk += 1  # kept on that one disk alone
             elif number in accepted and any(event["call"] == number for event in by_kind["no-answer"]):
-                verdict.breach("accepted_lost", f"{number} {call['action']} was acknowledged and is not known")
+                result.add_breach("accepted_lost", f"{number} {call['action']} was acknowledged and is not known")
             elif was_down(call, end):
-                verdict.lost_with_dispatcher += 1
+                result.lost_with_dispatcher += 1
             else:
-                verdict.breach("unanswered", f"{number} {call['action']} by {call['dispatcher']}")
+                result.add_breach("unanswered", f"{number} {call['action']} by {call['dispatcher']}")
             continue
         if len(found) > 1:
-            verdict.breach("finals_twice", number)
+            result.add_breach("finals_twice", number)
         final = found[0]
         if final["answer"] in ("completed", "rejected", "aborted"):
-            setattr(verdict, final["answer"], getattr(verdict, final["answer"]) + 1)
+            setattr(result, final["answer"], getattr(result, final["answer"]) + 1)
         else:
-            verdict.other_answers += 1
+            result.other_answers += 1
         took = final["took"] if final.get("took") is not None else final["t"] - final["lag"] - call["t"]
         if (
             took > call["limit_ms"] + SLACK_MS
@@ -198,15 +198,19 @@
                 and any(call["t"] <= back and since <= final["t"] for since, back in apart[call["dispatcher"]])
             )
         ):
-            verdict.breach("late_finals", f"{number} took {took:.0f} of {call['limit_ms']:.0f} ms")
+            result.add_breach("late_finals", f"{number} took {took:.0f} of {call['limit_ms']:.0f} ms")
     return by_activation
 
 
-def _effects(
-    verdict: Verdict, by_kind: dict[str, list[Event]], calls: dict[str, Event], finals: dict[str, Event], world: Event
+def _check_effects(
+    result: CheckResult,
+    by_kind: dict[str, list[Event]],
+    calls: dict[str, Event],
+    finals: dict[str, Event],
+    deployment: Event,
 ) -> None:
     """Rule 2, at the workers: effects counted for each wish of a client."""
-    effects = {t["name"]: t["effect"] for t in world["types"]}
+    effects = {t["name"]: t["effect"] for t in deployment["types"]}
     ticket_of = {a: calls[f["call"]]["ticket"] for a, f in finals.items() if f["call"] in calls}
     for event in by_kind["accepted"]:
         if event["call"] in calls:
@@ -221,38 +225,38 @@
         whose = event["mark"] if kind == "deduplicated" else ticket_of.get(event["activation"], event["activation"])
         seen[event["type"], whose] += 1
         if seen[event["type"], whose] == 2:
-            verdict.breach("effects_twice", f"{event['type']} {whose}")
+            result.add_breach("effects_twice", f"{event['type']} {whose}")
     for activation, final in finals.items():
         kind = effects.get(calls[final["call"]]["type"]) if final["call"] in calls else None
         if final["answer"] == "rejected" and kind == "once-only" and activation in ran:
-            verdict.breach("false_rejections", f"{activation} was rejected and ran")
+            result.add_breach("false_rejections", f"{activation} was rejected and ran")
 
 
-def _after_final(verdict: Verdict, by_kind: dict[str, list[Event]], finals: dict[str, Event]) -> None:
+def _check_attempts_after_final(result: CheckResult, by_kind: dict[str, list[Event]], finals: dict[str, Event]) -> None:
     """Rule 1, at the workers: nothing is sent once the client has its answer."""
     for event in by_kind["send"]:
         final = finals.get(event["activation"])
         if final is not None and event["t"] - event["lag"] > final["t"] + SLACK_MS:
-            verdict.breach(
+            result.add_breach(
                 "sends_after_final",
                 f"{event['activation']} at {event['worker']}, {event['t'] - final['t']:.0f} ms later",
             )
 
 
-def _after_part(verdict: Verdict, by_kind: dict[str, list[Event]]) -> None:
+def _check_attempts_after_part(result: CheckResult, by_kind: dict[str, list[Event]]) -> None:
     """Of a streamed answer: once its client has seen a part, nothing of it is sent again."""
     seen = {event["activation"]: event["t"] for event in reversed(by_kind["part"])}
     for event in by_kind["send"]:
         since = seen.get(event["activation"])
         if since is not None and event["t"] - event["lag"] > since + SLACK_MS:
-            verdict.breach(
+            result.add_breach(
                 "sends_after_part", f"{event['activation']} at {event['worker']}, {event['t'] - since:.0f} ms later"
             )
 
 
-def _drains(verdict: Verdict, by_kind: dict[str, list[Event]], world: Event) -> None:
+def _check_draining(result: CheckResult, by_kind: dict[str, list[Event]], deployment: Event) -> None:
     """Rule 3: nothing new to a worker later than the grace after its end was told."""
-    grace = world["rules"]["drain_grace_ms"] + SLACK_MS
+    grace = deployment["rules"]["drain_grace_ms"] + SLACK_MS
     told: dict[tuple[str, str], list[tuple[float, bool]]] = defaultdict(list)  # (to whom, worker): since, open
     listed: dict[str, set[str]] = defaultdict(set)
     for event in by_kind["list"]:
@@ -271,15 +275,15 @@
                 break
             shut = None if is_open else (since if shut is None else shut)
         if shut is not None and came > shut + grace:
-            verdict.breach(
+            result.add_breach(
                 "drain_breaches",
                 f"{event['what']} to {event['worker']} {came - shut:.0f} ms after {event['dispatcher']} was told",
             )
 
 
-def _cold(verdict: Verdict, by_kind: dict[str, list[Event]], world: Event) -> None:
+def _check_slow_start(result: CheckResult, by_kind: dict[str, list[Event]], deployment: Event) -> None:
     """Rule 4: work sent to a cold worker within any span stays under multiple x capacity x span."""
-    rules = world["rules"]
+    rules = deployment["rules"]
     sends: dict[str, list[Event]] = defaultdict(list)
     for event in by_kind["send"]:
         sends[event["incarnation"]].append(event)
@@ -302,14 +306,18 @@
             warmth = start["cold_share"] + (1 - start["cold_share"]) * age / cold_ms
             broken = broken or total > 1.1 * rules["tip"] * warmth * start["cores"] * span
         if broken:
-            verdict.breach("cold_breaches", f"{start['worker']} ({incarnation}) was sent too much while cold")
+            result.add_breach("cold_breaches", f"{start['worker']} ({incarnation}) was sent too much while cold")
 
 
-def _ration(
-    verdict: Verdict, by_kind: dict[str, list[Event]], calls: dict[str, Event], finals: dict[str, Event], world: Event
+def _check_load_ration(
+    result: CheckResult,
+    by_kind: dict[str, list[Event]],
+    calls: dict[str, Event],
+    finals: dict[str, Event],
+    deployment: Event,
 ) -> None:
     """Rule 5: a dispatcher's orders of the span stay under a few and a share of what it took in it."""
-    rules = world["rules"]
+    rules = deployment["rules"]
     span = rules["load_span_ms"]
     if not span:
         return
@@ -325,7 +333,7 @@
     for id_, call in calls.items():
         if id_ not in known:
             lost[call["dispatcher"]].append(call["t"])
-    numbers = {name: number for number, name in enumerate(world.get("names", []))}
+    numbers = {name: number for number, name in enumerate(deployment.get("names", []))}
     for event in by_kind["send"]:
         taken_at.setdefault(event["activation"], event["t"])
     for activation, when in taken_at.items():
@@ -344,16 +352,16 @@
             came = bisect_right(taken, when) - bisect_left(taken, when - span - SLACK_MS)
             allowed = rules["free_loads"] + rules["load_share"] * came
             if recent > allowed + 1e-9:
-                verdict.breach("ration_breaches", f"{dispatcher}: {recent} orders, {allowed:.1f} allowed")
+                result.add_breach("ration_breaches", f"{dispatcher}: {recent} orders, {allowed:.1f} allowed")
 
 
-def _leases(verdict: Verdict, by_kind: dict[str, list[Event]], world: Event) -> None:
+def _check_leases(result: CheckResult, by_kind: dict[str, list[Event]], deployment: Event) -> None:
     """Of each task one holder at a time, and nothing done under an old token.
 
     Actors say when they looked at their leases, by the machine's clock.  Whoever still believes at a time when a newer
     token has been acted under was one of two holders.  What the witness took is judged in the order in which it
     came."""
-    bound = world.get("clock_bound", 0.0)
+    bound = deployment.get("clock_bound", 0.0)
     wrong = [
         (e["t"], e["t"] + e["seconds"] * 1000)
         for e in by_kind["trouble"]
@@ -365,20 +373,20 @@
         if event["taken"]:
             came[event["task"]].append(event)
         else:
-            verdict.old_tokens_refused += 1
-    verdict.acts = len(by_kind["act"])
+            result.old_tokens_refused += 1
+    result.acts = len(by_kind["act"])
     for task, found in looks.items():
         newest: list[Any] = [0, ""]
         for event in sorted(found, key=lambda e: e["looked"]):
             if event["token"] >= newest:
                 newest = event["token"]
-            elif any(since <= event["looked"] <= until + AFTER_MS for since, until in wrong):
-                verdict.holders_two_by_clocks += 1
+            elif any(since <= event["looked"] <= until + CLOCK_RECOVERY_MS for since, until in wrong):
+                result.holders_two_by_clocks += 1
             else:
-                verdict.breach("holders_two", f"{task}: {event['by']} under {event['token']} while {newest}")
+                result.add_breach("holders_two", f"{task}: {event['by']} under {event['token']} while {newest}")
     for task, found in came.items():
         newest = [0, ""]
         for event in found:
             if event["token"] < newest:
-                verdict.breach("old_tokens_taken", f"{task}: {event['token']} after {newest}")
+                result.add_breach("old_tokens_taken", f"{task}: {event['token']} after {newest}")
             newest = max(newest, event["token"])
--- a/kelptrail/load/arrivals.py
+++ b/kelptrail/load/arrivals.py
@@ -32,7 +32,7 @@
 
     times: np.ndarray
     actions: list[str]
-    seconds: float
+    length_s: float
 
 
 def read_trace(file: Path) -> Trace:
@@ -69,10 +69,10 @@
 class Arrivals:
     """One load's arrivals; `part` n of m of them, for a load that several processes play together."""
 
-    def __init__(self, load: Load, chance: np.random.Generator, part: tuple[int, int] = (0, 1)) -> None:
-        self._load, self._chance, self._rate, self._part = load, chance, load.rate / part[1], part
-        self._next = 0.0  # of a renewal process
-        self._ends, self._busy = 0.0, False  # of the present state of a modulated one
+    def __init__(self, load: Load, random: np.random.Generator, part: tuple[int, int] = (0, 1)) -> None:
+        self._load, self._random, self._rate, self._part = load, random, load.rate / part[1], part
+        self._next_arrival = 0.0  # of a renewal process
+        self._state_ends, self._in_burst = 0.0, False  # of the present state of a modulated one
         self._trace = read_trace(Path(load.file)) if load.shape == "trace" else None
 
     def draw(self, at: float, span: float) -> list[tuple[float, str]]:
@@ -91,42 +91,42 @@
             load = self._load
             times = self._poisson(self._rate * (1 + load.swing), at, span)
             height = 1 - load.swing * np.cos(2 * np.pi * times / load.period)
-            times = times[self._chance.random(len(times)) * (1 + load.swing) < height]
+            times = times[self._random.random(len(times)) * (1 + load.swing) < height]
         else:
             times = self._poisson(self._rate, at, span)
         return [(float(t), "") for t in times]
 
     def _poisson(self, rate: float, at: float, span: float) -> np.ndarray:
-        count = int(self._chance.poisson(rate * span))
-        return np.sort(self._chance.uniform(at, at + span, count))
+        count = int(self._random.poisson(rate * span))
+        return np.sort(self._random.uniform(at, at + span, count))
 
     def _renewal(self, at: float, span: float) -> np.ndarray:
         tail, out = self._load.tail, list[np.ndarray]()
         gaps = stats.lomax(tail, scale=(tail - 1) / self._rate)
-        self._next = max(self._next, at)
-        while self._next < at + span:
-            times = self._next + np.cumsum(gaps.rvs(max(16, int(self._rate * span)), random_state=self._chance))
+        self._next_arrival = max(self._next_arrival, at)
+        while self._next_arrival < at + span:
+            times = self._next_arrival + np.cumsum(gaps.rvs(max(16, int(self._rate * span)), random_state=self._random))
             out.append(times[times < at + span])
-            self._next = float(times[len(out[-1])]) if len(out[-1]) < len(times) else float(times[-1])
+            self._next_arrival = float(times[len(out[-1])]) if len(out[-1]) < len(times) else float(times[-1])
         return np.concatenate(out) if out else np.empty(0)
 
     def _modulated(self, at: float, span: float) -> np.ndarray:
         load, out, here = self._load, list[np.ndarray](), at
         quiet = self._rate * (load.burst + load.quiet) / (load.burst * load.factor + load.quiet)
         while here < at + span:
-            if here >= self._ends:
-                self._busy = not self._busy if self._ends else False
-                self._ends = here + float(self._chance.exponential(load.burst if self._busy else load.quiet))
-            end = min(self._ends, at + span)
-            out.append(self._poisson(quiet * (load.factor if self._busy else 1.0), here, end - here))
+            if here >= self._state_ends:
+                self._in_burst = not self._in_burst if self._state_ends else False
+                self._state_ends = here + float(self._random.exponential(load.burst if self._in_burst else load.quiet))
+            end = min(self._state_ends, at + span)
+            out.append(self._poisson(quiet * (load.factor if self._in_burst else 1.0), here, end - here))
             here = end
         return np.concatenate(out) if out else np.empty(0)
 
     def _recorded(self, trace: Trace, at: float, span: float) -> Iterator[tuple[float, str]]:
         number, of = self._part
-        turn = int(at // trace.seconds)
-        while turn * trace.seconds < at + span:
-            begin = turn * trace.seconds
+        turn = int(at // trace.length_s)
+        while turn * trace.length_s < at + span:
+            begin = turn * trace.length_s
             first = int(np.searchsorted(trace.times, at - begin))
             last = int(np.searchsorted(trace.times, at + span - begin))
             for index in range(first, last):
--- a/kelptrail/load/client_behavior.py
+++ b/kelptrail/load/client_behavior.py
@@ -1,7 +1,6 @@
-"""How a client behaves: whether it comes again after an answer, when, and what of an advice it heeds.  Pure.
+"""How a client behaves: whether it retries after an answer, when, and how far it honours a retry-after time.  Pure.
 
-Clients repeat only what is harmless by the answer they got.  `heed` is the share of a told return time that a client
-keeps: 1 heeds it, 0 comes at once, and between the two is a client that comes back early.
+Clients retry only what is harmless by the answer they got.  Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -9,54 +8,58 @@
 from dataclasses import dataclass
 from enum import Enum
 
-REPEATABLE_BACK_MS, LOST_BACK_MS, MOVED_BACK_MS, MOVED_FOR_MS = 100.0, 200.0, 50.0, 2000.0
+IDEMPOTENT_RETRY_MS = 100.0  # after a failed idempotent call
+LOST_RETRY_MS = 200.0  # after an idempotent call without an answer
+UNREACHED_RETRY_MS = 50.0  # after a call that no dispatcher accepted, at another dispatcher
+UNREACHED_RETRY_FOR_MS = 2000.0  # such calls are retried for so long
 
 
-class Heard(Enum):
-    """What a client makes of the end of a try."""
+class ClientOutcome(Enum):
+    """How an attempt ended, as its client sees it."""
 
     COMPLETED = "completed"
-    REJECTED = "rejected"  # trying again is harmless
+    REJECTED = "rejected"  # a retry is harmless
     ABORTED = "aborted"  # it may have run
-    NOT_TAKEN = "not-taken"  # nobody took it: refused at a door, no connection
+    NOT_TAKEN = "not-taken"  # no dispatcher accepted it: shed at the listener, or no connection
     LOST = "lost"  # no answer
 
 
 @dataclass(frozen=True, slots=True)
 class ClientBehavior:
-    """One client's."""
+    """How one client retries."""
 
-    heed: float = 1.0
-    spread: tuple[float, float] = (1.0, 1.2)  # of what it waits
+    retry_after_share: float = 1.0  # of a retry-after time that it waits: 1 honours it, 0 retries at once
+    jitter: tuple[float, float] = (1.0, 1.2)  # the wait is multiplied by a factor drawn from this range
 
 
-def behavior_of(draw: float, heed: float, half: float) -> ClientBehavior:
-    """A client's habits by a draw from 0 to 1: shares of clients that heed, that wait half, and the rest."""
-    return ClientBehavior(1.0 if draw < heed else 0.5 if draw < heed + half else 0.0)
+def behavior_of(draw: float, full_share: float, half_share: float) -> ClientBehavior:
+    """A client's behaviour by a draw from 0 to 1: `full_share` of clients honour a retry-after time, `half_share` wait
+    half of it, and the rest retries at once."""
+    if draw < full_share:
+        return ClientBehavior(1.0)
+    return ClientBehavior(0.5 if draw < full_share + half_share else 0.0)
 
 
-def again(
-    habits: ClientBehavior,
-    heard: Heard,
+def retry_delay_ms(
+    behavior: ClientBehavior,
+    outcome: ClientOutcome,
     effect: str,
     timeout_ms: float,
-    told_ms: float = 0.0,
-    within_ms: float | None = None,
-    since_ms: float = 0.0,
+    retry_after_ms: float = 0.0,
+    repeat_within_ms: float | None = None,
+    elapsed_ms: float = 0.0,
 ) -> float | None:
-    """How long a client waits before it comes again, in ms; None: it does not.
+    """How long a client waits before it retries, in ms; None: it does not retry.
 
-    `told_ms`: the return time it was told, 0 for none; `within_ms`: how long a repeat is harmless, None for ever;
-    `since_ms`: how long ago this try began.
+    `retry_after_ms`: the retry-after time of the answer, 0 for none; `repeat_within_ms`: how long a retry is harmless,
+    None for ever; `elapsed_ms`: since this attempt began.
     """
-    wait = told_ms * habits.heed
-    if heard is Heard.REJECTED:
-        return wait if within_ms is None or wait + timeout_ms < within_ms else None
-    if heard is Heard.NOT_TAKEN:
-        return max(MOVED_BACK_MS, wait) if since_ms < MOVED_FOR_MS else None
-    if effect == "repeatable":
-        if heard is Heard.ABORTED:
-            return REPEATABLE_BACK_MS
-        if heard is Heard.LOST:
-            return LOST_BACK_MS
-    return None
+    wait = retry_after_ms * behavior.retry_after_share
+    if outcome is ClientOutcome.REJECTED:
+        harmless = repeat_within_ms is None or wait + timeout_ms < repeat_within_ms
+        return wait if harmless else None
+    if outcome is ClientOutcome.NOT_TAKEN:
+        return max(UNREACHED_RETRY_MS, wait) if elapsed_ms < UNREACHED_RETRY_FOR_MS else None
+    if effect != "repeatable":
+        return None
+    return {ClientOutcome.ABORTED: IDEMPOTENT_RETRY_MS, ClientOutcome.LOST: LOST_RETRY_MS}.get(outcome)
--- a/kelptrail/load/coordinator.py
+++ b/kelptrail/load/coordinator.py
@@ -18,20 +18,22 @@
 from kelptrail.clock import now_ms
 from kelptrail.net.http_client import HttpClient
 
-from .generator import DIGITS, LONGEST_US, GeneratorSettings
+from .generator import MAX_LATENCY_US, SIGNIFICANT_DIGITS, GeneratorSettings
 from .plan import Script
 from .results import PARTS, Result, Rows, Second, figures, rows_of, write
 
-START_MS = 1500.0  # for the processes to be there
+STARTUP_MS = 1500.0  # for the processes to be there
 
 
 class GeneratorError(Exception):
     """A process of the tool ended without its tally."""
 
 
-async def drive(script: str, day: Script, settings: GeneratorSettings, controls: list[str]) -> list[dict[str, Any]]:
+async def run_generators(
+    script: str, day: Script, settings: GeneratorSettings, controls: list[str]
+) -> list[dict[str, Any]]:
     """Run all processes; their tallies as they were packed, and the dispatchers' states each second as the last."""
-    start = now_ms() + START_MS
+    start = now_ms() + STARTUP_MS
     words = [
         sys.executable,
         "-m",
@@ -41,29 +43,29 @@
         "--start",
         str(start),
         "--of",
-        str(settings.of),
+        str(settings.process_count),
         "--seed",
         str(settings.seed),
         "--churn",
-        str(settings.churn),
+        str(settings.close_share),
         "--connections",
         str(settings.connections),
     ]
     for address in settings.addresses:
         words += ["--at", address]
-    hands = await asyncio.gather(
+    processes = await asyncio.gather(
         *(
             asyncio.create_subprocess_exec(*words, "--number", str(n), stdout=asyncio.subprocess.PIPE, limit=1 << 26)
-            for n in range(settings.of)
+            for n in range(settings.process_count)
         )
     )
     watch = asyncio.create_task(_watch(controls, start, day.seconds))
-    outs = await asyncio.gather(*(hand.communicate() for hand in hands))
+    outs = await asyncio.gather(*(process.communicate() for process in processes))
     states = await watch
     tallies = []
     for number, (out, _) in enumerate(outs):
-        if hands[number].returncode or not out:
-            raise GeneratorError(f"process {number} of the load tool ended with {hands[number].returncode}")
+        if processes[number].returncode or not out:
+            raise GeneratorError(f"process {number} of the load tool ended with {processes[number].returncode}")
         tallies.append(msgspec.json.decode(out))
     return [*tallies, {"states": states}]
 
@@ -78,24 +80,26 @@
 
 
 async def _state(control: str) -> dict[str, Any]:
-    errand = HttpClient(control)
+    client = HttpClient(control)
     try:
         async with asyncio.timeout(0.8):
-            found: dict[str, Any] = await errand.json("GET", "/state")
-            return found
+            packed_counters: dict[str, Any] = await client.json("GET", "/state")
+            return packed_counters
     except (OSError, TimeoutError, ValueError):
         return {}
     finally:
-        errand.close()
+        client.close()
 
 
-def joined(day: Script, found: list[dict[str, Any]]) -> tuple[Result, dict[str, HdrHistogram], HdrHistogram]:
+def merge_counters(
+    script: Script, packed_counters: list[dict[str, Any]]
+) -> tuple[Result, dict[str, HdrHistogram], HdrHistogram]:
     """All tallies as one result, with the latencies and the tool's own lateness."""
-    *tallies, last = found
-    seconds = [Second() for _ in range(int(day.seconds) + 60)]
+    *tallies, last = packed_counters
+    seconds = [Second() for _ in range(int(script.seconds) + 60)]
     give_ups: dict[str, int] = {}
-    took: dict[str, HdrHistogram] = {}
-    late = HdrHistogram(1, LONGEST_US, DIGITS)
+    latencies: dict[str, HdrHistogram] = {}
+    send_lag = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     for tally in tallies:
         for mine, its in zip(seconds, tally["seconds"], strict=True):
             for name, value in its.items():
@@ -103,8 +107,8 @@
         for cause, count in tally["give_ups"].items():
             give_ups[cause] = give_ups.get(cause, 0) + count
         for name, text in tally["took"].items():
-            took.setdefault(name, HdrHistogram(1, LONGEST_US, DIGITS)).decode_and_add(text)
-        late.decode_and_add(tally["late"])
+            latencies.setdefault(name, HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)).decode_and_add(text)
+        send_lag.decode_and_add(tally["late"])
     before: dict[int, tuple[int, int]] = {}
     for mine, states in zip(seconds, last["states"][1:], strict=False):
         for number, state in enumerate(states):
@@ -118,19 +122,21 @@
             before[number] = (state["sends"], state["orders"])
     result = Result(seconds, {}, give_ups, 0, 0)
     result.extra["connections"] = float(sum(t["made"] for t in tallies))
-    return result, took, late
+    return result, latencies, send_lag
 
 
-def keep(out: Path, who: dict[str, Any], day: Script, found: list[dict[str, Any]]) -> dict[str, Any]:
+def write_results(
+    out: Path, key_columns: dict[str, Any], script: Script, packed_counters: list[dict[str, Any]]
+) -> dict[str, Any]:
     """Write the three tables; the run's row.  Latencies are milliseconds."""
-    result, took, late = joined(day, found)
-    every = HdrHistogram(1, LONGEST_US, DIGITS)
-    spread: Rows = []
-    for name, found_h in took.items():
-        every.add(found_h)
+    result, latencies, send_lag = merge_counters(script, packed_counters)
+    all_latencies = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+    percentile_rows: Rows = []
+    for name, found_h in latencies.items():
+        all_latencies.add(found_h)
         if found_h.get_total_count():
-            spread += [
-                who
+            percentile_rows += [
+                key_columns
                 | {
                     "what": "latency_ms",
                     "name": name,
@@ -139,20 +145,20 @@
                 }
                 for part in PARTS
             ]
-    spread += [
-        who | {"what": "give_ups", "name": cause, "part": 0.0, "value": float(count)}
+    percentile_rows += [
+        key_columns | {"what": "give_ups", "name": cause, "part": 0.0, "value": float(count)}
         for cause, count in result.give_ups.items()
     ]
     row = (
-        who
-        | figures(day.seconds, day.ends, result)
+        key_columns
+        | figures(script.seconds, script.last_fault_ends, result)
         | {
-            "p50_ms": every.get_value_at_percentile(50) / 1000,
-            "p99_ms": every.get_value_at_percentile(99) / 1000,
-            "late_p99_ms": late.get_value_at_percentile(99) / 1000,
-            "took_s": day.seconds,
+            "p50_ms": all_latencies.get_value_at_percentile(50) / 1000,
+            "p99_ms": all_latencies.get_value_at_percentile(99) / 1000,
+            "late_p99_ms": send_lag.get_value_at_percentile(99) / 1000,
+            "took_s": script.seconds,
             "simulated_s_a_second": 1.0,
         }
     )
-    write(out, [row], rows_of(who, day.seconds, result), spread)
+    write(out, [row], rows_of(key_columns, script.seconds, result), percentile_rows)
     return row
--- a/kelptrail/load/generator.py
+++ b/kelptrail/load/generator.py
@@ -24,12 +24,12 @@
 from kelptrail.settings.deployment import ActionSettings, Deployment, NamespaceSettings
 
 from .arrivals import Arrivals, popularity
-from .client_behavior import ClientBehavior, Heard, again, behavior_of
+from .client_behavior import ClientBehavior, ClientOutcome, behavior_of, retry_delay_ms
 from .plan import Load, Script
 from .results import Second
 
-POLL_MS, PATIENCE_MS, POLL_FOR_MS = 150.0, 500.0, 3000.0
-LONGEST_US, DIGITS = 3_600_000_000, 3
+POLL_EVERY_MS, ANSWER_SLACK_MS, POLL_FOR_MS = 150.0, 500.0, 3000.0
+MAX_LATENCY_US, SIGNIFICANT_DIGITS = 3_600_000_000, 3
 Answers = Callable[[Call, Ending, Response | None], None]
 
 
@@ -38,100 +38,101 @@
     """What differs from one process to the next.  `churn`: the share of calls that close their connection."""
 
     addresses: tuple[str, ...]
-    number: int
-    of: int
+    index: int
+    process_count: int
     seed: int
-    churn: float = 0.0
+    close_share: float = 0.0
     connections: int = 2000
-    connect_ms: float = 2000.0
+    connect_timeout_ms: float = 2000.0
 
 
 @dataclass(slots=True)
-class Tally:
+class GeneratorCounters:
     """What one process saw.  `late`: how far behind its own plan the tool sent, in microseconds."""
 
     seconds: list[Second]
-    took: dict[str, HdrHistogram]
-    late: HdrHistogram
+    latencies: dict[str, HdrHistogram]
+    send_lag: HdrHistogram
     give_ups: dict[str, int] = field(default_factory=dict)
-    made: int = 0  # connections
+    connections: int = 0  # connections
 
 
 @dataclass(slots=True, eq=False)
-class _Wish:
+class _ClientCall:
     ticket: str
     action: ActionSettings
-    space: NamespaceSettings
+    namespace: NamespaceSettings
     load: Load
     deferred: bool
-    habits: ClientBehavior
-    tries: int
+    behavior: ClientBehavior
+    attempts_left: int
     due: float  # of this try
-    first: float
+    first_due: float
     dispatcher: int = 0
     activation: str = ""
-    after: Callable[[], None] | None = None
+    on_finished: Callable[[], None] | None = None
 
 
-def histogram() -> HdrHistogram:
+def latency_histogram() -> HdrHistogram:
     """Microseconds up to an hour, to three digits."""
-    return HdrHistogram(1, LONGEST_US, DIGITS)
+    return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 class LoadGenerator:
     """Plays its share of a script's load from `start` (ms of the clock)."""
 
-    def __init__(self, day: Script, deployment: Deployment, settings: GeneratorSettings, start: float) -> None:
-        self._day, self._deployment, self._settings, self._start = day, deployment, settings, start
-        self._chance = np.random.default_rng([settings.seed, 29, settings.number])
+    def __init__(self, script: Script, deployment: Deployment, settings: GeneratorSettings, start: float) -> None:
+        self._script, self._deployment, self._settings, self._start = script, deployment, settings, start
+        self._random = np.random.default_rng([settings.seed, 29, settings.index])
         self._loop = asyncio.get_running_loop()
         self._pools = [
-            WorkerPool(a, settings.connections, settings.connect_ms, 10_000.0, 1 << 22) for a in settings.addresses
+            WorkerPool(a, settings.connections, settings.connect_timeout_ms, 10_000.0, 1 << 22)
+            for a in settings.addresses
         ]
         self._auth = {
             n.name: "Basic " + base64.b64encode(f"{n.uuid}:{n.key}".encode()).decode()
             for n in deployment.namespaces.values()
         }
-        self.tally = Tally(
-            [Second() for _ in range(int(day.seconds) + 60)],
-            {name: histogram() for name in deployment.types},
-            histogram(),
+        self.counters = GeneratorCounters(
+            [Second() for _ in range(int(script.seconds) + 60)],
+            {name: latency_histogram() for name in deployment.types},
+            latency_histogram(),
         )
         spaces = list(deployment.namespaces.values())
         shares = np.array([s.allowed_per_s for s in spaces])
-        self._spaces, self._shares = spaces, np.cumsum(shares / shares.sum())
-        self._tickets = self._out = 0
+        self._namespaces, self._namespace_odds = spaces, np.cumsum(shares / shares.sum())
+        self._tickets = self._open_requests = 0
 
-    async def play(self) -> Tally:
+    async def run(self) -> GeneratorCounters:
         """All of it, and then until the last client has its answer."""
         gc.collect()
         gc.freeze()
         gc.set_threshold(50_000, 20, 1_000_000)
-        await asyncio.gather(*(self._flow(load) for load in self._day.load))
+        await asyncio.gather(*(self._open_loop(load) for load in self._script.load))
         longest = max(t.timeout_ms for t in self._deployment.types.values())
         end = now_ms() + longest + POLL_FOR_MS
-        while self._out and now_ms() < end:
+        while self._open_requests and now_ms() < end:
             await asyncio.sleep(0.05)
-        self.tally.made = sum(pool.made for pool in self._pools)
+        self.counters.connections = sum(pool.made for pool in self._pools)
         for pool in self._pools:
             pool.close()
-        return self.tally
+        return self.counters
 
     # Arrivals.
 
-    async def _flow(self, load: Load) -> None:
-        end = min(self._day.seconds, load.at + load.last)
+    async def _open_loop(self, load: Load) -> None:
+        end = min(self._script.seconds, load.at + load.duration)
         actions = list(self._deployment.actions.values())
         by_path = {a.path: a for a in actions}
         odds = np.cumsum(popularity(list(by_path), load))
 
         def pick() -> ActionSettings:
-            return actions[int(np.searchsorted(odds, self._chance.random()))]
+            return actions[int(np.searchsorted(odds, self._random.random()))]
 
         if load.shape == "closed":
-            await self._closed(load, end, pick)
+            await self._closed_loop(load, end, pick)
             return
-        drawn = Arrivals(load, self._chance, (self._settings.number, self._settings.of))
+        drawn = Arrivals(load, self._random, (self._settings.index, self._settings.process_count))
         at = load.at
         while at < end:
             span = min(0.25, end - at)
@@ -139,193 +140,218 @@
                 due = self._start + when * 1000
                 if (wait := due - now_ms()) > 0.3:
                     await asyncio.sleep(wait / 1000)
-                self._wish(by_path.get(named) or pick(), load, due)
+                self._start_call(by_path.get(named) or pick(), load, due)
             at += span
 
-    async def _closed(self, load: Load, end: float, pick: Callable[[], ActionSettings]) -> None:
-        mine = len(range(self._settings.number, load.clients, self._settings.of))
+    async def _closed_loop(self, load: Load, end: float, pick: Callable[[], ActionSettings]) -> None:
+        mine = len(range(self._settings.index, load.clients, self._settings.process_count))
         stop = self._start + end * 1000
 
         def think() -> None:
-            self._loop.call_later(float(self._chance.exponential(load.think)), come)
+            self._loop.call_later(float(self._random.exponential(load.think)), come)
 
         def come() -> None:
             if now_ms() < stop:
-                self._wish(pick(), load, now_ms(), think)
+                self._start_call(pick(), load, now_ms(), think)
 
         await asyncio.sleep(max(0.0, self._start / 1000 + load.at - now_ms() / 1000))
         for _ in range(mine):
             think()
         await asyncio.sleep(max(0.0, (stop - now_ms()) / 1000))
 
-    def _wish(self, action: ActionSettings, load: Load, due: float, after: Callable[[], None] | None = None) -> None:
+    def _start_call(
+        self, action: ActionSettings, load: Load, due: float, on_finished: Callable[[], None] | None = None
+    ) -> None:
         self._tickets += 1
-        chance, settings = self._chance, self._settings
-        space = (
+        random, settings = self._random, self._settings
+        namespace = (
             self._deployment.namespaces.get(load.namespace)
-            or (self._spaces[int(np.searchsorted(self._shares, chance.random()))])
+            or (self._namespaces[int(np.searchsorted(self._namespace_odds, random.random()))])
         )
-        wish = _Wish(
-            f"l{settings.seed}-{settings.number}-{self._tickets}",
+        client_call = _ClientCall(
+            f"l{settings.seed}-{settings.index}-{self._tickets}",
             action,
-            space,
+            namespace,
             load,
-            bool(chance.random() < load.deferred),
-            behavior_of(float(chance.random()), load.heed, load.half_heed),
+            bool(random.random() < load.deferred),
+            behavior_of(float(random.random()), load.retry_after_share, load.half_retry_after_share),
             1 + load.retries,
             due,
             due,
-            int(chance.integers(len(self._pools))),
-            after=after,
+            int(random.integers(len(self._pools))),
+            on_finished=on_finished,
         )
-        self._try(wish)
+        self._attempt(client_call)
 
     # Tries.
 
-    def _second(self) -> Second:
-        seconds = self.tally.seconds
+    def _current_second(self) -> Second:
+        seconds = self.counters.seconds
         return seconds[max(0, min(len(seconds) - 1, int((now_ms() - self._start) / 1000)))]
 
-    def _try(self, wish: _Wish) -> None:
-        kind, now = self._deployment.types[wish.action.type], now_ms()
-        wish.tries -= 1
-        second = self._second()
+    def _attempt(self, client_call: _ClientCall) -> None:
+        request_class, now = self._deployment.types[client_call.action.type], now_ms()
+        client_call.attempts_left -= 1
+        second = self._current_second()
         second.calls += 1
-        second.repeats += wish.due > wish.first
-        self.tally.late.record_value(max(1, int((now - wish.due) * 1000)))
-        headers = {"authorization": self._auth[wish.space.name]}
-        if kind.effect == "deduplicated":
-            headers["idempotency-key"] = wish.ticket
-        if self._settings.churn and self._chance.random() < self._settings.churn:
+        second.repeats += client_call.due > client_call.first_due
+        self.counters.send_lag.record_value(max(1, int((now - client_call.due) * 1000)))
+        headers = {"authorization": self._auth[client_call.namespace.name]}
+        if request_class.effect == "deduplicated":
+            headers["idempotency-key"] = client_call.ticket
+        if self._settings.close_share and self._random.random() < self._settings.close_share:
             headers["connection"] = "close"
-        target = f"/api/v1/namespaces/_/actions/{wish.action.path}?blocking={str(not wish.deferred).lower()}"
-        self._ask(
+        target = (
+            f"/api/v1/namespaces/_/actions/{client_call.action.path}?blocking={str(not client_call.deferred).lower()}"
+        )
+        self._request(
             "POST",
             target,
-            msgspec.json.encode({"ticket": wish.ticket}),
+            msgspec.json.encode({"ticket": client_call.ticket}),
             headers,
-            wish,
-            self._answered,
-            kind.timeout_ms + PATIENCE_MS,
+            client_call,
+            self._on_response,
+            request_class.timeout_ms + ANSWER_SLACK_MS,
         )
 
-    def _ask(
+    def _request(
         self,
         method: str,
         target: str,
         body: bytes,
         headers: dict[str, str],
-        wish: _Wish,
+        client_call: _ClientCall,
         done: Answers,
         patience: float,
     ) -> None:
-        self._out += 1
-        data = encode_request(method, target, self._settings.addresses[wish.dispatcher], body, headers)
-        call = self._pools[wish.dispatcher].start(data, done, wish)
-        call.tag = (wish, self._loop.call_later(patience / 1000, call.give_up, "patience"))
+        self._open_requests += 1
+        data = encode_request(method, target, self._settings.addresses[client_call.dispatcher], body, headers)
+        call = self._pools[client_call.dispatcher].start(data, done, client_call)
+        call.tag = (client_call, self._loop.call_later(patience / 1000, call.give_up, "patience"))
 
-    def _answered(self, call: Call, ending: Ending, response: Response | None) -> None:
-        wish, timer = call.tag
+    def _on_response(self, call: Call, ending: Ending, response: Response | None) -> None:
+        client_call, timer = call.tag
         timer.cancel()
-        self._out -= 1
+        self._open_requests -= 1
         if ending in (Ending.UNREACHABLE, Ending.UNSENT) or (response is not None and response.status == 503):
-            told = response.headers.get("retry-after-ms", "0") if response is not None else "0"
-            self._over(wish, Heard.NOT_TAKEN, "not-taken", float(told))
+            answer_fields = response.headers.get("retry-after-ms", "0") if response is not None else "0"
+            self._finish_attempt(client_call, ClientOutcome.NOT_TAKEN, "not-taken", float(answer_fields))
         elif response is None:
-            self._over(wish, Heard.LOST, ending.value)
+            self._finish_attempt(client_call, ClientOutcome.LOST, ending.value)
         elif response.status == 202:
-            wish.activation = msgspec.json.decode(response.body)["activationId"]
-            self._out += 1
-            self._loop.call_later(POLL_MS / 1000, self._poll, wish)
+            client_call.activation = msgspec.json.decode(response.body)["activationId"]
+            self._open_requests += 1
+            self._loop.call_later(POLL_EVERY_MS / 1000, self._poll, client_call)
         else:
-            self._final(wish, response, None)
+            self._on_final_answer(client_call, response, None)
 
-    def _poll(self, wish: _Wish) -> None:
-        self._out -= 1
-        kind = self._deployment.types[wish.action.type]
-        if now_ms() - wish.due > kind.timeout_ms + POLL_FOR_MS:
-            self._over(wish, Heard.LOST, "polled")
+    def _poll(self, client_call: _ClientCall) -> None:
+        self._open_requests -= 1
+        request_class = self._deployment.types[client_call.action.type]
+        if now_ms() - client_call.due > request_class.timeout_ms + POLL_FOR_MS:
+            self._finish_attempt(client_call, ClientOutcome.LOST, "polled")
             return
-        self._ask(
+        self._request(
             "GET",
-            f"/api/v1/namespaces/_/activations/{wish.activation}",
+            f"/api/v1/namespaces/_/activations/{client_call.activation}",
             b"",
-            {"authorization": self._auth[wish.space.name]},
-            wish,
-            self._polled,
+            {"authorization": self._auth[client_call.namespace.name]},
+            client_call,
+            self._on_poll_response,
             2000.0,
         )
 
-    def _polled(self, call: Call, ending: Ending, response: Response | None) -> None:
-        wish, timer = call.tag
+    def _on_poll_response(self, call: Call, ending: Ending, response: Response | None) -> None:
+        client_call, timer = call.tag
         timer.cancel()
-        self._out -= 1
+        self._open_requests -= 1
         if response is not None and response.status == 200:
-            self._final(wish, response, msgspec.json.decode(response.body).get("duration"))
+            self._on_final_answer(client_call, response, msgspec.json.decode(response.body).get("duration"))
         else:
-            self._out += 1
-            self._loop.call_later(POLL_MS / 1000, self._poll, wish)
+            self._open_requests += 1
+            self._loop.call_later(POLL_EVERY_MS / 1000, self._poll, client_call)
 
-    def _final(self, wish: _Wish, response: Response, duration: float | None) -> None:
+    def _on_final_answer(self, client_call: _ClientCall, response: Response, duration: float | None) -> None:
         body = msgspec.json.decode(response.body)
         notes = {n["key"]: n["value"] for n in body.get("annotations", [])} if isinstance(body, dict) else {}
-        told = notes.get("kelptrail", body)
-        answer = told.get("answer", f"status-{response.status}")
+        answer_fields = notes.get("kelptrail", body)
+        answer = answer_fields.get("answer", f"status-{response.status}")
         if answer == "completed":
-            kind, second = self._deployment.types[wish.action.type], self._second()
-            took = now_ms() - wish.due if duration is None else float(duration)
+            request_class, second = self._deployment.types[client_call.action.type], self._current_second()
+            latency_ms = now_ms() - client_call.due if duration is None else float(duration)
             second.completed += 1
-            second.in_time += took <= kind.target_ms
-            record = self.tally.took[wish.action.type]
-            if wish.load.shape == "closed":
-                record.record_corrected_value(max(1, int(took * 1000)), max(1, int(wish.load.think * 1e6)))
+            second.in_time += latency_ms <= request_class.target_ms
+            record = self.counters.latencies[client_call.action.type]
+            if client_call.load.shape == "closed":
+                record.record_corrected_value(max(1, int(latency_ms * 1000)), max(1, int(client_call.load.think * 1e6)))
             else:
-                record.record_value(max(1, int(took * 1000)))
-            self._over(wish, Heard.COMPLETED, "")
+                record.record_value(max(1, int(latency_ms * 1000)))
+            self._finish_attempt(client_call, ClientOutcome.COMPLETED, "")
         elif answer in ("rejected", "aborted"):
-            self._over(
-                wish, Heard(answer), answer, float(told.get("retry_after_ms", 0.0)), told.get("repeat_within_ms")
+            self._finish_attempt(
+                client_call,
+                ClientOutcome(answer),
+                answer,
+                float(answer_fields.get("retry_after_ms", 0.0)),
+                answer_fields.get("repeat_within_ms"),
             )
         else:
-            self._over(wish, Heard.COMPLETED, answer)  # an error of the client's own, such as 401: no repeat mends it
+            self._finish_attempt(
+                client_call, ClientOutcome.COMPLETED, answer
+            )  # an error of the client's own, such as 401: no repeat mends it
 
-    def _over(
-        self, wish: _Wish, heard: Heard, cause: str, told_ms: float = 0.0, within_ms: float | None = None
+    def _finish_attempt(
+        self,
+        client_call: _ClientCall,
+        outcome: ClientOutcome,
+        cause: str,
+        retry_after_ms: float = 0.0,
+        repeat_within_ms: float | None = None,
     ) -> None:
         """A try has ended: count it, and let the client do as it does."""
-        kind, second = self._deployment.types[wish.action.type], self._second()
+        request_class, second = self._deployment.types[client_call.action.type], self._current_second()
         if cause:
-            self.tally.give_ups[cause] = self.tally.give_ups.get(cause, 0) + 1
+            self.counters.give_ups[cause] = self.counters.give_ups.get(cause, 0) + 1
         name = {
-            Heard.REJECTED: "rejected",
-            Heard.ABORTED: "aborted",
-            Heard.LOST: "lost",
-            Heard.NOT_TAKEN: "not_taken",
-        }.get(heard)
+            ClientOutcome.REJECTED: "rejected",
+            ClientOutcome.ABORTED: "aborted",
+            ClientOutcome.LOST: "lost",
+            ClientOutcome.NOT_TAKEN: "not_taken",
+        }.get(outcome)
         if name is not None:
             setattr(second, name, getattr(second, name) + 1)
-        wait = again(wish.habits, heard, kind.effect, kind.timeout_ms, told_ms, within_ms, now_ms() - wish.due)
-        if wait is not None and (wish.tries > 0 or (heard is Heard.NOT_TAKEN and wish.tries > -20)):
-            wait *= float(self._chance.uniform(*wish.habits.spread))
-            wish.due = now_ms() + wait
-            wish.dispatcher = (wish.dispatcher + 1) % len(self._pools)
-            wish.activation = ""
-            self._out += 1
-            self._loop.call_later(wait / 1000, self._come_again, wish)
-        elif wish.after is not None:
-            wish.after()
-
-    def _come_again(self, wish: _Wish) -> None:
-        self._out -= 1
-        self._try(wish)
-
-
-def packed(tally: Tally) -> dict[str, Any]:
+        wait = retry_delay_ms(
+            client_call.behavior,
+            outcome,
+            request_class.effect,
+            request_class.timeout_ms,
+            retry_after_ms,
+            repeat_within_ms,
+            now_ms() - client_call.due,
+        )
+        if wait is not None and (
+            client_call.attempts_left > 0 or (outcome is ClientOutcome.NOT_TAKEN and client_call.attempts_left > -20)
+        ):
+            wait *= float(self._random.uniform(*client_call.behavior.jitter))
+            client_call.due = now_ms() + wait
+            client_call.dispatcher = (client_call.dispatcher + 1) % len(self._pools)
+            client_call.activation = ""
+            self._open_requests += 1
+            self._loop.call_later(wait / 1000, self._retry, client_call)
+        elif client_call.on_finished is not None:
+            client_call.on_finished()
+
+    def _retry(self, client_call: _ClientCall) -> None:
+        self._open_requests -= 1
+        self._attempt(client_call)
+
+
+def pack_counters(counters: GeneratorCounters) -> dict[str, Any]:
     """A tally as it goes from process to process."""
     return {
-        "seconds": [msgspec.to_builtins(s) for s in tally.seconds],
-        "give_ups": tally.give_ups,
-        "made": tally.made,
-        "took": {name: h.encode().decode() for name, h in tally.took.items()},
-        "late": tally.late.encode().decode(),
+        "seconds": [msgspec.to_builtins(s) for s in counters.seconds],
+        "give_ups": counters.give_ups,
+        "made": counters.connections,
+        "took": {name: h.encode().decode() for name, h in counters.latencies.items()},
+        "late": counters.send_lag.encode().decode(),
     }
--- a/kelptrail/load/plan.py
+++ b/kelptrail/load/plan.py
@@ -1,10 +1,10 @@
-"""A load as an S-expression: how many come, when, and how they behave.  Times are seconds."""
+"""A load as an S-expression: how many calls, when, and how their clients behave.  Times are seconds."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Protocol
+from typing import Any, Protocol
 
 from kelptrail.settings.reader import SourcePosition
 from kelptrail.settings.shape import Checker, Shape, Value, number, word
@@ -14,21 +14,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Calls at a rate, from a time, for a time; `action` empty: all actions by popularity.  The shapes of arrivals are
-    those of `kelptrail/load/arrivals.py`; `namespace` empty: all
-    by their allowed rates; `heed` is the share of clients that heed advice, `half_heed` of those that
-    wait half of what they are told; the rest comes at once."""
+    """Calls at a rate, from a time on, for a time.  Shapes of arrivals are those of `kelptrail/load/arrivals.py`.
 
-    rate: float
+    `key` in a field's metadata: its name in `(set load.KEY VALUE)` of an experiment, where that differs."""
+
+    rate: float  # calls a second
     at: float
-    last: float
-    deferred: float
-    zipf: float
+    duration: float = field(metadata={"key": "last"})
+    deferred: float  # share of calls that do not block
+    zipf: float  # exponent of the popularity of actions
     retries: int
-    heed: float
-    half_heed: float
+    retry_after_share: float = field(metadata={"key": "heed"})  # share of clients that honour a retry-after time
+    half_retry_after_share: float = field(metadata={"key": "half_heed"})  # that wait half of it; the rest retries at once
     one_off: bool
-    action: str
+    action: str  # empty: all actions by popularity
     grpc: float
     streams: float
     shape: str
@@ -41,27 +40,31 @@
     file: str
     clients: int
     think: float
-    namespace: str
-
-    def __init__(self, rate: float, at: float, **rest: object) -> None:
-        for name, value in {"rate": rate, "at": at, "last": rest.pop("for"), **rest}.items():
-            object.__setattr__(self, name, value)
+    namespace: str  # empty: all namespaces by their quotas
 
 
 class Script(Protocol):
-    """What a script says of its load.  Times in seconds."""
+    """A scenario, as far as its load is concerned.  Times in seconds."""
 
     @property
     def seconds(self) -> float:
-        """How long it goes on."""
+        """How long it lasts."""
 
     @property
-    def ends(self) -> float:
-        """When its last trouble is over."""
+    def last_fault_ends(self) -> float:
+        """When its last fault is over."""
 
     @property
     def load(self) -> list[Load]:
-        """Who comes."""
+        """The loads that it plays side by side."""
+
+
+RENAMED_KEYS = {"for": "duration", "heed": "retry_after_share", "half_heed": "half_retry_after_share"}
+
+
+def _load_of(**settings: Any) -> Load:
+    fields = {RENAMED_KEYS.get(key, key): value for key, value in settings.items()}
+    return Load(**(fields | {"one_off": fields["one_off"] == "yes"}))
 
 
 LOAD = Shape(
@@ -90,14 +93,18 @@
         "think": number(0.001, 86_400, default=1.0),
         "namespace": word(default=""),
     },
-    build=lambda **f: Load(**(f | {"one_off": f["one_off"] == "yes"})),
+    build=_load_of,
 )
 
 
 def check_load(checker: Checker, place: SourcePosition, load: Load, folder: Path) -> None:
-    """What goes beyond single fields; a recording's path is taken from the script's `folder`."""
-    if load.heed + load.half_heed > 1 + 1e-9:
-        checker.fault(place, f"{load.heed:g} and {load.half_heed:g}", "shares heed and half-heed of 1 at most")
+    """Check what concerns several fields; the path of a recording is relative to the script's `folder`."""
+    if load.retry_after_share + load.half_retry_after_share > 1 + 1e-9:
+        checker.fault(
+            place,
+            f"{load.retry_after_share:g} and {load.half_retry_after_share:g}",
+            "shares heed and half-heed of 1 at most",
+        )
     if load.shape == "trace":
         try:
             read_trace(folder / load.file)
@@ -106,8 +113,8 @@
         object.__setattr__(load, "file", str(folder / load.file))
 
 
-def steady(rate: float, seconds: float, zipf: float) -> Load:
-    """A plain load with everything else by default."""
+def steady_load(rate: float, seconds: float, zipf: float) -> Load:
+    """A load at a constant rate, everything else by default."""
     rest = {key.replace("-", "_"): field.default for key, field in LOAD.fields.items() if isinstance(field, Value)}
     made: Load = LOAD.build(**(rest | {"rate": rate, "at": 0.0, "for": seconds, "zipf": zipf}))
     return made
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -31,7 +31,7 @@
 from kelptrail.gateway.overload import Stage as Calm
 from kelptrail.gateway.records import Record
 from kelptrail.load.arrivals import Arrivals, popularity
-from kelptrail.load.client_behavior import ClientBehavior, Heard, again, behavior_of
+from kelptrail.load.client_behavior import ClientBehavior, ClientOutcome, behavior_of, retry_delay_ms
 from kelptrail.load.plan import Load
 from kelptrail.load.results import Result, Second
 from kelptrail.membership.members import EndpointList
@@ -443,7 +443,7 @@
 
     def _arrivals(self, load: Load) -> None:
         """A load's arrivals, drawn a second at a time; of a closed loop its clients, spread over their first pause."""
-        end = min(self.day.seconds, load.at + load.last)
+        end = min(self.day.seconds, load.at + load.duration)
         actions = list(self.deployment.actions.values())
         by_path = {a.path: a for a in actions}
         odds = np.cumsum(popularity(list(by_path), load))
@@ -486,7 +486,7 @@
             action,
             space,
             bool(chance.random() < load.deferred),
-            behavior_of(float(chance.random()), load.heed, load.half_heed),
+            behavior_of(float(chance.random()), load.retry_after_share, load.half_retry_after_share),
             1 + load.retries,
             first=self.engine.now,
             after=after,
@@ -530,7 +530,7 @@
         self.second().not_taken += 1
         if self.note is not None:
             self.note("not-taken", call=wish.number)
-        self._again(wish, Heard.NOT_TAKEN)
+        self._again(wish, ClientOutcome.NOT_TAKEN)
 
     def _unwait(self, wish: Wish) -> None:
         if wish.patience is not None:
@@ -639,7 +639,7 @@
         self.give_ups[ending] = self.give_ups.get(ending, 0) + 1
         if self.note is not None:
             self.note("no-answer", call=wish.number, ending=ending)
-        self._again(wish, Heard.LOST)
+        self._again(wish, ClientOutcome.LOST)
 
     def _final(
         self,
@@ -669,17 +669,19 @@
                 second.rejected += 1
             else:
                 second.aborted += 1
-        self._again(wish, Heard(answer), return_ms, within)
+        self._again(wish, ClientOutcome(answer), return_ms, within)
 
-    def _again(self, wish: Wish, heard: Heard, told_ms: float = 0.0, within_ms: float | None = None) -> None:
+    def _again(self, wish: Wish, heard: ClientOutcome, told_ms: float = 0.0, within_ms: float | None = None) -> None:
         """The client's next step, by its habits."""
         kind = self.deployment.types[wish.action.type]
-        wait = again(wish.habits, heard, kind.effect, kind.timeout_ms, told_ms, within_ms, self.engine.now - wish.began)
-        if wait is not None and heard is Heard.NOT_TAKEN and wish.tries > -20:
+        wait = retry_delay_ms(
+            wish.habits, heard, kind.effect, kind.timeout_ms, told_ms, within_ms, self.engine.now - wish.began
+        )
+        if wait is not None and heard is ClientOutcome.NOT_TAKEN and wish.tries > -20:
             self.engine.after(wait, self._try, wish, wish.dispatcher)
-        elif wait is not None and heard is not Heard.NOT_TAKEN and wish.tries > 0:
+        elif wait is not None and heard is not ClientOutcome.NOT_TAKEN and wish.tries > 0:
             self.engine.after(
-                wait * float(self._clients.uniform(*wish.habits.spread)), self._try, wish, wish.dispatcher
+                wait * float(self._clients.uniform(*wish.habits.jitter)), self._try, wish, wish.dispatcher
             )
         elif wish.after is not None:
             wish.after()
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -150,11 +150,16 @@
     return day, deployment, lab
 
 
+def _fields_by_key(one: Any) -> dict[str, str]:
+    """The field of each key that an experiment may set: its name, or the `key` of its metadata."""
+    return {f.metadata.get("key", f.name): f.name for f in dataclasses.fields(one)}
+
+
 def _fit(one: Any, key: str, value: Any) -> Any:
-    names = [f.name for f in dataclasses.fields(one)]
-    if key not in names:
-        raise ValueError("a key: " + ", ".join(name.replace("_", "-") for name in names))
-    before = getattr(one, key)
+    fields = _fields_by_key(one)
+    if key not in fields:
+        raise ValueError("a key: " + ", ".join(name.replace("_", "-") for name in fields))
+    before = getattr(one, fields[key])
     if isinstance(before, int) and not isinstance(before, bool) and isinstance(value, float):
         return int(value)
     if isinstance(before, bool | str) is not isinstance(value, bool | str) and not isinstance(before, list):
@@ -163,14 +168,16 @@
 
 
 def _with(one: Any, key: str, value: Any) -> Any:
-    return dataclasses.replace(one, **{key: _fit(one, key, value)})
+    fitting = _fit(one, key, value)
+    return dataclasses.replace(one, **{_fields_by_key(one)[key]: fitting})
 
 
 def _copied(one: Any, key: str, value: Any) -> Any:
     import copy
 
     made = copy.copy(one)  # these build themselves by words of the script, not by their fields
-    object.__setattr__(made, key, _fit(one, key, value))
+    fitting = _fit(one, key, value)
+    object.__setattr__(made, _fields_by_key(one)[key], fitting)
     return made
 
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from kelptrail.history_checker.checker import check_history, read
+from kelptrail.history_checker.checker import check_history, read_captures
 
 BOOT = "0123456789abcdef"
 WHO = f"d0/{BOOT}"
@@ -253,7 +253,7 @@
 def test_captures_are_read_in_order_and_a_torn_line_is_passed_over(tmp_path: Path) -> None:
     (tmp_path / "a.jsonl").write_text("\n".join(json.dumps(e) for e in sound()[::2]) + '\n{"t": 1, "wh')
     (tmp_path / "b.jsonl").write_text("\n".join(json.dumps(e) for e in sound()[1::2]) + "\n")
-    assert not check_history(read(tmp_path)).broken
+    assert not check_history(read_captures(tmp_path)).broken
     (tmp_path / "c.jsonl").write_text('nonsense\n{"t": 1}\n{"t": 2}\n')
     with pytest.raises(ValueError, match=r"c\.jsonl:1"):
-        read(tmp_path)
+        read_captures(tmp_path)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,7 +14,7 @@
 from kelptrail.dispatch.entities import AttemptStatus, LoadOrder
 from kelptrail.fault_scenario.scenario import load as load_script
 from kelptrail.history_checker.checker import check_history
-from kelptrail.load.plan import steady
+from kelptrail.load.plan import steady_load
 from kelptrail.load.results import Result, Second, read, read_runs, read_seconds, recovery
 from kelptrail.settings.deployment import load
 from kelptrail.settings.reader import SettingsError
@@ -108,7 +108,7 @@
     """A lab whose dispatchers cost nothing would flatter."""
     day = load_script(ROOT / "examples" / "bad-days" / "second-sends.sexp")
     deployment = load(day.deployment)
-    day = replace(day, seconds=5.0, workers=6, dispatchers=1, load=[steady(200.0, 5.0, 0.8)], trouble=[])
+    day = replace(day, seconds=5.0, workers=6, dispatchers=1, load=[steady_load(200.0, 5.0, 0.8)], trouble=[])
     runs = [play(day, deployment, 1, SimulationSettings(cpu_ms=cpu)) for cpu in (0.1, 2.6)]
     medians = [float(np.median(run.latency["check"])) for run in runs]
     assert medians[1] > 4 * medians[0]
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -17,10 +17,10 @@
 from kelptrail.fault_scenario.scenario import FaultScenario
 from kelptrail.fault_scenario.scenario import load as load_script
 from kelptrail.load.arrivals import Arrivals, read_trace
-from kelptrail.load.client_behavior import ClientBehavior, Heard, again, behavior_of
-from kelptrail.load.coordinator import joined, keep
-from kelptrail.load.generator import GeneratorSettings, LoadGenerator, packed
-from kelptrail.load.plan import LOAD, Load, steady
+from kelptrail.load.client_behavior import ClientBehavior, ClientOutcome, behavior_of, retry_delay_ms
+from kelptrail.load.coordinator import merge_counters, write_results
+from kelptrail.load.generator import GeneratorSettings, LoadGenerator, pack_counters
+from kelptrail.load.plan import LOAD, Load, steady_load
 from kelptrail.load.results import read
 from kelptrail.net.server import Exchange
 from kelptrail.settings.deployment import load
@@ -31,7 +31,7 @@
 
 
 def shaped(shape: str, rate: float = 200.0, **rest: Any) -> Load:
-    made = steady(rate, 1e6, 1.0)
+    made = steady_load(rate, 1e6, 1.0)
     for name, value in (rest | {"shape": shape}).items():
         assert name in {k.replace("-", "_") for k in LOAD.fields}
         object.__setattr__(made, name, value)
@@ -72,9 +72,9 @@
     file.write_text("# a recording\n0.5,p/a\n1.0\n2.5,p/b\n")
     whole = shaped("trace", file=str(file))
     trace = read_trace(file)
-    assert trace.actions == ["p/a", "", "p/b"] and trace.seconds > 2.5
+    assert trace.actions == ["p/a", "", "p/b"] and trace.length_s > 2.5
     every = drawn(whole, 30, span=0.25)
-    assert len(every) == 27 and np.allclose(every[3:6] - every[:3], trace.seconds), "it begins anew"
+    assert len(every) == 27 and np.allclose(every[3:6] - every[:3], trace.length_s), "it begins anew"
     parts = np.sort(np.concatenate([drawn(whole, 30, part=(n, 2)) for n in range(2)]))
     assert np.allclose(parts, every)
     for text, word in (("x", "no time"), ("2\n1", "before"), ("", "no arrivals"), ("nan", "before")):
@@ -85,21 +85,27 @@
 
 def test_clients_repeat_only_what_is_harmless_and_heed_as_they_do() -> None:
     heeds, half, none = (behavior_of(d, 0.5, 0.3) for d in (0.49, 0.79, 0.81))
-    assert (heeds.heed, half.heed, none.heed) == (1.0, 0.5, 0.0)
-    assert [again(h, Heard.REJECTED, "once-only", 900, 400) for h in (heeds, half, none)] == [400, 200, 0]
-    assert again(heeds, Heard.REJECTED, "deduplicated", 900, 400, 1000) is None, "the mark would be forgotten"
-    assert again(heeds, Heard.REJECTED, "deduplicated", 900, 400, 1400) == 400
+    assert (heeds.retry_after_share, half.retry_after_share, none.retry_after_share) == (1.0, 0.5, 0.0)
+    assert [retry_delay_ms(h, ClientOutcome.REJECTED, "once-only", 900, 400) for h in (heeds, half, none)] == [
+        400,
+        200,
+        0,
+    ]
+    assert retry_delay_ms(heeds, ClientOutcome.REJECTED, "deduplicated", 900, 400, 1000) is None, (
+        "the mark would be forgotten"
+    )
+    assert retry_delay_ms(heeds, ClientOutcome.REJECTED, "deduplicated", 900, 400, 1400) == 400
     for effect, heard, wait in (
-        ("repeatable", Heard.ABORTED, 100),
-        ("deduplicated", Heard.ABORTED, None),
-        ("once-only", Heard.LOST, None),
-        ("repeatable", Heard.LOST, 200),
-        ("once-only", Heard.NOT_TAKEN, 50),
-        ("repeatable", Heard.COMPLETED, None),
+        ("repeatable", ClientOutcome.ABORTED, 100),
+        ("deduplicated", ClientOutcome.ABORTED, None),
+        ("once-only", ClientOutcome.LOST, None),
+        ("repeatable", ClientOutcome.LOST, 200),
+        ("once-only", ClientOutcome.NOT_TAKEN, 50),
+        ("repeatable", ClientOutcome.COMPLETED, None),
     ):
-        assert again(ClientBehavior(), heard, effect, 900) == wait
-    assert again(heeds, Heard.NOT_TAKEN, "repeatable", 900, 700) == 700
-    assert again(heeds, Heard.NOT_TAKEN, "repeatable", 900, 700, since_ms=3000) is None
+        assert retry_delay_ms(ClientBehavior(), heard, effect, 900) == wait
+    assert retry_delay_ms(heeds, ClientOutcome.NOT_TAKEN, "repeatable", 900, 700) == 700
+    assert retry_delay_ms(heeds, ClientOutcome.NOT_TAKEN, "repeatable", 900, 700, elapsed_ms=3000) is None
 
 
 @pytest.mark.parametrize(
@@ -151,23 +157,25 @@
         hand = LoadGenerator(
             day, dispatcher.deployment, GeneratorSettings((dispatcher.server.address,), 0, 1, 5, 0.3, 1), now_ms() + 50
         )
-        tally = await hand.play()
+        tally = await hand.run()
         slow = sum(
             1
-            for item in tally.took["check"].get_recorded_iterator()
+            for item in tally.latencies["check"].get_recorded_iterator()
             for _ in range(item.count_at_value_iterated_to)
             if item.value_iterated_to > 100_000
         )
         assert slow >= 10, "some 30 came due in the stall"
-        assert tally.made > 5, "calls that close their connection"
-        found = [msgspec.json.decode(msgspec.json.encode(packed(tally))) for _ in range(2)]
+        assert tally.connections > 5, "calls that close their connection"
+        found = [msgspec.json.decode(msgspec.json.encode(pack_counters(tally))) for _ in range(2)]
         state = {"sends": 5, "orders": 1, "in_hand": 2, "storm": {"stage": "storm"}}
         found.append({"states": [[state], [state], [state | {"sends": 9}], [{}]]})
-        result, took, _ = joined(day, found)
-        assert took["check"].get_total_count() == 2 * tally.took["check"].get_total_count()
+        result, took, _ = merge_counters(day, found)
+        assert took["check"].get_total_count() == 2 * tally.latencies["check"].get_total_count()
         assert result.seconds[0].calls == 2 * tally.seconds[0].calls and result.seconds[1].sends == 4
         assert result.seconds[0].storming == 1 and result.seconds[0].in_hand == 2
-        row = keep(tmp_path, {"experiment": "x", "variant": "v", "point": "", "value": 0.0, "seed": 1}, day, found)
+        row = write_results(
+            tmp_path, {"experiment": "x", "variant": "v", "point": "", "value": 0.0, "seed": 1}, day, found
+        )
         assert read(tmp_path, "runs") == [row] and row["completed"] == sum(s.completed for s in result.seconds[:1])
         assert {r["name"] for r in read(tmp_path, "spread")} >= {"check"}
         await dispatcher.server.drain(500)
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -8,7 +8,7 @@
 
 from kelptrail.fault_scenario.scenario import Fault, FaultScenario
 from kelptrail.history_checker.checker import check_history
-from kelptrail.load.plan import steady
+from kelptrail.load.plan import steady_load
 from kelptrail.load.results import figures
 from kelptrail.settings.deployment import load
 from kelptrail.simulation.cluster import SimulatedCluster, SimulationSettings, result_of
@@ -21,7 +21,7 @@
 
 def day_of(trouble: list[Fault]) -> FaultScenario:
     file = str(ROOT / "examples" / "nursery.sexp")
-    return FaultScenario("sharded", file, 8.0, 12, 6, 1, 0, "program", [steady(180.0, 8.0, 1.0)], trouble)
+    return FaultScenario("sharded", file, 8.0, 12, 6, 1, 0, "program", [steady_load(180.0, 8.0, 1.0)], trouble)
 
 
 def trouble(kind: str, at: float, seconds: float, part: float) -> Fault:
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -26,7 +26,7 @@
 from kelptrail.certificates.authority import Authority, read_certificate, shown
 from kelptrail.certificates.names import digest
 from kelptrail.fault_scenario.report import holders, latencies, timeline
-from kelptrail.history_checker.checker import check_history, read
+from kelptrail.history_checker.checker import check_history, read_captures
 from kelptrail.lease.acceptor import DurableState, Stage, Write
 from kelptrail.lease.acceptor_store import AcceptorStore, open_acceptor_store
 from kelptrail.lease.messages import NOTHING, FencingToken, LeaseNote, LeaseRow
@@ -627,7 +627,7 @@
 
 def test_captures_of_acts_under_leases_are_judged_as_they_were() -> None:
     """The witness's lines, by which `kelptrail audit` tells two holders of a task, and the report who held it when."""
-    events = read(STORED / "day-of-leases" / "captures")
+    events = read_captures(STORED / "day-of-leases" / "captures")
     verdict = check_history(events)
     assert not verdict.broken and {name: n for name, n in verdict.counts().items() if n} == {"acts": 10}
     span = {"by": "dispatcher-5", "token": "5.dispatcher-5/efd7844a", "from": -2.129, "until": -1.51}
@@ -636,7 +636,7 @@
 
 def test_captures_of_a_bad_day_are_judged_as_they_were() -> None:
     """`kelptrail audit` on captures that were kept: the counts that the report of that day has, none of them broken."""
-    verdict = check_history(read(STORED / "day" / "captures"))
+    verdict = check_history(read_captures(STORED / "day" / "captures"))
     report = msgspec.json.decode((STORED / "day" / "report.json").read_bytes())
     counts = verdict.counts()
     assert counts == {name: report[name] for name in counts} and not verdict.broken
@@ -653,7 +653,7 @@
 
 def test_the_report_of_a_bad_day_comes_from_its_captures() -> None:
     """Latencies, the timeline of seconds and the troubles in `report.json` are those that its captures still give."""
-    events = read(STORED / "day" / "captures")
+    events = read_captures(STORED / "day" / "captures")
     report = msgspec.json.decode((STORED / "day" / "report.json").read_bytes())
     assert latencies(events) == report["latency_ms"]
     assert timeline(events) == (report["timeline"], report["troubles"])
@@ -735,5 +735,5 @@
 def test_a_recording_of_arrivals_is_read() -> None:
     """A load's recording: seconds, with an action or without, remarks and empty lines."""
     trace = read_trace(STORED / "arrivals.csv")
-    assert trace.times.tolist() == [0.25, 0.5, 0.5, 2.75] and trace.seconds == 3.4375
+    assert trace.times.tolist() == [0.25, 0.5, 0.5, 2.75] and trace.length_s == 3.4375
     assert trace.actions == ["desk/sum", "", "desk/see", "desk/sum"]
