--- a/bench/crash_points.py
+++ b/bench/crash_points.py
@@ -26,7 +26,7 @@
 import uvloop
 
 from kelptrail.codec.http import HttpError
-from kelptrail.emulator.cluster import Child, Cluster, ask
+from kelptrail.emulator.cluster import Child, Cluster, http_json
 from kelptrail.history_checker.checker import read_captures
 from kelptrail.net.http_client import HttpClient
 from kelptrail.settings.deployment import load
@@ -67,7 +67,7 @@
         """Workers, and who is to hold copies."""
         await self.place.start(4, 5 if self._lost else 0, self._folder / "state" if self._lost else None)
         for dispatcher in self.place.dispatchers:
-            while not (await ask(dispatcher.said["asked_at"], "GET", "/copies"))["promising"]:
+            while not (await http_json(dispatcher.said["asked_at"], "GET", "/copies"))["promising"]:
                 await asyncio.sleep(0.1)
 
     async def lost(self, step: str, effect: str, keyed: bool) -> dict[str, Any]:
@@ -79,7 +79,7 @@
             "--name",
             name,
             "--roster",
-            self.place.roster.said["address"],
+            self.place.endpoint_service.said["address"],
             "--control",
             "127.0.0.1:0",
             "--state",
@@ -88,7 +88,7 @@
         ]
         child = Child(name, [*words, "--crash-at", step])
         await self.place.launch(child)
-        while not (await ask(child.said["asked_at"], "GET", "/copies"))["promising"]:
+        while not (await http_json(child.said["asked_at"], "GET", "/copies"))["promising"]:
             await asyncio.sleep(0.05)
         key, ticket = f"key-{name}" if keyed else "", {"ticket": name}
         target = f"actions/{ACTIONS[effect]}?blocking=false"
@@ -141,7 +141,7 @@
                 "--name",
                 name,
                 "--roster",
-                self.place.roster.said["address"],
+                self.place.endpoint_service.said["address"],
                 "--control",
                 "127.0.0.1:0",
                 "--state",
@@ -152,7 +152,7 @@
             ],
         )
         await self.place.launch(child)
-        while not (await ask(child.said["asked_at"], "GET", "/copies"))["promising"]:
+        while not (await http_json(child.said["asked_at"], "GET", "/copies"))["promising"]:
             await asyncio.sleep(0.05)
         key, ticket, loop = f"key-{name}", {"ticket": name}, asyncio.get_running_loop()
         target = f"actions/{ACTIONS[effect]}?blocking=false"
@@ -230,7 +230,7 @@
             "--name",
             name,
             "--roster",
-            self.place.roster.said["address"],
+            self.place.endpoint_service.said["address"],
             "--state",
             str(self._folder / name),
         ]
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -26,8 +26,8 @@
 import uvloop
 
 from kelptrail.emulator.capture import Capture
-from kelptrail.emulator.cluster import Child, Cluster, ask
-from kelptrail.fault_scenario.report import world_of
+from kelptrail.emulator.cluster import Child, Cluster, http_json
+from kelptrail.fault_scenario.report import describe_deployment
 from kelptrail.history_checker.checker import check_history, read_captures
 from kelptrail.lease.messages import LeaseSettings
 from kelptrail.lease.model import Budget, Make, Model
@@ -139,7 +139,10 @@
             for child in self.place.dispatchers:
                 try:
                     async with asyncio.timeout(0.5):
-                        if child.running and "sweep" in (await ask(child.said["asked_at"], "GET", "/leases"))["holds"]:
+                        if (
+                            child.running
+                            and "sweep" in (await http_json(child.said["asked_at"], "GET", "/leases"))["holds"]
+                        ):
                             return child
                 except (OSError, TimeoutError):
                     continue
@@ -174,7 +177,7 @@
     with tempfile.TemporaryDirectory() as name:
         rig = Rig(Path(name))
         await rig.place.start(2, 7, Path(name) / "state", tasks=("sweep",))
-        rig.capture.note("world", **world_of(rig.deployment, [d.name for d in rig.place.dispatchers], 2))
+        rig.capture.note("world", **describe_deployment(rig.deployment, [d.name for d in rig.place.dispatchers], 2))
         began: dict[str, list[float]] = {}
         for kind in kinds or ("kill", "pause", "cut", "cut-one-way", "ended"):
             for _ in range(times):
@@ -237,7 +240,7 @@
         async def look() -> list[tuple[float, float]]:
             found = []
             for child in rig.place.dispatchers:
-                said = await ask(child.said["asked_at"], "GET", "/leases")
+                said = await http_json(child.said["asked_at"], "GET", "/leases")
                 assert child.process is not None
                 words = Path(f"/proc/{child.process.pid}/stat").read_text().rpartition(")")[2].split()
                 found.append((said["messages"], (int(words[11]) + int(words[12])) * 10.0))
--- a/bench/planner.py
+++ b/bench/planner.py
@@ -19,7 +19,7 @@
 import uvloop
 
 from kelptrail.clock import now_ms
-from kelptrail.emulator.cluster import Cluster, ask
+from kelptrail.emulator.cluster import Cluster, http_json
 from kelptrail.gateway.counters import FunctionCounters
 from kelptrail.peers.messages import VERSION, FrameReader, Heartbeat, Hello, frame
 from kelptrail.planner.channel import READ, Report
@@ -161,7 +161,7 @@
     fakes: list[asyncio.Task[None]] = []
     if big:
         for n in range(1000):
-            await ask(
+            await http_json(
                 roster.said["address"],
                 "POST",
                 "/register",
@@ -197,7 +197,7 @@
         stdout=asyncio.subprocess.PIPE,
     )
     said, _ = await load_process.communicate()
-    state = await ask(planner.said["control"], "GET", "/")
+    state = await http_json(planner.said["control"], "GET", "/")
     for fake in fakes:
         fake.cancel()
     for child in (planner, roster):
@@ -233,7 +233,7 @@
         "planner", ["planner", str(large), "--roster", roster.said["address"], "--control", "127.0.0.1:0"]
     )
     for n in range(1000):
-        await ask(
+        await http_json(
             roster.said["address"],
             "POST",
             "/register",
@@ -256,7 +256,7 @@
     before = sum(f.bytes_in for f in fakes), sum(f.bytes_out for f in fakes), sum(f.plans for f in fakes)
     await asyncio.sleep(30)
     after = sum(f.bytes_in for f in fakes), sum(f.bytes_out for f in fakes), sum(f.plans for f in fakes)
-    state = await ask(planner.said["control"], "GET", "/")
+    state = await http_json(planner.said["control"], "GET", "/")
     down, up, plans = (round((b - a) / 30) for a, b in zip(before, after, strict=True))
     print(
         json.dumps(
--- a/bench/vrrp_failover.py
+++ b/bench/vrrp_failover.py
@@ -26,8 +26,8 @@
 from kelptrail.clock import now_ms
 from kelptrail.emulator.capture import Capture
 from kelptrail.emulator.clients import ClientEmulator
-from kelptrail.emulator.cluster import Child, Cluster, ask
-from kelptrail.fault_scenario.report import latencies, world_of
+from kelptrail.emulator.cluster import Child, Cluster, http_json
+from kelptrail.fault_scenario.report import describe_deployment, latencies
 from kelptrail.history_checker.checker import check_history, read_captures
 from kelptrail.load.plan import steady_load
 from kelptrail.settings.deployment import Deployment, load
@@ -89,7 +89,10 @@
         place = self._place
         await place.start(self._deployment.fleet.workers, len(self._deployment.vrrp.instance), self._out / "state")
         self._capture.note(
-            "world", **world_of(self._deployment, [d.name for d in place.dispatchers], self._deployment.fleet.workers)
+            "world",
+            **describe_deployment(
+                self._deployment, [d.name for d in place.dispatchers], self._deployment.fleet.workers
+            ),
         )
         sampling = asyncio.create_task(self._sampler.run())
         while not self._sampler.now():
@@ -125,14 +128,14 @@
         """Who says that it is Master of the first router."""
         while True:
             for child in self._place.dispatchers:
-                status = await ask(child.said["asked_at"], "GET", "/vrrp")
+                status = await http_json(child.said["asked_at"], "GET", "/vrrp")
                 if status["routers"][0]["state"] == "master":
                     return child
             await asyncio.sleep(0.02)
 
     async def _relay(self, **knobs: Any) -> None:
         assert self._place.relay is not None
-        await ask(self._place.relay.said["address"], "POST", "/", knobs)
+        await http_json(self._place.relay.said["address"], "POST", "/", knobs)
 
     async def _failover(self, kind: str, number: int) -> None:
         place, child = self._place, await self._master()
--- a/kelptrail/cli/main.py
+++ b/kelptrail/cli/main.py
@@ -47,9 +47,9 @@
 
 
 def _script(script: str) -> Any:
-    from kelptrail.fault_scenario.scenario import load
+    from kelptrail.fault_scenario.scenario import load_scenario
 
-    return _read(load, script)
+    return _read(load_scenario, script)
 
 
 def _say(**fields: Any) -> None:
@@ -309,10 +309,10 @@
 def vrrp_status(control: str, as_json: bool) -> None:
     """State, master, timers, counters and last transitions with their causes."""
     from kelptrail.codec.http import HttpError
-    from kelptrail.emulator.cluster import ask
+    from kelptrail.emulator.cluster import http_json
 
     try:
-        status = _run(ask(control, "GET", "/vrrp"))
+        status = _run(http_json(control, "GET", "/vrrp"))
     except (OSError, HttpError) as cause:
         click.echo(f"{control}: {cause or type(cause).__name__}", err=True)
         sys.exit(FAILED)
@@ -338,10 +338,10 @@
 def _shown(control: str, target: str) -> Any:
     """What a control port shows; ends the process where it shows nothing."""
     from kelptrail.codec.http import HttpError
-    from kelptrail.emulator.cluster import ask
+    from kelptrail.emulator.cluster import http_json
 
     try:
-        return _run(ask(control, "GET", target))
+        return _run(http_json(control, "GET", target))
     except (OSError, HttpError) as cause:
         click.echo(f"{control}: {cause or type(cause).__name__}", err=True)
         sys.exit(FAILED)
@@ -421,17 +421,17 @@
 def retire(name: str, control: str, within: float) -> None:
     """Move everything off the dispatcher NAME, whose control port is CONTROL, before its machine is taken away."""
     from kelptrail.codec.http import HttpError
-    from kelptrail.emulator.cluster import ask
+    from kelptrail.emulator.cluster import http_json
 
     async def go() -> str:
-        status = await ask(control, "GET", "/copies")
+        status = await http_json(control, "GET", "/copies")
         if status["name"] != name:
             return f"{control} is {status['name']}, not {name}"
-        await ask(control, "POST", "/retire", {})
+        await http_json(control, "POST", "/retire", {})
         loop = asyncio.get_running_loop()
         end = loop.time() + within
         while loop.time() < end:
-            status = await ask(control, "GET", "/copies")
+            status = await http_json(control, "GET", "/copies")
             if not status["owned"] and not status["held"]:
                 return ""
             await asyncio.sleep(0.2)
@@ -610,7 +610,7 @@
 @click.pass_context
 def bad_day(context: click.Context, script: str, seed: int, out: Path) -> None:
     """Play a scripted bad day through real processes and judge it.  Exit 6 where a rule was broken."""
-    from kelptrail.fault_scenario.report import write
+    from kelptrail.fault_scenario.report import write_report
     from kelptrail.fault_scenario.runner import ScenarioRunner
     from kelptrail.history_checker.checker import check_history, read_captures
 
@@ -620,9 +620,9 @@
     except ValueError as cause:
         click.echo(f"{script}: {cause}", err=True)
         sys.exit(UNUSABLE)
-    clean = bool(_run(player.play()))
+    clean = bool(_run(player.run()))
     events = read_captures(out / "captures")
-    report = write(out, day.name, seed, events, check_history(events), clean, player.memory, player.states)
+    report = write_report(out, day.name, seed, events, check_history(events), clean, player.memory, player.states)
     brief = {k: v for k, v in report.items() if k not in ("timeline", "details", "troubles")}
     click.echo(msgspec.json.format(msgspec.json.encode(brief)).decode())
     for line in report["details"][:20]:
@@ -639,13 +639,15 @@
 def campaign(settings: Path, seeds: int, first: int, at_once: int, out: Path) -> None:
     """Play drawn bad days between real processes: of copies where the settings have any, else of leases.  Exit 6 where
     any of them broke a rule."""
-    from kelptrail.fault_scenario.campaign import play, total
+    from kelptrail.fault_scenario.campaign import run_campaign, summarize
 
     peers = _settings(str(settings)).peers
     kind = "copies" if peers is not None and peers.copies else "leases"
     with click.progressbar(length=seeds, label="days", file=sys.stderr) as bar:
-        rows = _run(play(kind, list(range(first, first + seeds)), settings, out, at_once, lambda _row: bar.update(1)))
-    found = total(rows)
+        rows = _run(
+            run_campaign(kind, list(range(first, first + seeds)), settings, out, at_once, lambda _row: bar.update(1))
+        )
+    found = summarize(rows)
     click.echo(msgspec.json.format(msgspec.json.encode(found)).decode())
     for row in rows:
         for line in [row["failed"]] if "failed" in row else row["details"]:
--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -55,7 +55,7 @@
     ) -> None:
         self.deployment, self._file, self._out, self._seed = deployment, file, out, seed
         self._level, self._logs, self._quiet = log_level, logs, quiet
-        self.store = self.roster = Child("", [])
+        self.store = self.endpoint_service = Child("", [])
         self.relay: Child | None = None
         self.workers: list[Child] = []
         self.dispatchers: list[Child] = []
@@ -76,7 +76,7 @@
         """Start everything, in the order of need.  With planners the dispatchers are edges that follow them; where the
         settings have peers, their channels go through a relay; `tasks` are wanted by all dispatchers."""
         self.store = await self._child("store", ["standin", "store", self._file])
-        self.roster = await self._child("roster", ["standin", "roster"])
+        self.endpoint_service = await self._child("roster", ["standin", "roster"])
         halls = self.deployment.halls
         vrrp = self.deployment.vrrp
         if vrrp is not None and any(i.via for i in vrrp.instance):
@@ -99,7 +99,7 @@
                             "--store",
                             self.store.said["address"],
                             "--roster",
-                            self.roster.said["address"],
+                            self.endpoint_service.said["address"],
                             "--seed",
                             str(self._seed),
                             "--warm",
@@ -140,7 +140,7 @@
                             "--name",
                             f"planner-{n}",
                             "--roster",
-                            self.roster.said["address"],
+                            self.endpoint_service.said["address"],
                             "--control",
                             "127.0.0.1:0",
                             "--solver",
@@ -168,7 +168,7 @@
                             "--hall",
                             halls[n % len(halls)],
                             "--roster",
-                            self.roster.said["address"],
+                            self.endpoint_service.said["address"],
                             "--control",
                             "127.0.0.1:0",
                             *self.ways(name),
@@ -212,7 +212,7 @@
     async def _at(self, child: Child, address: str) -> None:
         """Tell the relay where a process listens."""
         if self.links is not None:
-            await ask(self.links.said["address"], "POST", "/", {"at": {child.name: address}})
+            await http_json(self.links.said["address"], "POST", "/", {"at": {child.name: address}})
 
     def _acts(self, tasks: tuple[str, ...]) -> list[str]:
         if self.witness is None:
@@ -272,9 +272,9 @@
     async def _mind(self, child: Child, process: asyncio.subprocess.Process) -> None:
         """Tell the list of a worker's end, as whoever runs processes would."""
         await process.wait()
-        if child in self.workers and self.roster.running:
+        if child in self.workers and self.endpoint_service.running:
             with contextlib.suppress(OSError):
-                await self.tell_list(child, "gone")
+                await self.set_listed_state(child, "gone")
 
     async def clients(self, script: str, count: int, start: float, addresses: list[str], second: list[str]) -> None:
         """The clients of a script in processes of their own, until all of them have their answers."""
@@ -299,10 +299,10 @@
         if any(codes):
             raise RuntimeError(f"clients ended with {codes}")
 
-    async def tell_list(self, worker: Child, state: str) -> None:
+    async def set_listed_state(self, worker: Child, state: str) -> None:
         """Have the worker list say so of a worker."""
-        await ask(
-            self.roster.said["address"],
+        await http_json(
+            self.endpoint_service.said["address"],
             "POST",
             "/state",
             {"id": worker.name, "state": state, "incarnation": worker.said["incarnation"]}
@@ -312,9 +312,9 @@
 
     async def fault(self, child: Child, **body: Any) -> None:
         """Turn a fault knob."""
-        await ask(child.said.get("control") or child.said["address"], "POST", "/fault", body)
+        await http_json(child.said.get("control") or child.said["address"], "POST", "/fault", body)
 
-    def harm_disk(self, child: Child, **fault: Any) -> None:
+    def set_disk_fault(self, child: Child, **fault: Any) -> None:
         """Say what ails a dispatcher's disk; nothing: it is sound again."""
         self._say_harm(child, "--harmed-disk", fault)
 
@@ -336,7 +336,7 @@
     async def harm_links(self, **body: Any) -> None:
         """Turn a knob of the relay between dispatchers."""
         assert self.links is not None
-        await ask(self.links.said["address"], "POST", "/", body)
+        await http_json(self.links.said["address"], "POST", "/", body)
 
     def signal(self, child: Child, number: signal.Signals) -> None:
         """Send a signal, to children started here only."""
@@ -371,7 +371,7 @@
         rest = [
             *self.planners,
             *self.workers,
-            self.roster,
+            self.endpoint_service,
             self.store,
             *(c for c in (self.relay, self.links, self.witness) if c is not None),
         ]
@@ -381,7 +381,7 @@
         return all(code == 0 for code in codes)
 
 
-async def ask(address: str, method: str, target: str, body: Any = None) -> Any:
+async def http_json(address: str, method: str, target: str, body: Any = None) -> Any:
     """One errand on a connection of its own."""
     errand = HttpClient(address)
     try:
--- a/kelptrail/fault_scenario/campaign.py
+++ b/kelptrail/fault_scenario/campaign.py
@@ -1,9 +1,9 @@
-"""Campaigns: many bad days drawn from seeds, played through real processes and judged; what they came to in one table.
+"""Campaigns: many fault scenarios drawn from seeds, run through real processes and checked; the results in one table.
 
-A day of the campaign on leases has five to seven dispatchers in three halls, three or five of them voters, two tasks
-that all want, and five to seven troubles between them that overlap: at most instants three or more are on.  A day of
-the campaign on copies has seven dispatchers, most calls deferred, machines lost with their disks (never more than the
-copies cover at once) and four to six other troubles that overlap.
+A scenario of the lease campaign has five to seven dispatchers in three zones, three or five of them acceptors, two
+tasks that all want, and five to seven faults between them that overlap: at most instants three or more are active.  A
+scenario of the replication campaign has seven dispatchers, most calls deferred, machines lost with their disks (never
+more than the replicas cover at once) and four to six other faults that overlap.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 from kelptrail.history_checker.checker import CheckResult
 
-SECONDS, LOAD = 16.0, 10.0
-BOUND = 0.01  # of clock rates, as the drawn settings state it
-KINDS = (
+LEASE_SECONDS, LEASE_LOAD = 16.0, 10.0
+CLOCK_RATE_BOUND = 0.01  # of clock rates, as the drawn settings state it
+LEASE_FAULTS = (
     "kill-dispatchers",
     "cut-peers",
     "cut-peers",
@@ -39,50 +39,51 @@
 )
 
 
-def leases_day(seed: int, settings: str) -> tuple[str, str]:
-    """A drawn day: its deployment, made of the text `settings` without its peers and leases, and its script."""
-    chance = np.random.default_rng([seed, 25])
-    dispatchers, voters = int(chance.integers(5, 8)), int(chance.choice([3, 5]))
+def draw_lease_scenario(seed: int, settings: str) -> tuple[str, str]:
+    """Draw a scenario; returns its deployment, made of the text `settings` without peers and leases, and its script."""
+    random = np.random.default_rng([seed, 25])
+    dispatchers, acceptors = int(random.integers(5, 8)), int(random.choice([3, 5]))
     names = [f"dispatcher-{n}" for n in range(dispatchers)]
-    chosen = sorted(names[int(n)] for n in chance.choice(dispatchers, voters, replace=False))
-    length = int(chance.choice([1000, 1500, 2000]))
+    chosen = sorted(names[int(n)] for n in random.choice(dispatchers, acceptors, replace=False))
+    length = int(random.choice([1000, 1500, 2000]))
     deployment = (
         settings[: settings.index("\n  (peers")]
         + f"""
   (peers {" ".join(f"(peer {name})" for name in chosen)} (beat-ms 200) (silent-ms 1000))
-  (leases (voters {" ".join(chosen)}) (length-ms {length}) (longest-ms {length}) (clock-bound {BOUND}) (ask-ms 100)))
+  (leases (voters {" ".join(chosen)}) (length-ms {length}) (longest-ms {length})
+          (clock-bound {CLOCK_RATE_BOUND}) (ask-ms 100)))
 """
     )
-    troubles = []
-    count = int(chance.integers(5, 8))
-    for number, kind in enumerate(chance.choice(KINDS, count)):
-        at = 2.0 + 8.0 * number / count + float(chance.uniform(0, 1))
-        last, part = float(chance.uniform(2.0, 4.5)), round(float(chance.choice([1, 2])) / dispatchers, 2)
-        rate = 1 + BOUND * float(chance.choice([1, -1, 10, -10]))
+    faults = []
+    count = int(random.integers(5, 8))
+    for number, kind in enumerate(random.choice(LEASE_FAULTS, count)):
+        at = 2.0 + 8.0 * number / count + float(random.uniform(0, 1))
+        duration, part = float(random.uniform(2.0, 4.5)), round(float(random.choice([1, 2])) / dispatchers, 2)
+        rate = 1 + CLOCK_RATE_BOUND * float(random.choice([1, -1, 10, -10]))
         more = {
             "one-way": "(one-way yes)",
-            "slow-peers": f"(ms {chance.integers(20, 400)}) (share 0.3)",
+            "slow-peers": f"(ms {random.integers(20, 400)}) (share 0.3)",
             "reset-peers": "(share 0.5)",
             "looked": "(type looked)",
             "disk-slow": "(ms 300)",
-            "clock-step": f"(ms {chance.choice([3_600_000, -3_600_000])})",
+            "clock-step": f"(ms {random.choice([3_600_000, -3_600_000])})",
             "clock-rate": f"(factor {rate:g})",
         }
         name = {"one-way": "cut-peers", "looked": "pause-dispatchers"}.get(kind, kind)
         if kind == "lose-machines":
             part = round(1 / dispatchers, 2)
-        troubles.append(f"  (trouble {name} (at {at:.1f}) (for {last:.1f}) (part {part}) {more.get(kind, '')})")
+        faults.append(f"  (trouble {name} (at {at:.1f}) (for {duration:.1f}) (part {part}) {more.get(kind, '')})")
     script = (
-        f"""(bad-day leases-{seed} (deployment "fleet-{seed}.sexp") (seconds {SECONDS:g}) (workers 2)
-  (dispatchers {dispatchers}) (tasks sweep tally) (load (rate {LOAD:g}) (deferred 0.2))
+        f"""(bad-day leases-{seed} (deployment "fleet-{seed}.sexp") (seconds {LEASE_SECONDS:g}) (workers 2)
+  (dispatchers {dispatchers}) (tasks sweep tally) (load (rate {LEASE_LOAD:g}) (deferred 0.2))
 """
-        + "\n".join(troubles)
+        + "\n".join(faults)
         + ")\n"
     )
     return deployment, script
 
 
-WITH_LOSSES = (
+REPLICATION_FAULTS = (
     "kill-dispatchers",
     "cut-peers",
     "cut-peers",
@@ -96,50 +97,50 @@
     "disk-full",
     "disk-slow",
 )
-COPIES_SECONDS, COPIES_LOAD = 30.0, 25.0
+REPLICATION_SECONDS, REPLICATION_LOAD = 30.0, 25.0
 
 
-def copies_day(seed: int, settings: str) -> tuple[str, str]:
-    """A drawn day of losses: its deployment, which is `settings`, with one copy or two, and its script."""
-    chance = np.random.default_rng([seed, 26])
-    dispatchers, copies = 7, int(chance.integers(1, 3))
-    first = float(chance.uniform(5, 8))
-    losses = [(first, int(chance.integers(1, copies + 1))), (first + 11.0, 1)]
-    troubles = [
-        f"  (trouble lose-machines (at {at:.1f}) (for {chance.uniform(2, 5):.1f}) (part {count / dispatchers:.2f}))"
+def draw_replication_scenario(seed: int, settings: str) -> tuple[str, str]:
+    """Draw a scenario of losses; returns its deployment, `settings` with one replica or two, and its script."""
+    random = np.random.default_rng([seed, 26])
+    dispatchers, replicas = 7, int(random.integers(1, 3))
+    first = float(random.uniform(5, 8))
+    losses = [(first, int(random.integers(1, replicas + 1))), (first + 11.0, 1)]
+    faults = [
+        f"  (trouble lose-machines (at {at:.1f}) (for {random.uniform(2, 5):.1f}) (part {count / dispatchers:.2f}))"
         for at, count in losses
     ]
-    count = int(chance.integers(4, 7))
-    for number, kind in enumerate(chance.choice(WITH_LOSSES, count)):
-        at = first - 2.0 + 9.0 * number / count + float(chance.uniform(0, 1))
-        last, part = float(chance.uniform(2.0, 4.5)), round(float(chance.choice([1, 2])) / dispatchers, 2)
+    count = int(random.integers(4, 7))
+    for number, kind in enumerate(random.choice(REPLICATION_FAULTS, count)):
+        at = first - 2.0 + 9.0 * number / count + float(random.uniform(0, 1))
+        duration, part = float(random.uniform(2.0, 4.5)), round(float(random.choice([1, 2])) / dispatchers, 2)
         more = {
             "one-way": "(one-way yes)",
-            "slow-peers": f"(ms {chance.integers(20, 400)}) (share 0.3)",
+            "slow-peers": f"(ms {random.integers(20, 400)}) (share 0.3)",
             "reset-peers": "(share 0.5)",
             "disk-slow": "(ms 300)",
-            "clock-step": f"(ms {chance.choice([60_000, -60_000])})",
-            "clock-rate": f"(factor {1 + BOUND * float(chance.choice([1, -1])):g})",
+            "clock-step": f"(ms {random.choice([60_000, -60_000])})",
+            "clock-rate": f"(factor {1 + CLOCK_RATE_BOUND * float(random.choice([1, -1])):g})",
         }
         name = "cut-peers" if kind == "one-way" else kind
-        troubles.append(f"  (trouble {name} (at {at:.1f}) (for {last:.1f}) (part {part}) {more.get(kind, '')})")
+        faults.append(f"  (trouble {name} (at {at:.1f}) (for {duration:.1f}) (part {part}) {more.get(kind, '')})")
     script = (
-        f"""(bad-day copies-{seed} (deployment "fleet-{seed}.sexp") (seconds {COPIES_SECONDS:g}) (workers 3)
-  (dispatchers {dispatchers}) (load (rate {COPIES_LOAD:g}) (deferred 0.8))
+        f"""(bad-day copies-{seed} (deployment "fleet-{seed}.sexp") (seconds {REPLICATION_SECONDS:g}) (workers 3)
+  (dispatchers {dispatchers}) (load (rate {REPLICATION_LOAD:g}) (deferred 0.8))
 """
-        + "\n".join(troubles)
+        + "\n".join(faults)
         + ")\n"
     )
-    return settings.replace("(copies 2)", f"(copies {copies})"), script
+    return settings.replace("(copies 2)", f"(copies {replicas})"), script
 
 
-DAYS = {"leases": leases_day, "copies": copies_day}
+DRAWERS = {"leases": draw_lease_scenario, "copies": draw_replication_scenario}
 
 
-async def _one(seed: int, settings: str, out: Path, kind: str) -> dict[str, Any]:
+async def _run_one(seed: int, settings: str, out: Path, kind: str) -> dict[str, Any]:
     folder = out / f"{seed:03d}"
     folder.mkdir(parents=True, exist_ok=True)
-    deployment, script = DAYS[kind](seed, settings)
+    deployment, script = DRAWERS[kind](seed, settings)
     (folder / f"fleet-{seed}.sexp").write_text(deployment)
     (folder / "day.sexp").write_text(script)
     process = await asyncio.create_subprocess_exec(
@@ -188,15 +189,15 @@
     }
 
 
-async def play(
+async def run_campaign(
     kind: str, seeds: list[int], settings: Path, out: Path, at_once: int, done: Callable[[dict[str, Any]], None]
 ) -> list[dict[str, Any]]:
-    """Play all seeds, some at once; a row each, in order, also in `campaign.json`."""
+    """Run all seeds, some at once; a row each, in order, also in `campaign.json`."""
     text, gate = settings.read_text(), asyncio.Semaphore(at_once)
 
     async def one(seed: int) -> dict[str, Any]:
         async with gate:
-            row = await _one(seed, text, out, kind)
+            row = await _run_one(seed, text, out, kind)
             done(row)
             return row
 
@@ -205,8 +206,8 @@
     return rows
 
 
-def total(rows: list[dict[str, Any]]) -> dict[str, Any]:
-    """All rows in one: sums, the worst, and the seeds that broke anything."""
+def summarize(rows: list[dict[str, Any]]) -> dict[str, Any]:
+    """All rows in one: sums, the worst case, and the seeds that broke a rule."""
     good = [row for row in rows if "failed" not in row]
     sums = {
         name: sum(row[name] for row in good)
--- a/kelptrail/fault_scenario/import_capture.py
+++ b/kelptrail/fault_scenario/import_capture.py
@@ -1,7 +1,7 @@
-"""Turns a captured bench day (`--tap FILE`) into a deployment and a script that play its kinds of trouble.
+"""Imports a capture of the bench (`--tap FILE`) as a deployment and a scenario with the same kinds of faults.
 
-Only what the wire showed can be turned: arrivals, the mix of functions, what lists said, and troubles read off
-outcomes by stated thresholds.  `docs/replay.md` says what is lost.
+Only what the wire showed can be imported: arrivals, the mix of functions, endpoint lists, and faults inferred from
+attempt results by stated thresholds.  `docs/replay.md` says what is lost.
 """
 
 from __future__ import annotations
@@ -16,13 +16,17 @@
 import numpy as np
 
 EFFECTS = {"free": "repeatable", "guarded": "deduplicated", "single_shot": "once-only"}
-BLOCK_S = 5  # load is turned in blocks of so many seconds
-LEAST_ANSWERS = 5  # a second of a worker with fewer answers tells nothing
+BLOCK_S = 5  # the load is written in blocks of so many seconds
+MIN_ANSWERS = 5  # a second of a worker with fewer answers is not evaluated
+
+
+class CaptureError(ValueError):
+    """A file that is no capture, with the line at fault."""
 
 
 @dataclass(slots=True)
-class Seen:
-    """What a tap showed.  Seconds count from the first request."""
+class CapturedRun:
+    """What a capture showed.  Seconds count from the first request."""
 
     env: dict[str, Any] = field(default_factory=dict)
     start: float = -1.0
@@ -40,8 +44,8 @@
     workers: set[str] = field(default_factory=set)
 
 
-def lines(file: Path) -> Iterator[tuple[bool, dict[str, Any]]]:
-    """Batches (True) and replies (False) of a tap.  Raises ValueError with the line that is neither."""
+def read_batches(file: Path) -> Iterator[tuple[bool, dict[str, Any]]]:
+    """Batches (True) and replies (False) of a capture.  Raises `CaptureError` with the line that is neither."""
     inward = True
     with open(file, encoding="utf-8") as source:
         for number, line in enumerate(source, 1):
@@ -51,123 +55,126 @@
                 try:
                     yield inward, json.loads(line)
                 except ValueError:
-                    raise ValueError(f"{file}:{number}: neither a batch nor a reply") from None
+                    raise CaptureError(f"{file}:{number}: neither a batch nor a reply") from None
 
 
-def look(file: Path) -> Seen:
-    """Read a tap whole."""
-    seen, last_start, state = Seen(), dict[str, float](), dict[str, str]()
+def read_capture(file: Path) -> CapturedRun:
+    """Read a capture.  Raises `CaptureError` where it has no request."""
+    captured, last_start, state = CapturedRun(), dict[str, float](), dict[str, str]()
     tables: dict[int, list[dict[str, Any]]] = {}
     request_class: dict[str, int] = {}
-    for inward, batch in lines(file):
+    for inward, batch in read_batches(file):
         if not inward:
             continue
         now = batch["now_us"] / 1e6
         for event in batch["arrivals"]:
             ((kind, e),) = event.items()
-            at = now - seen.start if seen.start >= 0 else 0.0
+            at = now - captured.start if captured.start >= 0 else 0.0
             if kind == "Hello":
-                seen.env = seen.env or e["env"]
-                seen.instances.add(e["i"])
-                if seen.start >= 0:
-                    seen.starts.append((at, e["i"]))
+                captured.env = captured.env or e["env"]
+                captured.instances.add(e["i"])
+                if captured.start >= 0:
+                    captured.starts.append((at, e["i"]))
             elif kind == "Exit":
-                seen.exits.append((at, e["i"]))
+                captured.exits.append((at, e["i"]))
             elif kind == "Req":
-                if seen.start < 0:
-                    seen.start = now
+                if captured.start < 0:
+                    captured.start = now
                 if not e["again_by_client"]:  # repeats come from the script's own clients, where they are marked
-                    seen.requests.append((now - seen.start, e["class"], e["fn"]))
-                seen.functions[e["fn"]] = (e["class"], e["memory_mb"], max(1, int(e["parallel"])))
+                    captured.requests.append((now - captured.start, e["class"], e["fn"]))
+                captured.functions[e["fn"]] = (e["class"], e["memory_mb"], max(1, int(e["parallel"])))
                 request_class[e["handle"]] = e["class"]
             elif kind == "Answer":
                 class_ = request_class.get(e["handle"], 0)
-                seen.outcomes[e["runner"], int(at)][e["ending"], class_] += 1
+                captured.outcomes[e["runner"], int(at)][e["ending"], class_] += 1
                 if e["ending"] == "S" and (e["remark"] or 0) % 8 in (0, 1):
-                    seen.latency[class_].append(e["latency_us"] / 1000)
+                    captured.latency[class_].append(e["latency_us"] / 1000)
             elif kind == "ReadyThere" and e["ending"] == "S" and e["latency_us"] > 50_000:
-                seen.loads.append((at, e["latency_us"] / 1000))
+                captured.loads.append((at, e["latency_us"] / 1000))
             elif kind == "Manifest":
                 tables[e["table"]] = e["records"]
             elif kind == "Membership" and e["how"] != "X":
                 for entry in tables.get(e["table"], []):
                     worker, start = entry["runner"], entry["last_start_us"] or 0
-                    seen.workers.add(worker)
-                    if seen.start >= 0 and entry["readiness"] != state.get(worker, "live"):
-                        seen.listed.append((at, worker, entry["readiness"]))
-                    elif seen.start >= 0 and start > last_start.get(worker, start):
-                        seen.listed.append((at, worker, "restarted"))
+                    captured.workers.add(worker)
+                    if captured.start >= 0 and entry["readiness"] != state.get(worker, "live"):
+                        captured.listed.append((at, worker, entry["readiness"]))
+                    elif captured.start >= 0 and start > last_start.get(worker, start):
+                        captured.listed.append((at, worker, "restarted"))
                     state[worker], last_start[worker] = entry["readiness"], start
-    if not seen.requests:
-        raise ValueError(f"{file}: no request in it")
-    return seen
+    if not captured.requests:
+        raise CaptureError(f"{file}: no request in it")
+    return captured
 
 
 @dataclass(slots=True)
 class FaultInterval:
-    """One trouble for the script."""
+    """One fault for the scenario."""
 
     kind: str
     at: float
-    last: float
+    duration: float
     part: float
-    more: dict[str, float | str] = field(default_factory=dict)
+    settings: dict[str, float | str] = field(default_factory=dict)
 
     def write(self) -> str:
-        more = "".join(f" ({k} {v if isinstance(v, str) else f'{v:.3g}'})" for k, v in self.more.items())
-        return f"  (trouble {self.kind} (at {self.at:.1f}) (for {self.last:.1f}) (part {self.part:.2f}){more})"
+        """The fault as a line of a scenario."""
+        more = "".join(f" ({k} {v if isinstance(v, str) else f'{v:.3g}'})" for k, v in self.settings.items())
+        return f"  (trouble {self.kind} (at {self.at:.1f}) (for {self.duration:.1f}) (part {self.part:.2f}){more})"
 
 
-def fault_intervals(seen: Seen) -> list[FaultInterval]:
-    """Troubles read off lists and outcomes; each by the sign that only it gives, where there is one."""
+def fault_intervals(captured: CapturedRun) -> list[FaultInterval]:
+    """Faults inferred from lists and results; each by the symptom that only it causes, where there is one."""
     found: list[FaultInterval] = []
-    length = max(at for at, _, _ in seen.requests)
+    length = max(at for at, _, _ in captured.requests)
     downs = []
-    for at, name in seen.exits:
-        back = next((t for t, other in seen.starts if other == name and t >= at), length)
+    for at, name in captured.exits:
+        back = next((t for t, other in captured.starts if other == name and t >= at), length)
         downs.append((at, max(0.5, back - at)))
-    found += _gather("kill-dispatchers", downs, len(seen.instances))
+    found += _merge_intervals("kill-dispatchers", downs, len(captured.instances))
     lists: dict[str, list[tuple[float, float]]] = defaultdict(list)
-    for at, worker, what in seen.listed:
+    for at, worker, what in captured.listed:
         if what == "quiescing":
             lists["rolling-deploy"].append((at, 3.0))
         elif what == "dead":
-            back = next((t for t, w, s in seen.listed if w == worker and s != "dead" and t > at), at + 3.0)
+            back = next((t for t, w, s in captured.listed if w == worker and s != "dead" and t > at), at + 3.0)
             lists["crash"].append((at, max(0.5, back - at)))
         elif what == "restarted":
             lists["restart-cold"].append((at, 1.0))
-    for kind, spells in lists.items():
-        found += _gather(kind, spells, len(seen.workers))
+    for kind, intervals in lists.items():
+        found += _merge_intervals(kind, intervals, len(captured.workers))
     signs: dict[str, list[tuple[float, float]]] = defaultdict(list)
     shares: dict[str, list[float]] = defaultdict(list)
     one_type: Counter[int] = Counter()
-    for worker in sorted(seen.workers):
-        for kind, first, last, share, class_ in _spells(seen, worker, int(length) + 1):
+    for worker in sorted(captured.workers):
+        for kind, first, last, share, class_ in _worker_faults(captured, worker, int(length) + 1):
             signs[kind].append((first, last - first + 1.0))
             shares[kind].append(share)
             if class_ is not None:
                 one_type[class_] += 1
-    for kind, spells in signs.items():
+    for kind, intervals in signs.items():
         more: dict[str, float | str] = {"share": float(np.mean(shares[kind]))} if kind != "hang" else {}
         if kind == "fail-type":
-            more["type"] = seen.env["classes"][one_type.most_common(1)[0][0]]["name"]
-        found += _gather(kind, spells, len(seen.workers), more)
-    found += _fleet_wide(seen, int(length) + 1)
-    return sorted(found, key=lambda spell: spell.at)
+            more["type"] = captured.env["classes"][one_type.most_common(1)[0][0]]["name"]
+        found += _merge_intervals(kind, intervals, len(captured.workers), more)
+    found += _fleet_wide(captured, int(length) + 1)
+    return sorted(found, key=lambda interval: interval.at)
 
 
-def _spells(seen: Seen, worker: str, seconds: int) -> Iterator[tuple[str, float, float, float, int | None]]:
-    """Runs of seconds in which a worker showed one sign: errors, errors of one class, or no answer at all."""
+def _worker_faults(
+    captured: CapturedRun, worker: str, seconds: int
+) -> Iterator[tuple[str, float, float, float, int | None]]:
+    """Runs of seconds in which a worker showed one symptom: errors, errors of one class, or no answer at all."""
     run: tuple[str, int, list[float], int | None] | None = None
     for second in range(seconds + 1):
-        counts = seen.outcomes.get((worker, second), Counter())
+        counts = captured.outcomes.get((worker, second), Counter())
         total = sum(counts.values())
         errors = Counter({c: n for (ending, c), n in counts.items() if ending == "E"})
         answered = sum(n for (ending, _), n in counts.items() if ending in "SEFM")
         sign: tuple[str, float, int | None] | None = None
-        if total >= LEAST_ANSWERS and not answered:
+        if total >= MIN_ANSWERS and not answered:
             sign = ("hang", 1.0, None)
-        elif answered >= LEAST_ANSWERS and sum(errors.values()) / answered > 0.25:
+        elif answered >= MIN_ANSWERS and sum(errors.values()) / answered > 0.25:
             of = {c: sum(n for (_, c2), n in counts.items() if c2 == c) for c in errors}
             classes = {c for (_, c) in counts}
             one = len(errors) == 1 and len(classes) > 1
@@ -183,11 +190,11 @@
             run[2].append(sign[1])
 
 
-def _fleet_wide(seen: Seen, seconds: int) -> list[FaultInterval]:
-    """Signs that all workers show at once: misses (a release), slow loads (the store), new hot functions."""
+def _fleet_wide(captured: CapturedRun, seconds: int) -> list[FaultInterval]:
+    """Symptoms that all workers show at once: misses (a release), slow loads (the store)."""
     found = []
     misses, answers = np.zeros(seconds + 1), np.ones(seconds + 1)
-    for (_, second), counts in seen.outcomes.items():
+    for (_, second), counts in captured.outcomes.items():
         if second <= seconds:
             misses[second] += sum(n for (ending, _), n in counts.items() if ending == "M")
             answers[second] += sum(counts.values())
@@ -201,17 +208,17 @@
             )
             second += 5
         second += 1
-    if seen.loads:
-        times, took = np.array([a for a, _ in seen.loads]), np.array([ms for _, ms in seen.loads])
-        usual = float(np.median(took))
+    if captured.loads:
+        times, load_times = np.array([a for a, _ in captured.loads]), np.array([ms for _, ms in captured.loads])
+        usual = float(np.median(load_times))
         slow = [
             s
             for s in range(seconds)
-            if (here := took[(times >= s) & (times < s + 1)]).size >= 3 and float(np.median(here)) > 2.5 * usual
+            if (here := load_times[(times >= s) & (times < s + 1)]).size >= 3 and float(np.median(here)) > 2.5 * usual
         ]
-        for first, last in _runs(slow):
+        for first, last in _consecutive(slow):
             if last - first >= 2:
-                here = took[(times >= first) & (times <= last + 1)]
+                here = load_times[(times >= first) & (times <= last + 1)]
                 found.append(
                     FaultInterval(
                         "store-slow",
@@ -224,7 +231,7 @@
     return found
 
 
-def _runs(numbers: list[int]) -> list[tuple[int, int]]:
+def _consecutive(numbers: list[int]) -> list[tuple[int, int]]:
     runs: list[tuple[int, int]] = []
     for number in numbers:
         if runs and number - runs[-1][1] <= 2:
@@ -234,34 +241,34 @@
     return runs
 
 
-def _gather(
-    kind: str, spells: list[tuple[float, float]], of: int, more: dict[str, float | str] | None = None
+def _merge_intervals(
+    kind: str, intervals: list[tuple[float, float]], of: int, more: dict[str, float | str] | None = None
 ) -> list[FaultInterval]:
-    """One trouble for spells that begin within two seconds of each other."""
+    """Merge intervals that begin within two seconds of each other into one fault."""
     out: list[FaultInterval] = []
     group: list[tuple[float, float]] = []
-    for spell in [*sorted(spells), (float("inf"), 0.0)]:
-        if group and spell[0] - group[0][0] > 2.0:
+    for interval in [*sorted(intervals), (float("inf"), 0.0)]:
+        if group and interval[0] - group[0][0] > 2.0:
             last = float(np.median([length for _, length in group]))
             out.append(FaultInterval(kind, group[0][0], last, min(1.0, len(group) / max(1, of)), dict(more or {})))
             group = []
-        group.append(spell)
+        group.append(interval)
     return out
 
 
 def import_capture(file: Path, name: str, rate_scale: float, workers: int, dispatchers: int) -> tuple[str, str]:
-    """A tap as the texts of a deployment file and of a script that names it `NAME.sexp`.
+    """A capture as the texts of a deployment file and of a scenario that names it `NAME.sexp`.
 
-    `rate_scale` scales arrivals; function counts stay.  Raises ValueError for what is no tap.
+    `rate_scale` scales arrivals; function counts stay.  Raises `CaptureError` for a file that is no capture.
     """
-    seen = look(file)
-    env = seen.env
-    counts = Counter(fn for _, _, fn in seen.requests)
+    captured = read_capture(file)
+    env = captured.env
+    counts = Counter(fn for _, _, fn in captured.requests)
     classes, rules = env["classes"], env["rules"]
     extras, bounds = env["specifics"], env["bounds"]
-    load_ms = float(np.median([ms for _, ms in seen.loads])) if seen.loads else 500.0
+    load_ms = float(np.median([ms for _, ms in captured.loads])) if captured.loads else 500.0
     out = [
-        f"; Turned from a captured day of {env['balancers']} dispatchers and {len(seen.workers)} workers.",
+        f"; Turned from a captured day of {env['balancers']} dispatchers and {len(captured.workers)} workers.",
         f"(deployment {name}",
         "  (halls " + " ".join(env["failure_domains"]) + ")",
     ]
@@ -276,23 +283,23 @@
             f"(timeout-ms {c['give_up_us'] / 1000:g}) (utility {c['gain']:g}) "
             f"(late-share {c['late_worth']:g}){kept})"
         )
-    for number, customer in enumerate(env.get("customers") or [{"name": "all", "allowance_per_s": 1e6}]):
+    for number, tenant in enumerate(env.get("customers") or [{"name": "all", "allowance_per_s": 1e6}]):
         out.append(
-            f'  (namespace {customer["name"]} (uuid "00000000-0000-4000-8000-{number:012d}") '
-            f'(key "loopback-only-{number}") (allowed-per-s {customer["allowance_per_s"] * rate_scale:g}))'
+            f'  (namespace {tenant["name"]} (uuid "00000000-0000-4000-8000-{number:012d}") '
+            f'(key "loopback-only-{number}") (allowed-per-s {tenant["allowance_per_s"] * rate_scale:g}))'
         )
     names: dict[str, str] = {}
     for rank, (fn, _) in enumerate(counts.most_common()):
-        class_, memory, lanes = seen.functions[fn]
+        class_, memory, concurrency = captured.functions[fn]
         names[fn] = f"f{rank}"
-        quick = seen.latency.get(class_)
+        quick = captured.latency.get(class_)
         work = max(5.0, float(np.percentile(quick, 25))) if quick else 50.0
         out.append(
-            f"  (action f{rank} (type {classes[class_]['name']}) (memory-mb {memory:g}) (lanes {lanes}) "
+            f"  (action f{rank} (type {classes[class_]['name']}) (memory-mb {memory:g}) (lanes {concurrency}) "
             f"(load-ms {load_ms:.0f}) (work-ms {work:.0f}))"
         )
     memory = float(np.median(extras["machine_mb"]))
-    per_worker = memory * len(seen.workers) / workers
+    per_worker = memory * len(captured.workers) / workers
     out += [
         f"  (rules (drain-grace-ms {rules['stop_sending_within_us'] / 1000:g}) (tip {rules['tip_multiple']:g}) "
         f"(tip-ms {rules['fall_us'] / 1000:g}) (cold-share {rules['start_capacity']:g})",
@@ -306,7 +313,7 @@
         "  (store (fetches 16) (most 64)))",
         "",
     ]
-    length = max(at for at, _, _ in seen.requests)
+    length = max(at for at, _, _ in captured.requests)
     ranks = np.arange(1, len(counts) + 1)
     heights = np.array([n for _, n in counts.most_common()], float)
     zipf = float(-np.polyfit(np.log(ranks[:50]), np.log(heights[:50]), 1)[0]) if len(counts) > 3 else 1.0
@@ -316,7 +323,7 @@
         f'  (deployment "{name}.sexp")',
         f"  (seconds {length:.0f}) (workers {workers}) (dispatchers {dispatchers})",
     ]
-    blocks = Counter(int(at // BLOCK_S) for at, _, _ in seen.requests)
+    blocks = Counter(int(at // BLOCK_S) for at, _, _ in captured.requests)
     for block in sorted(blocks):
         last = min(BLOCK_S, length - block * BLOCK_S)
         if last > 0.5:
@@ -324,7 +331,7 @@
                 f"  (load (rate {max(0.01, blocks[block] / last * rate_scale):.1f}) (at {block * BLOCK_S}) "
                 f"(for {last:.1f}) (zipf {min(4.0, max(0.0, zipf)):.2f}) (deferred 0.1))"
             )
-    script += [spell.write() for spell in fault_intervals(seen)]
+    script += [interval.write() for interval in fault_intervals(captured)]
     return "\n".join(out), "\n".join(script) + ")\n"
 
 
--- a/kelptrail/fault_scenario/runner.py
+++ b/kelptrail/fault_scenario/runner.py
@@ -1,4 +1,4 @@
-"""Plays a script through real processes: a place, a fleet of clients, troubles at their times."""
+"""Runs a fault scenario through real processes: a cluster, its clients, and faults at their times."""
 
 from __future__ import annotations
 
@@ -18,64 +18,82 @@
 from kelptrail.codec.http import HttpError
 from kelptrail.emulator.capture import Capture
 from kelptrail.emulator.clients import ClientEmulator
-from kelptrail.emulator.cluster import Child, Cluster, ask, memory_kb
+from kelptrail.emulator.cluster import Child, Cluster, http_json, memory_kb
 from kelptrail.settings.deployment import Deployment
 
-from .report import world_of
-from .scenario import ON_DISKS, ON_PEERS, ON_PLANNERS, ON_STORE, ON_WORKERS, Fault, FaultScenario
+from .report import describe_deployment
+from .scenario import (
+    DISK_FAULTS,
+    PEER_FAULTS,
+    PLANNER_FAULTS,
+    STORE_FAULTS,
+    WORKER_FAULTS,
+    Fault,
+    FaultScenario,
+    ScenarioError,
+)
 
-READY_S = 20.0  # for voters to found themselves and books to be won
+READY_S = 20.0  # for acceptors to form a quorum and journals to be acquired
 
 
 class ScenarioRunner:
-    """One run.  The seed settles arrivals, victims and the stand-ins' chance.  Raises `ValueError` for troubles that
-    the deployment has no place for."""
+    """One run.  The seed determines arrivals, fault targets and the emulators' random draws.  Raises `ScenarioError`
+    for faults that the deployment cannot have."""
 
     def __init__(
         self,
-        day: FaultScenario,
+        scenario: FaultScenario,
         deployment: Deployment,
         seed: int,
         out: Path,
         log_level: str = "info",
         script: str = "",
     ) -> None:
-        if len(deployment.halls) < 2 and any(t.kind in ON_PEERS for t in day.trouble):
-            raise ValueError(
-                f"{day.name}: troubles between dispatchers need dispatchers in different halls, "
+        if len(deployment.halls) < 2 and any(t.kind in PEER_FAULTS for t in scenario.faults):
+            raise ScenarioError(
+                f"{scenario.name}: faults between dispatchers need dispatchers in different zones, "
                 f"{deployment.name} has one"
             )
         self._script = script
-        self._day, self._deployment, self._out = day, deployment, out
-        self._chance = np.random.default_rng([seed, 11])
+        self._scenario, self._deployment, self._out = scenario, deployment, out
+        self._random = np.random.default_rng([seed, 11])
         logs, captures = out / "logs", out / "captures"
         for folder in (out, logs, captures):
             folder.mkdir(parents=True, exist_ok=True)
         for old in captures.glob("*.jsonl"):
             old.unlink()
         self._capture = Capture(captures / "player.jsonl", "player")
-        self._place = Cluster(deployment, day.deployment, captures, seed, log_level, logs)
+        self._cluster = Cluster(deployment, scenario.deployment, captures, seed, log_level, logs)
         self._seed = seed
         self._tasks: set[asyncio.Task[None]] = set()
         self.memory: list[tuple[float, list[int]]] = []
         self.states: list[dict[str, Any]] = []  # what each dispatcher's control port said at the end
         self.start = 0.0
-        self._cut: Counter[tuple[str, str]] = Counter()  # between dispatchers, by how many troubles
-        self._slow: list[tuple[float, float]] = []
-        self._down: set[Child] = set()  # dispatchers that a trouble has killed and will start again
+        self._cut_links: Counter[tuple[str, str]] = Counter()  # between dispatchers, by the number of faults
+        self._slow_links: list[tuple[float, float]] = []
+        self._killed_dispatchers: set[Child] = set()  # dispatchers that a fault has killed and will restart
 
-    async def play(self) -> bool:
-        """Play it whole; True if the dispatchers that ran at the end drained cleanly."""
-        day, deployment = self._day, self._deployment
-        await self._place.start(day.workers, day.dispatchers, self._out / "state", day.planners, day.solver, day.tasks)
-        self._capture.note("world", **world_of(deployment, [d.name for d in self._place.dispatchers], day.workers))
+    async def run(self) -> bool:
+        """Run all of it; True if the dispatchers that were up at the end drained cleanly."""
+        scenario, deployment = self._scenario, self._deployment
+        await self._cluster.start(
+            scenario.workers,
+            scenario.dispatchers,
+            self._out / "state",
+            scenario.planners,
+            scenario.solver,
+            scenario.tasks,
+        )
+        self._capture.note(
+            "world", **describe_deployment(deployment, [d.name for d in self._cluster.dispatchers], scenario.workers)
+        )
         if deployment.peers is not None and deployment.peers.copies:
-            await self._promising(READY_S)
-        addresses = [d.said["address"] for d in self._place.dispatchers]
-        second = [d.said["grpc"] for d in self._place.dispatchers]
+            await self._wait_until_replicated(READY_S)
+        addresses = [d.said["address"] for d in self._cluster.dispatchers]
+        second = [d.said["grpc"] for d in self._cluster.dispatchers]
         clients: ClientEmulator | None = None
         arrivals: list[tuple[float, Callable[[], None]]] = []
-        if day.client_processes == 1:
+        if scenario.client_processes == 1:
             clients = ClientEmulator(
                 deployment,
                 addresses,
@@ -83,22 +101,22 @@
                 self._seed,
                 second=second,
             )
-            arrivals = clients.plan(day.load, day.seconds)
+            arrivals = clients.plan(scenario.load, scenario.seconds)
         gc.collect()
         gc.freeze()
         gc.set_threshold(50_000, 20, 1_000_000)  # the clients' own pauses must not look like late answers
         self.start = now_ms() + (200 if clients is not None else 3000)
-        self._capture.note("begin", start=self.start, seconds=day.seconds)
-        timers = [asyncio.create_task(self._at(trouble)) for trouble in day.trouble]
-        watch = asyncio.create_task(self._watch())
+        self._capture.note("begin", start=self.start, seconds=scenario.seconds)
+        timers = [asyncio.create_task(self._inject_at_time(fault)) for fault in scenario.faults]
+        watch = asyncio.create_task(self._sample_memory())
         longest = max(t.timeout_ms for t in deployment.types.values())
         if clients is not None:
             await clients.play(arrivals, self.start)
             quiet = now_ms() + longest + 5000
-            await asyncio.sleep(max(0.0, self.start / 1000 + day.seconds - now_ms() / 1000))
+            await asyncio.sleep(max(0.0, self.start / 1000 + scenario.seconds - now_ms() / 1000))
             await clients.settled(quiet)
         else:
-            await self._place.clients(self._script, day.client_processes, self.start, addresses, second)
+            await self._cluster.clients(self._script, scenario.client_processes, self.start, addresses, second)
         await asyncio.sleep(0.5)
         watch.cancel()
         for timer in timers:
@@ -107,234 +125,239 @@
             task.cancel()
         if clients is not None:
             clients.close()
-        for dispatcher in self._place.dispatchers:
+        for dispatcher in self._cluster.dispatchers:
             with contextlib.suppress(OSError, HttpError):
-                self.states.append(await ask(dispatcher.said["asked_at"], "GET", "/state"))
-        return await self._place.stop()
+                self.states.append(await http_json(dispatcher.said["asked_at"], "GET", "/state"))
+        return await self._cluster.stop()
 
-    async def _promising(self, within_s: float) -> None:
-        """Wait until all dispatchers have their copies, as whoever starts a place would before letting clients in."""
+    async def _wait_until_replicated(self, within_s: float) -> None:
+        """Wait until all dispatchers have their replicas, as an operator would before admitting clients."""
         end = now_ms() + within_s * 1000
-        for dispatcher in self._place.dispatchers:
-            while now_ms() < end and not (await ask(dispatcher.said["asked_at"], "GET", "/copies"))["promising"]:
+        for dispatcher in self._cluster.dispatchers:
+            while now_ms() < end and not (await http_json(dispatcher.said["asked_at"], "GET", "/copies"))["promising"]:
                 await asyncio.sleep(0.1)
 
-    async def _watch(self) -> None:
+    async def _sample_memory(self) -> None:
         while True:
-            pids = [d.process.pid for d in self._place.dispatchers if d.running and d.process is not None]
+            pids = [d.process.pid for d in self._cluster.dispatchers if d.running and d.process is not None]
             with contextlib.suppress(OSError):
                 self.memory.append(((now_ms() - self.start) / 1000, [memory_kb(pid) for pid in pids]))
             await asyncio.sleep(1)
 
-    async def _at(self, trouble: Fault) -> None:
-        await asyncio.sleep(max(0.0, (self.start - now_ms()) / 1000 + trouble.at))
+    async def _inject_at_time(self, fault: Fault) -> None:
+        await asyncio.sleep(max(0.0, (self.start - now_ms()) / 1000 + fault.at))
         names: list[Child] = []
-        if trouble.kind in ON_WORKERS:
-            names = self._some([w for w in self._place.workers if w.running], trouble.part)
-        elif trouble.kind == "kill-dispatchers" or trouble.kind in (*ON_DISKS, *ON_PEERS):
+        if fault.kind in WORKER_FAULTS:
+            names = self._draw_targets([w for w in self._cluster.workers if w.running], fault.part)
+        elif fault.kind == "kill-dispatchers" or fault.kind in (*DISK_FAULTS, *PEER_FAULTS):
             names = (
-                self._some(self._place.dispatchers, trouble.part)
-                if not trouble.hall
+                self._draw_targets(self._cluster.dispatchers, fault.part)
+                if not fault.zone
                 else [
                     d
-                    for n, d in enumerate(self._place.dispatchers)
-                    if self._deployment.halls[n % len(self._deployment.halls)] == trouble.hall
+                    for n, d in enumerate(self._cluster.dispatchers)
+                    if self._deployment.halls[n % len(self._deployment.halls)] == fault.zone
                 ]
             )
-        elif trouble.kind in ON_PLANNERS and self._place.planners:
-            names = self._some(self._place.planners, trouble.part)
+        elif fault.kind in PLANNER_FAULTS and self._cluster.planners:
+            names = self._draw_targets(self._cluster.planners, fault.part)
         self._capture.note(
-            "trouble", kind=trouble.kind, seconds=trouble.last, factor=trouble.factor, of=[c.name for c in names]
+            "trouble", kind=fault.kind, seconds=fault.duration, factor=fault.factor, of=[c.name for c in names]
         )
         try:
-            await self._befall(trouble, names)
-        except (OSError, RuntimeError) as cause:  # a victim that is down already
-            self._capture.note("trouble-failed", kind=trouble.kind, reason=str(cause))
+            await self._inject(fault, names)
+        except (OSError, RuntimeError) as cause:  # a target that is down already
+            self._capture.note("trouble-failed", kind=fault.kind, reason=str(cause))
 
-    def _some(self, children: list[Child], part: float) -> list[Child]:
+    def _draw_targets(self, children: list[Child], part: float) -> list[Child]:
         count = max(1, round(part * len(children)))
-        return [children[int(n)] for n in self._chance.choice(len(children), count, replace=False)]
+        return [children[int(n)] for n in self._random.choice(len(children), count, replace=False)]
 
-    async def _befall(self, trouble: Fault, victims: list[Child]) -> None:
-        place, kind, ms = self._place, trouble.kind, trouble.last * 1000
-        if kind in ON_STORE:
-            await place.fault(place.store, kind=kind.removeprefix("store-"), for_ms=ms, factor=trouble.factor)
+    async def _inject(self, fault: Fault, targets: list[Child]) -> None:
+        cluster, kind, ms = self._cluster, fault.kind, fault.duration * 1000
+        if kind in STORE_FAULTS:
+            await cluster.fault(cluster.store, kind=kind.removeprefix("store-"), for_ms=ms, factor=fault.factor)
         elif kind == "list-late":
-            await place.fault(place.roster, kind="late", for_ms=ms, late_ms=trouble.ms)
+            await cluster.fault(cluster.endpoint_service, kind="late", for_ms=ms, late_ms=fault.ms)
         elif kind == "list-names-nobody":
-            await self._nobody(trouble)
+            await self._list_unreachable_worker(fault)
         elif kind in ("idle-connections", "slow-readers"):
-            await self._connections(trouble)
-        elif kind in ON_PLANNERS:
-            await asyncio.gather(*(self._planner(victim, trouble) for victim in victims))
+            await self._hold_connections(fault)
+        elif kind in PLANNER_FAULTS:
+            await asyncio.gather(*(self._inject_planner_fault(target, fault) for target in targets))
         elif kind == "kill-dispatchers":
-            await asyncio.gather(*(self._kill(victim, trouble.last) for victim in victims))
-        elif kind in ON_PEERS:
-            await self._peers(trouble, victims)
-        elif kind in ON_DISKS:
-            fault: dict[str, dict[str, Any]] = {
-                "disk-slow": {"sync_ms": trouble.ms},
-                "disk-fails": {"fails": True},
-                "disk-full": {"full": True},
-            }
-            for victim in victims:
-                place.harm_disk(victim, **fault[kind])
-            await asyncio.sleep(trouble.last)
-            for victim in victims:
-                place.harm_disk(victim)
+            await asyncio.gather(*(self._kill_dispatcher(target, fault.duration) for target in targets))
+        elif kind in PEER_FAULTS:
+            await self._inject_peer_fault(fault, targets)
+        elif kind in DISK_FAULTS:
+            await self._inject_disk_fault(fault, targets)
         elif kind == "crash":
-            await asyncio.gather(*(self._crash(victim, trouble.last) for victim in victims))
+            await asyncio.gather(*(self._crash_worker(target, fault.duration) for target in targets))
         elif kind in ("rolling-deploy", "drain"):
-            pause = trouble.last / max(1, len(victims))
-            for victim in victims:
-                await self._deploy(victim, again=kind == "rolling-deploy")
+            pause = fault.duration / max(1, len(targets))
+            for target in targets:
+                await self._replace_worker(target, again=kind == "rolling-deploy")
                 await asyncio.sleep(pause)
         else:
-            extra: dict[str, Any] = {"share": trouble.share, "factor": trouble.factor, "ms": trouble.ms}
-            if trouble.type:
-                extra["type"] = trouble.type
-            await asyncio.gather(*(place.fault(v, kind=kind, for_ms=ms, **extra) for v in victims))
+            extra: dict[str, Any] = {"share": fault.share, "factor": fault.factor, "ms": fault.ms}
+            if fault.type:
+                extra["type"] = fault.type
+            await asyncio.gather(*(cluster.fault(v, kind=kind, for_ms=ms, **extra) for v in targets))
 
-    async def _peers(self, trouble: Fault, victims: list[Child]) -> None:
+    async def _inject_disk_fault(self, fault: Fault, targets: list[Child]) -> None:
+        settings: dict[str, dict[str, Any]] = {
+            "disk-slow": {"sync_ms": fault.ms},
+            "disk-fails": {"fails": True},
+            "disk-full": {"full": True},
+        }
+        for target in targets:
+            self._cluster.set_disk_fault(target, **settings[fault.kind])
+        await asyncio.sleep(fault.duration)
+        for target in targets:
+            self._cluster.set_disk_fault(target)
+
+    async def _inject_peer_fault(self, fault: Fault, targets: list[Child]) -> None:
         """What befalls dispatchers and what is between them."""
-        place, kind = self._place, trouble.kind
+        cluster, kind = self._cluster, fault.kind
         if kind == "cut-peers":
-            await self._cut_off(trouble, victims)
+            await self._cut_off(fault, targets)
         elif kind == "slow-peers":
-            self._slow.append((trouble.ms, trouble.share))
+            self._slow_links.append((fault.ms, fault.share))
             await self._tell_links()
-            await asyncio.sleep(trouble.last)
-            self._slow.remove((trouble.ms, trouble.share))
+            await asyncio.sleep(fault.duration)
+            self._slow_links.remove((fault.ms, fault.share))
             await self._tell_links()
         elif kind == "reset-peers":
-            await place.harm_links(reset=trouble.share)
+            await cluster.harm_links(reset=fault.share)
         elif kind == "pause-dispatchers":
-            if trouble.type == "looked":
-                victims = await self._holders() or victims
-            await asyncio.gather(*(self._pause(victim, trouble.last, trouble.type == "looked") for victim in victims))
+            if fault.type == "looked":
+                targets = await self._holders() or targets
+            await asyncio.gather(*(self._pause(target, fault.duration, fault.type == "looked") for target in targets))
         elif kind == "lose-machines":
-            ends = trouble.at + trouble.last > self._day.seconds
-            await asyncio.gather(*(self._kill(victim, None if ends else trouble.last, True) for victim in victims))
+            ends = fault.at + fault.duration > self._scenario.seconds
+            await asyncio.gather(
+                *(self._kill_dispatcher(target, None if ends else fault.duration, True) for target in targets)
+            )
         else:
-            fault = {"rate": trouble.factor} if kind == "clock-rate" else {"step_ms": trouble.ms}
-            for victim in victims:
-                place.harm_clock(victim, **fault)
-            await asyncio.sleep(trouble.last)
-            for victim in victims:
-                place.harm_clock(victim)
+            settings = {"rate": fault.factor} if kind == "clock-rate" else {"step_ms": fault.ms}
+            for target in targets:
+                cluster.harm_clock(target, **settings)
+            await asyncio.sleep(fault.duration)
+            for target in targets:
+                cluster.harm_clock(target)
 
-    async def _cut_off(self, trouble: Fault, victims: list[Child]) -> None:
-        """Between the victims and all others; one way: what they say, or what they are told, drawn for each."""
-        names = {child.name for child in victims}
-        others = [c.name for c in (*self._place.dispatchers, *self._place.planners) if c.name not in names]
+    async def _cut_off(self, fault: Fault, targets: list[Child]) -> None:
+        """Cut the links between the targets and all others; one way: either direction, drawn for each."""
+        names = {child.name for child in targets}
+        others = [c.name for c in (*self._cluster.dispatchers, *self._cluster.planners) if c.name not in names]
         pairs = []
         for name in sorted(names):
             out, back = (
-                (True, True) if not trouble.one_way else (False, True) if self._chance.random() < 0.5 else (True, False)
+                (True, True) if not fault.one_way else (False, True) if self._random.random() < 0.5 else (True, False)
             )
             pairs += [(name, other) for other in others if out] + [(other, name) for other in others if back]
-        self._cut.update(pairs)
+        self._cut_links.update(pairs)
         await self._tell_links()
-        await asyncio.sleep(trouble.last)
-        self._cut.subtract(pairs)
+        await asyncio.sleep(fault.duration)
+        self._cut_links.subtract(pairs)
         await self._tell_links()
 
     async def _tell_links(self) -> None:
-        ms, share = max(self._slow, default=(0.0, 0.0))
-        await self._place.harm_links(
-            cut=[pair for pair, count in self._cut.items() if count > 0], slow={"ms": ms, "share": share}
+        ms, share = max(self._slow_links, default=(0.0, 0.0))
+        await self._cluster.harm_links(
+            cut=[pair for pair, count in self._cut_links.items() if count > 0], slow={"ms": ms, "share": share}
         )
 
     async def _holders(self) -> list[Child]:
         """Dispatchers that hold a task."""
         found = []
-        for dispatcher in self._place.dispatchers:
+        for dispatcher in self._cluster.dispatchers:
             with contextlib.suppress(OSError, HttpError, TimeoutError):
                 async with asyncio.timeout(0.3):  # one that is stopped says nothing
-                    if dispatcher.running and (await ask(dispatcher.said["asked_at"], "GET", "/leases"))["holds"]:
+                    if dispatcher.running and (await http_json(dispatcher.said["asked_at"], "GET", "/leases"))["holds"]:
                         found.append(dispatcher)
         return found
 
-    async def _pause(self, victim: Child, for_s: float, looked: bool) -> None:
+    async def _pause(self, target: Child, for_s: float, after_lease_check: bool) -> None:
         """Stopped and continued: at any instant, or (`looked`) between its next look at a lease and the act."""
-        number = self._place.dispatchers.index(victim)
+        number = self._cluster.dispatchers.index(target)
         self._capture.note("stopped", dispatcher=number)
-        self._place.signal(victim, signal.SIGUSR1 if looked else signal.SIGSTOP)
+        self._cluster.signal(target, signal.SIGUSR1 if after_lease_check else signal.SIGSTOP)
         await asyncio.sleep(for_s)
-        if looked:
-            self._place.signal(victim, signal.SIGUSR2)
-        self._place.signal(victim, signal.SIGCONT)
+        if after_lease_check:
+            self._cluster.signal(target, signal.SIGUSR2)
+        self._cluster.signal(target, signal.SIGCONT)
         self._capture.note("woken", dispatcher=number)
 
-    async def _kill(self, victim: Child, down_s: float | None, disk: bool = False) -> None:
-        """Killed outright, its disk lost too where told; started again after a time, or never.  One that is down for
-        another trouble stays that one's: guards against two processes of one name, the first of which nobody minds."""
-        if victim in self._down:
+    async def _kill_dispatcher(self, target: Child, down_s: float | None, disk: bool = False) -> None:
+        """Kill it, with its disk where asked; restart it after a time, or never.  One that another fault has killed is
+        left to that fault: guards against two processes of one name, the first of which is not supervised."""
+        if target in self._killed_dispatchers:
             return
-        self._down.add(victim)
+        self._killed_dispatchers.add(target)
         try:
-            await self._killed(victim, down_s, disk)
+            await self._kill_and_restart(target, down_s, disk)
         finally:
-            self._down.discard(victim)
+            self._killed_dispatchers.discard(target)
 
-    async def _killed(self, victim: Child, down_s: float | None, disk: bool) -> None:
-        number = self._place.dispatchers.index(victim)
+    async def _kill_and_restart(self, target: Child, down_s: float | None, disk: bool) -> None:
+        number = self._cluster.dispatchers.index(target)
         self._capture.note("kill", dispatcher=number)
-        self._place.kill(victim)
+        self._cluster.kill(target)
         if disk:
-            if victim.process is not None:
-                await victim.process.wait()
-            self._place.lose_disk(victim)
+            if target.process is not None:
+                await target.process.wait()
+            self._cluster.lose_disk(target)
             self._capture.note("disk-lost", dispatcher=number)
         if down_s is None:
             return
         await asyncio.sleep(down_s)
-        await self._place.launch(victim)
+        await self._cluster.launch(target)
         self._capture.note("restarted", dispatcher=number)
 
-    async def _planner(self, victim: Child, trouble: Fault) -> None:
-        """A planner that is slow, or killed and started again, with what it kept or with nothing."""
-        if trouble.kind in ("planners-slow", "planners-wrong"):
-            fault = {"ms": trouble.ms} if trouble.kind == "planners-slow" else {"factor": trouble.factor}
-            await ask(victim.said["control"], "POST", "/fault", fault | {"for_ms": trouble.last * 1000})
+    async def _inject_planner_fault(self, target: Child, fault: Fault) -> None:
+        """Slow a planner down, or kill and restart it, with its state or without."""
+        if fault.kind in ("planners-slow", "planners-wrong"):
+            settings = {"ms": fault.ms} if fault.kind == "planners-slow" else {"factor": fault.factor}
+            await http_json(target.said["control"], "POST", "/fault", settings | {"for_ms": fault.duration * 1000})
             return
-        if trouble.kind == "pause-planners":
-            self._place.signal(victim, signal.SIGSTOP)
-            await asyncio.sleep(trouble.last)
-            self._place.signal(victim, signal.SIGCONT)
+        if fault.kind == "pause-planners":
+            self._cluster.signal(target, signal.SIGSTOP)
+            await asyncio.sleep(fault.duration)
+            self._cluster.signal(target, signal.SIGCONT)
             return
-        if trouble.kind == "cut-planners":
-            await self._cut_off(trouble, [victim])
+        if fault.kind == "cut-planners":
+            await self._cut_off(fault, [target])
             return
-        self._place.kill(victim)
-        if trouble.kind == "planners-forget":
-            (self._out / "state" / victim.name / "planner.bin").unlink(missing_ok=True)
-        await asyncio.sleep(trouble.last)
-        await self._place.launch(victim)
+        self._cluster.kill(target)
+        if fault.kind == "planners-forget":
+            (self._out / "state" / target.name / "planner.bin").unlink(missing_ok=True)
+        await asyncio.sleep(fault.duration)
+        await self._cluster.launch(target)
 
-    async def _crash(self, victim: Child, down_s: float) -> None:
-        await self._place.fault(victim, kind="crash")
+    async def _crash_worker(self, target: Child, down_s: float) -> None:
+        await self._cluster.fault(target, kind="crash")
         await asyncio.sleep(down_s)
-        await self._place.launch(victim)
+        await self._cluster.launch(target)
 
-    async def _deploy(self, victim: Child, again: bool) -> None:
-        """Drain, tell the worker, let its work end, stop it, start it anew."""
-        await self._place.tell_list(victim, "draining")
+    async def _replace_worker(self, target: Child, again: bool) -> None:
+        """Drain the worker, let its work end, stop it, and restart it where asked."""
+        await self._cluster.set_listed_state(target, "draining")
         await asyncio.sleep(self._deployment.rules.drain_grace_ms / 1000)
-        await ask(victim.said["control"], "POST", "/drain", {})
+        await http_json(target.said["control"], "POST", "/drain", {})
         await asyncio.sleep(1.0)
-        await self._place.end(victim, 5)
+        await self._cluster.end(target, 5)
         if again:
-            await self._place.launch(victim)
+            await self._cluster.launch(target)
 
-    async def _nobody(self, trouble: Fault) -> None:
-        """A worker in the list that nobody listens for."""
+    async def _list_unreachable_worker(self, fault: Fault) -> None:
+        """List a worker at an address where no process listens."""
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
-        roster = self._place.roster.said["address"]
-        await ask(
-            roster,
+        endpoint_service = self._cluster.endpoint_service.said["address"]
+        await http_json(
+            endpoint_service,
             "POST",
             "/register",
             {
@@ -346,27 +369,29 @@
                 "age_ms": 1e9,
             },
         )
-        await asyncio.sleep(trouble.last)
-        await ask(roster, "POST", "/state", {"id": "worker-nobody", "state": "gone"})
+        await asyncio.sleep(fault.duration)
+        await http_json(endpoint_service, "POST", "/state", {"id": "worker-nobody", "state": "gone"})
 
-    async def _connections(self, trouble: Fault) -> None:
-        """Clients that hold connections: idle ones, or ones that read a byte a second."""
+    async def _hold_connections(self, fault: Fault) -> None:
+        """Hold connections open: idle ones, or ones that read a byte a second."""
         loop = asyncio.get_running_loop()
         socks = []
-        for n in range(trouble.count):
-            host, _, port = self._place.dispatchers[n % len(self._place.dispatchers)].said["address"].rpartition(":")
+        for n in range(fault.count):
+            host, _, port = (
+                self._cluster.dispatchers[n % len(self._cluster.dispatchers)].said["address"].rpartition(":")
+            )
             sock = socket.socket()
             sock.setblocking(False)
             socks.append(sock)
             with contextlib.suppress(OSError):
                 await loop.sock_connect(sock, (host, int(port)))
-                if trouble.kind == "slow-readers":
+                if fault.kind == "slow-readers":
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
                     await loop.sock_sendall(sock, b"GET /api/v1 HTTP/1.1\r\nhost: x\r\n\r\n" * 50)
-        end = now_ms() + trouble.last * 1000
+        end = now_ms() + fault.duration * 1000
         while now_ms() < end:
             await asyncio.sleep(1)
-            if trouble.kind == "slow-readers":
+            if fault.kind == "slow-readers":
                 for sock in socks:
                     with contextlib.suppress(OSError):
                         sock.recv(1)
--- a/kelptrail/fault_scenario/scenario.py
+++ b/kelptrail/fault_scenario/scenario.py
@@ -1,15 +1,17 @@
-"""A bad day as an S-expression: how long, how many, what load, which troubles and when.  Times are seconds."""
+"""A fault scenario as an S-expression: its length, processes, load and faults.  Times are seconds."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, fields, replace
+from collections.abc import Sequence
+from dataclasses import dataclass, field, replace
 from pathlib import Path
+from typing import Any
 
 from kelptrail.load.plan import LOAD, Load, check_load
-from kelptrail.settings.reader import Form, SourcePosition, read
+from kelptrail.settings.reader import Atom, Form, SourcePosition, read
 from kelptrail.settings.shape import Checker, Many, Shape, number, some, word, yes_no
 
-ON_WORKERS = (
+WORKER_FAULTS = (
     "stall",
     "cut",
     "fail-fast",
@@ -28,46 +30,62 @@
     "rolling-deploy",
     "drain",
 )
-ON_STORE = ("store-slow", "store-refuse", "store-stopped")
-ON_DISKS = ("disk-slow", "disk-fails", "disk-full")
-ON_PLANNERS = ("kill-planners", "planners-slow", "planners-forget", "planners-wrong", "pause-planners", "cut-planners")
-ON_PEERS = ("cut-peers", "slow-peers", "reset-peers", "pause-dispatchers", "lose-machines", "clock-rate", "clock-step")
-LEAST_PEERS = 5  # dispatchers, in different halls, of a script with such troubles
-OTHERS = ("kill-dispatchers", "list-late", "list-names-nobody", "idle-connections", "slow-readers")
-KINDS = ON_WORKERS + ON_STORE + ON_DISKS + ON_PLANNERS + ON_PEERS + OTHERS
+STORE_FAULTS = ("store-slow", "store-refuse", "store-stopped")
+DISK_FAULTS = ("disk-slow", "disk-fails", "disk-full")
+PLANNER_FAULTS = (
+    "kill-planners",
+    "planners-slow",
+    "planners-forget",
+    "planners-wrong",
+    "pause-planners",
+    "cut-planners",
+)
+PEER_FAULTS = (
+    "cut-peers",
+    "slow-peers",
+    "reset-peers",
+    "pause-dispatchers",
+    "lose-machines",
+    "clock-rate",
+    "clock-step",
+)
+RENAMED_FAULT_KEYS = {"for": "duration", "hall": "zone"}
+MIN_PEERS = 5  # dispatchers, in different zones, of a scenario with such faults
+OTHER_FAULTS = ("kill-dispatchers", "list-late", "list-names-nobody", "idle-connections", "slow-readers")
+KINDS = WORKER_FAULTS + STORE_FAULTS + DISK_FAULTS + PLANNER_FAULTS + PEER_FAULTS + OTHER_FAULTS
+
+
+class ScenarioError(ValueError):
+    """A scenario that this deployment cannot run."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One trouble: its kind, from when, for how long, on which part of those it can befall."""
+    """One fault: its kind, when it begins and how long it lasts (seconds), and which processes it hits.
+
+    `key` in a field's metadata: its name in `(set trouble.KEY VALUE)` of an experiment, where that differs."""
 
     kind: str
     at: float
-    last: float
-    part: float
+    duration: float = field(metadata={"key": "last"})
+    part: float  # share of the processes that it can hit
     share: float
     factor: float
     ms: float
     type: str
     count: int
     one_way: bool
-    hall: str  # whose dispatchers it befalls, in place of a part
+    zone: str = field(metadata={"key": "hall"})  # all dispatchers of this zone are hit, in place of a part
 
-    def __init__(self, kind: str, at: float, **rest: object) -> None:
-        for name, value in {"kind": kind, "at": at, "last": rest.pop("for"), **rest}.items():
-            object.__setattr__(self, name, value)
 
-    def as_kind(self, kind: str) -> Fault:
-        """The same of another kind."""
-        rest: dict[str, object] = {
-            f.name: getattr(self, f.name) for f in fields(self) if f.name not in ("kind", "last")
-        }
-        return Fault(kind, **rest | {"for": self.last})  # type: ignore[arg-type]
+def _fault_of(kind: str, **settings: Any) -> Fault:
+    fields = {RENAMED_FAULT_KEYS.get(key, key): value for key, value in settings.items()}
+    return Fault(kind, **fields)
 
 
 @dataclass(frozen=True, slots=True)
 class FaultScenario:
-    """A whole script."""
+    """A scenario as read from its file."""
 
     name: str
     deployment: str  # path of its file
@@ -78,16 +96,20 @@
     planners: int
     solver: str
     load: list[Load]
-    trouble: list[Fault]
-    tasks: tuple[str, ...] = ()  # wanted by all dispatchers under leases, acted under at the witness
+    faults: list[Fault] = field(metadata={"key": "trouble"})
+    tasks: tuple[str, ...] = ()  # all dispatchers acquire them as leases and use them at the side-effect log
 
     @property
-    def ends(self) -> float:
-        """When the last trouble is over."""
-        return max((t.at + t.last for t in self.trouble), default=0.0)
+    def last_fault_ends(self) -> float:
+        """When the last fault is over."""
+        return max((t.at + t.duration for t in self.faults), default=0.0)
 
 
-TROUBLE = Shape(
+def _scenario_of(name: str, trouble: list[Fault], **settings: Any) -> FaultScenario:
+    return FaultScenario(name, faults=trouble, **settings)
+
+
+FAULT = Shape(
     {
         "at": number(0, 86_400),
         "for": number(0, 86_400, default=5.0),
@@ -101,10 +123,10 @@
         "hall": word(default=""),
     },
     ("kind",),
-    build=Fault,
+    build=_fault_of,
 )
 
-BAD_DAY = Shape(
+SCENARIO = Shape(
     {
         "deployment": word(),
         "seconds": number(1, 86_400),
@@ -115,48 +137,62 @@
         "solver": word(("program", "greedy"), "program"),
         "tasks": some(word(), ()),
         "load": Many(LOAD, 1),
-        "trouble": Many(TROUBLE),
+        "trouble": Many(FAULT),
     },
     ("name",),
-    FaultScenario,
+    build=_scenario_of,
 )
 
 
-def load(path: str | Path) -> FaultScenario:
-    """Read and check a script.  Raises `SettingsError` with every fault, `OSError` where unreadable."""
+def load_scenario(path: str | Path) -> FaultScenario:
+    """Read and check a scenario.  Raises `SettingsError` with every fault, `OSError` where unreadable."""
     text = Path(path).read_text(encoding="utf-8", errors="replace")
     checker = Checker()
-    forms = read(text, str(path))
-    if len(forms) != 1 or not isinstance(forms[0], Form) or forms[0].head != "bad-day":
-        checker.fault(SourcePosition(str(path), 1, 1), f"{len(forms)} expressions", "one (bad-day NAME ...)")
-        checker.done()
-    whole = forms[0]
-    assert isinstance(whole, Form)
-    for item in whole.items:
-        if isinstance(item, Form) and item.head == "trouble" and len(item.items) > 1:
-            kind = item.items[1]
-            if str(kind) not in KINDS:
-                checker.fault(kind.place, kind, "a kind of trouble: " + ", ".join(KINDS))
-    day = checker.form(whole, BAD_DAY)
+    root = _root_form(checker, read(text, str(path)), str(path))
+    _check_kinds(checker, root)
+    scenario: FaultScenario = checker.form(root, SCENARIO)
+    checker.done()
+    for form, load in zip(_forms(root, "load"), scenario.load, strict=True):
+        check_load(checker, form.place, load, Path(path).parent)
+    _check_faults(checker, root, scenario)
     checker.done()
-    made: FaultScenario = day
-    for form, one in zip((i for i in whole.items if isinstance(i, Form) and i.head == "load"), made.load, strict=True):
-        check_load(checker, form.place, one, Path(path).parent)
-    for form, trouble in zip(
-        (i for i in whole.items if isinstance(i, Form) and i.head == "trouble"), made.trouble, strict=True
-    ):
-        if trouble.ms < 0 and trouble.kind != "clock-step":
-            checker.fault(form.place, f"{trouble.ms:g} ms", "0 or more; only clock-step goes back")
-    if made.dispatchers < LEAST_PEERS:
-        for form in (i for i in whole.items if isinstance(i, Form) and i.head == "trouble"):
-            if str(form.items[1]) in ON_PEERS:
-                checker.fault(
-                    form.place,
-                    f"{form.items[1]} among {made.dispatchers} dispatchers",
-                    f"{LEAST_PEERS} dispatchers at least, in different halls",
-                )
+    deployment = Path(scenario.deployment)
+    if not deployment.is_absolute():
+        deployment = Path(path).parent / deployment
+    return replace(scenario, deployment=str(deployment))
+
+
+def _root_form(checker: Checker, forms: Sequence[Atom | Form], path: str) -> Form:
+    """The one `(bad-day NAME ...)` of a file.  Raises `SettingsError` where there is another or none."""
+    if len(forms) == 1 and isinstance(forms[0], Form) and forms[0].head == "bad-day":
+        return forms[0]
+    checker.fault(SourcePosition(path, 1, 1), f"{len(forms)} expressions", "one (bad-day NAME ...)")
     checker.done()
-    file = Path(made.deployment)
-    if not file.is_absolute():
-        file = Path(path).parent / file
-    return replace(made, deployment=str(file))
+    raise AssertionError("unreachable: done() raises after a fault")
+
+
+def _forms(root: Form, head: str) -> list[Form]:
+    return [item for item in root.items if isinstance(item, Form) and item.head == head]
+
+
+def _check_kinds(checker: Checker, root: Form) -> None:
+    for form in _forms(root, "trouble"):
+        if len(form.items) > 1 and str(form.items[1]) not in KINDS:
+            kind = form.items[1]
+            checker.fault(kind.place, kind, "a kind of trouble: " + ", ".join(KINDS))
+
+
+def _check_faults(checker: Checker, root: Form, scenario: FaultScenario) -> None:
+    """Check what concerns several fields of a fault, or the scenario as a whole."""
+    for form, fault in zip(_forms(root, "trouble"), scenario.faults, strict=True):
+        if fault.ms < 0 and fault.kind != "clock-step":
+            checker.fault(form.place, f"{fault.ms:g} ms", "0 or more; only clock-step goes back")
+    if scenario.dispatchers >= MIN_PEERS:
+        return
+    for form in _forms(root, "trouble"):
+        if str(form.items[1]) in PEER_FAULTS:
+            checker.fault(
+                form.place,
+                f"{form.items[1]} among {scenario.dispatchers} dispatchers",
+                f"{MIN_PEERS} dispatchers at least, in different halls",
+            )
--- a/kelptrail/history_checker/checker.py
+++ b/kelptrail/history_checker/checker.py
@@ -1,7 +1,7 @@
-"""Judges captured traffic: clients' calls and answers, what reached workers, what lists told to whom.
+"""Checks the five rules against captured traffic: clients' calls and answers, what reached workers, endpoint lists.
 
-It imports nothing of the program.  Every time is a millisecond of one machine's monotonic clock.  Where a capture
-says only when something was read, `lag` says how much earlier it may have come; doubt counts for the dispatcher.
+It imports nothing of the program.  Times are milliseconds of one machine's monotonic clock.  Where a capture has only
+the time of a read, `lag` is how much earlier it may have arrived; in doubt the dispatcher is taken to be right.
 """
 
 from __future__ import annotations
@@ -15,14 +15,18 @@
 from typing import Any
 
 Event = dict[str, Any]
-STARTUP_MS = 250.0  # a process that says it is ready still reads what came while it started: that waited untaken
-CLOCK_RECOVERY_MS = 10_000.0  # so long after a clock ran wrong beliefs of that time may last
-SLACK_MS = 60.0  # what loopback, a loaded machine and the reader's own loop may add to a time
+STARTUP_MS = 250.0  # a process that reports ready still has to read what arrived while it started
+CLOCK_RECOVERY_MS = 10_000.0  # a lease computed while a clock ran at a wrong rate may last so much longer
+SLACK_MS = 60.0  # added to a time by loopback, a loaded machine and the capturing process
+
+
+class CaptureError(ValueError):
+    """A line of a capture that cannot be read."""
 
 
 @dataclass(slots=True)
 class CheckResult:
-    """Counts, breaches of each rule with a few words on each, and what is needed for a picture."""
+    """Counts of what happened, and of each rule's breaches with details.  Field names are keys of `report.json`."""
 
     taken: int = 0
     completed: int = 0
@@ -41,8 +45,8 @@
     ration_breaches: int = 0
     holders_two: int = 0
     old_tokens_taken: int = 0
-    promises_denied: int = 0  # polls of what was promised that were told that nobody knows it
-    holders_two_by_clocks: int = 0  # while a clock ran beyond what is allowed
+    promises_denied: int = 0  # polls of an acknowledged activation that were answered as unknown
+    holders_two_by_clocks: int = 0  # while a clock ran at a rate outside its bound
     old_tokens_refused: int = 0
     acts: int = 0
     lost_with_disk: int = 0
@@ -77,7 +81,7 @@
         return any(getattr(self, name) for name in self.BREACHES)
 
     def add_breach(self, name: str, words: str) -> None:
-        """Count a breach and keep a few words on it."""
+        """Count a breach and keep its details."""
         setattr(self, name, getattr(self, name) + 1)
         if len(self.details) < 200:
             self.details.append(f"{name}: {words}")
@@ -88,7 +92,8 @@
 
 
 def read_captures(folder: Path) -> list[Event]:
-    """All captures of a folder in order of time.  A torn last line of a killed process is passed over."""
+    """All captures of a folder in order of time.  A torn last line of a killed process is skipped.  Raises
+    `CaptureError` with the first other line that cannot be read."""
     events: list[Event] = []
     for file in sorted(folder.glob("*.jsonl")):
         lines = file.read_text(encoding="utf-8").split("\n")
@@ -99,13 +104,13 @@
                 events.append(json.loads(line))
             except ValueError:
                 if number < len(lines) - 2:
-                    raise ValueError(f"{file.name}:{number + 1} is no capture line") from None
+                    raise CaptureError(f"{file.name}:{number + 1} is no capture line") from None
     events.sort(key=lambda event: event["t"])
     return events
 
 
 def check_history(events: Iterable[Event]) -> CheckResult:
-    """The verdict on a run."""
+    """Check all rules on the events of one run."""
     by_kind: dict[str, list[Event]] = defaultdict(list)
     for event in events:
         by_kind[event["what"]].append(event)
@@ -127,7 +132,7 @@
 
 
 def _check_answers(result: CheckResult, by_kind: dict[str, list[Event]], calls: dict[str, Event]) -> dict[str, Event]:
-    """Rule 1, at the clients: each call taken has one final answer in time.  Returns finals by activation."""
+    """Rule 1, at the clients: each accepted call has one final answer in time.  Returns final answers by activation."""
     downs: dict[int, list[tuple[float, float]]] = defaultdict(list)  # from a kill or a pause until it runs again
     for event in [*by_kind["kill"], *by_kind["stopped"]]:
         back = (
@@ -143,13 +148,13 @@
             apart[names.get(name, -1)].append((event["t"], event["t"] + event["seconds"] * 1000))
 
     def was_down(call: Event, end: float) -> bool:
-        """Whether whoever may have taken the call did not run at some time of it."""
+        """Whether a dispatcher that may have accepted the call was down during it."""
         spans = [s for found in downs.values() for s in found] if call.get("front") else downs[call["dispatcher"]]
         return any(call["t"] <= back + STARTUP_MS and since <= end + SLACK_MS for since, back in spans)
 
     not_taken = {event["call"] for event in by_kind["not-taken"]}
     result.not_taken = len(not_taken)
-    # What was acknowledged must be found again, whatever became of its dispatcher, where that keeps a book.
+    # An acknowledged activation must be found again, whatever happened to its dispatcher, where that keeps a journal.
     accepted = {event["call"] for event in by_kind["accepted"]} if by_kind["world"][0].get("kept") else set()
     copied = by_kind["world"][0].get("copies", 0)
     gone = {event["dispatcher"] for event in by_kind["disk-lost"]} if not copied else set()
@@ -173,7 +178,7 @@
         if not found:
             end = ends.get(number, float("inf"))
             if number in accepted and call["dispatcher"] in gone:
-                result.lost_with_disk += 1  # kept on that one disk alone
+                result.lost_with_disk += 1  # stored on that one disk alone
             elif number in accepted and any(event["call"] == number for event in by_kind["no-answer"]):
                 result.add_breach("accepted_lost", f"{number} {call['action']} was acknowledged and is not known")
             elif was_down(call, end):
@@ -209,7 +214,7 @@
     finals: dict[str, Event],
     deployment: Event,
 ) -> None:
-    """Rule 2, at the workers: effects counted for each wish of a client."""
+    """Rule 2, at the workers: no call of a client has a second effect beyond its class."""
     effects = {t["name"]: t["effect"] for t in deployment["types"]}
     ticket_of = {a: calls[f["call"]]["ticket"] for a, f in finals.items() if f["call"] in calls}
     for event in by_kind["accepted"]:
@@ -233,7 +238,7 @@
 
 
 def _check_attempts_after_final(result: CheckResult, by_kind: dict[str, list[Event]], finals: dict[str, Event]) -> None:
-    """Rule 1, at the workers: nothing is sent once the client has its answer."""
+    """Rule 1, at the workers: no attempt begins once the client has its answer."""
     for event in by_kind["send"]:
         final = finals.get(event["activation"])
         if final is not None and event["t"] - event["lag"] > final["t"] + SLACK_MS:
@@ -244,7 +249,7 @@
 
 
 def _check_attempts_after_part(result: CheckResult, by_kind: dict[str, list[Event]]) -> None:
-    """Of a streamed answer: once its client has seen a part, nothing of it is sent again."""
+    """Rule 1, streamed answers: no attempt begins once the client has received a part."""
     seen = {event["activation"]: event["t"] for event in reversed(by_kind["part"])}
     for event in by_kind["send"]:
         since = seen.get(event["activation"])
@@ -255,9 +260,9 @@
 
 
 def _check_draining(result: CheckResult, by_kind: dict[str, list[Event]], deployment: Event) -> None:
-    """Rule 3: nothing new to a worker later than the grace after its end was told."""
+    """Rule 3: no attempt or load order to a worker after the grace period that follows its draining."""
     grace = deployment["rules"]["drain_grace_ms"] + SLACK_MS
-    told: dict[tuple[str, str], list[tuple[float, bool]]] = defaultdict(list)  # (to whom, worker): since, open
+    told: dict[tuple[str, str], list[tuple[float, bool]]] = defaultdict(list)  # (recipient, worker): since, live
     listed: dict[str, set[str]] = defaultdict(set)
     for event in by_kind["list"]:
         who = event["to"]
@@ -270,7 +275,7 @@
         history = told.get((event["dispatcher"], event["worker"]), [])
         came = event["t"] - event["lag"]
         shut: float | None = None
-        for since, is_open in history:  # told again that it is open, within the doubt, it was open
+        for since, is_open in history:  # listed as live again within the uncertainty, it was live
             if since > (event["t"] if is_open else came):
                 break
             shut = None if is_open else (since if shut is None else shut)
@@ -282,7 +287,7 @@
 
 
 def _check_slow_start(result: CheckResult, by_kind: dict[str, list[Event]], deployment: Event) -> None:
-    """Rule 4: work sent to a cold worker within any span stays under multiple x capacity x span."""
+    """Rule 4, slow start: work sent to a worker that warms up stays under multiple x capacity x span in any span."""
     rules = deployment["rules"]
     sends: dict[str, list[Event]] = defaultdict(list)
     for event in by_kind["send"]:
@@ -316,12 +321,12 @@
     finals: dict[str, Event],
     deployment: Event,
 ) -> None:
-    """Rule 5: a dispatcher's orders of the span stay under a few and a share of what it took in it."""
+    """Rule 5: a dispatcher's load orders of a span stay under a fixed number and a share of its accepted calls."""
     rules = deployment["rules"]
     span = rules["load_span_ms"]
     if not span:
         return
-    # An order may have been placed so much earlier than it was read: it may wait for a connection.
+    # A load order may have waited for a connection for so long before the worker read it.
     doubt = SLACK_MS + rules["order_wait_ms"]
     taken_at: dict[str, float] = {}
     for event in [*by_kind["accepted"], *finals.values()]:
@@ -329,7 +334,7 @@
             taken_at[event["activation"]] = calls[event["call"]]["t"]
     boots: dict[str, list[float]] = defaultdict(list)
     known = {event["call"] for event in [*by_kind["accepted"], *finals.values(), *by_kind["not-taken"]]}
-    lost: dict[int, list[float]] = defaultdict(list)  # calls of which nobody knows which run of it took them
+    lost: dict[int, list[float]] = defaultdict(list)  # calls that no known incarnation of the dispatcher accepted
     for id_, call in calls.items():
         if id_ not in known:
             lost[call["dispatcher"]].append(call["t"])
@@ -356,11 +361,10 @@
 
 
 def _check_leases(result: CheckResult, by_kind: dict[str, list[Event]], deployment: Event) -> None:
-    """Of each task one holder at a time, and nothing done under an old token.
+    """Leases: one holder of a task at a time, and no use accepted under an old fencing token.
 
-    Actors say when they looked at their leases, by the machine's clock.  Whoever still believes at a time when a newer
-    token has been acted under was one of two holders.  What the witness took is judged in the order in which it
-    came."""
+    Holders record when they checked their lease, by the machine's clock.  One that passed its check at a time when a
+    newer token was in use was one of two holders.  What the side-effect log accepted is checked in order of arrival."""
     bound = deployment.get("clock_bound", 0.0)
     wrong = [
         (e["t"], e["t"] + e["seconds"] * 1000)
--- a/kelptrail/load/plan.py
+++ b/kelptrail/load/plan.py
@@ -25,7 +25,9 @@
     zipf: float  # exponent of the popularity of actions
     retries: int
     retry_after_share: float = field(metadata={"key": "heed"})  # share of clients that honour a retry-after time
-    half_retry_after_share: float = field(metadata={"key": "half_heed"})  # that wait half of it; the rest retries at once
+    half_retry_after_share: float = field(
+        metadata={"key": "half_heed"}
+    )  # that wait half of it; the rest retries at once
     one_off: bool
     action: str  # empty: all actions by popularity
     grpc: float
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -9,20 +9,20 @@
 
 import zlib
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from typing import Any
 
 import numpy as np
 
 from kelptrail.codec.infer import Answer
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder
-from kelptrail.fault_scenario.report import world_of
+from kelptrail.fault_scenario.report import describe_deployment
 from kelptrail.fault_scenario.scenario import (
-    ON_DISKS,
-    ON_PEERS,
-    ON_PLANNERS,
-    ON_STORE,
-    ON_WORKERS,
+    DISK_FAULTS,
+    PEER_FAULTS,
+    PLANNER_FAULTS,
+    STORE_FAULTS,
+    WORKER_FAULTS,
     Fault,
     FaultScenario,
 )
@@ -348,7 +348,7 @@
         first = part[0] == 0
         if self.note is not None and first:
             names = [f"dispatcher-{n}" for n in range(day.dispatchers)]
-            self.note("world", **world_of(deployment, names, day.workers))
+            self.note("world", **describe_deployment(deployment, names, day.workers))
         self.workers: dict[str, _Worker | RemoteWorker] = {}
         for n in range(day.workers):
             id_, hall, cell = f"worker-{n}", halls[n % len(halls)], n // 2
@@ -400,7 +400,7 @@
         self._spaces, self._shares = spaces, np.cumsum(shares / shares.sum())
         for load in day.load:
             self._arrivals(load)
-        for trouble in day.trouble:
+        for trouble in day.faults:
             self.engine.at(self.start + trouble.at * 1000, self._befall, trouble)
         self._fetched = 0
         self.engine.at(self.start + 999.0, self._sample)
@@ -723,16 +723,16 @@
 
     def _befall(self, trouble: Fault) -> None:
         kind = trouble.kind
-        if kind in ON_WORKERS:
+        if kind in WORKER_FAULTS:
             up = [w for w in self.workers.values() if w.up]
             count = min(len(up), max(1, round(trouble.part * len(up))))
             victims = [up[int(n)] for n in self._chance.choice(len(up), count, replace=False)] if up else []
             self._trouble(kind, trouble, [w.id for w in victims])
             for number, worker in enumerate(victims):
                 if kind == "crash":
-                    self._crash(worker, trouble.last * 1000)
+                    self._crash(worker, trouble.duration * 1000)
                 elif kind in ("rolling-deploy", "drain"):
-                    pause = trouble.last * 1000 / max(1, len(victims))
+                    pause = trouble.duration * 1000 / max(1, len(victims))
                     self.engine.after(number * (pause + 1000), self._deploy, worker, kind == "rolling-deploy")
                 else:
                     worker.fault(kind, trouble)
@@ -740,40 +740,40 @@
                         worker.break_all()
                         self._tell_lists()
             return
-        if kind in ON_PLANNERS:
+        if kind in PLANNER_FAULTS:
             self._trouble(kind, trouble, [p.name for p in self.planners])
             self._on_planners(trouble)
             return
         victims_d = self.dispatchers
-        if kind == "kill-dispatchers" or kind in (*ON_DISKS, *ON_PEERS):
+        if kind == "kill-dispatchers" or kind in (*DISK_FAULTS, *PEER_FAULTS):
             count = max(1, round(trouble.part * len(self.dispatchers)))
             victims_d = [
                 self.dispatchers[int(n)] for n in self._chance.choice(len(self.dispatchers), count, replace=False)
             ]
-        self._trouble(kind, trouble, [d.name for d in victims_d] if kind not in ON_STORE else [])
-        if kind in ON_STORE:
-            self.store.fault(kind.removeprefix("store-"), trouble.factor, trouble.last * 1000)
+        self._trouble(kind, trouble, [d.name for d in victims_d] if kind not in STORE_FAULTS else [])
+        if kind in STORE_FAULTS:
+            self.store.fault(kind.removeprefix("store-"), trouble.factor, trouble.duration * 1000)
         elif kind == "list-late":
             self._listed_ms = trouble.ms
-            self.engine.after(trouble.last * 1000, setattr, self, "_listed_ms", 0.0)
+            self.engine.after(trouble.duration * 1000, setattr, self, "_listed_ms", 0.0)
         elif kind == "kill-dispatchers":
             for dispatcher in victims_d:
-                self._kill(dispatcher, trouble.last * 1000)
+                self._kill(dispatcher, trouble.duration * 1000)
         elif kind == "lose-machines":
-            gone = trouble.at + trouble.last > self.day.seconds
+            gone = trouble.at + trouble.duration > self.day.seconds
             for dispatcher in victims_d:
-                self._kill(dispatcher, None if gone else trouble.last * 1000, True)
-        elif kind in ON_PEERS:
+                self._kill(dispatcher, None if gone else trouble.duration * 1000, True)
+        elif kind in PEER_FAULTS:
             if kind == "pause-dispatchers":
                 for dispatcher in self.own:
                     if dispatcher in victims_d:
-                        dispatcher.pause(trouble.last * 1000)
+                        dispatcher.pause(trouble.duration * 1000)
                         if self.note is not None:
                             self.note("stopped", dispatcher=dispatcher.number)
-                            self.engine.after(trouble.last * 1000, self._woken, dispatcher)
+                            self.engine.after(trouble.duration * 1000, self._woken, dispatcher)
             if self.leases is not None:
                 self.leases.befall(trouble, [d.name for d in victims_d], lambda: bool(self._chance.random() < 0.5))
-        elif kind in ON_DISKS:
+        elif kind in DISK_FAULTS:
             for dispatcher in victims_d:
                 if kind == "disk-slow":
                     dispatcher.sync_ms = trouble.ms
@@ -781,7 +781,7 @@
                     dispatcher.disk_fails = True
                 if self.leases is not None:
                     self.leases.disk(dispatcher.name, dispatcher.sync_ms, dispatcher.disk_fails)
-                self.engine.after(trouble.last * 1000, self._heal_disk, dispatcher)
+                self.engine.after(trouble.duration * 1000, self._heal_disk, dispatcher)
 
     def _on_planners(self, trouble: Fault) -> None:
         count = max(1, round(trouble.part * len(self.planners))) if self.planners else 0
@@ -793,26 +793,28 @@
         for planner in victims:
             if trouble.kind == "planners-slow":
                 planner.slow_ms = trouble.ms
-                self.engine.after(trouble.last * 1000, setattr, planner, "slow_ms", 0.0)
+                self.engine.after(trouble.duration * 1000, setattr, planner, "slow_ms", 0.0)
             elif trouble.kind == "planners-wrong":
                 planner.core.demand.factor = trouble.factor
-                self.engine.after(trouble.last * 1000, setattr, planner.core.demand, "factor", 1.0)
+                self.engine.after(trouble.duration * 1000, setattr, planner.core.demand, "factor", 1.0)
             elif trouble.kind in ("pause-planners", "cut-planners"):
                 assert self.leases is not None
                 self.leases.befall(
-                    trouble.as_kind({"pause-planners": "pause-dispatchers", "cut-planners": "cut-peers"}[trouble.kind]),
+                    replace(
+                        trouble, kind={"pause-planners": "pause-dispatchers", "cut-planners": "cut-peers"}[trouble.kind]
+                    ),
                     [planner.name],
                     lambda: bool(self._chance.random() < 0.5),
                 )
             else:
                 planner.kill()
                 self.engine.after(
-                    trouble.last * 1000 + self.settings.start_ms, planner.begin, trouble.kind == "planners-forget"
+                    trouble.duration * 1000 + self.settings.start_ms, planner.begin, trouble.kind == "planners-forget"
                 )
 
     def _trouble(self, kind: str, trouble: Fault, of: list[str]) -> None:
         if self.note is not None and self._part[0] == 0:
-            self.note("trouble", kind=kind, seconds=trouble.last, factor=trouble.factor, of=of)
+            self.note("trouble", kind=kind, seconds=trouble.duration, factor=trouble.factor, of=of)
 
     def _heal_disk(self, dispatcher: SimulatedDispatcher | RemoteDispatcher) -> None:
         dispatcher.sync_ms, dispatcher.disk_fails = self.settings.sync_ms, False
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from kelptrail.fault_scenario.scenario import FaultScenario
-from kelptrail.fault_scenario.scenario import load as load_script
+from kelptrail.fault_scenario.scenario import load_scenario as load_script
 from kelptrail.load.results import Rows, figures, rows_of, spread_of, write
 from kelptrail.settings.deployment import Deployment
 from kelptrail.settings.deployment import load as load_deployment
@@ -142,7 +142,8 @@
         elif section == "script":
             day = _with(day, key, value)
         elif section in ("load", "trouble"):
-            day = _with(day, section, [_copied(one, key, value) for one in getattr(day, section)])
+            parts = getattr(day, _fields_by_key(day)[section])
+            day = _with(day, section, [_with(part, key, value) for part in parts])
         elif section in OF_DEPLOYMENT:
             deployment = _with(deployment, section, _with(getattr(deployment, section), key, value))
         else:
@@ -172,15 +173,6 @@
     return dataclasses.replace(one, **{_fields_by_key(one)[key]: fitting})
 
 
-def _copied(one: Any, key: str, value: Any) -> Any:
-    import copy
-
-    made = copy.copy(one)  # these build themselves by words of the script, not by their fields
-    fitting = _fit(one, key, value)
-    object.__setattr__(made, _fields_by_key(one)[key], fitting)
-    return made
-
-
 def one(path: str, variant: str, point: Change | None, seed: int) -> tuple[Rows, Rows, Rows]:
     """One run in a process of its own: its figures, its seconds, its latencies."""
     experiment = load(path)
@@ -197,7 +189,11 @@
         "value": float(point.value) if point is not None and isinstance(point.value, float) else 0.0,
         "seed": seed,
     }
-    row = who | figures(day.seconds, day.ends, result) | {"took_s": took, "simulated_s_a_second": day.seconds / took}
+    row = (
+        who
+        | figures(day.seconds, day.last_fault_ends, result)
+        | {"took_s": took, "simulated_s_a_second": day.seconds / took}
+    )
     return [row], rows_of(who, day.seconds, result), spread_of(who, result)
 
 
--- a/kelptrail/simulation/leases.py
+++ b/kelptrail/simulation/leases.py
@@ -237,7 +237,7 @@
 
     def befall(self, trouble: Fault, victims: list[str], one_way: Callable[[], bool]) -> None:
         """One of the troubles between dispatchers; kills and lost machines are told by `kill` and `begin`."""
-        kind, last, engine = trouble.kind, trouble.last * 1000, self._engine
+        kind, last, engine = trouble.kind, trouble.duration * 1000, self._engine
         nodes = [self.nodes[name] for name in victims if name in self.nodes]
         if kind == "cut-peers":
             pairs = []
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -482,16 +482,16 @@
 
     # Faults.
 
-    def fault(self, kind: str, trouble: Any) -> None:
-        """One of the bad days' troubles, for its time."""
+    def fault(self, kind: str, fault: Any) -> None:
+        """Inject a fault for its duration."""
         if kind == "models-voided":
             for model in list(self._held.values()):
-                if model.standing and self._chance.random() < trouble.share:
+                if model.standing and self._chance.random() < fault.share:
                     self._drop(model, model.standing - -(-model.busy // model.action.lanes))
         elif kind == "restart-cold":
             self.begin(warm=False)
         elif kind == "pause":  # the whole process stands still; then it goes on with what came meanwhile
-            self._paused = self._engine.now + trouble.last * 1000
+            self._paused = self._engine.now + fault.duration * 1000
         else:
-            self.faults[kind] = trouble
-            self._engine.after(trouble.last * 1000, self.faults.pop, kind, None)
+            self.faults[kind] = fault
+            self._engine.after(fault.duration * 1000, self.faults.pop, kind, None)
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -16,7 +16,7 @@
 from program import auth, exchange, run, verdict
 
 from kelptrail.codec.http import encode_request
-from kelptrail.emulator.cluster import Cluster, ask
+from kelptrail.emulator.cluster import Cluster, http_json
 from kelptrail.history_checker.checker import check_history
 from kelptrail.lease.messages import FencingToken
 from kelptrail.model_checking.explorer import PropertyError
@@ -591,7 +591,7 @@
         await rig.start(2, 5, tmp_path / "state")
         try:
             for dispatcher in rig.dispatchers:
-                while not (await ask(dispatcher.said["asked_at"], "GET", "/copies"))["promising"]:
+                while not (await http_json(dispatcher.said["asked_at"], "GET", "/copies"))["promising"]:
                     await asyncio.sleep(0.1)
             first, *others = rig.dispatchers
             key = {
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,7 +16,7 @@
 
 from kelptrail.codec.http import Request
 from kelptrail.fault_scenario.runner import ScenarioRunner
-from kelptrail.fault_scenario.scenario import load
+from kelptrail.fault_scenario.scenario import load_scenario
 from kelptrail.lease.acceptor_store import open_acceptor_store
 from kelptrail.lease.driver import LeaseDriver
 from kelptrail.lease.messages import AcquireRequest, FencingToken
@@ -304,8 +304,8 @@
 
 def test_scripts_with_troubles_between_dispatchers_state_five_and_sound_figures(tmp_path: Path) -> None:
     text = (ROOT / "examples" / "bad-days" / "leases.sexp").read_text()
-    day = load(ROOT / "examples" / "bad-days" / "leases.sexp")
-    assert day.dispatchers == 7 and day.tasks == ("sweep", "tally", "ledger") and any(t.one_way for t in day.trouble)
+    day = load_scenario(ROOT / "examples" / "bad-days" / "leases.sexp")
+    assert day.dispatchers == 7 and day.tasks == ("sweep", "tally", "ledger") and any(t.one_way for t in day.faults)
     with pytest.raises(ValueError, match="different halls"):
         ScenarioRunner(day, parse(DEPLOYMENT.replace("(halls a b)", "(halls a)"), "one"), 1, tmp_path)
     for old, new, word in (
@@ -317,7 +317,7 @@
         file = tmp_path / "day.sexp"
         file.write_text(text.replace(old, new))
         with pytest.raises(SettingsError) as caught:
-            load(file)
+            load_scenario(file)
         assert any(word in str(f) for f in caught.value.faults)
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,7 +12,7 @@
 from helpers import activation, make, model, pull
 
 from kelptrail.dispatch.entities import AttemptStatus, LoadOrder
-from kelptrail.fault_scenario.scenario import load as load_script
+from kelptrail.fault_scenario.scenario import load_scenario as load_script
 from kelptrail.history_checker.checker import check_history
 from kelptrail.load.plan import steady_load
 from kelptrail.load.results import Result, Second, read, read_runs, read_seconds, recovery
@@ -108,7 +108,7 @@
     """A lab whose dispatchers cost nothing would flatter."""
     day = load_script(ROOT / "examples" / "bad-days" / "second-sends.sexp")
     deployment = load(day.deployment)
-    day = replace(day, seconds=5.0, workers=6, dispatchers=1, load=[steady_load(200.0, 5.0, 0.8)], trouble=[])
+    day = replace(day, seconds=5.0, workers=6, dispatchers=1, load=[steady_load(200.0, 5.0, 0.8)], faults=[])
     runs = [play(day, deployment, 1, SimulationSettings(cpu_ms=cpu)) for cpu in (0.1, 2.6)]
     medians = [float(np.median(run.latency["check"])) for run in runs]
     assert medians[1] > 4 * medians[0]
@@ -207,11 +207,11 @@
 
 def test_recovery_counts_from_the_last_troubles_end() -> None:
     day = load_script(ROOT / "examples" / "bad-days" / "kills.sexp")
-    end = max(t.at + t.last for t in day.trouble)
+    end = max(t.at + t.duration for t in day.faults)
     seconds = [Second(calls=10, in_time=10 if n < 5 or n >= end + 3 else 2) for n in range(int(day.seconds) + 60)]
-    assert recovery(day.seconds, day.ends, Result(seconds, {}, {}, 0, 0)) == 3.0
+    assert recovery(day.seconds, day.last_fault_ends, Result(seconds, {}, {}, 0, 0)) == 3.0
     never = [Second(calls=10, in_time=1)] * 100
-    assert recovery(day.seconds, day.ends, Result(never, {}, {}, 0, 0)) == day.seconds - end
+    assert recovery(day.seconds, day.last_fault_ends, Result(never, {}, {}, 0, 0)) == day.seconds - end
 
 
 def test_a_paused_worker_goes_on_with_what_came_meanwhile_and_heavy_work_keeps_its_share() -> None:
@@ -235,7 +235,7 @@
     worker.order(action, 1, "d", lambda outcome, standing: None)
     engine.run(1000)
     day = load_script(ROOT / "examples" / "bad-days" / "first.sexp")
-    pause = next(t for t in day.trouble if t.kind == "pause")  # 2 s
+    pause = next(t for t in day.faults if t.kind == "pause")  # 2 s
 
     def send(number: int) -> None:
         worker.send(
@@ -250,7 +250,7 @@
     engine.run(4000)
     assert [outcome for _, outcome in ends] == [AttemptStatus.COMPLETED] * 2 and all(3000 <= t < 3400 for t, _ in ends)
     assert [fields["lag"] for what, fields in noted if what == "send"] == [0.0, 2000.0], "as the sockets' audit has it"
-    heavy = next(t for t in day.trouble if t.kind == "heavy-work")  # 3 in 100, twenty times
+    heavy = next(t for t in day.faults if t.kind == "heavy-work")  # 3 in 100, twenty times
     worker.faults["heavy-work"] = heavy
     model = worker.model(action)
     works = np.array([worker._work(model) for _ in range(4000)])
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -15,7 +15,7 @@
 from kelptrail.clock import now_ms
 from kelptrail.codec.http import Request
 from kelptrail.fault_scenario.scenario import FaultScenario
-from kelptrail.fault_scenario.scenario import load as load_script
+from kelptrail.fault_scenario.scenario import load_scenario as load_script
 from kelptrail.load.arrivals import Arrivals, read_trace
 from kelptrail.load.client_behavior import ClientBehavior, ClientOutcome, behavior_of, retry_delay_ms
 from kelptrail.load.coordinator import merge_counters, write_results
@@ -128,7 +128,7 @@
 def test_a_closed_loop_in_the_lab_waits_for_its_answers() -> None:
     day = load_script(ROOT / "examples" / "bad-days" / "steady.sexp")
     closed = shaped("closed", clients=30, think=0.2, deferred=0.0)
-    made = replace(day, load=[closed], trouble=[])
+    made = replace(day, load=[closed], faults=[])
     site = SimulatedCluster(made, load(day.deployment), 1)
     site.run()
     calls = sum(s.calls for s in site.seconds)
--- a/tests/test_place.py
+++ b/tests/test_place.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from kelptrail.fault_scenario.import_capture import fault_intervals, import_capture, look
+from kelptrail.fault_scenario.import_capture import fault_intervals, import_capture, read_capture
 from kelptrail.settings.deployment import parse
 
 pytestmark = pytest.mark.processes  # one at a time: they measure time
@@ -271,15 +271,15 @@
 
 def test_a_tap_turns_into_a_script_with_its_troubles(tmp_path: Path) -> None:
     tap(tmp_path / "day.tap")
-    found = {(s.kind, round(s.at)): s for s in fault_intervals(look(tmp_path / "day.tap"))}
+    found = {(s.kind, round(s.at)): s for s in fault_intervals(read_capture(tmp_path / "day.tap"))}
     assert set(found) == {("hang", 5), ("kill-dispatchers", 10), ("fail-fast", 12)}
-    assert abs(found["kill-dispatchers", 10].last - 3) < 0.2 and found["hang", 5].last == 4
+    assert abs(found["kill-dispatchers", 10].duration - 3) < 0.2 and found["hang", 5].duration == 4
     deployment, script = import_capture(tmp_path / "day.tap", "day", 0.5, 4, 2)
     assert len(parse(deployment, "day").actions) == 5 and parse(deployment, "day").rules.free_loads == 6
     assert "(rate 15.0)" in script and "(trouble hang" in script
     (tmp_path / "no.tap").write_text("hello\n")
     with pytest.raises(ValueError, match=r"no\.tap:1"):
-        look(tmp_path / "no.tap")
+        read_capture(tmp_path / "no.tap")
 
 
 BOTH_FRONTS = """(bad-day both (deployment "{root}/examples/streams.sexp") (seconds 11) (workers 5) (dispatchers 2)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -26,7 +26,7 @@
         deployment = load(file)
         assert deployment.actions and {t.effect for t in deployment.types.values()} >= {"repeatable"}
     for file in sorted(Path("examples/bad-days").glob("*.sexp")):
-        assert load(script.load(file).deployment).actions
+        assert load(script.load_scenario(file).deployment).actions
 
 
 def test_defaults_and_counts() -> None:
@@ -94,7 +94,7 @@
     file = tmp_path / "day.sexp"
     file.write_text('(bad-day x (deployment "d") (seconds 5) (load (rate 1))\n (trouble flood (at 1)))')
     with pytest.raises(SettingsError) as caught:
-        script.load(file)
+        script.load_scenario(file)
     assert "flood" in str(caught.value) and ":2:" in str(caught.value)
 
 
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -24,18 +24,18 @@
     return FaultScenario("sharded", file, 8.0, 12, 6, 1, 0, "program", [steady_load(180.0, 8.0, 1.0)], trouble)
 
 
-def trouble(kind: str, at: float, seconds: float, part: float) -> Fault:
+def fault(kind: str, at: float, seconds: float, part: float) -> Fault:
     return Fault(
         kind,
         at,
-        **{"for": seconds},
+        duration=seconds,
         part=part,
         share=1.0,
         factor=4.0,
         ms=100.0,
         type="",
         count=1,
-        hall="",
+        zone="",
         one_way=False,
     )
 
@@ -57,12 +57,12 @@
 def test_troubles_fall_on_all_shards_alike_and_no_rule_breaks() -> None:
     """Effects are told apart by mark, sends by activation: one shard that believed in other workers would show."""
     troubles = [
-        trouble("crash", 2, 1.5, 0.2),
-        trouble("rolling-deploy", 3, 2, 0.2),
-        trouble("kill-dispatchers", 4, 0.5, 0.3),
-        trouble("hang", 5, 1.5, 0.2),
-        trouble("store-slow", 2, 2, 1),
-        trouble("restart-cold", 1, 0, 0.2),
+        fault("crash", 2, 1.5, 0.2),
+        fault("rolling-deploy", 3, 2, 0.2),
+        fault("kill-dispatchers", 4, 0.5, 0.3),
+        fault("hang", 5, 1.5, 0.2),
+        fault("store-slow", 2, 2, 1),
+        fault("restart-cold", 1, 0, 0.2),
     ]
     day, deployment = day_of(troubles), load(ROOT / "examples" / "nursery.sexp")
     _, events = play_sharded(day, deployment, 5, SETTINGS, 3, capture=True)
@@ -97,7 +97,7 @@
 
 
 def test_a_shard_that_fails_is_told_with_its_cause() -> None:
-    day, deployment = day_of([trouble("nonsense", 1, 1, 0.2)]), load(ROOT / "examples" / "nursery.sexp")
-    object.__setattr__(day.trouble[0], "at", "soon")
+    day, deployment = day_of([fault("nonsense", 1, 1, 0.2)]), load(ROOT / "examples" / "nursery.sexp")
+    object.__setattr__(day.faults[0], "at", "soon")
     with pytest.raises(ShardError, match="TypeError"):
         play_sharded(day, deployment, 1, SETTINGS, 2)
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -25,7 +25,7 @@
 
 from kelptrail.certificates.authority import Authority, read_certificate, shown
 from kelptrail.certificates.names import digest
-from kelptrail.fault_scenario.report import holders, latencies, timeline
+from kelptrail.fault_scenario.report import latencies, lease_holders, timeline
 from kelptrail.history_checker.checker import check_history, read_captures
 from kelptrail.lease.acceptor import DurableState, Stage, Write
 from kelptrail.lease.acceptor_store import AcceptorStore, open_acceptor_store
@@ -631,7 +631,9 @@
     verdict = check_history(events)
     assert not verdict.broken and {name: n for name, n in verdict.counts().items() if n} == {"acts": 10}
     span = {"by": "dispatcher-5", "token": "5.dispatcher-5/efd7844a", "from": -2.129, "until": -1.51}
-    assert holders(events, 4) == {"sweep": {"spans": [span], "without_s": 5.51, "longest_without_s": 5.51, "acts": 20}}
+    assert lease_holders(events, 4) == {
+        "sweep": {"spans": [span], "without_s": 5.51, "longest_without_s": 5.51, "acts": 20}
+    }
 
 
 def test_captures_of_a_bad_day_are_judged_as_they_were() -> None:
--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -182,7 +182,7 @@
 # Settings.
 
 SETTINGS: dict[str, Any] = stored("settings")
-READERS = {"examples": deployment.load, "bad-days": script.load, "experiments": experiment.load}
+READERS = {"examples": deployment.load, "bad-days": script.load_scenario, "experiments": experiment.load}
 
 
 def digest(value: Any) -> str:
@@ -408,7 +408,7 @@
 def test_keys_of_experiments_keep_their_names() -> None:
     """`(set SECTION.KEY VALUE)` knows the sections and keys that it knew.  They are taken from field names, so a field
     that gets another name needs its old key kept."""
-    day = script.load(ROOT / "examples" / "bad-days" / "first.sexp")
+    day = script.load_scenario(ROOT / "examples" / "bad-days" / "first.sexp")
     whole = deployment.load(day.deployment)
     place = SourcePosition("x", 1, 1)
     found = {}
