--- a/bench/leases.py
+++ b/bench/leases.py
@@ -177,7 +177,7 @@
     with tempfile.TemporaryDirectory() as name:
         rig = Rig(Path(name))
         await rig.place.start(2, 7, Path(name) / "state", tasks=("sweep",))
-        rig.capture.note("world", **describe_deployment(rig.deployment, [d.name for d in rig.place.dispatchers], 2))
+        rig.capture.write("world", **describe_deployment(rig.deployment, [d.name for d in rig.place.dispatchers], 2))
         began: dict[str, list[float]] = {}
         for kind in kinds or ("kill", "pause", "cut", "cut-one-way", "ended"):
             for _ in range(times):
--- a/bench/vrrp_failover.py
+++ b/bench/vrrp_failover.py
@@ -88,7 +88,7 @@
     async def play(self, failovers: int) -> bool:
         place = self._place
         await place.start(self._deployment.fleet.workers, len(self._deployment.vrrp.instance), self._out / "state")
-        self._capture.note(
+        self._capture.write(
             "world",
             **describe_deployment(
                 self._deployment, [d.name for d in place.dispatchers], self._deployment.fleet.workers
@@ -107,18 +107,18 @@
         )
         seconds = failovers * (HARM_S + REST_S + 1.5) + 2
         arrivals: list[tuple[float, Callable[[], None]]] = [
-            (when, partial(clients.wish, action, 0.25, 1.0, 1))
+            (when, partial(clients.start_call, action, 0.25, 1.0, 1))
             for when, action in clients.arrivals(steady_load(self._rate, seconds, 0.8), seconds)
         ]
         self.start = now_ms()
-        self._capture.note("begin", start=self.start, seconds=seconds)
-        calling = asyncio.create_task(clients.play(arrivals, self.start))
+        self._capture.write("begin", start=self.start, seconds=seconds)
+        calling = asyncio.create_task(clients.run(arrivals, self.start))
         for number in range(failovers):
             await asyncio.sleep(REST_S)
             await self._failover(KINDS[number % len(KINDS)], number)
         calling.cancel()
         end = now_ms() + 9000
-        while (clients.out or clients.polling) and now_ms() < end:
+        while (clients.open_requests or clients.polling) and now_ms() < end:
             await asyncio.sleep(0.05)
         sampling.cancel()
         clients.close()
@@ -146,14 +146,14 @@
             delay_ms=[0.0, float(self._chance.uniform(0, 40))],
         )
         before, began = self._sampler.now(), now_ms()
-        self._capture.note("failover", kind=kind, number=number, of=child.name)
+        self._capture.write("failover", kind=kind, number=number, of=child.name)
         if kind == "kill":
-            self._capture.note("kill", dispatcher=index)
+            self._capture.write("kill", dispatcher=index)
             place.kill(child)
         elif kind == "term":
             ending = asyncio.create_task(place.end(child))
         elif kind == "pause":
-            self._capture.note("stopped", dispatcher=index)
+            self._capture.write("stopped", dispatcher=index)
             place.signal(child, signal.SIGSTOP)
         else:
             cut = [[child.name, o.name] for o in others] if kind in ("cut", "cut-out") else []
@@ -167,13 +167,13 @@
         await asyncio.sleep(max(0.0, HARM_S - (now_ms() - began) / 1000))
         if kind == "kill":
             await place.launch(child)
-            self._capture.note("restarted", dispatcher=index)
+            self._capture.write("restarted", dispatcher=index)
         elif kind == "term":
             await ending
             await place.launch(child)
         elif kind == "pause":
             place.signal(child, signal.SIGCONT)
-            self._capture.note("woken", dispatcher=index)
+            self._capture.write("woken", dispatcher=index)
         else:
             await self._relay(cut=[])
         end = now_ms() + 8000  # then the best holds it again, alone
--- a/kelptrail/cli/main.py
+++ b/kelptrail/cli/main.py
@@ -1063,10 +1063,10 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(50_000, 20, 1_000_000)
-        await made.play(plan, start)
+        await made.run(plan, start)
         longest = max(t.timeout_ms for t in deployment.types.values())
         await asyncio.sleep(max(0.0, start / 1000 + day.seconds - now_ms() / 1000))
-        await made.settled(now_ms() + longest + 5000)
+        await made.wait_until_answered(now_ms() + longest + 5000)
         made.close()
 
     _run(go())
--- a/kelptrail/emulator/capture.py
+++ b/kelptrail/emulator/capture.py
@@ -15,15 +15,15 @@
 from kelptrail.clock import now_ms
 
 
-class Lag:
+class ReadLag:
     """How much earlier than now what a process reads just now may have come: its loop's own delays."""
 
     def __init__(self) -> None:
         self._tick = now_ms()
         self._stall = self._stalled = 0.0
-        self._task = asyncio.get_running_loop().create_task(self._beat())
+        self._task = asyncio.get_running_loop().create_task(self._measure())
 
-    async def _beat(self) -> None:
+    async def _measure(self) -> None:
         while True:
             await asyncio.sleep(0.005)
             now = now_ms()
@@ -45,11 +45,11 @@
     """One process's record; without a file it writes nothing."""
 
     def __init__(self, file: Path | None, who: str) -> None:
-        self._who = who
+        self._process_name = who
         self._fd = -1 if file is None else os.open(file, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
 
-    def note(self, what: str, **fields: Any) -> None:
+    def write(self, what: str, **fields: Any) -> None:
         """Write one line, stamped now."""
         if self._fd >= 0:
-            line = msgspec.json.encode({"t": now_ms(), "who": self._who, "what": what} | fields)
+            line = msgspec.json.encode({"t": now_ms(), "who": self._process_name, "what": what} | fields)
             os.write(self._fd, line + b"\n")
--- a/kelptrail/emulator/channel_proxy.py
+++ b/kelptrail/emulator/channel_proxy.py
@@ -29,83 +29,83 @@
     `cut` (ordered pairs whose bytes are held), `slow` (ms and share of pieces), `reset` (share of connections, now)."""
 
     def __init__(self, sources: list[str], targets: list[str], capture: Capture, seed: int) -> None:
-        self._capture, self._weather = capture, NetworkFaults(seed, 5)
+        self._capture, self._faults = capture, NetworkFaults(seed, 5)
         self._loop = asyncio.get_running_loop()
-        self._at: dict[str, str] = {}
-        self._slow = (0.0, 0.0)
+        self._addresses: dict[str, str] = {}
+        self._delay = (0.0, 0.0)
         self._pairs: dict[asyncio.Task[None], tuple[socket.socket, socket.socket | None]] = {}
         self.routes: dict[str, str] = {}
         for source in sources:
-            for to in targets:
-                if source != to:
-                    self.routes[f"{source}>{to}"] = self._listen(source, to)
+            for target in targets:
+                if source != target:
+                    self.routes[f"{source}>{target}"] = self._listen(source, target)
         self.server = HttpServer(self._handle)
 
-    def _listen(self, source: str, to: str) -> str:
+    def _listen(self, source: str, target: str) -> str:
         sock = socket.socket()
         sock.bind(("127.0.0.1", 0))
         sock.listen(64)
         sock.setblocking(False)
-        self._loop.add_reader(sock, self._accept, sock, source, to)
+        self._loop.add_reader(sock, self._accept, sock, source, target)
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
-    def _accept(self, listening: socket.socket, source: str, to: str) -> None:
+    def _accept(self, listening: socket.socket, source: str, target: str) -> None:
         try:
             sock, _ = listening.accept()
         except BlockingIOError:
             return
         sock.setblocking(False)
-        task = self._loop.create_task(self._relay(sock, source, to))
+        task = self._loop.create_task(self._proxy(sock, source, target))
         self._pairs[task] = sock, None
         task.add_done_callback(lambda done: self._pairs.pop(done, None))
 
-    async def _relay(self, near: socket.socket, source: str, to: str) -> None:
-        far = socket.socket()
-        far.setblocking(False)
+    async def _proxy(self, source_socket: socket.socket, source: str, target: str) -> None:
+        target_socket = socket.socket()
+        target_socket.setblocking(False)
         task = asyncio.current_task()
         assert task is not None
-        self._pairs[task] = near, far
-        ways: list[asyncio.Task[None]] = []
+        self._pairs[task] = source_socket, target_socket
+        directions: list[asyncio.Task[None]] = []
         try:
-            await self._weather.whole((source, to), (to, source))  # a handshake needs both ways
-            host, _, port = self._at[to].rpartition(":")
-            await self._loop.sock_connect(far, (host, int(port)))
-            for sock in (near, far):
+            await self._faults.wait_until_connected((source, target), (target, source))  # a handshake needs both ways
+            host, _, port = self._addresses[target].rpartition(":")
+            await self._loop.sock_connect(target_socket, (host, int(port)))
+            for sock in (source_socket, target_socket):
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            ways = [
-                self._loop.create_task(self._carry(near, far, source, to)),
-                self._loop.create_task(self._carry(far, near, to, source)),
+            directions = [
+                self._loop.create_task(self._forward(source_socket, target_socket, source, target)),
+                self._loop.create_task(self._forward(target_socket, source_socket, target, source)),
             ]
-            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         except (OSError, KeyError):
             pass  # nobody there: the one who connects sees a closed connection
         finally:
-            for way in ways:
-                way.cancel()
-            await asyncio.gather(*ways, return_exceptions=True)
-            near.close()
-            far.close()
+            for direction in directions:
+                direction.cancel()
+            await asyncio.gather(*directions, return_exceptions=True)
+            source_socket.close()
+            target_socket.close()
 
-    async def _carry(self, read: socket.socket, write: socket.socket, source: str, to: str) -> None:
+    async def _forward(self, read: socket.socket, write: socket.socket, source: str, target: str) -> None:
         while True:
             data = await self._loop.sock_recv(read, 65_536)
-            await self._weather.whole((source, to))
+            await self._faults.wait_until_connected((source, target))
             if not data:
                 return
-            if self._weather.draw(self._slow[1]):
-                await asyncio.sleep(self._slow[0] / 1000)
+            if self._faults.draw(self._delay[1]):
+                await asyncio.sleep(self._delay[0] / 1000)
             await self._loop.sock_sendall(write, data)
 
     def _handle(self, request: Request, exchange: Exchange) -> None:
         body: dict[str, Any] = msgspec.json.decode(request.body) if request.body else {}
-        self._at |= body.get("at", {})
-        self._weather.told(body)
+        self._addresses |= body.get("at", {})
+        self._faults.apply(body)
         if "slow" in body:
-            self._slow = float(body["slow"]["ms"]), float(body["slow"]["share"])
+            self._delay = float(body["slow"]["ms"]), float(body["slow"]["share"])
         resets = 0
         if body.get("reset"):
             for socks in list(self._pairs.values()):
-                if self._weather.draw(body["reset"]):
+                if self._faults.draw(body["reset"]):
                     resets += 1
                     for sock in socks:
                         if sock is not None:
@@ -113,5 +113,5 @@
                                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
                                 sock.shutdown(socket.SHUT_RDWR)
         if "at" not in body:
-            self._capture.note("links", cut=sorted(self._weather.cut), slow=self._slow, resets=resets)
+            self._capture.write("links", cut=sorted(self._faults.cut), slow=self._delay, resets=resets)
         exchange.reply(200, msgspec.json.encode({"connections": len(self._pairs)}))
--- a/kelptrail/emulator/clients.py
+++ b/kelptrail/emulator/clients.py
@@ -28,29 +28,29 @@
 from kelptrail.net.pool import Call, Ending, WorkerPool
 from kelptrail.settings.deployment import ActionSettings, Deployment, NamespaceSettings, TypeSettings
 
-from .capture import Capture, Lag
+from .capture import Capture, ReadLag
 
-POLL_MS, PATIENCE_MS = 150.0, 3000.0
-TAKEN_OVER_MS = 20_000.0  # what a client allows for another dispatcher to take up what a lost one held
-STREAM_MS = 5000.0  # what a client allows for a whole stream, beyond the time to its first part
-ABORTED = ("MAY_HAVE_RUN", "NEVER_RAN")
+POLL_EVERY_MS, POLL_FOR_MS = 150.0, 3000.0
+FAILOVER_WAIT_MS = 20_000.0  # what a client allows for another dispatcher to take up what a lost one held
+STREAM_TIMEOUT_MS = 5000.0  # what a client allows for a whole stream, beyond the time to its first part
+FAILED_REASONS = ("MAY_HAVE_RUN", "NEVER_RAN")
 
 
 @dataclass(slots=True, eq=False)
-class Wish:
+class ClientCall:
     """What a client wants done, over all its tries."""
 
     ticket: str
     action: ActionSettings
     namespace: NamespaceSettings
     deferred: bool
-    habits: ClientBehavior
-    tries: int
+    behavior: ClientBehavior
+    attempts_left: int
     dispatcher: int = 0
-    began: float = 0.0
+    attempt_started: float = 0.0
     activation: str = ""
-    number: str = ""
-    asked_at: str = ""
+    call_id: str = ""
+    poll_address: str = ""
     grpc: bool = False  # over the second front
     streamed: bool = False
     parts: int = 0
@@ -69,21 +69,21 @@
         second: list[str] | None = None,
         part: tuple[int, int] = (0, 1),
     ) -> None:
-        self._part, self._mark = part, f"{part[0]}-" if part[1] > 1 else ""
-        self._second = [GrpcClient(address) for address in second or ()]
+        self._part, self._id_prefix = part, f"{part[0]}-" if part[1] > 1 else ""
+        self._grpc_clients = [GrpcClient(address) for address in second or ()]
         self._deployment, self._addresses, self._capture = deployment, addresses, capture
-        self._front = front  # the addresses are shared ones: who answers is not known beforehand
-        self._chance = np.random.default_rng([seed, 7, *part] if part[1] > 1 else [seed, 7])
+        self._shared_address = front  # the addresses are shared ones: who answers is not known beforehand
+        self._random = np.random.default_rng([seed, 7, *part] if part[1] > 1 else [seed, 7])
         self._loop = asyncio.get_running_loop()
         self._pools = [self._pool(a) for a in addresses]
-        self._asked: dict[str, WorkerPool] = {}  # where deferred calls are asked for
+        self._poll_pools: dict[str, WorkerPool] = {}  # where deferred calls are asked for
         self._auth = {
             n.name: "Basic " + base64.b64encode(f"{n.uuid}:{n.key}".encode()).decode()
             for n in deployment.namespaces.values()
         }
         self._tickets = self._calls = 0
-        self.out = self.polling = 0  # requests out; deferred calls without their final answer
-        self._lag = Lag()
+        self.open_requests = self.polling = 0  # requests out; deferred calls without their final answer
+        self._read_lag = ReadLag()
 
     @staticmethod
     def _pool(address: str) -> WorkerPool:
@@ -93,281 +93,315 @@
         """A load's arrivals (seconds) with the action of each, popular ones first by rank."""
         actions = list(self._deployment.actions.values())
         by_path = {a.path: a for a in actions}
-        drawn = Arrivals(load, self._chance, self._part).draw(load.at, max(0.0, end - load.at))
-        picks = self._chance.choice(len(actions), len(drawn), p=popularity(list(by_path), load))
+        drawn = Arrivals(load, self._random, self._part).draw(load.at, max(0.0, end - load.at))
+        picks = self._random.choice(len(actions), len(drawn), p=popularity(list(by_path), load))
         return [(t, by_path.get(named) or actions[int(n)]) for (t, named), n in zip(drawn, picks, strict=True)]
 
-    def wish(
+    def start_call(
         self,
         action: ActionSettings,
         deferred: float,
-        heed: float,
+        retry_after_share: float,
         retries: int,
         grpc: float = 0.0,
         streams: float = 0.0,
-        half: float = 0.0,
+        half_retry_after_share: float = 0.0,
         namespace: str = "",
     ) -> None:
         """One client comes; `grpc` and `streams` are the shares that call by the second front, and in streams there."""
         self._tickets += 1
         spaces = list(self._deployment.namespaces.values())
         shares = np.array([s.allowed_per_s for s in spaces])
-        space = (
+        namespace_settings = (
             self._deployment.namespaces.get(namespace)
-            or (spaces[int(self._chance.choice(len(spaces), p=shares / shares.sum()))])
+            or (spaces[int(self._random.choice(len(spaces), p=shares / shares.sum()))])
         )
-        wish = Wish(
-            f"t{self._mark}{self._tickets}",
+        client_call = ClientCall(
+            f"t{self._id_prefix}{self._tickets}",
             action,
-            space,
-            bool(self._chance.random() < deferred),
-            behavior_of(float(self._chance.random()), heed, half),
+            namespace_settings,
+            bool(self._random.random() < deferred),
+            behavior_of(float(self._random.random()), retry_after_share, half_retry_after_share),
             1 + retries,
         )
         if grpc:
-            wish.grpc = bool(self._chance.random() < grpc)
-            wish.streamed = wish.grpc and bool(self._chance.random() < streams)
-            wish.deferred = wish.deferred and not wish.streamed
-        self._try(wish)
+            client_call.grpc = bool(self._random.random() < grpc)
+            client_call.streamed = client_call.grpc and bool(self._random.random() < streams)
+            client_call.deferred = client_call.deferred and not client_call.streamed
+        self._attempt(client_call)
 
-    def _try(self, wish: Wish, last: int | None = None) -> None:
-        wish.tries -= 1
+    def _attempt(self, client_call: ClientCall, last: int | None = None) -> None:
+        client_call.attempts_left -= 1
         self._calls += 1
         count = len(self._pools)
-        wish.dispatcher = int(self._chance.integers(count)) if last is None else (last + 1) % count
-        wish.number, wish.began, wish.activation = f"c{self._mark}{self._calls}", now_ms(), ""
-        kind = self._deployment.types[wish.action.type]
-        if wish.grpc and self._second:
-            self._infer(wish, kind)
+        client_call.dispatcher = int(self._random.integers(count)) if last is None else (last + 1) % count
+        client_call.call_id, client_call.attempt_started, client_call.activation = (
+            f"c{self._id_prefix}{self._calls}",
+            now_ms(),
+            "",
+        )
+        kind = self._deployment.types[client_call.action.type]
+        if client_call.grpc and self._grpc_clients:
+            self._send_grpc(client_call, kind)
             return
-        self._capture.note(
+        self._capture.write(
             "call",
-            call=wish.number,
-            ticket=wish.ticket,
-            action=wish.action.path,
+            call=client_call.call_id,
+            ticket=client_call.ticket,
+            action=client_call.action.path,
             type=kind.name,
-            dispatcher=wish.dispatcher,
-            deferred=wish.deferred,
+            dispatcher=client_call.dispatcher,
+            deferred=client_call.deferred,
             limit_ms=kind.timeout_ms,
-            front=self._front,
+            front=self._shared_address,
         )
-        self._post(wish, self._pools[wish.dispatcher], self._addresses[wish.dispatcher])
+        self._send_http(client_call, self._pools[client_call.dispatcher], self._addresses[client_call.dispatcher])
 
-    def _post(self, wish: Wish, pool: WorkerPool, address: str) -> None:
-        kind = self._deployment.types[wish.action.type]
-        target = f"/api/v1/namespaces/_/actions/{wish.action.path}?blocking={str(not wish.deferred).lower()}"
-        headers = {"authorization": self._auth[wish.namespace.name]}
+    def _send_http(self, client_call: ClientCall, pool: WorkerPool, address: str) -> None:
+        kind = self._deployment.types[client_call.action.type]
+        target = (
+            f"/api/v1/namespaces/_/actions/{client_call.action.path}?blocking={str(not client_call.deferred).lower()}"
+        )
+        headers = {"authorization": self._auth[client_call.namespace.name]}
         if kind.effect == "deduplicated":
-            headers["idempotency-key"] = wish.ticket
-        data = encode_request("POST", target, address, msgspec.json.encode({"ticket": wish.ticket}), headers)
-        self.out += 1
-        call = pool.start(data, self._answered, wish)
+            headers["idempotency-key"] = client_call.ticket
+        data = encode_request("POST", target, address, msgspec.json.encode({"ticket": client_call.ticket}), headers)
+        self.open_requests += 1
+        call = pool.start(data, self._on_http_response, client_call)
         self._loop.call_later((kind.timeout_ms + 500) / 1000, call.give_up, "patience")
 
-    def _infer(self, wish: Wish, kind: TypeSettings) -> None:
+    def _send_grpc(self, client_call: ClientCall, kind: TypeSettings) -> None:
         """The same wish by the second front."""
-        request = pb.ModelInferRequest(model_name=wish.action.path, id=wish.ticket)
+        request = pb.ModelInferRequest(model_name=client_call.action.path, id=client_call.ticket)
         request.inputs.add(name="ticket", datatype="BYTES", shape=[1]).contents.bytes_contents.append(
-            wish.ticket.encode()
+            client_call.ticket.encode()
         )
-        if kind.effect == "deduplicated" and not wish.streamed:
-            request.parameters["idempotency_key"].string_param = wish.ticket
-        if wish.deferred:
+        if kind.effect == "deduplicated" and not client_call.streamed:
+            request.parameters["idempotency_key"].string_param = client_call.ticket
+        if client_call.deferred:
             request.parameters["deferred"].bool_param = True
-        wish.parts = 0
-        limit = kind.timeout_ms + (STREAM_MS if wish.streamed else 0.0)
-        self._capture.note(
+        client_call.parts = 0
+        limit = kind.timeout_ms + (STREAM_TIMEOUT_MS if client_call.streamed else 0.0)
+        self._capture.write(
             "call",
-            call=wish.number,
-            ticket=wish.ticket,
-            action=wish.action.path,
+            call=client_call.call_id,
+            ticket=client_call.ticket,
+            action=client_call.action.path,
             type=kind.name,
-            dispatcher=wish.dispatcher,
-            deferred=wish.deferred,
+            dispatcher=client_call.dispatcher,
+            deferred=client_call.deferred,
             limit_ms=limit,
-            front=self._front,
+            front=self._shared_address,
             grpc=True,
-            streamed=wish.streamed,
+            streamed=client_call.streamed,
         )
-        self.out += 1
-        method = "ModelStreamInfer" if wish.streamed else "ModelInfer"
-        message = self._streamed if wish.streamed else self._inferred
-        self._second[wish.dispatcher].call(
+        self.open_requests += 1
+        method = "ModelStreamInfer" if client_call.streamed else "ModelInfer"
+        message = self._on_stream_part if client_call.streamed else self._on_grpc_response
+        self._grpc_clients[client_call.dispatcher].call(
             SERVICE + method,
             request.SerializeToString(),
-            {"authorization": self._auth[wish.namespace.name]},
-            lambda data: message(wish, data),
-            lambda ended: self._over(wish, ended),
+            {"authorization": self._auth[client_call.namespace.name]},
+            lambda data: message(client_call, data),
+            lambda ended: self._on_grpc_ended(client_call, ended),
             limit,
             500.0,
         )
 
-    def _inferred(self, wish: Wish, data: bytes) -> None:
+    def _on_grpc_response(self, client_call: ClientCall, data: bytes) -> None:
         response = pb.ModelInferResponse.FromString(data)
-        wish.activation = response.parameters["activation_id"].string_param
+        client_call.activation = response.parameters["activation_id"].string_param
         if response.parameters["deferred"].bool_param:
-            wish.asked_at = self._addresses[wish.dispatcher]
-            self._capture.note("accepted", call=wish.number, activation=wish.activation)
+            client_call.poll_address = self._addresses[client_call.dispatcher]
+            self._capture.write("accepted", call=client_call.call_id, activation=client_call.activation)
             self.polling += 1
-            self._loop.call_later(POLL_MS / 1000, self._poll, wish)
+            self._loop.call_later(POLL_EVERY_MS / 1000, self._poll, client_call)
         else:
-            self._told(wish, "completed", wish.activation)
+            self._on_grpc_answer(client_call, "completed", client_call.activation)
 
-    def _streamed(self, wish: Wish, data: bytes) -> None:
+    def _on_stream_part(self, client_call: ClientCall, data: bytes) -> None:
         message = pb.ModelStreamInferResponse.FromString(data)
-        told = scalars(message.infer_response.parameters)
-        activation = str(told.get("activation_id", ""))
-        if not told.get("final_response"):
-            wish.parts += 1
-            if wish.parts == 1:
-                self._capture.note("part", call=wish.number, activation=activation, lag=self._lag.now())
+        answer_fields = scalars(message.infer_response.parameters)
+        activation = str(answer_fields.get("activation_id", ""))
+        if not answer_fields.get("final_response"):
+            client_call.parts += 1
+            if client_call.parts == 1:
+                self._capture.write("part", call=client_call.call_id, activation=activation, lag=self._read_lag.now())
             return
-        wish.activation = "final"  # its call's status is no answer of its own
-        reason = told.get("reason")
+        client_call.activation = "final"  # its call's status is no answer of its own
+        reason = answer_fields.get("reason")
         if not message.error_message:
-            self._told(wish, "completed", activation)
+            self._on_grpc_answer(client_call, "completed", activation)
         elif reason == "NOT_TAKEN":
-            self._capture.note("not-taken", call=wish.number)
+            self._capture.write("not-taken", call=client_call.call_id)
         else:
-            retry = told.get("retry_after_ms")
-            answer = "rejected" if reason == "REJECTED" else "aborted" if reason in ABORTED else "failed"
-            self._told(wish, answer, activation, float(retry) if retry is not None else 0.0)
+            retry = answer_fields.get("retry_after_ms")
+            answer = "rejected" if reason == "REJECTED" else "aborted" if reason in FAILED_REASONS else "failed"
+            self._on_grpc_answer(client_call, answer, activation, float(retry) if retry is not None else 0.0)
 
-    def _told(
-        self, wish: Wish, answer: str, activation: str, retry_ms: float = 0.0, within_ms: float | None = None
+    def _on_grpc_answer(
+        self,
+        client_call: ClientCall,
+        answer: str,
+        activation: str,
+        retry_ms: float = 0.0,
+        repeat_within_ms: float | None = None,
     ) -> None:
-        self._capture.note(
+        self._capture.write(
             "final",
-            call=wish.number,
+            call=client_call.call_id,
             activation=activation,
             answer=answer,
             status=0,
-            lag=self._lag.now(),
+            lag=self._read_lag.now(),
             took=None,
             code=0 if answer == "completed" else None,
         )
         if answer in ("rejected", "aborted"):
-            self._again(wish, ClientOutcome(answer), retry_ms, within_ms)
+            self._retry(client_call, ClientOutcome(answer), retry_ms, repeat_within_ms)
 
-    def _over(self, wish: Wish, ended: Ended) -> None:
-        self.out -= 1
-        if ended.code is Code.OK or wish.activation == "final":
+    def _on_grpc_ended(self, client_call: ClientCall, ended: Ended) -> None:
+        self.open_requests -= 1
+        if ended.code is Code.OK or client_call.activation == "final":
             return
         if ended.refused or not ended.written or ended.reason == "NOT_TAKEN":
-            self._capture.note("not-taken", call=wish.number)
-            self._again(wish, ClientOutcome.NOT_TAKEN, ended.retry_ms or 0.0)
+            self._capture.write("not-taken", call=client_call.call_id)
+            self._retry(client_call, ClientOutcome.NOT_TAKEN, ended.retry_ms or 0.0)
         elif ended.code is None:
-            self._capture.note("no-answer", call=wish.number, ending=ended.text)
-            self._again(wish, ClientOutcome.LOST)
+            self._capture.write("no-answer", call=client_call.call_id, ending=ended.text)
+            self._retry(client_call, ClientOutcome.LOST)
         else:
             answer = (
                 "rejected"
                 if ended.reason == "REJECTED"
                 else "aborted"
-                if ended.reason in ABORTED
+                if ended.reason in FAILED_REASONS
                 else (f"status-{ended.code.name}")
             )
             within = ended.told.get("repeat_within_ms")
-            self._told(
-                wish,
+            self._on_grpc_answer(
+                client_call,
                 answer,
                 ended.told.get("activation", ""),
                 ended.retry_ms or 0.0,
                 float(within) if within is not None else None,
             )
 
-    def _answered(self, call: Call, ending: Ending, response: Response | None) -> None:
-        wish: Wish = call.tag
-        self.out -= 1
+    def _on_http_response(self, call: Call, ending: Ending, response: Response | None) -> None:
+        client_call: ClientCall = call.tag
+        self.open_requests -= 1
         if ending in (Ending.UNREACHABLE, Ending.UNSENT) or (response is not None and response.status == 503):
-            self._capture.note("not-taken", call=wish.number)
-            told = response.headers.get("retry-after-ms", "0") if response is not None else "0"
-            self._again(wish, ClientOutcome.NOT_TAKEN, float(told))
+            self._capture.write("not-taken", call=client_call.call_id)
+            answer_fields = response.headers.get("retry-after-ms", "0") if response is not None else "0"
+            self._retry(client_call, ClientOutcome.NOT_TAKEN, float(answer_fields))
             return
         if response is None:
-            self._capture.note("no-answer", call=wish.number, ending=ending.value)
-            self._again(wish, ClientOutcome.LOST)
+            self._capture.write("no-answer", call=client_call.call_id, ending=ending.value)
+            self._retry(client_call, ClientOutcome.LOST)
             return
         if response.status == 307:  # another has the call under this key
-            wish.asked_at = response.headers["location"].removeprefix("http://").partition("/")[0]
-            self._post(wish, self._asked.setdefault(wish.asked_at, self._pool(wish.asked_at)), wish.asked_at)
+            client_call.poll_address = response.headers["location"].removeprefix("http://").partition("/")[0]
+            self._send_http(
+                client_call,
+                self._poll_pools.setdefault(client_call.poll_address, self._pool(client_call.poll_address)),
+                client_call.poll_address,
+            )
             return
         body = msgspec.json.decode(response.body)
         if response.status == 202:
-            wish.activation = body["activationId"]
-            wish.asked_at = response.headers["location"].removeprefix("http://").partition("/")[0]
-            self._capture.note("accepted", call=wish.number, activation=wish.activation)
+            client_call.activation = body["activationId"]
+            client_call.poll_address = response.headers["location"].removeprefix("http://").partition("/")[0]
+            self._capture.write("accepted", call=client_call.call_id, activation=client_call.activation)
             self.polling += 1
-            self._loop.call_later(POLL_MS / 1000, self._poll, wish)
+            self._loop.call_later(POLL_EVERY_MS / 1000, self._poll, client_call)
             return
-        self._final(wish, response.status, body)
+        self._on_final_answer(client_call, response.status, body)
 
-    def _final(self, wish: Wish, status: int, body: dict[str, Any]) -> None:
+    def _on_final_answer(self, client_call: ClientCall, status: int, body: dict[str, Any]) -> None:
         notes = {n["key"]: n["value"] for n in body.get("annotations", [])}
-        told = notes.get("kelptrail", body)
-        answer = told.get("answer", f"status-{status}")
-        self._capture.note(
+        answer_fields = notes.get("kelptrail", body)
+        answer = answer_fields.get("answer", f"status-{status}")
+        self._capture.write(
             "final",
-            call=wish.number,
+            call=client_call.call_id,
             activation=body.get("activationId", ""),
             answer=answer,
             status=status,
-            lag=self._lag.now(),
-            took=body.get("duration") if wish.deferred else None,
+            lag=self._read_lag.now(),
+            took=body.get("duration") if client_call.deferred else None,
             code=body.get("response", {}).get("statusCode"),
         )
         if answer in ("rejected", "aborted"):
-            self._again(
-                wish, ClientOutcome(answer), float(told.get("retry_after_ms", 0.0)), told.get("repeat_within_ms")
+            self._retry(
+                client_call,
+                ClientOutcome(answer),
+                float(answer_fields.get("retry_after_ms", 0.0)),
+                answer_fields.get("repeat_within_ms"),
             )
 
-    def _again(self, wish: Wish, heard: ClientOutcome, told_ms: float = 0.0, within_ms: float | None = None) -> None:
-        kind = self._deployment.types[wish.action.type]
+    def _retry(
+        self,
+        client_call: ClientCall,
+        outcome: ClientOutcome,
+        retry_after_ms: float = 0.0,
+        repeat_within_ms: float | None = None,
+    ) -> None:
+        kind = self._deployment.types[client_call.action.type]
         wait = retry_delay_ms(
-            wish.habits, heard, kind.effect, kind.timeout_ms, told_ms, within_ms, now_ms() - wish.began
+            client_call.behavior,
+            outcome,
+            kind.effect,
+            kind.timeout_ms,
+            retry_after_ms,
+            repeat_within_ms,
+            now_ms() - client_call.attempt_started,
         )
         if wait is None:
             return
-        if heard is ClientOutcome.NOT_TAKEN:
-            if wish.tries > -20:
-                self._loop.call_later(wait / 1000, self._try, wish, wish.dispatcher)
-        elif wish.tries > 0:
-            self._loop.call_later(wait / 1000 * float(self._chance.uniform(*wish.habits.jitter)), self._try, wish)
-
-    def _poll(self, wish: Wish) -> None:
-        kind = self._deployment.types[wish.action.type]
+        if outcome is ClientOutcome.NOT_TAKEN:
+            if client_call.attempts_left > -20:
+                self._loop.call_later(wait / 1000, self._attempt, client_call, client_call.dispatcher)
+        elif client_call.attempts_left > 0:
+            self._loop.call_later(
+                wait / 1000 * float(self._random.uniform(*client_call.behavior.jitter)), self._attempt, client_call
+            )
+
+    def _poll(self, client_call: ClientCall) -> None:
+        kind = self._deployment.types[client_call.action.type]
         copies = self._deployment.peers is not None and self._deployment.peers.copies
-        if now_ms() - wish.began > kind.timeout_ms + (TAKEN_OVER_MS if copies else PATIENCE_MS):
-            self._capture.note("no-answer", call=wish.number, ending="polled")
+        if now_ms() - client_call.attempt_started > kind.timeout_ms + (FAILOVER_WAIT_MS if copies else POLL_FOR_MS):
+            self._capture.write("no-answer", call=client_call.call_id, ending="polled")
             self.polling -= 1
             return
         data = encode_request(
             "GET",
-            f"/api/v1/namespaces/_/activations/{wish.activation}",
-            wish.asked_at,
+            f"/api/v1/namespaces/_/activations/{client_call.activation}",
+            client_call.poll_address,
             b"",
-            {"authorization": self._auth[wish.namespace.name]},
+            {"authorization": self._auth[client_call.namespace.name]},
         )
-        self.out += 1
-        if wish.asked_at not in self._asked:
-            self._asked[wish.asked_at] = self._pool(wish.asked_at)
-        poll = self._asked[wish.asked_at].start(data, self._polled, wish)
+        self.open_requests += 1
+        if client_call.poll_address not in self._poll_pools:
+            self._poll_pools[client_call.poll_address] = self._pool(client_call.poll_address)
+        poll = self._poll_pools[client_call.poll_address].start(data, self._on_poll_response, client_call)
         self._loop.call_later(2.0, poll.give_up, "patience")
 
-    def _polled(self, call: Call, ending: Ending, response: Response | None) -> None:
-        self.out -= 1
-        wish: Wish = call.tag
+    def _on_poll_response(self, call: Call, ending: Ending, response: Response | None) -> None:
+        self.open_requests -= 1
+        client_call: ClientCall = call.tag
         if response is not None and response.status == 200:
             self.polling -= 1
-            self._final(wish, 200, msgspec.json.decode(response.body))
+            self._on_final_answer(client_call, 200, msgspec.json.decode(response.body))
             return
         if response is None:  # whoever promised it is gone: any other may know
-            wish.asked_at = self._addresses[int(self._chance.integers(len(self._addresses)))]
+            client_call.poll_address = self._addresses[int(self._random.integers(len(self._addresses)))]
         elif response.status == 307:
-            wish.asked_at = response.headers["location"].removeprefix("http://").partition("/")[0]
+            client_call.poll_address = response.headers["location"].removeprefix("http://").partition("/")[0]
         elif response.status == 404 and "No dispatcher knows" in response.body.decode(errors="replace"):
-            self._capture.note("denied", call=wish.number, activation=wish.activation, at=wish.asked_at)
-        self._loop.call_later(POLL_MS / 1000, self._poll, wish)
+            self._capture.write(
+                "denied", call=client_call.call_id, activation=client_call.activation, at=client_call.poll_address
+            )
+        self._loop.call_later(POLL_EVERY_MS / 1000, self._poll, client_call)
 
     def plan(self, loads: list[Load], seconds: float) -> list[tuple[float, Callable[[], None]]]:
         """All that comes by a script's loads: when (seconds), and the coming.  Closed loops are the load tool's."""
@@ -378,7 +412,7 @@
                     (
                         when,
                         partial(
-                            self.wish,
+                            self.start_call,
                             action,
                             load.deferred,
                             load.retry_after_share,
@@ -393,12 +427,12 @@
         out.sort(key=lambda pair: pair[0])
         return out
 
-    async def settled(self, until: float) -> None:
+    async def wait_until_answered(self, until: float) -> None:
         """Wait for the last answer, at the longest until a time (ms of the clock)."""
-        while (self.out or self.polling) and now_ms() < until:
+        while (self.open_requests or self.polling) and now_ms() < until:
             await asyncio.sleep(0.05)
 
-    async def play(self, arrivals: list[tuple[float, Callable[[], None]]], start: float) -> None:
+    async def run(self, arrivals: list[tuple[float, Callable[[], None]]], start: float) -> None:
         """Let clients come at their times (seconds after `start`, in ms of the clock)."""
         for when, come in arrivals:
             wait = start / 1000 + when - now_ms() / 1000
@@ -408,8 +442,8 @@
 
     def close(self) -> None:
         """Close all connections."""
-        self._lag.stop()
-        for pool in [*self._pools, *self._asked.values()]:
+        self._read_lag.stop()
+        for pool in [*self._pools, *self._poll_pools.values()]:
             pool.close()
-        for client in self._second:
+        for client in self._grpc_clients:
             client.close()
--- a/kelptrail/emulator/datagram_proxy.py
+++ b/kelptrail/emulator/datagram_proxy.py
@@ -25,18 +25,18 @@
     """All instances' datagrams; knobs at its control port: loss, copy (shares), delay_ms (a pair), cut (pairs)."""
 
     def __init__(self, settings: VrrpSettings, capture: Capture, seed: int) -> None:
-        self._capture, self._weather = capture, NetworkFaults(seed, 3)
+        self._capture, self._faults = capture, NetworkFaults(seed, 3)
         self._loop = asyncio.get_running_loop()
         self._names = {parse_socket_address(i.udp)[0]: i.name for i in settings.instance}
-        self._loss = self._copy = 0.0
+        self._loss = self._duplication = 0.0
         self._delay = (0.0, 0.0)
-        self._out: dict[str, socket.socket] = {}
+        self._sockets: dict[str, socket.socket] = {}
         for instance in settings.instance:
-            out = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            out.setblocking(False)
-            out.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, TTL)
-            out.bind((parse_socket_address(instance.udp)[0], 0))
-            self._out[instance.name] = out
+            sending = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            sending.setblocking(False)
+            sending.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, TTL)
+            sending.bind((parse_socket_address(instance.udp)[0], 0))
+            self._sockets[instance.name] = sending
         for instance in settings.instance:
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sock.setblocking(False)
@@ -57,31 +57,31 @@
                 continue
             # version and type, VRID and priority are the first three bytes of every advertisement
             fate = "sent"
-            if (sender, to) in self._weather.cut:
+            if (sender, to) in self._faults.cut:
                 fate = "cut"
-            elif self._weather.draw(self._loss):
+            elif self._faults.draw(self._loss):
                 fate = "lost"
-            self._capture.note("advert", sender=sender, to=to, vrid=data[1], priority=data[2], fate=fate)
+            self._capture.write("advert", sender=sender, to=to, vrid=data[1], priority=data[2], fate=fate)
             if fate != "sent":
                 continue
-            for _ in range(2 if self._weather.draw(self._copy) else 1):
-                wait = float(self._weather.chance.uniform(*self._delay))
+            for _ in range(2 if self._faults.draw(self._duplication) else 1):
+                wait = float(self._faults.random.uniform(*self._delay))
                 self._loop.call_later(wait / 1000, self._send, sender, data, where)
 
     def _send(self, sender: str, data: bytes, where: SocketAddress) -> None:
         try:
-            self._out[sender].sendto(data, where)
+            self._sockets[sender].sendto(data, where)
         except OSError as cause:
-            self._capture.note("relay-unsent", reason=str(cause))
+            self._capture.write("relay-unsent", reason=str(cause))
 
     def _handle(self, request: Request, exchange: Exchange) -> None:
         body: dict[str, Any] = msgspec.json.decode(request.body) if request.body else {}
         self._loss = float(body.get("loss", self._loss))
-        self._copy = float(body.get("copy", self._copy))
+        self._duplication = float(body.get("copy", self._duplication))
         if "delay_ms" in body:
             self._delay = (float(body["delay_ms"][0]), float(body["delay_ms"][1]))
-        self._weather.told(body)
-        self._capture.note(
-            "relay", loss=self._loss, copy=self._copy, delay_ms=self._delay, cut=sorted(self._weather.cut)
+        self._faults.apply(body)
+        self._capture.write(
+            "relay", loss=self._loss, copy=self._duplication, delay_ms=self._delay, cut=sorted(self._faults.cut)
         )
         exchange.reply(200, b"{}")
--- a/kelptrail/emulator/endpoint_service.py
+++ b/kelptrail/emulator/endpoint_service.py
@@ -21,13 +21,13 @@
 
 
 @dataclass(slots=True)
-class _Seen:
+class _ListedWorker:
     entry: dict[str, Any]
     started: float
 
 
 @dataclass(slots=True, eq=False)
-class _Poll:
+class _LongPoll:
     who: str
     known: str
     exchange: Exchange
@@ -41,37 +41,37 @@
         self._capture = capture
         self._loop = asyncio.get_running_loop()
         self._lineage, self._version = os.urandom(4).hex(), 0
-        self._workers: dict[str, _Seen] = {}
+        self._workers: dict[str, _ListedWorker] = {}
         # Where each and its channel are, and its hall; kept, as they come again.
         self._dispatchers: dict[str, tuple[str, str, str]] = {}
-        self._polls: dict[_Poll, None] = {}
-        self.late_ms = 0.0
+        self._polls: dict[_LongPoll, None] = {}
+        self.delay_ms = 0.0
         self.server = HttpServer(self._handle)
 
     def _handle(self, request: Request, exchange: Exchange) -> None:
         parts, query = request.segments, request.query
         if parts == ["workers"]:
-            known, name = query.get("known", ""), query.get("who", "").partition("/")[0]
+            known_version, name = query.get("known", ""), query.get("who", "").partition("/")[0]
             at = query.get("at", ""), query.get("channel", ""), query.get("hall", "")
             if at[0] and self._dispatchers.get(name) != at:
                 self._dispatchers[name] = at
-                self._changed()
-            if known != f"{self._lineage}:{self._version}":
-                self._tell(query.get("who", ""), exchange)
+                self._publish()
+            if known_version != f"{self._lineage}:{self._version}":
+                self._send_list(query.get("who", ""), exchange)
                 return
             wait = min(30_000.0, float(query.get("wait", "0")))
-            poll = _Poll(query.get("who", ""), known, exchange, self._loop.call_later(0, int))
-            poll.timer = self._loop.call_later(wait / 1000, self._nothing, poll)
+            poll = _LongPoll(query.get("who", ""), known_version, exchange, self._loop.call_later(0, int))
+            poll.timer = self._loop.call_later(wait / 1000, self._send_not_modified, poll)
             self._polls[poll] = None
-            exchange.on_gone = lambda: self._drop(poll)
+            exchange.on_gone = lambda: self._remove_poll(poll)
             return
         body = msgspec.json.decode(request.body) if request.body else {}
         if parts == ["register"]:
-            self._later(self._register, body)
+            self._apply_delayed(self._register, body)
         elif parts == ["state"]:
-            self._later(self._state, body)
+            self._apply_delayed(self._set_state, body)
         elif parts == ["fault"] and body.get("kind") == "late":
-            self.late_ms = float(body.get("late_ms", 2000))
+            self.delay_ms = float(body.get("late_ms", 2000))
             if "for_ms" in body:
                 self._loop.call_later(float(body["for_ms"]) / 1000, setattr, self, "late_ms", 0.0)
         else:
@@ -79,41 +79,44 @@
             return
         exchange.reply(200, b"{}")
 
-    def _later(self, change: Any, body: dict[str, Any]) -> None:
+    def _apply_delayed(self, change: Any, body: dict[str, Any]) -> None:
         now = now_ms()
-        if self.late_ms:
-            self._loop.call_later(self.late_ms / 1000, change, body, now)
+        if self.delay_ms:
+            self._loop.call_later(self.delay_ms / 1000, change, body, now)
         else:
             change(body, now)
 
     def _register(self, body: dict[str, Any], now: float) -> None:
         started = now - float(body.pop("age_ms", 0.0))
-        self._workers[body["id"]] = _Seen(body | {"state": "live"}, started)
-        self._changed()
+        self._workers[body["id"]] = _ListedWorker(body | {"state": "live"}, started)
+        self._publish()
 
-    def _state(self, body: dict[str, Any], _now: float) -> None:
-        seen = self._workers.get(body["id"])
-        if seen is None:
+    def _set_state(self, body: dict[str, Any], _now: float) -> None:
+        listed = self._workers.get(body["id"])
+        if listed is None:
             return
         if body["state"] == "gone":
-            if body.get("incarnation", seen.entry["incarnation"]) == seen.entry["incarnation"]:
+            if body.get("incarnation", listed.entry["incarnation"]) == listed.entry["incarnation"]:
                 del self._workers[body["id"]]
         else:
-            seen.entry["state"] = body["state"]
-        self._changed()
+            listed.entry["state"] = body["state"]
+        self._publish()
 
-    def _changed(self) -> None:
+    def _publish(self) -> None:
         self._version += 1
         polls, self._polls = self._polls, {}
         for poll in polls:
             poll.timer.cancel()
-            self._tell(poll.who, poll.exchange)
+            self._send_list(poll.who, poll.exchange)
 
-    def _tell(self, who: str, exchange: Exchange) -> None:
+    def _send_list(self, dispatcher: str, exchange: Exchange) -> None:
         now = now_ms()
-        workers = [seen.entry | {"age_ms": now - seen.started} for seen in self._workers.values()]
-        self._capture.note(
-            "list", to=who, version=self._version, workers={w["id"]: [w["state"], w["incarnation"]] for w in workers}
+        workers = [listed.entry | {"age_ms": now - listed.started} for listed in self._workers.values()]
+        self._capture.write(
+            "list",
+            to=dispatcher,
+            version=self._version,
+            workers={w["id"]: [w["state"], w["incarnation"]] for w in workers},
         )
         exchange.reply(
             200,
@@ -123,17 +126,17 @@
                     "lineage": self._lineage,
                     "workers": workers,
                     "dispatchers": [
-                        {"name": name, "address": at, "channel": channel, "hall": hall}
-                        for name, (at, channel, hall) in self._dispatchers.items()
+                        {"name": name, "address": at, "channel": channel, "hall": zone}
+                        for name, (at, channel, zone) in self._dispatchers.items()
                     ],
                 }
             ),
         )
 
-    def _nothing(self, poll: _Poll) -> None:
-        self._drop(poll)
+    def _send_not_modified(self, poll: _LongPoll) -> None:
+        self._remove_poll(poll)
         poll.exchange.raw(b"HTTP/1.1 304 Not Modified\r\ncontent-length: 0\r\n\r\n")
 
-    def _drop(self, poll: _Poll) -> None:
+    def _remove_poll(self, poll: _LongPoll) -> None:
         self._polls.pop(poll, None)
         poll.timer.cancel()
--- a/kelptrail/emulator/model_store.py
+++ b/kelptrail/emulator/model_store.py
@@ -28,7 +28,7 @@
         self._loop = asyncio.get_running_loop()
         self._fetching = 0
         self.fetches = 0
-        self._slow, self._refuse = 1.0, False
+        self._slowdown, self._refusing = 1.0, False
         self._running = asyncio.Event()
         self._running.set()
         self._effects: dict[tuple[str, str], tuple[float, str]] = {}
@@ -39,9 +39,9 @@
         if parts[0] == "blobs":
             self._loop.create_task(self._fetch(parts[1], float(request.query.get("ms", "0")), exchange))
         elif parts[0] == "effects":
-            self._effect(parts[1], msgspec.json.decode(request.body), exchange)
+            self._handle_effect(parts[1], msgspec.json.decode(request.body), exchange)
         elif parts == ["fault"]:
-            self._fault(msgspec.json.decode(request.body))
+            self._handle_fault(msgspec.json.decode(request.body))
             exchange.reply(200, b"{}")
         elif parts == ["state"]:
             exchange.reply(200, msgspec.json.encode({"fetches": self.fetches, "fetching": self._fetching}))
@@ -49,18 +49,18 @@
             exchange.reply(404, b'{"error":"no such thing"}')
 
     async def _fetch(self, model: str, ms: float, exchange: Exchange) -> None:
-        if self._refuse or self._fetching >= self._settings.most:
-            self._capture.note("fetch-refused", model=model)
+        if self._refusing or self._fetching >= self._settings.most:
+            self._capture.write("fetch-refused", model=model)
             exchange.reply(503, b'{"error":"too many fetches"}')
             return
         self._fetching += 1
         self.fetches += 1
-        self._capture.note("fetch", model=model, fetching=self._fetching)
+        self._capture.write("fetch", model=model, fetching=self._fetching)
         try:
             left = ms
             while left > 0:
                 await self._running.wait()
-                pace = min(1.0, self._settings.fetches / self._fetching) / self._slow
+                pace = min(1.0, self._settings.fetches / self._fetching) / self._slowdown
                 step = min(50.0, left / pace)
                 await asyncio.sleep(step / 1000)
                 left -= step * pace
@@ -69,33 +69,33 @@
             self._fetching -= 1
         exchange.reply(200, b"{}")
 
-    def _effect(self, what: str, body: dict[str, Any], exchange: Exchange) -> None:
+    def _handle_effect(self, operation: str, body: dict[str, Any], exchange: Exchange) -> None:
         now, key = now_ms(), (body["group"], body["mark"])
         known = self._effects.get(key)
         if known is not None and now - known[0] > body["remembered_ms"]:
             known = None
-        if what == "commit" and known is None:
+        if operation == "commit" and known is None:
             self._effects[key] = (now, body["result"])
             if len(self._effects) > 100_000:
                 del self._effects[next(iter(self._effects))]
         exchange.reply(200, msgspec.json.encode({"known": known is not None, "result": known[1] if known else ""}))
 
-    def _fault(self, body: dict[str, Any]) -> None:
+    def _handle_fault(self, body: dict[str, Any]) -> None:
         kind, ms = body["kind"], float(body.get("for_ms", 0))
-        self._capture.note("fault", kind=kind, for_ms=ms)
+        self._capture.write("fault", kind=kind, for_ms=ms)
         if kind == "slow":
-            self._slow = float(body.get("factor", 4))
+            self._slowdown = float(body.get("factor", 4))
         elif kind == "refuse":
-            self._refuse = True
+            self._refusing = True
         elif kind == "stopped":
             self._running.clear()
         if ms:
-            self._loop.call_later(ms / 1000, self._heal, kind)
+            self._loop.call_later(ms / 1000, self._end_fault, kind)
 
-    def _heal(self, kind: str) -> None:
+    def _end_fault(self, kind: str) -> None:
         if kind == "slow":
-            self._slow = 1.0
+            self._slowdown = 1.0
         elif kind == "refuse":
-            self._refuse = False
+            self._refusing = False
         else:
             self._running.set()
--- a/kelptrail/emulator/network_faults.py
+++ b/kelptrail/emulator/network_faults.py
@@ -12,11 +12,11 @@
     """`cut`: ordered pairs of names, from and to."""
 
     def __init__(self, seed: int, salt: int) -> None:
-        self.chance = np.random.default_rng([seed, salt])
+        self.random = np.random.default_rng([seed, salt])
         self.cut: set[tuple[str, str]] = set()
         self._changed = asyncio.Event()
 
-    def told(self, body: dict[str, Any]) -> None:
+    def apply(self, body: dict[str, Any]) -> None:
         """A knob was turned."""
         if "cut" in body:
             self.cut = {(a, b) for a, b in body["cut"]}
@@ -24,9 +24,9 @@
 
     def draw(self, share: float) -> bool:
         """Whether it befalls this one."""
-        return bool(share) and bool(self.chance.random() < share)
+        return bool(share) and bool(self.random.random() < share)
 
-    async def whole(self, *pairs: tuple[str, str]) -> None:
+    async def wait_until_connected(self, *pairs: tuple[str, str]) -> None:
         """Wait until none of these is cut."""
         while any(pair in self.cut for pair in pairs):
             self._changed.clear()
--- a/kelptrail/emulator/side_effect_log.py
+++ b/kelptrail/emulator/side_effect_log.py
@@ -21,7 +21,7 @@
 
     def __init__(self, capture: Capture) -> None:
         self._capture = capture
-        self._seen: dict[str, list[Any]] = {}  # the highest token, by task
+        self._highest_tokens: dict[str, list[Any]] = {}  # the highest token, by task
         self.server = HttpServer(self._handle)
 
     def _handle(self, request: Request, exchange: Exchange) -> None:
@@ -29,15 +29,15 @@
             exchange.reply(404, b'{"error":"no such thing"}')
             return
         body: dict[str, Any] = msgspec.json.decode(request.body)
-        taken = body["token"] >= self._seen.get(body["task"], [0, ""])
-        if taken:
-            self._seen[body["task"]] = body["token"]
-        self._capture.note(
+        accepted = body["token"] >= self._highest_tokens.get(body["task"], [0, ""])
+        if accepted:
+            self._highest_tokens[body["task"]] = body["token"]
+        self._capture.write(
             request.segments[0],
             task=body["task"],
             token=body["token"],
             by=body["who"],
             looked=body["looked"],
-            taken=taken,
+            taken=accepted,
         )
-        exchange.reply(200, msgspec.json.encode({"taken": taken}))
+        exchange.reply(200, msgspec.json.encode({"taken": accepted}))
--- a/kelptrail/emulator/worker.py
+++ b/kelptrail/emulator/worker.py
@@ -42,19 +42,19 @@
 from kelptrail.service.build import certificate_reloader
 from kelptrail.settings.deployment import ActionSettings, Deployment, TypeSettings
 
-from .capture import Capture, Lag
+from .capture import Capture, ReadLag
 
 
 @dataclass(slots=True, eq=False)
 class _Model:
     action: ActionSettings
     type: TypeSettings
-    standing: int = 0
+    loaded: int = 0
     loading: int = 0
-    busy: int = 0
-    used: float = 0.0
-    waiting: deque[_Job] = field(default_factory=deque)
-    asked: list[tuple[int, Exchange]] = field(default_factory=list)  # hold orders that wait
+    running: int = 0
+    last_used: float = 0.0
+    queue: deque[_Job] = field(default_factory=deque)
+    load_requests: list[tuple[int, Exchange]] = field(default_factory=list)  # hold orders that wait
 
 
 @dataclass(slots=True, eq=False)
@@ -63,10 +63,10 @@
     request: InferRequest
     payload: str
     exchange: Exchange
-    company: int
-    found: bool
+    foreign_in_flight: int
+    was_loaded: bool
     incarnation: str
-    until: float  # past it the work is not begun: nobody waits, and a repeat's mark may be forgotten
+    latest_start: float  # past it the work is not begun: nobody waits, and a repeat's mark may be forgotten
 
 
 class WorkerEmulator:
@@ -85,21 +85,21 @@
         warm: bool,
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self._deployment, self.id, self._hall, self._cell = deployment, id_, hall, cell
+        self._deployment, self.id, self._zone, self._cell = deployment, id_, hall, cell
         self._fleet, self._rules, self._capture = deployment.fleet, deployment.rules, capture
-        self._chance = np.random.default_rng([seed, zlib.crc32(id_.encode())])
+        self._random = np.random.default_rng([seed, zlib.crc32(id_.encode())])
         pool = deployment.pool
         self._store = WorkerPool(store, 256, 2000.0, pool.idle_ms, 1 << 20)
-        self._roster = HttpClient(roster)
+        self._endpoint_service = HttpClient(roster)
         limits = Limits(self._fleet.connections, idle_ms=120_000.0)
         tls = certificate_reloader(deployment, "runners", ["http/1.1"], None)
         self.server = HttpServer(self._handle, limits, tls=tls.context if tls else None)
         self.control = HttpServer(self._command)
         self._faults: dict[str, dict[str, Any]] = {}
-        self._delay, self._util = Lag(), 0.0
+        self._read_lag, self._util = ReadLag(), 0.0
         self._address = ""
         self._begin(warm)
-        self._loop.create_task(self._beat())
+        self._loop.create_task(self._tick())
 
     def _begin(self, warm: bool) -> None:
         self.incarnation = os.urandom(4).hex()
@@ -110,14 +110,14 @@
         self._running = self._loads = 0
         self._queue: deque[_Model] = deque()  # a model for each job that waits
         self._load_queue: deque[_Model] = deque()
-        self._pushed: deque[tuple[float, float]] = deque()  # work that came while cold
-        self.draining = self.fallen = False
+        self._recent_work: deque[tuple[float, float]] = deque()  # work that came while cold
+        self.draining = self.overloaded = False
 
     async def announce(self, address: str) -> None:
         """Tell the list that this process runs."""
         self._address = address
         rules = self._rules
-        self._capture.note(
+        self._capture.write(
             "start",
             worker=self.id,
             incarnation=self.incarnation,
@@ -126,50 +126,50 @@
             cold_ms=rules.cold_ms,
             cold_share=rules.cold_share,
         )
-        await self._roster.json(
+        await self._endpoint_service.json(
             "POST",
             "/register",
             {
                 "id": self.id,
                 "address": address,
                 "incarnation": self.incarnation,
-                "hall": self._hall,
+                "hall": self._zone,
                 "cell": self._cell,
                 "age_ms": now_ms() - self._started,
             },
         )
 
-    async def _beat(self) -> None:
+    async def _tick(self) -> None:
         swept = reported = now_ms()
         while True:
             await asyncio.sleep(0.005)
             now = now_ms()
             self._util += 0.02 * (self._running / self._fleet.cores - self._util)
             if now - reported > 200:
-                reported, self._shown = now, self._load()
+                reported, self._load_metrics = now, self._measure_load()
             if now - swept > 250:
                 swept = now
                 for model in self._models.values():
-                    if model.standing and not model.busy and now - model.used > self._fleet.keep_ms:
-                        model.standing = 0
+                    if model.loaded and not model.running and now - model.last_used > self._fleet.keep_ms:
+                        model.loaded = 0
 
     # What comes in.
 
     def _handle(self, request: Request, exchange: Exchange) -> None:
         parts = request.segments
-        if parts[0] != "v2" or self.fallen:
-            if not self.fallen:
+        if parts[0] != "v2" or self.overloaded:
+            if not self.overloaded:
                 exchange.raw(error_response(404, "no such thing"))
             return
         if parts[1:2] == ["models"] and parts[3:] == ["infer"]:
             self._infer(parts[2], request, exchange)
         elif parts[1:3] == ["repository", "models"] and len(parts) == 5 and parts[4] in ("load", "unload"):
-            self._order(parts[3], parts[4], request, exchange)
+            self._handle_load(parts[3], parts[4], request, exchange)
         elif parts[1:] == ["repository", "index"]:
             index = [
-                {"name": name, "state": "READY" if m.standing else "LOADING"}
+                {"name": name, "state": "READY" if m.loaded else "LOADING"}
                 for name, m in self._models.items()
-                if m.standing or m.loading
+                if m.loaded or m.loading
             ]
             exchange.raw(encode_response(200, msgspec.json.encode(index)))
         elif parts[1:] in (["health", "live"], ["health", "ready"]):
@@ -185,7 +185,7 @@
             return
         model, said = self._models.get(name), infer.parameters
         now = now_ms()
-        self._capture.note(
+        self._capture.write(
             "send",
             worker=self.id,
             model=name,
@@ -195,26 +195,26 @@
             activation=said.get("activation"),
             send=said.get("send"),
             incarnation=self.incarnation,
-            work=self._work(model),
+            work=self._work_ms(model),
         )
-        if self._push(now, model):
+        if self._overloads(now, model):
             return
         if "hang" in self._faults:
             return
-        if "fail-fast" in self._faults and self._chance.random() < self._faults["fail-fast"].get("share", 1):
+        if "fail-fast" in self._faults and self._random.random() < self._faults["fail-fast"].get("share", 1):
             exchange.raw(error_response(500, "failed"))
             return
         kind = self._faults.get("fail-type")
         if kind and model is not None and model.type.name == kind.get("type"):
             exchange.raw(error_response(500, "failed"))
             return
-        if model is None or not (model.standing or model.loading):
-            self._refuse(exchange, 404, "miss", "not loaded")
+        if model is None or not (model.loaded or model.loading):
+            self._reject(exchange, 404, "miss", "not loaded")
             return
         if self.draining or len(self._queue) >= self._fleet.queue:
-            self._refuse(exchange, 503, "full", "no place")
+            self._reject(exchange, 503, "full", "no place")
             return
-        company = min(30, model.busy + len(model.waiting))
+        company = min(30, model.running + len(model.queue))
         limit = said.get("limit_ms")
         job = _Job(
             model,
@@ -222,91 +222,91 @@
             payload,
             exchange,
             company,
-            bool(model.standing),
+            bool(model.loaded),
             self.incarnation,
             now + limit if isinstance(limit, int | float) else float("inf"),
         )
-        model.waiting.append(job)
+        model.queue.append(job)
         self._queue.append(model)
-        self._pump()
+        self._start_jobs()
 
     def _lag(self) -> float:
         """How much earlier than now what is just read may have come."""
-        return self._delay.now() + 2 * self.server.accept_delay_ms
+        return self._read_lag.now() + 2 * self.server.accept_delay_ms
 
-    def _refuse(self, exchange: Exchange, status: int, proof: str, text: str, company: int = 0) -> None:
+    def _reject(self, exchange: Exchange, status: int, proof: str, text: str, company: int = 0) -> None:
         exchange.raw(error_response(status, text, {NEVER_RAN: proof, LOAD_REPORT: self._report(0, company)}))
 
-    def _work(self, model: _Model | None) -> float:
+    def _work_ms(self, model: _Model | None) -> float:
         return model.action.work_ms if model else 1.0
 
     @property
-    def warmth(self) -> float:
+    def slow_start_capacity(self) -> float:
         """The share of its capacity that it has by its age."""
         age = now_ms() - self._started
         if age >= self._rules.cold_ms:
             return 1.0
         return self._rules.cold_share + (1 - self._rules.cold_share) * age / self._rules.cold_ms
 
-    def _push(self, now: float, model: _Model | None) -> bool:
+    def _overloads(self, now: float, model: _Model | None) -> bool:
         """A cold worker that is sent too much falls over and stays down."""
-        warmth = self.warmth
+        warmth = self.slow_start_capacity
         if warmth >= 1:
-            return self.fallen
-        self._pushed.append((now, self._work(model)))
-        while self._pushed[0][0] < now - self._rules.tip_ms:
-            self._pushed.popleft()
+            return self.overloaded
+        self._recent_work.append((now, self._work_ms(model)))
+        while self._recent_work[0][0] < now - self._rules.tip_ms:
+            self._recent_work.popleft()
         limit = self._rules.tip * warmth * self._fleet.cores * self._rules.tip_ms
-        if sum(work for _, work in self._pushed) > limit:
-            self.fallen = True
-            self._capture.note("fell", worker=self.id, incarnation=self.incarnation)
-        return self.fallen
+        if sum(work for _, work in self._recent_work) > limit:
+            self.overloaded = True
+            self._capture.write("fell", worker=self.id, incarnation=self.incarnation)
+        return self.overloaded
 
     # Work.
 
-    def _pump(self) -> None:
+    def _start_jobs(self) -> None:
         for _ in range(len(self._queue)):
             if self._running >= self._fleet.cores:
                 return
             model = self._queue.popleft()
-            if not model.waiting:
+            if not model.queue:
                 continue
-            if model.busy >= model.standing * model.action.lanes:
+            if model.running >= model.loaded * model.action.lanes:
                 self._queue.append(model)
                 continue
-            job = model.waiting.popleft()
-            if now_ms() < job.until:
-                self._run(job)
+            job = model.queue.popleft()
+            if now_ms() < job.latest_start:
+                self._start_job(job)
             else:
                 job.exchange.raw(error_response(504, "its time was up"))
 
-    def _run(self, job: _Job) -> None:
+    def _start_job(self, job: _Job) -> None:
         self._running += 1
-        job.model.busy += 1
+        job.model.running += 1
         if job.model.type.effect == "deduplicated":
-            self._ledger("known", job, "", self._known)
+            self._ask_effect_store("known", job, "", self._on_known)
         else:
-            self._work_on(job)
+            self._execute(job)
 
-    def _known(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def _on_known(self, call: Call, ending: Ending, response: Response | None) -> None:
         job: _Job = call.tag[0]
         if ending is Ending.ANSWERED and response is not None:
             said = msgspec.json.decode(response.body)
             if said["known"]:
-                self._end(job, said["result"])
+                self._finish_job(job, said["result"])
             else:
-                self._work_on(job)
+                self._execute(job)
         else:
-            self._end(job, None)
+            self._finish_job(job, None)
 
-    def _work_on(self, job: _Job) -> None:
-        work = self._work(job.model) * float(self._chance.lognormal(0.0, 0.2)) / self.warmth
+    def _execute(self, job: _Job) -> None:
+        work = self._work_ms(job.model) * float(self._random.lognormal(0.0, 0.2)) / self.slow_start_capacity
         heavy = self._faults.get("heavy-work")
-        if heavy and self._chance.random() < heavy.get("share", 0.02):
+        if heavy and self._random.random() < heavy.get("share", 0.02):
             work *= heavy.get("factor", 20)
-        self._loop.call_later(work / 1000, self._worked, job)
+        self._loop.call_later(work / 1000, self._on_executed, job)
 
-    def _worked(self, job: _Job) -> None:
+    def _on_executed(self, job: _Job) -> None:
         if job.incarnation != self.incarnation:
             return
         if job.request.parameters.get("form") == "tensors":  # its result is known by its mark alone
@@ -316,24 +316,24 @@
                 {"by": job.model.action.model, "echo": msgspec.Raw(job.payload.encode())}
             ).decode()
         if job.model.type.effect == "deduplicated":
-            self._ledger("commit", job, result, self._committed)
+            self._ask_effect_store("commit", job, result, self._on_committed)
         else:
-            self._effect(job)
-            self._end(job, result)
+            self._record_effect(job)
+            self._finish_job(job, result)
 
-    def _committed(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def _on_committed(self, call: Call, ending: Ending, response: Response | None) -> None:
         job, result = call.tag
         if ending is not Ending.ANSWERED or response is None:
-            self._end(job, None)
+            self._finish_job(job, None)
             return
         said = msgspec.json.decode(response.body)
         if not said["known"]:
-            self._effect(job)
-        self._end(job, said["result"] if said["known"] else result)
+            self._record_effect(job)
+        self._finish_job(job, said["result"] if said["known"] else result)
 
-    def _effect(self, job: _Job) -> None:
+    def _record_effect(self, job: _Job) -> None:
         said = job.request.parameters
-        self._capture.note(
+        self._capture.write(
             "effect",
             worker=self.id,
             mark=job.request.id,
@@ -342,42 +342,44 @@
             send=said.get("send"),
         )
 
-    def _ledger(self, what: str, job: _Job, result: str, done: Any) -> None:
-        group = {"all": "all", "zone": self._hall, "cell": f"cell-{self._cell}"}[job.model.type.scope]
+    def _ask_effect_store(self, what: str, job: _Job, result: str, done: Any) -> None:
+        group = {"all": "all", "zone": self._zone, "cell": f"cell-{self._cell}"}[job.model.type.scope]
         body = msgspec.json.encode(
             {"mark": job.request.id, "group": group, "result": result, "remembered_ms": job.model.type.remembered_ms}
         )
         self._store.start(encode_request("POST", f"/effects/{what}", self._store.address, body), done, (job, result))
 
-    def _end(self, job: _Job, result: str | None) -> None:
+    def _finish_job(self, job: _Job, result: str | None) -> None:
         if job.incarnation != self.incarnation:
             return
         if job.request.parameters.get("stream") and result is not None and "silent" not in self._faults:
-            self._loop.create_task(self._flow(job, result))
+            self._loop.create_task(self._stream(job, result))
             return
-        self._leave(job)
+        self._release(job)
         lost = self._faults.get("answers-lost")
-        if "silent" in self._faults or (lost and self._chance.random() < lost.get("share", 0.2)):
+        if "silent" in self._faults or (lost and self._random.random() < lost.get("share", 0.2)):
             pass
         elif result is None:
             job.exchange.raw(error_response(500, "failed"))
         else:
-            body = self._answer(job, result)
-            data = encode_response(200, body, {LOAD_REPORT: self._report(1 if job.found else 0, job.company)})
+            body = self._answer_body(job, result)
+            data = encode_response(
+                200, body, {LOAD_REPORT: self._report(1 if job.was_loaded else 0, job.foreign_in_flight)}
+            )
             if "answers-twice" in self._faults:
                 data += data
             if late := self._faults.get("answers-late"):
                 self._loop.call_later(late.get("ms", 1000) / 1000, job.exchange.raw, data)
             else:
                 job.exchange.raw(data)
-        self._pump()
+        self._start_jobs()
 
-    def _leave(self, job: _Job) -> None:
+    def _release(self, job: _Job) -> None:
         self._running -= 1
-        job.model.busy -= 1
-        job.model.used = now_ms()
+        job.model.running -= 1
+        job.model.last_used = now_ms()
 
-    def _answer(self, job: _Job, result: str, **more: str | int | float | bool) -> bytes:
+    def _answer_body(self, job: _Job, result: str, **more: str | int | float | bool) -> bytes:
         """One answer of the protocol: the inputs again for a call in tensors, else the result."""
         request = job.request
         if request.parameters.get("form") == "tensors":
@@ -386,7 +388,7 @@
             return tensors_answer(job.model.action.model, request.id, [], success=True, **more)
         return infer_answer(job.model.action.model, request.id, result, True)
 
-    async def _flow(self, job: _Job, result: str) -> None:
+    async def _stream(self, job: _Job, result: str) -> None:
         """A streamed answer: `parts` parts, `gap_ms` apart, then the last one.  Faults: stall, cut."""
         said = dict(job.request.parameters)
         with contextlib.suppress(msgspec.DecodeError):
@@ -394,9 +396,11 @@
             said |= {k: v for k, v in body.items() if k in ("parts", "gap_ms", "pad")} if isinstance(body, dict) else {}
         parts, gap = int(said.get("parts", 3)), float(said.get("gap_ms", 5.0))
         exchange, pad = job.exchange, int(said.get("pad", 0))
-        exchange.begin(200, {LOAD_REPORT: self._report(1 if job.found else 0, job.company)}, CONTENT_TYPE)
+        exchange.begin(
+            200, {LOAD_REPORT: self._report(1 if job.was_loaded else 0, job.foreign_in_flight)}, CONTENT_TYPE
+        )
         fault = next(
-            (k for k in ("stall", "cut") if (f := self._faults.get(k)) and self._chance.random() < f.get("share", 0.2)),
+            (k for k in ("stall", "cut") if (f := self._faults.get(k)) and self._random.random() < f.get("share", 0.2)),
             "",
         )
         for number in range(parts):
@@ -407,40 +411,40 @@
             if exchange.gone or job.incarnation != self.incarnation:
                 break
             text = msgspec.json.encode({"part": number, "by": self.id, "pad": "x" * pad}).decode()
-            exchange.piece(encode_event(self._answer(job, text, part=number)))
+            exchange.piece(encode_event(self._answer_body(job, text, part=number)))
             await asyncio.sleep(gap / 1000)
         if fault == "cut":
             exchange.drop()
         elif not fault and not exchange.gone:
-            exchange.piece(encode_event(self._answer(job, result, final=True)))
+            exchange.piece(encode_event(self._answer_body(job, result, final=True)))
             exchange.end()
         if job.incarnation == self.incarnation:
-            self._leave(job)
-            self._pump()
+            self._release(job)
+            self._start_jobs()
 
-    def _load(self) -> tuple[float, float, float]:
+    def _measure_load(self) -> tuple[float, float, float]:
         busy = sum(
-            (min(m.standing, -(-m.busy // m.action.lanes)) + m.loading) * m.action.memory_mb
+            (min(m.loaded, -(-m.running // m.action.lanes)) + m.loading) * m.action.memory_mb
             for m in self._models.values()
         )
         return self._util, self._loads + len(self._load_queue), busy / self._fleet.memory_mb
 
-    _shown = (0.0, 0.0, 0.0)
+    _load_metrics = (0.0, 0.0, 0.0)
 
     def _report(self, found: int, company: int) -> str:
-        util, loads, memory = self._shown
+        util, loads, memory = self._load_metrics
         return write_report(util, x1=loads, x0=round(memory, 3), found=found, company=company)
 
     # Copies.
 
-    def _order(self, name: str, what: str, request: Request, exchange: Exchange) -> None:
+    def _handle_load(self, name: str, what: str, request: Request, exchange: Exchange) -> None:
         model = self._models.get(name)
         if model is None:
             exchange.raw(error_response(404, "no such model"))
             return
         if what == "unload":
-            if not model.busy:
-                model.standing = 0
+            if not model.running:
+                model.loaded = 0
             exchange.raw(encode_response(200, b"{}"))
             return
         try:
@@ -448,41 +452,41 @@
         except MalformedError as cause:
             exchange.raw(error_response(400, str(cause)))
             return
-        self._capture.note("order", worker=self.id, model=name, copies=copies, dispatcher=dispatcher, lag=self._lag())
+        self._capture.write("order", worker=self.id, model=name, copies=copies, dispatcher=dispatcher, lag=self._lag())
         if "hang" in self._faults or "silent" in self._faults:
             return
         if self.draining:
-            self._told(model, exchange, 503)
+            self._answer_load(model, exchange, 503)_evict_for
             return
-        model.used = now_ms()
-        while model.standing + model.loading < copies:
+        model.last_used = now_ms()
+        while model.loaded + model.loading < copies:
             if len(self._load_queue) >= 2 * self._fleet.loads or not self._room(model):
-                self._told(model, exchange, 503)
+                self._answer_load(model, exchange, 503)
                 return
             model.loading += 1
             self._load_queue.append(model)
             self._start_loads()
-        if model.standing >= copies:
-            self._told(model, exchange, 200)
+        if model.loaded >= copies:
+            self._answer_load(model, exchange, 200)
         else:
-            model.asked.append((copies, exchange))
-
-    def _told(self, model: _Model, exchange: Exchange, status: int) -> None:
-        exchange.raw(encode_response(status, msgspec.json.encode(LoadResponse(model.standing))))
+            model.load_requests.append((copies, exchange))
+_evict_for
+    def _answer_load(self, model: _Model, exchange: Exchange, status: int) -> None:
+        exchange.raw(encode_response(status, msgspec.json.encode(LoadResponse(model.loaded))))
 
     def _room(self, model: _Model) -> bool:
         """Make room for one more copy by unloading idle ones of others, the one idle longest first."""
-        held = sum((m.standing + m.loading) * m.action.memory_mb for m in self._models.values())
+        held = sum((m.loaded + m.loading) * m.action.memory_mb for m in self._models.values())
         idle = sorted(
-            (m for m in self._models.values() if m.standing and not m.busy and m is not model and not m.waiting),
-            key=lambda m: m.used,
+            (m for m in self._models.values() if m.loaded and not m.running and m is not model and not m.queue),
+            key=lambda m: m.last_used,
         )
         while held + model.action.memory_mb > self._fleet.memory_mb:
             if not idle:
                 return False
             first = idle.pop(0)
-            held -= first.standing * first.action.memory_mb
-            first.standing = 0
+            held -= first.loaded * first.action.memory_mb
+            first.loaded = 0
         return True
 
     def _start_loads(self) -> None:
@@ -502,46 +506,46 @@
         timer.cancel()
         good = response is not None and response.status == 200
         if good:
-            await asyncio.sleep((model.action.load_ms - fetch_ms) / 1000 / self.warmth)
+            await asyncio.sleep((model.action.load_ms - fetch_ms) / 1000 / self.slow_start_capacity)
         if incarnation != self.incarnation:
             return
         self._loads -= 1
         model.loading -= 1
-        model.standing += good
-        model.used = now_ms()
+        model.loaded += good
+        model.last_used = now_ms()
         still = []
-        for copies, exchange in model.asked:
-            if model.standing >= copies:
-                self._told(model, exchange, 200)
+        for copies, exchange in model.load_requests:
+            if model.loaded >= copies:
+                self._answer_load(model, exchange, 200)
             elif not good:
-                self._told(model, exchange, 500)
+                self._answer_load(model, exchange, 500)
             else:
                 still.append((copies, exchange))
-        model.asked = still
-        if not model.standing and not model.loading:
-            while model.waiting:
-                job = model.waiting.popleft()
+        model.load_requests = still
+        if not model.loaded and not model.loading:
+            while model.queue:
+                job = model.queue.popleft()
                 job.exchange.raw(
                     error_response(
                         404, "the load failed", {NEVER_RAN: "miss", "load-failed": "1", LOAD_REPORT: self._report(0, 0)}
                     )
                 )
         self._start_loads()
-        self._pump()
+        self._start_jobs()
 
     # Control.
 
     def _command(self, request: Request, exchange: Exchange) -> None:
         parts = request.segments
         if parts == ["state"]:
-            held = {n: m.standing for n, m in self._models.items() if m.standing}
+            held = {n: m.loaded for n, m in self._models.items() if m.loaded}
             exchange.reply(
                 200,
                 msgspec.json.encode(
                     {
                         "running": self._running,
                         "waiting": len(self._queue),
-                        "fallen": self.fallen,
+                        "fallen": self.overloaded,
                         "copies": held,
                         "loads": self._loads,
                         "draining": self.draining,
@@ -554,7 +558,7 @@
             self.draining = True
         elif parts == ["fault"]:
             body = msgspec.json.decode(request.body)
-            self._capture.note("fault", worker=self.id, kind=body["kind"], for_ms=body.get("for_ms", 0))
+            self._capture.write("fault", worker=self.id, kind=body["kind"], for_ms=body.get("for_ms", 0))
             self._loop.call_later(0.02, self._fault, body)  # once this is answered
         exchange.reply(200, b"{}")
 
@@ -565,11 +569,11 @@
         elif kind == "pause":
             began = now_ms()
             time.sleep(ms / 1000)
-            self._capture.note("paused", worker=self.id, began=began)
+            self._capture.write("paused", worker=self.id, began=began)
         elif kind == "models-voided":
             for model in self._models.values():
-                if self._chance.random() < body.get("share", 1):
-                    model.standing = -(-model.busy // model.action.lanes)
+                if self._random.random() < body.get("share", 1):
+                    model.loaded = -(-model.running // model.action.lanes)
         elif kind == "restart-cold":
             self.server.abort_all()
             self._begin(warm=False)
--- a/kelptrail/fault_scenario/runner.py
+++ b/kelptrail/fault_scenario/runner.py
@@ -84,7 +84,7 @@
             scenario.solver,
             scenario.tasks,
         )
-        self._capture.note(
+        self._capture.write(
             "world", **describe_deployment(deployment, [d.name for d in self._cluster.dispatchers], scenario.workers)
         )
         if deployment.peers is not None and deployment.peers.copies:
@@ -106,15 +106,15 @@
         gc.freeze()
         gc.set_threshold(50_000, 20, 1_000_000)  # the clients' own pauses must not look like late answers
         self.start = now_ms() + (200 if clients is not None else 3000)
-        self._capture.note("begin", start=self.start, seconds=scenario.seconds)
+        self._capture.write("begin", start=self.start, seconds=scenario.seconds)
         timers = [asyncio.create_task(self._inject_at_time(fault)) for fault in scenario.faults]
         watch = asyncio.create_task(self._sample_memory())
         longest = max(t.timeout_ms for t in deployment.types.values())
         if clients is not None:
-            await clients.play(arrivals, self.start)
+            await clients.run(arrivals, self.start)
             quiet = now_ms() + longest + 5000
             await asyncio.sleep(max(0.0, self.start / 1000 + scenario.seconds - now_ms() / 1000))
-            await clients.settled(quiet)
+            await clients.wait_until_answered(quiet)
         else:
             await self._cluster.clients(self._script, scenario.client_processes, self.start, addresses, second)
         await asyncio.sleep(0.5)
@@ -161,13 +161,13 @@
             )
         elif fault.kind in PLANNER_FAULTS and self._cluster.planners:
             names = self._draw_targets(self._cluster.planners, fault.part)
-        self._capture.note(
+        self._capture.write(
             "trouble", kind=fault.kind, seconds=fault.duration, factor=fault.factor, of=[c.name for c in names]
         )
         try:
             await self._inject(fault, names)
         except (OSError, RuntimeError) as cause:  # a target that is down already
-            self._capture.note("trouble-failed", kind=fault.kind, reason=str(cause))
+            self._capture.write("trouble-failed", kind=fault.kind, reason=str(cause))
 
     def _draw_targets(self, children: list[Child], part: float) -> list[Child]:
         count = max(1, round(part * len(children)))
@@ -281,13 +281,13 @@
     async def _pause(self, target: Child, for_s: float, after_lease_check: bool) -> None:
         """Stopped and continued: at any instant, or (`looked`) between its next look at a lease and the act."""
         number = self._cluster.dispatchers.index(target)
-        self._capture.note("stopped", dispatcher=number)
+        self._capture.write("stopped", dispatcher=number)
         self._cluster.signal(target, signal.SIGUSR1 if after_lease_check else signal.SIGSTOP)
         await asyncio.sleep(for_s)
         if after_lease_check:
             self._cluster.signal(target, signal.SIGUSR2)
         self._cluster.signal(target, signal.SIGCONT)
-        self._capture.note("woken", dispatcher=number)
+        self._capture.write("woken", dispatcher=number)
 
     async def _kill_dispatcher(self, target: Child, down_s: float | None, disk: bool = False) -> None:
         """Kill it, with its disk where asked; restart it after a time, or never.  One that another fault has killed is
@@ -302,18 +302,18 @@
 
     async def _kill_and_restart(self, target: Child, down_s: float | None, disk: bool) -> None:
         number = self._cluster.dispatchers.index(target)
-        self._capture.note("kill", dispatcher=number)
+        self._capture.write("kill", dispatcher=number)
         self._cluster.kill(target)
         if disk:
             if target.process is not None:
                 await target.process.wait()
             self._cluster.lose_disk(target)
-            self._capture.note("disk-lost", dispatcher=number)
+            self._capture.write("disk-lost", dispatcher=number)
         if down_s is None:
             return
         await asyncio.sleep(down_s)
         await self._cluster.launch(target)
-        self._capture.note("restarted", dispatcher=number)
+        self._capture.write("restarted", dispatcher=number)
 
     async def _inject_planner_fault(self, target: Child, fault: Fault) -> None:
         """Slow a planner down, or kill and restart it, with its state or without."""
