--- a/kelptrail/front/inference/api.py
+++ b/kelptrail/front/inference/api.py
@@ -273,7 +273,7 @@
             self.copies.find(id_, lambda at: self._looked_for(stream, at))
             return
         if record is None:
-            peer = gateway.members.asked_at(id_)
+            peer = gateway.members.issuer_of(id_)
             told = {"asked_at": peer.address} if peer is not None else {}
             raise GrpcError(
                 Code.NOT_FOUND,
--- a/kelptrail/front/invoke/api.py
+++ b/kelptrail/front/invoke/api.py
@@ -28,7 +28,7 @@
 from kelptrail.gateway.driver import GatewayDriver
 from kelptrail.gateway.limits import WORDS
 from kelptrail.gateway.records import Record
-from kelptrail.membership.members import PREFIX
+from kelptrail.membership.members import ID_PREFIX_DIGITS
 from kelptrail.net.server import Exchange
 from kelptrail.settings.deployment import ActionSettings, Deployment, NamespaceSettings
 
@@ -433,9 +433,9 @@
 
     def _not_here(self, request: Request, id_: str) -> ApiError:
         """Of what others may have in hand nothing is said but where to ask; `boot` starts with our own prefix."""
-        if id_[:PREFIX] == self._boot[:PREFIX]:
+        if id_[:ID_PREFIX_DIGITS] == self._boot[:ID_PREFIX_DIGITS]:
             return ApiError(404, "The requested resource does not exist: its record is not, or no longer, kept here.")
-        peer = self._driver.gateway.members.asked_at(id_)
+        peer = self._driver.gateway.members.issuer_of(id_)
         if peer is None:
             return ApiError(404, "This dispatcher does not know the activation; whoever gave the id may.")
         return ApiError(
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -27,7 +27,7 @@
     Worker,
 )
 from kelptrail.dispatch.timer_queue import TimerQueue
-from kelptrail.membership.members import EndpointList, Members
+from kelptrail.membership.members import EndpointList, WorkerRegistry
 from kelptrail.settings.deployment import ActionSettings
 from kelptrail.store.activation_journal import ActivationEntries
 from kelptrail.store.entries import Accepted, Ended, MayRun
@@ -200,7 +200,7 @@
         self._pace: Pace | None = None  # what a restart found, and since when it is resumed
         self._paced = 0.0
         self._resumed: dict[str, None] = {}
-        self.members = Members(world.zones)
+        self.members = WorkerRegistry(world.zones)
         self.records = Records(place.records, place.records_mb * 1e6, place.record_ms)
         self.records.on_drop = self._dropped
         self.passes: Callable[[str], None] = lambda _step: None  # told each step towards durability; for crash tests
@@ -540,7 +540,7 @@
         """The worker list has changed."""
         workers, restarted = self.members.apply(now, listing)
         self._dispatcher.on_endpoints(now, workers, restarted)
-        self.members.purge()
+        self.members.remove_departed()
 
     def on_plan(self, wants: Mapping[str, Mapping[str, int]] | None) -> None:
         """A plan's wishes by model and worker, in place of those before; None: there is no plan."""
--- a/kelptrail/membership/client.py
+++ b/kelptrail/membership/client.py
@@ -28,46 +28,52 @@
     def __init__(
         self,
         address: str,
-        who: str,
-        changed: Callable[[EndpointList], None],
-        last: Path | None,
+        client_name: str,
+        on_change: Callable[[EndpointList], None],
+        saved_file: Path | None,
         log: Any,
-        wait_ms: float = 2000.0,
-        pause_ms: float = 200.0,
+        poll_wait_ms: float = 2000.0,
+        backoff_ms: float = 200.0,
     ) -> None:
-        self._address, self._who, self._changed, self._last, self._log = address, who, changed, last, log
-        self._wait_ms, self._pause_ms = wait_ms, pause_ms
-        self.own = ""  # where this dispatcher can be asked for what it took
-        self.channel = ""  # where its channel to other dispatchers listens
-        self.hall = ""  # where it stands
-        self.listing: EndpointList | None = None
+        self._address, self._client_name, self._on_change, self._saved_file, self._log = (
+            address,
+            client_name,
+            on_change,
+            saved_file,
+            log,
+        )
+        self._poll_wait_ms, self._backoff_ms = poll_wait_ms, backoff_ms
+        self.address = ""  # where this dispatcher can be asked for what it took
+        self.channel_address = ""  # where its channel to other dispatchers listens
+        self.zone = ""  # where it stands
+        self.endpoints: EndpointList | None = None
         self.saved = True  # whether the last list could be kept
 
-    def start_from_last(self) -> bool:
+    def load_saved(self) -> bool:
         """Take up the list on disk, if there is a sound one."""
-        if self._last is None or not self._last.exists():
+        if self._saved_file is None or not self._saved_file.exists():
             return False
         try:
-            listing = _decode(self._last.read_bytes())
+            listing = _decode(self._saved_file.read_bytes())
         except (OSError, msgspec.MsgspecError) as cause:
-            self._log.warning("last-list-unusable", file=str(self._last), reason=str(cause))
+            self._log.warning("last-list-unusable", file=str(self._saved_file), reason=str(cause))
             return False
         # Its lineage is dropped: whatever the source says first replaces it.
-        self._changed(EndpointList(-1, listing.workers, "last", listing.dispatchers))
+        self._on_change(EndpointList(-1, listing.workers, "last", listing.dispatchers))
         return True
 
     async def follow(self) -> None:
         """Ask on and on; failures keep the old list and are tried again after a pause."""
-        errand, pause = HttpClient(self._address), self._pause_ms
+        errand, pause = HttpClient(self._address), self._backoff_ms
         while True:
-            known = f"{self.listing.lineage}:{self.listing.version}" if self.listing else ""
+            known = f"{self.endpoints.lineage}:{self.endpoints.version}" if self.endpoints else ""
             try:
                 response = await errand.ask(
                     "GET",
-                    f"/workers?who={self._who}&at={self.own}&channel={self.channel}"
-                    f"&hall={self.hall}"
-                    f"&known={known}&wait={self._wait_ms:g}",
-                    timeout_ms=self._wait_ms + 3000,
+                    f"/workers?who={self._client_name}&at={self.address}&channel={self.channel_address}"
+                    f"&hall={self.zone}"
+                    f"&known={known}&wait={self._poll_wait_ms:g}",
+                    timeout_ms=self._poll_wait_ms + 3000,
                 )
                 if response.status == 304:
                     continue
@@ -79,21 +85,21 @@
                 await asyncio.sleep(pause / 1000)
                 pause = min(5000.0, pause * 2)
                 continue
-            pause = self._pause_ms
-            self.listing = listing
-            self._changed(listing)
-            self._keep(response.body)
+            pause = self._backoff_ms
+            self.endpoints = listing
+            self._on_change(listing)
+            self._save(response.body)
 
-    def _keep(self, body: bytes) -> None:
-        if self._last is None:
+    def _save(self, body: bytes) -> None:
+        if self._saved_file is None:
             return
         try:
-            draft = self._last.with_suffix(".new")
+            draft = self._saved_file.with_suffix(".new")
             with open(draft, "wb") as file:
                 file.write(body)
                 file.flush()
                 os.fsync(file.fileno())
-            draft.replace(self._last)
+            draft.replace(self._saved_file)
             self.saved = True
         except OSError as cause:
             self.saved = False
--- a/kelptrail/membership/members.py
+++ b/kelptrail/membership/members.py
@@ -13,8 +13,8 @@
 
 from kelptrail.dispatch.entities import Worker, WorkerState
 
-PREFIX = 6  # hex digits of an id that tell which dispatcher gave it
-STATES = {"live": WorkerState.LIVE, "draining": WorkerState.DRAINING, "gone": WorkerState.REMOVED}
+ID_PREFIX_DIGITS = 6  # hex digits of an id that tell which dispatcher gave it
+STATE_BY_NAME = {"live": WorkerState.LIVE, "draining": WorkerState.DRAINING, "gone": WorkerState.REMOVED}
 
 
 class Endpoint(msgspec.Struct, frozen=True):
@@ -25,7 +25,7 @@
     state: str = "live"
     incarnation: str = ""
     age_ms: float = 1e12
-    hall: str = ""
+    zone: str = msgspec.field(default="", name="hall")
     cell: int = 0
     kind: int = 0
     size: float = 1.0
@@ -38,7 +38,7 @@
     name: str
     address: str
     channel: str = ""
-    hall: str = ""
+    zone: str = msgspec.field(default="", name="hall")
 
 
 class EndpointList(msgspec.Struct, frozen=True):
@@ -52,10 +52,10 @@
 
 def id_prefix(name: str) -> str:
     """The first hex digits of every id that a dispatcher of this name gives, whatever its run."""
-    return blake2b(name.encode(), digest_size=PREFIX // 2).hexdigest()
+    return blake2b(name.encode(), digest_size=ID_PREFIX_DIGITS // 2).hexdigest()
 
 
-class Members:
+class WorkerRegistry:
     """The workers known here, live, draining and just gone."""
 
     def __init__(self, zones: dict[str, int]) -> None:
@@ -63,7 +63,7 @@
         self._workers: dict[str, Worker] = {}
         self._incarnations: dict[str, str] = {}
         self.addresses: dict[Worker, str] = {}
-        self.peers: dict[str, Peer] = {}  # by the prefix of the ids that they give
+        self.dispatchers_by_prefix: dict[str, Peer] = {}  # by the prefix of the ids that they give
         self.version, self.lineage = -1, ""
 
     def __len__(self) -> int:
@@ -77,14 +77,14 @@
         if listing.lineage == self.lineage and listing.version < self.version:
             return list(self._workers.values()), []
         self.version, self.lineage = listing.version, listing.lineage
-        self.peers = {id_prefix(peer.name): peer for peer in listing.dispatchers}
+        self.dispatchers_by_prefix = {id_prefix(peer.name): peer for peer in listing.dispatchers}
         named, restarted = set(), []
         for entry in listing.workers:
             named.add(entry.id)
             worker = self._workers.get(entry.id)
             known = self._incarnations.get(entry.id)
             if worker is None:
-                if STATES.get(entry.state, WorkerState.LIVE) is WorkerState.REMOVED:
+                if STATE_BY_NAME.get(entry.state, WorkerState.LIVE) is WorkerState.REMOVED:
                     continue
                 worker = self._workers[entry.id] = Worker(entry.id)
             elif entry.incarnation != known:
@@ -92,19 +92,19 @@
             if entry.incarnation != known:
                 worker.started_at = now - entry.age_ms
                 self._incarnations[entry.id] = entry.incarnation
-            worker.zone, worker.cell, worker.kind = self._zones.get(entry.hall, 0), entry.cell, entry.kind
-            worker.size, worker.state = entry.size, STATES.get(entry.state, WorkerState.LIVE)
+            worker.zone, worker.cell, worker.kind = self._zones.get(entry.zone, 0), entry.cell, entry.kind
+            worker.size, worker.state = entry.size, STATE_BY_NAME.get(entry.state, WorkerState.LIVE)
             self.addresses[worker] = entry.address
         for id_, worker in self._workers.items():
             if id_ not in named:
                 worker.state = WorkerState.REMOVED
         return list(self._workers.values()), restarted
 
-    def asked_at(self, id_: str) -> Peer | None:
+    def issuer_of(self, id_: str) -> Peer | None:
         """The dispatcher that gave an id, if the list knows one that may have."""
-        return self.peers.get(id_[:PREFIX])
+        return self.dispatchers_by_prefix.get(id_[:ID_PREFIX_DIGITS])
 
-    def purge(self) -> None:
+    def remove_departed(self) -> None:
         """Forget those that are gone and have nothing out."""
         for id_ in [id_ for id_, w in self._workers.items() if w.removed and not w.attempts]:
             self.addresses.pop(self._workers.pop(id_), None)
--- a/kelptrail/replication/failover.py
+++ b/kelptrail/replication/failover.py
@@ -15,9 +15,9 @@
         self._put: dict[str, float] = {}  # when an owner last wrote to a book
         self._shunned: dict[str, tuple[float, float]] = {}  # until when, and for how long that was
         self._last = now
-        self.wanted: set[str] = set()
+        self.claims: set[str] = set()
 
-    def looked(self, now: float, every_ms: float) -> None:
+    def on_tick(self, now: float, every_ms: float) -> None:
         """A look at what is due, one each `every_ms`.  One that comes late counts as if it were in time: guards against
         a process that was stopped, and takes all others for lost when it goes on."""
         late = now - self._last - 2 * every_ms
@@ -27,44 +27,44 @@
             self._put = {book: when + late for book, when in self._put.items()}
         self._last = now
 
-    def heard(self, name: str, when: float) -> None:
+    def on_heard(self, name: str, when: float) -> None:
         """A dispatcher was heard then."""
         self._heard[name] = max(when, self._heard.get(name, self._start))
 
-    def put(self, book: str, now: float) -> None:
+    def on_append(self, book: str, now: float) -> None:
         """Its owner has written to a book that is held here, or looked at it, as owners do all the time."""
         self._put[book] = now
 
     def _quiet(self, now: float, book: str) -> float:
         return now - self._put.get(book, self._start)
 
-    def since(self, now: float, name: str) -> int:
+    def silent_ms(self, now: float, name: str) -> int:
         """For how long one was not heard, ms."""
         return 0 if name == self._name else round(now - self._heard.get(name, self._start))
 
-    def wants(self, book: str) -> None:
+    def add_claim(self, book: str) -> None:
         """The book's lease is asked for from now on."""
-        self.wanted.add(book)
+        self.claims.add(book)
 
-    def leaves(self, book: str) -> None:
+    def remove_claim(self, book: str) -> None:
         """It is not, any more."""
-        self.wanted.discard(book)
+        self.claims.discard(book)
 
-    def shuns(self, now: float, book: str) -> None:
+    def back_off(self, now: float, book: str) -> None:
         """Not again for a while: guards against a book that is refused and won in turn."""
         _, before = self._shunned.get(book, (0.0, SHUN_MS / 2))
         pause = min(MOST_SHUN_MS, 2 * before)
         self._shunned[book] = now + pause, pause
 
-    def welcome(self, book: str) -> None:
+    def clear_backoff(self, book: str) -> None:
         """It may be had here."""
         self._shunned.pop(book, None)
 
-    def has(self, book: str) -> bool:
+    def has_claim(self, book: str) -> bool:
         """Whether its lease is asked for."""
-        return book in self.wanted
+        return book in self.claims
 
-    def is_due(self, now: float, book: str, owner: str) -> bool:
+    def should_claim(self, now: float, book: str, owner: str) -> bool:
         """Whether a book that is held here should be owned here.  One whose last owner was this dispatcher is asked for
         at once."""
         if now < self._shunned.get(book, (0.0, 0.0))[0]:
@@ -72,14 +72,14 @@
         # An owner that is heard and does not look at its book may have let it go, and nobody else may know.
         return (
             owner == self._name
-            or self.since(now, owner) >= self._take_ms
+            or self.silent_ms(now, owner) >= self._take_ms
             or self._quiet(now, book) >= self._take_ms + QUIET_MS
         )
 
-    def is_back(self, now: float, book: str, owner: str) -> bool:
+    def primary_returned(self, now: float, book: str, owner: str) -> bool:
         """Whether its owner is heard again, and looks at it, before anybody else has it."""
         return (
             owner != self._name
-            and self.since(now, owner) < self._take_ms / 2
+            and self.silent_ms(now, owner) < self._take_ms / 2
             and self._quiet(now, book) < self._take_ms
         )
--- a/kelptrail/replication/lookup.py
+++ b/kelptrail/replication/lookup.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Question:
+class PendingLookup:
     """One, while it is open.  `left`: who has not answered; `unsure`: somebody may come to have it."""
 
     until: float
@@ -31,22 +31,24 @@
 
     def __init__(self, who: str, within_ms: float) -> None:
         self._who, self._within_ms = who, within_ms
-        self._open: dict[str, Question] = {}
+        self._open: dict[str, PendingLookup] = {}
 
-    def joined(self, what: str, done: Done) -> bool:
+    def join(self, what: str, done: Done) -> bool:
         """Whether the question is open already: then `done` is told, too."""
         question = self._open.get(what)
         if question is not None:
             question.done.append(done)
         return question is not None
 
-    def ask(self, now: float, what: str, whom: Iterable[str], owners: Iterable[str], unsure: bool, done: Done) -> None:
+    def start(
+        self, now: float, what: str, whom: Iterable[str], owners: Iterable[str], unsure: bool, done: Done
+    ) -> None:
         """It was sent to `whom`.  `done` is told where it is; "" where somebody may come to have it; None where nobody
         has it."""
-        self._open[what] = Question(now + self._within_ms, set(whom), unsure, set(owners), done=[done])
+        self._open[what] = PendingLookup(now + self._within_ms, set(whom), unsure, set(owners), done=[done])
         self._look(what)
 
-    def answered(self, sender: str, what: str, state: str, at: str, by: str, owners: Iterable[str]) -> None:
+    def on_reply(self, sender: str, what: str, state: str, at: str, by: str, owners: Iterable[str]) -> None:
         """Somebody's answer; `by`: name and run, as `owners` are: another run of a name has not what one before had."""
         question = self._open.get(what)
         if question is None or sender not in question.left:
--- a/kelptrail/replication/messages.py
+++ b/kelptrail/replication/messages.py
@@ -21,7 +21,7 @@
 
 BUCKETS = 256  # ranges of ids in which two books are compared
 DIGEST = 8  # bytes of each
-PREFIX = "book/"  # of the lease on a book
+LEASE_PREFIX = "book/"  # of the lease on a book
 
 
 class ReplicaEntry(msgspec.Struct, frozen=True, array_like=True):
@@ -58,7 +58,7 @@
     waited_ms: float = 0.0
 
 
-class CommitIndex(msgspec.Struct, frozen=True, tag="copies-told", array_like=True):
+class DigestReply(msgspec.Struct, frozen=True, tag="copies-told", array_like=True):
     """What a holder has, after `number` of a stream: digests of buckets from the `first` one on.  `disk`: the name of
     its disk, never the same for two."""
 
@@ -101,7 +101,7 @@
     book: str
 
 
-class Leaving(msgspec.Struct, frozen=True, tag="copies-leaving", array_like=True):
+class DrainNotice(msgspec.Struct, frozen=True, tag="copies-leaving", array_like=True):
     """Its sender's machine is to be taken away: books should go elsewhere, with no time at risk."""
 
 
@@ -122,7 +122,7 @@
     owners: tuple[str, ...] = ()
 
 
-class Members(msgspec.Struct, frozen=True, array_like=True):
+class InSyncSet(msgspec.Struct, frozen=True, array_like=True):
     """The note with a book's lease: who owned it, and all that have the whole of it, each with the name of its disk.
     Guards against one that comes back with an empty disk under its name and is taken to have the whole."""
 
@@ -130,22 +130,31 @@
     disks: dict[str, str]
 
 
-Answer = CommitIndex | AppendAck | FencedReply
+Answer = DigestReply | AppendAck | FencedReply
 Message = (
-    OpenStream | Append | CommitIndex | AppendAck | FencedReply | CloseStream | Claim | Leaving | Lookup | LookupReply
+    OpenStream
+    | Append
+    | DigestReply
+    | AppendAck
+    | FencedReply
+    | CloseStream
+    | Claim
+    | DrainNotice
+    | Lookup
+    | LookupReply
 )
 
-_read_members = msgspec.msgpack.Decoder(Members).decode
+_read_members = msgspec.msgpack.Decoder(InSyncSet).decode
 
 
-def note(members: Members) -> bytes:
+def encode_in_sync(members: InSyncSet) -> bytes:
     """As it is left with the lease."""
     return msgspec.msgpack.encode(members)
 
 
-def read_note(text: bytes) -> Members:
+def decode_in_sync(text: bytes) -> InSyncSet:
     """What `note` made; nobody where there is none.  Raises `msgspec.MsgspecError`."""
-    return _read_members(text) if text else Members("", {})
+    return _read_members(text) if text else InSyncSet("", {})
 
 
 def bucket_of(id_: str) -> int:
@@ -184,14 +193,14 @@
     `fill_per_ms`: bytes of a holder that is filled up; `check_ms`: between two looks at a holder's disk, each at
     `check_step` buckets."""
 
-    count: int = 0
-    short: bool = False
-    again_ms: float = 300.0
-    slow_ms: float = 1500.0
-    pause_ms: float = 3000.0
-    most_bytes: int = 64 << 20
+    replica_count: int = 0
+    allow_under_replicated: bool = False
+    retry_ms: float = 300.0
+    replica_timeout_ms: float = 1500.0
+    reconnect_pause_ms: float = 3000.0
+    max_uncommitted_bytes: int = 64 << 20
     window_bytes: int = 256 << 10
-    fill_per_ms: float = 20_000.0
-    most_entry: int = 256 << 10  # bytes of one; a larger result is kept as its outcome alone
-    check_ms: float = 1000.0
-    check_step: int = 8
+    repair_bytes_per_ms: float = 20_000.0
+    max_entry_bytes: int = 256 << 10  # bytes of one; a larger result is kept as its outcome alone
+    verify_interval_ms: float = 1000.0
+    verify_buckets: int = 8
--- a/kelptrail/replication/model.py
+++ b/kelptrail/replication/model.py
@@ -22,7 +22,7 @@
     BUCKETS,
     Append,
     CloseStream,
-    Members,
+    InSyncSet,
     OpenStream,
     ReplicaEntry,
     ReplicationSettings,
@@ -35,7 +35,14 @@
 
 BOOK = "b"
 RECORD, MAY_RUN, END = 0, 1, 2
-SETTINGS = ReplicationSettings(2, again_ms=100.0, slow_ms=600.0, pause_ms=500.0, check_ms=300.0, fill_per_ms=1e9)
+SETTINGS = ReplicationSettings(
+    2,
+    retry_ms=100.0,
+    replica_timeout_ms=600.0,
+    reconnect_pause_ms=500.0,
+    verify_interval_ms=300.0,
+    repair_bytes_per_ms=1e9,
+)
 
 
 @dataclass(slots=True)
@@ -125,7 +132,7 @@
         self.now, self.calls = 0.0, 0
         self.nodes = {f"d{n}": Node(self, f"d{n}") for n in range(nodes)}
         self.mail: list[tuple[str, str, Any]] = []
-        self.token, self.note, self.leader = NO_TOKEN, Members("", {}), ""  # what the voters know
+        self.token, self.note, self.leader = NO_TOKEN, InSyncSet("", {}), ""  # what the voters know
         self.promised: set[str] = set()
         self.ran: dict[str, str] = {}
         self.finals: dict[str, str] = {}
@@ -331,7 +338,7 @@
         token, members = told
         if token != self.token:
             return
-        self.note = Members(sender, members)
+        self.note = InSyncSet(sender, members)
         owner = self.nodes[sender].owner
         if owner.token == token and owner.noting == members and self.leader == sender:
             owner.noted(self.now)
--- a/kelptrail/replication/primary.py
+++ b/kelptrail/replication/primary.py
@@ -27,7 +27,7 @@
     Append,
     AppendAck,
     CloseStream,
-    CommitIndex,
+    DigestReply,
     FencedReply,
     OpenStream,
     ReplicaEntry,
@@ -159,7 +159,7 @@
     @property
     def full(self) -> bool:
         """Whether as many have the whole as the settings ask for."""
-        return len(self.members) > self.settings.count
+        return len(self.members) > self.settings.replica_count
 
     def takes(self) -> bool:
         """Whether a new call can be promised."""
@@ -167,8 +167,8 @@
             self.ready
             and not self.failed
             and not self.fenced
-            and self._bytes < self.settings.most_bytes
-            and (self.full or self.settings.short)
+            and self._bytes < self.settings.max_uncommitted_bytes
+            and (self.full or self.settings.allow_under_replicated)
         )
 
     # What is written.
@@ -239,15 +239,15 @@
         if self.closing:
             ranked = ()
         for way in list(self.ways.values()):
-            if way.name not in here and now - way.since >= self.settings.slow_ms:
+            if way.name not in here and now - way.since >= self.settings.replica_timeout_ms:
                 self._give_up(now, way)
         stay = [way for way in self.ways.values() if way.name not in self.leaving]
         for name in ranked:
-            if len(stay) >= self.settings.count:
+            if len(stay) >= self.settings.replica_count:
                 break
             if name in here - self.leaving - self.ways.keys() - {self.me} and self._lost.get(name, 0.0) <= now:
                 stay.append(self._begin(now, name))
-        if sum(way.name in self.members for way in stay) >= self.settings.count:
+        if sum(way.name in self.members for way in stay) >= self.settings.replica_count:
             for way in [way for way in self.ways.values() if way.name in self.leaving]:
                 self._give_up(now, way)
         for name in sorted(self._left & here - self.ways.keys()):
@@ -264,14 +264,14 @@
 
     def _begin(self, now: float, name: str) -> ReplicaStream:
         self._streams += 1
-        way = self.ways[name] = ReplicaStream(name, self._streams, now, again=now + self.settings.again_ms)
+        way = self.ways[name] = ReplicaStream(name, self._streams, now, again=now + self.settings.retry_ms)
         self._left.discard(name)
         self.out.append((name, OpenStream(self.book, self.token, way.stream)))
         return way
 
     def _give_up(self, now: float, way: ReplicaStream) -> None:
         del self.ways[way.name]
-        self._lost[way.name] = now + self.settings.pause_ms
+        self._lost[way.name] = now + self.settings.reconnect_pause_ms
         self._left.add(way.name)
         self._change()
 
@@ -354,7 +354,7 @@
             return
         way.reading = -1
         if items is None:
-            way.fill_at = now + self.settings.again_ms
+            way.fill_at = now + self.settings.retry_ms
             return
         way.differs.popleft()
         # First all that belongs there, then away with the rest: one that is a member stays whole all the while.
@@ -364,7 +364,7 @@
         self._queue(now, way, last, (), bucket, tuple((item.id, item.kind) for item in items))
         sent = sum(len(item.id) + len(item.data) for item in items)
         way.filled += sent
-        way.fill_at = max(way.fill_at, now) + sent / self.settings.fill_per_ms
+        way.fill_at = max(way.fill_at, now) + sent / self.settings.repair_bytes_per_ms
         self._fill(now, way)
 
     def _queue_batch(self, now: float, way: ReplicaStream, batch: Batch) -> None:
@@ -385,9 +385,9 @@
             size += add
         return [tuple(part) for part in parts]
 
-    def _compare(self, now: float, way: ReplicaStream, told: CommitIndex) -> None:
+    def _compare(self, now: float, way: ReplicaStream, told: DigestReply) -> None:
         """What a holder's disk has beside the own.  Only while nothing is on its way: else both are right."""
-        mine = self._digests()[told.first : told.first + self.settings.check_step]
+        mine = self._digests()[told.first : told.first + self.settings.verify_buckets]
         if told.number != way.number or any(not batch.local for batch in self._open):
             return
         wrong = [
@@ -412,7 +412,7 @@
         way.number += 1
         size = sum(len(item.id) + len(item.data) for item in items)
         if not way.queue:
-            way.since, way.again = now, now + self.settings.again_ms
+            way.since, way.again = now, now + self.settings.retry_ms
         way.queue.append(
             (Append(self.book, self.token, way.stream, way.number, items, drops, bucket, only, check), size, batch, now)
         )
@@ -438,12 +438,12 @@
             _, size, batch, _ = way.queue.popleft()
             way.bytes -= size
             way.batch = max(way.batch, batch)
-        way.kept, way.since, way.again = number, now, now + self.settings.again_ms
+        way.kept, way.since, way.again = number, now, now + self.settings.retry_ms
         way.sent = max(way.sent, number)
         self._send(now, way)
         if way.stage is Stage.FILLING:
             if way.whole_at and number >= way.whole_at:
-                way.stage, way.check_at = Stage.WHOLE, now + self.settings.check_ms
+                way.stage, way.check_at = Stage.WHOLE, now + self.settings.verify_interval_ms
                 self._change()
             else:
                 self._fill(now, way)
@@ -453,10 +453,10 @@
         """Send again what was not answered; give up who has not answered for too long; look at holders' disks."""
         for way in list(self.ways.values()):
             out = way.queue or way.stage is Stage.OPENING
-            if out and now - way.since >= self.settings.slow_ms:
+            if out and now - way.since >= self.settings.replica_timeout_ms:
                 self._give_up(now, way)
             elif out and now >= way.again:
-                way.again = now + self.settings.again_ms
+                way.again = now + self.settings.retry_ms
                 if way.stage is Stage.OPENING:
                     self.out.append((way.name, OpenStream(self.book, self.token, way.stream)))
                 else:
@@ -465,8 +465,8 @@
             elif way.stage is Stage.FILLING:
                 self._fill(now, way)
             elif not out and now >= way.check_at and self.ready:
-                way.check_at = now + self.settings.check_ms
-                upto = min(BUCKETS, way.checked + self.settings.check_step)
+                way.check_at = now + self.settings.verify_interval_ms
+                upto = min(BUCKETS, way.checked + self.settings.verify_buckets)
                 self._queue(now, way, (), (), check=(way.checked, upto))
                 way.checked = upto % BUCKETS
         self._change()
--- a/kelptrail/replication/replica.py
+++ b/kelptrail/replication/replica.py
@@ -13,7 +13,7 @@
 
 from kelptrail.lease.messages import NO_TOKEN, FencingToken
 
-from .messages import Append, AppendAck, CloseStream, CommitIndex, FencedReply, OpenStream, ReplicaEntry
+from .messages import Append, AppendAck, CloseStream, DigestReply, FencedReply, OpenStream, ReplicaEntry
 
 
 @dataclass(slots=True, eq=False)
@@ -55,7 +55,7 @@
         self.disk = disk
         self.shelves = {book: ReplicaLog(token, owner) for book, (token, owner) in shelves.items()}
         self.work: deque[Work] = deque()
-        self.out: deque[tuple[str, CommitIndex | AppendAck | FencedReply]] = deque()
+        self.out: deque[tuple[str, DigestReply | AppendAck | FencedReply]] = deque()
         self.refused = 0
 
     def received(self, sender: str, message: OpenStream | Append | CloseStream) -> None:
@@ -121,7 +121,7 @@
             self.out.append(
                 (
                     work.to,
-                    CommitIndex(
+                    DigestReply(
                         work.book,
                         shelf.token,
                         work.stream,
--- a/kelptrail/replication/replica_placement.py
+++ b/kelptrail/replication/replica_placement.py
@@ -18,7 +18,7 @@
 from hashlib import blake2b
 from math import ceil
 
-SLACK = 1.25  # what a member may hold, of its even share
+LOAD_SLACK = 1.25  # what a member may hold, of its even share
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,21 +26,21 @@
     """A dispatcher and the hall that it stands in."""
 
     name: str
-    hall: str = ""
+    zone: str = ""
 
 
 def _rank(owner: str, name: str) -> bytes:
     return blake2b(f"{owner}\0{name}".encode(), digest_size=8).digest()
 
 
-def spread(members: Iterable[Member], count: int) -> dict[str, tuple[str, ...]]:
+def assign_replicas(members: Iterable[Member], count: int) -> dict[str, tuple[str, ...]]:
     """Of each member the `count` others that hold its book, fewer only where there are fewer others.
 
     Halls: first those that have none of this book yet, the owner's own last.
     """
     by_name = {m.name: m for m in members}
     everyone = [by_name[name] for name in sorted(by_name)]
-    most = max(count, ceil(count * SLACK))
+    most = max(count, ceil(count * LOAD_SLACK))
     held: Counter[str] = Counter()
     out: dict[str, tuple[str, ...]] = {}
     # Whoever chooses first has free choice: the order is drawn by hash, not by name.
@@ -48,29 +48,29 @@
         ranked = sorted((m for m in everyone if m is not owner), key=lambda m: _rank(owner.name, m.name), reverse=True)
         chosen: list[Member] = []
         while len(chosen) < min(count, len(ranked)):
-            halls = Counter(m.hall for m in chosen)
+            halls = Counter(m.zone for m in chosen)
             left = [m for m in ranked if m not in chosen]
             room = [m for m in left if held[m.name] < most] or left
-            best = min(room, key=lambda m: (m.hall == owner.hall, halls[m.hall]))
+            best = min(room, key=lambda m: (m.zone == owner.zone, halls[m.zone]))
             chosen.append(best)
             held[best.name] += 1
         out[owner.name] = tuple(m.name for m in chosen)
     return out
 
 
-def ranked(members: Iterable[Member], owner: str, count: int) -> tuple[str, ...]:
+def rank_replicas(members: Iterable[Member], owner: str, count: int) -> tuple[str, ...]:
     """Whom an owner's books go to, the best first: its holders by `spread`, then the others by hash, other halls
     first."""
     every = {m.name: m for m in members}
-    first = spread(every.values(), count).get(owner, ())
-    hall = every[owner].hall if owner in every else ""
+    first = assign_replicas(every.values(), count).get(owner, ())
+    hall = every[owner].zone if owner in every else ""
     rest = sorted(
         (m for m in every.values() if m.name not in first and m.name != owner),
-        key=lambda m: (m.hall == hall, _rank(owner, m.name)),
+        key=lambda m: (m.zone == hall, _rank(owner, m.name)),
     )
     return (*first, *(m.name for m in rest))
 
 
-def moves(before: dict[str, tuple[str, ...]], after: dict[str, tuple[str, ...]]) -> int:
+def count_moves(before: dict[str, tuple[str, ...]], after: dict[str, tuple[str, ...]]) -> int:
     """Books that are to be copied anew: holders after that were none before."""
     return sum(len(set(names) - set(before.get(owner, ()))) for owner, names in after.items())
--- a/kelptrail/replication/replica_store.py
+++ b/kelptrail/replication/replica_store.py
@@ -71,7 +71,7 @@
                         self._run(table)
                     self._run("INSERT INTO disk VALUES (?)", (os.urandom(6).hex(),))
                     self._run(f"PRAGMA user_version={FORMAT}")
-            self.disk = str(self._run("SELECT name FROM disk")[0][0])
+            self.disk_id = str(self._run("SELECT name FROM disk")[0][0])
             for book, bucket, id_, kind, crc in self._db.execute("SELECT book, bucket, id, kind, crc FROM entries"):
                 self._digest(book)[bucket] ^= digest(id_, kind, crc)
             self.digests = self._staged
@@ -100,14 +100,14 @@
         """Of all buckets of a book."""
         return self.digests.get(book, [0] * BUCKETS)
 
-    def books(self) -> dict[str, tuple[FencingToken, str]]:
+    def fences(self) -> dict[str, tuple[FencingToken, str]]:
         """Token and owner of each."""
         return {
             book: (FencingToken(round_, who), owner)
             for book, round_, who, owner in self._run("SELECT book, round, who, owner FROM shelves")
         }
 
-    def ids(self) -> set[str]:
+    def activation_ids(self) -> set[str]:
         """Activations in any book."""
         return {id_ for (id_,) in self._run("SELECT DISTINCT id FROM entries")}
 
@@ -210,7 +210,7 @@
     def forget(self, ids: Iterable[str]) -> None:
         """Nothing is forgotten but by works."""
 
-    def count(self, book: str) -> int:
+    def activation_count(self, book: str) -> int:
         """Activations in a book."""
         return int(self._run("SELECT count(*) FROM entries WHERE book = ? AND kind = 0", (book,))[0][0])
 
--- a/kelptrail/service/fleet.py
+++ b/kelptrail/service/fleet.py
@@ -62,12 +62,12 @@
     return ReplicationSettings(
         plan.copies,
         plan.copies_short == "promise",
-        slow_ms=plan.slow_ms,
-        again_ms=min(300.0, plan.slow_ms / 4),
-        pause_ms=2 * plan.slow_ms,
+        replica_timeout_ms=plan.slow_ms,
+        retry_ms=min(300.0, plan.slow_ms / 4),
+        reconnect_pause_ms=2 * plan.slow_ms,
         window_bytes=int(plan.most_kb * 1024) // 4,
-        fill_per_ms=plan.fill_kb_per_s * 1.024,
-        most_entry=int(plan.copies_kb * 1024),
+        repair_bytes_per_ms=plan.fill_kb_per_s * 1.024,
+        max_entry_bytes=int(plan.copies_kb * 1024),
     )
 
 
@@ -137,7 +137,7 @@
     def listed(self, listing: EndpointList) -> None:
         """The worker list names dispatchers, too."""
         self._listed = {peer.name: peer.channel for peer in listing.dispatchers if peer.channel}
-        self._halls |= {peer.name: peer.hall for peer in listing.dispatchers if peer.hall}
+        self._halls |= {peer.name: peer.zone for peer in listing.dispatchers if peer.zone}
 
     def start(self) -> None:
         """Take part.  Raises `OSError` where the channel's address cannot be had."""
--- a/kelptrail/service/journal_takeover.py
+++ b/kelptrail/service/journal_takeover.py
@@ -5,7 +5,7 @@
 from kelptrail.clock import now_ms
 from kelptrail.gateway.core import Gateway
 from kelptrail.gateway.driver import GatewayDriver
-from kelptrail.membership.members import PREFIX, id_prefix
+from kelptrail.membership.members import ID_PREFIX_DIGITS, id_prefix
 from kelptrail.replication.driver import PrimaryHandle, ReplicationDriver
 from kelptrail.store.activation_journal import ActivationEntries
 
@@ -32,8 +32,8 @@
         driver.schedule_decisions()
         return count
 
-    gateway.promising, driver.replication = copies.promising, copies.carry
-    copies.on_taken, copies.on_acts, copies.on_lost, copies.has = taken, acts, lost, gateway.has
-    copies.progress = driver.schedule_decisions
-    copies.busy = lambda held: any(not record.final for record in gateway.records.of(held))
-    copies.born = lambda name, id_: id_prefix(name) == id_[:PREFIX]
+    gateway.promising, driver.replication = copies.journal_for_new_requests, copies.flush
+    copies.on_recovered, copies.on_resumed, copies.on_released, copies.has_activation = taken, acts, lost, gateway.has
+    copies.on_progress = driver.schedule_decisions
+    copies.has_in_flight = lambda held: any(not record.final for record in gateway.records.of(held))
+    copies.is_issued_by = lambda name, id_: id_prefix(name) == id_[:ID_PREFIX_DIGITS]
--- a/kelptrail/service/planner.py
+++ b/kelptrail/service/planner.py
@@ -50,7 +50,7 @@
         program.listed(listing)
 
     roster = EndpointClient(options.roster, "", changed, last, log)
-    roster.start_from_last()
+    roster.load_saved()
     follower = loop.create_task(roster.follow())
 
     def handle(request: Any, exchange: Exchange) -> None:
--- a/kelptrail/service/serve.py
+++ b/kelptrail/service/serve.py
@@ -24,7 +24,7 @@
 from kelptrail.gateway.core import Gateway
 from kelptrail.gateway.driver import GatewayDriver
 from kelptrail.membership.client import EndpointClient
-from kelptrail.membership.members import PREFIX, EndpointList, id_prefix
+from kelptrail.membership.members import ID_PREFIX_DIGITS, EndpointList, id_prefix
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.listener import ConnectPace, PaceSettings
 from kelptrail.net.server import Handler, HttpServer, Limits
@@ -32,7 +32,7 @@
 from kelptrail.planner.driver import Options as PlannerOptions
 from kelptrail.planner.driver import PlannerDriver
 from kelptrail.planner.edge_driver import PlanFollower
-from kelptrail.replication.messages import PREFIX as BOOKS
+from kelptrail.replication.messages import LEASE_PREFIX as BOOKS
 from kelptrail.settings.deployment import Deployment, FrontSettings, InferenceSettings
 from kelptrail.store.activation_journal import ActivationJournal, JournalError, open_journal
 from kelptrail.store.driver import JournalDriver
@@ -117,7 +117,7 @@
     for sign in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(sign, stop.set)
     # Ids tell which dispatcher gave them; the rest is new at each start, so that they never meet another run's.
-    boot = id_prefix(options.name) + os.urandom(8).hex()[PREFIX:]
+    boot = id_prefix(options.name) + os.urandom(8).hex()[ID_PREFIX_DIGITS:]
     world = DispatcherParts(
         deployment, options.hall or deployment.dispatcher.hall or deployment.halls[0], zlib.crc32(boot.encode())
     )
@@ -222,7 +222,7 @@
         began = now_ms()
         # Half the margin is the least in which a run is worth beginning, as little time as a send and its answer take.
         # What moved on to a book with copies is found there.
-        moved = fleet.copies.ids() if fleet is not None and fleet.copies is not None else set()
+        moved = fleet.copies.activation_ids() if fleet is not None and fleet.copies is not None else set()
         lives = (life for life in book.activations() if life.accepted.id not in moved)
         found = gateway.recover(
             began, wall_ms(), lives, 2 * deployment.dispatcher.answer_margin_ms, settings.resume_at_once
@@ -243,7 +243,7 @@
         listed.set()
 
     roster = EndpointClient(options.roster, driver.name, changed, last, log)
-    had = roster.start_from_last()
+    had = roster.load_saved()
     trial: LeaseTrial | None = None
     usage: Usage | None = None
     if fleet is not None:
@@ -263,7 +263,7 @@
         fleet.start()
         if usage is not None:
             usage.start()
-        roster.channel, roster.hall = fleet.peers.address, options.hall
+        roster.channel_address, roster.zone = fleet.peers.address, options.hall
         if fleet.leases is not None and options.witness:
             trial = LeaseTrial(fleet.leases, options.witness, options.tasks, fleet.length_ms)
             trial.start()
@@ -276,9 +276,9 @@
     collector = _Collector(gateway)
     background.add("collect", collector.step, 9, 60_000.0, 600_000.0, 0.05)
     port = server.listen(options.host, options.port, options.shared_port)
-    api.own, roster.own = f"{'https' if http_tls else 'http'}://{server.address}", server.address
+    api.own, roster.address = f"{'https' if http_tls else 'http'}://{server.address}", server.address
     if fleet is not None and fleet.copies is not None:
-        fleet.copies.own = server.address
+        fleet.copies.address = server.address
     if driver.journal is not None:
         background.add("compact", driver.journal.compact, 7, 2000.0, 30_000.0)
     if keepers:
@@ -353,7 +353,7 @@
             standing,
             keepers,
             more,
-            fleet.copies.retire if fleet is not None and fleet.copies is not None else None,
+            fleet.copies.drain if fleet is not None and fleet.copies is not None else None,
         ).handle,
         Limits(connections=64),
     )
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -26,7 +26,7 @@
     Append,
     AppendAck,
     CloseStream,
-    CommitIndex,
+    DigestReply,
     FencedReply,
     OpenStream,
     ReplicaEntry,
@@ -37,7 +37,7 @@
 from kelptrail.replication.model import Faults, Model, Node
 from kelptrail.replication.primary import Primary, Stage
 from kelptrail.replication.replica import Replica, Work
-from kelptrail.replication.replica_placement import Member, moves, ranked, spread
+from kelptrail.replication.replica_placement import Member, assign_replicas, count_moves, rank_replicas
 from kelptrail.replication.replica_store import Reading, ReplicaStore, open_replica_store
 from kelptrail.settings.deployment import load, parse
 from kelptrail.settings.reader import SettingsError
@@ -52,24 +52,24 @@
 @pytest.mark.parametrize(("size", "halls", "count"), [(7, 3, 1), (7, 3, 2), (30, 3, 2), (60, 4, 3), (9, 1, 2)])
 def test_books_are_spread_evenly_over_other_halls_and_few_move(size: int, halls: int, count: int) -> None:
     members = fleet(size, halls)
-    hall = {m.name: m.hall for m in members}
-    found = spread(members, count)
+    hall = {m.name: m.zone for m in members}
+    found = assign_replicas(members, count)
     shuffled = members[:]
     random.Random(1).shuffle(shuffled)
-    assert spread(shuffled, count) == found, "the same for all who know the same members"
+    assert assign_replicas(shuffled, count) == found, "the same for all who know the same members"
     for owner, names in found.items():
         assert owner not in names and len(set(names)) == count
         if halls > count:
             assert len({hall[n] for n in names} - {hall[owner]}) == count
     assert max(Counter(n for names in found.values() for n in names).values()) <= count + 1
-    gone = [moves(found, spread([m for m in members if m is not one], count)) for one in members]
+    gone = [count_moves(found, assign_replicas([m for m in members if m is not one], count)) for one in members]
     assert sum(gone) / len(gone) <= 2 * count, "twice of what must move at the most, on the average"
-    assert moves(found, found) == 0 and moves({}, found) == size * count
+    assert count_moves(found, found) == 0 and count_moves({}, found) == size * count
 
 
 def test_fewer_others_than_copies_hold_what_there_is() -> None:
-    assert spread(fleet(2, 2), 3) == {"dispatcher-0": ("dispatcher-1",), "dispatcher-1": ("dispatcher-0",)}
-    assert spread(fleet(1, 1), 2) == {"dispatcher-0": ()} and spread([], 2) == {}
+    assert assign_replicas(fleet(2, 2), 3) == {"dispatcher-0": ("dispatcher-1",), "dispatcher-1": ("dispatcher-0",)}
+    assert assign_replicas(fleet(1, 1), 2) == {"dispatcher-0": ()} and assign_replicas([], 2) == {}
 
 
 # The world of one book.
@@ -223,7 +223,7 @@
 
 def whole(core: Primary, now: float, name: str) -> None:
     core.seek(now, [name], [name])
-    core.received(now, name, CommitIndex("b", ONE, core.ways[name].stream, 0, 0, EMPTY, f"disk-{name}"))
+    core.received(now, name, DigestReply("b", ONE, core.ways[name].stream, 0, 0, EMPTY, f"disk-{name}"))
     core.received(now, name, AppendAck("b", ONE, core.ways[name].stream, core.ways[name].number))
     core.noted(now)
 
@@ -242,7 +242,7 @@
     assert not core.ways and core.notes.pop() == {"a": "disk-a"} and not told, "given up, and that is not noted yet"
     core.noted(1601.0)
     assert told == [False] and not core.takes() and core.status(1701.0)["at_risk_ms"] == 100
-    short = owner(short=True)
+    short = owner(allow_under_replicated=True)
     assert short.takes(), "where the settings say so"
 
 
@@ -264,7 +264,7 @@
 
 
 def test_what_waits_for_a_holder_is_bounded_in_a_window_and_in_all() -> None:
-    core = owner(1, window_bytes=1000, most_bytes=5000)
+    core = owner(1, window_bytes=1000, max_uncommitted_bytes=5000)
     whole(core, 1.0, "h")
     core.out.clear()
     for n in range(4):
@@ -316,22 +316,32 @@
 
 def test_books_are_wanted_once_their_owner_is_silent_or_looks_at_them_no_more() -> None:
     watch = FailoverMonitor("me", 1000.0, 0.0)
-    watch.heard("a", 500.0)
-    watch.put("b", 500.0)
-    assert not watch.is_due(1400.0, "b", "a") and watch.is_due(1500.0, "b", "a") and watch.is_due(0.0, "b", "me")
-    watch.heard("a", 7000.0)
-    assert watch.is_due(500.0 + 1000.0 + QUIET_MS, "b", "a"), "heard, and does not look at it"
-    watch.put("b", 7000.0)
-    assert watch.is_back(7100.0, "b", "a") and not watch.is_back(9000.0, "b", "a")
-    watch.shuns(7100.0, "b")
-    assert not watch.is_due(7100.0 + SHUN_MS - 1, "b", "me") and watch.is_due(7100.0 + SHUN_MS, "b", "me")
+    watch.on_heard("a", 500.0)
+    watch.on_append("b", 500.0)
+    assert (
+        not watch.should_claim(1400.0, "b", "a")
+        and watch.should_claim(1500.0, "b", "a")
+        and watch.should_claim(0.0, "b", "me")
+    )
+    watch.on_heard("a", 7000.0)
+    assert watch.should_claim(500.0 + 1000.0 + QUIET_MS, "b", "a"), "heard, and does not look at it"
+    watch.on_append("b", 7000.0)
+    assert watch.primary_returned(7100.0, "b", "a") and not watch.primary_returned(9000.0, "b", "a")
+    watch.back_off(7100.0, "b")
+    assert not watch.should_claim(7100.0 + SHUN_MS - 1, "b", "me") and watch.should_claim(7100.0 + SHUN_MS, "b", "me")
 
 
 def test_ranked_begins_with_the_holders_and_has_all_others() -> None:
     members = fleet(7, 3)
-    found = ranked(members, "dispatcher-0", 2)
-    assert found[:2] == spread(members, 2)["dispatcher-0"] and len(set(found)) == 6 and "dispatcher-0" not in found
-    assert ranked(members, "stranger", 2)[0].startswith("dispatcher"), "one that is not in the list has others, too"
+    found = rank_replicas(members, "dispatcher-0", 2)
+    assert (
+        found[:2] == assign_replicas(members, 2)["dispatcher-0"]
+        and len(set(found)) == 6
+        and "dispatcher-0" not in found
+    )
+    assert rank_replicas(members, "stranger", 2)[0].startswith("dispatcher"), (
+        "one that is not in the list has others, too"
+    )
 
 
 # The disk.
@@ -359,10 +369,10 @@
     reading = Reading("b", wall_ms=hour + 500.0)
     again.commit([reading])
     (life,) = reading.lives
-    assert aside is None and again.books() == {"b": (ONE, "a")} and again.disk == shelves.disk
+    assert aside is None and again.fences() == {"b": (ONE, "a")} and again.disk_id == shelves.disk_id
     assert life.accepted.start == hour - 300.0 and life.may_run is not None and life.may_run.sent == hour - 50.0
     assert life.ended is not None and life.ended.end == life.accepted.start + 150.0, "as long as it was"
-    assert life.accepted.key == "key" and again.ids() == {"c1"} and again.count("b") == 1
+    assert life.accepted.key == "key" and again.activation_ids() == {"c1"} and again.activation_count("b") == 1
     assert again.digests == shelves.digests, "made anew from the rows"
 
 
@@ -376,7 +386,7 @@
     shelves.commit([Work("b", drops=("c1",))])
     assert not any(shelves.digests["b"])
     shelves.commit([Work("b", fence=(TWO, ""), shut=True)])
-    assert shelves.books() == {"b": (TWO, "")} and not shelves.digests
+    assert shelves.fences() == {"b": (TWO, "")} and not shelves.digests
 
 
 def test_a_flipped_bit_is_seen_by_reading_back_and_what_follows_it_may_have_run(tmp_path: Path) -> None:
@@ -400,7 +410,7 @@
     file.write_bytes(b"no database at all, " * 300)
     (tmp_path / "copies.sqlite-wal").unlink(missing_ok=True)
     made, aside = open_replica_store(file)
-    assert aside is not None and aside.exists() and made.disk != before.disk
+    assert aside is not None and aside.exists() and made.disk_id != before.disk_id
     list(apsw.Connection(str(file)).execute("PRAGMA user_version=9"))
     with pytest.raises(JournalError, match="newer"):
         ReplicaStore(file)
@@ -473,22 +483,22 @@
 def test_that_nobody_has_it_takes_the_word_of_all_and_of_who_owns_a_book_that_may() -> None:
     told: list[Any] = []
     asks = LookupService("me/1", 300.0)
-    asks.ask(0.0, "x", ["a", "b"], ["me/1"], False, told.append)
-    assert asks.joined("x", told.append) and not asks.joined("y", told.append)
-    asks.answered("a", "x", NO, "", "a/1", ["b/1"])
-    asks.answered("stranger", "x", NO, "", "stranger/1", [])
+    asks.start(0.0, "x", ["a", "b"], ["me/1"], False, told.append)
+    assert asks.join("x", told.append) and not asks.join("y", told.append)
+    asks.on_reply("a", "x", NO, "", "a/1", ["b/1"])
+    asks.on_reply("stranger", "x", NO, "", "stranger/1", [])
     assert not told
-    asks.answered("b", "x", NO, "", "b/1", ["b/1", "me/1"])
+    asks.on_reply("b", "x", NO, "", "b/1", ["b/1", "me/1"])
     assert told == [None, None]
-    asks.ask(0.0, "x", ["a"], [], False, told.append)
-    asks.answered("a", "x", NO, "", "a/2", ["a/1"])
+    asks.start(0.0, "x", ["a"], [], False, told.append)
+    asks.on_reply("a", "x", NO, "", "a/2", ["a/1"])
     assert told.pop() == "", "whoever owns a book that may have it has not said so"
-    asks.ask(0.0, "x", ["a", "b"], [], False, told.append)
-    asks.answered("a", "x", PENDING, "", "a/1", [])
-    asks.answered("b", "x", HERE, "1.2.3.4:5", "b/1", [])
+    asks.start(0.0, "x", ["a", "b"], [], False, told.append)
+    asks.on_reply("a", "x", PENDING, "", "a/1", [])
+    asks.on_reply("b", "x", HERE, "1.2.3.4:5", "b/1", [])
     assert told.pop() == "1.2.3.4:5"
-    asks.ask(0.0, "x", ["a", "b"], [], False, told.append)
-    asks.answered("b", "x", NO, "", "b/1", [])
+    asks.start(0.0, "x", ["a", "b"], [], False, told.append)
+    asks.on_reply("b", "x", NO, "", "b/1", [])
     asks.tick(299.0)
     assert len(told) == 2
     asks.tick(300.0)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -13,7 +13,7 @@
 from kelptrail.gateway.core import CancelAttempt, FinalAnswer, Gateway, Invocation, StartAttempt, StartLoad
 from kelptrail.gateway.limits import Holdings
 from kelptrail.gateway.records import AlreadyFinalError, Record, Records
-from kelptrail.membership.members import Endpoint, EndpointList, Members
+from kelptrail.membership.members import Endpoint, EndpointList, WorkerRegistry
 from kelptrail.settings.deployment import parse
 
 
@@ -154,7 +154,7 @@
 
 
 def test_members_by_list_restart_and_age() -> None:
-    members = Members({"a": 0, "b": 1})
+    members = WorkerRegistry({"a": 0, "b": 1})
     first, _ = members.apply(1000.0, EndpointList(5, [Endpoint("w", "h:1", "live", "i1", 400.0, "b")], "x"))
     assert first[0].started_at == 600.0 and first[0].zone == 1
     same, restarted = members.apply(1100.0, EndpointList(4, [], "x"))
@@ -165,7 +165,7 @@
     assert restarted == first and first[0].started_at == 1290.0
     gone, _ = members.apply(1400.0, EndpointList(1, [], "y"))
     assert gone == first and first[0].removed
-    members.purge()
+    members.remove_departed()
     assert len(members) == 0 and not members.addresses
 
 
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -37,7 +37,7 @@
 from kelptrail.planner.driver import Options, PlannerDriver, Snapshot
 from kelptrail.planner.edge_driver import Kept, PlanFollower
 from kelptrail.planner.plan import Head, Plan, digest_of
-from kelptrail.replication.messages import Members, ReplicaEntry, note, read_note
+from kelptrail.replication.messages import InSyncSet, ReplicaEntry, decode_in_sync, encode_in_sync
 from kelptrail.replication.replica import Work
 from kelptrail.replication.replica_store import Reading, ReplicaStore, open_replica_store
 from kelptrail.settings.deployment import parse
@@ -248,13 +248,13 @@
     file = copy("copies.sqlite", tmp_path)
     assert ask(file, "PRAGMA user_version") == [(1,)]
     shelves, aside = open_replica_store(file)
-    assert aside is None and shelves.disk == "f49c05565e22"
-    assert shelves.books() == {
+    assert aside is None and shelves.disk_id == "f49c05565e22"
+    assert shelves.fences() == {
         NORTH: (FencingToken(7, "north/1f2e3d4c"), "north"),
         SOUTH: (FencingToken(3, "south/77"), "south"),
         WEST: (FencingToken(2, "west/5"), ""),
     }
-    assert shelves.ids() == {id_of(1), id_of(2), id_of(3)}
+    assert shelves.activation_ids() == {id_of(1), id_of(2), id_of(3)}
     assert {b: {n: d for n, d in enumerate(shelves.digests_of(b)) if d} for b in (NORTH, SOUTH, WEST)} == {
         NORTH: {90: 16026056754501041349, 224: 1633695219369970741},
         SOUTH: {204: 11394445161795177697},
@@ -332,15 +332,15 @@
         assert ask(new, text) == ask(old, text)
 
 
-MEMBERS = Members("north", {"north": "0a1b2c3d4e5f", "south": "ffeeddccbbaa", "pär": ""})
+MEMBERS = InSyncSet("north", {"north": "0a1b2c3d4e5f", "south": "ffeeddccbbaa", "pär": ""})
 
 
 def test_the_note_with_a_books_lease_is_read_and_written_the_same() -> None:
     """Who owned a book and who has the whole of it on which disk; whoever takes the book over goes by it."""
     text = (STORED / "lease-note-of-a-book.bin").read_bytes()
-    assert read_note(text) == MEMBERS
+    assert decode_in_sync(text) == MEMBERS
     assert (MEMBERS.owner, MEMBERS.disks) == ("north", {"north": "0a1b2c3d4e5f", "south": "ffeeddccbbaa", "pär": ""})
-    assert note(MEMBERS) == text
+    assert encode_in_sync(MEMBERS) == text
 
 
 # --- A voter's ledger.
@@ -365,7 +365,7 @@
     )
     assert reason == "" and memory == DurableState(4, Stage.VOTING, True)
     assert rows == (book, USAGE, GIVEN_BACK)
-    assert read_note(rows[0].noted.text) == MEMBERS
+    assert decode_in_sync(rows[0].noted.text) == MEMBERS
 
 
 def test_a_ledger_in_format_1_is_read_and_brought_to_format_2(tmp_path: Path) -> None:
@@ -476,7 +476,7 @@
     found = list[EndpointList]()
     log = Silent()
     client = EndpointClient("127.0.0.1:1", "dispatcher-1", found.append, copy("last-list.json", tmp_path), log)
-    assert client.start_from_last() and log.lines == []
+    assert client.load_saved() and log.lines == []
     workers = [
         Endpoint("worker-1", "127.0.0.1:40411", "live", "5a6b0ce3", 6592.870176000055, "south", 0, 0, 1.0),
         Endpoint("worker-0", "127.0.0.1:33225", "live", "c7409d81", 6544.928987000079, "north", 0, 0, 1.0),
@@ -584,13 +584,13 @@
     assert len(bodies) == 10
     assert all(written_again(unpack(body, crc32(body)), body) == body for body in bodies)
     shelves, aside = open_replica_store(file)
-    assert aside is None and shelves.books() == {
+    assert aside is None and shelves.fences() == {
         "dispatcher-0.b733a7160eac": (FencingToken(6, "dispatcher-0/eb45c6d5"), "dispatcher-0"),
         "dispatcher-4.d9c91e73a1a4": (FencingToken(6, "dispatcher-4/e16ef1cd"), "dispatcher-4"),
         "dispatcher-6.6f14cf209f05": (FencingToken(8, "dispatcher-2/5d67778e"), "dispatcher-2"),
     }
     found = {}
-    for book in shelves.books():
+    for book in shelves.fences():
         reading = Reading(book)
         shelves.commit([reading])
         assert reading.damaged == 0
@@ -616,9 +616,9 @@
     assert (lost.token, lost.released) == (FencingToken(18, "dispatcher-4/e16ef1cd"), True)
     assert (lost.noted.token, lost.noted.seq) == (FencingToken(8, "dispatcher-2/5d67778e"), 30)
     disks = {"dispatcher-2": "99fd856208ce", "dispatcher-3": "6312fbad89f7", "dispatcher-4": "59a7dd32ac1c"}
-    assert read_note(lost.noted.text) == Members("dispatcher-2", disks)
+    assert decode_in_sync(lost.noted.text) == InSyncSet("dispatcher-2", disks)
     notes = [row.noted.text for row in rows if row.noted.text]
-    assert len(notes) == 7 and all(note(read_note(text)) == text for text in notes)
+    assert len(notes) == 7 and all(encode_in_sync(decode_in_sync(text)) == text for text in notes)
     again = AcceptorStore(tmp_path / "new")
     again.commit([Write(1, rows, memory)])
     again.close()
--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -153,14 +153,14 @@
     """The note with a book's lease, the ranges of ids and the digests that two dispatchers compare."""
     told = CHANNEL["books"]
     data = bytes.fromhex(told["note"])
-    members = copies_terms.read_note(data)
+    members = copies_terms.decode_in_sync(data)
     assert plain(members) == told["members"]
-    assert copies_terms.note(members) == data
+    assert copies_terms.encode_in_sync(members) == data
     assert {id_: copies_terms.bucket_of(id_) for id_ in told["buckets"]} == told["buckets"]
     assert [copies_terms.digest("a", 1, 2), copies_terms.digest("b", 3, 4)] == told["digests"]
     assert copies_terms.pack_digests(told["digests"]).hex() == told["packed"]
     assert copies_terms.unpack_digests(bytes.fromhex(told["packed"])) == told["digests"]
-    assert told["constants"] == [copies_terms.BUCKETS, copies_terms.DIGEST, copies_terms.PREFIX]
+    assert told["constants"] == [copies_terms.BUCKETS, copies_terms.DIGEST, copies_terms.LEASE_PREFIX]
 
 
 # The simulator's protocol.
@@ -586,7 +586,7 @@
     server = await asyncio.start_server(source, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     client = EndpointClient(address, "d1/r1", lists.append, tmp_path / "last.json", logging.getLogger("test"), 1500.0)
-    client.own, client.channel, client.hall = "10.0.1.1:8", "10.0.1.1:9", "south"
+    client.address, client.channel_address, client.zone = "10.0.1.1:8", "10.0.1.1:9", "south"
     task = asyncio.create_task(client.follow())
     await two.wait()
     task.cancel()
@@ -594,7 +594,7 @@
     again = EndpointClient(address, "d1/r2", lists.append, tmp_path / "last.json", logging.getLogger("test"))
     return {
         "questions": [question.replace(address, "ADDRESS") for question in questions],
-        "from_last": again.start_from_last(),
+        "from_last": again.load_saved(),
         "lists": plain(lists),
     }
 
