--- a/bench/copies.py
+++ b/bench/copies.py
@@ -33,8 +33,8 @@
 from kelptrail.membership.members import Endpoint, EndpointList
 from kelptrail.replication.messages import ReplicaEntry
 from kelptrail.replication.model import Model as Walk
-from kelptrail.replication.replica import Work
-from kelptrail.replication.replica_store import Reading, open_replica_store
+from kelptrail.replication.replica import ReplicaWrite
+from kelptrail.replication.replica_store import ReadRequest, open_replica_store
 from kelptrail.settings.deployment import parse
 from kelptrail.store.entries import Accepted, Ended, MayRun, pack
 
@@ -221,11 +221,11 @@
             if n >= count * share:
                 entries += [MayRun(id_, wall - 2000, "w0"), Ended(id_, wall, "completed", 0, b'{"family":7}' * 20)]
             items += [ReplicaEntry(e.id, (Accepted, MayRun, Ended).index(type(e)), 3000.0, pack(e)[0]) for e in entries]
-        shelves.commit([Work("lost.1", tuple(items), fence=(FencingToken(1, "lost/1"), "lost"), wall_ms=wall)])
+        shelves.commit([ReplicaWrite("lost.1", tuple(items), fence=(FencingToken(1, "lost/1"), "lost"), wall_ms=wall)])
         gc.collect()
         gc.freeze()
         gc.set_threshold(50_000, 20, 1_000_000)  # as the program does
-        began, reading = now_ms(), Reading("lost.1", wall_ms=wall_ms())
+        began, reading = now_ms(), ReadRequest("lost.1", wall_ms=wall_ms())
         await loop.run_in_executor(None, shelves.commit, [reading])
         read = now_ms() - began
         gateway, book = Gateway(DispatcherParts(deployment, "hall", 1), "b" * 16), Book()
@@ -252,7 +252,7 @@
             )
             loop.call_soon(stir)
 
-        lives = sorted(reading.lives, key=lambda life: (life.ended is not None, life.accepted.start))
+        lives = sorted(reading.activations, key=lambda life: (life.ended is not None, life.accepted.start))
         slowest = 0.0
         for n in range(0, len(lives), 200):
             step = now_ms()
@@ -284,7 +284,11 @@
         for _ in range(400):
             world.step()
         world.heal()
-        took, promised, broken = took + world.took, promised + len(world.promised), broken + bool(world.broken)
+        took, promised, broken = (
+            took + world.takeovers,
+            promised + len(world.acknowledged),
+            broken + bool(world.all_disks_lost),
+        )
     return took, promised, broken
 
 
--- a/kelptrail/membership/client.py
+++ b/kelptrail/membership/client.py
@@ -54,52 +54,52 @@
         if self._saved_file is None or not self._saved_file.exists():
             return False
         try:
-            listing = _decode(self._saved_file.read_bytes())
+            endpoints = _decode(self._saved_file.read_bytes())
         except (OSError, msgspec.MsgspecError) as cause:
             self._log.warning("last-list-unusable", file=str(self._saved_file), reason=str(cause))
             return False
         # Its lineage is dropped: whatever the source says first replaces it.
-        self._on_change(EndpointList(-1, listing.workers, "last", listing.dispatchers))
+        self._on_change(EndpointList(-1, endpoints.workers, "last", endpoints.dispatchers))
         return True
 
     async def follow(self) -> None:
         """Ask on and on; failures keep the old list and are tried again after a pause."""
-        errand, pause = HttpClient(self._address), self._backoff_ms
+        http, backoff_ms = HttpClient(self._address), self._backoff_ms
         while True:
-            known = f"{self.endpoints.lineage}:{self.endpoints.version}" if self.endpoints else ""
+            known_version = f"{self.endpoints.lineage}:{self.endpoints.version}" if self.endpoints else ""
             try:
-                response = await errand.ask(
+                response = await http.ask(
                     "GET",
                     f"/workers?who={self._client_name}&at={self.address}&channel={self.channel_address}"
                     f"&hall={self.zone}"
-                    f"&known={known}&wait={self._poll_wait_ms:g}",
+                    f"&known={known_version}&wait={self._poll_wait_ms:g}",
                     timeout_ms=self._poll_wait_ms + 3000,
                 )
                 if response.status == 304:
                     continue
                 if response.status != 200:
                     raise HttpError(response.status, "no list")
-                listing = _decode(response.body)
+                endpoints = _decode(response.body)
             except (OSError, HttpError, msgspec.MsgspecError) as cause:
                 self._log.warning("list-failed", reason=str(cause) or type(cause).__name__)
-                await asyncio.sleep(pause / 1000)
-                pause = min(5000.0, pause * 2)
+                await asyncio.sleep(backoff_ms / 1000)
+                backoff_ms = min(5000.0, backoff_ms * 2)
                 continue
-            pause = self._backoff_ms
-            self.endpoints = listing
-            self._on_change(listing)
+            backoff_ms = self._backoff_ms
+            self.endpoints = endpoints
+            self._on_change(endpoints)
             self._save(response.body)
 
     def _save(self, body: bytes) -> None:
         if self._saved_file is None:
             return
         try:
-            draft = self._saved_file.with_suffix(".new")
-            with open(draft, "wb") as file:
+            temporary = self._saved_file.with_suffix(".new")
+            with open(temporary, "wb") as file:
                 file.write(body)
                 file.flush()
                 os.fsync(file.fileno())
-            draft.replace(self._saved_file)
+            temporary.replace(self._saved_file)
             self.saved = True
         except OSError as cause:
             self.saved = False
--- a/kelptrail/membership/members.py
+++ b/kelptrail/membership/members.py
@@ -72,31 +72,31 @@
     def __iter__(self) -> Iterator[Worker]:
         return iter(self._workers.values())
 
-    def apply(self, now: float, listing: EndpointList) -> tuple[list[Worker], list[Worker]]:
+    def apply(self, now: float, endpoints: EndpointList) -> tuple[list[Worker], list[Worker]]:
         """Take in a list; returns all workers, those just gone included, and those that have restarted."""
-        if listing.lineage == self.lineage and listing.version < self.version:
+        if endpoints.lineage == self.lineage and endpoints.version < self.version:
             return list(self._workers.values()), []
-        self.version, self.lineage = listing.version, listing.lineage
-        self.dispatchers_by_prefix = {id_prefix(peer.name): peer for peer in listing.dispatchers}
-        named, restarted = set(), []
-        for entry in listing.workers:
-            named.add(entry.id)
-            worker = self._workers.get(entry.id)
-            known = self._incarnations.get(entry.id)
+        self.version, self.lineage = endpoints.version, endpoints.lineage
+        self.dispatchers_by_prefix = {id_prefix(peer.name): peer for peer in endpoints.dispatchers}
+        listed_ids, restarted = set(), []
+        for endpoint in endpoints.workers:
+            listed_ids.add(endpoint.id)
+            worker = self._workers.get(endpoint.id)
+            known = self._incarnations.get(endpoint.id)
             if worker is None:
-                if STATE_BY_NAME.get(entry.state, WorkerState.LIVE) is WorkerState.REMOVED:
+                if STATE_BY_NAME.get(endpoint.state, WorkerState.LIVE) is WorkerState.REMOVED:
                     continue
-                worker = self._workers[entry.id] = Worker(entry.id)
-            elif entry.incarnation != known:
+                worker = self._workers[endpoint.id] = Worker(endpoint.id)
+            elif endpoint.incarnation != known:
                 restarted.append(worker)
-            if entry.incarnation != known:
-                worker.started_at = now - entry.age_ms
-                self._incarnations[entry.id] = entry.incarnation
-            worker.zone, worker.cell, worker.kind = self._zones.get(entry.zone, 0), entry.cell, entry.kind
-            worker.size, worker.state = entry.size, STATE_BY_NAME.get(entry.state, WorkerState.LIVE)
-            self.addresses[worker] = entry.address
+            if endpoint.incarnation != known:
+                worker.started_at = now - endpoint.age_ms
+                self._incarnations[endpoint.id] = endpoint.incarnation
+            worker.zone, worker.cell, worker.kind = self._zones.get(endpoint.zone, 0), endpoint.cell, endpoint.kind
+            worker.size, worker.state = endpoint.size, STATE_BY_NAME.get(endpoint.state, WorkerState.LIVE)
+            self.addresses[worker] = endpoint.address
         for id_, worker in self._workers.items():
-            if id_ not in named:
+            if id_ not in listed_ids:
                 worker.state = WorkerState.REMOVED
         return list(self._workers.values()), restarted
 
--- a/kelptrail/replication/driver.py
+++ b/kelptrail/replication/driver.py
@@ -44,12 +44,12 @@
     encode_in_sync,
 )
 from .primary import Primary
-from .replica import Replica, Work
+from .replica import Replica, ReplicaWrite
 from .replica_placement import Member, rank_replicas
-from .replica_store import Reading, ReplicaStore
+from .replica_store import ReadRequest, ReplicaStore
 
-SPEAKS = "copies"
-KINDS_OF = (
+CHANNEL_FEATURE = "copies"
+MESSAGE_TYPES = (
     OpenStream,
     Append,
     DigestReply,
@@ -62,20 +62,20 @@
     LookupReply,
 )
 TICK_MS = 25.0
-AT_ONCE = 200  # lives that are taken up in one go: a large book must not stop the loop
-FIND_MS = 300.0
-KEY = "key:"
-TOO_LARGE = b'{"error":"The result was too large to be held by others, and was lost with its dispatcher."}'
-FIRST_PAUSE_MS, MOST_PAUSE_MS = 100.0, 10_000.0  # before a new book
-RETIRE_MS, LEAVING_MS = 30_000.0, 500.0
-FEW = 32  # dispatchers that all keep links to each other
+RECOVERY_BATCH = 200  # lives that are taken up in one go: a large book must not stop the loop
+LOOKUP_TIMEOUT_MS = 300.0
+KEY_TARGET_PREFIX = "key:"
+RESULT_TOO_LARGE = b'{"error":"The result was too large to be held by others, and was lost with its dispatcher."}'
+MIN_CREATE_BACKOFF_MS, MAX_CREATE_BACKOFF_MS = 100.0, 10_000.0  # before a new book
+DRAIN_TIMEOUT_MS, DRAIN_NOTICE_INTERVAL_MS = 30_000.0, 500.0
+FULL_MESH_LIMIT = 32  # dispatchers that all keep links to each other
 
 
 class PrimaryHandle:
     """A book that this process owns, as the gateway writes to it."""
 
-    def __init__(self, copies: ReplicationDriver, core: Primary) -> None:
-        self._copies, self.primary, self.journal_id = copies, core, core.book
+    def __init__(self, copies: ReplicationDriver, primary: Primary) -> None:
+        self._driver, self.primary, self.journal_id = copies, primary, primary.journal_id
         self.recovered = False  # what was in it has been taken up
         self.note_number = 0  # number of the last one
         self.token = NO_TOKEN  # under which it was won last
@@ -83,29 +83,29 @@
 
     def takes(self) -> bool:
         """Whether a new call can be promised."""
-        return self.recovered and self.primary.takes() and self.acting(now_ms())
+        return self.recovered and self.primary.accepts_requests() and self.acting(now_ms())
 
     def acting(self, now: float) -> bool:
         """Whether what is in it may be acted on at this instant: the lease is looked at."""
         return (
             self.primary.ready
-            and not self.primary.fenced
-            and self._copies.leases.holds(LEASE_PREFIX + self.journal_id) == self.primary.token
+            and not self.primary.fenced_by
+            and self._driver.leases.holds(LEASE_PREFIX + self.journal_id) == self.primary.token
         )
 
     def write(self, entry: Entry, waiter: Callable[[bool], None] | None = None, keep: bool = False) -> None:
         """Write an entry; `keep` is what an owner does anyway."""
         data, _ = pack(entry)
         if isinstance(entry, Ended) and len(data) > self.primary.settings.max_entry_bytes:
-            data, _ = pack(msgspec.structs.replace(entry, result=TOO_LARGE))
+            data, _ = pack(msgspec.structs.replace(entry, result=RESULT_TOO_LARGE))
         accepted = isinstance(entry, Accepted)
         age = max(0.0, wall_ms() - entry.start) if isinstance(entry, Accepted) else 0.0
         from_core = waiter if accepted or waiter is None else (lambda _full: waiter(True))
-        self.primary.write([ReplicaEntry(entry.id, KINDS[type(entry)], age, data)], from_core)
+        self.primary.append([ReplicaEntry(entry.id, KINDS[type(entry)], age, data)], from_core)
 
     def forget(self, id_: str) -> None:
         """An activation whose record is no longer kept."""
-        self.primary.write((), None, (id_,))
+        self.primary.append((), None, (id_,))
 
 
 class ReplicationDriver:
@@ -116,8 +116,8 @@
         self,
         name: str,
         settings: ReplicationSettings,
-        take_ms: float,
-        length_ms: float,
+        failover_after_ms: float,
+        lease_ms: float,
         peers: Peers,
         leases: LeaseDriver,
         own: ReplicaStore,
@@ -125,64 +125,66 @@
         members: Callable[[], list[Member]],
         log: Any,
     ) -> None:
-        self.name, self.settings, self._take_ms, self._length_ms = name, settings, take_ms, length_ms
+        self.name, self.settings, self._failover_after_ms, self._lease_ms = name, settings, failover_after_ms, lease_ms
         self.leases, self._peers, self._members, self._log = leases, peers, members, log
         self._loop = asyncio.get_running_loop()
-        self._own_shelves, self._other_shelves = own, others
+        self._own_store, self._other_store = own, others
         self._disks = {
-            id(shelves): JournalDriver(GroupCommit(1_000_000), shelves, self.flush, log) for shelves in (own, others)
+            id(store): JournalDriver(GroupCommit(1_000_000), store, self.flush, log) for store in (own, others)
         }
-        self.replica = Replica(own.fences() | others.fences(), lambda book: self._at(book).disk_id)
+        self.replica = Replica(own.fences() | others.fences(), lambda journal_id: self._store_of(journal_id).disk_id)
         self.journals: dict[str, PrimaryHandle] = {}
         self.current_journal: PrimaryHandle | None = None  # the book that new calls go to
-        self.failover = FailoverMonitor(name, take_ms, now_ms())
-        self._carrying = self._stopped = False
-        self._told = 0  # batches that were safe when that was last said
+        self.failover = FailoverMonitor(name, failover_after_ms, now_ms())
+        self._flushing = self._stopped = False
+        self._reported_batches = 0  # batches that were safe when that was last said
         self._timer: asyncio.TimerHandle | None = None
-        self._ranked: tuple[tuple[Member, ...], tuple[str, ...]] = ((), ())
-        self._released: set[str] = set()  # books that were let go, until another owner writes here
-        self._believed: dict[str, str] = {}  # who is said to own a book whose stream does not come here
-        self._questions = LookupService(leases.client.who, FIND_MS)
-        self._taking: set[asyncio.Task[None]] = set()
-        self._begin_at, self._begin_pause = float("inf"), FIRST_PAUSE_MS
-        self._off_ms = wall_ms() - now_ms()
+        self._ranking_cache: tuple[tuple[Member, ...], tuple[str, ...]] = ((), ())
+        self._released_journals: set[str] = set()  # books that were let go, until another owner writes here
+        self._reported_primary: dict[str, str] = {}  # who is said to own a book whose stream does not come here
+        self._lookups = LookupService(leases.client.who, LOOKUP_TIMEOUT_MS)
+        self._recovery_tasks: set[asyncio.Task[None]] = set()
+        self._create_at, self._create_backoff_ms = float("inf"), MIN_CREATE_BACKOFF_MS
+        self._wall_offset_ms = wall_ms() - now_ms()
         self.address = ""  # where this dispatcher can be asked
-        self.draining, self._retire_by, self._leaving_at = False, 0.0, 0.0
+        self.draining, self._drain_deadline, self._next_drain_notice_at = False, 0.0, 0.0
         self.activations_recovered = self.activations_released = 0
         # Set by who joins this to a gateway.
-        self.on_recovered: Callable[[PrimaryHandle, list[ActivationEntries]], None] = lambda held, lives: None
-        self.on_resumed: Callable[[PrimaryHandle], None] = lambda held: None
-        self.on_released: Callable[[PrimaryHandle], int] = lambda held: 0
+        self.on_recovered: Callable[[PrimaryHandle, list[ActivationEntries]], None] = lambda handle, activations: None
+        self.on_resumed: Callable[[PrimaryHandle], None] = lambda handle: None
+        self.on_released: Callable[[PrimaryHandle], int] = lambda handle: 0
         self.has_activation: Callable[[str], bool] = lambda id_: False
         self.is_issued_by: Callable[[str, str], bool] = lambda name, id_: False  # whether that dispatcher gave that id
-        self.has_in_flight: Callable[[PrimaryHandle], bool] = lambda held: False  # whether calls of a book are in hand
+        self.has_in_flight: Callable[[PrimaryHandle], bool] = lambda handle: (
+            False
+        )  # whether calls of a book are in hand
         self.on_progress: Callable[[], None] = lambda: None  # something may have become safe
-        peers.speak(SPEAKS, self._came, *KINDS_OF)
+        peers.speak(CHANNEL_FEATURE, self._on_message, *MESSAGE_TYPES)
 
     # Begin and end.
 
     def start(self) -> None:
         """Take up the own book of a run before, or begin one."""
-        own = [book for book, shelf in self.replica.shelves.items() if self._born_here(book) and shelf.owner]
+        own = [journal_id for journal_id, log in self.replica.logs.items() if self._is_own(journal_id) and log.primary]
         for book in own:
-            self._want(book)
+            self._claim(book)
         if not own:
-            self._begin()
+            self._create_journal()
         self._tick()
 
     async def stop(self, within_ms: float) -> bool:
         """Have what waits made safe, give the leases back and close; True if nothing was left."""
         end = now_ms() + within_ms
-        while any(held.primary.waiting for held in self.journals.values()) and now_ms() < end:
+        while any(handle.primary.uncommitted_count for handle in self.journals.values()) and now_ms() < end:
             await asyncio.sleep(0.01)
-        clean = not any(held.primary.waiting for held in self.journals.values())
+        clean = not any(handle.primary.uncommitted_count for handle in self.journals.values())
         self._stopped = True
         if self._timer is not None:
             self._timer.cancel()
-        for task in self._taking:
+        for task in self._recovery_tasks:
             task.cancel()
-        for book in list(self.failover.claims):
-            self.leases.release(LEASE_PREFIX + book)
+        for journal_id in list(self.failover.claims):
+            self.leases.release(LEASE_PREFIX + journal_id)
         for disk in self._disks.values():
             await disk.close(500.0)
         return clean
@@ -190,299 +192,331 @@
     def wall_ms(self) -> float:
         """The time of day as it goes on from this run's start.  Guards against a wall clock that is set between a
         call's record and its taking up: its time would seem to be over, or to last for longer than it does."""
-        return self._off_ms + now_ms()
+        return self._wall_offset_ms + now_ms()
 
     def activation_ids(self) -> set[str]:
         """Activations in any book here; before `start` only."""
-        return self._own_shelves.activation_ids() | self._other_shelves.activation_ids()
+        return self._own_store.activation_ids() | self._other_store.activation_ids()
 
     def drain(self) -> None:
         """Move everything off this dispatcher: nothing new is promised; its books go to other members once nothing of
         them is in hand, or `RETIRE_MS` later; those whose books it holds find others."""
         if not self.draining:
-            self._log.warning("retiring", owned=len(self.journals), held=len(self.replica.shelves))
-            self.draining, self._retire_by = True, now_ms() + RETIRE_MS
-
-    def _retire(self, now: float) -> None:
-        for book, shelf in self.replica.shelves.items():
-            if book not in self.journals and shelf.owner and now >= self._leaving_at:
-                self._peers.send(shelf.owner, DrainNotice())
-        if now >= self._leaving_at:
-            self._leaving_at = now + LEAVING_MS
-        for held in list(self.journals.values()):
-            others = sorted(name for name in held.primary.members if name != self.name)
-            if others and held.primary.ready and (not self.has_in_flight(held) or now >= self._retire_by):
+            self._log.warning("retiring", owned=len(self.journals), held=len(self.replica.logs))
+            self.draining, self._drain_deadline = True, now_ms() + DRAIN_TIMEOUT_MS
+
+    def _drain_step(self, now: float) -> None:
+        for journal_id, log in self.replica.logs.items():
+            if journal_id not in self.journals and log.primary and now >= self._next_drain_notice_at:
+                self._peers.send(log.primary, DrainNotice())
+        if now >= self._next_drain_notice_at:
+            self._next_drain_notice_at = now + DRAIN_NOTICE_INTERVAL_MS
+        for handle in list(self.journals.values()):
+            others = sorted(name for name in handle.primary.in_sync if name != self.name)
+            if others and handle.primary.ready and (not self.has_in_flight(handle) or now >= self._drain_deadline):
                 to = next((name for name in others if name in self._peers.heard()), others[0])
-                self._end(held, to)
-                if held.journal_id in self.replica.shelves:
-                    self.replica.shelves[held.journal_id].owner = to  # who says when it may be forgotten here
+                self._release(handle, to)
+                if handle.journal_id in self.replica.logs:
+                    self.replica.logs[handle.journal_id].primary = to  # who says when it may be forgotten here
 
     def journal_for_new_requests(self) -> PrimaryHandle | None:
         """The book that new calls go to."""
         return self.current_journal if not self.draining else None
 
-    def _at(self, book: str) -> ReplicaStore:
-        return self._own_shelves if self._born_here(book) else self._other_shelves
+    def _store_of(self, journal_id: str) -> ReplicaStore:
+        return self._own_store if self._is_own(journal_id) else self._other_store
 
-    def _write(self, work: Work | Reading, told: Callable[[bool], None] | None = None) -> None:
-        self._disks[id(self._at(work.book))].journal.write(work, told)
+    def _write(self, write: ReplicaWrite | ReadRequest, on_done: Callable[[bool], None] | None = None) -> None:
+        self._disks[id(self._store_of(write.journal_id))].journal.write(write, on_done)
 
-    def _born_here(self, book: str) -> bool:
-        return book.rpartition(".")[0] == self.name
+    def _is_own(self, journal_id: str) -> bool:
+        return journal_id.rpartition(".")[0] == self.name
 
-    def _begin(self) -> None:
+    def _create_journal(self) -> None:
         """A book of this run's own."""
-        book = f"{self.name}.{os.urandom(6).hex()}"
-        self._log.info("book-new", book=book)
-        self._want(book)
+        journal_id = f"{self.name}.{os.urandom(6).hex()}"
+        self._log.info("book-new", book=journal_id)
+        self._claim(journal_id)
 
-    def _want(self, book: str) -> None:
-        self.failover.add_claim(book)
+    def _claim(self, journal_id: str) -> None:
+        self.failover.add_claim(journal_id)
         self.leases.want(
-            LEASE_PREFIX + book,
-            self._length_ms,
-            partial(self._won, book),
-            partial(self._lost, book),
-            partial(self._noted, book),
+            LEASE_PREFIX + journal_id,
+            self._lease_ms,
+            partial(self._on_lease_acquired, journal_id),
+            partial(self._on_lease_lost, journal_id),
+            partial(self._on_note_stored, journal_id),
         )
 
-    def _leave(self, book: str, to: str = "") -> None:
+    def _abandon(self, journal_id: str, to: str = "") -> None:
         """Want it no more."""
-        self.failover.remove_claim(book)
-        self.leases.release(LEASE_PREFIX + book, to)
+        self.failover.remove_claim(journal_id)
+        self.leases.release(LEASE_PREFIX + journal_id, to)
 
     # Leases.
 
-    def _won(self, book: str, token: FencingToken) -> None:
+    def _on_lease_acquired(self, journal_id: str, token: FencingToken) -> None:
         try:
-            members = decode_in_sync(self.leases.noted(LEASE_PREFIX + book))
+            in_sync = decode_in_sync(self.leases.noted(LEASE_PREFIX + journal_id))
         except msgspec.MsgspecError as cause:
-            self._log.error("book-note-unreadable", book=book, reason=str(cause))
-            self._refuse(book, InSyncSet("", {}))
+            self._log.error("book-note-unreadable", book=journal_id, reason=str(cause))
+            self._reject_incomplete(journal_id, InSyncSet("", {}))
             return
-        first = not members.owner and book not in self._at(book).digests
-        if not first and members.disks.get(self.name) != self._at(book).disk_id:
-            self._refuse(book, members)
+        first = not in_sync.primary and journal_id not in self._store_of(journal_id).digests
+        if not first and in_sync.disk_ids.get(self.name) != self._store_of(journal_id).disk_id:
+            self._reject_incomplete(journal_id, in_sync)
             return
-        held = self.journals.get(book)
+        handle = self.journals.get(journal_id)
         goes_on = (
-            held is not None
-            and held.primary.token.round > 0
-            and members.owner == self.name
-            and (self.replica.stands(book, held.primary.token))
+            handle is not None
+            and handle.primary.token.round > 0
+            and in_sync.primary == self.name
+            and (self.replica.is_latest_token(journal_id, handle.primary.token))
         )
-        work = self.replica.own(book, token, self.name)
-        if work is None:
-            self._refuse(book, members)
+        write = self.replica.become_primary(journal_id, token, self.name)
+        if write is None:
+            self._reject_incomplete(journal_id, in_sync)
             return
-        if held is not None and not goes_on:
-            self._drop(held)
-        if not goes_on or held is None:
-            held = self.journals[book] = PrimaryHandle(
-                self, Primary(book, self.name, self._at(book).disk_id, self.settings, partial(self._digests, book))
+        if handle is not None and not goes_on:
+            self._discard(handle)
+        if not goes_on or handle is None:
+            handle = self.journals[journal_id] = PrimaryHandle(
+                self,
+                Primary(
+                    journal_id,
+                    self.name,
+                    self._store_of(journal_id).disk_id,
+                    self.settings,
+                    partial(self._digests, journal_id),
+                ),
             )
-        held.token = token
-        self._released.discard(book)
-        gone = {members.owner} - {self.name}
-        rest = {name: disk for name, disk in members.disks.items() if name not in gone}
-        work.wall_ms = self.wall_ms()
-        self._write(work, partial(self._owned, held, token, rest, members.owner))
+        handle.token = token
+        self._released_journals.discard(journal_id)
+        gone = {in_sync.primary} - {self.name}
+        rest = {name: disk for name, disk in in_sync.disk_ids.items() if name not in gone}
+        write.wall_ms = self.wall_ms()
+        self._write(write, partial(self._on_fence_stored, handle, token, rest, in_sync.primary))
         self.flush()
 
-    def _digests(self, book: str) -> list[int]:
-        return self._at(book).digests_of(book)
+    def _digests(self, journal_id: str) -> list[int]:
+        return self._store_of(journal_id).digests_of(journal_id)
 
-    def _refuse(self, book: str, members: InSyncSet) -> None:
+    def _reject_incomplete(self, journal_id: str, in_sync: InSyncSet) -> None:
         """Not the whole of it is here: to one that has it, if any is heard; else it is asked for again later."""
         heard = self._peers.heard()
-        to = next((name for name in sorted(members.disks) if name in heard), "")
-        self._log.warning("book-not-whole-here", book=book, members=sorted(members.disks), to=to)
-        if (held := self.journals.get(book)) is not None:
-            self._drop(held)
-        self._leave(book, to)
+        to = next((name for name in sorted(in_sync.disk_ids) if name in heard), "")
+        self._log.warning("book-not-whole-here", book=journal_id, members=sorted(in_sync.disk_ids), to=to)
+        if (handle := self.journals.get(journal_id)) is not None:
+            self._discard(handle)
+        self._abandon(journal_id, to)
         if to:
-            self._peers.send(to, Claim(book))
-        self.failover.back_off(now_ms(), book)
-        if members.owner and not members.disks:  # it was closed: nobody needs what is here
-            self._shut(book)
-        self._begin_anew()
-
-    def _owned(
-        self, held: PrimaryHandle, token: FencingToken, members: Mapping[str, str], before: str, safe: bool
+            self._peers.send(to, Claim(journal_id))
+        self.failover.back_off(now_ms(), journal_id)
+        if in_sync.primary and not in_sync.disk_ids:  # it was closed: nobody needs what is here
+            self._close_replica(journal_id)
+        self._schedule_create()
+
+    def _on_fence_stored(
+        self, handle: PrimaryHandle, token: FencingToken, in_sync: Mapping[str, str], previous_primary: str, safe: bool
     ) -> None:
-        if self.journals.get(held.journal_id) is not held or self.leases.holds(LEASE_PREFIX + held.journal_id) != token:
+        if (
+            self.journals.get(handle.journal_id) is not handle
+            or self.leases.holds(LEASE_PREFIX + handle.journal_id) != token
+        ):
             return
         if not safe:
-            self._hand_over(held, "its disk fails")
+            self._transfer(handle, "its disk fails")
             return
-        held.primary.won(now_ms(), token, members)
-        if before not in ("", self.name):
-            held.primary.dismiss(before)
-        held.primary.write((), partial(self._settled, held, token, before))
+        handle.primary.on_lease_acquired(now_ms(), token, in_sync)
+        if previous_primary not in ("", self.name):
+            handle.primary.add_stale_replica(previous_primary)
+        handle.primary.append((), partial(self._on_all_committed, handle, token, previous_primary))
         self.flush()
 
-    def _settled(self, held: PrimaryHandle, token: FencingToken, before: str, _full: bool) -> None:
+    def _on_all_committed(self, handle: PrimaryHandle, token: FencingToken, previous_primary: str, _full: bool) -> None:
         """All that the own disk has is safe: what is there may be acted on."""
-        if held.recovered:
-            self._log.info("book-goes-on", book=held.journal_id, token=str(token))
-            self.on_resumed(held)
+        if handle.recovered:
+            self._log.info("book-goes-on", book=handle.journal_id, token=str(token))
+            self.on_resumed(handle)
             return
-        reading = Reading(held.journal_id, wall_ms=self.wall_ms())
-        self._write(reading, partial(self._read_lives, held, token, before, reading))
+        request = ReadRequest(handle.journal_id, wall_ms=self.wall_ms())
+        self._write(request, partial(self._on_activations_read, handle, token, previous_primary, request))
 
-    def _read_lives(self, held: PrimaryHandle, token: FencingToken, before: str, reading: Reading, safe: bool) -> None:
+    def _on_activations_read(
+        self, handle: PrimaryHandle, token: FencingToken, previous_primary: str, request: ReadRequest, safe: bool
+    ) -> None:
         if not safe:
-            self._hand_over(held, "its disk fails")
+            self._transfer(handle, "its disk fails")
             return
-        task = self._loop.create_task(self._take_up(held, token, before, reading))
-        self._taking.add(task)
-        task.add_done_callback(self._taking.discard)
+        task = self._loop.create_task(self._recover(handle, token, previous_primary, request))
+        self._recovery_tasks.add(task)
+        task.add_done_callback(self._recovery_tasks.discard)
 
-    async def _take_up(self, held: PrimaryHandle, token: FencingToken, before: str, reading: Reading) -> None:
+    async def _recover(
+        self, handle: PrimaryHandle, token: FencingToken, previous_primary: str, request: ReadRequest
+    ) -> None:
         """The lives of a book go to the gateway, some at a time."""
         began = now_ms()
         # What can still be answered in time comes first; what has ended may wait.
-        lives = sorted(reading.lives, key=lambda life: (life.ended is not None, life.accepted.start))
-        for first in range(0, len(lives), AT_ONCE):
-            if self.journals.get(held.journal_id) is not held:
+        activations = sorted(
+            request.activations, key=lambda activation: (activation.ended is not None, activation.accepted.start)
+        )
+        for first in range(0, len(activations), RECOVERY_BATCH):
+            if self.journals.get(handle.journal_id) is not handle:
                 return
-            self.on_recovered(held, lives[first : first + AT_ONCE])
+            self.on_recovered(handle, activations[first : first + RECOVERY_BATCH])
             await asyncio.sleep(0.001)
-        held.recovered = True
-        self.failover.clear_backoff(held.journal_id)
-        self.activations_recovered += len(lives)
-        if self._born_here(held.journal_id) and (
+        handle.recovered = True
+        self.failover.clear_backoff(handle.journal_id)
+        self.activations_recovered += len(activations)
+        if self._is_own(handle.journal_id) and (
             self.current_journal is None or self.journals.get(self.current_journal.journal_id) is None
         ):
-            self.current_journal, self._begin_pause = held, FIRST_PAUSE_MS
+            self.current_journal, self._create_backoff_ms = handle, MIN_CREATE_BACKOFF_MS
         self._log.info(
             "book-taken-up",
-            book=held.journal_id,
+            book=handle.journal_id,
             token=str(token),
-            calls=len(lives),
-            before=before,
-            damaged=reading.damaged,
+            calls=len(activations),
+            before=previous_primary,
+            damaged=request.damaged,
             ms=round(now_ms() - began),
         )
-        self.on_resumed(held)
+        self.on_resumed(handle)
         self.flush()
 
-    def _lost(self, book: str, token: FencingToken, reason: str) -> None:
-        if (held := self.journals.get(book)) is not None:
-            held.primary.ready = False
+    def _on_lease_lost(self, journal_id: str, token: FencingToken, reason: str) -> None:
+        if (handle := self.journals.get(journal_id)) is not None:
+            handle.primary.ready = False
 
-    def _noted(self, book: str, token: FencingToken, number: int) -> None:
-        held = self.journals.get(book)
-        if held is not None and held.primary.token == token and held.note_number == number:
-            held.primary.noted(now_ms())
+    def _on_note_stored(self, journal_id: str, token: FencingToken, number: int) -> None:
+        handle = self.journals.get(journal_id)
+        if handle is not None and handle.primary.token == token and handle.note_number == number:
+            handle.primary.on_in_sync_stored(now_ms())
             self.flush()
 
-    def _hand_over(self, held: PrimaryHandle, reason: str) -> None:
+    def _transfer(self, handle: PrimaryHandle, reason: str) -> None:
         """To another member, if there is one: what is here may not be acted on any more."""
-        others = [name for name in sorted(held.primary.members) if name != self.name and name in self._peers.heard()]
-        self._log.error("book-handed-over", book=held.journal_id, reason=reason, to=others[0] if others else "")
-        self._end(held, others[0] if others else "")
+        others = [name for name in sorted(handle.primary.in_sync) if name != self.name and name in self._peers.heard()]
+        self._log.error("book-handed-over", book=handle.journal_id, reason=reason, to=others[0] if others else "")
+        self._release(handle, others[0] if others else "")
 
-    def _end(self, held: PrimaryHandle, to: str = "") -> None:
-        self._drop(held)
-        self._leave(held.journal_id, to)
+    def _release(self, handle: PrimaryHandle, to: str = "") -> None:
+        self._discard(handle)
+        self._abandon(handle.journal_id, to)
         if to:
-            self._peers.send(to, Claim(held.journal_id))
-        self.failover.back_off(now_ms(), held.journal_id)
-        self._begin_anew()
+            self._peers.send(to, Claim(handle.journal_id))
+        self.failover.back_off(now_ms(), handle.journal_id)
+        self._schedule_create()
 
-    def _begin_anew(self) -> None:
+    def _schedule_create(self) -> None:
         """A book of this run's own in place of one that was lost, after a pause that grows.  Guards against a disk that
         fails all books one after another."""
-        if self._begin_at == float("inf"):
-            self._begin_at, self._begin_pause = now_ms() + self._begin_pause, min(MOST_PAUSE_MS, 2 * self._begin_pause)
+        if self._create_at == float("inf"):
+            self._create_at, self._create_backoff_ms = (
+                now_ms() + self._create_backoff_ms,
+                min(MAX_CREATE_BACKOFF_MS, 2 * self._create_backoff_ms),
+            )
 
-    def _begin_due(self, now: float) -> None:
-        if now < self._begin_at or self.draining:
+    def _create_if_due(self, now: float) -> None:
+        if now < self._create_at or self.draining:
             return
-        self._begin_at = float("inf")
-        if self.current_journal is None and not any(self._born_here(book) for book in self.failover.claims):
-            self._begin()
+        self._create_at = float("inf")
+        if self.current_journal is None and not any(self._is_own(journal_id) for journal_id in self.failover.claims):
+            self._create_journal()
 
-    def _drop(self, held: PrimaryHandle) -> None:
+    def _discard(self, handle: PrimaryHandle) -> None:
         """Nothing of it is acted on here any more."""
-        self.journals.pop(held.journal_id, None)
-        self._released.add(held.journal_id)
-        if self.current_journal is held:
+        self.journals.pop(handle.journal_id, None)
+        self._released_journals.add(handle.journal_id)
+        if self.current_journal is handle:
             self.current_journal = None
-        calls = self.on_released(held)
+        calls = self.on_released(handle)
         self.activations_released += calls
-        self._log.warning("book-let-go", book=held.journal_id, token=str(held.primary.token), calls=calls)
+        self._log.warning("book-let-go", book=handle.journal_id, token=str(handle.primary.token), calls=calls)
 
     # Messages.
 
-    def _came(self, sender: str, message: Message) -> None:
+    def _on_message(self, sender: str, message: Message) -> None:
         now = now_ms()
         self.failover.on_heard(sender, now)
         if isinstance(message, OpenStream | Append | CloseStream):
-            self._believed.pop(message.book, None)
-            self._released.discard(message.book)
-            self.failover.on_append(message.book, now)
-            self.replica.received(sender, message)
-            for work in self.replica.work:
-                work.wall_ms = work.wall_ms or self.wall_ms()
+            self._reported_primary.pop(message.journal_id, None)
+            self._released_journals.discard(message.journal_id)
+            self.failover.on_append(message.journal_id, now)
+            self.replica.on_message(sender, message)
+            for write in self.replica.pending_writes:
+                write.wall_ms = write.wall_ms or self.wall_ms()
         elif isinstance(message, DigestReply | AppendAck | FencedReply):
-            if (held := self.journals.get(message.book)) is not None:
-                held.primary.received(now, sender, message)
+            if (handle := self.journals.get(message.journal_id)) is not None:
+                handle.primary.on_message(now, sender, message)
         elif isinstance(message, DrainNotice):
-            for held in self.journals.values():
-                held.primary.leaving.add(sender)
+            for handle in self.journals.values():
+                handle.primary.draining.add(sender)
         elif isinstance(message, Claim):
-            if message.book in self.replica.shelves and not self.failover.has_claim(message.book):
-                self.failover.clear_backoff(message.book)
-                self._want(message.book)
+            if message.journal_id in self.replica.logs and not self.failover.has_claim(message.journal_id):
+                self.failover.clear_backoff(message.journal_id)
+                self._claim(message.journal_id)
         elif isinstance(message, Lookup):
-            if self.has_activation(message.what):
-                self._peers.send(sender, LookupReply(message.what, HERE, self.leases.client.who, self.address))
+            if self.has_activation(message.target):
+                self._peers.send(sender, LookupReply(message.target, HERE, self.leases.client.who, self.address))
             else:
-                state = PENDING if self._pending(message.what) else NO
+                state = PENDING if self._may_appear(message.target) else NO
                 self._peers.send(
-                    sender, LookupReply(message.what, state, self.leases.client.who, owners=self._owners(message.what))
+                    sender,
+                    LookupReply(
+                        message.target, state, self.leases.client.who, primaries=self._primaries_of(message.target)
+                    ),
                 )
         else:
-            self._questions.on_reply(sender, message.what, message.state, message.at, message.by, message.owners)
+            self._lookups.on_reply(
+                sender, message.target, message.state, message.address, message.responder, message.primaries
+            )
         self.flush()
 
-    def _may_have(self, what: str) -> list[str]:
+    def _candidates(self, target: str) -> list[str]:
         """Books here that may have it."""
         return [
-            book
-            for book, shelf in self.replica.shelves.items()
-            if shelf.owner
-            if what.startswith(KEY) or self.is_issued_by(book.rpartition(".")[0], what)
+            journal_id
+            for journal_id, log in self.replica.logs.items()
+            if log.primary
+            if target.startswith(KEY_TARGET_PREFIX) or self.is_issued_by(journal_id.rpartition(".")[0], target)
         ]
 
-    def _pending(self, what: str) -> bool:
+    def _may_appear(self, target: str) -> bool:
         """Whether it may be in a book that this dispatcher owns and has not taken up, or has let go, and nobody has
         said that it is his: a no of this run does not speak for that."""
         return any(
-            not self.journals[book].recovered
-            if book in self.journals
-            else self.replica.shelves[book].owner == self.name or book in self._released
-            for book in self._may_have(what)
+            not self.journals[journal_id].recovered
+            if journal_id in self.journals
+            else self.replica.logs[journal_id].primary == self.name or journal_id in self._released_journals
+            for journal_id in self._candidates(target)
         )
 
-    def _owners(self, what: str) -> tuple[str, ...]:
+    def _primaries_of(self, target: str) -> tuple[str, ...]:
         """Of books that are held here and may have it."""
-        found = {book: self.replica.shelves[book] for book in self._may_have(what) if book not in self.journals}
-        return tuple(sorted({self._believed.get(book) or shelf.token.who for book, shelf in found.items()}))
+        found = {
+            journal_id: self.replica.logs[journal_id]
+            for journal_id in self._candidates(target)
+            if journal_id not in self.journals
+        }
+        return tuple(sorted({self._reported_primary.get(book) or log.token.who for book, log in found.items()}))
 
-    def find(self, what: str, done: Callable[[str | None], None]) -> None:
+    def find(self, target: str, on_result: Callable[[str | None], None]) -> None:
         """Ask who has an activation, by its id, or the call under a key: see `Find`.  `done` is told where; "" where
         somebody may come to have it; None where nobody has it."""
-        if self._questions.join(what, done):
+        if self._lookups.join(target, on_result):
             return
         heard = self._peers.heard().keys()
         # What is under a key may be with one that cannot be heard only as far as that one's book has holders.
-        unheard = not what.startswith(KEY) and any(m.name not in heard and m.name != self.name for m in self._members())
+        unheard = not target.startswith(KEY_TARGET_PREFIX) and any(
+            m.name not in heard and m.name != self.name for m in self._members()
+        )
         # One that does not read the question holds nothing.
-        asked = [name for name in heard if self._peers.send(name, Lookup(what))]
-        self._questions.start(now_ms(), what, asked, self._owners(what), unheard or self._pending(what), done)
+        asked = [name for name in heard if self._peers.send(name, Lookup(target))]
+        self._lookups.start(
+            now_ms(), target, asked, self._primaries_of(target), unheard or self._may_appear(target), on_result
+        )
 
     # Carrying out.
 
@@ -495,154 +529,162 @@
         for name in heard:
             self.failover.on_heard(name, now - heard[name])
         ranking = self._ranking(heard)
-        for held in list(self.journals.values()):
-            core = held.primary
-            if core.token.round and self.leases.holds(LEASE_PREFIX + held.journal_id) == core.token:
+        for handle in list(self.journals.values()):
+            primary = handle.primary
+            if primary.token.round and self.leases.holds(LEASE_PREFIX + handle.journal_id) == primary.token:
                 for name in heard:
-                    core.heard(now, name)
-                core.seek(now, heard, ranking)
-                core.tick(now)
-            self._judge(held)
-        for book, shelf in list(self.replica.shelves.items()):
-            if book in self.journals or not shelf.owner:
+                    primary.on_heard(now, name)
+                primary.update_streams(now, heard, ranking)
+                primary.tick(now)
+            self._review(handle)
+        for journal_id, log in list(self.replica.logs.items()):
+            if journal_id in self.journals or not log.primary:
                 continue
-            if not self.failover.has_claim(book):
-                if not self.draining and self.failover.should_claim(now, book, shelf.owner):
-                    self._log.info("book-wanted", book=book, owner=shelf.owner)
-                    self._want(book)
-            elif self._others(book):
-                self._believed[book] = who = self.leases.client.seen[LEASE_PREFIX + book][0].who
-                shelf.owner = who.partition("/")[0]
-                if self._born_here(book):  # it was taken over: this run begins its own
-                    self._leave(book)
-                    self.failover.back_off(now, book)
-                    self._begin_anew()
-            elif self.failover.primary_returned(now, book, shelf.owner):
-                self._leave(book)
-        self._begin_due(now)
+            if not self.failover.has_claim(journal_id):
+                if not self.draining and self.failover.should_claim(now, journal_id, log.primary):
+                    self._log.info("book-wanted", book=journal_id, owner=log.primary)
+                    self._claim(journal_id)
+            elif self._other_holds_lease(journal_id):
+                self._reported_primary[journal_id] = who = self.leases.client.seen[LEASE_PREFIX + journal_id][0].who
+                log.primary = who.partition("/")[0]
+                if self._is_own(journal_id):  # it was taken over: this run begins its own
+                    self._abandon(journal_id)
+                    self.failover.back_off(now, journal_id)
+                    self._schedule_create()
+            elif self.failover.primary_returned(now, journal_id, log.primary):
+                self._abandon(journal_id)
+        self._create_if_due(now)
         if self.draining:
-            self._retire(now)
-        self._reach(heard, ranking)
-        self._questions.tick(now)
+            self._drain_step(now)
+        self._keep_connections(heard, ranking)
+        self._lookups.tick(now)
         self.flush()
 
-    def _judge(self, held: PrimaryHandle) -> None:
+    def _review(self, handle: PrimaryHandle) -> None:
         """What has become of a book that this process believes to own."""
-        core, now = held.primary, now_ms()
-        if core.failed:
-            self._hand_over(held, "its disk fails")
-        elif core.fenced is not None or not self.replica.stands(held.journal_id, held.token):
+        primary, now = handle.primary, now_ms()
+        if primary.disk_failed:
+            self._transfer(handle, "its disk fails")
+        elif primary.fenced_by is not None or not self.replica.is_latest_token(handle.journal_id, handle.token):
             # A member said so, or the new owner has written to, or shut, what is here.
-            if core.fenced is not None and (shelf := self.replica.shelves.get(held.journal_id)) is not None:
-                shelf.owner = core.fenced.who.partition("/")[0]
-            self._end(held)
-        elif not core.ready and core.token.round and now >= held.next_probe_at and self._others(held.journal_id):
-            held.next_probe_at = now + self.settings.retry_ms  # who was told to hold the lease may not have acted
-            core.probe(self.leases.client.seen[LEASE_PREFIX + held.journal_id][0].who.partition("/")[0])
+            if primary.fenced_by is not None and (log := self.replica.logs.get(handle.journal_id)) is not None:
+                log.primary = primary.fenced_by.who.partition("/")[0]
+            self._release(handle)
+        elif (
+            not primary.ready
+            and primary.token.round
+            and now >= handle.next_probe_at
+            and self._other_holds_lease(handle.journal_id)
+        ):
+            handle.next_probe_at = now + self.settings.retry_ms  # who was told to hold the lease may not have acted
+            primary.probe_fencing(self.leases.client.seen[LEASE_PREFIX + handle.journal_id][0].who.partition("/")[0])
         elif (
-            held is not self.current_journal
-            and held.recovered
-            and core.ready
-            and not core.waiting
-            and not any(self._digests(held.journal_id))
+            handle is not self.current_journal
+            and handle.recovered
+            and primary.ready
+            and not primary.uncommitted_count
+            and not any(self._digests(handle.journal_id))
         ):
-            self._close(held)
+            self._close_if_forgotten(handle)
 
-    def _others(self, book: str) -> bool:
+    def _other_holds_lease(self, journal_id: str) -> bool:
         """Whether another was last said to hold a book's lease."""
-        seen = self.leases.client.seen.get(LEASE_PREFIX + book)
+        seen = self.leases.client.seen.get(LEASE_PREFIX + journal_id)
         return (
             seen is not None
             and not seen[0].who.startswith(f"{self.name}/")
-            and ((held := self.journals.get(book)) is None or seen[0] > held.primary.token)
+            and ((handle := self.journals.get(journal_id)) is None or seen[0] > handle.primary.token)
         )
 
-    def _reach(self, heard: Iterable[str], ranking: tuple[str, ...]) -> None:
+    def _keep_connections(self, heard: Iterable[str], ranking: tuple[str, ...]) -> None:
         """Keep links up: to all in a small fleet, else to whom the books go."""
         names = {m.name for m in self._members()}
-        if len(names) > FEW:
+        if len(names) > FULL_MESH_LIMIT:
             names = {
                 *ranking[: self.settings.replica_count + 2],
-                *(n for h in self.journals.values() for n in h.primary.members),
+                *(n for h in self.journals.values() for n in h.primary.in_sync),
             }
-        self.leases.reach(names, SPEAKS)
+        self.leases.reach(names, CHANNEL_FEATURE)
 
-    def _shut(self, book: str) -> None:
-        if book in self.replica.shelves:
-            self.replica.shut(book, self.replica.shelves[book].token)
+    def _close_replica(self, journal_id: str) -> None:
+        if journal_id in self.replica.logs:
+            self.replica.close(journal_id, self.replica.logs[journal_id].token)
 
-    def _close(self, held: PrimaryHandle) -> None:
+    def _close_if_forgotten(self, handle: PrimaryHandle) -> None:
         """All of a book that was taken over is forgotten: nobody needs to hold it any more."""
-        if not held.primary.closing:
-            held.primary.close()
+        if not handle.primary.closing:
+            handle.primary.close()
             return
-        if held.primary.closed:
-            self._log.info("book-closed", book=held.journal_id)
-            self.journals.pop(held.journal_id)
-            self._leave(held.journal_id)
-            self._shut(held.journal_id)
+        if handle.primary.is_closed:
+            self._log.info("book-closed", book=handle.journal_id)
+            self.journals.pop(handle.journal_id)
+            self._abandon(handle.journal_id)
+            self._close_replica(handle.journal_id)
 
     def _ranking(self, heard: Iterable[str]) -> tuple[str, ...]:
         """Whom this dispatcher's books go to, the best first, of those that are heard."""
         here = {*heard, self.name}
         members = tuple(sorted((m for m in self._members() if m.name in here), key=lambda m: m.name))
-        if members != self._ranked[0]:
-            self._ranked = members, rank_replicas(members, self.name, self.settings.replica_count)
-        return self._ranked[1]
+        if members != self._ranking_cache[0]:
+            self._ranking_cache = members, rank_replicas(members, self.name, self.settings.replica_count)
+        return self._ranking_cache[1]
 
     def flush(self) -> None:
         """Everything that waits."""
-        if self._carrying or self._stopped:
+        if self._flushing or self._stopped:
             return
-        self._carrying = True
+        self._flushing = True
         try:
-            while self._step():
+            while self._flush_once():
                 pass
         finally:
-            self._carrying = False
+            self._flushing = False
         for disk in self._disks.values():
             disk.pump()
-        told = sum(held.primary.batches_safe for held in self.journals.values())
-        if told != self._told:
-            self._told = told
+        committed = sum(handle.primary.committed_batches for handle in self.journals.values())
+        if committed != self._reported_batches:
+            self._reported_batches = committed
             self.on_progress()
 
-    def _step(self) -> bool:
+    def _flush_once(self) -> bool:
         any_, now = False, now_ms()
-        while self.replica.work:
-            any_, work = True, self.replica.work.popleft()
-            self._write(work, partial(self.replica.written, work))
-        while self.replica.out:
+        while self.replica.pending_writes:
+            any_, write = True, self.replica.pending_writes.popleft()
+            self._write(write, partial(self.replica.on_write_done, write))
+        while self.replica.outbox:
             any_ = True
-            to, answer = self.replica.out.popleft()
+            to, answer = self.replica.outbox.popleft()
             self._peers.send(to, answer)
-        for held in list(self.journals.values()):
-            core = held.primary
-            core.pump(now)
-            while core.locals:
-                any_, batch = True, core.locals.popleft()
+        for handle in list(self.journals.values()):
+            primary = handle.primary
+            primary.start_batch(now)
+            while primary.local_writes:
+                any_, batch = True, primary.local_writes.popleft()
                 self._write(
-                    Work(held.journal_id, tuple(batch.items), tuple(batch.drops), wall_ms=self.wall_ms()),
-                    partial(core.written, batch),
+                    ReplicaWrite(
+                        handle.journal_id, tuple(batch.entries), tuple(batch.deleted_ids), wall_ms=self.wall_ms()
+                    ),
+                    partial(primary.on_local_write, batch),
                 )
-            while core.reads:
+            while primary.bucket_reads:
                 any_ = True
-                name, stream, bucket = core.reads.popleft()
-                reading = Reading(held.journal_id, bucket, self.wall_ms())
-                self._write(reading, partial(self._bucket, core, name, stream, reading))
-            while core.out:
+                name, stream, bucket = primary.bucket_reads.popleft()
+                request = ReadRequest(handle.journal_id, bucket, self.wall_ms())
+                self._write(request, partial(self._on_bucket_read, primary, name, stream, request))
+            while primary.outbox:
                 any_ = True
-                self._peers.send(*core.out.popleft())
-            while core.notes:
-                any_, members = True, core.notes.popleft()
-                held.note_number = (
-                    self.leases.note(LEASE_PREFIX + held.journal_id, encode_in_sync(InSyncSet(self.name, members))) or 0
+                self._peers.send(*primary.outbox.popleft())
+            while primary.in_sync_updates:
+                any_, in_sync = True, primary.in_sync_updates.popleft()
+                handle.note_number = (
+                    self.leases.note(LEASE_PREFIX + handle.journal_id, encode_in_sync(InSyncSet(self.name, in_sync)))
+                    or 0
                 )
         return any_
 
     @staticmethod
-    def _bucket(core: Primary, name: str, stream: int, reading: Reading, safe: bool) -> None:
-        core.read(now_ms(), name, stream, reading.bucket, reading.items if safe else None)
+    def _on_bucket_read(primary: Primary, name: str, stream: int, request: ReadRequest, safe: bool) -> None:
+        primary.on_bucket_read(now_ms(), name, stream, request.bucket, request.entries if safe else None)
 
     # For operators.
 
@@ -652,24 +694,25 @@
         return {
             "name": self.name,
             "copies": self.settings.replica_count,
-            "disk": self._own_shelves.disk_id,
+            "disk": self._own_store.disk_id,
             "retiring": self.draining,
             "promising": self.current_journal is not None and self.current_journal.takes(),
             "owned": {
-                book: held.primary.status(now) | {"current": held is self.current_journal, "live": held.recovered}
-                for book, held in sorted(self.journals.items())
+                journal_id: handle.primary.status(now)
+                | {"current": handle is self.current_journal, "live": handle.recovered}
+                for journal_id, handle in sorted(self.journals.items())
             },
             "held": {
                 book: {
-                    "owner": shelf.owner,
-                    "token": str(shelf.token),
-                    "safe": shelf.safe,
-                    "heard_ms": self.failover.silent_ms(now, shelf.owner),
+                    "owner": log.primary,
+                    "token": str(log.token),
+                    "safe": log.durable_sequence,
+                    "heard_ms": self.failover.silent_ms(now, log.primary),
                 }
-                for book, shelf in sorted(self.replica.shelves.items())
-                if book not in self.journals and shelf.owner
+                for book, log in sorted(self.replica.logs.items())
+                if book not in self.journals and log.primary
             },
-            "refused": self.replica.refused,
+            "refused": self.replica.fenced_messages,
             "taken_up": self.activations_recovered,
             "let_go": self.activations_released,
             "disk_failing": any(disk.journal.failing for disk in self._disks.values()),
--- a/kelptrail/replication/lookup.py
+++ b/kelptrail/replication/lookup.py
@@ -11,69 +11,79 @@
 from dataclasses import dataclass, field
 
 HERE, PENDING, NO = "here", "pending", "no"
-Done = Callable[[str | None], None]
+LookupCallback = Callable[[str | None], None]
 
 
 @dataclass(slots=True)
 class PendingLookup:
     """One, while it is open.  `left`: who has not answered; `unsure`: somebody may come to have it."""
 
-    until: float
-    left: set[str]
-    unsure: bool
-    owners: set[str]  # who must have answered
-    said: set[str] = field(default_factory=set)
-    done: list[Done] = field(default_factory=list)
+    deadline: float
+    awaiting: set[str]
+    inconclusive: bool
+    primaries: set[str]  # who must have answered
+    responders: set[str] = field(default_factory=set)
+    on_result: list[LookupCallback] = field(default_factory=list)
 
 
 class LookupService:
     """All that are open, by what is asked for."""
 
-    def __init__(self, who: str, within_ms: float) -> None:
-        self._who, self._within_ms = who, within_ms
-        self._open: dict[str, PendingLookup] = {}
+    def __init__(self, own_responder: str, timeout_ms: float) -> None:
+        self._own_responder, self._timeout_ms = own_responder, timeout_ms
+        self._pending: dict[str, PendingLookup] = {}
 
-    def join(self, what: str, done: Done) -> bool:
+    def join(self, target: str, on_result: LookupCallback) -> bool:
         """Whether the question is open already: then `done` is told, too."""
-        question = self._open.get(what)
-        if question is not None:
-            question.done.append(done)
-        return question is not None
+        lookup = self._pending.get(target)
+        if lookup is not None:
+            lookup.on_result.append(on_result)
+        return lookup is not None
 
     def start(
-        self, now: float, what: str, whom: Iterable[str], owners: Iterable[str], unsure: bool, done: Done
+        self,
+        now: float,
+        target: str,
+        asked: Iterable[str],
+        primaries: Iterable[str],
+        inconclusive: bool,
+        on_result: LookupCallback,
     ) -> None:
         """It was sent to `whom`.  `done` is told where it is; "" where somebody may come to have it; None where nobody
         has it."""
-        self._open[what] = PendingLookup(now + self._within_ms, set(whom), unsure, set(owners), done=[done])
-        self._look(what)
+        self._pending[target] = PendingLookup(
+            now + self._timeout_ms, set(asked), inconclusive, set(primaries), on_result=[on_result]
+        )
+        self._check(target)
 
-    def on_reply(self, sender: str, what: str, state: str, at: str, by: str, owners: Iterable[str]) -> None:
+    def on_reply(
+        self, sender: str, target: str, state: str, address: str, responder: str, primaries: Iterable[str]
+    ) -> None:
         """Somebody's answer; `by`: name and run, as `owners` are: another run of a name has not what one before had."""
-        question = self._open.get(what)
-        if question is None or sender not in question.left:
+        lookup = self._pending.get(target)
+        if lookup is None or sender not in lookup.awaiting:
             return
-        question.left.discard(sender)
-        question.said.add(by)
-        question.owners |= set(owners)
-        question.unsure = question.unsure or state == PENDING
-        if state == HERE and at:
-            self._end(what, at)
+        lookup.awaiting.discard(sender)
+        lookup.responders.add(responder)
+        lookup.primaries |= set(primaries)
+        lookup.inconclusive = lookup.inconclusive or state == PENDING
+        if state == HERE and address:
+            self._finish(target, address)
         else:
-            self._look(what)
+            self._check(target)
 
     def tick(self, now: float) -> None:
         """Whoever has not answered by now may have it."""
-        for what, question in list(self._open.items()):
-            if now >= question.until:
-                self._end(what, "")
-
-    def _look(self, what: str) -> None:
-        question = self._open[what]
-        if not question.left:
-            missing = question.owners - question.said - {self._who}
-            self._end(what, "" if question.unsure or missing else None)
-
-    def _end(self, what: str, answer: str | None) -> None:
-        for done in self._open.pop(what).done:
-            done(answer)
+        for target, lookup in list(self._pending.items()):
+            if now >= lookup.deadline:
+                self._finish(target, "")
+
+    def _check(self, target: str) -> None:
+        lookup = self._pending[target]
+        if not lookup.awaiting:
+            missing = lookup.primaries - lookup.responders - {self._own_responder}
+            self._finish(target, "" if lookup.inconclusive or missing else None)
+
+    def _finish(self, target: str, result: str | None) -> None:
+        for on_result in self._pending.pop(target).on_result:
+            on_result(result)
--- a/kelptrail/replication/messages.py
+++ b/kelptrail/replication/messages.py
@@ -20,7 +20,7 @@
 from kelptrail.lease.messages import FencingToken
 
 BUCKETS = 256  # ranges of ids in which two books are compared
-DIGEST = 8  # bytes of each
+DIGEST_BYTES = 8  # bytes of each
 LEASE_PREFIX = "book/"  # of the lease on a book
 
 
@@ -37,68 +37,68 @@
 class OpenStream(msgspec.Struct, frozen=True, tag="copies-open", array_like=True):
     """A stream of a book begins, under its owner's token; `stream` grows with each.  What do you have of it?"""
 
-    book: str
+    journal_id: str
     token: FencingToken
-    stream: int
+    stream_id: int
 
 
 class Append(msgspec.Struct, frozen=True, tag="put", array_like=True):
     """The next of a stream: entries, and ids that are forgotten.  `bucket`: of it nothing but `only` is to be left, -1:
     all is.  `check`: tell what the disk has of these buckets, from and up to.  `waited_ms`: since it was put out."""
 
-    book: str
+    journal_id: str
     token: FencingToken
-    stream: int
-    number: int
-    items: tuple[ReplicaEntry, ...] = ()
-    drops: tuple[str, ...] = ()
-    bucket: int = -1
-    only: tuple[tuple[str, int], ...] = ()
-    check: tuple[int, int] = (0, 0)
-    waited_ms: float = 0.0
+    stream_id: int
+    sequence: int
+    entries: tuple[ReplicaEntry, ...] = ()
+    deleted_ids: tuple[str, ...] = ()
+    trimmed_bucket: int = -1
+    retained: tuple[tuple[str, int], ...] = ()
+    digest_range: tuple[int, int] = (0, 0)
+    delay_ms: float = 0.0
 
 
 class DigestReply(msgspec.Struct, frozen=True, tag="copies-told", array_like=True):
     """What a holder has, after `number` of a stream: digests of buckets from the `first` one on.  `disk`: the name of
     its disk, never the same for two."""
 
-    book: str
+    journal_id: str
     token: FencingToken
-    stream: int
-    number: int
-    first: int
+    stream_id: int
+    sequence: int
+    first_bucket: int
     digests: bytes
-    disk: str = ""
+    disk_id: str = ""
 
 
 class AppendAck(msgspec.Struct, frozen=True, tag="kept", array_like=True):
     """All up to `number` of a stream is kept, as safe as the settings ask for."""
 
-    book: str
+    journal_id: str
     token: FencingToken
-    stream: int
-    number: int
+    stream_id: int
+    sequence: int
 
 
 class FencedReply(msgspec.Struct, frozen=True, tag="fenced", array_like=True):
     """A later token has been seen: nothing more is taken under an older one."""
 
-    book: str
+    journal_id: str
     token: FencingToken
 
 
 class CloseStream(msgspec.Struct, frozen=True, tag="copies-shut", array_like=True):
     """The holder is none of this book any more and may forget it; `stream` as in `Open`."""
 
-    book: str
+    journal_id: str
     token: FencingToken
-    stream: int
+    stream_id: int
 
 
 class Claim(msgspec.Struct, frozen=True, tag="copies-take", array_like=True):
     """The lease on a book was given back for whom this is sent to: want it now."""
 
-    book: str
+    journal_id: str
 
 
 class DrainNotice(msgspec.Struct, frozen=True, tag="copies-leaving", array_like=True):
@@ -108,26 +108,26 @@
 class Lookup(msgspec.Struct, frozen=True, tag="find", array_like=True):
     """Who has this: an activation by its id, or the call under a key as `key:NAMESPACE/ACTION/KEY`?"""
 
-    what: str
+    target: str
 
 
 class LookupReply(msgspec.Struct, frozen=True, tag="found", array_like=True):
     """It is here, at `at`; or may come to be; or is not: see `questions`.  `by`: who says so, name and run; `owners`:
     the same of whoever owns a book that is held here and may have it."""
 
-    what: str
+    target: str
     state: str
-    by: str
-    at: str = ""
-    owners: tuple[str, ...] = ()
+    responder: str
+    address: str = ""
+    primaries: tuple[str, ...] = ()
 
 
 class InSyncSet(msgspec.Struct, frozen=True, array_like=True):
     """The note with a book's lease: who owned it, and all that have the whole of it, each with the name of its disk.
     Guards against one that comes back with an empty disk under its name and is taken to have the whole."""
 
-    owner: str
-    disks: dict[str, str]
+    primary: str
+    disk_ids: dict[str, str]
 
 
 Answer = DigestReply | AppendAck | FencedReply
@@ -162,26 +162,26 @@
     return crc32(id_.encode()) % BUCKETS
 
 
-def digest(id_: str, kind: int, crc: int) -> int:
+def entry_digest(id_: str, kind: int, crc: int) -> int:
     """Of one entry, whose bytes have this CRC-32; a bucket's is that of all its entries, xor-ed."""
-    return int.from_bytes(blake2b(f"{id_}\0{kind}\0{crc}".encode(), digest_size=DIGEST).digest())
+    return int.from_bytes(blake2b(f"{id_}\0{kind}\0{crc}".encode(), digest_size=DIGEST_BYTES).digest())
 
 
 def pack_digests(found: Iterable[int]) -> bytes:
     """Digests of buckets as bytes."""
-    return b"".join(one.to_bytes(DIGEST) for one in found)
+    return b"".join(one.to_bytes(DIGEST_BYTES) for one in found)
 
 
 def unpack_digests(data: bytes) -> list[int]:
     """As they were."""
-    return [int.from_bytes(data[n : n + DIGEST]) for n in range(0, len(data), DIGEST)]
+    return [int.from_bytes(data[n : n + DIGEST_BYTES]) for n in range(0, len(data), DIGEST_BYTES)]
 
 
-def digests_of(items: Iterable[ReplicaEntry]) -> list[int]:
+def bucket_digests(items: Iterable[ReplicaEntry]) -> list[int]:
     """Of all buckets, from entries."""
     found: list[list[int]] = [[] for _ in range(BUCKETS)]
     for item in items:
-        found[bucket_of(item.id)].append(digest(item.id, item.kind, crc32(item.data)))
+        found[bucket_of(item.id)].append(entry_digest(item.id, item.kind, crc32(item.data)))
     return [reduce(xor, ones, 0) for ones in found]
 
 
--- a/kelptrail/replication/model.py
+++ b/kelptrail/replication/model.py
@@ -26,15 +26,15 @@
     OpenStream,
     ReplicaEntry,
     ReplicationSettings,
+    bucket_digests,
     bucket_of,
-    digests_of,
     pack_digests,
 )
 from .primary import Batch, Primary
-from .replica import Replica, Work
+from .replica import Replica, ReplicaWrite
 
-BOOK = "b"
-RECORD, MAY_RUN, END = 0, 1, 2
+JOURNAL = "b"
+ACCEPTED, MAY_RUN, ENDED = 0, 1, 2
 SETTINGS = ReplicationSettings(
     2,
     retry_ms=100.0,
@@ -50,13 +50,13 @@
     """How often each goes wrong, a share of the steps of its kind."""
 
     lost: float = 0.1
-    copied: float = 0.1
-    late: float = 0.2
-    sync: float = 0.03
-    start: float = 0.01
-    wipe: float = 0.004
-    lease: float = 0.01
-    rot: float = 0.0
+    duplicated: float = 0.1
+    delayed: float = 0.2
+    failed_sync: float = 0.03
+    restart: float = 0.01
+    disk_loss: float = 0.004
+    lease_loss: float = 0.01
+    bit_rot: float = 0.0
 
 
 @dataclass(slots=True)
@@ -64,58 +64,60 @@
     """What a dispatcher's disk has of the book; `names`: none before its first."""
 
     token: FencingToken = NO_TOKEN
-    owner: str = ""
-    items: dict[tuple[str, int], bytes] = field(default_factory=dict)
+    primary: str = ""
+    entries: dict[tuple[str, int], bytes] = field(default_factory=dict)
 
-    def do(self, work: Work) -> None:
+    def apply(self, write: ReplicaWrite) -> None:
         """All of a work."""
-        if work.fence is not None:
-            self.token, self.owner = work.fence
-        if work.shut:
-            self.items.clear()
-        for item in work.items:
-            self.items[item.id, item.kind] = item.data
-        for id_, kind in list(self.items):
-            if id_ in work.drops or (bucket_of(id_) == work.bucket and (id_, kind) not in work.only):
-                del self.items[id_, kind]
-        if work.check != (0, 0):
-            upto = work.check[1] if work.check[1] >= 0 else BUCKETS
-            work.digests = pack_digests(self.digests()[work.check[0] : upto])
+        if write.fence is not None:
+            self.token, self.primary = write.fence
+        if write.closes:
+            self.entries.clear()
+        for item in write.entries:
+            self.entries[item.id, item.kind] = item.data
+        for id_, kind in list(self.entries):
+            if id_ in write.deleted_ids or (
+                bucket_of(id_) == write.trimmed_bucket and (id_, kind) not in write.retained
+            ):
+                del self.entries[id_, kind]
+        if write.digest_range != (0, 0):
+            upto = write.digest_range[1] if write.digest_range[1] >= 0 else BUCKETS
+            write.digests = pack_digests(self.digests()[write.digest_range[0] : upto])
 
     def digests(self) -> list[int]:
         """Of all buckets."""
-        return digests_of(self.all())
+        return bucket_digests(self.all_entries())
 
-    def all(self) -> list[ReplicaEntry]:
+    def all_entries(self) -> list[ReplicaEntry]:
         """Every entry."""
-        return [ReplicaEntry(id_, kind, 0.0, data) for (id_, kind), data in sorted(self.items.items())]
+        return [ReplicaEntry(id_, kind, 0.0, data) for (id_, kind), data in sorted(self.entries.items())]
 
 
 class Node:
     """One dispatcher: its disk, and what its process has in memory."""
 
-    def __init__(self, world: Model, name: str) -> None:
-        self.world, self.name, self.disk, self.lost = world, name, Disk(), 0
-        self.work: deque[tuple[Work, Any]] = deque()
-        self.boot()
+    def __init__(self, model: Model, name: str) -> None:
+        self.model, self.name, self.disk, self.disks_lost = model, name, Disk(), 0
+        self.disk_queue: deque[tuple[ReplicaWrite, Any]] = deque()
+        self.restart()
 
-    def boot(self) -> None:
+    def restart(self) -> None:
         """The process starts from its disk."""
         disk = self.disk
-        shelves = {BOOK: (disk.token, disk.owner)} if disk.token.round else {}
-        self.holder = self.world.kinds[1](shelves, lambda _: f"{self.lost}")
-        self.owner = self.fresh()
-        self.work.clear()
-        self.believes = False
-        self.calls: dict[str, str] = {}  # those in hand, and what is waited for
-
-    def token(self) -> FencingToken:
+        fences = {JOURNAL: (disk.token, disk.primary)} if disk.token.round else {}
+        self.replica = self.model.roles[1](fences, lambda _: f"{self.disks_lost}")
+        self.primary = self.new_primary()
+        self.disk_queue.clear()
+        self.holds_lease = False
+        self.requests: dict[str, str] = {}  # those in hand, and what is waited for
+
+    def newest_token(self) -> FencingToken:
         """The newest that it has seen as a holder."""
-        return self.holder.shelves[BOOK].token if BOOK in self.holder.shelves else NO_TOKEN
+        return self.replica.logs[JOURNAL].token if JOURNAL in self.replica.logs else NO_TOKEN
 
-    def fresh(self) -> Primary:
+    def new_primary(self) -> Primary:
         """An owner that has nothing in hand."""
-        return self.world.kinds[0](BOOK, self.name, f"{self.lost}", SETTINGS, lambda: self.disk.digests())
+        return self.model.roles[0](JOURNAL, self.name, f"{self.disks_lost}", SETTINGS, lambda: self.disk.digests())
 
 
 class Model:
@@ -128,226 +130,241 @@
         faults: Faults | None = None,
         kinds: tuple[type[Primary], type[Replica]] = (Primary, Replica),
     ) -> None:
-        self.chance, self.faults, self.kinds = random.Random(seed), faults or Faults(), kinds
-        self.now, self.calls = 0.0, 0
+        self.rng, self.faults, self.roles = random.Random(seed), faults or Faults(), kinds
+        self.now, self.requests = 0.0, 0
         self.nodes = {f"d{n}": Node(self, f"d{n}") for n in range(nodes)}
-        self.mail: list[tuple[str, str, Any]] = []
-        self.token, self.note, self.leader = NO_TOKEN, InSyncSet("", {}), ""  # what the voters know
-        self.promised: set[str] = set()
-        self.ran: dict[str, str] = {}
-        self.finals: dict[str, str] = {}
-        self.took = self.broken = 0
+        self.in_transit: list[tuple[str, str, Any]] = []
+        self.lease_token, self.in_sync, self.lease_holder = NO_TOKEN, InSyncSet("", {}), ""  # what the voters know
+        self.acknowledged: set[str] = set()
+        self.executed_at: dict[str, str] = {}
+        self.final_answers: dict[str, str] = {}
+        self.takeovers = self.all_disks_lost = 0
         self.trail: list[str] = []
 
     # The lease.
 
-    def _win(self, node: Node) -> None:
+    def _grant_lease(self, node: Node) -> None:
         """The lease goes to a node; nobody believes in an older one any more."""
-        first = not self.token.round
-        self.token, self.leader = FencingToken(self.token.round + 1, node.name), node.name
-        members = self.note
-        if not first and members.disks.get(node.name) != f"{node.lost}":
-            self.leader = ""  # it has not the whole: given to another
+        first = not self.lease_token.round
+        self.lease_token, self.lease_holder = FencingToken(self.lease_token.round + 1, node.name), node.name
+        members = self.in_sync
+        if not first and members.disk_ids.get(node.name) != f"{node.disks_lost}":
+            self.lease_holder = ""  # it has not the whole: given to another
             return
-        node.believes = True
-        gone = {members.owner} - {node.name}
-        before = node.owner.token
+        node.holds_lease = True
+        gone = {members.primary} - {node.name}
+        before = node.primary.token
         goes_on = (
             before.round > 0
-            and members.owner == node.name
-            and node.holder.stands(BOOK, before)
-            and not node.owner.failed
+            and members.primary == node.name
+            and node.replica.is_latest_token(JOURNAL, before)
+            and not node.primary.disk_failed
         )
-        if (work := node.holder.own(BOOK, self.token, node.name)) is None:
+        if (write := node.replica.become_primary(JOURNAL, self.lease_token, node.name)) is None:
             raise PropertyError(f"{node.name} has seen a later token than the lease's")
         if not goes_on:
-            node.owner = node.fresh()
-            node.calls = {}
-        node.work.append(
-            (work, partial(self._owned, node, self.token, {n: d for n, d in members.disks.items() if n not in gone}))
+            node.primary = node.new_primary()
+            node.requests = {}
+        node.disk_queue.append(
+            (
+                write,
+                partial(
+                    self._on_fence_stored,
+                    node,
+                    self.lease_token,
+                    {n: d for n, d in members.disk_ids.items() if n not in gone},
+                ),
+            )
         )
 
-    def _owned(self, node: Node, token: FencingToken, members: dict[str, str], safe: bool) -> None:
-        if not node.believes or token != self.token:
+    def _on_fence_stored(self, node: Node, token: FencingToken, members: dict[str, str], safe: bool) -> None:
+        if not node.holds_lease or token != self.lease_token:
             return
         if not safe:
-            self._lose(node)
+            self._lose_lease(node)
             return
-        self.took += 1
-        node.owner.won(self.now, token, members)
-        node.owner.write((), partial(self._take_up, node, node.owner))
+        self.takeovers += 1
+        node.primary.on_lease_acquired(self.now, token, members)
+        node.primary.append((), partial(self._recover, node, node.primary))
 
-    def _take_up(self, node: Node, owner: Primary, _full: bool) -> None:
-        kept = {id_ for id_, _ in node.disk.items}
-        if (lost := self.promised - kept) and not self._all_lost():
+    def _recover(self, node: Node, primary: Primary, _full: bool) -> None:
+        kept = {id_ for id_, _ in node.disk.entries}
+        if (lost := self.acknowledged - kept) and not self._check_disks_lost():
             raise PropertyError(f"{node.name} owns the book and has not {sorted(lost)}, which were promised")
-        for id_ in sorted(kept - node.calls.keys()):
-            if (id_, END) in node.disk.items:
-                self._final(id_, node.disk.items[id_, END].decode())
-            elif (id_, MAY_RUN) in node.disk.items:
-                self._end(node, id_, "aborted")
+        for id_ in sorted(kept - node.requests.keys()):
+            if (id_, ENDED) in node.disk.entries:
+                self._record_final(id_, node.disk.entries[id_, ENDED].decode())
+            elif (id_, MAY_RUN) in node.disk.entries:
+                self._finish(node, id_, "aborted")
             else:
-                self._send(node, id_)
+                self._attempt(node, id_)
 
-    def _all_lost(self) -> bool:
+    def _check_disks_lost(self) -> bool:
         """Whether more disks are gone than the copies cover."""
-        if self.broken:
+        if self.all_disks_lost:
             return True
-        self.broken = all(f"{self.nodes[name].lost}" != disk for name, disk in self.note.disks.items())
-        return bool(self.broken)
+        self.all_disks_lost = all(
+            f"{self.nodes[name].disks_lost}" != disk for name, disk in self.in_sync.disk_ids.items()
+        )
+        return bool(self.all_disks_lost)
 
-    def _lose(self, node: Node) -> None:
-        node.believes = False
-        node.owner.ready = False
-        if self.leader == node.name:
-            self.leader = ""
+    def _lose_lease(self, node: Node) -> None:
+        node.holds_lease = False
+        node.primary.ready = False
+        if self.lease_holder == node.name:
+            self.lease_holder = ""
 
     # Calls.
 
-    def _take(self, node: Node) -> None:
-        self.calls += 1
-        id_ = f"c{self.calls}"
-        node.calls[id_] = "record"
-        node.owner.write([ReplicaEntry(id_, RECORD, 0.0, b"")], partial(self._recorded, node, node.owner, id_))
-        if self.chance.random() < 0.5:
-            self._send(node, id_)
+    def _accept_request(self, node: Node) -> None:
+        self.requests += 1
+        id_ = f"c{self.requests}"
+        node.requests[id_] = "record"
+        node.primary.append(
+            [ReplicaEntry(id_, ACCEPTED, 0.0, b"")], partial(self._on_recorded, node, node.primary, id_)
+        )
+        if self.rng.random() < 0.5:
+            self._attempt(node, id_)
 
-    def _recorded(self, node: Node, owner: Primary, id_: str, full: bool) -> None:
+    def _on_recorded(self, node: Node, primary: Primary, id_: str, full: bool) -> None:
         if full:
-            self.promised.add(id_)
-        if not full and node.calls.get(id_) == "record":
-            self._end(node, id_, "rejected")
-        elif node.calls.get(id_) == "record":
-            self._send(node, id_)
+            self.acknowledged.add(id_)
+        if not full and node.requests.get(id_) == "record":
+            self._finish(node, id_, "rejected")
+        elif node.requests.get(id_) == "record":
+            self._attempt(node, id_)
 
-    def _send(self, node: Node, id_: str) -> None:
-        node.calls[id_] = "may-run"
-        node.owner.write([ReplicaEntry(id_, MAY_RUN, 0.0, b"")], partial(self._cleared, node, node.owner, id_))
+    def _attempt(self, node: Node, id_: str) -> None:
+        node.requests[id_] = "may-run"
+        node.primary.append([ReplicaEntry(id_, MAY_RUN, 0.0, b"")], partial(self._on_cleared, node, node.primary, id_))
 
-    def _cleared(self, node: Node, owner: Primary, id_: str, _full: bool) -> None:
+    def _on_cleared(self, node: Node, primary: Primary, id_: str, _full: bool) -> None:
         """The first byte goes out, also of one that was stopped after its last look at the lease."""
-        if id_ in self.ran:
-            raise PropertyError(f"{id_} ran at {self.ran[id_]} and at {node.name}")
-        self.ran[id_] = node.name
-        self._end(node, id_, "completed")
-
-    def _end(self, node: Node, id_: str, answer: str) -> None:
-        node.calls[id_] = "end"
-        node.owner.write([ReplicaEntry(id_, END, 0.0, answer.encode())], lambda _: self._final(id_, answer))
-
-    def _final(self, id_: str, answer: str) -> None:
-        if self.finals.setdefault(id_, answer) != answer:
-            raise PropertyError(f"{id_} was {self.finals[id_]} and is {answer}")
-        if answer == "rejected" and id_ in self.ran:
+        if id_ in self.executed_at:
+            raise PropertyError(f"{id_} ran at {self.executed_at[id_]} and at {node.name}")
+        self.executed_at[id_] = node.name
+        self._finish(node, id_, "completed")
+
+    def _finish(self, node: Node, id_: str, answer: str) -> None:
+        node.requests[id_] = "end"
+        node.primary.append([ReplicaEntry(id_, ENDED, 0.0, answer.encode())], lambda _: self._record_final(id_, answer))
+
+    def _record_final(self, id_: str, answer: str) -> None:
+        if self.final_answers.setdefault(id_, answer) != answer:
+            raise PropertyError(f"{id_} was {self.final_answers[id_]} and is {answer}")
+        if answer == "rejected" and id_ in self.executed_at:
             raise PropertyError(f"{id_} was rejected and ran")
 
     # Steps.
 
     def step(self, faults: bool = True) -> None:
         """One step.  Raises `PropertyError`."""
-        chance, rates = self.chance, self.faults
+        chance, rates = self.rng, self.faults
         self.now += chance.uniform(1, 60)
         node = self.nodes[chance.choice(sorted(self.nodes))]
-        if faults and chance.random() < rates.start:
-            self._lose(node)
-            node.boot()
-        if faults and chance.random() < rates.wipe and sum(bool(n.lost) for n in self.nodes.values()) < 2:
-            self._lose(node)
-            node.disk, node.lost = Disk(), node.lost + 1
-            node.boot()
-        if faults and chance.random() < rates.rot and node.disk.items and not node.believes:
-            del node.disk.items[chance.choice(sorted(node.disk.items))]
-        if self.leader and faults and chance.random() < rates.lease:
-            self._lose(self.nodes[self.leader])
-        if not self.leader and chance.random() < 0.3:
-            found = [n for n in self.nodes.values() if n.disk.token.round or not self.token.round]
-            if found:
-                self._win(chance.choice(found))
+        if faults and chance.random() < rates.restart:
+            self._lose_lease(node)
+            node.restart()
+        if faults and chance.random() < rates.disk_loss and sum(bool(n.disks_lost) for n in self.nodes.values()) < 2:
+            self._lose_lease(node)
+            node.disk, node.disks_lost = Disk(), node.disks_lost + 1
+            node.restart()
+        if faults and chance.random() < rates.bit_rot and node.disk.entries and not node.holds_lease:
+            del node.disk.entries[chance.choice(sorted(node.disk.entries))]
+        if self.lease_holder and faults and chance.random() < rates.lease_loss:
+            self._lose_lease(self.nodes[self.lease_holder])
+        if not self.lease_holder and chance.random() < 0.3:
+            eligible = [n for n in self.nodes.values() if n.disk.token.round or not self.lease_token.round]
+            if eligible:
+                self._grant_lease(chance.choice(eligible))
         for one in self.nodes.values():
-            self._turn(one, faults)
+            self._run_node(one, faults)
         self._deliver(faults)
 
-    def _turn(self, node: Node, faults: bool) -> None:
-        owner = node.owner
-        if node.believes and owner.token == self.token:
-            if owner.ready and owner.takes() and faults and self.chance.random() < 0.3:
-                self._take(node)
+    def _run_node(self, node: Node, faults: bool) -> None:
+        primary = node.primary
+        if node.holds_lease and primary.token == self.lease_token:
+            if primary.ready and primary.accepts_requests() and faults and self.rng.random() < 0.3:
+                self._accept_request(node)
             names = [n for n in sorted(self.nodes) if n != node.name]
-            owner.seek(self.now, names, names)
-            owner.tick(self.now)
-            for batch in list(owner.locals):
-                node.work.append(
-                    (Work(BOOK, tuple(batch.items), tuple(batch.drops)), partial(self._local, node, owner, batch))
+            primary.update_streams(self.now, names, names)
+            primary.tick(self.now)
+            for batch in list(primary.local_writes):
+                node.disk_queue.append(
+                    (
+                        ReplicaWrite(JOURNAL, tuple(batch.entries), tuple(batch.deleted_ids)),
+                        partial(self._on_local_write, node, primary, batch),
+                    )
                 )
-            owner.locals.clear()
-            if owner.failed or owner.fenced:
-                self._lose(node)
-        while owner.reads:
-            name, stream, bucket = owner.reads.popleft()
-            items = tuple(item for item in node.disk.all() if bucket_of(item.id) == bucket)
-            owner.read(self.now, name, stream, bucket, items)
-        while node.work and self.chance.random() < 0.7:
-            work, told = node.work.popleft()
-            safe = not (faults and self.chance.random() < self.faults.sync)
+            primary.local_writes.clear()
+            if primary.disk_failed or primary.fenced_by:
+                self._lose_lease(node)
+        while primary.bucket_reads:
+            name, stream, bucket = primary.bucket_reads.popleft()
+            items = tuple(item for item in node.disk.all_entries() if bucket_of(item.id) == bucket)
+            primary.on_bucket_read(self.now, name, stream, bucket, items)
+        while node.disk_queue and self.rng.random() < 0.7:
+            write, on_done = node.disk_queue.popleft()
+            safe = not (faults and self.rng.random() < self.faults.failed_sync)
             if safe:
-                node.disk.do(work)
-            told(safe)
-        while node.holder.work:
-            work = node.holder.work.popleft()
-            node.work.append((work, partial(node.holder.written, work)))
-        said: list[tuple[str, Any]] = [*owner.out, *node.holder.out]
-        self.mail += [(node.name, to, message) for to, message in said]
-        for members in owner.notes:
-            self.mail.append((node.name, "", (owner.token, members)))
-        owner.out.clear()
-        node.holder.out.clear()
-        owner.notes.clear()
+                node.disk.apply(write)
+            on_done(safe)
+        while node.replica.pending_writes:
+            write = node.replica.pending_writes.popleft()
+            node.disk_queue.append((write, partial(node.replica.on_write_done, write)))
+        said: list[tuple[str, Any]] = [*primary.outbox, *node.replica.outbox]
+        self.in_transit += [(node.name, to, message) for to, message in said]
+        for members in primary.in_sync_updates:
+            self.in_transit.append((node.name, "", (primary.token, members)))
+        primary.outbox.clear()
+        node.replica.outbox.clear()
+        primary.in_sync_updates.clear()
 
     @staticmethod
-    def _local(node: Node, owner: Primary, batch: Batch, safe: bool) -> None:
-        if node.owner is owner:
-            owner.written(batch, safe)
+    def _on_local_write(node: Node, primary: Primary, batch: Batch, safe: bool) -> None:
+        if node.primary is primary:
+            primary.on_local_write(batch, safe)
 
     def _deliver(self, faults: bool) -> None:
-        self.chance.shuffle(self.mail)
-        mail: list[tuple[str, str, Any]] = self.mail
-        self.mail = []
-        for letter in mail:
-            draw = self.chance.random() if faults else 1.0
-            if draw < self.faults.late:
-                self.mail.append(letter)
+        self.rng.shuffle(self.in_transit)
+        delivered: list[tuple[str, str, Any]] = self.in_transit
+        self.in_transit = []
+        for letter in delivered:
+            draw = self.rng.random() if faults else 1.0
+            if draw < self.faults.delayed:
+                self.in_transit.append(letter)
                 continue
             if not letter[1]:
-                self._noted(*letter)  # voters are many: a note is lost with its holder alone
+                self._on_in_sync_stored(*letter)  # voters are many: a note is lost with its holder alone
                 continue
-            if draw < self.faults.late + self.faults.lost:
+            if draw < self.faults.delayed + self.faults.lost:
                 continue
-            if draw < self.faults.late + self.faults.lost + self.faults.copied:
-                self.mail.append(letter)
+            if draw < self.faults.delayed + self.faults.lost + self.faults.duplicated:
+                self.in_transit.append(letter)
             sender, to, message = letter
             node = self.nodes[to]
             if isinstance(message, OpenStream | Append | CloseStream):
-                before = node.token()
-                node.holder.received(sender, message)
-                if BOOK in node.holder.shelves and node.token() < before:
-                    raise PropertyError(f"{to} went back from {before} to {node.token()}")
+                before = node.newest_token()
+                node.replica.on_message(sender, message)
+                if JOURNAL in node.replica.logs and node.newest_token() < before:
+                    raise PropertyError(f"{to} went back from {before} to {node.newest_token()}")
             else:
-                node.owner.received(self.now, sender, message)
+                node.primary.on_message(self.now, sender, message)
 
-    def _noted(self, sender: str, _to: str, told: tuple[FencingToken, dict[str, str]]) -> None:
-        token, members = told
-        if token != self.token:
+    def _on_in_sync_stored(self, sender: str, _to: str, on_done: tuple[FencingToken, dict[str, str]]) -> None:
+        token, members = on_done
+        if token != self.lease_token:
             return
-        self.note = InSyncSet(sender, members)
-        owner = self.nodes[sender].owner
-        if owner.token == token and owner.noting == members and self.leader == sender:
-            owner.noted(self.now)
+        self.in_sync = InSyncSet(sender, members)
+        primary = self.nodes[sender].primary
+        if primary.token == token and primary.pending_in_sync == members and self.lease_holder == sender:
+            primary.on_in_sync_stored(self.now)
 
     def heal(self, steps: int = 400) -> None:
         """Nothing more goes wrong: all that is in hand comes to its end.  Raises `PropertyError`."""
         for _ in range(steps):
             self.step(False)
-        if self.broken or self._all_lost():
+        if self.all_disks_lost or self._check_disks_lost():
             return
-        if lost := self.promised - self.finals.keys():
+        if lost := self.acknowledged - self.final_answers.keys():
             raise PropertyError(f"{sorted(lost)} were promised and have no final answer")
--- a/kelptrail/replication/replica_placement.py
+++ b/kelptrail/replication/replica_placement.py
@@ -29,8 +29,8 @@
     zone: str = ""
 
 
-def _rank(owner: str, name: str) -> bytes:
-    return blake2b(f"{owner}\0{name}".encode(), digest_size=8).digest()
+def _rank(primary: str, name: str) -> bytes:
+    return blake2b(f"{primary}\0{name}".encode(), digest_size=8).digest()
 
 
 def assign_replicas(members: Iterable[Member], count: int) -> dict[str, tuple[str, ...]]:
@@ -40,37 +40,39 @@
     """
     by_name = {m.name: m for m in members}
     everyone = [by_name[name] for name in sorted(by_name)]
-    most = max(count, ceil(count * LOAD_SLACK))
-    held: Counter[str] = Counter()
+    max_load = max(count, ceil(count * LOAD_SLACK))
+    load: Counter[str] = Counter()
     out: dict[str, tuple[str, ...]] = {}
     # Whoever chooses first has free choice: the order is drawn by hash, not by name.
-    for owner in sorted(everyone, key=lambda m: _rank("", m.name)):
-        ranked = sorted((m for m in everyone if m is not owner), key=lambda m: _rank(owner.name, m.name), reverse=True)
-        chosen: list[Member] = []
-        while len(chosen) < min(count, len(ranked)):
-            halls = Counter(m.zone for m in chosen)
-            left = [m for m in ranked if m not in chosen]
-            room = [m for m in left if held[m.name] < most] or left
-            best = min(room, key=lambda m: (m.zone == owner.zone, halls[m.zone]))
-            chosen.append(best)
-            held[best.name] += 1
-        out[owner.name] = tuple(m.name for m in chosen)
+    for primary in sorted(everyone, key=lambda m: _rank("", m.name)):
+        ranked = sorted(
+            (m for m in everyone if m is not primary), key=lambda m: _rank(primary.name, m.name), reverse=True
+        )
+        replicas: list[Member] = []
+        while len(replicas) < min(count, len(ranked)):
+            zones = Counter(m.zone for m in replicas)
+            left = [m for m in ranked if m not in replicas]
+            with_capacity = [m for m in left if load[m.name] < max_load] or left
+            best = min(with_capacity, key=lambda m: (m.zone == primary.zone, zones[m.zone]))
+            replicas.append(best)
+            load[best.name] += 1
+        out[primary.name] = tuple(m.name for m in replicas)
     return out
 
 
-def rank_replicas(members: Iterable[Member], owner: str, count: int) -> tuple[str, ...]:
+def rank_replicas(members: Iterable[Member], primary: str, count: int) -> tuple[str, ...]:
     """Whom an owner's books go to, the best first: its holders by `spread`, then the others by hash, other halls
     first."""
     every = {m.name: m for m in members}
-    first = assign_replicas(every.values(), count).get(owner, ())
-    hall = every[owner].zone if owner in every else ""
+    first = assign_replicas(every.values(), count).get(primary, ())
+    zone = every[primary].zone if primary in every else ""
     rest = sorted(
-        (m for m in every.values() if m.name not in first and m.name != owner),
-        key=lambda m: (m.zone == hall, _rank(owner, m.name)),
+        (m for m in every.values() if m.name not in first and m.name != primary),
+        key=lambda m: (m.zone == zone, _rank(primary, m.name)),
     )
     return (*first, *(m.name for m in rest))
 
 
 def count_moves(before: dict[str, tuple[str, ...]], after: dict[str, tuple[str, ...]]) -> int:
     """Books that are to be copied anew: holders after that were none before."""
-    return sum(len(set(names) - set(before.get(owner, ()))) for owner, names in after.items())
+    return sum(len(set(names) - set(before.get(primary, ()))) for primary, names in after.items())
--- a/kelptrail/replication/replica_store.py
+++ b/kelptrail/replication/replica_store.py
@@ -22,11 +22,11 @@
 from kelptrail.store.activation_journal import ActivationEntries, JournalError
 from kelptrail.store.entries import Accepted, DamagedError, Ended, MayRun, unpack
 
-from .messages import BUCKETS, ReplicaEntry, bucket_of, digest, pack_digests
-from .replica import Work
+from .messages import BUCKETS, ReplicaEntry, bucket_of, entry_digest, pack_digests
+from .replica import ReplicaWrite
 
 FORMAT = 1
-DAMAGED = ("NotADB", "Corrupt", "malformed", "not a database")
+DAMAGE_MARKS = ("NotADB", "Corrupt", "malformed", "not a database")
 TABLES = (
     "CREATE TABLE disk (name TEXT NOT NULL)",
     """CREATE TABLE shelves (book TEXT PRIMARY KEY, round INTEGER NOT NULL, who TEXT NOT NULL, owner TEXT NOT NULL,
@@ -38,14 +38,14 @@
 
 
 @dataclass(slots=True, eq=False)
-class Reading:
+class ReadRequest:
     """A bucket to be read, or all lives of a book (`bucket` -1); times are of this machine's wall clock."""
 
-    book: str
+    journal_id: str
     bucket: int = -1
     wall_ms: float = 0.0  # now
-    items: tuple[ReplicaEntry, ...] | None = None
-    lives: list[ActivationEntries] = field(default_factory=list)
+    entries: tuple[ReplicaEntry, ...] | None = None
+    activations: list[ActivationEntries] = field(default_factory=list)
     damaged: int = 0
 
 
@@ -66,14 +66,16 @@
             if version > FORMAT:
                 raise JournalError(f"format {version} is newer than {FORMAT}, which is known here")
             if not version:
-                with self._whole():
+                with self._transaction():
                     for table in TABLES:
                         self._run(table)
                     self._run("INSERT INTO disk VALUES (?)", (os.urandom(6).hex(),))
                     self._run(f"PRAGMA user_version={FORMAT}")
             self.disk_id = str(self._run("SELECT name FROM disk")[0][0])
-            for book, bucket, id_, kind, crc in self._db.execute("SELECT book, bucket, id, kind, crc FROM entries"):
-                self._digest(book)[bucket] ^= digest(id_, kind, crc)
+            for journal_id, bucket, id_, kind, crc in self._db.execute(
+                "SELECT book, bucket, id, kind, crc FROM entries"
+            ):
+                self._staged_digests(journal_id)[bucket] ^= entry_digest(id_, kind, crc)
             self.digests = self._staged
         except (apsw.Error, IndexError) as cause:
             raise JournalError(f"{type(cause).__name__}: {cause}") from None
@@ -82,7 +84,7 @@
         return list(self._db.execute(text, values))
 
     @contextlib.contextmanager
-    def _whole(self) -> Iterator[None]:
+    def _transaction(self) -> Iterator[None]:
         self._run("BEGIN IMMEDIATE")
         try:
             yield
@@ -93,126 +95,131 @@
                     self._run("ROLLBACK")
             raise
 
-    def _digest(self, book: str) -> list[int]:
-        return self._staged.setdefault(book, [0] * BUCKETS)
+    def _staged_digests(self, journal_id: str) -> list[int]:
+        return self._staged.setdefault(journal_id, [0] * BUCKETS)
 
-    def digests_of(self, book: str) -> list[int]:
+    def digests_of(self, journal_id: str) -> list[int]:
         """Of all buckets of a book."""
-        return self.digests.get(book, [0] * BUCKETS)
+        return self.digests.get(journal_id, [0] * BUCKETS)
 
     def fences(self) -> dict[str, tuple[FencingToken, str]]:
         """Token and owner of each."""
         return {
-            book: (FencingToken(round_, who), owner)
-            for book, round_, who, owner in self._run("SELECT book, round, who, owner FROM shelves")
+            journal_id: (FencingToken(round_, who), primary)
+            for journal_id, round_, who, primary in self._run("SELECT book, round, who, owner FROM shelves")
         }
 
     def activation_ids(self) -> set[str]:
         """Activations in any book."""
         return {id_ for (id_,) in self._run("SELECT DISTINCT id FROM entries")}
 
-    def commit(self, works: Iterable[Work | Reading]) -> None:
+    def commit(self, requests: Iterable[ReplicaWrite | ReadRequest]) -> None:
         """Carry out works in order, all or none.  Raises `BookError`."""
-        self._staged = {book: list(found) for book, found in self.digests.items()}
+        self._staged = {journal_id: list(digests) for journal_id, digests in self.digests.items()}
         try:
-            with self._whole():
-                for work in works:
-                    if isinstance(work, Reading):
-                        self._read(work)
+            with self._transaction():
+                for write in requests:
+                    if isinstance(write, ReadRequest):
+                        self._read(write)
                     else:
-                        self._do(work)
+                        self._apply(write)
         except apsw.Error as cause:
             raise JournalError(f"{type(cause).__name__}: {cause}") from None
         self.digests = self._staged
 
-    def _do(self, work: Work) -> None:
-        book = work.book
-        if work.fence is not None:
-            token, owner = work.fence
+    def _apply(self, write: ReplicaWrite) -> None:
+        journal_id = write.journal_id
+        if write.fence is not None:
+            token, primary = write.fence
             self._run(
                 "INSERT OR REPLACE INTO shelves VALUES (?, ?, ?, ?, ?)",
-                (book, token.round, token.who, owner, work.wall_ms),
+                (journal_id, token.round, token.who, primary, write.wall_ms),
             )
-        found = self._digest(book)
-        for item in work.items:
+        digests = self._staged_digests(journal_id)
+        for item in write.entries:
             bucket, crc = bucket_of(item.id), crc32(item.data)
-            self._drop(found, book, bucket, "id = ? AND kind = ?", (item.id, item.kind))
+            self._delete_rows(digests, journal_id, bucket, "id = ? AND kind = ?", (item.id, item.kind))
             self._run(
                 "INSERT INTO entries VALUES (?, ?, ?, ?, ?, ?, ?)",
-                (book, bucket, item.id, item.kind, work.wall_ms - item.age_ms - work.waited_ms, crc, item.data),
+                (journal_id, bucket, item.id, item.kind, write.wall_ms - item.age_ms - write.delay_ms, crc, item.data),
+            )
+            digests[bucket] ^= entry_digest(item.id, item.kind, crc)
+        for id_ in write.deleted_ids:
+            self._delete_rows(digests, journal_id, bucket_of(id_), "id = ?", (id_,))
+        if write.trimmed_bucket >= 0:
+            only = set(write.retained)
+            here = self._run(
+                "SELECT id, kind FROM entries WHERE book = ? AND bucket = ?", (journal_id, write.trimmed_bucket)
             )
-            found[bucket] ^= digest(item.id, item.kind, crc)
-        for id_ in work.drops:
-            self._drop(found, book, bucket_of(id_), "id = ?", (id_,))
-        if work.bucket >= 0:
-            only = set(work.only)
-            here = self._run("SELECT id, kind FROM entries WHERE book = ? AND bucket = ?", (book, work.bucket))
             for id_, kind in here:
                 if (id_, kind) not in only:
-                    self._drop(found, book, work.bucket, "id = ? AND kind = ?", (id_, kind))
-        if work.check == (0, -1):
-            work.digests = pack_digests(found)
-        elif work.check != (0, 0):
-            work.digests = pack_digests(self._looked_at(book, *work.check))
-        if work.shut:
-            self._run("DELETE FROM entries WHERE book = ?", (book,))  # its token stays
-            self._staged.pop(book, None)
-
-    def _drop(self, found: list[int], book: str, bucket: int, where: str, values: tuple[object, ...]) -> None:
+                    self._delete_rows(digests, journal_id, write.trimmed_bucket, "id = ? AND kind = ?", (id_, kind))
+        if write.digest_range == (0, -1):
+            write.digests = pack_digests(digests)
+        elif write.digest_range != (0, 0):
+            write.digests = pack_digests(self._digests_on_disk(journal_id, *write.digest_range))
+        if write.closes:
+            self._run("DELETE FROM entries WHERE book = ?", (journal_id,))  # its token stays
+            self._staged.pop(journal_id, None)
+
+    def _delete_rows(
+        self, digests: list[int], journal_id: str, bucket: int, where: str, values: tuple[object, ...]
+    ) -> None:
         for id_, kind, crc in self._run(
             "DELETE FROM entries WHERE book = ? AND bucket = ? AND " + where + " RETURNING id, kind, crc",
-            (book, bucket, *values),
+            (journal_id, bucket, *values),
         ):
-            found[bucket] ^= digest(id_, kind, crc)
+            digests[bucket] ^= entry_digest(id_, kind, crc)
 
-    def _looked_at(self, book: str, first: int, upto: int) -> list[int]:
+    def _digests_on_disk(self, journal_id: str, first: int, upto: int) -> list[int]:
         """Digests of some buckets from the rows as they are now."""
         out = [0] * (upto - first)
         for bucket, id_, kind, body in self._db.execute(
             "SELECT bucket, id, kind, body FROM entries WHERE book = ? AND bucket >= ? AND bucket < ?",
-            (book, first, upto),
+            (journal_id, first, upto),
         ):
-            out[bucket - first] ^= digest(id_, kind, crc32(body))
+            out[bucket - first] ^= entry_digest(id_, kind, crc32(body))
         return out
 
-    def _read(self, reading: Reading) -> None:
-        if reading.bucket >= 0:
-            reading.items = tuple(
-                ReplicaEntry(id_, kind, max(0.0, reading.wall_ms - since), bytes(body))
+    def _read(self, request: ReadRequest) -> None:
+        if request.bucket >= 0:
+            request.entries = tuple(
+                ReplicaEntry(id_, kind, max(0.0, request.wall_ms - since), bytes(body))
                 for id_, kind, since, body in self._run(
                     "SELECT id, kind, since, body FROM entries WHERE book = ? AND bucket = ? ORDER BY id, kind",
-                    (reading.book, reading.bucket),
+                    (request.journal_id, request.bucket),
                 )
             )
             return
-        life, shift = cast(ActivationEntries | None, None), 0.0
+        activation, shift = cast(ActivationEntries | None, None), 0.0
         for id_, kind, since, crc, body in self._db.execute(
-            "SELECT id, kind, since, crc, body FROM entries WHERE book = ? ORDER BY bucket, id, kind", (reading.book,)
+            "SELECT id, kind, since, crc, body FROM entries WHERE book = ? ORDER BY bucket, id, kind",
+            (request.journal_id,),
         ):
             try:
                 entry = unpack(bytes(body), crc)
             except DamagedError:
-                reading.damaged += 1
+                request.damaged += 1
                 # What follows an entry that cannot be read proves nothing: it may have run.
-                if life is not None and life.accepted.id == id_ and life.may_run is None and kind:
-                    life.may_run = MayRun(id_, life.accepted.start, "")
+                if activation is not None and activation.accepted.id == id_ and activation.may_run is None and kind:
+                    activation.may_run = MayRun(id_, activation.accepted.start, "")
                 continue
             if isinstance(entry, Accepted):
                 # Its times are told by this machine's clock, as that of its owner may have been another.
-                life, shift = ActivationEntries(msgspec.structs.replace(entry, start=since)), since - entry.start
-                reading.lives.append(life)
-            elif life is not None and life.accepted.id == id_:
+                activation, shift = ActivationEntries(msgspec.structs.replace(entry, start=since)), since - entry.start
+                request.activations.append(activation)
+            elif activation is not None and activation.accepted.id == id_:
                 if isinstance(entry, MayRun):
-                    life.may_run = MayRun(id_, since, entry.worker)
+                    activation.may_run = MayRun(id_, since, entry.worker)
                 elif isinstance(entry, Ended):
-                    life.ended = msgspec.structs.replace(entry, end=entry.end + shift)
+                    activation.ended = msgspec.structs.replace(entry, end=entry.end + shift)
 
     def forget(self, ids: Iterable[str]) -> None:
         """Nothing is forgotten but by works."""
 
-    def activation_count(self, book: str) -> int:
+    def activation_count(self, journal_id: str) -> int:
         """Activations in a book."""
-        return int(self._run("SELECT count(*) FROM entries WHERE book = ? AND kind = 0", (book,))[0][0])
+        return int(self._run("SELECT count(*) FROM entries WHERE book = ? AND kind = 0", (journal_id,))[0][0])
 
     def close(self) -> None:
         """Close it; what was committed stays."""
@@ -226,7 +233,7 @@
     try:
         return ReplicaStore(file, vfs), None
     except JournalError as cause:
-        if file is None or not any(word in str(cause) for word in DAMAGED):
+        if file is None or not any(word in str(cause) for word in DAMAGE_MARKS):
             raise
     number = 1
     while (aside := file.with_name(f"{file.name}.damaged-{number}")).exists():
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -20,7 +20,7 @@
 from kelptrail.history_checker.checker import check_history
 from kelptrail.lease.messages import FencingToken
 from kelptrail.model_checking.explorer import PropertyError
-from kelptrail.replication.failover import QUIET_MS, SHUN_MS, FailoverMonitor
+from kelptrail.replication.failover import APPEND_SILENCE_MS, MIN_BACKOFF_MS, FailoverMonitor
 from kelptrail.replication.lookup import HERE, NO, PENDING, LookupService
 from kelptrail.replication.messages import (
     Append,
@@ -31,14 +31,14 @@
     OpenStream,
     ReplicaEntry,
     ReplicationSettings,
-    digests_of,
+    bucket_digests,
     pack_digests,
 )
 from kelptrail.replication.model import Faults, Model, Node
-from kelptrail.replication.primary import Primary, Stage
-from kelptrail.replication.replica import Replica, Work
+from kelptrail.replication.primary import Primary, StreamState
+from kelptrail.replication.replica import Replica, ReplicaWrite
 from kelptrail.replication.replica_placement import Member, assign_replicas, count_moves, rank_replicas
-from kelptrail.replication.replica_store import Reading, ReplicaStore, open_replica_store
+from kelptrail.replication.replica_store import ReadRequest, ReplicaStore, open_replica_store
 from kelptrail.settings.deployment import load, parse
 from kelptrail.settings.reader import SettingsError
 from kelptrail.store.activation_journal import JournalError
@@ -86,7 +86,11 @@
     took = promised = broken = 0
     for seed in range(60):
         world = walk(Model(seed))
-        took, promised, broken = took + world.took, promised + len(world.promised), broken + bool(world.broken)
+        took, promised, broken = (
+            took + world.takeovers,
+            promised + len(world.acknowledged),
+            broken + bool(world.all_disks_lost),
+        )
     assert took > 200 and promised > 1000 and broken < 20, "and enough happened"
 
 
@@ -94,95 +98,97 @@
     """Only one disk rots, and nothing else goes wrong with disks: what a promise needs is found elsewhere."""
     mended = 0
     for seed in range(12):
-        world = Model(seed, faults=Faults(wipe=0.0, rot=0.004, lease=0.0, start=0.0, sync=0.0))
+        world = Model(seed, faults=Faults(disk_loss=0.0, bit_rot=0.004, lease_loss=0.0, restart=0.0, failed_sync=0.0))
         walk(world)
-        mended += sum(node.owner.mended for node in world.nodes.values())
-        (owner,) = [node for node in world.nodes.values() if node.believes]
-        for name in owner.owner.members:
-            assert world.nodes[name].disk.items == owner.disk.items, "all members have the same in the end"
+        mended += sum(node.primary.repaired_buckets for node in world.nodes.values())
+        (owner,) = [node for node in world.nodes.values() if node.holds_lease]
+        for name in owner.primary.in_sync:
+            assert world.nodes[name].disk.entries == owner.disk.entries, "all members have the same in the end"
     assert mended > 5
 
 
 class SafeOnItsOwnDisk(Primary):
-    def _settle(self) -> None:
-        for way in self.ways.values():
-            way.batch = 10**9
-        super()._settle()
+    def _commit(self) -> None:
+        for stream in self.streams.values():
+            stream.acked_batch = 10**9
+        super()._commit()
 
 
 class TakesFillingForWhole(Primary):
-    def received(self, now: float, holder: str, answer: Any) -> None:
-        super().received(now, holder, answer)
-        if (way := self.ways.get(holder)) is not None and way.stage is Stage.FILLING:
-            way.stage, way.batch = Stage.WHOLE, 10**9
-            self._change()
+    def on_message(self, now: float, replica: str, answer: Any) -> None:
+        super().on_message(now, replica, answer)
+        if (stream := self.streams.get(replica)) is not None and stream.state is StreamState.REPAIRING:
+            stream.state, stream.acked_batch = StreamState.IN_SYNC, 10**9
+            self._update_in_sync()
 
 
 class GoesOnWithoutNote(Primary):
-    def _give_up(self, now: float, way: Any) -> None:
-        super()._give_up(now, way)
-        if self.noting is not None:
-            self.members, self.noting = self.noting, None
-            self.notes.clear()
+    def _drop_stream(self, now: float, stream: Any) -> None:
+        super()._drop_stream(now, stream)
+        if self.pending_in_sync is not None:
+            self.in_sync, self.pending_in_sync = self.pending_in_sync, None
+            self.in_sync_updates.clear()
 
 
 class ActsWithoutItsNote(Primary):
-    def won(self, now: float, token: FencingToken, members: Any) -> None:
-        super().won(now, token, {})
-        self.ready, self.noting = True, None
-        self.notes.clear()
+    def on_lease_acquired(self, now: float, token: FencingToken, members: Any) -> None:
+        super().on_lease_acquired(now, token, {})
+        self.ready, self.pending_in_sync = True, None
+        self.in_sync_updates.clear()
 
 
 class ForgetsWhatIsBehind(Primary):
-    def _fill(self, now: float, way: Any) -> None:
-        way.behind = []
-        super()._fill(now, way)
+    def _repair(self, now: float, stream: Any) -> None:
+        stream.deferred_batches = []
+        super()._repair(now, stream)
 
 
 class SafeBeforeItsDisk(Primary):
-    def pump(self, now: float) -> None:
-        super().pump(now)
-        for batch in self._open:
-            batch.local = True
+    def start_batch(self, now: float) -> None:
+        super().start_batch(now)
+        for batch in self._uncommitted:
+            batch.locally_durable = True
 
 
 class AnswersFirst(Replica):
-    def received(self, sender: str, message: Any) -> None:
-        super().received(sender, message)
-        if isinstance(message, Append) and (shelf := self.shelves.get(message.book)) is not None:
-            self.out.append((sender, AppendAck(message.book, message.token, message.stream, shelf.number)))
+    def on_message(self, sender: str, message: Any) -> None:
+        super().on_message(sender, message)
+        if isinstance(message, Append) and (log := self.logs.get(message.journal_id)) is not None:
+            self.outbox.append(
+                (sender, AppendAck(message.journal_id, message.token, message.stream_id, log.received_sequence))
+            )
 
 
 class TakesOlder(Replica):
-    def received(self, sender: str, message: Any) -> None:
-        if (shelf := self.shelves.get(message.book)) is not None and message.token < shelf.token:
-            shelf.token, shelf.stream = message.token, message.stream
-        super().received(sender, message)
+    def on_message(self, sender: str, message: Any) -> None:
+        if (log := self.logs.get(message.journal_id)) is not None and message.token < log.token:
+            log.token, log.stream_id = message.token, message.stream_id
+        super().on_message(sender, message)
 
 
 class SkipsAhead(Replica):
-    def received(self, sender: str, message: Any) -> None:
-        shelf = self.shelves.get(message.book)
-        if isinstance(message, Append) and shelf is not None and shelf.number >= 0:
-            shelf.number, shelf.safe = message.number - 1, message.number - 1
-        super().received(sender, message)
+    def on_message(self, sender: str, message: Any) -> None:
+        log = self.logs.get(message.journal_id)
+        if isinstance(message, Append) and log is not None and log.received_sequence >= 0:
+            log.received_sequence, log.durable_sequence = message.sequence - 1, message.sequence - 1
+        super().on_message(sender, message)
 
 
 class ActsOnWhatItFinds(Model):
-    def _owned(self, node: Node, token: FencingToken, members: dict[str, str], safe: bool) -> None:
-        super()._owned(node, token, members, safe)
-        if safe and node.believes and token == self.token:
-            self._take_up(node, node.owner, True)
+    def _on_fence_stored(self, node: Node, token: FencingToken, members: dict[str, str], safe: bool) -> None:
+        super()._on_fence_stored(node, token, members, safe)
+        if safe and node.holds_lease and token == self.lease_token:
+            self._recover(node, node.primary, True)
 
 
 class TakesEmptyForWhole(Model):
     def __init__(self, seed: int, **how: Any) -> None:
-        super().__init__(seed, faults=Faults(wipe=0.03), **how)
+        super().__init__(seed, faults=Faults(disk_loss=0.03), **how)
 
-    def _win(self, node: Node) -> None:
-        if node.name in self.note.disks:
-            self.note.disks[node.name] = f"{node.lost}"
-        super()._win(node)
+    def _grant_lease(self, node: Node) -> None:
+        if node.name in self.in_sync.disk_ids:
+            self.in_sync.disk_ids[node.name] = f"{node.disks_lost}"
+        super()._grant_lease(node)
 
 
 @pytest.mark.parametrize(
@@ -211,107 +217,114 @@
 # Owner and holder, step by step.
 
 ONE, TWO = FencingToken(1, "a/1"), FencingToken(2, "b/1")
-EMPTY = pack_digests(digests_of(()))
+EMPTY = pack_digests(bucket_digests(()))
 
 
 def owner(count: int = 1, **how: Any) -> Primary:
-    made = Primary("b", "a", "disk-a", ReplicationSettings(count, **how), lambda: digests_of(()))
-    made.won(0.0, ONE, {})
-    made.noted(0.0)
+    made = Primary("b", "a", "disk-a", ReplicationSettings(count, **how), lambda: bucket_digests(()))
+    made.on_lease_acquired(0.0, ONE, {})
+    made.on_in_sync_stored(0.0)
     return made
 
 
 def whole(core: Primary, now: float, name: str) -> None:
-    core.seek(now, [name], [name])
-    core.received(now, name, DigestReply("b", ONE, core.ways[name].stream, 0, 0, EMPTY, f"disk-{name}"))
-    core.received(now, name, AppendAck("b", ONE, core.ways[name].stream, core.ways[name].number))
-    core.noted(now)
+    core.update_streams(now, [name], [name])
+    core.on_message(now, name, DigestReply("b", ONE, core.streams[name].stream_id, 0, 0, EMPTY, f"disk-{name}"))
+    core.on_message(now, name, AppendAck("b", ONE, core.streams[name].stream_id, core.streams[name].last_sequence))
+    core.on_in_sync_stored(now)
 
 
 def test_with_fewer_copies_than_asked_for_nothing_is_promised_and_what_runs_goes_on() -> None:
     core, told = owner(), list[bool]()
-    assert not core.takes(), "too few have it"
+    assert not core.accepts_requests(), "too few have it"
     whole(core, 1.0, "h")
-    assert core.takes() and core.members == {"a": "disk-a", "h": "disk-h"} and core.risk_ms == 1.0
-    core.write([ReplicaEntry("i", 0, 0.0, b"x")], told.append)
-    core.pump(2.0)
-    core.written(core.locals.popleft(), True)
+    assert (
+        core.accepts_requests() and core.in_sync == {"a": "disk-a", "h": "disk-h"} and core.under_replicated_ms == 1.0
+    )
+    core.append([ReplicaEntry("i", 0, 0.0, b"x")], told.append)
+    core.start_batch(2.0)
+    core.on_local_write(core.local_writes.popleft(), True)
     assert not told, "the holder has not answered"
     core.tick(400.0)
     core.tick(1600.0)
-    assert not core.ways and core.notes.pop() == {"a": "disk-a"} and not told, "given up, and that is not noted yet"
-    core.noted(1601.0)
-    assert told == [False] and not core.takes() and core.status(1701.0)["at_risk_ms"] == 100
+    assert not core.streams and core.in_sync_updates.pop() == {"a": "disk-a"} and not told, (
+        "given up, and that is not noted yet"
+    )
+    core.on_in_sync_stored(1601.0)
+    assert told == [False] and not core.accepts_requests() and core.status(1701.0)["at_risk_ms"] == 100
     short = owner(allow_under_replicated=True)
-    assert short.takes(), "where the settings say so"
+    assert short.accepts_requests(), "where the settings say so"
 
 
 def test_an_owner_that_was_fenced_is_told_and_tells_nobody_that_anything_is_safe() -> None:
     core, told = owner(0), list[bool]()
-    core.received(1.0, "h", FencedReply("b", TWO))
-    core.write([ReplicaEntry("i", 0, 0.0, b"x")], told.append)
-    core.pump(1.0)
-    core.written(core.locals.popleft(), True)
-    assert core.fenced and not told and not core.takes()
+    core.on_message(1.0, "h", FencedReply("b", TWO))
+    core.append([ReplicaEntry("i", 0, 0.0, b"x")], told.append)
+    core.start_batch(1.0)
+    core.on_local_write(core.local_writes.popleft(), True)
+    assert core.fenced_by and not told and not core.accepts_requests()
 
 
 def test_an_owner_whose_disk_fails_promises_nothing_more() -> None:
     core = owner(0)
-    core.write([ReplicaEntry("i", 0, 0.0, b"x")], None)
-    core.pump(1.0)
-    core.written(core.locals.popleft(), False)
-    assert core.failed and not core.takes()
+    core.append([ReplicaEntry("i", 0, 0.0, b"x")], None)
+    core.start_batch(1.0)
+    core.on_local_write(core.local_writes.popleft(), False)
+    assert core.disk_failed and not core.accepts_requests()
 
 
 def test_what_waits_for_a_holder_is_bounded_in_a_window_and_in_all() -> None:
     core = owner(1, window_bytes=1000, max_uncommitted_bytes=5000)
     whole(core, 1.0, "h")
-    core.out.clear()
+    core.outbox.clear()
     for n in range(4):
-        core.write([ReplicaEntry(f"i{n}", 0, 0.0, b"x" * 1500)], None)
-        core.pump(2.0)
-    sent = [m for _, m in core.out if isinstance(m, Append)]
-    assert len(sent) == 1 and not core.takes(), "one that fills the window, and no more is taken"
-    core.received(3.0, "h", AppendAck("b", ONE, core.ways["h"].stream, sent[0].number))
-    assert len([m for _, m in core.out if isinstance(m, Append)]) == 2
+        core.append([ReplicaEntry(f"i{n}", 0, 0.0, b"x" * 1500)], None)
+        core.start_batch(2.0)
+    sent = [m for _, m in core.outbox if isinstance(m, Append)]
+    assert len(sent) == 1 and not core.accepts_requests(), "one that fills the window, and no more is taken"
+    core.on_message(3.0, "h", AppendAck("b", ONE, core.streams["h"].stream_id, sent[0].sequence))
+    assert len([m for _, m in core.outbox if isinstance(m, Append)]) == 2
     core.tick(400.0)
-    again = [m for _, m in core.out if isinstance(m, Append)][2]
-    assert again.number == sent[0].number + 1 and again.waited_ms == 398.0, "sent again, and older by so much"
+    again = [m for _, m in core.outbox if isinstance(m, Append)][2]
+    assert again.sequence == sent[0].sequence + 1 and again.delay_ms == 398.0, "sent again, and older by so much"
 
 
 def test_a_large_batch_goes_in_parts_and_is_safe_with_the_last() -> None:
     core, told = owner(1, window_bytes=1000), list[bool]()
     whole(core, 1.0, "h")
-    core.out.clear()
-    core.write([ReplicaEntry(f"i{n}", 0, 0.0, b"x" * 300) for n in range(5)], told.append, ["old"])
-    core.pump(2.0)
-    core.written(core.locals.popleft(), True)
-    way = core.ways["h"]
-    parts = [put for put, *_ in way.queue]
-    assert [len(put.items) for put in parts] == [1, 1, 1, 1, 1] and [put.drops for put in parts][3:] == [(), ("old",)]
-    core.received(3.0, "h", AppendAck("b", ONE, way.stream, way.number - 1))
+    core.outbox.clear()
+    core.append([ReplicaEntry(f"i{n}", 0, 0.0, b"x" * 300) for n in range(5)], told.append, ["old"])
+    core.start_batch(2.0)
+    core.on_local_write(core.local_writes.popleft(), True)
+    way = core.streams["h"]
+    parts = [put for put, *_ in way.unacked]
+    assert [len(put.entries) for put in parts] == [1, 1, 1, 1, 1] and [put.deleted_ids for put in parts][3:] == [
+        (),
+        ("old",),
+    ]
+    core.on_message(3.0, "h", AppendAck("b", ONE, way.stream_id, way.last_sequence - 1))
     assert not told
-    core.received(4.0, "h", AppendAck("b", ONE, way.stream, way.number))
+    core.on_message(4.0, "h", AppendAck("b", ONE, way.stream_id, way.last_sequence))
     assert told == [True]
 
 
 def test_one_that_is_no_holder_any_more_is_told_and_forgets_but_not_for_an_older_word() -> None:
     core = owner()
     whole(core, 1.0, "h")
-    core.seek(5000.0, ["k"], ["k"])
-    core.noted(5000.0)
-    core.out.clear()
-    core.seek(5001.0, ["h", "k"], ["k"])
-    ((to, shut),) = core.out
+    core.update_streams(5000.0, ["k"], ["k"])
+    core.on_in_sync_stored(5000.0)
+    core.outbox.clear()
+    core.update_streams(5001.0, ["h", "k"], ["k"])
+    ((to, shut),) = core.outbox
     assert to == "h" and isinstance(shut, CloseStream)
     holder = Replica({}, lambda _: "disk")
-    holder.received("a", OpenStream("b", ONE, shut.stream + 1))
-    holder.received("a", shut)
-    assert "b" in holder.shelves, "it has been asked again meanwhile"
-    holder.received("a", CloseStream("b", ONE, shut.stream + 2))
-    assert not holder.shelves["b"].owner and holder.work[-1].shut
-    holder.received("old", OpenStream("b", FencingToken(0, "old/1"), 99))
-    assert isinstance(holder.out.pop()[1], FencedReply), "what is forgotten is not who came last"
+    holder.on_message("a", OpenStream("b", ONE, shut.stream_id + 1))
+    holder.on_message("a", shut)
+    assert "b" in holder.logs, "it has been asked again meanwhile"
+    holder.on_message("a", CloseStream("b", ONE, shut.stream_id + 2))
+    assert not holder.logs["b"].primary and holder.pending_writes[-1].closes
+    holder.on_message("old", OpenStream("b", FencingToken(0, "old/1"), 99))
+    assert isinstance(holder.outbox.pop()[1], FencedReply), "what is forgotten is not who came last"
 
 
 def test_books_are_wanted_once_their_owner_is_silent_or_looks_at_them_no_more() -> None:
@@ -324,11 +337,13 @@
         and watch.should_claim(0.0, "b", "me")
     )
     watch.on_heard("a", 7000.0)
-    assert watch.should_claim(500.0 + 1000.0 + QUIET_MS, "b", "a"), "heard, and does not look at it"
+    assert watch.should_claim(500.0 + 1000.0 + APPEND_SILENCE_MS, "b", "a"), "heard, and does not look at it"
     watch.on_append("b", 7000.0)
     assert watch.primary_returned(7100.0, "b", "a") and not watch.primary_returned(9000.0, "b", "a")
     watch.back_off(7100.0, "b")
-    assert not watch.should_claim(7100.0 + SHUN_MS - 1, "b", "me") and watch.should_claim(7100.0 + SHUN_MS, "b", "me")
+    assert not watch.should_claim(7100.0 + MIN_BACKOFF_MS - 1, "b", "me") and watch.should_claim(
+        7100.0 + MIN_BACKOFF_MS, "b", "me"
+    )
 
 
 def test_ranked_begins_with_the_holders_and_has_all_others() -> None:
@@ -362,13 +377,17 @@
     hour = 3_600_000.0
     ended = Ended("c1", CALL.start + 150.0, "completed", 0, b"{}")
     shelves.commit(
-        [Work("b", items(CALL, MayRun("c1", 1100.0, "w1"), ended), fence=(ONE, "a"), waited_ms=50.0, wall_ms=hour)]
+        [
+            ReplicaWrite(
+                "b", items(CALL, MayRun("c1", 1100.0, "w1"), ended), fence=(ONE, "a"), delay_ms=50.0, wall_ms=hour
+            )
+        ]
     )
     shelves.close()
     again, aside = open_replica_store(tmp_path / "copies.sqlite")
-    reading = Reading("b", wall_ms=hour + 500.0)
+    reading = ReadRequest("b", wall_ms=hour + 500.0)
     again.commit([reading])
-    (life,) = reading.lives
+    (life,) = reading.activations
     assert aside is None and again.fences() == {"b": (ONE, "a")} and again.disk_id == shelves.disk_id
     assert life.accepted.start == hour - 300.0 and life.may_run is not None and life.may_run.sent == hour - 50.0
     assert life.ended is not None and life.ended.end == life.accepted.start + 150.0, "as long as it was"
@@ -378,29 +397,31 @@
 
 def test_a_bucket_is_swept_of_what_does_not_belong_there_and_forgetting_changes_the_digest(tmp_path: Path) -> None:
     shelves, _ = open_replica_store(None)
-    shelves.commit([Work("b", items(CALL, MayRun("c1", 1.0, "w")), fence=(ONE, "a"))])
+    shelves.commit([ReplicaWrite("b", items(CALL, MayRun("c1", 1.0, "w")), fence=(ONE, "a"))])
     both = list(shelves.digests["b"])
     bucket = next(n for n, found in enumerate(both) if found)
-    shelves.commit([Work("b", bucket=bucket, only=(("c1", 0),))])
-    assert shelves.digests["b"] == digests_of(items(CALL)) != both
-    shelves.commit([Work("b", drops=("c1",))])
+    shelves.commit([ReplicaWrite("b", trimmed_bucket=bucket, retained=(("c1", 0),))])
+    assert shelves.digests["b"] == bucket_digests(items(CALL)) != both
+    shelves.commit([ReplicaWrite("b", deleted_ids=("c1",))])
     assert not any(shelves.digests["b"])
-    shelves.commit([Work("b", fence=(TWO, ""), shut=True)])
+    shelves.commit([ReplicaWrite("b", fence=(TWO, ""), closes=True)])
     assert shelves.fences() == {"b": (TWO, "")} and not shelves.digests
 
 
 def test_a_flipped_bit_is_seen_by_reading_back_and_what_follows_it_may_have_run(tmp_path: Path) -> None:
     file = tmp_path / "copies.sqlite"
     shelves, _ = open_replica_store(file)
-    shelves.commit([Work("b", items(CALL, MayRun("c1", 1.0, "w")), fence=(ONE, "a"))])
+    shelves.commit([ReplicaWrite("b", items(CALL, MayRun("c1", 1.0, "w")), fence=(ONE, "a"))])
     other = apsw.Connection(str(file))
     list(other.execute("UPDATE entries SET body = CAST(replace(body, 'w', 'v') AS BLOB) WHERE kind = 1"))
-    look = Work("b", check=(0, 256))
+    look = ReplicaWrite("b", digest_range=(0, 256))
     shelves.commit([look])
     assert look.digests != pack_digests(shelves.digests["b"])
-    reading = Reading("b")
+    reading = ReadRequest("b")
     shelves.commit([reading])
-    assert reading.damaged == 1 and reading.lives[0].may_run == MayRun("c1", reading.lives[0].accepted.start, "")
+    assert reading.damaged == 1 and reading.activations[0].may_run == MayRun(
+        "c1", reading.activations[0].accepted.start, ""
+    )
 
 
 def test_a_file_that_cannot_be_read_is_set_aside_as_a_lost_disk_and_a_newer_one_left_alone(tmp_path: Path) -> None:
@@ -508,14 +529,16 @@
 def test_a_holder_that_leaves_is_replaced_before_it_is_let_go() -> None:
     core = owner()
     whole(core, 1.0, "h")
-    core.leaving.add("h")
-    core.seek(2.0, ["h", "k"], ["h", "k"])
-    assert set(core.ways) == {"h", "k"} and core.takes()
+    core.draining.add("h")
+    core.update_streams(2.0, ["h", "k"], ["h", "k"])
+    assert set(core.streams) == {"h", "k"} and core.accepts_requests()
     whole(core, 3.0, "k")
-    assert core.members.keys() == {"a", "h", "k"} and core.full
-    core.seek(4.0, ["h", "k"], ["h", "k"])
-    core.noted(5.0)
-    assert core.members.keys() == {"a", "k"} and core.full and core.risk_ms == 1.0, "no time at risk for it"
+    assert core.in_sync.keys() == {"a", "h", "k"} and core.is_fully_replicated
+    core.update_streams(4.0, ["h", "k"], ["h", "k"])
+    core.on_in_sync_stored(5.0)
+    assert core.in_sync.keys() == {"a", "k"} and core.is_fully_replicated and core.under_replicated_ms == 1.0, (
+        "no time at risk for it"
+    )
 
 
 # Between processes.
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -38,8 +38,8 @@
 from kelptrail.planner.edge_driver import Kept, PlanFollower
 from kelptrail.planner.plan import Head, Plan, digest_of
 from kelptrail.replication.messages import InSyncSet, ReplicaEntry, decode_in_sync, encode_in_sync
-from kelptrail.replication.replica import Work
-from kelptrail.replication.replica_store import Reading, ReplicaStore, open_replica_store
+from kelptrail.replication.replica import ReplicaWrite
+from kelptrail.replication.replica_store import ReadRequest, ReplicaStore, open_replica_store
 from kelptrail.settings.deployment import parse
 from kelptrail.simulation.compare import compare
 from kelptrail.store.activation_journal import ActivationEntries, open_journal
@@ -260,7 +260,7 @@
         SOUTH: {204: 11394445161795177697},
         WEST: {},
     }
-    first, second = Reading(NORTH), Reading(SOUTH)
+    first, second = ReadRequest(NORTH), ReadRequest(SOUTH)
     shelves.commit([first, second])
     wall = T + 100_000.0  # when it came here, by the holder's clock
     one = Accepted(
@@ -277,7 +277,7 @@
         "json",
     )
     two = Accepted(id_of(2), "north", "desk/see", wall - 500.0, 5000.0, b'{"inputs":[]}', None, "", "", True, "tensors")
-    assert sorted(first.lives, key=lambda life: life.accepted.id) == [
+    assert sorted(first.activations, key=lambda life: life.accepted.id) == [
         ActivationEntries(one),
         ActivationEntries(
             two,
@@ -286,7 +286,7 @@
         ),
     ]
     three = Accepted(id_of(3), "south", "desk/sum", wall + 1, 900.0, b"{}", None, "", "", True, "json")
-    assert second.lives == [ActivationEntries(three)]
+    assert second.activations == [ActivationEntries(three)]
     assert first.damaged == second.damaged == 0
     shelves.close()
 
@@ -297,9 +297,9 @@
     file = copy("copies.sqlite", tmp_path)
     bodies = dict(ask(file, "SELECT kind, body FROM entries WHERE id = ?", id_of(2)))
     shelves, _ = open_replica_store(file)
-    bucket = Reading(NORTH, 90, T + 101_000.0)
+    bucket = ReadRequest(NORTH, 90, T + 101_000.0)
     shelves.commit([bucket])
-    assert bucket.items == (
+    assert bucket.entries == (
         ReplicaEntry(id_of(2), 0, 1500.0, bodies[0]),
         ReplicaEntry(id_of(2), 1, 1125.0, bodies[1]),
         ReplicaEntry(id_of(2), 2, 1500.0, bodies[2]),
@@ -319,9 +319,12 @@
         found = ask(old, "SELECT id, kind, since, body FROM entries WHERE book = ?", book)
         items = tuple(ReplicaEntry(id_, kind, at - since, body) for id_, kind, since, body in found)
         shelves.commit(
-            [Work(book, fence=(FencingToken(round_, who), owner), wall_ms=at), Work(book, items=items, wall_ms=at)]
+            [
+                ReplicaWrite(book, fence=(FencingToken(round_, who), owner), wall_ms=at),
+                ReplicaWrite(book, entries=items, wall_ms=at),
+            ]
         )
-    shelves.commit([Work(WEST, fence=(FencingToken(2, "west/5"), ""), shut=True, wall_ms=wall + 3)])
+    shelves.commit([ReplicaWrite(WEST, fence=(FencingToken(2, "west/5"), ""), closes=True, wall_ms=wall + 3)])
     shelves.close()
     for text in (
         "PRAGMA user_version",
@@ -339,7 +342,10 @@
     """Who owned a book and who has the whole of it on which disk; whoever takes the book over goes by it."""
     text = (STORED / "lease-note-of-a-book.bin").read_bytes()
     assert decode_in_sync(text) == MEMBERS
-    assert (MEMBERS.owner, MEMBERS.disks) == ("north", {"north": "0a1b2c3d4e5f", "south": "ffeeddccbbaa", "pär": ""})
+    assert (MEMBERS.primary, MEMBERS.disk_ids) == (
+        "north",
+        {"north": "0a1b2c3d4e5f", "south": "ffeeddccbbaa", "pär": ""},
+    )
     assert encode_in_sync(MEMBERS) == text
 
 
@@ -591,10 +597,10 @@
     }
     found = {}
     for book in shelves.fences():
-        reading = Reading(book)
+        reading = ReadRequest(book)
         shelves.commit([reading])
         assert reading.damaged == 0
-        found[book] = [(life.may_run is not None, life.ended is not None) for life in reading.lives]
+        found[book] = [(life.may_run is not None, life.ended is not None) for life in reading.activations]
     shelves.close()
     assert {book: sorted(ends) for book, ends in found.items()} == {
         "dispatcher-0.b733a7160eac": [],
--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -157,10 +157,10 @@
     assert plain(members) == told["members"]
     assert copies_terms.encode_in_sync(members) == data
     assert {id_: copies_terms.bucket_of(id_) for id_ in told["buckets"]} == told["buckets"]
-    assert [copies_terms.digest("a", 1, 2), copies_terms.digest("b", 3, 4)] == told["digests"]
+    assert [copies_terms.entry_digest("a", 1, 2), copies_terms.entry_digest("b", 3, 4)] == told["digests"]
     assert copies_terms.pack_digests(told["digests"]).hex() == told["packed"]
     assert copies_terms.unpack_digests(bytes.fromhex(told["packed"])) == told["digests"]
-    assert told["constants"] == [copies_terms.BUCKETS, copies_terms.DIGEST, copies_terms.LEASE_PREFIX]
+    assert told["constants"] == [copies_terms.BUCKETS, copies_terms.DIGEST_BYTES, copies_terms.LEASE_PREFIX]
 
 
 # The simulator's protocol.
