--- a/bench/vrrp_failover.py
+++ b/bench/vrrp_failover.py
@@ -26,10 +26,10 @@
 from kelptrail.clock import now_ms
 from kelptrail.emulator.capture import Capture
 from kelptrail.emulator.clients import ClientEmulator
-from kelptrail.emulator.cluster import Child, Cluster, ask
-from kelptrail.fault_scenario.report import latencies, world_of
-from kelptrail.history_checker.checker import check_history, read
-from kelptrail.load.plan import steady
+from kelptrail.emulator.cluster import Child, Cluster, http_json
+from kelptrail.fault_scenario.report import describe_deployment, latencies
+from kelptrail.history_checker.checker import check_history, read_captures
+from kelptrail.load.plan import steady_load
 from kelptrail.settings.deployment import Deployment, load
 
 # a master that is only cut off from what the others send keeps the address, as they hear it: no take-over
@@ -89,7 +89,10 @@
         place = self._place
         await place.start(self._deployment.fleet.workers, len(self._deployment.vrrp.instance), self._out / "state")
         self._capture.note(
-            "world", **world_of(self._deployment, [d.name for d in place.dispatchers], self._deployment.fleet.workers)
+            "world",
+            **describe_deployment(
+                self._deployment, [d.name for d in place.dispatchers], self._deployment.fleet.workers
+            ),
         )
         sampling = asyncio.create_task(self._sampler.run())
         while not self._sampler.now():
@@ -105,7 +108,7 @@
         seconds = failovers * (HARM_S + REST_S + 1.5) + 2
         arrivals: list[tuple[float, Callable[[], None]]] = [
             (when, partial(clients.wish, action, 0.25, 1.0, 1))
-            for when, action in clients.arrivals(steady(self._rate, seconds, 0.8), seconds)
+            for when, action in clients.arrivals(steady_load(self._rate, seconds, 0.8), seconds)
         ]
         self.start = now_ms()
         self._capture.note("begin", start=self.start, seconds=seconds)
@@ -125,14 +128,14 @@
         """Who says that it is Master of the first router."""
         while True:
             for child in self._place.dispatchers:
-                status = await ask(child.said["asked_at"], "GET", "/vrrp")
+                status = await http_json(child.said["asked_at"], "GET", "/vrrp")
                 if status["routers"][0]["state"] == "master":
                     return child
             await asyncio.sleep(0.02)
 
     async def _relay(self, **knobs: Any) -> None:
         assert self._place.relay is not None
-        await ask(self._place.relay.said["address"], "POST", "/", knobs)
+        await http_json(self._place.relay.said["address"], "POST", "/", knobs)
 
     async def _failover(self, kind: str, number: int) -> None:
         place, child = self._place, await self._master()
@@ -245,7 +248,7 @@
     assert deployment.vrrp is not None
     trial = Trial(deployment, options.settings, options.seed, options.out, options.rate)
     clean = uvloop.run(trial.play(options.failovers))
-    events = read(options.out / "captures")
+    events = read_captures(options.out / "captures")
     verdict = check_history(events)
     first = deployment.vrrp.router[0]
     interval = first.interval_cs * 10.0
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from kelptrail.fault_scenario.scenario import FaultScenario
-from kelptrail.fault_scenario.scenario import load as load_script
+from kelptrail.fault_scenario.scenario import load_scenario as load_script
 from kelptrail.load.results import Rows, figures, rows_of, spread_of, write
 from kelptrail.settings.deployment import Deployment
 from kelptrail.settings.deployment import load as load_deployment
@@ -142,7 +142,8 @@
         elif section == "script":
             day = _with(day, key, value)
         elif section in ("load", "trouble"):
-            day = _with(day, section, [_copied(one, key, value) for one in getattr(day, section)])
+            parts = getattr(day, _fields_by_key(day)[section])
+            day = _with(day, section, [_with(part, key, value) for part in parts])
         elif section in OF_DEPLOYMENT:
             deployment = _with(deployment, section, _with(getattr(deployment, section), key, value))
         else:
@@ -150,11 +151,16 @@
     return day, deployment, lab
 
 
+def _fields_by_key(one: Any) -> dict[str, str]:
+    """The field of each key that an experiment may set: its name, or the `key` of its metadata."""
+    return {f.metadata.get("key", f.name): f.name for f in dataclasses.fields(one)}
+
+
 def _fit(one: Any, key: str, value: Any) -> Any:
-    names = [f.name for f in dataclasses.fields(one)]
-    if key not in names:
-        raise ValueError("a key: " + ", ".join(name.replace("_", "-") for name in names))
-    before = getattr(one, key)
+    fields = _fields_by_key(one)
+    if key not in fields:
+        raise ValueError("a key: " + ", ".join(name.replace("_", "-") for name in fields))
+    before = getattr(one, fields[key])
     if isinstance(before, int) and not isinstance(before, bool) and isinstance(value, float):
         return int(value)
     if isinstance(before, bool | str) is not isinstance(value, bool | str) and not isinstance(before, list):
@@ -163,15 +169,8 @@
 
 
 def _with(one: Any, key: str, value: Any) -> Any:
-    return dataclasses.replace(one, **{key: _fit(one, key, value)})
-
-
-def _copied(one: Any, key: str, value: Any) -> Any:
-    import copy
-
-    made = copy.copy(one)  # these build themselves by words of the script, not by their fields
-    object.__setattr__(made, key, _fit(one, key, value))
-    return made
+    fitting = _fit(one, key, value)
+    return dataclasses.replace(one, **{_fields_by_key(one)[key]: fitting})
 
 
 def one(path: str, variant: str, point: Change | None, seed: int) -> tuple[Rows, Rows, Rows]:
@@ -190,7 +189,11 @@
         "value": float(point.value) if point is not None and isinstance(point.value, float) else 0.0,
         "seed": seed,
     }
-    row = who | figures(day.seconds, day.ends, result) | {"took_s": took, "simulated_s_a_second": day.seconds / took}
+    row = (
+        who
+        | figures(day.seconds, day.last_fault_ends, result)
+        | {"took_s": took, "simulated_s_a_second": day.seconds / took}
+    )
     return [row], rows_of(who, day.seconds, result), spread_of(who, result)
 
 
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -25,8 +25,8 @@
 
 from kelptrail.certificates.authority import Authority, read_certificate, shown
 from kelptrail.certificates.names import digest
-from kelptrail.fault_scenario.report import holders, latencies, timeline
-from kelptrail.history_checker.checker import check_history, read
+from kelptrail.fault_scenario.report import latencies, lease_holders, timeline
+from kelptrail.history_checker.checker import check_history, read_captures
 from kelptrail.lease.acceptor import DurableState, Stage, Write
 from kelptrail.lease.acceptor_store import AcceptorStore, open_acceptor_store
 from kelptrail.lease.messages import NOTHING, FencingToken, LeaseNote, LeaseRow
@@ -34,9 +34,9 @@
 from kelptrail.load.arrivals import read_trace
 from kelptrail.membership.client import EndpointClient
 from kelptrail.membership.members import Endpoint, EndpointList, Peer, id_prefix
-from kelptrail.planner.driver import Options, PlannerDriver, Snapshot
-from kelptrail.planner.edge_driver import Kept, PlanFollower
-from kelptrail.planner.plan import Head, Plan, digest_of
+from kelptrail.planner.driver import PlannerDriver, PlannerOptions, Snapshot
+from kelptrail.planner.edge_driver import PlanFollower, SavedPlan
+from kelptrail.planner.plan import Plan, PlanHeader, digest_of
 from kelptrail.replication.messages import InSyncSet, ReplicaEntry, decode_in_sync, encode_in_sync
 from kelptrail.replication.replica import ReplicaWrite
 from kelptrail.replication.replica_store import ReadRequest, ReplicaStore, open_replica_store
@@ -425,7 +425,7 @@
     """The plan in `plan.bin`."""
     seal = bytes.fromhex("51c3f63de17a6ff9d3d20c062ab274af")
     return Plan(
-        Head("coast", 9, "planner-1", 14, 90000.0, ("bb9b7433", 7), seal),
+        PlanHeader("coast", 9, "planner-1", 14, 90000.0, ("bb9b7433", 7), seal),
         {"desk-sum": {"worker-1": 2, "worker-2": 1}, "desk-see": {"worker-2": 3}},
     )
 
@@ -439,23 +439,23 @@
     """`STATE/plan.bin`: an edge that starts without a planner follows the plan that it had."""
     file, told = copy("plan.bin", tmp_path), list[Any]()
     workers = [SimpleNamespace(id=name, live=True) for name in ("worker-1", "worker-2")]
-    gateway: Any = SimpleNamespace(members=workers, planned=told.append)
+    gateway: Any = SimpleNamespace(members=workers, on_plan=told.append)
 
     async def main() -> None:
         log = Silent()
         edge = PlanFollower([], "edge", "coast", gateway, lambda: None, file, log)
-        assert edge.start_from_last() and log.lines == []
-        assert edge.follower.plan == plan_on_disk() and edge.follower.fence == (9, "planner-1", 14)
+        assert edge.load_saved_plan() and log.lines == []
+        assert edge.plan_state.plan == plan_on_disk() and edge.plan_state.fence == (9, "planner-1", 14)
 
     run(main())
-    assert told == [plan_on_disk().wants]
+    assert told == [plan_on_disk().instances]
 
 
 def test_a_plan_on_disk_is_sealed_and_written_as_before() -> None:
     """The digest over what a plan says, and the bytes of `plan.bin` before compression."""
     plan = plan_on_disk()
-    assert digest_of(plan.head, plan.wants) == plan.head.digest
-    assert msgspec.msgpack.encode(Kept(plan, 60000.0, 4e12)) == unpacked("plan.bin")
+    assert digest_of(plan.header, plan.instances) == plan.header.digest
+    assert msgspec.msgpack.encode(SavedPlan(plan, 60000.0, 4e12)) == unpacked("plan.bin")
 
 
 def test_a_planner_takes_up_its_snapshot(tmp_path: Path) -> None:
@@ -466,11 +466,11 @@
     leases: Any = SimpleNamespace()
 
     async def main() -> None:
-        options = Options("planner-0", "127.0.0.1", 0, "", tmp_path, None, "greedy")
+        options = PlannerOptions("planner-0", "127.0.0.1", 0, "", tmp_path, None, "greedy")
         planner = PlannerDriver(parse(FAST, "fast"), options, leases, 1000.0, Silent())
         assert planner.restore()
-        assert planner.core.wants == wants
-        assert {name: planner.core.demand.functions[name].hours for name in hours} == hours
+        assert planner.planner.target == wants
+        assert {name: planner.planner.demand.functions[name].hourly_rates for name in hours} == hours
 
     run(main())
     assert msgspec.msgpack.encode(Snapshot(9, wants, hours)) == unpacked("planner.bin")
@@ -633,16 +633,18 @@
 
 def test_captures_of_acts_under_leases_are_judged_as_they_were() -> None:
     """The witness's lines, by which `kelptrail audit` tells two holders of a task, and the report who held it when."""
-    events = read(STORED / "day-of-leases" / "captures")
+    events = read_captures(STORED / "day-of-leases" / "captures")
     verdict = check_history(events)
     assert not verdict.broken and {name: n for name, n in verdict.counts().items() if n} == {"acts": 10}
     span = {"by": "dispatcher-5", "token": "5.dispatcher-5/efd7844a", "from": -2.129, "until": -1.51}
-    assert holders(events, 4) == {"sweep": {"spans": [span], "without_s": 5.51, "longest_without_s": 5.51, "acts": 20}}
+    assert lease_holders(events, 4) == {
+        "sweep": {"spans": [span], "without_s": 5.51, "longest_without_s": 5.51, "acts": 20}
+    }
 
 
 def test_captures_of_a_bad_day_are_judged_as_they_were() -> None:
     """`kelptrail audit` on captures that were kept: the counts that the report of that day has, none of them broken."""
-    verdict = check_history(read(STORED / "day" / "captures"))
+    verdict = check_history(read_captures(STORED / "day" / "captures"))
     report = msgspec.json.decode((STORED / "day" / "report.json").read_bytes())
     counts = verdict.counts()
     assert counts == {name: report[name] for name in counts} and not verdict.broken
@@ -659,7 +661,7 @@
 
 def test_the_report_of_a_bad_day_comes_from_its_captures() -> None:
     """Latencies, the timeline of seconds and the troubles in `report.json` are those that its captures still give."""
-    events = read(STORED / "day" / "captures")
+    events = read_captures(STORED / "day" / "captures")
     report = msgspec.json.decode((STORED / "day" / "report.json").read_bytes())
     assert latencies(events) == report["latency_ms"]
     assert timeline(events) == (report["timeline"], report["troubles"])
@@ -741,5 +743,5 @@
 def test_a_recording_of_arrivals_is_read() -> None:
     """A load's recording: seconds, with an action or without, remarks and empty lines."""
     trace = read_trace(STORED / "arrivals.csv")
-    assert trace.times.tolist() == [0.25, 0.5, 0.5, 2.75] and trace.seconds == 3.4375
+    assert trace.times.tolist() == [0.25, 0.5, 0.5, 2.75] and trace.length_s == 3.4375
     assert trace.actions == ["desk/sum", "", "desk/see", "desk/sum"]
