--- a/kelptrail/emulator/capture.py
+++ b/kelptrail/emulator/capture.py
@@ -1,4 +1,4 @@
-"""What passed over the sockets, as JSON lines written at once, so that a kill loses nothing.
+"""A capture of what passed over the sockets, as JSON lines written at once, so that a kill loses nothing.
 
 Times are milliseconds of the machine's monotonic clock, the same for all processes.
 """
@@ -16,7 +16,7 @@
 
 
 class ReadLag:
-    """How much earlier than now what a process reads just now may have come: its loop's own delays."""
+    """How much earlier the data that is read now may have arrived: the delay of the process's own loop."""
 
     def __init__(self) -> None:
         self._tick = now_ms()
@@ -27,22 +27,22 @@
         while True:
             await asyncio.sleep(0.005)
             now = now_ms()
-            if now - self._tick > 20:  # what is read next may have come all through the stall
+            if now - self._tick > 20:  # data read next may have arrived at any time of the stall
                 self._stall, self._stalled = now - self._tick, now
             self._tick = now
 
     def now(self) -> float:
-        """Milliseconds."""
+        """The present lag in milliseconds."""
         now = now_ms()
         return now - self._tick + (self._stall if now - self._stalled < 500 else 0.0)
 
     def stop(self) -> None:
-        """End its ticks."""
+        """Stop measuring."""
         self._task.cancel()
 
 
 class Capture:
-    """One process's record; without a file it writes nothing."""
+    """The capture of one process; without a file it writes nothing."""
 
     def __init__(self, file: Path | None, who: str) -> None:
         self._process_name = who
--- a/kelptrail/emulator/channel_proxy.py
+++ b/kelptrail/emulator/channel_proxy.py
@@ -1,4 +1,4 @@
-"""A relay for the channel between dispatchers: cuts, slows and resets connections between real processes.
+"""A TCP proxy for the channel between dispatchers: cuts, slows and resets connections between real processes.
 
 It listens once for each ordered pair, so it knows who connects to whom without reading a byte, and learns where each
 one's channel listens from whoever starts them.  What is cut is held, not lost: the connections stay open and silent,
@@ -25,8 +25,8 @@
 
 
 class ChannelProxy:
-    """From each of `sources` to each of `targets`.  Knobs at its control port: `at` (addresses),
-    `cut` (ordered pairs whose bytes are held), `slow` (ms and share of pieces), `reset` (share of connections, now)."""
+    """From each of `sources` to each of `targets`.  Settings at its control port: `at` (addresses),
+    `cut` (ordered pairs whose bytes are delayed), `slow` (ms and share of reads), `reset` (share of open connections)."""
 
     def __init__(self, sources: list[str], targets: list[str], capture: Capture, seed: int) -> None:
         self._capture, self._faults = capture, NetworkFaults(seed, 5)
@@ -78,7 +78,7 @@
             ]
             await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         except (OSError, KeyError):
-            pass  # nobody there: the one who connects sees a closed connection
+            pass  # no process listens there: the peer sees a closed connection
         finally:
             for direction in directions:
                 direction.cancel()
--- a/kelptrail/emulator/clients.py
+++ b/kelptrail/emulator/clients.py
@@ -1,6 +1,6 @@
-"""A fleet of stand-in clients: open-loop load on the invoke API, polling, giving up, coming back.
+"""Client emulator: open-loop load on the invoke and inference APIs, polling, timeouts, retries.
 
-Clients repeat only what is harmless by the answer they got; those without heed come back at once.
+Clients retry only what is harmless by the answer they got (`load/client_behavior.py`).
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 from .capture import Capture, ReadLag
 
 POLL_EVERY_MS, POLL_FOR_MS = 150.0, 3000.0
-FAILOVER_WAIT_MS = 20_000.0  # what a client allows for another dispatcher to take up what a lost one held
-STREAM_TIMEOUT_MS = 5000.0  # what a client allows for a whole stream, beyond the time to its first part
+FAILOVER_WAIT_MS = 20_000.0  # how long a client polls on while another dispatcher takes over a lost one
+STREAM_TIMEOUT_MS = 5000.0  # for a whole stream, beyond the time to its first part
 FAILED_REASONS = ("MAY_HAVE_RUN", "NEVER_RAN")
 
 
 @dataclass(slots=True, eq=False)
 class ClientCall:
-    """What a client wants done, over all its tries."""
+    """One call of a client, over all its attempts."""
 
     ticket: str
     action: ActionSettings
@@ -51,13 +51,13 @@
     activation: str = ""
     call_id: str = ""
     poll_address: str = ""
-    grpc: bool = False  # over the second front
+    grpc: bool = False  # over the gRPC front
     streamed: bool = False
     parts: int = 0
 
 
 class ClientEmulator:
-    """All clients of one place."""
+    """All clients of one cluster."""
 
     def __init__(
         self,
@@ -72,11 +72,11 @@
         self._part, self._id_prefix = part, f"{part[0]}-" if part[1] > 1 else ""
         self._grpc_clients = [GrpcClient(address) for address in second or ()]
         self._deployment, self._addresses, self._capture = deployment, addresses, capture
-        self._shared_address = front  # the addresses are shared ones: who answers is not known beforehand
+        self._shared_address = front  # the addresses are shared: which dispatcher answers is not known beforehand
         self._random = np.random.default_rng([seed, 7, *part] if part[1] > 1 else [seed, 7])
         self._loop = asyncio.get_running_loop()
         self._pools = [self._pool(a) for a in addresses]
-        self._poll_pools: dict[str, WorkerPool] = {}  # where deferred calls are asked for
+        self._poll_pools: dict[str, WorkerPool] = {}  # by address, where deferred calls are polled
         self._auth = {
             n.name: "Basic " + base64.b64encode(f"{n.uuid}:{n.key}".encode()).decode()
             for n in deployment.namespaces.values()
@@ -108,7 +108,7 @@
         half_retry_after_share: float = 0.0,
         namespace: str = "",
     ) -> None:
-        """One client comes; `grpc` and `streams` are the shares that call by the second front, and in streams there."""
+        """Start one call; `grpc` is the share of calls over the gRPC front, `streams` of those the share that stream."""
         self._tickets += 1
         spaces = list(self._deployment.namespaces.values())
         shares = np.array([s.allowed_per_s for s in spaces])
@@ -171,7 +171,7 @@
         self._loop.call_later((kind.timeout_ms + 500) / 1000, call.give_up, "patience")
 
     def _send_grpc(self, client_call: ClientCall, kind: TypeSettings) -> None:
-        """The same wish by the second front."""
+        """Send the call over the gRPC front."""
         request = pb.ModelInferRequest(model_name=client_call.action.path, id=client_call.ticket)
         request.inputs.add(name="ticket", datatype="BYTES", shape=[1]).contents.bytes_contents.append(
             client_call.ticket.encode()
@@ -228,7 +228,7 @@
             if client_call.parts == 1:
                 self._capture.write("part", call=client_call.call_id, activation=activation, lag=self._read_lag.now())
             return
-        client_call.activation = "final"  # its call's status is no answer of its own
+        client_call.activation = "final"  # the status that ends the gRPC call is no second answer
         reason = answer_fields.get("reason")
         if not message.error_message:
             self._on_grpc_answer(client_call, "completed", activation)
@@ -299,7 +299,7 @@
             self._capture.write("no-answer", call=client_call.call_id, ending=ending.value)
             self._retry(client_call, ClientOutcome.LOST)
             return
-        if response.status == 307:  # another has the call under this key
+        if response.status == 307:  # another dispatcher has the call of this key
             client_call.poll_address = response.headers["location"].removeprefix("http://").partition("/")[0]
             self._send_http(
                 client_call,
@@ -393,7 +393,7 @@
             self.polling -= 1
             self._on_final_answer(client_call, 200, msgspec.json.decode(response.body))
             return
-        if response is None:  # whoever promised it is gone: any other may know
+        if response is None:  # the dispatcher that accepted it is gone: any other may know it
             client_call.poll_address = self._addresses[int(self._random.integers(len(self._addresses)))]
         elif response.status == 307:
             client_call.poll_address = response.headers["location"].removeprefix("http://").partition("/")[0]
@@ -404,7 +404,7 @@
         self._loop.call_later(POLL_EVERY_MS / 1000, self._poll, client_call)
 
     def plan(self, loads: list[Load], seconds: float) -> list[tuple[float, Callable[[], None]]]:
-        """All that comes by a script's loads: when (seconds), and the coming.  Closed loops are the load tool's."""
+        """All calls of a script's loads: when (seconds), and what starts each.  Closed loops are for the load tool."""
         out: list[tuple[float, Callable[[], None]]] = []
         for load in loads:
             for when, action in self.arrivals(load, min(seconds, load.at + load.duration)):
@@ -428,12 +428,12 @@
         return out
 
     async def wait_until_answered(self, until: float) -> None:
-        """Wait for the last answer, at the longest until a time (ms of the clock)."""
+        """Wait for the last answer, until a time (ms of the clock) at most."""
         while (self.open_requests or self.polling) and now_ms() < until:
             await asyncio.sleep(0.05)
 
     async def run(self, arrivals: list[tuple[float, Callable[[], None]]], start: float) -> None:
-        """Let clients come at their times (seconds after `start`, in ms of the clock)."""
+        """Start the calls at their times (seconds after `start`, which is in ms of the clock)."""
         for when, come in arrivals:
             wait = start / 1000 + when - now_ms() / 1000
             if wait > 0:
--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -1,6 +1,6 @@
-"""A whole place on loopback: stand-ins and dispatchers as processes of their own, minded from here.
+"""A cluster on loopback: emulators and dispatchers as supervised processes.
 
-Children live in sessions of their own, end when their standard input ends, and say `{"ready": true, ...}` once.
+Each process has a session of its own, ends when its standard input ends, and prints `{"ready": true, ...}` once.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 from kelptrail.net.http_client import HttpClient
 from kelptrail.settings.deployment import Deployment
 
-EVERY_PAIR = 12  # dispatchers up to which all pairs go through the relay; beyond, those to voters and planners
+EVERY_PAIR = 12  # dispatchers up to which all pairs go through the proxy; beyond, only links to acceptors and planners
 
 
 @dataclass(slots=True, eq=False)
 class Child:
-    """One process; `said` is its ready line."""
+    """One child process; `said` is its ready line."""
 
     name: str
     words: list[str]
     process: asyncio.subprocess.Process | None = None
     said: dict[str, Any] = field(default_factory=dict)
     starts: int = 0
-    ending: bool = False  # its end is wanted
+    ending: bool = False  # its end was requested
 
     @property
     def running(self) -> bool:
@@ -41,7 +41,7 @@
 
 
 class Cluster:
-    """Starts, minds and ends the processes of one deployment."""
+    """Starts, supervises and ends the processes of one deployment."""
 
     def __init__(
         self,
@@ -73,8 +73,8 @@
         solver: str = "program",
         tasks: tuple[str, ...] = (),
     ) -> None:
-        """Start everything, in the order of need.  With planners the dispatchers are edges that follow them; where the
-        settings have peers, their channels go through a relay; `tasks` are wanted by all dispatchers."""
+        """Start all processes, each after those it depends on.  With planners the dispatchers are edges of theirs;
+        where the settings have peers, their channels go through a proxy; all dispatchers acquire `tasks` as leases."""
         self.store = await self._child("store", ["standin", "store", self._file])
         self.endpoint_service = await self._child("roster", ["standin", "roster"])
         halls = self.deployment.halls
@@ -193,7 +193,7 @@
         )
 
     def ways(self, name: str) -> list[str]:
-        """How a process reaches others: through the relay."""
+        """The options by which a process reaches its peers: through the proxy."""
         routes = self.links.said["routes"] if self.links is not None else {}
         return [
             word
@@ -203,14 +203,14 @@
         ]
 
     def _follows(self, name: str) -> list[str]:
-        """How an edge reaches the planners: through the relay, where there is one."""
+        """The options by which an edge reaches the planners: through the proxy, where there is one."""
         routes = self.links.said["routes"] if self.links is not None else {}
         return [
             word for p in self.planners for word in ("--planner", routes.get(f"{name}>{p.name}", p.said["address"]))
         ]
 
     async def _at(self, child: Child, address: str) -> None:
-        """Tell the relay where a process listens."""
+        """Tell the proxy where a process listens."""
         if self.links is not None:
             await http_json(self.links.said["address"], "POST", "/", {"at": {child.name: address}})
 
@@ -227,7 +227,7 @@
         return child
 
     async def launch(self, child: Child) -> None:
-        """Start a child, again on the port it had, and wait for its ready line."""
+        """Start a process, on the ports it had before, and wait for its ready line."""
         words = list(child.words)
         if child.said:
             words += ["--port", child.said["address"].rpartition(":")[2]]
@@ -270,14 +270,14 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _mind(self, child: Child, process: asyncio.subprocess.Process) -> None:
-        """Tell the list of a worker's end, as whoever runs processes would."""
+        """Report the end of a worker to the endpoint service, as a process supervisor would."""
         await process.wait()
         if child in self.workers and self.endpoint_service.running:
             with contextlib.suppress(OSError):
                 await self.set_listed_state(child, "gone")
 
     async def clients(self, script: str, count: int, start: float, addresses: list[str], second: list[str]) -> None:
-        """The clients of a script in processes of their own, until all of them have their answers."""
+        """Run the clients of a script in processes of their own, until all of them have their answers."""
         words = ["standin", "clients", script, "--start", str(start), "--seed", str(self._seed), "--of", str(count)]
         for address in addresses:
             words += ["--at", address]
@@ -300,7 +300,7 @@
             raise RuntimeError(f"clients ended with {codes}")
 
     async def set_listed_state(self, worker: Child, state: str) -> None:
-        """Have the worker list say so of a worker."""
+        """Set the state of a worker in the endpoint list."""
         await http_json(
             self.endpoint_service.said["address"],
             "POST",
@@ -311,15 +311,15 @@
         )
 
     async def fault(self, child: Child, **body: Any) -> None:
-        """Turn a fault knob."""
+        """Inject a fault at a process's control port."""
         await http_json(child.said.get("control") or child.said["address"], "POST", "/fault", body)
 
     def set_disk_fault(self, child: Child, **fault: Any) -> None:
-        """Say what ails a dispatcher's disk; nothing: it is sound again."""
+        """Set a dispatcher's disk fault; without arguments the fault ends."""
         self._say_harm(child, "--harmed-disk", fault)
 
     def harm_clock(self, child: Child, **fault: Any) -> None:
-        """Say what ails a dispatcher's clock; nothing: it is sound again."""
+        """Set a dispatcher's clock fault; without arguments the fault ends."""
         self._say_harm(child, "--harmed-clock", fault)
 
     @staticmethod
@@ -330,11 +330,11 @@
         draft.replace(file)
 
     def lose_disk(self, child: Child) -> None:
-        """A dispatcher's machine is gone with its disk."""
+        """Delete a dispatcher's state, as if its disk were lost."""
         shutil.rmtree(child.words[child.words.index("--state") + 1], ignore_errors=True)
 
     async def harm_links(self, **body: Any) -> None:
-        """Turn a knob of the relay between dispatchers."""
+        """Change the faults of the proxy between dispatchers."""
         assert self.links is not None
         await http_json(self.links.said["address"], "POST", "/", body)
 
--- a/kelptrail/emulator/datagram_proxy.py
+++ b/kelptrail/emulator/datagram_proxy.py
@@ -1,7 +1,7 @@
-"""A relay for VRRP datagrams that drops, delays, copies, reorders and partitions them, one way too, on a seed.
+"""A UDP proxy for VRRP datagrams that drops, delays, duplicates, reorders and partitions them, one way too, on a seed.
 
-It listens where peers send to reach an instance (`via`) and sends on to the instance itself (`udp`), from the sender's
-own address, so that the sender is still known by it.  Every datagram is captured.
+It listens where peers send to reach an instance (`via`) and forwards to the instance itself (`udp`), from the sender's
+own address, which identifies the sender.  Every datagram is captured.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class DatagramProxy:
-    """All instances' datagrams; knobs at its control port: loss, copy (shares), delay_ms (a pair), cut (pairs)."""
+    """All instances' datagrams; settings at its control port: loss, copy (shares), delay_ms (a pair), cut (pairs)."""
 
     def __init__(self, settings: VrrpSettings, capture: Capture, seed: int) -> None:
         self._capture, self._faults = capture, NetworkFaults(seed, 3)
--- a/kelptrail/emulator/endpoint_service.py
+++ b/kelptrail/emulator/endpoint_service.py
@@ -1,7 +1,7 @@
-"""The stand-in worker list: knows only whether processes run, and tells every dispatcher, late where told to.
+"""Emulated endpoint service: it knows only whether processes run, and sends the list to every dispatcher.
 
-`GET /workers?who=&known=&wait=` is a long poll; workers announce themselves by `POST /register`, whoever minds
-their processes tells of ends and drains by `POST /state`.
+`GET /workers?who=&known=&wait=` is a long poll.  Workers register by `POST /register`; the supervisor of their
+processes reports ends and drains by `POST /state`.  A fault delays all changes.
 """
 
 from __future__ import annotations
@@ -35,14 +35,14 @@
 
 
 class EndpointService:
-    """The list and whoever waits for its next version; `late_ms` delays changes."""
+    """The list and the polls that wait for its next version; `delay_ms` delays changes."""
 
     def __init__(self, capture: Capture) -> None:
         self._capture = capture
         self._loop = asyncio.get_running_loop()
         self._lineage, self._version = os.urandom(4).hex(), 0
         self._workers: dict[str, _ListedWorker] = {}
-        # Where each and its channel are, and its hall; kept, as they come again.
+        # Address, channel and zone of each dispatcher; kept for good, as dispatchers restart under their names.
         self._dispatchers: dict[str, tuple[str, str, str]] = {}
         self._polls: dict[_LongPoll, None] = {}
         self.delay_ms = 0.0
--- a/kelptrail/emulator/model_store.py
+++ b/kelptrail/emulator/model_store.py
@@ -1,8 +1,8 @@
-"""The stand-in model store, and beside it the ledger of effects.
+"""Emulated model store, and the store in which workers record effects.
 
 `GET /blobs/{model}?ms=N` takes N ms at full pace; more fetches than it serves at once slow all of them, past
-a limit it refuses.  `POST /effects/known` and `/effects/commit` are the memory by which a group of workers
-drops repeats of deduplicated calls: shared by the group, kept for the stated time.
+a limit it refuses.  `POST /effects/known` and `/effects/commit` are how a group of workers
+deduplicates calls: entries are shared by the group and kept for the deduplication window.
 """
 
 from __future__ import annotations
--- a/kelptrail/emulator/network_faults.py
+++ b/kelptrail/emulator/network_faults.py
@@ -1,4 +1,4 @@
-"""What relays between processes do to what passes, whatever it is: pairs that are cut, shares drawn from a seed."""
+"""Faults that proxies apply to traffic between processes: links that are cut, and shares drawn from a seed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class NetworkFaults:
-    """`cut`: ordered pairs of names, from and to."""
+    """`cut`: ordered pairs of names, source and target."""
 
     def __init__(self, seed: int, salt: int) -> None:
         self.random = np.random.default_rng([seed, salt])
@@ -17,17 +17,17 @@
         self._changed = asyncio.Event()
 
     def apply(self, body: dict[str, Any]) -> None:
-        """A knob was turned."""
+        """Apply a change from the control port."""
         if "cut" in body:
             self.cut = {(a, b) for a, b in body["cut"]}
             self._changed.set()
 
     def draw(self, share: float) -> bool:
-        """Whether it befalls this one."""
+        """Whether a fault with this probability hits."""
         return bool(share) and bool(self.random.random() < share)
 
     async def wait_until_connected(self, *pairs: tuple[str, str]) -> None:
-        """Wait until none of these is cut."""
+        """Wait until none of these links is cut."""
         while any(pair in self.cut for pair in pairs):
             self._changed.clear()
             await self._changed.wait()
--- a/kelptrail/emulator/side_effect_log.py
+++ b/kelptrail/emulator/side_effect_log.py
@@ -1,6 +1,6 @@
-"""A stand-in for what is acted on under leases: notes each act by its own clock, refuses tokens older than one seen.
+"""A resource that is used under leases: records each use by its own clock, rejects tokens older than one seen.
 
-`POST /act` and `POST /done` with task, token, who, and `looked`: when the actor last looked at its lease, by the
+`POST /act` and `POST /done` with task, token, who, and `looked`: when the holder last checked its lease, by the
 machine's clock.
 """
 
@@ -17,11 +17,11 @@
 
 
 class SideEffectLog:
-    """One witness of all tasks."""
+    """The log of all tasks."""
 
     def __init__(self, capture: Capture) -> None:
         self._capture = capture
-        self._highest_tokens: dict[str, list[Any]] = {}  # the highest token, by task
+        self._highest_tokens: dict[str, list[Any]] = {}  # by task
         self.server = HttpServer(self._handle)
 
     def _handle(self, request: Request, exchange: Exchange) -> None:
--- a/kelptrail/emulator/worker.py
+++ b/kelptrail/emulator/worker.py
@@ -1,7 +1,8 @@
-"""The stand-in runner: a process that speaks the inference protocol and holds copies of many models.
+"""Worker emulator: a process that speaks the inference protocol and holds instances of many models.
 
-It has cores, memory, lanes, a bounded queue; it loads through the shared store, starts cold, drops repeats of
-deduplicated calls with its group, reports its load in answers.  Its control port takes faults, each timed:
+It has cores, memory, a concurrency limit per instance and a bounded queue; it loads through the shared store, warms up
+after its start, deduplicates calls with its group, and reports its load in answers.  Its control port takes timed
+faults:
 hang, silent, stall and cut (of streams), fail-fast, fail-type, pause, answers-lost, handshakes-slow,
 models-voided, heavy-work, answers-twice, answers-late, restart-cold, crash.
 """
@@ -54,7 +55,7 @@
     running: int = 0
     last_used: float = 0.0
     queue: deque[_Job] = field(default_factory=deque)
-    load_requests: list[tuple[int, Exchange]] = field(default_factory=list)  # hold orders that wait
+    load_requests: list[tuple[int, Exchange]] = field(default_factory=list)  # that wait for a load
 
 
 @dataclass(slots=True, eq=False)
@@ -66,11 +67,11 @@
     foreign_in_flight: int
     was_loaded: bool
     incarnation: str
-    latest_start: float  # past it the work is not begun: nobody waits, and a repeat's mark may be forgotten
+    latest_start: float  # the client has gone after it, and a retry may no longer be deduplicated
 
 
 class WorkerEmulator:
-    """One worker."""
+    """One worker process."""
 
     def __init__(
         self,
@@ -108,13 +109,13 @@
             a.model: _Model(a, self._deployment.types[a.type]) for a in self._deployment.actions.values()
         }
         self._running = self._loads = 0
-        self._queue: deque[_Model] = deque()  # a model for each job that waits
+        self._queue: deque[_Model] = deque()  # one entry for each job that waits
         self._load_queue: deque[_Model] = deque()
-        self._recent_work: deque[tuple[float, float]] = deque()  # work that came while cold
+        self._recent_work: deque[tuple[float, float]] = deque()  # (time, ms) that arrived during slow start
         self.draining = self.overloaded = False
 
     async def announce(self, address: str) -> None:
-        """Tell the list that this process runs."""
+        """Register with the endpoint service."""
         self._address = address
         rules = self._rules
         self._capture.write(
@@ -153,7 +154,7 @@
                     if model.loaded and not model.running and now - model.last_used > self._fleet.keep_ms:
                         model.loaded = 0
 
-    # What comes in.
+    # Requests.
 
     def _handle(self, request: Request, exchange: Exchange) -> None:
         parts = request.segments
@@ -231,7 +232,7 @@
         self._start_jobs()
 
     def _lag(self) -> float:
-        """How much earlier than now what is just read may have come."""
+        """How much earlier the data that is read now may have arrived."""
         return self._read_lag.now() + 2 * self.server.accept_delay_ms
 
     def _reject(self, exchange: Exchange, status: int, proof: str, text: str, company: int = 0) -> None:
@@ -242,14 +243,14 @@
 
     @property
     def slow_start_capacity(self) -> float:
-        """The share of its capacity that it has by its age."""
+        """The share of its capacity that it has at its age."""
         age = now_ms() - self._started
         if age >= self._rules.cold_ms:
             return 1.0
         return self._rules.cold_share + (1 - self._rules.cold_share) * age / self._rules.cold_ms
 
     def _overloads(self, now: float, model: _Model | None) -> bool:
-        """A cold worker that is sent too much falls over and stays down."""
+        """Whether this work overloads it: during slow start too much work makes it fail for good."""
         warmth = self.slow_start_capacity
         if warmth >= 1:
             return self.overloaded
@@ -309,7 +310,7 @@
     def _on_executed(self, job: _Job) -> None:
         if job.incarnation != self.incarnation:
             return
-        if job.request.parameters.get("form") == "tensors":  # its result is known by its mark alone
+        if job.request.parameters.get("form") == "tensors":  # its result is identified by its mark alone
             result = "{}"
         else:
             result = msgspec.json.encode(
@@ -380,7 +381,7 @@
         job.model.last_used = now_ms()
 
     def _answer_body(self, job: _Job, result: str, **more: str | int | float | bool) -> bytes:
-        """One answer of the protocol: the inputs again for a call in tensors, else the result."""
+        """One answer of the protocol: the inputs for a call in tensors, else the result."""
         request = job.request
         if request.parameters.get("form") == "tensors":
             return tensors_answer(job.model.action.model, request.id, request.inputs, success=True, **more)
@@ -435,7 +436,7 @@
         util, loads, memory = self._load_metrics
         return write_report(util, x1=loads, x0=round(memory, 3), found=found, company=company)
 
-    # Copies.
+    # Instances.
 
     def _handle_load(self, name: str, what: str, request: Request, exchange: Exchange) -> None:
         model = self._models.get(name)
@@ -456,7 +457,7 @@
         if "hang" in self._faults or "silent" in self._faults:
             return
         if self.draining:
-            self._answer_load(model, exchange, 503)_evict_for
+            self._answer_load(model, exchange, 503)
             return
         model.last_used = now_ms()
         while model.loaded + model.loading < copies:
@@ -470,12 +471,12 @@
             self._answer_load(model, exchange, 200)
         else:
             model.load_requests.append((copies, exchange))
-_evict_for
+
     def _answer_load(self, model: _Model, exchange: Exchange, status: int) -> None:
         exchange.raw(encode_response(status, msgspec.json.encode(LoadResponse(model.loaded))))
 
     def _room(self, model: _Model) -> bool:
-        """Make room for one more copy by unloading idle ones of others, the one idle longest first."""
+        """Free memory for one more instance by unloading idle ones of other models, least recently used first."""
         held = sum((m.loaded + m.loading) * m.action.memory_mb for m in self._models.values())
         idle = sorted(
             (m for m in self._models.values() if m.loaded and not m.running and m is not model and not m.queue),
@@ -559,7 +560,7 @@
         elif parts == ["fault"]:
             body = msgspec.json.decode(request.body)
             self._capture.write("fault", worker=self.id, kind=body["kind"], for_ms=body.get("for_ms", 0))
-            self._loop.call_later(0.02, self._fault, body)  # once this is answered
+            self._loop.call_later(0.02, self._fault, body)  # after this request is answered
         exchange.reply(200, b"{}")
 
     def _fault(self, body: dict[str, Any]) -> None:
