--- a/bench/crash_points.py
+++ b/bench/crash_points.py
@@ -26,7 +26,7 @@
 import uvloop
 
 from kelptrail.codec.http import HttpError
-from kelptrail.emulator.cluster import Child, Cluster, http_json
+from kelptrail.emulator.cluster import Cluster, Process, http_json
 from kelptrail.history_checker.checker import read_captures
 from kelptrail.net.http_client import HttpClient
 from kelptrail.settings.deployment import load
@@ -84,9 +84,9 @@
             "127.0.0.1:0",
             "--state",
             str(self._folder / name),
-            *self.place.ways("dispatcher-0"),
+            *self.place.peer_options("dispatcher-0"),
         ]
-        child = Child(name, [*words, "--crash-at", step])
+        child = Process(name, [*words, "--crash-at", step])
         await self.place.launch(child)
         while not (await http_json(child.said["asked_at"], "GET", "/copies"))["promising"]:
             await asyncio.sleep(0.05)
@@ -133,7 +133,7 @@
     async def paused(self, step: str, effect: str, _: bool) -> dict[str, Any]:
         """A deferred call whose dispatcher stands still at a step until another has carried the call on."""
         name = f"paused-{step}-{effect}"
-        child = Child(
+        child = Process(
             name,
             [
                 "serve",
@@ -146,7 +146,7 @@
                 "127.0.0.1:0",
                 "--state",
                 str(self._folder / name),
-                *self.place.ways("dispatcher-0"),
+                *self.place.peer_options("dispatcher-0"),
                 "--pause-at",
                 step,
             ],
@@ -189,7 +189,7 @@
                     if status == 200
                     else str(status)
                 )
-        await self.place.end(child)
+        await self.place.terminate(child)
         effects = [e for e in read_captures(self._folder) if e["what"] == "effect" and e["mark"].endswith(f"/{key}")]
         out |= {"effects": len(effects), "answers": [sorted(answers) for answers in told.values()]}
         twice = effect != "repeatable" and len(effects) > 1
@@ -234,7 +234,7 @@
             "--state",
             str(self._folder / name),
         ]
-        child = Child(name, [*words, "--crash-at", step])
+        child = Process(name, [*words, "--crash-at", step])
         await self.place.launch(child)
         address, key = child.said["address"], "" if deferred else f"key-{name}"
         target = f"actions/{ACTIONS[effect]}?blocking={str(not deferred).lower()}"
@@ -244,7 +244,7 @@
         try:
             await asyncio.wait_for(child.process.wait(), 4)
         except TimeoutError:  # the call never came by that step
-            await self.place.end(child)
+            await self.place.terminate(child)
             return {
                 "step": step,
                 "effect": effect,
@@ -269,7 +269,7 @@
             out["after"], record = await self.ask(address, "POST", target, ticket, key)
             out["answer"] = {200: "completed", 429: "rejected", 502: "aborted"}.get(out["after"])
         await asyncio.sleep(0.3)
-        await self.place.end(child)
+        await self.place.terminate(child)
         effects = [e for e in read_captures(self._folder) if e["what"] == "effect" and self._of(e, name, promised, key)]
         out["effects"] = len(effects)
         out["broken"] = (
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -26,7 +26,7 @@
 import uvloop
 
 from kelptrail.emulator.capture import Capture
-from kelptrail.emulator.cluster import Child, Cluster, http_json
+from kelptrail.emulator.cluster import Cluster, Process, http_json
 from kelptrail.fault_scenario.report import describe_deployment
 from kelptrail.history_checker.checker import check_history, read_captures
 from kelptrail.lease.messages import LeaseSettings
@@ -134,7 +134,7 @@
         )
         self.chance = np.random.default_rng(7)
 
-    async def holder(self) -> Child:
+    async def holder(self) -> Process:
         while True:
             for child in self.place.dispatchers:
                 try:
@@ -148,7 +148,7 @@
                     continue
             await asyncio.sleep(0.05)
 
-    async def befall(self, kind: str, child: Child) -> None:
+    async def befall(self, kind: str, child: Process) -> None:
         place, others = self.place, [c.name for c in self.place.dispatchers]
         others.remove(child.name)
         if kind == "kill":
@@ -156,16 +156,16 @@
         elif kind == "pause":
             place.signal(child, signal.SIGSTOP)
         elif kind == "cut":
-            await place.harm_links(cut=[p for o in others for p in ((child.name, o), (o, child.name))])
+            await place.set_link_fault(cut=[p for o in others for p in ((child.name, o), (o, child.name))])
         elif kind == "cut-one-way":
-            await place.harm_links(cut=[(o, child.name) for o in others])
+            await place.set_link_fault(cut=[(o, child.name) for o in others])
         else:
             place.signal(child, signal.SIGTERM)  # it gives back what it holds
         await asyncio.sleep(5.0)
         if kind == "pause":
             place.signal(child, signal.SIGCONT)
         elif kind.startswith("cut"):
-            await place.harm_links(cut=[])
+            await place.set_link_fault(cut=[])
         else:
             if child.process is not None:
                 await child.process.wait()
--- a/bench/planner.py
+++ b/bench/planner.py
@@ -154,8 +154,8 @@
     place = Cluster(load(file), file, None, 1, "warning", None, quiet=True)
     await place.start(4, 1, None)
     large = ROOT / "examples" / "large.sexp"
-    roster = await place._child("roster-2", ["standin", "roster"])
-    planner = await place._child(
+    roster = await place._start_process("roster-2", ["standin", "roster"])
+    planner = await place._start_process(
         "planner", ["planner", str(large), "--roster", roster.said["address"], "--control", "127.0.0.1:0"]
     )
     fakes: list[asyncio.Task[None]] = []
@@ -201,7 +201,7 @@
     for fake in fakes:
         fake.cancel()
     for child in (planner, roster):
-        await place.end(child, 5)
+        await place.terminate(child, 5)
     await place.stop()
     row = json.loads(said)
     return {
@@ -228,8 +228,8 @@
     large = ROOT / "examples" / "large.sexp"
     deployment = load(large)
     place = Cluster(deployment, str(large), None, 1, "warning", None, quiet=True)
-    roster = await place._child("roster", ["standin", "roster"])
-    planner = await place._child(
+    roster = await place._start_process("roster", ["standin", "roster"])
+    planner = await place._start_process(
         "planner", ["planner", str(large), "--roster", roster.said["address"], "--control", "127.0.0.1:0"]
     )
     for n in range(1000):
@@ -276,7 +276,7 @@
     for task in tasks:
         task.cancel()
     for child in (planner, roster):
-        await place.end(child, 5)
+        await place.terminate(child, 5)
 
 
 if __name__ == "__main__":
--- a/bench/vrrp_failover.py
+++ b/bench/vrrp_failover.py
@@ -26,7 +26,7 @@
 from kelptrail.clock import now_ms
 from kelptrail.emulator.capture import Capture
 from kelptrail.emulator.clients import ClientEmulator
-from kelptrail.emulator.cluster import Child, Cluster, http_json
+from kelptrail.emulator.cluster import Cluster, Process, http_json
 from kelptrail.fault_scenario.report import describe_deployment, latencies
 from kelptrail.history_checker.checker import check_history, read_captures
 from kelptrail.load.plan import steady_load
@@ -124,7 +124,7 @@
         clients.close()
         return await place.stop()
 
-    async def _master(self) -> Child:
+    async def _master(self) -> Process:
         """Who says that it is Master of the first router."""
         while True:
             for child in self._place.dispatchers:
@@ -134,8 +134,8 @@
             await asyncio.sleep(0.02)
 
     async def _relay(self, **knobs: Any) -> None:
-        assert self._place.relay is not None
-        await http_json(self._place.relay.said["address"], "POST", "/", knobs)
+        assert self._place.datagram_proxy is not None
+        await http_json(self._place.datagram_proxy.said["address"], "POST", "/", knobs)
 
     async def _failover(self, kind: str, number: int) -> None:
         place, child = self._place, await self._master()
@@ -151,7 +151,7 @@
             self._capture.write("kill", dispatcher=index)
             place.kill(child)
         elif kind == "term":
-            ending = asyncio.create_task(place.end(child))
+            ending = asyncio.create_task(place.terminate(child))
         elif kind == "pause":
             self._capture.write("stopped", dispatcher=index)
             place.signal(child, signal.SIGSTOP)
--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -21,11 +21,13 @@
 from kelptrail.net.http_client import HttpClient
 from kelptrail.settings.deployment import Deployment
 
-EVERY_PAIR = 12  # dispatchers up to which all pairs go through the proxy; beyond, only links to acceptors and planners
+ALL_PAIRS_LIMIT = (
+    12  # dispatchers up to which all pairs go through the proxy; beyond, only links to acceptors and planners
+)
 
 
 @dataclass(slots=True, eq=False)
-class Child:
+class Process:
     """One child process; `said` is its ready line."""
 
     name: str
@@ -55,13 +57,13 @@
     ) -> None:
         self.deployment, self._file, self._out, self._seed = deployment, file, out, seed
         self._level, self._logs, self._quiet = log_level, logs, quiet
-        self.store = self.endpoint_service = Child("", [])
-        self.relay: Child | None = None
-        self.workers: list[Child] = []
-        self.dispatchers: list[Child] = []
-        self.planners: list[Child] = []
-        self.links: Child | None = None
-        self.witness: Child | None = None
+        self.store = self.endpoint_service = Process("", [])
+        self.datagram_proxy: Process | None = None
+        self.workers: list[Process] = []
+        self.dispatchers: list[Process] = []
+        self.planners: list[Process] = []
+        self.channel_proxy: Process | None = None
+        self.side_effect_log: Process | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(
@@ -75,16 +77,18 @@
     ) -> None:
         """Start all processes, each after those it depends on.  With planners the dispatchers are edges of theirs;
         where the settings have peers, their channels go through a proxy; all dispatchers acquire `tasks` as leases."""
-        self.store = await self._child("store", ["standin", "store", self._file])
-        self.endpoint_service = await self._child("roster", ["standin", "roster"])
+        self.store = await self._start_process("store", ["standin", "store", self._file])
+        self.endpoint_service = await self._start_process("roster", ["standin", "roster"])
         halls = self.deployment.halls
         vrrp = self.deployment.vrrp
         if vrrp is not None and any(i.via for i in vrrp.instance):
-            self.relay = await self._child("relay", ["standin", "relay", self._file, "--seed", str(self._seed)])
+            self.datagram_proxy = await self._start_process(
+                "relay", ["standin", "relay", self._file, "--seed", str(self._seed)]
+            )
         self.workers = list(
             await asyncio.gather(
                 *(
-                    self._child(
+                    self._start_process(
                         f"worker-{n}",
                         [
                             "standin",
@@ -112,9 +116,9 @@
         names = [f"dispatcher-{n}" for n in range(dispatchers)]
         if self.deployment.peers is not None:
             plans, leases = [f"planner-{n}" for n in range(planners)], self.deployment.leases
-            every = leases is None or len(names) <= EVERY_PAIR
+            every = leases is None or len(names) <= ALL_PAIRS_LIMIT
             to = names if every or leases is None else list(dict.fromkeys((*leases.voters, *leases.before)))
-            self.links = await self._child(
+            self.channel_proxy = await self._start_process(
                 "links",
                 [
                     "standin",
@@ -126,12 +130,12 @@
                 ],
             )
         if tasks:
-            self.witness = await self._child("witness", ["standin", "witness"])
+            self.side_effect_log = await self._start_process("witness", ["standin", "witness"])
         logs = ["--log-level", self._level, "--log-form", "json" if self._logs else "auto"]
         self.planners = list(
             await asyncio.gather(
                 *(
-                    self._child(
+                    self._start_process(
                         f"planner-{n}",
                         [
                             *logs,
@@ -145,7 +149,7 @@
                             "127.0.0.1:0",
                             "--solver",
                             solver,
-                            *self.ways(f"planner-{n}"),
+                            *self.peer_options(f"planner-{n}"),
                             *(["--state", str(state / f"planner-{n}")] if state else []),
                         ],
                     )
@@ -154,15 +158,19 @@
             )
         )
         for planner in self.planners:
-            await self._at(planner, planner.said["address"])
+            await self._announce_address(planner, planner.said["address"])
         self.dispatchers = list(
             await asyncio.gather(
                 *(
-                    self._child(
+                    self._start_process(
                         name,
                         [
                             *logs,
-                            *(["edge", self._file, *self._follows(name)] if self.planners else ["serve", self._file]),
+                            *(
+                                ["edge", self._file, *self._planner_options(name)]
+                                if self.planners
+                                else ["serve", self._file]
+                            ),
                             "--name",
                             name,
                             "--hall",
@@ -171,8 +179,8 @@
                             self.endpoint_service.said["address"],
                             "--control",
                             "127.0.0.1:0",
-                            *self.ways(name),
-                            *self._acts(tasks),
+                            *self.peer_options(name),
+                            *self._task_options(tasks),
                             *(
                                 [
                                     "--state",
@@ -192,9 +200,9 @@
             )
         )
 
-    def ways(self, name: str) -> list[str]:
+    def peer_options(self, name: str) -> list[str]:
         """The options by which a process reaches its peers: through the proxy."""
-        routes = self.links.said["routes"] if self.links is not None else {}
+        routes = self.channel_proxy.said["routes"] if self.channel_proxy is not None else {}
         return [
             word
             for pair, at in routes.items()
@@ -202,31 +210,31 @@
             for word in ("--peer", f"{pair.partition('>')[2]}={at}")
         ]
 
-    def _follows(self, name: str) -> list[str]:
+    def _planner_options(self, name: str) -> list[str]:
         """The options by which an edge reaches the planners: through the proxy, where there is one."""
-        routes = self.links.said["routes"] if self.links is not None else {}
+        routes = self.channel_proxy.said["routes"] if self.channel_proxy is not None else {}
         return [
             word for p in self.planners for word in ("--planner", routes.get(f"{name}>{p.name}", p.said["address"]))
         ]
 
-    async def _at(self, child: Child, address: str) -> None:
+    async def _announce_address(self, child: Process, address: str) -> None:
         """Tell the proxy where a process listens."""
-        if self.links is not None:
-            await http_json(self.links.said["address"], "POST", "/", {"at": {child.name: address}})
+        if self.channel_proxy is not None:
+            await http_json(self.channel_proxy.said["address"], "POST", "/", {"at": {child.name: address}})
 
-    def _acts(self, tasks: tuple[str, ...]) -> list[str]:
-        if self.witness is None:
+    def _task_options(self, tasks: tuple[str, ...]) -> list[str]:
+        if self.side_effect_log is None:
             return []
-        return ["--witness", self.witness.said["address"], *(w for task in tasks for w in ("--task", task))]
+        return ["--witness", self.side_effect_log.said["address"], *(w for task in tasks for w in ("--task", task))]
 
-    async def _child(self, name: str, words: list[str]) -> Child:
+    async def _start_process(self, name: str, words: list[str]) -> Process:
         if self._out is not None and words[0] == "standin":
             words += ["--capture", str(self._out / f"{name}.jsonl")]
-        child = Child(name, words)
+        child = Process(name, words)
         await self.launch(child)
         return child
 
-    async def launch(self, child: Child) -> None:
+    async def launch(self, child: Process) -> None:
         """Start a process, on the ports it had before, and wait for its ready line."""
         words = list(child.words)
         if child.said:
@@ -264,19 +272,19 @@
         except (TimeoutError, msgspec.DecodeError):
             raise RuntimeError(f"{child.name} did not start") from None
         if child.said.get("peers"):
-            await self._at(child, child.said["peers"])
-        task = asyncio.get_running_loop().create_task(self._mind(child, child.process))
+            await self._announce_address(child, child.said["peers"])
+        task = asyncio.get_running_loop().create_task(self._supervise(child, child.process))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _mind(self, child: Child, process: asyncio.subprocess.Process) -> None:
+    async def _supervise(self, child: Process, process: asyncio.subprocess.Process) -> None:
         """Report the end of a worker to the endpoint service, as a process supervisor would."""
         await process.wait()
         if child in self.workers and self.endpoint_service.running:
             with contextlib.suppress(OSError):
                 await self.set_listed_state(child, "gone")
 
-    async def clients(self, script: str, count: int, start: float, addresses: list[str], second: list[str]) -> None:
+    async def run_clients(self, script: str, count: int, start: float, addresses: list[str], second: list[str]) -> None:
         """Run the clients of a script in processes of their own, until all of them have their answers."""
         words = ["standin", "clients", script, "--start", str(start), "--seed", str(self._seed), "--of", str(count)]
         for address in addresses:
@@ -299,7 +307,7 @@
         if any(codes):
             raise RuntimeError(f"clients ended with {codes}")
 
-    async def set_listed_state(self, worker: Child, state: str) -> None:
+    async def set_listed_state(self, worker: Process, state: str) -> None:
         """Set the state of a worker in the endpoint list."""
         await http_json(
             self.endpoint_service.said["address"],
@@ -310,46 +318,46 @@
             else {"id": worker.name, "state": state},
         )
 
-    async def fault(self, child: Child, **body: Any) -> None:
+    async def fault(self, child: Process, **body: Any) -> None:
         """Inject a fault at a process's control port."""
         await http_json(child.said.get("control") or child.said["address"], "POST", "/fault", body)
 
-    def set_disk_fault(self, child: Child, **fault: Any) -> None:
+    def set_disk_fault(self, child: Process, **fault: Any) -> None:
         """Set a dispatcher's disk fault; without arguments the fault ends."""
-        self._say_harm(child, "--harmed-disk", fault)
+        self._write_fault(child, "--harmed-disk", fault)
 
-    def harm_clock(self, child: Child, **fault: Any) -> None:
+    def set_clock_fault(self, child: Process, **fault: Any) -> None:
         """Set a dispatcher's clock fault; without arguments the fault ends."""
-        self._say_harm(child, "--harmed-clock", fault)
+        self._write_fault(child, "--harmed-clock", fault)
 
     @staticmethod
-    def _say_harm(child: Child, option: str, fault: dict[str, Any]) -> None:
+    def _write_fault(child: Process, option: str, fault: dict[str, Any]) -> None:
         file = Path(child.words[child.words.index(option) + 1])
         draft = file.with_suffix(".new")
         draft.write_bytes(msgspec.json.encode(fault))
         draft.replace(file)
 
-    def lose_disk(self, child: Child) -> None:
+    def lose_disk(self, child: Process) -> None:
         """Delete a dispatcher's state, as if its disk were lost."""
         shutil.rmtree(child.words[child.words.index("--state") + 1], ignore_errors=True)
 
-    async def harm_links(self, **body: Any) -> None:
+    async def set_link_fault(self, **body: Any) -> None:
         """Change the faults of the proxy between dispatchers."""
-        assert self.links is not None
-        await http_json(self.links.said["address"], "POST", "/", body)
+        assert self.channel_proxy is not None
+        await http_json(self.channel_proxy.said["address"], "POST", "/", body)
 
-    def signal(self, child: Child, number: signal.Signals) -> None:
+    def signal(self, child: Process, number: signal.Signals) -> None:
         """Send a signal, to children started here only."""
         if child.running and child.process is not None:
             child.process.send_signal(number)
 
-    def kill(self, child: Child) -> None:
+    def kill(self, child: Process) -> None:
         """SIGKILL, for children started here only."""
         child.ending = True
         if child.running and child.process is not None:
             child.process.kill()
 
-    async def end(self, child: Child, within_s: float = 20.0) -> int | None:
+    async def terminate(self, child: Process, within_s: float = 20.0) -> int | None:
         """SIGTERM and wait; kill what does not end in time."""
         child.ending = True
         if child.process is None:
@@ -367,15 +375,15 @@
 
     async def stop(self) -> bool:
         """End everything, dispatchers first so that what was taken is answered; True if all drained."""
-        codes = await asyncio.gather(*(self.end(d) for d in self.dispatchers))
+        codes = await asyncio.gather(*(self.terminate(d) for d in self.dispatchers))
         rest = [
             *self.planners,
             *self.workers,
             self.endpoint_service,
             self.store,
-            *(c for c in (self.relay, self.links, self.witness) if c is not None),
+            *(c for c in (self.datagram_proxy, self.channel_proxy, self.side_effect_log) if c is not None),
         ]
-        await asyncio.gather(*(self.end(c, 3) for c in rest))
+        await asyncio.gather(*(self.terminate(c, 3) for c in rest))
         if self._tasks:
             await asyncio.gather(*list(self._tasks), return_exceptions=True)
         return all(code == 0 for code in codes)
--- a/kelptrail/emulator/worker.py
+++ b/kelptrail/emulator/worker.py
@@ -77,25 +77,25 @@
         self,
         deployment: Deployment,
         id_: str,
-        hall: str,
+        zone: str,
         cell: int,
         store: str,
-        roster: str,
+        endpoint_service: str,
         capture: Capture,
         seed: int,
         warm: bool,
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self._deployment, self.id, self._zone, self._cell = deployment, id_, hall, cell
+        self._deployment, self.id, self._zone, self._cell = deployment, id_, zone, cell
         self._fleet, self._rules, self._capture = deployment.fleet, deployment.rules, capture
         self._random = np.random.default_rng([seed, zlib.crc32(id_.encode())])
         pool = deployment.pool
         self._store = WorkerPool(store, 256, 2000.0, pool.idle_ms, 1 << 20)
-        self._endpoint_service = HttpClient(roster)
+        self._endpoint_service = HttpClient(endpoint_service)
         limits = Limits(self._fleet.connections, idle_ms=120_000.0)
         tls = certificate_reloader(deployment, "runners", ["http/1.1"], None)
         self.server = HttpServer(self._handle, limits, tls=tls.context if tls else None)
-        self.control = HttpServer(self._command)
+        self.control = HttpServer(self._handle_control)
         self._faults: dict[str, dict[str, Any]] = {}
         self._read_lag, self._util = ReadLag(), 0.0
         self._address = ""
@@ -215,14 +215,14 @@
         if self.draining or len(self._queue) >= self._fleet.queue:
             self._reject(exchange, 503, "full", "no place")
             return
-        company = min(30, model.running + len(model.queue))
+        foreign_in_flight = min(30, model.running + len(model.queue))
         limit = said.get("limit_ms")
         job = _Job(
             model,
             infer,
             payload,
             exchange,
-            company,
+            foreign_in_flight,
             bool(model.loaded),
             self.incarnation,
             now + limit if isinstance(limit, int | float) else float("inf"),
@@ -235,8 +235,8 @@
         """How much earlier the data that is read now may have arrived."""
         return self._read_lag.now() + 2 * self.server.accept_delay_ms
 
-    def _reject(self, exchange: Exchange, status: int, proof: str, text: str, company: int = 0) -> None:
-        exchange.raw(error_response(status, text, {NEVER_RAN: proof, LOAD_REPORT: self._report(0, company)}))
+    def _reject(self, exchange: Exchange, status: int, proof: str, text: str, foreign_in_flight: int = 0) -> None:
+        exchange.raw(error_response(status, text, {NEVER_RAN: proof, LOAD_REPORT: self._report(0, foreign_in_flight)}))
 
     def _work_ms(self, model: _Model | None) -> float:
         return model.action.work_ms if model else 1.0
@@ -432,9 +432,9 @@
 
     _load_metrics = (0.0, 0.0, 0.0)
 
-    def _report(self, found: int, company: int) -> str:
+    def _report(self, found: int, foreign_in_flight: int) -> str:
         util, loads, memory = self._load_metrics
-        return write_report(util, x1=loads, x0=round(memory, 3), found=found, company=company)
+        return write_report(util, x1=loads, x0=round(memory, 3), found=found, company=foreign_in_flight)
 
     # Instances.
 
@@ -449,33 +449,33 @@
             exchange.raw(encode_response(200, b"{}"))
             return
         try:
-            copies, dispatcher = read_load(request.body)
+            count, dispatcher = read_load(request.body)
         except MalformedError as cause:
             exchange.raw(error_response(400, str(cause)))
             return
-        self._capture.write("order", worker=self.id, model=name, copies=copies, dispatcher=dispatcher, lag=self._lag())
+        self._capture.write("order", worker=self.id, model=name, copies=count, dispatcher=dispatcher, lag=self._lag())
         if "hang" in self._faults or "silent" in self._faults:
             return
         if self.draining:
             self._answer_load(model, exchange, 503)
             return
         model.last_used = now_ms()
-        while model.loaded + model.loading < copies:
-            if len(self._load_queue) >= 2 * self._fleet.loads or not self._room(model):
+        while model.loaded + model.loading < count:
+            if len(self._load_queue) >= 2 * self._fleet.loads or not self._evict_for(model):
                 self._answer_load(model, exchange, 503)
                 return
             model.loading += 1
             self._load_queue.append(model)
             self._start_loads()
-        if model.loaded >= copies:
+        if model.loaded >= count:
             self._answer_load(model, exchange, 200)
         else:
-            model.load_requests.append((copies, exchange))
+            model.load_requests.append((count, exchange))
 
     def _answer_load(self, model: _Model, exchange: Exchange, status: int) -> None:
         exchange.raw(encode_response(status, msgspec.json.encode(LoadResponse(model.loaded))))
 
-    def _room(self, model: _Model) -> bool:
+    def _evict_for(self, model: _Model) -> bool:
         """Free memory for one more instance by unloading idle ones of other models, least recently used first."""
         held = sum((m.loaded + m.loading) * m.action.memory_mb for m in self._models.values())
         idle = sorted(
@@ -493,9 +493,9 @@
     def _start_loads(self) -> None:
         while self._load_queue and self._loads < self._fleet.loads:
             self._loads += 1
-            self._loop.create_task(self._bring(self._load_queue.popleft(), self.incarnation))
+            self._loop.create_task(self._load_instance(self._load_queue.popleft(), self.incarnation))
 
-    async def _bring(self, model: _Model, incarnation: str) -> None:
+    async def _load_instance(self, model: _Model, incarnation: str) -> None:
         fetched: asyncio.Future[Response | None] = self._loop.create_future()
         fetch_ms = model.action.load_ms * self._deployment.store.fetch_share
         call = self._store.start(
@@ -515,13 +515,13 @@
         model.loaded += good
         model.last_used = now_ms()
         still = []
-        for copies, exchange in model.load_requests:
-            if model.loaded >= copies:
+        for count, exchange in model.load_requests:
+            if model.loaded >= count:
                 self._answer_load(model, exchange, 200)
             elif not good:
                 self._answer_load(model, exchange, 500)
             else:
-                still.append((copies, exchange))
+                still.append((count, exchange))
         model.load_requests = still
         if not model.loaded and not model.loading:
             while model.queue:
@@ -536,7 +536,7 @@
 
     # Control.
 
-    def _command(self, request: Request, exchange: Exchange) -> None:
+    def _handle_control(self, request: Request, exchange: Exchange) -> None:
         parts = request.segments
         if parts == ["state"]:
             held = {n: m.loaded for n, m in self._models.items() if m.loaded}
@@ -560,10 +560,10 @@
         elif parts == ["fault"]:
             body = msgspec.json.decode(request.body)
             self._capture.write("fault", worker=self.id, kind=body["kind"], for_ms=body.get("for_ms", 0))
-            self._loop.call_later(0.02, self._fault, body)  # after this request is answered
+            self._loop.call_later(0.02, self._inject, body)  # after this request is answered
         exchange.reply(200, b"{}")
 
-    def _fault(self, body: dict[str, Any]) -> None:
+    def _inject(self, body: dict[str, Any]) -> None:
         kind, ms = body["kind"], float(body.get("for_ms", 0))
         if kind == "crash":
             os._exit(70)
--- a/kelptrail/fault_scenario/runner.py
+++ b/kelptrail/fault_scenario/runner.py
@@ -18,7 +18,7 @@
 from kelptrail.codec.http import HttpError
 from kelptrail.emulator.capture import Capture
 from kelptrail.emulator.clients import ClientEmulator
-from kelptrail.emulator.cluster import Child, Cluster, http_json, memory_kb
+from kelptrail.emulator.cluster import Cluster, Process, http_json, memory_kb
 from kelptrail.settings.deployment import Deployment
 
 from .report import describe_deployment
@@ -71,7 +71,7 @@
         self.start = 0.0
         self._cut_links: Counter[tuple[str, str]] = Counter()  # between dispatchers, by the number of faults
         self._slow_links: list[tuple[float, float]] = []
-        self._killed_dispatchers: set[Child] = set()  # dispatchers that a fault has killed and will restart
+        self._killed_dispatchers: set[Process] = set()  # dispatchers that a fault has killed and will restart
 
     async def run(self) -> bool:
         """Run all of it; True if the dispatchers that were up at the end drained cleanly."""
@@ -116,7 +116,7 @@
             await asyncio.sleep(max(0.0, self.start / 1000 + scenario.seconds - now_ms() / 1000))
             await clients.wait_until_answered(quiet)
         else:
-            await self._cluster.clients(self._script, scenario.client_processes, self.start, addresses, second)
+            await self._cluster.run_clients(self._script, scenario.client_processes, self.start, addresses, second)
         await asyncio.sleep(0.5)
         watch.cancel()
         for timer in timers:
@@ -146,7 +146,7 @@
 
     async def _inject_at_time(self, fault: Fault) -> None:
         await asyncio.sleep(max(0.0, (self.start - now_ms()) / 1000 + fault.at))
-        names: list[Child] = []
+        names: list[Process] = []
         if fault.kind in WORKER_FAULTS:
             names = self._draw_targets([w for w in self._cluster.workers if w.running], fault.part)
         elif fault.kind == "kill-dispatchers" or fault.kind in (*DISK_FAULTS, *PEER_FAULTS):
@@ -169,11 +169,11 @@
         except (OSError, RuntimeError) as cause:  # a target that is down already
             self._capture.write("trouble-failed", kind=fault.kind, reason=str(cause))
 
-    def _draw_targets(self, children: list[Child], part: float) -> list[Child]:
+    def _draw_targets(self, children: list[Process], part: float) -> list[Process]:
         count = max(1, round(part * len(children)))
         return [children[int(n)] for n in self._random.choice(len(children), count, replace=False)]
 
-    async def _inject(self, fault: Fault, targets: list[Child]) -> None:
+    async def _inject(self, fault: Fault, targets: list[Process]) -> None:
         cluster, kind, ms = self._cluster, fault.kind, fault.duration * 1000
         if kind in STORE_FAULTS:
             await cluster.fault(cluster.store, kind=kind.removeprefix("store-"), for_ms=ms, factor=fault.factor)
@@ -204,7 +204,7 @@
                 extra["type"] = fault.type
             await asyncio.gather(*(cluster.fault(v, kind=kind, for_ms=ms, **extra) for v in targets))
 
-    async def _inject_disk_fault(self, fault: Fault, targets: list[Child]) -> None:
+    async def _inject_disk_fault(self, fault: Fault, targets: list[Process]) -> None:
         settings: dict[str, dict[str, Any]] = {
             "disk-slow": {"sync_ms": fault.ms},
             "disk-fails": {"fails": True},
@@ -216,7 +216,7 @@
         for target in targets:
             self._cluster.set_disk_fault(target)
 
-    async def _inject_peer_fault(self, fault: Fault, targets: list[Child]) -> None:
+    async def _inject_peer_fault(self, fault: Fault, targets: list[Process]) -> None:
         """What befalls dispatchers and what is between them."""
         cluster, kind = self._cluster, fault.kind
         if kind == "cut-peers":
@@ -228,7 +228,7 @@
             self._slow_links.remove((fault.ms, fault.share))
             await self._tell_links()
         elif kind == "reset-peers":
-            await cluster.harm_links(reset=fault.share)
+            await cluster.set_link_fault(reset=fault.share)
         elif kind == "pause-dispatchers":
             if fault.type == "looked":
                 targets = await self._holders() or targets
@@ -241,12 +241,12 @@
         else:
             settings = {"rate": fault.factor} if kind == "clock-rate" else {"step_ms": fault.ms}
             for target in targets:
-                cluster.harm_clock(target, **settings)
+                cluster.set_clock_fault(target, **settings)
             await asyncio.sleep(fault.duration)
             for target in targets:
-                cluster.harm_clock(target)
+                cluster.set_clock_fault(target)
 
-    async def _cut_off(self, fault: Fault, targets: list[Child]) -> None:
+    async def _cut_off(self, fault: Fault, targets: list[Process]) -> None:
         """Cut the links between the targets and all others; one way: either direction, drawn for each."""
         names = {child.name for child in targets}
         others = [c.name for c in (*self._cluster.dispatchers, *self._cluster.planners) if c.name not in names]
@@ -264,11 +264,11 @@
 
     async def _tell_links(self) -> None:
         ms, share = max(self._slow_links, default=(0.0, 0.0))
-        await self._cluster.harm_links(
+        await self._cluster.set_link_fault(
             cut=[pair for pair, count in self._cut_links.items() if count > 0], slow={"ms": ms, "share": share}
         )
 
-    async def _holders(self) -> list[Child]:
+    async def _holders(self) -> list[Process]:
         """Dispatchers that hold a task."""
         found = []
         for dispatcher in self._cluster.dispatchers:
@@ -278,7 +278,7 @@
                         found.append(dispatcher)
         return found
 
-    async def _pause(self, target: Child, for_s: float, after_lease_check: bool) -> None:
+    async def _pause(self, target: Process, for_s: float, after_lease_check: bool) -> None:
         """Stopped and continued: at any instant, or (`looked`) between its next look at a lease and the act."""
         number = self._cluster.dispatchers.index(target)
         self._capture.write("stopped", dispatcher=number)
@@ -289,7 +289,7 @@
         self._cluster.signal(target, signal.SIGCONT)
         self._capture.write("woken", dispatcher=number)
 
-    async def _kill_dispatcher(self, target: Child, down_s: float | None, disk: bool = False) -> None:
+    async def _kill_dispatcher(self, target: Process, down_s: float | None, disk: bool = False) -> None:
         """Kill it, with its disk where asked; restart it after a time, or never.  One that another fault has killed is
         left to that fault: guards against two processes of one name, the first of which is not supervised."""
         if target in self._killed_dispatchers:
@@ -300,7 +300,7 @@
         finally:
             self._killed_dispatchers.discard(target)
 
-    async def _kill_and_restart(self, target: Child, down_s: float | None, disk: bool) -> None:
+    async def _kill_and_restart(self, target: Process, down_s: float | None, disk: bool) -> None:
         number = self._cluster.dispatchers.index(target)
         self._capture.write("kill", dispatcher=number)
         self._cluster.kill(target)
@@ -315,7 +315,7 @@
         await self._cluster.launch(target)
         self._capture.write("restarted", dispatcher=number)
 
-    async def _inject_planner_fault(self, target: Child, fault: Fault) -> None:
+    async def _inject_planner_fault(self, target: Process, fault: Fault) -> None:
         """Slow a planner down, or kill and restart it, with its state or without."""
         if fault.kind in ("planners-slow", "planners-wrong"):
             settings = {"ms": fault.ms} if fault.kind == "planners-slow" else {"factor": fault.factor}
@@ -335,18 +335,18 @@
         await asyncio.sleep(fault.duration)
         await self._cluster.launch(target)
 
-    async def _crash_worker(self, target: Child, down_s: float) -> None:
+    async def _crash_worker(self, target: Process, down_s: float) -> None:
         await self._cluster.fault(target, kind="crash")
         await asyncio.sleep(down_s)
         await self._cluster.launch(target)
 
-    async def _replace_worker(self, target: Child, again: bool) -> None:
+    async def _replace_worker(self, target: Process, again: bool) -> None:
         """Drain the worker, let its work end, stop it, and restart it where asked."""
         await self._cluster.set_listed_state(target, "draining")
         await asyncio.sleep(self._deployment.rules.drain_grace_ms / 1000)
         await http_json(target.said["control"], "POST", "/drain", {})
         await asyncio.sleep(1.0)
-        await self._cluster.end(target, 5)
+        await self._cluster.terminate(target, 5)
         if again:
             await self._cluster.launch(target)
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -653,7 +653,7 @@
                 assert await process.wait() == code, f"{name}: only the one that is there"
             status, _, _ = await http(first.said["address"], "POST", "actions/grant?blocking=false", key, b"{}")
             assert status == 503, "nothing new is promised there"
-            await rig.end(first)
+            await rig.terminate(first)
             rig.lose_disk(first)
             for id_ in ids:
                 status, headers, body = await http(others[0].said["address"], "GET", f"activations/{id_}", key)
