--- a/kelptrail/simulator_adapter/__init__.py
+++ b/kelptrail/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the bench's wire and the dispatch package."""
+"""The adapter between the simulator's protocol and the dispatch package."""
--- a/kelptrail/simulator_adapter/__main__.py
+++ b/kelptrail/simulator_adapter/__main__.py
@@ -9,32 +9,33 @@
 from typing import Any, TextIO
 
 from kelptrail.engine.settings import MalformedError
-from kelptrail.simulator_adapter.instance import Fields, Instance
+from kelptrail.simulator_adapter.instance import DispatcherInstance, Fields
 
-CALLS: dict[str, Callable[[Instance, float, Fields], None]] = {
-    "Req": Instance.taken,
-    "Answer": Instance.answered,
-    "Aborted": Instance.left,
-    "First": Instance.begun,
-    "ReadyThere": Instance.told,
-    "DeadlineHit": Instance.timer,
-    "Echo": Instance.probed,
-    "Heard": Instance.probed,
+EVENT_HANDLERS: dict[str, Callable[[DispatcherInstance, float, Fields], None]] = {
+    "Req": DispatcherInstance.on_request,
+    "Answer": DispatcherInstance.on_attempt_finished,
+    "Aborted": DispatcherInstance.on_client_gone,
+    "First": DispatcherInstance.on_response_started,
+    "ReadyThere": DispatcherInstance.on_load_report,
+    "DeadlineHit": DispatcherInstance.on_timer,
+    "Echo": DispatcherInstance.ignore,
+    "Heard": DispatcherInstance.ignore,
 }
+MALFORMED_INPUT_EXIT_CODE = 2
 
 
-class Drill:
-    """All instances of this process, and the lists that travelled to it."""
+class SimulatorAdapter:
+    """All dispatcher instances of this process, and the endpoint tables that the simulator has sent."""
 
     def __init__(self) -> None:
-        self._hosts: dict[str, Instance] = {}
+        self._instances: dict[str, DispatcherInstance] = {}
         self._tables: dict[int, list[Fields]] = {}
 
     def reply(self, line: str) -> dict[str, Any]:
-        """The reply to one batch."""
+        """The reply to one batch of events.  Raises `MalformedError`, or the error of a missing or mistyped field."""
         batch = json.loads(line)
         now = batch["now_us"] / 1000
-        touched: dict[str, None] = {}
+        changed: dict[str, None] = {}
         actions: list[Fields] = []
         for event in batch["arrivals"]:
             ((kind, fields),) = event.items()
@@ -43,24 +44,24 @@
                 continue
             name = fields["i"]
             if kind == "Hello":
-                self._hosts[name] = Instance(name, fields["nonce64"], fields["env"])
+                self._instances[name] = DispatcherInstance(name, fields["nonce64"], fields["env"])
             elif kind == "Exit":
-                self._hosts.pop(name, None)
-                touched.pop(name, None)
+                self._instances.pop(name, None)
+                changed.pop(name, None)
                 continue
-            elif name not in self._hosts:
+            elif name not in self._instances:
                 raise MalformedError(f"{kind} for an instance that was never started: {name}")
             elif kind == "Membership":
                 table = None if fields["how"] == "X" else self._tables.get(fields["table"])
-                self._hosts[name].listed(now, fields, table)
-            elif kind in CALLS:
-                CALLS[kind](self._hosts[name], now, fields)
+                self._instances[name].on_endpoints(now, fields, table)
+            elif kind in EVENT_HANDLERS:
+                EVENT_HANDLERS[kind](self._instances[name], now, fields)
             else:
                 raise MalformedError(f"unknown event {kind}")
-            touched[name] = None
-        for name in touched:
+            changed[name] = None
+        for name in changed:
             try:
-                actions += self._hosts[name].actions(now)
+                actions += self._instances[name].actions(now)
             except Exception as cause:
                 traceback.print_exc()
                 actions.append({"Fatal": {"i": name, "message": f"{type(cause).__name__}: {cause}"}})
@@ -68,16 +69,16 @@
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
-    """Serve batches until the input ends."""
-    drill = Drill()
+    """Answer batches until the input ends; returns the exit code."""
+    adapter = SimulatorAdapter()
     for line in source:
         if not line.strip():
             continue
         try:
-            reply = drill.reply(line)
+            reply = adapter.reply(line)
         except (MalformedError, ValueError, KeyError, TypeError, AttributeError, IndexError) as cause:
             print(f"kelptrail.simulator_adapter: malformed input: {type(cause).__name__}: {cause}", file=sys.stderr)
-            return 2
+            return MALFORMED_INPUT_EXIT_CODE
         sink.write(json.dumps(reply, separators=(",", ":")) + "\n")
         sink.flush()
     return 0
--- a/kelptrail/simulator_adapter/instance.py
+++ b/kelptrail/simulator_adapter/instance.py
@@ -1,4 +1,4 @@
-"""One instance at the simulator's door: wire events become calls of its host, decisions become wire actions."""
+"""One dispatcher in the simulator: its events become calls of an engine, decisions become its actions."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 Fields = dict[str, Any]
 
-STATES = {"live": WorkerState.LIVE, "quiescing": WorkerState.DRAINING, "dead": WorkerState.REMOVED}
-OUTCOMES = {
+WORKER_STATES = {"live": WorkerState.LIVE, "quiescing": WorkerState.DRAINING, "dead": WorkerState.REMOVED}
+ATTEMPT_STATUSES = {
     "S": AttemptStatus.COMPLETED,
     "E": AttemptStatus.ERROR,
     "F": AttemptStatus.OUT_OF_CAPACITY,
@@ -24,79 +24,99 @@
     "N": AttemptStatus.NOT_SENT,
     "M": AttemptStatus.NOT_LOADED,
 }
-BEAT, DUE = "beat", "due"
+TICK_TOKEN, DUE_TOKEN = "beat", "due"  # the simulator returns the token of an alarm unchanged
 
+# The `remark` of an answer: the reason of its status in the lowest three bits, above them the number of attempts of
+# other dispatchers.
+REMARK_REASONS = 8
+REMARK_WARM = 1
+REMARK_LOAD_FAILED = 4
 
-class Instance:
-    """One instance of the dispatcher, apart from all others."""
 
-    def __init__(self, name: str, seed: int, env: Fields) -> None:
-        self._name, self._host = name, Engine(seed, env)
+class DispatcherInstance:
+    """One dispatcher, independent of all others of this process."""
+
+    def __init__(self, name: str, seed: int, settings: Fields) -> None:
+        self._name, self._engine = name, Engine(seed, settings)
         self._orders: dict[tuple[str, str], deque[LoadOrder]] = {}
-        self._armed: float | None = None
-        self._beats = False
+        self._next_alarm: float | None = None  # when the alarm for the engine's due time goes off
+        self._tick_set = False
 
     # Events.
 
-    def taken(self, now: float, e: Fields) -> None:
-        host, hint = self._host, e["cost_guess_us"]
-        host.on_request(
+    def on_request(self, now: float, event: Fields) -> None:
+        """A client's request arrived."""
+        engine, work_us = self._engine, event["cost_guess_us"]
+        engine.on_request(
             now,
-            e["handle"],
-            host.request_classes[e["class"]],
-            host.tenants[e["project"] or 0] if host.tenants else None,
-            e["fn"],
-            e["grace_us"] / 1000,
-            e["memory_mb"],
-            int(e["parallel"]),
-            e["load_time_ms"],
-            None if hint is None else hint / 1000,
+            event["handle"],
+            engine.request_classes[event["class"]],
+            engine.tenants[event["project"] or 0] if engine.tenants else None,
+            event["fn"],
+            event["grace_us"] / 1000,
+            event["memory_mb"],
+            int(event["parallel"]),
+            event["load_time_ms"],
+            None if work_us is None else work_us / 1000,
         )
 
-    def answered(self, now: float, e: Fields) -> None:
-        request = self._host.requests.get(e["handle"])
+    def on_attempt_finished(self, now: float, event: Fields) -> None:
+        """An attempt ended; a second report of it is ignored."""
+        request = self._engine.requests.get(event["handle"])
         if request is None:
             return
-        attempt = request.attempts[e["shot"]]
+        attempt = request.attempts[event["shot"]]
         if attempt.status is not None:
             return
-        note = e["remark"] or 0
-        self._host.on_attempt_finished(
-            now, attempt, OUTCOMES[e["ending"]], e["done_flag"], note % 8 == 4, note % 8 == 1, note // 8, e["stats"]
+        remark = event["remark"] or 0
+        reason, foreign_in_flight = remark % REMARK_REASONS, remark // REMARK_REASONS
+        self._engine.on_attempt_finished(
+            now,
+            attempt,
+            ATTEMPT_STATUSES[event["ending"]],
+            event["done_flag"],
+            reason == REMARK_LOAD_FAILED,
+            reason == REMARK_WARM,
+            foreign_in_flight,
+            event["stats"],
         )
 
-    def left(self, now: float, e: Fields) -> None:
-        request = self._host.requests.get(e["handle"])
+    def on_client_gone(self, now: float, event: Fields) -> None:
+        """A client no longer waits for its answer."""
+        request = self._engine.requests.get(event["handle"])
         if request is not None:
-            self._host.on_client_gone(request)
+            self._engine.on_client_gone(request)
 
-    def begun(self, now: float, e: Fields) -> None:
-        request = self._host.requests.get(e["handle"])
+    def on_response_started(self, now: float, event: Fields) -> None:
+        """The first part of an answer reached the client: nothing else may become its final answer."""
+        request = self._engine.requests.get(event["handle"])
         if request is not None:
             request.final_status = request.final_status or FinalStatus.COMPLETED
 
-    def told(self, now: float, e: Fields) -> None:
-        out = self._orders.get((e["runner"], e["fn"]))
-        if out:
-            self._host.on_load_report(now, out.popleft(), OUTCOMES[e["ending"]], e["copies"])
-            if not out:
-                del self._orders[e["runner"], e["fn"]]
-
-    def listed(self, now: float, e: Fields, entries: list[Fields] | None) -> None:
-        if e["how"] == "X":
+    def on_load_report(self, now: float, event: Fields) -> None:
+        """A load order ended; the reports for one function and worker come in the order of the load orders."""
+        orders = self._orders.get((event["runner"], event["fn"]))
+        if orders:
+            self._engine.on_load_report(now, orders.popleft(), ATTEMPT_STATUSES[event["ending"]], event["copies"])
+            if not orders:
+                del self._orders[event["runner"], event["fn"]]
+
+    def on_endpoints(self, now: float, event: Fields, entries: list[Fields] | None) -> None:
+        """An endpoint list (`how` C), its changes (D), or none (X).  Raises `MalformedError`."""
+        if event["how"] == "X":
             return
         if entries is None:
-            raise MalformedError(f"Membership names a table that never came: {e['table']}")
-        self._host.on_endpoints(
+            raise MalformedError(f"Membership names a table that never came: {event['table']}")
+        self._engine.on_endpoints(
             now,
-            e["how"] != "D",
+            event["how"] != "D",
             [
                 Endpoint(
                     entry["runner"],
                     entry["az"],
                     entry["shape"],
                     entry["stripe"],
-                    STATES[entry["readiness"]],
+                    WORKER_STATES[entry["readiness"]],
                     entry["capacity_hint"],
                     entry["last_start_us"] / 1000 if entry["last_start_us"] else None,
                 )
@@ -104,31 +124,32 @@
             ],
         )
 
-    def timer(self, now: float, e: Fields) -> None:
-        if e["token"] == BEAT:
-            self._beats = False
-            self._host.on_tick(now)
+    def on_timer(self, now: float, event: Fields) -> None:
+        """An alarm went off."""
+        if event["token"] == TICK_TOKEN:
+            self._tick_set = False
+            self._engine.on_tick(now)
         else:
-            self._armed = None
+            self._next_alarm = None
 
-    def probed(self, now: float, e: Fields) -> None:
-        """Neither probes nor messages between dispatchers are used."""
+    def ignore(self, now: float, event: Fields) -> None:
+        """Probes and messages between dispatchers are not used."""
 
     # Actions.
 
     def actions(self, now: float) -> list[Fields]:
-        """Pull decisions until there is none, then see to the timers."""
-        out: list[Fields] = []
-        while (decision := self._host.decide(now)) is not None:
-            out.append(self._encode(decision))
-        if not self._beats:
-            self._beats = True
-            out.append(self._alarm(self._host.tick_ms, BEAT))
-        due = self._host.next_due()
-        if due is not None and (self._armed is None or due < self._armed):
-            self._armed = due
-            out.append(self._alarm(due - now, DUE))
-        return out
+        """All decisions that are due now as actions, then the alarms that are not set yet."""
+        actions: list[Fields] = []
+        while (decision := self._engine.decide(now)) is not None:
+            actions.append(self._encode(decision))
+        if not self._tick_set:
+            self._tick_set = True
+            actions.append(self._alarm(self._engine.tick_ms, TICK_TOKEN))
+        due = self._engine.next_due()
+        if due is not None and (self._next_alarm is None or due < self._next_alarm):
+            self._next_alarm = due
+            actions.append(self._alarm(due - now, DUE_TOKEN))
+        return actions
 
     def _encode(self, decision: Decision) -> Fields:
         if isinstance(decision, str):
--- a/tests/test_rules.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,5 @@
-"""Seeded random runs that check the five rules after every step, and that removing a guard is seen."""
+"""The decisions: seeded random runs that check the five rules after every step and that the removal of a guard
+is detected, then single cases."""
 
 from __future__ import annotations
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -20,7 +20,7 @@
 import uvloop
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_drill import ENV
+from test_simulator_adapter import ENV
 
 from kelptrail.codec import feed, frames, lines
 from kelptrail.engine.settings import read_settings as read_settings
--- a/tests/test_drill.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter over standard input and output."""
+"""The simulator adapter over standard input and output."""
 
 import json
 import subprocess
@@ -76,14 +76,14 @@
 }
 
 
-def drill(*batches: tuple[int, list[dict[str, Any]]] | str) -> tuple[int, list[Any], str]:
+def run_adapter(*batches: tuple[int, list[dict[str, Any]]] | str) -> tuple[int, list[Any], str]:
     lines = [b if isinstance(b, str) else json.dumps({"now_us": b[0], "arrivals": b[1]}) for b in batches]
     command, text = [sys.executable, "-m", "kelptrail.simulator_adapter"], "\n".join(lines) + "\n"
     done = subprocess.run(command, input=text, capture_output=True, text=True, timeout=30)
     return done.returncode, [json.loads(line)["actions"] for line in done.stdout.splitlines()], done.stderr
 
 
-def wanted(actions: list[dict[str, Any]], kind: str) -> list[dict[str, Any]]:
+def actions_of(actions: list[dict[str, Any]], kind: str) -> list[dict[str, Any]]:
     return [action[kind] for action in actions if kind in action]
 
 
@@ -104,12 +104,12 @@
     }
     gone = {"Aborted": {"i": "dispatcher_0", "handle": "t/a"}}
     batches = (1000, []), (2000, HELLO), (3000, [REQ]), (4000, [ready]), (94000, [answer, gone])
-    code, replies, _ = drill(*batches)
+    code, replies, _ = run_adapter(*batches)
     assert code == 0 and replies[0] == []
-    assert wanted(replies[2], "StartCopy") == [place | {"fn": "h:f", "copies": 1}]
-    assert not wanted(replies[2], "Try")
-    assert wanted(replies[3], "Try") == [place | {"handle": "t/a"}]
-    assert not wanted(replies[4], "Refuse") and not wanted(replies[4], "DropRequest")
+    assert actions_of(replies[2], "StartCopy") == [place | {"fn": "h:f", "copies": 1}]
+    assert not actions_of(replies[2], "Try")
+    assert actions_of(replies[3], "Try") == [place | {"handle": "t/a"}]
+    assert not actions_of(replies[4], "Refuse") and not actions_of(replies[4], "DropRequest")
 
 
 def test_malformed_input_ends_with_one_plain_line() -> None:
@@ -117,7 +117,7 @@
     unknown = (1, [{"Huh": {"i": "dispatcher_0"}}])
     spoilt = (1, [{"Hello": HELLO[0]["Hello"] | {"env": ENV | {"rules": ENV["rules"] | {"fall_us": "soon"}}}}])
     for bad in ("{", "[]", '{"now_us":1}', unknown, (1, [REQ]), (1, [*HELLO, lost]), spoilt):
-        code, replies, errors = drill(bad)
+        code, replies, errors = run_adapter(bad)
         assert code != 0 and not replies
         assert bad is not spoilt or "settings.rules.fall_us" in errors
         assert errors.startswith("kelptrail.simulator_adapter: malformed input") and errors.count("\n") == 1
--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -51,7 +51,7 @@
 from kelptrail.settings.reader import SourcePosition
 from kelptrail.simulation import experiment
 from kelptrail.simulation.cluster import SimulationSettings
-from kelptrail.simulator_adapter.__main__ import Drill
+from kelptrail.simulator_adapter.__main__ import SimulatorAdapter
 from kelptrail.vrrp import authentication as vrrp_seal
 from kelptrail.vrrp import packet as vrrp_packet
 
@@ -174,9 +174,9 @@
     copies."""
     sent = (FIXTURES / f"drill-{name}.in.jsonl").read_text(encoding="utf-8").splitlines()
     expected = (FIXTURES / f"drill-{name}.out.jsonl").read_text(encoding="utf-8").splitlines()
-    drill = Drill()
+    adapter = SimulatorAdapter()
     for number, (line, reply) in enumerate(zip(sent, expected, strict=True), 1):
-        assert json.dumps(drill.reply(line), separators=(",", ":")) == reply, f"line {number}: {line}"
+        assert json.dumps(adapter.reply(line), separators=(",", ":")) == reply, f"line {number}: {line}"
 
 
 # Settings.
