--- a/kelptrail/platform/client_connection.py
+++ b/kelptrail/platform/client_connection.py
@@ -33,7 +33,7 @@
     loop: asyncio.AbstractEventLoop
     time: Callable[[], float]
 
-    def on_whole_frame(self, client: ClientConnection) -> None:
+    def on_complete_frame(self, client: ClientConnection) -> None:
         """A complete frame was read."""
 
     def on_frame(self, client: ClientConnection, kind: int, stream: int, payload: bytes) -> None:
@@ -83,7 +83,7 @@
         try:
             while not self.connection.closed and (frame := self.reader.next()) is not None:
                 self.partial_frame_since = None
-                self._handler.on_whole_frame(self)
+                self._handler.on_complete_frame(self)
                 self._handler.on_frame(self, *frame)
         except FrameError as cause:
             self._handler.close_unreadable(self, cause)
--- a/kelptrail/platform/client_server.py
+++ b/kelptrail/platform/client_server.py
@@ -95,7 +95,7 @@
 
     # Shutdown.
 
-    def send_go_away(self) -> None:
+    def write_go_away(self) -> None:
         """Report not ready, and send GOAWAY on all connections, present and future."""
         self.ready = False
         for client in self.connections.active:
@@ -136,7 +136,7 @@
 
     # Events of the connections.
 
-    def on_whole_frame(self, client: ClientConnection) -> None:
+    def on_complete_frame(self, client: ClientConnection) -> None:
         """A complete frame was read."""
         if client in self.connections.fresh:
             del self.connections.fresh[client]
--- a/kelptrail/platform/decision_executor.py
+++ b/kelptrail/platform/decision_executor.py
@@ -19,7 +19,7 @@
 from .client_server import ClientServer
 from .close_reasons import CancelReason
 from .config import Config
-from .log import LogWriter
+from .log import event_log
 from .parsed_request import ParsedRequest
 from .worker_connection import WorkItem
 from .worker_pool import WorkerPool
@@ -38,14 +38,13 @@
         client_server: ClientServer,
         max_worker_connections: int,
         schedule_decisions: Callable[[], None],
-        log: LogWriter,
         invariants: Invariants,
     ) -> None:
         self._loop, self._engine, self._client_server = loop, engine, client_server
-        self._schedule_decisions, self._log, self._invariants = schedule_decisions, log, invariants
+        self._schedule_decisions, self._invariants = schedule_decisions, invariants
         self._load_timeout_ms = config.sockets.load_timeout_ms
         self.workers = WorkerPool(
-            loop, config.sockets, max_worker_connections, config.descriptors, self.on_item_finished, log
+            loop, config.sockets, max_worker_connections, config.descriptors, self.on_item_finished, event_log
         )
         self.client_requests: dict[Request, ClientRequest] = {}  # accepted and not answered
         self.timeouts = TimerQueue()  # attempts past their latest start or final answer, loads past their timeout
@@ -138,7 +137,7 @@
             elif isinstance(decision, Request):
                 self.answer_final(decision)
             else:
-                self._log(decision)
+                event_log(decision)
 
     def _start_attempt(self, now: float, attempt: Attempt) -> None:
         request, client_request = attempt.request, self.client_requests.get(attempt.request)
@@ -149,7 +148,7 @@
             self.timeouts.add(attempt.latest_start, attempt)
         if attempt.number:
             results = [_attempt_result(earlier) for earlier in request.attempts[:-1]]
-            self._log(log_events.RETRY, request=request.id, attempt=attempt.number, after=results)
+            event_log(log_events.RETRY, request=request.id, attempt=attempt.number, after=results)
         size = len(client_request.body) + CALL_HEADER_BYTES
         self.workers.get_or_create(attempt.instance.worker).start_attempt(
             attempt, lambda: self._render_call(attempt, client_request), size
@@ -170,7 +169,7 @@
         request, now = attempt.request, time.monotonic() * 1000
         limit_ms = int(request.deadline - now)
         if limit_ms < 1 or not self._engine.may_start(now, attempt):
-            self._log(log_events.ATTEMPT_NOT_STARTED, request=request.id, attempt=attempt.number, left_ms=limit_ms)
+            event_log(log_events.ATTEMPT_NOT_STARTED, request=request.id, attempt=attempt.number, left_ms=limit_ms)
             return b""
         attempt.write_started_at = now
         self._invariants.attempt_begins(now, attempt, client_request.client_gone_ms, limit_ms)
@@ -188,7 +187,7 @@
         client_request = self.client_requests.pop(request, None)
         if client_request is not None:
             is_rejected = request.final_status is FinalStatus.REJECTED
-            self._log(
+            event_log(
                 log_events.REQUEST_REFUSED if is_rejected else log_events.REQUEST_FAILED,
                 request=client_request.id,
                 reason=None if request.reason is None else request.reason.value,
@@ -210,7 +209,7 @@
             if isinstance(item, LoadOrder):
                 self._expire_load(now, item)
             elif item.request.final_status is None:  # past its latest start; if it was sent, it goes on
-                self._cancel_before_send(item, CancelReason.TOO_LATE_TO_START)
+                self._cancel_unsent(item, CancelReason.TOO_LATE_TO_START)
             else:
                 self._cancel_attempt(now, item, AttemptStatus.SILENT)
 
@@ -230,13 +229,13 @@
         """Cancel attempts that wait behind others on a slow worker, or for a connection that is not up yet."""
         for attempt in request.attempts:
             if attempt.status is None:
-                self._cancel_before_send(attempt, reason)
+                self._cancel_unsent(attempt, reason)
 
-    def _cancel_before_send(self, attempt: Attempt, reason: CancelReason) -> None:
+    def _cancel_unsent(self, attempt: Attempt, reason: CancelReason) -> None:
         connections = self.workers.get(attempt.instance.worker)
-        if connections is not None and connections.cancel_before_send(attempt):
+        if connections is not None and connections.cancel_unsent(attempt):
             request = attempt.request
-            self._log(log_events.ATTEMPT_CANCELLED, request=request.id, attempt=attempt.number, reason=reason.value)
+            event_log(log_events.ATTEMPT_CANCELLED, request=request.id, attempt=attempt.number, reason=reason.value)
             self._engine.on_attempt_finished(
                 self._loop.time() * 1000, attempt, AttemptStatus.NOT_SENT, request.final_status is not None
             )
--- a/kelptrail/platform/endpoint_updates.py
+++ b/kelptrail/platform/endpoint_updates.py
@@ -16,7 +16,7 @@
 from .close_reasons import CancelReason
 from .config import Config
 from .endpoint_watch import EndpointWatch
-from .log import LogWriter
+from .log import event_log
 from .worker_connections import OnItemFinished
 from .worker_pool import WorkerPool
 
@@ -34,10 +34,9 @@
         wall_clock: WallClockReader,
         on_item_finished: OnItemFinished,
         schedule_decisions: Callable[[], None],
-        log: LogWriter,
     ) -> None:
         self._loop, self._engine, self._workers, self._wall_clock = loop, engine, workers, wall_clock
-        self._on_item_finished, self._schedule_decisions, self._log = on_item_finished, schedule_decisions, log
+        self._on_item_finished, self._schedule_decisions = on_item_finished, schedule_decisions
         self._started: dict[str, tuple[int, float]] = {}  # by worker: as the list has it, and on the loop's clock
         self.watch: EndpointWatch | None = None  # from `follow` on
 
@@ -56,7 +55,7 @@
             config.initial_events[-1].number if config.initial_events else 0,
             partial(FeedReader, len(config.sockets.zones), len(config.sockets.kinds)),
             self.on_event,
-            self._log,
+            event_log,
         )
 
     def set_address(self, address: tuple[str, int]) -> None:
@@ -83,7 +82,7 @@
             is_restarted = worker in restarted
             if worker.state is not states_before.get(worker.id, WorkerState.LIVE) or is_restarted:
                 state = worker.state.value
-                self._log(log_events.WORKER_STATE, worker=worker.id, state=state, restarted=is_restarted)
+                event_log(log_events.WORKER_STATE, worker=worker.id, state=state, restarted=is_restarted)
             self._update_connections(worker, is_restarted)
             if worker.removed and worker.id not in self._engine.workers:
                 self._workers.addresses.pop(worker.id, None)
@@ -91,7 +90,7 @@
         count = len(self._engine.workers)
         live = sum(worker.live for worker in self._engine.workers.values())
         self._workers.share_descriptors(count)
-        self._log(log_events.ENDPOINT_LIST, number=event.number, workers=count, live=live)
+        event_log(log_events.ENDPOINT_LIST, number=event.number, workers=count, live=live)
         self._schedule_decisions()
 
     def _endpoint(self, now: float, record: Record) -> Endpoint:
@@ -114,8 +113,8 @@
         elif worker.removed:  # its address may be another worker's from now on
             connections.close_connecting()
         elif not worker.live:  # items queued behind others could be sent after the drain grace
-            for item in connections.cancel_all_before_send():
-                self._log(log_events.CANCELLED_FOR_DRAIN, worker=worker.id, reason=CancelReason.DRAINING.value)
+            for item in connections.cancel_all_unsent():
+                event_log(log_events.CANCELLED_FOR_DRAIN, worker=worker.id, reason=CancelReason.DRAINING.value)
                 self._on_item_finished(item, AttemptStatus.NOT_SENT, None)
 
     def _started_at(self, now: float, record: Record) -> float | None:
--- a/kelptrail/platform/graceful_shutdown.py
+++ b/kelptrail/platform/graceful_shutdown.py
@@ -14,7 +14,7 @@
 from . import log_events
 from .client_server import ClientServer
 from .decision_executor import DecisionExecutor
-from .log import LogWriter
+from .log import event_log
 
 ACCEPT_MS = ARRIVALS_MS  # new connections are accepted for so long
 CHECK_INTERVAL_S = 0.02
@@ -30,10 +30,9 @@
         engine: Engine,
         client_server: ClientServer,
         executor: DecisionExecutor,
-        log: LogWriter,
     ) -> None:
         self._loop, self._engine, self._client_server = loop, engine, client_server
-        self._executor, self._log = executor, log
+        self._executor = executor
         self._plan = NOT_PLANNED
         self.finished = loop.create_future()
 
@@ -46,8 +45,8 @@
         """Start to shut down; a second call changes nothing."""
         if self.has_begun:
             return
-        self._log(log_events.SHUTTING_DOWN, in_flight=len(self._executor.client_requests))
-        self._client_server.send_go_away()
+        event_log(log_events.SHUTTING_DOWN, in_flight=len(self._executor.client_requests))
+        self._client_server.write_go_away()
         self._plan = plan_shutdown(self._now(), self._executor.workers.limits.max_timeout_ms, ACCEPT_MS)
         self._loop.call_later(ACCEPT_MS / 1000, self._finish_if_idle)
 
--- a/kelptrail/platform/service.py
+++ b/kelptrail/platform/service.py
@@ -10,7 +10,7 @@
 import asyncio
 import time
 import traceback
-from typing import Any
+from typing import Any, NamedTuple
 
 from kelptrail.engine.engine import Engine
 from kelptrail.engine.invariants import Invariants
@@ -54,20 +54,19 @@
         self.engine = Engine(config.seed, config.settings)
         self._wall_clock = WallClockReader(time.time() * 1000, self._now())
         self.invariants = Invariants(event_log)
-        max_clients, max_workers = _share_descriptors(config.descriptors)
-        self.client_server = self._make_client_server(max_clients)
+        shares = _share_descriptors(config.descriptors)
+        self.client_server = self._make_client_server(shares.clients)
         self.executor = DecisionExecutor(
             loop,
             config,
             self.engine,
             self.client_server,
-            max_workers,
+            shares.workers,
             self._schedule_decisions,
-            event_log,
             self.invariants,
         )
         self.client_server.handler = self.executor
-        self._shutdown = GracefulShutdown(loop, self.engine, self.client_server, self.executor, event_log)
+        self._shutdown = GracefulShutdown(loop, self.engine, self.client_server, self.executor)
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due = float("inf")
         self._tick_due = self._now() + self.engine.tick_ms
@@ -80,7 +79,6 @@
             self._wall_clock,
             self.executor.on_item_finished,
             self._schedule_decisions,
-            event_log,
         )
         self.endpoints.follow(config)
 
@@ -207,9 +205,16 @@
         executor.status_counts.clear()
 
 
-def _share_descriptors(descriptors: int) -> tuple[int, int]:
-    """How many connections clients and workers may have.  A third of the descriptors is enough for well-behaved
+class DescriptorShares(NamedTuple):
+    """How many connections clients and workers may have."""
+
+    clients: int
+    workers: int
+
+
+def _share_descriptors(descriptors: int) -> DescriptorShares:
+    """Split the descriptors of the process.  A third of the descriptors is enough for well-behaved
     clients; some more hold those over the limit."""
     clients = descriptors * 5 // 12
     others = min(OTHER_DESCRIPTORS, descriptors // 8)
-    return clients, max(MIN_WORKER_CONNECTIONS, descriptors - clients - others)
+    return DescriptorShares(clients, max(MIN_WORKER_CONNECTIONS, descriptors - clients - others))
--- a/kelptrail/platform/worker_connection.py
+++ b/kelptrail/platform/worker_connection.py
@@ -130,7 +130,7 @@
 
         opened.pending_write = connection.write_made(render, opened.size)
 
-    def cancel_before_send(self, id_: str) -> bool:
+    def cancel_unsent(self, id_: str) -> bool:
         """Cancel an item whose first byte was not sent; whether it was cancelled."""
         write = self.open_items[id_].pending_write
         if write is not None and self.connection is not None and not self.connection.withdraw(write):
@@ -141,7 +141,7 @@
     def cancel(self, id_: str) -> bool:
         """Cancel an item; whether it may still reach the worker.  Bytes that were begun are sent to their end, as the
         worker counts them."""
-        if self.cancel_before_send(id_):
+        if self.cancel_unsent(id_):
             return False
         del self.open_items[id_]
         self.suspect = True
--- a/kelptrail/platform/worker_connections.py
+++ b/kelptrail/platform/worker_connections.py
@@ -59,7 +59,7 @@
 
     def on_not_sent(self, item: WorkItem) -> None:
         """The item's time to start is over."""
-        if self.cancel_before_send(item):
+        if self.cancel_unsent(item):
             self._on_finished(item, AttemptStatus.NOT_SENT, None)
 
     def cancel(self, item: WorkItem) -> bool | None:
@@ -67,17 +67,17 @@
         location = self._locations.pop(item, None)
         return None if location is None else location[0].cancel(location[1])
 
-    def cancel_before_send(self, item: WorkItem) -> bool:
+    def cancel_unsent(self, item: WorkItem) -> bool:
         """Cancel an item whose first byte was not sent; whether it was cancelled."""
         location = self._locations.get(item)
-        if location is None or not location[0].cancel_before_send(location[1]):
+        if location is None or not location[0].cancel_unsent(location[1]):
             return False
         del self._locations[item]
         return True
 
-    def cancel_all_before_send(self) -> list[WorkItem]:
+    def cancel_all_unsent(self) -> list[WorkItem]:
         """Cancel all items whose first byte was not sent, and return them."""
-        return [item for item in list(self._locations) if self.cancel_before_send(item)]
+        return [item for item in list(self._locations) if self.cancel_unsent(item)]
 
     @property
     def longest_idle(self) -> WorkerConnection | None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -461,8 +461,8 @@
         bare = Bare(monkeypatch)
         sock, (begun, second, third, _) = await bare.full()
         assert bare.connections.cancel(begun) is True, "it will arrive: nobody may take it for unsent"
-        assert bare.connections.cancel(third) is False and bare.connections.cancel_before_send(second)
-        assert not bare.connections.cancel_before_send(second) and bare.connections.cancel(third) is None
+        assert bare.connections.cancel(third) is False and bare.connections.cancel_unsent(second)
+        assert not bare.connections.cancel_unsent(second) and bare.connections.cancel(third) is None
         found = await asyncio.to_thread(commands, sock)
         assert found == [b"CALL %016d" % 0, b"CALL %016d" % 3, b"CANCEL %016d" % 0]
         bare.connections.close()
