--- a/bench/door_fuzz.py
+++ b/bench/door_fuzz.py
@@ -1,9 +1,10 @@
-"""A seeded fuzz of the platform's door: processes of the program between clients, workers and a list that do what they
-like at random instants, and signals.  What was seen on the sockets is judged by the five rules and two terms more.
+"""A seeded fuzz of the platform's program: its processes between clients, workers and an endpoint list that behave at
+random, and signals.  What passed over the sockets is checked against the five rules and two further terms.
 
     python bench/door_fuzz.py --days 20 --seed 1
 
-A day takes some seconds.  The draws are the seed's, their instants the machine's.  Exit code 1 where a rule is broken.
+A run (`day`) takes some seconds.  The random choices are the seed's, their times the machine's.  Exit code 1 where a
+rule is broken.
 """
 
 from __future__ import annotations
@@ -91,44 +92,43 @@
 
 
 @dataclass(slots=True)
-class Asked:
-    """A request, as its client knows of it."""
+class SentRequest:
+    """A request as its client sees it.  Times are seconds of the monotonic clock."""
 
     id: str
     kind: str
     process: int
-    written: float  # its last byte
-    limit: float
-    until: float
-    left: float | None = None  # cancelled, or its connection closed by the client
-    ended: float | None = None  # its connection was closed by the dispatcher
-    rested: bool = False  # its connection had rested a while before it, with nothing open
-    said: float | None = None  # GO_AWAY was there before it was asked
+    written_at: float  # its last byte
+    limit_s: float
+    deadline: float
+    client_left_at: float | None = None  # cancelled, or its connection closed by the client
+    closed_at: float | None = None  # its connection was closed by the dispatcher
+    after_idle: bool = False  # its connection was idle for a while before it
     answers: list[tuple[float, int, bytes]] = field(default_factory=list)
 
 
 class Day:
-    """One day of one seed."""
+    """One run of one seed."""
 
     limits_ms = LIMITS_MS
 
     def __init__(self, seed: int, seconds: float, folder: Path, processes: int) -> None:
-        self.chance, self.seconds, self.folder = random.Random(seed), seconds, folder
-        self.asked: dict[str, Asked] = {}
+        self.rng, self.seconds, self.folder = random.Random(seed), seconds, folder
+        self.requests: dict[str, SentRequest] = {}
         self.calls: dict[str, list[tuple[float, str, int]]] = collections.defaultdict(list)  # begun, end, worker
         self.bodies: set[bytes] = set()
-        self.told: dict[int, float] = {}  # workers that drain or went, and when the list's event was written
-        self.sent_to: list[tuple[float, int]] = []
+        self.drained_at: dict[int, float] = {}  # workers that drain or went, and when the list's event was written
+        self.worker_attempts: list[tuple[float, int]] = []
         self.events: list[bytes] = []
         self.entries: list[dict[str, Any]] = []
-        self.killed: list[tuple[int, float]] = []
+        self.kill_times: list[tuple[int, float]] = []
         self.problems: list[str] = []
-        self.signals: collections.Counter[str] = collections.Counter()
+        self.signal_counts: collections.Counter[str] = collections.Counter()
         self.ports: list[int] = []
         self.processes: list[asyncio.subprocess.Process | None] = [None] * processes
-        self.doors = [(f"127.0.{7 + seed % 200}.{n + 1}", 0) for n in range(processes)]
-        self.more = True
-        self.begun: set[str] = set()  # requests of which something was written
+        self.addresses = [(f"127.0.{7 + seed % 200}.{n + 1}", 0) for n in range(processes)]
+        self.running = True
+        self.started_ids: set[str] = set()  # requests of which something was written
 
     # The workers.
 
@@ -138,29 +138,29 @@
                 while line := await reader.readline():
                     word, id_, *rest = line.decode().split()
                     if word == "LOAD":
-                        await asyncio.sleep(self.chance.random() * 0.05)
-                        says = self.chance.choice(["OK units=1"] * 9 + ["BUSY units=0"])
+                        await asyncio.sleep(self.rng.random() * 0.05)
+                        says = self.rng.choice(["OK units=1"] * 9 + ["BUSY units=0"])
                         writer.write(f"{id_} {says} 0\r\n\r\n".encode())
                     elif word == "CALL":
                         body = (await reader.readexactly(int(rest[-1]) + 2))[:-2]
-                        self._called(number, id_, body, writer)
+                        self._answer_call(number, id_, body, writer)
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         self.ports.append(server.sockets[0].getsockname()[1])
 
-    def _called(self, number: int, id_: str, body: bytes, writer: asyncio.StreamWriter) -> None:
+    def _answer_call(self, number: int, id_: str, body: bytes, writer: asyncio.StreamWriter) -> None:
         now, loop = time.monotonic(), asyncio.get_running_loop()
-        does = self.chance.choice(
+        behavior = self.rng.choice(
             ["OK"] * 60
             + ["MISS", "MISS", "MISSES", "BUSY", "ERR", "noise", "break", "silent", "half", "twice", "late", "VOID"]
         )
-        self.calls[id_].append((now, does, number))
-        self.sent_to.append((now, number))
+        self.calls[id_].append((now, behavior, number))
+        self.worker_attempts.append((now, number))
         made = b"%d %s" % (number, body)
         self.bodies.add(made)
         good = b"%s OK tell=up,ahead=0 %d\r\n%s\r\n" % (id_.encode(), len(made), made)
-        plain = b"%s %s - 0\r\n\r\n" % (id_.encode(), does[:4].encode())
+        plain = b"%s %s - 0\r\n\r\n" % (id_.encode(), behavior[:4].encode())
         says = {
             "OK": good,
             "late": good,
@@ -169,40 +169,40 @@
             "half": good[:-5],
             "silent": b"",
             "break": b"",
-        }.get(does, plain)
+        }.get(behavior, plain)
 
         def say() -> None:
             with contextlib.suppress(RuntimeError, OSError):
                 writer.write(says)
-                if does in ("break", "half"):
+                if behavior in ("break", "half"):
                     writer.close()
-                if does == "MISSES":  # a second answer some milliseconds later
-                    loop.call_later(0.02 * self.chance.random(), writer.write, says)
+                if behavior == "MISSES":  # a second answer some milliseconds later
+                    loop.call_later(0.02 * self.rng.random(), writer.write, says)
 
-        loop.call_later(1.0 if does == "late" else self.chance.random() * 0.04, say)
+        loop.call_later(1.0 if behavior == "late" else self.rng.random() * 0.04, say)
 
-    # The list.
+    # The endpoint list.
 
     async def list(self) -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             with contextlib.suppress(OSError, RuntimeError, asyncio.IncompleteReadError):
                 at = int.from_bytes(await reader.readexactly(8), "big")
-                does = self.chance.choice(["tell"] * 6 + ["break", "twice"])
-                while self.more:
+                behavior = self.rng.choice(["tell"] * 6 + ["break", "twice"])
+                while self.running:
                     for data in self.events[at - 1 :]:
-                        if does == "break" and self.chance.random() < 0.2:
+                        if behavior == "break" and self.rng.random() < 0.2:
                             writer.write(data[:9])
                             return
-                        writer.write(data * (2 if does == "twice" else 1))
+                        writer.write(data * (2 if behavior == "twice" else 1))
                         at += 1
                     writer.write(struct.pack(">IQB", 9, at, 0))
                     await asyncio.sleep(0.1)
             writer.close()
 
         self.lists = [await asyncio.start_server(serve, "127.0.0.1", 0) for _ in range(2)]
-        self.journals = [f"127.0.0.1:{each.sockets[0].getsockname()[1]}" for each in self.lists]
+        self.list_addresses = [f"127.0.0.1:{each.sockets[0].getsockname()[1]}" for each in self.lists]
 
-    def tell(self, *changes: tuple[int, int, int]) -> None:
+    def publish_event(self, *changes: tuple[int, int, int]) -> None:
         """An event: ids, the workers behind them, states."""
         number = 2 + len(self.events)
         records = b"".join(
@@ -229,14 +229,14 @@
     # The processes.
 
     def configuration(self, n: int) -> str:
-        host, port = self.doors[n]
+        host, port = self.addresses[n]
         return json.dumps(
             {
                 "name": f"n{n}",
                 "listen": f"{host}:{port}",
-                "seed": f"{self.chance.getrandbits(60):x}",
+                "seed": f"{self.rng.getrandbits(60):x}",
                 "limits": {"cores": 1, "memory_mb": 64, "sockets": 128},
-                "journal": self.chance.choice(self.journals),
+                "journal": self.rng.choice(self.list_addresses),
                 "known": {"pos": self.entries[-1]["pos"], "entries": self.entries},
                 "settings": settings(),
             }
@@ -244,10 +244,10 @@
 
     async def start(self, n: int) -> None:
         file = self.folder / f"c{n}.json"
-        if not self.doors[n][1]:
+        if not self.addresses[n][1]:
             with socket.socket() as free:
-                free.bind((self.doors[n][0], 0))
-                self.doors[n] = free.getsockname()
+                free.bind((self.addresses[n][0], 0))
+                self.addresses[n] = free.getsockname()
         file.write_text(self.configuration(n))
         with open(self.folder / f"log{n}", "ab") as log:
             self.processes[n] = await asyncio.create_subprocess_exec(
@@ -261,46 +261,46 @@
         deadline = time.monotonic() + 10
         while time.monotonic() < deadline:
             with contextlib.suppress(OSError):
-                _, writer = await asyncio.open_connection(*self.doors[n])
+                _, writer = await asyncio.open_connection(*self.addresses[n])
                 writer.close()
                 return
             await asyncio.sleep(0.02)
         self.problems.append(f"process {n} did not start")
 
-    async def trouble(self, n: int) -> None:
-        """Signals to one process, for as long as the day lasts."""
-        while self.more:
-            await asyncio.sleep(0.2 + self.chance.random() * 1.2)
-            process, does = self.processes[n], self.chance.choice(["HUP", "HUP", "half", "TERM", "KILL"])
-            if process is None or not self.more:
+    async def send_signals(self, n: int) -> None:
+        """Signals to one process, for as long as the run lasts."""
+        while self.running:
+            await asyncio.sleep(0.2 + self.rng.random() * 1.2)
+            process, behavior = self.processes[n], self.rng.choice(["HUP", "HUP", "half", "TERM", "KILL"])
+            if process is None or not self.running:
                 continue
-            self.signals[does] += 1
-            if does in ("HUP", "half"):
+            self.signal_counts[behavior] += 1
+            if behavior in ("HUP", "half"):
                 whole, file = self.configuration(n), self.folder / f"c{n}.json"
-                file.write_text(whole[: self.chance.randrange(len(whole))] if does == "half" else whole)
+                file.write_text(whole[: self.rng.randrange(len(whole))] if behavior == "half" else whole)
                 process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.08)
                 file.write_text(whole)
             else:
-                await self.stop(n, does)
+                await self.stop(n, behavior)
                 await self.start(n)
 
-    async def stop(self, n: int, does: str) -> None:
+    async def stop(self, n: int, behavior: str) -> None:
         process = self.processes[n]
         assert process is not None
         if process.returncode is not None:
             self.problems.append(f"process {n} ended by itself with {process.returncode}")
             return
-        if does == "KILL":
-            self.killed.append((n, time.monotonic()))
+        if behavior == "KILL":
+            self.kill_times.append((n, time.monotonic()))
             process.kill()
             await process.wait()
             return
         process.send_signal(signal.SIGTERM)
-        if self.chance.random() < 0.5:
-            await asyncio.sleep(self.chance.random() * 0.8)
+        if self.rng.random() < 0.5:
+            await asyncio.sleep(self.rng.random() * 0.8)
             with contextlib.suppress(ProcessLookupError):
-                process.send_signal(self.chance.choice([signal.SIGTERM, signal.SIGHUP]))
+                process.send_signal(self.rng.choice([signal.SIGTERM, signal.SIGHUP]))
         try:
             code = await asyncio.wait_for(process.wait(), 5.0)
         except TimeoutError:
@@ -313,59 +313,59 @@
     # The clients.
 
     async def client(self) -> None:
-        while self.more:
-            n = self.chance.randrange(len(self.doors))
+        while self.running:
+            n = self.rng.randrange(len(self.addresses))
             with contextlib.suppress(OSError, RuntimeError):  # the connection has ended
                 await self._connection(n)
-            await asyncio.sleep(self.chance.random() * 0.05)
+            await asyncio.sleep(self.rng.random() * 0.05)
 
     async def _connection(self, n: int) -> None:
-        reader, writer = await asyncio.open_connection(*self.doors[n])
-        mine: dict[int, Asked] = {}
+        reader, writer = await asyncio.open_connection(*self.addresses[n])
+        sent: dict[int, SentRequest] = {}
         state = {"away": False}
-        hears = asyncio.create_task(self._hear(reader, mine, state))
-        how = self.chance.choice(["usual"] * 6 + ["slow", "flood", "leaves", "resets", "garbage", "half"])
+        reader_task = asyncio.create_task(self._read_answers(reader, sent, state))
+        how = self.rng.choice(["usual"] * 6 + ["slow", "flood", "leaves", "resets", "garbage", "half"])
         stream = 0
         try:
-            for _ in range(self.chance.randrange(1, 12)):
-                if not self.more or state["away"] or hears.done():
+            for _ in range(self.rng.randrange(1, 12)):
+                if not self.running or state["away"] or reader_task.done():
                     break
-                for _ in range(self.chance.randrange(8, 24) if how == "flood" else self.chance.choice((1, 1, 3))):
-                    if sum(not each.answers and each.left is None for each in mine.values()) >= 30:
+                for _ in range(self.rng.randrange(8, 24) if how == "flood" else self.rng.choice((1, 1, 3))):
+                    if sum(not each.answers and each.client_left_at is None for each in sent.values()) >= 30:
                         break  # as many as a connection may have open
                     stream += 1
-                    asked, data = self._request(n, stream)
-                    asked.rested = all(
+                    request, data = self._request(n, stream)
+                    request.after_idle = all(
                         each.answers
-                        or each.left is not None
-                        or (each.rested and time.monotonic() - each.written < 0.05)
-                        for each in mine.values()
+                        or each.client_left_at is not None
+                        or (each.after_idle and time.monotonic() - each.written_at < 0.05)
+                        for each in sent.values()
                     )
-                    mine[stream] = asked
+                    sent[stream] = request
                     if how == "slow":
                         for at in range(0, len(data), 60):
                             writer.write(data[at : at + 60])
                             await asyncio.sleep(0.01)
-                    if hears.done() or writer.is_closing():
+                    if reader_task.done() or writer.is_closing():
                         return
-                    self.asked[asked.id] = asked
+                    self.requests[request.id] = request
                     if how != "slow":
                         writer.write(data)
                     now = time.monotonic()
-                    asked.written, asked.until = now, now + asked.limit
-                    if self.chance.random() < (0.5 if how == "flood" else 0.05):
+                    request.written_at, request.deadline = now, now + request.limit_s
+                    if self.rng.random() < (0.5 if how == "flood" else 0.05):
                         writer.write(frames.frame(frames.CANCEL, stream))
-                        asked.left = time.monotonic()
-                await asyncio.sleep(self.chance.random() * 0.06)
-                if how in ("leaves", "resets", "half", "garbage") and self.chance.random() < 0.4:
+                        request.client_left_at = time.monotonic()
+                await asyncio.sleep(self.rng.random() * 0.06)
+                if how in ("leaves", "resets", "half", "garbage") and self.rng.random() < 0.4:
                     break
             if how in ("leaves", "resets", "half", "garbage"):
                 now = time.monotonic()
-                for asked in mine.values():
-                    if not asked.answers and asked.left is None:
-                        asked.left = now
-                if how == "garbage":  # it is told, and closed: what was open on it nobody waits for
-                    writer.write(self.chance.randbytes(40))
+                for request in sent.values():
+                    if not request.answers and request.client_left_at is None:
+                        request.client_left_at = now
+                if how == "garbage":  # it is answered with an error and closed; its open requests have no client
+                    writer.write(self.rng.randbytes(40))
                     await asyncio.sleep(0.1)
                 elif how == "half":
                     writer.write_eof()
@@ -374,24 +374,31 @@
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 return
             async with asyncio.timeout(2.5):
-                while not hears.done() and any(not each.answers and each.left is None for each in mine.values()):
+                while not reader_task.done() and any(
+                    not each.answers and each.client_left_at is None for each in sent.values()
+                ):
                     await asyncio.sleep(0.01)
         except TimeoutError:
             pass
         finally:
             now = time.monotonic()
-            for asked in mine.values():
-                if not asked.answers and asked.left is None and not hears.done() and now < asked.until:
-                    asked.left = now
+            for request in sent.values():
+                if (
+                    not request.answers
+                    and request.client_left_at is None
+                    and not reader_task.done()
+                    and now < request.deadline
+                ):
+                    request.client_left_at = now
             await asyncio.sleep(0.01)
-            hears.cancel()
+            reader_task.cancel()
             writer.close()
 
-    def _request(self, n: int, stream: int) -> tuple[Asked, bytes]:
+    def _request(self, n: int, stream: int) -> tuple[SentRequest, bytes]:
         kind, limit, id_ = (
-            self.chance.choice("ttko"),
-            self.chance.choice(self.limits_ms),
-            self.chance.randbytes(8).hex(),
+            self.rng.choice("ttko"),
+            self.rng.choice(self.limits_ms),
+            self.rng.randbytes(8).hex(),
         )
         told = {
             "verb": kind,
@@ -399,14 +406,16 @@
             "limit": str(limit),
             "team": "acme",
             "info": "memory_mb:300;lanes:4",
-            "item": f"{self.chance.randrange(9):016x}",
+            "item": f"{self.rng.randrange(9):016x}",
         } | ({"unique": f"u{id_}"} if kind == "k" else {})
-        self.begun.add(id_)
-        size = self.chance.choice((0, 40, 40, 2000, 16_000))
+        self.started_ids.add(id_)
+        size = self.rng.choice((0, 40, 40, 2000, 16_000))
         data = frames.frame(frames.REQUEST, stream, frames.fields(told) + id_.encode() + bytes(size))
-        return Asked(id_, kind, n, 0.0, limit / 1000, 0.0), data
+        return SentRequest(id_, kind, n, 0.0, limit / 1000, 0.0), data
 
-    async def _hear(self, reader: asyncio.StreamReader, mine: dict[int, Asked], state: dict[str, bool]) -> None:
+    async def _read_answers(
+        self, reader: asyncio.StreamReader, sent: dict[int, SentRequest], state: dict[str, bool]
+    ) -> None:
         found = frames.FrameReader(1 << 20)
         with contextlib.suppress(OSError):
             while data := await reader.read(65536):
@@ -416,16 +425,16 @@
                     kind, stream, payload = frame
                     if kind == frames.GO_AWAY:
                         state["away"] = True
-                    elif kind == frames.ANSWER and stream in mine:
+                    elif kind == frames.ANSWER and stream in sent:
                         _, end = frames.read_fields(payload[1:])
-                        mine[stream].answers.append((now, payload[0], payload[1 + end :]))
-                if self.chance.random() < 0.02:
+                        sent[stream].answers.append((now, payload[0], payload[1 + end :]))
+                if self.rng.random() < 0.02:
                     await asyncio.sleep(0.05)  # it reads slowly
         now = time.monotonic()
-        for asked in mine.values():
-            asked.ended = now
+        for request in sent.values():
+            request.closed_at = now
 
-    # The day, and what is judged of it.
+    # The run and its checks.
 
     async def play(self) -> None:
         for n in range(4):
@@ -433,73 +442,84 @@
         await self.list()
         first = [self._target(n, n, "in_service") for n in range(3)]
         self.entries.append({"pos": 1, "hosts": {"rev": 1, "all": True, "targets": first}})
-        await asyncio.gather(*(self.start(n) for n in range(len(self.doors))))
+        await asyncio.gather(*(self.start(n) for n in range(len(self.addresses))))
         tasks = [asyncio.create_task(self.client()) for _ in range(10)]
-        tasks += [asyncio.create_task(self.trouble(n)) for n in range(len(self.doors))]
+        tasks += [asyncio.create_task(self.send_signals(n)) for n in range(len(self.addresses))]
         step = self.seconds / 4
         await asyncio.sleep(step)
-        self.tell((0, 0, 1))  # the first drains; a new one comes
-        self.told[0] = time.monotonic()
-        self.tell((9, 3, 0))
+        self.publish_event((0, 0, 1))  # the first drains; a new one comes
+        self.drained_at[0] = time.monotonic()
+        self.publish_event((9, 3, 0))
         await asyncio.sleep(step)
-        self.tell((0, 0, 2))
+        self.publish_event((0, 0, 2))
         await asyncio.sleep(2 * step)
-        self.more = False
+        self.running = False
         await asyncio.gather(*tasks)
-        for n in range(len(self.doors)):
+        for n in range(len(self.addresses)):
             await self.stop(n, "TERM")
         await asyncio.sleep(0.2)  # the lists' connections end
         self.judge()
 
     def judge(self) -> None:
-        for asked in self.asked.values():
-            for problem in self._judged(asked):
-                self.problems.append(f"{asked.id} ({asked.kind}, process {asked.process}): {problem}")
-        if 0 in self.told and (
-            late := [at for at, number in self.sent_to if number == 0 and (at > self.told[0] + GRACE_S + 1.0 + SLACK_S)]
+        for request in self.requests.values():
+            for problem in self._problems_of(request):
+                self.problems.append(f"{request.id} ({request.kind}, process {request.process}): {problem}")
+        if 0 in self.drained_at and (
+            late := [
+                at
+                for at, number in self.worker_attempts
+                if number == 0 and (at > self.drained_at[0] + GRACE_S + 1.0 + SLACK_S)
+            ]
         ):  # a list that breaks may tell a second late
-            self.problems.append(f"{len(late)} sends to one that drains, the last {late[-1] - self.told[0]:.2f} s on")
+            self.problems.append(
+                f"{len(late)} sends to one that drains, the last {late[-1] - self.drained_at[0]:.2f} s on"
+            )
         made = collections.Counter(id_ for id_ in self.calls)
-        if unknown := [id_ for id_ in made if id_ not in self.asked and id_ not in self.begun]:
-            self.problems.append(f"sent what nobody asked: {unknown[:3]}")
+        if unknown := [id_ for id_ in made if id_ not in self.requests and id_ not in self.started_ids]:
+            self.problems.append(f"attempts for unknown requests: {unknown[:3]}")
 
-    def _judged(self, asked: Asked) -> list[str]:
-        calls, out = self.calls.get(asked.id, []), []
+    def _problems_of(self, request: SentRequest) -> list[str]:
+        calls, out = self.calls.get(request.id, []), []
         ran = [call for call in calls if call[1][:4] not in NEVER_RAN]
-        codes = [code for _, code, _ in asked.answers]
+        codes = [code for _, code, _ in request.answers]
         if len(codes) > 1:
             out.append(f"{len(codes)} answers: {codes}")
-        if asked.left is not None:
-            if begun := [at - asked.left for at, _, _ in calls if at > asked.left + LEFT_S + SLACK_S / 2]:
+        if request.client_left_at is not None:
+            if begun := [
+                at - request.client_left_at for at, _, _ in calls if at > request.client_left_at + LEFT_S + SLACK_S / 2
+            ]:
                 out.append(f"an attempt began {begun[-1]:.3f} s after its client left")
         elif not codes:
             killed = any(
-                n == asked.process and asked.written - 0.05 <= at <= asked.until + 0.05 for n, at in self.killed
+                n == request.process and request.written_at - 0.05 <= at <= request.deadline + 0.05
+                for n, at in self.kill_times
+            )
+            crossed = (
+                not calls and request.closed_at is not None and request.closed_at - request.written_at < 0.05 + SLACK_S
             )
-            crossed = not calls and asked.ended is not None and asked.ended - asked.written < 0.05 + SLACK_S
             if not killed and not crossed:
                 out.append(
                     f"no answer; calls {[c[1] for c in calls]}, ended "
-                    f"{None if asked.ended is None else round(asked.ended - asked.written, 3)} s on"
+                    f"{None if request.closed_at is None else round(request.closed_at - request.written_at, 3)} s on"
                 )
-        elif asked.answers[0][0] > asked.until + SLACK_S:
-            out.append(f"answered {asked.answers[0][0] - asked.until:.3f} s late")
-        for _, code, body in asked.answers:
-            if code == frames.SERVED and (body not in self.bodies or asked.id.encode() not in body):
+        elif request.answers[0][0] > request.deadline + SLACK_S:
+            out.append(f"answered {request.answers[0][0] - request.deadline:.3f} s late")
+        for _, code, body in request.answers:
+            if code == frames.SERVED and (body not in self.bodies or request.id.encode() not in body):
                 out.append("served what no worker made")
-        if asked.kind == "o" and len(ran) > 1:
+        if request.kind == "o" and len(ran) > 1:
             out.append(f"once-only ran {len(ran)} times: {[c[1] for c in calls]}")
-        if asked.kind == "o" and ran and frames.REFUSED in codes:
+        if request.kind == "o" and ran and frames.REFUSED in codes:
             out.append("once-only refused though it may have run")
-        if asked.kind == "k" and ran and calls[-1][0] > ran[0][0] + WINDOW_S + 0.05 + SLACK_S / 2:
+        if request.kind == "k" and ran and calls[-1][0] > ran[0][0] + WINDOW_S + 0.05 + SLACK_S / 2:
             out.append(f"a repeat {calls[-1][0] - ran[0][0]:.3f} s after the first")
         if out:
-            out.append(f"calls {[(round(at - asked.written, 3), does, n) for at, does, n in calls]}")
+            out.append(f"calls {[(round(at - request.written_at, 3), behavior, n) for at, behavior, n in calls]}")
         return out
 
 
 def play(seed: int, seconds: float = 6.0, processes: int = 3) -> Day:
-    """One day; its problems are in `problems`."""
+    """One run; what was found is in `problems`."""
     with tempfile.TemporaryDirectory() as folder:
         day = Day(seed, seconds, Path(folder), processes)
         uvloop.run(day.play())
@@ -515,21 +535,21 @@
     parser.add_argument("--days", type=int, default=5)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=6.0)
-    asks = parser.parse_args()
+    options = parser.parse_args()
     broken = requests = 0
-    for seed in range(asks.seed, asks.seed + asks.days):
-        day = play(seed, asks.seconds)
-        codes = collections.Counter(a.answers[0][1] if a.answers else None for a in day.asked.values())
-        requests += len(day.asked)
+    for seed in range(options.seed, options.seed + options.days):
+        day = play(seed, options.seconds)
+        codes = collections.Counter(a.answers[0][1] if a.answers else None for a in day.requests.values())
+        requests += len(day.requests)
         broken += bool(day.problems)
         print(
-            f"seed {seed}: {len(day.asked)} requests, answers {dict(codes)}, signals {dict(day.signals)}, "
+            f"seed {seed}: {len(day.requests)} requests, answers {dict(codes)}, signals {dict(day.signal_counts)}, "
             f"{len(day.problems)} problems",
             flush=True,
         )
         for problem in day.problems[:20]:
             print("   ", problem)
-    print(f"{requests} requests on {asks.days} days, {broken} days with a problem")
+    print(f"{requests} requests on {options.days} days, {broken} days with a problem")
     return 1 if broken else 0
 
 
--- a/bench/soak_proxy.py
+++ b/bench/soak_proxy.py
@@ -1,8 +1,8 @@
-"""A proxy on loopback whose connections are late, slow, split, stalled or cut, each by its own draw.
+"""A proxy on loopback whose connections are late, slow, split, stalled or cut, each by its own random choice.
 
-What comes from the dispatcher's side is handed to `captured` as it is read off the socket, before any delay of the
-proxy: the times that are judged are those at which the dispatcher wrote, as far as another process can tell.  What
-stands in the kernel's buffers while a connection is stalled has no such time; it is handed on as `timed=False`.
+Bytes from the dispatcher are passed to `on_data` as they are read off the socket, before any delay of the proxy: the
+times that are checked are those at which the dispatcher wrote, as far as another process can tell.  Bytes in the
+kernel's buffers while a connection is stalled have no such time; they are passed on as `timed=False`.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 RECEIVE_BUFFER = 16_384  # so that a stall reaches the dispatcher's own buffers soon
 HELD_BY_KERNELS = 3 * RECEIVE_BUFFER  # bytes that both kernels may hold of a stalled connection
 
-Captured = Callable[[int, bytes, bool], None]
+OnData = Callable[[int, bytes, bool], None]
 
 
 @dataclass(slots=True)
 class LinkFaults:
-    """What a proxy does to connections that come, in shares of them; times in seconds."""
+    """The share of new connections that have each fault; times in seconds."""
 
     late: float = 0.0  # come up late
     late_s: float = 0.4
@@ -39,9 +39,9 @@
     """One listening address in front of another."""
 
     def __init__(
-        self, upstream: tuple[str, int], faults: LinkFaults, chance: random.Random, captured: Captured | None = None
+        self, upstream: tuple[str, int], faults: LinkFaults, rng: random.Random, on_data: OnData | None = None
     ) -> None:
-        self.upstream, self.faults, self.chance, self.captured = upstream, faults, chance, captured
+        self.upstream, self.faults, self.rng, self.on_data = upstream, faults, rng, on_data
         self.port, self.count = 0, 0
         self.connections: set[Downstream] = set()
 
@@ -55,17 +55,17 @@
         return self.port
 
     def close(self) -> None:
-        """Listen no more and reset all connections."""
+        """Close the listener and reset all connections."""
         self._server.close()
         for connection in list(self.connections):
             connection.abort()
 
 
 class Downstream(asyncio.Protocol):
-    """A connection from the dispatcher's side, and the one that belongs to it upstream."""
+    """A connection from the dispatcher, and its counterpart upstream."""
 
     def __init__(self, proxy: Proxy) -> None:
-        self._proxy, self._faults, self._chance = proxy, proxy.faults, random.Random(proxy.chance.getrandbits(64))
+        self._proxy, self._faults, self._rng = proxy, proxy.faults, random.Random(proxy.rng.getrandbits(64))
         proxy.count += 1
         self._number = proxy.count
         self._pieces: asyncio.Queue[bytes] = asyncio.Queue()
@@ -73,9 +73,9 @@
         self._upstream: asyncio.StreamWriter | None = None
         self._task: asyncio.Task[None] | None = None
         faults = self._faults
-        self._slow, self._split = self._chance.random() < faults.slow, self._chance.random() < faults.split
-        self._cut_at = self._chance.randrange(1, 60_000) if self._chance.random() < faults.cut else None
-        self._stall_at = self._chance.randrange(1, 30_000) if self._chance.random() < faults.stall else None
+        self._slow, self._split = self._rng.random() < faults.slow, self._rng.random() < faults.split
+        self._cut_at = self._rng.randrange(1, 60_000) if self._rng.random() < faults.cut else None
+        self._stall_at = self._rng.randrange(1, 30_000) if self._rng.random() < faults.stall else None
         self._read, self._untimed = 0, 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -87,8 +87,8 @@
         assert self._transport is not None
         timed = self._untimed <= 0
         self._untimed -= len(data)
-        if self._proxy.captured is not None:
-            self._proxy.captured(self._number, data, timed)
+        if self._proxy.on_data is not None:
+            self._proxy.on_data(self._number, data, timed)
         self._pieces.put_nowait(data)
         self._read += len(data)
         if self._cut_at is not None and self._read >= self._cut_at:
@@ -125,8 +125,8 @@
         try:
             if self._faults.refuse:
                 return
-            if self._chance.random() < self._faults.late:
-                await asyncio.sleep(self._chance.random() * self._faults.late_s)
+            if self._rng.random() < self._faults.late:
+                await asyncio.sleep(self._rng.random() * self._faults.late_s)
             reader, self._upstream = await asyncio.open_connection(*self._proxy.upstream)
             back = asyncio.get_running_loop().create_task(self._back(reader))
             while piece := await self._pieces.get():
@@ -149,8 +149,8 @@
 
     async def _write(self, where: asyncio.StreamWriter | asyncio.Transport, data: bytes) -> None:
         if self._slow:
-            await asyncio.sleep(self._chance.random() * self._faults.slow_s)
-        size = self._chance.randrange(1, 200) if self._split else len(data)
+            await asyncio.sleep(self._rng.random() * self._faults.slow_s)
+        size = self._rng.randrange(1, 200) if self._split else len(data)
         for at in range(0, len(data), size):
             where.write(data[at : at + size])
             if self._split and at < 20 * size:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,5 +1,5 @@
-"""Crossings on the platform's door, forced on real sockets: an end, a leaving client, a broken connection or a second
-answer that comes between two steps.  One side is held at a known point; nothing here waits and hopes."""
+"""Race conditions of the platform's program, forced on real sockets: a shutdown, a leaving client, a broken connection or a second
+answer that comes between two steps.  One side is held at a known point; no test depends on timing by chance."""
 
 from __future__ import annotations
 
@@ -18,14 +18,13 @@
 from typing import Any
 
 import pytest
-from test_platform import CLASS, SETTINGS, Place, Runner, configuration, echo, event, run
+from test_platform import CLASS, SETTINGS, PlatformFixture, WorkerStub, configuration, echo, event, run
 
 from kelptrail.codec import frames
 from kelptrail.codec.lines import call
 from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.net.connection import connect
-from kelptrail.platform import graceful_shutdown
-from kelptrail.platform import worker_connection as workers
+from kelptrail.platform import graceful_shutdown, worker_connection
 from kelptrail.platform.client_server import MAX_OPEN_REQUESTS
 from kelptrail.platform.worker_connection import WorkerConnectionLimits
 from kelptrail.platform.worker_connections import WorkerConnections
@@ -84,12 +83,14 @@
     return dict(told)
 
 
-class Held:
-    """Stands in for `connect`: those to come are held until they are let go."""
+class HeldConnect:
+    """Replaces `connect` of a module: connects to come wait until `gate` is set."""
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, where: Any = workers, port: int | None = None) -> None:
+    def __init__(
+        self, monkeypatch: pytest.MonkeyPatch, module: Any = worker_connection, port: int | None = None
+    ) -> None:
         self.gate, self.waiting, self._port = asyncio.Event(), 0, port
-        monkeypatch.setattr(where, "connect", self._connect)
+        monkeypatch.setattr(module, "connect", self._connect)
 
     async def _connect(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], within: float) -> socket.socket:
         if self._port in (None, address[1]):
@@ -101,13 +102,13 @@
 # The planned end.
 
 
-def test_a_request_in_the_moment_of_the_end_is_answered_or_sees_the_close_and_ran_nowhere() -> None:
+def test_a_request_in_the_moment_of_shutdown_is_answered_or_sees_the_close_and_ran_nowhere() -> None:
     async def main() -> None:
-        def slowly(runner: Runner, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+        def slowly(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
             asyncio.get_running_loop().call_later(0.2, echo, runner, id_, body, writer)
 
-        async with Place(Runner(slowly)) as place:
-            client = await place.client()
+        async with PlatformFixture(WorkerStub(slowly)) as platform:
+            client = await platform.client()
             client.ask(1)
             assert await client.code() == frames.SERVED
             loop, asked = asyncio.get_running_loop(), []
@@ -120,20 +121,20 @@
                     client.ask(2)
                 return later(delay, back, *args, **more)
 
-            place.service._shutdown._loop = Crossing(loop, crossing)
-            place.service.shut_down()
+            platform.service._shutdown._loop = Crossing(loop, crossing)
+            platform.service.shut_down()
             assert await client.next() == (frames.GO_AWAY, 0, b"")
-            await asyncio.wait_for(place.service.finished, 3.0)
+            await asyncio.wait_for(platform.service.finished, 3.0)
             assert asked
-            place.service.close()
+            platform.service.close()
             code = await client.code()
-            assert code == frames.SERVED or (code is None and len(place.runners[0].calls) == 1)
+            assert code == frames.SERVED or (code is None and len(platform.workers[0].calls) == 1)
 
     run(main())
 
 
 class Crossing:
-    """The loop, with its `call_later` looked at."""
+    """The loop with another `call_later`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, later: Callable[..., Any]) -> None:
         self._loop, self.call_later = loop, later
@@ -143,89 +144,89 @@
 
 
 @pytest.mark.parametrize("reads", [True, False])
-def test_the_end_waits_for_answers_that_a_client_reads_and_for_none_that_it_does_not(reads: bool) -> None:
+def test_shutdown_waits_for_answers_that_a_client_reads_and_for_none_that_it_does_not(reads: bool) -> None:
     body = bytes(90_000)
 
-    def large(runner: Runner, id_: bytes, _: bytes, writer: asyncio.StreamWriter) -> None:
+    def large(runner: WorkerStub, id_: bytes, _: bytes, writer: asyncio.StreamWriter) -> None:
         echo(runner, id_, body, writer)
 
     async def main() -> None:
-        async with Place(runner := Runner(large)) as place:
-            sock = raw(place.port, SMALL)
-            await until(lambda: len(place.service.client_server.connections))
-            (client,) = place.service.client_server.connections.fresh
+        async with PlatformFixture(runner := WorkerStub(large)) as platform:
+            sock = raw(platform.port, SMALL)
+            await until(lambda: len(platform.service.client_server.connections))
+            (client,) = platform.service.client_server.connections.fresh
             client.connection.wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
             sock.sendall(request(1))
             await until(lambda: len(runner.calls) and client.connection._writing)
             began = time.monotonic()
-            place.service.shut_down()
+            platform.service.shut_down()
             if not reads:
-                await asyncio.wait_for(place.service.finished, 2.5)
+                await asyncio.wait_for(platform.service.finished, 2.5)
                 sock.close()
                 return
             await asyncio.sleep(0.8)  # the last look comes after 0.7 s
-            assert not place.service.finished.done()
+            assert not platform.service.finished.done()
             found = await asyncio.to_thread(read_all, sock)
             assert answers(found) == {1: frames.SERVED} and found[0][2] == b"\0\0" + body
-            await asyncio.wait_for(place.service.finished, 1.0)
+            await asyncio.wait_for(platform.service.finished, 1.0)
             assert time.monotonic() - began < 2.5
             sock.close()
 
     run(main())
 
 
-def test_half_a_frame_at_the_end_is_waited_for_and_whoever_stands_in_the_door_is_let_in() -> None:
+def test_shutdown_waits_for_a_partial_frame_and_accepts_clients_in_the_accept_queue() -> None:
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            half, front = await place.client(), place.service.client_server
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            half, front = await platform.client(), platform.service.client_server
             data = request(1)
             half.writer.write(data[:30])
             await until(lambda: any(each.partial_frame_since for each in front.connections.fresh))
             (listening,) = front._listener._sockets
             loop = asyncio.get_running_loop()
             loop.remove_reader(listening)  # whoever comes stands in the queue of the kernel
-            place.service.shut_down()
+            platform.service.shut_down()
             assert await half.next() == (frames.GO_AWAY, 0, b"")
-            late = raw(place.port)
+            late = raw(platform.port)
             late.sendall(request(2))
             await asyncio.sleep(0.75)
-            assert not place.service.finished.done()
+            assert not platform.service.finished.done()
             half.writer.write(data[30:])
             assert await half.code() == frames.SERVED
-            await asyncio.wait_for(place.service.finished, 2.0)
-            place.service.close()
+            await asyncio.wait_for(platform.service.finished, 2.0)
+            platform.service.close()
             assert answers(await asyncio.to_thread(read_all, late)) == {2: frames.SERVED}
             late.close()
 
     run(main())
 
 
-def test_who_asks_on_and_on_does_not_keep_a_process_that_was_told_to_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_keeps_sending_requests_does_not_delay_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(graceful_shutdown, "ACCEPT_MS", 100.0)
     monkeypatch.setitem(SETTINGS, "classes", [CLASS | {"give_up_us": 400_000}])
 
     async def main() -> None:
-        def slowly(runner: Runner, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+        def slowly(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
             asyncio.get_running_loop().call_later(0.1, echo, runner, id_, body, writer)
 
-        async with Place(Runner(slowly)) as place:
-            client, stream = await place.client(), 0
-            place.service.shut_down()
+        async with PlatformFixture(WorkerStub(slowly)) as platform:
+            client, stream = await platform.client(), 0
+            platform.service.shut_down()
             async with asyncio.timeout(1.0):
-                while not place.service.finished.done():
+                while not platform.service.finished.done():
                     stream += 1
                     client.ask(stream, limit="400")
                     await asyncio.sleep(0.02)
             with pytest.raises(ConnectionRefusedError):
-                await place.client()
+                await platform.client()
 
     run(main())
 
 
-def test_what_the_last_client_was_told_is_not_eaten_by_a_reset() -> None:
+def test_the_last_answer_is_not_lost_to_a_reset() -> None:
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            sock = raw(place.port)
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            sock = raw(platform.port)
             sock.sendall(b"\0\0\0\2no" + bytes(3000))  # no frame: told, and closed
             await asyncio.sleep(0.2)
             with contextlib.suppress(OSError):
@@ -233,7 +234,7 @@
             await asyncio.sleep(0.05)
             assert answers(read_all(sock)) == {0: frames.FAILED}
             sock.close()
-            await until(lambda: not len(place.service.client_server.connections))
+            await until(lambda: not len(platform.service.client_server.connections))
 
     run(main())
 
@@ -299,7 +300,7 @@
     return json.dumps(configuration() | {"listen": f"127.0.0.1:{port}"})
 
 
-def test_signals_before_the_loop_has_them_end_nothing_but_what_they_should(tmp_path: Path) -> None:
+def test_signals_before_the_loop_handles_them_are_held(tmp_path: Path) -> None:
     with HeldProcess(tmp_path) as held:
         end = held.reading()
         held.process.send_signal(signal.SIGHUP)
@@ -312,7 +313,7 @@
         assert held.process.wait(5) == 0
 
 
-def test_an_end_before_the_door_is_open_opens_none(tmp_path: Path) -> None:
+def test_a_shutdown_before_the_listener_is_open_opens_none(tmp_path: Path) -> None:
     with HeldProcess(tmp_path) as held:
         end = held.reading()
         held.process.send_signal(signal.SIGTERM)
@@ -322,7 +323,7 @@
         assert b"ending" not in held.process.stdout.read(), "nobody has come, nobody is waited for"
 
 
-def test_a_new_configuration_is_no_crash_at_any_moment_of_the_end(tmp_path: Path) -> None:
+def test_a_reload_at_any_moment_of_shutdown_is_no_crash(tmp_path: Path) -> None:
     file = tmp_path / "c.json"
     file.write_text(told(0))
     process = subprocess.Popen(
@@ -364,15 +365,15 @@
 # Clients that left.
 
 
-class Thing:
-    """Something to send, as far as the links know of it."""
+class StubItem:
+    """An attempt, as far as the connections know of it."""
 
     def __init__(self, id_: str) -> None:
         self.id, self.request = id_, self
 
 
-class Bare:
-    """Links to one worker that reads when the test does, over small buffers."""
+class BareConnections:
+    """Connections to one worker that reads when the test does, over small buffers."""
 
     def __init__(
         self,
@@ -387,7 +388,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
             return sock
 
-        monkeypatch.setattr(workers, "connect", small)
+        monkeypatch.setattr(worker_connection, "connect", small)
         self.listening = socket.socket()
         self.listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL)
         self.listening.bind(("127.0.0.1", 0))
@@ -415,7 +416,7 @@
         )
 
     def send(self, id_: str, size: int = 16_000) -> Any:
-        thing = Thing(id_)
+        thing = StubItem(id_)
         data = call(id_, "t", "a" * 16, 1000, "", bytes(size))
         self.connections.start_attempt(thing, lambda: data, len(data))  # type: ignore[arg-type]
         return thing
@@ -427,7 +428,7 @@
         return sock
 
     async def full(self, count: int = 4) -> tuple[socket.socket, list[Any]]:
-        """Sends behind a socket that takes no more of the first."""
+        """Attempts behind a socket that accepts no more of the first."""
         things = [self.send(f"{n:016x}") for n in range(count)]
         sock = await self.take()
         (connection,) = self.connections._connections
@@ -454,11 +455,11 @@
     return found
 
 
-def test_what_waits_behind_a_full_socket_is_taken_back_and_what_has_begun_goes_on(
+def test_an_attempt_behind_a_full_socket_is_cancelled_and_a_started_one_goes_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        bare = Bare(monkeypatch)
+        bare = BareConnections(monkeypatch)
         sock, (begun, second, third, _) = await bare.full()
         assert bare.connections.cancel(begun) is True, "it will arrive: nobody may take it for unsent"
         assert bare.connections.cancel(third) is False and bare.connections.cancel_unsent(second)
@@ -471,9 +472,9 @@
     run(main())
 
 
-def test_a_connection_that_ends_proves_what_had_not_begun(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_that_ends_proves_which_attempts_were_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        bare = Bare(monkeypatch)
+        bare = BareConnections(monkeypatch)
         sock, things = await bare.full()
         sock.close()  # a reset, as bytes wait there
         await until(lambda: len(bare.ended) == 4)
@@ -484,9 +485,9 @@
     run(main())
 
 
-def test_no_cancel_goes_out_where_the_settings_forbid_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_cancel_is_sent_where_the_settings_forbid_it(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        bare = Bare(monkeypatch, cancels=False)
+        bare = BareConnections(monkeypatch, cancels=False)
         thing = bare.send("a" * 16, 10)
         sock = await bare.take()
         await asyncio.sleep(0.05)
@@ -497,11 +498,11 @@
     run(main())
 
 
-def test_a_cancel_has_left_before_a_further_send_can(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_cancel_is_sent_before_a_retry_can_be(monkeypatch: pytest.MonkeyPatch) -> None:
     """The further send's link may have been written to earlier in the turn: it would leave first."""
 
     async def main() -> None:
-        first, second = Bare(monkeypatch, parallel=False), Bare(monkeypatch, parallel=False)
+        first, second = BareConnections(monkeypatch, parallel=False), BareConnections(monkeypatch, parallel=False)
         thing, _ = first.send("a" * 16, 10), second.send("b" * 16, 10)
         ends = [await first.take(), await second.take()]
         await asyncio.sleep(0.05)
@@ -518,11 +519,11 @@
 
 
 @pytest.mark.parametrize("parallel", [True, False])
-def test_a_cancel_that_cannot_leave_ends_its_connection_where_a_second_send_may_not_be_out(
+def test_a_cancel_that_cannot_be_sent_closes_its_connection_without_parallel_attempts(
     parallel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main() -> None:
-        bare = Bare(monkeypatch, parallel=parallel)
+        bare = BareConnections(monkeypatch, parallel=parallel)
         sock, (begun, *others) = await bare.full()
         assert bare.connections.cancel(begun) is True
         assert bool(len(bare.connections)) is parallel, "what it was sent is given up by the end of its connection"
@@ -535,20 +536,20 @@
 
 @pytest.mark.parametrize("cancels", [True, False])
 @pytest.mark.parametrize("leaves", ["close", "reset", "half", "cancel"])
-def test_nothing_begins_for_a_client_that_left_while_its_connection_came_up(
+def test_no_attempt_starts_for_a_client_that_left_during_the_connect(
     leaves: str, cancels: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setitem(SETTINGS, "bounds", SETTINGS["bounds"] | {"may_cancel": cancels, "connect_timeout_us": 10**6})
 
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            stays = await place.client()
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            stays = await platform.client()
             stays.ask(1)
             assert await stays.code() == frames.SERVED  # a copy stands
-            for links in place.service.executor.workers.connections.values():
+            for links in platform.service.executor.workers.connections.values():
                 links.close()
-            held = Held(monkeypatch)
-            sock = raw(place.port)
+            held = HeldConnect(monkeypatch)
+            sock = raw(platform.port)
             sock.sendall(request(2, item=f"{0x7F3A9C21E0B4D655:016x}"))
             await until(lambda: held.waiting)
             if leaves == "cancel":
@@ -559,10 +560,10 @@
                 if leaves == "reset":
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 sock.close()
-            await until(lambda: not place.service.executor.client_requests)
+            await until(lambda: not platform.service.executor.client_requests)
             held.gate.set()
             await asyncio.sleep(0.15)
-            assert place.runners[0].calls == [b"%016x" % 1]
+            assert platform.workers[0].calls == [b"%016x" % 1]
             sock.close()
 
     run(main())
@@ -572,11 +573,11 @@
     async def main() -> None:
         began: list[float] = []
 
-        def late(runner: Runner, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+        def late(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
             began.append(time.monotonic())
             echo(runner, id_, body, writer)
 
-        async with Place(Runner(late)) as place:
+        async with PlatformFixture(WorkerStub(late)) as platform:
             loop, busy = asyncio.get_running_loop(), True
 
             def work() -> None:  # each turn of the loop takes 10 ms
@@ -584,15 +585,15 @@
                 if busy:
                     loop.call_soon(work)
 
-            sock = raw(place.port)
+            sock = raw(platform.port)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
             data = b"".join(request(n, bytes(15_000), item="7f3a9c21e0b4d655") for n in range(1, MAX_OPEN_REQUESTS + 1))
-            await until(lambda: len(place.service.client_server.connections))
+            await until(lambda: len(platform.service.client_server.connections))
             work()
             await asyncio.to_thread(sock.sendall, data)
             closed = time.monotonic()
             sock.close()
-            await until(lambda: not len(place.service.client_server.connections))
+            await until(lambda: not len(platform.service.client_server.connections))
             await asyncio.sleep(0.1)
             busy = False
             assert not [at - closed for at in began if at > closed + 0.1]
@@ -600,20 +601,20 @@
     run(main())
 
 
-def test_one_decision_too_many_does_not_end_the_round() -> None:
+def test_an_attempt_for_a_finished_request_does_not_end_the_round_of_decisions() -> None:
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            client, taken = await place.client(), place.service.engine.on_request
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            client, taken = await platform.client(), platform.service.engine.on_request
 
             def forget_the_first(*args: Any) -> Any:
                 accepted = taken(*args)
                 if accepted.id == f"{1:016x}":
-                    place.service._loop.call_soon(place.service.executor.client_requests.pop, accepted)
+                    platform.service._loop.call_soon(platform.service.executor.client_requests.pop, accepted)
                 return accepted
 
-            place.service.engine.on_request = forget_the_first  # type: ignore[method-assign]
-            decide = place.service._decide
-            place.service.executor._schedule_decisions = lambda: asyncio.get_running_loop().call_soon(
+            platform.service.engine.on_request = forget_the_first  # type: ignore[method-assign]
+            decide = platform.service._decide
+            platform.service.executor._schedule_decisions = lambda: asyncio.get_running_loop().call_soon(
                 asyncio.get_running_loop().call_soon, decide
             )
             failed: list[Any] = []
@@ -628,13 +629,13 @@
 # Workers' connections.
 
 
-def test_a_second_answer_of_before_is_never_taken_for_that_of_a_further_send(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_duplicate_answer_is_never_mistaken_for_that_of_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setitem(SETTINGS, "classes", [CLASS | {"effect": "single_shot", "give_up_us": 2000000}])
 
     async def main() -> None:
         writers: list[asyncio.StreamWriter] = []
 
-        def script(runner: Runner, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+        def script(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
             writers.append(writer)
             if len(writers) == 1:
                 writer.write(b"%b MISS - 0\r\n\r\n" % id_)
@@ -643,64 +644,64 @@
                 writers[0].write(b"%b MISS - 0\r\n\r\n" % id_)
             asyncio.get_running_loop().call_later(0.1, echo, runner, id_, body, writer)
 
-        async with Place(Runner(script)) as place:
-            client = await place.client()
+        async with PlatformFixture(WorkerStub(script)) as platform:
+            client = await platform.client()
             client.ask(1)
             assert await client.code() == frames.SERVED
             await asyncio.sleep(0.1)
-            assert len(place.runners[0].calls) == 2, "once-only ran once"
+            assert len(platform.workers[0].calls) == 2, "once-only ran once"
 
     run(main())
 
 
-def test_an_address_that_passes_to_another_worker_while_a_connect_is_under_way(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_address_that_passes_to_another_worker_during_a_connect(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            place.service.executor.workers.limits.connect_ms = 5000.0
-            held, client = Held(monkeypatch), await place.client()
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            platform.service.executor.workers.limits.connect_ms = 5000.0
+            held, client = HeldConnect(monkeypatch), await platform.client()
             client.ask(1)
             await until(lambda: held.waiting)
             (port,) = {
-                int(t["endpoint"].rpartition(":")[2]) for t in place.told["known"]["entries"][0]["hosts"]["targets"]
+                int(t["endpoint"].rpartition(":")[2]) for t in platform.told["known"]["entries"][0]["hosts"]["targets"]
             }
-            (old,) = place.service.executor.workers.connections.values()
+            (old,) = platform.service.executor.workers.connections.values()
             connecting = list(old._connections)
-            place.events = [event(2, 2, (0, port, 2)), event(3, 2, (7, port, 0))]
-            place.service.reload(place.service.config)
-            await until(lambda: place.service.last_event_number == 3)
+            platform.events = [event(2, 2, (0, port, 2)), event(3, 2, (7, port, 0))]
+            platform.service.reload(platform.service.config)
+            await until(lambda: platform.service.last_event_number == 3)
             assert not any(each in old._connections for each in connecting), "who answers there is not certain"
             held.gate.set()
             assert await client.code() == frames.SERVED
-            assert len(place.runners[0].calls) == 1
+            assert len(platform.workers[0].calls) == 1
 
     run(main())
 
 
-def test_nothing_begins_at_a_worker_that_drains_once_it_was_told(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_attempt_starts_at_a_draining_worker_once_the_list_says_so(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        async with Place(Runner(echo), Runner(echo)) as place:
-            place.service.executor.workers.limits.connect_ms = 5000.0
+        async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
+            platform.service.executor.workers.limits.connect_ms = 5000.0
             ports = [
-                int(t["endpoint"].rpartition(":")[2]) for t in place.told["known"]["entries"][0]["hosts"]["targets"]
+                int(t["endpoint"].rpartition(":")[2]) for t in platform.told["known"]["entries"][0]["hosts"]["targets"]
             ]
-            held, client = Held(monkeypatch), await place.client()
+            held, client = HeldConnect(monkeypatch), await platform.client()
             client.ask(1)
             await until(lambda: held.waiting)
-            ((first, links),) = place.service.executor.workers.connections.items()
+            ((first, links),) = platform.service.executor.workers.connections.items()
             number = int(first.id[2:], 16)
             assert links.open_items
-            place.events = [event(2, 2, (number, ports[number], 1))]  # it drains
-            place.service.reload(place.service.config)
-            await until(lambda: place.service.last_event_number == 2)
+            platform.events = [event(2, 2, (number, ports[number], 1))]  # it drains
+            platform.service.reload(platform.service.config)
+            await until(lambda: platform.service.last_event_number == 2)
             assert not links.open_items
             held.gate.set()
             assert await client.code() == frames.SERVED
-            assert not place.runners[number].calls and len(place.runners[1 - number].calls) == 1
+            assert not platform.workers[number].calls and len(platform.workers[1 - number].calls) == 1
 
     run(main())
 
 
-def test_a_repeat_that_waits_past_what_workers_remember_does_not_go_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_retry_that_waits_past_the_deduplication_window_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setitem(
         SETTINGS,
         "classes",
@@ -709,47 +710,47 @@
     monkeypatch.setitem(SETTINGS, "bounds", SETTINGS["bounds"] | {"connect_timeout_us": 1_500_000})
 
     async def main() -> None:
-        held: list[Held] = []
+        held: list[HeldConnect] = []
 
-        def breaks(runner: Runner, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
-            held.append(Held(monkeypatch))  # the repeat's connection comes up late
+        def breaks(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+            held.append(HeldConnect(monkeypatch))  # the repeat's connection comes up late
             writer.transport.abort()
 
-        async with Place(Runner(breaks), Runner(breaks)) as place:
-            client = await place.client()
+        async with PlatformFixture(WorkerStub(breaks), WorkerStub(breaks)) as platform:
+            client = await platform.client()
             client.ask(1, verb="k", unique="u" * 32)
             await until(lambda: held and held[0].waiting)
             await asyncio.sleep(0.35)
             held[0].gate.set()
             assert await client.code() in (frames.FAILED, frames.REFUSED)
             await asyncio.sleep(0.05)
-            assert sum(len(runner.calls) for runner in place.runners) == 1
+            assert sum(len(runner.calls) for runner in platform.workers) == 1
 
     run(main())
 
 
-def test_connections_to_workers_stay_within_the_descriptors_and_idle_ones_make_way() -> None:
+def test_connections_to_workers_stay_within_the_descriptors_and_idle_ones_are_closed() -> None:
     async def main() -> None:
-        async with Place(*(Runner(echo) for _ in range(24)), sockets=32) as place:
-            most = place.service.executor.workers.limits.max_in_all
+        async with PlatformFixture(*(WorkerStub(echo) for _ in range(24)), sockets=32) as platform:
+            most = platform.service.executor.workers.limits.max_in_all
             assert most < 24
-            client = await place.client()
+            client = await platform.client()
             for n in range(1, 30):
                 client.ask(n, item=f"{n:016x}")
                 assert await client.code() == frames.SERVED
-                held = sum(len(links) for links in place.service.executor.workers.connections.values())
-                assert held == place.service.executor.workers.limits.open_count <= most
+                held = sum(len(links) for links in platform.service.executor.workers.connections.values())
+                assert held == platform.service.executor.workers.limits.open_count <= most
 
     run(main())
 
 
-def test_no_descriptor_says_nothing_of_a_worker(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_lack_of_descriptors_says_nothing_about_a_worker(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         async def none(*_: Any) -> socket.socket:
             raise OSError(24, "Too many open files")
 
-        bare = Bare(monkeypatch)
-        monkeypatch.setattr(workers, "connect", none)
+        bare = BareConnections(monkeypatch)
+        monkeypatch.setattr(worker_connection, "connect", none)
         thing = bare.send("a" * 16, 10)
         await until(lambda: bare.ended)
         assert bare.ended == [(thing, AttemptStatus.NOT_SENT)]
@@ -760,14 +761,14 @@
 # Slow and hostile clients.
 
 
-def test_a_slow_frame_that_goes_on_is_waited_for_and_one_that_stands_still_is_not(
+def test_a_slow_frame_is_waited_for_and_a_stalled_one_is_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setitem(SETTINGS, "classes", [CLASS | {"give_up_us": 5_000_000}])
 
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            slow, stuck, front = await place.client(), await place.client(), place.service.client_server
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            slow, stuck, front = await platform.client(), await platform.client(), platform.service.client_server
             for client in (slow, stuck):
                 client.ask(1, txn=f"{id(client) % 2**32:016x}")
                 assert await client.code() == frames.SERVED
@@ -788,15 +789,15 @@
     run(main())
 
 
-def test_a_newcomer_among_busy_clients_is_told_that_there_is_no_room() -> None:
+def test_a_new_client_among_busy_ones_is_refused_with_an_answer() -> None:
     async def main() -> None:
-        async with Place(Runner(silent), sockets=32) as place:
-            front, busy = place.service.client_server, []
+        async with PlatformFixture(WorkerStub(silent), sockets=32) as platform:
+            front, busy = platform.service.client_server, []
             for n in range(front.connections._max_connections):
-                busy.append(await place.client())
+                busy.append(await platform.client())
                 busy[-1].ask(1, txn=f"{n:016x}", item=f"{n:016x}")
             await until(lambda: len(front.connections.busy) == front.connections._max_connections)
-            late = await place.client()
+            late = await platform.client()
             late.ask(1, txn="f" * 16)
             assert await late.code() == frames.REFUSED and await late.next() is None
             assert len(front.connections.busy) == front.connections._max_connections, "nobody lost anything for it"
@@ -804,13 +805,13 @@
     run(main())
 
 
-def test_who_has_asked_and_was_not_yet_read_does_not_make_way_for_others() -> None:
+def test_a_connection_with_an_unread_request_is_not_closed_for_others() -> None:
     async def main() -> None:
-        async with Place(Runner(echo), sockets=32) as place:
-            front, loop = place.service.client_server, asyncio.get_running_loop()
+        async with PlatformFixture(WorkerStub(echo), sockets=32) as platform:
+            front, loop = platform.service.client_server, asyncio.get_running_loop()
             (listening,) = front._listener._sockets
             loop.remove_reader(listening)
-            asked = [raw(place.port) for _ in range(front.connections._max_connections + 4)]
+            asked = [raw(platform.port) for _ in range(front.connections._max_connections + 4)]
             for n, sock in enumerate(asked):
                 sock.sendall(request(n + 1))
             loop.add_reader(listening, front._listener._ready, listening)  # all are let in in one turn
@@ -833,24 +834,24 @@
     return found
 
 
-def test_a_client_that_never_reads_what_it_was_told_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_never_reads_its_answer_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            sock = raw(place.port, SMALL)
-            await until(lambda: len(place.service.client_server.connections))
-            (client,) = place.service.client_server.connections.fresh
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            sock = raw(platform.port, SMALL)
+            await until(lambda: len(platform.service.client_server.connections))
+            (client,) = platform.service.client_server.connections.fresh
             client.connection.wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
             sock.sendall(frames.frame(frames.ASK_READY, 7, b"\0") * 3000)
             await until(lambda: client.connection._writing)
             sock.sendall(b"\0\0\0\2no")
             await until(lambda: client.connection.closed, 2.5)
-            assert not len(place.service.client_server.connections)
+            assert not len(platform.service.client_server.connections)
             sock.close()
 
     run(main())
 
 
-def test_what_is_in_hand_is_answered_before_a_process_that_was_told_to_end_is_killed(
+def test_open_requests_are_answered_before_a_process_in_shutdown_is_killed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """SIGKILL comes 0.7 s and at most 3 s after SIGTERM; a worker hangs through all of it and the client would wait
@@ -858,14 +859,14 @@
     monkeypatch.setitem(SETTINGS, "classes", [CLASS | {"give_up_us": 8_000_000}])
 
     async def main() -> None:
-        async with Place(Runner(silent)) as place:
-            client = await place.client()
+        async with PlatformFixture(WorkerStub(silent)) as platform:
+            client = await platform.client()
             client.ask(1, limit="8000")
-            await until(lambda: place.runners[0].calls)
+            await until(lambda: platform.workers[0].calls)
             began = time.monotonic()
-            place.service.shut_down()
+            platform.service.shut_down()
             assert await client.next() == (frames.GO_AWAY, 0, b"")
             assert await client.code(3.7) == frames.REFUSED, "it may run again, and does so elsewhere"
-            await asyncio.wait_for(place.service.finished, 3.7 - (time.monotonic() - began))
+            await asyncio.wait_for(platform.service.finished, 3.7 - (time.monotonic() - began))
 
     run(main())
--- a/tests/test_door_fuzz.py
+++ b/tests/test_door_fuzz.py
@@ -1,4 +1,4 @@
-"""The short twin of bench/door_fuzz.py: processes of the program under signals, closes and answers at random."""
+"""A short run of bench/door_fuzz.py: processes of the program under signals, closes and answers at random."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.rigs
-def test_the_door_keeps_the_rules_through_random_signals_closes_and_answers() -> None:
+def test_the_rules_hold_through_random_signals_closes_and_answers() -> None:
     done = subprocess.run(
         [sys.executable, "bench/door_fuzz.py", "--days", "1", "--seconds", "5"],
         cwd=ROOT,
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -53,7 +53,7 @@
     assert note.counts == {"connection closed: idle": 2, "connection closed: no room": 1}
 
 
-def test_a_pipe_that_stands_full_holds_nothing_up_and_its_lines_are_counted(pipe: tuple[int, int]) -> None:
+def test_a_full_pipe_delays_nothing_and_its_lines_are_counted(pipe: tuple[int, int]) -> None:
     reading, writing = pipe
     os.set_blocking(writing, False)
     with pytest.raises(BlockingIOError):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's door: codecs, and a whole dispatcher on loopback sockets between scripted parties."""
+"""The platform's codecs, and a whole dispatcher on loopback sockets between scripted workers, list and clients."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
     | {"connect_timeout_us": 150000, "idle_close_us": 15000000, "multiplex": 100, "max_attempts": 12},
     "specifics": ENV["specifics"] | {"answer_within_us": 3000000, "machine_mb": [50000.0]},
 }
-Script = Callable[["Runner", bytes, bytes, asyncio.StreamWriter], None]
+Script = Callable[["WorkerStub", bytes, bytes, asyncio.StreamWriter], None]
 
 
-class Runner:
-    """A worker whose answers are lines of the test; orders are granted unless told otherwise."""
+class WorkerStub:
+    """A worker whose answers the test scripts; loads succeed unless the test says otherwise."""
 
     def __init__(self, script: Script, load: bytes = b"OK units=1 0") -> None:
         self.script, self.load, self.calls, self.connections = script, load, list[bytes](), 0
@@ -71,20 +71,20 @@
         writer.close()
 
 
-def echo(runner: Runner, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+def echo(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
     writer.write(b"%b OK tell=up,meter=cpu:0.5;x1:0;x0:0.2 %d\r\n%b\r\n" % (id_, len(body), body))
 
 
-class Place:
-    """One dispatcher, its runners, a feed and raw clients."""
+class PlatformFixture:
+    """One dispatcher with its workers, endpoint list and raw clients."""
 
-    def __init__(self, *runners: Runner, **limits: Any) -> None:
-        self.runners, self.limits = runners, {"cores": 1, "memory_mb": 64, "sockets": 256} | limits
+    def __init__(self, *runners: WorkerStub, **limits: Any) -> None:
+        self.workers, self.limits = runners, {"cores": 1, "memory_mb": 64, "sockets": 256} | limits
         self.asked: list[int] = []
         self.events: list[bytes] = []
         self.after = "stay"  # what the feed does after its events
 
-    async def __aenter__(self) -> Place:
+    async def __aenter__(self) -> PlatformFixture:
         server = await asyncio.start_server(self._feed, "127.0.0.1", 0)
         self.journal = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         targets = [
@@ -98,7 +98,7 @@
                 "capacity_hint": 1,
                 "boot_ms": 0,
             }
-            for n, runner in enumerate(self.runners)
+            for n, runner in enumerate(self.workers)
         ]
         known = {"pos": 1, "entries": [{"pos": 1, "hosts": {"rev": 1, "all": True, "targets": targets}}]}
         self.told = told = {
@@ -179,15 +179,15 @@
 
 def test_a_request_goes_through_unchanged_and_comes_back() -> None:
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            client, body = await place.client(), bytes(range(256)) * 8
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            client, body = await platform.client(), bytes(range(256)) * 8
             client.writer.write(frames.frame(frames.ASK_READY, 7, b"\0"))
             assert await client.next() == (frames.READY, 7, b"\0\0")
             client.ask(3, body)
             assert await client.next() == (frames.ANSWER, 3, b"\0\0" + body)
             client.ask(4, b"", verb="k", unique="a" * 32)
             assert await client.next() == (frames.ANSWER, 4, b"\0\0")
-            assert place.runners[0].calls == [b"%016x" % 3, b"%016x" % 4]
+            assert platform.workers[0].calls == [b"%016x" % 3, b"%016x" % 4]
 
     run(main())
 
@@ -212,15 +212,15 @@
         {"info": "memory_mb:1e99;lanes:0"},
     ],
 )
-def test_what_cannot_be_used_is_answered_and_reaches_nobody(other: dict[str, str | None]) -> None:
+def test_an_unusable_request_is_answered_and_reaches_no_worker(other: dict[str, str | None]) -> None:
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            client = await place.client()
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            client = await platform.client()
             client.ask(1, **other)
             assert await client.code() == frames.FAILED
             client.ask(2)
             assert await client.code() == frames.SERVED
-            assert len(place.runners[0].calls) == 1
+            assert len(platform.workers[0].calls) == 1
 
     run(main())
 
@@ -238,14 +238,14 @@
         frames.frame(65, 1, b"\0" + b"x" * 20_000),
     ],
 )
-def test_what_cannot_be_read_is_told_and_closed(bad: bytes) -> None:
+def test_an_unreadable_frame_is_answered_and_closed(bad: bytes) -> None:
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            client = await place.client()
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            client = await platform.client()
             client.writer.write(bad)
             assert await client.code() in (frames.FAILED, None)
             assert await client.next() is None
-            other = await place.client()
+            other = await platform.client()
             other.ask()
             assert await other.code() == frames.SERVED
 
@@ -254,8 +254,8 @@
 
 def test_a_number_used_twice_and_an_open_id_are_never_served() -> None:
     async def main() -> None:
-        async with Place(Runner(lambda *_: None)) as place:
-            first, second = await place.client(), await place.client()
+        async with PlatformFixture(WorkerStub(lambda *_: None)) as platform:
+            first, second = await platform.client(), await platform.client()
             first.ask(1)
             await asyncio.sleep(0.05)
             second.ask(1, b"other")  # the id of an open request
@@ -263,26 +263,26 @@
             first.ask(1)  # a number that is open
             assert await first.code() == frames.FAILED and await first.next() is None
             await asyncio.sleep(0.05)
-            assert place.runners[0].cancelled == [b"%016x" % 1]  # nobody waits for it any more
+            assert platform.workers[0].cancelled == [b"%016x" % 1]  # nobody waits for it any more
 
     run(main())
 
 
-def test_half_a_frame_and_silence_are_closed_in_time() -> None:
+def test_partial_frames_and_silent_connections_are_closed_in_time() -> None:
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            half, silent = await place.client(), await place.client()
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            half, silent = await platform.client(), await platform.client()
             half.writer.write(b"\0\0")
             assert await half.next(3.0) is None and await silent.next(1.0) is None
 
     run(main())
 
 
-def test_silent_connections_give_way_to_new_ones() -> None:
+def test_silent_connections_are_closed_for_new_ones() -> None:
     async def main() -> None:
-        async with Place(Runner(echo), sockets=40) as place:
-            silent = [await place.client() for _ in range(30)]
-            client = await place.client()
+        async with PlatformFixture(WorkerStub(echo), sockets=40) as platform:
+            silent = [await platform.client() for _ in range(30)]
+            client = await platform.client()
             client.ask()
             assert await client.code() == frames.SERVED
             assert await silent[0].next(1.0) is None
@@ -290,7 +290,7 @@
     run(main())
 
 
-def test_spoilt_answers_break_their_connection_and_the_rest_goes_on() -> None:
+def test_unreadable_answers_close_their_connection_and_the_rest_goes_on() -> None:
     spoilt = [
         b"noise\r\n",
         b"%b OK - 3000000000\r\n",
@@ -305,15 +305,15 @@
     async def main() -> None:
         left = list(spoilt)
 
-        def script(runner: Runner, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+        def script(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
             if left:
                 bad = left.pop()
                 writer.write(bad % id_ if b"%b" in bad else bad)
             else:
                 echo(runner, id_, body, writer)
 
-        async with Place(*(Runner(script) for _ in range(9))) as place:
-            client = await place.client()
+        async with PlatformFixture(*(WorkerStub(script) for _ in range(9))) as platform:
+            client = await platform.client()
             for n in range(1, len(spoilt) + 3):
                 client.ask(n)
                 assert await client.code() == frames.SERVED  # repeatable: it went out again
@@ -322,15 +322,15 @@
     run(main())
 
 
-def test_what_comes_beside_good_answers_is_passed_over() -> None:
-    def script(runner: Runner, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+def test_duplicate_and_unknown_answers_are_ignored() -> None:
+    def script(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"ffffffffffffffff OK - 3\r\nbad\r\n")
         echo(runner, id_, body, writer)
         echo(runner, id_, b"again", writer)
 
     async def main() -> None:
-        async with Place(Runner(script)) as place:
-            client = await place.client()
+        async with PlatformFixture(WorkerStub(script)) as platform:
+            client = await platform.client()
             for n in (1, 2, 3):
                 client.ask(n, b"%d" % n)
                 assert await client.next() == (frames.ANSWER, n, b"\0\0%d" % n)
@@ -348,67 +348,67 @@
     return struct.pack(">IQB", 9 + len(told), number, kind) + told
 
 
-def test_the_feed_is_followed_through_breaks_repeats_and_a_new_address() -> None:
+def test_the_endpoint_list_is_followed_through_disconnects_duplicates_and_a_new_address() -> None:
     async def main() -> None:
-        async with Place(Runner(echo), Runner(echo)) as place:
-            place.after = "break"
-            place.events = [event(2, 2, (1, 9, 1)), event(2, 2, (1, 9, 1)), event(2, 0), event(3, 2, (1, 9, 2))[:20]]
-            place.service.reload(config.parse(json.dumps(place.told), place.service.config))
+        async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
+            platform.after = "break"
+            platform.events = [event(2, 2, (1, 9, 1)), event(2, 2, (1, 9, 1)), event(2, 0), event(3, 2, (1, 9, 2))[:20]]
+            platform.service.reload(config.parse(json.dumps(platform.told), platform.service.config))
             await asyncio.sleep(0.2)
-            assert set(place.asked) == {1, 2}
-            place.events, place.after = [event(3, 2, (1, 9, 2))], "stay"
+            assert set(platform.asked) == {1, 2}
+            platform.events, platform.after = [event(3, 2, (1, 9, 2))], "stay"
             await asyncio.sleep(0.3)
-            assert place.service.last_event_number == 3
+            assert platform.service.last_event_number == 3
 
     run(main())
 
 
-def test_a_client_that_leaves_frees_its_work_and_an_end_answers_what_is_in_hand() -> None:
+def test_a_client_that_leaves_frees_its_work_and_a_shutdown_answers_open_requests() -> None:
     async def main() -> None:
-        def later(runner: Runner, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+        def later(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
             asyncio.get_running_loop().call_later(1.0, echo, runner, id_, body, writer)
 
-        async with Place(Runner(later)) as place:
-            gone, stays = await place.client(), await place.client()
+        async with PlatformFixture(WorkerStub(later)) as platform:
+            gone, stays = await platform.client(), await platform.client()
             gone.ask(1)
             stays.ask(2)
             await asyncio.sleep(0.05)
             gone.writer.close()
             await asyncio.sleep(0.05)
-            assert place.runners[0].cancelled == [b"%016x" % 1]
-            place.service.shut_down()
+            assert platform.workers[0].cancelled == [b"%016x" % 1]
+            platform.service.shut_down()
             assert await stays.next() == (frames.GO_AWAY, 0, b"")
-            late = await place.client()
+            late = await platform.client()
             late.ask(3)  # it was under way when the end began
             assert await late.next() == (frames.GO_AWAY, 0, b"")  # so is whoever comes after it
             assert await stays.code() == frames.SERVED and await late.code() == frames.SERVED
-            await asyncio.wait_for(place.service.finished, 1.0)
+            await asyncio.wait_for(platform.service.finished, 1.0)
 
     run(main())
 
 
 def test_no_connection_is_closed_over_a_request_that_waits_to_be_read() -> None:
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            client, front = await place.client(), place.service.client_server
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            client, front = await platform.client(), platform.service.client_server
             client.ask(1)
             assert await client.code() == frames.SERVED
             (mine,) = front.connections.idle
             mine.idle_since -= 100.0
             client.ask(2)  # written, and not yet read
             front.connections.sweep()
-            place.service._shutdown._finish_if_idle()
-            assert await client.code() == frames.SERVED and not place.service.finished.done()
-            await asyncio.wait_for(place.service.finished, 1.0)
+            platform.service._shutdown._finish_if_idle()
+            assert await client.code() == frames.SERVED and not platform.service.finished.done()
+            await asyncio.wait_for(platform.service.finished, 1.0)
 
     run(main())
 
 
 def test_a_reader_that_fails_ends_its_own_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            bad, good = await place.client(), await place.client()
-            front, frame = place.service.client_server, place.service.client_server.on_frame
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            bad, good = await platform.client(), await platform.client()
+            front, frame = platform.service.client_server, platform.service.client_server.on_frame
 
             def fail(client: Any, kind: int, stream: int, payload: bytes) -> None:
                 if stream == 99:
@@ -460,9 +460,9 @@
     assert bad.returncode == 2 and bad.stderr.count("\n") == 1 and "bad.json" in bad.stderr
 
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            place.told["listen"] = "127.0.0.1:0"
-            (tmp_path / "c.json").write_text(json.dumps(place.told))
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            platform.told["listen"] = "127.0.0.1:0"
+            (tmp_path / "c.json").write_text(json.dumps(platform.told))
             process = await asyncio.create_subprocess_exec(
                 *command, env=os.environ | {"LB_CONFIG": str(tmp_path / "c.json")}, stdout=asyncio.subprocess.PIPE
             )
@@ -476,7 +476,7 @@
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
 
-            (tmp_path / "c.json").write_text(json.dumps(place.told))
+            (tmp_path / "c.json").write_text(json.dumps(platform.told))
             read, write = os.pipe()
             process = await asyncio.create_subprocess_exec(
                 *command, env=os.environ | {"LB_CONFIG": str(tmp_path / "c.json")}, stdout=write
@@ -608,10 +608,10 @@
 ]
 
 
-@pytest.mark.parametrize(("place", "spoilt"), SPOILT, ids=[place for place, _ in SPOILT])
-def test_a_setting_missing_or_unusable_is_named_and_changes_nothing_that_runs(place: str, spoilt: list[Any]) -> None:
+@pytest.mark.parametrize(("path", "spoilt"), SPOILT, ids=[path for path, _ in SPOILT])
+def test_a_setting_missing_or_unusable_is_named_and_changes_nothing_that_runs(path: str, spoilt: list[Any]) -> None:
     running = config.parse(json.dumps(configuration()))
-    *way, last = place.split(".")
+    *way, last = path.split(".")
     named = "".join(f"[{step}]" if step.isdecimal() else f".{step}" for step in [*way, last]).replace(".", "", 1)
     for value in ["missing", *spoilt]:
         told = configuration()
@@ -624,7 +624,7 @@
             del at[last]
         else:
             at[last] = value
-        started_only = place.split(".")[0] in ("name", "listen", "seed", "limits")  # not taken up on SIGHUP
+        started_only = path.split(".")[0] in ("name", "listen", "seed", "limits")  # not taken up on SIGHUP
         for before in [None] if started_only else [None, running]:
             with pytest.raises(config.ConfigError) as told_why:
                 config.parse(json.dumps(told), before)
@@ -632,7 +632,7 @@
             assert named in why and "\n" not in why, why
 
 
-def test_what_is_merely_unknown_is_passed_over_and_what_may_be_absent_too() -> None:
+def test_unknown_settings_and_absent_optional_ones_are_accepted() -> None:
     told = configuration()
     told["settings"]["classes"][0] |= {"colour": "red", "key_scope": None, "window_us": None}
     for part in ("bounds", "rules", "specifics", "report"):
@@ -653,12 +653,12 @@
 def test_another_deployment_with_every_name_and_figure_changed_is_served(
     effect: str, fields: list[str], customers: list[dict[str, Any]] | None
 ) -> None:
-    def answers(runner: Runner, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+    def answers(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
         meter = b",meter=" + b";".join(b"%b:3.5" % name.encode() for name in fields) if fields else b""
         writer.write(b"%b OK tell=fresh%b %d\r\n%b\r\n" % (id_, meter, len(body), body))
 
     async def main() -> None:
-        runner, told = Runner(answers), configuration()
+        runner, told = WorkerStub(answers), configuration()
         target = told["known"]["entries"][0]["hosts"]["targets"][0]
         target |= {
             "uid": "s-0badcafe",
@@ -729,7 +729,7 @@
     run(main())
 
 
-def test_whether_a_worker_loads_for_a_send_is_what_the_settings_say() -> None:
+def test_whether_a_worker_loads_on_demand_is_what_the_settings_say() -> None:
     told = configuration()
     for says, loads in (("load", True), ("miss", False), (None, False)):
         told["settings"]["specifics"]["not_loaded"] = says
@@ -740,7 +740,7 @@
 
 
 @pytest.mark.parametrize("text", ["{", "[]", "{}", "3", "9" * 5000, "[" * 100_000, "\ud800"])
-def test_what_is_no_configuration_says_so(tmp_path: Path, text: str) -> None:
+def test_an_unusable_configuration_is_named(tmp_path: Path, text: str) -> None:
     (tmp_path / "c.json").write_bytes(text.encode(errors="surrogatepass"))
     with pytest.raises(config.ConfigError, match=r"c\.json: .*(JSON|object|missing|decode)"):
         config.read(str(tmp_path / "c.json"))
@@ -758,14 +758,14 @@
         {"boot_ms": [1]},
     ],
 )
-def test_a_worker_told_of_at_the_start_must_be_one(spoilt: dict[str, Any]) -> None:
+def test_a_worker_in_the_initial_events_must_be_valid(spoilt: dict[str, Any]) -> None:
     told = configuration()
     told["known"]["entries"][0]["hosts"]["targets"][0].update(spoilt)
     with pytest.raises(config.ConfigError, match="known events"):
         config.parse(json.dumps(told))
 
 
-def test_a_spoilt_setting_ends_the_start_with_one_line_that_names_it_and_no_running_dispatcher(tmp_path: Path) -> None:
+def test_an_unusable_setting_ends_the_start_with_one_line_and_no_running_dispatcher(tmp_path: Path) -> None:
     command, file = [sys.executable, "-m", "kelptrail.platform"], tmp_path / "c.json"
     spoilt = configuration()
     spoilt["settings"]["rules"]["fall_us"] = "soon"
@@ -774,18 +774,18 @@
     assert bad.returncode == 2 and bad.stderr.count("\n") == 1 and "settings.rules.fall_us" in bad.stderr
 
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            file.write_text(json.dumps(place.told))
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            file.write_text(json.dumps(platform.told))
             process = await asyncio.create_subprocess_exec(
                 *command, env=os.environ | {"LB_CONFIG": str(file)}, stdout=asyncio.subprocess.PIPE
             )
             assert process.stdout is not None and b"list number=1" in await process.stdout.readline()
             await asyncio.sleep(0.2)
-            file.write_text(json.dumps(place.told | {"settings": spoilt["settings"], "journal": "127.0.0.1:1"}))
+            file.write_text(json.dumps(platform.told | {"settings": spoilt["settings"], "journal": "127.0.0.1:1"}))
             process.send_signal(signal.SIGHUP)
             line = await process.stdout.readline()
             assert b"configuration kept" in line and b"settings.rules.fall_us" in line
-            assert len(place.asked) == 2, "the list is still followed where it was"
+            assert len(platform.asked) == 2, "the list is still followed where it was"
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
 
--- a/tests/test_platform_load.py
+++ b/tests/test_platform_load.py
@@ -1,4 +1,4 @@
-"""The platform's door under many activations: seeded trouble, signals under load, memory and descriptors."""
+"""The platform's program under many requests: seeded faults, signals under load, memory and descriptors."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from typing import Any
 
 import pytest
-from test_platform import CLASS, SETTINGS, Client, Place, Runner, echo, event, run
+from test_platform import CLASS, SETTINGS, Client, PlatformFixture, WorkerStub, echo, event, run
 
 from kelptrail.codec import frames
 
@@ -31,7 +31,7 @@
 SLACK_S = 0.25  # for a machine that is busy with other tests
 
 
-class Rough(Runner):
+class UnreliableWorker(WorkerStub):
     """Answers well, twice, late, with noise, with a break or not at all, as a seed has it; keeps what it was sent."""
 
     def __init__(self, chance: random.Random, seen: dict[bytes, list[str]]) -> None:
@@ -47,7 +47,7 @@
     def load(self, _: bytes) -> None:
         pass
 
-    def act(self, _: Runner, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+    def act(self, _: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
         self.last = loop.time()
         does = self.chance.choice(["good"] * 70 + ["twice", "MISS", "MISS", "BUSY", "ERR", "noise", "break", "silent"])
@@ -108,31 +108,31 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_many_activations_through_trouble_each_get_one_answer_and_no_second_effect(
+def test_many_requests_through_faults_each_get_one_answer_and_no_second_effect(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setitem(SETTINGS, "classes", TYPES)
 
     async def main() -> None:
         chance, seen = random.Random(seed), collections.defaultdict[bytes, list[str]](list)
-        runners = [Rough(chance, seen) for _ in range(4)]
-        async with Place(*runners) as place:
+        runners = [UnreliableWorker(chance, seen) for _ in range(4)]
+        async with PlatformFixture(*runners) as platform:
             loop = asyncio.get_running_loop()
-            callers = [Caller(await place.client(), 1000 * (n + 1)) for n in range(8)]
+            callers = [Caller(await platform.client(), 1000 * (n + 1)) for n in range(8)]
             drained = 0.0
             for n in range(1, 121):
                 for caller in callers:
                     if caller.open < 24:
                         caller.ask(n, chance.choice("ttko"), chance.choice((400, 800, 1500)))
                 if n == 60:  # one worker drains, and the feed tells so
-                    place.events = [
+                    platform.events = [
                         event(
                             2,
                             2,
                             (
                                 3,
                                 int(
-                                    place.told["known"]["entries"][0]["hosts"]["targets"][3]["endpoint"].rpartition(
+                                    platform.told["known"]["entries"][0]["hosts"]["targets"][3]["endpoint"].rpartition(
                                         ":"
                                     )[2]
                                 ),
@@ -140,7 +140,7 @@
                             ),
                         )
                     ]
-                    place.service.reload(place.service.config)
+                    platform.service.reload(platform.service.config)
                     drained = loop.time()
                 await asyncio.sleep(0.03)
             async with asyncio.timeout(4):
@@ -160,9 +160,9 @@
                         assert not (ran and code == frames.REFUSED), "a rejection promises the truth"
                 caller.close()
             assert told[frames.SERVED] > 0.5 * sum(told.values()) and sum(told.values()) > 700
-            assert place.service.last_event_number == 2 and runners[3].last < drained + 0.5, "drains kept"
+            assert platform.service.last_event_number == 2 and runners[3].last < drained + 0.5, "drains kept"
             async with asyncio.timeout(4):
-                while place.service.engine.requests:  # till the sends that nobody answers have had their time
+                while platform.service.engine.requests:  # till the sends that nobody answers have had their time
                     await asyncio.sleep(0.05)
 
     run(main())
@@ -170,12 +170,12 @@
 
 def test_signals_under_load_lose_nothing(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Place(Runner(echo), Runner(echo)) as place:
+        async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
             with socket.socket() as free:
                 free.bind(("127.0.0.1", 0))
                 port = free.getsockname()[1]
             file = tmp_path / "c.json"
-            file.write_text(json.dumps(place.told | {"listen": f"127.0.0.1:{port}"}))
+            file.write_text(json.dumps(platform.told | {"listen": f"127.0.0.1:{port}"}))
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -211,12 +211,12 @@
 
 def test_memory_and_descriptors_stay_flat_over_many_connections_ids_and_functions() -> None:
     async def main() -> None:
-        async with Place(Runner(echo), Runner(echo)) as place:
+        async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
             held: list[tuple[int, int]] = []
             tracemalloc.start()
             for phase in range(5):
                 for n in range(80):
-                    clients: list[Any] = [Caller(await place.client(), 10**6 * phase + 100 * n) for _ in range(3)]
+                    clients: list[Any] = [Caller(await platform.client(), 10**6 * phase + 100 * n) for _ in range(3)]
                     for number, caller in enumerate(clients):
                         caller.base += 10 * number
                         caller.ask(1, "t", 100)
@@ -230,7 +230,7 @@
                 gc.collect()
                 held.append((tracemalloc.get_traced_memory()[0], len(os.listdir("/proc/self/fd"))))
             tracemalloc.stop()
-            assert not place.service.engine.requests and not len(place.service.client_server.connections)
+            assert not platform.service.engine.requests and not len(platform.service.client_server.connections)
             assert held[-1][1] <= held[1][1] + 4, "descriptors"
             assert held[-1][0] - held[2][0] < 150_000, "bytes over a thousand requests"
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.rigs
-def test_the_invariants_hold_through_troubles_that_overlap() -> None:
+def test_the_invariants_hold_through_overlapping_faults() -> None:
     command = [sys.executable, "bench/soak.py", "--seeds", "1", "--seconds", "8", "--processes", "12"]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
     assert done.returncode == 0, done.stdout + done.stderr
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -16,9 +16,9 @@
 from typing import Any
 
 import pytest
-from test_crossings import SMALL, Held, answers, raw, read_all, read_until, request, silent, until
-from test_platform import Place, Runner, configuration, echo, event, run
-from test_worker_list import List, follow
+from test_crossings import SMALL, HeldConnect, answers, raw, read_all, read_until, request, silent, until
+from test_platform import PlatformFixture, WorkerStub, configuration, echo, event, run
+from test_worker_list import EndpointListStub, follow
 
 from kelptrail.codec import feed, frames
 from kelptrail.engine.wall_clock import WallClockReader
@@ -56,17 +56,17 @@
 
 
 @pytest.mark.parametrize("code", PASSING_SEND)
-def test_a_send_that_fails_for_a_moment_costs_no_connection(code: int) -> None:
+def test_a_transient_send_failure_costs_no_connection(code: int) -> None:
     """On the client's connection, the worker's and the list's: what is open there goes on."""
 
     async def main() -> None:
-        async with Place(runner := Runner(echo)) as place:
-            client = await place.client()
+        async with PlatformFixture(runner := WorkerStub(echo)) as platform:
+            client = await platform.client()
             client.ask(1)
             assert await client.code() == frames.SERVED
-            (worker_links,) = place.service.executor.workers.connections.values()
+            (worker_links,) = platform.service.executor.workers.connections.values()
             (connection,) = worker_links._connections
-            (front_client,) = place.service.client_server.connections.idle
+            (front_client,) = platform.service.client_server.connections.idle
             for each in (connection.connection, front_client.connection):
                 assert each is not None
                 each.wire.sock = Failing(each.wire.sock, "send", [code, code])  # type: ignore[assignment]
@@ -84,14 +84,14 @@
     """Its age counts on the monotonic clock from its start, whichever way the wall clock went in between."""
 
     async def main() -> None:
-        async with Place(Runner(echo), Runner(echo)) as place:
-            now_ms = place.service._now
+        async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
+            now_ms = platform.service._now
             real = time.time
             monkeypatch.setattr("time.time", lambda: real() + step_ms / 1000)
             await asyncio.sleep(0.25)  # the periodic work sees the step
             started = int(real() * 1000 + step_ms) - 100
-            place.service.endpoints.on_event(worker_event(2, 7, started))
-            worker = place.service.engine.workers["s-00000007"]
+            platform.service.endpoints.on_event(worker_event(2, 7, started))
+            worker = platform.service.engine.workers["s-00000007"]
             assert worker.started_at is not None
             assert 90.0 <= now_ms() - worker.started_at <= 400.0
 
@@ -108,7 +108,7 @@
     """The worker's connection comes up late: what was decided before says the time that is left then."""
     limits: list[int] = []
 
-    class Reads(Runner):
+    class Reads(WorkerStub):
         async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while line := await reader.readline():
                 word, id_, *rest = line.split()
@@ -120,13 +120,13 @@
                     writer.write(id_ + b" OK units=1 0\r\n\r\n")
 
     async def main() -> None:
-        async with Place(Reads(echo)) as place:
-            client = await place.client()
+        async with PlatformFixture(Reads(echo)) as platform:
+            client = await platform.client()
             client.ask(1)
             assert await client.code() == frames.SERVED  # an instance is loaded
-            for links in place.service.executor.workers.connections.values():
+            for links in platform.service.executor.workers.connections.values():
                 links.close()
-            held = Held(monkeypatch)
+            held = HeldConnect(monkeypatch)
             client.ask(2, limit="1500")
             await until(lambda: held.waiting)
             await asyncio.sleep(0.4)
@@ -152,21 +152,21 @@
 
 
 @pytest.mark.parametrize("codes", [[code] for code in FAILING_ACCEPT] + [[errno.ECONNABORTED, errno.EMFILE] * 3])
-def test_clients_in_the_queue_are_answered_at_a_planned_end_though_accepts_fail(codes: list[int]) -> None:
+def test_clients_in_the_accept_queue_are_answered_at_shutdown_though_accepts_fail(codes: list[int]) -> None:
     """Whoever has connected before the listener closes is taken in, also behind a client that has gone."""
 
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            door = place.service.client_server._listener
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            door = platform.service.client_server._listener
             (listening,) = door._sockets
             asyncio.get_running_loop().remove_reader(listening)  # whoever comes stands in the queue of the kernel
-            clients = [raw(place.port) for _ in range(3)]
+            clients = [raw(platform.port) for _ in range(3)]
             for number, client in enumerate(clients, 1):
                 client.sendall(request(number))
             door._sockets = {Failing(listening, "accept", list(codes)): None}  # type: ignore[dict-item]
-            place.service.shut_down()
-            await asyncio.wait_for(place.service.finished, 3.0)
-            place.service.close()
+            platform.service.shut_down()
+            await asyncio.wait_for(platform.service.finished, 3.0)
+            platform.service.close()
             for number, client in enumerate(clients, 1):
                 assert answers(await asyncio.to_thread(read_all, client)) == {number: frames.SERVED}
                 client.close()
@@ -174,16 +174,16 @@
     run(main())
 
 
-def test_a_crowd_of_new_clients_that_have_asked_is_answered_one_by_one() -> None:
+def test_many_new_clients_with_requests_are_answered_one_by_one() -> None:
     """Beyond the bound, too: no connection is closed over a request that stands in its socket."""
 
     async def main() -> None:
-        async with Place(Runner(silent), sockets=48) as place:
-            busy = [raw(place.port) for _ in range(20)]
+        async with PlatformFixture(WorkerStub(silent), sockets=48) as platform:
+            busy = [raw(platform.port) for _ in range(20)]
             for number, client in enumerate(busy, 1):
                 client.sendall(request(number))
-            await until(lambda: len(place.service.executor.client_requests) == 20)
-            crowd = [raw(place.port) for _ in range(30)]
+            await until(lambda: len(platform.service.executor.client_requests) == 20)
+            crowd = [raw(platform.port) for _ in range(30)]
             for number, client in enumerate(crowd, 100):
                 client.sendall(request(number))
             for number, client in enumerate(crowd, 100):
@@ -194,7 +194,7 @@
     run(main())
 
 
-def test_new_configurations_in_a_row_ask_a_list_that_answers_no_more_than_now_and_then() -> None:
+def test_repeated_reloads_do_not_reconnect_often_to_a_list_that_answers() -> None:
     """The address is the same and the list tells its events: nothing is called off for a word that changes nothing."""
 
     async def main() -> None:
@@ -203,40 +203,40 @@
                 writer.write(event(1, 0))
                 await asyncio.sleep(0.1)
 
-        asked = List(serve)
+        asked = EndpointListStub(serve)
         port = await asked.open()
-        async with Place(Runner(echo)) as place:
-            await follow(place, port)
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            await follow(platform, port)
             await until(lambda: asked.asked)
             for _ in range(25):
                 await asyncio.sleep(0.04)
-                await follow(place, port)
+                await follow(platform, port)
             assert len(asked.asked) <= 3
 
     run(main())
 
 
-def test_a_worker_told_as_a_change_is_no_older_than_the_list_without_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_worker_added_by_a_change_is_no_older_than_the_list_without_it(monkeypatch: pytest.MonkeyPatch) -> None:
     """The process started under a wall clock that is an hour ahead of the list's; it has seen no step."""
     real = time.time
     monkeypatch.setattr("time.time", lambda: real() + 3600)
 
     async def main() -> None:
-        async with Place(Runner(echo), Runner(echo)) as place:
-            place.service.endpoints.on_event(worker_event(2, 7, int(real() * 1000) - 100))
-            worker = place.service.engine.workers["s-00000007"]
+        async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
+            platform.service.endpoints.on_event(worker_event(2, 7, int(real() * 1000) - 100))
+            worker = platform.service.engine.workers["s-00000007"]
             assert worker.started_at is not None
-            assert place.service._now() - worker.started_at <= 1000.0
+            assert platform.service._now() - worker.started_at <= 1000.0
 
     run(main())
 
 
-def test_a_connection_is_not_taken_for_ended_because_a_look_at_it_failed_for_a_moment() -> None:
+def test_a_transient_receive_failure_is_not_taken_for_the_end_of_a_connection() -> None:
     """A request stands in its socket: the close of a resting connection must not go by a look that failed."""
 
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            client, front = await place.client(), place.service.client_server
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            client, front = await platform.client(), platform.service.client_server
             client.ask(1)
             assert await client.code() == frames.SERVED
             (mine,) = front.connections.idle
@@ -273,7 +273,7 @@
         process.wait()
 
 
-def test_an_address_that_is_taken_for_a_moment_is_waited_for(tmp_path: Path) -> None:
+def test_an_address_in_use_for_a_moment_is_retried(tmp_path: Path) -> None:
     """As it is where the process before still closes, or descriptors lack in the whole system."""
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
@@ -300,12 +300,12 @@
     """The request is answered, so nothing is open; the answer still stands in the link."""
     body = bytes(100_000)
 
-    def large(runner: Runner, id_: bytes, _: bytes, writer: asyncio.StreamWriter) -> None:
+    def large(runner: WorkerStub, id_: bytes, _: bytes, writer: asyncio.StreamWriter) -> None:
         echo(runner, id_, body, writer)
 
     async def main() -> None:
-        async with Place(Runner(large)) as place:
-            front, slow = place.service.client_server, raw(place.port, SMALL)
+        async with PlatformFixture(WorkerStub(large)) as platform:
+            front, slow = platform.service.client_server, raw(platform.port, SMALL)
             await until(lambda: len(front.connections))
             (client,) = front.connections.fresh
             client.connection.wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
@@ -334,11 +334,11 @@
     """Ends of what was open at the close must not lead to new attempts and orders."""
 
     async def main() -> None:
-        async with Place(runner := Runner(silent)) as place:
-            client = await place.client()
+        async with PlatformFixture(runner := WorkerStub(silent)) as platform:
+            client = await platform.client()
             client.ask(1)
             await until(lambda: runner.calls)
-            place.service.close()
+            platform.service.close()
             connections = runner.connections
             await asyncio.sleep(0.1)
             assert runner.connections == connections and len(runner.calls) == 1
@@ -349,8 +349,8 @@
 @pytest.mark.parametrize("code", [errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
 def test_an_accept_that_fails_for_what_the_whole_system_lacks_closes_no_other_client(code: int) -> None:
     async def main() -> None:
-        async with Place(Runner(echo)) as place:
-            resting, front = await place.client(), place.service.client_server
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            resting, front = await platform.client(), platform.service.client_server
             resting.ask(1)
             assert await resting.code() == frames.SERVED
             (listening,) = front._listener._sockets
@@ -359,7 +359,7 @@
             failing = Failing(listening, "accept", [code] * 3)
             front._listener._sockets = {failing: None}  # type: ignore[dict-item]
             loop.add_reader(listening, front._listener._ready, failing)
-            late = await place.client()
+            late = await platform.client()
             late.ask(2)
             assert await late.code() == frames.SERVED
             resting.ask(3)
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -16,18 +16,17 @@
 from typing import Any
 
 import pytest
-from test_crossings import Held, raw, read_until, until
-from test_platform import Place, Runner, configuration, echo, event, run
+from test_crossings import HeldConnect, raw, read_until, until
+from test_platform import PlatformFixture, WorkerStub, configuration, echo, event, run
 
 from kelptrail.codec import frames
 from kelptrail.net.connection import connect
-from kelptrail.platform import config
-from kelptrail.platform import endpoint_watch as feed
+from kelptrail.platform import config, endpoint_watch
 
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-class List:
+class EndpointListStub:
     """A list's service of the test: what it does on each connection, and from where it was asked."""
 
     def __init__(self, serve: Serve) -> None:
@@ -44,14 +43,14 @@
         writer.close()
 
 
-async def follow(place: Place, port: int) -> None:
-    place.service.endpoints.watch.set_address(("127.0.0.1", port))
+async def follow(platform: PlatformFixture, port: int) -> None:
+    platform.service.endpoints.watch.set_address(("127.0.0.1", port))
 
 
-def test_an_event_that_could_not_be_taken_in_is_asked_for_again() -> None:
+def test_an_event_that_could_not_be_applied_is_requested_again() -> None:
     async def main() -> None:
-        async with Place(Runner(echo), Runner(echo)) as place:
-            host, listed, fails = place.service.engine, place.service.engine.on_endpoints, [True]
+        async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
+            host, listed, fails = platform.service.engine, platform.service.engine.on_endpoints, [True]
 
             def once(*args: Any) -> Any:
                 if fails:
@@ -60,17 +59,17 @@
                 return listed(*args)
 
             host.on_endpoints = once  # type: ignore[method-assign]
-            place.events = [event(2, 2, (1, 9, 1))]
-            place.service.reload(place.service.config)
-            await until(lambda: place.service.last_event_number == 2)
+            platform.events = [event(2, 2, (1, 9, 1))]
+            platform.service.reload(platform.service.config)
+            await until(lambda: platform.service.last_event_number == 2)
             assert not fails and not host.workers["s-00000001"].live
 
     run(main())
 
 
 @pytest.mark.parametrize("says", ["bytes of a frame that never ends", "nothing", "empty events, then nothing"])
-def test_a_list_that_tells_no_whole_event_is_asked_again(says: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(feed, "SILENCE_TIMEOUT_MS", 200.0)
+def test_a_list_that_sends_no_complete_event_is_requested_again(says: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT_MS", 200.0)
 
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -82,20 +81,20 @@
                 await asyncio.sleep(0.05)
             await reader.read()
 
-        asked = List(serve)
+        asked = EndpointListStub(serve)
         port = await asked.open()
-        async with Place(Runner(echo)) as place:
-            await follow(place, port)
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            await follow(platform, port)
             await until(lambda: len(asked.asked) >= 3, 1.5)
             assert set(asked.asked) == {1}
 
     run(main())
 
 
-def test_a_link_too_slow_for_one_event_is_given_more_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(feed, "SILENCE_TIMEOUT_MS", 100.0)
-    monkeypatch.setattr(feed, "BACKOFF_MS", 5.0)  # while it pauses it still hears the connection of before
-    monkeypatch.setattr(feed, "MAX_BACKOFF_MS", 10.0)
+def test_a_connection_too_slow_for_one_event_is_given_more_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT_MS", 100.0)
+    monkeypatch.setattr(endpoint_watch, "BACKOFF_MS", 5.0)  # while it pauses it still hears the connection of before
+    monkeypatch.setattr(endpoint_watch, "MAX_BACKOFF_MS", 10.0)
 
     async def main() -> None:
         async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -104,77 +103,77 @@
                 await asyncio.sleep(0.01)  # some 0.4 s for the event
             await reader.read()
 
-        asked = List(slow)
+        asked = EndpointListStub(slow)
         port = await asked.open()
-        async with Place(Runner(echo)) as place:
-            await follow(place, port)
-            await until(lambda: place.service.last_event_number == 2)
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            await follow(platform, port)
+            await until(lambda: platform.service.last_event_number == 2)
             assert len(asked.asked) > 1, "not at the first time"
 
     run(main())
 
 
-def test_a_list_that_breaks_at_once_each_time_is_not_asked_without_a_pause() -> None:
+def test_a_list_that_disconnects_at_once_each_time_is_requested_with_backoff() -> None:
     async def main() -> None:
         async def breaks(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(event(1, 0) + event(5, 2, (1, 9, 1)))  # events are missing
 
-        asked = List(breaks)
+        asked = EndpointListStub(breaks)
         port = await asked.open()
-        async with Place(Runner(echo)) as place:
-            await follow(place, port)
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            await follow(platform, port)
             await asyncio.sleep(0.5)
             assert 2 <= len(asked.asked) <= 8
 
     run(main())
 
 
-def test_a_move_while_a_connect_is_under_way_waits_for_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_new_address_during_a_connect_is_used_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(event(2, 2, (1, 9, 1)))
             await reader.read()
 
-        asked = List(serve)
+        asked = EndpointListStub(serve)
         port = await asked.open()
-        async with Place(Runner(echo)) as place:
-            held = Held(monkeypatch, feed, port=9)  # a connect to the old address hangs for good
-            await follow(place, 9)
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            held = HeldConnect(monkeypatch, endpoint_watch, port=9)  # a connect to the old address hangs for good
+            await follow(platform, 9)
             await until(lambda: held.waiting)
-            place.told["journal"] = f"127.0.0.1:{port}"
-            place.service.reload(feed_config(place))
-            await until(lambda: place.service.last_event_number == 2, 0.5)
+            platform.told["journal"] = f"127.0.0.1:{port}"
+            platform.service.reload(feed_config(platform))
+            await until(lambda: platform.service.last_event_number == 2, 0.5)
 
     run(main())
 
 
-def feed_config(place: Place) -> config.Config:
-    return config.parse(json.dumps(place.told), place.service.config)
+def feed_config(platform: PlatformFixture) -> config.Config:
+    return config.parse(json.dumps(platform.told), platform.service.config)
 
 
-def test_a_move_while_it_pauses_waits_for_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(feed, "BACKOFF_MS", 60_000.0)
-    monkeypatch.setattr(feed, "MAX_BACKOFF_MS", 60_000.0)
+def test_a_new_address_during_a_backoff_is_used_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(endpoint_watch, "BACKOFF_MS", 60_000.0)
+    monkeypatch.setattr(endpoint_watch, "MAX_BACKOFF_MS", 60_000.0)
 
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(event(2, 2, (1, 9, 1)))
             await reader.read()
 
-        asked = List(serve)
+        asked = EndpointListStub(serve)
         port = await asked.open()
-        async with Place(Runner(echo)) as place:
+        async with PlatformFixture(WorkerStub(echo)) as platform:
             unreachable: list[str] = []
-            place.service.endpoints.watch.log = lambda what, **_: unreachable.append(what)
-            await follow(place, 9)  # nobody listens there
+            platform.service.endpoints.watch.log = lambda what, **_: unreachable.append(what)
+            await follow(platform, 9)  # nobody listens there
             await until(lambda: unreachable)
-            await follow(place, port)
-            await until(lambda: place.service.last_event_number == 2, 0.5)
+            await follow(platform, port)
+            await until(lambda: platform.service.last_event_number == 2, 0.5)
 
     run(main())
 
 
-def test_what_the_old_address_still_tells_is_taken_until_the_new_one_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_events_of_the_old_address_are_applied_until_the_new_one_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         writers: list[asyncio.StreamWriter] = []
 
@@ -186,26 +185,26 @@
             writer.write(event(2, 2, (1, 9, 1)) + event(3, 2, (1, 9, 2)))
             await reader.read()
 
-        first, second = List(old), List(new)
+        first, second = EndpointListStub(old), EndpointListStub(new)
         ports = await first.open(), await second.open()
-        async with Place(Runner(echo), Runner(echo)) as place:
-            await follow(place, ports[0])
+        async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
+            await follow(platform, ports[0])
             await until(lambda: writers)
-            held = Held(monkeypatch, feed, port=ports[1])
-            await follow(place, ports[1])
+            held = HeldConnect(monkeypatch, endpoint_watch, port=ports[1])
+            await follow(platform, ports[1])
             await until(lambda: held.waiting)
             writers[0].write(event(2, 2, (1, 9, 1))[:30])
             await asyncio.sleep(0.02)
             writers[0].write(event(2, 2, (1, 9, 1))[30:])
-            await until(lambda: place.service.last_event_number == 2)
+            await until(lambda: platform.service.last_event_number == 2)
             held.gate.set()
-            await until(lambda: place.service.last_event_number == 3)
+            await until(lambda: platform.service.last_event_number == 3)
             assert second.asked == [2], "nothing is asked for twice"
 
     run(main())
 
 
-def test_a_descriptor_is_kept_for_the_list_while_idle_clients_fill_the_rest(tmp_path: Path) -> None:
+def test_a_descriptor_is_reserved_for_the_list_while_idle_clients_use_the_rest(tmp_path: Path) -> None:
     """The process has fewer descriptors than it was told: clients take all, then the list comes up."""
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
@@ -251,7 +250,7 @@
                     writer.write(event(1, 0))
                     await asyncio.sleep(0.1)
 
-            asked = List(serve)
+            asked = EndpointListStub(serve)
             await asked.open(journal)
             await until(lambda: asked.asked, 3.0)
             assert asked.asked == [1]
@@ -272,7 +271,7 @@
         versions: dict[bytes, int] = {}
         release, orders = [1], list[float]()
 
-        class Versions(Runner):
+        class Versions(WorkerStub):
             """Serves a function only in the version that is the newest."""
 
             async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -291,8 +290,8 @@
                             else:
                                 writer.write(id_ + b" MISS - 0\r\n\r\n")
 
-        async with Place(Versions(echo)) as place:
-            client, stream = await place.client(), 0
+        async with PlatformFixture(Versions(echo)) as platform:
+            client, stream = await platform.client(), 0
             for release[0] in (1, 2, 3):
                 for n in range(6):
                     for _ in range(3):
@@ -304,9 +303,9 @@
     run(main())
 
 
-def test_a_service_that_is_slow_to_its_first_byte_is_heard(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_list_service_that_is_slow_to_its_first_byte_is_used(monkeypatch: pytest.MonkeyPatch) -> None:
     """It needs longer than the silence after which it is asked again: the connection that it answers is still there."""
-    monkeypatch.setattr(feed, "SILENCE_TIMEOUT_MS", 200.0)
+    monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT_MS", 200.0)
 
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -314,17 +313,17 @@
             writer.write(event(2, 2, (1, 9, 1)))
             await reader.read()
 
-        asked = List(serve)
+        asked = EndpointListStub(serve)
         port = await asked.open()
-        async with Place(Runner(echo)) as place:
-            await follow(place, port)
-            await until(lambda: place.service.last_event_number == 2, 1.5)
-            await until(lambda: len(place.service.endpoints.watch._connections) == 1)
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            await follow(platform, port)
+            await until(lambda: platform.service.last_event_number == 2, 1.5)
+            await until(lambda: len(platform.service.endpoints.watch._connections) == 1)
 
     run(main())
 
 
-def test_a_service_that_is_slow_to_accept_is_reached(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_list_service_that_is_slow_to_accept_is_reached(monkeypatch: pytest.MonkeyPatch) -> None:
     """A connect that takes longer than one to a worker may take, while new configurations come in a row."""
 
     async def main() -> None:
@@ -337,15 +336,15 @@
                 await asyncio.sleep(0.6)
                 return await connect(loop, address, within)
 
-        asked = List(serve)
+        asked = EndpointListStub(serve)
         port = await asked.open()
-        async with Place(Runner(echo)) as place:
-            monkeypatch.setattr(feed, "connect", slowly)
-            await follow(place, port)
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            monkeypatch.setattr(endpoint_watch, "connect", slowly)
+            await follow(platform, port)
             for _ in range(20):
                 await asyncio.sleep(0.05)
-                await follow(place, port)
-            await until(lambda: place.service.last_event_number == 2, 0.5)
+                await follow(platform, port)
+            await until(lambda: platform.service.last_event_number == 2, 0.5)
 
     run(main())
 
@@ -362,14 +361,14 @@
             await asyncio.sleep(0.2)
             return await connect(loop, address, within)
 
-        services = [List(serve), List(serve)]
+        services = [EndpointListStub(serve), EndpointListStub(serve)]
         ports = [await service.open() for service in services]
-        async with Place(Runner(echo)) as place:
-            monkeypatch.setattr(feed, "connect", slowly)
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            monkeypatch.setattr(endpoint_watch, "connect", slowly)
             for turn in range(20):
-                await follow(place, ports[turn % 2])
+                await follow(platform, ports[turn % 2])
                 await asyncio.sleep(0.05)
-            assert place.service.last_event_number == 2, "reached between the turns"
+            assert platform.service.last_event_number == 2, "reached between the turns"
             assert sum(len(service.asked) for service in services) <= 4
 
     run(main())
