--- a/bench/planner.py
+++ b/bench/planner.py
@@ -19,12 +19,12 @@
 import uvloop
 
 from kelptrail.clock import now_ms
-from kelptrail.emulator.cluster import Cluster, ask
+from kelptrail.emulator.cluster import Cluster, http_json
 from kelptrail.gateway.counters import FunctionCounters
 from kelptrail.peers.messages import VERSION, FrameReader, Heartbeat, Hello, frame
-from kelptrail.planner.channel import READ, Report
-from kelptrail.planner.placement import FunctionDemand, WorkerCapacity, greedy, solve, valid
-from kelptrail.planner.plan import FIRST
+from kelptrail.planner.channel import READ, UsageReport
+from kelptrail.planner.placement import FunctionDemand, WorkerCapacity, place_by_program, place_greedily, violations
+from kelptrail.planner.plan import BEFORE_ALL_PLANS
 from kelptrail.settings.deployment import load
 
 ROOT = Path(__file__).parent.parent
@@ -60,22 +60,22 @@
         for tight in (1.0, 0.12):
             hosts, needs = world(workers, functions, 1, tight)
             budget = max(8, functions // 5)
-            for name, how in (("greedy", greedy), ("program", solve)):
+            for name, how in (("greedy", place_greedily), ("program", place_by_program)):
                 began = time.perf_counter()
                 found = how(hosts, needs, budget)
                 took = time.perf_counter() - began
-                assert not valid(found.wants, hosts, needs, budget)
+                assert not violations(found.instances, hosts, needs, budget)
                 rows.append(
                     {
                         "workers": workers,
                         "functions": functions,
                         "memory": tight,
                         "how": name,
-                        "by": found.by,
+                        "by": found.solver,
                         "s": round(took, 3),
-                        "price": round(found.price, 1),
+                        "price": round(found.cost, 1),
                         "missing": found.missing,
-                        "moves": found.moves,
+                        "moves": found.new,
                     }
                 )
                 print(json.dumps(rows[-1]), flush=True)
@@ -116,17 +116,17 @@
         frames = FrameReader(READ)
 
         async def read() -> None:
-            from kelptrail.planner.channel import Offer, Reply
-            from kelptrail.planner.plan import unpack
+            from kelptrail.planner.channel import PlanOffer, PlanReply
+            from kelptrail.planner.plan import decode_plan
 
             while data := await reader.read(1 << 16):
                 self.bytes_in += len(data)
                 for message in frames.feed(data):
-                    if isinstance(message, Offer):
+                    if isinstance(message, PlanOffer):
                         self.plans += 1
-                        self._write(writer, frame(Reply(unpack(message.data).head.order)))
+                        self._write(writer, frame(PlanReply(decode_plan(message.data).header.order)))
 
-        self._write(writer, frame(Hello(VERSION, self.name, self._lineage, FIRST)))
+        self._write(writer, frame(Hello(VERSION, self.name, self._lineage, BEFORE_ALL_PLANS)))
         task = asyncio.create_task(read())
         chance = np.random.default_rng(zlib.crc32(self.name.encode()))
         began = now_ms()
@@ -137,7 +137,7 @@
                 for m, c in zip(self._models, counts, strict=True)
                 if c
             }
-            self._write(writer, frame(Report(FIRST, now_ms() - began, tallies, {}, False)))
+            self._write(writer, frame(UsageReport(BEFORE_ALL_PLANS, now_ms() - began, tallies, {}, False)))
             self._write(writer, frame(Heartbeat()))
             await asyncio.sleep(1.0)
             if task.done():
@@ -161,7 +161,7 @@
     fakes: list[asyncio.Task[None]] = []
     if big:
         for n in range(1000):
-            await ask(
+            await http_json(
                 roster.said["address"],
                 "POST",
                 "/register",
@@ -197,7 +197,7 @@
         stdout=asyncio.subprocess.PIPE,
     )
     said, _ = await load_process.communicate()
-    state = await ask(planner.said["control"], "GET", "/")
+    state = await http_json(planner.said["control"], "GET", "/")
     for fake in fakes:
         fake.cancel()
     for child in (planner, roster):
@@ -233,7 +233,7 @@
         "planner", ["planner", str(large), "--roster", roster.said["address"], "--control", "127.0.0.1:0"]
     )
     for n in range(1000):
-        await ask(
+        await http_json(
             roster.said["address"],
             "POST",
             "/register",
@@ -256,7 +256,7 @@
     before = sum(f.bytes_in for f in fakes), sum(f.bytes_out for f in fakes), sum(f.plans for f in fakes)
     await asyncio.sleep(30)
     after = sum(f.bytes_in for f in fakes), sum(f.bytes_out for f in fakes), sum(f.plans for f in fakes)
-    state = await ask(planner.said["control"], "GET", "/")
+    state = await http_json(planner.said["control"], "GET", "/")
     down, up, plans = (round((b - a) / 30) for a, b in zip(before, after, strict=True))
     print(
         json.dumps(
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -9,20 +9,20 @@
 
 import zlib
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from typing import Any
 
 import numpy as np
 
 from kelptrail.codec.infer import Answer
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder
-from kelptrail.fault_scenario.report import world_of
+from kelptrail.fault_scenario.report import describe_deployment
 from kelptrail.fault_scenario.scenario import (
-    ON_DISKS,
-    ON_PEERS,
-    ON_PLANNERS,
-    ON_STORE,
-    ON_WORKERS,
+    DISK_FAULTS,
+    PEER_FAULTS,
+    PLANNER_FAULTS,
+    STORE_FAULTS,
+    WORKER_FAULTS,
     Fault,
     FaultScenario,
 )
@@ -31,11 +31,11 @@
 from kelptrail.gateway.overload import Stage as Calm
 from kelptrail.gateway.records import Record
 from kelptrail.load.arrivals import Arrivals, popularity
-from kelptrail.load.client_behavior import ClientBehavior, Heard, again, behavior_of
+from kelptrail.load.client_behavior import ClientBehavior, ClientOutcome, behavior_of, retry_delay_ms
 from kelptrail.load.plan import Load
 from kelptrail.load.results import Result, Second
 from kelptrail.membership.members import EndpointList
-from kelptrail.planner.driver import TASK
+from kelptrail.planner.driver import LEASE_NAME
 from kelptrail.service.fleet import lease_settings
 from kelptrail.settings.deployment import ActionSettings, Deployment, NamespaceSettings
 from kelptrail.store.activation_journal import ActivationEntries
@@ -348,7 +348,7 @@
         first = part[0] == 0
         if self.note is not None and first:
             names = [f"dispatcher-{n}" for n in range(day.dispatchers)]
-            self.note("world", **world_of(deployment, names, day.workers))
+            self.note("world", **describe_deployment(deployment, names, day.workers))
         self.workers: dict[str, _Worker | RemoteWorker] = {}
         for n in range(day.workers):
             id_, hall, cell = f"worker-{n}", halls[n % len(halls)], n // 2
@@ -388,7 +388,7 @@
             )
             self.leases.contend(day.tasks, names)
             for planner in self.planners:
-                self.leases.want(self.leases.nodes[planner.name], TASK, planner.led, planner.stood_down)
+                self.leases.want(self.leases.nodes[planner.name], LEASE_NAME, planner.led, planner.stood_down)
         self._tell_lists()
         self.by_space: dict[str, list[int]] = {n: [0, 0] for n in deployment.namespaces}  # wanted, served in time
         self._tickets = self._calls = 0
@@ -400,7 +400,7 @@
         self._spaces, self._shares = spaces, np.cumsum(shares / shares.sum())
         for load in day.load:
             self._arrivals(load)
-        for trouble in day.trouble:
+        for trouble in day.faults:
             self.engine.at(self.start + trouble.at * 1000, self._befall, trouble)
         self._fetched = 0
         self.engine.at(self.start + 999.0, self._sample)
@@ -443,7 +443,7 @@
 
     def _arrivals(self, load: Load) -> None:
         """A load's arrivals, drawn a second at a time; of a closed loop its clients, spread over their first pause."""
-        end = min(self.day.seconds, load.at + load.last)
+        end = min(self.day.seconds, load.at + load.duration)
         actions = list(self.deployment.actions.values())
         by_path = {a.path: a for a in actions}
         odds = np.cumsum(popularity(list(by_path), load))
@@ -486,7 +486,7 @@
             action,
             space,
             bool(chance.random() < load.deferred),
-            behavior_of(float(chance.random()), load.heed, load.half_heed),
+            behavior_of(float(chance.random()), load.retry_after_share, load.half_retry_after_share),
             1 + load.retries,
             first=self.engine.now,
             after=after,
@@ -530,7 +530,7 @@
         self.second().not_taken += 1
         if self.note is not None:
             self.note("not-taken", call=wish.number)
-        self._again(wish, Heard.NOT_TAKEN)
+        self._again(wish, ClientOutcome.NOT_TAKEN)
 
     def _unwait(self, wish: Wish) -> None:
         if wish.patience is not None:
@@ -639,7 +639,7 @@
         self.give_ups[ending] = self.give_ups.get(ending, 0) + 1
         if self.note is not None:
             self.note("no-answer", call=wish.number, ending=ending)
-        self._again(wish, Heard.LOST)
+        self._again(wish, ClientOutcome.LOST)
 
     def _final(
         self,
@@ -669,17 +669,19 @@
                 second.rejected += 1
             else:
                 second.aborted += 1
-        self._again(wish, Heard(answer), return_ms, within)
+        self._again(wish, ClientOutcome(answer), return_ms, within)
 
-    def _again(self, wish: Wish, heard: Heard, told_ms: float = 0.0, within_ms: float | None = None) -> None:
+    def _again(self, wish: Wish, heard: ClientOutcome, told_ms: float = 0.0, within_ms: float | None = None) -> None:
         """The client's next step, by its habits."""
         kind = self.deployment.types[wish.action.type]
-        wait = again(wish.habits, heard, kind.effect, kind.timeout_ms, told_ms, within_ms, self.engine.now - wish.began)
-        if wait is not None and heard is Heard.NOT_TAKEN and wish.tries > -20:
+        wait = retry_delay_ms(
+            wish.habits, heard, kind.effect, kind.timeout_ms, told_ms, within_ms, self.engine.now - wish.began
+        )
+        if wait is not None and heard is ClientOutcome.NOT_TAKEN and wish.tries > -20:
             self.engine.after(wait, self._try, wish, wish.dispatcher)
-        elif wait is not None and heard is not Heard.NOT_TAKEN and wish.tries > 0:
+        elif wait is not None and heard is not ClientOutcome.NOT_TAKEN and wish.tries > 0:
             self.engine.after(
-                wait * float(self._clients.uniform(*wish.habits.spread)), self._try, wish, wish.dispatcher
+                wait * float(self._clients.uniform(*wish.habits.jitter)), self._try, wish, wish.dispatcher
             )
         elif wish.after is not None:
             wish.after()
@@ -721,16 +723,16 @@
 
     def _befall(self, trouble: Fault) -> None:
         kind = trouble.kind
-        if kind in ON_WORKERS:
+        if kind in WORKER_FAULTS:
             up = [w for w in self.workers.values() if w.up]
             count = min(len(up), max(1, round(trouble.part * len(up))))
             victims = [up[int(n)] for n in self._chance.choice(len(up), count, replace=False)] if up else []
             self._trouble(kind, trouble, [w.id for w in victims])
             for number, worker in enumerate(victims):
                 if kind == "crash":
-                    self._crash(worker, trouble.last * 1000)
+                    self._crash(worker, trouble.duration * 1000)
                 elif kind in ("rolling-deploy", "drain"):
-                    pause = trouble.last * 1000 / max(1, len(victims))
+                    pause = trouble.duration * 1000 / max(1, len(victims))
                     self.engine.after(number * (pause + 1000), self._deploy, worker, kind == "rolling-deploy")
                 else:
                     worker.fault(kind, trouble)
@@ -738,40 +740,40 @@
                         worker.break_all()
                         self._tell_lists()
             return
-        if kind in ON_PLANNERS:
+        if kind in PLANNER_FAULTS:
             self._trouble(kind, trouble, [p.name for p in self.planners])
             self._on_planners(trouble)
             return
         victims_d = self.dispatchers
-        if kind == "kill-dispatchers" or kind in (*ON_DISKS, *ON_PEERS):
+        if kind == "kill-dispatchers" or kind in (*DISK_FAULTS, *PEER_FAULTS):
             count = max(1, round(trouble.part * len(self.dispatchers)))
             victims_d = [
                 self.dispatchers[int(n)] for n in self._chance.choice(len(self.dispatchers), count, replace=False)
             ]
-        self._trouble(kind, trouble, [d.name for d in victims_d] if kind not in ON_STORE else [])
-        if kind in ON_STORE:
-            self.store.fault(kind.removeprefix("store-"), trouble.factor, trouble.last * 1000)
+        self._trouble(kind, trouble, [d.name for d in victims_d] if kind not in STORE_FAULTS else [])
+        if kind in STORE_FAULTS:
+            self.store.fault(kind.removeprefix("store-"), trouble.factor, trouble.duration * 1000)
         elif kind == "list-late":
             self._listed_ms = trouble.ms
-            self.engine.after(trouble.last * 1000, setattr, self, "_listed_ms", 0.0)
+            self.engine.after(trouble.duration * 1000, setattr, self, "_listed_ms", 0.0)
         elif kind == "kill-dispatchers":
             for dispatcher in victims_d:
-                self._kill(dispatcher, trouble.last * 1000)
+                self._kill(dispatcher, trouble.duration * 1000)
         elif kind == "lose-machines":
-            gone = trouble.at + trouble.last > self.day.seconds
+            gone = trouble.at + trouble.duration > self.day.seconds
             for dispatcher in victims_d:
-                self._kill(dispatcher, None if gone else trouble.last * 1000, True)
-        elif kind in ON_PEERS:
+                self._kill(dispatcher, None if gone else trouble.duration * 1000, True)
+        elif kind in PEER_FAULTS:
             if kind == "pause-dispatchers":
                 for dispatcher in self.own:
                     if dispatcher in victims_d:
-                        dispatcher.pause(trouble.last * 1000)
+                        dispatcher.pause(trouble.duration * 1000)
                         if self.note is not None:
                             self.note("stopped", dispatcher=dispatcher.number)
-                            self.engine.after(trouble.last * 1000, self._woken, dispatcher)
+                            self.engine.after(trouble.duration * 1000, self._woken, dispatcher)
             if self.leases is not None:
                 self.leases.befall(trouble, [d.name for d in victims_d], lambda: bool(self._chance.random() < 0.5))
-        elif kind in ON_DISKS:
+        elif kind in DISK_FAULTS:
             for dispatcher in victims_d:
                 if kind == "disk-slow":
                     dispatcher.sync_ms = trouble.ms
@@ -779,7 +781,7 @@
                     dispatcher.disk_fails = True
                 if self.leases is not None:
                     self.leases.disk(dispatcher.name, dispatcher.sync_ms, dispatcher.disk_fails)
-                self.engine.after(trouble.last * 1000, self._heal_disk, dispatcher)
+                self.engine.after(trouble.duration * 1000, self._heal_disk, dispatcher)
 
     def _on_planners(self, trouble: Fault) -> None:
         count = max(1, round(trouble.part * len(self.planners))) if self.planners else 0
@@ -791,26 +793,28 @@
         for planner in victims:
             if trouble.kind == "planners-slow":
                 planner.slow_ms = trouble.ms
-                self.engine.after(trouble.last * 1000, setattr, planner, "slow_ms", 0.0)
+                self.engine.after(trouble.duration * 1000, setattr, planner, "slow_ms", 0.0)
             elif trouble.kind == "planners-wrong":
-                planner.core.demand.factor = trouble.factor
-                self.engine.after(trouble.last * 1000, setattr, planner.core.demand, "factor", 1.0)
+                planner.core.demand.error_factor = trouble.factor
+                self.engine.after(trouble.duration * 1000, setattr, planner.core.demand, "error_factor", 1.0)
             elif trouble.kind in ("pause-planners", "cut-planners"):
                 assert self.leases is not None
                 self.leases.befall(
-                    trouble.as_kind({"pause-planners": "pause-dispatchers", "cut-planners": "cut-peers"}[trouble.kind]),
+                    replace(
+                        trouble, kind={"pause-planners": "pause-dispatchers", "cut-planners": "cut-peers"}[trouble.kind]
+                    ),
                     [planner.name],
                     lambda: bool(self._chance.random() < 0.5),
                 )
             else:
                 planner.kill()
                 self.engine.after(
-                    trouble.last * 1000 + self.settings.start_ms, planner.begin, trouble.kind == "planners-forget"
+                    trouble.duration * 1000 + self.settings.start_ms, planner.begin, trouble.kind == "planners-forget"
                 )
 
     def _trouble(self, kind: str, trouble: Fault, of: list[str]) -> None:
         if self.note is not None and self._part[0] == 0:
-            self.note("trouble", kind=kind, seconds=trouble.last, factor=trouble.factor, of=of)
+            self.note("trouble", kind=kind, seconds=trouble.duration, factor=trouble.factor, of=of)
 
     def _heal_disk(self, dispatcher: SimulatedDispatcher | RemoteDispatcher) -> None:
         dispatcher.sync_ms, dispatcher.disk_fails = self.settings.sync_ms, False
