--- a/bench/soak_mutants.py
+++ b/bench/soak_mutants.py
@@ -64,7 +64,7 @@
     Mutant(
         "a deduplicated request is retried past its window",
         "kelptrail/dispatch/safety.py",
-        "first.started_at + request.request_class.deduplication_window_ms - 20",
+        "first.started_at + request.request_class.deduplication_window_ms - DEDUPLICATION_MARGIN_MS",
         'float("inf")',
     ),
     Mutant(
@@ -76,8 +76,8 @@
     Mutant(
         "a worker in slow start gets what a warm one gets",
         "kelptrail/dispatch/slow_start.py",
-        "        if (warmth := self.capacity_factor(now, worker)) >= 1:\n            return True\n        budget",
-        "        return True\n        warmth = 1.0\n        budget",
+        "        if (capacity := self.capacity_factor(now, worker)) >= 1:\n            return True\n        budget",
+        "        return True\n        capacity = 1.0\n        budget",
     ),
     Mutant(
         "a transient failure of a send ends the connection",
