--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,5 +1,5 @@
-"""Race conditions of the platform's program, forced on real sockets: a shutdown, a leaving client, a broken connection or
-a second answer that comes between two steps.  One side is held at a known point; no test depends on timing by chance."""
+"""Race conditions of the platform's program, forced on real sockets: a shutdown, a leaving client, a lost connection or
+a second answer that comes between two steps.  One side is held at a known point; nothing depends on chance."""
 
 from __future__ import annotations
 
