--- a/kelptrail/service/planner.py
+++ b/kelptrail/service/planner.py
@@ -50,7 +50,7 @@
         program.on_endpoints(listing)
 
     roster = EndpointClient(options.endpoint_service, "", changed, last, log)
-    roster.start_from_last()
+    roster.load_saved()
     follower = loop.create_task(roster.follow())
 
     def handle(request: Any, exchange: Exchange) -> None:
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -37,9 +37,9 @@
 from kelptrail.planner.driver import PlannerDriver, PlannerOptions, Snapshot
 from kelptrail.planner.edge_driver import PlanFollower, SavedPlan
 from kelptrail.planner.plan import Plan, PlanHeader, digest_of
-from kelptrail.replication.messages import Members, ReplicaEntry, note, read_note
-from kelptrail.replication.replica import Work
-from kelptrail.replication.replica_store import Reading, ReplicaStore, open_replica_store
+from kelptrail.replication.messages import InSyncSet, ReplicaEntry, decode_in_sync, encode_in_sync
+from kelptrail.replication.replica import ReplicaWrite
+from kelptrail.replication.replica_store import ReadRequest, ReplicaStore, open_replica_store
 from kelptrail.settings.deployment import parse
 from kelptrail.simulation.compare import compare
 from kelptrail.store.activation_journal import ActivationEntries, open_journal
@@ -248,19 +248,19 @@
     file = copy("copies.sqlite", tmp_path)
     assert ask(file, "PRAGMA user_version") == [(1,)]
     shelves, aside = open_replica_store(file)
-    assert aside is None and shelves.disk == "f49c05565e22"
-    assert shelves.books() == {
+    assert aside is None and shelves.disk_id == "f49c05565e22"
+    assert shelves.fences() == {
         NORTH: (FencingToken(7, "north/1f2e3d4c"), "north"),
         SOUTH: (FencingToken(3, "south/77"), "south"),
         WEST: (FencingToken(2, "west/5"), ""),
     }
-    assert shelves.ids() == {id_of(1), id_of(2), id_of(3)}
+    assert shelves.activation_ids() == {id_of(1), id_of(2), id_of(3)}
     assert {b: {n: d for n, d in enumerate(shelves.digests_of(b)) if d} for b in (NORTH, SOUTH, WEST)} == {
         NORTH: {90: 16026056754501041349, 224: 1633695219369970741},
         SOUTH: {204: 11394445161795177697},
         WEST: {},
     }
-    first, second = Reading(NORTH), Reading(SOUTH)
+    first, second = ReadRequest(NORTH), ReadRequest(SOUTH)
     shelves.commit([first, second])
     wall = T + 100_000.0  # when it came here, by the holder's clock
     one = Accepted(
@@ -277,7 +277,7 @@
         "json",
     )
     two = Accepted(id_of(2), "north", "desk/see", wall - 500.0, 5000.0, b'{"inputs":[]}', None, "", "", True, "tensors")
-    assert sorted(first.lives, key=lambda life: life.accepted.id) == [
+    assert sorted(first.activations, key=lambda life: life.accepted.id) == [
         ActivationEntries(one),
         ActivationEntries(
             two,
@@ -286,7 +286,7 @@
         ),
     ]
     three = Accepted(id_of(3), "south", "desk/sum", wall + 1, 900.0, b"{}", None, "", "", True, "json")
-    assert second.lives == [ActivationEntries(three)]
+    assert second.activations == [ActivationEntries(three)]
     assert first.damaged == second.damaged == 0
     shelves.close()
 
@@ -297,9 +297,9 @@
     file = copy("copies.sqlite", tmp_path)
     bodies = dict(ask(file, "SELECT kind, body FROM entries WHERE id = ?", id_of(2)))
     shelves, _ = open_replica_store(file)
-    bucket = Reading(NORTH, 90, T + 101_000.0)
+    bucket = ReadRequest(NORTH, 90, T + 101_000.0)
     shelves.commit([bucket])
-    assert bucket.items == (
+    assert bucket.entries == (
         ReplicaEntry(id_of(2), 0, 1500.0, bodies[0]),
         ReplicaEntry(id_of(2), 1, 1125.0, bodies[1]),
         ReplicaEntry(id_of(2), 2, 1500.0, bodies[2]),
@@ -319,9 +319,12 @@
         found = ask(old, "SELECT id, kind, since, body FROM entries WHERE book = ?", book)
         items = tuple(ReplicaEntry(id_, kind, at - since, body) for id_, kind, since, body in found)
         shelves.commit(
-            [Work(book, fence=(FencingToken(round_, who), owner), wall_ms=at), Work(book, items=items, wall_ms=at)]
+            [
+                ReplicaWrite(book, fence=(FencingToken(round_, who), owner), wall_ms=at),
+                ReplicaWrite(book, entries=items, wall_ms=at),
+            ]
         )
-    shelves.commit([Work(WEST, fence=(FencingToken(2, "west/5"), ""), shut=True, wall_ms=wall + 3)])
+    shelves.commit([ReplicaWrite(WEST, fence=(FencingToken(2, "west/5"), ""), closes=True, wall_ms=wall + 3)])
     shelves.close()
     for text in (
         "PRAGMA user_version",
@@ -332,15 +335,18 @@
         assert ask(new, text) == ask(old, text)
 
 
-MEMBERS = Members("north", {"north": "0a1b2c3d4e5f", "south": "ffeeddccbbaa", "pär": ""})
+MEMBERS = InSyncSet("north", {"north": "0a1b2c3d4e5f", "south": "ffeeddccbbaa", "pär": ""})
 
 
 def test_the_note_with_a_books_lease_is_read_and_written_the_same() -> None:
     """Who owned a book and who has the whole of it on which disk; whoever takes the book over goes by it."""
     text = (STORED / "lease-note-of-a-book.bin").read_bytes()
-    assert read_note(text) == MEMBERS
-    assert (MEMBERS.owner, MEMBERS.disks) == ("north", {"north": "0a1b2c3d4e5f", "south": "ffeeddccbbaa", "pär": ""})
-    assert note(MEMBERS) == text
+    assert decode_in_sync(text) == MEMBERS
+    assert (MEMBERS.primary, MEMBERS.disk_ids) == (
+        "north",
+        {"north": "0a1b2c3d4e5f", "south": "ffeeddccbbaa", "pär": ""},
+    )
+    assert encode_in_sync(MEMBERS) == text
 
 
 # --- A voter's ledger.
@@ -365,7 +371,7 @@
     )
     assert reason == "" and memory == DurableState(4, Stage.VOTING, True)
     assert rows == (book, USAGE, GIVEN_BACK)
-    assert read_note(rows[0].noted.text) == MEMBERS
+    assert decode_in_sync(rows[0].noted.text) == MEMBERS
 
 
 def test_a_ledger_in_format_1_is_read_and_brought_to_format_2(tmp_path: Path) -> None:
@@ -476,7 +482,7 @@
     found = list[EndpointList]()
     log = Silent()
     client = EndpointClient("127.0.0.1:1", "dispatcher-1", found.append, copy("last-list.json", tmp_path), log)
-    assert client.start_from_last() and log.lines == []
+    assert client.load_saved() and log.lines == []
     workers = [
         Endpoint("worker-1", "127.0.0.1:40411", "live", "5a6b0ce3", 6592.870176000055, "south", 0, 0, 1.0),
         Endpoint("worker-0", "127.0.0.1:33225", "live", "c7409d81", 6544.928987000079, "north", 0, 0, 1.0),
@@ -584,17 +590,17 @@
     assert len(bodies) == 10
     assert all(written_again(unpack(body, crc32(body)), body) == body for body in bodies)
     shelves, aside = open_replica_store(file)
-    assert aside is None and shelves.books() == {
+    assert aside is None and shelves.fences() == {
         "dispatcher-0.b733a7160eac": (FencingToken(6, "dispatcher-0/eb45c6d5"), "dispatcher-0"),
         "dispatcher-4.d9c91e73a1a4": (FencingToken(6, "dispatcher-4/e16ef1cd"), "dispatcher-4"),
         "dispatcher-6.6f14cf209f05": (FencingToken(8, "dispatcher-2/5d67778e"), "dispatcher-2"),
     }
     found = {}
-    for book in shelves.books():
-        reading = Reading(book)
+    for book in shelves.fences():
+        reading = ReadRequest(book)
         shelves.commit([reading])
         assert reading.damaged == 0
-        found[book] = [(life.may_run is not None, life.ended is not None) for life in reading.lives]
+        found[book] = [(life.may_run is not None, life.ended is not None) for life in reading.activations]
     shelves.close()
     assert {book: sorted(ends) for book, ends in found.items()} == {
         "dispatcher-0.b733a7160eac": [],
@@ -616,9 +622,9 @@
     assert (lost.token, lost.released) == (FencingToken(18, "dispatcher-4/e16ef1cd"), True)
     assert (lost.noted.token, lost.noted.seq) == (FencingToken(8, "dispatcher-2/5d67778e"), 30)
     disks = {"dispatcher-2": "99fd856208ce", "dispatcher-3": "6312fbad89f7", "dispatcher-4": "59a7dd32ac1c"}
-    assert read_note(lost.noted.text) == Members("dispatcher-2", disks)
+    assert decode_in_sync(lost.noted.text) == InSyncSet("dispatcher-2", disks)
     notes = [row.noted.text for row in rows if row.noted.text]
-    assert len(notes) == 7 and all(note(read_note(text)) == text for text in notes)
+    assert len(notes) == 7 and all(encode_in_sync(decode_in_sync(text)) == text for text in notes)
     again = AcceptorStore(tmp_path / "new")
     again.commit([Write(1, rows, memory)])
     again.close()
