--- a/bench/copies.py
+++ b/bench/copies.py
@@ -25,7 +25,7 @@
 from overhead import DEPLOYMENT, STARTED, List, Process, load
 
 from kelptrail.clock import now_ms, wall_ms
-from kelptrail.codec.infer import Answer
+from kelptrail.codec.infer import WorkerAnswer
 from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.gateway.build import DispatcherParts
 from kelptrail.gateway.core import FinalAnswer, Gateway, StartAttempt, StartLoad
@@ -248,7 +248,7 @@
 
         def answered(send: Any) -> None:
             gateway.on_attempt_finished(
-                now_ms(), send, AttemptStatus.COMPLETED, Answer("completed", result=b"{}", success=True)
+                now_ms(), send, AttemptStatus.COMPLETED, WorkerAnswer("completed", result=b"{}", success=True)
             )
             loop.call_soon(stir)
 
--- a/bench/crash_points.py
+++ b/bench/crash_points.py
@@ -56,7 +56,7 @@
         errand = HttpClient(address)
         headers = {"authorization": self._auth} | ({"idempotency-key": key} if key else {})
         try:
-            response = await errand.ask(method, f"/api/v1/namespaces/_/{target}", body, 8000, headers)
+            response = await errand.request(method, f"/api/v1/namespaces/_/{target}", body, 8000, headers)
             return response.status, json.loads(response.body) if response.body else None
         except (OSError, HttpError):
             return 0, None
@@ -208,7 +208,7 @@
             errand = HttpClient(address)
             headers = {"authorization": self._auth} | ({"idempotency-key": key} if key else {})
             try:
-                response = await errand.ask(method, f"/api/v1/namespaces/_/{target}", body, 8000, headers)
+                response = await errand.request(method, f"/api/v1/namespaces/_/{target}", body, 8000, headers)
             finally:
                 errand.close()
             told = json.loads(response.body)
--- a/bench/door_fuzz.py
+++ b/bench/door_fuzz.py
@@ -354,7 +354,7 @@
                     now = time.monotonic()
                     asked.written, asked.until = now, now + asked.limit
                     if self.chance.random() < (0.5 if how == "flood" else 0.05):
-                        writer.write(frames.frame(frames.CANCEL, stream))
+                        writer.write(frames.encode_frame(frames.CANCEL, stream))
                         asked.left = time.monotonic()
                 await asyncio.sleep(self.chance.random() * 0.06)
                 if how in ("leaves", "resets", "half", "garbage") and self.chance.random() < 0.4:
@@ -403,7 +403,7 @@
         } | ({"unique": f"u{id_}"} if kind == "k" else {})
         self.begun.add(id_)
         size = self.chance.choice((0, 40, 40, 2000, 16_000))
-        data = frames.frame(frames.REQUEST, stream, frames.fields(told) + id_.encode() + bytes(size))
+        data = frames.encode_frame(frames.REQUEST, stream, frames.encode_fields(told) + id_.encode() + bytes(size))
         return Asked(id_, kind, n, 0.0, limit / 1000, 0.0), data
 
     async def _hear(self, reader: asyncio.StreamReader, mine: dict[int, Asked], state: dict[str, bool]) -> None:
--- a/bench/echo_worker.py
+++ b/bench/echo_worker.py
@@ -16,10 +16,10 @@
 
 def handle(request: Request, exchange: Exchange) -> None:
     if request.target.endswith("/load"):
-        exchange.raw(encode_response(200, b'{"standing":4}'))
+        exchange.reply_encoded(encode_response(200, b'{"standing":4}'))
         return
     infer, payload = read_infer(request.body)
-    exchange.raw(encode_response(200, infer_answer("m", infer.id, payload, True), REPORT))
+    exchange.reply_encoded(encode_response(200, infer_answer("m", infer.id, payload, True), REPORT))
 
 
 async def main() -> None:
--- a/bench/guard_cost.py
+++ b/bench/guard_cost.py
@@ -53,7 +53,7 @@
             "info": "memory_mb:300;lanes:4",
             "item": f"{day.chance.randrange(9):016x}",
         }
-        writer.write(frames.frame(frames.REQUEST, stream, frames.fields(told) + bytes(40)))
+        writer.write(frames.encode_frame(frames.REQUEST, stream, frames.encode_fields(told) + bytes(40)))
         while (frame := found.next()) is None:
             found.feed(await reader.read(65536))
         served += frame[2][0] == frames.SERVED
--- a/bench/inference.py
+++ b/bench/inference.py
@@ -26,7 +26,7 @@
 from kelptrail.codec.http import ResponseReader, encode_request
 from kelptrail.front.inference import inference_pb2 as pb
 from kelptrail.front.inference.api import SERVICE
-from kelptrail.net.grpc_client import Ended, GrpcClient
+from kelptrail.net.grpc_client import CallResult, GrpcClient
 
 HERE = Path(__file__).parent
 PLACE = """(deployment bench
@@ -71,7 +71,7 @@
             return
         began = time.perf_counter()
 
-        def over(ended: Ended) -> None:
+        def over(ended: CallResult) -> None:
             nonlocal calls
             times.record_value(max(1, int((time.perf_counter() - began) * 1e6)))
             name = ended.code.name if ended.code is not None else ended.text
@@ -152,7 +152,7 @@
                 (between if last else first).record_value(max(1, int((now - (last or began)) * 1e6)))  # noqa: B023
                 last = now
 
-        parser.on_piece = piece
+        parser.on_chunk = piece
         writer.write(encode_request("POST", "/v2/models/f/infer", "x", body))
         while parser.feed(await reader.read(65536)) is None:
             pass
--- a/bench/passthrough.py
+++ b/bench/passthrough.py
@@ -13,7 +13,7 @@
 
 from kelptrail.codec.http import Request, Response
 from kelptrail.codec.infer import infer_request, read_answer
-from kelptrail.net.pool import Call, Ending, WorkerPool
+from kelptrail.net.pool import Call, CallOutcome, WorkerPool
 from kelptrail.net.server import Exchange, HttpServer
 
 
@@ -23,7 +23,7 @@
     pool = WorkerPool(worker, 512, 500.0, 60_000.0, 1 << 20)
     number = 0
 
-    def done(call: Call, ending: Ending, response: Response | None) -> None:
+    def done(call: Call, ending: CallOutcome, response: Response | None) -> None:
         mark, exchange = call.tag
         answer = read_answer(response, mark) if response is not None else None
         exchange.reply(200 if answer and answer.kind == "completed" else 502, answer.result if answer else b"{}")
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -389,7 +389,7 @@
         with contextlib.suppress(OSError):
             for _ in range(90):
                 _, writer = await asyncio.open_connection(*self.doors[n])
-                writer.write(frames.frame(frames.ASK_READY, 1, b"\0"))
+                writer.write(frames.encode_frame(frames.READY_QUERY, 1, b"\0"))
                 writers.append(writer)
         await asyncio.sleep(1 + self.chance.random())
         for writer in writers:
--- a/bench/soak_mutants.py
+++ b/bench/soak_mutants.py
@@ -45,7 +45,7 @@
         "        return True\n",
         Edit(
             "kelptrail/platform/worker_connections.py",
-            "        if piece is not None and self.link is not None and not self.link.withdraw(piece):\n",
+            "        if piece is not None and self.link is not None and not self.link.cancel_unsent(piece):\n",
             "        if True:\n",
         ),
     ),
--- a/kelptrail/cli/main.py
+++ b/kelptrail/cli/main.py
@@ -526,7 +526,7 @@
 
     errand = HttpClient(url.removeprefix("http://").rstrip("/"))
     try:
-        response = await errand.ask(
+        response = await errand.request(
             method,
             target,
             body,
--- a/kelptrail/codec/feed.py
+++ b/kelptrail/codec/feed.py
@@ -7,7 +7,7 @@
 from struct import Struct
 from typing import Any
 
-NOTHING, WHOLE, CHANGES = 0, 1, 2
+UNCHANGED, SNAPSHOT, CHANGES = 0, 1, 2
 _HEAD = Struct(">IQB")
 _RECORD = Struct(">I4sHBBBHIQ")
 _STATES = {"in_service": 0, "terminating": 1, "terminated": 2}
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
+class EndpointRecord:
     """A worker as an event tells of it; `started` is a Unix millisecond, 0 for long ago."""
 
     id: str
@@ -29,17 +29,17 @@
     zone: int
     kind: int
     cell: int
-    size: float
+    capacity: float
     started: int
 
 
 @dataclass(frozen=True, slots=True)
-class Event:
+class EndpointEvent:
     """One event: its number, and the whole list or what changed; None where there is nothing new."""
 
     number: int
-    whole: bool
-    records: list[Record] | None
+    is_snapshot: bool
+    records: list[EndpointRecord] | None
 
 
 class FeedReader:
@@ -52,7 +52,7 @@
         """Take in bytes."""
         self._buffer += data
 
-    def next(self) -> Event | None:
+    def next(self) -> EndpointEvent | None:
         """The next whole event, or None.  Raises `FeedError`."""
         buffer = self._buffer
         if len(buffer) < 4:
@@ -65,20 +65,20 @@
         _, number, kind = _HEAD.unpack_from(buffer)
         payload = bytes(buffer[_HEAD.size : 4 + length])
         del buffer[: 4 + length]
-        if kind > CHANGES or len(payload) % _RECORD.size or (kind == NOTHING and payload):
+        if kind > CHANGES or len(payload) % _RECORD.size or (kind == UNCHANGED and payload):
             raise FeedError(f"an event of kind {kind} with {len(payload)} bytes")
-        return Event(number, kind == WHOLE, None if kind == NOTHING else list(self._records(payload)))
+        return EndpointEvent(number, kind == SNAPSHOT, None if kind == UNCHANGED else list(self._records(payload)))
 
-    def _records(self, payload: bytes) -> Iterator[Record]:
+    def _records(self, payload: bytes) -> Iterator[EndpointRecord]:
         for id_, address, port, state, zone, kind, cell, weight, started in _RECORD.iter_unpack(payload):
             if state > GONE or zone >= self._zones or kind >= self._kinds or not (weight or state):
                 raise FeedError("a record out of range")
-            yield Record(
+            yield EndpointRecord(
                 f"s-{id_:08x}", ".".join(map(str, address)), port, state, zone, kind, cell, weight / 1000, started
             )
 
 
-def read_known(known: dict[str, Any], zones: list[str], kinds: list[str]) -> list[Event]:
+def read_initial_events(known: dict[str, Any], zones: list[str], kinds: list[str]) -> list[EndpointEvent]:
     """The events that a configuration holds.  Raises `FeedError`."""
     out = []
     try:
@@ -90,7 +90,7 @@
                 if not (0 < size < 1e9 or state) or not address or not 0 < int(port) < 1 << 16:
                     raise FeedError(f"known events that cannot be read: {at['uid']} out of range")
                 records.append(
-                    Record(
+                    EndpointRecord(
                         str(at["uid"]),
                         address,
                         int(port),
@@ -102,7 +102,7 @@
                         int(at["boot_ms"] or 0),
                     )
                 )
-            out.append(Event(int(entry["pos"]), bool(entry["hosts"]["all"]), records))
+            out.append(EndpointEvent(int(entry["pos"]), bool(entry["hosts"]["all"]), records))
     except FeedError:
         raise
     except (KeyError, ValueError, TypeError, AttributeError, OverflowError) as cause:
@@ -110,6 +110,6 @@
     return out
 
 
-def ask(number: int) -> bytes:
+def encode_poll(number: int) -> bytes:
     """What asks for all events after this one."""
     return number.to_bytes(8, "big")
--- a/kelptrail/codec/frames.py
+++ b/kelptrail/codec/frames.py
@@ -8,9 +8,9 @@
 
 from struct import Struct
 
-REQUEST, ANSWER, CANCEL, ASK_READY, READY, GO_AWAY = 65, 66, 67, 80, 81, 90
+REQUEST, ANSWER, CANCEL, READY_QUERY, READY, GO_AWAY = 65, 66, 67, 80, 81, 90
 SERVED, REFUSED, FAILED = 0, 8, 13
-BODY = 16_384  # bytes that a body may hold
+MAX_BODY_BYTES = 16_384  # bytes that a body may hold
 
 _HEAD = Struct(">IBI")
 _SIZE = Struct(">H")
@@ -29,8 +29,8 @@
 
     __slots__ = ("_buffer", "_most")
 
-    def __init__(self, most: int = 2 * BODY) -> None:
-        self._most, self._buffer = most, bytearray()
+    def __init__(self, max_length: int = 2 * MAX_BODY_BYTES) -> None:
+        self._most, self._buffer = max_length, bytearray()
 
     def __len__(self) -> int:
         """Bytes held of what is not whole."""
@@ -50,7 +50,7 @@
             raise FrameError(f"a frame of length {length}")
         if length > self._most:
             if len(buffer) < 9:
-                return None if length <= 16 * BODY else self._too_long(length, 0)
+                return None if length <= 16 * MAX_BODY_BYTES else self._too_long(length, 0)
             return self._too_long(length, int.from_bytes(buffer[5:9], "big"))
         if len(buffer) < 4 + length:
             return None
@@ -82,12 +82,12 @@
     return fields, at
 
 
-def frame(kind: int, stream: int, payload: bytes = b"") -> bytes:
+def encode_frame(kind: int, stream: int, payload: bytes = b"") -> bytes:
     """One frame."""
     return _HEAD.pack(5 + len(payload), kind, stream) + payload
 
 
-def fields(named: dict[str, str]) -> bytes:
+def encode_fields(named: dict[str, str]) -> bytes:
     """Fields as they stand in a payload."""
     out = [bytes((len(named),))]
     for name, value in named.items():
@@ -96,12 +96,12 @@
     return b"".join(out)
 
 
-def answer(stream: int, code: int, body: bytes = b"", later_ms: int = 0) -> bytes:
+def encode_answer(stream: int, code: int, body: bytes = b"", later_ms: int = 0) -> bytes:
     """A request's answer; `later_ms` is how long its client should stay away."""
-    said = fields({"later": str(later_ms)}) if later_ms else b"\0"
+    said = encode_fields({"later": str(later_ms)}) if later_ms else b"\0"
     return _HEAD.pack(6 + len(said) + len(body), ANSWER, stream) + bytes((code,)) + said + body
 
 
-def ready(stream: int, is_ready: bool) -> bytes:
+def encode_ready(stream: int, is_ready: bool) -> bytes:
     """The answer to whether the dispatcher is ready."""
-    return frame(READY, stream, bytes((SERVED if is_ready else REFUSED, 0)))
+    return encode_frame(READY, stream, bytes((SERVED if is_ready else REFUSED, 0)))
--- a/kelptrail/codec/grpc.py
+++ b/kelptrail/codec/grpc.py
@@ -45,10 +45,15 @@
     """An answer other than the wanted one.  `retry_ms` tells when to come back; `reason` and `told` go into details."""
 
     def __init__(
-        self, code: Code, text: str, retry_ms: float | None = None, reason: str = "", told: dict[str, str] | None = None
+        self,
+        code: Code,
+        text: str,
+        retry_ms: float | None = None,
+        reason: str = "",
+        details: dict[str, str] | None = None,
     ) -> None:
         super().__init__(text)
-        self.code, self.text, self.retry_ms, self.reason, self.told = code, text, retry_ms, reason, told or {}
+        self.code, self.text, self.retry_ms, self.reason, self.details = code, text, retry_ms, reason, details or {}
 
 
 def timeout_ms(text: str) -> float:
@@ -68,11 +73,11 @@
     """Takes in what DATA frames carry; gives whole messages.  Bounded: a message over `most` is refused by its
     prefix, before its bytes are kept."""
 
-    def __init__(self, most: int) -> None:
-        self._most, self._buffer = most, bytearray()
+    def __init__(self, max_message_bytes: int) -> None:
+        self._most, self._buffer = max_message_bytes, bytearray()
 
     @property
-    def held(self) -> int:
+    def partial_bytes(self) -> int:
         """Bytes of a message that is not whole."""
         return len(self._buffer)
 
@@ -99,8 +104,8 @@
         return out
 
 
-def trailers(
-    code: Code, text: str = "", retry_ms: float | None = None, reason: str = "", told: dict[str, str] | None = None
+def encode_trailers(
+    code: Code, text: str = "", retry_ms: float | None = None, reason: str = "", details: dict[str, str] | None = None
 ) -> list[tuple[bytes, bytes]]:
     """What ends a call.  The text is percent-encoded UTF-8; details travel as a `google.rpc.Status`."""
     out = [(b"grpc-status", str(int(code)).encode())]
@@ -113,7 +118,7 @@
             delay.FromMilliseconds(max(0, round(retry_ms)))
             status.details.add().Pack(RetryInfo(retry_delay=delay))
         if reason:
-            status.details.add().Pack(ErrorInfo(reason=reason, domain=DOMAIN, metadata=told or {}))
+            status.details.add().Pack(ErrorInfo(reason=reason, domain=DOMAIN, metadata=details or {}))
         packed = base64.b64encode(status.SerializeToString()).rstrip(b"=")
         out.append((b"grpc-status-details-bin", packed))
     return out
--- a/kelptrail/codec/http.py
+++ b/kelptrail/codec/http.py
@@ -84,10 +84,10 @@
 
     def on_url(self, url: bytes) -> None:
         self._target += url
-        self._weigh(len(url))
+        self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._weigh(len(name) + len(value))
+        self._count_head_bytes(len(name) + len(value))
         key, text = name.decode("latin-1").lower(), value.decode("latin-1")
         known = self._headers.get(key)
         self._headers[key] = text if known is None else f"{known}, {text}"
@@ -125,7 +125,7 @@
             )
         )
 
-    def _weigh(self, count: int) -> None:
+    def _count_head_bytes(self, count: int) -> None:
         self._named += count
         self._check_head()
 
@@ -174,9 +174,9 @@
         self._headers: dict[str, str] = {}
         self._body = bytearray()
         self._response: Response | None = None
-        self.extra = False  # more came than was asked for
-        self.on_piece: Callable[[bytes], None] | None = None  # takes the body of an event stream as it comes
-        self._flows = False
+        self.unexpected_data = False  # more came than was asked for
+        self.on_chunk: Callable[[bytes], None] | None = None  # takes the body of an event stream as it comes
+        self._streaming = False
 
     def on_message_begin(self) -> None:
         self._headers, self._body = {}, bytearray()
@@ -185,15 +185,15 @@
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        self._flows = (
-            self.on_piece is not None
+        self._streaming = (
+            self.on_chunk is not None
             and self._parser.get_status_code() == 200
             and self._headers.get("content-type", "").startswith(EVENT_STREAM)
         )
 
     def on_body(self, body: bytes) -> None:
-        if self._flows and self.on_piece is not None:
-            self.on_piece(body)
+        if self._streaming and self.on_chunk is not None:
+            self.on_chunk(body)
         elif len(self._body) <= self._body_bytes:
             self._body += body
 
@@ -202,7 +202,7 @@
         if status < 200:  # RFC 9110 15.2: interim responses are passed over
             return
         if self._response is not None:
-            self.extra = True
+            self.unexpected_data = True
             return
         self._response = Response(status, self._headers, bytes(self._body), self._parser.should_keep_alive())
 
@@ -213,7 +213,7 @@
         except httptools.HttpParserError as cause:
             if self._response is None:
                 raise HttpError(502, f"malformed HTTP: {cause}") from None
-            self.extra = True
+            self.unexpected_data = True
         if len(self._body) > self._body_bytes:
             raise HttpError(502, f"an answer over {self._body_bytes} bytes")
         response, self._response = self._response, None
--- a/kelptrail/codec/infer.py
+++ b/kelptrail/codec/infer.py
@@ -127,15 +127,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class WorkerAnswer:
     """What a worker's response to a send says."""
 
     kind: str  # "completed", "error", "full" or "miss"
     result: bytes = b""
     success: bool = True
     load_failed: bool = False
-    found: bool | None = None
-    company: int = 0
+    instance_loaded: bool | None = None
+    other_instances: int = 0
     report: dict[str, float] | None = None
     streamed: bool = False  # its parts were read as they came
 
@@ -166,7 +166,7 @@
     return result, body.parameters.get("final") is True, bool(body.parameters.get("success", True))
 
 
-def read_answer(response: Response, mark: str, form: str = "json") -> Answer:
+def read_answer(response: Response, mark: str, form: str = "json") -> WorkerAnswer:
     """A response to a send.  Whatever is not of the protocol is an error that may have run."""
     report = load_report(response.headers.get(LOAD_REPORT))
     found, company = None, 0
@@ -175,19 +175,19 @@
         company = max(0, min(30, int(report.pop("company", 0.0))))
     if response.status == 200:
         if response.headers.get("content-type", "").startswith(CONTENT_TYPE):
-            return Answer("completed", b"{}", True, False, found, company, report, streamed=True)
+            return WorkerAnswer("completed", b"{}", True, False, found, company, report, streamed=True)
         try:
             result, _, success = read_part(response.body, mark, form)
         except MalformedError:
-            return Answer("error", report=report)
-        return Answer("completed", result, success, False, found, company, report)
+            return WorkerAnswer("error", report=report)
+        return WorkerAnswer("completed", result, success, False, found, company, report)
     proof = response.headers.get(NEVER_RAN)
     failed = response.headers.get("load-failed") == "1"
     if response.status == 503 and proof == "full":
-        return Answer("full", company=company, report=report)
+        return WorkerAnswer("full", other_instances=company, report=report)
     if response.status == 404 and proof == "miss":
-        return Answer("miss", load_failed=failed, report=report)
-    return Answer("error", load_failed=failed, report=report)
+        return WorkerAnswer("miss", load_failed=failed, report=report)
+    return WorkerAnswer("error", load_failed=failed, report=report)
 
 
 def load_request(host: str, model: str, copies: int, dispatcher: str) -> bytes:
--- a/kelptrail/codec/lines.py
+++ b/kelptrail/codec/lines.py
@@ -9,8 +9,8 @@
 import re
 from dataclasses import dataclass
 
-WORDS = frozenset({b"OK", b"MISS", b"BUSY", b"ERR", b"VOID", b"UP", b"DOWN"})
-LINE = 2_048  # bytes that a line may hold
+STATUSES = frozenset({b"OK", b"MISS", b"BUSY", b"ERR", b"VOID", b"UP", b"DOWN"})
+MAX_LINE_BYTES = 2_048  # bytes that a line may hold
 _ID = re.compile(rb"[!-~]{1,64}")
 _LENGTH = re.compile(rb"0|[1-9][0-9]{0,8}")
 _NUMBER = re.compile(r"[0-9]{1,9}")
@@ -21,16 +21,16 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class WorkerAnswer:
     """One answer: under which id, what it says, and its fields, as far as they are known."""
 
     id: str
-    word: str
+    status: str
     body: bytes = b""
-    tell: str = ""
-    ahead: int = 0
-    units: int = 0
-    meter: dict[str, float] | None = None
+    notice: str = ""
+    queue_ahead: int = 0
+    loaded_instances: int = 0
+    metrics: dict[str, float] | None = None
 
 
 class LineReader:
@@ -38,9 +38,9 @@
 
     __slots__ = ("_buffer", "_head", "_most", "_need")
 
-    def __init__(self, most_body: int) -> None:
-        self._most, self._buffer = most_body, bytearray()
-        self._head: Answer | None = None
+    def __init__(self, max_body_bytes: int) -> None:
+        self._most, self._buffer = max_body_bytes, bytearray()
+        self._head: WorkerAnswer | None = None
         self._need = 0
 
     @property
@@ -52,13 +52,13 @@
         """Take in bytes."""
         self._buffer += data
 
-    def next(self) -> Answer | None:
+    def next(self) -> WorkerAnswer | None:
         """The next whole answer, or None.  Raises `LineError`."""
         buffer = self._buffer
         if self._head is None:
-            end = buffer.find(b"\r\n", 0, LINE + 2)
+            end = buffer.find(b"\r\n", 0, MAX_LINE_BYTES + 2)
             if end < 0:
-                if len(buffer) > LINE:
+                if len(buffer) > MAX_LINE_BYTES:
                     raise LineError("a line that does not end")
                 return None
             self._head, self._need = self._read(bytes(buffer[:end]))
@@ -72,13 +72,18 @@
         del buffer[: self._need + 2]
         return answer
 
-    def _read(self, line: bytes) -> tuple[Answer, int]:
+    def _read(self, line: bytes) -> tuple[WorkerAnswer, int]:
         words = line.split(b" ")
-        if len(words) != 4 or words[1] not in WORDS or not _ID.fullmatch(words[0]) or (not _LENGTH.fullmatch(words[3])):
+        if (
+            len(words) != 4
+            or words[1] not in STATUSES
+            or not _ID.fullmatch(words[0])
+            or (not _LENGTH.fullmatch(words[3]))
+        ):
             raise LineError("a line that is no answer")
         if (need := int(words[3])) > self._most:
             raise LineError(f"a body of {need} bytes")
-        answer = Answer(words[0].decode(), words[1].decode())
+        answer = WorkerAnswer(words[0].decode(), words[1].decode())
         if words[2] != b"-":
             try:
                 for part in words[2].decode("ascii").split(","):
@@ -88,22 +93,22 @@
         return answer, need
 
 
-def _read_field(answer: Answer, part: str) -> None:
+def _read_field(answer: WorkerAnswer, part: str) -> None:
     name, equals, value = part.partition("=")
     if not equals:
         raise ValueError("no value")
     if name == "tell":
-        answer.tell = value
+        answer.notice = value
     elif name == "ahead":
-        answer.ahead = _number(value)
+        answer.queue_ahead = _number(value)
     elif name == "units":
-        answer.units = _number(value)
+        answer.loaded_instances = _number(value)
     elif name == "meter" and value:
-        answer.meter = {}
+        answer.metrics = {}
         for figure in value.split(";"):
             named, _, text = figure.partition(":")
-            answer.meter[named] = float(text)
-            if not 0 <= answer.meter[named] < 1e9:
+            answer.metrics[named] = float(text)
+            if not 0 <= answer.metrics[named] < 1e9:
                 raise ValueError("a figure out of range")
 
 
@@ -113,17 +118,17 @@
     return int(text)
 
 
-def call(id_: str, class_: str, item: str, limit_ms: int, nonce: str, body: bytes) -> bytes:
+def encode_call(id_: str, class_: str, item: str, limit_ms: int, nonce: str, body: bytes) -> bytes:
     """The command that passes a request on."""
     key = f",nonce={nonce}" if nonce else ""
     return f"CALL {id_} cls={class_},item={item},limit={limit_ms}{key} {len(body)}\r\n".encode() + body + b"\r\n"
 
 
-def cancel(id_: str) -> bytes:
+def encode_cancel(id_: str) -> bytes:
     """The command that gives a request up."""
     return f"CANCEL {id_}\r\n".encode()
 
 
-def load(tag: str, item: str, units: int) -> bytes:
+def encode_load(tag: str, item: str, units: int) -> bytes:
     """The order to hold at least so many copies; 0 only asks."""
     return f"LOAD {tag} item={item},units={units}\r\n".encode()
--- a/kelptrail/emulator/clients.py
+++ b/kelptrail/emulator/clients.py
@@ -24,8 +24,8 @@
 from kelptrail.load.arrivals import Arrivals, popularity
 from kelptrail.load.client_behavior import ClientBehavior, Heard, again, behavior_of
 from kelptrail.load.plan import Load
-from kelptrail.net.grpc_client import Ended, GrpcClient
-from kelptrail.net.pool import Call, Ending, WorkerPool
+from kelptrail.net.grpc_client import CallResult, GrpcClient
+from kelptrail.net.pool import Call, CallOutcome, WorkerPool
 from kelptrail.settings.deployment import ActionSettings, Deployment, NamespaceSettings, TypeSettings
 
 from .capture import Capture, Lag
@@ -162,7 +162,7 @@
         data = encode_request("POST", target, address, msgspec.json.encode({"ticket": wish.ticket}), headers)
         self.out += 1
         call = pool.start(data, self._answered, wish)
-        self._loop.call_later((kind.timeout_ms + 500) / 1000, call.give_up, "patience")
+        self._loop.call_later((kind.timeout_ms + 500) / 1000, call.cancel, "patience")
 
     def _infer(self, wish: Wish, kind: TypeSettings) -> None:
         """The same wish by the second front."""
@@ -249,7 +249,7 @@
         if answer in ("rejected", "aborted"):
             self._again(wish, Heard(answer), retry_ms, within_ms)
 
-    def _over(self, wish: Wish, ended: Ended) -> None:
+    def _over(self, wish: Wish, ended: CallResult) -> None:
         self.out -= 1
         if ended.code is Code.OK or wish.activation == "final":
             return
@@ -267,19 +267,19 @@
                 if ended.reason in ABORTED
                 else (f"status-{ended.code.name}")
             )
-            within = ended.told.get("repeat_within_ms")
+            within = ended.details.get("repeat_within_ms")
             self._told(
                 wish,
                 answer,
-                ended.told.get("activation", ""),
+                ended.details.get("activation", ""),
                 ended.retry_ms or 0.0,
                 float(within) if within is not None else None,
             )
 
-    def _answered(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def _answered(self, call: Call, ending: CallOutcome, response: Response | None) -> None:
         wish: Wish = call.tag
         self.out -= 1
-        if ending in (Ending.UNREACHABLE, Ending.UNSENT) or (response is not None and response.status == 503):
+        if ending in (CallOutcome.UNREACHABLE, CallOutcome.UNSENT) or (response is not None and response.status == 503):
             self._capture.note("not-taken", call=wish.number)
             told = response.headers.get("retry-after-ms", "0") if response is not None else "0"
             self._again(wish, Heard.NOT_TAKEN, float(told))
@@ -348,9 +348,9 @@
         if wish.asked_at not in self._asked:
             self._asked[wish.asked_at] = self._pool(wish.asked_at)
         poll = self._asked[wish.asked_at].start(data, self._polled, wish)
-        self._loop.call_later(2.0, poll.give_up, "patience")
+        self._loop.call_later(2.0, poll.cancel, "patience")
 
-    def _polled(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def _polled(self, call: Call, ending: CallOutcome, response: Response | None) -> None:
         self.out -= 1
         wish: Wish = call.tag
         if response is not None and response.status == 200:
--- a/kelptrail/emulator/endpoint_service.py
+++ b/kelptrail/emulator/endpoint_service.py
@@ -63,7 +63,7 @@
             poll = _Poll(query.get("who", ""), known, exchange, self._loop.call_later(0, int))
             poll.timer = self._loop.call_later(wait / 1000, self._nothing, poll)
             self._polls[poll] = None
-            exchange.on_gone = lambda: self._drop(poll)
+            exchange.on_client_gone = lambda: self._drop(poll)
             return
         body = msgspec.json.decode(request.body) if request.body else {}
         if parts == ["register"]:
@@ -132,7 +132,7 @@
 
     def _nothing(self, poll: _Poll) -> None:
         self._drop(poll)
-        poll.exchange.raw(b"HTTP/1.1 304 Not Modified\r\ncontent-length: 0\r\n\r\n")
+        poll.exchange.reply_encoded(b"HTTP/1.1 304 Not Modified\r\ncontent-length: 0\r\n\r\n")
 
     def _drop(self, poll: _Poll) -> None:
         self._polls.pop(poll, None)
--- a/kelptrail/emulator/worker.py
+++ b/kelptrail/emulator/worker.py
@@ -37,7 +37,7 @@
     write_report,
 )
 from kelptrail.net.http_client import HttpClient
-from kelptrail.net.pool import Call, Ending, WorkerPool
+from kelptrail.net.pool import Call, CallOutcome, WorkerPool
 from kelptrail.net.server import Exchange, HttpServer, Limits
 from kelptrail.service.build import tls_keeper
 from kelptrail.settings.deployment import ActionSettings, Deployment, TypeSettings
@@ -159,7 +159,7 @@
         parts = request.segments
         if parts[0] != "v2" or self.fallen:
             if not self.fallen:
-                exchange.raw(error_response(404, "no such thing"))
+                exchange.reply_encoded(error_response(404, "no such thing"))
             return
         if parts[1:2] == ["models"] and parts[3:] == ["infer"]:
             self._infer(parts[2], request, exchange)
@@ -171,17 +171,17 @@
                 for name, m in self._models.items()
                 if m.standing or m.loading
             ]
-            exchange.raw(encode_response(200, msgspec.json.encode(index)))
+            exchange.reply_encoded(encode_response(200, msgspec.json.encode(index)))
         elif parts[1:] in (["health", "live"], ["health", "ready"]):
-            exchange.raw(encode_response(200, b"{}"))
+            exchange.reply_encoded(encode_response(200, b"{}"))
         else:
-            exchange.raw(error_response(404, "no such thing"))
+            exchange.reply_encoded(error_response(404, "no such thing"))
 
     def _infer(self, name: str, request: Request, exchange: Exchange) -> None:
         try:
             infer, payload = read_infer(request.body)
         except MalformedError as cause:
-            exchange.raw(error_response(400, str(cause)))
+            exchange.reply_encoded(error_response(400, str(cause)))
             return
         model, said = self._models.get(name), infer.parameters
         now = now_ms()
@@ -202,11 +202,11 @@
         if "hang" in self._faults:
             return
         if "fail-fast" in self._faults and self._chance.random() < self._faults["fail-fast"].get("share", 1):
-            exchange.raw(error_response(500, "failed"))
+            exchange.reply_encoded(error_response(500, "failed"))
             return
         kind = self._faults.get("fail-type")
         if kind and model is not None and model.type.name == kind.get("type"):
-            exchange.raw(error_response(500, "failed"))
+            exchange.reply_encoded(error_response(500, "failed"))
             return
         if model is None or not (model.standing or model.loading):
             self._refuse(exchange, 404, "miss", "not loaded")
@@ -235,7 +235,7 @@
         return self._delay.now() + 2 * self.server.accept_delay_ms
 
     def _refuse(self, exchange: Exchange, status: int, proof: str, text: str, company: int = 0) -> None:
-        exchange.raw(error_response(status, text, {NEVER_RAN: proof, LOAD_REPORT: self._report(0, company)}))
+        exchange.reply_encoded(error_response(status, text, {NEVER_RAN: proof, LOAD_REPORT: self._report(0, company)}))
 
     def _work(self, model: _Model | None) -> float:
         return model.action.work_ms if model else 1.0
@@ -278,7 +278,7 @@
             if now_ms() < job.until:
                 self._run(job)
             else:
-                job.exchange.raw(error_response(504, "its time was up"))
+                job.exchange.reply_encoded(error_response(504, "its time was up"))
 
     def _run(self, job: _Job) -> None:
         self._running += 1
@@ -288,9 +288,9 @@
         else:
             self._work_on(job)
 
-    def _known(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def _known(self, call: Call, ending: CallOutcome, response: Response | None) -> None:
         job: _Job = call.tag[0]
-        if ending is Ending.ANSWERED and response is not None:
+        if ending is CallOutcome.ANSWERED and response is not None:
             said = msgspec.json.decode(response.body)
             if said["known"]:
                 self._end(job, said["result"])
@@ -321,9 +321,9 @@
             self._effect(job)
             self._end(job, result)
 
-    def _committed(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def _committed(self, call: Call, ending: CallOutcome, response: Response | None) -> None:
         job, result = call.tag
-        if ending is not Ending.ANSWERED or response is None:
+        if ending is not CallOutcome.ANSWERED or response is None:
             self._end(job, None)
             return
         said = msgspec.json.decode(response.body)
@@ -360,16 +360,16 @@
         if "silent" in self._faults or (lost and self._chance.random() < lost.get("share", 0.2)):
             pass
         elif result is None:
-            job.exchange.raw(error_response(500, "failed"))
+            job.exchange.reply_encoded(error_response(500, "failed"))
         else:
             body = self._answer(job, result)
             data = encode_response(200, body, {LOAD_REPORT: self._report(1 if job.found else 0, job.company)})
             if "answers-twice" in self._faults:
                 data += data
             if late := self._faults.get("answers-late"):
-                self._loop.call_later(late.get("ms", 1000) / 1000, job.exchange.raw, data)
+                self._loop.call_later(late.get("ms", 1000) / 1000, job.exchange.reply_encoded, data)
             else:
-                job.exchange.raw(data)
+                job.exchange.reply_encoded(data)
         self._pump()
 
     def _leave(self, job: _Job) -> None:
@@ -394,7 +394,7 @@
             said |= {k: v for k, v in body.items() if k in ("parts", "gap_ms", "pad")} if isinstance(body, dict) else {}
         parts, gap = int(said.get("parts", 3)), float(said.get("gap_ms", 5.0))
         exchange, pad = job.exchange, int(said.get("pad", 0))
-        exchange.begin(200, {LOAD_REPORT: self._report(1 if job.found else 0, job.company)}, CONTENT_TYPE)
+        exchange.start_stream(200, {LOAD_REPORT: self._report(1 if job.found else 0, job.company)}, CONTENT_TYPE)
         fault = next(
             (k for k in ("stall", "cut") if (f := self._faults.get(k)) and self._chance.random() < f.get("share", 0.2)),
             "",
@@ -402,18 +402,18 @@
         for number in range(parts):
             if fault and number == (parts + 1) // 2:
                 break
-            while not exchange.gone and not exchange.room:
+            while not exchange.client_gone and not exchange.can_write:
                 await asyncio.sleep(0.005)
-            if exchange.gone or job.incarnation != self.incarnation:
+            if exchange.client_gone or job.incarnation != self.incarnation:
                 break
             text = msgspec.json.encode({"part": number, "by": self.id, "pad": "x" * pad}).decode()
-            exchange.piece(encode_event(self._answer(job, text, part=number)))
+            exchange.write_chunk(encode_event(self._answer(job, text, part=number)))
             await asyncio.sleep(gap / 1000)
         if fault == "cut":
-            exchange.drop()
-        elif not fault and not exchange.gone:
-            exchange.piece(encode_event(self._answer(job, result, final=True)))
-            exchange.end()
+            exchange.abort()
+        elif not fault and not exchange.client_gone:
+            exchange.write_chunk(encode_event(self._answer(job, result, final=True)))
+            exchange.end_stream()
         if job.incarnation == self.incarnation:
             self._leave(job)
             self._pump()
@@ -436,17 +436,17 @@
     def _order(self, name: str, what: str, request: Request, exchange: Exchange) -> None:
         model = self._models.get(name)
         if model is None:
-            exchange.raw(error_response(404, "no such model"))
+            exchange.reply_encoded(error_response(404, "no such model"))
             return
         if what == "unload":
             if not model.busy:
                 model.standing = 0
-            exchange.raw(encode_response(200, b"{}"))
+            exchange.reply_encoded(encode_response(200, b"{}"))
             return
         try:
             copies, dispatcher = read_load(request.body)
         except MalformedError as cause:
-            exchange.raw(error_response(400, str(cause)))
+            exchange.reply_encoded(error_response(400, str(cause)))
             return
         self._capture.note("order", worker=self.id, model=name, copies=copies, dispatcher=dispatcher, lag=self._lag())
         if "hang" in self._faults or "silent" in self._faults:
@@ -468,7 +468,7 @@
             model.asked.append((copies, exchange))
 
     def _told(self, model: _Model, exchange: Exchange, status: int) -> None:
-        exchange.raw(encode_response(status, msgspec.json.encode(LoadResponse(model.standing))))
+        exchange.reply_encoded(encode_response(status, msgspec.json.encode(LoadResponse(model.standing))))
 
     def _room(self, model: _Model) -> bool:
         """Make room for one more copy by unloading idle ones of others, the one idle longest first."""
@@ -497,7 +497,7 @@
             encode_request("GET", f"/blobs/{model.action.model}?ms={fetch_ms:g}", self._store.address),
             lambda _call, _ending, answer: None if fetched.done() else fetched.set_result(answer),
         )
-        timer = self._loop.call_later(30, call.give_up, "revoked")
+        timer = self._loop.call_later(30, call.cancel, "revoked")
         response = await fetched
         timer.cancel()
         good = response is not None and response.status == 200
@@ -521,7 +521,7 @@
         if not model.standing and not model.loading:
             while model.waiting:
                 job = model.waiting.popleft()
-                job.exchange.raw(
+                job.exchange.reply_encoded(
                     error_response(
                         404, "the load failed", {NEVER_RAN: "miss", "load-failed": "1", LOAD_REPORT: self._report(0, 0)}
                     )
--- a/kelptrail/front/inference/api.py
+++ b/kelptrail/front/inference/api.py
@@ -76,7 +76,7 @@
         name = stream.path.removeprefix(SERVICE)
         if name == "ModelStreamInfer" and stream.path.startswith(SERVICE):
             caller = self._caller(stream)
-            stream.taken = True  # it stays open as long as its client likes
+            stream.request_complete = True  # it stays open as long as its client likes
             _Streamed(self, stream, caller)
             return
         found = self._unary.get(name) if stream.path.startswith(SERVICE) else None
@@ -279,7 +279,7 @@
                 Code.NOT_FOUND,
                 "This dispatcher does not know the activation; whoever gave the id may.",
                 reason="ELSEWHERE" if peer is not None else "UNKNOWN_ID",
-                told=told,
+                details=told,
             )
         if isinstance(wait, bool) or not isinstance(wait, int | float) or wait < 0:
             raise GrpcError(Code.INVALID_ARGUMENT, "parameter 'wait_ms' is a number of milliseconds")
@@ -303,7 +303,7 @@
                     Code.NOT_FOUND,
                     "Another dispatcher has the activation now.",
                     reason="ELSEWHERE",
-                    told={"asked_at": at},
+                    details={"asked_at": at},
                 )
             )
         elif at is None:
@@ -346,7 +346,7 @@
                 Code.INTERNAL,
                 f"the model's answer is none: {cause}",
                 reason="MODEL_ANSWER",
-                told={"activation": record.id},
+                details={"activation": record.id},
             ) from None
         write_scalars(out.parameters, parameters)
         return out
@@ -399,12 +399,12 @@
                 gateway.on_client_gone(now_ms(), ivk)
                 self._api._driver.schedule_decisions()
 
-        stream.on_gone = gone
+        stream.on_client_gone = gone
         if stream.deadline is not None:
 
             def late() -> None:
                 gateway.on_response_part(ivk.record, self.ended)
-                stream.on_gone = _nothing
+                stream.on_client_gone = _nothing
                 told = {"activation": ivk.record.id, "retrying": RISK[ivk.record.effect]}
                 stream.finish(Code.DEADLINE_EXCEEDED, "The client's deadline has come.", None, "MAY_HAVE_RUN", told)
 
@@ -442,7 +442,7 @@
         if self._stream.deadline is not None:
             wait_ms = max(0.0, min(wait_ms, self._stream.deadline - now_ms() - 20))
         self._timer = self._api._loop.call_later(wait_ms / 1000, late)
-        self._stream.on_gone = gone
+        self._stream.on_client_gone = gone
         ivk.waiters.append(self.ended)
 
     def promise(self, ivk: Invocation) -> None:
@@ -507,8 +507,8 @@
         self._out: dict[Invocation, tuple[str, bool]] = {}  # what is under way: the request's id, whether in raw form
         self._held = False  # the client does not read: workers wait
         self._client_ended = False
-        stream.on_message, stream.on_end, stream.on_gone = self._request, self._ended, self._gone
-        stream.on_room = self._room
+        stream.on_message, stream.on_end, stream.on_client_gone = self._request, self._ended, self._gone
+        stream.on_writable = self._room
         self._timer: asyncio.TimerHandle | None = None
         if stream.deadline is not None:
             self._timer = api._loop.call_later(max(0.0, stream.deadline - now_ms()) / 1000, self._late)
@@ -582,7 +582,7 @@
 
     def _say(self, response: Any) -> None:
         self._stream.send(pb.ModelStreamInferResponse(infer_response=response).SerializeToString())
-        if not self._stream.room and not self._held:  # flow control goes on to the workers
+        if not self._stream.can_write and not self._held:  # flow control goes on to the workers
             self._held = True
             for ivk in self._out:
                 self._api._driver.flow(ivk, False)
@@ -600,7 +600,7 @@
             more["retry_after_ms"] = float(cause.retry_ms)
         if activation:
             more["activation_id"] = activation
-        write_scalars(out.parameters, more | dict(cause.told))
+        write_scalars(out.parameters, more | dict(cause.details))
         self._stream.send(
             pb.ModelStreamInferResponse(
                 error_message=f"{cause.code.name}: {cause.text}", infer_response=out
--- a/kelptrail/front/invoke/api.py
+++ b/kelptrail/front/invoke/api.py
@@ -174,7 +174,7 @@
     ) -> None:
         """What others said of a client's key that is not known here."""
         code = f"{self._boot[:8]}{self._requests:x}"
-        if exchange.replied or exchange.gone:
+        if exchange.replied or exchange.client_gone:
             return
         if at:
             exchange.reply(
@@ -251,7 +251,7 @@
             now_ms(), wall_ms(), caller.name, action, payload, key, trace, wait.ended, not blocking, digest, who=who
         )
         if blocking:
-            exchange.on_gone = lambda: self._left(ivk, wait)
+            exchange.on_client_gone = lambda: self._left(ivk, wait)
             wait.blocking(ivk, route.wait_ms)
         # A deferred call that is refused at once is answered 429, not 202: so decide first.
         self._driver.schedule_decisions(None if blocking else lambda: wait.promise(ivk))
@@ -276,11 +276,11 @@
         def part(data: bytes) -> None:
             nonlocal held
             if not exchange.replied:
-                exchange.begin(
+                exchange.start_stream(
                     200, {"x-openwhisk-activation-id": ivk.record.id, "cache-control": "no-store"}, EVENT_STREAM
                 )
-            exchange.piece(encode_event(data, "part"))
-            if not exchange.room and not held:  # a slow reader holds its worker back
+            exchange.write_chunk(encode_event(data, "part"))
+            if not exchange.can_write and not held:  # a slow reader holds its worker back
                 held = True
                 driver.flow(ivk, False)
 
@@ -291,8 +291,8 @@
 
         def ended(record: Record) -> None:
             if exchange.replied:
-                exchange.piece(encode_event(views.encode(views.activation(record)), "final"))
-                exchange.end()
+                exchange.write_chunk(encode_event(views.encode(views.activation(record)), "final"))
+                exchange.end_stream()
             else:  # nothing of it was given: an answer like any other
                 self.reply_final(exchange, record, bare)
 
@@ -302,7 +302,7 @@
             driver.gateway.on_client_gone(now_ms(), ivk)
             driver.schedule_decisions()
 
-        ivk.on_part, exchange.on_gone, exchange.on_room = part, gone, room
+        ivk.on_part, exchange.on_client_gone, exchange.on_writable = part, gone, room
         ivk.waiters.append(ended)
         driver.schedule_decisions()
 
@@ -325,7 +325,7 @@
             wait.deferred(record)
         else:
             ivk.waiters.append(wait.ended)
-            exchange.on_gone = lambda: self._driver.gateway.on_response_part(record, wait.ended)
+            exchange.on_client_gone = lambda: self._driver.gateway.on_response_part(record, wait.ended)
             wait.blocking(ivk, route.wait_ms)
 
     def cannot_promise(self, ivk: Invocation) -> None:
@@ -400,7 +400,7 @@
         code = f"{self._boot[:8]}{self._requests:x}"
 
         def found(at: str | None) -> None:
-            if exchange.replied or exchange.gone:
+            if exchange.replied or exchange.client_gone:
                 return
             if at:
                 exchange.reply(
@@ -463,7 +463,7 @@
             timer.cancel()
             self._driver.gateway.on_response_part(ivk.record, ended)
 
-        exchange.on_gone = gone
+        exchange.on_client_gone = gone
 
     def _cancel(self, exchange: Exchange, record: Record) -> None:
         """Cancel one in hand where no effect can be half done: never sent, or repeatable."""
@@ -539,7 +539,7 @@
             return
 
         def found(at: str | None) -> None:
-            if self._exchange.replied or self._exchange.gone:
+            if self._exchange.replied or self._exchange.client_gone:
                 return
             if at:
                 self.deferred(record, f"http://{at}")
@@ -571,7 +571,7 @@
         """The final answer is there."""
         if self._timer is not None:
             self._timer.cancel()
-        if not self._exchange.replied and not self._exchange.gone:
+        if not self._exchange.replied and not self._exchange.client_gone:
             self._api.reply_final(self._exchange, record, self._bare)
 
 
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from kelptrail.codec.infer import Answer
+from kelptrail.codec.infer import WorkerAnswer
 from kelptrail.dispatch.entities import (
     Attempt,
     AttemptStatus,
@@ -64,7 +64,7 @@
     mark: str  # by which workers know a repeat
     lifecycle: RequestLifecycle
     waiters: list[Callable[[Record], None]] = field(default_factory=list)  # told the final answer, by the host
-    answer: Answer | None = None
+    answer: WorkerAnswer | None = None
     form: str = "json"  # of the payload and the result: "json", or "tensors" as the inference protocol has them
     deferred: bool = False  # from the start: its client waits for the id only
     streamed: bool = False  # its client takes the answer in parts
@@ -472,7 +472,7 @@
         self.counts.sends += 1
 
     def on_attempt_finished(
-        self, now: float, send: Attempt, outcome: AttemptStatus, answer: Answer | None = None, went: bool = True
+        self, now: float, send: Attempt, outcome: AttemptStatus, answer: WorkerAnswer | None = None, went: bool = True
     ) -> None:
         """How a send ended, as seen on its socket; `went` is False for one that was held and never went out."""
         if send.status is not None:
@@ -485,7 +485,7 @@
         if ivk is not None and act.final_status is None and outcome is AttemptStatus.COMPLETED:
             ivk.answer = answer
             self.counts.second_saved += _second(send)
-        heard = answer or Answer("none")
+        heard = answer or WorkerAnswer("none")
         if ivk is not None and outcome in (AttemptStatus.COMPLETED, AttemptStatus.NOT_LOADED):
             self.overload.met(now, outcome is AttemptStatus.NOT_LOADED)
             tally = self._tally(ivk.record.path)
@@ -495,7 +495,7 @@
                 tally.work_ms += now - send.started_at
                 tally.late += now - act.received_at > act.request_class.latency_objective_ms
         self._dispatcher.on_attempt_finished(
-            now, send, outcome, over, heard.load_failed, heard.found, heard.company, heard.report
+            now, send, outcome, over, heard.load_failed, heard.instance_loaded, heard.other_instances, heard.report
         )
         if ivk is not None and not ivk.record.final and act.final_status is FinalStatus.COMPLETED:
             self._finish(now, ivk, "completed")
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -16,8 +16,8 @@
 from kelptrail.codec.events import EventReader, TooLongError
 from kelptrail.codec.http import Response
 from kelptrail.codec.infer import (
-    Answer,
     MalformedError,
+    WorkerAnswer,
     infer_request,
     load_request,
     read_answer,
@@ -26,7 +26,7 @@
 )
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder, Worker
 from kelptrail.membership.members import EndpointList
-from kelptrail.net.pool import Call, Ending, WorkerPool
+from kelptrail.net.pool import Call, CallOutcome, WorkerPool
 from kelptrail.store.driver import JournalDriver
 
 from .connection_health import ConnectionHealth
@@ -51,9 +51,9 @@
     "malformed": AttemptStatus.CONNECTION_LOST,
 }
 ENDED = {
-    Ending.UNREACHABLE: AttemptStatus.UNREACHABLE,
-    Ending.UNSENT: AttemptStatus.NOT_SENT,
-    Ending.BROKEN: AttemptStatus.CONNECTION_LOST,
+    CallOutcome.UNREACHABLE: AttemptStatus.UNREACHABLE,
+    CallOutcome.UNSENT: AttemptStatus.NOT_SENT,
+    CallOutcome.BROKEN: AttemptStatus.CONNECTION_LOST,
 }
 
 
@@ -84,10 +84,10 @@
         except (MalformedError, TooLongError):
             self._fault = True
             if self.call is not None:
-                self.call.give_up("malformed")
+                self.call.cancel("malformed")
         self._driver.schedule_decisions()
 
-    def ended(self, now: float, answer: Answer) -> tuple[AttemptStatus, Answer]:
+    def ended(self, now: float, answer: WorkerAnswer) -> tuple[AttemptStatus, WorkerAnswer]:
         """What a whole response comes to.  A stream without its last part broke off; a worker that does not stream
         gave all in one."""
         if self._final is not None and not self._fault:
@@ -132,18 +132,18 @@
         )
         self.decide()
 
-    def on_attempt_finished(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def on_attempt_finished(self, call: Call, ending: CallOutcome, response: Response | None) -> None:
         """A send's call has ended."""
         ivk, send = call.tag
         self._calls.pop(send, None)
         answer = None
         stream = self._streams.pop(call, None)
-        if ending is Ending.ANSWERED and response is not None:
+        if ending is CallOutcome.ANSWERED and response is not None:
             answer = read_answer(response, ivk.mark, ivk.form)
             outcome = OUTCOMES[answer.kind]
             if stream is not None and outcome is AttemptStatus.COMPLETED:
                 outcome, answer = stream.ended(now_ms(), answer)
-        elif ending is Ending.GIVEN_UP:
+        elif ending is CallOutcome.CANCELLED:
             outcome = GIVEN_UP.get(call.reason, AttemptStatus.CANCELLED)  # no reason: the loop ends
         else:
             outcome = ENDED[ending]
@@ -161,17 +161,17 @@
         self.gateway.on_attempt_finished(now, send, outcome, answer)
         self.schedule_decisions()
 
-    def on_load_report(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def on_load_report(self, call: Call, ending: CallOutcome, response: Response | None) -> None:
         """A hold order's call has ended."""
         order: LoadOrder = call.tag
         timer = self._orders.pop(call, None)
         if timer is not None:
             timer.cancel()
-        if ending is Ending.ANSWERED and response is not None:
+        if ending is CallOutcome.ANSWERED and response is not None:
             kind, standing = read_loaded(response)
             outcome = OUTCOMES[kind]
         else:
-            outcome, standing = (GIVEN_UP[call.reason] if ending is Ending.GIVEN_UP else ENDED[ending]), 0
+            outcome, standing = (GIVEN_UP[call.reason] if ending is CallOutcome.CANCELLED else ENDED[ending]), 0
         if self.debug:
             self._log.debug(
                 "order-ended",
@@ -218,7 +218,7 @@
                     self._order(effect.order)
                 elif isinstance(effect, CancelAttempt):
                     if (call := self._calls.get(effect.attempt)) is not None:
-                        call.give_up(effect.reason)
+                        call.cancel(effect.reason)
                 elif isinstance(effect, LogEvent):
                     self._log.warning("unusual", what=effect.text)
         finally:
@@ -256,7 +256,7 @@
         if now - self._swept >= 1000.0:
             self._swept = now
             for pool in self._pools.values():
-                pool.sweep()
+                pool.close_idle()
         self.decide()
 
     def _pool(self, worker: Worker) -> WorkerPool:
@@ -313,7 +313,7 @@
         call = pool.start(
             load_request(pool.address, order.instance.function.id, order.count, self.name), self.on_load_report, order
         )
-        self._orders[call] = self._loop.call_later(self._settings.order_ms / 1000, call.give_up, "order-time")
+        self._orders[call] = self._loop.call_later(self._settings.order_ms / 1000, call.cancel, "order-time")
         if self.debug:
             self._log.debug(
                 "order", function=order.instance.function.id, worker=order.instance.worker.id, count=order.count
--- a/kelptrail/load/generator.py
+++ b/kelptrail/load/generator.py
@@ -20,7 +20,7 @@
 
 from kelptrail.clock import now_ms
 from kelptrail.codec.http import Response, encode_request
-from kelptrail.net.pool import Call, Ending, WorkerPool
+from kelptrail.net.pool import Call, CallOutcome, WorkerPool
 from kelptrail.settings.deployment import ActionSettings, Deployment, NamespaceSettings
 
 from .arrivals import Arrivals, popularity
@@ -30,7 +30,7 @@
 
 POLL_MS, PATIENCE_MS, POLL_FOR_MS = 150.0, 500.0, 3000.0
 LONGEST_US, DIGITS = 3_600_000_000, 3
-Answers = Callable[[Call, Ending, Response | None], None]
+Answers = Callable[[Call, CallOutcome, Response | None], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,7 +112,7 @@
         end = now_ms() + longest + POLL_FOR_MS
         while self._out and now_ms() < end:
             await asyncio.sleep(0.05)
-        self.tally.made = sum(pool.made for pool in self._pools)
+        self.tally.made = sum(pool.connections_made for pool in self._pools)
         for pool in self._pools:
             pool.close()
         return self.tally
@@ -222,13 +222,13 @@
         self._out += 1
         data = encode_request(method, target, self._settings.addresses[wish.dispatcher], body, headers)
         call = self._pools[wish.dispatcher].start(data, done, wish)
-        call.tag = (wish, self._loop.call_later(patience / 1000, call.give_up, "patience"))
+        call.tag = (wish, self._loop.call_later(patience / 1000, call.cancel, "patience"))
 
-    def _answered(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def _answered(self, call: Call, ending: CallOutcome, response: Response | None) -> None:
         wish, timer = call.tag
         timer.cancel()
         self._out -= 1
-        if ending in (Ending.UNREACHABLE, Ending.UNSENT) or (response is not None and response.status == 503):
+        if ending in (CallOutcome.UNREACHABLE, CallOutcome.UNSENT) or (response is not None and response.status == 503):
             told = response.headers.get("retry-after-ms", "0") if response is not None else "0"
             self._over(wish, Heard.NOT_TAKEN, "not-taken", float(told))
         elif response is None:
@@ -256,7 +256,7 @@
             2000.0,
         )
 
-    def _polled(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def _polled(self, call: Call, ending: CallOutcome, response: Response | None) -> None:
         wish, timer = call.tag
         timer.cancel()
         self._out -= 1
--- a/kelptrail/membership/client.py
+++ b/kelptrail/membership/client.py
@@ -62,7 +62,7 @@
         while True:
             known = f"{self.listing.lineage}:{self.listing.version}" if self.listing else ""
             try:
-                response = await errand.ask(
+                response = await errand.request(
                     "GET",
                     f"/workers?who={self._who}&at={self.own}&channel={self.channel}"
                     f"&hall={self.hall}"
--- a/kelptrail/net/connection.py
+++ b/kelptrail/net/connection.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from errno import EALREADY, EINPROGRESS, EINTR, EISCONN
 
-from .errors import is_momentary, may_connect_later
+from .errors import is_connect_retryable, is_transient
 from .transport import Transport
 
 BUFFER = 8_192
@@ -29,34 +29,34 @@
 class PendingWrite:
     """Bytes that leave together: those of one message, given at once or made when they are about to leave."""
 
-    __slots__ = ("_data", "_left", "_make", "begun", "sent", "size", "withdrawn")
+    __slots__ = ("_data", "_left", "_make", "cancelled", "sent", "size", "started")
 
     def __init__(self, size: int, data: bytes = b"", make: Callable[[], bytes] | None = None) -> None:
         self.size, self._data, self._make = size, data, make
         self._left = 0  # bytes that have left
-        self.begun = self.sent = self.withdrawn = False
+        self.started = self.sent = self.cancelled = False
 
     def render(self) -> bytes:
         """What is still to leave of it, as of now."""
-        if self.begun:
+        if self.started:
             return self._data[self._left :]
-        if self.withdrawn:
+        if self.cancelled:
             self._data = b""
         elif self._make is not None:
             self._data = self._make()
         return self._data
 
-    def take(self, count: int) -> int:
+    def consume(self, count: int) -> int:
         """The socket took that many bytes of what was rendered last, here and behind; returns those behind."""
         rest = len(self._data) - self._left
         taken = min(count, rest)
         self._left += taken
-        self.begun = self.begun or taken > 0
-        self.sent = self.begun and taken == rest
+        self.started = self.started or taken > 0
+        self.sent = self.started and taken == rest
         return count - taken
 
     @property
-    def over(self) -> bool:
+    def complete(self) -> bool:
         """Whether nothing of it is to leave any more."""
         return self._left == len(self._data)
 
@@ -67,58 +67,58 @@
 
     __slots__ = (
         "__weakref__",
+        "_awaits_writable",
+        "_close_timer",
         "_closing",
-        "_ended",
-        "_got",
-        "_limit",
         "_loop",
-        "_most",
-        "_out",
+        "_max_pending_bytes",
+        "_on_data",
+        "_on_end",
+        "_pending",
+        "_pending_bytes",
         "_reader",
-        "_retry",
-        "_unsent",
-        "_waits",
+        "_retry_timer",
         "_writing",
         "closed",
-        "moved",
-        "wire",
+        "last_write_progress",
+        "transport",
     )
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
-        got: Callable[[memoryview], None],
-        ended: Callable[[], None],
-        most_waiting: int,
+        on_data: Callable[[memoryview], None],
+        on_end: Callable[[], None],
+        max_pending_bytes: int,
     ) -> None:
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.wire, self._loop, self._got, self._ended, self._most = (
+        self.transport, self._loop, self._on_data, self._on_end, self._max_pending_bytes = (
             Transport(loop, sock),
             loop,
-            got,
-            ended,
-            most_waiting,
+            on_data,
+            on_end,
+            max_pending_bytes,
         )
-        self._out: deque[PendingWrite] = deque()  # what has not left whole
-        self._unsent = 0  # the size of all of that
-        self.moved = loop.time()  # when the socket last took bytes, or had none to take
-        self.closed = self._closing = self._writing = self._waits = False
-        self._limit: asyncio.TimerHandle | None = None
-        self._retry: asyncio.TimerHandle | None = None
+        self._pending: deque[PendingWrite] = deque()  # what has not left whole
+        self._pending_bytes = 0  # the size of all of that
+        self.last_write_progress = loop.time()  # when the socket last took bytes, or had none to take
+        self.closed = self._closing = self._writing = self._awaits_writable = False
+        self._close_timer: asyncio.TimerHandle | None = None
+        self._retry_timer: asyncio.TimerHandle | None = None
         self._reader: asyncio.Task[None] | None = loop.create_task(self._read())
 
     @property
-    def unwritten(self) -> bool:
+    def has_pending_writes(self) -> bool:
         """Whether bytes wait for the socket to take them."""
-        return bool(self._out)
+        return bool(self._pending)
 
     def write(self, data: bytes) -> PendingWrite:
         """Give bytes."""
         return self._queue(PendingWrite(len(data), data))
 
-    def write_made(self, make: Callable[[], bytes], size: int) -> PendingWrite:
+    def write_deferred(self, make: Callable[[], bytes], size: int) -> PendingWrite:
         """Give some `size` bytes that `make` makes when they are about to leave; where it makes none, none leave.  It
         may be asked several times, and must not act on the link."""
         return self._queue(PendingWrite(size, make=make))
@@ -126,59 +126,59 @@
     def _queue(self, piece: PendingWrite) -> PendingWrite:
         if self.closed or self._closing:
             return piece
-        if not self._out:
-            self.moved = self._loop.time()
-        self._out.append(piece)
-        self._unsent += piece.size
-        if self._unsent > self._most:  # guards against a peer that does not read what it asked for
-            self._loop.call_soon(self._lost)
+        if not self._pending:
+            self.last_write_progress = self._loop.time()
+        self._pending.append(piece)
+        self._pending_bytes += piece.size
+        if self._pending_bytes > self._max_pending_bytes:  # guards against a peer that does not read what it asked for
+            self._loop.call_soon(self._on_lost)
         elif not self._writing:
             self._writing = True
             self._loop.call_soon(self._flush)
         return piece
 
-    def withdraw(self, piece: PendingWrite) -> bool:
+    def cancel_unsent(self, piece: PendingWrite) -> bool:
         """Take a piece back; False once the first of it has left, as the rest must follow for the peer to tell what
         comes after."""
-        if piece.begun or piece.withdrawn:
+        if piece.started or piece.cancelled:
             return False
-        piece.withdrawn = True
+        piece.cancelled = True
         return True
 
-    def push(self) -> None:
+    def flush_now(self) -> None:
         """Write now what the socket takes, before what other links were given in this turn."""
         self._flush()
 
-    def finish(self, within_ms: float) -> None:
+    def close_gracefully(self, within_ms: float) -> None:
         """Close in order, within a time: what was given is written, then our end is shut, and what still comes is
         passed over until the peer's end.  Guards against a reset that eats what the peer has yet to read."""
         if self.closed or self._closing:
             return
         self._closing = True
-        self._limit = self._loop.call_later(within_ms / 1000, self._lost)
+        self._close_timer = self._loop.call_later(within_ms / 1000, self._on_lost)
         if not self._writing:
-            self._settle()
+            self._on_all_written()
 
     def close(self) -> None:
         """Close at once."""
         if self.closed:
             return
         self.closed = True
-        self._out.clear()
-        if self._retry is not None:
-            self._retry.cancel()
-        self._got = self._ended = _nothing  # else a cycle would keep it, and its user, till the collector comes
-        if self._limit is not None:
-            self._limit.cancel()
-        self._wait(False)
+        self._pending.clear()
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+        self._on_data = self._on_end = _ignore  # else a cycle would keep it, and its user, till the collector comes
+        if self._close_timer is not None:
+            self._close_timer.cancel()
+        self._watch_writable(False)
         reader, self._reader = self._reader, None
         if reader is not None and reader is not asyncio.current_task(self._loop):
             reader.cancel()
-        self.wire.close()
+        self.transport.close()
 
-    def _lost(self) -> None:
+    def _on_lost(self) -> None:
         if not self.closed:
-            ended = self._ended
+            ended = self._on_end
             self.close()
             ended()
 
@@ -193,7 +193,7 @@
                     break
                 turn = (turn + 1) % TURN if count == BUFFER else 0
                 if not self._closing:
-                    self._got(view[:count])
+                    self._on_data(view[:count])
                 elif (passed := passed + count) > PASSED:
                     break
                 if self.closed:
@@ -204,7 +204,7 @@
             pass
         except Exception as cause:  # a message that its reader fails on ends its own connection, no more
             self._loop.call_exception_handler({"message": "a connection's reader failed", "exception": cause})
-        self._lost()
+        self._on_lost()
 
     async def _receive(self, buffer: bytearray, at_once: bool) -> int:
         """The next bytes, 0 at the end; `at_once` looks before it waits.  Raises `OSError`."""
@@ -213,82 +213,82 @@
                 if at_once:
                     at_once = False
                     with contextlib.suppress(BlockingIOError):
-                        return self.wire.sock.recv_into(buffer)
-                return await self.wire.recv_into(buffer)
+                        return self.transport.sock.recv_into(buffer)
+                return await self.transport.recv_into(buffer)
             except OSError as cause:
-                if not is_momentary(cause):
+                if not is_transient(cause):
                     raise
                 await asyncio.sleep(RETRY_MS / 1000)
 
     def _flush(self) -> None:
         """Write what the socket takes."""
-        self._retry = None
-        while self._out and not self.closed:
+        self._retry_timer = None
+        while self._pending and not self.closed:
             batch = self._batch()
             size = sum(map(len, batch))
             if self.closed:  # by what was looked at as a piece was made
                 return
             try:
-                count = self.wire.sock.send(b"".join(batch)) if size else 0
+                count = self.transport.sock.send(b"".join(batch)) if size else 0
             except BlockingIOError:
                 count = 0
             except OSError as cause:
-                if not is_momentary(cause):
-                    self._lost()
+                if not is_transient(cause):
+                    self._on_lost()
                     return
-                self._wait(False)
-                self._retry = self._loop.call_later(RETRY_MS / 1000, self._flush)
+                self._watch_writable(False)
+                self._retry_timer = self._loop.call_later(RETRY_MS / 1000, self._flush)
                 return
-            self._took(len(batch), count)
+            self._record_sent(len(batch), count)
             if count < size:  # the socket is full
-                self._wait(True)
+                self._watch_writable(True)
                 return
         if not self.closed:
-            self._wait(False)
+            self._watch_writable(False)
             self._writing = False
-            self._settle()
+            self._on_all_written()
 
     def _batch(self) -> list[bytes]:
         """The bytes of the pieces that are next, as of now."""
         batch, size = [], 0
-        for piece in list(self._out):
+        for piece in list(self._pending):
             data = piece.render()
             batch.append(data)
             if (size := size + len(data)) >= CHUNK:
                 break
         return batch
 
-    def _took(self, pieces: int, count: int) -> None:
+    def _record_sent(self, pieces: int, count: int) -> None:
         """The socket took `count` bytes of that many pieces."""
         if count:
-            self.moved = self._loop.time()
+            self.last_write_progress = self._loop.time()
         for _ in range(pieces):
-            piece = self._out[0]
-            count = piece.take(count)
-            if not piece.over:
+            piece = self._pending[0]
+            count = piece.consume(count)
+            if not piece.complete:
                 return
-            self._out.popleft()
-            self._unsent -= piece.size
+            self._pending.popleft()
+            self._pending_bytes -= piece.size
 
-    def _wait(self, for_room: bool) -> None:
+    def _watch_writable(self, for_room: bool) -> None:
         """Go on with `_flush` once the socket has room."""
-        if for_room != self._waits:
-            self._waits = for_room
+        if for_room != self._awaits_writable:
+            self._awaits_writable = for_room
             if for_room:
-                self._loop.add_writer(self.wire.sock, self._flush)
+                self._loop.add_writer(self.transport.sock, self._flush)
             else:
-                self._loop.remove_writer(self.wire.sock)
+                self._loop.remove_writer(self.transport.sock)
 
-    def _settle(self) -> None:
+    def _on_all_written(self) -> None:
         """All that was to write is written."""
         if self._closing:
             try:
-                self.wire.end()
+                self.transport.shutdown_write()
             except OSError:
-                self._lost()
+                self._on_lost()
 
 
-def _nothing(*_: object) -> None:
+def _ignore(*_: object) -> None:
     """Stands in for what the user gave, once the link is closed."""
 
 
@@ -303,7 +303,7 @@
         try:
             return await _connect_once(loop, address, ends - loop.time())
         except OSError as cause:
-            if not may_connect_later(cause) or loop.time() + pause_ms / 1000 >= ends:
+            if not is_connect_retryable(cause) or loop.time() + pause_ms / 1000 >= ends:
                 raise
         await asyncio.sleep(pause_ms / 1000)
         pause_ms = min(LONGEST_CONNECT_RETRY_MS, 2 * pause_ms)
@@ -329,7 +329,7 @@
 
 async def _until_writable(loop: asyncio.AbstractEventLoop, sock: socket.socket, within_s: float) -> None:
     up: asyncio.Future[None] = loop.create_future()
-    loop.add_writer(sock, _up, up)
+    loop.add_writer(sock, _mark_writable, up)
     try:
         async with asyncio.timeout(within_s):
             await up
@@ -337,6 +337,6 @@
         loop.remove_writer(sock)
 
 
-def _up(up: asyncio.Future[None]) -> None:
+def _mark_writable(up: asyncio.Future[None]) -> None:
     if not up.done():
         up.set_result(None)
--- a/kelptrail/net/errors.py
+++ b/kelptrail/net/errors.py
@@ -8,10 +8,10 @@
 import errno
 
 # A call that failed with one of these may succeed a moment later; the connection stands.
-MOMENTARY = frozenset({errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
+TRANSIENT = frozenset({errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
 
 # Our own side lacked something, so the failure says nothing of the peer.
-LOCAL_SHORTAGES = MOMENTARY | {errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.EADDRINUSE}
+LOCAL_SHORTAGES = TRANSIENT | {errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.EADDRINUSE}
 
 # The way to the peer may be missing for a moment only, as a route that changes.
 ROUTE_FAILURES = frozenset({errno.ENETUNREACH, errno.ENETDOWN, errno.EHOSTUNREACH, errno.EHOSTDOWN, errno.ECONNABORTED})
@@ -35,9 +35,9 @@
 )
 
 
-def is_momentary(cause: OSError) -> bool:
+def is_transient(cause: OSError) -> bool:
     """Whether a send or a receive that failed so may be tried again on the same connection."""
-    return cause.errno in MOMENTARY
+    return cause.errno in TRANSIENT
 
 
 def is_local_shortage(cause: OSError) -> bool:
@@ -45,11 +45,11 @@
     return cause.errno in LOCAL_SHORTAGES
 
 
-def may_connect_later(cause: OSError) -> bool:
+def is_connect_retryable(cause: OSError) -> bool:
     """Whether a connect that failed so is worth another try within its time."""
     return cause.errno in LOCAL_SHORTAGES or cause.errno in ROUTE_FAILURES
 
 
-def is_one_client_gone(cause: OSError) -> bool:
+def is_client_gone(cause: OSError) -> bool:
     """Whether an accept failed for one client only, so that whoever stands behind it can be accepted at once."""
     return cause.errno in CLIENT_GONE
--- a/kelptrail/net/grpc_client.py
+++ b/kelptrail/net/grpc_client.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class CallResult:
     """How a call ended; `code` is None where no status came, `written` whether anything may have been read, `refused`
     that its server said that it never looked at it."""
 
@@ -43,7 +43,7 @@
     text: str = ""
     retry_ms: float | None = None
     reason: str = ""
-    told: dict[str, str] = field(default_factory=dict)
+    details: dict[str, str] = field(default_factory=dict)
     written: bool = True
     refused: bool = False
 
@@ -54,7 +54,7 @@
     __slots__ = ("id", "on_end", "on_message", "reader", "rest", "timer", "written")
 
     def __init__(
-        self, message: bytes, on_message: Callable[[bytes], None], on_end: Callable[[Ended], None], most: int
+        self, message: bytes, on_message: Callable[[bytes], None], on_end: Callable[[CallResult], None], most: int
     ) -> None:
         self.rest = encode_message(message)
         self.on_message, self.on_end, self.reader = on_message, on_end, MessageReader(most)
@@ -62,7 +62,7 @@
         self.written = False
         self.timer: asyncio.TimerHandle | None = None
 
-    def end(self, ended: Ended) -> None:
+    def end(self, ended: CallResult) -> None:
         """Tell of the end, once."""
         if self.timer is not None:
             self.timer.cancel()
@@ -98,7 +98,7 @@
         message: bytes,
         metadata: dict[str, str],
         on_message: Callable[[bytes], None],
-        on_end: Callable[[Ended], None],
+        on_end: Callable[[CallResult], None],
         timeout_ms: float,
         patience_ms: float = 0.0,
     ) -> GrpcCall:
@@ -124,7 +124,7 @@
     async def _begin(self, call: GrpcCall, headers: list[tuple[str, str]]) -> None:
         link = await self._get()
         if link is None:
-            call.end(Ended(None, "no connection", written=False))
+            call.end(CallResult(None, "no connection", written=False))
         elif call.on_end is not _nothing:
             link.begin(call, headers)
 
@@ -157,13 +157,13 @@
     def _late(self, call: GrpcCall) -> None:
         if self._link is not None:
             self._link.cancel(call)
-        call.end(Ended(None, "no answer in time", written=call.written))
+        call.end(CallResult(None, "no answer in time", written=call.written))
 
     def cancel(self, call: GrpcCall) -> None:
         """Call it off; it ends without a status."""
         if self._link is not None:
             self._link.cancel(call)
-        call.end(Ended(None, "cancelled", written=call.written))
+        call.end(CallResult(None, "cancelled", written=call.written))
 
     def close(self) -> None:
         """Close the connection."""
@@ -194,7 +194,7 @@
     def begin(self, call: GrpcCall, headers: list[tuple[str, str]]) -> None:
         """Send a call, or keep it until the server takes another stream."""
         if not self.open:
-            call.end(Ended(None, "the connection closes", written=False))
+            call.end(CallResult(None, "the connection closes", written=False))
             return
         if len(self._calls) >= self._h2.remote_settings.max_concurrent_streams:
             self._waiting.append((call, headers))
@@ -250,18 +250,18 @@
                 for message in call.reader.feed(event.data or b""):
                     call.on_message(message)
             except GrpcError as cause:
-                self._over(call, Ended(None, cause.text))
+                self._over(call, CallResult(None, cause.text))
         elif isinstance(event, TrailersReceived | ResponseReceived):
             headers = {str(k): str(v) for k, v in event.headers or ()}
             if "grpc-status" in headers:
                 code, text, retry, reason, told = read_trailers(headers)
-                self._over(call, Ended(code, text, retry, reason, told))
+                self._over(call, CallResult(code, text, retry, reason, told))
         elif isinstance(event, StreamReset):
-            self._over(call, Ended(None, "reset", refused=event.error_code == ErrorCodes.REFUSED_STREAM))
+            self._over(call, CallResult(None, "reset", refused=event.error_code == ErrorCodes.REFUSED_STREAM))
         elif isinstance(event, StreamEnded):
-            self._over(call, Ended(None, "no status"))
+            self._over(call, CallResult(None, "no status"))
 
-    def _over(self, call: GrpcCall, ended: Ended) -> None:
+    def _over(self, call: GrpcCall, ended: CallResult) -> None:
         self._calls.pop(call.id, None)
         call.end(ended)
         while self._waiting and self.open:
@@ -293,9 +293,9 @@
         calls, self._calls = list(self._calls.values()), {}
         waiting, self._waiting = self._waiting, []
         for call in calls:
-            call.end(Ended(None, "the connection ended"))
+            call.end(CallResult(None, "the connection ended"))
         for call, _ in waiting:
-            call.end(Ended(None, "the connection ended", written=False))
+            call.end(CallResult(None, "the connection ended", written=False))
         for task in self._tasks:
             task.cancel()
         self._wire.close()
--- a/kelptrail/net/grpc_server.py
+++ b/kelptrail/net/grpc_server.py
@@ -34,9 +34,9 @@
 from h2.settings import SettingCodes, Settings
 from hyperframe.frame import GoAwayFrame
 
-from kelptrail.codec.grpc import Code, GrpcError, MessageReader, encode_message, timeout_ms, trailers
+from kelptrail.codec.grpc import Code, GrpcError, MessageReader, encode_message, encode_trailers, timeout_ms
 
-from .guard import Guard, GuardAction, GuardSettings, Stage
+from .guard import CloseStage, FloodGuard, GuardAction, GuardSettings
 from .listener import ConnectPace, Listener
 from .transport import TlsTransport, Transport
 
@@ -80,13 +80,13 @@
         "ended",
         "id",
         "metadata",
+        "on_client_gone",
         "on_end",
-        "on_gone",
         "on_message",
-        "on_room",
-        "opened",
+        "on_writable",
+        "opened_at",
         "path",
-        "taken",
+        "request_complete",
     )
 
     def __init__(self, connection: GrpcConnection, id_: int, path: str, metadata: dict[str, str], now: float) -> None:
@@ -99,13 +99,13 @@
         self._headed = self._waits_room = False
         self.ended = False  # it has its one status, or the client has gone
         self.client_ended = False
-        self.taken = False  # it was handed to the handler whole: its read time is over
-        self.opened, self.blocked_since = now, None
+        self.request_complete = False  # it was handed to the handler whole: its read time is over
+        self.opened_at, self.blocked_since = now, None
         self.deadline: float | None = None
         self.on_message: Callable[[bytes], None] = _nothing
         self.on_end: Callable[[], None] = _nothing
-        self.on_gone: Callable[[], None] = _nothing
-        self.on_room: Callable[[], None] = _nothing
+        self.on_client_gone: Callable[[], None] = _nothing
+        self.on_writable: Callable[[], None] = _nothing
 
     blocked_since: float | None
 
@@ -120,7 +120,7 @@
         return self._connection.identity
 
     @property
-    def room(self) -> bool:
+    def can_write(self) -> bool:
         """Whether more may be given without holding too much for a slow reader."""
         if self._held < self._connection.server.limits.stream_bytes:
             return True
@@ -135,7 +135,7 @@
         data = encode_message(message)
         self._pending.append(data)
         self._held += len(data)
-        self._connection.server.owes(len(data))
+        self._connection.server.add_unwritten(len(data))
         self._connection.pump(self)
         return True
 
@@ -145,20 +145,20 @@
         text: str = "",
         retry_ms: float | None = None,
         reason: str = "",
-        told: dict[str, str] | None = None,
+        details: dict[str, str] | None = None,
     ) -> bool:
         """Give the one status, after what was sent; False where there is one already, or the client has gone."""
         if self.ended:
             return False
         self.ended = True
-        self._end = trailers(code, text, retry_ms, reason, told)
-        self.on_message = self.on_end = self.on_gone = self.on_room = _nothing
+        self._end = encode_trailers(code, text, retry_ms, reason, details)
+        self.on_message = self.on_end = self.on_client_gone = self.on_writable = _nothing
         self._connection.pump(self)
         return True
 
     def fail(self, cause: GrpcError) -> bool:
         """Finish with an error."""
-        return self.finish(cause.code, cause.text, cause.retry_ms, cause.reason, cause.told)
+        return self.finish(cause.code, cause.text, cause.retry_ms, cause.reason, cause.details)
 
     def _head(self) -> None:
         if not self._headed:
@@ -197,7 +197,7 @@
         self._h2.decoder.max_header_list_size = limits.header_bytes  # from the first frame on, not once it is acked
         self._h2.initiate_connection()
         self._h2.increment_flow_control_window(limits.message_bytes)
-        self.guard = Guard(limits.guard, now, zlib.crc32(peer.encode()) / 2**32)
+        self.guard = FloodGuard(limits.guard, now, zlib.crc32(peer.encode()) / 2**32)
         self.streams: dict[int, GrpcStream] = {}
         self._out = bytearray()
         self._more: asyncio.Future[None] | None = None
@@ -230,8 +230,8 @@
                     await self._room
             self._gone()
         except ProtocolError as cause:  # the library has written the GOAWAY that says why
-            self.server.note("protocol-error", peer=self.peer, reason=f"{type(cause).__name__}: {cause}")
-            self.server.faults += 1
+            self.server.log_event("protocol-error", peer=self.peer, reason=f"{type(cause).__name__}: {cause}")
+            self.server.protocol_errors += 1
             self._flush()
             self._last = True
             self._gone()
@@ -248,8 +248,8 @@
         elif isinstance(event, StreamEnded):
             stream = self.streams.get(event.stream_id)
             if stream is not None:
-                stream.client_ended = stream.taken = True
-                if stream._reader.held and not stream.ended:
+                stream.client_ended = stream.request_complete = True
+                if stream._reader.partial_bytes and not stream.ended:
                     stream.fail(GrpcError(Code.INTERNAL, "the call ended within a message"))
                 else:
                     self._call(stream, stream.on_end)
@@ -277,7 +277,7 @@
         id_ = event.stream_id
         assert id_ is not None
         self._highest = max(self._highest, id_)
-        if not self.guard.takes:
+        if not self.guard.accepts_streams:
             self._reset(id_, ErrorCodes.REFUSED_STREAM)  # nothing was done: trying again is harmless
             return
         headers: dict[str, str] = {}
@@ -291,7 +291,7 @@
         now = self.server.now()
         stream = self.streams[id_] = GrpcStream(self, id_, headers.get(":path", ""), headers, now)
         self.active = now
-        self.server.streams += 1
+        self.server.open_streams += 1
         try:
             if (limit := headers.get("grpc-timeout")) is not None:
                 try:
@@ -318,13 +318,13 @@
                 self._h2.acknowledge_received_data(count, id_)
         if stream is None or stream.ended:
             return
-        before = stream._reader.held
+        before = stream._reader.partial_bytes
         try:
             try:
                 messages = stream._reader.feed(event.data or b"")
             finally:
-                self.server.partial += stream._reader.held - before
-            if self.server.partial > self.server.limits.partial_bytes:
+                self.server.partial_bytes += stream._reader.partial_bytes - before
+            if self.server.partial_bytes > self.server.limits.partial_bytes:
                 raise GrpcError(Code.RESOURCE_EXHAUSTED, "too much is being received at once", 1000.0)
         except GrpcError as fault:
             stream.fail(fault)
@@ -367,13 +367,13 @@
                     data = data[:window]
                 self._h2.send_data(stream.id, data)
                 stream._held -= len(data)
-                self.server.owed -= len(data)
+                self.server.unwritten_bytes -= len(data)
                 stream.blocked_since = None
             if stream._end is not None:
                 self._close(stream)
             elif stream._waits_room and stream._held < self.server.limits.stream_bytes // 2:
                 stream._waits_room = False
-                self.server.loop.call_soon(self._call, stream, stream.on_room)
+                self.server.loop.call_soon(self._call, stream, stream.on_writable)
         except (StreamClosedError, FlowControlError, ProtocolError):
             self._drop(stream)
         if flush:
@@ -390,9 +390,9 @@
 
     def _forget(self, stream: GrpcStream) -> None:
         if self.streams.pop(stream.id, None) is not None:
-            self.server.streams -= 1
-            self.server.owed -= stream._held
-            self.server.partial -= stream._reader.held
+            self.server.open_streams -= 1
+            self.server.unwritten_bytes -= stream._held
+            self.server.partial_bytes -= stream._reader.partial_bytes
             stream._held = 0
             stream._pending.clear()
             self.active = self.server.now()
@@ -402,8 +402,8 @@
         self._forget(stream)
         if not stream.ended:
             stream.ended = True
-            gone, stream.on_gone = stream.on_gone, _nothing
-            stream.on_message = stream.on_end = stream.on_room = _nothing
+            gone, stream.on_client_gone = stream.on_client_gone, _nothing
+            stream.on_message = stream.on_end = stream.on_writable = _nothing
             gone()
 
     def reset(self, stream: GrpcStream) -> None:
@@ -420,8 +420,8 @@
         """Too much that costs its sender nothing: told to go (RFC 9113, section 10.5)."""
         if self._last:
             return
-        self.server.note("flood", peer=self.peer, reason=text)
-        self.server.floods += 1
+        self.server.log_event("flood", peer=self.peer, reason=text)
+        self.server.floods_stopped += 1
         with contextlib.suppress(ProtocolError):
             self._h2.close_connection(ErrorCodes.ENHANCE_YOUR_CALM)
         self._flush()
@@ -433,11 +433,11 @@
         """See to age, grace and streams that stand still."""
         limits = self.server.limits
         stage = self.guard.due(now, len(self.streams), HEARD_MS)
-        if stage is Stage.WARNED:
+        if stage is CloseStage.WARNED:
             self._goaway(LAST_STREAM)
-        elif stage is Stage.CLOSING:
+        elif stage is CloseStage.CLOSING:
             self._goaway(self._highest)
-        if stage is Stage.OVER or (stage is Stage.CLOSING and not self.streams):
+        if stage is CloseStage.CLOSED or (stage is CloseStage.CLOSING and not self.streams):
             for stream in list(self.streams.values()):
                 self.reset(stream)
             self._last = True
@@ -445,10 +445,10 @@
             return
         for stream in list(self.streams.values()):
             if stream.blocked_since is not None and now - stream.blocked_since > limits.write_ms:
-                self.server.note("slow-reader", peer=self.peer, bytes=stream._held)
-                self.server.cut += 1
+                self.server.log_event("slow-reader", peer=self.peer, bytes=stream._held)
+                self.server.slow_readers_closed += 1
                 self.reset(stream)
-            elif not stream.taken and now - stream.opened > limits.read_ms:
+            elif not stream.request_complete and now - stream.opened_at > limits.read_ms:
                 stream.finish(Code.DEADLINE_EXCEEDED, "The call did not arrive in time.")
         if self.writing_since is not None and now - self.writing_since > limits.write_ms:
             self.abort()
@@ -457,8 +457,8 @@
 
     def leave(self) -> None:
         """Close in good order: serve what is in hand."""
-        if self.guard.stage is Stage.OPEN:
-            self.guard.leave(self.server.now())
+        if self.guard.stage is CloseStage.OPEN:
+            self.guard.start_closing(self.server.now())
             self._goaway(LAST_STREAM)
 
     def _goaway(self, last: int) -> None:
@@ -508,7 +508,7 @@
                 self._flush()
                 if self._room is not None and not self._room.done():
                     self._room.set_result(None)
-            self._wire.end()
+            self._wire.shutdown_write()
         except (OSError, asyncio.CancelledError):
             pass
         finally:
@@ -528,21 +528,21 @@
         self,
         handler: Callable[[GrpcStream], None],
         limits: GrpcLimits | None = None,
-        note: Callable[..., None] | None = None,
+        log_event: Callable[..., None] | None = None,
         tls: Callable[[], ssl.SSLContext] | None = None,
-        who: Callable[[bytes | None], str] | None = None,
+        identify: Callable[[bytes | None], str] | None = None,
         pace: ConnectPace | None = None,
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.handle, self.limits = handler, limits or GrpcLimits()
-        self.note = note or (lambda *_args, **_fields: None)
-        self._tls, self._who = tls, who or (lambda _certificate: "")
-        self.door = Listener(self.loop, self._came, self._early, self.note, pace)
+        self.log_event = log_event or (lambda *_args, **_fields: None)
+        self._tls, self._identify = tls, identify or (lambda _certificate: "")
+        self.listener = Listener(self.loop, self._came, self._early, self.log_event, pace)
         self._tasks: set[asyncio.Task[Any]] = set()
         self._connections: dict[GrpcConnection, None] = {}
         self._accepted = 0  # connections whose handshake is under way, too
-        self.streams = self.owed = self.partial = 0
-        self.cut = self.faults = self.floods = self.turned_away = 0
+        self.open_streams = self.unwritten_bytes = self.partial_bytes = 0
+        self.slow_readers_closed = self.protocol_errors = self.floods_stopped = self.rejected_connections = 0
         self.address = ""
 
     def now(self) -> float:
@@ -550,29 +550,29 @@
         return self.loop.time() * 1000
 
     @property
-    def early(self) -> int:
+    def rejected_by_pace(self) -> int:
         """How many connected faster than the pace."""
-        return self.door.early
+        return self.listener.rejected_by_pace
 
     @property
     def connections(self) -> int:
         """How many are open."""
         return len(self._connections)
 
-    def listen(self, host: str, port: int, shared: bool = False, backlog: int = 1024) -> int:
+    def listen(self, host: str, port: int, reuse_port: bool = False, backlog: int = 1024) -> int:
         """Listen; returns the port (port 0: a free one).  `shared`: others may listen on it too."""
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if shared:
+        if reuse_port:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind((host, port))
         sock.listen(backlog)
         sock.setblocking(False)
         bound = int(sock.getsockname()[1])
         self.address = f"{host}:{bound}"
-        if not self.door.is_open:
+        if not self.listener.is_open:
             self._begin(self._look())
-        self.door.open(sock)
+        self.listener.add_socket(sock)
         return bound
 
     def _begin(self, what: Any) -> None:
@@ -582,15 +582,15 @@
 
     def _came(self, client: socket.socket, peer: str) -> None:
         if self._accepted >= self.limits.connections:
-            self.turned_away += 1
-            self.note("connection-turned-away", open=self._accepted)
-            self.door.refuse(client, b"")
+            self.rejected_connections += 1
+            self.log_event("connection-turned-away", open=self._accepted)
+            self.listener.reject(client, b"")
             return
         self._welcome(client, peer)
 
     def _early(self, client: socket.socket, peer: str, back_ms: float) -> None:
         """Somebody connects faster than the pace.  HTTP/2 has nothing to say so before its preface: it is closed."""
-        self.door.refuse(client, b"")
+        self.listener.reject(client, b"")
 
     def _welcome(self, client: socket.socket, peer: str) -> None:
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -607,17 +607,17 @@
             if wire.protocol != "h2":
                 raise ssl.SSLError("the client did not ask for h2")
         except (ssl.SSLError, OSError) as cause:
-            self.note("handshake-failed", peer=peer, reason=str(cause) or type(cause).__name__)
-            self.faults += 1
+            self.log_event("handshake-failed", peer=peer, reason=str(cause) or type(cause).__name__)
+            self.protocol_errors += 1
             self._accepted -= 1
             wire.close()
             return
-        self._connections[GrpcConnection(self, wire, peer, self._who(wire.certificate))] = None
+        self._connections[GrpcConnection(self, wire, peer, self._identify(wire.certificate))] = None
 
-    def owes(self, count: int) -> None:
+    def add_unwritten(self, count: int) -> None:
         """Keep what is unread within its bound: the stream that has stood still for longest is ended."""
-        self.owed += count
-        while self.owed > self.limits.unread_bytes:
+        self.unwritten_bytes += count
+        while self.unwritten_bytes > self.limits.unread_bytes:
             found = [
                 (s.blocked_since, c, s)
                 for c in self._connections
@@ -627,8 +627,8 @@
             if not found:
                 return
             _, connection, stream = min(found, key=lambda entry: entry[0])
-            self.note("slow-reader-cut", peer=connection.peer, bytes=stream._held)
-            self.cut += 1
+            self.log_event("slow-reader-cut", peer=connection.peer, bytes=stream._held)
+            self.slow_readers_closed += 1
             connection.reset(stream)
 
     async def _look(self) -> None:
@@ -640,7 +640,7 @@
 
     def failed(self, cause: Exception) -> None:
         """A fault of a handler."""
-        self.note("handler-failed", reason=f"{type(cause).__name__}: {cause}")
+        self.log_event("handler-failed", reason=f"{type(cause).__name__}: {cause}")
 
     def closed(self, connection: GrpcConnection) -> None:
         """Forget a connection."""
@@ -649,9 +649,9 @@
 
     def stop_listening(self) -> None:
         """Accept nothing more."""
-        self.door.close(self._welcome)
+        self.listener.close(self._welcome)
 
-    def leave(self) -> None:
+    def start_draining(self) -> None:
         """Ask every connection to go elsewhere; what is in hand is served."""
         for connection in list(self._connections):
             connection.leave()
@@ -659,7 +659,7 @@
     async def drain(self, within_ms: float) -> bool:
         """Stop, warn, serve what is in hand; True if nothing was cut off."""
         self.stop_listening()
-        self.leave()
+        self.start_draining()
         end = self.now() + within_ms
         while self._connections and self.now() < end:
             await asyncio.sleep(0.02)
--- a/kelptrail/net/guard.py
+++ b/kelptrail/net/guard.py
@@ -30,16 +30,16 @@
     grace_ms: float = 10_000.0
 
 
-class Stage(Enum):
+class CloseStage(Enum):
     """Where a connection stands."""
 
     OPEN = "open"
     WARNED = "warned"  # told that it will close; streams it opened before it heard are served
     CLOSING = "closing"  # new streams are refused
-    OVER = "over"
+    CLOSED = "over"
 
 
-class Guard:
+class FloodGuard:
     """One connection's budgets and age.  Times are milliseconds; `spread` (0 to 1) makes ages differ."""
 
     def __init__(self, settings: GuardSettings, now: float, spread: float = 0.0) -> None:
@@ -48,7 +48,7 @@
         self._filled = now
         self._old_at = now + settings.age_ms * (0.9 + 0.2 * spread) if settings.age_ms else float("inf")
         self._warned_at = self._closed_at = float("inf")
-        self.stage = Stage.OPEN
+        self.stage = CloseStage.OPEN
 
     def spend(self, now: float, act: GuardAction) -> bool:
         """Whether an act is within its budget."""
@@ -58,25 +58,25 @@
         self._left[act] -= 1
         return self._left[act] >= 0
 
-    def leave(self, now: float) -> None:
+    def start_closing(self, now: float) -> None:
         """It is to close: at its age, or because its dispatcher drains or gives up the address."""
-        if self.stage is Stage.OPEN:
-            self.stage, self._warned_at = Stage.WARNED, now
+        if self.stage is CloseStage.OPEN:
+            self.stage, self._warned_at = CloseStage.WARNED, now
 
-    def due(self, now: float, streams: int, heard_ms: float) -> Stage | None:
+    def due(self, now: float, streams: int, heard_ms: float) -> CloseStage | None:
         """The stage that begins now, or None; `heard_ms`: how long a warning takes to be heard."""
-        if self.stage is Stage.OPEN and now >= self._old_at:
-            self.leave(now)
-            return Stage.WARNED
-        if self.stage is Stage.WARNED and now >= self._warned_at + heard_ms:
-            self.stage, self._closed_at = Stage.CLOSING, now
-            return Stage.CLOSING
-        if self.stage is Stage.CLOSING and (not streams or now >= self._closed_at + self._settings.grace_ms):
-            self.stage = Stage.OVER
-            return Stage.OVER
+        if self.stage is CloseStage.OPEN and now >= self._old_at:
+            self.start_closing(now)
+            return CloseStage.WARNED
+        if self.stage is CloseStage.WARNED and now >= self._warned_at + heard_ms:
+            self.stage, self._closed_at = CloseStage.CLOSING, now
+            return CloseStage.CLOSING
+        if self.stage is CloseStage.CLOSING and (not streams or now >= self._closed_at + self._settings.grace_ms):
+            self.stage = CloseStage.CLOSED
+            return CloseStage.CLOSED
         return None
 
     @property
-    def takes(self) -> bool:
+    def accepts_streams(self) -> bool:
         """Whether a new stream is served; one that is not was never looked at, so trying it again is harmless."""
-        return self.stage in (Stage.OPEN, Stage.WARNED)
+        return self.stage in (CloseStage.OPEN, CloseStage.WARNED)
--- a/kelptrail/net/http_client.py
+++ b/kelptrail/net/http_client.py
@@ -21,7 +21,7 @@
         self._sock: socket.socket | None = None
         self._reader = ResponseReader(answer_bytes)
 
-    async def ask(
+    async def request(
         self,
         method: str,
         target: str,
@@ -44,7 +44,7 @@
 
     async def json(self, method: str, target: str, body: Any = None, timeout_ms: float = 5000.0) -> Any:
         """The decoded body of a 2xx response; raises `HttpError` for any other."""
-        response = await self.ask(method, target, body, timeout_ms)
+        response = await self.request(method, target, body, timeout_ms)
         if not 200 <= response.status < 300:
             raise HttpError(response.status, response.body.decode(errors="replace")[:200])
         return msgspec.json.decode(response.body) if response.body else None
@@ -75,7 +75,7 @@
             with memoryview(buffer) as view:
                 response = self._reader.feed(view[:count])
             if response is not None:
-                if not response.keep_alive or self._reader.extra:
+                if not response.keep_alive or self._reader.unexpected_data:
                     self.close()
                 return response
 
--- a/kelptrail/net/pool.py
+++ b/kelptrail/net/pool.py
@@ -16,35 +16,46 @@
 
 from kelptrail.codec.http import HttpError, Response, ResponseReader
 
-from .transport import TlsTransport, Transport
+from .transport import IdleState, TlsTransport, Transport
 
 BUFFER = 16_384
 
 
-class Ending(Enum):
+class CallOutcome(Enum):
     """How a call ended, as seen on its socket."""
 
     ANSWERED = "answered"  # a whole response was read
     UNREACHABLE = "unreachable"  # no connection was made: nothing written
     UNSENT = "unsent"  # given up before anything was written
     BROKEN = "broken"  # the connection ended after writing began, or what came was no response
-    GIVEN_UP = "given-up"  # called off by us after writing began
+    CANCELLED = "given-up"  # called off by us after writing began
 
 
-Done = Callable[["Call", Ending, Response | None], None]
+OnDone = Callable[["Call", CallOutcome, Response | None], None]
 
 
 class Call:
     """One request under way; `done` is called exactly once."""
 
-    __slots__ = ("_begun", "_done", "_paused", "_resumed", "_task", "_written", "data", "on_piece", "reason", "tag")
-
-    def __init__(self, data: bytes, done: Done, tag: Any, on_piece: Callable[[bytes], None] | None = None) -> None:
-        self.data, self._done, self.tag = data, done, tag
-        self.on_piece = on_piece  # takes a streamed answer's body as it comes
+    __slots__ = (
+        "_on_done",
+        "_paused",
+        "_resumed",
+        "_started",
+        "_task",
+        "_written",
+        "data",
+        "on_chunk",
+        "reason",
+        "tag",
+    )
+
+    def __init__(self, data: bytes, on_done: OnDone, tag: Any, on_chunk: Callable[[bytes], None] | None = None) -> None:
+        self.data, self._on_done, self.tag = data, on_done, tag
+        self.on_chunk = on_chunk  # takes a streamed answer's body as it comes
         self._paused, self._resumed = False, None
         self.reason = ""
-        self._written = self._begun = False
+        self._written = self._started = False
         self._task: asyncio.Task[None] | None = None
 
     _resumed: asyncio.Future[None] | None
@@ -64,28 +75,28 @@
         """Whether the first byte may have been written."""
         return self._written
 
-    def give_up(self, reason: str) -> None:
+    def cancel(self, reason: str) -> None:
         """Call it off; HTTP/1.1 has no other way than to close the connection."""
         self.reason = self.reason or reason
-        if self._begun and self._task is not None:
+        if self._started and self._task is not None:
             self._task.cancel()
 
-    def _end(self, ending: Ending, response: Response | None = None) -> None:
-        done, self._done = self._done, _nobody
+    def _finish(self, ending: CallOutcome, response: Response | None = None) -> None:
+        done, self._on_done = self._on_done, _ignore
         done(self, ending, response)
 
 
-def _nobody(call: Call, ending: Ending, response: Response | None) -> None:
+def _ignore(call: Call, ending: CallOutcome, response: Response | None) -> None:
     """Stands in for `done` once it was called."""
 
 
-class _Link:
+class _PooledConnection:
     """One open connection and its parser."""
 
-    __slots__ = ("buffer", "reader", "used", "wire")
+    __slots__ = ("buffer", "idle_since", "reader", "transport")
 
     def __init__(self, wire: Transport, answer_bytes: int) -> None:
-        self.wire, self.reader, self.used = wire, ResponseReader(answer_bytes), 0.0
+        self.transport, self.reader, self.idle_since = wire, ResponseReader(answer_bytes), 0.0
         self.buffer = bytearray(BUFFER)
 
 
@@ -95,7 +106,7 @@
     def __init__(
         self,
         address: str,
-        most: int,
+        max_connections: int,
         connect_ms: float,
         idle_ms: float,
         answer_bytes: int,
@@ -103,43 +114,52 @@
     ) -> None:
         host, _, port = address.rpartition(":")
         self.address, self._where = address, (host.strip("[]"), int(port))
-        self._most, self._connect_ms, self._idle_ms, self._answer_bytes = (most, connect_ms, idle_ms, answer_bytes)
+        self._max_connections, self._connect_ms, self._idle_ms, self._answer_bytes = (
+            max_connections,
+            connect_ms,
+            idle_ms,
+            answer_bytes,
+        )
         self._loop, self._tls = asyncio.get_running_loop(), tls
-        self._idle: list[_Link] = []
+        self._idle: list[_PooledConnection] = []
         self._waiting: deque[asyncio.Future[None]] = deque()
         self._closed = False
-        self.open = 0
-        self.made = self.stray = 0  # connections made; ones found with bytes that nobody had asked for
+        self.open_connections = 0
+        self.connections_made = self.unexpected_data = (
+            0  # connections made; ones found with bytes that nobody had asked for
+        )
         self._calls: set[Call] = set()
 
     @property
-    def calls(self) -> int:
+    def calls_in_flight(self) -> int:
         """Calls under way."""
         return len(self._calls)
 
-    def start(self, data: bytes, done: Done, tag: Any = None, on_piece: Callable[[bytes], None] | None = None) -> Call:
+    def start(
+        self, data: bytes, on_done: OnDone, tag: Any = None, on_chunk: Callable[[bytes], None] | None = None
+    ) -> Call:
         """Begin a call; `done` comes later, never from within."""
-        call = Call(data, done, tag, on_piece)
+        call = Call(data, on_done, tag, on_chunk)
         self._calls.add(call)
         call._task = self._loop.create_task(self._run(call))
         return call
 
     async def _run(self, call: Call) -> None:
-        link: _Link | None = None
-        ending, response = Ending.BROKEN, None
-        call._begun = True
+        link: _PooledConnection | None = None
+        ending, response = CallOutcome.BROKEN, None
+        call._started = True
         try:
             if call.reason:  # called off before it began
-                ending = Ending.UNSENT
+                ending = CallOutcome.UNSENT
                 return
-            link = await self._take()
+            link = await self._acquire()
             if link is None:
-                ending = Ending.UNREACHABLE
+                ending = CallOutcome.UNREACHABLE
                 return
             call._written = True
-            await link.wire.sendall(call.data)
-            receive, feed, buffer = link.wire.recv_into, link.reader.feed, link.buffer
-            link.reader.on_piece = call.on_piece
+            await link.transport.sendall(call.data)
+            receive, feed, buffer = link.transport.recv_into, link.reader.feed, link.buffer
+            link.reader.on_chunk = call.on_chunk
             while response is None:
                 if call._paused:
                     call._resumed = self._loop.create_future()
@@ -149,36 +169,36 @@
                     return
                 with memoryview(buffer) as view:
                     response = feed(view[:count])
-            ending = Ending.ANSWERED
+            ending = CallOutcome.ANSWERED
         except asyncio.CancelledError:
-            ending = Ending.GIVEN_UP if call._written else Ending.UNSENT
+            ending = CallOutcome.CANCELLED if call._written else CallOutcome.UNSENT
         except TimeoutError:  # no turn within the cap; once written, the transport's own time-out
-            ending = Ending.BROKEN if call._written else Ending.UNSENT
+            ending = CallOutcome.BROKEN if call._written else CallOutcome.UNSENT
         except (OSError, HttpError):
-            ending = Ending.BROKEN
+            ending = CallOutcome.BROKEN
         finally:
             self._calls.discard(call)
             if link is not None:
-                link.reader.on_piece = None
+                link.reader.on_chunk = None
             if link is not None:
-                self._give_back(
+                self._release(
                     link,
-                    ending is Ending.ANSWERED
+                    ending is CallOutcome.ANSWERED
                     and response is not None
                     and response.keep_alive
-                    and not link.reader.extra,
+                    and not link.reader.unexpected_data,
                 )
-            call._end(ending, response)
+            call._finish(ending, response)
 
-    async def _take(self) -> _Link | None:
+    async def _acquire(self) -> _PooledConnection | None:
         """An open connection; None if none can be made.  Raises TimeoutError where the cap leaves no room."""
         while True:
             while self._idle:
                 link = self._idle.pop()
-                if self._sound(link):
+                if self._is_reusable(link):
                     return link
                 self._close(link)
-            if self.open < self._most:
+            if self.open_connections < self._max_connections:
                 return await self._connect()
             turn = self._loop.create_future()
             self._waiting.append(turn)
@@ -189,11 +209,11 @@
                 if turn in self._waiting:
                     self._waiting.remove(turn)
                 elif turn.done() and not turn.cancelled():
-                    self._pass_on()
+                    self._wake_next_waiter()
                 raise
 
-    async def _connect(self) -> _Link | None:
-        self.open += 1
+    async def _connect(self) -> _PooledConnection | None:
+        self.open_connections += 1
         family = socket.AF_INET6 if ":" in self._where[0] else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM)
         try:
@@ -207,50 +227,50 @@
                     await secure.handshake(self._connect_ms)
         except BaseException as cause:
             sock.close()
-            self.open -= 1
-            self._pass_on()
+            self.open_connections -= 1
+            self._wake_next_waiter()
             if isinstance(cause, OSError):  # TimeoutError is one
                 return None
             raise
-        self.made += 1
-        return _Link(wire, self._answer_bytes)
+        self.connections_made += 1
+        return _PooledConnection(wire, self._answer_bytes)
 
-    def _sound(self, link: _Link) -> bool:
+    def _is_reusable(self, link: _PooledConnection) -> bool:
         """Whether an idle connection still stands with nothing to read.
 
         Guards against a send on a connection that the worker has closed: that would be no proof that it never
         ran.  Bytes that nobody asked for are a second answer to the send before.
         """
-        quiet = link.wire.quiet()
-        self.stray += quiet is None
-        return quiet is True
+        state = link.transport.probe_idle()
+        self.unexpected_data += state is IdleState.UNEXPECTED_DATA
+        return state is IdleState.IDLE
 
-    def _give_back(self, link: _Link, sound: bool) -> None:
+    def _release(self, link: _PooledConnection, sound: bool) -> None:
         if not sound or self._closed:
-            if link.reader.extra:
-                self.stray += 1
+            if link.reader.unexpected_data:
+                self.unexpected_data += 1
             self._close(link)
             return
-        link.used = self._loop.time()
+        link.idle_since = self._loop.time()
         self._idle.append(link)
-        self._pass_on()
+        self._wake_next_waiter()
 
-    def _close(self, link: _Link) -> None:
-        link.wire.close()
-        self.open -= 1
-        self._pass_on()
+    def _close(self, link: _PooledConnection) -> None:
+        link.transport.close()
+        self.open_connections -= 1
+        self._wake_next_waiter()
 
-    def _pass_on(self) -> None:
+    def _wake_next_waiter(self) -> None:
         while self._waiting:
             turn = self._waiting.popleft()
             if not turn.done():
                 turn.set_result(None)
                 return
 
-    def sweep(self) -> None:
+    def close_idle(self) -> None:
         """Close connections that have lain idle too long."""
         before = self._loop.time() - self._idle_ms / 1000
-        while self._idle and self._idle[0].used < before:
+        while self._idle and self._idle[0].idle_since < before:
             self._close(self._idle.pop(0))
 
     def close(self) -> None:
--- a/kelptrail/net/server.py
+++ b/kelptrail/net/server.py
@@ -54,14 +54,24 @@
 class Exchange:
     """One request's place in its connection's order of replies."""
 
-    __slots__ = ("_connection", "_waits_room", "data", "flows", "gone", "keep", "on_gone", "on_room", "request")
-
-    def __init__(self, connection: Connection, request: Request | None) -> None:
+    __slots__ = (
+        "_awaits_room",
+        "_connection",
+        "client_gone",
+        "data",
+        "keep_alive",
+        "on_client_gone",
+        "on_writable",
+        "request",
+        "streaming",
+    )
+
+    def __init__(self, connection: HttpConnection, request: Request | None) -> None:
         self._connection, self.request = connection, request
         self.data: bytes | None = None
-        self.gone = self.keep = self.flows = self._waits_room = False
-        self.on_gone: Callable[[], None] | None = None
-        self.on_room: Callable[[], None] | None = None
+        self.client_gone = self.keep_alive = self.streaming = self._awaits_room = False
+        self.on_client_gone: Callable[[], None] | None = None
+        self.on_writable: Callable[[], None] | None = None
 
     @property
     def replied(self) -> bool:
@@ -87,72 +97,74 @@
         content_type: str = "application/json",
     ) -> bool:
         """Give the reply; False where the client has gone or one was given already."""
-        if self.data is not None or self.gone:
+        if self.data is not None or self.client_gone:
             return False
         request = self.request
-        self.keep = request is not None and request.keep_alive and not close and not self._connection.ends_with(self)
-        self.on_gone = None
-        self.data = encode_response(status, body, headers, self.keep, content_type)
+        self.keep_alive = (
+            request is not None and request.keep_alive and not close and not self._connection.ends_with(self)
+        )
+        self.on_client_gone = None
+        self.data = encode_response(status, body, headers, self.keep_alive, content_type)
         self._connection.owes(len(self.data))
         self._connection.ready()
         return True
 
-    def raw(self, data: bytes) -> bool:
+    def reply_encoded(self, data: bytes) -> bool:
         """Give the reply as bytes made elsewhere."""
-        if self.data is not None or self.gone:
+        if self.data is not None or self.client_gone:
             return False
-        self.on_gone, self.data = None, data
-        self.keep = self.request is not None and self.request.keep_alive
+        self.on_client_gone, self.data = None, data
+        self.keep_alive = self.request is not None and self.request.keep_alive
         self._connection.owes(len(data))
         self._connection.ready()
         return True
 
-    def begin(self, status: int, headers: dict[str, str] | None, content_type: str) -> bool:
+    def start_stream(self, status: int, headers: dict[str, str] | None, content_type: str) -> bool:
         """Begin a reply whose body comes in pieces; False where the client has gone or one was given already."""
-        if self.data is not None or self.gone:
+        if self.data is not None or self.client_gone:
             return False
         request = self.request
-        self.keep = request is not None and request.keep_alive and not self._connection.closing
-        self.flows, self.data = True, b""
-        self._give(encode_head(status, headers, content_type, self.keep))
+        self.keep_alive = request is not None and request.keep_alive and not self._connection.closing
+        self.streaming, self.data = True, b""
+        self._append(encode_head(status, headers, content_type, self.keep_alive))
         return True
 
-    def piece(self, data: bytes) -> bool:
+    def write_chunk(self, data: bytes) -> bool:
         """Go on with the body; False where the client has gone."""
-        if not self.flows or self.gone:
+        if not self.streaming or self.client_gone:
             return False
         if data:
-            self._give(encode_chunk(data))
+            self._append(encode_chunk(data))
         return True
 
-    def end(self) -> None:
+    def end_stream(self) -> None:
         """The body is whole."""
-        if self.flows and not self.gone:
-            self.on_gone = self.on_room = None
-            self.flows = False
-            self._give(encode_chunk(b""))
+        if self.streaming and not self.client_gone:
+            self.on_client_gone = self.on_writable = None
+            self.streaming = False
+            self._append(encode_chunk(b""))
 
-    def _give(self, data: bytes) -> None:
+    def _append(self, data: bytes) -> None:
         self.data = (self.data or b"") + data
         self._connection.owes(len(data))
         self._connection.ready()
 
     @property
-    def room(self) -> bool:
+    def can_write(self) -> bool:
         """Whether more may be given without holding too much for a slow reader."""
         if self._connection.owed < LARGEST_BUFFER:
             return True
-        self._waits_room = True
+        self._awaits_room = True
         return False
 
-    def has_room(self) -> None:
+    def on_written(self) -> None:
         """Told by the connection once something was written."""
-        if self._waits_room and self._connection.owed < LARGEST_BUFFER // 2:
-            self._waits_room = False
-            if self.on_room is not None:
-                self.on_room()
+        if self._awaits_room and self._connection.owed < LARGEST_BUFFER // 2:
+            self._awaits_room = False
+            if self.on_writable is not None:
+                self.on_writable()
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Close the connection without a reply."""
         self._connection.abort()
 
@@ -160,7 +172,7 @@
 Handler = Callable[[Request, Exchange], None]
 
 
-class Connection:
+class HttpConnection:
     """One client: a task that reads, a task that writes, the exchanges between them."""
 
     def __init__(self, server: HttpServer, wire: Transport, peer: str, identity: str = "") -> None:
@@ -192,7 +204,7 @@
     def owes(self, count: int) -> None:
         """So many bytes of replies more are to be written."""
         self.owed += count
-        self._server.owes(count)
+        self._server.add_unwritten(count)
 
     def ready(self) -> None:
         """Move replies that are due into the output."""
@@ -201,11 +213,11 @@
             first = self._exchanges[0]
             self._out += data
             moved = True
-            if first.flows:  # more of it comes before the next one's turn
+            if first.streaming:  # more of it comes before the next one's turn
                 first.data = b""
                 break
             self._exchanges.popleft()
-            if not first.keep:  # what came after it on this connection is not answered
+            if not first.keep_alive:  # what came after it on this connection is not answered
                 self._last = self.closing = True
                 self._leave()
         if self._eof and not self._exchanges:
@@ -226,10 +238,10 @@
         """Tell all that are in hand that the client has gone."""
         left, self._exchanges = list(self._exchanges), deque()
         for exchange in left:
-            if not exchange.replied or exchange.flows:
-                exchange.gone = True
-                if exchange.on_gone is not None:
-                    exchange.on_gone()
+            if not exchange.replied or exchange.streaming:
+                exchange.client_gone = True
+                if exchange.on_client_gone is not None:
+                    exchange.on_client_gone()
 
     @property
     def partial(self) -> bool:
@@ -354,9 +366,9 @@
                 self.writing_since, self.idle_since = None, loop.time()
                 written = min(len(data), self.owed)  # interim answers are not counted
                 self.owed -= written
-                self._server.owed -= written
-                if self._exchanges and self._exchanges[0].flows:
-                    self._exchanges[0].has_room()
+                self._server.unwritten_bytes -= written
+                if self._exchanges and self._exchanges[0].streaming:
+                    self._exchanges[0].on_written()
                 if self._room is not None and not self._room.done():
                     self._room.set_result(None)
             await self._linger()
@@ -374,7 +386,7 @@
         """Close without a reset that would eat the reply: end our side, pass over what still comes."""
         self._tasks[0].cancel()
         await asyncio.gather(self._tasks[0], return_exceptions=True)
-        self._wire.end()
+        self._wire.shutdown_write()
         if self._eof:
             return
         scrap = bytearray(16_384)
@@ -391,35 +403,35 @@
         self,
         handler: Handler,
         limits: Limits | None = None,
-        note: Callable[..., None] | None = None,
+        log_event: Callable[..., None] | None = None,
         tls: Callable[[], ssl.SSLContext] | None = None,
-        who: Callable[[bytes | None], str] | None = None,
+        identify: Callable[[bytes | None], str] | None = None,
         pace: ConnectPace | None = None,
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self._tls, self._who = tls, who or (lambda _certificate: "")
+        self._tls, self._identify = tls, identify or (lambda _certificate: "")
         self._shaking = 0  # connections whose handshake is under way
         self._handshakes: set[asyncio.Task[None]] = set()
         self.limits = limits or Limits()
         self.handle = handler
-        self._note = note or (lambda *_args, **_fields: None)
-        self.door = Listener(self.loop, self._came, self._early, self._note, pace)
+        self._log_event = log_event or (lambda *_args, **_fields: None)
+        self.listener = Listener(self.loop, self._came, self._early, self._log_event, pace)
         self._tasks: list[asyncio.Task[Any]] = []
-        self._connections: dict[Connection, None] = {}
+        self._connections: dict[HttpConnection, None] = {}
         self.bytes_in = 0
-        self.turned_away = 0
-        self.owed = 0  # bytes of replies that clients have not read yet
-        self.cut = 0  # connections closed because these were too many
+        self.rejected_connections = 0
+        self.unwritten_bytes = 0  # bytes of replies that clients have not read yet
+        self.slow_readers_closed = 0  # connections closed because these were too many
         self.draining = False  # each reply closes its connection
         self.address = ""
 
-    def owes(self, count: int) -> None:
+    def add_unwritten(self, count: int) -> None:
         """Keep what is unread within its bound: whoever has read nothing for longest is cut, first come, first gone.
 
         Guards against many clients that ask for much and read slowly: each alone stays within its own limits.
         """
-        self.owed += count
-        while self.owed > self.limits.unread_bytes:
+        self.unwritten_bytes += count
+        while self.unwritten_bytes > self.limits.unread_bytes:
             slow = min(
                 (c for c in self._connections if c.writing_since is not None and c.owed),
                 key=lambda c: c.writing_since or 0.0,
@@ -427,24 +439,24 @@
             )
             if slow is None:
                 return
-            self._note("slow-reader-cut", peer=slow.peer, bytes=slow.owed)
-            self.cut += 1
-            self.owed, slow.owed = self.owed - slow.owed, 0
+            self._log_event("slow-reader-cut", peer=slow.peer, bytes=slow.owed)
+            self.slow_readers_closed += 1
+            self.unwritten_bytes, slow.owed = self.unwritten_bytes - slow.owed, 0
             slow.abort()
 
     @property
     def accept_delay_ms(self) -> float:
         """How long each that connects is left waiting; stand-ins only."""
-        return self.door.delay_ms
+        return self.listener.accept_delay_ms
 
     @accept_delay_ms.setter
     def accept_delay_ms(self, delay_ms: float) -> None:
-        self.door.delay_ms = delay_ms
+        self.listener.accept_delay_ms = delay_ms
 
     @property
-    def early(self) -> int:
+    def rejected_by_pace(self) -> int:
         """How many connected faster than the pace and were told to come back."""
-        return self.door.early
+        return self.listener.rejected_by_pace
 
     @property
     def connections(self) -> int:
@@ -456,13 +468,13 @@
         """Whether any connection has a request in hand."""
         return any(connection.busy for connection in self._connections)
 
-    def listen(self, host: str, port: int, shared: bool = False, backlog: int = 1024) -> int:
+    def listen(self, host: str, port: int, reuse_port: bool = False, backlog: int = 1024) -> int:
         """Listen; returns the port (port 0: a free one).  `shared`: others may listen on it too."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            if shared:
+            if reuse_port:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             sock.setblocking(False)
             sock.bind((host, port))
@@ -470,7 +482,7 @@
         except OSError:
             sock.close()
             raise
-        self.door.open(sock)
+        self.listener.add_socket(sock)
         if not self._tasks:
             self._tasks.append(self.loop.create_task(self._sweep()))
         bound = int(sock.getsockname()[1])
@@ -480,16 +492,16 @@
     def _came(self, client: socket.socket, peer: str) -> None:
         """Somebody has connected."""
         if len(self._connections) + self._shaking >= self.limits.connections:
-            self.turned_away += 1
-            self._note("connection-turned-away", open=len(self._connections))
-            self.door.refuse(client, TOO_MANY)
+            self.rejected_connections += 1
+            self._log_event("connection-turned-away", open=len(self._connections))
+            self.listener.reject(client, TOO_MANY)
             return
         self._welcome(client, peer)
 
     def _early(self, client: socket.socket, peer: str, back_ms: float) -> None:
         """Somebody connects faster than the pace: told at once when to come back.  Over TLS it is only closed."""
         body = b'{"error":"Too many connect at once; come back later.","code":"503"}'
-        self.door.refuse(
+        self.listener.reject(
             client,
             b""
             if self._tls is not None
@@ -505,7 +517,7 @@
         client.setblocking(False)
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self._tls is None:
-            self._connections[Connection(self, Transport(self.loop, client), peer)] = None
+            self._connections[HttpConnection(self, Transport(self.loop, client), peer)] = None
             return
         self._shaking += 1
         task = self.loop.create_task(self._shake(client, peer, self._tls()))
@@ -517,12 +529,12 @@
         try:
             await wire.handshake(self.limits.read_ms)
         except (ssl.SSLError, OSError) as cause:
-            self._note("handshake-failed", peer=peer, reason=str(cause) or type(cause).__name__)
+            self._log_event("handshake-failed", peer=peer, reason=str(cause) or type(cause).__name__)
             wire.close()
             return
         finally:
             self._shaking -= 1
-        self._connections[Connection(self, wire, peer, self._who(wire.certificate))] = None
+        self._connections[HttpConnection(self, wire, peer, self._identify(wire.certificate))] = None
 
     async def _sweep(self) -> None:
         """Time limits of all connections, four times a second."""
@@ -532,38 +544,38 @@
             for connection in list(self._connections):
                 writing, reading = connection.writing_since, connection.reading_since
                 if writing is not None and (now - writing) * 1000 > limits.write_ms:
-                    self._note("slow-reader", peer=connection.peer)
+                    self._log_event("slow-reader", peer=connection.peer)
                     connection.abort()
                 elif reading is not None and (now - reading) * 1000 > limits.read_ms:
-                    self._note("slow-request", peer=connection.peer)
+                    self._log_event("slow-request", peer=connection.peer)
                     connection.expire()
                 elif not connection.busy and (now - connection.idle_since) * 1000 > limits.idle_ms:
                     connection.finish()
 
     def refused(self, fault: HttpError, peer: str) -> None:
         """Note malformed input."""
-        self._note("bad-request", status=fault.status, reason=str(fault), peer=peer)
+        self._log_event("bad-request", status=fault.status, reason=str(fault), peer=peer)
 
     def failed(self, cause: Exception) -> None:
         """Note a fault of ours."""
-        self._note("handler-failed", reason=f"{type(cause).__name__}: {cause}")
+        self._log_event("handler-failed", reason=f"{type(cause).__name__}: {cause}")
 
-    def closed(self, connection: Connection) -> None:
+    def closed(self, connection: HttpConnection) -> None:
         """Forget a connection."""
         self._connections.pop(connection, None)
-        self.owed, connection.owed = self.owed - connection.owed, 0
+        self.unwritten_bytes, connection.owed = self.unwritten_bytes - connection.owed, 0
 
     def stop_listening(self) -> None:
         """Accept nothing more; open connections go on."""
         for task in self._tasks:
             task.cancel()
         self._tasks.clear()
-        self.door.close()
+        self.listener.close()
 
-    def leave(self) -> None:
+    def start_draining(self) -> None:
         """Take in whoever has connected already, and nobody after; each reply closes its connection."""
         self.draining = True
-        self.door.close(self._welcome)
+        self.listener.close(self._welcome)
         self.stop_listening()
 
     def abort_all(self) -> None:
@@ -577,7 +589,7 @@
         Idle connections stay open for `linger_ms`: a request that was sent while we closed would be lost without
         an answer (RFC 9112 section 9.5).  Whatever comes on them is answered, and then they close.
         """
-        self.leave()
+        self.start_draining()
         end = self.loop.time() + within_ms / 1000
         lingers = self.loop.time() + min(linger_ms, within_ms) / 1000
         while self._connections and self.loop.time() < lingers:
--- a/kelptrail/net/tls.py
+++ b/kelptrail/net/tls.py
@@ -55,12 +55,12 @@
     """One side's context.  Raises `ValueError` at the first start where the files cannot be used."""
 
     def __init__(
-        self, files: TlsFiles, server_side: bool, alpn: list[str], log: Any, wall: Callable[[], float]
+        self, files: TlsFiles, server_side: bool, alpn: list[str], log: Any, wall_ms: Callable[[], float]
     ) -> None:
-        self._files, self._server_side, self._alpn, self._log, self._wall = files, server_side, alpn, log, wall
+        self._files, self._server_side, self._alpn, self._log, self._wall = files, server_side, alpn, log, wall_ms
         self._seen: tuple[tuple[str, int, int], ...] = ()
         self._expiry = Expiry(files.warn_days)
-        self.ends: float | None = None  # wall ms
+        self.expires_at: float | None = None  # wall ms
         self.names: list[str] = []
         self.loads = self.failures = 0
         self._seen = self._stamps()
@@ -70,7 +70,7 @@
         """The context in force."""
         return self._context
 
-    def look(self) -> None:
+    def reload_if_changed(self) -> None:
         """Take up changed files; tell of an end that is near."""
         stamps = self._stamps()
         if stamps != self._seen:
@@ -82,12 +82,12 @@
             except ValueError as cause:
                 self.failures += 1
                 self._log.error("tls-unusable", reason=str(cause))
-        if self.ends is not None and (left := self._expiry.due(self._wall(), self.ends)) is not None:
+        if self.expires_at is not None and (left := self._expiry.due(self._wall(), self.expires_at)) is not None:
             self._log.warning("certificate-ends", names=self.names, days=round(left, 1), ends=self._day())
 
     def status(self) -> dict[str, Any]:
         """What operators are shown; nothing of it is secret."""
-        left = (self.ends - self._wall()) / DAY_MS if self.ends is not None else None
+        left = (self.expires_at - self._wall()) / DAY_MS if self.expires_at is not None else None
         return {
             "names": self.names,
             "ends": self._day(),
@@ -97,7 +97,7 @@
         }
 
     def _day(self) -> str | None:
-        return datetime.fromtimestamp(self.ends / 1000, UTC).isoformat() if self.ends is not None else None
+        return datetime.fromtimestamp(self.expires_at / 1000, UTC).isoformat() if self.expires_at is not None else None
 
     def _stamps(self) -> tuple[tuple[str, int, int], ...]:
         out = []
@@ -122,7 +122,7 @@
                 context.load_cert_chain(files.certificate, files.key)
                 found = read_certificate(files.certificate.read_bytes())
                 self.names = names_in(found.public_bytes(Encoding.DER))
-                self.ends = found.not_valid_after_utc.timestamp() * 1000
+                self.expires_at = found.not_valid_after_utc.timestamp() * 1000
             if files.authority is not None:
                 context.load_verify_locations(files.authority)
         except (OSError, ssl.SSLError, AuthorityError) as cause:  # never the files' contents
--- a/kelptrail/net/transport.py
+++ b/kelptrail/net/transport.py
@@ -15,16 +15,25 @@
 import termios
 from array import array
 from collections.abc import Awaitable, Callable
+from enum import Enum
 from functools import partial
 from typing import Any
 
-from .errors import is_momentary
+from .errors import is_transient
 
 BUFFER = 65_536
 
 
+class IdleState(Enum):
+    """What a look at a connection on which no bytes are expected has found."""
+
+    IDLE = "idle"  # open, with nothing to read
+    CLOSED = "closed"  # the peer closed it, or it failed
+    UNEXPECTED_DATA = "unexpected-data"  # bytes arrived, or may have: the look itself failed transiently
+
+
 class Transport:
-    """A plain connection."""
+    """A plain TCP connection."""
 
     __slots__ = ("__weakref__", "recv_into", "sendall", "sock")
 
@@ -43,24 +52,23 @@
         """What ALPN settled (RFC 7301)."""
         return None
 
-    def quiet(self) -> bool | None:
-        """Of an idle connection: True where nothing came, False where it ended, None where something came unasked, or
-        may have come as the look failed for a moment."""
+    def probe_idle(self) -> IdleState:
+        """The state of a connection on which no bytes are expected; reads nothing from the socket's buffer."""
         try:
-            return None if self.sock.recv(1, socket.MSG_PEEK) else False
+            return IdleState.UNEXPECTED_DATA if self.sock.recv(1, socket.MSG_PEEK) else IdleState.CLOSED
         except BlockingIOError:
-            return True
+            return IdleState.IDLE
         except OSError as cause:
-            return None if is_momentary(cause) else False
+            return IdleState.UNEXPECTED_DATA if is_transient(cause) else IdleState.CLOSED
 
-    def unread(self) -> int:
+    def unread_bytes(self) -> int:
         """Bytes that came and were not read; 0 where that cannot be told."""
         count = array("i", [0])
         with contextlib.suppress(OSError, ValueError):
             fcntl.ioctl(self.sock.fileno(), termios.FIONREAD, count)
         return count[0]
 
-    def end(self) -> None:
+    def shutdown_write(self) -> None:
         """End our sending side."""
         self.sock.shutdown(socket.SHUT_WR)
 
@@ -154,24 +162,25 @@
         """What ALPN settled (RFC 7301)."""
         return self._tls.selected_alpn_protocol()
 
-    def quiet(self) -> bool | None:
-        """As a plain one; what only concerns TLS itself, such as new session tickets, is nothing."""
+    def probe_idle(self) -> IdleState:
+        """As on a plain connection, but reads and decrypts; records of TLS itself, such as new session tickets
+        (RFC 8446, section 4.6.1), leave it idle."""
         try:
             while True:
                 data = self.sock.recv(BUFFER)
                 if not data:
-                    return False
+                    return IdleState.CLOSED
                 self._in.write(data)
         except BlockingIOError:
             pass
         except OSError:
-            return False
+            return IdleState.CLOSED
         try:
-            return None if self._tls.read(1) else False
+            return IdleState.UNEXPECTED_DATA if self._tls.read(1) else IdleState.CLOSED
         except ssl.SSLWantReadError:
-            return True
+            return IdleState.IDLE
         except ssl.SSLError:
-            return False
+            return IdleState.CLOSED
 
     @property
     def version(self) -> str | None:
@@ -185,4 +194,4 @@
         with contextlib.suppress(OSError):
             if data := self._out.read():
                 self.sock.send(data)
-        super().end()
+        super().shutdown_write()
--- a/kelptrail/peers/driver.py
+++ b/kelptrail/peers/driver.py
@@ -59,7 +59,7 @@
         sock.listen(512)
         sock.setblocking(False)
         self.address = f"{host}:{sock.getsockname()[1]}"
-        self._door.open(sock)
+        self._door.add_socket(sock)
 
     def start(self) -> None:
         """Begin heartbeats."""
--- a/kelptrail/planner/driver.py
+++ b/kelptrail/planner/driver.py
@@ -104,7 +104,7 @@
         sock.listen(512)
         sock.setblocking(False)
         self.address = f"{self._options.host}:{sock.getsockname()[1]}"
-        self._door.open(sock)
+        self._door.add_socket(sock)
 
     def _came(self, sock: socket.socket, peer: str) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/kelptrail/platform/client_server.py
+++ b/kelptrail/platform/client_server.py
@@ -19,6 +19,7 @@
 from kelptrail.engine.invariants import Invariants, Violation
 from kelptrail.net.connection import Connection
 from kelptrail.net.listener import Listener
+from kelptrail.net.transport import IdleState
 
 from .close_reasons import CloseReason, RequestRefusal
 from .config import Sockets
@@ -159,7 +160,7 @@
         self._crowd: dict[Client, None] = {}  # those that came when there was no room
         self._longest_s = max(FIRST_MS, *sockets.longest_ms.values()) / 1000
         self._door = Listener(loop, self._came, _nobody, note)
-        self._door.has_room, self._door.on_shortage = self._has_room, self._make_room
+        self._door.has_capacity, self._door.on_descriptor_shortage = self._has_room, self._make_room
         self.ready = True
         self._refuses = False
 
@@ -177,7 +178,7 @@
         except OSError:
             sock.close()
             raise
-        self._door.open(sock)
+        self._door.add_socket(sock)
         return sock.getsockname()[1]
 
     def close(self) -> None:
@@ -189,7 +190,7 @@
     def shut(self) -> bool:
         """Let in who has connected, and nobody from then on: they try another dispatcher.  False while some who have
         connected cannot be let in: the door stays open for them."""
-        if not self._door.take_all():
+        if not self._door.accept_queued():
             return False
         self._door.close()
         return True
@@ -203,7 +204,7 @@
         for client in self._clients:
             for request in client.open.values():
                 self._invariants.violated(Violation.ENDED_OVER_REQUEST, request.id)
-            client.link.finish(within_ms)
+            client.link.close_gracefully(within_ms)
 
     @property
     def _clients(self) -> list[Client]:
@@ -219,15 +220,15 @@
         link = client.link
         if link.closed:
             return False
-        if link.unwritten and (self.time() - link.moved) * 1000 < STUCK_MS:
+        if link.has_pending_writes and (self.time() - link.last_write_progress) * 1000 < STUCK_MS:
             return True
-        return client.begun is not None or link.wire.quiet() is None
+        return client.begun is not None or link.transport.probe_idle() is IdleState.UNEXPECTED_DATA
 
     def go_away(self) -> None:
         """Ready no longer: tell all that are connected to ask for nothing new here."""
         self.ready = False
         for client in self._clients:
-            client.link.write(frames.frame(frames.GO_AWAY, 0))
+            client.link.write(frames.encode_frame(frames.GO_AWAY, 0))
 
     def answer(self, request: ClientRequest, code: int, body: bytes = b"", later_ms: int = 0) -> None:
         """The one final answer of a request."""
@@ -237,7 +238,7 @@
         if client.open.pop(request.stream, None) is not None:
             request.answered = True
             self._bytes -= len(request.body)
-            client.link.write(frames.answer(request.stream, code, body, later_ms))
+            client.link.write(frames.encode_answer(request.stream, code, body, later_ms))
             if not client.open:
                 self._rest(client)
 
@@ -260,7 +261,7 @@
             if (
                 client.begun is not None
                 and ((now - client.heard) * 1000 > FIRST_MS or (now - client.begun > self._longest_s))
-                and client.link.wire.quiet() is not None
+                and client.link.transport.probe_idle() is not IdleState.UNEXPECTED_DATA
             ):
                 if client in self._fresh:  # it never said a whole frame
                     self._drop(client, CloseReason.SILENT)
@@ -282,8 +283,8 @@
         elif kind == frames.CANCEL:
             if (request := client.open.get(stream)) is not None:
                 self._forget(request)
-        elif kind == frames.ASK_READY:
-            client.link.write(frames.ready(stream, self.ready))
+        elif kind == frames.READY_QUERY:
+            client.link.write(frames.encode_ready(stream, self.ready))
         else:
             raise FrameError(f"a frame of type {kind}", stream)
 
@@ -291,7 +292,7 @@
         """What came cannot be read: say so and close; nobody can tell any longer what belongs to what."""
         self._note("connection closed", reason=CloseReason.UNREADABLE.value, cause=cause, open=len(client.open))
         stream = cause.stream if cause.stream not in client.open else 0
-        client.link.write(frames.answer(stream, frames.FAILED))
+        client.link.write(frames.encode_answer(stream, frames.FAILED))
         self._leave(client)
 
     def gone(self, client: Client) -> None:
@@ -317,7 +318,7 @@
         if client.crowds:
             self._crowd[client] = None
         if not self.ready:
-            client.link.write(frames.frame(frames.GO_AWAY, 0))
+            client.link.write(frames.encode_frame(frames.GO_AWAY, 0))
 
     def _make_room(self) -> bool:
         """Close a connection that nobody waits on: one that was told why, one that said nothing, one that idles."""
@@ -335,7 +336,7 @@
         self._abandon(client)
         if not client.link.closed:
             self._leaving[client] = None
-            client.link.finish(LEAVE_MS)
+            client.link.close_gracefully(LEAVE_MS)
 
     def _request(self, client: Client, stream: int, payload: bytes) -> None:
         if not stream or stream in client.open:
@@ -344,7 +345,7 @@
             raise FrameError("more requests than a connection may have open", stream)
         told, at = frames.read_fields(payload)
         body = payload[at:]
-        if len(body) > frames.BODY:
+        if len(body) > frames.MAX_BODY_BYTES:
             raise FrameError("a body that is too long", stream)
         try:
             asked = ParsedRequest(told, self._types, self._longest, self._customers, self._most_mb)
@@ -352,11 +353,11 @@
                 raise UnusableError("the id of an open request")
         except UnusableError as cause:
             self._note("request failed", request=told.get("txn"), reason=RequestRefusal.UNUSABLE.value, cause=cause)
-            client.link.write(frames.answer(stream, frames.FAILED))
+            client.link.write(frames.encode_answer(stream, frames.FAILED))
             return
         if (refusal := self._refusal(client, body)) is not None:
             self._note("request refused", request=asked.id, reason=refusal.value)
-            client.link.write(frames.answer(stream, frames.REFUSED))
+            client.link.write(frames.encode_answer(stream, frames.REFUSED))
             client.since = self.time()
             return
         self._bytes += len(body)
@@ -406,7 +407,7 @@
         """Close at once."""
         for request in client.open.values():
             self._invariants.violated(Violation.CLOSED_OVER_REQUEST, request.id, reason=reason.value)
-        if client not in self._leaving and client.begun is None and client.link.wire.unread():
+        if client not in self._leaving and client.begun is None and client.link.transport.unread_bytes():
             self._invariants.violated(Violation.CLOSED_OVER_REQUEST, "not read", reason=reason.value)
         self._note("connection closed", reason=reason.value)
         self._abandon(client)
--- a/kelptrail/platform/config.py
+++ b/kelptrail/platform/config.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from kelptrail.codec.feed import Event, FeedError, read_known
+from kelptrail.codec.feed import EndpointEvent, FeedError, read_initial_events
 from kelptrail.engine.settings import MalformedError, SettingsObject
 from kelptrail.engine.settings import read_settings as read_settings
 
@@ -48,7 +48,7 @@
     descriptors: int  # that the process may hold
     memory_mb: float
     journal: tuple[str, int]
-    known: list[Event]
+    known: list[EndpointEvent]
     sockets: Sockets
     settings: dict[str, Any]
 
@@ -99,7 +99,7 @@
             limits.integer("sockets", 16),
             limits.number("memory_mb", 1),
             journal,
-            read_known(told.find("known"), sockets.zones, sockets.kinds),
+            read_initial_events(told.find("known"), sockets.zones, sockets.kinds),
             sockets,
             settings,
         )
--- a/kelptrail/platform/endpoint_watch.py
+++ b/kelptrail/platform/endpoint_watch.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from kelptrail.codec.feed import Event, FeedError, FeedReader, ask
+from kelptrail.codec.feed import EndpointEvent, FeedError, FeedReader, encode_poll
 from kelptrail.net.connection import Connection, connect
 
 SILENT_MS = 2_000.0  # two of the list's empty events are missing
@@ -87,7 +87,7 @@
         address: tuple[str, int],
         number: int,
         reader: Callable[[], FeedReader],
-        told: Callable[[Event], None],
+        told: Callable[[EndpointEvent], None],
         note: Callable[..., None],
     ) -> None:
         self._loop, self._address, self.new_reader, self._told, self._note = loop, address, reader, told, note
@@ -140,7 +140,7 @@
         """A connection is up."""
         self._keep()
         if watch.link is not None:
-            watch.link.write(ask(self.number))
+            watch.link.write(encode_poll(self.number))
         if watch is self._newest:
             self._wake_at(watch.since + self._patience_ms / 1000)
 
@@ -176,12 +176,12 @@
             self._loop.call_exception_handler({"message": "an event could not be taken in", "exception": cause})
             watch.fail()
 
-    def _take(self, event: Event) -> None:
+    def _take(self, event: EndpointEvent) -> None:
         if event.number <= self.number:
             return
         if event.records is None:
             raise FeedError("events are missing")
-        if event.number != self.number + 1 and not event.whole:
+        if event.number != self.number + 1 and not event.is_snapshot:
             raise FeedError(f"event {event.number} after {self.number}")
         self._told(event)
         self.number = event.number  # after it was taken in: one that fails is asked for again
--- a/kelptrail/platform/service.py
+++ b/kelptrail/platform/service.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from kelptrail.codec import frames
-from kelptrail.codec.feed import GONE, READY, Event, FeedReader, Record
-from kelptrail.codec.lines import Answer, call
+from kelptrail.codec.feed import GONE, READY, EndpointEvent, EndpointRecord, FeedReader
+from kelptrail.codec.lines import WorkerAnswer, encode_call
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, FinalStatus, LoadOrder, Request, Worker, WorkerState
 from kelptrail.dispatch.shutdown import ARRIVALS_MS, NOT_PLANNED, plan_shutdown
 from kelptrail.dispatch.timer_queue import TimerQueue
@@ -67,7 +67,7 @@
             sockets.idle_ms,
             sockets.streams,
             workers,
-            frames.BODY * 8,
+            frames.MAX_BODY_BYTES * 8,
             sockets.cancels,
             sockets.parallel,
             max(sockets.longest_ms.values()),
@@ -214,11 +214,11 @@
             )
             self._stir_soon()
 
-    def _ended(self, item: Item, status: AttemptStatus, answer: Answer | None) -> None:
+    def _ended(self, item: Item, status: AttemptStatus, answer: WorkerAnswer | None) -> None:
         now = self._now()
         self._counts[status.value] += 1
         if isinstance(item, LoadOrder):
-            units = answer.units if answer is not None else 0
+            units = answer.loaded_instances if answer is not None else 0
             self._host.on_load_report(now, item, status, units)
         else:
             over = item.request.final_status is not None
@@ -229,23 +229,23 @@
             ):
                 self._front.answer(request, frames.SERVED, answer.body)
                 over = True
-            said = answer or Answer("", "")
+            said = answer or WorkerAnswer("", "")
             report = (
                 None
-                if said.meter is None
+                if said.metrics is None
                 else [
-                    said.meter.get(name, said.meter.get("cpu", 0.0) if name == "util" else 0.0)
+                    said.metrics.get(name, said.metrics.get("cpu", 0.0) if name == "util" else 0.0)
                     for name in self._host.report_fields
                 ]
             )
             self._host.on_attempt_finished(
-                now, item, status, over, said.tell == "crashed", said.tell == "up", said.ahead, report
+                now, item, status, over, said.notice == "crashed", said.notice == "up", said.queue_ahead, report
             )
             if over:
                 self._take_back(item.request, WithdrawReason.FINISHED)
         self._stir_soon()
 
-    def _listed(self, event: Event) -> None:
+    def _listed(self, event: EndpointEvent) -> None:
         now = self._now()
         entries = [
             Endpoint(
@@ -254,14 +254,14 @@
                 r.kind,
                 r.cell,
                 STATES.get(r.state, WorkerState.DRAINING),
-                r.size,
+                r.capacity,
                 self._started_at(now, r),
             )
             for r in event.records or ()
         ]
         before = dict(self._host.workers)
         states = {id_: worker.state for id_, worker in before.items()}
-        restarted = self._host.on_endpoints(now, event.whole, entries)
+        restarted = self._host.on_endpoints(now, event.is_snapshot, entries)
         for record in event.records or ():
             self._addresses[record.id] = record.address, record.port
         for worker in {**before, **self._host.workers}.values():
@@ -285,7 +285,7 @@
         note("list", number=event.number, workers=len(self._host.workers), live=live)
         self._stir_soon()
 
-    def _started_at(self, now: float, record: Record) -> float | None:
+    def _started_at(self, now: float, record: EndpointRecord) -> float | None:
         """When a worker started; the same for the same word of the list, whatever the wall clock does in between."""
         if not record.started:
             return None
@@ -357,7 +357,7 @@
             return b""
         attempt.write_started_at = now
         self.invariants.attempt_begins(now, attempt, request.gone_ms, limit_ms)
-        return call(act.id, act.request_class.name, act.function.id, limit_ms, request.key, request.body)
+        return encode_call(act.id, act.request_class.name, act.function.id, limit_ms, request.key, request.body)
 
     def _final(self, act: Request) -> None:
         request = self._requests.pop(act, None)
--- a/kelptrail/platform/worker_connections.py
+++ b/kelptrail/platform/worker_connections.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from kelptrail.codec.lines import Answer, LineError, LineReader, cancel, load
+from kelptrail.codec.lines import LineError, LineReader, WorkerAnswer, encode_cancel, encode_load
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder
 from kelptrail.net.connection import Connection, PendingWrite, connect
 from kelptrail.net.errors import is_local_shortage
@@ -30,7 +30,7 @@
 UNSENT_IN_KERNEL = 16_384  # bytes that the kernel may hold unsent: what it holds can be neither changed nor taken back
 
 Item = Attempt | LoadOrder
-Ended = Callable[[Item, AttemptStatus, Answer | None], None]
+Ended = Callable[[Item, AttemptStatus, WorkerAnswer | None], None]
 Make = Callable[[], bytes]
 
 
@@ -128,12 +128,12 @@
                 self._loop.call_soon(self._owner.unsent, opened.item)
             return data
 
-        opened.piece = link.write_made(made, opened.size)
+        opened.piece = link.write_deferred(made, opened.size)
 
     def withdraw(self, id_: str) -> bool:
         """Take back what has not begun to leave."""
         piece = self.open[id_].piece
-        if piece is not None and self.link is not None and not self.link.withdraw(piece):
+        if piece is not None and self.link is not None and not self.link.cancel_unsent(piece):
             return False
         del self.open[id_]
         return True
@@ -145,9 +145,9 @@
         del self.open[id_]
         self.doubtful = True
         if self._owner.bounds.cancels and self.link is not None:
-            self.link.write(cancel(id_))
-            self.link.push()  # a further send, on a link that was written to before, must not overtake it
-            if self.link.unwritten and not self._owner.bounds.parallel:
+            self.link.write(encode_cancel(id_))
+            self.link.flush_now()  # a further send, on a link that was written to before, must not overtake it
+            if self.link.has_pending_writes and not self._owner.bounds.parallel:
                 self.close()  # the worker does not read: the end of its connection gives up what it was sent
         return True
 
@@ -197,7 +197,7 @@
                 if found is not None:  # else a second copy, a late one, or one that nobody asked for
                     self.used = self.heard  # a second copy comes soon, if one comes
                     self.spent[answer.id] = self.heard + self._owner.bounds.connect_ms / 1000
-                    self._owner.finished(found.item, WORDS.get(answer.word, AttemptStatus.CONNECTION_LOST), answer)
+                    self._owner.finished(found.item, WORDS.get(answer.status, AttemptStatus.CONNECTION_LOST), answer)
         except LineError as cause:
             self._owner.note("worker unreadable", worker=self._owner.id, cause=str(cause))
             self.close()
@@ -247,7 +247,7 @@
         """Carry out a hold order, if it may still leave once the connection takes it."""
         self._tags += 1
         tag = f"o{self._tags}"
-        data = load(tag, order.instance.function.id, order.count)
+        data = encode_load(tag, order.instance.function.id, order.count)
         self._start(tag, order, lambda: data if may_leave() else b"", len(data))
 
     def unsent(self, item: Item) -> None:
@@ -301,7 +301,7 @@
         for connection in list(self._connections):
             connection.close()
 
-    def finished(self, item: Item, status: AttemptStatus, answer: Answer | None) -> None:
+    def finished(self, item: Item, status: AttemptStatus, answer: WorkerAnswer | None) -> None:
         """Something open has ended."""
         del self._at[item]
         self._ended(item, status, answer)
--- a/kelptrail/service/front_addresses.py
+++ b/kelptrail/service/front_addresses.py
@@ -125,7 +125,7 @@
                     well = sight.is_healthy(now_ms())
                 self.vrrp.told("workers", bool(well))
             servers = self.servers()
-            away = sum(server.turned_away for server in servers)
+            away = sum(server.rejected_connections for server in servers)
             full = any(server.connections >= server.limits.connections for server in servers)
             self.vrrp.told("front", not full and away <= self._turned_away)
             self._turned_away = away
--- a/kelptrail/service/serve.py
+++ b/kelptrail/service/serve.py
@@ -86,7 +86,7 @@
 
 def _look(keepers: dict[str, CertificateReloader]) -> None:
     for keeper in keepers.values():
-        keeper.look()
+        keeper.reload_if_changed()
 
 
 class _Collector:
@@ -176,7 +176,7 @@
         made = HttpServer(
             handler, limits(deployment.front), log.warning, http_tls, callers.named, pace(deployment.front)
         )
-        made.door.on_connect = connected
+        made.listener.on_connect = connected
         return made
 
     def second_door() -> GrpcServer:
@@ -188,7 +188,7 @@
             callers.named,
             pace(deployment.inference),
         )
-        made.door.on_connect = connected
+        made.listener.on_connect = connected
         return made
 
     second = second_door()
@@ -365,7 +365,7 @@
     await stop.wait()
     log.info("draining", in_hand=gateway.in_flight, connections=server.connections)
     api.leaving = inference.leaving = True
-    second.leave()
+    second.start_draining()
     within = deployment.front.drain_ms
     end = now_ms() + within
     if trial is not None:
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -14,7 +14,7 @@
 
 import numpy as np
 
-from kelptrail.codec.infer import Answer
+from kelptrail.codec.infer import WorkerAnswer
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder
 from kelptrail.fault_scenario.report import world_of
 from kelptrail.fault_scenario.scenario import (
@@ -202,7 +202,7 @@
             self._wake, self._wake_at = None, float("inf")
             self.stir()
 
-    def _answered(self, start: int, send: Attempt, outcome: AttemptStatus, answer: Answer | None) -> None:
+    def _answered(self, start: int, send: Attempt, outcome: AttemptStatus, answer: WorkerAnswer | None) -> None:
         if start == self.starts and self.up and send.status is None:
             self.gateway.on_attempt_finished(self._engine.now, send, outcome, answer)
             self.stir()
@@ -227,11 +227,11 @@
             else:
                 self._engine.after(2 * net, lambda: over(AttemptStatus.UNREACHABLE, None))
 
-        def back(outcome: AttemptStatus, answer: Answer | None) -> None:
+        def back(outcome: AttemptStatus, answer: WorkerAnswer | None) -> None:
             if send in self._open:
                 self._engine.after(net, over, outcome, answer)
 
-        def over(outcome: AttemptStatus, answer: Answer | None) -> None:
+        def over(outcome: AttemptStatus, answer: WorkerAnswer | None) -> None:
             if self.up and start == self.starts and send in self._open:
                 del self._open[send]
                 self.do(self._answered, start, send, outcome, answer)
@@ -246,7 +246,7 @@
                 ivk.action, ivk.mark, ivk.record.id, send.number, self.who, send.request.deadline - send.started_at, end
             )
 
-        def end(outcome: AttemptStatus, answer: Answer | None) -> None:
+        def end(outcome: AttemptStatus, answer: WorkerAnswer | None) -> None:
             assert not isinstance(worker, RemoteWorker)
             worker.out.pop(back, None)
             back(outcome, answer)
@@ -711,7 +711,7 @@
                 path, mark, activation, send, who, limit = rest[1:]
                 worker.out[reply] = None
 
-                def end(outcome: AttemptStatus, answer: Answer | None) -> None:
+                def end(outcome: AttemptStatus, answer: WorkerAnswer | None) -> None:
                     worker.out.pop(reply, None)
                     reply(outcome, answer)
 
@@ -881,7 +881,7 @@
     """A worker with the ends of its connections."""
 
     def __init__(self, *words: Any) -> None:
-        self.out: dict[Callable[[AttemptStatus, Answer | None], None], None] = {}
+        self.out: dict[Callable[[AttemptStatus, WorkerAnswer | None], None], None] = {}
         super().__init__(*words)
 
     def break_all(self) -> None:
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -15,14 +15,14 @@
 
 import numpy as np
 
-from kelptrail.codec.infer import Answer
+from kelptrail.codec.infer import WorkerAnswer
 from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.membership.members import Endpoint
 from kelptrail.settings.deployment import ActionSettings, Deployment, StoreSettings, TypeSettings
 
 from .event_queue import EventQueue
 
-Reply = Callable[[AttemptStatus, Answer | None], None]
+Reply = Callable[[AttemptStatus, WorkerAnswer | None], None]
 Note = Callable[..., None]
 
 
@@ -256,11 +256,11 @@
         fast = self.faults.get("fail-fast")
         kind = self.faults.get("fail-type")
         if (fast and self._chance.random() < fast.share) or (kind and model.type.name == kind.type):
-            reply(AttemptStatus.ERROR, Answer("error"))
+            reply(AttemptStatus.ERROR, WorkerAnswer("error"))
         elif not model.standing and not model.loading:
-            reply(AttemptStatus.NOT_LOADED, Answer("miss", report=self._report()))
+            reply(AttemptStatus.NOT_LOADED, WorkerAnswer("miss", report=self._report()))
         elif self.draining or len(self._queue) >= self._fleet.queue:
-            reply(AttemptStatus.OUT_OF_CAPACITY, Answer("full", report=self._report()))
+            reply(AttemptStatus.OUT_OF_CAPACITY, WorkerAnswer("full", report=self._report()))
         else:
             company = min(30, model.busy + len(model.waiting))
             model.waiting.append(
@@ -300,7 +300,7 @@
                 model.busy += 1
                 self._engine.after(self._work(model), self._worked, job, self._starts)
             else:
-                job.reply(AttemptStatus.ERROR, Answer("error"))
+                job.reply(AttemptStatus.ERROR, WorkerAnswer("error"))
 
     def _work(self, model: _Model) -> float:
         if not len(self._works):
@@ -342,7 +342,7 @@
             )
         lost = self.faults.get("answers-lost")
         if "silent" not in self.faults and not (lost and self._chance.random() < lost.share):
-            answer = Answer("completed", b"{}", True, False, job.found, job.company, self._report())
+            answer = WorkerAnswer("completed", b"{}", True, False, job.found, job.company, self._report())
             late = self.faults.get("answers-late")
             self._engine.after(late.ms if late else 0.0, job.reply, AttemptStatus.COMPLETED, answer)
         self._pump()
@@ -465,7 +465,7 @@
         if not model.standing and not model.loading:
             while model.waiting:
                 model.waiting.popleft().reply(
-                    AttemptStatus.NOT_LOADED, Answer("miss", load_failed=True, report=self._report())
+                    AttemptStatus.NOT_LOADED, WorkerAnswer("miss", load_failed=True, report=self._report())
                 )
         self._start_loads()
         self._pump()
--- a/kelptrail/vrrp/address.py
+++ b/kelptrail/vrrp/address.py
@@ -61,9 +61,9 @@
         server = self._make(self._handle)
         grpc = self._second() if self._second is not None and self._second_port else None
         try:
-            server.listen(self._host, self._port, shared=True)
+            server.listen(self._host, self._port, reuse_port=True)
             if grpc is not None:
-                grpc.listen(self._host, self._second_port, shared=True)
+                grpc.listen(self._host, self._second_port, reuse_port=True)
         except OSError as cause:
             server.stop_listening()
             self._log.warning("address-not-taken", address=f"{self._host}:{self._port}", reason=str(cause))
@@ -79,7 +79,7 @@
         server, self._server = self._server, None
         if server is not None:
             server.handle = self._moved
-            server.leave()  # at once: who connects from here on reaches whoever listens there now
+            server.start_draining()  # at once: who connects from here on reaches whoever listens there now
             if self._grpc is not None:
                 self._grpc.stop_listening()
             task = self._loop.create_task(self._leave(server, self._grpc, drain_ms))
--- a/tests/program.py
+++ b/tests/program.py
@@ -134,24 +134,24 @@
         model, tensors = request.segments[2], infer.parameters.get("form") == "tensors"
 
         async def flow() -> None:
-            exchange.begin(200, None, "text/event-stream")
+            exchange.start_stream(200, None, "text/event-stream")
             for n in range(count):
                 if tensors:
                     out = [JsonTensor("out", "INT32", [1], [n]), JsonTensor("pad", "BYTES", [1], ["x" * pad])]
                     data = tensors_answer(model, infer.id, out, part=n)
                 else:
                     data = infer_answer(model, infer.id, f'{{"part":{n}}}', True)
-                while not exchange.room and not exchange.gone:
+                while not exchange.can_write and not exchange.client_gone:
                     await asyncio.sleep(0.005)
-                worker.given += exchange.piece(encode_event(data))
+                worker.given += exchange.write_chunk(encode_event(data))
                 if gate is not None:
                     await gate.wait()
                 await asyncio.sleep(gap_s)
             if end == "final":
-                exchange.piece(encode_event(tensors_answer(model, infer.id, [], final=True, success=True)))
-                exchange.end()
+                exchange.write_chunk(encode_event(tensors_answer(model, infer.id, [], final=True, success=True)))
+                exchange.end_stream()
             elif end == "cut":
-                exchange.drop()
+                exchange.abort()
 
         worker.tasks.append(asyncio.get_running_loop().create_task(flow()))
 
@@ -169,7 +169,7 @@
 
 def reset(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
     """The connection breaks after the request was read."""
-    exchange.drop()
+    exchange.abort()
 
 
 class Dispatcher:
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -78,7 +78,7 @@
     assert reader.feed(b"HTTP/1.1 102 Processing\r\n\r\n") is None
     data = encode_response(200, b"{}", {"a": "b"})
     response = reader.feed(data + data)
-    assert response is not None and response.status == 200 and response.headers["a"] == "b" and reader.extra
+    assert response is not None and response.status == 200 and response.headers["a"] == "b" and reader.unexpected_data
     with pytest.raises(HttpError):
         ResponseReader(100).feed(b"garbage\r\n\r\n")
     with pytest.raises(HttpError):
@@ -103,7 +103,7 @@
     got = read_answer(
         respond(200, infer_answer("m 1", "mark", payload, True), {"endpoint-load-metrics": report}), "mark"
     )
-    assert (got.kind, got.result.decode(), got.found, got.company) == ("completed", payload, True, 3)
+    assert (got.kind, got.result.decode(), got.instance_loaded, got.other_instances) == ("completed", payload, True, 3)
     assert got.report == {"util": 0.5, "x1": 2.0, "x0": 0.25}
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,7 +21,7 @@
 from test_platform import CLASS, SETTINGS, Place, Runner, configuration, echo, event, run
 
 from kelptrail.codec import frames
-from kelptrail.codec.lines import call
+from kelptrail.codec.lines import encode_call
 from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.net.connection import connect
 from kelptrail.platform import service
@@ -61,7 +61,7 @@
         "item": f"{stream:016x}",
         "info": "memory_mb:512;lanes:2",
     } | other
-    return frames.frame(frames.REQUEST, stream, frames.fields(told) + body)
+    return frames.encode_frame(frames.REQUEST, stream, frames.encode_fields(told) + body)
 
 
 def read_all(sock: socket.socket, within: float = 3.0) -> list[tuple[int, int, bytes]]:
@@ -153,7 +153,7 @@
             sock = raw(place.port, SMALL)
             await until(lambda: len(place.service._front))
             (client,) = place.service._front._fresh
-            client.link.wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
+            client.link.transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
             sock.sendall(request(1))
             await until(lambda: len(runner.calls) and client.link._writing)
             began = time.monotonic()
@@ -405,7 +405,7 @@
 
     def send(self, id_: str, size: int = 16_000) -> Any:
         thing = Thing(id_)
-        data = call(id_, "t", "a" * 16, 1000, "", bytes(size))
+        data = encode_call(id_, "t", "a" * 16, 1000, "", bytes(size))
         self.links.send(thing, lambda: data, len(data))  # type: ignore[arg-type]
         return thing
 
@@ -420,7 +420,7 @@
         things = [self.send(f"{n:016x}") for n in range(count)]
         sock = await self.take()
         (connection,) = self.links._connections
-        await until(lambda: connection.link is not None and connection.link._waits)
+        await until(lambda: connection.link is not None and connection.link._awaits_writable)
         return sock, things
 
 
@@ -541,7 +541,7 @@
             sock.sendall(request(2, item=f"{0x7F3A9C21E0B4D655:016x}"))
             await until(lambda: held.waiting)
             if leaves == "cancel":
-                sock.sendall(frames.frame(frames.CANCEL, 2))
+                sock.sendall(frames.encode_frame(frames.CANCEL, 2))
             elif leaves == "half":
                 sock.shutdown(socket.SHUT_WR)
             else:
@@ -828,8 +828,8 @@
             sock = raw(place.port, SMALL)
             await until(lambda: len(place.service._front))
             (client,) = place.service._front._fresh
-            client.link.wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
-            sock.sendall(frames.frame(frames.ASK_READY, 7, b"\0") * 3000)
+            client.link.transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
+            sock.sendall(frames.encode_frame(frames.READY_QUERY, 7, b"\0") * 3000)
             await until(lambda: client.link._writing)
             sock.sendall(b"\0\0\0\2no")
             await until(lambda: client.link.closed, 2.5)
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -23,18 +23,18 @@
     pace, now, taken, told = ConnectPace(settings, seed), 0.0, 0, list[float]()
     for _ in range(3000):
         now += chance.expovariate(1 / 0.5)
-        back = pace.came(now)
+        back = pace.admit(now)
         taken += back is None
-        assert taken <= settings.at_once + settings.per_s * now / 1000 + 1
+        assert taken <= settings.burst + settings.per_s * now / 1000 + 1
         if back is not None:
-            assert 50 <= back <= settings.longest_ms
+            assert 50 <= back <= settings.max_delay_ms
             told.append(now + back)
     told.sort()
     # Those told fill half the pace; only at the bound do they bunch.
     for early, late in zip(told, told[100:], strict=False):
-        if late < now + settings.longest_ms * 0.7:
+        if late < now + settings.max_delay_ms * 0.7:
             assert 100 / max(1.0, late - early) * 1000 <= 0.8 * settings.per_s + 100
-    assert ConnectPace(PaceSettings(1, 0), 1).came(0) is None
+    assert ConnectPace(PaceSettings(1, 0), 1).admit(0) is None
 
 
 def test_who_connects_too_fast_is_told_when_to_come_back() -> None:
@@ -46,7 +46,7 @@
         server.listen("127.0.0.1", 0)
         replies = await asyncio.gather(*(exchange(server.address, CALL) for _ in range(40)))
         early = [r for r in replies if r.status == 503]
-        assert 25 <= len(early) == server.early <= 30 and all(not r.keep_alive for r in early)
+        assert 25 <= len(early) == server.rejected_by_pace <= 30 and all(not r.keep_alive for r in early)
         told = [float(r.headers["retry-after-ms"]) for r in early]
         assert len(set(told)) == len(told) and max(told) <= 3000, "each a time of its own"
         await asyncio.sleep(0.35)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -378,14 +378,14 @@
             await loop.sock_sendall(sock, ask)
             socks.append(sock)
             await asyncio.sleep(0.02)
-            most = max(most, server.owed)
+            most = max(most, server.unwritten_bytes)
         assert 3e6 < most <= 5e6, "filled, and bounded"
-        assert server.cut > 0 and "slow-reader-cut" in noted
+        assert server.slow_readers_closed > 0 and "slow-reader-cut" in noted
         assert (await exchange(server.address, encode_request("GET", "/", "x", b""))).status == 200
         for sock in socks:
             sock.close()
         await asyncio.sleep(0.2)
-        assert server.owed == 0, "nothing stays counted"
+        assert server.unwritten_bytes == 0, "nothing stays counted"
         await server.drain(0)
 
     run(main())
@@ -431,7 +431,7 @@
             answer(worker, request, exchange)
             return
         whole = encode_response(200, infer_answer("m", infer.id, payload, True))
-        exchange.keep = False
+        exchange.keep_alive = False
         exchange._connection._out += whole[:-7]
         exchange._connection._last = True
         exchange._connection._wake()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -7,7 +7,7 @@
 import pytest
 from program import DEPLOYMENT
 
-from kelptrail.codec.infer import Answer
+from kelptrail.codec.infer import WorkerAnswer
 from kelptrail.dispatch.entities import NEVER_RAN, Attempt, AttemptStatus, Idempotency, WorkerState
 from kelptrail.gateway.build import DispatcherParts
 from kelptrail.gateway.core import CancelAttempt, FinalAnswer, Gateway, Invocation, StartAttempt, StartLoad
@@ -58,7 +58,9 @@
             _, send, outcome = entry
             if send.status is None:
                 answer = (
-                    Answer("completed", b"{}", chance.random() < 0.9) if outcome is AttemptStatus.COMPLETED else None
+                    WorkerAnswer("completed", b"{}", chance.random() < 0.9)
+                    if outcome is AttemptStatus.COMPLETED
+                    else None
                 )
                 gateway.on_attempt_finished(now, send, outcome, answer)
         for due, order in [o for o in self.orders if o[0] <= now]:
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -32,12 +32,20 @@
     silent,
 )
 
-from kelptrail.codec.grpc import Code, GrpcError, MessageReader, encode_message, read_trailers, timeout_ms, trailers
+from kelptrail.codec.grpc import (
+    Code,
+    GrpcError,
+    MessageReader,
+    encode_message,
+    encode_trailers,
+    read_trailers,
+    timeout_ms,
+)
 from kelptrail.codec.tensors import KINDS, JsonTensor, TensorError, fill, to_json, values_of
 from kelptrail.front.inference import inference_pb2 as pb
 from kelptrail.front.inference.api import SERVICE
 from kelptrail.net.grpc_server import GrpcLimits, GrpcServer, GrpcStream
-from kelptrail.net.guard import Guard, GuardAction, GuardSettings, Stage
+from kelptrail.net.guard import CloseStage, FloodGuard, GuardAction, GuardSettings
 from kelptrail.settings.deployment import parse
 
 ROOT = Path(__file__).parent.parent
@@ -82,7 +90,7 @@
     for bad_text in ("", "S", "1", "123456789S", "-1S", "1x", "1.5S"):
         with pytest.raises(ValueError, match="grpc-timeout"):
             timeout_ms(bad_text)
-    headers = {k.decode(): v.decode() for k, v in trailers(Code.ABORTED, "100 % ñ\n", 1500.4, "R", {"a": "b"})}
+    headers = {k.decode(): v.decode() for k, v in encode_trailers(Code.ABORTED, "100 % ñ\n", 1500.4, "R", {"a": "b"})}
     assert read_trailers(headers) == (Code.ABORTED, "100 % ñ\n", 1500.0, "R", {"a": "b"})
 
 
@@ -183,16 +191,16 @@
 
 
 def test_budgets_fill_again_and_ages_come_in_steps() -> None:
-    guard = Guard(GuardSettings(10, 5.0, 1000.0, 300.0), 0.0, 0.5)
+    guard = FloodGuard(GuardSettings(10, 5.0, 1000.0, 300.0), 0.0, 0.5)
     assert [guard.spend(0.0, GuardAction.RESET) for _ in range(11)] == [True] * 10 + [False]
     assert guard.spend(0.0, GuardAction.PING), "each act has its own"
     assert guard.spend(1000.0, GuardAction.RESET)
-    assert guard.due(990.0, 3, 100.0) is None and guard.takes
-    assert guard.due(1000.0, 3, 100.0) is Stage.WARNED and guard.takes
+    assert guard.due(990.0, 3, 100.0) is None and guard.accepts_streams
+    assert guard.due(1000.0, 3, 100.0) is CloseStage.WARNED and guard.accepts_streams
     assert guard.due(1050.0, 3, 100.0) is None
-    assert guard.due(1100.0, 3, 100.0) is Stage.CLOSING and not guard.takes
-    assert guard.due(1200.0, 3, 100.0) is None and guard.due(1400.0, 3, 100.0) is Stage.OVER
-    ages = {Guard(GuardSettings(age_ms=1000.0), 0.0, s / 10)._old_at for s in range(10)}
+    assert guard.due(1100.0, 3, 100.0) is CloseStage.CLOSING and not guard.accepts_streams
+    assert guard.due(1200.0, 3, 100.0) is None and guard.due(1400.0, 3, 100.0) is CloseStage.CLOSED
+    ages = {FloodGuard(GuardSettings(age_ms=1000.0), 0.0, s / 10)._old_at for s in range(10)}
     assert len(ages) == 10 and min(ages) >= 900 and max(ages) <= 1100, "not all at once"
 
 
@@ -512,7 +520,7 @@
             reads = call.__aiter__()
             assert (await anext(reads)).infer_response.id == "1"
             await asyncio.sleep(0.7)
-            held, given = dispatcher.grpc.owed, worker.given
+            held, given = dispatcher.grpc.unwritten_bytes, worker.given
             assert held < 262_144 + 200_000, "20 MB are to come"
             assert given < 350, "the worker waits"
             await asyncio.sleep(0.3)
@@ -561,10 +569,10 @@
         client = Client(dispatcher.grpc.address)
 
         async def watch() -> int:
-            while dispatcher.grpc.streams < 1000:
+            while dispatcher.grpc.open_streams < 1000:
                 await asyncio.sleep(0.005)
             all_open.set()
-            return dispatcher.grpc.streams
+            return dispatcher.grpc.open_streams
 
         async def one(n: int) -> list[int]:
             out = []
@@ -575,7 +583,7 @@
 
         most, *done = await asyncio.gather(watch(), *(one(n) for n in range(1000)))
         assert done == [[0, 1, 2]] * 1000 and most == 1000
-        assert dispatcher.grpc.streams == 0 and dispatcher.grpc.owed == 0
+        assert dispatcher.grpc.open_streams == 0 and dispatcher.grpc.unwritten_bytes == 0
         await client.channel.close()
         await dispatcher.grpc.drain(0)
         await dispatcher.driver.drain(0)
@@ -682,9 +690,9 @@
             await raw.flush()
             gone = await raw.read(h2.events.ConnectionTerminated)
             assert gone is not None and gone.error_code == 11, kind
-            assert server.floods == 1 and ("flood" in [e for e, _ in log.lines])
+            assert server.floods_stopped == 1 and ("flood" in [e for e, _ in log.lines])
             await asyncio.sleep(0.1)
-            assert server.connections == 0 and server.streams == 0
+            assert server.connections == 0 and server.open_streams == 0
             raw.sock.close()
             await server.drain(0)
 
@@ -725,7 +733,7 @@
             await asyncio.sleep(0.005)
             sock.close()
         await asyncio.sleep(0.3)
-        assert server.connections == 0 and server.streams == 0 and server.partial == 0
+        assert server.connections == 0 and server.open_streams == 0 and server.partial_bytes == 0
         good = Raw(await connect(server.address))
         good.call(1)
         await good.flush()
@@ -774,9 +782,9 @@
         for raw in raws[:2]:
             raw.call(1, end=False, data=b"\0\0\0\3\xe8" + b"x" * 900)
             await raw.flush()
-        assert await raws[2].read(h2.events.ResponseReceived) is None and server.turned_away == 1
+        assert await raws[2].read(h2.events.ResponseReceived) is None and server.rejected_connections == 1
         headers = dict((await raws[1].read(h2.events.ResponseReceived)).headers)
-        assert headers["grpc-status"] == "8" and server.partial <= 1500
+        assert headers["grpc-status"] == "8" and server.partial_bytes <= 1500
         for raw in raws:
             raw.sock.close()
         await server.drain(0)
@@ -792,11 +800,15 @@
             raw.call(2 * n + 1)
         await raw.flush()
         await asyncio.sleep(0.3)
-        assert server.owed <= 2e6 and server.cut >= 10 and any(e == "slow-reader-cut" for e, _ in log.lines)
-        assert sum(s.ended for s in many) == server.cut
+        assert (
+            server.unwritten_bytes <= 2e6
+            and server.slow_readers_closed >= 10
+            and any(e == "slow-reader-cut" for e, _ in log.lines)
+        )
+        assert sum(s.ended for s in many) == server.slow_readers_closed
         raw.sock.close()
         await server.drain(0)
-        assert server.owed == 0
+        assert server.unwritten_bytes == 0
 
     run(main())
 
@@ -866,7 +878,11 @@
                     before = memory_mb()
             await asyncio.sleep(0.5)
             assert memory_mb() - before < 12, "1,500 more take no more"
-            assert dispatcher.grpc.connections == 0 and dispatcher.grpc.partial == 0 and dispatcher.grpc.owed == 0
+            assert (
+                dispatcher.grpc.connections == 0
+                and dispatcher.grpc.partial_bytes == 0
+                and dispatcher.grpc.unwritten_bytes == 0
+            )
             assert not any(event == "handler-failed" for event, _ in dispatcher.log.lines), dispatcher.log.lines[-3:]
             client = Client(dispatcher.grpc.address)
             assert (await client.infer("p/check", [tensor("INT8", [1])])).outputs
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -282,11 +282,11 @@
             if n == 3:  # a half-written file changes nothing
                 kept = (tmp_path / "front.pem").read_bytes()
                 (tmp_path / "front.pem").write_bytes(kept[:200])
-                keeper.look()
+                keeper.reload_if_changed()
                 (tmp_path / "front.pem").write_bytes(kept)
             else:
                 made.rotate("front", 20 + n, NOW)
-            keeper.look()
+            keeper.reload_if_changed()
         statuses = [s for task in tasks for s in await task]
         assert len(statuses) > 50 and set(statuses) == {200}
         assert keeper.loads >= 6 and keeper.failures == 1 and keeper.status()["ends"] != first["ends"]
@@ -308,7 +308,7 @@
     log = Silent()
     late = (NOW + timedelta(days=10)).timestamp() * 1000
     keeper = CertificateReloader(TlsFiles(tmp_path / "front.pem"), True, [], log, lambda: late)
-    keeper.look()
+    keeper.reload_if_changed()
     assert [event for event, _ in log.lines] == ["certificate-ends"] and keeper.status()["days_left"] < 11
     with pytest.raises(ValueError, match=r"nothing\.pem"):
         CertificateReloader(TlsFiles(tmp_path / "nothing.pem"), True, [], log, lambda: late)
@@ -382,7 +382,7 @@
         ),
     )
     parser = ResponseReader(1 << 20)
-    parser.on_piece = seen.extend
+    parser.on_chunk = seen.extend
     try:
         async with asyncio.timeout(5):
             while (response := parser.feed(bytes(buffer[: await loop.sock_recv_into(sock, buffer)]))) is None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -147,8 +147,8 @@
             "item": ITEM,
             "info": "memory_mb:512;lanes:2",
         } | other
-        fields = frames.fields({name: value for name, value in told.items() if value is not None})
-        self.writer.write(frames.frame(frames.REQUEST, stream, fields + body))
+        fields = frames.encode_fields({name: value for name, value in told.items() if value is not None})
+        self.writer.write(frames.encode_frame(frames.REQUEST, stream, fields + body))
 
     async def next(self, within: float = 3.0) -> tuple[int, int, bytes] | None:
         """The next frame; None at the end of the connection."""
@@ -181,7 +181,7 @@
     async def main() -> None:
         async with Place(Runner(echo)) as place:
             client, body = await place.client(), bytes(range(256)) * 8
-            client.writer.write(frames.frame(frames.ASK_READY, 7, b"\0"))
+            client.writer.write(frames.encode_frame(frames.READY_QUERY, 7, b"\0"))
             assert await client.next() == (frames.READY, 7, b"\0\0")
             client.ask(3, body)
             assert await client.next() == (frames.ANSWER, 3, b"\0\0" + body)
@@ -232,10 +232,10 @@
         struct.pack(">IBI", 60_000_000, 65, 1),
         struct.pack(">IBI", 0xFFFFFFFF, 65, 1),
         struct.pack(">IBI", 5, 66, 1),
-        frames.frame(65, 0, b"\0"),
-        frames.frame(65, 1, b"\5"),
-        frames.frame(65, 1, b"\1\1\xff\0\1a"),
-        frames.frame(65, 1, b"\0" + b"x" * 20_000),
+        frames.encode_frame(65, 0, b"\0"),
+        frames.encode_frame(65, 1, b"\5"),
+        frames.encode_frame(65, 1, b"\1\1\xff\0\1a"),
+        frames.encode_frame(65, 1, b"\0" + b"x" * 20_000),
     ],
 )
 def test_what_cannot_be_read_is_told_and_closed(bad: bytes) -> None:
@@ -504,7 +504,7 @@
     st.lists(st.integers(1, 60), min_size=1),
 )
 def test_frames_come_back_from_any_split(sent: list[tuple[int, dict[str, str], bytes]], cuts: list[int]) -> None:
-    data = b"".join(frames.frame(65, stream, frames.fields(told) + body) for stream, told, body in sent)
+    data = b"".join(frames.encode_frame(65, stream, frames.encode_fields(told) + body) for stream, told, body in sent)
     reader, found, at, n = frames.FrameReader(), [], 0, 0
     while at < len(data):
         reader.feed(data[at : at + cuts[n % len(cuts)]])
@@ -525,7 +525,7 @@
         at += step
         while (answer := reader.next()) is not None:
             found.append(answer)
-    assert [(a.ahead, len(a.body)) for a in found] == [(n, n) for n in range(30)] and not reader.partial
+    assert [(a.queue_ahead, len(a.body)) for a in found] == [(n, n) for n in range(30)] and not reader.partial
     for _ in range(2000):
         spoilt = bytearray(good[:200])
         for _ in range(chance.randrange(1, 6)):
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -25,8 +25,8 @@
     """Whether the dispatcher there says that it is ready."""
     with contextlib.suppress(OSError), socket.create_connection(address, 0.5) as sock:
         sock.settimeout(0.5)
-        sock.sendall(frames.frame(frames.ASK_READY, 1, b"\0"))
-        return sock.recv(100) == frames.ready(1, True)
+        sock.sendall(frames.encode_frame(frames.READY_QUERY, 1, b"\0"))
+        return sock.recv(100) == frames.encode_ready(1, True)
     return False
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -12,7 +12,7 @@
 from kelptrail.codec.infer import infer_answer, read_infer
 from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.membership.members import Endpoint
-from kelptrail.net.pool import Ending, WorkerPool
+from kelptrail.net.pool import CallOutcome, WorkerPool
 from kelptrail.net.server import Exchange
 
 EFFECTS = ("p/check", "activate", "grant")
@@ -122,7 +122,7 @@
     def twice(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
         infer, payload = read_infer(request.body)
         data = encode_response(200, infer_answer("m", infer.id, payload, True))
-        exchange.raw(data + data)
+        exchange.reply_encoded(data + data)
 
     def late(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
         infer, _ = read_infer(request.body)
@@ -197,7 +197,7 @@
             task.cancel()
             await asyncio.sleep(0.2)
             assert dispatcher.gateway.counts.outcomes == {AttemptStatus.CANCELLED: 1}
-            assert worker.exchanges[0].gone, "its connection is closed"
+            assert worker.exchanges[0].client_gone, "its connection is closed"
 
     run(main())
 
@@ -207,36 +207,36 @@
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        ends: list[Ending] = []
+        ends: list[CallOutcome] = []
         worker = ScriptedWorker("w", silent)
         pool = WorkerPool(worker.address, 2, 100.0, 1000.0, 1 << 16)
         data = b"GET /v2/x/load HTTP/1.1\r\nhost: x\r\n\r\n"
         worker.order = silent
         calls = [pool.start(data, lambda c, e, r: ends.append(e)) for _ in range(3)]
         calls.append(pool.start(data, lambda c, e, r: ends.append(e)))
-        calls[3].give_up("revoked")  # before it ever began
+        calls[3].cancel("revoked")  # before it ever began
         await asyncio.sleep(0.25)
-        assert ends == [Ending.UNSENT, Ending.UNSENT], "no turn within the cap; called off before it began"
-        calls[0].give_up("revoked")
-        calls[0].give_up("again")
+        assert ends == [CallOutcome.UNSENT, CallOutcome.UNSENT], "no turn within the cap; called off before it began"
+        calls[0].cancel("revoked")
+        calls[0].cancel("again")
         await asyncio.sleep(0.05)
-        assert ends[2:] == [Ending.GIVEN_UP] and calls[0].written
+        assert ends[2:] == [CallOutcome.CANCELLED] and calls[0].written
         worker.server.abort_all()
         await asyncio.sleep(0.05)
-        assert ends[3:] == [Ending.BROKEN] and pool.open == 0
+        assert ends[3:] == [CallOutcome.BROKEN] and pool.open_connections == 0
         worker.order = lambda w, request, exchange: exchange.reply(200, b"{}")
         pool.start(data, lambda c, e, r: ends.append(e))
         await asyncio.sleep(0.05)
-        assert ends[4:] == [Ending.ANSWERED] and pool.open == 1
+        assert ends[4:] == [CallOutcome.ANSWERED] and pool.open_connections == 1
         worker.server.abort_all()  # an idle connection closed by the worker is not used again
         await asyncio.sleep(0.05)
         pool.start(data, lambda c, e, r: ends.append(e))
         await asyncio.sleep(0.05)
-        assert ends[5:] == [Ending.ANSWERED] and pool.made == 4
+        assert ends[5:] == [CallOutcome.ANSWERED] and pool.connections_made == 4
         await worker.server.drain(0)
         pool.start(data, lambda c, e, r: ends.append(e))
         await asyncio.sleep(0.05)
-        assert ends[6:] == [Ending.UNREACHABLE]
+        assert ends[6:] == [CallOutcome.UNREACHABLE]
         mute = socket.socket()  # it listens, but its line is full
         mute.bind(("127.0.0.1", 0))
         mute.listen(0)
@@ -248,7 +248,7 @@
         began = loop.time()
         deaf.start(data, lambda c, e, r: ends.append(e))
         await asyncio.sleep(0.2)
-        assert ends[7:] == [Ending.UNREACHABLE] and loop.time() - began < 0.3
+        assert ends[7:] == [CallOutcome.UNREACHABLE] and loop.time() - began < 0.3
         for sock in [*fill, mute]:
             sock.close()
         pool.close()
@@ -263,7 +263,7 @@
         listener.bind(("127.0.0.1", 0))
         listener.listen(1)
         listener.setblocking(False)
-        ends: list[Ending] = []
+        ends: list[CallOutcome] = []
         pool = WorkerPool(f"127.0.0.1:{listener.getsockname()[1]}", 2, 500.0, 1000.0, 1 << 16)
         pool.start(b"x" * 20_000_000, lambda c, e, r: ends.append(e))
         sock, _ = await asyncio.get_running_loop().sock_accept(listener)
@@ -271,7 +271,7 @@
         assert not ends
         sock.close()
         await asyncio.sleep(0.1)
-        assert ends == [Ending.BROKEN]
+        assert ends == [CallOutcome.BROKEN]
         listener.close()
 
     run(main())
