--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -69,7 +69,7 @@
             (front_client,) = place.service._front._idle
             for each in (connection.link, front_client.link):
                 assert each is not None
-                each.wire.sock = Failing(each.wire.sock, "send", [code, code])  # type: ignore[assignment]
+                each.transport.sock = Failing(each.transport.sock, "send", [code, code])  # type: ignore[assignment]
             client.ask(2)
             assert await client.code() == frames.SERVED
             assert runner.connections == 1 and connection in worker_links._connections
@@ -100,8 +100,8 @@
 
 def worker_event(number: int, id_: int, started: int) -> Any:
     """An event that tells of one live worker, as the reader gives it."""
-    record = feed.Record(f"s-{id_:08x}", "127.0.0.1", 9, feed.READY, 0, 0, 0, 1.0, started)
-    return feed.Event(number, False, [record])
+    record = feed.EndpointRecord(f"s-{id_:08x}", "127.0.0.1", 9, feed.READY, 0, 0, 0, 1.0, started)
+    return feed.EndpointEvent(number, False, [record])
 
 
 def test_the_limit_passed_on_is_what_the_client_has_left_when_the_call_leaves(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -241,7 +241,7 @@
             assert await client.code() == frames.SERVED
             (mine,) = front._idle
             client.ask(2)  # written, and not yet read
-            mine.link.wire.sock = Failing(mine.link.wire.sock, "recv", [errno.ENOMEM])  # type: ignore[assignment]
+            mine.link.transport.sock = Failing(mine.link.transport.sock, "recv", [errno.ENOMEM])  # type: ignore[assignment]
             front._make_room()
             assert await client.code() == frames.SERVED
 
@@ -308,9 +308,9 @@
             front, slow = place.service._front, raw(place.port, SMALL)
             await until(lambda: len(front))
             (client,) = front._fresh
-            client.link.wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
+            client.link.transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
             slow.sendall(request(1))
-            await until(lambda: client in front._idle and client.link.unwritten)
+            await until(lambda: client in front._idle and client.link.has_pending_writes)
             front._make_room()
             slow.settimeout(3.0)
             found = await asyncio.to_thread(read_frame, slow)
--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -251,21 +251,23 @@
     advert_6 = vrrp_packet.Advertisement(52, 0, 4095, (ip_address("fe80::10"), ip_address("2001:db8::10")))
     packet = vrrp_packet.encode(advert, *V4)
     out = {
-        "line/call": lines.call("0" * 15 + "1", "t", ITEM, 1500, "", b"body\r\n"),
-        "line/call-with-key": lines.call("0" * 15 + "2", "k", ITEM, 1, "key-1", b""),
-        "line/cancel": lines.cancel("0" * 15 + "1"),
-        "line/load": lines.load("o3", ITEM, 2),
-        "line/load-asks": lines.load("o4", ITEM, 0),
-        "frame/request": frames.frame(frames.REQUEST, 3, frames.fields({"verb": "t", "txn": "é"}) + b"body"),
-        "frame/cancel": frames.frame(frames.CANCEL, 4),
-        "frame/ask-ready": frames.frame(frames.ASK_READY, 5, b"\0"),
-        "frame/go-away": frames.frame(frames.GO_AWAY, 0),
-        "frame/served": frames.answer(6, frames.SERVED, b"result"),
-        "frame/refused": frames.answer(7, frames.REFUSED, b"", 1234),
-        "frame/failed": frames.answer(8, frames.FAILED),
-        "frame/ready": frames.ready(9, True),
-        "frame/not-ready": frames.ready(10, False),
-        "feed/ask": feed.ask(77),
+        "line/call": lines.encode_call("0" * 15 + "1", "t", ITEM, 1500, "", b"body\r\n"),
+        "line/call-with-key": lines.encode_call("0" * 15 + "2", "k", ITEM, 1, "key-1", b""),
+        "line/cancel": lines.encode_cancel("0" * 15 + "1"),
+        "line/load": lines.encode_load("o3", ITEM, 2),
+        "line/load-asks": lines.encode_load("o4", ITEM, 0),
+        "frame/request": frames.encode_frame(
+            frames.REQUEST, 3, frames.encode_fields({"verb": "t", "txn": "é"}) + b"body"
+        ),
+        "frame/cancel": frames.encode_frame(frames.CANCEL, 4),
+        "frame/ask-ready": frames.encode_frame(frames.READY_QUERY, 5, b"\0"),
+        "frame/go-away": frames.encode_frame(frames.GO_AWAY, 0),
+        "frame/served": frames.encode_answer(6, frames.SERVED, b"result"),
+        "frame/refused": frames.encode_answer(7, frames.REFUSED, b"", 1234),
+        "frame/failed": frames.encode_answer(8, frames.FAILED),
+        "frame/ready": frames.encode_ready(9, True),
+        "frame/not-ready": frames.encode_ready(10, False),
+        "feed/ask": feed.encode_poll(77),
         "http/request": http.encode_request("POST", "/a?b=c", "h:1", b"{}", {"x-one": "1"}),
         "http/request-empty": http.encode_request("GET", "/", "h:2"),
         "http/response": http.encode_response(503, b'{"a":1}', {"retry-after": "2"}, False),
@@ -532,20 +534,20 @@
         writer.write(sent)
         while (found := ours.next()) is None:
             ours.feed(await reader.read(65536))
-        to_client.append(frames.frame(*found))
+        to_client.append(frames.encode_frame(*found))
 
     def request(stream: int, body: bytes, **other: str) -> bytes:
         said = {"verb": "t", "txn": f"{stream:016x}", "limit": "15000", "team": "acme", "item": ITEM}
         said |= {"info": "memory_mb:512;lanes:2"} | other
-        return frames.frame(frames.REQUEST, stream, frames.fields(said) + body)
+        return frames.encode_frame(frames.REQUEST, stream, frames.encode_fields(said) + body)
 
-    await answered(frames.frame(frames.ASK_READY, 7, b"\0"))
+    await answered(frames.encode_frame(frames.READY_QUERY, 7, b"\0"))
     await answered(request(3, b"hello\r\n"))
     await answered(request(4, b"", verb="k", unique="key-1"))
     await answered(request(5, b"", team="nobody"))
     writer.write(request(6, b"hang"))
     await hangs.wait()
-    writer.write(frames.frame(frames.CANCEL, 6))
+    writer.write(frames.encode_frame(frames.CANCEL, 6))
     await cancelled.wait()
     service.end()
     await answered(b"")
@@ -610,9 +612,9 @@
     source = EndpointService(Capture(None, "list"))
     errand = HttpClient(f"127.0.0.1:{source.server.listen('127.0.0.1', 0)}")
     for target, body in SOCKETS["told_to_list"]:
-        assert (await errand.ask("POST", target, body)).status == 200
+        assert (await errand.request("POST", target, body)).status == 200
     target = "/workers?who=d1/r1&at=10.0.1.1:8&channel=10.0.1.1:9&hall=south&known=&wait=0"
-    found = json.loads((await errand.ask("GET", target)).body)
+    found = json.loads((await errand.request("GET", target)).body)
     errand.close()
     source.server.stop_listening()
     found["lineage"] = "..."
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -242,7 +242,7 @@
             time.sleep(0.02)
         while len(os.listdir(f"/proc/{process.pid}/fd")) < 40 and len(clients) < 100:
             clients.append(raw(door))
-            clients[-1].sendall(frames.frame(frames.ASK_READY, 1, b"\0"))
+            clients[-1].sendall(frames.encode_frame(frames.READY_QUERY, 1, b"\0"))
         read_until(process, "accept-failed")
 
         async def main() -> None:
