--- a/bench/soak_mutants.py
+++ b/bench/soak_mutants.py
@@ -82,7 +82,7 @@
     Mutant(
         "a momentary failure of send ends the connection",
         "kelptrail/net/errors.py",
-        "    return cause.errno in MOMENTARY\n",
+        "    return cause.errno in TRANSIENT\n",
         "    return False\n",
     ),
     Mutant(
--- a/kelptrail/codec/events.py
+++ b/kelptrail/codec/events.py
@@ -1,7 +1,7 @@
-"""Server-sent events (WHATWG HTML, section 9.2), as far as streamed answers use them; free of I/O.
+"""Server-sent events (WHATWG HTML, section 9.2), as far as streamed responses use them; without I/O.
 
-A worker's streamed answer is a response of type `text/event-stream` whose events each hold one answer of the
-inference protocol; the last carries the parameter `final`.
+A worker's streamed response has the type `text/event-stream`.  Each event holds one response of the inference protocol;
+the last one carries the parameter `final`.
 """
 
 from __future__ import annotations
@@ -10,41 +10,41 @@
 
 
 class TooLongError(ValueError):
-    """An event over the bound."""
+    """An event is longer than the reader allows."""
 
 
 def encode_event(data: bytes, name: str = "") -> bytes:
-    """One event; data with line ends becomes several `data` lines."""
+    """One event; each line of `data` becomes a `data` line of its own."""
     head = f"event: {name}\n".encode() if name else b""
     return head + b"".join(b"data: " + line + b"\n" for line in data.split(b"\n")) + b"\n"
 
 
 class EventReader:
-    """Takes in bytes as they come; gives whole events' data.  Bounded: an event over `most` bytes is refused."""
+    """Parses a byte stream into events' data.  An event of more than `max_bytes` is rejected."""
 
-    def __init__(self, most: int) -> None:
-        self._most, self._buffer = most, bytearray()
+    def __init__(self, max_bytes: int) -> None:
+        self._max_bytes, self._buffer = max_bytes, bytearray()
 
     @property
     def partial(self) -> bool:
-        """Whether an event has begun and is not whole."""
+        """Whether the start of an event was read, but not its end."""
         return bool(self._buffer.strip())
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Whole events.  Raises `TooLongError`."""
+        """Add bytes; return the data of the events that are complete now.  Raises `TooLongError`."""
         self._buffer += data
         if b"\r" in self._buffer:
             self._buffer = self._buffer.replace(b"\r\n", b"\n")
-        out: list[bytes] = []
+        complete: list[bytes] = []
         at = 0
         while (end := self._buffer.find(b"\n\n", at)) >= 0:
             lines = bytes(self._buffer[at:end]).split(b"\n")
             at = end + 2
-            kept = [line[5:].removeprefix(b" ") for line in lines if line.startswith(b"data:")]
-            if kept:
-                out.append(b"\n".join(kept))
+            values = [line[5:].removeprefix(b" ") for line in lines if line.startswith(b"data:")]
+            if values:
+                complete.append(b"\n".join(values))
         if at:
             del self._buffer[:at]
-        if len(self._buffer) > self._most:
-            raise TooLongError(f"an event over {self._most} bytes")
-        return out
+        if len(self._buffer) > self._max_bytes:
+            raise TooLongError(f"an event over {self._max_bytes} bytes")
+        return complete
--- a/kelptrail/codec/feed.py
+++ b/kelptrail/codec/feed.py
@@ -1,4 +1,8 @@
-"""The numbered events of the platform's worker list, as frames and as JSON; free of I/O."""
+"""The numbered watch events of the platform's endpoint list, as binary frames and as JSON; without I/O.
+
+A frame is a length (4 bytes), an event number (8), a kind (1) and records of a fixed size; the length counts all that
+follows it.  Numbers are unsigned and big-endian.
+"""
 
 from __future__ import annotations
 
@@ -7,20 +11,20 @@
 from struct import Struct
 from typing import Any
 
-UNCHANGED, SNAPSHOT, CHANGES = 0, 1, 2
+UNCHANGED, SNAPSHOT, CHANGES = 0, 1, 2  # kinds of event
 _HEAD = Struct(">IQB")
 _RECORD = Struct(">I4sHBBBHIQ")
 _STATES = {"in_service": 0, "terminating": 1, "terminated": 2}
-READY, DRAINING, GONE = 0, 1, 2
+READY, DRAINING, GONE = 0, 1, 2  # states of a worker
 
 
 class FeedError(ValueError):
-    """Bytes or JSON that are no event."""
+    """Bytes or JSON that are not a valid watch event."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """A worker as an event tells of it; `started` is a Unix millisecond, 0 for long ago."""
+    """A worker as an event describes it; `started` is its start as Unix time in ms, 0 where it is long past."""
 
     id: str
     address: str
@@ -35,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEvent:
-    """One event: its number, and the whole list or what changed; None where there is nothing new."""
+    """One watch event: its number, and all records or the changed ones; None where nothing has changed."""
 
     number: int
     is_snapshot: bool
@@ -43,22 +47,26 @@
 
 
 class FeedReader:
-    """Takes in bytes as they come; hands out whole events."""
+    """Parses a byte stream into watch events.
+
+    `zones` and `kinds` are the numbers of known zones and worker kinds; a record with an index beyond them is an error.
+    `max_length` bounds an event's length field in bytes.
+    """
 
-    def __init__(self, zones: int, kinds: int, most: int = 4 << 20) -> None:
-        self._zones, self._kinds, self._most, self._buffer = zones, kinds, most, bytearray()
+    def __init__(self, zones: int, kinds: int, max_length: int = 4 << 20) -> None:
+        self._zones, self._kinds, self._max_length, self._buffer = zones, kinds, max_length, bytearray()
 
     def feed(self, data: memoryview | bytes) -> None:
-        """Take in bytes."""
+        """Add bytes that were received."""
         self._buffer += data
 
     def next(self) -> EndpointEvent | None:
-        """The next whole event, or None.  Raises `FeedError`."""
+        """The next complete event, or None.  Raises `FeedError`."""
         buffer = self._buffer
         if len(buffer) < 4:
             return None
         length = int.from_bytes(buffer[:4], "big")
-        if not 9 <= length <= self._most:
+        if not 9 <= length <= self._max_length:
             raise FeedError(f"an event of length {length}")
         if len(buffer) < 4 + length:
             return None
@@ -78,11 +86,11 @@
             )
 
 
-def read_initial_events(known: dict[str, Any], zones: list[str], kinds: list[str]) -> list[EndpointEvent]:
-    """The events that a configuration holds.  Raises `FeedError`."""
-    out = []
+def read_initial_events(configured: dict[str, Any], zones: list[str], kinds: list[str]) -> list[EndpointEvent]:
+    """The events that a configuration contains as its initial endpoint list.  Raises `FeedError`."""
+    events = []
     try:
-        for entry in known["entries"]:
+        for entry in configured["entries"]:
             records = []
             for at in entry["hosts"]["targets"]:
                 (address, _, port), size = at["endpoint"].rpartition(":"), float(at["capacity_hint"])
@@ -102,14 +110,14 @@
                         int(at["boot_ms"] or 0),
                     )
                 )
-            out.append(EndpointEvent(int(entry["pos"]), bool(entry["hosts"]["all"]), records))
+            events.append(EndpointEvent(int(entry["pos"]), bool(entry["hosts"]["all"]), records))
     except FeedError:
         raise
     except (KeyError, ValueError, TypeError, AttributeError, OverflowError) as cause:
         raise FeedError(f"known events that cannot be read: {type(cause).__name__}: {cause}") from None
-    return out
+    return events
 
 
 def encode_poll(number: int) -> bytes:
-    """What asks for all events after this one."""
+    """The poll message: asks for all events after event `number`."""
     return number.to_bytes(8, "big")
--- a/kelptrail/codec/grpc.py
+++ b/kelptrail/codec/grpc.py
@@ -1,6 +1,7 @@
-"""gRPC over HTTP/2, without I/O: message framing, deadlines, statuses and what details say of a return.
+"""gRPC over HTTP/2, without I/O: message framing, deadlines, status codes and error details.
 
-Source: the gRPC protocol document "gRPC over HTTP2", `google.rpc.Status` and `google.rpc.RetryInfo`.
+Sources: the gRPC protocol document "gRPC over HTTP2" (Requests, Responses, Length-Prefixed-Message), and
+`google.rpc.Status`, `google.rpc.RetryInfo` and `google.rpc.ErrorInfo`.
 """
 
 from __future__ import annotations
@@ -8,6 +9,7 @@
 import base64
 import struct
 from enum import IntEnum
+from typing import NamedTuple
 from urllib.parse import quote, unquote
 
 from google.protobuf.duration_pb2 import Duration
@@ -20,7 +22,7 @@
 
 
 class Code(IntEnum):
-    """Status codes."""
+    """gRPC status codes ("Status codes and their use in gRPC")."""
 
     OK = 0
     CANCELLED = 1
@@ -42,7 +44,10 @@
 
 
 class GrpcError(Exception):
-    """An answer other than the wanted one.  `retry_ms` tells when to come back; `reason` and `told` go into details."""
+    """A status other than OK.
+
+    `retry_ms` becomes `RetryInfo`, after how many ms the client may retry; `reason` and `details` become `ErrorInfo`.
+    """
 
     def __init__(
         self,
@@ -56,35 +61,49 @@
         self.code, self.text, self.retry_ms, self.reason, self.details = code, text, retry_ms, reason, details or {}
 
 
+class TimeoutHeaderError(ValueError):
+    """A `grpc-timeout` header that is malformed."""
+
+
+class CallStatus(NamedTuple):
+    """The status that ended a call, as its client reads it; `retry_ms` is None where the server gave no `RetryInfo`."""
+
+    code: Code
+    text: str
+    retry_ms: float | None
+    reason: str
+    details: dict[str, str]
+
+
 def timeout_ms(text: str) -> float:
-    """`grpc-timeout` in milliseconds: at most 8 digits and a unit.  Raises ValueError."""
+    """`grpc-timeout` in milliseconds: at most 8 digits and a unit.  Raises `TimeoutHeaderError`."""
     number, unit = text[:-1], text[-1:]
     if not 0 < len(number) <= 8 or not number.isascii() or not number.isdigit() or unit not in UNITS_MS:
-        raise ValueError(f"no grpc-timeout: {text[:20]!r}")
+        raise TimeoutHeaderError(f"no grpc-timeout: {text[:20]!r}")
     return int(number) * UNITS_MS[unit]
 
 
 def encode_message(data: bytes) -> bytes:
-    """One message, not compressed."""
+    """One length-prefixed message, not compressed."""
     return PREFIX.pack(0, len(data)) + data
 
 
 class MessageReader:
-    """Takes in what DATA frames carry; gives whole messages.  Bounded: a message over `most` is refused by its
-    prefix, before its bytes are kept."""
+    """Parses the payload of DATA frames into messages.  A message over `max_message_bytes` is rejected on its prefix,
+    before its bytes are buffered."""
 
     def __init__(self, max_message_bytes: int) -> None:
-        self._most, self._buffer = max_message_bytes, bytearray()
+        self._max_message_bytes, self._buffer = max_message_bytes, bytearray()
 
     @property
     def partial_bytes(self) -> int:
-        """Bytes of a message that is not whole."""
+        """Bytes buffered of a message that is not complete."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Whole messages.  Raises `GrpcError` for a message that is compressed or too large."""
+        """Add bytes; return the messages that are complete now.  Raises `GrpcError` for one compressed or too large."""
         self._buffer += data
-        out: list[bytes] = []
+        messages: list[bytes] = []
         at = 0
         while len(self._buffer) - at >= PREFIX.size:
             packed, length = PREFIX.unpack_from(self._buffer, at)
@@ -92,22 +111,24 @@
                 raise GrpcError(Code.INTERNAL, f"a message with flags {packed}, which are not defined")
             if packed:
                 raise GrpcError(Code.UNIMPLEMENTED, "a compressed message; no compression is spoken here")
-            if length > self._most:
-                raise GrpcError(Code.RESOURCE_EXHAUSTED, f"a message of {length} bytes, at most {self._most}")
+            if length > self._max_message_bytes:
+                text = f"a message of {length} bytes, at most {self._max_message_bytes}"
+                raise GrpcError(Code.RESOURCE_EXHAUSTED, text)
             if len(self._buffer) - at < PREFIX.size + length:
                 break
             at += PREFIX.size
-            out.append(bytes(self._buffer[at : at + length]))
+            messages.append(bytes(self._buffer[at : at + length]))
             at += length
         if at:
             del self._buffer[:at]
-        return out
+        return messages
 
 
 def encode_trailers(
     code: Code, text: str = "", retry_ms: float | None = None, reason: str = "", details: dict[str, str] | None = None
 ) -> list[tuple[bytes, bytes]]:
-    """What ends a call.  The text is percent-encoded UTF-8; details travel as a `google.rpc.Status`."""
+    """The trailers that end a call.  The text is percent-encoded UTF-8; the rest is sent as a `google.rpc.Status` in
+    `grpc-status-details-bin`."""
     out = [(b"grpc-status", str(int(code)).encode())]
     if text:
         out.append((b"grpc-message", quote(text[:1000], safe=" !\"#$&'()*+,-./:;<=>?@[\\]^_`{|}~").encode()))
@@ -124,10 +145,10 @@
     return out
 
 
-def read_trailers(headers: dict[str, str]) -> tuple[Code, str, float | None, str, dict[str, str]]:
-    """A call's end as its client reads it: code, text, when to come back (ms), reason, what else is told."""
+def read_trailers(headers: dict[str, str]) -> CallStatus:
+    """The status in a call's trailers."""
     code = Code(int(headers.get("grpc-status", "2")))
-    retry, reason, told = None, "", dict[str, str]()
+    retry_ms, reason, details = None, "", dict[str, str]()
     packed = headers.get("grpc-status-details-bin", "")
     if packed:
         status = StatusMessage.FromString(base64.b64decode(packed + "=" * (-len(packed) % 4)))
@@ -135,9 +156,9 @@
             if detail.Is(RetryInfo.DESCRIPTOR):
                 info = RetryInfo()
                 detail.Unpack(info)
-                retry = float(info.retry_delay.ToMilliseconds())
+                retry_ms = float(info.retry_delay.ToMilliseconds())
             elif detail.Is(ErrorInfo.DESCRIPTOR):
-                why = ErrorInfo()
-                detail.Unpack(why)
-                reason, told = why.reason, dict(why.metadata)
-    return code, unquote(headers.get("grpc-message", "")), retry, reason, told
+                error = ErrorInfo()
+                detail.Unpack(error)
+                reason, details = error.reason, dict(error.metadata)
+    return CallStatus(code, unquote(headers.get("grpc-message", "")), retry_ms, reason, details)
--- a/kelptrail/codec/http.py
+++ b/kelptrail/codec/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 messages without I/O, over a parsing library.
+"""HTTP/1.1 messages without I/O, on top of the parser `httptools`.
 
-`RequestReader` and `ResponseReader` take bytes as they come and hand out whole messages; limits and malformed
-input end in an `HttpError` that names the status to answer with (RFC 9110 section 15, RFC 9112).
+`RequestReader` and `ResponseReader` parse a byte stream into complete messages.  Malformed input and input over a limit
+end in an `HttpError` with the status to reply with (RFC 9110 section 15, RFC 9112).
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class HttpError(Exception):
-    """Input that ends the connection; `status` is what to answer with, if anything still can be."""
+    """Input that ends the connection; `status` is the one to reply with, where a reply is still possible."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One whole request.  Header names are lower case; a repeated header's values are joined by commas."""
+    """One complete request.  Header names are lower case; the values of a repeated header are joined by commas."""
 
     method: str
     target: str
@@ -57,7 +57,7 @@
 
 
 class RequestReader:
-    """A server's side: `feed` returns the requests that are whole; `wants_continue` asks for a 100."""
+    """Parses requests, for a server.  `wants_continue`: the client waits for a status 100 (RFC 9110 section 10.1.1)."""
 
     def __init__(self, header_bytes: int, body_bytes: int) -> None:
         self._header_bytes, self._body_bytes = header_bytes, body_bytes
@@ -65,7 +65,7 @@
         self._done: list[Request] = []
         self._fault: HttpError | None = None
         self._closed = False
-        self.partial = False  # a request has begun and is not whole
+        self.partial = False  # the start of a request was read, but not its end
         self.wants_continue = False
         self._reset()
         self._in_head = False
@@ -73,26 +73,31 @@
     def _reset(self) -> None:
         self._target, self._body = b"", bytearray()
         self._headers: dict[str, str] = {}
-        self._named = self._raw = 0  # bytes of its head: as told by the parser, and in buffers all of it
+        # Bytes of the request's head: in the parser's callbacks, and in buffers that held nothing else.
+        self._parsed_head_bytes = self._raw_head_bytes = 0
         self._in_head = True
 
-    # Called by the parser; must not raise.
+    # Callbacks of the parser; they must not raise.
 
     def on_message_begin(self) -> None:
+        """A request starts."""
         self._reset()
         self.partial = True
 
     def on_url(self, url: bytes) -> None:
+        """A part of the request target."""
         self._target += url
         self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """One header field."""
         self._count_head_bytes(len(name) + len(value))
         key, text = name.decode("latin-1").lower(), value.decode("latin-1")
         known = self._headers.get(key)
         self._headers[key] = text if known is None else f"{known}, {text}"
 
     def on_headers_complete(self) -> None:
+        """The head is complete: check the announced length and `Expect`."""
         self._in_head = False
         length = self._headers.get("content-length")
         if length is not None and length.isdigit() and int(length) > self._body_bytes:
@@ -103,12 +108,14 @@
             self._fail(417, "only 100-continue can be expected")
 
     def on_body(self, body: bytes) -> None:
+        """A part of the body."""
         if len(self._body) + len(body) > self._body_bytes:
             self._fail(413, f"a body over {self._body_bytes} bytes")
         else:
             self._body += body
 
     def on_message_complete(self) -> None:
+        """The request is complete."""
         self.partial = self.wants_continue = False
         if self._fault is not None:
             return
@@ -126,19 +133,20 @@
         )
 
     def _count_head_bytes(self, count: int) -> None:
-        self._named += count
+        self._parsed_head_bytes += count
         self._check_head()
 
     def _check_head(self) -> None:
-        if max(self._named, self._raw) > self._header_bytes:
+        if max(self._parsed_head_bytes, self._raw_head_bytes) > self._header_bytes:
             self._fail(431, f"a head over {self._header_bytes} bytes")
 
     def _fail(self, status: int, reason: str) -> None:
         self._fault = self._fault or HttpError(status, reason)
 
     def feed(self, data: bytes | memoryview) -> tuple[list[Request], HttpError | None]:
-        """Whole requests, in order, and what ends the connection after they are answered, if anything."""
-        if self._closed:  # RFC 9112 9.6: what follows a last request is not read
+        """Add bytes; return the requests that are complete now, in order, and the error that ends the connection once
+        they are answered, if any."""
+        if self._closed:  # RFC 9112 section 9.6: bytes after a last request are not read
             return [], None
         in_head = self.partial and self._in_head
         try:
@@ -148,8 +156,8 @@
         except httptools.HttpParserError as cause:
             if not self._closed:
                 self._fail(400, f"malformed HTTP: {cause}")
-        if in_head and self._in_head and not self._done:  # a header that does not end is not told by the parser
-            self._raw += len(data)
+        if in_head and self._in_head and not self._done:  # the parser makes no callback for a header without an end
+            self._raw_head_bytes += len(data)
             self._check_head()
         done, self._done = self._done, []
         return done, self._fault
@@ -157,7 +165,7 @@
 
 @dataclass(slots=True, eq=False)
 class Response:
-    """One whole response; header names are lower case."""
+    """One complete response; header names are lower case."""
 
     status: int
     headers: dict[str, str]
@@ -166,7 +174,7 @@
 
 
 class ResponseReader:
-    """A client's side, for one connection with one request out at a time."""
+    """Parses responses, for a client that has one request at a time in flight on a connection."""
 
     def __init__(self, body_bytes: int) -> None:
         self._body_bytes = body_bytes
@@ -174,17 +182,20 @@
         self._headers: dict[str, str] = {}
         self._body = bytearray()
         self._response: Response | None = None
-        self.unexpected_data = False  # more came than was asked for
-        self.on_chunk: Callable[[bytes], None] | None = None  # takes the body of an event stream as it comes
+        self.unexpected_data = False  # bytes came that belong to no request
+        self.on_chunk: Callable[[bytes], None] | None = None  # gets the body of an event stream as it arrives
         self._streaming = False
 
     def on_message_begin(self) -> None:
+        """A response starts."""
         self._headers, self._body = {}, bytearray()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """One header field."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
+        """The head is complete: decide whether the body is passed on in chunks."""
         self._streaming = (
             self.on_chunk is not None
             and self._parser.get_status_code() == 200
@@ -192,14 +203,16 @@
         )
 
     def on_body(self, body: bytes) -> None:
+        """A part of the body."""
         if self._streaming and self.on_chunk is not None:
             self.on_chunk(body)
         elif len(self._body) <= self._body_bytes:
             self._body += body
 
     def on_message_complete(self) -> None:
+        """The response is complete."""
         status = self._parser.get_status_code()
-        if status < 200:  # RFC 9110 15.2: interim responses are passed over
+        if status < 200:  # RFC 9110 section 15.2: interim responses are skipped
             return
         if self._response is not None:
             self.unexpected_data = True
@@ -207,7 +220,7 @@
         self._response = Response(status, self._headers, bytes(self._body), self._parser.should_keep_alive())
 
     def feed(self, data: bytes | memoryview) -> Response | None:
-        """The response once it is whole.  Raises `HttpError` for bytes that are no response or too many."""
+        """Add bytes; return the response once it is complete.  Raises `HttpError` for a malformed or too long one."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as cause:
@@ -227,7 +240,7 @@
     keep_alive: bool = True,
     content_type: str = "application/json",
 ) -> bytes:
-    """A response with a length; status 204 has no body (RFC 9110 section 15.3.5)."""
+    """A response with a `content-length`; status 204 has no body (RFC 9110 section 15.3.5)."""
     head = [b"HTTP/1.1 %d %s\r\n" % (status, PHRASES.get(status, b"Status"))]
     if status != 204:
         head.append(b"content-type: %s\r\ncontent-length: %d\r\n" % (content_type.encode(), len(body)))
@@ -241,7 +254,7 @@
 
 
 def encode_head(status: int, headers: Mapping[str, str] | None, content_type: str, keep_alive: bool) -> bytes:
-    """The head of a response whose body comes in chunks (RFC 9112, section 7.1)."""
+    """The head of a response whose body is sent in chunks (RFC 9112 section 7.1)."""
     head = [
         f"HTTP/1.1 {status} {PHRASES.get(status, b'Status').decode()}\r\ncontent-type: {content_type}\r\n"
         "transfer-encoding: chunked\r\n"
@@ -253,14 +266,14 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """One chunk; an empty one ends the body."""
+    """One chunk; an empty one ends the body (RFC 9112 section 7.1)."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 def encode_request(
     method: str, target: str, host: str, body: bytes = b"", headers: Mapping[str, str] | None = None
 ) -> bytes:
-    """A request with a length."""
+    """A request with a `content-length`."""
     lines = [f"{method} {target} HTTP/1.1\r\nhost: {host}\r\ncontent-length: {len(body)}\r\n"]
     if body:
         lines.append("content-type: application/json\r\n")
--- a/kelptrail/codec/infer.py
+++ b/kelptrail/codec/infer.py
@@ -1,14 +1,15 @@
-"""The Open Inference Protocol v2 over HTTP with the model repository extension, as workers speak it.
+"""The Open Inference Protocol v2 over HTTP with the model repository extension, as workers implement it.
 
-An activation's parameters travel as one BYTES tensor that holds a JSON object, its mark against repeats as the
-request's `id`.  A worker proves that a send never ran by the header `never-ran` on its refusal (`full` or
-`miss`); a refusal without it proves nothing.  Load is reported by the ORCA header `endpoint-load-metrics` in
-its TEXT form; `found` and `company` tell whether a copy stood loaded and how many others of the model were there.
+A request's parameters are sent as one BYTES tensor that holds a JSON object, its idempotency key as the `id`.  A worker
+proves that an attempt never ran by the header `never-ran` on its rejection (`full` or `miss`); a rejection without
+the header proves nothing.  Load is reported by the ORCA header `endpoint-load-metrics` in its TEXT form; its metrics
+`found` and `company` say whether an instance was loaded, and how many other requests of the model it had.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 from urllib.parse import quote
 
 import msgspec
@@ -31,7 +32,7 @@
 
 
 class InferResponse(msgspec.Struct):
-    """The body of its answer; `parameters.success` false: the function itself failed."""
+    """The body of the response to it; `parameters.success` false: the function itself failed."""
 
     model_name: str
     id: str
@@ -40,20 +41,21 @@
 
 
 class LoadRequest(msgspec.Struct):
-    """The body of `POST /v2/repository/models/{model}/load`; `copies` is the number to hold."""
+    """The body of `POST /v2/repository/models/{model}/load`; the parameter `copies`
+    is the number of instances to keep loaded."""
 
     parameters: dict[str, str | int | float | bool] = {}
 
 
 class LoadResponse(msgspec.Struct):
-    """Its answer: how many copies stand."""
+    """The body of the response to it; `standing`: how many instances are loaded."""
 
     standing: int = 0
     error: str = ""
 
 
 class TensorsRequest(msgspec.Struct, omit_defaults=True):
-    """The body of a send whose payload is the caller's own tensors; `outputs` names those that it wants."""
+    """The body of an attempt whose payload is the caller's own tensors; `outputs` names the tensors that it wants."""
 
     id: str
     inputs: msgspec.Raw
@@ -62,7 +64,7 @@
 
 
 class Payload(msgspec.Struct, omit_defaults=True):
-    """What a call in tensors carries, as it is kept."""
+    """The payload of a request in tensors, as it is stored."""
 
     inputs: msgspec.Raw
     outputs: msgspec.Raw = msgspec.Raw(b"[]")
@@ -70,7 +72,7 @@
 
 
 class MalformedError(Exception):
-    """A body that is not of the protocol."""
+    """A body that does not follow the protocol."""
 
 
 _encode = msgspec.json.Encoder().encode
@@ -90,25 +92,32 @@
     headers: dict[str, str],
     form: str = "json",
 ) -> bytes:
-    """A send, as bytes.  A caller's own parameters go along, but never in place of ours."""
+    """The request of one attempt.  The caller's own parameters are included, but never replace ours."""
     body: InferRequest | TensorsRequest
     if form == "tensors":
-        kept = _payload(payload)
-        body = TensorsRequest(mark, kept.inputs, kept.parameters | parameters, kept.outputs)
+        tensors = _payload(payload)
+        body = TensorsRequest(mark, tensors.inputs, tensors.parameters | parameters, tensors.outputs)
     else:
         body = InferRequest(mark, [Tensor("params", "BYTES", [1], [payload.decode()])], parameters)
     return encode_request("POST", f"/v2/models/{quote(model, safe='')}/infer", host, _encode(body), headers)
 
 
-def read_infer(body: bytes) -> tuple[InferRequest, str]:
-    """A send's body and the JSON text it carries, empty for a call in tensors.  Raises `MalformedError`."""
+class ParsedInfer(NamedTuple):
+    """The body of an attempt, and the JSON text in it, empty for a request in tensors."""
+
+    request: InferRequest
+    payload: str
+
+
+def read_infer(body: bytes) -> ParsedInfer:
+    """Parse the body of an attempt.  Raises `MalformedError`."""
     try:
         request = _request(body)
         if request.parameters.get("form") == "tensors":
             for tensor in request.inputs:
                 values_of(tensor)
-            return request, ""
-        return request, _only(request.inputs, "params")
+            return ParsedInfer(request, "")
+        return ParsedInfer(request, _only_element(request.inputs, "params"))
     except TensorError as cause:
         raise MalformedError(str(cause)) from None
     except (msgspec.MsgspecError, UnicodeDecodeError) as cause:
@@ -116,19 +125,22 @@
 
 
 def tensors_answer(model: str, mark: str, outputs: list[JsonTensor], **parameters: str | int | float | bool) -> bytes:
-    """The body of an answer in tensors."""
+    """The body of a response in tensors."""
     return _encode(InferResponse(model, mark, outputs, parameters))
 
 
 def infer_answer(model: str, mark: str, result: str, success: bool) -> bytes:
-    """The body of an answer."""
+    """The body of a response with a JSON result."""
     out = InferResponse(model, mark, [Tensor("result", "BYTES", [1], [result])], {"success": success})
     return _encode(out)
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerAnswer:
-    """What a worker's response to a send says."""
+    """What a worker's response to an attempt says.
+
+    `instance_loaded` is None where it was not reported; `report` is the load report, by metric.
+    """
 
     kind: str  # "completed", "error", "full" or "miss"
     result: bytes = b""
@@ -137,15 +149,22 @@
     instance_loaded: bool | None = None
     other_instances: int = 0
     report: dict[str, float] | None = None
-    streamed: bool = False  # its parts were read as they came
+    streamed: bool = False  # its parts were passed on as they arrived
+
+
+class ResultPart(NamedTuple):
+    """One response of the protocol: the result in the request's form, whether it is the last, whether it succeeded."""
+
+    result: bytes
+    is_last: bool
+    success: bool
 
 
-def read_part(data: bytes, mark: str, form: str = "json") -> tuple[bytes, bool, bool]:
-    """One answer of the protocol: the result in its form, whether it is the last, whether it succeeded.
-    Raises `MalformedError`."""
+def read_part(data: bytes, mark: str, form: str = "json") -> ResultPart:
+    """Parse one response body.  Raises `MalformedError`, also where its `id` is not `mark`."""
     try:
         body = _response(data)
-        if body.id != mark:  # an answer to something else proves nothing of this send
+        if body.id != mark:  # the answer to another request proves nothing about this attempt
             raise MalformedError("an answer to another call")
         if form == "tensors":
             result = _encode(
@@ -159,15 +178,15 @@
         elif body.parameters.get("final") is True and not body.outputs:  # the end of a stream needs no result
             result = b"{}"
         else:
-            result = _only(body.outputs, "result").encode()
+            result = _only_element(body.outputs, "result").encode()
             msgspec.json.decode(result)
     except (msgspec.MsgspecError, UnicodeDecodeError) as cause:
         raise MalformedError(str(cause)) from None
-    return result, body.parameters.get("final") is True, bool(body.parameters.get("success", True))
+    return ResultPart(result, body.parameters.get("final") is True, bool(body.parameters.get("success", True)))
 
 
 def read_answer(response: Response, mark: str, form: str = "json") -> WorkerAnswer:
-    """A response to a send.  Whatever is not of the protocol is an error that may have run."""
+    """Parse the response to an attempt.  Outside the protocol it is an error: the attempt may have run."""
     report = load_report(response.headers.get(LOAD_REPORT))
     found, company = None, 0
     if report is not None:
@@ -191,13 +210,20 @@
 
 
 def load_request(host: str, model: str, copies: int, dispatcher: str) -> bytes:
-    """A hold order, as bytes."""
+    """A load order: keep `copies` instances of the model loaded."""
     body = _encode(LoadRequest({"copies": copies, "dispatcher": dispatcher}))
     return encode_request("POST", f"/v2/repository/models/{quote(model, safe='')}/load", host, body)
 
 
-def read_load(body: bytes) -> tuple[int, str]:
-    """The copies asked for and by whom.  Raises `MalformedError`."""
+class LoadOrderBody(NamedTuple):
+    """A load order as a worker reads it: the number of instances, and the dispatcher that asks for them."""
+
+    instances: int
+    dispatcher: str
+
+
+def read_load(body: bytes) -> LoadOrderBody:
+    """Parse the body of a load order.  Raises `MalformedError`."""
     try:
         request = _load(body or b"{}")
     except (msgspec.MsgspecError, UnicodeDecodeError) as cause:
@@ -205,29 +231,37 @@
     copies = request.parameters.get("copies", 1)
     if not isinstance(copies, int) or isinstance(copies, bool) or not 0 <= copies <= 16:
         raise MalformedError("copies is a whole number from 0 to 16")
-    return copies, str(request.parameters.get("dispatcher", ""))
+    return LoadOrderBody(copies, str(request.parameters.get("dispatcher", "")))
+
+
+class LoadResult(NamedTuple):
+    """How a load order ended ("completed", "full" or "error"), and how many instances are loaded."""
+
+    kind: str
+    loaded_instances: int
 
 
-def read_loaded(response: Response) -> tuple[str, int]:
-    """How a hold order ended ("completed", "full" or "error") and how many copies stand."""
+def read_loaded(response: Response) -> LoadResult:
+    """Parse the response to a load order."""
     try:
         body = _loaded(response.body)
     except (msgspec.MsgspecError, UnicodeDecodeError):
-        return "error", 0
+        return LoadResult("error", 0)
     kind = {200: "completed", 503: "full"}.get(response.status, "error")
-    return kind, max(0, body.standing)
+    return LoadResult(kind, max(0, body.standing))
 
 
 def error_response(status: int, text: str, headers: dict[str, str] | None = None) -> bytes:
-    """An error as the protocol words it: `{"error": text}`."""
+    """An error response of the protocol: `{"error": text}`."""
     return encode_response(status, _encode({"error": text}), headers)
 
 
 def load_report(text: str | None) -> dict[str, float] | None:
-    """An ORCA header in TEXT form to the names that the decisions know, or None.  Bad fields are passed over."""
+    """An ORCA header in TEXT form as values by metric, or None.  `cpu_utilization` becomes `util`; malformed fields are
+    skipped."""
     if not text or not text.startswith("TEXT "):
         return None
-    out: dict[str, float] = {}
+    metrics: dict[str, float] = {}
     for part in text[5:].split(","):
         name, equals, value = part.strip().partition("=")
         try:
@@ -235,8 +269,8 @@
         except ValueError:
             continue
         if equals and number == number and abs(number) < 1e9:
-            out["util" if name == "cpu_utilization" else name.removeprefix("named_metrics.")] = number
-    return out
+            metrics["util" if name == "cpu_utilization" else name.removeprefix("named_metrics.")] = number
+    return metrics
 
 
 def write_report(util: float, **named: float) -> str:
@@ -245,7 +279,7 @@
     return f"TEXT cpu_utilization={util:.3g}{rest}"
 
 
-def _only(tensors: list[Tensor], name: str) -> str:
+def _only_element(tensors: list[Tensor], name: str) -> str:
     for tensor in tensors:
         if tensor.name == name:
             if (
--- a/kelptrail/codec/tensors.py
+++ b/kelptrail/codec/tensors.py
@@ -2,7 +2,7 @@
 
 In JSON a tensor is `{"name", "datatype", "shape", "data"}` with a flat list; what JSON cannot hold (bytes that are no
 UTF-8, numbers that are not finite) goes as its raw form in base64, marked by the tensor's parameter `raw`.  Raw is
-little-endian, row-major; a BYTES element is its length in 4 bytes and itself.  Every fault names its tensor.
+little-endian, row-major; a BYTES element is its length in 4 bytes and itself.  Every error names its tensor.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
     "FP64": (8, "fp64_contents", "<f8"),
     "BYTES": (0, "bytes_contents", ""),
 }
-MOST_DIMENSIONS, MOST_ELEMENTS = 32, 1 << 28
+MAX_DIMENSIONS, MAX_ELEMENTS = 32, 1 << 28
 FIELDS = (
     "bool_contents",
     "int_contents",
@@ -49,7 +49,7 @@
 
 
 class JsonTensor(msgspec.Struct, omit_defaults=True):
-    """A tensor as workers have it."""
+    """A tensor in the JSON form that workers use."""
 
     name: str
     datatype: str
@@ -59,22 +59,22 @@
 
 
 class TensorError(ValueError):
-    """A tensor that is not what it says; the text names it."""
+    """A tensor whose contents do not match its datatype or shape; the text names the tensor."""
 
 
 def elements(name: str, datatype: str, shape: Sequence[int]) -> int:
-    """How many elements a tensor has.  Raises `TensorError` for a datatype or shape that cannot be."""
+    """How many elements a tensor has.  Raises `TensorError` for an unknown datatype or a shape out of bounds."""
     if not name:
         raise TensorError("a tensor without a name")
     if datatype not in KINDS:
         raise TensorError(f"tensor {name!r}: datatype {datatype!r} is none of {', '.join(KINDS)}")
-    if len(shape) > MOST_DIMENSIONS:
-        raise TensorError(f"tensor {name!r}: {len(shape)} dimensions, at most {MOST_DIMENSIONS}")
+    if len(shape) > MAX_DIMENSIONS:
+        raise TensorError(f"tensor {name!r}: {len(shape)} dimensions, at most {MAX_DIMENSIONS}")
     if any(size < 0 for size in shape):
         raise TensorError(f"tensor {name!r}: shape {list(shape)} has a negative size")
     count = math.prod(shape)
-    if count > MOST_ELEMENTS:
-        raise TensorError(f"tensor {name!r}: {count} elements, at most {MOST_ELEMENTS}")
+    if count > MAX_ELEMENTS:
+        raise TensorError(f"tensor {name!r}: {count} elements, at most {MAX_ELEMENTS}")
     return count
 
 
@@ -107,7 +107,7 @@
 
 
 def _checked(name: str, datatype: str, values: list[Any]) -> list[Any]:
-    """Whether each value is one of the datatype.  Raises `TensorError` with the first that is not."""
+    """The values, each checked against the datatype.  Raises `TensorError` with the first that does not fit."""
     if datatype == "BYTES":
         return values
     if datatype == "BOOL":
@@ -124,7 +124,8 @@
 
 
 def to_json(tensor: Any, raw: bytes | None) -> JsonTensor:
-    """A protobuf tensor, with its raw contents if they travel apart, as workers have it.  Raises `TensorError`."""
+    """A protobuf tensor in the JSON form; `raw` is its entry in the message's raw contents, if any.  Raises
+    `TensorError`."""
     name, datatype, shape = tensor.name, tensor.datatype, list(tensor.shape)
     count = elements(name, datatype, shape)
     _, field, _ = KINDS[datatype]
@@ -177,8 +178,8 @@
 
 
 def _flat(data: list[Any]) -> list[Any]:
-    """The protocol allows nested lists; what is nested deeper than any shape is refused by its count."""
-    for _ in range(MOST_DIMENSIONS):
+    """The elements of nested lists, which the protocol allows; too deep a nesting fails the check of the count."""
+    for _ in range(MAX_DIMENSIONS):
         if not any(isinstance(item, list) for item in data):
             return data
         data = [value for item in data for value in (item if isinstance(item, list) else [item])]
@@ -186,8 +187,8 @@
 
 
 def fill(out: Any, tensor: JsonTensor, raw: bool) -> bytes | None:
-    """Write a worker's tensor into a protobuf one; returns its raw contents where `raw`, or where typed ones do not
-    exist for its datatype.  Raises `TensorError`."""
+    """Write a worker's tensor into a protobuf one.  Returns its raw contents where `raw` is true or its datatype has no
+    typed contents.  Raises `TensorError`."""
     values = values_of(tensor)
     out.name, out.datatype = tensor.name, tensor.datatype
     out.shape.extend(tensor.shape)
@@ -200,7 +201,7 @@
 
 
 def scalars(parameters: Any) -> dict[str, Scalar]:
-    """A protobuf map of parameters as plain values; one without a value is passed over."""
+    """A protobuf map of parameters as plain values; a parameter without a value is skipped."""
     out: dict[str, Scalar] = {}
     for name, value in parameters.items():
         which = value.WhichOneof("parameter_choice")
@@ -210,7 +211,7 @@
 
 
 def write_scalars(parameters: Any, values: dict[str, Scalar]) -> None:
-    """Plain values into a protobuf map of parameters."""
+    """Write plain values into a protobuf map of parameters."""
     for name, value in values.items():
         if isinstance(value, bool):
             parameters[name].bool_param = value
--- a/kelptrail/net/connection.py
+++ b/kelptrail/net/connection.py
@@ -1,8 +1,9 @@
-"""A connection that reads on by itself and writes what it is given in one go, over a `Wire`.
+"""A connection that reads continuously and batches its writes, over a `Transport`.
 
-What is written within one turn of the loop leaves in one call.  Each piece that is written knows whether it has begun
-to leave and whether it has left whole, so its user can tell afterwards what cannot have reached the peer, and can take
-back what has not begun to leave.  A piece may be made only when it leaves, where it tells of the time that is left.
+Writes of one iteration of the event loop are sent in one call.  Each write is a `PendingWrite` that knows whether the
+socket took its first byte and its last, so that its user can tell afterwards what cannot have reached the peer, and can
+cancel a write of which nothing was sent.  A deferred write is rendered only when it is sent, as its bytes contain the
+time that is left.
 """
 
 from __future__ import annotations
@@ -18,28 +19,28 @@
 from .errors import is_connect_retryable, is_transient
 from .transport import Transport
 
-BUFFER = 8_192
-CHUNK = 65_536
-TURN = 32  # buffers read in one turn of the loop: an end behind many bytes is seen soon
-PASSED = 1 << 18  # bytes of a peer that are passed over after `finish`, so that no reset eats what it was told
-RETRY_MS = 5.0  # after a call that failed for a moment
+READ_BUFFER_BYTES = 8_192
+MAX_BATCH_BYTES = 65_536
+READS_AT_ONCE = 32  # full buffers read in a row without a wait, so that an end behind many bytes is seen soon
+MAX_DISCARDED_BYTES = 1 << 18  # discarded after `close_gracefully`; a reset would destroy unread answers
+RETRY_MS = 5.0  # after a call that failed transiently
 CONNECT_RETRY_MS, LONGEST_CONNECT_RETRY_MS = 10.0, 80.0
 
 
 class PendingWrite:
-    """Bytes that leave together: those of one message, given at once or made when they are about to leave."""
+    """The bytes of one message that wait to be sent: `data`, or what `make` returns when they are sent."""
 
-    __slots__ = ("_data", "_left", "_make", "cancelled", "sent", "size", "started")
+    __slots__ = ("_data", "_make", "_sent_bytes", "cancelled", "sent", "size", "started")
 
     def __init__(self, size: int, data: bytes = b"", make: Callable[[], bytes] | None = None) -> None:
         self.size, self._data, self._make = size, data, make
-        self._left = 0  # bytes that have left
+        self._sent_bytes = 0
         self.started = self.sent = self.cancelled = False
 
     def render(self) -> bytes:
-        """What is still to leave of it, as of now."""
+        """The bytes of it that are still to be sent, as of now."""
         if self.started:
-            return self._data[self._left :]
+            return self._data[self._sent_bytes :]
         if self.cancelled:
             self._data = b""
         elif self._make is not None:
@@ -47,23 +48,28 @@
         return self._data
 
     def consume(self, count: int) -> int:
-        """The socket took that many bytes of what was rendered last, here and behind; returns those behind."""
-        rest = len(self._data) - self._left
-        taken = min(count, rest)
-        self._left += taken
-        self.started = self.started or taken > 0
-        self.sent = self.started and taken == rest
-        return count - taken
+        """Account for `count` bytes that the socket took of what this and later writes rendered last.
+
+        Returns how many of them belong to later writes."""
+        unsent = len(self._data) - self._sent_bytes
+        own = min(count, unsent)
+        self._sent_bytes += own
+        self.started = self.started or own > 0
+        self.sent = self.started and own == unsent
+        return count - own
 
     @property
     def complete(self) -> bool:
-        """Whether nothing of it is to leave any more."""
-        return self._left == len(self._data)
+        """Whether none of it is to be sent any more."""
+        return self._sent_bytes == len(self._data)
 
 
 class Connection:
-    """One open connection.  `got` takes bytes as they come; `ended` is called once, when the peer ended or the
-    connection broke, and not after `close`."""
+    """One open connection.
+
+    `on_data` gets bytes as they arrive.  `on_end` is called once, when the peer closed or the connection failed, and
+    not after `close`.  More than `max_pending_bytes` unsent close the connection: its peer does not read.
+    """
 
     __slots__ = (
         "__weakref__",
@@ -101,9 +107,9 @@
             on_end,
             max_pending_bytes,
         )
-        self._pending: deque[PendingWrite] = deque()  # what has not left whole
-        self._pending_bytes = 0  # the size of all of that
-        self.last_write_progress = loop.time()  # when the socket last took bytes, or had none to take
+        self._pending: deque[PendingWrite] = deque()  # writes that are not sent completely
+        self._pending_bytes = 0  # the size of all of them
+        self.last_write_progress = loop.time()  # loop time (s) at which the socket last took bytes, or had none to take
         self.closed = self._closing = self._writing = self._awaits_writable = False
         self._close_timer: asyncio.TimerHandle | None = None
         self._retry_timer: asyncio.TimerHandle | None = None
@@ -111,47 +117,46 @@
 
     @property
     def has_pending_writes(self) -> bool:
-        """Whether bytes wait for the socket to take them."""
+        """Whether any write is not sent completely."""
         return bool(self._pending)
 
     def write(self, data: bytes) -> PendingWrite:
-        """Give bytes."""
+        """Send bytes."""
         return self._queue(PendingWrite(len(data), data))
 
     def write_deferred(self, make: Callable[[], bytes], size: int) -> PendingWrite:
-        """Give some `size` bytes that `make` makes when they are about to leave; where it makes none, none leave.  It
-        may be asked several times, and must not act on the link."""
+        """Send the bytes, some `size` of them, that `make` returns when they are sent; it may return none.  It may be
+        called several times, and must not use the connection."""
         return self._queue(PendingWrite(size, make=make))
 
-    def _queue(self, piece: PendingWrite) -> PendingWrite:
+    def _queue(self, write: PendingWrite) -> PendingWrite:
         if self.closed or self._closing:
-            return piece
+            return write
         if not self._pending:
             self.last_write_progress = self._loop.time()
-        self._pending.append(piece)
-        self._pending_bytes += piece.size
-        if self._pending_bytes > self._max_pending_bytes:  # guards against a peer that does not read what it asked for
+        self._pending.append(write)
+        self._pending_bytes += write.size
+        if self._pending_bytes > self._max_pending_bytes:  # guards against a peer that does not read its answers
             self._loop.call_soon(self._on_lost)
         elif not self._writing:
             self._writing = True
             self._loop.call_soon(self._flush)
-        return piece
+        return write
 
-    def cancel_unsent(self, piece: PendingWrite) -> bool:
-        """Take a piece back; False once the first of it has left, as the rest must follow for the peer to tell what
-        comes after."""
-        if piece.started or piece.cancelled:
+    def cancel_unsent(self, write: PendingWrite) -> bool:
+        """Cancel a write; False once its first byte was sent, as the peer needs the rest to parse what follows."""
+        if write.started or write.cancelled:
             return False
-        piece.cancelled = True
+        write.cancelled = True
         return True
 
     def flush_now(self) -> None:
-        """Write now what the socket takes, before what other links were given in this turn."""
+        """Send now what the socket takes, ahead of the writes of other connections in this iteration of the loop."""
         self._flush()
 
     def close_gracefully(self, within_ms: float) -> None:
-        """Close in order, within a time: what was given is written, then our end is shut, and what still comes is
-        passed over until the peer's end.  Guards against a reset that eats what the peer has yet to read."""
+        """Send all pending writes, shut down the sending side, then read and discard until the peer closes; close at
+        the latest after `within_ms`.  Guards against a reset that destroys what the peer has yet to read."""
         if self.closed or self._closing:
             return
         self._closing = True
@@ -167,7 +172,7 @@
         self._pending.clear()
         if self._retry_timer is not None:
             self._retry_timer.cancel()
-        self._on_data = self._on_end = _ignore  # else a cycle would keep it, and its user, till the collector comes
+        self._on_data = self._on_end = _ignore  # breaks the reference cycle with its user, else left to the collector
         if self._close_timer is not None:
             self._close_timer.cancel()
         self._watch_writable(False)
@@ -183,31 +188,31 @@
             ended()
 
     async def _read(self) -> None:
-        buffer = bytearray(BUFFER)
+        buffer = bytearray(READ_BUFFER_BYTES)
         view = memoryview(buffer)
-        turn = passed = 0
+        full_reads = discarded = 0
         try:
             while True:
-                count = await self._receive(buffer, at_once=turn > 0)
+                count = await self._receive(buffer, at_once=full_reads > 0)
                 if not count:
                     break
-                turn = (turn + 1) % TURN if count == BUFFER else 0
+                full_reads = (full_reads + 1) % READS_AT_ONCE if count == READ_BUFFER_BYTES else 0
                 if not self._closing:
                     self._on_data(view[:count])
-                elif (passed := passed + count) > PASSED:
+                elif (discarded := discarded + count) > MAX_DISCARDED_BYTES:
                     break
                 if self.closed:
                     return
-        except asyncio.CancelledError:  # by `close`; a task that ends cancelled keeps this frame and its buffer
+        except asyncio.CancelledError:  # by `close`; a task that ended cancelled would keep this frame and its buffer
             return
         except OSError:
             pass
-        except Exception as cause:  # a message that its reader fails on ends its own connection, no more
+        except Exception as cause:  # a fault in a message's handler ends only its own connection
             self._loop.call_exception_handler({"message": "a connection's reader failed", "exception": cause})
         self._on_lost()
 
     async def _receive(self, buffer: bytearray, at_once: bool) -> int:
-        """The next bytes, 0 at the end; `at_once` looks before it waits.  Raises `OSError`."""
+        """Read bytes; returns their number, 0 at the end.  `at_once`: try to read before waiting.  Raises `OSError`."""
         while True:
             try:
                 if at_once:
@@ -221,12 +226,12 @@
                 await asyncio.sleep(RETRY_MS / 1000)
 
     def _flush(self) -> None:
-        """Write what the socket takes."""
+        """Send what the socket takes; wait for room where it is full."""
         self._retry_timer = None
         while self._pending and not self.closed:
             batch = self._batch()
             size = sum(map(len, batch))
-            if self.closed:  # by what was looked at as a piece was made
+            if self.closed:  # by a deferred write's `make`
                 return
             try:
                 count = self.transport.sock.send(b"".join(batch)) if size else 0
@@ -249,29 +254,29 @@
             self._on_all_written()
 
     def _batch(self) -> list[bytes]:
-        """The bytes of the pieces that are next, as of now."""
+        """The bytes of the next writes, as of now."""
         batch, size = [], 0
-        for piece in list(self._pending):
-            data = piece.render()
+        for write in list(self._pending):
+            data = write.render()
             batch.append(data)
-            if (size := size + len(data)) >= CHUNK:
+            if (size := size + len(data)) >= MAX_BATCH_BYTES:
                 break
         return batch
 
-    def _record_sent(self, pieces: int, count: int) -> None:
-        """The socket took `count` bytes of that many pieces."""
+    def _record_sent(self, writes: int, count: int) -> None:
+        """Account for `count` bytes that the socket took of the first `writes` writes."""
         if count:
             self.last_write_progress = self._loop.time()
-        for _ in range(pieces):
-            piece = self._pending[0]
-            count = piece.consume(count)
-            if not piece.complete:
+        for _ in range(writes):
+            write = self._pending[0]
+            count = write.consume(count)
+            if not write.complete:
                 return
             self._pending.popleft()
-            self._pending_bytes -= piece.size
+            self._pending_bytes -= write.size
 
     def _watch_writable(self, for_room: bool) -> None:
-        """Go on with `_flush` once the socket has room."""
+        """Call `_flush` whenever the socket has room, or stop doing so."""
         if for_room != self._awaits_writable:
             self._awaits_writable = for_room
             if for_room:
@@ -280,7 +285,7 @@
                 self._loop.remove_writer(self.transport.sock)
 
     def _on_all_written(self) -> None:
-        """All that was to write is written."""
+        """Every write is sent: shut down the sending side of a connection that is closing."""
         if self._closing:
             try:
                 self.transport.shutdown_write()
@@ -289,21 +294,21 @@
 
 
 def _ignore(*_: object) -> None:
-    """Stands in for what the user gave, once the link is closed."""
+    """Replaces the user's callbacks once the connection is closed."""
 
 
 async def connect(loop: asyncio.AbstractEventLoop, address: tuple[str, int], within_ms: float) -> socket.socket:
-    """A connected socket; the host is an IP address.  What fails for a moment is tried again within the time.  Raises
-    `OSError`; `TimeoutError`, which is one, past `within_ms`.
+    """A connected socket; the host of `address` is an IP address.  Transient failures are retried with backoff.
+    Raises `OSError`, and its subclass `TimeoutError` after `within_ms`.
 
-    Not the loop's own call: that one looks each address up in a thread of a pool, which takes the process's signals
-    after the loop has let them go, and CPU for each connection."""
-    ends, pause_ms = loop.time() + within_ms / 1000, CONNECT_RETRY_MS
+    Does not use the loop's own `sock_connect`: that resolves each address in a thread pool, whose threads receive the
+    process's signals after the loop has removed its handlers, and costs CPU for each connection."""
+    deadline, pause_ms = loop.time() + within_ms / 1000, CONNECT_RETRY_MS
     while True:
         try:
-            return await _connect_once(loop, address, ends - loop.time())
+            return await _connect_once(loop, address, deadline - loop.time())
         except OSError as cause:
-            if not is_connect_retryable(cause) or loop.time() + pause_ms / 1000 >= ends:
+            if not is_connect_retryable(cause) or loop.time() + pause_ms / 1000 >= deadline:
                 raise
         await asyncio.sleep(pause_ms / 1000)
         pause_ms = min(LONGEST_CONNECT_RETRY_MS, 2 * pause_ms)
@@ -314,7 +319,7 @@
     try:
         sock.setblocking(False)
         code = sock.connect_ex(address)
-        while code == EINTR:  # whether it goes on by itself: the next call says so
+        while code == EINTR:  # the next call says whether the connect continues by itself
             code = sock.connect_ex(address)
         if code in (EINPROGRESS, EALREADY):
             await _until_writable(loop, sock, within_s)
@@ -328,15 +333,15 @@
 
 
 async def _until_writable(loop: asyncio.AbstractEventLoop, sock: socket.socket, within_s: float) -> None:
-    up: asyncio.Future[None] = loop.create_future()
-    loop.add_writer(sock, _mark_writable, up)
+    writable: asyncio.Future[None] = loop.create_future()
+    loop.add_writer(sock, _mark_writable, writable)
     try:
         async with asyncio.timeout(within_s):
-            await up
+            await writable
     finally:
         loop.remove_writer(sock)
 
 
-def _mark_writable(up: asyncio.Future[None]) -> None:
-    if not up.done():
-        up.set_result(None)
+def _mark_writable(writable: asyncio.Future[None]) -> None:
+    if not writable.done():
+        writable.set_result(None)
--- a/kelptrail/net/grpc_client.py
+++ b/kelptrail/net/grpc_client.py
@@ -51,12 +51,12 @@
 class GrpcCall:
     """One call under way."""
 
-    __slots__ = ("id", "on_end", "on_message", "reader", "rest", "timer", "written")
+    __slots__ = ("id", "on_end", "on_message", "reader", "timer", "unsent", "written")
 
     def __init__(
         self, message: bytes, on_message: Callable[[bytes], None], on_end: Callable[[CallResult], None], most: int
     ) -> None:
-        self.rest = encode_message(message)
+        self.unsent = encode_message(message)
         self.on_message, self.on_end, self.reader = on_message, on_end, MessageReader(most)
         self.id = 0
         self.written = False
@@ -66,11 +66,11 @@
         """Tell of the end, once."""
         if self.timer is not None:
             self.timer.cancel()
-        on_end, self.on_end, self.on_message = self.on_end, _nothing, _nothing
+        on_end, self.on_end, self.on_message = self.on_end, _ignore, _ignore
         on_end(ended)
 
 
-def _nothing(*_args: object) -> None:
+def _ignore(*_args: object) -> None:
     """Stands in for a callback."""
 
 
@@ -86,10 +86,10 @@
     ) -> None:
         host, _, port = address.rpartition(":")
         self.address, self._where, self._tls = address, (host.strip("[]"), int(port)), tls
-        self._connect_ms, self._most = connect_ms, message_bytes
+        self._connect_ms, self._max_message_bytes = connect_ms, message_bytes
         self._loop = asyncio.get_running_loop()
-        self._link: _Link | None = None
-        self._connecting: asyncio.Task[_Link | None] | None = None
+        self._connection: _ClientConnection | None = None
+        self._connecting: asyncio.Task[_ClientConnection | None] | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     def call(
@@ -100,12 +100,12 @@
         on_message: Callable[[bytes], None],
         on_end: Callable[[CallResult], None],
         timeout_ms: float,
-        patience_ms: float = 0.0,
+        grace_ms: float = 0.0,
     ) -> GrpcCall:
         """Begin a call of one request message; `on_end` comes later, never from within.  Its server is told
         `timeout_ms`, and waited for so much longer."""
-        call = GrpcCall(message, on_message, on_end, self._most)
-        call.timer = self._loop.call_later((timeout_ms + patience_ms) / 1000, self._late, call)
+        call = GrpcCall(message, on_message, on_end, self._max_message_bytes)
+        call.timer = self._loop.call_later((timeout_ms + grace_ms) / 1000, self._on_timeout, call)
         headers = [
             (":method", "POST"),
             (":scheme", "https" if self._tls else "http"),
@@ -122,20 +122,20 @@
         return call
 
     async def _begin(self, call: GrpcCall, headers: list[tuple[str, str]]) -> None:
-        link = await self._get()
+        link = await self._get_connection()
         if link is None:
             call.end(CallResult(None, "no connection", written=False))
-        elif call.on_end is not _nothing:
+        elif call.on_end is not _ignore:
             link.begin(call, headers)
 
-    async def _get(self) -> _Link | None:
-        if self._link is not None and self._link.open:
-            return self._link
+    async def _get_connection(self) -> _ClientConnection | None:
+        if self._connection is not None and self._connection.open:
+            return self._connection
         if self._connecting is None:
             self._connecting = self._loop.create_task(self._connect())
         return await asyncio.shield(self._connecting)
 
-    async def _connect(self) -> _Link | None:
+    async def _connect(self) -> _ClientConnection | None:
         sock = socket.socket(socket.AF_INET6 if ":" in self._where[0] else socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
@@ -151,31 +151,31 @@
             return None
         finally:
             self._connecting = None
-        self._link = _Link(self._loop, wire)
-        return self._link
+        self._connection = _ClientConnection(self._loop, wire)
+        return self._connection
 
-    def _late(self, call: GrpcCall) -> None:
-        if self._link is not None:
-            self._link.cancel(call)
+    def _on_timeout(self, call: GrpcCall) -> None:
+        if self._connection is not None:
+            self._connection.cancel(call)
         call.end(CallResult(None, "no answer in time", written=call.written))
 
     def cancel(self, call: GrpcCall) -> None:
         """Call it off; it ends without a status."""
-        if self._link is not None:
-            self._link.cancel(call)
+        if self._connection is not None:
+            self._connection.cancel(call)
         call.end(CallResult(None, "cancelled", written=call.written))
 
     def close(self) -> None:
         """Close the connection."""
-        if self._link is not None:
-            self._link.close()
+        if self._connection is not None:
+            self._connection.close()
 
 
-class _Link:
+class _ClientConnection:
     """One connection."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, wire: Transport) -> None:
-        self._loop, self._wire = loop, wire
+    def __init__(self, loop: asyncio.AbstractEventLoop, transport: Transport) -> None:
+        self._loop, self._transport = loop, transport
         self._h2 = H2Connection(
             H2Configuration(client_side=True, header_encoding="utf-8", validate_outbound_headers=False)
         )
@@ -186,7 +186,7 @@
         self._calls: dict[int, GrpcCall] = {}
         self._waiting: list[tuple[GrpcCall, list[tuple[str, str]]]] = []
         self._out = bytearray()
-        self._more: asyncio.Future[None] | None = None
+        self._output_ready: asyncio.Future[None] | None = None
         self.open = True
         self._flush()
         self._tasks = [loop.create_task(self._read()), loop.create_task(self._write())]
@@ -207,12 +207,12 @@
         self._flush()
 
     def _pump(self, call: GrpcCall) -> None:
-        while call.rest:
+        while call.unsent:
             window = min(self._h2.local_flow_control_window(call.id), self._h2.max_outbound_frame_size)
             if window <= 0:
                 return
-            data, call.rest = call.rest[:window], call.rest[window:]
-            self._h2.send_data(call.id, data, end_stream=not call.rest)
+            data, call.unsent = call.unsent[:window], call.unsent[window:]
+            self._h2.send_data(call.id, data, end_stream=not call.unsent)
 
     def cancel(self, call: GrpcCall) -> None:
         """Reset a call's stream."""
@@ -225,19 +225,19 @@
     async def _read(self) -> None:
         buffer = bytearray(BUFFER)
         try:
-            while count := await self._wire.recv_into(buffer):
+            while count := await self._transport.recv_into(buffer):
                 for event in self._h2.receive_data(bytes(buffer[:count])):
-                    self._take(event)
+                    self._on_event(event)
                 for call in list(self._calls.values()):
-                    if call.rest:
+                    if call.unsent:
                         self._pump(call)
                 self._flush()
         except (OSError, ProtocolError, asyncio.CancelledError):
             pass
         finally:
-            self._lost()
+            self._on_lost()
 
-    def _take(self, event: object) -> None:
+    def _on_event(self, event: object) -> None:
         if isinstance(event, ConnectionTerminated):
             self.open = False  # what it has is served on; new calls take a new connection
             return
@@ -250,18 +250,18 @@
                 for message in call.reader.feed(event.data or b""):
                     call.on_message(message)
             except GrpcError as cause:
-                self._over(call, CallResult(None, cause.text))
+                self._end_call(call, CallResult(None, cause.text))
         elif isinstance(event, TrailersReceived | ResponseReceived):
             headers = {str(k): str(v) for k, v in event.headers or ()}
             if "grpc-status" in headers:
                 code, text, retry, reason, told = read_trailers(headers)
-                self._over(call, CallResult(code, text, retry, reason, told))
+                self._end_call(call, CallResult(code, text, retry, reason, told))
         elif isinstance(event, StreamReset):
-            self._over(call, CallResult(None, "reset", refused=event.error_code == ErrorCodes.REFUSED_STREAM))
+            self._end_call(call, CallResult(None, "reset", refused=event.error_code == ErrorCodes.REFUSED_STREAM))
         elif isinstance(event, StreamEnded):
-            self._over(call, CallResult(None, "no status"))
+            self._end_call(call, CallResult(None, "no status"))
 
-    def _over(self, call: GrpcCall, ended: CallResult) -> None:
+    def _end_call(self, call: GrpcCall, ended: CallResult) -> None:
         self._calls.pop(call.id, None)
         call.end(ended)
         while self._waiting and self.open:
@@ -271,24 +271,24 @@
 
     def _flush(self) -> None:
         self._out += self._h2.data_to_send()
-        if self._out and self._more is not None and not self._more.done():
-            self._more.set_result(None)
+        if self._out and self._output_ready is not None and not self._output_ready.done():
+            self._output_ready.set_result(None)
 
     async def _write(self) -> None:
         try:
             while True:
                 if not self._out:
-                    self._more = self._loop.create_future()
-                    await self._more
+                    self._output_ready = self._loop.create_future()
+                    await self._output_ready
                     continue
                 data, self._out = self._out, bytearray()
-                await self._wire.sendall(data)
+                await self._transport.sendall(data)
         except (OSError, asyncio.CancelledError):
             pass
         finally:
-            self._lost()
+            self._on_lost()
 
-    def _lost(self) -> None:
+    def _on_lost(self) -> None:
         self.open = False
         calls, self._calls = list(self._calls.values()), {}
         waiting, self._waiting = self._waiting, []
@@ -298,8 +298,8 @@
             call.end(CallResult(None, "the connection ended", written=False))
         for task in self._tasks:
             task.cancel()
-        self._wire.close()
+        self._transport.close()
 
     def close(self) -> None:
         """Close now."""
-        self._lost()
+        self._on_lost()
--- a/kelptrail/net/grpc_server.py
+++ b/kelptrail/net/grpc_server.py
@@ -41,8 +41,8 @@
 from .transport import TlsTransport, Transport
 
 BUFFER = 65_536
-HEARD_MS = 100.0  # how long a warning may take to be heard
-LAST_STREAM = 2**31 - 1
+GOAWAY_DELIVERY_MS = 100.0  # how long a warning may take to be heard
+MAX_STREAM_ID = 2**31 - 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,16 +68,12 @@
 
     __slots__ = (
         "_connection",
-        "_end",
-        "_headed",
-        "_held",
-        "_pending",
-        "_reader",
-        "_waits_room",
+        "awaits_room",
         "blocked_since",
         "client_ended",
         "deadline",
         "ended",
+        "headers_sent",
         "id",
         "metadata",
         "on_client_gone",
@@ -86,26 +82,30 @@
         "on_writable",
         "opened_at",
         "path",
+        "pending",
+        "reader",
         "request_complete",
+        "trailers",
+        "unsent_bytes",
     )
 
     def __init__(self, connection: GrpcConnection, id_: int, path: str, metadata: dict[str, str], now: float) -> None:
         self._connection, self.id, self.path, self.metadata = connection, id_, path, metadata
         limits = connection.server.limits
-        self._reader = MessageReader(limits.message_bytes)
-        self._pending: deque[bytes] = deque()
-        self._held = 0  # bytes that wait to be sent
-        self._end: list[tuple[bytes, bytes]] | None = None
-        self._headed = self._waits_room = False
+        self.reader = MessageReader(limits.message_bytes)
+        self.pending: deque[bytes] = deque()
+        self.unsent_bytes = 0  # bytes that wait to be sent
+        self.trailers: list[tuple[bytes, bytes]] | None = None
+        self.headers_sent = self.awaits_room = False
         self.ended = False  # it has its one status, or the client has gone
         self.client_ended = False
         self.request_complete = False  # it was handed to the handler whole: its read time is over
         self.opened_at, self.blocked_since = now, None
         self.deadline: float | None = None
-        self.on_message: Callable[[bytes], None] = _nothing
-        self.on_end: Callable[[], None] = _nothing
-        self.on_client_gone: Callable[[], None] = _nothing
-        self.on_writable: Callable[[], None] = _nothing
+        self.on_message: Callable[[bytes], None] = ignore
+        self.on_end: Callable[[], None] = ignore
+        self.on_client_gone: Callable[[], None] = ignore
+        self.on_writable: Callable[[], None] = ignore
 
     blocked_since: float | None
 
@@ -122,19 +122,19 @@
     @property
     def can_write(self) -> bool:
         """Whether more may be given without holding too much for a slow reader."""
-        if self._held < self._connection.server.limits.stream_bytes:
+        if self.unsent_bytes < self._connection.server.limits.stream_bytes:
             return True
-        self._waits_room = True
+        self.awaits_room = True
         return False
 
     def send(self, message: bytes) -> bool:
         """Send a message; False where the call has ended."""
         if self.ended:
             return False
-        self._head()
+        self._send_headers()
         data = encode_message(message)
-        self._pending.append(data)
-        self._held += len(data)
+        self.pending.append(data)
+        self.unsent_bytes += len(data)
         self._connection.server.add_unwritten(len(data))
         self._connection.pump(self)
         return True
@@ -151,8 +151,8 @@
         if self.ended:
             return False
         self.ended = True
-        self._end = encode_trailers(code, text, retry_ms, reason, details)
-        self.on_message = self.on_end = self.on_client_gone = self.on_writable = _nothing
+        self.trailers = encode_trailers(code, text, retry_ms, reason, details)
+        self.on_message = self.on_end = self.on_client_gone = self.on_writable = ignore
         self._connection.pump(self)
         return True
 
@@ -160,21 +160,21 @@
         """Finish with an error."""
         return self.finish(cause.code, cause.text, cause.retry_ms, cause.reason, cause.details)
 
-    def _head(self) -> None:
-        if not self._headed:
-            self._headed = True
-            self._connection.head(self)
+    def _send_headers(self) -> None:
+        if not self.headers_sent:
+            self.headers_sent = True
+            self._connection.send_headers(self)
 
 
-def _nothing(*_args: object) -> None:
+def ignore(*_args: object) -> None:
     """Stands in for a callback."""
 
 
 class GrpcConnection:
     """One client's connection."""
 
-    def __init__(self, server: GrpcServer, wire: Transport, peer: str, identity: str) -> None:
-        self.server, self._wire, self.peer, self.identity = server, wire, peer, identity
+    def __init__(self, server: GrpcServer, transport: Transport, peer: str, identity: str) -> None:
+        self.server, self._transport, self.peer, self.identity = server, transport, peer, identity
         limits, now = server.limits, server.now()
         # Inbound names and values are checked: they come from anybody.  Outbound ones are our own.
         self._h2 = H2Connection(
@@ -200,12 +200,12 @@
         self.guard = FloodGuard(limits.guard, now, zlib.crc32(peer.encode()) / 2**32)
         self.streams: dict[int, GrpcStream] = {}
         self._out = bytearray()
-        self._more: asyncio.Future[None] | None = None
-        self._room: asyncio.Future[None] | None = None
-        self._last = self._lost = False
-        self._highest = 0
+        self._output_ready: asyncio.Future[None] | None = None
+        self._input_resumed: asyncio.Future[None] | None = None
+        self._close_when_written = self._streams_dropped = False
+        self._highest_stream_id = 0
         self.writing_since: float | None = None
-        self.active = now  # when a stream was last there
+        self.active_at = now  # when a stream was last there
         self._flush()
         self._tasks = [server.loop.create_task(self._read()), server.loop.create_task(self._write())]
 
@@ -214,50 +214,50 @@
     async def _read(self) -> None:
         buffer = bytearray(BUFFER)
         try:
-            while not self._last:
-                count = await self._wire.recv_into(buffer)
+            while not self._close_when_written:
+                count = await self._transport.recv_into(buffer)
                 if not count:
                     break
                 with memoryview(buffer) as view:
                     events = self._h2.receive_data(bytes(view[:count]))
                 for event in events:
-                    self._take(event)
-                    if self._last:
+                    self._on_event(event)
+                    if self._close_when_written:
                         break
                 self._flush()
                 while len(self._out) > BUFFER * 4:  # whoever does not read our answers is not read from
-                    self._room = self.server.loop.create_future()
-                    await self._room
-            self._gone()
+                    self._input_resumed = self.server.loop.create_future()
+                    await self._input_resumed
+            self._drop_streams()
         except ProtocolError as cause:  # the library has written the GOAWAY that says why
             self.server.log_event("protocol-error", peer=self.peer, reason=f"{type(cause).__name__}: {cause}")
             self.server.protocol_errors += 1
             self._flush()
-            self._last = True
-            self._gone()
+            self._close_when_written = True
+            self._drop_streams()
         except (OSError, asyncio.CancelledError):
-            self._gone()
+            self._drop_streams()
         finally:
-            self._wake()
+            self._wake_writer()
 
-    def _take(self, event: Event) -> None:
+    def _on_event(self, event: Event) -> None:
         if isinstance(event, RequestReceived):
-            self._request(event)
+            self._on_request(event)
         elif isinstance(event, DataReceived):
-            self._data(event)
+            self._on_data(event)
         elif isinstance(event, StreamEnded):
             stream = self.streams.get(event.stream_id)
             if stream is not None:
                 stream.client_ended = stream.request_complete = True
-                if stream._reader.partial_bytes and not stream.ended:
+                if stream.reader.partial_bytes and not stream.ended:
                     stream.fail(GrpcError(Code.INTERNAL, "the call ended within a message"))
                 else:
-                    self._call(stream, stream.on_end)
+                    self._run_callback(stream, stream.on_end)
         elif isinstance(event, StreamReset):
             if not self.guard.spend(self.server.now(), GuardAction.RESET):
-                self._calm("streams are reset too often")
+                self._stop_flood("streams are reset too often")
             if (stream := self.streams.get(event.stream_id)) is not None:
-                self._drop(stream)
+                self._on_client_gone(stream)
         elif isinstance(event, WindowUpdated):
             if event.stream_id:
                 if (stream := self.streams.get(event.stream_id)) is not None:
@@ -267,18 +267,18 @@
                     self.pump(stream, False)
         elif isinstance(event, RemoteSettingsChanged):
             if not self.guard.spend(self.server.now(), GuardAction.SETTINGS):
-                self._calm("settings come too often")
+                self._stop_flood("settings come too often")
             for stream in list(self.streams.values()):
                 self.pump(stream, False)
         elif isinstance(event, PingReceived) and not self.guard.spend(self.server.now(), GuardAction.PING):
-            self._calm("pings come too often")
+            self._stop_flood("pings come too often")
 
-    def _request(self, event: RequestReceived) -> None:
+    def _on_request(self, event: RequestReceived) -> None:
         id_ = event.stream_id
         assert id_ is not None
-        self._highest = max(self._highest, id_)
+        self._highest_stream_id = max(self._highest_stream_id, id_)
         if not self.guard.accepts_streams:
-            self._reset(id_, ErrorCodes.REFUSED_STREAM)  # nothing was done: trying again is harmless
+            self._send_reset(id_, ErrorCodes.REFUSED_STREAM)  # nothing was done: trying again is harmless
             return
         headers: dict[str, str] = {}
         for name, value in event.headers or ():
@@ -290,7 +290,7 @@
             return
         now = self.server.now()
         stream = self.streams[id_] = GrpcStream(self, id_, headers.get(":path", ""), headers, now)
-        self.active = now
+        self.active_at = now
         self.server.open_streams += 1
         try:
             if (limit := headers.get("grpc-timeout")) is not None:
@@ -304,13 +304,13 @@
         except GrpcError as fault:
             stream.fail(fault)
         except Exception as fault:  # a fault of ours must not hang a client
-            self.server.failed(fault)
+            self.server.log_handler_failure(fault)
             stream.finish(Code.INTERNAL, "There was an internal server error.")
 
-    def _data(self, event: DataReceived) -> None:
+    def _on_data(self, event: DataReceived) -> None:
         count, id_ = event.flow_controlled_length or 0, event.stream_id or 0
         if not event.data and not event.stream_ended and not self.guard.spend(self.server.now(), GuardAction.EMPTY):
-            self._calm("empty frames come too often")
+            self._stop_flood("empty frames come too often")
             return
         stream = self.streams.get(id_)
         if count:
@@ -318,34 +318,34 @@
                 self._h2.acknowledge_received_data(count, id_)
         if stream is None or stream.ended:
             return
-        before = stream._reader.partial_bytes
+        before = stream.reader.partial_bytes
         try:
             try:
-                messages = stream._reader.feed(event.data or b"")
+                messages = stream.reader.feed(event.data or b"")
             finally:
-                self.server.partial_bytes += stream._reader.partial_bytes - before
+                self.server.partial_bytes += stream.reader.partial_bytes - before
             if self.server.partial_bytes > self.server.limits.partial_bytes:
                 raise GrpcError(Code.RESOURCE_EXHAUSTED, "too much is being received at once", 1000.0)
         except GrpcError as fault:
             stream.fail(fault)
             return
         for message in messages:
-            self._call(stream, stream.on_message, message)
+            self._run_callback(stream, stream.on_message, message)
 
-    def _call(self, stream: GrpcStream, what: Callable[..., None], *words: Any) -> None:
+    def _run_callback(self, stream: GrpcStream, callback: Callable[..., None], *arguments: Any) -> None:
         if stream.ended:
             return
         try:
-            what(*words)
+            callback(*arguments)
         except GrpcError as fault:
             stream.fail(fault)
         except Exception as fault:
-            self.server.failed(fault)
+            self.server.log_handler_failure(fault)
             stream.finish(Code.INTERNAL, "There was an internal server error.")
 
     # Writing.
 
-    def head(self, stream: GrpcStream) -> None:
+    def send_headers(self, stream: GrpcStream) -> None:
         """The first headers of an answer."""
         with contextlib.suppress(ProtocolError):
             self._h2.send_headers(stream.id, [(b":status", b"200"), (b"content-type", b"application/grpc")])
@@ -353,7 +353,7 @@
     def pump(self, stream: GrpcStream, flush: bool = True) -> None:
         """Send what a stream has, as far as its flow control allows."""
         try:
-            while stream._pending:
+            while stream.pending:
                 window = min(self._h2.local_flow_control_window(stream.id), self._h2.max_outbound_frame_size)
                 if window <= 0 or len(self._out) > BUFFER * 16:
                     if stream.blocked_since is None:
@@ -361,105 +361,105 @@
                     if flush:
                         self._flush()
                     return
-                data = stream._pending.popleft()
+                data = stream.pending.popleft()
                 if len(data) > window:
-                    stream._pending.appendleft(data[window:])
+                    stream.pending.appendleft(data[window:])
                     data = data[:window]
                 self._h2.send_data(stream.id, data)
-                stream._held -= len(data)
+                stream.unsent_bytes -= len(data)
                 self.server.unwritten_bytes -= len(data)
                 stream.blocked_since = None
-            if stream._end is not None:
-                self._close(stream)
-            elif stream._waits_room and stream._held < self.server.limits.stream_bytes // 2:
-                stream._waits_room = False
-                self.server.loop.call_soon(self._call, stream, stream.on_writable)
+            if stream.trailers is not None:
+                self._send_trailers(stream)
+            elif stream.awaits_room and stream.unsent_bytes < self.server.limits.stream_bytes // 2:
+                stream.awaits_room = False
+                self.server.loop.call_soon(self._run_callback, stream, stream.on_writable)
         except (StreamClosedError, FlowControlError, ProtocolError):
-            self._drop(stream)
+            self._on_client_gone(stream)
         if flush:
             self._flush()
 
-    def _close(self, stream: GrpcStream) -> None:
-        ends, stream._end = stream._end or [], None
+    def _send_trailers(self, stream: GrpcStream) -> None:
+        ends, stream.trailers = stream.trailers or [], None
         self._forget(stream)
-        if not stream._headed:  # trailers only
+        if not stream.headers_sent:  # trailers only
             ends = [(b":status", b"200"), (b"content-type", b"application/grpc"), *ends]
         self._h2.send_headers(stream.id, ends, end_stream=True)
         if not stream.client_ended:  # RFC 9113, section 8.1: what still comes is not wanted
-            self._reset(stream.id, ErrorCodes.NO_ERROR)
+            self._send_reset(stream.id, ErrorCodes.NO_ERROR)
 
     def _forget(self, stream: GrpcStream) -> None:
         if self.streams.pop(stream.id, None) is not None:
             self.server.open_streams -= 1
-            self.server.unwritten_bytes -= stream._held
-            self.server.partial_bytes -= stream._reader.partial_bytes
-            stream._held = 0
-            stream._pending.clear()
-            self.active = self.server.now()
+            self.server.unwritten_bytes -= stream.unsent_bytes
+            self.server.partial_bytes -= stream.reader.partial_bytes
+            stream.unsent_bytes = 0
+            stream.pending.clear()
+            self.active_at = self.server.now()
 
-    def _drop(self, stream: GrpcStream) -> None:
+    def _on_client_gone(self, stream: GrpcStream) -> None:
         """The client wants no answer any more."""
         self._forget(stream)
         if not stream.ended:
             stream.ended = True
-            gone, stream.on_client_gone = stream.on_client_gone, _nothing
-            stream.on_message = stream.on_end = stream.on_writable = _nothing
+            gone, stream.on_client_gone = stream.on_client_gone, ignore
+            stream.on_message = stream.on_end = stream.on_writable = ignore
             gone()
 
     def reset(self, stream: GrpcStream) -> None:
         """End a call without waiting for its reader."""
-        self._reset(stream.id, ErrorCodes.CANCEL)
-        self._drop(stream)
+        self._send_reset(stream.id, ErrorCodes.CANCEL)
+        self._on_client_gone(stream)
         self._flush()
 
-    def _reset(self, id_: int, code: ErrorCodes) -> None:
+    def _send_reset(self, id_: int, code: ErrorCodes) -> None:
         with contextlib.suppress(ProtocolError):
             self._h2.reset_stream(id_, code)
 
-    def _calm(self, text: str) -> None:
+    def _stop_flood(self, text: str) -> None:
         """Too much that costs its sender nothing: told to go (RFC 9113, section 10.5)."""
-        if self._last:
+        if self._close_when_written:
             return
         self.server.log_event("flood", peer=self.peer, reason=text)
         self.server.floods_stopped += 1
         with contextlib.suppress(ProtocolError):
             self._h2.close_connection(ErrorCodes.ENHANCE_YOUR_CALM)
         self._flush()
-        self._last = True
-        self._gone()
-        self._wake()
+        self._close_when_written = True
+        self._drop_streams()
+        self._wake_writer()
 
-    def look(self, now: float) -> None:
+    def enforce_time_limits(self, now: float) -> None:
         """See to age, grace and streams that stand still."""
         limits = self.server.limits
-        stage = self.guard.due(now, len(self.streams), HEARD_MS)
+        stage = self.guard.due(now, len(self.streams), GOAWAY_DELIVERY_MS)
         if stage is CloseStage.WARNED:
-            self._goaway(LAST_STREAM)
+            self._goaway(MAX_STREAM_ID)
         elif stage is CloseStage.CLOSING:
-            self._goaway(self._highest)
+            self._goaway(self._highest_stream_id)
         if stage is CloseStage.CLOSED or (stage is CloseStage.CLOSING and not self.streams):
             for stream in list(self.streams.values()):
                 self.reset(stream)
-            self._last = True
-            self._wake()
+            self._close_when_written = True
+            self._wake_writer()
             return
         for stream in list(self.streams.values()):
             if stream.blocked_since is not None and now - stream.blocked_since > limits.write_ms:
-                self.server.log_event("slow-reader", peer=self.peer, bytes=stream._held)
+                self.server.log_event("slow-reader", peer=self.peer, bytes=stream.unsent_bytes)
                 self.server.slow_readers_closed += 1
                 self.reset(stream)
             elif not stream.request_complete and now - stream.opened_at > limits.read_ms:
                 stream.finish(Code.DEADLINE_EXCEEDED, "The call did not arrive in time.")
         if self.writing_since is not None and now - self.writing_since > limits.write_ms:
             self.abort()
-        elif not self.streams and now - self.active > limits.idle_ms:
-            self.leave()
+        elif not self.streams and now - self.active_at > limits.idle_ms:
+            self.close_gracefully()
 
-    def leave(self) -> None:
+    def close_gracefully(self) -> None:
         """Close in good order: serve what is in hand."""
         if self.guard.stage is CloseStage.OPEN:
             self.guard.start_closing(self.server.now())
-            self._goaway(LAST_STREAM)
+            self._goaway(MAX_STREAM_ID)
 
     def _goaway(self, last: int) -> None:
         # The library's own way ends the connection's machine at once; a graceful end goes on serving.
@@ -468,57 +468,57 @@
 
     def abort(self) -> None:
         """Close now."""
-        self._last = True
+        self._close_when_written = True
         for task in self._tasks:
             task.cancel()
 
-    def _gone(self) -> None:
-        if self._lost:
+    def _drop_streams(self) -> None:
+        if self._streams_dropped:
             return
-        self._lost = True
-        self._last = True
+        self._streams_dropped = True
+        self._close_when_written = True
         for stream in list(self.streams.values()):
-            self._drop(stream)
+            self._on_client_gone(stream)
 
     def _flush(self) -> None:
         self._out += self._h2.data_to_send()
         if self._out:
-            self._wake()
+            self._wake_writer()
 
-    def _wake(self) -> None:
-        if self._more is not None and not self._more.done():
-            self._more.set_result(None)
+    def _wake_writer(self) -> None:
+        if self._output_ready is not None and not self._output_ready.done():
+            self._output_ready.set_result(None)
 
     async def _write(self) -> None:
         server = self.server
         try:
             while True:
                 if not self._out:
-                    if self._last:
+                    if self._close_when_written:
                         break
-                    self._more = server.loop.create_future()
-                    await self._more
+                    self._output_ready = server.loop.create_future()
+                    await self._output_ready
                     continue
                 data, self._out = self._out, bytearray()
                 self.writing_since = server.now()
-                await self._wire.sendall(data)
+                await self._transport.sendall(data)
                 self.writing_since = None
                 for stream in [s for s in self.streams.values() if s.blocked_since is not None]:
                     self.pump(stream, False)
                 self._flush()
-                if self._room is not None and not self._room.done():
-                    self._room.set_result(None)
-            self._wire.shutdown_write()
+                if self._input_resumed is not None and not self._input_resumed.done():
+                    self._input_resumed.set_result(None)
+            self._transport.shutdown_write()
         except (OSError, asyncio.CancelledError):
             pass
         finally:
-            self._last = True
+            self._close_when_written = True
             self._tasks[0].cancel()
-            self._gone()
-            server.closed(self)
+            self._drop_streams()
+            server.forget(self)
             with contextlib.suppress(asyncio.CancelledError):
                 await asyncio.gather(self._tasks[0], return_exceptions=True)
-            self._wire.close()
+            self._transport.close()
 
 
 class GrpcServer:
@@ -537,10 +537,10 @@
         self.handle, self.limits = handler, limits or GrpcLimits()
         self.log_event = log_event or (lambda *_args, **_fields: None)
         self._tls, self._identify = tls, identify or (lambda _certificate: "")
-        self.listener = Listener(self.loop, self._came, self._early, self.log_event, pace)
+        self.listener = Listener(self.loop, self._on_accept, self._on_early, self.log_event, pace)
         self._tasks: set[asyncio.Task[Any]] = set()
         self._connections: dict[GrpcConnection, None] = {}
-        self._accepted = 0  # connections whose handshake is under way, too
+        self._accepted_connections = 0  # connections whose handshake is under way, too
         self.open_streams = self.unwritten_bytes = self.partial_bytes = 0
         self.slow_readers_closed = self.protocol_errors = self.floods_stopped = self.rejected_connections = 0
         self.address = ""
@@ -571,36 +571,36 @@
         bound = int(sock.getsockname()[1])
         self.address = f"{host}:{bound}"
         if not self.listener.is_open:
-            self._begin(self._look())
+            self._start_task(self._enforce_time_limits())
         self.listener.add_socket(sock)
         return bound
 
-    def _begin(self, what: Any) -> None:
+    def _start_task(self, what: Any) -> None:
         task = self.loop.create_task(what)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _came(self, client: socket.socket, peer: str) -> None:
-        if self._accepted >= self.limits.connections:
+    def _on_accept(self, client: socket.socket, peer: str) -> None:
+        if self._accepted_connections >= self.limits.connections:
             self.rejected_connections += 1
-            self.log_event("connection-turned-away", open=self._accepted)
+            self.log_event("connection-turned-away", open=self._accepted_connections)
             self.listener.reject(client, b"")
             return
-        self._welcome(client, peer)
+        self._open_connection(client, peer)
 
-    def _early(self, client: socket.socket, peer: str, back_ms: float) -> None:
+    def _on_early(self, client: socket.socket, peer: str, back_ms: float) -> None:
         """Somebody connects faster than the pace.  HTTP/2 has nothing to say so before its preface: it is closed."""
         self.listener.reject(client, b"")
 
-    def _welcome(self, client: socket.socket, peer: str) -> None:
+    def _open_connection(self, client: socket.socket, peer: str) -> None:
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._accepted += 1
+        self._accepted_connections += 1
         if self._tls is None:
             self._connections[GrpcConnection(self, Transport(self.loop, client), peer, "")] = None
         else:
-            self._begin(self._shake(client, peer, self._tls()))
+            self._start_task(self._handshake(client, peer, self._tls()))
 
-    async def _shake(self, client: socket.socket, peer: str, context: ssl.SSLContext) -> None:
+    async def _handshake(self, client: socket.socket, peer: str, context: ssl.SSLContext) -> None:
         wire = TlsTransport(self.loop, client, context, True)
         try:
             await wire.handshake(self.limits.handshake_ms)
@@ -609,7 +609,7 @@
         except (ssl.SSLError, OSError) as cause:
             self.log_event("handshake-failed", peer=peer, reason=str(cause) or type(cause).__name__)
             self.protocol_errors += 1
-            self._accepted -= 1
+            self._accepted_connections -= 1
             wire.close()
             return
         self._connections[GrpcConnection(self, wire, peer, self._identify(wire.certificate))] = None
@@ -622,39 +622,39 @@
                 (s.blocked_since, c, s)
                 for c in self._connections
                 for s in c.streams.values()
-                if s.blocked_since is not None and s._held
+                if s.blocked_since is not None and s.unsent_bytes
             ]
             if not found:
                 return
             _, connection, stream = min(found, key=lambda entry: entry[0])
-            self.log_event("slow-reader-cut", peer=connection.peer, bytes=stream._held)
+            self.log_event("slow-reader-cut", peer=connection.peer, bytes=stream.unsent_bytes)
             self.slow_readers_closed += 1
             connection.reset(stream)
 
-    async def _look(self) -> None:
+    async def _enforce_time_limits(self) -> None:
         while True:
             await asyncio.sleep(0.05)
             now = self.now()
             for connection in list(self._connections):
-                connection.look(now)
+                connection.enforce_time_limits(now)
 
-    def failed(self, cause: Exception) -> None:
+    def log_handler_failure(self, cause: Exception) -> None:
         """A fault of a handler."""
         self.log_event("handler-failed", reason=f"{type(cause).__name__}: {cause}")
 
-    def closed(self, connection: GrpcConnection) -> None:
+    def forget(self, connection: GrpcConnection) -> None:
         """Forget a connection."""
         if self._connections.pop(connection, 0) is None:
-            self._accepted -= 1
+            self._accepted_connections -= 1
 
     def stop_listening(self) -> None:
         """Accept nothing more."""
-        self.listener.close(self._welcome)
+        self.listener.close(self._open_connection)
 
     def start_draining(self) -> None:
         """Ask every connection to go elsewhere; what is in hand is served."""
         for connection in list(self._connections):
-            connection.leave()
+            connection.close_gracefully()
 
     async def drain(self, within_ms: float) -> bool:
         """Stop, warn, serve what is in hand; True if nothing was cut off."""
--- a/kelptrail/net/guard.py
+++ b/kelptrail/net/guard.py
@@ -24,7 +24,7 @@
 class GuardSettings:
     """Acts allowed at once, and again each second; a connection's age in ms (0: no limit) and its last grace."""
 
-    at_once: int = 200
+    burst: int = 200
     per_s: float = 20.0
     age_ms: float = 0.0
     grace_ms: float = 10_000.0
@@ -44,31 +44,31 @@
 
     def __init__(self, settings: GuardSettings, now: float, spread: float = 0.0) -> None:
         self._settings = settings
-        self._left = {act: float(settings.at_once) for act in GuardAction}
-        self._filled = now
-        self._old_at = now + settings.age_ms * (0.9 + 0.2 * spread) if settings.age_ms else float("inf")
-        self._warned_at = self._closed_at = float("inf")
+        self._budgets = {act: float(settings.burst) for act in GuardAction}
+        self._refilled_at = now
+        self._expires_at = now + settings.age_ms * (0.9 + 0.2 * spread) if settings.age_ms else float("inf")
+        self._closing_started_at = self._closed_at = float("inf")
         self.stage = CloseStage.OPEN
 
-    def spend(self, now: float, act: GuardAction) -> bool:
+    def spend(self, now: float, action: GuardAction) -> bool:
         """Whether an act is within its budget."""
-        grown, self._filled = (now - self._filled) / 1000 * self._settings.per_s, now
+        grown, self._refilled_at = (now - self._refilled_at) / 1000 * self._settings.per_s, now
         for kind in GuardAction:
-            self._left[kind] = min(float(self._settings.at_once), self._left[kind] + grown)
-        self._left[act] -= 1
-        return self._left[act] >= 0
+            self._budgets[kind] = min(float(self._settings.burst), self._budgets[kind] + grown)
+        self._budgets[action] -= 1
+        return self._budgets[action] >= 0
 
     def start_closing(self, now: float) -> None:
         """It is to close: at its age, or because its dispatcher drains or gives up the address."""
         if self.stage is CloseStage.OPEN:
-            self.stage, self._warned_at = CloseStage.WARNED, now
+            self.stage, self._closing_started_at = CloseStage.WARNED, now
 
-    def due(self, now: float, streams: int, heard_ms: float) -> CloseStage | None:
+    def due(self, now: float, streams: int, delivery_ms: float) -> CloseStage | None:
         """The stage that begins now, or None; `heard_ms`: how long a warning takes to be heard."""
-        if self.stage is CloseStage.OPEN and now >= self._old_at:
+        if self.stage is CloseStage.OPEN and now >= self._expires_at:
             self.start_closing(now)
             return CloseStage.WARNED
-        if self.stage is CloseStage.WARNED and now >= self._warned_at + heard_ms:
+        if self.stage is CloseStage.WARNED and now >= self._closing_started_at + delivery_ms:
             self.stage, self._closed_at = CloseStage.CLOSING, now
             return CloseStage.CLOSING
         if self.stage is CloseStage.CLOSING and (not streams or now >= self._closed_at + self._settings.grace_ms):
--- a/kelptrail/net/http_client.py
+++ b/kelptrail/net/http_client.py
@@ -16,7 +16,7 @@
 
     def __init__(self, address: str, answer_bytes: int = 1 << 26) -> None:
         host, _, port = address.rpartition(":")
-        self.address, self._where, self._bytes = address, (host.strip("[]"), int(port)), answer_bytes
+        self.address, self._endpoint, self._max_body_bytes = address, (host.strip("[]"), int(port)), answer_bytes
         self._loop = asyncio.get_running_loop()
         self._sock: socket.socket | None = None
         self._reader = ResponseReader(answer_bytes)
@@ -34,10 +34,10 @@
         async with asyncio.timeout(timeout_ms / 1000):
             try:
                 if self._sock is not None and not self._stale():
-                    return await self._once(data)
+                    return await self._exchange(data)
                 self.close()
                 await self._connect()
-                return await self._once(data)
+                return await self._exchange(data)
             except BaseException:
                 self.close()
                 raise
@@ -58,13 +58,13 @@
             return True
 
     async def _connect(self) -> None:
-        sock = socket.socket(socket.AF_INET6 if ":" in self._where[0] else socket.AF_INET, socket.SOCK_STREAM)
+        sock = socket.socket(socket.AF_INET6 if ":" in self._endpoint[0] else socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._sock, self._reader = sock, ResponseReader(self._bytes)
-        await self._loop.sock_connect(sock, self._where)
+        self._sock, self._reader = sock, ResponseReader(self._max_body_bytes)
+        await self._loop.sock_connect(sock, self._endpoint)
 
-    async def _once(self, data: bytes) -> Response:
+    async def _exchange(self, data: bytes) -> Response:
         assert self._sock is not None
         await self._loop.sock_sendall(self._sock, data)
         buffer = bytearray(65_536)
--- a/kelptrail/net/listener.py
+++ b/kelptrail/net/listener.py
@@ -1,8 +1,8 @@
-"""A door that clients connect through: accepting, the pace of it, and early, cheap refusals.
+"""Accepting connections: listening sockets, the pace of accepting, and early, cheap rejections.
 
-`ConnectPace` decides and is free of I/O; `Door` holds the listening sockets.  Accepting is done in one step from the
-loop's word that somebody waits: an `await sock_accept` that is called off at the wrong moment has taken a client out of
-the kernel's queue and loses it, which looked like a reset at an address that was just being given up.
+`ConnectPace` decides and does no I/O; `Listener` holds the listening sockets.  It accepts in the loop's callback for a
+readable socket, not by `await sock_accept`: if that is cancelled after the client has left the kernel's accept queue,
+the client is lost, which appears to it as a reset while an address is being released.
 """
 
 from __future__ import annotations
@@ -19,17 +19,18 @@
 
 from .errors import is_client_gone
 
-ACCEPT_BATCH = 256  # accepted before others have their turn on the loop
-NO_CAPACITY_RETRY_MS = 20.0  # until it is looked again whether there is room
-FAILURE_PAUSE_MS, MAX_FAILURE_PAUSE_MS = 5.0, 100.0  # until the next try after an accept that failed
-FAILURES_BEFORE_BACKOFF = 20  # in a row, after which each next rest is twice as long
-LINGER_MS, MAX_LINGERING = 300.0, 2048  # so long refused ones are held: a reset would eat what they are told
+ACCEPT_BATCH = 256  # clients accepted in one iteration of the loop
+NO_CAPACITY_RETRY_MS = 20.0  # pause while there is no capacity
+FAILURE_PAUSE_MS, MAX_FAILURE_PAUSE_MS = 5.0, 100.0  # pause after an accept that failed
+FAILURES_BEFORE_BACKOFF = 20  # in a row, after which each pause is twice the one before
+# A rejected connection stays open for a while: a reset would destroy the response before the client reads it.
+LINGER_MS, MAX_LINGERING = 300.0, 2048
 
 
 @dataclass(frozen=True, slots=True)
 class PaceSettings:
-    """Connections taken at once, and again each second; whoever comes beyond is told a time of its own, at most
-    `longest_ms` away.  `per_s` 0: no pace."""
+    """A token bucket of connections: `burst` at once, `per_s` each second (0: no limit).  A client beyond it gets its
+    own time to retry, at most `max_delay_ms` away."""
 
     burst: float = 1000.0
     per_s: float = 0.0
@@ -37,16 +38,16 @@
 
 
 class ConnectPace:
-    """How fast connections are taken.  Guards against everybody's reconnecting at once after an outage: handshakes and
-    first requests of thousands would take the loop from the calls in hand.  Times in milliseconds."""
+    """Limits the rate of new connections.  Guards against a reconnect storm after an outage: handshakes and first
+    requests of thousands of clients would delay the calls in flight.  Times in milliseconds."""
 
     def __init__(self, settings: PaceSettings, seed: int) -> None:
         self._settings, self._seed, self._draws = settings, seed, 0
         self._budget, self._refilled_at = settings.burst, 0.0
-        self._reserved_until = 0.0  # until when places were given out
+        self._reserved_until = 0.0  # retry times up to this one were given out
 
     def admit(self, now: float) -> float | None:
-        """Somebody connects.  None: take it; else the time in ms after which it may come back."""
+        """Decide on a new connection: None to accept it, else the time in ms after which its client may retry."""
         settings = self._settings
         if not settings.per_s:
             return None
@@ -55,7 +56,7 @@
         if self._budget >= 1:
             self._budget -= 1
             return None
-        # Places in a row at half the pace: the other half is for those who were never told.
+        # Retry times are given out at half the rate: the other half is for clients that were never rejected.
         self._reserved_until = min(max(self._reserved_until, now) + 2000 / settings.per_s, now + settings.max_delay_ms)
         self._draws += 1
         spread = 0.75 + 0.25 * crc32(f"{self._seed} door {self._draws}".encode()) / 2**32
@@ -63,7 +64,11 @@
 
 
 class Listener:
-    """Listening sockets of one server.  `came` gets each client that is let in, `early` each that comes too fast."""
+    """The listening sockets of one server.
+
+    `on_accept(socket, peer)` gets each accepted client; `on_early(socket, peer, retry_after_ms)` each that exceeds the
+    pace, and must reject it.
+    """
 
     def __init__(
         self,
@@ -82,12 +87,12 @@
         )
         self._sockets: dict[socket.socket, asyncio.TimerHandle | None] = {}
         self._lingering: deque[socket.socket] = deque()
-        self._failures_in_a_row = 0  # accepts in a row
+        self._failures_in_a_row = 0  # accepts that failed
         self.accept_delay_ms = 0.0
         self.rejected_by_pace = 0
-        self.on_connect: Callable[[], None] = _ignore  # told of each that connects
-        self.has_capacity: Callable[[], bool] = _always_true  # else clients wait in the kernel's queue
-        self.on_descriptor_shortage: Callable[[], object] = _ignore  # told where our descriptors lack for a client
+        self.on_connect: Callable[[], None] = _ignore  # called for each accepted client
+        self.has_capacity: Callable[[], bool] = _always_true  # while False, clients stay in the kernel's accept queue
+        self.on_descriptor_shortage: Callable[[], object] = _ignore  # called when descriptors run out
 
     @property
     def is_open(self) -> bool:
@@ -95,32 +100,32 @@
         return bool(self._sockets)
 
     def add_socket(self, sock: socket.socket) -> None:
-        """Take in whoever connects to a listening socket; it is closed with the door."""
+        """Accept the clients of a listening socket; the listener closes it."""
         self._sockets[sock] = None
         self._loop.add_reader(sock, self._ready, sock)
 
     def close(self, on_queued: Callable[[socket.socket, str], Any] | None = None) -> None:
-        """Close; `last` gets whoever has connected already: closing the socket would reset them."""
+        """Close all sockets.  `on_queued` gets each client in the accept queue: closing would reset it."""
         sockets, self._sockets = self._sockets, {}
         for sock, timer in sockets.items():
             if timer is not None:
                 timer.cancel()
             self._loop.remove_reader(sock)
             try:
-                while on_queued is not None and (found := self._accept_next(sock)) is not None:
-                    on_queued(*found)
+                while on_queued is not None and (accepted := self._accept_next(sock)) is not None:
+                    on_queued(*accepted)
             except OSError as cause:
                 self._log_event("accept-failed", reason=str(cause))
             sock.close()
 
     def accept_queued(self) -> bool:
-        """Let in whoever has connected already, whatever the pace; False where some still wait for room."""
+        """Accept the clients in the accept queue, whatever the pace; False where some remain for lack of capacity."""
         for sock in list(self._sockets):
             try:
                 while self.has_capacity():
-                    if (found := self._accept_next(sock)) is None:
+                    if (accepted := self._accept_next(sock)) is None:
                         break
-                    self._on_accept(*found)
+                    self._on_accept(*accepted)
                 else:
                     return False
             except OSError as cause:
@@ -129,7 +134,7 @@
         return True
 
     def reject(self, client: socket.socket, response: bytes) -> None:
-        """Tell a client something and let it go, at little cost and without a reset as long as there is room."""
+        """Send `response`, if any, and close: cheaply, and without a reset as long as few connections linger."""
         with contextlib.suppress(OSError):
             if response:
                 client.send(response)
@@ -154,7 +159,7 @@
 
     @staticmethod
     def _accept_next(sock: socket.socket) -> tuple[socket.socket, str] | None:
-        """Whoever is next in the queue, or None where it is empty.  Raises `OSError` where nobody can be taken."""
+        """The next client in the accept queue and its address, or None.  Raises `OSError` if none can be accepted."""
         for _ in range(ACCEPT_BATCH):
             try:
                 client, address = sock.accept()
@@ -169,9 +174,9 @@
         return None
 
     def _on_accept_failure(self, cause: OSError) -> None:
-        """Nobody can be taken for a while: out of descriptors or memory."""
+        """Report an accept that failed for lack of descriptors or memory."""
         self._log_event("accept-failed", reason=str(cause))
-        if cause.errno == EMFILE:  # else closing our own helps nobody
+        if cause.errno == EMFILE:  # of any other resource, closing our own connections frees nothing
             self.on_descriptor_shortage()
 
     def _ready(self, sock: socket.socket) -> None:
@@ -182,30 +187,30 @@
                 self._pause_accepting(sock, NO_CAPACITY_RETRY_MS)
                 return
             try:
-                found = self._accept_next(sock)
-            except OSError as cause:  # out of descriptors: let some close
+                accepted = self._accept_next(sock)
+            except OSError as cause:  # out of descriptors: wait until some are closed
                 self._on_accept_failure(cause)
                 doublings = min(max(0, self._failures_in_a_row - FAILURES_BEFORE_BACKOFF), 10)
                 self._pause_accepting(sock, min(MAX_FAILURE_PAUSE_MS, FAILURE_PAUSE_MS * 2**doublings))
                 self._failures_in_a_row += 1
                 return
             self._failures_in_a_row = 0
-            if found is None:
+            if accepted is None:
                 return
             self.on_connect()
             if self.accept_delay_ms:
                 self._pause_accepting(sock, self.accept_delay_ms)
-                self._loop.call_later(self.accept_delay_ms / 1000, self._on_accept, *found)
+                self._loop.call_later(self.accept_delay_ms / 1000, self._on_accept, *accepted)
                 return
-            back = None if self._pace is None else self._pace.admit(self._loop.time() * 1000)
-            if back is None:
-                self._on_accept(*found)
+            retry_after_ms = None if self._pace is None else self._pace.admit(self._loop.time() * 1000)
+            if retry_after_ms is None:
+                self._on_accept(*accepted)
             else:
                 self.rejected_by_pace += 1
-                self._on_early(*found, back)
+                self._on_early(*accepted, retry_after_ms)
 
     def _pause_accepting(self, sock: socket.socket, for_ms: float) -> None:
-        """Accept nobody for a while."""
+        """Accept no client for a while."""
         self._loop.remove_reader(sock)
         self._sockets[sock] = self._loop.call_later(for_ms / 1000, self._resume_accepting, sock)
 
@@ -216,9 +221,9 @@
 
 
 def _ignore() -> None:
-    """Stands in where nobody wants to be told."""
+    """The default of callbacks."""
 
 
 def _always_true() -> bool:
-    """Stands in where there is room for all."""
+    """The default of `has_capacity`."""
     return True
--- a/kelptrail/net/pool.py
+++ b/kelptrail/net/pool.py
@@ -113,7 +113,7 @@
         tls: Callable[[], ssl.SSLContext] | None = None,
     ) -> None:
         host, _, port = address.rpartition(":")
-        self.address, self._where = address, (host.strip("[]"), int(port))
+        self.address, self._endpoint = address, (host.strip("[]"), int(port))
         self._max_connections, self._connect_ms, self._idle_ms, self._answer_bytes = (
             max_connections,
             connect_ms,
@@ -141,10 +141,10 @@
         """Begin a call; `done` comes later, never from within."""
         call = Call(data, on_done, tag, on_chunk)
         self._calls.add(call)
-        call._task = self._loop.create_task(self._run(call))
+        call._task = self._loop.create_task(self._run_call(call))
         return call
 
-    async def _run(self, call: Call) -> None:
+    async def _run_call(self, call: Call) -> None:
         link: _PooledConnection | None = None
         ending, response = CallOutcome.BROKEN, None
         call._started = True
@@ -214,16 +214,16 @@
 
     async def _connect(self) -> _PooledConnection | None:
         self.open_connections += 1
-        family = socket.AF_INET6 if ":" in self._where[0] else socket.AF_INET
+        family = socket.AF_INET6 if ":" in self._endpoint[0] else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             async with asyncio.timeout(self._connect_ms / 1000):
-                await self._loop.sock_connect(sock, self._where)
+                await self._loop.sock_connect(sock, self._endpoint)
                 wire = Transport(self._loop, sock)
                 if self._tls is not None:  # a worker that is not vouched for is not reached
-                    wire = secure = TlsTransport(self._loop, sock, self._tls(), False, self._where[0])
+                    wire = secure = TlsTransport(self._loop, sock, self._tls(), False, self._endpoint[0])
                     await secure.handshake(self._connect_ms)
         except BaseException as cause:
             sock.close()
--- a/kelptrail/net/tls.py
+++ b/kelptrail/net/tls.py
@@ -36,18 +36,18 @@
     warn_days: float = 14.0
 
 
-class Expiry:
+class ExpiryWarning:
     """When to tell of a certificate's end: once a day from so many days ahead.  Free of I/O; wall time in ms."""
 
     def __init__(self, warn_days: float) -> None:
-        self._warn_days, self._told_at = warn_days, float("-inf")
+        self._warn_days, self._warned_at = warn_days, float("-inf")
 
-    def due(self, wall: float, ends: float) -> float | None:
+    def due(self, wall_ms: float, expires_at: float) -> float | None:
         """Days left, where that is to be told now."""
-        left = (ends - wall) / DAY_MS
-        if left > self._warn_days or wall < self._told_at + DAY_MS:
+        left = (expires_at - wall_ms) / DAY_MS
+        if left > self._warn_days or wall_ms < self._warned_at + DAY_MS:
             return None
-        self._told_at = wall
+        self._warned_at = wall_ms
         return left
 
 
@@ -57,14 +57,14 @@
     def __init__(
         self, files: TlsFiles, server_side: bool, alpn: list[str], log: Any, wall_ms: Callable[[], float]
     ) -> None:
-        self._files, self._server_side, self._alpn, self._log, self._wall = files, server_side, alpn, log, wall_ms
-        self._seen: tuple[tuple[str, int, int], ...] = ()
-        self._expiry = Expiry(files.warn_days)
+        self._files, self._server_side, self._alpn, self._log, self._wall_ms = files, server_side, alpn, log, wall_ms
+        self._loaded_stamps: tuple[tuple[str, int, int], ...] = ()
+        self._expiry = ExpiryWarning(files.warn_days)
         self.expires_at: float | None = None  # wall ms
         self.names: list[str] = []
         self.loads = self.failures = 0
-        self._seen = self._stamps()
-        self._context = self._make()
+        self._loaded_stamps = self._file_stamps()
+        self._context = self._load()
 
     def context(self) -> ssl.SSLContext:
         """The context in force."""
@@ -72,34 +72,34 @@
 
     def reload_if_changed(self) -> None:
         """Take up changed files; tell of an end that is near."""
-        stamps = self._stamps()
-        if stamps != self._seen:
-            self._seen = stamps
+        stamps = self._file_stamps()
+        if stamps != self._loaded_stamps:
+            self._loaded_stamps = stamps
             try:
-                self._context = self._make()
-                self._expiry = Expiry(self._files.warn_days)
-                self._log.info("tls-reloaded", names=self.names, ends=self._day())
+                self._context = self._load()
+                self._expiry = ExpiryWarning(self._files.warn_days)
+                self._log.info("tls-reloaded", names=self.names, ends=self._expiry_date())
             except ValueError as cause:
                 self.failures += 1
                 self._log.error("tls-unusable", reason=str(cause))
-        if self.expires_at is not None and (left := self._expiry.due(self._wall(), self.expires_at)) is not None:
-            self._log.warning("certificate-ends", names=self.names, days=round(left, 1), ends=self._day())
+        if self.expires_at is not None and (left := self._expiry.due(self._wall_ms(), self.expires_at)) is not None:
+            self._log.warning("certificate-ends", names=self.names, days=round(left, 1), ends=self._expiry_date())
 
     def status(self) -> dict[str, Any]:
         """What operators are shown; nothing of it is secret."""
-        left = (self.expires_at - self._wall()) / DAY_MS if self.expires_at is not None else None
+        left = (self.expires_at - self._wall_ms()) / DAY_MS if self.expires_at is not None else None
         return {
             "names": self.names,
-            "ends": self._day(),
+            "ends": self._expiry_date(),
             "days_left": round(left, 2) if left is not None else None,
             "loads": self.loads,
             "failures": self.failures,
         }
 
-    def _day(self) -> str | None:
+    def _expiry_date(self) -> str | None:
         return datetime.fromtimestamp(self.expires_at / 1000, UTC).isoformat() if self.expires_at is not None else None
 
-    def _stamps(self) -> tuple[tuple[str, int, int], ...]:
+    def _file_stamps(self) -> tuple[tuple[str, int, int], ...]:
         out = []
         for file in (self._files.certificate, self._files.key, self._files.authority):
             if file is not None:
@@ -110,7 +110,7 @@
                     out.append((str(file), 0, 0))
         return tuple(out)
 
-    def _make(self) -> ssl.SSLContext:
+    def _load(self) -> ssl.SSLContext:
         files = self._files
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if self._server_side else ssl.PROTOCOL_TLS_CLIENT)
         context.minimum_version = VERSIONS[files.least]
--- a/kelptrail/net/transport.py
+++ b/kelptrail/net/transport.py
@@ -1,8 +1,8 @@
-"""A connection's bytes, plain or under TLS, with the loop's own socket calls below both.
+"""A connection's byte stream, plain or under TLS, both on the event loop's socket calls.
 
-A plain wire hands out `sock_recv_into` and `sock_sendall` as they are.  A TLS wire runs the library's state machine
-over memory buffers: what the socket gives goes in, what comes out goes to the socket, so nothing of the loop's
-transports is needed and both kinds look the same to their users.
+A plain transport passes `sock_recv_into` and `sock_sendall` on as they are.  A TLS transport runs the state machine of
+`ssl` over memory buffers between it and the socket.  So neither needs asyncio's transports, and both look the same to
+their users.
 """
 
 from __future__ import annotations
@@ -44,12 +44,12 @@
 
     @property
     def certificate(self) -> bytes | None:
-        """The peer's certificate in DER, if one was asked for and given."""
+        """The peer's certificate in DER, if it was requested and sent."""
         return None
 
     @property
     def protocol(self) -> str | None:
-        """What ALPN settled (RFC 7301)."""
+        """The protocol that ALPN selected (RFC 7301)."""
         return None
 
     def probe_idle(self) -> IdleState:
@@ -62,14 +62,14 @@
             return IdleState.UNEXPECTED_DATA if is_transient(cause) else IdleState.CLOSED
 
     def unread_bytes(self) -> int:
-        """Bytes that came and were not read; 0 where that cannot be told."""
+        """Bytes in the socket's receive buffer; 0 where that cannot be determined."""
         count = array("i", [0])
         with contextlib.suppress(OSError, ValueError):
             fcntl.ioctl(self.sock.fileno(), termios.FIONREAD, count)
         return count[0]
 
     def shutdown_write(self) -> None:
-        """End our sending side."""
+        """Shut down the sending side."""
         self.sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
@@ -78,7 +78,7 @@
 
 
 class TlsTransport(Transport):
-    """A connection under TLS; `handshake` comes first."""
+    """A connection under TLS; `handshake` must complete first."""
 
     __slots__ = ("_buffer", "_in", "_lock", "_loop", "_out", "_tls")
 
@@ -94,11 +94,11 @@
         self._loop, self._in, self._out = loop, ssl.MemoryBIO(), ssl.MemoryBIO()
         self._tls = context.wrap_bio(self._in, self._out, server_side, name)
         self._buffer = bytearray(BUFFER)
-        self._lock = asyncio.Lock()  # records leave in the order in which they were made
+        self._lock = asyncio.Lock()  # records are sent in the order in which they were made
         self.recv_into, self.sendall = self._recv_into, self._sendall
 
     async def handshake(self, within_ms: float) -> None:
-        """Raises `ssl.SSLError`, `OSError`, `TimeoutError`."""
+        """Complete the handshake.  Raises `ssl.SSLError`, `OSError`, and `TimeoutError` after `within_ms`."""
         async with asyncio.timeout(within_ms / 1000):
             while True:
                 try:
@@ -110,7 +110,7 @@
                     if not await self._fill():
                         raise ConnectionResetError("the peer went away in the handshake") from None
                 except ssl.SSLError:
-                    await self._flush()  # the alert says why
+                    await self._flush()  # send the alert
                     raise
 
     async def _fill(self) -> bool:
@@ -133,7 +133,7 @@
             try:
                 return self._tls.read(len(buffer), buffer)  # type: ignore[return-value]
             except ssl.SSLWantReadError:
-                await self._flush()  # answers to key updates
+                await self._flush()  # replies to key updates
                 if not await self._fill():
                     return 0
             except ssl.SSLZeroReturnError:
@@ -154,12 +154,12 @@
 
     @property
     def certificate(self) -> bytes | None:
-        """The peer's certificate in DER, if one was asked for and given."""
+        """The peer's certificate in DER, if it was requested and sent."""
         return self._tls.getpeercert(binary_form=True)
 
     @property
     def protocol(self) -> str | None:
-        """What ALPN settled (RFC 7301)."""
+        """The protocol that ALPN selected (RFC 7301)."""
         return self._tls.selected_alpn_protocol()
 
     def probe_idle(self) -> IdleState:
@@ -184,11 +184,11 @@
 
     @property
     def version(self) -> str | None:
-        """The version in use."""
+        """The TLS version in use."""
         return self._tls.version()
 
     def end(self) -> None:
-        """Say that nothing more comes (RFC 8446, section 6.1), as far as the socket takes it at once."""
+        """Send `close_notify` (RFC 8446, section 6.1), as far as the socket takes it at once, and shut down."""
         with contextlib.suppress(ssl.SSLError, ValueError):
             self._tls.unwrap()
         with contextlib.suppress(OSError):
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -433,8 +433,8 @@
         whole = encode_response(200, infer_answer("m", infer.id, payload, True))
         exchange.keep_alive = False
         exchange._connection._out += whole[:-7]
-        exchange._connection._last = True
-        exchange._connection._wake()
+        exchange._connection._close_when_written = True
+        exchange._connection._wake_writer()
 
     workers: list[ScriptedWorker] = []
 
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -200,7 +200,7 @@
     assert guard.due(1050.0, 3, 100.0) is None
     assert guard.due(1100.0, 3, 100.0) is CloseStage.CLOSING and not guard.accepts_streams
     assert guard.due(1200.0, 3, 100.0) is None and guard.due(1400.0, 3, 100.0) is CloseStage.CLOSED
-    ages = {FloodGuard(GuardSettings(age_ms=1000.0), 0.0, s / 10)._old_at for s in range(10)}
+    ages = {FloodGuard(GuardSettings(age_ms=1000.0), 0.0, s / 10)._expires_at for s in range(10)}
     assert len(ages) == 10 and min(ages) >= 900 and max(ages) <= 1100, "not all at once"
 
 
@@ -671,7 +671,7 @@
 def test_floods_that_cost_their_sender_nothing_end_the_connection() -> None:
     async def main() -> None:
         for kind in ("reset", "ping", "settings", "empty"):
-            server, log = await guarded(guard=GuardSettings(at_once=50, per_s=1.0))
+            server, log = await guarded(guard=GuardSettings(burst=50, per_s=1.0))
             raw = Raw(await connect(server.address))
             await raw.flush()
             assert await raw.read(h2.events.RemoteSettingsChanged) is not None
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -26,7 +26,7 @@
 from kelptrail.front.inference import inference_pb2 as pb
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.server import HttpServer
-from kelptrail.net.tls import CertificateReloader, Expiry, TlsFiles
+from kelptrail.net.tls import CertificateReloader, ExpiryWarning, TlsFiles
 from kelptrail.service.build import grpc_limits, tls_keeper
 from kelptrail.settings.deployment import parse
 from kelptrail.settings.reader import SettingsError
@@ -300,7 +300,7 @@
 
 def test_ends_are_told_ahead_once_a_day(tmp_path: Path) -> None:
     day = 86_400_000.0
-    expiry = Expiry(14.0)
+    expiry = ExpiryWarning(14.0)
     assert expiry.due(0.0, 15 * day) is None and expiry.due(1.5 * day, 15 * day) == 13.5
     assert expiry.due(2.0 * day, 15 * day) is None and expiry.due(2.6 * day, 15 * day) == pytest.approx(12.4)
     assert expiry.due(20 * day, 15 * day) == -5, "also once it is over"
