--- a/kelptrail/net/__init__.py
+++ b/kelptrail/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets on the loop: a listening HTTP server, a pool of connections to a worker, a small client."""
+"""Sockets on the event loop: listeners, HTTP and gRPC servers and clients, connection pools, TLS."""
--- a/kelptrail/net/grpc_client.py
+++ b/kelptrail/net/grpc_client.py
@@ -1,7 +1,7 @@
-"""Calls of gRPC methods over one HTTP/2 connection to an address, made anew as needed; by the h2 library on sockets.
+"""gRPC calls over one HTTP/2 connection to an address, made anew as needed, by the h2 library.
 
-A call ends exactly once: with the status that its server gave, or with none where the connection or the time ended it;
-`written` tells whether anything of it may have been read.
+A call ends exactly once: with the status that the server sent, or with none where the connection or the time ended it;
+`written` says whether the server may have read anything of it.
 """
 
 from __future__ import annotations
@@ -36,8 +36,8 @@
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """How a call ended; `code` is None where no status came, `written` whether anything may have been read, `refused`
-    that its server said that it never looked at it."""
+    """How a call ended; `code` is None without a status, `written` says whether the server may have read anything,
+    `refused` that the server declared it unprocessed (REFUSED_STREAM, RFC 9113 section 8.7)."""
 
     code: Code | None
     text: str = ""
@@ -49,7 +49,7 @@
 
 
 class GrpcCall:
-    """One call under way."""
+    """One call in flight."""
 
     __slots__ = ("id", "on_end", "on_message", "reader", "timer", "unsent", "written")
 
@@ -63,7 +63,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def end(self, ended: CallResult) -> None:
-        """Tell of the end, once."""
+        """End the call; `on_end` is called once."""
         if self.timer is not None:
             self.timer.cancel()
         on_end, self.on_end, self.on_message = self.on_end, _ignore, _ignore
@@ -71,7 +71,7 @@
 
 
 def _ignore(*_args: object) -> None:
-    """Stands in for a callback."""
+    """Replaces the callbacks of a call that has ended."""
 
 
 class GrpcClient:
@@ -102,8 +102,9 @@
         timeout_ms: float,
         grace_ms: float = 0.0,
     ) -> GrpcCall:
-        """Begin a call of one request message; `on_end` comes later, never from within.  Its server is told
-        `timeout_ms`, and waited for so much longer."""
+        """Start a call of one request message; `on_end` is called later, never from within.
+
+        The server gets `timeout_ms` as its deadline; the client waits `grace_ms` longer."""
         call = GrpcCall(message, on_message, on_end, self._max_message_bytes)
         call.timer = self._loop.call_later((timeout_ms + grace_ms) / 1000, self._on_timeout, call)
         headers = [
@@ -160,7 +161,7 @@
         call.end(CallResult(None, "no answer in time", written=call.written))
 
     def cancel(self, call: GrpcCall) -> None:
-        """Call it off; it ends without a status."""
+        """Cancel a call; it ends without a status."""
         if self._connection is not None:
             self._connection.cancel(call)
         call.end(CallResult(None, "cancelled", written=call.written))
@@ -172,7 +173,7 @@
 
 
 class _ClientConnection:
-    """One connection."""
+    """One connection and its calls."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, transport: Transport) -> None:
         self._loop, self._transport = loop, transport
@@ -192,7 +193,7 @@
         self._tasks = [loop.create_task(self._read()), loop.create_task(self._write())]
 
     def begin(self, call: GrpcCall, headers: list[tuple[str, str]]) -> None:
-        """Send a call, or keep it until the server takes another stream."""
+        """Send a call, or queue it until the server's stream limit allows another."""
         if not self.open:
             call.end(CallResult(None, "the connection closes", written=False))
             return
@@ -239,7 +240,7 @@
 
     def _on_event(self, event: object) -> None:
         if isinstance(event, ConnectionTerminated):
-            self.open = False  # what it has is served on; new calls take a new connection
+            self.open = False  # calls in flight go on; new ones use a new connection
             return
         call = self._calls.get(getattr(event, "stream_id", 0) or 0)
         if call is None:
@@ -254,8 +255,7 @@
         elif isinstance(event, TrailersReceived | ResponseReceived):
             headers = {str(k): str(v) for k, v in event.headers or ()}
             if "grpc-status" in headers:
-                code, text, retry, reason, told = read_trailers(headers)
-                self._end_call(call, CallResult(code, text, retry, reason, told))
+                self._end_call(call, CallResult(*read_trailers(headers)))
         elif isinstance(event, StreamReset):
             self._end_call(call, CallResult(None, "reset", refused=event.error_code == ErrorCodes.REFUSED_STREAM))
         elif isinstance(event, StreamEnded):
--- a/kelptrail/net/guard.py
+++ b/kelptrail/net/guard.py
@@ -1,8 +1,8 @@
-"""What one HTTP/2 connection may do before it is told to go; free of I/O and clocks.
+"""Limits on what one HTTP/2 connection may do, and on its age; no I/O, no clock.
 
-Counts are of a sliding kind: each budget fills again at a rate and is spent by one act.  Guards against floods that
-cost their sender nothing: streams opened and reset at once, pings, settings, empty frames.  Also: when a connection has
-lived long enough, so that clients spread over dispatchers anew.
+Each kind of frame has a token bucket.  Guards against floods that cost their sender nothing (RFC 9113 section 10.5):
+streams opened and reset at once, pings, settings, empty frames.  The age limit makes clients connect anew, so that they
+spread over the dispatchers.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class GuardAction(Enum):
-    """What is counted."""
+    """The kinds of frame that are counted."""
 
     RESET = "reset"
     PING = "ping"
@@ -22,7 +22,8 @@
 
 @dataclass(frozen=True, slots=True)
 class GuardSettings:
-    """Acts allowed at once, and again each second; a connection's age in ms (0: no limit) and its last grace."""
+    """Frames of a kind allowed at once and each second; a connection's age in ms (0: no limit) and, once it is closing,
+    the time in ms for its streams to end."""
 
     burst: int = 200
     per_s: float = 20.0
@@ -31,27 +32,27 @@
 
 
 class CloseStage(Enum):
-    """Where a connection stands."""
+    """How far a connection is on the way to its close."""
 
     OPEN = "open"
-    WARNED = "warned"  # told that it will close; streams it opened before it heard are served
-    CLOSING = "closing"  # new streams are refused
+    WARNED = "warned"  # a GOAWAY was sent; streams opened before it arrives are served
+    CLOSING = "closing"  # new streams are refused; those in flight are served
     CLOSED = "over"
 
 
 class FloodGuard:
-    """One connection's budgets and age.  Times are milliseconds; `spread` (0 to 1) makes ages differ."""
+    """One connection's budgets and age.  Times are milliseconds; `spread` (0 to 1) makes connections' ages differ."""
 
     def __init__(self, settings: GuardSettings, now: float, spread: float = 0.0) -> None:
         self._settings = settings
-        self._budgets = {act: float(settings.burst) for act in GuardAction}
+        self._budgets = {action: float(settings.burst) for action in GuardAction}
         self._refilled_at = now
         self._expires_at = now + settings.age_ms * (0.9 + 0.2 * spread) if settings.age_ms else float("inf")
         self._closing_started_at = self._closed_at = float("inf")
         self.stage = CloseStage.OPEN
 
     def spend(self, now: float, action: GuardAction) -> bool:
-        """Whether an act is within its budget."""
+        """Count a frame; whether it is within the budget of its kind."""
         grown, self._refilled_at = (now - self._refilled_at) / 1000 * self._settings.per_s, now
         for kind in GuardAction:
             self._budgets[kind] = min(float(self._settings.burst), self._budgets[kind] + grown)
@@ -59,7 +60,7 @@
         return self._budgets[action] >= 0
 
     def start_closing(self, now: float) -> None:
-        """It is to close: at its age, or because its dispatcher drains or gives up the address."""
+        """Start the close: at its age, or because its dispatcher drains or releases the address."""
         if self.stage is CloseStage.OPEN:
             self.stage, self._closing_started_at = CloseStage.WARNED, now
 
@@ -78,5 +79,5 @@
 
     @property
     def accepts_streams(self) -> bool:
-        """Whether a new stream is served; one that is not was never looked at, so trying it again is harmless."""
+        """Whether a new stream is served; one that is not was never processed, so a retry is safe."""
         return self.stage in (CloseStage.OPEN, CloseStage.WARNED)
--- a/kelptrail/net/http_client.py
+++ b/kelptrail/net/http_client.py
@@ -1,4 +1,4 @@
-"""A small HTTP client for our own errands: one connection, one request at a time, JSON in and out."""
+"""A small HTTP/1.1 client for the programs' own requests: one connection, one request at a time, JSON bodies."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class HttpClient:
-    """A kept connection to one address.  Errors are `OSError`, `TimeoutError` and `HttpError`."""
+    """A persistent connection to one address.  Raises `OSError`, `TimeoutError` and `HttpError`."""
 
     def __init__(self, address: str, answer_bytes: int = 1 << 26) -> None:
         host, _, port = address.rpartition(":")
@@ -29,7 +29,7 @@
         timeout_ms: float = 5000.0,
         headers: dict[str, str] | None = None,
     ) -> Response:
-        """One request and its response; a connection that the other side closed is made anew once."""
+        """Send one request and read its response; a connection that the peer closed meanwhile is made anew first."""
         data = encode_request(method, target, self.address, b"" if body is None else msgspec.json.encode(body), headers)
         async with asyncio.timeout(timeout_ms / 1000):
             try:
@@ -80,7 +80,7 @@
                 return response
 
     def close(self) -> None:
-        """Close the connection; the next errand makes another."""
+        """Close the connection; the next request makes another."""
         if self._sock is not None:
             self._sock.close()
             self._sock = None
--- /dev/null
+++ b/kelptrail/net/http_exchange.py
@@ -0,0 +1,135 @@
+"""One HTTP request and the reply to it, as a handler of `HttpServer` sees them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from kelptrail.codec.http import Request, encode_chunk, encode_head, encode_response
+
+if TYPE_CHECKING:
+    from .http_connection import HttpConnection
+
+# A streamed reply pauses its producer, and a connection its reader, above this many unwritten bytes.
+MAX_UNWRITTEN_BYTES = 262_144
+
+
+class Exchange:
+    """One request and its reply, whose place in the connection's order of replies it keeps."""
+
+    __slots__ = (
+        "_awaits_room",
+        "_connection",
+        "client_gone",
+        "data",
+        "keep_alive",
+        "on_client_gone",
+        "on_writable",
+        "request",
+        "streaming",
+    )
+
+    def __init__(self, connection: HttpConnection, request: Request | None) -> None:
+        self._connection, self.request = connection, request
+        self.data: bytes | None = None
+        self.client_gone = self.keep_alive = self.streaming = self._awaits_room = False
+        self.on_client_gone: Callable[[], None] | None = None
+        self.on_writable: Callable[[], None] | None = None
+
+    @property
+    def replied(self) -> bool:
+        """Whether a reply was given."""
+        return self.data is not None
+
+    @property
+    def peer(self) -> str:
+        """The client's address."""
+        return self._connection.peer
+
+    @property
+    def identity(self) -> str:
+        """The identity that the server maps the client's certificate to; empty without one."""
+        return self._connection.identity
+
+    def reply(
+        self,
+        status: int,
+        body: bytes,
+        headers: dict[str, str] | None = None,
+        close: bool = False,
+        content_type: str = "application/json",
+    ) -> bool:
+        """Send the reply; False where the client has gone or there was a reply already."""
+        if self.data is not None or self.client_gone:
+            return False
+        request = self.request
+        self.keep_alive = (
+            request is not None and request.keep_alive and not close and not self._connection.closes_after(self)
+        )
+        self.on_client_gone = None
+        self.data = encode_response(status, body, headers, self.keep_alive, content_type)
+        self._connection.add_unwritten(len(self.data))
+        self._connection.queue_replies()
+        return True
+
+    def reply_encoded(self, data: bytes) -> bool:
+        """Send a reply that is encoded already; False as for `reply`."""
+        if self.data is not None or self.client_gone:
+            return False
+        self.on_client_gone, self.data = None, data
+        self.keep_alive = self.request is not None and self.request.keep_alive
+        self._connection.add_unwritten(len(data))
+        self._connection.queue_replies()
+        return True
+
+    def start_stream(self, status: int, headers: dict[str, str] | None, content_type: str) -> bool:
+        """Start a reply whose body is sent in chunks; False as for `reply`."""
+        if self.data is not None or self.client_gone:
+            return False
+        request = self.request
+        self.keep_alive = request is not None and request.keep_alive and not self._connection.closing
+        self.streaming, self.data = True, b""
+        self._append(encode_head(status, headers, content_type, self.keep_alive))
+        return True
+
+    def write_chunk(self, data: bytes) -> bool:
+        """Send a chunk of the body; False where the client has gone."""
+        if not self.streaming or self.client_gone:
+            return False
+        if data:
+            self._append(encode_chunk(data))
+        return True
+
+    def end_stream(self) -> None:
+        """End the body."""
+        if self.streaming and not self.client_gone:
+            self.on_client_gone = self.on_writable = None
+            self.streaming = False
+            self._append(encode_chunk(b""))
+
+    def _append(self, data: bytes) -> None:
+        self.data = (self.data or b"") + data
+        self._connection.add_unwritten(len(data))
+        self._connection.queue_replies()
+
+    @property
+    def can_write(self) -> bool:
+        """Whether to send more now; after False, `on_writable` is called once a slow client has read enough."""
+        if self._connection.unwritten_bytes < MAX_UNWRITTEN_BYTES:
+            return True
+        self._awaits_room = True
+        return False
+
+    def on_written(self) -> None:
+        """Called by the connection after a write."""
+        if self._awaits_room and self._connection.unwritten_bytes < MAX_UNWRITTEN_BYTES // 2:
+            self._awaits_room = False
+            if self.on_writable is not None:
+                self.on_writable()
+
+    def abort(self) -> None:
+        """Close the connection without a reply."""
+        self._connection.abort()
+
+
+Handler = Callable[[Request, Exchange], None]
--- a/kelptrail/net/pool.py
+++ b/kelptrail/net/pool.py
@@ -1,7 +1,7 @@
-"""Connections to one worker: capped, reused last in first out, closed when idle, with a connect deadline.
+"""Connections to one worker: limited in number, reused last in first out, closed when idle, with a connect deadline.
 
-A `Call` is one request to the worker.  It ends exactly once, and its `Ending` says what was seen on the socket;
-above all whether anything had been written.  What that means for a send is not judged here.
+A `Call` is one request to the worker.  It ends exactly once, and its `CallOutcome` says what was seen on the socket,
+above all whether anything had been written.  What that means for an attempt is decided elsewhere.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 
 from .transport import IdleState, TlsTransport, Transport
 
-BUFFER = 16_384
+BUFFER_BYTES = 16_384
 
 
 class CallOutcome(Enum):
     """How a call ended, as seen on its socket."""
 
-    ANSWERED = "answered"  # a whole response was read
+    ANSWERED = "answered"  # a complete response was read
     UNREACHABLE = "unreachable"  # no connection was made: nothing written
-    UNSENT = "unsent"  # given up before anything was written
-    BROKEN = "broken"  # the connection ended after writing began, or what came was no response
-    CANCELLED = "given-up"  # called off by us after writing began
+    UNSENT = "unsent"  # cancelled before anything was written
+    BROKEN = "broken"  # the connection ended after writing began, or the response was malformed
+    CANCELLED = "given-up"  # cancelled by us after writing began
 
 
 OnDone = Callable[["Call", CallOutcome, Response | None], None]
 
 
 class Call:
-    """One request under way; `done` is called exactly once."""
+    """One request in flight; `on_done` is called exactly once.  `tag` is the caller's own."""
 
     __slots__ = (
         "_on_done",
@@ -52,7 +52,7 @@
 
     def __init__(self, data: bytes, on_done: OnDone, tag: Any, on_chunk: Callable[[bytes], None] | None = None) -> None:
         self.data, self._on_done, self.tag = data, on_done, tag
-        self.on_chunk = on_chunk  # takes a streamed answer's body as it comes
+        self.on_chunk = on_chunk  # gets the body of a streamed response as it arrives
         self._paused, self._resumed = False, None
         self.reason = ""
         self._written = self._started = False
@@ -61,11 +61,11 @@
     _resumed: asyncio.Future[None] | None
 
     def pause(self) -> None:
-        """Read no more of the answer for now: what the worker sends on waits in the sockets, then with it."""
+        """Stop reading the response: TCP flow control then holds the worker back."""
         self._paused = True
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue reading."""
         self._paused = False
         if self._resumed is not None and not self._resumed.done():
             self._resumed.set_result(None)
@@ -76,32 +76,32 @@
         return self._written
 
     def cancel(self, reason: str) -> None:
-        """Call it off; HTTP/1.1 has no other way than to close the connection."""
+        """Cancel the call, which closes its connection: HTTP/1.1 has no other way."""
         self.reason = self.reason or reason
         if self._started and self._task is not None:
             self._task.cancel()
 
-    def _finish(self, ending: CallOutcome, response: Response | None = None) -> None:
+    def _finish(self, outcome: CallOutcome, response: Response | None = None) -> None:
         done, self._on_done = self._on_done, _ignore
-        done(self, ending, response)
+        done(self, outcome, response)
 
 
-def _ignore(call: Call, ending: CallOutcome, response: Response | None) -> None:
-    """Stands in for `done` once it was called."""
+def _ignore(call: Call, outcome: CallOutcome, response: Response | None) -> None:
+    """Replaces `on_done` once it was called."""
 
 
 class _PooledConnection:
-    """One open connection and its parser."""
+    """One open connection, its parser and its read buffer."""
 
     __slots__ = ("buffer", "idle_since", "reader", "transport")
 
     def __init__(self, wire: Transport, answer_bytes: int) -> None:
         self.transport, self.reader, self.idle_since = wire, ResponseReader(answer_bytes), 0.0
-        self.buffer = bytearray(BUFFER)
+        self.buffer = bytearray(BUFFER_BYTES)
 
 
 class WorkerPool:
-    """The connections to one address.  Times are milliseconds."""
+    """The connections to one address, at most `max_connections`.  Times are milliseconds."""
 
     def __init__(
         self,
@@ -126,78 +126,84 @@
         self._closed = False
         self.open_connections = 0
         self.connections_made = self.unexpected_data = (
-            0  # connections made; ones found with bytes that nobody had asked for
+            0  # connections made; ones with data that no request had asked for
         )
         self._calls: set[Call] = set()
 
     @property
     def calls_in_flight(self) -> int:
-        """Calls under way."""
+        """The number of calls in flight."""
         return len(self._calls)
 
     def start(
         self, data: bytes, on_done: OnDone, tag: Any = None, on_chunk: Callable[[bytes], None] | None = None
     ) -> Call:
-        """Begin a call; `done` comes later, never from within."""
+        """Start a call; `on_done` is called later, never from within."""
         call = Call(data, on_done, tag, on_chunk)
         self._calls.add(call)
         call._task = self._loop.create_task(self._run_call(call))
         return call
 
     async def _run_call(self, call: Call) -> None:
-        link: _PooledConnection | None = None
-        ending, response = CallOutcome.BROKEN, None
+        connection: _PooledConnection | None = None
+        outcome, response = CallOutcome.BROKEN, None
         call._started = True
         try:
-            if call.reason:  # called off before it began
-                ending = CallOutcome.UNSENT
+            if call.reason:  # cancelled before it started
+                outcome = CallOutcome.UNSENT
                 return
-            link = await self._acquire()
-            if link is None:
-                ending = CallOutcome.UNREACHABLE
+            connection = await self._acquire()
+            if connection is None:
+                outcome = CallOutcome.UNREACHABLE
                 return
             call._written = True
-            await link.transport.sendall(call.data)
-            receive, feed, buffer = link.transport.recv_into, link.reader.feed, link.buffer
-            link.reader.on_chunk = call.on_chunk
-            while response is None:
-                if call._paused:
-                    call._resumed = self._loop.create_future()
-                    await call._resumed
-                count = await receive(buffer)
-                if not count:
-                    return
-                with memoryview(buffer) as view:
-                    response = feed(view[:count])
-            ending = CallOutcome.ANSWERED
+            response = await self._exchange(connection, call)
+            if response is not None:
+                outcome = CallOutcome.ANSWERED
         except asyncio.CancelledError:
-            ending = CallOutcome.CANCELLED if call._written else CallOutcome.UNSENT
-        except TimeoutError:  # no turn within the cap; once written, the transport's own time-out
-            ending = CallOutcome.BROKEN if call._written else CallOutcome.UNSENT
+            outcome = CallOutcome.CANCELLED if call._written else CallOutcome.UNSENT
+        except TimeoutError:  # no free connection in time; once written, the transport's own time-out
+            outcome = CallOutcome.BROKEN if call._written else CallOutcome.UNSENT
         except (OSError, HttpError):
-            ending = CallOutcome.BROKEN
+            outcome = CallOutcome.BROKEN
         finally:
             self._calls.discard(call)
-            if link is not None:
-                link.reader.on_chunk = None
-            if link is not None:
+            if connection is not None:
+                connection.reader.on_chunk = None
                 self._release(
-                    link,
-                    ending is CallOutcome.ANSWERED
+                    connection,
+                    outcome is CallOutcome.ANSWERED
                     and response is not None
                     and response.keep_alive
-                    and not link.reader.unexpected_data,
+                    and not connection.reader.unexpected_data,
                 )
-            call._finish(ending, response)
+            call._finish(outcome, response)
+
+    async def _exchange(self, connection: _PooledConnection, call: Call) -> Response | None:
+        """Send a call's request and read its response; None where the worker closed before the end."""
+        await connection.transport.sendall(call.data)
+        receive, feed, buffer = connection.transport.recv_into, connection.reader.feed, connection.buffer
+        connection.reader.on_chunk = call.on_chunk
+        response = None
+        while response is None:
+            if call._paused:
+                call._resumed = self._loop.create_future()
+                await call._resumed
+            count = await receive(buffer)
+            if not count:
+                return None
+            with memoryview(buffer) as view:
+                response = feed(view[:count])
+        return response
 
     async def _acquire(self) -> _PooledConnection | None:
-        """An open connection; None if none can be made.  Raises TimeoutError where the cap leaves no room."""
+        """An open connection; None if none can be made.  Raises `TimeoutError` where all stay in use for too long."""
         while True:
             while self._idle:
-                link = self._idle.pop()
-                if self._is_reusable(link):
-                    return link
-                self._close(link)
+                connection = self._idle.pop()
+                if self._is_reusable(connection):
+                    return connection
+                self._close(connection)
             if self.open_connections < self._max_connections:
                 return await self._connect()
             turn = self._loop.create_future()
@@ -222,7 +228,7 @@
             async with asyncio.timeout(self._connect_ms / 1000):
                 await self._loop.sock_connect(sock, self._endpoint)
                 wire = Transport(self._loop, sock)
-                if self._tls is not None:  # a worker that is not vouched for is not reached
+                if self._tls is not None:  # a worker without a valid certificate counts as unreachable
                     wire = secure = TlsTransport(self._loop, sock, self._tls(), False, self._endpoint[0])
                     await secure.handshake(self._connect_ms)
         except BaseException as cause:
@@ -235,28 +241,28 @@
         self.connections_made += 1
         return _PooledConnection(wire, self._answer_bytes)
 
-    def _is_reusable(self, link: _PooledConnection) -> bool:
-        """Whether an idle connection still stands with nothing to read.
+    def _is_reusable(self, connection: _PooledConnection) -> bool:
+        """Whether an idle connection is still open with nothing to read.
 
-        Guards against a send on a connection that the worker has closed: that would be no proof that it never
-        ran.  Bytes that nobody asked for are a second answer to the send before.
+        Guards against an attempt on a connection that the worker has closed: its failure would not prove that it never
+        ran.  Unexpected data is a second answer to the attempt before.
         """
-        state = link.transport.probe_idle()
+        state = connection.transport.probe_idle()
         self.unexpected_data += state is IdleState.UNEXPECTED_DATA
         return state is IdleState.IDLE
 
-    def _release(self, link: _PooledConnection, sound: bool) -> None:
-        if not sound or self._closed:
-            if link.reader.unexpected_data:
+    def _release(self, connection: _PooledConnection, reusable: bool) -> None:
+        if not reusable or self._closed:
+            if connection.reader.unexpected_data:
                 self.unexpected_data += 1
-            self._close(link)
+            self._close(connection)
             return
-        link.idle_since = self._loop.time()
-        self._idle.append(link)
+        connection.idle_since = self._loop.time()
+        self._idle.append(connection)
         self._wake_next_waiter()
 
-    def _close(self, link: _PooledConnection) -> None:
-        link.transport.close()
+    def _close(self, connection: _PooledConnection) -> None:
+        connection.transport.close()
         self.open_connections -= 1
         self._wake_next_waiter()
 
@@ -268,13 +274,13 @@
                 return
 
     def close_idle(self) -> None:
-        """Close connections that have lain idle too long."""
+        """Close connections that were idle for too long."""
         before = self._loop.time() - self._idle_ms / 1000
         while self._idle and self._idle[0].idle_since < before:
             self._close(self._idle.pop(0))
 
     def close(self) -> None:
-        """Close idle connections now and others as they end."""
+        """Close idle connections now, and the others as their calls end."""
         self._closed = True
         while self._idle:
             self._close(self._idle.pop())
--- a/kelptrail/net/tls.py
+++ b/kelptrail/net/tls.py
@@ -1,7 +1,7 @@
-"""TLS contexts from files, made anew when the files change; certificates' ends told ahead.
+"""TLS contexts from files, reloaded when the files change; warnings before a certificate expires.
 
-Connections that stand keep what they began with; the next handshake takes the new files.  Files that cannot be used
-change nothing: the old context goes on, and that is told.
+Open connections keep the context that they started with; the next handshake uses the new one.  Unusable files change
+nothing: the old context stays in use, and an error is logged.
 """
 
 from __future__ import annotations
@@ -24,8 +24,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """One side's files and terms.  `certificate` holds the chain, and the key too where `key` is None; `authority` is
-    whom peers must be vouched for by; `peers`: "none", "asked" or "required" of a client's certificate."""
+    """One side's files and options.  `certificate` holds the chain, and the key too where `key` is None; `authority` is
+    the CA that must have signed peers' certificates; `peers` says whether a client's certificate is "none" (not
+    requested), "asked" (requested) or "required"; `least` is the minimum TLS version."""
 
     certificate: Path | None
     key: Path | None = None
@@ -37,13 +38,13 @@
 
 
 class ExpiryWarning:
-    """When to tell of a certificate's end: once a day from so many days ahead.  Free of I/O; wall time in ms."""
+    """When to warn of a certificate's expiry: once a day in its last `warn_days`.  No I/O; wall time in ms."""
 
     def __init__(self, warn_days: float) -> None:
         self._warn_days, self._warned_at = warn_days, float("-inf")
 
     def due(self, wall_ms: float, expires_at: float) -> float | None:
-        """Days left, where that is to be told now."""
+        """The days left, where a warning is due now; else None."""
         left = (expires_at - wall_ms) / DAY_MS
         if left > self._warn_days or wall_ms < self._warned_at + DAY_MS:
             return None
@@ -51,8 +52,12 @@
         return left
 
 
+class TlsFilesError(ValueError):
+    """Certificate, key or authority files that cannot be used."""
+
+
 class CertificateReloader:
-    """One side's context.  Raises `ValueError` at the first start where the files cannot be used."""
+    """Holds one side's context.  Raises `TlsFilesError` on creation where the files cannot be used."""
 
     def __init__(
         self, files: TlsFiles, server_side: bool, alpn: list[str], log: Any, wall_ms: Callable[[], float]
@@ -67,11 +72,11 @@
         self._context = self._load()
 
     def context(self) -> ssl.SSLContext:
-        """The context in force."""
+        """The current context."""
         return self._context
 
     def reload_if_changed(self) -> None:
-        """Take up changed files; tell of an end that is near."""
+        """Reload changed files; warn of an expiry that is near."""
         stamps = self._file_stamps()
         if stamps != self._loaded_stamps:
             self._loaded_stamps = stamps
@@ -79,14 +84,14 @@
                 self._context = self._load()
                 self._expiry = ExpiryWarning(self._files.warn_days)
                 self._log.info("tls-reloaded", names=self.names, ends=self._expiry_date())
-            except ValueError as cause:
+            except TlsFilesError as cause:
                 self.failures += 1
                 self._log.error("tls-unusable", reason=str(cause))
         if self.expires_at is not None and (left := self._expiry.due(self._wall_ms(), self.expires_at)) is not None:
             self._log.warning("certificate-ends", names=self.names, days=round(left, 1), ends=self._expiry_date())
 
     def status(self) -> dict[str, Any]:
-        """What operators are shown; nothing of it is secret."""
+        """The state that operators see; nothing of it is secret."""
         left = (self.expires_at - self._wall_ms()) / DAY_MS if self.expires_at is not None else None
         return {
             "names": self.names,
@@ -127,7 +132,7 @@
                 context.load_verify_locations(files.authority)
         except (OSError, ssl.SSLError, AuthorityError) as cause:  # never the files' contents
             named = ", ".join(str(f) for f in (files.certificate, files.key, files.authority) if f is not None)
-            raise ValueError(f"{named}: {cause}") from None
+            raise TlsFilesError(f"{named}: {cause}") from None
         if self._server_side:
             context.verify_mode = {"none": ssl.CERT_NONE, "asked": ssl.CERT_OPTIONAL, "required": ssl.CERT_REQUIRED}[
                 files.peers
