--- a/kelptrail/codec/infer.py
+++ b/kelptrail/codec/infer.py
@@ -147,7 +147,7 @@
     success: bool = True
     load_failed: bool = False
     instance_loaded: bool | None = None
-    other_instances: int = 0
+    other_requests: int = 0
     report: dict[str, float] | None = None
     streamed: bool = False  # its parts were passed on as they arrived
 
@@ -203,7 +203,7 @@
     proof = response.headers.get(NEVER_RAN)
     failed = response.headers.get("load-failed") == "1"
     if response.status == 503 and proof == "full":
-        return WorkerAnswer("full", other_instances=company, report=report)
+        return WorkerAnswer("full", other_requests=company, report=report)
     if response.status == 404 and proof == "miss":
         return WorkerAnswer("miss", load_failed=failed, report=report)
     return WorkerAnswer("error", load_failed=failed, report=report)
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -495,7 +495,7 @@
                 tally.work_ms += now - send.started_at
                 tally.late += now - act.received_at > act.request_class.latency_objective_ms
         self._dispatcher.on_attempt_finished(
-            now, send, outcome, over, heard.load_failed, heard.instance_loaded, heard.other_instances, heard.report
+            now, send, outcome, over, heard.load_failed, heard.instance_loaded, heard.other_requests, heard.report
         )
         if ivk is not None and not ivk.record.final and act.final_status is FinalStatus.COMPLETED:
             self._finish(now, ivk, "completed")
--- a/kelptrail/net/grpc_client.py
+++ b/kelptrail/net/grpc_client.py
@@ -143,16 +143,16 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             async with asyncio.timeout(self._connect_ms / 1000):
                 await self._loop.sock_connect(sock, self._where)
-                wire = Transport(self._loop, sock)
+                transport = Transport(self._loop, sock)
                 if self._tls is not None:
-                    wire = secure = TlsTransport(self._loop, sock, self._tls(), False, self._where[0])
+                    transport = secure = TlsTransport(self._loop, sock, self._tls(), False, self._where[0])
                     await secure.handshake(self._connect_ms)
         except OSError:
             sock.close()
             return None
         finally:
             self._connecting = None
-        self._connection = _ClientConnection(self._loop, wire)
+        self._connection = _ClientConnection(self._loop, transport)
         return self._connection
 
     def _on_timeout(self, call: GrpcCall) -> None:
--- a/kelptrail/net/grpc_server.py
+++ b/kelptrail/net/grpc_server.py
@@ -121,18 +121,18 @@
             self._start_task(self._handshake(client, peer, self._tls()))
 
     async def _handshake(self, client: socket.socket, peer: str, context: ssl.SSLContext) -> None:
-        wire = TlsTransport(self.loop, client, context, True)
+        transport = TlsTransport(self.loop, client, context, True)
         try:
-            await wire.handshake(self.limits.handshake_ms)
-            if wire.protocol != "h2":
+            await transport.handshake(self.limits.handshake_ms)
+            if transport.protocol != "h2":
                 raise ssl.SSLError("the client did not ask for h2")
         except (ssl.SSLError, OSError) as cause:
             self.log_event("handshake-failed", peer=peer, reason=str(cause) or type(cause).__name__)
             self.protocol_errors += 1
             self._accepted_connections -= 1
-            wire.close()
+            transport.close()
             return
-        self._connections[GrpcConnection(self, wire, peer, self._identify(wire.certificate))] = None
+        self._connections[GrpcConnection(self, transport, peer, self._identify(transport.certificate))] = None
 
     def add_unwritten(self, count: int) -> None:
         """Count bytes to send; over the limit, reset the stream that has been blocked for longest."""
--- a/kelptrail/net/guard.py
+++ b/kelptrail/net/guard.py
@@ -65,7 +65,7 @@
             self.stage, self._closing_started_at = CloseStage.WARNED, now
 
     def due(self, now: float, streams: int, delivery_ms: float) -> CloseStage | None:
-        """The stage that begins now, or None; `heard_ms`: how long a warning takes to be heard."""
+        """The stage that begins now, or None; `delivery_ms` is allowed for a GOAWAY to reach the client."""
         if self.stage is CloseStage.OPEN and now >= self._expires_at:
             self.start_closing(now)
             return CloseStage.WARNED
--- a/kelptrail/net/pool.py
+++ b/kelptrail/net/pool.py
@@ -82,8 +82,8 @@
             self._task.cancel()
 
     def _finish(self, outcome: CallOutcome, response: Response | None = None) -> None:
-        done, self._on_done = self._on_done, _ignore
-        done(self, outcome, response)
+        on_done, self._on_done = self._on_done, _ignore
+        on_done(self, outcome, response)
 
 
 def _ignore(call: Call, outcome: CallOutcome, response: Response | None) -> None:
@@ -95,8 +95,8 @@
 
     __slots__ = ("buffer", "idle_since", "reader", "transport")
 
-    def __init__(self, wire: Transport, answer_bytes: int) -> None:
-        self.transport, self.reader, self.idle_since = wire, ResponseReader(answer_bytes), 0.0
+    def __init__(self, transport: Transport, answer_bytes: int) -> None:
+        self.transport, self.reader, self.idle_since = transport, ResponseReader(answer_bytes), 0.0
         self.buffer = bytearray(BUFFER_BYTES)
 
 
@@ -125,9 +125,8 @@
         self._waiting: deque[asyncio.Future[None]] = deque()
         self._closed = False
         self.open_connections = 0
-        self.connections_made = self.unexpected_data = (
-            0  # connections made; ones with data that no request had asked for
-        )
+        self.connections_made = 0
+        self.unexpected_data = 0  # connections with data that no request had asked for
         self._calls: set[Call] = set()
 
     @property
@@ -227,9 +226,9 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             async with asyncio.timeout(self._connect_ms / 1000):
                 await self._loop.sock_connect(sock, self._endpoint)
-                wire = Transport(self._loop, sock)
+                transport = Transport(self._loop, sock)
                 if self._tls is not None:  # a worker without a valid certificate counts as unreachable
-                    wire = secure = TlsTransport(self._loop, sock, self._tls(), False, self._endpoint[0])
+                    transport = secure = TlsTransport(self._loop, sock, self._tls(), False, self._endpoint[0])
                     await secure.handshake(self._connect_ms)
         except BaseException as cause:
             sock.close()
@@ -239,7 +238,7 @@
                 return None
             raise
         self.connections_made += 1
-        return _PooledConnection(wire, self._answer_bytes)
+        return _PooledConnection(transport, self._answer_bytes)
 
     def _is_reusable(self, connection: _PooledConnection) -> bool:
         """Whether an idle connection is still open with nothing to read.
--- a/kelptrail/net/server.py
+++ b/kelptrail/net/server.py
@@ -170,16 +170,16 @@
         task.add_done_callback(self._handshakes.discard)
 
     async def _handshake(self, client: socket.socket, peer: str, context: ssl.SSLContext) -> None:
-        wire = TlsTransport(self.loop, client, context, True)
+        transport = TlsTransport(self.loop, client, context, True)
         try:
-            await wire.handshake(self.limits.read_ms)
+            await transport.handshake(self.limits.read_ms)
         except (ssl.SSLError, OSError) as cause:
             self._log_event("handshake-failed", peer=peer, reason=str(cause) or type(cause).__name__)
-            wire.close()
+            transport.close()
             return
         finally:
             self._handshakes_in_progress -= 1
-        self._connections[HttpConnection(self, wire, peer, self._identify(wire.certificate))] = None
+        self._connections[HttpConnection(self, transport, peer, self._identify(transport.certificate))] = None
 
     async def _enforce_time_limits(self) -> None:
         """Check the time limits of all connections four times a second."""
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -103,7 +103,7 @@
     got = read_answer(
         respond(200, infer_answer("m 1", "mark", payload, True), {"endpoint-load-metrics": report}), "mark"
     )
-    assert (got.kind, got.result.decode(), got.instance_loaded, got.other_instances) == ("completed", payload, True, 3)
+    assert (got.kind, got.result.decode(), got.instance_loaded, got.other_requests) == ("completed", payload, True, 3)
     assert got.report == {"util": 0.5, "x1": 2.0, "x0": 0.25}
 
 
