--- a/bench/door_fuzz.py
+++ b/bench/door_fuzz.py
@@ -354,7 +354,7 @@
                     now = time.monotonic()
                     request.written_at, request.deadline = now, now + request.limit_s
                     if self.rng.random() < (0.5 if how == "flood" else 0.05):
-                        writer.write(frames.frame(frames.CANCEL, stream))
+                        writer.write(frames.encode_frame(frames.CANCEL, stream))
                         request.client_left_at = time.monotonic()
                 await asyncio.sleep(self.rng.random() * 0.06)
                 if how in ("leaves", "resets", "half", "garbage") and self.rng.random() < 0.4:
@@ -410,7 +410,7 @@
         } | ({"unique": f"u{id_}"} if kind == "k" else {})
         self.started_ids.add(id_)
         size = self.rng.choice((0, 40, 40, 2000, 16_000))
-        data = frames.frame(frames.REQUEST, stream, frames.fields(told) + id_.encode() + bytes(size))
+        data = frames.encode_frame(frames.REQUEST, stream, frames.encode_fields(told) + id_.encode() + bytes(size))
         return SentRequest(id_, kind, n, 0.0, limit / 1000, 0.0), data
 
     async def _read_answers(
--- a/kelptrail/membership/client.py
+++ b/kelptrail/membership/client.py
@@ -68,7 +68,7 @@
         while True:
             known_version = f"{self.endpoints.lineage}:{self.endpoints.version}" if self.endpoints else ""
             try:
-                response = await http.ask(
+                response = await http.request(
                     "GET",
                     f"/workers?who={self._client_name}&at={self.address}&channel={self.channel_address}"
                     f"&hall={self.zone}"
--- a/kelptrail/net/http_client.py
+++ b/kelptrail/net/http_client.py
@@ -1,4 +1,4 @@
-"""A small HTTP client for our own errands: one connection, one request at a time, JSON in and out."""
+"""A small HTTP/1.1 client for the programs' own requests: one connection, one request at a time, JSON bodies."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class HttpClient:
-    """A kept connection to one address.  Errors are `OSError`, `TimeoutError` and `HttpError`."""
+    """A persistent connection to one address.  Raises `OSError`, `TimeoutError` and `HttpError`."""
 
     def __init__(self, address: str, answer_bytes: int = 1 << 26) -> None:
         host, _, port = address.rpartition(":")
-        self.address, self._where, self._bytes = address, (host.strip("[]"), int(port)), answer_bytes
+        self.address, self._endpoint, self._max_body_bytes = address, (host.strip("[]"), int(port)), answer_bytes
         self._loop = asyncio.get_running_loop()
         self._sock: socket.socket | None = None
         self._reader = ResponseReader(answer_bytes)
 
-    async def ask(
+    async def request(
         self,
         method: str,
         target: str,
@@ -29,22 +29,22 @@
         timeout_ms: float = 5000.0,
         headers: dict[str, str] | None = None,
     ) -> Response:
-        """One request and its response; a connection that the other side closed is made anew once."""
+        """Send one request and read its response; a connection that the peer closed meanwhile is made anew first."""
         data = encode_request(method, target, self.address, b"" if body is None else msgspec.json.encode(body), headers)
         async with asyncio.timeout(timeout_ms / 1000):
             try:
                 if self._sock is not None and not self._stale():
-                    return await self._once(data)
+                    return await self._exchange(data)
                 self.close()
                 await self._connect()
-                return await self._once(data)
+                return await self._exchange(data)
             except BaseException:
                 self.close()
                 raise
 
     async def json(self, method: str, target: str, body: Any = None, timeout_ms: float = 5000.0) -> Any:
         """The decoded body of a 2xx response; raises `HttpError` for any other."""
-        response = await self.ask(method, target, body, timeout_ms)
+        response = await self.request(method, target, body, timeout_ms)
         if not 200 <= response.status < 300:
             raise HttpError(response.status, response.body.decode(errors="replace")[:200])
         return msgspec.json.decode(response.body) if response.body else None
@@ -58,13 +58,13 @@
             return True
 
     async def _connect(self) -> None:
-        sock = socket.socket(socket.AF_INET6 if ":" in self._where[0] else socket.AF_INET, socket.SOCK_STREAM)
+        sock = socket.socket(socket.AF_INET6 if ":" in self._endpoint[0] else socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._sock, self._reader = sock, ResponseReader(self._bytes)
-        await self._loop.sock_connect(sock, self._where)
+        self._sock, self._reader = sock, ResponseReader(self._max_body_bytes)
+        await self._loop.sock_connect(sock, self._endpoint)
 
-    async def _once(self, data: bytes) -> Response:
+    async def _exchange(self, data: bytes) -> Response:
         assert self._sock is not None
         await self._loop.sock_sendall(self._sock, data)
         buffer = bytearray(65_536)
@@ -75,12 +75,12 @@
             with memoryview(buffer) as view:
                 response = self._reader.feed(view[:count])
             if response is not None:
-                if not response.keep_alive or self._reader.extra:
+                if not response.keep_alive or self._reader.unexpected_data:
                     self.close()
                 return response
 
     def close(self) -> None:
-        """Close the connection; the next errand makes another."""
+        """Close the connection; the next request makes another."""
         if self._sock is not None:
             self._sock.close()
             self._sock = None
--- a/kelptrail/net/server.py
+++ b/kelptrail/net/server.py
@@ -1,45 +1,35 @@
-"""A listening HTTP/1.1 server over `sock_recv_into` and `sock_sendall`; it decides nothing.
+"""A listening HTTP/1.1 server on the event loop's socket calls; it makes no decisions about requests.
 
-Each whole request comes to the handler with an `Exchange`, to be replied to at once or later, in any order;
-replies go out in the order of the requests (RFC 9112 section 9.3.2).  A client that goes away is told to the
-exchange.  A client that only ended its sending side (half-closed) is served on: an interim 102 answer finds
-out whether anybody still reads (RFC 9110 section 15.2).
+Each complete request is passed to the handler with an `Exchange`, to be replied to at once or later, in any order.
+An exchange is notified when its client goes away.
 """
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import socket
 import ssl
-from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any
 
-from kelptrail.codec.http import (
-    CONTINUE,
-    PROCESSING,
-    HttpError,
-    Request,
-    RequestReader,
-    encode_chunk,
-    encode_head,
-    encode_response,
-)
+from kelptrail.codec.http import HttpError, encode_response
 
+from .http_connection import HttpConnection
+from .http_exchange import Exchange, Handler
 from .listener import ConnectPace, Listener
 from .transport import TlsTransport, Transport
 
-FIRST_BUFFER, LARGEST_BUFFER = 8192, 262_144
-TOO_MANY = encode_response(
+__all__ = ["Exchange", "Handler", "HttpServer", "Limits"]
+
+TOO_MANY_CONNECTIONS = encode_response(
     503, b'{"error":"too many connections","code":"503"}', {"retry-after": "1"}, keep_alive=False
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What one server takes; times are milliseconds."""
+    """Limits of one server; times are milliseconds."""
 
     connections: int = 10_000
     header_bytes: int = 16_384
@@ -48,421 +38,88 @@
     read_ms: float = 10_000.0
     write_ms: float = 30_000.0
     idle_ms: float = 75_000.0
-    unread_bytes: float = 268_435_456  # replies that clients have not read yet, over all connections
-
-
-class Exchange:
-    """One request's place in its connection's order of replies."""
-
-    __slots__ = ("_connection", "_waits_room", "data", "flows", "gone", "keep", "on_gone", "on_room", "request")
-
-    def __init__(self, connection: Connection, request: Request | None) -> None:
-        self._connection, self.request = connection, request
-        self.data: bytes | None = None
-        self.gone = self.keep = self.flows = self._waits_room = False
-        self.on_gone: Callable[[], None] | None = None
-        self.on_room: Callable[[], None] | None = None
-
-    @property
-    def replied(self) -> bool:
-        """Whether a reply was given."""
-        return self.data is not None
-
-    @property
-    def peer(self) -> str:
-        """The client's address."""
-        return self._connection.peer
-
-    @property
-    def identity(self) -> str:
-        """Whom the client's certificate names, by the server's own mapping; empty without one."""
-        return self._connection.identity
-
-    def reply(
-        self,
-        status: int,
-        body: bytes,
-        headers: dict[str, str] | None = None,
-        close: bool = False,
-        content_type: str = "application/json",
-    ) -> bool:
-        """Give the reply; False where the client has gone or one was given already."""
-        if self.data is not None or self.gone:
-            return False
-        request = self.request
-        self.keep = request is not None and request.keep_alive and not close and not self._connection.ends_with(self)
-        self.on_gone = None
-        self.data = encode_response(status, body, headers, self.keep, content_type)
-        self._connection.owes(len(self.data))
-        self._connection.ready()
-        return True
-
-    def raw(self, data: bytes) -> bool:
-        """Give the reply as bytes made elsewhere."""
-        if self.data is not None or self.gone:
-            return False
-        self.on_gone, self.data = None, data
-        self.keep = self.request is not None and self.request.keep_alive
-        self._connection.owes(len(data))
-        self._connection.ready()
-        return True
-
-    def begin(self, status: int, headers: dict[str, str] | None, content_type: str) -> bool:
-        """Begin a reply whose body comes in pieces; False where the client has gone or one was given already."""
-        if self.data is not None or self.gone:
-            return False
-        request = self.request
-        self.keep = request is not None and request.keep_alive and not self._connection.closing
-        self.flows, self.data = True, b""
-        self._give(encode_head(status, headers, content_type, self.keep))
-        return True
-
-    def piece(self, data: bytes) -> bool:
-        """Go on with the body; False where the client has gone."""
-        if not self.flows or self.gone:
-            return False
-        if data:
-            self._give(encode_chunk(data))
-        return True
-
-    def end(self) -> None:
-        """The body is whole."""
-        if self.flows and not self.gone:
-            self.on_gone = self.on_room = None
-            self.flows = False
-            self._give(encode_chunk(b""))
-
-    def _give(self, data: bytes) -> None:
-        self.data = (self.data or b"") + data
-        self._connection.owes(len(data))
-        self._connection.ready()
-
-    @property
-    def room(self) -> bool:
-        """Whether more may be given without holding too much for a slow reader."""
-        if self._connection.owed < LARGEST_BUFFER:
-            return True
-        self._waits_room = True
-        return False
-
-    def has_room(self) -> None:
-        """Told by the connection once something was written."""
-        if self._waits_room and self._connection.owed < LARGEST_BUFFER // 2:
-            self._waits_room = False
-            if self.on_room is not None:
-                self.on_room()
-
-    def drop(self) -> None:
-        """Close the connection without a reply."""
-        self._connection.abort()
-
-
-Handler = Callable[[Request, Exchange], None]
-
-
-class Connection:
-    """One client: a task that reads, a task that writes, the exchanges between them."""
-
-    def __init__(self, server: HttpServer, wire: Transport, peer: str, identity: str = "") -> None:
-        self._server, self._wire, self.peer, self.identity = server, wire, peer, identity
-        self._reader = RequestReader(server.limits.header_bytes, server.limits.body_bytes)
-        self._exchanges: deque[Exchange] = deque()
-        self._out = bytearray()
-        self._more: asyncio.Future[None] | None = None  # the writer waits
-        self._room: asyncio.Future[None] | None = None  # the reader waits
-        self._last = False  # close once written
-        self.closing = False  # no further request is read
-        self._eof = self._expired = False
-        self.owed = 0  # bytes of replies that are not written yet
-        self.reading_since: float | None = None
-        self.writing_since: float | None = None
-        self.idle_since = server.loop.time()
-        self._tasks = [server.loop.create_task(self._read()), server.loop.create_task(self._write())]
-
-    @property
-    def busy(self) -> bool:
-        """Whether a request is in hand or a reply not yet written."""
-        return bool(self._exchanges or self._out or self.writing_since is not None)
-
-    def ends_with(self, exchange: Exchange) -> bool:
-        """Whether the connection closes after this one's reply."""
-        last = bool(self._exchanges) and self._exchanges[-1] is exchange
-        return last and (self.closing or self._server.draining)
-
-    def owes(self, count: int) -> None:
-        """So many bytes of replies more are to be written."""
-        self.owed += count
-        self._server.owes(count)
-
-    def ready(self) -> None:
-        """Move replies that are due into the output."""
-        moved = False
-        while self._exchanges and (data := self._exchanges[0].data) is not None:
-            first = self._exchanges[0]
-            self._out += data
-            moved = True
-            if first.flows:  # more of it comes before the next one's turn
-                first.data = b""
-                break
-            self._exchanges.popleft()
-            if not first.keep:  # what came after it on this connection is not answered
-                self._last = self.closing = True
-                self._leave()
-        if self._eof and not self._exchanges:
-            self._last = True
-        if moved and not self._exchanges and self._reader.wants_continue and not self.closing:
-            self._continue()
-        if moved:
-            self._wake()
-            if self._room is not None and not self._room.done():
-                self._room.set_result(None)
-
-    def _continue(self) -> None:
-        self._reader.wants_continue = False
-        self._out += CONTINUE
-        self._wake()
-
-    def _leave(self) -> None:
-        """Tell all that are in hand that the client has gone."""
-        left, self._exchanges = list(self._exchanges), deque()
-        for exchange in left:
-            if not exchange.replied or exchange.flows:
-                exchange.gone = True
-                if exchange.on_gone is not None:
-                    exchange.on_gone()
-
-    @property
-    def partial(self) -> bool:
-        """Whether a request has begun and is not whole."""
-        return self._reader.partial
-
-    def finish(self) -> None:
-        """Take no further request; close once all that is in hand is answered."""
-        self.closing = True
-        if not self._exchanges:
-            self._last = True
-            self._wake()
-
-    def abort(self) -> None:
-        """Close now; whoever is in hand is told that the client has gone."""
-        for task in self._tasks:
-            task.cancel()
-
-    def _wake(self) -> None:
-        if self._more is not None and not self._more.done():
-            self._more.set_result(None)
-
-    async def _read(self) -> None:
-        loop = self._server.loop
-        buffer, receive = bytearray(FIRST_BUFFER), self._wire.recv_into
-        try:
-            while not self.closing:
-                count = await receive(buffer)
-                if not count:
-                    break
-                self._server.bytes_in += count
-                with memoryview(buffer) as view:
-                    requests, fault = self._reader.feed(view[:count])
-                if self._reader.wants_continue and not self._exchanges and not requests:
-                    self._continue()
-                for request in requests:
-                    await self._has_room()  # also between requests that came together
-                    exchange = Exchange(self, request)
-                    self._exchanges.append(exchange)
-                    try:
-                        self._server.handle(request, exchange)
-                    except Exception as cause:  # a fault of ours must not hang a client
-                        self._server.failed(cause)
-                        exchange.reply(500, b'{"error":"There was an internal server error.","code":"500"}')
-                if fault is not None:
-                    self._refuse(fault)
-                    return
-                if not self._reader.partial:
-                    self.reading_since, self.idle_since = None, loop.time()
-                elif self.reading_since is None or requests:
-                    self.reading_since = loop.time()
-                await self._has_room()
-                if count == len(buffer) < LARGEST_BUFFER:
-                    buffer = bytearray(2 * count)
-            if not self.closing:
-                self._eof = True
-                self.reading_since = None
-                if self._reader.partial:
-                    self._refuse(HttpError(400, "the request ended early"))
-                else:
-                    self.closing = True
-                    await self._half_closed()
-        except (OSError, asyncio.CancelledError):
-            if not self._expired:
-                self._lost()
-
-    async def _has_room(self) -> None:
-        """Wait while too much is in hand or unread on this connection."""
-        while len(self._exchanges) >= self._server.limits.pipelined or self.owed > LARGEST_BUFFER:
-            self.reading_since = None  # it is we who do not read
-            self._room = self._server.loop.create_future()
-            await self._room
-            self.reading_since = self._server.loop.time() if self._reader.partial else None
-
-    async def _half_closed(self) -> None:
-        """The client has ended its side.  Serve what is in hand while somebody reads."""
-        if not self._exchanges:
-            self.finish()
-            return
-        if any(e.request is not None and e.request.version == "1.0" for e in self._exchanges):
-            self._lost()
-            return
-        self._out += PROCESSING
-        self._wake()
-        while self._exchanges:
-            await asyncio.sleep(0.02)
-            if self._wire.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-                self._lost()
-
-    def _refuse(self, fault: HttpError) -> None:
-        self._server.refused(fault, self.peer)
-        self.closing = True
-        last = Exchange(self, None)
-        self._exchanges.append(last)
-        text = str(fault).replace("\\", "/").replace('"', "'")
-        last.reply(fault.status, f'{{"error":"{text}","code":"{fault.status}"}}'.encode(), close=True)
-
-    def expire(self) -> None:
-        """The request that has begun did not become whole in time (RFC 9110 section 15.5.9)."""
-        self.reading_since, self._expired = None, True
-        self._tasks[0].cancel()
-        self._refuse(HttpError(408, "the request did not arrive in time"))
-
-    def _lost(self) -> None:
-        self.closing = self._last = True
-        self._leave()
-        self._wake()
-
-    async def _write(self) -> None:
-        loop = self._server.loop
-        try:
-            while True:
-                if not self._out:
-                    if self._last:
-                        break
-                    self._more = loop.create_future()
-                    await self._more
-                    continue
-                data, self._out = self._out, bytearray()
-                self.writing_since = loop.time()
-                await self._wire.sendall(data)
-                self.writing_since, self.idle_since = None, loop.time()
-                written = min(len(data), self.owed)  # interim answers are not counted
-                self.owed -= written
-                self._server.owed -= written
-                if self._exchanges and self._exchanges[0].flows:
-                    self._exchanges[0].has_room()
-                if self._room is not None and not self._room.done():
-                    self._room.set_result(None)
-            await self._linger()
-        except (OSError, asyncio.CancelledError):
-            self._last = True
-        finally:
-            self._tasks[0].cancel()
-            self._server.closed(self)
-            self._lost()
-            with contextlib.suppress(asyncio.CancelledError):
-                await asyncio.gather(self._tasks[0], return_exceptions=True)
-            self._wire.close()
-
-    async def _linger(self) -> None:
-        """Close without a reset that would eat the reply: end our side, pass over what still comes."""
-        self._tasks[0].cancel()
-        await asyncio.gather(self._tasks[0], return_exceptions=True)
-        self._wire.end()
-        if self._eof:
-            return
-        scrap = bytearray(16_384)
-        with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(0.5):
-                while await self._server.loop.sock_recv_into(self._wire.sock, scrap):
-                    pass
+    unread_bytes: float = 268_435_456  # of replies that clients have not read yet, over all connections
 
 
 class HttpServer:
-    """Listens on loopback addresses, holds connections, sees to their time limits."""
+    """Listens, holds connections and enforces their limits.  `identify` maps a client's certificate to its identity."""
 
     def __init__(
         self,
         handler: Handler,
         limits: Limits | None = None,
-        note: Callable[..., None] | None = None,
+        log_event: Callable[..., None] | None = None,
         tls: Callable[[], ssl.SSLContext] | None = None,
-        who: Callable[[bytes | None], str] | None = None,
+        identify: Callable[[bytes | None], str] | None = None,
         pace: ConnectPace | None = None,
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self._tls, self._who = tls, who or (lambda _certificate: "")
-        self._shaking = 0  # connections whose handshake is under way
+        self._tls, self._identify = tls, identify or (lambda _certificate: "")
+        self._handshakes_in_progress = 0  # TLS handshakes
         self._handshakes: set[asyncio.Task[None]] = set()
         self.limits = limits or Limits()
         self.handle = handler
-        self._note = note or (lambda *_args, **_fields: None)
-        self.door = Listener(self.loop, self._came, self._early, self._note, pace)
+        self._log_event = log_event or (lambda *_args, **_fields: None)
+        self.listener = Listener(self.loop, self._on_accept, self._on_early, self._log_event, pace)
         self._tasks: list[asyncio.Task[Any]] = []
-        self._connections: dict[Connection, None] = {}
+        self._connections: dict[HttpConnection, None] = {}
         self.bytes_in = 0
-        self.turned_away = 0
-        self.owed = 0  # bytes of replies that clients have not read yet
-        self.cut = 0  # connections closed because these were too many
+        self.rejected_connections = 0
+        self.unwritten_bytes = 0  # of replies, over all connections
+        self.slow_readers_closed = 0  # connections closed because too many bytes were unwritten
         self.draining = False  # each reply closes its connection
         self.address = ""
 
-    def owes(self, count: int) -> None:
-        """Keep what is unread within its bound: whoever has read nothing for longest is cut, first come, first gone.
+    def add_unwritten(self, count: int) -> None:
+        """Count bytes of a reply; over the limit, close the connection whose write has been in progress for longest.
 
-        Guards against many clients that ask for much and read slowly: each alone stays within its own limits.
+        Guards against many clients that request much and read slowly: each alone stays within its own limits.
         """
-        self.owed += count
-        while self.owed > self.limits.unread_bytes:
+        self.unwritten_bytes += count
+        while self.unwritten_bytes > self.limits.unread_bytes:
             slow = min(
-                (c for c in self._connections if c.writing_since is not None and c.owed),
+                (c for c in self._connections if c.writing_since is not None and c.unwritten_bytes),
                 key=lambda c: c.writing_since or 0.0,
                 default=None,
             )
             if slow is None:
                 return
-            self._note("slow-reader-cut", peer=slow.peer, bytes=slow.owed)
-            self.cut += 1
-            self.owed, slow.owed = self.owed - slow.owed, 0
+            self._log_event("slow-reader-cut", peer=slow.peer, bytes=slow.unwritten_bytes)
+            self.slow_readers_closed += 1
+            self.unwritten_bytes, slow.unwritten_bytes = self.unwritten_bytes - slow.unwritten_bytes, 0
             slow.abort()
 
     @property
     def accept_delay_ms(self) -> float:
-        """How long each that connects is left waiting; stand-ins only."""
-        return self.door.delay_ms
+        """The delay of each new connection in ms; used by emulators only."""
+        return self.listener.accept_delay_ms
 
     @accept_delay_ms.setter
     def accept_delay_ms(self, delay_ms: float) -> None:
-        self.door.delay_ms = delay_ms
+        self.listener.accept_delay_ms = delay_ms
 
     @property
-    def early(self) -> int:
-        """How many connected faster than the pace and were told to come back."""
-        return self.door.early
+    def rejected_by_pace(self) -> int:
+        """How many connections exceeded the pace and were told to retry later."""
+        return self.listener.rejected_by_pace
 
     @property
     def connections(self) -> int:
-        """How many are open."""
+        """How many connections are open."""
         return len(self._connections)
 
     @property
     def busy(self) -> bool:
-        """Whether any connection has a request in hand."""
+        """Whether any connection has a request in flight or a reply to write."""
         return any(connection.busy for connection in self._connections)
 
-    def listen(self, host: str, port: int, shared: bool = False, backlog: int = 1024) -> int:
-        """Listen; returns the port (port 0: a free one).  `shared`: others may listen on it too."""
+    def listen(self, host: str, port: int, reuse_port: bool = False, backlog: int = 1024) -> int:
+        """Listen on `port` (0: a free one) and return it.  `reuse_port`: other sockets may listen on it too."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            if shared:
+            if reuse_port:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             sock.setblocking(False)
             sock.bind((host, port))
@@ -470,100 +127,100 @@
         except OSError:
             sock.close()
             raise
-        self.door.open(sock)
+        self.listener.add_socket(sock)
         if not self._tasks:
-            self._tasks.append(self.loop.create_task(self._sweep()))
+            self._tasks.append(self.loop.create_task(self._enforce_time_limits()))
         bound = int(sock.getsockname()[1])
         self.address = f"{host}:{bound}"
         return bound
 
-    def _came(self, client: socket.socket, peer: str) -> None:
-        """Somebody has connected."""
-        if len(self._connections) + self._shaking >= self.limits.connections:
-            self.turned_away += 1
-            self._note("connection-turned-away", open=len(self._connections))
-            self.door.refuse(client, TOO_MANY)
+    def _on_accept(self, client: socket.socket, peer: str) -> None:
+        """Open an accepted connection, or reject it over the limit."""
+        if len(self._connections) + self._handshakes_in_progress >= self.limits.connections:
+            self.rejected_connections += 1
+            self._log_event("connection-turned-away", open=len(self._connections))
+            self.listener.reject(client, TOO_MANY_CONNECTIONS)
             return
-        self._welcome(client, peer)
+        self._open_connection(client, peer)
 
-    def _early(self, client: socket.socket, peer: str, back_ms: float) -> None:
-        """Somebody connects faster than the pace: told at once when to come back.  Over TLS it is only closed."""
+    def _on_early(self, client: socket.socket, peer: str, retry_after_ms: float) -> None:
+        """Reject a client beyond the pace, with the time to retry.  Under TLS it is only closed."""
         body = b'{"error":"Too many connect at once; come back later.","code":"503"}'
-        self.door.refuse(
+        self.listener.reject(
             client,
             b""
             if self._tls is not None
             else encode_response(
                 503,
                 body,
-                {"retry-after": str(max(1, round(back_ms / 1000))), "retry-after-ms": f"{back_ms:.0f}"},
+                {"retry-after": str(max(1, round(retry_after_ms / 1000))), "retry-after-ms": f"{retry_after_ms:.0f}"},
                 False,
             ),
         )
 
-    def _welcome(self, client: socket.socket, peer: str) -> None:
+    def _open_connection(self, client: socket.socket, peer: str) -> None:
         client.setblocking(False)
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self._tls is None:
-            self._connections[Connection(self, Transport(self.loop, client), peer)] = None
+            self._connections[HttpConnection(self, Transport(self.loop, client), peer)] = None
             return
-        self._shaking += 1
-        task = self.loop.create_task(self._shake(client, peer, self._tls()))
+        self._handshakes_in_progress += 1
+        task = self.loop.create_task(self._handshake(client, peer, self._tls()))
         self._handshakes.add(task)
         task.add_done_callback(self._handshakes.discard)
 
-    async def _shake(self, client: socket.socket, peer: str, context: ssl.SSLContext) -> None:
-        wire = TlsTransport(self.loop, client, context, True)
+    async def _handshake(self, client: socket.socket, peer: str, context: ssl.SSLContext) -> None:
+        transport = TlsTransport(self.loop, client, context, True)
         try:
-            await wire.handshake(self.limits.read_ms)
+            await transport.handshake(self.limits.read_ms)
         except (ssl.SSLError, OSError) as cause:
-            self._note("handshake-failed", peer=peer, reason=str(cause) or type(cause).__name__)
-            wire.close()
+            self._log_event("handshake-failed", peer=peer, reason=str(cause) or type(cause).__name__)
+            transport.close()
             return
         finally:
-            self._shaking -= 1
-        self._connections[Connection(self, wire, peer, self._who(wire.certificate))] = None
+            self._handshakes_in_progress -= 1
+        self._connections[HttpConnection(self, transport, peer, self._identify(transport.certificate))] = None
 
-    async def _sweep(self) -> None:
-        """Time limits of all connections, four times a second."""
+    async def _enforce_time_limits(self) -> None:
+        """Check the time limits of all connections four times a second."""
         while True:
             await asyncio.sleep(0.25)
             now, limits = self.loop.time(), self.limits
             for connection in list(self._connections):
                 writing, reading = connection.writing_since, connection.reading_since
                 if writing is not None and (now - writing) * 1000 > limits.write_ms:
-                    self._note("slow-reader", peer=connection.peer)
+                    self._log_event("slow-reader", peer=connection.peer)
                     connection.abort()
                 elif reading is not None and (now - reading) * 1000 > limits.read_ms:
-                    self._note("slow-request", peer=connection.peer)
-                    connection.expire()
+                    self._log_event("slow-request", peer=connection.peer)
+                    connection.time_out()
                 elif not connection.busy and (now - connection.idle_since) * 1000 > limits.idle_ms:
-                    connection.finish()
+                    connection.close_gracefully()
 
-    def refused(self, fault: HttpError, peer: str) -> None:
-        """Note malformed input."""
-        self._note("bad-request", status=fault.status, reason=str(fault), peer=peer)
+    def log_bad_request(self, fault: HttpError, peer: str) -> None:
+        """Log malformed input."""
+        self._log_event("bad-request", status=fault.status, reason=str(fault), peer=peer)
 
-    def failed(self, cause: Exception) -> None:
-        """Note a fault of ours."""
-        self._note("handler-failed", reason=f"{type(cause).__name__}: {cause}")
+    def log_handler_failure(self, cause: Exception) -> None:
+        """Log an exception of the handler."""
+        self._log_event("handler-failed", reason=f"{type(cause).__name__}: {cause}")
 
-    def closed(self, connection: Connection) -> None:
+    def forget(self, connection: HttpConnection) -> None:
         """Forget a connection."""
         self._connections.pop(connection, None)
-        self.owed, connection.owed = self.owed - connection.owed, 0
+        self.unwritten_bytes, connection.unwritten_bytes = self.unwritten_bytes - connection.unwritten_bytes, 0
 
     def stop_listening(self) -> None:
-        """Accept nothing more; open connections go on."""
+        """Accept no more connections; open ones stay."""
         for task in self._tasks:
             task.cancel()
         self._tasks.clear()
-        self.door.close()
+        self.listener.close()
 
-    def leave(self) -> None:
-        """Take in whoever has connected already, and nobody after; each reply closes its connection."""
+    def start_draining(self) -> None:
+        """Accept the clients in the accept queue and no more; from now on each reply closes its connection."""
         self.draining = True
-        self.door.close(self._welcome)
+        self.listener.close(self._open_connection)
         self.stop_listening()
 
     def abort_all(self) -> None:
@@ -572,20 +229,20 @@
             connection.abort()
 
     async def drain(self, within_ms: float, linger_ms: float = 0.0) -> bool:
-        """Stop listening, let what is in hand end, then close; True if all ended in time.
+        """Stop listening, finish the requests in flight, then close; True if all finished in time.
 
-        Idle connections stay open for `linger_ms`: a request that was sent while we closed would be lost without
-        an answer (RFC 9112 section 9.5).  Whatever comes on them is answered, and then they close.
+        Idle connections stay open for `linger_ms`: a request sent while we close would be lost without an answer
+        (RFC 9112 section 9.5).  A request that arrives on one is answered, and then it closes.
         """
-        self.leave()
+        self.start_draining()
         end = self.loop.time() + within_ms / 1000
         lingers = self.loop.time() + min(linger_ms, within_ms) / 1000
         while self._connections and self.loop.time() < lingers:
             await asyncio.sleep(0.01)
         while self._connections and self.loop.time() < end:
             for connection in list(self._connections):
-                if not connection.partial:  # half a request is read to its end, and answered
-                    connection.finish()
+                if not connection.partial:  # an incomplete request is read to its end, and answered
+                    connection.close_gracefully()
             await asyncio.sleep(0.01)
         clean = not self.busy
         self.abort_all()
--- a/kelptrail/platform/client_server.py
+++ b/kelptrail/platform/client_server.py
@@ -68,8 +68,8 @@
             self, loop.time, limits.max_connections, limits.max_timeout_ms, log, invariants
         )
         self._listener = Listener(loop, self._on_connect, _ignore_early, log)
-        self._listener.has_room = self.connections.has_capacity
-        self._listener.on_shortage = self.connections.make_room
+        self._listener.has_capacity = self.connections.has_capacity
+        self._listener.on_descriptor_shortage = self.connections.make_room
         self.ready = True  # as the protocol reports it; False once GOAWAY was sent
         self._refuses_new = False
 
@@ -84,7 +84,7 @@
         except OSError:
             sock.close()
             raise
-        self._listener.open(sock)
+        self._listener.add_socket(sock)
         return sock.getsockname()[1]
 
     def close(self) -> None:
@@ -99,12 +99,12 @@
         """Report not ready, and send GOAWAY on all connections, present and future."""
         self.ready = False
         for client in self.connections.active:
-            client.connection.write(frames.frame(frames.GO_AWAY, 0))
+            client.connection.write(frames.encode_frame(frames.GO_AWAY, 0))
 
     def stop_accepting(self) -> bool:
         """Accept the clients in the accept queue, then close the listener: later clients try another dispatcher.
         False while some in the queue cannot be accepted; the listener stays open for them."""
-        if not self._listener.take_all():
+        if not self._listener.accept_queued():
             return False
         self._listener.close()
         return True
@@ -118,7 +118,7 @@
         for client in self.connections.active:
             for request in client.open_requests.values():
                 self._invariants.violated(Violation.ENDED_OVER_REQUEST, request.id)
-            client.connection.finish(timeout_ms)
+            client.connection.close_gracefully(timeout_ms)
 
     # Answers.
 
@@ -130,7 +130,7 @@
         if client.open_requests.pop(request.stream, None) is not None:
             request.answered = True
             self._body_bytes -= len(request.body)
-            client.connection.write(frames.answer(request.stream, code, body, later_ms))
+            client.connection.write(frames.encode_answer(request.stream, code, body, later_ms))
             if not client.open_requests:
                 self.connections.mark_idle(client)
 
@@ -149,8 +149,8 @@
         elif kind == frames.CANCEL:
             if (request := client.open_requests.get(stream)) is not None:
                 self._drop_request(request)
-        elif kind == frames.ASK_READY:
-            client.connection.write(frames.ready(stream, self.ready))
+        elif kind == frames.READY_QUERY:
+            client.connection.write(frames.encode_ready(stream, self.ready))
         else:
             raise FrameError(f"unexpected frame type {kind}", stream)
 
@@ -161,7 +161,7 @@
             log_events.CLIENT_CONNECTION_CLOSED, reason=CloseReason.UNREADABLE.value, cause=cause, open=open_count
         )
         stream = cause.stream if cause.stream not in client.open_requests else 0
-        client.connection.write(frames.answer(stream, frames.FAILED))
+        client.connection.write(frames.encode_answer(stream, frames.FAILED))
         self.connections.close_after_error(client)
 
     def on_closed(self, client: ClientConnection) -> None:
@@ -178,7 +178,7 @@
         client = ClientConnection(self, sock)
         self.connections.add(client)
         if not self.ready:
-            client.connection.write(frames.frame(frames.GO_AWAY, 0))
+            client.connection.write(frames.encode_frame(frames.GO_AWAY, 0))
 
     def _on_request_frame(self, client: ClientConnection, stream: int, payload: bytes) -> None:
         if not stream or stream in client.open_requests:
@@ -187,7 +187,7 @@
             raise FrameError("too many open requests on the connection", stream)
         fields, body_at = frames.read_fields(payload)
         body = payload[body_at:]
-        if len(body) > frames.BODY:
+        if len(body) > frames.MAX_BODY_BYTES:
             raise FrameError("body too long", stream)
         try:
             parsed = ParsedRequest(fields, self._rules)
@@ -196,11 +196,11 @@
         except UnusableRequestError as cause:
             reason = RequestRefusal.UNUSABLE.value
             self._log(log_events.REQUEST_FAILED, request=fields.get("txn"), reason=reason, cause=cause)
-            client.connection.write(frames.answer(stream, frames.FAILED))
+            client.connection.write(frames.encode_answer(stream, frames.FAILED))
             return
         if (refusal := self._refusal(client, body)) is not None:
             self._log(log_events.REQUEST_REFUSED, request=parsed.id, reason=refusal.value)
-            client.connection.write(frames.answer(stream, frames.REFUSED))
+            client.connection.write(frames.encode_answer(stream, frames.REFUSED))
             client.idle_since = self.time()
             return
         self._body_bytes += len(body)
--- a/kelptrail/platform/worker_connections.py
+++ b/kelptrail/platform/worker_connections.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections.abc import Callable
 
-from kelptrail.codec.lines import Answer, load
+from kelptrail.codec.lines import WorkerAnswer, encode_load
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder
 
 from . import log_events
@@ -17,7 +17,7 @@
 
 SWEEP_IDLE_SHARE = 0.2  # a connection is closed after this share of the workers' own idle timeout
 
-OnItemFinished = Callable[[WorkItem, AttemptStatus, Answer | None], None]
+OnItemFinished = Callable[[WorkItem, AttemptStatus, WorkerAnswer | None], None]
 
 
 class WorkerConnections:
@@ -54,7 +54,7 @@
         """Send a load order, if it may still start when the connection takes it."""
         self._load_count += 1
         id_ = f"o{self._load_count}"
-        data = load(id_, order.instance.function.id, order.count)
+        data = encode_load(id_, order.instance.function.id, order.count)
         self._start(id_, order, lambda: data if may_start() else b"", len(data))
 
     def on_not_sent(self, item: WorkItem) -> None:
@@ -109,7 +109,7 @@
         for connection in list(self._connections):
             connection.close()
 
-    def on_item_finished(self, item: WorkItem, status: AttemptStatus, answer: Answer | None) -> None:
+    def on_item_finished(self, item: WorkItem, status: AttemptStatus, answer: WorkerAnswer | None) -> None:
         """An open item has ended."""
         del self._locations[item]
         self._on_finished(item, status, answer)
--- a/kelptrail/platform/worker_pool.py
+++ b/kelptrail/platform/worker_pool.py
@@ -13,7 +13,7 @@
 from .worker_connections import OnItemFinished, WorkerConnections
 
 MIN_CONNECTIONS_PER_WORKER = 2
-MAX_ANSWER_BYTES = 8 * frames.BODY
+MAX_ANSWER_BYTES = 8 * frames.MAX_BODY_BYTES
 
 
 class WorkerPool:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,7 +21,7 @@
 from test_platform import CLASS, SETTINGS, PlatformFixture, WorkerStub, configuration, echo, event, run
 
 from kelptrail.codec import frames
-from kelptrail.codec.lines import call
+from kelptrail.codec.lines import encode_call
 from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.net.connection import connect
 from kelptrail.platform import graceful_shutdown, worker_connection
@@ -61,7 +61,7 @@
         "item": f"{stream:016x}",
         "info": "memory_mb:512;lanes:2",
     } | other
-    return frames.frame(frames.REQUEST, stream, frames.fields(told) + body)
+    return frames.encode_frame(frames.REQUEST, stream, frames.encode_fields(told) + body)
 
 
 def read_all(sock: socket.socket, within: float = 3.0) -> list[tuple[int, int, bytes]]:
@@ -155,7 +155,7 @@
             sock = raw(platform.port, SMALL)
             await until(lambda: len(platform.service.client_server.connections))
             (client,) = platform.service.client_server.connections.fresh
-            client.connection.wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
+            client.connection.transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
             sock.sendall(request(1))
             await until(lambda: len(runner.calls) and client.connection._writing)
             began = time.monotonic()
@@ -417,7 +417,7 @@
 
     def send(self, id_: str, size: int = 16_000) -> Any:
         thing = StubItem(id_)
-        data = call(id_, "t", "a" * 16, 1000, "", bytes(size))
+        data = encode_call(id_, "t", "a" * 16, 1000, "", bytes(size))
         self.connections.start_attempt(thing, lambda: data, len(data))  # type: ignore[arg-type]
         return thing
 
@@ -432,7 +432,7 @@
         things = [self.send(f"{n:016x}") for n in range(count)]
         sock = await self.take()
         (connection,) = self.connections._connections
-        await until(lambda: connection.connection is not None and connection.connection._waits)
+        await until(lambda: connection.connection is not None and connection.connection._awaits_writable)
         return sock, things
 
 
@@ -553,7 +553,7 @@
             sock.sendall(request(2, item=f"{0x7F3A9C21E0B4D655:016x}"))
             await until(lambda: held.waiting)
             if leaves == "cancel":
-                sock.sendall(frames.frame(frames.CANCEL, 2))
+                sock.sendall(frames.encode_frame(frames.CANCEL, 2))
             elif leaves == "half":
                 sock.shutdown(socket.SHUT_WR)
             else:
@@ -840,8 +840,8 @@
             sock = raw(platform.port, SMALL)
             await until(lambda: len(platform.service.client_server.connections))
             (client,) = platform.service.client_server.connections.fresh
-            client.connection.wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
-            sock.sendall(frames.frame(frames.ASK_READY, 7, b"\0") * 3000)
+            client.connection.transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
+            sock.sendall(frames.encode_frame(frames.READY_QUERY, 7, b"\0") * 3000)
             await until(lambda: client.connection._writing)
             sock.sendall(b"\0\0\0\2no")
             await until(lambda: client.connection.closed, 2.5)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -69,7 +69,7 @@
             (front_client,) = platform.service.client_server.connections.idle
             for each in (connection.connection, front_client.connection):
                 assert each is not None
-                each.wire.sock = Failing(each.wire.sock, "send", [code, code])  # type: ignore[assignment]
+                each.transport.sock = Failing(each.transport.sock, "send", [code, code])  # type: ignore[assignment]
             client.ask(2)
             assert await client.code() == frames.SERVED
             assert runner.connections == 1 and connection in worker_links._connections
@@ -100,8 +100,8 @@
 
 def worker_event(number: int, id_: int, started: int) -> Any:
     """An event that tells of one live worker, as the reader gives it."""
-    record = feed.Record(f"s-{id_:08x}", "127.0.0.1", 9, feed.READY, 0, 0, 0, 1.0, started)
-    return feed.Event(number, False, [record])
+    record = feed.EndpointRecord(f"s-{id_:08x}", "127.0.0.1", 9, feed.READY, 0, 0, 0, 1.0, started)
+    return feed.EndpointEvent(number, False, [record])
 
 
 def test_the_limit_passed_on_is_what_the_client_has_left_when_the_call_leaves(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -241,7 +241,7 @@
             assert await client.code() == frames.SERVED
             (mine,) = front.connections.idle
             client.ask(2)  # written, and not yet read
-            mine.connection.wire.sock = Failing(mine.connection.wire.sock, "recv", [errno.ENOMEM])  # type: ignore[assignment]
+            mine.connection.transport.sock = Failing(mine.connection.transport.sock, "recv", [errno.ENOMEM])  # type: ignore[assignment]
             front.connections.make_room()
             assert await client.code() == frames.SERVED
 
@@ -308,9 +308,9 @@
             front, slow = platform.service.client_server, raw(platform.port, SMALL)
             await until(lambda: len(front.connections))
             (client,) = front.connections.fresh
-            client.connection.wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
+            client.connection.transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
             slow.sendall(request(1))
-            await until(lambda: client in front.connections.idle and client.connection.unwritten)
+            await until(lambda: client in front.connections.idle and client.connection.has_pending_writes)
             front.connections.make_room()
             slow.settimeout(3.0)
             found = await asyncio.to_thread(read_frame, slow)
