--- a/kelptrail/emulator/channel_proxy.py
+++ b/kelptrail/emulator/channel_proxy.py
@@ -26,7 +26,7 @@
 
 class ChannelProxy:
     """From each of `sources` to each of `targets`.  Settings at its control port: `at` (addresses),
-    `cut` (ordered pairs whose bytes are delayed), `slow` (ms and share of reads), `reset` (share of open connections)."""
+    `cut` (ordered pairs whose bytes are delayed), `slow` (ms and share of reads), `reset` (share of connections)."""
 
     def __init__(self, sources: list[str], targets: list[str], capture: Capture, seed: int) -> None:
         self._capture, self._faults = capture, NetworkFaults(seed, 5)
--- a/kelptrail/emulator/clients.py
+++ b/kelptrail/emulator/clients.py
@@ -24,8 +24,8 @@
 from kelptrail.load.arrivals import Arrivals, popularity
 from kelptrail.load.client_behavior import ClientBehavior, ClientOutcome, behavior_of, retry_delay_ms
 from kelptrail.load.plan import Load
-from kelptrail.net.grpc_client import Ended, GrpcClient
-from kelptrail.net.pool import Call, Ending, WorkerPool
+from kelptrail.net.grpc_client import CallResult, GrpcClient
+from kelptrail.net.pool import Call, CallOutcome, WorkerPool
 from kelptrail.settings.deployment import ActionSettings, Deployment, NamespaceSettings, TypeSettings
 
 from .capture import Capture, ReadLag
@@ -108,7 +108,7 @@
         half_retry_after_share: float = 0.0,
         namespace: str = "",
     ) -> None:
-        """Start one call; `grpc` is the share of calls over the gRPC front, `streams` of those the share that stream."""
+        """Start one call; `grpc`: the share of calls over the gRPC front, `streams`: the share of those that stream."""
         self._tickets += 1
         spaces = list(self._deployment.namespaces.values())
         shares = np.array([s.allowed_per_s for s in spaces])
@@ -135,11 +135,8 @@
         self._calls += 1
         count = len(self._pools)
         client_call.dispatcher = int(self._random.integers(count)) if last is None else (last + 1) % count
-        client_call.call_id, client_call.attempt_started, client_call.activation = (
-            f"c{self._id_prefix}{self._calls}",
-            now_ms(),
-            "",
-        )
+        client_call.call_id = f"c{self._id_prefix}{self._calls}"
+        client_call.attempt_started, client_call.activation = now_ms(), ""
         kind = self._deployment.types[client_call.action.type]
         if client_call.grpc and self._grpc_clients:
             self._send_grpc(client_call, kind)
@@ -159,16 +156,15 @@
 
     def _send_http(self, client_call: ClientCall, pool: WorkerPool, address: str) -> None:
         kind = self._deployment.types[client_call.action.type]
-        target = (
-            f"/api/v1/namespaces/_/actions/{client_call.action.path}?blocking={str(not client_call.deferred).lower()}"
-        )
+        blocking = str(not client_call.deferred).lower()
+        target = f"/api/v1/namespaces/_/actions/{client_call.action.path}?blocking={blocking}"
         headers = {"authorization": self._auth[client_call.namespace.name]}
         if kind.effect == "deduplicated":
             headers["idempotency-key"] = client_call.ticket
         data = encode_request("POST", target, address, msgspec.json.encode({"ticket": client_call.ticket}), headers)
         self.open_requests += 1
         call = pool.start(data, self._on_http_response, client_call)
-        self._loop.call_later((kind.timeout_ms + 500) / 1000, call.give_up, "patience")
+        self._loop.call_later((kind.timeout_ms + 500) / 1000, call.cancel, "patience")
 
     def _send_grpc(self, client_call: ClientCall, kind: TypeSettings) -> None:
         """Send the call over the gRPC front."""
@@ -260,7 +256,7 @@
         if answer in ("rejected", "aborted"):
             self._retry(client_call, ClientOutcome(answer), retry_ms, repeat_within_ms)
 
-    def _on_grpc_ended(self, client_call: ClientCall, ended: Ended) -> None:
+    def _on_grpc_ended(self, client_call: ClientCall, ended: CallResult) -> None:
         self.open_requests -= 1
         if ended.code is Code.OK or client_call.activation == "final":
             return
@@ -278,19 +274,19 @@
                 if ended.reason in FAILED_REASONS
                 else (f"status-{ended.code.name}")
             )
-            within = ended.told.get("repeat_within_ms")
+            within = ended.details.get("repeat_within_ms")
             self._on_grpc_answer(
                 client_call,
                 answer,
-                ended.told.get("activation", ""),
+                ended.details.get("activation", ""),
                 ended.retry_ms or 0.0,
                 float(within) if within is not None else None,
             )
 
-    def _on_http_response(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def _on_http_response(self, call: Call, ending: CallOutcome, response: Response | None) -> None:
         client_call: ClientCall = call.tag
         self.open_requests -= 1
-        if ending in (Ending.UNREACHABLE, Ending.UNSENT) or (response is not None and response.status == 503):
+        if ending in (CallOutcome.UNREACHABLE, CallOutcome.UNSENT) or (response is not None and response.status == 503):
             self._capture.write("not-taken", call=client_call.call_id)
             answer_fields = response.headers.get("retry-after-ms", "0") if response is not None else "0"
             self._retry(client_call, ClientOutcome.NOT_TAKEN, float(answer_fields))
@@ -384,9 +380,9 @@
         if client_call.poll_address not in self._poll_pools:
             self._poll_pools[client_call.poll_address] = self._pool(client_call.poll_address)
         poll = self._poll_pools[client_call.poll_address].start(data, self._on_poll_response, client_call)
-        self._loop.call_later(2.0, poll.give_up, "patience")
+        self._loop.call_later(2.0, poll.cancel, "patience")
 
-    def _on_poll_response(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def _on_poll_response(self, call: Call, ending: CallOutcome, response: Response | None) -> None:
         self.open_requests -= 1
         client_call: ClientCall = call.tag
         if response is not None and response.status == 200:
--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -22,7 +22,7 @@
 from kelptrail.settings.deployment import Deployment
 
 ALL_PAIRS_LIMIT = (
-    12  # dispatchers up to which all pairs go through the proxy; beyond, only links to acceptors and planners
+    12  # up to so many dispatchers all pairs go through the proxy; beyond, links to acceptors and planners
 )
 
 
--- a/kelptrail/emulator/endpoint_service.py
+++ b/kelptrail/emulator/endpoint_service.py
@@ -63,7 +63,7 @@
             poll = _LongPoll(query.get("who", ""), known_version, exchange, self._loop.call_later(0, int))
             poll.timer = self._loop.call_later(wait / 1000, self._send_not_modified, poll)
             self._polls[poll] = None
-            exchange.on_gone = lambda: self._remove_poll(poll)
+            exchange.on_client_gone = lambda: self._remove_poll(poll)
             return
         body = msgspec.json.decode(request.body) if request.body else {}
         if parts == ["register"]:
@@ -135,7 +135,7 @@
 
     def _send_not_modified(self, poll: _LongPoll) -> None:
         self._remove_poll(poll)
-        poll.exchange.raw(b"HTTP/1.1 304 Not Modified\r\ncontent-length: 0\r\n\r\n")
+        poll.exchange.reply_encoded(b"HTTP/1.1 304 Not Modified\r\ncontent-length: 0\r\n\r\n")
 
     def _remove_poll(self, poll: _LongPoll) -> None:
         self._polls.pop(poll, None)
--- a/kelptrail/load/generator.py
+++ b/kelptrail/load/generator.py
@@ -20,7 +20,7 @@
 
 from kelptrail.clock import now_ms
 from kelptrail.codec.http import Response, encode_request
-from kelptrail.net.pool import Call, Ending, WorkerPool
+from kelptrail.net.pool import Call, CallOutcome, WorkerPool
 from kelptrail.settings.deployment import ActionSettings, Deployment, NamespaceSettings
 
 from .arrivals import Arrivals, popularity
@@ -30,7 +30,7 @@
 
 POLL_EVERY_MS, ANSWER_SLACK_MS, POLL_FOR_MS = 150.0, 500.0, 3000.0
 MAX_LATENCY_US, SIGNIFICANT_DIGITS = 3_600_000_000, 3
-Answers = Callable[[Call, Ending, Response | None], None]
+Answers = Callable[[Call, CallOutcome, Response | None], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -113,7 +113,7 @@
         end = now_ms() + longest + POLL_FOR_MS
         while self._open_requests and now_ms() < end:
             await asyncio.sleep(0.05)
-        self.counters.connections = sum(pool.made for pool in self._pools)
+        self.counters.connections = sum(pool.connections_made for pool in self._pools)
         for pool in self._pools:
             pool.close()
         return self.counters
@@ -227,17 +227,19 @@
         self._open_requests += 1
         data = encode_request(method, target, self._settings.addresses[client_call.dispatcher], body, headers)
         call = self._pools[client_call.dispatcher].start(data, done, client_call)
-        call.tag = (client_call, self._loop.call_later(patience / 1000, call.give_up, "patience"))
+        call.tag = (client_call, self._loop.call_later(patience / 1000, call.cancel, "patience"))
 
-    def _on_response(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def _on_response(self, call: Call, outcome: CallOutcome, response: Response | None) -> None:
         client_call, timer = call.tag
         timer.cancel()
         self._open_requests -= 1
-        if ending in (Ending.UNREACHABLE, Ending.UNSENT) or (response is not None and response.status == 503):
+        if outcome in (CallOutcome.UNREACHABLE, CallOutcome.UNSENT) or (
+            response is not None and response.status == 503
+        ):
             answer_fields = response.headers.get("retry-after-ms", "0") if response is not None else "0"
             self._finish_attempt(client_call, ClientOutcome.NOT_TAKEN, "not-taken", float(answer_fields))
         elif response is None:
-            self._finish_attempt(client_call, ClientOutcome.LOST, ending.value)
+            self._finish_attempt(client_call, ClientOutcome.LOST, outcome.value)
         elif response.status == 202:
             client_call.activation = msgspec.json.decode(response.body)["activationId"]
             self._open_requests += 1
@@ -261,7 +263,7 @@
             2000.0,
         )
 
-    def _on_poll_response(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def _on_poll_response(self, call: Call, outcome: CallOutcome, response: Response | None) -> None:
         client_call, timer = call.tag
         timer.cancel()
         self._open_requests -= 1
--- a/kelptrail/net/tls.py
+++ b/kelptrail/net/tls.py
@@ -1,7 +1,7 @@
-"""TLS contexts from files, made anew when the files change; certificates' ends told ahead.
+"""TLS contexts from files, reloaded when the files change; warnings before a certificate expires.
 
-Connections that stand keep what they began with; the next handshake takes the new files.  Files that cannot be used
-change nothing: the old context goes on, and that is told.
+Open connections keep the context that they started with; the next handshake uses the new one.  Unusable files change
+nothing: the old context stays in use, and an error is logged.
 """
 
 from __future__ import annotations
@@ -24,8 +24,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """One side's files and terms.  `certificate` holds the chain, and the key too where `key` is None; `authority` is
-    whom peers must be vouched for by; `peers`: "none", "asked" or "required" of a client's certificate."""
+    """One side's files and options.  `certificate` holds the chain, and the key too where `key` is None; `authority` is
+    the CA that must have signed peers' certificates; `peers` says whether a client's certificate is "none" (not
+    requested), "asked" (requested) or "required"; `least` is the minimum TLS version."""
 
     certificate: Path | None
     key: Path | None = None
@@ -36,70 +37,74 @@
     warn_days: float = 14.0
 
 
-class Expiry:
-    """When to tell of a certificate's end: once a day from so many days ahead.  Free of I/O; wall time in ms."""
+class ExpiryWarning:
+    """When to warn of a certificate's expiry: once a day in its last `warn_days`.  No I/O; wall time in ms."""
 
     def __init__(self, warn_days: float) -> None:
-        self._warn_days, self._told_at = warn_days, float("-inf")
+        self._warn_days, self._warned_at = warn_days, float("-inf")
 
-    def due(self, wall: float, ends: float) -> float | None:
-        """Days left, where that is to be told now."""
-        left = (ends - wall) / DAY_MS
-        if left > self._warn_days or wall < self._told_at + DAY_MS:
+    def due(self, wall_ms: float, expires_at: float) -> float | None:
+        """The days left, where a warning is due now; else None."""
+        left = (expires_at - wall_ms) / DAY_MS
+        if left > self._warn_days or wall_ms < self._warned_at + DAY_MS:
             return None
-        self._told_at = wall
+        self._warned_at = wall_ms
         return left
 
 
+class TlsFilesError(ValueError):
+    """Certificate, key or authority files that cannot be used."""
+
+
 class CertificateReloader:
-    """One side's context.  Raises `ValueError` at the first start where the files cannot be used."""
+    """Holds one side's context.  Raises `TlsFilesError` on creation where the files cannot be used."""
 
     def __init__(
-        self, files: TlsFiles, server_side: bool, alpn: list[str], log: Any, wall: Callable[[], float]
+        self, files: TlsFiles, server_side: bool, alpn: list[str], log: Any, wall_ms: Callable[[], float]
     ) -> None:
-        self._files, self._server_side, self._alpn, self._log, self._wall = files, server_side, alpn, log, wall
-        self._seen: tuple[tuple[str, int, int], ...] = ()
-        self._expiry = Expiry(files.warn_days)
-        self.ends: float | None = None  # wall ms
+        self._files, self._server_side, self._alpn, self._log, self._wall_ms = files, server_side, alpn, log, wall_ms
+        self._loaded_stamps: tuple[tuple[str, int, int], ...] = ()
+        self._expiry = ExpiryWarning(files.warn_days)
+        self.expires_at: float | None = None  # wall ms
         self.names: list[str] = []
         self.loads = self.failures = 0
-        self._seen = self._stamps()
-        self._context = self._make()
+        self._loaded_stamps = self._file_stamps()
+        self._context = self._load()
 
     def context(self) -> ssl.SSLContext:
-        """The context in force."""
+        """The current context."""
         return self._context
 
-    def look(self) -> None:
-        """Take up changed files; tell of an end that is near."""
-        stamps = self._stamps()
-        if stamps != self._seen:
-            self._seen = stamps
+    def reload_if_changed(self) -> None:
+        """Reload changed files; warn of an expiry that is near."""
+        stamps = self._file_stamps()
+        if stamps != self._loaded_stamps:
+            self._loaded_stamps = stamps
             try:
-                self._context = self._make()
-                self._expiry = Expiry(self._files.warn_days)
-                self._log.info("tls-reloaded", names=self.names, ends=self._day())
-            except ValueError as cause:
+                self._context = self._load()
+                self._expiry = ExpiryWarning(self._files.warn_days)
+                self._log.info("tls-reloaded", names=self.names, ends=self._expiry_date())
+            except TlsFilesError as cause:
                 self.failures += 1
                 self._log.error("tls-unusable", reason=str(cause))
-        if self.ends is not None and (left := self._expiry.due(self._wall(), self.ends)) is not None:
-            self._log.warning("certificate-ends", names=self.names, days=round(left, 1), ends=self._day())
+        if self.expires_at is not None and (left := self._expiry.due(self._wall_ms(), self.expires_at)) is not None:
+            self._log.warning("certificate-ends", names=self.names, days=round(left, 1), ends=self._expiry_date())
 
     def status(self) -> dict[str, Any]:
-        """What operators are shown; nothing of it is secret."""
-        left = (self.ends - self._wall()) / DAY_MS if self.ends is not None else None
+        """The state that operators see; nothing of it is secret."""
+        left = (self.expires_at - self._wall_ms()) / DAY_MS if self.expires_at is not None else None
         return {
             "names": self.names,
-            "ends": self._day(),
+            "ends": self._expiry_date(),
             "days_left": round(left, 2) if left is not None else None,
             "loads": self.loads,
             "failures": self.failures,
         }
 
-    def _day(self) -> str | None:
-        return datetime.fromtimestamp(self.ends / 1000, UTC).isoformat() if self.ends is not None else None
+    def _expiry_date(self) -> str | None:
+        return datetime.fromtimestamp(self.expires_at / 1000, UTC).isoformat() if self.expires_at is not None else None
 
-    def _stamps(self) -> tuple[tuple[str, int, int], ...]:
+    def _file_stamps(self) -> tuple[tuple[str, int, int], ...]:
         out = []
         for file in (self._files.certificate, self._files.key, self._files.authority):
             if file is not None:
@@ -110,7 +115,7 @@
                     out.append((str(file), 0, 0))
         return tuple(out)
 
-    def _make(self) -> ssl.SSLContext:
+    def _load(self) -> ssl.SSLContext:
         files = self._files
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if self._server_side else ssl.PROTOCOL_TLS_CLIENT)
         context.minimum_version = VERSIONS[files.least]
@@ -122,12 +127,12 @@
                 context.load_cert_chain(files.certificate, files.key)
                 found = read_certificate(files.certificate.read_bytes())
                 self.names = names_in(found.public_bytes(Encoding.DER))
-                self.ends = found.not_valid_after_utc.timestamp() * 1000
+                self.expires_at = found.not_valid_after_utc.timestamp() * 1000
             if files.authority is not None:
                 context.load_verify_locations(files.authority)
         except (OSError, ssl.SSLError, AuthorityError) as cause:  # never the files' contents
             named = ", ".join(str(f) for f in (files.certificate, files.key, files.authority) if f is not None)
-            raise ValueError(f"{named}: {cause}") from None
+            raise TlsFilesError(f"{named}: {cause}") from None
         if self._server_side:
             context.verify_mode = {"none": ssl.CERT_NONE, "asked": ssl.CERT_OPTIONAL, "required": ssl.CERT_REQUIRED}[
                 files.peers
--- a/kelptrail/platform/client_connections.py
+++ b/kelptrail/platform/client_connections.py
@@ -12,6 +12,7 @@
 
 from kelptrail.codec.frames import FrameError
 from kelptrail.engine.invariants import Invariants, Violation
+from kelptrail.net.transport import IdleState
 
 from . import log_events
 from .client_connection import ClientConnection
@@ -99,7 +100,7 @@
         self.remove(client)
         if not client.connection.closed:
             self.closing[client] = None
-            client.connection.finish(ERROR_LINGER_MS)
+            client.connection.close_gracefully(ERROR_LINGER_MS)
 
     # Limits and eviction.
 
@@ -158,7 +159,7 @@
             if (
                 since is not None
                 and ((now - client.last_received_at) * 1000 > FRAME_TIMEOUT_MS or now - since > self._max_frame_s)
-                and client.connection.wire.quiet() is not None
+                and client.connection.transport.probe_idle() is not IdleState.UNEXPECTED_DATA
             ):
                 if client in self.fresh:
                     self._close_now(client, CloseReason.SILENT)
@@ -175,7 +176,11 @@
     def _close_now(self, client: ClientConnection, reason: CloseReason) -> None:
         for request in client.open_requests.values():
             self._invariants.violated(Violation.CLOSED_OVER_REQUEST, request.id, reason=reason.value)
-        if client not in self.closing and client.partial_frame_since is None and client.connection.wire.unread():
+        if (
+            client not in self.closing
+            and client.partial_frame_since is None
+            and client.connection.transport.unread_bytes()
+        ):
             self._invariants.violated(Violation.CLOSED_OVER_REQUEST, "not read", reason=reason.value)
         self._log(log_events.CLIENT_CONNECTION_CLOSED, reason=reason.value)
         self.remove(client)
--- a/kelptrail/platform/worker_connections.py
+++ b/kelptrail/platform/worker_connections.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections.abc import Callable
 
-from kelptrail.codec.lines import Answer, load
+from kelptrail.codec.lines import WorkerAnswer, encode_load
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder
 
 from . import log_events
@@ -17,7 +17,7 @@
 
 SWEEP_IDLE_SHARE = 0.2  # a connection is closed after this share of the workers' own idle timeout
 
-OnItemFinished = Callable[[WorkItem, AttemptStatus, Answer | None], None]
+OnItemFinished = Callable[[WorkItem, AttemptStatus, WorkerAnswer | None], None]
 
 
 class WorkerConnections:
@@ -54,12 +54,12 @@
         """Send a load order, if it may still start when the connection takes it."""
         self._load_count += 1
         id_ = f"o{self._load_count}"
-        data = load(id_, order.instance.function.id, order.count)
+        data = encode_load(id_, order.instance.function.id, order.count)
         self._start(id_, order, lambda: data if may_start() else b"", len(data))
 
     def on_not_sent(self, item: WorkItem) -> None:
         """The item's time to start is over."""
-        if self.cancel_before_send(item):
+        if self.cancel_unsent(item):
             self._on_finished(item, AttemptStatus.NOT_SENT, None)
 
     def cancel(self, item: WorkItem) -> bool | None:
@@ -67,17 +67,17 @@
         location = self._locations.pop(item, None)
         return None if location is None else location[0].cancel(location[1])
 
-    def cancel_before_send(self, item: WorkItem) -> bool:
+    def cancel_unsent(self, item: WorkItem) -> bool:
         """Cancel an item whose first byte was not sent; whether it was cancelled."""
         location = self._locations.get(item)
-        if location is None or not location[0].cancel_before_send(location[1]):
+        if location is None or not location[0].cancel_unsent(location[1]):
             return False
         del self._locations[item]
         return True
 
-    def cancel_all_before_send(self) -> list[WorkItem]:
+    def cancel_all_unsent(self) -> list[WorkItem]:
         """Cancel all items whose first byte was not sent, and return them."""
-        return [item for item in list(self._locations) if self.cancel_before_send(item)]
+        return [item for item in list(self._locations) if self.cancel_unsent(item)]
 
     @property
     def longest_idle(self) -> WorkerConnection | None:
@@ -109,7 +109,7 @@
         for connection in list(self._connections):
             connection.close()
 
-    def on_item_finished(self, item: WorkItem, status: AttemptStatus, answer: Answer | None) -> None:
+    def on_item_finished(self, item: WorkItem, status: AttemptStatus, answer: WorkerAnswer | None) -> None:
         """An open item has ended."""
         del self._locations[item]
         self._on_finished(item, status, answer)
