--- a/bench/vrrp_explore.py
+++ b/bench/vrrp_explore.py
@@ -12,24 +12,24 @@
 
 import numpy as np
 
-from kelptrail.vrrp.model import Budget, explore
-from kelptrail.vrrp.simulation import failovers
-from kelptrail.vrrp.state_machine import Router, RouterSettings
+from kelptrail.vrrp.model import FaultBudget, explore
+from kelptrail.vrrp.simulation import simulate_failovers
+from kelptrail.vrrp.state_machine import RouterSettings, VirtualRouter
 
 FRONT = (ip_address("127.0.2.1"),)
 PRODUCTS = (
-    ("two, preempting", (200, 100), True, Budget(), 14),
-    ("two, equal", (100, 100), True, Budget(), 12),
-    ("two, not preempting", (200, 100), False, Budget(), 12),
-    ("two, one owner", (255, 100), True, Budget(), 12),
-    ("three, preempting", (200, 150, 100), True, Budget(), 8),
-    ("three, not preempting", (200, 150, 100), False, Budget(), 7),
+    ("two, preempting", (200, 100), True, FaultBudget(), 14),
+    ("two, equal", (100, 100), True, FaultBudget(), 12),
+    ("two, not preempting", (200, 100), False, FaultBudget(), 12),
+    ("two, one owner", (255, 100), True, FaultBudget(), 12),
+    ("three, preempting", (200, 150, 100), True, FaultBudget(), 8),
+    ("three, not preempting", (200, 150, 100), False, FaultBudget(), 7),
 )
 
 
-def cores(priorities: tuple[int, ...], preempt: bool) -> list[Router]:
+def cores(priorities: tuple[int, ...], preempt: bool) -> list[VirtualRouter]:
     return [
-        Router(RouterSettings(1, p, FRONT, 100, preempt), ip_address(f"127.0.1.{n + 1}"))
+        VirtualRouter(RouterSettings(1, p, FRONT, 100, preempt), ip_address(f"127.0.1.{n + 1}"))
         for n, p in enumerate(priorities)
     ]
 
@@ -43,7 +43,7 @@
         began = time.monotonic()
         found = explore(partial(cores, priorities, preempt), budget, depth, options.most_states, 9000.0)
         print(json.dumps({"product": name, **asdict(found), "seconds": round(time.monotonic() - began, 1)}), flush=True)
-    found = failovers(range(options.failovers))
+    found = simulate_failovers(range(options.failovers))
     print(
         json.dumps(
             {
--- a/kelptrail/planner/channel.py
+++ b/kelptrail/planner/channel.py
@@ -50,76 +50,86 @@
     """An edge's end of one connection to a planner; several links share one follower and one `Led`."""
 
     def __init__(
-        self, who: str, lineage: str, follower: PlanState, led: LeaderContact, now: float, report_ms: float = 1000.0
+        self,
+        name: str,
+        lineage: str,
+        plan_state: PlanState,
+        leader_contact: LeaderContact,
+        now: float,
+        report_ms: float = 1000.0,
     ) -> None:
-        self._follower, self._led, self._report_ms = follower, led, report_ms
-        self.output: list[bytes] = [frame(Hello(VERSION, who, lineage, follower.fence))]
-        self._counts: dict[str, FunctionCounters] = {}  # since the last report on this connection
-        self._told: InstanceCounts | None = None  # copies as the planner knows them; None: nothing yet
-        self._next = now
+        self._plan_state, self._leader_contact, self._report_ms = plan_state, leader_contact, report_ms
+        self.output: list[bytes] = [frame(Hello(VERSION, name, lineage, plan_state.fence))]
+        self._counters: dict[str, FunctionCounters] = {}  # since the last report on this connection
+        self._reported: InstanceCounts | None = None  # copies as the planner knows them; None: nothing yet
+        self._next_report_ms = now
         self.last_heard = now
         self.planner = ""
         self.writing = False  # by the host: some of the output is on its way
 
-    def on_message(self, now: float, message: Message, live: Collection[str], roster: tuple[str, int]) -> str:
+    def on_message(
+        self, now: float, message: Message, live: Collection[str], endpoints_version: tuple[str, int]
+    ) -> str:
         """A message from the planner: "" or "taken", "refused"."""
         self.last_heard = now
         if isinstance(message, Hello):
             self.planner = message.who
         elif isinstance(message, Heartbeat):
-            if message.acting and (message.epoch, self.planner) >= self._follower.fence[:2]:
-                self._led.last_ms = now
+            if message.acting and (message.epoch, self.planner) >= self._plan_state.fence[:2]:
+                self._leader_contact.last_ms = now
         elif isinstance(message, PlanOffer):
-            return self._offered(now, message.data, live, roster)
+            return self._on_plan(now, message.data, live, endpoints_version)
         else:
             raise ChannelError(f"{type(message).__name__} is not for an edge")
         return ""
 
-    def _offered(self, now: float, data: bytes, live: Collection[str], roster: tuple[str, int]) -> str:
+    def _on_plan(self, now: float, data: bytes, live: Collection[str], endpoints_version: tuple[str, int]) -> str:
         try:
             packet = decode_plan(data)
         except PlanError as cause:
-            self.output.append(frame(PlanReply(self._follower.fence, "digest", str(cause))))
+            self.output.append(frame(PlanReply(self._plan_state.fence, "digest", str(cause))))
             return "refused"
-        report = self._follower.on_plan(now, packet, live, roster)
+        report = self._plan_state.on_plan(now, packet, live, endpoints_version)
         if report is None:
-            self._led.last_ms = now
+            self._leader_contact.last_ms = now
             self.output.append(frame(PlanReply(packet.header.order)))
             return "taken"
-        self.output.append(frame(PlanReply(self._follower.fence, report.reason.value, report.text)))
+        self.output.append(frame(PlanReply(self._plan_state.fence, report.reason.value, report.text)))
         return "refused"
 
     def report_due(self, now: float) -> bool:
         """Whether a report may go."""
-        return now >= self._next
+        return now >= self._next_report_ms
 
-    def add_counters(self, tallies: dict[str, FunctionCounters]) -> None:
+    def add_counters(self, counters: dict[str, FunctionCounters]) -> None:
         """What was asked of functions; it goes with the next report.  Each link counts for itself: planners that are
         told at different moments must each hear all of it."""
-        for model, tally in tallies.items():
-            self._counts[model] = self._counts.get(model, FunctionCounters()).plus(tally)
+        for model, tally in counters.items():
+            self._counters[model] = self._counters.get(model, FunctionCounters()).plus(tally)
 
-    def queue_report(self, now: float, standing: InstanceCounts) -> None:
+    def queue_report(self, now: float, loaded: InstanceCounts) -> None:
         """Put a report into the output."""
-        self._next = now + self._report_ms
-        before = self._told
+        self._next_report_ms = now + self._report_ms
+        before = self._reported
         moved = (
-            standing
+            loaded
             if before is None
             else {
                 m: changes
-                for m in before.keys() | standing.keys()
-                if (changes := _moved(before.get(m, {}), standing.get(m, {})))
+                for m in before.keys() | loaded.keys()
+                if (changes := _changed_counts(before.get(m, {}), loaded.get(m, {})))
             }
         )
-        self._told = standing
-        counts, self._counts = self._counts, {}
+        self._reported = loaded
+        counts, self._counters = self._counters, {}
         self.output.append(
-            frame(UsageReport(self._follower.fence, self._led.silent_ms(now), counts, moved, before is None))
+            frame(
+                UsageReport(self._plan_state.fence, self._leader_contact.silent_ms(now), counts, moved, before is None)
+            )
         )
 
 
-def _moved(before: dict[str, int], after: dict[str, int]) -> dict[str, int]:
+def _changed_counts(before: dict[str, int], after: dict[str, int]) -> dict[str, int]:
     return {w: after.get(w, 0) for w in before.keys() | after.keys() if before.get(w) != after.get(w)}
 
 
@@ -137,14 +147,14 @@
 class PlannerChannel:
     """A planner's end of one connection to an edge."""
 
-    def __init__(self, who: str, lineage: str) -> None:
+    def __init__(self, name: str, lineage: str) -> None:
         self._lineage = lineage
-        self.output: list[bytes] = [frame(Hello(VERSION, who, lineage))]
+        self.output: list[bytes] = [frame(Hello(VERSION, name, lineage))]
         self.edge = ""
         self.loaded: InstanceCounts = {}  # of the edge, joined from its changes
         self._waiting: tuple[Plan, float] | None = None  # and when it was made
-        self._sent: Plan | None = None  # the last that the edge took
-        self._under_way: Plan | None = None
+        self._last_accepted: Plan | None = None  # the last that the edge took
+        self._in_flight: Plan | None = None
 
     def on_message(self, message: Message) -> Message:
         """A message from the edge, checked; of a report the copies are joined into `standing`."""
@@ -161,11 +171,11 @@
                 mine = self.loaded.setdefault(model, {})
                 mine |= at
         elif isinstance(message, PlanReply):
-            if self._under_way is not None and not message.reason and message.order == self._under_way.header.order:
-                self._sent = self._under_way
+            if self._in_flight is not None and not message.reason and message.order == self._in_flight.header.order:
+                self._last_accepted = self._in_flight
             else:
-                self._sent = None  # the next one goes whole
-            self._under_way = None
+                self._last_accepted = None  # the next one goes whole
+            self._in_flight = None
         elif not isinstance(message, Heartbeat):
             raise ChannelError(f"{type(message).__name__} is not for a planner")
         return message
@@ -176,9 +186,9 @@
 
     def queue_next_plan(self, now: float) -> bool:
         """Put what waits into the output, if nothing is under way."""
-        if self._waiting is None or self._under_way is not None:
+        if self._waiting is None or self._in_flight is not None:
             return False
         (plan, made), self._waiting = self._waiting, None
-        self.output.append(frame(PlanOffer(encode_plan(plan, now - made, self._sent))))
-        self._under_way = plan
+        self.output.append(frame(PlanOffer(encode_plan(plan, now - made, self._last_accepted))))
+        self._in_flight = plan
         return True
--- a/kelptrail/planner/core.py
+++ b/kelptrail/planner/core.py
@@ -68,8 +68,8 @@
     """What is known of one edge."""
 
     name: str
-    heard: float
-    order: PlanOrder = BEFORE_ALL_PLANS  # the latest plan that it has seen
+    last_heard_ms: float
+    plan_order: PlanOrder = BEFORE_ALL_PLANS  # the latest plan that it has seen
 
 
 @dataclass(slots=True)
@@ -86,63 +86,63 @@
 class Planner:
     """One planner's mind."""
 
-    def __init__(self, name: str, settings: PlannerSettings, models: dict[str, FunctionProfile], now: float) -> None:
-        self.name, self._settings, self._models = name, settings, models
-        self.role, self.epoch, self.owner, self._number = Role.STANDBY, 0, name, 0
+    def __init__(self, name: str, settings: PlannerSettings, profiles: dict[str, FunctionProfile], now: float) -> None:
+        self.name, self._settings, self._profiles = name, settings, profiles
+        self.role, self.epoch, self.owner, self._last_number = Role.STANDBY, 0, name, 0
         self.demand = Demand()
         self.workers: list[WorkerCapacity] = []
         self.endpoints_version: tuple[str, int] = ("", -1)
         self.edges: dict[str, Edge] = {}
         self.target: InstanceCounts = {}
-        self._standing: dict[str, dict[str, tuple[int, float]]] = {}  # model: worker: copies, and when it was told
-        self._next = now
-        self._out: int | None = None  # the problem that is being solved
-        self._made = now
-        self._dirty: set[str] = set()  # edges that are to be sent a plan
+        self._loaded: dict[str, dict[str, tuple[int, float]]] = {}  # model: worker: copies, and when it was told
+        self._next_problem_ms = now
+        self._open_problem: int | None = None  # the problem that is being solved
+        self._plan_made_ms = now
+        self._edges_to_update: set[str] = set()  # edges that are to be sent a plan
         self.counters = PlannerCounters()
 
     # Inputs.
 
-    def on_endpoints(self, now: float, hosts: list[WorkerCapacity], roster: tuple[str, int]) -> None:
+    def on_endpoints(self, now: float, workers: list[WorkerCapacity], version: tuple[str, int]) -> None:
         """The worker list: those that are live.  A plan that names others is made anew at once."""
-        self.workers, self.endpoints_version = hosts, roster
-        live = {h.id for h in hosts}
-        for at in self._standing.values():
+        self.workers, self.endpoints_version = workers, version
+        live = {h.id for h in workers}
+        for at in self._loaded.values():
             for worker in [w for w in at if w not in live]:
                 del at[worker]
         if any(worker not in live for at in self.target.values() for worker in at):
-            self._next = min(self._next, now)
+            self._next_problem_ms = min(self._next_problem_ms, now)
 
     def on_lease_acquired(self, now: float, epoch: int, owner: str) -> None:
         """A lease is held: plans are made under its token, the two."""
         self.role, self.epoch, self.owner = Role.LEADER, epoch, owner
-        self._number, self._next, self._out = 0, now, None
+        self._last_number, self._next_problem_ms, self._open_problem = 0, now, None
 
     def on_lease_lost(self) -> None:
         """It is not held any more."""
         self.role = Role.STANDBY
-        self._dirty.clear()
+        self._edges_to_update.clear()
 
     def on_report(
-        self, now: float, edge: str, order: PlanOrder, tallies: dict[str, FunctionCounters], standing: InstanceCounts
+        self, now: float, edge: str, order: PlanOrder, counters: dict[str, FunctionCounters], loaded: InstanceCounts
     ) -> None:
         """An edge's report.  `order`: the latest plan it has seen; `standing`: copies as it believes in them."""
         mine = self.edges.get(edge)
         if mine is None:
             mine = self.edges[edge] = Edge(edge, now)
-            self._dirty.add(edge)
-        mine.heard, mine.order = now, order
+            self._edges_to_update.add(edge)
+        mine.last_heard_ms, mine.plan_order = now, order
         before = self.demand.recently_requested(now, edge, self._settings.interest_ms)
-        self.demand.add_report(now, edge, tallies)
-        for model, at in standing.items():
-            known = self._standing.setdefault(model, {})
+        self.demand.add_report(now, edge, counters)
+        for model, at in loaded.items():
+            known = self._loaded.setdefault(model, {})
             for worker, count in at.items():
                 known[worker] = count, now
-        self._fenced(order)
+        self._check_fence(order)
         if self.role is Role.LEADER and any(
             m in self.target for m in self.demand.recently_requested(now, edge, self._settings.interest_ms) - before
         ):
-            self._dirty.add(edge)
+            self._edges_to_update.add(edge)
 
     def on_plan_refused(self, now: float, edge: str, reason: str, order: PlanOrder) -> None:
         """An edge did not take a plan: it gets a whole one, made anew where workers were the reason."""
@@ -150,41 +150,43 @@
         mine = self.edges.get(edge)
         if mine is None:
             return
-        mine.order = max(mine.order, order)
-        self._fenced(order)
+        mine.plan_order = max(mine.plan_order, order)
+        self._check_fence(order)
         if reason == "workers":
-            self._next = min(self._next, now + 500)
+            self._next_problem_ms = min(self._next_problem_ms, now + 500)
         elif reason == "base":
-            self._dirty.add(edge)
+            self._edges_to_update.add(edge)
 
     def on_edge_gone(self, edge: str) -> None:
         """An edge has closed its connection."""
         self.edges.pop(edge, None)
         self.demand.remove_edge(edge)
-        self._dirty.discard(edge)
+        self._edges_to_update.discard(edge)
 
-    def restore_plan(self, wants: InstanceCounts) -> None:
+    def restore_plan(self, target: InstanceCounts) -> None:
         """What a snapshot of an earlier run kept: its plan is gone on from."""
-        self.target = wants
+        self.target = target
 
-    def on_solution(self, now: float, number: int, placed: Placement | None) -> None:
+    def on_solution(self, now: float, number: int, placement: Placement | None) -> None:
         """A problem's answer; None: it could not be solved, the plan before stands."""
-        if number != self._out:
+        if number != self._open_problem:
             return
-        self._out = None
-        if placed is None or self.role is not Role.LEADER:
+        self._open_problem = None
+        if placement is None or self.role is not Role.LEADER:
             return
         live = {h.id for h in self.workers}
-        wants = {m: kept for m, at in placed.instances.items() if (kept := {w: n for w, n in at.items() if w in live})}
-        self.counters.by_solver[placed.solver] = self.counters.by_solver.get(placed.solver, 0) + 1
-        self.counters.new_instances += placed.new
+        target = {
+            m: kept for m, at in placement.instances.items() if (kept := {w: n for w, n in at.items() if w in live})
+        }
+        self.counters.by_solver[placement.solver] = self.counters.by_solver.get(placement.solver, 0) + 1
+        self.counters.new_instances += placement.new
         self.counters.plans += 1
-        self.counters.unchanged += not difference(self.target, wants)
+        self.counters.unchanged += not difference(self.target, target)
         for model, mine in self.demand.functions.items():
-            mine.planned = sum(wants.get(model, {}).values())
-        self.target, self._made = wants, now
-        self._number += 1
-        self._dirty = set(self.edges)
+            mine.planned = sum(target.get(model, {}).values())
+        self.target, self._plan_made_ms = target, now
+        self._last_number += 1
+        self._edges_to_update = set(self.edges)
 
     # What is to be done.
 
@@ -192,36 +194,41 @@
         """Windows pass; edges that are silent have gone.  To be called each second or so."""
         settings = self._settings
         self.demand.close_window(now, hour)
-        for edge in [e.name for e in self.edges.values() if now - e.heard > settings.edge_timeout_ms]:
+        for edge in [e.name for e in self.edges.values() if now - e.last_heard_ms > settings.edge_timeout_ms]:
             self.on_edge_gone(edge)
 
     def next_problem(self, now: float, hour: int) -> PlacementProblem | None:
         """What is to be solved now, if anything; one at a time."""
-        if self.role is not Role.LEADER or self._out is not None or now < self._next or not self.workers:
+        if (
+            self.role is not Role.LEADER
+            or self._open_problem is not None
+            or now < self._next_problem_ms
+            or not self.workers
+        ):
             return None
-        self._next = now + self._settings.interval_ms
-        self._number += 1
-        self._out = self._number
-        needs = self._needs(now, hour)
+        self._next_problem_ms = now + self._settings.interval_ms
+        self._last_number += 1
+        self._open_problem = self._last_number
+        needs = self._demands(now, hour)
         coming = 60 * sum(n.rate for n in needs)
         budget = max(self._settings.new_instances_min, int(coming * self._settings.new_instances_share))
-        return PlacementProblem(self._out, self.workers, needs, budget, self.endpoints_version)
+        return PlacementProblem(self._open_problem, self.workers, needs, budget, self.endpoints_version)
 
     def plans_to_send(self, now: float) -> list[tuple[str, Plan]]:
         """Plans to send: for each edge what concerns it."""
-        if self.role is not Role.LEADER or not self._dirty or not self._number:
+        if self.role is not Role.LEADER or not self._edges_to_update or not self._last_number:
             return []
-        dirty, self._dirty = sorted(self._dirty), set()
+        dirty, self._edges_to_update = sorted(self._edges_to_update), set()
         out = []
         for name in dirty:
             if name not in self.edges:
                 continue
             asks = self.demand.recently_requested(now, name, self._settings.interest_ms)
             wants = {m: at for m, at in self.target.items() if m in asks}
-            self._number += 1
+            self._last_number += 1
             plan = make_plan(
                 self._settings.lineage,
-                (self.epoch, self.owner, self._number),
+                (self.epoch, self.owner, self._last_number),
                 self._settings.valid_ms,
                 self.endpoints_version,
                 wants,
@@ -231,23 +238,23 @@
 
     def plan_age_ms(self, now: float) -> float:
         """How old what the plans say is."""
-        return now - self._made
+        return now - self._plan_made_ms
 
     # Within.
 
-    def _fenced(self, order: PlanOrder) -> None:
+    def _check_fence(self, order: PlanOrder) -> None:
         """An edge has seen a plan under a later token: this one's lease is over, whatever its own clock says."""
         if self.role is Role.LEADER and order[:2] > (self.epoch, self.owner):
             self.on_lease_lost()
 
-    def _needs(self, now: float, hour: int) -> list[FunctionDemand]:
+    def _demands(self, now: float, hour: int) -> list[FunctionDemand]:
         settings, out = self._settings, list[FunctionDemand]()
         for model, mine in self.demand.functions.items():
-            known = self._models.get(model)
+            known = self._profiles.get(model)
             if known is None:
                 continue
             rate = self.demand.forecast(model, hour)
-            standing = {w: n for w, (n, at) in self._standing.get(model, {}).items() if n and now - at < 30_000}
+            standing = {w: n for w, (n, at) in self._loaded.get(model, {}).items() if n and now - at < 30_000}
             need = FunctionDemand(
                 model,
                 known.memory_mb,
@@ -263,14 +270,14 @@
             if need.instances_needed >= mine.planned:
                 mine.below_plan_since = now
             elif now - mine.below_plan_since < settings.scale_down_ms:
-                need = self._at_least(need, mine.planned)
+                need = self._raised_to(need, mine.planned)
             else:
                 mine.below_plan_since = now
             out.append(need)
         return out
 
     @staticmethod
-    def _at_least(need: FunctionDemand, copies: int) -> FunctionDemand:
+    def _raised_to(need: FunctionDemand, copies: int) -> FunctionDemand:
         """The same need at a rate for which as many copies are wanted as before."""
         low, high = need.rate, max(1.0, need.rate)
         while replace(need, rate=high).instances_needed < copies:
--- a/kelptrail/planner/demand.py
+++ b/kelptrail/planner/demand.py
@@ -37,13 +37,13 @@
             str, dict[str, float]
         ] = {}  # of each edge its functions, and when it last asked for them
 
-    def add_report(self, now: float, edge: str, tallies: dict[str, FunctionCounters]) -> None:
+    def add_report(self, now: float, edge: str, counters: dict[str, FunctionCounters]) -> None:
         """An edge's counts since its last report."""
         asked = self.requested_at.setdefault(edge, {})
-        for model, tally in tallies.items():
+        for model, counted in counters.items():
             mine = self.functions.setdefault(model, FunctionLoad())
-            mine.window[edge] = mine.window.get(edge, FunctionCounters()).plus(tally)
-            if tally.taken:
+            mine.window[edge] = mine.window.get(edge, FunctionCounters()).plus(counted)
+            if counted.taken:
                 asked[model] = now
 
     def restore_hourly_rates(self, hours: dict[str, list[float]]) -> None:
@@ -70,15 +70,15 @@
         self._closed = now
         fast, slow = (1 - math.exp(-seconds * 1000 / t) for t in (self._fast, self._slow))
         for model, mine in list(self.functions.items()):
-            tallies, mine.window = mine.window.values(), {}
-            rate = self.error_factor * sum(t.taken for t in tallies) / seconds
-            done = sum(t.completed for t in tallies)
+            counters, mine.window = mine.window.values(), {}
+            rate = self.error_factor * sum(t.taken for t in counters) / seconds
+            done = sum(t.completed for t in counters)
             mine.fast_rate += fast * (rate - mine.fast_rate)
             mine.slow_rate += slow * (rate - mine.slow_rate)
-            mine.queue_depth += fast * (sum(t.queue_depth for t in tallies) - mine.queue_depth)
-            mine.not_loaded_rate += fast * (sum(t.missed for t in tallies) / seconds - mine.not_loaded_rate)
+            mine.queue_depth += fast * (sum(t.queue_depth for t in counters) - mine.queue_depth)
+            mine.not_loaded_rate += fast * (sum(t.missed for t in counters) / seconds - mine.not_loaded_rate)
             if done:
-                spent = sum(t.work_ms for t in tallies) / done
+                spent = sum(t.work_ms for t in counters) / done
                 mine.work_ms += (0.3 if mine.work_ms else 1.0) * (spent - mine.work_ms)
             usual = mine.hourly_rates[hour]
             mine.hourly_rates[hour] = rate if not usual else usual + min(1.0, 0.2 * slow) * (rate - usual)
--- a/kelptrail/planner/driver.py
+++ b/kelptrail/planner/driver.py
@@ -65,7 +65,7 @@
 _decode = msgspec.msgpack.Decoder(Snapshot).decode
 
 
-def solve_one(solver: str, slow_ms: float, hosts: list[WorkerCapacity], needs: Any, budget: int) -> Placement:
+def solve_in_process(solver: str, slow_ms: float, hosts: list[WorkerCapacity], needs: Any, budget: int) -> Placement:
     """In the solver's process."""
     if slow_ms:
         time.sleep(slow_ms / 1000)
@@ -78,21 +78,21 @@
     def __init__(
         self, deployment: Deployment, options: PlannerOptions, leases: LeaseDriver, length_ms: float, log: Any
     ) -> None:
-        self._leases, self._length_ms = leases, length_ms
+        self._leases, self._lease_length_ms = leases, length_ms
         self._deployment, self._options, self._log = deployment, options, log
         self._loop = asyncio.get_running_loop()
         settings = planner_settings(deployment)
         self.planner = Planner(options.name, settings, function_profiles(deployment), now_ms())
         self.background = Background(SchedulerSettings(share=0.5), now_ms, lambda: False, log)
-        self._links: dict[PlannerChannel, tuple[socket.socket, list[bool]]] = {}
-        self._door = Listener(self._loop, self._came, lambda sock, peer, back: sock.close(), log.warning)
+        self._channels: dict[PlannerChannel, tuple[socket.socket, list[bool]]] = {}
+        self._listener = Listener(self._loop, self._on_connect, lambda sock, peer, back: sock.close(), log.warning)
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._pool: ProcessPoolExecutor | None = None
+        self._solver_pool: ProcessPoolExecutor | None = None
         self._file = options.state_folder / "planner.bin" if options.state_folder is not None else None
         self.address = ""
         self.bytes_out = self.bytes_in = 0
         self.solve_ms, self.solve_delay_ms = 0.0, options.solve_delay_ms
-        self._kept = b""
+        self._saved = b""
 
     # Edges.
 
@@ -104,23 +104,23 @@
         sock.listen(512)
         sock.setblocking(False)
         self.address = f"{self._options.host}:{sock.getsockname()[1]}"
-        self._door.open(sock)
+        self._listener.open(sock)
 
-    def _came(self, sock: socket.socket, peer: str) -> None:
+    def _on_connect(self, sock: socket.socket, peer: str) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._begin(self._talk(sock, peer))
+        self._spawn(self._serve_edge(sock, peer))
 
-    def _begin(self, what: Any) -> None:
+    def _spawn(self, what: Any) -> None:
         task = self._loop.create_task(what)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _talk(self, sock: socket.socket, peer: str) -> None:
-        link = PlannerChannel(self._options.name, self._deployment.name)
-        self._links[link] = sock, [False]
+    async def _serve_edge(self, sock: socket.socket, peer: str) -> None:
+        channel = PlannerChannel(self._options.name, self._deployment.name)
+        self._channels[channel] = sock, [False]
         reader, buffer = FrameReader(READ), bytearray(65_536)
         try:
-            self._write(link)
+            self._write(channel)
             while True:
                 async with asyncio.timeout(SILENT_MS / 1000):
                     count = await self._loop.sock_recv_into(sock, buffer)
@@ -130,54 +130,54 @@
                 with memoryview(buffer) as view:
                     messages = reader.feed(view[:count])
                 for message in messages:
-                    self._heard(link, link.on_message(message))
+                    self._on_message(channel, channel.on_message(message))
                 self.send_plans()
         except (OSError, ChannelError) as cause:
-            self._log.info("edge-lost", edge=link.edge, peer=peer, reason=str(cause) or type(cause).__name__)
+            self._log.info("edge-lost", edge=channel.edge, peer=peer, reason=str(cause) or type(cause).__name__)
         finally:
-            del self._links[link]
+            del self._channels[channel]
             sock.close()
-            if link.edge and not any(other.edge == link.edge for other in self._links):
-                self.planner.on_edge_gone(link.edge)
+            if channel.edge and not any(other.edge == channel.edge for other in self._channels):
+                self.planner.on_edge_gone(channel.edge)
 
-    def _heard(self, link: PlannerChannel, message: Any) -> None:
+    def _on_message(self, channel: PlannerChannel, message: Any) -> None:
         now, core = now_ms(), self.planner
         if isinstance(message, Hello):
-            core.on_report(now, link.edge, message.order, {}, {})
-            link.output.append(frame(Heartbeat(core.role is Role.LEADER, core.epoch)))
+            core.on_report(now, channel.edge, message.order, {}, {})
+            channel.output.append(frame(Heartbeat(core.role is Role.LEADER, core.epoch)))
         elif isinstance(message, UsageReport):
-            core.on_report(now, link.edge, message.order, message.counters, link.loaded)
+            core.on_report(now, channel.edge, message.order, message.counters, channel.loaded)
         elif isinstance(message, PlanReply) and message.reason:
-            self._log.info("plan-refused", edge=link.edge, reason=message.reason, text=message.text)
-            core.on_plan_refused(now, link.edge, message.reason, message.order)
+            self._log.info("plan-refused", edge=channel.edge, reason=message.reason, text=message.text)
+            core.on_plan_refused(now, channel.edge, message.reason, message.order)
 
     def send_plans(self) -> None:
         """Plans to links, links' output to sockets, problems to the solver."""
         now = now_ms()
-        by_name = {link.edge: link for link in self._links}
+        by_name = {channel.edge: channel for channel in self._channels}
         # Looked at right before the plans go: what was solved while the lease ran out stays here.
         for edge, plan in self.planner.plans_to_send(now) if self._leases.holds(LEASE_NAME) is not None else ():
             if (link := by_name.get(edge)) is not None:
                 link.offer_plan(plan, now - self.planner.plan_age_ms(now))
-        for link in self._links:
+        for link in self._channels:
             link.queue_next_plan(now)
             self._write(link)
 
-    def _write(self, link: PlannerChannel) -> None:
-        sock, writing = self._links[link]
-        if not link.output or writing[0]:
+    def _write(self, channel: PlannerChannel) -> None:
+        sock, writing = self._channels[channel]
+        if not channel.output or writing[0]:
             return
-        data, link.output = b"".join(link.output), []
+        data, channel.output = b"".join(channel.output), []
         self.bytes_out += len(data)
         writing[0] = True
-        self._begin(self._send(link, sock, writing, data))
+        self._spawn(self._send(channel, sock, writing, data))
 
-    async def _send(self, link: PlannerChannel, sock: socket.socket, writing: list[bool], data: bytes) -> None:
+    async def _send(self, channel: PlannerChannel, sock: socket.socket, writing: list[bool], data: bytes) -> None:
         with contextlib.suppress(OSError):
             await self._loop.sock_sendall(sock, data)
         writing[0] = False
-        if link in self._links:
-            self._write(link)
+        if channel in self._channels:
+            self._write(channel)
 
     # Planning.
 
@@ -187,31 +187,36 @@
         self.planner.tick(now, hour)
         problem = self.planner.next_problem(now, hour)
         if problem is not None:
-            self._begin(self._solve(problem))
+            self._spawn(self._solve(problem))
         self.send_plans()
 
     async def _solve(self, problem: PlacementProblem) -> None:
         began, placed = now_ms(), None
-        if self._pool is None:
-            self._pool = ProcessPoolExecutor(1, mp_context=get_context("forkserver"))
+        if self._solver_pool is None:
+            self._solver_pool = ProcessPoolExecutor(1, mp_context=get_context("forkserver"))
         try:
-            job = self._pool.submit(
-                solve_one, self._options.solver, self.solve_delay_ms, problem.workers, problem.demands, problem.budget
+            job = self._solver_pool.submit(
+                solve_in_process,
+                self._options.solver,
+                self.solve_delay_ms,
+                problem.workers,
+                problem.demands,
+                problem.budget,
             )
             placed = await asyncio.wait_for(asyncio.wrap_future(job), self._options.solve_timeout_s)
         except TimeoutError:
             self._log.warning("plan-late", number=problem.number)
-            self._drop_pool()
+            self._kill_solver()
         except (BrokenProcessPool, ValueError, MemoryError) as cause:
             self._log.error("plan-failed", number=problem.number, reason=str(cause) or type(cause).__name__)
-            self._drop_pool()
+            self._kill_solver()
         self.solve_ms = now_ms() - began
         self.planner.on_solution(now_ms(), problem.number, placed)
         self.send_plans()
 
-    def _drop_pool(self) -> None:
+    def _kill_solver(self) -> None:
         """End the solver's process, which may hang; the next problem gets another."""
-        pool, self._pool = self._pool, None
+        pool, self._solver_pool = self._solver_pool, None
         if pool is not None:
             for process in list(getattr(pool, "_processes", {}).values()):
                 process.kill()
@@ -226,9 +231,9 @@
 
     def send_heartbeats(self) -> None:
         """Background work: heartbeats."""
-        for link in self._links:
-            link.output.append(frame(Heartbeat(self.planner.role is Role.LEADER, self.planner.epoch)))
-            self._write(link)
+        for channel in self._channels:
+            channel.output.append(frame(Heartbeat(self.planner.role is Role.LEADER, self.planner.epoch)))
+            self._write(channel)
 
     # What outlives it.
 
@@ -251,7 +256,7 @@
             return
         hours = {m: a.hourly_rates for m, a in self.planner.demand.functions.items() if any(a.hourly_rates)}
         data = msgspec.msgpack.encode(Snapshot(self.planner.epoch, self.planner.target, hours))
-        if data == self._kept:
+        if data == self._saved:
             return
         draft = self._file.with_suffix(".new")
         try:
@@ -261,7 +266,7 @@
                 file.flush()
                 os.fsync(file.fileno())
             draft.replace(self._file)
-            self._kept = data
+            self._saved = data
         except OSError as cause:
             self._log.warning("snapshot-unsaved", reason=str(cause))
 
@@ -275,7 +280,7 @@
         return {
             "role": core.role.value,
             "epoch": core.epoch,
-            "edges": len(self._links),
+            "edges": len(self._channels),
             "workers": len(core.workers),
             "models": len(core.target),
             "copies": sum(sum(at.values()) for at in core.target.values()),
@@ -291,19 +296,19 @@
             "background": self.background.scheduler.status(),
         }
 
-    def _led(self, token: FencingToken) -> None:
+    def _on_lease_acquired(self, token: FencingToken) -> None:
         self.planner.on_lease_acquired(now_ms(), token.round, token.who)
         self._log.info("role", role=self.planner.role.value, epoch=token.round)
         self.send_heartbeats()
 
-    def _stood_down(self, token: FencingToken, reason: str) -> None:
+    def _on_lease_lost(self, token: FencingToken, reason: str) -> None:
         self.planner.on_lease_lost()
         self._log.info("role", role=self.planner.role.value, epoch=token.round, reason=reason)
         self.send_heartbeats()
 
     def start(self) -> None:
         """Begin its background work, and want the lease."""
-        self._leases.want(LEASE_NAME, self._length_ms, self._led, self._stood_down)
+        self._leases.want(LEASE_NAME, self._lease_length_ms, self._on_lease_acquired, self._on_lease_lost)
         self.background.add("tick", self.tick, 1, 250.0, 1000.0, 0.5)
         self.background.add("beat", self.send_heartbeats, 0, BEAT_MS, 700.0, 0.2)
         self.background.add("save", self.save, 5, 2000.0, 10_000.0, 0.05)
@@ -314,8 +319,8 @@
         self._leases.release(LEASE_NAME)
         self.background.stop()
         self.save()
-        self._door.close()
-        self._drop_pool()
+        self._listener.close()
+        self._kill_solver()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*list(self._tasks), return_exceptions=True)
--- a/kelptrail/planner/edge_driver.py
+++ b/kelptrail/planner/edge_driver.py
@@ -44,21 +44,21 @@
     def __init__(
         self,
         addresses: list[str],
-        who: str,
+        name: str,
         lineage: str,
         gateway: Gateway,
-        stir: Callable[[], None],
+        on_change: Callable[[], None],
         file: Path | None,
         log: Any,
     ) -> None:
-        self._addresses, self._who, self._lineage, self._gateway = addresses, who, lineage, gateway
-        self._stir, self._file, self._log = stir, file, log
+        self._addresses, self._name, self._lineage, self._gateway = addresses, name, lineage, gateway
+        self._on_change, self._file, self._log = on_change, file, log
         self.plan_state, self.leader_contact = PlanState(lineage), LeaderContact(now_ms())
         self._loop = asyncio.get_running_loop()
         self._tasks: list[asyncio.Task[None]] = []
-        self._links: dict[EdgeChannel, socket.socket] = {}
+        self._channels: dict[EdgeChannel, socket.socket] = {}
         self._applied: PlanOrder | None = None  # the plan that the core was told of
-        self._saved: PlanOrder = BEFORE_ALL_PLANS
+        self._saved_order: PlanOrder = BEFORE_ALL_PLANS
         self.bytes_in = self.bytes_out = self.reconnects = 0
 
     @property
@@ -76,19 +76,19 @@
         if self._file is None or not self._file.exists():
             return False
         try:
-            kept = _decode(zstandard.ZstdDecompressor().decompress(self._file.read_bytes(), 1 << 26))
+            saved = _decode(zstandard.ZstdDecompressor().decompress(self._file.read_bytes(), 1 << 26))
         except (OSError, zstandard.ZstdError, msgspec.MsgspecError) as cause:
             self._log.warning("last-plan-unusable", file=str(self._file), reason=str(cause))
             return False
-        left = kept.remaining_ms - max(0.0, wall_ms() - kept.saved_wall_ms)
-        taken = self.plan_state.restore(now_ms(), kept.plan, left, self.live_workers)
-        self._saved = kept.plan.header.order
+        left = saved.remaining_ms - max(0.0, wall_ms() - saved.saved_wall_ms)
+        taken = self.plan_state.restore(now_ms(), saved.plan, left, self.live_workers)
+        self._saved_order = saved.plan.header.order
         self.apply_plan()
         return taken
 
     def start(self) -> None:
         """Begin to follow."""
-        self._tasks = [self._loop.create_task(self._follow(address)) for address in self._addresses]
+        self._tasks = [self._loop.create_task(self._keep_connected(address)) for address in self._addresses]
 
     async def stop(self) -> None:
         """End."""
@@ -107,44 +107,44 @@
 
     def apply_plan(self) -> None:
         """Tell the core what is wanted now; nothing once the plan has run out."""
-        wants = self.plan_state.target(now_ms())
+        target = self.plan_state.target(now_ms())
         order = (
             self.plan_state.plan.header.order
-            if wants is not None and self.plan_state.plan is not None
+            if target is not None and self.plan_state.plan is not None
             else BEFORE_ALL_PLANS
         )
         if order != self._applied:
             self._applied = order
-            self._gateway.on_plan(wants)
-            self._stir()
+            self._gateway.on_plan(target)
+            self._on_change()
 
     def send_reports(self) -> None:
         """Background work: what was asked since the last time, to each planner that listens and is ready for more."""
         now = now_ms()
         self.apply_plan()  # it may have run out
         tallies = self._gateway.counters()
-        for link in self._links:
-            link.add_counters(tallies)
-        ready = [link for link in self._links if link.report_due(now) and not link.output and not link.writing]
+        for channel in self._channels:
+            channel.add_counters(tallies)
+        ready = [link for link in self._channels if link.report_due(now) and not link.output and not link.writing]
         standing = self._gateway.loaded_instances() if ready else {}
-        for link in ready:
-            link.queue_report(now, standing)
-            self._write(link)
+        for channel in ready:
+            channel.queue_report(now, standing)
+            self._write(channel)
 
     def save_plan(self) -> None:
         """Background work: keep the plan in force for the next start."""
         plan = self.plan_state.plan
-        if self._file is None or plan is None or plan.header.order == self._saved:
+        if self._file is None or plan is None or plan.header.order == self._saved_order:
             return
-        kept = SavedPlan(plan, self.plan_state.remaining_ms(now_ms()), wall_ms())
+        saved = SavedPlan(plan, self.plan_state.remaining_ms(now_ms()), wall_ms())
         draft = self._file.with_suffix(".new")
         try:
             with open(draft, "wb") as file:
-                file.write(zstandard.ZstdCompressor().compress(msgspec.msgpack.encode(kept)))
+                file.write(zstandard.ZstdCompressor().compress(msgspec.msgpack.encode(saved)))
                 file.flush()
                 os.fsync(file.fileno())
             draft.replace(self._file)
-            self._saved = plan.header.order
+            self._saved_order = plan.header.order
         except OSError as cause:
             self._log.warning("plan-unsaved", reason=str(cause))
 
@@ -152,7 +152,7 @@
         """What operators are shown."""
         follower, plan = self.plan_state, self.plan_state.plan
         return {
-            "planners": {link.planner: round(now_ms() - link.last_heard) for link in self._links},
+            "planners": {channel.planner: round(now_ms() - channel.last_heard) for channel in self._channels},
             "order": list(follower.fence),
             "taken": follower.accepted,
             "left_ms": round(follower.remaining_ms(now_ms())),
@@ -163,13 +163,13 @@
             "reconnects": self.reconnects,
         }
 
-    async def _follow(self, address: str) -> None:
+    async def _keep_connected(self, address: str) -> None:
         """Keep up one connection; what fails is tried again after a pause that grows."""
         pause = PAUSE_MS
         while True:
             began = now_ms()
             try:
-                await self._talk(address)
+                await self._follow_planner(address)
                 reason = "the planner closed the connection"
             except (OSError, ChannelError) as cause:
                 reason = str(cause) or type(cause).__name__
@@ -178,20 +178,20 @@
             pause = PAUSE_MS if now_ms() - began > 10_000 else min(5000.0, pause * 1.6)
             await asyncio.sleep(pause / 1000)
 
-    async def _talk(self, address: str) -> None:
+    async def _follow_planner(self, address: str) -> None:
         host, _, port = address.rpartition(":")
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
-        link: EdgeChannel | None = None
+        channel: EdgeChannel | None = None
         beats: asyncio.Task[None] | None = None
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             async with asyncio.timeout(2):
                 await self._loop.sock_connect(sock, (host.strip("[]"), int(port)))
-            link = EdgeChannel(self._who, self._lineage, self.plan_state, self.leader_contact, now_ms())
-            self._links[link] = sock
-            self._write(link)
-            beats = self._loop.create_task(self._beat(link))
+            channel = EdgeChannel(self._name, self._lineage, self.plan_state, self.leader_contact, now_ms())
+            self._channels[channel] = sock
+            self._write(channel)
+            beats = self._loop.create_task(self._send_heartbeats(channel))
             reader, buffer = FrameReader(READ), bytearray(65_536)
             while True:
                 async with asyncio.timeout(SILENT_MS / 1000):
@@ -202,44 +202,44 @@
                 with memoryview(buffer) as view:
                     messages = reader.feed(view[:count])
                 for message in messages:
-                    what = link.on_message(now_ms(), message, self.live_workers, self.endpoints_version)
+                    what = channel.on_message(now_ms(), message, self.live_workers, self.endpoints_version)
                     if what == "taken":
                         self.apply_plan()
                     elif what:
                         self._log.warning(
                             "plan-refused",
-                            planner=link.planner,
+                            planner=channel.planner,
                             refused={r.value: n for r, n in self.plan_state.refusals.items() if n},
                         )
-                self._write(link)
+                self._write(channel)
         finally:
             if beats is not None:
                 beats.cancel()
-            if link is not None:
-                del self._links[link]
+            if channel is not None:
+                del self._channels[channel]
             sock.close()
 
-    async def _beat(self, link: EdgeChannel) -> None:
+    async def _send_heartbeats(self, channel: EdgeChannel) -> None:
         while True:
             await asyncio.sleep(BEAT_MS / 1000)
-            link.output.append(frame(Heartbeat()))
-            self._write(link)
+            channel.output.append(frame(Heartbeat()))
+            self._write(channel)
 
-    def _write(self, link: EdgeChannel) -> None:
+    def _write(self, channel: EdgeChannel) -> None:
         """Write what there is; what does not go at once goes in the background, and reports wait meanwhile."""
-        sock = self._links.get(link)
-        if sock is None or not link.output or link.writing:
+        sock = self._channels.get(channel)
+        if sock is None or not channel.output or channel.writing:
             return
-        data, link.output = b"".join(link.output), []
+        data, channel.output = b"".join(channel.output), []
         self.bytes_out += len(data)
-        link.writing = True
-        task = self._loop.create_task(self._send(link, sock, data))
+        channel.writing = True
+        task = self._loop.create_task(self._send(channel, sock, data))
         self._tasks.append(task)
         task.add_done_callback(self._tasks.remove)
 
-    async def _send(self, link: EdgeChannel, sock: socket.socket, data: bytes) -> None:
+    async def _send(self, channel: EdgeChannel, sock: socket.socket, data: bytes) -> None:
         with contextlib.suppress(OSError):
             await self._loop.sock_sendall(sock, data)
-        link.writing = False
-        if link in self._links:
-            self._write(link)
+        channel.writing = False
+        if channel in self._channels:
+            self._write(channel)
--- a/kelptrail/planner/plan.py
+++ b/kelptrail/planner/plan.py
@@ -60,18 +60,27 @@
     instances: InstanceCounts
 
 
-def digest_of(head: PlanHeader, wants: InstanceCounts) -> bytes:
+def digest_of(header: PlanHeader, instances: InstanceCounts) -> bytes:
     """16 bytes over all that a plan says, whatever the order of its parts."""
-    said: list[Any] = [head.lineage, head.epoch, head.owner, head.number, head.valid_ms, list(head.endpoints_version)]
-    said += [[model, sorted(at.items())] for model, at in sorted(wants.items()) if at]
+    said: list[Any] = [
+        header.lineage,
+        header.epoch,
+        header.owner,
+        header.number,
+        header.valid_ms,
+        list(header.endpoints_version),
+    ]
+    said += [[model, sorted(at.items())] for model, at in sorted(instances.items()) if at]
     return blake2b(msgspec.msgpack.encode(said), digest_size=16).digest()
 
 
-def make_plan(lineage: str, order: PlanOrder, valid_ms: float, roster: tuple[str, int], wants: InstanceCounts) -> Plan:
+def make_plan(
+    lineage: str, order: PlanOrder, valid_ms: float, endpoints_version: tuple[str, int], instances: InstanceCounts
+) -> Plan:
     """A plan with its digest."""
-    head = PlanHeader(lineage, *order, valid_ms, roster)
-    wants = {model: dict(at) for model, at in wants.items() if at}
-    return Plan(msgspec.structs.replace(head, digest=digest_of(head, wants)), wants)
+    header = PlanHeader(lineage, *order, valid_ms, endpoints_version)
+    instances = {model: dict(at) for model, at in instances.items() if at}
+    return Plan(msgspec.structs.replace(header, digest=digest_of(header, instances)), instances)
 
 
 def difference(before: InstanceCounts, after: InstanceCounts) -> InstanceCounts:
@@ -84,10 +93,10 @@
     return out
 
 
-def apply_difference(before: InstanceCounts, by: InstanceCounts) -> InstanceCounts:
+def apply_difference(before: InstanceCounts, difference: InstanceCounts) -> InstanceCounts:
     """The wants after changes."""
     out = {model: dict(at) for model, at in before.items()}
-    for model, moved in by.items():
+    for model, moved in difference.items():
         at = out.setdefault(model, {})
         at |= moved
         out[model] = {w: n for w, n in at.items() if n}
--- a/kelptrail/service/fleet.py
+++ b/kelptrail/service/fleet.py
@@ -77,13 +77,13 @@
     def __init__(self, deployment: Deployment, options: FleetOptions, log: Any) -> None:
         plan, leases = deployment.peers, deployment.leases
         assert plan is not None
-        self._options, self._listed = options, dict[str, str]()
-        self._stated = {peer.name: peer.at for peer in plan.peer if peer.at}
+        self._options, self._listed_addresses = options, dict[str, str]()
+        self._configured_addresses = {peer.name: peer.at for peer in plan.peer if peer.at}
         self.lease_length_ms = leases.length_ms if leases is not None else 0.0
         self.peers = Peers(options.name, deployment.name, peer_settings(plan), self.address_of, log)
         self.leases: LeaseDriver | None = None
         self.replication: ReplicationDriver | None = None
-        self._halls = {peer.name: peer.hall for peer in plan.peer}
+        self._zones = {peer.name: peer.hall for peer in plan.peer}
         if leases is None:
             return
         self.leases = LeaseDriver(options.name, options.run_id, lease_settings(leases), self.peers, log)
@@ -122,12 +122,12 @@
     def members(self) -> list[Member]:
         """Dispatchers that are known, and where they stand."""
         return [
-            Member(name, self._halls.get(name, "")) for name in sorted({*self.dispatcher_names(), self._options.name})
+            Member(name, self._zones.get(name, "")) for name in sorted({*self.dispatcher_names(), self._options.name})
         ]
 
     def address_of(self, name: str) -> str:
         """A peer's address; empty while it is not known."""
-        for known in (self._options.peer_addresses, self._stated, self._listed):
+        for known in (self._options.peer_addresses, self._configured_addresses, self._listed_addresses):
             if known.get(name):
                 return known[name]
         return ""
@@ -135,16 +135,16 @@
     def dispatcher_names(self) -> set[str]:
         """Dispatchers that are known."""
         return {
-            *self._listed,
-            *self._stated,
+            *self._listed_addresses,
+            *self._configured_addresses,
             *self._options.peer_addresses,
             *(self.leases.settings.voters if self.leases else ()),
         }
 
     def on_endpoints(self, listing: EndpointList) -> None:
         """The worker list names dispatchers, too."""
-        self._listed = {peer.name: peer.channel for peer in listing.dispatchers if peer.channel}
-        self._halls |= {peer.name: peer.hall for peer in listing.dispatchers if peer.hall}
+        self._listed_addresses = {peer.name: peer.channel for peer in listing.dispatchers if peer.channel}
+        self._zones |= {peer.name: peer.hall for peer in listing.dispatchers if peer.hall}
 
     def start(self) -> None:
         """Take part.  Raises `OSError` where the channel's address cannot be had."""
--- a/kelptrail/service/front_addresses.py
+++ b/kelptrail/service/front_addresses.py
@@ -1,4 +1,4 @@
-"""Joins VRRP to a running dispatcher: front addresses, what is tracked, and the looks that tracking needs."""
+"""Connects VRRP to a running dispatcher: its front addresses, and the health checks that lower its priority."""
 
 from __future__ import annotations
 
@@ -14,16 +14,23 @@
 from kelptrail.gateway.driver import GatewayDriver
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.server import Handler, HttpServer, Limits
-from kelptrail.settings.deployment import FrontSettings, VrrpSettings
+from kelptrail.settings.deployment import FrontSettings, KeySettings, RouterPlan, VrrpSettings
 from kelptrail.vrrp.address import FrontAddress
-from kelptrail.vrrp.authentication import Key, Opener, Sealer
+from kelptrail.vrrp.authentication import Key, Signer, Verifier
 from kelptrail.vrrp.driver import VrrpDriver, next_epoch, parse_socket_address
 from kelptrail.vrrp.instance import Instance
+from kelptrail.vrrp.packet import Address
 from kelptrail.vrrp.state_machine import RouterSettings
 from kelptrail.vrrp.tracking import Tracking, TrackSettings
 
-LOOK_MS = 200.0  # how often what is tracked is told
-LOOKED_AT = 3  # workers that are tried when no send tells whether any can be reached
+HEALTH_INTERVAL_MS = 200.0  # from one report of what is tracked to the next
+WORKERS_PROBED = 3  # when no attempt tells whether any worker can be reached
+PROBE_TIMEOUT_S = 0.25
+EPOCH_FILE = "vrrp-epoch"
+
+
+class StateFolderError(ValueError):
+    """VRRP keys are configured, but there is no folder in which the count of starts can be kept."""
 
 
 class FrontAddresses:
@@ -39,112 +46,149 @@
         limits: Limits,
         front: FrontSettings,
         log: Any,
-        journal: Callable[[], bool] = lambda: True,
-        make: Callable[[Handler], HttpServer] | None = None,
-        second: Callable[[], GrpcServer] | None = None,
+        journal_usable: Callable[[], bool] = lambda: True,
+        make_http_server: Callable[[Handler], HttpServer] | None = None,
+        make_grpc_server: Callable[[], GrpcServer] | None = None,
     ) -> None:
-        mine = next(i for i in settings.instance if i.name == name)
-        others = [i for i in settings.instance if i.name != name]
-        primary = ip_address(parse_socket_address(mine.udp)[0])
-        peers = {ip_address(parse_socket_address(i.udp)[0]): parse_socket_address(i.reached_at) for i in others}
-        routers, self.addresses = [], dict[int, FrontAddress]()
-        for router in settings.router:
-            part = next((m for m in router.member if m.name == name), None)
-            if part is not None:
-                vrid = int(router.vrid)
-                routers.append(
-                    RouterSettings(
-                        vrid,
-                        part.priority,
-                        (ip_address(router.address),),
-                        router.interval_cs,
-                        router.preempt,
-                        router.accept,
-                    )
-                )
-                self.addresses[vrid] = FrontAddress(
-                    router.address,
-                    router.port,
-                    api.handle,
-                    limits,
-                    log,
-                    front.linger_ms,
-                    make,
-                    second,
-                    router.grpc_port,
-                )
-        sealer = opener = None
-        if settings.key:
-            if state is None:
-                raise ValueError("a vrrp key needs --state: the count of starts is kept there")
-            keys = tuple(Key(int(k.number), k.secret.encode()) for k in settings.key)
-            sealer = Sealer(keys[0], next_epoch(state / "vrrp-epoch"), primary)
-            opener = Opener(keys)
-        tracking = Tracking([TrackSettings(t.name, t.weight, t.fall_ms, t.rise_ms, t.release) for t in settings.track])
-        instance = Instance(primary, tuple(peers), routers, tracking, sealer, opener, settings.pseudo_header)
-        self._driver, self._log = driver, log
+        """`journal_usable` tells whether what must be kept on disk can be.  Raises `StateFolderError`."""
+        self._driver, self._front, self._log = driver, front, log
         self._loop = asyncio.get_running_loop()
-        self._turned_away = 0
-        self._journal = journal  # whether what must be kept on disk can be
-        self._turn = 0
-        self.vrrp = VrrpDriver(
-            instance,
-            parse_socket_address(mine.udp),
-            peers,
-            lambda vrid: self.addresses[vrid].take(),
-            lambda vrid: self.addresses[vrid].give_up(front.drain_ms),
-            log,
-        )
+        self._journal_usable = journal_usable
+        self._rejected_before = 0  # connections that the servers had rejected at the last check
+        self._next_worker = 0
         self._task: asyncio.Task[None] | None = None
+        self.addresses: dict[int, FrontAddress] = {}  # by virtual router identifier
+
+        def front_address(router: RouterPlan) -> FrontAddress:
+            return FrontAddress(
+                router.address,
+                router.port,
+                api.handle,
+                limits,
+                log,
+                front.linger_ms,
+                make_http_server,
+                make_grpc_server,
+                router.grpc_port,
+            )
+
+        own = next(instance for instance in settings.instance if instance.name == name)
+        others = [instance for instance in settings.instance if instance.name != name]
+        primary = ip_address(parse_socket_address(own.udp)[0])
+        peers = {
+            ip_address(parse_socket_address(other.udp)[0]): parse_socket_address(other.reached_at) for other in others
+        }
+        routers: list[RouterSettings] = []
+        for router in settings.router:
+            if (own_settings := _router_settings(router, name)) is not None:
+                routers.append(own_settings)
+                self.addresses[own_settings.vrid] = front_address(router)
+        signer, verifier = _authentication(settings.key, state, primary)
+        instance = Instance(
+            primary, tuple(peers), routers, _tracking(settings), signer, verifier, settings.pseudo_header
+        )
+        own_address = parse_socket_address(own.udp)
+        self.vrrp = VrrpDriver(instance, own_address, peers, self._acquire, self._release, log)
 
     def start(self) -> None:
-        """Take part."""
+        """Take part in the virtual routers."""
         self.vrrp.start()
-        self._task = self._loop.create_task(self._look())
+        self._task = self._loop.create_task(self._watch_health())
 
     async def stop(self) -> None:
-        """Release what is held and wait for what was taken there."""
+        """Release the addresses and wait until the requests that were accepted there have ended."""
         if self._task is not None:
             self._task.cancel()
         self.vrrp.stop()
-        await asyncio.gather(*(address.left() for address in self.addresses.values()))
+        await asyncio.gather(*(address.wait_closed() for address in self.addresses.values()))
 
-    def servers(self) -> list[HttpServer]:
+    def active_servers(self) -> list[HttpServer]:
         """The servers on addresses that are held now."""
         return [address.server for address in self.addresses.values() if address.server is not None]
 
-    async def _look(self) -> None:
-        """Tell what is tracked; look for workers only while no send tells of them."""
-        sight = self._driver.connection_health
+    def _acquire(self, vrid: int) -> None:
+        self.addresses[vrid].acquire()
+
+    def _release(self, vrid: int) -> None:
+        self.addresses[vrid].release(self._front.drain_ms)
+
+    async def _watch_health(self) -> None:
+        """Report what is tracked to VRRP, for as long as this dispatcher takes part."""
         while True:
-            await asyncio.sleep(LOOK_MS / 1000)
+            await asyncio.sleep(HEALTH_INTERVAL_MS / 1000)
             if "workers" in self.vrrp.instance.tracking.tracks:
-                well = sight.is_healthy(now_ms())
-                if well is None:
-                    sight.on_connect_result(now_ms(), await self._reach_any())
-                    well = sight.is_healthy(now_ms())
-                self.vrrp.told("workers", bool(well))
-            servers = self.servers()
-            away = sum(server.turned_away for server in servers)
-            full = any(server.connections >= server.limits.connections for server in servers)
-            self.vrrp.told("front", not full and away <= self._turned_away)
-            self._turned_away = away
-            self.vrrp.told("journal", self._journal())
-
-    async def _reach_any(self) -> bool:
+                self.vrrp.on_health("workers", await self._workers_reachable())
+            self.vrrp.on_health("front", self._front_has_capacity())
+            self.vrrp.on_health("journal", self._journal_usable())
+
+    async def _workers_reachable(self) -> bool:
+        """Whether workers can be reached, by recent attempts; workers are probed only while no attempt tells."""
+        health = self._driver.connection_health
+        healthy = health.is_healthy(now_ms())
+        if healthy is None:
+            health.on_connect_result(now_ms(), await self._can_reach_a_worker())
+            healthy = health.is_healthy(now_ms())
+        return bool(healthy)
+
+    def _front_has_capacity(self) -> bool:
+        """Whether no server is full and none rejected a connection since the last check."""
+        servers = self.active_servers()
+        rejected = sum(server.turned_away for server in servers)
+        full = any(server.connections >= server.limits.connections for server in servers)
+        has_capacity = not full and rejected <= self._rejected_before
+        self._rejected_before = rejected
+        return has_capacity
+
+    async def _can_reach_a_worker(self) -> bool:
         """Whether a connection to any of a few workers can be made."""
-        addresses = [self._driver.gateway.members.addresses[w] for w in self._driver.gateway.members if w.live]
-        for _ in range(min(LOOKED_AT, len(addresses))):
-            self._turn += 1
-            host, port = parse_socket_address(addresses[self._turn % len(addresses)])
-            sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
-            sock.setblocking(False)
-            try:
-                async with asyncio.timeout(0.25):
-                    await self._loop.sock_connect(sock, (host, port))
+        members = self._driver.gateway.members
+        addresses = [members.addresses[worker] for worker in members if worker.live]
+        for _ in range(min(WORKERS_PROBED, len(addresses))):
+            self._next_worker += 1
+            if await self._can_connect(addresses[self._next_worker % len(addresses)]):
                 return True
-            except OSError:
-                continue
-            finally:
-                sock.close()
         return False
+
+    async def _can_connect(self, address: str) -> bool:
+        host, port = parse_socket_address(address)
+        sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
+        sock.setblocking(False)
+        try:
+            async with asyncio.timeout(PROBE_TIMEOUT_S):
+                await self._loop.sock_connect(sock, (host, port))
+            return True
+        except OSError:
+            return False
+        finally:
+            sock.close()
+
+
+def _router_settings(router: RouterPlan, name: str) -> RouterSettings | None:
+    """What a dispatcher is in a virtual router; None: it has no part in it."""
+    member = next((member for member in router.member if member.name == name), None)
+    if member is None:
+        return None
+    return RouterSettings(
+        int(router.vrid),
+        member.priority,
+        (ip_address(router.address),),
+        router.interval_cs,
+        router.preempt,
+        router.accept,
+    )
+
+
+def _authentication(
+    keys: list[KeySettings], state: Path | None, primary: Address
+) -> tuple[Signer | None, Verifier | None]:
+    """Both sides of authentication, None without keys.  Raises `StateFolderError`."""
+    if not keys:
+        return None, None
+    if state is None:
+        raise StateFolderError("a vrrp key needs --state: the count of starts is kept there")
+    live = tuple(Key(int(key.number), key.secret.encode()) for key in keys)
+    return Signer(live[0], next_epoch(state / EPOCH_FILE), primary), Verifier(live)
+
+
+def _tracking(settings: VrrpSettings) -> Tracking:
+    return Tracking([TrackSettings(t.name, t.weight, t.fall_ms, t.rise_ms, t.release) for t in settings.track])
--- /dev/null
+++ b/kelptrail/service/fronts.py
@@ -0,0 +1,103 @@
+"""The client-facing side of a dispatcher: TLS, the callers' keys, the two APIs, and the servers that carry them."""
+
+from __future__ import annotations
+
+import ssl
+import zlib
+from collections.abc import Callable
+from typing import Any
+
+from kelptrail.clock import now_ms
+from kelptrail.front.callers import Callers
+from kelptrail.front.inference.api import InferenceApi
+from kelptrail.front.invoke.api import InvokeApi
+from kelptrail.gateway.driver import GatewayDriver
+from kelptrail.net.grpc_server import GrpcServer
+from kelptrail.net.listener import ConnectPace, PaceSettings
+from kelptrail.net.server import Handler, HttpServer
+from kelptrail.net.tls import CertificateReloader
+from kelptrail.settings.deployment import Deployment, FrontSettings, InferenceSettings
+
+from .build import certificate_reloader, front_limits, grpc_limits
+
+HTTP, GRPC, TO_WORKERS = "front", "grpc", "to-workers"  # names of TLS sides in logs and in the control port's answers
+TLS_SIDES = (  # name, side of the settings, ALPN protocols
+    (HTTP, "front", ["http/1.1"]),
+    (GRPC, "front", ["h2"]),
+    (TO_WORKERS, "to-workers", ["http/1.1"]),
+)
+
+
+def certificate_reloaders(deployment: Deployment, log: Any) -> dict[str, CertificateReloader]:
+    """One reloader for each side that the settings give TLS.  Raises `ValueError` where its files are unusable."""
+    return {
+        name: reloader
+        for name, side, protocols in TLS_SIDES
+        if (reloader := certificate_reloader(deployment, side, protocols, log)) is not None
+    }
+
+
+class Fronts:
+    """The HTTP and the gRPC front of one dispatcher, and further servers of either kind for front addresses."""
+
+    def __init__(self, deployment: Deployment, driver: GatewayDriver, boot: str, log: Any) -> None:
+        self._deployment, self._gateway, self._log = deployment, driver.gateway, log
+        self._pace_seed = zlib.crc32(boot.encode())
+        self.reloaders = certificate_reloaders(deployment, log)
+        if TO_WORKERS in self.reloaders:
+            driver.tls = self.reloaders[TO_WORKERS].context
+        self._http_tls, self._grpc_tls = self._tls_context(HTTP), self._tls_context(GRPC)
+        self._callers = Callers(deployment)
+        self.invoke = InvokeApi(deployment, driver, boot, self._callers)
+        self.inference = InferenceApi(deployment, driver, self._callers)
+        self.grpc = self.make_grpc_server()
+        self.http = self.make_http_server(self.invoke.handle)
+
+    def make_http_server(self, handler: Handler) -> HttpServer:
+        """A server of the HTTP front that does not listen yet."""
+        settings = self._deployment.front
+        server = HttpServer(
+            handler,
+            front_limits(settings),
+            self._log.warning,
+            self._http_tls,
+            self._callers.named,
+            self._connect_pace(settings),
+        )
+        server.door.on_connect = self._on_connect
+        return server
+
+    def make_grpc_server(self) -> GrpcServer:
+        """A server of the gRPC front that does not listen yet."""
+        settings = self._deployment.inference
+        server = GrpcServer(
+            self.inference.handle,
+            grpc_limits(settings),
+            self._log.warning,
+            self._grpc_tls,
+            self._callers.named,
+            self._connect_pace(settings),
+        )
+        server.door.on_connect = self._on_connect
+        return server
+
+    def url(self) -> str:
+        """The HTTP front's own URL, once it listens."""
+        scheme = "https" if self._http_tls else "http"
+        return f"{scheme}://{self.http.address}"
+
+    def reload_certificates(self) -> None:
+        """Background work: load certificate files that have changed."""
+        for reloader in self.reloaders.values():
+            reloader.look()
+
+    def _tls_context(self, name: str) -> Callable[[], ssl.SSLContext] | None:
+        return self.reloaders[name].context if name in self.reloaders else None
+
+    def _connect_pace(self, settings: FrontSettings | InferenceSettings) -> ConnectPace:
+        longest_return_ms = self._deployment.storm.longest_return_ms
+        pace = PaceSettings(settings.connects_at_once, settings.connects_per_s, longest_return_ms)
+        return ConnectPace(pace, self._pace_seed)
+
+    def _on_connect(self) -> None:
+        self._gateway.overload.connected(now_ms())
--- /dev/null
+++ b/kelptrail/service/journal.py
@@ -0,0 +1,85 @@
+"""A dispatcher's activation journal: opening it, and recovering from it what an earlier run accepted."""
+
+from __future__ import annotations
+
+import contextlib
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+from kelptrail.clock import now_ms, wall_ms
+from kelptrail.gateway.core import Gateway
+from kelptrail.gateway.driver import GatewayDriver
+from kelptrail.replication.driver import ReplicationDriver
+from kelptrail.settings.deployment import Deployment
+from kelptrail.store.activation_journal import ActivationJournal, JournalError, open_journal
+from kelptrail.store.driver import JournalDriver
+from kelptrail.store.group_commit import GroupCommit
+
+JOURNAL_FILE = "book.sqlite"
+BYTES_PER_MB = 1e6
+
+
+@dataclass(frozen=True, slots=True)
+class JournalStores:
+    """The file and the group commit in front of it; either is None where no journal is kept or the file is unusable."""
+
+    file: ActivationJournal | None = None
+    commits: GroupCommit | None = None
+
+
+def open_stores(deployment: Deployment, state_folder: Path | None, vfs: str | None, log: Any) -> JournalStores:
+    """Create the state folder and open the journal in it.  An unusable file is logged: blocking calls go on without
+    it, deferred calls are refused."""
+    if state_folder is None:
+        return JournalStores()
+    with contextlib.suppress(OSError):  # whoever needs the folder reports that it cannot be used
+        state_folder.mkdir(parents=True, exist_ok=True)
+    settings = deployment.journal
+    if not settings.keep:
+        return JournalStores()
+    file = _open_file(state_folder / JOURNAL_FILE, settings.most_mb * BYTES_PER_MB, vfs, log)
+    commits = GroupCommit(settings.most_waiting)
+    if file is None:
+        commits.failing, commits.reason = True, "the book cannot be used"
+    return JournalStores(file, commits)
+
+
+def _open_file(file: Path, most_bytes: float, vfs: str | None, log: Any) -> ActivationJournal | None:
+    try:
+        journal, damaged_copy = open_journal(file, most_bytes, vfs)
+    except JournalError as cause:
+        log.error("book-unusable", file=str(file), reason=str(cause))
+        return None
+    if damaged_copy is not None:
+        log.error("book-set-aside", file=str(damaged_copy))
+    return journal
+
+
+def recover_activations(
+    deployment: Deployment,
+    gateway: Gateway,
+    driver: GatewayDriver,
+    stores: JournalStores,
+    replication: ReplicationDriver | None,
+    log: Any,
+) -> None:
+    """Attach the journal to the gateway and resume what an earlier run accepted.  Activations that moved on to a
+    replicated journal are recovered from there."""
+    if stores.file is None or stores.commits is None:
+        return
+    driver.journal = JournalDriver(stores.commits, stores.file, driver.schedule_decisions, log)
+    gateway.on_forget = driver.journal.forget
+    began = now_ms()
+    replicated = replication.ids() if replication is not None else set[str]()
+    activations = (entries for entries in stores.file.activations() if entries.accepted.id not in replicated)
+    recovered = gateway.recover(
+        began, wall_ms(), activations, least_run_ms(deployment), deployment.journal.resume_at_once
+    )
+    log.info("recovered", ms=round(now_ms() - began), damaged=stores.file.damaged, **recovered)
+
+
+def least_run_ms(deployment: Deployment) -> float:
+    """The time below which a recovered activation is not begun: twice the answer margin, as half of it is the least
+    that an attempt and its answer take."""
+    return 2 * deployment.dispatcher.answer_margin_ms
--- a/kelptrail/service/lease_trial.py
+++ b/kelptrail/service/lease_trial.py
@@ -21,7 +21,7 @@
 from kelptrail.lease.messages import FencingToken
 from kelptrail.net.http_client import HttpClient
 
-EVERY_MS, WORK_MS, LOOK_MS = 50.0, 15.0, 50.0
+EVERY_MS, WORK_MS, CLOCK_POLL_MS = 50.0, 15.0, 50.0
 
 
 class LeaseTrial:
@@ -29,66 +29,66 @@
     look at a lease and the act; SIGUSR2 calls that off.  Whoever plays the trial wakes it."""
 
     def __init__(self, leases: LeaseDriver, witness: str, tasks: tuple[str, ...], length_ms: float) -> None:
-        self._leases, self._witness, self._tasks, self._length_ms = leases, witness, tasks, length_ms
-        self._stops = False
+        self._leases, self._witness_address, self._tasks, self._length_ms = leases, witness, tasks, length_ms
+        self._pause_next = False
         self._loop = asyncio.get_running_loop()
-        self._acting: dict[str, asyncio.Task[None]] = {}
-        self.acts = self.refused = 0
+        self._tasks_running: dict[str, asyncio.Task[None]] = {}
+        self.writes = self.refused = 0
 
     def start(self) -> None:
         """Want all tasks."""
         self._loop.add_signal_handler(signal.SIGUSR1, setattr, self, "_stops", True)
         self._loop.add_signal_handler(signal.SIGUSR2, setattr, self, "_stops", False)
         for task in self._tasks:
-            self._leases.want(task, self._length_ms, self._won(task), self._lost(task))
+            self._leases.want(task, self._length_ms, self._on_acquired(task), self._on_lost(task))
 
     def stop(self) -> None:
         """Act no more."""
-        for task in self._acting.values():
+        for task in self._tasks_running.values():
             task.cancel()
 
-    def _won(self, task: str) -> Callable[[FencingToken], None]:
+    def _on_acquired(self, task: str) -> Callable[[FencingToken], None]:
         def won(token: FencingToken) -> None:
-            self._acting[task] = self._loop.create_task(self._act(task, token))
+            self._tasks_running[task] = self._loop.create_task(self._write_repeatedly(task, token))
 
         return won
 
-    def _lost(self, task: str) -> Callable[[FencingToken, str], None]:
+    def _on_lost(self, task: str) -> Callable[[FencingToken, str], None]:
         def lost(token: FencingToken, reason: str) -> None:
-            self._acting.pop(task).cancel()
+            self._tasks_running.pop(task).cancel()
 
         return lost
 
-    async def _act(self, task: str, token: FencingToken) -> None:
-        errand = HttpClient(self._witness)
+    async def _write_repeatedly(self, task: str, token: FencingToken) -> None:
+        client = HttpClient(self._witness_address)
         try:
             while True:
                 with contextlib.suppress(OSError, HttpError, TimeoutError):
-                    if self._leases.holds(task) == token and not await self._once(errand, task, token):
+                    if self._leases.holds(task) == token and not await self._write_once(client, task, token):
                         self.refused += 1
                 await asyncio.sleep(EVERY_MS / 1000)
         finally:
-            errand.close()
+            client.close()
 
-    async def _once(self, errand: HttpClient, task: str, token: FencingToken) -> bool:
-        looked, said = true_ms(), {"task": task, "token": [token.round, token.who], "who": self._leases.name}
-        if self._stops:
-            self._stops = False
+    async def _write_once(self, client: HttpClient, task: str, token: FencingToken) -> bool:
+        looked, message = true_ms(), {"task": task, "token": [token.round, token.who], "who": self._leases.name}
+        if self._pause_next:
+            self._pause_next = False
             os.kill(os.getpid(), signal.SIGSTOP)
-        self.acts += 1
-        if not (await errand.json("POST", "/act", said | {"looked": looked}))["taken"]:
+        self.writes += 1
+        if not (await client.json("POST", "/act", message | {"looked": looked}))["taken"]:
             return False
         await asyncio.sleep(WORK_MS / 1000)
         if self._leases.holds(task) != token:
             return True
-        return bool((await errand.json("POST", "/done", said | {"looked": true_ms()}))["taken"])
+        return bool((await client.json("POST", "/done", message | {"looked": true_ms()}))["taken"])
 
 
 class FaultyClock:
     """Looks at a file that says what ails this process's clock: `{"rate": 1.01, "step_ms": 0}`; none: it is sound."""
 
     def __init__(self, file: Any, log: Any) -> None:
-        self._file, self._log, self._said = file, log, (1.0, 0.0)
+        self._file, self._log, self._applied = file, log, (1.0, 0.0)
         self._task = asyncio.get_running_loop().create_task(self._watch())
 
     async def _watch(self) -> None:
@@ -96,12 +96,12 @@
             fault: dict[str, float] = {}
             with contextlib.suppress(OSError, msgspec.DecodeError):
                 fault = msgspec.json.decode(self._file.read_bytes())
-            said = float(fault.get("rate", 1.0)), float(fault.get("step_ms", 0.0))
-            if said != self._said:
-                self._said = said
-                harm(*said)
-                self._log.info("clock-harmed", rate=said[0], step_ms=said[1], now=now_ms())
-            await asyncio.sleep(LOOK_MS / 1000)
+            message = float(fault.get("rate", 1.0)), float(fault.get("step_ms", 0.0))
+            if message != self._applied:
+                self._applied = message
+                harm(*message)
+                self._log.info("clock-harmed", rate=message[0], step_ms=message[1], now=now_ms())
+            await asyncio.sleep(CLOCK_POLL_MS / 1000)
 
     def stop(self) -> None:
         """Look no more."""
--- a/kelptrail/service/planner.py
+++ b/kelptrail/service/planner.py
@@ -5,12 +5,12 @@
 import asyncio
 import contextlib
 import os
-import signal
 from collections.abc import Callable
 from typing import Any
 
 import msgspec
 
+from kelptrail.codec.http import Request
 from kelptrail.membership.client import EndpointClient
 from kelptrail.membership.members import EndpointList
 from kelptrail.net.server import Exchange, HttpServer, Limits
@@ -18,6 +18,13 @@
 from kelptrail.settings.deployment import Deployment
 
 from .fleet import Fleet, FleetOptions
+from .signals import stop_on_signals
+
+CONTROL_CONNECTIONS = 64
+
+
+class LeaseSettingsError(ValueError):
+    """The settings lack the sections without which a planner cannot hold a lease."""
 
 
 async def serve(
@@ -27,55 +34,69 @@
     ready: Callable[[str, str], None] | None = None,
     stop: asyncio.Event | None = None,
 ) -> None:
-    """Run until SIGTERM, SIGINT or `stop`."""
-    loop, stop = asyncio.get_running_loop(), stop or asyncio.Event()
-    for sign in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(sign, stop.set)
+    """Run until SIGTERM, SIGINT or `stop`.  `ready` is called once with the planner's address and that of its control
+    port.  Raises `LeaseSettingsError`, and `OSError` where an address cannot be had."""
+    stop = stop or asyncio.Event()
+    stop_on_signals(stop)
     if deployment.peers is None or deployment.leases is None:
-        raise ValueError("planners act under a lease: (peers ...) and (leases ...) are needed")
-    fleet = Fleet(deployment, FleetOptions(options.name, os.urandom(4).hex(), None, options.peer_addresses), log)
+        raise LeaseSettingsError("planners act under a lease: (peers ...) and (leases ...) are needed")
+    fleet_options = FleetOptions(options.name, os.urandom(4).hex(), None, options.peer_addresses)
+    fleet = Fleet(deployment, fleet_options, log)
     assert fleet.leases is not None
-    program = PlannerDriver(deployment, options, fleet.leases, fleet.lease_length_ms, log)
-    had = program.restore()
-    program.listen()
-    last = options.state_folder / "last-list.json" if options.state_folder is not None else None
+    planner = PlannerDriver(deployment, options, fleet.leases, fleet.lease_length_ms, log)
+    from_snapshot = planner.restore()
+    planner.listen()
     if options.state_folder is not None:
-        with contextlib.suppress(OSError):
+        with contextlib.suppress(OSError):  # whoever needs the folder reports that it cannot be used
             options.state_folder.mkdir(parents=True, exist_ok=True)
     fleet.start()
-    program.start()
-
-    def changed(listing: EndpointList) -> None:
-        fleet.on_endpoints(listing)
-        program.on_endpoints(listing)
-
-    roster = EndpointClient(options.endpoint_service, "", changed, last, log)
-    roster.start_from_last()
-    follower = loop.create_task(roster.follow())
-
-    def handle(request: Any, exchange: Exchange) -> None:
-        if request.path == "/leases" and fleet.leases is not None:
-            exchange.reply(200, msgspec.json.encode(fleet.leases.status() | {"peers": fleet.peers.status()}))
-            return
-        if request.method == "POST" and request.path == "/fault":  # for trials: plans that take longer
-            body = msgspec.json.decode(request.body)
-            program.solve_delay_ms, program.planner.demand.error_factor = (
-                float(body.get("ms", 0.0)),
-                float(body.get("factor", 1.0)),
-            )
-            loop.call_later(float(body["for_ms"]) / 1000, program.clear_faults)
-        exchange.reply(200, msgspec.json.encode(program.status()))
-
-    control = HttpServer(handle, Limits(connections=64))
+    planner.start()
+    endpoints = _endpoint_client(options, fleet, planner, log)
+    endpoints.start_from_last()
+    endpoint_task = asyncio.get_running_loop().create_task(endpoints.follow())
+    control = HttpServer(PlannerControl(fleet, planner).handle, Limits(connections=CONTROL_CONNECTIONS))
     if options.control is not None:
         host, _, port = options.control.rpartition(":")
         control.listen(host, int(port))
-    log.info("planning", address=program.address, from_snapshot=had)
+    log.info("planning", address=planner.address, from_snapshot=from_snapshot)
     if ready is not None:
-        ready(program.address, control.address)
+        ready(planner.address, control.address)
     await stop.wait()
-    follower.cancel()
+    endpoint_task.cancel()
     control.stop_listening()
     control.abort_all()
-    await program.stop()
+    await planner.stop()
     await fleet.stop()
+
+
+def _endpoint_client(options: PlannerOptions, fleet: Fleet, planner: PlannerDriver, log: Any) -> EndpointClient:
+    def on_endpoints(listing: EndpointList) -> None:
+        fleet.on_endpoints(listing)
+        planner.on_endpoints(listing)
+
+    last_list = options.state_folder / "last-list.json" if options.state_folder is not None else None
+    return EndpointClient(options.endpoint_service, "", on_endpoints, last_list, log)
+
+
+class PlannerControl:
+    """A planner's control port: its status, its leases, and faults for trials.  Answers are JSON."""
+
+    def __init__(self, fleet: Fleet, planner: PlannerDriver) -> None:
+        self._fleet, self._planner = fleet, planner
+        self._loop = asyncio.get_running_loop()
+
+    def handle(self, request: Request, exchange: Exchange) -> None:
+        """Answer one request; paths that are not known get the status."""
+        if request.path == "/leases" and self._fleet.leases is not None:
+            status = self._fleet.leases.status() | {"peers": self._fleet.peers.status()}
+            exchange.reply(200, msgspec.json.encode(status))
+            return
+        if request.method == "POST" and request.path == "/fault":
+            self._inject_fault(msgspec.json.decode(request.body))
+        exchange.reply(200, msgspec.json.encode(self._planner.status()))
+
+    def _inject_fault(self, fault: dict[str, Any]) -> None:
+        """For trials: plans that take `ms` longer and demand that is wrong by `factor`, for `for_ms`."""
+        self._planner.solve_delay_ms = float(fault.get("ms", 0.0))
+        self._planner.planner.demand.error_factor = float(fault.get("factor", 1.0))
+        self._loop.call_later(float(fault["for_ms"]) / 1000, self._planner.clear_faults)
--- /dev/null
+++ b/kelptrail/service/step_faults.py
@@ -0,0 +1,38 @@
+"""Crash and pause points for tests: a process that kills or suspends itself at a named step of the gateway."""
+
+from __future__ import annotations
+
+import os
+import signal
+from collections.abc import Callable
+
+from kelptrail.gateway.core import Gateway
+
+from .options import DispatcherOptions
+
+
+def install_step_faults(gateway: Gateway, options: DispatcherOptions) -> None:
+    """Arm the crash point and the pause point that the options name; the pause point replaces the crash point."""
+    if options.crash_at:
+        gateway.passes = _crash_at(options.crash_at)
+    if options.pause_at:
+        gateway.passes = _pause_once_at(options.pause_at)
+
+
+def _crash_at(point: str) -> Callable[[str], None]:
+    def crash(step: str) -> None:
+        if step == point:
+            os.kill(os.getpid(), signal.SIGKILL)
+
+    return crash
+
+
+def _pause_once_at(point: str) -> Callable[[str], None]:
+    remaining = [point]
+
+    def pause(step: str) -> None:
+        if step in remaining:
+            remaining.clear()
+            os.kill(os.getpid(), signal.SIGSTOP)
+
+    return pause
--- a/kelptrail/service/usage.py
+++ b/kelptrail/service/usage.py
@@ -20,9 +20,9 @@
 from kelptrail.lease.messages import NO_TOKEN, FencingToken
 from kelptrail.peers.driver import Peers
 
-TASK, SPEAKS = "usage", "usage"
-Counts = dict[str, tuple[int, int, int]]  # by namespace: completed, rejected, aborted
-Rates = dict[str, tuple[float, float, float]]  # the same a second
+LEASE_NAME, CHANNEL = "usage", "usage"
+NamespaceCounts = dict[str, tuple[int, int, int]]  # by namespace: completed, rejected, aborted
+NamespaceRates = dict[str, tuple[float, float, float]]  # the same a second
 
 
 class UsageRequest(msgspec.Struct, frozen=True, tag="collect", array_like=True):
@@ -37,7 +37,7 @@
 
     turn: int
     run: str
-    counts: Counts
+    counts: NamespaceCounts
 
 
 class UsageTotal(msgspec.Struct, frozen=True, tag="total", array_like=True):
@@ -46,7 +46,7 @@
     token: FencingToken
     turn: int
     dispatchers: int
-    rates: Rates
+    rates: NamespaceRates
 
 
 class UsageCollector:
@@ -54,27 +54,27 @@
 
     def __init__(self, token: FencingToken) -> None:
         self.token, self.turn = token, 0
-        self._asked = 0.0
-        self._last: dict[str, tuple[float, str, Counts]] = {}  # by name: when asked, run, counts
-        self._now: dict[str, tuple[float, str, Counts]] = {}
+        self._turn_started = 0.0
+        self._previous_turn: dict[str, tuple[float, str, NamespaceCounts]] = {}  # by name: when asked, run, counts
+        self._this_turn: dict[str, tuple[float, str, NamespaceCounts]] = {}
 
     def start_turn(self, now: float) -> UsageRequest:
         """A new turn."""
         self.turn += 1
-        self._last, self._now, self._asked = self._last | self._now, {}, now
+        self._previous_turn, self._this_turn, self._turn_started = self._previous_turn | self._this_turn, {}, now
         return UsageRequest(self.token, self.turn)
 
     def on_counts(self, name: str, used: UsageCounts) -> None:
         """An answer; one to an earlier turn is dropped."""
         if used.turn == self.turn:
-            self._now[name] = self._asked, used.run, used.counts
+            self._this_turn[name] = self._turn_started, used.run, used.counts
 
     def total(self) -> UsageTotal:
         """What the turn came to."""
         rates: dict[str, list[float]] = {}
         known = 0
-        for name, (asked, run, counts) in self._now.items():
-            before = self._last.get(name)
+        for name, (asked, run, counts) in self._this_turn.items():
+            before = self._previous_turn.get(name)
             if before is None or asked <= before[0]:
                 continue
             known += 1
@@ -120,43 +120,43 @@
         run: str,
         every_ms: float,
         length_ms: float,
-        counts: Callable[[], Counts],
+        counts: Callable[[], NamespaceCounts],
         names: Callable[[], set[str]],
         log: Any,
     ) -> None:
-        self._leases, self._peers, self._run, self._every_ms = leases, peers, run, every_ms
+        self._leases, self._peers, self._run_id, self._every_ms = leases, peers, run, every_ms
         self._length_ms, self._counts, self._names, self._log = length_ms, counts, names, log
         self._loop = asyncio.get_running_loop()
         self.view = UsageView()
         self._collector: UsageCollector | None = None
         self._timer: asyncio.TimerHandle | None = None
-        peers.speak(SPEAKS, self._came, UsageRequest, UsageCounts, UsageTotal)
+        peers.speak(CHANNEL, self._on_message, UsageRequest, UsageCounts, UsageTotal)
 
     def start(self) -> None:
         """Want the lease."""
-        self._leases.want(TASK, self._length_ms, self._won, self._lost)
+        self._leases.want(LEASE_NAME, self._length_ms, self._on_lease_acquired, self._on_lease_lost)
 
     def stop(self) -> None:
         """Collect no more."""
-        self._lost(NO_TOKEN, "")
+        self._on_lease_lost(NO_TOKEN, "")
 
-    def _won(self, token: FencingToken) -> None:
+    def _on_lease_acquired(self, token: FencingToken) -> None:
         self._collector = UsageCollector(token)
-        self._turn()
+        self._next_turn()
 
-    def _lost(self, _token: FencingToken, _reason: str) -> None:
+    def _on_lease_lost(self, _token: FencingToken, _reason: str) -> None:
         self._collector = None
         if self._timer is not None:
             self._timer.cancel()
-        self._leases.reach(set(), SPEAKS)
+        self._leases.reach(set(), CHANNEL)
 
-    def _turn(self) -> None:
+    def _next_turn(self) -> None:
         """Tell what the last turn came to, begin the next; the lease is looked at right before."""
         collector = self._collector
-        if collector is None or self._leases.holds(TASK) != collector.token:
+        if collector is None or self._leases.holds(LEASE_NAME) != collector.token:
             return
         names = self._names() - {self._leases.name}
-        self._leases.reach(names, SPEAKS)
+        self._leases.reach(names, CHANNEL)
         if collector.turn:
             total = collector.total()
             for name in names:
@@ -166,17 +166,17 @@
         for name in names:
             self._peers.send(name, question)
         if self.view.accepts(collector.token):
-            collector.on_counts(self._leases.name, UsageCounts(collector.turn, self._run, self._counts()))
-        self._timer = self._loop.call_later(self._every_ms / 1000, self._turn)
+            collector.on_counts(self._leases.name, UsageCounts(collector.turn, self._run_id, self._counts()))
+        self._timer = self._loop.call_later(self._every_ms / 1000, self._next_turn)
 
-    def _came(self, sender: str, message: UsageRequest | UsageCounts | UsageTotal) -> None:
+    def _on_message(self, sender: str, message: UsageRequest | UsageCounts | UsageTotal) -> None:
         if isinstance(message, UsageTotal):
             self.view.on_total(message)
         elif isinstance(message, UsageCounts):
             if self._collector is not None:
                 self._collector.on_counts(sender, message)
         elif self.view.accepts(message.token):
-            self._peers.send(sender, UsageCounts(message.turn, self._run, self._counts()))
+            self._peers.send(sender, UsageCounts(message.turn, self._run_id, self._counts()))
 
     def status(self) -> dict[str, Any]:
         """What operators are shown; rates are calls a second."""
--- a/kelptrail/vrrp/address.py
+++ b/kelptrail/vrrp/address.py
@@ -15,7 +15,7 @@
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.server import Exchange, Handler, HttpServer, Limits
 
-COME_BACK = b'{"error":"This address has moved to another dispatcher; the call was not taken.","code":"moved"}'
+ADDRESS_MOVED = b'{"error":"This address has moved to another dispatcher; the call was not taken.","code":"moved"}'
 
 
 class FrontAddress:
@@ -29,17 +29,17 @@
         limits: Limits,
         log: Any,
         linger_ms: float = 0.0,
-        make: Callable[[Handler], HttpServer] | None = None,
-        second: Callable[[], GrpcServer] | None = None,
-        second_port: int = 0,
+        make_http_server: Callable[[Handler], HttpServer] | None = None,
+        make_grpc_server: Callable[[], GrpcServer] | None = None,
+        grpc_port: int = 0,
     ) -> None:
-        self._make = make or (lambda handler: HttpServer(handler, limits, log.warning))
-        self._second, self._second_port = second, second_port
+        self._make_http_server = make_http_server or (lambda handler: HttpServer(handler, limits, log.warning))
+        self._make_grpc_server, self._grpc_port = make_grpc_server, grpc_port
         self._grpc: GrpcServer | None = None
         self._host, self._port, self._handler, self._limits, self._log = host, port, handler, limits, log
         self._loop = asyncio.get_running_loop()
         self._server: HttpServer | None = None
-        self._leaving: set[asyncio.Task[None]] = set()
+        self._draining: set[asyncio.Task[None]] = set()
         self._retry: asyncio.TimerHandle | None = None
         self._linger_ms = linger_ms
 
@@ -53,41 +53,41 @@
         """The server that listens, while held."""
         return self._server
 
-    def take(self) -> None:
+    def acquire(self) -> None:
         """Listen on the address; tried again while something else is in the way."""
         if self._server is not None:
             return
         self._retry = None
-        server = self._make(self._handle)
-        grpc = self._second() if self._second is not None and self._second_port else None
+        server = self._make_http_server(self._handle)
+        grpc = self._make_grpc_server() if self._make_grpc_server is not None and self._grpc_port else None
         try:
             server.listen(self._host, self._port, shared=True)
             if grpc is not None:
-                grpc.listen(self._host, self._second_port, shared=True)
+                grpc.listen(self._host, self._grpc_port, shared=True)
         except OSError as cause:
             server.stop_listening()
             self._log.warning("address-not-taken", address=f"{self._host}:{self._port}", reason=str(cause))
-            self._retry = self._loop.call_later(0.05, self.take)
+            self._retry = self._loop.call_later(0.05, self.acquire)
             return
         self._server, self._grpc = server, grpc
 
-    def give_up(self, drain_ms: float) -> None:
+    def release(self, drain_ms: float) -> None:
         """Stop listening; what was taken goes on to its answer."""
         if self._retry is not None:
             self._retry.cancel()
             self._retry = None
         server, self._server = self._server, None
         if server is not None:
-            server.handle = self._moved
+            server.handle = self._reject_moved
             server.leave()  # at once: who connects from here on reaches whoever listens there now
             if self._grpc is not None:
                 self._grpc.stop_listening()
-            task = self._loop.create_task(self._leave(server, self._grpc, drain_ms))
+            task = self._loop.create_task(self._drain(server, self._grpc, drain_ms))
             self._grpc = None
-            self._leaving.add(task)
-            task.add_done_callback(self._leaving.discard)
+            self._draining.add(task)
+            task.add_done_callback(self._draining.discard)
 
-    async def _leave(self, server: HttpServer, grpc: GrpcServer | None, drain_ms: float) -> None:
+    async def _drain(self, server: HttpServer, grpc: GrpcServer | None, drain_ms: float) -> None:
         ends = [server.drain(drain_ms, self._linger_ms)]
         if grpc is not None:  # told to go elsewhere; streams that were begun go on
             ends.append(grpc.drain(drain_ms))
@@ -98,10 +98,10 @@
         self._handler(request, exchange)
 
     @staticmethod
-    def _moved(request: Request, exchange: Exchange) -> None:
-        exchange.reply(503, COME_BACK, {"retry-after": "1"}, close=True)
+    def _reject_moved(request: Request, exchange: Exchange) -> None:
+        exchange.reply(503, ADDRESS_MOVED, {"retry-after": "1"}, close=True)
 
-    async def left(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until all that was given up has ended."""
-        if self._leaving:
-            await asyncio.gather(*list(self._leaving), return_exceptions=True)
+        if self._draining:
+            await asyncio.gather(*list(self._draining), return_exceptions=True)
--- a/kelptrail/vrrp/authentication.py
+++ b/kelptrail/vrrp/authentication.py
@@ -38,7 +38,7 @@
     """Not newer than what was last heard from this peer."""
 
 
-SEAL_ERRORS = (UnsealedError, UnknownKeyError, ForgedError, ReplayError)
+AUTHENTICATION_ERRORS = (UnsealedError, UnknownKeyError, ForgedError, ReplayError)
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,27 +53,27 @@
     return hmac.digest(key.secret, sender.packed + data, hashlib.sha256)[:16]
 
 
-class Sealer:
+class Signer:
     """Seals what this instance sends."""
 
     def __init__(self, key: Key, epoch: int, primary: Address) -> None:
         self._key, self._epoch, self._primary, self._count = key, epoch, primary, 0
 
-    def seal(self, message: bytes) -> bytes:
+    def sign(self, message: bytes) -> bytes:
         """The message with its trailer."""
         self._count += 1
         head = message + struct.pack("!3sBQQ", MAGIC, self._key.number, self._epoch, self._count)
         return head + _mac(self._key, self._primary, head)
 
 
-class Opener:
+class Verifier:
     """Opens what peers send; remembers the newest of each."""
 
     def __init__(self, keys: tuple[Key, ...]) -> None:
         self._keys = {key.number: key for key in keys}
         self._newest: dict[Address, tuple[int, int]] = {}
 
-    def open(self, data: bytes, sender: Address) -> bytes:
+    def verify(self, data: bytes, sender: Address) -> bytes:
         """The message without its trailer.  Raises one of `SEAL_ERRORS`."""
         if len(data) < TRAILER.size or data[-TRAILER.size : -TRAILER.size + 3] != MAGIC:
             raise UnsealedError("no trailer")
--- a/kelptrail/vrrp/driver.py
+++ b/kelptrail/vrrp/driver.py
@@ -20,7 +20,7 @@
 
 from .instance import Datagram, Instance
 from .packet import Address
-from .state_machine import GiveUp, Moved, Take
+from .state_machine import AcquireAddress, ReleaseAddress, StateChange
 
 TTL = 255
 IP_RECVTTL = 12  # ip(7); the socket module does not name it on all versions
@@ -59,12 +59,12 @@
         instance: Instance,
         here: SocketAddress,
         peers: dict[Address, SocketAddress],
-        take: Callable[[int], None],
-        give_up: Callable[[int], None],
+        acquire: Callable[[int], None],
+        release: Callable[[int], None],
         log: Any,
     ) -> None:
         self.instance, self._peers, self._log = instance, peers, log
-        self._take, self._give_up = take, give_up
+        self._acquire, self._release = acquire, release
         self._loop = asyncio.get_running_loop()
         family = socket.AF_INET6 if ":" in here[0] else socket.AF_INET
         self._sock = socket.socket(family, socket.SOCK_DGRAM)
@@ -78,31 +78,31 @@
             self._sock.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_RECVHOPLIMIT, 1)
         self._sock.bind(here)
         self._timer: asyncio.TimerHandle | None = None
-        self._step_ms = max(5.0, min(100.0, instance.shortest_ms / 4))
+        self._step_ms = max(5.0, min(100.0, instance.shortest_interval_ms / 4))
 
     def start(self) -> None:
         """The Startup event."""
         self._loop.add_reader(self._sock.fileno(), self._readable)
         self.instance.startup(now_ms())
-        self._carry_out()
+        self._perform_outputs()
 
     def stop(self) -> None:
         """The Shutdown event; masters release their addresses, peers are told."""
         self.instance.shutdown(now_ms())
-        self._carry_out()
+        self._perform_outputs()
         if self._timer is not None:
             self._timer.cancel()
         self._loop.remove_reader(self._sock.fileno())
         self._sock.close()
 
-    def told(self, name: str, well: bool) -> None:
+    def on_health(self, name: str, healthy: bool) -> None:
         """What is seen of a tracked thing."""
-        self.instance.told(now_ms(), name, well)
-        self._carry_out()
+        self.instance.on_health(now_ms(), name, healthy)
+        self._perform_outputs()
 
     def _readable(self) -> None:
         self._read_all()
-        self._carry_out()
+        self._perform_outputs()
 
     def _read_all(self) -> None:
         """Everything that has come, before any timer: a woken process must hear before it speaks."""
@@ -112,7 +112,7 @@
             except BlockingIOError:
                 return
             except OSError as cause:  # an ICMP error of an earlier send
-                self.instance.counts["socket-error"] += 1
+                self.instance.counters["socket-error"] += 1
                 self._log.debug("vrrp-socket", reason=str(cause))
                 return
             hops = next(
@@ -124,15 +124,15 @@
                 ),
                 None,
             )
-            self.instance.received(now_ms(), data, ip_address(source[0]), hops)
+            self.instance.on_datagram(now_ms(), data, ip_address(source[0]), hops)
 
-    def _ring(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         self._read_all()
         self.instance.tick(now_ms())
-        self._carry_out()
+        self._perform_outputs()
 
-    def _carry_out(self) -> None:
+    def _perform_outputs(self) -> None:
         outputs = self.instance.outputs
         while outputs:
             output = outputs.popleft()
@@ -140,21 +140,21 @@
                 try:
                     self._sock.sendto(output.data, self._peers[output.to])
                 except OSError as cause:
-                    self.instance.counts["unsent"] += 1
+                    self.instance.counters["unsent"] += 1
                     self._log.warning("vrrp-unsent", to=str(output.to), reason=str(cause))
-            elif isinstance(output, Take):
-                self._take(output.vrid)
-            elif isinstance(output, GiveUp):
-                self._give_up(output.vrid)
-            elif isinstance(output, Moved):
+            elif isinstance(output, AcquireAddress):
+                self._acquire(output.vrid)
+            elif isinstance(output, ReleaseAddress):
+                self._release(output.vrid)
+            elif isinstance(output, StateChange):
                 self._log.info(
                     "vrrp", router=output.vrid, before=output.before.value, after=output.after.value, cause=output.cause
                 )
         if self._timer is not None:
             self._timer.cancel()
-        now, due = now_ms(), self.instance.due()
+        now, due = now_ms(), self.instance.next_due()
         wait = self._step_ms if due is None else max(0.0, min(self._step_ms, due - now))
-        self._timer = self._loop.call_later(wait / 1000, self._ring)
+        self._timer = self._loop.call_later(wait / 1000, self._on_timer)
 
     def status(self) -> dict[str, Any]:
         """What an operator is shown."""
@@ -173,18 +173,18 @@
                     "preempt": r.settings.preempt,
                     "accept": r.settings.accept,
                     "interval_ms": r.interval_ms,
-                    "learnt_interval_ms": r.learnt_cs * 10,
+                    "learnt_interval_ms": r.master_interval_cs * 10,
                     "skew_ms": round(r.skew_ms, 1),
-                    "master_down_interval_ms": round(r.down_ms, 1),
-                    "timers_ms": {name: round(left, 1) for name, left in r.timers(now).items()},
+                    "master_down_interval_ms": round(r.master_down_ms, 1),
+                    "timers_ms": {name: round(left, 1) for name, left in r.running_timers(now).items()},
                 }
                 for r in instance.routers.values()
             ],
             "tracked": {
-                name: {"well": t.well, "failed": t.failed, "weight": t.settings.weight, "rise_ms": t.rise_ms}
+                name: {"well": t.healthy, "failed": t.failed, "weight": t.settings.weight, "rise_ms": t.rise_ms}
                 for name, t in instance.tracking.tracks.items()
             },
-            "counts": dict(sorted(instance.counts.items())),
+            "counts": dict(sorted(instance.counters.items())),
             "transitions": [
                 {
                     "router": m.vrid,
--- a/kelptrail/vrrp/instance.py
+++ b/kelptrail/vrrp/instance.py
@@ -9,9 +9,18 @@
 from collections import Counter, deque
 from dataclasses import dataclass
 
-from .authentication import Opener, Sealer
+from .authentication import Signer, Verifier
 from .packet import Address, PacketError, decode, encode
-from .state_machine import GiveUp, Moved, Output, Router, RouterSettings, State, Take, Transmit
+from .state_machine import (
+    AcquireAddress,
+    Output,
+    ReleaseAddress,
+    RouterSettings,
+    SendAdvertisement,
+    State,
+    StateChange,
+    VirtualRouter,
+)
 from .tracking import Tracking
 
 
@@ -32,24 +41,24 @@
         peers: tuple[Address, ...],
         routers: list[RouterSettings],
         tracking: Tracking | None = None,
-        sealer: Sealer | None = None,
-        opener: Opener | None = None,
+        signer: Signer | None = None,
+        verifier: Verifier | None = None,
         pseudo: bool = True,
     ) -> None:
         self.primary, self.peers = primary, peers
-        self.routers = {s.vrid: Router(s, primary) for s in routers}
+        self.routers = {s.vrid: VirtualRouter(s, primary) for s in routers}
         self.tracking = tracking or Tracking([])
-        self._sealer, self._opener, self._pseudo = sealer, opener, pseudo
-        self.outputs: deque[Datagram | Take | GiveUp | Moved] = deque()
-        self.counts: Counter[str] = Counter()
-        self.history: deque[Moved] = deque(maxlen=50)
+        self._signer, self._verifier, self._pseudo = signer, verifier, pseudo
+        self.outputs: deque[Datagram | AcquireAddress | ReleaseAddress | StateChange] = deque()
+        self.counters: Counter[str] = Counter()
+        self.history: deque[StateChange] = deque(maxlen=50)
         self._running = False
 
     def startup(self, now: float) -> None:
         """Start all routers."""
         self._running = True
         for router in self.routers.values():
-            self._follow(now, router)
+            self._apply_tracking(now, router)
         self._collect()
 
     def shutdown(self, now: float) -> None:
@@ -59,64 +68,64 @@
             router.shutdown(now)
         self._collect()
 
-    def received(self, now: float, data: bytes, sender: Address, hops: int | None = 255) -> None:
+    def on_datagram(self, now: float, data: bytes, sender: Address, hops: int | None = 255) -> None:
         """A datagram.  What is not sound is counted by the name of its error and dropped."""
-        self.counts["received"] += 1
+        self.counters["received"] += 1
         if sender == self.primary:
-            self.counts["own"] += 1
+            self.counters["own"] += 1
             return
         if sender not in self.peers:
-            self.counts["not-a-peer"] += 1
+            self.counters["not-a-peer"] += 1
             return
         try:
-            message = self._opener.open(data, sender) if self._opener is not None else data
+            message = self._verifier.verify(data, sender) if self._verifier is not None else data
             advert = decode(message, sender, self.primary, hops, self._pseudo)
         except PacketError as cause:
-            self.counts[type(cause).__name__] += 1
+            self.counters[type(cause).__name__] += 1
             return
         router = self.routers.get(advert.vrid)
         if router is None:  # 7.1: a virtual router that is not configured here
-            self.counts["foreign-vrid"] += 1
+            self.counters["foreign-vrid"] += 1
             return
         if advert.addresses and advert.addresses[0].version != self.primary.version:
-            self.counts["other-family"] += 1
+            self.counters["other-family"] += 1
             return
-        strangers = router.strangers
-        router.received(now, advert, sender)
-        self.counts["wrong-addresses"] += router.strangers - strangers
+        strangers = router.foreign_address_lists
+        router.on_advertisement(now, advert, sender)
+        self.counters["wrong-addresses"] += router.foreign_address_lists - strangers
         if advert.interval_cs != router.settings.interval_cs:
-            self.counts["other-interval"] += 1
+            self.counters["other-interval"] += 1
         self._collect()
 
-    def told(self, now: float, name: str, well: bool) -> None:
+    def on_health(self, now: float, name: str, healthy: bool) -> None:
         """What the host sees of a tracked thing."""
-        if self.tracking.told(now, name, well):
-            self._refollow(now)
+        if self.tracking.on_health(now, name, healthy):
+            self._apply_tracking_to_all(now)
 
     def tick(self, now: float) -> None:
         """Let time pass: timers of routers, hysteresis of what is tracked."""
-        changed = self.tracking.settle(now)
+        changed = self.tracking.on_tick(now)
         for router in self.routers.values():
             router.tick(now)
         if changed:
-            self._refollow(now)
+            self._apply_tracking_to_all(now)
         self._collect()
 
-    def due(self) -> float | None:
+    def next_due(self) -> float | None:
         """When the next timer of a router is due."""
-        return min((due for router in self.routers.values() if (due := router.due()) is not None), default=None)
+        return min((due for router in self.routers.values() if (due := router.next_due()) is not None), default=None)
 
     @property
-    def shortest_ms(self) -> float:
+    def shortest_interval_ms(self) -> float:
         """The shortest advertisement interval."""
         return min(router.interval_ms for router in self.routers.values())
 
-    def _refollow(self, now: float) -> None:
+    def _apply_tracking_to_all(self, now: float) -> None:
         for router in self.routers.values():
-            self._follow(now, router)
+            self._apply_tracking(now, router)
         self._collect()
 
-    def _follow(self, now: float, router: Router) -> None:
+    def _apply_tracking(self, now: float, router: VirtualRouter) -> None:
         """Bring a router in line with what is tracked."""
         if not self._running:
             return
@@ -130,15 +139,15 @@
     def _collect(self) -> None:
         for router in self.routers.values():
             while router.outputs:
-                self._out(router.outputs.popleft())
+                self._emit(router.outputs.popleft())
 
-    def _out(self, output: Output) -> None:
-        if not isinstance(output, Transmit):
-            if isinstance(output, Moved):
+    def _emit(self, output: Output) -> None:
+        if not isinstance(output, SendAdvertisement):
+            if isinstance(output, StateChange):
                 self.history.append(output)
             self.outputs.append(output)
             return
-        self.counts["sent"] += 1
+        self.counters["sent"] += 1
         for peer in self.peers:
             message = encode(output.advert, self.primary, peer, self._pseudo)
-            self.outputs.append(Datagram(self._sealer.seal(message) if self._sealer else message, peer))
+            self.outputs.append(Datagram(self._signer.sign(message) if self._signer else message, peer))
--- a/kelptrail/vrrp/model.py
+++ b/kelptrail/vrrp/model.py
@@ -17,13 +17,13 @@
 from kelptrail.model_checking.explorer import PropertyError, Step
 
 from .packet import Advertisement
-from .state_machine import GiveUp, Router, State, Take, Transmit
+from .state_machine import AcquireAddress, ReleaseAddress, SendAdvertisement, State, VirtualRouter
 
-MOST_AT_ONCE = 60  # advertisements sent without time passing, in a healed network of three
+MAX_SENT_AT_ONCE = 60  # advertisements sent without time passing, in a healed network of three
 
 
 @dataclass(frozen=True, slots=True)
-class Flying:
+class InFlight:
     """An advertisement on its way; `age` in steps of time it has been held up."""
 
     advert: Advertisement
@@ -33,11 +33,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Budget:
+class FaultBudget:
     """Faults that are left to happen."""
 
     drops: int = 2
-    copies: int = 1
+    duplicates: int = 1
     crashes: int = 1
     pauses: int = 1
     delay: int = 1  # steps of time that an advertisement may be held up
@@ -46,12 +46,12 @@
 class Model:
     """One state."""
 
-    __slots__ = ("alive", "budget", "flying", "holds", "now", "paused", "routers", "trail")
+    __slots__ = ("alive", "budget", "holds_address", "in_flight", "now", "paused", "routers", "trail")
 
-    def __init__(self, routers: list[Router], budget: Budget) -> None:
+    def __init__(self, routers: list[VirtualRouter], budget: FaultBudget) -> None:
         self.routers, self.budget, self.now = routers, budget, 0.0
-        self.flying: tuple[Flying, ...] = ()
-        self.holds = [False] * len(routers)
+        self.in_flight: tuple[InFlight, ...] = ()
+        self.holds_address = [False] * len(routers)
         self.alive = [True] * len(routers)
         self.paused = [False] * len(routers)
         self.trail: tuple[str, ...] = ()
@@ -60,16 +60,16 @@
         """A copy that goes its own way."""
         twin = Model.__new__(Model)
         twin.routers = [r.copy() for r in self.routers]
-        twin.budget, twin.now, twin.flying, twin.trail = self.budget, self.now, self.flying, self.trail
-        twin.holds, twin.alive, twin.paused = list(self.holds), list(self.alive), list(self.paused)
+        twin.budget, twin.now, twin.in_flight, twin.trail = self.budget, self.now, self.in_flight, self.trail
+        twin.holds_address, twin.alive, twin.paused = list(self.holds_address), list(self.alive), list(self.paused)
         return twin
 
     def key(self) -> tuple[object, ...]:
         """What the future depends on."""
-        flying = sorted((f.advert.priority, f.sender, f.to, f.age) for f in self.flying)
+        advertisement = sorted((f.advert.priority, f.sender, f.to, f.age) for f in self.in_flight)
         return (
             tuple(r.snapshot(self.now) for r in self.routers),
-            tuple(flying),
+            tuple(advertisement),
             tuple(self.alive),
             tuple(self.paused),
             self.budget,
@@ -77,7 +77,7 @@
 
     def steps(self) -> Iterator[Step[Model]]:
         """Every step that can follow."""
-        for name, after in steps(self):
+        for name, after in _fault_steps(self):
             after.collect()
             yield Step(name, partial(_made, after))
 
@@ -87,38 +87,38 @@
         for number, router in enumerate(self.routers):
             while router.outputs:
                 output = router.outputs.popleft()
-                if isinstance(output, Transmit):
+                if isinstance(output, SendAdvertisement):
                     sent += 1
-                    self.flying += tuple(
-                        Flying(output.advert, number, to) for to in range(len(self.routers)) if to != number
+                    self.in_flight += tuple(
+                        InFlight(output.advert, number, to) for to in range(len(self.routers)) if to != number
                     )
-                elif isinstance(output, Take):
-                    self.holds[number] = True
-                elif isinstance(output, GiveUp):
-                    self.holds[number] = False
+                elif isinstance(output, AcquireAddress):
+                    self.holds_address[number] = True
+                elif isinstance(output, ReleaseAddress):
+                    self.holds_address[number] = False
         return sent
 
     def check(self) -> None:
         """What must hold in every state."""
         for number, router in enumerate(self.routers):
-            if self.alive[number] and self.holds[number] is not (router.state is State.MASTER):
+            if self.alive[number] and self.holds_address[number] is not (router.state is State.MASTER):
                 raise PropertyError(
                     f"router {number} is {router.state.value} and "
-                    f"{'holds' if self.holds[number] else 'does not hold'} the address"
+                    f"{'holds' if self.holds_address[number] else 'does not hold'} the address"
                 )
 
-    def deliver(self, flying: Flying) -> None:
+    def deliver(self, advertisement: InFlight) -> None:
         """An advertisement arrives, or waits unread at a paused or dead one."""
-        router = self.routers[flying.to]
-        if self.alive[flying.to]:
-            router.received(self.now, flying.advert, self.routers[flying.sender].primary)
+        router = self.routers[advertisement.to]
+        if self.alive[advertisement.to]:
+            router.on_advertisement(self.now, advertisement.advert, self.routers[advertisement.sender].primary)
 
     def next_due(self) -> float | None:
         """When the next timer of a running router is due."""
         dues = [
             due
             for n, r in enumerate(self.routers)
-            if self.alive[n] and not self.paused[n] and (due := r.due()) is not None
+            if self.alive[n] and not self.paused[n] and (due := r.next_due()) is not None
         ]
         return min(dues, default=None)
 
@@ -134,120 +134,135 @@
         return True
 
 
-def _made(world: Model) -> Model:
-    return world
+def _made(model: Model) -> Model:
+    return model
 
 
-Make = Callable[[], list[Router]]
+Make = Callable[[], list[VirtualRouter]]
 
 
-def start(make: Make, budget: Budget) -> Model:
+def start(make: Make, budget: FaultBudget) -> Model:
     """The first state: all routers started, one after the other at one moment."""
-    world = Model(make(), budget)
-    for router in world.routers:
-        router.startup(world.now)
-    world.collect()
-    return world
-
-
-def steps(world: Model) -> Iterator[tuple[str, Model]]:
-    """Every state that can follow."""
-    budget = world.budget
-    for number, flying in enumerate(world.flying):
-        rest = world.flying[:number] + world.flying[number + 1 :]
-        name = f"{flying.sender}>{flying.to} p{flying.advert.priority}"
-        if not world.paused[flying.to]:
-            twin = world.copy()
-            twin.flying = rest
-            twin.deliver(flying)
-            yield f"deliver {name}", twin
-        if budget.drops:
-            twin = world.copy()
-            twin.flying, twin.budget = rest, replace(budget, drops=budget.drops - 1)
-            yield f"drop {name}", twin
-        if budget.copies:
-            twin = world.copy()
-            twin.flying = (*world.flying, flying)
-            twin.budget = replace(budget, copies=budget.copies - 1)
-            yield f"copy {name}", twin
-    if all(f.age < budget.delay or world.paused[f.to] for f in world.flying):
-        twin = world.copy()
-        twin.flying = tuple(replace(f, age=min(f.age + 1, budget.delay)) for f in twin.flying)
-        if twin.pass_time():
-            yield f"time {twin.now - world.now:g}", twin
-    for number in range(len(world.routers)):
-        if world.alive[number] and not world.paused[number]:
-            if budget.crashes:
-                twin = world.copy()
-                twin.alive[number], twin.holds[number] = False, False
-                twin.budget = replace(budget, crashes=budget.crashes - 1)
-                yield f"crash {number}", twin
-            if budget.pauses:
-                twin = world.copy()
-                twin.paused[number] = True
-                twin.budget = replace(budget, pauses=budget.pauses - 1)
-                yield f"pause {number}", twin
-        elif world.paused[number]:
-            twin = world.copy()
-            twin.paused[number] = False  # what lay unread is still in flight: either comes first
-            twin.routers[number].tick(twin.now)
-            yield f"wake {number}", twin
-        elif not world.alive[number]:
-            twin = world.copy()
-            _restart(twin, number)
-            yield f"restart {number}", twin
-
-
-def _restart(world: Model, number: int) -> None:
-    old = world.routers[number]
-    world.routers[number] = Router(old.settings, old.primary)
-    world.alive[number], world.holds[number] = True, False
-    world.routers[number].startup(world.now)
-
-
-def heal(world: Model, within_ms: float) -> Model:
+    model = Model(make(), budget)
+    for router in model.routers:
+        router.startup(model.now)
+    model.collect()
+    return model
+
+
+def _fault_steps(model: Model) -> Iterator[tuple[str, Model]]:
+    """Every state that can follow, by the name of the step."""
+    for position in range(len(model.in_flight)):
+        yield from _delivery_steps(model, position)
+    yield from _time_steps(model)
+    for number in range(len(model.routers)):
+        yield from _process_steps(model, number)
+
+
+def _delivery_steps(model: Model, position: int) -> Iterator[tuple[str, Model]]:
+    """One advertisement in flight is delivered, dropped or duplicated."""
+    advertisement, budget = model.in_flight[position], model.budget
+    others = model.in_flight[:position] + model.in_flight[position + 1 :]
+    name = f"{advertisement.sender}>{advertisement.to} p{advertisement.advert.priority}"
+    if not model.paused[advertisement.to]:
+        after = model.copy()
+        after.in_flight = others
+        after.deliver(advertisement)
+        yield f"deliver {name}", after
+    if budget.drops:
+        after = model.copy()
+        after.in_flight, after.budget = others, replace(budget, drops=budget.drops - 1)
+        yield f"drop {name}", after
+    if budget.duplicates:
+        after = model.copy()
+        after.in_flight = (*model.in_flight, advertisement)
+        after.budget = replace(budget, duplicates=budget.duplicates - 1)
+        yield f"copy {name}", after
+
+
+def _time_steps(model: Model) -> Iterator[tuple[str, Model]]:
+    """Time passes to the next timer, unless an advertisement has been delayed for as long as the budget allows."""
+    most_delay = model.budget.delay
+    if not all(a.age < most_delay or model.paused[a.to] for a in model.in_flight):
+        return
+    after = model.copy()
+    after.in_flight = tuple(replace(a, age=min(a.age + 1, most_delay)) for a in after.in_flight)
+    if after.pass_time():
+        yield f"time {after.now - model.now:g}", after
+
+
+def _process_steps(model: Model, number: int) -> Iterator[tuple[str, Model]]:
+    """One router's process crashes or pauses, or comes back."""
+    after, budget = model.copy(), model.budget
+    if model.paused[number]:
+        after.paused[number] = False  # what lay unread is still in flight: it is read before or after the tick
+        after.routers[number].tick(after.now)
+        yield f"wake {number}", after
+    elif not model.alive[number]:
+        _restart(after, number)
+        yield f"restart {number}", after
+    else:
+        if budget.crashes:
+            after.alive[number], after.holds_address[number] = False, False
+            after.budget = replace(budget, crashes=budget.crashes - 1)
+            yield f"crash {number}", after
+        if budget.pauses:
+            after = model.copy()
+            after.paused[number] = True
+            after.budget = replace(budget, pauses=budget.pauses - 1)
+            yield f"pause {number}", after
+
+
+def _restart(model: Model, number: int) -> None:
+    old = model.routers[number]
+    model.routers[number] = VirtualRouter(old.settings, old.primary)
+    model.alive[number], model.holds_address[number] = True, False
+    model.routers[number].startup(model.now)
+
+
+def heal(model: Model, within_ms: float) -> Model:
     """All faults end, paused ones wake, the dead stay dead; play on for `within_ms` and check what must come."""
-    world = world.copy()
-    for number, paused in enumerate(world.paused):
+    model = model.copy()
+    for number, paused in enumerate(model.paused):
         if paused:
-            world.paused[number] = False
-            world.routers[number].tick(world.now)
-    world.collect()
-    _settle(world)
-    end = world.now + within_ms
-    while (due := world.next_due()) is not None and due <= end:
-        world.pass_time()
-        world.collect()
-        world.check()
-        _settle(world)
-    masters = [n for n, r in enumerate(world.routers) if world.alive[n] and r.state is State.MASTER]
-    alive = [n for n in range(len(world.routers)) if world.alive[n]]
+            model.paused[number] = False
+            model.routers[number].tick(model.now)
+    model.collect()
+    _settle(model)
+    end = model.now + within_ms
+    while (due := model.next_due()) is not None and due <= end:
+        model.pass_time()
+        model.collect()
+        model.check()
+        _settle(model)
+    masters = [n for n, r in enumerate(model.routers) if model.alive[n] and r.state is State.MASTER]
+    alive = [n for n in range(len(model.routers)) if model.alive[n]]
     if alive and len(masters) != 1:
         raise PropertyError(f"{len(masters)} masters {within_ms:g} ms after the network healed")
-    best = max(alive, key=lambda n: (world.routers[n].priority, int(world.routers[n].primary)), default=None)
+    best = max(alive, key=lambda n: (model.routers[n].priority, int(model.routers[n].primary)), default=None)
     if (
         best is not None
-        and world.routers[best].settings.preempt
-        and (world.routers[masters[0]].priority < world.routers[best].priority)
+        and model.routers[best].settings.preempt
+        and (model.routers[masters[0]].priority < model.routers[best].priority)
     ):
         raise PropertyError(f"router {masters[0]} is Master, {best} has the higher priority and preempts")
-    return world
+    return model
 
 
-def _settle(world: Model) -> None:
+def _settle(model: Model) -> None:
     """Deliver all that flies, until nothing does."""
     sent = 0
-    while world.flying:
-        first, world.flying = world.flying[0], world.flying[1:]
-        world.deliver(first)
-        sent += world.collect()
-        world.check()
-        if sent > MOST_AT_ONCE:
+    while model.in_flight:
+        first, model.in_flight = model.in_flight[0], model.in_flight[1:]
+        model.deliver(first)
+        sent += model.collect()
+        model.check()
+        if sent > MAX_SENT_AT_ONCE:
             raise PropertyError("an endless exchange at one moment")
 
 
 @dataclass(slots=True)
-class Found(explorer.SearchResult):
+class VrrpSearchResult(explorer.SearchResult):
     """What was explored."""
 
     most_masters: int = 0
@@ -255,17 +270,17 @@
     no_master: int = 0
 
 
-def explore(make: Make, budget: Budget, depth: int, most_states: int, heal_ms: float) -> Found:
+def explore(make: Make, budget: FaultBudget, depth: int, most_states: int, heal_ms: float) -> VrrpSearchResult:
     """Breadth first to `depth` steps or `most_states` states.  Raises `PropertyError` with the way to it."""
-    found = Found()
+    found = VrrpSearchResult()
 
-    def look(world: Model) -> None:
-        masters = sum(a and r.state is State.MASTER for a, r in zip(world.alive, world.routers, strict=True))
+    def look(model: Model) -> None:
+        masters = sum(a and r.state is State.MASTER for a, r in zip(model.alive, model.routers, strict=True))
         found.most_masters = max(found.most_masters, masters)
         found.two_masters += masters > 1
         found.no_master += masters == 0
-        world.check()
-        heal(world, heal_ms)
+        model.check()
+        heal(model, heal_ms)
 
     looked = explorer.explore(start(make, budget), look, depth, most_states)
     found.states, found.edges, found.depth, found.whole = looked.states, looked.edges, looked.depth, looked.whole
--- a/kelptrail/vrrp/packet.py
+++ b/kelptrail/vrrp/packet.py
@@ -12,8 +12,8 @@
 Address = IPv4Address | IPv6Address
 
 VERSION, ADVERTISEMENT, PROTOCOL = 3, 1, 112
-OWNER, RELEASE = 255, 0  # priorities with a meaning of their own (section 5.2.4)
-HEAD = struct.Struct("!BBBBHH")
+OWNER_PRIORITY, RELEASE_PRIORITY = 255, 0  # priorities with a meaning of their own (section 5.2.4)
+HEADER = struct.Struct("!BBBBHH")
 
 
 class PacketError(Exception):
@@ -60,7 +60,7 @@
     """A TTL or hop limit other than 255 (sections 5.1.1.3, 5.1.2.3): it came from beyond the link."""
 
 
-ERRORS = (
+PACKET_ERRORS = (
     TooShortError,
     TooLongError,
     VersionError,
@@ -116,7 +116,7 @@
 def encode(advert: Advertisement, source: Address, destination: Address, pseudo: bool = True) -> bytes:
     """An advertisement as bytes.  `pseudo`: the checksum covers a pseudo-header; IPv6 always has one."""
     body = b"".join(address.packed for address in advert.addresses)
-    head = HEAD.pack(
+    head = HEADER.pack(
         VERSION << 4 | ADVERTISEMENT, advert.vrid, advert.priority, len(advert.addresses), advert.interval_cs, 0
     )
     cover = pseudo_header(source, destination, len(head) + len(body)) if pseudo or source.version == 6 else b""
@@ -135,15 +135,15 @@
         raise HopsError(f"came with a hop limit of {hops}, not 255")
     if not data or data[0] >> 4 != VERSION:
         raise VersionError(f"version {data[0] >> 4 if data else 'none'}, not 3")
-    if len(data) < HEAD.size:
-        raise TooShortError(f"{len(data)} bytes; a head has {HEAD.size}")
-    kind, vrid, priority, count, interval, _ = HEAD.unpack_from(data)
+    if len(data) < HEADER.size:
+        raise TooShortError(f"{len(data)} bytes; a head has {HEADER.size}")
+    kind, vrid, priority, count, interval, _ = HEADER.unpack_from(data)
     if kind & 0x0F != ADVERTISEMENT:
         raise TypeFieldError(f"type {kind & 0x0F}, not 1")
     size = 4 if source.version == 4 else 16
-    if len(data) < HEAD.size + count * size:
+    if len(data) < HEADER.size + count * size:
         raise TooShortError(f"{len(data)} bytes for {count} addresses")
-    if len(data) > HEAD.size + count * size:
+    if len(data) > HEADER.size + count * size:
         raise TooLongError(f"{len(data)} bytes for {count} addresses")
     cover = pseudo_header(source, destination, len(data)) if pseudo or source.version == 6 else b""
     if checksum(cover + data) != 0:
@@ -154,5 +154,5 @@
         raise CountError("no address")
     if interval & 0x0FFF == 0:  # the upper four bits are reserved and ignored (section 5.2.6)
         raise IntervalError("interval 0")
-    addresses = tuple(ip_address(data[at : at + size]) for at in range(HEAD.size, len(data), size))
+    addresses = tuple(ip_address(data[at : at + size]) for at in range(HEADER.size, len(data), size))
     return Advertisement(vrid, priority, interval & 0x0FFF, addresses)
--- a/kelptrail/vrrp/state_machine.py
+++ b/kelptrail/vrrp/state_machine.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from .packet import OWNER, RELEASE, Address, Advertisement
+from .packet import OWNER_PRIORITY, RELEASE_PRIORITY, Address, Advertisement
 
 
 class State(Enum):
@@ -23,28 +23,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Transmit:
+class SendAdvertisement:
     """Send this advertisement to the peers."""
 
     advert: Advertisement
 
 
 @dataclass(frozen=True, slots=True)
-class Take:
+class AcquireAddress:
     """Take the addresses: this router is Master from now on (steps 110 to 140, 375 to 395)."""
 
     vrid: int
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
+class ReleaseAddress:
     """Give the addresses up: this router is Master no longer."""
 
     vrid: int
 
 
 @dataclass(frozen=True, slots=True)
-class Moved:
+class StateChange:
     """A transition and why, for the log."""
 
     vrid: int
@@ -54,7 +54,7 @@
     at: float
 
 
-Output = Transmit | Take | GiveUp | Moved
+Output = SendAdvertisement | AcquireAddress | ReleaseAddress | StateChange
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,36 +69,36 @@
     accept: bool = True  # noted: a front that listens on the address accepts for it
 
 
-class Router:
+class VirtualRouter:
     """One virtual router at one instance; `primary` is the address that its advertisements come from."""
 
     __slots__ = (
         "_adver_due",
         "_down_due",
-        "_last",
-        "_learnt_cs",
+        "_last_now",
+        "_master_interval_cs",
+        "foreign_address_lists",
         "outputs",
         "primary",
         "priority",
         "settings",
         "since",
         "state",
-        "strangers",
     )
 
     def __init__(self, settings: RouterSettings, primary: Address) -> None:
-        if not 1 <= settings.priority <= OWNER:
+        if not 1 <= settings.priority <= OWNER_PRIORITY:
             raise ValueError(f"priority {settings.priority}; 1 to 255")
         self.settings, self.primary = settings, primary
         self.priority = settings.priority  # lowered by tracking
         self.state = State.INITIALIZE
         self.since = 0.0
         self.outputs: deque[Output] = deque()
-        self.strangers = 0  # advertisements whose addresses are not ours
-        self._learnt_cs = settings.interval_cs  # Master_Adver_Interval
+        self.foreign_address_lists = 0  # advertisements whose addresses are not ours
+        self._master_interval_cs = settings.interval_cs  # Master_Adver_Interval
         self._adver_due: float | None = None
         self._down_due: float | None = None
-        self._last = float("-inf")  # the latest time told
+        self._last_now = float("-inf")  # the latest time told
 
     # Section 6.1, all in milliseconds.
 
@@ -110,23 +110,23 @@
     @property
     def skew_ms(self) -> float:
         """Skew_Time: ((256 - priority) * Master_Adver_Interval) / 256."""
-        return (256 - self.priority) * self._learnt_cs * 10.0 / 256
+        return (256 - self.priority) * self._master_interval_cs * 10.0 / 256
 
     @property
-    def down_ms(self) -> float:
+    def master_down_ms(self) -> float:
         """Master_Down_Interval: 3 * Master_Adver_Interval + Skew_Time."""
-        return 3 * self._learnt_cs * 10.0 + self.skew_ms
+        return 3 * self._master_interval_cs * 10.0 + self.skew_ms
 
     @property
-    def learnt_cs(self) -> int:
+    def master_interval_cs(self) -> int:
         """Master_Adver_Interval: the interval that the present master advertises."""
-        return self._learnt_cs
+        return self._master_interval_cs
 
-    def due(self) -> float | None:
+    def next_due(self) -> float | None:
         """When `tick` must be called at the latest, or None."""
         return self._adver_due if self.state is State.MASTER else self._down_due
 
-    def timers(self, now: float) -> dict[str, float]:
+    def running_timers(self, now: float) -> dict[str, float]:
         """What the running timer has left, in milliseconds."""
         if self.state is State.MASTER and self._adver_due is not None:
             return {"adver": self._adver_due - now}
@@ -138,75 +138,75 @@
 
     def startup(self, now: float) -> None:
         """The Startup event (section 6.4.1)."""
-        now = self._time(now)
+        now = self._advance(now)
         if self.state is not State.INITIALIZE:
             return
-        if self.priority == OWNER:  # (105)
-            self._send(self.priority)  # (110)
+        if self.priority == OWNER_PRIORITY:  # (105)
+            self._advertise(self.priority)  # (110)
             self._adver_due = now + self.interval_ms  # (140)
-            self._move(now, State.MASTER, "startup as owner")  # (145)
+            self._change_state(now, State.MASTER, "startup as owner")  # (145)
         else:
-            self._learnt_cs = self.settings.interval_cs  # (155)
-            self._down_due = now + self.down_ms  # (160)
-            self._move(now, State.BACKUP, "startup")  # (165)
+            self._master_interval_cs = self.settings.interval_cs  # (155)
+            self._down_due = now + self.master_down_ms  # (160)
+            self._change_state(now, State.BACKUP, "startup")  # (165)
 
     def shutdown(self, now: float, cause: str = "shutdown") -> None:
         """The Shutdown event (steps 345 and 655)."""
-        now = self._time(now)
+        now = self._advance(now)
         if self.state is State.MASTER:
             self._adver_due = None  # (660)
-            self._send(RELEASE)  # (665)
-            self._move(now, State.INITIALIZE, cause)  # (670)
+            self._advertise(RELEASE_PRIORITY)  # (665)
+            self._change_state(now, State.INITIALIZE, cause)  # (670)
         elif self.state is State.BACKUP:
             self._down_due = None  # (350)
-            self._move(now, State.INITIALIZE, cause)  # (355)
+            self._change_state(now, State.INITIALIZE, cause)  # (355)
 
     def tick(self, now: float) -> None:
         """Let due timers fire."""
-        now = self._time(now)
+        now = self._advance(now)
         if self.state is State.BACKUP and self._down_due is not None and now >= self._down_due:  # (365)
-            self._send(self.priority)  # (370)
+            self._advertise(self.priority)  # (370)
             self._down_due, self._adver_due = None, now + self.interval_ms  # (400)
-            self._move(now, State.MASTER, "master down")  # (405)
+            self._change_state(now, State.MASTER, "master down")  # (405)
         elif self.state is State.MASTER and self._adver_due is not None and now >= self._adver_due:  # (680)
-            self._send(self.priority)  # (685)
+            self._advertise(self.priority)  # (685)
             self._adver_due = now + self.interval_ms  # (690)
 
-    def received(self, now: float, advert: Advertisement, sender: Address) -> None:
+    def on_advertisement(self, now: float, advert: Advertisement, sender: Address) -> None:
         """An advertisement for this router, sound by section 7.1."""
-        now = self._time(now)
+        now = self._advance(now)
         if self.state is State.INITIALIZE or sender == self.primary:
             return
         # 7.1: the owner of the addresses discards whatever comes for them.
-        if self.settings.priority == OWNER and self.priority == OWNER:
+        if self.settings.priority == OWNER_PRIORITY and self.priority == OWNER_PRIORITY:
             return
         if set(advert.addresses) != set(self.settings.addresses):
-            self.strangers += 1  # 7.1: may be checked, is told of, and is no ground to discard
+            self.foreign_address_lists += 1  # 7.1: may be checked, is told of, and is no ground to discard
         if self.state is State.BACKUP:
-            self._heard_as_backup(now, advert)
+            self._on_advertisement_as_backup(now, advert)
         else:
-            self._heard_as_master(now, advert, sender)
+            self._on_advertisement_as_master(now, advert, sender)
 
-    def _heard_as_backup(self, now: float, advert: Advertisement) -> None:  # (415)
-        if advert.priority == RELEASE:  # (420)
+    def _on_advertisement_as_backup(self, now: float, advert: Advertisement) -> None:  # (415)
+        if advert.priority == RELEASE_PRIORITY:  # (420)
             self._down_due = now + self.skew_ms  # (425)
         elif not self.settings.preempt or advert.priority >= self.priority:  # (440)
-            self._learnt_cs = advert.interval_cs  # (445)
-            self._down_due = now + self.down_ms  # (450, 455)
+            self._master_interval_cs = advert.interval_cs  # (445)
+            self._down_due = now + self.master_down_ms  # (450, 455)
 
-    def _heard_as_master(self, now: float, advert: Advertisement, sender: Address) -> None:  # (700)
-        if advert.priority == RELEASE:  # (705)
-            self._send(self.priority)  # (710)
+    def _on_advertisement_as_master(self, now: float, advert: Advertisement, sender: Address) -> None:  # (700)
+        if advert.priority == RELEASE_PRIORITY:  # (705)
+            self._advertise(self.priority)  # (710)
             self._adver_due = now + self.interval_ms  # (715)
         elif advert.priority > self.priority or (  # (730)
             advert.priority == self.priority and int(sender) > int(self.primary)
         ):  # (740)
             self._adver_due = None  # (745)
-            self._learnt_cs = advert.interval_cs  # (750)
-            self._down_due = now + self.down_ms  # (755 to 765)
-            self._move(now, State.BACKUP, f"heard {advert.priority} from {sender}")  # (770)
+            self._master_interval_cs = advert.interval_cs  # (750)
+            self._down_due = now + self.master_down_ms  # (755 to 765)
+            self._change_state(now, State.BACKUP, f"heard {advert.priority} from {sender}")  # (770)
         else:  # (775): discarded, and asserted at once, so that the other gives up
-            self._send(self.priority)
+            self._advertise(self.priority)
             self._adver_due = now + self.interval_ms
 
     def set_priority(self, now: float, priority: int) -> None:
@@ -215,17 +215,17 @@
         A master tells at once, so that better backups start their wait now and not at the next advertisement; a
         backup's running wait keeps the skew it began with, so that a change cannot put take-over off without end.
         """
-        now = self._time(now)
-        if not 1 <= priority <= OWNER:
+        now = self._advance(now)
+        if not 1 <= priority <= OWNER_PRIORITY:
             raise ValueError(f"priority {priority}; 1 to 255")
         if priority == self.priority:
             return
         self.priority = priority
         if self.state is State.MASTER:
-            self._send(priority)
+            self._advertise(priority)
             self._adver_due = now + self.interval_ms
 
-    def _time(self, now: float) -> float:
+    def _advance(self, now: float) -> float:
         """Time as told, never backwards; notices that the process slept.
 
         Guards against a woken master that advertises an address which another holds by now, and a woken backup
@@ -233,33 +233,33 @@
         since its last advertisement, the shortest Master_Down_Interval that a peer can have; a backup, once its
         timer is late by a whole one.  Whoever has slept starts to listen anew.
         """
-        if now <= self._last:
-            return self._last
-        self._last = now
+        if now <= self._last_now:
+            return self._last_now
+        self._last_now = now
         if (
             self.state is State.MASTER
             and self._adver_due is not None
             and (now - self._adver_due >= 2 * self.interval_ms)
         ):
-            self._adver_due, self._down_due = None, now + self.down_ms
-            self._move(now, State.BACKUP, "slept")
-        elif self.state is State.BACKUP and self._down_due is not None and now - self._down_due > self.down_ms:
-            self._down_due = now + self.down_ms
+            self._adver_due, self._down_due = None, now + self.master_down_ms
+            self._change_state(now, State.BACKUP, "slept")
+        elif self.state is State.BACKUP and self._down_due is not None and now - self._down_due > self.master_down_ms:
+            self._down_due = now + self.master_down_ms
         return now
 
     # Outputs.
 
-    def _send(self, priority: int) -> None:
+    def _advertise(self, priority: int) -> None:
         s = self.settings
-        self.outputs.append(Transmit(Advertisement(s.vrid, priority, s.interval_cs, s.addresses)))
+        self.outputs.append(SendAdvertisement(Advertisement(s.vrid, priority, s.interval_cs, s.addresses)))
 
-    def _move(self, now: float, after: State, cause: str) -> None:
+    def _change_state(self, now: float, after: State, cause: str) -> None:
         before, self.state, self.since = self.state, after, now
         if after is State.MASTER:
-            self.outputs.append(Take(self.settings.vrid))
+            self.outputs.append(AcquireAddress(self.settings.vrid))
         elif before is State.MASTER:
-            self.outputs.append(GiveUp(self.settings.vrid))
-        self.outputs.append(Moved(self.settings.vrid, before, after, cause, now))
+            self.outputs.append(ReleaseAddress(self.settings.vrid))
+        self.outputs.append(StateChange(self.settings.vrid, before, after, cause, now))
 
     # For exploring: what the future depends on, with times told from `now`.
 
@@ -267,11 +267,11 @@
         """A hashable picture of the state."""
         adver = None if self._adver_due is None else round(self._adver_due - now, 3)
         down = None if self._down_due is None else round(self._down_due - now, 3)
-        return (self.state, self.priority, self._learnt_cs, adver, down)
+        return (self.state, self.priority, self._master_interval_cs, adver, down)
 
-    def copy(self) -> Router:
+    def copy(self) -> VirtualRouter:
         """A copy that goes its own way; it has no outputs yet."""
-        twin = Router.__new__(Router)
+        twin = VirtualRouter.__new__(VirtualRouter)
         for name in self.__slots__:
             setattr(twin, name, getattr(self, name))
         twin.outputs = deque()
--- a/kelptrail/vrrp/tracking.py
+++ b/kelptrail/vrrp/tracking.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-MOST_DOUBLED = 8.0
+MAX_RISE_FACTOR = 8.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,32 +29,32 @@
     def __init__(self, settings: TrackSettings) -> None:
         self.settings = settings
         self.failed = False
-        self.well = True  # as last told
-        self._since = 0.0  # of what was last told
-        self._ended = float("-inf")  # of the last failure
-        self._doubled = 1.0
+        self.healthy = True  # as last told
+        self._observed_since = 0.0  # of what was last told
+        self._last_failure_end = float("-inf")  # of the last failure
+        self._rise_factor = 1.0
 
     @property
     def rise_ms(self) -> float:
         """How long all must be well now."""
-        return self.settings.rise_ms * self._doubled
+        return self.settings.rise_ms * self._rise_factor
 
-    def told(self, now: float, well: bool) -> bool:
+    def on_health(self, now: float, healthy: bool) -> bool:
         """What was seen; True where `failed` has changed."""
-        if well is not self.well:
-            self.well, self._since = well, now
-        return self.settle(now)
+        if healthy is not self.healthy:
+            self.healthy, self._observed_since = healthy, now
+        return self.on_tick(now)
 
-    def settle(self, now: float) -> bool:
+    def on_tick(self, now: float) -> bool:
         """Let time pass; True where `failed` has changed."""
-        lasted = now - self._since
-        if not self.well and not self.failed and lasted >= self.settings.fall_ms:
+        lasted = now - self._observed_since
+        if not self.healthy and not self.failed and lasted >= self.settings.fall_ms:
             self.failed = True
-            soon = self._since - self._ended < 4 * self.rise_ms
-            self._doubled = min(MOST_DOUBLED, self._doubled * 2) if soon else 1.0
+            soon = self._observed_since - self._last_failure_end < 4 * self.rise_ms
+            self._rise_factor = min(MAX_RISE_FACTOR, self._rise_factor * 2) if soon else 1.0
             return True
-        if self.well and self.failed and lasted >= self.rise_ms:
-            self.failed, self._ended = False, now
+        if self.healthy and self.failed and lasted >= self.rise_ms:
+            self.failed, self._last_failure_end = False, now
             return True
         return False
 
@@ -65,14 +65,14 @@
     def __init__(self, settings: list[TrackSettings]) -> None:
         self.tracks = {s.name: Track(s) for s in settings}
 
-    def told(self, now: float, name: str, well: bool) -> bool:
+    def on_health(self, now: float, name: str, healthy: bool) -> bool:
         """What was seen of one; unknown names are passed over.  True where a priority may change."""
         track = self.tracks.get(name)
-        return track is not None and track.told(now, well)
+        return track is not None and track.on_health(now, healthy)
 
-    def settle(self, now: float) -> bool:
+    def on_tick(self, now: float) -> bool:
         """Let time pass; True where a priority may change."""
-        changed = [track.settle(now) for track in self.tracks.values()]  # all of them, not up to the first
+        changed = [track.on_tick(now) for track in self.tracks.values()]  # all of them, not up to the first
         return True in changed
 
     def priority(self, base: int) -> int:
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -279,7 +279,7 @@
     now = led(planner, 30_000.0, 90)
     assert planner.role is Role.LEADER and planner.epoch == 1
     high = sum(planner.target["m1"].values())
-    assert high == replace(planner._needs(now, 8)[0]).instances_needed == 4
+    assert high == replace(planner._demands(now, 8)[0]).instances_needed == 4
     same = planner.counters.unchanged
     now = led(planner, now, 90)
     assert planner.counters.unchanged >= same + 10, "nothing changes, so the plan does not"
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -46,15 +46,15 @@
         port = free_port()
         old = FrontAddress("127.0.0.1", port, dispatcher.api.handle, Limits(), Silent(), linger_ms=150.0)
         new = FrontAddress("127.0.0.1", port, other.api.handle, Limits(), Silent())
-        old.take()
+        old.acquire()
         loop = asyncio.get_running_loop()
         idle, busy = await connect(f"127.0.0.1:{port}"), await connect(f"127.0.0.1:{port}")
         await loop.sock_sendall(busy, CALL)
         while not held:
             await asyncio.sleep(0.01)
-        new.take()  # two masters for a moment: both listen
+        new.acquire()  # two masters for a moment: both listen
         assert old.held and new.held
-        old.give_up(2000.0)
+        old.release(2000.0)
         assert not old.held
         late = await connect(f"127.0.0.1:{port}")
         await loop.sock_sendall(late, CALL)
@@ -68,10 +68,10 @@
         await loop.sock_sendall(idle, CALL)  # sent while the address moves away: answered, not reset
         reply = await read_reply(idle)
         assert reply.status == 503 and reply.headers["retry-after"] == "1" and not reply.keep_alive
-        await old.left()
+        await old.wait_closed()
         assert dispatcher.gateway.counts.taken == 1 and dispatcher.gateway.in_flight == 0
-        new.give_up(0.0)
-        await new.left()
+        new.release(0.0)
+        await new.wait_closed()
         for sock in (idle, busy, late):
             sock.close()
         for d in (dispatcher, other):
@@ -84,19 +84,19 @@
     async def main() -> None:
         dispatcher = Dispatcher([ScriptedWorker("w", silent)])
         front = FrontAddress("127.0.0.1", free_port(), dispatcher.api.handle, Limits(), Silent())
-        front.take()
+        front.acquire()
         assert front.server is not None
         server, address = front.server, front.server.address
         sock = await connect(address)
         await asyncio.get_running_loop().sock_sendall(sock, CALL[:40])  # half a request: the connection is busy
         await asyncio.sleep(0.05)
-        server.handle = front._moved
+        server.handle = front._reject_moved
         await asyncio.get_running_loop().sock_sendall(sock, CALL[40:])
         reply = await read_reply(sock)
         assert reply.status == 503 and reply.headers["retry-after"] == "1" and not reply.keep_alive
         assert dispatcher.gateway.counts.taken == 0
-        front.give_up(0.0)
-        await front.left()
+        front.release(0.0)
+        await front.wait_closed()
         sock.close()
         await dispatcher.server.drain(0)
 
@@ -143,7 +143,7 @@
 
         await held(True, False)
         # what does not belong is counted and changes nothing
-        counts = standings[1].vrrp.instance.counts
+        counts = standings[1].vrrp.instance.counters
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         stranger.bind(("127.0.31.1", 0))
         here = deployment.vrrp.instance[1].udp.rpartition(":")
@@ -268,13 +268,13 @@
             )
 
         old, new = address(one), address(two)
-        old.take()
+        old.acquire()
         client = Client(f"127.0.0.1:{second}")
         call = asyncio.create_task(client.infer("p/check", [tensor("INT8", [7])]))
         while not held:
             await asyncio.sleep(0.01)
-        new.take()
-        old.give_up(3000.0)
+        new.acquire()
+        old.release(3000.0)
         await asyncio.sleep(0.2)  # the warning is heard
         # What the old one took is served by it; the same client's next call goes to the new one, none fails.
         after = [await client.infer("p/check", [tensor("INT8", [n])]) for n in range(3)]
@@ -282,10 +282,10 @@
         assert two.gateway.counts.taken >= 1 and one.gateway.counts.taken + two.gateway.counts.taken == 4
         answer(*held[0])
         assert list((await call).outputs[0].contents.int_contents) == [7]
-        await old.left()
+        await old.wait_closed()
         await client.channel.close()
-        new.give_up(0.0)
-        await new.left()
+        new.release(0.0)
+        await new.wait_closed()
         for end in (one, two):
             await end.grpc.drain(0)
             await end.driver.drain(0)
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -13,19 +13,19 @@
 from kelptrail.model_checking.explorer import PropertyError
 from kelptrail.vrrp import state_machine as machine
 from kelptrail.vrrp.authentication import (
-    SEAL_ERRORS,
+    AUTHENTICATION_ERRORS,
     ForgedError,
     Key,
-    Opener,
     ReplayError,
-    Sealer,
+    Signer,
     UnknownKeyError,
     UnsealedError,
+    Verifier,
 )
 from kelptrail.vrrp.instance import Datagram, Instance
-from kelptrail.vrrp.model import Budget, explore
+from kelptrail.vrrp.model import FaultBudget, explore
 from kelptrail.vrrp.packet import (
-    ERRORS,
+    PACKET_ERRORS,
     Advertisement,
     ChecksumError,
     CountError,
@@ -42,8 +42,16 @@
     encode,
     pseudo_header,
 )
-from kelptrail.vrrp.simulation import SimulatedNetwork, failovers
-from kelptrail.vrrp.state_machine import GiveUp, Moved, Router, RouterSettings, State, Take, Transmit
+from kelptrail.vrrp.simulation import SimulatedNetwork, simulate_failovers
+from kelptrail.vrrp.state_machine import (
+    AcquireAddress,
+    ReleaseAddress,
+    RouterSettings,
+    SendAdvertisement,
+    State,
+    StateChange,
+    VirtualRouter,
+)
 from kelptrail.vrrp.tracking import Track, TrackSettings
 
 A, B, C = (ip_address(f"127.0.1.{n}") for n in (1, 2, 3))
@@ -119,7 +127,7 @@
         try:
             decode(tried, *ends)
         except PacketError as cause:
-            assert type(cause) in ERRORS
+            assert type(cause) in PACKET_ERRORS
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
@@ -138,8 +146,8 @@
 
 
 def test_no_bytes_end_in_anything_but_a_named_error() -> None:
-    chance, sound, sealer = random.Random(2), encode(advert(), A, B), Sealer(Key(1, b"k"), 1, A)
-    opener = Opener((Key(1, b"k"),))
+    chance, sound, sealer = random.Random(2), encode(advert(), A, B), Signer(Key(1, b"k"), 1, A)
+    opener = Verifier((Key(1, b"k"),))
     named = 0
     for n in range(20_000):
         data = bytearray(sound if n % 2 else chance.randbytes(chance.randint(0, 80)))
@@ -149,43 +157,43 @@
         try:
             decode(bytes(data[: chance.randint(0, len(data))] if n % 3 == 0 else data), A, B)
         except PacketError as cause:
-            assert type(cause) in ERRORS
+            assert type(cause) in PACKET_ERRORS
             named += 1
-        sealed = bytearray(sealer.seal(sound))
+        sealed = bytearray(sealer.sign(sound))
         sealed[chance.randrange(len(sealed))] ^= 1 << chance.randrange(8)
         with pytest.raises(PacketError) as caught:
-            opener.open(bytes(sealed), A)
-        assert type(caught.value) in SEAL_ERRORS
+            opener.verify(bytes(sealed), A)
+        assert type(caught.value) in AUTHENTICATION_ERRORS
     assert named > 15_000
 
 
 def test_seals_keys_and_replays() -> None:
     old, new = Key(1, b"old"), Key(2, b"new")
     data = encode(advert(), A, B)
-    first, second = Sealer(old, 5, A), Sealer(new, 5, B)
-    both = Opener((new, old))
-    one = first.seal(data)
-    assert both.open(one, A) == data and both.open(second.seal(data), B) == data, "two keys live"
+    first, second = Signer(old, 5, A), Signer(new, 5, B)
+    both = Verifier((new, old))
+    one = first.sign(data)
+    assert both.verify(one, A) == data and both.verify(second.sign(data), B) == data, "two keys live"
     for bad, error in ((one, ReplayError), (data, UnsealedError)):
         with pytest.raises(error):
-            both.open(bad, A)
+            both.verify(bad, A)
     with pytest.raises(ForgedError):
-        both.open(first.seal(data), B)  # another's packet
+        both.verify(first.sign(data), B)  # another's packet
     with pytest.raises(UnknownKeyError):
-        Opener((new,)).open(first.seal(data), A)
-    both.open(Sealer(old, 6, A).seal(data), A)  # started again
+        Verifier((new,)).verify(first.sign(data), A)
+    both.verify(Signer(old, 6, A).sign(data), A)  # started again
     with pytest.raises(ReplayError):
-        both.open(first.seal(data), A)
+        both.verify(first.sign(data), A)
 
 
 # The state machine.
 
 
-def router(priority: int = 100, preempt: bool = True, interval: int = 100, here=A) -> Router:
-    return Router(RouterSettings(1, priority, FRONT, interval, preempt), here)
+def router(priority: int = 100, preempt: bool = True, interval: int = 100, here=A) -> VirtualRouter:
+    return VirtualRouter(RouterSettings(1, priority, FRONT, interval, preempt), here)
 
 
-def pull(r: Router) -> list[object]:
+def pull(r: VirtualRouter) -> list[object]:
     out = list(r.outputs)
     r.outputs.clear()
     return out
@@ -194,23 +202,31 @@
 def test_startup_backup_and_master_down_with_skew() -> None:
     r = router(100)
     r.startup(1000.0)
-    assert r.state is State.BACKUP and pull(r) == [Moved(1, State.INITIALIZE, State.BACKUP, "startup", 1000.0)]
-    assert r.skew_ms == 156 * 1000 / 256 and r.down_ms == 3000 + r.skew_ms and r.due() == 1000 + r.down_ms
-    r.tick(r.due() - 0.1)
+    assert r.state is State.BACKUP and pull(r) == [StateChange(1, State.INITIALIZE, State.BACKUP, "startup", 1000.0)]
+    assert (
+        r.skew_ms == 156 * 1000 / 256
+        and r.master_down_ms == 3000 + r.skew_ms
+        and r.next_due() == 1000 + r.master_down_ms
+    )
+    r.tick(r.next_due() - 0.1)
     assert r.state is State.BACKUP
-    due = r.due()
+    due = r.next_due()
     r.tick(due)
     out = pull(r)
-    assert out[:2] == [Transmit(advert(100)), Take(1)] and r.state is State.MASTER and r.due() == due + 1000
+    assert (
+        out[:2] == [SendAdvertisement(advert(100)), AcquireAddress(1)]
+        and r.state is State.MASTER
+        and r.next_due() == due + 1000
+    )
     r.tick(due + 1000)
-    assert pull(r) == [Transmit(advert(100))] and r.timers(due + 1500) == {"adver": 500.0}
+    assert pull(r) == [SendAdvertisement(advert(100))] and r.running_timers(due + 1500) == {"adver": 500.0}
 
 
 def test_the_owner_starts_as_master_and_hears_nobody() -> None:
     r = router(255)
     r.startup(0.0)
-    assert r.state is State.MASTER and pull(r)[:2] == [Transmit(advert(255)), Take(1)]
-    r.received(10.0, advert(255), C)
+    assert r.state is State.MASTER and pull(r)[:2] == [SendAdvertisement(advert(255)), AcquireAddress(1)]
+    r.on_advertisement(10.0, advert(255), C)
     assert r.state is State.MASTER and not pull(r)
 
 
@@ -220,20 +236,20 @@
 def test_a_backup_hears_whom_it_should(heard: int, preempt: bool, resets: bool) -> None:
     r = router(100, preempt)
     r.startup(0.0)
-    before = r.due()
-    r.received(500.0, advert(heard, interval=50), B)
+    before = r.next_due()
+    r.on_advertisement(500.0, advert(heard, interval=50), B)
     if resets:  # the interval is learnt from the master
-        assert r.learnt_cs == 50 and r.due() == 500 + 1500 + 156 * 500 / 256
+        assert r.master_interval_cs == 50 and r.next_due() == 500 + 1500 + 156 * 500 / 256
     else:
-        assert r.due() == before and r.learnt_cs == 100
-    r.received(600.0, advert(0), B)
-    assert r.due() == 600 + r.skew_ms, "a release: take over after the skew"
+        assert r.next_due() == before and r.master_interval_cs == 100
+    r.on_advertisement(600.0, advert(0), B)
+    assert r.next_due() == 600 + r.skew_ms, "a release: take over after the skew"
 
 
-def master(priority: int = 100, here=A) -> Router:
+def master(priority: int = 100, here=A) -> VirtualRouter:
     r = router(priority, here=here)
     r.startup(0.0)
-    r.tick(r.due())
+    r.tick(r.next_due())
     pull(r)
     return r
 
@@ -244,54 +260,58 @@
 )
 def test_a_master_yields_to_the_better_and_asserts_itself_to_others(heard: int, sender, yields: bool) -> None:
     r = master()
-    now = r.due() - 400
-    r.received(now, advert(heard, interval=20), sender)
+    now = r.next_due() - 400
+    r.on_advertisement(now, advert(heard, interval=20), sender)
     out = pull(r)
     if yields:
-        assert r.state is State.BACKUP and out[0] == GiveUp(1) and r.learnt_cs == 20
-        assert r.due() == now + 600 + 156 * 200 / 256
+        assert r.state is State.BACKUP and out[0] == ReleaseAddress(1) and r.master_interval_cs == 20
+        assert r.next_due() == now + 600 + 156 * 200 / 256
     else:
-        assert out == [Transmit(advert(100))] and r.due() == now + 1000
+        assert out == [SendAdvertisement(advert(100))] and r.next_due() == now + 1000
 
 
 def test_release_shutdown_and_messages_to_a_master() -> None:
     r = master()
-    now = r.due() - 100
-    r.received(now, advert(0), B)
-    assert pull(r) == [Transmit(advert(100))] and r.due() == now + 1000
-    r.received(now, advert(200), A)  # its own packet
+    now = r.next_due() - 100
+    r.on_advertisement(now, advert(0), B)
+    assert pull(r) == [SendAdvertisement(advert(100))] and r.next_due() == now + 1000
+    r.on_advertisement(now, advert(200), A)  # its own packet
     assert r.state is State.MASTER
     r.shutdown(now + 1)
-    assert pull(r)[:2] == [Transmit(advert(0)), GiveUp(1)] and r.state is State.INITIALIZE and r.due() is None
-    r.received(now + 2, advert(200), B)
+    assert (
+        pull(r)[:2] == [SendAdvertisement(advert(0)), ReleaseAddress(1)]
+        and r.state is State.INITIALIZE
+        and r.next_due() is None
+    )
+    r.on_advertisement(now + 2, advert(200), B)
     assert not pull(r)
 
 
 def test_a_master_that_slept_listens_before_it_advertises() -> None:
     r = master(200)
-    r.tick(r.due() + 5000)
-    assert r.state is State.BACKUP and not any(isinstance(o, Transmit) for o in pull(r))
+    r.tick(r.next_due() + 5000)
+    assert r.state is State.BACKUP and not any(isinstance(o, SendAdvertisement) for o in pull(r))
     backup = router(100)
     backup.startup(0.0)
     backup.tick(20_000.0)
     assert backup.state is State.BACKUP, "what lay unread may tell of a master"
-    backup.tick(backup.due())
+    backup.tick(backup.next_due())
     assert backup.state is State.MASTER
 
 
 def test_a_clock_told_backwards_changes_nothing() -> None:
     r = master()
-    due = r.due()
+    due = r.next_due()
     r.tick(due - 5000)
-    r.received(due - 6000, advert(50), B)
-    assert r.state is State.MASTER and r.due() >= due
+    r.on_advertisement(due - 6000, advert(50), B)
+    assert r.state is State.MASTER and r.next_due() >= due
 
 
 def test_wrong_addresses_are_counted_and_heard() -> None:
     r = router(100)
     r.startup(0.0)
-    r.received(10.0, Advertisement(1, 150, 100, (C,)), B)
-    assert r.strangers == 1 and r.due() == 10 + r.down_ms
+    r.on_advertisement(10.0, Advertisement(1, 150, 100, (C,)), B)
+    assert r.foreign_address_lists == 1 and r.next_due() == 10 + r.master_down_ms
 
 
 # Tracking.
@@ -299,23 +319,23 @@
 
 def test_tracking_has_hysteresis_and_flaps_wait_longer() -> None:
     track = Track(TrackSettings("workers", 120, 500.0, 2000.0))
-    assert not track.told(0.0, False) and not track.told(400.0, False) and track.told(500.0, False)
-    assert not track.told(600.0, True) and not track.told(2500.0, True) and track.told(2600.0, True)
-    assert track.told(2700.0, False) is False and track.told(3300.0, False) and track.failed
+    assert not track.on_health(0.0, False) and not track.on_health(400.0, False) and track.on_health(500.0, False)
+    assert not track.on_health(600.0, True) and not track.on_health(2500.0, True) and track.on_health(2600.0, True)
+    assert track.on_health(2700.0, False) is False and track.on_health(3300.0, False) and track.failed
     assert track.rise_ms == 4000.0, "it failed again soon"
-    assert not track.told(3400.0, True) and not track.settle(7300.0) and track.settle(7400.0)
+    assert not track.on_health(3400.0, True) and not track.on_tick(7300.0) and track.on_tick(7400.0)
 
 
 def test_a_master_that_loses_its_workers_hands_over_in_bounded_time_and_does_not_flap() -> None:
     sea = SimulatedNetwork(1, [(A, 200), (B, 150), (C, 100)], tracks=[TrackSettings("workers", 120, 500.0, 2000.0)])
     sea.run(6000.0)
     assert sea.holders() == [A]
-    sea.instances[A].told(sea.now, "workers", False)
+    sea.instances[A].on_health(sea.now, "workers", False)
     began, moves = sea.now, len(sea.moves)
     sea.run(500.0 + 100 + 3 * 1000 + 1000)
     assert sea.holders() == [B] and sea.moves[-1][0] - began < 500 + 3000 + 1000
     for n in range(40):  # its links flap every 300 ms
-        sea.instances[A].told(sea.now, "workers", bool(n % 2))
+        sea.instances[A].on_health(sea.now, "workers", bool(n % 2))
         sea.run(300.0)
     assert sea.holders() == [B] and len(sea.moves) - moves <= 3
 
@@ -323,11 +343,11 @@
 def test_release_by_tracking_takes_a_skew() -> None:
     sea = SimulatedNetwork(2, [(A, 200), (B, 150)], tracks=[TrackSettings("workers", 0, 100.0, 500.0, release=True)])
     sea.run(6000.0)
-    sea.instances[A].told(sea.now, "workers", False)
+    sea.instances[A].on_health(sea.now, "workers", False)
     began = sea.now
     sea.run(100 + 106 * 1000 / 256 + 50)
     assert sea.holders() == [B] and sea.moves[-1][0] - began < 600
-    sea.instances[A].told(sea.now, "workers", True)
+    sea.instances[A].on_health(sea.now, "workers", True)
     sea.run(6000.0)
     assert sea.holders() == [A]
 
@@ -347,8 +367,8 @@
         (encode(advert(), A, A), A, 255),
         (encode(advert(interval=50), B, A), B, 255),
     ):
-        one.received(1.0, data, sender, hops)
-    assert dict(+one.counts) == {
+        one.on_datagram(1.0, data, sender, hops)
+    assert dict(+one.counters) == {
         "received": 6,
         "VersionError": 1,
         "HopsError": 1,
@@ -368,7 +388,7 @@
 
 
 def cores(*priorities: int, preempt: bool = True):
-    def make() -> list[Router]:
+    def make() -> list[VirtualRouter]:
         return [router(p, preempt, here=ip_address(f"127.0.1.{n + 1}")) for n, p in enumerate(priorities)]
 
     return make
@@ -377,14 +397,14 @@
 @pytest.mark.parametrize(
     ("make", "budget", "depth"),
     [
-        (cores(200, 100), Budget(), 8),
-        (cores(100, 100), Budget(), 7),
-        (cores(200, 100, preempt=False), Budget(), 8),
-        (cores(255, 100), Budget(), 8),
-        (cores(200, 150, 100), Budget(drops=1, copies=0, crashes=1, pauses=1, delay=1), 5),
+        (cores(200, 100), FaultBudget(), 8),
+        (cores(100, 100), FaultBudget(), 7),
+        (cores(200, 100, preempt=False), FaultBudget(), 8),
+        (cores(255, 100), FaultBudget(), 8),
+        (cores(200, 150, 100), FaultBudget(drops=1, duplicates=0, crashes=1, pauses=1, delay=1), 5),
     ],
 )
-def test_explored_products_keep_their_properties(make, budget: Budget, depth: int) -> None:
+def test_explored_products_keep_their_properties(make, budget: FaultBudget, depth: int) -> None:
     found = explore(make, budget, depth, 100_000, 9000.0)
     assert found.whole and found.states > 500 and found.two_masters > 0, found
 
@@ -395,31 +415,31 @@
 
 def broken_backup(self, now, advert) -> None:
     """A backup that waits on for ever for whoever speaks, also lower ones."""
-    self._down_due = now + self.down_ms
+    self._down_due = now + self.master_down_ms
 
 
 def broken_take(self, now, after, cause) -> None:
     """A move to Master that forgets to take the address."""
     before, self.state = self.state, after
     if before is State.MASTER:
-        self.outputs.append(GiveUp(1))
+        self.outputs.append(ReleaseAddress(1))
 
 
 @pytest.mark.parametrize(
     ("name", "instead", "message"),
     [
-        ("_heard_as_master", broken_yield, "2 masters"),
-        ("_heard_as_backup", broken_backup, "has the higher priority"),
-        ("_move", broken_take, "does not hold the address"),
+        ("_on_advertisement_as_master", broken_yield, "2 masters"),
+        ("_on_advertisement_as_backup", broken_backup, "has the higher priority"),
+        ("_change_state", broken_take, "does not hold the address"),
     ],
 )
 def test_a_broken_transition_is_found(monkeypatch, name: str, instead, message: str) -> None:
-    monkeypatch.setattr(machine.Router, name, instead)
+    monkeypatch.setattr(machine.VirtualRouter, name, instead)
     with pytest.raises(PropertyError, match=message):
-        explore(cores(200, 100), Budget(), 9, 40_000, 9000.0)
+        explore(cores(200, 100), FaultBudget(), 9, 40_000, 9000.0)
 
 
 def test_seeded_failovers_stay_within_the_bound() -> None:
-    found = failovers(range(60))
+    found = simulate_failovers(range(60))
     assert found.failovers == 60 and not found.broken, found.broken[:3]
     assert found.worst_ratio <= 1.0
--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -246,7 +246,7 @@
     inputs = b'{"inputs":[{"name":"x","datatype":"INT32","shape":[2],"data":[1,2]}],"parameters":{"own":"v","limit":1}}'
     head: dict[str, str | int | float | bool] = {"limit": 1500, "again": True}
     tensor = JsonTensor("y", "FP32", [2], [0.5, 1.5], {"p": "q"})
-    sealer = vrrp_seal.Sealer(KEYS[0], 99, V4[0])
+    sealer = vrrp_seal.Signer(KEYS[0], 99, V4[0])
     advert = vrrp_packet.Advertisement(51, 200, 100, (ip_address("192.0.2.10"), ip_address("192.0.2.11")))
     advert_6 = vrrp_packet.Advertisement(52, 0, 4095, (ip_address("fe80::10"), ip_address("2001:db8::10")))
     packet = vrrp_packet.encode(advert, *V4)
@@ -283,8 +283,8 @@
         "vrrp/v4": packet,
         "vrrp/v4-no-pseudo-header": vrrp_packet.encode(advert, *V4, False),
         "vrrp/v6-release": vrrp_packet.encode(advert_6, *V6),
-        "vrrp/sealed": sealer.seal(packet),
-        "vrrp/sealed-next": sealer.seal(packet),
+        "vrrp/sealed": sealer.sign(packet),
+        "vrrp/sealed-next": sealer.sign(packet),
         "invoke/error": views.error("no such action", "0a0b", extra=1),
     }
     for name, record in records().items():
@@ -352,7 +352,7 @@
     if kind == "vrrp v6":
         return plain(vrrp_packet.decode(data, *V6))
     if kind == "seal":
-        return plain(vrrp_seal.Opener(KEYS).open(data, V4[0]))
+        return plain(vrrp_seal.Verifier(KEYS).verify(data, V4[0]))
     assert kind == "worker list"
     return plain(msgspec.json.decode(data, type=members.EndpointList))
 
