--- a/kelptrail/planner/channel.py
+++ b/kelptrail/planner/channel.py
@@ -1,13 +1,14 @@
-"""What edges and planners say to each other on the channel between peers; free of I/O.
+"""The messages between edges and planners, and both ends' protocol state; free of I/O.
 
-An edge reports at a bounded rate; what could not be sent adds up and goes with the next report.  A planner has one plan
-out at an edge at a time: what is newer waits and takes the place of what waited, so a slow edge costs one plan of
-memory.  Heartbeats both ways tell a dead connection, and the edge which planner acts.
+An edge reports at a bounded rate; counters that could not be sent are added to the next report.  A planner has one plan
+in flight to an edge at a time: a newer plan replaces the one that waits, so a slow edge costs the memory of one plan.
+Heartbeats in both directions detect a dead connection, and tell the edge which planner leads.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection
+from enum import Enum
 
 import msgspec
 
@@ -15,11 +16,11 @@
 from kelptrail.peers.messages import VERSION, ChannelError, Heartbeat, Hello, decoder, frame
 
 from .plan import InstanceCounts, Plan, PlanError, PlanOrder, decode_plan, encode_plan
-from .plan_follower import PlanState
+from .plan_follower import PlanState, RefusalReason
 
 
 class UsageReport(msgspec.Struct, frozen=True, tag="report", array_like=True):
-    """An edge's counts since its last report, and changes in the copies that it believes in (`whole`: all of them)."""
+    """An edge's counters since its last report, and changes of the loaded instances (`complete`: all of them)."""
 
     order: PlanOrder
     leader_silent_ms: float
@@ -35,7 +36,7 @@
 
 
 class PlanReply(msgspec.Struct, frozen=True, tag="reply", array_like=True):
-    """What became of a plan: `reason` empty where it was taken."""
+    """The answer to a plan: `reason` is empty if it was accepted, else a `RefusalReason` value."""
 
     order: PlanOrder
     reason: str = ""
@@ -44,10 +45,18 @@
 
 Message = Hello | Heartbeat | UsageReport | PlanOffer | PlanReply
 READ = decoder(UsageReport, PlanOffer, PlanReply)
+MAX_NAME = 200  # characters of an edge's name
+
+
+class PlanResult(Enum):
+    """What an edge did with a plan."""
+
+    ACCEPTED = "accepted"
+    REFUSED = "refused"
 
 
 class EdgeChannel:
-    """An edge's end of one connection to a planner; several links share one follower and one `Led`."""
+    """An edge's end of one connection to a planner; all of an edge share one `PlanState` and one `LeaderContact`."""
 
     def __init__(
         self,
@@ -61,16 +70,16 @@
         self._plan_state, self._leader_contact, self._report_ms = plan_state, leader_contact, report_ms
         self.output: list[bytes] = [frame(Hello(VERSION, name, lineage, plan_state.fence))]
         self._counters: dict[str, FunctionCounters] = {}  # since the last report on this connection
-        self._reported: InstanceCounts | None = None  # copies as the planner knows them; None: nothing yet
+        self._reported: InstanceCounts | None = None  # what the planner knows; None: nothing yet
         self._next_report_ms = now
         self.last_heard = now
         self.planner = ""
-        self.writing = False  # by the host: some of the output is on its way
+        self.writing = False  # set by the driver: some of the output is being sent
 
     def on_message(
         self, now: float, message: Message, live: Collection[str], endpoints_version: tuple[str, int]
-    ) -> str:
-        """A message from the planner: "" or "taken", "refused"."""
+    ) -> PlanResult | None:
+        """Process a message; returns the result if it was a plan.  Raises `ChannelError` for a planner's messages."""
         self.last_heard = now
         if isinstance(message, Hello):
             self.planner = message.who
@@ -81,66 +90,70 @@
             return self._on_plan(now, message.data, live, endpoints_version)
         else:
             raise ChannelError(f"{type(message).__name__} is not for an edge")
-        return ""
+        return None
 
-    def _on_plan(self, now: float, data: bytes, live: Collection[str], endpoints_version: tuple[str, int]) -> str:
+    def _on_plan(
+        self, now: float, data: bytes, live: Collection[str], endpoints_version: tuple[str, int]
+    ) -> PlanResult:
         try:
             packet = decode_plan(data)
         except PlanError as cause:
-            self.output.append(frame(PlanReply(self._plan_state.fence, "digest", str(cause))))
-            return "refused"
-        report = self._plan_state.on_plan(now, packet, live, endpoints_version)
-        if report is None:
+            self.output.append(frame(PlanReply(self._plan_state.fence, RefusalReason.DIGEST.value, str(cause))))
+            return PlanResult.REFUSED
+        refusal = self._plan_state.on_plan(now, packet, live, endpoints_version)
+        if refusal is None:
             self._leader_contact.last_ms = now
             self.output.append(frame(PlanReply(packet.header.order)))
-            return "taken"
-        self.output.append(frame(PlanReply(self._plan_state.fence, report.reason.value, report.text)))
-        return "refused"
+            return PlanResult.ACCEPTED
+        self.output.append(frame(PlanReply(self._plan_state.fence, refusal.reason.value, refusal.text)))
+        return PlanResult.REFUSED
 
     def report_due(self, now: float) -> bool:
-        """Whether a report may go."""
+        """Whether the report interval has passed."""
         return now >= self._next_report_ms
 
     def add_counters(self, counters: dict[str, FunctionCounters]) -> None:
-        """What was asked of functions; it goes with the next report.  Each link counts for itself: planners that are
-        told at different moments must each hear all of it."""
-        for model, tally in counters.items():
-            self._counters[model] = self._counters.get(model, FunctionCounters()).plus(tally)
+        """Add to the next report.  Each connection counts for itself: every planner must get all requests, though they
+        get their reports at different moments."""
+        for model, counted in counters.items():
+            self._counters[model] = self._counters.get(model, FunctionCounters()).plus(counted)
 
     def queue_report(self, now: float, loaded: InstanceCounts) -> None:
-        """Put a report into the output."""
+        """Queue a report; it has only what changed since the last one."""
         self._next_report_ms = now + self._report_ms
         before = self._reported
-        moved = (
-            loaded
-            if before is None
-            else {
-                m: changes
-                for m in before.keys() | loaded.keys()
-                if (changes := _changed_counts(before.get(m, {}), loaded.get(m, {})))
-            }
-        )
+        changed = loaded if before is None else _changed_instances(before, loaded)
         self._reported = loaded
-        counts, self._counters = self._counters, {}
-        self.output.append(
-            frame(
-                UsageReport(self._plan_state.fence, self._leader_contact.silent_ms(now), counts, moved, before is None)
-            )
-        )
+        counters, self._counters = self._counters, {}
+        silent_ms = self._leader_contact.silent_ms(now)
+        self.output.append(frame(UsageReport(self._plan_state.fence, silent_ms, counters, changed, before is None)))
+
+
+def _changed_instances(before: InstanceCounts, after: InstanceCounts) -> InstanceCounts:
+    return {
+        model: changed
+        for model in before.keys() | after.keys()
+        if (changed := _changed_counts(before.get(model, {}), after.get(model, {})))
+    }
 
 
 def _changed_counts(before: dict[str, int], after: dict[str, int]) -> dict[str, int]:
-    return {w: after.get(w, 0) for w in before.keys() | after.keys() if before.get(w) != after.get(w)}
+    """Differs from `plan.difference` in that a worker which appears with 0 instances is a change."""
+    return {
+        worker: after.get(worker, 0)
+        for worker in before.keys() | after.keys()
+        if before.get(worker) != after.get(worker)
+    }
 
 
 class LeaderContact:
-    """When an edge last heard from a planner that acts."""
+    """When an edge last heard from the planner that leads."""
 
     def __init__(self, now: float) -> None:
         self.last_ms = now
 
     def silent_ms(self, now: float) -> float:
-        """Since then."""
+        """Milliseconds since then."""
         return now - self.last_ms
 
 
@@ -151,18 +164,18 @@
         self._lineage = lineage
         self.output: list[bytes] = [frame(Hello(VERSION, name, lineage))]
         self.edge = ""
-        self.loaded: InstanceCounts = {}  # of the edge, joined from its changes
-        self._waiting: tuple[Plan, float] | None = None  # and when it was made
-        self._last_accepted: Plan | None = None  # the last that the edge took
+        self.loaded: InstanceCounts = {}  # by the edge, accumulated from its reports
+        self._waiting: tuple[Plan, float] | None = None  # with the time it was made
+        self._last_accepted: Plan | None = None  # the base of the next difference; None: the next plan goes complete
         self._in_flight: Plan | None = None
 
     def on_message(self, message: Message) -> Message:
-        """A message from the edge, checked; of a report the copies are joined into `standing`."""
+        """Check and process a message from the edge; a report updates `loaded`.  Raises `ChannelError`."""
         if isinstance(message, Hello):
             if message.lineage != self._lineage:
                 raise ChannelError(f"lineage {message.lineage!r}, not {self._lineage!r}")
-            if not message.who or len(message.who) > 200:
-                raise ChannelError("an edge says who it is")
+            if not message.who or len(message.who) > MAX_NAME:
+                raise ChannelError(f"an edge gives its name, of at most {MAX_NAME} characters")
             self.edge = message.who
         elif isinstance(message, UsageReport):
             if message.complete:
@@ -174,18 +187,18 @@
             if self._in_flight is not None and not message.reason and message.order == self._in_flight.header.order:
                 self._last_accepted = self._in_flight
             else:
-                self._last_accepted = None  # the next one goes whole
+                self._last_accepted = None
             self._in_flight = None
         elif not isinstance(message, Heartbeat):
             raise ChannelError(f"{type(message).__name__} is not for a planner")
         return message
 
     def offer_plan(self, plan: Plan, made: float) -> None:
-        """A plan for this edge; it takes the place of one that still waits."""
+        """Queue a plan for this edge; it replaces one that still waits."""
         self._waiting = plan, made
 
     def queue_next_plan(self, now: float) -> bool:
-        """Put what waits into the output, if nothing is under way."""
+        """Move the waiting plan to the output unless one is in flight; True if it did."""
         if self._waiting is None or self._in_flight is not None:
             return False
         (plan, made), self._waiting = self._waiting, None
--- a/kelptrail/planner/core.py
+++ b/kelptrail/planner/core.py
@@ -1,9 +1,10 @@
 """The planner: from what edges report to plans, free of I/O, clocks and chance.
 
-Told of the list, of reports, of edges that come and go; pulled for problems to solve (by whoever has a process for it)
-and for plans to send.  Who acts is not decided here: a planner leads from when it is told a lease's token until it is
-told that it holds it no more, and hears the edges all the while.  Every plan carries the token, and edges take none
-under an older one than they have seen; a planner that learns of a later one from an edge stands down at once.
+Endpoint lists, usage reports and edges that connect or go come in as events; the driver asks for the next problem to
+solve and for the plans to send.  Leadership is not decided here: a planner leads from the event that it acquired the
+lease to the event that it lost it, and receives reports all the while.  Every plan carries the lease's fencing token.
+Edges accept no plan with an older token than they have seen; a planner that learns of a later one from an edge stops
+leading at once.
 """
 
 from __future__ import annotations
@@ -13,13 +14,17 @@
 
 from kelptrail.gateway.counters import FunctionCounters
 
-from .demand import Demand
+from .demand import Demand, FunctionLoad
 from .placement import FunctionDemand, Placement, WorkerCapacity
 from .plan import BEFORE_ALL_PLANS, InstanceCounts, Plan, PlanOrder, difference, make_plan
 
+LOADED_VALID_MS = 30_000.0  # how long a reported instance counts as loaded
+RETRY_MS = 500.0  # until the next plan when an edge refused one over its workers
+DEFAULT_WORK_MS = 100.0  # of a call, while none has been measured
+
 
 class Role(Enum):
-    """What a planner is doing."""
+    """Whether a planner makes plans; the values are shown to operators."""
 
     STANDBY = "standby"
     LEADER = "acting"
@@ -27,9 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerSettings:
-    """Times in milliseconds.  `moves_share` and `moves_least`: new copies that a plan may bring, as a share of the
-    calls that the next minute brings and at least; `down_ms`: how long less must have been asked for before copies
-    go."""
+    """Times in milliseconds.  A plan may bring as many new instances as `new_instances_share` of the calls expected in
+    the next minute, and `new_instances_min` at least.  `scale_down_ms`: how long demand must have been lower before a
+    function's instances are reduced."""
 
     lineage: str
     interval_ms: float = 5000.0
@@ -37,14 +42,14 @@
     scale_down_ms: float = 60_000.0
     new_instances_share: float = 0.05
     new_instances_min: int = 8
-    interest_ms: float = 120_000.0  # an edge is told of the functions that it asked for within this time
-    min_rate: float = 0.05  # calls a second, below which no copy is planned
-    edge_timeout_ms: float = 3000.0  # an edge that has not been heard of for so long has gone
+    interest_ms: float = 120_000.0  # an edge gets plans for the functions that it requested within this time
+    min_rate: float = 0.05  # calls a second, below which no instance is planned
+    edge_timeout_ms: float = 3000.0  # an edge that sent no report for so long is dropped
 
 
 @dataclass(frozen=True, slots=True)
 class FunctionProfile:
-    """What the settings say of a function."""
+    """What the settings say about a function."""
 
     memory_mb: float
     concurrency: int
@@ -54,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementProblem:
-    """What a solver is asked."""
+    """One placement to solve.  `budget`: new instances allowed."""
 
     number: int
     workers: list[WorkerCapacity]
@@ -65,7 +70,7 @@
 
 @dataclass(slots=True)
 class Edge:
-    """What is known of one edge."""
+    """What is known about one edge."""
 
     name: str
     last_heard_ms: float
@@ -74,17 +79,17 @@
 
 @dataclass(slots=True)
 class PlannerCounters:
-    """What has happened."""
+    """What this planner has done since its start."""
 
     plans: int = 0
-    unchanged: int = 0  # plans that said what the one before said
+    unchanged: int = 0  # plans equal to the one before
     by_solver: dict[str, int] = field(default_factory=dict)
     refusals: dict[str, int] = field(default_factory=dict)
     new_instances: int = 0
 
 
 class Planner:
-    """One planner's mind."""
+    """One planner's decisions.  All times are milliseconds of the caller's clock."""
 
     def __init__(self, name: str, settings: PlannerSettings, profiles: dict[str, FunctionProfile], now: float) -> None:
         self.name, self._settings, self._profiles = name, settings, profiles
@@ -94,39 +99,41 @@
         self.endpoints_version: tuple[str, int] = ("", -1)
         self.edges: dict[str, Edge] = {}
         self.target: InstanceCounts = {}
-        self._loaded: dict[str, dict[str, tuple[int, float]]] = {}  # model: worker: copies, and when it was told
+        self._loaded: dict[
+            str, dict[str, tuple[int, float]]
+        ] = {}  # by model and worker: instances, and when they were reported
         self._next_problem_ms = now
-        self._open_problem: int | None = None  # the problem that is being solved
+        self._open_problem: int | None = None  # number of the problem that is being solved
         self._plan_made_ms = now
-        self._edges_to_update: set[str] = set()  # edges that are to be sent a plan
+        self._edges_to_update: set[str] = set()  # edges that a new plan is to be sent to
         self.counters = PlannerCounters()
 
     # Inputs.
 
     def on_endpoints(self, now: float, workers: list[WorkerCapacity], version: tuple[str, int]) -> None:
-        """The worker list: those that are live.  A plan that names others is made anew at once."""
+        """A new endpoint list; `workers` are its live ones.  If the plan names others, a new one is made at once."""
         self.workers, self.endpoints_version = workers, version
-        live = {h.id for h in workers}
-        for at in self._loaded.values():
-            for worker in [w for w in at if w not in live]:
-                del at[worker]
-        if any(worker not in live for at in self.target.values() for worker in at):
+        live = {worker.id for worker in workers}
+        for by_worker in self._loaded.values():
+            for worker in [worker for worker in by_worker if worker not in live]:
+                del by_worker[worker]
+        if any(worker not in live for by_worker in self.target.values() for worker in by_worker):
             self._next_problem_ms = min(self._next_problem_ms, now)
 
     def on_lease_acquired(self, now: float, epoch: int, owner: str) -> None:
-        """A lease is held: plans are made under its token, the two."""
+        """The lease is held under the fencing token of `epoch` and `owner`, which all plans carry from now on."""
         self.role, self.epoch, self.owner = Role.LEADER, epoch, owner
         self._last_number, self._next_problem_ms, self._open_problem = 0, now, None
 
     def on_lease_lost(self) -> None:
-        """It is not held any more."""
+        """The lease is not held any more: no plan is made or sent until it is held again."""
         self.role = Role.STANDBY
         self._edges_to_update.clear()
 
     def on_report(
         self, now: float, edge: str, order: PlanOrder, counters: dict[str, FunctionCounters], loaded: InstanceCounts
     ) -> None:
-        """An edge's report.  `order`: the latest plan it has seen; `standing`: copies as it believes in them."""
+        """An edge's usage.  `order`: the latest plan it has seen; `loaded`: instances that it believes to be loaded."""
         mine = self.edges.get(edge)
         if mine is None:
             mine = self.edges[edge] = Edge(edge, now)
@@ -145,7 +152,7 @@
             self._edges_to_update.add(edge)
 
     def on_plan_refused(self, now: float, edge: str, reason: str, order: PlanOrder) -> None:
-        """An edge did not take a plan: it gets a whole one, made anew where workers were the reason."""
+        """An edge refused a plan: it gets a complete one, made anew where workers were the reason."""
         self.counters.refusals[reason] = self.counters.refusals.get(reason, 0) + 1
         mine = self.edges.get(edge)
         if mine is None:
@@ -153,7 +160,7 @@
         mine.plan_order = max(mine.plan_order, order)
         self._check_fence(order)
         if reason == "workers":
-            self._next_problem_ms = min(self._next_problem_ms, now + 500)
+            self._next_problem_ms = min(self._next_problem_ms, now + RETRY_MS)
         elif reason == "base":
             self._edges_to_update.add(edge)
 
@@ -164,17 +171,17 @@
         self._edges_to_update.discard(edge)
 
     def restore_plan(self, target: InstanceCounts) -> None:
-        """What a snapshot of an earlier run kept: its plan is gone on from."""
+        """Continue from the plan in an earlier run's snapshot."""
         self.target = target
 
     def on_solution(self, now: float, number: int, placement: Placement | None) -> None:
-        """A problem's answer; None: it could not be solved, the plan before stands."""
+        """A problem's solution; None: it could not be solved, and the plan before stays in force."""
         if number != self._open_problem:
             return
         self._open_problem = None
         if placement is None or self.role is not Role.LEADER:
             return
-        live = {h.id for h in self.workers}
+        live = {worker.id for worker in self.workers}
         target = {
             m: kept for m, at in placement.instances.items() if (kept := {w: n for w, n in at.items() if w in live})
         }
@@ -188,17 +195,17 @@
         self._last_number += 1
         self._edges_to_update = set(self.edges)
 
-    # What is to be done.
+    # Outputs.
 
     def tick(self, now: float, hour: int) -> None:
-        """Windows pass; edges that are silent have gone.  To be called each second or so."""
+        """Close the demand window and drop silent edges.  To be called about once a second."""
         settings = self._settings
         self.demand.close_window(now, hour)
         for edge in [e.name for e in self.edges.values() if now - e.last_heard_ms > settings.edge_timeout_ms]:
             self.on_edge_gone(edge)
 
     def next_problem(self, now: float, hour: int) -> PlacementProblem | None:
-        """What is to be solved now, if anything; one at a time."""
+        """The problem to solve now, if any; one at a time."""
         if (
             self.role is not Role.LEADER
             or self._open_problem is not None
@@ -215,7 +222,7 @@
         return PlacementProblem(self._open_problem, self.workers, needs, budget, self.endpoints_version)
 
     def plans_to_send(self, now: float) -> list[tuple[str, Plan]]:
-        """Plans to send: for each edge what concerns it."""
+        """The plans to send now, by edge; each has only the functions that the edge requested lately."""
         if self.role is not Role.LEADER or not self._edges_to_update or not self._last_number:
             return []
         dirty, self._edges_to_update = sorted(self._edges_to_update), set()
@@ -237,55 +244,66 @@
         return out
 
     def plan_age_ms(self, now: float) -> float:
-        """How old what the plans say is."""
+        """The age of the placement that plans carry."""
         return now - self._plan_made_ms
 
-    # Within.
+    # Internals.
 
     def _check_fence(self, order: PlanOrder) -> None:
-        """An edge has seen a plan under a later token: this one's lease is over, whatever its own clock says."""
+        """Stop leading if an edge has seen a plan with a later token: the lease has passed on."""
         if self.role is Role.LEADER and order[:2] > (self.epoch, self.owner):
             self.on_lease_lost()
 
     def _demands(self, now: float, hour: int) -> list[FunctionDemand]:
-        settings, out = self._settings, list[FunctionDemand]()
-        for model, mine in self.demand.functions.items():
-            known = self._profiles.get(model)
-            if known is None:
-                continue
-            rate = self.demand.forecast(model, hour)
-            standing = {w: n for w, (n, at) in self._loaded.get(model, {}).items() if n and now - at < 30_000}
-            need = FunctionDemand(
-                model,
-                known.memory_mb,
-                known.concurrency,
-                known.load_ms,
-                mine.work_ms or 100.0,
-                known.priority_weight,
-                rate if rate >= settings.min_rate else 0.0,
-                standing,
-                mine.planned,
-            )
-            # Up at once, down only after a while: two plans in a row never thrash.
-            if need.instances_needed >= mine.planned:
-                mine.below_plan_since = now
-            elif now - mine.below_plan_since < settings.scale_down_ms:
-                need = self._raised_to(need, mine.planned)
-            else:
-                mine.below_plan_since = now
-            out.append(need)
-        return out
+        """The functions that the settings know and edges request or requested."""
+        return [
+            self._demand_of(now, hour, model, profile, load)
+            for model, load in self.demand.functions.items()
+            if (profile := self._profiles.get(model)) is not None
+        ]
+
+    def _demand_of(
+        self, now: float, hour: int, model: str, profile: FunctionProfile, load: FunctionLoad
+    ) -> FunctionDemand:
+        rate = self.demand.forecast(model, hour)
+        demand = FunctionDemand(
+            model,
+            profile.memory_mb,
+            profile.concurrency,
+            profile.load_ms,
+            load.work_ms or DEFAULT_WORK_MS,
+            profile.priority_weight,
+            rate if rate >= self._settings.min_rate else 0.0,
+            self._loaded_lately(now, model),
+            load.planned,
+        )
+        # Scale up at once, down only after a while, so that instances are not unloaded and loaded again.
+        if demand.instances_needed >= load.planned:
+            load.below_plan_since = now
+        elif now - load.below_plan_since < self._settings.scale_down_ms:
+            return self._raised_to(demand, load.planned)
+        else:
+            load.below_plan_since = now
+        return demand
+
+    def _loaded_lately(self, now: float, model: str) -> dict[str, int]:
+        """Instances of a function by worker, as far as edges have reported them within `LOADED_VALID_MS`."""
+        return {
+            worker: count
+            for worker, (count, reported) in self._loaded.get(model, {}).items()
+            if count and now - reported < LOADED_VALID_MS
+        }
 
     @staticmethod
-    def _raised_to(need: FunctionDemand, copies: int) -> FunctionDemand:
-        """The same need at a rate for which as many copies are wanted as before."""
-        low, high = need.rate, max(1.0, need.rate)
-        while replace(need, rate=high).instances_needed < copies:
+    def _raised_to(demand: FunctionDemand, instances: int) -> FunctionDemand:
+        """The same demand at a rate for which at least `instances` are needed, found by bisection."""
+        low, high = demand.rate, max(1.0, demand.rate)
+        while replace(demand, rate=high).instances_needed < instances:
             high *= 2
         for _ in range(40):
             middle = (low + high) / 2
-            if replace(need, rate=middle).instances_needed >= copies:
+            if replace(demand, rate=middle).instances_needed >= instances:
                 high = middle
             else:
                 low = middle
-        return replace(need, rate=high)
+        return replace(demand, rate=high)
--- a/kelptrail/planner/demand.py
+++ b/kelptrail/planner/demand.py
@@ -1,4 +1,4 @@
-"""What is asked for, by function and hour, from what edges report; free of I/O and clocks."""
+"""Demand by function and hour of the day, measured from the edges' reports; free of I/O and clocks."""
 
 from __future__ import annotations
 
@@ -12,33 +12,31 @@
 
 @dataclass(slots=True)
 class FunctionLoad:
-    """One function over all edges."""
+    """The measured load of one function over all edges."""
 
-    fast_rate: float = 0.0  # calls a second, on averages over some 10 s and some minutes
+    fast_rate: float = 0.0  # calls a second, averaged over about 8 s; `slow_rate` over 90 s
     slow_rate: float = 0.0
     work_ms: float = 0.0  # of a call
     queue_depth: float = 0.0
     not_loaded_rate: float = 0.0
-    below_plan_since: float = 0.0  # since when it has been below what is planned
+    below_plan_since: float = 0.0  # since when it has needed fewer instances than planned
     planned: int = 0
-    window: dict[str, FunctionCounters] = field(default_factory=dict)  # of this window, by edge
-    hourly_rates: list[float] = field(default_factory=lambda: [0.0] * HOURS)  # usual calls a second by hour
+    window: dict[str, FunctionCounters] = field(default_factory=dict)  # counters of the open window, by edge
+    hourly_rates: list[float] = field(default_factory=lambda: [0.0] * HOURS)  # usual calls a second by hour of the day
 
 
 class Demand:
-    """Rates from reports; a window a second.  `hour` (0 to 23) is handed in by whoever has a clock."""
+    """Rates from usage reports, in windows of a second.  The caller, which has a clock, passes the hour (0 to 23)."""
 
     def __init__(self, window_ms: float = 1000.0, fast_ms: float = 8000.0, slow_ms: float = 90_000.0) -> None:
         self._window_ms, self._fast, self._slow = window_ms, fast_ms, slow_ms
         self.functions: dict[str, FunctionLoad] = {}
-        self.error_factor = 1.0  # for trials: by how much all figures are wrong
+        self.error_factor = 1.0  # for trials: all measured rates are multiplied by it
         self._closed: float | None = None
-        self.requested_at: dict[
-            str, dict[str, float]
-        ] = {}  # of each edge its functions, and when it last asked for them
+        self.requested_at: dict[str, dict[str, float]] = {}  # by edge and function: when the edge last requested it
 
     def add_report(self, now: float, edge: str, counters: dict[str, FunctionCounters]) -> None:
-        """An edge's counts since its last report."""
+        """Add an edge's counters since its last report."""
         asked = self.requested_at.setdefault(edge, {})
         for model, counted in counters.items():
             mine = self.functions.setdefault(model, FunctionLoad())
@@ -47,21 +45,21 @@
                 asked[model] = now
 
     def restore_hourly_rates(self, hours: dict[str, list[float]]) -> None:
-        """What was usual by hour, from a snapshot."""
+        """Take the usual rates by hour from a snapshot."""
         for model, usual in hours.items():
             if len(usual) == HOURS:
                 self.functions.setdefault(model, FunctionLoad()).hourly_rates = list(usual)
 
     def remove_edge(self, edge: str) -> None:
-        """An edge has gone."""
+        """Forget an edge that has gone; what it reported still counts."""
         self.requested_at.pop(edge, None)
 
     def recently_requested(self, now: float, edge: str, within_ms: float) -> set[str]:
-        """The functions that an edge has asked for lately."""
+        """The functions that an edge has requested within the last `within_ms`."""
         return {model for model, at in self.requested_at.get(edge, {}).items() if now - at <= within_ms}
 
     def close_window(self, now: float, hour: int) -> None:
-        """Turn what was reported since the last time into rates."""
+        """Turn the reports since the last call into rates."""
         if self._closed is None:
             self._closed = now - self._window_ms
         seconds = (now - self._closed) / 1000
@@ -86,9 +84,9 @@
                 del self.functions[model]
 
     def forecast(self, model: str, hour: int) -> float:
-        """Calls a second that the next minute is planned for: what comes now, or what usually comes in the hour, scaled
-        by how today goes beside the usual day, at most twice what comes now.  Guards against a forecast that is wrong
-        on a release day: it can cost no more than as much again."""
+        """Calls a second that the next minute is planned for: the present rate, or the present rate scaled by the usual
+        change from the hour before to this one, at most twice the present rate.  The bound guards against a forecast
+        that is wrong on a release day: it costs no more than as much again."""
         mine = self.functions[model]
         now = max(mine.fast_rate, 0.7 * mine.slow_rate)
         usual, before = mine.hourly_rates[hour], mine.hourly_rates[(hour - 1) % HOURS]
--- a/kelptrail/planner/driver.py
+++ b/kelptrail/planner/driver.py
@@ -1,4 +1,4 @@
-"""A planner as a running program: edges on sockets, the list, a solver in a process of its own, snapshots."""
+"""A planner on the event loop: connections of edges, a solver in a process of its own, the lease, and snapshots."""
 
 from __future__ import annotations
 
@@ -33,14 +33,18 @@
 from .placement import Placement, WorkerCapacity, place_by_program, place_greedily
 from .plan import InstanceCounts
 
-BEAT_MS, SILENT_MS = 500.0, 5000.0
+HEARTBEAT_MS = 500.0
+SILENT_MS = 5000.0  # without a message from the edge, after which the connection is closed
+ACCEPT_BACKLOG = 512
+READ_BYTES = 65_536
+MAX_FILE_BYTES = 1 << 26  # unpacked
 LEASE_NAME = "planner"  # the lease that planners act under
 
 
 @dataclass(frozen=True, slots=True)
 class PlannerOptions:
-    """What differs from one planner to the next.  `solver`: "program" or "greedy"; `slow_ms`: for trials, how much
-    longer each plan takes; `solve_s`: how long a plan may take before the one before stands."""
+    """What differs from one planner to the next.  `solver`: "program" or "greedy"; `solve_delay_ms`: for trials, how
+    much longer each plan takes; `solve_timeout_s`: after this time a problem is given up and the plan before stays."""
 
     name: str
     host: str
@@ -51,11 +55,11 @@
     solver: str = "program"
     solve_delay_ms: float = 0.0
     solve_timeout_s: float = 30.0
-    peer_addresses: dict[str, str] = field(default_factory=dict)  # where voters are, by name, before the settings
+    peer_addresses: dict[str, str] = field(default_factory=dict)  # of lease acceptors; they precede the settings
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """What outlives a planner: its plan, and what was usual by hour.  `epoch`: the last one, for who reads the file."""
+    """What a planner keeps on disk: its plan and the usual rates by hour.  `epoch` is for people who read the file."""
 
     epoch: int
     instances: InstanceCounts = msgspec.field(name="wants")
@@ -66,14 +70,22 @@
 
 
 def solve_in_process(solver: str, slow_ms: float, hosts: list[WorkerCapacity], needs: Any, budget: int) -> Placement:
-    """In the solver's process."""
+    """Solve one problem; runs in the solver's process."""
     if slow_ms:
         time.sleep(slow_ms / 1000)
     return place_greedily(hosts, needs, budget) if solver == "greedy" else place_by_program(hosts, needs, budget)
 
 
+@dataclass(slots=True)
+class EdgeConnection:
+    """One edge's socket, and whether output is being sent on it."""
+
+    sock: socket.socket
+    writing: bool = False
+
+
 class PlannerDriver:
-    """One planner on the loop.  `leases`: of this process."""
+    """One planner on the event loop.  `leases`: this process's; `length_ms`: how long its lease lasts."""
 
     def __init__(
         self, deployment: Deployment, options: PlannerOptions, leases: LeaseDriver, length_ms: float, log: Any
@@ -84,7 +96,7 @@
         settings = planner_settings(deployment)
         self.planner = Planner(options.name, settings, function_profiles(deployment), now_ms())
         self.background = Background(SchedulerSettings(share=0.5), now_ms, lambda: False, log)
-        self._channels: dict[PlannerChannel, tuple[socket.socket, list[bool]]] = {}
+        self._channels: dict[PlannerChannel, EdgeConnection] = {}
         self._listener = Listener(self._loop, self._on_connect, lambda sock, peer, back: sock.close(), log.warning)
         self._tasks: set[asyncio.Task[Any]] = set()
         self._solver_pool: ProcessPoolExecutor | None = None
@@ -97,11 +109,11 @@
     # Edges.
 
     def listen(self) -> None:
-        """Let edges come."""
+        """Listen for edges.  Raises `OSError` where the address cannot be had."""
         sock = socket.socket(socket.AF_INET6 if ":" in self._options.host else socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((self._options.host, self._options.port))
-        sock.listen(512)
+        sock.listen(ACCEPT_BACKLOG)
         sock.setblocking(False)
         self.address = f"{self._options.host}:{sock.getsockname()[1]}"
         self._listener.open(sock)
@@ -117,8 +129,8 @@
 
     async def _serve_edge(self, sock: socket.socket, peer: str) -> None:
         channel = PlannerChannel(self._options.name, self._deployment.name)
-        self._channels[channel] = sock, [False]
-        reader, buffer = FrameReader(READ), bytearray(65_536)
+        self._channels[channel] = EdgeConnection(sock)
+        reader, buffer = FrameReader(READ), bytearray(READ_BYTES)
         try:
             self._write(channel)
             while True:
@@ -152,37 +164,37 @@
             core.on_plan_refused(now, channel.edge, message.reason, message.order)
 
     def send_plans(self) -> None:
-        """Plans to links, links' output to sockets, problems to the solver."""
+        """Queue new plans for their edges and send what is queued."""
         now = now_ms()
         by_name = {channel.edge: channel for channel in self._channels}
-        # Looked at right before the plans go: what was solved while the lease ran out stays here.
+        # The lease is checked right before plans are sent: what was solved while it ran out is not sent.
         for edge, plan in self.planner.plans_to_send(now) if self._leases.holds(LEASE_NAME) is not None else ():
-            if (link := by_name.get(edge)) is not None:
-                link.offer_plan(plan, now - self.planner.plan_age_ms(now))
-        for link in self._channels:
-            link.queue_next_plan(now)
-            self._write(link)
+            if (channel := by_name.get(edge)) is not None:
+                channel.offer_plan(plan, now - self.planner.plan_age_ms(now))
+        for channel in self._channels:
+            channel.queue_next_plan(now)
+            self._write(channel)
 
     def _write(self, channel: PlannerChannel) -> None:
-        sock, writing = self._channels[channel]
-        if not channel.output or writing[0]:
+        connection = self._channels[channel]
+        if not channel.output or connection.writing:
             return
         data, channel.output = b"".join(channel.output), []
         self.bytes_out += len(data)
-        writing[0] = True
-        self._spawn(self._send(channel, sock, writing, data))
+        connection.writing = True
+        self._spawn(self._send(channel, connection, data))
 
-    async def _send(self, channel: PlannerChannel, sock: socket.socket, writing: list[bool], data: bytes) -> None:
+    async def _send(self, channel: PlannerChannel, connection: EdgeConnection, data: bytes) -> None:
         with contextlib.suppress(OSError):
-            await self._loop.sock_sendall(sock, data)
-        writing[0] = False
+            await self._loop.sock_sendall(connection.sock, data)
+        connection.writing = False
         if channel in self._channels:
             self._write(channel)
 
     # Planning.
 
     def tick(self) -> None:
-        """Background work: windows, leases, problems."""
+        """Background work: close demand windows and solve the next problem."""
         now, hour = now_ms(), time.localtime(wall_ms() / 1000).tm_hour
         self.planner.tick(now, hour)
         problem = self.planner.next_problem(now, hour)
@@ -215,7 +227,7 @@
         self.send_plans()
 
     def _kill_solver(self) -> None:
-        """End the solver's process, which may hang; the next problem gets another."""
+        """Kill the solver's process, which may hang; the next problem gets a new one."""
         pool, self._solver_pool = self._solver_pool, None
         if pool is not None:
             for process in list(getattr(pool, "_processes", {}).values()):
@@ -223,7 +235,7 @@
             pool.shutdown(wait=False, cancel_futures=True)
 
     def on_endpoints(self, listing: EndpointList) -> None:
-        """A new worker list."""
+        """A new endpoint list."""
         self.planner.on_endpoints(
             now_ms(), worker_capacities(self._deployment, listing), (listing.lineage, listing.version)
         )
@@ -235,14 +247,14 @@
             channel.output.append(frame(Heartbeat(self.planner.role is Role.LEADER, self.planner.epoch)))
             self._write(channel)
 
-    # What outlives it.
+    # Snapshots.
 
     def restore(self) -> bool:
-        """Take up the snapshot, if there is a sound one."""
+        """Load the snapshot; False if there is none or it is damaged."""
         if self._file is None or not self._file.exists():
             return False
         try:
-            kept = _decode(zstandard.ZstdDecompressor().decompress(self._file.read_bytes(), 1 << 26))
+            kept = _decode(zstandard.ZstdDecompressor().decompress(self._file.read_bytes(), MAX_FILE_BYTES))
         except (OSError, zstandard.ZstdError, msgspec.MsgspecError) as cause:
             self._log.warning("snapshot-unusable", file=str(self._file), reason=str(cause))
             return False
@@ -251,7 +263,7 @@
         return True
 
     def save(self) -> None:
-        """Background work: a snapshot."""
+        """Background work: write a snapshot if anything has changed."""
         if self._file is None:
             return
         hours = {m: a.hourly_rates for m, a in self.planner.demand.functions.items() if any(a.hourly_rates)}
@@ -271,11 +283,11 @@
             self._log.warning("snapshot-unsaved", reason=str(cause))
 
     def clear_faults(self) -> None:
-        """No fault any more."""
+        """End the faults of a trial."""
         self.solve_delay_ms, self.planner.demand.error_factor = self._options.solve_delay_ms, 1.0
 
     def status(self) -> dict[str, Any]:
-        """What operators are shown."""
+        """The answer of the control port."""
         core = self.planner
         return {
             "role": core.role.value,
@@ -307,15 +319,15 @@
         self.send_heartbeats()
 
     def start(self) -> None:
-        """Begin its background work, and want the lease."""
+        """Start background work and request the lease."""
         self._leases.want(LEASE_NAME, self._lease_length_ms, self._on_lease_acquired, self._on_lease_lost)
         self.background.add("tick", self.tick, 1, 250.0, 1000.0, 0.5)
-        self.background.add("beat", self.send_heartbeats, 0, BEAT_MS, 700.0, 0.2)
+        self.background.add("beat", self.send_heartbeats, 0, HEARTBEAT_MS, 700.0, 0.2)
         self.background.add("save", self.save, 5, 2000.0, 10_000.0, 0.05)
         self.background.start()
 
     async def stop(self) -> None:
-        """End; another may lead at once."""
+        """Release the lease, so that another planner leads at once, and end."""
         self._leases.release(LEASE_NAME)
         self.background.stop()
         self.save()
--- a/kelptrail/planner/edge_driver.py
+++ b/kelptrail/planner/edge_driver.py
@@ -1,6 +1,6 @@
-"""The edge's end of planning on sockets: follows planners, tells the core what the plan wants, keeps it on disk.
+"""The edge's connections to planners: passes plans to the gateway, sends reports, and keeps the plan on disk.
 
-Nothing of it is in a call's way: reports and saving are background work, a planner that is slow or gone costs nothing.
+No request waits for any of it: reports and saving are background work, a planner that is slow or gone costs nothing.
 """
 
 from __future__ import annotations
@@ -20,15 +20,21 @@
 from kelptrail.gateway.core import Gateway
 from kelptrail.peers.messages import ChannelError, FrameReader, Heartbeat, frame
 
-from .channel import READ, EdgeChannel, LeaderContact
+from .channel import READ, EdgeChannel, LeaderContact, PlanResult
 from .plan import BEFORE_ALL_PLANS, Plan, PlanOrder
 from .plan_follower import PlanState
 
-BEAT_MS, SILENT_MS, PAUSE_MS = 500.0, 3000.0, 300.0
+HEARTBEAT_MS = 500.0
+SILENT_MS = 3000.0  # without a message from the planner, after which the connection is closed
+CONNECT_TIMEOUT_S = 2.0
+BACKOFF_MS, MAX_BACKOFF_MS, BACKOFF_FACTOR = 300.0, 5000.0, 1.6
+STABLE_MS = 10_000.0  # a connection that lasted so long resets the backoff
+MAX_FILE_BYTES = 1 << 26  # unpacked
+READ_BYTES = 65_536
 
 
 class SavedPlan(msgspec.Struct, frozen=True):
-    """A plan on disk: how long it was valid, and when (ms of the wall clock) that was written."""
+    """A plan on disk: how long it was valid, in milliseconds, and the wall clock at that moment."""
 
     plan: Plan
     remaining_ms: float = msgspec.field(name="left_ms")
@@ -39,7 +45,7 @@
 
 
 class PlanFollower:
-    """One edge's planners.  `stir` is called when what the core knows has changed."""
+    """One edge's connections to all its planners.  `on_change` is called when the gateway's plan has changed."""
 
     def __init__(
         self,
@@ -57,26 +63,26 @@
         self._loop = asyncio.get_running_loop()
         self._tasks: list[asyncio.Task[None]] = []
         self._channels: dict[EdgeChannel, socket.socket] = {}
-        self._applied: PlanOrder | None = None  # the plan that the core was told of
+        self._applied: PlanOrder | None = None  # order of the plan that the gateway has
         self._saved_order: PlanOrder = BEFORE_ALL_PLANS
         self.bytes_in = self.bytes_out = self.reconnects = 0
 
     @property
     def live_workers(self) -> set[str]:
-        """The workers that the edge's own list has live."""
+        """The workers that are live in the edge's own endpoint list."""
         return {w.id for w in self._gateway.members if w.live}
 
     @property
     def endpoints_version(self) -> tuple[str, int]:
-        """The edge's own list."""
+        """Lineage and version of the edge's own endpoint list."""
         return self._gateway.members.lineage, self._gateway.members.version
 
     def load_saved_plan(self) -> bool:
-        """Take up the plan on disk, if there is a sound one that is still valid."""
+        """Follow the plan on disk, if there is an undamaged one that is still valid; True if it is followed."""
         if self._file is None or not self._file.exists():
             return False
         try:
-            saved = _decode(zstandard.ZstdDecompressor().decompress(self._file.read_bytes(), 1 << 26))
+            saved = _decode(zstandard.ZstdDecompressor().decompress(self._file.read_bytes(), MAX_FILE_BYTES))
         except (OSError, zstandard.ZstdError, msgspec.MsgspecError) as cause:
             self._log.warning("last-plan-unusable", file=str(self._file), reason=str(cause))
             return False
@@ -87,26 +93,26 @@
         return taken
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Connect to the planners."""
         self._tasks = [self._loop.create_task(self._keep_connected(address)) for address in self._addresses]
 
     async def stop(self) -> None:
-        """End."""
+        """Close the connections and save the plan."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self.save_plan()
 
     def on_endpoints(self) -> None:
-        """The worker list has changed."""
+        """The endpoint list has changed."""
         report = self.plan_state.on_endpoints(now_ms(), self.live_workers, self.endpoints_version)
         if report is not None:
             self._log.warning("plan-refused", reason=report.reason.value, text=report.text)
-        self._applied = None  # workers may have come that the plan names
+        self._applied = None  # the new list may have workers that the plan names
         self.apply_plan()
 
     def apply_plan(self) -> None:
-        """Tell the core what is wanted now; nothing once the plan has run out."""
+        """Pass the plan in force to the gateway; none once it has expired."""
         target = self.plan_state.target(now_ms())
         order = (
             self.plan_state.plan.header.order
@@ -119,16 +125,16 @@
             self._on_change()
 
     def send_reports(self) -> None:
-        """Background work: what was asked since the last time, to each planner that listens and is ready for more."""
+        """Background work: a report to each planner that is connected and has read the last one."""
         now = now_ms()
-        self.apply_plan()  # it may have run out
-        tallies = self._gateway.counters()
+        self.apply_plan()  # it may have expired
+        counters = self._gateway.counters()
         for channel in self._channels:
-            channel.add_counters(tallies)
-        ready = [link for link in self._channels if link.report_due(now) and not link.output and not link.writing]
-        standing = self._gateway.loaded_instances() if ready else {}
+            channel.add_counters(counters)
+        ready = [c for c in self._channels if c.report_due(now) and not c.output and not c.writing]
+        loaded = self._gateway.loaded_instances() if ready else {}
         for channel in ready:
-            channel.queue_report(now, standing)
+            channel.queue_report(now, loaded)
             self._write(channel)
 
     def save_plan(self) -> None:
@@ -149,7 +155,7 @@
             self._log.warning("plan-unsaved", reason=str(cause))
 
     def status(self) -> dict[str, Any]:
-        """What operators are shown."""
+        """The `plan` section of the control port."""
         follower, plan = self.plan_state, self.plan_state.plan
         return {
             "planners": {channel.planner: round(now_ms() - channel.last_heard) for channel in self._channels},
@@ -164,8 +170,8 @@
         }
 
     async def _keep_connected(self, address: str) -> None:
-        """Keep up one connection; what fails is tried again after a pause that grows."""
-        pause = PAUSE_MS
+        """Keep one connection up; after a failure it is tried again with backoff."""
+        backoff = BACKOFF_MS
         while True:
             began = now_ms()
             try:
@@ -175,24 +181,25 @@
                 reason = str(cause) or type(cause).__name__
             self.reconnects += 1
             self._log.info("planner-lost", address=address, reason=reason)
-            pause = PAUSE_MS if now_ms() - began > 10_000 else min(5000.0, pause * 1.6)
-            await asyncio.sleep(pause / 1000)
+            stable = now_ms() - began > STABLE_MS
+            backoff = BACKOFF_MS if stable else min(MAX_BACKOFF_MS, backoff * BACKOFF_FACTOR)
+            await asyncio.sleep(backoff / 1000)
 
     async def _follow_planner(self, address: str) -> None:
         host, _, port = address.rpartition(":")
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         channel: EdgeChannel | None = None
-        beats: asyncio.Task[None] | None = None
+        heartbeats: asyncio.Task[None] | None = None
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            async with asyncio.timeout(2):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await self._loop.sock_connect(sock, (host.strip("[]"), int(port)))
             channel = EdgeChannel(self._name, self._lineage, self.plan_state, self.leader_contact, now_ms())
             self._channels[channel] = sock
             self._write(channel)
-            beats = self._loop.create_task(self._send_heartbeats(channel))
-            reader, buffer = FrameReader(READ), bytearray(65_536)
+            heartbeats = self._loop.create_task(self._send_heartbeats(channel))
+            reader, buffer = FrameReader(READ), bytearray(READ_BYTES)
             while True:
                 async with asyncio.timeout(SILENT_MS / 1000):
                     count = await self._loop.sock_recv_into(sock, buffer)
@@ -202,10 +209,10 @@
                 with memoryview(buffer) as view:
                     messages = reader.feed(view[:count])
                 for message in messages:
-                    what = channel.on_message(now_ms(), message, self.live_workers, self.endpoints_version)
-                    if what == "taken":
+                    result = channel.on_message(now_ms(), message, self.live_workers, self.endpoints_version)
+                    if result is PlanResult.ACCEPTED:
                         self.apply_plan()
-                    elif what:
+                    elif result is PlanResult.REFUSED:
                         self._log.warning(
                             "plan-refused",
                             planner=channel.planner,
@@ -213,20 +220,20 @@
                         )
                 self._write(channel)
         finally:
-            if beats is not None:
-                beats.cancel()
+            if heartbeats is not None:
+                heartbeats.cancel()
             if channel is not None:
                 del self._channels[channel]
             sock.close()
 
     async def _send_heartbeats(self, channel: EdgeChannel) -> None:
         while True:
-            await asyncio.sleep(BEAT_MS / 1000)
+            await asyncio.sleep(HEARTBEAT_MS / 1000)
             channel.output.append(frame(Heartbeat()))
             self._write(channel)
 
     def _write(self, channel: EdgeChannel) -> None:
-        """Write what there is; what does not go at once goes in the background, and reports wait meanwhile."""
+        """Send the output in the background; meanwhile reports wait."""
         sock = self._channels.get(channel)
         if sock is None or not channel.output or channel.writing:
             return
--- a/kelptrail/planner/plan.py
+++ b/kelptrail/planner/plan.py
@@ -1,7 +1,7 @@
-"""A plan: which copies of which function should stand on which workers, for a while; free of I/O.
+"""A plan: how many instances of which function should be loaded on which workers, for a limited time; free of I/O.
 
-On the wire a plan is MessagePack under Zstandard, whole or as a delta from the one before.  Its digest is over what it
-says, so that a truncated, altered or wrongly pieced plan is never taken for it.
+On the wire a plan is MessagePack under Zstandard, complete or as a difference from the one before.  Its digest covers
+its content, so that a truncated, altered or wrongly combined plan is never accepted.
 """
 
 from __future__ import annotations
@@ -13,20 +13,21 @@
 import zstandard
 
 FORMAT = 1
-MOST_BYTES = 1 << 26  # unpacked
-InstanceCounts = dict[str, dict[str, int]]  # model: worker: copies
+MAX_UNPACKED_BYTES = 1 << 26
+MAX_INSTANCES = 64  # of one function on one worker
+InstanceCounts = dict[str, dict[str, int]]  # by model and worker; on disk and on the wire called wants
 PlanOrder = tuple[int, str, int]  # epoch, owner, number
 BEFORE_ALL_PLANS: PlanOrder = (0, "", 0)  # before all plans
 
 
 class PlanError(ValueError):
-    """Not a plan of ours."""
+    """The bytes are not a plan of this format."""
 
 
 class PlanHeader(msgspec.Struct, frozen=True, array_like=True):
-    """What a plan is.  `epoch` grows with each planner that takes over, `number` within it; `owner` is the planner: of
-    two that took one epoch at the same moment the later name goes first.  `valid_ms` counts from when it was made;
-    `roster` is the list that it was made from."""
+    """What identifies a plan.  `epoch` and `owner` are the fencing token of the lease it was made under, `number` grows
+    within them.  `valid_ms` counts from when it was made; `endpoints_version` is the lineage and the version of the
+    endpoint list that it was made from."""
 
     lineage: str
     epoch: int
@@ -38,7 +39,7 @@
 
     @property
     def order(self) -> PlanOrder:
-        """Later plans have a greater one."""
+        """Epoch, owner and number: later plans have a greater one."""
         return self.epoch, self.owner, self.number
 
 
@@ -50,8 +51,8 @@
 
 
 class PlanPacket(msgspec.Struct, frozen=True, array_like=True):
-    """A plan under way.  `base`: the number, in the same epoch, of the plan that a delta starts from; 0: whole.  In a
-    delta a worker with no copies is dropped.  `age_ms`: how long ago it was made."""
+    """A plan on the wire.  `base_number`: the number, in the same epoch, of the plan that a difference starts from; 0:
+    the plan is complete.  In a difference, 0 instances remove a worker.  `age_ms`: how long ago it was made."""
 
     format: int
     header: PlanHeader
@@ -61,7 +62,7 @@
 
 
 def digest_of(header: PlanHeader, instances: InstanceCounts) -> bytes:
-    """16 bytes over all that a plan says, whatever the order of its parts."""
+    """16 bytes over the content of a plan, whatever the order of its parts."""
     said: list[Any] = [
         header.lineage,
         header.epoch,
@@ -84,7 +85,7 @@
 
 
 def difference(before: InstanceCounts, after: InstanceCounts) -> InstanceCounts:
-    """What turns one into the other; 0 copies drop a worker."""
+    """What turns one into the other; 0 instances remove a worker."""
     out: InstanceCounts = {}
     for model in before.keys() | after.keys():
         old, new = before.get(model, {}), after.get(model, {})
@@ -94,7 +95,7 @@
 
 
 def apply_difference(before: InstanceCounts, difference: InstanceCounts) -> InstanceCounts:
-    """The wants after changes."""
+    """The instances after a difference has been applied."""
     out = {model: dict(at) for model, at in before.items()}
     for model, moved in difference.items():
         at = out.setdefault(model, {})
@@ -104,7 +105,7 @@
 
 
 def encode_plan(plan: Plan, age_ms: float, before: Plan | None = None) -> bytes:
-    """Bytes of a plan; as a delta where the one before is of the same epoch."""
+    """A plan as bytes; as a difference where the one before has the same token and lineage."""
     if (
         before is not None
         and before.header.order[:2] == plan.header.order[:2]
@@ -125,13 +126,13 @@
     """Raises `PlanError` for what is cut, altered, too large, or of another format."""
     try:
         size = zstandard.frame_content_size(data)
-        if size < 0 or size > MOST_BYTES:
+        if size < 0 or size > MAX_UNPACKED_BYTES:
             raise PlanError(f"a plan of {size} bytes")
-        packet = _decode(zstandard.ZstdDecompressor().decompress(data, MOST_BYTES))
+        packet = _decode(zstandard.ZstdDecompressor().decompress(data, MAX_UNPACKED_BYTES))
     except (zstandard.ZstdError, msgspec.MsgspecError) as cause:
         raise PlanError(f"not a plan: {cause}") from None
     if packet.format != FORMAT:
         raise PlanError(f"format {packet.format}, not {FORMAT}")
-    if any(n < 0 or n > 64 for at in packet.instances.values() for n in at.values()):
+    if any(n < 0 or n > MAX_INSTANCES for at in packet.instances.values() for n in at.values()):
         raise PlanError("copies from 0 to 64")
     return packet
--- a/kelptrail/planner/plan_follower.py
+++ b/kelptrail/planner/plan_follower.py
@@ -1,9 +1,9 @@
-"""The edge's side of a plan: taken whole or not at all, kept until it has run out; free of I/O and clocks.
+"""The edge's rules for plans: accepted completely or not at all, followed until they expire; free of I/O and clocks.
 
-A plan is refused that is older than the one in force, of another lineage, run out, not what its digest says, or that
-names a worker which the edge's own list does not have live.  Epochs fence: once a plan of a later epoch was seen, none
-of an earlier one is taken, also after a restart, as the last plan's head is kept.  Without a plan, or with one that has
-run out, the decisions are what they are without a planner.
+A plan is refused if it is older than the one in force, of another lineage, expired, does not match its digest, or names
+a worker that is not live in the edge's own endpoint list.  Epochs fence: once a plan of a later epoch was seen, none of
+an earlier one is accepted, also after a restart, as the last plan's header is kept.  Without a plan, or with one that
+has expired, an edge decides as it does without a planner.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 
 class RefusalReason(Enum):
-    """Why a plan was not taken."""
+    """Why a plan was refused; the values are on the wire."""
 
     OLDER = "older"  # than the one in force, or of a fenced epoch
     LINEAGE = "lineage"
     EXPIRED = "expired"
     DIGEST = "digest"
-    WORKERS = "workers"  # it names one that drains, is gone or is not known
-    BASE = "base"  # a delta from a plan that is not the one in force: a whole one is wanted
+    WORKERS = "workers"  # it names one that drains, is removed or is not known
+    BASE = "base"  # a difference from a plan that is not the one in force: a complete one is wanted
 
 
 @dataclass(frozen=True, slots=True)
 class PlanRefusal:
-    """A refusal with what it was about."""
+    """A refusal: the plan it concerns, and why."""
 
     reason: RefusalReason
     header: PlanHeader
@@ -36,21 +36,23 @@
 
 
 class PlanState:
-    """One edge's plan.  Times in milliseconds of the edge's own clock."""
+    """The plan that one edge follows.  Times in milliseconds of the edge's own clock."""
 
     def __init__(self, lineage: str) -> None:
         self._lineage = lineage
         self.plan: Plan | None = None
-        self.fence: PlanOrder = BEFORE_ALL_PLANS  # the latest seen
+        self.fence: PlanOrder = BEFORE_ALL_PLANS  # order of the latest plan accepted or read from disk
         self._valid_until = 0.0
-        self._waiting_for_list: tuple[float, Plan] | None = None  # made from a later list than ours
+        self._waiting_for_list: tuple[float, Plan] | None = (
+            None  # until when it is valid; made from a later list than ours
+        )
         self.accepted = 0
         self.refusals: dict[RefusalReason, int] = dict.fromkeys(RefusalReason, 0)
 
     def on_plan(
         self, now: float, packet: PlanPacket, live: Collection[str], endpoints_version: tuple[str, int]
     ) -> PlanRefusal | None:
-        """A plan has come.  None: it is in force, or waits for the list that it was made from."""
+        """A plan arrived.  None: it is in force, or waits for the endpoint list that it was made from."""
         header = packet.header
         if header.lineage != self._lineage:
             return self._refuse(RefusalReason.LINEAGE, header, f"lineage {header.lineage!r}, not {self._lineage!r}")
@@ -69,7 +71,7 @@
         plan, until = Plan(header, instances), now + header.valid_ms - packet.age_ms
         missing = self._missing_workers(plan, live)
         if missing and _is_later(header.endpoints_version, endpoints_version):
-            self._waiting_for_list = until, plan  # our list is behind: looked at again with the next one
+            self._waiting_for_list = until, plan  # our list is older than the plan's: checked again with the next list
             return None
         if missing:
             return self._refuse(
@@ -79,7 +81,7 @@
         return None
 
     def on_endpoints(self, now: float, live: Collection[str], endpoints_version: tuple[str, int]) -> PlanRefusal | None:
-        """The list has changed: a plan that waited for it is looked at again."""
+        """The endpoint list has changed: a plan that waited for it is checked again."""
         if self._waiting_for_list is None:
             return None
         if _is_later(self._waiting_for_list[1].header.endpoints_version, endpoints_version):
@@ -93,7 +95,7 @@
         return None
 
     def target(self, now: float) -> InstanceCounts | None:
-        """What the plan in force asks for; None where there is none, or it has run out."""
+        """The instances of the plan in force; None where there is none, or it has expired."""
         return self.plan.instances if self.plan is not None and now < self._valid_until else None
 
     def remaining_ms(self, now: float) -> float:
@@ -101,8 +103,8 @@
         return max(0.0, self._valid_until - now) if self.plan is not None else 0.0
 
     def restore(self, now: float, plan: Plan, left_ms: float, live: Collection[str]) -> bool:
-        """Take up what was kept; False where it has run out, is not sound or names workers that are not live.  Its
-        epoch fences all the same."""
+        """Follow a plan from disk; False where it has expired, is damaged or names workers that are not live.  Its
+        epoch fences in any case, unless it is damaged."""
         if plan.header.lineage != self._lineage or digest_of(plan.header, plan.instances) != plan.header.digest:
             return False
         self.fence = max(self.fence, plan.header.order)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -25,6 +25,7 @@
     PlannerChannel,
     PlanOffer,
     PlanReply,
+    PlanResult,
     UsageReport,
 )
 from kelptrail.planner.core import FunctionProfile, Planner, PlannerSettings, Role
@@ -399,7 +400,7 @@
     edge.output.clear()
     assert link.queue_next_plan(2.0) and not link.queue_next_plan(2.0)
     for message in reader.feed(b"".join(link.output)):
-        assert edge.on_message(2.0, message, LIVE, ROSTER) == "taken"
+        assert edge.on_message(2.0, message, LIVE, ROSTER) is PlanResult.ACCEPTED
     assert follower.fence == (1, "p", 5) and follower.target(2.0) == {"m": {"w5": 1}}, "the ones between were left out"
     assert follower.accepted == 2 and told.silent_ms(2.0) == 0.0
     for standing in ({"a": {"w1": 2}}, {"a": {"w1": 1}, "b": {"w2": 1}}, {"b": {"w2": 1}}):
