--- a/kelptrail/service/__init__.py
+++ b/kelptrail/service/__init__.py
@@ -1,1 +1,1 @@
-"""Joins the rooms to a process: a dispatcher, an edge, a planner.  The only room that knows all of them."""
+"""Assembles processes from the other packages: a dispatcher, an edge, a planner."""
--- a/kelptrail/service/build.py
+++ b/kelptrail/service/build.py
@@ -1,4 +1,4 @@
-"""From settings to what doors and their locks take."""
+"""From the deployment's settings to those of servers and TLS."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def front_limits(front: FrontSettings) -> Limits:
-    """The door's limits as the server takes them."""
+    """Limits of the HTTP front's server."""
     return Limits(
         front.connections,
         front.header_bytes,
@@ -28,7 +28,7 @@
 
 
 def grpc_limits(front: InferenceSettings) -> GrpcLimits:
-    """The second door's limits as its server takes them."""
+    """Limits of the gRPC front's server."""
     return GrpcLimits(
         front.connections,
         front.streams,
@@ -46,7 +46,7 @@
 
 
 def certificate_reloader(deployment: Deployment, side: str, alpn: list[str], log: Any) -> CertificateReloader | None:
-    """One side's TLS, if the settings have it.  Raises `ValueError` where its files cannot be used."""
+    """One side's TLS, if the settings have it.  Raises `ValueError` where its files are unusable."""
     found = deployment.tls.get(side)
     if found is None:
         return None
--- a/kelptrail/service/control.py
+++ b/kelptrail/service/control.py
@@ -1,4 +1,7 @@
-"""A dispatcher's control port: what operators ask; answers are JSON.  All that it can be told to do is to retire."""
+"""A dispatcher's control port: status for operators as JSON.  The only command is to retire.
+
+The keys of the answers are an interface: operators' tools read them.
+"""
 
 from __future__ import annotations
 
@@ -23,18 +26,18 @@
         self,
         driver: GatewayDriver,
         front: HttpServer,
-        second: GrpcServer,
-        standing: FrontAddresses | None,
-        keepers: dict[str, CertificateReloader] | None = None,
-        more: dict[str, Callable[[], Any]] | None = None,
+        grpc: GrpcServer,
+        front_addresses: FrontAddresses | None,
+        reloaders: dict[str, CertificateReloader] | None = None,
+        sections: dict[str, Callable[[], Any]] | None = None,
         retire: Callable[[], None] | None = None,
     ) -> None:
         self._retire = retire
-        self._keepers, self._more = keepers or {}, more or {}
-        self._driver, self._front, self._second, self._standing = driver, front, second, standing
+        self._reloaders, self._sections = reloaders or {}, sections or {}
+        self._driver, self._front, self._grpc, self._front_addresses = driver, front, grpc, front_addresses
 
     def handle(self, request: Request, exchange: Exchange) -> None:
-        """Answer one question."""
+        """Answer one request."""
         if request.method == "POST" and request.path == "/retire" and self._retire is not None:
             self._retire()
             exchange.reply(202, b"{}")
@@ -42,18 +45,18 @@
             exchange.reply(405, b'{"error":"only GET"}', {"allow": "GET"})
         elif request.path == "/state":
             exchange.reply(200, msgspec.json.encode(self._state()))
-        elif request.path == "/vrrp" and self._standing is not None:
-            exchange.reply(200, msgspec.json.encode(self._standing.vrrp.status()))
-        elif request.path == "/leases" and "leases" in self._more:
-            exchange.reply(200, msgspec.json.encode(self._more["leases"]() | {"peers": self._more["peers"]()}))
+        elif request.path == "/vrrp" and self._front_addresses is not None:
+            exchange.reply(200, msgspec.json.encode(self._front_addresses.vrrp.status()))
+        elif request.path == "/leases" and "leases" in self._sections:
+            exchange.reply(200, msgspec.json.encode(self._sections["leases"]() | {"peers": self._sections["peers"]()}))
         elif request.path == "/leases":
             exchange.reply(404, b'{"error":"no leases section in the settings"}')
-        elif request.path == "/copies" and "copies" in self._more:
-            exchange.reply(200, msgspec.json.encode(self._more["copies"]()))
+        elif request.path == "/copies" and "copies" in self._sections:
+            exchange.reply(200, msgspec.json.encode(self._sections["copies"]()))
         elif request.path == "/copies":
             exchange.reply(404, b'{"error":"no copies in the settings"}')
-        elif request.path == "/usage" and "usage" in self._more:
-            exchange.reply(200, msgspec.json.encode(self._more["usage"]()))
+        elif request.path == "/usage" and "usage" in self._sections:
+            exchange.reply(200, msgspec.json.encode(self._sections["usage"]()))
         elif request.path == "/vrrp":
             exchange.reply(404, b'{"error":"no vrrp section in the settings"}')
         else:
@@ -76,25 +79,25 @@
             "connections": self._front.connections,
             "unread_bytes": self._front.owed,
             "slow_readers_cut": self._front.cut,
-            "connected_early": self._front.early + self._second.early,
+            "connected_early": self._front.early + self._grpc.early,
             "grpc": {
-                "connections": self._second.connections,
-                "streams": self._second.streams,
-                "unread_bytes": self._second.owed,
-                "partial_bytes": self._second.partial,
-                "cut": self._second.cut,
-                "floods": self._second.floods,
-                "faults": self._second.faults,
+                "connections": self._grpc.connections,
+                "streams": self._grpc.streams,
+                "unread_bytes": self._grpc.owed,
+                "partial_bytes": self._grpc.partial,
+                "cut": self._grpc.cut,
+                "floods": self._grpc.floods,
+                "faults": self._grpc.faults,
             },
             "storm": gateway.overload.status(),
-            "tls": {name: keeper.status() for name, keeper in self._keepers.items()},
+            "tls": {name: reloader.status() for name, reloader in self._reloaders.items()},
             "held_bytes": gateway.holdings.bytes,
             "refused": dict(gateway.holdings.refused),
             "records": len(gateway.records),
             "record_bytes": gateway.records.held_bytes,
             "outcomes": {outcome.value: n for outcome, n in counts.outcomes.items()},
             "workers": {w.id: w.state.value for w in gateway.members},
-        } | {name: status() for name, status in self._more.items()}
+        } | {name: status() for name, status in self._sections.items()}
 
     def _journal(self) -> dict[str, Any] | None:
         journal = self._driver.gateway.journal
--- a/kelptrail/service/fleet.py
+++ b/kelptrail/service/fleet.py
@@ -1,4 +1,4 @@
-"""What a process has of the fleet: the channel to its peers, and leases on fleet-wide tasks."""
+"""A process's part in the fleet: the channel to its peers, leases on fleet-wide tasks, and journal replication."""
 
 from __future__ import annotations
 
@@ -19,11 +19,13 @@
 from kelptrail.settings.deployment import Deployment, LeasesPlan, PeersPlan
 from kelptrail.store.activation_journal import JournalError
 
+from .errors import StateFolderError
+
 
 @dataclass(frozen=True, slots=True)
 class FleetOptions:
     """What differs from one process to the next.  `listen`: host and port of its channel, None: it only connects;
-    `at`: addresses that go before those of settings and list, by name."""
+    `peer_addresses`: by name, they precede those of the settings and of the endpoint list."""
 
     name: str
     run_id: str
@@ -35,14 +37,14 @@
 
 
 def peer_settings(plan: PeersPlan) -> PeerSettings:
-    """The channel's figures as links take them."""
+    """The peer channel's settings."""
     return PeerSettings(
         plan.beat_ms, plan.silent_ms, plan.connect_ms, int(plan.most_kb * 1024), plan.per_s, int(plan.most_kb * 1024)
     )
 
 
 def lease_settings(plan: LeasesPlan) -> LeaseSettings:
-    """The leases' figures as voters and askers take them."""
+    """The settings of lease acceptors and clients."""
     return LeaseSettings(
         plan.voters,
         plan.number,
@@ -58,7 +60,7 @@
 
 
 def replication_settings(plan: PeersPlan) -> ReplicationSettings:
-    """The copies' figures as owners take them."""
+    """The settings of journal replication."""
     return ReplicationSettings(
         plan.copies,
         plan.copies_short == "promise",
@@ -72,7 +74,7 @@
 
 
 class Fleet:
-    """One process's part.  Raises `ValueError` where it is a voter and has nowhere to keep what it promises."""
+    """One process's part.  Raises `StateFolderError` if it is a lease acceptor without a state folder."""
 
     def __init__(self, deployment: Deployment, options: FleetOptions, log: Any) -> None:
         plan, leases = deployment.peers, deployment.leases
@@ -89,15 +91,15 @@
         self.leases = LeaseDriver(options.name, options.run_id, lease_settings(leases), self.peers, log)
         if options.name in (*leases.voters, *leases.before):
             if options.state_folder is None:
-                raise ValueError(f"{options.name} is a voter and needs --state: its promises are kept there")
+                raise StateFolderError(f"{options.name} is a voter and needs --state: its promises are kept there")
             self.leases.vote(options.state_folder / "leases.sqlite", options.vfs)
 
     def enable_replication(self, plan: PeersPlan, log: Any) -> None:
-        """Copies of what is held for others, in the state folder.  Where they cannot be had there, none are held and
-        nothing is promised."""
+        """Keep replicas of other dispatchers' journals in the state folder.  Where its file is unusable, none are kept
+        and no deferred call is accepted.  Raises `StateFolderError`."""
         options, state = self._options, self._options.state_folder
         if state is None or self.leases is None:
-            raise ValueError(f"{options.name} keeps copies and needs --state")
+            raise StateFolderError(f"{options.name} keeps copies and needs --state")
         try:
             own, aside = open_replica_store(state / "copies.sqlite", options.vfs)
             others = own if plan.copies_in == "disk" else ReplicaStore(None)
@@ -120,20 +122,20 @@
         )
 
     def members(self) -> list[Member]:
-        """Dispatchers that are known, and where they stand."""
+        """The known dispatchers with their zones."""
         return [
             Member(name, self._zones.get(name, "")) for name in sorted({*self.dispatcher_names(), self._options.name})
         ]
 
     def address_of(self, name: str) -> str:
-        """A peer's address; empty while it is not known."""
+        """A peer's address; empty while it is unknown."""
         for known in (self._options.peer_addresses, self._configured_addresses, self._listed_addresses):
             if known.get(name):
                 return known[name]
         return ""
 
     def dispatcher_names(self) -> set[str]:
-        """Dispatchers that are known."""
+        """The names of all known dispatchers."""
         return {
             *self._listed_addresses,
             *self._configured_addresses,
@@ -142,12 +144,12 @@
         }
 
     def on_endpoints(self, listing: EndpointList) -> None:
-        """The worker list names dispatchers, too."""
+        """A new endpoint list, which also has the dispatchers."""
         self._listed_addresses = {peer.name: peer.channel for peer in listing.dispatchers if peer.channel}
         self._zones |= {peer.name: peer.hall for peer in listing.dispatchers if peer.hall}
 
     def start(self) -> None:
-        """Take part.  Raises `OSError` where the channel's address cannot be had."""
+        """Start.  Raises `OSError` where the channel's address is not available."""
         if self._options.listen is not None:
             host, _, port = self._options.listen.rpartition(":")
             self.peers.listen(host.strip("[]"), int(port))
@@ -158,13 +160,13 @@
             self.replication.start()
 
     async def stop(self) -> None:
-        """Give back leases and close links."""
+        """Release the leases and close the connections."""
         if self.leases is not None:
             await self.leases.stop()
         await self.peers.stop()
 
     def status(self) -> dict[str, Callable[[], Any]]:
-        """What operators are shown, by name."""
+        """The control port's sections, by name."""
         shown: dict[str, Callable[[], Any]] = {"peers": self.peers.status}
         if self.leases is not None:
             shown["leases"] = self.leases.status
--- a/kelptrail/service/front_addresses.py
+++ b/kelptrail/service/front_addresses.py
@@ -23,16 +23,14 @@
 from kelptrail.vrrp.state_machine import RouterSettings
 from kelptrail.vrrp.tracking import Tracking, TrackSettings
 
+from .errors import StateFolderError
+
 HEALTH_INTERVAL_MS = 200.0  # from one report of what is tracked to the next
 WORKERS_PROBED = 3  # when no attempt tells whether any worker can be reached
 PROBE_TIMEOUT_S = 0.25
 EPOCH_FILE = "vrrp-epoch"
 
 
-class StateFolderError(ValueError):
-    """VRRP keys are configured, but there is no folder in which the count of starts can be kept."""
-
-
 class FrontAddresses:
     """One dispatcher's part in the virtual routers of its deployment."""
 
@@ -59,19 +57,6 @@
         self._task: asyncio.Task[None] | None = None
         self.addresses: dict[int, FrontAddress] = {}  # by virtual router identifier
 
-        def front_address(router: RouterPlan) -> FrontAddress:
-            return FrontAddress(
-                router.address,
-                router.port,
-                api.handle,
-                limits,
-                log,
-                front.linger_ms,
-                make_http_server,
-                make_grpc_server,
-                router.grpc_port,
-            )
-
         own = next(instance for instance in settings.instance if instance.name == name)
         others = [instance for instance in settings.instance if instance.name != name]
         primary = ip_address(parse_socket_address(own.udp)[0])
@@ -82,7 +67,10 @@
         for router in settings.router:
             if (own_settings := _router_settings(router, name)) is not None:
                 routers.append(own_settings)
-                self.addresses[own_settings.vrid] = front_address(router)
+                servers = make_http_server, make_grpc_server
+                self.addresses[own_settings.vrid] = FrontAddress(
+                    router.address, router.port, api.handle, limits, log, front.linger_ms, *servers, router.grpc_port
+                )
         signer, verifier = _authentication(settings.key, state, primary)
         instance = Instance(
             primary, tuple(peers), routers, _tracking(settings), signer, verifier, settings.pseudo_header
--- a/kelptrail/service/lease_trial.py
+++ b/kelptrail/service/lease_trial.py
@@ -1,7 +1,7 @@
-"""For trials: tasks that many dispatchers want, and acts under them at a witness that sees who acts when.
+"""For trials: leases that many dispatchers request, and writes under them to a witness that records who writes when.
 
-An act looks at the lease, says so to the witness with its token, works a little, looks again and says that it is done.
-The witness is whoever is acted on: it takes no act under a token older than one that it has seen.
+A write checks the lease, sends its fencing token to the witness, works for a while, checks again and reports that it is
+done.  The witness stands for the protected resource: it accepts no write under a token older than one it has seen.
 """
 
 from __future__ import annotations
@@ -21,12 +21,14 @@
 from kelptrail.lease.messages import FencingToken
 from kelptrail.net.http_client import HttpClient
 
-EVERY_MS, WORK_MS, CLOCK_POLL_MS = 50.0, 15.0, 50.0
+WRITE_INTERVAL_MS = 50.0
+WORK_MS = 15.0  # what a write takes
+CLOCK_POLL_MS = 50.0
 
 
 class LeaseTrial:
-    """One dispatcher's acts on some tasks.  After SIGUSR1 the process stops itself (SIGSTOP) once, between the next
-    look at a lease and the act; SIGUSR2 calls that off.  Whoever plays the trial wakes it."""
+    """One dispatcher's writes under some leases.  After SIGUSR1 the process suspends itself (SIGSTOP) once, between the
+    next check of a lease and the write; SIGUSR2 cancels that.  The trial's runner resumes it."""
 
     def __init__(self, leases: LeaseDriver, witness: str, tasks: tuple[str, ...], length_ms: float) -> None:
         self._leases, self._witness_address, self._tasks, self._length_ms = leases, witness, tasks, length_ms
@@ -36,14 +38,14 @@
         self.writes = self.refused = 0
 
     def start(self) -> None:
-        """Want all tasks."""
-        self._loop.add_signal_handler(signal.SIGUSR1, setattr, self, "_stops", True)
-        self._loop.add_signal_handler(signal.SIGUSR2, setattr, self, "_stops", False)
+        """Request all leases."""
+        self._loop.add_signal_handler(signal.SIGUSR1, setattr, self, "_pause_next", True)
+        self._loop.add_signal_handler(signal.SIGUSR2, setattr, self, "_pause_next", False)
         for task in self._tasks:
             self._leases.want(task, self._length_ms, self._on_acquired(task), self._on_lost(task))
 
     def stop(self) -> None:
-        """Act no more."""
+        """Stop writing."""
         for task in self._tasks_running.values():
             task.cancel()
 
@@ -66,7 +68,7 @@
                 with contextlib.suppress(OSError, HttpError, TimeoutError):
                     if self._leases.holds(task) == token and not await self._write_once(client, task, token):
                         self.refused += 1
-                await asyncio.sleep(EVERY_MS / 1000)
+                await asyncio.sleep(WRITE_INTERVAL_MS / 1000)
         finally:
             client.close()
 
@@ -85,7 +87,7 @@
 
 
 class FaultyClock:
-    """Looks at a file that says what ails this process's clock: `{"rate": 1.01, "step_ms": 0}`; none: it is sound."""
+    """Applies the clock faults in a file, `{"rate": 1.01, "step_ms": 0}`, to this process; without a file, none."""
 
     def __init__(self, file: Any, log: Any) -> None:
         self._file, self._log, self._applied = file, log, (1.0, 0.0)
@@ -104,5 +106,5 @@
             await asyncio.sleep(CLOCK_POLL_MS / 1000)
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop watching the file."""
         self._task.cancel()
--- a/kelptrail/service/planner.py
+++ b/kelptrail/service/planner.py
@@ -17,16 +17,13 @@
 from kelptrail.planner.driver import PlannerDriver, PlannerOptions
 from kelptrail.settings.deployment import Deployment
 
+from .errors import LeaseSettingsError
 from .fleet import Fleet, FleetOptions
 from .signals import stop_on_signals
 
 CONTROL_CONNECTIONS = 64
 
 
-class LeaseSettingsError(ValueError):
-    """The settings lack the sections without which a planner cannot hold a lease."""
-
-
 async def serve(
     deployment: Deployment,
     options: PlannerOptions,
--- a/kelptrail/service/usage.py
+++ b/kelptrail/service/usage.py
@@ -1,17 +1,16 @@
-"""Usage over the whole fleet: one dispatcher collects under a lease what all of them count, and tells all of them.
+"""Usage over the whole fleet: one dispatcher collects under a lease what all of them count, and sends all the totals.
 
-Why this task: compaction concerns one disk and nobody else, so it needs no lease; usage is wanted once for the fleet,
-costs a message to each dispatcher a turn, and two collectors would tell two truths.  Counts are sums since a run's
-start, so a turn that is lost or collected twice changes nothing; rates are the differences between two turns.  Whoever
-is told takes nothing under an older token, or of an older turn; forgetting that at a restart does no harm, as the next
-turn says all of it anew.
+It needs a lease, as usage is summed once for the fleet, each turn costs a message to every dispatcher, and two
+collectors would publish two different totals.  Counts are sums since a run's start, so a turn that is lost or collected
+twice changes nothing; rates are the differences between two turns.  A receiver accepts nothing under an older fencing
+token or of an older turn; forgetting that at a restart does no harm, as the next turn sends all of it again.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -26,14 +25,14 @@
 
 
 class UsageRequest(msgspec.Struct, frozen=True, tag="collect", array_like=True):
-    """What have you counted?"""
+    """The collector asks for a dispatcher's counts."""
 
     token: FencingToken
     turn: int
 
 
 class UsageCounts(msgspec.Struct, frozen=True, tag="used", array_like=True):
-    """So much since the start of this run."""
+    """A dispatcher's counts since the start of its run."""
 
     turn: int
     run: str
@@ -49,53 +48,60 @@
     rates: NamespaceRates
 
 
+class _Answer(NamedTuple):
+    requested_ms: float
+    run: str
+    counts: NamespaceCounts
+
+
 class UsageCollector:
-    """The holder's side; free of I/O and clocks."""
+    """The lease holder's side; free of I/O and clocks."""
 
     def __init__(self, token: FencingToken) -> None:
         self.token, self.turn = token, 0
         self._turn_started = 0.0
-        self._previous_turn: dict[str, tuple[float, str, NamespaceCounts]] = {}  # by name: when asked, run, counts
-        self._this_turn: dict[str, tuple[float, str, NamespaceCounts]] = {}
+        self._previous_turn: dict[str, _Answer] = {}  # by dispatcher
+        self._this_turn: dict[str, _Answer] = {}
 
     def start_turn(self, now: float) -> UsageRequest:
-        """A new turn."""
+        """Start a turn; returns the request to send to all."""
         self.turn += 1
         self._previous_turn, self._this_turn, self._turn_started = self._previous_turn | self._this_turn, {}, now
         return UsageRequest(self.token, self.turn)
 
     def on_counts(self, name: str, used: UsageCounts) -> None:
-        """An answer; one to an earlier turn is dropped."""
+        """A dispatcher's counts; an answer to an earlier turn is dropped."""
         if used.turn == self.turn:
-            self._this_turn[name] = self._turn_started, used.run, used.counts
+            self._this_turn[name] = _Answer(self._turn_started, used.run, used.counts)
 
     def total(self) -> UsageTotal:
-        """What the turn came to."""
+        """The rates of this turn, from the dispatchers that answered it and the one before."""
         rates: dict[str, list[float]] = {}
         known = 0
-        for name, (asked, run, counts) in self._this_turn.items():
+        for name, answer in self._this_turn.items():
             before = self._previous_turn.get(name)
-            if before is None or asked <= before[0]:
+            if before is None or answer.requested_ms <= before.requested_ms:
                 continue
             known += 1
-            # A new run counts from nothing: what the one before did since the last turn is not known any more.
-            old = before[2] if before[1] == run else {}
-            for space, three in counts.items():
-                sums = rates.setdefault(space, [0.0, 0.0, 0.0])
-                for n, count in enumerate(three):
-                    sums[n] += (count - old.get(space, (0, 0, 0))[n]) * 1000 / (asked - before[0])
+            # A new run counts from 0: what the earlier run did since the last turn is lost.
+            old = before.counts if before.run == answer.run else {}
+            elapsed_ms = answer.requested_ms - before.requested_ms
+            for namespace, counts in answer.counts.items():
+                sums = rates.setdefault(namespace, [0.0, 0.0, 0.0])
+                for position, count in enumerate(counts):
+                    sums[position] += (count - old.get(namespace, (0, 0, 0))[position]) * 1000 / elapsed_ms
         return UsageTotal(self.token, self.turn, known, {s: (r[0], r[1], r[2]) for s, r in sorted(rates.items())})
 
 
 class UsageView:
-    """Every dispatcher's side: the newest total, and which questions are answered; free of I/O and clocks."""
+    """Every dispatcher's side: the newest total, and which requests are answered; free of I/O and clocks."""
 
     def __init__(self) -> None:
         self.token, self.total = NO_TOKEN, UsageTotal(NO_TOKEN, 0, 0, {})
         self.refused = 0
 
     def accepts(self, token: FencingToken) -> bool:
-        """Whether an act under this token is taken; an older one is not."""
+        """Whether a message under this token is accepted; one under an older token is not."""
         if token < self.token:
             self.refused += 1
             return False
@@ -103,7 +109,7 @@
         return True
 
     def on_total(self, total: UsageTotal) -> bool:
-        """A total; an older one is refused."""
+        """A total has come; False where it is older than the newest."""
         if not self.accepts(total.token) or (total.token, total.turn) <= (self.total.token, self.total.turn):
             return False
         self.total = total
@@ -111,7 +117,7 @@
 
 
 class UsageDriver:
-    """One dispatcher's part.  `counts` tells what it has counted, `names` whom it knows."""
+    """One dispatcher's part.  `counts` returns what it has counted, `names` the dispatchers that it knows."""
 
     def __init__(
         self,
@@ -133,11 +139,11 @@
         peers.speak(CHANNEL, self._on_message, UsageRequest, UsageCounts, UsageTotal)
 
     def start(self) -> None:
-        """Want the lease."""
+        """Request the lease."""
         self._leases.want(LEASE_NAME, self._length_ms, self._on_lease_acquired, self._on_lease_lost)
 
     def stop(self) -> None:
-        """Collect no more."""
+        """Stop collecting."""
         self._on_lease_lost(NO_TOKEN, "")
 
     def _on_lease_acquired(self, token: FencingToken) -> None:
@@ -151,7 +157,7 @@
         self._leases.reach(set(), CHANNEL)
 
     def _next_turn(self) -> None:
-        """Tell what the last turn came to, begin the next; the lease is looked at right before."""
+        """Send the last turn's total and start the next; the lease is checked right before."""
         collector = self._collector
         if collector is None or self._leases.holds(LEASE_NAME) != collector.token:
             return
@@ -179,7 +185,7 @@
             self._peers.send(sender, UsageCounts(message.turn, self._run_id, self._counts()))
 
     def status(self) -> dict[str, Any]:
-        """What operators are shown; rates are calls a second."""
+        """The `/usage` answer of the control port; rates are calls a second."""
         total = self.view.total
         return {
             "collected_by": total.token.who.partition("/")[0],
--- a/kelptrail/vrrp/address.py
+++ b/kelptrail/vrrp/address.py
@@ -1,8 +1,8 @@
-"""A front address on loopback: a listening socket, taken and given up; free of decisions.
+"""A front address on loopback: a listening socket that is acquired and released; it decides nothing.
 
-Giving up: whoever waits to be accepted is accepted, then nobody more; requests in hand get their answers and close;
-a request that comes after on an open connection is answered 503 with `Retry-After`, untaken: by then the address leads
-to another dispatcher.
+On release, connections in the accept queue are accepted, then no more; requests in flight get their answers and their
+connections close; a later request on an open connection is answered 503 with `Retry-After` and not accepted, as the
+address leads to another dispatcher by then.
 """
 
 from __future__ import annotations
@@ -17,9 +17,11 @@
 
 ADDRESS_MOVED = b'{"error":"This address has moved to another dispatcher; the call was not taken.","code":"moved"}'
 
+RETRY_S = 0.05  # between attempts to listen on an address that is in use
+
 
 class FrontAddress:
-    """One address and the server on it, while it is held."""
+    """One address, and the servers on it while it is held."""
 
     def __init__(
         self,
@@ -54,7 +56,7 @@
         return self._server
 
     def acquire(self) -> None:
-        """Listen on the address; tried again while something else is in the way."""
+        """Listen on the address; retried while it is in use."""
         if self._server is not None:
             return
         self._retry = None
@@ -67,19 +69,19 @@
         except OSError as cause:
             server.stop_listening()
             self._log.warning("address-not-taken", address=f"{self._host}:{self._port}", reason=str(cause))
-            self._retry = self._loop.call_later(0.05, self.acquire)
+            self._retry = self._loop.call_later(RETRY_S, self.acquire)
             return
         self._server, self._grpc = server, grpc
 
     def release(self, drain_ms: float) -> None:
-        """Stop listening; what was taken goes on to its answer."""
+        """Stop listening; requests in flight get `drain_ms` to be answered."""
         if self._retry is not None:
             self._retry.cancel()
             self._retry = None
         server, self._server = self._server, None
         if server is not None:
             server.handle = self._reject_moved
-            server.leave()  # at once: who connects from here on reaches whoever listens there now
+            server.leave()  # at once: later connections reach the new holder
             if self._grpc is not None:
                 self._grpc.stop_listening()
             task = self._loop.create_task(self._drain(server, self._grpc, drain_ms))
@@ -89,7 +91,7 @@
 
     async def _drain(self, server: HttpServer, grpc: GrpcServer | None, drain_ms: float) -> None:
         ends = [server.drain(drain_ms, self._linger_ms)]
-        if grpc is not None:  # told to go elsewhere; streams that were begun go on
+        if grpc is not None:  # clients get GOAWAY; open streams go on
             ends.append(grpc.drain(drain_ms))
         if not all(await asyncio.gather(*ends)):
             self._log.warning("address-left-late", address=f"{self._host}:{self._port}")
@@ -102,6 +104,6 @@
         exchange.reply(503, ADDRESS_MOVED, {"retry-after": "1"}, close=True)
 
     async def wait_closed(self) -> None:
-        """Wait until all that was given up has ended."""
+        """Wait until all released servers have ended."""
         if self._draining:
             await asyncio.gather(*list(self._draining), return_exceptions=True)
--- a/kelptrail/vrrp/authentication.py
+++ b/kelptrail/vrrp/authentication.py
@@ -1,12 +1,12 @@
-"""Authenticity of peers: a trailer with a MAC and a count, and the refusal of replays; free of I/O.
+"""Authentication of peers: a trailer with a MAC and a counter, and protection against replays; free of I/O.
 
-The RFC has none since version 3 (its section 9 says why).  The trailer follows the VRRP message:
+VRRP version 3 has none (RFC 9568 section 9 gives the reasons).  The trailer follows the VRRP message:
 
     "KV1" key id (1) | epoch (8) | count (8) | MAC (16): the first half of HMAC-SHA256 over all before it, with the
-    sender's primary address in front, so that a packet cannot be passed off as another's.
+    sender's primary address in front, so that a packet cannot pass for that of another sender.
 
-The epoch grows with each start of the sender, the count with each packet.  Two keys may be live at once, so that they
-can be changed one instance after the other: all are accepted, the first is sent with.
+The epoch grows with each start of the sender, the count with each packet.  Several keys may be live at once, so that
+they can be changed one instance after the other: all are accepted, the first one signs.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class UnknownKeyError(PacketError):
-    """Sealed with a key that is not live here."""
+    """Signed with a key that is not live here."""
 
 
 class ForgedError(PacketError):
@@ -35,7 +35,7 @@
 
 
 class ReplayError(PacketError):
-    """Not newer than what was last heard from this peer."""
+    """Not newer than the last datagram of this peer."""
 
 
 AUTHENTICATION_ERRORS = (UnsealedError, UnknownKeyError, ForgedError, ReplayError)
@@ -54,7 +54,7 @@
 
 
 class Signer:
-    """Seals what this instance sends."""
+    """Signs what this instance sends."""
 
     def __init__(self, key: Key, epoch: int, primary: Address) -> None:
         self._key, self._epoch, self._primary, self._count = key, epoch, primary, 0
@@ -67,7 +67,7 @@
 
 
 class Verifier:
-    """Opens what peers send; remembers the newest of each."""
+    """Verifies what peers send; remembers the newest epoch and count of each."""
 
     def __init__(self, keys: tuple[Key, ...]) -> None:
         self._keys = {key.number: key for key in keys}
--- a/kelptrail/vrrp/driver.py
+++ b/kelptrail/vrrp/driver.py
@@ -1,7 +1,7 @@
-"""UDP for one instance on the loop: reads all that has come before it lets a timer fire, sends with a TTL of 255.
+"""UDP for one instance on the event loop: reads all waiting datagrams before a timer fires, sends with a TTL of 255.
 
-Multicast is replaced by the stated peers, IP protocol 112 by a port.  What the transport tells is checked: the source
-address names the sender, the TTL comes with each datagram.
+Unicast to configured peers replaces multicast, and a UDP port replaces IP protocol 112 (RFC 9568 section 5.1).  The
+source address names the sender; the TTL of each datagram is checked (sections 5.1.1.3 and 5.1.2.3).
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def parse_socket_address(text: str) -> SocketAddress:
-    """`address:port` as the two."""
+    """`address:port` as the two; IPv6 addresses may be in brackets."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
@@ -52,7 +52,7 @@
 
 
 class VrrpDriver:
-    """Runs an `Instance`; `take` and `give_up` move the address, with a router's identifier."""
+    """Runs an `Instance`; `acquire` and `release` move the address of the virtual router with an identifier."""
 
     def __init__(
         self,
@@ -81,13 +81,13 @@
         self._step_ms = max(5.0, min(100.0, instance.shortest_interval_ms / 4))
 
     def start(self) -> None:
-        """The Startup event."""
+        """The Startup event (RFC 9568 section 6.4)."""
         self._loop.add_reader(self._sock.fileno(), self._readable)
         self.instance.startup(now_ms())
         self._perform_outputs()
 
     def stop(self) -> None:
-        """The Shutdown event; masters release their addresses, peers are told."""
+        """The Shutdown event (RFC 9568 section 6.4): masters release their addresses and advertise priority 0."""
         self.instance.shutdown(now_ms())
         self._perform_outputs()
         if self._timer is not None:
@@ -96,7 +96,7 @@
         self._sock.close()
 
     def on_health(self, name: str, healthy: bool) -> None:
-        """What is seen of a tracked thing."""
+        """An observation of a tracked item."""
         self.instance.on_health(now_ms(), name, healthy)
         self._perform_outputs()
 
@@ -105,7 +105,7 @@
         self._perform_outputs()
 
     def _read_all(self) -> None:
-        """Everything that has come, before any timer: a woken process must hear before it speaks."""
+        """Read all waiting datagrams.  A resumed process must read them before it advertises."""
         while True:
             try:
                 data, extra, _, source = self._sock.recvmsg(4096, 64)
@@ -157,7 +157,7 @@
         self._timer = self._loop.call_later(wait / 1000, self._on_timer)
 
     def status(self) -> dict[str, Any]:
-        """What an operator is shown."""
+        """The `/vrrp` answer of the control port."""
         now, instance = now_ms(), self.instance
         return {
             "primary": str(instance.primary),
--- a/kelptrail/vrrp/instance.py
+++ b/kelptrail/vrrp/instance.py
@@ -1,7 +1,7 @@
-"""All virtual routers of one instance, free of I/O: datagrams in, datagrams and addresses out, all counted.
+"""All virtual routers of one instance, free of I/O: datagrams in, datagrams and address changes out, all counted.
 
-Joins packets, seals, routers and tracking.  The host hands in bytes with where they came from, tells what it tracks,
-ticks at `due()`, and pulls `outputs`.
+Combines packets, authentication, virtual routers and tracking.  The driver passes in datagrams with their sender and
+observations of tracked items, calls `tick` at `next_due()`, and carries out `outputs`.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
         self._collect()
 
     def on_datagram(self, now: float, data: bytes, sender: Address, hops: int | None = 255) -> None:
-        """A datagram.  What is not sound is counted by the name of its error and dropped."""
+        """A datagram arrived.  An invalid one is counted by the name of its error and dropped (section 7.1)."""
         self.counters["received"] += 1
         if sender == self.primary:
             self.counters["own"] += 1
@@ -98,12 +98,12 @@
         self._collect()
 
     def on_health(self, now: float, name: str, healthy: bool) -> None:
-        """What the host sees of a tracked thing."""
+        """An observation of a tracked item."""
         if self.tracking.on_health(now, name, healthy):
             self._apply_tracking_to_all(now)
 
     def tick(self, now: float) -> None:
-        """Let time pass: timers of routers, hysteresis of what is tracked."""
+        """Time has passed: fire timers of virtual routers, apply the hysteresis of tracking."""
         changed = self.tracking.on_tick(now)
         for router in self.routers.values():
             router.tick(now)
@@ -126,7 +126,7 @@
         self._collect()
 
     def _apply_tracking(self, now: float, router: VirtualRouter) -> None:
-        """Bring a router in line with what is tracked."""
+        """Set a virtual router's priority by what is tracked, or shut it down."""
         if not self._running:
             return
         if self.tracking.released:
--- a/kelptrail/vrrp/model.py
+++ b/kelptrail/vrrp/model.py
@@ -1,10 +1,10 @@
-"""An explorer of two or three cores under loss, delay, duplication, pauses and crashes; free of I/O.
+"""Model checking of two or three virtual routers under loss, delay, duplication, pauses and crashes; free of I/O.
 
-A state holds the routers, the advertisements in flight and what is left of the fault budget.  From each state every
-step is taken: deliver, drop or copy an advertisement, let time pass to the next timer, crash, start again, pause,
-wake.  States that differ only by the time they are reached at are one.  In every state the address is held by Masters
-only; and from every state, once the network heals, exactly one Master remains within a stated time, the best one where
-it preempts, without an endless exchange at one moment.
+A state has the routers, the advertisements in flight and the rest of the fault budget.  From each state every step is
+taken: deliver, drop or duplicate an advertisement, let time pass to the next timer, crash, restart, pause, resume.
+States that differ only in the time they are reached at are one.  In every state the address is held by Masters only;
+and from every state, once the network heals, exactly one Master remains within a stated time, the best one where
+routers preempt, without an endless exchange at one moment.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
         self.trail: tuple[str, ...] = ()
 
     def copy(self) -> Model:
-        """A copy that goes its own way."""
+        """An independent copy."""
         twin = Model.__new__(Model)
         twin.routers = [r.copy() for r in self.routers]
         twin.budget, twin.now, twin.in_flight, twin.trail = self.budget, self.now, self.in_flight, self.trail
@@ -65,7 +65,7 @@
         return twin
 
     def key(self) -> tuple[object, ...]:
-        """What the future depends on."""
+        """All that later states depend on."""
         advertisement = sorted((f.advert.priority, f.sender, f.to, f.age) for f in self.in_flight)
         return (
             tuple(r.snapshot(self.now) for r in self.routers),
@@ -82,7 +82,7 @@
             yield Step(name, partial(_made, after))
 
     def collect(self) -> int:
-        """Take what the routers put out; returns how many advertisements were sent."""
+        """Apply the outputs of the routers; returns how many advertisements were sent."""
         sent = 0
         for number, router in enumerate(self.routers):
             while router.outputs:
@@ -99,7 +99,7 @@
         return sent
 
     def check(self) -> None:
-        """What must hold in every state."""
+        """Raise `PropertyError` unless exactly the Masters hold the address."""
         for number, router in enumerate(self.routers):
             if self.alive[number] and self.holds_address[number] is not (router.state is State.MASTER):
                 raise PropertyError(
@@ -250,7 +250,7 @@
 
 
 def _settle(model: Model) -> None:
-    """Deliver all that flies, until nothing does."""
+    """Deliver all advertisements in flight, until there is none."""
     sent = 0
     while model.in_flight:
         first, model.in_flight = model.in_flight[0], model.in_flight[1:]
--- a/kelptrail/vrrp/packet.py
+++ b/kelptrail/vrrp/packet.py
@@ -20,6 +20,10 @@
     """Bytes that are no advertisement for us; the class names the reason."""
 
 
+class FieldError(ValueError):
+    """An advertisement that cannot be built: a field out of range (section 5.2)."""
+
+
 class TooShortError(PacketError):
     """Fewer bytes than a head and the addresses it counts (section 7.1)."""
 
@@ -87,13 +91,13 @@
         if not 1 <= self.vrid <= 255:
             raise VridError(f"virtual router {self.vrid}; 1 to 255")
         if not 0 <= self.priority <= 255:
-            raise ValueError(f"priority {self.priority}; 0 to 255")
+            raise FieldError(f"priority {self.priority}; 0 to 255")
         if not 1 <= self.interval_cs <= 4095:
             raise IntervalError(f"interval {self.interval_cs} cs; 1 to 4095")
         if not 1 <= len(self.addresses) <= 255:
             raise CountError(f"{len(self.addresses)} addresses; 1 to 255")
         if len({a.version for a in self.addresses}) > 1:
-            raise ValueError("IPv4 and IPv6 addresses in one advertisement")
+            raise FieldError("IPv4 and IPv6 addresses in one advertisement")
 
 
 def checksum(data: bytes) -> int:
--- a/kelptrail/vrrp/simulation.py
+++ b/kelptrail/vrrp/simulation.py
@@ -1,4 +1,4 @@
-"""Instances in simulated time on a network that loses, delays, copies and reorders datagrams; free of I/O."""
+"""Instances in simulated time on a network that loses, delays, duplicates and reorders datagrams; free of I/O."""
 
 from __future__ import annotations
 
@@ -101,23 +101,23 @@
         self._collect(address)
 
     def kill(self, address: Address) -> None:
-        """It ends without a word."""
+        """Its process ends and sends nothing."""
         del self.instances[address]
         self._hold(address, False)
 
     def stop(self, address: Address) -> None:
-        """It ends and releases what it holds."""
+        """Its process ends gracefully and releases the address."""
         self.instances[address].shutdown(self.now)
         self._collect(address)
         del self.instances[address]
 
     def pause(self, address: Address) -> None:
-        """It does nothing for a while; what it holds it goes on to hold."""
+        """Its process is suspended; it continues to hold the address if it has it."""
         self.paused.add(address)
         self._unread[address] = []
 
     def wake(self, address: Address) -> None:
-        """It goes on: first it reads what lay there, then its timers fire."""
+        """Its process resumes: first it reads the waiting datagrams, then its timers fire."""
         self.paused.discard(address)
         for data, sender in self._unread.pop(address):
             self.instances[address].on_datagram(self.now, data, sender)
@@ -125,7 +125,7 @@
         self._collect(address)
 
     def holders(self) -> list[Address]:
-        """Who holds the address."""
+        """The instances that hold the address."""
         return [address for address, held in self._held.items() if held]
 
     def _hold(self, address: Address, held: bool) -> None:
@@ -155,7 +155,7 @@
                     )
 
     def run(self, ms: float) -> None:
-        """Let time pass."""
+        """Let `ms` milliseconds pass."""
         end = self.now + ms
         while True:
             dues = [
--- a/kelptrail/vrrp/state_machine.py
+++ b/kelptrail/vrrp/state_machine.py
@@ -1,6 +1,6 @@
 """The VRRP state machine of one virtual router, free of I/O (RFC 9568 section 6).
 
-Times in milliseconds and received advertisements go in; advertisements to send, and taking or giving up the address,
+Times in milliseconds and received advertisements go in; advertisements to send, and acquiring or releasing the address,
 come out of `outputs`.  Numbers in brackets are the step numbers of section 6.4.  Where the RFC is silent (changed
 priorities, a process that slept) the comment says what is done and why.
 """
@@ -14,8 +14,12 @@
 from .packet import OWNER_PRIORITY, RELEASE_PRIORITY, Address, Advertisement
 
 
+class PriorityError(ValueError):
+    """A priority outside 1 to 255."""
+
+
 class State(Enum):
-    """Section 6.3."""
+    """Section 6.3.  The RFC's newer text calls Master Active; operators' answers say master."""
 
     INITIALIZE = "initialize"
     BACKUP = "backup"
@@ -31,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AcquireAddress:
-    """Take the addresses: this router is Master from now on (steps 110 to 140, 375 to 395)."""
+    """Acquire the addresses: this router is Master from now on (steps 110 to 140, 375 to 395)."""
 
     vrid: int
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseAddress:
-    """Give the addresses up: this router is Master no longer."""
+    """Release the addresses: this router is no longer Master."""
 
     vrid: int
 
@@ -88,7 +92,7 @@
 
     def __init__(self, settings: RouterSettings, primary: Address) -> None:
         if not 1 <= settings.priority <= OWNER_PRIORITY:
-            raise ValueError(f"priority {settings.priority}; 1 to 255")
+            raise PriorityError(f"priority {settings.priority}; 1 to 255")
         self.settings, self.primary = settings, primary
         self.priority = settings.priority  # lowered by tracking
         self.state = State.INITIALIZE
@@ -98,7 +102,7 @@
         self._master_interval_cs = settings.interval_cs  # Master_Adver_Interval
         self._adver_due: float | None = None
         self._down_due: float | None = None
-        self._last_now = float("-inf")  # the latest time told
+        self._last_now = float("-inf")  # the latest time passed in
 
     # Section 6.1, all in milliseconds.
 
@@ -123,11 +127,11 @@
         return self._master_interval_cs
 
     def next_due(self) -> float | None:
-        """When `tick` must be called at the latest, or None."""
+        """When `tick` must be called at the latest, or None (Adver_Timer or Master_Down_Timer, section 6.2)."""
         return self._adver_due if self.state is State.MASTER else self._down_due
 
     def running_timers(self, now: float) -> dict[str, float]:
-        """What the running timer has left, in milliseconds."""
+        """What the running timer has left, in milliseconds (section 6.2)."""
         if self.state is State.MASTER and self._adver_due is not None:
             return {"adver": self._adver_due - now}
         if self.state is State.BACKUP and self._down_due is not None:
@@ -162,7 +166,7 @@
             self._change_state(now, State.INITIALIZE, cause)  # (355)
 
     def tick(self, now: float) -> None:
-        """Let due timers fire."""
+        """Fire timers that are due (sections 6.4.2 and 6.4.3)."""
         now = self._advance(now)
         if self.state is State.BACKUP and self._down_due is not None and now >= self._down_due:  # (365)
             self._advertise(self.priority)  # (370)
@@ -173,7 +177,7 @@
             self._adver_due = now + self.interval_ms  # (690)
 
     def on_advertisement(self, now: float, advert: Advertisement, sender: Address) -> None:
-        """An advertisement for this router, sound by section 7.1."""
+        """An advertisement for this router, valid by section 7.1."""
         now = self._advance(now)
         if self.state is State.INITIALIZE or sender == self.primary:
             return
@@ -181,7 +185,7 @@
         if self.settings.priority == OWNER_PRIORITY and self.priority == OWNER_PRIORITY:
             return
         if set(advert.addresses) != set(self.settings.addresses):
-            self.foreign_address_lists += 1  # 7.1: may be checked, is told of, and is no ground to discard
+            self.foreign_address_lists += 1  # 7.1: may be checked; it is counted and no reason to discard
         if self.state is State.BACKUP:
             self._on_advertisement_as_backup(now, advert)
         else:
@@ -217,7 +221,7 @@
         """
         now = self._advance(now)
         if not 1 <= priority <= OWNER_PRIORITY:
-            raise ValueError(f"priority {priority}; 1 to 255")
+            raise PriorityError(f"priority {priority}; 1 to 255")
         if priority == self.priority:
             return
         self.priority = priority
@@ -261,16 +265,16 @@
             self.outputs.append(ReleaseAddress(self.settings.vrid))
         self.outputs.append(StateChange(self.settings.vrid, before, after, cause, now))
 
-    # For exploring: what the future depends on, with times told from `now`.
+    # For model checking.
 
     def snapshot(self, now: float) -> tuple[object, ...]:
-        """A hashable picture of the state."""
+        """All that later states depend on, hashable, with times relative to `now`."""
         adver = None if self._adver_due is None else round(self._adver_due - now, 3)
         down = None if self._down_due is None else round(self._down_due - now, 3)
         return (self.state, self.priority, self._master_interval_cs, adver, down)
 
     def copy(self) -> VirtualRouter:
-        """A copy that goes its own way; it has no outputs yet."""
+        """An independent copy without outputs."""
         twin = VirtualRouter.__new__(VirtualRouter)
         for name in self.__slots__:
             setattr(twin, name, getattr(self, name))
--- a/kelptrail/vrrp/tracking.py
+++ b/kelptrail/vrrp/tracking.py
@@ -1,8 +1,8 @@
-"""Priority by what an instance sees of itself: links to workers, its front, its journal; free of I/O.
+"""Priority by an instance's own health: connections to workers, its front, its journal; free of I/O.
 
-Each tracked thing has a weight that it takes off the priority while it fails.  A failure counts once it has lasted
-`fall_ms`; it is over once all has been well for `rise_ms`, which doubles with each failure that follows soon after the
-last, up to eight times: so a thing that flaps does not make the address flap.
+Each tracked item has a weight that is subtracted from the priority while it fails.  A failure counts once it has lasted
+`fall_ms`; it is over once the item has been healthy for `rise_ms`, which doubles with each failure that follows soon
+after the last, up to eight times: an item that flaps does not make the address flap.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrackSettings:
-    """One tracked thing; times in milliseconds.  `release`: while it fails the address is released altogether."""
+    """One tracked item; times in milliseconds.  `release`: while it fails the address is released altogether."""
 
     name: str
     weight: int
@@ -24,29 +24,29 @@
 
 
 class Track:
-    """One tracked thing."""
+    """The state of one tracked item."""
 
     def __init__(self, settings: TrackSettings) -> None:
         self.settings = settings
         self.failed = False
-        self.healthy = True  # as last told
-        self._observed_since = 0.0  # of what was last told
+        self.healthy = True  # as last observed
+        self._observed_since = 0.0  # since when it has been observed so
         self._last_failure_end = float("-inf")  # of the last failure
         self._rise_factor = 1.0
 
     @property
     def rise_ms(self) -> float:
-        """How long all must be well now."""
+        """How long it must be healthy until a failure is over."""
         return self.settings.rise_ms * self._rise_factor
 
     def on_health(self, now: float, healthy: bool) -> bool:
-        """What was seen; True where `failed` has changed."""
+        """An observation; True if `failed` has changed."""
         if healthy is not self.healthy:
             self.healthy, self._observed_since = healthy, now
         return self.on_tick(now)
 
     def on_tick(self, now: float) -> bool:
-        """Let time pass; True where `failed` has changed."""
+        """Time has passed; True if `failed` has changed."""
         lasted = now - self._observed_since
         if not self.healthy and not self.failed and lasted >= self.settings.fall_ms:
             self.failed = True
@@ -60,32 +60,32 @@
 
 
 class Tracking:
-    """All tracked things of one instance."""
+    """All tracked items of one instance."""
 
     def __init__(self, settings: list[TrackSettings]) -> None:
         self.tracks = {s.name: Track(s) for s in settings}
 
     def on_health(self, now: float, name: str, healthy: bool) -> bool:
-        """What was seen of one; unknown names are passed over.  True where a priority may change."""
+        """An observation of one item; unknown names are ignored.  True if a priority may change."""
         track = self.tracks.get(name)
         return track is not None and track.on_health(now, healthy)
 
     def on_tick(self, now: float) -> bool:
-        """Let time pass; True where a priority may change."""
+        """Time has passed; True if a priority may change."""
         changed = [track.on_tick(now) for track in self.tracks.values()]  # all of them, not up to the first
         return True in changed
 
     def priority(self, base: int) -> int:
-        """The priority that is left, 1 at least; an owner's stays 255 until something fails."""
+        """The base priority less the weights of failed items, at least 1."""
         lost = sum(track.settings.weight for track in self.tracks.values() if track.failed)
         return max(1, base - lost)
 
     @property
     def released(self) -> bool:
-        """Whether the address is to be released altogether."""
+        """Whether a failed item requires that the address is released."""
         return any(track.failed and track.settings.release for track in self.tracks.values())
 
     @property
     def failing(self) -> list[str]:
-        """The names of what fails."""
+        """The names of the failed items."""
         return [name for name, track in self.tracks.items() if track.failed]
