--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -17,7 +17,7 @@
 from kelptrail.gateway.core import Gateway
 from kelptrail.gateway.driver import GatewayDriver
 from kelptrail.membership.client import EndpointClient
-from kelptrail.membership.members import PREFIX, EndpointList, id_prefix
+from kelptrail.membership.members import ID_PREFIX_DIGITS, EndpointList, id_prefix
 from kelptrail.net.server import HttpServer, Limits
 from kelptrail.planner.driver import PlannerDriver, PlannerOptions
 from kelptrail.planner.edge_driver import PlanFollower
@@ -52,7 +52,7 @@
     def __init__(self, deployment: Deployment, options: DispatcherOptions, log: Any, debug: bool) -> None:
         self.deployment, self.options, self.log = deployment, options, log
         # Ids tell which dispatcher gave them; the rest is new at each start, so that they never meet another run's.
-        self.boot = id_prefix(options.name) + os.urandom(8).hex()[PREFIX:]
+        self.boot = id_prefix(options.name) + os.urandom(8).hex()[ID_PREFIX_DIGITS:]
         zone = options.zone or deployment.dispatcher.hall or deployment.halls[0]
         parts = DispatcherParts(deployment, zone, zlib.crc32(self.boot.encode()))
         disk = FaultyDisk(options.disk_fault_file) if options.disk_fault_file is not None else None
@@ -82,7 +82,7 @@
 
     async def start(self) -> None:
         """Begin to serve.  Raises `OSError` where an address cannot be had."""
-        loaded_last_list = self.endpoints.start_from_last()
+        loaded_last_list = self.endpoints.load_saved()
         if self.fleet is not None:
             self._start_fleet(self.fleet)
         freeze_startup_objects()
@@ -146,7 +146,7 @@
         fleet.start()
         if self.usage is not None:
             self.usage.start()
-        self.endpoints.channel, self.endpoints.hall = fleet.peers.address, options.zone
+        self.endpoints.channel_address, self.endpoints.zone = fleet.peers.address, options.zone
         if fleet.leases is not None and options.trial_witness:
             self.lease_trial = LeaseTrial(
                 fleet.leases, options.trial_witness, options.trial_leases, fleet.lease_length_ms
@@ -186,9 +186,9 @@
     def _listen_http(self) -> None:
         options, server = self.options, self.fronts.http
         self.port = server.listen(options.host, options.port, options.shared_port)
-        self.fronts.invoke.own, self.endpoints.own = self.fronts.url(), server.address
+        self.fronts.invoke.own, self.endpoints.address = self.fronts.url(), server.address
         if self.fleet is not None and self.fleet.replication is not None:
-            self.fleet.replication.own = server.address
+            self.fleet.replication.address = server.address
 
     def _listen_grpc(self) -> None:
         settings, options = self.deployment.inference, self.options
@@ -274,7 +274,7 @@
             self.front_addresses,
             self.fronts.reloaders,
             self._status_sections(),
-            self.fleet.replication.retire if self.fleet is not None and self.fleet.replication is not None else None,
+            self.fleet.replication.drain if self.fleet is not None and self.fleet.replication is not None else None,
         )
         server = HttpServer(control.handle, Limits(connections=CONTROL_CONNECTIONS))
         if self.options.control is not None:
--- a/kelptrail/service/journal.py
+++ b/kelptrail/service/journal.py
@@ -71,7 +71,7 @@
     driver.journal = JournalDriver(stores.commits, stores.file, driver.schedule_decisions, log)
     gateway.on_forget = driver.journal.forget
     began = now_ms()
-    replicated = replication.ids() if replication is not None else set[str]()
+    replicated = replication.activation_ids() if replication is not None else set[str]()
     activations = (entries for entries in stores.file.activations() if entries.accepted.id not in replicated)
     recovered = gateway.recover(
         began, wall_ms(), activations, least_run_ms(deployment), deployment.journal.resume_at_once
--- a/kelptrail/service/planner.py
+++ b/kelptrail/service/planner.py
@@ -49,7 +49,7 @@
     fleet.start()
     planner.start()
     endpoints = _endpoint_client(options, fleet, planner, log)
-    endpoints.start_from_last()
+    endpoints.load_saved()
     endpoint_task = asyncio.get_running_loop().create_task(endpoints.follow())
     control = HttpServer(PlannerControl(fleet, planner).handle, Limits(connections=CONTROL_CONNECTIONS))
     if options.control is not None:
--- a/kelptrail/service/shutdown.py
+++ b/kelptrail/service/shutdown.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from kelptrail.clock import now_ms
-from kelptrail.replication.messages import PREFIX as JOURNAL_LEASES
+from kelptrail.replication.messages import LEASE_PREFIX as JOURNAL_LEASES
 
 from .dispatcher import Dispatcher
 
