--- a/kelptrail/net/guard.py
+++ b/kelptrail/net/guard.py
@@ -1,8 +1,8 @@
-"""What one HTTP/2 connection may do before it is told to go; free of I/O and clocks.
+"""Limits on what one HTTP/2 connection may do, and on its age; no I/O, no clock.
 
-Counts are of a sliding kind: each budget fills again at a rate and is spent by one act.  Guards against floods that
-cost their sender nothing: streams opened and reset at once, pings, settings, empty frames.  Also: when a connection has
-lived long enough, so that clients spread over dispatchers anew.
+Each kind of frame has a token bucket.  Guards against floods that cost their sender nothing (RFC 9113 section 10.5):
+streams opened and reset at once, pings, settings, empty frames.  The age limit makes clients connect anew, so that they
+spread over the dispatchers.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class GuardAction(Enum):
-    """What is counted."""
+    """The kinds of frame that are counted."""
 
     RESET = "reset"
     PING = "ping"
@@ -22,61 +22,62 @@
 
 @dataclass(frozen=True, slots=True)
 class GuardSettings:
-    """Acts allowed at once, and again each second; a connection's age in ms (0: no limit) and its last grace."""
+    """Frames of a kind allowed at once and each second; a connection's age in ms (0: no limit) and, once it is closing,
+    the time in ms for its streams to end."""
 
-    at_once: int = 200
+    burst: int = 200
     per_s: float = 20.0
     age_ms: float = 0.0
     grace_ms: float = 10_000.0
 
 
-class Stage(Enum):
-    """Where a connection stands."""
+class CloseStage(Enum):
+    """How far a connection is on the way to its close."""
 
     OPEN = "open"
-    WARNED = "warned"  # told that it will close; streams it opened before it heard are served
-    CLOSING = "closing"  # new streams are refused
-    OVER = "over"
+    WARNED = "warned"  # a GOAWAY was sent; streams opened before it arrives are served
+    CLOSING = "closing"  # new streams are refused; those in flight are served
+    CLOSED = "over"
 
 
-class Guard:
-    """One connection's budgets and age.  Times are milliseconds; `spread` (0 to 1) makes ages differ."""
+class FloodGuard:
+    """One connection's budgets and age.  Times are milliseconds; `spread` (0 to 1) makes connections' ages differ."""
 
     def __init__(self, settings: GuardSettings, now: float, spread: float = 0.0) -> None:
         self._settings = settings
-        self._left = {act: float(settings.at_once) for act in GuardAction}
-        self._filled = now
-        self._old_at = now + settings.age_ms * (0.9 + 0.2 * spread) if settings.age_ms else float("inf")
-        self._warned_at = self._closed_at = float("inf")
-        self.stage = Stage.OPEN
-
-    def spend(self, now: float, act: GuardAction) -> bool:
-        """Whether an act is within its budget."""
-        grown, self._filled = (now - self._filled) / 1000 * self._settings.per_s, now
+        self._budgets = {action: float(settings.burst) for action in GuardAction}
+        self._refilled_at = now
+        self._expires_at = now + settings.age_ms * (0.9 + 0.2 * spread) if settings.age_ms else float("inf")
+        self._closing_started_at = self._closed_at = float("inf")
+        self.stage = CloseStage.OPEN
+
+    def spend(self, now: float, action: GuardAction) -> bool:
+        """Count a frame; whether it is within the budget of its kind."""
+        grown, self._refilled_at = (now - self._refilled_at) / 1000 * self._settings.per_s, now
         for kind in GuardAction:
-            self._left[kind] = min(float(self._settings.at_once), self._left[kind] + grown)
-        self._left[act] -= 1
-        return self._left[act] >= 0
-
-    def leave(self, now: float) -> None:
-        """It is to close: at its age, or because its dispatcher drains or gives up the address."""
-        if self.stage is Stage.OPEN:
-            self.stage, self._warned_at = Stage.WARNED, now
-
-    def due(self, now: float, streams: int, heard_ms: float) -> Stage | None:
-        """The stage that begins now, or None; `heard_ms`: how long a warning takes to be heard."""
-        if self.stage is Stage.OPEN and now >= self._old_at:
-            self.leave(now)
-            return Stage.WARNED
-        if self.stage is Stage.WARNED and now >= self._warned_at + heard_ms:
-            self.stage, self._closed_at = Stage.CLOSING, now
-            return Stage.CLOSING
-        if self.stage is Stage.CLOSING and (not streams or now >= self._closed_at + self._settings.grace_ms):
-            self.stage = Stage.OVER
-            return Stage.OVER
+            self._budgets[kind] = min(float(self._settings.burst), self._budgets[kind] + grown)
+        self._budgets[action] -= 1
+        return self._budgets[action] >= 0
+
+    def start_closing(self, now: float) -> None:
+        """Start the close: at its age, or because its dispatcher drains or releases the address."""
+        if self.stage is CloseStage.OPEN:
+            self.stage, self._closing_started_at = CloseStage.WARNED, now
+
+    def due(self, now: float, streams: int, delivery_ms: float) -> CloseStage | None:
+        """The stage that begins now, or None; `delivery_ms` is allowed for a GOAWAY to reach the client."""
+        if self.stage is CloseStage.OPEN and now >= self._expires_at:
+            self.start_closing(now)
+            return CloseStage.WARNED
+        if self.stage is CloseStage.WARNED and now >= self._closing_started_at + delivery_ms:
+            self.stage, self._closed_at = CloseStage.CLOSING, now
+            return CloseStage.CLOSING
+        if self.stage is CloseStage.CLOSING and (not streams or now >= self._closed_at + self._settings.grace_ms):
+            self.stage = CloseStage.CLOSED
+            return CloseStage.CLOSED
         return None
 
     @property
-    def takes(self) -> bool:
-        """Whether a new stream is served; one that is not was never looked at, so trying it again is harmless."""
-        return self.stage in (Stage.OPEN, Stage.WARNED)
+    def accepts_streams(self) -> bool:
+        """Whether a new stream is served; one that is not was never processed, so a retry is safe."""
+        return self.stage in (CloseStage.OPEN, CloseStage.WARNED)
--- a/kelptrail/net/transport.py
+++ b/kelptrail/net/transport.py
@@ -1,8 +1,8 @@
-"""A connection's bytes, plain or under TLS, with the loop's own socket calls below both.
+"""A connection's byte stream, plain or under TLS, both on the event loop's socket calls.
 
-A plain wire hands out `sock_recv_into` and `sock_sendall` as they are.  A TLS wire runs the library's state machine
-over memory buffers: what the socket gives goes in, what comes out goes to the socket, so nothing of the loop's
-transports is needed and both kinds look the same to their users.
+A plain transport passes `sock_recv_into` and `sock_sendall` on as they are.  A TLS transport runs the state machine of
+`ssl` over memory buffers between it and the socket.  So neither needs asyncio's transports, and both look the same to
+their users.
 """
 
 from __future__ import annotations
@@ -15,16 +15,25 @@
 import termios
 from array import array
 from collections.abc import Awaitable, Callable
+from enum import Enum
 from functools import partial
 from typing import Any
 
-from .errors import is_momentary
+from .errors import is_transient
 
 BUFFER = 65_536
 
 
+class IdleState(Enum):
+    """What a look at a connection on which no bytes are expected has found."""
+
+    IDLE = "idle"  # open, with nothing to read
+    CLOSED = "closed"  # the peer closed it, or it failed
+    UNEXPECTED_DATA = "unexpected-data"  # bytes arrived, or may have: the look itself failed transiently
+
+
 class Transport:
-    """A plain connection."""
+    """A plain TCP connection."""
 
     __slots__ = ("__weakref__", "recv_into", "sendall", "sock")
 
@@ -35,33 +44,32 @@
 
     @property
     def certificate(self) -> bytes | None:
-        """The peer's certificate in DER, if one was asked for and given."""
+        """The peer's certificate in DER, if it was requested and sent."""
         return None
 
     @property
     def protocol(self) -> str | None:
-        """What ALPN settled (RFC 7301)."""
+        """The protocol that ALPN selected (RFC 7301)."""
         return None
 
-    def quiet(self) -> bool | None:
-        """Of an idle connection: True where nothing came, False where it ended, None where something came unasked, or
-        may have come as the look failed for a moment."""
+    def probe_idle(self) -> IdleState:
+        """The state of a connection on which no bytes are expected; reads nothing from the socket's buffer."""
         try:
-            return None if self.sock.recv(1, socket.MSG_PEEK) else False
+            return IdleState.UNEXPECTED_DATA if self.sock.recv(1, socket.MSG_PEEK) else IdleState.CLOSED
         except BlockingIOError:
-            return True
+            return IdleState.IDLE
         except OSError as cause:
-            return None if is_momentary(cause) else False
+            return IdleState.UNEXPECTED_DATA if is_transient(cause) else IdleState.CLOSED
 
-    def unread(self) -> int:
-        """Bytes that came and were not read; 0 where that cannot be told."""
+    def unread_bytes(self) -> int:
+        """Bytes in the socket's receive buffer; 0 where that cannot be determined."""
         count = array("i", [0])
         with contextlib.suppress(OSError, ValueError):
             fcntl.ioctl(self.sock.fileno(), termios.FIONREAD, count)
         return count[0]
 
-    def end(self) -> None:
-        """End our sending side."""
+    def shutdown_write(self) -> None:
+        """Shut down the sending side."""
         self.sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
@@ -70,7 +78,7 @@
 
 
 class TlsTransport(Transport):
-    """A connection under TLS; `handshake` comes first."""
+    """A connection under TLS; `handshake` must complete first."""
 
     __slots__ = ("_buffer", "_in", "_lock", "_loop", "_out", "_tls")
 
@@ -86,11 +94,11 @@
         self._loop, self._in, self._out = loop, ssl.MemoryBIO(), ssl.MemoryBIO()
         self._tls = context.wrap_bio(self._in, self._out, server_side, name)
         self._buffer = bytearray(BUFFER)
-        self._lock = asyncio.Lock()  # records leave in the order in which they were made
+        self._lock = asyncio.Lock()  # records are sent in the order in which they were made
         self.recv_into, self.sendall = self._recv_into, self._sendall
 
     async def handshake(self, within_ms: float) -> None:
-        """Raises `ssl.SSLError`, `OSError`, `TimeoutError`."""
+        """Complete the handshake.  Raises `ssl.SSLError`, `OSError`, and `TimeoutError` after `within_ms`."""
         async with asyncio.timeout(within_ms / 1000):
             while True:
                 try:
@@ -102,7 +110,7 @@
                     if not await self._fill():
                         raise ConnectionResetError("the peer went away in the handshake") from None
                 except ssl.SSLError:
-                    await self._flush()  # the alert says why
+                    await self._flush()  # send the alert
                     raise
 
     async def _fill(self) -> bool:
@@ -125,7 +133,7 @@
             try:
                 return self._tls.read(len(buffer), buffer)  # type: ignore[return-value]
             except ssl.SSLWantReadError:
-                await self._flush()  # answers to key updates
+                await self._flush()  # replies to key updates
                 if not await self._fill():
                     return 0
             except ssl.SSLZeroReturnError:
@@ -146,43 +154,44 @@
 
     @property
     def certificate(self) -> bytes | None:
-        """The peer's certificate in DER, if one was asked for and given."""
+        """The peer's certificate in DER, if it was requested and sent."""
         return self._tls.getpeercert(binary_form=True)
 
     @property
     def protocol(self) -> str | None:
-        """What ALPN settled (RFC 7301)."""
+        """The protocol that ALPN selected (RFC 7301)."""
         return self._tls.selected_alpn_protocol()
 
-    def quiet(self) -> bool | None:
-        """As a plain one; what only concerns TLS itself, such as new session tickets, is nothing."""
+    def probe_idle(self) -> IdleState:
+        """As on a plain connection, but reads and decrypts; records of TLS itself, such as new session tickets
+        (RFC 8446, section 4.6.1), leave it idle."""
         try:
             while True:
                 data = self.sock.recv(BUFFER)
                 if not data:
-                    return False
+                    return IdleState.CLOSED
                 self._in.write(data)
         except BlockingIOError:
             pass
         except OSError:
-            return False
+            return IdleState.CLOSED
         try:
-            return None if self._tls.read(1) else False
+            return IdleState.UNEXPECTED_DATA if self._tls.read(1) else IdleState.CLOSED
         except ssl.SSLWantReadError:
-            return True
+            return IdleState.IDLE
         except ssl.SSLError:
-            return False
+            return IdleState.CLOSED
 
     @property
     def version(self) -> str | None:
-        """The version in use."""
+        """The TLS version in use."""
         return self._tls.version()
 
     def end(self) -> None:
-        """Say that nothing more comes (RFC 8446, section 6.1), as far as the socket takes it at once."""
+        """Send `close_notify` (RFC 8446, section 6.1), as far as the socket takes it at once, and shut down."""
         with contextlib.suppress(ssl.SSLError, ValueError):
             self._tls.unwrap()
         with contextlib.suppress(OSError):
             if data := self._out.read():
                 self.sock.send(data)
-        super().end()
+        super().shutdown_write()
--- a/kelptrail/planner/driver.py
+++ b/kelptrail/planner/driver.py
@@ -116,7 +116,7 @@
         sock.listen(ACCEPT_BACKLOG)
         sock.setblocking(False)
         self.address = f"{self._options.host}:{sock.getsockname()[1]}"
-        self._listener.open(sock)
+        self._listener.add_socket(sock)
 
     def _on_connect(self, sock: socket.socket, peer: str) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/kelptrail/platform/decision_executor.py
+++ b/kelptrail/platform/decision_executor.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from kelptrail.codec import frames
-from kelptrail.codec.lines import Answer, call
+from kelptrail.codec.lines import WorkerAnswer, encode_call
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, FinalStatus, LoadOrder, Request
 from kelptrail.dispatch.timer_queue import TimerQueue
 from kelptrail.engine.engine import Engine
@@ -83,17 +83,19 @@
 
     # Events of the workers.
 
-    def on_item_finished(self, item: WorkItem, status: AttemptStatus, answer: Answer | None) -> None:
+    def on_item_finished(self, item: WorkItem, status: AttemptStatus, answer: WorkerAnswer | None) -> None:
         """An attempt or load has ended."""
         now = self._loop.time() * 1000
         self.status_counts[status.value] += 1
         if isinstance(item, LoadOrder):
-            self._engine.on_load_report(now, item, status, answer.units if answer is not None else 0)
+            self._engine.on_load_report(now, item, status, answer.loaded_instances if answer is not None else 0)
         else:
             self._on_attempt_finished(now, item, status, answer)
         self._schedule_decisions()
 
-    def _on_attempt_finished(self, now: float, attempt: Attempt, status: AttemptStatus, answer: Answer | None) -> None:
+    def _on_attempt_finished(
+        self, now: float, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
+    ) -> None:
         request = attempt.request
         is_final = request.final_status is not None
         if (
@@ -107,17 +109,19 @@
             self._engine.on_attempt_finished(now, attempt, status, is_final, False, False)
         else:
             report = self._load_report(answer)
-            crashed, started = answer.tell == "crashed", answer.tell == "up"
-            self._engine.on_attempt_finished(now, attempt, status, is_final, crashed, started, answer.ahead, report)
+            crashed, started = answer.notice == "crashed", answer.notice == "up"
+            self._engine.on_attempt_finished(
+                now, attempt, status, is_final, crashed, started, answer.queue_ahead, report
+            )
         if is_final:
             self._cancel_unsent_attempts(request, CancelReason.FINISHED)
 
-    def _load_report(self, answer: Answer) -> list[float] | None:
+    def _load_report(self, answer: WorkerAnswer) -> list[float] | None:
         """The metrics of an answer in the order of the settings; `cpu` stands in for a missing `util`."""
-        if answer.meter is None:
+        if answer.metrics is None:
             return None
         return [
-            answer.meter.get(name, answer.meter.get("cpu", 0.0) if name == "util" else 0.0)
+            answer.metrics.get(name, answer.metrics.get("cpu", 0.0) if name == "util" else 0.0)
             for name in self._engine.report_fields
         ]
 
@@ -173,7 +177,7 @@
             return b""
         attempt.write_started_at = now
         self._invariants.attempt_begins(now, attempt, client_request.client_gone_ms, limit_ms)
-        return call(
+        return encode_call(
             request.id,
             request.request_class.name,
             request.function.id,
@@ -183,7 +187,7 @@
         )
 
     def answer_final(self, request: Request) -> None:
-        """Answer a request that was rejected or has failed."""
+        """WorkerAnswer a request that was rejected or has failed."""
         client_request = self.client_requests.pop(request, None)
         if client_request is not None:
             is_rejected = request.final_status is FinalStatus.REJECTED
--- a/kelptrail/service/front_addresses.py
+++ b/kelptrail/service/front_addresses.py
@@ -121,7 +121,7 @@
     def _front_has_capacity(self) -> bool:
         """Whether no server is full and none rejected a connection since the last check."""
         servers = self.active_servers()
-        rejected = sum(server.turned_away for server in servers)
+        rejected = sum(server.rejected_connections for server in servers)
         full = any(server.connections >= server.limits.connections for server in servers)
         has_capacity = not full and rejected <= self._rejected_before
         self._rejected_before = rejected
--- a/kelptrail/service/fronts.py
+++ b/kelptrail/service/fronts.py
@@ -64,7 +64,7 @@
             self._callers.named,
             self._connect_pace(settings),
         )
-        server.door.on_connect = self._on_connect
+        server.listener.on_connect = self._on_connect
         return server
 
     def make_grpc_server(self) -> GrpcServer:
@@ -78,7 +78,7 @@
             self._callers.named,
             self._connect_pace(settings),
         )
-        server.door.on_connect = self._on_connect
+        server.listener.on_connect = self._on_connect
         return server
 
     def url(self) -> str:
@@ -89,7 +89,7 @@
     def reload_certificates(self) -> None:
         """Background work: load certificate files that have changed."""
         for reloader in self.reloaders.values():
-            reloader.look()
+            reloader.reload_if_changed()
 
     def _tls_context(self, name: str) -> Callable[[], ssl.SSLContext] | None:
         return self.reloaders[name].context if name in self.reloaders else None
--- a/kelptrail/service/shutdown.py
+++ b/kelptrail/service/shutdown.py
@@ -33,7 +33,7 @@
     gateway, fronts = dispatcher.gateway, dispatcher.fronts
     dispatcher.log.info("draining", in_hand=gateway.in_flight, connections=fronts.http.connections)
     fronts.invoke.leaving = fronts.inference.leaving = True
-    fronts.grpc.leave()
+    fronts.grpc.start_draining()
     deadline = _Deadline(dispatcher.deployment.front.drain_ms)
     await _give_up_duties(dispatcher)
     answered = await dispatcher.driver.drain(deadline.remaining_ms())
--- a/kelptrail/vrrp/address.py
+++ b/kelptrail/vrrp/address.py
@@ -63,9 +63,9 @@
         server = self._make_http_server(self._handle)
         grpc = self._make_grpc_server() if self._make_grpc_server is not None and self._grpc_port else None
         try:
-            server.listen(self._host, self._port, shared=True)
+            server.listen(self._host, self._port, reuse_port=True)
             if grpc is not None:
-                grpc.listen(self._host, self._grpc_port, shared=True)
+                grpc.listen(self._host, self._grpc_port, reuse_port=True)
         except OSError as cause:
             server.stop_listening()
             self._log.warning("address-not-taken", address=f"{self._host}:{self._port}", reason=str(cause))
@@ -81,7 +81,7 @@
         server, self._server = self._server, None
         if server is not None:
             server.handle = self._reject_moved
-            server.leave()  # at once: later connections reach the new holder
+            server.start_draining()  # at once: later connections reach the new holder
             if self._grpc is not None:
                 self._grpc.stop_listening()
             task = self._loop.create_task(self._drain(server, self._grpc, drain_ms))
