--- a/bench/inference.py
+++ b/bench/inference.py
@@ -287,14 +287,14 @@
             print(json.dumps({"case": case} | middle(found)), flush=True)
         shake = [pinned(4, "handshakes", secure.address, seconds, authority) for _ in range(options.runs)]
         print(json.dumps({"case": "TLS handshakes"} | middle(shake)), flush=True)
-        store = Process(1, sys.executable, "-m", "kelptrail", "standin", "store", str(folder / "plain.sexp"))
+        store = Process(1, sys.executable, "-m", "kelptrail", "emulate", "model-store", str(folder / "plain.sexp"))
         roster = List([], 1)
         runner = Process(
             0,
             sys.executable,
             "-m",
             "kelptrail",
-            "standin",
+            "emulate",
             "worker",
             str(folder / "plain.sexp"),
             "--id",
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -70,7 +70,7 @@
     def __init__(self, workers: list[str], core: int) -> None:
         import urllib.request
 
-        self.process = Process(core, sys.executable, "-m", "kelptrail", "standin", "roster")
+        self.process = Process(core, sys.executable, "-m", "kelptrail", "emulate", "endpoint-service")
         for n, address in enumerate(workers):
             body = json.dumps(
                 {"id": f"w{n}", "address": address, "incarnation": "1", "hall": "", "cell": n, "age_ms": 1e9}
--- a/bench/planner.py
+++ b/bench/planner.py
@@ -154,7 +154,7 @@
     place = Cluster(load(file), file, None, 1, "warning", None, quiet=True)
     await place.start(4, 1, None)
     large = ROOT / "examples" / "large.sexp"
-    roster = await place._child("roster-2", ["standin", "roster"])
+    roster = await place._child("roster-2", ["emulate", "endpoint-service"])
     planner = await place._child(
         "planner", ["planner", str(large), "--roster", roster.said["address"], "--control", "127.0.0.1:0"]
     )
@@ -228,7 +228,7 @@
     large = ROOT / "examples" / "large.sexp"
     deployment = load(large)
     place = Cluster(deployment, str(large), None, 1, "warning", None, quiet=True)
-    roster = await place._child("roster", ["standin", "roster"])
+    roster = await place._child("roster", ["emulate", "endpoint-service"])
     planner = await place._child(
         "planner", ["planner", str(large), "--roster", roster.said["address"], "--control", "127.0.0.1:0"]
     )
--- a/bench/second_sends.py
+++ b/bench/second_sends.py
@@ -42,7 +42,7 @@
             "kelptrail",
             "--log-level",
             "error",
-            "bad-day",
+            "fault-scenario",
             str(folder / "day.sexp"),
             "--seed",
             str(seed),
--- a/bench/side_by_side.py
+++ b/bench/side_by_side.py
@@ -15,7 +15,15 @@
 
 def sockets(name: str, out: Path) -> dict[str, Any]:
     done = subprocess.run(
-        [sys.executable, "-m", "kelptrail", "bad-day", f"examples/bad-days/{name}.sexp", "--out", str(out / name)],
+        [
+            sys.executable,
+            "-m",
+            "kelptrail",
+            "fault-scenario",
+            f"examples/bad-days/{name}.sexp",
+            "--out",
+            str(out / name),
+        ],
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -26,7 +34,7 @@
 
 def lab(name: str) -> dict[str, Any]:
     done = subprocess.run(
-        [sys.executable, "-m", "kelptrail", "lab", "play", f"examples/bad-days/{name}.sexp"],
+        [sys.executable, "-m", "kelptrail", "simulate", "play", f"examples/bad-days/{name}.sexp"],
         cwd=ROOT,
         capture_output=True,
         text=True,
--- /dev/null
+++ b/kelptrail/cli/calls.py
@@ -0,0 +1,130 @@
+"""A client of the invoke API: `invoke` calls an action, `poll` asks for its activation's record."""
+
+from __future__ import annotations
+
+import asyncio
+import base64
+import sys
+from typing import Any, NamedTuple
+
+import click
+import msgspec
+
+from .console import print_json, run_async
+from .errors import ExitCode, unreachable
+from .options import ExampleCommand, combined
+
+REQUEST_TIMEOUT_MS = 70_000.0
+POLL_INTERVAL_S = 0.1
+_EXIT_OF_ANSWER = {"rejected": ExitCode.REJECTED, "aborted": ExitCode.ABORTED}
+
+
+class ApiResponse(NamedTuple):
+    """A response of the invoke API: its HTTP status and its decoded body."""
+
+    status: int
+    body: Any
+
+    @property
+    def exit_code(self) -> ExitCode:
+        """The exit code that says how the activation ended, or that it is in flight."""
+        if self.status == 429:
+            return ExitCode.REJECTED
+        if self.status == 202 or (self.status == 404 and "in hand" in str(self.body)):
+            return ExitCode.IN_FLIGHT
+        if answer := self._final_answer():
+            return _EXIT_OF_ANSWER.get(answer, ExitCode.COMPLETED)
+        return ExitCode.COMPLETED if self.status == 200 else ExitCode.FAILED
+
+    def _final_answer(self) -> str | None:
+        """The answer that the record's `kelptrail` annotation names, if the body is such a record."""
+        if not isinstance(self.body, dict):
+            return None
+        annotations = {note["key"]: note["value"] for note in self.body.get("annotations", [])}
+        return annotations.get("kelptrail", {}).get("answer")
+
+
+client_options = combined(
+    click.option("--namespace", default="_", show_default=True),
+    click.option("--auth", required=True, help="UUID:KEY of the namespace."),
+    click.option("--url", required=True, help="The invoke address, such as http://127.0.0.1:8080."),
+)
+
+
+async def _request(
+    url: str, auth: str, method: str, target: str, body: Any = None, headers: dict[str, str] | None = None
+) -> ApiResponse:
+    """One request to the invoke API.  Raises `CommandFailedError` where it does not answer."""
+    from kelptrail.codec.http import HttpError
+    from kelptrail.net.http_client import HttpClient
+
+    authorization = "Basic " + base64.b64encode(auth.encode()).decode()
+    client = HttpClient(url.removeprefix("http://").rstrip("/"))
+    try:
+        response = await client.ask(
+            method, target, body, REQUEST_TIMEOUT_MS, {"authorization": authorization} | (headers or {})
+        )
+    except (OSError, HttpError) as cause:
+        raise unreachable(url, cause) from None
+    finally:
+        client.close()
+    return ApiResponse(response.status, msgspec.json.decode(response.body) if response.body else None)
+
+
+@click.command(
+    cls=ExampleCommand,
+    example="kelptrail invoke places/place-check '{\"family\": 7}' --url "
+    "http://127.0.0.1:8080 --auth UUID:KEY --blocking",
+)
+@click.argument("action")
+@click.argument("params", default="{}")
+@click.option("--blocking", is_flag=True, help="Wait for the final answer.")
+@click.option("--timeout", "timeout_ms", type=int, help="Longest wait in ms.")
+@click.option("--key", "idempotency_key", help="An idempotency key (header Idempotency-Key).")
+@client_options
+def invoke(
+    action: str,
+    params: str,
+    blocking: bool,
+    timeout_ms: int | None,
+    idempotency_key: str | None,
+    url: str,
+    auth: str,
+    namespace: str,
+) -> None:
+    """Call an action.  Exit 0 completed, 3 rejected, 4 aborted, 5 in flight."""
+    try:
+        body = msgspec.json.decode(params)
+    except msgspec.DecodeError as cause:
+        raise click.BadParameter(f"PARAMS is a JSON object: {cause}") from None
+    target = f"/api/v1/namespaces/{namespace}/actions/{action}?blocking={str(blocking).lower()}"
+    if timeout_ms is not None:
+        target += f"&timeout={timeout_ms}"
+    headers = {"idempotency-key": idempotency_key} if idempotency_key else None
+    _print_and_exit(run_async(_request(url, auth, "POST", target, body, headers)))
+
+
+@click.command(cls=ExampleCommand, example="kelptrail poll ID --url http://127.0.0.1:8080 --auth UUID:KEY")
+@click.argument("activation")
+@click.option("--within", default=0.0, show_default=True, help="Ask again for so many seconds.")
+@client_options
+def poll(activation: str, within: float, url: str, auth: str, namespace: str) -> None:
+    """Ask for an activation's record.  Exit 0 completed, 3 rejected, 4 aborted, 5 in flight."""
+    target = f"/api/v1/namespaces/{namespace}/activations/{activation}"
+    _print_and_exit(run_async(_poll(url, auth, target, within)))
+
+
+async def _poll(url: str, auth: str, target: str, within_s: float) -> ApiResponse:
+    """Ask again until the activation is no longer in flight, for `within_s` seconds at most."""
+    loop = asyncio.get_running_loop()
+    deadline = loop.time() + within_s
+    while True:
+        response = await _request(url, auth, "GET", target)
+        if response.exit_code is not ExitCode.IN_FLIGHT or loop.time() >= deadline:
+            return response
+        await asyncio.sleep(POLL_INTERVAL_S)
+
+
+def _print_and_exit(response: ApiResponse) -> None:
+    print_json(response.body)
+    sys.exit(response.exit_code)
--- /dev/null
+++ b/kelptrail/cli/certificates.py
@@ -0,0 +1,105 @@
+"""`keys`: a private certificate authority, and keys for namespaces."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from datetime import UTC, datetime
+from pathlib import Path
+from typing import TYPE_CHECKING, TypeVar
+
+import click
+
+from .console import print_json_line
+from .errors import CommandFailedError
+from .options import ExampleCommand
+
+if TYPE_CHECKING:
+    from kelptrail.certificates.authority import Issued
+
+T = TypeVar("T")
+
+folder_argument = click.argument("folder", type=click.Path(path_type=Path))
+
+
+@click.group()
+def keys() -> None:
+    """A private authority of one's own: certificates for fronts, workers and clients; keys for namespaces."""
+
+
+def _with_authority(work: Callable[[], T]) -> T:
+    """What `work` returns.  Raises `CommandFailedError` where the authority cannot do it."""
+    from kelptrail.certificates.authority import AuthorityError
+
+    try:
+        return work()
+    except AuthorityError as cause:
+        raise CommandFailedError(str(cause)) from None
+
+
+def _print_certificate(issued: Issued) -> None:
+    print_json_line(
+        name=issued.name,
+        names=issued.names,
+        use=issued.use,
+        serial=issued.serial,
+        begins=issued.begins.isoformat(),
+        ends=issued.ends.isoformat(),
+        days_left=round(issued.days_left(datetime.now(UTC)), 1),
+    )
+
+
+@keys.command(cls=ExampleCommand, example="kelptrail keys init keys --name north-authority")
+@folder_argument
+@click.option("--name", default="kelptrail-authority", show_default=True)
+@click.option("--days", default=3650, show_default=True, type=click.IntRange(1, 36_500))
+def init(folder: Path, name: str, days: int) -> None:
+    """Make an authority in FOLDER.  An existing one is never overwritten."""
+    from kelptrail.certificates.authority import Authority
+
+    _print_certificate(_with_authority(lambda: Authority.make(folder, name, days, datetime.now(UTC)).show()[0]))
+
+
+@keys.command(cls=ExampleCommand, example="kelptrail keys issue keys front --server --also 127.0.0.1")
+@folder_argument
+@click.argument("name")
+@click.option("--server", is_flag=True, help="For a front or a worker.")
+@click.option("--client", is_flag=True, help="For a caller, or a dispatcher towards its workers.")
+@click.option("--also", multiple=True, help="Another DNS name, URI or address that it is valid for.")
+@click.option("--days", default=90, show_default=True, type=click.IntRange(1, 36_500))
+def issue(folder: Path, name: str, server: bool, client: bool, also: tuple[str, ...], days: int) -> None:
+    """Issue a certificate: FOLDER/NAME.pem holds its key and itself."""
+    from kelptrail.certificates.authority import Authority
+
+    _print_certificate(
+        _with_authority(lambda: Authority(folder).issue(name, also, server, client, days, datetime.now(UTC)))
+    )
+
+
+@keys.command(cls=ExampleCommand, example="kelptrail keys rotate keys front")
+@folder_argument
+@click.argument("name")
+@click.option("--days", default=90, show_default=True, type=click.IntRange(1, 36_500))
+def rotate(folder: Path, name: str, days: int) -> None:
+    """Renew a certificate with a new key; running fronts reload it by themselves."""
+    from kelptrail.certificates.authority import Authority
+
+    _print_certificate(_with_authority(lambda: Authority(folder).rotate(name, days, datetime.now(UTC))))
+
+
+@keys.command(cls=ExampleCommand, example="kelptrail keys show keys")
+@folder_argument
+def show(folder: Path) -> None:
+    """Show the authority and what it issued, one JSON line each; never a key."""
+    from kelptrail.certificates.authority import Authority
+
+    for issued in _with_authority(lambda: Authority(folder).show()):
+        _print_certificate(issued)
+
+
+@keys.command(cls=ExampleCommand, example="kelptrail keys api")
+def api() -> None:
+    """Make a key for a namespace: hand out `key`, put `key_hash` into the settings."""
+    from kelptrail.certificates.authority import api_key
+
+    key, hashed = api_key()
+    print_json_line(key=key, key_hash=hashed)
--- /dev/null
+++ b/kelptrail/cli/console.py
@@ -0,0 +1,106 @@
+"""What every command needs: the event loop, input files, output, logs and orderly ends."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import os
+import signal
+import sys
+import threading
+from collections.abc import Callable, Coroutine
+from typing import TYPE_CHECKING, Any, TypeVar
+
+import click
+import msgspec
+
+from .errors import UnusableInputError
+
+if TYPE_CHECKING:
+    from kelptrail.fault_scenario.scenario import FaultScenario
+    from kelptrail.settings.deployment import Deployment
+
+T = TypeVar("T")
+
+STDIN_READ_BYTES = 4096
+
+
+def run_async(main: Coroutine[Any, Any, T]) -> T:
+    """Run a coroutine to its end on a new uvloop event loop."""
+    import uvloop
+
+    return uvloop.run(main)
+
+
+def read_input(load: Callable[[str], T], file: str) -> T:
+    """What `load` makes of a file.  Raises `UnusableInputError` that names every fault."""
+    from kelptrail.settings.reader import SettingsError
+
+    try:
+        return load(file)
+    except SettingsError as cause:
+        faults = [str(fault) for fault in cause.faults]
+        raise UnusableInputError("\n".join([*faults, f"{len(faults)} faults"])) from None
+    except OSError as cause:
+        raise UnusableInputError(f"{file}: {cause.strerror}") from None
+
+
+def read_deployment(file: str) -> Deployment:
+    """The checked settings of a deployment file.  Raises `UnusableInputError`."""
+    from kelptrail.settings.deployment import load
+
+    return read_input(load, file)
+
+
+def read_scenario(file: str) -> FaultScenario:
+    """The checked fault scenario of a file.  Raises `UnusableInputError`."""
+    from kelptrail.fault_scenario.scenario import load
+
+    return read_input(load, file)
+
+
+def print_json_line(**fields: Any) -> None:
+    """Print one JSON line on standard output and flush it, as the parent process waits for it."""
+    sys.stdout.write(msgspec.json.encode(fields).decode() + "\n")
+    sys.stdout.flush()
+
+
+def print_json(value: Any) -> None:
+    """Print a value as indented JSON on standard output."""
+    click.echo(msgspec.json.format(msgspec.json.encode(value)).decode())
+
+
+def start_log(context: click.Context, **bound: Any) -> Any:
+    """A logger as the group's options ask for it, with `bound` in every line."""
+    from .logs import set_up
+
+    return set_up(context.obj["level"], context.obj["form"], **bound)
+
+
+def call_at_end_of_stdin(stop: Callable[[], None]) -> None:
+    """Call `stop` in the running loop when standard input ends, so that a child ends with its parent."""
+    loop = asyncio.get_running_loop()
+
+    def watch() -> None:
+        while os.read(0, STDIN_READ_BYTES):
+            pass
+        with contextlib.suppress(RuntimeError):  # the loop is closed already
+            loop.call_soon_threadsafe(stop)
+
+    threading.Thread(target=watch, daemon=True).start()
+
+
+def stop_event_on_signals() -> asyncio.Event:
+    """An event that SIGTERM and SIGINT set."""
+    stop = asyncio.Event()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(number, stop.set)
+    return stop
+
+
+async def wait_until_stopped(with_stdin: bool) -> None:
+    """Return at SIGTERM, at SIGINT, or, `with_stdin`, at the end of standard input."""
+    stop = stop_event_on_signals()
+    if with_stdin:
+        call_at_end_of_stdin(stop.set)
+    await stop.wait()
--- /dev/null
+++ b/kelptrail/cli/emulator.py
@@ -0,0 +1,221 @@
+"""`emulate`: the parts around a dispatcher, emulated on loopback for trials and tests, one process each."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+from pathlib import Path
+from typing import Any
+
+import click
+
+from .console import print_json_line, read_deployment, read_scenario, run_async, wait_until_stopped
+from .errors import UnusableInputError
+from .options import ExampleCommand, combined, endpoint_service_option, host_option, port_option, with_stdin_option
+
+SETTLE_MARGIN_MS = 5000.0
+_GC_THRESHOLD = (50_000, 20, 1_000_000)
+
+
+@click.group()
+def emulate() -> None:
+    """Emulated parts on loopback for trials and tests: workers, model store, endpoint service, proxies."""
+
+
+emulator_options = combined(
+    with_stdin_option,
+    click.option("--capture", type=click.Path(path_type=Path), help="File for what passes the sockets."),
+    port_option,
+    host_option,
+)
+
+
+async def _serve(server: Any, host: str, port: int, with_stdin: bool, **said: Any) -> None:
+    """Listen, print the ready line, and serve until stopped."""
+    server.listen(host, port)
+    print_json_line(ready=True, address=server.address, **said)
+    await wait_until_stopped(with_stdin)
+
+
+@emulate.command(cls=ExampleCommand, example="kelptrail emulate model-store examples/nursery.sexp --port 7001")
+@click.argument("file")
+@emulator_options
+def model_store(file: str, host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
+    """The model store, with the ledger by which workers drop repeats."""
+    deployment = read_deployment(file)
+    from kelptrail.emulator.capture import Capture
+    from kelptrail.emulator.model_store import ModelStore
+
+    async def emulated() -> None:
+        store = ModelStore(deployment.store, Capture(capture, "store"))
+        await _serve(store.server, host, port, with_stdin)
+
+    run_async(emulated())
+
+
+@emulate.command(cls=ExampleCommand, example="kelptrail emulate endpoint-service --port 7000")
+@emulator_options
+def endpoint_service(host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
+    """The endpoint service: the list of workers and dispatchers."""
+    from kelptrail.emulator.capture import Capture
+    from kelptrail.emulator.endpoint_service import EndpointService
+
+    async def emulated() -> None:
+        service = EndpointService(Capture(capture, "roster"))
+        await _serve(service.server, host, port, with_stdin)
+
+    run_async(emulated())
+
+
+@emulate.command(cls=ExampleCommand, example="kelptrail emulate side-effect-log")
+@emulator_options
+def side_effect_log(host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
+    """The target of side effects under leases: records who acts when, refuses old fencing tokens."""
+    from kelptrail.emulator.capture import Capture
+    from kelptrail.emulator.side_effect_log import SideEffectLog
+
+    async def emulated() -> None:
+        log = SideEffectLog(Capture(capture, "witness"))
+        await _serve(log.server, host, port, with_stdin)
+
+    run_async(emulated())
+
+
+@emulate.command(cls=ExampleCommand, example="kelptrail emulate channel-proxy --from dispatcher-0 --to dispatcher-1")
+@click.option("--from", "sources", multiple=True, help="One that connects.")
+@click.option("--to", "targets", multiple=True, help="One that is connected to.")
+@click.option("--seed", default=1)
+@emulator_options
+def channel_proxy(
+    sources: tuple[str, ...],
+    targets: tuple[str, ...],
+    seed: int,
+    host: str,
+    port: int,
+    capture: Path | None,
+    with_stdin: bool,
+) -> None:
+    """A proxy for the channel between dispatchers that cuts, slows and resets connections on request."""
+    from kelptrail.emulator.capture import Capture
+    from kelptrail.emulator.channel_proxy import ChannelProxy
+
+    async def emulated() -> None:
+        proxy = ChannelProxy(list(sources), list(targets), Capture(capture, "links"), seed)
+        await _serve(proxy.server, host, port, with_stdin, routes=proxy.routes)
+
+    run_async(emulated())
+
+
+@emulate.command(cls=ExampleCommand, example="kelptrail emulate datagram-proxy examples/shared-address.sexp")
+@click.argument("file")
+@click.option("--seed", default=1)
+@emulator_options
+def datagram_proxy(file: str, seed: int, host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
+    """A proxy that drops, delays and repeats VRRP datagrams on request."""
+    deployment = read_deployment(file)
+    from kelptrail.emulator.capture import Capture
+    from kelptrail.emulator.datagram_proxy import DatagramProxy
+
+    vrrp = deployment.vrrp
+    if vrrp is None:
+        raise UnusableInputError(f"{file}: no vrrp section")
+
+    async def emulated() -> None:
+        proxy = DatagramProxy(vrrp, Capture(capture, "relay"), seed)
+        await _serve(proxy.server, host, port, with_stdin)
+
+    run_async(emulated())
+
+
+@emulate.command(
+    cls=ExampleCommand,
+    example="kelptrail emulate worker examples/nursery.sexp --id worker-1 "
+    "--store 127.0.0.1:7001 --roster 127.0.0.1:7000",
+)
+@click.argument("file")
+@click.option("--id", "worker_id", required=True)
+@click.option("--hall", "zone", default="")
+@click.option("--cell", default=0)
+@click.option("--store", "store_address", required=True, help="Address of the model store.")
+@endpoint_service_option
+@click.option("--seed", default=1)
+@click.option("--control-port", default=0)
+@click.option("--warm", is_flag=True, help="As if it had run for long.")
+@emulator_options
+def worker(file: str, **values: Any) -> None:
+    """One worker that holds instances of models."""
+    deployment = read_deployment(file)
+    from kelptrail.emulator.capture import Capture
+    from kelptrail.emulator.worker import WorkerEmulator
+
+    async def emulated() -> None:
+        worker_id, host = values["worker_id"], values["host"]
+        emulator = WorkerEmulator(
+            deployment,
+            worker_id,
+            values["zone"],
+            values["cell"],
+            values["store_address"],
+            values["endpoint_service"],
+            Capture(values["capture"], worker_id),
+            values["seed"],
+            values["warm"],
+        )
+        emulator.server.listen(host, values["port"])
+        emulator.control.listen(host, values["control_port"])
+        await emulator.announce(emulator.server.address)
+        print_json_line(
+            ready=True,
+            address=emulator.server.address,
+            control=emulator.control.address,
+            incarnation=emulator.incarnation,
+        )
+        await wait_until_stopped(values["with_stdin"])
+
+    run_async(emulated())
+
+
+@emulate.command(hidden=True)
+@click.argument("script")
+@click.option("--at", "addresses", multiple=True)
+@click.option("--second", "inference_addresses", multiple=True)
+@click.option("--start", "start_ms", type=float)
+@click.option("--number", type=int)
+@click.option("--of", type=int)
+@click.option("--seed", type=int)
+@click.option("--capture", type=click.Path(path_type=Path))
+def clients(script: str, start_ms: float, **values: Any) -> None:
+    """One process of a fault scenario's clients."""
+    from kelptrail.clock import now_ms
+    from kelptrail.emulator.capture import Capture
+    from kelptrail.emulator.clients import ClientEmulator
+
+    scenario = read_scenario(script)
+    deployment = read_deployment(scenario.deployment)
+    longest_timeout_ms = max(request_class.timeout_ms for request_class in deployment.types.values())
+
+    async def emulated() -> None:
+        name, folder = f"clients-{values['number']}", values["capture"]
+        emulator = ClientEmulator(
+            deployment,
+            list(values["addresses"]),
+            Capture(folder / f"{name}.jsonl" if folder else None, name),
+            values["seed"],
+            second=list(values["inference_addresses"]),
+            part=(values["number"], values["of"]),
+        )
+        plan = emulator.plan(scenario.load, scenario.seconds)
+        _freeze_garbage_collection()
+        await emulator.play(plan, start_ms)
+        await asyncio.sleep(max(0.0, start_ms / 1000 + scenario.seconds - now_ms() / 1000))
+        await emulator.settled(now_ms() + longest_timeout_ms + SETTLE_MARGIN_MS)
+        emulator.close()
+
+    run_async(emulated())
+
+
+def _freeze_garbage_collection() -> None:
+    """Keep the collector off the plan, which stays for the whole run: its pauses would count as latency."""
+    gc.collect()
+    gc.freeze()
+    gc.set_threshold(*_GC_THRESHOLD)
--- /dev/null
+++ b/kelptrail/cli/serving.py
@@ -0,0 +1,289 @@
+"""Commands that run a part of the program: `serve`, `edge`, `planner`, `platform`, `demo`, and `check` of settings."""
+
+from __future__ import annotations
+
+import asyncio
+import sys
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+import click
+
+from .console import (
+    call_at_end_of_stdin,
+    print_json_line,
+    read_deployment,
+    run_async,
+    start_log,
+    stop_event_on_signals,
+)
+from .errors import CommandFailedError, ExitCode, UnusableInputError
+from .options import (
+    ExampleCommand,
+    combined,
+    endpoint_service_option,
+    host_option,
+    peer_addresses,
+    port_option,
+    with_stdin_option,
+)
+
+if TYPE_CHECKING:
+    from kelptrail.planner.driver import Options as PlannerOptions
+    from kelptrail.service.serve import Options
+    from kelptrail.settings.deployment import Deployment
+
+LEAST_DEMO_WORKERS = 4
+
+
+@click.command(cls=ExampleCommand, example="kelptrail check examples/nursery.sexp")
+@click.argument("files", nargs=-1, required=True)
+def check(files: tuple[str, ...]) -> None:
+    """Check settings files; each fault is named with file, line, what was read and what was expected."""
+    for file in files:
+        deployment = read_deployment(file)
+        click.echo(
+            f"{file}: {deployment.name}, {len(deployment.types)} types, {len(deployment.namespaces)} "
+            f"namespaces, {len(deployment.actions)} actions"
+        )
+
+
+dispatcher_options = combined(
+    click.argument("file"),
+    endpoint_service_option,
+    click.option("--name", default="dispatcher", show_default=True, help="Name in logs and towards workers."),
+    click.option("--hall", "zone", default="", help="The zone it runs in; default: the settings'."),
+    host_option,
+    port_option,
+    click.option("--state", type=click.Path(path_type=Path), help="Folder for what outlives it."),
+    click.option("--shared-port", is_flag=True, help="Let other dispatchers of this machine listen on it too."),
+    click.option("--crash-at", default="", hidden=True),
+    click.option("--pause-at", default="", hidden=True),
+    click.option("--grpc-port", type=int, help="Port of the inference front; default: the settings'."),
+    click.option("--harmed-disk", "faulty_disk", type=click.Path(path_type=Path), hidden=True),
+    click.option("--control", help="Address and port for operators' requests, such as 127.0.0.1:0."),
+    click.option("--peers", help="Address and port of its channel to others; default: the settings'."),
+    click.option(
+        "--peer",
+        "addresses_of_peers",
+        multiple=True,
+        callback=peer_addresses,
+        help="NAME=ADDRESS of another's channel; may be given again.",
+    ),
+    click.option("--peers-port", type=int, hidden=True),
+    click.option("--harmed-clock", "faulty_clock", type=click.Path(path_type=Path), hidden=True),
+    click.option("--witness", "side_effect_log", default="", hidden=True),
+    click.option("--task", "tasks", multiple=True, hidden=True),
+    with_stdin_option,
+    click.pass_context,
+)
+
+
+@click.command(cls=ExampleCommand, example="kelptrail serve examples/nursery.sexp --roster 127.0.0.1:7000 --port 8080")
+@dispatcher_options
+def serve(context: click.Context, file: str, **values: Any) -> None:
+    """Run one dispatcher until SIGTERM, then drain; with a planner of its own where the settings say so.  Exit 1 where
+    an accepted call had no answer in time."""
+    _run_dispatcher(context, file, (), values)
+
+
+@click.command(
+    cls=ExampleCommand, example="kelptrail edge examples/nursery.sexp --roster 127.0.0.1:7000 --planner 127.0.0.1:7100"
+)
+@dispatcher_options
+@click.option("--planner", "planners", multiple=True, required=True, help="A planner's address; may be given again.")
+def edge(context: click.Context, file: str, planners: tuple[str, ...], **values: Any) -> None:
+    """Run one dispatcher that follows planners; without any it does as well as `serve`."""
+    _run_dispatcher(context, file, planners, values)
+
+
+def _dispatcher_options(values: dict[str, Any], planners: tuple[str, ...]) -> Options:
+    """The service's options from the command's."""
+    from kelptrail.service.serve import Options
+
+    return Options(
+        name=values["name"],
+        hall=values["zone"],
+        host=values["host"],
+        port=values["port"],
+        roster=values["endpoint_service"],
+        state=values["state"],
+        shared_port=values["shared_port"],
+        crash_at=values["crash_at"],
+        pause_at=values["pause_at"],
+        control=values["control"],
+        grpc_port=values["grpc_port"],
+        planners=planners,
+        harmed=values["faulty_disk"],
+        peers=values["peers"] if values["peers_port"] is None else f"127.0.0.1:{values['peers_port']}",
+        at=values["addresses_of_peers"],
+        harmed_clock=values["faulty_clock"],
+        witness=values["side_effect_log"],
+        tasks=values["tasks"],
+    )
+
+
+def _run_dispatcher(context: click.Context, file: str, planners: tuple[str, ...], values: dict[str, Any]) -> None:
+    """Run a dispatcher to its end, then exit with its code."""
+    deployment = read_deployment(file)
+    options = _dispatcher_options(values, planners)
+    log = start_log(context, dispatcher=options.name)
+    main = _serve_dispatcher(deployment, options, log, context.obj["level"] == "debug", values["with_stdin"])
+    try:
+        clean = run_async(main)
+    except OSError as cause:
+        raise CommandFailedError(f"{options.host}:{options.port}: {cause.strerror or cause}") from None
+    except ValueError as cause:
+        raise UnusableInputError(f"{file}: {cause}") from None
+    sys.exit(ExitCode.COMPLETED if clean else ExitCode.FAILED)
+
+
+async def _serve_dispatcher(deployment: Deployment, options: Options, log: Any, debug: bool, with_stdin: bool) -> bool:
+    """Serve until stopped; whether every accepted call had its answer."""
+    from kelptrail.service.serve import serve as serve_until_stopped
+
+    def print_ready(port: int, control: str | None, grpc: str | None, peers: str | None) -> None:
+        print_json_line(
+            ready=True,
+            address=f"{options.host}:{port}",
+            asked_at=control,
+            invoke=f"http://{options.host}:{port}",
+            grpc=grpc,
+            name=options.name,
+            peers=peers,
+        )
+
+    stop = asyncio.Event()
+    if with_stdin:
+        call_at_end_of_stdin(stop.set)
+    return bool(await serve_until_stopped(deployment, options, log, debug, print_ready, stop))
+
+
+@click.command(
+    cls=ExampleCommand,
+    example="kelptrail planner examples/nursery.sexp --roster 127.0.0.1:7000 --port 7100 --state var/planner",
+)
+@click.argument("file")
+@endpoint_service_option
+@click.option("--name", default="planner", show_default=True)
+@host_option
+@port_option
+@click.option("--state", type=click.Path(path_type=Path), help="Folder for its snapshot and the last endpoint list.")
+@click.option("--control", help="Address and port for operators' requests.")
+@click.option("--control-port", type=int, hidden=True)
+@click.option(
+    "--peer",
+    "addresses_of_peers",
+    multiple=True,
+    callback=peer_addresses,
+    help="NAME=ADDRESS of an acceptor's channel; may be given again.",
+)
+@click.option("--solver", type=click.Choice(["program", "greedy"]), default="program", show_default=True)
+@click.option("--slow-ms", default=0.0, hidden=True)
+@with_stdin_option
+@click.pass_context
+def planner(context: click.Context, file: str, with_stdin: bool, **values: Any) -> None:
+    """Plan loads and placement ahead for edges, until SIGTERM, while it holds the lease; others stand by."""
+    deployment = read_deployment(file)
+    options = _planner_options(values)
+    log = start_log(context, planner=options.name)
+    try:
+        run_async(_serve_planner(deployment, options, log, with_stdin))
+    except OSError as cause:
+        raise CommandFailedError(f"{options.host}:{options.port}: {cause.strerror or cause}") from None
+    except ValueError as cause:
+        raise UnusableInputError(f"{file}: {cause}") from None
+
+
+def _planner_options(values: dict[str, Any]) -> PlannerOptions:
+    """The planner's options from the command's."""
+    from kelptrail.planner.driver import Options as PlannerOptions
+
+    control_port = values["control_port"]
+    return PlannerOptions(
+        name=values["name"],
+        host=values["host"],
+        port=values["port"],
+        roster=values["endpoint_service"],
+        state=values["state"],
+        control=values["control"] if control_port is None else f"127.0.0.1:{control_port}",
+        solver=values["solver"],
+        slow_ms=values["slow_ms"],
+        at=values["addresses_of_peers"],
+    )
+
+
+async def _serve_planner(deployment: Deployment, options: PlannerOptions, log: Any, with_stdin: bool) -> None:
+    from kelptrail.service.planner import serve as serve_until_stopped
+
+    def print_ready(address: str, control: str | None) -> None:
+        print_json_line(ready=True, address=address, control=control, name=options.name)
+
+    stop = asyncio.Event()
+    if with_stdin:
+        call_at_end_of_stdin(stop.set)
+    await serve_until_stopped(deployment, options, log, print_ready, stop)
+
+
+@click.command(cls=ExampleCommand, example="LB_CONFIG=/run/balancer/config.json kelptrail platform")
+def platform() -> None:
+    """One dispatcher on the platform's own protocol, configured by the file that LB_CONFIG names."""
+    from kelptrail.platform.__main__ import main as serve_platform
+
+    raise SystemExit(serve_platform())
+
+
+@click.command(cls=ExampleCommand, example="kelptrail demo --workers 6 --quiet-logs")
+@click.argument("file", default="examples/nursery.sexp")
+@click.option("--workers", type=click.IntRange(1, 200), help="Emulated workers; default: the settings'.")
+@click.option("--quiet-logs", is_flag=True, help="No log lines on standard error.")
+@click.pass_context
+def demo(context: click.Context, file: str, workers: int | None, quiet_logs: bool) -> None:
+    """Run a complete cluster on loopback: endpoint service, model store, workers, one dispatcher."""
+    deployment = read_deployment(file)
+    count = max(LEAST_DEMO_WORKERS, deployment.fleet.workers) if workers is None else workers
+    clean = run_async(_run_demo(deployment, file, count, context.obj["level"], quiet_logs))
+    sys.exit(ExitCode.COMPLETED if clean else ExitCode.FAILED)
+
+
+async def _run_demo(deployment: Deployment, file: str, workers: int, log_level: str, quiet: bool) -> bool:
+    """Run the cluster until a signal; whether all of its processes ended well."""
+    from kelptrail.emulator.cluster import Cluster
+
+    stop = stop_event_on_signals()
+    cluster = Cluster(deployment, file, None, log_level=log_level, quiet=quiet)
+    try:
+        await cluster.start(workers, 1, None)
+        _introduce_demo(deployment, cluster.dispatchers[0].said["invoke"])
+        await stop.wait()
+    finally:
+        clean = await cluster.stop()
+    return clean
+
+
+def _introduce_demo(deployment: Deployment, invoke_url: str) -> None:
+    """Print where the cluster is called, and on standard error a call to try."""
+    namespace = next(iter(deployment.namespaces.values()))
+    credentials = f"{namespace.uuid}:{namespace.key}"
+    print_json_line(
+        ready=True,
+        invoke=invoke_url,
+        auth=credentials,
+        namespace=namespace.name,
+        actions=[
+            {
+                "name": action.name,
+                "package": action.package,
+                "type": action.type,
+                "effect": deployment.types[action.type].effect,
+                "target_ms": deployment.types[action.type].target_ms,
+                "timeout_ms": deployment.types[action.type].timeout_ms,
+            }
+            for action in deployment.actions.values()
+        ],
+    )
+    click.echo(
+        f"try: curl -u {credentials} -H 'content-type: application/json' -d '{{\"family\": 7}}' "
+        f"'{invoke_url}/api/v1/namespaces/_/actions/{next(iter(deployment.actions))}?blocking=true'",
+        err=True,
+    )
--- /dev/null
+++ b/kelptrail/cli/simulation.py
@@ -0,0 +1,141 @@
+"""Scenarios and experiments in simulated time: `simulate play`, `simulate run`, `simulate compare`."""
+
+from __future__ import annotations
+
+import sys
+import time
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+import click
+
+from .console import print_json_line, read_deployment, read_input, read_scenario
+from .errors import CommandFailedError, ExitCode, UnusableInputError
+from .options import ExampleCommand, output_folder_option, seed_option
+
+if TYPE_CHECKING:
+    from kelptrail.fault_scenario.scenario import FaultScenario
+    from kelptrail.simulation.cluster import SimulationSettings
+
+SHOWN_DETAILS = 20
+
+
+@click.group()
+def simulate() -> None:
+    """The cluster emulated in simulated time around the real cores; experiments on it."""
+
+
+@simulate.command("play", cls=ExampleCommand, example="kelptrail simulate play examples/bad-days/kills.sexp")
+@click.argument("script")
+@seed_option
+@click.option("--processes", default=1, show_default=True, type=click.IntRange(1, 64), help="Over which it is spread.")
+@click.option("--network-ms", default=0.15, show_default=True, type=click.FloatRange(0.01, 1000), help="One way.")
+@click.option("--audit/--no-audit", "judged", default=True, show_default=True, help="Keep all events and judge them.")
+def play(script: str, seed: int, processes: int, network_ms: float, judged: bool) -> None:
+    """Play a fault scenario's SCRIPT in simulated time and judge its history; exit 6 where a rule is broken."""
+    from kelptrail.load.results import figures
+    from kelptrail.simulation.cluster import SimulationSettings
+
+    scenario = read_scenario(script)
+    _check_processes(scenario, processes)
+    began = time.perf_counter()
+    result, events = _play(scenario, seed, SimulationSettings(network_ms=network_ms), processes, judged)
+    took_s = time.perf_counter() - began
+    row = figures(scenario.seconds, scenario.ends, result)
+    pace = {"took_s": round(took_s, 1), "simulated_s_a_second": round(scenario.seconds / took_s, 3)}
+    if not judged:
+        print_json_line(name=scenario.name, seed=seed, **row, **pace)
+        return
+    _judge_and_exit(scenario.name, seed, events, row, pace)
+
+
+def _check_processes(scenario: FaultScenario, processes: int) -> None:
+    """Raise `UnusableInputError` where the scenario cannot be spread over so many processes."""
+    if processes > 1 and scenario.planners:
+        raise UnusableInputError("planners are played in one process only")
+    if processes > scenario.dispatchers or processes > (scenario.workers + 1) // 2:
+        raise UnusableInputError(f"{processes} processes are more than there are dispatchers, or pairs of workers")
+
+
+def _play(
+    scenario: FaultScenario, seed: int, settings: SimulationSettings, processes: int, judged: bool
+) -> tuple[Any, list[dict[str, Any]]]:
+    """The result and the events of one simulation.  Raises `CommandFailedError` where a process of it failed."""
+    from kelptrail.simulation.cluster import SimulatedCluster, result_of
+    from kelptrail.simulation.sharding import ShardError, play_sharded
+
+    deployment = read_deployment(scenario.deployment)
+    if processes == 1:
+        cluster = SimulatedCluster(scenario, deployment, seed, settings, judged)
+        cluster.run()
+        return result_of(cluster), sorted(cluster.events, key=lambda event: event["t"])
+    try:
+        return play_sharded(scenario, deployment, seed, settings, processes, judged)
+    except ShardError as cause:
+        raise CommandFailedError(str(cause)) from None
+
+
+def _judge_and_exit(
+    name: str, seed: int, events: list[dict[str, Any]], row: dict[str, Any], pace: dict[str, float]
+) -> None:
+    """Check the history, print the verdict beside the figures, and exit by it."""
+    from kelptrail.fault_scenario.report import latencies
+    from kelptrail.history_checker.checker import check_history
+
+    verdict = check_history(events)
+    print_json_line(
+        name=name,
+        seed=seed,
+        **verdict.counts(),
+        broken=verdict.broken,
+        details=verdict.details[:SHOWN_DETAILS],
+        latency_ms=latencies(events),
+        served_share=row["served_share"],
+        recovery_s=row["recovery_s"],
+        **pace,
+    )
+    sys.exit(ExitCode.RULE_BROKEN if verdict.broken else ExitCode.COMPLETED)
+
+
+@simulate.command(
+    "run", cls=ExampleCommand, example="kelptrail simulate run examples/experiments/ramp.sexp --out out/r"
+)
+@click.argument("experiment")
+@output_folder_option
+@click.option("--processes", default=4, show_default=True, type=click.IntRange(1, 256))
+def run(experiment: str, out: Path, processes: int) -> None:
+    """Play an EXPERIMENT's variants, points and seeds in parallel; write columns, plots and a report."""
+    from kelptrail.load.results import read
+    from kelptrail.simulation.compare import report
+    from kelptrail.simulation.experiment import load
+    from kelptrail.simulation.experiment import run as run_all
+
+    count = sum(1 for _ in read_input(load, experiment).runs())
+    with click.progressbar(length=count, label="runs", file=sys.stderr) as bar:
+        runs = run_all(experiment, out, processes, lambda _row: bar.update(1))
+    file = report(out, runs, read(out, "seconds"), read(out, "spread"))
+    print_json_line(runs=len(runs), report=str(file))
+
+
+@simulate.command(
+    "compare", cls=ExampleCommand, example="kelptrail simulate compare out/ramp --first as-is --second other"
+)
+@click.argument("folder", type=click.Path(path_type=Path, exists=True))
+@click.option("--first", required=True, help="A variant.")
+@click.option("--second", required=True, help="The variant that is judged beside it.")
+@click.option("--other-folder", type=click.Path(path_type=Path, exists=True), help="Where the second one is.")
+def compare(folder: Path, first: str, second: str, other_folder: Path | None) -> None:
+    """Say of each figure whether the second variant is better, worse or not told apart."""
+    from dataclasses import asdict
+
+    from kelptrail.load.results import read_runs
+    from kelptrail.simulation.compare import compare as compare_variants
+
+    first_runs = [row for row in read_runs(folder) if row["variant"] == first]
+    second_runs = [row for row in read_runs(other_folder or folder) if row["variant"] == second]
+    try:
+        differences = compare_variants(first_runs, second_runs)
+    except ValueError as cause:
+        raise CommandFailedError(str(cause)) from None
+    for difference in differences:
+        print_json_line(**asdict(difference))
--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -75,19 +75,21 @@
     ) -> None:
         """Start everything, in the order of need.  With planners the dispatchers are edges that follow them; where the
         settings have peers, their channels go through a relay; `tasks` are wanted by all dispatchers."""
-        self.store = await self._child("store", ["standin", "store", self._file])
-        self.roster = await self._child("roster", ["standin", "roster"])
+        self.store = await self._child("store", ["emulate", "model-store", self._file])
+        self.roster = await self._child("roster", ["emulate", "endpoint-service"])
         halls = self.deployment.halls
         vrrp = self.deployment.vrrp
         if vrrp is not None and any(i.via for i in vrrp.instance):
-            self.relay = await self._child("relay", ["standin", "relay", self._file, "--seed", str(self._seed)])
+            self.relay = await self._child(
+                "relay", ["emulate", "datagram-proxy", self._file, "--seed", str(self._seed)]
+            )
         self.workers = list(
             await asyncio.gather(
                 *(
                     self._child(
                         f"worker-{n}",
                         [
-                            "standin",
+                            "emulate",
                             "worker",
                             self._file,
                             "--id",
@@ -117,8 +119,8 @@
             self.links = await self._child(
                 "links",
                 [
-                    "standin",
-                    "links",
+                    "emulate",
+                    "channel-proxy",
                     "--seed",
                     str(self._seed),
                     *(w for n in (*names, *plans) for w in ("--from", n)),
@@ -126,7 +128,7 @@
                 ],
             )
         if tasks:
-            self.witness = await self._child("witness", ["standin", "witness"])
+            self.witness = await self._child("witness", ["emulate", "side-effect-log"])
         logs = ["--log-level", self._level, "--log-form", "json" if self._logs else "auto"]
         self.planners = list(
             await asyncio.gather(
@@ -220,7 +222,7 @@
         return ["--witness", self.witness.said["address"], *(w for task in tasks for w in ("--task", task))]
 
     async def _child(self, name: str, words: list[str]) -> Child:
-        if self._out is not None and words[0] == "standin":
+        if self._out is not None and words[0] == "emulate":
             words += ["--capture", str(self._out / f"{name}.jsonl")]
         child = Child(name, words)
         await self.launch(child)
@@ -242,7 +244,7 @@
         if self._logs is not None:
             err: Any = open(self._logs / f"{child.name}.log", "ab")  # noqa: SIM115
         else:
-            silent = self._quiet or words[0] == "standin"
+            silent = self._quiet or words[0] == "emulate"
             err = subprocess.DEVNULL if silent else None
         child.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -278,7 +280,7 @@
 
     async def clients(self, script: str, count: int, start: float, addresses: list[str], second: list[str]) -> None:
         """The clients of a script in processes of their own, until all of them have their answers."""
-        words = ["standin", "clients", script, "--start", str(start), "--seed", str(self._seed), "--of", str(count)]
+        words = ["emulate", "clients", script, "--start", str(start), "--seed", str(self._seed), "--of", str(count)]
         for address in addresses:
             words += ["--at", address]
         for address in second:
--- a/kelptrail/fault_scenario/campaign.py
+++ b/kelptrail/fault_scenario/campaign.py
@@ -146,7 +146,7 @@
         sys.executable,
         "-m",
         "kelptrail",
-        "bad-day",
+        "fault-scenario",
         str(folder / "day.sexp"),
         "--seed",
         str(seed),
--- a/kelptrail/load/coordinator.py
+++ b/kelptrail/load/coordinator.py
@@ -36,7 +36,7 @@
         sys.executable,
         "-m",
         "kelptrail",
-        "load-hand",
+        "load-generator",
         script,
         "--start",
         str(start),
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -223,7 +223,17 @@
     file = tmp_path / "planned.sexp"
     file.write_text(script)
     done = subprocess.run(
-        [sys.executable, "-m", "kelptrail", "bad-day", str(file), "--seed", str(seed), "--out", str(tmp_path / "out")],
+        [
+            sys.executable,
+            "-m",
+            "kelptrail",
+            "fault-scenario",
+            str(file),
+            "--seed",
+            str(seed),
+            "--out",
+            str(tmp_path / "out"),
+        ],
         capture_output=True,
         text=True,
         timeout=90,
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -320,7 +320,7 @@
     file = tmp_path / "place.sexp"
     file.write_text(text)
     program = [sys.executable, "-m", "kelptrail"]
-    roster = subprocess.Popen([*program, "standin", "roster"], stdout=subprocess.PIPE, text=True)
+    roster = subprocess.Popen([*program, "emulate", "endpoint-service"], stdout=subprocess.PIPE, text=True)
     try:
         assert roster.stdout is not None
         at = json.loads(roster.stdout.readline())["address"]
--- a/tests/test_place.py
+++ b/tests/test_place.py
@@ -126,7 +126,7 @@
     script, out = tmp_path / "short.sexp", tmp_path / "out"
     script.write_text(SCRIPT.format(root=ROOT))
     done = subprocess.run(
-        [sys.executable, "-m", "kelptrail", "bad-day", str(script), "--out", str(out)],
+        [sys.executable, "-m", "kelptrail", "fault-scenario", str(script), "--out", str(out)],
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -153,7 +153,7 @@
     script, out = tmp_path / "killed.sexp", tmp_path / "out"
     script.write_text(KILLED.format(root=ROOT))
     done = subprocess.run(
-        [sys.executable, "-m", "kelptrail", "bad-day", str(script), "--out", str(out)],
+        [sys.executable, "-m", "kelptrail", "fault-scenario", str(script), "--out", str(out)],
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -298,7 +298,7 @@
     script, out = tmp_path / "both.sexp", tmp_path / "out"
     script.write_text(BOTH_FRONTS.format(root=ROOT))
     done = subprocess.run(
-        [sys.executable, "-m", "kelptrail", "bad-day", str(script), "--out", str(out)],
+        [sys.executable, "-m", "kelptrail", "fault-scenario", str(script), "--out", str(out)],
         cwd=ROOT,
         capture_output=True,
         text=True,
