--- a/bench/crash_points.py
+++ b/bench/crash_points.py
@@ -26,8 +26,8 @@
 import uvloop
 
 from kelptrail.codec.http import HttpError
-from kelptrail.emulator.cluster import Child, Cluster, ask
-from kelptrail.history_checker.checker import read
+from kelptrail.emulator.cluster import Child, Cluster, http_json
+from kelptrail.history_checker.checker import read_captures
 from kelptrail.net.http_client import HttpClient
 from kelptrail.settings.deployment import load
 
@@ -67,7 +67,7 @@
         """Workers, and who is to hold copies."""
         await self.place.start(4, 5 if self._lost else 0, self._folder / "state" if self._lost else None)
         for dispatcher in self.place.dispatchers:
-            while not (await ask(dispatcher.said["asked_at"], "GET", "/copies"))["promising"]:
+            while not (await http_json(dispatcher.said["asked_at"], "GET", "/copies"))["promising"]:
                 await asyncio.sleep(0.1)
 
     async def lost(self, step: str, effect: str, keyed: bool) -> dict[str, Any]:
@@ -79,7 +79,7 @@
             "--name",
             name,
             "--roster",
-            self.place.roster.said["address"],
+            self.place.endpoint_service.said["address"],
             "--control",
             "127.0.0.1:0",
             "--state",
@@ -88,7 +88,7 @@
         ]
         child = Child(name, [*words, "--crash-at", step])
         await self.place.launch(child)
-        while not (await ask(child.said["asked_at"], "GET", "/copies"))["promising"]:
+        while not (await http_json(child.said["asked_at"], "GET", "/copies"))["promising"]:
             await asyncio.sleep(0.05)
         key, ticket = f"key-{name}" if keyed else "", {"ticket": name}
         target = f"actions/{ACTIONS[effect]}?blocking=false"
@@ -118,7 +118,7 @@
         marks = {found, promised}
         effects = [
             e
-            for e in read(self._folder)
+            for e in read_captures(self._folder)
             if e["what"] == "effect" and (e["activation"] in marks or (keyed and e["mark"].endswith(f"/{key}")))
         ]
         out["effects"] = len(effects)
@@ -141,7 +141,7 @@
                 "--name",
                 name,
                 "--roster",
-                self.place.roster.said["address"],
+                self.place.endpoint_service.said["address"],
                 "--control",
                 "127.0.0.1:0",
                 "--state",
@@ -152,7 +152,7 @@
             ],
         )
         await self.place.launch(child)
-        while not (await ask(child.said["asked_at"], "GET", "/copies"))["promising"]:
+        while not (await http_json(child.said["asked_at"], "GET", "/copies"))["promising"]:
             await asyncio.sleep(0.05)
         key, ticket, loop = f"key-{name}", {"ticket": name}, asyncio.get_running_loop()
         target = f"actions/{ACTIONS[effect]}?blocking=false"
@@ -190,7 +190,7 @@
                     else str(status)
                 )
         await self.place.end(child)
-        effects = [e for e in read(self._folder) if e["what"] == "effect" and e["mark"].endswith(f"/{key}")]
+        effects = [e for e in read_captures(self._folder) if e["what"] == "effect" and e["mark"].endswith(f"/{key}")]
         out |= {"effects": len(effects), "answers": [sorted(answers) for answers in told.values()]}
         twice = effect != "repeatable" and len(effects) > 1
         out["window"] = twice and effect == "deduplicated" and bool(self._remembered_ms)
@@ -230,7 +230,7 @@
             "--name",
             name,
             "--roster",
-            self.place.roster.said["address"],
+            self.place.endpoint_service.said["address"],
             "--state",
             str(self._folder / name),
         ]
@@ -270,7 +270,7 @@
             out["answer"] = {200: "completed", 429: "rejected", 502: "aborted"}.get(out["after"])
         await asyncio.sleep(0.3)
         await self.place.end(child)
-        effects = [e for e in read(self._folder) if e["what"] == "effect" and self._of(e, name, promised, key)]
+        effects = [e for e in read_captures(self._folder) if e["what"] == "effect" and self._of(e, name, promised, key)]
         out["effects"] = len(effects)
         out["broken"] = (
             (effect != "repeatable" and len(effects) > 1)
--- a/kelptrail/cli/console.py
+++ b/kelptrail/cli/console.py
@@ -54,9 +54,9 @@
 
 def read_scenario(file: str) -> FaultScenario:
     """The checked fault scenario of a file.  Raises `UnusableInputError`."""
-    from kelptrail.fault_scenario.scenario import load
+    from kelptrail.fault_scenario.scenario import load_scenario
 
-    return read_input(load, file)
+    return read_input(load_scenario, file)
 
 
 def print_json_line(**fields: Any) -> None:
--- a/kelptrail/cli/loading.py
+++ b/kelptrail/cli/loading.py
@@ -35,7 +35,7 @@
 @click.option("--connections", default=2000, show_default=True, help="At most, of a process to an address.")
 def load(script: str, controls: tuple[str, ...], out: Path, variant: str, **values: Any) -> None:
     """Drive running dispatchers with a SCRIPT's load; its faults are not played.  Tables as those of `simulate`."""
-    from kelptrail.load.coordinator import GeneratorError, drive, keep
+    from kelptrail.load.coordinator import GeneratorError, run_generators, write_results
     from kelptrail.load.generator import GeneratorSettings
 
     scenario = read_scenario(script)
@@ -43,11 +43,11 @@
         values["addresses"], 0, values["processes"], values["seed"], values["churn"], values["connections"]
     )
     try:
-        result = run_async(drive(script, scenario, settings, list(controls)))
+        result = run_async(run_generators(script, scenario, settings, list(controls)))
     except GeneratorError as cause:
         raise CommandFailedError(str(cause)) from None
     identity = {"experiment": scenario.name, "variant": variant, "point": "", "value": 0.0, "seed": values["seed"]}
-    print_json_line(**keep(out, identity, scenario, result))
+    print_json_line(**write_results(out, identity, scenario, result))
 
 
 @click.command("load-generator", hidden=True)
@@ -61,7 +61,7 @@
 @click.option("--connections", type=int)
 def load_generator(script: str, start: float, **values: Any) -> None:
     """One process of the load tool."""
-    from kelptrail.load.generator import GeneratorSettings, LoadGenerator, packed
+    from kelptrail.load.generator import GeneratorSettings, LoadGenerator, pack_counters
 
     scenario = read_scenario(script)
     settings = GeneratorSettings(
@@ -70,6 +70,6 @@
 
     async def generate() -> None:
         deployment = read_deployment(scenario.deployment)
-        print_json_line(**packed(await LoadGenerator(scenario, deployment, settings, start).play()))
+        print_json_line(**pack_counters(await LoadGenerator(scenario, deployment, settings, start).run()))
 
     run_async(generate())
--- a/kelptrail/cli/operations.py
+++ b/kelptrail/cli/operations.py
@@ -28,9 +28,9 @@
 
 def _fetch_status(control: str, target: str) -> Any:
     """The decoded body of a GET to a control address.  Raises `CommandFailedError`."""
-    from kelptrail.emulator.cluster import ask
+    from kelptrail.emulator.cluster import http_json
 
-    return _run_against(control, ask(control, "GET", target))
+    return _run_against(control, http_json(control, "GET", target))
 
 
 def _seconds(milliseconds: float) -> str:
@@ -164,16 +164,16 @@
 
 async def _retire(name: str, control: str, within_s: float) -> None:
     """Ask a dispatcher to retire and wait until it has.  Raises `CommandFailedError` where it has not in time."""
-    from kelptrail.emulator.cluster import ask
+    from kelptrail.emulator.cluster import http_json
 
-    status = await ask(control, "GET", "/copies")
+    status = await http_json(control, "GET", "/copies")
     if status["name"] != name:
         raise CommandFailedError(f"{control} is {status['name']}, not {name}")
-    await ask(control, "POST", "/retire", {})
+    await http_json(control, "POST", "/retire", {})
     loop = asyncio.get_running_loop()
     deadline = loop.time() + within_s
     while loop.time() < deadline:
-        status = await ask(control, "GET", "/copies")
+        status = await http_json(control, "GET", "/copies")
         if not status["owned"] and not status["held"]:
             return
         await asyncio.sleep(RETIRE_POLL_S)
--- a/kelptrail/cli/scenarios.py
+++ b/kelptrail/cli/scenarios.py
@@ -26,9 +26,9 @@
 @click.pass_context
 def fault_scenario(context: click.Context, script: str, seed: int, out: Path) -> None:
     """Run a fault scenario through real processes and judge it.  Exit 6 where a rule was broken."""
-    from kelptrail.fault_scenario.report import write
+    from kelptrail.fault_scenario.report import write_report
     from kelptrail.fault_scenario.runner import ScenarioRunner
-    from kelptrail.history_checker.checker import check_history, read
+    from kelptrail.history_checker.checker import check_history, read_captures
 
     scenario = read_scenario(script)
     deployment = read_deployment(scenario.deployment)
@@ -36,9 +36,9 @@
         runner = ScenarioRunner(scenario, deployment, seed, out, context.obj["level"], script)
     except ValueError as cause:
         raise UnusableInputError(f"{script}: {cause}") from None
-    clean = bool(run_async(runner.play()))
-    events = read(out / "captures")
-    report = write(out, scenario.name, seed, events, check_history(events), clean, runner.memory, runner.states)
+    clean = bool(run_async(runner.run()))
+    events = read_captures(out / "captures")
+    report = write_report(out, scenario.name, seed, events, check_history(events), clean, runner.memory, runner.states)
     print_json({key: value for key, value in report.items() if key not in _LEFT_OUT_OF_BRIEF})
     for line in report["details"][:SHOWN_DETAILS]:
         click.echo(line, err=True)
@@ -54,15 +54,15 @@
 def campaign(settings: Path, seeds: int, first: int, at_once: int, out: Path) -> None:
     """Run randomly drawn fault scenarios between real processes: of replication where the settings have it, else of
     leases.  Exit 6 where any of them broke a rule."""
-    from kelptrail.fault_scenario.campaign import play, total
+    from kelptrail.fault_scenario.campaign import run_campaign, summarize
 
     peers = read_deployment(str(settings)).peers
     kind = "copies" if peers is not None and peers.copies else "leases"
     with click.progressbar(length=seeds, label="days", file=sys.stderr) as bar:
         rows = run_async(
-            play(kind, list(range(first, first + seeds)), settings, out, at_once, lambda _row: bar.update(1))
+            run_campaign(kind, list(range(first, first + seeds)), settings, out, at_once, lambda _row: bar.update(1))
         )
-    totals = total(rows)
+    totals = summarize(rows)
     print_json(totals)
     for row in rows:
         for line in [row["failed"]] if "failed" in row else row["details"]:
@@ -76,10 +76,10 @@
 @click.argument("folder", type=click.Path(path_type=Path, exists=True))
 def audit(folder: Path) -> None:
     """Judge captures of an earlier run.  Exit 6 where a rule was broken."""
-    from kelptrail.history_checker.checker import check_history, read
+    from kelptrail.history_checker.checker import check_history, read_captures
 
     try:
-        verdict = check_history(read(folder))
+        verdict = check_history(read_captures(folder))
     except ValueError as cause:
         raise UnusableInputError(f"{folder}: {cause}") from None
     print_json(verdict.counts())
--- a/kelptrail/cli/serving.py
+++ b/kelptrail/cli/serving.py
@@ -29,8 +29,8 @@
 )
 
 if TYPE_CHECKING:
-    from kelptrail.planner.driver import Options as PlannerOptions
-    from kelptrail.service.serve import Options
+    from kelptrail.planner.driver import PlannerOptions
+    from kelptrail.service.serve import DispatcherOptions
     from kelptrail.settings.deployment import Deployment
 
 LEAST_DEMO_WORKERS = 4
@@ -65,7 +65,7 @@
     click.option("--peers", help="Address and port of its channel to others; default: the settings'."),
     click.option(
         "--peer",
-        "addresses_of_peers",
+        "peer_addresses",
         multiple=True,
         callback=peer_addresses,
         help="NAME=ADDRESS of another's channel; may be given again.",
@@ -97,29 +97,29 @@
     _run_dispatcher(context, file, planners, values)
 
 
-def _dispatcher_options(values: dict[str, Any], planners: tuple[str, ...]) -> Options:
+def _dispatcher_options(values: dict[str, Any], planners: tuple[str, ...]) -> DispatcherOptions:
     """The service's options from the command's."""
-    from kelptrail.service.serve import Options
+    from kelptrail.service.serve import DispatcherOptions
 
-    return Options(
+    return DispatcherOptions(
         name=values["name"],
-        hall=values["zone"],
+        zone=values["zone"],
         host=values["host"],
         port=values["port"],
-        roster=values["endpoint_service"],
-        state=values["state"],
+        endpoint_service=values["endpoint_service"],
+        state_folder=values["state"],
         shared_port=values["shared_port"],
         crash_at=values["crash_at"],
         pause_at=values["pause_at"],
         control=values["control"],
         grpc_port=values["grpc_port"],
         planners=planners,
-        harmed=values["faulty_disk"],
+        disk_fault_file=values["faulty_disk"],
         peers=values["peers"] if values["peers_port"] is None else f"127.0.0.1:{values['peers_port']}",
-        at=values["addresses_of_peers"],
-        harmed_clock=values["faulty_clock"],
-        witness=values["side_effect_log"],
-        tasks=values["tasks"],
+        peer_addresses=values["peer_addresses"],
+        clock_fault_file=values["faulty_clock"],
+        trial_witness=values["side_effect_log"],
+        trial_leases=values["tasks"],
     )
 
 
@@ -138,7 +138,9 @@
     sys.exit(ExitCode.COMPLETED if clean else ExitCode.FAILED)
 
 
-async def _serve_dispatcher(deployment: Deployment, options: Options, log: Any, debug: bool, with_stdin: bool) -> bool:
+async def _serve_dispatcher(
+    deployment: Deployment, options: DispatcherOptions, log: Any, debug: bool, with_stdin: bool
+) -> bool:
     """Serve until stopped; whether every accepted call had its answer."""
     from kelptrail.service.serve import serve as serve_until_stopped
 
@@ -173,7 +175,7 @@
 @click.option("--control-port", type=int, hidden=True)
 @click.option(
     "--peer",
-    "addresses_of_peers",
+    "peer_addresses",
     multiple=True,
     callback=peer_addresses,
     help="NAME=ADDRESS of an acceptor's channel; may be given again.",
@@ -197,19 +199,19 @@
 
 def _planner_options(values: dict[str, Any]) -> PlannerOptions:
     """The planner's options from the command's."""
-    from kelptrail.planner.driver import Options as PlannerOptions
+    from kelptrail.planner.driver import PlannerOptions
 
     control_port = values["control_port"]
     return PlannerOptions(
         name=values["name"],
         host=values["host"],
         port=values["port"],
-        roster=values["endpoint_service"],
-        state=values["state"],
+        endpoint_service=values["endpoint_service"],
+        state_folder=values["state"],
         control=values["control"] if control_port is None else f"127.0.0.1:{control_port}",
         solver=values["solver"],
-        slow_ms=values["slow_ms"],
-        at=values["addresses_of_peers"],
+        solve_delay_ms=values["slow_ms"],
+        peer_addresses=values["peer_addresses"],
     )
 
 
--- a/kelptrail/cli/simulation.py
+++ b/kelptrail/cli/simulation.py
@@ -41,7 +41,7 @@
     began = time.perf_counter()
     result, events = _play(scenario, seed, SimulationSettings(network_ms=network_ms), processes, judged)
     took_s = time.perf_counter() - began
-    row = figures(scenario.seconds, scenario.ends, result)
+    row = figures(scenario.seconds, scenario.last_fault_ends, result)
     pace = {"took_s": round(took_s, 1), "simulated_s_a_second": round(scenario.seconds / took_s, 3)}
     if not judged:
         print_json_line(name=scenario.name, seed=seed, **row, **pace)
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -25,8 +25,8 @@
 
 from kelptrail.certificates.authority import Authority, read_certificate, shown
 from kelptrail.certificates.names import digest
-from kelptrail.fault_scenario.report import holders, latencies, timeline
-from kelptrail.history_checker.checker import check_history, read
+from kelptrail.fault_scenario.report import latencies, lease_holders, timeline
+from kelptrail.history_checker.checker import check_history, read_captures
 from kelptrail.lease.acceptor import DurableState, Stage, Write
 from kelptrail.lease.acceptor_store import AcceptorStore, open_acceptor_store
 from kelptrail.lease.messages import NOTHING, FencingToken, LeaseNote, LeaseRow
@@ -34,12 +34,12 @@
 from kelptrail.load.arrivals import read_trace
 from kelptrail.membership.client import EndpointClient
 from kelptrail.membership.members import Endpoint, EndpointList, Peer, id_prefix
-from kelptrail.planner.driver import Options, PlannerDriver, Snapshot
-from kelptrail.planner.edge_driver import Kept, PlanFollower
-from kelptrail.planner.plan import Head, Plan, digest_of
-from kelptrail.replication.messages import Members, ReplicaEntry, note, read_note
-from kelptrail.replication.replica import Work
-from kelptrail.replication.replica_store import Reading, ReplicaStore, open_replica_store
+from kelptrail.planner.driver import PlannerDriver, PlannerOptions, Snapshot
+from kelptrail.planner.edge_driver import PlanFollower, SavedPlan
+from kelptrail.planner.plan import Plan, PlanHeader, digest_of
+from kelptrail.replication.messages import InSyncSet, ReplicaEntry, decode_in_sync, encode_in_sync
+from kelptrail.replication.replica import ReplicaWrite
+from kelptrail.replication.replica_store import ReadRequest, ReplicaStore, open_replica_store
 from kelptrail.settings.deployment import parse
 from kelptrail.simulation.compare import compare
 from kelptrail.store.activation_journal import ActivationEntries, open_journal
@@ -248,19 +248,19 @@
     file = copy("copies.sqlite", tmp_path)
     assert ask(file, "PRAGMA user_version") == [(1,)]
     shelves, aside = open_replica_store(file)
-    assert aside is None and shelves.disk == "f49c05565e22"
-    assert shelves.books() == {
+    assert aside is None and shelves.disk_id == "f49c05565e22"
+    assert shelves.fences() == {
         NORTH: (FencingToken(7, "north/1f2e3d4c"), "north"),
         SOUTH: (FencingToken(3, "south/77"), "south"),
         WEST: (FencingToken(2, "west/5"), ""),
     }
-    assert shelves.ids() == {id_of(1), id_of(2), id_of(3)}
+    assert shelves.activation_ids() == {id_of(1), id_of(2), id_of(3)}
     assert {b: {n: d for n, d in enumerate(shelves.digests_of(b)) if d} for b in (NORTH, SOUTH, WEST)} == {
         NORTH: {90: 16026056754501041349, 224: 1633695219369970741},
         SOUTH: {204: 11394445161795177697},
         WEST: {},
     }
-    first, second = Reading(NORTH), Reading(SOUTH)
+    first, second = ReadRequest(NORTH), ReadRequest(SOUTH)
     shelves.commit([first, second])
     wall = T + 100_000.0  # when it came here, by the holder's clock
     one = Accepted(
@@ -277,7 +277,7 @@
         "json",
     )
     two = Accepted(id_of(2), "north", "desk/see", wall - 500.0, 5000.0, b'{"inputs":[]}', None, "", "", True, "tensors")
-    assert sorted(first.lives, key=lambda life: life.accepted.id) == [
+    assert sorted(first.activations, key=lambda life: life.accepted.id) == [
         ActivationEntries(one),
         ActivationEntries(
             two,
@@ -286,7 +286,7 @@
         ),
     ]
     three = Accepted(id_of(3), "south", "desk/sum", wall + 1, 900.0, b"{}", None, "", "", True, "json")
-    assert second.lives == [ActivationEntries(three)]
+    assert second.activations == [ActivationEntries(three)]
     assert first.damaged == second.damaged == 0
     shelves.close()
 
@@ -297,9 +297,9 @@
     file = copy("copies.sqlite", tmp_path)
     bodies = dict(ask(file, "SELECT kind, body FROM entries WHERE id = ?", id_of(2)))
     shelves, _ = open_replica_store(file)
-    bucket = Reading(NORTH, 90, T + 101_000.0)
+    bucket = ReadRequest(NORTH, 90, T + 101_000.0)
     shelves.commit([bucket])
-    assert bucket.items == (
+    assert bucket.entries == (
         ReplicaEntry(id_of(2), 0, 1500.0, bodies[0]),
         ReplicaEntry(id_of(2), 1, 1125.0, bodies[1]),
         ReplicaEntry(id_of(2), 2, 1500.0, bodies[2]),
@@ -319,9 +319,12 @@
         found = ask(old, "SELECT id, kind, since, body FROM entries WHERE book = ?", book)
         items = tuple(ReplicaEntry(id_, kind, at - since, body) for id_, kind, since, body in found)
         shelves.commit(
-            [Work(book, fence=(FencingToken(round_, who), owner), wall_ms=at), Work(book, items=items, wall_ms=at)]
+            [
+                ReplicaWrite(book, fence=(FencingToken(round_, who), owner), wall_ms=at),
+                ReplicaWrite(book, entries=items, wall_ms=at),
+            ]
         )
-    shelves.commit([Work(WEST, fence=(FencingToken(2, "west/5"), ""), shut=True, wall_ms=wall + 3)])
+    shelves.commit([ReplicaWrite(WEST, fence=(FencingToken(2, "west/5"), ""), closes=True, wall_ms=wall + 3)])
     shelves.close()
     for text in (
         "PRAGMA user_version",
@@ -332,15 +335,18 @@
         assert ask(new, text) == ask(old, text)
 
 
-MEMBERS = Members("north", {"north": "0a1b2c3d4e5f", "south": "ffeeddccbbaa", "pär": ""})
+MEMBERS = InSyncSet("north", {"north": "0a1b2c3d4e5f", "south": "ffeeddccbbaa", "pär": ""})
 
 
 def test_the_note_with_a_books_lease_is_read_and_written_the_same() -> None:
     """Who owned a book and who has the whole of it on which disk; whoever takes the book over goes by it."""
     text = (STORED / "lease-note-of-a-book.bin").read_bytes()
-    assert read_note(text) == MEMBERS
-    assert (MEMBERS.owner, MEMBERS.disks) == ("north", {"north": "0a1b2c3d4e5f", "south": "ffeeddccbbaa", "pär": ""})
-    assert note(MEMBERS) == text
+    assert decode_in_sync(text) == MEMBERS
+    assert (MEMBERS.primary, MEMBERS.disk_ids) == (
+        "north",
+        {"north": "0a1b2c3d4e5f", "south": "ffeeddccbbaa", "pär": ""},
+    )
+    assert encode_in_sync(MEMBERS) == text
 
 
 # --- A voter's ledger.
@@ -365,7 +371,7 @@
     )
     assert reason == "" and memory == DurableState(4, Stage.VOTING, True)
     assert rows == (book, USAGE, GIVEN_BACK)
-    assert read_note(rows[0].noted.text) == MEMBERS
+    assert decode_in_sync(rows[0].noted.text) == MEMBERS
 
 
 def test_a_ledger_in_format_1_is_read_and_brought_to_format_2(tmp_path: Path) -> None:
@@ -419,7 +425,7 @@
     """The plan in `plan.bin`."""
     seal = bytes.fromhex("51c3f63de17a6ff9d3d20c062ab274af")
     return Plan(
-        Head("coast", 9, "planner-1", 14, 90000.0, ("bb9b7433", 7), seal),
+        PlanHeader("coast", 9, "planner-1", 14, 90000.0, ("bb9b7433", 7), seal),
         {"desk-sum": {"worker-1": 2, "worker-2": 1}, "desk-see": {"worker-2": 3}},
     )
 
@@ -433,23 +439,23 @@
     """`STATE/plan.bin`: an edge that starts without a planner follows the plan that it had."""
     file, told = copy("plan.bin", tmp_path), list[Any]()
     workers = [SimpleNamespace(id=name, live=True) for name in ("worker-1", "worker-2")]
-    gateway: Any = SimpleNamespace(members=workers, planned=told.append)
+    gateway: Any = SimpleNamespace(members=workers, on_plan=told.append)
 
     async def main() -> None:
         log = Silent()
         edge = PlanFollower([], "edge", "coast", gateway, lambda: None, file, log)
-        assert edge.start_from_last() and log.lines == []
-        assert edge.follower.plan == plan_on_disk() and edge.follower.fence == (9, "planner-1", 14)
+        assert edge.load_saved_plan() and log.lines == []
+        assert edge.plan_state.plan == plan_on_disk() and edge.plan_state.fence == (9, "planner-1", 14)
 
     run(main())
-    assert told == [plan_on_disk().wants]
+    assert told == [plan_on_disk().instances]
 
 
 def test_a_plan_on_disk_is_sealed_and_written_as_before() -> None:
     """The digest over what a plan says, and the bytes of `plan.bin` before compression."""
     plan = plan_on_disk()
-    assert digest_of(plan.head, plan.wants) == plan.head.digest
-    assert msgspec.msgpack.encode(Kept(plan, 60000.0, 4e12)) == unpacked("plan.bin")
+    assert digest_of(plan.header, plan.instances) == plan.header.digest
+    assert msgspec.msgpack.encode(SavedPlan(plan, 60000.0, 4e12)) == unpacked("plan.bin")
 
 
 def test_a_planner_takes_up_its_snapshot(tmp_path: Path) -> None:
@@ -460,11 +466,11 @@
     leases: Any = SimpleNamespace()
 
     async def main() -> None:
-        options = Options("planner-0", "127.0.0.1", 0, "", tmp_path, None, "greedy")
+        options = PlannerOptions("planner-0", "127.0.0.1", 0, "", tmp_path, None, "greedy")
         planner = PlannerDriver(parse(FAST, "fast"), options, leases, 1000.0, Silent())
         assert planner.restore()
-        assert planner.core.wants == wants
-        assert {name: planner.core.demand.functions[name].hours for name in hours} == hours
+        assert planner.planner.target == wants
+        assert {name: planner.planner.demand.functions[name].hourly_rates for name in hours} == hours
 
     run(main())
     assert msgspec.msgpack.encode(Snapshot(9, wants, hours)) == unpacked("planner.bin")
@@ -476,7 +482,7 @@
     found = list[EndpointList]()
     log = Silent()
     client = EndpointClient("127.0.0.1:1", "dispatcher-1", found.append, copy("last-list.json", tmp_path), log)
-    assert client.start_from_last() and log.lines == []
+    assert client.load_saved() and log.lines == []
     workers = [
         Endpoint("worker-1", "127.0.0.1:40411", "live", "5a6b0ce3", 6592.870176000055, "south", 0, 0, 1.0),
         Endpoint("worker-0", "127.0.0.1:33225", "live", "c7409d81", 6544.928987000079, "north", 0, 0, 1.0),
@@ -584,17 +590,17 @@
     assert len(bodies) == 10
     assert all(written_again(unpack(body, crc32(body)), body) == body for body in bodies)
     shelves, aside = open_replica_store(file)
-    assert aside is None and shelves.books() == {
+    assert aside is None and shelves.fences() == {
         "dispatcher-0.b733a7160eac": (FencingToken(6, "dispatcher-0/eb45c6d5"), "dispatcher-0"),
         "dispatcher-4.d9c91e73a1a4": (FencingToken(6, "dispatcher-4/e16ef1cd"), "dispatcher-4"),
         "dispatcher-6.6f14cf209f05": (FencingToken(8, "dispatcher-2/5d67778e"), "dispatcher-2"),
     }
     found = {}
-    for book in shelves.books():
-        reading = Reading(book)
+    for book in shelves.fences():
+        reading = ReadRequest(book)
         shelves.commit([reading])
         assert reading.damaged == 0
-        found[book] = [(life.may_run is not None, life.ended is not None) for life in reading.lives]
+        found[book] = [(life.may_run is not None, life.ended is not None) for life in reading.activations]
     shelves.close()
     assert {book: sorted(ends) for book, ends in found.items()} == {
         "dispatcher-0.b733a7160eac": [],
@@ -616,9 +622,9 @@
     assert (lost.token, lost.released) == (FencingToken(18, "dispatcher-4/e16ef1cd"), True)
     assert (lost.noted.token, lost.noted.seq) == (FencingToken(8, "dispatcher-2/5d67778e"), 30)
     disks = {"dispatcher-2": "99fd856208ce", "dispatcher-3": "6312fbad89f7", "dispatcher-4": "59a7dd32ac1c"}
-    assert read_note(lost.noted.text) == Members("dispatcher-2", disks)
+    assert decode_in_sync(lost.noted.text) == InSyncSet("dispatcher-2", disks)
     notes = [row.noted.text for row in rows if row.noted.text]
-    assert len(notes) == 7 and all(note(read_note(text)) == text for text in notes)
+    assert len(notes) == 7 and all(encode_in_sync(decode_in_sync(text)) == text for text in notes)
     again = AcceptorStore(tmp_path / "new")
     again.commit([Write(1, rows, memory)])
     again.close()
@@ -627,16 +633,18 @@
 
 def test_captures_of_acts_under_leases_are_judged_as_they_were() -> None:
     """The witness's lines, by which `kelptrail audit` tells two holders of a task, and the report who held it when."""
-    events = read(STORED / "day-of-leases" / "captures")
+    events = read_captures(STORED / "day-of-leases" / "captures")
     verdict = check_history(events)
     assert not verdict.broken and {name: n for name, n in verdict.counts().items() if n} == {"acts": 10}
     span = {"by": "dispatcher-5", "token": "5.dispatcher-5/efd7844a", "from": -2.129, "until": -1.51}
-    assert holders(events, 4) == {"sweep": {"spans": [span], "without_s": 5.51, "longest_without_s": 5.51, "acts": 20}}
+    assert lease_holders(events, 4) == {
+        "sweep": {"spans": [span], "without_s": 5.51, "longest_without_s": 5.51, "acts": 20}
+    }
 
 
 def test_captures_of_a_bad_day_are_judged_as_they_were() -> None:
     """`kelptrail audit` on captures that were kept: the counts that the report of that day has, none of them broken."""
-    verdict = check_history(read(STORED / "day" / "captures"))
+    verdict = check_history(read_captures(STORED / "day" / "captures"))
     report = msgspec.json.decode((STORED / "day" / "report.json").read_bytes())
     counts = verdict.counts()
     assert counts == {name: report[name] for name in counts} and not verdict.broken
@@ -653,7 +661,7 @@
 
 def test_the_report_of_a_bad_day_comes_from_its_captures() -> None:
     """Latencies, the timeline of seconds and the troubles in `report.json` are those that its captures still give."""
-    events = read(STORED / "day" / "captures")
+    events = read_captures(STORED / "day" / "captures")
     report = msgspec.json.decode((STORED / "day" / "report.json").read_bytes())
     assert latencies(events) == report["latency_ms"]
     assert timeline(events) == (report["timeline"], report["troubles"])
@@ -735,5 +743,5 @@
 def test_a_recording_of_arrivals_is_read() -> None:
     """A load's recording: seconds, with an action or without, remarks and empty lines."""
     trace = read_trace(STORED / "arrivals.csv")
-    assert trace.times.tolist() == [0.25, 0.5, 0.5, 2.75] and trace.seconds == 3.4375
+    assert trace.times.tolist() == [0.25, 0.5, 0.5, 2.75] and trace.length_s == 3.4375
     assert trace.actions == ["desk/sum", "", "desk/see", "desk/sum"]
--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -45,7 +45,7 @@
 from kelptrail.peers import messages as wire
 from kelptrail.planner import plan
 from kelptrail.platform import config as platform_config
-from kelptrail.platform.client_server import ParsedRequest
+from kelptrail.platform.parsed_request import ParsedRequest, RequestRules
 from kelptrail.platform.service import Service
 from kelptrail.settings import deployment
 from kelptrail.settings.reader import SourcePosition
@@ -140,27 +140,27 @@
     """A packed plan, whole or as changes, is read as its values; what is packed again says the same bytes under the
     compression, whose own bytes belong to its library."""
     told = CHANNEL["plans"][name]
-    packet = plan.unpack(bytes.fromhex(told["packed"]))
+    packet = plan.decode_plan(bytes.fromhex(told["packed"]))
     assert plain(packet) == told["values"]
     assert msgspec.msgpack.encode(packet).hex() == told["inner"]
-    if packet.base == 0:
-        again = plan.pack(plan.Plan(packet.head, packet.wants), packet.age_ms)
+    if packet.base_number == 0:
+        again = plan.encode_plan(plan.Plan(packet.header, packet.instances), packet.age_ms)
         assert zstandard.ZstdDecompressor().decompress(again).hex() == told["inner"]
-        assert plan.digest_of(packet.head, packet.wants).hex() == told["digest"]
+        assert plan.digest_of(packet.header, packet.instances).hex() == told["digest"]
 
 
 def test_notes_and_digests_of_books_keep_their_bytes() -> None:
     """The note with a book's lease, the ranges of ids and the digests that two dispatchers compare."""
     told = CHANNEL["books"]
     data = bytes.fromhex(told["note"])
-    members = copies_terms.read_note(data)
+    members = copies_terms.decode_in_sync(data)
     assert plain(members) == told["members"]
-    assert copies_terms.note(members) == data
+    assert copies_terms.encode_in_sync(members) == data
     assert {id_: copies_terms.bucket_of(id_) for id_ in told["buckets"]} == told["buckets"]
-    assert [copies_terms.digest("a", 1, 2), copies_terms.digest("b", 3, 4)] == told["digests"]
+    assert [copies_terms.entry_digest("a", 1, 2), copies_terms.entry_digest("b", 3, 4)] == told["digests"]
     assert copies_terms.pack_digests(told["digests"]).hex() == told["packed"]
     assert copies_terms.unpack_digests(bytes.fromhex(told["packed"])) == told["digests"]
-    assert told["constants"] == [copies_terms.BUCKETS, copies_terms.DIGEST, copies_terms.PREFIX]
+    assert told["constants"] == [copies_terms.BUCKETS, copies_terms.DIGEST_BYTES, copies_terms.LEASE_PREFIX]
 
 
 # The simulator's protocol.
@@ -182,7 +182,7 @@
 # Settings.
 
 SETTINGS: dict[str, Any] = stored("settings")
-READERS = {"examples": deployment.load, "bad-days": script.load, "experiments": experiment.load}
+READERS = {"examples": deployment.load, "bad-days": script.load_scenario, "experiments": experiment.load}
 
 
 def digest(value: Any) -> str:
@@ -373,8 +373,8 @@
     read_as = host_settings.read_settings(made.settings)
     types = {kind.name: kind for kind in read_as.request_classes}
     customers = {customer.name: customer for customer in read_as.tenants}
-    most_mb = made.sockets.most_mb
-    found = ParsedRequest(told["fields"], types, made.sockets.longest_ms, customers, most_mb)
+    rules = RequestRules(types, customers, made.sockets.max_timeout_ms, made.sockets.max_function_mb)
+    found = ParsedRequest(told["fields"], rules)
     shown = []
     for slot in type(found).__slots__:
         value = getattr(found, slot)
@@ -408,7 +408,7 @@
 def test_keys_of_experiments_keep_their_names() -> None:
     """`(set SECTION.KEY VALUE)` knows the sections and keys that it knew.  They are taken from field names, so a field
     that gets another name needs its old key kept."""
-    day = script.load(ROOT / "examples" / "bad-days" / "first.sexp")
+    day = script.load_scenario(ROOT / "examples" / "bad-days" / "first.sexp")
     whole = deployment.load(day.deployment)
     place = SourcePosition("x", 1, 1)
     found = {}
@@ -458,10 +458,10 @@
 def test_usage_is_shown_with_its_keys() -> None:
     """The answer of `/usage`, whole, made from a total that was told."""
     token = lease_terms.FencingToken(9, "d2/r2")
-    told = usage_terms.Told()
-    assert told.told(usage_terms.Total(token, 73, 3, {"n1": (1.234, 2.5, 3.5)}))
-    usage = usage_terms.Usage.__new__(usage_terms.Usage)
-    usage.told = told
+    told = usage_terms.UsageView()
+    assert told.on_total(usage_terms.UsageTotal(token, 73, 3, {"n1": (1.234, 2.5, 3.5)}))
+    usage = usage_terms.UsageDriver.__new__(usage_terms.UsageDriver)
+    usage.view = told
     assert text(usage.status()) == text(BYTES["usage"])
 
 
@@ -547,7 +547,7 @@
     await hangs.wait()
     writer.write(frames.frame(frames.CANCEL, 6))
     await cancelled.wait()
-    service.end()
+    service.shut_down()
     await answered(b"")
     writer.close()
     service.close()
@@ -586,7 +586,7 @@
     server = await asyncio.start_server(source, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     client = EndpointClient(address, "d1/r1", lists.append, tmp_path / "last.json", logging.getLogger("test"), 1500.0)
-    client.own, client.channel, client.hall = "10.0.1.1:8", "10.0.1.1:9", "south"
+    client.address, client.channel_address, client.zone = "10.0.1.1:8", "10.0.1.1:9", "south"
     task = asyncio.create_task(client.follow())
     await two.wait()
     task.cancel()
@@ -594,7 +594,7 @@
     again = EndpointClient(address, "d1/r2", lists.append, tmp_path / "last.json", logging.getLogger("test"))
     return {
         "questions": [question.replace(address, "ADDRESS") for question in questions],
-        "from_last": again.start_from_last(),
+        "from_last": again.load_saved(),
         "lists": plain(lists),
     }
 
