--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -77,13 +77,13 @@
     ) -> None:
         """Start all processes, each after those it depends on.  With planners the dispatchers are edges of theirs;
         where the settings have peers, their channels go through a proxy; all dispatchers acquire `tasks` as leases."""
-        self.store = await self._start_process("store", ["standin", "store", self._file])
-        self.endpoint_service = await self._start_process("roster", ["standin", "roster"])
+        self.store = await self._start_process("store", ["emulate", "model-store", self._file])
+        self.endpoint_service = await self._start_process("roster", ["emulate", "endpoint-service"])
         halls = self.deployment.halls
         vrrp = self.deployment.vrrp
         if vrrp is not None and any(i.via for i in vrrp.instance):
             self.datagram_proxy = await self._start_process(
-                "relay", ["standin", "relay", self._file, "--seed", str(self._seed)]
+                "relay", ["emulate", "datagram-proxy", self._file, "--seed", str(self._seed)]
             )
         self.workers = list(
             await asyncio.gather(
@@ -91,7 +91,7 @@
                     self._start_process(
                         f"worker-{n}",
                         [
-                            "standin",
+                            "emulate",
                             "worker",
                             self._file,
                             "--id",
@@ -121,8 +121,8 @@
             self.channel_proxy = await self._start_process(
                 "links",
                 [
-                    "standin",
-                    "links",
+                    "emulate",
+                    "channel-proxy",
                     "--seed",
                     str(self._seed),
                     *(w for n in (*names, *plans) for w in ("--from", n)),
@@ -130,7 +130,7 @@
                 ],
             )
         if tasks:
-            self.side_effect_log = await self._start_process("witness", ["standin", "witness"])
+            self.side_effect_log = await self._start_process("witness", ["emulate", "side-effect-log"])
         logs = ["--log-level", self._level, "--log-form", "json" if self._logs else "auto"]
         self.planners = list(
             await asyncio.gather(
@@ -228,7 +228,7 @@
         return ["--witness", self.side_effect_log.said["address"], *(w for task in tasks for w in ("--task", task))]
 
     async def _start_process(self, name: str, words: list[str]) -> Process:
-        if self._out is not None and words[0] == "standin":
+        if self._out is not None and words[0] == "emulate":
             words += ["--capture", str(self._out / f"{name}.jsonl")]
         child = Process(name, words)
         await self.launch(child)
@@ -250,7 +250,7 @@
         if self._logs is not None:
             err: Any = open(self._logs / f"{child.name}.log", "ab")  # noqa: SIM115
         else:
-            silent = self._quiet or words[0] == "standin"
+            silent = self._quiet or words[0] == "emulate"
             err = subprocess.DEVNULL if silent else None
         child.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -286,7 +286,7 @@
 
     async def run_clients(self, script: str, count: int, start: float, addresses: list[str], second: list[str]) -> None:
         """Run the clients of a script in processes of their own, until all of them have their answers."""
-        words = ["standin", "clients", script, "--start", str(start), "--seed", str(self._seed), "--of", str(count)]
+        words = ["emulate", "clients", script, "--start", str(start), "--seed", str(self._seed), "--of", str(count)]
         for address in addresses:
             words += ["--at", address]
         for address in second:
