--- /dev/null
+++ b/kelptrail/settings/fronts.py
@@ -0,0 +1,133 @@
+"""Limits of the invoke and the inference front, and TLS of both sides.
+
+Times are milliseconds, memory is megabytes.  Every default is stated here, once.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from .shape import Shape, milliseconds, number, word, yes_no
+
+
+@dataclass(frozen=True, slots=True)
+class FrontSettings:
+    """Limits of the invoke API's door."""
+
+    connections: int
+    header_bytes: int
+    body_bytes: int
+    pipelined: int
+    longest_wait_ms: float
+    read_ms: float
+    write_ms: float
+    idle_ms: float
+    drain_ms: float
+    linger_ms: float
+    unread_mb: float
+    connects_at_once: float
+    connects_per_s: float
+
+
+@dataclass(frozen=True, slots=True)
+class InferenceSettings:
+    """Limits of the second front, the inference protocol over gRPC."""
+
+    serve: bool
+    port: int
+    connections: int
+    streams: int
+    stream_requests: int
+    header_bytes: int
+    message_bytes: int
+    partial_mb: float
+    unread_mb: float
+    stream_bytes: int
+    read_ms: float
+    write_ms: float
+    idle_ms: float
+    handshake_ms: float
+    age_ms: float
+    grace_ms: float
+    flood_at_once: int
+    flood_per_s: float
+    connects_at_once: float
+    connects_per_s: float
+
+
+@dataclass(frozen=True, slots=True)
+class TlsSettings:
+    """One side's TLS: `front` (both fronts), `to-workers`, or `runners` (the stand-in workers).  Paths count from the
+    settings file's folder."""
+
+    side: str
+    certificate: str
+    key: str
+    authority: str
+    peers: str
+    least: str
+    ciphers: str
+    warn_days: float
+
+
+FRONT = Shape(
+    {
+        "connections": number(1, 1_000_000, whole=True, default=10_000),
+        "header-bytes": number(256, 1_048_576, whole=True, default=16_384),
+        "body-bytes": number(1, 1 << 30, whole=True, default=1_048_576),
+        "pipelined": number(1, 10_000, whole=True, default=32),
+        "longest-wait-ms": milliseconds(1, 3.6e6, 60_000.0),
+        "read-ms": milliseconds(10, 600_000, 10_000.0),
+        "write-ms": milliseconds(10, 600_000, 30_000.0),
+        "idle-ms": milliseconds(10, 3.6e6, 75_000.0),
+        "drain-ms": milliseconds(0, 600_000, 10_000.0),
+        "linger-ms": milliseconds(0, 60_000, 1000.0),
+        "unread-mb": number(0.001, 100_000, default=256.0),
+        "connects-at-once": number(1, 1_000_000, default=2000.0),
+        "connects-per-s": number(0, 1_000_000, default=1000.0),
+    },
+    build=FrontSettings,
+)
+
+
+INFERENCE = Shape(
+    {
+        "serve": yes_no(True),
+        "port": number(0, 65535, whole=True, default=0),
+        "connections": number(1, 1_000_000, whole=True, default=10_000),
+        "streams": number(1, 1_000_000, whole=True, default=1000),
+        "stream-requests": number(1, 100_000, whole=True, default=64),
+        "header-bytes": number(256, 1_048_576, whole=True, default=16_384),
+        "message-bytes": number(1, 1 << 30, whole=True, default=4_194_304),
+        "partial-mb": number(0.001, 100_000, default=256.0),
+        "unread-mb": number(0.001, 100_000, default=256.0),
+        "stream-bytes": number(1024, 1 << 30, whole=True, default=262_144),
+        "read-ms": milliseconds(10, 600_000, 10_000.0),
+        "write-ms": milliseconds(10, 600_000, 30_000.0),
+        "idle-ms": milliseconds(10, 8.64e7, 300_000.0),
+        "handshake-ms": milliseconds(10, 600_000, 5000.0),
+        "age-ms": milliseconds(0, 8.64e7, 0.0),
+        "grace-ms": milliseconds(0, 3.6e6, 10_000.0),
+        "flood-at-once": number(1, 1_000_000, whole=True, default=200),
+        "flood-per-s": number(0.01, 1_000_000, default=20.0),
+        "connects-at-once": number(1, 1_000_000, default=2000.0),
+        "connects-per-s": number(0, 1_000_000, default=1000.0),
+    },
+    build=InferenceSettings,
+)
+
+
+TLS = Shape(
+    {
+        "certificate": word(default=""),
+        "key": word(default=""),
+        "authority": word(default=""),
+        "peers": word(("none", "asked", "required"), "none"),
+        "least": word(("tls-1.2", "tls-1.3"), "tls-1.2"),
+        "ciphers": word(default=""),
+        "warn-days": number(0, 3650, default=14.0),
+    },
+    ("side",),
+    TlsSettings,
+)
+SIDES = ("front", "to-workers", "runners")
--- /dev/null
+++ b/kelptrail/settings/request_classes.py
@@ -0,0 +1,120 @@
+"""Request classes, namespaces and actions.
+
+Times are milliseconds, memory is megabytes.  Every default is stated here, once.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from .shape import Many, Shape, milliseconds, number, word, yes_no
+
+
+@dataclass(frozen=True, slots=True)
+class TypeSettings:
+    """A namespace type."""
+
+    name: str
+    effect: str
+    target_ms: float
+    timeout_ms: float
+    utility: float
+    late_share: float
+    scope: str
+    remembered_ms: float
+    hedge: bool = False
+    stream_ms: float = 600_000.0
+    stall_ms: float = 10_000.0
+
+
+@dataclass(frozen=True, slots=True)
+class KeyHash:
+    """A key known by its digest: `sha256:HEX`.  Two may live at once while one takes over from the other."""
+
+    digest: str
+
+
+@dataclass(frozen=True, slots=True)
+class CertificateName:
+    """A name in a client's certificate that stands for the namespace."""
+
+    name: str
+
+
+@dataclass(frozen=True, slots=True)
+class NamespaceSettings:
+    """A namespace: who calls, and what it may take of the whole."""
+
+    name: str
+    uuid: str
+    key: str
+    allowed_per_s: float
+    key_hash: list[KeyHash] = field(default_factory=list)
+    certificate: list[CertificateName] = field(default_factory=list)
+
+
+@dataclass(frozen=True, slots=True)
+class ActionSettings:
+    """An action: a name to call, the model that runs it and what a copy takes."""
+
+    name: str
+    package: str
+    type: str
+    model: str
+    memory_mb: float
+    lanes: int
+    load_ms: float
+    work_ms: float
+    count: int
+
+    @property
+    def path(self) -> str:
+        """`package/name`, or `name` where there is no package."""
+        return f"{self.package}/{self.name}" if self.package else self.name
+
+
+TYPE = Shape(
+    {
+        "effect": word(("repeatable", "deduplicated", "once-only")),
+        "target-ms": milliseconds(1, 3.6e6),
+        "timeout-ms": milliseconds(1, 3.6e6),
+        "utility": number(0.001, 1e6, default=1.0),
+        "late-share": number(0, 1, default=0.0),
+        "scope": word(("all", "zone", "cell"), "all"),
+        "remembered-ms": milliseconds(0, 3.6e6, 0.0),
+        "hedge": yes_no(False),
+        "stream-ms": milliseconds(1, 8.64e7, 600_000.0),
+        "stall-ms": milliseconds(1, 3.6e6, 10_000.0),
+    },
+    ("name",),
+    TypeSettings,
+)
+
+
+NAMESPACE = Shape(
+    {
+        "uuid": word(),
+        "key": word(default=""),
+        "allowed-per-s": number(0.001, 1e7, default=1e6),
+        "key-hash": Many(Shape({}, ("digest",), KeyHash)),
+        "certificate": Many(Shape({}, ("name",), CertificateName)),
+    },
+    ("name",),
+    NamespaceSettings,
+)
+
+
+ACTION = Shape(
+    {
+        "package": word(default=""),
+        "type": word(),
+        "model": word(default=""),
+        "memory-mb": number(0.001, 1e7),
+        "lanes": number(1, 4096, whole=True, default=1),
+        "load-ms": milliseconds(0, 3.6e6, 0.0),
+        "work-ms": milliseconds(0, 3.6e6, 50.0),
+        "count": number(1, 100_000, whole=True, default=1),
+    },
+    ("name",),
+    ActionSettings,
+)
--- a/kelptrail/settings/shape.py
+++ b/kelptrail/settings/shape.py
@@ -73,6 +73,11 @@
     return Value(convert, expected, default)
 
 
+def milliseconds(low: float, high: float, default: Any = REQUIRED) -> Value:
+    """A time from `low` to `high` ms."""
+    return number(low, high, default=default)
+
+
 def word(choices: Iterable[str] | None = None, default: Any = REQUIRED) -> Value:
     """A word or string, one of `choices` if given."""
     known = tuple(choices) if choices is not None else None
@@ -97,6 +102,13 @@
     return Values(kind.convert, kind.expected + ", any number of them", default)
 
 
+def default_of(shape: Shape, key: str) -> float:
+    """The default of a number in a shape; for checks that compare fields which the file may leave out."""
+    spec = shape.fields[key]
+    assert isinstance(spec, Value)
+    return float(spec.default)
+
+
 class Checker:
     """Gathers the faults of one file."""
 
--- /dev/null
+++ b/kelptrail/settings/vrrp.py
@@ -0,0 +1,115 @@
+"""Front addresses that survive their dispatcher's host (VRRPv3, RFC 9568).
+
+Times are milliseconds, memory is megabytes.  Every default is stated here, once.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from .shape import Many, Shape, milliseconds, number, word, yes_no
+
+
+@dataclass(frozen=True, slots=True)
+class KeySettings:
+    """A key that peers share; the first of the file is sent with, all are accepted."""
+
+    number: str
+    secret: str
+
+
+@dataclass(frozen=True, slots=True)
+class InstanceSettings:
+    """A dispatcher that takes part: where its datagrams come from, and where others send to reach it."""
+
+    name: str
+    udp: str
+    via: str
+
+    @property
+    def reached_at(self) -> str:
+        """The address that peers send to."""
+        return self.via or self.udp
+
+
+@dataclass(frozen=True, slots=True)
+class MemberSettings:
+    """An instance's part in one virtual router."""
+
+    name: str
+    priority: int
+
+
+@dataclass(frozen=True, slots=True)
+class RouterPlan:
+    """One virtual router: its front address and who backs it."""
+
+    vrid: str
+    address: str
+    port: int
+    interval_cs: int
+    preempt: bool
+    accept: bool
+    member: list[MemberSettings]
+    grpc_port: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class TrackPlan:
+    """What lowers the priority while it fails."""
+
+    name: str
+    weight: int
+    fall_ms: float
+    rise_ms: float
+    release: bool
+
+
+@dataclass(frozen=True, slots=True)
+class VrrpSettings:
+    """Front addresses that survive their dispatcher's host (RFC 9568)."""
+
+    pseudo_header: bool
+    key: list[KeySettings]
+    instance: list[InstanceSettings]
+    router: list[RouterPlan]
+    track: list[TrackPlan]
+
+
+VRRP = Shape(
+    {
+        "pseudo-header": yes_no(True),
+        "key": Many(Shape({}, ("number", "secret"), KeySettings)),
+        "instance": Many(Shape({"udp": word(), "via": word(default="")}, ("name",), InstanceSettings), 1),
+        "router": Many(
+            Shape(
+                {
+                    "address": word(),
+                    "port": number(1, 65535, whole=True),
+                    "interval-cs": number(1, 4095, whole=True, default=100),
+                    "preempt": yes_no(True),
+                    "accept": yes_no(True),
+                    "grpc-port": number(0, 65535, whole=True, default=0),
+                    "member": Many(Shape({"priority": number(1, 255, whole=True)}, ("name",), MemberSettings), 1),
+                },
+                ("vrid",),
+                RouterPlan,
+            ),
+            1,
+        ),
+        "track": Many(
+            Shape(
+                {
+                    "weight": number(0, 254, whole=True),
+                    "fall-ms": milliseconds(0, 600_000, 1000.0),
+                    "rise-ms": milliseconds(0, 600_000, 3000.0),
+                    "release": yes_no(False),
+                },
+                ("name",),
+                TrackPlan,
+            )
+        ),
+    },
+    build=VrrpSettings,
+)
+TRACKED = ("workers", "front", "journal")
--- /dev/null
+++ b/kelptrail/settings/vrrp_checks.py
@@ -0,0 +1,93 @@
+"""Checks of the `vrrp` section: addresses, names used twice, routers and their members, keys, tracked objects."""
+
+from __future__ import annotations
+
+import contextlib
+from ipaddress import ip_address
+
+from .forms import Setting, first_name, sections, setting
+from .reader import Form, SourcePosition
+from .shape import Checker
+from .vrrp import TRACKED
+
+OWNER_PRIORITY = "255.0"  # as the reader writes the number
+
+
+def check_vrrp(checker: Checker, form: Form) -> None:
+    """Add the faults of a `vrrp` section."""
+    instances = {first_name(instance): instance for instance in sections(form, "instance")}
+    families = _check_instances(checker, form, instances)
+    seen: dict[str, SourcePosition] = {}
+    for part in sections(form):
+        if part.head in ("router", "key", "instance", "track"):
+            _check_once(checker, part, seen)
+        if part.head == "router":
+            _check_router(checker, part, instances, families)
+        if part.head == "key":
+            _check_key(checker, part)
+        if part.head == "track" and first_name(part) not in TRACKED:
+            checker.fault(part.place, first_name(part), "one of " + ", ".join(TRACKED))
+
+
+def _check_instances(checker: Checker, form: Form, instances: dict[str, Form]) -> set[int]:
+    """The IP versions of the instances' addresses."""
+    families: dict[str, int] = {}
+    for name, instance in instances.items():
+        for key in ("udp", "via"):
+            address = setting(instance, key)
+            if address is None or not address.text:
+                continue
+            version = _check_address(checker, key, address)
+            if version is not None:
+                families[name] = version
+    versions = set(families.values())
+    if len(versions) > 1:
+        checker.fault(form.place, "IPv4 and IPv6 instances", "one family for all instances")
+    return versions
+
+
+def _check_address(checker: Checker, key: str, address: Setting) -> int | None:
+    """The IP version of ADDRESS:PORT; None where there is no IP address in it."""
+    host, _, port = address.text.rpartition(":")
+    version: int | None = None
+    try:
+        version = ip_address(host.strip("[]")).version
+        sound = 0 < int(port) < 65536
+    except ValueError:
+        sound = False
+    if not sound:
+        checker.fault(address.place, address.text, f"an address and a port for {key}, such as 127.0.1.1:8112")
+    return version
+
+
+def _check_once(checker: Checker, part: Form, seen: dict[str, SourcePosition]) -> None:
+    identity = f"{part.head} {first_name(part)}"
+    known = seen.setdefault(identity, part.place)
+    if known is not part.place:
+        checker.fault(part.place, f"{identity} again", f"it once; line {known.line} has it already")
+
+
+def _check_router(checker: Checker, router: Form, instances: dict[str, Form], families: set[int]) -> None:
+    vrid = first_name(router)
+    if not vrid.isdigit() or not 1 <= int(vrid) <= 255:
+        checker.fault(router.place, vrid, "a virtual router identifier from 1 to 255")
+    if (address := setting(router, "address")) is not None:
+        version: int | None = None
+        with contextlib.suppress(ValueError):
+            version = ip_address(address.text).version
+        if version not in families:
+            checker.fault(address.place, address.text, "an IP address of the instances' family")
+    members = list(sections(router, "member"))
+    owners = [m for m in members if (priority := setting(m, "priority")) and priority.text == OWNER_PRIORITY]
+    if len(owners) > 1:
+        checker.fault(owners[1].place, "a second priority 255", "one owner of the address at most")
+    for member in members:
+        if first_name(member) not in instances:
+            expected = "an instance of this section: " + ", ".join(sorted(instances))
+            checker.fault(member.place, first_name(member), expected)
+
+
+def _check_key(checker: Checker, key: Form) -> None:
+    number = first_name(key)
+    if not number.isdigit() or not 0 <= int(number) <= 255:
+        checker.fault(key.place, number, "a key number from 0 to 255")
