--- a/bench/soak_mutants.py
+++ b/bench/soak_mutants.py
@@ -45,7 +45,8 @@
         "        return True\n",
         Edit(
             "kelptrail/platform/worker_connection.py",
-            "        if write is not None and self.connection is not None and not self.connection.withdraw(write):\n",
+            "        if write is not None and self.connection is not None "
+            "and not self.connection.cancel_unsent(write):\n",
             "        if True:\n",
         ),
     ),
@@ -64,7 +65,7 @@
     Mutant(
         "a deduplicated request is retried past its window",
         "kelptrail/dispatch/safety.py",
-        "first.started_at + request.request_class.deduplication_window_ms - 20",
+        "first.started_at + request.request_class.deduplication_window_ms - DEDUPLICATION_MARGIN_MS",
         'float("inf")',
     ),
     Mutant(
@@ -76,13 +77,13 @@
     Mutant(
         "a worker in slow start gets what a warm one gets",
         "kelptrail/dispatch/slow_start.py",
-        "        if (warmth := self.capacity_factor(now, worker)) >= 1:\n            return True\n        budget",
-        "        return True\n        warmth = 1.0\n        budget",
+        "        if (capacity := self.capacity_factor(now, worker)) >= 1:\n            return True\n        budget",
+        "        return True\n        capacity = 1.0\n        budget",
     ),
     Mutant(
         "a transient failure of a send ends the connection",
         "kelptrail/net/errors.py",
-        "    return cause.errno in MOMENTARY\n",
+        "    return cause.errno in TRANSIENT\n",
         "    return False\n",
     ),
     Mutant(
@@ -123,8 +124,8 @@
     Mutant(
         "an answer is written twice",
         "kelptrail/platform/client_server.py",
-        "            client.connection.write(frames.answer(request.stream, code, body, later_ms))\n",
-        "            client.connection.write(frames.answer(request.stream, code, body, later_ms) * 2)\n",
+        "            client.connection.write(frames.encode_answer(request.stream, code, body, later_ms))\n",
+        "            client.connection.write(frames.encode_answer(request.stream, code, body, later_ms) * 2)\n",
     ),
 )
 
--- a/kelptrail/cli/calls.py
+++ b/kelptrail/cli/calls.py
@@ -61,7 +61,7 @@
     authorization = "Basic " + base64.b64encode(auth.encode()).decode()
     client = HttpClient(url.removeprefix("http://").rstrip("/"))
     try:
-        response = await client.ask(
+        response = await client.request(
             method, target, body, REQUEST_TIMEOUT_MS, {"authorization": authorization} | (headers or {})
         )
     except (OSError, HttpError) as cause:
--- a/kelptrail/cli/emulator.py
+++ b/kelptrail/cli/emulator.py
@@ -206,9 +206,9 @@
         )
         plan = emulator.plan(scenario.load, scenario.seconds)
         _freeze_garbage_collection()
-        await emulator.play(plan, start_ms)
+        await emulator.run(plan, start_ms)
         await asyncio.sleep(max(0.0, start_ms / 1000 + scenario.seconds - now_ms() / 1000))
-        await emulator.settled(now_ms() + longest_timeout_ms + SETTLE_MARGIN_MS)
+        await emulator.wait_until_answered(now_ms() + longest_timeout_ms + SETTLE_MARGIN_MS)
         emulator.close()
 
     run_async(emulated())
--- a/kelptrail/platform/worker_connection.py
+++ b/kelptrail/platform/worker_connection.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from kelptrail.codec.lines import Answer, LineError, LineReader, cancel
+from kelptrail.codec.lines import LineError, LineReader, WorkerAnswer, encode_cancel
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder
 from kelptrail.net.connection import Connection, PendingWrite, connect
 from kelptrail.net.errors import is_local_shortage
@@ -75,7 +75,7 @@
     def on_not_sent(self, item: WorkItem) -> None:
         """The item's time to start is over."""
 
-    def on_item_finished(self, item: WorkItem, status: AttemptStatus, answer: Answer | None) -> None:
+    def on_item_finished(self, item: WorkItem, status: AttemptStatus, answer: WorkerAnswer | None) -> None:
         """The item has ended."""
 
     def on_connection_closed(self, connection: WorkerConnection) -> None:
@@ -128,12 +128,12 @@
                 self._loop.call_soon(self._owner.on_not_sent, opened.item)
             return data
 
-        opened.pending_write = connection.write_made(render, opened.size)
+        opened.pending_write = connection.write_deferred(render, opened.size)
 
-    def cancel_before_send(self, id_: str) -> bool:
+    def cancel_unsent(self, id_: str) -> bool:
         """Cancel an item whose first byte was not sent; whether it was cancelled."""
         write = self.open_items[id_].pending_write
-        if write is not None and self.connection is not None and not self.connection.withdraw(write):
+        if write is not None and self.connection is not None and not self.connection.cancel_unsent(write):
             return False
         del self.open_items[id_]
         return True
@@ -141,14 +141,14 @@
     def cancel(self, id_: str) -> bool:
         """Cancel an item; whether it may still reach the worker.  Bytes that were begun are sent to their end, as the
         worker counts them."""
-        if self.cancel_before_send(id_):
+        if self.cancel_unsent(id_):
             return False
         del self.open_items[id_]
         self.suspect = True
         if self._owner.limits.may_cancel and self.connection is not None:
-            self.connection.write(cancel(id_))
-            self.connection.push()  # the next attempt, on a connection written before, must not overtake it
-            if self.connection.unwritten and not self._owner.limits.parallel_attempts:
+            self.connection.write(encode_cancel(id_))
+            self.connection.flush_now()  # the next attempt, on a connection written before, must not overtake it
+            if self.connection.has_pending_writes and not self._owner.limits.parallel_attempts:
                 self.close()  # the worker does not read: the end of the connection cancels what it was sent
         return True
 
@@ -203,7 +203,7 @@
                     self.last_used_at = self.last_received_at
                     # A duplicate answer, if any, comes soon after the first.
                     self.used_ids[answer.id] = self.last_received_at + self._owner.limits.connect_ms / 1000
-                    status = STATUS_BY_WORD.get(answer.word, AttemptStatus.CONNECTION_LOST)
+                    status = STATUS_BY_WORD.get(answer.status, AttemptStatus.CONNECTION_LOST)
                     self._owner.on_item_finished(found.item, status, answer)
         except LineError as cause:
             self._owner.log(log_events.WORKER_UNREADABLE, worker=self._owner.id, cause=str(cause))
