--- a/bench/leases.py
+++ b/bench/leases.py
@@ -297,14 +297,14 @@
         engine.run(35_000.0)
         healed = engine.now
         leases.heal(pairs)
-    start, before = engine.now, {name: node.told for name, node in leases.nodes.items()}
+    start, before = engine.now, {name: node.messages_received for name, node in leases.nodes.items()}
     peak, cpu, step = 0.0, time.process_time(), 100.0
     while engine.now < start + seconds * 1000:
-        at = {name: node.told for name, node in leases.nodes.items()}
+        at = {name: node.messages_received for name, node in leases.nodes.items()}
         engine.run(engine.now + step)
-        peak = max(peak, max(leases.nodes[n].told - at[n] for n in names[:5]) * 1000 / step)
+        peak = max(peak, max(leases.nodes[n].messages_received - at[n] for n in names[:5]) * 1000 / step)
     cpu = time.process_time() - cpu
-    told = {name: (node.told - before[name]) / seconds for name, node in leases.nodes.items()}
+    told = {name: (node.messages_received - before[name]) / seconds for name, node in leases.nodes.items()}
     row = {
         "askers": count,
         "outage": outage,
@@ -313,7 +313,7 @@
         "asker_messages_per_s": round(statistics.median(told[n] for n in names[5:]), 2),
         "all_messages_per_s": round(sum(told.values())),
         "cpu_us_a_message": round(
-            cpu * 1e6 / max(1, sum(node.told for node in leases.nodes.values()) - sum(before.values())), 1
+            cpu * 1e6 / max(1, sum(node.messages_received for node in leases.nodes.values()) - sum(before.values())), 1
         ),
     }
     if outage:
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -28,7 +28,7 @@
 )
 from kelptrail.gateway.build import DispatcherParts
 from kelptrail.gateway.core import CancelAttempt, FinalAnswer, Gateway, Invocation, StartAttempt, StartLoad
-from kelptrail.gateway.overload import Stage as Calm
+from kelptrail.gateway.overload import Stage as OverloadStage
 from kelptrail.gateway.records import Record
 from kelptrail.load.arrivals import Arrivals, popularity
 from kelptrail.load.client_behavior import ClientBehavior, ClientOutcome, behavior_of, retry_delay_ms
@@ -48,7 +48,7 @@
 from .sharding import RemoteDispatcher, RemoteStore, RemoteWorker, Shard, SharedEffectLog, answer_remote
 from .workers import SimulatedStore, SimulatedWorker
 
-POLL_MS, PATIENCE_MS, WALL = 150.0, 3000.0, 1e12
+POLL_MS, POLLING_GRACE_MS, WALL_CLOCK_ORIGIN_MS = 150.0, 3000.0, 1e12
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,22 +63,22 @@
 
 
 @dataclass(slots=True, eq=False)
-class Wish:
+class ClientCall:
     """What a client wants done, over all its tries."""
 
     ticket: str
     action: ActionSettings
-    space: NamespaceSettings
+    namespace: NamespaceSettings
     deferred: bool
-    habits: ClientBehavior
+    behavior: ClientBehavior
     tries: int
     dispatcher: int = 0
-    began: float = 0.0
+    sent_at: float = 0.0
     activation: str = ""
     number: str = ""
-    first: float = 0.0  # when it first came
-    patience: Timer | None = None
-    ivk: Invocation | None = None
+    first_sent_at: float = 0.0  # when it first came
+    patience_timer: Timer | None = None
+    invocation: Invocation | None = None
     run: int = 0  # of the dispatcher that took it
     after: Callable[[], None] | None = None  # of a closed loop: what its client does next
 
@@ -86,44 +86,44 @@
 class SimulatedDispatcher:
     """One dispatcher's process."""
 
-    def __init__(self, site: SimulatedCluster, number: int, hall: str) -> None:
-        self._site, self.number, self.name, self._hall = site, number, f"dispatcher-{number}", hall
-        self.up, self.starts, self._book = False, 0, dict[str, ActivationEntries]()
-        self._settings, self._engine = site.settings, site.engine
-        self.sync_ms, self.disk_fails = site.settings.sync_ms, False
-        self.listing: EndpointList | None = None
-        self.begin()
-        self.edge = SimulatedEdge(site, self) if site.day.planners else None
+    def __init__(self, cluster: SimulatedCluster, number: int, zone: str) -> None:
+        self._cluster, self.number, self.name, self._zone = cluster, number, f"dispatcher-{number}", zone
+        self.up, self.starts, self._journal_entries = False, 0, dict[str, ActivationEntries]()
+        self._settings, self._event_queue = cluster.settings, cluster.event_queue
+        self.sync_ms, self.disk_fails = cluster.settings.sync_ms, False
+        self.endpoints: EndpointList | None = None
+        self.start_process()
+        self.edge = SimulatedEdge(cluster, self) if cluster.scenario.planners else None
 
-    def begin(self) -> None:
+    def start_process(self) -> None:
         """Start with nothing but the last list and the book."""
         self.starts += 1
         self.boot = f"{zlib.crc32(f'{self.name}/{self.starts}'.encode()):08x}{self.number:04x}{self.starts:04x}"
-        self.who = f"{self.name}/{self.boot}"
-        site = self._site
-        self.journal = GroupCommit(site.deployment.journal.most_waiting) if site.deployment.journal.keep else None
-        world = DispatcherParts(site.deployment, self._hall, zlib.crc32(self.boot.encode()))
+        self.process_id = f"{self.name}/{self.boot}"
+        cluster = self._cluster
+        self.journal = GroupCommit(cluster.deployment.journal.most_waiting) if cluster.deployment.journal.keep else None
+        world = DispatcherParts(cluster.deployment, self._zone, zlib.crc32(self.boot.encode()))
         self.gateway = Gateway(world, self.boot, self.journal)
         self.gateway.answer_ms = 2 * self._settings.cpu_ms
-        self._busy, self._wake, self._wake_at, self._stirring = 0.0, None, float("inf"), False
-        self._orders: dict[LoadOrder, Timer] = {}
-        self._open: dict[Attempt, None] = {}
+        self._busy_until, self._timer, self._timer_at, self._deciding = 0.0, None, float("inf"), False
+        self._open_orders: dict[LoadOrder, Timer] = {}
+        self._open_attempts: dict[Attempt, None] = {}
         self._syncing = False
         self.up = True
-        if self.journal is not None and self._book:
-            margin = 2 * site.deployment.dispatcher.answer_margin_ms
+        if self.journal is not None and self._journal_entries:
+            margin = 2 * cluster.deployment.dispatcher.answer_margin_ms
             self.gateway.recover(
-                self._engine.now,
-                WALL + self._engine.now,
-                self._book.values(),
+                self._event_queue.now,
+                WALL_CLOCK_ORIGIN_MS + self._event_queue.now,
+                self._journal_entries.values(),
                 margin,
-                site.deployment.journal.resume_at_once,
+                cluster.deployment.journal.resume_at_once,
             )
-        if self.listing is not None:
-            self.gateway.on_endpoints(self._engine.now, self.listing)
-        self.stir()
+        if self.endpoints is not None:
+            self.gateway.on_endpoints(self._event_queue.now, self.endpoints)
+        self.schedule_decisions()
 
-    _wake: Timer | None
+    _timer: Timer | None
     edge: SimulatedEdge | None
 
     def kill(self) -> None:
@@ -132,183 +132,197 @@
 
     def lose_disk(self) -> None:
         """Its book is gone."""
-        self._book = {}
+        self._journal_entries = {}
 
-    def pause(self, for_ms: float) -> None:
+    def pause(self, duration_ms: float) -> None:
         """It does nothing for a while; what comes waits for its turn."""
-        self._busy = max(self._busy, self._engine.now) + for_ms
+        self._busy_until = max(self._busy_until, self._event_queue.now) + duration_ms
 
-    def listed(self, listing: EndpointList) -> None:
+    def on_endpoints(self, endpoints: EndpointList) -> None:
         """A new list."""
-        self.listing = listing
+        self.endpoints = endpoints
         if self.up:
-            self.gateway.on_endpoints(self._engine.now, listing)
+            self.gateway.on_endpoints(self._event_queue.now, endpoints)
             if self.edge is not None:
-                self.edge.listed()
-            if self._site.note is not None:
-                self._site.note(
+                self.edge.on_endpoints()
+            if self._cluster.record_event is not None:
+                self._cluster.record_event(
                     "list",
-                    to=self.who,
-                    version=listing.version,
-                    workers={w.id: [w.state, w.incarnation] for w in listing.workers},
+                    to=self.process_id,
+                    version=endpoints.version,
+                    workers={w.id: [w.state, w.incarnation] for w in endpoints.workers},
                 )
-            self.stir()
+            self.schedule_decisions()
 
-    def do(self, what: Callable[..., None], *words: Any) -> None:
+    def enqueue_input(self, callback: Callable[..., None], *arguments: Any) -> None:
         """An input: it waits for its turn on the dispatcher's core."""
         start = self.starts
-        self._busy = max(self._busy, self._engine.now) + self._settings.cpu_ms
-        self._engine.at(self._busy, self._done, start, what, words)
+        self._busy_until = max(self._busy_until, self._event_queue.now) + self._settings.cpu_ms
+        self._event_queue.at(self._busy_until, self._run_input, start, callback, arguments)
 
-    def _done(self, start: int, what: Callable[..., None], words: tuple[Any, ...]) -> None:
+    def _run_input(self, start: int, callback: Callable[..., None], arguments: tuple[Any, ...]) -> None:
         if start == self.starts and self.up:
-            what(*words)
-            self.stir()
+            callback(*arguments)
+            self.schedule_decisions()
 
     # As the driver does.
 
-    def stir(self) -> None:
+    def schedule_decisions(self) -> None:
         """Pull effects until there is none; see to the timer and the disk."""
-        if self._stirring:
+        if self._deciding:
             return
-        self._stirring = True
-        now, gateway = self._engine.now, self.gateway
+        self._deciding = True
+        now, gateway = self._event_queue.now, self.gateway
         try:
             while (effect := gateway.on_decision_done(now)) is not None:
                 if isinstance(effect, StartAttempt):
-                    self._send(effect.invocation, effect.attempt)
+                    self._start_attempt(effect.invocation, effect.attempt)
                 elif isinstance(effect, FinalAnswer):
                     waiters, effect.invocation.waiters = effect.invocation.waiters, []
                     for waiter in waiters:
                         waiter(effect.invocation.record)
                 elif isinstance(effect, StartLoad):
-                    self._order(effect.order)
-                elif isinstance(effect, CancelAttempt) and effect.attempt in self._open:
-                    del self._open[effect.attempt]
+                    self._start_load(effect.order)
+                elif isinstance(effect, CancelAttempt) and effect.attempt in self._open_attempts:
+                    del self._open_attempts[effect.attempt]
                     outcome = AttemptStatus.CANCELLED if effect.reason == "revoked" else AttemptStatus.SILENT
-                    self._engine.after(0.0, self._answered, self.starts, effect.attempt, outcome, None)
+                    self._event_queue.after(0.0, self._on_attempt_finished, self.starts, effect.attempt, outcome, None)
         finally:
-            self._stirring = False
-        self._sync()
+            self._deciding = False
+        self._write_journal()
         due = gateway.next_due()
-        if due < self._wake_at - 0.01 or self._wake is None:
-            if self._wake is not None:
-                self._wake.cancel()
-            self._wake_at = due
-            self._wake = self._engine.at(due, self._rung, self.starts)
+        if due < self._timer_at - 0.01 or self._timer is None:
+            if self._timer is not None:
+                self._timer.cancel()
+            self._timer_at = due
+            self._timer = self._event_queue.at(due, self._on_timer, self.starts)
 
-    def _rung(self, start: int) -> None:
+    def _on_timer(self, start: int) -> None:
         if start == self.starts and self.up:
-            self._wake, self._wake_at = None, float("inf")
-            self.stir()
-
-    def _answered(self, start: int, send: Attempt, outcome: AttemptStatus, answer: WorkerAnswer | None) -> None:
-        if start == self.starts and self.up and send.status is None:
-            self.gateway.on_attempt_finished(self._engine.now, send, outcome, answer)
-            self.stir()
-
-    def _send(self, ivk: Invocation, send: Attempt) -> None:
-        worker = self._site.workers[send.instance.worker.id]
-        start, net = self.starts, self._settings.network_ms
-        self._open[send] = None
-        self._site.second().sends += 1
+            self._timer, self._timer_at = None, float("inf")
+            self.schedule_decisions()
+
+    def _on_attempt_finished(
+        self, start: int, attempt: Attempt, outcome: AttemptStatus, answer: WorkerAnswer | None
+    ) -> None:
+        if start == self.starts and self.up and attempt.status is None:
+            self.gateway.on_attempt_finished(self._event_queue.now, attempt, outcome, answer)
+            self.schedule_decisions()
+
+    def _start_attempt(self, invocation: Invocation, attempt: Attempt) -> None:
+        worker = self._cluster.workers[attempt.instance.worker.id]
+        start, network_ms = self.starts, self._settings.network_ms
+        self._open_attempts[attempt] = None
+        self._cluster.second().sends += 1
         if isinstance(worker, RemoteWorker):
             if worker.up:
-                worker.go(
+                worker.request(
                     "send",
-                    lambda outcome, answer: over(outcome, answer),
-                    ivk.action.path,
-                    ivk.mark,
-                    ivk.record.id,
-                    send.number,
-                    self.who,
-                    send.request.deadline - send.started_at,
+                    lambda outcome, answer: finish(outcome, answer),
+                    invocation.action.path,
+                    invocation.mark,
+                    invocation.record.id,
+                    attempt.number,
+                    self.process_id,
+                    attempt.request.deadline - attempt.started_at,
                 )
             else:
-                self._engine.after(2 * net, lambda: over(AttemptStatus.UNREACHABLE, None))
+                self._event_queue.after(2 * network_ms, lambda: finish(AttemptStatus.UNREACHABLE, None))
 
-        def back(outcome: AttemptStatus, answer: WorkerAnswer | None) -> None:
-            if send in self._open:
-                self._engine.after(net, over, outcome, answer)
+        def send_back(outcome: AttemptStatus, answer: WorkerAnswer | None) -> None:
+            if attempt in self._open_attempts:
+                self._event_queue.after(network_ms, finish, outcome, answer)
 
-        def over(outcome: AttemptStatus, answer: WorkerAnswer | None) -> None:
-            if self.up and start == self.starts and send in self._open:
-                del self._open[send]
-                self.do(self._answered, start, send, outcome, answer)
+        def finish(outcome: AttemptStatus, answer: WorkerAnswer | None) -> None:
+            if self.up and start == self.starts and attempt in self._open_attempts:
+                del self._open_attempts[attempt]
+                self.enqueue_input(self._on_attempt_finished, start, attempt, outcome, answer)
 
         def arrive() -> None:
             assert not isinstance(worker, RemoteWorker)
             if not worker.up:
-                back(AttemptStatus.UNREACHABLE, None)
+                send_back(AttemptStatus.UNREACHABLE, None)
                 return
-            worker.out[back] = None
-            worker.send(
-                ivk.action, ivk.mark, ivk.record.id, send.number, self.who, send.request.deadline - send.started_at, end
+            worker.open_replies[send_back] = None
+            worker.start_attempt(
+                invocation.action,
+                invocation.mark,
+                invocation.record.id,
+                attempt.number,
+                self.process_id,
+                attempt.request.deadline - attempt.started_at,
+                end,
             )
 
         def end(outcome: AttemptStatus, answer: WorkerAnswer | None) -> None:
             assert not isinstance(worker, RemoteWorker)
-            worker.out.pop(back, None)
-            back(outcome, answer)
+            worker.open_replies.pop(send_back, None)
+            send_back(outcome, answer)
 
         if not isinstance(worker, RemoteWorker):
-            self._engine.after(net, arrive)
+            self._event_queue.after(network_ms, arrive)
 
-    def _order(self, order: LoadOrder) -> None:
-        worker, start, net = self._site.workers[order.instance.worker.id], self.starts, self._settings.network_ms
-        action = self._site.by_model[order.instance.function.id]
+    def _start_load(self, order: LoadOrder) -> None:
+        worker, start, network_ms = (
+            self._cluster.workers[order.instance.worker.id],
+            self.starts,
+            self._settings.network_ms,
+        )
+        action = self._cluster.by_model[order.instance.function.id]
         if order.count:
-            self._site.second().orders += 1
+            self._cluster.second().orders += 1
 
-        def told(outcome: AttemptStatus, standing: int) -> None:
-            self._engine.after(net, over, outcome, standing)
+        def reply(outcome: AttemptStatus, loaded: int) -> None:
+            self._event_queue.after(network_ms, finish, outcome, loaded)
 
-        def over(outcome: AttemptStatus, standing: int) -> None:
-            timer = self._orders.pop(order, None) if start == self.starts else None
+        def finish(outcome: AttemptStatus, loaded: int) -> None:
+            timer = self._open_orders.pop(order, None) if start == self.starts else None
             if timer is not None and self.up:
                 timer.cancel()
-                self.gateway.on_load_report(self._engine.now, order, outcome, standing)
-                self.stir()
+                self.gateway.on_load_report(self._event_queue.now, order, outcome, loaded)
+                self.schedule_decisions()
 
         def arrive() -> None:
             assert not isinstance(worker, RemoteWorker)
             if worker.up:
-                worker.order(action, order.count, self.who, told)
+                worker.order_instances(action, order.count, self.process_id, reply)
             else:
-                told(AttemptStatus.UNREACHABLE, 0)
+                reply(AttemptStatus.UNREACHABLE, 0)
 
-        self._orders[order] = self._engine.after(self._site.deployment.pool.order_ms, over, AttemptStatus.SILENT, 0)
+        self._open_orders[order] = self._event_queue.after(
+            self._cluster.deployment.pool.order_ms, finish, AttemptStatus.SILENT, 0
+        )
         if isinstance(worker, RemoteWorker):
-            worker.go("order", over, order.instance.function.id, order.count, self.who)
+            worker.request("order", finish, order.instance.function.id, order.count, self.process_id)
         else:
-            self._engine.after(net, arrive)
+            self._event_queue.after(network_ms, arrive)
 
-    def _sync(self) -> None:
+    def _write_journal(self) -> None:
         """The journal's disk: one batch at a time."""
         if self.journal is None or self._syncing:
             return
-        batch = self.journal.ready(self._engine.now)
+        batch = self.journal.ready(self._event_queue.now)
         if batch is not None:
             self._syncing = True
-            self._engine.after(self.sync_ms, self._synced, self.starts, batch)
+            self._event_queue.after(self.sync_ms, self._on_journal_written, self.starts, batch)
 
-    def _synced(self, start: int, batch: Any) -> None:
+    def _on_journal_written(self, start: int, batch: Any) -> None:
         if start != self.starts or not self.up or self.journal is None:
             return
         self._syncing = False
         if self.disk_fails:
-            self.journal.failed(self._engine.now, batch.number, "the disk fails")
+            self.journal.failed(self._event_queue.now, batch.number, "the disk fails")
         else:
-            for entry in batch.entries:
-                if isinstance(entry, Accepted):
-                    self._book.setdefault(entry.id, ActivationEntries(entry))
-                elif (life := self._book.get(entry.id)) is not None:
-                    if isinstance(entry, MayRun):
-                        life.may_run = life.may_run or entry
-                    elif isinstance(entry, Ended):
-                        life.ended = life.ended or entry
+            for endpoint in batch.entries:
+                if isinstance(endpoint, Accepted):
+                    self._journal_entries.setdefault(endpoint.id, ActivationEntries(endpoint))
+                elif (entries := self._journal_entries.get(endpoint.id)) is not None:
+                    if isinstance(endpoint, MayRun):
+                        entries.may_run = entries.may_run or endpoint
+                    elif isinstance(endpoint, Ended):
+                        entries.ended = entries.ended or endpoint
             self.journal.safe(batch.number)
-        self.stir()
+        self.schedule_decisions()
 
 
 class SimulatedCluster:
@@ -316,7 +330,7 @@
 
     def __init__(
         self,
-        day: FaultScenario,
+        scenario: FaultScenario,
         deployment: Deployment,
         seed: int,
         settings: SimulationSettings | None = None,
@@ -324,59 +338,75 @@
         shard: Shard | None = None,
     ) -> None:
         """`shard`: this process's part of a run over several."""
-        part, self.shard = (shard.number, shard.of) if shard is not None else (0, 1), shard
+        shard_part, self.shard = (shard.number, shard.shard_count) if shard is not None else (0, 1), shard
         self._seed = seed
-        self._part, self._mark = part, f"{part[0]}-" if part[1] > 1 else ""
-        self.day, self.deployment, self.settings = day, deployment, settings or SimulationSettings()
-        self.engine = EventQueue()
+        self._shard_part, self._id_prefix = shard_part, f"{shard_part[0]}-" if shard_part[1] > 1 else ""
+        self.scenario, self.deployment, self.settings = scenario, deployment, settings or SimulationSettings()
+        self.event_queue = EventQueue()
         self.events: list[dict[str, Any]] = []
-        self.note = self._note if capture else None
-        self._chance = np.random.default_rng([seed, 11])
-        self._clients = np.random.default_rng([seed, 7, *part] if part[1] > 1 else [seed, 7])
-        self.store: Any = SimulatedStore(self.engine, deployment.store)
+        self.record_event = self._record_event if capture else None
+        self._random = np.random.default_rng([seed, 11])
+        self._client_random = np.random.default_rng([seed, 7, *shard_part] if shard_part[1] > 1 else [seed, 7])
+        self.store: Any = SimulatedStore(self.event_queue, deployment.store)
         self.by_model = {a.model: a for a in deployment.actions.values()}
-        self._ledger: dict[tuple[str, str], float] = {}
+        self._effect_log: dict[tuple[str, str], float] = {}
         if shard is not None:
-            self._ledger = SharedEffectLog(shard, self.engine, self.settings)
+            self._effect_log = SharedEffectLog(shard, self.event_queue, self.settings)
             if shard.number:
-                self.store = RemoteStore(shard, self.engine, self.settings)
-        self._listed_ms, self._version = 0.0, 0
+                self.store = RemoteStore(shard, self.event_queue, self.settings)
+        self._endpoints_delay_ms, self._version = 0.0, 0
         halls = deployment.halls
-        self.seconds: list[Second] = [Second() for _ in range(int(day.seconds) + 60)]
+        self.seconds: list[Second] = [Second() for _ in range(int(scenario.seconds) + 60)]
         self.latency: dict[str, list[float]] = {name: [] for name in deployment.types}
         self.give_ups: dict[str, int] = {}
-        first = part[0] == 0
-        if self.note is not None and first:
-            names = [f"dispatcher-{n}" for n in range(day.dispatchers)]
-            self.note("world", **describe_deployment(deployment, names, day.workers))
+        is_first_shard = shard_part[0] == 0
+        if self.record_event is not None and is_first_shard:
+            names = [f"dispatcher-{n}" for n in range(scenario.dispatchers)]
+            self.record_event("world", **describe_deployment(deployment, names, scenario.workers))
         self.workers: dict[str, _Worker | RemoteWorker] = {}
-        for n in range(day.workers):
-            id_, hall, cell = f"worker-{n}", halls[n % len(halls)], n // 2
-            if shard is not None and shard.home(n) != shard.number:
-                self.workers[id_] = RemoteWorker(
-                    shard, shard.home(n), id_, hall, cell, self.engine, self.settings, deployment.rules.cold_ms
+        for n in range(scenario.workers):
+            worker_id, zone, cell = f"worker-{n}", halls[n % len(halls)], n // 2
+            if shard is not None and shard.shard_of_worker(n) != shard.number:
+                self.workers[worker_id] = RemoteWorker(
+                    shard,
+                    shard.shard_of_worker(n),
+                    worker_id,
+                    zone,
+                    cell,
+                    self.event_queue,
+                    self.settings,
+                    deployment.rules.cold_ms,
                 )
             else:
-                self.workers[id_] = _Worker(
-                    self.engine, deployment, id_, hall, cell, self.store, self._ledger, seed, True, self.note
+                self.workers[worker_id] = _Worker(
+                    self.event_queue,
+                    deployment,
+                    worker_id,
+                    zone,
+                    cell,
+                    self.store,
+                    self._effect_log,
+                    seed,
+                    True,
+                    self.record_event,
                 )
         self.dispatchers: list[SimulatedDispatcher | RemoteDispatcher] = [
             SimulatedDispatcher(self, n, halls[n % len(halls)])
-            if shard is None or shard.has(n)
+            if shard is None or shard.has_dispatcher(n)
             else RemoteDispatcher(n)
-            for n in range(day.dispatchers)
+            for n in range(scenario.dispatchers)
         ]
-        self.listing: EndpointList | None = None
+        self.endpoints: EndpointList | None = None
         self.planners: list[SimulatedPlanner] = []
         self.leases: SimulatedLeases | None = None
-        self.own = [d for d in self.dispatchers if isinstance(d, SimulatedDispatcher)]
-        if day.planners and deployment.leases is None:
-            raise ValueError(f"{day.name}: planners act under a lease: {day.deployment} needs (leases ...)")
-        self.planners = [SimulatedPlanner(self, n, day.solver) for n in range(day.planners)]
+        self.local_dispatchers = [d for d in self.dispatchers if isinstance(d, SimulatedDispatcher)]
+        if scenario.planners and deployment.leases is None:
+            raise ValueError(f"{scenario.name}: planners act under a lease: {scenario.deployment} needs (leases ...)")
+        self.planners = [SimulatedPlanner(self, n, scenario.solver) for n in range(scenario.planners)]
         if deployment.leases is not None and shard is None:
-            names = [d.name for d in self.own]
+            names = [d.name for d in self.local_dispatchers]
             self.leases = SimulatedLeases(
-                self.engine,
+                self.event_queue,
                 lease_settings(deployment.leases),
                 deployment.leases.length_ms,
                 names + [p.name for p in self.planners],
@@ -384,284 +414,308 @@
                 self.settings.sync_ms,
                 self.settings.network_ms,
                 deployment.peers.silent_ms if deployment.peers is not None else 3000.0,
-                self.note,
+                self.record_event,
             )
-            self.leases.contend(day.tasks, names)
+            self.leases.contend(scenario.tasks, names)
             for planner in self.planners:
-                self.leases.want(self.leases.nodes[planner.name], LEASE_NAME, planner.led, planner.stood_down)
-        self._tell_lists()
-        self.by_space: dict[str, list[int]] = {n: [0, 0] for n in deployment.namespaces}  # wanted, served in time
-        self._tickets = self._calls = 0
-        self.start = self.engine.now + 200
-        if self.note is not None and first:
-            self.note("begin", start=self.start, seconds=day.seconds)
+                self.leases.want(
+                    self.leases.nodes[planner.name], LEASE_NAME, planner.on_lease_acquired, planner.on_lease_lost
+                )
+        self._publish_endpoints()
+        self.by_namespace: dict[str, list[int]] = {n: [0, 0] for n in deployment.namespaces}  # wanted, served in time
+        self._ticket_count = self._call_count = 0
+        self.start = self.event_queue.now + 200
+        if self.record_event is not None and is_first_shard:
+            self.record_event("begin", start=self.start, seconds=scenario.seconds)
         spaces = list(deployment.namespaces.values())
         shares = np.array([s.allowed_per_s for s in spaces])
-        self._spaces, self._shares = spaces, np.cumsum(shares / shares.sum())
-        for load in day.load:
-            self._arrivals(load)
-        for trouble in day.faults:
-            self.engine.at(self.start + trouble.at * 1000, self._befall, trouble)
-        self._fetched = 0
-        self.engine.at(self.start + 999.0, self._sample)
-
-    def _sample(self) -> None:
+        self._namespaces, self._cumulative_shares = spaces, np.cumsum(shares / shares.sum())
+        for load in scenario.load:
+            self._schedule_arrivals(load)
+        for fault in scenario.faults:
+            self.event_queue.at(self.start + fault.at * 1000, self._inject, fault)
+        self._fetches_before = 0
+        self.event_queue.at(self.start + 999.0, self._sample_second)
+
+    def _sample_second(self) -> None:
         """What a second ends with."""
         second = self.second()
-        second.in_hand = sum(d.gateway.in_flight for d in self.own if d.up)
-        second.loads, self._fetched = self.store.fetches - self._fetched, self.store.fetches
+        second.in_hand = sum(d.gateway.in_flight for d in self.local_dispatchers if d.up)
+        second.loads, self._fetches_before = self.store.fetches - self._fetches_before, self.store.fetches
         second.idle_mb = sum(w.idle_mb for w in self.workers.values() if isinstance(w, _Worker) and w.up)
-        second.storming = sum(d.up and d.gateway.overload.stage is not Calm.CALM for d in self.own)
-        if self.engine.now < self.start + (len(self.seconds) - 1) * 1000:
-            self.engine.after(1000.0, self._sample)
+        second.storming = sum(
+            d.up and d.gateway.overload.stage is not OverloadStage.CALM for d in self.local_dispatchers
+        )
+        if self.event_queue.now < self.start + (len(self.seconds) - 1) * 1000:
+            self.event_queue.after(1000.0, self._sample_second)
 
-    def _note(self, what: str, **fields: Any) -> None:
-        self.events.append({"what": what, "t": self.engine.now, **fields})
+    def _record_event(self, event: str, /, **fields: Any) -> None:
+        self.events.append({"what": event, "t": self.event_queue.now, **fields})
 
     def run(self) -> None:
         """Play it whole, and then until the last client has its answer."""
-        longest = max(t.timeout_ms for t in self.deployment.types.values())
-        self.engine.run(self.start + self.day.seconds * 1000 + longest + 5000)
+        longest_timeout_ms = max(t.timeout_ms for t in self.deployment.types.values())
+        self.event_queue.run(self.start + self.scenario.seconds * 1000 + longest_timeout_ms + 5000)
 
     def second(self) -> Second:
         """The second that it is, from the start of the load."""
-        return self.seconds[max(0, min(len(self.seconds) - 1, int((self.engine.now - self.start) / 1000)))]
+        return self.seconds[max(0, min(len(self.seconds) - 1, int((self.event_queue.now - self.start) / 1000)))]
 
     # The list.
 
-    def _tell_lists(self) -> None:
+    def _publish_endpoints(self) -> None:
         self._version += 1
-        entries = [worker.entry for worker in self.workers.values() if worker.up]
-        listing = self.listing = EndpointList(self._version, entries, "lab")
+        entries = [worker.endpoint for worker in self.workers.values() if worker.up]
+        endpoints = self.endpoints = EndpointList(self._version, entries, "lab")
         for planner in self.planners:
             if planner.up:
-                self.engine.after(self._listed_ms + self.settings.network_ms, planner.listed, listing)
+                self.event_queue.after(
+                    self._endpoints_delay_ms + self.settings.network_ms, planner.on_endpoints, endpoints
+                )
         for dispatcher in self.dispatchers:
-            self.engine.after(self._listed_ms + self.settings.network_ms, dispatcher.listed, listing)
+            self.event_queue.after(
+                self._endpoints_delay_ms + self.settings.network_ms, dispatcher.on_endpoints, endpoints
+            )
 
     # Clients.
 
-    def _arrivals(self, load: Load) -> None:
+    def _schedule_arrivals(self, load: Load) -> None:
         """A load's arrivals, drawn a second at a time; of a closed loop its clients, spread over their first pause."""
-        end = min(self.day.seconds, load.at + load.duration)
+        end = min(self.scenario.seconds, load.at + load.duration)
         actions = list(self.deployment.actions.values())
         by_path = {a.path: a for a in actions}
-        odds = np.cumsum(popularity(list(by_path), load))
+        cumulative_popularity = np.cumsum(popularity(list(by_path), load))
         # A stream of its own: variants of an experiment meet the same arrivals, whatever their clients do.
-        chance = np.random.default_rng([self._seed, 13, self.day.load.index(load), self._part[0]])
-        drawn = Arrivals(load, chance, self._part)
+        random = np.random.default_rng([self._seed, 13, self.scenario.load.index(load), self._shard_part[0]])
+        arrivals = Arrivals(load, random, self._shard_part)
 
-        def draw(at: float) -> None:
-            span = min(1.0, end - at)
-            if span <= 0:
+        def draw_second(at: float) -> None:
+            span_s = min(1.0, end - at)
+            if span_s <= 0:
                 return
-            found = drawn.draw(at, span)
-            picks = np.searchsorted(odds, chance.random(len(found)))
+            found = arrivals.draw(at, span_s)
+            picks = np.searchsorted(cumulative_popularity, random.random(len(found)))
             for (when, named), pick in zip(found, picks, strict=True):
-                self.engine.at(self.start + when * 1000, self._wish, by_path.get(named) or actions[int(pick)], load)
-            self.engine.at(self.start + (at + span) * 1000, draw, at + span)
+                self.event_queue.at(
+                    self.start + when * 1000, self._begin_call, by_path.get(named) or actions[int(pick)], load
+                )
+            self.event_queue.at(self.start + (at + span_s) * 1000, draw_second, at + span_s)
 
-        def come() -> None:
-            if self.engine.now < self.start + end * 1000:
-                self._wish(actions[int(np.searchsorted(odds, self._clients.random()))], load, think)
+        def call_now() -> None:
+            if self.event_queue.now < self.start + end * 1000:
+                self._begin_call(
+                    actions[int(np.searchsorted(cumulative_popularity, self._client_random.random()))], load, pause
+                )
 
-        def think() -> None:
-            self.engine.after(float(self._clients.exponential(load.think)) * 1000, come)
+        def pause() -> None:
+            self.event_queue.after(float(self._client_random.exponential(load.think)) * 1000, call_now)
 
         if load.shape == "closed":
-            for _ in range(self._part[0], load.clients, self._part[1]):
-                self.engine.at(self.start + load.at * 1000, think)
+            for _ in range(self._shard_part[0], load.clients, self._shard_part[1]):
+                self.event_queue.at(self.start + load.at * 1000, pause)
         else:
-            self.engine.at(self.start + load.at * 1000, draw, load.at)
+            self.event_queue.at(self.start + load.at * 1000, draw_second, load.at)
 
-    def _wish(self, action: ActionSettings, load: Load, after: Callable[[], None] | None = None) -> None:
-        self._tickets += 1
-        chance = self._clients
-        space = (
+    def _begin_call(self, action: ActionSettings, load: Load, after: Callable[[], None] | None = None) -> None:
+        self._ticket_count += 1
+        random = self._client_random
+        namespace = (
             self.deployment.namespaces.get(load.namespace)
-            or (self._spaces[int(np.searchsorted(self._shares, chance.random()))])
+            or (self._namespaces[int(np.searchsorted(self._cumulative_shares, random.random()))])
         )
-        wish = Wish(
-            f"t{self._mark}{self._tickets}",
+        call = ClientCall(
+            f"t{self._id_prefix}{self._ticket_count}",
             action,
-            space,
-            bool(chance.random() < load.deferred),
-            behavior_of(float(chance.random()), load.retry_after_share, load.half_retry_after_share),
+            namespace,
+            bool(random.random() < load.deferred),
+            behavior_of(float(random.random()), load.retry_after_share, load.half_retry_after_share),
             1 + load.retries,
-            first=self.engine.now,
+            first_sent_at=self.event_queue.now,
             after=after,
         )
-        self.by_space[space.name][0] += 1
-        self._try(wish, None)
-
-    def _try(self, wish: Wish, last: int | None) -> None:
-        wish.tries -= 1
-        self._calls += 1
-        count, kind = len(self.own), self.deployment.types[wish.action.type]
-        wish.dispatcher = int(self._clients.integers(count)) if last is None else (last + 1) % count
-        wish.number, wish.began, wish.activation, wish.ivk = f"c{self._mark}{self._calls}", self.engine.now, "", None
+        self.by_namespace[namespace.name][0] += 1
+        self._send_call(call, None)
+
+    def _send_call(self, call: ClientCall, last: int | None) -> None:
+        call.tries -= 1
+        self._call_count += 1
+        count, kind = len(self.local_dispatchers), self.deployment.types[call.action.type]
+        call.dispatcher = int(self._client_random.integers(count)) if last is None else (last + 1) % count
+        call.number, call.sent_at, call.activation, call.invocation = (
+            f"c{self._id_prefix}{self._call_count}",
+            self.event_queue.now,
+            "",
+            None,
+        )
         second = self.second()
         second.calls += 1
-        second.repeats += self.engine.now > wish.first
-        if self.note is not None:
-            self.note(
+        second.repeats += self.event_queue.now > call.first_sent_at
+        if self.record_event is not None:
+            self.record_event(
                 "call",
-                call=wish.number,
-                ticket=wish.ticket,
-                action=wish.action.path,
+                call=call.number,
+                ticket=call.ticket,
+                action=call.action.path,
                 type=kind.name,
-                dispatcher=self.own[wish.dispatcher].number,
-                deferred=wish.deferred,
+                dispatcher=self.local_dispatchers[call.dispatcher].number,
+                deferred=call.deferred,
                 limit_ms=kind.timeout_ms,
                 front=False,
             )
-        dispatcher = self.own[wish.dispatcher]
-        wish.patience = self.engine.after(kind.timeout_ms + 500, self._patience, wish, wish.number)
-        self.engine.after(self.settings.network_ms, self._arrive, dispatcher, wish, wish.number)
+        dispatcher = self.local_dispatchers[call.dispatcher]
+        call.patience_timer = self.event_queue.after(kind.timeout_ms + 500, self._on_patience_over, call, call.number)
+        self.event_queue.after(self.settings.network_ms, self._arrive, dispatcher, call, call.number)
 
-    def _arrive(self, dispatcher: SimulatedDispatcher, wish: Wish, number: str) -> None:
+    def _arrive(self, dispatcher: SimulatedDispatcher, call: ClientCall, number: str) -> None:
         if not dispatcher.up:
-            self._not_taken(wish)
+            self._on_not_taken(call)
         else:
-            dispatcher.do(self._taken, dispatcher, wish, number)
+            dispatcher.enqueue_input(self._on_call_arrived, dispatcher, call, number)
 
-    def _not_taken(self, wish: Wish) -> None:
-        self._unwait(wish)
+    def _on_not_taken(self, call: ClientCall) -> None:
+        self._cancel_patience(call)
         self.second().not_taken += 1
-        if self.note is not None:
-            self.note("not-taken", call=wish.number)
-        self._again(wish, ClientOutcome.NOT_TAKEN)
+        if self.record_event is not None:
+            self.record_event("not-taken", call=call.number)
+        self._retry_or_end(call, ClientOutcome.NOT_TAKEN)
 
-    def _unwait(self, wish: Wish) -> None:
-        if wish.patience is not None:
-            wish.patience.cancel()
-            wish.patience = None
+    def _cancel_patience(self, call: ClientCall) -> None:
+        if call.patience_timer is not None:
+            call.patience_timer.cancel()
+            call.patience_timer = None
 
-    def _taken(self, dispatcher: SimulatedDispatcher, wish: Wish, number: str) -> None:
-        if wish.number != number:
+    def _on_call_arrived(self, dispatcher: SimulatedDispatcher, call: ClientCall, number: str) -> None:
+        if call.number != number:
             return
-        gateway, now = dispatcher.gateway, self.engine.now
-        kind = self.deployment.types[wish.action.type]
-        key = wish.ticket if kind.effect == "deduplicated" else None
+        gateway, now = dispatcher.gateway, self.event_queue.now
+        kind = self.deployment.types[call.action.type]
+        key = call.ticket if kind.effect == "deduplicated" else None
         if key is not None:
-            known = gateway.known(wish.space.name, wish.action.path, key, "")
+            known = gateway.known(call.namespace.name, call.action.path, key, "")
             if known is not None:
-                self._join(dispatcher, wish, known)
+                self._join_activation(dispatcher, call, known)
                 return
-        if wish.deferred and gateway.journal is not None and not gateway.journal.takes():
-            self._not_taken(wish)
+        if call.deferred and gateway.journal is not None and not gateway.journal.takes():
+            self._on_not_taken(call)
             return
-        refused = gateway.on_connect(now, wish.space.name, wish.action.path, 100, wish.ticket)
+        refused = gateway.on_connect(now, call.namespace.name, call.action.path, 100, call.ticket)
         if refused is not None:
-            self._final(wish, "", "rejected", refused[1], None)
+            self._finish_call(call, "", "rejected", refused[1], None)
             return
-        ivk = gateway.submit(
+        invocation = gateway.submit(
             now,
-            WALL + now,
-            wish.space.name,
-            wish.action,
+            WALL_CLOCK_ORIGIN_MS + now,
+            call.namespace.name,
+            call.action,
             b"{}",
             key,
             "",
-            lambda record: self._waited(wish, number, record),
-            wish.deferred,
-            who=wish.ticket,
+            lambda record: self._deliver_record(call, number, record),
+            call.deferred,
+            who=call.ticket,
         )
-        wish.ivk, wish.run = ivk, dispatcher.starts
-        if wish.deferred:
-            dispatcher.stir()
-            if not ivk.record.final:
-                gateway.promise(ivk, lambda safe: self._promised(dispatcher, wish, ivk, safe))
-                dispatcher.stir()
-
-    def _join(self, dispatcher: SimulatedDispatcher, wish: Wish, record: Record) -> None:
-        ivk = dispatcher.gateway.in_flight_of(record.id)
+        call.invocation, call.run = invocation, dispatcher.starts
+        if call.deferred:
+            dispatcher.schedule_decisions()
+            if not invocation.record.final:
+                gateway.promise(invocation, lambda safe: self._on_promise_settled(dispatcher, call, invocation, safe))
+                dispatcher.schedule_decisions()
+
+    def _join_activation(self, dispatcher: SimulatedDispatcher, call: ClientCall, record: Record) -> None:
+        invocation = dispatcher.gateway.in_flight_of(record.id)
         if record.shown:
-            self._waited(wish, wish.number, record)
-        elif wish.deferred or ivk is None:
-            self._accepted(wish, record.id)
+            self._deliver_record(call, call.number, record)
+        elif call.deferred or invocation is None:
+            self._on_accepted(call, record.id)
         else:
-            number = wish.number
-            ivk.waiters.append(lambda ended: self._waited(wish, number, ended))
+            number = call.number
+            invocation.waiters.append(lambda ended: self._deliver_record(call, number, ended))
 
-    def _promised(self, dispatcher: SimulatedDispatcher, wish: Wish, ivk: Invocation, safe: bool | None) -> None:
+    def _on_promise_settled(
+        self, dispatcher: SimulatedDispatcher, call: ClientCall, invocation: Invocation, safe: bool | None
+    ) -> None:
         if safe:
-            ivk.waiters.clear()
-            self._accepted(wish, ivk.record.id)
+            invocation.waiters.clear()
+            self._on_accepted(call, invocation.record.id)
         else:
-            dispatcher.gateway.on_client_gone(self.engine.now, ivk)
-            self._not_taken(wish)
-
-    def _accepted(self, wish: Wish, id_: str) -> None:
-        self._unwait(wish)
-        wish.activation = id_
-        if self.note is not None:
-            self.note("accepted", call=wish.number, activation=id_)
-        self.engine.after(POLL_MS, self._poll, wish)
-
-    def _poll(self, wish: Wish) -> None:
-        kind, dispatcher = self.deployment.types[wish.action.type], self.own[wish.dispatcher]
-        record = dispatcher.gateway.records.get(wish.space.name, wish.activation) if dispatcher.up else None
+            dispatcher.gateway.on_client_gone(self.event_queue.now, invocation)
+            self._on_not_taken(call)
+
+    def _on_accepted(self, call: ClientCall, worker_id: str) -> None:
+        self._cancel_patience(call)
+        call.activation = worker_id
+        if self.record_event is not None:
+            self.record_event("accepted", call=call.number, activation=worker_id)
+        self.event_queue.after(POLL_MS, self._poll, call)
+
+    def _poll(self, call: ClientCall) -> None:
+        kind, dispatcher = self.deployment.types[call.action.type], self.local_dispatchers[call.dispatcher]
+        record = dispatcher.gateway.records.get(call.namespace.name, call.activation) if dispatcher.up else None
         if record is not None and record.shown:
-            self._told(wish, record, record.end - record.start)
-        elif self.engine.now - wish.began > kind.timeout_ms + PATIENCE_MS:
-            self._lost(wish, "polled")
+            self._finish_with_record(call, record, record.end - record.start)
+        elif self.event_queue.now - call.sent_at > kind.timeout_ms + POLLING_GRACE_MS:
+            self._on_call_lost(call, "polled")
         else:
-            self.engine.after(POLL_MS, self._poll, wish)
-
-    def _waited(self, wish: Wish, number: str, record: Record) -> None:
-        self.engine.after(self.settings.network_ms, self._shown, wish, number, record)
-
-    def _shown(self, wish: Wish, number: str, record: Record) -> None:
-        if wish.number == number and wish.patience is not None:
-            self._unwait(wish)
-            self._told(wish, record, None)
-
-    def _told(self, wish: Wish, record: Record, took: float | None) -> None:
-        within = record.repeat_within_ms or None
-        self._final(wish, record.id, record.answer, record.return_ms, within, took, record.code)
-
-    def _patience(self, wish: Wish, number: str) -> None:
-        if wish.number == number and wish.patience is not None:
-            wish.patience = None
-            dispatcher = self.own[wish.dispatcher]
-            if dispatcher.up and wish.run == dispatcher.starts and wish.ivk is not None and not wish.ivk.record.key:
-                wish.ivk.waiters.clear()
-                dispatcher.do(self._left, dispatcher, wish.ivk)
-            self._lost(wish, "no-answer")
+            self.event_queue.after(POLL_MS, self._poll, call)
+
+    def _deliver_record(self, call: ClientCall, number: str, record: Record) -> None:
+        self.event_queue.after(self.settings.network_ms, self._on_record_received, call, number, record)
+
+    def _on_record_received(self, call: ClientCall, number: str, record: Record) -> None:
+        if call.number == number and call.patience_timer is not None:
+            self._cancel_patience(call)
+            self._finish_with_record(call, record, None)
+
+    def _finish_with_record(self, call: ClientCall, record: Record, took: float | None) -> None:
+        repeat_within_ms = record.repeat_within_ms or None
+        self._finish_call(call, record.id, record.answer, record.return_ms, repeat_within_ms, took, record.code)
+
+    def _on_patience_over(self, call: ClientCall, number: str) -> None:
+        if call.number == number and call.patience_timer is not None:
+            call.patience_timer = None
+            dispatcher = self.local_dispatchers[call.dispatcher]
+            if (
+                dispatcher.up
+                and call.run == dispatcher.starts
+                and call.invocation is not None
+                and not call.invocation.record.key
+            ):
+                call.invocation.waiters.clear()
+                dispatcher.enqueue_input(self._tell_client_gone, dispatcher, call.invocation)
+            self._on_call_lost(call, "no-answer")
 
     @staticmethod
-    def _left(dispatcher: SimulatedDispatcher, ivk: Invocation) -> None:
-        dispatcher.gateway.on_client_gone(dispatcher._engine.now, ivk)
+    def _tell_client_gone(dispatcher: SimulatedDispatcher, invocation: Invocation) -> None:
+        dispatcher.gateway.on_client_gone(dispatcher._event_queue.now, invocation)
 
-    def _lost(self, wish: Wish, ending: str) -> None:
+    def _on_call_lost(self, call: ClientCall, ending: str) -> None:
         self.second().lost += 1
         self.give_ups[ending] = self.give_ups.get(ending, 0) + 1
-        if self.note is not None:
-            self.note("no-answer", call=wish.number, ending=ending)
-        self._again(wish, ClientOutcome.LOST)
+        if self.record_event is not None:
+            self.record_event("no-answer", call=call.number, ending=ending)
+        self._retry_or_end(call, ClientOutcome.LOST)
 
-    def _final(
+    def _finish_call(
         self,
-        wish: Wish,
+        call: ClientCall,
         activation: str,
         answer: str,
         return_ms: float,
-        within: float | None,
+        repeat_within_ms: float | None,
         took: float | None = None,
         code: int = 0,
     ) -> None:
-        self._unwait(wish)
-        kind, second = self.deployment.types[wish.action.type], self.second()
-        if self.note is not None:
-            self.note(
-                "final", call=wish.number, activation=activation, answer=answer, status=0, lag=0.0, took=took, code=code
+        self._cancel_patience(call)
+        kind, second = self.deployment.types[call.action.type], self.second()
+        if self.record_event is not None:
+            self.record_event(
+                "final", call=call.number, activation=activation, answer=answer, status=0, lag=0.0, took=took, code=code
             )
         if answer == "completed":
-            took = self.engine.now - wish.began if took is None else took
+            took = self.event_queue.now - call.sent_at if took is None else took
             second.completed += 1
             second.in_time += took <= kind.target_ms
-            self.by_space[wish.space.name][1] += took <= kind.target_ms
+            self.by_namespace[call.namespace.name][1] += took <= kind.target_ms
             self.latency[kind.name].append(took)
         else:
             self.give_ups[answer] = self.give_ups.get(answer, 0) + 1
@@ -669,245 +723,264 @@
                 second.rejected += 1
             else:
                 second.aborted += 1
-        self._again(wish, ClientOutcome(answer), return_ms, within)
+        self._retry_or_end(call, ClientOutcome(answer), return_ms, repeat_within_ms)
 
-    def _again(self, wish: Wish, heard: ClientOutcome, told_ms: float = 0.0, within_ms: float | None = None) -> None:
+    def _retry_or_end(
+        self, call: ClientCall, outcome: ClientOutcome, retry_after_ms: float = 0.0, within_ms: float | None = None
+    ) -> None:
         """The client's next step, by its habits."""
-        kind = self.deployment.types[wish.action.type]
+        kind = self.deployment.types[call.action.type]
         wait = retry_delay_ms(
-            wish.habits, heard, kind.effect, kind.timeout_ms, told_ms, within_ms, self.engine.now - wish.began
+            call.behavior,
+            outcome,
+            kind.effect,
+            kind.timeout_ms,
+            retry_after_ms,
+            within_ms,
+            self.event_queue.now - call.sent_at,
         )
-        if wait is not None and heard is ClientOutcome.NOT_TAKEN and wish.tries > -20:
-            self.engine.after(wait, self._try, wish, wish.dispatcher)
-        elif wait is not None and heard is not ClientOutcome.NOT_TAKEN and wish.tries > 0:
-            self.engine.after(
-                wait * float(self._clients.uniform(*wish.habits.jitter)), self._try, wish, wish.dispatcher
+        if wait is not None and outcome is ClientOutcome.NOT_TAKEN and call.tries > -20:
+            self.event_queue.after(wait, self._send_call, call, call.dispatcher)
+        elif wait is not None and outcome is not ClientOutcome.NOT_TAKEN and call.tries > 0:
+            self.event_queue.after(
+                wait * float(self._client_random.uniform(*call.behavior.jitter)), self._send_call, call, call.dispatcher
             )
-        elif wish.after is not None:
-            wish.after()
+        elif call.after is not None:
+            call.after()
 
     # Other shards.
 
-    def mail(self, what: str, words: tuple[Any, ...]) -> None:
+    def on_shard_message(self, callback: str, arguments: tuple[Any, ...]) -> None:
         """What another shard sent arrives now."""
-        shard, net = self.shard, self.settings.network_ms
+        shard, network_ms = self.shard, self.settings.network_ms
         assert shard is not None
-        if what == "reply":
-            shard.replied(*words)
-        elif what == "mark":
-            assert isinstance(self._ledger, SharedEffectLog)
-            self._ledger.heard(*words)
+        if callback == "reply":
+            shard.on_reply(*arguments)
+        elif callback == "mark":
+            assert isinstance(self._effect_log, SharedEffectLog)
+            self._effect_log.on_remote_effect(*arguments)
         else:
-            to, number, *rest = words
-            reply = answer_remote(shard, self.engine, net, to, number)
-            if what == "fetch":
+            to, number, *rest = arguments
+            reply = answer_remote(shard, self.event_queue, network_ms, to, number)
+            if callback == "fetch":
                 self.store.fetch(rest[0], reply)
                 return
             worker = self.workers[rest[0]]
             assert isinstance(worker, _Worker)
             if not worker.up:
-                reply(AttemptStatus.UNREACHABLE, None if what == "send" else 0)
-            elif what == "order":
-                worker.order(self.by_model[rest[1]], rest[2], rest[3], reply)
+                reply(AttemptStatus.UNREACHABLE, None if callback == "send" else 0)
+            elif callback == "order":
+                worker.order_instances(self.by_model[rest[1]], rest[2], rest[3], reply)
             else:
-                path, mark, activation, send, who, limit = rest[1:]
-                worker.out[reply] = None
+                path, mark, activation, attempt, process_id, limit = rest[1:]
+                worker.open_replies[reply] = None
 
                 def end(outcome: AttemptStatus, answer: WorkerAnswer | None) -> None:
-                    worker.out.pop(reply, None)
+                    worker.open_replies.pop(reply, None)
                     reply(outcome, answer)
 
-                worker.send(self.deployment.actions[path], mark, activation, send, who, limit, end)
+                worker.start_attempt(self.deployment.actions[path], mark, activation, attempt, process_id, limit, end)
 
     # Troubles.
 
-    def _befall(self, trouble: Fault) -> None:
-        kind = trouble.kind
+    def _inject(self, fault: Fault) -> None:
+        kind = fault.kind
         if kind in WORKER_FAULTS:
             up = [w for w in self.workers.values() if w.up]
-            count = min(len(up), max(1, round(trouble.part * len(up))))
-            victims = [up[int(n)] for n in self._chance.choice(len(up), count, replace=False)] if up else []
-            self._trouble(kind, trouble, [w.id for w in victims])
+            count = min(len(up), max(1, round(fault.part * len(up))))
+            victims = [up[int(n)] for n in self._random.choice(len(up), count, replace=False)] if up else []
+            self._record_fault(kind, fault, [w.id for w in victims])
             for number, worker in enumerate(victims):
                 if kind == "crash":
-                    self._crash(worker, trouble.duration * 1000)
+                    self._crash(worker, fault.duration * 1000)
                 elif kind in ("rolling-deploy", "drain"):
-                    pause = trouble.duration * 1000 / max(1, len(victims))
-                    self.engine.after(number * (pause + 1000), self._deploy, worker, kind == "rolling-deploy")
+                    pause = fault.duration * 1000 / max(1, len(victims))
+                    self.event_queue.after(number * (pause + 1000), self._deploy, worker, kind == "rolling-deploy")
                 else:
-                    worker.fault(kind, trouble)
+                    worker.inject(kind, fault)
                     if kind == "restart-cold":
-                        worker.break_all()
-                        self._tell_lists()
+                        worker.close_connections()
+                        self._publish_endpoints()
             return
         if kind in PLANNER_FAULTS:
-            self._trouble(kind, trouble, [p.name for p in self.planners])
-            self._on_planners(trouble)
+            self._record_fault(kind, fault, [p.name for p in self.planners])
+            self._inject_planner_fault(fault)
             return
-        victims_d = self.dispatchers
+        dispatchers = self.dispatchers
         if kind == "kill-dispatchers" or kind in (*DISK_FAULTS, *PEER_FAULTS):
-            count = max(1, round(trouble.part * len(self.dispatchers)))
-            victims_d = [
-                self.dispatchers[int(n)] for n in self._chance.choice(len(self.dispatchers), count, replace=False)
+            count = max(1, round(fault.part * len(self.dispatchers)))
+            dispatchers = [
+                self.dispatchers[int(n)] for n in self._random.choice(len(self.dispatchers), count, replace=False)
             ]
-        self._trouble(kind, trouble, [d.name for d in victims_d] if kind not in STORE_FAULTS else [])
+        self._record_fault(kind, fault, [d.name for d in dispatchers] if kind not in STORE_FAULTS else [])
         if kind in STORE_FAULTS:
-            self.store.fault(kind.removeprefix("store-"), trouble.factor, trouble.duration * 1000)
+            self.store.inject(kind.removeprefix("store-"), fault.factor, fault.duration * 1000)
         elif kind == "list-late":
-            self._listed_ms = trouble.ms
-            self.engine.after(trouble.duration * 1000, setattr, self, "_listed_ms", 0.0)
+            self._endpoints_delay_ms = fault.ms
+            self.event_queue.after(fault.duration * 1000, setattr, self, "_endpoints_delay_ms", 0.0)
         elif kind == "kill-dispatchers":
-            for dispatcher in victims_d:
-                self._kill(dispatcher, trouble.duration * 1000)
+            for dispatcher in dispatchers:
+                self._kill(dispatcher, fault.duration * 1000)
         elif kind == "lose-machines":
-            gone = trouble.at + trouble.duration > self.day.seconds
-            for dispatcher in victims_d:
-                self._kill(dispatcher, None if gone else trouble.duration * 1000, True)
+            for_good = fault.at + fault.duration > self.scenario.seconds
+            for dispatcher in dispatchers:
+                self._kill(dispatcher, None if for_good else fault.duration * 1000, True)
         elif kind in PEER_FAULTS:
             if kind == "pause-dispatchers":
-                for dispatcher in self.own:
-                    if dispatcher in victims_d:
-                        dispatcher.pause(trouble.duration * 1000)
-                        if self.note is not None:
-                            self.note("stopped", dispatcher=dispatcher.number)
-                            self.engine.after(trouble.duration * 1000, self._woken, dispatcher)
+                for dispatcher in self.local_dispatchers:
+                    if dispatcher in dispatchers:
+                        dispatcher.pause(fault.duration * 1000)
+                        if self.record_event is not None:
+                            self.record_event("stopped", dispatcher=dispatcher.number)
+                            self.event_queue.after(fault.duration * 1000, self._record_resumed, dispatcher)
             if self.leases is not None:
-                self.leases.befall(trouble, [d.name for d in victims_d], lambda: bool(self._chance.random() < 0.5))
+                self.leases.inject(fault, [d.name for d in dispatchers], lambda: bool(self._random.random() < 0.5))
         elif kind in DISK_FAULTS:
-            for dispatcher in victims_d:
+            for dispatcher in dispatchers:
                 if kind == "disk-slow":
-                    dispatcher.sync_ms = trouble.ms
+                    dispatcher.sync_ms = fault.ms
                 else:
                     dispatcher.disk_fails = True
                 if self.leases is not None:
-                    self.leases.disk(dispatcher.name, dispatcher.sync_ms, dispatcher.disk_fails)
-                self.engine.after(trouble.duration * 1000, self._heal_disk, dispatcher)
+                    self.leases.set_disk(dispatcher.name, dispatcher.sync_ms, dispatcher.disk_fails)
+                self.event_queue.after(fault.duration * 1000, self._restore_disk, dispatcher)
 
-    def _on_planners(self, trouble: Fault) -> None:
-        count = max(1, round(trouble.part * len(self.planners))) if self.planners else 0
+    def _inject_planner_fault(self, fault: Fault) -> None:
+        count = max(1, round(fault.part * len(self.planners))) if self.planners else 0
         victims = (
-            [self.planners[int(n)] for n in self._chance.choice(len(self.planners), count, replace=False)]
+            [self.planners[int(n)] for n in self._random.choice(len(self.planners), count, replace=False)]
             if (count)
             else []
         )
         for planner in victims:
-            if trouble.kind == "planners-slow":
-                planner.slow_ms = trouble.ms
-                self.engine.after(trouble.duration * 1000, setattr, planner, "slow_ms", 0.0)
-            elif trouble.kind == "planners-wrong":
-                planner.core.demand.error_factor = trouble.factor
-                self.engine.after(trouble.duration * 1000, setattr, planner.core.demand, "error_factor", 1.0)
-            elif trouble.kind in ("pause-planners", "cut-planners"):
+            if fault.kind == "planners-slow":
+                planner.slow_ms = fault.ms
+                self.event_queue.after(fault.duration * 1000, setattr, planner, "slow_ms", 0.0)
+            elif fault.kind == "planners-wrong":
+                planner.core.demand.error_factor = fault.factor
+                self.event_queue.after(fault.duration * 1000, setattr, planner.core.demand, "error_factor", 1.0)
+            elif fault.kind in ("pause-planners", "cut-planners"):
                 assert self.leases is not None
-                self.leases.befall(
+                self.leases.inject(
                     replace(
-                        trouble, kind={"pause-planners": "pause-dispatchers", "cut-planners": "cut-peers"}[trouble.kind]
+                        fault, kind={"pause-planners": "pause-dispatchers", "cut-planners": "cut-peers"}[fault.kind]
                     ),
                     [planner.name],
-                    lambda: bool(self._chance.random() < 0.5),
+                    lambda: bool(self._random.random() < 0.5),
                 )
             else:
                 planner.kill()
-                self.engine.after(
-                    trouble.duration * 1000 + self.settings.start_ms, planner.begin, trouble.kind == "planners-forget"
+                self.event_queue.after(
+                    fault.duration * 1000 + self.settings.start_ms,
+                    planner.start_process,
+                    fault.kind == "planners-forget",
                 )
 
-    def _trouble(self, kind: str, trouble: Fault, of: list[str]) -> None:
-        if self.note is not None and self._part[0] == 0:
-            self.note("trouble", kind=kind, seconds=trouble.duration, factor=trouble.factor, of=of)
+    def _record_fault(self, kind: str, fault: Fault, names: list[str]) -> None:
+        if self.record_event is not None and self._shard_part[0] == 0:
+            self.record_event("trouble", kind=kind, seconds=fault.duration, factor=fault.factor, of=names)
 
-    def _heal_disk(self, dispatcher: SimulatedDispatcher | RemoteDispatcher) -> None:
+    def _restore_disk(self, dispatcher: SimulatedDispatcher | RemoteDispatcher) -> None:
         dispatcher.sync_ms, dispatcher.disk_fails = self.settings.sync_ms, False
         if self.leases is not None:
-            self.leases.disk(dispatcher.name, dispatcher.sync_ms, False)
+            self.leases.set_disk(dispatcher.name, dispatcher.sync_ms, False)
 
     def _kill(
         self, dispatcher: SimulatedDispatcher | RemoteDispatcher, down_ms: float | None, disk: bool = False
     ) -> None:
         if not dispatcher.up:
             return
-        if self.note is not None and dispatcher in self.own:
-            self.note("kill", dispatcher=dispatcher.number)
+        if self.record_event is not None and dispatcher in self.local_dispatchers:
+            self.record_event("kill", dispatcher=dispatcher.number)
             if disk:
-                self.note("disk-lost", dispatcher=dispatcher.number)
+                self.record_event("disk-lost", dispatcher=dispatcher.number)
         dispatcher.kill()
         if disk and isinstance(dispatcher, SimulatedDispatcher):
             dispatcher.lose_disk()
         if self.leases is not None:
             self.leases.kill(dispatcher.name, disk)
         if down_ms is not None:
-            self.engine.after(down_ms + self.settings.start_ms, self._up_again, dispatcher)
+            self.event_queue.after(down_ms + self.settings.start_ms, self._restart_dispatcher, dispatcher)
 
-    def _up_again(self, dispatcher: SimulatedDispatcher | RemoteDispatcher) -> None:
-        dispatcher.begin()
+    def _restart_dispatcher(self, dispatcher: SimulatedDispatcher | RemoteDispatcher) -> None:
+        dispatcher.start_process()
         if self.leases is not None:
-            self.leases.begin(self.leases.nodes[dispatcher.name])
+            self.leases.start_process(self.leases.nodes[dispatcher.name])
         if isinstance(dispatcher, SimulatedDispatcher) and dispatcher.edge is not None:
-            dispatcher.edge.begin()
-        if self.note is not None and dispatcher in self.own:
-            self.note("restarted", dispatcher=dispatcher.number)
+            dispatcher.edge.start_process()
+        if self.record_event is not None and dispatcher in self.local_dispatchers:
+            self.record_event("restarted", dispatcher=dispatcher.number)
 
-    def _woken(self, dispatcher: SimulatedDispatcher) -> None:
-        if self.note is not None:
-            self.note("woken", dispatcher=dispatcher.number)
+    def _record_resumed(self, dispatcher: SimulatedDispatcher) -> None:
+        if self.record_event is not None:
+            self.record_event("woken", dispatcher=dispatcher.number)
 
     def _crash(self, worker: _Worker | RemoteWorker, down_ms: float) -> None:
         worker.up = False
-        worker.break_all()
-        self._tell_lists()
-        self.engine.after(down_ms + self.settings.restart_ms, self._back_up, worker)
+        worker.close_connections()
+        self._publish_endpoints()
+        self.event_queue.after(down_ms + self.settings.restart_ms, self._restart_worker, worker)
 
-    def _back_up(self, worker: _Worker | RemoteWorker) -> None:
+    def _restart_worker(self, worker: _Worker | RemoteWorker) -> None:
         worker.up, worker.state = True, "live"
-        worker.begin(warm=False)
-        self._tell_lists()
+        worker.start_process(warm=False)
+        self._publish_endpoints()
 
-    def _deploy(self, worker: _Worker | RemoteWorker, again: bool) -> None:
+    def _deploy(self, worker: _Worker | RemoteWorker, restart: bool) -> None:
         """Drain, tell the worker, let its work end, stop it, start it anew."""
         if not worker.up:
             return
         worker.state = "draining"
-        self._tell_lists()
-        self.engine.after(self.deployment.rules.drain_grace_ms, setattr, worker, "draining", True)
+        self._publish_endpoints()
+        self.event_queue.after(self.deployment.rules.drain_grace_ms, setattr, worker, "draining", True)
         down = self.deployment.rules.drain_grace_ms + 1500
 
         def stop() -> None:
             worker.up = False
-            worker.break_all()
-            self._tell_lists()
-            if again:
-                self.engine.after(self.settings.restart_ms, self._back_up, worker)
+            worker.close_connections()
+            self._publish_endpoints()
+            if restart:
+                self.event_queue.after(self.settings.restart_ms, self._restart_worker, worker)
 
-        self.engine.after(down, stop)
+        self.event_queue.after(down, stop)
 
 
 class _Worker(SimulatedWorker):
     """A worker with the ends of its connections."""
 
-    def __init__(self, *words: Any) -> None:
-        self.out: dict[Callable[[AttemptStatus, WorkerAnswer | None], None], None] = {}
-        super().__init__(*words)
+    def __init__(self, *arguments: Any) -> None:
+        self.open_replies: dict[Callable[[AttemptStatus, WorkerAnswer | None], None], None] = {}
+        super().__init__(*arguments)
 
-    def break_all(self) -> None:
+    def close_connections(self) -> None:
         """All its connections end."""
-        out, self.out = self.out, {}
-        for back in out:
-            back(AttemptStatus.CONNECTION_LOST, None)
+        open_replies, self.open_replies = self.open_replies, {}
+        for send_back in open_replies:
+            send_back(AttemptStatus.CONNECTION_LOST, None)
 
 
-def result_of(site: SimulatedCluster) -> Result:
+def result_of(cluster: SimulatedCluster) -> Result:
     """What a run in one process came to."""
-    served = {f"served_{name}": good / wanted for name, (wanted, good) in site.by_space.items() if wanted}
+    served = {f"served_{name}": in_time / wanted for name, (wanted, in_time) in cluster.by_namespace.items() if wanted}
     planned = {
-        "plans": float(sum(p.plans for p in site.planners)),
-        "moves": float(sum(p.moves for p in site.planners)),
-        "idle_mb": float(np.mean([s.idle_mb for s in site.seconds[: int(site.day.seconds)]])),
+        "plans": float(sum(p.plans for p in cluster.planners)),
+        "moves": float(sum(p.moves for p in cluster.planners)),
+        "idle_mb": float(np.mean([s.idle_mb for s in cluster.seconds[: int(cluster.scenario.seconds)]])),
     }
-    return Result(site.seconds, site.latency, site.give_ups, site.engine.events, site.store.fetches, served | planned)
-
-
-def play(day: FaultScenario, deployment: Deployment, seed: int, settings: SimulationSettings | None = None) -> Result:
+    return Result(
+        cluster.seconds,
+        cluster.latency,
+        cluster.give_ups,
+        cluster.event_queue.events,
+        cluster.store.fetches,
+        served | planned,
+    )
+
+
+def play(
+    scenario: FaultScenario, deployment: Deployment, seed: int, settings: SimulationSettings | None = None
+) -> Result:
     """One run, for figures."""
-    site = SimulatedCluster(day, deployment, seed, settings)
-    site.run()
-    return result_of(site)
+    cluster = SimulatedCluster(scenario, deployment, seed, settings)
+    cluster.run()
+    return result_of(cluster)
--- a/kelptrail/simulation/event_queue.py
+++ b/kelptrail/simulation/event_queue.py
@@ -14,15 +14,15 @@
 class Timer:
     """An event that can be called off."""
 
-    __slots__ = ("what", "words")
+    __slots__ = ("arguments", "callback")
 
-    def __init__(self, what: Callable[..., None], words: tuple[Any, ...]) -> None:
-        self.what: Callable[..., None] | None = what
-        self.words = words
+    def __init__(self, callback: Callable[..., None], arguments: tuple[Any, ...]) -> None:
+        self.callback: Callable[..., None] | None = callback
+        self.arguments = arguments
 
     def cancel(self) -> None:
         """It does not happen."""
-        self.what, self.words = None, ()
+        self.callback, self.arguments = None, ()
 
 
 class EventQueue:
@@ -31,24 +31,24 @@
     def __init__(self) -> None:
         self.now = 0.0
         self.events = 0
-        self._entries = 0
+        self._sequence = 0
         self._heap: list[tuple[float, int, Timer]] = []
 
-    def at(self, when: float, what: Callable[..., None], *words: Any) -> Timer:
+    def at(self, when: float, callback: Callable[..., None], *arguments: Any) -> Timer:
         """Let something happen at a time, at the earliest now."""
-        timer = Timer(what, words)
-        self._entries += 1
-        heappush(self._heap, (max(self.now, when), self._entries, timer))
+        timer = Timer(callback, arguments)
+        self._sequence += 1
+        heappush(self._heap, (max(self.now, when), self._sequence, timer))
         return timer
 
-    def after(self, delay: float, what: Callable[..., None], *words: Any) -> Timer:
+    def after(self, delay: float, callback: Callable[..., None], *arguments: Any) -> Timer:
         """Let something happen after a delay."""
-        return self.at(self.now + delay, what, *words)
+        return self.at(self.now + delay, callback, *arguments)
 
     def next_at(self) -> float:
         """When the next thing happens; infinity where there is none."""
         heap = self._heap
-        while heap and heap[0][2].what is None:
+        while heap and heap[0][2].callback is None:
             heappop(heap)
         return heap[0][0] if heap else float("inf")
 
@@ -57,7 +57,7 @@
         heap = self._heap
         while heap and heap[0][0] <= until:
             self.now, _, timer = heappop(heap)
-            if timer.what is not None:
+            if timer.callback is not None:
                 self.events += 1
-                timer.what(*timer.words)
+                timer.callback(*timer.arguments)
         self.now = until
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -19,8 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from kelptrail.fault_scenario.scenario import FaultScenario
-from kelptrail.fault_scenario.scenario import load_scenario as load_script
+from kelptrail.fault_scenario.scenario import FaultScenario, load_scenario
 from kelptrail.load.results import Rows, figures, rows_of, spread_of, write
 from kelptrail.settings.deployment import Deployment
 from kelptrail.settings.deployment import load as load_deployment
@@ -29,7 +28,7 @@
 
 from .cluster import SimulationSettings, play
 
-OF_DEPLOYMENT = ("dispatcher", "rules", "fleet", "store", "front", "pool", "journal", "storm")
+DEPLOYMENT_SECTIONS = ("dispatcher", "rules", "fleet", "store", "front", "pool", "journal", "storm")
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,59 +66,61 @@
     """Read and check an experiment.  Raises `SettingsError` with every fault, `OSError` where unreadable."""
     checker, start = Checker(), SourcePosition(str(path), 1, 1)
     forms = read(Path(path).read_text(encoding="utf-8", errors="replace"), str(path))
-    whole = forms[0] if forms else None
-    if len(forms) != 1 or not isinstance(whole, Form) or whole.head != "experiment" or len(whole.items) < 2:
+    form = forms[0] if forms else None
+    if len(forms) != 1 or not isinstance(form, Form) or form.head != "experiment" or len(form.items) < 2:
         checker.fault(start, f"{len(forms)} expressions", "one (experiment NAME ...)")
         checker.done()
-    assert isinstance(whole, Form)
+    assert isinstance(form, Form)
     script, seeds = "", tuple[int, ...]()
     variants, sweep = dict[str, tuple[Change, ...]](), list[Change]()
-    for item in whole.items[2:]:
+    for item in form.items[2:]:
         if not isinstance(item, Form):
-            checker.fault(whole.place, item, "forms after the name")
+            checker.fault(form.place, item, "forms after the name")
         elif item.head == "script" and len(item.items) == 2:
             script = str(_value(item.items[1]))
         elif item.head == "seeds":
             try:
-                seeds = tuple(int(float(str(_value(one)))) for one in item.items[1:])
+                seeds = tuple(int(float(str(_value(run_one)))) for run_one in item.items[1:])
             except ValueError:
                 checker.fault(item.place, "seeds", "whole numbers")
         elif item.head == "variant" and len(item.items) > 1:
             changes = []
-            for one in item.items[2:]:
-                if isinstance(one, Form) and one.head == "set" and len(one.items) == 3:
-                    changes += _change(checker, one.place, one.items[1], one.items[2])
+            for run_one in item.items[2:]:
+                if isinstance(run_one, Form) and run_one.head == "set" and len(run_one.items) == 3:
+                    changes += _parse_change(checker, run_one.place, run_one.items[1], run_one.items[2])
                 else:
-                    checker.fault(item.place, one, "(set SECTION.KEY VALUE)")
+                    checker.fault(item.place, run_one, "(set SECTION.KEY VALUE)")
             variants[str(_value(item.items[1]))] = tuple(changes)
         elif item.head == "sweep" and len(item.items) > 2:
             for value in item.items[2:]:
-                sweep += _change(checker, item.place, item.items[1], value)
+                sweep += _parse_change(checker, item.place, item.items[1], value)
         else:
             checker.fault(item.place, item.head, "one of script, seeds, variant, sweep, with what they need")
     if not script:
-        checker.fault(whole.place, "no script", "(script FILE)")
+        checker.fault(form.place, "no script", "(script FILE)")
     checker.done()
     file = Path(script) if Path(script).is_absolute() else Path(path).parent / script
-    made = Experiment(str(_value(whole.items[1])), str(file), seeds or (1,), variants or {"as-is": ()}, tuple(sweep))
-    day = load_script(made.script)
-    deployment = load_deployment(day.deployment)
-    for change in [*(c for changes in made.variants.values() for c in changes), *made.sweep]:
+    experiment = Experiment(
+        str(_value(form.items[1])), str(file), seeds or (1,), variants or {"as-is": ()}, tuple(sweep)
+    )
+    scenario = load_scenario(experiment.script)
+    deployment = load_deployment(scenario.deployment)
+    for change in [*(c for changes in experiment.variants.values() for c in changes), *experiment.sweep]:
         try:
-            changed(day, deployment, SimulationSettings(), [change])
+            apply_changes(scenario, deployment, SimulationSettings(), [change])
         except ValueError as cause:
             checker.fault(change.place, str(change), str(cause))
     checker.done()
-    return made
+    return experiment
 
 
 def _value(item: Any) -> Any:
     return getattr(item, "value", item)
 
 
-def _change(checker: Checker, place: SourcePosition, name: Any, value: Any) -> list[Change]:
-    section, dot, key = str(_value(name)).partition(".")
-    if not dot or not key:
+def _parse_change(checker: Checker, place: SourcePosition, name: Any, value: Any) -> list[Change]:
+    section, separator, key = str(_value(name)).partition(".")
+    if not separator or not key:
         checker.fault(place, name, "SECTION.KEY")
         return []
     text = str(_value(value))
@@ -131,58 +132,60 @@
     return [Change(section, key.replace("-", "_"), read_as, place)]
 
 
-def changed(
-    day: FaultScenario, deployment: Deployment, lab: SimulationSettings, changes: list[Change]
+def apply_changes(
+    scenario: FaultScenario, deployment: Deployment, simulation: SimulationSettings, changes: list[Change]
 ) -> tuple[FaultScenario, Deployment, SimulationSettings]:
     """The three with changes made.  Raises `ValueError` for a name that there is not, or a value of another kind."""
     for change in changes:
         section, key, value = change.section, change.key, change.value
         if section == "lab":
-            lab = _with(lab, key, value)
+            simulation = _replace_key(simulation, key, value)
         elif section == "script":
-            day = _with(day, key, value)
+            scenario = _replace_key(scenario, key, value)
         elif section in ("load", "trouble"):
-            parts = getattr(day, _fields_by_key(day)[section])
-            day = _with(day, section, [_with(part, key, value) for part in parts])
-        elif section in OF_DEPLOYMENT:
-            deployment = _with(deployment, section, _with(getattr(deployment, section), key, value))
+            parts = getattr(scenario, _fields_by_key(scenario)[section])
+            scenario = _replace_key(scenario, section, [_replace_key(part, key, value) for part in parts])
+        elif section in DEPLOYMENT_SECTIONS:
+            deployment = _replace_key(deployment, section, _replace_key(getattr(deployment, section), key, value))
         else:
-            raise ValueError("a section: lab, script, load, trouble, " + ", ".join(OF_DEPLOYMENT))
-    return day, deployment, lab
+            raise ValueError("a section: lab, script, load, trouble, " + ", ".join(DEPLOYMENT_SECTIONS))
+    return scenario, deployment, simulation
 
 
-def _fields_by_key(one: Any) -> dict[str, str]:
+def _fields_by_key(run_one: Any) -> dict[str, str]:
     """The field of each key that an experiment may set: its name, or the `key` of its metadata."""
-    return {f.metadata.get("key", f.name): f.name for f in dataclasses.fields(one)}
+    return {f.metadata.get("key", f.name): f.name for f in dataclasses.fields(run_one)}
 
 
-def _fit(one: Any, key: str, value: Any) -> Any:
-    fields = _fields_by_key(one)
+def _fitting_value(run_one: Any, key: str, value: Any) -> Any:
+    fields = _fields_by_key(run_one)
     if key not in fields:
         raise ValueError("a key: " + ", ".join(name.replace("_", "-") for name in fields))
-    before = getattr(one, fields[key])
-    if isinstance(before, int) and not isinstance(before, bool) and isinstance(value, float):
+    current = getattr(run_one, fields[key])
+    if isinstance(current, int) and not isinstance(current, bool) and isinstance(value, float):
         return int(value)
-    if isinstance(before, bool | str) is not isinstance(value, bool | str) and not isinstance(before, list):
-        raise ValueError(f"a value like {before}")
+    if isinstance(current, bool | str) is not isinstance(value, bool | str) and not isinstance(current, list):
+        raise ValueError(f"a value like {current}")
     return value
 
 
-def _with(one: Any, key: str, value: Any) -> Any:
-    fitting = _fit(one, key, value)
-    return dataclasses.replace(one, **{_fields_by_key(one)[key]: fitting})
+def _replace_key(run_one: Any, key: str, value: Any) -> Any:
+    fitting = _fitting_value(run_one, key, value)
+    return dataclasses.replace(run_one, **{_fields_by_key(run_one)[key]: fitting})
 
 
-def one(path: str, variant: str, point: Change | None, seed: int) -> tuple[Rows, Rows, Rows]:
+def run_one(path: str, variant: str, point: Change | None, seed: int) -> tuple[Rows, Rows, Rows]:
     """One run in a process of its own: its figures, its seconds, its latencies."""
     experiment = load(path)
-    day = load_script(experiment.script)
+    scenario = load_scenario(experiment.script)
     changes = [*experiment.variants[variant], *([point] if point is not None else [])]
-    day, deployment, lab = changed(day, load_deployment(day.deployment), SimulationSettings(), changes)
+    scenario, deployment, simulation = apply_changes(
+        scenario, load_deployment(scenario.deployment), SimulationSettings(), changes
+    )
     began = time.perf_counter()
-    result = play(day, deployment, seed, lab)
-    took = time.perf_counter() - began
-    who = {
+    result = play(scenario, deployment, seed, simulation)
+    took_s = time.perf_counter() - began
+    run_key = {
         "experiment": experiment.name,
         "variant": variant,
         "point": str(point) if point is not None else "",
@@ -190,11 +193,11 @@
         "seed": seed,
     }
     row = (
-        who
-        | figures(day.seconds, day.last_fault_ends, result)
-        | {"took_s": took, "simulated_s_a_second": day.seconds / took}
+        run_key
+        | figures(scenario.seconds, scenario.last_fault_ends, result)
+        | {"took_s": took_s, "simulated_s_a_second": scenario.seconds / took_s}
     )
-    return [row], rows_of(who, day.seconds, result), spread_of(who, result)
+    return [row], rows_of(run_key, scenario.seconds, result), spread_of(run_key, result)
 
 
 def run(path: str, out: Path, workers: int, progress: Callable[[dict[str, Any]], None]) -> Rows:
@@ -202,12 +205,12 @@
     experiment = load(path)
     tables: tuple[Rows, Rows, Rows] = ([], [], [])
     with ProcessPoolExecutor(workers) as pool:
-        jobs = [pool.submit(one, path, *words) for words in experiment.runs()]
+        jobs = [pool.submit(run_one, path, *arguments) for arguments in experiment.runs()]
         for job in as_completed(jobs):
-            found = job.result()
-            for table, rows in zip(tables, found, strict=True):
+            tables_of_run = job.result()
+            for table, rows in zip(tables, tables_of_run, strict=True):
                 table += rows
-            progress(found[0][0])
+            progress(tables_of_run[0][0])
     tables[0].sort(key=lambda r: (r["variant"], r["value"], r["point"], r["seed"]))
     write(out, *tables)
     return tables[0]
--- a/kelptrail/simulation/leases.py
+++ b/kelptrail/simulation/leases.py
@@ -31,37 +31,37 @@
 if TYPE_CHECKING:
     from kelptrail.fault_scenario.scenario import Fault
 
-ACT_MS, AGAIN_MS = 50.0, 100.0
-TO_VOTERS = (AcquireRequest, Release, StateRequest, StateReply)
+LEASE_USE_INTERVAL_MS, WRITE_RETRY_MS = 50.0, 100.0
+ACCEPTOR_MESSAGES = (AcquireRequest, Release, StateRequest, StateReply)
 
 
 @dataclass(slots=True, eq=False)
-class Node:
+class LeaseNode:
     """One process: its cores, its disk, its clock."""
 
     name: str
-    votes: bool
+    is_acceptor: bool
     sync_ms: float
-    asker: LeaseClient | None = None
-    voter: Acceptor | None = None
+    lease_client: LeaseClient | None = None
+    acceptor: Acceptor | None = None
     memory: DurableState | None = None
     rows: dict[str, LeaseRow] = field(default_factory=dict)
-    runs: int = 0
+    starts: int = 0
     up: bool = True
     paused: bool = False
     unread: list[tuple[str, Message]] = field(default_factory=list)
-    rate: float = 1.0
-    base: float = 0.0  # of its clock, at `since`
-    since: float = 0.0
+    clock_rate: float = 1.0
+    clock_base_ms: float = 0.0  # of its clock, at `since`
+    clock_set_at_ms: float = 0.0
     disk_fails: bool = False
-    wake: Timer | None = None
-    wants: dict[str, tuple[Callable[[FencingToken], None], Callable[[], None]]] = field(default_factory=dict)
-    told: int = 0  # messages that came
-    acts: int = 0
+    core_timer: Timer | None = None
+    wanted_tasks: dict[str, tuple[Callable[[FencingToken], None], Callable[[], None]]] = field(default_factory=dict)
+    messages_received: int = 0  # messages that came
+    lease_uses: int = 0
 
-    def local(self, now: float) -> float:
+    def local_time(self, now: float) -> float:
         """What its clock says."""
-        return self.base + (now - self.since) * self.rate
+        return self.clock_base_ms + (now - self.clock_set_at_ms) * self.clock_rate
 
 
 class SimulatedLeases:
@@ -69,7 +69,7 @@
 
     def __init__(
         self,
-        engine: EventQueue,
+        event_queue: EventQueue,
         settings: LeaseSettings,
         length_ms: float,
         names: list[str],
@@ -77,39 +77,41 @@
         sync_ms: float,
         network_ms: float,
         silent_ms: float,
-        note: Callable[..., None] | None,
+        record_event: Callable[..., None] | None,
     ) -> None:
-        self._engine, self.settings, self._length_ms, self._seed = engine, settings, length_ms, seed
-        self._network_ms, self._note = network_ms, note
-        self._cut: Counter[tuple[str, str]] = Counter()
-        self._held: dict[tuple[str, str], list[Message]] = {}
-        self._since: dict[tuple[str, str], float] = {}  # when a link was cut
+        self._event_queue, self.settings, self._length_ms, self._seed = event_queue, settings, length_ms, seed
+        self._network_ms, self._record_event = network_ms, record_event
+        self._cut_links: Counter[tuple[str, str]] = Counter()
+        self._held_messages: dict[tuple[str, str], list[Message]] = {}
+        self._cut_since: dict[tuple[str, str], float] = {}  # when a link was cut
         self._silent_ms = silent_ms
-        self._slow: list[tuple[float, float]] = []
+        self._slow_links: list[tuple[float, float]] = []
         self._draws = 0
-        self._fence: dict[str, FencingToken] = {}
-        self.nodes = {name: Node(name, name in settings.voters, sync_ms) for name in names}
+        self._highest_tokens: dict[str, FencingToken] = {}
+        self.nodes = {name: LeaseNode(name, name in settings.voters, sync_ms) for name in names}
         for node in self.nodes.values():
-            self.begin(node)
+            self.start_process(node)
 
-    def begin(self, node: Node) -> None:
+    def start_process(self, node: LeaseNode) -> None:
         """A process starts, with what its disk holds."""
-        node.runs += 1
+        node.starts += 1
         node.up, node.paused, node.unread = True, False, []
-        node.asker = LeaseClient(node.name, f"{node.name}/{self._seed}-{node.runs}", self.settings)
-        now = node.local(self._engine.now)
-        if node.votes:
-            node.voter = Acceptor(node.name, self.settings, now, node.memory, tuple(node.rows.values()))
-        for task in node.wants:
-            node.asker.want(now, task, self._length_ms)
-        self._carry(node)
-
-    def want(self, node: Node, task: str, won: Callable[[FencingToken], None], lost: Callable[[], None]) -> None:
+        node.lease_client = LeaseClient(node.name, f"{node.name}/{self._seed}-{node.starts}", self.settings)
+        now = node.local_time(self._event_queue.now)
+        if node.is_acceptor:
+            node.acceptor = Acceptor(node.name, self.settings, now, node.memory, tuple(node.rows.values()))
+        for task in node.wanted_tasks:
+            node.lease_client.want(now, task, self._length_ms)
+        self._run_cores(node)
+
+    def want(
+        self, node: LeaseNode, task: str, on_acquired: Callable[[FencingToken], None], on_lost: Callable[[], None]
+    ) -> None:
         """Have a node hold a task whenever it can."""
-        node.wants[task] = won, lost
-        if node.up and node.asker is not None:
-            node.asker.want(node.local(self._engine.now), task, self._length_ms)
-            self._carry(node)
+        node.wanted_tasks[task] = on_acquired, on_lost
+        if node.up and node.lease_client is not None:
+            node.lease_client.want(node.local_time(self._event_queue.now), task, self._length_ms)
+            self._run_cores(node)
 
     def contend(self, tasks: tuple[str, ...], names: list[str]) -> None:
         """Have these nodes want the tasks, and act under them at a witness."""
@@ -118,175 +120,181 @@
                 self.want(
                     node,
                     task,
-                    lambda token, n=node, t=task: self._act(n, n.runs, t, token),  # type: ignore[misc]
+                    lambda token, n=node, t=task: self._use_lease(n, n.starts, t, token),  # type: ignore[misc]
                     lambda: None,
                 )
 
     def holds(self, name: str, task: str) -> FencingToken | None:
         """The token under which a node may act now."""
         node = self.nodes[name]
-        if not node.up or node.paused or node.asker is None:
+        if not node.up or node.paused or node.lease_client is None:
             return None
-        return node.asker.holds(node.local(self._engine.now), task)
+        return node.lease_client.holds(node.local_time(self._event_queue.now), task)
 
-    def _act(self, node: Node, run: int, task: str, token: FencingToken) -> None:
-        if not node.up or node.runs != run or node.asker is None:
+    def _use_lease(self, node: LeaseNode, start: int, task: str, token: FencingToken) -> None:
+        if not node.up or node.starts != start or node.lease_client is None:
             return
         if not node.paused:
-            if node.asker.wishes[task].token != token:
+            if node.lease_client.wishes[task].token != token:
                 return
             if self.holds(node.name, task) == token:
-                node.acts += 1
-                taken = token >= self._fence.get(task, NO_TOKEN)
-                self._fence[task] = max(token, self._fence.get(task, NO_TOKEN))
-                if self._note is not None:
-                    self._note(
+                node.lease_uses += 1
+                accepted = token >= self._highest_tokens.get(task, NO_TOKEN)
+                self._highest_tokens[task] = max(token, self._highest_tokens.get(task, NO_TOKEN))
+                if self._record_event is not None:
+                    self._record_event(
                         "act",
                         task=task,
                         token=[token.round, token.who],
                         by=node.name,
-                        looked=self._engine.now,
-                        taken=taken,
+                        looked=self._event_queue.now,
+                        taken=accepted,
                     )
-        self._engine.after(ACT_MS, self._act, node, run, task, token)
+        self._event_queue.after(LEASE_USE_INTERVAL_MS, self._use_lease, node, start, task, token)
 
     # Carrying out.
 
-    def _carry(self, node: Node) -> None:
-        if not node.up or node.paused or node.asker is None:
+    def _run_cores(self, node: LeaseNode) -> None:
+        if not node.up or node.paused or node.lease_client is None:
             return
-        now, own = node.local(self._engine.now), [True]
-        node.asker.tick(now)
-        if node.voter is not None:
-            node.voter.tick(now)
-        while own:
-            own = []
-            for core in (node.voter, node.asker):
+        now, delivered_locally = node.local_time(self._event_queue.now), [True]
+        node.lease_client.tick(now)
+        if node.acceptor is not None:
+            node.acceptor.tick(now)
+        while delivered_locally:
+            delivered_locally = []
+            for core in (node.acceptor, node.lease_client):
                 while core is not None and core.out:
                     to, message = core.out.popleft()
                     if to == node.name:
-                        own.append(True)
-                        self._hand(node, to, message)
+                        delivered_locally.append(True)
+                        self._deliver(node, to, message)
                     else:
                         self._send(node.name, to, message)
-            while node.voter is not None and node.voter.writes:
-                write = node.voter.writes.popleft()
-                wait = AGAIN_MS if node.disk_fails and write.memory is not None else node.sync_ms
-                self._engine.after(wait, self._written, node, node.runs, write)
-            while node.asker.events:
-                event = node.asker.events.popleft()
-                won, lost = node.wants[event.task]
+            while node.acceptor is not None and node.acceptor.writes:
+                write = node.acceptor.writes.popleft()
+                delay_ms = WRITE_RETRY_MS if node.disk_fails and write.memory is not None else node.sync_ms
+                self._event_queue.after(delay_ms, self._written, node, node.starts, write)
+            while node.lease_client.events:
+                event = node.lease_client.events.popleft()
+                on_acquired, on_lost = node.wanted_tasks[event.task]
                 if isinstance(event, LeaseAcquired):
-                    won(event.token)
+                    on_acquired(event.token)
                 else:
-                    lost()
-        dues = [d for d in (node.asker.due(), node.voter.due() if node.voter is not None else None) if d is not None]
-        if node.wake is not None:
-            node.wake.cancel()
-        if dues:
-            node.wake = self._engine.after(max(0.01, (min(dues) - now) / node.rate), self._carry, node)
-
-    def _written(self, node: Node, run: int, write: Write) -> None:
-        if node.runs != run or not node.up or node.voter is None:
+                    on_lost()
+        due_times = [
+            d
+            for d in (node.lease_client.due(), node.acceptor.due() if node.acceptor is not None else None)
+            if d is not None
+        ]
+        if node.core_timer is not None:
+            node.core_timer.cancel()
+        if due_times:
+            node.core_timer = self._event_queue.after(
+                max(0.01, (min(due_times) - now) / node.clock_rate), self._run_cores, node
+            )
+
+    def _written(self, node: LeaseNode, start: int, write: Write) -> None:
+        if node.starts != start or not node.up or node.acceptor is None:
             return
         if not node.disk_fails:
             node.memory = write.memory or node.memory
             node.rows |= {row.task: row for row in write.rows}
-        node.voter.written(write, not node.disk_fails)
-        self._carry(node)
+        node.acceptor.written(write, not node.disk_fails)
+        self._run_cores(node)
 
-    def _hand(self, node: Node, sender: str, message: Message) -> None:
-        now = node.local(self._engine.now)
-        if not isinstance(message, TO_VOTERS):
-            if node.asker is not None:
-                node.asker.received(now, sender, message)
-        elif node.voter is not None:
-            node.voter.received(now, sender, message)
+    def _deliver(self, node: LeaseNode, sender: str, message: Message) -> None:
+        now = node.local_time(self._event_queue.now)
+        if not isinstance(message, ACCEPTOR_MESSAGES):
+            if node.lease_client is not None:
+                node.lease_client.received(now, sender, message)
+        elif node.acceptor is not None:
+            node.acceptor.received(now, sender, message)
 
     def _send(self, sender: str, to: str, message: Message) -> None:
-        if self._cut[sender, to] > 0:
-            if self._engine.now - self._since[sender, to] < self._silent_ms:
-                self._held.setdefault((sender, to), []).append(message)
+        if self._cut_links[sender, to] > 0:
+            if self._event_queue.now - self._cut_since[sender, to] < self._silent_ms:
+                self._held_messages.setdefault((sender, to), []).append(message)
             return
-        wait = self._network_ms
-        for ms, share in self._slow:
+        delay_ms = self._network_ms
+        for ms, share in self._slow_links:
             self._draws += 1
             if zlib.crc32(f"{self._seed} slow {self._draws}".encode()) / 2**32 < share:
-                wait += ms
-        self._engine.after(wait, self._arrive, sender, to, message)
+                delay_ms += ms
+        self._event_queue.after(delay_ms, self._on_message, sender, to, message)
 
-    def _arrive(self, sender: str, to: str, message: Message) -> None:
+    def _on_message(self, sender: str, to: str, message: Message) -> None:
         node = self.nodes.get(to)
         if node is None or not node.up:
             return
-        node.told += 1
+        node.messages_received += 1
         if node.paused:
             node.unread.append((sender, message))
             return
-        self._hand(node, sender, message)
-        self._carry(node)
+        self._deliver(node, sender, message)
+        self._run_cores(node)
 
     # What goes wrong.
 
-    def kill(self, name: str, disk: bool = False) -> None:
+    def kill(self, name: str, disk_lost: bool = False) -> None:
         """A process is gone, with its disk where told."""
         node = self.nodes[name]
-        node.up, node.asker, node.voter = False, None, None
-        if disk:
+        node.up, node.lease_client, node.acceptor = False, None, None
+        if disk_lost:
             node.memory, node.rows = None, {}
 
-    def befall(self, trouble: Fault, victims: list[str], one_way: Callable[[], bool]) -> None:
+    def inject(self, fault: Fault, node_names: list[str], one_way: Callable[[], bool]) -> None:
         """One of the troubles between dispatchers; kills and lost machines are told by `kill` and `begin`."""
-        kind, last, engine = trouble.kind, trouble.duration * 1000, self._engine
-        nodes = [self.nodes[name] for name in victims if name in self.nodes]
+        kind, duration_ms, event_queue = fault.kind, fault.duration * 1000, self._event_queue
+        nodes = [self.nodes[name] for name in node_names if name in self.nodes]
         if kind == "cut-peers":
             pairs = []
             for node in nodes:
-                out = not trouble.one_way or one_way()
-                for other in self.nodes.keys() - set(victims):
+                out = not fault.one_way or one_way()
+                for other in self.nodes.keys() - set(node_names):
                     pairs += [(node.name, other)] if out else []
-                    pairs += [(other, node.name)] if not trouble.one_way or not out else []
+                    pairs += [(other, node.name)] if not fault.one_way or not out else []
             self.cut(pairs)
-            engine.after(last, self.heal, pairs)
+            event_queue.after(duration_ms, self.heal, pairs)
         elif kind == "slow-peers":
-            self._slow.append((trouble.ms, trouble.share))
-            engine.after(last, self._slow.remove, (trouble.ms, trouble.share))
+            self._slow_links.append((fault.ms, fault.share))
+            event_queue.after(duration_ms, self._slow_links.remove, (fault.ms, fault.share))
         elif kind == "pause-dispatchers":
             for node in nodes:
                 node.paused = True
-                engine.after(last, self._wake, node)
+                event_queue.after(duration_ms, self._resume, node)
         elif kind == "clock-rate":
             for node in nodes:
-                self._rate(node, trouble.factor)
-                engine.after(last, self._rate, node, 1.0)
+                self._set_clock_rate(node, fault.factor)
+                event_queue.after(duration_ms, self._set_clock_rate, node, 1.0)
 
-    def _rate(self, node: Node, rate: float) -> None:
-        now = self._engine.now
-        node.base, node.since, node.rate = node.local(now), now, rate
-        self._carry(node)
+    def _set_clock_rate(self, node: LeaseNode, clock_rate: float) -> None:
+        now = self._event_queue.now
+        node.clock_base_ms, node.clock_set_at_ms, node.clock_rate = node.local_time(now), now, clock_rate
+        self._run_cores(node)
 
-    def _wake(self, node: Node) -> None:
+    def _resume(self, node: LeaseNode) -> None:
         unread, node.unread, node.paused = node.unread, [], False
         for sender, message in unread:
-            self._hand(node, sender, message)
-        self._carry(node)
+            self._deliver(node, sender, message)
+        self._run_cores(node)
 
     def cut(self, pairs: list[tuple[str, str]]) -> None:
         """These links, one way each, carry nothing."""
         for pair in pairs:
-            self._since.setdefault(pair, self._engine.now)
-        self._cut.update(pairs)
+            self._cut_since.setdefault(pair, self._event_queue.now)
+        self._cut_links.update(pairs)
 
     def heal(self, pairs: list[tuple[str, str]]) -> None:
         """They are whole again; one whose silence was noticed is a new one."""
-        self._cut.subtract(pairs)
+        self._cut_links.subtract(pairs)
         for pair in pairs:
-            if self._cut[pair] <= 0:
-                held, since = self._held.pop(pair, []), self._since.pop(pair, 0.0)
-                for message in held if self._engine.now - since < self._silent_ms else []:
+            if self._cut_links[pair] <= 0:
+                held, clock_set_at_ms = self._held_messages.pop(pair, []), self._cut_since.pop(pair, 0.0)
+                for message in held if self._event_queue.now - clock_set_at_ms < self._silent_ms else []:
                     self._send(*pair, message)
 
-    def disk(self, name: str, sync_ms: float, fails: bool) -> None:
+    def set_disk(self, name: str, sync_ms: float, fails: bool) -> None:
         """What ails a disk."""
         if (node := self.nodes.get(name)) is not None:
             node.sync_ms, node.disk_fails = sync_ms, fails
@@ -294,6 +302,6 @@
     def status(self) -> dict[str, Any]:
         """Counts."""
         return {
-            "told": {name: node.told for name, node in self.nodes.items()},
-            "acts": sum(node.acts for node in self.nodes.values()),
+            "told": {name: node.messages_received for name, node in self.nodes.items()},
+            "acts": sum(node.lease_uses for node in self.nodes.values()),
         }
--- a/kelptrail/simulation/planners.py
+++ b/kelptrail/simulation/planners.py
@@ -17,86 +17,90 @@
 if TYPE_CHECKING:
     from .cluster import SimulatedCluster, SimulatedDispatcher
 
-TICK_MS, REPORT_MS, HOUR = 250.0, 1000.0, 8
+TICK_MS, REPORT_MS, HOUR_OF_DAY = 250.0, 1000.0, 8
 SOLVE_MS = 200.0  # what a plan takes, beyond what a trouble adds
 
 
 class SimulatedPlanner:
     """One planner's process."""
 
-    def __init__(self, site: SimulatedCluster, number: int, solver: str) -> None:
-        self._site, self.name, self._solver = site, f"planner-{number}", solver
-        self._settings = planner_settings(site.deployment)
-        self._models = function_profiles(site.deployment)
+    def __init__(self, cluster: SimulatedCluster, number: int, solver: str) -> None:
+        self._cluster, self.name, self._solver = cluster, f"planner-{number}", solver
+        self._settings = planner_settings(cluster.deployment)
+        self._models = function_profiles(cluster.deployment)
         self.up, self.slow_ms, self._starts = False, 0.0, 0
-        self._kept: InstanceCounts = {}
+        self._saved: InstanceCounts = {}
         self.plans = self.moves = 0
-        self.begin(True)
+        self.start_process(True)
 
-    def begin(self, forget: bool = False) -> None:
+    def start_process(self, without_snapshot: bool = False) -> None:
         """Start, with the snapshot or with nothing."""
         self.up, self._starts = True, self._starts + 1
-        leases = self._site.leases
+        leases = self._cluster.leases
         if leases is not None and self._starts > 1:
-            leases.begin(leases.nodes[self.name])
-        self.core = Planner(self.name, self._settings, self._models, self._site.engine.now)
-        if not forget:
-            self.core.restore_plan(self._kept)
-        if self._site.listing is not None:
-            self.listed(self._site.listing)
-        self._site.engine.after(TICK_MS, self._tick, self._starts)
-
-    def led(self, token: FencingToken) -> None:
+            leases.start_process(leases.nodes[self.name])
+        self.core = Planner(self.name, self._settings, self._models, self._cluster.event_queue.now)
+        if not without_snapshot:
+            self.core.restore_plan(self._saved)
+        if self._cluster.endpoints is not None:
+            self.on_endpoints(self._cluster.endpoints)
+        self._cluster.event_queue.after(TICK_MS, self._tick, self._starts)
+
+    def on_lease_acquired(self, token: FencingToken) -> None:
         """It holds the lease."""
-        self.core.on_lease_acquired(self._site.engine.now, token.round, token.who)
+        self.core.on_lease_acquired(self._cluster.event_queue.now, token.round, token.who)
 
-    def stood_down(self) -> None:
+    def on_lease_lost(self) -> None:
         """It holds it no more."""
         self.core.on_lease_lost()
 
     def kill(self) -> None:
         """Gone."""
         self.up = False
-        if self._site.leases is not None:
-            self._site.leases.kill(self.name)
+        if self._cluster.leases is not None:
+            self._cluster.leases.kill(self.name)
 
-    def listed(self, listing: EndpointList) -> None:
+    def on_endpoints(self, endpoints: EndpointList) -> None:
         """A new list."""
         self.core.on_endpoints(
-            self._site.engine.now, worker_capacities(self._site.deployment, listing), (listing.lineage, listing.version)
+            self._cluster.event_queue.now,
+            worker_capacities(self._cluster.deployment, endpoints),
+            (endpoints.lineage, endpoints.version),
         )
 
     def _tick(self, start: int) -> None:
         if start != self._starts or not self.up:
             return
-        now, engine = self._site.engine.now, self._site.engine
-        self.core.tick(now, HOUR)
-        if (problem := self.core.next_problem(now, HOUR)) is not None:
-            engine.after(SOLVE_MS + self.slow_ms, self._solved, start, problem)
-        self._kept = self.core.target
+        now, event_queue = self._cluster.event_queue.now, self._cluster.event_queue
+        self.core.tick(now, HOUR_OF_DAY)
+        if (problem := self.core.next_problem(now, HOUR_OF_DAY)) is not None:
+            event_queue.after(SOLVE_MS + self.slow_ms, self._solved, start, problem)
+        self._saved = self.core.target
         self._send()
-        engine.after(TICK_MS, self._tick, start)
+        event_queue.after(TICK_MS, self._tick, start)
 
     def _solved(self, start: int, problem: PlacementProblem) -> None:
         if start == self._starts and self.up:
-            how = place_greedily if self._solver == "greedy" else place_by_program
+            place = place_greedily if self._solver == "greedy" else place_by_program
             self.core.on_solution(
-                self._site.engine.now, problem.number, how(problem.workers, problem.demands, problem.budget)
+                self._cluster.event_queue.now, problem.number, place(problem.workers, problem.demands, problem.budget)
             )
             self.plans, self.moves = self.core.counters.plans, self.core.counters.new_instances
             self._send()
 
     def _send(self) -> None:
-        now, net = self._site.engine.now, self._site.settings.network_ms
-        by_name = {d.name: d for d in self._site.own}
-        leases = self._site.leases
-        may = leases is not None and leases.holds(self.name, LEASE_NAME) is not None
-        for edge, plan in self.core.plans_to_send(now) if may else ():
-            if (side := by_name[edge].edge) is not None:
-                self._site.engine.after(net, side.offered, self, plan, self.core.plan_age_ms(now))
+        now, network_ms = self._cluster.event_queue.now, self._cluster.settings.network_ms
+        dispatchers = {d.name: d for d in self._cluster.local_dispatchers}
+        leases = self._cluster.leases
+        holds_lease = leases is not None and leases.holds(self.name, LEASE_NAME) is not None
+        for dispatcher_name, plan in self.core.plans_to_send(now) if holds_lease else ():
+            if (edge := dispatchers[dispatcher_name].edge) is not None:
+                self._cluster.event_queue.after(
+                    network_ms, edge.on_plan_offered, self, plan, self.core.plan_age_ms(now)
+                )
 
     @property
-    def acting(self) -> bool:
+    def is_leading(self) -> bool:
         """Whether it makes plans."""
         return self.up and self.core.role is Role.LEADER
 
@@ -104,58 +108,62 @@
 class SimulatedEdge:
     """The edge's side in one dispatcher's process; a new start keeps the last plan, as the disk does."""
 
-    def __init__(self, site: SimulatedCluster, dispatcher: SimulatedDispatcher) -> None:
-        self._site, self._dispatcher = site, dispatcher
-        self._kept: Plan | None = None
-        self.begin()
+    def __init__(self, cluster: SimulatedCluster, dispatcher: SimulatedDispatcher) -> None:
+        self._cluster, self._dispatcher = cluster, dispatcher
+        self._saved: Plan | None = None
+        self.start_process()
 
-    def begin(self) -> None:
+    def start_process(self) -> None:
         """A new start of the dispatcher."""
-        now = self._site.engine.now
+        now = self._cluster.event_queue.now
         self._start = self._dispatcher.starts
-        self.follower, self._led = PlanState(self._site.deployment.name), LeaderContact(now)
+        self.follower, self._leader_contact = PlanState(self._cluster.deployment.name), LeaderContact(now)
         self._applied: PlanOrder | None = None
-        if self._kept is not None:
-            self.follower.restore(now, self._kept, 10_000.0, self._live())
+        if self._saved is not None:
+            self.follower.restore(now, self._saved, 10_000.0, self._live_workers())
             self.apply()
-        self._site.engine.after(REPORT_MS * (0.5 + self._dispatcher.number % 50 / 100), self._report, self._start)
+        self._cluster.event_queue.after(
+            REPORT_MS * (0.5 + self._dispatcher.number % 50 / 100), self._report, self._start
+        )
 
-    def _live(self) -> set[str]:
+    def _live_workers(self) -> set[str]:
         return {w.id for w in self._dispatcher.gateway.members if w.live}
 
-    def listed(self) -> None:
+    def on_endpoints(self) -> None:
         """The list has changed."""
         members = self._dispatcher.gateway.members
-        self.follower.on_endpoints(self._site.engine.now, self._live(), (members.lineage, members.version))
+        self.follower.on_endpoints(
+            self._cluster.event_queue.now, self._live_workers(), (members.lineage, members.version)
+        )
         self._applied = None
         self.apply()
 
     def apply(self) -> None:
         """Tell the core what the plan in force wants."""
-        wants = self.follower.target(self._site.engine.now)
-        order = self.follower.plan.header.order if wants is not None and self.follower.plan is not None else None
+        target = self.follower.target(self._cluster.event_queue.now)
+        order = self.follower.plan.header.order if target is not None and self.follower.plan is not None else None
         if order != self._applied or order is None:
             self._applied = order
-            self._dispatcher.gateway.on_plan(wants)
-            self._dispatcher.stir()
+            self._dispatcher.gateway.on_plan(target)
+            self._dispatcher.schedule_decisions()
 
-    def offered(self, planner: SimulatedPlanner, plan: Plan, age_ms: float) -> None:
+    def on_plan_offered(self, planner: SimulatedPlanner, plan: Plan, age_ms: float) -> None:
         """A plan has come."""
         if not self._dispatcher.up:
             return
-        now, members = self._site.engine.now, self._dispatcher.gateway.members
+        now, members = self._cluster.event_queue.now, self._dispatcher.gateway.members
         report = self.follower.on_plan(
             now,
             PlanPacket(FORMAT, plan.header, 0, age_ms, plan.instances),
-            self._live(),
+            self._live_workers(),
             (members.lineage, members.version),
         )
         if report is None:
-            self._led.last_ms, self._kept = now, self.follower.plan
+            self._leader_contact.last_ms, self._saved = now, self.follower.plan
             self.apply()
         elif planner.up:
-            self._site.engine.after(
-                self._site.settings.network_ms,
+            self._cluster.event_queue.after(
+                self._cluster.settings.network_ms,
                 planner.core.on_plan_refused,
                 now,
                 self._dispatcher.name,
@@ -166,13 +174,13 @@
     def _report(self, start: int) -> None:
         if start != self._dispatcher.starts or not self._dispatcher.up:
             return
-        now, gateway = self._site.engine.now, self._dispatcher.gateway
-        tallies, standing = gateway.counters(), gateway.loaded_instances()
-        for planner in self._site.planners:
+        now, gateway = self._cluster.event_queue.now, self._dispatcher.gateway
+        counters, loaded = gateway.counters(), gateway.loaded_instances()
+        for planner in self._cluster.planners:
             if planner.up:
-                if planner.acting and (planner.core.epoch, planner.core.owner) >= self.follower.fence[:2]:
-                    self._led.last_ms = now
-                planner.core.on_report(now, self._dispatcher.name, self.follower.fence, tallies, standing)
+                if planner.is_leading and (planner.core.epoch, planner.core.owner) >= self.follower.fence[:2]:
+                    self._leader_contact.last_ms = now
+                planner.core.on_report(now, self._dispatcher.name, self.follower.fence, counters, loaded)
         if self.follower.target(now) is None and self._applied is not None:
             self.apply()  # it has run out
-        self._site.engine.after(REPORT_MS, self._report, start)
+        self._cluster.event_queue.after(REPORT_MS, self._report, start)
--- a/kelptrail/simulation/sharding.py
+++ b/kelptrail/simulation/sharding.py
@@ -29,42 +29,42 @@
 if TYPE_CHECKING:
     from .cluster import SimulationSettings
 
-SPAN = 0.999  # of the least way: a window ends before what its own events cause elsewhere
+WINDOW_FRACTION = 0.999  # of the least way: a window ends before what its own events cause elsewhere
 Message = tuple[float, int, str, tuple[Any, ...]]  # when it arrives, at which shard, what, with which words
 
 
 class Shard:
     """This process's part, and its mail."""
 
-    def __init__(self, number: int, of: int) -> None:
-        self.number, self.of = number, of
+    def __init__(self, number: int, shard_count: int) -> None:
+        self.number, self.shard_count = number, shard_count
         self.out: list[Message] = []
         self._replies: dict[int, Callable[..., None]] = {}
-        self._last = 0
+        self._last_request = 0
 
-    def has(self, dispatcher: int) -> bool:
+    def has_dispatcher(self, dispatcher: int) -> bool:
         """Whether a dispatcher is here."""
-        return dispatcher % self.of == self.number
+        return dispatcher % self.shard_count == self.number
 
-    def home(self, worker: int) -> int:
+    def shard_of_worker(self, worker: int) -> int:
         """The shard of a worker."""
-        return worker // 2 % self.of
+        return worker // 2 % self.shard_count
 
-    def post(self, when: float, to: int, what: str, *words: Any) -> None:
+    def post(self, when: float, target: int, kind: str, *arguments: Any) -> None:
         """Something that happens in another shard."""
-        self.out.append((when, to, what, words))
+        self.out.append((when, target, kind, arguments))
 
-    def ask(self, when: float, to: int, what: str, then: Callable[..., None], *words: Any) -> None:
+    def request(self, when: float, target: int, kind: str, on_reply: Callable[..., None], *arguments: Any) -> None:
         """The same, with a reply that calls `then`."""
-        self._last += 1
-        self._replies[self._last] = then
-        self.post(when, to, what, self.number, self._last, *words)
+        self._last_request += 1
+        self._replies[self._last_request] = on_reply
+        self.post(when, target, kind, self.number, self._last_request, *arguments)
 
-    def replied(self, number: int, words: tuple[Any, ...]) -> None:
+    def on_reply(self, number: int, arguments: tuple[Any, ...]) -> None:
         """A reply has come."""
-        then = self._replies.pop(number, None)
-        if then is not None:
-            then(*words)
+        on_reply = self._replies.pop(number, None)
+        if on_reply is not None:
+            on_reply(*arguments)
 
 
 class RemoteWorker:
@@ -73,44 +73,46 @@
     def __init__(
         self,
         shard: Shard,
-        home: int,
-        id_: str,
-        hall: str,
+        shard_of_worker: int,
+        worker_id: str,
+        zone: str,
         cell: int,
-        engine: EventQueue,
+        event_queue: EventQueue,
         settings: SimulationSettings,
         cold_ms: float,
     ) -> None:
-        self.id, self._hall, self._cell, self._cold_ms = id_, hall, cell, cold_ms
-        self._shard, self._home, self._engine, self._settings = shard, home, engine, settings
+        self.id, self._zone, self._cell, self._cold_ms = worker_id, zone, cell, cold_ms
+        self._shard, self._home_shard, self._event_queue, self._settings = shard, shard_of_worker, event_queue, settings
         self.up, self.state, self.draining, self._starts = True, "live", False, 0
         self.faults: dict[str, Any] = {}
-        self.begin(True)
+        self.start_process(True)
 
-    def begin(self, warm: bool) -> None:
+    def start_process(self, warm: bool) -> None:
         """A new start, as the other shard has it."""
         self._starts += 1
         self.incarnation = f"{zlib.crc32(self.id.encode()):08x}-{self._starts}"
-        self.started = self._engine.now - (self._cold_ms + 1 if warm else 0.0)
+        self.started = self._event_queue.now - (self._cold_ms + 1 if warm else 0.0)
 
     @property
-    def entry(self) -> Endpoint:
+    def endpoint(self) -> Endpoint:
         """As the list tells of it."""
         return Endpoint(
-            self.id, self.id, self.state, self.incarnation, self._engine.now - self.started, self._hall, self._cell
+            self.id, self.id, self.state, self.incarnation, self._event_queue.now - self.started, self._zone, self._cell
         )
 
-    def break_all(self) -> None:
+    def close_connections(self) -> None:
         """The other shard tells those whose connections end."""
 
-    def fault(self, kind: str, trouble: Any) -> None:
+    def inject(self, kind: str, fault: Any) -> None:
         """It acts in the other shard; here only a new start counts."""
         if kind == "restart-cold":
-            self.begin(False)
+            self.start_process(False)
 
-    def go(self, what: str, then: Callable[..., None], *words: Any) -> None:
+    def request(self, kind: str, on_reply: Callable[..., None], *arguments: Any) -> None:
         """Send it something; `then` hears the reply, one way after it was given there."""
-        self._shard.ask(self._engine.now + self._settings.network_ms, self._home, what, then, self.id, *words)
+        self._shard.request(
+            self._event_queue.now + self._settings.network_ms, self._home_shard, kind, on_reply, self.id, *arguments
+        )
 
 
 class RemoteDispatcher:
@@ -124,74 +126,74 @@
         """Down, as it is in its own shard."""
         self.up = False
 
-    def begin(self) -> None:
+    def start_process(self) -> None:
         """And up again."""
         self.up = True
 
-    def listed(self, listing: Any) -> None:
+    def on_endpoints(self, endpoints: Any) -> None:
         """Its own shard tells it."""
 
 
 class RemoteStore:
     """The store, seen from another shard."""
 
-    def __init__(self, shard: Shard, engine: EventQueue, settings: SimulationSettings) -> None:
-        self._shard, self._engine, self._settings = shard, engine, settings
+    def __init__(self, shard: Shard, event_queue: EventQueue, settings: SimulationSettings) -> None:
+        self._shard, self._event_queue, self._settings = shard, event_queue, settings
         self.fetches = 0
 
-    def fetch(self, ms: float, tell: Callable[[bool], None]) -> None:
+    def fetch(self, ms: float, on_done: Callable[[bool], None]) -> None:
         """Fetch through the first shard."""
-        self._shard.ask(self._engine.now + self._settings.network_ms, 0, "fetch", tell, ms)
+        self._shard.request(self._event_queue.now + self._settings.network_ms, 0, "fetch", on_done, ms)
 
-    def fault(self, kind: str, factor: float, for_ms: float) -> None:
+    def inject(self, kind: str, factor: float, duration_ms: float) -> None:
         """It acts in the first shard."""
 
 
 class SharedEffectLog(dict[tuple[str, str], float]):
     """Marks against repeats; those set here are told to all shards."""
 
-    def __init__(self, shard: Shard, engine: EventQueue, settings: SimulationSettings) -> None:
+    def __init__(self, shard: Shard, event_queue: EventQueue, settings: SimulationSettings) -> None:
         super().__init__()
-        self._shard, self._engine, self._settings = shard, engine, settings
+        self._shard, self._event_queue, self._settings = shard, event_queue, settings
 
     def __setitem__(self, key: tuple[str, str], when: float) -> None:
         super().__setitem__(key, when)
         if not key[0].startswith("cell-"):
-            for to in range(self._shard.of):
-                if to != self._shard.number:
-                    self._shard.post(self._engine.now + self._settings.network_ms, to, "mark", key, when)
+            for target in range(self._shard.shard_count):
+                if target != self._shard.number:
+                    self._shard.post(self._event_queue.now + self._settings.network_ms, target, "mark", key, when)
 
-    def heard(self, key: tuple[str, str], when: float) -> None:
+    def on_remote_effect(self, key: tuple[str, str], when: float) -> None:
         """Set elsewhere."""
         super().__setitem__(key, when)
 
 
-def _mind(pipe: Connection, number: int, of: int, words: tuple[Any, ...], capture: bool) -> None:
+def _run_shard(pipe: Connection, number: int, shard_count: int, arguments: tuple[Any, ...], capture: bool) -> None:
     """One shard's process: play up to where it is told, hand over the mail."""
     try:
         from .cluster import SimulatedCluster
 
-        day, deployment, seed, settings = words
-        shard = Shard(number, of)
-        site = SimulatedCluster(day, deployment, seed, settings, capture, shard)
-        pipe.send((site.engine.next_at(), shard.out))
+        scenario, deployment, seed, settings = arguments
+        shard = Shard(number, shard_count)
+        cluster = SimulatedCluster(scenario, deployment, seed, settings, capture, shard)
+        pipe.send((cluster.event_queue.next_at(), shard.out))
         shard.out = []
-        while (told := pipe.recv()) is not None:
-            until, mail = told
-            for when, what, its in mail:
-                site.engine.at(when, site.mail, what, its)
-            site.engine.run(until)
+        while (reported_at := pipe.recv()) is not None:
+            until, inboxes = reported_at
+            for when, kind, theirs in inboxes:
+                cluster.event_queue.at(when, cluster.on_shard_message, kind, theirs)
+            cluster.event_queue.run(until)
             out, shard.out = shard.out, []
-            pipe.send((site.engine.next_at(), out))
+            pipe.send((cluster.event_queue.next_at(), out))
         pipe.send(
             (
-                site.seconds,
-                site.latency,
-                site.give_ups,
-                site.engine.events,
-                site.store.fetches,
-                site.by_space,
-                site.events,
+                cluster.seconds,
+                cluster.latency,
+                cluster.give_ups,
+                cluster.event_queue.events,
+                cluster.store.fetches,
+                cluster.by_namespace,
+                cluster.events,
             )
         )
     except (KeyboardInterrupt, EOFError, BrokenPipeError):
@@ -206,7 +208,7 @@
 
 
 def play_sharded(
-    day: FaultScenario,
+    scenario: FaultScenario,
     deployment: Deployment,
     seed: int,
     settings: SimulationSettings,
@@ -221,14 +223,16 @@
     for number in range(processes):
         mine, theirs = context.Pipe()
         child = context.Process(
-            target=_mind, daemon=True, args=(theirs, number, processes, (day, deployment, seed, settings), capture)
+            target=_run_shard,
+            daemon=True,
+            args=(theirs, number, processes, (scenario, deployment, seed, settings), capture),
         )
         child.start()
         theirs.close()
         pipes.append(mine)
         children.append(child)
     try:
-        return _conduct(pipes, day, deployment, settings, progress)
+        return _coordinate(pipes, scenario, deployment, settings, progress)
     finally:
         for pipe in pipes:
             pipe.close()
@@ -238,76 +242,78 @@
                 child.kill()
 
 
-def _hear(pipe: Connection) -> Any:
+def _receive(pipe: Connection) -> Any:
     try:
-        said = pipe.recv()
+        received = pipe.recv()
     except EOFError:
         raise ShardError("a shard's process ended") from None
-    if isinstance(said, RuntimeError):
-        raise ShardError(str(said))
-    return said
+    if isinstance(received, RuntimeError):
+        raise ShardError(str(received))
+    return received
 
 
-def _conduct(
+def _coordinate(
     pipes: list[Connection],
-    day: FaultScenario,
+    scenario: FaultScenario,
     deployment: Deployment,
     settings: SimulationSettings,
     progress: Callable[[float], None] | None,
 ) -> tuple[Result, list[dict[str, Any]]]:
-    longest = max(t.timeout_ms for t in deployment.types.values())
-    end = 200 + day.seconds * 1000 + longest + 5000
-    mail: list[list[tuple[float, str, tuple[Any, ...]]]] = [[] for _ in pipes]
-    until, told = 0.0, 0.0
+    longest_timeout_ms = max(t.timeout_ms for t in deployment.types.values())
+    end = 200 + scenario.seconds * 1000 + longest_timeout_ms + 5000
+    inboxes: list[list[tuple[float, str, tuple[Any, ...]]]] = [[] for _ in pipes]
+    until, reported_at = 0.0, 0.0
 
     def gather() -> float:
-        least = float("inf")
+        earliest = float("inf")
         for pipe in pipes:
-            first, out = _hear(pipe)
-            least = min(least, first)
-            for when, to, what, words in out:
-                mail[to].append((when, what, words))
-                least = min(least, when)
-        return least
-
-    least = gather()
+            first, out = _receive(pipe)
+            earliest = min(earliest, first)
+            for when, target, kind, arguments in out:
+                inboxes[target].append((when, kind, arguments))
+                earliest = min(earliest, when)
+        return earliest
+
+    earliest = gather()
     while until < end:
-        until = min(end, max(until, least) + settings.network_ms * SPAN)
+        until = min(end, max(until, earliest) + settings.network_ms * WINDOW_FRACTION)
         for number, pipe in enumerate(pipes):
-            letters, mail[number] = mail[number], []
-            pipe.send((until, letters))
-        least = gather()
-        if progress is not None and until - told >= 1000:
-            told = until
+            inbox, inboxes[number] = inboxes[number], []
+            pipe.send((until, inbox))
+        earliest = gather()
+        if progress is not None and until - reported_at >= 1000:
+            reported_at = until
             progress(until)
     for pipe in pipes:
         pipe.send(None)
-    whole = Result([Second() for _ in range(int(day.seconds) + 60)], {}, {}, 0, 0)
-    spaces: dict[str, list[int]] = {}
+    total = Result([Second() for _ in range(int(scenario.seconds) + 60)], {}, {}, 0, 0)
+    namespaces: dict[str, list[int]] = {}
     events: list[dict[str, Any]] = []
     for pipe in pipes:
-        seconds, latency, give_ups, count, loads, by_space, noted = _hear(pipe)
-        for mine, its in zip(whole.seconds, seconds, strict=True):
+        seconds, latency, give_ups, count, loads, by_namespace, captured = _receive(pipe)
+        for mine, theirs in zip(total.seconds, seconds, strict=True):
             for name in Second.__slots__:
-                setattr(mine, name, getattr(mine, name) + getattr(its, name))
-        for name, found in latency.items():
-            whole.latency.setdefault(name, []).extend(found)
-        for cause, times in give_ups.items():
-            whole.give_ups[cause] = whole.give_ups.get(cause, 0) + times
-        for name, (wanted, good) in by_space.items():
-            before = spaces.setdefault(name, [0, 0])
-            before[0], before[1] = before[0] + wanted, before[1] + good
-        whole.events += count
-        whole.loads += loads
-        events += noted
-    whole.extra = {f"served_{name}": good / wanted for name, (wanted, good) in spaces.items() if wanted}
-    return whole, sorted(events, key=lambda event: event["t"])
-
-
-def answer_remote(shard: Shard, engine: EventQueue, network_ms: float, to: int, number: int) -> Callable[..., None]:
+                setattr(mine, name, getattr(mine, name) + getattr(theirs, name))
+        for name, latencies in latency.items():
+            total.latency.setdefault(name, []).extend(latencies)
+        for cause, occurrences in give_ups.items():
+            total.give_ups[cause] = total.give_ups.get(cause, 0) + occurrences
+        for name, (wanted, in_time) in by_namespace.items():
+            before = namespaces.setdefault(name, [0, 0])
+            before[0], before[1] = before[0] + wanted, before[1] + in_time
+        total.events += count
+        total.loads += loads
+        events += captured
+    total.extra = {f"served_{name}": in_time / wanted for name, (wanted, in_time) in namespaces.items() if wanted}
+    return total, sorted(events, key=lambda event: event["t"])
+
+
+def answer_remote(
+    shard: Shard, event_queue: EventQueue, network_ms: float, target: int, number: int
+) -> Callable[..., None]:
     """What a worker or the store is given to reply with, for an asker in another shard; the first reply counts."""
 
-    def reply(*words: Any) -> None:
-        shard.post(engine.now + network_ms, to, "reply", number, words)
+    def reply(*arguments: Any) -> None:
+        shard.post(event_queue.now + network_ms, target, "reply", number, arguments)
 
     return reply
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -23,106 +23,106 @@
 from .event_queue import EventQueue
 
 Reply = Callable[[AttemptStatus, WorkerAnswer | None], None]
-Note = Callable[..., None]
+EventRecorder = Callable[..., None]
 
 
 class SimulatedStore:
     """The model store: more fetches than it serves at once slow all of them; past a limit it refuses."""
 
-    def __init__(self, engine: EventQueue, settings: StoreSettings) -> None:
-        self._engine, self._settings = engine, settings
-        self._left: dict[int, tuple[float, Callable[[bool], None]]] = {}  # ms of work left of each fetch
-        self._number, self._seen = 0, 0.0
-        self._wake: Any = None
-        self.slow, self.refuse, self.stopped = 1.0, False, False
+    def __init__(self, event_queue: EventQueue, settings: StoreSettings) -> None:
+        self._event_queue, self._settings = event_queue, settings
+        self._remaining: dict[int, tuple[float, Callable[[bool], None]]] = {}  # ms of work left of each fetch
+        self._last_fetch, self._updated_at = 0, 0.0
+        self._completion_timer: Any = None
+        self.slow_factor, self.refusing, self.stopped = 1.0, False, False
         self.fetches = self.refused = 0
 
-    def _pace(self) -> float:
-        if self.stopped or not self._left:
+    def _service_rate(self) -> float:
+        if self.stopped or not self._remaining:
             return 0.0
-        return min(1.0, self._settings.fetches / len(self._left)) / self.slow
+        return min(1.0, self._settings.fetches / len(self._remaining)) / self.slow_factor
 
-    def _pass(self) -> None:
+    def _advance(self) -> None:
         """Work off what time has passed."""
-        done = (self._engine.now - self._seen) * self._pace()
-        self._seen = self._engine.now
+        done = (self._event_queue.now - self._updated_at) * self._service_rate()
+        self._updated_at = self._event_queue.now
         if done:
-            self._left = {n: (left - done, tell) for n, (left, tell) in self._left.items()}
-
-    def _next(self) -> None:
-        if self._wake is not None:
-            self._wake.cancel()
-        pace = self._pace()
-        if pace:
-            least = min(left for left, _ in self._left.values())
-            self._wake = self._engine.after(max(0.0, least) / pace, self._end)
-
-    def _end(self) -> None:
-        self._wake = None
-        self._pass()
-        ended = [n for n, (left, _) in self._left.items() if left <= 1e-6]
-        tells = [self._left.pop(n)[1] for n in ended]
-        self._next()
-        for tell in tells:
-            tell(True)
-
-    def fetch(self, ms: float, tell: Callable[[bool], None]) -> None:
+            self._remaining = {n: (left - done, on_done) for n, (left, on_done) in self._remaining.items()}
+
+    def _schedule_completion(self) -> None:
+        if self._completion_timer is not None:
+            self._completion_timer.cancel()
+        service_rate = self._service_rate()
+        if service_rate:
+            smallest = min(left for left, _ in self._remaining.values())
+            self._completion_timer = self._event_queue.after(max(0.0, smallest) / service_rate, self._complete_fetches)
+
+    def _complete_fetches(self) -> None:
+        self._completion_timer = None
+        self._advance()
+        ended = [n for n, (left, _) in self._remaining.items() if left <= 1e-6]
+        callbacks = [self._remaining.pop(n)[1] for n in ended]
+        self._schedule_completion()
+        for on_done in callbacks:
+            on_done(True)
+
+    def fetch(self, ms: float, on_done: Callable[[bool], None]) -> None:
         """Fetch what takes so many ms at full pace."""
-        self._pass()
-        if self.refuse or len(self._left) >= self._settings.most:
+        self._advance()
+        if self.refusing or len(self._remaining) >= self._settings.most:
             self.refused += 1
-            self._engine.after(0.2, tell, False)
+            self._event_queue.after(0.2, on_done, False)
             return
         self.fetches += 1
-        self._number += 1
-        self._left[self._number] = (ms, tell)
-        self._next()
+        self._last_fetch += 1
+        self._remaining[self._last_fetch] = (ms, on_done)
+        self._schedule_completion()
 
-    def fault(self, kind: str, factor: float, for_ms: float) -> None:
+    def inject(self, kind: str, factor: float, duration_ms: float) -> None:
         """`slow`, `refuse` or `stopped`, for a time."""
-        self._pass()
+        self._advance()
         if kind == "slow":
-            self.slow = factor
+            self.slow_factor = factor
         elif kind == "refuse":
-            self.refuse = True
+            self.refusing = True
         else:
             self.stopped = True
-        self._next()
-        self._engine.after(for_ms, self._heal, kind)
+        self._schedule_completion()
+        self._event_queue.after(duration_ms, self._end_fault, kind)
 
-    def _heal(self, kind: str) -> None:
-        self._pass()
+    def _end_fault(self, kind: str) -> None:
+        self._advance()
         if kind == "slow":
-            self.slow = 1.0
+            self.slow_factor = 1.0
         elif kind == "refuse":
-            self.refuse = False
+            self.refusing = False
         else:
             self.stopped = False
-        self._next()
+        self._schedule_completion()
 
 
 @dataclass(slots=True, eq=False)
-class _Model:
+class _FunctionState:
     action: ActionSettings
     type: TypeSettings
-    standing: int = 0
+    loaded: int = 0
     loading: int = 0
     busy: int = 0
-    used: float = 0.0
-    waiting: deque[_Job] = field(default_factory=deque)
-    asked: list[tuple[int, Callable[[AttemptStatus, int], None]]] = field(default_factory=list)
+    last_used: float = 0.0
+    waiting: deque[_QueuedAttempt] = field(default_factory=deque)
+    pending_orders: list[tuple[int, Callable[[AttemptStatus, int], None]]] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
-class _Job:
-    model: _Model
+class _QueuedAttempt:
+    model: _FunctionState
     mark: str
     activation: str
-    send: int
+    attempt_number: int
     reply: Reply
-    company: int
-    found: bool
-    until: float
+    foreign_in_flight: int
+    was_loaded: bool
+    deadline: float
 
 
 class SimulatedWorker:
@@ -130,45 +130,56 @@
 
     def __init__(
         self,
-        engine: EventQueue,
+        event_queue: EventQueue,
         deployment: Deployment,
-        id_: str,
-        hall: str,
+        worker_id: str,
+        zone: str,
         cell: int,
         store: SimulatedStore,
-        ledger: dict[tuple[str, str], float],
+        effect_log: dict[tuple[str, str], float],
         seed: int,
         warm: bool,
-        note: Note | None,
+        record_event: EventRecorder | None,
     ) -> None:
-        self._engine, self._deployment, self.id, self.hall, self.cell = engine, deployment, id_, hall, cell
-        self._fleet, self._rules, self._store, self._ledger = deployment.fleet, deployment.rules, store, ledger
-        self._chance = np.random.default_rng([seed, zlib.crc32(id_.encode())])
-        self._works = np.empty(0)
-        self._note = note
+        self._event_queue, self._deployment, self.id, self.zone, self.cell = (
+            event_queue,
+            deployment,
+            worker_id,
+            zone,
+            cell,
+        )
+        self._fleet, self._rules, self._store, self._effect_log = deployment.fleet, deployment.rules, store, effect_log
+        self._random = np.random.default_rng([seed, zlib.crc32(worker_id.encode())])
+        self._work_factors = np.empty(0)
+        self._record_event = record_event
         self.faults: dict[str, Any] = {}
-        self.up, self._starts, self._paused = True, 0, 0.0
+        self.up, self._starts, self._paused_until = True, 0, 0.0
         self.state = "live"
-        self.begin(warm)
+        self.start_process(warm)
 
-    def begin(self, warm: bool) -> None:
+    def start_process(self, warm: bool) -> None:
         """A new start of the process."""
         self._starts += 1
         self.incarnation = f"{zlib.crc32(self.id.encode()):08x}-{self._starts}"
-        self.started = self._engine.now - (self._rules.cold_ms + 1 if warm else 0.0)
-        self._models: dict[str, _Model] = {}
-        self._held: dict[str, _Model] = {}  # models that stand or load
+        self.started = self._event_queue.now - (self._rules.cold_ms + 1 if warm else 0.0)
+        self._models: dict[str, _FunctionState] = {}
+        self._resident: dict[str, _FunctionState] = {}  # models that stand or load
         self.running = self._loads = 0
         self._memory = 0.0
-        self._queue: deque[_Model] = deque()
-        self._load_queue: deque[_Model] = deque()
-        self._pushed: deque[tuple[float, float]] = deque()
-        self._pushed_sum = 0.0
-        self.draining = self.fallen = False
-        self._busy_ms, self._since, self._util, self._shown = 0.0, self._engine.now, 0.0, (0.0, 0.0, 0.0)
-        self._shown_at = -1e9
-        if self._note is not None:
-            self._note(
+        self._queue: deque[_FunctionState] = deque()
+        self._load_queue: deque[_FunctionState] = deque()
+        self._cold_arrivals: deque[tuple[float, float]] = deque()
+        self._cold_work_ms = 0.0
+        self.draining = self.collapsed = False
+        self._busy_ms, self._utilization_at, self._utilization, self._last_report = (
+            0.0,
+            self._event_queue.now,
+            0.0,
+            (0.0, 0.0, 0.0),
+        )
+        self._reported_at = -1e9
+        if self._record_event is not None:
+            self._record_event(
                 "start",
                 worker=self.id,
                 incarnation=self.incarnation,
@@ -179,23 +190,23 @@
             )
 
     @property
-    def entry(self) -> Endpoint:
+    def endpoint(self) -> Endpoint:
         """As the list tells of it."""
         return Endpoint(
-            self.id, self.id, self.state, self.incarnation, self._engine.now - self.started, self.hall, self.cell
+            self.id, self.id, self.state, self.incarnation, self._event_queue.now - self.started, self.zone, self.cell
         )
 
-    def model(self, action: ActionSettings) -> _Model:
+    def model(self, action: ActionSettings) -> _FunctionState:
         """The worker's view of a model."""
-        found = self._models.get(action.model)
-        if found is None:
-            found = self._models[action.model] = _Model(action, self._deployment.types[action.type])
-        return found
+        was_loaded = self._models.get(action.model)
+        if was_loaded is None:
+            was_loaded = self._models[action.model] = _FunctionState(action, self._deployment.types[action.type])
+        return was_loaded
 
     @property
-    def warmth(self) -> float:
+    def slow_start_capacity(self) -> float:
         """The share of its capacity that it has by its age."""
-        age = self._engine.now - self.started
+        age = self._event_queue.now - self.started
         if age >= self._rules.cold_ms:
             return 1.0
         return self._rules.cold_share + (1 - self._rules.cold_share) * age / self._rules.cold_ms
@@ -204,13 +215,13 @@
     def idle_mb(self) -> float:
         """Memory of copies that stand and on which nothing runs."""
         return sum(
-            (m.standing - min(m.standing, -(-m.busy // m.action.lanes))) * m.action.memory_mb
-            for m in self._held.values()
+            (m.loaded - min(m.loaded, -(-m.busy // m.action.lanes))) * m.action.memory_mb
+            for m in self._resident.values()
         )
 
     # Sends.
 
-    def send(
+    def start_attempt(
         self,
         action: ActionSettings,
         mark: str,
@@ -219,14 +230,14 @@
         dispatcher: str,
         limit_ms: float,
         reply: Reply,
-        lag: float = 0.0,
+        read_delay_ms: float = 0.0,
     ) -> None:
         """A send is read, `lag` ms after it arrived."""
-        if self._engine.now < self._paused:  # it waits in the socket
-            wait = self._paused - self._engine.now
-            self._engine.at(
-                self._paused,
-                self.send,
+        if self._event_queue.now < self._paused_until:  # it waits in the socket
+            wait = self._paused_until - self._event_queue.now
+            self._event_queue.at(
+                self._paused_until,
+                self.start_attempt,
                 action,
                 mark,
                 activation,
@@ -234,195 +245,210 @@
                 dispatcher,
                 limit_ms - wait,
                 reply,
-                lag + wait,
+                read_delay_ms + wait,
             )
             return
-        now, model = self._engine.now, self.model(action)
-        if self._note is not None:
-            self._note(
+        now, model = self._event_queue.now, self.model(action)
+        if self._record_event is not None:
+            self._record_event(
                 "send",
                 worker=self.id,
                 model=action.model,
                 mark=mark,
-                lag=lag,
+                lag=read_delay_ms,
                 dispatcher=dispatcher,
                 activation=activation,
                 send=number,
                 incarnation=self.incarnation,
                 work=action.work_ms,
             )
-        if self._push(now, action.work_ms) or "hang" in self.faults:
+        if self._overloads_cold_worker(now, action.work_ms) or "hang" in self.faults:
             return
         fast = self.faults.get("fail-fast")
         kind = self.faults.get("fail-type")
-        if (fast and self._chance.random() < fast.share) or (kind and model.type.name == kind.type):
+        if (fast and self._random.random() < fast.share) or (kind and model.type.name == kind.type):
             reply(AttemptStatus.ERROR, WorkerAnswer("error"))
-        elif not model.standing and not model.loading:
+        elif not model.loaded and not model.loading:
             reply(AttemptStatus.NOT_LOADED, WorkerAnswer("miss", report=self._report()))
         elif self.draining or len(self._queue) >= self._fleet.queue:
             reply(AttemptStatus.OUT_OF_CAPACITY, WorkerAnswer("full", report=self._report()))
         else:
-            company = min(30, model.busy + len(model.waiting))
+            foreign_in_flight = min(30, model.busy + len(model.waiting))
             model.waiting.append(
-                _Job(model, mark, activation, number, reply, company, bool(model.standing), now + limit_ms)
+                _QueuedAttempt(
+                    model, mark, activation, number, reply, foreign_in_flight, bool(model.loaded), now + limit_ms
+                )
             )
             self._queue.append(model)
-            self._pump()
-
-    def _push(self, now: float, work: float) -> bool:
-        warmth = self.warmth
-        if warmth >= 1 or self.fallen:
-            return self.fallen
-        self._pushed.append((now, work))
-        self._pushed_sum += work
-        while self._pushed[0][0] < now - self._rules.tip_ms:
-            self._pushed_sum -= self._pushed.popleft()[1]
-        if self._pushed_sum > self._rules.tip * warmth * self._fleet.cores * self._rules.tip_ms:
-            self.fallen = True
-            if self._note is not None:
-                self._note("fell", worker=self.id, incarnation=self.incarnation)
-        return self.fallen
-
-    def _pump(self) -> None:
+            self._start_queued()
+
+    def _overloads_cold_worker(self, now: float, work: float) -> bool:
+        slow_start_capacity = self.slow_start_capacity
+        if slow_start_capacity >= 1 or self.collapsed:
+            return self.collapsed
+        self._cold_arrivals.append((now, work))
+        self._cold_work_ms += work
+        while self._cold_arrivals[0][0] < now - self._rules.tip_ms:
+            self._cold_work_ms -= self._cold_arrivals.popleft()[1]
+        if self._cold_work_ms > self._rules.tip * slow_start_capacity * self._fleet.cores * self._rules.tip_ms:
+            self.collapsed = True
+            if self._record_event is not None:
+                self._record_event("fell", worker=self.id, incarnation=self.incarnation)
+        return self.collapsed
+
+    def _start_queued(self) -> None:
         for _ in range(len(self._queue)):
             if self.running >= self._fleet.cores:
                 return
             model = self._queue.popleft()
             if not model.waiting:
                 continue
-            if model.busy >= model.standing * model.action.lanes:
+            if model.busy >= model.loaded * model.action.lanes:
                 self._queue.append(model)
                 continue
-            job = model.waiting.popleft()
-            if self._engine.now < job.until:
-                self._account()
+            attempt = model.waiting.popleft()
+            if self._event_queue.now < attempt.deadline:
+                self._update_utilization()
                 self.running += 1
                 model.busy += 1
-                self._engine.after(self._work(model), self._worked, job, self._starts)
+                self._event_queue.after(self._work_duration_ms(model), self._on_work_done, attempt, self._starts)
             else:
-                job.reply(AttemptStatus.ERROR, WorkerAnswer("error"))
-
-    def _work(self, model: _Model) -> float:
-        if not len(self._works):
-            self._works = self._chance.lognormal(0.0, 0.2, 512)
-        factor, self._works = float(self._works[-1]), self._works[:-1]
-        heavy = self.faults.get("heavy-work")
-        if heavy and self._chance.random() < heavy.share:
-            factor *= heavy.factor
-        return model.action.work_ms * factor / self.warmth
-
-    def _account(self) -> None:
-        now = self._engine.now
-        passed = now - self._since
-        if passed > 0:  # the average over some 250 ms that the stand-in keeps
-            part = min(1.0, passed / 250)
-            self._util += part * (self.running / self._fleet.cores - self._util)
-            self._since = now
-
-    def _worked(self, job: _Job, start: int) -> None:
-        if self._engine.now < self._paused:
-            self._engine.at(self._paused, self._worked, job, start)
+                attempt.reply(AttemptStatus.ERROR, WorkerAnswer("error"))
+
+    def _work_duration_ms(self, model: _FunctionState) -> float:
+        if not len(self._work_factors):
+            self._work_factors = self._random.lognormal(0.0, 0.2, 512)
+        factor, self._work_factors = float(self._work_factors[-1]), self._work_factors[:-1]
+        heavy_work = self.faults.get("heavy-work")
+        if heavy_work and self._random.random() < heavy_work.share:
+            factor *= heavy_work.factor
+        return model.action.work_ms * factor / self.slow_start_capacity
+
+    def _update_utilization(self) -> None:
+        now = self._event_queue.now
+        elapsed_ms = now - self._utilization_at
+        if elapsed_ms > 0:  # the average over some 250 ms that the stand-in keeps
+            weight = min(1.0, elapsed_ms / 250)
+            self._utilization += weight * (self.running / self._fleet.cores - self._utilization)
+            self._utilization_at = now
+
+    def _on_work_done(self, attempt: _QueuedAttempt, start: int) -> None:
+        if self._event_queue.now < self._paused_until:
+            self._event_queue.at(self._paused_until, self._on_work_done, attempt, start)
             return
         if start != self._starts or not self.up:
             return
-        model, now = job.model, self._engine.now
-        self._account()
+        model, now = attempt.model, self._event_queue.now
+        self._update_utilization()
         self.running -= 1
         model.busy -= 1
-        model.used = now
-        known = False
+        model.last_used = now
+        is_repeat = False
         if model.type.effect == "deduplicated":
-            group = {"all": "all", "zone": self.hall, "cell": f"cell-{self.cell}"}[model.type.scope]
-            known = now - self._ledger.get((group, job.mark), -1e18) <= model.type.remembered_ms
-            if not known:
-                self._ledger[group, job.mark] = now
-        if not known and self._note is not None:
-            self._note(
-                "effect", worker=self.id, mark=job.mark, type=model.type.name, activation=job.activation, send=job.send
+            group = {"all": "all", "zone": self.zone, "cell": f"cell-{self.cell}"}[model.type.scope]
+            is_repeat = now - self._effect_log.get((group, attempt.mark), -1e18) <= model.type.remembered_ms
+            if not is_repeat:
+                self._effect_log[group, attempt.mark] = now
+        if not is_repeat and self._record_event is not None:
+            self._record_event(
+                "effect",
+                worker=self.id,
+                mark=attempt.mark,
+                type=model.type.name,
+                activation=attempt.activation,
+                send=attempt.attempt_number,
             )
-        lost = self.faults.get("answers-lost")
-        if "silent" not in self.faults and not (lost and self._chance.random() < lost.share):
-            answer = WorkerAnswer("completed", b"{}", True, False, job.found, job.company, self._report())
-            late = self.faults.get("answers-late")
-            self._engine.after(late.ms if late else 0.0, job.reply, AttemptStatus.COMPLETED, answer)
-        self._pump()
+        lost_answers = self.faults.get("answers-lost")
+        if "silent" not in self.faults and not (lost_answers and self._random.random() < lost_answers.share):
+            answer = WorkerAnswer(
+                "completed", b"{}", True, False, attempt.was_loaded, attempt.foreign_in_flight, self._report()
+            )
+            delayed_answers = self.faults.get("answers-late")
+            self._event_queue.after(
+                delayed_answers.ms if delayed_answers else 0.0, attempt.reply, AttemptStatus.COMPLETED, answer
+            )
+        self._start_queued()
 
     def _report(self) -> dict[str, float]:
-        if self._engine.now - self._shown_at > 200:
-            self._shown_at = self._engine.now
-            self._account()
+        if self._event_queue.now - self._reported_at > 200:
+            self._reported_at = self._event_queue.now
+            self._update_utilization()
             busy = sum(
-                (min(m.standing, -(-m.busy // m.action.lanes)) + m.loading) * m.action.memory_mb
-                for m in self._held.values()
+                (min(m.loaded, -(-m.busy // m.action.lanes)) + m.loading) * m.action.memory_mb
+                for m in self._resident.values()
             )
-            self._shown = (self._util, self._loads + len(self._load_queue), busy / self._fleet.memory_mb)
-        util, loads, memory = self._shown
-        return {"util": util, "x1": loads, "x0": memory}
+            self._last_report = (self._utilization, self._loads + len(self._load_queue), busy / self._fleet.memory_mb)
+        utilization, loads, memory = self._last_report
+        return {"util": utilization, "x1": loads, "x0": memory}
 
     # Copies.
 
-    def order(
+    def order_instances(
         self,
         action: ActionSettings,
-        copies: int,
+        instances: int,
         dispatcher: str,
-        tell: Callable[[AttemptStatus, int], None],
-        lag: float = 0.0,
+        on_done: Callable[[AttemptStatus, int], None],
+        read_delay_ms: float = 0.0,
     ) -> None:
         """A hold order is read, `lag` ms after it arrived."""
-        if self._engine.now < self._paused:
-            wait = self._paused - self._engine.now
-            self._engine.at(self._paused, self.order, action, copies, dispatcher, tell, lag + wait)
+        if self._event_queue.now < self._paused_until:
+            wait = self._paused_until - self._event_queue.now
+            self._event_queue.at(
+                self._paused_until, self.order_instances, action, instances, dispatcher, on_done, read_delay_ms + wait
+            )
             return
         model = self.model(action)
-        if self._note is not None:
-            self._note("order", worker=self.id, model=action.model, copies=copies, dispatcher=dispatcher, lag=lag)
+        if self._record_event is not None:
+            self._record_event(
+                "order", worker=self.id, model=action.model, copies=instances, dispatcher=dispatcher, lag=read_delay_ms
+            )
         if "hang" in self.faults or "silent" in self.faults:
             return
         if self.draining:
-            tell(AttemptStatus.OUT_OF_CAPACITY, model.standing)
+            on_done(AttemptStatus.OUT_OF_CAPACITY, model.loaded)
             return
-        model.used = self._engine.now
-        while model.standing + model.loading < copies:
-            if len(self._load_queue) >= 2 * self._fleet.loads or not self._room(model):
-                tell(AttemptStatus.OUT_OF_CAPACITY, model.standing)
+        model.last_used = self._event_queue.now
+        while model.loaded + model.loading < instances:
+            if len(self._load_queue) >= 2 * self._fleet.loads or not self._make_room(model):
+                on_done(AttemptStatus.OUT_OF_CAPACITY, model.loaded)
                 return
             model.loading += 1
             self._memory += action.memory_mb
-            self._held[action.model] = model
+            self._resident[action.model] = model
             self._load_queue.append(model)
             self._start_loads()
-        if model.standing >= copies:
-            tell(AttemptStatus.COMPLETED, model.standing)
+        if model.loaded >= instances:
+            on_done(AttemptStatus.COMPLETED, model.loaded)
         else:
-            model.asked.append((copies, tell))
+            model.pending_orders.append((instances, on_done))
 
-    def _drop(self, model: _Model, copies: int) -> None:
-        self._memory -= copies * model.action.memory_mb
-        model.standing -= copies
-        if not model.standing and not model.loading:
-            self._held.pop(model.action.model, None)
+    def _unload(self, model: _FunctionState, instances: int) -> None:
+        self._memory -= instances * model.action.memory_mb
+        model.loaded -= instances
+        if not model.loaded and not model.loading:
+            self._resident.pop(model.action.model, None)
 
-    def _room(self, model: _Model) -> bool:
+    def _make_room(self, model: _FunctionState) -> bool:
         need, most = model.action.memory_mb, self._fleet.memory_mb
         if self._memory + need <= most:
             return True
-        now = self._engine.now
+        now = self._event_queue.now
         for other in [
             m
-            for m in self._held.values()  # idle beyond its keep-alive: gone already
-            if m.standing and not m.busy and now - m.used > self._fleet.keep_ms
+            for m in self._resident.values()  # idle beyond its keep-alive: gone already
+            if m.loaded and not m.busy and now - m.last_used > self._fleet.keep_ms
         ]:
-            self._drop(other, other.standing)
+            self._unload(other, other.loaded)
         idle = sorted(
-            (m for m in self._held.values() if m.standing and not m.busy and m is not model and not m.waiting),
-            key=lambda m: m.used,
+            (m for m in self._resident.values() if m.loaded and not m.busy and m is not model and not m.waiting),
+            key=lambda m: m.last_used,
         )
         while self._memory + need > most:
             if not idle:
                 return False
             first = idle.pop(0)
-            self._drop(first, first.standing)
+            self._unload(first, first.loaded)
         return True
 
     def _start_loads(self) -> None:
@@ -430,68 +456,68 @@
             self._loads += 1
             model = self._load_queue.popleft()
             fetch = model.action.load_ms * self._deployment.store.fetch_share
-            self._store.fetch(fetch, partial(self._fetched, model, fetch, self._starts))
+            self._store.fetch(fetch, partial(self._on_fetched, model, fetch, self._starts))
 
-    def _fetched(self, model: _Model, fetch: float, start: int, good: bool) -> None:
+    def _on_fetched(self, model: _FunctionState, fetch: float, start: int, succeeded: bool) -> None:
         if start != self._starts or not self.up:
             return
-        rest = (model.action.load_ms - fetch) / self.warmth if good else 0.0
-        self._engine.after(rest, self._brought, model, start, good)
+        rest = (model.action.load_ms - fetch) / self.slow_start_capacity if succeeded else 0.0
+        self._event_queue.after(rest, self._on_loaded, model, start, succeeded)
 
-    def _brought(self, model: _Model, start: int, good: bool) -> None:
-        if self._engine.now < self._paused:
-            self._engine.at(self._paused, self._brought, model, start, good)
+    def _on_loaded(self, model: _FunctionState, start: int, succeeded: bool) -> None:
+        if self._event_queue.now < self._paused_until:
+            self._event_queue.at(self._paused_until, self._on_loaded, model, start, succeeded)
             return
         if start != self._starts or not self.up:
             return
         self._loads -= 1
         model.loading -= 1
-        model.standing += good
-        model.used = self._engine.now
-        if not good:
+        model.loaded += succeeded
+        model.last_used = self._event_queue.now
+        if not succeeded:
             self._memory -= model.action.memory_mb
-            if not model.standing and not model.loading:
-                self._held.pop(model.action.model, None)
+            if not model.loaded and not model.loading:
+                self._resident.pop(model.action.model, None)
         else:
-            self._engine.after(self._fleet.keep_ms + 250, self._idle, model, start)
-        asked, model.asked = model.asked, []
-        for copies, tell in asked:
-            if model.standing >= copies:
-                tell(AttemptStatus.COMPLETED, model.standing)
-            elif not good:
-                tell(AttemptStatus.ERROR, model.standing)
+            self._event_queue.after(self._fleet.keep_ms + 250, self._unload_if_idle, model, start)
+        pending_orders, model.pending_orders = model.pending_orders, []
+        for instances, on_done in pending_orders:
+            if model.loaded >= instances:
+                on_done(AttemptStatus.COMPLETED, model.loaded)
+            elif not succeeded:
+                on_done(AttemptStatus.ERROR, model.loaded)
             else:
-                model.asked.append((copies, tell))
-        if not model.standing and not model.loading:
+                model.pending_orders.append((instances, on_done))
+        if not model.loaded and not model.loading:
             while model.waiting:
                 model.waiting.popleft().reply(
                     AttemptStatus.NOT_LOADED, WorkerAnswer("miss", load_failed=True, report=self._report())
                 )
         self._start_loads()
-        self._pump()
+        self._start_queued()
 
-    def _idle(self, model: _Model, start: int) -> None:
+    def _unload_if_idle(self, model: _FunctionState, start: int) -> None:
         """A copy leaves once it has been idle for its keep-alive."""
-        if start != self._starts or not self.up or not model.standing:
+        if start != self._starts or not self.up or not model.loaded:
             return
-        left = model.used + self._fleet.keep_ms - self._engine.now
+        left = model.last_used + self._fleet.keep_ms - self._event_queue.now
         if model.busy or model.waiting or left > 0:
-            self._engine.after(max(250.0, left), self._idle, model, start)
+            self._event_queue.after(max(250.0, left), self._unload_if_idle, model, start)
         else:
-            self._drop(model, model.standing)
+            self._unload(model, model.loaded)
 
     # Faults.
 
-    def fault(self, kind: str, fault: Any) -> None:
+    def inject(self, kind: str, fault: Any) -> None:
         """Inject a fault for its duration."""
         if kind == "models-voided":
-            for model in list(self._held.values()):
-                if model.standing and self._chance.random() < fault.share:
-                    self._drop(model, model.standing - -(-model.busy // model.action.lanes))
+            for model in list(self._resident.values()):
+                if model.loaded and self._random.random() < fault.share:
+                    self._unload(model, model.loaded - -(-model.busy // model.action.lanes))
         elif kind == "restart-cold":
-            self.begin(warm=False)
+            self.start_process(warm=False)
         elif kind == "pause":  # the whole process stands still; then it goes on with what came meanwhile
-            self._paused = self._engine.now + fault.duration * 1000
+            self._paused_until = self._event_queue.now + fault.duration * 1000
         else:
             self.faults[kind] = fault
-            self._engine.after(fault.duration * 1000, self.faults.pop, kind, None)
+            self._event_queue.after(fault.duration * 1000, self.faults.pop, kind, None)
--- a/tests/test_shards.py
+++ b/tests/test_sharding.py
@@ -19,9 +19,9 @@
 SETTINGS = SimulationSettings(network_ms=1.0)
 
 
-def day_of(trouble: list[Fault]) -> FaultScenario:
+def scenario_with(faults: list[Fault]) -> FaultScenario:
     file = str(ROOT / "examples" / "nursery.sexp")
-    return FaultScenario("sharded", file, 8.0, 12, 6, 1, 0, "program", [steady_load(180.0, 8.0, 1.0)], trouble)
+    return FaultScenario("sharded", file, 8.0, 12, 6, 1, 0, "program", [steady_load(180.0, 8.0, 1.0)], faults)
 
 
 def fault(kind: str, at: float, seconds: float, part: float) -> Fault:
@@ -41,22 +41,22 @@
 
 
 def test_a_run_over_processes_is_the_same_each_time_and_close_to_one_in_a_single_process() -> None:
-    day, deployment = day_of([]), load(ROOT / "examples" / "nursery.sexp")
-    one = SimulatedCluster(day, deployment, 2, SETTINGS)
-    one.run()
-    whole = figures(8.0, 0.0, result_of(one))
-    (first, _), (second, _) = (play_sharded(day, deployment, 2, SETTINGS, 3) for _ in range(2))
+    scenario, deployment = scenario_with([]), load(ROOT / "examples" / "nursery.sexp")
+    single = SimulatedCluster(scenario, deployment, 2, SETTINGS)
+    single.run()
+    expected = figures(8.0, 0.0, result_of(single))
+    (first, _), (second, _) = (play_sharded(scenario, deployment, 2, SETTINGS, 3) for _ in range(2))
     assert first.latency == second.latency and first.seconds == second.seconds and first.events == second.events
     found = figures(8.0, 0.0, first)
-    assert found["wishes"] == pytest.approx(whole["wishes"], rel=0.12)
-    assert found["served_share"] == pytest.approx(whole["served_share"], abs=0.05)
-    assert found["p50_ms"] == pytest.approx(whole["p50_ms"], rel=0.15)
-    assert first.loads == pytest.approx(one.store.fetches, rel=0.25), "all loads go through the first shard's store"
+    assert found["wishes"] == pytest.approx(expected["wishes"], rel=0.12)
+    assert found["served_share"] == pytest.approx(expected["served_share"], abs=0.05)
+    assert found["p50_ms"] == pytest.approx(expected["p50_ms"], rel=0.15)
+    assert first.loads == pytest.approx(single.store.fetches, rel=0.25), "all loads go through the first shard's store"
 
 
 def test_troubles_fall_on_all_shards_alike_and_no_rule_breaks() -> None:
     """Effects are told apart by mark, sends by activation: one shard that believed in other workers would show."""
-    troubles = [
+    faults = [
         fault("crash", 2, 1.5, 0.2),
         fault("rolling-deploy", 3, 2, 0.2),
         fault("kill-dispatchers", 4, 0.5, 0.3),
@@ -64,13 +64,13 @@
         fault("store-slow", 2, 2, 1),
         fault("restart-cold", 1, 0, 0.2),
     ]
-    day, deployment = day_of(troubles), load(ROOT / "examples" / "nursery.sexp")
-    _, events = play_sharded(day, deployment, 5, SETTINGS, 3, capture=True)
+    scenario, deployment = scenario_with(faults), load(ROOT / "examples" / "nursery.sexp")
+    _, events = play_sharded(scenario, deployment, 5, SETTINGS, 3, capture=True)
     verdict = check_history(events)
     assert not verdict.broken, verdict.details
     assert verdict.taken > 800 and verdict.unanswered == 0 and verdict.completed > 0.8 * verdict.taken
     assert [e["kind"] for e in events if e["what"] == "trouble"] == sorted(
-        (t.kind for t in troubles), key=lambda kind: next(t.at for t in troubles if t.kind == kind)
+        (t.kind for t in faults), key=lambda kind: next(t.at for t in faults if t.kind == kind)
     )
     senders = {(e["dispatcher"].split("/")[0], e["worker"]) for e in events if e["what"] == "send"}
     across = [(d, w) for d, w in senders if int(d[11:]) % 3 != int(w[7:]) // 2 % 3]
@@ -81,23 +81,23 @@
 
 
 def test_a_mark_set_in_one_shard_is_known_in_the_others_a_way_later() -> None:
-    engine, shard = EventQueue(), Shard(1, 3)
-    ledger = SharedEffectLog(shard, engine, SETTINGS)
-    ledger["all", "m"] = 5.0
-    ledger["cell-2", "n"] = 6.0
+    event_queue, shard = EventQueue(), Shard(1, 3)
+    effect_log = SharedEffectLog(shard, event_queue, SETTINGS)
+    effect_log["all", "m"] = 5.0
+    effect_log["cell-2", "n"] = 6.0
     assert shard.out == [(1.0, to, "mark", (("all", "m"), 5.0)) for to in (0, 2)], "a cell is in one shard"
-    ledger.heard(("all", "x"), 7.0)
-    assert ledger["all", "x"] == 7.0 and len(shard.out) == 2
-    told: list[bool] = []
-    RemoteStore(shard, engine, SETTINGS).fetch(30.0, told.append)
+    effect_log.on_remote_effect(("all", "x"), 7.0)
+    assert effect_log["all", "x"] == 7.0 and len(shard.out) == 2
+    replies: list[bool] = []
+    RemoteStore(shard, event_queue, SETTINGS).fetch(30.0, replies.append)
     assert shard.out[-1] == (1.0, 0, "fetch", (1, 1, 30.0))
-    shard.replied(1, (True,))
-    shard.replied(1, (False,))
-    assert told == [True], "the first reply counts"
+    shard.on_reply(1, (True,))
+    shard.on_reply(1, (False,))
+    assert replies == [True], "the first reply counts"
 
 
 def test_a_shard_that_fails_is_told_with_its_cause() -> None:
-    day, deployment = day_of([fault("nonsense", 1, 1, 0.2)]), load(ROOT / "examples" / "nursery.sexp")
-    object.__setattr__(day.faults[0], "at", "soon")
+    scenario, deployment = scenario_with([fault("nonsense", 1, 1, 0.2)]), load(ROOT / "examples" / "nursery.sexp")
+    object.__setattr__(scenario.faults[0], "at", "soon")
     with pytest.raises(ShardError, match="TypeError"):
-        play_sharded(day, deployment, 1, SETTINGS, 2)
+        play_sharded(scenario, deployment, 1, SETTINGS, 2)
--- a/tests/test_lab.py
+++ b/tests/test_simulation.py
@@ -13,7 +13,7 @@
 
 from kelptrail.dispatch.entities import AttemptStatus, LoadOrder
 from kelptrail.dispatch.safety import LoadRation
-from kelptrail.fault_scenario.scenario import load_scenario as load_script
+from kelptrail.fault_scenario.scenario import load_scenario
 from kelptrail.history_checker.checker import check_history
 from kelptrail.load.plan import steady_load
 from kelptrail.load.results import Result, Second, read, read_runs, read_seconds, recovery
@@ -30,87 +30,96 @@
 
 
 def test_events_come_in_order_of_time_and_entry_and_can_be_called_off() -> None:
-    engine, seen = EventQueue(), list[Any]()
-    engine.at(5, seen.append, "b")
-    off = engine.at(4, seen.append, "never")
-    engine.at(5, seen.append, "c")
-    engine.at(1, lambda: (seen.append("a"), engine.after(10, seen.append, "d"), off.cancel()))
-    engine.run(6)
-    assert seen == ["a", "b", "c"] and engine.now == 6
-    engine.run(20)
-    assert seen[-1] == "d" and engine.events == 4
+    event_queue, seen = EventQueue(), list[Any]()
+    event_queue.at(5, seen.append, "b")
+    off = event_queue.at(4, seen.append, "never")
+    event_queue.at(5, seen.append, "c")
+    event_queue.at(1, lambda: (seen.append("a"), event_queue.after(10, seen.append, "d"), off.cancel()))
+    event_queue.run(6)
+    assert seen == ["a", "b", "c"] and event_queue.now == 6
+    event_queue.run(20)
+    assert seen[-1] == "d" and event_queue.events == 4
 
 
 def test_the_store_slows_all_fetches_beyond_its_number_and_refuses_past_its_most() -> None:
     deployment = load(ROOT / "examples" / "nursery.sexp")  # 8 at full pace, 32 at most
-    engine = EventQueue()
-    store = SimulatedStore(engine, deployment.store)
+    event_queue = EventQueue()
+    store = SimulatedStore(event_queue, deployment.store)
     ends: list[tuple[float, bool]] = []
     for _ in range(40):
-        store.fetch(100.0, lambda good: ends.append((engine.now, good)))
-    engine.run(1000)
+        store.fetch(100.0, lambda good: ends.append((event_queue.now, good)))
+    event_queue.run(1000)
     assert [good for _, good in ends].count(False) == 8
     assert {round(t) for t, good in ends if good} == {400}, "32 fetches at a quarter of the pace"
-    store.fault("slow", 5.0, 100.0)
-    store.fetch(100.0, lambda good: ends.append((engine.now, good)))
-    engine.run(3000)
+    store.inject("slow", 5.0, 100.0)
+    store.fetch(100.0, lambda good: ends.append((event_queue.now, good)))
+    event_queue.run(3000)
     assert ends[-1] == (pytest.approx(1180.0), True), "a fifth of the pace for 100 ms, then all of it"
 
 
 def test_a_worker_loads_queues_drops_repeats_and_falls_when_pushed_cold() -> None:
     deployment = load(ROOT / "examples" / "nursery.sexp")
-    engine = EventQueue()
-    noted: list[tuple[str, dict[str, Any]]] = []
-    store, ledger = SimulatedStore(engine, deployment.store), dict[tuple[str, str], float]()
+    event_queue = EventQueue()
+    recorded: list[tuple[str, dict[str, Any]]] = []
+    store, effect_log = SimulatedStore(event_queue, deployment.store), dict[tuple[str, str], float]()
     worker = SimulatedWorker(
-        engine, deployment, "w", "north", 0, store, ledger, 1, True, lambda what, **fields: noted.append((what, fields))
+        event_queue,
+        deployment,
+        "w",
+        "north",
+        0,
+        store,
+        effect_log,
+        1,
+        True,
+        lambda what, **fields: recorded.append((what, fields)),
     )
     action = deployment.actions["places/place-activate"]
     ends: list[Any] = []
-    worker.send(action, "m", "a1", 0, "d", 1000.0, lambda outcome, _: ends.append(outcome))
+    worker.start_attempt(action, "m", "a1", 0, "d", 1000.0, lambda outcome, _: ends.append(outcome))
     assert ends == [AttemptStatus.NOT_LOADED]
-    worker.order(action, 1, "d", lambda outcome, standing: ends.append((outcome, standing)))
-    engine.run(1000)
+    worker.order_instances(action, 1, "d", lambda outcome, loaded: ends.append((outcome, loaded)))
+    event_queue.run(1000)
     assert ends[-1] == (AttemptStatus.COMPLETED, 1)
     for number in range(2):
-        worker.send(action, "m", f"a{number}", number, "d", 1000.0, lambda outcome, _: ends.append(outcome))
-    engine.run(1500)
+        worker.start_attempt(action, "m", f"a{number}", number, "d", 1000.0, lambda outcome, _: ends.append(outcome))
+    event_queue.run(1500)
     assert ends[-2:] == [AttemptStatus.COMPLETED] * 2
-    assert sum(what == "effect" for what, _ in noted) == 1, "the same mark has one effect"
-    engine.run(20_000)
-    worker.send(action, "n", "a9", 0, "d", 1000.0, lambda outcome, _: ends.append(outcome))
+    assert sum(what == "effect" for what, _ in recorded) == 1, "the same mark has one effect"
+    event_queue.run(20_000)
+    worker.start_attempt(action, "n", "a9", 0, "d", 1000.0, lambda outcome, _: ends.append(outcome))
     assert ends[-1] is AttemptStatus.NOT_LOADED, "idle past its keep-alive, the copy has gone"
-    worker.begin(warm=False)
+    worker.start_process(warm=False)
     for number in range(400):
-        worker.send(action, f"x{number}", "b", 0, "d", 1000.0, lambda outcome, _: ends.append(outcome))
-    assert worker.fallen and any(what == "fell" for what, _ in noted)
+        worker.start_attempt(action, f"x{number}", "b", 0, "d", 1000.0, lambda outcome, _: ends.append(outcome))
+    assert worker.collapsed and any(what == "fell" for what, _ in recorded)
 
 
 @pytest.mark.parametrize("name", ["kills", "second-sends", "first"])
 def test_scripts_of_the_bad_days_play_in_the_lab_and_the_audit_finds_nothing(name: str) -> None:
-    day = load_script(ROOT / "examples" / "bad-days" / f"{name}.sexp")
-    site = SimulatedCluster(day, load(day.deployment), 3, capture=True)
-    site.run()
-    verdict = check_history(sorted(site.events, key=lambda event: event["t"]))
+    scenario = load_scenario(ROOT / "examples" / "bad-days" / f"{name}.sexp")
+    cluster = SimulatedCluster(scenario, load(scenario.deployment), 3, capture=True)
+    cluster.run()
+    verdict = check_history(sorted(cluster.events, key=lambda event: event["t"]))
     assert not verdict.broken, verdict.details
     assert verdict.taken > 3000 and verdict.completed > 0.9 * verdict.taken and verdict.unanswered == 0
-    assert verdict.completed == sum(s.completed for s in site.seconds)
+    assert verdict.completed == sum(s.completed for s in cluster.seconds)
 
 
 def test_a_run_is_the_same_for_the_same_seed_and_another_for_another() -> None:
-    day = load_script(ROOT / "examples" / "bad-days" / "kills.sexp")
-    deployment = load(day.deployment)
-    runs = [play(day, deployment, seed) for seed in (1, 1, 2)]
+    scenario = load_scenario(ROOT / "examples" / "bad-days" / "kills.sexp")
+    deployment = load(scenario.deployment)
+    runs = [play(scenario, deployment, seed) for seed in (1, 1, 2)]
     assert runs[0].latency == runs[1].latency and runs[0].events == runs[1].events
     assert runs[0].latency != runs[2].latency
 
 
 def test_an_overloaded_dispatcher_falls_behind_in_the_lab_too() -> None:
     """A lab whose dispatchers cost nothing would flatter."""
-    day = load_script(ROOT / "examples" / "bad-days" / "second-sends.sexp")
-    deployment = load(day.deployment)
-    day = replace(day, seconds=5.0, workers=6, dispatchers=1, load=[steady_load(200.0, 5.0, 0.8)], faults=[])
-    runs = [play(day, deployment, 1, SimulationSettings(cpu_ms=cpu)) for cpu in (0.1, 2.6)]
+    scenario = load_scenario(ROOT / "examples" / "bad-days" / "second-sends.sexp")
+    deployment = load(scenario.deployment)
+    scenario = replace(scenario, seconds=5.0, workers=6, dispatchers=1, load=[steady_load(200.0, 5.0, 0.8)], faults=[])
+    runs = [play(scenario, deployment, 1, SimulationSettings(cpu_ms=cpu)) for cpu in (0.1, 2.6)]
     medians = [float(np.median(run.latency["check"])) for run in runs]
     assert medians[1] > 4 * medians[0]
 
@@ -176,10 +185,10 @@
 
 
 def test_intervals_cover_what_they_should() -> None:
-    chance = np.random.default_rng(4)
+    random = np.random.default_rng(4)
     covered = 0
     for _ in range(400):
-        low, high = interval(chance.normal(1.0, 2.0, 8))
+        low, high = interval(random.normal(1.0, 2.0, 8))
         covered += low <= 1.0 <= high
     assert 0.91 < covered / 400 < 0.99
     assert interval(np.array([3.0])) == (float("-inf"), float("inf"))
@@ -207,52 +216,60 @@
 
 
 def test_recovery_counts_from_the_last_troubles_end() -> None:
-    day = load_script(ROOT / "examples" / "bad-days" / "kills.sexp")
-    end = max(t.at + t.duration for t in day.faults)
-    seconds = [Second(calls=10, in_time=10 if n < 5 or n >= end + 3 else 2) for n in range(int(day.seconds) + 60)]
-    assert recovery(day.seconds, day.last_fault_ends, Result(seconds, {}, {}, 0, 0)) == 3.0
+    scenario = load_scenario(ROOT / "examples" / "bad-days" / "kills.sexp")
+    end = max(t.at + t.duration for t in scenario.faults)
+    seconds = [Second(calls=10, in_time=10 if n < 5 or n >= end + 3 else 2) for n in range(int(scenario.seconds) + 60)]
+    assert recovery(scenario.seconds, scenario.last_fault_ends, Result(seconds, {}, {}, 0, 0)) == 3.0
     never = [Second(calls=10, in_time=1)] * 100
-    assert recovery(day.seconds, day.last_fault_ends, Result(never, {}, {}, 0, 0)) == day.seconds - end
+    assert recovery(scenario.seconds, scenario.last_fault_ends, Result(never, {}, {}, 0, 0)) == scenario.seconds - end
 
 
 def test_a_paused_worker_goes_on_with_what_came_meanwhile_and_heavy_work_keeps_its_share() -> None:
     """Guards against a lab that flatters: it dropped what a paused worker got, and made 2% of the work heavy where the
     script said all of it (99th percentile 759 ms beside 2,640 on sockets)."""
     deployment = load(ROOT / "examples" / "nursery.sexp")
-    engine, noted, ends = EventQueue(), list[tuple[str, dict[str, Any]]](), list[tuple[float, Any]]()
+    event_queue, recorded, ends = EventQueue(), list[tuple[str, dict[str, Any]]](), list[tuple[float, Any]]()
     worker = SimulatedWorker(
-        engine,
+        event_queue,
         deployment,
         "w",
         "north",
         0,
-        SimulatedStore(engine, deployment.store),
+        SimulatedStore(event_queue, deployment.store),
         {},
         1,
         True,
-        lambda what, **fields: noted.append((what, fields)),
+        lambda what, **fields: recorded.append((what, fields)),
     )
     action = deployment.actions["places/place-check"]
-    worker.order(action, 1, "d", lambda outcome, standing: None)
-    engine.run(1000)
-    day = load_script(ROOT / "examples" / "bad-days" / "first.sexp")
-    pause = next(t for t in day.faults if t.kind == "pause")  # 2 s
-
-    def send(number: int) -> None:
-        worker.send(
-            action, f"m{number}", f"a{number}", 0, "d", 5000.0, lambda outcome, _: ends.append((engine.now, outcome))
+    worker.order_instances(action, 1, "d", lambda outcome, loaded: None)
+    event_queue.run(1000)
+    scenario = load_scenario(ROOT / "examples" / "bad-days" / "first.sexp")
+    pause = next(t for t in scenario.faults if t.kind == "pause")  # 2 s
+
+    def start_attempt(number: int) -> None:
+        worker.start_attempt(
+            action,
+            f"m{number}",
+            f"a{number}",
+            0,
+            "d",
+            5000.0,
+            lambda outcome, _: ends.append((event_queue.now, outcome)),
         )
 
-    send(0)
-    worker.fault("pause", pause)
-    send(1)
-    engine.run(2500)
+    start_attempt(0)
+    worker.inject("pause", pause)
+    start_attempt(1)
+    event_queue.run(2500)
     assert not ends
-    engine.run(4000)
+    event_queue.run(4000)
     assert [outcome for _, outcome in ends] == [AttemptStatus.COMPLETED] * 2 and all(3000 <= t < 3400 for t, _ in ends)
-    assert [fields["lag"] for what, fields in noted if what == "send"] == [0.0, 2000.0], "as the sockets' audit has it"
-    heavy = next(t for t in day.faults if t.kind == "heavy-work")  # 3 in 100, twenty times
+    assert [fields["lag"] for what, fields in recorded if what == "send"] == [0.0, 2000.0], (
+        "as the sockets' audit has it"
+    )
+    heavy = next(t for t in scenario.faults if t.kind == "heavy-work")  # 3 in 100, twenty times
     worker.faults["heavy-work"] = heavy
     model = worker.model(action)
-    works = np.array([worker._work(model) for _ in range(4000)])
-    assert 0.02 < np.mean(works > 8 * action.work_ms) < 0.04
+    work_durations = np.array([worker._work_duration_ms(model) for _ in range(4000)])
+    assert 0.02 < np.mean(work_durations > 8 * action.work_ms) < 0.04
--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -416,7 +416,9 @@
     found = {}
     for section in ("no-such", *SETTINGS_KEYS):
         with pytest.raises(ValueError) as caught:
-            experiment.changed(day, whole, SimulationSettings(), [experiment.Change(section, "no-such", 1.0, place)])
+            experiment.apply_changes(
+                day, whole, SimulationSettings(), [experiment.Change(section, "no-such", 1.0, place)]
+            )
         found[section] = str(caught.value)
     assert found == {"no-such": BYTES["experiments"]["no-such"], **SETTINGS_KEYS}
 
