--- a/kelptrail/simulation/__init__.py
+++ b/kelptrail/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: what we balance, emulated in simulated time around the real cores, and experiments on it."""
+"""A cluster in simulated time around the real cores, and experiments over variants and seeds of it."""
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -1,8 +1,8 @@
-"""Emulated dispatchers around the real gateway core, their network, clients and list: one place in simulated time.
+"""A cluster in simulated time: real gateway cores with emulated network, disks, clients and endpoint lists.
 
-A dispatcher is the program's `Gateway` (and in it the module), with its journal on an emulated disk.  It is driven as
-the program's driver does: told what happens, pulled until there is nothing left, one timer.  Each input costs CPU time,
-so a dispatcher that is overloaded falls behind here, too.
+A dispatcher is the program's `Gateway` with its journal on an emulated disk.  It is driven as the program's driver does
+it: inputs, then effects until there are none, and one timer.  Each input costs CPU time, so an overloaded dispatcher
+falls behind here, too.
 """
 
 from __future__ import annotations
@@ -51,12 +51,16 @@
 POLL_MS, POLLING_GRACE_MS, WALL_CLOCK_ORIGIN_MS = 150.0, 3000.0, 1e12
 
 
+class SimulationError(ValueError):
+    """A scenario that its deployment does not support."""
+
+
 @dataclass(frozen=True, slots=True)
 class SimulationSettings:
-    """What the emulation assumes of machines and networks.  Milliseconds."""
+    """What the simulation assumes of machines and networks, in ms; field names are keys of experiments."""
 
     network_ms: float = 0.15  # one way, with what the loops on both ends add
-    cpu_ms: float = 0.1  # of a dispatcher, for each call taken and each answer
+    cpu_ms: float = 0.1  # of a dispatcher, for each call and each answer
     sync_ms: float = 2.0  # of its disk
     start_ms: float = 600.0  # a dispatcher's start until it serves
     restart_ms: float = 700.0  # a worker's
@@ -64,7 +68,7 @@
 
 @dataclass(slots=True, eq=False)
 class ClientCall:
-    """What a client wants done, over all its tries."""
+    """A call that a client wants done, over all its attempts to get it accepted and answered."""
 
     ticket: str
     action: ActionSettings
@@ -76,11 +80,11 @@
     sent_at: float = 0.0
     activation: str = ""
     number: str = ""
-    first_sent_at: float = 0.0  # when it first came
+    first_sent_at: float = 0.0  # simulated ms
     patience_timer: Timer | None = None
     invocation: Invocation | None = None
-    run: int = 0  # of the dispatcher that took it
-    after: Callable[[], None] | None = None  # of a closed loop: what its client does next
+    run: int = 0  # start number of the dispatcher that accepted it
+    after: Callable[[], None] | None = None  # in a closed loop: the client's next step
 
 
 class SimulatedDispatcher:
@@ -96,7 +100,7 @@
         self.edge = SimulatedEdge(cluster, self) if cluster.scenario.planners else None
 
     def start_process(self) -> None:
-        """Start with nothing but the last list and the book."""
+        """Start the process with nothing but the last endpoint list and the journal."""
         self.starts += 1
         self.boot = f"{zlib.crc32(f'{self.name}/{self.starts}'.encode()):08x}{self.number:04x}{self.starts:04x}"
         self.process_id = f"{self.name}/{self.boot}"
@@ -127,19 +131,19 @@
     edge: SimulatedEdge | None
 
     def kill(self) -> None:
-        """The process is gone; its book stays."""
+        """End the process; its journal remains."""
         self.up = False
 
     def lose_disk(self) -> None:
-        """Its book is gone."""
+        """Erase the journal."""
         self._journal_entries = {}
 
     def pause(self, duration_ms: float) -> None:
-        """It does nothing for a while; what comes waits for its turn."""
+        """Stop the process for a time; inputs queue meanwhile."""
         self._busy_until = max(self._busy_until, self._event_queue.now) + duration_ms
 
     def on_endpoints(self, endpoints: EndpointList) -> None:
-        """A new list."""
+        """A new endpoint list has arrived."""
         self.endpoints = endpoints
         if self.up:
             self.gateway.on_endpoints(self._event_queue.now, endpoints)
@@ -155,7 +159,7 @@
             self.schedule_decisions()
 
     def enqueue_input(self, callback: Callable[..., None], *arguments: Any) -> None:
-        """An input: it waits for its turn on the dispatcher's core."""
+        """Queue an input for the dispatcher's CPU."""
         start = self.starts
         self._busy_until = max(self._busy_until, self._event_queue.now) + self._settings.cpu_ms
         self._event_queue.at(self._busy_until, self._run_input, start, callback, arguments)
@@ -165,10 +169,10 @@
             callback(*arguments)
             self.schedule_decisions()
 
-    # As the driver does.
+    # What the driver does in the program.
 
     def schedule_decisions(self) -> None:
-        """Pull effects until there is none; see to the timer and the disk."""
+        """Carry out effects of the core until there are none, then write the journal and set the timer."""
         if self._deciding:
             return
         self._deciding = True
@@ -298,7 +302,7 @@
             self._event_queue.after(network_ms, arrive)
 
     def _write_journal(self) -> None:
-        """The journal's disk: one batch at a time."""
+        """Write the next batch of the journal, one batch at a time."""
         if self.journal is None or self._syncing:
             return
         batch = self.journal.ready(self._event_queue.now)
@@ -326,7 +330,7 @@
 
 
 class SimulatedCluster:
-    """One run of a script.  `capture`: keep all events, so that the audit and the bad days' report can read them."""
+    """One run of a fault scenario.  `capture`: keep all events for the history checker and the reports."""
 
     def __init__(
         self,
@@ -337,7 +341,7 @@
         capture: bool = False,
         shard: Shard | None = None,
     ) -> None:
-        """`shard`: this process's part of a run over several."""
+        """`shard`: this process's part of a run over several.  Raises `SimulationError` for planners without leases."""
         shard_part, self.shard = (shard.number, shard.shard_count) if shard is not None else (0, 1), shard
         self._seed = seed
         self._shard_part, self._id_prefix = shard_part, f"{shard_part[0]}-" if shard_part[1] > 1 else ""
@@ -401,7 +405,9 @@
         self.leases: SimulatedLeases | None = None
         self.local_dispatchers = [d for d in self.dispatchers if isinstance(d, SimulatedDispatcher)]
         if scenario.planners and deployment.leases is None:
-            raise ValueError(f"{scenario.name}: planners act under a lease: {scenario.deployment} needs (leases ...)")
+            raise SimulationError(
+                f"{scenario.name}: planners act under a lease: {scenario.deployment} needs (leases ...)"
+            )
         self.planners = [SimulatedPlanner(self, n, scenario.solver) for n in range(scenario.planners)]
         if deployment.leases is not None and shard is None:
             names = [d.name for d in self.local_dispatchers]
@@ -438,7 +444,7 @@
         self.event_queue.at(self.start + 999.0, self._sample_second)
 
     def _sample_second(self) -> None:
-        """What a second ends with."""
+        """Enter the gauges at the end of each second of the load."""
         second = self.second()
         second.in_hand = sum(d.gateway.in_flight for d in self.local_dispatchers if d.up)
         second.loads, self._fetches_before = self.store.fetches - self._fetches_before, self.store.fetches
@@ -453,15 +459,15 @@
         self.events.append({"what": event, "t": self.event_queue.now, **fields})
 
     def run(self) -> None:
-        """Play it whole, and then until the last client has its answer."""
+        """Run the scenario, and then until the last client has its answer."""
         longest_timeout_ms = max(t.timeout_ms for t in self.deployment.types.values())
         self.event_queue.run(self.start + self.scenario.seconds * 1000 + longest_timeout_ms + 5000)
 
     def second(self) -> Second:
-        """The second that it is, from the start of the load."""
+        """The results of the current second, counted from the start of the load."""
         return self.seconds[max(0, min(len(self.seconds) - 1, int((self.event_queue.now - self.start) / 1000)))]
 
-    # The list.
+    # Endpoint lists.
 
     def _publish_endpoints(self) -> None:
         self._version += 1
@@ -641,11 +647,11 @@
             dispatcher.gateway.on_client_gone(self.event_queue.now, invocation)
             self._on_not_taken(call)
 
-    def _on_accepted(self, call: ClientCall, worker_id: str) -> None:
+    def _on_accepted(self, call: ClientCall, activation_id: str) -> None:
         self._cancel_patience(call)
-        call.activation = worker_id
+        call.activation = activation_id
         if self.record_event is not None:
-            self.record_event("accepted", call=call.number, activation=worker_id)
+            self.record_event("accepted", call=call.number, activation=activation_id)
         self.event_queue.after(POLL_MS, self._poll, call)
 
     def _poll(self, call: ClientCall) -> None:
@@ -728,7 +734,7 @@
     def _retry_or_end(
         self, call: ClientCall, outcome: ClientOutcome, retry_after_ms: float = 0.0, within_ms: float | None = None
     ) -> None:
-        """The client's next step, by its habits."""
+        """Retry or end the call, by the client's behavior."""
         kind = self.deployment.types[call.action.type]
         wait = retry_delay_ms(
             call.behavior,
@@ -750,26 +756,26 @@
 
     # Other shards.
 
-    def on_shard_message(self, callback: str, arguments: tuple[Any, ...]) -> None:
-        """What another shard sent arrives now."""
+    def on_shard_message(self, kind: str, arguments: tuple[Any, ...]) -> None:
+        """A message of another shard arrives."""
         shard, network_ms = self.shard, self.settings.network_ms
         assert shard is not None
-        if callback == "reply":
+        if kind == "reply":
             shard.on_reply(*arguments)
-        elif callback == "mark":
+        elif kind == "mark":
             assert isinstance(self._effect_log, SharedEffectLog)
             self._effect_log.on_remote_effect(*arguments)
         else:
             to, number, *rest = arguments
             reply = answer_remote(shard, self.event_queue, network_ms, to, number)
-            if callback == "fetch":
+            if kind == "fetch":
                 self.store.fetch(rest[0], reply)
                 return
             worker = self.workers[rest[0]]
             assert isinstance(worker, _Worker)
             if not worker.up:
-                reply(AttemptStatus.UNREACHABLE, None if callback == "send" else 0)
-            elif callback == "order":
+                reply(AttemptStatus.UNREACHABLE, None if kind == "send" else 0)
+            elif kind == "order":
                 worker.order_instances(self.by_model[rest[1]], rest[2], rest[3], reply)
             else:
                 path, mark, activation, attempt, process_id, limit = rest[1:]
@@ -781,7 +787,7 @@
 
                 worker.start_attempt(self.deployment.actions[path], mark, activation, attempt, process_id, limit, end)
 
-    # Troubles.
+    # Faults.
 
     def _inject(self, fault: Fault) -> None:
         kind = fault.kind
@@ -927,7 +933,7 @@
         self._publish_endpoints()
 
     def _deploy(self, worker: _Worker | RemoteWorker, restart: bool) -> None:
-        """Drain, tell the worker, let its work end, stop it, start it anew."""
+        """Drain the worker, stop it, and with `restart` start it anew."""
         if not worker.up:
             return
         worker.state = "draining"
@@ -946,21 +952,21 @@
 
 
 class _Worker(SimulatedWorker):
-    """A worker with the ends of its connections."""
+    """A worker with its open connections."""
 
     def __init__(self, *arguments: Any) -> None:
         self.open_replies: dict[Callable[[AttemptStatus, WorkerAnswer | None], None], None] = {}
         super().__init__(*arguments)
 
     def close_connections(self) -> None:
-        """All its connections end."""
+        """Fail all open attempts: their connections are lost."""
         open_replies, self.open_replies = self.open_replies, {}
         for send_back in open_replies:
             send_back(AttemptStatus.CONNECTION_LOST, None)
 
 
 def result_of(cluster: SimulatedCluster) -> Result:
-    """What a run in one process came to."""
+    """The results of a run in one process."""
     served = {f"served_{name}": in_time / wanted for name, (wanted, in_time) in cluster.by_namespace.items() if wanted}
     planned = {
         "plans": float(sum(p.plans for p in cluster.planners)),
@@ -980,7 +986,7 @@
 def play(
     scenario: FaultScenario, deployment: Deployment, seed: int, settings: SimulationSettings | None = None
 ) -> Result:
-    """One run, for figures."""
+    """The results of one run in this process, without a capture."""
     cluster = SimulatedCluster(scenario, deployment, seed, settings)
     cluster.run()
     return result_of(cluster)
--- a/kelptrail/simulation/compare.py
+++ b/kelptrail/simulation/compare.py
@@ -1,4 +1,4 @@
-"""Variants told apart: differences of runs with the same point and seed, with confidence intervals; plots; a report."""
+"""Comparison of an experiment's variants: paired differences with confidence intervals, plots and a report."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import numpy as np
 from scipy import stats
 
-# Figure: whether more of it is better.
+# By figure: whether a larger value is better.
 BETTER = {
     "served_share": True,
     "recovery_s": False,
@@ -23,9 +23,13 @@
 }
 
 
+class NoCommonRunsError(ValueError):
+    """Two variants have no run with the same point and seed."""
+
+
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One figure of two variants over their common runs."""
+    """One figure of two variants over their common runs, with the 95% interval of the mean difference."""
 
     figure: str
     point: str
@@ -49,14 +53,14 @@
 
 
 def compare(first: list[dict[str, Any]], second: list[dict[str, Any]]) -> list[Difference]:
-    """Two variants' runs, paired by point and seed.  Raises `ValueError` where they have none in common."""
+    """Two variants' runs, paired by point and seed.  Raises `NoCommonRunsError` where they have none in common."""
     mine = {(r["point"], r["seed"]): r for r in first}
     pairs: dict[str, list[tuple[dict[str, Any], dict[str, Any]]]] = defaultdict(list)
     for row in second:
         if (other := mine.get((row["point"], row["seed"]))) is not None:
             pairs[row["point"]].append((other, row))
     if not pairs:
-        raise ValueError("no run of both has the same point and seed")
+        raise NoCommonRunsError("no run of both has the same point and seed")
     out = []
     for point, found in pairs.items():
         for figure, more in BETTER.items():
@@ -72,7 +76,7 @@
 def report(
     folder: Path, runs: list[dict[str, Any]], seconds: list[dict[str, Any]], spread: list[dict[str, Any]]
 ) -> Path:
-    """`report.md` beside the data, with its plots."""
+    """Write `report.md` and its plots beside the tables of an experiment; its path."""
     name = runs[0]["experiment"]
     variants = list(dict.fromkeys(r["variant"] for r in runs))
     points = list(dict.fromkeys(r["point"] for r in runs))
@@ -170,7 +174,7 @@
 
 
 def _draw_spread(folder: Path, spread: list[dict[str, Any]], variants: list[str], points: list[str]) -> None:
-    """How latencies lie, of all types, and what calls were given up for."""
+    """Plot the latency distribution by type, and the calls given up by cause."""
     from matplotlib import pyplot
 
     figure, axis = pyplot.subplots(figsize=(8, 4))
@@ -223,7 +227,7 @@
 
 
 def _draw_work(folder: Path, seconds: list[dict[str, Any]], variants: list[str], points: list[str]) -> None:
-    """Loads, orders, calls in hand and dispatchers that see a storm, over time, at the first point."""
+    """Plot loads, orders, calls in flight and dispatchers under overload control over time, at the first point."""
     from matplotlib import pyplot
 
     names = {"loads": "loads / s", "orders": "orders / s", "in_hand": "calls in hand", "storming": "not calm"}
--- a/kelptrail/simulation/event_queue.py
+++ b/kelptrail/simulation/event_queue.py
@@ -1,7 +1,7 @@
-"""Events in order of simulated time, and of entry at one time; nothing else happens.
+"""The event queue of the simulation: callbacks in order of simulated time, first in first out at equal times.
 
-Weighed: simpy, whose processes are generators that wait.  What is driven here are cores that are told and pulled: a
-heap of calls is all that they need, and events are what a run's time goes into.
+Considered: simpy, whose processes are generators that wait.  The cores that are simulated here take inputs and return
+effects, so a heap of callbacks is enough, and it is the hot path of a run.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Timer:
-    """An event that can be called off."""
+    """A scheduled callback that can be cancelled."""
 
     __slots__ = ("arguments", "callback")
 
@@ -21,12 +21,12 @@
         self.arguments = arguments
 
     def cancel(self) -> None:
-        """It does not happen."""
+        """Keep the callback from running; without effect once it has run."""
         self.callback, self.arguments = None, ()
 
 
 class EventQueue:
-    """Simulated time in milliseconds."""
+    """Callbacks by simulated time.  `now` is in milliseconds, `events` counts the callbacks that ran."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -35,25 +35,25 @@
         self._heap: list[tuple[float, int, Timer]] = []
 
     def at(self, when: float, callback: Callable[..., None], *arguments: Any) -> Timer:
-        """Let something happen at a time, at the earliest now."""
+        """Schedule a callback at a time in ms; a time that has passed counts as now."""
         timer = Timer(callback, arguments)
         self._sequence += 1
         heappush(self._heap, (max(self.now, when), self._sequence, timer))
         return timer
 
     def after(self, delay: float, callback: Callable[..., None], *arguments: Any) -> Timer:
-        """Let something happen after a delay."""
+        """Schedule a callback after a delay in ms."""
         return self.at(self.now + delay, callback, *arguments)
 
     def next_at(self) -> float:
-        """When the next thing happens; infinity where there is none."""
+        """Time of the next callback in ms; infinity where there is none."""
         heap = self._heap
         while heap and heap[0][2].callback is None:
             heappop(heap)
         return heap[0][0] if heap else float("inf")
 
     def run(self, until: float) -> None:
-        """Let everything happen up to a time."""
+        """Run all callbacks due up to a time in ms, and advance `now` to it."""
         heap = self._heap
         while heap and heap[0][0] <= until:
             self.now, _, timer = heappop(heap)
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: variants, sweeps and seeds of one script, played in parallel, kept in columns.
+"""Experiments: variants, sweeps and seeds of one fault scenario, run in parallel, with results as tables.
 
     (experiment NAME (script FILE) (seeds 1 2 3)
       (variant as-is)
@@ -6,7 +6,7 @@
       (sweep load.heed 1 0.5 0))
 
 A name in `set` and `sweep` is a section and a key: of the deployment (`dispatcher`, `rules`, `fleet`, `store` and so
-on), of the script (`script`, `load`, `trouble`: all of them), or of what the lab assumes (`lab`).
+on), of the scenario (`script`; `load` and `trouble`: every load and every fault), or of `SimulationSettings` (`lab`).
 """
 
 from __future__ import annotations
@@ -31,6 +31,10 @@
 DEPLOYMENT_SECTIONS = ("dispatcher", "rules", "fleet", "store", "front", "pool", "journal", "storm")
 
 
+class ChangeError(ValueError):
+    """A change names an unknown section or key, or has a value of another type; the text says what is expected."""
+
+
 @dataclass(frozen=True, slots=True)
 class Change:
     """One setting of a variant or of a sweep's point."""
@@ -46,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """A whole experiment, read and checked."""
+    """An experiment, read and checked."""
 
     name: str
     script: str
@@ -135,7 +139,7 @@
 def apply_changes(
     scenario: FaultScenario, deployment: Deployment, simulation: SimulationSettings, changes: list[Change]
 ) -> tuple[FaultScenario, Deployment, SimulationSettings]:
-    """The three with changes made.  Raises `ValueError` for a name that there is not, or a value of another kind."""
+    """The three with the changes applied.  Raises `ChangeError` for an unknown key or a value of another type."""
     for change in changes:
         section, key, value = change.section, change.key, change.value
         if section == "lab":
@@ -148,7 +152,7 @@
         elif section in DEPLOYMENT_SECTIONS:
             deployment = _replace_key(deployment, section, _replace_key(getattr(deployment, section), key, value))
         else:
-            raise ValueError("a section: lab, script, load, trouble, " + ", ".join(DEPLOYMENT_SECTIONS))
+            raise ChangeError("a section: lab, script, load, trouble, " + ", ".join(DEPLOYMENT_SECTIONS))
     return scenario, deployment, simulation
 
 
@@ -160,12 +164,12 @@
 def _fitting_value(run_one: Any, key: str, value: Any) -> Any:
     fields = _fields_by_key(run_one)
     if key not in fields:
-        raise ValueError("a key: " + ", ".join(name.replace("_", "-") for name in fields))
+        raise ChangeError("a key: " + ", ".join(name.replace("_", "-") for name in fields))
     current = getattr(run_one, fields[key])
     if isinstance(current, int) and not isinstance(current, bool) and isinstance(value, float):
         return int(value)
     if isinstance(current, bool | str) is not isinstance(value, bool | str) and not isinstance(current, list):
-        raise ValueError(f"a value like {current}")
+        raise ChangeError(f"a value like {current}")
     return value
 
 
@@ -175,7 +179,7 @@
 
 
 def run_one(path: str, variant: str, point: Change | None, seed: int) -> tuple[Rows, Rows, Rows]:
-    """One run in a process of its own: its figures, its seconds, its latencies."""
+    """One run, in a worker process: the rows of its figures, its seconds and its latencies."""
     experiment = load(path)
     scenario = load_scenario(experiment.script)
     changes = [*experiment.variants[variant], *([point] if point is not None else [])]
@@ -201,7 +205,7 @@
 
 
 def run(path: str, out: Path, workers: int, progress: Callable[[dict[str, Any]], None]) -> Rows:
-    """Play all runs over several processes; write the tables of `kelptrail.load.results`."""
+    """Run everything over `workers` processes, write the tables of `kelptrail.load.results`; the rows of the runs."""
     experiment = load(path)
     tables: tuple[Rows, Rows, Rows] = ([], [], [])
     with ProcessPoolExecutor(workers) as pool:
--- a/kelptrail/simulation/leases.py
+++ b/kelptrail/simulation/leases.py
@@ -1,7 +1,7 @@
-"""Leases in the lab: the real voters and askers on emulated disks, links and clocks, and what troubles do to them.
+"""Simulated leases: the real acceptors and lease clients on emulated disks, links and clocks, and their faults.
 
-A link that is cut holds what is sent until it is whole again, or, once its silence was noticed, carries nothing; a
-paused node reads what came once it wakes; a lost disk is an empty one: as between real processes.
+A cut link holds messages until it is healed; once the silence timeout has passed, it drops them.  A paused node reads
+its messages when it resumes; a lost disk is an empty one: as between real processes.
 """
 
 from __future__ import annotations
@@ -56,16 +56,16 @@
     disk_fails: bool = False
     core_timer: Timer | None = None
     wanted_tasks: dict[str, tuple[Callable[[FencingToken], None], Callable[[], None]]] = field(default_factory=dict)
-    messages_received: int = 0  # messages that came
+    messages_received: int = 0
     lease_uses: int = 0
 
     def local_time(self, now: float) -> float:
-        """What its clock says."""
+        """The time in ms that the node's clock shows at simulated time `now`."""
         return self.clock_base_ms + (now - self.clock_set_at_ms) * self.clock_rate
 
 
 class SimulatedLeases:
-    """All nodes of a site.  `note` takes what a witness would see; `delay` tells how long a message takes."""
+    """All lease nodes of a cluster; `record_event` records each use of a lease that a witness would see."""
 
     def __init__(
         self,
@@ -93,7 +93,7 @@
             self.start_process(node)
 
     def start_process(self, node: LeaseNode) -> None:
-        """A process starts, with what its disk holds."""
+        """Start a node's process with what its disk holds."""
         node.starts += 1
         node.up, node.paused, node.unread = True, False, []
         node.lease_client = LeaseClient(node.name, f"{node.name}/{self._seed}-{node.starts}", self.settings)
@@ -107,14 +107,14 @@
     def want(
         self, node: LeaseNode, task: str, on_acquired: Callable[[FencingToken], None], on_lost: Callable[[], None]
     ) -> None:
-        """Have a node hold a task whenever it can."""
+        """Have a node acquire the lease of a task whenever it can."""
         node.wanted_tasks[task] = on_acquired, on_lost
         if node.up and node.lease_client is not None:
             node.lease_client.want(node.local_time(self._event_queue.now), task, self._length_ms)
             self._run_cores(node)
 
     def contend(self, tasks: tuple[str, ...], names: list[str]) -> None:
-        """Have these nodes want the tasks, and act under them at a witness."""
+        """Have these nodes compete for the leases of tasks, and use each lease at a witness while they hold it."""
         for node in (self.nodes[name] for name in names):
             for task in tasks:
                 self.want(
@@ -125,7 +125,7 @@
                 )
 
     def holds(self, name: str, task: str) -> FencingToken | None:
-        """The token under which a node may act now."""
+        """The token of the lease that a node holds now; None where it holds none."""
         node = self.nodes[name]
         if not node.up or node.paused or node.lease_client is None:
             return None
@@ -152,7 +152,7 @@
                     )
         self._event_queue.after(LEASE_USE_INTERVAL_MS, self._use_lease, node, start, task, token)
 
-    # Carrying out.
+    # Running the cores.
 
     def _run_cores(self, node: LeaseNode) -> None:
         if not node.up or node.paused or node.lease_client is None:
@@ -234,17 +234,17 @@
         self._deliver(node, sender, message)
         self._run_cores(node)
 
-    # What goes wrong.
+    # Faults.
 
     def kill(self, name: str, disk_lost: bool = False) -> None:
-        """A process is gone, with its disk where told."""
+        """End a node's process; with `disk_lost` also erase its disk."""
         node = self.nodes[name]
         node.up, node.lease_client, node.acceptor = False, None, None
         if disk_lost:
             node.memory, node.rows = None, {}
 
     def inject(self, fault: Fault, node_names: list[str], one_way: Callable[[], bool]) -> None:
-        """One of the troubles between dispatchers; kills and lost machines are told by `kill` and `begin`."""
+        """Inject a fault between nodes for its duration; `kill` and `start_process` serve kills and lost machines."""
         kind, duration_ms, event_queue = fault.kind, fault.duration * 1000, self._event_queue
         nodes = [self.nodes[name] for name in node_names if name in self.nodes]
         if kind == "cut-peers":
@@ -280,13 +280,13 @@
         self._run_cores(node)
 
     def cut(self, pairs: list[tuple[str, str]]) -> None:
-        """These links, one way each, carry nothing."""
+        """Cut these links, each a (sender, receiver) pair."""
         for pair in pairs:
             self._cut_since.setdefault(pair, self._event_queue.now)
         self._cut_links.update(pairs)
 
     def heal(self, pairs: list[tuple[str, str]]) -> None:
-        """They are whole again; one whose silence was noticed is a new one."""
+        """Heal these links; held messages are delivered only within the silence timeout."""
         self._cut_links.subtract(pairs)
         for pair in pairs:
             if self._cut_links[pair] <= 0:
@@ -295,12 +295,12 @@
                     self._send(*pair, message)
 
     def set_disk(self, name: str, sync_ms: float, fails: bool) -> None:
-        """What ails a disk."""
+        """Set the write time of a node's disk in ms, and whether its writes fail."""
         if (node := self.nodes.get(name)) is not None:
             node.sync_ms, node.disk_fails = sync_ms, fails
 
     def status(self) -> dict[str, Any]:
-        """Counts."""
+        """Messages received by node, and uses of leases; the keys are part of the report."""
         return {
             "told": {name: node.messages_received for name, node in self.nodes.items()},
             "acts": sum(node.lease_uses for node in self.nodes.values()),
--- a/kelptrail/simulation/planners.py
+++ b/kelptrail/simulation/planners.py
@@ -1,4 +1,4 @@
-"""Planners in the lab: the real core and the real edge's side; emulated ways, solvers that take their time, faults."""
+"""Simulated planners: the real planner core and plan follower, with emulated network, solver time and faults."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     from .cluster import SimulatedCluster, SimulatedDispatcher
 
 TICK_MS, REPORT_MS, HOUR_OF_DAY = 250.0, 1000.0, 8
-SOLVE_MS = 200.0  # what a plan takes, beyond what a trouble adds
+SOLVE_MS = 200.0  # of a plan, without what a fault adds
 
 
 class SimulatedPlanner:
-    """One planner's process."""
+    """One planner process; its snapshot outlives a restart."""
 
     def __init__(self, cluster: SimulatedCluster, number: int, solver: str) -> None:
         self._cluster, self.name, self._solver = cluster, f"planner-{number}", solver
@@ -34,7 +34,7 @@
         self.start_process(True)
 
     def start_process(self, without_snapshot: bool = False) -> None:
-        """Start, with the snapshot or with nothing."""
+        """Start the process from its snapshot, or, with `without_snapshot`, empty."""
         self.up, self._starts = True, self._starts + 1
         leases = self._cluster.leases
         if leases is not None and self._starts > 1:
@@ -47,21 +47,21 @@
         self._cluster.event_queue.after(TICK_MS, self._tick, self._starts)
 
     def on_lease_acquired(self, token: FencingToken) -> None:
-        """It holds the lease."""
+        """The planner has acquired the lease: it leads."""
         self.core.on_lease_acquired(self._cluster.event_queue.now, token.round, token.who)
 
     def on_lease_lost(self) -> None:
-        """It holds it no more."""
+        """The planner has lost the lease and its leadership."""
         self.core.on_lease_lost()
 
     def kill(self) -> None:
-        """Gone."""
+        """End the process."""
         self.up = False
         if self._cluster.leases is not None:
             self._cluster.leases.kill(self.name)
 
     def on_endpoints(self, endpoints: EndpointList) -> None:
-        """A new list."""
+        """A new endpoint list has arrived."""
         self.core.on_endpoints(
             self._cluster.event_queue.now,
             worker_capacities(self._cluster.deployment, endpoints),
@@ -101,12 +101,12 @@
 
     @property
     def is_leading(self) -> bool:
-        """Whether it makes plans."""
+        """Whether the planner is up and leads."""
         return self.up and self.core.role is Role.LEADER
 
 
 class SimulatedEdge:
-    """The edge's side in one dispatcher's process; a new start keeps the last plan, as the disk does."""
+    """The plan follower of one dispatcher; a restart keeps the last plan, as the disk does."""
 
     def __init__(self, cluster: SimulatedCluster, dispatcher: SimulatedDispatcher) -> None:
         self._cluster, self._dispatcher = cluster, dispatcher
@@ -114,7 +114,7 @@
         self.start_process()
 
     def start_process(self) -> None:
-        """A new start of the dispatcher."""
+        """Start with the dispatcher's process, from the last plan where there is one."""
         now = self._cluster.event_queue.now
         self._start = self._dispatcher.starts
         self.follower, self._leader_contact = PlanState(self._cluster.deployment.name), LeaderContact(now)
@@ -130,7 +130,7 @@
         return {w.id for w in self._dispatcher.gateway.members if w.live}
 
     def on_endpoints(self) -> None:
-        """The list has changed."""
+        """The dispatcher's endpoint list has changed."""
         members = self._dispatcher.gateway.members
         self.follower.on_endpoints(
             self._cluster.event_queue.now, self._live_workers(), (members.lineage, members.version)
@@ -139,7 +139,7 @@
         self.apply()
 
     def apply(self) -> None:
-        """Tell the core what the plan in force wants."""
+        """Pass the target of the plan in force to the gateway core."""
         target = self.follower.target(self._cluster.event_queue.now)
         order = self.follower.plan.header.order if target is not None and self.follower.plan is not None else None
         if order != self._applied or order is None:
@@ -148,7 +148,7 @@
             self._dispatcher.schedule_decisions()
 
     def on_plan_offered(self, planner: SimulatedPlanner, plan: Plan, age_ms: float) -> None:
-        """A plan has come."""
+        """A planner's plan has arrived: apply it, or report to the planner why it is refused."""
         if not self._dispatcher.up:
             return
         now, members = self._cluster.event_queue.now, self._dispatcher.gateway.members
@@ -182,5 +182,5 @@
                     self._leader_contact.last_ms = now
                 planner.core.on_report(now, self._dispatcher.name, self.follower.fence, counters, loaded)
         if self.follower.target(now) is None and self._applied is not None:
-            self.apply()  # it has run out
+            self.apply()  # the plan has expired
         self._cluster.event_queue.after(REPORT_MS, self._report, start)
--- a/kelptrail/simulation/sharding.py
+++ b/kelptrail/simulation/sharding.py
@@ -1,13 +1,13 @@
-"""One run of the lab over several processes, in windows that no message from another shard can reach into.
+"""One simulation run over several processes, in windows that no message from another shard can reach into.
 
 A shard has a part of the dispatchers with their clients, a part of the workers (a cell stays whole) and, the first
-one, the store.  What goes between shards takes `network_ms` at least, so every shard may play on to the earliest event
-of all plus that time before it must hear from the others (conservative windows, in the manner of Chandy, Misra and
-Bryant; weighed: optimistic time warp, which would have to undo what the real cores have decided).  Troubles fall on all
-shards alike: each draws the same victims, and keeps the state of workers that are elsewhere.
+one, the store.  A message between shards takes at least `network_ms`, so every shard may run up to the earliest event
+of all shards plus that time before it needs the others' messages (conservative windows, after Chandy, Misra and Bryant;
+considered: optimistic time warp, which would have to undo decisions of the real cores).  Faults apply to all shards
+alike: each draws the same victims, and keeps the state of workers of other shards.
 
-Other than in one process: a client comes again within its shard's dispatchers, the store is a network's way off from
-workers of other shards, and a mark against repeats is known there one way later.
+Differences from a run in one process: a client retries among its shard's dispatchers only, the store is one network
+delay away from workers of other shards, and an effect is known in other shards one network delay later.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 if TYPE_CHECKING:
     from .cluster import SimulationSettings
 
-WINDOW_FRACTION = 0.999  # of the least way: a window ends before what its own events cause elsewhere
-Message = tuple[float, int, str, tuple[Any, ...]]  # when it arrives, at which shard, what, with which words
+WINDOW_FRACTION = 0.999  # of the network delay: a window ends before its own events can reach another shard
+Message = tuple[float, int, str, tuple[Any, ...]]  # arrival time in ms, target shard, kind, arguments
 
 
 class Shard:
-    """This process's part, and its mail."""
+    """This process's part of the run, and its outgoing messages."""
 
     def __init__(self, number: int, shard_count: int) -> None:
         self.number, self.shard_count = number, shard_count
@@ -43,32 +43,32 @@
         self._last_request = 0
 
     def has_dispatcher(self, dispatcher: int) -> bool:
-        """Whether a dispatcher is here."""
+        """Whether a dispatcher, by number, is in this shard."""
         return dispatcher % self.shard_count == self.number
 
     def shard_of_worker(self, worker: int) -> int:
-        """The shard of a worker."""
+        """The number of the shard that has a worker; both workers of a cell are in one shard."""
         return worker // 2 % self.shard_count
 
     def post(self, when: float, target: int, kind: str, *arguments: Any) -> None:
-        """Something that happens in another shard."""
+        """Send a message that arrives at another shard at time `when` in ms."""
         self.out.append((when, target, kind, arguments))
 
     def request(self, when: float, target: int, kind: str, on_reply: Callable[..., None], *arguments: Any) -> None:
-        """The same, with a reply that calls `then`."""
+        """Send a message whose first reply calls `on_reply`."""
         self._last_request += 1
         self._replies[self._last_request] = on_reply
         self.post(when, target, kind, self.number, self._last_request, *arguments)
 
     def on_reply(self, number: int, arguments: tuple[Any, ...]) -> None:
-        """A reply has come."""
+        """Deliver a reply to a request; a second reply is ignored."""
         on_reply = self._replies.pop(number, None)
         if on_reply is not None:
             on_reply(*arguments)
 
 
 class RemoteWorker:
-    """A worker of another shard: its state as troubles change it, and the way there."""
+    """A worker of another shard: its state as faults change it, and the connection to it."""
 
     def __init__(
         self,
@@ -88,54 +88,54 @@
         self.start_process(True)
 
     def start_process(self, warm: bool) -> None:
-        """A new start, as the other shard has it."""
+        """Start the process anew, as the worker's own shard does."""
         self._starts += 1
         self.incarnation = f"{zlib.crc32(self.id.encode()):08x}-{self._starts}"
         self.started = self._event_queue.now - (self._cold_ms + 1 if warm else 0.0)
 
     @property
     def endpoint(self) -> Endpoint:
-        """As the list tells of it."""
+        """The worker as the endpoint list shows it."""
         return Endpoint(
             self.id, self.id, self.state, self.incarnation, self._event_queue.now - self.started, self._zone, self._cell
         )
 
     def close_connections(self) -> None:
-        """The other shard tells those whose connections end."""
+        """Nothing to do: the worker's own shard reports the lost connections."""
 
     def inject(self, kind: str, fault: Any) -> None:
-        """It acts in the other shard; here only a new start counts."""
+        """The fault acts in the worker's own shard; here only a restart matters."""
         if kind == "restart-cold":
             self.start_process(False)
 
     def request(self, kind: str, on_reply: Callable[..., None], *arguments: Any) -> None:
-        """Send it something; `then` hears the reply, one way after it was given there."""
+        """Send the worker a request; `on_reply` gets the reply one network delay after it was given."""
         self._shard.request(
             self._event_queue.now + self._settings.network_ms, self._home_shard, kind, on_reply, self.id, *arguments
         )
 
 
 class RemoteDispatcher:
-    """A dispatcher of another shard."""
+    """A dispatcher of another shard; only whether it is up is known here."""
 
     def __init__(self, number: int) -> None:
         self.number, self.name, self.up = number, f"dispatcher-{number}", True
         self.sync_ms, self.disk_fails = 0.0, False
 
     def kill(self) -> None:
-        """Down, as it is in its own shard."""
+        """Mark the dispatcher as down."""
         self.up = False
 
     def start_process(self) -> None:
-        """And up again."""
+        """Mark the dispatcher as up."""
         self.up = True
 
     def on_endpoints(self, endpoints: Any) -> None:
-        """Its own shard tells it."""
+        """Nothing to do: its own shard delivers the list."""
 
 
 class RemoteStore:
-    """The store, seen from another shard."""
+    """The model store, as the shards without it reach it."""
 
     def __init__(self, shard: Shard, event_queue: EventQueue, settings: SimulationSettings) -> None:
         self._shard, self._event_queue, self._settings = shard, event_queue, settings
@@ -146,11 +146,11 @@
         self._shard.request(self._event_queue.now + self._settings.network_ms, 0, "fetch", on_done, ms)
 
     def inject(self, kind: str, factor: float, duration_ms: float) -> None:
-        """It acts in the first shard."""
+        """Nothing to do: the fault acts in the first shard."""
 
 
 class SharedEffectLog(dict[tuple[str, str], float]):
-    """Marks against repeats; those set here are told to all shards."""
+    """The log of effects against repeats; entries of this shard are sent to all others."""
 
     def __init__(self, shard: Shard, event_queue: EventQueue, settings: SimulationSettings) -> None:
         super().__init__()
@@ -164,12 +164,12 @@
                     self._shard.post(self._event_queue.now + self._settings.network_ms, target, "mark", key, when)
 
     def on_remote_effect(self, key: tuple[str, str], when: float) -> None:
-        """Set elsewhere."""
+        """Enter an effect of another shard, without sending it on."""
         super().__setitem__(key, when)
 
 
 def _run_shard(pipe: Connection, number: int, shard_count: int, arguments: tuple[Any, ...], capture: bool) -> None:
-    """One shard's process: play up to where it is told, hand over the mail."""
+    """Run one shard's process: up to each window's end, then exchange messages with the coordinator."""
     try:
         from .cluster import SimulatedCluster
 
@@ -199,7 +199,7 @@
     except (KeyboardInterrupt, EOFError, BrokenPipeError):
         pass
     except BaseException:
-        pipe.send(RuntimeError(traceback.format_exc()))
+        pipe.send(ShardError(traceback.format_exc()))
         raise
 
 
@@ -247,8 +247,8 @@
         received = pipe.recv()
     except EOFError:
         raise ShardError("a shard's process ended") from None
-    if isinstance(received, RuntimeError):
-        raise ShardError(str(received))
+    if isinstance(received, ShardError):
+        raise received
     return received
 
 
@@ -311,7 +311,7 @@
 def answer_remote(
     shard: Shard, event_queue: EventQueue, network_ms: float, target: int, number: int
 ) -> Callable[..., None]:
-    """What a worker or the store is given to reply with, for an asker in another shard; the first reply counts."""
+    """The callback by which a worker or the store replies to a request of another shard; the first reply counts."""
 
     def reply(*arguments: Any) -> None:
         shard.post(event_queue.now + network_ms, target, "reply", number, arguments)
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -1,7 +1,7 @@
-"""Emulated workers and the store they load through: the stand-in worker's rules, in simulated time.
+"""Simulated workers and their model store: the rules of the emulated worker, in simulated time.
 
-Cores, lanes, a bounded queue, copies that load and leave, cold starts, group memory against repeats, and the faults of
-the bad days.  What is left out is in `docs/lab.md`.
+A worker has cores, a bounded queue, instances that are loaded and unloaded, a slow start after a restart, a log of
+effects shared by its group against repeats, and the faults of fault scenarios.  `docs/lab.md` says what is left out.
 """
 
 from __future__ import annotations
@@ -27,11 +27,13 @@
 
 
 class SimulatedStore:
-    """The model store: more fetches than it serves at once slow all of them; past a limit it refuses."""
+    """The model store: concurrent fetches beyond its capacity share its rate; past a limit it refuses them."""
 
     def __init__(self, event_queue: EventQueue, settings: StoreSettings) -> None:
         self._event_queue, self._settings = event_queue, settings
-        self._remaining: dict[int, tuple[float, Callable[[bool], None]]] = {}  # ms of work left of each fetch
+        self._remaining: dict[
+            int, tuple[float, Callable[[bool], None]]
+        ] = {}  # ms of work left of each fetch, and its callback
         self._last_fetch, self._updated_at = 0, 0.0
         self._completion_timer: Any = None
         self.slow_factor, self.refusing, self.stopped = 1.0, False, False
@@ -43,7 +45,7 @@
         return min(1.0, self._settings.fetches / len(self._remaining)) / self.slow_factor
 
     def _advance(self) -> None:
-        """Work off what time has passed."""
+        """Subtract the work done since the last update from every open fetch."""
         done = (self._event_queue.now - self._updated_at) * self._service_rate()
         self._updated_at = self._event_queue.now
         if done:
@@ -67,7 +69,7 @@
             on_done(True)
 
     def fetch(self, ms: float, on_done: Callable[[bool], None]) -> None:
-        """Fetch what takes so many ms at full pace."""
+        """Fetch what takes `ms` at the full rate; `on_done` gets whether it succeeded."""
         self._advance()
         if self.refusing or len(self._remaining) >= self._settings.most:
             self.refused += 1
@@ -79,7 +81,7 @@
         self._schedule_completion()
 
     def inject(self, kind: str, factor: float, duration_ms: float) -> None:
-        """`slow`, `refuse` or `stopped`, for a time."""
+        """Inject `slow`, `refuse` or `stopped` for `duration_ms`."""
         self._advance()
         if kind == "slow":
             self.slow_factor = factor
@@ -126,7 +128,7 @@
 
 
 class SimulatedWorker:
-    """One worker; `note` takes what the audit wants to know, or is None."""
+    """One worker process; `record_event` records what the history checker reads, None without a capture."""
 
     def __init__(
         self,
@@ -158,12 +160,12 @@
         self.start_process(warm)
 
     def start_process(self, warm: bool) -> None:
-        """A new start of the process."""
+        """Start the process anew, empty; `warm`: past its slow start already."""
         self._starts += 1
         self.incarnation = f"{zlib.crc32(self.id.encode()):08x}-{self._starts}"
         self.started = self._event_queue.now - (self._rules.cold_ms + 1 if warm else 0.0)
         self._models: dict[str, _FunctionState] = {}
-        self._resident: dict[str, _FunctionState] = {}  # models that stand or load
+        self._resident: dict[str, _FunctionState] = {}  # models with instances that are loaded or loading
         self.running = self._loads = 0
         self._memory = 0.0
         self._queue: deque[_FunctionState] = deque()
@@ -171,12 +173,8 @@
         self._cold_arrivals: deque[tuple[float, float]] = deque()
         self._cold_work_ms = 0.0
         self.draining = self.collapsed = False
-        self._busy_ms, self._utilization_at, self._utilization, self._last_report = (
-            0.0,
-            self._event_queue.now,
-            0.0,
-            (0.0, 0.0, 0.0),
-        )
+        self._utilization_at, self._utilization = self._event_queue.now, 0.0
+        self._last_report = (0.0, 0.0, 0.0)
         self._reported_at = -1e9
         if self._record_event is not None:
             self._record_event(
@@ -191,13 +189,13 @@
 
     @property
     def endpoint(self) -> Endpoint:
-        """As the list tells of it."""
+        """The worker as the endpoint list shows it."""
         return Endpoint(
             self.id, self.id, self.state, self.incarnation, self._event_queue.now - self.started, self.zone, self.cell
         )
 
     def model(self, action: ActionSettings) -> _FunctionState:
-        """The worker's view of a model."""
+        """The worker's state of an action's model, made on first use."""
         was_loaded = self._models.get(action.model)
         if was_loaded is None:
             was_loaded = self._models[action.model] = _FunctionState(action, self._deployment.types[action.type])
@@ -205,7 +203,7 @@
 
     @property
     def slow_start_capacity(self) -> float:
-        """The share of its capacity that it has by its age."""
+        """The share of its capacity, 0 to 1, that the worker has at its age."""
         age = self._event_queue.now - self.started
         if age >= self._rules.cold_ms:
             return 1.0
@@ -213,13 +211,13 @@
 
     @property
     def idle_mb(self) -> float:
-        """Memory of copies that stand and on which nothing runs."""
+        """Memory in MB of loaded instances on which nothing runs."""
         return sum(
             (m.loaded - min(m.loaded, -(-m.busy // m.action.lanes))) * m.action.memory_mb
             for m in self._resident.values()
         )
 
-    # Sends.
+    # Attempts.
 
     def start_attempt(
         self,
@@ -232,8 +230,8 @@
         reply: Reply,
         read_delay_ms: float = 0.0,
     ) -> None:
-        """A send is read, `lag` ms after it arrived."""
-        if self._event_queue.now < self._paused_until:  # it waits in the socket
+        """Read an attempt, `read_delay_ms` after it arrived, and answer it through `reply`."""
+        if self._event_queue.now < self._paused_until:  # unread in the socket
             wait = self._paused_until - self._event_queue.now
             self._event_queue.at(
                 self._paused_until,
@@ -327,7 +325,7 @@
     def _update_utilization(self) -> None:
         now = self._event_queue.now
         elapsed_ms = now - self._utilization_at
-        if elapsed_ms > 0:  # the average over some 250 ms that the stand-in keeps
+        if elapsed_ms > 0:  # moving average over some 250 ms, as the emulated worker reports it
             weight = min(1.0, elapsed_ms / 250)
             self._utilization += weight * (self.running / self._fleet.cores - self._utilization)
             self._utilization_at = now
@@ -381,7 +379,7 @@
         utilization, loads, memory = self._last_report
         return {"util": utilization, "x1": loads, "x0": memory}
 
-    # Copies.
+    # Instances.
 
     def order_instances(
         self,
@@ -391,7 +389,7 @@
         on_done: Callable[[AttemptStatus, int], None],
         read_delay_ms: float = 0.0,
     ) -> None:
-        """A hold order is read, `lag` ms after it arrived."""
+        """Read an order to keep `instances` loaded, `read_delay_ms` after it arrived."""
         if self._event_queue.now < self._paused_until:
             wait = self._paused_until - self._event_queue.now
             self._event_queue.at(
@@ -436,7 +434,7 @@
         now = self._event_queue.now
         for other in [
             m
-            for m in self._resident.values()  # idle beyond its keep-alive: gone already
+            for m in self._resident.values()  # idle beyond their keep-alive
             if m.loaded and not m.busy and now - m.last_used > self._fleet.keep_ms
         ]:
             self._unload(other, other.loaded)
@@ -497,7 +495,7 @@
         self._start_queued()
 
     def _unload_if_idle(self, model: _FunctionState, start: int) -> None:
-        """A copy leaves once it has been idle for its keep-alive."""
+        """Unload the instances once they have been idle for their keep-alive."""
         if start != self._starts or not self.up or not model.loaded:
             return
         left = model.last_used + self._fleet.keep_ms - self._event_queue.now
@@ -516,7 +514,7 @@
                     self._unload(model, model.loaded - -(-model.busy // model.action.lanes))
         elif kind == "restart-cold":
             self.start_process(warm=False)
-        elif kind == "pause":  # the whole process stands still; then it goes on with what came meanwhile
+        elif kind == "pause":  # the process stops; later it reads what arrived meanwhile
             self._paused_until = self._event_queue.now + fault.duration * 1000
         else:
             self.faults[kind] = fault
