--- a/bench/copies.py
+++ b/bench/copies.py
@@ -33,7 +33,7 @@
 from kelptrail.membership.members import Endpoint, EndpointList
 from kelptrail.replication.messages import ReplicaEntry
 from kelptrail.replication.model import Model as Walk
-from kelptrail.replication.replica import ReplicaWrite
+from kelptrail.replication.replica import Fence, ReplicaWrite
 from kelptrail.replication.replica_store import ReadRequest, open_replica_store
 from kelptrail.settings.deployment import parse
 from kelptrail.store.entries import Accepted, Ended, MayRun, pack
@@ -221,7 +221,9 @@
             if n >= count * share:
                 entries += [MayRun(id_, wall - 2000, "w0"), Ended(id_, wall, "completed", 0, b'{"family":7}' * 20)]
             items += [ReplicaEntry(e.id, (Accepted, MayRun, Ended).index(type(e)), 3000.0, pack(e)[0]) for e in entries]
-        shelves.commit([ReplicaWrite("lost.1", tuple(items), fence=(FencingToken(1, "lost/1"), "lost"), wall_ms=wall)])
+        shelves.commit(
+            [ReplicaWrite("lost.1", tuple(items), fence=Fence(FencingToken(1, "lost/1"), "lost"), wall_ms=wall)]
+        )
         gc.collect()
         gc.freeze()
         gc.set_threshold(50_000, 20, 1_000_000)  # as the program does
--- a/kelptrail/membership/__init__.py
+++ b/kelptrail/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who the workers are: the list as its source tells it, and the members it makes."""
+"""The endpoint list of workers and dispatchers, and the worker entities that it defines."""
--- a/kelptrail/membership/client.py
+++ b/kelptrail/membership/client.py
@@ -1,7 +1,7 @@
-"""Follows a roster source: long polls over HTTP, keeps the last list on disk, starts from it.
+"""Follows an endpoint source by HTTP long polls, saves the last list to disk and starts from it.
 
-The list on disk is the only thing that a dispatcher knows after a restart; ages in it only ever grow, so that a
-worker is never taken to be warmer than it may be.
+The saved list is all that a dispatcher knows after a restart.  An age in it can only be too small, so no worker is
+treated as warmer than it is.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class EndpointClient:
-    """One source; `changed` is called with every new list.  Times are milliseconds."""
+    """Client of one endpoint source; `on_change` is called with every new list.  Times are milliseconds."""
 
     def __init__(
         self,
@@ -43,14 +43,14 @@
             log,
         )
         self._poll_wait_ms, self._backoff_ms = poll_wait_ms, backoff_ms
-        self.address = ""  # where this dispatcher can be asked for what it took
-        self.channel_address = ""  # where its channel to other dispatchers listens
-        self.zone = ""  # where it stands
+        self.address = ""  # where this dispatcher serves its activations
+        self.channel_address = ""  # of its peer listener
+        self.zone = ""  # of this dispatcher
         self.endpoints: EndpointList | None = None
-        self.saved = True  # whether the last list could be kept
+        self.saved = True  # whether the last list was written to disk
 
     def load_saved(self) -> bool:
-        """Take up the list on disk, if there is a sound one."""
+        """Apply the saved list; False if there is none or it is unreadable."""
         if self._saved_file is None or not self._saved_file.exists():
             return False
         try:
@@ -58,12 +58,12 @@
         except (OSError, msgspec.MsgspecError) as cause:
             self._log.warning("last-list-unusable", file=str(self._saved_file), reason=str(cause))
             return False
-        # Its lineage is dropped: whatever the source says first replaces it.
+        # Without its lineage, so that the first list of the source replaces it whatever its version.
         self._on_change(EndpointList(-1, endpoints.workers, "last", endpoints.dispatchers))
         return True
 
     async def follow(self) -> None:
-        """Ask on and on; failures keep the old list and are tried again after a pause."""
+        """Poll until cancelled; after a failure the old list stays and the poll is retried with backoff."""
         http, backoff_ms = HttpClient(self._address), self._backoff_ms
         while True:
             known_version = f"{self.endpoints.lineage}:{self.endpoints.version}" if self.endpoints else ""
--- a/kelptrail/membership/members.py
+++ b/kelptrail/membership/members.py
@@ -1,24 +1,25 @@
-"""Lists of workers turned into the members that decisions are about; free of I/O.
+"""Applies endpoint lists to the worker entities on which decisions are made; free of I/O.
 
-A list names every worker with an address, a state, an incarnation (new at each start of its process) and an age.
-A worker missing from a list is gone.  A list older than the one in force changes nothing.
+A list has for every worker an address, a state, an incarnation (new at each start of its process) and an age.
+A worker missing from a list is removed.  A list older than the current one is ignored.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from hashlib import blake2b
+from typing import NamedTuple
 
 import msgspec
 
 from kelptrail.dispatch.entities import Worker, WorkerState
 
-ID_PREFIX_DIGITS = 6  # hex digits of an id that tell which dispatcher gave it
+ID_PREFIX_DIGITS = 6  # leading hex digits of an activation id, derived from the name of its dispatcher
 STATE_BY_NAME = {"live": WorkerState.LIVE, "draining": WorkerState.DRAINING, "gone": WorkerState.REMOVED}
 
 
 class Endpoint(msgspec.Struct, frozen=True):
-    """One worker of a list; `age_ms` is how long its process has run."""
+    """One worker of a list; `age_ms` is the time since the start of its process."""
 
     id: str
     address: str
@@ -32,8 +33,10 @@
 
 
 class Peer(msgspec.Struct, frozen=True):
-    """A dispatcher that follows the list, where it can be asked for what it took, where its channel listens, and where
-    it stands."""
+    """A dispatcher that follows the list.
+
+    `address` serves its activations, `channel` is the address of its peer listener.
+    """
 
     name: str
     address: str
@@ -42,7 +45,7 @@
 
 
 class EndpointList(msgspec.Struct, frozen=True):
-    """A whole list.  `lineage` names the source's run; versions only grow within one."""
+    """A complete list.  `lineage` identifies the run of its source; versions increase within one."""
 
     version: int
     workers: list[Endpoint]
@@ -51,19 +54,26 @@
 
 
 def id_prefix(name: str) -> str:
-    """The first hex digits of every id that a dispatcher of this name gives, whatever its run."""
+    """The first hex digits of every id issued by a dispatcher of this name, in any run."""
     return blake2b(name.encode(), digest_size=ID_PREFIX_DIGITS // 2).hexdigest()
 
 
+class WorkerChanges(NamedTuple):
+    """All workers after a list was applied, including those just removed, and those that have restarted."""
+
+    workers: list[Worker]
+    restarted: list[Worker]
+
+
 class WorkerRegistry:
-    """The workers known here, live, draining and just gone."""
+    """The known workers: live, draining and just removed."""
 
     def __init__(self, zones: dict[str, int]) -> None:
         self._zones = zones
         self._workers: dict[str, Worker] = {}
         self._incarnations: dict[str, str] = {}
         self.addresses: dict[Worker, str] = {}
-        self.dispatchers_by_prefix: dict[str, Peer] = {}  # by the prefix of the ids that they give
+        self.dispatchers_by_prefix: dict[str, Peer] = {}  # by the prefix of the ids that they issue
         self.version, self.lineage = -1, ""
 
     def __len__(self) -> int:
@@ -72,10 +82,10 @@
     def __iter__(self) -> Iterator[Worker]:
         return iter(self._workers.values())
 
-    def apply(self, now: float, endpoints: EndpointList) -> tuple[list[Worker], list[Worker]]:
-        """Take in a list; returns all workers, those just gone included, and those that have restarted."""
+    def apply(self, now: float, endpoints: EndpointList) -> WorkerChanges:
+        """Apply a list."""
         if endpoints.lineage == self.lineage and endpoints.version < self.version:
-            return list(self._workers.values()), []
+            return WorkerChanges(list(self._workers.values()), [])
         self.version, self.lineage = endpoints.version, endpoints.lineage
         self.dispatchers_by_prefix = {id_prefix(peer.name): peer for peer in endpoints.dispatchers}
         listed_ids, restarted = set(), []
@@ -98,14 +108,14 @@
         for id_, worker in self._workers.items():
             if id_ not in listed_ids:
                 worker.state = WorkerState.REMOVED
-        return list(self._workers.values()), restarted
+        return WorkerChanges(list(self._workers.values()), restarted)
 
     def issuer_of(self, id_: str) -> Peer | None:
-        """The dispatcher that gave an id, if the list knows one that may have."""
+        """The listed dispatcher that issued an activation id; None if none matches."""
         return self.dispatchers_by_prefix.get(id_[:ID_PREFIX_DIGITS])
 
     def remove_departed(self) -> None:
-        """Forget those that are gone and have nothing out."""
+        """Delete removed workers that have no attempts in flight."""
         for id_ in [id_ for id_, w in self._workers.items() if w.removed and not w.attempts]:
             self.addresses.pop(self._workers.pop(id_), None)
             self._incarnations.pop(id_, None)
--- a/kelptrail/replication/__init__.py
+++ b/kelptrail/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Copies of what a dispatcher holds for others, so that it survives the loss of its machine.  Begun: where they go."""
+"""Primary-backup replication of the journal of deferred calls, so that it survives the loss of a machine."""
--- a/kelptrail/replication/driver.py
+++ b/kelptrail/replication/driver.py
@@ -23,7 +23,7 @@
 from kelptrail.store.group_commit import GroupCommit
 
 from .failover import FailoverMonitor
-from .lookup import HERE, NO, PENDING, LookupService
+from .lookup import LookupService, LookupState
 from .messages import (
     LEASE_PREFIX,
     Append,
@@ -459,9 +459,11 @@
                 self._claim(message.journal_id)
         elif isinstance(message, Lookup):
             if self.has_activation(message.target):
-                self._peers.send(sender, LookupReply(message.target, HERE, self.leases.client.who, self.address))
+                self._peers.send(
+                    sender, LookupReply(message.target, LookupState.HERE, self.leases.client.who, self.address)
+                )
             else:
-                state = PENDING if self._may_appear(message.target) else NO
+                state = LookupState.PENDING if self._may_appear(message.target) else LookupState.NO
                 self._peers.send(
                     sender,
                     LookupReply(
--- a/kelptrail/replication/lookup.py
+++ b/kelptrail/replication/lookup.py
@@ -1,40 +1,49 @@
-"""Who has an activation, or the call under a client's key: asked of all who can be heard; free of I/O and clocks.
+"""Finds the dispatcher that has an activation or an idempotency key by asking all reachable ones; free of I/O.
 
-An answer is where it is; or that it may come to be somewhere; or that nobody has it.  The last takes the word of all
-that were asked, and of all who own a book that may have it, as its holders say: one that cannot be heard may have it,
-and so may whoever takes up its book later.
+The result is an address; or "may exist"; or "does not exist".  The last one needs a negative reply from every
+dispatcher that was asked, and from the primary of every journal that may contain the target, as named by its replicas:
+an unreachable dispatcher may have it, and so may the next primary of its journal.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
+from enum import StrEnum
+
+
+class LookupState(StrEnum):
+    """State of a target at the dispatcher that replies; the values go over the wire."""
+
+    HERE = "here"
+    PENDING = "pending"  # it may appear there after a recovery
+    NO = "no"
+
 
-HERE, PENDING, NO = "here", "pending", "no"
 LookupCallback = Callable[[str | None], None]
 
 
 @dataclass(slots=True)
 class PendingLookup:
-    """One, while it is open.  `left`: who has not answered; `unsure`: somebody may come to have it."""
+    """A lookup in progress.  `awaiting`: who has not replied; `inconclusive`: the target may appear later."""
 
     deadline: float
     awaiting: set[str]
     inconclusive: bool
-    primaries: set[str]  # who must have answered
+    primaries: set[str]  # name and run; each must have replied
     responders: set[str] = field(default_factory=set)
     on_result: list[LookupCallback] = field(default_factory=list)
 
 
 class LookupService:
-    """All that are open, by what is asked for."""
+    """All lookups in progress, by target.  Results go to callbacks: an address; "": may exist; None: does not exist."""
 
     def __init__(self, own_responder: str, timeout_ms: float) -> None:
         self._own_responder, self._timeout_ms = own_responder, timeout_ms
         self._pending: dict[str, PendingLookup] = {}
 
     def join(self, target: str, on_result: LookupCallback) -> bool:
-        """Whether the question is open already: then `done` is told, too."""
+        """Add a callback to the lookup of this target; False if none is in progress."""
         lookup = self._pending.get(target)
         if lookup is not None:
             lookup.on_result.append(on_result)
@@ -49,8 +58,7 @@
         inconclusive: bool,
         on_result: LookupCallback,
     ) -> None:
-        """It was sent to `whom`.  `done` is told where it is; "" where somebody may come to have it; None where nobody
-        has it."""
+        """Start a lookup that was sent to `asked`; with nobody to ask it finishes at once."""
         self._pending[target] = PendingLookup(
             now + self._timeout_ms, set(asked), inconclusive, set(primaries), on_result=[on_result]
         )
@@ -59,21 +67,21 @@
     def on_reply(
         self, sender: str, target: str, state: str, address: str, responder: str, primaries: Iterable[str]
     ) -> None:
-        """Somebody's answer; `by`: name and run, as `owners` are: another run of a name has not what one before had."""
+        """A reply.  `responder` and `primaries` are name and run: a new run does not have what an earlier run had."""
         lookup = self._pending.get(target)
         if lookup is None or sender not in lookup.awaiting:
             return
         lookup.awaiting.discard(sender)
         lookup.responders.add(responder)
         lookup.primaries |= set(primaries)
-        lookup.inconclusive = lookup.inconclusive or state == PENDING
-        if state == HERE and address:
+        lookup.inconclusive = lookup.inconclusive or state == LookupState.PENDING
+        if state == LookupState.HERE and address:
             self._finish(target, address)
         else:
             self._check(target)
 
     def tick(self, now: float) -> None:
-        """Whoever has not answered by now may have it."""
+        """Finish lookups that timed out: a dispatcher that has not replied may have the target."""
         for target, lookup in list(self._pending.items()):
             if now >= lookup.deadline:
                 self._finish(target, "")
--- a/kelptrail/replication/messages.py
+++ b/kelptrail/replication/messages.py
@@ -1,9 +1,11 @@
-"""What an owner and those that hold its book say to each other, and the figures that both are built with.
+"""Messages between the primary and the replicas of a journal, digests of journal contents, and replication settings.
 
-A *book* is what one run of a dispatcher holds for others.  It has one *owner* at a time, who holds the lease on it, and
-*members*: all that have the whole of it, the owner among them.  The list of members is kept as a note with the lease,
-so whoever holds the lease next knows who has the whole, also where a holder that was given up does not know that.
-Times are milliseconds; no message carries a time of day: ages count until a message was put out.
+A *journal* is the record of the deferred calls of one run of one dispatcher.  It has one *primary* at a time, which
+holds the lease on the journal, and an *in-sync set*: all dispatchers that have every committed entry, including the
+primary.  The in-sync set is stored as a note with the lease.  The next lease holder therefore knows which disks are
+complete, even if a replica was removed from the set and does not know it.
+
+Times are milliseconds.  No message carries a time of day; ages are counted up to the moment of sending.
 """
 
 from __future__ import annotations
@@ -13,20 +15,42 @@
 from functools import reduce
 from hashlib import blake2b
 from operator import xor
+from typing import NamedTuple
 from zlib import crc32
 
 import msgspec
 
 from kelptrail.lease.messages import FencingToken
 
-BUCKETS = 256  # ranges of ids in which two books are compared
-DIGEST_BYTES = 8  # bytes of each
-LEASE_PREFIX = "book/"  # of the lease on a book
+BUCKETS = 256  # hash ranges of activation ids; each has one digest
+DIGEST_BYTES = 8  # of one bucket
+LEASE_PREFIX = "book/"  # name of a journal's lease: this prefix and the journal id
+
+
+class BucketRange(NamedTuple):
+    """Buckets from `first` up to, but not including, `end`."""
+
+    first: int
+    end: int
+
+
+NO_BUCKETS = BucketRange(0, 0)
+ALL_BUCKETS = BucketRange(0, -1)  # `end` -1: all buckets, from the digests in memory
+
+
+class EntryKey(NamedTuple):
+    """Identity of an entry within a journal."""
+
+    id: str
+    kind: int
 
 
 class ReplicaEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of a book, `data` as `store.entries.pack` has it.  `age_ms`, when it was put out: since the call was
-    taken, or, of what may have run, since that was written."""
+    """One journal entry.  `data` is the output of `store.entries.pack`.
+
+    `age_ms` is its age when it was sent: counted from the acceptance of the call, or, for a may-run entry, from its
+    write.
+    """
 
     id: str
     kind: int
@@ -35,7 +59,10 @@
 
 
 class OpenStream(msgspec.Struct, frozen=True, tag="copies-open", array_like=True):
-    """A stream of a book begins, under its owner's token; `stream` grows with each.  What do you have of it?"""
+    """The primary opens a stream to a replica and asks for the digests of all buckets.
+
+    `stream_id` is larger for each new stream under one token.
+    """
 
     journal_id: str
     token: FencingToken
@@ -43,8 +70,12 @@
 
 
 class Append(msgspec.Struct, frozen=True, tag="put", array_like=True):
-    """The next of a stream: entries, and ids that are forgotten.  `bucket`: of it nothing but `only` is to be left, -1:
-    all is.  `check`: tell what the disk has of these buckets, from and up to.  `waited_ms`: since it was put out."""
+    """The next message of a stream: entries to store and activation ids to delete.
+
+    `trimmed_bucket`: the replica deletes everything in this bucket except `retained`; -1: no bucket is trimmed.
+    `digest_range`: buckets whose digests the replica reads from disk and reports; see `BucketRange`.
+    `delay_ms`: time from the first queueing of this message to its sending, added to the ages of its entries.
+    """
 
     journal_id: str
     token: FencingToken
@@ -53,14 +84,16 @@
     entries: tuple[ReplicaEntry, ...] = ()
     deleted_ids: tuple[str, ...] = ()
     trimmed_bucket: int = -1
-    retained: tuple[tuple[str, int], ...] = ()
-    digest_range: tuple[int, int] = (0, 0)
+    retained: tuple[EntryKey, ...] = ()
+    digest_range: BucketRange = NO_BUCKETS
     delay_ms: float = 0.0
 
 
 class DigestReply(msgspec.Struct, frozen=True, tag="copies-told", array_like=True):
-    """What a holder has, after `number` of a stream: digests of buckets from the `first` one on.  `disk`: the name of
-    its disk, never the same for two."""
+    """Digests of a replica's buckets, from `first_bucket` on, after it stored `sequence` of the stream.
+
+    `disk_id` is a random name drawn when the replica's store was created; no two disks share one.
+    """
 
     journal_id: str
     token: FencingToken
@@ -72,7 +105,7 @@
 
 
 class AppendAck(msgspec.Struct, frozen=True, tag="kept", array_like=True):
-    """All up to `number` of a stream is kept, as safe as the settings ask for."""
+    """The replica has stored all messages of the stream up to and including `sequence`."""
 
     journal_id: str
     token: FencingToken
@@ -81,14 +114,14 @@
 
 
 class FencedReply(msgspec.Struct, frozen=True, tag="fenced", array_like=True):
-    """A later token has been seen: nothing more is taken under an older one."""
+    """The request was rejected because its fencing token is older than `token`, the newest seen by the replica."""
 
     journal_id: str
     token: FencingToken
 
 
 class CloseStream(msgspec.Struct, frozen=True, tag="copies-shut", array_like=True):
-    """The holder is none of this book any more and may forget it; `stream` as in `Open`."""
+    """The receiver is no longer a replica of this journal and may delete its copy; `stream_id` as in `OpenStream`."""
 
     journal_id: str
     token: FencingToken
@@ -96,24 +129,27 @@
 
 
 class Claim(msgspec.Struct, frozen=True, tag="copies-take", array_like=True):
-    """The lease on a book was given back for whom this is sent to: want it now."""
+    """The lease on the journal was released in favour of the receiver, which should acquire it now."""
 
     journal_id: str
 
 
 class DrainNotice(msgspec.Struct, frozen=True, tag="copies-leaving", array_like=True):
-    """Its sender's machine is to be taken away: books should go elsewhere, with no time at risk."""
+    """The sender is draining: primaries replace it as a replica before they remove it from the in-sync set."""
 
 
 class Lookup(msgspec.Struct, frozen=True, tag="find", array_like=True):
-    """Who has this: an activation by its id, or the call under a key as `key:NAMESPACE/ACTION/KEY`?"""
+    """Asks who has an activation.  `target` is its id, or `key:NAMESPACE/ACTION/KEY` for an idempotency key."""
 
     target: str
 
 
 class LookupReply(msgspec.Struct, frozen=True, tag="found", array_like=True):
-    """It is here, at `at`; or may come to be; or is not: see `questions`.  `by`: who says so, name and run; `owners`:
-    the same of whoever owns a book that is held here and may have it."""
+    """Reply to `Lookup`.  `state` is a value of `lookup.LookupState`; `address` is set where the state is HERE.
+
+    `responder`: name and run of the sender.  `primaries`: name and run of each primary of a journal that is replicated
+    at the sender and may contain the target.
+    """
 
     target: str
     state: str
@@ -123,8 +159,10 @@
 
 
 class InSyncSet(msgspec.Struct, frozen=True, array_like=True):
-    """The note with a book's lease: who owned it, and all that have the whole of it, each with the name of its disk.
-    Guards against one that comes back with an empty disk under its name and is taken to have the whole."""
+    """The note stored with a journal's lease: the last primary, and the disk id of each in-sync dispatcher by name.
+
+    The disk id prevents a dispatcher that restarts with an empty disk from being treated as complete.
+    """
 
     primary: str
     disk_ids: dict[str, str]
@@ -148,37 +186,37 @@
 
 
 def encode_in_sync(members: InSyncSet) -> bytes:
-    """As it is left with the lease."""
+    """The in-sync set as it is stored with the lease."""
     return msgspec.msgpack.encode(members)
 
 
 def decode_in_sync(text: bytes) -> InSyncSet:
-    """What `note` made; nobody where there is none.  Raises `msgspec.MsgspecError`."""
+    """Decode the output of `encode_in_sync`; an empty text gives an empty set.  Raises `msgspec.MsgspecError`."""
     return _read_members(text) if text else InSyncSet("", {})
 
 
 def bucket_of(id_: str) -> int:
-    """Of an activation."""
+    """The bucket of an activation id."""
     return crc32(id_.encode()) % BUCKETS
 
 
 def entry_digest(id_: str, kind: int, crc: int) -> int:
-    """Of one entry, whose bytes have this CRC-32; a bucket's is that of all its entries, xor-ed."""
+    """Digest of one entry whose packed bytes have this CRC-32.  A bucket's digest is the xor over its entries."""
     return int.from_bytes(blake2b(f"{id_}\0{kind}\0{crc}".encode(), digest_size=DIGEST_BYTES).digest())
 
 
 def pack_digests(found: Iterable[int]) -> bytes:
-    """Digests of buckets as bytes."""
+    """Encode digests of consecutive buckets."""
     return b"".join(one.to_bytes(DIGEST_BYTES) for one in found)
 
 
 def unpack_digests(data: bytes) -> list[int]:
-    """As they were."""
+    """Decode the output of `pack_digests`."""
     return [int.from_bytes(data[n : n + DIGEST_BYTES]) for n in range(0, len(data), DIGEST_BYTES)]
 
 
 def bucket_digests(items: Iterable[ReplicaEntry]) -> list[int]:
-    """Of all buckets, from entries."""
+    """Digests of all buckets, computed from entries."""
     found: list[list[int]] = [[] for _ in range(BUCKETS)]
     for item in items:
         found[bucket_of(item.id)].append(entry_digest(item.id, item.kind, crc32(item.data)))
@@ -187,20 +225,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationSettings:
-    """`count`: further dispatchers that hold each record; `short`: calls are promised with fewer, too; `again_ms`: what
-    was not answered is sent again; `slow_ms`: a holder that has not answered, or was not heard, for so long is given
-    up, and asked again after `pause_ms`; `most_bytes`: that wait for the slowest; `window_bytes`: out to one holder;
-    `fill_per_ms`: bytes of a holder that is filled up; `check_ms`: between two looks at a holder's disk, each at
-    `check_step` buckets."""
-
-    replica_count: int = 0
-    allow_under_replicated: bool = False
-    retry_ms: float = 300.0
-    replica_timeout_ms: float = 1500.0
-    reconnect_pause_ms: float = 3000.0
-    max_uncommitted_bytes: int = 64 << 20
-    window_bytes: int = 256 << 10
-    repair_bytes_per_ms: float = 20_000.0
-    max_entry_bytes: int = 256 << 10  # bytes of one; a larger result is kept as its outcome alone
-    verify_interval_ms: float = 1000.0
-    verify_buckets: int = 8
+    """Settings of the primary.  Times are milliseconds, sizes bytes."""
+
+    replica_count: int = 0  # replicas of each journal besides the primary
+    allow_under_replicated: bool = False  # accept deferred calls with fewer replicas, too
+    retry_ms: float = 300.0  # an unacknowledged message is sent again after this time
+    replica_timeout_ms: float = 1500.0  # a replica that is silent or does not acknowledge for so long is dropped
+    reconnect_pause_ms: float = 3000.0  # before a dropped replica is tried again
+    max_uncommitted_bytes: int = 64 << 20  # new calls are rejected above this
+    window_bytes: int = 256 << 10  # sent and unacknowledged, per replica
+    repair_bytes_per_ms: float = 20_000.0  # rate limit of the repair of one replica
+    max_entry_bytes: int = 256 << 10  # of one entry; of a larger result only the outcome is stored
+    verify_interval_ms: float = 1000.0  # between two digest checks of one replica
+    verify_buckets: int = 8  # buckets per digest check
--- a/kelptrail/replication/model.py
+++ b/kelptrail/replication/model.py
@@ -30,8 +30,9 @@
     bucket_of,
     pack_digests,
 )
-from .primary import Batch, Primary
-from .replica import Replica, ReplicaWrite
+from .primary import Primary
+from .replica import Fence, Replica, ReplicaWrite
+from .replica_stream import Batch
 
 JOURNAL = "b"
 ACCEPTED, MAY_RUN, ENDED = 0, 1, 2
@@ -104,7 +105,7 @@
     def restart(self) -> None:
         """The process starts from its disk."""
         disk = self.disk
-        fences = {JOURNAL: (disk.token, disk.primary)} if disk.token.round else {}
+        fences = {JOURNAL: Fence(disk.token, disk.primary)} if disk.token.round else {}
         self.replica = self.model.roles[1](fences, lambda _: f"{self.disks_lost}")
         self.primary = self.new_primary()
         self.disk_queue.clear()
--- a/kelptrail/replication/primary.py
+++ b/kelptrail/replication/primary.py
@@ -1,131 +1,90 @@
-"""An owner's side: what it writes down is safe once its own disk and all members of the book have it; free of I/O.
+"""The primary's side of replication, without I/O: an entry is committed once all in-sync replicas have stored it.
 
-Entries gather in batches.  A batch goes to the own disk and to all holders side by side.  A holder is *whole* once it
-has all that this owner has, and only then becomes a member; a member that does not answer in time stops being one.
-Either is left as a note with the lease first.  So whoever holds the lease next and is named in the note has every batch
-that ever was safe.
+Entries are collected in batches.  A batch is written to the local disk and sent to all replicas in parallel.  A replica
+joins the in-sync set once it has everything that the primary has; one that does not acknowledge in time is removed from
+it.  Either change is first stored as a note with the journal's lease.  The next lease holder therefore has every
+committed batch, provided that it is in the noted set.
 
-Each holder has a stream of its own.  It begins with the holder's digests: what differs is filled up bucket by bucket at
-a bounded rate, what is written meanwhile waits behind that, then both go on alike.
+Each replica has a stream of its own.  The stream begins with the replica's digests.  Buckets that differ are repaired
+one by one at a bounded rate; batches written meanwhile are deferred until the repair is over.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable, Iterable, Mapping
-from dataclasses import dataclass, field
-from enum import Enum
-from typing import Any
-
-import msgspec
+from typing import Any, NamedTuple
 
 from kelptrail.lease.messages import NO_TOKEN, FencingToken
 
 from .messages import (
     BUCKETS,
+    NO_BUCKETS,
     Answer,
     Append,
     AppendAck,
+    BucketRange,
     CloseStream,
     DigestReply,
+    EntryKey,
     FencedReply,
     OpenStream,
     ReplicaEntry,
     ReplicationSettings,
     unpack_digests,
 )
+from .replica_stream import Batch, CommitCallback, ReplicaStream, StreamState, entries_size, split_entries
 
-MAX_UNCOMMITTED_BATCHES = 4  # batches that wait for their safety; what comes meanwhile makes up the next
-CommitCallback = Callable[[bool], None]
-
-
-class StreamState(Enum):
-    """How far a holder has come."""
-
-    OPENING = "opening"
-    REPAIRING = "filling"
-    IN_SYNC = "whole"
+MAX_UNCOMMITTED_BATCHES = 4  # further entries are collected in the next batch
 
 
-@dataclass(slots=True, eq=False)
-class Batch:
-    """Entries that become safe together.  `waiters`: told whether as many have it as the settings ask for."""
-
-    number: int
-    entries: list[ReplicaEntry] = field(default_factory=list)
-    deleted_ids: list[str] = field(default_factory=list)
-    on_commit: list[CommitCallback] = field(default_factory=list)
-    size_bytes: int = 0
-    locally_durable: bool = False
-
-
-@dataclass(slots=True, eq=False)
-class ReplicaStream:
-    """One holder.  `since`: from when what is out to it has waited; `behind`: batches that go out after the filling."""
+class BucketRead(NamedTuple):
+    """A bucket that the driver reads from the local disk for the repair of a replica."""
 
     replica: str
     stream_id: int
-    waiting_since: float
-    state: StreamState = StreamState.OPENING
-    disk_id: str = ""  # known once it has answered
-    last_sequence: int = 0  # last of the stream
-    acked_sequence: int = 0
-    acked_batch: int = 0  # last batch that it keeps
-    repaired_batch: int = 0  # last batch that the filling brings
-    repair_end: int = 0
-    retry_at: float = 0.0  # when what is out goes out again
-    repair_at: float = 0.0
-    reading_bucket: int = -1  # the bucket that is being read
-    differing_buckets: deque[int] = field(default_factory=deque)
-    unacked: deque[tuple[Append, int, int, float]] = field(default_factory=deque)  # not answered: size, batch, since
-    deferred_batches: list[Batch] = field(default_factory=list)
-    sent_sequence: int = 0
-    unacked_bytes: int = 0  # in the queue
-    repaired_bytes: int = 0  # bytes
-    verify_at: float = 0.0
-    verify_bucket: int = 0  # the bucket from which on it is looked at next
+    bucket: int
 
 
 class Primary:
-    """One book under its owner `me`.  `disk`: the name of its own, `digests`: what that has, asked when needed."""
+    """One journal at its primary `name`.  `disk_id`: id of the local store; `digests`: reads the local digests.
+
+    The driver sends `outbox`, writes `local_writes`, carries out `bucket_reads` and stores `in_sync_updates` with the
+    lease, each in order.
+    """
 
     def __init__(
         self, journal_id: str, name: str, disk_id: str, settings: ReplicationSettings, digests: Callable[[], list[int]]
     ) -> None:
-        self.journal_id, self.name, self.disk_id, self.settings, self._digests = (
-            journal_id,
-            name,
-            disk_id,
-            settings,
-            digests,
-        )
+        self.journal_id, self.name, self.disk_id = journal_id, name, disk_id
+        self.settings, self._digests = settings, digests
         self.token, self.in_sync = NO_TOKEN, dict[str, str]()
         self.streams: dict[str, ReplicaStream] = {}
         self.outbox: deque[tuple[str, OpenStream | Append | CloseStream]] = deque()
-        self.local_writes: deque[Batch] = deque()  # to be written to the own disk
-        self.bucket_reads: deque[tuple[str, int, int]] = deque()  # holder, stream, bucket of the own disk
-        self.in_sync_updates: deque[dict[str, str]] = deque()  # members and their disks, to be left with the lease
-        self.ready = False  # the first note under this token is kept: it may act
-        self.fenced_by: FencingToken | None = None  # under which another owns it
-        self.disk_failed = False  # the own disk has
-        self.pending_in_sync: dict[str, str] | None = None
-        self.under_replicated_since: float | None = None  # since when fewer than wanted have the whole
-        self.under_replicated_ms = 0.0  # for how long that was so, before that
-        self.closing = False  # nobody needs it any more
-        self.repaired_buckets = 0  # buckets that differed at a holder that should have had them
+        self.local_writes: deque[Batch] = deque()
+        self.bucket_reads: deque[BucketRead] = deque()
+        self.in_sync_updates: deque[dict[str, str]] = deque()  # disk ids by name
+        self.ready = False  # the first note under this token is stored: entries may be committed
+        self.fenced_by: FencingToken | None = None  # token of another primary
+        self.disk_failed = False
+        self.pending_in_sync: dict[str, str] | None = None  # is being stored
+        self.under_replicated_since: float | None = None  # start of the current period
+        self.under_replicated_ms = 0.0  # sum of earlier periods
+        self.closing = False  # every entry is deleted
+        self.repaired_buckets = 0  # that differed at an in-sync replica
         self.committed_batches = self.committed_entries = self.sent_bytes = 0
         self._uncommitted: deque[Batch] = deque()
         self._next_batch = Batch(1)
         self._uncommitted_bytes = 0
         self._last_stream_id = 0
-        self._reconnect_at: dict[str, float] = {}  # holders that were given up, and when they may be asked again
-        self.draining: set[str] = set()  # holders that are to be replaced while they still keep what they have
-        self._stale_replicas: set[str] = set()  # those that may still keep what they need not
+        self._reconnect_at: dict[str, float] = {}  # dropped replicas
+        self.draining: set[str] = set()  # replicas to be replaced; they stay in sync until then
+        self._stale_replicas: set[str] = set()  # former replicas that may still have a copy
 
     # The lease.
 
     def on_lease_acquired(self, now: float, token: FencingToken, members: Mapping[str, str]) -> None:
-        """The book is owned under this token; `members` as the note has them, without who is lost for sure."""
+        """This dispatcher is the primary under `token`; `members`: the noted in-sync set without a lost primary."""
         self.token, self.ready, self.fenced_by = token, False, None
         self._stale_replicas |= self.streams.keys()
         self.streams, self.pending_in_sync = {}, None
@@ -139,7 +98,7 @@
                 self._open_stream(now, name)
 
     def on_in_sync_stored(self, now: float) -> None:
-        """The last note is kept."""
+        """The pending in-sync set is stored with the lease."""
         if self.pending_in_sync is None:
             return
         self.in_sync, self.pending_in_sync, self.ready = self.pending_in_sync, None, True
@@ -151,24 +110,26 @@
         self._commit()
 
     def add_stale_replica(self, name: str) -> None:
-        """The owner before need not keep the book, once it is heard."""
+        """Have a former primary delete its copy once it is reachable."""
         if name not in self.in_sync:
             self._stale_replicas.add(name)
 
     def probe_fencing(self, said: str) -> None:
-        """Without the lease: ask members, and who is said to own the book, whether that is so; they tell by a later
-        token."""
+        """Without the lease: send an open to the replicas and to the reported lease holder.
+
+        If another primary has acted, they reply with its later token.
+        """
         for name in sorted({*self.in_sync, said} - {self.name}):
             self._last_stream_id += 1
             self.outbox.append((name, OpenStream(self.journal_id, self.token, self._last_stream_id)))
 
     @property
     def is_fully_replicated(self) -> bool:
-        """Whether as many have the whole as the settings ask for."""
+        """Whether the in-sync set has as many replicas as configured."""
         return len(self.in_sync) > self.settings.replica_count
 
     def accepts_requests(self) -> bool:
-        """Whether a new call can be promised."""
+        """Whether a new deferred call can be accepted."""
         return (
             self.ready
             and not self.disk_failed
@@ -177,14 +138,17 @@
             and (self.is_fully_replicated or self.settings.allow_under_replicated)
         )
 
-    # What is written.
+    # Entries.
 
     def append(
         self, entries: Iterable[ReplicaEntry], on_commit: CommitCallback | None, deleted_ids: Iterable[str] = ()
     ) -> None:
-        """Write entries down, and forget others.  `waiter` is told once they are safe, True where that is with as many
-        as the settings ask for; never, where the book is lost before.  Without entries it tells when all that the own
-        disk has is safe: after a takeover nothing found there may be acted on before, as others may not have it."""
+        """Add entries to the next batch, and delete activations.
+
+        `on_commit` is called once the batch is committed: with True if the journal is fully replicated then; never, if
+        the journal is lost before.  Without entries it is called when everything on the local disk is committed: after
+        a failover no entry found there may be acted on before, as other replicas may not have it.
+        """
         batch = self._next_batch
         for item in entries:
             batch.entries.append(item)
@@ -195,11 +159,11 @@
 
     @property
     def uncommitted_count(self) -> int:
-        """Entries that are not safe yet."""
+        """Entries that are not committed yet."""
         return len(self._next_batch.entries) + sum(len(batch.entries) for batch in self._uncommitted)
 
     def start_batch(self, now: float) -> None:
-        """Send on what has gathered."""
+        """Write and send the collected entries, unless too many batches are uncommitted."""
         batch = self._next_batch
         if (
             not (batch.entries or batch.deleted_ids or batch.on_commit)
@@ -219,8 +183,10 @@
                 self._append_batch(now, stream, batch)
 
     def on_local_write(self, batch: Batch, safe: bool) -> None:
-        """What became of a batch on the own disk.  Where that fails nobody knows what is on it, so the book is to be
-        given to another."""
+        """A batch was written to the local disk, or failed.
+
+        After a failure the contents of the disk are unknown, so the driver transfers the journal to another replica.
+        """
         if not safe:
             self.disk_failed = True
             return
@@ -228,13 +194,13 @@
         self._commit()
 
     def _commit(self) -> None:
-        """Tell of batches that are safe."""
-        whole = {stream.replica for stream in self.streams.values() if stream.state is StreamState.IN_SYNC}
-        need = {*self.in_sync, *(self.pending_in_sync or ()), *whole} - {self.name}
+        """Commit batches, in order, that all in-sync replicas have stored."""
+        caught_up = {stream.replica for stream in self.streams.values() if stream.state is StreamState.IN_SYNC}
+        required = {*self.in_sync, *(self.pending_in_sync or ()), *caught_up} - {self.name}
         while self._uncommitted and self.ready and not self.fenced_by:
             batch = self._uncommitted[0]
             if not batch.locally_durable or any(
-                name not in self.streams or self.streams[name].acked_batch < batch.number for name in need
+                name not in self.streams or self.streams[name].acked_batch < batch.number for name in required
             ):
                 return
             self._uncommitted.popleft()
@@ -244,36 +210,36 @@
             for on_commit in batch.on_commit:
                 on_commit(self.is_fully_replicated)
 
-    # Holders.
+    # Replicas.
 
     def update_streams(self, now: float, reachable: Iterable[str], ranking: Iterable[str]) -> None:
-        """Open streams to as many as are wanted, in the order of `ranked`; give up those that are not heard."""
-        here = set(reachable)
+        """Open streams to missing replicas in the order of `ranking`; drop those that are not reachable."""
+        reachable_names = set(reachable)
         if self.closing:
             ranking = ()
         for stream in list(self.streams.values()):
-            if stream.replica not in here and now - stream.waiting_since >= self.settings.replica_timeout_ms:
+            if stream.replica not in reachable_names and now - stream.waiting_since >= self.settings.replica_timeout_ms:
                 self._drop_stream(now, stream)
-        stay = [stream for stream in self.streams.values() if stream.replica not in self.draining]
+        kept = [stream for stream in self.streams.values() if stream.replica not in self.draining]
         for name in ranking:
-            if len(stay) >= self.settings.replica_count:
+            if len(kept) >= self.settings.replica_count:
                 break
             if (
-                name in here - self.draining - self.streams.keys() - {self.name}
+                name in reachable_names - self.draining - self.streams.keys() - {self.name}
                 and self._reconnect_at.get(name, 0.0) <= now
             ):
-                stay.append(self._open_stream(now, name))
-        if sum(stream.replica in self.in_sync for stream in stay) >= self.settings.replica_count:
+                kept.append(self._open_stream(now, name))
+        if sum(stream.replica in self.in_sync for stream in kept) >= self.settings.replica_count:
             for stream in [stream for stream in self.streams.values() if stream.replica in self.draining]:
                 self._drop_stream(now, stream)
-        for name in sorted(self._stale_replicas & here - self.streams.keys()):
+        for name in sorted(self._stale_replicas & reachable_names - self.streams.keys()):
             if name not in self.in_sync and self.pending_in_sync is None and self.ready:
                 self._stale_replicas.discard(name)
                 self._last_stream_id += 1
                 self.outbox.append((name, CloseStream(self.journal_id, self.token, self._last_stream_id)))
 
     def on_heard(self, now: float, name: str) -> None:
-        """A holder with nothing out to it was heard."""
+        """A replica was heard; this counts as a sign of life if it has nothing to acknowledge."""
         stream = self.streams.get(name)
         if stream is not None and not stream.unacked and stream.state is StreamState.IN_SYNC:
             stream.waiting_since = now
@@ -294,10 +260,10 @@
         self._update_in_sync()
 
     def _update_in_sync(self) -> None:
-        """Have the members noted as they should be: whole ones in, lost ones out."""
+        """Store a new in-sync set if replicas have caught up or were dropped."""
         if self.pending_in_sync is not None or not self.token.round or self.closing:
             return
-        # One that joins has all that was ever safe: nothing becomes safe without it from when it is whole.
+        # A replica that joins has every committed batch: none is committed without it from the end of its repair.
         members = {self.name: self.disk_id}
         for name, stream in sorted(self.streams.items()):
             if (stream.state is StreamState.IN_SYNC and stream.acked_batch >= self._committed_batch) or (
@@ -312,7 +278,7 @@
         self.in_sync_updates.append(members)
 
     def close(self) -> None:
-        """All of it is forgotten: nobody is to have it, and holders are told."""
+        """Close the journal: store an empty in-sync set and have all replicas delete their copies."""
         self.closing = True
         self._stale_replicas |= self.streams.keys()
         self.streams = {}
@@ -320,11 +286,11 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether that is noted, and said."""
+        """Whether the empty set is stored and all replicas were notified."""
         return self.closing and self.pending_in_sync is None and not self._stale_replicas
 
     def on_message(self, now: float, replica: str, answer: Answer) -> None:
-        """A holder's answer; one to another stream says nothing here."""
+        """Handle a reply of a replica; replies to other streams are ignored."""
         if isinstance(answer, FencedReply):
             if answer.token > self.token:
                 self.fenced_by = max(answer.token, self.fenced_by or NO_TOKEN)
@@ -335,23 +301,23 @@
         if isinstance(answer, AppendAck):
             self._on_ack(now, stream, answer.sequence)
         elif stream.state is StreamState.OPENING:
-            mine = self._digests()
-            stream.differing_buckets.extend(
-                n for n, (a, b) in enumerate(zip(mine, unpack_digests(answer.digests), strict=False)) if a != b
-            )
-            stream.state, stream.waiting_since, stream.disk_id = StreamState.REPAIRING, now, answer.disk_id
-            # What the own disk has is compared, and so filled up; the rest comes behind that.
-            stream.repaired_batch = max(
-                (b.number for b in self._uncommitted if b.locally_durable), default=self._committed_batch
-            )
-            stream.deferred_batches = [batch for batch in self._uncommitted if not batch.locally_durable]
-            self._repair(now, stream)
+            self._start_repair(now, stream, answer)
         else:
             self._verify_digests(now, stream, answer)
 
+    def _start_repair(self, now: float, stream: ReplicaStream, reply: DigestReply) -> None:
+        stream.differing_buckets.extend(_differing(self._digests(), reply))
+        stream.state, stream.waiting_since, stream.disk_id = StreamState.REPAIRING, now, reply.disk_id
+        # Batches on the local disk are in its digests, so the repair covers them; the others are sent afterwards.
+        stream.repaired_batch = max(
+            (batch.number for batch in self._uncommitted if batch.locally_durable), default=self._committed_batch
+        )
+        stream.deferred_batches = [batch for batch in self._uncommitted if not batch.locally_durable]
+        self._repair(now, stream)
+
     @property
     def _committed_batch(self) -> int:
-        """The last batch that is safe."""
+        """Number of the last committed batch."""
         return self._uncommitted[0].number - 1 if self._uncommitted else self._next_batch.number - 1
 
     def _repair(self, now: float, stream: ReplicaStream) -> None:
@@ -360,7 +326,7 @@
         if stream.differing_buckets:
             if stream.unacked_bytes < self.settings.window_bytes and now >= stream.repair_at:
                 stream.reading_bucket = stream.differing_buckets[0]
-                self.bucket_reads.append((stream.replica, stream.stream_id, stream.reading_bucket))
+                self.bucket_reads.append(BucketRead(stream.replica, stream.stream_id, stream.reading_bucket))
             return
         self._append_message(now, stream, (), (), batch=stream.repaired_batch)
         for batch in stream.deferred_batches:
@@ -370,7 +336,7 @@
     def on_bucket_read(
         self, now: float, name: str, stream_id: int, bucket: int, entries: tuple[ReplicaEntry, ...] | None
     ) -> None:
-        """A bucket of the own disk; None: it could not be read, and is read again."""
+        """The entries of a local bucket; None: the read failed and is repeated."""
         stream = self.streams.get(name)
         if stream is None or stream.stream_id != stream_id or stream.reading_bucket != bucket:
             return
@@ -379,46 +345,32 @@
             stream.repair_at = now + self.settings.retry_ms
             return
         stream.differing_buckets.popleft()
-        # First all that belongs there, then away with the rest: one that is a member stays whole all the while.
-        *parts, last = self._split_entries(entries)
+        # Entries are added before others are deleted, so that an in-sync replica stays complete all the time.
+        *parts, last = split_entries(entries, self.settings.window_bytes // 2)
         for part in parts:
             self._append_message(now, stream, part, ())
-        self._append_message(now, stream, last, (), bucket, tuple((item.id, item.kind) for item in entries))
-        sent = sum(len(item.id) + len(item.data) for item in entries)
+        self._append_message(now, stream, last, (), bucket, tuple(EntryKey(entry.id, entry.kind) for entry in entries))
+        sent = entries_size(entries)
         stream.repaired_bytes += sent
         stream.repair_at = max(stream.repair_at, now) + sent / self.settings.repair_bytes_per_ms
         self._repair(now, stream)
 
     def _append_batch(self, now: float, stream: ReplicaStream, batch: Batch) -> None:
-        *parts, last = self._split_entries(batch.entries)
+        *parts, last = split_entries(batch.entries, self.settings.window_bytes // 2)
         for part in parts:
             self._append_message(now, stream, part, ())
         self._append_message(now, stream, last, tuple(batch.deleted_ids), batch=batch.number)
 
-    def _split_entries(self, entries: Iterable[ReplicaEntry]) -> list[tuple[ReplicaEntry, ...]]:
-        """Entries as messages of half a window at most, or one entry: a link carries no larger ones."""
-        parts, size = list[list[ReplicaEntry]]([[]]), 0
-        for item in entries:
-            add = len(item.id) + len(item.data)
-            if parts[-1] and size + add > self.settings.window_bytes // 2:
-                parts.append([])
-                size = 0
-            parts[-1].append(item)
-            size += add
-        return [tuple(part) for part in parts]
-
     def _verify_digests(self, now: float, stream: ReplicaStream, reply: DigestReply) -> None:
-        """What a holder's disk has beside the own.  Only while nothing is on its way: else both are right."""
+        """Compare a replica's digests, read from its disk, with the local ones; drop the stream if they differ.
+
+        They can only be compared while no message and no local write is in flight.
+        """
         mine = self._digests()[reply.first_bucket : reply.first_bucket + self.settings.verify_buckets]
         if reply.sequence != stream.last_sequence or any(not batch.locally_durable for batch in self._uncommitted):
             return
-        wrong = [
-            reply.first_bucket + n
-            for n, (a, b) in enumerate(zip(mine, unpack_digests(reply.digests), strict=False))
-            if a != b
-        ]
-        if wrong:  # it said safe and is not: it is none of those that have the whole until it is filled up again
-            self.repaired_buckets += len(wrong)
+        if differing := _differing(mine, reply):  # the disk lost acknowledged entries: out of sync until repaired
+            self.repaired_buckets += len(differing)
             self._drop_stream(now, stream)
             self._reconnect_at[stream.replica] = now
 
@@ -428,62 +380,38 @@
         stream: ReplicaStream,
         entries: tuple[ReplicaEntry, ...],
         deleted_ids: tuple[str, ...],
-        bucket: int = -1,
-        only: tuple[tuple[str, int], ...] = (),
+        trimmed_bucket: int = -1,
+        retained: tuple[EntryKey, ...] = (),
         batch: int = 0,
-        check: tuple[int, int] = (0, 0),
+        digest_range: BucketRange = NO_BUCKETS,
     ) -> None:
         stream.last_sequence += 1
-        size = sum(len(item.id) + len(item.data) for item in entries)
-        if not stream.unacked:
-            stream.waiting_since, stream.retry_at = now, now + self.settings.retry_ms
-        stream.unacked.append(
-            (
-                Append(
-                    self.journal_id,
-                    self.token,
-                    stream.stream_id,
-                    stream.last_sequence,
-                    entries,
-                    deleted_ids,
-                    bucket,
-                    only,
-                    check,
-                ),
-                size,
-                batch,
-                now,
-            )
+        append = Append(
+            self.journal_id,
+            self.token,
+            stream.stream_id,
+            stream.last_sequence,
+            entries,
+            deleted_ids,
+            trimmed_bucket,
+            retained,
+            digest_range,
         )
-        stream.unacked_bytes += size
+        stream.queue(now, append, batch, self.settings.retry_ms)
         self._send_window(now, stream)
 
     def _send_window(self, now: float, stream: ReplicaStream) -> None:
-        """What fits into the window."""
-        left = self.settings.window_bytes
-        for put, size, _, since in stream.unacked:
-            if left <= 0:
-                return
-            left -= size
-            if put.sequence > stream.sent_sequence:
-                self.outbox.append(
-                    (stream.replica, msgspec.structs.replace(put, delay_ms=now - since) if now > since else put)
-                )
-                self.sent_bytes += size
-                stream.sent_sequence = put.sequence
-
-    def _on_ack(self, now: float, stream: ReplicaStream, number: int) -> None:
-        if not stream.acked_sequence < number <= stream.last_sequence:
+        for unacked in stream.take_sendable(now, self.settings.window_bytes):
+            self.outbox.append((stream.replica, unacked.append))
+            self.sent_bytes += unacked.size_bytes
+
+    def _on_ack(self, now: float, stream: ReplicaStream, sequence: int) -> None:
+        if not stream.acked_sequence < sequence <= stream.last_sequence:
             return
-        while stream.unacked and stream.unacked[0][0].sequence <= number:
-            _, size, batch, _ = stream.unacked.popleft()
-            stream.unacked_bytes -= size
-            stream.acked_batch = max(stream.acked_batch, batch)
-        stream.acked_sequence, stream.waiting_since, stream.retry_at = number, now, now + self.settings.retry_ms
-        stream.sent_sequence = max(stream.sent_sequence, number)
+        stream.acknowledge(now, sequence, self.settings.retry_ms)
         self._send_window(now, stream)
         if stream.state is StreamState.REPAIRING:
-            if stream.repair_end and number >= stream.repair_end:
+            if stream.repair_end and sequence >= stream.repair_end:
                 stream.state, stream.verify_at = StreamState.IN_SYNC, now + self.settings.verify_interval_ms
                 self._update_in_sync()
             else:
@@ -491,30 +419,36 @@
         self._commit()
 
     def tick(self, now: float) -> None:
-        """Send again what was not answered; give up who has not answered for too long; look at holders' disks."""
+        """Drop replicas that time out, resend, continue repairs, check digests; then start a batch."""
         for stream in list(self.streams.values()):
-            out = stream.unacked or stream.state is StreamState.OPENING
-            if out and now - stream.waiting_since >= self.settings.replica_timeout_ms:
-                self._drop_stream(now, stream)
-            elif out and now >= stream.retry_at:
-                stream.retry_at = now + self.settings.retry_ms
-                if stream.state is StreamState.OPENING:
-                    self.outbox.append((stream.replica, OpenStream(self.journal_id, self.token, stream.stream_id)))
-                else:
-                    stream.sent_sequence = stream.acked_sequence
-                    self._send_window(now, stream)
-            elif stream.state is StreamState.REPAIRING:
-                self._repair(now, stream)
-            elif not out and now >= stream.verify_at and self.ready:
-                stream.verify_at = now + self.settings.verify_interval_ms
-                upto = min(BUCKETS, stream.verify_bucket + self.settings.verify_buckets)
-                self._append_message(now, stream, (), (), check=(stream.verify_bucket, upto))
-                stream.verify_bucket = upto % BUCKETS
+            self._tick_stream(now, stream)
         self._update_in_sync()
         self.start_batch(now)
 
+    def _tick_stream(self, now: float, stream: ReplicaStream) -> None:
+        awaits_reply = stream.awaits_reply
+        if awaits_reply and now - stream.waiting_since >= self.settings.replica_timeout_ms:
+            self._drop_stream(now, stream)
+        elif awaits_reply and now >= stream.retry_at:
+            self._resend(now, stream)
+        elif stream.state is StreamState.REPAIRING:
+            self._repair(now, stream)
+        elif not awaits_reply and now >= stream.verify_at and self.ready:
+            stream.verify_at = now + self.settings.verify_interval_ms
+            end = min(BUCKETS, stream.verify_bucket + self.settings.verify_buckets)
+            self._append_message(now, stream, (), (), digest_range=BucketRange(stream.verify_bucket, end))
+            stream.verify_bucket = end % BUCKETS
+
+    def _resend(self, now: float, stream: ReplicaStream) -> None:
+        stream.retry_at = now + self.settings.retry_ms
+        if stream.state is StreamState.OPENING:
+            self.outbox.append((stream.replica, OpenStream(self.journal_id, self.token, stream.stream_id)))
+        else:
+            stream.sent_sequence = stream.acked_sequence
+            self._send_window(now, stream)
+
     def status(self, now: float) -> dict[str, Any]:
-        """What operators are shown; times are ms."""
+        """State for operators; times are milliseconds.  The keys are those of `kelptrail copies --json`."""
         since = self.under_replicated_since
         return {
             "token": str(self.token),
@@ -538,3 +472,14 @@
                 for stream in self.streams.values()
             },
         }
+
+
+def _differing(mine: list[int], reply: DigestReply) -> list[int]:
+    """Buckets of a reply whose digests differ from `mine`, which begins at the same bucket."""
+    return [
+        bucket
+        for bucket, (local, remote) in enumerate(
+            zip(mine, unpack_digests(reply.digests), strict=False), reply.first_bucket
+        )
+        if local != remote
+    ]
--- a/kelptrail/replication/replica.py
+++ b/kelptrail/replication/replica.py
@@ -1,8 +1,8 @@
-"""A holder's side: books of other dispatchers, in the order in which their owners put them; free of I/O and clocks.
+"""The replica's side of replication, without I/O and clocks: it stores the entries of other dispatchers' journals.
 
-A holder takes nothing under an older token than it has seen; it keeps that token before it answers under it, so whoever
-has taken over a book is never written past.  A stream's numbers have no gap: what comes before its turn is dropped, and
-comes again.
+A replica rejects every message whose fencing token is older than the newest one it has seen.  It stores a token before
+it replies under it, so that a former primary cannot commit anything after a failover.  The sequence numbers of a stream
+have no gaps: a message that arrives too early is dropped, and the primary sends it again.
 """
 
 from __future__ import annotations
@@ -10,36 +10,63 @@
 from collections import deque
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from kelptrail.lease.messages import NO_TOKEN, FencingToken
 
-from .messages import Append, AppendAck, CloseStream, DigestReply, FencedReply, OpenStream, ReplicaEntry
+from .messages import (
+    ALL_BUCKETS,
+    NO_BUCKETS,
+    Append,
+    AppendAck,
+    BucketRange,
+    CloseStream,
+    DigestReply,
+    EntryKey,
+    FencedReply,
+    OpenStream,
+    ReplicaEntry,
+)
+
+
+class Fence(NamedTuple):
+    """The newest fencing token of a journal, and the name of the primary under it."""
+
+    token: FencingToken
+    primary: str
 
 
 @dataclass(slots=True, eq=False)
 class ReplicaWrite:
-    """Something for the disk, all of it or nothing, in order; then its owner is answered.  `fence`: the token from
-    which on nothing older is taken, and who owns the book under it.  `bucket`: of it nothing but `only` stays."""
+    """One atomic write to the replica store; writes are carried out in order, then the primary gets a reply.
+
+    `fence`: the token that is stored as the newest one, and the primary under it.  For `trimmed_bucket`, `retained`,
+    `digest_range` and `delay_ms` see `Append`.
+    """
 
     journal_id: str
     entries: tuple[ReplicaEntry, ...] = ()
     deleted_ids: tuple[str, ...] = ()
     trimmed_bucket: int = -1
-    retained: tuple[tuple[str, int], ...] = ()
+    retained: tuple[EntryKey, ...] = ()
     delay_ms: float = 0.0
-    fence: tuple[FencingToken, str] | None = None
-    digest_range: tuple[int, int] = (0, 0)  # buckets to be read back
+    fence: Fence | None = None
+    digest_range: BucketRange = NO_BUCKETS  # buckets whose digests are read back
     closes: bool = False
     reply_to: str = ""
     stream_id: int = 0
     sequence: int = 0
-    wall_ms: float = 0.0  # when it came, set by the host: ages in it count back from there
-    digests: bytes = b""  # what was read back
+    wall_ms: float = 0.0  # arrival time, set by the driver; ages of entries are subtracted from it
+    digests: bytes = b""  # result of reading `digest_range`
 
 
 @dataclass(slots=True)
 class ReplicaLog:
-    """One book.  `number`: the last that was taken in of the stream, `safe`: the last that is kept."""
+    """State of one journal at this replica.
+
+    `received_sequence` is the last message of the stream that was accepted, `durable_sequence` the last one stored.
+    An empty `primary` means that the journal is closed here.
+    """
 
     token: FencingToken = NO_TOKEN
     primary: str = ""
@@ -49,9 +76,13 @@
 
 
 class Replica:
-    """All books held.  `shelves`: tokens and owners as the disk has them; `disk`: the name of that which has a book."""
+    """All journals stored at this dispatcher, its own included.
+
+    `fences`: newest token and primary of each journal, as read from disk.  `disk_id_of`: id of the store that has a
+    journal.  The driver carries out `pending_writes` and sends `outbox`.
+    """
 
-    def __init__(self, fences: Mapping[str, tuple[FencingToken, str]], disk_id_of: Callable[[str], str]) -> None:
+    def __init__(self, fences: Mapping[str, Fence], disk_id_of: Callable[[str], str]) -> None:
         self.disk_id_of = disk_id_of
         self.logs = {journal_id: ReplicaLog(token, primary) for journal_id, (token, primary) in fences.items()}
         self.pending_writes: deque[ReplicaWrite] = deque()
@@ -59,7 +90,7 @@
         self.fenced_messages = 0
 
     def on_message(self, sender: str, message: OpenStream | Append | CloseStream) -> None:
-        """From an owner, or from who believes to be."""
+        """Handle a message from a primary, or from a dispatcher that believes it is the primary."""
         log = self.logs.get(message.journal_id, ReplicaLog())
         if message.token < log.token:
             self.fenced_messages += 1
@@ -80,15 +111,15 @@
             self.pending_writes.append(
                 ReplicaWrite(
                     message.journal_id,
-                    fence=(message.token, sender),
-                    digest_range=(0, -1),
+                    fence=Fence(message.token, sender),
+                    digest_range=ALL_BUCKETS,
                     reply_to=sender,
                     stream_id=message.stream_id,
                 )
             )
-        elif log.durable_sequence == 0:  # its answer was lost
+        elif log.durable_sequence == 0:  # the reply was lost
             self.pending_writes.append(
-                ReplicaWrite(message.journal_id, digest_range=(0, -1), reply_to=sender, stream_id=message.stream_id)
+                ReplicaWrite(message.journal_id, digest_range=ALL_BUCKETS, reply_to=sender, stream_id=message.stream_id)
             )
 
     def _on_append(self, sender: str, log: ReplicaLog, append: Append) -> None:
@@ -116,10 +147,10 @@
             )
 
     def on_write_done(self, write: ReplicaWrite, safe: bool) -> None:
-        """A work is done, or could not be: then its stream goes on from before it."""
+        """A write has ended.  If it failed, its stream continues from the message before it."""
         log = self.logs.get(write.journal_id)
         if log is None or not write.reply_to or log.stream_id != write.stream_id:
-            return  # it was shut, or another stream has begun meanwhile
+            return  # the journal was closed, or another stream was opened meanwhile
         if not safe:
             log.received_sequence = min(log.received_sequence, write.sequence - 1)
             return
@@ -129,7 +160,7 @@
             self.outbox.append(
                 (write.reply_to, AppendAck(write.journal_id, log.token, write.stream_id, log.durable_sequence))
             )
-        if write.digest_range != (0, 0):
+        if write.digest_range != NO_BUCKETS:
             self.outbox.append(
                 (
                     write.reply_to,
@@ -138,7 +169,7 @@
                         log.token,
                         write.stream_id,
                         write.sequence,
-                        write.digest_range[0],
+                        write.digest_range.first,
                         write.digests,
                         self.disk_id_of(write.journal_id),
                     ),
@@ -146,22 +177,25 @@
             )
 
     def is_latest_token(self, journal_id: str, token: FencingToken) -> bool:
-        """Whether nobody has put anything into the book under a later token: guards against going on with what another
-        owner has swept off this disk."""
+        """Whether no other primary has written to this journal under a later token.
+
+        Prevents a primary from continuing with entries that its successor has already deleted from this disk.
+        """
         log = self.logs.get(journal_id)
         return log is not None and log.token == token
 
     def close(self, journal_id: str, token: FencingToken, stream_id: int = 0) -> None:
-        """Forget a book, but for its token: an older owner must not find a holder here that has forgotten who came
-        after him.  Nobody owns what is shut."""
+        """Delete a journal's entries and keep its token, so that a former primary is still rejected here."""
         self.logs[journal_id] = ReplicaLog(token, "", stream_id)
-        self.pending_writes.append(ReplicaWrite(journal_id, fence=(token, ""), closes=True))
+        self.pending_writes.append(ReplicaWrite(journal_id, fence=Fence(token, ""), closes=True))
 
     def become_primary(self, journal_id: str, token: FencingToken, primary: str) -> ReplicaWrite | None:
-        """This dispatcher owns the book from now on: what is to be on disk before it acts.  None where a later token
-        has been seen."""
+        """Make this dispatcher the primary; returns the write that must be stored before it acts.
+
+        None if a later token has been seen.
+        """
         log = self.logs.get(journal_id, ReplicaLog())
         if token < log.token:
             return None
         self.logs[journal_id] = ReplicaLog(token, primary)
-        return ReplicaWrite(journal_id, fence=(token, primary))
+        return ReplicaWrite(journal_id, fence=Fence(token, primary))
--- a/kelptrail/replication/replica_placement.py
+++ b/kelptrail/replication/replica_placement.py
@@ -1,13 +1,11 @@
-"""Which dispatchers hold copies of whose book: the same answer for all who know the same members; free of I/O.
+"""Placement of replicas: the same result at all dispatchers that know the same members; free of I/O.
 
-Each owner ranks all others by a hash of both names (rendezvous hashing, Thaler and Ravishankar 1998), so a member that
-comes or goes moves only what it held or now wins.  Other halls go first.  What one holds for others is bounded
-(Mirrokni, Thorup and Zadimoghaddam 2016): an owner whose first choice is full takes its next, so no member carries many
-books because its name happens to hash well.
+Each primary ranks all others by a hash of both names (rendezvous hashing, Thaler and Ravishankar 1998), so a member
+that joins or leaves moves only the journals that it gets or had.  Other zones come first.  The load of a member is
+bounded (Mirrokni, Thorup and Zadimoghaddam 2016): a primary whose first choice is full takes the next one.
 
-Weighed: a ring with virtual nodes (a table, and neighbours that fail together), jump hashing (only the last member may
-go), ranges of ids instead of whole books (evener still, but each batch of an owner goes to all members instead of to
-`count` of them).
+Rejected: a ring with virtual nodes (needs a table, and neighbours fail together), jump hashing (only the last member
+can leave), ranges of ids in place of whole journals (more even, but each batch of a primary goes to all members).
 """
 
 from __future__ import annotations
@@ -18,12 +16,12 @@
 from hashlib import blake2b
 from math import ceil
 
-LOAD_SLACK = 1.25  # what a member may hold, of its even share
+LOAD_SLACK = 1.25  # most journals of a member, as a multiple of the even share
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A dispatcher and the hall that it stands in."""
+    """A dispatcher and its zone."""
 
     name: str
     zone: str = ""
@@ -34,16 +32,16 @@
 
 
 def assign_replicas(members: Iterable[Member], count: int) -> dict[str, tuple[str, ...]]:
-    """Of each member the `count` others that hold its book, fewer only where there are fewer others.
+    """For each member the `count` replicas of its journal; fewer only if there are fewer other members.
 
-    Halls: first those that have none of this book yet, the owner's own last.
+    Zones without a replica of this journal come first, the primary's own zone last.
     """
     by_name = {m.name: m for m in members}
     everyone = [by_name[name] for name in sorted(by_name)]
     max_load = max(count, ceil(count * LOAD_SLACK))
     load: Counter[str] = Counter()
     out: dict[str, tuple[str, ...]] = {}
-    # Whoever chooses first has free choice: the order is drawn by hash, not by name.
+    # The first primary to choose has free choice, so the order is by hash and not by name.
     for primary in sorted(everyone, key=lambda m: _rank("", m.name)):
         ranked = sorted(
             (m for m in everyone if m is not primary), key=lambda m: _rank(primary.name, m.name), reverse=True
@@ -61,8 +59,7 @@
 
 
 def rank_replicas(members: Iterable[Member], primary: str, count: int) -> tuple[str, ...]:
-    """Whom an owner's books go to, the best first: its holders by `spread`, then the others by hash, other halls
-    first."""
+    """All candidates for a primary's replicas, best first: those of `assign_replicas`, then others by zone and hash."""
     every = {m.name: m for m in members}
     first = assign_replicas(every.values(), count).get(primary, ())
     zone = every[primary].zone if primary in every else ""
@@ -74,5 +71,5 @@
 
 
 def count_moves(before: dict[str, tuple[str, ...]], after: dict[str, tuple[str, ...]]) -> int:
-    """Books that are to be copied anew: holders after that were none before."""
+    """Number of replicas that must be copied: those in `after` that are not in `before`."""
     return sum(len(set(names) - set(before.get(primary, ()))) for primary, names in after.items())
--- a/kelptrail/replication/replica_store.py
+++ b/kelptrail/replication/replica_store.py
@@ -1,8 +1,8 @@
-"""Books on a holder's disk, the own ones among them: an SQLite database in WAL mode, or one in memory where the
-settings say that copies may be there.  `docs/formats/copies.md` has the layout.  One thread at a time uses it.
+"""Journals on disk, both replicated and own ones: an SQLite database in WAL mode, or in memory if so configured.
 
-Each row carries a checksum.  Digests of buckets are kept in memory, from what was read at the start and written since;
-`Work.check` reads the rows themselves back, so a disk that lies is found.
+`docs/formats/copies.md` has the layout.  One thread at a time uses it.  Each row carries a checksum.  Digests of
+buckets are kept in memory and updated by each write; `ReplicaWrite.digest_range` computes them from the rows on disk,
+which finds silent corruption.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from kelptrail.store.entries import Accepted, DamagedError, Ended, MayRun, unpack
 
 from .messages import BUCKETS, ReplicaEntry, bucket_of, entry_digest, pack_digests
-from .replica import ReplicaWrite
+from .replica import Fence, ReplicaWrite
 
 FORMAT = 1
 DAMAGE_MARKS = ("NotADB", "Corrupt", "malformed", "not a database")
@@ -39,18 +39,18 @@
 
 @dataclass(slots=True, eq=False)
 class ReadRequest:
-    """A bucket to be read, or all lives of a book (`bucket` -1); times are of this machine's wall clock."""
+    """A read of one bucket, or of all activations of a journal (`bucket` -1); times are wall-clock times."""
 
     journal_id: str
     bucket: int = -1
-    wall_ms: float = 0.0  # now
+    wall_ms: float = 0.0  # time of the read
     entries: tuple[ReplicaEntry, ...] | None = None
     activations: list[ActivationEntries] = field(default_factory=list)
     damaged: int = 0
 
 
 class ReplicaStore:
-    """One file; `file` None: in memory.  Raises `BookError`."""
+    """One database; `file` None: in memory.  Raises `JournalError`."""
 
     def __init__(self, file: Path | None, vfs: str | None = None) -> None:
         self.digests: dict[str, list[int]] = {}  # as committed
@@ -99,22 +99,22 @@
         return self._staged.setdefault(journal_id, [0] * BUCKETS)
 
     def digests_of(self, journal_id: str) -> list[int]:
-        """Of all buckets of a book."""
+        """Digests of all buckets of a journal, as committed."""
         return self.digests.get(journal_id, [0] * BUCKETS)
 
-    def fences(self) -> dict[str, tuple[FencingToken, str]]:
-        """Token and owner of each."""
+    def fences(self) -> dict[str, Fence]:
+        """Newest token and primary of each journal."""
         return {
-            journal_id: (FencingToken(round_, who), primary)
+            journal_id: Fence(FencingToken(round_, who), primary)
             for journal_id, round_, who, primary in self._run("SELECT book, round, who, owner FROM shelves")
         }
 
     def activation_ids(self) -> set[str]:
-        """Activations in any book."""
+        """Ids of the activations in any journal."""
         return {id_ for (id_,) in self._run("SELECT DISTINCT id FROM entries")}
 
     def commit(self, requests: Iterable[ReplicaWrite | ReadRequest]) -> None:
-        """Carry out works in order, all or none.  Raises `BookError`."""
+        """Carry out reads and writes in order, in one transaction.  Raises `JournalError`."""
         self._staged = {journal_id: list(digests) for journal_id, digests in self.digests.items()}
         try:
             with self._transaction():
@@ -159,7 +159,7 @@
         elif write.digest_range != (0, 0):
             write.digests = pack_digests(self._digests_on_disk(journal_id, *write.digest_range))
         if write.closes:
-            self._run("DELETE FROM entries WHERE book = ?", (journal_id,))  # its token stays
+            self._run("DELETE FROM entries WHERE book = ?", (journal_id,))  # the token stays
             self._staged.pop(journal_id, None)
 
     def _delete_rows(
@@ -172,7 +172,7 @@
             digests[bucket] ^= entry_digest(id_, kind, crc)
 
     def _digests_on_disk(self, journal_id: str, first: int, upto: int) -> list[int]:
-        """Digests of some buckets from the rows as they are now."""
+        """Digests of some buckets, computed from the rows on disk."""
         out = [0] * (upto - first)
         for bucket, id_, kind, body in self._db.execute(
             "SELECT bucket, id, kind, body FROM entries WHERE book = ? AND bucket >= ? AND bucket < ?",
@@ -200,12 +200,12 @@
                 entry = unpack(bytes(body), crc)
             except DamagedError:
                 request.damaged += 1
-                # What follows an entry that cannot be read proves nothing: it may have run.
+                # The damaged entry may have been a may-run entry, so the call may have run.
                 if activation is not None and activation.accepted.id == id_ and activation.may_run is None and kind:
                     activation.may_run = MayRun(id_, activation.accepted.start, "")
                 continue
             if isinstance(entry, Accepted):
-                # Its times are told by this machine's clock, as that of its owner may have been another.
+                # Times are converted to this machine's clock; that of the primary may differ.
                 activation, shift = ActivationEntries(msgspec.structs.replace(entry, start=since)), since - entry.start
                 request.activations.append(activation)
             elif activation is not None and activation.accepted.id == id_:
@@ -215,21 +215,24 @@
                     activation.ended = msgspec.structs.replace(entry, end=entry.end + shift)
 
     def forget(self, ids: Iterable[str]) -> None:
-        """Nothing is forgotten but by works."""
+        """Does nothing: entries are only deleted by `ReplicaWrite`."""
 
     def activation_count(self, journal_id: str) -> int:
-        """Activations in a book."""
+        """Number of activations in a journal."""
         return int(self._run("SELECT count(*) FROM entries WHERE book = ? AND kind = 0", (journal_id,))[0][0])
 
     def close(self) -> None:
-        """Close it; what was committed stays."""
+        """Close the database; committed data stays."""
         with contextlib.suppress(apsw.Error):
             self._db.close()
 
 
 def open_replica_store(file: Path | None, vfs: str | None = None) -> tuple[ReplicaStore, Path | None]:
-    """Open; a file that cannot be read is set aside, its new name returned: it counts as a lost disk, and is filled up
-    from others.  Raises `BookError`."""
+    """Open a store; returns it and, if the file was unreadable, the name to which that was moved.
+
+    A new store then takes its place with a new disk id, so it counts as a lost disk and is repaired from replicas.
+    Raises `JournalError`.
+    """
     try:
         return ReplicaStore(file, vfs), None
     except JournalError as cause:
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -21,12 +21,14 @@
 from kelptrail.lease.messages import FencingToken
 from kelptrail.model_checking.explorer import PropertyError
 from kelptrail.replication.failover import APPEND_SILENCE_MS, MIN_BACKOFF_MS, FailoverMonitor
-from kelptrail.replication.lookup import HERE, NO, PENDING, LookupService
+from kelptrail.replication.lookup import LookupService, LookupState
 from kelptrail.replication.messages import (
     Append,
     AppendAck,
+    BucketRange,
     CloseStream,
     DigestReply,
+    EntryKey,
     FencedReply,
     OpenStream,
     ReplicaEntry,
@@ -35,10 +37,11 @@
     pack_digests,
 )
 from kelptrail.replication.model import Faults, Model, Node
-from kelptrail.replication.primary import Primary, StreamState
-from kelptrail.replication.replica import Replica, ReplicaWrite
+from kelptrail.replication.primary import Primary
+from kelptrail.replication.replica import Fence, Replica, ReplicaWrite
 from kelptrail.replication.replica_placement import Member, assign_replicas, count_moves, rank_replicas
 from kelptrail.replication.replica_store import ReadRequest, ReplicaStore, open_replica_store
+from kelptrail.replication.replica_stream import StreamState
 from kelptrail.settings.deployment import load, parse
 from kelptrail.settings.reader import SettingsError
 from kelptrail.store.activation_journal import JournalError
@@ -297,7 +300,7 @@
     core.start_batch(2.0)
     core.on_local_write(core.local_writes.popleft(), True)
     way = core.streams["h"]
-    parts = [put for put, *_ in way.unacked]
+    parts = [unacked.append for unacked in way.unacked]
     assert [len(put.entries) for put in parts] == [1, 1, 1, 1, 1] and [put.deleted_ids for put in parts][3:] == [
         (),
         ("old",),
@@ -379,7 +382,7 @@
     shelves.commit(
         [
             ReplicaWrite(
-                "b", items(CALL, MayRun("c1", 1100.0, "w1"), ended), fence=(ONE, "a"), delay_ms=50.0, wall_ms=hour
+                "b", items(CALL, MayRun("c1", 1100.0, "w1"), ended), fence=Fence(ONE, "a"), delay_ms=50.0, wall_ms=hour
             )
         ]
     )
@@ -397,24 +400,24 @@
 
 def test_a_bucket_is_swept_of_what_does_not_belong_there_and_forgetting_changes_the_digest(tmp_path: Path) -> None:
     shelves, _ = open_replica_store(None)
-    shelves.commit([ReplicaWrite("b", items(CALL, MayRun("c1", 1.0, "w")), fence=(ONE, "a"))])
+    shelves.commit([ReplicaWrite("b", items(CALL, MayRun("c1", 1.0, "w")), fence=Fence(ONE, "a"))])
     both = list(shelves.digests["b"])
     bucket = next(n for n, found in enumerate(both) if found)
-    shelves.commit([ReplicaWrite("b", trimmed_bucket=bucket, retained=(("c1", 0),))])
+    shelves.commit([ReplicaWrite("b", trimmed_bucket=bucket, retained=(EntryKey("c1", 0),))])
     assert shelves.digests["b"] == bucket_digests(items(CALL)) != both
     shelves.commit([ReplicaWrite("b", deleted_ids=("c1",))])
     assert not any(shelves.digests["b"])
-    shelves.commit([ReplicaWrite("b", fence=(TWO, ""), closes=True)])
+    shelves.commit([ReplicaWrite("b", fence=Fence(TWO, ""), closes=True)])
     assert shelves.fences() == {"b": (TWO, "")} and not shelves.digests
 
 
 def test_a_flipped_bit_is_seen_by_reading_back_and_what_follows_it_may_have_run(tmp_path: Path) -> None:
     file = tmp_path / "copies.sqlite"
     shelves, _ = open_replica_store(file)
-    shelves.commit([ReplicaWrite("b", items(CALL, MayRun("c1", 1.0, "w")), fence=(ONE, "a"))])
+    shelves.commit([ReplicaWrite("b", items(CALL, MayRun("c1", 1.0, "w")), fence=Fence(ONE, "a"))])
     other = apsw.Connection(str(file))
     list(other.execute("UPDATE entries SET body = CAST(replace(body, 'w', 'v') AS BLOB) WHERE kind = 1"))
-    look = ReplicaWrite("b", digest_range=(0, 256))
+    look = ReplicaWrite("b", digest_range=BucketRange(0, 256))
     shelves.commit([look])
     assert look.digests != pack_digests(shelves.digests["b"])
     reading = ReadRequest("b")
@@ -506,20 +509,20 @@
     asks = LookupService("me/1", 300.0)
     asks.start(0.0, "x", ["a", "b"], ["me/1"], False, told.append)
     assert asks.join("x", told.append) and not asks.join("y", told.append)
-    asks.on_reply("a", "x", NO, "", "a/1", ["b/1"])
-    asks.on_reply("stranger", "x", NO, "", "stranger/1", [])
+    asks.on_reply("a", "x", LookupState.NO, "", "a/1", ["b/1"])
+    asks.on_reply("stranger", "x", LookupState.NO, "", "stranger/1", [])
     assert not told
-    asks.on_reply("b", "x", NO, "", "b/1", ["b/1", "me/1"])
+    asks.on_reply("b", "x", LookupState.NO, "", "b/1", ["b/1", "me/1"])
     assert told == [None, None]
     asks.start(0.0, "x", ["a"], [], False, told.append)
-    asks.on_reply("a", "x", NO, "", "a/2", ["a/1"])
+    asks.on_reply("a", "x", LookupState.NO, "", "a/2", ["a/1"])
     assert told.pop() == "", "whoever owns a book that may have it has not said so"
     asks.start(0.0, "x", ["a", "b"], [], False, told.append)
-    asks.on_reply("a", "x", PENDING, "", "a/1", [])
-    asks.on_reply("b", "x", HERE, "1.2.3.4:5", "b/1", [])
+    asks.on_reply("a", "x", LookupState.PENDING, "", "a/1", [])
+    asks.on_reply("b", "x", LookupState.HERE, "1.2.3.4:5", "b/1", [])
     assert told.pop() == "1.2.3.4:5"
     asks.start(0.0, "x", ["a", "b"], [], False, told.append)
-    asks.on_reply("b", "x", NO, "", "b/1", [])
+    asks.on_reply("b", "x", LookupState.NO, "", "b/1", [])
     asks.tick(299.0)
     assert len(told) == 2
     asks.tick(300.0)
