--- /dev/null
+++ b/kelptrail/replication/activation_locator.py
@@ -0,0 +1,100 @@
+"""Locates activations and idempotency keys across dispatchers, and replies to the lookups of others."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from kelptrail.clock import now_ms
+
+from .context import ReplicationContext
+from .journal_manager import JournalManager
+from .lookup import LookupService, LookupState
+from .messages import Lookup, LookupReply
+from .replica_placement import Member
+
+LOOKUP_TIMEOUT_MS = 300.0
+KEY_TARGET_PREFIX = "key:"
+
+
+class ActivationLocator:
+    """`address`: where this dispatcher serves its activations; `members`: the known dispatchers."""
+
+    def __init__(
+        self, context: ReplicationContext, journals: JournalManager, members: Callable[[], list[Member]]
+    ) -> None:
+        self._context, self._journals, self._members = context, journals, members
+        self._lookups = LookupService(context.leases.client.who, LOOKUP_TIMEOUT_MS)
+        self.address = ""
+
+    def find(self, target: str, on_result: Callable[[str | None], None]) -> None:
+        """Look up an activation id or a key; see `messages.Lookup`.
+
+        `on_result` gets the address that has it; "" if it may exist; None if no dispatcher has it.
+        """
+        if self._lookups.join(target, on_result):
+            return
+        heard = self._context.peers.heard().keys()
+        # For a key, an unreachable dispatcher matters only through its journal, which its replicas report.
+        unreachable = not target.startswith(KEY_TARGET_PREFIX) and any(
+            member.name not in heard and member.name != self._context.name for member in self._members()
+        )
+        # A peer that does not support the message has no journals of others.
+        asked = [name for name in heard if self._context.peers.send(name, Lookup(target))]
+        inconclusive = unreachable or self._may_appear(target)
+        self._lookups.start(now_ms(), target, asked, self._primaries_of(target), inconclusive, on_result)
+
+    def tick(self, now: float) -> None:
+        """Finish lookups that timed out."""
+        self._lookups.tick(now)
+
+    def on_lookup(self, sender: str, message: Lookup) -> None:
+        """Reply to a lookup of another dispatcher."""
+        target, responder = message.target, self._context.leases.client.who
+        if self._context.hooks.has_activation(target):
+            reply = LookupReply(target, LookupState.HERE, responder, self.address)
+        else:
+            state = LookupState.PENDING if self._may_appear(target) else LookupState.NO
+            reply = LookupReply(target, state, responder, primaries=self._primaries_of(target))
+        self._context.peers.send(sender, reply)
+
+    def on_reply(self, sender: str, message: LookupReply) -> None:
+        """Handle a reply to a lookup of this dispatcher."""
+        self._lookups.on_reply(
+            sender, message.target, message.state, message.address, message.responder, message.primaries
+        )
+
+    def _candidates(self, target: str) -> list[str]:
+        """Journals stored here that may contain the target."""
+        return [
+            journal_id
+            for journal_id, log in self._context.replica.logs.items()
+            if log.primary
+            if target.startswith(KEY_TARGET_PREFIX)
+            or self._context.hooks.is_issued_by(journal_id.rpartition(".")[0], target)
+        ]
+
+    def _may_appear(self, target: str) -> bool:
+        """Whether the target may be in a journal for which a negative reply of this run is not conclusive.
+
+        That is a journal of this dispatcher that is not recovered yet, or one that it released and for which no other
+        primary has appeared.
+        """
+        journals, logs = self._journals.handles, self._context.replica.logs
+        return any(
+            not journals[journal_id].recovered
+            if journal_id in journals
+            else logs[journal_id].primary == self._context.name or journal_id in self._journals.released
+            for journal_id in self._candidates(target)
+        )
+
+    def _primaries_of(self, target: str) -> tuple[str, ...]:
+        """Name and run of the primaries of journals that are replicated here and may contain the target."""
+        return tuple(
+            sorted(
+                {
+                    self._journals.reported_primary.get(journal_id) or self._context.replica.logs[journal_id].token.who
+                    for journal_id in self._candidates(target)
+                    if journal_id not in self._journals.handles
+                }
+            )
+        )
--- /dev/null
+++ b/kelptrail/replication/context.py
@@ -0,0 +1,76 @@
+"""What the parts of the replication driver share: settings, connections, leases, stores, and hooks of the gateway."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING, Any
+
+from kelptrail.clock import now_ms, wall_ms
+from kelptrail.lease.driver import LeaseDriver
+from kelptrail.lease.messages import FencingToken
+from kelptrail.peers.driver import Peers
+from kelptrail.store.activation_journal import ActivationEntries
+
+from .failover import FailoverMonitor
+from .journal_stores import JournalStores
+from .messages import LEASE_PREFIX, ReplicationSettings
+from .replica import Replica
+
+if TYPE_CHECKING:
+    from .primary_handle import PrimaryHandle
+
+
+@dataclass(slots=True)
+class GatewayHooks:
+    """Callbacks of the gateway; `service/journal_takeover.py` sets them.
+
+    `on_recovered` gets activations of a journal that this dispatcher has acquired.  `on_resumed`: the journal may be
+    acted on.  `on_released`: another dispatcher has it; returns the number of calls given up.  `on_progress`: a batch
+    may have been committed.
+    """
+
+    on_recovered: Callable[[PrimaryHandle, list[ActivationEntries]], None] = lambda handle, activations: None
+    on_resumed: Callable[[PrimaryHandle], None] = lambda handle: None
+    on_released: Callable[[PrimaryHandle], int] = lambda handle: 0
+    on_progress: Callable[[], None] = lambda: None
+    has_activation: Callable[[str], bool] = lambda id_: False
+    is_issued_by: Callable[[str, str], bool] = lambda name, id_: False  # dispatcher name, activation id
+    has_in_flight: Callable[[PrimaryHandle], bool] = lambda handle: False  # whether calls of a journal are
+
+
+@dataclass(slots=True)
+class ReplicationContext:
+    """Shared by `ReplicationDriver`, `JournalManager`, `ActivationLocator` and `DrainController`."""
+
+    name: str
+    settings: ReplicationSettings
+    lease_ms: float
+    peers: Peers
+    leases: LeaseDriver
+    stores: JournalStores
+    replica: Replica
+    failover: FailoverMonitor
+    flush: Callable[[], None]
+    log: Any
+    hooks: GatewayHooks = field(default_factory=GatewayHooks)
+    wall_offset_ms: float = field(default_factory=lambda: wall_ms() - now_ms())
+
+    def wall_ms(self) -> float:
+        """The time of day, continued from the start of this run.
+
+        Prevents a wall clock that is set while a call is recorded from shortening or extending the call's time.
+        """
+        return self.wall_offset_ms + now_ms()
+
+    def is_own(self, journal_id: str) -> bool:
+        """Whether a run of this dispatcher created the journal."""
+        return self.stores.is_own(journal_id)
+
+    def lease_token(self, journal_id: str) -> FencingToken | None:
+        """The token under which this process holds the journal's lease at this instant."""
+        return self.leases.holds(LEASE_PREFIX + journal_id)
+
+    def reported_holder(self, journal_id: str) -> str:
+        """Name and run of the last reported holder of the journal's lease; there must be one."""
+        return self.leases.client.seen[LEASE_PREFIX + journal_id][0].who
--- /dev/null
+++ b/kelptrail/replication/drain.py
@@ -0,0 +1,58 @@
+"""Graceful shutdown of a dispatcher's replication: its journals and its replicas move to other dispatchers."""
+
+from __future__ import annotations
+
+from kelptrail.clock import now_ms
+
+from .context import ReplicationContext
+from .journal_manager import JournalManager
+from .messages import DrainNotice
+from .primary_handle import PrimaryHandle
+
+DRAIN_TIMEOUT_MS = 30_000.0  # then journals are transferred with calls in flight
+DRAIN_NOTICE_INTERVAL_MS = 500.0
+
+
+class DrainController:
+    """While draining no call is accepted; primaries that replicate here are asked to choose another replica."""
+
+    def __init__(self, context: ReplicationContext, journals: JournalManager) -> None:
+        self._context, self._journals = context, journals
+        self.draining = False
+        self._deadline = 0.0
+        self._next_notice_at = 0.0
+
+    def start(self) -> None:
+        """Begin to drain; a second call changes nothing."""
+        if self.draining:
+            return
+        self._context.log.warning(
+            "replication_draining", journals=len(self._journals.handles), replicas=len(self._context.replica.logs)
+        )
+        self.draining, self._deadline = True, now_ms() + DRAIN_TIMEOUT_MS
+        self._journals.may_create = False
+
+    def tick(self, now: float) -> None:
+        """Send notices to primaries; transfer each journal that has no call in flight, or all at the deadline."""
+        self._send_notices(now)
+        for handle in list(self._journals.handles.values()):
+            others = sorted(name for name in handle.primary.in_sync if name != self._context.name)
+            if others and handle.primary.ready and self._may_transfer(now, handle):
+                self._transfer(handle, others)
+
+    def _send_notices(self, now: float) -> None:
+        if now < self._next_notice_at:
+            return
+        for journal_id, log in self._context.replica.logs.items():
+            if journal_id not in self._journals.handles and log.primary:
+                self._context.peers.send(log.primary, DrainNotice())
+        self._next_notice_at = now + DRAIN_NOTICE_INTERVAL_MS
+
+    def _may_transfer(self, now: float, handle: PrimaryHandle) -> bool:
+        return not self._context.hooks.has_in_flight(handle) or now >= self._deadline
+
+    def _transfer(self, handle: PrimaryHandle, others: list[str]) -> None:
+        successor = next((name for name in others if name in self._context.peers.heard()), others[0])
+        self._journals.release(handle, successor)
+        if handle.journal_id in self._context.replica.logs:
+            self._context.replica.logs[handle.journal_id].primary = successor  # which closes the replica here later
--- /dev/null
+++ b/kelptrail/replication/primary_handle.py
@@ -0,0 +1,58 @@
+"""A journal of which this process is the primary, as the gateway writes to it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import msgspec
+
+from kelptrail.clock import now_ms, wall_ms
+from kelptrail.lease.messages import NO_TOKEN
+from kelptrail.store.activation_journal import KINDS
+from kelptrail.store.entries import Accepted, Ended, Entry, pack
+
+from .context import ReplicationContext
+from .messages import ReplicaEntry
+from .primary import Primary
+
+RESULT_TOO_LARGE = b'{"error":"The result was too large to be held by others, and was lost with its dispatcher."}'
+
+
+class PrimaryHandle:
+    """Implements the gateway's `RecordKeeper` on a `Primary`."""
+
+    def __init__(self, context: ReplicationContext, primary: Primary) -> None:
+        self._context, self.primary, self.journal_id = context, primary, primary.journal_id
+        self.recovered = False  # the gateway has all activations of the journal
+        self.note_number = 0  # of the last in-sync set that was submitted to the lease
+        self.token = NO_TOKEN  # under which the lease was acquired last
+        self.next_probe_at = 0.0  # when replicas may be asked again whether there is another primary
+
+    def takes(self) -> bool:
+        """Whether a new deferred call can be accepted."""
+        return self.recovered and self.primary.accepts_requests() and self.acting(now_ms())
+
+    def acting(self, now: float) -> bool:
+        """Whether entries of the journal may be acted on at this instant; checks the lease."""
+        return (
+            self.primary.ready
+            and not self.primary.fenced_by
+            and self._context.lease_token(self.journal_id) == self.primary.token
+        )
+
+    def write(self, entry: Entry, waiter: Callable[[bool], None] | None = None, keep: bool = False) -> None:
+        """Append an entry; `waiter` is called once it is committed.  `keep` has no effect here.
+
+        For an accepted call it gets False if the journal is under-replicated, for other entries always True.
+        """
+        data, _ = pack(entry)
+        if isinstance(entry, Ended) and len(data) > self.primary.settings.max_entry_bytes:
+            data, _ = pack(msgspec.structs.replace(entry, result=RESULT_TOO_LARGE))
+        accepted = isinstance(entry, Accepted)
+        age_ms = max(0.0, wall_ms() - entry.start) if isinstance(entry, Accepted) else 0.0
+        on_commit = waiter if accepted or waiter is None else (lambda _fully_replicated: waiter(True))
+        self.primary.append([ReplicaEntry(entry.id, KINDS[type(entry)], age_ms, data)], on_commit)
+
+    def forget(self, id_: str) -> None:
+        """Delete the entries of an activation whose record is no longer kept."""
+        self.primary.append((), None, (id_,))
--- /dev/null
+++ b/kelptrail/replication/recovery.py
@@ -0,0 +1,83 @@
+"""Recovery of a journal after a failover or a restart: its activations are read from disk and given to the gateway."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from functools import partial
+
+from kelptrail.clock import now_ms
+from kelptrail.lease.messages import FencingToken
+
+from .context import ReplicationContext
+from .primary_handle import PrimaryHandle
+from .replica_store import ReadRequest
+
+RECOVERY_BATCH = 200  # activations per step of the event loop, so that a large journal does not block it
+RECOVERY_PAUSE_S = 0.001
+DISK_FAILED = "disk_failed"  # reason of a transfer
+
+
+class JournalRecovery:
+    """Recoveries in progress.
+
+    `is_present`: whether this process is still the primary; `on_recovered` gets the number of activations; `on_failed`
+    is called with a reason if the disk cannot be read.
+    """
+
+    def __init__(
+        self,
+        context: ReplicationContext,
+        is_present: Callable[[PrimaryHandle], bool],
+        on_recovered: Callable[[PrimaryHandle, int], None],
+        on_failed: Callable[[PrimaryHandle, str], None],
+    ) -> None:
+        self._context, self._is_present = context, is_present
+        self._on_recovered, self._on_failed = on_recovered, on_failed
+        self._loop = asyncio.get_running_loop()
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def start(self, handle: PrimaryHandle, token: FencingToken, previous_primary: str) -> None:
+        """Read the journal's activations, then give them to the gateway."""
+        request = ReadRequest(handle.journal_id, wall_ms=self._context.wall_ms())
+        self._context.stores.submit(request, partial(self._on_read, handle, token, previous_primary, request))
+
+    def stop(self) -> None:
+        """Cancel all recoveries."""
+        for task in self._tasks:
+            task.cancel()
+
+    def _on_read(
+        self, handle: PrimaryHandle, token: FencingToken, previous_primary: str, request: ReadRequest, safe: bool
+    ) -> None:
+        if not safe:
+            self._on_failed(handle, DISK_FAILED)
+            return
+        task = self._loop.create_task(self._recover(handle, token, previous_primary, request))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _recover(
+        self, handle: PrimaryHandle, token: FencingToken, previous_primary: str, request: ReadRequest
+    ) -> None:
+        """Give the activations to the gateway in steps; unfinished calls first, by time."""
+        began = now_ms()
+        activations = sorted(request.activations, key=lambda each: (each.ended is not None, each.accepted.start))
+        for first in range(0, len(activations), RECOVERY_BATCH):
+            if not self._is_present(handle):
+                return
+            self._context.hooks.on_recovered(handle, activations[first : first + RECOVERY_BATCH])
+            await asyncio.sleep(RECOVERY_PAUSE_S)
+        handle.recovered = True
+        self._on_recovered(handle, len(activations))
+        self._context.log.info(
+            "journal_recovered",
+            journal=handle.journal_id,
+            token=str(token),
+            calls=len(activations),
+            previous_primary=previous_primary,
+            damaged=request.damaged,
+            ms=round(now_ms() - began),
+        )
+        self._context.hooks.on_resumed(handle)
+        self._context.flush()
--- a/kelptrail/service/journal_takeover.py
+++ b/kelptrail/service/journal_takeover.py
@@ -1,4 +1,4 @@
-"""Joins books with copies to the gateway that acts on what is in them."""
+"""Joins the replicated journals of a process to the gateway that acts on their contents."""
 
 from __future__ import annotations
 
@@ -6,34 +6,44 @@
 from kelptrail.gateway.core import Gateway
 from kelptrail.gateway.driver import GatewayDriver
 from kelptrail.membership.members import ID_PREFIX_DIGITS, id_prefix
-from kelptrail.replication.driver import PrimaryHandle, ReplicationDriver
+from kelptrail.replication.driver import ReplicationDriver
+from kelptrail.replication.primary_handle import PrimaryHandle
 from kelptrail.store.activation_journal import ActivationEntries
 
 
 def take_over_journal(
-    copies: ReplicationDriver | None, gateway: Gateway, driver: GatewayDriver, at_once: int, least_ms: float
+    replication: ReplicationDriver | None,
+    gateway: Gateway,
+    driver: GatewayDriver,
+    max_resumed: int,
+    min_remaining_ms: float,
 ) -> None:
-    """New deferred calls go to this process's book, what is taken over to the gateway; `at_once`, `least_ms`: as after
-    a restart.  None: there is nowhere to keep copies, and nothing is promised."""
-    if copies is None:
+    """Send new deferred calls to the replicated journal, and recovered activations to the gateway.
+
+    `max_resumed` and `min_remaining_ms` are those of `Gateway.recover`.  Without replication no deferred call is
+    accepted.
+    """
+    if replication is None:
         gateway.promising = lambda: None
         return
 
-    def taken(held: PrimaryHandle, lives: list[ActivationEntries]) -> None:
-        gateway.recover(now_ms(), copies.wall_ms(), lives, least_ms, at_once, held)
+    def on_recovered(handle: PrimaryHandle, activations: list[ActivationEntries]) -> None:
+        gateway.recover(now_ms(), replication.wall_ms(), activations, min_remaining_ms, max_resumed, handle)
         driver.schedule_decisions()
 
-    def acts(held: PrimaryHandle) -> None:
-        gateway.is_primary(held)
+    def on_resumed(handle: PrimaryHandle) -> None:
+        gateway.is_primary(handle)
         driver.schedule_decisions()
 
-    def lost(held: PrimaryHandle) -> int:
-        count = gateway.release(held)
+    def on_released(handle: PrimaryHandle) -> int:
+        count = gateway.release(handle)
         driver.schedule_decisions()
         return count
 
-    gateway.promising, driver.replication = copies.journal_for_new_requests, copies.flush
-    copies.on_recovered, copies.on_resumed, copies.on_released, copies.has_activation = taken, acts, lost, gateway.has
-    copies.on_progress = driver.schedule_decisions
-    copies.has_in_flight = lambda held: any(not record.final for record in gateway.records.of(held))
-    copies.is_issued_by = lambda name, id_: id_prefix(name) == id_[:ID_PREFIX_DIGITS]
+    gateway.promising, driver.replication = replication.journal_for_new_requests, replication.flush
+    hooks = replication.hooks
+    hooks.on_recovered, hooks.on_resumed, hooks.on_released = on_recovered, on_resumed, on_released
+    hooks.on_progress = driver.schedule_decisions
+    hooks.has_activation = gateway.has
+    hooks.has_in_flight = lambda handle: any(not record.final for record in gateway.records.of(handle))
+    hooks.is_issued_by = lambda name, id_: id_prefix(name) == id_[:ID_PREFIX_DIGITS]
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -36,7 +36,8 @@
     bucket_digests,
     pack_digests,
 )
-from kelptrail.replication.model import Faults, Model, Node
+from kelptrail.replication.model import Faults, Model
+from kelptrail.replication.model_node import Node
 from kelptrail.replication.primary import Primary
 from kelptrail.replication.replica import Fence, Replica, ReplicaWrite
 from kelptrail.replication.replica_placement import Member, assign_replicas, count_moves, rank_replicas
@@ -75,39 +76,39 @@
     assert assign_replicas(fleet(1, 1), 2) == {"dispatcher-0": ()} and assign_replicas([], 2) == {}
 
 
-# The world of one book.
+# The model of one journal.
 
 
-def walk(world: Model, steps: int = 300) -> Model:
+def walk(model: Model, steps: int = 300) -> Model:
     for _ in range(steps):
-        world.step()
-    world.heal()
-    return world
+        model.step()
+    model.heal()
+    return model
 
 
 def test_what_was_promised_is_found_and_nothing_runs_twice_through_all_that_goes_wrong() -> None:
     took = promised = broken = 0
     for seed in range(60):
-        world = walk(Model(seed))
+        model = walk(Model(seed))
         took, promised, broken = (
-            took + world.takeovers,
-            promised + len(world.acknowledged),
-            broken + bool(world.all_disks_lost),
+            took + model.takeovers,
+            promised + len(model.acknowledged),
+            broken + bool(model.all_disks_lost),
         )
     assert took > 200 and promised > 1000 and broken < 20, "and enough happened"
 
 
 def test_a_holder_that_says_safe_and_loses_it_is_filled_up_again() -> None:
     """Only one disk rots, and nothing else goes wrong with disks: what a promise needs is found elsewhere."""
-    mended = 0
+    repaired = 0
     for seed in range(12):
-        world = Model(seed, faults=Faults(disk_loss=0.0, bit_rot=0.004, lease_loss=0.0, restart=0.0, failed_sync=0.0))
-        walk(world)
-        mended += sum(node.primary.repaired_buckets for node in world.nodes.values())
-        (owner,) = [node for node in world.nodes.values() if node.holds_lease]
+        model = Model(seed, faults=Faults(disk_loss=0.0, bit_rot=0.004, lease_loss=0.0, restart=0.0, failed_sync=0.0))
+        walk(model)
+        repaired += sum(node.primary.repaired_buckets for node in model.nodes.values())
+        (owner,) = [node for node in model.nodes.values() if node.holds_lease]
         for name in owner.primary.in_sync:
-            assert world.nodes[name].disk.entries == owner.disk.entries, "all members have the same in the end"
-    assert mended > 5
+            assert model.nodes[name].disk.entries == owner.disk.entries, "all members have the same in the end"
+    assert repaired > 5
 
 
 class SafeOnItsOwnDisk(Primary):
@@ -195,7 +196,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kinds", "world"),
+    ("roles", "model"),
     [
         ((SafeOnItsOwnDisk, Replica), Model),
         ((TakesFillingForWhole, Replica), Model),
@@ -211,140 +212,144 @@
     ],
     ids=lambda found: found.__name__ if isinstance(found, type) else "-".join(kind.__name__ for kind in found),
 )
-def test_rules_broken_on_purpose_are_found(kinds: Any, world: type[Model]) -> None:
+def test_rules_broken_on_purpose_are_found(roles: Any, model: type[Model]) -> None:
     with pytest.raises(PropertyError):
         for seed in range(400):
-            walk(world(seed, kinds=kinds))
+            walk(model(seed, roles=roles))
 
 
-# Owner and holder, step by step.
+# Primary and replica, step by step.
 
 ONE, TWO = FencingToken(1, "a/1"), FencingToken(2, "b/1")
 EMPTY = pack_digests(bucket_digests(()))
 
 
-def owner(count: int = 1, **how: Any) -> Primary:
+def new_primary(count: int = 1, **how: Any) -> Primary:
     made = Primary("b", "a", "disk-a", ReplicationSettings(count, **how), lambda: bucket_digests(()))
     made.on_lease_acquired(0.0, ONE, {})
     made.on_in_sync_stored(0.0)
     return made
 
 
-def whole(core: Primary, now: float, name: str) -> None:
-    core.update_streams(now, [name], [name])
-    core.on_message(now, name, DigestReply("b", ONE, core.streams[name].stream_id, 0, 0, EMPTY, f"disk-{name}"))
-    core.on_message(now, name, AppendAck("b", ONE, core.streams[name].stream_id, core.streams[name].last_sequence))
-    core.on_in_sync_stored(now)
+def bring_in_sync(primary: Primary, now: float, name: str) -> None:
+    primary.update_streams(now, [name], [name])
+    primary.on_message(now, name, DigestReply("b", ONE, primary.streams[name].stream_id, 0, 0, EMPTY, f"disk-{name}"))
+    primary.on_message(
+        now, name, AppendAck("b", ONE, primary.streams[name].stream_id, primary.streams[name].last_sequence)
+    )
+    primary.on_in_sync_stored(now)
 
 
 def test_with_fewer_copies_than_asked_for_nothing_is_promised_and_what_runs_goes_on() -> None:
-    core, told = owner(), list[bool]()
-    assert not core.accepts_requests(), "too few have it"
-    whole(core, 1.0, "h")
+    primary, told = new_primary(), list[bool]()
+    assert not primary.accepts_requests(), "too few have it"
+    bring_in_sync(primary, 1.0, "h")
     assert (
-        core.accepts_requests() and core.in_sync == {"a": "disk-a", "h": "disk-h"} and core.under_replicated_ms == 1.0
+        primary.accepts_requests()
+        and primary.in_sync == {"a": "disk-a", "h": "disk-h"}
+        and primary.under_replicated_ms == 1.0
     )
-    core.append([ReplicaEntry("i", 0, 0.0, b"x")], told.append)
-    core.start_batch(2.0)
-    core.on_local_write(core.local_writes.popleft(), True)
+    primary.append([ReplicaEntry("i", 0, 0.0, b"x")], told.append)
+    primary.start_batch(2.0)
+    primary.on_local_write(primary.local_writes.popleft(), True)
     assert not told, "the holder has not answered"
-    core.tick(400.0)
-    core.tick(1600.0)
-    assert not core.streams and core.in_sync_updates.pop() == {"a": "disk-a"} and not told, (
+    primary.tick(400.0)
+    primary.tick(1600.0)
+    assert not primary.streams and primary.in_sync_updates.pop() == {"a": "disk-a"} and not told, (
         "given up, and that is not noted yet"
     )
-    core.on_in_sync_stored(1601.0)
-    assert told == [False] and not core.accepts_requests() and core.status(1701.0)["at_risk_ms"] == 100
-    short = owner(allow_under_replicated=True)
+    primary.on_in_sync_stored(1601.0)
+    assert told == [False] and not primary.accepts_requests() and primary.status(1701.0)["at_risk_ms"] == 100
+    short = new_primary(allow_under_replicated=True)
     assert short.accepts_requests(), "where the settings say so"
 
 
 def test_an_owner_that_was_fenced_is_told_and_tells_nobody_that_anything_is_safe() -> None:
-    core, told = owner(0), list[bool]()
-    core.on_message(1.0, "h", FencedReply("b", TWO))
-    core.append([ReplicaEntry("i", 0, 0.0, b"x")], told.append)
-    core.start_batch(1.0)
-    core.on_local_write(core.local_writes.popleft(), True)
-    assert core.fenced_by and not told and not core.accepts_requests()
+    primary, told = new_primary(0), list[bool]()
+    primary.on_message(1.0, "h", FencedReply("b", TWO))
+    primary.append([ReplicaEntry("i", 0, 0.0, b"x")], told.append)
+    primary.start_batch(1.0)
+    primary.on_local_write(primary.local_writes.popleft(), True)
+    assert primary.fenced_by and not told and not primary.accepts_requests()
 
 
 def test_an_owner_whose_disk_fails_promises_nothing_more() -> None:
-    core = owner(0)
-    core.append([ReplicaEntry("i", 0, 0.0, b"x")], None)
-    core.start_batch(1.0)
-    core.on_local_write(core.local_writes.popleft(), False)
-    assert core.disk_failed and not core.accepts_requests()
+    primary = new_primary(0)
+    primary.append([ReplicaEntry("i", 0, 0.0, b"x")], None)
+    primary.start_batch(1.0)
+    primary.on_local_write(primary.local_writes.popleft(), False)
+    assert primary.disk_failed and not primary.accepts_requests()
 
 
 def test_what_waits_for_a_holder_is_bounded_in_a_window_and_in_all() -> None:
-    core = owner(1, window_bytes=1000, max_uncommitted_bytes=5000)
-    whole(core, 1.0, "h")
-    core.outbox.clear()
+    primary = new_primary(1, window_bytes=1000, max_uncommitted_bytes=5000)
+    bring_in_sync(primary, 1.0, "h")
+    primary.outbox.clear()
     for n in range(4):
-        core.append([ReplicaEntry(f"i{n}", 0, 0.0, b"x" * 1500)], None)
-        core.start_batch(2.0)
-    sent = [m for _, m in core.outbox if isinstance(m, Append)]
-    assert len(sent) == 1 and not core.accepts_requests(), "one that fills the window, and no more is taken"
-    core.on_message(3.0, "h", AppendAck("b", ONE, core.streams["h"].stream_id, sent[0].sequence))
-    assert len([m for _, m in core.outbox if isinstance(m, Append)]) == 2
-    core.tick(400.0)
-    again = [m for _, m in core.outbox if isinstance(m, Append)][2]
+        primary.append([ReplicaEntry(f"i{n}", 0, 0.0, b"x" * 1500)], None)
+        primary.start_batch(2.0)
+    sent = [m for _, m in primary.outbox if isinstance(m, Append)]
+    assert len(sent) == 1 and not primary.accepts_requests(), "one that fills the window, and no more is taken"
+    primary.on_message(3.0, "h", AppendAck("b", ONE, primary.streams["h"].stream_id, sent[0].sequence))
+    assert len([m for _, m in primary.outbox if isinstance(m, Append)]) == 2
+    primary.tick(400.0)
+    again = [m for _, m in primary.outbox if isinstance(m, Append)][2]
     assert again.sequence == sent[0].sequence + 1 and again.delay_ms == 398.0, "sent again, and older by so much"
 
 
 def test_a_large_batch_goes_in_parts_and_is_safe_with_the_last() -> None:
-    core, told = owner(1, window_bytes=1000), list[bool]()
-    whole(core, 1.0, "h")
-    core.outbox.clear()
-    core.append([ReplicaEntry(f"i{n}", 0, 0.0, b"x" * 300) for n in range(5)], told.append, ["old"])
-    core.start_batch(2.0)
-    core.on_local_write(core.local_writes.popleft(), True)
-    way = core.streams["h"]
-    parts = [unacked.append for unacked in way.unacked]
+    primary, told = new_primary(1, window_bytes=1000), list[bool]()
+    bring_in_sync(primary, 1.0, "h")
+    primary.outbox.clear()
+    primary.append([ReplicaEntry(f"i{n}", 0, 0.0, b"x" * 300) for n in range(5)], told.append, ["old"])
+    primary.start_batch(2.0)
+    primary.on_local_write(primary.local_writes.popleft(), True)
+    stream = primary.streams["h"]
+    parts = [unacked.append for unacked in stream.unacked]
     assert [len(put.entries) for put in parts] == [1, 1, 1, 1, 1] and [put.deleted_ids for put in parts][3:] == [
         (),
         ("old",),
     ]
-    core.on_message(3.0, "h", AppendAck("b", ONE, way.stream_id, way.last_sequence - 1))
+    primary.on_message(3.0, "h", AppendAck("b", ONE, stream.stream_id, stream.last_sequence - 1))
     assert not told
-    core.on_message(4.0, "h", AppendAck("b", ONE, way.stream_id, way.last_sequence))
+    primary.on_message(4.0, "h", AppendAck("b", ONE, stream.stream_id, stream.last_sequence))
     assert told == [True]
 
 
 def test_one_that_is_no_holder_any_more_is_told_and_forgets_but_not_for_an_older_word() -> None:
-    core = owner()
-    whole(core, 1.0, "h")
-    core.update_streams(5000.0, ["k"], ["k"])
-    core.on_in_sync_stored(5000.0)
-    core.outbox.clear()
-    core.update_streams(5001.0, ["h", "k"], ["k"])
-    ((to, shut),) = core.outbox
-    assert to == "h" and isinstance(shut, CloseStream)
-    holder = Replica({}, lambda _: "disk")
-    holder.on_message("a", OpenStream("b", ONE, shut.stream_id + 1))
-    holder.on_message("a", shut)
-    assert "b" in holder.logs, "it has been asked again meanwhile"
-    holder.on_message("a", CloseStream("b", ONE, shut.stream_id + 2))
-    assert not holder.logs["b"].primary and holder.pending_writes[-1].closes
-    holder.on_message("old", OpenStream("b", FencingToken(0, "old/1"), 99))
-    assert isinstance(holder.outbox.pop()[1], FencedReply), "what is forgotten is not who came last"
+    primary = new_primary()
+    bring_in_sync(primary, 1.0, "h")
+    primary.update_streams(5000.0, ["k"], ["k"])
+    primary.on_in_sync_stored(5000.0)
+    primary.outbox.clear()
+    primary.update_streams(5001.0, ["h", "k"], ["k"])
+    ((to, close),) = primary.outbox
+    assert to == "h" and isinstance(close, CloseStream)
+    replica = Replica({}, lambda _: "disk")
+    replica.on_message("a", OpenStream("b", ONE, close.stream_id + 1))
+    replica.on_message("a", close)
+    assert "b" in replica.logs, "it has been asked again meanwhile"
+    replica.on_message("a", CloseStream("b", ONE, close.stream_id + 2))
+    assert not replica.logs["b"].primary and replica.pending_writes[-1].closes
+    replica.on_message("old", OpenStream("b", FencingToken(0, "old/1"), 99))
+    assert isinstance(replica.outbox.pop()[1], FencedReply), "what is forgotten is not who came last"
 
 
 def test_books_are_wanted_once_their_owner_is_silent_or_looks_at_them_no_more() -> None:
-    watch = FailoverMonitor("me", 1000.0, 0.0)
-    watch.on_heard("a", 500.0)
-    watch.on_append("b", 500.0)
+    monitor = FailoverMonitor("me", 1000.0, 0.0)
+    monitor.on_heard("a", 500.0)
+    monitor.on_append("b", 500.0)
     assert (
-        not watch.should_claim(1400.0, "b", "a")
-        and watch.should_claim(1500.0, "b", "a")
-        and watch.should_claim(0.0, "b", "me")
+        not monitor.should_claim(1400.0, "b", "a")
+        and monitor.should_claim(1500.0, "b", "a")
+        and monitor.should_claim(0.0, "b", "me")
     )
-    watch.on_heard("a", 7000.0)
-    assert watch.should_claim(500.0 + 1000.0 + APPEND_SILENCE_MS, "b", "a"), "heard, and does not look at it"
-    watch.on_append("b", 7000.0)
-    assert watch.primary_returned(7100.0, "b", "a") and not watch.primary_returned(9000.0, "b", "a")
-    watch.back_off(7100.0, "b")
-    assert not watch.should_claim(7100.0 + MIN_BACKOFF_MS - 1, "b", "me") and watch.should_claim(
+    monitor.on_heard("a", 7000.0)
+    assert monitor.should_claim(500.0 + 1000.0 + APPEND_SILENCE_MS, "b", "a"), "heard, and does not look at it"
+    monitor.on_append("b", 7000.0)
+    assert monitor.primary_returned(7100.0, "b", "a") and not monitor.primary_returned(9000.0, "b", "a")
+    monitor.back_off(7100.0, "b")
+    assert not monitor.should_claim(7100.0 + MIN_BACKOFF_MS - 1, "b", "me") and monitor.should_claim(
         7100.0 + MIN_BACKOFF_MS, "b", "me"
     )
 
@@ -376,52 +381,52 @@
 
 def test_times_are_told_by_the_clock_of_whoever_holds_the_book(tmp_path: Path) -> None:
     """The owner's clock was an hour off: what counts is how long ago its entries were."""
-    shelves, _ = open_replica_store(tmp_path / "copies.sqlite")
+    store, _ = open_replica_store(tmp_path / "copies.sqlite")
     hour = 3_600_000.0
     ended = Ended("c1", CALL.start + 150.0, "completed", 0, b"{}")
-    shelves.commit(
+    store.commit(
         [
             ReplicaWrite(
                 "b", items(CALL, MayRun("c1", 1100.0, "w1"), ended), fence=Fence(ONE, "a"), delay_ms=50.0, wall_ms=hour
             )
         ]
     )
-    shelves.close()
+    store.close()
     again, aside = open_replica_store(tmp_path / "copies.sqlite")
     reading = ReadRequest("b", wall_ms=hour + 500.0)
     again.commit([reading])
     (life,) = reading.activations
-    assert aside is None and again.fences() == {"b": (ONE, "a")} and again.disk_id == shelves.disk_id
+    assert aside is None and again.fences() == {"b": (ONE, "a")} and again.disk_id == store.disk_id
     assert life.accepted.start == hour - 300.0 and life.may_run is not None and life.may_run.sent == hour - 50.0
     assert life.ended is not None and life.ended.end == life.accepted.start + 150.0, "as long as it was"
     assert life.accepted.key == "key" and again.activation_ids() == {"c1"} and again.activation_count("b") == 1
-    assert again.digests == shelves.digests, "made anew from the rows"
+    assert again.digests == store.digests, "made anew from the rows"
 
 
 def test_a_bucket_is_swept_of_what_does_not_belong_there_and_forgetting_changes_the_digest(tmp_path: Path) -> None:
-    shelves, _ = open_replica_store(None)
-    shelves.commit([ReplicaWrite("b", items(CALL, MayRun("c1", 1.0, "w")), fence=Fence(ONE, "a"))])
-    both = list(shelves.digests["b"])
+    store, _ = open_replica_store(None)
+    store.commit([ReplicaWrite("b", items(CALL, MayRun("c1", 1.0, "w")), fence=Fence(ONE, "a"))])
+    both = list(store.digests["b"])
     bucket = next(n for n, found in enumerate(both) if found)
-    shelves.commit([ReplicaWrite("b", trimmed_bucket=bucket, retained=(EntryKey("c1", 0),))])
-    assert shelves.digests["b"] == bucket_digests(items(CALL)) != both
-    shelves.commit([ReplicaWrite("b", deleted_ids=("c1",))])
-    assert not any(shelves.digests["b"])
-    shelves.commit([ReplicaWrite("b", fence=Fence(TWO, ""), closes=True)])
-    assert shelves.fences() == {"b": (TWO, "")} and not shelves.digests
+    store.commit([ReplicaWrite("b", trimmed_bucket=bucket, retained=(EntryKey("c1", 0),))])
+    assert store.digests["b"] == bucket_digests(items(CALL)) != both
+    store.commit([ReplicaWrite("b", deleted_ids=("c1",))])
+    assert not any(store.digests["b"])
+    store.commit([ReplicaWrite("b", fence=Fence(TWO, ""), closes=True)])
+    assert store.fences() == {"b": (TWO, "")} and not store.digests
 
 
 def test_a_flipped_bit_is_seen_by_reading_back_and_what_follows_it_may_have_run(tmp_path: Path) -> None:
     file = tmp_path / "copies.sqlite"
-    shelves, _ = open_replica_store(file)
-    shelves.commit([ReplicaWrite("b", items(CALL, MayRun("c1", 1.0, "w")), fence=Fence(ONE, "a"))])
+    store, _ = open_replica_store(file)
+    store.commit([ReplicaWrite("b", items(CALL, MayRun("c1", 1.0, "w")), fence=Fence(ONE, "a"))])
     other = apsw.Connection(str(file))
     list(other.execute("UPDATE entries SET body = CAST(replace(body, 'w', 'v') AS BLOB) WHERE kind = 1"))
     look = ReplicaWrite("b", digest_range=BucketRange(0, 256))
-    shelves.commit([look])
-    assert look.digests != pack_digests(shelves.digests["b"])
+    store.commit([look])
+    assert look.digests != pack_digests(store.digests["b"])
     reading = ReadRequest("b")
-    shelves.commit([reading])
+    store.commit([reading])
     assert reading.damaged == 1 and reading.activations[0].may_run == MayRun(
         "c1", reading.activations[0].accepted.start, ""
     )
@@ -530,18 +535,18 @@
 
 
 def test_a_holder_that_leaves_is_replaced_before_it_is_let_go() -> None:
-    core = owner()
-    whole(core, 1.0, "h")
-    core.draining.add("h")
-    core.update_streams(2.0, ["h", "k"], ["h", "k"])
-    assert set(core.streams) == {"h", "k"} and core.accepts_requests()
-    whole(core, 3.0, "k")
-    assert core.in_sync.keys() == {"a", "h", "k"} and core.is_fully_replicated
-    core.update_streams(4.0, ["h", "k"], ["h", "k"])
-    core.on_in_sync_stored(5.0)
-    assert core.in_sync.keys() == {"a", "k"} and core.is_fully_replicated and core.under_replicated_ms == 1.0, (
-        "no time at risk for it"
-    )
+    primary = new_primary()
+    bring_in_sync(primary, 1.0, "h")
+    primary.draining.add("h")
+    primary.update_streams(2.0, ["h", "k"], ["h", "k"])
+    assert set(primary.streams) == {"h", "k"} and primary.accepts_requests()
+    bring_in_sync(primary, 3.0, "k")
+    assert primary.in_sync.keys() == {"a", "h", "k"} and primary.is_fully_replicated
+    primary.update_streams(4.0, ["h", "k"], ["h", "k"])
+    primary.on_in_sync_stored(5.0)
+    assert (
+        primary.in_sync.keys() == {"a", "k"} and primary.is_fully_replicated and primary.under_replicated_ms == 1.0
+    ), "no time at risk for it"
 
 
 # Between processes.
