--- a/kelptrail/replication/driver.py
+++ b/kelptrail/replication/driver.py
@@ -113,6 +113,7 @@
 
     @address.setter
     def address(self, address: str) -> None:
+        """Set by the program once its server listens."""
         self._locator.address = address
 
     # Start and stop.
@@ -283,8 +284,8 @@
         return any_work
 
     @staticmethod
-    def _on_bucket_read(primary: Primary, replica: str, stream_id: int, request: ReadRequest, safe: bool) -> None:
-        primary.on_bucket_read(now_ms(), replica, stream_id, request.bucket, request.entries if safe else None)
+    def _on_bucket_read(primary: Primary, replica: str, stream_id: int, request: ReadRequest, succeeded: bool) -> None:
+        primary.on_bucket_read(now_ms(), replica, stream_id, request.bucket, request.entries if succeeded else None)
 
     # For operators.
 
--- a/kelptrail/replication/journal_manager.py
+++ b/kelptrail/replication/journal_manager.py
@@ -192,12 +192,17 @@
         self._schedule_create()
 
     def _on_fence_stored(
-        self, handle: PrimaryHandle, token: FencingToken, in_sync: Mapping[str, str], previous_primary: str, safe: bool
+        self,
+        handle: PrimaryHandle,
+        token: FencingToken,
+        in_sync: Mapping[str, str],
+        previous_primary: str,
+        succeeded: bool,
     ) -> None:
         """The fence is on disk: become the primary, and have the disk's contents stored by all in-sync replicas."""
         if not self._is_present(handle) or self._context.lease_token(handle.journal_id) != token:
             return
-        if not safe:
+        if not succeeded:
             self._transfer(handle, DISK_FAILED)
             return
         handle.primary.on_lease_acquired(now_ms(), token, in_sync)
--- a/kelptrail/replication/model.py
+++ b/kelptrail/replication/model.py
@@ -93,10 +93,10 @@
         remaining = {name: disk_id for name, disk_id in members.disk_ids.items() if name not in lost}
         node.disk_queue.append((write, partial(self._on_fence_stored, node, self.lease_token, remaining)))
 
-    def _on_fence_stored(self, node: Node, token: FencingToken, members: dict[str, str], safe: bool) -> None:
+    def _on_fence_stored(self, node: Node, token: FencingToken, members: dict[str, str], succeeded: bool) -> None:
         if not node.holds_lease or token != self.lease_token:
             return
-        if not safe:
+        if not succeeded:
             self._lose_lease(node)
             return
         self.takeovers += 1
@@ -104,10 +104,10 @@
         node.primary.append((), partial(self._recover, node, node.primary))
 
     def _recover(self, node: Node, primary: Primary, _full: bool) -> None:
-        kept = {id_ for id_, _ in node.disk.entries}
-        if (lost := self.acknowledged - kept) and not self._check_disks_lost():
+        stored_ids = {id_ for id_, _ in node.disk.entries}
+        if (lost := self.acknowledged - stored_ids) and not self._check_disks_lost():
             raise PropertyError(f"{node.name} is the primary and lacks {sorted(lost)}, which were acknowledged")
-        for id_ in sorted(kept - node.requests.keys()):
+        for id_ in sorted(stored_ids - node.requests.keys()):
             if (id_, ENDED) in node.disk.entries:
                 self._record_final(id_, node.disk.entries[id_, ENDED].decode())
             elif (id_, MAY_RUN) in node.disk.entries:
@@ -212,10 +212,10 @@
             primary.on_bucket_read(self.now, replica, stream_id, bucket, entries)
         while node.disk_queue and self.rng.random() < 0.7:
             write, on_done = node.disk_queue.popleft()
-            safe = not (faults and self.rng.random() < self.faults.failed_sync)
-            if safe:
+            succeeded = not (faults and self.rng.random() < self.faults.failed_sync)
+            if succeeded:
                 node.disk.apply(write)
-            on_done(safe)
+            on_done(succeeded)
         while node.replica.pending_writes:
             write = node.replica.pending_writes.popleft()
             node.disk_queue.append((write, partial(node.replica.on_write_done, write)))
@@ -245,9 +245,9 @@
         primary.in_sync_updates.clear()
 
     @staticmethod
-    def _on_local_write(node: Node, primary: Primary, batch: Batch, safe: bool) -> None:
+    def _on_local_write(node: Node, primary: Primary, batch: Batch, succeeded: bool) -> None:
         if node.primary is primary:
-            primary.on_local_write(batch, safe)
+            primary.on_local_write(batch, succeeded)
 
     def _deliver(self, faults: bool) -> None:
         self.rng.shuffle(self.in_transit)
--- a/kelptrail/replication/primary.py
+++ b/kelptrail/replication/primary.py
@@ -13,39 +13,25 @@
 
 from collections import deque
 from collections.abc import Callable, Iterable, Mapping
-from typing import Any, NamedTuple
+from typing import Any
 
 from kelptrail.lease.messages import NO_TOKEN, FencingToken
 
 from .messages import (
-    BUCKETS,
-    NO_BUCKETS,
     Answer,
-    Append,
     AppendAck,
-    BucketRange,
-    CloseStream,
     DigestReply,
-    EntryKey,
     FencedReply,
-    OpenStream,
     ReplicaEntry,
     ReplicationSettings,
-    unpack_digests,
+    differing_buckets,
 )
-from .replica_stream import Batch, CommitCallback, ReplicaStream, StreamState, entries_size, split_entries
+from .replica_stream import Batch, BucketRead, CommitCallback, ReplicaStream, StreamState
+from .stream_sender import StreamSender
 
 MAX_UNCOMMITTED_BATCHES = 4  # further entries are collected in the next batch
 
 
-class BucketRead(NamedTuple):
-    """A bucket that the driver reads from the local disk for the repair of a replica."""
-
-    replica: str
-    stream_id: int
-    bucket: int
-
-
 class Primary:
     """One journal at its primary `name`.  `disk_id`: id of the local store; `digests`: reads the local digests.
 
@@ -60,7 +46,8 @@
         self.settings, self._digests = settings, digests
         self.token, self.in_sync = NO_TOKEN, dict[str, str]()
         self.streams: dict[str, ReplicaStream] = {}
-        self.outbox: deque[tuple[str, OpenStream | Append | CloseStream]] = deque()
+        self._sender = StreamSender(journal_id, settings)
+        self.outbox = self._sender.outbox
         self.local_writes: deque[Batch] = deque()
         self.bucket_reads: deque[BucketRead] = deque()
         self.in_sync_updates: deque[dict[str, str]] = deque()  # disk ids by name
@@ -72,11 +59,10 @@
         self.under_replicated_ms = 0.0  # sum of earlier periods
         self.closing = False  # every entry is deleted
         self.repaired_buckets = 0  # that differed at an in-sync replica
-        self.committed_batches = self.committed_entries = self.sent_bytes = 0
+        self.committed_batches = self.committed_entries = 0
         self._uncommitted: deque[Batch] = deque()
         self._next_batch = Batch(1)
         self._uncommitted_bytes = 0
-        self._last_stream_id = 0
         self._reconnect_at: dict[str, float] = {}  # dropped replicas
         self.draining: set[str] = set()  # replicas to be replaced; they stay in sync until then
         self._stale_replicas: set[str] = set()  # former replicas that may still have a copy
@@ -86,6 +72,7 @@
     def on_lease_acquired(self, now: float, token: FencingToken, members: Mapping[str, str]) -> None:
         """This dispatcher is the primary under `token`; `members`: the noted in-sync set without a lost primary."""
         self.token, self.ready, self.fenced_by = token, False, None
+        self._sender.token = token
         self._stale_replicas |= self.streams.keys()
         self.streams, self.pending_in_sync = {}, None
         self.in_sync = {**members, self.name: self.disk_id}
@@ -120,8 +107,7 @@
         If another primary has acted, they reply with its later token.
         """
         for name in sorted({*self.in_sync, said} - {self.name}):
-            self._last_stream_id += 1
-            self.outbox.append((name, OpenStream(self.journal_id, self.token, self._last_stream_id)))
+            self._sender.probe(name)
 
     @property
     def is_fully_replicated(self) -> bool:
@@ -180,14 +166,14 @@
             if stream.state is StreamState.REPAIRING and not stream.repair_end:
                 stream.deferred_batches.append(batch)
             elif stream.state is not StreamState.OPENING:
-                self._append_batch(now, stream, batch)
+                self._sender.send_batch(now, stream, batch)
 
-    def on_local_write(self, batch: Batch, safe: bool) -> None:
+    def on_local_write(self, batch: Batch, succeeded: bool) -> None:
         """A batch was written to the local disk, or failed.
 
         After a failure the contents of the disk are unknown, so the driver transfers the journal to another replica.
         """
-        if not safe:
+        if not succeeded:
             self.disk_failed = True
             return
         batch.locally_durable = True
@@ -220,23 +206,22 @@
         for stream in list(self.streams.values()):
             if stream.replica not in reachable_names and now - stream.waiting_since >= self.settings.replica_timeout_ms:
                 self._drop_stream(now, stream)
-        kept = [stream for stream in self.streams.values() if stream.replica not in self.draining]
+        remaining = [stream for stream in self.streams.values() if stream.replica not in self.draining]
         for name in ranking:
-            if len(kept) >= self.settings.replica_count:
+            if len(remaining) >= self.settings.replica_count:
                 break
             if (
                 name in reachable_names - self.draining - self.streams.keys() - {self.name}
                 and self._reconnect_at.get(name, 0.0) <= now
             ):
-                kept.append(self._open_stream(now, name))
-        if sum(stream.replica in self.in_sync for stream in kept) >= self.settings.replica_count:
+                remaining.append(self._open_stream(now, name))
+        if sum(stream.replica in self.in_sync for stream in remaining) >= self.settings.replica_count:
             for stream in [stream for stream in self.streams.values() if stream.replica in self.draining]:
                 self._drop_stream(now, stream)
         for name in sorted(self._stale_replicas & reachable_names - self.streams.keys()):
             if name not in self.in_sync and self.pending_in_sync is None and self.ready:
                 self._stale_replicas.discard(name)
-                self._last_stream_id += 1
-                self.outbox.append((name, CloseStream(self.journal_id, self.token, self._last_stream_id)))
+                self._sender.close(name)
 
     def on_heard(self, now: float, name: str) -> None:
         """A replica was heard; this counts as a sign of life if it has nothing to acknowledge."""
@@ -245,12 +230,8 @@
             stream.waiting_since = now
 
     def _open_stream(self, now: float, name: str) -> ReplicaStream:
-        self._last_stream_id += 1
-        stream = self.streams[name] = ReplicaStream(
-            name, self._last_stream_id, now, retry_at=now + self.settings.retry_ms
-        )
+        stream = self.streams[name] = self._sender.open(now, name)
         self._stale_replicas.discard(name)
-        self.outbox.append((name, OpenStream(self.journal_id, self.token, stream.stream_id)))
         return stream
 
     def _drop_stream(self, now: float, stream: ReplicaStream) -> None:
@@ -306,7 +287,7 @@
             self._verify_digests(now, stream, answer)
 
     def _start_repair(self, now: float, stream: ReplicaStream, reply: DigestReply) -> None:
-        stream.differing_buckets.extend(_differing(self._digests(), reply))
+        stream.differing_buckets.extend(differing_buckets(self._digests(), reply))
         stream.state, stream.waiting_since, stream.disk_id = StreamState.REPAIRING, now, reply.disk_id
         # Batches on the local disk are in its digests, so the repair covers them; the others are sent afterwards.
         stream.repaired_batch = max(
@@ -328,10 +309,7 @@
                 stream.reading_bucket = stream.differing_buckets[0]
                 self.bucket_reads.append(BucketRead(stream.replica, stream.stream_id, stream.reading_bucket))
             return
-        self._append_message(now, stream, (), (), batch=stream.repaired_batch)
-        for batch in stream.deferred_batches:
-            self._append_batch(now, stream, batch)
-        stream.deferred_batches, stream.repair_end = [], stream.last_sequence
+        self._sender.send_repair_end(now, stream)
 
     def on_bucket_read(
         self, now: float, name: str, stream_id: int, bucket: int, entries: tuple[ReplicaEntry, ...] | None
@@ -345,22 +323,9 @@
             stream.repair_at = now + self.settings.retry_ms
             return
         stream.differing_buckets.popleft()
-        # Entries are added before others are deleted, so that an in-sync replica stays complete all the time.
-        *parts, last = split_entries(entries, self.settings.window_bytes // 2)
-        for part in parts:
-            self._append_message(now, stream, part, ())
-        self._append_message(now, stream, last, (), bucket, tuple(EntryKey(entry.id, entry.kind) for entry in entries))
-        sent = entries_size(entries)
-        stream.repaired_bytes += sent
-        stream.repair_at = max(stream.repair_at, now) + sent / self.settings.repair_bytes_per_ms
+        self._sender.send_bucket(now, stream, bucket, entries)
         self._repair(now, stream)
 
-    def _append_batch(self, now: float, stream: ReplicaStream, batch: Batch) -> None:
-        *parts, last = split_entries(batch.entries, self.settings.window_bytes // 2)
-        for part in parts:
-            self._append_message(now, stream, part, ())
-        self._append_message(now, stream, last, tuple(batch.deleted_ids), batch=batch.number)
-
     def _verify_digests(self, now: float, stream: ReplicaStream, reply: DigestReply) -> None:
         """Compare a replica's digests, read from its disk, with the local ones; drop the stream if they differ.
 
@@ -369,47 +334,18 @@
         mine = self._digests()[reply.first_bucket : reply.first_bucket + self.settings.verify_buckets]
         if reply.sequence != stream.last_sequence or any(not batch.locally_durable for batch in self._uncommitted):
             return
-        if differing := _differing(mine, reply):  # the disk lost acknowledged entries: out of sync until repaired
+        if differing := differing_buckets(
+            mine, reply
+        ):  # the disk lost acknowledged entries: out of sync until repaired
             self.repaired_buckets += len(differing)
             self._drop_stream(now, stream)
             self._reconnect_at[stream.replica] = now
 
-    def _append_message(
-        self,
-        now: float,
-        stream: ReplicaStream,
-        entries: tuple[ReplicaEntry, ...],
-        deleted_ids: tuple[str, ...],
-        trimmed_bucket: int = -1,
-        retained: tuple[EntryKey, ...] = (),
-        batch: int = 0,
-        digest_range: BucketRange = NO_BUCKETS,
-    ) -> None:
-        stream.last_sequence += 1
-        append = Append(
-            self.journal_id,
-            self.token,
-            stream.stream_id,
-            stream.last_sequence,
-            entries,
-            deleted_ids,
-            trimmed_bucket,
-            retained,
-            digest_range,
-        )
-        stream.queue(now, append, batch, self.settings.retry_ms)
-        self._send_window(now, stream)
-
-    def _send_window(self, now: float, stream: ReplicaStream) -> None:
-        for unacked in stream.take_sendable(now, self.settings.window_bytes):
-            self.outbox.append((stream.replica, unacked.append))
-            self.sent_bytes += unacked.size_bytes
-
     def _on_ack(self, now: float, stream: ReplicaStream, sequence: int) -> None:
         if not stream.acked_sequence < sequence <= stream.last_sequence:
             return
         stream.acknowledge(now, sequence, self.settings.retry_ms)
-        self._send_window(now, stream)
+        self._sender.send_window(now, stream)
         if stream.state is StreamState.REPAIRING:
             if stream.repair_end and sequence >= stream.repair_end:
                 stream.state, stream.verify_at = StreamState.IN_SYNC, now + self.settings.verify_interval_ms
@@ -430,22 +366,11 @@
         if awaits_reply and now - stream.waiting_since >= self.settings.replica_timeout_ms:
             self._drop_stream(now, stream)
         elif awaits_reply and now >= stream.retry_at:
-            self._resend(now, stream)
+            self._sender.resend(now, stream)
         elif stream.state is StreamState.REPAIRING:
             self._repair(now, stream)
         elif not awaits_reply and now >= stream.verify_at and self.ready:
-            stream.verify_at = now + self.settings.verify_interval_ms
-            end = min(BUCKETS, stream.verify_bucket + self.settings.verify_buckets)
-            self._append_message(now, stream, (), (), digest_range=BucketRange(stream.verify_bucket, end))
-            stream.verify_bucket = end % BUCKETS
-
-    def _resend(self, now: float, stream: ReplicaStream) -> None:
-        stream.retry_at = now + self.settings.retry_ms
-        if stream.state is StreamState.OPENING:
-            self.outbox.append((stream.replica, OpenStream(self.journal_id, self.token, stream.stream_id)))
-        else:
-            stream.sent_sequence = stream.acked_sequence
-            self._send_window(now, stream)
+            self._sender.send_digest_check(now, stream)
 
     def status(self, now: float) -> dict[str, Any]:
         """State for operators; times are milliseconds.  The keys are those of `kelptrail copies --json`."""
@@ -461,7 +386,7 @@
             "mended": self.repaired_buckets,
             "batches": self.committed_batches,
             "entries": self.committed_entries,
-            "bytes_out": self.sent_bytes,
+            "bytes_out": self._sender.sent_bytes,
             "holders": {
                 stream.replica: {
                     "stage": stream.state.value,
@@ -472,14 +397,3 @@
                 for stream in self.streams.values()
             },
         }
-
-
-def _differing(mine: list[int], reply: DigestReply) -> list[int]:
-    """Buckets of a reply whose digests differ from `mine`, which begins at the same bucket."""
-    return [
-        bucket
-        for bucket, (local, remote) in enumerate(
-            zip(mine, unpack_digests(reply.digests), strict=False), reply.first_bucket
-        )
-        if local != remote
-    ]
--- a/kelptrail/replication/recovery.py
+++ b/kelptrail/replication/recovery.py
@@ -48,9 +48,9 @@
             task.cancel()
 
     def _on_read(
-        self, handle: PrimaryHandle, token: FencingToken, previous_primary: str, request: ReadRequest, safe: bool
+        self, handle: PrimaryHandle, token: FencingToken, previous_primary: str, request: ReadRequest, succeeded: bool
     ) -> None:
-        if not safe:
+        if not succeeded:
             self._on_failed(handle, DISK_FAILED)
             return
         task = self._loop.create_task(self._recover(handle, token, previous_primary, request))
--- a/kelptrail/replication/replica.py
+++ b/kelptrail/replication/replica.py
@@ -146,12 +146,12 @@
                 (sender, AppendAck(append.journal_id, append.token, append.stream_id, log.durable_sequence))
             )
 
-    def on_write_done(self, write: ReplicaWrite, safe: bool) -> None:
+    def on_write_done(self, write: ReplicaWrite, succeeded: bool) -> None:
         """A write has ended.  If it failed, its stream continues from the message before it."""
         log = self.logs.get(write.journal_id)
         if log is None or not write.reply_to or log.stream_id != write.stream_id:
             return  # the journal was closed, or another stream was opened meanwhile
-        if not safe:
+        if not succeeded:
             log.received_sequence = min(log.received_sequence, write.sequence - 1)
             return
         if write.sequence == log.durable_sequence + 1:
--- a/kelptrail/replication/replica_store.py
+++ b/kelptrail/replication/replica_store.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import cast
+from typing import NamedTuple, cast
 from zlib import crc32
 
 import apsw
@@ -227,14 +227,21 @@
             self._db.close()
 
 
-def open_replica_store(file: Path | None, vfs: str | None = None) -> tuple[ReplicaStore, Path | None]:
-    """Open a store; returns it and, if the file was unreadable, the name to which that was moved.
+class OpenedStore(NamedTuple):
+    """A store, and the name to which an unreadable file in its place was moved, if there was one."""
 
-    A new store then takes its place with a new disk id, so it counts as a lost disk and is repaired from replicas.
+    store: ReplicaStore
+    set_aside: Path | None
+
+
+def open_replica_store(file: Path | None, vfs: str | None = None) -> OpenedStore:
+    """Open a store; an unreadable file is moved aside and replaced.
+
+    The new store has a new disk id, so it counts as a lost disk and is repaired from replicas.
     Raises `JournalError`.
     """
     try:
-        return ReplicaStore(file, vfs), None
+        return OpenedStore(ReplicaStore(file, vfs), None)
     except JournalError as cause:
         if file is None or not any(word in str(cause) for word in DAMAGE_MARKS):
             raise
@@ -245,4 +252,4 @@
         part = file.with_name(file.name + end)
         if part.exists():
             part.rename(aside.with_name(aside.name + end))
-    return ReplicaStore(file, vfs), aside
+    return OpenedStore(ReplicaStore(file, vfs), aside)
--- a/kelptrail/replication/replica_stream.py
+++ b/kelptrail/replication/replica_stream.py
@@ -47,6 +47,14 @@
     queued_at: float
 
 
+class BucketRead(NamedTuple):
+    """A bucket that the driver reads from the local disk for the repair of a replica."""
+
+    replica: str
+    stream_id: int
+    bucket: int
+
+
 @dataclass(slots=True, eq=False)
 class ReplicaStream:
     """State of the stream to one replica.  Times are milliseconds of the caller's clock."""
--- /dev/null
+++ b/kelptrail/replication/stream_sender.py
@@ -0,0 +1,128 @@
+"""Puts the messages of a primary into its outbox: stream control, batches, repaired buckets, digest checks."""
+
+from __future__ import annotations
+
+from collections import deque
+
+from kelptrail.lease.messages import NO_TOKEN
+
+from .messages import (
+    BUCKETS,
+    NO_BUCKETS,
+    Append,
+    BucketRange,
+    CloseStream,
+    EntryKey,
+    OpenStream,
+    ReplicaEntry,
+    ReplicationSettings,
+)
+from .replica_stream import Batch, ReplicaStream, StreamState, entries_size, split_entries
+
+
+class StreamSender:
+    """Messages of one journal under `token`, which the primary sets.  `outbox`: receiver and message, in order."""
+
+    def __init__(self, journal_id: str, settings: ReplicationSettings) -> None:
+        self._journal_id, self._settings = journal_id, settings
+        self.token = NO_TOKEN
+        self.outbox: deque[tuple[str, OpenStream | Append | CloseStream]] = deque()
+        self.sent_bytes = 0
+        self._last_stream_id = 0
+
+    def open(self, now: float, replica: str) -> ReplicaStream:
+        """Open a new stream to a replica."""
+        self._last_stream_id += 1
+        stream = ReplicaStream(replica, self._last_stream_id, now, retry_at=now + self._settings.retry_ms)
+        self._send_open(stream)
+        return stream
+
+    def probe(self, name: str) -> None:
+        """Send an open without a stream; a dispatcher with a later token replies with it."""
+        self._last_stream_id += 1
+        self.outbox.append((name, OpenStream(self._journal_id, self.token, self._last_stream_id)))
+
+    def close(self, name: str) -> None:
+        """Have a former replica delete its copy."""
+        self._last_stream_id += 1
+        self.outbox.append((name, CloseStream(self._journal_id, self.token, self._last_stream_id)))
+
+    def resend(self, now: float, stream: ReplicaStream) -> None:
+        """Send everything unacknowledged again."""
+        stream.retry_at = now + self._settings.retry_ms
+        if stream.state is StreamState.OPENING:
+            self._send_open(stream)
+        else:
+            stream.sent_sequence = stream.acked_sequence
+            self.send_window(now, stream)
+
+    def send_batch(self, now: float, stream: ReplicaStream, batch: Batch) -> None:
+        """Queue a batch; the last of its messages completes it."""
+        *parts, last = split_entries(batch.entries, self._settings.window_bytes // 2)
+        for part in parts:
+            self._queue(now, stream, part)
+        self._queue(now, stream, last, tuple(batch.deleted_ids), batch=batch.number)
+
+    def send_bucket(self, now: float, stream: ReplicaStream, bucket: int, entries: tuple[ReplicaEntry, ...]) -> None:
+        """Queue the contents of a bucket, limited by the repair rate.
+
+        Entries are added before others are deleted, so that an in-sync replica stays complete all the time.
+        """
+        *parts, last = split_entries(entries, self._settings.window_bytes // 2)
+        for part in parts:
+            self._queue(now, stream, part)
+        retained = tuple(EntryKey(entry.id, entry.kind) for entry in entries)
+        self._queue(now, stream, last, trimmed_bucket=bucket, retained=retained)
+        sent = entries_size(entries)
+        stream.repaired_bytes += sent
+        stream.repair_at = max(stream.repair_at, now) + sent / self._settings.repair_bytes_per_ms
+
+    def send_repair_end(self, now: float, stream: ReplicaStream) -> None:
+        """Queue the message that completes the batches covered by the repair, then the deferred batches."""
+        self._queue(now, stream, (), batch=stream.repaired_batch)
+        for batch in stream.deferred_batches:
+            self.send_batch(now, stream, batch)
+        stream.deferred_batches, stream.repair_end = [], stream.last_sequence
+
+    def send_digest_check(self, now: float, stream: ReplicaStream) -> None:
+        """Ask for the digests of the next buckets, read from the replica's disk."""
+        stream.verify_at = now + self._settings.verify_interval_ms
+        end = min(BUCKETS, stream.verify_bucket + self._settings.verify_buckets)
+        self._queue(now, stream, (), digest_range=BucketRange(stream.verify_bucket, end))
+        stream.verify_bucket = end % BUCKETS
+
+    def send_window(self, now: float, stream: ReplicaStream) -> None:
+        """Send queued messages that fit into the window."""
+        for unacked in stream.take_sendable(now, self._settings.window_bytes):
+            self.outbox.append((stream.replica, unacked.append))
+            self.sent_bytes += unacked.size_bytes
+
+    def _send_open(self, stream: ReplicaStream) -> None:
+        self.outbox.append((stream.replica, OpenStream(self._journal_id, self.token, stream.stream_id)))
+
+    def _queue(
+        self,
+        now: float,
+        stream: ReplicaStream,
+        entries: tuple[ReplicaEntry, ...],
+        deleted_ids: tuple[str, ...] = (),
+        *,
+        trimmed_bucket: int = -1,
+        retained: tuple[EntryKey, ...] = (),
+        batch: int = 0,
+        digest_range: BucketRange = NO_BUCKETS,
+    ) -> None:
+        stream.last_sequence += 1
+        append = Append(
+            self._journal_id,
+            self.token,
+            stream.stream_id,
+            stream.last_sequence,
+            entries,
+            deleted_ids,
+            trimmed_bucket,
+            retained,
+            digest_range,
+        )
+        stream.queue(now, append, batch, self._settings.retry_ms)
+        self.send_window(now, stream)
