--- a/bench/soak_mutants.py
+++ b/bench/soak_mutants.py
@@ -45,7 +45,8 @@
         "        return True\n",
         Edit(
             "kelptrail/platform/worker_connection.py",
-            "        if write is not None and self.connection is not None and not self.connection.withdraw(write):\n",
+            "        if write is not None and self.connection is not None "
+            "and not self.connection.cancel_unsent(write):\n",
             "        if True:\n",
         ),
     ),
@@ -82,7 +83,7 @@
     Mutant(
         "a transient failure of a send ends the connection",
         "kelptrail/net/errors.py",
-        "    return cause.errno in MOMENTARY\n",
+        "    return cause.errno in TRANSIENT\n",
         "    return False\n",
     ),
     Mutant(
@@ -123,8 +124,8 @@
     Mutant(
         "an answer is written twice",
         "kelptrail/platform/client_server.py",
-        "            client.connection.write(frames.answer(request.stream, code, body, later_ms))\n",
-        "            client.connection.write(frames.answer(request.stream, code, body, later_ms) * 2)\n",
+        "            client.connection.write(frames.encode_answer(request.stream, code, body, later_ms))\n",
+        "            client.connection.write(frames.encode_answer(request.stream, code, body, later_ms) * 2)\n",
     ),
 )
 
--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -1,6 +1,6 @@
-"""A whole place on loopback: stand-ins and dispatchers as processes of their own, minded from here.
+"""A cluster on loopback: emulators and dispatchers as supervised processes.
 
-Children live in sessions of their own, end when their standard input ends, and say `{"ready": true, ...}` once.
+Each process has a session of its own, ends when its standard input ends, and prints `{"ready": true, ...}` once.
 """
 
 from __future__ import annotations
@@ -21,19 +21,21 @@
 from kelptrail.net.http_client import HttpClient
 from kelptrail.settings.deployment import Deployment
 
-EVERY_PAIR = 12  # dispatchers up to which all pairs go through the relay; beyond, those to voters and planners
+ALL_PAIRS_LIMIT = (
+    12  # up to so many dispatchers all pairs go through the proxy; beyond, links to acceptors and planners
+)
 
 
 @dataclass(slots=True, eq=False)
-class Child:
-    """One process; `said` is its ready line."""
+class Process:
+    """One child process; `said` is its ready line."""
 
     name: str
     words: list[str]
     process: asyncio.subprocess.Process | None = None
     said: dict[str, Any] = field(default_factory=dict)
     starts: int = 0
-    ending: bool = False  # its end is wanted
+    ending: bool = False  # its end was requested
 
     @property
     def running(self) -> bool:
@@ -41,7 +43,7 @@
 
 
 class Cluster:
-    """Starts, minds and ends the processes of one deployment."""
+    """Starts, supervises and ends the processes of one deployment."""
 
     def __init__(
         self,
@@ -55,13 +57,13 @@
     ) -> None:
         self.deployment, self._file, self._out, self._seed = deployment, file, out, seed
         self._level, self._logs, self._quiet = log_level, logs, quiet
-        self.store = self.endpoint_service = Child("", [])
-        self.relay: Child | None = None
-        self.workers: list[Child] = []
-        self.dispatchers: list[Child] = []
-        self.planners: list[Child] = []
-        self.links: Child | None = None
-        self.witness: Child | None = None
+        self.store = self.endpoint_service = Process("", [])
+        self.datagram_proxy: Process | None = None
+        self.workers: list[Process] = []
+        self.dispatchers: list[Process] = []
+        self.planners: list[Process] = []
+        self.channel_proxy: Process | None = None
+        self.side_effect_log: Process | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(
@@ -73,21 +75,23 @@
         solver: str = "program",
         tasks: tuple[str, ...] = (),
     ) -> None:
-        """Start everything, in the order of need.  With planners the dispatchers are edges that follow them; where the
-        settings have peers, their channels go through a relay; `tasks` are wanted by all dispatchers."""
-        self.store = await self._child("store", ["standin", "store", self._file])
-        self.endpoint_service = await self._child("roster", ["standin", "roster"])
+        """Start all processes, each after those it depends on.  With planners the dispatchers are edges of theirs;
+        where the settings have peers, their channels go through a proxy; all dispatchers acquire `tasks` as leases."""
+        self.store = await self._start_process("store", ["emulate", "model-store", self._file])
+        self.endpoint_service = await self._start_process("roster", ["emulate", "endpoint-service"])
         halls = self.deployment.halls
         vrrp = self.deployment.vrrp
         if vrrp is not None and any(i.via for i in vrrp.instance):
-            self.relay = await self._child("relay", ["standin", "relay", self._file, "--seed", str(self._seed)])
+            self.datagram_proxy = await self._start_process(
+                "relay", ["emulate", "datagram-proxy", self._file, "--seed", str(self._seed)]
+            )
         self.workers = list(
             await asyncio.gather(
                 *(
-                    self._child(
+                    self._start_process(
                         f"worker-{n}",
                         [
-                            "standin",
+                            "emulate",
                             "worker",
                             self._file,
                             "--id",
@@ -112,13 +116,13 @@
         names = [f"dispatcher-{n}" for n in range(dispatchers)]
         if self.deployment.peers is not None:
             plans, leases = [f"planner-{n}" for n in range(planners)], self.deployment.leases
-            every = leases is None or len(names) <= EVERY_PAIR
+            every = leases is None or len(names) <= ALL_PAIRS_LIMIT
             to = names if every or leases is None else list(dict.fromkeys((*leases.voters, *leases.before)))
-            self.links = await self._child(
+            self.channel_proxy = await self._start_process(
                 "links",
                 [
-                    "standin",
-                    "links",
+                    "emulate",
+                    "channel-proxy",
                     "--seed",
                     str(self._seed),
                     *(w for n in (*names, *plans) for w in ("--from", n)),
@@ -126,12 +130,12 @@
                 ],
             )
         if tasks:
-            self.witness = await self._child("witness", ["standin", "witness"])
+            self.side_effect_log = await self._start_process("witness", ["emulate", "side-effect-log"])
         logs = ["--log-level", self._level, "--log-form", "json" if self._logs else "auto"]
         self.planners = list(
             await asyncio.gather(
                 *(
-                    self._child(
+                    self._start_process(
                         f"planner-{n}",
                         [
                             *logs,
@@ -145,7 +149,7 @@
                             "127.0.0.1:0",
                             "--solver",
                             solver,
-                            *self.ways(f"planner-{n}"),
+                            *self.peer_options(f"planner-{n}"),
                             *(["--state", str(state / f"planner-{n}")] if state else []),
                         ],
                     )
@@ -154,15 +158,19 @@
             )
         )
         for planner in self.planners:
-            await self._at(planner, planner.said["address"])
+            await self._announce_address(planner, planner.said["address"])
         self.dispatchers = list(
             await asyncio.gather(
                 *(
-                    self._child(
+                    self._start_process(
                         name,
                         [
                             *logs,
-                            *(["edge", self._file, *self._follows(name)] if self.planners else ["serve", self._file]),
+                            *(
+                                ["edge", self._file, *self._planner_options(name)]
+                                if self.planners
+                                else ["serve", self._file]
+                            ),
                             "--name",
                             name,
                             "--hall",
@@ -171,8 +179,8 @@
                             self.endpoint_service.said["address"],
                             "--control",
                             "127.0.0.1:0",
-                            *self.ways(name),
-                            *self._acts(tasks),
+                            *self.peer_options(name),
+                            *self._task_options(tasks),
                             *(
                                 [
                                     "--state",
@@ -192,9 +200,9 @@
             )
         )
 
-    def ways(self, name: str) -> list[str]:
-        """How a process reaches others: through the relay."""
-        routes = self.links.said["routes"] if self.links is not None else {}
+    def peer_options(self, name: str) -> list[str]:
+        """The options by which a process reaches its peers: through the proxy."""
+        routes = self.channel_proxy.said["routes"] if self.channel_proxy is not None else {}
         return [
             word
             for pair, at in routes.items()
@@ -202,32 +210,32 @@
             for word in ("--peer", f"{pair.partition('>')[2]}={at}")
         ]
 
-    def _follows(self, name: str) -> list[str]:
-        """How an edge reaches the planners: through the relay, where there is one."""
-        routes = self.links.said["routes"] if self.links is not None else {}
+    def _planner_options(self, name: str) -> list[str]:
+        """The options by which an edge reaches the planners: through the proxy, where there is one."""
+        routes = self.channel_proxy.said["routes"] if self.channel_proxy is not None else {}
         return [
             word for p in self.planners for word in ("--planner", routes.get(f"{name}>{p.name}", p.said["address"]))
         ]
 
-    async def _at(self, child: Child, address: str) -> None:
-        """Tell the relay where a process listens."""
-        if self.links is not None:
-            await http_json(self.links.said["address"], "POST", "/", {"at": {child.name: address}})
+    async def _announce_address(self, child: Process, address: str) -> None:
+        """Tell the proxy where a process listens."""
+        if self.channel_proxy is not None:
+            await http_json(self.channel_proxy.said["address"], "POST", "/", {"at": {child.name: address}})
 
-    def _acts(self, tasks: tuple[str, ...]) -> list[str]:
-        if self.witness is None:
+    def _task_options(self, tasks: tuple[str, ...]) -> list[str]:
+        if self.side_effect_log is None:
             return []
-        return ["--witness", self.witness.said["address"], *(w for task in tasks for w in ("--task", task))]
+        return ["--witness", self.side_effect_log.said["address"], *(w for task in tasks for w in ("--task", task))]
 
-    async def _child(self, name: str, words: list[str]) -> Child:
-        if self._out is not None and words[0] == "standin":
+    async def _start_process(self, name: str, words: list[str]) -> Process:
+        if self._out is not None and words[0] == "emulate":
             words += ["--capture", str(self._out / f"{name}.jsonl")]
-        child = Child(name, words)
+        child = Process(name, words)
         await self.launch(child)
         return child
 
-    async def launch(self, child: Child) -> None:
-        """Start a child, again on the port it had, and wait for its ready line."""
+    async def launch(self, child: Process) -> None:
+        """Start a process, on the ports it had before, and wait for its ready line."""
         words = list(child.words)
         if child.said:
             words += ["--port", child.said["address"].rpartition(":")[2]]
@@ -242,7 +250,7 @@
         if self._logs is not None:
             err: Any = open(self._logs / f"{child.name}.log", "ab")  # noqa: SIM115
         else:
-            silent = self._quiet or words[0] == "standin"
+            silent = self._quiet or words[0] == "emulate"
             err = subprocess.DEVNULL if silent else None
         child.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -264,21 +272,21 @@
         except (TimeoutError, msgspec.DecodeError):
             raise RuntimeError(f"{child.name} did not start") from None
         if child.said.get("peers"):
-            await self._at(child, child.said["peers"])
-        task = asyncio.get_running_loop().create_task(self._mind(child, child.process))
+            await self._announce_address(child, child.said["peers"])
+        task = asyncio.get_running_loop().create_task(self._supervise(child, child.process))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _mind(self, child: Child, process: asyncio.subprocess.Process) -> None:
-        """Tell the list of a worker's end, as whoever runs processes would."""
+    async def _supervise(self, child: Process, process: asyncio.subprocess.Process) -> None:
+        """Report the end of a worker to the endpoint service, as a process supervisor would."""
         await process.wait()
         if child in self.workers and self.endpoint_service.running:
             with contextlib.suppress(OSError):
                 await self.set_listed_state(child, "gone")
 
-    async def clients(self, script: str, count: int, start: float, addresses: list[str], second: list[str]) -> None:
-        """The clients of a script in processes of their own, until all of them have their answers."""
-        words = ["standin", "clients", script, "--start", str(start), "--seed", str(self._seed), "--of", str(count)]
+    async def run_clients(self, script: str, count: int, start: float, addresses: list[str], second: list[str]) -> None:
+        """Run the clients of a script in processes of their own, until all of them have their answers."""
+        words = ["emulate", "clients", script, "--start", str(start), "--seed", str(self._seed), "--of", str(count)]
         for address in addresses:
             words += ["--at", address]
         for address in second:
@@ -299,8 +307,8 @@
         if any(codes):
             raise RuntimeError(f"clients ended with {codes}")
 
-    async def set_listed_state(self, worker: Child, state: str) -> None:
-        """Have the worker list say so of a worker."""
+    async def set_listed_state(self, worker: Process, state: str) -> None:
+        """Set the state of a worker in the endpoint list."""
         await http_json(
             self.endpoint_service.said["address"],
             "POST",
@@ -310,46 +318,46 @@
             else {"id": worker.name, "state": state},
         )
 
-    async def fault(self, child: Child, **body: Any) -> None:
-        """Turn a fault knob."""
+    async def fault(self, child: Process, **body: Any) -> None:
+        """Inject a fault at a process's control port."""
         await http_json(child.said.get("control") or child.said["address"], "POST", "/fault", body)
 
-    def set_disk_fault(self, child: Child, **fault: Any) -> None:
-        """Say what ails a dispatcher's disk; nothing: it is sound again."""
-        self._say_harm(child, "--harmed-disk", fault)
+    def set_disk_fault(self, child: Process, **fault: Any) -> None:
+        """Set a dispatcher's disk fault; without arguments the fault ends."""
+        self._write_fault(child, "--harmed-disk", fault)
 
-    def harm_clock(self, child: Child, **fault: Any) -> None:
-        """Say what ails a dispatcher's clock; nothing: it is sound again."""
-        self._say_harm(child, "--harmed-clock", fault)
+    def set_clock_fault(self, child: Process, **fault: Any) -> None:
+        """Set a dispatcher's clock fault; without arguments the fault ends."""
+        self._write_fault(child, "--harmed-clock", fault)
 
     @staticmethod
-    def _say_harm(child: Child, option: str, fault: dict[str, Any]) -> None:
+    def _write_fault(child: Process, option: str, fault: dict[str, Any]) -> None:
         file = Path(child.words[child.words.index(option) + 1])
         draft = file.with_suffix(".new")
         draft.write_bytes(msgspec.json.encode(fault))
         draft.replace(file)
 
-    def lose_disk(self, child: Child) -> None:
-        """A dispatcher's machine is gone with its disk."""
+    def lose_disk(self, child: Process) -> None:
+        """Delete a dispatcher's state, as if its disk were lost."""
         shutil.rmtree(child.words[child.words.index("--state") + 1], ignore_errors=True)
 
-    async def harm_links(self, **body: Any) -> None:
-        """Turn a knob of the relay between dispatchers."""
-        assert self.links is not None
-        await http_json(self.links.said["address"], "POST", "/", body)
+    async def set_link_fault(self, **body: Any) -> None:
+        """Change the faults of the proxy between dispatchers."""
+        assert self.channel_proxy is not None
+        await http_json(self.channel_proxy.said["address"], "POST", "/", body)
 
-    def signal(self, child: Child, number: signal.Signals) -> None:
+    def signal(self, child: Process, number: signal.Signals) -> None:
         """Send a signal, to children started here only."""
         if child.running and child.process is not None:
             child.process.send_signal(number)
 
-    def kill(self, child: Child) -> None:
+    def kill(self, child: Process) -> None:
         """SIGKILL, for children started here only."""
         child.ending = True
         if child.running and child.process is not None:
             child.process.kill()
 
-    async def end(self, child: Child, within_s: float = 20.0) -> int | None:
+    async def terminate(self, child: Process, within_s: float = 20.0) -> int | None:
         """SIGTERM and wait; kill what does not end in time."""
         child.ending = True
         if child.process is None:
@@ -367,15 +375,15 @@
 
     async def stop(self) -> bool:
         """End everything, dispatchers first so that what was taken is answered; True if all drained."""
-        codes = await asyncio.gather(*(self.end(d) for d in self.dispatchers))
+        codes = await asyncio.gather(*(self.terminate(d) for d in self.dispatchers))
         rest = [
             *self.planners,
             *self.workers,
             self.endpoint_service,
             self.store,
-            *(c for c in (self.relay, self.links, self.witness) if c is not None),
+            *(c for c in (self.datagram_proxy, self.channel_proxy, self.side_effect_log) if c is not None),
         ]
-        await asyncio.gather(*(self.end(c, 3) for c in rest))
+        await asyncio.gather(*(self.terminate(c, 3) for c in rest))
         if self._tasks:
             await asyncio.gather(*list(self._tasks), return_exceptions=True)
         return all(code == 0 for code in codes)
--- a/kelptrail/platform/config.py
+++ b/kelptrail/platform/config.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from kelptrail.codec.feed import Event, FeedError, read_known
+from kelptrail.codec.feed import EndpointEvent, FeedError, read_initial_events
 from kelptrail.engine.settings import MalformedError, SettingsObject
 from kelptrail.engine.settings import read_settings as read_settings
 
@@ -48,7 +48,7 @@
     descriptors: int  # file descriptors that the process may hold
     memory_mb: float
     endpoint_list: tuple[str, int]  # the address of its service
-    initial_events: list[Event]  # of the endpoint list
+    initial_events: list[EndpointEvent]  # of the endpoint list
     sockets: SocketSettings
     settings: dict[str, Any]
 
@@ -99,7 +99,7 @@
             limits.integer("sockets", 16),
             limits.number("memory_mb", 1),
             endpoint_list,
-            read_known(source.find("known"), sockets.zones, sockets.kinds),
+            read_initial_events(source.find("known"), sockets.zones, sockets.kinds),
             sockets,
             settings,
         )
--- a/kelptrail/platform/endpoint_updates.py
+++ b/kelptrail/platform/endpoint_updates.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from kelptrail.codec.feed import GONE, READY, Event, FeedReader, Record
+from kelptrail.codec.feed import GONE, READY, EndpointEvent, EndpointRecord, FeedReader
 from kelptrail.dispatch.entities import AttemptStatus, Worker, WorkerState
 from kelptrail.engine.engine import Endpoint, Engine
 from kelptrail.engine.wall_clock import WallClockReader
@@ -68,14 +68,14 @@
         if self.watch is not None:
             self.watch.close()
 
-    def on_event(self, event: Event) -> None:
+    def on_event(self, event: EndpointEvent) -> None:
         """Apply one event."""
         now = self._loop.time() * 1000
         records = event.records or ()
         endpoints = [self._endpoint(now, record) for record in records]
         before = dict(self._engine.workers)
         states_before = {id_: worker.state for id_, worker in before.items()}
-        restarted = self._engine.on_endpoints(now, event.whole, endpoints)
+        restarted = self._engine.on_endpoints(now, event.is_snapshot, endpoints)
         for record in records:
             self._workers.addresses[record.id] = record.address, record.port
         for worker in {**before, **self._engine.workers}.values():
@@ -93,14 +93,14 @@
         event_log(log_events.ENDPOINT_LIST, number=event.number, workers=count, live=live)
         self._schedule_decisions()
 
-    def _endpoint(self, now: float, record: Record) -> Endpoint:
+    def _endpoint(self, now: float, record: EndpointRecord) -> Endpoint:
         return Endpoint(
             record.id,
             record.zone,
             record.kind,
             record.cell,
             WORKER_STATES.get(record.state, WorkerState.DRAINING),
-            record.size,
+            record.capacity,
             self._started_at(now, record),
         )
 
@@ -117,7 +117,7 @@
                 event_log(log_events.CANCELLED_FOR_DRAIN, worker=worker.id, reason=CancelReason.DRAINING.value)
                 self._on_item_finished(item, AttemptStatus.NOT_SENT, None)
 
-    def _started_at(self, now: float, record: Record) -> float | None:
+    def _started_at(self, now: float, record: EndpointRecord) -> float | None:
         """When a worker started.  The same `record.started` always gives the same time, whatever steps the wall clock
         makes in between."""
         if not record.started:
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -26,7 +26,7 @@
 from kelptrail.front.inference import inference_pb2 as pb
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.server import HttpServer
-from kelptrail.net.tls import CertificateReloader, Expiry, TlsFiles
+from kelptrail.net.tls import CertificateReloader, ExpiryWarning, TlsFiles
 from kelptrail.service.build import certificate_reloader, grpc_limits
 from kelptrail.settings.deployment import parse
 from kelptrail.settings.reader import SettingsError
@@ -282,11 +282,11 @@
             if n == 3:  # a half-written file changes nothing
                 kept = (tmp_path / "front.pem").read_bytes()
                 (tmp_path / "front.pem").write_bytes(kept[:200])
-                keeper.look()
+                keeper.reload_if_changed()
                 (tmp_path / "front.pem").write_bytes(kept)
             else:
                 made.rotate("front", 20 + n, NOW)
-            keeper.look()
+            keeper.reload_if_changed()
         statuses = [s for task in tasks for s in await task]
         assert len(statuses) > 50 and set(statuses) == {200}
         assert keeper.loads >= 6 and keeper.failures == 1 and keeper.status()["ends"] != first["ends"]
@@ -300,7 +300,7 @@
 
 def test_ends_are_told_ahead_once_a_day(tmp_path: Path) -> None:
     day = 86_400_000.0
-    expiry = Expiry(14.0)
+    expiry = ExpiryWarning(14.0)
     assert expiry.due(0.0, 15 * day) is None and expiry.due(1.5 * day, 15 * day) == 13.5
     assert expiry.due(2.0 * day, 15 * day) is None and expiry.due(2.6 * day, 15 * day) == pytest.approx(12.4)
     assert expiry.due(20 * day, 15 * day) == -5, "also once it is over"
@@ -308,7 +308,7 @@
     log = Silent()
     late = (NOW + timedelta(days=10)).timestamp() * 1000
     keeper = CertificateReloader(TlsFiles(tmp_path / "front.pem"), True, [], log, lambda: late)
-    keeper.look()
+    keeper.reload_if_changed()
     assert [event for event, _ in log.lines] == ["certificate-ends"] and keeper.status()["days_left"] < 11
     with pytest.raises(ValueError, match=r"nothing\.pem"):
         CertificateReloader(TlsFiles(tmp_path / "nothing.pem"), True, [], log, lambda: late)
@@ -320,7 +320,7 @@
     file = tmp_path / "place.sexp"
     file.write_text(text)
     program = [sys.executable, "-m", "kelptrail"]
-    roster = subprocess.Popen([*program, "standin", "roster"], stdout=subprocess.PIPE, text=True)
+    roster = subprocess.Popen([*program, "emulate", "endpoint-service"], stdout=subprocess.PIPE, text=True)
     try:
         assert roster.stdout is not None
         at = json.loads(roster.stdout.readline())["address"]
@@ -382,7 +382,7 @@
         ),
     )
     parser = ResponseReader(1 << 20)
-    parser.on_piece = seen.extend
+    parser.on_chunk = seen.extend
     try:
         async with asyncio.timeout(5):
             while (response := parser.feed(bytes(buffer[: await loop.sock_recv_into(sock, buffer)]))) is None:
