--- a/kelptrail/vrrp/state_machine.py
+++ b/kelptrail/vrrp/state_machine.py
@@ -230,12 +230,12 @@
             self._adver_due = now + self.interval_ms
 
     def _advance(self, now: float) -> float:
-        """Time as told, never backwards; notices that the process slept.
+        """The time passed in, never backwards; notices that the process was suspended.
 
         Guards against a woken master that advertises an address which another holds by now, and a woken backup
         whose timer ran out while advertisements lay unread.  A master has slept once three intervals have passed
         since its last advertisement, the shortest Master_Down_Interval that a peer can have; a backup, once its
-        timer is late by a whole one.  Whoever has slept starts to listen anew.
+        timer is late by a whole one.  A router that was suspended starts to listen again.
         """
         if now <= self._last_now:
             return self._last_now
--- a/tests/test_standing.py
+++ b/tests/test_front_addresses.py
@@ -118,10 +118,10 @@
         deployment = parse(text, "t")
         assert deployment.vrrp is not None
         workers = [ScriptedWorker("w", answer)]
-        both, standings = [Dispatcher(workers, deployment) for _ in range(2)], []
+        both, members = [Dispatcher(workers, deployment) for _ in range(2)], []
         for name, dispatcher in zip("ab", both, strict=True):
             (tmp_path / name).mkdir()
-            standings.append(
+            members.append(
                 FrontAddresses(
                     deployment.vrrp,
                     name,
@@ -133,17 +133,17 @@
                     dispatcher.log,
                 )
             )
-        for standing in standings:
-            standing.start()
+        for member in members:
+            member.start()
 
         async def held(*wanted: bool) -> None:
             async with asyncio.timeout(3):
-                while [s.addresses[7].held for s in standings] != list(wanted):
+                while [s.addresses[7].held for s in members] != list(wanted):
                     await asyncio.sleep(0.005)
 
         await held(True, False)
         # what does not belong is counted and changes nothing
-        counts = standings[1].vrrp.instance.counters
+        counts = members[1].vrrp.instance.counters
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         stranger.bind(("127.0.31.1", 0))
         here = deployment.vrrp.instance[1].udp.rpartition(":")
@@ -158,13 +158,13 @@
         await held(False, True)
         both[0].list(workers)
         await held(True, False)
-        await standings[0].stop()  # a release: the other takes over after its skew
+        await members[0].stop()  # a release: the other takes over after its skew
         await held(False, True)
-        status = standings[1].vrrp.status()
+        status = members[1].vrrp.status()
         (router,) = status["routers"]
         assert router["state"] == "master" and status["transitions"][-1]["cause"] == "master down"
         assert "adver" in router["timers_ms"] and status["tracked"]["workers"]["well"]
-        await standings[1].stop()
+        await members[1].stop()
         stranger.close()
         for dispatcher in both:
             await dispatcher.server.drain(0)
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -146,8 +146,8 @@
 
 
 def test_no_bytes_end_in_anything_but_a_named_error() -> None:
-    chance, sound, sealer = random.Random(2), encode(advert(), A, B), Signer(Key(1, b"k"), 1, A)
-    opener = Verifier((Key(1, b"k"),))
+    chance, sound, signer = random.Random(2), encode(advert(), A, B), Signer(Key(1, b"k"), 1, A)
+    verifier = Verifier((Key(1, b"k"),))
     named = 0
     for n in range(20_000):
         data = bytearray(sound if n % 2 else chance.randbytes(chance.randint(0, 80)))
@@ -159,10 +159,10 @@
         except PacketError as cause:
             assert type(cause) in PACKET_ERRORS
             named += 1
-        sealed = bytearray(sealer.sign(sound))
+        sealed = bytearray(signer.sign(sound))
         sealed[chance.randrange(len(sealed))] ^= 1 << chance.randrange(8)
         with pytest.raises(PacketError) as caught:
-            opener.verify(bytes(sealed), A)
+            verifier.verify(bytes(sealed), A)
         assert type(caught.value) in AUTHENTICATION_ERRORS
     assert named > 15_000
 
@@ -327,29 +327,31 @@
 
 
 def test_a_master_that_loses_its_workers_hands_over_in_bounded_time_and_does_not_flap() -> None:
-    sea = SimulatedNetwork(1, [(A, 200), (B, 150), (C, 100)], tracks=[TrackSettings("workers", 120, 500.0, 2000.0)])
-    sea.run(6000.0)
-    assert sea.holders() == [A]
-    sea.instances[A].on_health(sea.now, "workers", False)
-    began, moves = sea.now, len(sea.moves)
-    sea.run(500.0 + 100 + 3 * 1000 + 1000)
-    assert sea.holders() == [B] and sea.moves[-1][0] - began < 500 + 3000 + 1000
+    network = SimulatedNetwork(1, [(A, 200), (B, 150), (C, 100)], tracks=[TrackSettings("workers", 120, 500.0, 2000.0)])
+    network.run(6000.0)
+    assert network.holders() == [A]
+    network.instances[A].on_health(network.now, "workers", False)
+    began, moves = network.now, len(network.moves)
+    network.run(500.0 + 100 + 3 * 1000 + 1000)
+    assert network.holders() == [B] and network.moves[-1][0] - began < 500 + 3000 + 1000
     for n in range(40):  # its links flap every 300 ms
-        sea.instances[A].on_health(sea.now, "workers", bool(n % 2))
-        sea.run(300.0)
-    assert sea.holders() == [B] and len(sea.moves) - moves <= 3
+        network.instances[A].on_health(network.now, "workers", bool(n % 2))
+        network.run(300.0)
+    assert network.holders() == [B] and len(network.moves) - moves <= 3
 
 
 def test_release_by_tracking_takes_a_skew() -> None:
-    sea = SimulatedNetwork(2, [(A, 200), (B, 150)], tracks=[TrackSettings("workers", 0, 100.0, 500.0, release=True)])
-    sea.run(6000.0)
-    sea.instances[A].on_health(sea.now, "workers", False)
-    began = sea.now
-    sea.run(100 + 106 * 1000 / 256 + 50)
-    assert sea.holders() == [B] and sea.moves[-1][0] - began < 600
-    sea.instances[A].on_health(sea.now, "workers", True)
-    sea.run(6000.0)
-    assert sea.holders() == [A]
+    network = SimulatedNetwork(
+        2, [(A, 200), (B, 150)], tracks=[TrackSettings("workers", 0, 100.0, 500.0, release=True)]
+    )
+    network.run(6000.0)
+    network.instances[A].on_health(network.now, "workers", False)
+    began = network.now
+    network.run(100 + 106 * 1000 / 256 + 50)
+    assert network.holders() == [B] and network.moves[-1][0] - began < 600
+    network.instances[A].on_health(network.now, "workers", True)
+    network.run(6000.0)
+    assert network.holders() == [A]
 
 
 # Several routers, counters.
