--- a/bench/copies.py
+++ b/bench/copies.py
@@ -36,7 +36,7 @@
 from kelptrail.replication.replica import Work
 from kelptrail.replication.replica_store import Reading, open_replica_store
 from kelptrail.settings.deployment import parse
-from kelptrail.store.entries import Accepted, Ended, MayRun, pack
+from kelptrail.store.entries import Accepted, Ended, MayRun, encode_entry
 
 NAMES = ("d0", "d1", "d2")
 TARGET = "/api/v1/namespaces/_/actions/f-0?blocking=false"
@@ -188,10 +188,10 @@
 class Book:
     """A book that is safe at once, to see what taking it up takes by itself."""
 
-    def takes(self) -> bool:
+    def is_accepting(self) -> bool:
         return True
 
-    def acting(self, now: float) -> bool:
+    def may_act(self, now: float) -> bool:
         return True
 
     def write(self, entry: Any, waiter: Any = None, keep: bool = False) -> None:
@@ -220,7 +220,10 @@
             entries: list[Any] = [Accepted(id_, "n", "f-0", wall - 3000, 600_000.0, b'{"family":7}' * 20)]
             if n >= count * share:
                 entries += [MayRun(id_, wall - 2000, "w0"), Ended(id_, wall, "completed", 0, b'{"family":7}' * 20)]
-            items += [ReplicaEntry(e.id, (Accepted, MayRun, Ended).index(type(e)), 3000.0, pack(e)[0]) for e in entries]
+            items += [
+                ReplicaEntry(e.id, (Accepted, MayRun, Ended).index(type(e)), 3000.0, encode_entry(e)[0])
+                for e in entries
+            ]
         shelves.commit([Work("lost.1", tuple(items), fence=(FencingToken(1, "lost/1"), "lost"), wall_ms=wall)])
         gc.collect()
         gc.freeze()
@@ -236,7 +239,7 @@
         def stir() -> None:
             nonlocal first, last
             now = now_ms()
-            while (effect := gateway.on_decision_done(now)) is not None:
+            while (effect := gateway.next_effect(now)) is not None:
                 if isinstance(effect, FinalAnswer):
                     finals.add(effect.invocation.record.id)
                     last = now
--- a/bench/split.py
+++ b/bench/split.py
@@ -74,7 +74,7 @@
         clock[0] += 0.3
         now = clock[0]
         gateway.submit(now, now, "n", action, b"{}")
-        while (effect := gateway.on_decision_done(now)) is not None:
+        while (effect := gateway.next_effect(now)) is not None:
             if isinstance(effect, StartAttempt):
                 gateway.on_attempt_finished(now + 0.2, effect.attempt, AttemptStatus.COMPLETED)
             elif isinstance(effect, StartLoad):
--- a/kelptrail/front/inference/api.py
+++ b/kelptrail/front/inference/api.py
@@ -25,7 +25,7 @@
 from kelptrail.front.callers import UNSURE, Callers, Finder
 from kelptrail.gateway.core import Invocation, KeyConflictError
 from kelptrail.gateway.driver import GatewayDriver
-from kelptrail.gateway.limits import WORDS
+from kelptrail.gateway.limits import REJECTION_MESSAGES
 from kelptrail.gateway.records import Record
 from kelptrail.net.grpc_server import GrpcStream
 from kelptrail.settings.deployment import ActionSettings, Deployment, NamespaceSettings
@@ -167,7 +167,7 @@
         if key is not None:
             digest = hashlib.blake2b(payload, digest_size=16).hexdigest()
             try:
-                known = gateway.known(caller.name, action.path, key, digest)
+                known = gateway.find_by_key(caller.name, action.path, key, digest)
             except KeyConflictError as cause:
                 raise GrpcError(Code.ALREADY_EXISTS, f"Conflict: {cause}.") from None
             if known is not None:
@@ -179,7 +179,7 @@
                 f"A deferred call's tensors take at most "
                 f"{self._deployment.most_promised} bytes here: they are held by others.",
             )
-        if deferred and not gateway.promises():
+        if deferred and not gateway.accepts_deferred():
             raise GrpcError(
                 Code.UNAVAILABLE,
                 "Deferred calls cannot be kept safe at the moment; the call was not taken.",
@@ -200,7 +200,7 @@
             digest,
             float("inf") if deferred else limit,
             "tensors",
-            who=who,
+            client_key=who,
         )
         if deferred:
             self._driver.schedule_decisions(lambda: waits.promise(ivk))
@@ -218,7 +218,7 @@
         who = key or f"{zlib.crc32(payload):08x}{len(payload):x}"
         refused = self._driver.gateway.on_connect(now_ms(), caller.name, action.path, len(payload), who)
         if refused is not None:
-            raise GrpcError(Code.RESOURCE_EXHAUSTED, WORDS[refused[0]], refused[1], "NOT_TAKEN")
+            raise GrpcError(Code.RESOURCE_EXHAUSTED, REJECTION_MESSAGES[refused[0]], refused[1], "NOT_TAKEN")
         return who
 
     def _limit(self, stream: GrpcStream) -> float:
@@ -284,7 +284,7 @@
         if isinstance(wait, bool) or not isinstance(wait, int | float) or wait < 0:
             raise GrpcError(Code.INVALID_ARGUMENT, "parameter 'wait_ms' is a number of milliseconds")
         waits = _Unary(self, stream, request.id, False)
-        if record.shown:
+        if record.visible:
             waits.ended(record)
             return
         ivk = gateway.in_flight_of(id_)
@@ -330,7 +330,7 @@
         out = pb.ModelInferResponse(model_name=record.path, model_version="1", id=id_)
         parameters: dict[str, Any] = {"activation_id": record.id} | more
         try:
-            if record.form == "tensors":
+            if record.payload_format == "tensors":
                 told = _result(result)
                 for tensor in told.outputs:
                     packed = fill(out.outputs.add(), tensor, raw)
@@ -353,21 +353,21 @@
 
     def fault(self, record: Record) -> GrpcError:
         """A final answer that is no result, as a status that says what retrying would risk."""
-        told = {"activation": record.id, "effect": record.effect, "sends": str(record.sends)}
+        told = {"activation": record.id, "effect": record.idempotency, "sends": str(record.attempt_count)}
         if record.answer == "rejected":
-            if record.repeat_within_ms:
-                told["repeat_within_ms"] = str(round(record.repeat_within_ms))
+            if record.deduplicated_for_ms:
+                told["repeat_within_ms"] = str(round(record.deduplicated_for_ms))
             return GrpcError(
                 Code.RESOURCE_EXHAUSTED,
                 "The call was rejected before it had any effect that a repeat would double; try again later.",
-                record.return_ms,
+                record.retry_after_ms,
                 "REJECTED",
                 told,
             )
         if record.answer == "aborted":
             text = msgspec.json.decode(record.result).get("error", "aborted")
-            ran = record.sends > 0
-            told["retrying"] = RISK[record.effect] if ran else "nothing of it ran"
+            ran = record.attempt_count > 0
+            told["retrying"] = RISK[record.idempotency] if ran else "nothing of it ran"
             return GrpcError(
                 Code.DEADLINE_EXCEEDED if record.timed_out else Code.ABORTED,
                 text,
@@ -393,7 +393,7 @@
         def gone() -> None:
             self._cancel()
             if key is not None:  # one that named a mark may come back for the answer
-                gateway.on_response_part(ivk.record, self.ended)
+                gateway.remove_waiter(ivk.record, self.ended)
             else:
                 ivk.waiters.clear()
                 gateway.on_client_gone(now_ms(), ivk)
@@ -403,9 +403,9 @@
         if stream.deadline is not None:
 
             def late() -> None:
-                gateway.on_response_part(ivk.record, self.ended)
+                gateway.remove_waiter(ivk.record, self.ended)
                 stream.on_gone = _nothing
-                told = {"activation": ivk.record.id, "retrying": RISK[ivk.record.effect]}
+                told = {"activation": ivk.record.id, "retrying": RISK[ivk.record.idempotency]}
                 stream.finish(Code.DEADLINE_EXCEEDED, "The client's deadline has come.", None, "MAY_HAVE_RUN", told)
 
             self._timer = self._api._loop.call_later(max(0.0, stream.deadline - now_ms()) / 1000, late)
@@ -417,7 +417,7 @@
     def join(self, record: Record, deferred: bool) -> None:
         """A client's own repeat: the recorded answer, or that of the activation in hand."""
         ivk = self._api._driver.gateway.in_flight_of(record.id)
-        if record.shown:
+        if record.visible:
             self.ended(record)
         elif deferred or ivk is None:
             self.deferred(record)
@@ -430,14 +430,14 @@
         gateway = self._api._driver.gateway
 
         def late() -> None:
-            gateway.on_response_part(ivk.record, self.ended)
+            gateway.remove_waiter(ivk.record, self.ended)
             self._stream.fail(
                 GrpcError(Code.UNAVAILABLE, "The activation is in hand and has no result yet.", 1000.0, "IN_HAND")
             )
 
         def gone() -> None:
             self._cancel()
-            gateway.on_response_part(ivk.record, self.ended)
+            gateway.remove_waiter(ivk.record, self.ended)
 
         if self._stream.deadline is not None:
             wait_ms = max(0.0, min(wait_ms, self._stream.deadline - now_ms() - 20))
@@ -448,8 +448,8 @@
     def promise(self, ivk: Invocation) -> None:
         """The id once the call's record is safe."""
         if not self._stream.ended:
-            self._api._driver.gateway.promise(ivk, lambda safe: self._promised(ivk, safe))
-            self._api._driver.pump()
+            self._api._driver.gateway.when_durable(ivk, lambda safe: self._promised(ivk, safe))
+            self._api._driver.start_writes()
             if self._api.copies is not None:  # as on the first front
                 self._timer = self._api._loop.call_later(
                     UNSURE * ivk.record.timeout_ms / 1000, self._promised, ivk, None
@@ -487,7 +487,7 @@
     def ended(self, record: Record) -> None:
         """The final answer is there."""
         self._cancel()
-        record.told = True
+        record.fetched = True
         if self._stream.ended:
             return
         if record.answer != "completed" or record.code:
@@ -585,12 +585,12 @@
         if not self._stream.room and not self._held:  # flow control goes on to the workers
             self._held = True
             for ivk in self._out:
-                self._api._driver.flow(ivk, False)
+                self._api._driver.set_reading(ivk, False)
 
     def _room(self) -> None:
         self._held = False
         for ivk in list(self._out):
-            self._api._driver.flow(ivk, True)
+            self._api._driver.set_reading(ivk, True)
 
     def _refuse(self, id_: str, model: str, cause: GrpcError, activation: str = "") -> None:
         """One request's end within a stream that goes on: the status in the text and in parameters."""
--- a/kelptrail/front/invoke/api.py
+++ b/kelptrail/front/invoke/api.py
@@ -26,7 +26,7 @@
 from kelptrail.front.callers import UNSURE, Callers, Finder
 from kelptrail.gateway.core import Invocation, KeyConflictError
 from kelptrail.gateway.driver import GatewayDriver
-from kelptrail.gateway.limits import WORDS
+from kelptrail.gateway.limits import REJECTION_MESSAGES
 from kelptrail.gateway.records import Record
 from kelptrail.membership.members import PREFIX
 from kelptrail.net.server import Exchange
@@ -209,7 +209,7 @@
         if key is not None:
             digest = hashlib.blake2b(payload, digest_size=16).hexdigest()
             try:
-                known = gateway.known(caller.name, action.path, key, digest)
+                known = gateway.find_by_key(caller.name, action.path, key, digest)
             except KeyConflictError as cause:
                 raise ApiError(409, f"Conflict: {cause}.") from None
             if known is not None:
@@ -222,7 +222,7 @@
             raise ApiError(406, "HTTP/1.0 has no streamed answers.")
         if not blocking and self._most_promised and len(payload) > self._most_promised:
             raise ApiError(413, f"A deferred call's body has at most {self._most_promised} bytes here: others hold it.")
-        if not blocking and not gateway.promises():
+        if not blocking and not gateway.accepts_deferred():
             raise ApiError(
                 503, "Deferred calls cannot be kept safe at the moment; the call was not taken.", {"retry-after": "1"}
             )
@@ -238,7 +238,7 @@
             reason, back = refused
             raise ApiError(
                 429,
-                WORDS[reason],
+                REJECTION_MESSAGES[reason],
                 {"retry-after": str(max(1, math.ceil(back / 1000)))},
                 answer="rejected",
                 retry_after_ms=round(back, 3),
@@ -248,7 +248,17 @@
             return
         wait = _Wait(self, exchange, route.bare)
         ivk = gateway.submit(
-            now_ms(), wall_ms(), caller.name, action, payload, key, trace, wait.ended, not blocking, digest, who=who
+            now_ms(),
+            wall_ms(),
+            caller.name,
+            action,
+            payload,
+            key,
+            trace,
+            wait.ended,
+            not blocking,
+            digest,
+            client_key=who,
         )
         if blocking:
             exchange.on_gone = lambda: self._left(ivk, wait)
@@ -269,7 +279,7 @@
         """A streamed answer as server-sent events: `part`s, then one `final` with the record."""
         driver = self._driver
         ivk = driver.gateway.submit(
-            now_ms(), wall_ms(), caller.name, action, payload, None, trace, streamed=True, who=who
+            now_ms(), wall_ms(), caller.name, action, payload, None, trace, streamed=True, client_key=who
         )
         held = False
 
@@ -282,12 +292,12 @@
             exchange.piece(encode_event(data, "part"))
             if not exchange.room and not held:  # a slow reader holds its worker back
                 held = True
-                driver.flow(ivk, False)
+                driver.set_reading(ivk, False)
 
         def room() -> None:
             nonlocal held
             held = False
-            driver.flow(ivk, True)
+            driver.set_reading(ivk, True)
 
         def ended(record: Record) -> None:
             if exchange.replied:
@@ -309,7 +319,7 @@
     def _left(self, ivk: Invocation, wait: _Wait) -> None:
         """A client went away.  One that named a key may come back for the answer; without one nobody wants it."""
         if ivk.record.key:
-            self._driver.gateway.on_response_part(ivk.record, wait.ended)
+            self._driver.gateway.remove_waiter(ivk.record, wait.ended)
             return
         ivk.waiters.clear()
         self._driver.gateway.on_client_gone(now_ms(), ivk)
@@ -318,14 +328,14 @@
     def _repeat(self, exchange: Exchange, record: Record, route: _Route) -> None:
         """A client's own repeat: it gets the recorded answer or joins the activation in hand."""
         wait, ivk = _Wait(self, exchange, route.bare), self._driver.gateway.in_flight_of(record.id)
-        if record.shown:
-            record.told = True
+        if record.visible:
+            record.fetched = True
             wait.ended(record)
         elif not route.blocking or ivk is None:  # one that a restart found and has not taken up yet is in hand, too
             wait.deferred(record)
         else:
             ivk.waiters.append(wait.ended)
-            exchange.on_gone = lambda: self._driver.gateway.on_response_part(record, wait.ended)
+            exchange.on_gone = lambda: self._driver.gateway.remove_waiter(record, wait.ended)
             wait.blocking(ivk, route.wait_ms)
 
     def cannot_promise(self, ivk: Invocation) -> None:
@@ -338,8 +348,8 @@
         headers = {"x-openwhisk-activation-id": record.id}
         if record.answer == "rejected":
             told = views.answer(record)
-            if record.return_ms > 0:
-                headers["retry-after"] = str(max(1, math.ceil(record.return_ms / 1000)))
+            if record.retry_after_ms > 0:
+                headers["retry-after"] = str(max(1, math.ceil(record.retry_after_ms / 1000)))
             body = views.error(
                 "The call was rejected before it had any effect that a repeat would double; try again later.",
                 f"{self._boot[:8]}{self._requests:x}",
@@ -385,8 +395,8 @@
             if rest[1] not in ("result", "logs"):
                 raise ApiError(404, "The requested resource does not exist.")
             shown = views.result if rest[1] == "result" else lambda r: {"logs": r.logs}
-        if record.shown:
-            record.told = True
+        if record.visible:
+            record.fetched = True
             exchange.reply(200, views.encode(shown(record)))
             return
         wait_ms = _number(query, "wait", 0, self._front.longest_wait_ms) if "wait" in query else 0.0
@@ -449,11 +459,11 @@
 
         def ended(record: Record) -> None:
             timer.cancel()
-            record.told = True
+            record.fetched = True
             exchange.reply(200, views.encode(shown(record)))
 
         def late() -> None:
-            self._driver.gateway.on_response_part(ivk.record, ended)
+            self._driver.gateway.remove_waiter(ivk.record, ended)
             exchange.reply(404, views.error(IN_HAND, f"{self._boot[:8]}{self._requests:x}"), {"retry-after": "1"})
 
         timer = self._loop.call_later(wait_ms / 1000, late)
@@ -461,7 +471,7 @@
 
         def gone() -> None:
             timer.cancel()
-            self._driver.gateway.on_response_part(ivk.record, ended)
+            self._driver.gateway.remove_waiter(ivk.record, ended)
 
         exchange.on_gone = gone
 
@@ -470,7 +480,7 @@
         ivk = self._driver.gateway.in_flight_of(record.id)
         if record.final or ivk is None:
             raise ApiError(409, "The activation has its final answer, or is being resumed; nothing was cancelled.")
-        if record.effect != "repeatable" and any(send.may_have_run for send in ivk.request.attempts):
+        if record.idempotency != "repeatable" and any(send.may_have_run for send in ivk.request.attempts):
             raise ApiError(409, "The activation may have run; cancelling would not undo its effect.")
         self._driver.gateway.on_client_gone(now_ms(), ivk)
         self._driver.schedule_decisions()
@@ -502,8 +512,8 @@
         """The wait is over: the client goes on with the id, which must be worth something after a crash."""
         gateway = self._api._driver.gateway
         gateway.make_durable(now_ms(), ivk)
-        if ivk.lifecycle.kept:
-            gateway.promise(ivk, lambda _safe: self.deferred(ivk.record))
+        if ivk.lifecycle.durable:
+            gateway.when_durable(ivk, lambda _safe: self.deferred(ivk.record))
             self._api._driver.schedule_decisions()
         else:
             self.deferred(ivk.record)
@@ -511,8 +521,8 @@
     def promise(self, ivk: Invocation) -> None:
         """202 once the call's record is safe; 503 where it cannot be."""
         if not self._exchange.replied:
-            self._api._driver.gateway.promise(ivk, lambda safe: self._promised(ivk, safe))
-            self._api._driver.pump()
+            self._api._driver.gateway.when_durable(ivk, lambda safe: self._promised(ivk, safe))
+            self._api._driver.start_writes()
             if self._api.copies is not None and not self._exchange.replied:
                 # Nothing can be safe while no majority of voters is heard: its client hears so before it gives up.
                 self._timer = self._api._loop.call_later(
--- a/kelptrail/front/invoke/views.py
+++ b/kelptrail/front/invoke/views.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from kelptrail.gateway.records import STATUS, Record
+from kelptrail.gateway.records import STATUS_MESSAGES, Record
 from kelptrail.settings.deployment import ActionSettings, Deployment
 
 encode = msgspec.json.encode
@@ -22,9 +22,9 @@
     """The record's annotations; those under `kelptrail` say which of the three final answers it got."""
     out: list[dict[str, Any]] = [
         {"key": "path", "value": f"{record.namespace}/{record.path}"},
-        {"key": "kind", "value": record.kind},
+        {"key": "kind", "value": record.request_class},
         {"key": "limits", "value": {"timeout": record.timeout_ms}},
-        {"key": "waitTime", "value": round(record.waited_ms)},
+        {"key": "waitTime", "value": round(record.queued_ms)},
         {"key": "kelptrail", "value": answer(record)},
     ]
     return out
@@ -32,13 +32,13 @@
 
 def answer(record: Record) -> dict[str, Any]:
     """The final answer in our words, with what may be done about it."""
-    out: dict[str, Any] = {"answer": record.answer, "effect": record.effect, "sends": record.sends}
+    out: dict[str, Any] = {"answer": record.answer, "effect": record.idempotency, "sends": record.attempt_count}
     if record.trace:
         out["traceparent"] = record.trace
     if record.answer == "rejected":
-        out["retry_after_ms"] = round(record.return_ms, 3)
-        if record.repeat_within_ms:
-            out["repeat_within_ms"] = round(record.repeat_within_ms)
+        out["retry_after_ms"] = round(record.retry_after_ms, 3)
+        if record.deduplicated_for_ms:
+            out["repeat_within_ms"] = round(record.deduplicated_for_ms)
     elif record.answer == "aborted":
         out["promise"] = "none"
     return out
@@ -57,7 +57,7 @@
         "end": round(record.end),
         "duration": round(record.end - record.start),
         "response": {
-            "status": STATUS[record.code],
+            "status": STATUS_MESSAGES[record.code],
             "statusCode": record.code,
             "success": record.code == 0,
             "result": msgspec.Raw(record.result),
@@ -86,7 +86,7 @@
 def result(record: Record) -> dict[str, Any]:
     """The `/result` of a record."""
     return {
-        "status": STATUS[record.code],
+        "status": STATUS_MESSAGES[record.code],
         "statusCode": record.code,
         "success": record.code == 0,
         "result": msgspec.Raw(record.result),
--- a/kelptrail/gateway/build.py
+++ b/kelptrail/gateway/build.py
@@ -63,6 +63,6 @@
             )
         return function
 
-    def forget(self, function: Function) -> None:
+    def forget_function(self, function: Function) -> None:
         """Drop a function that has long been idle."""
         self._functions = {p: f for p, f in self._functions.items() if f is not function}
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -32,16 +32,16 @@
 from kelptrail.store.activation_journal import ActivationEntries
 from kelptrail.store.entries import Accepted, Ended, MayRun
 from kelptrail.store.group_commit import GroupCommit
-from kelptrail.store.recovery import End, Pace, Resume, Rule, judge
+from kelptrail.store.recovery import EndRequest, RecoveryRule, ResumeQueue, ResumeRequest, decide_recovery
 
 from .build import DispatcherParts
 from .counters import FunctionCounters
-from .lifecycle import Need, RequestLifecycle, Stage
-from .limits import EARLY, RETURN_MS, Holdings
+from .lifecycle import EntryKind, RequestLifecycle, RequestStage
+from .limits import EARLY, RETRY_AFTER_MS, InFlightLimits
 from .overload import OverloadController, OverloadSettings
-from .records import Record, RecordKeeper, Records
+from .records import Record, Records, ReplicatedJournal
 
-OUTCOMES = {
+STATUS_BY_ANSWER_KIND = {
     "completed": AttemptStatus.COMPLETED,
     "error": AttemptStatus.ERROR,
     "full": AttemptStatus.OUT_OF_CAPACITY,
@@ -61,22 +61,24 @@
     record: Record
     action: ActionSettings
     payload: bytes
-    mark: str  # by which workers know a repeat
+    deduplication_id: str  # by which workers know a repeat
     lifecycle: RequestLifecycle
     waiters: list[Callable[[Record], None]] = field(default_factory=list)  # told the final answer, by the host
     answer: Answer | None = None
-    form: str = "json"  # of the payload and the result: "json", or "tensors" as the inference protocol has them
+    payload_format: str = (
+        "json"  # of the payload and the result: "json", or "tensors" as the inference protocol has them
+    )
     deferred: bool = False  # from the start: its client waits for the id only
     streamed: bool = False  # its client takes the answer in parts
-    until: float = 0.0  # when it is given up, unless something comes
-    who: str = ""  # by which its client's coming again is known
-    parts: int = 0
+    expires_at: float = 0.0  # when it is given up, unless something comes
+    client_key: str = ""  # by which its client's coming again is known
+    part_count: int = 0
     stream_limit_ms: float = float("inf")  # what the client allows for the whole
     on_part: Callable[[bytes], None] | None = None  # told each part, by the host
-    promises: list[Callable[[bool | None], None]] = field(default_factory=list)  # see `promise`
-    refused: bool = False  # too few have its record: its end is written before its client is told
-    moved: bool = False  # from this dispatcher's disk alone to a book with copies
-    held: list[Attempt] = field(default_factory=list)  # sends that wait until "may run" is safe
+    durability_waiters: list[Callable[[bool | None], None]] = field(default_factory=list)  # see `promise`
+    under_replicated: bool = False  # too few have its record: its end is written before its client is told
+    moved_to_replicated: bool = False  # from this dispatcher's disk alone to a book with copies
+    held_attempts: list[Attempt] = field(default_factory=list)  # sends that wait until "may run" is safe
 
 
 @dataclass(frozen=True, slots=True)
@@ -131,9 +133,9 @@
         record.answer,
         record.code,
         record.result,
-        record.return_ms,
-        record.repeat_within_ms,
-        record.sends,
+        record.retry_after_ms,
+        record.deduplicated_for_ms,
+        record.attempt_count,
     )
 
 
@@ -149,15 +151,15 @@
 class GatewayCounters:
     """What has happened since the start."""
 
-    taken: int = 0
+    received: int = 0
     completed: int = 0
     rejected: int = 0
-    aborted: int = 0
-    sends: int = 0
-    orders: int = 0
-    second_sends: int = 0  # sent while an earlier send of the same activation may have run
-    second_saved: int = 0  # of these, those that brought the final answer; the rest was wasted
-    outcomes: dict[AttemptStatus, int] = field(default_factory=dict)
+    failed: int = 0
+    attempts: int = 0
+    load_orders: int = 0
+    repeat_attempts: int = 0  # sent while an earlier send of the same activation may have run
+    useful_repeats: int = 0  # of these, those that brought the final answer; the rest was wasted
+    attempt_statuses: dict[AttemptStatus, int] = field(default_factory=dict)
 
 
 class KeyConflictError(Exception):
@@ -182,8 +184,10 @@
         self._due = TimerQueue()  # activations whose sends are given up on
         self._next_beat = -1e18
         self.journal = journal
-        self.holdings = Holdings(place.held, place.held_mb * 1e6, place.held_each)
-        self.promising: Callable[[], RecordKeeper | None] | None = None  # the book with copies that new calls go to
+        self.limits = InFlightLimits(place.held, place.held_mb * 1e6, place.held_each)
+        self.replicated_journal: Callable[[], ReplicatedJournal | None] | None = (
+            None  # the book with copies that new calls go to
+        )
         self._short: deque[Invocation] = deque()  # those whose record too few have
         self._unsafe: deque[Attempt] = deque()  # sends that will not be: the journal failed
         self._keys: dict[tuple[str, str, str], Record] = {}
@@ -191,19 +195,21 @@
         self._certain: deque[Request] = deque()  # deferred calls whose records have become safe
         damping = world.deployment.storm
         self.overload = OverloadController(
-            OverloadSettings(damping.damp, longest_ms=damping.longest_return_ms, most_known=damping.most_known),
+            OverloadSettings(
+                damping.damp, max_retry_after_ms=damping.longest_return_ms, max_clients=damping.most_known
+            ),
             crc32(boot.encode()),
             {space.name: space.allowed_per_s for space in world.deployment.namespaces.values()},
         )
         self._most_useful = max(kind.utility for kind in world.deployment.types.values())
         self._cold_ms, self._next_count = world.deployment.rules.cold_ms, -1e18
-        self._pace: Pace | None = None  # what a restart found, and since when it is resumed
+        self._pace: ResumeQueue | None = None  # what a restart found, and since when it is resumed
         self._paced = 0.0
         self._resumed: dict[str, None] = {}
         self.members = Members(world.zones)
         self.records = Records(place.records, place.records_mb * 1e6, place.record_ms)
         self.records.on_drop = self._dropped
-        self.passes: Callable[[str], None] = lambda _step: None  # told each step towards durability; for crash tests
+        self.on_step: Callable[[str], None] = lambda _step: None  # told each step towards durability; for crash tests
         self.on_forget: Callable[[str], None] | None = None  # told of ended activations that are no longer kept
         self.counts = GatewayCounters()
         self._tallies: dict[str, FunctionCounters] = {}  # for a planner
@@ -211,7 +217,7 @@
     @property
     def in_flight(self) -> int:
         """Activations without a final answer."""
-        return self.records.in_hand()
+        return self.records.in_flight()
 
     # Inputs.
 
@@ -228,9 +234,9 @@
         deferred: bool = False,
         digest: str = "",
         limit_ms: float = float("inf"),
-        form: str = "json",
+        payload_format: str = "json",
         streamed: bool = False,
-        who: str = "",
+        client_key: str = "",
     ) -> Invocation:
         """Take a call; `key` is the client's own mark against repeats.  `now`, `wall`: milliseconds.  `limit_ms`: what
         the client itself allows, where that is less than its type's time."""
@@ -260,27 +266,34 @@
             now + record.timeout_ms - max(self._margin_ms, margin),
             has_idempotency_key=key is not None,
         )
-        mark = f"{namespace}/{action.path}/{key}" if key is not None else id_
-        if deferred and self.promising is not None:
-            book = self.promising()
-            kept = book is not None and book.takes()
-            record.book = book if kept else None
+        deduplication_id = f"{namespace}/{action.path}/{key}" if key is not None else id_
+        if deferred and self.replicated_journal is not None:
+            book = self.replicated_journal()
+            kept = book is not None and book.is_accepting()
+            record.replicated_journal = book if kept else None
         else:
-            kept = self.journal is not None and self.journal.takes() and (deferred or key is not None)
+            kept = self.journal is not None and self.journal.is_accepting() and (deferred or key is not None)
         passage = RequestLifecycle(settings.effect == Idempotency.IDEMPOTENT.value, kept, deferred)
-        ivk = Invocation(act, record, action, payload, mark, passage, [waiter] if waiter is not None else [])
-        ivk.form, ivk.streamed, ivk.until, ivk.deferred = form, streamed, act.deadline, deferred
-        ivk.who = f"{namespace}/{action.path}/{who or key or id_}"
-        record.form = form
+        ivk = Invocation(
+            act, record, action, payload, deduplication_id, passage, [waiter] if waiter is not None else []
+        )
+        ivk.payload_format, ivk.streamed, ivk.expires_at, ivk.deferred = (
+            payload_format,
+            streamed,
+            act.deadline,
+            deferred,
+        )
+        ivk.client_key = f"{namespace}/{action.path}/{client_key or key or id_}"
+        record.payload_format = payload_format
         record.key, record.digest, record.deferred = key or "", digest, deferred
         if key is not None:
             self._keys[namespace, action.path, key] = record
         self.records.add(record)
         self._ivks[act] = self._joined[id_] = ivk
         self._due.add(act.deadline, act)
-        self.counts.taken += 1
-        self._tally(action.path).taken += 1
-        self.holdings.take(namespace, len(payload))
+        self.counts.received += 1
+        self._tally(action.path).received += 1
+        self.limits.acquire(namespace, len(payload))
         ivk.lifecycle.queue()
         # Guards against load orders earned by calls that a failing disk turns away: they were not taken.
         self._dispatcher.on_request(now, act, anew=not (kept and deferred))
@@ -289,17 +302,17 @@
     def on_connect(self, now: float, namespace: str, path: str, size: int, mark: str) -> tuple[str, float] | None:
         """Why a call is refused before anything is done for it, and when to come back; None: it may be taken.  `mark`
         is the client's own, or what else tells its repeat: both only count as one that was turned away before."""
-        reason = self.holdings.refusal(namespace, size)
+        reason = self.limits.rejection_reason(namespace, size)
         if reason is not None:
-            return reason, RETURN_MS
+            return reason, RETRY_AFTER_MS
         kind = self._world.deployment.types[self._world.deployment.actions[path].type]
-        back = self.overload.came(now, f"{namespace}/{path}/{mark}", namespace, kind.utility / self._most_useful)
+        back = self.overload.on_request(now, f"{namespace}/{path}/{mark}", namespace, kind.utility / self._most_useful)
         if back is not None:
-            self.holdings.refused[EARLY] += 1
+            self.limits.rejections[EARLY] += 1
             return EARLY, back
         return None
 
-    def known(self, namespace: str, path: str, key: str, digest: str) -> Record | None:
+    def find_by_key(self, namespace: str, path: str, key: str, digest: str) -> Record | None:
         """The activation that a client's repeat joins, or None where it is to be taken anew.
 
         Rejected ones promised that trying again is harmless; repeatable ones that were aborted may run again.  Raises
@@ -309,14 +322,14 @@
         if (
             record is None
             or record.answer == "rejected"
-            or (record.answer == "aborted" and record.effect == Idempotency.IDEMPOTENT.value)
+            or (record.answer == "aborted" and record.idempotency == Idempotency.IDEMPOTENT.value)
         ):
             return None
         if record.digest != digest:
             raise KeyConflictError(f"the key belongs to activation {record.id}, which has another body")
         return record
 
-    def has(self, what: str) -> bool:
+    def has_record(self, what: str) -> bool:
         """Whether a record is here, by its id, or as `key:NAMESPACE/ACTION/KEY` by its client's key."""
         if not what.startswith("key:"):
             return self.records.has(what)
@@ -327,7 +340,7 @@
             if rest.startswith(f"{path}/")
         )
 
-    def on_response_part(self, record: Record, waiter: Callable[[Record], None]) -> None:
+    def remove_waiter(self, record: Record, waiter: Callable[[Record], None]) -> None:
         """Be told no more."""
         ivk = self._joined.get(record.id)
         if ivk is not None and waiter in ivk.waiters:
@@ -337,33 +350,33 @@
         """The call in hand with this id."""
         return self._joined.get(id_)
 
-    def promises(self) -> bool:
+    def accepts_deferred(self) -> bool:
         """Whether a deferred call could be promised now."""
-        if self.promising is not None:
-            book = self.promising()
-            return book is not None and book.takes()
-        return self.journal is None or self.journal.takes()
+        if self.replicated_journal is not None:
+            book = self.replicated_journal()
+            return book is not None and book.is_accepting()
+        return self.journal is None or self.journal.is_accepting()
 
-    def promise(self, ivk: Invocation, done: Callable[[bool | None], None]) -> None:
+    def when_durable(self, ivk: Invocation, done: Callable[[bool | None], None]) -> None:
         """Call `done` once it is known whether the call's record is safe; without a journal at once.  None: nobody here
         knows, as another has its book."""
         passage = ivk.lifecycle
-        if not passage.kept:
+        if not passage.durable:
             done(self.journal is None)
-        elif passage.promised is not None:
-            done(passage.promised)
+        elif passage.durable_result is not None:
+            done(passage.durable_result)
         else:
-            ivk.promises.append(done)
-            passage.ask_record()
+            ivk.durability_waiters.append(done)
+            passage.request_accepted_entry()
             self._write(ivk)
 
     def _write(self, ivk: Invocation) -> None:
         """Hand to the journal what the call's way needs."""
         record = ivk.record
-        while (need := ivk.lifecycle.next_need()) is not None:
+        while (need := ivk.lifecycle.next_entry()) is not None:
             journal = self._kept_by(record)
-            if need is Need.RECORD:
-                self.passes("accepted")
+            if need is EntryKind.ACCEPTED:
+                self.on_step("accepted")
                 journal.write(
                     Accepted(
                         record.id,
@@ -376,100 +389,100 @@
                         record.digest,
                         record.trace,
                         record.deferred,
-                        record.form,
+                        record.payload_format,
                     ),
                     partial(self._recorded, ivk, journal),
                 )
-            elif need is Need.MAY_RUN:
+            elif need is EntryKind.MAY_RUN:
                 first = next(send for send in ivk.request.attempts if send.may_have_run)
-                sent = record.start + (first.started_at - record.taken)
+                sent = record.start + (first.started_at - record.received_at)
                 journal.write(MayRun(record.id, sent, first.instance.worker.id), partial(self._cleared, ivk, journal))
             else:
-                self.passes("answered")
-                if ivk.lifecycle.owed:
+                self.on_step("answered")
+                if ivk.lifecycle.deferred:
                     journal.write(_ended(record), lambda safe: self._ended(ivk, safe), keep=True)
                 else:  # whoever waits on a connection was promised no record: a failing journal keeps no answer back
                     journal.write(_ended(record), lambda safe: self._blocking_ended(ivk, safe))
 
-    def _kept_by(self, record: Record) -> GroupCommit | RecordKeeper:
-        kept = record.book or self.journal
+    def _kept_by(self, record: Record) -> GroupCommit | ReplicatedJournal:
+        kept = record.replicated_journal or self.journal
         assert kept is not None, "only what a journal keeps has needs"
         return kept
 
-    def _recorded(self, ivk: Invocation, journal: GroupCommit | RecordKeeper, safe: bool) -> None:
+    def _recorded(self, ivk: Invocation, journal: GroupCommit | ReplicatedJournal, safe: bool) -> None:
         if journal is not self._kept_by(ivk.record):
             return  # it has moved on meanwhile
-        if not safe and ivk.record.book is not None:
+        if not safe and ivk.record.replicated_journal is not None:
             # It is in the book all the same, so whoever takes that up would run what its client was told to try again.
-            ivk.lifecycle.told(Need.RECORD, True)
-            ivk.refused = True
+            ivk.lifecycle.on_written(EntryKind.ACCEPTED, True)
+            ivk.under_replicated = True
             self._short.append(ivk)
             return
-        if ivk.moved and self.on_forget is not None:
+        if ivk.moved_to_replicated and self.on_forget is not None:
             self.on_forget(ivk.record.id)
-        ivk.lifecycle.told(Need.RECORD, safe)
+        ivk.lifecycle.on_written(EntryKind.ACCEPTED, safe)
         if safe and ivk.deferred:
             self._certain.append(ivk.request)
-        self.passes("journalled")
-        promises, ivk.promises = ivk.promises, []
+        self.on_step("journalled")
+        promises, ivk.durability_waiters = ivk.durability_waiters, []
         for done in promises:
             done(safe)
 
-    def _cleared(self, ivk: Invocation, journal: GroupCommit | RecordKeeper, safe: bool) -> None:
+    def _cleared(self, ivk: Invocation, journal: GroupCommit | ReplicatedJournal, safe: bool) -> None:
         """What was held goes out, or ends unsent."""
         if journal is not self._kept_by(ivk.record):
             return
-        ivk.lifecycle.told(Need.MAY_RUN, safe)
-        self.passes("cleared")
+        ivk.lifecycle.on_written(EntryKind.MAY_RUN, safe)
+        self.on_step("cleared")
         self._release(ivk, safe)
 
     def _release(self, ivk: Invocation, safe: bool) -> None:
-        held, ivk.held = ivk.held, []
+        held, ivk.held_attempts = ivk.held_attempts, []
         for send in held:
-            if safe and not ivk.lifecycle.final and not ivk.refused:
+            if safe and not ivk.lifecycle.final and not ivk.under_replicated:
                 self._go(ivk, send)
                 self._owed.append(StartAttempt(ivk, send))
             else:
-                ivk.lifecycle.drop()
+                ivk.lifecycle.drop_held()
                 self._unsafe.append(send)
 
-    def is_primary(self, book: RecordKeeper) -> None:
+    def on_became_primary(self, book: ReplicatedJournal) -> None:
         """A book may be acted on, again: what was held for that alone goes out."""
         for ivk in list(self._ivks.values()):
-            if ivk.record.book is book and ivk.held and ivk.lifecycle.clear:
+            if ivk.record.replicated_journal is book and ivk.held_attempts and ivk.lifecycle.may_start:
                 self._release(ivk, True)
 
-    def release(self, book: RecordKeeper) -> int:
+    def release(self, book: ReplicatedJournal) -> int:
         """Another has a book: nothing of it is sent, answered or promised here any more.  How many calls it had."""
-        gone = self.records.of(book)
+        gone = self.records.kept_by(book)
         for record in gone:
             at = (record.namespace, record.path, record.key)
             if record.key and self._keys.get(at) is record:
                 del self._keys[at]
             if self._resumed.pop(record.id, "") is None and self._pace is not None:
-                self._pace.ended()
+                self._pace.on_finished()
             ivk = self._joined.pop(record.id, None)
             if ivk is None:
                 continue
             if not ivk.lifecycle.final:
                 self._dispatcher.on_client_gone(ivk.request)
-                self.holdings.give(record.namespace, len(ivk.payload))
+                self.limits.release(record.namespace, len(ivk.payload))
                 self._release(ivk, False)
-            ivk.lifecycle.let_go()
-            promises, ivk.promises, ivk.waiters = ivk.promises, [], []
+            ivk.lifecycle.release()
+            promises, ivk.durability_waiters, ivk.waiters = ivk.durability_waiters, [], []
             for done in promises:
                 done(None)
             self._settle(ivk.request)
         if self._pace is not None:
-            self._pace.drop(record.id for record in gone)
-        self.records.take_out(gone)
+            self._pace.remove(record.id for record in gone)
+        self.records.remove(gone)
         return len(gone)
 
     def _go(self, ivk: Invocation, send: Attempt) -> None:
-        ivk.lifecycle.go()
-        self.counts.second_sends += _second(send)
-        ivk.record.sends += 1
-        self.counts.sends += 1
+        ivk.lifecycle.start_attempt()
+        self.counts.repeat_attempts += _second(send)
+        ivk.record.attempt_count += 1
+        self.counts.attempts += 1
 
     def on_attempt_finished(
         self, now: float, send: Attempt, outcome: AttemptStatus, answer: Answer | None = None, went: bool = True
@@ -477,19 +490,19 @@
         """How a send ended, as seen on its socket; `went` is False for one that was held and never went out."""
         if send.status is not None:
             raise ValueError(f"send {send.number} of {send.request.id} has ended already")
-        self.counts.outcomes[outcome] = self.counts.outcomes.get(outcome, 0) + 1
+        self.counts.attempt_statuses[outcome] = self.counts.attempt_statuses.get(outcome, 0) + 1
         act, ivk = send.request, self._ivks.get(send.request)
         if ivk is not None and went:
-            ivk.lifecycle.back()
+            ivk.lifecycle.on_attempt_finished()
         over = act.final_status is not None or outcome is AttemptStatus.COMPLETED
         if ivk is not None and act.final_status is None and outcome is AttemptStatus.COMPLETED:
             ivk.answer = answer
-            self.counts.second_saved += _second(send)
+            self.counts.useful_repeats += _second(send)
         heard = answer or Answer("none")
         if ivk is not None and outcome in (AttemptStatus.COMPLETED, AttemptStatus.NOT_LOADED):
-            self.overload.met(now, outcome is AttemptStatus.NOT_LOADED)
+            self.overload.on_attempt_answered(now, outcome is AttemptStatus.NOT_LOADED)
             tally = self._tally(ivk.record.path)
-            tally.missed += outcome is AttemptStatus.NOT_LOADED
+            tally.not_loaded += outcome is AttemptStatus.NOT_LOADED
             if outcome is AttemptStatus.COMPLETED:
                 tally.completed += 1
                 tally.work_ms += now - send.started_at
@@ -501,28 +514,28 @@
             self._finish(now, ivk, "completed")
         self._settle(act)
 
-    def piece(self, now: float, send: Attempt, data: bytes) -> None:
+    def on_response_part(self, now: float, send: Attempt, data: bytes) -> None:
         """A part of a streamed answer has come.  The first binds the call to its send; others are not heard."""
         ivk = self._ivks.get(send.request)
         if ivk is None or ivk.lifecycle.final or not ivk.streamed:
             return
         if send.request.streaming_attempt is None:
-            kind = self._world.deployment.types[ivk.record.kind]
+            kind = self._world.deployment.types[ivk.record.request_class]
             whole = send.request.received_at + min(kind.stream_ms, ivk.stream_limit_ms) - self._margin_ms
             self._dispatcher.on_response_started(now, send, max(now, whole))
         if send.request.streaming_attempt is not send:
             return
-        ivk.parts += 1
-        self.flow(now, ivk, True)
+        ivk.part_count += 1
+        self.set_reading(now, ivk, True)
         self._owed.append(ResponsePart(ivk, data))
 
-    def flow(self, now: float, ivk: Invocation, goes: bool) -> None:
+    def set_reading(self, now: float, ivk: Invocation, goes: bool) -> None:
         """Whether parts of a stream are read on; while a slow client holds them back no stall is counted."""
         if ivk.request.streaming_attempt is not None and not ivk.lifecycle.final:
-            stall = self._world.deployment.types[ivk.record.kind].stall_ms if goes else float("inf")
-            before, ivk.until = ivk.until, min(ivk.request.deadline, now + stall)
-            if ivk.until < before or ivk.parts == 1:
-                self._due.add(ivk.until, ivk.request)
+            stall = self._world.deployment.types[ivk.record.request_class].stall_ms if goes else float("inf")
+            before, ivk.expires_at = ivk.expires_at, min(ivk.request.deadline, now + stall)
+            if ivk.expires_at < before or ivk.part_count == 1:
+                self._due.add(ivk.expires_at, ivk.request)
 
     def on_load_report(self, now: float, order: LoadOrder, outcome: AttemptStatus, standing: int) -> None:
         """How a hold order ended."""
@@ -576,13 +589,13 @@
 
     # Effects.
 
-    def on_decision_done(self, now: float) -> EffectOut | None:
+    def next_effect(self, now: float) -> EffectOut | None:
         """The next thing to carry out, or None."""
         if now >= self._next_beat:
             self._next_beat = now + self._dispatcher.tick_ms
             stale = self._dispatcher.on_tick(now)
             if stale is not None:
-                self._world.forget(stale)
+                self._world.forget_function(stale)
             self.records.trim(now)
             if now >= self._next_count:  # CPU: a large fleet is not counted at each beat
                 self._next_count = now + 1000
@@ -590,21 +603,21 @@
                 self.overload.cold_share = sum(cold) / len(cold) if cold else 0.0
         while (act := self._due.pop_due(now)) is not None:
             flowing = self._ivks.get(act)
-            if flowing is not None and flowing.until > now:  # something has come meanwhile
-                self._due.add(flowing.until, act)
+            if flowing is not None and flowing.expires_at > now:  # something has come meanwhile
+                self._due.add(flowing.expires_at, act)
                 continue
             for send in act.attempts:
                 if send.status is None:
                     self._give_up(now, send, "silent")
             late = self._ivks.get(act)
-            if late is not None and late.lifecycle.stage is Stage.FINAL and not late.lifecycle.owed:
+            if late is not None and late.lifecycle.stage is RequestStage.FINAL and not late.lifecycle.deferred:
                 self._show(late, True)  # a slow disk does not make a waiting client's answer late
         while self._certain:
             self._dispatcher.count_request(now, self._certain.popleft())
         while self._short:
             short = self._short.popleft()
             if not short.lifecycle.final:
-                short.request.retry_after_ms, short.promises = RETURN_MS, []
+                short.request.retry_after_ms, short.durability_waiters = RETRY_AFTER_MS, []
                 self._dispatcher.on_client_gone(short.request)
                 self._finish(now, short, "rejected")
         while self._unsafe:  # nothing of it was written to a worker
@@ -627,7 +640,7 @@
         if isinstance(decision, str):
             return LogEvent(decision)
         if isinstance(decision, LoadOrder):
-            self.counts.orders += 1
+            self.counts.load_orders += 1
             return StartLoad(decision)
         if isinstance(decision, Request):
             self._finish(now, self._ivks[decision], decision.final_status or FinalStatus.FAILED)
@@ -638,11 +651,11 @@
             return None
         ivk = self._ivks[decision.request]
         if decision.number == 0:
-            ivk.record.waited_ms = now - ivk.record.taken
-        book = ivk.record.book
-        clear = ivk.lifecycle.decide() and (book is None or book.acting(now))
+            ivk.record.queued_ms = now - ivk.record.received_at
+        book = ivk.record.replicated_journal
+        clear = ivk.lifecycle.on_attempt_decided() and (book is None or book.may_act(now))
         if not clear:
-            ivk.held.append(decision)
+            ivk.held_attempts.append(decision)
         self._write(ivk)
         if not clear:
             return None
@@ -651,9 +664,9 @@
 
     def _give_up(self, now: float, send: Attempt, reason: str) -> None:
         ivk = self._ivks.get(send.request)
-        if ivk is not None and send in ivk.held:  # it never went out
-            ivk.held.remove(send)
-            ivk.lifecycle.drop()
+        if ivk is not None and send in ivk.held_attempts:  # it never went out
+            ivk.held_attempts.remove(send)
+            ivk.lifecycle.drop_held()
             self.on_attempt_finished(now, send, AttemptStatus.NOT_SENT, None, False)
         else:
             self._owed.append(CancelAttempt(send, reason))
@@ -668,34 +681,38 @@
         ran = [send for send in act.attempts if send.may_have_run]
         if verdict == "completed" and ivk.answer is not None:
             self.counts.completed += 1
-            self.overload.completed(
-                now, ivk.who, record.namespace, now - act.received_at > act.request_class.latency_objective_ms
+            self.overload.on_completed(
+                now, ivk.client_key, record.namespace, now - act.received_at > act.request_class.latency_objective_ms
             )
             self.records.end(now, record, verdict, 0 if ivk.answer.success else 1, ivk.answer.result)
         elif verdict == "rejected":
             self.counts.rejected += 1
             self._tally(record.path).rejected += 1
-            record.return_ms = act.retry_after_ms
+            record.retry_after_ms = act.retry_after_ms
             if not ran:
-                record.return_ms = self.overload.turn(now, ivk.who, act.retry_after_ms, record.namespace)
+                record.retry_after_ms = self.overload.on_rejected(
+                    now, ivk.client_key, act.retry_after_ms, record.namespace
+                )
             if ran and act.request_class.idempotency is Idempotency.DEDUPLICATED:
-                record.repeat_within_ms = max(0.0, ran[0].started_at + act.request_class.deduplication_window_ms - now)
+                record.deduplicated_for_ms = max(
+                    0.0, ran[0].started_at + act.request_class.deduplication_window_ms - now
+                )
             self.records.end(
                 now, record, verdict, 3, b'{"error":"The activation was rejected; trying again is harmless."}'
             )
         else:
-            self.counts.aborted += 1
+            self.counts.failed += 1
             record.timed_out = now >= act.deadline - self._margin_ms
             why = CUT_OFF if act.streaming_attempt else MAY_HAVE_RUN if ran else NEVER_RAN
             self.records.end(now, record, "aborted", 3, result or why)
-        self.holdings.give(record.namespace, len(ivk.payload))
+        self.limits.release(record.namespace, len(ivk.payload))
         ivk.payload = b""
         if self._resumed.pop(record.id, "") is None and self._pace is not None:
-            self._pace.ended()
+            self._pace.on_finished()
         if ivk.lifecycle.finish():
             self._show(ivk)
             return
-        record.safe = False
+        record.durable = False
         self._write(ivk)
 
     def _blocking_ended(self, ivk: Invocation, safe: bool) -> None:
@@ -704,27 +721,27 @@
         self._ended(ivk, safe)
 
     def _ended(self, ivk: Invocation, safe: bool) -> None:
-        ivk.lifecycle.told(Need.END, safe)
+        ivk.lifecycle.on_written(EntryKind.ENDED, safe)
         self._show(ivk)
 
     def _show(self, ivk: Invocation, late: bool = False) -> None:
-        if ivk.lifecycle.stage is not Stage.FINAL:
+        if ivk.lifecycle.stage is not RequestStage.FINAL:
             return  # it was late, and has been shown
-        ivk.lifecycle.show(late)
-        if not ivk.record.safe:
-            self.passes("ended")
-            ivk.record.safe = True
+        ivk.lifecycle.publish(late)
+        if not ivk.record.durable:
+            self.on_step("ended")
+            ivk.record.durable = True
         self._owed.append(FinalAnswer(ivk))
         self._settle(ivk.request)
 
     def make_durable(self, now: float, ivk: Invocation) -> None:
         """A blocking call whose client goes on with the id: from here on it outlives this process, too."""
-        if ivk.lifecycle.final or self.journal is None or not self.promises():
+        if ivk.lifecycle.final or self.journal is None or not self.accepts_deferred():
             return
         ivk.record.deferred = True
-        if self.promising is not None and ivk.record.book is None:
-            ivk.record.book, ivk.moved = self.promising(), ivk.lifecycle.kept
-        ivk.lifecycle.lasts(ivk.moved)
+        if self.replicated_journal is not None and ivk.record.replicated_journal is None:
+            ivk.record.replicated_journal, ivk.moved_to_replicated = self.replicated_journal(), ivk.lifecycle.durable
+        ivk.lifecycle.make_durable(ivk.moved_to_replicated)
         self._write(ivk)
 
     def _dropped(self, record: Record) -> None:
@@ -732,8 +749,8 @@
         at = (record.namespace, record.path, record.key)
         if record.key and self._keys.get(at) is record:
             del self._keys[at]
-        if record.book is not None:
-            record.book.forget(record.id)
+        if record.replicated_journal is not None:
+            record.replicated_journal.forget(record.id)
         elif self.on_forget is not None:
             self.on_forget(record.id)
 
@@ -746,11 +763,11 @@
         lives: Iterable[ActivationEntries],
         least_ms: float,
         at_once: int,
-        book: RecordKeeper | None = None,
+        book: ReplicatedJournal | None = None,
     ) -> dict[str, int]:
         """Take up what a book tells: ended ones can be asked for, others are ended or resumed in time.  `book`: that of
         another run, or of another dispatcher; None: what this one's disk alone has."""
-        found: list[Resume] = []
+        found: list[ResumeRequest] = []
         counts = {"ended": 0, "aborted": 0, "rejected": 0, "resumed": 0, "unknown": 0}
         for life in lives:
             action = self._world.deployment.actions.get(life.accepted.path)
@@ -764,8 +781,10 @@
                 self._restore(now, wall, life, life.ended, book)
                 counts["ended"] += 1
                 continue
-            what = judge(life, Rule(kind.effect, kind.scope, kind.remembered_ms, kind.utility), wall, least_ms)
-            if isinstance(what, Resume):
+            what = decide_recovery(
+                life, RecoveryRule(kind.effect, kind.scope, kind.remembered_ms, kind.utility), wall, least_ms
+            )
+            if isinstance(what, ResumeRequest):
                 found.append(what)
                 counts["resumed"] += 1
                 self._record(now, wall, life, book)
@@ -774,12 +793,12 @@
                 self._record(now, wall, life, book)
                 self._end_lost(now, what)
         if self._pace is None:
-            self._pace, self._paced = Pace([], at_once, least_ms), now
+            self._pace, self._paced = ResumeQueue([], at_once, least_ms), now
         self._pace.add(found, now - self._paced)
         self.records.trim(now)
         return counts
 
-    def _record(self, now: float, wall: float, life: ActivationEntries, book: RecordKeeper | None) -> Record:
+    def _record(self, now: float, wall: float, life: ActivationEntries, book: ReplicatedJournal | None) -> Record:
         """The record of one that had no final answer; its time goes on from where it was."""
         a = life.accepted
         kind = self._world.deployment.types[self._world.deployment.actions[a.path].type]
@@ -794,35 +813,39 @@
             a.timeout_ms,
             a.trace,
         )
-        record.key, record.digest, record.deferred, record.form = a.key or "", a.digest, a.deferred, a.form
-        record.book = book
+        record.key, record.digest, record.deferred, record.payload_format = a.key or "", a.digest, a.deferred, a.form
+        record.replicated_journal = book
         self.records.add(record)
         if a.key:
             self._keys[a.namespace, a.path, a.key] = record
         return record
 
     def _restore(
-        self, now: float, wall: float, life: ActivationEntries, ended: Ended, book: RecordKeeper | None
+        self, now: float, wall: float, life: ActivationEntries, ended: Ended, book: ReplicatedJournal | None
     ) -> None:
         record = self._record(now, wall, life, book)
         record.end, record.answer, record.code, record.result = ended.end, ended.answer, ended.code, ended.result
-        record.return_ms, record.repeat_within_ms, record.sends = (ended.return_ms, ended.repeat_within_ms, ended.sends)
+        record.retry_after_ms, record.deduplicated_for_ms, record.attempt_count = (
+            ended.return_ms,
+            ended.repeat_within_ms,
+            ended.sends,
+        )
         self.records.restore(now, record)
 
-    def _end_lost(self, now: float, end: End) -> None:
-        record = self.records.get(end.life.accepted.namespace, end.life.accepted.id)
-        if record is None or (record.book is None and self.journal is None):
+    def _end_lost(self, now: float, end: EndRequest) -> None:
+        record = self.records.get(end.entries.accepted.namespace, end.entries.accepted.id)
+        if record is None or (record.replicated_journal is None and self.journal is None):
             return
         result = msgspec.json.encode({"error": f"The activation was {end.answer}: {end.reason}."})
         self.records.end(now, record, end.answer, 3, result)
         if end.answer == "rejected":
             self.counts.rejected += 1
         else:
-            self.counts.aborted += 1
-        record.safe = False
+            self.counts.failed += 1
+        record.durable = False
 
         def shown(_safe: bool, record: Record = record) -> None:
-            record.safe = True
+            record.durable = True
 
         self._kept_by(record).write(_ended(record), shown, keep=True)
 
@@ -834,18 +857,18 @@
                 if not len(self._pace) and not self._resumed:
                     self._pace = None
                 return
-            if isinstance(what, End):
+            if isinstance(what, EndRequest):
                 self._end_lost(now, what)
                 continue
             self._take_up(now, what)
 
-    def _take_up(self, now: float, what: Resume) -> None:
-        a, ran = what.life.accepted, what.life.may_run
+    def _take_up(self, now: float, what: ResumeRequest) -> None:
+        a, ran = what.entries.accepted, what.entries.may_run
         record = self.records.get(a.namespace, a.id)
         assert record is not None
         action = self._world.deployment.actions[a.path]
         kind, function = self._world.request_classes[action.type], self._world.function(a.path)
-        left = what.left_ms - (now - self._paced)
+        left = what.remaining_ms - (now - self._paced)
         act = Request(
             a.id,
             kind,
@@ -855,8 +878,10 @@
             now + left - self._margin_ms,
             has_idempotency_key=a.key is not None,
         )
-        if ran is not None and what.again_ms is not None:  # an earlier send that may have run, at a lost worker
-            sent = now + what.again_ms - (now - self._paced) - kind.deduplication_window_ms
+        if (
+            ran is not None and what.deduplicated_for_ms is not None
+        ):  # an earlier send that may have run, at a lost worker
+            sent = now + what.deduplicated_for_ms - (now - self._paced) - kind.deduplication_window_ms
             act.attempts.append(Attempt(act, Instance(function, Worker(ran.worker)), 0, sent, AttemptStatus.SILENT))
         mark = f"{a.namespace}/{a.path}/{a.key}" if a.key is not None else a.id
         ivk = Invocation(
@@ -866,21 +891,25 @@
             a.payload,
             mark,
             RequestLifecycle.resumed(kind.idempotency is Idempotency.IDEMPOTENT, ran is not None),
-            form=a.form,
-            until=act.deadline,
+            payload_format=a.form,
+            expires_at=act.deadline,
         )
         ivk.lifecycle.queue()
         self._ivks[act] = self._joined[a.id] = ivk
         self._resumed[a.id] = None
         self._due.add(act.deadline, act)
-        self.counts.taken += 1
-        self.holdings.take(a.namespace, len(a.payload))
+        self.counts.received += 1
+        self.limits.acquire(a.namespace, len(a.payload))
         self._dispatcher.on_request(now, act, anew=False)
 
     def _settle(self, act: Request) -> None:
         """Forget an activation once its final answer stands in its record and nothing of it is out."""
         ivk = self._ivks.get(act)
-        if ivk is not None and ivk.lifecycle.stage is Stage.SHOWN and all(send.status for send in act.attempts):
+        if (
+            ivk is not None
+            and ivk.lifecycle.stage is RequestStage.PUBLISHED
+            and all(send.status for send in act.attempts)
+        ):
             ivk.lifecycle.forget()
             del self._ivks[act]
             self._joined.pop(ivk.record.id, None)
--- a/kelptrail/gateway/counters.py
+++ b/kelptrail/gateway/counters.py
@@ -8,10 +8,10 @@
 class FunctionCounters(msgspec.Struct, array_like=True):
     """One function at one edge since its last report.  `work_ms`: the sum of times from a send to its answer."""
 
-    taken: int = 0
+    received: int = 0
     completed: int = 0
     rejected: int = 0
-    missed: int = 0
+    not_loaded: int = 0
     late: int = 0
     queue_depth: int = 0
     work_ms: float = 0.0
@@ -19,10 +19,10 @@
     def plus(self, later: FunctionCounters) -> FunctionCounters:
         """Both together; the lag is the later one's."""
         return FunctionCounters(
-            self.taken + later.taken,
+            self.received + later.received,
             self.completed + later.completed,
             self.rejected + later.rejected,
-            self.missed + later.missed,
+            self.not_loaded + later.not_loaded,
             self.late + later.late,
             later.queue_depth,
             self.work_ms + later.work_ms,
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -31,7 +31,7 @@
 
 from .connection_health import ConnectionHealth
 from .core import (
-    OUTCOMES,
+    STATUS_BY_ANSWER_KIND,
     CancelAttempt,
     FinalAnswer,
     Gateway,
@@ -69,25 +69,25 @@
 
     _final: tuple[bytes, bool] | None
 
-    def piece(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         """Bytes of the stream.  What is not of the protocol ends it: its call is given up as broken."""
         try:
             events = self._events.feed(data)
             for event in events:
                 if self._final is not None:
                     raise MalformedError("more after the last part")
-                result, last, success = read_part(event, self._ivk.mark, self._ivk.form)
+                result, last, success = read_part(event, self._ivk.deduplication_id, self._ivk.payload_format)
                 if last:
                     self._final = result, success
                 else:
-                    self._driver.gateway.piece(now_ms(), self._send, result)
+                    self._driver.gateway.on_response_part(now_ms(), self._send, result)
         except (MalformedError, TooLongError):
             self._fault = True
             if self.call is not None:
                 self.call.give_up("malformed")
         self._driver.schedule_decisions()
 
-    def ended(self, now: float, answer: Answer) -> tuple[AttemptStatus, Answer]:
+    def finish(self, now: float, answer: Answer) -> tuple[AttemptStatus, Answer]:
         """What a whole response comes to.  A stream without its last part broke off; a worker that does not stream
         gave all in one."""
         if self._final is not None and not self._fault:
@@ -112,7 +112,7 @@
         self._swept = 0.0
         self.connection_health = ConnectionHealth()
         self.journal: JournalDriver | None = None
-        self.replication: Callable[[], None] | None = None  # starts what waits to be copied
+        self.start_replication: Callable[[], None] | None = None  # starts what waits to be copied
         self.debug = False
         self.tls: Callable[[], ssl.SSLContext] | None = None  # towards workers
 
@@ -130,19 +130,20 @@
         self._log.info(
             "list", version=listing.version, workers=len(listing.workers), live=sum(w.live for w in gateway.members)
         )
-        self.decide()
+        self.run_effects()
 
     def on_attempt_finished(self, call: Call, ending: Ending, response: Response | None) -> None:
         """A send's call has ended."""
-        ivk, send = call.tag
-        self._calls.pop(send, None)
+        invocation: Invocation = call.tag[0]
+        attempt: Attempt = call.tag[1]
+        self._calls.pop(attempt, None)
         answer = None
         stream = self._streams.pop(call, None)
         if ending is Ending.ANSWERED and response is not None:
-            answer = read_answer(response, ivk.mark, ivk.form)
-            outcome = OUTCOMES[answer.kind]
+            answer = read_answer(response, invocation.deduplication_id, invocation.payload_format)
+            outcome = STATUS_BY_ANSWER_KIND[answer.kind]
             if stream is not None and outcome is AttemptStatus.COMPLETED:
-                outcome, answer = stream.ended(now_ms(), answer)
+                outcome, answer = stream.finish(now_ms(), answer)
         elif ending is Ending.GIVEN_UP:
             outcome = GIVEN_UP.get(call.reason, AttemptStatus.CANCELLED)  # no reason: the loop ends
         else:
@@ -150,15 +151,15 @@
         if self.debug:
             self._log.debug(
                 "send-ended",
-                activation=send.request.id,
-                trace=ivk.record.trace,
-                send=send.number,
-                worker=send.instance.worker.id,
+                activation=attempt.request.id,
+                trace=invocation.record.trace,
+                send=attempt.number,
+                worker=attempt.instance.worker.id,
                 outcome=outcome.value,
             )
         now = now_ms()
         self.connection_health.on_attempt_finished(now, outcome)
-        self.gateway.on_attempt_finished(now, send, outcome, answer)
+        self.gateway.on_attempt_finished(now, attempt, outcome, answer)
         self.schedule_decisions()
 
     def on_load_report(self, call: Call, ending: Ending, response: Response | None) -> None:
@@ -169,7 +170,7 @@
             timer.cancel()
         if ending is Ending.ANSWERED and response is not None:
             kind, standing = read_loaded(response)
-            outcome = OUTCOMES[kind]
+            outcome = STATUS_BY_ANSWER_KIND[kind]
         else:
             outcome, standing = (GIVEN_UP[call.reason] if ending is Ending.GIVEN_UP else ENDED[ending]), 0
         if self.debug:
@@ -196,16 +197,16 @@
             self._after.append(after)
         if not self._soon:
             self._soon = True
-            self._loop.call_soon(self.decide)
+            self._loop.call_soon(self.run_effects)
 
-    def decide(self) -> None:
+    def run_effects(self) -> None:
         """Pull effects until there is none, then see to the timer."""
         if self._stirring:
             return
         self._stirring, self._soon = True, False
         now, finals = now_ms(), 0
         try:
-            while (effect := self.gateway.on_decision_done(now)) is not None:
+            while (effect := self.gateway.next_effect(now)) is not None:
                 if isinstance(effect, StartAttempt):
                     self._start(effect.invocation, effect.attempt)
                 elif isinstance(effect, FinalAnswer):
@@ -223,7 +224,7 @@
                     self._log.warning("unusual", what=effect.text)
         finally:
             self._stirring = False
-        self.pump()
+        self.start_writes()
         if self._after:
             ready, self._after = self._after, []
             for after in ready:
@@ -241,12 +242,12 @@
             self._armed = due
             self._timer = self._loop.call_later(max(0.0, due - now_ms()) / 1000, self._rung)
 
-    def pump(self) -> None:
+    def start_writes(self) -> None:
         """Start what waits to be made safe."""
         if self.journal is not None:
-            self.journal.pump()
-        if self.replication is not None:
-            self.replication()
+            self.journal.start_next_batch()
+        if self.start_replication is not None:
+            self.start_replication()
 
     def _rung(self) -> None:
         now = now_ms()
@@ -257,7 +258,7 @@
             self._swept = now
             for pool in self._pools.values():
                 pool.sweep()
-        self.decide()
+        self.run_effects()
 
     def _pool(self, worker: Worker) -> WorkerPool:
         pool = self._pools.get(worker)
@@ -270,7 +271,7 @@
 
     def _start(self, ivk: Invocation, send: Attempt) -> None:
         record = ivk.record
-        if record.book is not None and not record.book.acting(now_ms()):
+        if record.replicated_journal is not None and not record.replicated_journal.may_act(now_ms()):
             # Looked at right before the write: another may have the book since the send was decided.
             self.gateway.on_attempt_finished(now_ms(), send, AttemptStatus.NOT_SENT)
             return
@@ -283,26 +284,26 @@
         }  # past it a worker does not begin
         if ivk.streamed:
             parameters["stream"] = True
-        if ivk.form != "json":
-            parameters["form"] = ivk.form
+        if ivk.payload_format != "json":
+            parameters["form"] = ivk.payload_format
         data = infer_request(
             pool.address,
             ivk.action.model,
-            ivk.mark,
+            ivk.deduplication_id,
             ivk.payload,
             parameters,
             {"traceparent": record.trace} if record.trace else {},
-            ivk.form,
+            ivk.payload_format,
         )
         if ivk.streamed:
             stream = Stream(self, ivk, send, self._settings.answer_bytes)
-            call = pool.start(data, self.on_attempt_finished, (ivk, send), stream.piece)
+            call = pool.start(data, self.on_attempt_finished, (ivk, send), stream.on_data)
             self._streams[call], stream.call = stream, call
         else:
             call = pool.start(data, self.on_attempt_finished, (ivk, send))
         self._calls[send] = call
-        if ivk.lifecycle.kept:
-            self._loop.call_later(0.01, self.gateway.passes, "sent")
+        if ivk.lifecycle.durable:
+            self._loop.call_later(0.01, self.gateway.on_step, "sent")
         if self.debug:
             self._log.debug(
                 "send", activation=record.id, trace=record.trace, send=send.number, worker=send.instance.worker.id
@@ -328,20 +329,20 @@
                 trace=record.trace,
                 answer=record.answer,
                 code=record.code,
-                sends=record.sends,
+                sends=record.attempt_count,
                 ms=round(record.end - record.start, 3),
             )
         waiters, ivk.waiters = ivk.waiters, []
         for waiter in waiters:
             waiter(record)
 
-    def flow(self, ivk: Invocation, goes: bool) -> None:
+    def set_reading(self, ivk: Invocation, goes: bool) -> None:
         """A stream's client reads on, or does not: its worker's connection is read on, or is not."""
         bound = ivk.request.streaming_attempt
         call = self._calls.get(bound) if bound is not None else None
         if call is not None:
             (call.resume if goes else call.pause)()
-        self.gateway.flow(now_ms(), ivk, goes)
+        self.gateway.set_reading(now_ms(), ivk, goes)
 
     # The end.
 
--- a/kelptrail/gateway/lifecycle.py
+++ b/kelptrail/gateway/lifecycle.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 
-class Stage(Enum):
+class RequestStage(Enum):
     """Where an activation stands."""
 
     ACCEPTED = "accepted"  # taken; the decisions have not been told yet
@@ -20,36 +20,36 @@
     SENT = "sent"  # at least one send is out
     ANSWERED = "answered"  # every send has ended, and none of them brought the final answer
     FINAL = "final"  # the one final answer is decided
-    SHOWN = "shown"  # it is as durable as it was promised to be, and may be told
+    PUBLISHED = "shown"  # it is as durable as it was promised to be, and may be told
     FORGOTTEN = "forgotten"
 
 
-LEGAL: dict[Stage, frozenset[Stage]] = {
-    Stage.ACCEPTED: frozenset({Stage.QUEUED}),
-    Stage.QUEUED: frozenset({Stage.HELD, Stage.SENT, Stage.FINAL}),
-    Stage.HELD: frozenset({Stage.SENT, Stage.QUEUED, Stage.ANSWERED, Stage.FINAL}),
-    Stage.SENT: frozenset({Stage.HELD, Stage.ANSWERED, Stage.FINAL}),
-    Stage.ANSWERED: frozenset({Stage.HELD, Stage.SENT, Stage.FINAL}),
-    Stage.FINAL: frozenset({Stage.SHOWN}),
-    Stage.SHOWN: frozenset({Stage.FORGOTTEN}),
-    Stage.FORGOTTEN: frozenset(),
+NEXT_STAGES: dict[RequestStage, frozenset[RequestStage]] = {
+    RequestStage.ACCEPTED: frozenset({RequestStage.QUEUED}),
+    RequestStage.QUEUED: frozenset({RequestStage.HELD, RequestStage.SENT, RequestStage.FINAL}),
+    RequestStage.HELD: frozenset({RequestStage.SENT, RequestStage.QUEUED, RequestStage.ANSWERED, RequestStage.FINAL}),
+    RequestStage.SENT: frozenset({RequestStage.HELD, RequestStage.ANSWERED, RequestStage.FINAL}),
+    RequestStage.ANSWERED: frozenset({RequestStage.HELD, RequestStage.SENT, RequestStage.FINAL}),
+    RequestStage.FINAL: frozenset({RequestStage.PUBLISHED}),
+    RequestStage.PUBLISHED: frozenset({RequestStage.FORGOTTEN}),
+    RequestStage.FORGOTTEN: frozenset(),
 }
 
 
-class Need(Enum):
+class EntryKind(Enum):
     """What is to be made safe."""
 
-    RECORD = "record"
+    ACCEPTED = "record"
     MAY_RUN = "may-run"
-    END = "end"
+    ENDED = "end"
 
 
-class Safe(Enum):
+class WriteState(Enum):
     """How far that is."""
 
-    NO = "no"
-    ASKED = "asked"
-    YES = "yes"
+    NOT_REQUESTED = "no"
+    PENDING = "asked"
+    DURABLE = "yes"
     FAILED = "failed"
 
 
@@ -60,28 +60,40 @@
 class RequestLifecycle:
     """One activation's way.  `repeatable`: running it twice does no harm; `kept`: it outlives this process."""
 
-    __slots__ = ("_needs", "end", "held", "kept", "may_run", "out", "owed", "record", "repeatable", "sends", "stage")
+    __slots__ = (
+        "_entries",
+        "accepted_write",
+        "attempt_count",
+        "deferred",
+        "durable",
+        "ended_write",
+        "held",
+        "idempotent",
+        "in_flight",
+        "may_run_write",
+        "stage",
+    )
 
     def __init__(self, repeatable: bool, kept: bool, owed: bool = False) -> None:
-        self.repeatable, self.kept = repeatable, kept
-        self.owed = owed  # its client was given, or will be given, an id in place of the answer
-        self.stage = Stage.ACCEPTED
-        self.record = self.may_run = self.end = Safe.NO
-        self.held = self.out = self.sends = 0
-        self._needs: list[Need] = []
+        self.idempotent, self.durable = repeatable, kept
+        self.deferred = owed  # its client was given, or will be given, an id in place of the answer
+        self.stage = RequestStage.ACCEPTED
+        self.accepted_write = self.may_run_write = self.ended_write = WriteState.NOT_REQUESTED
+        self.held = self.in_flight = self.attempt_count = 0
+        self._entries: list[EntryKind] = []
 
     @classmethod
     def resumed(cls, repeatable: bool, ran: bool) -> RequestLifecycle:
         """One that a restart found on disk; `ran`: "may run" stands there, too."""
         passage = cls(repeatable, True, True)
-        passage.record = Safe.YES
-        passage.may_run = Safe.YES if ran else Safe.NO
+        passage.accepted_write = WriteState.DURABLE
+        passage.may_run_write = WriteState.DURABLE if ran else WriteState.NOT_REQUESTED
         return passage
 
-    def _to(self, stage: Stage) -> None:
+    def _to(self, stage: RequestStage) -> None:
         if stage is self.stage:
             return
-        if stage not in LEGAL[self.stage]:
+        if stage not in NEXT_STAGES[self.stage]:
             raise IllegalStepError(f"from {self.stage.value} to {stage.value}")
         self.stage = stage
 
@@ -89,149 +101,156 @@
         """Where it stands by what is out and held."""
         if self.final:
             return
-        if self.out:
-            self._to(Stage.SENT)
+        if self.in_flight:
+            self._to(RequestStage.SENT)
         elif self.held:
-            self._to(Stage.HELD)
+            self._to(RequestStage.HELD)
         else:
-            self._to(Stage.ANSWERED if self.sends else Stage.QUEUED)
+            self._to(RequestStage.ANSWERED if self.attempt_count else RequestStage.QUEUED)
 
     @property
     def final(self) -> bool:
         """Whether the one final answer is decided."""
-        return self.stage in (Stage.FINAL, Stage.SHOWN, Stage.FORGOTTEN)
+        return self.stage in (RequestStage.FINAL, RequestStage.PUBLISHED, RequestStage.FORGOTTEN)
 
     # What is to be made safe.
 
-    def next_need(self) -> Need | None:
+    def next_entry(self) -> EntryKind | None:
         """The next thing to write; each is handed out once."""
-        return self._needs.pop(0) if self._needs else None
+        return self._entries.pop(0) if self._entries else None
 
-    def _ask(self, need: Need) -> None:
-        if need is Need.RECORD:
-            self.record = Safe.ASKED
-        elif need is Need.MAY_RUN:
-            self.may_run = Safe.ASKED
+    def _ask(self, need: EntryKind) -> None:
+        if need is EntryKind.ACCEPTED:
+            self.accepted_write = WriteState.PENDING
+        elif need is EntryKind.MAY_RUN:
+            self.may_run_write = WriteState.PENDING
         else:
-            self.end = Safe.ASKED
-        self._needs.append(need)
+            self.ended_write = WriteState.PENDING
+        self._entries.append(need)
 
-    def ask_record(self) -> None:
+    def request_accepted_entry(self) -> None:
         """Have its record written, if it is kept and this was not asked for yet."""
-        if self.kept and self.record is Safe.NO and not self.final:
-            self._ask(Need.RECORD)
+        if self.durable and self.accepted_write is WriteState.NOT_REQUESTED and not self.final:
+            self._ask(EntryKind.ACCEPTED)
 
-    def told(self, need: Need, safe: bool) -> None:
+    def on_written(self, need: EntryKind, safe: bool) -> None:
         """What became of a need.  Raises `IllegalStepError` where it was not asked for."""
-        now = {Need.RECORD: self.record, Need.MAY_RUN: self.may_run, Need.END: self.end}[need]
-        if now is not Safe.ASKED:
+        now = {
+            EntryKind.ACCEPTED: self.accepted_write,
+            EntryKind.MAY_RUN: self.may_run_write,
+            EntryKind.ENDED: self.ended_write,
+        }[need]
+        if now is not WriteState.PENDING:
             raise IllegalStepError(f"{need.value} was told of and not asked for")
-        became = Safe.YES if safe else Safe.FAILED
-        if need is Need.RECORD:
-            self.record = became
-        elif need is Need.MAY_RUN:
-            self.may_run = became if safe else Safe.NO  # another send may ask again
+        became = WriteState.DURABLE if safe else WriteState.FAILED
+        if need is EntryKind.ACCEPTED:
+            self.accepted_write = became
+        elif need is EntryKind.MAY_RUN:
+            self.may_run_write = became if safe else WriteState.NOT_REQUESTED  # another send may ask again
         else:
-            self.end = became
+            self.ended_write = became
 
     @property
-    def promised(self) -> bool | None:
+    def durable_result(self) -> bool | None:
         """Whether its client may be told that it lasts; None while that is not known."""
-        if not self.kept:
+        if not self.durable:
             return False
-        return {Safe.YES: True, Safe.FAILED: False}.get(self.record)
+        return {WriteState.DURABLE: True, WriteState.FAILED: False}.get(self.accepted_write)
 
     # Events.
 
     def queue(self) -> None:
         """The decisions have been told of it."""
-        self._to(Stage.QUEUED)
+        self._to(RequestStage.QUEUED)
 
-    def decide(self) -> bool:
+    def on_attempt_decided(self) -> bool:
         """A send was decided; True if it may go now, else it is held and `may_run` is asked for."""
         if self.final:
             raise IllegalStepError("a send of what has its final answer")
-        if self.stage is Stage.ACCEPTED:
+        if self.stage is RequestStage.ACCEPTED:
             raise IllegalStepError("a send before the decisions were told")
-        self.ask_record()
+        self.request_accepted_entry()
         self.held += 1
-        clear = self.clear
-        if not clear and self.may_run is Safe.NO:
-            self._ask(Need.MAY_RUN)
+        clear = self.may_start
+        if not clear and self.may_run_write is WriteState.NOT_REQUESTED:
+            self._ask(EntryKind.MAY_RUN)
         self._settled()
         return clear
 
     @property
-    def clear(self) -> bool:
+    def may_start(self) -> bool:
         """Whether the first byte of a send may go out."""
-        return self.repeatable or not self.kept or self.may_run is Safe.YES
+        return self.idempotent or not self.durable or self.may_run_write is WriteState.DURABLE
 
-    def go(self) -> None:
+    def start_attempt(self) -> None:
         """A decided send goes out.  Raises `IllegalStepError` where "may run" is not safe."""
         if not self.held:
             raise IllegalStepError("a send that was not decided")
-        if not self.clear:
+        if not self.may_start:
             raise IllegalStepError('a send before "may run" is safe')
         if self.final:
             raise IllegalStepError("a send after the final answer")
-        self.held, self.out, self.sends = self.held - 1, self.out + 1, self.sends + 1
+        self.held, self.in_flight, self.attempt_count = self.held - 1, self.in_flight + 1, self.attempt_count + 1
         self._settled()
 
-    def drop(self) -> None:
+    def drop_held(self) -> None:
         """A held send was given up: nothing of it was written to a worker."""
         if not self.held:
             raise IllegalStepError("nothing is held")
         self.held -= 1
         self._settled()
 
-    def back(self) -> None:
+    def on_attempt_finished(self) -> None:
         """A send has ended, however."""
-        if not self.out:
+        if not self.in_flight:
             raise IllegalStepError("no send is out")
-        self.out -= 1
+        self.in_flight -= 1
         self._settled()
 
-    def lasts(self, moved: bool = False) -> None:
+    def make_durable(self, moved: bool = False) -> None:
         """Its client goes on with the id, so from here on it is kept; what may have run is written, too.  `moved`: what
         was kept of it is written anew, elsewhere."""
         if self.final:
             raise IllegalStepError("it has its final answer")
-        self.owed = True
-        if self.kept and not moved:
+        self.deferred = True
+        if self.durable and not moved:
             return
-        self.kept = True
-        self.record = self.may_run = Safe.NO
-        self.ask_record()
-        if (self.sends or self.out or self.held) and not self.repeatable:
-            self._ask(Need.MAY_RUN)
+        self.durable = True
+        self.accepted_write = self.may_run_write = WriteState.NOT_REQUESTED
+        self.request_accepted_entry()
+        if (self.attempt_count or self.in_flight or self.held) and not self.idempotent:
+            self._ask(EntryKind.MAY_RUN)
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Another dispatcher goes on with it: nothing more is written, answered or shown here."""
-        self._needs.clear()
-        self.stage = Stage.SHOWN
+        self._entries.clear()
+        self.stage = RequestStage.PUBLISHED
 
     def finish(self) -> bool:
         """The one final answer is decided; True if it may be shown at once, else `end` is asked for."""
         if self.final:
             raise IllegalStepError("a second final answer")
-        self._to(Stage.FINAL)
-        if self.record in (Safe.NO, Safe.FAILED):
+        self._to(RequestStage.FINAL)
+        if self.accepted_write in (WriteState.NOT_REQUESTED, WriteState.FAILED):
             return True  # nothing of it was promised to last
-        self._ask(Need.END)
+        self._ask(EntryKind.ENDED)
         return False
 
-    def show(self, late: bool = False) -> None:
+    def publish(self, late: bool = False) -> None:
         """The final answer is shown.  One that was promised to last must be safe; whoever waits on a connection was
         promised none, so it may be shown when its journal failed, or is late (`late`)."""
-        if self.stage is not Stage.FINAL:
+        if self.stage is not RequestStage.FINAL:
             raise IllegalStepError(f"nothing to show while {self.stage.value}")
-        open_ = self.end is Safe.YES or self.record in (Safe.NO, Safe.FAILED)
-        if not open_ and (self.owed or not (late or self.end is Safe.FAILED)):
+        open_ = self.ended_write is WriteState.DURABLE or self.accepted_write in (
+            WriteState.NOT_REQUESTED,
+            WriteState.FAILED,
+        )
+        if not open_ and (self.deferred or not (late or self.ended_write is WriteState.FAILED)):
             raise IllegalStepError("an answer before it is safe")
-        self._to(Stage.SHOWN)
+        self._to(RequestStage.PUBLISHED)
 
     def forget(self) -> None:
         """Nothing of it is out any more.  Raises `IllegalStepError` where something is, or nothing was shown."""
-        if self.out or self.held:
+        if self.in_flight or self.held:
             raise IllegalStepError("a send is out")
-        self._to(Stage.FORGOTTEN)
+        self._to(RequestStage.FORGOTTEN)
--- a/kelptrail/gateway/limits.py
+++ b/kelptrail/gateway/limits.py
@@ -8,8 +8,8 @@
 from collections import Counter
 
 HELD, BYTES, NAMESPACE, EARLY = "held", "bytes", "namespace", "early"
-RETURN_MS = 1000.0  # when to come back after a refusal at a bound
-WORDS = {
+RETRY_AFTER_MS = 1000.0  # when to come back after a refusal at a bound
+REJECTION_MESSAGES = {
     HELD: "Too many calls are in hand at this dispatcher.",
     BYTES: "The calls in hand at this dispatcher take too much memory.",
     EARLY: "The call came again before the time that it was told.",
@@ -17,39 +17,39 @@
 }
 
 
-class Holdings:
+class InFlightLimits:
     """What is in hand, and its bounds.  `bytes` counts the bodies of calls without a final answer."""
 
     def __init__(self, most: int, most_bytes: float, most_each: int) -> None:
         self._most, self._most_bytes, self._most_each = most, most_bytes, most_each
         self._each: Counter[str] = Counter()
-        self.held, self.bytes = 0, 0
-        self.refused: Counter[str] = Counter()
+        self.requests, self.bytes = 0, 0
+        self.rejections: Counter[str] = Counter()
 
-    def refusal(self, namespace: str, size: int) -> str | None:
+    def rejection_reason(self, namespace: str, size: int) -> str | None:
         """Why a call of so many bytes is refused, or None; a refusal is counted."""
         reason = None
-        if self.held >= self._most:
+        if self.requests >= self._most:
             reason = HELD
         elif self.bytes + size > self._most_bytes:
             reason = BYTES
         elif self._each[namespace] >= self._most_each:
             reason = NAMESPACE
         if reason is not None:
-            self.refused[reason] += 1
+            self.rejections[reason] += 1
         return reason
 
-    def take(self, namespace: str, size: int) -> None:
+    def acquire(self, namespace: str, size: int) -> None:
         """A call is in hand."""
-        self.held += 1
+        self.requests += 1
         self.bytes += size
         self._each[namespace] += 1
 
-    def give(self, namespace: str, size: int) -> None:
+    def release(self, namespace: str, size: int) -> None:
         """It has its final answer.  Raises ValueError where none of the namespace is in hand."""
         if not self._each[namespace]:
             raise ValueError(f"nothing of {namespace} is in hand")
-        self.held -= 1
+        self.requests -= 1
         self.bytes -= size
         self._each[namespace] -= 1
         if not self._each[namespace]:
--- a/kelptrail/gateway/overload.py
+++ b/kelptrail/gateway/overload.py
@@ -20,7 +20,7 @@
 from zlib import crc32
 
 
-class Stage(Enum):
+class OverloadStage(Enum):
     """What is going on."""
 
     CALM = "calm"
@@ -34,21 +34,23 @@
     """`damp`: no, nothing but the decisions' own return times.  Shares of repeats among the comers of a window decide
     the stage; `longest_ms` bounds a return time; `most_known` how many turned-away ones are remembered."""
 
-    damp: bool = True
+    enabled: bool = True
     window_ms: float = 250.0
-    least: int = 20  # comers of a window, below which nothing is concluded
-    high: float = 0.35
-    beyond: float = 1.3  # times the usual comers, from which those turned away count as a sign
-    low: float = 0.15
-    steady: int = 4  # windows that a stage lasts before it may end
-    longest_ms: float = 12_000.0
-    spare_share: float = 0.1  # of what is completed: at least so much is left for repeats
-    connects: float = 4.0  # times the usual connects, from which they raise an alarm
-    cold: float = 0.3  # share of cold workers, from which misses raise an alarm
-    over: float = 1.25  # times its share of the comers, from which a customer is over it
-    hurt: float = 0.1  # share of the others' calls turned away or late, from which those over theirs are held back
-    most_known: int = 200_000
-    known_ms: float = 30_000.0  # past its time, one that has not come is forgotten
+    min_samples: int = 20  # comers of a window, below which nothing is concluded
+    high_share: float = 0.35
+    surge_factor: float = 1.3  # times the usual comers, from which those turned away count as a sign
+    low_share: float = 0.15
+    min_stage_windows: int = 4  # windows that a stage lasts before it may end
+    max_retry_after_ms: float = 12_000.0
+    min_retry_share: float = 0.1  # of what is completed: at least so much is left for repeats
+    connection_surge_factor: float = 4.0  # times the usual connects, from which they raise an alarm
+    cold_share: float = 0.3  # share of cold workers, from which misses raise an alarm
+    over_quota_factor: float = 1.25  # times its share of the comers, from which a customer is over it
+    harmed_share: float = (
+        0.1  # share of the others' calls turned away or late, from which those over theirs are held back
+    )
+    max_clients: int = 200_000
+    forget_after_ms: float = 30_000.0  # past its time, one that has not come is forgotten
 
 
 @dataclass(slots=True)
@@ -70,39 +72,39 @@
         self._by_space, self._rates = dict[str, int](), dict[str, float]()  # comers of this window, on the average
         self._overs = set[str]()  # those over their share
         self._others = self._hurt = 0  # calls of customers within their share, and those turned away or late
-        self.allowed = 1.0  # of what comes from those over their share
+        self.admitted_share = 1.0  # of what comes from those over their share
         self._room = 0.0  # of the budget for repeats of those over their share
         self._connects = self._misses = self._answers = 0
-        self.usual_connects = 0.0  # a window, while it is calm
+        self.baseline_connections = 0.0  # a window, while it is calm
         self.cold_share = 0.0  # of the workers; kept by whoever knows them
         self.alarm = 0.0  # how strong the early signs are, on the recent average
         self.held_back = 0  # repeats of customers over their share that found no room
-        self.stage = Stage.CALM
+        self.stage = OverloadStage.CALM
         self._since = 0  # windows in this stage
         self._known: OrderedDict[str, _Turned] = OrderedDict()
         self._window = 0.0
         self._comers = self._repeats = self._done = self._turns = 0
-        self.usual_per_s = 0.0  # comers while it is calm, on a slow average
-        self.fresh_per_s = self.done_per_s = 0.0  # on the recent average
-        self.share = 0.0  # of repeats among the comers, on the recent average
+        self.baseline_per_s = 0.0  # comers while it is calm, on a slow average
+        self.first_tries_per_s = self.completed_per_s = 0.0  # on the recent average
+        self.retry_share = 0.0  # of repeats among the comers, on the recent average
         self._slot = 0.0  # until when return times are given out
-        self.early = self.turned = 0
-        self.stages: list[tuple[float, Stage]] = []
+        self.early_retries = self.delayed = 0
+        self.stage_history: list[tuple[float, OverloadStage]] = []
 
     # Inputs.
 
-    def connected(self, now: float) -> None:
+    def on_connection(self, now: float) -> None:
         """Somebody connects."""
         self._pass(now)
         self._connects += 1
 
-    def met(self, now: float, missed: bool) -> None:
+    def on_attempt_answered(self, now: float, missed: bool) -> None:
         """A send was answered; `missed`: its copy was not there."""
         self._pass(now)
         self._answers += 1
         self._misses += missed
 
-    def came(self, now: float, who: str, space: str = "", worth: float = 1.0) -> float | None:
+    def on_request(self, now: float, who: str, space: str = "", worth: float = 1.0) -> float | None:
         """Somebody comes, of a customer, for what is worth a share of the most useful.  None: on to the decisions; else
         it is refused at the door and told this return time."""
         self._pass(now)
@@ -112,34 +114,36 @@
         self._others += not over
         known = self._known.get(who)
         if known is None:
-            if over and not self._let_in(self.allowed):
+            if over and not self._let_in(self.admitted_share):
                 self.held_back += 1
                 return self._tell(now, who, 0.0)
             self._room -= over  # first tries go before repeats
             return None
         self._repeats += 1
-        if not self._settings.damp or self.stage is Stage.CALM:
+        if not self._settings.enabled or self.stage is OverloadStage.CALM:
             return None
         if now >= known.until - 20:
-            if over and not (self._let_in(self.allowed**2) and (self.stage is not Stage.STORM or self._spend(worth))):
+            if over and not (
+                self._let_in(self.admitted_share**2) and (self.stage is not OverloadStage.STORM or self._spend(worth))
+            ):
                 self.held_back += 1
                 return self._tell(now, who, 0.0)
             return None
-        self.early += 1
+        self.early_retries += 1
         known.early += 1
         return self._tell(now, who, 0.0)
 
-    def turn(self, now: float, who: str, return_ms: float, space: str = "") -> float:
+    def on_rejected(self, now: float, who: str, return_ms: float, space: str = "") -> float:
         """The decisions turn somebody away: the return time that it is told, not below theirs."""
         self._pass(now)
         self._turns += 1
         self._hurt += not self._over(space)
-        if self.stage is Stage.CALM or not self._settings.damp:
+        if self.stage is OverloadStage.CALM or not self._settings.enabled:
             self._keep(who, now + return_ms)
             return return_ms
         return self._tell(now, who, return_ms)
 
-    def completed(self, now: float, who: str, space: str = "", late: bool = False) -> None:
+    def on_completed(self, now: float, who: str, space: str = "", late: bool = False) -> None:
         """Somebody has its answer, past its target latency or within."""
         self._pass(now)
         self._done += 1
@@ -156,7 +160,7 @@
     def _let_in(self, part: float) -> bool:
         """Whether one of so many is let in, by chance.  Guards against one customer's storm that the others feel: of
         those over their share ever fewer go on to the decisions while the others are turned away or late."""
-        if part >= 1 or not self._settings.damp:
+        if part >= 1 or not self._settings.enabled:
             return True
         self._draws += 1
         return crc32(f"{self._seed} in {self._draws}".encode()) < part * 2**32
@@ -169,15 +173,17 @@
         return True
 
     def _most_room(self) -> float:
-        return max(1.0, self.done_per_s * self._settings.window_ms / 1000)
+        return max(1.0, self.completed_per_s * self._settings.window_ms / 1000)
 
     def _tell(self, now: float, who: str, least: float) -> float:
         """A time of its own: the next place in a row that goes at the pace of what can be taken beyond new calls;
         longer, but never out of bounds, for those who come early again and again.  Guards against everybody's coming
         at one moment, and against the pace of the heedless."""
-        self.turned += 1
+        self.delayed += 1
         known = self._known.get(who)
-        spare = max(self.done_per_s - self.fresh_per_s, self._settings.spare_share * self.done_per_s, 1.0)
+        spare = max(
+            self.completed_per_s - self.first_tries_per_s, self._settings.min_retry_share * self.completed_per_s, 1.0
+        )
         if known is None or now >= known.until - 20:  # whoever comes early keeps its place in the row
             self._slot = max(self._slot, now) + 1000 / spare
             wait = self._slot - now
@@ -186,8 +192,8 @@
         wait *= 1 + min(3, known.early) / 2 if known is not None else 1.0
         self._draws += 1
         spread = 0.75 + 0.25 * crc32(f"{self._seed} back {self._draws}".encode()) / 2**32  # also past the bound
-        wait = max(least, min(self._settings.longest_ms, wait) * spread)
-        self._slot = min(self._slot, now + self._settings.longest_ms)
+        wait = max(least, min(self._settings.max_retry_after_ms, wait) * spread)
+        self._slot = min(self._slot, now + self._settings.max_retry_after_ms)
         self._keep(who, now + wait)
         return wait
 
@@ -197,7 +203,7 @@
             known = _Turned(until)
         known.until = until
         self._known[who] = known
-        while len(self._known) > self._settings.most_known:
+        while len(self._known) > self._settings.max_clients:
             self._known.popitem(last=False)
 
     # What is going on.
@@ -217,29 +223,31 @@
         settings, comers, repeats = self._settings, self._comers, self._repeats
         seconds = settings.window_ms / 1000
         fresh = (comers - repeats) / seconds
-        self.fresh_per_s += 0.1 * (fresh - self.fresh_per_s)
-        self.done_per_s += 0.1 * (self._done / seconds - self.done_per_s)
-        if self.stage is Stage.CALM and not self._turns:
-            self.usual_per_s += (0.02 if self.usual_per_s else 1.0) * (comers / seconds - self.usual_per_s)
+        self.first_tries_per_s += 0.1 * (fresh - self.first_tries_per_s)
+        self.completed_per_s += 0.1 * (self._done / seconds - self.completed_per_s)
+        if self.stage is OverloadStage.CALM and not self._turns:
+            self.baseline_per_s += (0.02 if self.baseline_per_s else 1.0) * (comers / seconds - self.baseline_per_s)
         sign = 0.0
-        if comers >= settings.least:
+        if comers >= settings.min_samples:
             sign = repeats / comers
-            if comers / seconds > settings.beyond * self.usual_per_s:
+            if comers / seconds > settings.surge_factor * self.baseline_per_s:
                 sign = max(sign, self._turns / comers)
-        self.share += 0.5 * (sign - self.share)
-        harmed = self._hurt > settings.hurt * max(self._others, settings.least)
+        self.retry_share += 0.5 * (sign - self.retry_share)
+        harmed = self._hurt > settings.harmed_share * max(self._others, settings.min_samples)
         self.alarm += 0.5 * (max(self._signs(), float(bool(self._overs) and harmed)) - self.alarm)
         for space in set(self._rates) | set(self._by_space):
             before = self._rates.get(space, 0.0)
             self._rates[space] = before + 0.2 * (self._by_space.get(space, 0) - before)
         whole = sum(self._rates.values())
         self._overs = {
-            space for space, rate in self._rates.items() if rate > settings.over * self._shares.get(space, 1.0) * whole
+            space
+            for space, rate in self._rates.items()
+            if rate > settings.over_quota_factor * self._shares.get(space, 1.0) * whole
         }
         if self._overs and harmed:
-            self.allowed = max(0.05, 0.85 * self.allowed)
+            self.admitted_share = max(0.05, 0.85 * self.admitted_share)
         else:
-            self.allowed = min(1.0, self.allowed + (0.08 if self.stage is Stage.CALM else 0.01))
+            self.admitted_share = min(1.0, self.admitted_share + (0.08 if self.stage is OverloadStage.CALM else 0.01))
         self._others = self._hurt = 0
         most = self._most_room()
         self._room = max(-most, min(most, self._room))
@@ -249,60 +257,66 @@
         self._since += 1
         while self._known:
             who, oldest = next(iter(self._known.items()))
-            if self._window < oldest.until + settings.known_ms:
+            if self._window < oldest.until + settings.forget_after_ms:
                 break
             del self._known[who]
-        high, low, ripe = self.share >= settings.high, self.share <= settings.low, self._since >= settings.steady
-        alarmed = self.alarm >= settings.high
-        if self.stage is Stage.CALM:
+        high, low, ripe = (
+            self.retry_share >= settings.high_share,
+            self.retry_share <= settings.low_share,
+            self._since >= settings.min_stage_windows,
+        )
+        alarmed = self.alarm >= settings.high_share
+        if self.stage is OverloadStage.CALM:
             if high or alarmed:
-                self._to(Stage.RISING)
-        elif self.stage is Stage.RISING:
+                self._to(OverloadStage.RISING)
+        elif self.stage is OverloadStage.RISING:
             if high and ripe:
-                self._to(Stage.STORM)
+                self._to(OverloadStage.STORM)
             elif not high and not alarmed and ripe:
-                self._to(Stage.CALM)
-        elif self.stage is Stage.STORM:
+                self._to(OverloadStage.CALM)
+        elif self.stage is OverloadStage.STORM:
             if low and ripe:
-                self._to(Stage.RECOVERING)
+                self._to(OverloadStage.RECOVERING)
         elif high:
-            self._to(Stage.STORM)
-        elif low and self._since >= 2 * settings.steady:
-            self._to(Stage.CALM)
+            self._to(OverloadStage.STORM)
+        elif low and self._since >= 2 * settings.min_stage_windows:
+            self._to(OverloadStage.CALM)
             self._slot = 0.0
 
     def _signs(self) -> float:
         """The early signs of the window, from 0 to 1: connects beyond the usual, and misses while workers are cold."""
         settings, sign = self._settings, 0.0
         if (
-            self._connects >= settings.least
-            and self.usual_connects
-            and (self._connects > settings.connects * self.usual_connects)
+            self._connects >= settings.min_samples
+            and self.baseline_connections
+            and (self._connects > settings.connection_surge_factor * self.baseline_connections)
         ):
-            sign = 1 - self.usual_connects / self._connects
-        if self._answers >= settings.least and self.cold_share >= settings.cold:
+            sign = 1 - self.baseline_connections / self._connects
+        if self._answers >= settings.min_samples and self.cold_share >= settings.cold_share:
             sign = max(sign, self._misses / self._answers)
-        if self.stage is Stage.CALM:
-            self.usual_connects += (0.02 if self.usual_connects else 1.0) * (self._connects - self.usual_connects)
+        if self.stage is OverloadStage.CALM:
+            self.baseline_connections += (0.02 if self.baseline_connections else 1.0) * (
+                self._connects - self.baseline_connections
+            )
         return sign
 
-    def _to(self, stage: Stage) -> None:
+    def _to(self, stage: OverloadStage) -> None:
         self.stage, self._since = stage, 0
-        self.stages.append((self._window, stage))
-        del self.stages[:-100]
+        self.stage_history.append((self._window, stage))
+        del self.stage_history[:-100]
 
     def status(self) -> dict[str, object]:
         """What operators are shown."""
         return {
             "stage": self.stage.value,
-            "repeats": round(self.share, 3),
-            "fresh_per_s": round(self.fresh_per_s, 1),
-            "done_per_s": round(self.done_per_s, 1),
-            "told_to_return": self.turned,
-            "came_early": self.early,
+            "repeats": round(self.retry_share, 3),
+            "fresh_per_s": round(self.first_tries_per_s, 1),
+            "done_per_s": round(self.completed_per_s, 1),
+            "told_to_return": self.delayed,
+            "came_early": self.early_retries,
             "known": len(self._known),
             "alarm": round(self.alarm, 3),
             "held_back": self.held_back,
             "over_share": sorted(self._overs),
-            "allowed_of_those": round(self.allowed, 3),
+            "allowed_of_those": round(self.admitted_share, 3),
         }
--- a/kelptrail/gateway/records.py
+++ b/kelptrail/gateway/records.py
@@ -12,13 +12,13 @@
 from typing import Any, Protocol
 
 
-class RecordKeeper(Protocol):
+class ReplicatedJournal(Protocol):
     """A book that other dispatchers hold copies of, as its owner writes to it."""
 
-    def takes(self) -> bool:
+    def is_accepting(self) -> bool:
         """Whether a new call can be promised."""
 
-    def acting(self, now: float) -> bool:
+    def may_act(self, now: float) -> bool:
         """Whether what is in it may be acted on at this instant."""
 
     def write(self, entry: Any, waiter: Callable[[bool], None] | None = None, keep: bool = False) -> None:
@@ -30,7 +30,7 @@
 
 
 ANSWERS = {"completed": 0, "rejected": 1, "aborted": 2}
-STATUS = ("success", "application error", "action developer error", "whisk internal error")
+STATUS_MESSAGES = ("success", "application error", "action developer error", "whisk internal error")
 
 
 @dataclass(slots=True, eq=False)
@@ -40,29 +40,29 @@
     id: str
     namespace: str
     path: str  # package/name, or name
-    kind: str  # its namespace type
-    effect: str
+    request_class: str  # its namespace type
+    idempotency: str
     start: float
-    taken: float  # by the clock of the caller
+    received_at: float  # by the clock of the caller
     timeout_ms: float
     trace: str
     end: float = 0.0  # wall time; 0 while in hand
     answer: str = ""  # "completed", "rejected" or "aborted"
     code: int = 0  # place in STATUS
     result: bytes = b"{}"
-    return_ms: float = 0.0  # with a rejection: when to come back
-    repeat_within_ms: float = 0.0  # with a deduplicated one that may have run: how long its mark still holds
-    sends: int = 0
+    retry_after_ms: float = 0.0  # with a rejection: when to come back
+    deduplicated_for_ms: float = 0.0  # with a deduplicated one that may have run: how long its mark still holds
+    attempt_count: int = 0
     timed_out: bool = False  # it was aborted as its time, or that of its stream, was up; not kept over a restart
-    waited_ms: float = 0.0  # from taken to the first send
-    safe: bool = True  # its final answer may be shown: it is as durable as it was promised to be
+    queued_ms: float = 0.0  # from taken to the first send
+    durable: bool = True  # its final answer may be shown: it is as durable as it was promised to be
     key: str = ""  # the client's mark against repeats, and what tells another body under it
     digest: str = ""
-    form: str = "json"  # of its result: a JSON value, or "tensors"
+    payload_format: str = "json"  # of its result: a JSON value, or "tensors"
     deferred: bool = False  # its client was given the id and will ask
-    told: bool = False  # its final answer was shown
+    fetched: bool = False  # its final answer was shown
     logs: list[str] = field(default_factory=list)
-    book: RecordKeeper | None = None  # where it is kept, if not on this dispatcher's disk alone
+    replicated_journal: ReplicatedJournal | None = None  # where it is kept, if not on this dispatcher's disk alone
 
     @property
     def final(self) -> bool:
@@ -70,9 +70,9 @@
         return bool(self.answer)
 
     @property
-    def shown(self) -> bool:
+    def visible(self) -> bool:
         """Whether its final answer may be shown."""
-        return self.final and self.safe
+        return self.final and self.durable
 
     @property
     def name(self) -> str:
@@ -98,14 +98,14 @@
         self._ended: deque[tuple[float, Record]] = deque()  # when, by the caller's clock, and which
         self._bytes = 0
         self.dropped = 0
-        self.used: dict[str, list[int]] = {}  # by namespace: completed, rejected, aborted, since the start
+        self.final_counts: dict[str, list[int]] = {}  # by namespace: completed, rejected, aborted, since the start
         self.on_drop: Callable[[Record], None] | None = None
 
     def __len__(self) -> int:
         return len(self._by_id)
 
     @property
-    def held_bytes(self) -> int:
+    def ended_bytes(self) -> int:
         """About how much the ended ones take."""
         return self._bytes
 
@@ -120,8 +120,8 @@
         if record.answer:
             raise AlreadyFinalError(f"activation {record.id} was {record.answer} and would be {answer}")
         record.answer, record.code, record.result = answer, code, result
-        record.end = record.start + (now - record.taken)
-        self.used.setdefault(record.namespace, [0, 0, 0])[ANSWERS[answer]] += 1
+        record.end = record.start + (now - record.received_at)
+        self.final_counts.setdefault(record.namespace, [0, 0, 0])[ANSWERS[answer]] += 1
         self._ended.append((now, record))
         self._bytes += record.size
         self.trim(now)
@@ -144,11 +144,11 @@
             if self.on_drop is not None:
                 self.on_drop(record)
 
-    def of(self, book: RecordKeeper) -> list[Record]:
+    def kept_by(self, book: ReplicatedJournal) -> list[Record]:
         """All that a book keeps."""
-        return [record for record in self._by_id.values() if record.book is book]
+        return [record for record in self._by_id.values() if record.replicated_journal is book]
 
-    def take_out(self, records: Iterable[Record]) -> None:
+    def remove(self, records: Iterable[Record]) -> None:
         """Another dispatcher has them from now on."""
         gone = {record.id for record in records}
         self._ended = deque(kept for kept in self._ended if kept[1].id not in gone)
@@ -172,17 +172,17 @@
         for record in reversed(self._by_id.values()):
             if (
                 record.namespace == namespace
-                and record.shown
+                and record.visible
                 and since <= record.start <= upto
                 and (name is None or name in (record.path, record.name))
             ):
                 yield record
 
-    def untold(self, since: float) -> int:
+    def unread_since(self, since: float) -> int:
         """How many deferred ones ended after `since` and were not asked for yet."""
         recent = takewhile(lambda ended: ended[0] > since, reversed(self._ended))
-        return sum(record.deferred and not record.told for _, record in recent)
+        return sum(record.deferred and not record.fetched for _, record in recent)
 
-    def in_hand(self) -> int:
+    def in_flight(self) -> int:
         """How many have no final answer yet."""
         return len(self._by_id) - len(self._ended)
--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -177,9 +177,9 @@
             any_ = True
             write = voter.writes.popleft()
             # A stage is tried again until it is safe; a grant that is not safe is simply not said.
-            self._journal.journal.write(write, partial(self._written, write), write.memory is not None)
+            self._journal.group_commit.write(write, partial(self._written, write), write.memory is not None)
         if self._journal is not None:
-            self._journal.pump()
+            self._journal.start_next_batch()
         while asker.events:
             any_ = True
             self._tell(asker.events.popleft())
@@ -247,7 +247,7 @@
             else {
                 "stage": voter.stage.value,
                 "number": voter.number,
-                "disk": "failing" if self._journal is not None and self._journal.journal.failing else "well",
+                "disk": "failing" if self._journal is not None and self._journal.group_commit.failing else "well",
                 "tasks": {
                     task: {
                         "token": str(seat.highest),
--- a/kelptrail/planner/demand.py
+++ b/kelptrail/planner/demand.py
@@ -41,7 +41,7 @@
         for model, tally in tallies.items():
             mine = self.functions.setdefault(model, Asked())
             mine.now[edge] = mine.now.get(edge, FunctionCounters()).plus(tally)
-            if tally.taken:
+            if tally.received:
                 asked[model] = now
 
     def restore(self, hours: dict[str, list[float]]) -> None:
@@ -69,12 +69,12 @@
         fast, slow = (1 - math.exp(-seconds * 1000 / t) for t in (self._fast, self._slow))
         for model, mine in list(self.functions.items()):
             tallies, mine.now = mine.now.values(), {}
-            rate = self.factor * sum(t.taken for t in tallies) / seconds
+            rate = self.factor * sum(t.received for t in tallies) / seconds
             done = sum(t.completed for t in tallies)
             mine.fast += fast * (rate - mine.fast)
             mine.slow += slow * (rate - mine.slow)
             mine.lag += fast * (sum(t.queue_depth for t in tallies) - mine.lag)
-            mine.missed += fast * (sum(t.missed for t in tallies) / seconds - mine.missed)
+            mine.missed += fast * (sum(t.not_loaded for t in tallies) / seconds - mine.missed)
             if done:
                 spent = sum(t.work_ms for t in tallies) / done
                 mine.work_ms += (0.3 if mine.work_ms else 1.0) * (spent - mine.work_ms)
--- a/kelptrail/replication/driver.py
+++ b/kelptrail/replication/driver.py
@@ -19,7 +19,7 @@
 from kelptrail.peers.driver import Peers
 from kelptrail.store.activation_journal import KINDS, ActivationEntries
 from kelptrail.store.driver import JournalDriver
-from kelptrail.store.entries import Accepted, Ended, Entry, pack
+from kelptrail.store.entries import Accepted, Ended, Entry, encode_entry
 from kelptrail.store.group_commit import GroupCommit
 
 from .failover import FailoverMonitor
@@ -70,11 +70,11 @@
         self.token = NO_TOKEN  # under which it was won last
         self.probe_at = 0.0  # when members may be asked whether another owns it
 
-    def takes(self) -> bool:
+    def is_accepting(self) -> bool:
         """Whether a new call can be promised."""
-        return self.live and self.core.takes() and self.acting(now_ms())
+        return self.live and self.core.takes() and self.may_act(now_ms())
 
-    def acting(self, now: float) -> bool:
+    def may_act(self, now: float) -> bool:
         """Whether what is in it may be acted on at this instant: the lease is looked at."""
         return (
             self.core.ready
@@ -84,9 +84,9 @@
 
     def write(self, entry: Entry, waiter: Callable[[bool], None] | None = None, keep: bool = False) -> None:
         """Write an entry; `keep` is what an owner does anyway."""
-        data, _ = pack(entry)
+        data, _ = encode_entry(entry)
         if isinstance(entry, Ended) and len(data) > self.core.settings.most_entry:
-            data, _ = pack(msgspec.structs.replace(entry, result=TOO_LARGE))
+            data, _ = encode_entry(msgspec.structs.replace(entry, result=TOO_LARGE))
         accepted = isinstance(entry, Accepted)
         age = max(0.0, wall_ms() - entry.start) if isinstance(entry, Accepted) else 0.0
         from_core = waiter if accepted or waiter is None else (lambda _full: waiter(True))
@@ -214,7 +214,7 @@
         return self._own_shelves if self._born_here(book) else self._other_shelves
 
     def _write(self, work: Work | Reading, told: Callable[[bool], None] | None = None) -> None:
-        self._disks[id(self._at(work.book))].journal.write(work, told)
+        self._disks[id(self._at(work.book))].group_commit.write(work, told)
 
     def _born_here(self, book: str) -> bool:
         return book.rpartition(".")[0] == self.name
@@ -585,7 +585,7 @@
         finally:
             self._carrying = False
         for disk in self._disks.values():
-            disk.pump()
+            disk.start_next_batch()
         told = sum(held.core.batches_safe for held in self.books.values())
         if told != self._told:
             self._told = told
@@ -636,7 +636,7 @@
             "copies": self.settings.count,
             "disk": self._own_shelves.disk,
             "retiring": self.retiring,
-            "promising": self.current is not None and self.current.takes(),
+            "promising": self.current is not None and self.current.is_accepting(),
             "owned": {
                 book: held.core.status(now) | {"current": held is self.current, "live": held.live}
                 for book, held in sorted(self.books.items())
@@ -654,5 +654,5 @@
             "refused": self.holder.refused,
             "taken_up": self.taken_up,
             "let_go": self.let_go,
-            "disk_failing": any(disk.journal.failing for disk in self._disks.values()),
+            "disk_failing": any(disk.group_commit.failing for disk in self._disks.values()),
         }
--- a/kelptrail/replication/replica_store.py
+++ b/kelptrail/replication/replica_store.py
@@ -20,7 +20,7 @@
 
 from kelptrail.lease.messages import FencingToken
 from kelptrail.store.activation_journal import ActivationEntries, JournalError
-from kelptrail.store.entries import Accepted, DamagedError, Ended, MayRun, unpack
+from kelptrail.store.entries import Accepted, CorruptEntryError, Ended, MayRun, decode_entry
 
 from .messages import BUCKETS, ReplicaEntry, bucket_of, digest, pack_digests
 from .replica import Work
@@ -190,8 +190,8 @@
             "SELECT id, kind, since, crc, body FROM entries WHERE book = ? ORDER BY bucket, id, kind", (reading.book,)
         ):
             try:
-                entry = unpack(bytes(body), crc)
-            except DamagedError:
+                entry = decode_entry(bytes(body), crc)
+            except CorruptEntryError:
                 reading.damaged += 1
                 # What follows an entry that cannot be read proves nothing: it may have run.
                 if life is not None and life.accepted.id == id_ and life.may_run is None and kind:
--- a/kelptrail/service/journal_takeover.py
+++ b/kelptrail/service/journal_takeover.py
@@ -16,7 +16,7 @@
     """New deferred calls go to this process's book, what is taken over to the gateway; `at_once`, `least_ms`: as after
     a restart.  None: there is nowhere to keep copies, and nothing is promised."""
     if copies is None:
-        gateway.promising = lambda: None
+        gateway.replicated_journal = lambda: None
         return
 
     def taken(held: PrimaryHandle, lives: list[ActivationEntries]) -> None:
@@ -24,7 +24,7 @@
         driver.schedule_decisions()
 
     def acts(held: PrimaryHandle) -> None:
-        gateway.is_primary(held)
+        gateway.on_became_primary(held)
         driver.schedule_decisions()
 
     def lost(held: PrimaryHandle) -> int:
@@ -32,8 +32,8 @@
         driver.schedule_decisions()
         return count
 
-    gateway.promising, driver.replication = copies.promising, copies.carry
-    copies.on_taken, copies.on_acts, copies.on_lost, copies.has = taken, acts, lost, gateway.has
+    gateway.replicated_journal, driver.start_replication = copies.promising, copies.carry
+    copies.on_taken, copies.on_acts, copies.on_lost, copies.has = taken, acts, lost, gateway.has_record
     copies.progress = driver.schedule_decisions
-    copies.busy = lambda held: any(not record.final for record in gateway.records.of(held))
+    copies.busy = lambda held: any(not record.final for record in gateway.records.kept_by(held))
     copies.born = lambda name, id_: id_prefix(name) == id_[:PREFIX]
--- a/kelptrail/service/serve.py
+++ b/kelptrail/service/serve.py
@@ -134,7 +134,7 @@
         journal.failing, journal.reason = True, "the book cannot be used"
     gateway = Gateway(world, boot, journal)
     if options.crash_at:
-        gateway.passes = lambda step: os.kill(os.getpid(), signal.SIGKILL) if step == options.crash_at else None
+        gateway.on_step = lambda step: os.kill(os.getpid(), signal.SIGKILL) if step == options.crash_at else None
     if options.pause_at:
         left = [options.pause_at]
 
@@ -143,7 +143,7 @@
                 left.clear()
                 os.kill(os.getpid(), signal.SIGSTOP)
 
-        gateway.passes = stand_still
+        gateway.on_step = stand_still
     driver = GatewayDriver(gateway, f"{options.name}/{boot}", deployment.pool, log)
     driver.debug = debug
     keepers = {
@@ -167,7 +167,7 @@
         )
 
     def connected() -> None:
-        gateway.overload.connected(now_ms())
+        gateway.overload.on_connection(now_ms())
 
     api = InvokeApi(deployment, driver, boot, callers)
     inference = InferenceApi(deployment, driver, callers)
@@ -248,7 +248,7 @@
     usage: Usage | None = None
     if fleet is not None:
         if fleet.leases is not None and options.crash_at:
-            fleet.leases.passes = gateway.passes
+            fleet.leases.passes = gateway.on_step
         if fleet.leases is not None and deployment.leases is not None and deployment.leases.usage_ms:
             usage = Usage(
                 fleet.leases,
@@ -256,7 +256,7 @@
                 boot,
                 deployment.leases.usage_ms,
                 fleet.length_ms,
-                lambda: {space: (n[0], n[1], n[2]) for space, n in gateway.records.used.items()},
+                lambda: {space: (n[0], n[1], n[2]) for space, n in gateway.records.final_counts.items()},
                 fleet.names,
                 log,
             )
@@ -316,7 +316,7 @@
         wanted = deployment.inference.port if options.grpc_port is None else options.grpc_port
         second.listen(options.host, wanted, options.shared_port)
     follower = loop.create_task(roster.follow())
-    driver.decide()
+    driver.run_effects()
     with contextlib.suppress(TimeoutError):
         await asyncio.wait_for(listed.wait(), 3.0)
     log.info("serving", address=server.address, grpc=second.address, boot=boot, from_last_list=had)
@@ -378,7 +378,7 @@
         await standing.stop()
     answered = await driver.drain(end - now_ms())
     # Whoever was given an id may still ask, at our own address.
-    while gateway.records.untold(now_ms() - within) and now_ms() < end:
+    while gateway.records.unread_since(now_ms() - within) and now_ms() < end:
         await asyncio.sleep(0.05)
     if fleet is not None and fleet.copies is not None:
         answered = await fleet.copies.stop(max(500.0, end - now_ms())) and answered
@@ -404,11 +404,11 @@
     log.info(
         "ended",
         clean=answered and closed,
-        taken=counts.taken,
+        taken=counts.received,
         completed=counts.completed,
         rejected=counts.rejected,
-        aborted=counts.aborted,
-        sends=counts.sends,
-        orders=counts.orders,
+        aborted=counts.failed,
+        sends=counts.attempts,
+        orders=counts.load_orders,
     )
     return answered and closed
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -28,7 +28,7 @@
 )
 from kelptrail.gateway.build import DispatcherParts
 from kelptrail.gateway.core import CancelAttempt, FinalAnswer, Gateway, Invocation, StartAttempt, StartLoad
-from kelptrail.gateway.overload import Stage as Calm
+from kelptrail.gateway.overload import OverloadStage as Calm
 from kelptrail.gateway.records import Record
 from kelptrail.load.arrivals import Arrivals, popularity
 from kelptrail.load.client_behavior import ClientBehavior, Heard, again, behavior_of
@@ -174,7 +174,7 @@
         self._stirring = True
         now, gateway = self._engine.now, self.gateway
         try:
-            while (effect := gateway.on_decision_done(now)) is not None:
+            while (effect := gateway.next_effect(now)) is not None:
                 if isinstance(effect, StartAttempt):
                     self._send(effect.invocation, effect.attempt)
                 elif isinstance(effect, FinalAnswer):
@@ -218,7 +218,7 @@
                     "send",
                     lambda outcome, answer: over(outcome, answer),
                     ivk.action.path,
-                    ivk.mark,
+                    ivk.deduplication_id,
                     ivk.record.id,
                     send.number,
                     self.who,
@@ -243,7 +243,13 @@
                 return
             worker.out[back] = None
             worker.send(
-                ivk.action, ivk.mark, ivk.record.id, send.number, self.who, send.request.deadline - send.started_at, end
+                ivk.action,
+                ivk.deduplication_id,
+                ivk.record.id,
+                send.number,
+                self.who,
+                send.request.deadline - send.started_at,
+                end,
             )
 
         def end(outcome: AttemptStatus, answer: Answer | None) -> None:
@@ -287,7 +293,7 @@
         """The journal's disk: one batch at a time."""
         if self.journal is None or self._syncing:
             return
-        batch = self.journal.ready(self._engine.now)
+        batch = self.journal.next_batch(self._engine.now)
         if batch is not None:
             self._syncing = True
             self._engine.after(self.sync_ms, self._synced, self.starts, batch)
@@ -297,7 +303,7 @@
             return
         self._syncing = False
         if self.disk_fails:
-            self.journal.failed(self._engine.now, batch.number, "the disk fails")
+            self.journal.on_batch_failed(self._engine.now, batch.number, "the disk fails")
         else:
             for entry in batch.entries:
                 if isinstance(entry, Accepted):
@@ -307,7 +313,7 @@
                         life.may_run = life.may_run or entry
                     elif isinstance(entry, Ended):
                         life.ended = life.ended or entry
-            self.journal.safe(batch.number)
+            self.journal.on_batch_durable(batch.number)
         self.stir()
 
 
@@ -544,11 +550,11 @@
         kind = self.deployment.types[wish.action.type]
         key = wish.ticket if kind.effect == "deduplicated" else None
         if key is not None:
-            known = gateway.known(wish.space.name, wish.action.path, key, "")
+            known = gateway.find_by_key(wish.space.name, wish.action.path, key, "")
             if known is not None:
                 self._join(dispatcher, wish, known)
                 return
-        if wish.deferred and gateway.journal is not None and not gateway.journal.takes():
+        if wish.deferred and gateway.journal is not None and not gateway.journal.is_accepting():
             self._not_taken(wish)
             return
         refused = gateway.on_connect(now, wish.space.name, wish.action.path, 100, wish.ticket)
@@ -565,18 +571,18 @@
             "",
             lambda record: self._waited(wish, number, record),
             wish.deferred,
-            who=wish.ticket,
+            client_key=wish.ticket,
         )
         wish.ivk, wish.run = ivk, dispatcher.starts
         if wish.deferred:
             dispatcher.stir()
             if not ivk.record.final:
-                gateway.promise(ivk, lambda safe: self._promised(dispatcher, wish, ivk, safe))
+                gateway.when_durable(ivk, lambda safe: self._promised(dispatcher, wish, ivk, safe))
                 dispatcher.stir()
 
     def _join(self, dispatcher: SimulatedDispatcher, wish: Wish, record: Record) -> None:
         ivk = dispatcher.gateway.in_flight_of(record.id)
-        if record.shown:
+        if record.visible:
             self._waited(wish, wish.number, record)
         elif wish.deferred or ivk is None:
             self._accepted(wish, record.id)
@@ -602,7 +608,7 @@
     def _poll(self, wish: Wish) -> None:
         kind, dispatcher = self.deployment.types[wish.action.type], self.own[wish.dispatcher]
         record = dispatcher.gateway.records.get(wish.space.name, wish.activation) if dispatcher.up else None
-        if record is not None and record.shown:
+        if record is not None and record.visible:
             self._told(wish, record, record.end - record.start)
         elif self.engine.now - wish.began > kind.timeout_ms + PATIENCE_MS:
             self._lost(wish, "polled")
@@ -618,8 +624,8 @@
             self._told(wish, record, None)
 
     def _told(self, wish: Wish, record: Record, took: float | None) -> None:
-        within = record.repeat_within_ms or None
-        self._final(wish, record.id, record.answer, record.return_ms, within, took, record.code)
+        within = record.deduplicated_for_ms or None
+        self._final(wish, record.id, record.answer, record.retry_after_ms, within, took, record.code)
 
     def _patience(self, wish: Wish, number: str) -> None:
         if wish.number == number and wish.patience is not None:
--- a/kelptrail/store/activation_journal.py
+++ b/kelptrail/store/activation_journal.py
@@ -13,7 +13,7 @@
 
 import apsw
 
-from .entries import FORMAT, Accepted, DamagedError, Ended, Entry, MayRun, pack, unpack
+from .entries import FORMAT, Accepted, CorruptEntryError, Ended, Entry, MayRun, decode_entry, encode_entry
 from .wal import drop_uncommitted
 
 KINDS = {Accepted: 0, MayRun: 1, Ended: 2}
@@ -97,7 +97,7 @@
         """Make entries safe, all or none.  An entry written again is left as it was.  Raises `BookError`."""
         rows = []
         for entry in entries:
-            data, crc = pack(entry)
+            data, crc = encode_entry(entry)
             start = entry.start if isinstance(entry, Accepted) else 0.0
             rows.append((entry.id, KINDS[type(entry)], start, crc, data))
         try:
@@ -113,8 +113,8 @@
                 life: ActivationEntries | None = None
                 for crc, body in self._db.execute("SELECT crc, body FROM entries WHERE id = ? ORDER BY kind", (id_,)):
                     try:
-                        entry = unpack(bytes(body), crc)
-                    except DamagedError:
+                        entry = decode_entry(bytes(body), crc)
+                    except CorruptEntryError:
                         self.damaged += 1
                         # What follows an entry that cannot be read proves nothing: it may have run.
                         if life is not None and life.may_run is None:
--- a/kelptrail/store/driver.py
+++ b/kelptrail/store/driver.py
@@ -33,7 +33,7 @@
     """Makes batches safe as they become ready; `progress` is called after each."""
 
     def __init__(self, journal: GroupCommit, book: EntryStore, progress: Callable[[], None], log: Any) -> None:
-        self.journal, self._book, self._progress, self._log = journal, book, progress, log
+        self.group_commit, self._book, self._progress, self._log = journal, book, progress, log
         self._loop = asyncio.get_running_loop()
         self._thread = ThreadPoolExecutor(1, "book")
         self._busy = False
@@ -44,11 +44,11 @@
         """An activation whose record is no longer kept."""
         self._stale.append(id_)
         if len(self._stale) >= FORGET_AT_LAST:
-            self.pump()
+            self.start_next_batch()
 
     def compact(self) -> bool:
         """Background work: drop some stale ones and give their pages back; whether more remain."""
-        if self._stale and not self._busy and not self.journal.failing:
+        if self._stale and not self._busy and not self.group_commit.failing:
             self._drop()
         return len(self._stale) >= FORGET_AT_ONCE
 
@@ -56,21 +56,21 @@
         stale, self._stale = self._stale[:FORGET_AT_ONCE], self._stale[FORGET_AT_ONCE:]
         self._start(self._forget, stale)
 
-    def pump(self) -> None:
+    def start_next_batch(self) -> None:
         """Start the next batch, if there is one and none is out."""
         if self._busy:
             return
-        batch = self.journal.ready(now_ms())
+        batch = self.group_commit.next_batch(now_ms())
         if batch is not None:
             self._start(self._commit, batch)
         elif len(self._stale) >= FORGET_AT_LAST:
             self._drop()
-        elif self.journal.failing and self._timer is None:
+        elif self.group_commit.failing and self._timer is None:
             self._timer = self._loop.call_later(0.1, self._again)
 
     def _again(self) -> None:
         self._timer = None
-        self.pump()
+        self.start_next_batch()
 
     def _start(self, work: Callable[[Any], Callable[[], None]], what: Any) -> None:
         self._busy = True
@@ -83,7 +83,7 @@
     def _done(self, tell: Callable[[], None]) -> None:
         self._busy = False
         tell()
-        self.pump()
+        self.start_next_batch()
         self._progress()
 
     def _commit(self, batch: Batch) -> Callable[[], None]:
@@ -96,13 +96,13 @@
         return lambda: self._safe(batch.number)
 
     def _safe(self, number: int) -> None:
-        if self.journal.failing:
+        if self.group_commit.failing:
             self._log.info("journal-well-again")
-        self.journal.safe(number)
+        self.group_commit.on_batch_durable(number)
 
     def _failed(self, number: int, reason: str) -> None:
         self._log.error("journal-failed", reason=reason)
-        self.journal.failed(now_ms(), number, reason)
+        self.group_commit.on_batch_failed(now_ms(), number, reason)
 
     def _forget(self, stale: list[str]) -> Callable[[], None]:
         try:
@@ -115,11 +115,11 @@
     async def close(self, within_ms: float) -> bool:
         """Make safe what waits, then close the book; True if nothing was left."""
         end = now_ms() + within_ms
-        while (self.journal.waiting or self._busy) and now_ms() < end:
-            self.pump()
+        while (self.group_commit.waiting or self._busy) and now_ms() < end:
+            self.start_next_batch()
             await asyncio.sleep(0.005)
         await self._loop.run_in_executor(None, self._thread.shutdown)
         if self._stale:
             self._forget(self._stale)
         self._book.close()
-        return not self.journal.waiting
+        return not self.group_commit.waiting
--- a/kelptrail/store/entries.py
+++ b/kelptrail/store/entries.py
@@ -59,11 +59,11 @@
 _decode = msgspec.msgpack.Decoder(Entry).decode
 
 
-class DamagedError(Exception):
+class CorruptEntryError(Exception):
     """Bytes that are no entry: flipped, cut or of another format."""
 
 
-def pack(entry: Entry) -> tuple[bytes, int]:
+def encode_entry(entry: Entry) -> tuple[bytes, int]:
     """An entry as bytes, large results compressed, with a checksum over the bytes."""
     if isinstance(entry, Ended) and len(entry.result) >= COMPRESS_FROM and not entry.packed:
         small = zstandard.compress(entry.result)
@@ -73,14 +73,14 @@
     return data, zlib.crc32(data)
 
 
-def unpack(data: bytes, check: int) -> Entry:
+def decode_entry(data: bytes, check: int) -> Entry:
     """Bytes as an entry, its result as it was.  Raises `DamagedError`."""
     if zlib.crc32(data) != check:
-        raise DamagedError("the checksum does not fit")
+        raise CorruptEntryError("the checksum does not fit")
     try:
         entry = _decode(data)
         if isinstance(entry, Ended) and entry.packed:
             entry = msgspec.structs.replace(entry, result=zstandard.decompress(entry.result), packed=False)
     except (msgspec.MsgspecError, zstandard.ZstdError) as cause:
-        raise DamagedError(str(cause)) from None
+        raise CorruptEntryError(str(cause)) from None
     return entry
--- a/kelptrail/store/faulty_disk.py
+++ b/kelptrail/store/faulty_disk.py
@@ -25,7 +25,7 @@
         self.fault: dict[str, Any] = {}
         super().__init__(NAME, "")
 
-    def look(self) -> dict[str, Any]:
+    def current_fault(self) -> dict[str, Any]:
         """What ails it now; the file is read fifty times a second at most."""
         if self._file is not None and time.monotonic() > self._looked + 0.02:
             self._looked, self.fault = time.monotonic(), {}
@@ -33,25 +33,25 @@
                 self.fault = json.loads(self._file.read_text())
         return self.fault
 
-    def xOpen(self, name: Any, flags: Any) -> _HarmedFile:  # noqa: N802
+    def xOpen(self, name: Any, flags: Any) -> _FaultyFile:  # noqa: N802
         """As the library calls it."""
-        return _HarmedFile(self, name, flags)
+        return _FaultyFile(self, name, flags)
 
 
-class _HarmedFile(apsw.VFSFile):  # type: ignore[misc]
+class _FaultyFile(apsw.VFSFile):  # type: ignore[misc]
     def __init__(self, disk: FaultyDisk, name: Any, flags: Any) -> None:
         self._disk = disk
         super().__init__("", name, flags)
 
     def xSync(self, flags: int) -> None:  # noqa: N802
         self._disk.syncs += 1
-        fault = self._disk.look()
+        fault = self._disk.current_fault()
         time.sleep(float(fault.get("sync_ms", 0.0)) / 1000)
         if fault.get("fails"):
             raise apsw.IOError("the sync failed")
         super().xSync(flags)
 
     def xWrite(self, data: bytes, offset: int) -> None:  # noqa: N802
-        if self._disk.look().get("full"):
+        if self._disk.current_fault().get("full"):
             raise apsw.FullError("the disk is full")
         super().xWrite(data, offset)
--- a/kelptrail/store/group_commit.py
+++ b/kelptrail/store/group_commit.py
@@ -25,15 +25,15 @@
     waiters: list[Waiter] = field(default_factory=list)
 
 
-class OutOfTurnError(Exception):
+class UnexpectedBatchError(Exception):
     """A batch was told of that is not out."""
 
 
 class GroupCommit:
     """What waits to be safe.  Times in milliseconds."""
 
-    def __init__(self, most_waiting: int = 100_000, retry_ms: float = 500.0) -> None:
-        self._most, self._retry_ms = most_waiting, retry_ms
+    def __init__(self, max_waiting: int = 100_000, retry_ms: float = 500.0) -> None:
+        self._most, self._retry_ms = max_waiting, retry_ms
         self._next = Batch(1)
         self._out: Batch | None = None
         self._kept: deque[tuple[Entry, Waiter | None]] = deque()  # to be tried again once it is well
@@ -47,7 +47,7 @@
         """Entries that are not safe yet."""
         return len(self._next.entries) + (len(self._out.entries) if self._out else 0) + len(self._kept)
 
-    def takes(self) -> bool:
+    def is_accepting(self) -> bool:
         """Whether a new activation can be promised to outlive a crash."""
         return not self.failing and self.waiting < self._most
 
@@ -75,7 +75,7 @@
         elif waiter is not None:
             waiter(True)
 
-    def ready(self, now: float) -> Batch | None:
+    def next_batch(self, now: float) -> Batch | None:
         """The next batch to make safe, or None.  While failing, one trial at a time with what is kept."""
         if self._out is not None:
             return None
@@ -90,7 +90,7 @@
         self._out, self._next = self._next, Batch(self._next.number + 1)
         return self._out
 
-    def safe(self, number: int) -> None:
+    def on_batch_durable(self, number: int) -> None:
         """A batch is on disk."""
         batch = self._end(number)
         self.failing, self.reason = False, ""
@@ -99,7 +99,7 @@
         for waiter in batch.waiters:
             waiter(True)
 
-    def failed(self, now: float, number: int, reason: str) -> None:
+    def on_batch_failed(self, now: float, number: int, reason: str) -> None:
         """A batch could not be made safe: nothing of it is."""
         batch = self._end(number)
         self.failing, self.reason, self._retry_at = True, reason, now + self._retry_ms
@@ -110,6 +110,6 @@
 
     def _end(self, number: int) -> Batch:
         if self._out is None or self._out.number != number:
-            raise OutOfTurnError(f"batch {number} is not out")
+            raise UnexpectedBatchError(f"batch {number} is not out")
         batch, self._out = self._out, None
         return batch
--- a/kelptrail/store/recovery.py
+++ b/kelptrail/store/recovery.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
+class RecoveryRule:
     """What must be known of a namespace type."""
 
     effect: str
@@ -27,25 +27,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class EndRequest:
     """Give it its final answer now."""
 
-    life: ActivationEntries
+    entries: ActivationEntries
     answer: str  # "rejected" or "aborted"
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Resume:
+class ResumeRequest:
     """Take it up again, with so much time left; `again_ms`: for how much longer a repeat is dropped, None: any time."""
 
-    life: ActivationEntries
-    left_ms: float
-    again_ms: float | None
-    weight: float
+    entries: ActivationEntries
+    remaining_ms: float
+    deduplicated_for_ms: float | None
+    priority: float
 
 
-def judge(life: ActivationEntries, rule: Rule, wall: float, least_ms: float) -> End | Resume:
+def decide_recovery(
+    life: ActivationEntries, rule: RecoveryRule, wall: float, least_ms: float
+) -> EndRequest | ResumeRequest:
     """What becomes of one; `least_ms` is the least time in which a run is worth beginning."""
     accepted, ran = life.accepted, life.may_run
     gone = wall - accepted.start
@@ -53,61 +55,69 @@
         gone = accepted.timeout_ms
     left = accepted.timeout_ms - gone
     if ran is not None and rule.effect == "once-only":
-        return End(life, "aborted", "It may have run when its dispatcher failed, and must not run twice")
+        return EndRequest(life, "aborted", "It may have run when its dispatcher failed, and must not run twice")
     if ran is not None and rule.effect == "deduplicated":
         again = rule.remembered_ms - max(0.0, wall - ran.sent)
         if rule.scope != "all":
-            return End(life, "aborted", "It may have run when its dispatcher failed, at a group that is not known now")
+            return EndRequest(
+                life, "aborted", "It may have run when its dispatcher failed, at a group that is not known now"
+            )
         if again <= least_ms:
-            return End(life, "aborted", "It may have run when its dispatcher failed; a repeat would not be dropped now")
+            return EndRequest(
+                life, "aborted", "It may have run when its dispatcher failed; a repeat would not be dropped now"
+            )
         if left <= least_ms:
-            return End(life, "aborted", WAS_DOWN + "; it may have run")
-        return Resume(life, left, again, rule.utility / left)
+            return EndRequest(life, "aborted", WAS_DOWN + "; it may have run")
+        return ResumeRequest(life, left, again, rule.utility / left)
     if left <= least_ms:
-        return End(life, "rejected", WAS_DOWN)
-    return Resume(life, left, None, rule.utility / left)
+        return EndRequest(life, "rejected", WAS_DOWN)
+    return ResumeRequest(life, left, None, rule.utility / left)
 
 
-class Pace:
+class ResumeQueue:
     """Which to resume next: the most utility for the time left first, only so many at once, so that a restart is no
     storm of its own; what new calls leave undone comes first to its end."""
 
-    def __init__(self, found: list[Resume], at_once: int, least_ms: float) -> None:
-        self._left = deque(sorted(found, key=lambda r: -r.weight))
+    def __init__(self, found: list[ResumeRequest], at_once: int, least_ms: float) -> None:
+        self._left = deque(sorted(found, key=lambda r: -r.priority))
         self._at_once, self._least_ms, self._out = at_once, least_ms, 0
 
     def __len__(self) -> int:
         return len(self._left)
 
-    def next(self, since_ms: float) -> Resume | End | None:
+    def next(self, since_ms: float) -> ResumeRequest | EndRequest | None:
         """The next to take up, or to end as its time ran out while it waited; None: not now.  `since_ms`: how long
         after `judge`."""
         if not self._left:
             return None
         first = self._left[0]
-        if first.left_ms - since_ms <= self._least_ms:
+        if first.remaining_ms - since_ms <= self._least_ms:
             self._left.popleft()
-            ran = first.life.may_run is not None and first.again_ms is not None
-            return End(first.life, "aborted" if ran else "rejected", WAS_DOWN)
+            ran = first.entries.may_run is not None and first.deduplicated_for_ms is not None
+            return EndRequest(first.entries, "aborted" if ran else "rejected", WAS_DOWN)
         if self._out >= self._at_once:
             return None
         self._left.popleft()
         self._out += 1
         return first
 
-    def add(self, found: list[Resume], since_ms: float) -> None:
+    def add(self, found: list[ResumeRequest], since_ms: float) -> None:
         """More that was found, so long after `judge` was asked about the first."""
         later = [
-            replace(r, left_ms=r.left_ms + since_ms, again_ms=None if r.again_ms is None else r.again_ms + since_ms)
+            replace(
+                r,
+                remaining_ms=r.remaining_ms + since_ms,
+                deduplicated_for_ms=None if r.deduplicated_for_ms is None else r.deduplicated_for_ms + since_ms,
+            )
             for r in found
         ]
-        self._left = deque(sorted([*self._left, *later], key=lambda r: -r.weight))
+        self._left = deque(sorted([*self._left, *later], key=lambda r: -r.priority))
 
-    def drop(self, ids: Iterable[str]) -> None:
+    def remove(self, ids: Iterable[str]) -> None:
         """Others go on with these."""
         gone = set(ids)
-        self._left = deque(r for r in self._left if r.life.accepted.id not in gone)
+        self._left = deque(r for r in self._left if r.entries.accepted.id not in gone)
 
-    def ended(self) -> None:
+    def on_finished(self) -> None:
         """One that was resumed has its final answer."""
         self._out -= 1
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -42,7 +42,7 @@
 from kelptrail.settings.deployment import load, parse
 from kelptrail.settings.reader import SettingsError
 from kelptrail.store.activation_journal import JournalError
-from kelptrail.store.entries import Accepted, Ended, MayRun, pack
+from kelptrail.store.entries import Accepted, Ended, MayRun, encode_entry
 
 
 def fleet(count: int, halls: int) -> list[Member]:
@@ -342,7 +342,8 @@
 def items(*entries: Any) -> tuple[ReplicaEntry, ...]:
     kinds = {Accepted: 0, MayRun: 1, Ended: 2}
     return tuple(
-        ReplicaEntry(e.id, kinds[type(e)], 250.0 if isinstance(e, Accepted) else 0.0, pack(e)[0]) for e in entries
+        ReplicaEntry(e.id, kinds[type(e)], 250.0 if isinstance(e, Accepted) else 0.0, encode_entry(e)[0])
+        for e in entries
     )
 
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -150,9 +150,9 @@
             assert timed and all(int(h["retry-after"]) >= 1 for h in timed)
             assert all(b["answer"] == "rejected" and b["code"] for _, b in told)
             assert (
-                dispatcher.gateway.counts.taken
+                dispatcher.gateway.counts.received
                 == 60
-                == (dispatcher.gateway.counts.rejected + dispatcher.gateway.counts.aborted)
+                == (dispatcher.gateway.counts.rejected + dispatcher.gateway.counts.failed)
             )
 
     run(main())
@@ -249,7 +249,7 @@
             sock.shutdown(socket.SHUT_WR)
             assert (await read_reply(sock)).status == 400
             sock.close()
-            assert dispatcher.gateway.counts.taken == 0
+            assert dispatcher.gateway.counts.received == 0
 
     run(main())
 
@@ -273,7 +273,7 @@
                 await asyncio.sleep(0.01)
             gone.close()  # a plain close: only writing to it can tell it from a half-closed one
             await asyncio.sleep(0.15)
-            assert dispatcher.gateway.counts.aborted == 1 and dispatcher.gateway.in_flight == 1
+            assert dispatcher.gateway.counts.failed == 1 and dispatcher.gateway.in_flight == 1
             answer(worker, *held[0])
             assert (await read_reply(half)).body == b'{"a":1}'
             half.close()
@@ -349,10 +349,10 @@
         other = auth("00000000-0000-0000-0000-000000000002", "k2")
         status, _, _ = await dispatcher.ask("POST", f"{BASE}/actions/p/check", {}, other)
         assert status == 202, "another namespace is served"
-        assert dispatcher.gateway.counts.taken == 4 and dispatcher.gateway.holdings.refused["namespace"] == 1
+        assert dispatcher.gateway.counts.received == 4 and dispatcher.gateway.limits.rejections["namespace"] == 1
         assert all(status in (429, 502) for status, _, _ in await asyncio.gather(*calls))
         status, _, _ = await dispatcher.call("p/check", blocking=False, body={})
-        assert status in (202, 429) and dispatcher.gateway.holdings.refused["namespace"] == 1, "there is room again"
+        assert status in (202, 429) and dispatcher.gateway.limits.rejections["namespace"] == 1, "there is room again"
         await dispatcher.server.drain(0)
         await worker.server.drain(0)
 
@@ -444,7 +444,7 @@
             status, _, record = await dispatcher.call(action, body={"a": 1}, key="k")
             assert verdict(record)["answer"] == answered and (status == 200) == (answered == "completed")
             assert sum(len(w.sends) for w in made) == sends
-            assert dispatcher.gateway.counts.outcomes == {AttemptStatus.CONNECTION_LOST: 1} | (
+            assert dispatcher.gateway.counts.attempt_statuses == {AttemptStatus.CONNECTION_LOST: 1} | (
                 {AttemptStatus.COMPLETED: 1} if sends == 2 else {}
             )
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -11,7 +11,7 @@
 from kelptrail.dispatch.entities import NEVER_RAN, Attempt, AttemptStatus, Idempotency, WorkerState
 from kelptrail.gateway.build import DispatcherParts
 from kelptrail.gateway.core import CancelAttempt, FinalAnswer, Gateway, Invocation, StartAttempt, StartLoad
-from kelptrail.gateway.limits import Holdings
+from kelptrail.gateway.limits import InFlightLimits
 from kelptrail.gateway.records import AlreadyFinalError, Record, Records
 from kelptrail.membership.members import Endpoint, EndpointList, Members
 from kelptrail.settings.deployment import parse
@@ -80,11 +80,11 @@
 
     def pull(self) -> None:
         now, chance = self.now, self.chance
-        while (effect := self.gateway.on_decision_done(now)) is not None:
+        while (effect := self.gateway.next_effect(now)) is not None:
             if isinstance(effect, StartAttempt):
                 act, worker = effect.invocation.request, effect.attempt.instance.worker
                 assert not effect.invocation.record.final and act.id not in self.finals, "nothing is sent after the end"
-                assert worker.state is WorkerState.LIVE and now < effect.invocation.record.taken + 900
+                assert worker.state is WorkerState.LIVE and now < effect.invocation.record.received_at + 900
                 if act.request_class.idempotency is Idempotency.AT_MOST_ONCE:
                     assert all(s.status in NEVER_RAN for s in act.attempts[:-1]), "once-only goes out once"
                 outcome = chance.choices(list(AttemptStatus), [60, 8, 6, 8, 3, 4, 0, 2, 6])[0]
@@ -106,7 +106,7 @@
                 record = effect.invocation.record
                 assert record.id not in self.finals and record.final, "one final answer"
                 self.finals[record.id] = now
-                if record.answer == "rejected" and record.effect == "once-only":
+                if record.answer == "rejected" and record.idempotency == "once-only":
                     assert all(s.status in NEVER_RAN for s in effect.invocation.request.attempts)
                 for waiter in effect.invocation.waiters:
                     waiter(record)
@@ -117,17 +117,17 @@
     life = Life(seed)
     for n in range(1500):
         life.step(load=n < 1200)
-    while life.now < max(i.record.taken for i in life.taken) + 4000:
+    while life.now < max(i.record.received_at for i in life.taken) + 4000:
         life.step(load=False)
     assert len(life.taken) > 500
     assert set(life.finals) == {i.record.id for i in life.taken}
     for ivk in life.taken:
-        assert life.finals[ivk.record.id] <= ivk.record.taken + 900, "before its client gives up"
+        assert life.finals[ivk.record.id] <= ivk.record.received_at + 900, "before its client gives up"
     counts = life.gateway.counts
-    assert counts.completed and counts.rejected and counts.aborted
-    assert counts.taken == counts.completed + counts.rejected + counts.aborted == len(life.told)
+    assert counts.completed and counts.rejected and counts.failed
+    assert counts.received == counts.completed + counts.rejected + counts.failed == len(life.told)
     assert life.gateway.in_flight == 0 and not life.gateway._ivks, "nothing is left behind"
-    assert life.gateway.holdings.held == life.gateway.holdings.bytes == 0
+    assert life.gateway.limits.requests == life.gateway.limits.bytes == 0
 
 
 def record(id_: str, start: float, namespace: str = "one") -> Record:
@@ -140,7 +140,7 @@
         records.add(record(f"r{n}", float(n)))
     for n in (0, 1, 2, 4, 5):
         records.end(10.0 + n, records.get("one", f"r{n}"), "completed", 0, b"{}")  # type: ignore[arg-type]
-    assert [r.id for r in records.newest("one")] == ["r5", "r4", "r2"] and records.in_hand() == 1
+    assert [r.id for r in records.newest("one")] == ["r5", "r4", "r2"] and records.in_flight() == 1
     assert records.get("two", "r5") is None and records.get("one", "r3") is not None
     with pytest.raises(AlreadyFinalError):
         records.end(20.0, records.get("one", "r5"), "aborted", 3, b"{}")  # type: ignore[arg-type]
@@ -170,18 +170,18 @@
 
 
 def test_holdings_refuse_by_number_bytes_and_namespace_and_count_why() -> None:
-    holdings = Holdings(4, 100.0, 2)
+    holdings = InFlightLimits(4, 100.0, 2)
     for space in ("one", "one", "two"):
-        assert holdings.refusal(space, 10) is None
-        holdings.take(space, 10)
-    assert holdings.refusal("one", 10) == "namespace" and holdings.refusal("two", 71) == "bytes"
-    holdings.take("two", 10)
-    assert holdings.refusal("three", 1) == "held"
-    assert dict(holdings.refused) == {"namespace": 1, "bytes": 1, "held": 1}
-    holdings.give("one", 10)
-    assert holdings.refusal("one", 10) is None and holdings.bytes == 30
+        assert holdings.rejection_reason(space, 10) is None
+        holdings.acquire(space, 10)
+    assert holdings.rejection_reason("one", 10) == "namespace" and holdings.rejection_reason("two", 71) == "bytes"
+    holdings.acquire("two", 10)
+    assert holdings.rejection_reason("three", 1) == "held"
+    assert dict(holdings.rejections) == {"namespace": 1, "bytes": 1, "held": 1}
+    holdings.release("one", 10)
+    assert holdings.rejection_reason("one", 10) is None and holdings.bytes == 30
     with pytest.raises(ValueError, match="three"):
-        holdings.give("three", 1)
+        holdings.release("three", 1)
 
 
 def test_calls_that_came_at_one_moment_are_given_up_in_time_to_answer_them_all() -> None:
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -350,7 +350,7 @@
             call.cancel()
             while dispatcher.gateway.in_flight:
                 await asyncio.sleep(0.01)
-            assert dispatcher.gateway.counts.aborted == 2, "a cancelled call is told to the decisions"
+            assert dispatcher.gateway.counts.failed == 2, "a cancelled call is told to the decisions"
             # A mark joins what is in hand, on either front; another body conflicts.
             one = tensor("INT8", [1])
             first = asyncio.create_task(client.infer("activate", [one], idempotency_key="k"))
@@ -439,7 +439,7 @@
         assert numbers(out[:-1]) == [0, 1]
         assert out[-1].error_message.startswith("ABORTED") and "middle of its stream" in out[-1].error_message
         assert sum(len(w.sends) for w in workers) == 1
-        assert dispatcher.gateway.counts.aborted == 1 and dispatcher.gateway.counts.second_sends == 0
+        assert dispatcher.gateway.counts.failed == 1 and dispatcher.gateway.counts.repeat_attempts == 0
         await client.channel.close()
         await dispatcher.grpc.drain(0)
         await dispatcher.driver.drain(0)
@@ -537,7 +537,7 @@
             given = worker.given
             await asyncio.sleep(0.2)
             assert worker.given <= given + 1 < 100 and not dispatcher.gateway.in_flight
-            assert dispatcher.gateway.counts.aborted == 1
+            assert dispatcher.gateway.counts.failed == 1
             await client.channel.close()
 
     run(main())
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -7,148 +7,172 @@
 
 import pytest
 
-from kelptrail.gateway.lifecycle import LEGAL, IllegalStepError, Need, RequestLifecycle, Safe, Stage
+from kelptrail.gateway.lifecycle import (
+    NEXT_STAGES,
+    EntryKind,
+    IllegalStepError,
+    RequestLifecycle,
+    RequestStage,
+    WriteState,
+)
 
 EVENTS = (
     "queue",
-    "decide",
-    "go",
-    "drop",
-    "back",
-    "ask_record",
-    "lasts",
+    "on_attempt_decided",
+    "start_attempt",
+    "drop_held",
+    "on_attempt_finished",
+    "request_accepted_entry",
+    "make_durable",
     "finish",
-    "show",
-    "show-late",
+    "publish",
+    "publish-late",
     "forget",
-    *(f"{need.value}:{word}" for need, word in product(Need, ("safe", "failed"))),
+    *(f"{need.value}:{word}" for need, word in product(EntryKind, ("safe", "failed"))),
+)
+FIELDS = (
+    "idempotent",
+    "durable",
+    "deferred",
+    "stage",
+    "accepted_write",
+    "may_run_write",
+    "ended_write",
+    "held",
+    "in_flight",
+    "attempt_count",
 )
-FIELDS = ("repeatable", "kept", "owed", "stage", "record", "may_run", "end", "held", "out", "sends")
 DEPTH, MOST_SENDS = 12, 2
 
 
 class Seen:
-    """A passage beside what the outside has seen of it, judged by the promises' own words."""
+    """A lifecycle beside what the outside has seen of it, judged by the promises' own words."""
 
-    def __init__(self, repeatable: bool, kept: bool, owed: bool) -> None:
-        self.passage = RequestLifecycle(repeatable, kept, owed)
-        self.asked: list[Need] = []
-        self.safe: set[Need] = set()
+    def __init__(self, idempotent: bool, durable: bool, deferred: bool) -> None:
+        self.lifecycle = RequestLifecycle(idempotent, durable, deferred)
+        self.asked: list[EntryKind] = []
+        self.safe: set[EntryKind] = set()
         self.finals = self.shown = 0
 
     def key(self) -> tuple[object, ...]:
-        state = tuple(getattr(self.passage, name) for name in FIELDS)
+        state = tuple(getattr(self.lifecycle, name) for name in FIELDS)
         return (*state, tuple(self.asked), frozenset(self.safe), self.finals, self.shown)
 
     def copy(self) -> Seen:
         twin = Seen(False, False, False)
         for name in FIELDS:
-            setattr(twin.passage, name, getattr(self.passage, name))
+            setattr(twin.lifecycle, name, getattr(self.lifecycle, name))
         twin.asked, twin.safe, twin.finals, twin.shown = list(self.asked), set(self.safe), self.finals, self.shown
         return twin
 
     def do(self, event: str) -> bool:
         """Try an event; False where the machine refuses it, by name."""
-        passage, (name, _, word) = self.passage, event.partition(":")
+        lifecycle, (name, _, word) = self.lifecycle, event.partition(":")
         try:
             if word:
-                need = Need(name)
-                passage.told(need, word == "safe")
+                need = EntryKind(name)
+                lifecycle.on_written(need, word == "safe")
                 assert need in self.asked, "nothing is told of that was not asked for"
                 self.asked.remove(need)
                 self.safe |= {need} if word == "safe" else set()
-            elif name == "decide":
-                passage.decide()
-            elif name.startswith("show"):
-                passage.show(name == "show-late")
+            elif name == "on_attempt_decided":
+                lifecycle.on_attempt_decided()
+            elif name.startswith("publish"):
+                lifecycle.publish(name == "publish-late")
                 self.shown += 1
-                if passage.owed and passage.record is Safe.YES:
-                    assert Need.END in self.safe, "what was promised to last is shown only once it is safe"
-            elif name == "go":
-                passage.go()
+                if lifecycle.deferred and lifecycle.accepted_write is WriteState.DURABLE:
+                    assert EntryKind.ENDED in self.safe, "what was promised to last is shown only once it is safe"
+            elif name == "start_attempt":
+                lifecycle.start_attempt()
                 assert not self.finals, "nothing is sent after the final answer"
-                if passage.kept and not passage.repeatable:
-                    assert Need.MAY_RUN in self.safe, "may run is safe before the first byte"
+                if lifecycle.durable and not lifecycle.idempotent:
+                    assert EntryKind.MAY_RUN in self.safe, "may run is safe before the first byte"
             else:
-                getattr(passage, name)()
+                getattr(lifecycle, name)()
                 self.finals += name == "finish"
         except IllegalStepError:
             return False
-        while (need_ := passage.next_need()) is not None:
-            assert need_ not in self.asked, "each need is asked for once at a time"
-            self.asked.append(need_)
+        while (entry_ := lifecycle.next_entry()) is not None:
+            assert entry_ not in self.asked, "each need is asked for once at a time"
+            self.asked.append(entry_)
         assert self.finals <= 1 and self.shown <= self.finals
-        assert passage.promised is not True or Need.RECORD in self.safe, "a promise rests on a safe record"
+        assert lifecycle.durable_result is not True or EntryKind.ACCEPTED in self.safe, (
+            "a promise rests on a safe record"
+        )
         return True
 
 
-@pytest.mark.parametrize(("repeatable", "kept", "owed"), list(product((True, False), repeat=3)))
-def test_every_order_of_events_keeps_the_promises(repeatable: bool, kept: bool, owed: bool) -> None:
-    start = Seen(repeatable, kept, owed)
-    reached, stages, refused = {start.key()}, set[Stage](), 0
+@pytest.mark.parametrize(("idempotent", "durable", "deferred"), list(product((True, False), repeat=3)))
+def test_every_order_of_events_keeps_the_promises(idempotent: bool, durable: bool, deferred: bool) -> None:
+    start = Seen(idempotent, durable, deferred)
+    reached, stages, refused = {start.key()}, set[RequestStage](), 0
     edge = deque([(start, 0)])
     while edge:
         seen, depth = edge.popleft()
-        stages.add(seen.passage.stage)
+        stages.add(seen.lifecycle.stage)
         if depth == DEPTH:
             continue
         for event in EVENTS:
-            if event == "decide" and seen.passage.sends + seen.passage.held >= MOST_SENDS:
+            if event == "on_attempt_decided" and seen.lifecycle.attempt_count + seen.lifecycle.held >= MOST_SENDS:
                 continue
             after = seen.copy()
-            before = after.passage.stage
+            before = after.lifecycle.stage
             if not after.do(event):
                 refused += 1
-                assert after.passage.stage is before, "a refused step changes nothing"
+                assert after.lifecycle.stage is before, "a refused step changes nothing"
                 continue
-            assert after.passage.stage is before or after.passage.stage in LEGAL[before]
+            assert after.lifecycle.stage is before or after.lifecycle.stage in NEXT_STAGES[before]
             if after.key() not in reached:
                 reached.add(after.key())
                 edge.append((after, depth + 1))
-    assert stages == set(Stage)
+    assert stages == set(RequestStage)
     assert len(reached) > 60 and refused > 500
 
 
 def test_named_errors_for_steps_out_of_order() -> None:
-    passage = RequestLifecycle(False, True, True)
+    lifecycle = RequestLifecycle(False, True, True)
     with pytest.raises(IllegalStepError, match="before the decisions"):
-        passage.decide()
-    passage.queue()
-    assert passage.decide() is False and passage.stage is Stage.HELD
-    assert [passage.next_need(), passage.next_need(), passage.next_need()] == [Need.RECORD, Need.MAY_RUN, None]
+        lifecycle.on_attempt_decided()
+    lifecycle.queue()
+    assert lifecycle.on_attempt_decided() is False and lifecycle.stage is RequestStage.HELD
+    assert [lifecycle.next_entry(), lifecycle.next_entry(), lifecycle.next_entry()] == [
+        EntryKind.ACCEPTED,
+        EntryKind.MAY_RUN,
+        None,
+    ]
     with pytest.raises(IllegalStepError, match="may run"):
-        passage.go()
+        lifecycle.start_attempt()
     with pytest.raises(IllegalStepError, match="not asked for"):
-        passage.told(Need.END, True)
-    passage.told(Need.RECORD, True)
-    passage.told(Need.MAY_RUN, True)
-    passage.go()
+        lifecycle.on_written(EntryKind.ENDED, True)
+    lifecycle.on_written(EntryKind.ACCEPTED, True)
+    lifecycle.on_written(EntryKind.MAY_RUN, True)
+    lifecycle.start_attempt()
     with pytest.raises(IllegalStepError, match="sent to forgotten"):
-        passage.out = 0
-        passage.forget()
-    passage.out = 1
-    assert passage.finish() is False
+        lifecycle.in_flight = 0
+        lifecycle.forget()
+    lifecycle.in_flight = 1
+    assert lifecycle.finish() is False
     with pytest.raises(IllegalStepError, match="second final"):
-        passage.finish()
+        lifecycle.finish()
     with pytest.raises(IllegalStepError, match="before it is safe"):
-        passage.show(late=True)
-    passage.told(Need.END, True)
-    passage.show()
+        lifecycle.publish(late=True)
+    lifecycle.on_written(EntryKind.ENDED, True)
+    lifecycle.publish()
     with pytest.raises(IllegalStepError, match="out"):
-        passage.forget()
-    passage.back()
-    passage.forget()
-    assert passage.stage is Stage.FORGOTTEN
+        lifecycle.forget()
+    lifecycle.on_attempt_finished()
+    lifecycle.forget()
+    assert lifecycle.stage is RequestStage.FORGOTTEN
 
 
 def test_what_failed_to_be_written_is_held_back_and_may_be_asked_for_again() -> None:
-    passage = RequestLifecycle(False, True, False)
-    passage.queue()
-    passage.decide()
-    while passage.next_need():
+    lifecycle = RequestLifecycle(False, True, False)
+    lifecycle.queue()
+    lifecycle.on_attempt_decided()
+    while lifecycle.next_entry():
         pass
-    passage.told(Need.RECORD, True)
-    passage.told(Need.MAY_RUN, False)
-    passage.drop()
-    assert passage.stage is Stage.QUEUED and passage.decide() is False
-    assert passage.next_need() is Need.MAY_RUN
+    lifecycle.on_written(EntryKind.ACCEPTED, True)
+    lifecycle.on_written(EntryKind.MAY_RUN, False)
+    lifecycle.drop_held()
+    assert lifecycle.stage is RequestStage.QUEUED and lifecycle.on_attempt_decided() is False
+    assert lifecycle.next_entry() is EntryKind.MAY_RUN
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -518,6 +518,6 @@
             if link.due(step * 250.0):
                 link.report(step * 250.0, {})
             for message in reader.feed(b"".join(link.out)):
-                heard[number] += message.tallies["m"].taken if isinstance(message, Report) else 0
+                heard[number] += message.tallies["m"].received if isinstance(message, Report) else 0
             link.out.clear()
     assert heard[0] == 41 and heard[1] == 39, "all but what came since the last report"
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -69,7 +69,7 @@
     async def main() -> None:
         async with place(then(reset, answer)) as (dispatcher, (worker,)):
             status, _, body = await dispatcher.call(action, body={}, key="k")
-            assert dispatcher.gateway.counts.outcomes[AttemptStatus.CONNECTION_LOST] == 1
+            assert dispatcher.gateway.counts.attempt_statuses[AttemptStatus.CONNECTION_LOST] == 1
             if action == "grant":
                 assert status == 502 and verdict(body)["answer"] == "aborted" and len(worker.sends) == 1
             else:
@@ -92,7 +92,7 @@
     async def main() -> None:
         async with place(then(script, answer), then(script, answer)) as (dispatcher, workers):
             status, _, body = await dispatcher.call("grant", body={})
-            assert dispatcher.gateway.counts.outcomes[outcome] >= 1
+            assert dispatcher.gateway.counts.attempt_statuses[outcome] >= 1
             if again:
                 assert status == 200 and sends(workers) >= 2
             else:
@@ -111,7 +111,7 @@
                 for n in range(12):
                     status, _, _ = await dispatcher.call("grant" if n % 2 else "activate", body={"n": n})
                     assert status == 200
-                assert AttemptStatus.CONNECTION_LOST not in dispatcher.gateway.counts.outcomes
+                assert AttemptStatus.CONNECTION_LOST not in dispatcher.gateway.counts.attempt_statuses
 
     run(main())
 
@@ -156,7 +156,7 @@
         status, _, _body = await dispatcher.call("grant", body={})
         assert status == 502
         await asyncio.sleep(0.05)
-        assert dispatcher.gateway.counts.outcomes.get(AttemptStatus.SILENT) == 1
+        assert dispatcher.gateway.counts.attempt_statuses.get(AttemptStatus.SILENT) == 1
         assert not dispatcher.driver._calls
         await dispatcher.server.drain(0)
         await worker.server.drain(0)
@@ -196,7 +196,7 @@
                 await asyncio.sleep(0.01)
             task.cancel()
             await asyncio.sleep(0.2)
-            assert dispatcher.gateway.counts.outcomes == {AttemptStatus.CANCELLED: 1}
+            assert dispatcher.gateway.counts.attempt_statuses == {AttemptStatus.CANCELLED: 1}
             assert worker.exchanges[0].gone, "its connection is closed"
 
     run(main())
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -69,7 +69,7 @@
         reply = await read_reply(idle)
         assert reply.status == 503 and reply.headers["retry-after"] == "1" and not reply.keep_alive
         await old.left()
-        assert dispatcher.gateway.counts.taken == 1 and dispatcher.gateway.in_flight == 0
+        assert dispatcher.gateway.counts.received == 1 and dispatcher.gateway.in_flight == 0
         new.give_up(0.0)
         await new.left()
         for sock in (idle, busy, late):
@@ -94,7 +94,7 @@
         await asyncio.get_running_loop().sock_sendall(sock, CALL[40:])
         reply = await read_reply(sock)
         assert reply.status == 503 and reply.headers["retry-after"] == "1" and not reply.keep_alive
-        assert dispatcher.gateway.counts.taken == 0
+        assert dispatcher.gateway.counts.received == 0
         front.give_up(0.0)
         await front.left()
         sock.close()
@@ -279,7 +279,7 @@
         # What the old one took is served by it; the same client's next call goes to the new one, none fails.
         after = [await client.infer("p/check", [tensor("INT8", [n])]) for n in range(3)]
         assert [list(r.outputs[0].contents.int_contents) for r in after] == [[0], [1], [2]]
-        assert two.gateway.counts.taken >= 1 and one.gateway.counts.taken + two.gateway.counts.taken == 4
+        assert two.gateway.counts.received >= 1 and one.gateway.counts.received + two.gateway.counts.received == 4
         answer(*held[0])
         assert list((await call).outputs[0].contents.int_contents) == [7]
         await old.left()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -27,10 +27,10 @@
 from kelptrail.settings.deployment import parse
 from kelptrail.store.activation_journal import ActivationEntries, ActivationJournal, JournalError, open_journal
 from kelptrail.store.driver import JournalDriver
-from kelptrail.store.entries import Accepted, DamagedError, Ended, MayRun, pack, unpack
+from kelptrail.store.entries import Accepted, CorruptEntryError, Ended, MayRun, decode_entry, encode_entry
 from kelptrail.store.faulty_disk import FaultyDisk
-from kelptrail.store.group_commit import GroupCommit, OutOfTurnError
-from kelptrail.store.recovery import End, Pace, Resume, Rule, judge
+from kelptrail.store.group_commit import GroupCommit, UnexpectedBatchError
+from kelptrail.store.recovery import EndRequest, RecoveryRule, ResumeQueue, ResumeRequest, decide_recovery
 
 ROOT = Path(__file__).parent.parent
 ACCEPTED = Accepted("a" * 32, "one", "grant", 1000.0, 900.0, b'{"a":1}', "k", "d")
@@ -46,14 +46,14 @@
 def test_entries_come_back_as_they_were_and_damage_is_seen() -> None:
     large = b'{"x":"' + b"abc" * 5000 + b'"}'
     for entry in (ACCEPTED, MayRun("a" * 32, 1100.0, "w"), ended(), ended(result=large)):
-        data, crc = pack(entry)
-        assert unpack(data, crc) == entry
+        data, crc = encode_entry(entry)
+        assert decode_entry(data, crc) == entry
         for at in range(0, len(data), max(1, len(data) // 40)):
             flipped = bytearray(data)
             flipped[at] ^= 0x10
-            with pytest.raises(DamagedError):
-                unpack(bytes(flipped), crc)
-    assert len(pack(ended(result=large))[0]) < len(large) / 10, "large results are compressed"
+            with pytest.raises(CorruptEntryError):
+                decode_entry(bytes(flipped), crc)
+    assert len(encode_entry(ended(result=large))[0]) < len(large) / 10, "large results are compressed"
 
 
 # Group commit.
@@ -63,15 +63,15 @@
     journal, told = GroupCommit(), list[tuple[int, bool]]()
     for n in range(5):
         journal.write(MayRun(str(n), 0.0, "w"), lambda safe, n=n: told.append((n, safe)))
-    first = journal.ready(0.0)
-    assert first is not None and len(first.entries) == 5 and journal.ready(0.0) is None
+    first = journal.next_batch(0.0)
+    assert first is not None and len(first.entries) == 5 and journal.next_batch(0.0) is None
     journal.write(MayRun("5", 0.0, "w"), lambda safe: told.append((5, safe)))
     assert not told, "nothing is said before it is safe"
-    with pytest.raises(OutOfTurnError):
-        journal.safe(first.number + 1)
-    journal.safe(first.number)
+    with pytest.raises(UnexpectedBatchError):
+        journal.on_batch_durable(first.number + 1)
+    journal.on_batch_durable(first.number)
     assert told == [(n, True) for n in range(5)] and journal.commits == 1
-    second = journal.ready(1.0)
+    second = journal.next_batch(1.0)
     assert second is not None and [e.id for e in second.entries] == ["5"]
 
 
@@ -79,20 +79,20 @@
     journal, told = GroupCommit(retry_ms=500.0), list[tuple[str, bool]]()
     journal.write(ACCEPTED, lambda safe: told.append(("accepted", safe)))
     journal.write(ended(), lambda safe: told.append(("ended", safe)), keep=True)
-    batch = journal.ready(0.0)
+    batch = journal.next_batch(0.0)
     assert batch is not None
     journal.write(MayRun("b", 0.0, "w"), lambda safe: told.append(("may-run", safe)))
-    journal.failed(10.0, batch.number, "full")
-    assert told == [("accepted", False), ("may-run", False)] and not journal.takes() and journal.waiting == 1
+    journal.on_batch_failed(10.0, batch.number, "full")
+    assert told == [("accepted", False), ("may-run", False)] and not journal.is_accepting() and journal.waiting == 1
     journal.write(ACCEPTED, lambda safe: told.append(("again", safe)))
-    assert told[-1] == ("again", False) and journal.ready(400.0) is None
-    trial = journal.ready(510.0)
+    assert told[-1] == ("again", False) and journal.next_batch(400.0) is None
+    trial = journal.next_batch(510.0)
     assert trial is not None and [type(e) for e in trial.entries] == [Ended]
-    journal.failed(520.0, trial.number, "full")
-    trial = journal.ready(1030.0)
+    journal.on_batch_failed(520.0, trial.number, "full")
+    trial = journal.next_batch(1030.0)
     assert trial is not None
-    journal.safe(trial.number)
-    assert told[-1] == ("ended", True) and journal.takes() and journal.waiting == 0
+    journal.on_batch_durable(trial.number)
+    assert told[-1] == ("ended", True) and journal.is_accepting() and journal.waiting == 0
 
 
 # The book.
@@ -155,7 +155,7 @@
         "CREATE TABLE rows (id TEXT NOT NULL, kind INTEGER NOT NULL, start REAL NOT NULL, crc INTEGER NOT NULL,"
         " body BLOB NOT NULL, PRIMARY KEY (id, kind)) WITHOUT ROWID; PRAGMA user_version=1"
     )
-    data, crc = pack(ACCEPTED)
+    data, crc = encode_entry(ACCEPTED)
     old.execute("INSERT INTO rows VALUES (?, 0, ?, ?, ?)", (ACCEPTED.id, ACCEPTED.start, crc, data))
     old.close()
     book, aside = open_journal(tmp_path / "b")
@@ -227,10 +227,10 @@
 
 
 RULES = {
-    "repeatable": Rule("repeatable", "all", 0, 2),
-    "deduplicated": Rule("deduplicated", "all", 2000, 5),
-    "zone": Rule("deduplicated", "zone", 2000, 5),
-    "once-only": Rule("once-only", "all", 0, 6),
+    "repeatable": RecoveryRule("repeatable", "all", 0, 2),
+    "deduplicated": RecoveryRule("deduplicated", "all", 2000, 5),
+    "zone": RecoveryRule("deduplicated", "zone", 2000, 5),
+    "once-only": RecoveryRule("once-only", "all", 0, 6),
 }
 
 
@@ -255,24 +255,25 @@
 def test_what_becomes_of_one_by_effect_sends_and_time(effect: str, ran: bool, later: float, what: str) -> None:
     accepted = Accepted("x", "one", "p", 1000.0, 2500.0, b"{}")
     life = ActivationEntries(accepted, MayRun("x", 1000.0, "w") if ran else None)
-    found = judge(life, RULES[effect], 1000.0 + later, 100.0)
-    assert (found.answer if isinstance(found, End) else "resume") == what
-    if isinstance(found, Resume):
-        assert found.left_ms == 2500 - later
+    found = decide_recovery(life, RULES[effect], 1000.0 + later, 100.0)
+    assert (found.answer if isinstance(found, EndRequest) else "resume") == what
+    if isinstance(found, ResumeRequest):
+        assert found.remaining_ms == 2500 - later
 
 
 def test_the_pace_takes_the_most_useful_first_only_so_many_at_once() -> None:
     found = [
-        Resume(ActivationEntries(Accepted(str(n), "one", "p", 0, 1000, b"")), 1000.0, None, float(n)) for n in range(10)
+        ResumeRequest(ActivationEntries(Accepted(str(n), "one", "p", 0, 1000, b"")), 1000.0, None, float(n))
+        for n in range(10)
     ]
-    pace = Pace(found, 3, 100.0)
+    pace = ResumeQueue(found, 3, 100.0)
     taken = [pace.next(10.0 * n) for n in range(5)]
-    assert [t.life.accepted.id for t in taken if t] == ["9", "8", "7"] and taken[3:] == [None, None]
-    pace.ended()
+    assert [t.entries.accepted.id for t in taken if t] == ["9", "8", "7"] and taken[3:] == [None, None]
+    pace.on_finished()
     again = pace.next(60.0)
-    assert isinstance(again, Resume) and again.life.accepted.id == "6" and pace.next(70.0) is None
+    assert isinstance(again, ResumeRequest) and again.entries.accepted.id == "6" and pace.next(70.0) is None
     late = [pace.next(950.0) for _ in range(len(pace))]
-    assert all(isinstance(e, End) and e.answer == "rejected" for e in late) and len(late) == 6
+    assert all(isinstance(e, EndRequest) and e.answer == "rejected" for e in late) and len(late) == 6
 
 
 # The core with a disk that forgets what was not synced.
@@ -319,20 +320,20 @@
     def poll(self) -> None:
         for id_ in self.promised:
             record = self.gateway.records.get("one", id_)
-            if record is not None and record.shown:
+            if record is not None and record.visible:
                 assert self.shown.setdefault(id_, record.answer) == record.answer, "one answer, also after a crash"
 
     def step(self) -> None:
         chance, gateway = self.chance, self.gateway
         passed = chance.uniform(0.5, 6.0)
         self.now, self.wall = self.now + passed, self.wall + passed
-        if chance.random() < 0.4 and self.journal.takes():  # else the API refuses
+        if chance.random() < 0.4 and self.journal.is_accepting():  # else the API refuses
             action = chance.choice(list(self.deployment.actions.values()))
             ivk = gateway.submit(self.now, self.wall, "one", action, b"{}", None, deferred=True)
-            self.kinds[ivk.record.id] = ivk.record.effect
+            self.kinds[ivk.record.id] = ivk.record.idempotency
             self.pull()
             if not ivk.record.final:
-                gateway.promise(
+                gateway.when_durable(
                     ivk,
                     lambda safe: self.promised.add(ivk.record.id) if safe else gateway.on_client_gone(self.now, ivk),
                 )
@@ -349,12 +350,12 @@
                 if outcome is not AttemptStatus.OUT_OF_CAPACITY:
                     self.effects[send.request.id] = self.effects.get(send.request.id, 0) + 1
                 gateway.on_attempt_finished(self.now, send, outcome)
-        if chance.random() < 0.5 and (batch := self.journal.ready(self.now)) is not None:
+        if chance.random() < 0.5 and (batch := self.journal.next_batch(self.now)) is not None:
             if chance.random() < 0.06:
-                self.journal.failed(self.now, batch.number, "full")
+                self.journal.on_batch_failed(self.now, batch.number, "full")
             else:
                 self.disk += batch.entries
-                self.journal.safe(batch.number)
+                self.journal.on_batch_durable(batch.number)
         self.pull()
         self.poll()
         if chance.random() < 0.015:  # whatever went out may have run, whatever was not synced is gone
@@ -366,9 +367,9 @@
             self.start()
 
     def pull(self) -> None:
-        while (effect := self.gateway.on_decision_done(self.now)) is not None:
+        while (effect := self.gateway.next_effect(self.now)) is not None:
             if isinstance(effect, StartAttempt):
-                id_, kind = effect.attempt.request.id, effect.invocation.record.effect
+                id_, kind = effect.attempt.request.id, effect.invocation.record.idempotency
                 if kind != "repeatable":
                     assert any(isinstance(e, MayRun) and e.id == id_ for e in self.disk), "may run is safe before"
                 self.out.append((self.now + self.chance.uniform(5, 200), effect.attempt))
@@ -378,7 +379,7 @@
             elif isinstance(effect, StartLoad):
                 self.gateway.on_load_report(self.now, effect.order, AttemptStatus.COMPLETED, effect.order.count)
             elif isinstance(effect, FinalAnswer):
-                assert effect.invocation.record.shown
+                assert effect.invocation.record.visible
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -397,9 +398,11 @@
     gateway = Gateway(world, "b" * 16, GroupCommit())
     lives = [ActivationEntries(Accepted(f"{n:032x}", "one", "p/check", 1000.0, 900.0, b"{}")) for n in range(5)]
     assert gateway.recover(0.0, 1100.0, lives, 100.0, 16)["resumed"] == 5
-    while gateway.on_decision_done(1.0) is not None:
+    while gateway.next_effect(1.0) is not None:
         pass
-    assert gateway.counts.taken == 5 and not world.safety.request_times, "they were counted by the run that took them"
+    assert gateway.counts.received == 5 and not world.safety.request_times, (
+        "they were counted by the run that took them"
+    )
 
 
 def test_a_deferred_call_earns_load_orders_only_once_it_is_certain_that_it_is_taken() -> None:
@@ -410,14 +413,14 @@
     action = world.deployment.actions["p/check"]
     for number, safe in enumerate((True, False)):
         ivk = gateway.submit(float(number), 1000.0, "one", action, b"{}", deferred=True)
-        gateway.promise(ivk, lambda _safe: None)
-        batch = journal.ready(0.0)
+        gateway.when_durable(ivk, lambda _safe: None)
+        batch = journal.next_batch(0.0)
         assert batch is not None and len(world.safety.request_times) == number
         if safe:
-            journal.safe(batch.number)
+            journal.on_batch_durable(batch.number)
         else:
-            journal.failed(0.0, batch.number, "full")
-        while gateway.on_decision_done(float(number)) is not None:
+            journal.on_batch_failed(0.0, batch.number, "full")
+        while gateway.next_effect(float(number)) is not None:
             pass
     assert len(world.safety.request_times) == 1
     gateway.submit(3.0, 1000.0, "one", action, b"{}")
@@ -567,7 +570,7 @@
             driver.forget(id_)
         assert not driver._busy, "nothing before background work has its turn"
         assert driver.compact() and driver.compact(), "one slice at a time"
-        driver.journal.write(Accepted("f" * 32, "one", "grant", 100.0, 900.0, b"{}"), told.append)
+        driver.group_commit.write(Accepted("f" * 32, "one", "grant", 100.0, 900.0, b"{}"), told.append)
         while not told:
             await asyncio.sleep(0.002)
         assert told == [True] and book.count() > 600, "the commit did not wait for all slices"
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -43,7 +43,7 @@
 from kelptrail.settings.deployment import parse
 from kelptrail.simulation.compare import compare
 from kelptrail.store.activation_journal import ActivationEntries, open_journal
-from kelptrail.store.entries import Accepted, Ended, MayRun, pack, unpack
+from kelptrail.store.entries import Accepted, Ended, MayRun, decode_entry, encode_entry
 from kelptrail.vrrp.driver import next_epoch
 
 STORED = Path(__file__).parent / "fixtures" / "stored"
@@ -89,7 +89,7 @@
             raw["sends"],
             True,
         )
-    return pack(entry)[0]
+    return encode_entry(entry)[0]
 
 
 # --- The book.
@@ -171,7 +171,7 @@
     rows = ask(STORED / "book-format-3.sqlite", "SELECT kind, start, crc, body FROM entries ORDER BY id, kind")
     assert len(rows) == 16
     for kind, start, crc, body in rows:
-        entry = unpack(body, crc)
+        entry = decode_entry(body, crc)
         assert type(entry) is (Accepted, MayRun, Ended)[kind]
         assert start == (msgspec.msgpack.decode(body)["start"] if kind == 0 else 0.0)
         assert written_again(entry, body) == body
@@ -192,7 +192,7 @@
     rows = "SELECT id, kind, start, crc, body FROM entries WHERE NOT (id = ? AND kind = 2) ORDER BY id, kind"
     assert ask(new, rows, id_of(4)) == ask(old, rows, id_of(4))
     ((crc, body),) = ask(new, "SELECT crc, body FROM entries WHERE id = ? AND kind = 2", id_of(4))
-    assert msgspec.msgpack.decode(body)["packed"] is True and unpack(body, crc) == lives_of_format_3()[3].ended
+    assert msgspec.msgpack.decode(body)["packed"] is True and decode_entry(body, crc) == lives_of_format_3()[3].ended
 
 
 @pytest.mark.parametrize(
@@ -305,7 +305,7 @@
         ReplicaEntry(id_of(2), 2, 1500.0, bodies[2]),
     )
     for body in bodies.values():
-        assert written_again(unpack(body, crc32(body)), body) == body
+        assert written_again(decode_entry(body, crc32(body)), body) == body
     shelves.close()
 
 
@@ -539,7 +539,7 @@
     file = copy("day/book.sqlite", tmp_path)
     rows = ask(file, "SELECT kind, crc, body FROM entries ORDER BY id, kind")
     assert [sum(kind == k for kind, _, _ in rows) for k in (0, 1, 2)] == [9, 4, 9]
-    assert all(written_again(unpack(body, crc), body) == body for _, crc, body in rows)
+    assert all(written_again(decode_entry(body, crc), body) == body for _, crc, body in rows)
     book, aside = open_journal(file)
     lives = list(book.activations())
     book.close()
@@ -582,7 +582,7 @@
     file = copy("day-of-leases/copies.sqlite", tmp_path)
     bodies = [body for (body,) in ask(file, "SELECT body FROM entries")]
     assert len(bodies) == 10
-    assert all(written_again(unpack(body, crc32(body)), body) == body for body in bodies)
+    assert all(written_again(decode_entry(body, crc32(body)), body) == body for body in bodies)
     shelves, aside = open_replica_store(file)
     assert aside is None and shelves.books() == {
         "dispatcher-0.b733a7160eac": (FencingToken(6, "dispatcher-0/eb45c6d5"), "dispatcher-0"),
