--- a/bench/copies.py
+++ b/bench/copies.py
@@ -28,7 +28,8 @@
 from kelptrail.codec.infer import Answer
 from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.gateway.build import DispatcherParts
-from kelptrail.gateway.core import FinalAnswer, Gateway, StartAttempt, StartLoad
+from kelptrail.gateway.core import Gateway
+from kelptrail.gateway.effects import FinalAnswer, StartAttempt, StartLoad
 from kelptrail.lease.messages import FencingToken
 from kelptrail.membership.members import Endpoint, EndpointList
 from kelptrail.replication.messages import ReplicaEntry
--- a/bench/split.py
+++ b/bench/split.py
@@ -16,7 +16,8 @@
 from kelptrail.codec.infer import infer_answer, infer_request, read_answer
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder, Request
 from kelptrail.gateway.build import DispatcherParts
-from kelptrail.gateway.core import FinalAnswer, Gateway, StartAttempt, StartLoad
+from kelptrail.gateway.core import Gateway
+from kelptrail.gateway.effects import FinalAnswer, StartAttempt, StartLoad
 from kelptrail.membership.members import Endpoint, EndpointList
 from kelptrail.settings.deployment import parse
 
--- a/kelptrail/front/inference/api.py
+++ b/kelptrail/front/inference/api.py
@@ -23,8 +23,9 @@
 from kelptrail.codec.infer import Payload
 from kelptrail.codec.tensors import JsonTensor, TensorError, fill, scalars, to_json, write_scalars
 from kelptrail.front.callers import UNSURE, Callers, Finder
-from kelptrail.gateway.core import Invocation, KeyConflictError
 from kelptrail.gateway.driver import GatewayDriver
+from kelptrail.gateway.idempotency_keys import KeyConflictError
+from kelptrail.gateway.invocation import Invocation
 from kelptrail.gateway.limits import REJECTION_MESSAGES
 from kelptrail.gateway.records import Record
 from kelptrail.net.grpc_server import GrpcStream
--- a/kelptrail/front/invoke/api.py
+++ b/kelptrail/front/invoke/api.py
@@ -24,8 +24,9 @@
 from kelptrail.codec.events import encode_event
 from kelptrail.codec.http import Request
 from kelptrail.front.callers import UNSURE, Callers, Finder
-from kelptrail.gateway.core import Invocation, KeyConflictError
 from kelptrail.gateway.driver import GatewayDriver
+from kelptrail.gateway.idempotency_keys import KeyConflictError
+from kelptrail.gateway.invocation import Invocation
 from kelptrail.gateway.limits import REJECTION_MESSAGES
 from kelptrail.gateway.records import Record
 from kelptrail.membership.members import PREFIX
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -1,45 +1,43 @@
-"""The gateway core: activations from taken to their one final answer, free of I/O and clocks.
+"""The gateway core: requests from submission to their one final answer, free of I/O and clocks.
 
-Inputs (`take`, `answered`, `told`, `left`, `listed`) update what is known and tell the decisions; the host then
-pulls `effect(now)` until it returns None and carries each out.  Whatever is said to a client passes `Final`
-exactly once.  Nothing is chosen here: sends, orders and refusals come from `kelptrail.dispatch`.
+Inputs (`submit`, `on_attempt_finished`, `on_load_report`, `on_client_gone`, `on_endpoints`) update the state and inform
+the dispatcher; the host then calls `next_effect(now)` until it returns None and carries each effect out.  Whatever a
+client is told goes through one `FinalAnswer`.  Nothing is decided here: attempts, load orders and rejections come from
+`kelptrail.dispatch`.  All times are milliseconds by the caller's clock, `wall` is wall time.
 """
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Callable, Iterable, Mapping
-from dataclasses import dataclass, field
-from functools import partial
-from zlib import crc32
-
-import msgspec
 
 from kelptrail.codec.infer import Answer
 from kelptrail.dispatch.entities import (
     Attempt,
     AttemptStatus,
     FinalStatus,
+    Function,
     Idempotency,
-    Instance,
     LoadOrder,
     Request,
     Worker,
 )
-from kelptrail.dispatch.timer_queue import TimerQueue
-from kelptrail.membership.members import EndpointList, Members
+from kelptrail.membership.members import EndpointList
 from kelptrail.settings.deployment import ActionSettings
 from kelptrail.store.activation_journal import ActivationEntries
-from kelptrail.store.entries import Accepted, Ended, MayRun
 from kelptrail.store.group_commit import GroupCommit
-from kelptrail.store.recovery import EndRequest, RecoveryRule, ResumeQueue, ResumeRequest, decide_recovery
 
 from .build import DispatcherParts
+from .completion import RequestCompletion
 from .counters import FunctionCounters
-from .lifecycle import EntryKind, RequestLifecycle, RequestStage
-from .limits import EARLY, RETRY_AFTER_MS, InFlightLimits
-from .overload import OverloadController, OverloadSettings
-from .records import Record, Records, ReplicatedJournal
+from .durability import DurabilityWriter
+from .effects import CancelAttempt, CancelReason, Effect, LogEvent, StartAttempt, StartLoad
+from .invocation import Invocation
+from .lifecycle import RequestLifecycle, RequestStage
+from .limits import RETRY_AFTER_MS, RejectionReason
+from .records import Record, ReplicatedJournal
+from .recovery import RestartRecovery
+from .state import GatewayState, is_repeat
+from .streaming import ResponseStreams
 
 STATUS_BY_ANSWER_KIND = {
     "completed": AttemptStatus.COMPLETED,
@@ -47,179 +45,65 @@
     "full": AttemptStatus.OUT_OF_CAPACITY,
     "miss": AttemptStatus.NOT_LOADED,
 }
-MAY_HAVE_RUN = b'{"error":"The activation was aborted: it may have run, so trying again may repeat its effect."}'
-MOST_MARGIN = 0.25  # of a call's time: at the most so much earlier it is given up
-CUT_OFF = b'{"error":"The activation was aborted in the middle of its stream; what was given stands."}'
-NEVER_RAN = b'{"error":"The activation was aborted before any run of it began."}'
-
-
-@dataclass(slots=True, eq=False)
-class Invocation:
-    """One call in hand: the decisions' activation, its record, and what a send carries."""
-
-    request: Request
-    record: Record
-    action: ActionSettings
-    payload: bytes
-    deduplication_id: str  # by which workers know a repeat
-    lifecycle: RequestLifecycle
-    waiters: list[Callable[[Record], None]] = field(default_factory=list)  # told the final answer, by the host
-    answer: Answer | None = None
-    payload_format: str = (
-        "json"  # of the payload and the result: "json", or "tensors" as the inference protocol has them
-    )
-    deferred: bool = False  # from the start: its client waits for the id only
-    streamed: bool = False  # its client takes the answer in parts
-    expires_at: float = 0.0  # when it is given up, unless something comes
-    client_key: str = ""  # by which its client's coming again is known
-    part_count: int = 0
-    stream_limit_ms: float = float("inf")  # what the client allows for the whole
-    on_part: Callable[[bytes], None] | None = None  # told each part, by the host
-    durability_waiters: list[Callable[[bool | None], None]] = field(default_factory=list)  # see `promise`
-    under_replicated: bool = False  # too few have its record: its end is written before its client is told
-    moved_to_replicated: bool = False  # from this dispatcher's disk alone to a book with copies
-    held_attempts: list[Attempt] = field(default_factory=list)  # sends that wait until "may run" is safe
-
-
-@dataclass(frozen=True, slots=True)
-class StartAttempt:
-    """Send the call to its worker."""
-
-    invocation: Invocation
-    attempt: Attempt
-
-
-@dataclass(frozen=True, slots=True)
-class CancelAttempt:
-    """Stop waiting for a send; `reason` is "revoked" or "silent"."""
-
-    attempt: Attempt
-    reason: str
-
-
-@dataclass(frozen=True, slots=True)
-class StartLoad:
-    """Give a worker a hold order."""
-
-    order: LoadOrder
-
-
-@dataclass(frozen=True, slots=True)
-class ResponsePart:
-    """A part of a streamed answer, to be passed on at once."""
-
-    invocation: Invocation
-    data: bytes
-
+NO_ANSWER = Answer("none")
+CLIENT_GONE = b'{"error":"The client went away before the answer."}'
+MAX_MARGIN_SHARE = 0.25  # of a request's time: the answer margin grows no further under load
+COLD_COUNT_INTERVAL_MS = 1000.0  # how often warming-up workers are counted
+NEVER_MS = -1e18
 
-@dataclass(frozen=True, slots=True)
-class FinalAnswer:
-    """The one final answer stands in the record; tell whoever waits."""
 
-    invocation: Invocation
-
-
-@dataclass(frozen=True, slots=True)
-class LogEvent:
-    """Something unusual, for the log."""
-
-    text: str
-
-
-def _ended(record: Record) -> Ended:
-    return Ended(
-        record.id,
-        record.end,
-        record.answer,
-        record.code,
-        record.result,
-        record.retry_after_ms,
-        record.deduplicated_for_ms,
-        record.attempt_count,
-    )
-
-
-def _second(send: Attempt) -> bool:
-    """Whether it went out beside, or after, one that may have run."""
-    return any(other.may_have_run for other in send.request.attempts[: send.number])
-
-
-EffectOut = StartAttempt | CancelAttempt | StartLoad | ResponsePart | FinalAnswer | LogEvent
-
-
-@dataclass(slots=True)
-class GatewayCounters:
-    """What has happened since the start."""
-
-    received: int = 0
-    completed: int = 0
-    rejected: int = 0
-    failed: int = 0
-    attempts: int = 0
-    load_orders: int = 0
-    repeat_attempts: int = 0  # sent while an earlier send of the same activation may have run
-    useful_repeats: int = 0  # of these, those that brought the final answer; the rest was wasted
-    attempt_statuses: dict[AttemptStatus, int] = field(default_factory=dict)
-
-
-class KeyConflictError(Exception):
-    """A key that was used with another body."""
+class AttemptAlreadyEndedError(Exception):
+    """A second end of one attempt."""
 
 
 class Gateway:
-    """Everything that one dispatcher has in hand.
+    """All requests that one dispatcher holds.
 
-    Calls that outlive the process (deferred ones, and those with a client's key) go through the journal.  What must be
-    safe before it is said or done stands in each one's `Passage`; here its needs are written, and told of.
+    Requests that outlive the process (deferred ones, and those with an idempotency key) go through a journal.  What
+    must be durable before a step is kept by each one's `RequestLifecycle`.
     """
 
     def __init__(self, world: DispatcherParts, boot: str, journal: GroupCommit | None = None) -> None:
-        place = world.deployment.dispatcher
-        self._world, self._boot, self._number = world, boot, 0
-        self._margin_ms = place.answer_margin_ms
-        self.answer_ms = 0.0  # what answering one call takes the host; kept by it
-        self._dispatcher = world.dispatcher
-        self._ivks: dict[Request, Invocation] = {}
-        self._owed: deque[EffectOut] = deque()
-        self._due = TimerQueue()  # activations whose sends are given up on
-        self._next_beat = -1e18
-        self.journal = journal
-        self.limits = InFlightLimits(place.held, place.held_mb * 1e6, place.held_each)
-        self.replicated_journal: Callable[[], ReplicatedJournal | None] | None = (
-            None  # the book with copies that new calls go to
-        )
-        self._short: deque[Invocation] = deque()  # those whose record too few have
-        self._unsafe: deque[Attempt] = deque()  # sends that will not be: the journal failed
-        self._keys: dict[tuple[str, str, str], Record] = {}
-        self._joined: dict[str, Invocation] = {}  # calls in hand by id
-        self._certain: deque[Request] = deque()  # deferred calls whose records have become safe
-        damping = world.deployment.storm
-        self.overload = OverloadController(
-            OverloadSettings(
-                damping.damp, max_retry_after_ms=damping.longest_return_ms, max_clients=damping.most_known
-            ),
-            crc32(boot.encode()),
-            {space.name: space.allowed_per_s for space in world.deployment.namespaces.values()},
-        )
-        self._most_useful = max(kind.utility for kind in world.deployment.types.values())
-        self._cold_ms, self._next_count = world.deployment.rules.cold_ms, -1e18
-        self._pace: ResumeQueue | None = None  # what a restart found, and since when it is resumed
-        self._paced = 0.0
-        self._resumed: dict[str, None] = {}
-        self.members = Members(world.zones)
-        self.records = Records(place.records, place.records_mb * 1e6, place.record_ms)
-        self.records.on_drop = self._dropped
-        self.on_step: Callable[[str], None] = lambda _step: None  # told each step towards durability; for crash tests
-        self.on_forget: Callable[[str], None] | None = None  # told of ended activations that are no longer kept
-        self.counts = GatewayCounters()
-        self._tallies: dict[str, FunctionCounters] = {}  # for a planner
+        self._parts, self._dispatcher = world, world.dispatcher
+        self._boot, self._submitted = boot, 0  # activation ids: this start's prefix and a number
+        self.answer_ms = 0.0  # what writing one answer costs the host, which measures it
+        self.state = state = GatewayState(world, boot)
+        self.limits, self.overload, self.members = state.limits, state.overload, state.members
+        self.records, self.counts = state.records, state.counts
+        self.durability = DurabilityWriter(state, journal)
+        self._recovery = RestartRecovery(state, self.durability)
+        self._completion = RequestCompletion(state, self.durability, self._recovery)
+        self._streams = ResponseStreams(state)
+        self.records.on_drop = self._on_record_dropped
+        self._max_utility = max(kind.utility for kind in world.deployment.types.values())
+        self._cold_ms = world.deployment.rules.cold_ms
+        self._next_tick_at = self._next_cold_count_at = NEVER_MS
 
     @property
     def in_flight(self) -> int:
         """Activations without a final answer."""
         return self.records.in_flight()
 
-    # Inputs.
+    # Requests.
+
+    def on_connect(
+        self, now: float, namespace: str, path: str, size: int, mark: str
+    ) -> tuple[RejectionReason, float] | None:
+        """Admit a request before anything is done for it: None, or why it is rejected and its retry-after time.
+
+        `mark` is the client's idempotency key or whatever else identifies its retry.
+        """
+        reason = self.limits.rejection_reason(namespace, size)
+        if reason is not None:
+            return reason, RETRY_AFTER_MS
+        kind = self._parts.deployment.types[self._parts.deployment.actions[path].type]
+        retry_after_ms = self.overload.on_request(
+            now, f"{namespace}/{path}/{mark}", namespace, kind.utility / self._max_utility
+        )
+        if retry_after_ms is not None:
+            self.limits.rejections[RejectionReason.EARLY] += 1
+            return RejectionReason.EARLY, retry_after_ms
+        return None
 
     def submit(
         self,
@@ -238,13 +122,44 @@
         streamed: bool = False,
         client_key: str = "",
     ) -> Invocation:
-        """Take a call; `key` is the client's own mark against repeats.  `now`, `wall`: milliseconds.  `limit_ms`: what
-        the client itself allows, where that is less than its type's time."""
-        settings = self._world.deployment.types[action.type]
-        self._number += 1
-        id_ = f"{self._boot}{self._number:016x}"
-        record = Record(
-            id_,
+        """Accept a request; its final answer goes to `waiter`.
+
+        `key`: the client's idempotency key.  `digest`: of the body, to recognise another body under the same key.
+        `limit_ms`: what the client itself allows, where that is less than its request class does.
+        """
+        record = self._new_record(now, wall, namespace, action, limit_ms, trace)
+        id_ = record.id
+        request = self._new_request(now, record, key is not None)
+        record.payload_format = payload_format
+        record.key, record.digest, record.deferred = key or "", digest, deferred
+        journaled = self.durability.choose_journal(record, deferred, key is not None)
+        invocation = Invocation(
+            request,
+            record,
+            action,
+            payload,
+            f"{namespace}/{action.path}/{key}" if key is not None else id_,
+            RequestLifecycle(record.idempotency == Idempotency.IDEMPOTENT.value, journaled, deferred),
+            [waiter] if waiter is not None else [],
+            None,
+            payload_format,
+            deferred,
+            streamed,
+            request.deadline,
+            f"{namespace}/{action.path}/{client_key or key or id_}",
+        )
+        self._register(invocation, key is not None)
+        # Guards against load orders earned by requests that a failing disk rejects: those were not accepted.
+        self._dispatcher.on_request(now, request, anew=not (journaled and deferred))
+        return invocation
+
+    def _new_record(
+        self, now: float, wall: float, namespace: str, action: ActionSettings, limit_ms: float, trace: str
+    ) -> Record:
+        settings = self._parts.deployment.types[action.type]
+        self._submitted += 1
+        return Record(
+            f"{self._boot}{self._submitted:016x}",
             namespace,
             action.path,
             action.type,
@@ -254,663 +169,326 @@
             min(settings.timeout_ms, limit_ms),
             trace,
         )
-        # Guards against a herd of calls that came at one moment and must all be answered at one: so many answers take
-        # their time, and the last of them would be late.
-        margin = min(MOST_MARGIN * record.timeout_ms, self._margin_ms + self.answer_ms * len(self._ivks))
-        act = Request(
-            id_,
-            self._world.request_classes[action.type],
-            self._world.function(action.path),
-            self._world.tenants[namespace],
+
+    def _new_request(self, now: float, record: Record, has_key: bool) -> Request:
+        # Guards against many requests that arrived together and must all be answered at one moment: writing so many
+        # answers takes time, and the last of them would be late.
+        margin_ms = self.state.margin_ms
+        load_margin_ms = margin_ms + self.answer_ms * len(self.state.invocations)
+        margin = min(MAX_MARGIN_SHARE * record.timeout_ms, load_margin_ms)
+        return Request(
+            record.id,
+            self._parts.request_classes[record.request_class],
+            self._parts.function(record.path),
+            self._parts.tenants[record.namespace],
             now,
-            now + record.timeout_ms - max(self._margin_ms, margin),
-            has_idempotency_key=key is not None,
-        )
-        deduplication_id = f"{namespace}/{action.path}/{key}" if key is not None else id_
-        if deferred and self.replicated_journal is not None:
-            book = self.replicated_journal()
-            kept = book is not None and book.is_accepting()
-            record.replicated_journal = book if kept else None
-        else:
-            kept = self.journal is not None and self.journal.is_accepting() and (deferred or key is not None)
-        passage = RequestLifecycle(settings.effect == Idempotency.IDEMPOTENT.value, kept, deferred)
-        ivk = Invocation(
-            act, record, action, payload, deduplication_id, passage, [waiter] if waiter is not None else []
-        )
-        ivk.payload_format, ivk.streamed, ivk.expires_at, ivk.deferred = (
-            payload_format,
-            streamed,
-            act.deadline,
-            deferred,
+            now + record.timeout_ms - max(margin_ms, margin),
+            has_idempotency_key=has_key,
         )
-        ivk.client_key = f"{namespace}/{action.path}/{client_key or key or id_}"
-        record.payload_format = payload_format
-        record.key, record.digest, record.deferred = key or "", digest, deferred
-        if key is not None:
-            self._keys[namespace, action.path, key] = record
-        self.records.add(record)
-        self._ivks[act] = self._joined[id_] = ivk
-        self._due.add(act.deadline, act)
-        self.counts.received += 1
-        self._tally(action.path).received += 1
-        self.limits.acquire(namespace, len(payload))
-        ivk.lifecycle.queue()
-        # Guards against load orders earned by calls that a failing disk turns away: they were not taken.
-        self._dispatcher.on_request(now, act, anew=not (kept and deferred))
-        return ivk
-
-    def on_connect(self, now: float, namespace: str, path: str, size: int, mark: str) -> tuple[str, float] | None:
-        """Why a call is refused before anything is done for it, and when to come back; None: it may be taken.  `mark`
-        is the client's own, or what else tells its repeat: both only count as one that was turned away before."""
-        reason = self.limits.rejection_reason(namespace, size)
-        if reason is not None:
-            return reason, RETRY_AFTER_MS
-        kind = self._world.deployment.types[self._world.deployment.actions[path].type]
-        back = self.overload.on_request(now, f"{namespace}/{path}/{mark}", namespace, kind.utility / self._most_useful)
-        if back is not None:
-            self.limits.rejections[EARLY] += 1
-            return EARLY, back
-        return None
 
-    def find_by_key(self, namespace: str, path: str, key: str, digest: str) -> Record | None:
-        """The activation that a client's repeat joins, or None where it is to be taken anew.
+    def _register(self, invocation: Invocation, has_key: bool) -> None:
+        state, record, request = self.state, invocation.record, invocation.request
+        if has_key:
+            state.keys.add(record)
+        state.records.add(record)
+        state.invocations[request] = state.invocations_by_id[record.id] = invocation
+        state.deadlines.add(request.deadline, request)
+        state.counts.received += 1
+        state.counters_of(record.path).received += 1
+        state.limits.acquire(record.namespace, len(invocation.payload))
+        invocation.lifecycle.queue()
 
-        Rejected ones promised that trying again is harmless; repeatable ones that were aborted may run again.  Raises
-        `KeyConflictError` where the key came with another body.
-        """
-        record = self._keys.get((namespace, path, key))
-        if (
-            record is None
-            or record.answer == "rejected"
-            or (record.answer == "aborted" and record.idempotency == Idempotency.IDEMPOTENT.value)
-        ):
-            return None
-        if record.digest != digest:
-            raise KeyConflictError(f"the key belongs to activation {record.id}, which has another body")
-        return record
+    def find_by_key(self, namespace: str, path: str, key: str, digest: str) -> Record | None:
+        """See `IdempotencyKeys.find`.  Raises `KeyConflictError`."""
+        return self.state.keys.find(namespace, path, key, digest)
 
     def has_record(self, what: str) -> bool:
-        """Whether a record is here, by its id, or as `key:NAMESPACE/ACTION/KEY` by its client's key."""
+        """Whether a record is here, by its id, or as `key:NAMESPACE/ACTION/KEY` by its idempotency key."""
         if not what.startswith("key:"):
             return self.records.has(what)
-        namespace, _, rest = what.removeprefix("key:").partition("/")
-        return any(
-            (namespace, path, rest.removeprefix(f"{path}/")) in self._keys
-            for path in self._world.deployment.actions
-            if rest.startswith(f"{path}/")
-        )
+        namespace, _, path_and_key = what.removeprefix("key:").partition("/")
+        return self.state.keys.has(namespace, path_and_key, self._parts.deployment.actions)
+
+    def in_flight_of(self, id_: str) -> Invocation | None:
+        """The request in flight with this activation id."""
+        return self.state.invocations_by_id.get(id_)
 
     def remove_waiter(self, record: Record, waiter: Callable[[Record], None]) -> None:
-        """Be told no more."""
-        ivk = self._joined.get(record.id)
-        if ivk is not None and waiter in ivk.waiters:
-            ivk.waiters.remove(waiter)
+        """Do not notify `waiter` of the final answer any more."""
+        invocation = self.state.invocations_by_id.get(record.id)
+        if invocation is not None and waiter in invocation.waiters:
+            invocation.waiters.remove(waiter)
+
+    def on_client_gone(self, now: float, invocation: Invocation) -> None:
+        """The client of a blocking request has gone away before its final answer."""
+        if invocation.record.final:
+            return
+        self._dispatcher.on_client_gone(invocation.request)
+        self._completion.finish(now, invocation, FinalStatus.FAILED, CLIENT_GONE)
+        self.state.settle(invocation.request)
 
-    def in_flight_of(self, id_: str) -> Invocation | None:
-        """The call in hand with this id."""
-        return self._joined.get(id_)
+    # Durability.
 
     def accepts_deferred(self) -> bool:
-        """Whether a deferred call could be promised now."""
-        if self.replicated_journal is not None:
-            book = self.replicated_journal()
-            return book is not None and book.is_accepting()
-        return self.journal is None or self.journal.is_accepting()
-
-    def when_durable(self, ivk: Invocation, done: Callable[[bool | None], None]) -> None:
-        """Call `done` once it is known whether the call's record is safe; without a journal at once.  None: nobody here
-        knows, as another has its book."""
-        passage = ivk.lifecycle
-        if not passage.durable:
-            done(self.journal is None)
-        elif passage.durable_result is not None:
-            done(passage.durable_result)
-        else:
-            ivk.durability_waiters.append(done)
-            passage.request_accepted_entry()
-            self._write(ivk)
-
-    def _write(self, ivk: Invocation) -> None:
-        """Hand to the journal what the call's way needs."""
-        record = ivk.record
-        while (need := ivk.lifecycle.next_entry()) is not None:
-            journal = self._kept_by(record)
-            if need is EntryKind.ACCEPTED:
-                self.on_step("accepted")
-                journal.write(
-                    Accepted(
-                        record.id,
-                        record.namespace,
-                        record.path,
-                        record.start,
-                        record.timeout_ms,
-                        ivk.payload,
-                        record.key or None,
-                        record.digest,
-                        record.trace,
-                        record.deferred,
-                        record.payload_format,
-                    ),
-                    partial(self._recorded, ivk, journal),
-                )
-            elif need is EntryKind.MAY_RUN:
-                first = next(send for send in ivk.request.attempts if send.may_have_run)
-                sent = record.start + (first.started_at - record.received_at)
-                journal.write(MayRun(record.id, sent, first.instance.worker.id), partial(self._cleared, ivk, journal))
-            else:
-                self.on_step("answered")
-                if ivk.lifecycle.deferred:
-                    journal.write(_ended(record), lambda safe: self._ended(ivk, safe), keep=True)
-                else:  # whoever waits on a connection was promised no record: a failing journal keeps no answer back
-                    journal.write(_ended(record), lambda safe: self._blocking_ended(ivk, safe))
-
-    def _kept_by(self, record: Record) -> GroupCommit | ReplicatedJournal:
-        kept = record.replicated_journal or self.journal
-        assert kept is not None, "only what a journal keeps has needs"
-        return kept
-
-    def _recorded(self, ivk: Invocation, journal: GroupCommit | ReplicatedJournal, safe: bool) -> None:
-        if journal is not self._kept_by(ivk.record):
-            return  # it has moved on meanwhile
-        if not safe and ivk.record.replicated_journal is not None:
-            # It is in the book all the same, so whoever takes that up would run what its client was told to try again.
-            ivk.lifecycle.on_written(EntryKind.ACCEPTED, True)
-            ivk.under_replicated = True
-            self._short.append(ivk)
-            return
-        if ivk.moved_to_replicated and self.on_forget is not None:
-            self.on_forget(ivk.record.id)
-        ivk.lifecycle.on_written(EntryKind.ACCEPTED, safe)
-        if safe and ivk.deferred:
-            self._certain.append(ivk.request)
-        self.on_step("journalled")
-        promises, ivk.durability_waiters = ivk.durability_waiters, []
-        for done in promises:
-            done(safe)
-
-    def _cleared(self, ivk: Invocation, journal: GroupCommit | ReplicatedJournal, safe: bool) -> None:
-        """What was held goes out, or ends unsent."""
-        if journal is not self._kept_by(ivk.record):
-            return
-        ivk.lifecycle.on_written(EntryKind.MAY_RUN, safe)
-        self.on_step("cleared")
-        self._release(ivk, safe)
-
-    def _release(self, ivk: Invocation, safe: bool) -> None:
-        held, ivk.held_attempts = ivk.held_attempts, []
-        for send in held:
-            if safe and not ivk.lifecycle.final and not ivk.under_replicated:
-                self._go(ivk, send)
-                self._owed.append(StartAttempt(ivk, send))
-            else:
-                ivk.lifecycle.drop_held()
-                self._unsafe.append(send)
-
-    def on_became_primary(self, book: ReplicatedJournal) -> None:
-        """A book may be acted on, again: what was held for that alone goes out."""
-        for ivk in list(self._ivks.values()):
-            if ivk.record.replicated_journal is book and ivk.held_attempts and ivk.lifecycle.may_start:
-                self._release(ivk, True)
-
-    def release(self, book: ReplicatedJournal) -> int:
-        """Another has a book: nothing of it is sent, answered or promised here any more.  How many calls it had."""
-        gone = self.records.kept_by(book)
-        for record in gone:
-            at = (record.namespace, record.path, record.key)
-            if record.key and self._keys.get(at) is record:
-                del self._keys[at]
-            if self._resumed.pop(record.id, "") is None and self._pace is not None:
-                self._pace.on_finished()
-            ivk = self._joined.pop(record.id, None)
-            if ivk is None:
-                continue
-            if not ivk.lifecycle.final:
-                self._dispatcher.on_client_gone(ivk.request)
-                self.limits.release(record.namespace, len(ivk.payload))
-                self._release(ivk, False)
-            ivk.lifecycle.release()
-            promises, ivk.durability_waiters, ivk.waiters = ivk.durability_waiters, [], []
-            for done in promises:
-                done(None)
-            self._settle(ivk.request)
-        if self._pace is not None:
-            self._pace.remove(record.id for record in gone)
-        self.records.remove(gone)
-        return len(gone)
-
-    def _go(self, ivk: Invocation, send: Attempt) -> None:
-        ivk.lifecycle.start_attempt()
-        self.counts.repeat_attempts += _second(send)
-        ivk.record.attempt_count += 1
-        self.counts.attempts += 1
+        """Whether a deferred request could be made durable now."""
+        return self.durability.accepts_deferred()
+
+    def when_durable(self, invocation: Invocation, done: Callable[[bool | None], None]) -> None:
+        """See `DurabilityWriter.when_durable`."""
+        self.durability.when_durable(invocation, done)
+
+    def make_durable(self, now: float, invocation: Invocation) -> None:
+        """See `DurabilityWriter.make_durable`."""
+        self.durability.make_durable(invocation)
+
+    def on_became_primary(self, journal: ReplicatedJournal) -> None:
+        """See `DurabilityWriter.on_became_primary`."""
+        self.durability.on_became_primary(journal)
+
+    def release(self, journal: ReplicatedJournal) -> int:
+        """Another dispatcher has taken a journal over; how many requests it had.
+
+        Nothing of them is sent, answered or acknowledged here any more.
+        """
+        released = self.records.kept_by(journal)
+        for record in released:
+            self.state.keys.remove(record)
+            self._recovery.on_finished(record.id)
+            invocation = self.state.invocations_by_id.pop(record.id, None)
+            if invocation is not None:
+                self._release_invocation(invocation)
+        self._recovery.remove(record.id for record in released)
+        self.records.remove(released)
+        return len(released)
+
+    def _release_invocation(self, invocation: Invocation) -> None:
+        if not invocation.lifecycle.final:
+            self._dispatcher.on_client_gone(invocation.request)
+            self.limits.release(invocation.record.namespace, len(invocation.payload))
+            self.durability.release_held(invocation, False)
+        invocation.lifecycle.release()
+        durability_waiters, invocation.durability_waiters, invocation.waiters = invocation.durability_waiters, [], []
+        for waiter in durability_waiters:
+            waiter(None)
+        self.state.settle(invocation.request)
+
+    def recover(
+        self,
+        now: float,
+        wall: float,
+        activations: Iterable[ActivationEntries],
+        min_run_ms: float,
+        max_concurrent: int,
+        journal: ReplicatedJournal | None = None,
+    ) -> dict[str, int]:
+        """See `RestartRecovery.recover`."""
+        return self._recovery.recover(now, wall, activations, min_run_ms, max_concurrent, journal)
+
+    def _on_record_dropped(self, record: Record) -> None:
+        self.state.keys.remove(record)
+        self.durability.forget(record)
+
+    # Workers.
 
     def on_attempt_finished(
-        self, now: float, send: Attempt, outcome: AttemptStatus, answer: Answer | None = None, went: bool = True
+        self,
+        now: float,
+        attempt: Attempt,
+        status: AttemptStatus,
+        answer: Answer | None = None,
+        started: bool = True,
     ) -> None:
-        """How a send ended, as seen on its socket; `went` is False for one that was held and never went out."""
-        if send.status is not None:
-            raise ValueError(f"send {send.number} of {send.request.id} has ended already")
-        self.counts.attempt_statuses[outcome] = self.counts.attempt_statuses.get(outcome, 0) + 1
-        act, ivk = send.request, self._ivks.get(send.request)
-        if ivk is not None and went:
-            ivk.lifecycle.on_attempt_finished()
-        over = act.final_status is not None or outcome is AttemptStatus.COMPLETED
-        if ivk is not None and act.final_status is None and outcome is AttemptStatus.COMPLETED:
-            ivk.answer = answer
-            self.counts.useful_repeats += _second(send)
-        heard = answer or Answer("none")
-        if ivk is not None and outcome in (AttemptStatus.COMPLETED, AttemptStatus.NOT_LOADED):
-            self.overload.on_attempt_answered(now, outcome is AttemptStatus.NOT_LOADED)
-            tally = self._tally(ivk.record.path)
-            tally.not_loaded += outcome is AttemptStatus.NOT_LOADED
-            if outcome is AttemptStatus.COMPLETED:
-                tally.completed += 1
-                tally.work_ms += now - send.started_at
-                tally.late += now - act.received_at > act.request_class.latency_objective_ms
+        """An attempt has ended; `started` is False for one that was held and never went out.
+
+        Raises `AttemptAlreadyEndedError` at a second end.
+        """
+        request = attempt.request
+        if attempt.status is not None:
+            raise AttemptAlreadyEndedError(f"attempt {attempt.number} of {request.id} has ended already")
+        statuses = self.counts.attempt_statuses
+        statuses[status] = statuses.get(status, 0) + 1
+        invocation = self.state.invocations.get(request)
+        if invocation is not None:
+            if started:
+                invocation.lifecycle.on_attempt_finished()
+            self._note_answer(now, invocation, attempt, status, answer)
+        final = request.final_status is not None or status is AttemptStatus.COMPLETED
+        heard = answer or NO_ANSWER
         self._dispatcher.on_attempt_finished(
-            now, send, outcome, over, heard.load_failed, heard.found, heard.company, heard.report
+            now, attempt, status, final, heard.load_failed, heard.found, heard.company, heard.report
         )
-        if ivk is not None and not ivk.record.final and act.final_status is FinalStatus.COMPLETED:
-            self._finish(now, ivk, "completed")
-        self._settle(act)
-
-    def on_response_part(self, now: float, send: Attempt, data: bytes) -> None:
-        """A part of a streamed answer has come.  The first binds the call to its send; others are not heard."""
-        ivk = self._ivks.get(send.request)
-        if ivk is None or ivk.lifecycle.final or not ivk.streamed:
-            return
-        if send.request.streaming_attempt is None:
-            kind = self._world.deployment.types[ivk.record.request_class]
-            whole = send.request.received_at + min(kind.stream_ms, ivk.stream_limit_ms) - self._margin_ms
-            self._dispatcher.on_response_started(now, send, max(now, whole))
-        if send.request.streaming_attempt is not send:
-            return
-        ivk.part_count += 1
-        self.set_reading(now, ivk, True)
-        self._owed.append(ResponsePart(ivk, data))
-
-    def set_reading(self, now: float, ivk: Invocation, goes: bool) -> None:
-        """Whether parts of a stream are read on; while a slow client holds them back no stall is counted."""
-        if ivk.request.streaming_attempt is not None and not ivk.lifecycle.final:
-            stall = self._world.deployment.types[ivk.record.request_class].stall_ms if goes else float("inf")
-            before, ivk.expires_at = ivk.expires_at, min(ivk.request.deadline, now + stall)
-            if ivk.expires_at < before or ivk.part_count == 1:
-                self._due.add(ivk.expires_at, ivk.request)
-
-    def on_load_report(self, now: float, order: LoadOrder, outcome: AttemptStatus, standing: int) -> None:
-        """How a hold order ended."""
-        self._dispatcher.on_load_report(now, order, outcome, standing)
-
-    def on_client_gone(self, now: float, ivk: Invocation) -> None:
-        """The client of a call has gone away before its final answer."""
-        if ivk.record.final:
+        if invocation is not None and not invocation.record.final and request.final_status is FinalStatus.COMPLETED:
+            self._completion.finish(now, invocation, FinalStatus.COMPLETED)
+        self.state.settle(request)
+
+    def _note_answer(
+        self, now: float, invocation: Invocation, attempt: Attempt, status: AttemptStatus, answer: Answer | None
+    ) -> None:
+        """Keep the answer of the first completed attempt; count what was completed or not loaded."""
+        completed, request = status is AttemptStatus.COMPLETED, attempt.request
+        if completed and request.final_status is None:
+            invocation.answer = answer
+            self.counts.useful_repeats += is_repeat(attempt)
+        if not completed and status is not AttemptStatus.NOT_LOADED:
             return
-        self._dispatcher.on_client_gone(ivk.request)
-        self._finish(now, ivk, "aborted", b'{"error":"The client went away before the answer."}')
-        self._settle(ivk.request)
+        self.overload.on_attempt_answered(now, not completed)
+        counters = self.state.counters_of(invocation.record.path)
+        counters.not_loaded += not completed
+        if completed:
+            counters.completed += 1
+            counters.work_ms += now - attempt.started_at
+            counters.late += now - request.received_at > request.request_class.latency_objective_ms
+
+    def on_response_part(self, now: float, attempt: Attempt, data: bytes) -> None:
+        """See `ResponseStreams.on_part`."""
+        self._streams.on_part(now, attempt, data)
+
+    def set_reading(self, now: float, invocation: Invocation, reading: bool) -> None:
+        """See `ResponseStreams.set_reading`."""
+        self._streams.set_reading(now, invocation, reading)
+
+    def on_load_report(self, now: float, order: LoadOrder, status: AttemptStatus, loaded: int) -> None:
+        """A load order has ended; `loaded`: how many instances the worker has."""
+        self._dispatcher.on_load_report(now, order, status, loaded)
 
     def on_endpoints(self, now: float, listing: EndpointList) -> None:
-        """The worker list has changed."""
+        """The endpoint list has changed."""
         workers, restarted = self.members.apply(now, listing)
         self._dispatcher.on_endpoints(now, workers, restarted)
         self.members.purge()
 
+    # The planner.
+
     def on_plan(self, wants: Mapping[str, Mapping[str, int]] | None) -> None:
-        """A plan's wishes by model and worker, in place of those before; None: there is no plan."""
-        by_id = {worker.id: worker for worker in self.members}
-        found = {}
-        for model, at in (wants or {}).items():
-            if (path := self._world.paths.get(model)) is not None:
-                found[self._world.function(path)] = {by_id[w]: count for w, count in at.items() if w in by_id}
-        self._dispatcher.on_plan(found)
+        """A plan's instances by model and worker, in place of the plan before; None: there is no plan."""
+        workers = {worker.id: worker for worker in self.members}
+        planned: dict[Function, dict[Worker, int]] = {}
+        for model, counts in (wants or {}).items():
+            if (path := self._parts.paths.get(model)) is not None:
+                planned[self._parts.function(path)] = {workers[w]: count for w, count in counts.items() if w in workers}
+        self._dispatcher.on_plan(planned)
 
     def counters(self) -> dict[str, FunctionCounters]:
-        """What was asked of each function since the last time."""
-        out, self._tallies = self._tallies, {}
-        for model, tally in out.items():
-            tally.queue_depth = self._world.function(self._world.paths[model]).queue_depth
-        return out
+        """The counters by model since the last call."""
+        return self.state.take_counters()
 
     def loaded_instances(self) -> dict[str, dict[str, int]]:
-        """Copies as the decisions believe in them: model, worker, how many."""
-        out: dict[str, dict[str, int]] = {}
+        """How many instances the dispatcher believes to be loaded, by model and worker."""
+        loaded: dict[str, dict[str, int]] = {}
         for worker in self.members:
-            for function, copy in worker.instances.items():
-                if copy.loaded:
-                    out.setdefault(function.id, {})[worker.id] = copy.loaded
-        return out
-
-    def _tally(self, path: str) -> FunctionCounters:
-        model = self._world.deployment.actions[path].model
-        found = self._tallies.get(model)
-        if found is None:
-            found = self._tallies[model] = FunctionCounters()
-        return found
+            for function, instance in worker.instances.items():
+                if instance.loaded:
+                    loaded.setdefault(function.id, {})[worker.id] = instance.loaded
+        return loaded
 
     # Effects.
 
-    def next_effect(self, now: float) -> EffectOut | None:
-        """The next thing to carry out, or None."""
-        if now >= self._next_beat:
-            self._next_beat = now + self._dispatcher.tick_ms
-            stale = self._dispatcher.on_tick(now)
-            if stale is not None:
-                self._world.forget_function(stale)
-            self.records.trim(now)
-            if now >= self._next_count:  # CPU: a large fleet is not counted at each beat
-                self._next_count = now + 1000
-                cold = [w.started_at is not None and now - w.started_at < self._cold_ms for w in self.members if w.live]
-                self.overload.cold_share = sum(cold) / len(cold) if cold else 0.0
-        while (act := self._due.pop_due(now)) is not None:
-            flowing = self._ivks.get(act)
-            if flowing is not None and flowing.expires_at > now:  # something has come meanwhile
-                self._due.add(flowing.expires_at, act)
-                continue
-            for send in act.attempts:
-                if send.status is None:
-                    self._give_up(now, send, "silent")
-            late = self._ivks.get(act)
-            if late is not None and late.lifecycle.stage is RequestStage.FINAL and not late.lifecycle.deferred:
-                self._show(late, True)  # a slow disk does not make a waiting client's answer late
-        while self._certain:
-            self._dispatcher.count_request(now, self._certain.popleft())
-        while self._short:
-            short = self._short.popleft()
-            if not short.lifecycle.final:
-                short.request.retry_after_ms, short.durability_waiters = RETRY_AFTER_MS, []
-                self._dispatcher.on_client_gone(short.request)
-                self._finish(now, short, "rejected")
-        while self._unsafe:  # nothing of it was written to a worker
-            send = self._unsafe.popleft()
-            if send.status is None:
-                self.on_attempt_finished(now, send, AttemptStatus.NOT_SENT, None, False)
-        if self._pace is not None:
-            self._resume(now)
+    def next_effect(self, now: float) -> Effect | None:
+        """The next effect to carry out, or None."""
+        if now >= self._next_tick_at:
+            self._tick(now)
+        while (expired := self.state.deadlines.pop_due(now)) is not None:
+            self._on_expired(now, expired)
+        self._apply_journal_results(now)
+        self._recovery.resume_ready(now)
+        effects = self.state.effects
         while True:
-            if self._owed:
-                return self._owed.popleft()
+            if effects:
+                return effects.popleft()
             decision = self._dispatcher.decide(now)
             if decision is None:
                 return None
             if (effect := self._follow(now, decision)) is not None:
                 return effect
 
-    def _follow(self, now: float, decision: Attempt | LoadOrder | Request | str) -> EffectOut | None:
-        """One decision as an effect; None where its effect waits for the disk or was owed."""
+    def next_due(self) -> float:
+        """When `next_effect` should be called again at the latest."""
+        dues = (self._next_tick_at, self.state.deadlines.next_due(), self._dispatcher.timers.next_due())
+        return min(due for due in dues if due is not None)
+
+    def _tick(self, now: float) -> None:
+        self._next_tick_at = now + self._dispatcher.tick_ms
+        idle_function = self._dispatcher.on_tick(now)
+        if idle_function is not None:
+            self._parts.forget_function(idle_function)
+        self.records.trim(now)
+        if now >= self._next_cold_count_at:  # CPU: a large fleet is not counted at each tick
+            self._next_cold_count_at = now + COLD_COUNT_INTERVAL_MS
+            cold = [w.started_at is not None and now - w.started_at < self._cold_ms for w in self.members if w.live]
+            self.overload.cold_share = sum(cold) / len(cold) if cold else 0.0
+
+    def _on_expired(self, now: float, request: Request) -> None:
+        """A request's time is up: cancel its attempts, and show its answer even if that is not durable yet."""
+        invocation = self.state.invocations.get(request)
+        if invocation is not None and invocation.expires_at > now:  # a part of its stream has arrived meanwhile
+            self.state.deadlines.add(invocation.expires_at, request)
+            return
+        for attempt in request.attempts:
+            if attempt.status is None:
+                self._cancel(now, attempt, CancelReason.SILENT)
+        invocation = self.state.invocations.get(request)  # it may have been settled
+        if invocation is None or invocation.lifecycle.deferred:
+            return
+        if invocation.lifecycle.stage is RequestStage.FINAL:
+            self.durability.publish(invocation, True)  # a slow disk delays no blocking client's answer
+
+    def _apply_journal_results(self, now: float) -> None:
+        """Act on what the journal has reported since the last call."""
+        durability = self.durability
+        while durability.durable_deferred:
+            self._dispatcher.count_request(now, durability.durable_deferred.popleft())
+        while durability.under_replicated:
+            self._reject_under_replicated(now, durability.under_replicated.popleft())
+        while durability.unsafe_attempts:  # no byte of it was written to a worker
+            attempt = durability.unsafe_attempts.popleft()
+            if attempt.status is None:
+                self.on_attempt_finished(now, attempt, AttemptStatus.NOT_SENT, None, False)
+
+    def _reject_under_replicated(self, now: float, invocation: Invocation) -> None:
+        if invocation.lifecycle.final:
+            return
+        invocation.request.retry_after_ms, invocation.durability_waiters = RETRY_AFTER_MS, []
+        self._dispatcher.on_client_gone(invocation.request)
+        self._completion.finish(now, invocation, FinalStatus.REJECTED)
+
+    def _follow(self, now: float, decision: Attempt | LoadOrder | Request | str) -> Effect | None:
+        """One decision as an effect; None where its effect is queued, or waits for the journal."""
         if isinstance(decision, str):
             return LogEvent(decision)
         if isinstance(decision, LoadOrder):
             self.counts.load_orders += 1
             return StartLoad(decision)
         if isinstance(decision, Request):
-            self._finish(now, self._ivks[decision], decision.final_status or FinalStatus.FAILED)
-            self._settle(decision)
+            invocation = self.state.invocations[decision]
+            self._completion.finish(now, invocation, decision.final_status or FinalStatus.FAILED)
+            self.state.settle(decision)
             return None
         if decision.cancelled:
-            self._give_up(now, decision, "revoked")
+            self._cancel(now, decision, CancelReason.CANCELLED)
             return None
-        ivk = self._ivks[decision.request]
-        if decision.number == 0:
-            ivk.record.queued_ms = now - ivk.record.received_at
-        book = ivk.record.replicated_journal
-        clear = ivk.lifecycle.on_attempt_decided() and (book is None or book.may_act(now))
-        if not clear:
-            ivk.held_attempts.append(decision)
-        self._write(ivk)
-        if not clear:
+        return self._start(now, decision)
+
+    def _start(self, now: float, attempt: Attempt) -> StartAttempt | None:
+        """Start an attempt, or hold it until its may-run entry is durable and this dispatcher is the primary."""
+        invocation = self.state.invocations[attempt.request]
+        record = invocation.record
+        if attempt.number == 0:
+            record.queued_ms = now - record.received_at
+        journal = record.replicated_journal
+        may_start = invocation.lifecycle.on_attempt_decided() and (journal is None or journal.may_act(now))
+        if not may_start:
+            invocation.held_attempts.append(attempt)
+        self.durability.write_entries(invocation)
+        if not may_start:
             return None
-        self._go(ivk, decision)
-        return StartAttempt(ivk, decision)
-
-    def _give_up(self, now: float, send: Attempt, reason: str) -> None:
-        ivk = self._ivks.get(send.request)
-        if ivk is not None and send in ivk.held_attempts:  # it never went out
-            ivk.held_attempts.remove(send)
-            ivk.lifecycle.drop_held()
-            self.on_attempt_finished(now, send, AttemptStatus.NOT_SENT, None, False)
+        self.state.start_attempt(invocation, attempt)
+        return StartAttempt(invocation, attempt)
+
+    def _cancel(self, now: float, attempt: Attempt, reason: CancelReason) -> None:
+        invocation = self.state.invocations.get(attempt.request)
+        if invocation is not None and attempt in invocation.held_attempts:  # it never went out
+            invocation.held_attempts.remove(attempt)
+            invocation.lifecycle.drop_held()
+            self.on_attempt_finished(now, attempt, AttemptStatus.NOT_SENT, None, False)
         else:
-            self._owed.append(CancelAttempt(send, reason))
-
-    def next_due(self) -> float:
-        """When `effect` should be pulled again at the latest."""
-        dues = (self._next_beat, self._due.next_due(), self._dispatcher.timers.next_due())
-        return min(due for due in dues if due is not None)
-
-    def _finish(self, now: float, ivk: Invocation, verdict: str, result: bytes | None = None) -> None:
-        record, act = ivk.record, ivk.request
-        ran = [send for send in act.attempts if send.may_have_run]
-        if verdict == "completed" and ivk.answer is not None:
-            self.counts.completed += 1
-            self.overload.on_completed(
-                now, ivk.client_key, record.namespace, now - act.received_at > act.request_class.latency_objective_ms
-            )
-            self.records.end(now, record, verdict, 0 if ivk.answer.success else 1, ivk.answer.result)
-        elif verdict == "rejected":
-            self.counts.rejected += 1
-            self._tally(record.path).rejected += 1
-            record.retry_after_ms = act.retry_after_ms
-            if not ran:
-                record.retry_after_ms = self.overload.on_rejected(
-                    now, ivk.client_key, act.retry_after_ms, record.namespace
-                )
-            if ran and act.request_class.idempotency is Idempotency.DEDUPLICATED:
-                record.deduplicated_for_ms = max(
-                    0.0, ran[0].started_at + act.request_class.deduplication_window_ms - now
-                )
-            self.records.end(
-                now, record, verdict, 3, b'{"error":"The activation was rejected; trying again is harmless."}'
-            )
-        else:
-            self.counts.failed += 1
-            record.timed_out = now >= act.deadline - self._margin_ms
-            why = CUT_OFF if act.streaming_attempt else MAY_HAVE_RUN if ran else NEVER_RAN
-            self.records.end(now, record, "aborted", 3, result or why)
-        self.limits.release(record.namespace, len(ivk.payload))
-        ivk.payload = b""
-        if self._resumed.pop(record.id, "") is None and self._pace is not None:
-            self._pace.on_finished()
-        if ivk.lifecycle.finish():
-            self._show(ivk)
-            return
-        record.durable = False
-        self._write(ivk)
-
-    def _blocking_ended(self, ivk: Invocation, safe: bool) -> None:
-        if not safe:
-            self._kept_by(ivk.record).write(_ended(ivk.record), None, keep=True)
-        self._ended(ivk, safe)
-
-    def _ended(self, ivk: Invocation, safe: bool) -> None:
-        ivk.lifecycle.on_written(EntryKind.ENDED, safe)
-        self._show(ivk)
-
-    def _show(self, ivk: Invocation, late: bool = False) -> None:
-        if ivk.lifecycle.stage is not RequestStage.FINAL:
-            return  # it was late, and has been shown
-        ivk.lifecycle.publish(late)
-        if not ivk.record.durable:
-            self.on_step("ended")
-            ivk.record.durable = True
-        self._owed.append(FinalAnswer(ivk))
-        self._settle(ivk.request)
-
-    def make_durable(self, now: float, ivk: Invocation) -> None:
-        """A blocking call whose client goes on with the id: from here on it outlives this process, too."""
-        if ivk.lifecycle.final or self.journal is None or not self.accepts_deferred():
-            return
-        ivk.record.deferred = True
-        if self.replicated_journal is not None and ivk.record.replicated_journal is None:
-            ivk.record.replicated_journal, ivk.moved_to_replicated = self.replicated_journal(), ivk.lifecycle.durable
-        ivk.lifecycle.make_durable(ivk.moved_to_replicated)
-        self._write(ivk)
-
-    def _dropped(self, record: Record) -> None:
-        """A record is no longer kept."""
-        at = (record.namespace, record.path, record.key)
-        if record.key and self._keys.get(at) is record:
-            del self._keys[at]
-        if record.replicated_journal is not None:
-            record.replicated_journal.forget(record.id)
-        elif self.on_forget is not None:
-            self.on_forget(record.id)
-
-    # After a restart.
-
-    def recover(
-        self,
-        now: float,
-        wall: float,
-        lives: Iterable[ActivationEntries],
-        least_ms: float,
-        at_once: int,
-        book: ReplicatedJournal | None = None,
-    ) -> dict[str, int]:
-        """Take up what a book tells: ended ones can be asked for, others are ended or resumed in time.  `book`: that of
-        another run, or of another dispatcher; None: what this one's disk alone has."""
-        found: list[ResumeRequest] = []
-        counts = {"ended": 0, "aborted": 0, "rejected": 0, "resumed": 0, "unknown": 0}
-        for life in lives:
-            action = self._world.deployment.actions.get(life.accepted.path)
-            if action is None or life.accepted.namespace not in self._world.tenants:
-                counts["unknown"] += 1  # the settings changed: it is kept on disk
-                continue
-            kind = self._world.deployment.types[action.type]
-            if self.records.has(life.accepted.id):
-                continue
-            if life.ended is not None:
-                self._restore(now, wall, life, life.ended, book)
-                counts["ended"] += 1
-                continue
-            what = decide_recovery(
-                life, RecoveryRule(kind.effect, kind.scope, kind.remembered_ms, kind.utility), wall, least_ms
-            )
-            if isinstance(what, ResumeRequest):
-                found.append(what)
-                counts["resumed"] += 1
-                self._record(now, wall, life, book)
-            else:
-                counts[what.answer] += 1
-                self._record(now, wall, life, book)
-                self._end_lost(now, what)
-        if self._pace is None:
-            self._pace, self._paced = ResumeQueue([], at_once, least_ms), now
-        self._pace.add(found, now - self._paced)
-        self.records.trim(now)
-        return counts
-
-    def _record(self, now: float, wall: float, life: ActivationEntries, book: ReplicatedJournal | None) -> Record:
-        """The record of one that had no final answer; its time goes on from where it was."""
-        a = life.accepted
-        kind = self._world.deployment.types[self._world.deployment.actions[a.path].type]
-        record = Record(
-            a.id,
-            a.namespace,
-            a.path,
-            kind.name,
-            kind.effect,
-            a.start,
-            now - max(0.0, wall - a.start),
-            a.timeout_ms,
-            a.trace,
-        )
-        record.key, record.digest, record.deferred, record.payload_format = a.key or "", a.digest, a.deferred, a.form
-        record.replicated_journal = book
-        self.records.add(record)
-        if a.key:
-            self._keys[a.namespace, a.path, a.key] = record
-        return record
-
-    def _restore(
-        self, now: float, wall: float, life: ActivationEntries, ended: Ended, book: ReplicatedJournal | None
-    ) -> None:
-        record = self._record(now, wall, life, book)
-        record.end, record.answer, record.code, record.result = ended.end, ended.answer, ended.code, ended.result
-        record.retry_after_ms, record.deduplicated_for_ms, record.attempt_count = (
-            ended.return_ms,
-            ended.repeat_within_ms,
-            ended.sends,
-        )
-        self.records.restore(now, record)
-
-    def _end_lost(self, now: float, end: EndRequest) -> None:
-        record = self.records.get(end.entries.accepted.namespace, end.entries.accepted.id)
-        if record is None or (record.replicated_journal is None and self.journal is None):
-            return
-        result = msgspec.json.encode({"error": f"The activation was {end.answer}: {end.reason}."})
-        self.records.end(now, record, end.answer, 3, result)
-        if end.answer == "rejected":
-            self.counts.rejected += 1
-        else:
-            self.counts.failed += 1
-        record.durable = False
-
-        def shown(_safe: bool, record: Record = record) -> None:
-            record.durable = True
-
-        self._kept_by(record).write(_ended(record), shown, keep=True)
-
-    def _resume(self, now: float) -> None:
-        """Take up again what the pace allows."""
-        while self._pace is not None:
-            what = self._pace.next(now - self._paced)
-            if what is None:
-                if not len(self._pace) and not self._resumed:
-                    self._pace = None
-                return
-            if isinstance(what, EndRequest):
-                self._end_lost(now, what)
-                continue
-            self._take_up(now, what)
-
-    def _take_up(self, now: float, what: ResumeRequest) -> None:
-        a, ran = what.entries.accepted, what.entries.may_run
-        record = self.records.get(a.namespace, a.id)
-        assert record is not None
-        action = self._world.deployment.actions[a.path]
-        kind, function = self._world.request_classes[action.type], self._world.function(a.path)
-        left = what.remaining_ms - (now - self._paced)
-        act = Request(
-            a.id,
-            kind,
-            function,
-            self._world.tenants[a.namespace],
-            now,
-            now + left - self._margin_ms,
-            has_idempotency_key=a.key is not None,
-        )
-        if (
-            ran is not None and what.deduplicated_for_ms is not None
-        ):  # an earlier send that may have run, at a lost worker
-            sent = now + what.deduplicated_for_ms - (now - self._paced) - kind.deduplication_window_ms
-            act.attempts.append(Attempt(act, Instance(function, Worker(ran.worker)), 0, sent, AttemptStatus.SILENT))
-        mark = f"{a.namespace}/{a.path}/{a.key}" if a.key is not None else a.id
-        ivk = Invocation(
-            act,
-            record,
-            action,
-            a.payload,
-            mark,
-            RequestLifecycle.resumed(kind.idempotency is Idempotency.IDEMPOTENT, ran is not None),
-            payload_format=a.form,
-            expires_at=act.deadline,
-        )
-        ivk.lifecycle.queue()
-        self._ivks[act] = self._joined[a.id] = ivk
-        self._resumed[a.id] = None
-        self._due.add(act.deadline, act)
-        self.counts.received += 1
-        self.limits.acquire(a.namespace, len(a.payload))
-        self._dispatcher.on_request(now, act, anew=False)
-
-    def _settle(self, act: Request) -> None:
-        """Forget an activation once its final answer stands in its record and nothing of it is out."""
-        ivk = self._ivks.get(act)
-        if (
-            ivk is not None
-            and ivk.lifecycle.stage is RequestStage.PUBLISHED
-            and all(send.status for send in act.attempts)
-        ):
-            ivk.lifecycle.forget()
-            del self._ivks[act]
-            self._joined.pop(ivk.record.id, None)
-            act.attempts = []  # sends point back at it: let go of them without a collector
+            self.state.effects.append(CancelAttempt(attempt, reason))
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -30,17 +30,9 @@
 from kelptrail.store.driver import JournalDriver
 
 from .connection_health import ConnectionHealth
-from .core import (
-    STATUS_BY_ANSWER_KIND,
-    CancelAttempt,
-    FinalAnswer,
-    Gateway,
-    Invocation,
-    LogEvent,
-    ResponsePart,
-    StartAttempt,
-    StartLoad,
-)
+from .core import STATUS_BY_ANSWER_KIND, Gateway
+from .effects import CancelAttempt, FinalAnswer, LogEvent, ResponsePart, StartAttempt, StartLoad
+from .invocation import Invocation
 
 BEHIND_MS = 50.0  # a timer that rings so late is told of: the loop has too much to do
 MOST_ANSWER_MS = 2.0  # what one answer may be taken to cost: a stall is not the answers'
@@ -303,7 +295,7 @@
             call = pool.start(data, self.on_attempt_finished, (ivk, send))
         self._calls[send] = call
         if ivk.lifecycle.durable:
-            self._loop.call_later(0.01, self.gateway.on_step, "sent")
+            self._loop.call_later(0.01, self.gateway.durability.on_step, "sent")
         if self.debug:
             self._log.debug(
                 "send", activation=record.id, trace=record.trace, send=send.number, worker=send.instance.worker.id
--- /dev/null
+++ b/kelptrail/gateway/durability.py
@@ -0,0 +1,238 @@
+"""Journals what a request needs before it may go on, and publishes final answers once they are durable.
+
+A request is journaled when it must outlive the process: a deferred one, or one with an idempotency key.  Its entries
+go to the local journal or, where there is one, to a replicated journal.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from functools import partial
+
+from kelptrail.dispatch.entities import Attempt, Request
+from kelptrail.store.entries import Accepted, Ended, MayRun
+from kelptrail.store.group_commit import GroupCommit
+
+from .effects import FinalAnswer, StartAttempt
+from .invocation import Invocation
+from .lifecycle import EntryKind, RequestStage
+from .records import Record, ReplicatedJournal
+from .state import GatewayState
+
+Journal = GroupCommit | ReplicatedJournal
+
+
+class NoJournalError(Exception):
+    """An entry is to be written for a request that no journal keeps."""
+
+
+def ended_entry(record: Record) -> Ended:
+    """The journal entry of a record's final answer."""
+    assert record.answer is not None
+    return Ended(
+        record.id,
+        record.end,
+        record.answer,
+        record.code,
+        record.result,
+        record.retry_after_ms,
+        record.deduplicated_for_ms,
+        record.attempt_count,
+    )
+
+
+class DurabilityWriter:
+    """Writes entries as request lifecycles ask for them.
+
+    Nothing is decided in the callbacks of a journal: what they find is queued and handled by `Gateway.next_effect`.
+    """
+
+    def __init__(self, state: GatewayState, journal: GroupCommit | None) -> None:
+        self._state = state
+        self.journal = journal  # on this dispatcher's disk alone
+        self.replicated_journal: Callable[[], ReplicatedJournal | None] | None = None  # the one for new requests
+        self.on_step: Callable[[str], None] = lambda _step: None  # called at each step to durability; for crash tests
+        self.on_forget: Callable[[str], None] | None = None  # called with the id of a record that is dropped
+        self.under_replicated: deque[Invocation] = deque()  # too few replicas have their record
+        self.unsafe_attempts: deque[Attempt] = deque()  # not to be started: their may-run entry was not written
+        self.durable_deferred: deque[Request] = deque()  # deferred requests whose records have become durable
+
+    # Which journal.
+
+    def choose_journal(self, record: Record, deferred: bool, has_key: bool) -> bool:
+        """Whether a new request is journaled; notes in its record which replicated journal keeps it."""
+        if deferred and self.replicated_journal is not None:
+            journal = self.replicated_journal()
+            journaled = journal is not None and journal.is_accepting()
+            record.replicated_journal = journal if journaled else None
+            return journaled
+        return self.journal is not None and self.journal.is_accepting() and (deferred or has_key)
+
+    def accepts_deferred(self) -> bool:
+        """Whether a deferred request could be made durable now."""
+        if self.replicated_journal is not None:
+            journal = self.replicated_journal()
+            return journal is not None and journal.is_accepting()
+        return self.journal is None or self.journal.is_accepting()
+
+    def journal_of(self, record: Record) -> Journal:
+        """The journal that keeps a record.  Raises `NoJournalError`."""
+        journal = record.replicated_journal or self.journal
+        if journal is None:
+            raise NoJournalError(f"activation {record.id} is not journaled")
+        return journal
+
+    def forget(self, record: Record) -> None:
+        """A record is dropped: its entries may go, too."""
+        if record.replicated_journal is not None:
+            record.replicated_journal.forget(record.id)
+        elif self.on_forget is not None:
+            self.on_forget(record.id)
+
+    # Writing.
+
+    def when_durable(self, invocation: Invocation, done: Callable[[bool | None], None]) -> None:
+        """Call `done` once it is known whether the request's record is durable; at once where no journal is kept.
+
+        It is called with None where another dispatcher has taken over the journal, so that nobody here knows.
+        """
+        lifecycle = invocation.lifecycle
+        if not lifecycle.durable:
+            done(self.journal is None)
+        elif lifecycle.durable_result is not None:
+            done(lifecycle.durable_result)
+        else:
+            invocation.durability_waiters.append(done)
+            lifecycle.request_accepted_entry()
+            self.write_entries(invocation)
+
+    def make_durable(self, invocation: Invocation) -> None:
+        """Journal a blocking request whose client continues with the activation id."""
+        if invocation.lifecycle.final or self.journal is None or not self.accepts_deferred():
+            return
+        record = invocation.record
+        record.deferred = True
+        if self.replicated_journal is not None and record.replicated_journal is None:
+            record.replicated_journal = self.replicated_journal()
+            invocation.moved_to_replicated = invocation.lifecycle.durable
+        invocation.lifecycle.make_durable(invocation.moved_to_replicated)
+        self.write_entries(invocation)
+
+    def write_entries(self, invocation: Invocation) -> None:
+        """Write the entries that the request's lifecycle asks for."""
+        while (kind := invocation.lifecycle.next_entry()) is not None:
+            journal = self.journal_of(invocation.record)
+            if kind is EntryKind.ACCEPTED:
+                self._write_accepted(invocation, journal)
+            elif kind is EntryKind.MAY_RUN:
+                self._write_may_run(invocation, journal)
+            else:
+                self._write_ended(invocation, journal)
+
+    def _write_accepted(self, invocation: Invocation, journal: Journal) -> None:
+        record = invocation.record
+        self.on_step("accepted")
+        entry = Accepted(
+            record.id,
+            record.namespace,
+            record.path,
+            record.start,
+            record.timeout_ms,
+            invocation.payload,
+            record.key or None,
+            record.digest,
+            record.trace,
+            record.deferred,
+            record.payload_format,
+        )
+        journal.write(entry, partial(self._on_accepted_written, invocation, journal))
+
+    def _write_may_run(self, invocation: Invocation, journal: Journal) -> None:
+        record = invocation.record
+        first = next(attempt for attempt in invocation.request.attempts if attempt.may_have_run)
+        started_wall_ms = record.start + (first.started_at - record.received_at)
+        journal.write(
+            MayRun(record.id, started_wall_ms, first.instance.worker.id),
+            partial(self._on_may_run_written, invocation, journal),
+        )
+
+    def _write_ended(self, invocation: Invocation, journal: Journal) -> None:
+        self.on_step("answered")
+        entry = ended_entry(invocation.record)
+        if invocation.lifecycle.deferred:
+            journal.write(entry, partial(self._on_ended_written, invocation), keep=True)
+        else:  # a blocking client was promised no record: a failing journal delays no answer
+            journal.write(entry, partial(self._on_blocking_ended_written, invocation))
+
+    # What became of an entry.
+
+    def _on_accepted_written(self, invocation: Invocation, journal: Journal, durable: bool) -> None:
+        if journal is not self.journal_of(invocation.record):
+            return  # the request has moved to another journal
+        if not durable and invocation.record.replicated_journal is not None:
+            # The entry is in the journal all the same: a dispatcher that takes the journal over would run a request
+            # whose client was told to retry.  So it is rejected, and the end is journaled first.
+            invocation.lifecycle.on_written(EntryKind.ACCEPTED, True)
+            invocation.under_replicated = True
+            self.under_replicated.append(invocation)
+            return
+        if invocation.moved_to_replicated and self.on_forget is not None:
+            self.on_forget(invocation.record.id)
+        invocation.lifecycle.on_written(EntryKind.ACCEPTED, durable)
+        if durable and invocation.deferred:
+            self.durable_deferred.append(invocation.request)
+        self.on_step("journalled")
+        waiters, invocation.durability_waiters = invocation.durability_waiters, []
+        for waiter in waiters:
+            waiter(durable)
+
+    def _on_may_run_written(self, invocation: Invocation, journal: Journal, durable: bool) -> None:
+        if journal is not self.journal_of(invocation.record):
+            return
+        invocation.lifecycle.on_written(EntryKind.MAY_RUN, durable)
+        self.on_step("cleared")
+        self.release_held(invocation, durable)
+
+    def _on_ended_written(self, invocation: Invocation, durable: bool) -> None:
+        invocation.lifecycle.on_written(EntryKind.ENDED, durable)
+        self.publish(invocation)
+
+    def _on_blocking_ended_written(self, invocation: Invocation, durable: bool) -> None:
+        if not durable:
+            self.journal_of(invocation.record).write(ended_entry(invocation.record), None, keep=True)
+        self._on_ended_written(invocation, durable)
+
+    # What waited for it.
+
+    def release_held(self, invocation: Invocation, may_start: bool) -> None:
+        """Start the attempts that waited for the may-run entry, or end them as not sent."""
+        held, invocation.held_attempts = invocation.held_attempts, []
+        for attempt in held:
+            if may_start and not invocation.lifecycle.final and not invocation.under_replicated:
+                self._state.start_attempt(invocation, attempt)
+                self._state.effects.append(StartAttempt(invocation, attempt))
+            else:
+                invocation.lifecycle.drop_held()
+                self.unsafe_attempts.append(attempt)
+
+    def on_became_primary(self, journal: ReplicatedJournal) -> None:
+        """This dispatcher may act on a journal again: start the attempts that were held only for that."""
+        for invocation in list(self._state.invocations.values()):
+            if (
+                invocation.record.replicated_journal is journal
+                and invocation.held_attempts
+                and invocation.lifecycle.may_start
+            ):
+                self.release_held(invocation, True)
+
+    def publish(self, invocation: Invocation, late: bool = False) -> None:
+        """Show a final answer, once; `late`: its client waits and its time is up, though the journal is not done."""
+        if invocation.lifecycle.stage is not RequestStage.FINAL:
+            return  # it was late, and has been published
+        invocation.lifecycle.publish(late)
+        if not invocation.record.durable:
+            self.on_step("ended")
+            invocation.record.durable = True
+        self._state.effects.append(FinalAnswer(invocation))
+        self._state.settle(invocation.request)
--- /dev/null
+++ b/kelptrail/gateway/effects.py
@@ -0,0 +1,67 @@
+"""What the gateway core asks its host to carry out: attempts, load orders, cancellations, answers, log events."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import StrEnum
+
+from kelptrail.dispatch.entities import Attempt, LoadOrder
+
+from .invocation import Invocation
+
+
+class CancelReason(StrEnum):
+    """Why the host stops waiting for a worker's answer."""
+
+    CANCELLED = "revoked"  # the dispatcher cancelled the attempt
+    SILENT = "silent"  # the request's time is up, or a stream has stalled
+    LOAD_TIMEOUT = "order-time"  # a load order was not answered in time
+    MALFORMED = "malformed"  # the worker's stream broke the protocol
+
+
+@dataclass(frozen=True, slots=True)
+class StartAttempt:
+    """Send the request to the attempt's worker."""
+
+    invocation: Invocation
+    attempt: Attempt
+
+
+@dataclass(frozen=True, slots=True)
+class CancelAttempt:
+    """Stop waiting for an attempt: `CancelReason.CANCELLED` or `CancelReason.SILENT`."""
+
+    attempt: Attempt
+    reason: CancelReason
+
+
+@dataclass(frozen=True, slots=True)
+class StartLoad:
+    """Send a load order to its worker."""
+
+    order: LoadOrder
+
+
+@dataclass(frozen=True, slots=True)
+class ResponsePart:
+    """A part of a streamed response, to be passed on at once."""
+
+    invocation: Invocation
+    data: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class FinalAnswer:
+    """The one final answer is in the record and may be shown: notify the waiters."""
+
+    invocation: Invocation
+
+
+@dataclass(frozen=True, slots=True)
+class LogEvent:
+    """Something unusual, for the log."""
+
+    text: str
+
+
+Effect = StartAttempt | CancelAttempt | StartLoad | ResponsePart | FinalAnswer | LogEvent
--- /dev/null
+++ b/kelptrail/gateway/idempotency_keys.py
@@ -0,0 +1,53 @@
+"""Which activation a client's idempotency key belongs to."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from kelptrail.dispatch.entities import FinalStatus, Idempotency
+
+from .records import Record
+
+
+class KeyConflictError(Exception):
+    """An idempotency key that was used before with another body."""
+
+
+class IdempotencyKeys:
+    """The newest record of each namespace, action path and key."""
+
+    def __init__(self) -> None:
+        self._records: dict[tuple[str, str, str], Record] = {}
+
+    def add(self, record: Record) -> None:
+        """Enter a record that has a key; it replaces an older one."""
+        self._records[record.namespace, record.path, record.key] = record
+
+    def remove(self, record: Record) -> None:
+        """Remove a record, unless a newer one has its key."""
+        at = (record.namespace, record.path, record.key)
+        if record.key and self._records.get(at) is record:
+            del self._records[at]
+
+    def find(self, namespace: str, path: str, key: str, digest: str) -> Record | None:
+        """The activation that a client's repeat joins, or None where the repeat is a new request.
+
+        A rejected one had no effect, so a retry runs; an idempotent one that failed may run again.  Raises
+        `KeyConflictError` where the key came with another body (`digest`).
+        """
+        record = self._records.get((namespace, path, key))
+        if record is None or record.answer is FinalStatus.REJECTED:
+            return None
+        if record.answer is FinalStatus.FAILED and record.idempotency == Idempotency.IDEMPOTENT.value:
+            return None
+        if record.digest != digest:
+            raise KeyConflictError(f"the key belongs to activation {record.id}, which has another body")
+        return record
+
+    def has(self, namespace: str, path_and_key: str, paths: Iterable[str]) -> bool:
+        """Whether `PATH/KEY` is known in a namespace; `paths` are all action paths, as both may contain slashes."""
+        return any(
+            (namespace, path, path_and_key.removeprefix(f"{path}/")) in self._records
+            for path in paths
+            if path_and_key.startswith(f"{path}/")
+        )
--- /dev/null
+++ b/kelptrail/gateway/invocation.py
@@ -0,0 +1,42 @@
+"""A request that the gateway holds: the dispatcher's request, its activation record, and what an attempt carries."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from kelptrail.codec.infer import Answer
+from kelptrail.dispatch.entities import Attempt, Request
+from kelptrail.settings.deployment import ActionSettings
+
+from .lifecycle import RequestLifecycle
+from .records import Record
+
+
+@dataclass(slots=True, eq=False)
+class Invocation:
+    """One request from its submission until its final answer is shown and no attempt is in flight.
+
+    Times are milliseconds by the caller's clock.
+    """
+
+    request: Request
+    record: Record
+    action: ActionSettings
+    payload: bytes
+    deduplication_id: str  # workers recognise a repeated attempt by it
+    lifecycle: RequestLifecycle
+    waiters: list[Callable[[Record], None]] = field(default_factory=list)  # the host calls them with the final answer
+    answer: Answer | None = None
+    payload_format: str = "json"  # of payload and result: "json", or "tensors" for the inference protocol
+    deferred: bool = False  # submitted as non-blocking: the client expects only the activation id
+    streamed: bool = False  # the client accepts the response in parts
+    expires_at: float = 0.0  # when its attempts are cancelled unless something arrives
+    client_key: str = ""  # by which overload control recognises the client's retry
+    part_count: int = 0  # parts of the streamed response so far
+    stream_limit_ms: float = float("inf")  # the client's own limit for the whole stream
+    on_part: Callable[[bytes], None] | None = None  # the host calls it with each part
+    durability_waiters: list[Callable[[bool | None], None]] = field(default_factory=list)
+    under_replicated: bool = False  # too few replicas have its record: its end is journaled before the client is told
+    moved_to_replicated: bool = False  # from the local journal to a replicated one
+    held_attempts: list[Attempt] = field(default_factory=list)  # wait until the may-run entry is durable
--- a/kelptrail/gateway/limits.py
+++ b/kelptrail/gateway/limits.py
@@ -1,56 +1,71 @@
-"""Bounds on what is held at once: calls and bytes in all, calls of one namespace; free of I/O.
+"""Limits of what is in flight at once: requests and bytes in all, requests of one namespace; free of I/O.
 
-A call beyond a bound is refused before anything is done for it: cheap, at once, and counted by its reason.
+A request beyond a limit is rejected before anything is done for it: cheaply, at once, and counted by its reason.
 """
 
 from __future__ import annotations
 
 from collections import Counter
+from enum import StrEnum
+
+RETRY_AFTER_MS = 1000.0  # after a rejection at a limit
+
+
+class RejectionReason(StrEnum):
+    """Why a request is rejected on arrival; the values are shown in the status and the metrics."""
+
+    HELD = "held"  # too many requests in flight
+    BYTES = "bytes"  # their bodies take too much memory
+    NAMESPACE = "namespace"  # too many requests of its namespace in flight
+    EARLY = "early"  # a retry before its retry-after time, under overload
+
 
-HELD, BYTES, NAMESPACE, EARLY = "held", "bytes", "namespace", "early"
-RETRY_AFTER_MS = 1000.0  # when to come back after a refusal at a bound
 REJECTION_MESSAGES = {
-    HELD: "Too many calls are in hand at this dispatcher.",
-    BYTES: "The calls in hand at this dispatcher take too much memory.",
-    EARLY: "The call came again before the time that it was told.",
-    NAMESPACE: "Too many concurrent requests in flight for this namespace.",
+    RejectionReason.HELD: "Too many calls are in hand at this dispatcher.",
+    RejectionReason.BYTES: "The calls in hand at this dispatcher take too much memory.",
+    RejectionReason.EARLY: "The call came again before the time that it was told.",
+    RejectionReason.NAMESPACE: "Too many concurrent requests in flight for this namespace.",
 }
 
 
+class NothingInFlightError(Exception):
+    """A request ends in a namespace that has none in flight."""
+
+
 class InFlightLimits:
-    """What is in hand, and its bounds.  `bytes` counts the bodies of calls without a final answer."""
+    """What is in flight, and its limits.  `bytes` counts the bodies of requests without a final answer."""
 
-    def __init__(self, most: int, most_bytes: float, most_each: int) -> None:
-        self._most, self._most_bytes, self._most_each = most, most_bytes, most_each
-        self._each: Counter[str] = Counter()
+    def __init__(self, max_requests: int, max_bytes: float, max_per_namespace: int) -> None:
+        self._max_requests, self._max_bytes, self._max_per_namespace = max_requests, max_bytes, max_per_namespace
+        self._by_namespace: Counter[str] = Counter()
         self.requests, self.bytes = 0, 0
         self.rejections: Counter[str] = Counter()
 
-    def rejection_reason(self, namespace: str, size: int) -> str | None:
-        """Why a call of so many bytes is refused, or None; a refusal is counted."""
+    def rejection_reason(self, namespace: str, size: int) -> RejectionReason | None:
+        """Why a request of `size` bytes is rejected, or None; a rejection is counted."""
         reason = None
-        if self.requests >= self._most:
-            reason = HELD
-        elif self.bytes + size > self._most_bytes:
-            reason = BYTES
-        elif self._each[namespace] >= self._most_each:
-            reason = NAMESPACE
+        if self.requests >= self._max_requests:
+            reason = RejectionReason.HELD
+        elif self.bytes + size > self._max_bytes:
+            reason = RejectionReason.BYTES
+        elif self._by_namespace[namespace] >= self._max_per_namespace:
+            reason = RejectionReason.NAMESPACE
         if reason is not None:
             self.rejections[reason] += 1
         return reason
 
     def acquire(self, namespace: str, size: int) -> None:
-        """A call is in hand."""
+        """A request of `size` bytes is accepted."""
         self.requests += 1
         self.bytes += size
-        self._each[namespace] += 1
+        self._by_namespace[namespace] += 1
 
     def release(self, namespace: str, size: int) -> None:
-        """It has its final answer.  Raises ValueError where none of the namespace is in hand."""
-        if not self._each[namespace]:
-            raise ValueError(f"nothing of {namespace} is in hand")
+        """It has its final answer.  Raises `NothingInFlightError`."""
+        if not self._by_namespace[namespace]:
+            raise NothingInFlightError(f"nothing of {namespace} is in flight")
         self.requests -= 1
         self.bytes -= size
-        self._each[namespace] -= 1
-        if not self._each[namespace]:
-            del self._each[namespace]
+        self._by_namespace[namespace] -= 1
+        if not self._by_namespace[namespace]:
+            del self._by_namespace[namespace]
--- a/kelptrail/gateway/records.py
+++ b/kelptrail/gateway/records.py
@@ -1,6 +1,6 @@
-"""Activation records: made when a call is taken, ended once, kept for a number, a size and a time.
+"""Activation records: created when a request is accepted, ended once, and kept up to a number, a size and an age.
 
-Free of I/O.  Wall times are handed in and only shown; keeping goes by the clock of the caller.
+Free of I/O.  Wall times are passed in and only shown; ages go by the caller's clock.  Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -11,63 +11,69 @@
 from itertools import takewhile
 from typing import Any, Protocol
 
+from kelptrail.dispatch.entities import FinalStatus
+
 
 class ReplicatedJournal(Protocol):
-    """A book that other dispatchers hold copies of, as its owner writes to it."""
+    """An activation journal with replicas on other dispatchers, as its primary writes to it."""
 
     def is_accepting(self) -> bool:
-        """Whether a new call can be promised."""
+        """Whether a new request can be made durable."""
 
     def may_act(self, now: float) -> bool:
-        """Whether what is in it may be acted on at this instant."""
+        """Whether this dispatcher is the primary at this instant, so that it may act on the entries."""
 
     def write(self, entry: Any, waiter: Callable[[bool], None] | None = None, keep: bool = False) -> None:
-        """Write an entry.  `waiter` is told once it is safe: True, or, of what was accepted, False where fewer have it
-        than was asked for; never, where the book is lost before."""
+        """Write an entry; a failure is tried again with `keep`.
+
+        `waiter` is called with True once the entry is durable, and with False where too few replicas have an accepted
+        entry; never where another dispatcher takes the journal over before.
+        """
 
     def forget(self, id_: str) -> None:
-        """An activation whose record is no longer kept."""
+        """Drop the entries of an activation whose record is no longer kept."""
 
 
-ANSWERS = {"completed": 0, "rejected": 1, "aborted": 2}
+FINAL_COUNT_INDEX = {FinalStatus.COMPLETED: 0, FinalStatus.REJECTED: 1, FinalStatus.FAILED: 2}  # in `final_counts`
+RECORD_BYTES, LOG_LINE_BYTES = 900, 60  # about what a record, and a log line, takes besides its text
 STATUS_MESSAGES = ("success", "application error", "action developer error", "whisk internal error")
 
 
 @dataclass(slots=True, eq=False)
 class Record:
-    """One activation as its namespace may see it.  Times are milliseconds; `start` is wall time."""
+    """One activation as its namespace sees it.  `start` and `end` are wall time, other times the caller's clock."""
 
     id: str
     namespace: str
     path: str  # package/name, or name
-    request_class: str  # its namespace type
-    idempotency: str
+    request_class: str  # its name in the deployment
+    idempotency: str  # a value of `Idempotency`
     start: float
-    received_at: float  # by the clock of the caller
+    received_at: float
     timeout_ms: float
     trace: str
-    end: float = 0.0  # wall time; 0 while in hand
-    answer: str = ""  # "completed", "rejected" or "aborted"
-    code: int = 0  # place in STATUS
+    end: float = 0.0  # 0 while in flight
+    answer: FinalStatus | None = None  # None while in flight
+    code: int = 0  # index of STATUS_MESSAGES
     result: bytes = b"{}"
-    retry_after_ms: float = 0.0  # with a rejection: when to come back
-    deduplicated_for_ms: float = 0.0  # with a deduplicated one that may have run: how long its mark still holds
+    retry_after_ms: float = 0.0  # with a rejection
+    deduplicated_for_ms: float = 0.0  # rejected, may have run: how long the workers still drop a repeat
     attempt_count: int = 0
-    timed_out: bool = False  # it was aborted as its time, or that of its stream, was up; not kept over a restart
-    queued_ms: float = 0.0  # from taken to the first send
-    durable: bool = True  # its final answer may be shown: it is as durable as it was promised to be
-    key: str = ""  # the client's mark against repeats, and what tells another body under it
-    digest: str = ""
+    timed_out: bool = False  # failed because its time, or that of its stream, was up; not kept over a restart
+    queued_ms: float = 0.0  # from its acceptance to its first attempt
+    durable: bool = True  # its final answer may be shown: it is as durable as the client was promised
+    key: str = ""  # the client's idempotency key
+    digest: str = ""  # of the body, to recognise another body under the same key
     payload_format: str = "json"  # of its result: a JSON value, or "tensors"
-    deferred: bool = False  # its client was given the id and will ask
-    fetched: bool = False  # its final answer was shown
+    deferred: bool = False  # its client was given the id and will ask for the answer
+    fetched: bool = False  # its client has seen the final answer
     logs: list[str] = field(default_factory=list)
-    replicated_journal: ReplicatedJournal | None = None  # where it is kept, if not on this dispatcher's disk alone
+    replicated_journal: ReplicatedJournal | None = None  # None: at most the local journal has it
 
     @property
     def final(self) -> bool:
         """Whether it has its one final answer."""
-        return bool(self.answer)
+        return self.answer is not None
 
     @property
     def visible(self) -> bool:
@@ -82,18 +88,22 @@
     @property
     def size(self) -> int:
         """About how many bytes it takes."""
-        return 900 + len(self.result) + sum(len(line) + 60 for line in self.logs)
+        return RECORD_BYTES + len(self.result) + sum(len(line) + LOG_LINE_BYTES for line in self.logs)
 
 
 class AlreadyFinalError(Exception):
     """A second final answer for one activation."""
 
 
+class DuplicateRecordError(Exception):
+    """A second record under one activation id."""
+
+
 class Records:
     """All records of one dispatcher.  Only those with a final answer are ever dropped, oldest first."""
 
-    def __init__(self, most: int, most_bytes: float, keep_ms: float) -> None:
-        self._most, self._most_bytes, self._keep_ms = most, most_bytes, keep_ms
+    def __init__(self, max_records: int, max_bytes: float, max_age_ms: float) -> None:
+        self._max_records, self._max_bytes, self._max_age_ms = max_records, max_bytes, max_age_ms
         self._by_id: OrderedDict[str, Record] = OrderedDict()
         self._ended: deque[tuple[float, Record]] = deque()  # when, by the caller's clock, and which
         self._bytes = 0
@@ -110,32 +120,34 @@
         return self._bytes
 
     def add(self, record: Record) -> None:
-        """Enter a record for an activation just taken."""
+        """Add the record of a request just accepted.  Raises `DuplicateRecordError`."""
         if record.id in self._by_id:
-            raise ValueError(f"activation {record.id} is there already")
+            raise DuplicateRecordError(f"activation {record.id} has a record already")
         self._by_id[record.id] = record
 
-    def end(self, now: float, record: Record, answer: str, code: int, result: bytes) -> None:
+    def end(self, now: float, record: Record, answer: FinalStatus, code: int, result: bytes) -> None:
         """Give the one final answer.  Raises `AlreadyFinalError` at a second."""
-        if record.answer:
+        if record.answer is not None:
             raise AlreadyFinalError(f"activation {record.id} was {record.answer} and would be {answer}")
         record.answer, record.code, record.result = answer, code, result
         record.end = record.start + (now - record.received_at)
-        self.final_counts.setdefault(record.namespace, [0, 0, 0])[ANSWERS[answer]] += 1
+        self.final_counts.setdefault(record.namespace, [0, 0, 0])[FINAL_COUNT_INDEX[answer]] += 1
         self._ended.append((now, record))
         self._bytes += record.size
         self.trim(now)
 
     def restore(self, now: float, record: Record) -> None:
-        """Enter one that had ended before a restart."""
+        """Add one that had ended before a restart."""
         self._by_id[record.id] = record
         self._ended.append((now, record))
         self._bytes += record.size
 
     def trim(self, now: float) -> None:
-        """Drop what is beyond the number, the size or the time."""
+        """Drop the oldest ended records beyond the number, the size or the age; `on_drop` is called for each."""
         while self._ended and (
-            len(self._ended) > self._most or self._bytes > self._most_bytes or now - self._ended[0][0] > self._keep_ms
+            len(self._ended) > self._max_records
+            or self._bytes > self._max_bytes
+            or now - self._ended[0][0] > self._max_age_ms
         ):
             _, record = self._ended.popleft()
             self._bytes -= record.size
@@ -144,12 +156,12 @@
             if self.on_drop is not None:
                 self.on_drop(record)
 
-    def kept_by(self, book: ReplicatedJournal) -> list[Record]:
-        """All that a book keeps."""
-        return [record for record in self._by_id.values() if record.replicated_journal is book]
+    def kept_by(self, journal: ReplicatedJournal) -> list[Record]:
+        """All records that a replicated journal keeps."""
+        return [record for record in self._by_id.values() if record.replicated_journal is journal]
 
     def remove(self, records: Iterable[Record]) -> None:
-        """Another dispatcher has them from now on."""
+        """Remove records that another dispatcher has from now on; `on_drop` is not called."""
         gone = {record.id for record in records}
         self._ended = deque(kept for kept in self._ended if kept[1].id not in gone)
         for id_ in gone:
@@ -166,23 +178,23 @@
         return record if record is not None and record.namespace == namespace else None
 
     def newest(
-        self, namespace: str, name: str | None = None, since: float = 0.0, upto: float = float("inf")
+        self, namespace: str, name: str | None = None, since: float = 0.0, until: float = float("inf")
     ) -> Iterator[Record]:
-        """Ended records of a namespace, last taken first; `name` is an action's path or bare name."""
+        """Visible records of a namespace started in a span of wall time, newest first; `name`: path or bare name."""
         for record in reversed(self._by_id.values()):
             if (
                 record.namespace == namespace
                 and record.visible
-                and since <= record.start <= upto
+                and since <= record.start <= until
                 and (name is None or name in (record.path, record.name))
             ):
                 yield record
 
     def unread_since(self, since: float) -> int:
-        """How many deferred ones ended after `since` and were not asked for yet."""
+        """How many deferred ones ended after `since` and were not fetched yet."""
         recent = takewhile(lambda ended: ended[0] > since, reversed(self._ended))
         return sum(record.deferred and not record.fetched for _, record in recent)
 
     def in_flight(self) -> int:
-        """How many have no final answer yet."""
+        """How many have no final answer."""
         return len(self._by_id) - len(self._ended)
--- /dev/null
+++ b/kelptrail/gateway/recovery.py
@@ -0,0 +1,228 @@
+"""After a restart or a takeover: restores records from a journal, and ends or resumes what had no final answer."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+import msgspec
+
+from kelptrail.dispatch.entities import (
+    Attempt,
+    AttemptStatus,
+    FinalStatus,
+    Function,
+    Idempotency,
+    Instance,
+    Request,
+    RequestClass,
+    Worker,
+)
+from kelptrail.store.activation_journal import ActivationEntries
+from kelptrail.store.entries import Accepted, Ended
+from kelptrail.store.recovery import EndRequest, RecoveryRule, ResumeQueue, ResumeRequest, decide_recovery
+
+from .durability import DurabilityWriter, ended_entry
+from .invocation import Invocation
+from .lifecycle import RequestLifecycle
+from .records import Record, ReplicatedJournal
+from .state import GatewayState
+
+CODE_INTERNAL_ERROR = 3  # index of `records.STATUS_MESSAGES`
+
+
+class MissingRecordError(Exception):
+    """A request is to be resumed whose record is gone."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Source:
+    """Where entries come from and when they are read: `now` by the caller's clock, `wall` wall time, milliseconds."""
+
+    now: float
+    wall: float
+    journal: ReplicatedJournal | None
+
+
+class RestartRecovery:
+    """Takes up journals; resumed requests go to the dispatcher a few at a time (`resume_ready`)."""
+
+    def __init__(self, state: GatewayState, durability: DurabilityWriter) -> None:
+        self._state, self._durability = state, durability
+        self._queue: ResumeQueue | None = None  # while something found waits or is resumed
+        self._queue_started_at = 0.0  # times in the queue count from here
+        self._resumed_ids = set[str]()  # resumed, without a final answer yet
+
+    def recover(
+        self,
+        now: float,
+        wall: float,
+        activations: Iterable[ActivationEntries],
+        min_run_ms: float,
+        max_concurrent: int,
+        journal: ReplicatedJournal | None = None,
+    ) -> dict[str, int]:
+        """Take up a journal's activations; how many were ended, aborted, rejected, resumed, unknown.
+
+        Ended ones can be asked for again; the others are ended, or resumed within their time, at most `max_concurrent`
+        at once.  `min_run_ms`: the least time in which a run is worth beginning.  `journal`: a replicated one, of
+        another run or another dispatcher; None: the local one.
+        """
+        source = _Source(now, wall, journal)
+        found: list[ResumeRequest] = []
+        counts = {"ended": 0, "aborted": 0, "rejected": 0, "resumed": 0, "unknown": 0}
+        for entries in activations:
+            outcome = self._recover_one(source, entries, min_run_ms, found)
+            if outcome is not None:
+                counts[outcome] += 1
+        if self._queue is None:
+            self._queue, self._queue_started_at = ResumeQueue([], max_concurrent, min_run_ms), now
+        self._queue.add(found, now - self._queue_started_at)
+        self._state.records.trim(now)
+        return counts
+
+    def _recover_one(
+        self, source: _Source, entries: ActivationEntries, min_run_ms: float, found: list[ResumeRequest]
+    ) -> str | None:
+        """Under which word one activation is counted; None where its record is here already."""
+        deployment, accepted = self._state.parts.deployment, entries.accepted
+        action = deployment.actions.get(accepted.path)
+        if action is None or accepted.namespace not in self._state.parts.tenants:
+            return "unknown"  # the settings have changed: its entries stay on disk
+        if self._state.records.has(accepted.id):
+            return None
+        if entries.ended is not None:
+            self._restore(source, accepted, entries.ended)
+            return "ended"
+        kind = deployment.types[action.type]
+        rule = RecoveryRule(Idempotency(kind.effect), kind.scope, kind.remembered_ms, kind.utility)
+        decided = decide_recovery(entries, rule, source.wall, min_run_ms)
+        self._add_record(source, accepted)
+        if isinstance(decided, ResumeRequest):
+            found.append(decided)
+            return "resumed"
+        self._end(source.now, decided)
+        return decided.answer.value
+
+    def _add_record(self, source: _Source, accepted: Accepted) -> Record:
+        """The record of a request without a final answer; its time continues from its acceptance."""
+        deployment = self._state.parts.deployment
+        kind = deployment.types[deployment.actions[accepted.path].type]
+        record = Record(
+            accepted.id,
+            accepted.namespace,
+            accepted.path,
+            kind.name,
+            kind.effect,
+            accepted.start,
+            source.now - max(0.0, source.wall - accepted.start),
+            accepted.timeout_ms,
+            accepted.trace,
+        )
+        record.key, record.digest = accepted.key or "", accepted.digest
+        record.deferred, record.payload_format = accepted.deferred, accepted.form
+        record.replicated_journal = source.journal
+        self._state.records.add(record)
+        if accepted.key:
+            self._state.keys.add(record)
+        return record
+
+    def _restore(self, source: _Source, accepted: Accepted, ended: Ended) -> None:
+        record = self._add_record(source, accepted)
+        record.end, record.answer = ended.end, FinalStatus(ended.answer)
+        record.code, record.result = ended.code, ended.result
+        record.retry_after_ms, record.deduplicated_for_ms = ended.return_ms, ended.repeat_within_ms
+        record.attempt_count = ended.sends
+        self._state.records.restore(source.now, record)
+
+    def _end(self, now: float, end: EndRequest) -> None:
+        """Give the final answer that recovery decided, and journal it."""
+        state = self._state
+        record = state.records.get(end.entries.accepted.namespace, end.entries.accepted.id)
+        if record is None or (record.replicated_journal is None and self._durability.journal is None):
+            return
+        result = msgspec.json.encode({"error": f"The activation was {end.answer}: {end.reason}."})
+        state.records.end(now, record, end.answer, CODE_INTERNAL_ERROR, result)
+        if end.answer is FinalStatus.REJECTED:
+            state.counts.rejected += 1
+        else:
+            state.counts.failed += 1
+        record.durable = False
+
+        def on_written(_durable: bool, record: Record = record) -> None:
+            record.durable = True
+
+        self._durability.journal_of(record).write(ended_entry(record), on_written, keep=True)
+
+    # Resuming.
+
+    def resume_ready(self, now: float) -> None:
+        """Resume what may be resumed now; end what ran out of time while it waited."""
+        while self._queue is not None:
+            found = self._queue.next(now - self._queue_started_at)
+            if found is None:
+                if not len(self._queue) and not self._resumed_ids:
+                    self._queue = None
+                return
+            if isinstance(found, EndRequest):
+                self._end(now, found)
+            else:
+                self._resume(now, found)
+
+    def _resume(self, now: float, found: ResumeRequest) -> None:
+        state, accepted, may_run = self._state, found.entries.accepted, found.entries.may_run
+        record = state.records.get(accepted.namespace, accepted.id)
+        if record is None:
+            raise MissingRecordError(f"activation {accepted.id} is to be resumed and has no record")
+        action = state.parts.deployment.actions[accepted.path]
+        request_class, function = state.parts.request_classes[action.type], state.parts.function(accepted.path)
+        request = self._request(now, found, request_class, function)
+        invocation = Invocation(
+            request,
+            record,
+            action,
+            accepted.payload,
+            f"{accepted.namespace}/{accepted.path}/{accepted.key}" if accepted.key is not None else accepted.id,
+            RequestLifecycle.resumed(request_class.idempotency is Idempotency.IDEMPOTENT, may_run is not None),
+            payload_format=accepted.form,
+            expires_at=request.deadline,
+        )
+        invocation.lifecycle.queue()
+        state.invocations[request] = state.invocations_by_id[accepted.id] = invocation
+        self._resumed_ids.add(accepted.id)
+        state.deadlines.add(request.deadline, request)
+        state.counts.received += 1
+        state.limits.acquire(accepted.namespace, len(accepted.payload))
+        state.dispatcher.on_request(now, request, anew=False)
+
+    def _request(self, now: float, found: ResumeRequest, request_class: RequestClass, function: Function) -> Request:
+        """The dispatcher's request, with the attempt of the earlier run if that may have reached a worker."""
+        accepted, may_run = found.entries.accepted, found.entries.may_run
+        queued_ms = now - self._queue_started_at
+        request = Request(
+            accepted.id,
+            request_class,
+            function,
+            self._state.parts.tenants[accepted.namespace],
+            now,
+            now + (found.remaining_ms - queued_ms) - self._state.margin_ms,
+            has_idempotency_key=accepted.key is not None,
+        )
+        if may_run is not None and found.deduplicated_for_ms is not None:
+            started_at = now + found.deduplicated_for_ms - queued_ms - request_class.deduplication_window_ms
+            instance = Instance(function, Worker(may_run.worker))  # the worker of then counts as lost
+            request.attempts.append(Attempt(request, instance, 0, started_at, AttemptStatus.SILENT))
+        return request
+
+    def on_finished(self, id_: str) -> None:
+        """A request has its final answer, or another dispatcher has it: if it was resumed, the next one may be."""
+        if id_ not in self._resumed_ids:
+            return
+        self._resumed_ids.remove(id_)
+        if self._queue is not None:
+            self._queue.on_finished()
+
+    def remove(self, ids: Iterable[str]) -> None:
+        """Another dispatcher has taken these over: they are not resumed here."""
+        if self._queue is not None:
+            self._queue.remove(ids)
--- /dev/null
+++ b/kelptrail/gateway/state.py
@@ -0,0 +1,88 @@
+"""What the parts of a gateway share: requests in flight, pending effects, records, limits and counters."""
+
+from __future__ import annotations
+
+from collections import deque
+from zlib import crc32
+
+from kelptrail.dispatch.entities import Attempt, Request
+from kelptrail.dispatch.timer_queue import TimerQueue
+from kelptrail.membership.members import Members
+
+from .build import DispatcherParts
+from .counters import FunctionCounters, GatewayCounters
+from .effects import Effect
+from .idempotency_keys import IdempotencyKeys
+from .invocation import Invocation
+from .lifecycle import RequestStage
+from .limits import InFlightLimits
+from .overload import OverloadController, OverloadSettings
+from .records import Records
+
+
+def is_repeat(attempt: Attempt) -> bool:
+    """Whether an earlier attempt of the same request may have run: a hedge, or a retry after a failure."""
+    return any(other.may_have_run for other in attempt.request.attempts[: attempt.number])
+
+
+class GatewayState:
+    """State of one gateway.  It changes only through the gateway and its parts, on one thread."""
+
+    def __init__(self, parts: DispatcherParts, boot: str) -> None:
+        place = parts.deployment.dispatcher
+        damping = parts.deployment.storm
+        self.parts = parts
+        self.dispatcher = parts.dispatcher
+        self.margin_ms = place.answer_margin_ms  # a final answer is given this long before the client's limit
+        self.invocations: dict[Request, Invocation] = {}
+        self.invocations_by_id: dict[str, Invocation] = {}
+        self.effects: deque[Effect] = deque()  # decided, not yet handed to the host
+        self.deadlines = TimerQueue()  # requests whose attempts are cancelled when it fires
+        self.keys = IdempotencyKeys()
+        self.limits = InFlightLimits(place.held, place.held_mb * 1e6, place.held_each)
+        self.overload = OverloadController(
+            OverloadSettings(
+                damping.damp, max_retry_after_ms=damping.longest_return_ms, max_clients=damping.most_known
+            ),
+            crc32(boot.encode()),
+            {space.name: space.allowed_per_s for space in parts.deployment.namespaces.values()},
+        )
+        self.members = Members(parts.zones)
+        self.records = Records(place.records, place.records_mb * 1e6, place.record_ms)
+        self.counts = GatewayCounters()
+        self.counters_by_model: dict[str, FunctionCounters] = {}  # since the last report to a planner
+
+    def counters_of(self, path: str) -> FunctionCounters:
+        """The counters of an action's model."""
+        model = self.parts.deployment.actions[path].model
+        counters = self.counters_by_model.get(model)
+        if counters is None:
+            counters = self.counters_by_model[model] = FunctionCounters()
+        return counters
+
+    def take_counters(self) -> dict[str, FunctionCounters]:
+        """The counters by model since the last call."""
+        taken, self.counters_by_model = self.counters_by_model, {}
+        for model, counters in taken.items():
+            counters.queue_depth = self.parts.function(self.parts.paths[model]).queue_depth
+        return taken
+
+    def start_attempt(self, invocation: Invocation, attempt: Attempt) -> None:
+        """Count an attempt that goes out.  Raises `IllegalStepError` where its may-run entry is not durable."""
+        invocation.lifecycle.start_attempt()
+        self.counts.repeat_attempts += is_repeat(attempt)
+        invocation.record.attempt_count += 1
+        self.counts.attempts += 1
+
+    def settle(self, request: Request) -> None:
+        """Forget a request once its final answer is shown and none of its attempts is in flight."""
+        invocation = self.invocations.get(request)
+        if (
+            invocation is not None
+            and invocation.lifecycle.stage is RequestStage.PUBLISHED
+            and all(attempt.status for attempt in request.attempts)
+        ):
+            invocation.lifecycle.forget()
+            del self.invocations[request]
+            self.invocations_by_id.pop(invocation.record.id, None)
+            request.attempts = []  # attempts refer to their request: freed without the cycle collector
--- a/kelptrail/service/control.py
+++ b/kelptrail/service/control.py
@@ -97,7 +97,7 @@
         } | {name: status() for name, status in self._more.items()}
 
     def _journal(self) -> dict[str, Any] | None:
-        journal = self._driver.gateway.journal
+        journal = self._driver.gateway.durability.journal
         if journal is None:
             return None
         return {
--- a/kelptrail/service/journal_takeover.py
+++ b/kelptrail/service/journal_takeover.py
@@ -16,7 +16,7 @@
     """New deferred calls go to this process's book, what is taken over to the gateway; `at_once`, `least_ms`: as after
     a restart.  None: there is nowhere to keep copies, and nothing is promised."""
     if copies is None:
-        gateway.replicated_journal = lambda: None
+        gateway.durability.replicated_journal = lambda: None
         return
 
     def taken(held: PrimaryHandle, lives: list[ActivationEntries]) -> None:
@@ -32,7 +32,7 @@
         driver.schedule_decisions()
         return count
 
-    gateway.replicated_journal, driver.start_replication = copies.promising, copies.carry
+    gateway.durability.replicated_journal, driver.start_replication = copies.promising, copies.carry
     copies.on_taken, copies.on_acts, copies.on_lost, copies.has = taken, acts, lost, gateway.has_record
     copies.progress = driver.schedule_decisions
     copies.busy = lambda held: any(not record.final for record in gateway.records.kept_by(held))
--- a/kelptrail/service/serve.py
+++ b/kelptrail/service/serve.py
@@ -134,7 +134,9 @@
         journal.failing, journal.reason = True, "the book cannot be used"
     gateway = Gateway(world, boot, journal)
     if options.crash_at:
-        gateway.on_step = lambda step: os.kill(os.getpid(), signal.SIGKILL) if step == options.crash_at else None
+        gateway.durability.on_step = lambda step: (
+            os.kill(os.getpid(), signal.SIGKILL) if step == options.crash_at else None
+        )
     if options.pause_at:
         left = [options.pause_at]
 
@@ -143,7 +145,7 @@
                 left.clear()
                 os.kill(os.getpid(), signal.SIGSTOP)
 
-        gateway.on_step = stand_still
+        gateway.durability.on_step = stand_still
     driver = GatewayDriver(gateway, f"{options.name}/{boot}", deployment.pool, log)
     driver.debug = debug
     keepers = {
@@ -218,7 +220,7 @@
             api.copies = inference.copies = fleet.copies
     if book is not None and journal is not None:
         driver.journal = JournalDriver(journal, book, driver.schedule_decisions, log)
-        gateway.on_forget = driver.journal.forget
+        gateway.durability.on_forget = driver.journal.forget
         began = now_ms()
         # Half the margin is the least in which a run is worth beginning, as little time as a send and its answer take.
         # What moved on to a book with copies is found there.
@@ -248,7 +250,7 @@
     usage: Usage | None = None
     if fleet is not None:
         if fleet.leases is not None and options.crash_at:
-            fleet.leases.passes = gateway.on_step
+            fleet.leases.passes = gateway.durability.on_step
         if fleet.leases is not None and deployment.leases is not None and deployment.leases.usage_ms:
             usage = Usage(
                 fleet.leases,
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -27,7 +27,9 @@
     FaultScenario,
 )
 from kelptrail.gateway.build import DispatcherParts
-from kelptrail.gateway.core import CancelAttempt, FinalAnswer, Gateway, Invocation, StartAttempt, StartLoad
+from kelptrail.gateway.core import Gateway
+from kelptrail.gateway.effects import CancelAttempt, FinalAnswer, StartAttempt, StartLoad
+from kelptrail.gateway.invocation import Invocation
 from kelptrail.gateway.overload import OverloadStage as Calm
 from kelptrail.gateway.records import Record
 from kelptrail.load.arrivals import Arrivals, popularity
@@ -554,7 +556,7 @@
             if known is not None:
                 self._join(dispatcher, wish, known)
                 return
-        if wish.deferred and gateway.journal is not None and not gateway.journal.is_accepting():
+        if wish.deferred and gateway.durability.journal is not None and not gateway.durability.journal.is_accepting():
             self._not_taken(wish)
             return
         refused = gateway.on_connect(now, wish.space.name, wish.action.path, 100, wish.ticket)
@@ -625,7 +627,7 @@
 
     def _told(self, wish: Wish, record: Record, took: float | None) -> None:
         within = record.deduplicated_for_ms or None
-        self._final(wish, record.id, record.answer, record.retry_after_ms, within, took, record.code)
+        self._final(wish, record.id, record.answer or "", record.retry_after_ms, within, took, record.code)
 
     def _patience(self, wish: Wish, number: str) -> None:
         if wish.number == number and wish.patience is not None:
--- a/kelptrail/store/recovery.py
+++ b/kelptrail/store/recovery.py
@@ -11,6 +11,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
+from kelptrail.dispatch.entities import FinalStatus, Idempotency
+
 from .activation_journal import ActivationEntries
 
 WAS_DOWN = "Its dispatcher was down until its time was up"
@@ -20,9 +22,9 @@
 class RecoveryRule:
     """What must be known of a namespace type."""
 
-    effect: str
-    scope: str
-    remembered_ms: float
+    idempotency: Idempotency
+    scope: str  # of deduplication: "all", "zone" or "cell"
+    deduplication_window_ms: float
     utility: float
 
 
@@ -31,7 +33,7 @@
     """Give it its final answer now."""
 
     entries: ActivationEntries
-    answer: str  # "rejected" or "aborted"
+    answer: FinalStatus  # REJECTED or FAILED
     reason: str
 
 
@@ -54,23 +56,27 @@
     if gone < 0:  # the clock went back: nobody knows for how long it was down
         gone = accepted.timeout_ms
     left = accepted.timeout_ms - gone
-    if ran is not None and rule.effect == "once-only":
-        return EndRequest(life, "aborted", "It may have run when its dispatcher failed, and must not run twice")
-    if ran is not None and rule.effect == "deduplicated":
-        again = rule.remembered_ms - max(0.0, wall - ran.sent)
+    if ran is not None and rule.idempotency is Idempotency.AT_MOST_ONCE:
+        return EndRequest(
+            life, FinalStatus.FAILED, "It may have run when its dispatcher failed, and must not run twice"
+        )
+    if ran is not None and rule.idempotency is Idempotency.DEDUPLICATED:
+        again = rule.deduplication_window_ms - max(0.0, wall - ran.sent)
         if rule.scope != "all":
             return EndRequest(
-                life, "aborted", "It may have run when its dispatcher failed, at a group that is not known now"
+                life, FinalStatus.FAILED, "It may have run when its dispatcher failed, at a group that is not known now"
             )
         if again <= least_ms:
             return EndRequest(
-                life, "aborted", "It may have run when its dispatcher failed; a repeat would not be dropped now"
+                life,
+                FinalStatus.FAILED,
+                "It may have run when its dispatcher failed; a repeat would not be dropped now",
             )
         if left <= least_ms:
-            return EndRequest(life, "aborted", WAS_DOWN + "; it may have run")
+            return EndRequest(life, FinalStatus.FAILED, WAS_DOWN + "; it may have run")
         return ResumeRequest(life, left, again, rule.utility / left)
     if left <= least_ms:
-        return EndRequest(life, "rejected", WAS_DOWN)
+        return EndRequest(life, FinalStatus.REJECTED, WAS_DOWN)
     return ResumeRequest(life, left, None, rule.utility / left)
 
 
@@ -94,7 +100,7 @@
         if first.remaining_ms - since_ms <= self._least_ms:
             self._left.popleft()
             ran = first.entries.may_run is not None and first.deduplicated_for_ms is not None
-            return EndRequest(first.entries, "aborted" if ran else "rejected", WAS_DOWN)
+            return EndRequest(first.entries, FinalStatus.FAILED if ran else FinalStatus.REJECTED, WAS_DOWN)
         if self._out >= self._at_once:
             return None
         self._left.popleft()
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -108,7 +108,7 @@
         await calling
         await planner.stop()  # gone: the plan goes on until it runs out, calls all the while
         assert await pair.calls(2.5) > 30 and pair.edge.follower.wants(now_ms()) is None
-        assert not any(f.planned for f in pair.dispatcher.gateway._world._functions.values())
+        assert not any(f.planned for f in pair.dispatcher.gateway.state.parts._functions.values())
         pair.planners = [pair.planner(0, port=int(planner.address.rpartition(":")[2]))]
         await asyncio.gather(until(lambda: pair.edge.follower.wants(now_ms())), pair.calls(3.0))
         assert pair.planners[0].core.epoch > planner.core.epoch, "a new epoch fences what the first may still say"
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -8,10 +8,12 @@
 from program import DEPLOYMENT
 
 from kelptrail.codec.infer import Answer
-from kelptrail.dispatch.entities import NEVER_RAN, Attempt, AttemptStatus, Idempotency, WorkerState
+from kelptrail.dispatch.entities import NEVER_RAN, Attempt, AttemptStatus, FinalStatus, Idempotency, WorkerState
 from kelptrail.gateway.build import DispatcherParts
-from kelptrail.gateway.core import CancelAttempt, FinalAnswer, Gateway, Invocation, StartAttempt, StartLoad
-from kelptrail.gateway.limits import InFlightLimits
+from kelptrail.gateway.core import Gateway
+from kelptrail.gateway.effects import CancelAttempt, FinalAnswer, StartAttempt, StartLoad
+from kelptrail.gateway.invocation import Invocation
+from kelptrail.gateway.limits import InFlightLimits, NothingInFlightError
 from kelptrail.gateway.records import AlreadyFinalError, Record, Records
 from kelptrail.membership.members import Endpoint, EndpointList, Members
 from kelptrail.settings.deployment import parse
@@ -126,7 +128,7 @@
     counts = life.gateway.counts
     assert counts.completed and counts.rejected and counts.failed
     assert counts.received == counts.completed + counts.rejected + counts.failed == len(life.told)
-    assert life.gateway.in_flight == 0 and not life.gateway._ivks, "nothing is left behind"
+    assert life.gateway.in_flight == 0 and not life.gateway.state.invocations, "nothing is left behind"
     assert life.gateway.limits.requests == life.gateway.limits.bytes == 0
 
 
@@ -139,17 +141,17 @@
     for n in range(6):
         records.add(record(f"r{n}", float(n)))
     for n in (0, 1, 2, 4, 5):
-        records.end(10.0 + n, records.get("one", f"r{n}"), "completed", 0, b"{}")  # type: ignore[arg-type]
+        records.end(10.0 + n, records.get("one", f"r{n}"), FinalStatus.COMPLETED, 0, b"{}")  # type: ignore[arg-type]
     assert [r.id for r in records.newest("one")] == ["r5", "r4", "r2"] and records.in_flight() == 1
     assert records.get("two", "r5") is None and records.get("one", "r3") is not None
     with pytest.raises(AlreadyFinalError):
-        records.end(20.0, records.get("one", "r5"), "aborted", 3, b"{}")  # type: ignore[arg-type]
+        records.end(20.0, records.get("one", "r5"), FinalStatus.FAILED, 3, b"{}")  # type: ignore[arg-type]
     records.trim(1014.5)
     assert [r.id for r in records.newest("one")] == ["r5"]
     small = Records(100, 3000.0, 1e9)
     for n in range(5):
         small.add(record(f"s{n}", 0.0))
-        small.end(1.0, small.get("one", f"s{n}"), "completed", 0, b"x" * 500)  # type: ignore[arg-type]
+        small.end(1.0, small.get("one", f"s{n}"), FinalStatus.COMPLETED, 0, b"x" * 500)  # type: ignore[arg-type]
     assert [r.id for r in small.newest("one")] == ["s4", "s3"] and small.dropped == 3
 
 
@@ -180,7 +182,7 @@
     assert dict(holdings.rejections) == {"namespace": 1, "bytes": 1, "held": 1}
     holdings.release("one", 10)
     assert holdings.rejection_reason("one", 10) is None and holdings.bytes == 30
-    with pytest.raises(ValueError, match="three"):
+    with pytest.raises(NothingInFlightError, match="three"):
         holdings.release("three", 1)
 
 
@@ -188,7 +190,7 @@
     """Guards against a herd of deadlines: two thousand calls taken within 100 ms by a dispatcher that had just come
     back were answered up to 140 ms late."""
     gateway = Gateway(DispatcherParts(parse(DEPLOYMENT, "t"), "a", 1), "b" * 16)
-    action = gateway._world.deployment.actions["p/check"]
+    action = gateway.state.parts.deployment.actions["p/check"]
     plain = [gateway.submit(0.0, 0.0, "one", action, b"{}").request.deadline for _ in range(20)]
     assert set(plain) == {800.0}, "900 less the margin"
     gateway.answer_ms = 0.5
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,9 +18,10 @@
 from program import DEPLOYMENT, Dispatcher, ScriptedWorker, Silent, answer, run, silent, verdict
 
 from kelptrail.codec.http import Request
-from kelptrail.dispatch.entities import AttemptStatus
+from kelptrail.dispatch.entities import AttemptStatus, Idempotency
 from kelptrail.gateway.build import DispatcherParts
-from kelptrail.gateway.core import CancelAttempt, FinalAnswer, Gateway, StartAttempt, StartLoad
+from kelptrail.gateway.core import Gateway
+from kelptrail.gateway.effects import CancelAttempt, FinalAnswer, StartAttempt, StartLoad
 from kelptrail.membership.members import Endpoint as Listed
 from kelptrail.membership.members import EndpointList
 from kelptrail.net.server import Exchange
@@ -227,10 +228,10 @@
 
 
 RULES = {
-    "repeatable": RecoveryRule("repeatable", "all", 0, 2),
-    "deduplicated": RecoveryRule("deduplicated", "all", 2000, 5),
-    "zone": RecoveryRule("deduplicated", "zone", 2000, 5),
-    "once-only": RecoveryRule("once-only", "all", 0, 6),
+    "repeatable": RecoveryRule(Idempotency.IDEMPOTENT, "all", 0, 2),
+    "deduplicated": RecoveryRule(Idempotency.DEDUPLICATED, "all", 2000, 5),
+    "zone": RecoveryRule(Idempotency.DEDUPLICATED, "zone", 2000, 5),
+    "once-only": RecoveryRule(Idempotency.AT_MOST_ONCE, "all", 0, 6),
 }
 
 
@@ -437,8 +438,10 @@
         deployment = parse(DEPLOYMENT, "t")
         super().__init__([], deployment, boot)
         book, _ = open_journal(file, vfs=vfs)
-        self.gateway.journal = GroupCommit(retry_ms=100.0)
-        self.driver.journal = JournalDriver(self.gateway.journal, book, self.driver.schedule_decisions, self.log)
+        self.gateway.durability.journal = GroupCommit(retry_ms=100.0)
+        self.driver.journal = JournalDriver(
+            self.gateway.durability.journal, book, self.driver.schedule_decisions, self.log
+        )
         self.found = self.gateway.recover(*now(), book.activations(), 100.0, 16)
         self.list(workers)
 
