--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -11,6 +11,7 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from kelptrail.codec.infer import Answer
+from kelptrail.dispatch.attempt_results import AttemptResult
 from kelptrail.dispatch.entities import (
     Attempt,
     AttemptStatus,
@@ -150,7 +151,7 @@
         )
         self._register(invocation, key is not None)
         # Guards against load orders earned by requests that a failing disk rejects: those were not accepted.
-        self._dispatcher.on_request(now, request, anew=not (journaled and deferred))
+        self._dispatcher.on_request(now, request, count=not (journaled and deferred))
         return invocation
 
     def _new_record(
@@ -314,9 +315,8 @@
             self._note_answer(now, invocation, attempt, status, answer)
         final = request.final_status is not None or status is AttemptStatus.COMPLETED
         heard = answer or NO_ANSWER
-        self._dispatcher.on_attempt_finished(
-            now, attempt, status, final, heard.load_failed, heard.found, heard.company, heard.report
-        )
+        result = AttemptResult(status, final, heard.load_failed, heard.found, heard.company, heard.report)
+        self._dispatcher.on_attempt_finished(now, attempt, result)
         if invocation is not None and not invocation.record.final and request.final_status is FinalStatus.COMPLETED:
             self._completion.finish(now, invocation, FinalStatus.COMPLETED)
         self.state.settle(request)
--- a/kelptrail/gateway/recovery.py
+++ b/kelptrail/gateway/recovery.py
@@ -193,7 +193,7 @@
         state.deadlines.add(request.deadline, request)
         state.counts.received += 1
         state.limits.acquire(accepted.namespace, len(accepted.payload))
-        state.dispatcher.on_request(now, request, anew=False)
+        state.dispatcher.on_request(now, request, count=False)
 
     def _request(self, now: float, found: ResumeRequest, request_class: RequestClass, function: Function) -> Request:
         """The dispatcher's request, with the attempt of the earlier run if that may have reached a worker."""
