--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -1,7 +1,8 @@
-"""Carries out what the gateway core hands out, on sockets, and tells it what was seen there.
+"""Carries out the gateway core's effects on sockets, and reports to the core what happened there.
 
-A send's outcome is read off its socket: no connection made is unreachable; nothing written is unsent; a refusal
-that was read and marked is full or miss; all else after the first byte may have run.  Nothing is chosen here.
+An attempt's status follows from its socket: no connection is unreachable; nothing written is not sent; a response that
+was read and says so is out of capacity or not loaded; anything else after the first byte may have run.  Nothing is
+decided here.
 """
 
 from __future__ import annotations
@@ -31,18 +32,24 @@
 
 from .connection_health import ConnectionHealth
 from .core import STATUS_BY_ANSWER_KIND, Gateway
-from .effects import CancelAttempt, FinalAnswer, LogEvent, ResponsePart, StartAttempt, StartLoad
+from .effects import CancelAttempt, CancelReason, Effect, FinalAnswer, LogEvent, ResponsePart, StartAttempt, StartLoad
 from .invocation import Invocation
 
-BEHIND_MS = 50.0  # a timer that rings so late is told of: the loop has too much to do
-MOST_ANSWER_MS = 2.0  # what one answer may be taken to cost: a stall is not the answers'
-GIVEN_UP = {
-    "revoked": AttemptStatus.CANCELLED,
-    "silent": AttemptStatus.SILENT,
-    "order-time": AttemptStatus.SILENT,
-    "malformed": AttemptStatus.CONNECTION_LOST,
+LATE_MS = 50.0  # a timer that fires so late, or effects that take so long, are logged: the loop is overloaded
+MAX_ANSWER_MS = 2.0  # what one answer may be taken to cost: a stall is not the answers' cost
+SOCKET_WRITE_FACTOR = 2  # writing an answer to its socket, on the loop later, costs about as much again
+ANSWER_COST_WEIGHT = 0.02  # of one measurement in the average cost of an answer
+TIMER_TOLERANCE_MS = 0.01
+SWEEP_INTERVAL_MS = 1000.0  # how often idle worker connections are closed
+DRAIN_POLL_S = 0.005
+STEP_DELAY_S = 0.01  # the request is on its way when the crash tests' step "sent" is reported
+STATUS_BY_CANCEL_REASON: dict[str, AttemptStatus] = {
+    CancelReason.CANCELLED: AttemptStatus.CANCELLED,
+    CancelReason.SILENT: AttemptStatus.SILENT,
+    CancelReason.LOAD_TIMEOUT: AttemptStatus.SILENT,
+    CancelReason.MALFORMED: AttemptStatus.CONNECTION_LOST,
 }
-ENDED = {
+STATUS_BY_ENDING = {
     Ending.UNREACHABLE: AttemptStatus.UNREACHABLE,
     Ending.UNSENT: AttemptStatus.NOT_SENT,
     Ending.BROKEN: AttemptStatus.CONNECTION_LOST,
@@ -50,45 +57,51 @@
 
 
 class Stream:
-    """A streamed answer as it comes from one worker."""
+    """A streamed response as it arrives from one worker."""
 
-    __slots__ = ("_driver", "_events", "_fault", "_final", "_ivk", "_send", "call")
+    __slots__ = ("_attempt", "_driver", "_events", "_final", "_invocation", "_malformed", "call")
 
-    def __init__(self, driver: GatewayDriver, ivk: Invocation, send: Attempt, most: int) -> None:
-        self._driver, self._ivk, self._send = driver, ivk, send
-        self._events, self._final, self._fault = EventReader(most), None, False
+    def __init__(self, driver: GatewayDriver, invocation: Invocation, attempt: Attempt, max_event_bytes: int) -> None:
+        self._driver, self._invocation, self._attempt = driver, invocation, attempt
+        self._events = EventReader(max_event_bytes)
+        self._final: tuple[bytes, bool] | None = None  # the last part: the result, and whether it is a success
+        self._malformed = False
         self.call: Call | None = None
 
-    _final: tuple[bytes, bool] | None
-
     def on_data(self, data: bytes) -> None:
-        """Bytes of the stream.  What is not of the protocol ends it: its call is given up as broken."""
+        """Bytes of the stream have arrived.  Where they break the protocol the call is cancelled as malformed."""
         try:
             events = self._events.feed(data)
             for event in events:
                 if self._final is not None:
                     raise MalformedError("more after the last part")
-                result, last, success = read_part(event, self._ivk.deduplication_id, self._ivk.payload_format)
+                result, last, success = read_part(
+                    event, self._invocation.deduplication_id, self._invocation.payload_format
+                )
                 if last:
                     self._final = result, success
                 else:
-                    self._driver.gateway.on_response_part(now_ms(), self._send, result)
+                    self._driver.gateway.on_response_part(now_ms(), self._attempt, result)
         except (MalformedError, TooLongError):
-            self._fault = True
+            self._malformed = True
             if self.call is not None:
-                self.call.give_up("malformed")
+                self.call.give_up(CancelReason.MALFORMED)
         self._driver.schedule_decisions()
 
     def finish(self, now: float, answer: Answer) -> tuple[AttemptStatus, Answer]:
-        """What a whole response comes to.  A stream without its last part broke off; a worker that does not stream
-        gave all in one."""
-        if self._final is not None and not self._fault:
+        """The attempt's status and answer, once the response is complete.
+
+        A stream without its last part counts as a lost connection; a worker that does not stream sent one answer.
+        """
+        if self._final is not None and not self._malformed:
             return AttemptStatus.COMPLETED, replace(answer, result=self._final[0], success=self._final[1])
-        return (AttemptStatus.CONNECTION_LOST if answer.streamed or self._fault else AttemptStatus.COMPLETED), answer
+        return (
+            AttemptStatus.CONNECTION_LOST if answer.streamed or self._malformed else AttemptStatus.COMPLETED
+        ), answer
 
 
 class GatewayDriver:
-    """One dispatcher on the loop: the core, a pool for each worker, one timer."""
+    """One dispatcher on the event loop: the core, a connection pool for each worker, one timer."""
 
     def __init__(self, gateway: Gateway, name: str, pool: Any, log: Any) -> None:
         self.gateway, self.name, self._settings, self._log = gateway, name, pool, log
@@ -96,22 +109,22 @@
         self._pools: dict[Worker, WorkerPool] = {}
         self._calls: dict[Attempt, Call] = {}
         self._streams: dict[Call, Stream] = {}
-        self._orders: dict[Call, asyncio.TimerHandle] = {}
+        self._load_timeouts: dict[Call, asyncio.TimerHandle] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._armed = float("inf")
-        self._stirring = self._soon = False
-        self._after: list[Callable[[], None]] = []
-        self._swept = 0.0
+        self._timer_due = float("inf")
+        self._running_effects = self._effects_scheduled = False
+        self._after_effects: list[Callable[[], None]] = []
+        self._swept_at = 0.0
         self.connection_health = ConnectionHealth()
         self.journal: JournalDriver | None = None
-        self.start_replication: Callable[[], None] | None = None  # starts what waits to be copied
+        self.start_replication: Callable[[], None] | None = None  # starts writes to replicas
         self.debug = False
-        self.tls: Callable[[], ssl.SSLContext] | None = None  # towards workers
+        self.tls: Callable[[], ssl.SSLContext] | None = None  # for connections to workers
 
-    # What happens.
+    # Events.
 
     def on_endpoints(self, listing: EndpointList) -> None:
-        """A new worker list."""
+        """A new endpoint list: close the pools of workers that are gone or have moved."""
         gateway = self.gateway
         gateway.on_endpoints(now_ms(), listing)
         addresses = gateway.members.addresses
@@ -125,7 +138,7 @@
         self.run_effects()
 
     def on_attempt_finished(self, call: Call, ending: Ending, response: Response | None) -> None:
-        """A send's call has ended."""
+        """An attempt's call has ended."""
         invocation: Invocation = call.tag[0]
         attempt: Attempt = call.tag[1]
         self._calls.pop(attempt, None)
@@ -133,13 +146,13 @@
         stream = self._streams.pop(call, None)
         if ending is Ending.ANSWERED and response is not None:
             answer = read_answer(response, invocation.deduplication_id, invocation.payload_format)
-            outcome = STATUS_BY_ANSWER_KIND[answer.kind]
-            if stream is not None and outcome is AttemptStatus.COMPLETED:
-                outcome, answer = stream.finish(now_ms(), answer)
+            status = STATUS_BY_ANSWER_KIND[answer.kind]
+            if stream is not None and status is AttemptStatus.COMPLETED:
+                status, answer = stream.finish(now_ms(), answer)
         elif ending is Ending.GIVEN_UP:
-            outcome = GIVEN_UP.get(call.reason, AttemptStatus.CANCELLED)  # no reason: the loop ends
+            status = STATUS_BY_CANCEL_REASON.get(call.reason, AttemptStatus.CANCELLED)  # no reason: the loop is closing
         else:
-            outcome = ENDED[ending]
+            status = STATUS_BY_ENDING[ending]
         if self.debug:
             self._log.debug(
                 "send-ended",
@@ -147,107 +160,120 @@
                 trace=invocation.record.trace,
                 send=attempt.number,
                 worker=attempt.instance.worker.id,
-                outcome=outcome.value,
+                outcome=status.value,
             )
         now = now_ms()
-        self.connection_health.on_attempt_finished(now, outcome)
-        self.gateway.on_attempt_finished(now, attempt, outcome, answer)
+        self.connection_health.on_attempt_finished(now, status)
+        self.gateway.on_attempt_finished(now, attempt, status, answer)
         self.schedule_decisions()
 
     def on_load_report(self, call: Call, ending: Ending, response: Response | None) -> None:
-        """A hold order's call has ended."""
+        """A load order's call has ended."""
         order: LoadOrder = call.tag
-        timer = self._orders.pop(call, None)
+        timer = self._load_timeouts.pop(call, None)
         if timer is not None:
             timer.cancel()
         if ending is Ending.ANSWERED and response is not None:
-            kind, standing = read_loaded(response)
-            outcome = STATUS_BY_ANSWER_KIND[kind]
+            kind, loaded = read_loaded(response)
+            status = STATUS_BY_ANSWER_KIND[kind]
         else:
-            outcome, standing = (GIVEN_UP[call.reason] if ending is Ending.GIVEN_UP else ENDED[ending]), 0
+            status, loaded = (
+                (STATUS_BY_CANCEL_REASON[call.reason] if ending is Ending.GIVEN_UP else STATUS_BY_ENDING[ending]),
+                0,
+            )
         if self.debug:
             self._log.debug(
                 "order-ended",
                 function=order.instance.function.id,
                 worker=order.instance.worker.id,
-                outcome=outcome.value,
-                standing=standing,
+                outcome=status.value,
+                standing=loaded,
             )
         now = now_ms()
-        self.connection_health.on_attempt_finished(now, outcome)
-        self.gateway.on_load_report(now, order, outcome, standing)
+        self.connection_health.on_attempt_finished(now, status)
+        self.gateway.on_load_report(now, order, status, loaded)
         self.schedule_decisions()
 
-    # What to do.
+    # Effects.
 
     def schedule_decisions(self, after: Callable[[], None] | None = None) -> None:
-        """Stir once all that the loop has ready was taken in; `after` is called when that is carried out.
+        """Carry out effects once the loop has processed all ready events; `after` is called when that is done.
 
-        Guards against deciding anew for each of a hundred answers that came together, in overload above all.
+        Guards against deciding again for each of a hundred answers that arrived together, above all in overload.
         """
         if after is not None:
-            self._after.append(after)
-        if not self._soon:
-            self._soon = True
+            self._after_effects.append(after)
+        if not self._effects_scheduled:
+            self._effects_scheduled = True
             self._loop.call_soon(self.run_effects)
 
     def run_effects(self) -> None:
-        """Pull effects until there is none, then see to the timer."""
-        if self._stirring:
+        """Carry out effects until there is none, start journal writes, and set the timer."""
+        if self._running_effects:
             return
-        self._stirring, self._soon = True, False
-        now, finals = now_ms(), 0
+        self._running_effects, self._effects_scheduled = True, False
+        started, answers = now_ms(), 0
         try:
-            while (effect := self.gateway.next_effect(now)) is not None:
-                if isinstance(effect, StartAttempt):
-                    self._start(effect.invocation, effect.attempt)
-                elif isinstance(effect, FinalAnswer):
-                    self._final(effect.invocation)
-                    finals += 1
-                elif isinstance(effect, ResponsePart):
-                    if effect.invocation.on_part is not None:
-                        effect.invocation.on_part(effect.data)
-                elif isinstance(effect, StartLoad):
-                    self._order(effect.order)
-                elif isinstance(effect, CancelAttempt):
-                    if (call := self._calls.get(effect.attempt)) is not None:
-                        call.give_up(effect.reason)
-                elif isinstance(effect, LogEvent):
-                    self._log.warning("unusual", what=effect.text)
+            while (effect := self.gateway.next_effect(started)) is not None:
+                self._carry_out(effect)
+                answers += isinstance(effect, FinalAnswer)
         finally:
-            self._stirring = False
+            self._running_effects = False
         self.start_writes()
-        if self._after:
-            ready, self._after = self._after, []
-            for after in ready:
-                after()
+        if self._after_effects:
+            callbacks, self._after_effects = self._after_effects, []
+            for callback in callbacks:
+                callback()
+        self._measure(started, answers)
+        self._set_timer()
+
+    def _carry_out(self, effect: Effect) -> None:
+        if isinstance(effect, StartAttempt):
+            self._start_attempt(effect.invocation, effect.attempt)
+        elif isinstance(effect, FinalAnswer):
+            self._notify_waiters(effect.invocation)
+        elif isinstance(effect, ResponsePart):
+            if effect.invocation.on_part is not None:
+                effect.invocation.on_part(effect.data)
+        elif isinstance(effect, StartLoad):
+            self._start_load(effect.order)
+        elif isinstance(effect, CancelAttempt):
+            if (call := self._calls.get(effect.attempt)) is not None:
+                call.give_up(effect.reason)
+        elif isinstance(effect, LogEvent):
+            self._log.warning("unusual", what=effect.text)
+
+    def _measure(self, started: float, answers: int) -> None:
+        """Average what an answer costs; report effects that blocked the loop for long."""
         done = now_ms()
-        if finals:  # writing it out costs about as much again, on the loop
-            took = min(MOST_ANSWER_MS, 2 * (done - now) / finals)
-            self.gateway.answer_ms += 0.02 * (took - self.gateway.answer_ms)
-        if done - now > BEHIND_MS:
-            self._log.warning("long-decision", ms=round(done - now), in_hand=self.gateway.in_flight)
+        if answers:
+            answer_ms = min(MAX_ANSWER_MS, SOCKET_WRITE_FACTOR * (done - started) / answers)
+            self.gateway.answer_ms += ANSWER_COST_WEIGHT * (answer_ms - self.gateway.answer_ms)
+        if done - started > LATE_MS:
+            self._log.warning("long-decision", ms=round(done - started), in_hand=self.gateway.in_flight)
+
+    def _set_timer(self) -> None:
         due = self.gateway.next_due()
-        if due < self._armed - 0.01:
+        if due < self._timer_due - TIMER_TOLERANCE_MS:
             if self._timer is not None:
                 self._timer.cancel()
-            self._armed = due
-            self._timer = self._loop.call_later(max(0.0, due - now_ms()) / 1000, self._rung)
+            self._timer_due = due
+            self._timer = self._loop.call_later(max(0.0, due - now_ms()) / 1000, self._on_timer)
 
     def start_writes(self) -> None:
-        """Start what waits to be made safe."""
+        """Start writes to the journal and to replicas."""
         if self.journal is not None:
             self.journal.start_next_batch()
         if self.start_replication is not None:
             self.start_replication()
 
-    def _rung(self) -> None:
+    def _on_timer(self) -> None:
         now = now_ms()
-        if now - self._armed > BEHIND_MS:
-            self._log.warning("behind", ms=round(now - self._armed), in_hand=self.gateway.in_flight)
-        self._timer, self._armed = None, float("inf")
-        if now - self._swept >= 1000.0:
-            self._swept = now
+        if now - self._timer_due > LATE_MS:
+            self._log.warning("behind", ms=round(now - self._timer_due), in_hand=self.gateway.in_flight)
+        self._timer, self._timer_due = None, float("inf")
+        if now - self._swept_at >= SWEEP_INTERVAL_MS:
+            self._swept_at = now
             for pool in self._pools.values():
                 pool.sweep()
         self.run_effects()
@@ -261,59 +287,69 @@
             )
         return pool
 
-    def _start(self, ivk: Invocation, send: Attempt) -> None:
-        record = ivk.record
-        if record.replicated_journal is not None and not record.replicated_journal.may_act(now_ms()):
-            # Looked at right before the write: another may have the book since the send was decided.
-            self.gateway.on_attempt_finished(now_ms(), send, AttemptStatus.NOT_SENT)
+    def _start_attempt(self, invocation: Invocation, attempt: Attempt) -> None:
+        journal = invocation.record.replicated_journal
+        if journal is not None and not journal.may_act(now_ms()):
+            # Checked right before the write: another dispatcher may have become the primary since the decision.
+            self.gateway.on_attempt_finished(now_ms(), attempt, AttemptStatus.NOT_SENT)
             return
-        pool = self._pool(send.instance.worker)
+        pool = self._pool(attempt.instance.worker)
+        data = self._infer_request(pool.address, invocation, attempt)
+        if invocation.streamed:
+            stream = Stream(self, invocation, attempt, self._settings.answer_bytes)
+            call = pool.start(data, self.on_attempt_finished, (invocation, attempt), stream.on_data)
+            self._streams[call], stream.call = stream, call
+        else:
+            call = pool.start(data, self.on_attempt_finished, (invocation, attempt))
+        self._calls[attempt] = call
+        if invocation.lifecycle.durable:
+            self._loop.call_later(STEP_DELAY_S, self.gateway.durability.on_step, "sent")
+        if self.debug:
+            self._log.debug(
+                "send",
+                activation=invocation.record.id,
+                trace=invocation.record.trace,
+                send=attempt.number,
+                worker=attempt.instance.worker.id,
+            )
+
+    def _infer_request(self, address: Any, invocation: Invocation, attempt: Attempt) -> bytes:
+        record = invocation.record
         parameters: dict[str, str | int | float | bool] = {
             "dispatcher": self.name,
             "activation": record.id,
-            "send": send.number,
-            "limit_ms": round(send.request.deadline - send.started_at, 1),
-        }  # past it a worker does not begin
-        if ivk.streamed:
+            "send": attempt.number,
+            "limit_ms": round(attempt.request.deadline - attempt.started_at, 1),  # a worker begins no later
+        }
+        if invocation.streamed:
             parameters["stream"] = True
-        if ivk.payload_format != "json":
-            parameters["form"] = ivk.payload_format
-        data = infer_request(
-            pool.address,
-            ivk.action.model,
-            ivk.deduplication_id,
-            ivk.payload,
+        if invocation.payload_format != "json":
+            parameters["form"] = invocation.payload_format
+        return infer_request(
+            address,
+            invocation.action.model,
+            invocation.deduplication_id,
+            invocation.payload,
             parameters,
             {"traceparent": record.trace} if record.trace else {},
-            ivk.payload_format,
+            invocation.payload_format,
         )
-        if ivk.streamed:
-            stream = Stream(self, ivk, send, self._settings.answer_bytes)
-            call = pool.start(data, self.on_attempt_finished, (ivk, send), stream.on_data)
-            self._streams[call], stream.call = stream, call
-        else:
-            call = pool.start(data, self.on_attempt_finished, (ivk, send))
-        self._calls[send] = call
-        if ivk.lifecycle.durable:
-            self._loop.call_later(0.01, self.gateway.durability.on_step, "sent")
-        if self.debug:
-            self._log.debug(
-                "send", activation=record.id, trace=record.trace, send=send.number, worker=send.instance.worker.id
-            )
 
-    def _order(self, order: LoadOrder) -> None:
+    def _start_load(self, order: LoadOrder) -> None:
         pool = self._pool(order.instance.worker)
         call = pool.start(
             load_request(pool.address, order.instance.function.id, order.count, self.name), self.on_load_report, order
         )
-        self._orders[call] = self._loop.call_later(self._settings.order_ms / 1000, call.give_up, "order-time")
+        self._load_timeouts[call] = self._loop.call_later(
+            self._settings.order_ms / 1000, call.give_up, CancelReason.LOAD_TIMEOUT
+        )
         if self.debug:
             self._log.debug(
                 "order", function=order.instance.function.id, worker=order.instance.worker.id, count=order.count
             )
 
-    def _final(self, ivk: Invocation) -> None:
-        record = ivk.record
+    def _notify_waiters(self, invocation: Invocation) -> None:
+        record = invocation.record
         if self.debug:
             self._log.debug(
                 "final",
@@ -324,25 +360,25 @@
                 sends=record.attempt_count,
                 ms=round(record.end - record.start, 3),
             )
-        waiters, ivk.waiters = ivk.waiters, []
+        waiters, invocation.waiters = invocation.waiters, []
         for waiter in waiters:
             waiter(record)
 
-    def set_reading(self, ivk: Invocation, goes: bool) -> None:
-        """A stream's client reads on, or does not: its worker's connection is read on, or is not."""
-        bound = ivk.request.streaming_attempt
-        call = self._calls.get(bound) if bound is not None else None
+    def set_reading(self, invocation: Invocation, reading: bool) -> None:
+        """Whether a stream's client reads: reading from its worker's connection resumes or pauses with it."""
+        attempt = invocation.request.streaming_attempt
+        call = self._calls.get(attempt) if attempt is not None else None
         if call is not None:
-            (call.resume if goes else call.pause)()
-        self.gateway.set_reading(now_ms(), ivk, goes)
+            (call.resume if reading else call.pause)()
+        self.gateway.set_reading(now_ms(), invocation, reading)
 
-    # The end.
+    # Shutdown.
 
     async def drain(self, within_ms: float) -> bool:
-        """Wait until all that was taken has its final answer; True if it has."""
+        """Wait until every accepted request has its final answer, at most `within_ms`; True if all have."""
         end = now_ms() + within_ms
         while self.gateway.in_flight and now_ms() < end:
-            await asyncio.sleep(0.005)
+            await asyncio.sleep(DRAIN_POLL_S)
         clean = not self.gateway.in_flight
         if self._timer is not None:
             self._timer.cancel()
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -74,15 +74,15 @@
     now, _ = rush(storm, now, 4, 1600, 0.7, 1.0, 2)
     assert storm.stage is OverloadStage.STORM
     spare = max(storm.completed_per_s - storm.first_tries_per_s, 0.1 * storm.completed_per_s, 1.0)
-    before = storm._slot
+    before = storm._next_retry_at
     times = sorted(now + storm.on_rejected(now, f"x{n}", 0.0) for n in range(200))
-    assert storm._slot - before > 0.9 * 200 * 1000 / spare, "each has a place of its own"
+    assert storm._next_retry_at - before > 0.9 * 200 * 1000 / spare, "each has a place of its own"
     assert len({round(t) for t in times}) > 190, "not all at one moment"
     bounded = OverloadController(OverloadSettings(max_retry_after_ms=3000.0), 1)
     now, _ = rush(bounded, 0.0, 10, 400, 0.0, 1.0)
     now, told = rush(bounded, now, 6, 4000, 0.95, 1.0, 2)
     assert max(told) <= 3000 and len({round(t) for t in told[-200:]}) > 100, "spread also at the bound"
-    assert bounded._slot <= now + 3000
+    assert bounded._next_retry_at <= now + 3000
 
 
 def test_whoever_comes_early_is_refused_at_the_door_and_told_longer_but_not_without_end() -> None:
@@ -91,29 +91,29 @@
     now, _ = rush(storm, now, 6, 1600, 0.8, 1.0, 2, again=0.6)
     assert storm.stage is OverloadStage.STORM
     first = storm.on_rejected(now, "me", 4000.0)
-    slot = storm._slot
+    slot = storm._next_retry_at
     backs = [storm.on_request(now + 10 + n, "me") for n in range(8)]
-    assert all(b is not None and b <= 12_000 for b in backs) and storm._slot == slot, "it takes nobody else's place"
+    assert all(b is not None and b <= 12_000 for b in backs) and storm._next_retry_at == slot, "it takes nobody else's place"
     assert backs[0] is not None and backs[0] > 0.74 * min(12_000.0, 1.5 * (first - 10)), "longer, not shorter"
     last = backs[-1]
     assert last is not None and storm.on_request(now + 20 + last + 100, "me") is None, "at its time it is let in"
     storm.on_completed(now + 30_000, "me")
-    assert "me" not in storm._known
+    assert "me" not in storm._clients
 
 
 def test_whoever_never_comes_back_is_forgotten() -> None:
     storm = OverloadController(OverloadSettings(forget_after_ms=2000.0), 1)
     now, _ = rush(storm, 0.0, 5, 400, 0.3, 1.0)
-    assert len(storm._known) > 300
+    assert len(storm._clients) > 300
     rush(storm, now, 5, 200, 0.0, 1.0, 2)
-    assert not storm._known
+    assert not storm._clients
 
 
 def test_undamped_it_only_watches_and_memory_is_bounded() -> None:
     storm = OverloadController(OverloadSettings(enabled=False, max_clients=500), 1)
     now, _ = rush(storm, 0.0, 5, 400, 0.0, 1.0)
     _, told = rush(storm, now, 6, 1600, 0.8, 1.0, 2, again=0.6)
-    assert storm.stage is OverloadStage.STORM and set(told) == {1000.0} and len(storm._known) <= 500
+    assert storm.stage is OverloadStage.STORM and set(told) == {1000.0} and len(storm._clients) <= 500
     assert storm.status()["stage"] == "storm"
 
 
