--- a/kelptrail/gateway/lifecycle.py
+++ b/kelptrail/gateway/lifecycle.py
@@ -1,9 +1,10 @@
-"""The life of one activation from taken to forgotten, and what must be safe before it may go on; free of I/O.
+"""The lifecycle of one request, and which journal entries must be durable before each step; free of I/O.
 
-In the manner of a replicated log's ready loop: an event may leave needs (`next_need`) that the host writes to its
-journal, and the host says what became of each (`told`).  What is not safe yet holds back exactly three things: the
-promise of a deferred call (`promised`), the first byte of a send whose repeat could double an effect (`go`), and the
-showing of a final answer that was promised to last (`show`).  A step out of order is an `IllegalStepError`.
+As in the ready loop of a replicated log, an event may ask for entries (`next_entry`) that the caller writes to a
+journal, and the caller reports what state of each (`on_written`).  What is not durable yet holds back exactly three
+things: the acknowledgement of a deferred request (`durable_result`), the first byte of an attempt whose repeat could
+double an effect (`start_attempt`), and the final answer of a deferred request (`publish`).  A step out of order raises
+`IllegalStepError`.
 """
 
 from __future__ import annotations
@@ -12,15 +13,15 @@
 
 
 class RequestStage(Enum):
-    """Where an activation stands."""
+    """How far a request has come."""
 
-    ACCEPTED = "accepted"  # taken; the decisions have not been told yet
-    QUEUED = "queued"  # the decisions have it
-    HELD = "held"  # a send was decided and waits until "may run" is safe
-    SENT = "sent"  # at least one send is out
-    ANSWERED = "answered"  # every send has ended, and none of them brought the final answer
+    ACCEPTED = "accepted"  # the dispatcher has not been informed yet
+    QUEUED = "queued"  # the dispatcher has it
+    HELD = "held"  # an attempt was decided and waits until the may-run entry is durable
+    SENT = "sent"  # at least one attempt is in flight
+    ANSWERED = "answered"  # all attempts have ended, and none of them brought the final answer
     FINAL = "final"  # the one final answer is decided
-    PUBLISHED = "shown"  # it is as durable as it was promised to be, and may be told
+    PUBLISHED = "shown"  # the answer is as durable as the client was promised, and may be shown
     FORGOTTEN = "forgotten"
 
 
@@ -37,7 +38,7 @@
 
 
 class EntryKind(Enum):
-    """What is to be made safe."""
+    """The journal entries of a request."""
 
     ACCEPTED = "record"
     MAY_RUN = "may-run"
@@ -45,7 +46,7 @@
 
 
 class WriteState(Enum):
-    """How far that is."""
+    """How far the write of one entry has come."""
 
     NOT_REQUESTED = "no"
     PENDING = "asked"
@@ -54,11 +55,11 @@
 
 
 class IllegalStepError(Exception):
-    """A step that the life of an activation does not have, or one before what it needs is safe."""
+    """A step that a request may not take in its stage, or one before the entry that it needs is durable."""
 
 
 class RequestLifecycle:
-    """One activation's way.  `repeatable`: running it twice does no harm; `kept`: it outlives this process."""
+    """One request.  `idempotent`: a second run does no harm; `durable`: it is journaled, to outlive the process."""
 
     __slots__ = (
         "_entries",
@@ -74,85 +75,85 @@
         "stage",
     )
 
-    def __init__(self, repeatable: bool, kept: bool, owed: bool = False) -> None:
-        self.idempotent, self.durable = repeatable, kept
-        self.deferred = owed  # its client was given, or will be given, an id in place of the answer
+    def __init__(self, idempotent: bool, durable: bool, deferred: bool = False) -> None:
+        self.idempotent, self.durable = idempotent, durable
+        self.deferred = deferred  # its client gets the activation id in place of the answer
         self.stage = RequestStage.ACCEPTED
         self.accepted_write = self.may_run_write = self.ended_write = WriteState.NOT_REQUESTED
         self.held = self.in_flight = self.attempt_count = 0
         self._entries: list[EntryKind] = []
 
     @classmethod
-    def resumed(cls, repeatable: bool, ran: bool) -> RequestLifecycle:
-        """One that a restart found on disk; `ran`: "may run" stands there, too."""
-        passage = cls(repeatable, True, True)
-        passage.accepted_write = WriteState.DURABLE
-        passage.may_run_write = WriteState.DURABLE if ran else WriteState.NOT_REQUESTED
-        return passage
-
-    def _to(self, stage: RequestStage) -> None:
+    def resumed(cls, idempotent: bool, may_have_run: bool) -> RequestLifecycle:
+        """One that a restart found in a journal; `may_have_run`: with its may-run entry."""
+        lifecycle = cls(idempotent, True, True)
+        lifecycle.accepted_write = WriteState.DURABLE
+        lifecycle.may_run_write = WriteState.DURABLE if may_have_run else WriteState.NOT_REQUESTED
+        return lifecycle
+
+    def _enter(self, stage: RequestStage) -> None:
         if stage is self.stage:
             return
         if stage not in NEXT_STAGES[self.stage]:
             raise IllegalStepError(f"from {self.stage.value} to {stage.value}")
         self.stage = stage
 
-    def _settled(self) -> None:
-        """Where it stands by what is out and held."""
+    def _update_stage(self) -> None:
+        """The stage that follows from the attempts in flight and held."""
         if self.final:
             return
         if self.in_flight:
-            self._to(RequestStage.SENT)
+            self._enter(RequestStage.SENT)
         elif self.held:
-            self._to(RequestStage.HELD)
+            self._enter(RequestStage.HELD)
         else:
-            self._to(RequestStage.ANSWERED if self.attempt_count else RequestStage.QUEUED)
+            self._enter(RequestStage.ANSWERED if self.attempt_count else RequestStage.QUEUED)
 
     @property
     def final(self) -> bool:
         """Whether the one final answer is decided."""
         return self.stage in (RequestStage.FINAL, RequestStage.PUBLISHED, RequestStage.FORGOTTEN)
 
-    # What is to be made safe.
+    # Journal entries.
 
     def next_entry(self) -> EntryKind | None:
-        """The next thing to write; each is handed out once."""
+        """The next entry to write, or None; each is returned once."""
         return self._entries.pop(0) if self._entries else None
 
-    def _ask(self, need: EntryKind) -> None:
-        if need is EntryKind.ACCEPTED:
+    def _request_entry(self, kind: EntryKind) -> None:
+        if kind is EntryKind.ACCEPTED:
             self.accepted_write = WriteState.PENDING
-        elif need is EntryKind.MAY_RUN:
+        elif kind is EntryKind.MAY_RUN:
             self.may_run_write = WriteState.PENDING
         else:
             self.ended_write = WriteState.PENDING
-        self._entries.append(need)
+        self._entries.append(kind)
 
     def request_accepted_entry(self) -> None:
-        """Have its record written, if it is kept and this was not asked for yet."""
+        """Ask for the accepted entry, if the request is journaled and this was not asked for yet."""
         if self.durable and self.accepted_write is WriteState.NOT_REQUESTED and not self.final:
-            self._ask(EntryKind.ACCEPTED)
+            self._request_entry(EntryKind.ACCEPTED)
 
-    def on_written(self, need: EntryKind, safe: bool) -> None:
-        """What became of a need.  Raises `IllegalStepError` where it was not asked for."""
+    def on_written(self, kind: EntryKind, durable: bool) -> None:
+        """An entry is durable, or could not be written.  Raises `IllegalStepError` where it was not asked for."""
         now = {
             EntryKind.ACCEPTED: self.accepted_write,
             EntryKind.MAY_RUN: self.may_run_write,
             EntryKind.ENDED: self.ended_write,
-        }[need]
+        }[kind]
         if now is not WriteState.PENDING:
-            raise IllegalStepError(f"{need.value} was told of and not asked for")
-        became = WriteState.DURABLE if safe else WriteState.FAILED
-        if need is EntryKind.ACCEPTED:
-            self.accepted_write = became
-        elif need is EntryKind.MAY_RUN:
-            self.may_run_write = became if safe else WriteState.NOT_REQUESTED  # another send may ask again
+            raise IllegalStepError(f"{kind.value} was reported and not asked for")
+        state = WriteState.DURABLE if durable else WriteState.FAILED
+        if kind is EntryKind.ACCEPTED:
+            self.accepted_write = state
+        elif kind is EntryKind.MAY_RUN:
+            self.may_run_write = state if durable else WriteState.NOT_REQUESTED  # another attempt may ask again
         else:
-            self.ended_write = became
+            self.ended_write = state
 
     @property
     def durable_result(self) -> bool | None:
-        """Whether its client may be told that it lasts; None while that is not known."""
+        """Whether the accepted entry is durable, so that the client may get the id; None while that is not known."""
         if not self.durable:
             return False
         return {WriteState.DURABLE: True, WriteState.FAILED: False}.get(self.accepted_write)
@@ -160,56 +161,58 @@
     # Events.
 
     def queue(self) -> None:
-        """The decisions have been told of it."""
-        self._to(RequestStage.QUEUED)
+        """The dispatcher has been informed."""
+        self._enter(RequestStage.QUEUED)
 
     def on_attempt_decided(self) -> bool:
-        """A send was decided; True if it may go now, else it is held and `may_run` is asked for."""
+        """An attempt was decided: True if it may start now, else it is held and the may-run entry is asked for."""
         if self.final:
-            raise IllegalStepError("a send of what has its final answer")
+            raise IllegalStepError("an attempt of what has its final answer")
         if self.stage is RequestStage.ACCEPTED:
-            raise IllegalStepError("a send before the decisions were told")
+            raise IllegalStepError("an attempt before the dispatcher was informed")
         self.request_accepted_entry()
         self.held += 1
-        clear = self.may_start
-        if not clear and self.may_run_write is WriteState.NOT_REQUESTED:
-            self._ask(EntryKind.MAY_RUN)
-        self._settled()
-        return clear
+        may_start = self.may_start
+        if not may_start and self.may_run_write is WriteState.NOT_REQUESTED:
+            self._request_entry(EntryKind.MAY_RUN)
+        self._update_stage()
+        return may_start
 
     @property
     def may_start(self) -> bool:
-        """Whether the first byte of a send may go out."""
+        """Whether the first byte of an attempt may be written."""
         return self.idempotent or not self.durable or self.may_run_write is WriteState.DURABLE
 
     def start_attempt(self) -> None:
-        """A decided send goes out.  Raises `IllegalStepError` where "may run" is not safe."""
+        """A decided attempt starts.  Raises `IllegalStepError` where the may-run entry is not durable."""
         if not self.held:
-            raise IllegalStepError("a send that was not decided")
+            raise IllegalStepError("an attempt that was not decided")
         if not self.may_start:
-            raise IllegalStepError('a send before "may run" is safe')
+            raise IllegalStepError('an attempt before "may run" is durable')
         if self.final:
-            raise IllegalStepError("a send after the final answer")
+            raise IllegalStepError("an attempt after the final answer")
         self.held, self.in_flight, self.attempt_count = self.held - 1, self.in_flight + 1, self.attempt_count + 1
-        self._settled()
+        self._update_stage()
 
     def drop_held(self) -> None:
-        """A held send was given up: nothing of it was written to a worker."""
+        """A held attempt was cancelled: nothing of it was written to a worker."""
         if not self.held:
             raise IllegalStepError("nothing is held")
         self.held -= 1
-        self._settled()
+        self._update_stage()
 
     def on_attempt_finished(self) -> None:
-        """A send has ended, however."""
+        """An attempt in flight has ended."""
         if not self.in_flight:
-            raise IllegalStepError("no send is out")
+            raise IllegalStepError("no attempt is in flight")
         self.in_flight -= 1
-        self._settled()
+        self._update_stage()
 
     def make_durable(self, moved: bool = False) -> None:
-        """Its client goes on with the id, so from here on it is kept; what may have run is written, too.  `moved`: what
-        was kept of it is written anew, elsewhere."""
+        """The client continues with the activation id, so the request is journaled from here on.
+
+        What may have run is journaled, too.  `moved`: entries in another journal are written anew.
+        """
         if self.final:
             raise IllegalStepError("it has its final answer")
         self.deferred = True
@@ -219,38 +222,41 @@
         self.accepted_write = self.may_run_write = WriteState.NOT_REQUESTED
         self.request_accepted_entry()
         if (self.attempt_count or self.in_flight or self.held) and not self.idempotent:
-            self._ask(EntryKind.MAY_RUN)
+            self._request_entry(EntryKind.MAY_RUN)
 
     def release(self) -> None:
-        """Another dispatcher goes on with it: nothing more is written, answered or shown here."""
+        """Another dispatcher has taken it over: nothing more is written, answered or shown here."""
         self._entries.clear()
         self.stage = RequestStage.PUBLISHED
 
     def finish(self) -> bool:
-        """The one final answer is decided; True if it may be shown at once, else `end` is asked for."""
+        """The one final answer is decided: True if it may be shown at once, else the ended entry is asked for."""
         if self.final:
             raise IllegalStepError("a second final answer")
-        self._to(RequestStage.FINAL)
+        self._enter(RequestStage.FINAL)
         if self.accepted_write in (WriteState.NOT_REQUESTED, WriteState.FAILED):
-            return True  # nothing of it was promised to last
-        self._ask(EntryKind.ENDED)
+            return True  # its client was not promised a durable answer
+        self._request_entry(EntryKind.ENDED)
         return False
 
     def publish(self, late: bool = False) -> None:
-        """The final answer is shown.  One that was promised to last must be safe; whoever waits on a connection was
-        promised none, so it may be shown when its journal failed, or is late (`late`)."""
+        """The final answer is shown.
+
+        That of a deferred request must be durable.  A blocking client was promised nothing, so its answer may be shown
+        when the journal failed, or has not finished when the request's time is up (`late`).
+        """
         if self.stage is not RequestStage.FINAL:
             raise IllegalStepError(f"nothing to show while {self.stage.value}")
-        open_ = self.ended_write is WriteState.DURABLE or self.accepted_write in (
+        may_show = self.ended_write is WriteState.DURABLE or self.accepted_write in (
             WriteState.NOT_REQUESTED,
             WriteState.FAILED,
         )
-        if not open_ and (self.deferred or not (late or self.ended_write is WriteState.FAILED)):
-            raise IllegalStepError("an answer before it is safe")
-        self._to(RequestStage.PUBLISHED)
+        if not may_show and (self.deferred or not (late or self.ended_write is WriteState.FAILED)):
+            raise IllegalStepError("an answer before it is durable")
+        self._enter(RequestStage.PUBLISHED)
 
     def forget(self) -> None:
-        """Nothing of it is out any more.  Raises `IllegalStepError` where something is, or nothing was shown."""
+        """Nothing refers to it any more.  Raises `IllegalStepError` where an attempt is in flight, or nothing was shown."""
         if self.in_flight or self.held:
-            raise IllegalStepError("a send is out")
-        self._to(RequestStage.FORGOTTEN)
+            raise IllegalStepError("an attempt is in flight, or held")
+        self._enter(RequestStage.FORGOTTEN)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -131,7 +131,7 @@
 
 def test_named_errors_for_steps_out_of_order() -> None:
     lifecycle = RequestLifecycle(False, True, True)
-    with pytest.raises(IllegalStepError, match="before the decisions"):
+    with pytest.raises(IllegalStepError, match="before the dispatcher"):
         lifecycle.on_attempt_decided()
     lifecycle.queue()
     assert lifecycle.on_attempt_decided() is False and lifecycle.stage is RequestStage.HELD
@@ -154,11 +154,11 @@
     assert lifecycle.finish() is False
     with pytest.raises(IllegalStepError, match="second final"):
         lifecycle.finish()
-    with pytest.raises(IllegalStepError, match="before it is safe"):
+    with pytest.raises(IllegalStepError, match="before it is durable"):
         lifecycle.publish(late=True)
     lifecycle.on_written(EntryKind.ENDED, True)
     lifecycle.publish()
-    with pytest.raises(IllegalStepError, match="out"):
+    with pytest.raises(IllegalStepError, match="an attempt is in flight"):
         lifecycle.forget()
     lifecycle.on_attempt_finished()
     lifecycle.forget()
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -93,7 +93,8 @@
     first = storm.on_rejected(now, "me", 4000.0)
     slot = storm._next_retry_at
     backs = [storm.on_request(now + 10 + n, "me") for n in range(8)]
-    assert all(b is not None and b <= 12_000 for b in backs) and storm._next_retry_at == slot, "it takes nobody else's place"
+    assert all(b is not None and b <= 12_000 for b in backs)
+    assert storm._next_retry_at == slot, "it takes nobody else's place"
     assert backs[0] is not None and backs[0] > 0.74 * min(12_000.0, 1.5 * (first - 10)), "longer, not shorter"
     last = backs[-1]
     assert last is not None and storm.on_request(now + 20 + last + 100, "me") is None, "at its time it is let in"
