--- a/kelptrail/gateway/lifecycle.py
+++ b/kelptrail/gateway/lifecycle.py
@@ -21,7 +21,7 @@
     SENT = "sent"  # at least one attempt is in flight
     ANSWERED = "answered"  # all attempts have ended, and none of them brought the final answer
     FINAL = "final"  # the one final answer is decided
-    PUBLISHED = "shown"  # the answer is as durable as the client was promised, and may be shown
+    PUBLISHED = "published"  # the answer is as durable as the client was promised, and may be shown
     FORGOTTEN = "forgotten"
 
 
@@ -256,7 +256,7 @@
         self._enter(RequestStage.PUBLISHED)
 
     def forget(self) -> None:
-        """Nothing refers to it any more.  Raises `IllegalStepError` where an attempt is in flight, or nothing was shown."""
+        """Nothing refers to it any more.  Raises `IllegalStepError` where an attempt is in flight or nothing shown."""
         if self.in_flight or self.held:
             raise IllegalStepError("an attempt is in flight, or held")
         self._enter(RequestStage.FORGOTTEN)
--- a/kelptrail/store/activation_journal.py
+++ b/kelptrail/store/activation_journal.py
@@ -1,7 +1,7 @@
-"""The book on disk: entries in an SQLite database in WAL mode, each commit synced before it counts.
+"""The activation journal on disk: entries in an SQLite database in WAL mode, each commit synced before it counts.
 
-Torn tails are cut off by the library at the next start; rows carry a checksum of their own, as pages do not.  A
-database that cannot be read at all is set aside under another name, never written over.  One thread at a time uses it.
+The library cuts off torn tails at the next start; rows carry a checksum of their own, as pages do not.  A database
+that cannot be read at all is renamed, never overwritten.  One thread at a time uses it.
 """
 
 from __future__ import annotations
@@ -23,12 +23,21 @@
 
 
 class JournalError(Exception):
-    """The book could not be opened, read or written; the text is the library's."""
+    """The journal could not be opened, read or written; the text is the library's."""
+
+
+@contextlib.contextmanager
+def _library_errors() -> Iterator[None]:
+    """Raise errors of the library as `JournalError`."""
+    try:
+        yield
+    except apsw.Error as cause:
+        raise JournalError(f"{type(cause).__name__}: {cause}") from None
 
 
 @dataclass(slots=True)
 class ActivationEntries:
-    """All that is known of one activation."""
+    """All entries of one activation."""
 
     accepted: Accepted
     may_run: MayRun | None = None
@@ -36,28 +45,26 @@
 
 
 class ActivationJournal:
-    """One file.  `most_bytes` bounds it (a commit beyond fails as a full disk does); `vfs` is for tests."""
+    """One file of at most `max_bytes`: a commit beyond fails like one on a full disk.  `vfs` is for tests."""
 
-    def __init__(self, file: Path, most_bytes: float = 1e12, vfs: str | None = None) -> None:
+    def __init__(self, file: Path, max_bytes: float = 1e12, vfs: str | None = None) -> None:
         self.file, self.damaged = file, 0
-        try:
+        with _library_errors():
             self._db = apsw.Connection(str(file), vfs=vfs)
             self._db.set_busy_timeout(0)
             self._run("PRAGMA journal_mode=WAL")
             self._run("PRAGMA synchronous=FULL")
             self._run("PRAGMA auto_vacuum=INCREMENTAL")
             size = self._run("PRAGMA page_size")[0][0]
-            self._run(f"PRAGMA max_page_count={max(16, int(most_bytes // size))}")
+            self._run(f"PRAGMA max_page_count={max(16, int(max_bytes // size))}")
             self._prepare(self._run("PRAGMA user_version")[0][0])
-        except apsw.Error as cause:
-            raise JournalError(f"{type(cause).__name__}: {cause}") from None
 
     def _run(self, text: str, values: tuple[object, ...] = ()) -> list[tuple]:
         return list(self._db.execute(text, values))
 
     @contextlib.contextmanager
-    def _whole(self) -> Iterator[None]:
-        """All that is done within, or none of it; some errors have rolled back by themselves already."""
+    def _transaction(self) -> Iterator[None]:
+        """Commit everything done within, or none of it; some errors have rolled back already."""
         self._run("BEGIN IMMEDIATE")
         try:
             yield
@@ -73,12 +80,12 @@
         if version > FORMAT:
             raise JournalError(f"format {version} is newer than {FORMAT}, which is known here")
         if version == 0:
-            with self._whole():
+            with self._transaction():
                 self._run(TABLE)
                 self._run(INDEX)
                 self._run(f"PRAGMA user_version={FORMAT}")
         elif version == 1:  # entries of format 1 are read as they are: what was added has defaults
-            with self._whole():
+            with self._transaction():
                 self._run("ALTER TABLE rows RENAME TO entries")
                 self._run(INDEX)
                 self._run(f"PRAGMA user_version={FORMAT}")
@@ -86,76 +93,69 @@
             self._run(f"PRAGMA user_version={FORMAT}")
 
     def clear_orphans(self) -> None:
-        """Drop what belongs to activations that never became safe.  Raises `BookError`."""
-        try:
-            with self._whole():
-                self._run("DELETE FROM entries WHERE kind != 0 AND id NOT IN (SELECT id FROM entries WHERE kind = 0)")
-        except apsw.Error as cause:
-            raise JournalError(f"{type(cause).__name__}: {cause}") from None
+        """Delete entries without an accepted entry: their activations never became durable.  Raises `JournalError`."""
+        with _library_errors(), self._transaction():
+            self._run("DELETE FROM entries WHERE kind != 0 AND id NOT IN (SELECT id FROM entries WHERE kind = 0)")
 
     def commit(self, entries: Iterable[Entry]) -> None:
-        """Make entries safe, all or none.  An entry written again is left as it was.  Raises `BookError`."""
+        """Make entries durable, all or none; an entry written again is left as it was.  Raises `JournalError`."""
         rows = []
         for entry in entries:
             data, crc = encode_entry(entry)
             start = entry.start if isinstance(entry, Accepted) else 0.0
             rows.append((entry.id, KINDS[type(entry)], start, crc, data))
-        try:
-            with self._whole():
-                self._db.executemany("INSERT OR IGNORE INTO entries VALUES (?, ?, ?, ?, ?)", rows)
-        except apsw.Error as cause:
-            raise JournalError(f"{type(cause).__name__}: {cause}") from None
+        with _library_errors(), self._transaction():
+            self._db.executemany("INSERT OR IGNORE INTO entries VALUES (?, ?, ?, ?, ?)", rows)
 
     def activations(self) -> Iterator[ActivationEntries]:
-        """All activations in order of their start; damaged rows are counted and passed over."""
-        try:
+        """All activations in order of their start; damaged rows are counted and skipped.  Raises `JournalError`."""
+        with _library_errors():
             for (id_,) in self._db.execute("SELECT id FROM entries WHERE kind = 0 ORDER BY start, id"):
-                life: ActivationEntries | None = None
+                activation: ActivationEntries | None = None
                 for crc, body in self._db.execute("SELECT crc, body FROM entries WHERE id = ? ORDER BY kind", (id_,)):
                     try:
                         entry = decode_entry(bytes(body), crc)
                     except CorruptEntryError:
                         self.damaged += 1
-                        # What follows an entry that cannot be read proves nothing: it may have run.
-                        if life is not None and life.may_run is None:
-                            life.may_run = MayRun(id_, life.accepted.start, "")
+                        # An entry that cannot be read may have been the may-run entry.
+                        if activation is not None and activation.may_run is None:
+                            activation.may_run = MayRun(id_, activation.accepted.start, "")
                         continue
                     if isinstance(entry, Accepted):
-                        life = ActivationEntries(entry)
-                    elif life is not None and isinstance(entry, MayRun):
-                        life.may_run = entry
-                    elif life is not None and isinstance(entry, Ended):
-                        life.ended = entry
-                if life is not None:
-                    yield life
-        except apsw.Error as cause:
-            raise JournalError(f"{type(cause).__name__}: {cause}") from None
+                        activation = ActivationEntries(entry)
+                    elif activation is not None and isinstance(entry, MayRun):
+                        activation.may_run = entry
+                    elif activation is not None and isinstance(entry, Ended):
+                        activation.ended = entry
+                if activation is not None:
+                    yield activation
 
     def forget(self, ids: Iterable[str]) -> None:
-        """Drop activations whose records are no longer kept, and give room back.  Raises `BookError`."""
-        try:
-            with self._whole():
+        """Delete activations whose records are no longer kept, and free their pages.  Raises `JournalError`."""
+        with _library_errors():
+            with self._transaction():
                 self._db.executemany("DELETE FROM entries WHERE id = ?", [(id_,) for id_ in ids])
             self._run("PRAGMA incremental_vacuum(2000)")
-        except apsw.Error as cause:
-            raise JournalError(f"{type(cause).__name__}: {cause}") from None
 
     def count(self) -> int:
-        """Activations in it."""
+        """The number of activations."""
         return int(self._run("SELECT count(*) FROM entries WHERE kind = 0")[0][0])
 
     def close(self) -> None:
-        """Close it; what was committed stays."""
+        """Close the file; what was committed stays."""
         with contextlib.suppress(apsw.Error):
             self._db.close()
 
 
-def open_journal(file: Path, most_bytes: float = 1e12, vfs: str | None = None) -> tuple[ActivationJournal, Path | None]:
-    """Open a book; one that cannot be read is set aside first, its new name returned.  Raises `BookError`."""
+def open_journal(file: Path, max_bytes: float = 1e12, vfs: str | None = None) -> tuple[ActivationJournal, Path | None]:
+    """Open a journal.  Raises `JournalError`.
+
+    A file that cannot be read is renamed first; its new name is returned, else None.
+    """
     try:
-        book = ActivationJournal(file, most_bytes, vfs)
-        book.clear_orphans()
-        return book, None
+        journal = ActivationJournal(file, max_bytes, vfs)
+        journal.clear_orphans()
+        return journal, None
     except (JournalError, apsw.Error) as cause:
         text = str(cause)
         if not any(word in text for word in ("NotADB", "Corrupt", "malformed", "not a database")):
@@ -163,8 +163,8 @@
     number = 1
     while (aside := file.with_name(f"{file.name}.damaged-{number}")).exists():
         number += 1
-    for end in ("", "-wal", "-shm"):
-        part = file.with_name(file.name + end)
+    for suffix in ("", "-wal", "-shm"):
+        part = file.with_name(file.name + suffix)
         if part.exists():
-            part.rename(aside.with_name(aside.name + end))
-    return ActivationJournal(file, most_bytes, vfs), aside
+            part.rename(aside.with_name(aside.name + suffix))
+    return ActivationJournal(file, max_bytes, vfs), aside
--- a/kelptrail/store/driver.py
+++ b/kelptrail/store/driver.py
@@ -1,4 +1,4 @@
-"""Runs the book in a thread of its own: one batch at a time, acknowledged on the loop."""
+"""Runs the journal in a thread of its own: one batch at a time, acknowledged on the event loop."""
 
 from __future__ import annotations
 
@@ -12,28 +12,30 @@
 from .activation_journal import JournalError
 from .group_commit import Batch, GroupCommit
 
-FORGET_AT_ONCE = 500  # a commit that comes meanwhile waits for so much
-FORGET_AT_LAST = 20_000  # so many stale ones are dropped whether or not there is time
+MAX_FORGET_BATCH = 500  # activations deleted in one transaction: a commit may have to wait for it
+MAX_STALE = 20_000  # beyond it activations are deleted even when the thread is busy with commits
+RETRY_POLL_S = 0.1  # how often a failing journal is looked at
+CLOSE_POLL_S = 0.005
 
 
 class EntryStore(Protocol):
-    """What keeps entries; one thread at a time uses it."""
+    """Durable storage of entries; one thread at a time uses it."""
 
     def commit(self, entries: Iterable[Any], /) -> None:
-        """Make entries safe, all or none.  Raises `BookError`."""
+        """Make entries durable, all or none.  Raises `JournalError`."""
 
     def forget(self, ids: Iterable[str], /) -> None:
-        """Drop what is no longer wanted.  Raises `BookError`."""
+        """Delete activations.  Raises `JournalError`."""
 
     def close(self) -> None:
         """Close it."""
 
 
 class JournalDriver:
-    """Makes batches safe as they become ready; `progress` is called after each."""
+    """Writes batches as they become ready; `progress` is called after each."""
 
-    def __init__(self, journal: GroupCommit, book: EntryStore, progress: Callable[[], None], log: Any) -> None:
-        self.group_commit, self._book, self._progress, self._log = journal, book, progress, log
+    def __init__(self, journal: GroupCommit, store: EntryStore, progress: Callable[[], None], log: Any) -> None:
+        self.group_commit, self._store, self._progress, self._log = journal, store, progress, log
         self._loop = asyncio.get_running_loop()
         self._thread = ThreadPoolExecutor(1, "book")
         self._busy = False
@@ -41,85 +43,85 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def forget(self, id_: str) -> None:
-        """An activation whose record is no longer kept."""
+        """An activation whose record is no longer kept: delete its entries later."""
         self._stale.append(id_)
-        if len(self._stale) >= FORGET_AT_LAST:
+        if len(self._stale) >= MAX_STALE:
             self.start_next_batch()
 
     def compact(self) -> bool:
-        """Background work: drop some stale ones and give their pages back; whether more remain."""
+        """Background work: delete some stale activations and free their pages; whether many remain."""
         if self._stale and not self._busy and not self.group_commit.failing:
-            self._drop()
-        return len(self._stale) >= FORGET_AT_ONCE
+            self._start_forget()
+        return len(self._stale) >= MAX_FORGET_BATCH
 
-    def _drop(self) -> None:
-        stale, self._stale = self._stale[:FORGET_AT_ONCE], self._stale[FORGET_AT_ONCE:]
+    def _start_forget(self) -> None:
+        stale, self._stale = self._stale[:MAX_FORGET_BATCH], self._stale[MAX_FORGET_BATCH:]
         self._start(self._forget, stale)
 
     def start_next_batch(self) -> None:
-        """Start the next batch, if there is one and none is out."""
+        """Start to write the next batch, if there is one and the thread is idle."""
         if self._busy:
             return
         batch = self.group_commit.next_batch(now_ms())
         if batch is not None:
             self._start(self._commit, batch)
-        elif len(self._stale) >= FORGET_AT_LAST:
-            self._drop()
+        elif len(self._stale) >= MAX_STALE:
+            self._start_forget()
         elif self.group_commit.failing and self._timer is None:
-            self._timer = self._loop.call_later(0.1, self._again)
+            self._timer = self._loop.call_later(RETRY_POLL_S, self._on_retry_timer)
 
-    def _again(self) -> None:
+    def _on_retry_timer(self) -> None:
         self._timer = None
         self.start_next_batch()
 
-    def _start(self, work: Callable[[Any], Callable[[], None]], what: Any) -> None:
+    def _start(self, work: Callable[[Any], Callable[[], None]], argument: Any) -> None:
         self._busy = True
-        self._thread.submit(self._run, work, what)
+        self._thread.submit(self._run, work, argument)
 
-    def _run(self, work: Callable[[Any], Callable[[], None]], what: Any) -> None:
-        done = work(what)
-        self._loop.call_soon_threadsafe(self._done, done)
+    def _run(self, work: Callable[[Any], Callable[[], None]], argument: Any) -> None:
+        report = work(argument)
+        self._loop.call_soon_threadsafe(self._on_done, report)
 
-    def _done(self, tell: Callable[[], None]) -> None:
+    def _on_done(self, report: Callable[[], None]) -> None:
         self._busy = False
-        tell()
+        report()
         self.start_next_batch()
         self._progress()
 
     def _commit(self, batch: Batch) -> Callable[[], None]:
         entries = batch.entries
         try:
-            self._book.commit(entries)
+            self._store.commit(entries)
         except JournalError as cause:
             reason = str(cause)
-            return lambda: self._failed(batch.number, reason)
-        return lambda: self._safe(batch.number)
+            return lambda: self._on_failed(batch.number, reason)
+        return lambda: self._on_durable(batch.number)
 
-    def _safe(self, number: int) -> None:
+    def _on_durable(self, number: int) -> None:
         if self.group_commit.failing:
             self._log.info("journal-well-again")
         self.group_commit.on_batch_durable(number)
 
-    def _failed(self, number: int, reason: str) -> None:
+    def _on_failed(self, number: int, reason: str) -> None:
         self._log.error("journal-failed", reason=reason)
         self.group_commit.on_batch_failed(now_ms(), number, reason)
 
     def _forget(self, stale: list[str]) -> Callable[[], None]:
         try:
-            self._book.forget(stale)
+            self._store.forget(stale)
         except JournalError as cause:
             reason = str(cause)
             return lambda: self._log.warning("journal-keeps-stale", reason=reason)
         return lambda: None
 
     async def close(self, within_ms: float) -> bool:
-        """Make safe what waits, then close the book; True if nothing was left."""
+        """Write what waits, at most `within_ms`, then close the storage; True if everything is durable."""
         end = now_ms() + within_ms
         while (self.group_commit.waiting or self._busy) and now_ms() < end:
             self.start_next_batch()
-            await asyncio.sleep(0.005)
+            await asyncio.sleep(CLOSE_POLL_S)
         await self._loop.run_in_executor(None, self._thread.shutdown)
         if self._stale:
             self._forget(self._stale)
-        self._book.close()
+        self._store.close()
         return not self.group_commit.waiting
--- a/kelptrail/store/entries.py
+++ b/kelptrail/store/entries.py
@@ -1,7 +1,8 @@
-"""What is written down of an activation, as typed entries; free of I/O.  `docs/formats/book.md` has the layout.
+"""Journal entries of an activation; free of I/O.  `docs/formats/book.md` has the layout.
 
-An activation's life on disk is `Accepted`, then `MayRun` before the first send of what must not be repeated freely,
-then `Ended`.  Wall times are milliseconds since the epoch: they must mean something after a restart.
+An activation has an `Accepted` entry, then `MayRun` before its first attempt unless it is idempotent, then `Ended`.
+Field names are keys on disk and stay as they are.  Wall times are milliseconds since the epoch: they must mean
+something after a restart.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 import zstandard
 
 FORMAT = 3  # 2: `Accepted` had no form; 1: results were never compressed and it had no digest
-COMPRESS_FROM = 1024  # bytes of a result
+COMPRESS_FROM = 1024  # bytes of a result, from which it is compressed
 
 
 class Accepted(msgspec.Struct, frozen=True, tag="accepted"):
-    """Taken, and to be resumed after a crash."""
+    """A request was accepted and is resumed after a crash."""
 
     id: str
     namespace: str
@@ -32,7 +33,7 @@
 
 
 class MayRun(msgspec.Struct, frozen=True, tag="may-run"):
-    """A send goes out; from here on it may have run, first at this worker."""
+    """The first attempt is about to start: from here on the request may have run, first at this worker."""
 
     id: str
     sent: float
@@ -40,7 +41,7 @@
 
 
 class Ended(msgspec.Struct, frozen=True, tag="ended"):
-    """The one final answer."""
+    """The one final answer; `answer` is a value of `FinalStatus`."""
 
     id: str
     end: float
@@ -60,7 +61,7 @@
 
 
 class CorruptEntryError(Exception):
-    """Bytes that are no entry: flipped, cut or of another format."""
+    """Bytes that are no entry: altered, truncated or of another format."""
 
 
 def encode_entry(entry: Entry) -> tuple[bytes, int]:
--- a/kelptrail/store/faulty_disk.py
+++ b/kelptrail/store/faulty_disk.py
@@ -1,7 +1,7 @@
-"""A stand-in for a failing disk: a layer under the book whose syncs and writes take long or fail when a file says so.
+"""A stand-in for a failing disk: a layer under the journal whose syncs and writes take long or fail on request.
 
-The file holds JSON, `{"sync_ms": 2000, "fails": false, "full": false}`, and is looked at before each sync and write;
-no file, or one that cannot be read, means a sound disk.
+The file holds JSON, `{"sync_ms": 2000, "fails": false, "full": false}`, and is read before each sync and write; no
+file, or one that cannot be read, means a sound disk.
 """
 
 from __future__ import annotations
@@ -14,27 +14,28 @@
 
 import apsw
 
-NAME = "harmed"
+NAME = "harmed"  # of the VFS
+READ_INTERVAL_S = 0.02
 
 
 class FaultyDisk(apsw.VFS):  # type: ignore[misc]
-    """A disk whose faults are set through `file`, or, without one, by whoever holds it."""
+    """An SQLite VFS whose faults are set through `file` or, without one, through `fault`."""
 
     def __init__(self, file: Path | None = None) -> None:
-        self._file, self.syncs, self.vfs_name, self._looked = file, 0, NAME, 0.0
+        self._file, self.syncs, self.vfs_name, self._read_at = file, 0, NAME, 0.0
         self.fault: dict[str, Any] = {}
         super().__init__(NAME, "")
 
     def current_fault(self) -> dict[str, Any]:
-        """What ails it now; the file is read fifty times a second at most."""
-        if self._file is not None and time.monotonic() > self._looked + 0.02:
-            self._looked, self.fault = time.monotonic(), {}
+        """The faults that are set now; the file is read at most every `READ_INTERVAL_S`."""
+        if self._file is not None and time.monotonic() > self._read_at + READ_INTERVAL_S:
+            self._read_at, self.fault = time.monotonic(), {}
             with contextlib.suppress(OSError, ValueError):
                 self.fault = json.loads(self._file.read_text())
         return self.fault
 
     def xOpen(self, name: Any, flags: Any) -> _FaultyFile:  # noqa: N802
-        """As the library calls it."""
+        """Open a file; called by the library."""
         return _FaultyFile(self, name, flags)
 
 
--- a/kelptrail/store/group_commit.py
+++ b/kelptrail/store/group_commit.py
@@ -1,8 +1,8 @@
-"""Group commit, free of I/O: entries go in with what waits for them; batches come out; they are safe or they failed.
+"""Group commit, free of I/O: collects entries with their waiters, hands out batches, and notifies the waiters.
 
-One batch is out at a time; what comes meanwhile makes up the next, so many calls share one sync.  Nothing is
-acknowledged before its batch, and so every entry before it, is safe.  After a failure the journal refuses new entries
-until a trial batch is safe; what had been written is told as failed, each exactly once.
+One batch is written at a time; entries that arrive meanwhile make up the next one, so many requests share one sync.
+Nothing is acknowledged before its batch, and so every entry before it, is durable.  After a failure new entries are
+refused until a trial batch is durable; each entry that had been accepted is reported as failed exactly once.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-Entry = Any  # what the book under it keeps: it is only passed on
+Entry = Any  # what the journal stores; it is only passed on here
 Waiter = Callable[[bool], None]
 
 
 @dataclass(slots=True)
 class Batch:
-    """Entries that share one sync; `number` grows."""
+    """Entries that share one sync; batches are numbered in order."""
 
     number: int
     entries: list[Entry] = field(default_factory=list)
@@ -26,17 +26,17 @@
 
 
 class UnexpectedBatchError(Exception):
-    """A batch was told of that is not out."""
+    """A result was reported for a batch that is not being written."""
 
 
 class GroupCommit:
-    """What waits to be safe.  Times in milliseconds."""
+    """Entries that are not durable yet.  Times in milliseconds."""
 
     def __init__(self, max_waiting: int = 100_000, retry_ms: float = 500.0) -> None:
-        self._most, self._retry_ms = max_waiting, retry_ms
-        self._next = Batch(1)
-        self._out: Batch | None = None
-        self._kept: deque[tuple[Entry, Waiter | None]] = deque()  # to be tried again once it is well
+        self._max_waiting, self._retry_ms = max_waiting, retry_ms
+        self._collecting = Batch(1)
+        self._writing: Batch | None = None
+        self._to_retry: deque[tuple[Entry, Waiter | None]] = deque()  # to be tried again after a failure
         self.failing = False
         self.reason = ""
         self._retry_at = 0.0
@@ -44,55 +44,59 @@
 
     @property
     def waiting(self) -> int:
-        """Entries that are not safe yet."""
-        return len(self._next.entries) + (len(self._out.entries) if self._out else 0) + len(self._kept)
+        """Entries that are not durable yet."""
+        return (
+            len(self._collecting.entries) + (len(self._writing.entries) if self._writing else 0) + len(self._to_retry)
+        )
 
     def is_accepting(self) -> bool:
-        """Whether a new activation can be promised to outlive a crash."""
-        return not self.failing and self.waiting < self._most
+        """Whether a new request can be made durable: the disk works, and not too much waits."""
+        return not self.failing and self.waiting < self._max_waiting
 
     def write(self, entry: Entry, waiter: Waiter | None = None, keep: bool = False) -> None:
-        """Write an entry.  `waiter` is told once whether it is safe; with `keep` only that it is: a failure is
-        tried again."""
+        """Write an entry.  `waiter` is called once: whether it is durable.
+
+        With `keep` a failure is tried again, and `waiter` is called only with True.
+        """
         if self.failing:
             if keep:
-                self._kept.append((entry, waiter))
+                self._to_retry.append((entry, waiter))
             elif waiter is not None:
                 waiter(False)
             return
         self._add(entry, waiter, keep)
 
     def _add(self, entry: Entry, waiter: Waiter | None, keep: bool) -> None:
-        self._next.entries.append(entry)
+        self._collecting.entries.append(entry)
         if keep:
-            self._next.waiters.append(lambda safe: self._again(entry, waiter, safe))
+            self._collecting.waiters.append(lambda durable: self._on_retryable_written(entry, waiter, durable))
         elif waiter is not None:
-            self._next.waiters.append(waiter)
+            self._collecting.waiters.append(waiter)
 
-    def _again(self, entry: Entry, waiter: Waiter | None, safe: bool) -> None:
-        if not safe:
-            self._kept.append((entry, waiter))
+    def _on_retryable_written(self, entry: Entry, waiter: Waiter | None, durable: bool) -> None:
+        if not durable:
+            self._to_retry.append((entry, waiter))
         elif waiter is not None:
             waiter(True)
 
     def next_batch(self, now: float) -> Batch | None:
-        """The next batch to make safe, or None.  While failing, one trial at a time with what is kept."""
-        if self._out is not None:
+        """The next batch to write, or None.  After a failure one trial at a time, with what is to be tried again."""
+        if self._writing is not None:
             return None
         if self.failing:
             if now < self._retry_at:
                 return None
-            while self._kept:
-                entry, waiter = self._kept.popleft()
+            while self._to_retry:
+                entry, waiter = self._to_retry.popleft()
                 self._add(entry, waiter, True)
-        elif not self._next.entries:
+        elif not self._collecting.entries:
             return None
-        self._out, self._next = self._next, Batch(self._next.number + 1)
-        return self._out
+        self._writing, self._collecting = self._collecting, Batch(self._collecting.number + 1)
+        return self._writing
 
     def on_batch_durable(self, number: int) -> None:
-        """A batch is on disk."""
-        batch = self._end(number)
+        """A batch is durable.  Raises `UnexpectedBatchError`."""
+        batch = self._take_written(number)
         self.failing, self.reason = False, ""
         self.commits += 1
         self.entries += len(batch.entries)
@@ -100,16 +104,16 @@
             waiter(True)
 
     def on_batch_failed(self, now: float, number: int, reason: str) -> None:
-        """A batch could not be made safe: nothing of it is."""
-        batch = self._end(number)
+        """A batch could not be written: none of its entries is durable.  Raises `UnexpectedBatchError`."""
+        batch = self._take_written(number)
         self.failing, self.reason, self._retry_at = True, reason, now + self._retry_ms
         self.failures += 1
-        later, self._next = self._next, Batch(self._next.number + 1)
-        for waiter in [*batch.waiters, *later.waiters]:
+        collected, self._collecting = self._collecting, Batch(self._collecting.number + 1)
+        for waiter in [*batch.waiters, *collected.waiters]:
             waiter(False)
 
-    def _end(self, number: int) -> Batch:
-        if self._out is None or self._out.number != number:
-            raise UnexpectedBatchError(f"batch {number} is not out")
-        batch, self._out = self._out, None
+    def _take_written(self, number: int) -> Batch:
+        if self._writing is None or self._writing.number != number:
+            raise UnexpectedBatchError(f"batch {number} is not being written")
+        batch, self._writing = self._writing, None
         return batch
--- a/kelptrail/store/recovery.py
+++ b/kelptrail/store/recovery.py
@@ -1,8 +1,9 @@
-"""What becomes of an activation that a crash left without its final answer, and in which order; free of I/O.
+"""What becomes of an activation that a crash remaining_ms without its final answer, and in which order; free of I/O.
 
-It goes by the effect and by what is written of its sends: never sent ones run again inside their time, repeatable ones
-may run again, deduplicated ones only while the group remembers the mark, once-only ones that may have run are aborted.
-The wall clock is all that a restart leaves; where it went back, the time left is taken as the shorter.
+It depends on the request class and on what the journal says of attempts.  What was never attempted, and idempotent
+requests, run again within their time; deduplicated ones only while the workers still drop a repeat; at-most-once ones
+that may have run have failed.  A restart can rely on the wall clock alone; where that was set back, the request's time
+counts as used up.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryRule:
-    """What must be known of a namespace type."""
+    """What recovery must know of a request class."""
 
     idempotency: Idempotency
     scope: str  # of deduplication: "all", "zone" or "cell"
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndRequest:
-    """Give it its final answer now."""
+    """Give the request its final answer now."""
 
     entries: ActivationEntries
     answer: FinalStatus  # REJECTED or FAILED
@@ -39,91 +40,103 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumeRequest:
-    """Take it up again, with so much time left; `again_ms`: for how much longer a repeat is dropped, None: any time."""
+    """Run the request deduplicated_for_ms, with `remaining_ms` remaining_ms.
+
+    `deduplicated_for_ms`: for how much longer the workers drop a repeat; None where a repeat does no harm.
+    """
 
     entries: ActivationEntries
     remaining_ms: float
     deduplicated_for_ms: float | None
-    priority: float
+    priority: float  # utility for each millisecond left
 
 
 def decide_recovery(
-    life: ActivationEntries, rule: RecoveryRule, wall: float, least_ms: float
+    entries: ActivationEntries, rule: RecoveryRule, wall: float, min_run_ms: float
 ) -> EndRequest | ResumeRequest:
-    """What becomes of one; `least_ms` is the least time in which a run is worth beginning."""
-    accepted, ran = life.accepted, life.may_run
-    gone = wall - accepted.start
-    if gone < 0:  # the clock went back: nobody knows for how long it was down
-        gone = accepted.timeout_ms
-    left = accepted.timeout_ms - gone
-    if ran is not None and rule.idempotency is Idempotency.AT_MOST_ONCE:
+    """What becomes of one activation; `min_run_ms` is the least time in which a run is worth beginning."""
+    accepted, may_run = entries.accepted, entries.may_run
+    elapsed = wall - accepted.start
+    if elapsed < 0:  # the wall clock was set back: how long it was down is unknown
+        elapsed = accepted.timeout_ms
+    remaining_ms = accepted.timeout_ms - elapsed
+    if may_run is not None and rule.idempotency is Idempotency.AT_MOST_ONCE:
         return EndRequest(
-            life, FinalStatus.FAILED, "It may have run when its dispatcher failed, and must not run twice"
+            entries, FinalStatus.FAILED, "It may have run when its dispatcher failed, and must not run twice"
         )
-    if ran is not None and rule.idempotency is Idempotency.DEDUPLICATED:
-        again = rule.deduplication_window_ms - max(0.0, wall - ran.sent)
+    if may_run is not None and rule.idempotency is Idempotency.DEDUPLICATED:
+        deduplicated_for_ms = rule.deduplication_window_ms - max(0.0, wall - may_run.sent)
         if rule.scope != "all":
             return EndRequest(
-                life, FinalStatus.FAILED, "It may have run when its dispatcher failed, at a group that is not known now"
+                entries,
+                FinalStatus.FAILED,
+                "It may have run when its dispatcher failed, at a group that is not known now",
             )
-        if again <= least_ms:
+        if deduplicated_for_ms <= min_run_ms:
             return EndRequest(
-                life,
+                entries,
                 FinalStatus.FAILED,
                 "It may have run when its dispatcher failed; a repeat would not be dropped now",
             )
-        if left <= least_ms:
-            return EndRequest(life, FinalStatus.FAILED, WAS_DOWN + "; it may have run")
-        return ResumeRequest(life, left, again, rule.utility / left)
-    if left <= least_ms:
-        return EndRequest(life, FinalStatus.REJECTED, WAS_DOWN)
-    return ResumeRequest(life, left, None, rule.utility / left)
+        if remaining_ms <= min_run_ms:
+            return EndRequest(entries, FinalStatus.FAILED, WAS_DOWN + "; it may have run")
+        return ResumeRequest(entries, remaining_ms, deduplicated_for_ms, rule.utility / remaining_ms)
+    if remaining_ms <= min_run_ms:
+        return EndRequest(entries, FinalStatus.REJECTED, WAS_DOWN)
+    return ResumeRequest(entries, remaining_ms, None, rule.utility / remaining_ms)
+
+
+def _later(resume: ResumeRequest, ms: float) -> ResumeRequest:
+    """The same request with its times counted from `ms` earlier."""
+    window = resume.deduplicated_for_ms
+    return replace(
+        resume,
+        remaining_ms=resume.remaining_ms + ms,
+        deduplicated_for_ms=None if window is None else window + ms,
+    )
 
 
 class ResumeQueue:
-    """Which to resume next: the most utility for the time left first, only so many at once, so that a restart is no
-    storm of its own; what new calls leave undone comes first to its end."""
+    """Requests to resume: the most utility for the time left first, at most `max_concurrent` at once.
 
-    def __init__(self, found: list[ResumeRequest], at_once: int, least_ms: float) -> None:
-        self._left = deque(sorted(found, key=lambda r: -r.priority))
-        self._at_once, self._least_ms, self._out = at_once, least_ms, 0
+    The bound keeps a restart from overloading the workers.
+    """
+
+    def __init__(self, found: list[ResumeRequest], max_concurrent: int, min_run_ms: float) -> None:
+        self._waiting = deque(sorted(found, key=lambda resume: -resume.priority))
+        self._max_concurrent, self._min_run_ms, self._resumed = max_concurrent, min_run_ms, 0
 
     def __len__(self) -> int:
-        return len(self._left)
+        return len(self._waiting)
 
     def next(self, since_ms: float) -> ResumeRequest | EndRequest | None:
-        """The next to take up, or to end as its time ran out while it waited; None: not now.  `since_ms`: how long
-        after `judge`."""
-        if not self._left:
+        """The next request to resume, or to end as its time ran out in the queue; None: not now.
+
+        `since_ms`: time since `decide_recovery` was called for the first ones.
+        """
+        if not self._waiting:
             return None
-        first = self._left[0]
-        if first.remaining_ms - since_ms <= self._least_ms:
-            self._left.popleft()
-            ran = first.entries.may_run is not None and first.deduplicated_for_ms is not None
-            return EndRequest(first.entries, FinalStatus.FAILED if ran else FinalStatus.REJECTED, WAS_DOWN)
-        if self._out >= self._at_once:
+        first = self._waiting[0]
+        if first.remaining_ms - since_ms <= self._min_run_ms:
+            self._waiting.popleft()
+            may_run = first.entries.may_run is not None and first.deduplicated_for_ms is not None
+            return EndRequest(first.entries, FinalStatus.FAILED if may_run else FinalStatus.REJECTED, WAS_DOWN)
+        if self._resumed >= self._max_concurrent:
             return None
-        self._left.popleft()
-        self._out += 1
+        self._waiting.popleft()
+        self._resumed += 1
         return first
 
     def add(self, found: list[ResumeRequest], since_ms: float) -> None:
-        """More that was found, so long after `judge` was asked about the first."""
-        later = [
-            replace(
-                r,
-                remaining_ms=r.remaining_ms + since_ms,
-                deduplicated_for_ms=None if r.deduplicated_for_ms is None else r.deduplicated_for_ms + since_ms,
-            )
-            for r in found
-        ]
-        self._left = deque(sorted([*self._left, *later], key=lambda r: -r.priority))
+        """Add requests, `since_ms` after `decide_recovery` was called for the first ones."""
+        later = [_later(resume, since_ms) for resume in found]
+        self._waiting = deque(sorted([*self._waiting, *later], key=lambda resume: -resume.priority))
 
     def remove(self, ids: Iterable[str]) -> None:
-        """Others go on with these."""
+        """Other dispatchers have taken these over."""
         gone = set(ids)
-        self._left = deque(r for r in self._left if r.entries.accepted.id not in gone)
+        self._waiting = deque(resume for resume in self._waiting if resume.entries.accepted.id not in gone)
 
     def on_finished(self) -> None:
-        """One that was resumed has its final answer."""
-        self._out -= 1
+        """A resumed request has its final answer."""
+        self._resumed -= 1
--- a/kelptrail/store/wal.py
+++ b/kelptrail/store/wal.py
@@ -18,12 +18,15 @@
 
 LOG_HEADER_BYTES, FRAME_HEADER_BYTES = 32, 24
 INDEX_VERSION = 3_007_000
-LARGEST_PAGE = 65_536  # stands as 1 in the index
+LARGEST_PAGE = 65_536  # the index has 1 for it
 
 
 def drop_uncommitted(database: Path) -> bool:
-    """Cut off what stands in the log behind the last frame that the index knows; whether it was cut.  To be called by
-    the one process that writes, with no transaction open.  Where the disk fails this too, nothing is changed."""
+    """Truncate the log after the last frame that the index knows; whether it was truncated.
+
+    To be called by the one process that writes, with no transaction open.  Where the disk fails here too, nothing is
+    changed.
+    """
     log, index = database.with_name(f"{database.name}-wal"), database.with_name(f"{database.name}-shm")
     try:
         with open(index, "rb") as file:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -174,7 +174,7 @@
     disk.fault = {}
     book.commit([ended()])
     assert next(book.activations()).ended == ended()
-    small = ActivationJournal(tmp_path / "small", most_bytes=100_000)
+    small = ActivationJournal(tmp_path / "small", max_bytes=100_000)
     with pytest.raises(JournalError, match="Full"):
         for n in range(200):
             small.commit([Accepted(f"{n:032x}", "one", "grant", float(n), 900.0, os.urandom(4000))])
