--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -355,7 +355,7 @@
         """The endpoint list has changed."""
         workers, restarted = self.members.apply(now, listing)
         self._dispatcher.on_endpoints(now, workers, restarted)
-        self.members.purge()
+        self.members.remove_departed()
 
     # The planner.
 
--- a/kelptrail/gateway/state.py
+++ b/kelptrail/gateway/state.py
@@ -7,7 +7,7 @@
 
 from kelptrail.dispatch.entities import Attempt, Request
 from kelptrail.dispatch.timer_queue import TimerQueue
-from kelptrail.membership.members import Members
+from kelptrail.membership.members import WorkerRegistry
 
 from .build import DispatcherParts
 from .counters import FunctionCounters, GatewayCounters
@@ -47,7 +47,7 @@
             crc32(boot.encode()),
             {space.name: space.allowed_per_s for space in parts.deployment.namespaces.values()},
         )
-        self.members = Members(parts.zones)
+        self.members = WorkerRegistry(parts.zones)
         self.records = Records(place.records, place.records_mb * 1e6, place.record_ms)
         self.counts = GatewayCounters()
         self.counters_by_model: dict[str, FunctionCounters] = {}  # since the last report to a planner
