--- /dev/null
+++ b/kelptrail/gateway/attempts.py
@@ -0,0 +1,100 @@
+"""Attempts: starts them when their journal entry is durable, cancels them, and takes in how they ended."""
+
+from __future__ import annotations
+
+from kelptrail.codec.infer import Answer
+from kelptrail.dispatch.attempt_results import AttemptResult
+from kelptrail.dispatch.entities import Attempt, AttemptStatus, FinalStatus
+
+from .completion import RequestCompletion
+from .durability import DurabilityWriter
+from .effects import CancelAttempt, CancelReason, StartAttempt
+from .invocation import Invocation
+from .state import GatewayState, is_repeat
+
+NO_ANSWER = Answer("none")
+
+
+class AttemptAlreadyEndedError(Exception):
+    """A second end of one attempt."""
+
+
+class Attempts:
+    """Carries the dispatcher's attempts from their decision to their end."""
+
+    def __init__(self, state: GatewayState, durability: DurabilityWriter, completion: RequestCompletion) -> None:
+        self._state, self._durability, self._completion = state, durability, completion
+
+    def start(self, now: float, attempt: Attempt) -> StartAttempt | None:
+        """Start an attempt, or hold it until its may-run entry is durable and this dispatcher is the primary."""
+        invocation = self._state.invocations[attempt.request]
+        record = invocation.record
+        if attempt.number == 0:
+            record.queued_ms = now - record.received_at
+        journal = record.replicated_journal
+        may_start = invocation.lifecycle.on_attempt_decided() and (journal is None or journal.may_act(now))
+        if not may_start:
+            invocation.held_attempts.append(attempt)
+        self._durability.write_entries(invocation)
+        if not may_start:
+            return None
+        self._state.start_attempt(invocation, attempt)
+        return StartAttempt(invocation, attempt)
+
+    def cancel(self, now: float, attempt: Attempt, reason: CancelReason) -> None:
+        """Cancel an attempt; one that was held never went out."""
+        invocation = self._state.invocations.get(attempt.request)
+        if invocation is not None and attempt in invocation.held_attempts:
+            invocation.held_attempts.remove(attempt)
+            invocation.lifecycle.drop_held()
+            self.on_finished(now, attempt, AttemptStatus.NOT_SENT, None, False)
+        else:
+            self._state.effects.append(CancelAttempt(attempt, reason))
+
+    def on_finished(
+        self,
+        now: float,
+        attempt: Attempt,
+        status: AttemptStatus,
+        answer: Answer | None = None,
+        started: bool = True,
+    ) -> None:
+        """An attempt has ended; `started` is False for one that was held and never went out.
+
+        Raises `AttemptAlreadyEndedError` at a second end.
+        """
+        request = attempt.request
+        if attempt.status is not None:
+            raise AttemptAlreadyEndedError(f"attempt {attempt.number} of {request.id} has ended already")
+        statuses = self._state.counts.attempt_statuses
+        statuses[status] = statuses.get(status, 0) + 1
+        invocation = self._state.invocations.get(request)
+        if invocation is not None:
+            if started:
+                invocation.lifecycle.on_attempt_finished()
+            self._note_answer(now, invocation, attempt, status, answer)
+        final = request.final_status is not None or status is AttemptStatus.COMPLETED
+        heard = answer or NO_ANSWER
+        result = AttemptResult(status, final, heard.load_failed, heard.found, heard.company, heard.report)
+        self._state.dispatcher.on_attempt_finished(now, attempt, result)
+        if invocation is not None and not invocation.record.final and request.final_status is FinalStatus.COMPLETED:
+            self._completion.finish(now, invocation, FinalStatus.COMPLETED)
+        self._state.settle(request)
+
+    def _note_answer(
+        self, now: float, invocation: Invocation, attempt: Attempt, status: AttemptStatus, answer: Answer | None
+    ) -> None:
+        """Keep the answer of the first completed attempt; count what was completed or not loaded."""
+        completed, request = status is AttemptStatus.COMPLETED, attempt.request
+        if completed and request.final_status is None:
+            invocation.answer = answer
+            self._state.counts.useful_repeats += is_repeat(attempt)
+        if not completed and status is not AttemptStatus.NOT_LOADED:
+            return
+        self._state.overload.on_attempt_answered(now, not completed)
+        counters = self._state.counters_of(invocation.record.path)
+        counters.not_loaded += not completed
+        if completed:
+            counters.completed += 1
+            counters.work_ms += now - attempt.started_at
+            counters.late += now - request.received_at > request.request_class.latency_objective_ms
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -11,7 +11,6 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from kelptrail.codec.infer import Answer
-from kelptrail.dispatch.attempt_results import AttemptResult
 from kelptrail.dispatch.entities import (
     Attempt,
     AttemptStatus,
@@ -27,36 +26,26 @@
 from kelptrail.store.activation_journal import ActivationEntries
 from kelptrail.store.group_commit import GroupCommit
 
+from .attempts import Attempts
 from .build import DispatcherParts
 from .completion import RequestCompletion
 from .counters import FunctionCounters
 from .durability import DurabilityWriter
-from .effects import CancelAttempt, CancelReason, Effect, LogEvent, StartAttempt, StartLoad
+from .effects import CancelReason, Effect, LogEvent, StartLoad
 from .invocation import Invocation
 from .lifecycle import RequestLifecycle, RequestStage
 from .limits import RETRY_AFTER_MS, RejectionReason
 from .records import Record, ReplicatedJournal
 from .recovery import RestartRecovery
-from .state import GatewayState, is_repeat
+from .state import GatewayState
 from .streaming import ResponseStreams
 
-STATUS_BY_ANSWER_KIND = {
-    "completed": AttemptStatus.COMPLETED,
-    "error": AttemptStatus.ERROR,
-    "full": AttemptStatus.OUT_OF_CAPACITY,
-    "miss": AttemptStatus.NOT_LOADED,
-}
-NO_ANSWER = Answer("none")
 CLIENT_GONE = b'{"error":"The client went away before the answer."}'
 MAX_MARGIN_SHARE = 0.25  # of a request's time: the answer margin grows no further under load
 COLD_COUNT_INTERVAL_MS = 1000.0  # how often warming-up workers are counted
 NEVER_MS = -1e18
 
 
-class AttemptAlreadyEndedError(Exception):
-    """A second end of one attempt."""
-
-
 class Gateway:
     """All requests that one dispatcher holds.
 
@@ -74,6 +63,7 @@
         self.durability = DurabilityWriter(state, journal)
         self._recovery = RestartRecovery(state, self.durability)
         self._completion = RequestCompletion(state, self.durability, self._recovery)
+        self._attempts = Attempts(state, self.durability, self._completion)
         self._streams = ResponseStreams(state)
         self.records.on_drop = self._on_record_dropped
         self._max_utility = max(kind.utility for kind in world.deployment.types.values())
@@ -292,52 +282,10 @@
     # Workers.
 
     def on_attempt_finished(
-        self,
-        now: float,
-        attempt: Attempt,
-        status: AttemptStatus,
-        answer: Answer | None = None,
-        started: bool = True,
-    ) -> None:
-        """An attempt has ended; `started` is False for one that was held and never went out.
-
-        Raises `AttemptAlreadyEndedError` at a second end.
-        """
-        request = attempt.request
-        if attempt.status is not None:
-            raise AttemptAlreadyEndedError(f"attempt {attempt.number} of {request.id} has ended already")
-        statuses = self.counts.attempt_statuses
-        statuses[status] = statuses.get(status, 0) + 1
-        invocation = self.state.invocations.get(request)
-        if invocation is not None:
-            if started:
-                invocation.lifecycle.on_attempt_finished()
-            self._note_answer(now, invocation, attempt, status, answer)
-        final = request.final_status is not None or status is AttemptStatus.COMPLETED
-        heard = answer or NO_ANSWER
-        result = AttemptResult(status, final, heard.load_failed, heard.found, heard.company, heard.report)
-        self._dispatcher.on_attempt_finished(now, attempt, result)
-        if invocation is not None and not invocation.record.final and request.final_status is FinalStatus.COMPLETED:
-            self._completion.finish(now, invocation, FinalStatus.COMPLETED)
-        self.state.settle(request)
-
-    def _note_answer(
-        self, now: float, invocation: Invocation, attempt: Attempt, status: AttemptStatus, answer: Answer | None
+        self, now: float, attempt: Attempt, status: AttemptStatus, answer: Answer | None = None
     ) -> None:
-        """Keep the answer of the first completed attempt; count what was completed or not loaded."""
-        completed, request = status is AttemptStatus.COMPLETED, attempt.request
-        if completed and request.final_status is None:
-            invocation.answer = answer
-            self.counts.useful_repeats += is_repeat(attempt)
-        if not completed and status is not AttemptStatus.NOT_LOADED:
-            return
-        self.overload.on_attempt_answered(now, not completed)
-        counters = self.state.counters_of(invocation.record.path)
-        counters.not_loaded += not completed
-        if completed:
-            counters.completed += 1
-            counters.work_ms += now - attempt.started_at
-            counters.late += now - request.received_at > request.request_class.latency_objective_ms
+        """See `Attempts.on_finished`.  Raises `AttemptAlreadyEndedError`."""
+        self._attempts.on_finished(now, attempt, status, answer)
 
     def on_response_part(self, now: float, attempt: Attempt, data: bytes) -> None:
         """See `ResponseStreams.on_part`."""
@@ -425,7 +373,7 @@
             return
         for attempt in request.attempts:
             if attempt.status is None:
-                self._cancel(now, attempt, CancelReason.SILENT)
+                self._attempts.cancel(now, attempt, CancelReason.SILENT)
         invocation = self.state.invocations.get(request)  # it may have been settled
         if invocation is None or invocation.lifecycle.deferred:
             return
@@ -442,7 +390,7 @@
         while durability.unsafe_attempts:  # no byte of it was written to a worker
             attempt = durability.unsafe_attempts.popleft()
             if attempt.status is None:
-                self.on_attempt_finished(now, attempt, AttemptStatus.NOT_SENT, None, False)
+                self._attempts.on_finished(now, attempt, AttemptStatus.NOT_SENT, None, False)
 
     def _reject_under_replicated(self, now: float, invocation: Invocation) -> None:
         if invocation.lifecycle.final:
@@ -464,31 +412,6 @@
             self.state.settle(decision)
             return None
         if decision.cancelled:
-            self._cancel(now, decision, CancelReason.CANCELLED)
-            return None
-        return self._start(now, decision)
-
-    def _start(self, now: float, attempt: Attempt) -> StartAttempt | None:
-        """Start an attempt, or hold it until its may-run entry is durable and this dispatcher is the primary."""
-        invocation = self.state.invocations[attempt.request]
-        record = invocation.record
-        if attempt.number == 0:
-            record.queued_ms = now - record.received_at
-        journal = record.replicated_journal
-        may_start = invocation.lifecycle.on_attempt_decided() and (journal is None or journal.may_act(now))
-        if not may_start:
-            invocation.held_attempts.append(attempt)
-        self.durability.write_entries(invocation)
-        if not may_start:
+            self._attempts.cancel(now, decision, CancelReason.CANCELLED)
             return None
-        self.state.start_attempt(invocation, attempt)
-        return StartAttempt(invocation, attempt)
-
-    def _cancel(self, now: float, attempt: Attempt, reason: CancelReason) -> None:
-        invocation = self.state.invocations.get(attempt.request)
-        if invocation is not None and attempt in invocation.held_attempts:  # it never went out
-            invocation.held_attempts.remove(attempt)
-            invocation.lifecycle.drop_held()
-            self.on_attempt_finished(now, attempt, AttemptStatus.NOT_SENT, None, False)
-        else:
-            self.state.effects.append(CancelAttempt(attempt, reason))
+        return self._attempts.start(now, decision)
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -31,7 +31,7 @@
 from kelptrail.store.driver import JournalDriver
 
 from .connection_health import ConnectionHealth
-from .core import STATUS_BY_ANSWER_KIND, Gateway
+from .core import Gateway
 from .effects import CancelAttempt, CancelReason, Effect, FinalAnswer, LogEvent, ResponsePart, StartAttempt, StartLoad
 from .invocation import Invocation
 
@@ -49,6 +49,12 @@
     CancelReason.LOAD_TIMEOUT: AttemptStatus.SILENT,
     CancelReason.MALFORMED: AttemptStatus.CONNECTION_LOST,
 }
+STATUS_BY_ANSWER_KIND = {
+    "completed": AttemptStatus.COMPLETED,
+    "error": AttemptStatus.ERROR,
+    "full": AttemptStatus.OUT_OF_CAPACITY,
+    "miss": AttemptStatus.NOT_LOADED,
+}
 STATUS_BY_ENDING = {
     Ending.UNREACHABLE: AttemptStatus.UNREACHABLE,
     Ending.UNSENT: AttemptStatus.NOT_SENT,
