--- a/kelptrail/front/invoke/api.py
+++ b/kelptrail/front/invoke/api.py
@@ -513,7 +513,7 @@
         """The wait is over: the client goes on with the id, which must be worth something after a crash."""
         gateway = self._api._driver.gateway
         gateway.make_durable(now_ms(), ivk)
-        if ivk.lifecycle.durable:
+        if ivk.lifecycle.journaled:
             gateway.when_durable(ivk, lambda _safe: self.deferred(ivk.record))
             self._api._driver.schedule_decisions()
         else:
--- a/kelptrail/gateway/build.py
+++ b/kelptrail/gateway/build.py
@@ -1,4 +1,4 @@
-"""From settings to a dispatcher of `kelptrail.dispatch`: each part is handed its few figures."""
+"""Builds a dispatcher of `kelptrail.dispatch` from the settings of a deployment."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class DispatcherParts:
-    """The objects that the decisions are about, as one deployment names them."""
+    """The dispatcher of one process, and the request classes, tenants and functions that its deployment names."""
 
-    def __init__(self, deployment: Deployment, hall: str, seed: int) -> None:
+    def __init__(self, deployment: Deployment, zone: str, seed: int) -> None:
         place, rules = deployment.dispatcher, deployment.rules
         self.deployment = deployment
         self.request_classes = {
@@ -30,7 +30,7 @@
         }
         self.tenants = {n.name: Tenant(n.name, n.allowed_per_s) for n in deployment.namespaces.values()}
         self.zones = {name: number for number, name in enumerate(deployment.halls)}
-        gate = self.safety = SafetyGuard(
+        safety = self.safety = SafetyGuard(
             seed,
             SafetySettings(
                 place.parallel,
@@ -41,9 +41,9 @@
         )
         health, timers = OutlierDetector(), TimerQueue()
         parts = Components(
-            gate,
+            safety,
             health,
-            Placement(gate, health, self.zones.get(hall, 0), seed),
+            Placement(safety, health, self.zones.get(zone, 0), seed),
             InstanceTable(timers, place.keep_ms),
             RequestQueues(seed, list(self.request_classes.values()), list(self.tenants.values())),
             timers,
@@ -54,7 +54,7 @@
         self.paths = {action.model: path for path, action in deployment.actions.items()}
 
     def function(self, path: str) -> Function:
-        """The function of an action, made when it is first called."""
+        """The function of an action, created when it is first invoked."""
         function = self._functions.get(path)
         if function is None:
             action = self.deployment.actions[path]
@@ -64,5 +64,5 @@
         return function
 
     def forget_function(self, function: Function) -> None:
-        """Drop a function that has long been idle."""
+        """Remove a function that has been idle for long."""
         self._functions = {p: f for p, f in self._functions.items() if f is not function}
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -53,11 +53,11 @@
     must be durable before a step is kept by each one's `RequestLifecycle`.
     """
 
-    def __init__(self, world: DispatcherParts, boot: str, journal: GroupCommit | None = None) -> None:
-        self._parts, self._dispatcher = world, world.dispatcher
+    def __init__(self, parts: DispatcherParts, boot: str, journal: GroupCommit | None = None) -> None:
+        self._parts, self._dispatcher = parts, parts.dispatcher
         self._boot, self._submitted = boot, 0  # activation ids: this start's prefix and a number
         self.answer_ms = 0.0  # what writing one answer costs the host, which measures it
-        self.state = state = GatewayState(world, boot)
+        self.state = state = GatewayState(parts, boot)
         self.limits, self.overload, self.members = state.limits, state.overload, state.members
         self.records, self.counts = state.records, state.counts
         self.durability = DurabilityWriter(state, journal)
@@ -66,8 +66,8 @@
         self._attempts = Attempts(state, self.durability, self._completion)
         self._streams = ResponseStreams(state)
         self.records.on_drop = self._on_record_dropped
-        self._max_utility = max(kind.utility for kind in world.deployment.types.values())
-        self._cold_ms = world.deployment.rules.cold_ms
+        self._max_utility = max(kind.utility for kind in parts.deployment.types.values())
+        self._cold_ms = parts.deployment.rules.cold_ms
         self._next_tick_at = self._next_cold_count_at = NEVER_MS
 
     @property
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -308,7 +308,7 @@
         else:
             call = pool.start(data, self.on_attempt_finished, (invocation, attempt))
         self._calls[attempt] = call
-        if invocation.lifecycle.durable:
+        if invocation.lifecycle.journaled:
             self._loop.call_later(STEP_DELAY_S, self.gateway.durability.on_step, "sent")
         if self.debug:
             self._log.debug(
--- a/kelptrail/gateway/durability.py
+++ b/kelptrail/gateway/durability.py
@@ -98,7 +98,7 @@
         It is called with None where another dispatcher has taken over the journal, so that nobody here knows.
         """
         lifecycle = invocation.lifecycle
-        if not lifecycle.durable:
+        if not lifecycle.journaled:
             done(self.journal is None)
         elif lifecycle.durable_result is not None:
             done(lifecycle.durable_result)
@@ -115,7 +115,7 @@
         record.deferred = True
         if self.replicated_journal is not None and record.replicated_journal is None:
             record.replicated_journal = self.replicated_journal()
-            invocation.moved_to_replicated = invocation.lifecycle.durable
+            invocation.moved_to_replicated = invocation.lifecycle.journaled
         invocation.lifecycle.make_durable(invocation.moved_to_replicated)
         self.write_entries(invocation)
 
--- a/kelptrail/gateway/lifecycle.py
+++ b/kelptrail/gateway/lifecycle.py
@@ -59,24 +59,24 @@
 
 
 class RequestLifecycle:
-    """One request.  `idempotent`: a second run does no harm; `durable`: it is journaled, to outlive the process."""
+    """One request.  `idempotent`: a second run does no harm; `journaled`: it outlives the process."""
 
     __slots__ = (
         "_entries",
         "accepted_write",
         "attempt_count",
         "deferred",
-        "durable",
         "ended_write",
         "held",
         "idempotent",
         "in_flight",
+        "journaled",
         "may_run_write",
         "stage",
     )
 
-    def __init__(self, idempotent: bool, durable: bool, deferred: bool = False) -> None:
-        self.idempotent, self.durable = idempotent, durable
+    def __init__(self, idempotent: bool, journaled: bool, deferred: bool = False) -> None:
+        self.idempotent, self.journaled = idempotent, journaled
         self.deferred = deferred  # its client gets the activation id in place of the answer
         self.stage = RequestStage.ACCEPTED
         self.accepted_write = self.may_run_write = self.ended_write = WriteState.NOT_REQUESTED
@@ -131,7 +131,7 @@
 
     def request_accepted_entry(self) -> None:
         """Ask for the accepted entry, if the request is journaled and this was not asked for yet."""
-        if self.durable and self.accepted_write is WriteState.NOT_REQUESTED and not self.final:
+        if self.journaled and self.accepted_write is WriteState.NOT_REQUESTED and not self.final:
             self._request_entry(EntryKind.ACCEPTED)
 
     def on_written(self, kind: EntryKind, durable: bool) -> None:
@@ -154,7 +154,7 @@
     @property
     def durable_result(self) -> bool | None:
         """Whether the accepted entry is durable, so that the client may get the id; None while that is not known."""
-        if not self.durable:
+        if not self.journaled:
             return False
         return {WriteState.DURABLE: True, WriteState.FAILED: False}.get(self.accepted_write)
 
@@ -181,7 +181,7 @@
     @property
     def may_start(self) -> bool:
         """Whether the first byte of an attempt may be written."""
-        return self.idempotent or not self.durable or self.may_run_write is WriteState.DURABLE
+        return self.idempotent or not self.journaled or self.may_run_write is WriteState.DURABLE
 
     def start_attempt(self) -> None:
         """A decided attempt starts.  Raises `IllegalStepError` where the may-run entry is not durable."""
@@ -216,9 +216,9 @@
         if self.final:
             raise IllegalStepError("it has its final answer")
         self.deferred = True
-        if self.durable and not moved:
+        if self.journaled and not moved:
             return
-        self.durable = True
+        self.journaled = True
         self.accepted_write = self.may_run_write = WriteState.NOT_REQUESTED
         self.request_accepted_entry()
         if (self.attempt_count or self.in_flight or self.held) and not self.idempotent:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -32,7 +32,7 @@
 )
 FIELDS = (
     "idempotent",
-    "durable",
+    "journaled",
     "deferred",
     "stage",
     "accepted_write",
@@ -48,8 +48,8 @@
 class Seen:
     """A lifecycle beside what the outside has seen of it, judged by the promises' own words."""
 
-    def __init__(self, idempotent: bool, durable: bool, deferred: bool) -> None:
-        self.lifecycle = RequestLifecycle(idempotent, durable, deferred)
+    def __init__(self, idempotent: bool, journaled: bool, deferred: bool) -> None:
+        self.lifecycle = RequestLifecycle(idempotent, journaled, deferred)
         self.asked: list[EntryKind] = []
         self.safe: set[EntryKind] = set()
         self.finals = self.shown = 0
@@ -85,7 +85,7 @@
             elif name == "start_attempt":
                 lifecycle.start_attempt()
                 assert not self.finals, "nothing is sent after the final answer"
-                if lifecycle.durable and not lifecycle.idempotent:
+                if lifecycle.journaled and not lifecycle.idempotent:
                     assert EntryKind.MAY_RUN in self.safe, "may run is safe before the first byte"
             else:
                 getattr(lifecycle, name)()
@@ -102,9 +102,9 @@
         return True
 
 
-@pytest.mark.parametrize(("idempotent", "durable", "deferred"), list(product((True, False), repeat=3)))
-def test_every_order_of_events_keeps_the_promises(idempotent: bool, durable: bool, deferred: bool) -> None:
-    start = Seen(idempotent, durable, deferred)
+@pytest.mark.parametrize(("idempotent", "journaled", "deferred"), list(product((True, False), repeat=3)))
+def test_every_order_of_events_keeps_the_promises(idempotent: bool, journaled: bool, deferred: bool) -> None:
+    start = Seen(idempotent, journaled, deferred)
     reached, stages, refused = {start.key()}, set[RequestStage](), 0
     edge = deque([(start, 0)])
     while edge:
