--- a/kelptrail/gateway/attempts.py
+++ b/kelptrail/gateway/attempts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from kelptrail.codec.infer import Answer
+from kelptrail.codec.infer import WorkerAnswer
 from kelptrail.dispatch.attempt_results import AttemptResult
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, FinalStatus
 
@@ -12,7 +12,7 @@
 from .invocation import Invocation
 from .state import GatewayState, is_repeat
 
-NO_ANSWER = Answer("none")
+NO_ANSWER = WorkerAnswer("none")
 
 
 class AttemptAlreadyEndedError(Exception):
@@ -56,7 +56,7 @@
         now: float,
         attempt: Attempt,
         status: AttemptStatus,
-        answer: Answer | None = None,
+        answer: WorkerAnswer | None = None,
         started: bool = True,
     ) -> None:
         """An attempt has ended; `started` is False for one that was held and never went out.
@@ -75,14 +75,16 @@
             self._note_answer(now, invocation, attempt, status, answer)
         final = request.final_status is not None or status is AttemptStatus.COMPLETED
         heard = answer or NO_ANSWER
-        result = AttemptResult(status, final, heard.load_failed, heard.found, heard.company, heard.report)
+        result = AttemptResult(
+            status, final, heard.load_failed, heard.instance_loaded, heard.other_requests, heard.report
+        )
         self._state.dispatcher.on_attempt_finished(now, attempt, result)
         if invocation is not None and not invocation.record.final and request.final_status is FinalStatus.COMPLETED:
             self._completion.finish(now, invocation, FinalStatus.COMPLETED)
         self._state.settle(request)
 
     def _note_answer(
-        self, now: float, invocation: Invocation, attempt: Attempt, status: AttemptStatus, answer: Answer | None
+        self, now: float, invocation: Invocation, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
     ) -> None:
         """Keep the answer of the first completed attempt; count what was completed or not loaded."""
         completed, request = status is AttemptStatus.COMPLETED, attempt.request
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
-from kelptrail.codec.infer import Answer
+from kelptrail.codec.infer import WorkerAnswer
 from kelptrail.dispatch.entities import (
     Attempt,
     AttemptStatus,
@@ -282,7 +282,7 @@
     # Workers.
 
     def on_attempt_finished(
-        self, now: float, attempt: Attempt, status: AttemptStatus, answer: Answer | None = None
+        self, now: float, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None = None
     ) -> None:
         """See `Attempts.on_finished`.  Raises `AttemptAlreadyEndedError`."""
         self._attempts.on_finished(now, attempt, status, answer)
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -17,8 +17,8 @@
 from kelptrail.codec.events import EventReader, TooLongError
 from kelptrail.codec.http import Response
 from kelptrail.codec.infer import (
-    Answer,
     MalformedError,
+    WorkerAnswer,
     infer_request,
     load_request,
     read_answer,
@@ -27,7 +27,7 @@
 )
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder, Worker
 from kelptrail.membership.members import EndpointList
-from kelptrail.net.pool import Call, Ending, WorkerPool
+from kelptrail.net.pool import Call, CallOutcome, WorkerPool
 from kelptrail.store.driver import JournalDriver
 
 from .connection_health import ConnectionHealth
@@ -56,9 +56,9 @@
     "miss": AttemptStatus.NOT_LOADED,
 }
 STATUS_BY_ENDING = {
-    Ending.UNREACHABLE: AttemptStatus.UNREACHABLE,
-    Ending.UNSENT: AttemptStatus.NOT_SENT,
-    Ending.BROKEN: AttemptStatus.CONNECTION_LOST,
+    CallOutcome.UNREACHABLE: AttemptStatus.UNREACHABLE,
+    CallOutcome.UNSENT: AttemptStatus.NOT_SENT,
+    CallOutcome.BROKEN: AttemptStatus.CONNECTION_LOST,
 }
 
 
@@ -91,10 +91,10 @@
         except (MalformedError, TooLongError):
             self._malformed = True
             if self.call is not None:
-                self.call.give_up(CancelReason.MALFORMED)
+                self.call.cancel(CancelReason.MALFORMED)
         self._driver.schedule_decisions()
 
-    def finish(self, now: float, answer: Answer) -> tuple[AttemptStatus, Answer]:
+    def finish(self, now: float, answer: WorkerAnswer) -> tuple[AttemptStatus, WorkerAnswer]:
         """The attempt's status and answer, once the response is complete.
 
         A stream without its last part counts as a lost connection; a worker that does not stream sent one answer.
@@ -143,19 +143,19 @@
         )
         self.run_effects()
 
-    def on_attempt_finished(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def on_attempt_finished(self, call: Call, ending: CallOutcome, response: Response | None) -> None:
         """An attempt's call has ended."""
         invocation: Invocation = call.tag[0]
         attempt: Attempt = call.tag[1]
         self._calls.pop(attempt, None)
         answer = None
         stream = self._streams.pop(call, None)
-        if ending is Ending.ANSWERED and response is not None:
+        if ending is CallOutcome.ANSWERED and response is not None:
             answer = read_answer(response, invocation.deduplication_id, invocation.payload_format)
             status = STATUS_BY_ANSWER_KIND[answer.kind]
             if stream is not None and status is AttemptStatus.COMPLETED:
                 status, answer = stream.finish(now_ms(), answer)
-        elif ending is Ending.GIVEN_UP:
+        elif ending is CallOutcome.CANCELLED:
             status = STATUS_BY_CANCEL_REASON.get(call.reason, AttemptStatus.CANCELLED)  # no reason: the loop is closing
         else:
             status = STATUS_BY_ENDING[ending]
@@ -173,18 +173,18 @@
         self.gateway.on_attempt_finished(now, attempt, status, answer)
         self.schedule_decisions()
 
-    def on_load_report(self, call: Call, ending: Ending, response: Response | None) -> None:
+    def on_load_report(self, call: Call, ending: CallOutcome, response: Response | None) -> None:
         """A load order's call has ended."""
         order: LoadOrder = call.tag
         timer = self._load_timeouts.pop(call, None)
         if timer is not None:
             timer.cancel()
-        if ending is Ending.ANSWERED and response is not None:
+        if ending is CallOutcome.ANSWERED and response is not None:
             kind, loaded = read_loaded(response)
             status = STATUS_BY_ANSWER_KIND[kind]
         else:
             status, loaded = (
-                (STATUS_BY_CANCEL_REASON[call.reason] if ending is Ending.GIVEN_UP else STATUS_BY_ENDING[ending]),
+                (STATUS_BY_CANCEL_REASON[call.reason] if ending is CallOutcome.CANCELLED else STATUS_BY_ENDING[ending]),
                 0,
             )
         if self.debug:
@@ -245,7 +245,7 @@
             self._start_load(effect.order)
         elif isinstance(effect, CancelAttempt):
             if (call := self._calls.get(effect.attempt)) is not None:
-                call.give_up(effect.reason)
+                call.cancel(effect.reason)
         elif isinstance(effect, LogEvent):
             self._log.warning("unusual", what=effect.text)
 
@@ -281,7 +281,7 @@
         if now - self._swept_at >= SWEEP_INTERVAL_MS:
             self._swept_at = now
             for pool in self._pools.values():
-                pool.sweep()
+                pool.close_idle()
         self.run_effects()
 
     def _pool(self, worker: Worker) -> WorkerPool:
@@ -347,7 +347,7 @@
             load_request(pool.address, order.instance.function.id, order.count, self.name), self.on_load_report, order
         )
         self._load_timeouts[call] = self._loop.call_later(
-            self._settings.order_ms / 1000, call.give_up, CancelReason.LOAD_TIMEOUT
+            self._settings.order_ms / 1000, call.cancel, CancelReason.LOAD_TIMEOUT
         )
         if self.debug:
             self._log.debug(
--- a/kelptrail/gateway/invocation.py
+++ b/kelptrail/gateway/invocation.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from kelptrail.codec.infer import Answer
+from kelptrail.codec.infer import WorkerAnswer
 from kelptrail.dispatch.entities import Attempt, Request
 from kelptrail.settings.deployment import ActionSettings
 
@@ -27,7 +27,7 @@
     deduplication_id: str  # workers recognise a repeated attempt by it
     lifecycle: RequestLifecycle
     waiters: list[Callable[[Record], None]] = field(default_factory=list)  # the host calls them with the final answer
-    answer: Answer | None = None
+    answer: WorkerAnswer | None = None
     payload_format: str = "json"  # of payload and result: "json", or "tensors" for the inference protocol
     deferred: bool = False  # submitted as non-blocking: the client expects only the activation id
     streamed: bool = False  # the client accepts the response in parts
--- a/kelptrail/load/coordinator.py
+++ b/kelptrail/load/coordinator.py
@@ -38,7 +38,7 @@
         sys.executable,
         "-m",
         "kelptrail",
-        "load-hand",
+        "load-generator",
         script,
         "--start",
         str(start),
--- a/kelptrail/net/pool.py
+++ b/kelptrail/net/pool.py
@@ -1,7 +1,7 @@
-"""Connections to one worker: capped, reused last in first out, closed when idle, with a connect deadline.
+"""Connections to one worker: limited in number, reused last in first out, closed when idle, with a connect deadline.
 
-A `Call` is one request to the worker.  It ends exactly once, and its `Ending` says what was seen on the socket;
-above all whether anything had been written.  What that means for a send is not judged here.
+A `Call` is one request to the worker.  It ends exactly once, and its `CallOutcome` says what was seen on the socket,
+above all whether anything had been written.  What that means for an attempt is decided elsewhere.
 """
 
 from __future__ import annotations
@@ -16,45 +16,56 @@
 
 from kelptrail.codec.http import HttpError, Response, ResponseReader
 
-from .transport import TlsTransport, Transport
+from .transport import IdleState, TlsTransport, Transport
 
-BUFFER = 16_384
+BUFFER_BYTES = 16_384
 
 
-class Ending(Enum):
+class CallOutcome(Enum):
     """How a call ended, as seen on its socket."""
 
-    ANSWERED = "answered"  # a whole response was read
+    ANSWERED = "answered"  # a complete response was read
     UNREACHABLE = "unreachable"  # no connection was made: nothing written
-    UNSENT = "unsent"  # given up before anything was written
-    BROKEN = "broken"  # the connection ended after writing began, or what came was no response
-    GIVEN_UP = "given-up"  # called off by us after writing began
+    UNSENT = "unsent"  # cancelled before anything was written
+    BROKEN = "broken"  # the connection ended after writing began, or the response was malformed
+    CANCELLED = "given-up"  # cancelled by us after writing began
 
 
-Done = Callable[["Call", Ending, Response | None], None]
+OnDone = Callable[["Call", CallOutcome, Response | None], None]
 
 
 class Call:
-    """One request under way; `done` is called exactly once."""
-
-    __slots__ = ("_begun", "_done", "_paused", "_resumed", "_task", "_written", "data", "on_piece", "reason", "tag")
-
-    def __init__(self, data: bytes, done: Done, tag: Any, on_piece: Callable[[bytes], None] | None = None) -> None:
-        self.data, self._done, self.tag = data, done, tag
-        self.on_piece = on_piece  # takes a streamed answer's body as it comes
+    """One request in flight; `on_done` is called exactly once.  `tag` is the caller's own."""
+
+    __slots__ = (
+        "_on_done",
+        "_paused",
+        "_resumed",
+        "_started",
+        "_task",
+        "_written",
+        "data",
+        "on_chunk",
+        "reason",
+        "tag",
+    )
+
+    def __init__(self, data: bytes, on_done: OnDone, tag: Any, on_chunk: Callable[[bytes], None] | None = None) -> None:
+        self.data, self._on_done, self.tag = data, on_done, tag
+        self.on_chunk = on_chunk  # gets the body of a streamed response as it arrives
         self._paused, self._resumed = False, None
         self.reason = ""
-        self._written = self._begun = False
+        self._written = self._started = False
         self._task: asyncio.Task[None] | None = None
 
     _resumed: asyncio.Future[None] | None
 
     def pause(self) -> None:
-        """Read no more of the answer for now: what the worker sends on waits in the sockets, then with it."""
+        """Stop reading the response: TCP flow control then holds the worker back."""
         self._paused = True
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue reading."""
         self._paused = False
         if self._resumed is not None and not self._resumed.done():
             self._resumed.set_result(None)
@@ -64,121 +75,135 @@
         """Whether the first byte may have been written."""
         return self._written
 
-    def give_up(self, reason: str) -> None:
-        """Call it off; HTTP/1.1 has no other way than to close the connection."""
+    def cancel(self, reason: str) -> None:
+        """Cancel the call, which closes its connection: HTTP/1.1 has no other way."""
         self.reason = self.reason or reason
-        if self._begun and self._task is not None:
+        if self._started and self._task is not None:
             self._task.cancel()
 
-    def _end(self, ending: Ending, response: Response | None = None) -> None:
-        done, self._done = self._done, _nobody
-        done(self, ending, response)
+    def _finish(self, outcome: CallOutcome, response: Response | None = None) -> None:
+        on_done, self._on_done = self._on_done, _ignore
+        on_done(self, outcome, response)
 
 
-def _nobody(call: Call, ending: Ending, response: Response | None) -> None:
-    """Stands in for `done` once it was called."""
+def _ignore(call: Call, outcome: CallOutcome, response: Response | None) -> None:
+    """Replaces `on_done` once it was called."""
 
 
-class _Link:
-    """One open connection and its parser."""
+class _PooledConnection:
+    """One open connection, its parser and its read buffer."""
 
-    __slots__ = ("buffer", "reader", "used", "wire")
+    __slots__ = ("buffer", "idle_since", "reader", "transport")
 
-    def __init__(self, wire: Transport, answer_bytes: int) -> None:
-        self.wire, self.reader, self.used = wire, ResponseReader(answer_bytes), 0.0
-        self.buffer = bytearray(BUFFER)
+    def __init__(self, transport: Transport, answer_bytes: int) -> None:
+        self.transport, self.reader, self.idle_since = transport, ResponseReader(answer_bytes), 0.0
+        self.buffer = bytearray(BUFFER_BYTES)
 
 
 class WorkerPool:
-    """The connections to one address.  Times are milliseconds."""
+    """The connections to one address, at most `max_connections`.  Times are milliseconds."""
 
     def __init__(
         self,
         address: str,
-        most: int,
+        max_connections: int,
         connect_ms: float,
         idle_ms: float,
         answer_bytes: int,
         tls: Callable[[], ssl.SSLContext] | None = None,
     ) -> None:
         host, _, port = address.rpartition(":")
-        self.address, self._where = address, (host.strip("[]"), int(port))
-        self._most, self._connect_ms, self._idle_ms, self._answer_bytes = (most, connect_ms, idle_ms, answer_bytes)
+        self.address, self._endpoint = address, (host.strip("[]"), int(port))
+        self._max_connections, self._connect_ms, self._idle_ms, self._answer_bytes = (
+            max_connections,
+            connect_ms,
+            idle_ms,
+            answer_bytes,
+        )
         self._loop, self._tls = asyncio.get_running_loop(), tls
-        self._idle: list[_Link] = []
+        self._idle: list[_PooledConnection] = []
         self._waiting: deque[asyncio.Future[None]] = deque()
         self._closed = False
-        self.open = 0
-        self.made = self.stray = 0  # connections made; ones found with bytes that nobody had asked for
+        self.open_connections = 0
+        self.connections_made = 0
+        self.unexpected_data = 0  # connections with data that no request had asked for
         self._calls: set[Call] = set()
 
     @property
-    def calls(self) -> int:
-        """Calls under way."""
+    def calls_in_flight(self) -> int:
+        """The number of calls in flight."""
         return len(self._calls)
 
-    def start(self, data: bytes, done: Done, tag: Any = None, on_piece: Callable[[bytes], None] | None = None) -> Call:
-        """Begin a call; `done` comes later, never from within."""
-        call = Call(data, done, tag, on_piece)
+    def start(
+        self, data: bytes, on_done: OnDone, tag: Any = None, on_chunk: Callable[[bytes], None] | None = None
+    ) -> Call:
+        """Start a call; `on_done` is called later, never from within."""
+        call = Call(data, on_done, tag, on_chunk)
         self._calls.add(call)
-        call._task = self._loop.create_task(self._run(call))
+        call._task = self._loop.create_task(self._run_call(call))
         return call
 
-    async def _run(self, call: Call) -> None:
-        link: _Link | None = None
-        ending, response = Ending.BROKEN, None
-        call._begun = True
+    async def _run_call(self, call: Call) -> None:
+        connection: _PooledConnection | None = None
+        outcome, response = CallOutcome.BROKEN, None
+        call._started = True
         try:
-            if call.reason:  # called off before it began
-                ending = Ending.UNSENT
+            if call.reason:  # cancelled before it started
+                outcome = CallOutcome.UNSENT
                 return
-            link = await self._take()
-            if link is None:
-                ending = Ending.UNREACHABLE
+            connection = await self._acquire()
+            if connection is None:
+                outcome = CallOutcome.UNREACHABLE
                 return
             call._written = True
-            await link.wire.sendall(call.data)
-            receive, feed, buffer = link.wire.recv_into, link.reader.feed, link.buffer
-            link.reader.on_piece = call.on_piece
-            while response is None:
-                if call._paused:
-                    call._resumed = self._loop.create_future()
-                    await call._resumed
-                count = await receive(buffer)
-                if not count:
-                    return
-                with memoryview(buffer) as view:
-                    response = feed(view[:count])
-            ending = Ending.ANSWERED
+            response = await self._exchange(connection, call)
+            if response is not None:
+                outcome = CallOutcome.ANSWERED
         except asyncio.CancelledError:
-            ending = Ending.GIVEN_UP if call._written else Ending.UNSENT
-        except TimeoutError:  # no turn within the cap; once written, the transport's own time-out
-            ending = Ending.BROKEN if call._written else Ending.UNSENT
+            outcome = CallOutcome.CANCELLED if call._written else CallOutcome.UNSENT
+        except TimeoutError:  # no free connection in time; once written, the transport's own time-out
+            outcome = CallOutcome.BROKEN if call._written else CallOutcome.UNSENT
         except (OSError, HttpError):
-            ending = Ending.BROKEN
+            outcome = CallOutcome.BROKEN
         finally:
             self._calls.discard(call)
-            if link is not None:
-                link.reader.on_piece = None
-            if link is not None:
-                self._give_back(
-                    link,
-                    ending is Ending.ANSWERED
+            if connection is not None:
+                connection.reader.on_chunk = None
+                self._release(
+                    connection,
+                    outcome is CallOutcome.ANSWERED
                     and response is not None
                     and response.keep_alive
-                    and not link.reader.extra,
+                    and not connection.reader.unexpected_data,
                 )
-            call._end(ending, response)
+            call._finish(outcome, response)
+
+    async def _exchange(self, connection: _PooledConnection, call: Call) -> Response | None:
+        """Send a call's request and read its response; None where the worker closed before the end."""
+        await connection.transport.sendall(call.data)
+        receive, feed, buffer = connection.transport.recv_into, connection.reader.feed, connection.buffer
+        connection.reader.on_chunk = call.on_chunk
+        response = None
+        while response is None:
+            if call._paused:
+                call._resumed = self._loop.create_future()
+                await call._resumed
+            count = await receive(buffer)
+            if not count:
+                return None
+            with memoryview(buffer) as view:
+                response = feed(view[:count])
+        return response
 
-    async def _take(self) -> _Link | None:
-        """An open connection; None if none can be made.  Raises TimeoutError where the cap leaves no room."""
+    async def _acquire(self) -> _PooledConnection | None:
+        """An open connection; None if none can be made.  Raises `TimeoutError` where all stay in use for too long."""
         while True:
             while self._idle:
-                link = self._idle.pop()
-                if self._sound(link):
-                    return link
-                self._close(link)
-            if self.open < self._most:
+                connection = self._idle.pop()
+                if self._is_reusable(connection):
+                    return connection
+                self._close(connection)
+            if self.open_connections < self._max_connections:
                 return await self._connect()
             turn = self._loop.create_future()
             self._waiting.append(turn)
@@ -189,72 +214,72 @@
                 if turn in self._waiting:
                     self._waiting.remove(turn)
                 elif turn.done() and not turn.cancelled():
-                    self._pass_on()
+                    self._wake_next_waiter()
                 raise
 
-    async def _connect(self) -> _Link | None:
-        self.open += 1
-        family = socket.AF_INET6 if ":" in self._where[0] else socket.AF_INET
+    async def _connect(self) -> _PooledConnection | None:
+        self.open_connections += 1
+        family = socket.AF_INET6 if ":" in self._endpoint[0] else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             async with asyncio.timeout(self._connect_ms / 1000):
-                await self._loop.sock_connect(sock, self._where)
-                wire = Transport(self._loop, sock)
-                if self._tls is not None:  # a worker that is not vouched for is not reached
-                    wire = secure = TlsTransport(self._loop, sock, self._tls(), False, self._where[0])
+                await self._loop.sock_connect(sock, self._endpoint)
+                transport = Transport(self._loop, sock)
+                if self._tls is not None:  # a worker without a valid certificate counts as unreachable
+                    transport = secure = TlsTransport(self._loop, sock, self._tls(), False, self._endpoint[0])
                     await secure.handshake(self._connect_ms)
         except BaseException as cause:
             sock.close()
-            self.open -= 1
-            self._pass_on()
+            self.open_connections -= 1
+            self._wake_next_waiter()
             if isinstance(cause, OSError):  # TimeoutError is one
                 return None
             raise
-        self.made += 1
-        return _Link(wire, self._answer_bytes)
+        self.connections_made += 1
+        return _PooledConnection(transport, self._answer_bytes)
 
-    def _sound(self, link: _Link) -> bool:
-        """Whether an idle connection still stands with nothing to read.
+    def _is_reusable(self, connection: _PooledConnection) -> bool:
+        """Whether an idle connection is still open with nothing to read.
 
-        Guards against a send on a connection that the worker has closed: that would be no proof that it never
-        ran.  Bytes that nobody asked for are a second answer to the send before.
+        Guards against an attempt on a connection that the worker has closed: its failure would not prove that it never
+        ran.  Unexpected data is a second answer to the attempt before.
         """
-        quiet = link.wire.quiet()
-        self.stray += quiet is None
-        return quiet is True
-
-    def _give_back(self, link: _Link, sound: bool) -> None:
-        if not sound or self._closed:
-            if link.reader.extra:
-                self.stray += 1
-            self._close(link)
+        state = connection.transport.probe_idle()
+        self.unexpected_data += state is IdleState.UNEXPECTED_DATA
+        return state is IdleState.IDLE
+
+    def _release(self, connection: _PooledConnection, reusable: bool) -> None:
+        if not reusable or self._closed:
+            if connection.reader.unexpected_data:
+                self.unexpected_data += 1
+            self._close(connection)
             return
-        link.used = self._loop.time()
-        self._idle.append(link)
-        self._pass_on()
+        connection.idle_since = self._loop.time()
+        self._idle.append(connection)
+        self._wake_next_waiter()
 
-    def _close(self, link: _Link) -> None:
-        link.wire.close()
-        self.open -= 1
-        self._pass_on()
+    def _close(self, connection: _PooledConnection) -> None:
+        connection.transport.close()
+        self.open_connections -= 1
+        self._wake_next_waiter()
 
-    def _pass_on(self) -> None:
+    def _wake_next_waiter(self) -> None:
         while self._waiting:
             turn = self._waiting.popleft()
             if not turn.done():
                 turn.set_result(None)
                 return
 
-    def sweep(self) -> None:
-        """Close connections that have lain idle too long."""
+    def close_idle(self) -> None:
+        """Close connections that were idle for too long."""
         before = self._loop.time() - self._idle_ms / 1000
-        while self._idle and self._idle[0].used < before:
+        while self._idle and self._idle[0].idle_since < before:
             self._close(self._idle.pop(0))
 
     def close(self) -> None:
-        """Close idle connections now and others as they end."""
+        """Close idle connections now, and the others as their calls end."""
         self._closed = True
         while self._idle:
             self._close(self._idle.pop())
--- a/kelptrail/platform/client_connection.py
+++ b/kelptrail/platform/client_connection.py
@@ -10,6 +10,7 @@
 from kelptrail.codec.frames import FrameError, FrameReader
 from kelptrail.dispatch.entities import Request
 from kelptrail.net.connection import Connection
+from kelptrail.net.transport import IdleState
 
 MAX_UNREAD_BYTES = 1 << 20  # written to a client that does not read; beyond it the connection is closed
 READ_STALL_MS = 1_000.0  # a client that has read nothing for so long is not waited for
@@ -33,7 +34,7 @@
     loop: asyncio.AbstractEventLoop
     time: Callable[[], float]
 
-    def on_whole_frame(self, client: ClientConnection) -> None:
+    def on_complete_frame(self, client: ClientConnection) -> None:
         """A complete frame was read."""
 
     def on_frame(self, client: ClientConnection, kind: int, stream: int, payload: bytes) -> None:
@@ -73,9 +74,12 @@
         connection = self.connection
         if connection.closed:
             return False
-        if connection.unwritten and (self._handler.time() - connection.moved) * 1000 < READ_STALL_MS:
+        if (
+            connection.has_pending_writes
+            and (self._handler.time() - connection.last_write_progress) * 1000 < READ_STALL_MS
+        ):
             return True
-        return self.partial_frame_since is not None or connection.wire.quiet() is None
+        return self.partial_frame_since is not None or connection.transport.probe_idle() is IdleState.UNEXPECTED_DATA
 
     def _on_data(self, data: memoryview) -> None:
         self.last_received_at = self._handler.time()
@@ -83,7 +87,7 @@
         try:
             while not self.connection.closed and (frame := self.reader.next()) is not None:
                 self.partial_frame_since = None
-                self._handler.on_whole_frame(self)
+                self._handler.on_complete_frame(self)
                 self._handler.on_frame(self, *frame)
         except FrameError as cause:
             self._handler.close_unreadable(self, cause)
