--- a/bench/copies.py
+++ b/bench/copies.py
@@ -28,7 +28,8 @@
 from kelptrail.codec.infer import WorkerAnswer
 from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.gateway.build import DispatcherParts
-from kelptrail.gateway.core import FinalAnswer, Gateway, StartAttempt, StartLoad
+from kelptrail.gateway.core import Gateway
+from kelptrail.gateway.effects import FinalAnswer, StartAttempt, StartLoad
 from kelptrail.lease.messages import FencingToken
 from kelptrail.membership.members import Endpoint, EndpointList
 from kelptrail.replication.messages import ReplicaEntry
@@ -36,7 +37,7 @@
 from kelptrail.replication.replica import Fence, ReplicaWrite
 from kelptrail.replication.replica_store import ReadRequest, open_replica_store
 from kelptrail.settings.deployment import parse
-from kelptrail.store.entries import Accepted, Ended, MayRun, pack
+from kelptrail.store.entries import Accepted, Ended, MayRun, encode_entry
 
 NAMES = ("d0", "d1", "d2")
 TARGET = "/api/v1/namespaces/_/actions/f-0?blocking=false"
@@ -188,10 +189,10 @@
 class Book:
     """A book that is safe at once, to see what taking it up takes by itself."""
 
-    def takes(self) -> bool:
+    def is_accepting(self) -> bool:
         return True
 
-    def acting(self, now: float) -> bool:
+    def may_act(self, now: float) -> bool:
         return True
 
     def write(self, entry: Any, waiter: Any = None, keep: bool = False) -> None:
@@ -220,7 +221,10 @@
             entries: list[Any] = [Accepted(id_, "n", "f-0", wall - 3000, 600_000.0, b'{"family":7}' * 20)]
             if n >= count * share:
                 entries += [MayRun(id_, wall - 2000, "w0"), Ended(id_, wall, "completed", 0, b'{"family":7}' * 20)]
-            items += [ReplicaEntry(e.id, (Accepted, MayRun, Ended).index(type(e)), 3000.0, pack(e)[0]) for e in entries]
+            items += [
+                ReplicaEntry(e.id, (Accepted, MayRun, Ended).index(type(e)), 3000.0, encode_entry(e)[0])
+                for e in entries
+            ]
         shelves.commit(
             [ReplicaWrite("lost.1", tuple(items), fence=Fence(FencingToken(1, "lost/1"), "lost"), wall_ms=wall)]
         )
@@ -238,7 +242,7 @@
         def stir() -> None:
             nonlocal first, last
             now = now_ms()
-            while (effect := gateway.on_decision_done(now)) is not None:
+            while (effect := gateway.next_effect(now)) is not None:
                 if isinstance(effect, FinalAnswer):
                     finals.add(effect.invocation.record.id)
                     last = now
--- a/bench/split.py
+++ b/bench/split.py
@@ -16,7 +16,8 @@
 from kelptrail.codec.infer import infer_answer, infer_request, read_answer
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder, Request
 from kelptrail.gateway.build import DispatcherParts
-from kelptrail.gateway.core import FinalAnswer, Gateway, StartAttempt, StartLoad
+from kelptrail.gateway.core import Gateway
+from kelptrail.gateway.effects import FinalAnswer, StartAttempt, StartLoad
 from kelptrail.membership.members import Endpoint, EndpointList
 from kelptrail.settings.deployment import parse
 
@@ -74,7 +75,7 @@
         clock[0] += 0.3
         now = clock[0]
         gateway.submit(now, now, "n", action, b"{}")
-        while (effect := gateway.on_decision_done(now)) is not None:
+        while (effect := gateway.next_effect(now)) is not None:
             if isinstance(effect, StartAttempt):
                 gateway.on_attempt_finished(now + 0.2, effect.attempt, AttemptStatus.COMPLETED)
             elif isinstance(effect, StartLoad):
--- a/kelptrail/replication/driver.py
+++ b/kelptrail/replication/driver.py
@@ -297,7 +297,7 @@
             "copies": context.settings.replica_count,
             "disk": context.stores.own_disk_id,
             "retiring": self._drain.draining,
-            "promising": journals.current is not None and journals.current.takes(),
+            "promising": journals.current is not None and journals.current.is_accepting(),
             "owned": {
                 journal_id: handle.primary.status(now)
                 | {"current": handle is journals.current, "live": handle.recovered}
--- a/kelptrail/replication/journal_stores.py
+++ b/kelptrail/replication/journal_stores.py
@@ -52,16 +52,16 @@
     @property
     def failing(self) -> bool:
         """Whether the last transaction of any store failed."""
-        return any(disk.journal.failing for disk in self._disks.values())
+        return any(disk.group_commit.failing for disk in self._disks.values())
 
     def submit(self, request: ReplicaWrite | ReadRequest, on_done: Callable[[bool], None] | None = None) -> None:
         """Queue a request; `on_done` gets False if its transaction failed."""
-        self._disks[id(self.of(request.journal_id))].journal.write(request, on_done)
+        self._disks[id(self.of(request.journal_id))].group_commit.write(request, on_done)
 
     def pump(self) -> None:
         """Start the next transaction of each store that is idle."""
         for disk in self._disks.values():
-            disk.pump()
+            disk.start_next_batch()
 
     async def close(self, within_ms: float) -> None:
         """Finish queued requests and close the stores, each within a time."""
--- a/kelptrail/replication/primary_handle.py
+++ b/kelptrail/replication/primary_handle.py
@@ -9,7 +9,7 @@
 from kelptrail.clock import now_ms, wall_ms
 from kelptrail.lease.messages import NO_TOKEN
 from kelptrail.store.activation_journal import KINDS
-from kelptrail.store.entries import Accepted, Ended, Entry, pack
+from kelptrail.store.entries import Accepted, Ended, Entry, encode_entry
 
 from .context import ReplicationContext
 from .messages import ReplicaEntry
@@ -19,7 +19,7 @@
 
 
 class PrimaryHandle:
-    """Implements the gateway's `RecordKeeper` on a `Primary`."""
+    """Implements the gateway's `ReplicatedJournal` on a `Primary`."""
 
     def __init__(self, context: ReplicationContext, primary: Primary) -> None:
         self._context, self.primary, self.journal_id = context, primary, primary.journal_id
@@ -28,11 +28,11 @@
         self.token = NO_TOKEN  # under which the lease was acquired last
         self.next_probe_at = 0.0  # when replicas may be asked again whether there is another primary
 
-    def takes(self) -> bool:
+    def is_accepting(self) -> bool:
         """Whether a new deferred call can be accepted."""
-        return self.recovered and self.primary.accepts_requests() and self.acting(now_ms())
+        return self.recovered and self.primary.accepts_requests() and self.may_act(now_ms())
 
-    def acting(self, now: float) -> bool:
+    def may_act(self, now: float) -> bool:
         """Whether entries of the journal may be acted on at this instant; checks the lease."""
         return (
             self.primary.ready
@@ -45,9 +45,9 @@
 
         For an accepted call it gets False if the journal is under-replicated, for other entries always True.
         """
-        data, _ = pack(entry)
+        data, _ = encode_entry(entry)
         if isinstance(entry, Ended) and len(data) > self.primary.settings.max_entry_bytes:
-            data, _ = pack(msgspec.structs.replace(entry, result=RESULT_TOO_LARGE))
+            data, _ = encode_entry(msgspec.structs.replace(entry, result=RESULT_TOO_LARGE))
         accepted = isinstance(entry, Accepted)
         age_ms = max(0.0, wall_ms() - entry.start) if isinstance(entry, Accepted) else 0.0
         on_commit = waiter if accepted or waiter is None else (lambda _fully_replicated: waiter(True))
--- a/kelptrail/replication/replica_store.py
+++ b/kelptrail/replication/replica_store.py
@@ -20,7 +20,7 @@
 
 from kelptrail.lease.messages import FencingToken
 from kelptrail.store.activation_journal import ActivationEntries, JournalError
-from kelptrail.store.entries import Accepted, DamagedError, Ended, MayRun, unpack
+from kelptrail.store.entries import Accepted, CorruptEntryError, Ended, MayRun, decode_entry
 
 from .messages import BUCKETS, ReplicaEntry, bucket_of, entry_digest, pack_digests
 from .replica import Fence, ReplicaWrite
@@ -197,8 +197,8 @@
             (request.journal_id,),
         ):
             try:
-                entry = unpack(bytes(body), crc)
-            except DamagedError:
+                entry = decode_entry(bytes(body), crc)
+            except CorruptEntryError:
                 request.damaged += 1
                 # The damaged entry may have been a may-run entry, so the call may have run.
                 if activation is not None and activation.accepted.id == id_ and activation.may_run is None and kind:
--- a/kelptrail/service/control.py
+++ b/kelptrail/service/control.py
@@ -67,14 +67,14 @@
         counts = gateway.counts
         return {
             "in_hand": gateway.in_flight,
-            "taken": counts.taken,
+            "taken": counts.received,
             "completed": counts.completed,
             "rejected": counts.rejected,
-            "aborted": counts.aborted,
-            "sends": counts.sends,
-            "orders": counts.orders,
-            "second_sends": counts.second_sends,
-            "second_saved": counts.second_saved,
+            "aborted": counts.failed,
+            "sends": counts.attempts,
+            "orders": counts.load_orders,
+            "second_sends": counts.repeat_attempts,
+            "second_saved": counts.useful_repeats,
             "journal": self._journal(),
             "connections": self._front.connections,
             "unread_bytes": self._front.unwritten_bytes,
@@ -91,16 +91,16 @@
             },
             "storm": gateway.overload.status(),
             "tls": {name: reloader.status() for name, reloader in self._reloaders.items()},
-            "held_bytes": gateway.holdings.bytes,
-            "refused": dict(gateway.holdings.refused),
+            "held_bytes": gateway.limits.bytes,
+            "refused": dict(gateway.limits.rejections),
             "records": len(gateway.records),
-            "record_bytes": gateway.records.held_bytes,
-            "outcomes": {outcome.value: n for outcome, n in counts.outcomes.items()},
+            "record_bytes": gateway.records.ended_bytes,
+            "outcomes": {outcome.value: n for outcome, n in counts.attempt_statuses.items()},
             "workers": {w.id: w.state.value for w in gateway.members},
         } | {name: status() for name, status in self._sections.items()}
 
     def _journal(self) -> dict[str, Any] | None:
-        journal = self._driver.gateway.journal
+        journal = self._driver.gateway.durability.journal
         if journal is None:
             return None
         return {
--- a/kelptrail/service/journal.py
+++ b/kelptrail/service/journal.py
@@ -69,7 +69,7 @@
     if stores.file is None or stores.commits is None:
         return
     driver.journal = JournalDriver(stores.commits, stores.file, driver.schedule_decisions, log)
-    gateway.on_forget = driver.journal.forget
+    gateway.durability.on_forget = driver.journal.forget
     began = now_ms()
     replicated = replication.activation_ids() if replication is not None else set[str]()
     activations = (entries for entries in stores.file.activations() if entries.accepted.id not in replicated)
--- a/kelptrail/service/journal_takeover.py
+++ b/kelptrail/service/journal_takeover.py
@@ -24,7 +24,7 @@
     accepted.
     """
     if replication is None:
-        gateway.promising = lambda: None
+        gateway.durability.replicated_journal = lambda: None
         return
 
     def on_recovered(handle: PrimaryHandle, activations: list[ActivationEntries]) -> None:
@@ -32,7 +32,7 @@
         driver.schedule_decisions()
 
     def on_resumed(handle: PrimaryHandle) -> None:
-        gateway.is_primary(handle)
+        gateway.on_became_primary(handle)
         driver.schedule_decisions()
 
     def on_released(handle: PrimaryHandle) -> int:
@@ -40,10 +40,11 @@
         driver.schedule_decisions()
         return count
 
-    gateway.promising, driver.replication = replication.journal_for_new_requests, replication.flush
+    gateway.durability.replicated_journal = replication.journal_for_new_requests
+    driver.start_replication = replication.flush
     hooks = replication.hooks
     hooks.on_recovered, hooks.on_resumed, hooks.on_released = on_recovered, on_resumed, on_released
     hooks.on_progress = driver.schedule_decisions
-    hooks.has_activation = gateway.has
-    hooks.has_in_flight = lambda handle: any(not record.final for record in gateway.records.of(handle))
+    hooks.has_activation = gateway.has_record
+    hooks.has_in_flight = lambda handle: any(not record.final for record in gateway.records.kept_by(handle))
     hooks.is_issued_by = lambda name, id_: id_prefix(name) == id_[:ID_PREFIX_DIGITS]
--- a/kelptrail/service/shutdown.py
+++ b/kelptrail/service/shutdown.py
@@ -60,7 +60,7 @@
 async def _wait_for_fetches(dispatcher: Dispatcher, deadline: _Deadline) -> None:
     """Clients that were given an id may still fetch the result, at this dispatcher's own address."""
     records, drain_ms = dispatcher.gateway.records, dispatcher.deployment.front.drain_ms
-    while records.untold(now_ms() - drain_ms) and not deadline.passed:
+    while records.unread_since(now_ms() - drain_ms) and not deadline.passed:
         await asyncio.sleep(POLL_S)
 
 
@@ -108,10 +108,10 @@
     dispatcher.log.info(
         "ended",
         clean=clean,
-        taken=counts.taken,
+        taken=counts.received,
         completed=counts.completed,
         rejected=counts.rejected,
-        aborted=counts.aborted,
-        sends=counts.sends,
-        orders=counts.orders,
+        aborted=counts.failed,
+        sends=counts.attempts,
+        orders=counts.load_orders,
     )
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -565,6 +565,6 @@
             if link.report_due(step * 250.0):
                 link.queue_report(step * 250.0, {})
             for message in reader.feed(b"".join(link.output)):
-                heard[number] += message.counters["m"].taken if isinstance(message, UsageReport) else 0
+                heard[number] += message.counters["m"].received if isinstance(message, UsageReport) else 0
             link.output.clear()
     assert heard[0] == 41 and heard[1] == 39, "all but what came since the last report"
