--- a/kelptrail/gateway/lifecycle.py
+++ b/kelptrail/gateway/lifecycle.py
@@ -1,9 +1,10 @@
-"""The life of one activation from taken to forgotten, and what must be safe before it may go on; free of I/O.
+"""The lifecycle of one request, and which journal entries must be durable before each step; free of I/O.
 
-In the manner of a replicated log's ready loop: an event may leave needs (`next_need`) that the host writes to its
-journal, and the host says what became of each (`told`).  What is not safe yet holds back exactly three things: the
-promise of a deferred call (`promised`), the first byte of a send whose repeat could double an effect (`go`), and the
-showing of a final answer that was promised to last (`show`).  A step out of order is an `IllegalStepError`.
+As in the ready loop of a replicated log, an event may ask for entries (`next_entry`) that the caller writes to a
+journal, and the caller reports what state of each (`on_written`).  What is not durable yet holds back exactly three
+things: the acknowledgement of a deferred request (`durable_result`), the first byte of an attempt whose repeat could
+double an effect (`start_attempt`), and the final answer of a deferred request (`publish`).  A step out of order raises
+`IllegalStepError`.
 """
 
 from __future__ import annotations
@@ -11,227 +12,251 @@
 from enum import Enum
 
 
-class Stage(Enum):
-    """Where an activation stands."""
+class RequestStage(Enum):
+    """How far a request has come."""
 
-    ACCEPTED = "accepted"  # taken; the decisions have not been told yet
-    QUEUED = "queued"  # the decisions have it
-    HELD = "held"  # a send was decided and waits until "may run" is safe
-    SENT = "sent"  # at least one send is out
-    ANSWERED = "answered"  # every send has ended, and none of them brought the final answer
+    ACCEPTED = "accepted"  # the dispatcher has not been informed yet
+    QUEUED = "queued"  # the dispatcher has it
+    HELD = "held"  # an attempt was decided and waits until the may-run entry is durable
+    SENT = "sent"  # at least one attempt is in flight
+    ANSWERED = "answered"  # all attempts have ended, and none of them brought the final answer
     FINAL = "final"  # the one final answer is decided
-    SHOWN = "shown"  # it is as durable as it was promised to be, and may be told
+    PUBLISHED = "published"  # the answer is as durable as the client was promised, and may be shown
     FORGOTTEN = "forgotten"
 
 
-LEGAL: dict[Stage, frozenset[Stage]] = {
-    Stage.ACCEPTED: frozenset({Stage.QUEUED}),
-    Stage.QUEUED: frozenset({Stage.HELD, Stage.SENT, Stage.FINAL}),
-    Stage.HELD: frozenset({Stage.SENT, Stage.QUEUED, Stage.ANSWERED, Stage.FINAL}),
-    Stage.SENT: frozenset({Stage.HELD, Stage.ANSWERED, Stage.FINAL}),
-    Stage.ANSWERED: frozenset({Stage.HELD, Stage.SENT, Stage.FINAL}),
-    Stage.FINAL: frozenset({Stage.SHOWN}),
-    Stage.SHOWN: frozenset({Stage.FORGOTTEN}),
-    Stage.FORGOTTEN: frozenset(),
+NEXT_STAGES: dict[RequestStage, frozenset[RequestStage]] = {
+    RequestStage.ACCEPTED: frozenset({RequestStage.QUEUED}),
+    RequestStage.QUEUED: frozenset({RequestStage.HELD, RequestStage.SENT, RequestStage.FINAL}),
+    RequestStage.HELD: frozenset({RequestStage.SENT, RequestStage.QUEUED, RequestStage.ANSWERED, RequestStage.FINAL}),
+    RequestStage.SENT: frozenset({RequestStage.HELD, RequestStage.ANSWERED, RequestStage.FINAL}),
+    RequestStage.ANSWERED: frozenset({RequestStage.HELD, RequestStage.SENT, RequestStage.FINAL}),
+    RequestStage.FINAL: frozenset({RequestStage.PUBLISHED}),
+    RequestStage.PUBLISHED: frozenset({RequestStage.FORGOTTEN}),
+    RequestStage.FORGOTTEN: frozenset(),
 }
 
 
-class Need(Enum):
-    """What is to be made safe."""
+class EntryKind(Enum):
+    """The journal entries of a request."""
 
-    RECORD = "record"
+    ACCEPTED = "record"
     MAY_RUN = "may-run"
-    END = "end"
+    ENDED = "end"
 
 
-class Safe(Enum):
-    """How far that is."""
+class WriteState(Enum):
+    """How far the write of one entry has come."""
 
-    NO = "no"
-    ASKED = "asked"
-    YES = "yes"
+    NOT_REQUESTED = "no"
+    PENDING = "asked"
+    DURABLE = "yes"
     FAILED = "failed"
 
 
 class IllegalStepError(Exception):
-    """A step that the life of an activation does not have, or one before what it needs is safe."""
+    """A step that a request may not take in its stage, or one before the entry that it needs is durable."""
 
 
 class RequestLifecycle:
-    """One activation's way.  `repeatable`: running it twice does no harm; `kept`: it outlives this process."""
-
-    __slots__ = ("_needs", "end", "held", "kept", "may_run", "out", "owed", "record", "repeatable", "sends", "stage")
-
-    def __init__(self, repeatable: bool, kept: bool, owed: bool = False) -> None:
-        self.repeatable, self.kept = repeatable, kept
-        self.owed = owed  # its client was given, or will be given, an id in place of the answer
-        self.stage = Stage.ACCEPTED
-        self.record = self.may_run = self.end = Safe.NO
-        self.held = self.out = self.sends = 0
-        self._needs: list[Need] = []
+    """One request.  `idempotent`: a second run does no harm; `journaled`: it outlives the process."""
+
+    __slots__ = (
+        "_entries",
+        "accepted_write",
+        "attempt_count",
+        "deferred",
+        "ended_write",
+        "held",
+        "idempotent",
+        "in_flight",
+        "journaled",
+        "may_run_write",
+        "stage",
+    )
+
+    def __init__(self, idempotent: bool, journaled: bool, deferred: bool = False) -> None:
+        self.idempotent, self.journaled = idempotent, journaled
+        self.deferred = deferred  # its client gets the activation id in place of the answer
+        self.stage = RequestStage.ACCEPTED
+        self.accepted_write = self.may_run_write = self.ended_write = WriteState.NOT_REQUESTED
+        self.held = self.in_flight = self.attempt_count = 0
+        self._entries: list[EntryKind] = []
 
     @classmethod
-    def resumed(cls, repeatable: bool, ran: bool) -> RequestLifecycle:
-        """One that a restart found on disk; `ran`: "may run" stands there, too."""
-        passage = cls(repeatable, True, True)
-        passage.record = Safe.YES
-        passage.may_run = Safe.YES if ran else Safe.NO
-        return passage
-
-    def _to(self, stage: Stage) -> None:
+    def resumed(cls, idempotent: bool, may_have_run: bool) -> RequestLifecycle:
+        """One that a restart found in a journal; `may_have_run`: with its may-run entry."""
+        lifecycle = cls(idempotent, True, True)
+        lifecycle.accepted_write = WriteState.DURABLE
+        lifecycle.may_run_write = WriteState.DURABLE if may_have_run else WriteState.NOT_REQUESTED
+        return lifecycle
+
+    def _enter(self, stage: RequestStage) -> None:
         if stage is self.stage:
             return
-        if stage not in LEGAL[self.stage]:
+        if stage not in NEXT_STAGES[self.stage]:
             raise IllegalStepError(f"from {self.stage.value} to {stage.value}")
         self.stage = stage
 
-    def _settled(self) -> None:
-        """Where it stands by what is out and held."""
+    def _update_stage(self) -> None:
+        """The stage that follows from the attempts in flight and held."""
         if self.final:
             return
-        if self.out:
-            self._to(Stage.SENT)
+        if self.in_flight:
+            self._enter(RequestStage.SENT)
         elif self.held:
-            self._to(Stage.HELD)
+            self._enter(RequestStage.HELD)
         else:
-            self._to(Stage.ANSWERED if self.sends else Stage.QUEUED)
+            self._enter(RequestStage.ANSWERED if self.attempt_count else RequestStage.QUEUED)
 
     @property
     def final(self) -> bool:
         """Whether the one final answer is decided."""
-        return self.stage in (Stage.FINAL, Stage.SHOWN, Stage.FORGOTTEN)
+        return self.stage in (RequestStage.FINAL, RequestStage.PUBLISHED, RequestStage.FORGOTTEN)
 
-    # What is to be made safe.
+    # Journal entries.
 
-    def next_need(self) -> Need | None:
-        """The next thing to write; each is handed out once."""
-        return self._needs.pop(0) if self._needs else None
+    def next_entry(self) -> EntryKind | None:
+        """The next entry to write, or None; each is returned once."""
+        return self._entries.pop(0) if self._entries else None
 
-    def _ask(self, need: Need) -> None:
-        if need is Need.RECORD:
-            self.record = Safe.ASKED
-        elif need is Need.MAY_RUN:
-            self.may_run = Safe.ASKED
+    def _request_entry(self, kind: EntryKind) -> None:
+        if kind is EntryKind.ACCEPTED:
+            self.accepted_write = WriteState.PENDING
+        elif kind is EntryKind.MAY_RUN:
+            self.may_run_write = WriteState.PENDING
         else:
-            self.end = Safe.ASKED
-        self._needs.append(need)
-
-    def ask_record(self) -> None:
-        """Have its record written, if it is kept and this was not asked for yet."""
-        if self.kept and self.record is Safe.NO and not self.final:
-            self._ask(Need.RECORD)
-
-    def told(self, need: Need, safe: bool) -> None:
-        """What became of a need.  Raises `IllegalStepError` where it was not asked for."""
-        now = {Need.RECORD: self.record, Need.MAY_RUN: self.may_run, Need.END: self.end}[need]
-        if now is not Safe.ASKED:
-            raise IllegalStepError(f"{need.value} was told of and not asked for")
-        became = Safe.YES if safe else Safe.FAILED
-        if need is Need.RECORD:
-            self.record = became
-        elif need is Need.MAY_RUN:
-            self.may_run = became if safe else Safe.NO  # another send may ask again
+            self.ended_write = WriteState.PENDING
+        self._entries.append(kind)
+
+    def request_accepted_entry(self) -> None:
+        """Ask for the accepted entry, if the request is journaled and this was not asked for yet."""
+        if self.journaled and self.accepted_write is WriteState.NOT_REQUESTED and not self.final:
+            self._request_entry(EntryKind.ACCEPTED)
+
+    def on_written(self, kind: EntryKind, durable: bool) -> None:
+        """An entry is durable, or could not be written.  Raises `IllegalStepError` where it was not asked for."""
+        now = {
+            EntryKind.ACCEPTED: self.accepted_write,
+            EntryKind.MAY_RUN: self.may_run_write,
+            EntryKind.ENDED: self.ended_write,
+        }[kind]
+        if now is not WriteState.PENDING:
+            raise IllegalStepError(f"{kind.value} was reported and not asked for")
+        state = WriteState.DURABLE if durable else WriteState.FAILED
+        if kind is EntryKind.ACCEPTED:
+            self.accepted_write = state
+        elif kind is EntryKind.MAY_RUN:
+            self.may_run_write = state if durable else WriteState.NOT_REQUESTED  # another attempt may ask again
         else:
-            self.end = became
+            self.ended_write = state
 
     @property
-    def promised(self) -> bool | None:
-        """Whether its client may be told that it lasts; None while that is not known."""
-        if not self.kept:
+    def durable_result(self) -> bool | None:
+        """Whether the accepted entry is durable, so that the client may get the id; None while that is not known."""
+        if not self.journaled:
             return False
-        return {Safe.YES: True, Safe.FAILED: False}.get(self.record)
+        return {WriteState.DURABLE: True, WriteState.FAILED: False}.get(self.accepted_write)
 
     # Events.
 
     def queue(self) -> None:
-        """The decisions have been told of it."""
-        self._to(Stage.QUEUED)
+        """The dispatcher has been informed."""
+        self._enter(RequestStage.QUEUED)
 
-    def decide(self) -> bool:
-        """A send was decided; True if it may go now, else it is held and `may_run` is asked for."""
+    def on_attempt_decided(self) -> bool:
+        """An attempt was decided: True if it may start now, else it is held and the may-run entry is asked for."""
         if self.final:
-            raise IllegalStepError("a send of what has its final answer")
-        if self.stage is Stage.ACCEPTED:
-            raise IllegalStepError("a send before the decisions were told")
-        self.ask_record()
+            raise IllegalStepError("an attempt of what has its final answer")
+        if self.stage is RequestStage.ACCEPTED:
+            raise IllegalStepError("an attempt before the dispatcher was informed")
+        self.request_accepted_entry()
         self.held += 1
-        clear = self.clear
-        if not clear and self.may_run is Safe.NO:
-            self._ask(Need.MAY_RUN)
-        self._settled()
-        return clear
+        may_start = self.may_start
+        if not may_start and self.may_run_write is WriteState.NOT_REQUESTED:
+            self._request_entry(EntryKind.MAY_RUN)
+        self._update_stage()
+        return may_start
 
     @property
-    def clear(self) -> bool:
-        """Whether the first byte of a send may go out."""
-        return self.repeatable or not self.kept or self.may_run is Safe.YES
+    def may_start(self) -> bool:
+        """Whether the first byte of an attempt may be written."""
+        return self.idempotent or not self.journaled or self.may_run_write is WriteState.DURABLE
 
-    def go(self) -> None:
-        """A decided send goes out.  Raises `IllegalStepError` where "may run" is not safe."""
+    def start_attempt(self) -> None:
+        """A decided attempt starts.  Raises `IllegalStepError` where the may-run entry is not durable."""
         if not self.held:
-            raise IllegalStepError("a send that was not decided")
-        if not self.clear:
-            raise IllegalStepError('a send before "may run" is safe')
+            raise IllegalStepError("an attempt that was not decided")
+        if not self.may_start:
+            raise IllegalStepError('an attempt before "may run" is durable')
         if self.final:
-            raise IllegalStepError("a send after the final answer")
-        self.held, self.out, self.sends = self.held - 1, self.out + 1, self.sends + 1
-        self._settled()
+            raise IllegalStepError("an attempt after the final answer")
+        self.held, self.in_flight, self.attempt_count = self.held - 1, self.in_flight + 1, self.attempt_count + 1
+        self._update_stage()
 
-    def drop(self) -> None:
-        """A held send was given up: nothing of it was written to a worker."""
+    def drop_held(self) -> None:
+        """A held attempt was cancelled: nothing of it was written to a worker."""
         if not self.held:
             raise IllegalStepError("nothing is held")
         self.held -= 1
-        self._settled()
-
-    def back(self) -> None:
-        """A send has ended, however."""
-        if not self.out:
-            raise IllegalStepError("no send is out")
-        self.out -= 1
-        self._settled()
-
-    def lasts(self, moved: bool = False) -> None:
-        """Its client goes on with the id, so from here on it is kept; what may have run is written, too.  `moved`: what
-        was kept of it is written anew, elsewhere."""
+        self._update_stage()
+
+    def on_attempt_finished(self) -> None:
+        """An attempt in flight has ended."""
+        if not self.in_flight:
+            raise IllegalStepError("no attempt is in flight")
+        self.in_flight -= 1
+        self._update_stage()
+
+    def make_durable(self, moved: bool = False) -> None:
+        """The client continues with the activation id, so the request is journaled from here on.
+
+        What may have run is journaled, too.  `moved`: entries in another journal are written anew.
+        """
         if self.final:
             raise IllegalStepError("it has its final answer")
-        self.owed = True
-        if self.kept and not moved:
+        self.deferred = True
+        if self.journaled and not moved:
             return
-        self.kept = True
-        self.record = self.may_run = Safe.NO
-        self.ask_record()
-        if (self.sends or self.out or self.held) and not self.repeatable:
-            self._ask(Need.MAY_RUN)
+        self.journaled = True
+        self.accepted_write = self.may_run_write = WriteState.NOT_REQUESTED
+        self.request_accepted_entry()
+        if (self.attempt_count or self.in_flight or self.held) and not self.idempotent:
+            self._request_entry(EntryKind.MAY_RUN)
 
-    def let_go(self) -> None:
-        """Another dispatcher goes on with it: nothing more is written, answered or shown here."""
-        self._needs.clear()
-        self.stage = Stage.SHOWN
+    def release(self) -> None:
+        """Another dispatcher has taken it over: nothing more is written, answered or shown here."""
+        self._entries.clear()
+        self.stage = RequestStage.PUBLISHED
 
     def finish(self) -> bool:
-        """The one final answer is decided; True if it may be shown at once, else `end` is asked for."""
+        """The one final answer is decided: True if it may be shown at once, else the ended entry is asked for."""
         if self.final:
             raise IllegalStepError("a second final answer")
-        self._to(Stage.FINAL)
-        if self.record in (Safe.NO, Safe.FAILED):
-            return True  # nothing of it was promised to last
-        self._ask(Need.END)
+        self._enter(RequestStage.FINAL)
+        if self.accepted_write in (WriteState.NOT_REQUESTED, WriteState.FAILED):
+            return True  # its client was not promised a durable answer
+        self._request_entry(EntryKind.ENDED)
         return False
 
-    def show(self, late: bool = False) -> None:
-        """The final answer is shown.  One that was promised to last must be safe; whoever waits on a connection was
-        promised none, so it may be shown when its journal failed, or is late (`late`)."""
-        if self.stage is not Stage.FINAL:
+    def publish(self, late: bool = False) -> None:
+        """The final answer is shown.
+
+        That of a deferred request must be durable.  A blocking client was promised nothing, so its answer may be shown
+        when the journal failed, or has not finished when the request's time is up (`late`).
+        """
+        if self.stage is not RequestStage.FINAL:
             raise IllegalStepError(f"nothing to show while {self.stage.value}")
-        open_ = self.end is Safe.YES or self.record in (Safe.NO, Safe.FAILED)
-        if not open_ and (self.owed or not (late or self.end is Safe.FAILED)):
-            raise IllegalStepError("an answer before it is safe")
-        self._to(Stage.SHOWN)
+        may_show = self.ended_write is WriteState.DURABLE or self.accepted_write in (
+            WriteState.NOT_REQUESTED,
+            WriteState.FAILED,
+        )
+        if not may_show and (self.deferred or not (late or self.ended_write is WriteState.FAILED)):
+            raise IllegalStepError("an answer before it is durable")
+        self._enter(RequestStage.PUBLISHED)
 
     def forget(self) -> None:
-        """Nothing of it is out any more.  Raises `IllegalStepError` where something is, or nothing was shown."""
-        if self.out or self.held:
-            raise IllegalStepError("a send is out")
-        self._to(Stage.FORGOTTEN)
+        """Nothing refers to it any more.  Raises `IllegalStepError` where an attempt is in flight or nothing shown."""
+        if self.in_flight or self.held:
+            raise IllegalStepError("an attempt is in flight, or held")
+        self._enter(RequestStage.FORGOTTEN)
--- a/kelptrail/planner/demand.py
+++ b/kelptrail/planner/demand.py
@@ -41,7 +41,7 @@
         for model, counted in counters.items():
             mine = self.functions.setdefault(model, FunctionLoad())
             mine.window[edge] = mine.window.get(edge, FunctionCounters()).plus(counted)
-            if counted.taken:
+            if counted.received:
                 asked[model] = now
 
     def restore_hourly_rates(self, hours: dict[str, list[float]]) -> None:
@@ -69,12 +69,12 @@
         fast, slow = (1 - math.exp(-seconds * 1000 / t) for t in (self._fast, self._slow))
         for model, mine in list(self.functions.items()):
             counters, mine.window = mine.window.values(), {}
-            rate = self.error_factor * sum(t.taken for t in counters) / seconds
+            rate = self.error_factor * sum(t.received for t in counters) / seconds
             done = sum(t.completed for t in counters)
             mine.fast_rate += fast * (rate - mine.fast_rate)
             mine.slow_rate += slow * (rate - mine.slow_rate)
             mine.queue_depth += fast * (sum(t.queue_depth for t in counters) - mine.queue_depth)
-            mine.not_loaded_rate += fast * (sum(t.missed for t in counters) / seconds - mine.not_loaded_rate)
+            mine.not_loaded_rate += fast * (sum(t.not_loaded for t in counters) / seconds - mine.not_loaded_rate)
             if done:
                 spent = sum(t.work_ms for t in counters) / done
                 mine.work_ms += (0.3 if mine.work_ms else 1.0) * (spent - mine.work_ms)
--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -94,7 +94,7 @@
         self.background.start()
         self._listen_grpc()
         self.endpoint_task = asyncio.get_running_loop().create_task(self.endpoints.follow())
-        self.driver.decide()
+        self.driver.run_effects()
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._first_list.wait(), FIRST_LIST_TIMEOUT_S)
         self.log.info(
@@ -141,7 +141,7 @@
     def _start_fleet(self, fleet: Fleet) -> None:
         options = self.options
         if fleet.leases is not None and options.crash_at:
-            fleet.leases.passes = self.gateway.passes
+            fleet.leases.passes = self.gateway.durability.on_step
         self.usage = self._build_usage(fleet)
         fleet.start()
         if self.usage is not None:
@@ -169,7 +169,7 @@
         )
 
     def _namespace_counts(self) -> NamespaceCounts:
-        return {name: (n[0], n[1], n[2]) for name, n in self.gateway.records.used.items()}
+        return {name: (n[0], n[1], n[2]) for name, n in self.gateway.records.final_counts.items()}
 
     # Endpoints, listeners and background work.
 
--- a/kelptrail/service/fronts.py
+++ b/kelptrail/service/fronts.py
@@ -100,4 +100,4 @@
         return ConnectPace(pace, self._pace_seed)
 
     def _on_connect(self) -> None:
-        self._gateway.overload.connected(now_ms())
+        self._gateway.overload.on_connection(now_ms())
--- a/kelptrail/service/step_faults.py
+++ b/kelptrail/service/step_faults.py
@@ -14,9 +14,9 @@
 def install_step_faults(gateway: Gateway, options: DispatcherOptions) -> None:
     """Arm the crash point and the pause point that the options name; the pause point replaces the crash point."""
     if options.crash_at:
-        gateway.passes = _crash_at(options.crash_at)
+        gateway.durability.on_step = _crash_at(options.crash_at)
     if options.pause_at:
-        gateway.passes = _pause_once_at(options.pause_at)
+        gateway.durability.on_step = _pause_once_at(options.pause_at)
 
 
 def _crash_at(point: str) -> Callable[[str], None]:
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -27,8 +27,10 @@
     FaultScenario,
 )
 from kelptrail.gateway.build import DispatcherParts
-from kelptrail.gateway.core import CancelAttempt, FinalAnswer, Gateway, Invocation, StartAttempt, StartLoad
-from kelptrail.gateway.overload import Stage as OverloadStage
+from kelptrail.gateway.core import Gateway
+from kelptrail.gateway.effects import CancelAttempt, FinalAnswer, StartAttempt, StartLoad
+from kelptrail.gateway.invocation import Invocation
+from kelptrail.gateway.overload import OverloadStage
 from kelptrail.gateway.records import Record
 from kelptrail.load.arrivals import Arrivals, popularity
 from kelptrail.load.client_behavior import ClientBehavior, ClientOutcome, behavior_of, retry_delay_ms
@@ -178,7 +180,7 @@
         self._deciding = True
         now, gateway = self._event_queue.now, self.gateway
         try:
-            while (effect := gateway.on_decision_done(now)) is not None:
+            while (effect := gateway.next_effect(now)) is not None:
                 if isinstance(effect, StartAttempt):
                     self._start_attempt(effect.invocation, effect.attempt)
                 elif isinstance(effect, FinalAnswer):
@@ -224,7 +226,7 @@
                     "send",
                     lambda outcome, answer: finish(outcome, answer),
                     invocation.action.path,
-                    invocation.mark,
+                    invocation.deduplication_id,
                     invocation.record.id,
                     attempt.number,
                     self.process_id,
@@ -250,7 +252,7 @@
             worker.open_replies[send_back] = None
             worker.start_attempt(
                 invocation.action,
-                invocation.mark,
+                invocation.deduplication_id,
                 invocation.record.id,
                 attempt.number,
                 self.process_id,
@@ -305,7 +307,7 @@
         """Write the next batch of the journal, one batch at a time."""
         if self.journal is None or self._syncing:
             return
-        batch = self.journal.ready(self._event_queue.now)
+        batch = self.journal.next_batch(self._event_queue.now)
         if batch is not None:
             self._syncing = True
             self._event_queue.after(self.sync_ms, self._on_journal_written, self.starts, batch)
@@ -315,7 +317,7 @@
             return
         self._syncing = False
         if self.disk_fails:
-            self.journal.failed(self._event_queue.now, batch.number, "the disk fails")
+            self.journal.on_batch_failed(self._event_queue.now, batch.number, "the disk fails")
         else:
             for endpoint in batch.entries:
                 if isinstance(endpoint, Accepted):
@@ -325,7 +327,7 @@
                         entries.may_run = entries.may_run or endpoint
                     elif isinstance(endpoint, Ended):
                         entries.ended = entries.ended or endpoint
-            self.journal.safe(batch.number)
+            self.journal.on_batch_durable(batch.number)
         self.schedule_decisions()
 
 
@@ -597,11 +599,11 @@
         kind = self.deployment.types[call.action.type]
         key = call.ticket if kind.effect == "deduplicated" else None
         if key is not None:
-            known = gateway.known(call.namespace.name, call.action.path, key, "")
+            known = gateway.find_by_key(call.namespace.name, call.action.path, key, "")
             if known is not None:
                 self._join_activation(dispatcher, call, known)
                 return
-        if call.deferred and gateway.journal is not None and not gateway.journal.takes():
+        if call.deferred and gateway.durability.journal is not None and not gateway.durability.journal.is_accepting():
             self._on_not_taken(call)
             return
         refused = gateway.on_connect(now, call.namespace.name, call.action.path, 100, call.ticket)
@@ -618,18 +620,20 @@
             "",
             lambda record: self._deliver_record(call, number, record),
             call.deferred,
-            who=call.ticket,
+            client_key=call.ticket,
         )
         call.invocation, call.run = invocation, dispatcher.starts
         if call.deferred:
             dispatcher.schedule_decisions()
             if not invocation.record.final:
-                gateway.promise(invocation, lambda safe: self._on_promise_settled(dispatcher, call, invocation, safe))
+                gateway.when_durable(
+                    invocation, lambda safe: self._on_promise_settled(dispatcher, call, invocation, safe)
+                )
                 dispatcher.schedule_decisions()
 
     def _join_activation(self, dispatcher: SimulatedDispatcher, call: ClientCall, record: Record) -> None:
         invocation = dispatcher.gateway.in_flight_of(record.id)
-        if record.shown:
+        if record.visible:
             self._deliver_record(call, call.number, record)
         elif call.deferred or invocation is None:
             self._on_accepted(call, record.id)
@@ -657,7 +661,7 @@
     def _poll(self, call: ClientCall) -> None:
         kind, dispatcher = self.deployment.types[call.action.type], self.local_dispatchers[call.dispatcher]
         record = dispatcher.gateway.records.get(call.namespace.name, call.activation) if dispatcher.up else None
-        if record is not None and record.shown:
+        if record is not None and record.visible:
             self._finish_with_record(call, record, record.end - record.start)
         elif self.event_queue.now - call.sent_at > kind.timeout_ms + POLLING_GRACE_MS:
             self._on_call_lost(call, "polled")
@@ -673,8 +677,10 @@
             self._finish_with_record(call, record, None)
 
     def _finish_with_record(self, call: ClientCall, record: Record, took: float | None) -> None:
-        repeat_within_ms = record.repeat_within_ms or None
-        self._finish_call(call, record.id, record.answer, record.return_ms, repeat_within_ms, took, record.code)
+        repeat_within_ms = record.deduplicated_for_ms or None
+        self._finish_call(
+            call, record.id, record.answer or "", record.retry_after_ms, repeat_within_ms, took, record.code
+        )
 
     def _on_patience_over(self, call: ClientCall, number: str) -> None:
         if call.number == number and call.patience_timer is not None:
--- a/tests/test_standing.py
+++ b/tests/test_front_addresses.py
@@ -69,7 +69,7 @@
         reply = await read_reply(idle)
         assert reply.status == 503 and reply.headers["retry-after"] == "1" and not reply.keep_alive
         await old.wait_closed()
-        assert dispatcher.gateway.counts.taken == 1 and dispatcher.gateway.in_flight == 0
+        assert dispatcher.gateway.counts.received == 1 and dispatcher.gateway.in_flight == 0
         new.release(0.0)
         await new.wait_closed()
         for sock in (idle, busy, late):
@@ -94,7 +94,7 @@
         await asyncio.get_running_loop().sock_sendall(sock, CALL[40:])
         reply = await read_reply(sock)
         assert reply.status == 503 and reply.headers["retry-after"] == "1" and not reply.keep_alive
-        assert dispatcher.gateway.counts.taken == 0
+        assert dispatcher.gateway.counts.received == 0
         front.release(0.0)
         await front.wait_closed()
         sock.close()
@@ -118,10 +118,10 @@
         deployment = parse(text, "t")
         assert deployment.vrrp is not None
         workers = [ScriptedWorker("w", answer)]
-        both, standings = [Dispatcher(workers, deployment) for _ in range(2)], []
+        both, members = [Dispatcher(workers, deployment) for _ in range(2)], []
         for name, dispatcher in zip("ab", both, strict=True):
             (tmp_path / name).mkdir()
-            standings.append(
+            members.append(
                 FrontAddresses(
                     deployment.vrrp,
                     name,
@@ -133,17 +133,17 @@
                     dispatcher.log,
                 )
             )
-        for standing in standings:
-            standing.start()
+        for member in members:
+            member.start()
 
         async def held(*wanted: bool) -> None:
             async with asyncio.timeout(3):
-                while [s.addresses[7].held for s in standings] != list(wanted):
+                while [s.addresses[7].held for s in members] != list(wanted):
                     await asyncio.sleep(0.005)
 
         await held(True, False)
         # what does not belong is counted and changes nothing
-        counts = standings[1].vrrp.instance.counters
+        counts = members[1].vrrp.instance.counters
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         stranger.bind(("127.0.31.1", 0))
         here = deployment.vrrp.instance[1].udp.rpartition(":")
@@ -158,13 +158,13 @@
         await held(False, True)
         both[0].list(workers)
         await held(True, False)
-        await standings[0].stop()  # a release: the other takes over after its skew
+        await members[0].stop()  # a release: the other takes over after its skew
         await held(False, True)
-        status = standings[1].vrrp.status()
+        status = members[1].vrrp.status()
         (router,) = status["routers"]
         assert router["state"] == "master" and status["transitions"][-1]["cause"] == "master down"
         assert "adver" in router["timers_ms"] and status["tracked"]["workers"]["well"]
-        await standings[1].stop()
+        await members[1].stop()
         stranger.close()
         for dispatcher in both:
             await dispatcher.server.drain(0)
@@ -279,7 +279,7 @@
         # What the old one took is served by it; the same client's next call goes to the new one, none fails.
         after = [await client.infer("p/check", [tensor("INT8", [n])]) for n in range(3)]
         assert [list(r.outputs[0].contents.int_contents) for r in after] == [[0], [1], [2]]
-        assert two.gateway.counts.taken >= 1 and one.gateway.counts.taken + two.gateway.counts.taken == 4
+        assert two.gateway.counts.received >= 1 and one.gateway.counts.received + two.gateway.counts.received == 4
         answer(*held[0])
         assert list((await call).outputs[0].contents.int_contents) == [7]
         await old.wait_closed()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -8,10 +8,12 @@
 from program import DEPLOYMENT
 
 from kelptrail.codec.infer import WorkerAnswer
-from kelptrail.dispatch.entities import NEVER_RAN, Attempt, AttemptStatus, Idempotency, WorkerState
+from kelptrail.dispatch.entities import NEVER_RAN, Attempt, AttemptStatus, FinalStatus, Idempotency, WorkerState
 from kelptrail.gateway.build import DispatcherParts
-from kelptrail.gateway.core import CancelAttempt, FinalAnswer, Gateway, Invocation, StartAttempt, StartLoad
-from kelptrail.gateway.limits import Holdings
+from kelptrail.gateway.core import Gateway
+from kelptrail.gateway.effects import CancelAttempt, FinalAnswer, StartAttempt, StartLoad
+from kelptrail.gateway.invocation import Invocation
+from kelptrail.gateway.limits import InFlightLimits, NothingInFlightError
 from kelptrail.gateway.records import AlreadyFinalError, Record, Records
 from kelptrail.membership.members import Endpoint, EndpointList, WorkerRegistry
 from kelptrail.settings.deployment import parse
@@ -82,11 +84,11 @@
 
     def pull(self) -> None:
         now, chance = self.now, self.chance
-        while (effect := self.gateway.on_decision_done(now)) is not None:
+        while (effect := self.gateway.next_effect(now)) is not None:
             if isinstance(effect, StartAttempt):
                 act, worker = effect.invocation.request, effect.attempt.instance.worker
                 assert not effect.invocation.record.final and act.id not in self.finals, "nothing is sent after the end"
-                assert worker.state is WorkerState.LIVE and now < effect.invocation.record.taken + 900
+                assert worker.state is WorkerState.LIVE and now < effect.invocation.record.received_at + 900
                 if act.request_class.idempotency is Idempotency.AT_MOST_ONCE:
                     assert all(s.status in NEVER_RAN for s in act.attempts[:-1]), "once-only goes out once"
                 outcome = chance.choices(list(AttemptStatus), [60, 8, 6, 8, 3, 4, 0, 2, 6])[0]
@@ -108,7 +110,7 @@
                 record = effect.invocation.record
                 assert record.id not in self.finals and record.final, "one final answer"
                 self.finals[record.id] = now
-                if record.answer == "rejected" and record.effect == "once-only":
+                if record.answer == "rejected" and record.idempotency == "once-only":
                     assert all(s.status in NEVER_RAN for s in effect.invocation.request.attempts)
                 for waiter in effect.invocation.waiters:
                     waiter(record)
@@ -119,17 +121,17 @@
     life = Life(seed)
     for n in range(1500):
         life.step(load=n < 1200)
-    while life.now < max(i.record.taken for i in life.taken) + 4000:
+    while life.now < max(i.record.received_at for i in life.taken) + 4000:
         life.step(load=False)
     assert len(life.taken) > 500
     assert set(life.finals) == {i.record.id for i in life.taken}
     for ivk in life.taken:
-        assert life.finals[ivk.record.id] <= ivk.record.taken + 900, "before its client gives up"
+        assert life.finals[ivk.record.id] <= ivk.record.received_at + 900, "before its client gives up"
     counts = life.gateway.counts
-    assert counts.completed and counts.rejected and counts.aborted
-    assert counts.taken == counts.completed + counts.rejected + counts.aborted == len(life.told)
-    assert life.gateway.in_flight == 0 and not life.gateway._ivks, "nothing is left behind"
-    assert life.gateway.holdings.held == life.gateway.holdings.bytes == 0
+    assert counts.completed and counts.rejected and counts.failed
+    assert counts.received == counts.completed + counts.rejected + counts.failed == len(life.told)
+    assert life.gateway.in_flight == 0 and not life.gateway.state.invocations, "nothing is left behind"
+    assert life.gateway.limits.requests == life.gateway.limits.bytes == 0
 
 
 def record(id_: str, start: float, namespace: str = "one") -> Record:
@@ -141,17 +143,17 @@
     for n in range(6):
         records.add(record(f"r{n}", float(n)))
     for n in (0, 1, 2, 4, 5):
-        records.end(10.0 + n, records.get("one", f"r{n}"), "completed", 0, b"{}")  # type: ignore[arg-type]
-    assert [r.id for r in records.newest("one")] == ["r5", "r4", "r2"] and records.in_hand() == 1
+        records.end(10.0 + n, records.get("one", f"r{n}"), FinalStatus.COMPLETED, 0, b"{}")  # type: ignore[arg-type]
+    assert [r.id for r in records.newest("one")] == ["r5", "r4", "r2"] and records.in_flight() == 1
     assert records.get("two", "r5") is None and records.get("one", "r3") is not None
     with pytest.raises(AlreadyFinalError):
-        records.end(20.0, records.get("one", "r5"), "aborted", 3, b"{}")  # type: ignore[arg-type]
+        records.end(20.0, records.get("one", "r5"), FinalStatus.FAILED, 3, b"{}")  # type: ignore[arg-type]
     records.trim(1014.5)
     assert [r.id for r in records.newest("one")] == ["r5"]
     small = Records(100, 3000.0, 1e9)
     for n in range(5):
         small.add(record(f"s{n}", 0.0))
-        small.end(1.0, small.get("one", f"s{n}"), "completed", 0, b"x" * 500)  # type: ignore[arg-type]
+        small.end(1.0, small.get("one", f"s{n}"), FinalStatus.COMPLETED, 0, b"x" * 500)  # type: ignore[arg-type]
     assert [r.id for r in small.newest("one")] == ["s4", "s3"] and small.dropped == 3
 
 
@@ -172,25 +174,25 @@
 
 
 def test_holdings_refuse_by_number_bytes_and_namespace_and_count_why() -> None:
-    holdings = Holdings(4, 100.0, 2)
+    holdings = InFlightLimits(4, 100.0, 2)
     for space in ("one", "one", "two"):
-        assert holdings.refusal(space, 10) is None
-        holdings.take(space, 10)
-    assert holdings.refusal("one", 10) == "namespace" and holdings.refusal("two", 71) == "bytes"
-    holdings.take("two", 10)
-    assert holdings.refusal("three", 1) == "held"
-    assert dict(holdings.refused) == {"namespace": 1, "bytes": 1, "held": 1}
-    holdings.give("one", 10)
-    assert holdings.refusal("one", 10) is None and holdings.bytes == 30
-    with pytest.raises(ValueError, match="three"):
-        holdings.give("three", 1)
+        assert holdings.rejection_reason(space, 10) is None
+        holdings.acquire(space, 10)
+    assert holdings.rejection_reason("one", 10) == "namespace" and holdings.rejection_reason("two", 71) == "bytes"
+    holdings.acquire("two", 10)
+    assert holdings.rejection_reason("three", 1) == "held"
+    assert dict(holdings.rejections) == {"namespace": 1, "bytes": 1, "held": 1}
+    holdings.release("one", 10)
+    assert holdings.rejection_reason("one", 10) is None and holdings.bytes == 30
+    with pytest.raises(NothingInFlightError, match="three"):
+        holdings.release("three", 1)
 
 
 def test_calls_that_came_at_one_moment_are_given_up_in_time_to_answer_them_all() -> None:
     """Guards against a herd of deadlines: two thousand calls taken within 100 ms by a dispatcher that had just come
     back were answered up to 140 ms late."""
     gateway = Gateway(DispatcherParts(parse(DEPLOYMENT, "t"), "a", 1), "b" * 16)
-    action = gateway._world.deployment.actions["p/check"]
+    action = gateway.state.parts.deployment.actions["p/check"]
     plain = [gateway.submit(0.0, 0.0, "one", action, b"{}").request.deadline for _ in range(20)]
     assert set(plain) == {800.0}, "900 less the margin"
     gateway.answer_ms = 0.5
