--- a/kelptrail/cli/simulation.py
+++ b/kelptrail/cli/simulation.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from kelptrail.fault_scenario.scenario import FaultScenario
-    from kelptrail.simulation.cluster import SimulationSettings
+    from kelptrail.simulation.settings import SimulationSettings
 
 SHOWN_DETAILS = 20
 
@@ -34,7 +34,7 @@
 def play(script: str, seed: int, processes: int, network_ms: float, judged: bool) -> None:
     """Play a fault scenario's SCRIPT in simulated time and judge its history; exit 6 where a rule is broken."""
     from kelptrail.load.results import figures
-    from kelptrail.simulation.cluster import SimulationSettings
+    from kelptrail.simulation.settings import SimulationSettings
 
     scenario = read_scenario(script)
     _check_processes(scenario, processes)
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -26,7 +26,8 @@
 from kelptrail.settings.reader import Form, SourcePosition, read
 from kelptrail.settings.shape import Checker
 
-from .cluster import SimulationSettings, play
+from .cluster import play
+from .settings import SimulationSettings
 
 DEPLOYMENT_SECTIONS = ("dispatcher", "rules", "fleet", "store", "front", "pool", "journal", "storm")
 
--- /dev/null
+++ b/kelptrail/simulation/faults.py
@@ -0,0 +1,216 @@
+"""Faults of a scenario, injected into a simulated cluster; every shard draws the same victims."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import TYPE_CHECKING
+
+import numpy as np
+
+from kelptrail.fault_scenario.scenario import (
+    DISK_FAULTS,
+    PEER_FAULTS,
+    PLANNER_FAULTS,
+    STORE_FAULTS,
+    WORKER_FAULTS,
+    Fault,
+)
+
+from .dispatchers import SimulatedDispatcher
+from .sharding import RemoteDispatcher, RemoteWorker
+from .workers import ConnectedWorker
+
+if TYPE_CHECKING:
+    from .cluster import SimulatedCluster
+
+
+class FaultInjector:
+    """Injects faults into one cluster, with a random stream of its own for the choice of victims."""
+
+    def __init__(self, cluster: SimulatedCluster) -> None:
+        self._cluster, self._event_queue, self._settings = cluster, cluster.event_queue, cluster.settings
+        self._deployment, self._scenario = cluster.deployment, cluster.scenario
+        self._random = np.random.default_rng([cluster.seed, 11])
+
+    def inject(self, fault: Fault) -> None:
+        """Draw the victims of a fault and inject it for its duration."""
+        if fault.kind in WORKER_FAULTS:
+            self._inject_worker_fault(fault)
+        elif fault.kind in PLANNER_FAULTS:
+            self._record_fault(fault, [planner.name for planner in self._cluster.planners])
+            self._inject_planner_fault(fault)
+        elif fault.kind in STORE_FAULTS:
+            self._record_fault(fault, [])
+            self._cluster.store.inject(fault.kind.removeprefix("store-"), fault.factor, fault.duration * 1000)
+        else:
+            self._inject_dispatcher_fault(fault)
+
+    def _inject_worker_fault(self, fault: Fault) -> None:
+        kind = fault.kind
+        up = [worker for worker in self._cluster.workers.values() if worker.up]
+        count = min(len(up), max(1, round(fault.part * len(up))))
+        victims = [up[int(n)] for n in self._random.choice(len(up), count, replace=False)] if up else []
+        self._record_fault(fault, [worker.id for worker in victims])
+        for number, worker in enumerate(victims):
+            if kind == "crash":
+                self._crash(worker, fault.duration * 1000)
+            elif kind in ("rolling-deploy", "drain"):
+                pause_ms = fault.duration * 1000 / max(1, len(victims))
+                self._event_queue.after(number * (pause_ms + 1000), self._deploy, worker, kind == "rolling-deploy")
+            else:
+                worker.inject(kind, fault)
+                if kind == "restart-cold":
+                    worker.close_connections()
+                    self._cluster.publish_endpoints()
+
+    def _inject_dispatcher_fault(self, fault: Fault) -> None:
+        kind, duration_ms = fault.kind, fault.duration * 1000
+        victims = self._cluster.dispatchers
+        if kind == "kill-dispatchers" or kind in (*DISK_FAULTS, *PEER_FAULTS):
+            count = max(1, round(fault.part * len(victims)))
+            victims = [victims[int(n)] for n in self._random.choice(len(victims), count, replace=False)]
+        self._record_fault(fault, [dispatcher.name for dispatcher in victims])
+        if kind == "list-late":
+            self._cluster.endpoints_delay_ms = fault.ms
+            self._event_queue.after(duration_ms, setattr, self._cluster, "endpoints_delay_ms", 0.0)
+        elif kind == "kill-dispatchers":
+            for dispatcher in victims:
+                self._kill(dispatcher, duration_ms)
+        elif kind == "lose-machines":
+            for_good = fault.at + fault.duration > self._scenario.seconds
+            for dispatcher in victims:
+                self._kill(dispatcher, None if for_good else duration_ms, True)
+        elif kind in PEER_FAULTS:
+            self._inject_peer_fault(fault, victims)
+        elif kind in DISK_FAULTS:
+            for dispatcher in victims:
+                self._inject_disk_fault(fault, dispatcher)
+
+    def _inject_peer_fault(self, fault: Fault, victims: list[SimulatedDispatcher | RemoteDispatcher]) -> None:
+        if fault.kind == "pause-dispatchers":
+            for dispatcher in self._cluster.local_dispatchers:
+                if dispatcher in victims:
+                    dispatcher.pause(fault.duration * 1000)
+                    if self._cluster.record_event is not None:
+                        self._cluster.record_event("stopped", dispatcher=dispatcher.number)
+                        self._event_queue.after(fault.duration * 1000, self._record_resumed, dispatcher)
+        if self._cluster.leases is not None:
+            names = [dispatcher.name for dispatcher in victims]
+            self._cluster.leases.inject(fault, names, self._draw_direction)
+
+    def _draw_direction(self) -> bool:
+        """Whether a one-way cut stops what a node sends, or else what it receives."""
+        return bool(self._random.random() < 0.5)
+
+    def _inject_disk_fault(self, fault: Fault, dispatcher: SimulatedDispatcher | RemoteDispatcher) -> None:
+        if fault.kind == "disk-slow":
+            dispatcher.sync_ms = fault.ms
+        else:
+            dispatcher.disk_fails = True
+        if self._cluster.leases is not None:
+            self._cluster.leases.set_disk(dispatcher.name, dispatcher.sync_ms, dispatcher.disk_fails)
+        self._event_queue.after(fault.duration * 1000, self._restore_disk, dispatcher)
+
+    def _inject_planner_fault(self, fault: Fault) -> None:
+        count = max(1, round(fault.part * len(self._cluster.planners))) if self._cluster.planners else 0
+        victims = (
+            [
+                self._cluster.planners[int(n)]
+                for n in self._random.choice(len(self._cluster.planners), count, replace=False)
+            ]
+            if count
+            else []
+        )
+        for planner in victims:
+            if fault.kind == "planners-slow":
+                planner.slow_ms = fault.ms
+                self._event_queue.after(fault.duration * 1000, setattr, planner, "slow_ms", 0.0)
+            elif fault.kind == "planners-wrong":
+                planner.core.demand.error_factor = fault.factor
+                self._event_queue.after(fault.duration * 1000, setattr, planner.core.demand, "error_factor", 1.0)
+            elif fault.kind in ("pause-planners", "cut-planners"):
+                assert self._cluster.leases is not None
+                self._cluster.leases.inject(
+                    replace(
+                        fault, kind={"pause-planners": "pause-dispatchers", "cut-planners": "cut-peers"}[fault.kind]
+                    ),
+                    [planner.name],
+                    self._draw_direction,
+                )
+            else:
+                planner.kill()
+                self._event_queue.after(
+                    fault.duration * 1000 + self._settings.start_ms,
+                    planner.start_process,
+                    fault.kind == "planners-forget",
+                )
+
+    def _record_fault(self, fault: Fault, names: list[str]) -> None:
+        if self._cluster.record_event is not None and self._cluster.shard_part[0] == 0:
+            self._cluster.record_event(
+                "trouble", kind=fault.kind, seconds=fault.duration, factor=fault.factor, of=names
+            )
+
+    def _restore_disk(self, dispatcher: SimulatedDispatcher | RemoteDispatcher) -> None:
+        dispatcher.sync_ms, dispatcher.disk_fails = self._settings.sync_ms, False
+        if self._cluster.leases is not None:
+            self._cluster.leases.set_disk(dispatcher.name, dispatcher.sync_ms, False)
+
+    def _kill(
+        self, dispatcher: SimulatedDispatcher | RemoteDispatcher, down_ms: float | None, disk_lost: bool = False
+    ) -> None:
+        if not dispatcher.up:
+            return
+        if self._cluster.record_event is not None and dispatcher in self._cluster.local_dispatchers:
+            self._cluster.record_event("kill", dispatcher=dispatcher.number)
+            if disk_lost:
+                self._cluster.record_event("disk-lost", dispatcher=dispatcher.number)
+        dispatcher.kill()
+        if disk_lost and isinstance(dispatcher, SimulatedDispatcher):
+            dispatcher.lose_disk()
+        if self._cluster.leases is not None:
+            self._cluster.leases.kill(dispatcher.name, disk_lost)
+        if down_ms is not None:
+            self._event_queue.after(down_ms + self._settings.start_ms, self._restart_dispatcher, dispatcher)
+
+    def _restart_dispatcher(self, dispatcher: SimulatedDispatcher | RemoteDispatcher) -> None:
+        dispatcher.start_process()
+        if self._cluster.leases is not None:
+            self._cluster.leases.start_process(self._cluster.leases.nodes[dispatcher.name])
+        if isinstance(dispatcher, SimulatedDispatcher) and dispatcher.edge is not None:
+            dispatcher.edge.start_process()
+        if self._cluster.record_event is not None and dispatcher in self._cluster.local_dispatchers:
+            self._cluster.record_event("restarted", dispatcher=dispatcher.number)
+
+    def _record_resumed(self, dispatcher: SimulatedDispatcher) -> None:
+        if self._cluster.record_event is not None:
+            self._cluster.record_event("woken", dispatcher=dispatcher.number)
+
+    def _crash(self, worker: ConnectedWorker | RemoteWorker, down_ms: float) -> None:
+        worker.up = False
+        worker.close_connections()
+        self._cluster.publish_endpoints()
+        self._event_queue.after(down_ms + self._settings.restart_ms, self._restart_worker, worker)
+
+    def _restart_worker(self, worker: ConnectedWorker | RemoteWorker) -> None:
+        worker.up, worker.state = True, "live"
+        worker.start_process(warm=False)
+        self._cluster.publish_endpoints()
+
+    def _deploy(self, worker: ConnectedWorker | RemoteWorker, restart: bool) -> None:
+        """Drain the worker, stop it, and with `restart` start it anew."""
+        if not worker.up:
+            return
+        worker.state = "draining"
+        self._cluster.publish_endpoints()
+        self._event_queue.after(self._deployment.rules.drain_grace_ms, setattr, worker, "draining", True)
+        down_after_ms = self._deployment.rules.drain_grace_ms + 1500
+
+        def stop() -> None:
+            worker.up = False
+            worker.close_connections()
+            self._cluster.publish_endpoints()
+            if restart:
+                self._event_queue.after(self._settings.restart_ms, self._restart_worker, worker)
+
+        self._event_queue.after(down_after_ms, stop)
--- a/kelptrail/simulation/sharding.py
+++ b/kelptrail/simulation/sharding.py
@@ -27,7 +27,7 @@
 from .event_queue import EventQueue
 
 if TYPE_CHECKING:
-    from .cluster import SimulationSettings
+    from .settings import SimulationSettings
 
 WINDOW_FRACTION = 0.999  # of the network delay: a window ends before its own events can reach another shard
 Message = tuple[float, int, str, tuple[Any, ...]]  # arrival time in ms, target shard, kind, arguments
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -519,3 +519,17 @@
         else:
             self.faults[kind] = fault
             self._event_queue.after(fault.duration * 1000, self.faults.pop, kind, None)
+
+
+class ConnectedWorker(SimulatedWorker):
+    """A worker with its open connections."""
+
+    def __init__(self, *arguments: Any) -> None:
+        self.open_replies: dict[Callable[[AttemptStatus, WorkerAnswer | None], None], None] = {}
+        super().__init__(*arguments)
+
+    def close_connections(self) -> None:
+        """Fail all open attempts: their connections are lost."""
+        open_replies, self.open_replies = self.open_replies, {}
+        for send_back in open_replies:
+            send_back(AttemptStatus.CONNECTION_LOST, None)
--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -11,8 +11,9 @@
 from kelptrail.load.plan import steady_load
 from kelptrail.load.results import figures
 from kelptrail.settings.deployment import load
-from kelptrail.simulation.cluster import SimulatedCluster, SimulationSettings, result_of
+from kelptrail.simulation.cluster import SimulatedCluster, result_of
 from kelptrail.simulation.event_queue import EventQueue
+from kelptrail.simulation.settings import SimulationSettings
 from kelptrail.simulation.sharding import RemoteStore, Shard, ShardError, SharedEffectLog, play_sharded
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -19,11 +19,12 @@
 from kelptrail.load.results import Result, Second, read, read_runs, read_seconds, recovery
 from kelptrail.settings.deployment import load
 from kelptrail.settings.reader import SettingsError
-from kelptrail.simulation.cluster import SimulatedCluster, SimulationSettings, play
+from kelptrail.simulation.cluster import SimulatedCluster, play
 from kelptrail.simulation.compare import compare, interval, report
 from kelptrail.simulation.event_queue import EventQueue
 from kelptrail.simulation.experiment import load as load_experiment
 from kelptrail.simulation.experiment import run
+from kelptrail.simulation.settings import SimulationSettings
 from kelptrail.simulation.workers import SimulatedStore, SimulatedWorker
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -50,7 +50,7 @@
 from kelptrail.settings import deployment
 from kelptrail.settings.reader import SourcePosition
 from kelptrail.simulation import experiment
-from kelptrail.simulation.cluster import SimulationSettings
+from kelptrail.simulation.settings import SimulationSettings
 from kelptrail.simulator_adapter.__main__ import SimulatorAdapter
 from kelptrail.vrrp import authentication as vrrp_seal
 from kelptrail.vrrp import packet as vrrp_packet
