--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -327,7 +327,7 @@
     text = (ROOT / "examples" / "bad-days" / "leases.sexp").read_text()
     day = load_scenario(ROOT / "examples" / "bad-days" / "leases.sexp")
     assert day.dispatchers == 7 and day.tasks == ("sweep", "tally", "ledger") and any(t.one_way for t in day.faults)
-    with pytest.raises(ValueError, match="different halls"):
+    with pytest.raises(ValueError, match="different zones"):
         ScenarioRunner(day, parse(DEPLOYMENT.replace("(halls a b)", "(halls a)"), "one"), 1, tmp_path)
     for old, new, word in (
         ("(dispatchers 7)", "(dispatchers 4)", "5 dispatchers at least"),
