--- a/kelptrail/lease/acceptor_store.py
+++ b/kelptrail/lease/acceptor_store.py
@@ -1,7 +1,7 @@
-"""A voter's memory on disk: an SQLite database in WAL mode, each commit synced before it counts.
+"""Durable state of an acceptor: an SQLite database in WAL mode; each commit is synced before it counts.
 
-One row that is not what its checksum says makes the whole of it worthless: what a voter has forgotten it cannot know.
-Such a file is set aside, and the voter begins without memory.
+A single row that does not match its checksum makes the whole file unusable, as an acceptor cannot know what it has
+forgotten.  Such a file is renamed, and the acceptor starts without durable state.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 from .acceptor import DurableState, Stage, Write
 from .messages import LeaseRow
 
-FORMAT = 2  # 1: rows had no note
-TABLE = "CREATE TABLE kept (name TEXT PRIMARY KEY, crc INTEGER NOT NULL, body BLOB NOT NULL) WITHOUT ROWID"
-DAMAGED = ("NotADB", "Corrupt", "malformed", "not a database", "DecodeError", "ValidationError")
-MEMORY = ""  # the name of the row that is no task's
+FORMAT_VERSION = 2  # 1: rows had no note
+CREATE_TABLE = "CREATE TABLE kept (name TEXT PRIMARY KEY, crc INTEGER NOT NULL, body BLOB NOT NULL) WITHOUT ROWID"
+DAMAGE_WORDS = ("NotADB", "Corrupt", "malformed", "not a database", "DecodeError", "ValidationError")
+STATE_ROW = ""  # the name of the row that holds `DurableState`
 
-_row = msgspec.msgpack.Decoder(LeaseRow).decode
-_memory = msgspec.msgpack.Decoder(tuple[int, str, bool]).decode
+_decode_row = msgspec.msgpack.Decoder(LeaseRow).decode
+_decode_state = msgspec.msgpack.Decoder(tuple[int, str, bool]).decode
 
 
 class AcceptorStore:
-    """One file; one thread at a time uses it."""
+    """One database file; to be used by one thread at a time."""
 
     def __init__(self, file: Path, vfs: str | None = None) -> None:
         try:
@@ -38,12 +38,12 @@
             self._run("PRAGMA journal_mode=WAL")
             self._run("PRAGMA synchronous=FULL")
             version = self._run("PRAGMA user_version")[0][0]
-            if version > FORMAT:
-                raise JournalError(f"format {version} is newer than {FORMAT}, which is known here")
+            if version > FORMAT_VERSION:
+                raise JournalError(f"format {version} is newer than {FORMAT_VERSION}, which is known here")
             if not version:
-                self._run(TABLE)
-            if version < FORMAT:  # rows of format 1 are read as they are: what was added has a default
-                self._run(f"PRAGMA user_version={FORMAT}")
+                self._run(CREATE_TABLE)
+            if version < FORMAT_VERSION:  # rows of format 1 are read as they are: what was added has a default
+                self._run(f"PRAGMA user_version={FORMAT_VERSION}")
         except apsw.Error as cause:
             raise JournalError(f"{type(cause).__name__}: {cause}") from None
 
@@ -51,30 +51,30 @@
         return list(self._db.execute(text, values))
 
     def read(self) -> tuple[DurableState | None, tuple[LeaseRow, ...]]:
-        """All of it.  Raises `BookError` where any of it cannot be read."""
-        memory, rows = None, []
+        """Read everything.  Raises `JournalError` where any of it cannot be read."""
+        state, rows = None, []
         try:
             for name, crc, body in self._db.execute("SELECT name, crc, body FROM kept ORDER BY name"):
                 if crc32(body) != crc:
                     raise JournalError(f"Corrupt: the row {name!r}")
-                if name == MEMORY:
-                    number, stage, was = _memory(body)
-                    memory = DurableState(number, Stage(stage), was)
+                if name == STATE_ROW:
+                    config_number, stage, sealed_previous = _decode_state(body)
+                    state = DurableState(config_number, Stage(stage), sealed_previous)
                 else:
-                    rows.append(_row(body))
+                    rows.append(_decode_row(body))
         except (apsw.Error, msgspec.MsgspecError, ValueError) as cause:
             raise JournalError(f"{type(cause).__name__}: {cause}") from None
-        return memory, tuple(rows)
+        return state, tuple(rows)
 
     def commit(self, writes: Iterable[Write]) -> None:
-        """Make writes safe, all or none.  Raises `BookError`."""
+        """Commit the writes atomically.  Raises `JournalError`."""
         kept: dict[str, bytes] = {}
         for write in writes:
             kept |= {row.task: msgspec.msgpack.encode(row) for row in write.rows}
             if write.state is not None:
-                memory = write.state
-                kept[MEMORY] = msgspec.msgpack.encode(
-                    (memory.config_number, memory.stage.value, memory.sealed_previous)
+                state = write.state
+                kept[STATE_ROW] = msgspec.msgpack.encode(
+                    (state.config_number, state.stage.value, state.sealed_previous)
                 )
         try:
             self._run("BEGIN IMMEDIATE")
@@ -90,10 +90,10 @@
             raise JournalError(f"{type(cause).__name__}: {cause}") from None
 
     def forget(self, ids: Iterable[str]) -> None:
-        """Nothing is ever forgotten: a token that was is what the next must be above."""
+        """Keep everything: a later token must be above every earlier one."""
 
     def close(self) -> None:
-        """Close it; what was committed stays."""
+        """Close the file."""
         with contextlib.suppress(apsw.Error):
             self._db.close()
 
@@ -101,18 +101,19 @@
 def open_acceptor_store(
     file: Path, vfs: str | None = None
 ) -> tuple[AcceptorStore, DurableState | None, tuple[LeaseRow, ...], str]:
-    """Open a ledger and read it; a damaged one is set aside, with the reason.  Raises `BookError` where none can be
-    made, and where the disk fails: what it holds may still be there."""
+    """Open a store and read it; a damaged file is renamed, and the last item gives the reason.
+
+    Raises `JournalError` where no file can be created, or the disk fails: then its content may still be intact."""
     try:
-        ledger = AcceptorStore(file, vfs)
+        store = AcceptorStore(file, vfs)
         try:
-            return (ledger, *ledger.read(), "")
+            return (store, *store.read(), "")
         except JournalError:
-            ledger.close()
+            store.close()
             raise
     except JournalError as cause:
         reason = str(cause)
-        if not any(word in reason for word in DAMAGED):
+        if not any(word in reason for word in DAMAGE_WORDS):
             raise
     number = 1
     while (aside := file.with_name(f"{file.name}.damaged-{number}")).exists():
--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -1,4 +1,4 @@
-"""Carries out what voter and asker put out: messages on the channel, writes in the ledger, one timer."""
+"""Runs the lease client and acceptor of one process: peer messages, durable writes and one timer."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 CHANNEL = "lease"
 MESSAGE_TYPES = (AcquireRequest, Grant, Refusal, Release, Transferred, StateRequest, StateReply, WriteNote, NoteWritten)
 ACCEPTOR_MESSAGES = (AcquireRequest, Release, StateRequest, StateReply, WriteNote)
-MAX_TIMER_MS = 1000.0  # between two looks at what is due: a clock may be set to another rate
+MAX_TIMER_MS = 1000.0  # longest timer: the rate of the clock may change
 OnAcquired = Callable[[FencingToken], None]
 OnLost = Callable[[FencingToken, str], None]
 OnNoteStored = Callable[[FencingToken, int], None]
 
 
 class LeaseDriver:
-    """One process's leases, and its vote where it is a voter.  `run`: never the same for two runs of a name."""
+    """The leases of one process, and its acceptor where it is one.  `run`: unique among the runs of a name."""
 
     def __init__(self, name: str, run: str, settings: LeaseSettings, peers: Peers, log: Any) -> None:
         self.name, self.settings, self._peers, self._log = name, settings, peers, log
@@ -57,35 +57,35 @@
         self._connected_acceptors = settings.acceptors
         self._extra_peers: dict[str, set[str]] = {}
         self.message_count = 0
-        self.step_hook: Callable[[str], None] = lambda step: None  # for crash tests: a step that a voter has come to
+        self.step_hook: Callable[[str], None] = lambda step: None  # crash tests: called at named steps
         peers.register(CHANNEL, self._on_peer_message, *MESSAGE_TYPES)
 
     def start_acceptor(self, file: Path, vfs: str | None = None) -> bool:
-        """Be a voter, with the ledger in `file`.  False where it cannot be used: then it does not vote."""
+        """Run an acceptor with its store in `file`.  False, and no acceptor, where the store cannot be used."""
         try:
-            ledger, memory, rows, reason = open_acceptor_store(file, vfs)
+            store, state, rows, reason = open_acceptor_store(file, vfs)
         except JournalError as cause:
-            self._log.error("ledger-unusable", file=str(file), reason=str(cause))
+            self._log.error("acceptor-store-unusable", file=str(file), reason=str(cause))
             return False
         if reason:
-            self._log.error("ledger-set-aside", file=str(file), reason=reason)
-        self.acceptor = Acceptor(self.name, self.settings, now_ms(), memory, rows)
+            self._log.error("acceptor-store-set-aside", file=str(file), reason=reason)
+        self.acceptor = Acceptor(self.name, self.settings, now_ms(), state, rows)
         self._log.info("voter", stage=self.acceptor.stage.value, number=self.acceptor.config_number, tasks=len(rows))
-        self._journal = JournalDriver(GroupCommit(), ledger, self.run_pending, self._log)
+        self._journal = JournalDriver(GroupCommit(), store, self.run_pending, self._log)
         return True
 
     def start(self) -> None:
-        """Begin."""
+        """Connect to the acceptors and start the timer."""
         self._update_connections()
         self.run_pending()
 
     def release_except(self, prefix: str) -> None:
-        """Give back all tasks but those whose names begin so."""
+        """Release all tasks but those whose names begin with `prefix`."""
         for task in [task for task in self.client.requests if not task.startswith(prefix)]:
             self.release(task)
 
     async def stop(self) -> None:
-        """Give back what is held, and end."""
+        """Release all tasks, and close the store."""
         for task in list(self.client.requests):
             self.release(task)
         self._stopped, self.acceptor = True, None
@@ -94,42 +94,47 @@
         if self._journal is not None:
             await self._journal.close(500.0)
 
-    # For whoever acts under a lease.
+    # For lease holders.
 
     def acquire(
-        self, task: str, length_ms: float, won: OnAcquired, lost: OnLost, kept: OnNoteStored | None = None
+        self,
+        task: str,
+        length_ms: float,
+        on_acquired: OnAcquired,
+        on_lost: OnLost,
+        on_note_stored: OnNoteStored | None = None,
     ) -> None:
-        """Hold a task from when it can be had until it is released.  Raises `ValueError` for a length beyond what
-        voters grant."""
-        self._callbacks[task] = won, lost, kept
+        """Acquire a task's lease and keep it until `release`; the callbacks report each change.
+
+        Raises `LeaseLengthError` for a length beyond what acceptors grant."""
+        self._callbacks[task] = on_acquired, on_lost, on_note_stored
         self.client.acquire(now_ms(), task, length_ms)
         self.run_pending()
 
-    def release(self, task: str, to: str = "") -> None:
-        """Give it back, to whoever is named next if anybody.  What was begun under it must be over."""
-        self.client.release(now_ms(), task, to)
+    def release(self, task: str, successor: str = "") -> None:
+        """Release a task, to `successor` if named.  Work done under the lease must be over."""
+        self.client.release(now_ms(), task, successor)
         self.run_pending()
 
     def held_token(self, task: str) -> FencingToken | None:
-        """The token to act under, looked at anew: to be asked right before each act.  None: do not act."""
+        """The token of the valid lease; check right before each action under it.  None: not held."""
         return self.client.held_token(now_ms(), task)
 
     def write_note(self, task: str, text: bytes) -> int | None:
-        """Leave a note for whoever holds the task next; see `Asker.note`."""
+        """Store a note for the next holder; see `LeaseClient.write_note`."""
         number = self.client.write_note(task, text)
         self.run_pending()
         return number
 
     def inherited_note(self, task: str) -> bytes:
-        """What a holder before has left, as voters told it when the task was won; empty where nobody has."""
-        wish = self.client.requests.get(task)
-        return wish.inherited_note.text if wish is not None else b""
+        """The note of earlier holders, as of the acquisition; empty where there is none."""
+        request = self.client.requests.get(task)
+        return request.inherited_note.text if request is not None else b""
 
-    def keep_connected(self, names: set[str], whose: str) -> None:
-        """Keep links up to these, too: whoever is acted on under a lease.  `whose` wish that is, in place of the one
-        before."""
-        if self._extra_peers.get(whose) != names:
-            self._extra_peers[whose] = names
+    def keep_connected(self, names: set[str], owner: str) -> None:
+        """Keep connections to these peers, too.  `owner` names the requester; its earlier set is replaced."""
+        if self._extra_peers.get(owner) != names:
+            self._extra_peers[owner] = names
             self._update_connections()
 
     # Carrying out.
@@ -146,7 +151,7 @@
             self.acceptor.on_message(now_ms(), sender, message)
 
     def run_pending(self) -> None:
-        """Everything that is due or waits, then the timer."""
+        """Run the cores until nothing is due or queued, then schedule the timer."""
         if self._running or self._stopped:
             return
         self._running = True
@@ -165,49 +170,49 @@
         self._schedule_timer()
 
     def _drain_cores(self, own: deque[Message]) -> bool:
-        """Pull from both cores once; whether there was anything."""
-        any_, voter, asker = bool(own), self.acceptor, self.client
-        for core in (voter, asker):
+        """Carry out what both cores have queued; returns whether there was anything."""
+        any_output, acceptor, client = bool(own), self.acceptor, self.client
+        for core in (acceptor, client):
             while core is not None and core.outbox:
-                any_ = True
+                any_output = True
                 to, message = core.outbox.popleft()
                 if to == self.name:
                     own.append(message)
                 else:
                     self._peers.send(to, message)
-        while voter is not None and voter.pending_writes and self._journal is not None:
-            any_ = True
-            write = voter.pending_writes.popleft()
-            # A stage is tried again until it is safe; a grant that is not safe is simply not said.
+        while acceptor is not None and acceptor.pending_writes and self._journal is not None:
+            any_output = True
+            write = acceptor.pending_writes.popleft()
+            # A stage is retried until it is durable; a grant that is not durable is not answered.
             self._journal.journal.write(write, partial(self._on_written, write), write.state is not None)
         if self._journal is not None:
             self._journal.pump()
-        while asker.events:
-            any_ = True
-            self._notify(asker.events.popleft())
-        return any_
+        while client.events:
+            any_output = True
+            self._notify(client.events.popleft())
+        return any_output
 
     def _on_written(self, write: Write, safe: bool) -> None:
         if self.acceptor is not None:
             if safe and write.reply is not None:
-                self.step_hook("voted")  # on disk, and not said yet
+                self.step_hook("voted")  # durable, and not answered yet
             before = self.acceptor.stage
             self.acceptor.on_written(write, safe)
             if write.state is not None:
                 self._log.info("voter", stage=before.value, number=self.acceptor.config_number)
 
     def _notify(self, event: LeaseAcquired | LeaseLost | NoteStored) -> None:
-        won, lost, kept = self._callbacks[event.task]
+        on_acquired, on_lost, on_note_stored = self._callbacks[event.task]
         if isinstance(event, NoteStored):
-            if kept is not None:
-                kept(event.token, event.sequence)
+            if on_note_stored is not None:
+                on_note_stored(event.token, event.sequence)
             return
         if isinstance(event, LeaseAcquired):
-            self._log.info("lease-won", task=event.task, token=str(event.token))
-            won(event.token)
+            self._log.info("lease-acquired", task=event.task, token=str(event.token))
+            on_acquired(event.token)
         else:
             self._log.info("lease-lost", task=event.task, token=str(event.token), reason=event.reason)
-            lost(event.token, event.reason)
+            on_lost(event.token, event.reason)
 
     def _update_connections(self) -> None:
         self._connected_acceptors = self.client.acceptors
@@ -227,8 +232,8 @@
         self._timer = self._loop.call_later(max(0.0, wait) / 1000 + 0.0005, self.run_pending)
 
     def status(self) -> dict[str, Any]:
-        """What operators are shown."""
-        now, heard, voter = now_ms(), self._peers.ms_since_heard(), self.acceptor
+        """State of leases and acceptor, for operators."""
+        now, heard, acceptor = now_ms(), self._peers.ms_since_heard(), self.acceptor
         return {
             "name": self.name,
             "number": self.client.config_number,
@@ -247,19 +252,19 @@
                 for task, (token, until) in sorted(self.client.known_holders.items())
             },
             "vote": None
-            if voter is None
+            if acceptor is None
             else {
-                "stage": voter.stage.value,
-                "number": voter.config_number,
+                "stage": acceptor.stage.value,
+                "number": acceptor.config_number,
                 "disk": "failing" if self._journal is not None and self._journal.journal.failing else "well",
                 "tasks": {
                     task: {
-                        "token": str(seat.highest_token),
-                        "left_ms": max(0, round(seat.expires_at - now))
-                        if not seat.released and seat.expires_at > now
+                        "token": str(record.highest_token),
+                        "left_ms": max(0, round(record.expires_at - now))
+                        if not record.released and record.expires_at > now
                         else 0,
                     }
-                    for task, seat in sorted(voter.records.items())
+                    for task, record in sorted(acceptor.records.items())
                 },
             },
             "messages": self.message_count,
--- a/kelptrail/lease/messages.py
+++ b/kelptrail/lease/messages.py
@@ -1,8 +1,8 @@
-"""What voters and askers say to each other, and the figures that both are built with.
+"""Messages between lease clients and acceptors, and the settings that both are built with.
 
-The manner is that of leases on majorities (Trencseni, Gazso, Reinhardt: PaxosLease, arXiv:1209.4187) with Chubby's
-sequencers (Burrows, OSDI 2006) as tokens.  Times are milliseconds of the clock of whoever is told of them; no message
-carries a time of day.
+The protocol is a majority lease (Trencseni, Gazso, Reinhardt: PaxosLease, arXiv:1209.4187) whose ballot numbers serve
+as fencing tokens, as Chubby's sequencers do (Burrows, OSDI 2006).  All times are durations in milliseconds on the
+receiver's clock; no message carries a time of day.  Structs are arrays on the wire: fields are identified by position.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class FencingToken(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """Names one lease.  Tokens of a task are in one order: by round, then by `who`, the asker and its run."""
+    """Identifies one lease.  Tokens of a task are totally ordered: by round, then by the client's id (name and run)."""
 
     round: int
     client_id: str
@@ -26,8 +26,8 @@
 
 
 class AcquireRequest(msgspec.Struct, frozen=True, tag="ask", array_like=True):
-    """May I hold the task for `length_ms`, or go on holding it?  `seq` tells one question from the next; `number` is
-    the set of voters that the asker believes in."""
+    """Acquire or renew the lease of `task` for `length_ms`.  `request_id` distinguishes renewals under one token;
+    `config_number` is the acceptor set that the client knows."""
 
     task: str
     token: FencingToken
@@ -37,7 +37,7 @@
 
 
 class LeaseNote(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """What a holder has left with a task, for whoever holds it next; ordered by when it was left."""
+    """Data that a lease holder leaves for the next holder; ordered by the time of writing."""
 
     token: FencingToken
     sequence: int
@@ -48,7 +48,7 @@
 
 
 class Grant(msgspec.Struct, frozen=True, tag="granted", array_like=True):
-    """Yes, and it is on disk.  `noted`: the last note that this voter knows of the task."""
+    """The lease is granted, and the grant is durable.  `note`: the latest note that this acceptor has of the task."""
 
     task: str
     token: FencingToken
@@ -57,7 +57,7 @@
 
 
 class WriteNote(msgspec.Struct, frozen=True, tag="note", array_like=True):
-    """From the holder: leave this with the task, in place of what was left before."""
+    """From the lease holder: replace the task's note."""
 
     task: str
     note: LeaseNote
@@ -65,7 +65,7 @@
 
 
 class NoteWritten(msgspec.Struct, frozen=True, tag="left", array_like=True):
-    """A note is on disk."""
+    """The note is durable at this acceptor."""
 
     task: str
     token: FencingToken
@@ -73,8 +73,8 @@
 
 
 class Refusal(msgspec.Struct, frozen=True, tag="refused", array_like=True):
-    """No.  `highest`: of the task; `left_ms`: when it is worth asking again; `number` and `voters`: the set in force
-    here."""
+    """The request is refused.  `highest_token`: of the task; `retry_after_ms`: earliest useful retry; `config_number`
+    and `acceptors`: the acceptor set in force here (no acceptors where this acceptor's own settings are outdated)."""
 
     task: str
     token: FencingToken
@@ -87,7 +87,8 @@
 
 
 class Release(msgspec.Struct, frozen=True, tag="release", array_like=True):
-    """The lease is given back before its end, or the attempt is given up; `to`: who should have it next."""
+    """The lease is released before it expires, or the attempt is abandoned.  `successor`: name of the client that
+    should get it next, or empty."""
 
     task: str
     token: FencingToken
@@ -95,14 +96,14 @@
 
 
 class Transferred(msgspec.Struct, frozen=True, tag="handed", array_like=True):
-    """From a voter to whom a holder has named as the next, else to who has waited longest: ask now."""
+    """The task is free: sent to the successor that the holder named, else to the client that has waited longest."""
 
     task: str
 
 
 class LeaseRow(msgspec.Struct, frozen=True, array_like=True):
-    """What a voter keeps of a task: the highest token that it granted, for how long, whether it was given back, and
-    the last note."""
+    """Durable state of one task at an acceptor: the highest granted token, the lease's length, whether it was released,
+    and the latest note."""
 
     task: str
     token: FencingToken
@@ -112,15 +113,15 @@
 
 
 class StateRequest(msgspec.Struct, frozen=True, tag="learn", array_like=True):
-    """From a voter that does not vote yet: what do you know?"""
+    """From an acceptor that is not voting yet: asks for the receiver's state."""
 
     config_number: int
     nonce: int
 
 
 class StateReply(msgspec.Struct, frozen=True, tag="learnt", array_like=True):
-    """What a voter knows.  `stage`: see `voter.Stage`; `was`: it remembers all that it granted in the set before
-    this one, and grants nothing in that any more."""
+    """An acceptor's state.  `stage`: a value of `acceptor.Stage`; `sealed_previous`: it remembers everything that it
+    granted in the previous acceptor set, and grants nothing in that set any more."""
 
     config_number: int
     nonce: int
@@ -134,13 +135,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseSettings:
-    """Figures that all of a fleet share.
-
-    `number`: of the set of voters, larger with each change; `before`: the set before it; `clock_bound`: each clock's
-    rate is within 1 - bound to 1 + bound of true time; `longest_ms`: no lease is longer; `ask_ms`: after it a question
-    counts as unanswered; `retry_ms`: least pause after an attempt that failed; `gap_ms`: between places of those who
-    wait at a voter; `reserve_ms`: for so long a task is kept for whom it was handed to; `first_round`: tokens begin
-    above it.
+    """Settings that must be the same in the whole fleet.
+
+    `config_number`: version of the acceptor set, increased with each change; `previous_acceptors`: the set before it;
+    `clock_rate_bound`: each clock's rate is within 1 - bound to 1 + bound of true time; `max_lease_ms`: longest lease
+    that acceptors grant; `request_timeout_ms`: after it a request counts as unanswered; `retry_pause_ms`: base of the
+    backoff after a failed attempt; `queue_spacing_ms`: distance between the retry times of waiting clients;
+    `transfer_reservation_ms`: how long a released task is reserved for its successor; `round_floor`: rounds of tokens
+    begin above it.
     """
 
     acceptors: tuple[str, ...]
@@ -155,16 +157,18 @@
     round_floor: int = 0
 
     def safe_hold_ms(self, length_ms: float) -> float:
-        """How long a holder may count on a lease by its own clock, from before it asked: voters count `length_ms` on
-        clocks that may be as fast as allowed, the holder's may be as slow."""
+        """How long a holder may rely on a lease by its own clock, counted from before the request was sent.
+
+        Acceptors count `length_ms` on clocks that may be as fast as the bound allows, while the holder's clock may be
+        as slow, so the holder's view of the lease ends before any acceptor's."""
         return length_ms * (1 - self.clock_rate_bound) / (1 + self.clock_rate_bound)
 
     @property
     def recovery_wait_ms(self) -> float:
-        """How long, on the fastest clock, until nothing that was granted before can be believed any more."""
+        """How long, on the fastest clock, until every lease granted before now has expired at its holder."""
         return self.max_lease_ms * (1 + self.clock_rate_bound) / (1 - self.clock_rate_bound)
 
 
-def majority(voters: tuple[str, ...]) -> int:
-    """More than half."""
-    return len(voters) // 2 + 1
+def majority(acceptors: tuple[str, ...]) -> int:
+    """The smallest number of acceptors that is more than half."""
+    return len(acceptors) // 2 + 1
