--- a/bench/leases.py
+++ b/bench/leases.py
@@ -30,7 +30,7 @@
 from kelptrail.fault_scenario.report import describe_deployment
 from kelptrail.history_checker.checker import check_history, read_captures
 from kelptrail.lease.messages import LeaseSettings
-from kelptrail.lease.model import Budget, Make, Model
+from kelptrail.lease.model import Budget, Model, ModelSetup
 from kelptrail.model_checking.explorer import explore, random_walk
 from kelptrail.settings.deployment import load
 from kelptrail.simulation.event_queue import EventQueue
@@ -49,28 +49,44 @@
 NEXT = LeaseSettings(("a", "b", "d"), 2, ("a", "b", "c"), **FIGURES)
 RATES = (("a", 1.02), ("b", 1.02), ("c", 1.02), ("x", 0.98), ("y", 0.98), ("z", 0.98))
 PRODUCTS: dict[str, tuple[tuple[str, ...], Budget, int, dict[str, Any]]] = {
-    "2 askers, loss, copies, late": (("x", "y"), Budget(drops=1, copies=1, delays=2, acts=1), 14, {}),
-    "2 askers, voter starts anew": (("x", "y"), Budget(delays=2, starts=1, failures=1), 14, {}),
-    "2 askers, disk lost": (("x", "y"), Budget(drops=1, delays=3, wipes=1), 16, {}),
-    "2 askers, pauses, runs": (("x", "y"), Budget(delays=2, pauses=2, runs=1, acts=1), 14, {}),
-    "2 askers, released": (("x", "y"), Budget(drops=1, delays=2, releases=2, acts=2), 16, {}),
-    "2 askers, set changed": (("x", "y"), Budget(delays=2), 16, {"later": NEXT}),
+    "2 askers, loss, copies, late": (("x", "y"), Budget(drops=1, duplicates=1, delays=2, actions=1), 14, {}),
+    "2 askers, voter starts anew": (("x", "y"), Budget(delays=2, restarts=1, sync_failures=1), 14, {}),
+    "2 askers, disk lost": (("x", "y"), Budget(drops=1, delays=3, disk_losses=1), 16, {}),
+    "2 askers, pauses, runs": (("x", "y"), Budget(delays=2, pauses=2, client_restarts=1, actions=1), 14, {}),
+    "2 askers, released": (("x", "y"), Budget(drops=1, delays=2, releases=2, actions=2), 16, {}),
+    "2 askers, set changed": (("x", "y"), Budget(delays=2), 16, {"next_settings": NEXT}),
     "3 askers, loss, late": (("x", "y", "z"), Budget(drops=1, delays=1), 12, {}),
-    "2 askers, founding": (("x", "y"), Budget(delays=2, starts=1), 18, {"founded": False}),
+    "2 askers, founding": (("x", "y"), Budget(delays=2, restarts=1), 18, {"is_founded": False}),
 }
 WALKS = {
     "all": (
-        Budget(drops=9, copies=9, delays=60, starts=3, wipes=1, failures=3, runs=3, pauses=3, releases=3, acts=9),
+        Budget(
+            drops=9,
+            duplicates=9,
+            delays=60,
+            restarts=3,
+            disk_losses=1,
+            sync_failures=3,
+            client_restarts=3,
+            pauses=3,
+            releases=3,
+            actions=9,
+        ),
         0.12,
         400,
         {},
     ),
-    "late": (Budget(drops=30, copies=9, delays=200, pauses=9, acts=20), 0.3, 800, {}),
-    "disk lost": (Budget(drops=10, copies=2, delays=200, wipes=1, runs=1), 0.3, 600, {}),
-    "set changed": (Budget(drops=5, copies=3, delays=100, starts=3, runs=2), 0.1, 500, {"later": NEXT}),
+    "late": (Budget(drops=30, duplicates=9, delays=200, pauses=9, actions=20), 0.3, 800, {}),
+    "disk lost": (Budget(drops=10, duplicates=2, delays=200, disk_losses=1, client_restarts=1), 0.3, 600, {}),
+    "set changed": (
+        Budget(drops=5, duplicates=3, delays=100, restarts=3, client_restarts=2),
+        0.1,
+        500,
+        {"next_settings": NEXT},
+    ),
 }
 WALKS |= {
-    f"{name}, with notes": (budget, faults, length, how | {"notes": True})
+    f"{name}, with notes": (budget, faults, length, how | {"with_notes": True})
     for name, (budget, faults, length, how) in WALKS.items()
 }
 
@@ -83,9 +99,9 @@
         world.check()
         looks["states"] += 1
         if looks["states"] % 20 == 0:  # healing is a whole run of its own
-            world.heal(3000.0)
+            world.check_recovery(3000.0)
 
-    found = explore(Model(Make(SET, askers, budget, rates=RATES, **how)), look, depth, most_states)
+    found = explore(Model(ModelSetup(SET, askers, budget, clock_rates=RATES, **how)), look, depth, most_states)
     return {"product": name, **asdict(found), "seconds": round(time.monotonic() - began, 1)}
 
 
@@ -93,14 +109,14 @@
     budget, faults, length, how = WALKS[name]
     states = 0
     for seed in range(first, first + count):
-        last = [Model(Make(SET, ("x", "y") if seed % 2 else ("x", "y", "z"), budget, rates=RATES, **how))]
+        last = [Model(ModelSetup(SET, ("x", "y") if seed % 2 else ("x", "y", "z"), budget, clock_rates=RATES, **how))]
 
         def look(world: Model, last: list[Model] = last) -> None:
             world.check()
             last[0] = world
 
         states += random_walk(last[0], look, seed, length, faults).states
-        last[0].heal(3000.0)
+        last[0].check_recovery(3000.0)
     return states
 
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -29,7 +29,7 @@
     Transferred,
     WriteNote,
 )
-from kelptrail.lease.model import TASK, Budget, Make, Model
+from kelptrail.lease.model import TASK, Budget, Model, ModelSetup
 from kelptrail.model_checking.explorer import PropertyError, explore, random_walk
 from kelptrail.settings.deployment import load, parse
 from kelptrail.settings.reader import SettingsError
@@ -46,15 +46,26 @@
 SET = LeaseSettings(("a", "b", "c"), **FIGURES)  # type: ignore[arg-type]
 NEXT = LeaseSettings(("a", "b", "d"), 2, ("a", "b", "c"), **FIGURES)  # type: ignore[arg-type]
 RATES = (("a", 1.02), ("b", 1.02), ("c", 1.02), ("x", 0.98), ("y", 0.98), ("z", 0.98))
-FULL = Budget(drops=9, copies=9, delays=60, starts=3, wipes=1, failures=3, runs=3, pauses=3, releases=3, acts=9)
-LATE = Budget(drops=30, copies=9, delays=200, pauses=9, acts=20)
-LOST = Budget(drops=10, copies=2, delays=200, wipes=1, runs=1)
-CHANGE = Budget(drops=5, copies=3, delays=100, starts=3, runs=2)
+FULL = Budget(
+    drops=9,
+    duplicates=9,
+    delays=60,
+    restarts=3,
+    disk_losses=1,
+    sync_failures=3,
+    client_restarts=3,
+    pauses=3,
+    releases=3,
+    actions=9,
+)
+LATE = Budget(drops=30, duplicates=9, delays=200, pauses=9, actions=20)
+LOST = Budget(drops=10, duplicates=2, delays=200, disk_losses=1, client_restarts=1)
+CHANGE = Budget(drops=5, duplicates=3, delays=100, restarts=3, client_restarts=2)
 
 
 def world(seed: int, budget: Budget, **how: Any) -> Model:
     askers = ("x", "y") if seed % 2 else ("x", "y", "z")
-    return Model(Make(how.pop("settings", SET), askers, budget, rates=RATES, **how))
+    return Model(ModelSetup(how.pop("settings", SET), askers, budget, clock_rates=RATES, **how))
 
 
 def walk(seed: int, budget: Budget, faults: float, length: int, **how: Any) -> None:
@@ -65,7 +76,7 @@
         last[0] = state
 
     random_walk(last[0], look, seed, length, faults)
-    last[0].heal(3000.0)
+    last[0].check_recovery(3000.0)
 
 
 @pytest.mark.parametrize(
@@ -74,11 +85,11 @@
         (FULL, 0.12, 400, {}),
         (LATE, 0.3, 800, {}),
         (LOST, 0.3, 600, {}),
-        (CHANGE, 0.1, 500, {"later": NEXT}),
-        (Budget(drops=5, delays=60, starts=3, runs=1), 0.1, 300, {"founded": False}),
-        (FULL, 0.12, 400, {"notes": True}),
-        (LOST, 0.3, 600, {"notes": True}),
-        (CHANGE, 0.1, 500, {"later": NEXT, "notes": True}),
+        (CHANGE, 0.1, 500, {"next_settings": NEXT}),
+        (Budget(drops=5, delays=60, restarts=3, client_restarts=1), 0.1, 300, {"is_founded": False}),
+        (FULL, 0.12, 400, {"with_notes": True}),
+        (LOST, 0.3, 600, {"with_notes": True}),
+        (CHANGE, 0.1, 500, {"next_settings": NEXT, "with_notes": True}),
     ],
     ids=["all", "late", "disk-lost", "set-changed", "founding", "notes", "notes-disk-lost", "notes-set-changed"],
 )
@@ -88,7 +99,7 @@
 
 
 def test_near_states_break_nothing() -> None:
-    found = explore(world(1, Budget(drops=1, delays=1, starts=1, acts=1)), Model.check, 7, 5000)
+    found = explore(world(1, Budget(drops=1, delays=1, restarts=1, actions=1)), Model.check, 7, 5000)
     assert found.states > 3000 and found.depth >= 6
 
 
@@ -176,18 +187,18 @@
 @pytest.mark.parametrize(
     ("budget", "faults", "length", "how"),
     [
-        (FULL, 0.12, 400, {"voter": GrantsWhatIsHeld}),
-        (FULL, 0.12, 400, {"voter": SaysBeforeDisk}),
-        (FULL, 0.12, 400, {"voter": ForgetsGrants}),
-        (LOST, 0.3, 600, {"voter": VotesWithoutMemory}),
-        (FULL, 0.12, 400, {"voter": GrantsOlder}),
-        (Budget(drops=20, delays=100), 0.2, 500, {"voter": ChangesAtOnce, "later": NEXT}),
-        (LATE, 0.3, 800, {"asker": CountsFromTheAnswer}),
-        (LATE, 0.3, 800, {"asker": BelievesItsState}),
-        (FULL, 0.12, 400, {"asker": CountsOneVoterTwice}),
+        (FULL, 0.12, 400, {"acceptor_type": GrantsWhatIsHeld}),
+        (FULL, 0.12, 400, {"acceptor_type": SaysBeforeDisk}),
+        (FULL, 0.12, 400, {"acceptor_type": ForgetsGrants}),
+        (LOST, 0.3, 600, {"acceptor_type": VotesWithoutMemory}),
+        (FULL, 0.12, 400, {"acceptor_type": GrantsOlder}),
+        (Budget(drops=20, delays=100), 0.2, 500, {"acceptor_type": ChangesAtOnce, "next_settings": NEXT}),
+        (LATE, 0.3, 800, {"client_type": CountsFromTheAnswer}),
+        (LATE, 0.3, 800, {"client_type": BelievesItsState}),
+        (FULL, 0.12, 400, {"client_type": CountsOneVoterTwice}),
         (LATE, 0.3, 800, {"settings": AGREE}),
-        (Budget(releases=9, acts=40, delays=60), 0.1, 300, {"fenced": False}),
-        (FULL, 0.12, 400, {"asker": TakesOneForKept, "notes": True}),
+        (Budget(releases=9, actions=40, delays=60), 0.1, 300, {"checks_tokens": False}),
+        (FULL, 0.12, 400, {"client_type": TakesOneForKept, "with_notes": True}),
     ],
     ids=[
         "held",
@@ -241,12 +252,12 @@
     rates = (("a", 1.2), ("b", 1.2), ("c", 1.2), ("x", 0.8), ("y", 0.8))
     both = 0
     for seed in range(150):
-        state = Model(Make(SET, ("x", "y"), LATE, rates=rates, believed=False))
+        state = Model(ModelSetup(SET, ("x", "y"), LATE, clock_rates=rates, clocks_in_bound=False))
 
         def look(one: Model) -> None:
             nonlocal both
             one.check()
-            both += sum(a.held_token(one.local(n), TASK) is not None for n, a in one.askers.items()) > 1
+            both += sum(a.held_token(one.local_time(n), TASK) is not None for n, a in one.clients.items()) > 1
 
         random_walk(state, look, seed, 400, 0.3)
     assert both > 0, "the clocks were wrong enough to matter"
