--- a/kelptrail/background/core.py
+++ b/kelptrail/background/core.py
@@ -1,13 +1,13 @@
-"""Which piece of background work runs next, if any; free of I/O and clocks.
+"""Scheduler of background jobs: decides which step runs next, if any; free of I/O and clocks.
 
-Work comes in steps; a step runs whole, its CPU time is told afterwards and paid from a budget that fills at a share of
-real time.  Among the jobs that are due the most urgent goes first; one that has waited for longer than its bound goes
-before all others and may run the budget into debt, so nothing starves; debt is paid before anything else runs.  While
-calls are in hand only a part of the budget may be used.  A job that costs more than it was meant to is put off for as
-long as its share asks for.
+Jobs run in steps that are never interrupted; a step's CPU time is charged afterwards to a budget that refills at a
+share of real time.  The most urgent of the due jobs runs first; one that has waited for longer than its bound runs
+before all others and may overdraw the budget, so no job starves; debt is paid off before anything else runs.  While
+requests are in flight only a part of the budget may be used.  A job that costs more than its share is delayed
+accordingly.
 
-Weighed: one timer each (they come together, just when calls do), nice threads (one interpreter lock), a process for
-each (they share no state; taken only for the solver, which runs for seconds).
+Alternatives considered: one timer for each job (they fire together, just when requests come), low-priority threads (one
+interpreter lock), a process for each job (no shared state; used only for the solver, which runs for seconds).
 """
 
 from __future__ import annotations
@@ -15,11 +15,21 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+MAX_WAIT_MS = 1000.0  # longest pause between two looks at the jobs
+
+
+class DuplicateJobError(ValueError):
+    """A job of this name exists already."""
+
+
+class JobNotRunningError(ValueError):
+    """The job whose step is reported as done is not the running one."""
+
 
 @dataclass(frozen=True, slots=True)
 class SchedulerSettings:
-    """`share`: of real time that background work may take; `busy_part`: of that, while calls are in hand; `most_ms`:
-    what may be saved up."""
+    """`share`: of real time that background work may use; `busy_share`: of that, while requests are in flight;
+    `max_budget_ms`: the most unused CPU time that is saved up."""
 
     share: float = 0.1
     busy_share: float = 0.5
@@ -28,10 +38,10 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A kind of work.  `step` does a piece and says whether more remains of this turn.  Times in milliseconds.
+    """A periodic or requested job.  `step` does one piece and returns whether more remains of this run.  Times in ms.
 
-    `every_ms`: from the end of one turn to the next; 0: only when `wanted`.  `longest_wait_ms`: past it, it goes first.
-    `share`: of real time that it alone may take.
+    `interval_ms`: from the end of one run to the next; 0: only by `request_run`.  `max_wait_ms`: a job that is overdue
+    by more runs first.  `share`: of real time that this job may use.
     """
 
     name: str
@@ -51,7 +61,7 @@
 
 
 class Scheduler:
-    """All background work of a process."""
+    """The background jobs of a process and their CPU budget."""
 
     def __init__(self, settings: SchedulerSettings, now: float) -> None:
         self._settings, self._refilled_at = settings, now
@@ -60,22 +70,23 @@
         self._running: Job | None = None
 
     def add(self, now: float, job: Job, after_ms: float | None = None) -> Job:
-        """Know a job; one that comes again is due after its time, or `after_ms`.  Raises `ValueError` for a name that
-        is taken."""
+        """Add a job; a periodic one is due after its interval, or after `after_ms`.
+
+        Raises `DuplicateJobError` for a name that is in use."""
         if job.name in self.jobs:
-            raise ValueError(f"there is a job {job.name} already")
+            raise DuplicateJobError(f"there is a job {job.name} already")
         self.jobs[job.name] = job
         if job.interval_ms:
             job.due_at = now + (job.interval_ms if after_ms is None else after_ms)
         return job
 
     def request_run(self, now: float, name: str) -> None:
-        """Have a job run once, as soon as it may; nothing more where it is due already."""
+        """Make a job due now, unless it is due already."""
         job = self.jobs[name]
         job.due_at = min(job.due_at, now)
 
     def next_job(self, now: float, busy: bool) -> Job | None:
-        """The job whose step is to run now; its end must be told by `done`."""
+        """The job whose step must run now, or None; report its end by `on_step_done`."""
         self._refill_budget(now, busy)
         if self._running is not None:
             return None
@@ -94,9 +105,9 @@
         return job
 
     def on_step_done(self, now: float, job: Job, cpu_ms: float, more: bool, failed: bool = False) -> None:
-        """A step has ended."""
+        """Charge a finished step.  Raises `JobNotRunningError`."""
         if job is not self._running:
-            raise ValueError(f"{job.name} is not running")
+            raise JobNotRunningError(f"{job.name} is not running")
         self._running = None
         self._budget_ms -= cpu_ms
         job.cpu_ms += cpu_ms
@@ -110,13 +121,13 @@
             job.due_at = now + job.interval_ms if job.interval_ms else float("inf")
 
     def wait_ms(self, now: float, busy: bool) -> float:
-        """How long nothing will be due, at the most a second."""
+        """Time in ms until a job may be due, at most `MAX_WAIT_MS`."""
         self._refill_budget(now, busy)
-        wait = 1000.0
+        wait = MAX_WAIT_MS
         floor = self._settings.max_budget_ms * (1 - self._settings.busy_share) if busy else 0.0
         for job in self.jobs.values():
             ready = max(job.due_at, job.not_before) - now
-            if self._budget_ms <= floor and ready < 1000:  # until the budget has room, or it starves
+            if self._budget_ms <= floor and ready < MAX_WAIT_MS:  # until the budget suffices, or the job is starved
                 ready = min(
                     max(ready, (floor - self._budget_ms + 0.1) / self._settings.share),
                     max(ready, job.due_at + job.max_wait_ms - now + 0.1),
@@ -125,7 +136,7 @@
         return max(0.0, wait)
 
     def status(self) -> dict[str, dict[str, float]]:
-        """What operators are shown."""
+        """Counters of each job, for operators."""
         return {
             j.name: {
                 "turns": j.runs,
--- a/kelptrail/background/driver.py
+++ b/kelptrail/background/driver.py
@@ -1,4 +1,4 @@
-"""Runs background work on the loop, a step at a time, and pays for it by the thread's CPU clock."""
+"""Runs background jobs on the event loop, one step at a time, charged by the thread's CPU clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Background:
-    """One process's background work.  `busy` says whether calls are in hand."""
+    """The background work of one process.  `busy`: whether requests are in flight."""
 
     def __init__(
         self, settings: SchedulerSettings, now_ms: Callable[[], float], busy: Callable[[], bool], log: Any
@@ -31,23 +31,23 @@
         share: float = 0.05,
         first_delay_ms: float | None = None,
     ) -> None:
-        """Have work done; see `Job`.  A step that returns nothing is a whole turn."""
+        """Add a job; see `Job`.  A step that returns nothing is a complete run."""
         self.scheduler.add(
             self._now(), Job(name, lambda: bool(step()), priority, interval_ms, max_wait_ms, share), first_delay_ms
         )
         self._wake.set()
 
     def request_run(self, name: str) -> None:
-        """Have a job run once, soon."""
+        """Request one run of a job as soon as possible."""
         self.scheduler.request_run(self._now(), name)
         self._wake.set()
 
     def start(self) -> None:
-        """Begin."""
+        """Start the scheduler task."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def stop(self) -> None:
-        """End; a step that runs ends first, as nothing interrupts it."""
+        """Stop after the current step, which is never interrupted."""
         if self._task is not None:
             self._task.cancel()
 
@@ -65,8 +65,8 @@
             began, more, failed = time.thread_time(), False, False
             try:
                 more = job.step()
-            except Exception as cause:  # one job's fault must not end the others
+            except Exception as cause:  # an error in one job must not end the others
                 failed = True
                 self._log.error("background-failed", job=job.name, reason=f"{type(cause).__name__}: {cause}")
             self.scheduler.on_step_done(self._now(), job, (time.thread_time() - began) * 1000, more, failed)
-            await asyncio.sleep(0)  # calls first
+            await asyncio.sleep(0)  # let requests run first
--- a/kelptrail/certificates/authority.py
+++ b/kelptrail/certificates/authority.py
@@ -1,8 +1,7 @@
-"""A folder with an authority's certificate and key, and what it issued; on the `cryptography` library.
+"""A private certificate authority in a folder; uses the `cryptography` library, certificates after RFC 5280.
 
 `authority.pem` (certificate) and `authority.key`; for each name `NAME.pem`, its key and certificate in one file, so
-that whoever reads it never meets one without the other.  Files are written whole and put in place at once; keys can
-be read by their owner only.  RFC 5280 for what certificates hold.
+that a reader never sees one without the other.  Files are replaced atomically; keys are readable by their owner only.
 """
 
 from __future__ import annotations
@@ -29,12 +28,12 @@
 
 
 class AuthorityError(Exception):
-    """What was asked for cannot be done; the text says why."""
+    """The operation is not possible; the message gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class IssuedCertificate:
-    """A certificate as it is shown."""
+    """The public content of a certificate."""
 
     name: str
     names: list[str]
@@ -44,12 +43,12 @@
     valid_until: datetime
 
     def days_left(self, now: datetime) -> float:
-        """Days until it ends; below 0 once it has."""
+        """Days until it expires; negative once it has."""
         return (self.valid_until - now).total_seconds() / 86_400
 
 
 def read_certificate(pem: bytes) -> x509.Certificate:
-    """The first certificate of a PEM text.  Raises `AuthorityError`."""
+    """Parse the first certificate of a PEM text.  Raises `AuthorityError`."""
     try:
         return x509.load_pem_x509_certificates(pem)[0]
     except (ValueError, IndexError) as cause:
@@ -57,7 +56,7 @@
 
 
 def describe(name: str, certificate: x509.Certificate) -> IssuedCertificate:
-    """What a certificate says of itself."""
+    """Describe a certificate: names, usage, serial number, validity."""
     try:
         use = certificate.extensions.get_extension_for_class(x509.ExtendedKeyUsage).value
         words = {ExtendedKeyUsageOID.SERVER_AUTH: "server", ExtendedKeyUsageOID.CLIENT_AUTH: "client"}
@@ -76,13 +75,13 @@
 
 
 def new_api_key() -> tuple[str, str]:
-    """A new key for a namespace, and its digest for the settings."""
+    """Generate an API key for a namespace; returns the key, and its digest for the settings."""
     key = secrets.token_urlsafe(48)
     return key, key_digest(key)
 
 
 class Authority:
-    """One folder.  `now` is handed in: certificates hold wall time."""
+    """The authority in one folder.  Raises `AuthorityError` where the folder holds none."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -106,7 +105,7 @@
 
     @classmethod
     def create(cls, folder: Path, name: str, days: int, now: datetime) -> Authority:
-        """A new authority.  Raises `AuthorityError` where the folder has one: it is never written over."""
+        """Create an authority.  Raises `AuthorityError` where the folder has one: it is never overwritten."""
         _check_name(name)
         folder.mkdir(parents=True, exist_ok=True)
         if (folder / KEY).exists() or (folder / CERTIFICATE).exists():
@@ -140,8 +139,9 @@
         now: datetime,
         again: bool = False,
     ) -> IssuedCertificate:
-        """A certificate for a name, with DNS names, URIs and addresses beside it.  Raises `AuthorityError` where there
-        is one already, unless `again`."""
+        """Issue a certificate for a name, with `others` (DNS names, URIs, addresses) as alternative names.
+
+        Raises `AuthorityError` where the name has a certificate already, unless `again`."""
         _check_name(name)
         file = self._folder / f"{name}.pem"
         if file.exists() and not again:
@@ -178,7 +178,7 @@
         return describe(name, certificate)
 
     def rotate(self, name: str, days: int, now: datetime) -> IssuedCertificate:
-        """A new key and certificate for the same names and uses; the one before is kept as `NAME.pem.old`."""
+        """Issue a new key and certificate for the same names and usage; the old file becomes `NAME.pem.old`."""
         file = self._folder / f"{name}.pem"
         if not file.exists():
             raise AuthorityError(f"{name} has no certificate yet")
@@ -196,7 +196,7 @@
         )
 
     def list_issued(self) -> list[IssuedCertificate]:
-        """The authority first, then what it issued, by name.  Raises `AuthorityError` with the file that is none."""
+        """Describe the authority, then its certificates by name.  Raises `AuthorityError` for an unreadable file."""
         out = [describe("authority", self._certificate)]
         for file in sorted(self._folder.glob("*.pem")):
             if file.name != CERTIFICATE:
--- a/kelptrail/certificates/names.py
+++ b/kelptrail/certificates/names.py
@@ -1,4 +1,4 @@
-"""Names in certificates, and keys as digests."""
+"""Names in certificates, and digests of API keys."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 def key_digest(key: str) -> str:
-    """A key as settings may hold it: `sha256:HEX`."""
+    """The digest of a key as the settings hold it: `sha256:HEX`."""
     return "sha256:" + hashlib.sha256(key.encode()).hexdigest()
 
 
 def certificate_names(der: bytes) -> list[str]:
-    """The names that a certificate stands for: its common name, then DNS names, URIs and addresses."""
+    """The names in a DER certificate: the common name, then DNS names, URIs and addresses."""
     certificate = x509.load_der_x509_certificate(der)
     found = [str(a.value) for a in certificate.subject.get_attributes_for_oid(NameOID.COMMON_NAME)]
     try:
--- a/kelptrail/clock/__init__.py
+++ b/kelptrail/clock/__init__.py
@@ -4,7 +4,7 @@
 
 import time
 
-# For trials: this process's clock may run at another rate, and its wall clock may be off.
+# Clock faults for tests: another rate of the clock, an offset of the wall clock.
 _rate, _base, _since, _step = 1.0, 0.0, 0.0, 0.0
 
 
@@ -14,17 +14,17 @@
 
 
 def wall_ms() -> float:
-    """Milliseconds since the epoch; only ever shown, never compared."""
+    """Milliseconds since the epoch; for display only, never for comparisons."""
     return time.time() * 1000.0 + _step
 
 
 def true_ms() -> float:
-    """What `now_ms` would say of a sound clock; for captures."""
+    """Monotonic milliseconds without clock faults; for captures."""
     return time.monotonic() * 1000.0
 
 
 def set_skew(rate: float, step_ms: float) -> None:
-    """From now on the clock runs at `rate`, and the wall clock is off by `step_ms`."""
+    """Inject a clock fault: from now on `now_ms` runs at `rate`, and the wall clock is offset by `step_ms`."""
     global _rate, _base, _since, _step
     _base, _since = now_ms(), true_ms()
     _rate, _step = rate, step_ms
--- a/kelptrail/model_checking/explorer.py
+++ b/kelptrail/model_checking/explorer.py
@@ -1,4 +1,4 @@
-"""Looks through the states of a model, breadth first or by seeded walks, for one in which a property does not hold."""
+"""Model checker: searches the states of a model for one that violates a property, exhaustively or by random walks."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class PropertyError(Exception):
-    """A property does not hold; the message tells which and how it came."""
+    """A property is violated; the message names it and the steps that lead to the state."""
 
 
 class State(Protocol):
-    """One state of a model.  States with one key have the same future."""
+    """One state of a model.  States with equal keys have the same future."""
 
     trail: tuple[str, ...]
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step(Generic[W]):
-    """A step by its name; `take` makes the state that follows.  `fault`: it spends of what may go wrong."""
+    """A named step; `apply` returns the next state.  `is_fault`: it uses up fault budget."""
 
     name: str
     apply: Callable[[], W]
@@ -42,60 +42,62 @@
 
 @dataclass(slots=True)
 class SearchResult:
-    """What was looked through."""
+    """Size of a search."""
 
     states: int = 0
     transitions: int = 0
     depth: int = 0
-    complete: bool = False  # nothing left within the depth
-
-
-def explore(first: S, look: Callable[[S], None], depth: int, most_states: int) -> SearchResult:
-    """Breadth first to `depth` steps or `most_states` states.  `look` raises `PropertyError`; so does this, with the
-    way to the state."""
-    found, seen = SearchResult(), {first.key()}
-    line: deque[tuple[int, S]] = deque([(0, first)])
-    while line:
-        at, world = line.popleft()
-        found.states += 1
-        found.depth = at
-        _look(look, world)
-        if at >= depth or found.states + len(line) >= most_states:
+    complete: bool = False  # all states within the depth were visited
+
+
+def explore(first: S, check: Callable[[S], None], depth: int, most_states: int) -> SearchResult:
+    """Search breadth first to `depth` steps or `most_states` states.
+
+    `check` raises `PropertyError` for a bad state; this raises it again with the steps that lead there."""
+    result, seen = SearchResult(), {first.key()}
+    queue: deque[tuple[int, S]] = deque([(0, first)])
+    while queue:
+        at, state = queue.popleft()
+        result.states += 1
+        result.depth = at
+        _check(check, state)
+        if at >= depth or result.states + len(queue) >= most_states:
             continue
-        for step in world.steps():
-            found.transitions += 1
+        for step in state.steps():
+            result.transitions += 1
             after = step.apply()
             key = after.key()
             if key not in seen:
                 seen.add(key)
-                after.trail = (*world.trail, step.name)
-                line.append((at + 1, after))
-    found.complete = len(seen) < most_states
-    return found
+                after.trail = (*state.trail, step.name)
+                queue.append((at + 1, after))
+    result.complete = len(seen) < most_states
+    return result
+
 
+def random_walk(first: S, check: Callable[[S], None], seed: int, length: int, faults: float = 0.1) -> SearchResult:
+    """Walk `length` random steps, a fault with probability `faults`; reaches depths beyond exhaustive search.
 
-def random_walk(first: S, look: Callable[[S], None], seed: int, length: int, faults: float = 0.1) -> SearchResult:
-    """One walk of `length` steps, each drawn from those that can follow, a fault at a share of `faults`; it goes deeper
-    than all states can be followed.  Raises `PropertyError` with the way."""
-    chance, found, world = random.Random(seed), SearchResult(), first
+    Raises `PropertyError` with the steps of the walk."""
+    chance, result, state = random.Random(seed), SearchResult(), first
     for _ in range(length):
-        _look(look, world)
-        steps = list(world.steps())
-        found.states, found.transitions = found.states + 1, found.transitions + len(steps)
+        _check(check, state)
+        steps = list(state.steps())
+        result.states, result.transitions = result.states + 1, result.transitions + len(steps)
         wrong = chance.random() < faults
         drawn = [step for step in steps if step.is_fault is wrong] or steps
         if not drawn:
             break
         step = chance.choice(drawn)
         after = step.apply()
-        after.trail = (*world.trail, step.name)
-        world, found.depth = after, found.depth + 1
-    _look(look, world)
-    return found
+        after.trail = (*state.trail, step.name)
+        state, result.depth = after, result.depth + 1
+    _check(check, state)
+    return result
 
 
-def _look(look: Callable[[S], None], world: S) -> None:
+def _check(check: Callable[[S], None], state: S) -> None:
     try:
-        look(world)
+        check(state)
     except PropertyError as cause:
-        raise PropertyError(f"{cause}; by: {', '.join(world.trail)}") from None
+        raise PropertyError(f"{cause}; by: {', '.join(state.trail)}") from None
--- a/kelptrail/peers/connection.py
+++ b/kelptrail/peers/connection.py
@@ -1,7 +1,7 @@
-"""One connection to a peer: who it is, what it can read, what waits for it, how fast it speaks; free of I/O.
+"""One connection to a peer: handshake, message rates and output buffer; free of I/O.
 
-Everything is bounded: what waits to be written in bytes, what comes in messages a second.  What goes beyond is dropped
-and counted, and costs this link alone; whoever uses the channel must do with losses anyway.
+Everything is bounded: buffered output in bytes, received messages per second.  Messages beyond a bound are dropped and
+counted, and affect this connection only; the users of the channel must tolerate losses anyway.
 """
 
 from __future__ import annotations
@@ -17,9 +17,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSettings:
-    """Times in milliseconds.  `beat_ms`: after so long without a word a heartbeat goes; `silent_ms`: after so long
-    without one the peer counts as gone; `most_bytes`: that wait to be written; `per_s`: messages that are taken from a
-    peer, and as many at once; `most_frame`: bytes of one message."""
+    """Limits of a connection.
+
+    `heartbeat_ms`: a heartbeat is sent after so long without output; `silence_timeout_ms`: the peer counts as gone
+    after so long without input; `max_pending_bytes`: buffered output; `max_messages_per_s`: accepted from a peer, also
+    the burst size; `max_frame_bytes`: size of one message.
+    """
 
     heartbeat_ms: float = 500.0
     silence_timeout_ms: float = 3000.0
@@ -30,7 +33,7 @@
 
 
 class PeerConnection:
-    """One connection.  `hello` is what this side says of itself."""
+    """One connection.  `hello`: this side's greeting; `read`: the result of `messages.decoder`."""
 
     def __init__(self, hello: Hello, settings: PeerSettings, read: tuple[Decode, frozenset[str]], now: float) -> None:
         self._settings, self._lineage = settings, hello.lineage
@@ -44,11 +47,11 @@
 
     @property
     def unknown_messages(self) -> int:
-        """Messages of kinds that are not known here."""
+        """Number of received messages of unknown kinds."""
         return self._reader.unknown_messages
 
     def receive_data(self, now: float, data: bytes | memoryview) -> list[Any]:
-        """Messages in what came, without greetings and heartbeats.  Raises `ChannelError`."""
+        """The messages in received bytes, without greetings and heartbeats.  Raises `ChannelError`."""
         self.last_heard, out = now, []
         self._rate_tokens = min(
             self._settings.max_messages_per_s,
@@ -79,13 +82,13 @@
         )
 
     def enqueue(self, now: float, message: msgspec.Struct, needs: str) -> bool:
-        """Put a message into the output; False where the peer cannot read it or too much waits already."""
+        """Buffer a message for output; False where the peer lacks the capability `needs`, or the buffer is full."""
         if needs not in self.capabilities:
             return False
         return self._enqueue_frame(now, encode_frame(message))
 
     def tick(self, now: float) -> bool:
-        """Heartbeats; False once the peer counts as gone."""
+        """Send a heartbeat if one is due; False once the peer counts as gone."""
         if now - self._last_sent >= self._settings.heartbeat_ms:
             self._enqueue_frame(now, encode_frame(Heartbeat()))
         return now - self.last_heard < self._settings.silence_timeout_ms
@@ -101,7 +104,7 @@
         return True
 
     def data_to_send(self) -> bytes:
-        """All that waits, to be written now."""
+        """Take the buffered output."""
         data = b"".join(self.output)
         self.output.clear()
         self.pending_bytes = 0
--- a/kelptrail/peers/driver.py
+++ b/kelptrail/peers/driver.py
@@ -1,8 +1,8 @@
-"""Keeps links to peers up on the loop: listens, connects where it must, carries messages both ways.
+"""Connections to peers on the event loop: listens, connects where needed, passes messages both ways.
 
-Of two that both need each other the one with the lesser name connects, so one connection stands between them.  A link
-that breaks, is silent, or speaks what is no message is closed and made anew after a pause that grows; no other link
-notices.
+Of two peers that need each other the one with the lesser name connects, so that there is one connection between them.
+A connection that breaks, is silent or violates the protocol is closed and opened again with exponential backoff,
+independently of all others.
 """
 
 from __future__ import annotations
@@ -21,16 +21,20 @@
 from .connection import PeerConnection, PeerSettings
 from .messages import VERSION, ChannelError, Hello, decoder
 
-PAUSE_MS, LONGEST_PAUSE_MS = 100.0, 2000.0
+MIN_BACKOFF_MS, MAX_BACKOFF_MS = 100.0, 2000.0
+STABLE_MS = 5000.0  # a connection that lasted longer resets the backoff
+BACKOFF_FACTOR = 1.6
 Handler = Callable[[str, Any], None]
 
 
 class Peers:
-    """This process's links.  Rooms register what they speak before `start`; `where` tells a peer's address, or nothing
-    while it is not known."""
+    """All peer connections of a process.  Users `register` their messages before `start`; `address_of` gives a peer's
+    address, or "" while it is unknown."""
 
-    def __init__(self, name: str, lineage: str, settings: PeerSettings, where: Callable[[str], str], log: Any) -> None:
-        self.name, self._lineage, self._settings, self._address_of, self._log = name, lineage, settings, where, log
+    def __init__(
+        self, name: str, lineage: str, settings: PeerSettings, address_of: Callable[[str], str], log: Any
+    ) -> None:
+        self.name, self._lineage, self._settings, self._address_of, self._log = name, lineage, settings, address_of, log
         self._loop = asyncio.get_running_loop()
         self._handlers: dict[type, Handler] = {}
         self._needs: dict[type, str] = {}
@@ -46,13 +50,13 @@
         self.connections_lost = 0
 
     def register(self, name: str, handler: Handler, *kinds: type[msgspec.Struct]) -> None:
-        """Have messages of these kinds handed over, with who sent them; peers are told that `name` is read here."""
+        """Pass messages of these kinds to `handler` with the sender's name; `name` is announced as a capability."""
         for kind in kinds:
             self._handlers[kind], self._needs[kind] = handler, name
         self._read = decoder(*self._handlers)
 
     def listen(self, host: str, port: int) -> None:
-        """Let peers come.  Raises `OSError`."""
+        """Accept connections at this address.  Raises `OSError`."""
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((host, port))
@@ -62,11 +66,11 @@
         self._listener.open(sock)
 
     def start(self) -> None:
-        """Begin heartbeats."""
+        """Start heartbeats."""
         self._heartbeats = self._loop.create_task(self._send_heartbeats())
 
     async def stop(self) -> None:
-        """Close all links."""
+        """Close all connections."""
         self._listener.close()
         tasks = [*self._tasks, *self._connectors.values(), *([self._heartbeats] if self._heartbeats else [])]
         for task in tasks:
@@ -74,47 +78,47 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def keep_connected(self, names: set[str]) -> None:
-        """Keep links up to these peers: connect to those that do not connect here."""
+        """Keep connections to exactly these peers: connect to those that do not connect here."""
         for name in names - self._connectors.keys() - {self.name}:
             self._connectors[name] = self._loop.create_task(self._stay_connected(name))
         for name in self._connectors.keys() - names:
             self._connectors.pop(name).cancel()
 
     def send(self, to: str, message: msgspec.Struct) -> bool:
-        """Send, if there is a link that can carry it; whether it arrives is not known."""
-        link = self._by_name.get(to)
-        if link is None or not link.enqueue(now_ms(), message, self._needs[type(message)]):
+        """Send if there is a connection whose peer reads this kind; delivery is not confirmed."""
+        connection = self._by_name.get(to)
+        if connection is None or not connection.enqueue(now_ms(), message, self._needs[type(message)]):
             return False
-        self._write(link)
+        self._write(connection)
         return True
 
     def ms_since_heard(self) -> dict[str, float]:
-        """Peers with a link, and how long ago each was heard, in ms."""
+        """The connected peers, and the time since each was last heard, in ms."""
         now = now_ms()
-        return {name: now - link.last_heard for name, link in self._by_name.items()}
+        return {name: now - connection.last_heard for name, connection in self._by_name.items()}
 
     def status(self) -> dict[str, Any]:
-        """What operators are shown."""
+        """State of all connections, for operators."""
         return {
             "address": self.address,
             "lost": self.connections_lost,
             "links": {
                 name: {
-                    "heard_ms": round(now_ms() - link.last_heard),
-                    "version": link.version,
-                    "can": sorted(link.capabilities),
-                    "came": link.received,
-                    "sent": link.sent,
-                    "waiting_bytes": link.pending_bytes,
-                    "dropped": link.dropped,
-                    "flooded": link.rate_limited,
-                    "passed_over": link.unknown_messages,
+                    "heard_ms": round(now_ms() - connection.last_heard),
+                    "version": connection.version,
+                    "can": sorted(connection.capabilities),
+                    "came": connection.received,
+                    "sent": connection.sent,
+                    "waiting_bytes": connection.pending_bytes,
+                    "dropped": connection.dropped,
+                    "flooded": connection.rate_limited,
+                    "passed_over": connection.unknown_messages,
                 }
-                for name, link in sorted(self._by_name.items())
+                for name, connection in sorted(self._by_name.items())
             },
         }
 
-    # Links.
+    # Connections.
 
     def _on_accept(self, sock: socket.socket, peer: str) -> None:
         task = self._loop.create_task(self._run_accepted(sock, peer))
@@ -128,11 +132,11 @@
             self._log.info("peer-lost", address=peer, reason=str(cause) or type(cause).__name__)
 
     async def _stay_connected(self, name: str) -> None:
-        """Connect whenever there is no link: the lesser name at once, the other, as the lesser may not need a link, a
-        little later."""
-        pause = PAUSE_MS
+        """Connect whenever there is no connection: the lesser name at once, the other a little later, as the lesser may
+        not need one."""
+        pause = MIN_BACKOFF_MS
         if name < self.name:
-            await asyncio.sleep(4 * PAUSE_MS / 1000)
+            await asyncio.sleep(4 * MIN_BACKOFF_MS / 1000)
         while True:
             began, address = now_ms(), self._address_of(name)
             if name not in self._by_name and address:
@@ -150,76 +154,76 @@
                     sock.close()
                 self.connections_lost += 1
                 self._log.info("peer-lost", peer=name, address=address, reason=reason)
-            pause = PAUSE_MS if now_ms() - began > 5000 else min(LONGEST_PAUSE_MS, pause * 1.6)
+            pause = MIN_BACKOFF_MS if now_ms() - began > STABLE_MS else min(MAX_BACKOFF_MS, pause * BACKOFF_FACTOR)
             await asyncio.sleep(pause / 1000)
 
     async def _run_connection(self, sock: socket.socket, expected: str = "") -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         can = tuple(sorted(set(self._needs.values())))
-        link = PeerConnection(
+        connection = PeerConnection(
             Hello(VERSION, self.name, self._lineage, capabilities=can), self._settings, self._read, now_ms()
         )
-        self._connections[link] = sock
+        self._connections[connection] = sock
         buffer = bytearray(65_536)
         try:
-            self._write(link)
+            self._write(connection)
             while True:
                 async with asyncio.timeout(self._settings.silence_timeout_ms / 1000):
                     count = await self._loop.sock_recv_into(sock, buffer)
                 if not count:
                     return
                 with memoryview(buffer) as view:
-                    messages = link.receive_data(now_ms(), view[:count])
-                if link.peer and self._by_name.get(link.peer) is not link:
-                    if expected and link.peer != expected:
-                        raise ChannelError(f"{link.peer} answers where {expected} should")
-                    self._by_name[link.peer] = link  # the newest is the one that its peer still has
+                    messages = connection.receive_data(now_ms(), view[:count])
+                if connection.peer and self._by_name.get(connection.peer) is not connection:
+                    if expected and connection.peer != expected:
+                        raise ChannelError(f"{connection.peer} answers where {expected} should")
+                    self._by_name[connection.peer] = connection  # the newest is the one that the peer still has
                 for message in messages:
-                    self._handlers[type(message)](link.peer, message)
+                    self._handlers[type(message)](connection.peer, message)
         finally:
-            del self._connections[link]
-            self._writing.discard(link)
-            if self._by_name.get(link.peer) is link:
-                others = [other for other in self._connections if other.peer == link.peer]
+            del self._connections[connection]
+            self._writing.discard(connection)
+            if self._by_name.get(connection.peer) is connection:
+                others = [other for other in self._connections if other.peer == connection.peer]
                 if others:
-                    self._by_name[link.peer] = others[-1]
+                    self._by_name[connection.peer] = others[-1]
                 else:
-                    del self._by_name[link.peer]
+                    del self._by_name[connection.peer]
             sock.close()
 
     async def _send_heartbeats(self) -> None:
         while True:
             await asyncio.sleep(self._settings.heartbeat_ms / 2000)
             now = now_ms()
-            for link, sock in list(self._connections.items()):
-                if link.tick(now):
-                    self._write(link)
-                else:  # its reader ends with an error
+            for connection, sock in list(self._connections.items()):
+                if connection.tick(now):
+                    self._write(connection)
+                else:  # ends its reader with an error
                     with contextlib.suppress(OSError):
                         sock.shutdown(socket.SHUT_RDWR)
 
-    def _write(self, link: PeerConnection) -> None:
-        if not link.output or link in self._writing:
+    def _write(self, connection: PeerConnection) -> None:
+        if not connection.output or connection in self._writing:
             return
-        sock = self._connections[link]
-        try:  # nearly all goes at once
-            data = link.data_to_send()
+        sock = self._connections[connection]
+        try:  # nearly always sends everything
+            data = connection.data_to_send()
             sent = sock.send(data)
         except BlockingIOError:
             sent = 0
         except OSError:
-            return  # its reader tells
+            return  # its reader reports the error
         if sent < len(data):
-            self._writing.add(link)
-            task = self._loop.create_task(self._write_remaining(link, sock, data[sent:]))
+            self._writing.add(connection)
+            task = self._loop.create_task(self._write_remaining(connection, sock, data[sent:]))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _write_remaining(self, link: PeerConnection, sock: socket.socket, data: bytes) -> None:
-        link.pending_bytes += len(data)
+    async def _write_remaining(self, connection: PeerConnection, sock: socket.socket, data: bytes) -> None:
+        connection.pending_bytes += len(data)
         with contextlib.suppress(OSError):
             await self._loop.sock_sendall(sock, data)
-        link.pending_bytes -= len(data)
-        self._writing.discard(link)
-        if link in self._connections:
-            self._write(link)
+        connection.pending_bytes -= len(data)
+        self._writing.discard(connection)
+        if connection in self._connections:
+            self._write(connection)
--- a/kelptrail/peers/messages.py
+++ b/kelptrail/peers/messages.py
@@ -1,9 +1,9 @@
-"""The channel's bytes: framed MessagePack over a byte stream; free of I/O.
+"""Framing and messages of the channel between dispatchers: MessagePack over a byte stream; free of I/O.
 
-A frame is four bytes of length, most significant first, and one message: an array that begins with the kind.  The first
-message each way is `Hello` with the version and what its sender can read.  One version back is read and spoken; of a
-later one the kinds that are not known here are passed over, as are fields that were added at a message's end.  What is
-too large, or no message, ends the connection with a named error.
+A frame is four bytes of length, most significant first, and one message: an array that begins with its kind.  The first
+message in each direction is `Hello` with the protocol version and the sender's capabilities.  The previous version is
+still spoken; of a later version, messages of unknown kinds and fields added at a message's end are skipped.  A frame
+that is too large or is no message raises `ChannelError`, which ends the connection.
 """
 
 from __future__ import annotations
@@ -18,11 +18,12 @@
 
 
 class ChannelError(ValueError):
-    """What came is not of this protocol."""
+    """The peer violated the protocol."""
 
 
 class Hello(msgspec.Struct, frozen=True, tag="hello", array_like=True):
-    """Who speaks.  `order`: of an edge the latest plan that it has seen; `can`: what else it reads (version 2)."""
+    """The sender's identity.  `latest_plan`: on an edge, the order of the latest plan that it has seen; `capabilities`:
+    message groups that it reads (version 2)."""
 
     version: int
     name: str
@@ -32,7 +33,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag="beat", array_like=True):
-    """Alive.  Of a planner: whether it acts, and its epoch."""
+    """The sender is alive.  `is_active`, `epoch`: of a planner, whether it is the leader, and its epoch."""
 
     is_active: bool = False
     epoch: int = 0
@@ -44,13 +45,13 @@
 
 
 def encode_frame(message: msgspec.Struct) -> bytes:
-    """One message as bytes."""
+    """Encode one message as a frame."""
     data = _encode(message)
     return len(data).to_bytes(4, "big") + data
 
 
 def decoder(*kinds: type[msgspec.Struct]) -> tuple[Decode, frozenset[str]]:
-    """A reader of these kinds beside `Hello` and `Beat`, and their names."""
+    """A decode function for these kinds, `Hello` and `Heartbeat`, and the set of their tags."""
     every: tuple[type[msgspec.Struct], ...] = (Hello, Heartbeat, *kinds)
     union: Any = every[0]
     for kind in every[1:]:
@@ -59,7 +60,7 @@
 
 
 class FrameReader:
-    """Bytes as they come to messages.  Raises `ChannelError`; after that nothing more may be fed."""
+    """Incremental frame parser.  After a `ChannelError` it must not be used any more."""
 
     def __init__(self, read: tuple[Decode, frozenset[str]], most: int = MAX_FRAME_BYTES) -> None:
         self._decode, self._known = read
@@ -67,7 +68,7 @@
         self.unknown_messages = 0  # messages of kinds that are not known here
 
     def feed(self, data: bytes | memoryview) -> list[Any]:
-        """Whole messages."""
+        """The messages that are complete with `data`.  Raises `ChannelError`."""
         self._buffer += data
         out: list[Any] = []
         while len(self._buffer) >= 4:
@@ -99,7 +100,7 @@
             raise ChannelError(f"no message: {cause}") from None
 
     def _is_unknown_kind(self, body: bytes) -> bool:
-        """Whether a body is a message of a kind that is not known here."""
+        """Whether a body is a well-formed message of an unknown kind."""
         try:
             parts = _any(body)
         except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
