--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from kelptrail.codec.infer import Answer
+from kelptrail.codec.infer import WorkerAnswer
 from kelptrail.dispatch.attempt_results import AttemptResult
 from kelptrail.dispatch.entities import (
     Attempt,
@@ -28,7 +28,7 @@
     Worker,
 )
 from kelptrail.dispatch.timer_queue import TimerQueue
-from kelptrail.membership.members import EndpointList, Members
+from kelptrail.membership.members import EndpointList, WorkerRegistry
 from kelptrail.settings.deployment import ActionSettings
 from kelptrail.store.activation_journal import ActivationEntries
 from kelptrail.store.entries import Accepted, Ended, MayRun
@@ -65,7 +65,7 @@
     mark: str  # by which workers know a repeat
     lifecycle: RequestLifecycle
     waiters: list[Callable[[Record], None]] = field(default_factory=list)  # told the final answer, by the host
-    answer: Answer | None = None
+    answer: WorkerAnswer | None = None
     form: str = "json"  # of the payload and the result: "json", or "tensors" as the inference protocol has them
     deferred: bool = False  # from the start: its client waits for the id only
     streamed: bool = False  # its client takes the answer in parts
@@ -201,7 +201,7 @@
         self._pace: Pace | None = None  # what a restart found, and since when it is resumed
         self._paced = 0.0
         self._resumed: dict[str, None] = {}
-        self.members = Members(world.zones)
+        self.members = WorkerRegistry(world.zones)
         self.records = Records(place.records, place.records_mb * 1e6, place.record_ms)
         self.records.on_drop = self._dropped
         self.passes: Callable[[str], None] = lambda _step: None  # told each step towards durability; for crash tests
@@ -473,7 +473,7 @@
         self.counts.sends += 1
 
     def on_attempt_finished(
-        self, now: float, send: Attempt, outcome: AttemptStatus, answer: Answer | None = None, went: bool = True
+        self, now: float, send: Attempt, outcome: AttemptStatus, answer: WorkerAnswer | None = None, went: bool = True
     ) -> None:
         """How a send ended, as seen on its socket; `went` is False for one that was held and never went out."""
         if send.status is not None:
@@ -486,7 +486,7 @@
         if ivk is not None and act.final_status is None and outcome is AttemptStatus.COMPLETED:
             ivk.answer = answer
             self.counts.second_saved += _second(send)
-        heard = answer or Answer("none")
+        heard = answer or WorkerAnswer("none")
         if ivk is not None and outcome in (AttemptStatus.COMPLETED, AttemptStatus.NOT_LOADED):
             self.overload.met(now, outcome is AttemptStatus.NOT_LOADED)
             tally = self._tally(ivk.record.path)
@@ -495,7 +495,9 @@
                 tally.completed += 1
                 tally.work_ms += now - send.started_at
                 tally.late += now - act.received_at > act.request_class.latency_objective_ms
-        result = AttemptResult(outcome, over, heard.load_failed, heard.found, heard.company, heard.report)
+        result = AttemptResult(
+            outcome, over, heard.load_failed, heard.instance_loaded, heard.other_requests, heard.report
+        )
         self._dispatcher.on_attempt_finished(now, send, result)
         if ivk is not None and not ivk.record.final and act.final_status is FinalStatus.COMPLETED:
             self._finish(now, ivk, "completed")
@@ -540,7 +542,7 @@
         """The worker list has changed."""
         workers, restarted = self.members.apply(now, listing)
         self._dispatcher.on_endpoints(now, workers, restarted)
-        self.members.purge()
+        self.members.remove_departed()
 
     def on_plan(self, wants: Mapping[str, Mapping[str, int]] | None) -> None:
         """A plan's wishes by model and worker, in place of those before; None: there is no plan."""
--- a/kelptrail/peers/driver.py
+++ b/kelptrail/peers/driver.py
@@ -63,7 +63,7 @@
         sock.listen(512)
         sock.setblocking(False)
         self.address = f"{host}:{sock.getsockname()[1]}"
-        self._listener.open(sock)
+        self._listener.add_socket(sock)
 
     def start(self) -> None:
         """Start heartbeats."""
--- a/kelptrail/platform/decision_executor.py
+++ b/kelptrail/platform/decision_executor.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from kelptrail.codec import frames
-from kelptrail.codec.lines import Answer, call
+from kelptrail.codec.lines import WorkerAnswer, encode_call
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, FinalStatus, LoadOrder, Request
 from kelptrail.dispatch.timer_queue import TimerQueue
 from kelptrail.engine.engine import Engine
@@ -19,7 +19,7 @@
 from .client_server import ClientServer
 from .close_reasons import CancelReason
 from .config import Config
-from .log import LogWriter
+from .log import event_log
 from .parsed_request import ParsedRequest
 from .worker_connection import WorkItem
 from .worker_pool import WorkerPool
@@ -38,14 +38,13 @@
         client_server: ClientServer,
         max_worker_connections: int,
         schedule_decisions: Callable[[], None],
-        log: LogWriter,
         invariants: Invariants,
     ) -> None:
         self._loop, self._engine, self._client_server = loop, engine, client_server
-        self._schedule_decisions, self._log, self._invariants = schedule_decisions, log, invariants
+        self._schedule_decisions, self._invariants = schedule_decisions, invariants
         self._load_timeout_ms = config.sockets.load_timeout_ms
         self.workers = WorkerPool(
-            loop, config.sockets, max_worker_connections, config.descriptors, self.on_item_finished, log
+            loop, config.sockets, max_worker_connections, config.descriptors, self.on_item_finished, event_log
         )
         self.client_requests: dict[Request, ClientRequest] = {}  # accepted and not answered
         self.timeouts = TimerQueue()  # attempts past their latest start or final answer, loads past their timeout
@@ -84,17 +83,19 @@
 
     # Events of the workers.
 
-    def on_item_finished(self, item: WorkItem, status: AttemptStatus, answer: Answer | None) -> None:
+    def on_item_finished(self, item: WorkItem, status: AttemptStatus, answer: WorkerAnswer | None) -> None:
         """An attempt or load has ended."""
         now = self._loop.time() * 1000
         self.status_counts[status.value] += 1
         if isinstance(item, LoadOrder):
-            self._engine.on_load_report(now, item, status, answer.units if answer is not None else 0)
+            self._engine.on_load_report(now, item, status, answer.loaded_instances if answer is not None else 0)
         else:
             self._on_attempt_finished(now, item, status, answer)
         self._schedule_decisions()
 
-    def _on_attempt_finished(self, now: float, attempt: Attempt, status: AttemptStatus, answer: Answer | None) -> None:
+    def _on_attempt_finished(
+        self, now: float, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
+    ) -> None:
         request = attempt.request
         is_final = request.final_status is not None
         if (
@@ -108,17 +109,19 @@
             self._engine.on_attempt_finished(now, attempt, status, is_final, False, False)
         else:
             report = self._load_report(answer)
-            crashed, started = answer.tell == "crashed", answer.tell == "up"
-            self._engine.on_attempt_finished(now, attempt, status, is_final, crashed, started, answer.ahead, report)
+            crashed, started = answer.notice == "crashed", answer.notice == "up"
+            self._engine.on_attempt_finished(
+                now, attempt, status, is_final, crashed, started, answer.queue_ahead, report
+            )
         if is_final:
             self._cancel_unsent_attempts(request, CancelReason.FINISHED)
 
-    def _load_report(self, answer: Answer) -> list[float] | None:
+    def _load_report(self, answer: WorkerAnswer) -> list[float] | None:
         """The metrics of an answer in the order of the settings; `cpu` stands in for a missing `util`."""
-        if answer.meter is None:
+        if answer.metrics is None:
             return None
         return [
-            answer.meter.get(name, answer.meter.get("cpu", 0.0) if name == "util" else 0.0)
+            answer.metrics.get(name, answer.metrics.get("cpu", 0.0) if name == "util" else 0.0)
             for name in self._engine.report_fields
         ]
 
@@ -138,7 +141,7 @@
             elif isinstance(decision, Request):
                 self.answer_final(decision)
             else:
-                self._log(decision)
+                event_log(decision)
 
     def _start_attempt(self, now: float, attempt: Attempt) -> None:
         request, client_request = attempt.request, self.client_requests.get(attempt.request)
@@ -149,7 +152,7 @@
             self.timeouts.add(attempt.latest_start, attempt)
         if attempt.number:
             results = [_attempt_result(earlier) for earlier in request.attempts[:-1]]
-            self._log(log_events.RETRY, request=request.id, attempt=attempt.number, after=results)
+            event_log(log_events.RETRY, request=request.id, attempt=attempt.number, after=results)
         size = len(client_request.body) + CALL_HEADER_BYTES
         self.workers.get_or_create(attempt.instance.worker).start_attempt(
             attempt, lambda: self._render_call(attempt, client_request), size
@@ -170,11 +173,11 @@
         request, now = attempt.request, time.monotonic() * 1000
         limit_ms = int(request.deadline - now)
         if limit_ms < 1 or not self._engine.may_start(now, attempt):
-            self._log(log_events.ATTEMPT_NOT_STARTED, request=request.id, attempt=attempt.number, left_ms=limit_ms)
+            event_log(log_events.ATTEMPT_NOT_STARTED, request=request.id, attempt=attempt.number, left_ms=limit_ms)
             return b""
         attempt.write_started_at = now
         self._invariants.attempt_begins(now, attempt, client_request.client_gone_ms, limit_ms)
-        return call(
+        return encode_call(
             request.id,
             request.request_class.name,
             request.function.id,
@@ -184,11 +187,11 @@
         )
 
     def answer_final(self, request: Request) -> None:
-        """Answer a request that was rejected or has failed."""
+        """WorkerAnswer a request that was rejected or has failed."""
         client_request = self.client_requests.pop(request, None)
         if client_request is not None:
             is_rejected = request.final_status is FinalStatus.REJECTED
-            self._log(
+            event_log(
                 log_events.REQUEST_REFUSED if is_rejected else log_events.REQUEST_FAILED,
                 request=client_request.id,
                 reason=None if request.reason is None else request.reason.value,
@@ -210,7 +213,7 @@
             if isinstance(item, LoadOrder):
                 self._expire_load(now, item)
             elif item.request.final_status is None:  # past its latest start; if it was sent, it goes on
-                self._cancel_before_send(item, CancelReason.TOO_LATE_TO_START)
+                self._cancel_unsent(item, CancelReason.TOO_LATE_TO_START)
             else:
                 self._cancel_attempt(now, item, AttemptStatus.SILENT)
 
@@ -230,13 +233,13 @@
         """Cancel attempts that wait behind others on a slow worker, or for a connection that is not up yet."""
         for attempt in request.attempts:
             if attempt.status is None:
-                self._cancel_before_send(attempt, reason)
+                self._cancel_unsent(attempt, reason)
 
-    def _cancel_before_send(self, attempt: Attempt, reason: CancelReason) -> None:
+    def _cancel_unsent(self, attempt: Attempt, reason: CancelReason) -> None:
         connections = self.workers.get(attempt.instance.worker)
-        if connections is not None and connections.cancel_before_send(attempt):
+        if connections is not None and connections.cancel_unsent(attempt):
             request = attempt.request
-            self._log(log_events.ATTEMPT_CANCELLED, request=request.id, attempt=attempt.number, reason=reason.value)
+            event_log(log_events.ATTEMPT_CANCELLED, request=request.id, attempt=attempt.number, reason=reason.value)
             self._engine.on_attempt_finished(
                 self._loop.time() * 1000, attempt, AttemptStatus.NOT_SENT, request.final_status is not None
             )
--- a/kelptrail/platform/endpoint_watch.py
+++ b/kelptrail/platform/endpoint_watch.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from kelptrail.codec.feed import Event, FeedError, FeedReader, ask
+from kelptrail.codec.feed import EndpointEvent, FeedError, FeedReader, encode_poll
 from kelptrail.net.connection import Connection, connect
 
 from . import log_events
@@ -29,7 +29,7 @@
 RESERVED_DESCRIPTORS = 2  # one for the connection in use and one for the next address
 MAX_UNREAD_BYTES = 1 << 16
 
-OnEvent = Callable[[Event], None]
+OnEvent = Callable[[EndpointEvent], None]
 
 
 class WatchConnection:
@@ -144,7 +144,7 @@
         """A connection is up."""
         self._reserve_descriptors()
         if connection.connection is not None:
-            connection.connection.write(ask(self.last_event_number))
+            connection.connection.write(encode_poll(self.last_event_number))
         if connection is self._newest:
             self._set_timer(connection.last_progress_at + self._silence_timeout_ms / 1000)
 
@@ -180,12 +180,12 @@
             self._loop.call_exception_handler({"message": "an event could not be applied", "exception": cause})
             connection.fail()
 
-    def _apply(self, event: Event) -> None:
+    def _apply(self, event: EndpointEvent) -> None:
         if event.number <= self.last_event_number:
             return
         if event.records is None:
             raise FeedError("events are missing")
-        if event.number != self.last_event_number + 1 and not event.whole:
+        if event.number != self.last_event_number + 1 and not event.is_snapshot:
             raise FeedError(f"event {event.number} after {self.last_event_number}")
         self._on_event(event)
         self.last_event_number = event.number  # only once it was applied: one that fails is requested again
