--- a/kelptrail/cli/certificates.py
+++ b/kelptrail/cli/certificates.py
@@ -14,7 +14,7 @@
 from .options import ExampleCommand
 
 if TYPE_CHECKING:
-    from kelptrail.certificates.authority import Issued
+    from kelptrail.certificates.authority import IssuedCertificate
 
 T = TypeVar("T")
 
@@ -36,14 +36,14 @@
         raise CommandFailedError(str(cause)) from None
 
 
-def _print_certificate(issued: Issued) -> None:
+def _print_certificate(issued: IssuedCertificate) -> None:
     print_json_line(
         name=issued.name,
         names=issued.names,
-        use=issued.use,
+        use=issued.usage,
         serial=issued.serial,
-        begins=issued.begins.isoformat(),
-        ends=issued.ends.isoformat(),
+        begins=issued.valid_from.isoformat(),
+        ends=issued.valid_until.isoformat(),
         days_left=round(issued.days_left(datetime.now(UTC)), 1),
     )
 
@@ -56,7 +56,9 @@
     """Make an authority in FOLDER.  An existing one is never overwritten."""
     from kelptrail.certificates.authority import Authority
 
-    _print_certificate(_with_authority(lambda: Authority.make(folder, name, days, datetime.now(UTC)).show()[0]))
+    _print_certificate(
+        _with_authority(lambda: Authority.create(folder, name, days, datetime.now(UTC)).list_issued()[0])
+    )
 
 
 @keys.command(cls=ExampleCommand, example="kelptrail keys issue keys front --server --also 127.0.0.1")
@@ -92,14 +94,14 @@
     """Show the authority and what it issued, one JSON line each; never a key."""
     from kelptrail.certificates.authority import Authority
 
-    for issued in _with_authority(lambda: Authority(folder).show()):
+    for issued in _with_authority(lambda: Authority(folder).list_issued()):
         _print_certificate(issued)
 
 
 @keys.command(cls=ExampleCommand, example="kelptrail keys api")
 def api() -> None:
     """Make a key for a namespace: hand out `key`, put `key_hash` into the settings."""
-    from kelptrail.certificates.authority import api_key
+    from kelptrail.certificates.authority import new_api_key
 
-    key, hashed = api_key()
+    key, hashed = new_api_key()
     print_json_line(key=key, key_hash=hashed)
--- a/kelptrail/planner/driver.py
+++ b/kelptrail/planner/driver.py
@@ -24,7 +24,7 @@
 from kelptrail.lease.messages import FencingToken
 from kelptrail.membership.members import EndpointList
 from kelptrail.net.listener import Listener
-from kelptrail.peers.messages import ChannelError, FrameReader, Heartbeat, Hello, frame
+from kelptrail.peers.messages import ChannelError, FrameReader, Heartbeat, Hello, encode_frame
 from kelptrail.settings.deployment import Deployment
 
 from .build import function_profiles, planner_settings, worker_capacities
@@ -155,8 +155,8 @@
     def _on_message(self, channel: PlannerChannel, message: Any) -> None:
         now, core = now_ms(), self.planner
         if isinstance(message, Hello):
-            core.on_report(now, channel.edge, message.order, {}, {})
-            channel.output.append(frame(Heartbeat(core.role is Role.LEADER, core.epoch)))
+            core.on_report(now, channel.edge, message.latest_plan, {}, {})
+            channel.output.append(encode_frame(Heartbeat(core.role is Role.LEADER, core.epoch)))
         elif isinstance(message, UsageReport):
             core.on_report(now, channel.edge, message.order, message.counters, channel.loaded)
         elif isinstance(message, PlanReply) and message.reason:
@@ -168,7 +168,7 @@
         now = now_ms()
         by_name = {channel.edge: channel for channel in self._channels}
         # The lease is checked right before plans are sent: what was solved while it ran out is not sent.
-        for edge, plan in self.planner.plans_to_send(now) if self._leases.holds(LEASE_NAME) is not None else ():
+        for edge, plan in self.planner.plans_to_send(now) if self._leases.held_token(LEASE_NAME) is not None else ():
             if (channel := by_name.get(edge)) is not None:
                 channel.offer_plan(plan, now - self.planner.plan_age_ms(now))
         for channel in self._channels:
@@ -239,12 +239,12 @@
         self.planner.on_endpoints(
             now_ms(), worker_capacities(self._deployment, listing), (listing.lineage, listing.version)
         )
-        self.background.want("tick")
+        self.background.request_run("tick")
 
     def send_heartbeats(self) -> None:
         """Background work: heartbeats."""
         for channel in self._channels:
-            channel.output.append(frame(Heartbeat(self.planner.role is Role.LEADER, self.planner.epoch)))
+            channel.output.append(encode_frame(Heartbeat(self.planner.role is Role.LEADER, self.planner.epoch)))
             self._write(channel)
 
     # Snapshots.
@@ -309,7 +309,7 @@
         }
 
     def _on_lease_acquired(self, token: FencingToken) -> None:
-        self.planner.on_lease_acquired(now_ms(), token.round, token.who)
+        self.planner.on_lease_acquired(now_ms(), token.round, token.client_id)
         self._log.info("role", role=self.planner.role.value, epoch=token.round)
         self.send_heartbeats()
 
@@ -320,7 +320,7 @@
 
     def start(self) -> None:
         """Start background work and request the lease."""
-        self._leases.want(LEASE_NAME, self._lease_length_ms, self._on_lease_acquired, self._on_lease_lost)
+        self._leases.acquire(LEASE_NAME, self._lease_length_ms, self._on_lease_acquired, self._on_lease_lost)
         self.background.add("tick", self.tick, 1, 250.0, 1000.0, 0.5)
         self.background.add("beat", self.send_heartbeats, 0, HEARTBEAT_MS, 700.0, 0.2)
         self.background.add("save", self.save, 5, 2000.0, 10_000.0, 0.05)
--- a/kelptrail/planner/edge_driver.py
+++ b/kelptrail/planner/edge_driver.py
@@ -18,7 +18,7 @@
 
 from kelptrail.clock import now_ms, wall_ms
 from kelptrail.gateway.core import Gateway
-from kelptrail.peers.messages import ChannelError, FrameReader, Heartbeat, frame
+from kelptrail.peers.messages import ChannelError, FrameReader, Heartbeat, encode_frame
 
 from .channel import READ, EdgeChannel, LeaderContact, PlanResult
 from .plan import BEFORE_ALL_PLANS, Plan, PlanOrder
@@ -229,7 +229,7 @@
     async def _send_heartbeats(self, channel: EdgeChannel) -> None:
         while True:
             await asyncio.sleep(HEARTBEAT_MS / 1000)
-            channel.output.append(frame(Heartbeat()))
+            channel.output.append(encode_frame(Heartbeat()))
             self._write(channel)
 
     def _write(self, channel: EdgeChannel) -> None:
--- a/kelptrail/replication/context.py
+++ b/kelptrail/replication/context.py
@@ -69,8 +69,8 @@
 
     def lease_token(self, journal_id: str) -> FencingToken | None:
         """The token under which this process holds the journal's lease at this instant."""
-        return self.leases.holds(LEASE_PREFIX + journal_id)
+        return self.leases.held_token(LEASE_PREFIX + journal_id)
 
     def reported_holder(self, journal_id: str) -> str:
         """Name and run of the last reported holder of the journal's lease; there must be one."""
-        return self.leases.client.seen[LEASE_PREFIX + journal_id][0].who
+        return self.leases.client.known_holders[LEASE_PREFIX + journal_id][0].client_id
--- a/kelptrail/replication/journal_manager.py
+++ b/kelptrail/replication/journal_manager.py
@@ -92,7 +92,7 @@
 
     def _claim(self, journal_id: str) -> None:
         self._context.failover.add_claim(journal_id)
-        self._context.leases.want(
+        self._context.leases.acquire(
             LEASE_PREFIX + journal_id,
             self._context.lease_ms,
             partial(self._on_lease_acquired, journal_id),
@@ -128,7 +128,7 @@
         """Check that the local disk is in sync, then store the fence."""
         context = self._context
         try:
-            in_sync = decode_in_sync(context.leases.noted(LEASE_PREFIX + journal_id))
+            in_sync = decode_in_sync(context.leases.inherited_note(LEASE_PREFIX + journal_id))
         except msgspec.MsgspecError as cause:
             context.log.error("journal_note_unreadable", journal=journal_id, reason=str(cause))
             self._reject_incomplete(journal_id, InSyncSet("", {}))
@@ -176,7 +176,7 @@
     def _reject_incomplete(self, journal_id: str, in_sync: InSyncSet) -> None:
         """Release a lease that this dispatcher cannot use, in favour of a reachable in-sync replica if there is one."""
         context = self._context
-        reachable = context.peers.heard()
+        reachable = context.peers.ms_since_heard()
         successor = next((name for name in sorted(in_sync.disk_ids) if name in reachable), "")
         context.log.warning(
             "journal_replica_incomplete", journal=journal_id, in_sync=sorted(in_sync.disk_ids), successor=successor
@@ -247,13 +247,13 @@
     def store_in_sync(self, handle: PrimaryHandle, in_sync: dict[str, str]) -> None:
         """Submit a new in-sync set to the lease; `_on_note_stored` is called once it is stored."""
         note = encode_in_sync(InSyncSet(self._context.name, in_sync))
-        handle.note_number = self._context.leases.note(LEASE_PREFIX + handle.journal_id, note) or 0
+        handle.note_number = self._context.leases.write_note(LEASE_PREFIX + handle.journal_id, note) or 0
 
     # Release.
 
     def _transfer(self, handle: PrimaryHandle, reason: str) -> None:
         """Release a journal that this disk cannot serve, in favour of a reachable in-sync replica."""
-        name, reachable = self._context.name, self._context.peers.heard()
+        name, reachable = self._context.name, self._context.peers.ms_since_heard()
         others = [each for each in sorted(handle.primary.in_sync) if each != name and each in reachable]
         successor = others[0] if others else ""
         self._context.log.error("journal_transferred", journal=handle.journal_id, reason=reason, successor=successor)
@@ -339,7 +339,7 @@
         elif primary.fenced_by is not None or not context.replica.is_latest_token(handle.journal_id, handle.token):
             # A replica rejected a message, or the new primary has written to or closed the local replica.
             if primary.fenced_by is not None and (log := context.replica.logs.get(handle.journal_id)) is not None:
-                log.primary = _name_of(primary.fenced_by.who)
+                log.primary = _name_of(primary.fenced_by.client_id)
             self.release(handle)
         elif self._should_probe(now, handle):
             # The reported lease holder may not have acted yet; only the replicas' tokens tell.
@@ -368,10 +368,10 @@
 
     def _other_holds_lease(self, journal_id: str) -> bool:
         """Whether another dispatcher was last reported to hold the lease."""
-        seen = self._context.leases.client.seen.get(LEASE_PREFIX + journal_id)
+        seen = self._context.leases.client.known_holders.get(LEASE_PREFIX + journal_id)
         return (
             seen is not None
-            and not seen[0].who.startswith(f"{self._context.name}/")
+            and not seen[0].client_id.startswith(f"{self._context.name}/")
             and ((handle := self.handles.get(journal_id)) is None or seen[0] > handle.primary.token)
         )
 
--- a/kelptrail/replication/replica_store.py
+++ b/kelptrail/replication/replica_store.py
@@ -133,7 +133,7 @@
             token, primary = write.fence
             self._run(
                 "INSERT OR REPLACE INTO shelves VALUES (?, ?, ?, ?, ?)",
-                (journal_id, token.round, token.who, primary, write.wall_ms),
+                (journal_id, token.round, token.client_id, primary, write.wall_ms),
             )
         digests = self._staged_digests(journal_id)
         for item in write.entries:
--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -141,7 +141,7 @@
     def _start_fleet(self, fleet: Fleet) -> None:
         options = self.options
         if fleet.leases is not None and options.crash_at:
-            fleet.leases.passes = self.gateway.durability.on_step
+            fleet.leases.step_hook = self.gateway.durability.on_step
         self.usage = self._build_usage(fleet)
         fleet.start()
         if self.usage is not None:
--- a/kelptrail/service/fleet.py
+++ b/kelptrail/service/fleet.py
@@ -92,7 +92,7 @@
         if options.name in (*leases.voters, *leases.before):
             if options.state_folder is None:
                 raise StateFolderError(f"{options.name} is a voter and needs --state: its promises are kept there")
-            self.leases.vote(options.state_folder / "leases.sqlite", options.vfs)
+            self.leases.start_acceptor(options.state_folder / "leases.sqlite", options.vfs)
 
     def enable_replication(self, plan: PeersPlan, log: Any) -> None:
         """Keep replicas of other dispatchers' journals in the state folder.  Where its file is unusable, none are kept
@@ -140,7 +140,7 @@
             *self._listed_addresses,
             *self._configured_addresses,
             *self._options.peer_addresses,
-            *(self.leases.settings.voters if self.leases else ()),
+            *(self.leases.settings.acceptors if self.leases else ()),
         }
 
     def on_endpoints(self, listing: EndpointList) -> None:
--- a/kelptrail/service/usage.py
+++ b/kelptrail/service/usage.py
@@ -136,11 +136,11 @@
         self.view = UsageView()
         self._collector: UsageCollector | None = None
         self._timer: asyncio.TimerHandle | None = None
-        peers.speak(CHANNEL, self._on_message, UsageRequest, UsageCounts, UsageTotal)
+        peers.register(CHANNEL, self._on_message, UsageRequest, UsageCounts, UsageTotal)
 
     def start(self) -> None:
         """Request the lease."""
-        self._leases.want(LEASE_NAME, self._length_ms, self._on_lease_acquired, self._on_lease_lost)
+        self._leases.acquire(LEASE_NAME, self._length_ms, self._on_lease_acquired, self._on_lease_lost)
 
     def stop(self) -> None:
         """Stop collecting."""
@@ -154,15 +154,15 @@
         self._collector = None
         if self._timer is not None:
             self._timer.cancel()
-        self._leases.reach(set(), CHANNEL)
+        self._leases.keep_connected(set(), CHANNEL)
 
     def _next_turn(self) -> None:
         """Send the last turn's total and start the next; the lease is checked right before."""
         collector = self._collector
-        if collector is None or self._leases.holds(LEASE_NAME) != collector.token:
+        if collector is None or self._leases.held_token(LEASE_NAME) != collector.token:
             return
         names = self._names() - {self._leases.name}
-        self._leases.reach(names, CHANNEL)
+        self._leases.keep_connected(names, CHANNEL)
         if collector.turn:
             total = collector.total()
             for name in names:
@@ -188,7 +188,7 @@
         """The `/usage` answer of the control port; rates are calls a second."""
         total = self.view.total
         return {
-            "collected_by": total.token.who.partition("/")[0],
+            "collected_by": total.token.client_id.partition("/")[0],
             "token": str(total.token),
             "turn": total.turn,
             "dispatchers": total.dispatchers,
