--- a/kelptrail/cli/scenarios.py
+++ b/kelptrail/cli/scenarios.py
@@ -57,7 +57,7 @@
     from kelptrail.fault_scenario.campaign import run_campaign, summarize
 
     peers = read_deployment(str(settings)).peers
-    kind = "copies" if peers is not None and peers.copies else "leases"
+    kind = "copies" if peers is not None and peers.replicas else "leases"
     with click.progressbar(length=seeds, label="days", file=sys.stderr) as bar:
         rows = run_async(
             run_campaign(kind, list(range(first, first + seeds)), settings, out, at_once, lambda _row: bar.update(1))
--- a/kelptrail/emulator/clients.py
+++ b/kelptrail/emulator/clients.py
@@ -364,7 +364,7 @@
 
     def _poll(self, client_call: ClientCall) -> None:
         kind = self._deployment.types[client_call.action.type]
-        copies = self._deployment.peers is not None and self._deployment.peers.copies
+        copies = self._deployment.peers is not None and self._deployment.peers.replicas
         if now_ms() - client_call.attempt_started > kind.timeout_ms + (FAILOVER_WAIT_MS if copies else POLL_FOR_MS):
             self._capture.write("no-answer", call=client_call.call_id, ending="polled")
             self.polling -= 1
--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -79,7 +79,7 @@
         where the settings have peers, their channels go through a proxy; all dispatchers acquire `tasks` as leases."""
         self.store = await self._start_process("store", ["emulate", "model-store", self._file])
         self.endpoint_service = await self._start_process("roster", ["emulate", "endpoint-service"])
-        halls = self.deployment.halls
+        halls = self.deployment.zones
         vrrp = self.deployment.vrrp
         if vrrp is not None and any(i.via for i in vrrp.instance):
             self.datagram_proxy = await self._start_process(
@@ -117,7 +117,7 @@
         if self.deployment.peers is not None:
             plans, leases = [f"planner-{n}" for n in range(planners)], self.deployment.leases
             every = leases is None or len(names) <= ALL_PAIRS_LIMIT
-            to = names if every or leases is None else list(dict.fromkeys((*leases.voters, *leases.before)))
+            to = names if every or leases is None else list(dict.fromkeys((*leases.acceptors, *leases.before)))
             self.channel_proxy = await self._start_process(
                 "links",
                 [
--- a/kelptrail/emulator/worker.py
+++ b/kelptrail/emulator/worker.py
@@ -151,7 +151,7 @@
             if now - swept > 250:
                 swept = now
                 for model in self._models.values():
-                    if model.loaded and not model.running and now - model.last_used > self._fleet.keep_ms:
+                    if model.loaded and not model.running and now - model.last_used > self._fleet.keep_alive_ms:
                         model.loaded = 0
 
     # Requests.
@@ -259,7 +259,7 @@
         self._recent_work.append((now, self._work_ms(model)))
         while self._recent_work[0][0] < now - self._rules.tip_ms:
             self._recent_work.popleft()
-        limit = self._rules.tip * warmth * self._fleet.cores * self._rules.tip_ms
+        limit = self._rules.overload_multiple * warmth * self._fleet.cores * self._rules.tip_ms
         if sum(work for _, work in self._recent_work) > limit:
             self.overloaded = True
             self._capture.write("fell", worker=self.id, incarnation=self.incarnation)
@@ -274,7 +274,7 @@
             model = self._queue.popleft()
             if not model.queue:
                 continue
-            if model.running >= model.loaded * model.action.lanes:
+            if model.running >= model.loaded * model.action.concurrency:
                 self._queue.append(model)
                 continue
             job = model.queue.popleft()
@@ -346,9 +346,14 @@
         )
 
     def _ask_effect_store(self, what: str, job: _Job, result: str, done: Any) -> None:
-        group = {"all": "all", "zone": self._zone, "cell": f"cell-{self._cell}"}[job.model.type.scope]
+        group = {"all": "all", "zone": self._zone, "cell": f"cell-{self._cell}"}[job.model.type.deduplication_scope]
         body = msgspec.json.encode(
-            {"mark": job.request.id, "group": group, "result": result, "remembered_ms": job.model.type.remembered_ms}
+            {
+                "mark": job.request.id,
+                "group": group,
+                "result": result,
+                "remembered_ms": job.model.type.deduplication_window_ms,
+            }
         )
         self._store.start(encode_request("POST", f"/effects/{what}", self._store.address, body), done, (job, result))
 
@@ -427,7 +432,7 @@
 
     def _measure_load(self) -> tuple[float, float, float]:
         busy = sum(
-            (min(m.loaded, -(-m.running // m.action.lanes)) + m.loading) * m.action.memory_mb
+            (min(m.loaded, -(-m.running // m.action.concurrency)) + m.loading) * m.action.memory_mb
             for m in self._models.values()
         )
         return self._util, self._loads + len(self._load_queue), busy / self._fleet.memory_mb
@@ -576,7 +581,7 @@
         elif kind == "models-voided":
             for model in self._models.values():
                 if self._random.random() < body.get("share", 1):
-                    model.loaded = -(-model.running // model.action.lanes)
+                    model.loaded = -(-model.running // model.action.concurrency)
         elif kind == "restart-cold":
             self.server.abort_all()
             self._begin(warm=False)
--- a/kelptrail/fault_scenario/report.py
+++ b/kelptrail/fault_scenario/report.py
@@ -36,7 +36,7 @@
         "types": [{"name": t.name, "effect": t.effect, "target_ms": t.target_ms} for t in deployment.types.values()],
         "rules": {
             "drain_grace_ms": rules.drain_grace_ms,
-            "tip": rules.tip,
+            "tip": rules.overload_multiple,
             "tip_ms": rules.tip_ms,
             "order_wait_ms": deployment.pool.connect_ms,
             "free_loads": rules.free_loads,
@@ -44,7 +44,7 @@
             "load_span_ms": rules.load_span_ms if rules.orders else 0.0,
         },
         "clock_bound": deployment.leases.clock_bound if deployment.leases is not None else 0.0,
-        "copies": deployment.peers.copies if deployment.peers is not None else 0,
+        "copies": deployment.peers.replicas if deployment.peers is not None else 0,
         "kept": deployment.journal.keep,
         "names": names,
         "workers": workers,
--- a/kelptrail/fault_scenario/runner.py
+++ b/kelptrail/fault_scenario/runner.py
@@ -49,7 +49,7 @@
         log_level: str = "info",
         script: str = "",
     ) -> None:
-        if len(deployment.halls) < 2 and any(t.kind in PEER_FAULTS for t in scenario.faults):
+        if len(deployment.zones) < 2 and any(t.kind in PEER_FAULTS for t in scenario.faults):
             raise ScenarioError(
                 f"{scenario.name}: faults between dispatchers need dispatchers in different zones, "
                 f"{deployment.name} has one"
@@ -87,7 +87,7 @@
         self._capture.write(
             "world", **describe_deployment(deployment, [d.name for d in self._cluster.dispatchers], scenario.workers)
         )
-        if deployment.peers is not None and deployment.peers.copies:
+        if deployment.peers is not None and deployment.peers.replicas:
             await self._wait_until_replicated(READY_S)
         addresses = [d.said["address"] for d in self._cluster.dispatchers]
         second = [d.said["grpc"] for d in self._cluster.dispatchers]
@@ -156,7 +156,7 @@
                 else [
                     d
                     for n, d in enumerate(self._cluster.dispatchers)
-                    if self._deployment.halls[n % len(self._deployment.halls)] == fault.zone
+                    if self._deployment.zones[n % len(self._deployment.zones)] == fault.zone
                 ]
             )
         elif fault.kind in PLANNER_FAULTS and self._cluster.planners:
--- a/kelptrail/front/invoke/views.py
+++ b/kelptrail/front/invoke/views.py
@@ -103,13 +103,17 @@
         "publish": False,
         "updated": 0,
         "exec": {"kind": "model", "binary": True},
-        "limits": {"timeout": kind.timeout_ms, "memory": item.memory_mb, "concurrency": item.lanes},
+        "limits": {"timeout": kind.timeout_ms, "memory": item.memory_mb, "concurrency": item.concurrency},
         "parameters": [],
         "annotations": [
             {"key": "type", "value": kind.name},
             {"key": "effect", "value": kind.effect},
             {"key": "target_ms", "value": kind.target_ms},
             {"key": "model", "value": item.model},
-            *([{"key": "remembered_ms", "value": kind.remembered_ms}] if kind.remembered_ms else []),
+            *(
+                [{"key": "remembered_ms", "value": kind.deduplication_window_ms}]
+                if kind.deduplication_window_ms
+                else []
+            ),
         ],
     }
--- a/kelptrail/gateway/build.py
+++ b/kelptrail/gateway/build.py
@@ -24,27 +24,34 @@
         self.deployment = deployment
         self.request_classes = {
             t.name: RequestClass(
-                t.name, Idempotency(t.effect), t.target_ms, t.utility, t.late_share, t.scope, t.remembered_ms, t.hedge
+                t.name,
+                Idempotency(t.effect),
+                t.target_ms,
+                t.priority_weight,
+                t.late_share,
+                t.deduplication_scope,
+                t.deduplication_window_ms,
+                t.hedge,
             )
             for t in deployment.types.values()
         }
         self.tenants = {n.name: Tenant(n.name, n.allowed_per_s) for n in deployment.namespaces.values()}
-        self.zones = {name: number for number, name in enumerate(deployment.halls)}
+        self.zones = {name: number for number, name in enumerate(deployment.zones)}
         gate = self.safety = SafetyGuard(
             seed,
             SafetySettings(
                 place.parallel,
-                place.most_sends,
+                place.max_attempts,
                 LoadRation(rules.orders, rules.free_loads, rules.load_share, rules.load_span_ms),
             ),
-            SlowStartSettings(rules.tip, rules.tip_ms, rules.cold_share, rules.cold_ms),
+            SlowStartSettings(rules.overload_multiple, rules.tip_ms, rules.cold_share, rules.cold_ms),
         )
         health, timers = OutlierDetector(), TimerQueue()
         parts = Components(
             gate,
             health,
             Placement(gate, health, self.zones.get(hall, 0), seed),
-            InstanceTable(timers, place.keep_ms),
+            InstanceTable(timers, place.keep_alive_ms),
             RequestQueues(seed, list(self.request_classes.values()), list(self.tenants.values())),
             timers,
             RetryBudget(place.second_share, place.second_most),
@@ -59,7 +66,7 @@
         if function is None:
             action = self.deployment.actions[path]
             function = self._functions[path] = Function(
-                action.model, self.request_classes[action.type], action.memory_mb, action.lanes, action.load_ms
+                action.model, self.request_classes[action.type], action.memory_mb, action.concurrency, action.load_ms
             )
         return function
 
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -196,7 +196,7 @@
             crc32(boot.encode()),
             {space.name: space.allowed_per_s for space in world.deployment.namespaces.values()},
         )
-        self._most_useful = max(kind.utility for kind in world.deployment.types.values())
+        self._most_useful = max(kind.priority_weight for kind in world.deployment.types.values())
         self._cold_ms, self._next_count = world.deployment.rules.cold_ms, -1e18
         self._pace: Pace | None = None  # what a restart found, and since when it is resumed
         self._paced = 0.0
@@ -294,7 +294,9 @@
         if reason is not None:
             return reason, RETURN_MS
         kind = self._world.deployment.types[self._world.deployment.actions[path].type]
-        back = self.overload.came(now, f"{namespace}/{path}/{mark}", namespace, kind.utility / self._most_useful)
+        back = self.overload.came(
+            now, f"{namespace}/{path}/{mark}", namespace, kind.priority_weight / self._most_useful
+        )
         if back is not None:
             self.holdings.refused[EARLY] += 1
             return EARLY, back
@@ -766,7 +768,12 @@
                 self._restore(now, wall, life, life.ended, book)
                 counts["ended"] += 1
                 continue
-            what = judge(life, Rule(kind.effect, kind.scope, kind.remembered_ms, kind.utility), wall, least_ms)
+            what = judge(
+                life,
+                Rule(kind.effect, kind.deduplication_scope, kind.deduplication_window_ms, kind.priority_weight),
+                wall,
+                least_ms,
+            )
             if isinstance(what, Resume):
                 found.append(what)
                 counts["resumed"] += 1
--- a/kelptrail/planner/build.py
+++ b/kelptrail/planner/build.py
@@ -20,7 +20,7 @@
 def function_profiles(deployment: Deployment) -> dict[str, FunctionProfile]:
     """What the settings say of functions."""
     return {
-        a.model: FunctionProfile(a.memory_mb, a.lanes, a.load_ms, deployment.types[a.type].utility)
+        a.model: FunctionProfile(a.memory_mb, a.concurrency, a.load_ms, deployment.types[a.type].priority_weight)
         for a in deployment.actions.values()
     }
 
--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -53,7 +53,7 @@
         self.deployment, self.options, self.log = deployment, options, log
         # Ids tell which dispatcher gave them; the rest is new at each start, so that they never meet another run's.
         self.boot = id_prefix(options.name) + os.urandom(8).hex()[ID_PREFIX_DIGITS:]
-        zone = options.zone or deployment.dispatcher.hall or deployment.halls[0]
+        zone = options.zone or deployment.dispatcher.zone or deployment.zones[0]
         parts = DispatcherParts(deployment, zone, zlib.crc32(self.boot.encode()))
         disk = FaultyDisk(options.disk_fault_file) if options.disk_fault_file is not None else None
         self._vfs = disk.vfs_name if disk is not None else None
@@ -131,7 +131,7 @@
             ),
             self.log,
         )
-        if deployment.peers.copies:
+        if deployment.peers.replicas:
             fleet.enable_replication(deployment.peers, self.log)
             at_once, least_ms = deployment.journal.resume_at_once, least_run_ms(deployment)
             take_over_journal(fleet.replication, self.gateway, self.driver, at_once, least_ms)
--- a/kelptrail/service/fleet.py
+++ b/kelptrail/service/fleet.py
@@ -46,7 +46,7 @@
 def lease_settings(plan: LeasesPlan) -> LeaseSettings:
     """The settings of lease acceptors and clients."""
     return LeaseSettings(
-        plan.voters,
+        plan.acceptors,
         plan.number,
         plan.before,
         plan.clock_bound,
@@ -62,7 +62,7 @@
 def replication_settings(plan: PeersPlan) -> ReplicationSettings:
     """The settings of journal replication."""
     return ReplicationSettings(
-        plan.copies,
+        plan.replicas,
         plan.copies_short == "promise",
         replica_timeout_ms=plan.slow_ms,
         retry_ms=min(300.0, plan.slow_ms / 4),
@@ -85,11 +85,11 @@
         self.peers = Peers(options.name, deployment.name, peer_settings(plan), self.address_of, log)
         self.leases: LeaseDriver | None = None
         self.replication: ReplicationDriver | None = None
-        self._zones = {peer.name: peer.hall for peer in plan.peer}
+        self._zones = {peer.name: peer.zone for peer in plan.peer}
         if leases is None:
             return
         self.leases = LeaseDriver(options.name, options.run_id, lease_settings(leases), self.peers, log)
-        if options.name in (*leases.voters, *leases.before):
+        if options.name in (*leases.acceptors, *leases.before):
             if options.state_folder is None:
                 raise StateFolderError(f"{options.name} is a voter and needs --state: its promises are kept there")
             self.leases.vote(options.state_folder / "leases.sqlite", options.vfs)
--- a/kelptrail/settings/cooperation.py
+++ b/kelptrail/settings/cooperation.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 from .shape import Many, Shape, milliseconds, number, some, word, yes_no
 
@@ -29,7 +29,7 @@
 
     name: str
     at: str
-    hall: str
+    zone: str = field(metadata={"key": "hall"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
     connect_ms: float
     most_kb: float
     per_s: float
-    copies: int  # further dispatchers that hold each deferred call
+    replicas: int = field(metadata={"key": "copies"})  # further dispatchers that hold each deferred call
     copies_in: str  # where they have it: on "disk" or in "memory"
     copies_short: str  # with fewer: "refuse" new deferred calls, or "promise" them all the same
     copies_kb: float  # a larger body is not promised
@@ -55,7 +55,7 @@
 class LeasesPlan:
     """Leases on fleet-wide tasks; see `kelptrail/lease/messages.py`."""
 
-    voters: tuple[str, ...]
+    acceptors: tuple[str, ...] = field(metadata={"key": "voters"})
     number: int
     before: tuple[str, ...]
     clock_bound: float
--- a/kelptrail/settings/deployment.py
+++ b/kelptrail/settings/deployment.py
@@ -72,7 +72,7 @@
     """One place, whole and checked."""
 
     name: str
-    halls: tuple[str, ...]
+    zones: tuple[str, ...]
     types: dict[str, TypeSettings]
     namespaces: dict[str, NamespaceSettings]
     actions: dict[str, ActionSettings]  # by path, in order of the file
@@ -95,7 +95,7 @@
     @property
     def most_promised(self) -> int:
         """Bytes that a deferred call's body may have, as others must hold it; 0: no bound of theirs."""
-        return int(self.peers.copies_kb * 1024) if self.peers is not None and self.peers.copies else 0
+        return int(self.peers.copies_kb * 1024) if self.peers is not None and self.peers.replicas else 0
 
 
 DEPLOYMENT = Shape(
--- a/kelptrail/settings/dispatching.py
+++ b/kelptrail/settings/dispatching.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 from .shape import Shape, milliseconds, number, word, yes_no
 
@@ -15,7 +15,7 @@
     """The figures of the five rules."""
 
     drain_grace_ms: float
-    tip: float
+    overload_multiple: float = field(metadata={"key": "tip"})
     tip_ms: float
     cold_share: float
     cold_ms: float
@@ -29,13 +29,13 @@
 class DispatcherSettings:
     """What a dispatcher may do, and what it keeps."""
 
-    hall: str
+    zone: str = field(metadata={"key": "hall"})
     parallel: bool
-    most_sends: int
+    max_attempts: int = field(metadata={"key": "most_sends"})
     cancels: bool
     answer_margin_ms: float
     longest_return_ms: float
-    keep_ms: float
+    keep_alive_ms: float = field(metadata={"key": "keep_ms"})
     records: int
     records_mb: float
     record_ms: float
--- a/kelptrail/settings/emulated.py
+++ b/kelptrail/settings/emulated.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 from .shape import Shape, milliseconds, number
 
@@ -20,7 +20,7 @@
     queue: int
     connections: int
     loads: int
-    keep_ms: float
+    keep_alive_ms: float = field(metadata={"key": "keep_ms"})
 
 
 @dataclass(frozen=True, slots=True)
--- a/kelptrail/settings/request_classes.py
+++ b/kelptrail/settings/request_classes.py
@@ -18,10 +18,10 @@
     effect: str
     target_ms: float
     timeout_ms: float
-    utility: float
+    priority_weight: float = field(metadata={"key": "utility"})
     late_share: float
-    scope: str
-    remembered_ms: float
+    deduplication_scope: str = field(metadata={"key": "scope"})
+    deduplication_window_ms: float = field(metadata={"key": "remembered_ms"})
     hedge: bool = False
     stream_ms: float = 600_000.0
     stall_ms: float = 10_000.0
@@ -62,7 +62,7 @@
     type: str
     model: str
     memory_mb: float
-    lanes: int
+    concurrency: int = field(metadata={"key": "lanes"})
     load_ms: float
     work_ms: float
     count: int
--- a/kelptrail/settings/shape.py
+++ b/kelptrail/settings/shape.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+import dataclasses
 import difflib
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
@@ -109,6 +110,21 @@
     return float(spec.default)
 
 
+def fields_by_key(section: Any) -> dict[str, str]:
+    """The field of each settings key, with underscores, of a dataclass or its instance.
+
+    A key is the field's name, or the `key` of its metadata where the field has the better name."""
+    return {f.metadata.get("key", f.name): f.name for f in dataclasses.fields(section)}
+
+
+def _build(shape: Shape, values: dict[str, Any]) -> Any:
+    """The built value of a form; `values`: by settings key, with underscores."""
+    if not dataclasses.is_dataclass(shape.build):
+        return shape.build(**values)
+    fields = fields_by_key(shape.build)
+    return shape.build(**{fields[key]: value for key, value in values.items()})
+
+
 class Checker:
     """Gathers the faults of one file."""
 
@@ -166,7 +182,7 @@
                     self.fault(form.place, f"{len(lists[key])} of ({key} ...)", f"{spec.least} at least")
             elif key not in seen:
                 out[name] = self._absent(form, key, spec)
-        return shape.build(**out) if len(self.faults) == before else None
+        return _build(shape, out) if len(self.faults) == before else None
 
     def _field(self, item: Form, spec: Value | Values | Group) -> Any:
         if isinstance(spec, Group):
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -341,7 +341,7 @@
             if shard.number:
                 self.store = RemoteStore(shard, self.engine, self.settings)
         self._listed_ms, self._version = 0.0, 0
-        halls = deployment.halls
+        halls = deployment.zones
         self.seconds: list[Second] = [Second() for _ in range(int(day.seconds) + 60)]
         self.latency: dict[str, list[float]] = {name: [] for name in deployment.types}
         self.give_ups: dict[str, int] = {}
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -25,7 +25,7 @@
 from kelptrail.settings.deployment import Deployment
 from kelptrail.settings.deployment import load as load_deployment
 from kelptrail.settings.reader import Form, SourcePosition, read
-from kelptrail.settings.shape import Checker
+from kelptrail.settings.shape import Checker, fields_by_key
 
 from .cluster import SimulationSettings, play
 
@@ -142,7 +142,7 @@
         elif section == "script":
             day = _with(day, key, value)
         elif section in ("load", "trouble"):
-            parts = getattr(day, _fields_by_key(day)[section])
+            parts = getattr(day, fields_by_key(day)[section])
             day = _with(day, section, [_with(part, key, value) for part in parts])
         elif section in OF_DEPLOYMENT:
             deployment = _with(deployment, section, _with(getattr(deployment, section), key, value))
@@ -151,13 +151,8 @@
     return day, deployment, lab
 
 
-def _fields_by_key(one: Any) -> dict[str, str]:
-    """The field of each key that an experiment may set: its name, or the `key` of its metadata."""
-    return {f.metadata.get("key", f.name): f.name for f in dataclasses.fields(one)}
-
-
 def _fit(one: Any, key: str, value: Any) -> Any:
-    fields = _fields_by_key(one)
+    fields = fields_by_key(one)
     if key not in fields:
         raise ValueError("a key: " + ", ".join(name.replace("_", "-") for name in fields))
     before = getattr(one, fields[key])
@@ -170,7 +165,7 @@
 
 def _with(one: Any, key: str, value: Any) -> Any:
     fitting = _fit(one, key, value)
-    return dataclasses.replace(one, **{_fields_by_key(one)[key]: fitting})
+    return dataclasses.replace(one, **{fields_by_key(one)[key]: fitting})
 
 
 def one(path: str, variant: str, point: Change | None, seed: int) -> tuple[Rows, Rows, Rows]:
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -204,7 +204,7 @@
     def idle_mb(self) -> float:
         """Memory of copies that stand and on which nothing runs."""
         return sum(
-            (m.standing - min(m.standing, -(-m.busy // m.action.lanes))) * m.action.memory_mb
+            (m.standing - min(m.standing, -(-m.busy // m.action.concurrency))) * m.action.memory_mb
             for m in self._held.values()
         )
 
@@ -277,7 +277,7 @@
         self._pushed_sum += work
         while self._pushed[0][0] < now - self._rules.tip_ms:
             self._pushed_sum -= self._pushed.popleft()[1]
-        if self._pushed_sum > self._rules.tip * warmth * self._fleet.cores * self._rules.tip_ms:
+        if self._pushed_sum > self._rules.overload_multiple * warmth * self._fleet.cores * self._rules.tip_ms:
             self.fallen = True
             if self._note is not None:
                 self._note("fell", worker=self.id, incarnation=self.incarnation)
@@ -290,7 +290,7 @@
             model = self._queue.popleft()
             if not model.waiting:
                 continue
-            if model.busy >= model.standing * model.action.lanes:
+            if model.busy >= model.standing * model.action.concurrency:
                 self._queue.append(model)
                 continue
             job = model.waiting.popleft()
@@ -332,8 +332,8 @@
         model.used = now
         known = False
         if model.type.effect == "deduplicated":
-            group = {"all": "all", "zone": self.hall, "cell": f"cell-{self.cell}"}[model.type.scope]
-            known = now - self._ledger.get((group, job.mark), -1e18) <= model.type.remembered_ms
+            group = {"all": "all", "zone": self.hall, "cell": f"cell-{self.cell}"}[model.type.deduplication_scope]
+            known = now - self._ledger.get((group, job.mark), -1e18) <= model.type.deduplication_window_ms
             if not known:
                 self._ledger[group, job.mark] = now
         if not known and self._note is not None:
@@ -352,7 +352,7 @@
             self._shown_at = self._engine.now
             self._account()
             busy = sum(
-                (min(m.standing, -(-m.busy // m.action.lanes)) + m.loading) * m.action.memory_mb
+                (min(m.standing, -(-m.busy // m.action.concurrency)) + m.loading) * m.action.memory_mb
                 for m in self._held.values()
             )
             self._shown = (self._util, self._loads + len(self._load_queue), busy / self._fleet.memory_mb)
@@ -411,7 +411,7 @@
         for other in [
             m
             for m in self._held.values()  # idle beyond its keep-alive: gone already
-            if m.standing and not m.busy and now - m.used > self._fleet.keep_ms
+            if m.standing and not m.busy and now - m.used > self._fleet.keep_alive_ms
         ]:
             self._drop(other, other.standing)
         idle = sorted(
@@ -453,7 +453,7 @@
             if not model.standing and not model.loading:
                 self._held.pop(model.action.model, None)
         else:
-            self._engine.after(self._fleet.keep_ms + 250, self._idle, model, start)
+            self._engine.after(self._fleet.keep_alive_ms + 250, self._idle, model, start)
         asked, model.asked = model.asked, []
         for copies, tell in asked:
             if model.standing >= copies:
@@ -474,7 +474,7 @@
         """A copy leaves once it has been idle for its keep-alive."""
         if start != self._starts or not self.up or not model.standing:
             return
-        left = model.used + self._fleet.keep_ms - self._engine.now
+        left = model.used + self._fleet.keep_alive_ms - self._engine.now
         if model.busy or model.waiting or left > 0:
             self._engine.after(max(250.0, left), self._idle, model, start)
         else:
@@ -487,7 +487,7 @@
         if kind == "models-voided":
             for model in list(self._held.values()):
                 if model.standing and self._chance.random() < fault.share:
-                    self._drop(model, model.standing - -(-model.busy // model.action.lanes))
+                    self._drop(model, model.standing - -(-model.busy // model.action.concurrency))
         elif kind == "restart-cold":
             self.begin(warm=False)
         elif kind == "pause":  # the whole process stands still; then it goes on with what came meanwhile
