--- a/kelptrail/cli/logs.py
+++ b/kelptrail/cli/logs.py
@@ -24,6 +24,7 @@
         self._seen: dict[str, tuple[float, int]] = {}
 
     def __call__(self, _logger: Any, level: str, fields: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+        """The line's fields, with the number left out before; raises `DropEvent` past the limit."""
         if level not in ("warning", "error"):
             return fields
         event = str(fields.get("event"))
--- a/kelptrail/settings/deployment.py
+++ b/kelptrail/settings/deployment.py
@@ -8,6 +8,7 @@
 
 from dataclasses import dataclass, field, replace
 from pathlib import Path
+from typing import Any
 
 from .cooperation import JOURNAL, LEASES, PEERS, PLANNER, JournalSettings, LeasesPlan, PeerPlan, PeersPlan, PlannerPlan
 from .cross_checks import check_across_sections
@@ -144,6 +145,11 @@
     fields = checker.form(whole[0], DEPLOYMENT)
     check_across_sections(checker, whole[0])
     checker.done()
+    return _deployment_of(fields, Path(file).parent)
+
+
+def _deployment_of(fields: dict[str, Any], folder: Path) -> Deployment:
+    """The deployment of checked sections; `folder`: of the settings file."""
     actions: dict[str, ActionSettings] = {}
     for action in fields["action"]:
         for one in _spread(action):
@@ -168,7 +174,7 @@
         fields["planner"],
         fields["peers"],
         fields["leases"],
-        Path(file).parent,
+        folder,
     )
 
 
--- a/kelptrail/settings/shape.py
+++ b/kelptrail/settings/shape.py
@@ -156,13 +156,7 @@
                 continue
             spec = shape.fields.get(item.head)
             if spec is None:
-                near = difflib.get_close_matches(item.head, shape.fields, 1)
-                hint = f" (did you mean {near[0]}?)" if near else ""
-                self.fault(
-                    item.place,
-                    f"({item.head} ...)",
-                    f"a field of ({form.head} ...): " + ", ".join(sorted(shape.fields)) + hint,
-                )
+                self._unknown_field(item, form, shape)
                 continue
             if isinstance(spec, Many):
                 lists[item.head].append(self.form(item, spec.shape))
@@ -184,6 +178,12 @@
                 out[name] = self._absent(form, key, spec)
         return _build(shape, out) if len(self.faults) == before else None
 
+    def _unknown_field(self, item: Form, form: Form, shape: Shape) -> None:
+        near = difflib.get_close_matches(str(item.head), shape.fields, 1)
+        hint = f" (did you mean {near[0]}?)" if near else ""
+        expected = f"a field of ({form.head} ...): " + ", ".join(sorted(shape.fields)) + hint
+        self.fault(item.place, f"({item.head} ...)", expected)
+
     def _field(self, item: Form, spec: Value | Values | Group) -> Any:
         if isinstance(spec, Group):
             return self.form(item, spec.shape)
