--- a/kelptrail/gateway/recovery.py
+++ b/kelptrail/gateway/recovery.py
@@ -95,7 +95,9 @@
             self._restore(source, accepted, entries.ended)
             return "ended"
         kind = deployment.types[action.type]
-        rule = RecoveryRule(Idempotency(kind.effect), kind.scope, kind.remembered_ms, kind.utility)
+        rule = RecoveryRule(
+            Idempotency(kind.effect), kind.deduplication_scope, kind.deduplication_window_ms, kind.priority_weight
+        )
         decided = decide_recovery(entries, rule, source.wall, min_run_ms)
         self._add_record(source, accepted)
         if isinstance(decided, ResumeRequest):
--- a/kelptrail/planner/channel.py
+++ b/kelptrail/planner/channel.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from kelptrail.gateway.counters import FunctionCounters
-from kelptrail.peers.messages import VERSION, ChannelError, Heartbeat, Hello, decoder, frame
+from kelptrail.peers.messages import VERSION, ChannelError, Heartbeat, Hello, decoder, encode_frame
 
 from .plan import InstanceCounts, Plan, PlanError, PlanOrder, decode_plan, encode_plan
 from .plan_follower import PlanState, RefusalReason
@@ -68,7 +68,7 @@
         report_ms: float = 1000.0,
     ) -> None:
         self._plan_state, self._leader_contact, self._report_ms = plan_state, leader_contact, report_ms
-        self.output: list[bytes] = [frame(Hello(VERSION, name, lineage, plan_state.fence))]
+        self.output: list[bytes] = [encode_frame(Hello(VERSION, name, lineage, plan_state.fence))]
         self._counters: dict[str, FunctionCounters] = {}  # since the last report on this connection
         self._reported: InstanceCounts | None = None  # what the planner knows; None: nothing yet
         self._next_report_ms = now
@@ -82,9 +82,9 @@
         """Process a message; returns the result if it was a plan.  Raises `ChannelError` for a planner's messages."""
         self.last_heard = now
         if isinstance(message, Hello):
-            self.planner = message.who
+            self.planner = message.name
         elif isinstance(message, Heartbeat):
-            if message.acting and (message.epoch, self.planner) >= self._plan_state.fence[:2]:
+            if message.is_active and (message.epoch, self.planner) >= self._plan_state.fence[:2]:
                 self._leader_contact.last_ms = now
         elif isinstance(message, PlanOffer):
             return self._on_plan(now, message.data, live, endpoints_version)
@@ -98,14 +98,14 @@
         try:
             packet = decode_plan(data)
         except PlanError as cause:
-            self.output.append(frame(PlanReply(self._plan_state.fence, RefusalReason.DIGEST.value, str(cause))))
+            self.output.append(encode_frame(PlanReply(self._plan_state.fence, RefusalReason.DIGEST.value, str(cause))))
             return PlanResult.REFUSED
         refusal = self._plan_state.on_plan(now, packet, live, endpoints_version)
         if refusal is None:
             self._leader_contact.last_ms = now
-            self.output.append(frame(PlanReply(packet.header.order)))
+            self.output.append(encode_frame(PlanReply(packet.header.order)))
             return PlanResult.ACCEPTED
-        self.output.append(frame(PlanReply(self._plan_state.fence, refusal.reason.value, refusal.text)))
+        self.output.append(encode_frame(PlanReply(self._plan_state.fence, refusal.reason.value, refusal.text)))
         return PlanResult.REFUSED
 
     def report_due(self, now: float) -> bool:
@@ -126,7 +126,9 @@
         self._reported = loaded
         counters, self._counters = self._counters, {}
         silent_ms = self._leader_contact.silent_ms(now)
-        self.output.append(frame(UsageReport(self._plan_state.fence, silent_ms, counters, changed, before is None)))
+        self.output.append(
+            encode_frame(UsageReport(self._plan_state.fence, silent_ms, counters, changed, before is None))
+        )
 
 
 def _changed_instances(before: InstanceCounts, after: InstanceCounts) -> InstanceCounts:
@@ -162,7 +164,7 @@
 
     def __init__(self, name: str, lineage: str) -> None:
         self._lineage = lineage
-        self.output: list[bytes] = [frame(Hello(VERSION, name, lineage))]
+        self.output: list[bytes] = [encode_frame(Hello(VERSION, name, lineage))]
         self.edge = ""
         self.loaded: InstanceCounts = {}  # by the edge, accumulated from its reports
         self._waiting: tuple[Plan, float] | None = None  # with the time it was made
@@ -174,9 +176,9 @@
         if isinstance(message, Hello):
             if message.lineage != self._lineage:
                 raise ChannelError(f"lineage {message.lineage!r}, not {self._lineage!r}")
-            if not message.who or len(message.who) > MAX_NAME:
+            if not message.name or len(message.name) > MAX_NAME:
                 raise ChannelError(f"an edge gives its name, of at most {MAX_NAME} characters")
-            self.edge = message.who
+            self.edge = message.name
         elif isinstance(message, UsageReport):
             if message.complete:
                 self.loaded = {}
@@ -202,6 +204,6 @@
         if self._waiting is None or self._in_flight is not None:
             return False
         (plan, made), self._waiting = self._waiting, None
-        self.output.append(frame(PlanOffer(encode_plan(plan, now - made, self._last_accepted))))
+        self.output.append(encode_frame(PlanOffer(encode_plan(plan, now - made, self._last_accepted))))
         self._in_flight = plan
         return True
--- a/kelptrail/replication/activation_locator.py
+++ b/kelptrail/replication/activation_locator.py
@@ -23,7 +23,7 @@
         self, context: ReplicationContext, journals: JournalManager, members: Callable[[], list[Member]]
     ) -> None:
         self._context, self._journals, self._members = context, journals, members
-        self._lookups = LookupService(context.leases.client.who, LOOKUP_TIMEOUT_MS)
+        self._lookups = LookupService(context.leases.client.client_id, LOOKUP_TIMEOUT_MS)
         self.address = ""
 
     def find(self, target: str, on_result: Callable[[str | None], None]) -> None:
@@ -33,7 +33,7 @@
         """
         if self._lookups.join(target, on_result):
             return
-        heard = self._context.peers.heard().keys()
+        heard = self._context.peers.ms_since_heard().keys()
         # For a key, an unreachable dispatcher matters only through its journal, which its replicas report.
         unreachable = not target.startswith(KEY_TARGET_PREFIX) and any(
             member.name not in heard and member.name != self._context.name for member in self._members()
@@ -49,7 +49,7 @@
 
     def on_lookup(self, sender: str, message: Lookup) -> None:
         """Reply to a lookup of another dispatcher."""
-        target, responder = message.target, self._context.leases.client.who
+        target, responder = message.target, self._context.leases.client.client_id
         if self._context.hooks.has_activation(target):
             reply = LookupReply(target, LookupState.HERE, responder, self.address)
         else:
@@ -92,7 +92,8 @@
         return tuple(
             sorted(
                 {
-                    self._journals.reported_primary.get(journal_id) or self._context.replica.logs[journal_id].token.who
+                    self._journals.reported_primary.get(journal_id)
+                    or self._context.replica.logs[journal_id].token.client_id
                     for journal_id in self._candidates(target)
                     if journal_id not in self._journals.handles
                 }
--- a/kelptrail/replication/driver.py
+++ b/kelptrail/replication/driver.py
@@ -99,7 +99,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._ranked_members: tuple[Member, ...] = ()
         self._ranking: tuple[str, ...] = ()
-        peers.speak(CHANNEL_FEATURE, self._on_message, *MESSAGE_TYPES)
+        peers.register(CHANNEL_FEATURE, self._on_message, *MESSAGE_TYPES)
 
     @property
     def hooks(self) -> GatewayHooks:
@@ -193,7 +193,7 @@
         if self._stopped:
             return
         self._timer = self._loop.call_later(TICK_MS / 1000, self._tick)
-        now, heard = now_ms(), self._peers.heard()
+        now, heard = now_ms(), self._peers.ms_since_heard()
         failover, draining = self._context.failover, self._drain.draining
         failover.on_tick(now, TICK_MS)
         for name in heard:
@@ -215,7 +215,7 @@
             candidates = ranking[: self._context.settings.replica_count + SPARE_CONNECTIONS]
             in_sync = (name for handle in self._journals.handles.values() for name in handle.primary.in_sync)
             names = {*candidates, *in_sync}
-        self._context.leases.reach(names, CHANNEL_FEATURE)
+        self._context.leases.keep_connected(names, CHANNEL_FEATURE)
 
     def _rank(self, heard: Iterable[str]) -> tuple[str, ...]:
         """Reachable candidates for the replicas of own journals, best first; cached by members."""
--- a/kelptrail/service/lease_trial.py
+++ b/kelptrail/service/lease_trial.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from kelptrail.clock import harm, now_ms, true_ms
+from kelptrail.clock import now_ms, set_skew, true_ms
 from kelptrail.codec.http import HttpError
 from kelptrail.lease.driver import LeaseDriver
 from kelptrail.lease.messages import FencingToken
@@ -42,7 +42,7 @@
         self._loop.add_signal_handler(signal.SIGUSR1, setattr, self, "_pause_next", True)
         self._loop.add_signal_handler(signal.SIGUSR2, setattr, self, "_pause_next", False)
         for task in self._tasks:
-            self._leases.want(task, self._length_ms, self._on_acquired(task), self._on_lost(task))
+            self._leases.acquire(task, self._length_ms, self._on_acquired(task), self._on_lost(task))
 
     def stop(self) -> None:
         """Stop writing."""
@@ -66,14 +66,14 @@
         try:
             while True:
                 with contextlib.suppress(OSError, HttpError, TimeoutError):
-                    if self._leases.holds(task) == token and not await self._write_once(client, task, token):
+                    if self._leases.held_token(task) == token and not await self._write_once(client, task, token):
                         self.refused += 1
                 await asyncio.sleep(WRITE_INTERVAL_MS / 1000)
         finally:
             client.close()
 
     async def _write_once(self, client: HttpClient, task: str, token: FencingToken) -> bool:
-        looked, message = true_ms(), {"task": task, "token": [token.round, token.who], "who": self._leases.name}
+        looked, message = true_ms(), {"task": task, "token": [token.round, token.client_id], "who": self._leases.name}
         if self._pause_next:
             self._pause_next = False
             os.kill(os.getpid(), signal.SIGSTOP)
@@ -81,7 +81,7 @@
         if not (await client.json("POST", "/act", message | {"looked": looked}))["taken"]:
             return False
         await asyncio.sleep(WORK_MS / 1000)
-        if self._leases.holds(task) != token:
+        if self._leases.held_token(task) != token:
             return True
         return bool((await client.json("POST", "/done", message | {"looked": true_ms()}))["taken"])
 
@@ -101,7 +101,7 @@
             message = float(fault.get("rate", 1.0)), float(fault.get("step_ms", 0.0))
             if message != self._applied:
                 self._applied = message
-                harm(*message)
+                set_skew(*message)
                 self._log.info("clock-harmed", rate=message[0], step_ms=message[1], now=now_ms())
             await asyncio.sleep(CLOCK_POLL_MS / 1000)
 
--- a/kelptrail/service/shutdown.py
+++ b/kelptrail/service/shutdown.py
@@ -52,7 +52,9 @@
     if dispatcher.usage is not None:
         dispatcher.usage.stop()
     if dispatcher.fleet is not None and dispatcher.fleet.leases is not None:
-        dispatcher.fleet.leases.leave(JOURNAL_LEASES)  # journals stay leased until their activations have ended
+        dispatcher.fleet.leases.release_except(
+            JOURNAL_LEASES
+        )  # journals stay leased until their activations have ended
     if dispatcher.front_addresses is not None:
         await dispatcher.front_addresses.stop()
 
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -63,7 +63,7 @@
             if shard.number:
                 self.store = RemoteStore(shard, self.event_queue, self.settings)
         self.endpoints_delay_ms, self._version = 0.0, 0
-        halls = deployment.halls
+        zones = deployment.zones
         self.seconds: list[Second] = [Second() for _ in range(int(scenario.seconds) + 60)]
         self.latency: dict[str, list[float]] = {name: [] for name in deployment.types}
         self.give_ups: dict[str, int] = {}
@@ -75,7 +75,7 @@
             f"worker-{n}": self._make_worker(n) for n in range(scenario.workers)
         }
         self.dispatchers: list[SimulatedDispatcher | RemoteDispatcher] = [
-            SimulatedDispatcher(self, n, halls[n % len(halls)])
+            SimulatedDispatcher(self, n, zones[n % len(zones)])
             if shard is None or shard.has_dispatcher(n)
             else RemoteDispatcher(n)
             for n in range(scenario.dispatchers)
@@ -103,8 +103,8 @@
         self._schedule_scenario()
 
     def _make_worker(self, number: int) -> ConnectedWorker | RemoteWorker:
-        halls, worker_id, cell = self.deployment.halls, f"worker-{number}", number // 2
-        zone = halls[number % len(halls)]
+        zones, worker_id, cell = self.deployment.zones, f"worker-{number}", number // 2
+        zone = zones[number % len(zones)]
         if self.shard is not None and (home := self.shard.shard_of_worker(number)) != self.shard.number:
             cold_ms = self.deployment.rules.cold_ms
             return RemoteWorker(self.shard, home, worker_id, zone, cell, self.event_queue, self.settings, cold_ms)
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -24,7 +24,7 @@
 from kelptrail.settings.deployment import Deployment
 from kelptrail.settings.deployment import load as load_deployment
 from kelptrail.settings.reader import Form, SourcePosition, read
-from kelptrail.settings.shape import Checker
+from kelptrail.settings.shape import Checker, fields_by_key
 
 from .cluster import play
 from .settings import SimulationSettings
@@ -148,7 +148,7 @@
         elif section == "script":
             scenario = _replace_key(scenario, key, value)
         elif section in ("load", "trouble"):
-            parts = getattr(scenario, _fields_by_key(scenario)[section])
+            parts = getattr(scenario, fields_by_key(scenario)[section])
             scenario = _replace_key(scenario, section, [_replace_key(part, key, value) for part in parts])
         elif section in DEPLOYMENT_SECTIONS:
             deployment = _replace_key(deployment, section, _replace_key(getattr(deployment, section), key, value))
@@ -157,13 +157,8 @@
     return scenario, deployment, simulation
 
 
-def _fields_by_key(run_one: Any) -> dict[str, str]:
-    """The field of each key that an experiment may set: its name, or the `key` of its metadata."""
-    return {f.metadata.get("key", f.name): f.name for f in dataclasses.fields(run_one)}
-
-
 def _fitting_value(run_one: Any, key: str, value: Any) -> Any:
-    fields = _fields_by_key(run_one)
+    fields = fields_by_key(run_one)
     if key not in fields:
         raise ChangeError("a key: " + ", ".join(name.replace("_", "-") for name in fields))
     current = getattr(run_one, fields[key])
@@ -176,7 +171,7 @@
 
 def _replace_key(run_one: Any, key: str, value: Any) -> Any:
     fitting = _fitting_value(run_one, key, value)
-    return dataclasses.replace(run_one, **{_fields_by_key(run_one)[key]: fitting})
+    return dataclasses.replace(run_one, **{fields_by_key(run_one)[key]: fitting})
 
 
 def run_one(path: str, variant: str, point: Change | None, seed: int) -> tuple[Rows, Rows, Rows]:
--- a/kelptrail/simulation/leases.py
+++ b/kelptrail/simulation/leases.py
@@ -88,7 +88,7 @@
         self._slow_links: list[tuple[float, float]] = []
         self._draws = 0
         self._highest_tokens: dict[str, FencingToken] = {}
-        self.nodes = {name: LeaseNode(name, name in settings.voters, sync_ms) for name in names}
+        self.nodes = {name: LeaseNode(name, name in settings.acceptors, sync_ms) for name in names}
         for node in self.nodes.values():
             self.start_process(node)
 
@@ -101,7 +101,7 @@
         if node.is_acceptor:
             node.acceptor = Acceptor(node.name, self.settings, now, node.memory, tuple(node.rows.values()))
         for task in node.wanted_tasks:
-            node.lease_client.want(now, task, self._length_ms)
+            node.lease_client.acquire(now, task, self._length_ms)
         self._run_cores(node)
 
     def want(
@@ -110,7 +110,7 @@
         """Have a node acquire the lease of a task whenever it can."""
         node.wanted_tasks[task] = on_acquired, on_lost
         if node.up and node.lease_client is not None:
-            node.lease_client.want(node.local_time(self._event_queue.now), task, self._length_ms)
+            node.lease_client.acquire(node.local_time(self._event_queue.now), task, self._length_ms)
             self._run_cores(node)
 
     def contend(self, tasks: tuple[str, ...], names: list[str]) -> None:
@@ -129,13 +129,13 @@
         node = self.nodes[name]
         if not node.up or node.paused or node.lease_client is None:
             return None
-        return node.lease_client.holds(node.local_time(self._event_queue.now), task)
+        return node.lease_client.held_token(node.local_time(self._event_queue.now), task)
 
     def _use_lease(self, node: LeaseNode, start: int, task: str, token: FencingToken) -> None:
         if not node.up or node.starts != start or node.lease_client is None:
             return
         if not node.paused:
-            if node.lease_client.wishes[task].token != token:
+            if node.lease_client.requests[task].token != token:
                 return
             if self.holds(node.name, task) == token:
                 node.lease_uses += 1
@@ -145,7 +145,7 @@
                     self._record_event(
                         "act",
                         task=task,
-                        token=[token.round, token.who],
+                        token=[token.round, token.client_id],
                         by=node.name,
                         looked=self._event_queue.now,
                         taken=accepted,
@@ -164,16 +164,16 @@
         while delivered_locally:
             delivered_locally = []
             for core in (node.acceptor, node.lease_client):
-                while core is not None and core.out:
-                    to, message = core.out.popleft()
+                while core is not None and core.outbox:
+                    to, message = core.outbox.popleft()
                     if to == node.name:
                         delivered_locally.append(True)
                         self._deliver(node, to, message)
                     else:
                         self._send(node.name, to, message)
-            while node.acceptor is not None and node.acceptor.writes:
-                write = node.acceptor.writes.popleft()
-                delay_ms = WRITE_RETRY_MS if node.disk_fails and write.memory is not None else node.sync_ms
+            while node.acceptor is not None and node.acceptor.pending_writes:
+                write = node.acceptor.pending_writes.popleft()
+                delay_ms = WRITE_RETRY_MS if node.disk_fails and write.state is not None else node.sync_ms
                 self._event_queue.after(delay_ms, self._written, node, node.starts, write)
             while node.lease_client.events:
                 event = node.lease_client.events.popleft()
@@ -184,7 +184,10 @@
                     on_lost()
         due_times = [
             d
-            for d in (node.lease_client.due(), node.acceptor.due() if node.acceptor is not None else None)
+            for d in (
+                node.lease_client.next_tick_at(),
+                node.acceptor.next_tick_at() if node.acceptor is not None else None,
+            )
             if d is not None
         ]
         if node.core_timer is not None:
@@ -198,18 +201,18 @@
         if node.starts != start or not node.up or node.acceptor is None:
             return
         if not node.disk_fails:
-            node.memory = write.memory or node.memory
+            node.memory = write.state or node.memory
             node.rows |= {row.task: row for row in write.rows}
-        node.acceptor.written(write, not node.disk_fails)
+        node.acceptor.on_written(write, not node.disk_fails)
         self._run_cores(node)
 
     def _deliver(self, node: LeaseNode, sender: str, message: Message) -> None:
         now = node.local_time(self._event_queue.now)
         if not isinstance(message, ACCEPTOR_MESSAGES):
             if node.lease_client is not None:
-                node.lease_client.received(now, sender, message)
+                node.lease_client.on_message(now, sender, message)
         elif node.acceptor is not None:
-            node.acceptor.received(now, sender, message)
+            node.acceptor.on_message(now, sender, message)
 
     def _send(self, sender: str, to: str, message: Message) -> None:
         if self._cut_links[sender, to] > 0:
--- a/kelptrail/simulation/planners.py
+++ b/kelptrail/simulation/planners.py
@@ -48,7 +48,7 @@
 
     def on_lease_acquired(self, token: FencingToken) -> None:
         """The planner has acquired the lease: it leads."""
-        self.core.on_lease_acquired(self._cluster.event_queue.now, token.round, token.who)
+        self.core.on_lease_acquired(self._cluster.event_queue.now, token.round, token.client_id)
 
     def on_lease_lost(self) -> None:
         """The planner has lost the lease and its leadership."""
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -213,7 +213,7 @@
     def idle_mb(self) -> float:
         """Memory in MB of loaded instances on which nothing runs."""
         return sum(
-            (m.loaded - min(m.loaded, -(-m.busy // m.action.lanes))) * m.action.memory_mb
+            (m.loaded - min(m.loaded, -(-m.busy // m.action.concurrency))) * m.action.memory_mb
             for m in self._resident.values()
         )
 
@@ -288,7 +288,10 @@
         self._cold_work_ms += work
         while self._cold_arrivals[0][0] < now - self._rules.tip_ms:
             self._cold_work_ms -= self._cold_arrivals.popleft()[1]
-        if self._cold_work_ms > self._rules.tip * slow_start_capacity * self._fleet.cores * self._rules.tip_ms:
+        if (
+            self._cold_work_ms
+            > self._rules.overload_multiple * slow_start_capacity * self._fleet.cores * self._rules.tip_ms
+        ):
             self.collapsed = True
             if self._record_event is not None:
                 self._record_event("fell", worker=self.id, incarnation=self.incarnation)
@@ -301,7 +304,7 @@
             model = self._queue.popleft()
             if not model.waiting:
                 continue
-            if model.busy >= model.loaded * model.action.lanes:
+            if model.busy >= model.loaded * model.action.concurrency:
                 self._queue.append(model)
                 continue
             attempt = model.waiting.popleft()
@@ -343,8 +346,8 @@
         model.last_used = now
         is_repeat = False
         if model.type.effect == "deduplicated":
-            group = {"all": "all", "zone": self.zone, "cell": f"cell-{self.cell}"}[model.type.scope]
-            is_repeat = now - self._effect_log.get((group, attempt.mark), -1e18) <= model.type.remembered_ms
+            group = {"all": "all", "zone": self.zone, "cell": f"cell-{self.cell}"}[model.type.deduplication_scope]
+            is_repeat = now - self._effect_log.get((group, attempt.mark), -1e18) <= model.type.deduplication_window_ms
             if not is_repeat:
                 self._effect_log[group, attempt.mark] = now
         if not is_repeat and self._record_event is not None:
@@ -372,7 +375,7 @@
             self._reported_at = self._event_queue.now
             self._update_utilization()
             busy = sum(
-                (min(m.loaded, -(-m.busy // m.action.lanes)) + m.loading) * m.action.memory_mb
+                (min(m.loaded, -(-m.busy // m.action.concurrency)) + m.loading) * m.action.memory_mb
                 for m in self._resident.values()
             )
             self._last_report = (self._utilization, self._loads + len(self._load_queue), busy / self._fleet.memory_mb)
@@ -435,7 +438,7 @@
         for other in [
             m
             for m in self._resident.values()  # idle beyond their keep-alive
-            if m.loaded and not m.busy and now - m.last_used > self._fleet.keep_ms
+            if m.loaded and not m.busy and now - m.last_used > self._fleet.keep_alive_ms
         ]:
             self._unload(other, other.loaded)
         idle = sorted(
@@ -477,7 +480,7 @@
             if not model.loaded and not model.loading:
                 self._resident.pop(model.action.model, None)
         else:
-            self._event_queue.after(self._fleet.keep_ms + 250, self._unload_if_idle, model, start)
+            self._event_queue.after(self._fleet.keep_alive_ms + 250, self._unload_if_idle, model, start)
         pending_orders, model.pending_orders = model.pending_orders, []
         for instances, on_done in pending_orders:
             if model.loaded >= instances:
@@ -498,7 +501,7 @@
         """Unload the instances once they have been idle for their keep-alive."""
         if start != self._starts or not self.up or not model.loaded:
             return
-        left = model.last_used + self._fleet.keep_ms - self._event_queue.now
+        left = model.last_used + self._fleet.keep_alive_ms - self._event_queue.now
         if model.busy or model.waiting or left > 0:
             self._event_queue.after(max(250.0, left), self._unload_if_idle, model, start)
         else:
@@ -511,7 +514,7 @@
         if kind == "models-voided":
             for model in list(self._resident.values()):
                 if model.loaded and self._random.random() < fault.share:
-                    self._unload(model, model.loaded - -(-model.busy // model.action.lanes))
+                    self._unload(model, model.loaded - -(-model.busy // model.action.concurrency))
         elif kind == "restart-cold":
             self.start_process(warm=False)
         elif kind == "pause":  # the process stops; later it reads what arrived meanwhile
