--- a/kelptrail/simulation/compare.py
+++ b/kelptrail/simulation/compare.py
@@ -125,7 +125,8 @@
         "![loads, orders, calls in hand, dispatchers that are not calm](work.png)",
         "",
     ]
-    _draw_spread(folder, spread, variants, points)
+    _draw_latency(folder, spread, variants, points)
+    _draw_give_ups(folder, spread, variants, points)
     _draw_work(folder, seconds, variants, points)
     file = folder / "report.md"
     file.write_text("\n".join(lines))
@@ -173,8 +174,8 @@
         pyplot.close(figure)
 
 
-def _draw_spread(folder: Path, spread: list[dict[str, Any]], variants: list[str], points: list[str]) -> None:
-    """Plot the latency distribution by type, and the calls given up by cause."""
+def _draw_latency(folder: Path, spread: list[dict[str, Any]], variants: list[str], points: list[str]) -> None:
+    """Plot the latency distribution by type, at the first point."""
     from matplotlib import pyplot
 
     figure, axis = pyplot.subplots(figsize=(8, 4))
@@ -201,6 +202,12 @@
     figure.tight_layout()
     figure.savefig(folder / "latency.png", dpi=100)
     pyplot.close(figure)
+
+
+def _draw_give_ups(folder: Path, spread: list[dict[str, Any]], variants: list[str], points: list[str]) -> None:
+    """Plot the calls given up by cause."""
+    from matplotlib import pyplot
+
     causes = list(dict.fromkeys(r["name"] for r in spread if r["what"] == "give_ups"))
     figure, axis = pyplot.subplots(figsize=(8, 4))
     bars = [(variant, point) for variant in variants for point in points]
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -85,17 +85,11 @@
             script = str(_value(item.items[1]))
         elif item.head == "seeds":
             try:
-                seeds = tuple(int(float(str(_value(run_one)))) for run_one in item.items[1:])
+                seeds = tuple(int(float(str(_value(seed)))) for seed in item.items[1:])
             except ValueError:
                 checker.fault(item.place, "seeds", "whole numbers")
         elif item.head == "variant" and len(item.items) > 1:
-            changes = []
-            for run_one in item.items[2:]:
-                if isinstance(run_one, Form) and run_one.head == "set" and len(run_one.items) == 3:
-                    changes += _parse_change(checker, run_one.place, run_one.items[1], run_one.items[2])
-                else:
-                    checker.fault(item.place, run_one, "(set SECTION.KEY VALUE)")
-            variants[str(_value(item.items[1]))] = tuple(changes)
+            variants[str(_value(item.items[1]))] = _parse_variant(checker, item)
         elif item.head == "sweep" and len(item.items) > 2:
             for value in item.items[2:]:
                 sweep += _parse_change(checker, item.place, item.items[1], value)
@@ -105,9 +99,24 @@
         checker.fault(form.place, "no script", "(script FILE)")
     checker.done()
     file = Path(script) if Path(script).is_absolute() else Path(path).parent / script
-    experiment = Experiment(
-        str(_value(form.items[1])), str(file), seeds or (1,), variants or {"as-is": ()}, tuple(sweep)
-    )
+    name = str(_value(form.items[1]))
+    experiment = Experiment(name, str(file), seeds or (1,), variants or {"as-is": ()}, tuple(sweep))
+    _check_changes(checker, experiment)
+    return experiment
+
+
+def _parse_variant(checker: Checker, variant: Form) -> tuple[Change, ...]:
+    changes = list[Change]()
+    for item in variant.items[2:]:
+        if isinstance(item, Form) and item.head == "set" and len(item.items) == 3:
+            changes += _parse_change(checker, item.place, item.items[1], item.items[2])
+        else:
+            checker.fault(variant.place, item, "(set SECTION.KEY VALUE)")
+    return tuple(changes)
+
+
+def _check_changes(checker: Checker, experiment: Experiment) -> None:
+    """Apply each change by itself to what it changes.  Raises `SettingsError` with every one that doesn't fit."""
     scenario = load_scenario(experiment.script)
     deployment = load_deployment(scenario.deployment)
     for change in [*(c for changes in experiment.variants.values() for c in changes), *experiment.sweep]:
@@ -116,7 +125,6 @@
         except ValueError as cause:
             checker.fault(change.place, str(change), str(cause))
     checker.done()
-    return experiment
 
 
 def _value(item: Any) -> Any:
@@ -157,11 +165,11 @@
     return scenario, deployment, simulation
 
 
-def _fitting_value(run_one: Any, key: str, value: Any) -> Any:
-    fields = fields_by_key(run_one)
+def _fitting_value(settings: Any, key: str, value: Any) -> Any:
+    fields = fields_by_key(settings)
     if key not in fields:
         raise ChangeError("a key: " + ", ".join(name.replace("_", "-") for name in fields))
-    current = getattr(run_one, fields[key])
+    current = getattr(settings, fields[key])
     if isinstance(current, int) and not isinstance(current, bool) and isinstance(value, float):
         return int(value)
     if isinstance(current, bool | str) is not isinstance(value, bool | str) and not isinstance(current, list):
@@ -169,9 +177,9 @@
     return value
 
 
-def _replace_key(run_one: Any, key: str, value: Any) -> Any:
-    fitting = _fitting_value(run_one, key, value)
-    return dataclasses.replace(run_one, **{fields_by_key(run_one)[key]: fitting})
+def _replace_key(settings: Any, key: str, value: Any) -> Any:
+    fitting = _fitting_value(settings, key, value)
+    return dataclasses.replace(settings, **{fields_by_key(settings)[key]: fitting})
 
 
 def run_one(path: str, variant: str, point: Change | None, seed: int) -> tuple[Rows, Rows, Rows]:
--- a/kelptrail/simulation/leases.py
+++ b/kelptrail/simulation/leases.py
@@ -182,6 +182,11 @@
                     on_acquired(event.token)
                 else:
                     on_lost()
+        self._schedule_core_timer(node, now)
+
+    def _schedule_core_timer(self, node: LeaseNode, now: float) -> None:
+        """Run the cores again when the first of them is due; `now` is the node's local time."""
+        assert node.lease_client is not None
         due_times = [
             d
             for d in (
--- a/kelptrail/simulation/sharding.py
+++ b/kelptrail/simulation/sharding.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from multiprocessing import get_context
 from multiprocessing.connection import Connection
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from kelptrail.fault_scenario.scenario import FaultScenario
 from kelptrail.load.results import Result, Second
@@ -168,6 +168,18 @@
         super().__setitem__(key, when)
 
 
+class ShardResult(NamedTuple):
+    """What a shard's process returns at the end of the run."""
+
+    seconds: list[Second]
+    latency: dict[str, list[float]]
+    give_ups: dict[str, int]
+    events_run: int
+    loads: int
+    by_namespace: dict[str, list[int]]
+    captured: list[dict[str, Any]]
+
+
 def _run_shard(pipe: Connection, number: int, shard_count: int, arguments: tuple[Any, ...], capture: bool) -> None:
     """Run one shard's process: up to each window's end, then exchange messages with the coordinator."""
     try:
@@ -186,7 +198,7 @@
             out, shard.out = shard.out, []
             pipe.send((cluster.event_queue.next_at(), out))
         pipe.send(
-            (
+            ShardResult(
                 cluster.seconds,
                 cluster.latency,
                 cluster.give_ups,
@@ -286,24 +298,28 @@
             progress(until)
     for pipe in pipes:
         pipe.send(None)
+    return _merge_results([_receive(pipe) for pipe in pipes], scenario)
+
+
+def _merge_results(results: list[ShardResult], scenario: FaultScenario) -> tuple[Result, list[dict[str, Any]]]:
+    """The results of all shards as one, and their events in order of time."""
     total = Result([Second() for _ in range(int(scenario.seconds) + 60)], {}, {}, 0, 0)
     namespaces: dict[str, list[int]] = {}
     events: list[dict[str, Any]] = []
-    for pipe in pipes:
-        seconds, latency, give_ups, count, loads, by_namespace, captured = _receive(pipe)
-        for mine, theirs in zip(total.seconds, seconds, strict=True):
+    for result in results:
+        for mine, theirs in zip(total.seconds, result.seconds, strict=True):
             for name in Second.__slots__:
                 setattr(mine, name, getattr(mine, name) + getattr(theirs, name))
-        for name, latencies in latency.items():
+        for name, latencies in result.latency.items():
             total.latency.setdefault(name, []).extend(latencies)
-        for cause, occurrences in give_ups.items():
+        for cause, occurrences in result.give_ups.items():
             total.give_ups[cause] = total.give_ups.get(cause, 0) + occurrences
-        for name, (wanted, in_time) in by_namespace.items():
+        for name, (wanted, in_time) in result.by_namespace.items():
             before = namespaces.setdefault(name, [0, 0])
             before[0], before[1] = before[0] + wanted, before[1] + in_time
-        total.events += count
-        total.loads += loads
-        events += captured
+        total.events += result.events_run
+        total.loads += result.loads
+        events += result.captured
     total.extra = {f"served_{name}": in_time / wanted for name, (wanted, in_time) in namespaces.items() if wanted}
     return total, sorted(events, key=lambda event: event["t"])
 
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -262,6 +262,14 @@
             )
         if self._overloads_cold_worker(now, action.work_ms) or "hang" in self.faults:
             return
+        was_loaded, foreign_in_flight = bool(model.loaded), min(30, model.busy + len(model.waiting))
+        self._fail_or_queue(
+            _QueuedAttempt(model, mark, activation, number, reply, foreign_in_flight, was_loaded, now + limit_ms)
+        )
+
+    def _fail_or_queue(self, attempt: _QueuedAttempt) -> None:
+        """Answer an attempt at once by a fault, a model that is not loaded or a full queue; else queue it."""
+        model, reply = attempt.model, attempt.reply
         fast = self.faults.get("fail-fast")
         kind = self.faults.get("fail-type")
         if (fast and self._random.random() < fast.share) or (kind and model.type.name == kind.type):
@@ -271,12 +279,7 @@
         elif self.draining or len(self._queue) >= self._fleet.queue:
             reply(AttemptStatus.OUT_OF_CAPACITY, WorkerAnswer("full", report=self._report()))
         else:
-            foreign_in_flight = min(30, model.busy + len(model.waiting))
-            model.waiting.append(
-                _QueuedAttempt(
-                    model, mark, activation, number, reply, foreign_in_flight, bool(model.loaded), now + limit_ms
-                )
-            )
+            model.waiting.append(attempt)
             self._queue.append(model)
             self._start_queued()
 
