--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -1,4 +1,4 @@
-"""A run of the lab over several processes: the same rules, the same figures, the same each time."""
+"""A simulation run over several processes: the same rules, the same figures, the same each time."""
 
 from __future__ import annotations
 
@@ -55,8 +55,8 @@
     assert first.loads == pytest.approx(single.store.fetches, rel=0.25), "all loads go through the first shard's store"
 
 
-def test_troubles_fall_on_all_shards_alike_and_no_rule_breaks() -> None:
-    """Effects are told apart by mark, sends by activation: one shard that believed in other workers would show."""
+def test_faults_apply_to_all_shards_alike_and_no_rule_breaks() -> None:
+    """Effects are distinguished by mark, sends by activation: one shard that believed in other workers would show."""
     faults = [
         fault("crash", 2, 1.5, 0.2),
         fault("rolling-deploy", 3, 2, 0.2),
@@ -97,7 +97,7 @@
     assert replies == [True], "the first reply counts"
 
 
-def test_a_shard_that_fails_is_told_with_its_cause() -> None:
+def test_a_shard_that_fails_is_reported_with_its_cause() -> None:
     scenario, deployment = scenario_with([fault("nonsense", 1, 1, 0.2)]), load(ROOT / "examples" / "nursery.sexp")
     object.__setattr__(scenario.faults[0], "at", "soon")
     with pytest.raises(ShardError, match="TypeError"):
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""The lab: its engine, its emulated workers and store, whole runs judged by the audit, and the ramp of copies."""
+"""The simulation: event queue, workers and store, runs judged by the history checker, and the instance limit."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_events_come_in_order_of_time_and_entry_and_can_be_called_off() -> None:
+def test_events_run_in_order_of_time_and_entry_and_can_be_cancelled() -> None:
     event_queue, seen = EventQueue(), list[Any]()
     event_queue.at(5, seen.append, "b")
     off = event_queue.at(4, seen.append, "never")
@@ -58,7 +58,7 @@
     assert ends[-1] == (pytest.approx(1180.0), True), "a fifth of the pace for 100 ms, then all of it"
 
 
-def test_a_worker_loads_queues_drops_repeats_and_falls_when_pushed_cold() -> None:
+def test_a_worker_loads_queues_drops_repeats_and_collapses_when_overloaded_cold() -> None:
     deployment = load(ROOT / "examples" / "nursery.sexp")
     event_queue = EventQueue()
     recorded: list[tuple[str, dict[str, Any]]] = []
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("name", ["kills", "second-sends", "first"])
-def test_scripts_of_the_bad_days_play_in_the_lab_and_the_audit_finds_nothing(name: str) -> None:
+def test_fault_scenarios_run_in_the_simulation_and_the_history_checker_finds_nothing(name: str) -> None:
     scenario = load_scenario(ROOT / "examples" / "bad-days" / f"{name}.sexp")
     cluster = SimulatedCluster(scenario, load(scenario.deployment), 3, capture=True)
     cluster.run()
@@ -115,8 +115,8 @@
     assert runs[0].latency != runs[2].latency
 
 
-def test_an_overloaded_dispatcher_falls_behind_in_the_lab_too() -> None:
-    """A lab whose dispatchers cost nothing would flatter."""
+def test_an_overloaded_dispatcher_falls_behind_in_the_simulation_too() -> None:
+    """A simulation whose dispatchers cost no CPU would be too favourable."""
     scenario = load_scenario(ROOT / "examples" / "bad-days" / "second-sends.sexp")
     deployment = load(scenario.deployment)
     scenario = replace(scenario, seconds=5.0, workers=6, dispatchers=1, load=[steady_load(200.0, 5.0, 0.8)], faults=[])
@@ -125,7 +125,7 @@
     assert medians[1] > 4 * medians[0]
 
 
-def test_the_copy_limit_grows_with_the_depth_of_lag_at_most_twofold() -> None:
+def test_the_instance_limit_grows_with_the_queue_at_most_twofold() -> None:
     """Guards against a start with nothing under load: by one a load time it took seventeen seconds."""
     dispatcher = make(60, load_ration=LoadRation(True, 999.0, 0.3, 5000.0))
     function = model(concurrency=2)
@@ -216,7 +216,7 @@
         load_experiment(file)
 
 
-def test_recovery_counts_from_the_last_troubles_end() -> None:
+def test_recovery_counts_from_the_last_faults_end() -> None:
     scenario = load_scenario(ROOT / "examples" / "bad-days" / "kills.sexp")
     end = max(t.at + t.duration for t in scenario.faults)
     seconds = [Second(calls=10, in_time=10 if n < 5 or n >= end + 3 else 2) for n in range(int(scenario.seconds) + 60)]
@@ -226,8 +226,8 @@
 
 
 def test_a_paused_worker_goes_on_with_what_came_meanwhile_and_heavy_work_keeps_its_share() -> None:
-    """Guards against a lab that flatters: it dropped what a paused worker got, and made 2% of the work heavy where the
-    script said all of it (99th percentile 759 ms beside 2,640 on sockets)."""
+    """Guards against a simulation that is too favourable: it dropped what a paused worker got, and made 2% of the work
+    heavy where the script said all of it (99th percentile 759 ms beside 2,640 on sockets)."""
     deployment = load(ROOT / "examples" / "nursery.sexp")
     event_queue, recorded, ends = EventQueue(), list[tuple[str, dict[str, Any]]](), list[tuple[float, Any]]()
     worker = SimulatedWorker(
