--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -39,6 +39,7 @@
 
     @property
     def running(self) -> bool:
+        """Whether the process was started and has not ended."""
         return self.process is not None and self.process.returncode is None
 
 
--- a/kelptrail/settings/reader.py
+++ b/kelptrail/settings/reader.py
@@ -80,6 +80,7 @@
 
     @property
     def head(self) -> str | None:
+        """Its first word, or None where it starts with something else."""
         first = self.items[0] if self.items else None
         return str(first.value) if isinstance(first, Atom) and first.kind == "word" else None
 
--- a/kelptrail/store/faulty_disk.py
+++ b/kelptrail/store/faulty_disk.py
@@ -18,7 +18,7 @@
 READ_INTERVAL_S = 0.02
 
 
-class FaultyDisk(apsw.VFS):  # type: ignore[misc]
+class FaultyDisk(apsw.VFS):
     """An SQLite VFS whose faults are set through `file` or, without one, through `fault`."""
 
     def __init__(self, file: Path | None = None) -> None:
@@ -39,7 +39,7 @@
         return _FaultyFile(self, name, flags)
 
 
-class _FaultyFile(apsw.VFSFile):  # type: ignore[misc]
+class _FaultyFile(apsw.VFSFile):
     def __init__(self, disk: FaultyDisk, name: Any, flags: Any) -> None:
         self._disk = disk
         super().__init__("", name, flags)
