--- a/kelptrail/simulation/event_queue.py
+++ b/kelptrail/simulation/event_queue.py
@@ -1,7 +1,7 @@
-"""Events in order of simulated time, and of entry at one time; nothing else happens.
+"""The event queue of the simulation: callbacks in order of simulated time, first in first out at equal times.
 
-Weighed: simpy, whose processes are generators that wait.  What is driven here are cores that are told and pulled: a
-heap of calls is all that they need, and events are what a run's time goes into.
+Considered: simpy, whose processes are generators that wait.  The cores that are simulated here take inputs and return
+effects, so a heap of callbacks is enough, and it is the hot path of a run.
 """
 
 from __future__ import annotations
@@ -12,52 +12,52 @@
 
 
 class Timer:
-    """An event that can be called off."""
+    """A scheduled callback that can be cancelled."""
 
-    __slots__ = ("what", "words")
+    __slots__ = ("arguments", "callback")
 
-    def __init__(self, what: Callable[..., None], words: tuple[Any, ...]) -> None:
-        self.what: Callable[..., None] | None = what
-        self.words = words
+    def __init__(self, callback: Callable[..., None], arguments: tuple[Any, ...]) -> None:
+        self.callback: Callable[..., None] | None = callback
+        self.arguments = arguments
 
     def cancel(self) -> None:
-        """It does not happen."""
-        self.what, self.words = None, ()
+        """Keep the callback from running; without effect once it has run."""
+        self.callback, self.arguments = None, ()
 
 
 class EventQueue:
-    """Simulated time in milliseconds."""
+    """Callbacks by simulated time.  `now` is in milliseconds, `events` counts the callbacks that ran."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self.events = 0
-        self._entries = 0
+        self._sequence = 0
         self._heap: list[tuple[float, int, Timer]] = []
 
-    def at(self, when: float, what: Callable[..., None], *words: Any) -> Timer:
-        """Let something happen at a time, at the earliest now."""
-        timer = Timer(what, words)
-        self._entries += 1
-        heappush(self._heap, (max(self.now, when), self._entries, timer))
+    def at(self, when: float, callback: Callable[..., None], *arguments: Any) -> Timer:
+        """Schedule a callback at a time in ms; a time that has passed counts as now."""
+        timer = Timer(callback, arguments)
+        self._sequence += 1
+        heappush(self._heap, (max(self.now, when), self._sequence, timer))
         return timer
 
-    def after(self, delay: float, what: Callable[..., None], *words: Any) -> Timer:
-        """Let something happen after a delay."""
-        return self.at(self.now + delay, what, *words)
+    def after(self, delay: float, callback: Callable[..., None], *arguments: Any) -> Timer:
+        """Schedule a callback after a delay in ms."""
+        return self.at(self.now + delay, callback, *arguments)
 
     def next_at(self) -> float:
-        """When the next thing happens; infinity where there is none."""
+        """Time of the next callback in ms; infinity where there is none."""
         heap = self._heap
-        while heap and heap[0][2].what is None:
+        while heap and heap[0][2].callback is None:
             heappop(heap)
         return heap[0][0] if heap else float("inf")
 
     def run(self, until: float) -> None:
-        """Let everything happen up to a time."""
+        """Run all callbacks due up to a time in ms, and advance `now` to it."""
         heap = self._heap
         while heap and heap[0][0] <= until:
             self.now, _, timer = heappop(heap)
-            if timer.what is not None:
+            if timer.callback is not None:
                 self.events += 1
-                timer.what(*timer.words)
+                timer.callback(*timer.arguments)
         self.now = until
--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -50,7 +50,7 @@
 from kelptrail.settings import deployment
 from kelptrail.settings.reader import SourcePosition
 from kelptrail.simulation import experiment
-from kelptrail.simulation.cluster import SimulationSettings
+from kelptrail.simulation.settings import SimulationSettings
 from kelptrail.simulator_adapter.__main__ import SimulatorAdapter
 from kelptrail.vrrp import authentication as vrrp_seal
 from kelptrail.vrrp import packet as vrrp_packet
@@ -416,7 +416,9 @@
     found = {}
     for section in ("no-such", *SETTINGS_KEYS):
         with pytest.raises(ValueError) as caught:
-            experiment.changed(day, whole, SimulationSettings(), [experiment.Change(section, "no-such", 1.0, place)])
+            experiment.apply_changes(
+                day, whole, SimulationSettings(), [experiment.Change(section, "no-such", 1.0, place)]
+            )
         found[section] = str(caught.value)
     assert found == {"no-such": BYTES["experiments"]["no-such"], **SETTINGS_KEYS}
 
