--- a/kelptrail/simulation/compare.py
+++ b/kelptrail/simulation/compare.py
@@ -89,30 +89,9 @@
         "| variant | point | served in time | recovery s | p50 ms | p99 ms | rejected | lost | sends | loads |",
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
-    for variant in variants:
-        for point in points:
-            mine = [r for r in runs if r["variant"] == variant and r["point"] == point]
-            if mine:
-
-                def mean(key: str, of: list[dict[str, Any]] = mine) -> float:
-                    return float(np.mean([r[key] for r in of]))
-
-                lines.append(
-                    f"| {variant} | {point or '-'} | {mean('served_share'):.3f} | {mean('recovery_s'):.1f} | "
-                    f"{mean('p50_ms'):.0f} | {mean('p99_ms'):.0f} | {mean('rejected'):.0f} | "
-                    f"{mean('lost'):.0f} | {mean('sends'):.0f} | {mean('loads'):.0f} |"
-                )
+    lines += _figure_rows(runs, variants, points)
     for other in variants[1:]:
-        lines += [
-            "",
-            f"## {other} beside {variants[0]}",
-            "",
-            "| figure | point | pairs | difference (95%) | verdict |",
-            "| --- | --- | --- | --- | --- |",
-        ]
-        both = [[r for r in runs if r["variant"] == v] for v in (variants[0], other)]
-        for d in compare(*both):
-            lines.append(f"| {d.figure} | {d.point or '-'} | {d.pairs} | {d.low:.3g} to {d.high:.3g} | {d.verdict} |")
+        lines += _comparison(runs, variants[0], other)
     _draw(folder, runs, seconds, variants, points)
     lines += ["", "![service over time](service.png)", ""]
     if len(points) > 1:
@@ -125,13 +104,48 @@
         "![loads, orders, calls in hand, dispatchers that are not calm](work.png)",
         "",
     ]
-    _draw_spread(folder, spread, variants, points)
+    _draw_latency(folder, spread, variants, points)
+    _draw_give_ups(folder, spread, variants, points)
     _draw_work(folder, seconds, variants, points)
     file = folder / "report.md"
     file.write_text("\n".join(lines))
     return file
 
 
+def _figure_rows(runs: list[dict[str, Any]], variants: list[str], points: list[str]) -> list[str]:
+    """Table rows: the mean figures of each variant at each point."""
+    rows = []
+    for variant in variants:
+        for point in points:
+            mine = [r for r in runs if r["variant"] == variant and r["point"] == point]
+            if mine:
+
+                def mean(key: str, of: list[dict[str, Any]] = mine) -> float:
+                    return float(np.mean([r[key] for r in of]))
+
+                rows.append(
+                    f"| {variant} | {point or '-'} | {mean('served_share'):.3f} | {mean('recovery_s'):.1f} | "
+                    f"{mean('p50_ms'):.0f} | {mean('p99_ms'):.0f} | {mean('rejected'):.0f} | "
+                    f"{mean('lost'):.0f} | {mean('sends'):.0f} | {mean('loads'):.0f} |"
+                )
+    return rows
+
+
+def _comparison(runs: list[dict[str, Any]], first: str, second: str) -> list[str]:
+    """A section of the report: the differences of two variants."""
+    lines = [
+        "",
+        f"## {second} beside {first}",
+        "",
+        "| figure | point | pairs | difference (95%) | verdict |",
+        "| --- | --- | --- | --- | --- |",
+    ]
+    both = [[r for r in runs if r["variant"] == v] for v in (first, second)]
+    for d in compare(*both):
+        lines.append(f"| {d.figure} | {d.point or '-'} | {d.pairs} | {d.low:.3g} to {d.high:.3g} | {d.verdict} |")
+    return lines
+
+
 def _draw(
     folder: Path, runs: list[dict[str, Any]], seconds: list[dict[str, Any]], variants: list[str], points: list[str]
 ) -> None:
@@ -173,8 +187,8 @@
         pyplot.close(figure)
 
 
-def _draw_spread(folder: Path, spread: list[dict[str, Any]], variants: list[str], points: list[str]) -> None:
-    """Plot the latency distribution by type, and the calls given up by cause."""
+def _draw_latency(folder: Path, spread: list[dict[str, Any]], variants: list[str], points: list[str]) -> None:
+    """Plot the latency distribution by type, at the first point."""
     from matplotlib import pyplot
 
     figure, axis = pyplot.subplots(figsize=(8, 4))
@@ -201,6 +215,12 @@
     figure.tight_layout()
     figure.savefig(folder / "latency.png", dpi=100)
     pyplot.close(figure)
+
+
+def _draw_give_ups(folder: Path, spread: list[dict[str, Any]], variants: list[str], points: list[str]) -> None:
+    """Plot the calls given up by cause."""
+    from matplotlib import pyplot
+
     causes = list(dict.fromkeys(r["name"] for r in spread if r["what"] == "give_ups"))
     figure, axis = pyplot.subplots(figsize=(8, 4))
     bars = [(variant, point) for variant in variants for point in points]
