--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -83,6 +83,7 @@
         self.asked: list[int] = []
         self.events: list[bytes] = []
         self.after = "stay"  # what the feed does after its events
+        self._feed_writers: set[asyncio.StreamWriter] = set()  # of the open connections
 
     async def __aenter__(self) -> PlatformFixture:
         server = await asyncio.start_server(self._feed, "127.0.0.1", 0)
@@ -118,14 +119,22 @@
         self.service.close()
         assert not self.service.invariants.violations
 
+    def push(self, event: bytes) -> None:
+        """Send an event to all who watch the list, as its service does at once, and to all who ask later."""
+        self.events = [event]
+        for writer in self._feed_writers:
+            writer.write(event)
+
     async def _feed(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             self.asked.append(int.from_bytes(await reader.readexactly(8), "big"))
             for event in self.events:
                 writer.write(event)
+            self._feed_writers.add(writer)
             if self.after == "break":
                 writer.close()
             await reader.read()
+        self._feed_writers.discard(writer)
         writer.close()
 
     async def client(self) -> Client:
--- a/tests/test_platform_load.py
+++ b/tests/test_platform_load.py
@@ -124,22 +124,10 @@
                 for caller in callers:
                     if caller.open < 24:
                         caller.ask(n, chance.choice("ttko"), chance.choice((400, 800, 1500)))
-                if n == 60:  # one worker drains, and the feed tells so
-                    platform.events = [
-                        event(
-                            2,
-                            2,
-                            (
-                                3,
-                                int(
-                                    platform.told["known"]["entries"][0]["hosts"]["targets"][3]["endpoint"].rpartition(
-                                        ":"
-                                    )[2]
-                                ),
-                                1,
-                            ),
-                        )
-                    ]
+                if n == 60:  # one worker drains
+                    endpoint = platform.told["known"]["entries"][0]["hosts"]["targets"][3]["endpoint"]
+                    port = int(endpoint.rpartition(":")[2])
+                    platform.push(event(2, 2, (3, port, 1)))
                     platform.service.reload(platform.service.config)
                     drained = loop.time()
                 await asyncio.sleep(0.03)
