--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,12 +4,16 @@
 
 from typing import Any
 
+from kelptrail.dispatch.attempt_results import AttemptResult
 from kelptrail.dispatch.components import Components, DispatcherOptions
 from kelptrail.dispatch.dispatcher import Dispatcher
 from kelptrail.dispatch.entities import (
+    Attempt,
+    AttemptStatus,
     Decision,
     Function,
     Idempotency,
+    LoadOrder,
     Request,
     RequestClass,
     Tenant,
@@ -35,6 +39,8 @@
     "max_delivery_ms": 0.0,
 }
 
+AMPLE_LOADS = LoadRation(True, 99.0, 0.3, 5000.0)
+
 
 def make_safety(**changes: Any) -> SafetyGuard:
     """A safety guard with the settings `SAFETY`, but for the changes."""
@@ -99,3 +105,35 @@
     while (decision := dispatcher.decide(now)) is not None:
         found.append(decision)
     return found
+
+
+def load_and_serve_one(dispatcher: Dispatcher, function: Function, now: float = 0.0, instances: int = 1) -> Worker:
+    """Load `instances` for one request and complete its attempt; returns the worker."""
+    request = new_request(function, now)
+    dispatcher.on_request(now, request)
+    dispatcher.parts.instances.shared_ratio = 0.0
+    (order,) = pull(dispatcher, now)
+    assert isinstance(order, LoadOrder)
+    dispatcher.on_load_report(now, order, AttemptStatus.COMPLETED, instances)
+    (attempt,) = pull(dispatcher, now)
+    assert isinstance(attempt, Attempt)
+    complete(dispatcher, attempt, now + 50)
+    return attempt.instance.worker
+
+
+def complete(dispatcher: Dispatcher, attempt: Attempt, now: float) -> None:
+    """The attempt's worker has answered it."""
+    dispatcher.on_attempt_finished(now, attempt, AttemptResult(AttemptStatus.COMPLETED, True, warm=True))
+
+
+def submit(dispatcher: Dispatcher, function: Function, now: float, count: int, ms: float = 3000.0) -> list[Decision]:
+    """`count` requests arrive; returns what is decided on them."""
+    for n in range(count):
+        dispatcher.on_request(now, new_request(function, now, n, ms))
+    return pull(dispatcher, now)
+
+
+def tick(dispatcher: Dispatcher, now: float) -> float:
+    """Let the dispatcher do its periodic work; returns `now`."""
+    dispatcher.on_tick(now)
+    return now
--- /dev/null
+++ b/tests/test_dispatch_hedging.py
@@ -0,0 +1,161 @@
+"""Hedged requests, retries of overdue attempts, and the retry budget."""
+
+from __future__ import annotations
+
+import pytest
+from helpers import (
+    AMPLE_LOADS,
+    kind,
+    make,
+    model,
+    new_request,
+    pull,
+)
+
+from kelptrail.dispatch.attempt_results import AttemptResult
+from kelptrail.dispatch.dispatcher import Dispatcher
+from kelptrail.dispatch.entities import (
+    Attempt,
+    AttemptStatus,
+    Function,
+    Idempotency,
+    LoadOrder,
+    Request,
+    RequestClass,
+)
+
+
+def serve_in_sequence(dispatcher: Dispatcher, function: Function, now: float, took: float, n: int) -> float:
+    """Complete `n` requests one after the other, so that the usual latency is known."""
+    for number in range(n):
+        _, attempts = submit_one(dispatcher, function, now, 1000 + number)
+        for attempt in attempts:
+            dispatcher.on_attempt_finished(now + took, attempt, AttemptResult(AttemptStatus.COMPLETED, True))
+        now += took
+        pull(dispatcher, now)
+    return now
+
+
+def hedged_class(effect: Idempotency = Idempotency.IDEMPOTENT) -> RequestClass:
+    return RequestClass(effect.value, effect, 500.0, 2.0, 0.3, "all", 5000.0, True)
+
+
+def submit_one(dispatcher: Dispatcher, function: Function, now: float, n: int = 1) -> tuple[Request, list[Attempt]]:
+    request = new_request(function, now, n)
+    dispatcher.on_request(now, request)
+    attempts = []
+    for _ in range(3):
+        for decision in pull(dispatcher, now):
+            if isinstance(decision, LoadOrder):
+                dispatcher.on_load_report(now, decision, AttemptStatus.COMPLETED, decision.count)
+            elif isinstance(decision, Attempt):
+                attempts.append(decision)
+    return request, attempts
+
+
+def load_everywhere(dispatcher: Dispatcher, function: Function, now: float) -> None:
+    """Load an instance on every worker."""
+    for worker in dispatcher.workers:
+        dispatcher.parts.instances.set_loaded(now, dispatcher.parts.instances.get_or_add(function, worker), 1)
+
+
+@pytest.mark.parametrize("effect", [Idempotency.IDEMPOTENT, Idempotency.DEDUPLICATED])
+def test_a_hedge_starts_after_the_usual_deviation_on_another_worker(effect: Idempotency) -> None:
+    dispatcher = make(3, load_ration=AMPLE_LOADS)
+    function = model(request_class=hedged_class(effect))
+    now = serve_in_sequence(dispatcher, function, 0.0, 40.0, 30)
+    load_everywhere(dispatcher, function, now)
+    request, (first,) = submit_one(dispatcher, function, now)
+    wait = dispatcher.parts.retry_budget.hedge_delay(function, first.instance.worker)
+    assert 40 <= wait < 60, "steady latencies have a small deviation"
+    assert not pull(dispatcher, now + wait - 1)
+    (second,) = [d for d in pull(dispatcher, now + wait + 1) if isinstance(d, Attempt)]
+    assert second.request is request and second.instance.worker is not first.instance.worker
+    dispatcher.on_attempt_finished(now + 90, second, AttemptResult(AttemptStatus.COMPLETED, True))
+    assert [d for d in pull(dispatcher, now + 90) if isinstance(d, Attempt)] == [first] and first.cancelled
+
+
+def test_no_hedge_without_permission_without_a_free_slot_or_without_budget() -> None:
+    for request_class, instances, budget in (
+        (kind(), True, True),
+        (hedged_class(), False, True),
+        (hedged_class(), True, False),
+    ):
+        dispatcher = make(3, load_ration=AMPLE_LOADS)
+        function = model(request_class=request_class)
+        now = serve_in_sequence(dispatcher, function, 0.0, 40.0, 30)
+        if instances:
+            load_everywhere(dispatcher, function, now)
+        if not budget:
+            while dispatcher.parts.retry_budget.try_spend():
+                pass
+        _, (first,) = submit_one(dispatcher, function, now)
+        others = [
+            instance for instance in function.instances.values() if instance is not first.instance and instance.loaded
+        ]
+        for instance in () if instances else others:
+            instance.loaded = 0
+        assert not [d for d in pull(dispatcher, now + 150) if isinstance(d, Attempt)]
+        assert not function.queue_depth, "a hedge never waits in a queue"
+
+
+def test_the_retry_budget_grows_with_completed_requests() -> None:
+    dispatcher = make(2, load_ration=AMPLE_LOADS)
+    retry_budget = dispatcher.parts.retry_budget
+    spent = 0
+    while retry_budget.try_spend():
+        spent += 1
+    assert 0 < spent <= 100
+    for _ in range(51):
+        retry_budget.deposit()
+    again = 0
+    while retry_budget.try_spend():
+        again += 1
+    assert again == 10, "a fifth of what was completed"
+
+
+def test_retries_of_overdue_attempts_wait_for_the_retry_budget() -> None:
+    """Guards against retrying everything at once at workers that fall silent under load."""
+    dispatcher = make(4, load_ration=AMPLE_LOADS)
+    function = model(concurrency=8)
+    now = serve_in_sequence(dispatcher, function, 0.0, 40.0, 20)
+    load_everywhere(dispatcher, function, now)
+    while dispatcher.parts.retry_budget.try_spend():
+        pass
+    requests = [submit_one(dispatcher, function, now, n) for n in range(6)]
+    attempts = [attempt for _, found in requests for attempt in found]
+    assert len(attempts) == 6
+    now += 1500  # unusually long
+    dispatcher.on_tick(now)
+    assert all(attempt.overdue for attempt in attempts) and not [
+        d for d in pull(dispatcher, now) if isinstance(d, Attempt)
+    ]
+    for _ in range(11):
+        dispatcher.parts.retry_budget.deposit()
+    now += 600  # silent workers are ejected for a time
+    dispatcher.on_tick(now)
+    assert len([d for d in pull(dispatcher, now) if isinstance(d, Attempt)]) == 2
+    dispatcher.on_attempt_finished(now + 50, attempts[5], AttemptResult(AttemptStatus.COMPLETED, True))
+    for _ in range(100):
+        dispatcher.parts.retry_budget.deposit()
+    dispatcher.on_tick(now + 100)
+    late = [d for d in pull(dispatcher, now + 100) if isinstance(d, Attempt) and not d.cancelled]
+    assert 0 < len(late) <= 4 and all(d.request is not attempts[5].request for d in late), (
+        "a finished request is not retried"
+    )
+
+
+def test_latency_deviation_and_a_slow_worker_make_the_hedge_delay_longer() -> None:
+    dispatcher = make(2, load_ration=AMPLE_LOADS)
+    steady, spread, retry_budget = model("a"), model("b"), dispatcher.parts.retry_budget
+    one, slow = dispatcher.workers
+    for n in range(200):
+        retry_budget.observe_latency(steady, one, 40.0)
+        retry_budget.observe_latency(spread, one, 10.0 if n % 2 else 70.0)
+    assert retry_budget.hedge_delay(spread, one) > 2 * retry_budget.hedge_delay(steady, one)
+    for _ in range(50):
+        retry_budget.observe_latency(spread, slow, 3 * spread.mean_latency_ms)
+        retry_budget.observe_latency(spread, one, 0.3 * spread.mean_latency_ms)
+    assert retry_budget.hedge_delay(spread, slow) == pytest.approx(
+        2 * (spread.mean_latency_ms + 4 * spread.latency_deviation_ms), rel=0.2
+    )
--- /dev/null
+++ b/tests/test_dispatch_termination.py
@@ -0,0 +1,217 @@
+"""Requests that end without the answer of a worker: with which status, how soon, and with which Retry-After."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+import pytest
+from helpers import (
+    complete,
+    kind,
+    load_and_serve_one,
+    make,
+    model,
+    new_request,
+    pull,
+    submit,
+    tick,
+)
+
+from kelptrail.dispatch.attempt_results import AttemptResult
+from kelptrail.dispatch.dispatcher import Dispatcher
+from kelptrail.dispatch.entities import (
+    Attempt,
+    AttemptStatus,
+    Idempotency,
+    LoadOrder,
+    Request,
+)
+
+
+def test_a_request_that_cannot_meet_its_deadline_is_rejected_at_once() -> None:
+    dispatcher, function = make(), model()
+    load_and_serve_one(dispatcher, function)
+    function.mean_latency_ms = 400.0
+    (end,) = submit(dispatcher, function, 100.0, 1, 150.0)
+    assert isinstance(end, Request) and end.final_status == "rejected"
+
+
+def test_late_answers_shed_the_lowest_priority_weight_first_and_timely_ones_admit_again() -> None:
+    queues = make().parts.queues
+    for n in range(60):
+        queues.observe_worker_delay(model(f"f{n}"), True)
+    low = sum(queues.should_shed(1.0, new_request(model(), 0.0)) for _ in range(200))
+    high = sum(queues.should_shed(1.0, new_request(model(request_class=kind(weight=8.0)), 0.0)) for _ in range(200))
+    assert low > 190 > high > 0
+    for _ in range(60):
+        queues.observe_worker_delay(model(), False)
+    assert not any(queues.should_shed(1.0, new_request(model(), 0.0)) for _ in range(200))
+
+
+def test_a_deduplicated_request_that_may_have_run_is_rejected_only_with_a_valid_key() -> None:
+    cases = ((True, 100.0, "rejected"), (True, 9000.0, "aborted"), (False, 100.0, "aborted"))
+    for has_key, later, final_status in cases:
+        dispatcher = make(workers=1)
+        function = model(request_class=kind(Idempotency.DEDUPLICATED))
+        load_and_serve_one(dispatcher, function)
+        (attempt,) = submit(dispatcher, function, 100.0, 1)
+        attempt.request.has_idempotency_key = has_key
+        assert dispatcher.parts.safety.finish(100.0 + later, attempt.request).final_status == final_status
+
+
+def test_a_retry_after_beyond_the_deduplication_window_makes_no_rejection() -> None:
+    """A client that comes back when it was told to must still be remembered."""
+    dispatcher = make(workers=1, retry_after_ms=500.0)
+    function = model(request_class=kind(Idempotency.DEDUPLICATED))
+    load_and_serve_one(dispatcher, function)
+    (attempt,) = submit(dispatcher, function, 100.0, 1)
+    function.load_ms = 1000.0
+    within, beyond = 100.0 + 5000.0 - 600.0, 100.0 + 5000.0 - 400.0  # of the window of 5 s, half a second to come back
+    assert dispatcher.terminate(within, attempt.request).final_status == "rejected"
+    attempt.request.final_status = None
+    assert dispatcher.terminate(beyond, attempt.request).final_status == "aborted"
+
+
+def start_attempt(dispatcher: Dispatcher, request: Request, now: float) -> Attempt:
+    """Start an attempt of the request, after the load of an instance if there was none."""
+    dispatcher.on_request(now, request)
+    found = pull(dispatcher, now)
+    for order in (d for d in found if isinstance(d, LoadOrder)):
+        dispatcher.on_load_report(now, order, AttemptStatus.COMPLETED, order.count)
+    (attempt,) = (d for d in [*found, *pull(dispatcher, now)] if isinstance(d, Attempt))
+    return attempt
+
+
+def answer(dispatcher: Dispatcher, attempt: Attempt, status: AttemptStatus, now: float) -> None:
+    dispatcher.on_attempt_finished(now, attempt, AttemptResult(status, False))
+
+
+class Termination(NamedTuple):
+    """What a scenario expects: at this time, these requests end with this status."""
+
+    now: float
+    requests: list[Request]
+    final_status: str
+
+
+def past_the_queue_limit(dispatcher: Dispatcher) -> Termination:
+    requests = [new_request(model("f", 1), 0.0, n) for n in range(30)]
+    for request in requests:
+        request.function = requests[0].function
+        dispatcher.on_request(0.0, request)
+    return Termination(0.0, requests[4:], "rejected")
+
+
+def too_little_time(dispatcher: Dispatcher) -> Termination:
+    function = model()
+    complete(dispatcher, start_attempt(dispatcher, new_request(function, 0.0), 0.0), 400.0)
+    request = new_request(function, 500.0, 1, 150.0)
+    dispatcher.on_request(500.0, request)
+    return Termination(500.0, [request], "rejected")
+
+
+def out_of_attempts(dispatcher: Dispatcher) -> Termination:
+    dispatcher.parts.safety._max_attempts = 1
+    request = new_request(model(), 0.0)
+    answer(dispatcher, start_attempt(dispatcher, request, 0.0), AttemptStatus.OUT_OF_CAPACITY, 40.0)
+    return Termination(40.0, [request], "rejected")
+
+
+def at_most_once_lost(dispatcher: Dispatcher) -> Termination:
+    request = new_request(model(request_class=kind(Idempotency.AT_MOST_ONCE)), 0.0)
+    answer(dispatcher, start_attempt(dispatcher, request, 0.0), AttemptStatus.CONNECTION_LOST, 40.0)
+    return Termination(40.0, [request], "aborted")
+
+
+def past_the_deduplication_window(dispatcher: Dispatcher) -> Termination:
+    request = new_request(model(request_class=kind(Idempotency.DEDUPLICATED)), 0.0, 0, 9000.0)
+    answer(dispatcher, start_attempt(dispatcher, request, 0.0), AttemptStatus.CONNECTION_LOST, 5100.0)
+    return Termination(5100.0, [request], "aborted")
+
+
+def too_late_to_retry(dispatcher: Dispatcher) -> Termination:
+    function = model()
+    complete(dispatcher, start_attempt(dispatcher, new_request(function, 0.0), 0.0), 400.0)
+    request = new_request(function, 500.0, 1, 900.0)
+    answer(dispatcher, start_attempt(dispatcher, request, 500.0), AttemptStatus.OUT_OF_CAPACITY, 1250.0)
+    return Termination(1250.0, [request], "rejected")
+
+
+def nobody_can_load(dispatcher: Dispatcher) -> Termination:
+    requests = [new_request(model("bogus"), 0.0, n) for n in range(4)]
+    for request in requests:
+        request.function = requests[0].function
+        dispatcher.on_request(0.0, request)
+    for now in (0.0, 30.0):
+        (order,) = (d for d in pull(dispatcher, tick(dispatcher, now)) if isinstance(d, LoadOrder))
+        dispatcher.on_load_report(now + 1, order, AttemptStatus.ERROR, 0)
+    return Termination(31.0, requests, "rejected")
+
+
+def load_shed(dispatcher: Dispatcher) -> Termination:
+    dispatcher.parts.queues._admitted_share = 0.05
+    requests = [new_request(model(), 0.0, n) for n in range(2)]
+    for request in requests:
+        dispatcher.on_request(0.0, request)
+    return Termination(0.0, requests, "rejected")
+
+
+def deadline_reached(dispatcher: Dispatcher) -> Termination:
+    request = new_request(model(request_class=kind(Idempotency.AT_MOST_ONCE)), 0.0)
+    start_attempt(dispatcher, request, 0.0)
+    return Termination(2995.0, [request], "aborted")
+
+
+def too_little_time_behind_others(dispatcher: Dispatcher) -> Termination:
+    function = model(concurrency=1)
+    complete(dispatcher, start_attempt(dispatcher, new_request(function, 0.0), 0.0), 400.0)
+    start_attempt(dispatcher, new_request(function, 500.0, 1), 500.0)
+    for worker in dispatcher.workers:
+        dispatcher.parts.outliers.eject(500.0, worker.outlier_state)
+    behind = new_request(function, 500.0, 3, 800.0)
+    for request in (new_request(function, 500.0, 2), behind):
+        dispatcher.on_request(500.0, request)
+    pull(dispatcher, 500.0)
+    return Termination(1100.0, [behind], "rejected")  # half of the usual time is left, and the first may still wait
+
+
+def window_closes_behind_others(dispatcher: Dispatcher) -> Termination:
+    function = model(concurrency=1, request_class=kind(Idempotency.DEDUPLICATED))
+    request = new_request(function, 0.0, 0, 9000.0)
+    attempt = start_attempt(dispatcher, request, 0.0)
+    for worker in dispatcher.workers:
+        worker.outlier_state.ejected_until = 8000.0
+    answer(dispatcher, attempt, AttemptStatus.CONNECTION_LOST, 100.0)
+    pull(dispatcher, 100.0)
+    function.queue.appendleft(new_request(function, 100.0, 1, 9000.0))
+    return Termination(4980.0, [request], "aborted")
+
+
+SCENARIOS = [
+    past_the_queue_limit,
+    too_little_time,
+    out_of_attempts,
+    at_most_once_lost,
+    past_the_deduplication_window,
+    too_late_to_retry,
+    nobody_can_load,
+    load_shed,
+    deadline_reached,
+    too_little_time_behind_others,
+    window_closes_behind_others,
+]
+
+
+@pytest.mark.parametrize("max_retry_after_ms", [500.0, 0.0])
+@pytest.mark.parametrize("scenario", SCENARIOS)
+def test_terminated_requests_are_answered_at_once_with_retry_after_where_allowed(
+    scenario: Callable[[Dispatcher], Termination], max_retry_after_ms: float
+) -> None:
+    dispatcher = make(retry_after_ms=max_retry_after_ms)
+    now, requests, final_status = scenario(dispatcher)
+    ended = [d for d in pull(dispatcher, now) if isinstance(d, Request)]
+    assert sorted(a.id for a in ended) == sorted(a.id for a in requests)
+    for request in ended:
+        assert request.final_status == final_status
+        assert request.retry_after_ms == (max_retry_after_ms if final_status == "rejected" else 0.0)
