--- /dev/null
+++ b/tests/raw_sockets.py
@@ -0,0 +1,101 @@
+"""Blocking sockets, held connects and the output of processes, for tests that force an order of events."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import os
+import select
+import socket
+import subprocess
+import time
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+
+from kelptrail.codec import frames
+from kelptrail.net.connection import connect
+from kelptrail.platform import worker_connection
+
+SMALL_BUFFER_BYTES = 4096  # bytes of a socket's buffer, where it shall be full soon
+
+
+def never_answer(*_: Any, **__: Any) -> None:
+    """A worker that never answers."""
+
+
+async def until(true: Callable[[], Any], within: float = 3.0) -> None:
+    async with asyncio.timeout(within):
+        while not true():
+            await asyncio.sleep(0.005)
+
+
+def connect_raw(port: int, receive: int | None = None) -> socket.socket:
+    """A client's socket; its buffer is bound before it connects."""
+    sock = socket.socket()
+    if receive is not None:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive)
+    sock.connect(("127.0.0.1", port))
+    return sock
+
+
+def request(stream: int, body: bytes = b"hello", **other: str) -> bytes:
+    """A request's bytes."""
+    told = {
+        "verb": "t",
+        "txn": f"{stream:016x}",
+        "limit": "1500",
+        "team": "acme",
+        "item": f"{stream:016x}",
+        "info": "memory_mb:512;lanes:2",
+    } | other
+    return frames.encode_frame(frames.REQUEST, stream, frames.encode_fields(told) + body)
+
+
+def read_all(sock: socket.socket, within: float = 3.0) -> list[tuple[int, int, bytes]]:
+    """All frames until the connection ends."""
+    sock.settimeout(within)
+    reader, found = frames.FrameReader(1 << 20), []
+    with contextlib.suppress(ConnectionResetError):
+        while data := sock.recv(65536):
+            reader.feed(data)
+            while (frame := reader.next()) is not None:
+                found.append(frame)
+    return found
+
+
+def answers(found: list[tuple[int, int, bytes]]) -> dict[int, int]:
+    """The code that each stream was answered."""
+    told = [(stream, payload[0]) for kind, stream, payload in found if kind == frames.ANSWER]
+    assert len(dict(told)) == len(told), "one answer each"
+    return dict(told)
+
+
+class BlockedConnects:
+    """Replaces `connect` of a module: connects to come wait until `gate` is set."""
+
+    def __init__(
+        self, monkeypatch: pytest.MonkeyPatch, module: Any = worker_connection, port: int | None = None
+    ) -> None:
+        self.gate, self.waiting, self._port = asyncio.Event(), 0, port
+        monkeypatch.setattr(module, "connect", self._connect)
+
+    async def _connect(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], within: float) -> socket.socket:
+        if self._port in (None, address[1]):
+            self.waiting += 1
+            await self.gate.wait()
+        return await connect(loop, address, within)
+
+
+def read_until(process: subprocess.Popen[bytes], text: str, within: float = 4.0) -> str:
+    """What the process says up to and with `text`."""
+    assert process.stdout is not None
+    said, deadline = "", time.monotonic() + within
+    while text not in said:
+        left = deadline - time.monotonic()
+        assert left > 0 and select.select([process.stdout], [], [], left)[0], f"{text!r} not said: {said}"
+        data = os.read(process.stdout.fileno(), 65536)
+        assert data, f"ended: {said}"
+        said += data.decode()
+    return said
--- /dev/null
+++ b/tests/test_connection_limits.py
@@ -0,0 +1,142 @@
+"""Limits of the platform's connections: descriptors, idle and slow peers, unread answers."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from typing import Any
+
+import pytest
+from platform_fixture import CLASS, SETTINGS, PlatformFixture, WorkerStub, echo, run
+from raw_sockets import (
+    SMALL_BUFFER_BYTES,
+    answers,
+    connect_raw,
+    never_answer,
+    request,
+    until,
+)
+from worker_connections_fixture import ConnectionsOverSmallBuffers
+
+from kelptrail.codec import frames
+from kelptrail.dispatch.entities import AttemptStatus
+from kelptrail.platform import worker_connection
+
+
+def test_connections_to_workers_stay_within_the_descriptors_and_idle_ones_are_closed() -> None:
+    async def main() -> None:
+        async with PlatformFixture(*(WorkerStub(echo) for _ in range(24)), sockets=32) as platform:
+            most = platform.service.executor.workers.limits.max_in_all
+            assert most < 24
+            client = await platform.client()
+            for n in range(1, 30):
+                client.ask(n, item=f"{n:016x}")
+                assert await client.code() == frames.SERVED
+                held = sum(len(links) for links in platform.service.executor.workers.connections.values())
+                assert held == platform.service.executor.workers.limits.open_count <= most
+
+    run(main())
+
+
+def test_a_lack_of_descriptors_says_nothing_about_a_worker(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def main() -> None:
+        async def none(*_: Any) -> socket.socket:
+            raise OSError(24, "Too many open files")
+
+        bare = ConnectionsOverSmallBuffers(monkeypatch)
+        monkeypatch.setattr(worker_connection, "connect", none)
+        thing = bare.send("a" * 16, 10)
+        await until(lambda: bare.ended)
+        assert bare.ended == [(thing, AttemptStatus.NOT_SENT)]
+
+    run(main())
+
+
+def test_a_slow_frame_is_waited_for_and_a_stalled_one_is_not(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setitem(SETTINGS, "classes", [CLASS | {"give_up_us": 5_000_000}])
+
+    async def main() -> None:
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            slow, stuck, front = await platform.client(), await platform.client(), platform.service.client_server
+            for client in (slow, stuck):
+                client.ask(1, txn=f"{id(client) % 2**32:016x}")
+                assert await client.code() == frames.SERVED
+            data = request(2, item="7f3a9c21e0b4d655")
+            slow.writer.write(data[:20])
+            stuck.writer.write(request(3)[:20])
+            await until(lambda: all(each.partial_frame_since for each in front.connections.idle))
+            mine, other = front.connections.idle
+            for each in (mine, other):  # it began so long ago
+                each.partial_frame_since -= 2.5
+                each.idle_since -= 7.0
+            other.last_received_at -= 2.5
+            front.connections.sweep()
+            slow.writer.write(data[20:])
+            assert await slow.code() == frames.SERVED
+            assert await stuck.code() == frames.FAILED and await stuck.next() is None
+
+    run(main())
+
+
+def test_a_new_client_among_busy_ones_is_refused_with_an_answer() -> None:
+    async def main() -> None:
+        async with PlatformFixture(WorkerStub(never_answer), sockets=32) as platform:
+            front, busy = platform.service.client_server, []
+            for n in range(front.connections._max_connections):
+                busy.append(await platform.client())
+                busy[-1].ask(1, txn=f"{n:016x}", item=f"{n:016x}")
+            await until(lambda: len(front.connections.busy) == front.connections._max_connections)
+            late = await platform.client()
+            late.ask(1, txn="f" * 16)
+            assert await late.code() == frames.REFUSED and await late.next() is None
+            assert len(front.connections.busy) == front.connections._max_connections, "nobody lost anything for it"
+
+    run(main())
+
+
+def test_a_connection_with_an_unread_request_is_not_closed_for_others() -> None:
+    async def main() -> None:
+        async with PlatformFixture(WorkerStub(echo), sockets=32) as platform:
+            front, loop = platform.service.client_server, asyncio.get_running_loop()
+            (listening,) = front._listener._sockets
+            loop.remove_reader(listening)
+            asked = [connect_raw(platform.port) for _ in range(front.connections._max_connections + 4)]
+            for n, sock in enumerate(asked):
+                sock.sendall(request(n + 1))
+            loop.add_reader(listening, front._listener._ready, listening)  # all are let in in one turn
+            found = [await asyncio.to_thread(lambda sock=sock: answers(read_some(sock))) for sock in asked]
+            assert [list(each) for each in found] == [[n + 1] for n in range(len(asked))], "each is answered"
+            for sock in asked:
+                sock.close()
+
+    run(main())
+
+
+def read_some(sock: socket.socket) -> list[tuple[int, int, bytes]]:
+    """Frames until an answer or the end."""
+    sock.settimeout(3.0)
+    reader, found = frames.FrameReader(1 << 20), []
+    while not found and (data := sock.recv(65536)):
+        reader.feed(data)
+        while (frame := reader.next()) is not None:
+            found.append(frame)
+    return found
+
+
+def test_a_client_that_never_reads_its_answer_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def main() -> None:
+        async with PlatformFixture(WorkerStub(echo)) as platform:
+            sock = connect_raw(platform.port, SMALL_BUFFER_BYTES)
+            await until(lambda: len(platform.service.client_server.connections))
+            (client,) = platform.service.client_server.connections.fresh
+            client.connection.transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
+            sock.sendall(frames.encode_frame(frames.READY_QUERY, 7, b"\0") * 3000)
+            await until(lambda: client.connection._writing)
+            sock.sendall(b"\0\0\0\2no")
+            await until(lambda: client.connection.closed, 2.5)
+            assert not len(platform.service.client_server.connections)
+            sock.close()
+
+    run(main())
--- a/tests/test_platform_load.py
+++ b/tests/test_platform_load.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 import pytest
-from test_platform import CLASS, SETTINGS, Client, PlatformFixture, WorkerStub, echo, event, run
+from platform_fixture import CLASS, SETTINGS, Client, PlatformFixture, WorkerStub, echo, event, run
 
 from kelptrail.codec import frames
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from test_platform import configuration
+from platform_fixture import configuration
 
 from kelptrail.codec import frames
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -16,8 +16,18 @@
 from typing import Any
 
 import pytest
-from test_crossings import SMALL, HeldConnect, answers, raw, read_all, read_until, request, silent, until
-from test_platform import PlatformFixture, WorkerStub, configuration, echo, event, run
+from platform_fixture import PlatformFixture, WorkerStub, configuration, echo, event, run
+from raw_sockets import (
+    SMALL_BUFFER_BYTES,
+    BlockedConnects,
+    answers,
+    connect_raw,
+    never_answer,
+    read_all,
+    read_until,
+    request,
+    until,
+)
 from test_worker_list import EndpointListStub, follow
 
 from kelptrail.codec import feed, frames
@@ -126,7 +136,7 @@
             assert await client.code() == frames.SERVED  # an instance is loaded
             for links in platform.service.executor.workers.connections.values():
                 links.close()
-            held = HeldConnect(monkeypatch)
+            held = BlockedConnects(monkeypatch)
             client.ask(2, limit="1500")
             await until(lambda: held.waiting)
             await asyncio.sleep(0.4)
@@ -160,7 +170,7 @@
             door = platform.service.client_server._listener
             (listening,) = door._sockets
             asyncio.get_running_loop().remove_reader(listening)  # whoever comes stands in the queue of the kernel
-            clients = [raw(platform.port) for _ in range(3)]
+            clients = [connect_raw(platform.port) for _ in range(3)]
             for number, client in enumerate(clients, 1):
                 client.sendall(request(number))
             door._sockets = {Failing(listening, "accept", list(codes)): None}  # type: ignore[dict-item]
@@ -178,12 +188,12 @@
     """Beyond the bound, too: no connection is closed over a request that stands in its socket."""
 
     async def main() -> None:
-        async with PlatformFixture(WorkerStub(silent), sockets=48) as platform:
-            busy = [raw(platform.port) for _ in range(20)]
+        async with PlatformFixture(WorkerStub(never_answer), sockets=48) as platform:
+            busy = [connect_raw(platform.port) for _ in range(20)]
             for number, client in enumerate(busy, 1):
                 client.sendall(request(number))
             await until(lambda: len(platform.service.executor.client_requests) == 20)
-            crowd = [raw(platform.port) for _ in range(30)]
+            crowd = [connect_raw(platform.port) for _ in range(30)]
             for number, client in enumerate(crowd, 100):
                 client.sendall(request(number))
             for number, client in enumerate(crowd, 100):
@@ -305,10 +315,10 @@
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(large)) as platform:
-            front, slow = platform.service.client_server, raw(platform.port, SMALL)
+            front, slow = platform.service.client_server, connect_raw(platform.port, SMALL_BUFFER_BYTES)
             await until(lambda: len(front.connections))
             (client,) = front.connections.fresh
-            client.connection.transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
+            client.connection.transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
             slow.sendall(request(1))
             await until(lambda: client in front.connections.idle and client.connection.has_pending_writes)
             front.connections.make_room()
@@ -334,7 +344,7 @@
     """Ends of what was open at the close must not lead to new attempts and orders."""
 
     async def main() -> None:
-        async with PlatformFixture(runner := WorkerStub(silent)) as platform:
+        async with PlatformFixture(runner := WorkerStub(never_answer)) as platform:
             client = await platform.client()
             client.ask(1)
             await until(lambda: runner.calls)
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 import pytest
-from test_crossings import HeldConnect, raw, read_until, until
-from test_platform import PlatformFixture, WorkerStub, configuration, echo, event, run
+from platform_fixture import PlatformFixture, WorkerStub, configuration, echo, event, run
+from raw_sockets import BlockedConnects, connect_raw, read_until, until
 
 from kelptrail.codec import frames
 from kelptrail.net.connection import connect
@@ -137,7 +137,7 @@
         asked = EndpointListStub(serve)
         port = await asked.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            held = HeldConnect(monkeypatch, endpoint_watch, port=9)  # a connect to the old address hangs for good
+            held = BlockedConnects(monkeypatch, endpoint_watch, port=9)  # a connect to the old address hangs for good
             await follow(platform, 9)
             await until(lambda: held.waiting)
             platform.told["journal"] = f"127.0.0.1:{port}"
@@ -190,7 +190,7 @@
         async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
             await follow(platform, ports[0])
             await until(lambda: writers)
-            held = HeldConnect(monkeypatch, endpoint_watch, port=ports[1])
+            held = BlockedConnects(monkeypatch, endpoint_watch, port=ports[1])
             await follow(platform, ports[1])
             await until(lambda: held.waiting)
             writers[0].write(event(2, 2, (1, 9, 1))[:30])
@@ -236,11 +236,11 @@
         deadline = time.monotonic() + 5
         while time.monotonic() < deadline:
             with contextlib.suppress(ConnectionRefusedError):
-                clients.append(raw(door))
+                clients.append(connect_raw(door))
                 break
             time.sleep(0.02)
         while len(os.listdir(f"/proc/{process.pid}/fd")) < 40 and len(clients) < 100:
-            clients.append(raw(door))
+            clients.append(connect_raw(door))
             clients[-1].sendall(frames.encode_frame(frames.READY_QUERY, 1, b"\0"))
         read_until(process, "accept-failed")
 
