--- /dev/null
+++ b/bench/fault_injection/clients.py
@@ -0,0 +1,240 @@
+"""Clients that send requests over connections of their own and behave at random: slowly, in floods, leaving early,
+resetting, sending noise or closing one side only."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import socket
+import struct
+import time
+from collections.abc import Sequence
+from enum import Enum, auto
+from typing import NamedTuple
+
+from fault_injection.processes import PlatformProcesses
+from fault_injection.run_state import Answer, RunState, SentRequest
+from fault_injection.settings import TENANT, RequestKind
+from kelptrail.codec import frames
+
+MAX_OPEN_REQUESTS = 30  # on one connection
+IDLE_CONNECTION_S = 0.05  # a connection whose open requests are older than this is not idle
+ANSWERS_TIMEOUT_S = 2.5
+SLOW_WRITE_BYTES = 60
+SLOW_WRITE_PAUSE_S = 0.01
+FUNCTIONS = 9
+REQUEST_KINDS = [RequestKind.IDEMPOTENT, RequestKind.IDEMPOTENT, RequestKind.DEDUPLICATED, RequestKind.AT_MOST_ONCE]
+PAYLOAD_BYTES = (0, 40, 40, 2000, 16_000)
+
+
+class ClientBehavior(Enum):
+    """How a client uses one connection."""
+
+    USUAL = auto()
+    SLOW_WRITER = auto()
+    FLOOD = auto()
+    CLOSES_EARLY = auto()
+    RESETS = auto()
+    NOISE = auto()
+    HALF_CLOSES = auto()
+
+
+BEHAVIORS = [ClientBehavior.USUAL] * 6 + [
+    ClientBehavior.SLOW_WRITER,
+    ClientBehavior.FLOOD,
+    ClientBehavior.CLOSES_EARLY,
+    ClientBehavior.RESETS,
+    ClientBehavior.NOISE,
+    ClientBehavior.HALF_CLOSES,
+]
+LEAVES_EARLY = frozenset(
+    {ClientBehavior.CLOSES_EARLY, ClientBehavior.RESETS, ClientBehavior.HALF_CLOSES, ClientBehavior.NOISE}
+)
+
+
+class EncodedRequest(NamedTuple):
+    """A request and its bytes on the wire."""
+
+    request: SentRequest
+    data: bytes
+
+
+class Clients:
+    """Clients of all processes of a run.  Between two connections a client pauses up to `max_pause_s`."""
+
+    def __init__(
+        self, run: RunState, processes: PlatformProcesses, limits_ms: Sequence[int], max_pause_s: float
+    ) -> None:
+        self._run = run
+        self._processes = processes
+        self._limits_ms = limits_ms
+        self.max_pause_s = max_pause_s
+
+    async def run_one(self) -> None:
+        """One client: connections to random processes, one after the other, for as long as the run lasts."""
+        while self._run.running:
+            process = self._run.rng.randrange(len(self._processes))
+            with contextlib.suppress(OSError, RuntimeError):  # the connection has ended
+                reader, writer = await asyncio.open_connection(*self._processes.addresses[process])
+                await ClientConnection(self._run, process, self._limits_ms, reader, writer).serve()
+            await asyncio.sleep(self._run.rng.random() * self.max_pause_s)
+
+
+class ClientConnection:
+    """One connection of a client: what it sends and how it ends is random, what it reads is recorded."""
+
+    def __init__(
+        self,
+        run: RunState,
+        process: int,
+        limits_ms: Sequence[int],
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+    ) -> None:
+        self._run = run
+        self._rng = run.rng
+        self._process = process
+        self._limits_ms = limits_ms
+        self._reader = reader
+        self._writer = writer
+        self._sent: dict[int, SentRequest] = {}  # by stream
+        self._behavior = ClientBehavior.USUAL
+        self._go_away_received = False
+
+    async def serve(self) -> None:
+        """Send requests in batches, then leave or wait for the answers, as the behavior has it."""
+        self._read_task = asyncio.create_task(self._read_answers())
+        self._behavior = self._rng.choice(BEHAVIORS)
+        try:
+            if not await self._send_batches():
+                return
+            if self._behavior in LEAVES_EARLY:
+                await self._leave()
+            else:
+                await self._wait_for_answers()
+        finally:
+            self._mark_cancelled_by_close()
+            await asyncio.sleep(0.01)
+            self._read_task.cancel()
+            self._writer.close()
+
+    async def _send_batches(self) -> bool:
+        """Send batches of requests with pauses; returns whether the connection was still open."""
+        for _ in range(self._rng.randrange(1, 12)):
+            if not self._run.running or self._go_away_received or self._read_task.done():
+                break
+            for _ in range(self._batch_size()):
+                if sum(each.is_open for each in self._sent.values()) >= MAX_OPEN_REQUESTS:
+                    break
+                if not await self._send_request(len(self._sent) + 1):
+                    return False
+            await asyncio.sleep(self._rng.random() * 0.06)
+            if self._behavior in LEAVES_EARLY and self._rng.random() < 0.4:
+                break
+        return True
+
+    def _batch_size(self) -> int:
+        if self._behavior is ClientBehavior.FLOOD:
+            return self._rng.randrange(8, 24)
+        return self._rng.choice((1, 1, 3))
+
+    async def _send_request(self, stream: int) -> bool:
+        """Send one request and perhaps cancel it; returns whether the connection was still open."""
+        request, data = self._encode_request(stream)
+        request.after_idle = self._is_idle()
+        self._sent[stream] = request
+        is_slow = self._behavior is ClientBehavior.SLOW_WRITER
+        if is_slow:
+            for at in range(0, len(data), SLOW_WRITE_BYTES):
+                self._writer.write(data[at : at + SLOW_WRITE_BYTES])
+                await asyncio.sleep(SLOW_WRITE_PAUSE_S)
+        if self._read_task.done() or self._writer.is_closing():
+            return False
+        self._run.requests[request.id] = request
+        if not is_slow:
+            self._writer.write(data)
+        now = time.monotonic()
+        request.written_at, request.deadline = now, now + request.limit_s
+        if self._rng.random() < (0.5 if self._behavior is ClientBehavior.FLOOD else 0.05):
+            self._writer.write(frames.encode_frame(frames.CANCEL, stream))
+            request.client_left_at = time.monotonic()
+        return True
+
+    def _is_idle(self) -> bool:
+        """Whether the dispatcher may take the connection for idle, so that its close may cross the next request."""
+        now = time.monotonic()
+        return all(
+            not each.is_open or (each.after_idle and now - each.written_at < IDLE_CONNECTION_S)
+            for each in self._sent.values()
+        )
+
+    def _encode_request(self, stream: int) -> EncodedRequest:
+        kind = self._rng.choice(REQUEST_KINDS)
+        limit_ms = self._rng.choice(self._limits_ms)
+        id_ = self._rng.randbytes(8).hex()
+        fields = {
+            "verb": kind.value,
+            "txn": id_,
+            "limit": str(limit_ms),
+            "team": TENANT,
+            "info": "memory_mb:300;lanes:4",
+            "item": f"{self._rng.randrange(FUNCTIONS):016x}",
+        }
+        if kind is RequestKind.DEDUPLICATED:
+            fields["unique"] = f"u{id_}"
+        self._run.started_ids.add(id_)
+        payload = frames.encode_fields(fields) + id_.encode() + bytes(self._rng.choice(PAYLOAD_BYTES))
+        data = frames.encode_frame(frames.REQUEST, stream, payload)
+        return EncodedRequest(SentRequest(id_, kind, self._process, limit_ms / 1000), data)
+
+    async def _leave(self) -> None:
+        """End the connection as the behavior has it; its open requests have no client from here on."""
+        now = time.monotonic()
+        for request in self._sent.values():
+            if request.is_open:
+                request.client_left_at = now
+        if self._behavior is ClientBehavior.NOISE:  # it is answered with an error and closed
+            self._writer.write(self._rng.randbytes(40))
+            await asyncio.sleep(0.1)
+        elif self._behavior is ClientBehavior.HALF_CLOSES:
+            self._writer.write_eof()
+            await asyncio.sleep(0.1)
+        elif self._behavior is ClientBehavior.RESETS:
+            sock = self._writer.transport.get_extra_info("socket")
+            if sock is not None:
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+
+    async def _wait_for_answers(self) -> None:
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(ANSWERS_TIMEOUT_S):
+                while not self._read_task.done() and any(each.is_open for each in self._sent.values()):
+                    await asyncio.sleep(0.01)
+
+    def _mark_cancelled_by_close(self) -> None:
+        """The client closes now: requests that are open and in time have no client from here on."""
+        now = time.monotonic()
+        for request in self._sent.values():
+            if request.is_open and not self._read_task.done() and now < request.deadline:
+                request.client_left_at = now
+
+    async def _read_answers(self) -> None:
+        reader = frames.FrameReader(1 << 20)
+        with contextlib.suppress(OSError):
+            while data := await self._reader.read(65536):
+                self._record_frames(reader, data)
+                if self._rng.random() < 0.02:
+                    await asyncio.sleep(0.05)  # it reads slowly
+        now = time.monotonic()
+        for request in self._sent.values():
+            request.closed_at = now
+
+    def _record_frames(self, reader: frames.FrameReader, data: bytes) -> None:
+        now = time.monotonic()
+        reader.feed(data)
+        while (frame := reader.next()) is not None:
+            kind, stream, payload = frame
+            if kind == frames.GO_AWAY:
+                self._go_away_received = True
+            elif kind == frames.ANSWER and stream in self._sent:
+                _, end = frames.read_fields(payload[1:])
+                self._sent[stream].answers.append(Answer(now, payload[0], payload[1 + end :]))
--- /dev/null
+++ b/bench/fault_injection/endpoint_list.py
@@ -0,0 +1,140 @@
+"""A fake endpoint service: one endpoint list, served at two addresses, whose events are repeated, torn or late."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import struct
+from collections.abc import Callable
+from enum import Enum, StrEnum, auto
+from typing import Any, NamedTuple
+
+from fault_injection.run_state import RunState
+from fault_injection.settings import MODEL, ZONE
+
+ADDRESSES = 2
+EVENT_INTERVAL_S = 0.1
+SLOW_START_OF_WATCH_S = 3.0
+TORN_EVENT_SHARE = 0.2
+TORN_EVENT_BYTES = 9
+EVENT_HEADER = struct.Struct(">IQB")  # length, position, kind
+ENDPOINT_RECORD = struct.Struct(">I4sHBBBHIQ")
+KEEP_ALIVE_EVENT, CHANGE_EVENT = 0, 2
+LOOPBACK = bytes((127, 0, 0, 1))
+
+
+class EndpointState(Enum):
+    """The state of an endpoint: its number in events, its name in the configuration."""
+
+    LIVE = (0, "in_service")
+    DRAINING = (1, "terminating")
+    REMOVED = (2, "terminated")
+
+    def __init__(self, number: int, word: str) -> None:
+        self.number = number
+        self.word = word
+
+
+class EndpointChange(NamedTuple):
+    """One endpoint of an event: its id, the worker behind it and its state."""
+
+    id: int
+    worker: int
+    state: EndpointState
+
+
+class ListFault(StrEnum):
+    """What is wrong with the service; NONE where nothing is."""
+
+    NONE = "none"
+    DOWN = "down"
+    SLOW = "slow"
+    SILENT = "silent"
+
+
+class WatchBehavior(Enum):
+    """How one watch of the list is served."""
+
+    USUAL = auto()
+    TEARS_EVENTS = auto()
+    REPEATS_EVENTS = auto()
+
+
+WATCH_BEHAVIORS = [WatchBehavior.USUAL] * 6 + [WatchBehavior.TEARS_EVENTS, WatchBehavior.REPEATS_EVENTS]
+
+
+class EndpointList:
+    """One endpoint list and the watches on it.  `worker_port` finds the port under which a worker is listed.
+
+    With `stalls_after_torn_event` a watch that ends inside an event stays open in place of being closed."""
+
+    def __init__(self, run: RunState, worker_port: Callable[[int], int], stalls_after_torn_event: bool = False) -> None:
+        self._run = run
+        self._worker_port = worker_port
+        self._stalls_after_torn_event = stalls_after_torn_event
+        self._events: list[bytes] = []
+        self.entries: list[dict[str, Any]] = []  # all events, as a configuration has them
+        self.addresses: list[str] = []
+        self.fault = ListFault.NONE
+
+    async def open(self) -> None:
+        """Start to serve."""
+        self._servers = [await asyncio.start_server(self._serve, "127.0.0.1", 0) for _ in range(ADDRESSES)]
+        self.addresses = [f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in self._servers]
+
+    def set_initial(self, workers: int) -> None:
+        """List the first workers, each under its own number."""
+        targets = [self._target(EndpointChange(n, n, EndpointState.LIVE), 0) for n in range(workers)]
+        self.entries.append({"pos": 1, "hosts": {"rev": 1, "all": True, "targets": targets}})
+
+    def publish(self, *changes: EndpointChange, started_ms: int = 0) -> None:
+        """Add an event; `started_ms` is when the workers of its endpoints started, 0 where unknown."""
+        position = 2 + len(self._events)
+        records = b"".join(self._record(change, started_ms) for change in changes)
+        header = EVENT_HEADER.pack(EVENT_HEADER.size - 4 + len(records), position, CHANGE_EVENT)
+        self._events.append(header + records)
+        targets = [self._target(change, started_ms) for change in changes]
+        self.entries.append({"pos": position, "hosts": {"rev": position, "all": False, "targets": targets}})
+
+    def _record(self, change: EndpointChange, started_ms: int) -> bytes:
+        port = self._worker_port(change.worker)
+        return ENDPOINT_RECORD.pack(change.id, LOOPBACK, port, change.state.number, 0, 0, 0, 1000, started_ms)
+
+    def _target(self, change: EndpointChange, started_ms: int) -> dict[str, Any]:
+        return {
+            "uid": f"s-{change.id:08x}",
+            "endpoint": f"127.0.0.1:{self._worker_port(change.worker)}",
+            "az": ZONE,
+            "model": MODEL,
+            "pod_group": 0,
+            "state": change.state.word,
+            "capacity_hint": 1,
+            "boot_ms": started_ms,
+        }
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        with contextlib.suppress(OSError, RuntimeError, asyncio.IncompleteReadError):
+            torn = await self._write_events(reader, writer)
+            if torn and self._stalls_after_torn_event:
+                return
+        writer.close()
+
+    async def _write_events(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+        """Write the events from the position that is asked for, while the run lasts; whether it ended inside one."""
+        position = int.from_bytes(await reader.readexactly(8), "big")
+        if self.fault is ListFault.SLOW:
+            await asyncio.sleep(SLOW_START_OF_WATCH_S)
+        behavior = self._run.rng.choice(WATCH_BEHAVIORS)
+        while self._run.running and self.fault is not ListFault.DOWN:
+            if self.fault is ListFault.SILENT:
+                await asyncio.sleep(EVENT_INTERVAL_S / 2)
+                continue
+            for event in self._events[position - 1 :]:
+                if behavior is WatchBehavior.TEARS_EVENTS and self._run.rng.random() < TORN_EVENT_SHARE:
+                    writer.write(event[:TORN_EVENT_BYTES])
+                    return True
+                writer.write(event * (2 if behavior is WatchBehavior.REPEATS_EVENTS else 1))
+                position += 1
+            writer.write(EVENT_HEADER.pack(EVENT_HEADER.size - 4, position, KEEP_ALIVE_EVENT))
+            await asyncio.sleep(EVENT_INTERVAL_S)
+        return False
--- /dev/null
+++ b/bench/fault_injection/system_calls.py
@@ -0,0 +1,85 @@
+"""Failing system calls and stepped wall clocks: the library that is preloaded into a process (bench/soak_shim.c) and
+the file that controls it."""
+
+from __future__ import annotations
+
+import errno
+import mmap
+import shutil
+import struct
+import subprocess
+from enum import StrEnum
+from pathlib import Path
+
+SOURCE = Path(__file__).parent.parent / "soak_shim.c"
+COMPILERS = ("cc", "gcc", "clang")
+CONTROL_FILE_BYTES = 4096
+CONTROL = struct.Struct("<qII5I20I")  # `struct control` of the library
+
+
+class SystemCall(StrEnum):
+    """The system calls that may fail, in the library's order."""
+
+    SEND = "send"
+    RECV = "recv"
+    CONNECT = "connect"
+    ACCEPT = "accept"
+    SOCKET = "socket"
+
+
+FAILURES = {
+    SystemCall.SEND: (errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.ENOBUFS),
+    SystemCall.RECV: (errno.EINTR, errno.ENOMEM, errno.EINTR, errno.ENOBUFS),
+    SystemCall.CONNECT: (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EINTR, errno.ENOBUFS),
+    SystemCall.ACCEPT: (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.ECONNABORTED),
+    SystemCall.SOCKET: (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EMFILE),
+}
+
+
+class SystemCallControl:
+    """What the preloaded library of one process reads: the step of its wall clock, and how often system calls fail."""
+
+    def __init__(self, path: Path, seed: int) -> None:
+        path.write_bytes(bytes(CONTROL_FILE_BYTES))
+        with open(path, "r+b") as file:
+            self._map = mmap.mmap(file.fileno(), CONTROL_FILE_BYTES)
+        self.path = path
+        self._seed = seed
+        self.clock_step_s = 0.0
+        self.short_transfer_share = 0.0  # of sends and receives
+        self.failure_shares: dict[SystemCall, float] = {}
+        self.write()
+
+    def write(self) -> None:
+        """Apply what was set."""
+        shares = [int(self.failure_shares.get(call, 0.0) * 1e6) for call in SystemCall]
+        codes = [code for call in SystemCall for code in FAILURES[call]]
+        step_ns, short_transfers = int(self.clock_step_s * 1e9), int(self.short_transfer_share * 1e6)
+        data = CONTROL.pack(step_ns, short_transfers, self._seed & 0xFFFFFFFF, *shares, *codes)
+        self._map[: len(data)] = data
+
+    def stop_failures(self) -> None:
+        """No system call fails from here on; the step of the clock stays."""
+        self.failure_shares = {}
+        self.short_transfer_share = 0.0
+        self.write()
+
+    def close(self) -> None:
+        """Close the mapped file."""
+        self._map.close()
+
+
+def find_compiler() -> str | None:
+    """The C compiler of this machine, None where there is none."""
+    paths = (shutil.which(name) for name in COMPILERS)
+    return next((path for path in paths if path is not None), None)
+
+
+def build_library(folder: Path) -> Path | None:
+    """Build the library that fails system calls; None without a compiler."""
+    compiler = find_compiler()
+    if compiler is None:
+        return None
+    library = folder / "libsoak.so"
+    subprocess.run([compiler, "-shared", "-fPIC", "-O2", "-o", str(library), str(SOURCE), "-ldl"], check=True)
+    return library
--- a/bench/soak_mutants.py
+++ b/bench/soak_mutants.py
@@ -1,4 +1,4 @@
-"""Removes one guard at a time from a scratch copy of the sources and runs the soak on it: each must fail the soak.
+"""Mutation test of the soak: removes one guard at a time from a copy of the sources; the soak must fail on each.
 
     python bench/soak_mutants.py --seeds 4
 
@@ -16,6 +16,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
+RUN_TIMEOUT_S = 300
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,6 +28,10 @@
     new: str
 
 
+class EditMismatchError(ValueError):
+    """The text that an edit replaces does not occur exactly once in its file."""
+
+
 class Mutant:
     """One guard removed: what the program then does wrong, and the edits that remove it."""
 
@@ -34,10 +39,19 @@
         self.name = name
         self.edits = (Edit(file, old, new), *further)
 
+    def apply(self, sources: Path) -> None:
+        """Edit a copy of the sources.  Raises `EditMismatchError`."""
+        for edit in self.edits:
+            file = sources / edit.file
+            text = file.read_text()
+            if text.count(edit.old) != 1:
+                raise EditMismatchError(f"its text occurs {text.count(edit.old)} times in {edit.file}")
+            file.write_text(text.replace(edit.old, edit.new))
+
 
 MUTANTS = (
     Mutant(
-        "an attempt begins whatever came after its decision",
+        "an attempt starts whatever came after its decision",
         "kelptrail/dispatch/safety.py",
         "        if not (item.instance.worker.live and now < item.latest_start):\n            return False\n"
         "        if isinstance(item, LoadOrder):\n            return item.instance.load_order is item\n"
@@ -51,7 +65,7 @@
         ),
     ),
     Mutant(
-        "an attempt that waits for a client that went is not cancelled",
+        "an attempt that waits for a disconnected client is not cancelled",
         "kelptrail/platform/decision_executor.py",
         "        if request is not None and self.client_requests.pop(request, None) is not None:\n",
         "        if False:\n",
@@ -69,13 +83,13 @@
         'float("inf")',
     ),
     Mutant(
-        "the limit is that of the decision",
+        "the time limit is that of the decision",
         "kelptrail/platform/decision_executor.py",
         "limit_ms = int(request.deadline - now)",
         "limit_ms = int(request.deadline - request.received_at)",
     ),
     Mutant(
-        "a worker in slow start gets what a warm one gets",
+        "a worker in slow start gets what a warm worker gets",
         "kelptrail/dispatch/slow_start.py",
         "        if (capacity := self.capacity_factor(now, worker)) >= 1:\n            return True\n        budget",
         "        return True\n        capacity = 1.0\n        budget",
@@ -104,7 +118,7 @@
         ),
     ),
     Mutant(
-        "a client that has gone ends the accepting of those behind it",
+        "a disconnected client ends the accepting of those behind it",
         "kelptrail/net/errors.py",
         "    return cause.errno in CLIENT_GONE\n",
         "    return False\n",
@@ -131,20 +145,17 @@
 
 
 def run_soak(mutant: Mutant, seeds: int, first: int, folder: Path) -> str | None:
-    """What the soak finds in a copy without the guard, with the first seed that finds it; None if none does."""
+    """What the soak finds in a copy without the guard, with the first seed that finds it; None if none does.
+
+    Raises `EditMismatchError`."""
     sources = folder / "sources"
     shutil.rmtree(sources, ignore_errors=True)
     for part in ("kelptrail", "bench"):
         shutil.copytree(ROOT / part, sources / part, ignore=shutil.ignore_patterns("tmp*", "__pycache__"))
-    for edit in mutant.edits:
-        file = sources / edit.file
-        text = file.read_text()
-        if text.count(edit.old) != 1:
-            return f"NOT RUN: its text occurs {text.count(edit.old)} times in {edit.file}"
-        file.write_text(text.replace(edit.old, edit.new))
+    mutant.apply(sources)
     for seed in range(first, first + seeds):
         command = [sys.executable, "bench/soak.py", "--seeds", "1", "--first", str(seed)]
-        done = subprocess.run(command, cwd=sources, capture_output=True, text=True, timeout=300)
+        done = subprocess.run(command, cwd=sources, capture_output=True, text=True, timeout=RUN_TIMEOUT_S)
         if done.returncode:
             found = [line.strip() for line in done.stdout.splitlines() if line.startswith("    ")]
             return f"seed {seed}: {found[0] if found else done.stderr[-300:]}"
@@ -162,8 +173,12 @@
         for mutant in MUTANTS:
             if options.only and options.only not in mutant.name:
                 continue
-            found = run_soak(mutant, options.seeds, options.first, Path(folder))
-            missed += found is None or found.startswith("NOT RUN")
+            try:
+                found = run_soak(mutant, options.seeds, options.first, Path(folder))
+                missed += found is None
+            except EditMismatchError as mismatch:
+                found = f"NOT RUN: {mismatch}"
+                missed += 1
             print(f"{mutant.name}: {found or 'NEVER FOUND'}", flush=True)
     print(f"{missed} mutants were not found")
     return 1 if missed else 0
--- a/bench/soak_shim.c
+++ b/bench/soak_shim.c
@@ -1,7 +1,8 @@
-/* A library for LD_PRELOAD that fails system calls on IPv4 sockets and steps the wall clock, as a control file says.
+/* A library for LD_PRELOAD that makes system calls on IPv4 sockets fail and steps the wall clock.
  *
- * SOAK_CONTROL names the file; the soak writes it, this library maps it and reads it at each call.  Only the process
- * that it is loaded into is concerned.  Built by the soak: cc -shared -fPIC -O2 -o libsoak.so soak_shim.c -ldl
+ * SOAK_CONTROL names the control file; the soak writes it (fault_injection/system_calls.py), this library maps it and
+ * reads it at each call.  Only the process that it is loaded into is affected.
+ * Built by the soak: cc -shared -fPIC -O2 -o libsoak.so soak_shim.c -ldl
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -17,18 +18,21 @@
 
 enum call { SEND, RECV, CONNECT, ACCEPT, SOCKET, CALLS };
 #define CODES 4
+#define MILLION 1000000
+#define NS_PER_S 1000000000
 
+/* The layout of the control file; `CONTROL` in fault_injection/system_calls.py writes it. */
 struct control {
-    int64_t step_ns;             /* what the wall clock is off by */
-    uint32_t shorten;            /* of a million sends and receives, how many move a part only */
+    int64_t clock_step_ns;        /* added to the wall clock */
+    uint32_t short_per_million;   /* of a million sends and receives, how many transfer a part only */
     uint32_t seed;
-    uint32_t per_million[CALLS]; /* of a million calls, how many fail */
+    uint32_t fail_per_million[CALLS];
     uint32_t codes[CALLS][CODES];
 };
 
-static struct control none;
-static struct control *control = &none;
-static uint64_t state = 88172645463325252ull;
+static struct control no_faults;
+static struct control *control = &no_faults;
+static uint64_t random_state = 88172645463325252ull;
 
 __attribute__((constructor)) static void map_control(void) {
     const char *path = getenv("SOAK_CONTROL");
@@ -39,15 +43,16 @@
     close(file);
     if (mapped != MAP_FAILED) {
         control = mapped;
-        state ^= (uint64_t)control->seed << 17 ^ (uint64_t)getpid();
+        random_state ^= (uint64_t)control->seed << 17 ^ (uint64_t)getpid();
     }
 }
 
-static uint32_t draw(void) {
-    state ^= state << 13;
-    state ^= state >> 7;
-    state ^= state << 17;
-    return (uint32_t)(state >> 32);
+/* xorshift64 */
+static uint32_t next_random(void) {
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 7;
+    random_state ^= random_state << 17;
+    return (uint32_t)(random_state >> 32);
 }
 
 static int is_inet(int fd) {
@@ -56,24 +61,26 @@
     return getsockopt(fd, SOL_SOCKET, SO_DOMAIN, &domain, &size) == 0 && domain == AF_INET;
 }
 
+/* Whether this call fails; errno is set then. */
 static int fails(enum call call) {
-    if (draw() % 1000000 >= control->per_million[call])
+    if (next_random() % MILLION >= control->fail_per_million[call])
         return 0;
-    errno = (int)control->codes[call][draw() % CODES];
+    errno = (int)control->codes[call][next_random() % CODES];
     return errno != 0;
 }
 
+/* The number of bytes to transfer of `size`. */
 static size_t shortened(size_t size) {
-    return size > 1 && draw() % 1000000 < control->shorten ? 1 + draw() % size : size;
+    return size > 1 && next_random() % MILLION < control->short_per_million ? 1 + next_random() % size : size;
 }
 
-#define FIND(name) \
-    if (!real)     \
+#define FIND_REAL(name) \
+    if (!real)          \
         *(void **)&real = dlsym(RTLD_NEXT, name)
 
 ssize_t send(int fd, const void *data, size_t size, int flags) {
     static ssize_t (*real)(int, const void *, size_t, int);
-    FIND("send");
+    FIND_REAL("send");
     if (is_inet(fd)) {
         if (fails(SEND))
             return -1;
@@ -84,7 +91,7 @@
 
 ssize_t recv(int fd, void *data, size_t size, int flags) {
     static ssize_t (*real)(int, void *, size_t, int);
-    FIND("recv");
+    FIND_REAL("recv");
     if (is_inet(fd)) {
         if (fails(RECV))
             return -1;
@@ -95,7 +102,7 @@
 
 int connect(int fd, const struct sockaddr *address, socklen_t size) {
     static int (*real)(int, const struct sockaddr *, socklen_t);
-    FIND("connect");
+    FIND_REAL("connect");
     if (is_inet(fd) && fails(CONNECT))
         return -1;
     return real(fd, address, size);
@@ -103,7 +110,7 @@
 
 int accept(int fd, struct sockaddr *address, socklen_t *size) {
     static int (*real)(int, struct sockaddr *, socklen_t *);
-    FIND("accept");
+    FIND_REAL("accept");
     if (is_inet(fd) && fails(ACCEPT))
         return -1;
     return real(fd, address, size);
@@ -111,7 +118,7 @@
 
 int accept4(int fd, struct sockaddr *address, socklen_t *size, int flags) {
     static int (*real)(int, struct sockaddr *, socklen_t *, int);
-    FIND("accept4");
+    FIND_REAL("accept4");
     if (is_inet(fd) && fails(ACCEPT))
         return -1;
     return real(fd, address, size, flags);
@@ -119,7 +126,7 @@
 
 int socket(int domain, int type, int protocol) {
     static int (*real)(int, int, int);
-    FIND("socket");
+    FIND_REAL("socket");
     if (domain == AF_INET && fails(SOCKET))
         return -1;
     return real(domain, type, protocol);
@@ -127,12 +134,12 @@
 
 int clock_gettime(clockid_t clock, struct timespec *now) {
     static int (*real)(clockid_t, struct timespec *);
-    FIND("clock_gettime");
+    FIND_REAL("clock_gettime");
     int result = real(clock, now);
     if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
-        int64_t whole = (int64_t)now->tv_sec * 1000000000 + now->tv_nsec + control->step_ns;
-        now->tv_sec = whole / 1000000000;
-        now->tv_nsec = whole % 1000000000;
+        int64_t stepped_ns = (int64_t)now->tv_sec * NS_PER_S + now->tv_nsec + control->clock_step_ns;
+        now->tv_sec = stepped_ns / NS_PER_S;
+        now->tv_nsec = stepped_ns % NS_PER_S;
     }
     return result;
 }
@@ -147,10 +154,10 @@
     return 0;
 }
 
-time_t time(time_t *told) {
+time_t time(time_t *result) {
     struct timespec precise;
     clock_gettime(CLOCK_REALTIME, &precise);
-    if (told)
-        *told = precise.tv_sec;
+    if (result)
+        *result = precise.tv_sec;
     return precise.tv_sec;
 }
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of bench/soak.py, the parts of it that judge, and the source texts that bench/soak_mutants.py edits."""
+"""A short run of bench/soak.py, its parser of commands, and the source texts that bench/soak_mutants.py edits."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT / "bench"))
 
-from soak import CommandReader  # noqa: E402
+from fault_injection.captured_attempts import CommandReader  # noqa: E402
 from soak_mutants import MUTANTS, Mutant  # noqa: E402
 
 
@@ -20,16 +20,16 @@
     command = [sys.executable, "bench/soak.py", "--seeds", "1", "--seconds", "8", "--processes", "12"]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
     assert done.returncode == 0, done.stdout + done.stderr
-    assert "0 days with a problem" in done.stdout
+    assert "0 runs with a problem" in done.stdout
 
 
 @pytest.mark.parametrize("size", [1, 3, 1000])
 def test_commands_are_read_from_any_split(size: int) -> None:
     data = b"CALL a cls=t,limit=5 12\r\nCANCEL b\r\nx!\r\nLOAD o1 item=1,units=2\r\nCALL b cls=t 0\r\n\r\nCANCEL a\r\n"
-    reader, found = CommandReader(), []
+    reader, commands = CommandReader(), []
     for at in range(0, len(data), size):
-        found += reader.feed(data[at : at + size])
-    assert [words[0] for words in found] == ["CALL", "LOAD", "CALL", "CANCEL"]
+        commands += reader.feed(data[at : at + size])
+    assert [words[0] for words in commands] == ["CALL", "LOAD", "CALL", "CANCEL"]
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
