--- a/bench/echo_worker.py
+++ b/bench/echo_worker.py
@@ -1,4 +1,4 @@
-"""A worker that answers at once, for measuring what stands before it; hold orders are granted."""
+"""A worker that answers at once, to measure what is in front of it; load orders succeed at once."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from kelptrail.codec.infer import infer_answer, read_infer
 from kelptrail.net.server import Exchange, HttpServer, Limits
 
-REPORT = {"endpoint-load-metrics": "TEXT cpu_utilization=0.3, named_metrics.x1=0, named_metrics.found=1"}
+LOAD_REPORT = {"endpoint-load-metrics": "TEXT cpu_utilization=0.3, named_metrics.x1=0, named_metrics.found=1"}
 
 
 def handle(request: Request, exchange: Exchange) -> None:
@@ -19,7 +19,7 @@
         exchange.reply_encoded(encode_response(200, b'{"standing":4}'))
         return
     infer, payload = read_infer(request.body)
-    exchange.reply_encoded(encode_response(200, infer_answer("m", infer.id, payload, True), REPORT))
+    exchange.reply_encoded(encode_response(200, infer_answer("m", infer.id, payload, True), LOAD_REPORT))
 
 
 async def main() -> None:
--- a/bench/grpc_echo.py
+++ b/bench/grpc_echo.py
@@ -19,47 +19,47 @@
 PATH = "/inference.GRPCInferenceService/ModelInfer"
 
 
-async def bare(sock: socket.socket) -> None:
-    """One connection."""
+async def serve_connection(sock: socket.socket) -> None:
+    """Echo the calls of one connection."""
     loop = asyncio.get_running_loop()
-    made = H2Connection(
+    connection = H2Connection(
         H2Configuration(
             client_side=False, header_encoding=None, validate_outbound_headers=False, normalize_outbound_headers=False
         )
     )
-    made.initiate_connection()
-    made.increment_flow_control_window(1 << 24)
-    await loop.sock_sendall(sock, made.data_to_send())
+    connection.initiate_connection()
+    connection.increment_flow_control_window(1 << 24)
+    await loop.sock_sendall(sock, connection.data_to_send())
     buffer, bodies = bytearray(65536), dict[int, bytearray]()
     while count := await loop.sock_recv_into(sock, buffer):
-        for event in made.receive_data(bytes(buffer[:count])):
+        for event in connection.receive_data(bytes(buffer[:count])):
             id_ = event.stream_id if isinstance(event, RequestReceived | DataReceived | StreamEnded) else 0
             if isinstance(event, RequestReceived):
                 bodies[id_] = bytearray()
             elif isinstance(event, DataReceived):
                 bodies[id_] += event.data
-                made.acknowledge_received_data(event.flow_controlled_length, id_)
+                connection.acknowledge_received_data(event.flow_controlled_length, id_)
             elif isinstance(event, StreamEnded):
-                made.send_headers(id_, [(b":status", b"200"), (b"content-type", b"application/grpc")])
-                made.send_data(id_, bytes(bodies.pop(id_)))
-                made.send_headers(id_, [(b"grpc-status", b"0")], end_stream=True)
-        if data := made.data_to_send():
+                connection.send_headers(id_, [(b":status", b"200"), (b"content-type", b"application/grpc")])
+                connection.send_data(id_, bytes(bodies.pop(id_)))
+                connection.send_headers(id_, [(b"grpc-status", b"0")], end_stream=True)
+        if data := connection.data_to_send():
             await loop.sock_sendall(sock, data)
 
 
-async def serve_bare() -> None:
+async def serve_h2() -> None:
     loop = asyncio.get_running_loop()
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(100)
     listener.setblocking(False)
     print(f"127.0.0.1:{listener.getsockname()[1]}", flush=True)
-    kept = set()
+    tasks = set()
     while True:
         sock, _ = await loop.sock_accept(listener)
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        kept.add(loop.create_task(bare(sock)))
+        tasks.add(loop.create_task(serve_connection(sock)))
 
 
 async def serve_grpcio() -> None:
@@ -78,18 +78,18 @@
     await server.wait_for_termination()
 
 
-async def serve_ours() -> None:
+async def serve_own() -> None:
     from kelptrail.net.grpc_server import GrpcServer, GrpcStream
 
     def echo(stream: GrpcStream) -> None:
-        kept: list[bytes] = []
-        stream.on_message = kept.append
+        messages: list[bytes] = []
+        stream.on_message = messages.append
 
-        def whole() -> None:
-            stream.send(kept[0])
+        def on_end() -> None:
+            stream.send(messages[0])
             stream.finish()
 
-        stream.on_end = whole
+        stream.on_end = on_end
 
     server = GrpcServer(echo)
     server.listen("127.0.0.1", 0)
@@ -100,5 +100,5 @@
 if __name__ == "__main__":
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
     kind = sys.argv[1]
-    main = {"h2": serve_bare, "ours": serve_ours}.get(kind, serve_grpcio)()
+    main = {"h2": serve_h2, "ours": serve_own}.get(kind, serve_grpcio)()
     asyncio.run(main) if kind == "grpcio" else uvloop.run(main)
--- /dev/null
+++ b/bench/lease_measurements/client_load.py
@@ -0,0 +1,110 @@
+"""Messages and CPU at acceptors and lease clients by the number of clients, simulated and with real dispatchers."""
+
+from __future__ import annotations
+
+import asyncio
+import statistics
+import tempfile
+import time
+from pathlib import Path
+from typing import Any, NamedTuple
+
+from pinned_processes import cpu_seconds
+
+from kelptrail.lease.messages import LeaseSettings
+from kelptrail.simulation.event_queue import EventQueue
+from kelptrail.simulation.leases import SimulatedLeases
+from lease_measurements.failover import TASK, LeaseCluster, lease_report
+
+ACCEPTORS = 5
+LEASE_MS = 4000.0
+SETTLE_MS, OUTAGE_MS, STEP_MS = 20_000.0, 35_000.0, 100.0
+REAL_SETTLE_S = 8.0
+
+
+def simulate_clients(count: int, seconds: float, outage: bool) -> dict[str, Any]:
+    """`count` dispatchers contend for one task, five of them are acceptors; with `outage` all links are cut first."""
+    queue, names = EventQueue(), [f"dispatcher-{n:03d}" for n in range(count)]
+    acceptors, clients = names[:ACCEPTORS], names[ACCEPTORS:]
+    settings = LeaseSettings(tuple(acceptors), max_lease_ms=LEASE_MS)
+    used_at: list[float] = []
+    leases = SimulatedLeases(
+        queue, settings, LEASE_MS, names, 1, 2.0, 0.2, 3000.0, lambda what, **fields: used_at.append(queue.now)
+    )
+    leases.contend((TASK,), names)
+    queue.run(SETTLE_MS)
+    if outage:
+        _cut_all_links(leases, queue, names)
+    healed_at, before = queue.now, _messages(leases)
+    peak_per_s, cpu_s = 0.0, time.process_time()
+    while queue.now < healed_at + seconds * 1000:
+        at = _messages(leases)
+        queue.run(queue.now + STEP_MS)
+        messages = max(leases.nodes[name].messages_received - at[name] for name in acceptors)
+        peak_per_s = max(peak_per_s, messages * 1000 / STEP_MS)
+    cpu_s = time.process_time() - cpu_s
+    after = _messages(leases)
+    per_s = {name: (after[name] - before[name]) / seconds for name in names}
+    row = {
+        "askers": count,
+        "outage": outage,
+        "voter_messages_per_s": round(max(per_s[name] for name in acceptors), 1),
+        "voter_peak_per_s_in_100_ms": round(peak_per_s),
+        "asker_messages_per_s": round(statistics.median(per_s[name] for name in clients), 2),
+        "all_messages_per_s": round(sum(per_s.values())),
+        "cpu_us_a_message": round(cpu_s * 1e6 / max(1, sum(after.values()) - sum(before.values())), 1),
+    }
+    if outage:
+        row["held_again_after_ms"] = round(min(at for at in used_at if at > healed_at) - healed_at)
+    return row
+
+
+def _cut_all_links(leases: SimulatedLeases, queue: EventQueue, names: list[str]) -> None:
+    pairs = [(a, b) for a in names for b in names if a != b]
+    leases.cut(pairs)
+    queue.run(OUTAGE_MS)
+    leases.heal(pairs)
+
+
+def _messages(leases: SimulatedLeases) -> dict[str, int]:
+    return {name: node.messages_received for name, node in leases.nodes.items()}
+
+
+class LeaseLoad(NamedTuple):
+    """What leases have cost a dispatcher so far."""
+
+    messages: float
+    cpu_ms: float
+
+
+async def measure_real_clients(count: int, seconds: float) -> dict[str, Any]:
+    """`count` real dispatchers contend for one task, without load: messages and CPU at acceptors and at the others."""
+    with tempfile.TemporaryDirectory() as name:
+        leases = LeaseCluster(Path(name))
+        await leases.start(count)
+        await asyncio.sleep(REAL_SETTLE_S)
+        before, start = await _read_loads(leases), time.monotonic()
+        await asyncio.sleep(seconds)
+        after, took_s = await _read_loads(leases), time.monotonic() - start
+        await leases.cluster.stop()
+    rates = [
+        LeaseLoad((new.messages - old.messages) / took_s, (new.cpu_ms - old.cpu_ms) / took_s)
+        for old, new in zip(before, after, strict=True)
+    ]
+    acceptors, others = rates[:ACCEPTORS], rates[ACCEPTORS:]
+    return {
+        "real_askers": count,
+        "voter_messages_per_s": round(max(rate.messages for rate in acceptors), 1),
+        "voter_cpu_ms_per_s": round(max(rate.cpu_ms for rate in acceptors), 1),
+        "other_messages_per_s": round(statistics.median(rate.messages for rate in others), 2),
+        "other_cpu_ms_per_s": round(statistics.median(rate.cpu_ms for rate in others), 1),
+    }
+
+
+async def _read_loads(leases: LeaseCluster) -> list[LeaseLoad]:
+    loads = []
+    for child in leases.cluster.dispatchers:
+        report = await lease_report(child)
+        assert child.process is not None
+        loads.append(LeaseLoad(report["messages"], cpu_seconds(child.process.pid) * 1000))
+    return loads
--- /dev/null
+++ b/bench/lease_measurements/failover.py
@@ -0,0 +1,181 @@
+"""The time without a lease holder, of real dispatchers whose holder is killed, paused, cut off or shut down."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import signal
+import statistics
+import tempfile
+import time
+from enum import StrEnum
+from pathlib import Path
+from typing import Any
+
+import numpy as np
+
+from kelptrail.emulator.capture import Capture
+from kelptrail.emulator.cluster import Cluster, Process, http_json
+from kelptrail.fault_scenario.report import describe_deployment
+from kelptrail.history_checker.checker import check_history, read_captures
+from kelptrail.settings.cooperation import LeasesPlan
+from kelptrail.settings.deployment import load
+
+FLEET = Path(__file__).parent.parent.parent / "examples" / "fleet.sexp"
+TASK = "sweep"
+DISPATCHERS, WORKERS = 7, 2
+FAULT_S = 5.0
+SEED = 7
+
+
+class HolderFault(StrEnum):
+    """What happens to the lease holder."""
+
+    KILL = "kill"
+    PAUSE = "pause"
+    CUT = "cut"
+    CUT_ONE_WAY = "cut-one-way"
+    SHUTDOWN = "ended"  # it releases its leases
+
+
+class LeaseCluster:
+    """Dispatchers that contend for one task, without load."""
+
+    def __init__(self, folder: Path) -> None:
+        self.deployment = load(FLEET)
+        self._folder = folder
+        captures = folder / "captures"
+        captures.mkdir(parents=True)
+        self.capture = Capture(captures / "player.jsonl", "player")
+        self.cluster = Cluster(self.deployment, str(FLEET), captures, 1, "info", folder)
+        self._rng = np.random.default_rng(SEED)
+
+    async def start(self, dispatchers: int) -> None:
+        """Start the processes."""
+        await self.cluster.start(WORKERS, dispatchers, self._folder / "state", tasks=(TASK,))
+
+    async def find_holder(self) -> Process:
+        """The dispatcher that reports the lease as held, as soon as there is one."""
+        while True:
+            for child in self.cluster.dispatchers:
+                try:
+                    async with asyncio.timeout(0.5):
+                        if child.running and TASK in (await lease_report(child))["holds"]:
+                            return child
+                except (OSError, TimeoutError):
+                    continue
+            await asyncio.sleep(0.05)
+
+    async def inject(self, fault: HolderFault, child: Process) -> None:
+        """A fault of the holder for a while, its repair, and time to recover."""
+        others = [each.name for each in self.cluster.dispatchers if each.name != child.name]
+        match fault:
+            case HolderFault.KILL:
+                self.cluster.kill(child)
+            case HolderFault.PAUSE:
+                self.cluster.signal(child, signal.SIGSTOP)
+            case HolderFault.CUT:
+                both_ways = [pair for other in others for pair in ((child.name, other), (other, child.name))]
+                await self.cluster.set_link_fault(cut=both_ways)
+            case HolderFault.CUT_ONE_WAY:
+                await self.cluster.set_link_fault(cut=[(other, child.name) for other in others])
+            case HolderFault.SHUTDOWN:
+                self.cluster.signal(child, signal.SIGTERM)
+        await asyncio.sleep(FAULT_S)
+        await self._repair(fault, child)
+        await asyncio.sleep(float(self._rng.uniform(2.5, 3.5)))
+
+    async def _repair(self, fault: HolderFault, child: Process) -> None:
+        match fault:
+            case HolderFault.PAUSE:
+                self.cluster.signal(child, signal.SIGCONT)
+            case HolderFault.CUT | HolderFault.CUT_ONE_WAY:
+                await self.cluster.set_link_fault(cut=[])
+            case HolderFault.KILL | HolderFault.SHUTDOWN:
+                if child.process is not None:
+                    await child.process.wait()
+                await self.cluster.launch(child)
+
+
+async def lease_report(child: Process) -> dict[str, Any]:
+    """What the control port of a dispatcher reports on leases."""
+    report: dict[str, Any] = await http_json(child.said["asked_at"], "GET", "/leases")
+    return report
+
+
+async def measure_failover(times: int, plot: Path | None, faults: tuple[str, ...]) -> None:
+    """So many times each fault; prints the times without a holder, their bound and what the history checker finds."""
+    with tempfile.TemporaryDirectory() as name:
+        leases = LeaseCluster(Path(name))
+        await leases.start(DISPATCHERS)
+        dispatchers = [each.name for each in leases.cluster.dispatchers]
+        leases.capture.write("world", **describe_deployment(leases.deployment, dispatchers, WORKERS))
+        faulted_at: dict[str, list[float]] = {}
+        for fault in faults or tuple(HolderFault):
+            for _ in range(times):
+                child = await leases.find_holder()
+                faulted_at.setdefault(str(fault), []).append(time.monotonic() * 1000)
+                await leases.inject(HolderFault(fault), child)
+        await leases.cluster.stop()
+        events = read_captures(Path(name) / "captures")
+    gaps_ms = {fault: holder_gaps_ms(events, moments) for fault, moments in faulted_at.items()}
+    for fault, gaps in gaps_ms.items():
+        print(json.dumps(gap_row(fault, gaps)), flush=True)
+    assert leases.deployment.leases is not None
+    bound_ms = gap_bound_ms(leases.deployment.leases)
+    print(json.dumps({"bound_ms": round(bound_ms)}))
+    if plot is not None:
+        draw_gaps(plot, gaps_ms, bound_ms)
+    verdict = check_history([e for e in events if e["what"] in ("act", "done", "world", "trouble")])
+    print(
+        json.dumps(
+            {"acts": verdict.acts, "holders_two": verdict.holders_two, "old_tokens_taken": verdict.old_tokens_taken}
+        )
+    )
+
+
+def holder_gaps_ms(events: list[dict[str, Any]], moments: list[float]) -> list[float]:
+    """The time from the last use of the lease under the old token to the first under a newer one, after each fault."""
+    uses = sorted((e for e in events if e["what"] in ("act", "done") and e["taken"]), key=lambda e: e["looked"])
+    gaps = []
+    for at in moments:
+        before = [e for e in uses if e["looked"] <= at][-1]
+        old = [e for e in uses if e["token"] == before["token"]][-1]
+        new = next(e for e in uses if e["looked"] > old["looked"] and e["token"] > old["token"])
+        gaps.append(new["looked"] - old["looked"])
+    return gaps
+
+
+def gap_row(fault: str, gaps: list[float]) -> dict[str, Any]:
+    """The figures of one fault."""
+    return {
+        "without_a_holder_ms": fault,
+        "times": len(gaps),
+        "median": round(statistics.median(gaps)),
+        "worst": round(max(gaps)),
+        "all": [round(gap) for gap in sorted(gaps)],
+    }
+
+
+def gap_bound_ms(leases: LeasesPlan) -> float:
+    """The longest time without a holder by the settings: a grant just before the fault, on the slowest acceptor; the
+    retry pause; the spacing of the queue; one silent first acceptor; two round trips of requests with their syncs."""
+    return leases.length_ms / (1 - leases.clock_bound) + 1.5 * leases.retry_ms + 7 * leases.gap_ms + leases.ask_ms + 100
+
+
+def draw_gaps(file: Path, gaps_ms: dict[str, list[float]], bound_ms: float) -> None:
+    """A picture of all times without a holder."""
+    import matplotlib
+
+    matplotlib.use("Agg")
+    from matplotlib import pyplot
+
+    figure, axes = pyplot.subplots(figsize=(8, 4))
+    for number, gaps in enumerate(gaps_ms.values()):
+        axes.scatter([number] * len(gaps), gaps, alpha=0.6)
+    axes.axhline(bound_ms, color="black", linewidth=0.8, label=f"bound from the settings, {bound_ms:.0f} ms")
+    axes.set_xticks(range(len(gaps_ms)), list(gaps_ms))
+    axes.set_ylabel("ms without a holder")
+    axes.legend()
+    figure.tight_layout()
+    figure.savefig(file, dpi=110)
--- a/bench/passthrough.py
+++ b/bench/passthrough.py
@@ -1,11 +1,12 @@
 """A bare pass-through: the same sockets and parser as the gateway, no decision, no record.
 
-A request's body goes to the worker as a send of the inference protocol, the worker's result comes back.  It is
-what the gateway is measured beside.
+A request's body goes to the worker in the inference protocol, the worker's result comes back.  The gateway is measured
+beside it.
 """
 
 from __future__ import annotations
 
+import asyncio
 import signal
 import sys
 
@@ -18,21 +19,19 @@
 
 
 async def main(worker: str) -> None:
-    import asyncio
-
     pool = WorkerPool(worker, 512, 500.0, 60_000.0, 1 << 20)
     number = 0
 
-    def done(call: Call, ending: CallOutcome, response: Response | None) -> None:
-        mark, exchange = call.tag
-        answer = read_answer(response, mark) if response is not None else None
+    def on_finished(call: Call, _outcome: CallOutcome, response: Response | None) -> None:
+        id_, exchange = call.tag
+        answer = read_answer(response, id_) if response is not None else None
         exchange.reply(200 if answer and answer.kind == "completed" else 502, answer.result if answer else b"{}")
 
     def handle(request: Request, exchange: Exchange) -> None:
         nonlocal number
         number += 1
-        mark = f"{number:032x}"
-        pool.start(infer_request(worker, "m", mark, request.body, {}, {}), done, (mark, exchange))
+        id_ = f"{number:032x}"
+        pool.start(infer_request(worker, "m", id_, request.body, {}, {}), on_finished, (id_, exchange))
 
     server = HttpServer(handle)
     server.listen("127.0.0.1", 0)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import dataclasses
+import sys
 from pathlib import Path
 from typing import Any
 
@@ -35,71 +36,45 @@
 from kelptrail.settings.reader import SettingsError
 
 ROOT = Path(__file__).parent.parent
-FIGURES = {
-    "max_lease_ms": 100.0,
-    "request_timeout_ms": 8.0,
-    "retry_pause_ms": 5.0,
-    "queue_spacing_ms": 0.0,
-    "transfer_reservation_ms": 20.0,
-    "clock_rate_bound": 0.02,
-}
-SET = LeaseSettings(("a", "b", "c"), **FIGURES)  # type: ignore[arg-type]
-NEXT = LeaseSettings(("a", "b", "d"), 2, ("a", "b", "c"), **FIGURES)  # type: ignore[arg-type]
-RATES = (("a", 1.02), ("b", 1.02), ("c", 1.02), ("x", 0.98), ("y", 0.98), ("z", 0.98))
-FULL = Budget(
-    drops=9,
-    duplicates=9,
-    delays=60,
-    restarts=3,
-    disk_losses=1,
-    sync_failures=3,
-    client_restarts=3,
-    pauses=3,
-    releases=3,
-    actions=9,
+sys.path.insert(0, str(ROOT / "bench"))
+
+from lease_measurements.models import (  # noqa: E402
+    ALL_FAULTS,
+    CONFIG_CHANGE,
+    LATE_MESSAGES,
+    LOST_DISK,
+    NEXT_SETTINGS,
+    SETTINGS,
+    TIMES,
+    WalkSetup,
+    model_of_seed,
+    walk,
 )
-LATE = Budget(drops=30, duplicates=9, delays=200, pauses=9, actions=20)
-LOST = Budget(drops=10, duplicates=2, delays=200, disk_losses=1, client_restarts=1)
-CHANGE = Budget(drops=5, duplicates=3, delays=100, restarts=3, client_restarts=2)
-
-
-def world(seed: int, budget: Budget, **how: Any) -> Model:
-    askers = ("x", "y") if seed % 2 else ("x", "y", "z")
-    return Model(ModelSetup(how.pop("settings", SET), askers, budget, clock_rates=RATES, **how))
-
-
-def walk(seed: int, budget: Budget, faults: float, length: int, **how: Any) -> None:
-    last = [world(seed, budget, **how)]
-
-    def look(state: Model) -> None:
-        state.check()
-        last[0] = state
-
-    random_walk(last[0], look, seed, length, faults)
-    last[0].check_recovery(3000.0)
 
 
 @pytest.mark.parametrize(
-    ("budget", "faults", "length", "how"),
+    ("budget", "fault_share", "length", "options"),
     [
-        (FULL, 0.12, 400, {}),
-        (LATE, 0.3, 800, {}),
-        (LOST, 0.3, 600, {}),
-        (CHANGE, 0.1, 500, {"next_settings": NEXT}),
+        (ALL_FAULTS, 0.12, 400, {}),
+        (LATE_MESSAGES, 0.3, 800, {}),
+        (LOST_DISK, 0.3, 600, {}),
+        (CONFIG_CHANGE, 0.1, 500, {"next_settings": NEXT_SETTINGS}),
         (Budget(drops=5, delays=60, restarts=3, client_restarts=1), 0.1, 300, {"is_founded": False}),
-        (FULL, 0.12, 400, {"with_notes": True}),
-        (LOST, 0.3, 600, {"with_notes": True}),
-        (CHANGE, 0.1, 500, {"next_settings": NEXT, "with_notes": True}),
+        (ALL_FAULTS, 0.12, 400, {"with_notes": True}),
+        (LOST_DISK, 0.3, 600, {"with_notes": True}),
+        (CONFIG_CHANGE, 0.1, 500, {"next_settings": NEXT_SETTINGS, "with_notes": True}),
     ],
     ids=["all", "late", "disk-lost", "set-changed", "founding", "notes", "notes-disk-lost", "notes-set-changed"],
 )
-def test_walks_break_nothing_and_it_heals(budget: Budget, faults: float, length: int, how: dict[str, Any]) -> None:
+def test_walks_break_nothing_and_it_heals(
+    budget: Budget, fault_share: float, length: int, options: dict[str, Any]
+) -> None:
     for seed in range(25):
-        walk(seed, budget, faults, length, **how)
+        walk(seed, WalkSetup(budget, fault_share, length, options))
 
 
 def test_near_states_break_nothing() -> None:
-    found = explore(world(1, Budget(drops=1, delays=1, restarts=1, actions=1)), Model.check, 7, 5000)
+    found = explore(model_of_seed(1, Budget(drops=1, delays=1, restarts=1, actions=1), {}), Model.check, 7, 5000)
     assert found.states > 3000 and found.depth >= 6
 
 
@@ -181,24 +156,24 @@
         return length_ms
 
 
-AGREE = ClocksAgree(("a", "b", "c"), **FIGURES)  # type: ignore[arg-type]
+AGREE = ClocksAgree(("a", "b", "c"), **TIMES)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
-    ("budget", "faults", "length", "how"),
+    ("budget", "fault_share", "length", "options"),
     [
-        (FULL, 0.12, 400, {"acceptor_type": GrantsWhatIsHeld}),
-        (FULL, 0.12, 400, {"acceptor_type": SaysBeforeDisk}),
-        (FULL, 0.12, 400, {"acceptor_type": ForgetsGrants}),
-        (LOST, 0.3, 600, {"acceptor_type": VotesWithoutMemory}),
-        (FULL, 0.12, 400, {"acceptor_type": GrantsOlder}),
-        (Budget(drops=20, delays=100), 0.2, 500, {"acceptor_type": ChangesAtOnce, "next_settings": NEXT}),
-        (LATE, 0.3, 800, {"client_type": CountsFromTheAnswer}),
-        (LATE, 0.3, 800, {"client_type": BelievesItsState}),
-        (FULL, 0.12, 400, {"client_type": CountsOneVoterTwice}),
-        (LATE, 0.3, 800, {"settings": AGREE}),
+        (ALL_FAULTS, 0.12, 400, {"acceptor_type": GrantsWhatIsHeld}),
+        (ALL_FAULTS, 0.12, 400, {"acceptor_type": SaysBeforeDisk}),
+        (ALL_FAULTS, 0.12, 400, {"acceptor_type": ForgetsGrants}),
+        (LOST_DISK, 0.3, 600, {"acceptor_type": VotesWithoutMemory}),
+        (ALL_FAULTS, 0.12, 400, {"acceptor_type": GrantsOlder}),
+        (Budget(drops=20, delays=100), 0.2, 500, {"acceptor_type": ChangesAtOnce, "next_settings": NEXT_SETTINGS}),
+        (LATE_MESSAGES, 0.3, 800, {"client_type": CountsFromTheAnswer}),
+        (LATE_MESSAGES, 0.3, 800, {"client_type": BelievesItsState}),
+        (ALL_FAULTS, 0.12, 400, {"client_type": CountsOneVoterTwice}),
+        (LATE_MESSAGES, 0.3, 800, {"settings": AGREE}),
         (Budget(releases=9, actions=40, delays=60), 0.1, 300, {"checks_tokens": False}),
-        (FULL, 0.12, 400, {"client_type": TakesOneForKept, "with_notes": True}),
+        (ALL_FAULTS, 0.12, 400, {"client_type": TakesOneForKept, "with_notes": True}),
     ],
     ids=[
         "held",
@@ -215,10 +190,12 @@
         "notes-one",
     ],
 )
-def test_rules_broken_on_purpose_are_found(budget: Budget, faults: float, length: int, how: dict[str, Any]) -> None:
+def test_rules_broken_on_purpose_are_found(
+    budget: Budget, fault_share: float, length: int, options: dict[str, Any]
+) -> None:
     with pytest.raises(PropertyError, match=r"believe that they hold it|won under|was taken after|not told"):
         for seed in range(2000):
-            walk(seed, budget, faults, length, **how)
+            walk(seed, WalkSetup(budget, fault_share, length, options))
 
 
 def test_a_voter_keeps_no_note_under_an_older_token_and_learns_what_others_keep() -> None:
@@ -226,7 +203,7 @@
     old, new = FencingToken(1, "x/1"), FencingToken(2, "y/1")
     voter = Acceptor(
         "a",
-        SET,
+        SETTINGS,
         0.0,
         DurableState(1, Stage.VOTING, False),
         (LeaseRow("t", new, 10.0, False, LeaseNote(old, 3, b"first")),),
@@ -238,7 +215,7 @@
     voter.on_written(voter.pending_writes.popleft(), True)
     voter.on_message(1.0, "y", WriteNote("t", LeaseNote(new, 0, b"before"), 1))
     assert [m for _, m in voter.outbox] == [NoteWritten("t", new, 1)] and voter.records["t"].note.text == b"next"
-    empty = Acceptor("c", SET, 0.0, None)
+    empty = Acceptor("c", SETTINGS, 0.0, None)
     empty.stage, empty._stage_durable = Stage.EMPTY, True
     empty._state_replies = {
         "a": StateReply(1, 0, "voting", False, (LeaseRow("t", old, 10.0, True, LeaseNote(new, 1, b"next")),))
@@ -252,7 +229,7 @@
     rates = (("a", 1.2), ("b", 1.2), ("c", 1.2), ("x", 0.8), ("y", 0.8))
     both = 0
     for seed in range(150):
-        state = Model(ModelSetup(SET, ("x", "y"), LATE, clock_rates=rates, clocks_in_bound=False))
+        state = Model(ModelSetup(SETTINGS, ("x", "y"), LATE_MESSAGES, clock_rates=rates, clocks_in_bound=False))
 
         def look(one: Model) -> None:
             nonlocal both
@@ -284,9 +261,9 @@
 
 
 def test_renewals_count_only_answers_to_one_question_and_from_when_it_was_asked() -> None:
-    asker = LeaseClient("x", "x/1", SET)
+    asker = LeaseClient("x", "x/1", SETTINGS)
     token = held(asker)
-    until = SET.safe_hold_ms(100.0)
+    until = SETTINGS.safe_hold_ms(100.0)
     assert asker.held_token(until - 0.01, "t") == token and asker.held_token(until, "t") is None
     asker.tick(40.0)
     first = asked(asker)
@@ -305,7 +282,7 @@
 
 
 def test_answers_of_the_set_before_do_not_count_for_the_next() -> None:
-    asker = LeaseClient("x", "x/1", SET)
+    asker = LeaseClient("x", "x/1", SETTINGS)
     asker.acquire(0.0, "t", 100.0)
     asker.tick(0.0)
     [(first, ask)] = asked(asker)
@@ -319,8 +296,8 @@
 
 
 def test_what_is_handed_over_is_had_at_once_by_whom_it_was_meant_for() -> None:
-    voters = {name: Acceptor(name, SET, 0.0, DurableState(1, Stage.VOTING, False)) for name in SET.acceptors}
-    askers = {name: LeaseClient(name, f"{name}/1", SET) for name in ("x", "y", "z")}
+    voters = {name: Acceptor(name, SETTINGS, 0.0, DurableState(1, Stage.VOTING, False)) for name in SETTINGS.acceptors}
+    askers = {name: LeaseClient(name, f"{name}/1", SETTINGS) for name in ("x", "y", "z")}
     told: list[str] = []
 
     def pump(now: float) -> None:
@@ -353,7 +330,7 @@
 
 
 def test_a_fleet_that_waits_is_given_places_one_after_another() -> None:
-    settings = dataclasses.replace(SET, queue_spacing_ms=20.0)
+    settings = dataclasses.replace(SETTINGS, queue_spacing_ms=20.0)
     voter = Acceptor("a", settings, 0.0, DurableState(1, Stage.VOTING, False))
     voter.on_message(0.0, "x", AcquireRequest("t", FencingToken(1, "x/1"), 100.0, 1, 1))
     voter.on_written(voter.pending_writes.popleft(), True)
@@ -382,7 +359,7 @@
     ledger, memory, rows, _ = open_acceptor_store(file)
     assert memory == DurableState(1, Stage.VOTING, False) and rows == (kept, LeaseRow("u", NO_TOKEN, 0.0, True))
     ledger.close()
-    voter = Acceptor("a", SET, 50.0, memory, rows)
+    voter = Acceptor("a", SETTINGS, 50.0, memory, rows)
     voter.on_message(60.0, "y", AcquireRequest("t", FencingToken(8, "y/1"), 100.0, 1, 1))
     assert isinstance(refused := voter.outbox.popleft()[1], Refusal) and refused.retry_after_ms == pytest.approx(90.0)
     voter.on_message(151.0, "y", AcquireRequest("t", FencingToken(8, "y/1"), 100.0, 2, 1))
@@ -395,13 +372,13 @@
     ledger, memory, rows, reason = open_acceptor_store(file)
     assert memory is None and not rows and "Corrupt" in reason and (tmp_path / "leases.sqlite.damaged-1").exists()
     ledger.close()
-    empty = Acceptor("a", SET, 0.0, memory, rows)
+    empty = Acceptor("a", SETTINGS, 0.0, memory, rows)
     empty.on_message(1.0, "y", AcquireRequest("t", FencingToken(9, "y/1"), 100.0, 1, 1))
     assert isinstance(refused := empty.outbox.popleft()[1], Refusal) and refused.reason == "empty"
 
 
 def test_a_voter_without_memory_learns_after_the_longest_lease_from_a_majority_that_votes() -> None:
-    voter = Acceptor("a", SET, 0.0, None)
+    voter = Acceptor("a", SETTINGS, 0.0, None)
 
     def answered(now: float, stages: dict[str, str]) -> Stage:
         voter.tick(now)
@@ -416,8 +393,8 @@
         return voter.stage
 
     assert answered(1.0, {"b": "voting", "c": "voting"}) is Stage.EMPTY
-    assert answered(SET.recovery_wait_ms + 1, {"b": "voting", "c": "empty"}) is Stage.EMPTY, "one is no majority"
-    assert answered(SET.recovery_wait_ms + 20, {"b": "voting", "c": "voting"}) is Stage.VOTING
+    assert answered(SETTINGS.recovery_wait_ms + 1, {"b": "voting", "c": "empty"}) is Stage.EMPTY, "one is no majority"
+    assert answered(SETTINGS.recovery_wait_ms + 20, {"b": "voting", "c": "voting"}) is Stage.VOTING
     voter.on_message(130.0, "y", AcquireRequest("t", FencingToken(5, "a/1"), 100.0, 1, 1))
     voter.on_message(130.0, "x", AcquireRequest("t", FencingToken(5, "x/1"), 100.0, 1, 1))
     (_, old), (_, renewed) = voter.outbox
