--- a/examples/bad-days/second-sends.sexp
+++ b/examples/bad-days/second-sends.sexp
@@ -1,5 +1,5 @@
 ; Workers that hang, lose answers and work slowly for a part of their calls: where a second send helps, and where it
-; must not add to the trouble.  `bench/second_sends.py` plays it with and without second sends.
+; must not add to the overload.  `bench/hedged_requests.py` runs it with and without hedges and retries.
 (bad-day second-sends
   (deployment "../hedged.sexp")
   (seconds 40) (workers 6) (dispatchers 2)
