--- a/bench/lease_measurements/exploration.py
+++ b/bench/lease_measurements/exploration.py
@@ -15,8 +15,8 @@
     ALL_FAULTS,
     CLOCK_RATES,
     CONFIG_CHANGE,
-    LATE_MESSAGES,
-    LOST_DISK,
+    DELAYS,
+    DISK_LOSS,
     NEXT_SETTINGS,
     RECOVERY_TIMEOUT_MS,
     SETTINGS,
@@ -55,8 +55,8 @@
 }
 WALKS = {
     "all": WalkSetup(ALL_FAULTS, 0.12, 400),
-    "late": WalkSetup(LATE_MESSAGES, 0.3, 800),
-    "disk lost": WalkSetup(LOST_DISK, 0.3, 600),
+    "late": WalkSetup(DELAYS, 0.3, 800),
+    "disk lost": WalkSetup(DISK_LOSS, 0.3, 600),
     "acceptors changed": WalkSetup(CONFIG_CHANGE, 0.1, 500, {"next_settings": NEXT_SETTINGS}),
 }
 WALKS |= {f"{name}, with notes": setup.with_notes() for name, setup in WALKS.items()}
--- a/bench/lease_measurements/models.py
+++ b/bench/lease_measurements/models.py
@@ -35,8 +35,8 @@
     releases=3,
     actions=9,
 )
-LATE_MESSAGES = Budget(drops=30, duplicates=9, delays=200, pauses=9, actions=20)
-LOST_DISK = Budget(drops=10, duplicates=2, delays=200, disk_losses=1, client_restarts=1)
+DELAYS = Budget(drops=30, duplicates=9, delays=200, pauses=9, actions=20)
+DISK_LOSS = Budget(drops=10, duplicates=2, delays=200, disk_losses=1, client_restarts=1)
 CONFIG_CHANGE = Budget(drops=5, duplicates=3, delays=100, restarts=3, client_restarts=2)
 
 
@@ -54,7 +54,7 @@
         return WalkSetup(self.budget, self.fault_share, self.length, self.options | {"with_notes": True})
 
 
-def model_of_seed(seed: int, budget: Budget, options: dict[str, Any]) -> Model:
+def initial_state(seed: int, budget: Budget, options: dict[str, Any]) -> Model:
     """A model with two or three lease clients, by the seed."""
     clients = TWO_CLIENTS if seed % 2 else THREE_CLIENTS
     settings = options.get("settings", SETTINGS)
@@ -66,7 +66,7 @@
     """Walk at random, check every state and that the last one recovers; returns the number of states.
 
     Raises `PropertyError`."""
-    last = [model_of_seed(seed, setup.budget, setup.options)]
+    last = [initial_state(seed, setup.budget, setup.options)]
 
     def check(state: Model) -> None:
         state.check()
