--- a/kelptrail/certificates/authority.py
+++ b/kelptrail/certificates/authority.py
@@ -14,6 +14,7 @@
 from datetime import datetime, timedelta
 from ipaddress import ip_address
 from pathlib import Path
+from typing import NamedTuple
 
 from cryptography import x509
 from cryptography.hazmat.primitives import hashes, serialization
@@ -74,10 +75,17 @@
     )
 
 
-def new_api_key() -> tuple[str, str]:
-    """Generate an API key for a namespace; returns the key, and its digest for the settings."""
+class ApiKey(NamedTuple):
+    """The API key of a namespace, and its digest for the settings."""
+
+    key: str
+    digest: str
+
+
+def new_api_key() -> ApiKey:
+    """Generate an API key for a namespace."""
     key = secrets.token_urlsafe(48)
-    return key, key_digest(key)
+    return ApiKey(key, key_digest(key))
 
 
 class Authority:
@@ -152,30 +160,40 @@
         if ends <= now:
             raise AuthorityError("the authority itself has ended")
         key = ec.generate_private_key(ec.SECP256R1())
-        uses = [
-            u
-            for u, wanted in ((ExtendedKeyUsageOID.SERVER_AUTH, server), (ExtendedKeyUsageOID.CLIENT_AUTH, client))
-            if wanted
-        ]
+        wanted_uses = ((ExtendedKeyUsageOID.SERVER_AUTH, server), (ExtendedKeyUsageOID.CLIENT_AUTH, client))
+        uses = [use for use, wanted in wanted_uses if wanted]
         names = [_general_name(one) for one in dict.fromkeys([name, *others])]
-        certificate = (
+        certificate = self._sign(name, names, uses, key.public_key(), now - BACK_DATED, ends)
+        _write_file(file, _private_key_pem(key) + certificate.public_bytes(serialization.Encoding.PEM), 0o600)
+        return describe(name, certificate)
+
+    def _sign(
+        self,
+        name: str,
+        names: list[x509.GeneralName],
+        uses: list[x509.ObjectIdentifier],
+        public_key: ec.EllipticCurvePublicKey,
+        begins: datetime,
+        ends: datetime,
+    ) -> x509.Certificate:
+        """Sign an end-entity certificate (RFC 5280) for a public key."""
+        authority_key = self._key.public_key()
+        return (
             x509.CertificateBuilder()
             .subject_name(x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)]))
             .issuer_name(self._certificate.subject)
-            .public_key(key.public_key())
+            .public_key(public_key)
             .serial_number(x509.random_serial_number())
-            .not_valid_before(now - BACK_DATED)
+            .not_valid_before(begins)
             .not_valid_after(ends)
             .add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
             .add_extension(_key_usage(authority=False), critical=True)
             .add_extension(x509.ExtendedKeyUsage(uses), critical=False)
             .add_extension(x509.SubjectAlternativeName(names), critical=False)
-            .add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), critical=False)
-            .add_extension(x509.AuthorityKeyIdentifier.from_issuer_public_key(self._key.public_key()), critical=False)
+            .add_extension(x509.SubjectKeyIdentifier.from_public_key(public_key), critical=False)
+            .add_extension(x509.AuthorityKeyIdentifier.from_issuer_public_key(authority_key), critical=False)
             .sign(self._key, hashes.SHA256())
         )
-        _write_file(file, _private_key_pem(key) + certificate.public_bytes(serialization.Encoding.PEM), 0o600)
-        return describe(name, certificate)
 
     def rotate(self, name: str, days: int, now: datetime) -> IssuedCertificate:
         """Issue a new key and certificate for the same names and usage; the old file becomes `NAME.pem.old`."""
--- a/kelptrail/codec/http.py
+++ b/kelptrail/codec/http.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from http import HTTPStatus
+from typing import NamedTuple
 from urllib.parse import parse_qsl, unquote, urlsplit
 
 import httptools
@@ -56,6 +57,13 @@
         return dict(parse_qsl(query, keep_blank_values=True)) if query else {}
 
 
+class CompletedRequests(NamedTuple):
+    """Requests that are complete, in order, and the error that ends the connection once they are answered, if any."""
+
+    requests: list[Request]
+    error: HttpError | None
+
+
 class RequestReader:
     """Parses requests, for a server.  `wants_continue`: the client waits for a status 100 (RFC 9110 section 10.1.1)."""
 
@@ -143,11 +151,10 @@
     def _fail(self, status: int, reason: str) -> None:
         self._fault = self._fault or HttpError(status, reason)
 
-    def feed(self, data: bytes | memoryview) -> tuple[list[Request], HttpError | None]:
-        """Add bytes; return the requests that are complete now, in order, and the error that ends the connection once
-        they are answered, if any."""
+    def feed(self, data: bytes | memoryview) -> CompletedRequests:
+        """Add bytes; return the requests that are complete now."""
         if self._closed:  # RFC 9112 section 9.6: bytes after a last request are not read
-            return [], None
+            return CompletedRequests([], None)
         in_head = self.partial and self._in_head
         try:
             self._parser.feed_data(data)
@@ -160,7 +167,7 @@
             self._raw_head_bytes += len(data)
             self._check_head()
         done, self._done = self._done, []
-        return done, self._fault
+        return CompletedRequests(done, self._fault)
 
 
 @dataclass(slots=True, eq=False)
--- a/kelptrail/engine/engine.py
+++ b/kelptrail/engine/engine.py
@@ -20,8 +20,6 @@
     Function,
     LoadOrder,
     Request,
-    RequestClass,
-    Tenant,
     Worker,
     WorkerState,
 )
@@ -33,6 +31,7 @@
 from kelptrail.dispatch.slow_start import SlowStartSettings
 from kelptrail.dispatch.timer_queue import TimerQueue
 
+from .events import RequestArrival
 from .settings import DispatcherSettings, read_settings
 
 
@@ -66,45 +65,32 @@
         self.functions: dict[str, Function] = {}
         self.requests: dict[str, Request] = {}
 
-    def on_request(
-        self,
-        now: float,
-        id_: str,
-        request_class: RequestClass,
-        tenant: Tenant | None,
-        function_id: str,
-        left_ms: float,
-        memory_mb: float,
-        concurrency: int,
-        load_ms: float | None,
-        work_ms: float | None,
-    ) -> Request:
-        """A request arrived; it gets a final answer within `left_ms`."""
-        function = self.functions.get(function_id)
+    def on_request(self, now: float, arrival: RequestArrival) -> Request:
+        """A request arrived."""
+        request_class = arrival.request_class
+        function = self.functions.get(arrival.function_id)
         if function is None:
-            function = self.functions[function_id] = Function(
-                function_id, request_class, memory_mb, max(1, concurrency), load_ms or 0.0
+            function = self.functions[arrival.function_id] = Function(
+                arrival.function_id,
+                request_class,
+                arrival.memory_mb,
+                max(1, arrival.concurrency),
+                arrival.load_ms or 0.0,
             )
-        request = Request(id_, request_class, function, tenant, now, now + left_ms, work_ms)
-        self.requests[id_] = request
+        deadline = now + arrival.timeout_ms
+        request = Request(arrival.id, request_class, function, arrival.tenant, now, deadline, arrival.work_ms)
+        self.requests[request.id] = request
         self._dispatcher.on_request(now, request)
         return request
 
     def on_attempt_finished(
-        self,
-        now: float,
-        attempt: Attempt,
-        status: AttemptStatus,
-        request_done: bool,
-        load_failed: bool = False,
-        warm: bool | None = None,
-        foreign_in_flight: int = 0,
-        report: Sequence[float] | None = None,
+        self, now: float, attempt: Attempt, result: AttemptResult, load_values: Sequence[float] | None = None
     ) -> None:
-        """An attempt ended; `report` has the values of the settings' `report_fields`, in their order."""
-        load_report = dict(zip(self.report_fields, report, strict=True)) if report else None
-        found_warm = warm if self.reports_warm else None
-        result = AttemptResult(status, request_done, load_failed, found_warm, foreign_in_flight, load_report)
+        """An attempt ended; its response reported `load_values` for the settings' `report_fields`, in their order."""
+        if load_values:
+            result = result._replace(load_report=dict(zip(self.report_fields, load_values, strict=True)))
+        if not self.reports_warm:
+            result = result._replace(warm=None)
         self._dispatcher.on_attempt_finished(now, attempt, result)
         self.forget_if_settled(attempt.request)
 
--- a/kelptrail/net/listener.py
+++ b/kelptrail/net/listener.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from errno import EMFILE
-from typing import Any
+from typing import Any, NamedTuple
 from zlib import crc32
 
 from .errors import is_client_gone
@@ -37,6 +37,13 @@
     max_delay_ms: float = 12_000.0
 
 
+class AcceptedClient(NamedTuple):
+    """A client that left the accept queue; `peer` is its address and port."""
+
+    sock: socket.socket
+    peer: str
+
+
 class ConnectPace:
     """Limits the rate of new connections.  Guards against a reconnect storm after an outage: handshakes and first
     requests of thousands of clients would delay the calls in flight.  Times in milliseconds."""
@@ -158,7 +165,7 @@
         client.close()
 
     @staticmethod
-    def _accept_next(sock: socket.socket) -> tuple[socket.socket, str] | None:
+    def _accept_next(sock: socket.socket) -> AcceptedClient | None:
         """The next client in the accept queue and its address, or None.  Raises `OSError` if none can be accepted."""
         for _ in range(ACCEPT_BATCH):
             try:
@@ -170,7 +177,7 @@
                     raise
             else:
                 client.setblocking(False)
-                return client, f"{address[0]}:{address[1]}"
+                return AcceptedClient(client, f"{address[0]}:{address[1]}")
         return None
 
     def _on_accept_failure(self, cause: OSError) -> None:
--- a/kelptrail/net/tls.py
+++ b/kelptrail/net/tls.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from datetime import UTC, datetime
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from cryptography.hazmat.primitives.serialization import Encoding
 
@@ -37,6 +37,14 @@
     warn_days: float = 14.0
 
 
+class FileStamp(NamedTuple):
+    """Identifies one version of a file; zeros where the file cannot be examined."""
+
+    path: str
+    modified_ns: int
+    inode: int
+
+
 class ExpiryWarning:
     """When to warn of a certificate's expiry: once a day in its last `warn_days`.  No I/O; wall time in ms."""
 
@@ -63,7 +71,7 @@
         self, files: TlsFiles, server_side: bool, alpn: list[str], log: Any, wall_ms: Callable[[], float]
     ) -> None:
         self._files, self._server_side, self._alpn, self._log, self._wall_ms = files, server_side, alpn, log, wall_ms
-        self._loaded_stamps: tuple[tuple[str, int, int], ...] = ()
+        self._loaded_stamps: list[FileStamp] = []
         self._expiry = ExpiryWarning(files.warn_days)
         self.expires_at: float | None = None  # wall ms
         self.names: list[str] = []
@@ -104,16 +112,16 @@
     def _expiry_date(self) -> str | None:
         return datetime.fromtimestamp(self.expires_at / 1000, UTC).isoformat() if self.expires_at is not None else None
 
-    def _file_stamps(self) -> tuple[tuple[str, int, int], ...]:
-        out = []
+    def _file_stamps(self) -> list[FileStamp]:
+        stamps = []
         for file in (self._files.certificate, self._files.key, self._files.authority):
             if file is not None:
                 try:
                     stat = file.stat()
-                    out.append((str(file), stat.st_mtime_ns, stat.st_ino))
+                    stamps.append(FileStamp(str(file), stat.st_mtime_ns, stat.st_ino))
                 except OSError:
-                    out.append((str(file), 0, 0))
-        return tuple(out)
+                    stamps.append(FileStamp(str(file), 0, 0))
+        return stamps
 
     def _load(self) -> ssl.SSLContext:
         files = self._files
--- a/kelptrail/platform/decision_executor.py
+++ b/kelptrail/platform/decision_executor.py
@@ -9,6 +9,7 @@
 
 from kelptrail.codec import frames
 from kelptrail.codec.lines import WorkerAnswer, encode_call
+from kelptrail.dispatch.attempt_results import AttemptResult
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, FinalStatus, LoadOrder, Request
 from kelptrail.dispatch.timer_queue import TimerQueue
 from kelptrail.engine.engine import Engine
@@ -54,18 +55,7 @@
 
     def on_request(self, client_request: ClientRequest, parsed: ParsedRequest) -> None:
         """Hand an accepted request to the engine."""
-        request = client_request.request = self._engine.on_request(
-            self._loop.time() * 1000,
-            parsed.id,
-            parsed.request_class,
-            parsed.tenant,
-            parsed.function_id,
-            parsed.timeout_ms,
-            parsed.memory_mb,
-            parsed.slots,
-            parsed.load_ms,
-            parsed.work_ms,
-        )
+        request = client_request.request = self._engine.on_request(self._loop.time() * 1000, parsed.arrival())
         self.client_requests[request] = client_request
         self._schedule_decisions()
 
@@ -106,17 +96,15 @@
             self._client_server.answer(client_request, frames.SERVED, answer.body)
             is_final = True
         if answer is None:
-            self._engine.on_attempt_finished(now, attempt, status, is_final, False, False)
+            self._engine.on_attempt_finished(now, attempt, AttemptResult(status, is_final, warm=False))
         else:
-            report = self._load_report(answer)
             crashed, started = answer.notice == "crashed", answer.notice == "up"
-            self._engine.on_attempt_finished(
-                now, attempt, status, is_final, crashed, started, answer.queue_ahead, report
-            )
+            result = AttemptResult(status, is_final, crashed, started, answer.queue_ahead)
+            self._engine.on_attempt_finished(now, attempt, result, self._load_values(answer))
         if is_final:
             self._cancel_unsent_attempts(request, CancelReason.FINISHED)
 
-    def _load_report(self, answer: WorkerAnswer) -> list[float] | None:
+    def _load_values(self, answer: WorkerAnswer) -> list[float] | None:
         """The metrics of an answer in the order of the settings; `cpu` stands in for a missing `util`."""
         if answer.metrics is None:
             return None
@@ -146,7 +134,7 @@
     def _start_attempt(self, now: float, attempt: Attempt) -> None:
         request, client_request = attempt.request, self.client_requests.get(attempt.request)
         if client_request is None:  # an attempt for an answered request must not end the round of decisions
-            self._engine.on_attempt_finished(now, attempt, AttemptStatus.NOT_SENT, True)
+            self._engine.on_attempt_finished(now, attempt, AttemptResult(AttemptStatus.NOT_SENT, True))
             return
         if attempt.latest_start < request.deadline:
             self.timeouts.add(attempt.latest_start, attempt)
@@ -227,7 +215,8 @@
         may_arrive = None if connections is None else connections.cancel(attempt)
         if attempt.status is None and may_arrive is not None:
             is_final = attempt.request.final_status is not None
-            self._engine.on_attempt_finished(now, attempt, status if may_arrive else AttemptStatus.NOT_SENT, is_final)
+            result = AttemptResult(status if may_arrive else AttemptStatus.NOT_SENT, is_final)
+            self._engine.on_attempt_finished(now, attempt, result)
 
     def _cancel_unsent_attempts(self, request: Request, reason: CancelReason) -> None:
         """Cancel attempts that wait behind others on a slow worker, or for a connection that is not up yet."""
@@ -240,9 +229,8 @@
         if connections is not None and connections.cancel_unsent(attempt):
             request = attempt.request
             event_log(log_events.ATTEMPT_CANCELLED, request=request.id, attempt=attempt.number, reason=reason.value)
-            self._engine.on_attempt_finished(
-                self._loop.time() * 1000, attempt, AttemptStatus.NOT_SENT, request.final_status is not None
-            )
+            result = AttemptResult(AttemptStatus.NOT_SENT, request.final_status is not None)
+            self._engine.on_attempt_finished(self._loop.time() * 1000, attempt, result)
             self._schedule_decisions()
 
 
--- a/kelptrail/platform/parsed_request.py
+++ b/kelptrail/platform/parsed_request.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass
 
 from kelptrail.dispatch.entities import Idempotency, RequestClass, Tenant
+from kelptrail.engine.events import RequestArrival
 
 MAX_SLOTS = 1024
 MAX_LOAD_MS = 1e7
@@ -71,6 +72,20 @@
         self.load_ms = _read_number(info, "load_ms", 0, MAX_LOAD_MS) if "load_ms" in info else None
         self.work_ms = _read_number(fields, "cpu", 0, MAX_WORK_MS) if "cpu" in fields else None
 
+    def arrival(self) -> RequestArrival:
+        """The request as the engine takes it."""
+        return RequestArrival(
+            self.id,
+            self.request_class,
+            self.tenant,
+            self.function_id,
+            self.timeout_ms,
+            self.memory_mb,
+            self.slots,
+            self.load_ms,
+            self.work_ms,
+        )
+
 
 def _read_info(text: str) -> dict[str, str]:
     """The figures of the `info` field, `name:value` separated by semicolons."""
--- a/kelptrail/simulator_adapter/instance.py
+++ b/kelptrail/simulator_adapter/instance.py
@@ -6,8 +6,10 @@
 from collections import deque
 from typing import Any
 
+from kelptrail.dispatch.attempt_results import AttemptResult
 from kelptrail.dispatch.entities import AttemptStatus, Decision, FinalStatus, LoadOrder, Request, WorkerState
 from kelptrail.engine.engine import Endpoint, Engine
+from kelptrail.engine.events import RequestArrival
 from kelptrail.engine.settings import MalformedError
 
 Fields = dict[str, Any]
@@ -47,8 +49,7 @@
     def on_request(self, now: float, event: Fields) -> None:
         """A client's request arrived."""
         engine, work_us = self._engine, event["cost_guess_us"]
-        engine.on_request(
-            now,
+        arrival = RequestArrival(
             event["handle"],
             engine.request_classes[event["class"]],
             engine.tenants[event["project"] or 0] if engine.tenants else None,
@@ -59,6 +60,7 @@
             event["load_time_ms"],
             None if work_us is None else work_us / 1000,
         )
+        engine.on_request(now, arrival)
 
     def on_attempt_finished(self, now: float, event: Fields) -> None:
         """An attempt ended; a second report of it is ignored."""
@@ -70,16 +72,14 @@
             return
         remark = event["remark"] or 0
         reason, foreign_in_flight = remark % REMARK_REASONS, remark // REMARK_REASONS
-        self._engine.on_attempt_finished(
-            now,
-            attempt,
+        result = AttemptResult(
             ATTEMPT_STATUSES[event["ending"]],
             event["done_flag"],
             reason == REMARK_LOAD_FAILED,
             reason == REMARK_WARM,
             foreign_in_flight,
-            event["stats"],
         )
+        self._engine.on_attempt_finished(now, attempt, result, event["stats"])
 
     def on_client_gone(self, now: float, event: Fields) -> None:
         """A client no longer waits for its answer."""
