--- a/kelptrail/cli/console.py
+++ b/kelptrail/cli/console.py
@@ -72,9 +72,9 @@
 
 def start_log(context: click.Context, **bound: Any) -> Any:
     """A logger as the group's options ask for it, with `bound` in every line."""
-    from .logs import set_up
+    from .logs import configure_logging
 
-    return set_up(context.obj["level"], context.obj["form"], **bound)
+    return configure_logging(context.obj["level"], context.obj["form"], **bound)
 
 
 def call_at_end_of_stdin(stop: Callable[[], None]) -> None:
--- a/kelptrail/cli/logs.py
+++ b/kelptrail/cli/logs.py
@@ -1,6 +1,6 @@
 """Structured logs on standard error: a JSON line each, or readable lines on a terminal.
 
-Warnings of one kind are bounded: past a number in a span they are counted and told once, at the span's end.
+Warnings of one event are rate limited: beyond the limit they are counted, and the next line has their number.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from kelptrail.clock import now_ms
 
 
-class Bounded:
-    """A processor that lets `most` warnings of one event through in `span_ms`."""
+class WarningLimiter:
+    """A structlog processor: at most `max_lines` warnings of one event in `window_ms` pass."""
 
-    def __init__(self, most: int = 20, span_ms: float = 10_000.0) -> None:
-        self._most, self._span_ms = most, span_ms
+    def __init__(self, max_lines: int = 20, window_ms: float = 10_000.0) -> None:
+        self._max_lines, self._window_ms = max_lines, window_ms
         self._seen: dict[str, tuple[float, int]] = {}
 
     def __call__(self, _logger: Any, level: str, fields: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
@@ -30,12 +30,12 @@
         event = str(fields.get("event"))
         now = now_ms()
         since, count = self._seen.get(event, (now, 0))
-        if now - since > self._span_ms:
-            if count > self._most:
-                fields["left_out"] = count - self._most
+        if now - since > self._window_ms:
+            if count > self._max_lines:
+                fields["left_out"] = count - self._max_lines
             since, count = now, 0
         self._seen[event] = (since, count + 1)
-        if count >= self._most:
+        if count >= self._max_lines:
             raise structlog.DropEvent
         return fields
 
@@ -44,14 +44,14 @@
     return msgspec.json.encode(fields, enc_hook=str).decode()
 
 
-def set_up(level: str = "info", form: str = "auto", **bound: Any) -> Any:
+def configure_logging(level: str = "info", form: str = "auto", **bound: Any) -> Any:
     """Configure logging once; returns a logger with `bound` in every line.  `form`: auto, json or text."""
     text = form == "text" or (form == "auto" and sys.stderr.isatty())
     render: Any = structlog.dev.ConsoleRenderer() if text else _write_json
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
-            Bounded(),
+            WarningLimiter(),
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             render,
         ],
--- a/kelptrail/engine/invariants.py
+++ b/kelptrail/engine/invariants.py
@@ -57,7 +57,7 @@
         if client_gone is not None and now > client_gone + CLIENT_GONE_SLACK_MS:
             self.violated(Violation.ATTEMPT_AFTER_CLIENT_LEFT, request_id, late_ms=round(now - client_gone))
         if request.final_status is not None:
-            self.violated(Violation.ATTEMPT_AFTER_ANSWER, request_id, verdict=request.final_status)
+            self.violated(Violation.ATTEMPT_AFTER_ANSWER, request_id, final_status=request.final_status)
         if limit_ms > request.deadline - now + LIMIT_SLACK_MS:
             self.violated(
                 Violation.LIMIT_OVER_TIME_LEFT, request_id, limit_ms=limit_ms, left_ms=round(request.deadline - now)
--- a/kelptrail/net/grpc_connection.py
+++ b/kelptrail/net/grpc_connection.py
@@ -306,7 +306,7 @@
         """Close the connection of a client that sends too many frames that cost it nothing (RFC 9113 section 10.5)."""
         if self._close_when_written:
             return
-        self.server.log_event("flood", peer=self.peer, reason=text)
+        self.server.log_event("flood-detected", peer=self.peer, reason=text)
         self.server.floods_stopped += 1
         with contextlib.suppress(ProtocolError):
             self._h2.close_connection(ErrorCodes.ENHANCE_YOUR_CALM)
--- a/kelptrail/net/grpc_server.py
+++ b/kelptrail/net/grpc_server.py
@@ -103,7 +103,7 @@
     def _on_accept(self, client: socket.socket, peer: str) -> None:
         if self._accepted_connections >= self.limits.connections:
             self.rejected_connections += 1
-            self.log_event("connection-turned-away", open=self._accepted_connections)
+            self.log_event("connection-rejected", open=self._accepted_connections)
             self.listener.reject(client, b"")
             return
         self._open_connection(client, peer)
@@ -147,7 +147,7 @@
             if not blocked:
                 return
             _, connection, stream = min(blocked, key=lambda entry: entry[0])
-            self.log_event("slow-reader-cut", peer=connection.peer, bytes=stream.unsent_bytes)
+            self.log_event("slow-reader-closed", peer=connection.peer, bytes=stream.unsent_bytes)
             self.slow_readers_closed += 1
             connection.reset(stream)
 
--- a/kelptrail/net/server.py
+++ b/kelptrail/net/server.py
@@ -84,7 +84,7 @@
             )
             if slow is None:
                 return
-            self._log_event("slow-reader-cut", peer=slow.peer, bytes=slow.unwritten_bytes)
+            self._log_event("slow-reader-closed", peer=slow.peer, bytes=slow.unwritten_bytes)
             self.slow_readers_closed += 1
             self.unwritten_bytes, slow.unwritten_bytes = self.unwritten_bytes - slow.unwritten_bytes, 0
             slow.abort()
@@ -138,7 +138,7 @@
         """Open an accepted connection, or reject it over the limit."""
         if len(self._connections) + self._handshakes_in_progress >= self.limits.connections:
             self.rejected_connections += 1
-            self._log_event("connection-turned-away", open=len(self._connections))
+            self._log_event("connection-rejected", open=len(self._connections))
             self.listener.reject(client, TOO_MANY_CONNECTIONS)
             return
         self._open_connection(client, peer)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -380,7 +380,7 @@
             await asyncio.sleep(0.02)
             most = max(most, server.unwritten_bytes)
         assert 3e6 < most <= 5e6, "filled, and bounded"
-        assert server.slow_readers_closed > 0 and "slow-reader-cut" in noted
+        assert server.slow_readers_closed > 0 and "slow-reader-closed" in noted
         assert (await exchange(server.address, encode_request("GET", "/", "x", b""))).status == 200
         for sock in socks:
             sock.close()
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -690,7 +690,7 @@
             await raw.flush()
             gone = await raw.read(h2.events.ConnectionTerminated)
             assert gone is not None and gone.error_code == 11, kind
-            assert server.floods_stopped == 1 and ("flood" in [e for e, _ in log.lines])
+            assert server.floods_stopped == 1 and ("flood-detected" in [e for e, _ in log.lines])
             await asyncio.sleep(0.1)
             assert server.connections == 0 and server.open_streams == 0
             raw.sock.close()
@@ -803,7 +803,7 @@
         assert (
             server.unwritten_bytes <= 2e6
             and server.slow_readers_closed >= 10
-            and any(e == "slow-reader-cut" for e, _ in log.lines)
+            and any(e == "slow-reader-closed" for e, _ in log.lines)
         )
         assert sum(s.ended for s in many) == server.slow_readers_closed
         raw.sock.close()
