--- a/tests/test_door.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""The door: the pace of connecting, early refusals, and nobody lost as it closes."""
+"""The listener: the pace of accepting, early rejections, and no client lost while it closes."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_the_pace_is_kept_and_those_told_fit_in(seed: int) -> None:
-    chance = random.Random(seed)
-    settings = PaceSettings(chance.randint(1, 200), chance.uniform(5, 500), 20_000.0)
-    pace, now, taken, told = ConnectPace(settings, seed), 0.0, 0, list[float]()
+def test_the_pace_is_kept_and_retry_times_fit_into_it(seed: int) -> None:
+    rng = random.Random(seed)
+    settings = PaceSettings(rng.randint(1, 200), rng.uniform(5, 500), 20_000.0)
+    pace, now, accepted, retry_times = ConnectPace(settings, seed), 0.0, 0, list[float]()
     for _ in range(3000):
-        now += chance.expovariate(1 / 0.5)
-        back = pace.admit(now)
-        taken += back is None
-        assert taken <= settings.burst + settings.per_s * now / 1000 + 1
-        if back is not None:
-            assert 50 <= back <= settings.max_delay_ms
-            told.append(now + back)
-    told.sort()
-    # Those told fill half the pace; only at the bound do they bunch.
-    for early, late in zip(told, told[100:], strict=False):
+        now += rng.expovariate(1 / 0.5)
+        delay_ms = pace.admit(now)
+        accepted += delay_ms is None
+        assert accepted <= settings.burst + settings.per_s * now / 1000 + 1
+        if delay_ms is not None:
+            assert 50 <= delay_ms <= settings.max_delay_ms
+            retry_times.append(now + delay_ms)
+    retry_times.sort()
+    # Retry times fill half of the pace; they bunch only at the maximum delay.
+    for early, late in zip(retry_times, retry_times[100:], strict=False):
         if late < now + settings.max_delay_ms * 0.7:
             assert 100 / max(1.0, late - early) * 1000 <= 0.8 * settings.per_s + 100
     assert ConnectPace(PaceSettings(1, 0), 1).admit(0) is None
 
 
-def test_who_connects_too_fast_is_told_when_to_come_back() -> None:
+def test_a_client_over_the_pace_is_rejected_with_a_retry_time() -> None:
     async def main() -> None:
         def handle(request: Request, exchange: Exchange) -> None:
             exchange.reply(200, b"{}")
@@ -47,8 +47,8 @@
         replies = await asyncio.gather(*(exchange(server.address, CALL) for _ in range(40)))
         early = [r for r in replies if r.status == 503]
         assert 25 <= len(early) == server.rejected_by_pace <= 30 and all(not r.keep_alive for r in early)
-        told = [float(r.headers["retry-after-ms"]) for r in early]
-        assert len(set(told)) == len(told) and max(told) <= 3000, "each a time of its own"
+        delays = [float(r.headers["retry-after-ms"]) for r in early]
+        assert len(set(delays)) == len(delays) and max(delays) <= 3000, "each client gets its own time"
         await asyncio.sleep(0.35)
         assert (await exchange(server.address, CALL)).status == 200, "a pace, not a ban"
         await server.drain(100)
@@ -56,20 +56,20 @@
     run(main())
 
 
-def test_nobody_who_has_connected_is_lost_as_the_door_closes() -> None:
+def test_no_connected_client_is_lost_while_the_listener_closes() -> None:
     """Guards against a connection that `sock_accept` had taken and that was dropped with its task."""
 
     async def main() -> None:
         def handle(request: Request, exchange: Exchange) -> None:
             exchange.reply(200, b"{}")
 
-        for turn in range(40):
+        for round_number in range(40):
             server = HttpServer(handle, Limits())
             server.listen("127.0.0.1", 0)
-            for _ in range(turn % 4):
+            for _ in range(round_number % 4):
                 await asyncio.sleep(0)
             socks: list[socket.socket] = [await connect(server.address) for _ in range(3)]
-            for _ in range(turn // 4 % 4):
+            for _ in range(round_number // 4 % 4):
                 await asyncio.sleep(0)
             for sock in socks:
                 sock.send(CALL)
