--- a/kelptrail/dispatch/second_attempts.py
+++ b/kelptrail/dispatch/second_attempts.py
@@ -55,6 +55,7 @@
                 attempt.status
                 or request.final_status
                 or attempt.cancelled
+                or request.streaming_attempt
                 or request.request_class.idempotency is Idempotency.AT_MOST_ONCE
             ):
                 continue
--- a/tests/test_dispatch_hedging.py
+++ b/tests/test_dispatch_hedging.py
@@ -145,6 +145,25 @@
     )
 
 
+def test_a_deferred_retry_does_not_cancel_an_attempt_whose_response_has_started() -> None:
+    """Guards against a stream that breaks off at its client, as its attempt was overdue before the first part."""
+    dispatcher = make(4, load_ration=AMPLE_LOADS)
+    function = model(concurrency=8)
+    now = serve_in_sequence(dispatcher, function, 0.0, 40.0, 20)
+    load_everywhere(dispatcher, function, now)
+    while dispatcher.parts.retry_budget.try_spend():
+        pass
+    _, (attempt,) = submit_one(dispatcher, function, now)
+    now += 1500  # unusually long
+    dispatcher.on_tick(now)
+    assert not any(isinstance(d, Attempt) for d in pull(dispatcher, now)) and attempt.overdue, "no budget for a retry"
+    dispatcher.on_response_started(now + 1, attempt, now + 5000)
+    for _ in range(11):
+        dispatcher.parts.retry_budget.deposit()
+    dispatcher.on_tick(now + 100)
+    assert not attempt.cancelled and not pull(dispatcher, now + 100)
+
+
 def test_latency_deviation_and_a_slow_worker_make_the_hedge_delay_longer() -> None:
     dispatcher = make(2, load_ration=AMPLE_LOADS)
     steady, spread, retry_budget = model("a"), model("b"), dispatcher.parts.retry_budget
