--- a/kelptrail/cli/emulator.py
+++ b/kelptrail/cli/emulator.py
@@ -146,15 +146,13 @@
     """One worker that holds instances of models."""
     deployment = read_deployment(file)
     from kelptrail.emulator.capture import Capture
-    from kelptrail.emulator.worker import WorkerEmulator
+    from kelptrail.emulator.worker import WorkerEmulator, WorkerIdentity
 
     async def emulated() -> None:
         worker_id, host = values["worker_id"], values["host"]
         emulator = WorkerEmulator(
             deployment,
-            worker_id,
-            values["zone"],
-            values["cell"],
+            WorkerIdentity(worker_id, values["zone"], values["cell"]),
             values["store_address"],
             values["endpoint_service"],
             Capture(values["capture"], worker_id),
--- /dev/null
+++ b/kelptrail/emulator/worker_answers.py
@@ -0,0 +1,66 @@
+"""Answers of the emulated worker: the body of one answer, and the parts of a streamed one."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from dataclasses import dataclass
+
+import msgspec
+
+from kelptrail.codec.events import encode_event
+from kelptrail.codec.infer import infer_answer, tensors_answer
+
+from .worker_state import InferenceJob, WorkerState
+
+CLIENT_FULL_PAUSE_S = 0.005  # until the next try to write to a client that reads slowly
+STREAM_PARAMETERS = ("parts", "gap_ms", "pad")  # that the payload of a call may set
+
+
+def takes_tensors(job: InferenceJob) -> bool:
+    """Whether the call is in tensors, in place of a JSON payload."""
+    return job.request.parameters.get("form") == "tensors"
+
+
+def encode_answer(job: InferenceJob, result: str, **parameters: str | int | float | bool) -> bytes:
+    """One answer of the protocol: the inputs for a call in tensors, else the result."""
+    request, model = job.request, job.model.action.model
+    if takes_tensors(job):
+        return tensors_answer(model, request.id, request.inputs, success=True, **parameters)
+    if parameters.get("final"):
+        return tensors_answer(model, request.id, [], success=True, **parameters)
+    return infer_answer(model, request.id, result, True)
+
+
+@dataclass(frozen=True, slots=True)
+class StreamShape:
+    """The parts of a streamed answer that its caller asks for."""
+
+    part_count: int
+    gap_ms: float  # between parts
+    padding: int  # bytes that each part has in addition
+
+
+def read_stream_shape(job: InferenceJob) -> StreamShape:
+    """Read the shape of a job's streamed answer from its parameters and its payload."""
+    parameters = dict(job.request.parameters)
+    with contextlib.suppress(msgspec.DecodeError):
+        body = msgspec.json.decode(job.payload or b"{}")
+        if isinstance(body, dict):
+            parameters |= {name: value for name, value in body.items() if name in STREAM_PARAMETERS}
+    return StreamShape(
+        int(parameters.get("parts", 3)), float(parameters.get("gap_ms", 5.0)), int(parameters.get("pad", 0))
+    )
+
+
+async def write_parts(job: InferenceJob, shape: StreamShape, part_count: int, state: WorkerState, by: str) -> None:
+    """Write the first `part_count` parts, as long as the client is there and the worker has not restarted."""
+    exchange = job.exchange
+    for number in range(part_count):
+        while not exchange.client_gone and not exchange.can_write:
+            await asyncio.sleep(CLIENT_FULL_PAUSE_S)
+        if exchange.client_gone or not state.is_current(job):
+            break
+        part = msgspec.json.encode({"part": number, "by": by, "pad": "x" * shape.padding}).decode()
+        exchange.write_chunk(encode_event(encode_answer(job, part, part=number)))
+        await asyncio.sleep(shape.gap_ms / 1000)
--- /dev/null
+++ b/kelptrail/emulator/worker_control.py
@@ -0,0 +1,94 @@
+"""Control port of the emulated worker: its state, draining and the injection of faults."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import time
+from collections.abc import Callable
+from typing import Any
+
+import msgspec
+import numpy as np
+
+from kelptrail.clock import now_ms
+from kelptrail.codec.http import Request
+from kelptrail.net.server import Exchange, HttpServer
+
+from .capture import Capture
+from .worker_faults import ActiveFaults, FaultKind
+from .worker_state import WorkerState
+
+CRASH_EXIT_CODE = 70
+INJECTION_DELAY_S = 0.02  # so that the request is answered first
+DEFAULT_HANDSHAKE_MS = 200
+
+
+class WorkerControl:
+    """Answers the control port's requests; `restart` begins a new incarnation without a warm start."""
+
+    def __init__(
+        self,
+        worker_id: str,
+        state: WorkerState,
+        faults: ActiveFaults,
+        random: np.random.Generator,
+        server: HttpServer,
+        capture: Capture,
+        restart: Callable[[], None],
+    ) -> None:
+        self._loop = asyncio.get_running_loop()
+        self._worker_id, self._state, self._faults, self._random = worker_id, state, faults, random
+        self._server, self._capture, self._restart = server, capture, restart
+
+    def handle(self, request: Request, exchange: Exchange) -> None:
+        """Answer `/state`, `/drain` or `/fault`."""
+        if request.segments == ["state"]:
+            exchange.reply(200, msgspec.json.encode(self._describe_state()))
+            return
+        if request.segments == ["drain"]:
+            self._state.draining = True
+        elif request.segments == ["fault"]:
+            settings = msgspec.json.decode(request.body)
+            duration_ms = settings.get("for_ms", 0)
+            self._capture.write("fault", worker=self._worker_id, kind=settings["kind"], for_ms=duration_ms)
+            self._loop.call_later(INJECTION_DELAY_S, self._inject, settings)
+        exchange.reply(200, b"{}")
+
+    def _describe_state(self) -> dict[str, Any]:
+        state = self._state
+        return {
+            "running": state.running_jobs,
+            "waiting": len(state.job_queue),
+            "fallen": state.slow_start.overloaded,
+            "copies": {name: model.loaded for name, model in state.models.items() if model.loaded},
+            "loads": state.active_loads,
+            "draining": state.draining,
+            "connections": self._server.connections,
+        }
+
+    def _inject(self, settings: dict[str, Any]) -> None:
+        kind, duration_s = settings["kind"], float(settings.get("for_ms", 0)) / 1000
+        if kind == FaultKind.CRASH:
+            os._exit(CRASH_EXIT_CODE)
+        elif kind == FaultKind.PAUSE:
+            began = now_ms()
+            time.sleep(duration_s)
+            self._capture.write("paused", worker=self._worker_id, began=began)
+        elif kind == FaultKind.MODELS_VOIDED:
+            self._lose_idle_instances(settings.get("share", 1))
+        elif kind == FaultKind.RESTART_COLD:
+            self._restart()
+        elif kind == FaultKind.HANDSHAKES_SLOW:
+            self._server.accept_delay_ms = float(settings.get("ms", DEFAULT_HANDSHAKE_MS))
+            self._loop.call_later(duration_s, setattr, self._server, "accept_delay_ms", 0.0)
+        else:
+            self._faults.start(kind, settings)
+            if duration_s:
+                self._loop.call_later(duration_s, self._faults.end, kind)
+
+    def _lose_idle_instances(self, share: float) -> None:
+        """Lose the instances on which nothing runs, of a share of the models."""
+        for model in self._state.models.values():
+            if self._random.random() < share:
+                model.loaded = model.busy_instances
--- /dev/null
+++ b/kelptrail/emulator/worker_effects.py
@@ -0,0 +1,69 @@
+"""Side effects of the emulated worker: deduplication with its group through the shared store, and their record."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import msgspec
+
+from kelptrail.codec.http import Response, encode_request
+from kelptrail.net.pool import Call, CallOutcome, WorkerPool
+
+from .capture import Capture
+from .worker_state import InferenceJob
+
+
+class StoredEffect(msgspec.Struct):
+    """The store's answer: whether the idempotency key is known, and the result that is stored with it."""
+
+    known: bool
+    result: str
+
+
+OnStoredEffect = Callable[[StoredEffect | None], None]  # None: the store did not answer
+
+
+class SideEffects:
+    """Finds, commits and records the effects of one worker's jobs."""
+
+    def __init__(self, worker_id: str, zone: str, cell: int, store: WorkerPool, capture: Capture) -> None:
+        self._worker_id, self._store, self._capture = worker_id, store, capture
+        # Workers that share effects, by the deduplication scope of the request class.
+        self._groups = {"all": "all", "zone": zone, "cell": f"cell-{cell}"}
+
+    def find(self, job: InferenceJob, on_answer: OnStoredEffect) -> None:
+        """Ask the store for the result of an earlier run with the job's idempotency key."""
+        self._ask_store("known", job, "", on_answer)
+
+    def commit(self, job: InferenceJob, result: str, on_answer: OnStoredEffect) -> None:
+        """Store the job's result, unless another run's is stored already."""
+        self._ask_store("commit", job, result, on_answer)
+
+    def record(self, job: InferenceJob) -> None:
+        """Record in the capture that the job had its effect."""
+        parameters = job.request.parameters
+        self._capture.write(
+            "effect",
+            worker=self._worker_id,
+            mark=job.request.id,
+            type=job.model.type.name,
+            activation=parameters.get("activation"),
+            send=parameters.get("send"),
+        )
+
+    def _ask_store(self, operation: str, job: InferenceJob, result: str, on_answer: OnStoredEffect) -> None:
+        body = {
+            "mark": job.request.id,
+            "group": self._groups[job.model.type.deduplication_scope],
+            "result": result,
+            "remembered_ms": job.model.type.deduplication_window_ms,
+        }
+
+        def on_done(_call: Call, outcome: CallOutcome, response: Response | None) -> None:
+            if outcome is CallOutcome.ANSWERED and response is not None:
+                on_answer(msgspec.json.decode(response.body, type=StoredEffect))
+            else:
+                on_answer(None)
+
+        target = f"/effects/{operation}"
+        self._store.start(encode_request("POST", target, self._store.address, msgspec.json.encode(body)), on_done)
--- /dev/null
+++ b/kelptrail/emulator/worker_load_report.py
@@ -0,0 +1,56 @@
+"""Load report of the emulated worker: utilization, loads in progress and memory in use, as an ORCA header."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from kelptrail.codec.infer import LOAD_REPORT, write_report
+
+from .worker_state import HostedModel, WorkerState
+
+UTILIZATION_SMOOTHING = 0.02  # weight of one sample in the moving average
+
+
+class _LoadMetrics(NamedTuple):
+    utilization: float
+    loads: float  # in progress or queued
+    memory_share: float  # of instances that run jobs or are being loaded
+
+
+class LoadReporter:
+    """Samples the load and writes the report; metrics are measured at intervals, as a real worker's are."""
+
+    def __init__(self, state: WorkerState) -> None:
+        self._state = state
+        self._utilization = 0.0
+        self._metrics = _LoadMetrics(0.0, 0.0, 0.0)
+
+    def sample_utilization(self) -> None:
+        """Add a sample to the moving average of the cores in use."""
+        used_share = self._state.running_jobs / self._state.fleet.cores
+        self._utilization += UTILIZATION_SMOOTHING * (used_share - self._utilization)
+
+    def measure(self) -> None:
+        """Measure the metrics that reports contain until the next measurement."""
+        state = self._state
+        self._metrics = _LoadMetrics(
+            self._utilization,
+            state.active_loads + len(state.load_queue),
+            sum(_busy_mb(model) for model in state.models.values()) / state.fleet.memory_mb,
+        )
+
+    def header(self, instance_loaded: bool, other_requests: int) -> dict[str, str]:
+        """The header of an answer: the metrics, whether an instance was loaded, and other requests of the model."""
+        metrics = self._metrics
+        report = write_report(
+            metrics.utilization,
+            x1=metrics.loads,
+            x0=round(metrics.memory_share, 3),
+            found=int(instance_loaded),
+            company=other_requests,
+        )
+        return {LOAD_REPORT: report}
+
+
+def _busy_mb(model: HostedModel) -> float:
+    return (min(model.loaded, model.busy_instances) + model.loading) * model.action.memory_mb
