--- a/bench/vrrp_failover.py
+++ b/bench/vrrp_failover.py
@@ -15,6 +15,7 @@
 import statistics
 import sys
 from collections.abc import Callable
+from dataclasses import replace
 from functools import partial
 from itertools import pairwise
 from pathlib import Path
@@ -106,9 +107,10 @@
             front=True,
         )
         seconds = failovers * (HARM_S + REST_S + 1.5) + 2
+        client_load = replace(steady_load(self._rate, seconds, 0.8), deferred=0.25)
         arrivals: list[tuple[float, Callable[[], None]]] = [
-            (when, partial(clients.start_call, action, 0.25, 1.0, 1))
-            for when, action in clients.arrivals(steady_load(self._rate, seconds, 0.8), seconds)
+            (when, partial(clients.start_call, action, client_load))
+            for when, action in clients.arrivals(client_load, seconds)
         ]
         self.start = now_ms()
         self._capture.write("begin", start=self.start, seconds=seconds)
--- /dev/null
+++ b/kelptrail/emulator/client_calls.py
@@ -0,0 +1,180 @@
+"""Calls of emulated clients and their answers, and what follows from an answer: a capture record and perhaps a retry.
+
+Clients retry only what is harmless by the answer they got (`load/client_behavior.py`).
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+import numpy as np
+
+from kelptrail.clock import now_ms
+from kelptrail.load.client_behavior import ClientBehavior, ClientOutcome, retry_delay_ms
+from kelptrail.settings.deployment import ActionSettings, NamespaceSettings, TypeSettings
+
+from .capture import Capture, ReadLag
+
+RETRIED_ANSWERS = ("rejected", "aborted")
+MAX_UNREACHED_RETRIES = 20  # beyond the attempts of the call, where no dispatcher accepts it
+FAILED_REASONS = ("MAY_HAVE_RUN", "NEVER_RAN")  # of gRPC answers
+
+
+@dataclass(slots=True, eq=False)
+class ClientCall:
+    """One call of a client, over all its attempts."""
+
+    ticket: str
+    action: ActionSettings
+    type: TypeSettings
+    namespace: NamespaceSettings
+    deferred: bool
+    behavior: ClientBehavior
+    attempts_left: int
+    dispatcher: int = 0
+    attempt_started: float = 0.0
+    activation: str = ""
+    call_id: str = ""
+    poll_address: str = ""
+    grpc: bool = False  # over the gRPC front
+    streamed: bool = False
+    parts: int = 0
+    final_part_received: bool = False  # of a streamed answer: the status that ends the gRPC call is no second answer
+
+
+@dataclass(frozen=True, slots=True)
+class ClientAnswer:
+    """A final answer as its client reads it."""
+
+    answer: str  # "completed", "rejected", "aborted", or another that is not retried
+    activation: str
+    status: int = 0  # HTTP
+    duration_ms: float | None = None  # as the record of a deferred call says
+    code: int | None = None  # the function's own
+    retry_after_ms: float = 0.0
+    repeat_within_ms: float | None = None
+
+
+def answer_of_record(call: ClientCall, status: int, body: dict[str, Any]) -> ClientAnswer:
+    """The answer that an HTTP response's body gives: an activation record or an error."""
+    annotations = {note["key"]: note["value"] for note in body.get("annotations", [])}
+    fields = annotations.get("kelptrail", body)
+    return ClientAnswer(
+        fields.get("answer", f"status-{status}"),
+        body.get("activationId", ""),
+        status,
+        body.get("duration") if call.deferred else None,
+        body.get("response", {}).get("statusCode"),
+        float(fields.get("retry_after_ms", 0.0)),
+        fields.get("repeat_within_ms"),
+    )
+
+
+def answer_of_reason(reason: str | None, otherwise: str) -> str:
+    """The answer that a gRPC error's reason stands for."""
+    if reason == "REJECTED":
+        return "rejected"
+    return "aborted" if reason in FAILED_REASONS else otherwise
+
+
+class CallTracker:
+    """Writes to the capture what becomes of attempts, and starts the retries that clients make."""
+
+    def __init__(
+        self, capture: Capture, random: np.random.Generator, start_attempt: Callable[[ClientCall, int | None], None]
+    ) -> None:
+        self._loop = asyncio.get_running_loop()
+        self._capture, self._random, self._start_attempt = capture, random, start_attempt
+        self._read_lag = ReadLag()
+
+    def on_attempt(self, call: ClientCall, timeout_ms: float, shared_address: bool, **transport: bool) -> None:
+        """An attempt is about to be sent."""
+        self._capture.write(
+            "call",
+            call=call.call_id,
+            ticket=call.ticket,
+            action=call.action.path,
+            type=call.type.name,
+            dispatcher=call.dispatcher,
+            deferred=call.deferred,
+            limit_ms=timeout_ms,
+            front=shared_address,
+            **transport,
+        )
+
+    def on_accepted(self, call: ClientCall) -> None:
+        """A deferred call was accepted; its final answer is polled."""
+        self._capture.write("accepted", call=call.call_id, activation=call.activation)
+
+    def on_unknown(self, call: ClientCall) -> None:
+        """A dispatcher answered a poll that no dispatcher knows the activation."""
+        self._capture.write("denied", call=call.call_id, activation=call.activation, at=call.poll_address)
+
+    def on_first_part(self, call: ClientCall, activation: str) -> None:
+        """The first part of a streamed answer arrived."""
+        self._capture.write("part", call=call.call_id, activation=activation, lag=self._read_lag.now())
+
+    def on_stream_not_taken(self, call: ClientCall) -> None:
+        """A stream's last part says that no dispatcher accepted the call; the status that follows ends it."""
+        self._capture.write("not-taken", call=call.call_id)
+
+    def on_not_taken(self, call: ClientCall, retry_after_ms: float) -> None:
+        """No dispatcher accepted the call."""
+        self._capture.write("not-taken", call=call.call_id)
+        self._retry(call, ClientOutcome.NOT_TAKEN, retry_after_ms)
+
+    def on_lost(self, call: ClientCall, ending: str) -> None:
+        """The call ended without an answer."""
+        self._capture.write("no-answer", call=call.call_id, ending=ending)
+        self._retry(call, ClientOutcome.LOST)
+
+    def on_poll_timeout(self, call: ClientCall) -> None:
+        """Polling ended without a final answer; the client does not retry."""
+        self._capture.write("no-answer", call=call.call_id, ending="polled")
+
+    def on_final(self, call: ClientCall, answer: ClientAnswer) -> None:
+        """The call has its final answer."""
+        self._capture.write(
+            "final",
+            call=call.call_id,
+            activation=answer.activation,
+            answer=answer.answer,
+            status=answer.status,
+            lag=self._read_lag.now(),
+            took=answer.duration_ms,
+            code=answer.code,
+        )
+        if answer.answer in RETRIED_ANSWERS:
+            self._retry(call, ClientOutcome(answer.answer), answer.retry_after_ms, answer.repeat_within_ms)
+
+    def _retry(
+        self,
+        call: ClientCall,
+        outcome: ClientOutcome,
+        retry_after_ms: float = 0.0,
+        repeat_within_ms: float | None = None,
+    ) -> None:
+        delay_ms = retry_delay_ms(
+            call.behavior,
+            outcome,
+            call.type.effect,
+            call.type.timeout_ms,
+            retry_after_ms,
+            repeat_within_ms,
+            now_ms() - call.attempt_started,
+        )
+        if delay_ms is None:
+            return
+        if outcome is ClientOutcome.NOT_TAKEN:
+            if call.attempts_left > -MAX_UNREACHED_RETRIES:
+                self._loop.call_later(delay_ms / 1000, self._start_attempt, call, call.dispatcher)
+        elif call.attempts_left > 0:
+            jitter = float(self._random.uniform(*call.behavior.jitter))
+            self._loop.call_later(delay_ms / 1000 * jitter, self._start_attempt, call, None)
+
+    def close(self) -> None:
+        """Stop measuring the delay of the loop."""
+        self._read_lag.stop()
--- a/kelptrail/emulator/worker_effects.py
+++ b/kelptrail/emulator/worker_effects.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from functools import partial
 
 import msgspec
 
@@ -58,12 +59,14 @@
             "result": result,
             "remembered_ms": job.model.type.deduplication_window_ms,
         }
-
-        def on_done(_call: Call, outcome: CallOutcome, response: Response | None) -> None:
-            if outcome is CallOutcome.ANSWERED and response is not None:
-                on_answer(msgspec.json.decode(response.body, type=StoredEffect))
-            else:
-                on_answer(None)
-
-        target = f"/effects/{operation}"
-        self._store.start(encode_request("POST", target, self._store.address, msgspec.json.encode(body)), on_done)
+        data = encode_request("POST", f"/effects/{operation}", self._store.address, msgspec.json.encode(body))
+        self._store.start(data, partial(self._on_store_answer, on_answer))
+
+    @staticmethod
+    def _on_store_answer(
+        on_answer: OnStoredEffect, _call: Call, outcome: CallOutcome, response: Response | None
+    ) -> None:
+        if outcome is CallOutcome.ANSWERED and response is not None:
+            on_answer(msgspec.json.decode(response.body, type=StoredEffect))
+        else:
+            on_answer(None)
