--- a/bench/planner.py
+++ b/bench/planner.py
@@ -154,8 +154,8 @@
     place = Cluster(load(file), file, None, 1, "warning", None, quiet=True)
     await place.start(4, 1, None)
     large = ROOT / "examples" / "large.sexp"
-    roster = await place._start_process("roster-2", ["emulate", "endpoint-service"])
-    planner = await place._start_process(
+    roster = await place.start_process("roster-2", ["emulate", "endpoint-service"])
+    planner = await place.start_process(
         "planner", ["planner", str(large), "--roster", roster.said["address"], "--control", "127.0.0.1:0"]
     )
     fakes: list[asyncio.Task[None]] = []
@@ -228,8 +228,8 @@
     large = ROOT / "examples" / "large.sexp"
     deployment = load(large)
     place = Cluster(deployment, str(large), None, 1, "warning", None, quiet=True)
-    roster = await place._start_process("roster", ["emulate", "endpoint-service"])
-    planner = await place._start_process(
+    roster = await place.start_process("roster", ["emulate", "endpoint-service"])
+    planner = await place.start_process(
         "planner", ["planner", str(large), "--roster", roster.said["address"], "--control", "127.0.0.1:0"]
     )
     for n in range(1000):
--- /dev/null
+++ b/kelptrail/emulator/child_process.py
@@ -0,0 +1,100 @@
+"""A child process of the cluster: its command line, its start on the ports it had before, and its ready line.
+
+Each process has a session of its own, ends when its standard input ends, and prints `{"ready": true, ...}` once.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import subprocess
+import sys
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+READY_TIMEOUT_S = 30
+
+
+class ProcessStartError(RuntimeError):
+    """A child process printed no ready line in time."""
+
+
+@dataclass(slots=True, eq=False)
+class Process:
+    """One child process; `said` is its ready line."""
+
+    name: str
+    words: list[str]
+    process: asyncio.subprocess.Process | None = None
+    said: dict[str, Any] = field(default_factory=dict)
+    starts: int = 0
+    ending: bool = False  # its end was requested
+
+    @property
+    def running(self) -> bool:
+        """Whether the process was started and has not ended."""
+        return self.process is not None and self.process.returncode is None
+
+    def option(self, name: str) -> str:
+        """The value of an option of its command line.  Raises `ValueError` where it is not given."""
+        return self.words[self.words.index(name) + 1]
+
+    def start_arguments(self) -> list[str]:
+        """The command line; of a restart with the ports of the last start, and without a warm start."""
+        if not self.said:
+            return list(self.words)
+        arguments = [*self.words, "--port", _port_of(self.said["address"])]
+        if self.said.get("grpc"):
+            arguments += ["--grpc-port", _port_of(self.said["grpc"])]
+        if self.said.get("peers"):
+            arguments += ["--peers-port", _port_of(self.said["peers"])]
+        if "control" in self.said:
+            arguments += ["--control-port", _port_of(self.said["control"])]
+        return [argument for argument in arguments if argument != "--warm"]
+
+
+def _port_of(address: str) -> str:
+    return address.rpartition(":")[2]
+
+
+async def spawn(child: Process, logs: Path | None, quiet: bool) -> asyncio.subprocess.Process:
+    """Start a process; its standard error goes to a file in `logs`, is inherited, or dropped (`quiet`, emulators)."""
+    arguments = child.start_arguments()
+    child.starts, child.ending = child.starts + 1, False
+    if logs is not None:
+        stderr: Any = open(logs / f"{child.name}.log", "ab")  # noqa: SIM115
+    else:
+        stderr = subprocess.DEVNULL if quiet or arguments[0] == "emulate" else None
+    process = child.process = await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "kelptrail",
+        *arguments,
+        "--with-stdin",
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        stderr=stderr,
+        start_new_session=True,
+    )
+    if logs is not None:
+        stderr.close()
+    return process
+
+
+async def read_ready_line(child: Process, process: asyncio.subprocess.Process) -> None:
+    """Wait for the ready line.  Raises `ProcessStartError`."""
+    assert process.stdout is not None
+    try:
+        line = await asyncio.wait_for(process.stdout.readline(), READY_TIMEOUT_S)
+        child.said = msgspec.json.decode(line)
+    except (TimeoutError, msgspec.DecodeError):
+        raise ProcessStartError(f"{child.name} did not start") from None
+
+
+def memory_kb(pid: int) -> int:
+    """Resident memory of a process, in KiB (proc(5), /proc/PID/statm)."""
+    with open(f"/proc/{pid}/statm", encoding="ascii") as file:
+        return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") // 1024
--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -1,18 +1,12 @@
-"""A cluster on loopback: emulators and dispatchers as supervised processes.
-
-Each process has a session of its own, ends when its standard input ends, and prints `{"ready": true, ...}` once.
-"""
+"""A cluster on loopback: emulators and dispatchers as supervised processes."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import os
 import shutil
 import signal
-import subprocess
 import sys
-from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
@@ -21,26 +15,16 @@
 from kelptrail.net.http_client import HttpClient
 from kelptrail.settings.deployment import Deployment
 
-ALL_PAIRS_LIMIT = (
-    12  # up to so many dispatchers all pairs go through the proxy; beyond, links to acceptors and planners
-)
+from .child_process import Process, memory_kb, read_ready_line, spawn
+from .cluster_commands import ClusterCommands, repeated
 
+__all__ = ["ClientsFailedError", "Cluster", "Process", "http_json", "memory_kb"]
 
-@dataclass(slots=True, eq=False)
-class Process:
-    """One child process; `said` is its ready line."""
+ENDING_GRACE_S = 3  # of emulators and planners; dispatchers have longer, to answer what they accepted
 
-    name: str
-    words: list[str]
-    process: asyncio.subprocess.Process | None = None
-    said: dict[str, Any] = field(default_factory=dict)
-    starts: int = 0
-    ending: bool = False  # its end was requested
 
-    @property
-    def running(self) -> bool:
-        """Whether the process was started and has not ended."""
-        return self.process is not None and self.process.returncode is None
+class ClientsFailedError(RuntimeError):
+    """A process of clients ended with an error."""
 
 
 class Cluster:
@@ -56,8 +40,9 @@
         logs: Path | None = None,
         quiet: bool = False,
     ) -> None:
-        self.deployment, self._file, self._out, self._seed = deployment, file, out, seed
-        self._level, self._logs, self._quiet = log_level, logs, quiet
+        """`out`: where captures are written; `logs`: where logs are, else on standard error unless `quiet`."""
+        self.deployment, self._out, self._logs, self._quiet = deployment, out, logs, quiet
+        self._commands = ClusterCommands(deployment, file, seed, log_level, json_logs=logs is not None)
         self.store = self.endpoint_service = Process("", [])
         self.datagram_proxy: Process | None = None
         self.workers: list[Process] = []
@@ -78,145 +63,74 @@
     ) -> None:
         """Start all processes, each after those it depends on.  With planners the dispatchers are edges of theirs;
         where the settings have peers, their channels go through a proxy; all dispatchers acquire `tasks` as leases."""
-        self.store = await self._start_process("store", ["emulate", "model-store", self._file])
-        self.endpoint_service = await self._start_process("roster", ["emulate", "endpoint-service"])
-        halls = self.deployment.zones
+        self.store = await self.start_process("store", self._commands.model_store())
+        self.endpoint_service = await self.start_process("roster", ["emulate", "endpoint-service"])
         vrrp = self.deployment.vrrp
-        if vrrp is not None and any(i.via for i in vrrp.instance):
-            self.datagram_proxy = await self._start_process(
-                "relay", ["emulate", "datagram-proxy", self._file, "--seed", str(self._seed)]
-            )
-        self.workers = list(
-            await asyncio.gather(
-                *(
-                    self._start_process(
-                        f"worker-{n}",
-                        [
-                            "emulate",
-                            "worker",
-                            self._file,
-                            "--id",
-                            f"worker-{n}",
-                            "--hall",
-                            halls[n % len(halls)],
-                            "--cell",
-                            str(n // 2),
-                            "--store",
-                            self.store.said["address"],
-                            "--roster",
-                            self.endpoint_service.said["address"],
-                            "--seed",
-                            str(self._seed),
-                            "--warm",
-                        ],
-                    )
-                    for n in range(workers)
-                )
-            )
-        )
-        names = [f"dispatcher-{n}" for n in range(dispatchers)]
+        if vrrp is not None and any(instance.via for instance in vrrp.instance):
+            self.datagram_proxy = await self.start_process("relay", self._commands.datagram_proxy())
+        await self._start_workers(workers)
+        planner_names = [f"planner-{n}" for n in range(planners)]
         if self.deployment.peers is not None:
-            plans, leases = [f"planner-{n}" for n in range(planners)], self.deployment.leases
-            every = leases is None or len(names) <= ALL_PAIRS_LIMIT
-            to = names if every or leases is None else list(dict.fromkeys((*leases.acceptors, *leases.before)))
-            self.channel_proxy = await self._start_process(
-                "links",
-                [
-                    "emulate",
-                    "channel-proxy",
-                    "--seed",
-                    str(self._seed),
-                    *(w for n in (*names, *plans) for w in ("--from", n)),
-                    *(w for name in (*to, *plans) for w in ("--to", name)),
-                ],
+            dispatcher_names = [f"dispatcher-{n}" for n in range(dispatchers)]
+            self.channel_proxy = await self.start_process(
+                "links", self._commands.channel_proxy(dispatcher_names, planner_names)
             )
         if tasks:
-            self.side_effect_log = await self._start_process("witness", ["emulate", "side-effect-log"])
-        logs = ["--log-level", self._level, "--log-form", "json" if self._logs else "auto"]
-        self.planners = list(
-            await asyncio.gather(
-                *(
-                    self._start_process(
-                        f"planner-{n}",
-                        [
-                            *logs,
-                            "planner",
-                            self._file,
-                            "--name",
-                            f"planner-{n}",
-                            "--roster",
-                            self.endpoint_service.said["address"],
-                            "--control",
-                            "127.0.0.1:0",
-                            "--solver",
-                            solver,
-                            *self.peer_options(f"planner-{n}"),
-                            *(["--state", str(state / f"planner-{n}")] if state else []),
-                        ],
-                    )
-                    for n in range(planners)
-                )
+            self.side_effect_log = await self.start_process("witness", ["emulate", "side-effect-log"])
+        await self._start_planners(planner_names, solver, state)
+        await self._start_dispatchers(dispatchers, tasks, state)
+
+    async def _start_workers(self, count: int) -> None:
+        store, endpoint_service = self.store.said["address"], self.endpoint_service.said["address"]
+        starts = (
+            self.start_process(f"worker-{n}", self._commands.worker(n, store, endpoint_service)) for n in range(count)
+        )
+        self.workers = list(await asyncio.gather(*starts))
+
+    async def _start_planners(self, names: list[str], solver: str, state: Path | None) -> None:
+        endpoint_service = self.endpoint_service.said["address"]
+        starts = (
+            self.start_process(
+                name, self._commands.planner(name, endpoint_service, solver, self.peer_options(name), state)
             )
+            for name in names
         )
+        self.planners = list(await asyncio.gather(*starts))
         for planner in self.planners:
             await self._announce_address(planner, planner.said["address"])
-        self.dispatchers = list(
-            await asyncio.gather(
-                *(
-                    self._start_process(
-                        name,
-                        [
-                            *logs,
-                            *(
-                                ["edge", self._file, *self._planner_options(name)]
-                                if self.planners
-                                else ["serve", self._file]
-                            ),
-                            "--name",
-                            name,
-                            "--hall",
-                            halls[n % len(halls)],
-                            "--roster",
-                            self.endpoint_service.said["address"],
-                            "--control",
-                            "127.0.0.1:0",
-                            *self.peer_options(name),
-                            *self._task_options(tasks),
-                            *(
-                                [
-                                    "--state",
-                                    str(state / name),
-                                    "--harmed-disk",
-                                    str(state / f"disk-{n}.json"),
-                                    "--harmed-clock",
-                                    str(state / f"clock-{n}.json"),
-                                ]
-                                if state
-                                else []
-                            ),
-                        ],
-                    )
-                    for n, name in enumerate(names)
-                )
+
+    async def _start_dispatchers(self, count: int, tasks: tuple[str, ...], state: Path | None) -> None:
+        endpoint_service = self.endpoint_service.said["address"]
+        starts = []
+        for number in range(count):
+            name = f"dispatcher-{number}"
+            peer_options = [*self.peer_options(name), *self._task_options(tasks)]
+            command = self._commands.dispatcher(
+                number, endpoint_service, self._planner_options(name), peer_options, state
             )
-        )
+            starts.append(self.start_process(name, command))
+        self.dispatchers = list(await asyncio.gather(*starts))
 
     def peer_options(self, name: str) -> list[str]:
         """The options by which a process reaches its peers: through the proxy."""
-        routes = self.channel_proxy.said["routes"] if self.channel_proxy is not None else {}
-        return [
-            word
-            for pair, at in routes.items()
-            if pair.startswith(f"{name}>") and ">planner" not in pair
-            for word in ("--peer", f"{pair.partition('>')[2]}={at}")
-        ]
+        return repeated(
+            "--peer",
+            (
+                f"{pair.partition('>')[2]}={address}"
+                for pair, address in self._proxy_routes().items()
+                if pair.startswith(f"{name}>") and ">planner" not in pair
+            ),
+        )
 
     def _planner_options(self, name: str) -> list[str]:
         """The options by which an edge reaches the planners: through the proxy, where there is one."""
-        routes = self.channel_proxy.said["routes"] if self.channel_proxy is not None else {}
-        return [
-            word for p in self.planners for word in ("--planner", routes.get(f"{name}>{p.name}", p.said["address"]))
-        ]
+        routes = self._proxy_routes()
+        return repeated("--planner", (routes.get(f"{name}>{p.name}", p.said["address"]) for p in self.planners))
+
+    def _proxy_routes(self) -> dict[str, str]:
+        """The addresses of the proxy by link, "source>target"."""
+        routes: dict[str, str] = self.channel_proxy.said["routes"] if self.channel_proxy is not None else {}
+        return routes
 
     async def _announce_address(self, child: Process, address: str) -> None:
         """Tell the proxy where a process listens."""
@@ -226,55 +140,23 @@
     def _task_options(self, tasks: tuple[str, ...]) -> list[str]:
         if self.side_effect_log is None:
             return []
-        return ["--witness", self.side_effect_log.said["address"], *(w for task in tasks for w in ("--task", task))]
+        return ["--witness", self.side_effect_log.said["address"], *repeated("--task", tasks)]
 
-    async def _start_process(self, name: str, words: list[str]) -> Process:
+    async def start_process(self, name: str, words: list[str]) -> Process:
+        """Start a process with this command line; emulators write a capture."""
         if self._out is not None and words[0] == "emulate":
-            words += ["--capture", str(self._out / f"{name}.jsonl")]
+            words = [*words, "--capture", str(self._out / f"{name}.jsonl")]
         child = Process(name, words)
         await self.launch(child)
         return child
 
     async def launch(self, child: Process) -> None:
-        """Start a process, on the ports it had before, and wait for its ready line."""
-        words = list(child.words)
-        if child.said:
-            words += ["--port", child.said["address"].rpartition(":")[2]]
-            if child.said.get("grpc"):
-                words += ["--grpc-port", child.said["grpc"].rpartition(":")[2]]
-            if child.said.get("peers"):
-                words += ["--peers-port", child.said["peers"].rpartition(":")[2]]
-            if "control" in child.said:
-                words += ["--control-port", child.said["control"].rpartition(":")[2]]
-            words = [w for w in words if w != "--warm"]
-        child.starts, child.ending = child.starts + 1, False
-        if self._logs is not None:
-            err: Any = open(self._logs / f"{child.name}.log", "ab")  # noqa: SIM115
-        else:
-            silent = self._quiet or words[0] == "emulate"
-            err = subprocess.DEVNULL if silent else None
-        child.process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "kelptrail",
-            *words,
-            "--with-stdin",
-            stdin=subprocess.PIPE,
-            stdout=subprocess.PIPE,
-            stderr=err,
-            start_new_session=True,
-        )
-        if self._logs is not None:
-            err.close()
-        assert child.process.stdout is not None
-        try:
-            line = await asyncio.wait_for(child.process.stdout.readline(), 30)
-            child.said = msgspec.json.decode(line)
-        except (TimeoutError, msgspec.DecodeError):
-            raise RuntimeError(f"{child.name} did not start") from None
+        """Start a process, on the ports it had before, and wait for its ready line.  Raises `ProcessStartError`."""
+        process = await spawn(child, self._logs, self._quiet)
+        await read_ready_line(child, process)
         if child.said.get("peers"):
             await self._announce_address(child, child.said["peers"])
-        task = asyncio.get_running_loop().create_task(self._supervise(child, child.process))
+        task = asyncio.get_running_loop().create_task(self._supervise(child, process))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -286,16 +168,15 @@
                 await self.set_listed_state(child, "gone")
 
     async def run_clients(self, script: str, count: int, start: float, addresses: list[str], second: list[str]) -> None:
-        """Run the clients of a script in processes of their own, until all of them have their answers."""
-        words = ["emulate", "clients", script, "--start", str(start), "--seed", str(self._seed), "--of", str(count)]
-        for address in addresses:
-            words += ["--at", address]
-        for address in second:
-            words += ["--second", address]
+        """Run the clients of a script in processes of their own, until all of them have their answers.
+
+        Raises `ClientsFailedError`.
+        """
+        arguments = self._commands.clients(script, start, count, addresses, second)
         capture = ["--capture", str(self._out)] if self._out is not None else []
         children = [
             await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "kelptrail", *words, "--number", str(n), *capture, start_new_session=True
+                sys.executable, "-m", "kelptrail", *arguments, "--number", str(n), *capture, start_new_session=True
             )
             for n in range(count)
         ]
@@ -306,18 +187,14 @@
                 if child.returncode is None:
                     child.kill()
         if any(codes):
-            raise RuntimeError(f"clients ended with {codes}")
+            raise ClientsFailedError(f"clients ended with {codes}")
 
     async def set_listed_state(self, worker: Process, state: str) -> None:
         """Set the state of a worker in the endpoint list."""
-        await http_json(
-            self.endpoint_service.said["address"],
-            "POST",
-            "/state",
-            {"id": worker.name, "state": state, "incarnation": worker.said["incarnation"]}
-            if state == "gone"
-            else {"id": worker.name, "state": state},
-        )
+        body = {"id": worker.name, "state": state}
+        if state == "gone":
+            body["incarnation"] = worker.said["incarnation"]
+        await http_json(self.endpoint_service.said["address"], "POST", "/state", body)
 
     async def fault(self, child: Process, **body: Any) -> None:
         """Inject a fault at a process's control port."""
@@ -333,14 +210,14 @@
 
     @staticmethod
     def _write_fault(child: Process, option: str, fault: dict[str, Any]) -> None:
-        file = Path(child.words[child.words.index(option) + 1])
+        file = Path(child.option(option))
         draft = file.with_suffix(".new")
         draft.write_bytes(msgspec.json.encode(fault))
         draft.replace(file)
 
     def lose_disk(self, child: Process) -> None:
         """Delete a dispatcher's state, as if its disk were lost."""
-        shutil.rmtree(child.words[child.words.index("--state") + 1], ignore_errors=True)
+        shutil.rmtree(child.option("--state"), ignore_errors=True)
 
     async def set_link_fault(self, **body: Any) -> None:
         """Change the faults of the proxy between dispatchers."""
@@ -365,7 +242,7 @@
             return None
         if child.running:
             with contextlib.suppress(ProcessLookupError):
-                child.process.send_signal(signal.SIGCONT)  # one that is stopped hears nothing else
+                child.process.send_signal(signal.SIGCONT)  # a stopped process handles no other signal before it
                 child.process.send_signal(signal.SIGTERM)
             try:
                 await asyncio.wait_for(child.process.wait(), within_s)
@@ -375,31 +252,25 @@
         return child.process.returncode
 
     async def stop(self) -> bool:
-        """End everything, dispatchers first so that what was taken is answered; True if all drained."""
+        """End everything, dispatchers first so that accepted calls are answered; True if all drained."""
         codes = await asyncio.gather(*(self.terminate(d) for d in self.dispatchers))
         rest = [
             *self.planners,
             *self.workers,
             self.endpoint_service,
             self.store,
-            *(c for c in (self.datagram_proxy, self.channel_proxy, self.side_effect_log) if c is not None),
+            *(child for child in (self.datagram_proxy, self.channel_proxy, self.side_effect_log) if child is not None),
         ]
-        await asyncio.gather(*(self.terminate(c, 3) for c in rest))
+        await asyncio.gather(*(self.terminate(child, ENDING_GRACE_S) for child in rest))
         if self._tasks:
             await asyncio.gather(*list(self._tasks), return_exceptions=True)
         return all(code == 0 for code in codes)
 
 
 async def http_json(address: str, method: str, target: str, body: Any = None) -> Any:
-    """One errand on a connection of its own."""
-    errand = HttpClient(address)
+    """Send one request with a JSON body on a connection of its own; returns the decoded answer."""
+    client = HttpClient(address)
     try:
-        return await errand.json(method, target, body)
+        return await client.json(method, target, body)
     finally:
-        errand.close()
-
-
-def memory_kb(pid: int) -> int:
-    """Resident memory of a process, in KiB (proc(5), /proc/PID/statm)."""
-    with open(f"/proc/{pid}/statm", encoding="ascii") as file:
-        return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") // 1024
+        client.close()
--- /dev/null
+++ b/kelptrail/emulator/cluster_commands.py
@@ -0,0 +1,153 @@
+"""Command lines of a cluster's processes, after `python -m kelptrail`."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from pathlib import Path
+
+from kelptrail.settings.deployment import Deployment
+
+# Up to so many dispatchers all pairs go through the proxy; beyond, only links to lease acceptors and planners.
+ALL_PAIRS_LIMIT = 12
+ANY_CONTROL_PORT = "127.0.0.1:0"
+WORKERS_PER_CELL = 2
+
+
+def repeated(option: str, values: Iterable[str]) -> list[str]:
+    """An option that is given once for each value."""
+    return [word for value in values for word in (option, value)]
+
+
+@dataclass(frozen=True, slots=True)
+class ClusterCommands:
+    """Composes the command lines for one deployment file."""
+
+    deployment: Deployment
+    file: str
+    seed: int
+    log_level: str
+    json_logs: bool
+
+    def model_store(self) -> list[str]:
+        """The emulated model store."""
+        return ["emulate", "model-store", self.file]
+
+    def datagram_proxy(self) -> list[str]:
+        """The proxy between VRRP routers."""
+        return ["emulate", "datagram-proxy", self.file, "--seed", str(self.seed)]
+
+    def worker(self, number: int, store: str, endpoint_service: str) -> list[str]:
+        """An emulated worker, given the addresses of the store and the endpoint service."""
+        return [
+            "emulate",
+            "worker",
+            self.file,
+            "--id",
+            f"worker-{number}",
+            "--hall",
+            self._zone(number),
+            "--cell",
+            str(number // WORKERS_PER_CELL),
+            "--store",
+            store,
+            "--roster",
+            endpoint_service,
+            "--seed",
+            str(self.seed),
+            "--warm",
+        ]
+
+    def channel_proxy(self, dispatchers: list[str], planners: list[str]) -> list[str]:
+        """The proxy between dispatchers, and between them and planners, all given by name."""
+        leases = self.deployment.leases
+        targets = dispatchers
+        if leases is not None and len(dispatchers) > ALL_PAIRS_LIMIT:
+            targets = list(dict.fromkeys((*leases.acceptors, *leases.before)))
+        return [
+            "emulate",
+            "channel-proxy",
+            "--seed",
+            str(self.seed),
+            *repeated("--from", (*dispatchers, *planners)),
+            *repeated("--to", (*targets, *planners)),
+        ]
+
+    def planner(
+        self, name: str, endpoint_service: str, solver: str, peer_options: list[str], state: Path | None
+    ) -> list[str]:
+        """A planner; `state`: the folder of all processes' states."""
+        return [
+            *self._log_options(),
+            "planner",
+            self.file,
+            "--name",
+            name,
+            "--roster",
+            endpoint_service,
+            "--control",
+            ANY_CONTROL_PORT,
+            "--solver",
+            solver,
+            *peer_options,
+            *(["--state", str(state / name)] if state else []),
+        ]
+
+    def dispatcher(
+        self,
+        number: int,
+        endpoint_service: str,
+        planner_options: list[str],
+        peer_options: list[str],
+        state: Path | None,
+    ) -> list[str]:
+        """A dispatcher; with options of planners it is an edge of theirs."""
+        name = f"dispatcher-{number}"
+        return [
+            *self._log_options(),
+            *(["edge", self.file, *planner_options] if planner_options else ["serve", self.file]),
+            "--name",
+            name,
+            "--hall",
+            self._zone(number),
+            "--roster",
+            endpoint_service,
+            "--control",
+            ANY_CONTROL_PORT,
+            *peer_options,
+            *(self._state_options(number, name, state) if state else []),
+        ]
+
+    @staticmethod
+    def _state_options(number: int, name: str, state: Path) -> list[str]:
+        return [
+            "--state",
+            str(state / name),
+            "--harmed-disk",
+            str(state / f"disk-{number}.json"),
+            "--harmed-clock",
+            str(state / f"clock-{number}.json"),
+        ]
+
+    def clients(self, script: str, start: float, count: int, addresses: list[str], second: list[str]) -> list[str]:
+        """One of `count` processes of a scenario's clients, but for its number; `second`: of the inference API."""
+        return [
+            "emulate",
+            "clients",
+            script,
+            "--start",
+            str(start),
+            "--seed",
+            str(self.seed),
+            "--of",
+            str(count),
+            *repeated("--at", addresses),
+            *repeated("--second", second),
+        ]
+
+    def _zone(self, number: int) -> str:
+        zones = self.deployment.zones
+        return zones[number % len(zones)]
+
+    def _log_options(self) -> list[str]:
+        return ["--log-level", self.log_level, "--log-form", "json" if self.json_logs else "auto"]
