--- a/kelptrail/cli/loading.py
+++ b/kelptrail/cli/loading.py
@@ -6,6 +6,7 @@
 from typing import Any
 
 import click
+import msgspec
 
 from .console import print_json_line, read_deployment, read_scenario, run_async
 from .errors import CommandFailedError
@@ -36,7 +37,7 @@
 def load(script: str, controls: tuple[str, ...], out: Path, variant: str, **values: Any) -> None:
     """Drive running dispatchers with a SCRIPT's load; its faults are not played.  Tables as those of `simulate`."""
     from kelptrail.load.coordinator import GeneratorError, run_generators, write_results
-    from kelptrail.load.generator import GeneratorSettings
+    from kelptrail.load.generator_settings import GeneratorSettings
 
     scenario = read_scenario(script)
     settings = GeneratorSettings(
@@ -61,7 +62,8 @@
 @click.option("--connections", type=int)
 def load_generator(script: str, start: float, **values: Any) -> None:
     """One process of the load tool."""
-    from kelptrail.load.generator import GeneratorSettings, LoadGenerator, pack_counters
+    from kelptrail.load.generator import LoadGenerator
+    from kelptrail.load.generator_settings import GeneratorSettings
 
     scenario = read_scenario(script)
     settings = GeneratorSettings(
@@ -70,6 +72,7 @@
 
     async def generate() -> None:
         deployment = read_deployment(scenario.deployment)
-        print_json_line(**pack_counters(await LoadGenerator(scenario, deployment, settings, start).run()))
+        counters = await LoadGenerator(scenario, deployment, settings, start).run()
+        print_json_line(**msgspec.to_builtins(counters.pack()))
 
     run_async(generate())
--- a/kelptrail/emulator/client_calls.py
+++ b/kelptrail/emulator/client_calls.py
@@ -13,13 +13,13 @@
 import numpy as np
 
 from kelptrail.clock import now_ms
-from kelptrail.load.client_behavior import ClientBehavior, ClientOutcome, retry_delay_ms
+from kelptrail.load.client_behavior import ClientBehavior, ClientOutcome, has_attempts_left, retry_delay_ms
+from kelptrail.load.invoke_api import read_final_answer
 from kelptrail.settings.deployment import ActionSettings, NamespaceSettings, TypeSettings
 
 from .capture import Capture, ReadLag
 
 RETRIED_ANSWERS = ("rejected", "aborted")
-MAX_UNREACHED_RETRIES = 20  # beyond the attempts of the call, where no dispatcher accepts it
 FAILED_REASONS = ("MAY_HAVE_RUN", "NEVER_RAN")  # of gRPC answers
 
 
@@ -60,16 +60,15 @@
 
 def answer_of_record(call: ClientCall, status: int, body: dict[str, Any]) -> ClientAnswer:
     """The answer that an HTTP response's body gives: an activation record or an error."""
-    annotations = {note["key"]: note["value"] for note in body.get("annotations", [])}
-    fields = annotations.get("kelptrail", body)
+    final = read_final_answer(status, body)
     return ClientAnswer(
-        fields.get("answer", f"status-{status}"),
+        final.answer,
         body.get("activationId", ""),
         status,
         body.get("duration") if call.deferred else None,
         body.get("response", {}).get("statusCode"),
-        float(fields.get("retry_after_ms", 0.0)),
-        fields.get("repeat_within_ms"),
+        final.retry_after_ms,
+        final.repeat_within_ms,
     )
 
 
@@ -166,12 +165,11 @@
             repeat_within_ms,
             now_ms() - call.attempt_started,
         )
-        if delay_ms is None:
+        if delay_ms is None or not has_attempts_left(outcome, call.attempts_left):
             return
         if outcome is ClientOutcome.NOT_TAKEN:
-            if call.attempts_left > -MAX_UNREACHED_RETRIES:
-                self._loop.call_later(delay_ms / 1000, self._start_attempt, call, call.dispatcher)
-        elif call.attempts_left > 0:
+            self._loop.call_later(delay_ms / 1000, self._start_attempt, call, call.dispatcher)
+        else:
             jitter = float(self._random.uniform(*call.behavior.jitter))
             self._loop.call_later(delay_ms / 1000 * jitter, self._start_attempt, call, None)
 
--- a/kelptrail/emulator/inference_client.py
+++ b/kelptrail/emulator/inference_client.py
@@ -8,11 +8,12 @@
 from kelptrail.codec.tensors import scalars
 from kelptrail.front.inference import inference_pb2 as pb
 from kelptrail.front.inference.api import SERVICE
+from kelptrail.load.invoke_api import authorization_of
 from kelptrail.net.grpc_client import CallResult, GrpcClient
 from kelptrail.settings.deployment import Deployment
 
 from .client_calls import CallTracker, ClientAnswer, ClientCall, answer_of_reason
-from .invoke_client import InvokeClient, authorization_of
+from .invoke_client import InvokeClient
 
 STREAM_TIMEOUT_MS = 5000.0  # for a whole stream, beyond the time to its first part
 CONNECT_TIMEOUT_MS = 500.0
--- a/kelptrail/emulator/invoke_client.py
+++ b/kelptrail/emulator/invoke_client.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 import asyncio
-import base64
 
 import msgspec
 import numpy as np
 
 from kelptrail.clock import now_ms
-from kelptrail.codec.http import Response, encode_request
+from kelptrail.codec.http import Response
+from kelptrail.load.invoke_api import authorization_of, encode_call, encode_poll
 from kelptrail.net.pool import Call, CallOutcome, WorkerPool
-from kelptrail.settings.deployment import Deployment, NamespaceSettings
+from kelptrail.settings.deployment import Deployment
 
 from .client_calls import CallTracker, ClientCall, answer_of_record
 
@@ -22,11 +22,6 @@
 CONNECTIONS, CONNECT_TIMEOUT_MS, IDLE_MS, ANSWER_BYTES = 2000, 500.0, 10_000.0, 1 << 22
 
 
-def authorization_of(namespace: NamespaceSettings) -> str:
-    """The `authorization` header of a namespace's clients (basic authentication, RFC 7617)."""
-    return "Basic " + base64.b64encode(f"{namespace.uuid}:{namespace.key}".encode()).decode()
-
-
 def _address_in(response: Response) -> str:
     """The address in a response's `location` header."""
     return response.headers["location"].removeprefix("http://").partition("/")[0]
@@ -52,12 +47,10 @@
         self._send(call, self._pools[call.dispatcher], self._addresses[call.dispatcher])
 
     def _send(self, call: ClientCall, pool: WorkerPool, address: str) -> None:
-        blocking = str(not call.deferred).lower()
-        target = f"/api/v1/namespaces/_/actions/{call.action.path}?blocking={blocking}"
         headers = {"authorization": self._authorization[call.namespace.name]}
         if call.type.effect == "deduplicated":
             headers["idempotency-key"] = call.ticket
-        data = encode_request("POST", target, address, msgspec.json.encode({"ticket": call.ticket}), headers)
+        data = encode_call(address, call.action.path, call.ticket, call.deferred, headers)
         self.open_requests += 1
         request = pool.start(data, self._on_response, call)
         self._loop.call_later((call.type.timeout_ms + ANSWER_MARGIN_MS) / 1000, request.cancel, "patience")
@@ -99,9 +92,7 @@
             self._tracker.on_poll_timeout(call)
             self.polling -= 1
             return
-        target = f"/api/v1/namespaces/_/activations/{call.activation}"
-        headers = {"authorization": self._authorization[call.namespace.name]}
-        data = encode_request("GET", target, call.poll_address, b"", headers)
+        data = encode_poll(call.poll_address, call.activation, self._authorization[call.namespace.name])
         self.open_requests += 1
         poll = self._poll_pool(call.poll_address).start(data, self._on_poll_response, call)
         self._loop.call_later(POLL_TIMEOUT_S, poll.cancel, "patience")
--- a/kelptrail/load/__init__.py
+++ b/kelptrail/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load: when clients come, how they behave, and a tool that drives the real program with them."""
+"""Load: when calls arrive, how their clients behave, and a generator that drives the real program with them."""
--- a/kelptrail/load/client_behavior.py
+++ b/kelptrail/load/client_behavior.py
@@ -12,6 +12,7 @@
 LOST_RETRY_MS = 200.0  # after an idempotent call without an answer
 UNREACHED_RETRY_MS = 50.0  # after a call that no dispatcher accepted, at another dispatcher
 UNREACHED_RETRY_FOR_MS = 2000.0  # such calls are retried for so long
+MAX_UNREACHED_RETRIES = 20  # of such calls, beyond the attempts that their load allows
 
 
 class ClientOutcome(Enum):
@@ -63,3 +64,8 @@
     if effect != "repeatable":
         return None
     return {ClientOutcome.ABORTED: IDEMPOTENT_RETRY_MS, ClientOutcome.LOST: LOST_RETRY_MS}.get(outcome)
+
+
+def has_attempts_left(outcome: ClientOutcome, attempts_left: int) -> bool:
+    """Whether a call may be attempted again; `attempts_left` falls below 0 while no dispatcher accepts the call."""
+    return attempts_left > (-MAX_UNREACHED_RETRIES if outcome is ClientOutcome.NOT_TAKEN else 0)
--- a/kelptrail/load/plan.py
+++ b/kelptrail/load/plan.py
@@ -58,7 +58,7 @@
 
     @property
     def load(self) -> list[Load]:
-        """The loads that it plays side by side."""
+        """The loads that run at the same time."""
 
 
 RENAMED_KEYS = {"for": "duration", "heed": "retry_after_share", "half_heed": "half_retry_after_share"}
@@ -99,11 +99,11 @@
 )
 
 
-def check_load(checker: Checker, place: SourcePosition, load: Load, folder: Path) -> None:
+def check_load(checker: Checker, position: SourcePosition, load: Load, folder: Path) -> None:
     """Check what concerns several fields; the path of a recording is relative to the script's `folder`."""
     if load.retry_after_share + load.half_retry_after_share > 1 + 1e-9:
         checker.fault(
-            place,
+            position,
             f"{load.retry_after_share:g} and {load.half_retry_after_share:g}",
             "shares heed and half-heed of 1 at most",
         )
@@ -111,7 +111,7 @@
         try:
             read_trace(folder / load.file)
         except (ValueError, OSError) as cause:
-            checker.fault(place, load.file or "no file", f"a recording: {cause}")
+            checker.fault(position, load.file or "no file", f"a recording: {cause}")
         object.__setattr__(load, "file", str(folder / load.file))
 
 
--- a/kelptrail/load/results.py
+++ b/kelptrail/load/results.py
@@ -1,4 +1,4 @@
-"""What a run came to, in the lab and through the load tool alike: seconds, figures, latencies; kept in columns."""
+"""Results of a run, of the simulation and of the load tool alike: counts by second, figures, latencies; as tables."""
 
 from __future__ import annotations
 
@@ -11,59 +11,70 @@
 import pyarrow.parquet
 
 Rows = list[dict[str, Any]]
-RUN_SECONDS = 3  # that many good ones in a row: recovered
-PARTS = (1.0, 5.0, 10.0, 25.0, 50.0, 75.0, 90.0, 95.0, 99.0, 99.9, 100.0)
+RECOVERED_SHARE, RECOVERED_SECONDS = 0.95, 3  # of new calls completed in time, for so many seconds in a row
+SECONDS_AFTER_END = 60  # for calls that end after the run
+PERCENTILES = (1.0, 5.0, 10.0, 25.0, 50.0, 75.0, 90.0, 95.0, 99.0, 99.9, 100.0)
 
 
 @dataclass(slots=True)
 class Second:
-    """What became of the calls of one second."""
+    """Counts of one second; its fields are columns of the table `seconds`."""
 
-    calls: int = 0
+    calls: int = 0  # attempts of clients
     completed: int = 0
     in_time: int = 0
     rejected: int = 0
     aborted: int = 0
     lost: int = 0
     not_taken: int = 0
-    sends: int = 0
-    orders: int = 0
+    sends: int = 0  # attempts at workers
+    orders: int = 0  # load orders
     loads: int = 0
-    repeats: int = 0
-    in_hand: int = 0  # at its end
-    idle_mb: float = 0.0  # memory of copies on which nothing runs, at its end
-    storming: int = 0  # dispatchers that are not calm at its end
+    repeats: int = 0  # calls that are a client's retries
+    in_hand: int = 0  # calls in flight at its end
+    idle_mb: float = 0.0  # memory of instances on which nothing runs, at its end
+    storming: int = 0  # dispatchers whose overload control is active at its end
+
+    def add(self, other: Second) -> None:
+        """Add another's counts."""
+        for counter in fields(self):
+            setattr(self, counter.name, getattr(self, counter.name) + getattr(other, counter.name))
+
+
+def empty_seconds(length: float) -> list[Second]:
+    """The seconds of a run of this length, and those in which its last calls may end."""
+    return [Second() for _ in range(int(length) + SECONDS_AFTER_END)]
 
 
 @dataclass(slots=True)
 class Result:
-    """What one run came to.  Latencies in ms by type, of completed calls."""
+    """What one run gave.  Latencies in ms by request class, of completed calls."""
 
     seconds: list[Second]
     latency: dict[str, list[float]]
-    give_ups: dict[str, int]
+    give_ups: dict[str, int]  # attempts without a completed call, by reason
     events: int
     loads: int
     extra: dict[str, float] = field(default_factory=dict)
 
 
-def figures(length: float, trouble_ends: float, result: Result) -> dict[str, float]:
-    """What one run came to.  Times in ms, `recovery_s` in seconds: see `recovery`."""
+def figures(length: float, last_fault_ends: float, result: Result) -> dict[str, float]:
+    """The figures of one run, by column of the table `runs`.  Times in ms, `recovery_s` in seconds: see `recovery`."""
     seconds = result.seconds[: int(length)]
     calls = sum(s.calls for s in seconds) or 1
-    wishes = calls - sum(s.repeats for s in seconds) or 1
-    every = (
+    new_calls = calls - sum(s.repeats for s in seconds) or 1
+    latencies = (
         np.concatenate([np.asarray(v) for v in result.latency.values()])
         if any(result.latency.values())
         else np.zeros(1)
     )
-    good = sum(s.in_time for s in seconds)
+    in_time = sum(s.in_time for s in seconds)
     return {
         "calls": calls,
-        "wishes": wishes,
+        "wishes": new_calls,
         "completed": sum(s.completed for s in seconds),
-        "in_time": good,
-        "served_share": good / wishes,
+        "in_time": in_time,
+        "served_share": in_time / new_calls,
         "rejected": sum(s.rejected for s in seconds),
         "aborted": sum(s.aborted for s in seconds),
         "lost": sum(s.lost for s in seconds),
@@ -71,66 +82,73 @@
         "sends": sum(s.sends for s in seconds),
         "orders": sum(s.orders for s in seconds),
         "loads": result.loads,
-        "p50_ms": float(np.percentile(every, 50)),
-        "p99_ms": float(np.percentile(every, 99)),
-        "recovery_s": recovery(length, trouble_ends, result),
+        "p50_ms": float(np.percentile(latencies, 50)),
+        "p99_ms": float(np.percentile(latencies, 99)),
+        "recovery_s": recovery(length, last_fault_ends, result),
         "events": result.events,
     } | result.extra
 
 
-def recovery(length: float, trouble_ends: float, result: Result) -> float:
-    """Seconds from the last trouble's end, or from the start where there is none, until three seconds in a row serve
-    95% of what came new then, in time; the rest of the run where that never comes."""
-    row = 0
-    for number in range(int(trouble_ends), min(int(length), len(result.seconds))):
+def recovery(length: float, last_fault_ends: float, result: Result) -> float:
+    """Seconds from the end of the last fault, or from the start where there is none, until in three seconds in a row
+    95% of the new calls are completed in time; the rest of the run where that never happens."""
+    recovered_seconds = 0
+    for number in range(int(last_fault_ends), min(int(length), len(result.seconds))):
         second = result.seconds[number]
-        fresh = second.calls - second.repeats
-        row = row + 1 if second.in_time >= 0.95 * fresh else 0
-        if row == RUN_SECONDS:
-            return max(0.0, number - RUN_SECONDS + 1 - trouble_ends)
-    return max(0.0, length - trouble_ends)
+        new_calls = second.calls - second.repeats
+        recovered_seconds = recovered_seconds + 1 if second.in_time >= RECOVERED_SHARE * new_calls else 0
+        if recovered_seconds == RECOVERED_SECONDS:
+            return max(0.0, number - RECOVERED_SECONDS + 1 - last_fault_ends)
+    return max(0.0, length - last_fault_ends)
 
 
-def rows_of(who: dict[str, Any], length: float, result: Result) -> Rows:
-    """A row a second."""
+def rows_of(key_columns: dict[str, Any], length: float, result: Result) -> Rows:
+    """A row for each second."""
     return [
-        who | {"second": n} | {f.name: getattr(s, f.name) for f in fields(s)}
+        key_columns | {"second": n} | {f.name: getattr(s, f.name) for f in fields(s)}
         for n, s in enumerate(result.seconds[: int(length)])
     ]
 
 
-def spread_of(who: dict[str, Any], result: Result) -> Rows:
-    """A row a type with its percentiles, and a row a cause of giving up with its count."""
-    out: Rows = []
-    for kind, found in result.latency.items():
-        if found:
-            out += [
-                who | {"what": "latency_ms", "name": kind, "part": part, "value": float(v)}
-                for part, v in zip(PARTS, np.percentile(np.asarray(found), PARTS), strict=True)
+def spread_of(key_columns: dict[str, Any], result: Result) -> Rows:
+    """A row for each percentile of each request class, and for each reason of failed attempts."""
+    rows: Rows = []
+    for name, latencies in result.latency.items():
+        if latencies:
+            rows += [
+                key_columns | {"what": "latency_ms", "name": name, "part": percentile, "value": float(value)}
+                for percentile, value in zip(
+                    PERCENTILES, np.percentile(np.asarray(latencies), PERCENTILES), strict=True
+                )
             ]
-    return out + [
-        who | {"what": "give_ups", "name": cause, "part": 0.0, "value": float(count)}
-        for cause, count in result.give_ups.items()
+    return rows + reason_rows(key_columns, result)
+
+
+def reason_rows(key_columns: dict[str, Any], result: Result) -> Rows:
+    """A row for each reason of failed attempts, with its count."""
+    return [
+        key_columns | {"what": "give_ups", "name": reason, "part": 0.0, "value": float(count)}
+        for reason, count in result.give_ups.items()
     ]
 
 
 def write(folder: Path, runs: Rows, seconds: Rows, spread: Rows) -> None:
-    """`runs.parquet`, `seconds.parquet` and `spread.parquet`."""
+    """Write `runs.parquet`, `seconds.parquet` and `spread.parquet`."""
     folder.mkdir(parents=True, exist_ok=True)
     for name, table in (("runs", runs), ("seconds", seconds), ("spread", spread)):
         pyarrow.parquet.write_table(pyarrow.Table.from_pylist(table), folder / f"{name}.parquet", compression="zstd")
 
 
 def read(folder: Path, name: str) -> Rows:
-    """One of the tables.  Raises `OSError` where it is not there."""
+    """Read one of the tables.  Raises `OSError` where it is not there."""
     return list(pyarrow.parquet.read_table(folder / f"{name}.parquet").to_pylist())
 
 
 def read_runs(folder: Path) -> Rows:
-    """The runs of a folder."""
+    """Read the rows of the runs.  Raises `OSError` where they are not there."""
     return read(folder, "runs")
 
 
 def read_seconds(folder: Path) -> Rows:
-    """Their seconds."""
+    """Read the rows of the seconds.  Raises `OSError` where they are not there."""
     return read(folder, "seconds")
