--- a/kelptrail/emulator/endpoint_service.py
+++ b/kelptrail/emulator/endpoint_service.py
@@ -73,12 +73,15 @@
         elif parts == ["fault"] and body.get("kind") == "late":
             self.delay_ms = float(body.get("late_ms", 2000))
             if "for_ms" in body:
-                self._loop.call_later(float(body["for_ms"]) / 1000, setattr, self, "late_ms", 0.0)
+                self._loop.call_later(float(body["for_ms"]) / 1000, self._end_delay)
         else:
             exchange.reply(404, b'{"error":"no such thing"}')
             return
         exchange.reply(200, b"{}")
 
+    def _end_delay(self) -> None:
+        self.delay_ms = 0.0
+
     def _apply_delayed(self, change: Any, body: dict[str, Any]) -> None:
         now = now_ms()
         if self.delay_ms:
