--- a/kelptrail/emulator/capture.py
+++ b/kelptrail/emulator/capture.py
@@ -14,6 +14,10 @@
 
 from kelptrail.clock import now_ms
 
+LAG_TICK_S = 0.005
+STALL_MS = 20  # a tick that is so late counts as a stall of the loop
+STALL_EFFECT_MS = 500  # data that is read so long after a stall may have arrived in it
+
 
 class ReadLag:
     """How much earlier the data that is read now may have arrived: the delay of the process's own loop."""
@@ -25,16 +29,16 @@
 
     async def _measure(self) -> None:
         while True:
-            await asyncio.sleep(0.005)
+            await asyncio.sleep(LAG_TICK_S)
             now = now_ms()
-            if now - self._tick > 20:  # data read next may have arrived at any time of the stall
+            if now - self._tick > STALL_MS:  # data read next may have arrived at any time of the stall
                 self._stall, self._stalled = now - self._tick, now
             self._tick = now
 
     def now(self) -> float:
         """The present lag in milliseconds."""
         now = now_ms()
-        return now - self._tick + (self._stall if now - self._stalled < 500 else 0.0)
+        return now - self._tick + (self._stall if now - self._stalled < STALL_EFFECT_MS else 0.0)
 
     def stop(self) -> None:
         """Stop measuring."""
@@ -44,8 +48,8 @@
 class Capture:
     """The capture of one process; without a file it writes nothing."""
 
-    def __init__(self, file: Path | None, who: str) -> None:
-        self._process_name = who
+    def __init__(self, file: Path | None, process_name: str) -> None:
+        self._process_name = process_name
         self._fd = -1 if file is None else os.open(file, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
 
     def write(self, what: str, **fields: Any) -> None:
--- a/kelptrail/emulator/datagram_proxy.py
+++ b/kelptrail/emulator/datagram_proxy.py
@@ -20,16 +20,19 @@
 from .capture import Capture
 from .network_faults import NetworkFaults
 
+DATAGRAM_BYTES = 4096
+RANDOM_SALT = 3  # sets this proxy's draws apart from others of the same seed
+
 
 class DatagramProxy:
     """All instances' datagrams; settings at its control port: loss, copy (shares), delay_ms (a pair), cut (pairs)."""
 
     def __init__(self, settings: VrrpSettings, capture: Capture, seed: int) -> None:
-        self._capture, self._faults = capture, NetworkFaults(seed, 3)
+        self._capture, self._faults = capture, NetworkFaults(seed, RANDOM_SALT)
         self._loop = asyncio.get_running_loop()
         self._names = {parse_socket_address(i.udp)[0]: i.name for i in settings.instance}
         self._loss = self._duplication = 0.0
-        self._delay = (0.0, 0.0)
+        self._delay_range = (0.0, 0.0)
         self._sockets: dict[str, socket.socket] = {}
         for instance in settings.instance:
             sending = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -46,31 +49,31 @@
             )
         self.server = HttpServer(self._handle)
 
-    def _readable(self, sock: socket.socket, to: str, where: SocketAddress) -> None:
+    def _readable(self, sock: socket.socket, to: str, address: SocketAddress) -> None:
         while True:
             try:
-                data, source = sock.recvfrom(4096)
+                data, source = sock.recvfrom(DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             sender = self._names.get(source[0])
             if sender is None:
                 continue
-            # version and type, VRID and priority are the first three bytes of every advertisement
             fate = "sent"
             if (sender, to) in self._faults.cut:
                 fate = "cut"
             elif self._faults.draw(self._loss):
                 fate = "lost"
+            # The first three bytes of an advertisement: version and type, VRID, priority (RFC 9568 section 5).
             self._capture.write("advert", sender=sender, to=to, vrid=data[1], priority=data[2], fate=fate)
             if fate != "sent":
                 continue
             for _ in range(2 if self._faults.draw(self._duplication) else 1):
-                wait = float(self._faults.random.uniform(*self._delay))
-                self._loop.call_later(wait / 1000, self._send, sender, data, where)
+                delay_ms = float(self._faults.random.uniform(*self._delay_range))
+                self._loop.call_later(delay_ms / 1000, self._send, sender, data, address)
 
-    def _send(self, sender: str, data: bytes, where: SocketAddress) -> None:
+    def _send(self, sender: str, data: bytes, address: SocketAddress) -> None:
         try:
-            self._sockets[sender].sendto(data, where)
+            self._sockets[sender].sendto(data, address)
         except OSError as cause:
             self._capture.write("relay-unsent", reason=str(cause))
 
@@ -79,9 +82,9 @@
         self._loss = float(body.get("loss", self._loss))
         self._duplication = float(body.get("copy", self._duplication))
         if "delay_ms" in body:
-            self._delay = (float(body["delay_ms"][0]), float(body["delay_ms"][1]))
+            self._delay_range = (float(body["delay_ms"][0]), float(body["delay_ms"][1]))
         self._faults.apply(body)
         self._capture.write(
-            "relay", loss=self._loss, copy=self._duplication, delay_ms=self._delay, cut=sorted(self._faults.cut)
+            "relay", loss=self._loss, copy=self._duplication, delay_ms=self._delay_range, cut=sorted(self._faults.cut)
         )
         exchange.reply(200, b"{}")
--- a/kelptrail/emulator/endpoint_service.py
+++ b/kelptrail/emulator/endpoint_service.py
@@ -9,7 +9,7 @@
 import asyncio
 import os
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -19,6 +19,9 @@
 
 from .capture import Capture
 
+MAX_POLL_MS = 30_000.0
+DEFAULT_DELAY_MS = 2000
+
 
 @dataclass(slots=True)
 class _ListedWorker:
@@ -26,10 +29,15 @@
     started: float
 
 
+class _ListedDispatcher(NamedTuple):
+    address: str
+    channel: str
+    zone: str
+
+
 @dataclass(slots=True, eq=False)
 class _LongPoll:
-    who: str
-    known: str
+    poller: str
     exchange: Exchange
     timer: asyncio.TimerHandle = field(repr=False)
 
@@ -42,28 +50,15 @@
         self._loop = asyncio.get_running_loop()
         self._lineage, self._version = os.urandom(4).hex(), 0
         self._workers: dict[str, _ListedWorker] = {}
-        # Address, channel and zone of each dispatcher; kept for good, as dispatchers restart under their names.
-        self._dispatchers: dict[str, tuple[str, str, str]] = {}
+        self._dispatchers: dict[str, _ListedDispatcher] = {}  # never removed, as they restart under their names
         self._polls: dict[_LongPoll, None] = {}
         self.delay_ms = 0.0
         self.server = HttpServer(self._handle)
 
     def _handle(self, request: Request, exchange: Exchange) -> None:
-        parts, query = request.segments, request.query
+        parts = request.segments
         if parts == ["workers"]:
-            known_version, name = query.get("known", ""), query.get("who", "").partition("/")[0]
-            at = query.get("at", ""), query.get("channel", ""), query.get("hall", "")
-            if at[0] and self._dispatchers.get(name) != at:
-                self._dispatchers[name] = at
-                self._publish()
-            if known_version != f"{self._lineage}:{self._version}":
-                self._send_list(query.get("who", ""), exchange)
-                return
-            wait = min(30_000.0, float(query.get("wait", "0")))
-            poll = _LongPoll(query.get("who", ""), known_version, exchange, self._loop.call_later(0, int))
-            poll.timer = self._loop.call_later(wait / 1000, self._send_not_modified, poll)
-            self._polls[poll] = None
-            exchange.on_client_gone = lambda: self._remove_poll(poll)
+            self._handle_poll(request.query, exchange)
             return
         body = msgspec.json.decode(request.body) if request.body else {}
         if parts == ["register"]:
@@ -71,7 +66,7 @@
         elif parts == ["state"]:
             self._apply_delayed(self._set_state, body)
         elif parts == ["fault"] and body.get("kind") == "late":
-            self.delay_ms = float(body.get("late_ms", 2000))
+            self.delay_ms = float(body.get("late_ms", DEFAULT_DELAY_MS))
             if "for_ms" in body:
                 self._loop.call_later(float(body["for_ms"]) / 1000, self._end_delay)
         else:
@@ -79,6 +74,23 @@
             return
         exchange.reply(200, b"{}")
 
+    def _handle_poll(self, query: dict[str, str], exchange: Exchange) -> None:
+        """Answer with the list at once where the dispatcher has another version, else once it changes."""
+        poller, known_version = query.get("who", ""), query.get("known", "")
+        dispatcher = _ListedDispatcher(query.get("at", ""), query.get("channel", ""), query.get("hall", ""))
+        name = poller.partition("/")[0]
+        if dispatcher.address and self._dispatchers.get(name) != dispatcher:
+            self._dispatchers[name] = dispatcher
+            self._publish()
+        if known_version != f"{self._lineage}:{self._version}":
+            self._send_list(poller, exchange)
+            return
+        wait_ms = min(MAX_POLL_MS, float(query.get("wait", "0")))
+        poll = _LongPoll(poller, exchange, self._loop.call_later(0, int))
+        poll.timer = self._loop.call_later(wait_ms / 1000, self._send_not_modified, poll)
+        self._polls[poll] = None
+        exchange.on_client_gone = lambda: self._remove_poll(poll)
+
     def _end_delay(self) -> None:
         self.delay_ms = 0.0
 
@@ -110,7 +122,7 @@
         polls, self._polls = self._polls, {}
         for poll in polls:
             poll.timer.cancel()
-            self._send_list(poll.who, poll.exchange)
+            self._send_list(poll.poller, poll.exchange)
 
     def _send_list(self, dispatcher: str, exchange: Exchange) -> None:
         now = now_ms()
@@ -129,8 +141,8 @@
                     "lineage": self._lineage,
                     "workers": workers,
                     "dispatchers": [
-                        {"name": name, "address": at, "channel": channel, "hall": zone}
-                        for name, (at, channel, zone) in self._dispatchers.items()
+                        {"name": name, "address": listed.address, "channel": listed.channel, "hall": listed.zone}
+                        for name, listed in self._dispatchers.items()
                     ],
                 }
             ),
--- a/kelptrail/emulator/model_store.py
+++ b/kelptrail/emulator/model_store.py
@@ -19,6 +19,10 @@
 
 from .capture import Capture
 
+MAX_EFFECTS = 100_000
+MAX_FETCH_STEP_MS = 50.0  # after which the pace of a fetch is determined again
+DEFAULT_SLOWDOWN = 4
+
 
 class ModelStore:
     """The store's state and its faults: `slow` (a factor), `refuse` and `stopped`."""
@@ -61,7 +65,7 @@
             while left > 0:
                 await self._running.wait()
                 pace = min(1.0, self._settings.fetches / self._fetching) / self._slowdown
-                step = min(50.0, left / pace)
+                step = min(MAX_FETCH_STEP_MS, left / pace)
                 await asyncio.sleep(step / 1000)
                 left -= step * pace
             await self._running.wait()
@@ -76,7 +80,7 @@
             known = None
         if operation == "commit" and known is None:
             self._effects[key] = (now, body["result"])
-            if len(self._effects) > 100_000:
+            if len(self._effects) > MAX_EFFECTS:
                 del self._effects[next(iter(self._effects))]
         exchange.reply(200, msgspec.json.encode({"known": known is not None, "result": known[1] if known else ""}))
 
@@ -84,7 +88,7 @@
         kind, ms = body["kind"], float(body.get("for_ms", 0))
         self._capture.write("fault", kind=kind, for_ms=ms)
         if kind == "slow":
-            self._slowdown = float(body.get("factor", 4))
+            self._slowdown = float(body.get("factor", DEFAULT_SLOWDOWN))
         elif kind == "refuse":
             self._refusing = True
         elif kind == "stopped":
