--- a/tests/program.py
+++ b/tests/program.py
@@ -8,7 +8,7 @@
 import socket
 from collections.abc import AsyncIterator, Callable, Coroutine
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 import uvloop
@@ -50,15 +50,15 @@
 
 
 class Silent:
-    """A log that keeps what it is told."""
+    """A log that records its lines and writes nothing."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, Any]]] = []
 
-    def _keep(self, event: str, **fields: Any) -> None:
+    def _record(self, event: str, **fields: Any) -> None:
         self.lines.append((event, fields))
 
-    debug = info = warning = error = _keep
+    debug = info = warning = error = _record
 
 
 def run(main: Coroutine[Any, Any, Any], within_s: float = 30) -> Any:
@@ -75,15 +75,15 @@
 
 
 class ScriptedWorker:
-    """A worker whose answer to each send is a line of the test; hold orders are granted unless told otherwise."""
+    """A worker whose answer to each attempt is a line of the test; load orders succeed unless `on_load` is given."""
 
     def __init__(
-        self, id_: str, script: Script | None = None, order: Script | None = None, shape: str = "live"
+        self, id_: str, on_attempt: Script | None = None, on_load: Script | None = None, state: str = "live"
     ) -> None:
-        self.id, self.state = id_, shape
-        self.script, self.order = script or answer, order or grant
-        self.sends: list[tuple[str, dict[str, Any]]] = []  # mark and parameters of each
-        self.orders = self.given = 0
+        self.id, self.state = id_, state
+        self.on_attempt, self.on_load = on_attempt or answer, on_load or confirm_load
+        self.attempts: list[tuple[str, dict[str, Any]]] = []  # request id and parameters of each
+        self.load_order_count = self.chunks_written = 0
         self.tasks: list[asyncio.Task[None]] = []
         self.exchanges: list[Exchange] = []
         self.server = HttpServer(self._handle)
@@ -92,21 +92,21 @@
 
     def _handle(self, request: Request, exchange: Exchange) -> None:
         if request.segments[-1] == "load":
-            self.orders += 1
-            self.order(self, request, exchange)
+            self.load_order_count += 1
+            self.on_load(self, request, exchange)
             return
         infer, _ = read_infer(request.body)
-        self.sends.append((infer.id, infer.parameters))
+        self.attempts.append((infer.id, infer.parameters))
         self.exchanges.append(exchange)
-        self.script(self, request, exchange)
+        self.on_attempt(self, request, exchange)
 
     @property
-    def entry(self) -> Endpoint:
+    def endpoint(self) -> Endpoint:
         return Endpoint(self.id, self.address, self.state, "1")
 
 
 def answer(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
-    """Completed."""
+    """Complete the attempt."""
     infer, payload = read_infer(request.body)
     if infer.parameters.get("form") == "tensors":
         exchange.reply(200, tensors_answer(request.segments[2], infer.id, infer.inputs, success=True))
@@ -114,26 +114,26 @@
         exchange.reply(200, infer_answer(request.segments[2], infer.id, payload, True))
 
 
-def grant(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
-    """The copies stand."""
+def confirm_load(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
+    """Answer a load order: one instance is loaded."""
     exchange.reply(200, b'{"standing":1}')
 
 
-def silent(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
-    """Nothing, ever."""
+def never_answer(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
+    """Read the request, and answer nothing."""
 
 
-def parts(
+def stream_parts(
     count: int, gap_s: float = 0.0, end: str = "final", pad: int = 0, gate: asyncio.Event | None = None
 ) -> Script:
-    """A streamed answer; `end`: "final", "cut" (the connection breaks), "stall" (nothing more comes).  Past its first
-    part it waits for `gate`."""
+    """A streamed answer; `end`: "final", "cut" (the connection breaks), "stall" (nothing more is sent).  After its
+    first part it waits for `gate`."""
 
     def script(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
         infer, _ = read_infer(request.body)
         model, tensors = request.segments[2], infer.parameters.get("form") == "tensors"
 
-        async def flow() -> None:
+        async def write() -> None:
             exchange.start_stream(200, None, "text/event-stream")
             for n in range(count):
                 if tensors:
@@ -143,7 +143,7 @@
                     data = infer_answer(model, infer.id, f'{{"part":{n}}}', True)
                 while not exchange.can_write and not exchange.client_gone:
                     await asyncio.sleep(0.005)
-                worker.given += exchange.write_chunk(encode_event(data))
+                worker.chunks_written += exchange.write_chunk(encode_event(data))
                 if gate is not None:
                     await gate.wait()
                 await asyncio.sleep(gap_s)
@@ -153,13 +153,13 @@
             elif end == "cut":
                 exchange.abort()
 
-        worker.tasks.append(asyncio.get_running_loop().create_task(flow()))
+        worker.tasks.append(asyncio.get_running_loop().create_task(write()))
 
     return script
 
 
-def refuse(proof: str | None, status: int = 503) -> Script:
-    """A refusal, with or without its proof that nothing ran."""
+def reject_with(proof: str | None, status: int = 503) -> Script:
+    """A rejection, with or without its proof that nothing ran."""
 
     def script(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
         exchange.reply(status, b'{"error":"no"}', {"never-ran": proof} if proof else None)
@@ -167,11 +167,19 @@
     return script
 
 
-def reset(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
+def break_connection(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
     """The connection breaks after the request was read."""
     exchange.abort()
 
 
+class Reply(NamedTuple):
+    """A response of the invoke API; `body`: decoded, None where it is empty."""
+
+    status: int
+    headers: dict[str, str]
+    body: Any
+
+
 class Dispatcher:
     """A dispatcher's program within this process."""
 
@@ -202,12 +210,13 @@
         self.grpc = GrpcServer(self.inference.handle, grpc_limits(self.deployment.inference), self.log.warning)
         self.grpc.listen("127.0.0.1", 0)
         self.version = 0
-        self.list(workers)
+        self.set_workers(workers)
 
-    def list(self, workers: list[ScriptedWorker], *more: Endpoint) -> None:
-        """A new worker list."""
+    def set_workers(self, workers: list[ScriptedWorker], *more: Endpoint) -> None:
+        """Give the dispatcher a new endpoint list."""
         self.version += 1
-        self.driver.on_endpoints(EndpointList(self.version, [w.entry for w in workers] + list(more), "test"))
+        endpoints = [*(worker.endpoint for worker in workers), *more]
+        self.driver.on_endpoints(EndpointList(self.version, endpoints, "test"))
 
     async def call(
         self,
@@ -217,43 +226,46 @@
         query: str = "",
         key: str | None = None,
         raw: bytes | None = None,
-    ) -> tuple[int, dict[str, str], Any]:
+    ) -> Reply:
         """One call on a connection of its own."""
         extra = {"idempotency-key": key} if key else {}
-        return await self.ask(
+        return await self.request(
             "POST", f"/api/v1/namespaces/_/actions/{action}?blocking={str(blocking).lower()}{query}", body, extra, raw
         )
 
-    async def ask(
+    async def request(
         self,
         method: str,
         target: str,
         body: Any = None,
         headers: dict[str, str] | None = None,
         raw: bytes | None = None,
-    ) -> tuple[int, dict[str, str], Any]:
+    ) -> Reply:
+        """One request on a connection of its own, with the credentials of namespace `one`."""
         data = raw if raw is not None else (b"" if body is None else msgspec.json.encode(body))
-        reply = await exchange(self.server.address, encode_request(method, target, "x", data, auth() | (headers or {})))
-        return reply.status, reply.headers, msgspec.json.decode(reply.body) if reply.body else None
+        reply = await send_request(
+            self.server.address, encode_request(method, target, "x", data, authorization() | (headers or {}))
+        )
+        return Reply(reply.status, reply.headers, msgspec.json.decode(reply.body) if reply.body else None)
 
-    async def final(self, id_: str, within: float = 3.0) -> dict[str, Any]:
+    async def wait_for_record(self, id_: str, within: float = 3.0) -> dict[str, Any]:
         """Poll until the record has its final answer."""
         loop = asyncio.get_running_loop()
         end = loop.time() + within
         while loop.time() < end:
-            status, _, body = await self.ask("GET", f"/api/v1/namespaces/_/activations/{id_}")
+            status, _, body = await self.request("GET", f"/api/v1/namespaces/_/activations/{id_}")
             if status == 200:
                 return body
             await asyncio.sleep(0.02)
         raise AssertionError(f"{id_} has no final answer")
 
 
-def auth(uuid: str = "00000000-0000-0000-0000-000000000001", key: str = "k1") -> dict[str, str]:
+def authorization(uuid: str = "00000000-0000-0000-0000-000000000001", key: str = "k1") -> dict[str, str]:
     return {"authorization": "Basic " + base64.b64encode(f"{uuid}:{key}".encode()).decode()}
 
 
-def verdict(record: dict[str, Any]) -> dict[str, Any]:
-    """The three-way answer within a record."""
+def final_answer(record: dict[str, Any]) -> dict[str, Any]:
+    """The final answer in a record: completed, rejected or aborted."""
     return next(n["value"] for n in record["annotations"] if n["key"] == "kelptrail")
 
 
@@ -277,7 +289,7 @@
                 return response
 
 
-async def exchange(address: str, data: bytes, within: float = 5.0) -> Response:
+async def send_request(address: str, data: bytes, within: float = 5.0) -> Response:
     sock = await connect(address)
     try:
         await asyncio.get_running_loop().sock_sendall(sock, data)
@@ -287,9 +299,9 @@
 
 
 @contextlib.asynccontextmanager
-async def place(*scripts: Script, order: Script | None = None) -> AsyncIterator[Any]:
+async def running_dispatcher(*scripts: Script, on_load: Script | None = None) -> AsyncIterator[Any]:
     """A dispatcher with one scripted worker for each script."""
-    workers = [ScriptedWorker(f"w{n}", script, order) for n, script in enumerate(scripts)]
+    workers = [ScriptedWorker(f"w{n}", script, on_load) for n, script in enumerate(scripts)]
     dispatcher = Dispatcher(workers)
     try:
         yield dispatcher, workers
@@ -305,8 +317,8 @@
   (leases (voters v0 v1 v2) (length-ms 1000) (longest-ms 1000) (ask-ms 80) (retry-ms 30))"""
 
 
-class Voters:
-    """Three voters in this process, and whoever else is to take part, on real connections."""
+class Acceptors:
+    """Three lease acceptors in this process, and any other members, on real connections."""
 
     def __init__(self, deployment: Deployment, state: Path) -> None:
         self.deployment, self.state, self.log, self.at = deployment, state, Silent(), dict[str, str]()
@@ -315,20 +327,20 @@
             self.join(name, "127.0.0.1:0", self.at.get(name))
 
     def join(self, name: str, listen: str | None = None, at: str | None = None) -> Fleet:
-        """One more, started."""
+        """Start one more member."""
         (self.state / name).mkdir(parents=True, exist_ok=True)
-        made = Fleet(
+        member = Fleet(
             self.deployment,
             FleetOptions(name, str(len(self.fleets)), at or listen, self.at, self.state / name),
             self.log,
         )
-        made.start()
-        if made.peers.address:
-            self.at[name] = made.peers.address
-        self.fleets.append(made)
-        return made
+        member.start()
+        if member.peers.address:
+            self.at[name] = member.peers.address
+        self.fleets.append(member)
+        return member
 
     async def stop(self) -> None:
-        """End all."""
+        """Stop all members."""
         for fleet in self.fleets:
             await fleet.stop()
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -13,7 +13,7 @@
 
 import apsw
 import pytest
-from program import auth, exchange, run, verdict
+from program import authorization, final_answer, run, send_request
 
 from kelptrail.codec.http import encode_request
 from kelptrail.emulator.cluster import Cluster, http_json
@@ -637,7 +637,7 @@
                     await asyncio.sleep(0.1)
             first, *others = rig.dispatchers
             key = {
-                "authorization": auth("23bc46b1-71f6-4ed5-8c54-816aa4f8c502", "try-this-key-on-loopback-only")[
+                "authorization": authorization("23bc46b1-71f6-4ed5-8c54-816aa4f8c502", "try-this-key-on-loopback-only")[
                     "authorization"
                 ]
             }
@@ -669,7 +669,7 @@
                 if status == 307:
                     at = headers["location"].removeprefix("http://").partition("/")[0]
                     status, _, body = await http(at, "GET", f"activations/{id_}", key)
-                assert status == 200 and verdict(body)["answer"] == "completed"
+                assert status == 200 and final_answer(body)["answer"] == "completed"
         finally:
             await rig.stop()
 
@@ -679,5 +679,5 @@
 async def http(
     address: str, method: str, target: str, headers: dict[str, str], body: bytes = b""
 ) -> tuple[int, dict[str, str], Any]:
-    reply = await exchange(address, encode_request(method, f"/api/v1/namespaces/_/{target}", "x", body, headers))
+    reply = await send_request(address, encode_request(method, f"/api/v1/namespaces/_/{target}", "x", body, headers))
     return reply.status, reply.headers, json.loads(reply.body)
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -7,7 +7,7 @@
 import socket
 
 import pytest
-from program import Silent, connect, exchange, read_reply, run
+from program import Silent, connect, read_reply, run, send_request
 
 from kelptrail.codec.http import Request, encode_request
 from kelptrail.net.listener import ConnectPace, PaceSettings
@@ -44,13 +44,13 @@
 
         server = HttpServer(handle, Limits(), Silent().warning, pace=ConnectPace(PaceSettings(10, 10.0, 3000.0), 1))
         server.listen("127.0.0.1", 0)
-        replies = await asyncio.gather(*(exchange(server.address, CALL) for _ in range(40)))
+        replies = await asyncio.gather(*(send_request(server.address, CALL) for _ in range(40)))
         early = [r for r in replies if r.status == 503]
         assert 25 <= len(early) == server.rejected_by_pace <= 30 and all(not r.keep_alive for r in early)
         told = [float(r.headers["retry-after-ms"]) for r in early]
         assert len(set(told)) == len(told) and max(told) <= 3000, "each a time of its own"
         await asyncio.sleep(0.35)
-        assert (await exchange(server.address, CALL)).status == 200, "a pace, not a ban"
+        assert (await send_request(server.address, CALL)).status == 200, "a pace, not a ban"
         await server.drain(100)
 
     run(main())
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from program import DEPLOYMENT, PEERS, Dispatcher, ScriptedWorker, Silent, Voters, run
+from program import DEPLOYMENT, PEERS, Acceptors, Dispatcher, ScriptedWorker, Silent, run
 
 from kelptrail.clock import now_ms
 from kelptrail.membership.members import EndpointList
@@ -42,7 +42,7 @@
         self.workers = [ScriptedWorker(f"w{n}") for n in range(3)]
         self.dispatcher = Dispatcher(self.workers, parse(FAST, "fast"))
         self.state, self.log = state, Silent()
-        self.voters = Voters(self.dispatcher.deployment, state)
+        self.voters = Acceptors(self.dispatcher.deployment, state)
         self.planners = [self.planner(n) for n in range(planners)]
         self.edge = self.follower()
 
@@ -61,7 +61,7 @@
         made.restore()
         made.listen()
         made.start()
-        made.on_endpoints(EndpointList(self.dispatcher.version, [w.entry for w in self.workers], "test"))
+        made.on_endpoints(EndpointList(self.dispatcher.version, [w.endpoint for w in self.workers], "test"))
         return made
 
     def follower(self) -> PlanFollower:
@@ -181,14 +181,16 @@
         )
         offers.append(encode_plan(good, 0.0))
         await asyncio.gather(until(lambda: edge.plan_state.accepted == 1), pair.calls(0.5))
-        orders = sum(w.orders for w in pair.workers)
+        orders = sum(w.load_order_count for w in pair.workers)
         assert orders >= 2, "copies ahead of calls"
         pair.workers[1].state = "draining"
-        pair.dispatcher.list(pair.workers)
+        pair.dispatcher.set_workers(pair.workers)
         edge.on_endpoints()
-        before = pair.workers[1].orders, len(pair.workers[1].sends)
+        draining = pair.workers[1]
+        before = draining.load_order_count, len(draining.attempts)
         await pair.calls(1.0)
-        assert (pair.workers[1].orders, len(pair.workers[1].sends)) == before, "nothing to a drain, planned or not"
+        after = draining.load_order_count, len(draining.attempts)
+        assert after == before, "nothing is sent to a draining worker, planned or not"
         offers += [
             encode_plan(make_plan(name, (1, "forger", n), 9e5, roster, {"check": {w: 1}}), 0.0)
             for n, w in ((2, "w1"), (3, "nobody"), (1, "w0"))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,7 +12,7 @@
 
 import msgspec
 import pytest
-from program import DEPLOYMENT, PEERS, Voters, run
+from program import DEPLOYMENT, PEERS, Acceptors, run
 
 from kelptrail.codec.http import Request
 from kelptrail.fault_scenario.runner import ScenarioRunner
@@ -107,7 +107,7 @@
 @pytest.mark.processes
 def test_on_sockets_one_holds_hands_over_and_believes_nothing_after_a_blocked_loop(tmp_path: Path) -> None:
     async def main() -> None:
-        voters = Voters(FLEET, tmp_path)
+        voters = Acceptors(FLEET, tmp_path)
         held: list[tuple[str, str]] = []
         askers = [voters.join(f"x{n}").leases for n in range(3)]
         for leases in askers:
@@ -131,7 +131,7 @@
         here = len(held)
         await asyncio.sleep(0.4)
         assert not [h for h in held[here:] if h[1] != "expired"], "one voter of three is no majority"
-        again = Voters.__new__(Voters)
+        again = Acceptors.__new__(Acceptors)
         again.__dict__.update(voters.__dict__)
         voters.fleets = voters.fleets[2:]
         for name in ("v0", "v1"):
@@ -158,7 +158,7 @@
     )
 
     async def main() -> None:
-        voters = Voters(FLEET, tmp_path)
+        voters = Acceptors(FLEET, tmp_path)
         held: list[tuple[str, str]] = []
         cut_off = voters.join("x")
         asker = cut_off.leases
@@ -194,7 +194,7 @@
     file.write_text(DEPLOYMENT.replace("(pool (connect-ms 150))", f"(pool (connect-ms 150))\n{PEERS}"))
 
     async def main() -> None:
-        voters = Voters(FLEET, tmp_path)
+        voters = Acceptors(FLEET, tmp_path)
         await voters.fleets.pop().stop()  # the third is a process of its own, which dies at its first grant
         (tmp_path / "v2" / "leases.sqlite").unlink()
         process = await asyncio.create_subprocess_exec(
@@ -244,7 +244,7 @@
 
 def test_leases_are_told_by_a_command(tmp_path: Path) -> None:
     async def main() -> None:
-        voters = Voters(FLEET, tmp_path)
+        voters = Acceptors(FLEET, tmp_path)
         holder = voters.fleets[0].leases
         assert holder is not None
         hold(holder, [])
@@ -288,7 +288,7 @@
     assert told.refused == 2
 
     async def main() -> None:
-        voters = Voters.__new__(Voters)
+        voters = Acceptors.__new__(Acceptors)
         voters.deployment, voters.state, voters.at, voters.fleets = FLEET, tmp_path, {}, []
         from program import Silent
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -11,15 +11,15 @@
     Dispatcher,
     ScriptedWorker,
     answer,
-    auth,
+    authorization,
     connect,
-    exchange,
-    place,
+    final_answer,
+    never_answer,
     read_reply,
-    refuse,
+    reject_with,
     run,
-    silent,
-    verdict,
+    running_dispatcher,
+    send_request,
 )
 
 from kelptrail.codec.http import Request, encode_request, encode_response
@@ -40,34 +40,34 @@
 
 def test_blocking_deferred_result_and_records() -> None:
     async def main() -> None:
-        async with place(answer) as (dispatcher, (worker,)):
+        async with running_dispatcher(answer) as (dispatcher, (worker,)):
             status, headers, record = await dispatcher.call("p/check", body={"family": 7})
             assert status == 200 and record["response"]["result"] == {"family": 7}
             assert record["response"]["status"] == "success" and record["namespace"] == "one"
             assert record["end"] >= record["start"] and record["logs"] == []
             assert headers["x-openwhisk-activation-id"] == record["activationId"]
-            assert verdict(record)["answer"] == "completed"
+            assert final_answer(record)["answer"] == "completed"
             status, _, bare = await dispatcher.call("p/check", body={"a": [1]}, query="&result=true")
             assert (status, bare) == (200, {"a": [1]})
             status, _, told = await dispatcher.call("grant", blocking=False, body={})
             assert status == 202 and set(told) == {"activationId"}
-            done = await dispatcher.final(told["activationId"])
+            done = await dispatcher.wait_for_record(told["activationId"])
             assert done["name"] == "grant"
             id_ = told["activationId"]
-            _, _, result = await dispatcher.ask("GET", f"{BASE}/activations/{id_}/result")
+            _, _, result = await dispatcher.request("GET", f"{BASE}/activations/{id_}/result")
             assert result == {"status": "success", "statusCode": 0, "success": True, "result": {}}
-            assert (await dispatcher.ask("GET", f"{BASE}/activations/{id_}/logs"))[2] == {"logs": []}
-            assert [p["dispatcher"] for _, p in worker.sends] == ["d/" + "b" * 16] * 3
+            assert (await dispatcher.request("GET", f"{BASE}/activations/{id_}/logs"))[2] == {"logs": []}
+            assert [p["dispatcher"] for _, p in worker.attempts] == ["d/" + "b" * 16] * 3
 
     run(main())
 
 
 def test_lists_page_by_name_and_time() -> None:
     async def main() -> None:
-        async with place(answer) as (dispatcher, _):
+        async with running_dispatcher(answer) as (dispatcher, _):
             for n in range(5):
                 await dispatcher.call("grant" if n % 2 else "p/check", body={"n": n})
-            ask = dispatcher.ask
+            ask = dispatcher.request
             _, _, whole = await ask("GET", f"{BASE}/activations")
             assert [a["name"] for a in whole] == ["check", "grant", "check", "grant", "check"]
             assert "response" not in whole[0] and whole[0]["statusCode"] == 0
@@ -87,8 +87,8 @@
 
 def test_actions_namespaces_and_errors_as_specified() -> None:
     async def main() -> None:
-        async with place(failing) as (dispatcher, _):
-            ask = dispatcher.ask
+        async with running_dispatcher(failing) as (dispatcher, _):
+            ask = dispatcher.request
             assert (await ask("GET", "/api/v1/namespaces"))[2] == ["one"]
             _, _, actions = await ask("GET", f"{BASE}/actions")
             assert [(a["namespace"], a["name"]) for a in actions] == [
@@ -108,13 +108,18 @@
             ):
                 got, _, body = await ask(method, target)
                 assert got == status and set(body) == {"error", "code"}, (method, target, got, body)
-            for headers in ({"authorization": "Basic !!"}, auth(key="wrong"), auth(uuid="no"), {"authorization": ""}):
+            for headers in (
+                {"authorization": "Basic !!"},
+                authorization(key="wrong"),
+                authorization(uuid="no"),
+                {"authorization": ""},
+            ):
                 got, told, body = await ask("GET", f"{BASE}/actions", headers=headers)
                 assert got == 401 and "www-authenticate" in told and body["code"]
             status, _, record = await dispatcher.call("grant", body={})
             assert status == 502 and record["response"]["status"] == "application error"
             assert record["response"]["result"] == {"error": "no such family"}
-            other = auth("00000000-0000-0000-0000-000000000002", "k2")
+            other = authorization("00000000-0000-0000-0000-000000000002", "k2")
             id_ = record["activationId"]
             assert (await ask("GET", f"{BASE}/activations/{id_}", headers=other))[0] == 404
             for raw in (b"[1]", b"{", b'{"a":"\xff"}', b"[" * 3000):
@@ -127,13 +132,13 @@
 
 def test_past_its_wait_a_blocking_call_gets_its_id_and_stays_answerable() -> None:
     async def main() -> None:
-        async with place(silent) as (dispatcher, _):
+        async with running_dispatcher(never_answer) as (dispatcher, _):
             status, _, told = await dispatcher.call("grant", query="&timeout=100")
             assert status == 202
-            status, _, body = await dispatcher.ask("GET", f"{BASE}/activations/{told['activationId']}")
+            status, _, body = await dispatcher.request("GET", f"{BASE}/activations/{told['activationId']}")
             assert status == 404 and "in hand" in body["error"]
-            record = await dispatcher.final(told["activationId"])
-            assert verdict(record)["answer"] == "aborted" and record["end"] - record["start"] <= 900
+            record = await dispatcher.wait_for_record(told["activationId"])
+            assert final_answer(record)["answer"] == "aborted" and record["end"] - record["start"] <= 900
             assert "may have run" in record["response"]["result"]["error"]
 
     run(main())
@@ -141,7 +146,7 @@
 
 def test_a_rejection_is_429_with_a_time_to_return() -> None:
     async def main() -> None:
-        async with place(silent, order=refuse(None)) as (dispatcher, _):
+        async with running_dispatcher(never_answer, on_load=reject_with(None)) as (dispatcher, _):
             calls = [asyncio.create_task(dispatcher.call("p/check", body={})) for _ in range(60)]
             answers = await asyncio.gather(*calls)
             told = [(h, b) for status, h, b in answers if status == 429]
@@ -165,12 +170,12 @@
         def later(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
             held.append((request, exchange))
 
-        async with place(later) as (dispatcher, (worker,)):
+        async with running_dispatcher(later) as (dispatcher, (worker,)):
             sock = await connect(dispatcher.server.address)
             loop = asyncio.get_running_loop()
             data = b"".join(
                 encode_request(
-                    "POST", f"{BASE}/actions/p/check?blocking=true&result=true", "x", b'{"n":%d}' % n, auth()
+                    "POST", f"{BASE}/actions/p/check?blocking=true&result=true", "x", b'{"n":%d}' % n, authorization()
                 )
                 for n in range(3)
             )
@@ -192,8 +197,8 @@
 
 def test_expect_continue_chunks_and_a_body_too_large() -> None:
     async def main() -> None:
-        async with place(answer) as (dispatcher, _):
-            loop, head = asyncio.get_running_loop(), f"authorization: {auth()['authorization']}\r\nhost: x\r\n"
+        async with running_dispatcher(answer) as (dispatcher, _):
+            loop, head = asyncio.get_running_loop(), f"authorization: {authorization()['authorization']}\r\nhost: x\r\n"
             target = f"POST {BASE}/actions/grant?blocking=true&result=true HTTP/1.1\r\n{head}"
             sock = await connect(dispatcher.server.address)
             await loop.sock_sendall(sock, f"{target}expect: 100-continue\r\ncontent-length: 7\r\n\r\n".encode())
@@ -226,7 +231,7 @@
 )
 def test_malformed_and_slow_requests_are_answered_and_closed(data: bytes, status: int) -> None:
     async def main() -> None:
-        async with place(answer) as (dispatcher, _):
+        async with running_dispatcher(answer) as (dispatcher, _):
             loop = asyncio.get_running_loop()
             sock = await connect(dispatcher.server.address)
             await loop.sock_sendall(sock, data)
@@ -241,10 +246,10 @@
 
 def test_a_truncated_request_ends_in_400_and_nothing_is_taken() -> None:
     async def main() -> None:
-        async with place(answer) as (dispatcher, _):
+        async with running_dispatcher(answer) as (dispatcher, _):
             loop = asyncio.get_running_loop()
             sock = await connect(dispatcher.server.address)
-            data = encode_request("POST", f"{BASE}/actions/grant?blocking=true", "x", b'{"a":1}', auth())
+            data = encode_request("POST", f"{BASE}/actions/grant?blocking=true", "x", b'{"a":1}', authorization())
             await loop.sock_sendall(sock, data[:-3])
             sock.shutdown(socket.SHUT_WR)
             assert (await read_reply(sock)).status == 400
@@ -261,9 +266,11 @@
         def later(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
             held.append((request, exchange))
 
-        async with place(later) as (dispatcher, (worker,)):
+        async with running_dispatcher(later) as (dispatcher, (worker,)):
             loop = asyncio.get_running_loop()
-            data = encode_request("POST", f"{BASE}/actions/grant?blocking=true&result=true", "x", b'{"a":1}', auth())
+            data = encode_request(
+                "POST", f"{BASE}/actions/grant?blocking=true&result=true", "x", b'{"a":1}', authorization()
+            )
             half = await connect(dispatcher.server.address)
             await loop.sock_sendall(half, data)
             half.shutdown(socket.SHUT_WR)
@@ -283,7 +290,7 @@
 
 def test_a_thousand_idle_connections_and_one_that_reads_a_byte_a_second() -> None:
     async def main() -> None:
-        async with place(answer) as (dispatcher, _):
+        async with running_dispatcher(answer) as (dispatcher, _):
             loop = asyncio.get_running_loop()
             idle = [await connect(dispatcher.server.address) for _ in range(1000)]
             slow = socket.socket()
@@ -291,7 +298,7 @@
             slow.setblocking(False)
             host, _, port = dispatcher.server.address.rpartition(":")
             await loop.sock_connect(slow, (host, int(port)))
-            many = encode_request("GET", f"{BASE}/actions", "x", b"", auth()) * 4000
+            many = encode_request("GET", f"{BASE}/actions", "x", b"", authorization()) * 4000
             sending = asyncio.create_task(loop.sock_sendall(slow, many))
             await asyncio.sleep(0.2)
             began = loop.time()
@@ -339,15 +346,15 @@
 def test_a_namespace_beyond_its_bound_is_refused_before_anything_is_taken() -> None:
     async def main() -> None:
         settings = parse(DEPLOYMENT.replace("(records 1000)", "(records 1000) (held-each 3)"), "t")
-        worker = ScriptedWorker("w", silent)
+        worker = ScriptedWorker("w", never_answer)
         dispatcher = Dispatcher([worker], settings)
         calls = [asyncio.create_task(dispatcher.call("p/check", body={})) for _ in range(3)]
         while dispatcher.gateway.in_flight < 3:
             await asyncio.sleep(0.01)
         status, headers, body = await dispatcher.call("p/check", body={})
         assert status == 429 and headers["retry-after"] == "1" and "in flight" in body["error"]
-        other = auth("00000000-0000-0000-0000-000000000002", "k2")
-        status, _, _ = await dispatcher.ask("POST", f"{BASE}/actions/p/check", {}, other)
+        other = authorization("00000000-0000-0000-0000-000000000002", "k2")
+        status, _, _ = await dispatcher.request("POST", f"{BASE}/actions/p/check", {}, other)
         assert status == 202, "another namespace is served"
         assert dispatcher.gateway.counts.received == 4 and dispatcher.gateway.limits.rejections["namespace"] == 1
         assert all(status in (429, 502) for status, _, _ in await asyncio.gather(*calls))
@@ -381,7 +388,7 @@
             most = max(most, server.unwritten_bytes)
         assert 3e6 < most <= 5e6, "filled, and bounded"
         assert server.slow_readers_closed > 0 and "slow-reader-cut" in noted
-        assert (await exchange(server.address, encode_request("GET", "/", "x", b""))).status == 200
+        assert (await send_request(server.address, encode_request("GET", "/", "x", b""))).status == 200
         for sock in socks:
             sock.close()
         await asyncio.sleep(0.2)
@@ -393,23 +400,23 @@
 
 def test_a_poll_elsewhere_is_told_where_to_ask_or_that_it_is_not_known() -> None:
     async def main() -> None:
-        worker = ScriptedWorker("w", silent)
+        worker = ScriptedWorker("w", never_answer)
         one = Dispatcher([worker], boot=id_prefix("one") + "1" * 10)
         two = Dispatcher([worker], boot=id_prefix("two") + "2" * 10)
         peers = [Peer("one", one.server.address), Peer("two", two.server.address)]
-        two.driver.on_endpoints(EndpointList(9, [worker.entry], "test", peers))
+        two.driver.on_endpoints(EndpointList(9, [worker.endpoint], "test", peers))
         status, _, told = await one.call("grant", blocking=False, body={})
         assert status == 202
         target = f"{BASE}/activations/{told['activationId']}"
-        status, headers, body = await two.ask("GET", target + "?wait=50")
+        status, headers, body = await two.request("GET", target + "?wait=50")
         assert status == 307 and headers["location"] == f"http://{one.server.address}{target}?wait=50"
         assert "one" in body["error"]
-        assert (await two.ask("DELETE", target))[0] == 307
-        status, _, body = await two.ask("GET", f"{BASE}/activations/{id_prefix('three')}{'0' * 26}")
+        assert (await two.request("DELETE", target))[0] == 307
+        status, _, body = await two.request("GET", f"{BASE}/activations/{id_prefix('three')}{'0' * 26}")
         assert status == 404 and "does not know" in body["error"], "of what may be in hand elsewhere it says no more"
-        status, _, body = await two.ask("GET", f"{BASE}/activations/{id_prefix('two')}{'0' * 26}")
+        status, _, body = await two.request("GET", f"{BASE}/activations/{id_prefix('two')}{'0' * 26}")
         assert status == 404 and "kept here" in body["error"]
-        assert (await one.ask("GET", target))[0] == 404, "in hand"
+        assert (await one.request("GET", target))[0] == 404, "in hand"
         for end in (one, two):
             await end.driver.drain(0)
             await end.server.drain(0)
@@ -427,7 +434,7 @@
 
     def half(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
         infer, payload = read_infer(request.body)
-        if sum(len(w.sends) for w in workers) > 1:
+        if sum(len(w.attempts) for w in workers) > 1:
             answer(worker, request, exchange)
             return
         whole = encode_response(200, infer_answer("m", infer.id, payload, True))
@@ -439,11 +446,11 @@
     workers: list[ScriptedWorker] = []
 
     async def main() -> None:
-        async with place(half, half) as (dispatcher, made):
+        async with running_dispatcher(half, half) as (dispatcher, made):
             workers.extend(made)
             status, _, record = await dispatcher.call(action, body={"a": 1}, key="k")
-            assert verdict(record)["answer"] == answered and (status == 200) == (answered == "completed")
-            assert sum(len(w.sends) for w in made) == sends
+            assert final_answer(record)["answer"] == answered and (status == 200) == (answered == "completed")
+            assert sum(len(w.attempts) for w in made) == sends
             assert dispatcher.gateway.counts.attempt_statuses == {AttemptStatus.CONNECTION_LOST: 1} | (
                 {AttemptStatus.COMPLETED: 1} if sends == 2 else {}
             )
@@ -455,13 +462,13 @@
     held: list[tuple[ScriptedWorker, Request, Exchange]] = []
 
     async def main() -> None:
-        async with place(lambda *line: held.append(line)) as (dispatcher, (worker,)):
+        async with running_dispatcher(lambda *line: held.append(line)) as (dispatcher, (worker,)):
             status, _, record = await dispatcher.call("grant", body={"a": 1})
-            assert status == 502 and verdict(record)["answer"] == "aborted"
+            assert status == 502 and final_answer(record)["answer"] == "aborted"
             for line in held:
                 answer(*line)
             await asyncio.sleep(0.05)
-            again = (await dispatcher.ask("GET", f"{BASE}/activations/{record['activationId']}"))[2]
-            assert again == record and len(worker.sends) == 1 and not dispatcher.gateway.in_flight
+            again = (await dispatcher.request("GET", f"{BASE}/activations/{record['activationId']}"))[2]
+            assert again == record and len(worker.attempts) == 1 and not dispatcher.gateway.in_flight
 
     run(main())
--- a/tests/test_front_addresses.py
+++ b/tests/test_front_addresses.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from program import Dispatcher, ScriptedWorker, Silent, answer, auth, connect, read_reply, run, silent
+from program import Dispatcher, ScriptedWorker, Silent, answer, authorization, connect, never_answer, read_reply, run
 from test_inference import Client, tensor
 
 from kelptrail.codec.http import Request, encode_request
@@ -25,7 +25,7 @@
 
 ROOT = Path(__file__).parent.parent
 TARGET = "/api/v1/namespaces/_/actions/grant?blocking=true&result=true"
-CALL = encode_request("POST", TARGET, "x", b'{"a":1}', auth())
+CALL = encode_request("POST", TARGET, "x", b'{"a":1}', authorization())
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
@@ -82,7 +82,7 @@
 
 def test_a_request_after_the_address_moved_is_told_to_come_back() -> None:
     async def main() -> None:
-        dispatcher = Dispatcher([ScriptedWorker("w", silent)])
+        dispatcher = Dispatcher([ScriptedWorker("w", never_answer)])
         front = FrontAddress("127.0.0.1", free_port(), dispatcher.api.handle, Limits(), Silent())
         front.acquire()
         assert front.server is not None
@@ -154,9 +154,9 @@
         await asyncio.sleep(0.05)
         assert counts["UnsealedError"] == 3
         # the master's links fail: it hands over in bounded time, and takes back once all has long been well
-        both[0].list([])  # as it sees it there is nobody left
+        both[0].set_workers([])  # as it sees it there is nobody left
         await held(False, True)
-        both[0].list(workers)
+        both[0].set_workers(workers)
         await held(True, False)
         await members[0].stop()  # a release: the other takes over after its skew
         await held(False, True)
@@ -179,10 +179,11 @@
         both = [Dispatcher([worker], boot=letter * 16) for letter in "bc"]
         for dispatcher in both:  # the client repeats through the other master
             assert (await dispatcher.call("activate", body={}, key="ticket-7"))[0] == 200
-        assert [mark for mark, _ in worker.sends] == ["one/activate/ticket-7"] * 2, "the group drops the repeat by it"
+        keys = [request_id for request_id, _ in worker.attempts]
+        assert keys == ["one/activate/ticket-7"] * 2, "the group deduplicates the retry by it"
         for dispatcher in both:
             assert (await dispatcher.call("activate", body={}))[0] == 200
-        assert len({mark for mark, _ in worker.sends}) == 3, "calls without a key are never one"
+        assert len({mark for mark, _ in worker.attempts}) == 3, "calls without a key are never one"
         for dispatcher in both:
             await dispatcher.server.drain(0)
         await worker.server.drain(0)
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -22,14 +22,14 @@
     ScriptedWorker,
     Silent,
     answer,
-    auth,
+    authorization,
+    break_connection,
     connect,
-    parts,
-    place,
-    refuse,
-    reset,
+    never_answer,
+    reject_with,
     run,
-    silent,
+    running_dispatcher,
+    stream_parts,
 )
 
 from kelptrail.codec.grpc import (
@@ -212,7 +212,7 @@
 
     def __init__(self, address: str, who: dict[str, str] | None = None, **options: Any) -> None:
         self.channel = grpc.aio.insecure_channel(address, options=MOST)
-        self.metadata = list((auth() if who is None else who).items())
+        self.metadata = list((authorization() if who is None else who).items())
 
     def method(self, name: str, answers: Any) -> Any:
         return self.channel.unary_unary(
@@ -277,19 +277,20 @@
 
 def test_every_unary_method_and_typed_and_raw_tensors() -> None:
     async def main() -> None:
-        async with place(answer) as (dispatcher, (worker,)):
+        async with running_dispatcher(answer) as (dispatcher, (worker,)):
             client = Client(dispatcher.grpc.address)
             inputs = [tensor("FP32", [0.5, 2.0]), tensor("BYTES", [b"\xff"], name="b")]
             out = await client.infer("p/check", inputs, id_="7")
             assert out.id == "7" and out.model_name == "p/check" and not out.raw_output_contents
             assert list(out.outputs[0].contents.fp32_contents) == [0.5, 2.0]
             assert list(out.outputs[1].contents.bytes_contents) == [b"\xff"]
-            record = await dispatcher.ask("GET", f"{BASE}/activations/{out.parameters['activation_id'].string_param}")
+            activation_id = out.parameters["activation_id"].string_param
+            record = await dispatcher.request("GET", f"{BASE}/activations/{activation_id}")
             assert record[0] == 200 and record[2]["name"] == "check", "the first front shows it, too"
             made = pb.ModelInferRequest.InferInputTensor(name="r", datatype="INT16", shape=[2, 1])
             out = await client.infer("p/check", [made], raw=[b"\1\0\2\0"], temperature=0.5)
             assert list(out.raw_output_contents) == [b"\1\0\2\0"] and list(out.outputs[0].shape) == [2, 1]
-            assert worker.sends[-1][1]["temperature"] == 0.5, "a caller's own parameters go along"
+            assert worker.attempts[-1][1]["temperature"] == 0.5, "a caller's own parameters go along"
             for name, request, kind, field in (
                 ("ServerLive", pb.ServerLiveRequest(), pb.ServerLiveResponse, "live"),
                 ("ServerReady", pb.ServerReadyRequest(), pb.ServerReadyResponse, "ready"),
@@ -311,7 +312,7 @@
                     "UNIMPLEMENTED",
                 ),
                 (Client(dispatcher.grpc.address, {}).infer("grant"), "UNAUTHENTICATED"),
-                (Client(dispatcher.grpc.address, auth(key="no")).infer("grant"), "UNAUTHENTICATED"),
+                (Client(dispatcher.grpc.address, authorization(key="no")).infer("grant"), "UNAUTHENTICATED"),
             ):
                 assert (await fails(call))[0] == code
             await client.channel.close()
@@ -322,14 +323,14 @@
 @pytest.mark.parametrize(
     ("script", "action", "code", "reason"),
     [
-        (refuse("full"), "p/check", "RESOURCE_EXHAUSTED", "REJECTED"),
-        (reset, "grant", "ABORTED", "MAY_HAVE_RUN"),
-        (silent, "grant", "DEADLINE_EXCEEDED", "MAY_HAVE_RUN"),
+        (reject_with("full"), "p/check", "RESOURCE_EXHAUSTED", "REJECTED"),
+        (break_connection, "grant", "ABORTED", "MAY_HAVE_RUN"),
+        (never_answer, "grant", "DEADLINE_EXCEEDED", "MAY_HAVE_RUN"),
     ],
 )
 def test_the_three_final_answers_and_what_retrying_would_risk(script: Any, action: str, code: str, reason: str) -> None:
     async def main() -> None:
-        async with place(script) as (dispatcher, _):
+        async with running_dispatcher(script) as (dispatcher, _):
             client = Client(dispatcher.grpc.address)
             got, retry, why, more = await fails(client.infer(action))
             assert (got, why) == (code, reason)
@@ -345,13 +346,13 @@
     held: list[Any] = []
 
     async def main() -> None:
-        async with place(lambda *line: held.append(line)) as (dispatcher, (worker,)):
+        async with running_dispatcher(lambda *line: held.append(line)) as (dispatcher, (worker,)):
             client = Client(dispatcher.grpc.address)
             loop = asyncio.get_running_loop()
             began = loop.time()
             code, *_ = await fails(client.infer("grant", timeout=0.4))
             assert code == "DEADLINE_EXCEEDED" and loop.time() - began < 0.5
-            assert worker.sends[-1][1]["limit_ms"] < 400, "the worker is told the client's own deadline"
+            assert worker.attempts[-1][1]["limit_ms"] < 400, "the worker is told the client's own deadline"
             call = asyncio.create_task(client.infer("p/check"))
             while len(held) < 2:
                 await asyncio.sleep(0.01)
@@ -381,7 +382,7 @@
             await asyncio.sleep(0.05)
             answer(*held[3])
             assert list((await poll).outputs[0].contents.int_contents) == [1]
-            assert (await dispatcher.final(id_))["response"]["result"]["outputs"][0]["data"] == [1]
+            assert (await dispatcher.wait_for_record(id_))["response"]["result"]["outputs"][0]["data"] == [1]
             _, _, said = await dispatcher.call("p/check", blocking=False, body={"a": 1})
             while len(held) < 5:
                 await asyncio.sleep(0.01)
@@ -389,7 +390,7 @@
             out = await client.infer("p/check", poll=said["activationId"], wait_ms=1000)
             assert list(out.outputs[0].contents.bytes_contents) == [b'{"a":1}']
             assert (await fails(client.infer("p/check", poll="0" * 32)))[2] == "UNKNOWN_ID"
-            other = Client(dispatcher.grpc.address, auth("00000000-0000-0000-0000-000000000002", "k2"))
+            other = Client(dispatcher.grpc.address, authorization("00000000-0000-0000-0000-000000000002", "k2"))
             assert (await fails(other.infer("p/check", poll=id_)))[0] == "NOT_FOUND", "a namespace sees its own"
             await client.channel.close()
 
@@ -409,7 +410,7 @@
 
 def test_streams_carry_many_parts_for_many_requests_at_once() -> None:
     async def main() -> None:
-        async with place(parts(5, 0.01), parts(5, 0.01)) as (dispatcher, workers):
+        async with running_dispatcher(stream_parts(5, 0.01), stream_parts(5, 0.01)) as (dispatcher, workers):
             client = Client(dispatcher.grpc.address)
             got: dict[str, list[Any]] = {}
             async for response in client.stream([ask("p/check", id_=f"r{n}") for n in range(6)]):
@@ -419,10 +420,10 @@
                 assert numbers(responses) == [0, 1, 2, 3, 4]
                 assert responses[-1].infer_response.parameters["final_response"].bool_param
                 assert sum(r.infer_response.parameters["final_response"].bool_param for r in responses) == 1
-            assert sum(len(w.sends) for w in workers) == 6
+            assert sum(len(w.attempts) for w in workers) == 6
             assert dispatcher.gateway.counts.completed == 6 and not dispatcher.gateway.in_flight
             # One that does not stream gives all in one; a faulty request ends alone.
-            workers[0].script = workers[1].script = answer
+            workers[0].on_attempt = workers[1].on_attempt = answer
             out = [r async for r in client.stream([ask("p/check", [tensor("INT8", [3])]), ask("nobody", id_="n")])]
             good = next(r for r in out if r.infer_response.id == "1")
             assert list(good.infer_response.outputs[0].contents.int_contents) == [3]
@@ -440,13 +441,13 @@
     settings = parse(DEPLOYMENT.replace("(timeout-ms 900)", "(timeout-ms 900) (stall-ms 300)"), "t")
 
     async def main() -> None:
-        workers = [ScriptedWorker(f"w{n}", parts(2, 0.01, end)) for n in range(2)]
+        workers = [ScriptedWorker(f"w{n}", stream_parts(2, 0.01, end)) for n in range(2)]
         dispatcher = Dispatcher(workers, settings)
         client = Client(dispatcher.grpc.address)
         out = [r async for r in client.stream([ask(action)])]
         assert numbers(out[:-1]) == [0, 1]
         assert out[-1].error_message.startswith("ABORTED") and "middle of its stream" in out[-1].error_message
-        assert sum(len(w.sends) for w in workers) == 1
+        assert sum(len(w.attempts) for w in workers) == 1
         assert dispatcher.gateway.counts.failed == 1 and dispatcher.gateway.counts.repeat_attempts == 0
         await client.channel.close()
         await dispatcher.grpc.drain(0)
@@ -461,7 +462,10 @@
     """Guards against telling a deadline where a worker broke off: a stream has a time of its own."""
 
     async def main() -> None:
-        async with place(parts(12, 0.1, "cut")) as (dispatcher, _):  # 1.2 s, its type has 900 ms to the first part
+        async with running_dispatcher(stream_parts(12, 0.1, "cut")) as (
+            dispatcher,
+            _,
+        ):  # 1.2 s, its type has 900 ms to the first part
             client = Client(dispatcher.grpc.address)
             out = [r async for r in client.stream([ask("grant")])]
             assert numbers(out[:-1]) == list(range(12)) and out[-1].error_message.startswith("ABORTED")
@@ -472,15 +476,15 @@
 
 def test_before_its_first_part_a_stream_goes_to_another_worker() -> None:
     async def main() -> None:
-        async with place(reset, reset) as (dispatcher, workers):
+        async with running_dispatcher(break_connection, break_connection) as (dispatcher, workers):
             sent: list[Any] = []
 
             def first_breaks(worker: Any, request: Any, exchange: Any) -> None:
                 sent.append(worker)
-                (reset if len(sent) == 1 else parts(2))(worker, request, exchange)
+                (break_connection if len(sent) == 1 else stream_parts(2))(worker, request, exchange)
 
             for worker in workers:
-                worker.script = first_breaks
+                worker.on_attempt = first_breaks
             client = Client(dispatcher.grpc.address)
             out = [r async for r in client.stream([ask("p/check")])]
             assert numbers(out) == [0, 1] and len(sent) == 2
@@ -497,7 +501,10 @@
 
 def test_a_stream_outlives_the_time_to_its_first_part() -> None:
     async def main() -> None:
-        async with place(parts(12, 0.1)) as (dispatcher, _):  # its type has 900 ms, to the first part
+        async with running_dispatcher(stream_parts(12, 0.1)) as (
+            dispatcher,
+            _,
+        ):  # its type has 900 ms, to the first part
             client = Client(dispatcher.grpc.address)
             assert numbers([r async for r in client.stream([ask("grant")])]) == list(range(12))
             # The client's own deadline is one for the whole: told within the stream, in time for its status.
@@ -514,17 +521,17 @@
 
 def test_a_slow_reader_holds_its_worker_back_and_memory_stays_bounded() -> None:
     async def main() -> None:
-        async with place(parts(400, 0.0, "final", 50_000)) as (dispatcher, (worker,)):
+        async with running_dispatcher(stream_parts(400, 0.0, "final", 50_000)) as (dispatcher, (worker,)):
             client = Client(dispatcher.grpc.address)
             call = client.stream([ask("p/check")])
             reads = call.__aiter__()
             assert (await anext(reads)).infer_response.id == "1"
             await asyncio.sleep(0.7)
-            held, given = dispatcher.grpc.unwritten_bytes, worker.given
+            held, given = dispatcher.grpc.unwritten_bytes, worker.chunks_written
             assert held < 262_144 + 200_000, "20 MB are to come"
             assert given < 350, "the worker waits"
             await asyncio.sleep(0.3)
-            assert worker.given - given < 20
+            assert worker.chunks_written - given < 20
             out = [r async for r in reads]
             assert len(out) == 400 and out[-1].infer_response.parameters["final_response"].bool_param, "399 and the end"
             assert dispatcher.gateway.counts.completed == 1
@@ -535,16 +542,16 @@
 
 def test_cancelling_in_the_middle_of_a_stream_calls_the_worker_off() -> None:
     async def main() -> None:
-        async with place(parts(1000, 0.01)) as (dispatcher, (worker,)):
+        async with running_dispatcher(stream_parts(1000, 0.01)) as (dispatcher, (worker,)):
             client = Client(dispatcher.grpc.address)
             call = client.stream([ask("grant")])
             for _ in range(3):
                 await call.read()
             call.cancel()
             await asyncio.sleep(0.3)
-            given = worker.given
+            given = worker.chunks_written
             await asyncio.sleep(0.2)
-            assert worker.given <= given + 1 < 100 and not dispatcher.gateway.in_flight
+            assert worker.chunks_written <= given + 1 < 100 and not dispatcher.gateway.in_flight
             assert dispatcher.gateway.counts.failed == 1
             await client.channel.close()
 
@@ -562,7 +569,7 @@
 
     async def main() -> None:
         all_open = asyncio.Event()  # no worker goes on past its first part before
-        workers = [ScriptedWorker(f"w{n}", parts(3, gate=all_open)) for n in range(4)]
+        workers = [ScriptedWorker(f"w{n}", stream_parts(3, gate=all_open)) for n in range(4)]
         dispatcher = Dispatcher(workers, settings)
         for known in dispatcher.gateway.members:
             known.concurrency_limit = 400.0
@@ -645,7 +652,7 @@
                 (":authority", "x"),
                 ("content-type", "application/grpc"),
                 ("te", "trailers"),
-                *auth().items(),
+                *authorization().items(),
                 *headers.items(),
             ],
         )
@@ -817,7 +824,7 @@
     held: list[Any] = []
 
     async def main() -> None:
-        async with place(lambda *line: held.append(line)) as (dispatcher, _):
+        async with running_dispatcher(lambda *line: held.append(line)) as (dispatcher, _):
             client = Client(dispatcher.grpc.address)
             call = asyncio.create_task(client.infer("p/check", [tensor("INT8", [1])]))
             while not held:
@@ -855,7 +862,7 @@
         return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
     async def main() -> None:
-        async with place(answer) as (dispatcher, _):
+        async with running_dispatcher(answer) as (dispatcher, _):
             loop, chance = asyncio.get_running_loop(), np.random.default_rng(9)
             message = ask("p/check", [tensor("FP32", [1.0, 2.0]), tensor("BYTES", [b"abc"], name="u")])
             sound = Raw(await connect(dispatcher.grpc.address))
@@ -905,7 +912,7 @@
         await made.start(2, 1, tmp_path / "state")
         try:
             space = deployment.namespaces["families"]
-            client = Client(made.dispatchers[0].said["grpc"], auth(space.uuid, space.key))
+            client = Client(made.dispatchers[0].said["grpc"], authorization(space.uuid, space.key))
             one = [tensor("INT32", [4, 2])]
             assert list((await client.infer("places/place-check", one)).outputs[0].contents.int_contents) == [4, 2]
             out = [r async for r in client.stream([ask("places/place-check", one, parts=4)])]
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -16,7 +16,19 @@
 
 import grpc
 import pytest
-from program import DEPLOYMENT, Dispatcher, ScriptedWorker, Silent, answer, auth, parts, place, refuse, run, silent
+from program import (
+    DEPLOYMENT,
+    Dispatcher,
+    ScriptedWorker,
+    Silent,
+    answer,
+    authorization,
+    never_answer,
+    reject_with,
+    run,
+    running_dispatcher,
+    stream_parts,
+)
 from test_inference import Client, tensor
 
 from kelptrail.certificates.authority import Authority, AuthorityError, new_api_key
@@ -107,8 +119,8 @@
     callers = Callers(parse(text, "t"))
     one = "00000000-0000-0000-0000-000000000001"
     for key, good in ((old, True), (new, True), ("k1", False), ("", False), (old_hash, False)):
-        assert (callers.of(auth(one, key)["authorization"]) is not None) is good
-    assert callers.of(auth(one, "k2")["authorization"]) is None, "another namespace's key"
+        assert (callers.of(authorization(one, key)["authorization"]) is not None) is good
+    assert callers.of(authorization(one, "k2")["authorization"]) is None, "another namespace's key"
     for header in ("", "Basic", "Basic !!!", "Bearer x", "Basic " + "//8="):
         assert callers.of(header) is None
     three = f'(key-hash "{old_hash}") ' * 3
@@ -141,7 +153,7 @@
         self.worker.server._tls = keep["runners"].context  # type: ignore[union-attr]
         self.dispatcher = Dispatcher([], self.deployment)
         self.dispatcher.driver.tls = keep["to-workers"].context  # type: ignore[union-attr]
-        self.dispatcher.list([self.worker])
+        self.dispatcher.set_workers([self.worker])
         callers = Callers(self.deployment)
         self.http = HttpServer(self.dispatcher.api.handle, None, self.log.warning, keep["front"].context, callers.named)  # type: ignore[union-attr]
         self.http.listen("127.0.0.1", 0)
@@ -193,9 +205,9 @@
 
     async def main() -> None:
         one = Secure(tmp_path)
-        responses = await https(one.http.address, context(tmp_path), auth(), 3)
+        responses = await https(one.http.address, context(tmp_path), authorization(), 3)
         assert [r.status for r in responses] == [200] * 3 and responses[0].body == b'{"a":1}'
-        assert one.worker.server.connections == 1 and len(one.worker.sends) == 3, "one connection, used again"
+        assert one.worker.server.connections == 1 and len(one.worker.attempts) == 3, "one connection, used again"
         named = await https(one.http.address, context(tmp_path, "caller-one"), {})
         assert named[0].status == 200, "its certificate names the namespace"
         assert (await https(one.http.address, context(tmp_path), {}))[0].status == 401
@@ -203,7 +215,7 @@
         root = (tmp_path / "authority.pem").read_bytes()
         pem = (tmp_path / "caller-one.pem").read_bytes()
         for creds, metadata, good in (
-            (grpc.ssl_channel_credentials(root), list(auth().items()), True),
+            (grpc.ssl_channel_credentials(root), list(authorization().items()), True),
             (grpc.ssl_channel_credentials(root, pem, pem), [], True),
             (grpc.ssl_channel_credentials(root), [], False),
         ):
@@ -230,14 +242,14 @@
         old.maximum_version = ssl.TLSVersion.TLSv1_2
         for tls in (bad, old, context(stranger)):
             with pytest.raises((ssl.SSLError, ConnectionError, OSError)):
-                await https(one.http.address, tls, auth())
+                await https(one.http.address, tls, authorization())
         host, _, port = one.http.address.rpartition(":")
         plain = socket.create_connection((host, int(port)))
         plain.sendall(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
         await asyncio.sleep(0.2)
         plain.close()
         assert sum(event == "handshake-failed" for event, _ in one.log.lines) >= 3
-        assert (await https(one.http.address, context(tmp_path), auth()))[0].status == 200
+        assert (await https(one.http.address, context(tmp_path), authorization()))[0].status == 200
         await one.end()
 
     run(main())
@@ -252,8 +264,8 @@
         one = Secure(tmp_path)
         files = TlsFiles(stranger / "worker.pem")
         one.worker.server._tls = CertificateReloader(files, True, [], one.log, lambda: time.time() * 1000).context
-        response = (await https(one.http.address, context(tmp_path), auth()))[0]
-        assert response.status == 429 and not one.worker.sends, "unreachable, so it never ran"
+        response = (await https(one.http.address, context(tmp_path), authorization()))[0]
+        assert response.status == 429 and not one.worker.attempts, "unreachable, so it never ran"
         await one.end()
 
     run(main())
@@ -273,7 +285,7 @@
         async def calls() -> list[int]:
             out = []
             while asyncio.get_running_loop().time() < stop:
-                out += [r.status for r in await https(one.http.address, context(tmp_path), auth(), 5)]
+                out += [r.status for r in await https(one.http.address, context(tmp_path), authorization(), 5)]
             return out
 
         tasks = [asyncio.create_task(calls()) for _ in range(4)]
@@ -342,10 +354,12 @@
 
         async def calls() -> None:
             one = "00000000-0000-0000-0000-000000000001"
-            for header in (auth(one, key), auth(one, key + "x"), {"authorization": f"Basic {key}"}):
-                from program import exchange
+            for header in (authorization(one, key), authorization(one, key + "x"), {"authorization": f"Basic {key}"}):
+                from program import send_request
 
-                await exchange(said["address"], encode_request("POST", f"{BASE}/actions/p/check", "x", b"{}", header))
+                await send_request(
+                    said["address"], encode_request("POST", f"{BASE}/actions/p/check", "x", b"{}", header)
+                )
                 with pytest.raises(grpc.aio.AioRpcError):
                     await Client(said["grpc"], header).infer("p/check", timeout=2)
 
@@ -353,7 +367,7 @@
         server.terminate()
         _, log = server.communicate(timeout=20)
         assert len(log.splitlines()) > 4 and "serving" in log
-        coded = auth("00000000-0000-0000-0000-000000000001", key)["authorization"]
+        coded = authorization("00000000-0000-0000-0000-000000000001", key)["authorization"]
         for secret in (key, hashed.removeprefix("sha256:"), coded, coded.removeprefix("Basic ")):
             assert secret not in log
     finally:
@@ -378,7 +392,7 @@
             f"{BASE}/actions/{action}?{query}",
             "x",
             b"{}",
-            auth() | {"accept": "text/event-stream"} | (headers or {}),
+            authorization() | {"accept": "text/event-stream"} | (headers or {}),
         ),
     )
     parser = ResponseReader(1 << 20)
@@ -398,23 +412,23 @@
 
 def test_the_first_front_streams_as_server_sent_events() -> None:
     async def main() -> None:
-        async with place(parts(4, 0.01)) as (dispatcher, (worker,)):
+        async with running_dispatcher(stream_parts(4, 0.01)) as (dispatcher, (worker,)):
             status, events, headers = await flow(dispatcher)
             assert status == 200 and headers["content-type"] == "text/event-stream"
             assert events[:-1] == [("part", {"part": n}) for n in range(4)]
             name, record = events[-1]
             assert name == "final" and record["activationId"] == headers["x-openwhisk-activation-id"]
             assert record["response"]["success"]
-            worker.script = parts(2, 0.01, "cut")
+            worker.on_attempt = stream_parts(2, 0.01, "cut")
             status, events, _ = await flow(dispatcher, action="grant")
             assert status == 200 and [e[0] for e in events] == ["part", "part", "final"]
             assert not events[-1][1]["response"]["success"], "the end tells that it broke off"
-            worker.script = answer
+            worker.on_attempt = answer
             status, events, _ = await flow(dispatcher)
             assert status == 200 and events == [], "one whole answer is an answer like any other"
-            worker.script = refuse("full")
+            worker.on_attempt = reject_with("full")
             assert (await flow(dispatcher))[0] == 429
-            worker.script = silent
+            worker.on_attempt = never_answer
             assert (await flow(dispatcher, action="grant"))[0] == 502
             assert (await flow(dispatcher, {"idempotency-key": "k"}))[0] == 400
             assert (await flow(dispatcher, query="blocking=false"))[0] == 400
@@ -426,22 +440,26 @@
     async def main() -> None:
         from program import connect
 
-        async with place(parts(1000, 0.01)) as (dispatcher, (worker,)):
+        async with running_dispatcher(stream_parts(1000, 0.01)) as (dispatcher, (worker,)):
             sock = await connect(dispatcher.server.address)
             loop = asyncio.get_running_loop()
             await loop.sock_sendall(
                 sock,
                 encode_request(
-                    "POST", f"{BASE}/actions/grant?blocking=true", "x", b"{}", auth() | {"accept": "text/event-stream"}
+                    "POST",
+                    f"{BASE}/actions/grant?blocking=true",
+                    "x",
+                    b"{}",
+                    authorization() | {"accept": "text/event-stream"},
                 ),
             )
             await asyncio.sleep(0.2)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             sock.close()
             await asyncio.sleep(0.3)
-            given = worker.given
+            given = worker.chunks_written
             await asyncio.sleep(0.2)
-            assert worker.given <= given + 1 and not dispatcher.gateway.in_flight
+            assert worker.chunks_written <= given + 1 and not dispatcher.gateway.in_flight
 
     run(main())
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -159,7 +159,7 @@
         stalls_s = [0.5]
 
         def script(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
-            if len(worker.sends) == 20 and stalls_s:
+            if len(worker.attempts) == 20 and stalls_s:
                 asyncio.get_running_loop().call_later(stalls_s.pop(), answer, worker, request, exchange)
             else:
                 answer(worker, request, exchange)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -6,7 +6,17 @@
 import socket
 
 import pytest
-from program import Dispatcher, ScriptedWorker, answer, place, refuse, reset, run, silent, verdict
+from program import (
+    Dispatcher,
+    ScriptedWorker,
+    answer,
+    break_connection,
+    final_answer,
+    never_answer,
+    reject_with,
+    run,
+    running_dispatcher,
+)
 
 from kelptrail.codec.http import Request, encode_response
 from kelptrail.codec.infer import infer_answer, read_infer
@@ -29,13 +39,13 @@
 
 
 def sends(workers: list[ScriptedWorker]) -> int:
-    return sum(len(worker.sends) for worker in workers)
+    return sum(len(worker.attempts) for worker in workers)
 
 
 @pytest.mark.parametrize("action", EFFECTS)
 def test_a_worker_goes_silent_mid_activation(action: str) -> None:
     async def main() -> None:
-        async with place(silent, silent) as (dispatcher, workers):
+        async with running_dispatcher(never_answer, never_answer) as (dispatcher, workers):
             loop = asyncio.get_running_loop()
             began = loop.time()
             status, _, body = await dispatcher.call(action, body={}, key="k")
@@ -44,9 +54,9 @@
                 assert status == 429
             elif action == "activate":  # its mark holds 2 s more than its time-out: a repeat is harmless
                 assert status == 429 and 0 < body["repeat_within_ms"] <= 2000
-                assert {mark for w in workers for mark, _ in w.sends} == {"one/activate/k"}
+                assert {mark for w in workers for mark, _ in w.attempts} == {"one/activate/k"}
             else:
-                assert status == 502 and verdict(body)["answer"] == "aborted" and sends(workers) == 1
+                assert status == 502 and final_answer(body)["answer"] == "aborted" and sends(workers) == 1
             count = sends(workers)
             await asyncio.sleep(0.2)
             assert sends(workers) == count, "nothing is sent after the final answer"
@@ -57,9 +67,9 @@
 
 def test_without_a_key_a_deduplicated_call_that_may_have_run_is_aborted() -> None:
     async def main() -> None:
-        async with place(silent) as (dispatcher, _):
+        async with running_dispatcher(never_answer) as (dispatcher, _):
             status, _, body = await dispatcher.call("activate", body={})
-            assert status == 502 and verdict(body)["answer"] == "aborted"
+            assert status == 502 and final_answer(body)["answer"] == "aborted"
 
     run(main())
 
@@ -67,14 +77,14 @@
 @pytest.mark.parametrize("action", EFFECTS)
 def test_a_reset_before_the_answer(action: str) -> None:
     async def main() -> None:
-        async with place(then(reset, answer)) as (dispatcher, (worker,)):
+        async with running_dispatcher(then(break_connection, answer)) as (dispatcher, (worker,)):
             status, _, body = await dispatcher.call(action, body={}, key="k")
             assert dispatcher.gateway.counts.attempt_statuses[AttemptStatus.CONNECTION_LOST] == 1
             if action == "grant":
-                assert status == 502 and verdict(body)["answer"] == "aborted" and len(worker.sends) == 1
+                assert status == 502 and final_answer(body)["answer"] == "aborted" and len(worker.attempts) == 1
             else:
-                assert status == 200 and len(worker.sends) == 2
-                assert len({mark for mark, _ in worker.sends}) == 1, "one mark for all sends"
+                assert status == 200 and len(worker.attempts) == 2
+                assert len({mark for mark, _ in worker.attempts}) == 1, "one mark for all sends"
 
     run(main())
 
@@ -82,21 +92,21 @@
 @pytest.mark.parametrize(
     ("script", "outcome", "again"),
     [
-        (refuse("full"), AttemptStatus.OUT_OF_CAPACITY, True),
-        (refuse("miss", 404), AttemptStatus.NOT_LOADED, True),
-        (refuse(None), AttemptStatus.ERROR, False),
-        (refuse(None, 500), AttemptStatus.ERROR, False),
+        (reject_with("full"), AttemptStatus.OUT_OF_CAPACITY, True),
+        (reject_with("miss", 404), AttemptStatus.NOT_LOADED, True),
+        (reject_with(None), AttemptStatus.ERROR, False),
+        (reject_with(None, 500), AttemptStatus.ERROR, False),
     ],
 )
 def test_a_once_only_call_goes_on_only_after_a_proven_refusal(script, outcome: AttemptStatus, again: bool) -> None:
     async def main() -> None:
-        async with place(then(script, answer), then(script, answer)) as (dispatcher, workers):
+        async with running_dispatcher(then(script, answer), then(script, answer)) as (dispatcher, workers):
             status, _, body = await dispatcher.call("grant", body={})
             assert dispatcher.gateway.counts.attempt_statuses[outcome] >= 1
             if again:
                 assert status == 200 and sends(workers) >= 2
             else:
-                assert status == 502 and sends(workers) == 1 and verdict(body)["answer"] == "aborted"
+                assert status == 502 and sends(workers) == 1 and final_answer(body)["answer"] == "aborted"
 
     run(main())
 
@@ -106,8 +116,8 @@
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             address = f"127.0.0.1:{probe.getsockname()[1]}"
-            async with place(answer) as (dispatcher, workers):
-                dispatcher.list(workers, Endpoint("ghost", address, incarnation="g"))
+            async with running_dispatcher(answer) as (dispatcher, workers):
+                dispatcher.set_workers(workers, Endpoint("ghost", address, incarnation="g"))
                 for n in range(12):
                     status, _, _ = await dispatcher.call("grant" if n % 2 else "activate", body={"n": n})
                     assert status == 200
@@ -129,7 +139,7 @@
         held.append((infer.id, exchange))
 
     async def main() -> None:
-        async with place(then(late, twice, twice, twice, answer)) as (dispatcher, (_worker,)):
+        async with running_dispatcher(then(late, twice, twice, twice, answer)) as (dispatcher, (_worker,)):
             status, _, body = await dispatcher.call("grant", body={})
             assert status == 502
             ((mark, exchange),) = held
@@ -137,8 +147,8 @@
             for n in range(4):
                 status, _, record = await dispatcher.call("p/check", body={"n": n})
                 assert status == 200 and record["response"]["result"] == {"n": n}
-            kept = await dispatcher.final(body["activationId"])
-            assert verdict(kept)["answer"] == "aborted", "the first final answer stands"
+            kept = await dispatcher.wait_for_record(body["activationId"])
+            assert final_answer(kept)["answer"] == "aborted", "the first final answer stands"
             assert dispatcher.gateway.counts.completed == 4
 
     run(main())
@@ -150,7 +160,7 @@
     from kelptrail.settings.deployment import parse
 
     async def main() -> None:
-        worker = ScriptedWorker("w", silent)
+        worker = ScriptedWorker("w", never_answer)
         settings = DEPLOYMENT.replace("(records 1000)", "(records 1000) (cancels no)")
         dispatcher = Dispatcher([worker], parse(settings, "t"))
         status, _, _body = await dispatcher.call("grant", body={})
@@ -171,18 +181,18 @@
         def hold(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
             orders.append(exchange)
 
-        async with place(silent, order=hold) as (dispatcher, (worker,)):
+        async with running_dispatcher(never_answer, on_load=hold) as (dispatcher, (worker,)):
             calls = [asyncio.create_task(dispatcher.call("grant", body={"n": n})) for n in range(3)]
             while not orders:
                 await asyncio.sleep(0.01)
             other = ScriptedWorker("other", answer)
             worker.state = "draining"
-            dispatcher.list([worker, other])
-            before, asked = len(worker.sends), worker.orders
+            dispatcher.set_workers([worker, other])
+            before, asked = len(worker.attempts), worker.load_order_count
             orders[0].reply(200, b'{"standing":1}')  # the order that was on its way is granted after all
             answers = await asyncio.gather(*calls)
             assert [status for status, _, _ in answers] == [200] * 3
-            assert len(worker.sends) == before and worker.orders == asked and len(other.sends) == 3
+            assert len(worker.attempts) == before and worker.load_order_count == asked and len(other.attempts) == 3
             await other.server.drain(0)
 
     run(main())
@@ -190,9 +200,9 @@
 
 def test_the_client_that_leaves_calls_its_sends_off() -> None:
     async def main() -> None:
-        async with place(silent) as (dispatcher, (worker,)):
+        async with running_dispatcher(never_answer) as (dispatcher, (worker,)):
             task = asyncio.create_task(dispatcher.call("p/check", body={}))
-            while not worker.sends:
+            while not worker.attempts:
                 await asyncio.sleep(0.01)
             task.cancel()
             await asyncio.sleep(0.2)
@@ -208,10 +218,10 @@
     async def main() -> None:
         loop = asyncio.get_running_loop()
         ends: list[CallOutcome] = []
-        worker = ScriptedWorker("w", silent)
+        worker = ScriptedWorker("w", never_answer)
         pool = WorkerPool(worker.address, 2, 100.0, 1000.0, 1 << 16)
         data = b"GET /v2/x/load HTTP/1.1\r\nhost: x\r\n\r\n"
-        worker.order = silent
+        worker.on_load = never_answer
         calls = [pool.start(data, lambda c, e, r: ends.append(e)) for _ in range(3)]
         calls.append(pool.start(data, lambda c, e, r: ends.append(e)))
         calls[3].cancel("revoked")  # before it ever began
@@ -224,7 +234,7 @@
         worker.server.abort_all()
         await asyncio.sleep(0.05)
         assert ends[3:] == [CallOutcome.BROKEN] and pool.open_connections == 0
-        worker.order = lambda w, request, exchange: exchange.reply(200, b"{}")
+        worker.on_load = lambda w, request, exchange: exchange.reply(200, b"{}")
         pool.start(data, lambda c, e, r: ends.append(e))
         await asyncio.sleep(0.05)
         assert ends[4:] == [CallOutcome.ANSWERED] and pool.open_connections == 1
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,7 +15,7 @@
 
 import apsw
 import pytest
-from program import DEPLOYMENT, Dispatcher, ScriptedWorker, Silent, answer, run, silent, verdict
+from program import DEPLOYMENT, Dispatcher, ScriptedWorker, Silent, answer, final_answer, never_answer, run
 
 from kelptrail.codec.http import Request
 from kelptrail.dispatch.entities import AttemptStatus, Idempotency
@@ -443,7 +443,7 @@
             self.gateway.durability.journal, book, self.driver.schedule_decisions, self.log
         )
         self.found = self.gateway.recover(*now(), book.activations(), 100.0, 16)
-        self.list(workers)
+        self.set_workers(workers)
 
     async def end(self) -> None:
         await self.driver.drain(0)
@@ -472,7 +472,7 @@
         status, _, told = await first.call("grant", blocking=False, body={"a": 1}, key="k")
         assert status == 202
         target = f"/api/v1/namespaces/_/activations/{told['activationId']}?wait=800"
-        poll = asyncio.create_task(first.ask("GET", target))
+        poll = asyncio.create_task(first.request("GET", target))
         await asyncio.sleep(0.05)
         answer(worker, *held[0])
         answers = await asyncio.gather(*calls)
@@ -485,7 +485,7 @@
         status, _, again = await second.call("grant", body={"a": 1}, key="k")
         assert status == 200 and again["activationId"] == told["activationId"] and len(held) == 1, "across a restart"
         assert (await second.call("grant", body={}, key="k"))[0] == 409
-        (listed,) = (await second.ask("GET", "/api/v1/namespaces/_/activations"))[2]
+        (listed,) = (await second.request("GET", "/api/v1/namespaces/_/activations"))[2]
         assert listed["activationId"] == told["activationId"]
         await second.end()
         await worker.server.drain(0)
@@ -504,12 +504,12 @@
         assert statuses == [503] * 3
         assert (await one.call("grant", body={}))[0] == 200
         assert (await one.call("grant", body={}, key="k"))[0] == 200, "also with a key"
-        sent = len(worker.sends)
+        sent = len(worker.attempts)
         disk.fault = {}
         await asyncio.sleep(0.4)
         assert (await one.call("grant", blocking=False, body={}))[0] == 202
         await asyncio.sleep(0.1)
-        assert len(worker.sends) == sent + 1, "what was refused never ran"
+        assert len(worker.attempts) == sent + 1, "what was refused never ran"
         disk.fault = {"sync_ms": 400}  # a slow disk delays promises and the sends that need one, not other calls
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -525,16 +525,16 @@
 
 def test_cancelling_where_the_effect_allows_it(tmp_path: Path) -> None:
     async def main() -> None:
-        worker = ScriptedWorker("w", silent)
+        worker = ScriptedWorker("w", never_answer)
         one = Kept([worker], tmp_path / "b")
         for action, status in (("p/check", 202), ("grant", 409)):
             _, _, told = await one.call(action, blocking=False, body={})
-            while len(worker.sends) == 0 or worker.sends[-1][1]["activation"] != told["activationId"]:
+            while len(worker.attempts) == 0 or worker.attempts[-1][1]["activation"] != told["activationId"]:
                 await asyncio.sleep(0.01)
-            got, _, _ = await one.ask("DELETE", f"/api/v1/namespaces/_/activations/{told['activationId']}")
+            got, _, _ = await one.request("DELETE", f"/api/v1/namespaces/_/activations/{told['activationId']}")
             assert got == status
-            record = await one.final(told["activationId"])
-            assert verdict(record)["answer"] == "aborted"
+            record = await one.wait_for_record(told["activationId"])
+            assert final_answer(record)["answer"] == "aborted"
         await one.end()
         await worker.server.drain(0)
 
