--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,7 @@
-"""A load generator for the measurements: closed loop for the rate, open loop for latency.  Prints one JSON line."""
+"""A load generator for the measurements: closed loop for the rate, open loop for latency.  Prints one JSON line.
+
+`python bench/load.py ADDRESS TARGET UUID:KEY CONNECTIONS SECONDS RATE`; a rate of 0 (calls a second) is a closed loop.
+"""
 
 from __future__ import annotations
 
@@ -8,12 +11,19 @@
 import socket
 import sys
 import time
+from dataclasses import dataclass, field
 
 import uvloop
 from hdrh.histogram import HdrHistogram
 
 from kelptrail.codec.http import ResponseReader, encode_request
 
+MAX_LATENCY_US, SIGNIFICANT_DIGITS = 60_000_000, 3
+MAX_ANSWER_BYTES = 1 << 20
+READ_BUFFER_BYTES = 16_384
+SHORTEST_SLEEP_S = 0.0005
+BODY = b'{"family":7}'
+
 
 async def connect(address: str) -> socket.socket:
     host, _, port = address.rpartition(":")
@@ -28,11 +38,12 @@
     """One connection, one request at a time."""
 
     def __init__(self, sock: socket.socket, data: bytes) -> None:
-        self.sock, self.data, self.reader = sock, data, ResponseReader(1 << 20)
-        self.buffer = bytearray(16384)
+        self.sock, self.data, self.reader = sock, data, ResponseReader(MAX_ANSWER_BYTES)
+        self.buffer = bytearray(READ_BUFFER_BYTES)
         self.statuses: dict[int, int] = {}
 
-    async def once(self) -> None:
+    async def call(self) -> None:
+        """Send the request and read its response.  Raises `ConnectionResetError`."""
         loop = asyncio.get_running_loop()
         await loop.sock_sendall(self.sock, self.data)
         while True:
@@ -45,45 +56,63 @@
                 return
 
 
-async def main(address: str, target: str, auth: str, connections: int, seconds: float, rate: float) -> None:
-    data = encode_request(
-        "POST", target, "x", b'{"family":7}', {"authorization": "Basic " + base64.b64encode(auth.encode()).decode()}
-    )
-    clients = [Client(await connect(address), data) for _ in range(connections)]
-    times = HdrHistogram(1, 60_000_000, 3)
-    end = time.monotonic() + seconds
-    done = 0
+@dataclass(slots=True)
+class Measurement:
+    """The calls that were completed, and their latencies in microseconds."""
+
+    calls: int = 0
+    latencies: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS))
+
+    def add(self, began: float) -> None:
+        """Count a call that began, or was due, at this time."""
+        self.latencies.record_value(max(1, int((time.monotonic() - began) * 1e6)))
+        self.calls += 1
+
+
+async def run_closed_loop(clients: list[Client], end: float, measurement: Measurement) -> None:
+    """Each client calls again as soon as it has its answer."""
 
-    async def closed(client: Client) -> None:
-        nonlocal done
+    async def call_repeatedly(client: Client) -> None:
         while (began := time.monotonic()) < end:
-            await client.once()
-            times.record_value(max(1, int((time.monotonic() - began) * 1e6)))
-            done += 1
-
-    async def timed(client: Client, due: float) -> None:
-        nonlocal done
-        await client.once()
-        times.record_value(max(1, int((time.monotonic() - due) * 1e6)))
-        done += 1
+            await client.call()
+            measurement.add(began)
+
+    await asyncio.gather(*(call_repeatedly(client) for client in clients))
+
+
+async def run_open_loop(clients: list[Client], began: float, end: float, rate: float, measurement: Measurement) -> None:
+    """Calls are due at a steady rate; one for which no client is free is left out."""
+    free, tasks, due = list(clients), set[asyncio.Task[None]](), began
+
+    async def call_once(client: Client, due: float) -> None:
+        await client.call()
+        measurement.add(due)
         free.append(client)
 
+    while due < end:
+        wait_s = due - time.monotonic()
+        if wait_s > SHORTEST_SLEEP_S:
+            await asyncio.sleep(wait_s)
+        if free:
+            task = asyncio.create_task(call_once(free.pop(), due))
+            tasks.add(task)
+            task.add_done_callback(tasks.discard)
+        due += 1 / rate
+    await asyncio.gather(*tasks)
+
+
+async def main(address: str, target: str, auth: str, connections: int, seconds: float, rate: float) -> None:
+    headers = {"authorization": "Basic " + base64.b64encode(auth.encode()).decode()}
+    data = encode_request("POST", target, "x", BODY, headers)
+    clients = [Client(await connect(address), data) for _ in range(connections)]
+    measurement = Measurement()
+    end = time.monotonic() + seconds
     began = time.monotonic()
     if rate <= 0:
-        await asyncio.gather(*(closed(c) for c in clients))
+        await run_closed_loop(clients, end, measurement)
     else:
-        free, tasks, due = list(clients), set(), began
-        while due < end:
-            wait = due - time.monotonic()
-            if wait > 0.0005:
-                await asyncio.sleep(wait)
-            if free:
-                task = asyncio.create_task(timed(free.pop(), due))
-                tasks.add(task)
-                task.add_done_callback(tasks.discard)
-            due += 1 / rate
-        await asyncio.gather(*tasks)
-    took = time.monotonic() - began
+        await run_open_loop(clients, began, end, rate, measurement)
+    elapsed = time.monotonic() - began
     statuses: dict[int, int] = {}
     for client in clients:
         for status, count in client.statuses.items():
@@ -92,16 +121,16 @@
     print(
         json.dumps(
             {
-                "calls": done,
-                "per_s": round(done / took, 1),
+                "calls": measurement.calls,
+                "per_s": round(measurement.calls / elapsed, 1),
                 "statuses": statuses,
-                "p50_us": times.get_value_at_percentile(50),
-                "p99_us": times.get_value_at_percentile(99),
+                "p50_us": measurement.latencies.get_value_at_percentile(50),
+                "p99_us": measurement.latencies.get_value_at_percentile(99),
             }
         )
     )
 
 
 if __name__ == "__main__":
-    a = sys.argv[1:]
-    uvloop.run(main(a[0], a[1], a[2], int(a[3]), float(a[4]), float(a[5])))
+    address, target, auth, connections, seconds, rate = sys.argv[1:]
+    uvloop.run(main(address, target, auth, int(connections), float(seconds), float(rate)))
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""Each outcome that the decisions know arises from what a socket shows; the rules hold when workers misbehave."""
+"""Each attempt status is derived from what the socket shows; guarantees hold when workers misbehave."""
 
 from __future__ import annotations
 
@@ -7,7 +7,9 @@
 
 import pytest
 from program import (
+    DEPLOYMENT,
     Dispatcher,
+    Script,
     ScriptedWorker,
     answer,
     break_connection,
@@ -18,48 +20,50 @@
     running_dispatcher,
 )
 
-from kelptrail.codec.http import Request, encode_response
+from kelptrail.codec.http import Request, Response, encode_response
 from kelptrail.codec.infer import infer_answer, read_infer
 from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.membership.members import Endpoint
-from kelptrail.net.pool import CallOutcome, WorkerPool
+from kelptrail.net.pool import Call, CallOutcome, WorkerPool
 from kelptrail.net.server import Exchange
+from kelptrail.settings.deployment import parse
 
 EFFECTS = ("p/check", "activate", "grant")
 
 
-def then(*scripts):
-    """The first send gets the first script, and so on; the last goes on."""
-    left = list(scripts)
+def in_sequence(*scripts: Script) -> Script:
+    """The first attempt gets the first script, and so on; the last script is repeated."""
+    remaining = list(scripts)
 
     def script(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
-        (left.pop(0) if len(left) > 1 else left[0])(worker, request, exchange)
+        current = remaining.pop(0) if len(remaining) > 1 else remaining[0]
+        current(worker, request, exchange)
 
     return script
 
 
-def sends(workers: list[ScriptedWorker]) -> int:
+def attempt_count(workers: list[ScriptedWorker]) -> int:
     return sum(len(worker.attempts) for worker in workers)
 
 
 @pytest.mark.parametrize("action", EFFECTS)
-def test_a_worker_goes_silent_mid_activation(action: str) -> None:
+def test_a_worker_that_never_answers(action: str) -> None:
     async def main() -> None:
         async with running_dispatcher(never_answer, never_answer) as (dispatcher, workers):
             loop = asyncio.get_running_loop()
             began = loop.time()
             status, _, body = await dispatcher.call(action, body={}, key="k")
-            assert loop.time() - began < 0.9, "before the client's time is up"
+            assert loop.time() - began < 0.9, "before the client's timeout"
             if action == "p/check":
                 assert status == 429
-            elif action == "activate":  # its mark holds 2 s more than its time-out: a repeat is harmless
+            elif action == "activate":  # its key is known for 2 s beyond the timeout: a retry is harmless
                 assert status == 429 and 0 < body["repeat_within_ms"] <= 2000
-                assert {mark for w in workers for mark, _ in w.attempts} == {"one/activate/k"}
+                assert {request_id for w in workers for request_id, _ in w.attempts} == {"one/activate/k"}
             else:
-                assert status == 502 and final_answer(body)["answer"] == "aborted" and sends(workers) == 1
-            count = sends(workers)
+                assert status == 502 and final_answer(body)["answer"] == "aborted" and attempt_count(workers) == 1
+            count = attempt_count(workers)
             await asyncio.sleep(0.2)
-            assert sends(workers) == count, "nothing is sent after the final answer"
+            assert attempt_count(workers) == count, "nothing is sent after the final answer"
             assert dispatcher.gateway.in_flight == 0
 
     run(main())
@@ -77,20 +81,22 @@
 @pytest.mark.parametrize("action", EFFECTS)
 def test_a_reset_before_the_answer(action: str) -> None:
     async def main() -> None:
-        async with running_dispatcher(then(break_connection, answer)) as (dispatcher, (worker,)):
+        async with running_dispatcher(in_sequence(break_connection, answer)) as (dispatcher, (worker,)):
             status, _, body = await dispatcher.call(action, body={}, key="k")
             assert dispatcher.gateway.counts.attempt_statuses[AttemptStatus.CONNECTION_LOST] == 1
             if action == "grant":
                 assert status == 502 and final_answer(body)["answer"] == "aborted" and len(worker.attempts) == 1
             else:
                 assert status == 200 and len(worker.attempts) == 2
-                assert len({mark for mark, _ in worker.attempts}) == 1, "one mark for all sends"
+                assert len({request_id for request_id, _ in worker.attempts}) == 1, (
+                    "one idempotency key for all attempts"
+                )
 
     run(main())
 
 
 @pytest.mark.parametrize(
-    ("script", "outcome", "again"),
+    ("script", "status", "retried"),
     [
         (reject_with("full"), AttemptStatus.OUT_OF_CAPACITY, True),
         (reject_with("miss", 404), AttemptStatus.NOT_LOADED, True),
@@ -98,20 +104,25 @@
         (reject_with(None, 500), AttemptStatus.ERROR, False),
     ],
 )
-def test_a_once_only_call_goes_on_only_after_a_proven_refusal(script, outcome: AttemptStatus, again: bool) -> None:
+def test_an_at_most_once_call_is_retried_only_after_a_proven_rejection(
+    script: Script, status: AttemptStatus, retried: bool
+) -> None:
     async def main() -> None:
-        async with running_dispatcher(then(script, answer), then(script, answer)) as (dispatcher, workers):
-            status, _, body = await dispatcher.call("grant", body={})
-            assert dispatcher.gateway.counts.attempt_statuses[outcome] >= 1
-            if again:
-                assert status == 200 and sends(workers) >= 2
+        async with running_dispatcher(in_sequence(script, answer), in_sequence(script, answer)) as (
+            dispatcher,
+            workers,
+        ):
+            http_status, _, body = await dispatcher.call("grant", body={})
+            assert dispatcher.gateway.counts.attempt_statuses[status] >= 1
+            if retried:
+                assert http_status == 200 and attempt_count(workers) >= 2
             else:
-                assert status == 502 and sends(workers) == 1 and final_answer(body)["answer"] == "aborted"
+                assert http_status == 502 and attempt_count(workers) == 1 and final_answer(body)["answer"] == "aborted"
 
     run(main())
 
 
-def test_a_list_that_names_a_worker_nobody_listens_on() -> None:
+def test_a_listed_worker_that_does_not_listen() -> None:
     async def main() -> None:
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
@@ -126,8 +137,8 @@
     run(main())
 
 
-def test_late_and_double_answers_reach_nobody() -> None:
-    held: list[tuple[str, Exchange]] = []
+def test_late_and_repeated_answers_are_dropped() -> None:
+    unanswered: list[tuple[str, Exchange]] = []
 
     def twice(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
         infer, payload = read_infer(request.body)
@@ -136,29 +147,25 @@
 
     def late(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
         infer, _ = read_infer(request.body)
-        held.append((infer.id, exchange))
+        unanswered.append((infer.id, exchange))
 
     async def main() -> None:
-        async with running_dispatcher(then(late, twice, twice, twice, answer)) as (dispatcher, (_worker,)):
+        async with running_dispatcher(in_sequence(late, twice, twice, twice, answer)) as (dispatcher, (_worker,)):
             status, _, body = await dispatcher.call("grant", body={})
             assert status == 502
-            ((mark, exchange),) = held
-            exchange.reply(200, infer_answer("m", mark, '{"late":1}', True))  # after the final answer
+            ((request_id, exchange),) = unanswered
+            exchange.reply(200, infer_answer("m", request_id, '{"late":1}', True))  # after the final answer
             for n in range(4):
                 status, _, record = await dispatcher.call("p/check", body={"n": n})
                 assert status == 200 and record["response"]["result"] == {"n": n}
-            kept = await dispatcher.wait_for_record(body["activationId"])
-            assert final_answer(kept)["answer"] == "aborted", "the first final answer stands"
+            final_record = await dispatcher.wait_for_record(body["activationId"])
+            assert final_answer(final_record)["answer"] == "aborted", "the first final answer stands"
             assert dispatcher.gateway.counts.completed == 4
 
     run(main())
 
 
-def test_where_nothing_can_be_called_off_a_late_answer_is_read_and_changes_nothing() -> None:
-    from program import DEPLOYMENT
-
-    from kelptrail.settings.deployment import parse
-
+def test_without_cancellation_a_late_answer_is_read_and_changes_nothing() -> None:
     async def main() -> None:
         worker = ScriptedWorker("w", never_answer)
         settings = DEPLOYMENT.replace("(records 1000)", "(records 1000) (cancels no)")
@@ -174,31 +181,32 @@
     run(main())
 
 
-def test_a_drained_worker_gets_nothing_new_while_sends_wait_and_an_order_is_on_its_way() -> None:
+def test_a_draining_worker_gets_no_new_attempts_when_a_load_order_ends() -> None:
     async def main() -> None:
-        orders: list[Exchange] = []
+        load_orders: list[Exchange] = []
 
-        def hold(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
-            orders.append(exchange)
+        def keep_waiting(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
+            load_orders.append(exchange)
 
-        async with running_dispatcher(never_answer, on_load=hold) as (dispatcher, (worker,)):
+        async with running_dispatcher(never_answer, on_load=keep_waiting) as (dispatcher, (worker,)):
             calls = [asyncio.create_task(dispatcher.call("grant", body={"n": n})) for n in range(3)]
-            while not orders:
+            while not load_orders:
                 await asyncio.sleep(0.01)
             other = ScriptedWorker("other", answer)
             worker.state = "draining"
             dispatcher.set_workers([worker, other])
-            before, asked = len(worker.attempts), worker.load_order_count
-            orders[0].reply(200, b'{"standing":1}')  # the order that was on its way is granted after all
+            attempts_before, load_orders_before = len(worker.attempts), worker.load_order_count
+            load_orders[0].reply(200, b'{"standing":1}')  # the load that was in progress succeeds after all
             answers = await asyncio.gather(*calls)
             assert [status for status, _, _ in answers] == [200] * 3
-            assert len(worker.attempts) == before and worker.load_order_count == asked and len(other.attempts) == 3
+            assert len(worker.attempts) == attempts_before and worker.load_order_count == load_orders_before
+            assert len(other.attempts) == 3
             await other.server.drain(0)
 
     run(main())
 
 
-def test_the_client_that_leaves_calls_its_sends_off() -> None:
+def test_a_client_that_disconnects_cancels_its_attempts() -> None:
     async def main() -> None:
         async with running_dispatcher(never_answer) as (dispatcher, (worker,)):
             task = asyncio.create_task(dispatcher.call("p/check", body={}))
@@ -212,76 +220,81 @@
     run(main())
 
 
-def test_pool_endings() -> None:
-    """What a call's ending proves: unsent and unreachable only where nothing was written."""
+def test_call_outcomes_of_a_pool() -> None:
+    """A call is unsent or unreachable only where nothing was written."""
 
     async def main() -> None:
+        def record(_call: Call, outcome: CallOutcome, _response: Response | None) -> None:
+            outcomes.append(outcome)
+
         loop = asyncio.get_running_loop()
-        ends: list[CallOutcome] = []
+        outcomes: list[CallOutcome] = []
         worker = ScriptedWorker("w", never_answer)
         pool = WorkerPool(worker.address, 2, 100.0, 1000.0, 1 << 16)
         data = b"GET /v2/x/load HTTP/1.1\r\nhost: x\r\n\r\n"
         worker.on_load = never_answer
-        calls = [pool.start(data, lambda c, e, r: ends.append(e)) for _ in range(3)]
-        calls.append(pool.start(data, lambda c, e, r: ends.append(e)))
+        calls = [pool.start(data, record) for _ in range(3)]
+        calls.append(pool.start(data, record))
         calls[3].cancel("revoked")  # before it ever began
         await asyncio.sleep(0.25)
-        assert ends == [CallOutcome.UNSENT, CallOutcome.UNSENT], "no turn within the cap; called off before it began"
+        assert outcomes == [CallOutcome.UNSENT, CallOutcome.UNSENT], (
+            "no free connection in time; cancelled before it began"
+        )
         calls[0].cancel("revoked")
         calls[0].cancel("again")
         await asyncio.sleep(0.05)
-        assert ends[2:] == [CallOutcome.CANCELLED] and calls[0].written
+        assert outcomes[2:] == [CallOutcome.CANCELLED] and calls[0].written
         worker.server.abort_all()
         await asyncio.sleep(0.05)
-        assert ends[3:] == [CallOutcome.BROKEN] and pool.open_connections == 0
+        assert outcomes[3:] == [CallOutcome.BROKEN] and pool.open_connections == 0
         worker.on_load = lambda w, request, exchange: exchange.reply(200, b"{}")
-        pool.start(data, lambda c, e, r: ends.append(e))
+        pool.start(data, record)
         await asyncio.sleep(0.05)
-        assert ends[4:] == [CallOutcome.ANSWERED] and pool.open_connections == 1
+        assert outcomes[4:] == [CallOutcome.ANSWERED] and pool.open_connections == 1
         worker.server.abort_all()  # an idle connection closed by the worker is not used again
         await asyncio.sleep(0.05)
-        pool.start(data, lambda c, e, r: ends.append(e))
+        pool.start(data, record)
         await asyncio.sleep(0.05)
-        assert ends[5:] == [CallOutcome.ANSWERED] and pool.connections_made == 4
+        assert outcomes[5:] == [CallOutcome.ANSWERED] and pool.connections_made == 4
         await worker.server.drain(0)
-        pool.start(data, lambda c, e, r: ends.append(e))
+        pool.start(data, record)
         await asyncio.sleep(0.05)
-        assert ends[6:] == [CallOutcome.UNREACHABLE]
-        mute = socket.socket()  # it listens, but its line is full
-        mute.bind(("127.0.0.1", 0))
-        mute.listen(0)
-        deaf = WorkerPool(f"127.0.0.1:{mute.getsockname()[1]}", 8, 100.0, 1000.0, 1 << 16)
-        fill = [socket.socket() for _ in range(4)]
-        for sock in fill:
+        assert outcomes[6:] == [CallOutcome.UNREACHABLE]
+        full = socket.socket()  # it listens, but its accept queue is full
+        full.bind(("127.0.0.1", 0))
+        full.listen(0)
+        unreachable = WorkerPool(f"127.0.0.1:{full.getsockname()[1]}", 8, 100.0, 1000.0, 1 << 16)
+        queued = [socket.socket() for _ in range(4)]
+        for sock in queued:
             sock.setblocking(False)
-            sock.connect_ex(mute.getsockname())
+            sock.connect_ex(full.getsockname())
         began = loop.time()
-        deaf.start(data, lambda c, e, r: ends.append(e))
+        unreachable.start(data, record)
         await asyncio.sleep(0.2)
-        assert ends[7:] == [CallOutcome.UNREACHABLE] and loop.time() - began < 0.3
-        for sock in [*fill, mute]:
+        assert outcomes[7:] == [CallOutcome.UNREACHABLE] and loop.time() - began < 0.3
+        for sock in [*queued, full]:
             sock.close()
         pool.close()
 
     run(main())
 
 
-def test_a_half_written_send_may_have_run() -> None:
+def test_a_partly_written_attempt_may_have_run() -> None:
     async def main() -> None:
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         listener.bind(("127.0.0.1", 0))
         listener.listen(1)
         listener.setblocking(False)
-        ends: list[CallOutcome] = []
+        outcomes: list[CallOutcome] = []
         pool = WorkerPool(f"127.0.0.1:{listener.getsockname()[1]}", 2, 500.0, 1000.0, 1 << 16)
-        pool.start(b"x" * 20_000_000, lambda c, e, r: ends.append(e))
+        pool.start(b"x" * 20_000_000, lambda _call, outcome, _response: outcomes.append(outcome))
         sock, _ = await asyncio.get_running_loop().sock_accept(listener)
         await asyncio.sleep(0.05)
-        assert not ends
+        assert not outcomes
         sock.close()
         await asyncio.sleep(0.1)
-        assert ends == [CallOutcome.BROKEN]
+        assert outcomes == [CallOutcome.BROKEN]
         listener.close()
 
     run(main())
