--- a/kelptrail/lease/acceptor.py
+++ b/kelptrail/lease/acceptor.py
@@ -16,74 +16,27 @@
 from __future__ import annotations
 
 from collections import deque
-from dataclasses import dataclass, replace
-from enum import Enum
+from dataclasses import replace
 
+from .acceptor_recovery import AcceptorRecovery
+from .acceptor_state import DurableState, LeaseRecord, Stage, Write
 from .messages import (
-    NO_NOTE,
-    NO_TOKEN,
     AcquireRequest,
     FencingToken,
     Grant,
-    LeaseNote,
     LeaseRow,
     LeaseSettings,
     Message,
     NoteWritten,
     Refusal,
+    RefusalReason,
     Release,
     StateReply,
     StateRequest,
     Transferred,
     WriteNote,
-    majority,
 )
-
-MAX_WAITING_CLIENTS = 1000  # clients for a task whose place in the queue is remembered
-
-
-class Stage(Enum):
-    """State of an acceptor.  The values go over the wire and to disk."""
-
-    EMPTY = "empty"  # no durable state
-    FOUNDING = "founding"  # no durable state, and no other acceptor had any
-    CHANGING = "changing"  # remembers its grants in the previous set, and has entered this one
-    VOTING = "voting"
-    BEHIND = "behind"  # its settings name an older acceptor set than its disk
-
-
-@dataclass(frozen=True, slots=True)
-class DurableState:
-    """What an acceptor has on disk beside the rows of its tasks."""
-
-    config_number: int
-    stage: Stage
-    sealed_previous: bool
-
-
-@dataclass(frozen=True, slots=True)
-class Write:
-    """An atomic write.  Once it is durable, `reply` may go to `reply_to`."""
-
-    write_id: int
-    rows: tuple[LeaseRow, ...]
-    state: DurableState | None = None
-    reply_to: str = ""
-    reply: Message | None = None
-
-
-@dataclass(slots=True)
-class LeaseRecord:
-    """One task at this acceptor.  Times in ms of its own clock; `durable_token`: the token that is on disk."""
-
-    highest_token: FencingToken = NO_TOKEN
-    length_ms: float = 0.0
-    expires_at: float = float("-inf")
-    released: bool = False
-    durable_token: FencingToken = NO_TOKEN
-    reserved_for: str = ""  # the successor that the last holder named
-    reserved_until: float = float("-inf")
-    note: LeaseNote = NO_NOTE
+from .waiting_clients import WaitingClients
 
 
 class Acceptor:
@@ -101,12 +54,9 @@
         self.records: dict[str, LeaseRecord] = {}
         self.outbox: deque[tuple[str, Message]] = deque()
         self.pending_writes: deque[Write] = deque()
-        self.waiting_clients: dict[str, dict[str, float]] = {}  # by task: client to its retry time
+        self.waiting_clients = WaitingClients(settings.queue_spacing_ms, settings.max_lease_ms)
+        self.recovery = AcceptorRecovery(name, settings, now)
         self.config_number, self.stage, self.sealed_previous = settings.config_number, Stage.EMPTY, False
-        self.quiet_since: float | None = now  # no unknown grant can be later; None: not known yet
-        self._state_replies: dict[str, StateReply] = {}
-        self._nonce = 0
-        self._next_query_at = now
         self._last_write_id = 0
         self._stage_durable = True
         for row in rows:
@@ -126,10 +76,10 @@
             # A founding acceptor has granted nothing, so its state is complete.
             is_complete = state.stage in (Stage.VOTING, Stage.FOUNDING)
             follows = state.config_number == settings.config_number - 1 and is_complete
-            self.quiet_since = None
+            self.recovery.quiet_since = None
             self._enter_stage(Stage.CHANGING if follows else Stage.EMPTY, sealed_previous=follows)
         elif self.stage is Stage.CHANGING:
-            self.quiet_since = None
+            self.recovery.quiet_since = None
 
     # Inputs.
 
@@ -142,14 +92,7 @@
         elif isinstance(message, WriteNote):
             self._on_write_note(sender, message)
         elif isinstance(message, StateRequest):
-            if self._stage_durable and sender in (*self.settings.acceptors, *self.settings.previous_acceptors):
-                rows = tuple(self._row(task) for task in sorted(self.records))
-                self.outbox.append(
-                    (
-                        sender,
-                        StateReply(self.config_number, message.nonce, self.stage.value, self.sealed_previous, rows),
-                    )
-                )
+            self._on_state_request(sender, message)
         elif isinstance(message, StateReply):
             self._on_state_reply(now, sender, message)
 
@@ -168,104 +111,86 @@
 
     def tick(self, now: float) -> None:
         """Query the other acceptors, while this one is not voting."""
-        if self.stage in (Stage.VOTING, Stage.BEHIND) or now < self._next_query_at:
+        if not self._is_recovering or now < self.recovery.next_query_at:
             return
-        self._next_query_at = now + self.settings.request_timeout_ms
-        self._nonce += 1
-        self._state_replies = {}
+        nonce = self.recovery.start_query(now)
         for name in dict.fromkeys((*self.settings.acceptors, *self.settings.previous_acceptors)):
             if name != self.name:
-                self.outbox.append((name, StateRequest(self.config_number, self._nonce)))
+                self.outbox.append((name, StateRequest(self.config_number, nonce)))
 
     def next_tick_at(self) -> float | None:
         """When `tick` must be called next; None: not before another input."""
-        return None if self.stage in (Stage.VOTING, Stage.BEHIND) else self._next_query_at
+        return self.recovery.next_query_at if self._is_recovering else None
+
+    @property
+    def _is_recovering(self) -> bool:
+        """Whether this acceptor does not vote yet, but will."""
+        return self.stage not in (Stage.VOTING, Stage.BEHIND)
+
+    @property
+    def _may_vote(self) -> bool:
+        return self.stage is Stage.VOTING and self._stage_durable
 
     # Granting.
 
     def _on_acquire(self, now: float, sender: str, request: AcquireRequest) -> None:
         reason = self._refusal_reason(now, sender, request)
         record = self.records.setdefault(request.task, LeaseRecord())
-        if reason:
-            left = self._queue_delay_ms(now, request.task, sender, record, reason)
-            highest = max(record.highest_token, FencingToken(self.settings.round_floor, ""))
-            voters = self.settings.acceptors if self.stage is not Stage.BEHIND else ()
-            self.outbox.append(
-                (
-                    sender,
-                    Refusal(
-                        request.task,
-                        request.token,
-                        request.request_id,
-                        reason,
-                        highest,
-                        left,
-                        self.config_number,
-                        voters,
-                    ),
-                )
-            )
+        if reason is not None:
+            self._refuse(now, sender, request, reason)
             return
         record.highest_token, record.length_ms, record.released = request.token, request.length_ms, False
         record.expires_at, record.reserved_for = now + request.length_ms, ""
-        self.waiting_clients.get(request.task, {}).pop(sender, None)
+        self.waiting_clients.remove(request.task, sender)
         reply = Grant(request.task, request.token, request.request_id, record.note)
         if record.durable_token == request.token:  # a renewal: after a restart it counts from the restart anyway
             self.outbox.append((sender, reply))
         else:
             self._enqueue_write((self._row(request.task),), to=sender, reply=reply)
 
-    def _refusal_reason(self, now: float, sender: str, request: AcquireRequest) -> str:
-        """Why the request must be refused; empty: it is granted."""
+    def _refusal_reason(self, now: float, sender: str, request: AcquireRequest) -> RefusalReason | None:
+        """Why the request must be refused; None: it is granted."""
         record = self.records.get(request.task, LeaseRecord())
-        if self.stage is not Stage.VOTING or not self._stage_durable:
-            return "settling" if self.stage is Stage.VOTING else self.stage.value
+        if self.stage is not Stage.VOTING:
+            return RefusalReason(self.stage.value)
+        if not self._stage_durable:
+            return RefusalReason.STAGE_NOT_DURABLE
         if request.config_number != self.config_number:
-            return "set"
+            return RefusalReason.OTHER_CONFIG
         if not 0 < request.length_ms <= self.settings.max_lease_ms:
-            return "length"
+            return RefusalReason.INVALID_LENGTH
         if request.token < record.highest_token or request.token.round <= self.settings.round_floor:
-            return "older"
+            return RefusalReason.OLDER_TOKEN
         if request.token == record.highest_token:
-            return "released" if record.released else "" if request.length_ms == record.length_ms else "length"
-        if (
-            now < record.expires_at
-            and not record.released
-            and record.highest_token.client_id != request.token.client_id
-        ):
-            return "held"
+            return _renewal_refusal(record, request)
+        if record.is_held(now) and record.highest_token.client_id != request.token.client_id:
+            return RefusalReason.HELD
         if now < record.reserved_until and record.reserved_for not in ("", sender):
-            return "reserved"
-        return ""
-
-    def _queue_delay_ms(self, now: float, task: str, sender: str, record: LeaseRecord, reason: str) -> float:
-        """How long a refused client should wait, in ms.
-
-        Until the task may be free, each client `queue_spacing_ms` behind the one before it, so that the clients of
-        a fleet do not retry all at once."""
-        if reason not in ("held", "reserved"):
-            return 0.0
-        queue = self.waiting_clients.setdefault(task, {})
-        for name in [n for n, due in queue.items() if due < now - self.settings.max_lease_ms]:
-            del queue[name]
-        if len(queue) < MAX_WAITING_CLIENTS or sender in queue:
-            queue.setdefault(sender, now)
-        free = max(
-            record.expires_at if not record.released else now, record.reserved_until if record.reserved_for else now
+            return RefusalReason.RESERVED
+        return None
+
+    def _refuse(self, now: float, sender: str, request: AcquireRequest, reason: RefusalReason) -> None:
+        record = self.records[request.task]
+        retry_after_ms = 0.0
+        if reason in (RefusalReason.HELD, RefusalReason.RESERVED):
+            retry_after_ms = self.waiting_clients.retry_delay_ms(now, request.task, sender, record.free_at(now))
+        refusal = Refusal(
+            request.task,
+            request.token,
+            request.request_id,
+            reason,
+            max(record.highest_token, FencingToken(self.settings.round_floor, "")),
+            retry_after_ms,
+            self.config_number,
+            self.settings.acceptors if self.stage is not Stage.BEHIND else (),
         )
-        place = list(queue).index(sender) if sender in queue else len(queue)
-        due = free + place * self.settings.queue_spacing_ms
-        if sender in queue:
-            queue[sender] = due
-        return due - now
+        self.outbox.append((sender, refusal))
 
     def _on_release(self, now: float, message: Release) -> None:
         record = self.records.setdefault(message.task, LeaseRecord())
-        if self.stage is not Stage.VOTING or not self._stage_durable:
+        if not self._may_vote:
             return
-        if message.token < record.highest_token or (
-            message.token > record.highest_token and now < record.expires_at and not record.released
-        ):
+        if message.token < record.highest_token or (message.token > record.highest_token and record.is_held(now)):
             return
         if message.token == record.highest_token and record.released:
             return
@@ -274,7 +199,7 @@
         if message.successor:
             record.reserved_for, record.reserved_until = message.successor, now + self.settings.transfer_reservation_ms
         # The next client in the queue would otherwise wait until the lease would have expired.
-        if to := message.successor or next(iter(self.waiting_clients.get(message.task, ())), ""):
+        if to := message.successor or self.waiting_clients.first(message.task):
             self.outbox.append((to, Transferred(message.task)))
         self._enqueue_write((self._row(message.task),))
 
@@ -282,12 +207,7 @@
         """Store the holder's note.  One under an older token is ignored: the grant of the newer token has already
         carried the note that was stored then."""
         record, noted = self.records.get(note.task), note.note
-        if (
-            record is None
-            or self.stage is not Stage.VOTING
-            or not self._stage_durable
-            or note.config_number != self.config_number
-        ):
+        if record is None or not self._may_vote or note.config_number != self.config_number:
             return
         if noted.token != record.highest_token or record.released or noted < record.note:
             return
@@ -301,75 +221,47 @@
         return LeaseRow(task, record.highest_token, record.length_ms, record.released, record.note)
 
     def _enqueue_write(
-        self, rows: tuple[LeaseRow, ...], memory: DurableState | None = None, to: str = "", reply: Message | None = None
+        self, rows: tuple[LeaseRow, ...], state: DurableState | None = None, to: str = "", reply: Message | None = None
     ) -> None:
         self._last_write_id += 1
-        self.pending_writes.append(Write(self._last_write_id, rows, memory, to, reply))
+        self.pending_writes.append(Write(self._last_write_id, rows, state, to, reply))
 
-    # Learning.
+    # Recovery.
 
     def _enter_stage(self, stage: Stage, sealed_previous: bool) -> None:
         """Enter a stage; it must be durable before any answer is given in it."""
         self.stage, self.sealed_previous, self._stage_durable = stage, sealed_previous, False
-        self._enqueue_write(
-            tuple(self._row(task) for task in sorted(self.records)),
-            DurableState(self.config_number, stage, sealed_previous),
-        )
+        self._enqueue_write(self._all_rows(), DurableState(self.config_number, stage, sealed_previous))
 
-    def _on_state_reply(self, now: float, sender: str, answer: StateReply) -> None:
-        if self.stage in (Stage.VOTING, Stage.BEHIND) or not self._stage_durable:
-            return
-        if answer.config_number != self.config_number or answer.nonce != self._nonce:
-            return
-        self._state_replies[sender] = answer
-        if self.stage is Stage.CHANGING:
-            self._try_finish_config_change(now)
-        else:
-            self._try_recover(now)
+    def _all_rows(self) -> tuple[LeaseRow, ...]:
+        return tuple(self._row(task) for task in sorted(self.records))
 
-    def _try_finish_config_change(self, now: float) -> None:
-        """The previous set is sealed once a majority of it has entered this one; then the longest lease must elapse."""
-        before, answers = self.settings.previous_acceptors, self._state_replies
-        stopped = 1 + sum(answers[name].sealed_previous for name in before if name in answers)
-        if self.name not in before or stopped < majority(before):
+    def _on_state_request(self, sender: str, request: StateRequest) -> None:
+        if not self._stage_durable or sender not in (*self.settings.acceptors, *self.settings.previous_acceptors):
             return
-        if self.quiet_since is None:
-            self.quiet_since = now
-        elif now - self.quiet_since >= self.settings.recovery_wait_ms and self._replies_follow_wait(now):
-            self._start_voting(now)
+        reply = StateReply(self.config_number, request.nonce, self.stage.value, self.sealed_previous, self._all_rows())
+        self.outbox.append((sender, reply))
 
-    def _try_recover(self, now: float) -> None:
-        """Without durable state: vote once all leases granted here have expired and a majority of voting acceptors has
-        sent its state, or once it is certain that the whole set is new."""
-        others = [name for name in self.settings.acceptors if name != self.name]
-        stages = [self._state_replies[name].stage for name in others if name in self._state_replies]
-        if not self._recovery_wait_over(now):
+    def _on_state_reply(self, now: float, sender: str, reply: StateReply) -> None:
+        if not self._is_recovering or not self._stage_durable:
+            return
+        if reply.config_number != self.config_number or reply.nonce != self.recovery.nonce:
             return
-        if self.stage is Stage.FOUNDING:
-            if Stage.VOTING.value in stages or (len(stages) == len(others) and set(stages) <= {Stage.FOUNDING.value}):
-                self._start_voting(now)
-        elif stages.count(Stage.VOTING.value) >= majority(self.settings.acceptors):
+        self.recovery.replies[sender] = reply
+        next_stage = self._next_stage(now)
+        if next_stage is Stage.VOTING:
             self._start_voting(now)
-        elif all(
-            name in self._state_replies and self._state_replies[name].stage in (Stage.EMPTY.value, Stage.FOUNDING.value)
-            for name in {*others, *self.settings.previous_acceptors} - {self.name}
-        ):
-            self._enter_stage(Stage.FOUNDING, False)
-
-    def _recovery_wait_over(self, now: float) -> bool:
-        """Whether the longest lease has elapsed since the start, and the state replies were requested after that."""
-        if self.quiet_since is None:
-            self.quiet_since = now
-        return now - self.quiet_since >= self.settings.recovery_wait_ms and self._replies_follow_wait(now)
-
-    def _replies_follow_wait(self, now: float) -> bool:
-        """Whether the collected state replies were requested after the wait."""
-        asked = self._next_query_at - self.settings.request_timeout_ms
-        return self.quiet_since is not None and asked - self.quiet_since >= self.settings.recovery_wait_ms
+        elif next_stage is not None:
+            self._enter_stage(next_stage, False)
+
+    def _next_stage(self, now: float) -> Stage | None:
+        """The stage that this acceptor may enter now; None: it stays in its present one."""
+        return self.recovery.next_stage(now, self.stage)
 
     def _start_voting(self, now: float) -> None:
-        for answer in self._state_replies.values():
-            for row in answer.rows:
+        """Adopt the highest token and the latest note of each task that the others sent, then vote."""
+        for reply in self.recovery.replies.values():
+            for row in reply.rows:
                 record = self.records.setdefault(row.task, LeaseRecord())
                 record.note = max(record.note, row.note)
                 if row.token > record.highest_token:
@@ -387,6 +279,12 @@
         clone.__dict__.update(self.__dict__)
         clone.records = {task: replace(record) for task, record in self.records.items()}
         clone.outbox, clone.pending_writes = self.outbox.copy(), self.pending_writes.copy()
-        clone.waiting_clients = {task: dict(queue) for task, queue in self.waiting_clients.items()}
-        clone._state_replies = dict(self._state_replies)
+        clone.waiting_clients, clone.recovery = self.waiting_clients.clone(), self.recovery.clone()
         return clone
+
+
+def _renewal_refusal(record: LeaseRecord, request: AcquireRequest) -> RefusalReason | None:
+    """Why a request under the granted token must be refused; None: it renews the lease."""
+    if record.released:
+        return RefusalReason.RELEASED
+    return None if request.length_ms == record.length_ms else RefusalReason.INVALID_LENGTH
--- a/kelptrail/lease/acceptor_store.py
+++ b/kelptrail/lease/acceptor_store.py
@@ -16,7 +16,7 @@
 
 from kelptrail.store.activation_journal import JournalError
 
-from .acceptor import DurableState, Stage, Write
+from .acceptor_state import DurableState, Stage, Write
 from .messages import LeaseRow
 
 FORMAT_VERSION = 2  # 1: rows had no note
--- a/kelptrail/lease/client.py
+++ b/kelptrail/lease/client.py
@@ -29,6 +29,7 @@
     Message,
     NoteWritten,
     Refusal,
+    RefusalReason,
     Release,
     Transferred,
     WriteNote,
@@ -313,7 +314,7 @@
 
     def _on_refusal(self, now: float, sender: str, request: LeaseRequest, answer: Refusal) -> None:
         self.highest_rounds[request.task] = max(self.highest_rounds.get(request.task, 0), answer.highest_token.round)
-        if answer.reason == "held":
+        if answer.reason is RefusalReason.HELD:
             self.known_holders[request.task] = answer.highest_token, now + answer.retry_after_ms
         if answer.config_number > self.config_number and answer.acceptors:
             self._adopt_config(now, answer.config_number, answer.acceptors)
@@ -325,7 +326,7 @@
             return
         request.refusals[sender] = now + answer.retry_after_ms
         refusal_count = sum(acceptor in request.refusals for acceptor in self.acceptors)
-        if request.is_probing and answer.reason in ("held", "reserved"):
+        if request.is_probing and answer.reason in (RefusalReason.HELD, RefusalReason.RESERVED):
             self._abandon_attempt(now, request)
         elif request.is_probing:
             self._ask_remaining(now, request)
--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -15,7 +15,8 @@
 from kelptrail.store.driver import JournalDriver
 from kelptrail.store.group_commit import GroupCommit
 
-from .acceptor import Acceptor, Write
+from .acceptor import Acceptor
+from .acceptor_state import Write
 from .acceptor_store import open_acceptor_store
 from .client import LeaseAcquired, LeaseClient, LeaseLost, NoteStored
 from .messages import (
--- a/kelptrail/lease/messages.py
+++ b/kelptrail/lease/messages.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import Enum
 
 import msgspec
 
@@ -72,6 +73,27 @@
     sequence: int
 
 
+class RefusalReason(Enum):
+    """Why an acceptor refuses a request.  The values go over the wire; the first four are those of `Stage`."""
+
+    EMPTY = "empty"
+    FOUNDING = "founding"
+    CHANGING = "changing"
+    BEHIND = "behind"
+    STAGE_NOT_DURABLE = "settling"  # the acceptor is about to vote
+    OTHER_CONFIG = "set"  # the client knows another acceptor set
+    INVALID_LENGTH = "length"  # longer than the longest lease, or a renewal with another length
+    OLDER_TOKEN = "older"  # a later token was granted
+    RELEASED = "released"  # the lease to be renewed was released
+    HELD = "held"  # by another client
+    RESERVED = "reserved"  # for the successor that the last holder named
+    UNKNOWN = "unknown"  # never sent: a reason of another version of the program
+
+    @classmethod
+    def _missing_(cls, value: object) -> RefusalReason:
+        return cls.UNKNOWN
+
+
 class Refusal(msgspec.Struct, frozen=True, tag="refused", array_like=True):
     """The request is refused.  `highest_token`: of the task; `retry_after_ms`: earliest useful retry; `config_number`
     and `acceptors`: the acceptor set in force here (no acceptors where this acceptor's own settings are outdated)."""
@@ -79,7 +101,7 @@
     task: str
     token: FencingToken
     request_id: int
-    reason: str
+    reason: RefusalReason
     highest_token: FencingToken
     retry_after_ms: float
     config_number: int
--- a/kelptrail/lease/model_state.py
+++ b/kelptrail/lease/model_state.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass, field
 from typing import Self
 
-from .acceptor import Acceptor, DurableState, Stage, Write
+from .acceptor import Acceptor
+from .acceptor_state import DurableState, Stage, Write
 from .client import LeaseClient
 from .messages import NO_NOTE, NO_TOKEN, FencingToken, LeaseRow, LeaseSettings, Message
 
@@ -180,10 +181,10 @@
         yield (
             acceptor.stage,
             acceptor.sealed_previous,
-            _time_until(acceptor.quiet_since, now),
+            _time_until(acceptor.recovery.quiet_since, now),
             _time_until(acceptor.next_tick_at(), now),
-            acceptor._nonce,
-            frozenset(acceptor._state_replies.items()),
+            acceptor.recovery.nonce,
+            frozenset(acceptor.recovery.replies.items()),
             tuple(acceptor.pending_writes),
             self.disks[name].state,
             self.disks[name].rows.get(TASK),
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -7,10 +7,12 @@
 from typing import Any
 
 import apsw
+import msgspec
 import pytest
 
 from kelptrail.history_checker.checker import check_history
-from kelptrail.lease.acceptor import Acceptor, DurableState, LeaseRecord, Stage, Write
+from kelptrail.lease.acceptor import Acceptor
+from kelptrail.lease.acceptor_state import DurableState, LeaseRecord, Stage, Write
 from kelptrail.lease.acceptor_store import open_acceptor_store
 from kelptrail.lease.client import LeaseAcquired, LeaseClient, LeaseLost, RequestState
 from kelptrail.lease.messages import (
@@ -24,6 +26,7 @@
     Message,
     NoteWritten,
     Refusal,
+    RefusalReason,
     Release,
     StateReply,
     Transferred,
@@ -104,15 +107,16 @@
 
 
 class GrantsWhatIsHeld(Acceptor):
-    def _refusal_reason(self, now: float, sender: str, ask: AcquireRequest) -> str:
-        return "" if (reason := super()._refusal_reason(now, sender, ask)) == "held" else reason
+    def _refusal_reason(self, now: float, sender: str, request: AcquireRequest) -> RefusalReason | None:
+        reason = super()._refusal_reason(now, sender, request)
+        return None if reason is RefusalReason.HELD else reason
 
 
 class SaysBeforeDisk(Acceptor):
     def _enqueue_write(
-        self, rows: tuple[LeaseRow, ...], memory: DurableState | None = None, to: str = "", reply: Message | None = None
+        self, rows: tuple[LeaseRow, ...], state: DurableState | None = None, to: str = "", reply: Message | None = None
     ) -> None:
-        super()._enqueue_write(rows, memory, to)
+        super()._enqueue_write(rows, state, to)
         if reply is not None:
             self.outbox.append((to, reply))
 
@@ -137,16 +141,22 @@
 
 
 class GrantsOlder(Acceptor):
-    def _refusal_reason(self, now: float, sender: str, ask: AcquireRequest) -> str:
-        seat, reason = self.records.get(ask.task, LeaseRecord()), super()._refusal_reason(now, sender, ask)
-        return "" if reason == "older" and (now >= seat.expires_at or seat.released) else reason
+    def _refusal_reason(self, now: float, sender: str, request: AcquireRequest) -> RefusalReason | None:
+        record = self.records.get(request.task, LeaseRecord())
+        reason = super()._refusal_reason(now, sender, request)
+        return None if reason is RefusalReason.OLDER_TOKEN and not record.is_held(now) else reason
 
 
 class ChangesAtOnce(Acceptor):
-    def _try_finish_config_change(self, now: float) -> None:
-        self._start_voting(now)
-        for seat in self.records.values():
-            seat.expires_at = now
+    def _next_stage(self, now: float) -> Stage | None:
+        return Stage.VOTING if self.stage is Stage.CHANGING else super()._next_stage(now)
+
+    def _start_voting(self, now: float) -> None:
+        config_changed = self.stage is Stage.CHANGING
+        super()._start_voting(now)
+        if config_changed:
+            for record in self.records.values():
+                record.expires_at = now
 
 
 class CountsFromTheAnswer(LeaseClient):
@@ -240,7 +250,7 @@
     assert [m for _, m in voter.outbox] == [NoteWritten("t", new, 1)] and voter.records["t"].note.text == b"next"
     empty = Acceptor("c", SET, 0.0, None)
     empty.stage, empty._stage_durable = Stage.EMPTY, True
-    empty._state_replies = {
+    empty.recovery.replies = {
         "a": StateReply(1, 0, "voting", False, (LeaseRow("t", old, 10.0, True, LeaseNote(new, 1, b"next")),))
     }
     empty._start_voting(200.0)
@@ -311,7 +321,11 @@
     [(first, ask)] = asked(asker)
     asker.on_message(1.0, first, Grant("t", ask.token, ask.request_id))
     rest = asked(asker)
-    asker.on_message(2.0, rest[0][0], Refusal("t", ask.token, ask.request_id, "set", NO_TOKEN, 0.0, 2, ("a", "b", "d")))
+    asker.on_message(
+        2.0,
+        rest[0][0],
+        Refusal("t", ask.token, ask.request_id, RefusalReason.OTHER_CONFIG, NO_TOKEN, 0.0, 2, ("a", "b", "d")),
+    )
     asker.on_message(3.0, rest[1][0], Grant("t", ask.token, ask.request_id))
     assert asker.config_number == 2 and not asker.events and asker.requests["t"].state is RequestState.WAITING
     with pytest.raises(ValueError, match="at most"):
@@ -367,6 +381,16 @@
     assert list(voter.outbox) == [("y0", Transferred("t"))], "the first in line need not wait for an end that has come"
 
 
+def test_refusal_reasons_are_strings_on_the_wire_and_an_unknown_one_is_decoded() -> None:
+    refusal = Refusal("t", NO_TOKEN, 1, RefusalReason.OTHER_CONFIG, NO_TOKEN, 0.0, 2, ())
+    data = msgspec.msgpack.encode(refusal)
+    assert msgspec.msgpack.decode(data)[4] == "set"
+    assert msgspec.msgpack.decode(data, type=Refusal) == refusal
+    later_version = msgspec.msgpack.decode(data.replace(b"\xa3set", b"\xa3new"), type=Refusal)
+    assert later_version.reason is RefusalReason.UNKNOWN
+    assert {stage.value for stage in Stage} - {"voting"} <= {reason.value for reason in RefusalReason}
+
+
 # A voter's memory.
 
 
@@ -397,7 +421,7 @@
     ledger.close()
     empty = Acceptor("a", SET, 0.0, memory, rows)
     empty.on_message(1.0, "y", AcquireRequest("t", FencingToken(9, "y/1"), 100.0, 1, 1))
-    assert isinstance(refused := empty.outbox.popleft()[1], Refusal) and refused.reason == "empty"
+    assert isinstance(refused := empty.outbox.popleft()[1], Refusal) and refused.reason is RefusalReason.EMPTY
 
 
 def test_a_voter_without_memory_learns_after_the_longest_lease_from_a_majority_that_votes() -> None:
@@ -421,7 +445,7 @@
     voter.on_message(130.0, "y", AcquireRequest("t", FencingToken(5, "a/1"), 100.0, 1, 1))
     voter.on_message(130.0, "x", AcquireRequest("t", FencingToken(5, "x/1"), 100.0, 1, 1))
     (_, old), (_, renewed) = voter.outbox
-    assert isinstance(old, Refusal) and old.reason == "older" and isinstance(renewed, Grant)
+    assert isinstance(old, Refusal) and old.reason is RefusalReason.OLDER_TOKEN and isinstance(renewed, Grant)
 
 
 # Settings and the audit.
