--- a/kelptrail/lease/client.py
+++ b/kelptrail/lease/client.py
@@ -14,13 +14,13 @@
 from __future__ import annotations
 
 from collections import deque
-from dataclasses import dataclass, field, replace
-from enum import Enum
+from typing import NamedTuple
 from zlib import crc32
 
+from .backoff import Backoff
+from .events import LeaseAcquired, LeaseEvent, LeaseLost, LossReason, NoteStored
+from .lease_request import LeaseRequest, RequestState
 from .messages import (
-    NO_NOTE,
-    NO_TOKEN,
     AcquireRequest,
     FencingToken,
     Grant,
@@ -36,81 +36,18 @@
     majority,
 )
 
-MAX_OPEN_BALLOTS = 4  # requests of one token whose grants are still counted
-MAX_BACKOFF_DOUBLINGS = 4  # doublings of the pause between attempts
+RENEWALS_PER_LEASE = 3  # a lease is renewed after this part of its safe length
 
 
 class LeaseLengthError(ValueError):
     """The length is not positive, or exceeds the longest lease that acceptors grant."""
 
 
-class RequestState(Enum):
-    """Progress of one lease request."""
+class KnownHolder(NamedTuple):
+    """The last holder of a task that an acceptor reported, and roughly when its lease expires (this client's clock)."""
 
-    WAITING = "waiting"
-    ACQUIRING = "asking"
-    HOLDING = "holding"
-
-
-@dataclass(frozen=True, slots=True)
-class LeaseAcquired:
-    """The lease was acquired; it is valid until `expires_at` (ms, this client's clock).
-
-    `inherited_note`: the latest note of earlier holders; from now on no acceptor of the majority stores a note under an
-    older token.
-    """
-
-    task: str
     token: FencingToken
     expires_at: float
-    inherited_note: LeaseNote = NO_NOTE
-
-
-@dataclass(frozen=True, slots=True)
-class NoteStored:
-    """A majority has stored this client's note: the next holder will receive it, or a later one."""
-
-    task: str
-    token: FencingToken
-    sequence: int
-
-
-@dataclass(frozen=True, slots=True)
-class LeaseLost:
-    """The lease is not held any more.  `reason`: "expired" or "released"."""
-
-    task: str
-    token: FencingToken
-    reason: str
-
-
-@dataclass(slots=True)
-class Ballot:
-    """One request to all acceptors: when it was first sent, and which acceptors granted it."""
-
-    sent_at: float
-    granted_by: set[str] = field(default_factory=set)
-
-
-@dataclass(slots=True)
-class LeaseRequest:
-    """A task that this client wants to hold.  Times in ms of this client's clock; `next_step_at`: when `tick` acts."""
-
-    task: str
-    length_ms: float
-    state: RequestState
-    next_step_at: float
-    token: FencingToken = NO_TOKEN
-    expires_at: float = float("-inf")
-    ballots: dict[int, Ballot] = field(default_factory=dict)
-    acceptors_asked: set[str] = field(default_factory=set)  # in this attempt
-    refusals: dict[str, float] = field(default_factory=dict)  # in this attempt: acceptor to its retry time
-    is_probing: bool = False  # only the first acceptor has been asked
-    failed_attempts: int = 0  # consecutive ones that found no holder
-    reserved_until: float = float("-inf")  # a holder transferred the task to this client
-    inherited_note: LeaseNote = NO_NOTE  # the latest note in the grants
-    pending_note: LeaseNote | None = None  # not yet stored by a majority
-    note_acceptors: set[str] = field(default_factory=set)
 
 
 class LeaseClient:
@@ -121,12 +58,11 @@
         self.acceptors, self.config_number = settings.acceptors, settings.config_number
         self.requests: dict[str, LeaseRequest] = {}
         self.highest_rounds: dict[str, int] = {}  # by task
-        self.known_holders: dict[
-            str, tuple[FencingToken, float]
-        ] = {}  # by task: the last holder seen, and its approximate expiry
+        self.known_holders: dict[str, KnownHolder] = {}  # by task
         self.outbox: deque[tuple[str, Message]] = deque()
-        self.events: deque[LeaseAcquired | LeaseLost | NoteStored] = deque()
-        self._last_request_id = self._jitter_draws = 0
+        self.events: deque[LeaseEvent] = deque()
+        self.backoff = Backoff(client_id, settings.retry_pause_ms)
+        self._last_request_id = 0
 
     # Inputs.
 
@@ -144,20 +80,17 @@
         request = self.requests.pop(task, None)
         if request is None or request.state is RequestState.WAITING:
             return
-        self._send_release(
-            request,
-            self.acceptors if request.state is RequestState.HOLDING else tuple(sorted(request.acceptors_asked)),
-            successor,
-        )
-        if request.state is RequestState.HOLDING:
-            self.events.append(LeaseLost(task, request.token, "released"))
+        asked = self.acceptors if request.is_held else tuple(sorted(request.acceptors_asked))
+        self._send_release(request, asked, successor)
+        if request.is_held:
+            self.events.append(LeaseLost(task, request.token, LossReason.RELEASED))
 
     def write_note(self, task: str, text: bytes) -> int | None:
         """Replace the note of a held task; `NoteStored` follows once a majority has it.
 
         Returns the note's sequence number, or None where the task is not held."""
         request = self.requests.get(task)
-        if request is None or request.state is not RequestState.HOLDING:
+        if request is None or not request.is_held:
             return None
         self._last_request_id += 1
         request.pending_note, request.note_acceptors = LeaseNote(request.token, self._last_request_id, text), set()
@@ -172,11 +105,7 @@
 
     def _on_note_written(self, sender: str, request: LeaseRequest, answer: NoteWritten) -> None:
         note = request.pending_note
-        if (
-            note is None
-            or (note.token, note.sequence) != (answer.token, answer.sequence)
-            or sender not in self.acceptors
-        ):
+        if note is None or not request.awaits_note(answer) or sender not in self.acceptors:
             return
         request.note_acceptors.add(sender)
         if len(request.note_acceptors) >= majority(self.acceptors):
@@ -186,24 +115,20 @@
     def held_token(self, now: float, task: str) -> FencingToken | None:
         """The token of the lease that is valid now; None: the task is not held."""
         request = self.requests.get(task)
-        if request is None or request.state is not RequestState.HOLDING or now >= request.expires_at:
+        if request is None or not request.is_held or now >= request.expires_at:
             return None
         return request.token
 
     def remaining_ms(self, now: float, task: str) -> float:
         """How long the lease remains valid; 0 where the task is not held."""
         request = self.requests.get(task)
-        return (
-            max(0.0, request.expires_at - now) if request is not None and request.state is RequestState.HOLDING else 0.0
-        )
+        return max(0.0, request.expires_at - now) if request is not None and request.is_held else 0.0
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
         """Handle an acceptor's answer or a transfer; other messages are ignored."""
-        request = (
-            self.requests.get(message.task)
-            if isinstance(message, Grant | Refusal | Transferred | NoteWritten)
-            else None
-        )
+        if not isinstance(message, Grant | Refusal | Transferred | NoteWritten):
+            return
+        request = self.requests.get(message.task)
         if request is None:
             return
         if isinstance(message, Grant):
@@ -231,7 +156,7 @@
     # Steps.
 
     def _advance(self, now: float, request: LeaseRequest) -> None:
-        if request.state is RequestState.HOLDING:
+        if request.is_held:
             if now >= request.expires_at:
                 self._expire(now, request)
             else:
@@ -246,15 +171,9 @@
     def _start_attempt(self, now: float, request: LeaseRequest) -> None:
         round_ = max(self.highest_rounds.get(request.task, 0), self.settings.round_floor) + 1
         self.highest_rounds[request.task] = round_
-        request.state, request.token, request.is_probing = (
-            RequestState.ACQUIRING,
-            FencingToken(round_, self.client_id),
-            True,
-        )
-        request.inherited_note, request.pending_note = NO_NOTE, None
-        request.ballots, request.refusals, request.acceptors_asked = {}, {}, set()
+        request.start_attempt(FencingToken(round_, self.client_id))
         self._last_request_id += 1
-        request.ballots[self._last_request_id] = Ballot(now)
+        request.open_ballot(self._last_request_id, now)
         request.next_step_at = now + self.settings.request_timeout_ms
         self._ask(request, self._acceptor_order(request.task)[0])
 
@@ -267,24 +186,21 @@
 
     def _renew(self, now: float, request: LeaseRequest) -> None:
         self._last_request_id += 1
-        request.ballots[self._last_request_id] = Ballot(now)
-        for seq in list(request.ballots)[:-MAX_OPEN_BALLOTS]:
-            del request.ballots[seq]
+        request.open_ballot(self._last_request_id, now)
         for acceptor in self.acceptors:
             self._ask(request, acceptor)
         self._send_pending_note(request)  # again, to acceptors that have not acknowledged it
-        request.next_step_at = min(request.expires_at, now + self.settings.safe_hold_ms(request.length_ms) / 3)
+        request.next_step_at = min(request.expires_at, now + self._renewal_interval_ms(request))
 
     def _ask(self, request: LeaseRequest, acceptor: str) -> None:
         request.acceptors_asked.add(acceptor)
-        self.outbox.append(
-            (
-                acceptor,
-                AcquireRequest(
-                    request.task, request.token, request.length_ms, self._last_request_id, self.config_number
-                ),
-            )
+        message = AcquireRequest(
+            request.task, request.token, request.length_ms, self._last_request_id, self.config_number
         )
+        self.outbox.append((acceptor, message))
+
+    def _renewal_interval_ms(self, request: LeaseRequest) -> float:
+        return self.settings.safe_hold_ms(request.length_ms) / RENEWALS_PER_LEASE
 
     def _on_grant(self, now: float, sender: str, request: LeaseRequest, answer: Grant) -> None:
         ballot = request.ballots.get(answer.request_id)
@@ -304,18 +220,18 @@
             self._ask_remaining(now, request)
 
     def _on_quorum(self, now: float, request: LeaseRequest, until: float) -> None:
-        if request.state is RequestState.HOLDING:
+        if request.is_held:
             if until > request.expires_at:
                 request.expires_at = until
             return
         request.state, request.expires_at, request.failed_attempts = RequestState.HOLDING, until, 0
-        request.next_step_at = min(until, now + self.settings.safe_hold_ms(request.length_ms) / 3)
+        request.next_step_at = min(until, now + self._renewal_interval_ms(request))
         self.events.append(LeaseAcquired(request.task, request.token, until, request.inherited_note))
 
     def _on_refusal(self, now: float, sender: str, request: LeaseRequest, answer: Refusal) -> None:
         self.highest_rounds[request.task] = max(self.highest_rounds.get(request.task, 0), answer.highest_token.round)
         if answer.reason is RefusalReason.HELD:
-            self.known_holders[request.task] = answer.highest_token, now + answer.retry_after_ms
+            self.known_holders[request.task] = KnownHolder(answer.highest_token, now + answer.retry_after_ms)
         if answer.config_number > self.config_number and answer.acceptors:
             self._adopt_config(now, answer.config_number, answer.acceptors)
         if (
@@ -345,16 +261,17 @@
         """The attempt has failed: release what was granted; retry when the task may be free, or, where no holder is
         known, after an exponential backoff.  Jitter separates the clients."""
         self._send_release(request, tuple(sorted(request.acceptors_asked)), "")
-        free = max(request.refusals.values(), default=now) if now >= request.reserved_until else now
-        request.failed_attempts = request.failed_attempts + 1 if free <= now and now >= request.reserved_until else 0
-        pause = self.settings.retry_pause_ms * 2 ** min(MAX_BACKOFF_DOUBLINGS, max(0, request.failed_attempts - 1))
-        request.state, request.next_step_at = RequestState.WAITING, max(now, free) + pause * (0.5 + self._jitter())
+        is_reserved = now < request.reserved_until
+        free_at = max(request.refusals.values(), default=now) if not is_reserved else now
+        request.failed_attempts = request.failed_attempts + 1 if free_at <= now and not is_reserved else 0
+        request.state = RequestState.WAITING
+        request.next_step_at = max(now, free_at) + self.backoff.pause_ms(request.failed_attempts)
         request.ballots, request.is_probing = {}, False
 
     def _expire(self, now: float, request: LeaseRequest) -> None:
-        self.events.append(LeaseLost(request.task, request.token, "expired"))
+        self.events.append(LeaseLost(request.task, request.token, LossReason.EXPIRED))
         request.state, request.expires_at, request.ballots = RequestState.WAITING, float("-inf"), {}
-        request.next_step_at = now + self.settings.retry_pause_ms * (0.5 + self._jitter())
+        request.next_step_at = now + self.backoff.pause_ms()
 
     def _send_release(self, request: LeaseRequest, acceptors: tuple[str, ...], successor: str) -> None:
         for acceptor in acceptors:
@@ -366,27 +283,14 @@
         shift = crc32(task.encode()) % len(self.acceptors)
         return [*self.acceptors[shift:], *self.acceptors[:shift]]
 
-    def _jitter(self) -> float:
-        """Pseudo-random number from 0 to 1; the same sequence for the same client id."""
-        self._jitter_draws += 1
-        return crc32(f"{self.client_id} {self._jitter_draws}".encode()) / 2**32
-
     # For the model checker.
 
     def clone(self) -> LeaseClient:
         """An independent copy."""
         clone = LeaseClient.__new__(type(self))
         clone.__dict__.update(self.__dict__)
-        clone.requests = {
-            task: replace(
-                request,
-                ballots={seq: Ballot(q.sent_at, set(q.granted_by)) for seq, q in request.ballots.items()},
-                acceptors_asked=set(request.acceptors_asked),
-                refusals=dict(request.refusals),
-                note_acceptors=set(request.note_acceptors),
-            )
-            for task, request in self.requests.items()
-        }
+        clone.requests = {task: request.clone() for task, request in self.requests.items()}
+        clone.backoff = self.backoff.clone()
         clone.highest_rounds, clone.known_holders = dict(self.highest_rounds), dict(self.known_holders)
         clone.outbox, clone.events = self.outbox.copy(), self.events.copy()
         return clone
--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -18,7 +18,8 @@
 from .acceptor import Acceptor
 from .acceptor_state import Write
 from .acceptor_store import open_acceptor_store
-from .client import LeaseAcquired, LeaseClient, LeaseLost, NoteStored
+from .client import LeaseClient
+from .events import LeaseAcquired, LeaseEvent, NoteStored
 from .messages import (
     AcquireRequest,
     FencingToken,
@@ -202,7 +203,7 @@
             if write.state is not None:
                 self._log.info("voter", stage=before.value, number=self.acceptor.config_number)
 
-    def _notify(self, event: LeaseAcquired | LeaseLost | NoteStored) -> None:
+    def _notify(self, event: LeaseEvent) -> None:
         on_acquired, on_lost, on_note_stored = self._callbacks[event.task]
         if isinstance(event, NoteStored):
             if on_note_stored is not None:
@@ -212,8 +213,8 @@
             self._log.info("lease-acquired", task=event.task, token=str(event.token))
             on_acquired(event.token)
         else:
-            self._log.info("lease-lost", task=event.task, token=str(event.token), reason=event.reason)
-            on_lost(event.token, event.reason)
+            self._log.info("lease-lost", task=event.task, token=str(event.token), reason=event.reason.value)
+            on_lost(event.token, event.reason.value)
 
     def _update_connections(self) -> None:
         self._connected_acceptors = self.client.acceptors
--- a/kelptrail/lease/model.py
+++ b/kelptrail/lease/model.py
@@ -15,7 +15,8 @@
 from kelptrail.model_checking.explorer import PropertyError, Step
 
 from .acceptor import Acceptor
-from .client import LeaseAcquired, LeaseClient, NoteStored
+from .client import LeaseClient
+from .events import LeaseAcquired, NoteStored
 from .messages import LeaseNote
 from .model_state import TASK, Budget, Disk, InFlight, ModelSetup, ModelState
 
--- a/kelptrail/lease/model_state.py
+++ b/kelptrail/lease/model_state.py
@@ -204,7 +204,7 @@
     def _client_key(self, name: str) -> Iterator[Hashable]:
         client, now = self.clients[name], self.local_time(name)
         highest_round = client.highest_rounds.get(TASK, 0)
-        yield name, client.client_id, client._last_request_id, client._jitter_draws, highest_round
+        yield name, client.client_id, client._last_request_id, client.backoff.draws, highest_round
         request = client.requests.get(TASK)
         if request is None:
             return
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -14,7 +14,9 @@
 from kelptrail.lease.acceptor import Acceptor
 from kelptrail.lease.acceptor_state import DurableState, LeaseRecord, Stage, Write
 from kelptrail.lease.acceptor_store import open_acceptor_store
-from kelptrail.lease.client import LeaseAcquired, LeaseClient, LeaseLost, RequestState
+from kelptrail.lease.client import LeaseClient
+from kelptrail.lease.events import LeaseAcquired, LeaseLost, LossReason
+from kelptrail.lease.lease_request import RequestState
 from kelptrail.lease.messages import (
     NO_TOKEN,
     AcquireRequest,
@@ -311,7 +313,7 @@
     asker.on_message(78.0, "stranger", Grant("t", token, second[0][1].request_id))
     assert asker.remaining_ms(78.0, "t") == pytest.approx(40.0 + until - 78.0)
     asker.tick(200.0)
-    assert asker.events.popleft() == LeaseLost("t", token, "expired") and asker.held_token(200.0, "t") is None
+    assert asker.events.popleft() == LeaseLost("t", token, LossReason.EXPIRED) and asker.held_token(200.0, "t") is None
 
 
 def test_answers_of_the_set_before_do_not_count_for_the_next() -> None:
@@ -363,7 +365,9 @@
     pump(10.0)
     second = askers["z"].held_token(10.0, "t")
     assert second is not None and second > first and told.count("z") == 3
-    assert askers["y"].held_token(10.0, "t") is None and held_by.events.pop() == LeaseLost("t", first, "released")
+    assert askers["y"].held_token(10.0, "t") is None and held_by.events.pop() == LeaseLost(
+        "t", first, LossReason.RELEASED
+    )
 
 
 def test_a_fleet_that_waits_is_given_places_one_after_another() -> None:
