--- a/kelptrail/lease/acceptor_store.py
+++ b/kelptrail/lease/acceptor_store.py
@@ -9,52 +9,56 @@
 import contextlib
 from collections.abc import Iterable
 from pathlib import Path
+from typing import NamedTuple
 from zlib import crc32
 
-import apsw
 import msgspec
 
-from kelptrail.store.activation_journal import JournalError
+from kelptrail.store.database import (
+    DAMAGE_MARKS,
+    FILE_SUFFIXES,
+    Database,
+    JournalError,
+    free_damaged_name,
+    journal_errors,
+)
 
 from .acceptor_state import DurableState, Stage, Write
 from .messages import LeaseRow
 
 FORMAT_VERSION = 2  # 1: rows had no note
 CREATE_TABLE = "CREATE TABLE kept (name TEXT PRIMARY KEY, crc INTEGER NOT NULL, body BLOB NOT NULL) WITHOUT ROWID"
-DAMAGE_WORDS = ("NotADB", "Corrupt", "malformed", "not a database", "DecodeError", "ValidationError")
+UNREADABLE_ROW_MARKS = ("DecodeError", "ValidationError")  # in the text of an error, beside `DAMAGE_MARKS`
 STATE_ROW = ""  # the name of the row that holds `DurableState`
 
 _decode_row = msgspec.msgpack.Decoder(LeaseRow).decode
 _decode_state = msgspec.msgpack.Decoder(tuple[int, str, bool]).decode
 
 
+class AcceptorContents(NamedTuple):
+    """What a store has: the acceptor's state, if it has one, and the rows of its tasks."""
+
+    state: DurableState | None
+    rows: tuple[LeaseRow, ...]
+
+
 class AcceptorStore:
     """One database file; to be used by one thread at a time."""
 
     def __init__(self, file: Path, vfs: str | None = None) -> None:
-        try:
-            self._db = apsw.Connection(str(file), vfs=vfs)
-            self._db.set_busy_timeout(0)
-            self._run("PRAGMA journal_mode=WAL")
-            self._run("PRAGMA synchronous=FULL")
-            version = self._run("PRAGMA user_version")[0][0]
-            if version > FORMAT_VERSION:
-                raise JournalError(f"format {version} is newer than {FORMAT_VERSION}, which is known here")
+        with journal_errors():
+            self._database = Database(file, vfs)
+            version = self._database.format_version(FORMAT_VERSION)
             if not version:
-                self._run(CREATE_TABLE)
+                self._database.run(CREATE_TABLE)
             if version < FORMAT_VERSION:  # rows of format 1 are read as they are: what was added has a default
-                self._run(f"PRAGMA user_version={FORMAT_VERSION}")
-        except apsw.Error as cause:
-            raise JournalError(f"{type(cause).__name__}: {cause}") from None
+                self._database.set_format_version(FORMAT_VERSION)
 
-    def _run(self, text: str, values: tuple[object, ...] = ()) -> list[tuple]:
-        return list(self._db.execute(text, values))
-
-    def read(self) -> tuple[DurableState | None, tuple[LeaseRow, ...]]:
+    def read(self) -> AcceptorContents:
         """Read everything.  Raises `JournalError` where any of it cannot be read."""
-        state, rows = None, []
-        try:
-            for name, crc, body in self._db.execute("SELECT name, crc, body FROM kept ORDER BY name"):
+        state, rows = None, list[LeaseRow]()
+        with journal_errors(msgspec.MsgspecError, ValueError):
+            for name, crc, body in self._database.rows("SELECT name, crc, body FROM kept ORDER BY name"):
                 if crc32(body) != crc:
                     raise JournalError(f"Corrupt: the row {name!r}")
                 if name == STATE_ROW:
@@ -62,64 +66,63 @@
                     state = DurableState(config_number, Stage(stage), sealed_previous)
                 else:
                     rows.append(_decode_row(body))
-        except (apsw.Error, msgspec.MsgspecError, ValueError) as cause:
-            raise JournalError(f"{type(cause).__name__}: {cause}") from None
-        return state, tuple(rows)
+        return AcceptorContents(state, tuple(rows))
 
     def commit(self, writes: Iterable[Write]) -> None:
         """Commit the writes atomically.  Raises `JournalError`."""
-        kept: dict[str, bytes] = {}
+        bodies: dict[str, bytes] = {}
         for write in writes:
-            kept |= {row.task: msgspec.msgpack.encode(row) for row in write.rows}
+            bodies |= {row.task: msgspec.msgpack.encode(row) for row in write.rows}
             if write.state is not None:
-                state = write.state
-                kept[STATE_ROW] = msgspec.msgpack.encode(
-                    (state.config_number, state.stage.value, state.sealed_previous)
-                )
-        try:
-            self._run("BEGIN IMMEDIATE")
-            self._db.executemany(
-                "INSERT OR REPLACE INTO kept VALUES (?, ?, ?)",
-                [(name, crc32(body), body) for name, body in kept.items()],
-            )
-            self._run("COMMIT")
-        except apsw.Error as cause:
-            if self._db.in_transaction:
-                with contextlib.suppress(apsw.Error):
-                    self._run("ROLLBACK")
-            raise JournalError(f"{type(cause).__name__}: {cause}") from None
+                bodies[STATE_ROW] = _encode_state(write.state)
+        rows = [(name, crc32(body), body) for name, body in bodies.items()]
+        with journal_errors(), self._database.transaction():
+            self._database.run_many("INSERT OR REPLACE INTO kept VALUES (?, ?, ?)", rows)
 
     def forget(self, ids: Iterable[str]) -> None:
-        """Keep everything: a later token must be above every earlier one."""
+        """Does nothing: no row is deleted, as a later token must be above every earlier one."""
 
     def close(self) -> None:
         """Close the file."""
-        with contextlib.suppress(apsw.Error):
-            self._db.close()
+        self._database.close()
 
 
-def open_acceptor_store(
-    file: Path, vfs: str | None = None
-) -> tuple[AcceptorStore, DurableState | None, tuple[LeaseRow, ...], str]:
-    """Open a store and read it; a damaged file is renamed, and the last item gives the reason.
+def _encode_state(state: DurableState) -> bytes:
+    return msgspec.msgpack.encode((state.config_number, state.stage.value, state.sealed_previous))
+
+
+class OpenedAcceptorStore(NamedTuple):
+    """A store and its contents; `damage`: why a file in its place was renamed, empty if none was."""
+
+    store: AcceptorStore
+    state: DurableState | None
+    rows: tuple[LeaseRow, ...]
+    damage: str
+
+
+def open_acceptor_store(file: Path, vfs: str | None = None) -> OpenedAcceptorStore:
+    """Open a store and read it; a damaged file is renamed.
 
     Raises `JournalError` where no file can be created, or the disk fails: then its content may still be intact."""
     try:
         store = AcceptorStore(file, vfs)
         try:
-            return (store, *store.read(), "")
+            contents = store.read()
         except JournalError:
             store.close()
             raise
+        return OpenedAcceptorStore(store, contents.state, contents.rows, "")
     except JournalError as cause:
-        reason = str(cause)
-        if not any(word in reason for word in DAMAGE_WORDS):
+        damage = str(cause)
+        if not any(mark in damage for mark in (*DAMAGE_MARKS, *UNREADABLE_ROW_MARKS)):
             raise
-    number = 1
-    while (aside := file.with_name(f"{file.name}.damaged-{number}")).exists():
-        number += 1
-    for end in ("", "-wal", "-shm"):
-        part = file.with_name(file.name + end)
+    _move_aside_if_possible(file)
+    return OpenedAcceptorStore(AcceptorStore(file, vfs), None, (), damage)
+
+
+def _move_aside_if_possible(file: Path) -> None:
+    """Rename a damaged database; what cannot be renamed stays, and opening it again reports why."""
+    aside = free_damaged_name(file)
+    for suffix in FILE_SUFFIXES:
         with contextlib.suppress(OSError):
-            part.rename(aside.with_name(aside.name + end))
-    return AcceptorStore(file, vfs), None, (), reason
+            file.with_name(file.name + suffix).rename(aside.with_name(aside.name + suffix))
--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -11,7 +11,7 @@
 
 from kelptrail.clock import now_ms
 from kelptrail.peers.driver import Peers
-from kelptrail.store.activation_journal import JournalError
+from kelptrail.store.database import JournalError
 from kelptrail.store.driver import JournalDriver
 from kelptrail.store.group_commit import GroupCommit
 
@@ -65,15 +65,17 @@
     def start_acceptor(self, file: Path, vfs: str | None = None) -> bool:
         """Run an acceptor with its store in `file`.  False, and no acceptor, where the store cannot be used."""
         try:
-            store, state, rows, reason = open_acceptor_store(file, vfs)
+            opened = open_acceptor_store(file, vfs)
         except JournalError as cause:
             self._log.error("acceptor-store-unusable", file=str(file), reason=str(cause))
             return False
-        if reason:
-            self._log.error("acceptor-store-set-aside", file=str(file), reason=reason)
-        self.acceptor = Acceptor(self.name, self.settings, now_ms(), state, rows)
-        self._log.info("voter", stage=self.acceptor.stage.value, number=self.acceptor.config_number, tasks=len(rows))
-        self._journal = JournalDriver(GroupCommit(), store, self.run_pending, self._log)
+        if opened.damage:
+            self._log.error("acceptor-store-set-aside", file=str(file), reason=opened.damage)
+        acceptor = self.acceptor = Acceptor(self.name, self.settings, now_ms(), opened.state, opened.rows)
+        self._log.info(
+            "acceptor-stage", stage=acceptor.stage.value, number=acceptor.config_number, tasks=len(opened.rows)
+        )
+        self._journal = JournalDriver(GroupCommit(), opened.store, self.run_pending, self._log)
         return True
 
     def start(self) -> None:
@@ -201,7 +203,7 @@
             before = self.acceptor.stage
             self.acceptor.on_written(write, safe)
             if write.state is not None:
-                self._log.info("voter", stage=before.value, number=self.acceptor.config_number)
+                self._log.info("acceptor-stage", stage=before.value, number=self.acceptor.config_number)
 
     def _notify(self, event: LeaseEvent) -> None:
         on_acquired, on_lost, on_note_stored = self._callbacks[event.task]
--- a/kelptrail/replication/messages.py
+++ b/kelptrail/replication/messages.py
@@ -46,7 +46,7 @@
 
 
 class ReplicaEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One journal entry.  `data` is the output of `store.entries.pack`.
+    """One journal entry.  `data` is the output of `store.entries.encode_entry`.
 
     `age_ms` is its age when it was sent: counted from the acceptance of the call, or, for a may-run entry, from its
     write.
--- a/kelptrail/replication/primary_handle.py
+++ b/kelptrail/replication/primary_handle.py
@@ -45,9 +45,9 @@
 
         For an accepted call it gets False if the journal is under-replicated, for other entries always True.
         """
-        data, _ = encode_entry(entry)
+        data = encode_entry(entry).data
         if isinstance(entry, Ended) and len(data) > self.primary.settings.max_entry_bytes:
-            data, _ = encode_entry(msgspec.structs.replace(entry, result=RESULT_TOO_LARGE))
+            data = encode_entry(msgspec.structs.replace(entry, result=RESULT_TOO_LARGE)).data
         accepted = isinstance(entry, Accepted)
         age_ms = max(0.0, wall_ms() - entry.start) if isinstance(entry, Accepted) else 0.0
         on_commit = waiter if accepted or waiter is None else (lambda _fully_replicated: waiter(True))
--- a/kelptrail/replication/replica_store.py
+++ b/kelptrail/replication/replica_store.py
@@ -7,26 +7,25 @@
 
 from __future__ import annotations
 
-import contextlib
 import os
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import NamedTuple, cast
 from zlib import crc32
 
-import apsw
 import msgspec
 
 from kelptrail.lease.messages import FencingToken
-from kelptrail.store.activation_journal import ActivationEntries, JournalError
+from kelptrail.store.activation_journal import ActivationEntries
+from kelptrail.store.database import DAMAGE_MARKS, Database, JournalError, journal_errors, move_aside
 from kelptrail.store.entries import Accepted, CorruptEntryError, Ended, MayRun, decode_entry
 
-from .messages import BUCKETS, ReplicaEntry, bucket_of, entry_digest, pack_digests
+from .messages import ALL_BUCKETS, BUCKETS, NO_BUCKETS, ReplicaEntry, bucket_of, entry_digest, pack_digests
 from .replica import Fence, ReplicaWrite
 
 FORMAT = 1
-DAMAGE_MARKS = ("NotADB", "Corrupt", "malformed", "not a database")
+DISK_ID_BYTES = 6
 TABLES = (
     "CREATE TABLE disk (name TEXT NOT NULL)",
     """CREATE TABLE shelves (book TEXT PRIMARY KEY, round INTEGER NOT NULL, who TEXT NOT NULL, owner TEXT NOT NULL,
@@ -55,45 +54,23 @@
     def __init__(self, file: Path | None, vfs: str | None = None) -> None:
         self.digests: dict[str, list[int]] = {}  # as committed
         self._staged: dict[str, list[int]] = {}
-        try:
-            self._db = apsw.Connection(
-                str(file) if file is not None else ":memory:", vfs=vfs if file is not None else None
-            )
-            self._db.set_busy_timeout(0)
-            self._run("PRAGMA journal_mode=WAL")
-            self._run("PRAGMA synchronous=FULL")
-            version = self._run("PRAGMA user_version")[0][0]
-            if version > FORMAT:
-                raise JournalError(f"format {version} is newer than {FORMAT}, which is known here")
-            if not version:
-                with self._transaction():
-                    for table in TABLES:
-                        self._run(table)
-                    self._run("INSERT INTO disk VALUES (?)", (os.urandom(6).hex(),))
-                    self._run(f"PRAGMA user_version={FORMAT}")
-            self.disk_id = str(self._run("SELECT name FROM disk")[0][0])
-            for journal_id, bucket, id_, kind, crc in self._db.execute(
+        with journal_errors(IndexError):
+            self._database = Database(file, vfs)
+            if not self._database.format_version(FORMAT):
+                self._create_tables()
+            self.disk_id = str(self._database.run("SELECT name FROM disk")[0][0])
+            for journal_id, bucket, id_, kind, crc in self._database.rows(
                 "SELECT book, bucket, id, kind, crc FROM entries"
             ):
                 self._staged_digests(journal_id)[bucket] ^= entry_digest(id_, kind, crc)
             self.digests = self._staged
-        except (apsw.Error, IndexError) as cause:
-            raise JournalError(f"{type(cause).__name__}: {cause}") from None
-
-    def _run(self, text: str, values: tuple[object, ...] = ()) -> list[tuple]:
-        return list(self._db.execute(text, values))
-
-    @contextlib.contextmanager
-    def _transaction(self) -> Iterator[None]:
-        self._run("BEGIN IMMEDIATE")
-        try:
-            yield
-            self._run("COMMIT")
-        except apsw.Error:
-            if self._db.in_transaction:
-                with contextlib.suppress(apsw.Error):
-                    self._run("ROLLBACK")
-            raise
+
+    def _create_tables(self) -> None:
+        with self._database.transaction():
+            for table in TABLES:
+                self._database.run(table)
+            self._database.run("INSERT INTO disk VALUES (?)", (os.urandom(DISK_ID_BYTES).hex(),))
+            self._database.set_format_version(FORMAT)
 
     def _staged_digests(self, journal_id: str) -> list[int]:
         return self._staged.setdefault(journal_id, [0] * BUCKETS)
@@ -106,32 +83,29 @@
         """Newest token and primary of each journal."""
         return {
             journal_id: Fence(FencingToken(round_, who), primary)
-            for journal_id, round_, who, primary in self._run("SELECT book, round, who, owner FROM shelves")
+            for journal_id, round_, who, primary in self._database.run("SELECT book, round, who, owner FROM shelves")
         }
 
     def activation_ids(self) -> set[str]:
         """Ids of the activations in any journal."""
-        return {id_ for (id_,) in self._run("SELECT DISTINCT id FROM entries")}
+        return {id_ for (id_,) in self._database.run("SELECT DISTINCT id FROM entries")}
 
     def commit(self, requests: Iterable[ReplicaWrite | ReadRequest]) -> None:
         """Carry out reads and writes in order, in one transaction.  Raises `JournalError`."""
         self._staged = {journal_id: list(digests) for journal_id, digests in self.digests.items()}
-        try:
-            with self._transaction():
-                for write in requests:
-                    if isinstance(write, ReadRequest):
-                        self._read(write)
-                    else:
-                        self._apply(write)
-        except apsw.Error as cause:
-            raise JournalError(f"{type(cause).__name__}: {cause}") from None
+        with journal_errors(), self._database.transaction():
+            for request in requests:
+                if isinstance(request, ReadRequest):
+                    self._read(request)
+                else:
+                    self._apply(request)
         self.digests = self._staged
 
     def _apply(self, write: ReplicaWrite) -> None:
         journal_id = write.journal_id
         if write.fence is not None:
             token, primary = write.fence
-            self._run(
+            self._database.run(
                 "INSERT OR REPLACE INTO shelves VALUES (?, ?, ?, ?, ?)",
                 (journal_id, token.round, token.client_id, primary, write.wall_ms),
             )
@@ -139,7 +113,7 @@
         for item in write.entries:
             bucket, crc = bucket_of(item.id), crc32(item.data)
             self._delete_rows(digests, journal_id, bucket, "id = ? AND kind = ?", (item.id, item.kind))
-            self._run(
+            self._database.run(
                 "INSERT INTO entries VALUES (?, ?, ?, ?, ?, ?, ?)",
                 (journal_id, bucket, item.id, item.kind, write.wall_ms - item.age_ms - write.delay_ms, crc, item.data),
             )
@@ -148,24 +122,24 @@
             self._delete_rows(digests, journal_id, bucket_of(id_), "id = ?", (id_,))
         if write.trimmed_bucket >= 0:
             only = set(write.retained)
-            here = self._run(
+            here = self._database.run(
                 "SELECT id, kind FROM entries WHERE book = ? AND bucket = ?", (journal_id, write.trimmed_bucket)
             )
             for id_, kind in here:
                 if (id_, kind) not in only:
                     self._delete_rows(digests, journal_id, write.trimmed_bucket, "id = ? AND kind = ?", (id_, kind))
-        if write.digest_range == (0, -1):
+        if write.digest_range == ALL_BUCKETS:
             write.digests = pack_digests(digests)
-        elif write.digest_range != (0, 0):
+        elif write.digest_range != NO_BUCKETS:
             write.digests = pack_digests(self._digests_on_disk(journal_id, *write.digest_range))
         if write.closes:
-            self._run("DELETE FROM entries WHERE book = ?", (journal_id,))  # the token stays
+            self._database.run("DELETE FROM entries WHERE book = ?", (journal_id,))  # the token stays
             self._staged.pop(journal_id, None)
 
     def _delete_rows(
         self, digests: list[int], journal_id: str, bucket: int, where: str, values: tuple[object, ...]
     ) -> None:
-        for id_, kind, crc in self._run(
+        for id_, kind, crc in self._database.run(
             "DELETE FROM entries WHERE book = ? AND bucket = ? AND " + where + " RETURNING id, kind, crc",
             (journal_id, bucket, *values),
         ):
@@ -174,7 +148,7 @@
     def _digests_on_disk(self, journal_id: str, first: int, upto: int) -> list[int]:
         """Digests of some buckets, computed from the rows on disk."""
         out = [0] * (upto - first)
-        for bucket, id_, kind, body in self._db.execute(
+        for bucket, id_, kind, body in self._database.rows(
             "SELECT bucket, id, kind, body FROM entries WHERE book = ? AND bucket >= ? AND bucket < ?",
             (journal_id, first, upto),
         ):
@@ -185,14 +159,14 @@
         if request.bucket >= 0:
             request.entries = tuple(
                 ReplicaEntry(id_, kind, max(0.0, request.wall_ms - since), bytes(body))
-                for id_, kind, since, body in self._run(
+                for id_, kind, since, body in self._database.run(
                     "SELECT id, kind, since, body FROM entries WHERE book = ? AND bucket = ? ORDER BY id, kind",
                     (request.journal_id, request.bucket),
                 )
             )
             return
         activation, shift = cast(ActivationEntries | None, None), 0.0
-        for id_, kind, since, crc, body in self._db.execute(
+        for id_, kind, since, crc, body in self._database.rows(
             "SELECT id, kind, since, crc, body FROM entries WHERE book = ? ORDER BY bucket, id, kind",
             (request.journal_id,),
         ):
@@ -219,12 +193,11 @@
 
     def activation_count(self, journal_id: str) -> int:
         """Number of activations in a journal."""
-        return int(self._run("SELECT count(*) FROM entries WHERE book = ? AND kind = 0", (journal_id,))[0][0])
+        return int(self._database.run("SELECT count(*) FROM entries WHERE book = ? AND kind = 0", (journal_id,))[0][0])
 
     def close(self) -> None:
         """Close the database; committed data stays."""
-        with contextlib.suppress(apsw.Error):
-            self._db.close()
+        self._database.close()
 
 
 class OpenedStore(NamedTuple):
@@ -243,13 +216,7 @@
     try:
         return OpenedStore(ReplicaStore(file, vfs), None)
     except JournalError as cause:
-        if file is None or not any(word in str(cause) for word in DAMAGE_MARKS):
+        if file is None or not any(mark in str(cause) for mark in DAMAGE_MARKS):
             raise
-    number = 1
-    while (aside := file.with_name(f"{file.name}.damaged-{number}")).exists():
-        number += 1
-    for end in ("", "-wal", "-shm"):
-        part = file.with_name(file.name + end)
-        if part.exists():
-            part.rename(aside.with_name(aside.name + end))
+    aside = move_aside(file)
     return OpenedStore(ReplicaStore(file, vfs), aside)
--- a/kelptrail/store/activation_journal.py
+++ b/kelptrail/store/activation_journal.py
@@ -9,10 +9,13 @@
 import contextlib
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
+from functools import partial
 from pathlib import Path
+from typing import NamedTuple
 
 import apsw
 
+from .database import DAMAGE_MARKS, Database, JournalError, journal_errors, move_aside
 from .entries import FORMAT, Accepted, CorruptEntryError, Ended, Entry, MayRun, decode_entry, encode_entry
 from .wal import drop_uncommitted
 
@@ -22,17 +25,8 @@
 INDEX = "CREATE INDEX by_start ON entries (start)"
 
 
-class JournalError(Exception):
-    """The journal could not be opened, read or written; the text is the library's."""
-
-
-@contextlib.contextmanager
-def _library_errors() -> Iterator[None]:
-    """Raise errors of the library as `JournalError`."""
-    try:
-        yield
-    except apsw.Error as cause:
-        raise JournalError(f"{type(cause).__name__}: {cause}") from None
+MIN_PAGES = 16  # of a file, however small `max_bytes` is
+MAX_FREED_PAGES = 2000  # returned to the file system at a time
 
 
 @dataclass(slots=True)
@@ -49,53 +43,37 @@
 
     def __init__(self, file: Path, max_bytes: float = 1e12, vfs: str | None = None) -> None:
         self.file, self.damaged = file, 0
-        with _library_errors():
-            self._db = apsw.Connection(str(file), vfs=vfs)
-            self._db.set_busy_timeout(0)
-            self._run("PRAGMA journal_mode=WAL")
-            self._run("PRAGMA synchronous=FULL")
-            self._run("PRAGMA auto_vacuum=INCREMENTAL")
-            size = self._run("PRAGMA page_size")[0][0]
-            self._run(f"PRAGMA max_page_count={max(16, int(max_bytes // size))}")
-            self._prepare(self._run("PRAGMA user_version")[0][0])
-
-    def _run(self, text: str, values: tuple[object, ...] = ()) -> list[tuple]:
-        return list(self._db.execute(text, values))
-
-    @contextlib.contextmanager
-    def _transaction(self) -> Iterator[None]:
-        """Commit everything done within, or none of it; some errors have rolled back already."""
-        self._run("BEGIN IMMEDIATE")
-        try:
-            yield
-            self._run("COMMIT")
-        except apsw.Error:
-            if self._db.in_transaction:
-                with contextlib.suppress(apsw.Error):
-                    self._run("ROLLBACK")
-            drop_uncommitted(self.file)
-            raise
+        with journal_errors():
+            self._database = Database(file, vfs)
+            self._database.run("PRAGMA auto_vacuum=INCREMENTAL")
+            page_size = self._database.run("PRAGMA page_size")[0][0]
+            self._database.run(f"PRAGMA max_page_count={max(MIN_PAGES, int(max_bytes // page_size))}")
+            self._prepare(self._database.format_version(FORMAT))
+
+    def _transaction(self) -> contextlib.AbstractContextManager[None]:
+        """Commit everything done within, or none of it, also after a crash."""
+        return self._database.transaction(after_rollback=partial(drop_uncommitted, self.file))
 
     def _prepare(self, version: int) -> None:
-        if version > FORMAT:
-            raise JournalError(f"format {version} is newer than {FORMAT}, which is known here")
         if version == 0:
             with self._transaction():
-                self._run(TABLE)
-                self._run(INDEX)
-                self._run(f"PRAGMA user_version={FORMAT}")
+                self._database.run(TABLE)
+                self._database.run(INDEX)
+                self._database.set_format_version(FORMAT)
         elif version == 1:  # entries of format 1 are read as they are: what was added has defaults
             with self._transaction():
-                self._run("ALTER TABLE rows RENAME TO entries")
-                self._run(INDEX)
-                self._run(f"PRAGMA user_version={FORMAT}")
+                self._database.run("ALTER TABLE rows RENAME TO entries")
+                self._database.run(INDEX)
+                self._database.set_format_version(FORMAT)
         elif version < FORMAT:
-            self._run(f"PRAGMA user_version={FORMAT}")
+            self._database.set_format_version(FORMAT)
 
     def clear_orphans(self) -> None:
         """Delete entries without an accepted entry: their activations never became durable.  Raises `JournalError`."""
-        with _library_errors(), self._transaction():
-            self._run("DELETE FROM entries WHERE kind != 0 AND id NOT IN (SELECT id FROM entries WHERE kind = 0)")
+        with journal_errors(), self._transaction():
+            self._database.run(
+                "DELETE FROM entries WHERE kind != 0 AND id NOT IN (SELECT id FROM entries WHERE kind = 0)"
+            )
 
     def commit(self, entries: Iterable[Entry]) -> None:
         """Make entries durable, all or none; an entry written again is left as it was.  Raises `JournalError`."""
@@ -104,15 +82,17 @@
             data, crc = encode_entry(entry)
             start = entry.start if isinstance(entry, Accepted) else 0.0
             rows.append((entry.id, KINDS[type(entry)], start, crc, data))
-        with _library_errors(), self._transaction():
-            self._db.executemany("INSERT OR IGNORE INTO entries VALUES (?, ?, ?, ?, ?)", rows)
+        with journal_errors(), self._transaction():
+            self._database.run_many("INSERT OR IGNORE INTO entries VALUES (?, ?, ?, ?, ?)", rows)
 
     def activations(self) -> Iterator[ActivationEntries]:
         """All activations in order of their start; damaged rows are counted and skipped.  Raises `JournalError`."""
-        with _library_errors():
-            for (id_,) in self._db.execute("SELECT id FROM entries WHERE kind = 0 ORDER BY start, id"):
+        with journal_errors():
+            for (id_,) in self._database.rows("SELECT id FROM entries WHERE kind = 0 ORDER BY start, id"):
                 activation: ActivationEntries | None = None
-                for crc, body in self._db.execute("SELECT crc, body FROM entries WHERE id = ? ORDER BY kind", (id_,)):
+                for crc, body in self._database.rows(
+                    "SELECT crc, body FROM entries WHERE id = ? ORDER BY kind", (id_,)
+                ):
                     try:
                         entry = decode_entry(bytes(body), crc)
                     except CorruptEntryError:
@@ -132,39 +112,36 @@
 
     def forget(self, ids: Iterable[str]) -> None:
         """Delete activations whose records are no longer kept, and free their pages.  Raises `JournalError`."""
-        with _library_errors():
+        with journal_errors():
             with self._transaction():
-                self._db.executemany("DELETE FROM entries WHERE id = ?", [(id_,) for id_ in ids])
-            self._run("PRAGMA incremental_vacuum(2000)")
+                self._database.run_many("DELETE FROM entries WHERE id = ?", [(id_,) for id_ in ids])
+            self._database.run(f"PRAGMA incremental_vacuum({MAX_FREED_PAGES})")
 
     def count(self) -> int:
         """The number of activations."""
-        return int(self._run("SELECT count(*) FROM entries WHERE kind = 0")[0][0])
+        return int(self._database.run("SELECT count(*) FROM entries WHERE kind = 0")[0][0])
 
     def close(self) -> None:
         """Close the file; what was committed stays."""
-        with contextlib.suppress(apsw.Error):
-            self._db.close()
+        self._database.close()
+
+
+class OpenedJournal(NamedTuple):
+    """A journal, and the name to which an unreadable file in its place was moved, if there was one."""
 
+    journal: ActivationJournal
+    set_aside: Path | None
 
-def open_journal(file: Path, max_bytes: float = 1e12, vfs: str | None = None) -> tuple[ActivationJournal, Path | None]:
-    """Open a journal.  Raises `JournalError`.
 
-    A file that cannot be read is renamed first; its new name is returned, else None.
-    """
+def open_journal(file: Path, max_bytes: float = 1e12, vfs: str | None = None) -> OpenedJournal:
+    """Open a journal; a file that cannot be read is renamed first.  Raises `JournalError`."""
     try:
         journal = ActivationJournal(file, max_bytes, vfs)
         journal.clear_orphans()
-        return journal, None
+        return OpenedJournal(journal, None)
     except (JournalError, apsw.Error) as cause:
         text = str(cause)
-        if not any(word in text for word in ("NotADB", "Corrupt", "malformed", "not a database")):
+        if not any(mark in text for mark in DAMAGE_MARKS):
             raise JournalError(text) from None
-    number = 1
-    while (aside := file.with_name(f"{file.name}.damaged-{number}")).exists():
-        number += 1
-    for suffix in ("", "-wal", "-shm"):
-        part = file.with_name(file.name + suffix)
-        if part.exists():
-            part.rename(aside.with_name(aside.name + suffix))
-    return ActivationJournal(file, max_bytes, vfs), aside
+    aside = move_aside(file)
+    return OpenedJournal(ActivationJournal(file, max_bytes, vfs), aside)
--- a/kelptrail/store/driver.py
+++ b/kelptrail/store/driver.py
@@ -9,7 +9,7 @@
 
 from kelptrail.clock import now_ms
 
-from .activation_journal import JournalError
+from .database import JournalError
 from .group_commit import Batch, GroupCommit
 
 MAX_FORGET_BATCH = 500  # activations deleted in one transaction: a commit may have to wait for it
--- a/kelptrail/store/entries.py
+++ b/kelptrail/store/entries.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 import zlib
+from typing import NamedTuple
 
 import msgspec
 import zstandard
@@ -64,19 +65,26 @@
     """Bytes that are no entry: altered, truncated or of another format."""
 
 
-def encode_entry(entry: Entry) -> tuple[bytes, int]:
-    """An entry as bytes, large results compressed, with a checksum over the bytes."""
+class EncodedEntry(NamedTuple):
+    """An entry as bytes, and the CRC-32 of the bytes."""
+
+    data: bytes
+    crc: int
+
+
+def encode_entry(entry: Entry) -> EncodedEntry:
+    """Encode an entry; large results are compressed."""
     if isinstance(entry, Ended) and len(entry.result) >= COMPRESS_FROM and not entry.packed:
         small = zstandard.compress(entry.result)
         if len(small) < len(entry.result):
             entry = msgspec.structs.replace(entry, result=small, packed=True)
     data = _encode(entry)
-    return data, zlib.crc32(data)
+    return EncodedEntry(data, zlib.crc32(data))
 
 
-def decode_entry(data: bytes, check: int) -> Entry:
-    """Bytes as an entry, its result as it was.  Raises `DamagedError`."""
-    if zlib.crc32(data) != check:
+def decode_entry(data: bytes, crc: int) -> Entry:
+    """Decode an entry, its result uncompressed.  Raises `CorruptEntryError`."""
+    if zlib.crc32(data) != crc:
         raise CorruptEntryError("the checksum does not fit")
     try:
         entry = _decode(data)
--- a/kelptrail/store/faulty_disk.py
+++ b/kelptrail/store/faulty_disk.py
@@ -1,7 +1,7 @@
-"""A stand-in for a failing disk: a layer under the journal whose syncs and writes take long or fail on request.
+"""A faulty disk for tests: a layer under the journal whose syncs and writes take long or fail on request.
 
 The file holds JSON, `{"sync_ms": 2000, "fails": false, "full": false}`, and is read before each sync and write; no
-file, or one that cannot be read, means a sound disk.
+file, or one that cannot be read, means a disk without faults.
 """
 
 from __future__ import annotations
@@ -45,6 +45,7 @@
         super().__init__("", name, flags)
 
     def xSync(self, flags: int) -> None:  # noqa: N802
+        """Sync the file, late or not at all; called by the library."""
         self._disk.syncs += 1
         fault = self._disk.current_fault()
         time.sleep(float(fault.get("sync_ms", 0.0)) / 1000)
@@ -53,6 +54,7 @@
         super().xSync(flags)
 
     def xWrite(self, data: bytes, offset: int) -> None:  # noqa: N802
+        """Write to the file unless the disk is full; called by the library."""
         if self._disk.current_fault().get("full"):
             raise apsw.FullError("the disk is full")
         super().xWrite(data, offset)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -115,7 +115,7 @@
 def test_flipped_bytes_in_a_row_count_against_running_again(tmp_path: Path) -> None:
     book = ActivationJournal(tmp_path / "b")
     book.commit([ACCEPTED, ended()])
-    book._run("UPDATE entries SET body = zeroblob(length(body)) WHERE kind = 2")
+    book._database.run("UPDATE entries SET body = zeroblob(length(body)) WHERE kind = 2")
     (life,) = book.activations()
     assert book.damaged == 1 and life.ended is None and life.may_run is not None, "it may have run"
 
@@ -123,7 +123,7 @@
 def test_torn_tails_lose_only_what_was_not_said(tmp_path: Path) -> None:
     file = tmp_path / "b"
     book = ActivationJournal(file)
-    book._run("PRAGMA wal_autocheckpoint=0")
+    book._database.run("PRAGMA wal_autocheckpoint=0")
     for n in range(20):
         book.commit([Accepted(f"{n:032x}", "one", "grant", float(n), 900.0, b"{}" * 200)])
     wal, base = (tmp_path / "b-wal").read_bytes(), file.read_bytes()
@@ -144,7 +144,7 @@
     file.write_bytes(os.urandom(8192))
     book, aside = open_journal(file)
     assert aside is not None and aside.stat().st_size == 8192 and book.count() == 0
-    book._run("PRAGMA user_version=99")
+    book._database.run("PRAGMA user_version=99")
     book.close()
     with pytest.raises(JournalError, match="newer"):
         open_journal(file)
