--- a/kelptrail/replication/driver.py
+++ b/kelptrail/replication/driver.py
@@ -39,6 +39,7 @@
 from .replica import Replica, ReplicaWrite
 from .replica_placement import Member, rank_replicas
 from .replica_store import ReadRequest, ReplicaStore
+from .status import replication_status
 
 CHANNEL_FEATURE = "copies"  # by which peers announce that they take these messages
 MESSAGE_TYPES = (
@@ -290,31 +291,5 @@
     # For operators.
 
     def status(self) -> dict[str, Any]:
-        """State for operators.  The keys are those of `kelptrail copies --json`."""
-        now, journals, context = now_ms(), self._journals, self._context
-        return {
-            "name": context.name,
-            "copies": context.settings.replica_count,
-            "disk": context.stores.own_disk_id,
-            "retiring": self._drain.draining,
-            "promising": journals.current is not None and journals.current.is_accepting(),
-            "owned": {
-                journal_id: handle.primary.status(now)
-                | {"current": handle is journals.current, "live": handle.recovered}
-                for journal_id, handle in sorted(journals.handles.items())
-            },
-            "held": {
-                journal_id: {
-                    "owner": log.primary,
-                    "token": str(log.token),
-                    "safe": log.durable_sequence,
-                    "heard_ms": context.failover.silent_ms(now, log.primary),
-                }
-                for journal_id, log in sorted(context.replica.logs.items())
-                if journal_id not in journals.handles and log.primary
-            },
-            "refused": context.replica.fenced_messages,
-            "taken_up": journals.activations_recovered,
-            "let_go": journals.activations_released,
-            "disk_failing": context.stores.failing,
-        }
+        """State for operators; see `status.replication_status`."""
+        return replication_status(now_ms(), self._context, self._journals, self._drain)
--- a/kelptrail/replication/journal_manager.py
+++ b/kelptrail/replication/journal_manager.py
@@ -64,12 +64,12 @@
     @property
     def has_uncommitted(self) -> bool:
         """Whether any entry of any journal is not committed."""
-        return any(handle.primary.uncommitted_count for handle in self.handles.values())
+        return any(handle.primary.batches.uncommitted_entries for handle in self.handles.values())
 
     @property
     def committed_batches(self) -> int:
         """Committed batches of the present journals."""
-        return sum(handle.primary.committed_batches for handle in self.handles.values())
+        return sum(handle.primary.batches.committed_batches for handle in self.handles.values())
 
     # Claims.
 
@@ -362,7 +362,7 @@
             handle is not self.current
             and handle.recovered
             and handle.primary.ready
-            and not handle.primary.uncommitted_count
+            and not handle.primary.batches.uncommitted_entries
             and not any(self._context.stores.digests(handle.journal_id))
         )
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -42,7 +42,8 @@
 from kelptrail.replication.replica import Fence, Replica, ReplicaWrite
 from kelptrail.replication.replica_placement import Member, assign_replicas, count_moves, rank_replicas
 from kelptrail.replication.replica_store import ReadRequest, ReplicaStore, open_replica_store
-from kelptrail.replication.replica_stream import StreamState
+from kelptrail.replication.replica_stream import ReplicaStream, StreamState
+from kelptrail.replication.status import primary_status
 from kelptrail.settings.deployment import load, parse
 from kelptrail.settings.reader import SettingsError
 from kelptrail.store.activation_journal import JournalError
@@ -127,8 +128,8 @@
 
 
 class GoesOnWithoutNote(Primary):
-    def _drop_stream(self, now: float, stream: Any) -> None:
-        super()._drop_stream(now, stream)
+    def _on_stream_dropped(self) -> None:
+        super()._on_stream_dropped()
         if self.pending_in_sync is not None:
             self.in_sync, self.pending_in_sync = self.pending_in_sync, None
             self.in_sync_updates.clear()
@@ -141,16 +142,22 @@
         self.in_sync_updates.clear()
 
 
-class ForgetsWhatIsBehind(Primary):
-    def _repair(self, now: float, stream: Any) -> None:
-        stream.deferred_batches = []
-        super()._repair(now, stream)
+class DropsDeferredBatches(Primary):
+    def __init__(self, *arguments: Any) -> None:
+        super().__init__(*arguments)
+        proceed = self._repair.proceed
+
+        def drop_and_proceed(now: float, stream: ReplicaStream) -> None:
+            stream.deferred_batches = []
+            proceed(now, stream)
+
+        self._repair.proceed = drop_and_proceed  # type: ignore[method-assign]
 
 
 class SafeBeforeItsDisk(Primary):
     def start_batch(self, now: float) -> None:
         super().start_batch(now)
-        for batch in self._uncommitted:
+        for batch in self.batches.uncommitted:
             batch.locally_durable = True
 
 
@@ -202,7 +209,7 @@
         ((TakesFillingForWhole, Replica), Model),
         ((GoesOnWithoutNote, Replica), Model),
         ((ActsWithoutItsNote, Replica), Model),
-        ((ForgetsWhatIsBehind, Replica), Model),
+        ((DropsDeferredBatches, Replica), Model),
         ((SafeBeforeItsDisk, Replica), Model),
         ((Primary, AnswersFirst), Model),
         ((Primary, TakesOlder), Model),
@@ -247,7 +254,7 @@
     assert (
         primary.accepts_requests()
         and primary.in_sync == {"a": "disk-a", "h": "disk-h"}
-        and primary.under_replicated_ms == 1.0
+        and primary.under_replication.earlier_ms == 1.0
     )
     primary.append([ReplicaEntry("i", 0, 0.0, b"x")], told.append)
     primary.start_batch(2.0)
@@ -259,7 +266,7 @@
         "given up, and that is not noted yet"
     )
     primary.on_in_sync_stored(1601.0)
-    assert told == [False] and not primary.accepts_requests() and primary.status(1701.0)["at_risk_ms"] == 100
+    assert told == [False] and not primary.accepts_requests() and primary_status(1701.0, primary)["at_risk_ms"] == 100
     short = new_primary(allow_under_replicated=True)
     assert short.accepts_requests(), "where the settings say so"
 
@@ -546,7 +553,9 @@
     primary.update_streams(4.0, ["h", "k"], ["h", "k"])
     primary.on_in_sync_stored(5.0)
     assert (
-        primary.in_sync.keys() == {"a", "k"} and primary.is_fully_replicated and primary.under_replicated_ms == 1.0
+        primary.in_sync.keys() == {"a", "k"}
+        and primary.is_fully_replicated
+        and primary.under_replication.earlier_ms == 1.0
     ), "no time at risk for it"
 
 
