--- a/kelptrail/replication/context.py
+++ b/kelptrail/replication/context.py
@@ -21,6 +21,11 @@
     from .primary_handle import PrimaryHandle
 
 
+def dispatcher_of(client_id: str) -> str:
+    """Name of the dispatcher of a lease client's id, which is name and run."""
+    return client_id.partition("/")[0]
+
+
 @dataclass(slots=True)
 class GatewayHooks:
     """Callbacks of the gateway; `service/journal_takeover.py` sets them.
@@ -73,4 +78,4 @@
 
     def reported_holder(self, journal_id: str) -> str:
         """Name and run of the last reported holder of the journal's lease; there must be one."""
-        return self.leases.client.known_holders[LEASE_PREFIX + journal_id][0].client_id
+        return self.leases.client.known_holders[LEASE_PREFIX + journal_id].token.client_id
--- a/kelptrail/replication/driver.py
+++ b/kelptrail/replication/driver.py
@@ -7,6 +7,7 @@
 
 import asyncio
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from functools import partial
 from typing import Any
 
@@ -19,6 +20,7 @@
 from .drain import DrainController
 from .failover import FailoverMonitor
 from .journal_manager import JournalManager
+from .journal_review import JournalReview
 from .journal_stores import JournalStores
 from .messages import (
     Append,
@@ -58,7 +60,21 @@
 STOP_POLL_S = 0.01
 CLOSE_TIMEOUT_MS = 500.0  # for each store
 FULL_MESH_LIMIT = 32  # in a larger fleet connections are kept to replicas only
-SPARE_CONNECTIONS = 2  # candidates for replicas to which connections are kept as well
+EXTRA_CONNECTIONS = 2  # candidates for replicas to which connections are kept as well
+
+
+@dataclass(frozen=True, slots=True)
+class ReplicationOptions:
+    """A dispatcher's name and what its settings say of replication.
+
+    `failover_after_ms`: for how long a primary is silent before its journals are claimed; `lease_ms`: length of the
+    leases on journals.
+    """
+
+    name: str
+    settings: ReplicationSettings
+    failover_after_ms: float
+    lease_ms: float
 
 
 class ReplicationDriver:
@@ -66,10 +82,7 @@
 
     def __init__(
         self,
-        name: str,
-        settings: ReplicationSettings,
-        failover_after_ms: float,
-        lease_ms: float,
+        options: ReplicationOptions,
         peers: Peers,
         leases: LeaseDriver,
         own: ReplicaStore,
@@ -79,20 +92,21 @@
     ) -> None:
         self._peers, self._members = peers, members
         self._loop = asyncio.get_running_loop()
-        stores = JournalStores(name, own, others, self.flush, log)
+        stores = JournalStores(options.name, own, others, self.flush, log)
         self._context = ReplicationContext(
-            name,
-            settings,
-            lease_ms,
+            options.name,
+            options.settings,
+            options.lease_ms,
             peers,
             leases,
             stores,
             Replica(own.fences() | others.fences(), lambda journal_id: stores.of(journal_id).disk_id),
-            FailoverMonitor(name, failover_after_ms, now_ms()),
+            FailoverMonitor(options.name, options.failover_after_ms, now_ms()),
             self.flush,
             log,
         )
         self._journals = JournalManager(self._context)
+        self._review = JournalReview(self._context, self._journals)
         self._locator = ActivationLocator(self._context, self._journals, members)
         self._drain = DrainController(self._context, self._journals)
         self._flushing = self._stopped = False
@@ -200,8 +214,8 @@
         for name in heard:
             failover.on_heard(name, now - heard[name])
         ranking = self._rank(heard)
-        self._journals.tick_primaries(now, heard, ranking)
-        self._journals.tick_replicas(now, draining)
+        self._review.tick_primaries(now, heard, ranking)
+        self._review.tick_replicas(now, draining)
         self._journals.create_if_due(now)
         if draining:
             self._drain.tick(now)
@@ -213,7 +227,7 @@
         """Keep connections to all dispatchers of a small fleet, else to replicas and candidates for replicas."""
         names = {member.name for member in self._members()}
         if len(names) > FULL_MESH_LIMIT:
-            candidates = ranking[: self._context.settings.replica_count + SPARE_CONNECTIONS]
+            candidates = ranking[: self._context.settings.replica_count + EXTRA_CONNECTIONS]
             in_sync = (name for handle in self._journals.handles.values() for name in handle.primary.in_sync)
             names = {*candidates, *in_sync}
         self._context.leases.keep_connected(names, CHANNEL_FEATURE)
--- a/kelptrail/replication/stream_sender.py
+++ b/kelptrail/replication/stream_sender.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections import deque
+from typing import NamedTuple
 
 from kelptrail.lease.messages import NO_TOKEN
 
@@ -20,6 +21,16 @@
 from .replica_stream import Batch, ReplicaStream, StreamState, entries_size, split_entries
 
 
+class AppendContent(NamedTuple):
+    """What an `Append` changes or asks for at the replica, in the order of its fields."""
+
+    entries: tuple[ReplicaEntry, ...] = ()
+    deleted_ids: tuple[str, ...] = ()
+    trimmed_bucket: int = -1
+    retained: tuple[EntryKey, ...] = ()
+    digest_range: BucketRange = NO_BUCKETS
+
+
 class StreamSender:
     """Messages of one journal under `token`, which the primary sets.  `outbox`: receiver and message, in order."""
 
@@ -60,8 +71,8 @@
         """Queue a batch; the last of its messages completes it."""
         *parts, last = split_entries(batch.entries, self._settings.window_bytes // 2)
         for part in parts:
-            self._queue(now, stream, part)
-        self._queue(now, stream, last, tuple(batch.deleted_ids), batch=batch.number)
+            self._queue(now, stream, AppendContent(part))
+        self._queue(now, stream, AppendContent(last, tuple(batch.deleted_ids)), batch.number)
 
     def send_bucket(self, now: float, stream: ReplicaStream, bucket: int, entries: tuple[ReplicaEntry, ...]) -> None:
         """Queue the contents of a bucket, limited by the repair rate.
@@ -70,16 +81,16 @@
         """
         *parts, last = split_entries(entries, self._settings.window_bytes // 2)
         for part in parts:
-            self._queue(now, stream, part)
+            self._queue(now, stream, AppendContent(part))
         retained = tuple(EntryKey(entry.id, entry.kind) for entry in entries)
-        self._queue(now, stream, last, trimmed_bucket=bucket, retained=retained)
+        self._queue(now, stream, AppendContent(last, trimmed_bucket=bucket, retained=retained))
         sent = entries_size(entries)
         stream.repaired_bytes += sent
         stream.repair_at = max(stream.repair_at, now) + sent / self._settings.repair_bytes_per_ms
 
     def send_repair_end(self, now: float, stream: ReplicaStream) -> None:
         """Queue the message that completes the batches covered by the repair, then the deferred batches."""
-        self._queue(now, stream, (), batch=stream.repaired_batch)
+        self._queue(now, stream, AppendContent(), stream.repaired_batch)
         for batch in stream.deferred_batches:
             self.send_batch(now, stream, batch)
         stream.deferred_batches, stream.repair_end = [], stream.last_sequence
@@ -88,7 +99,7 @@
         """Ask for the digests of the next buckets, read from the replica's disk."""
         stream.verify_at = now + self._settings.verify_interval_ms
         end = min(BUCKETS, stream.verify_bucket + self._settings.verify_buckets)
-        self._queue(now, stream, (), digest_range=BucketRange(stream.verify_bucket, end))
+        self._queue(now, stream, AppendContent(digest_range=BucketRange(stream.verify_bucket, end)))
         stream.verify_bucket = end % BUCKETS
 
     def send_window(self, now: float, stream: ReplicaStream) -> None:
@@ -100,29 +111,9 @@
     def _send_open(self, stream: ReplicaStream) -> None:
         self.outbox.append((stream.replica, OpenStream(self._journal_id, self.token, stream.stream_id)))
 
-    def _queue(
-        self,
-        now: float,
-        stream: ReplicaStream,
-        entries: tuple[ReplicaEntry, ...],
-        deleted_ids: tuple[str, ...] = (),
-        *,
-        trimmed_bucket: int = -1,
-        retained: tuple[EntryKey, ...] = (),
-        batch: int = 0,
-        digest_range: BucketRange = NO_BUCKETS,
-    ) -> None:
+    def _queue(self, now: float, stream: ReplicaStream, content: AppendContent, batch: int = 0) -> None:
+        """Queue the next message of a stream; `batch`: the last batch that it completes, or 0."""
         stream.last_sequence += 1
-        append = Append(
-            self._journal_id,
-            self.token,
-            stream.stream_id,
-            stream.last_sequence,
-            entries,
-            deleted_ids,
-            trimmed_bucket,
-            retained,
-            digest_range,
-        )
+        append = Append(self._journal_id, self.token, stream.stream_id, stream.last_sequence, *content)
         stream.queue(now, append, batch, self._settings.retry_ms)
         self.send_window(now, stream)
--- a/kelptrail/service/fleet.py
+++ b/kelptrail/service/fleet.py
@@ -12,7 +12,7 @@
 from kelptrail.membership.members import EndpointList
 from kelptrail.peers.connection import PeerSettings
 from kelptrail.peers.driver import Peers
-from kelptrail.replication.driver import ReplicationDriver
+from kelptrail.replication.driver import ReplicationDriver, ReplicationOptions
 from kelptrail.replication.messages import ReplicationSettings
 from kelptrail.replication.replica_placement import Member
 from kelptrail.replication.replica_store import ReplicaStore, open_replica_store
@@ -109,10 +109,7 @@
         if aside is not None:
             log.error("copies-set-aside", file=str(aside))
         self.replication = ReplicationDriver(
-            options.name,
-            replication_settings(plan),
-            plan.take_ms,
-            self.lease_length_ms,
+            ReplicationOptions(options.name, replication_settings(plan), plan.take_ms, self.lease_length_ms),
             self.peers,
             self.leases,
             own,
