--- a/bench/planner.py
+++ b/bench/planner.py
@@ -23,8 +23,10 @@
 from kelptrail.gateway.counters import FunctionCounters
 from kelptrail.peers.messages import VERSION, FrameReader, Heartbeat, Hello, encode_frame
 from kelptrail.planner.channel import READ, UsageReport
-from kelptrail.planner.placement import FunctionDemand, WorkerCapacity, place_by_program, place_greedily, violations
+from kelptrail.planner.greedy_placement import place_greedily
+from kelptrail.planner.placement import FunctionDemand, WorkerCapacity, violations
 from kelptrail.planner.plan import BEFORE_ALL_PLANS
+from kelptrail.planner.program_placement import place_by_program
 from kelptrail.settings.deployment import load
 
 ROOT = Path(__file__).parent.parent
@@ -71,7 +73,7 @@
                         "functions": functions,
                         "memory": tight,
                         "how": name,
-                        "by": found.solver,
+                        "by": found.solver.value,
                         "s": round(took, 3),
                         "price": round(found.cost, 1),
                         "missing": found.missing,
--- a/kelptrail/membership/client.py
+++ b/kelptrail/membership/client.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 import asyncio
-import os
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
@@ -16,9 +15,13 @@
 
 from kelptrail.codec.http import HttpError
 from kelptrail.net.http_client import HttpClient
+from kelptrail.store.atomic_file import replace_file
 
 from .members import EndpointList
 
+POLL_MARGIN_MS = 3000.0  # beyond the requested wait, before a poll times out
+MAX_BACKOFF_MS = 5000.0
+
 _decode = msgspec.json.Decoder(EndpointList).decode
 
 
@@ -56,7 +59,7 @@
         try:
             endpoints = _decode(self._saved_file.read_bytes())
         except (OSError, msgspec.MsgspecError) as cause:
-            self._log.warning("last-list-unusable", file=str(self._saved_file), reason=str(cause))
+            self._log.warning("saved-endpoints-unusable", file=str(self._saved_file), reason=str(cause))
             return False
         # Without its lineage, so that the first list of the source replaces it whatever its version.
         self._on_change(EndpointList(-1, endpoints.workers, "last", endpoints.dispatchers))
@@ -73,7 +76,7 @@
                     f"/workers?who={self._client_name}&at={self.address}&channel={self.channel_address}"
                     f"&hall={self.zone}"
                     f"&known={known_version}&wait={self._poll_wait_ms:g}",
-                    timeout_ms=self._poll_wait_ms + 3000,
+                    timeout_ms=self._poll_wait_ms + POLL_MARGIN_MS,
                 )
                 if response.status == 304:
                     continue
@@ -81,9 +84,9 @@
                     raise HttpError(response.status, "no list")
                 endpoints = _decode(response.body)
             except (OSError, HttpError, msgspec.MsgspecError) as cause:
-                self._log.warning("list-failed", reason=str(cause) or type(cause).__name__)
+                self._log.warning("endpoint-poll-failed", reason=str(cause) or type(cause).__name__)
                 await asyncio.sleep(backoff_ms / 1000)
-                backoff_ms = min(5000.0, backoff_ms * 2)
+                backoff_ms = min(MAX_BACKOFF_MS, backoff_ms * 2)
                 continue
             backoff_ms = self._backoff_ms
             self.endpoints = endpoints
@@ -94,13 +97,8 @@
         if self._saved_file is None:
             return
         try:
-            temporary = self._saved_file.with_suffix(".new")
-            with open(temporary, "wb") as file:
-                file.write(body)
-                file.flush()
-                os.fsync(file.fileno())
-            temporary.replace(self._saved_file)
+            replace_file(self._saved_file, body)
             self.saved = True
         except OSError as cause:
             self.saved = False
-            self._log.warning("last-list-unsaved", reason=str(cause))
+            self._log.warning("endpoints-not-saved", reason=str(cause))
--- a/kelptrail/peers/connection.py
+++ b/kelptrail/peers/connection.py
@@ -12,7 +12,9 @@
 
 import msgspec
 
-from .messages import OLDEST_VERSION, VERSION, ChannelError, Decode, FrameReader, Heartbeat, Hello, encode_frame
+from .messages import OLDEST_VERSION, VERSION, ChannelError, FrameReader, Heartbeat, Hello, MessageDecoder, encode_frame
+
+MAX_NAME_CHARACTERS = 200  # of a peer's name
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,13 +35,13 @@
 
 
 class PeerConnection:
-    """One connection.  `hello`: this side's greeting; `read`: the result of `messages.decoder`."""
+    """One connection.  `hello`: this side's greeting; `decoder`: the result of `messages.decoder`."""
 
-    def __init__(self, hello: Hello, settings: PeerSettings, read: tuple[Decode, frozenset[str]], now: float) -> None:
+    def __init__(self, hello: Hello, settings: PeerSettings, decoder: MessageDecoder, now: float) -> None:
         self._settings, self._lineage = settings, hello.lineage
-        self._reader = FrameReader(read, settings.max_frame_bytes)
+        self._reader = FrameReader(decoder, settings.max_frame_bytes)
         self.output: deque[bytes] = deque([encode_frame(hello)])
-        self.pending_bytes = len(self.output[0])  # bytes
+        self.pending_bytes = len(self.output[0])
         self.peer, self.version, self.capabilities = "", OLDEST_VERSION, frozenset[str]()
         self.last_heard = self._last_sent = now
         self._rate_tokens, self._tokens_updated = settings.max_messages_per_s, now
@@ -73,7 +75,7 @@
     def _on_hello(self, hello: Hello) -> None:
         if hello.lineage != self._lineage:
             raise ChannelError(f"lineage {hello.lineage!r}, not {self._lineage!r}")
-        if not hello.name or len(hello.name) > 200:
+        if not hello.name or len(hello.name) > MAX_NAME_CHARACTERS:
             raise ChannelError("a peer says who it is")
         self.peer, self.version, self.capabilities = (
             hello.name,
--- a/kelptrail/peers/driver.py
+++ b/kelptrail/peers/driver.py
@@ -24,6 +24,8 @@
 MIN_BACKOFF_MS, MAX_BACKOFF_MS = 100.0, 2000.0
 STABLE_MS = 5000.0  # a connection that lasted longer resets the backoff
 BACKOFF_FACTOR = 1.6
+READ_BYTES = 65_536
+ACCEPT_BACKLOG = 512
 Handler = Callable[[str, Any], None]
 
 
@@ -38,7 +40,7 @@
         self._loop = asyncio.get_running_loop()
         self._handlers: dict[type, Handler] = {}
         self._needs: dict[type, str] = {}
-        self._read = decoder()
+        self._decoder = decoder()
         self._connections: dict[PeerConnection, socket.socket] = {}
         self._by_name: dict[str, PeerConnection] = {}
         self._writing: set[PeerConnection] = set()
@@ -53,14 +55,14 @@
         """Pass messages of these kinds to `handler` with the sender's name; `name` is announced as a capability."""
         for kind in kinds:
             self._handlers[kind], self._needs[kind] = handler, name
-        self._read = decoder(*self._handlers)
+        self._decoder = decoder(*self._handlers)
 
     def listen(self, host: str, port: int) -> None:
         """Accept connections at this address.  Raises `OSError`."""
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((host, port))
-        sock.listen(512)
+        sock.listen(ACCEPT_BACKLOG)
         sock.setblocking(False)
         self.address = f"{host}:{sock.getsockname()[1]}"
         self._listener.add_socket(sock)
@@ -161,10 +163,10 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         can = tuple(sorted(set(self._needs.values())))
         connection = PeerConnection(
-            Hello(VERSION, self.name, self._lineage, capabilities=can), self._settings, self._read, now_ms()
+            Hello(VERSION, self.name, self._lineage, capabilities=can), self._settings, self._decoder, now_ms()
         )
         self._connections[connection] = sock
-        buffer = bytearray(65_536)
+        buffer = bytearray(READ_BYTES)
         try:
             self._write(connection)
             while True:
--- a/kelptrail/peers/messages.py
+++ b/kelptrail/peers/messages.py
@@ -9,11 +9,12 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
 VERSION, OLDEST_VERSION = 2, 1  # 1: edges and planners only; 2: `can`, any peers
+LENGTH_BYTES = 4  # of a frame's length, which precedes the message
 MAX_FRAME_BYTES = 1 << 26
 
 
@@ -47,38 +48,46 @@
 def encode_frame(message: msgspec.Struct) -> bytes:
     """Encode one message as a frame."""
     data = _encode(message)
-    return len(data).to_bytes(4, "big") + data
+    return len(data).to_bytes(LENGTH_BYTES, "big") + data
 
 
-def decoder(*kinds: type[msgspec.Struct]) -> tuple[Decode, frozenset[str]]:
-    """A decode function for these kinds, `Hello` and `Heartbeat`, and the set of their tags."""
+class MessageDecoder(NamedTuple):
+    """Decodes messages of known kinds; `tags`: the tags of these kinds."""
+
+    decode: Decode
+    tags: frozenset[str]
+
+
+def decoder(*kinds: type[msgspec.Struct]) -> MessageDecoder:
+    """A decoder for these kinds, `Hello` and `Heartbeat`."""
     every: tuple[type[msgspec.Struct], ...] = (Hello, Heartbeat, *kinds)
     union: Any = every[0]
     for kind in every[1:]:
         union = union | kind
-    return msgspec.msgpack.Decoder(union).decode, frozenset(str(k.__struct_config__.tag) for k in every)
+    tags = frozenset(str(kind.__struct_config__.tag) for kind in every)
+    return MessageDecoder(msgspec.msgpack.Decoder(union).decode, tags)
 
 
 class FrameReader:
     """Incremental frame parser.  After a `ChannelError` it must not be used any more."""
 
-    def __init__(self, read: tuple[Decode, frozenset[str]], most: int = MAX_FRAME_BYTES) -> None:
-        self._decode, self._known = read
-        self._max_frame_bytes, self._buffer, self._greeted = most, bytearray(), False
+    def __init__(self, decoder: MessageDecoder, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
+        self._decode, self._known_tags = decoder
+        self._max_frame_bytes, self._buffer, self._greeted = max_frame_bytes, bytearray(), False
         self.unknown_messages = 0  # messages of kinds that are not known here
 
     def feed(self, data: bytes | memoryview) -> list[Any]:
         """The messages that are complete with `data`.  Raises `ChannelError`."""
         self._buffer += data
         out: list[Any] = []
-        while len(self._buffer) >= 4:
-            size = int.from_bytes(self._buffer[:4], "big")
+        while len(self._buffer) >= LENGTH_BYTES:
+            size = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
             if size > self._max_frame_bytes:
                 raise ChannelError(f"a frame of {size} bytes, at most {self._max_frame_bytes}")
-            if len(self._buffer) < 4 + size:
+            if len(self._buffer) < LENGTH_BYTES + size:
                 break
-            body = bytes(self._buffer[4 : 4 + size])
-            del self._buffer[: 4 + size]
+            body = bytes(self._buffer[LENGTH_BYTES : LENGTH_BYTES + size])
+            del self._buffer[: LENGTH_BYTES + size]
             message = self._decode_body(body)
             if message is None:
                 continue
@@ -105,4 +114,4 @@
             parts = _any(body)
         except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
             return False
-        return bool(parts) and isinstance(parts[0], str) and parts[0] not in self._known
+        return bool(parts) and isinstance(parts[0], str) and parts[0] not in self._known_tags
--- a/kelptrail/planner/channel.py
+++ b/kelptrail/planner/channel.py
@@ -9,13 +9,14 @@
 
 from collections.abc import Collection
 from enum import Enum
+from typing import NamedTuple
 
 import msgspec
 
 from kelptrail.gateway.counters import FunctionCounters
 from kelptrail.peers.messages import VERSION, ChannelError, Heartbeat, Hello, decoder, encode_frame
 
-from .plan import InstanceCounts, Plan, PlanError, PlanOrder, decode_plan, encode_plan
+from .plan import EndpointsVersion, InstanceCounts, Plan, PlanError, PlanOrder, decode_plan, encode_plan
 from .plan_follower import PlanState, RefusalReason
 
 
@@ -77,7 +78,7 @@
         self.writing = False  # set by the driver: some of the output is being sent
 
     def on_message(
-        self, now: float, message: Message, live: Collection[str], endpoints_version: tuple[str, int]
+        self, now: float, message: Message, live: Collection[str], endpoints_version: EndpointsVersion
     ) -> PlanResult | None:
         """Process a message; returns the result if it was a plan.  Raises `ChannelError` for a planner's messages."""
         self.last_heard = now
@@ -93,7 +94,7 @@
         return None
 
     def _on_plan(
-        self, now: float, data: bytes, live: Collection[str], endpoints_version: tuple[str, int]
+        self, now: float, data: bytes, live: Collection[str], endpoints_version: EndpointsVersion
     ) -> PlanResult:
         try:
             packet = decode_plan(data)
@@ -159,6 +160,13 @@
         return now - self.last_ms
 
 
+class OfferedPlan(NamedTuple):
+    """A plan for an edge, and when it was made (ms)."""
+
+    plan: Plan
+    made_at: float
+
+
 class PlannerChannel:
     """A planner's end of one connection to an edge."""
 
@@ -167,7 +175,7 @@
         self.output: list[bytes] = [encode_frame(Hello(VERSION, name, lineage))]
         self.edge = ""
         self.loaded: InstanceCounts = {}  # by the edge, accumulated from its reports
-        self._waiting: tuple[Plan, float] | None = None  # with the time it was made
+        self._waiting: OfferedPlan | None = None
         self._last_accepted: Plan | None = None  # the base of the next difference; None: the next plan goes complete
         self._in_flight: Plan | None = None
 
@@ -183,8 +191,8 @@
             if message.complete:
                 self.loaded = {}
             for model, at in message.loaded.items():
-                mine = self.loaded.setdefault(model, {})
-                mine |= at
+                by_worker = self.loaded.setdefault(model, {})
+                by_worker |= at
         elif isinstance(message, PlanReply):
             if self._in_flight is not None and not message.reason and message.order == self._in_flight.header.order:
                 self._last_accepted = self._in_flight
@@ -197,7 +205,7 @@
 
     def offer_plan(self, plan: Plan, made: float) -> None:
         """Queue a plan for this edge; it replaces one that still waits."""
-        self._waiting = plan, made
+        self._waiting = OfferedPlan(plan, made)
 
     def queue_next_plan(self, now: float) -> bool:
         """Move the waiting plan to the output unless one is in flight; True if it did."""
--- a/kelptrail/planner/core.py
+++ b/kelptrail/planner/core.py
@@ -11,16 +11,20 @@
 
 from dataclasses import dataclass, field, replace
 from enum import Enum
+from typing import NamedTuple
 
 from kelptrail.gateway.counters import FunctionCounters
 
 from .demand import Demand, FunctionLoad
 from .placement import FunctionDemand, Placement, WorkerCapacity
-from .plan import BEFORE_ALL_PLANS, InstanceCounts, Plan, PlanOrder, difference, make_plan
+from .plan import BEFORE_ALL_PLANS, EndpointsVersion, InstanceCounts, Plan, PlanOrder, difference, make_plan
+from .plan_follower import RefusalReason
 
 LOADED_VALID_MS = 30_000.0  # how long a reported instance counts as loaded
 RETRY_MS = 500.0  # until the next plan when an edge refused one over its workers
 DEFAULT_WORK_MS = 100.0  # of a call, while none has been measured
+SECONDS_PER_MINUTE = 60
+BISECTION_STEPS = 40
 
 
 class Role(Enum):
@@ -65,7 +69,14 @@
     workers: list[WorkerCapacity]
     demands: list[FunctionDemand]
     budget: int
-    endpoints_version: tuple[str, int]
+    endpoints_version: EndpointsVersion
+
+
+class ReportedInstances(NamedTuple):
+    """Instances of a function that an edge believed to be loaded on a worker, and when it said so (ms)."""
+
+    instances: int
+    reported_at: float
 
 
 @dataclass(slots=True)
@@ -96,12 +107,10 @@
         self.role, self.epoch, self.owner, self._last_number = Role.STANDBY, 0, name, 0
         self.demand = Demand()
         self.workers: list[WorkerCapacity] = []
-        self.endpoints_version: tuple[str, int] = ("", -1)
+        self.endpoints_version = EndpointsVersion("", -1)
         self.edges: dict[str, Edge] = {}
         self.target: InstanceCounts = {}
-        self._loaded: dict[
-            str, dict[str, tuple[int, float]]
-        ] = {}  # by model and worker: instances, and when they were reported
+        self._loaded: dict[str, dict[str, ReportedInstances]] = {}  # by model and worker
         self._next_problem_ms = now
         self._open_problem: int | None = None  # number of the problem that is being solved
         self._plan_made_ms = now
@@ -110,7 +119,7 @@
 
     # Inputs.
 
-    def on_endpoints(self, now: float, workers: list[WorkerCapacity], version: tuple[str, int]) -> None:
+    def on_endpoints(self, now: float, workers: list[WorkerCapacity], version: EndpointsVersion) -> None:
         """A new endpoint list; `workers` are its live ones.  If the plan names others, a new one is made at once."""
         self.workers, self.endpoints_version = workers, version
         live = {worker.id for worker in workers}
@@ -134,17 +143,17 @@
         self, now: float, edge: str, order: PlanOrder, counters: dict[str, FunctionCounters], loaded: InstanceCounts
     ) -> None:
         """An edge's usage.  `order`: the latest plan it has seen; `loaded`: instances that it believes to be loaded."""
-        mine = self.edges.get(edge)
-        if mine is None:
-            mine = self.edges[edge] = Edge(edge, now)
+        known_edge = self.edges.get(edge)
+        if known_edge is None:
+            known_edge = self.edges[edge] = Edge(edge, now)
             self._edges_to_update.add(edge)
-        mine.last_heard_ms, mine.plan_order = now, order
+        known_edge.last_heard_ms, known_edge.plan_order = now, order
         before = self.demand.recently_requested(now, edge, self._settings.interest_ms)
         self.demand.add_report(now, edge, counters)
         for model, at in loaded.items():
             known = self._loaded.setdefault(model, {})
             for worker, count in at.items():
-                known[worker] = count, now
+                known[worker] = ReportedInstances(count, now)
         self._check_fence(order)
         if self.role is Role.LEADER and any(
             m in self.target for m in self.demand.recently_requested(now, edge, self._settings.interest_ms) - before
@@ -154,14 +163,14 @@
     def on_plan_refused(self, now: float, edge: str, reason: str, order: PlanOrder) -> None:
         """An edge refused a plan: it gets a complete one, made anew where workers were the reason."""
         self.counters.refusals[reason] = self.counters.refusals.get(reason, 0) + 1
-        mine = self.edges.get(edge)
-        if mine is None:
+        known_edge = self.edges.get(edge)
+        if known_edge is None:
             return
-        mine.plan_order = max(mine.plan_order, order)
+        known_edge.plan_order = max(known_edge.plan_order, order)
         self._check_fence(order)
-        if reason == "workers":
+        if reason == RefusalReason.WORKERS.value:
             self._next_problem_ms = min(self._next_problem_ms, now + RETRY_MS)
-        elif reason == "base":
+        elif reason == RefusalReason.BASE.value:
             self._edges_to_update.add(edge)
 
     def on_edge_gone(self, edge: str) -> None:
@@ -185,12 +194,13 @@
         target = {
             m: kept for m, at in placement.instances.items() if (kept := {w: n for w, n in at.items() if w in live})
         }
-        self.counters.by_solver[placement.solver] = self.counters.by_solver.get(placement.solver, 0) + 1
+        solver = placement.solver.value
+        self.counters.by_solver[solver] = self.counters.by_solver.get(solver, 0) + 1
         self.counters.new_instances += placement.new
         self.counters.plans += 1
         self.counters.unchanged += not difference(self.target, target)
-        for model, mine in self.demand.functions.items():
-            mine.planned = sum(target.get(model, {}).values())
+        for model, load in self.demand.functions.items():
+            load.planned = sum(target.get(model, {}).values())
         self.target, self._plan_made_ms = target, now
         self._last_number += 1
         self._edges_to_update = set(self.edges)
@@ -216,29 +226,29 @@
         self._next_problem_ms = now + self._settings.interval_ms
         self._last_number += 1
         self._open_problem = self._last_number
-        needs = self._demands(now, hour)
-        coming = 60 * sum(n.rate for n in needs)
-        budget = max(self._settings.new_instances_min, int(coming * self._settings.new_instances_share))
-        return PlacementProblem(self._open_problem, self.workers, needs, budget, self.endpoints_version)
+        demands = self._demands(now, hour)
+        expected_calls = SECONDS_PER_MINUTE * sum(demand.rate for demand in demands)
+        budget = max(self._settings.new_instances_min, int(expected_calls * self._settings.new_instances_share))
+        return PlacementProblem(self._open_problem, self.workers, demands, budget, self.endpoints_version)
 
     def plans_to_send(self, now: float) -> list[tuple[str, Plan]]:
         """The plans to send now, by edge; each has only the functions that the edge requested lately."""
         if self.role is not Role.LEADER or not self._edges_to_update or not self._last_number:
             return []
-        dirty, self._edges_to_update = sorted(self._edges_to_update), set()
+        names, self._edges_to_update = sorted(self._edges_to_update), set()
         out = []
-        for name in dirty:
+        for name in names:
             if name not in self.edges:
                 continue
-            asks = self.demand.recently_requested(now, name, self._settings.interest_ms)
-            wants = {m: at for m, at in self.target.items() if m in asks}
+            requested = self.demand.recently_requested(now, name, self._settings.interest_ms)
+            instances = {m: at for m, at in self.target.items() if m in requested}
             self._last_number += 1
             plan = make_plan(
                 self._settings.lineage,
                 (self.epoch, self.owner, self._last_number),
                 self._settings.valid_ms,
                 self.endpoints_version,
-                wants,
+                instances,
             )
             out.append((name, plan))
         return out
@@ -289,9 +299,9 @@
     def _loaded_lately(self, now: float, model: str) -> dict[str, int]:
         """Instances of a function by worker, as far as edges have reported them within `LOADED_VALID_MS`."""
         return {
-            worker: count
-            for worker, (count, reported) in self._loaded.get(model, {}).items()
-            if count and now - reported < LOADED_VALID_MS
+            worker: reported.instances
+            for worker, reported in self._loaded.get(model, {}).items()
+            if reported.instances and now - reported.reported_at < LOADED_VALID_MS
         }
 
     @staticmethod
@@ -300,7 +310,7 @@
         low, high = demand.rate, max(1.0, demand.rate)
         while replace(demand, rate=high).instances_needed < instances:
             high *= 2
-        for _ in range(40):
+        for _ in range(BISECTION_STEPS):
             middle = (low + high) / 2
             if replace(demand, rate=middle).instances_needed >= instances:
                 high = middle
--- a/kelptrail/planner/driver.py
+++ b/kelptrail/planner/driver.py
@@ -4,19 +4,12 @@
 
 import asyncio
 import contextlib
-import os
 import socket
 import time
-from concurrent.futures import ProcessPoolExecutor
-from concurrent.futures.process import BrokenProcessPool
 from dataclasses import dataclass, field
-from multiprocessing import get_context
 from pathlib import Path
 from typing import Any
 
-import msgspec
-import zstandard
-
 from kelptrail.background.core import SchedulerSettings
 from kelptrail.background.driver import Background
 from kelptrail.clock import now_ms, wall_ms
@@ -30,15 +23,16 @@
 from .build import function_profiles, planner_settings, worker_capacities
 from .channel import READ, PlannerChannel, PlanReply, UsageReport
 from .core import PlacementProblem, Planner, Role
-from .placement import Placement, WorkerCapacity, place_by_program, place_greedily
-from .plan import InstanceCounts
+from .plan import EndpointsVersion
+from .snapshot import Snapshot, SnapshotFile
+from .solver_process import SolverProcess
 
 HEARTBEAT_MS = 500.0
 SILENT_MS = 5000.0  # without a message from the edge, after which the connection is closed
 ACCEPT_BACKLOG = 512
 READ_BYTES = 65_536
-MAX_FILE_BYTES = 1 << 26  # unpacked
-LEASE_NAME = "planner"  # the lease that planners act under
+SNAPSHOT_FILE = "planner.bin"  # in the state folder
+LEASE_NAME = "planner"  # the lease under which one planner leads
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,24 +52,6 @@
     peer_addresses: dict[str, str] = field(default_factory=dict)  # of lease acceptors; they precede the settings
 
 
-class Snapshot(msgspec.Struct, frozen=True):
-    """What a planner keeps on disk: its plan and the usual rates by hour.  `epoch` is for people who read the file."""
-
-    epoch: int
-    instances: InstanceCounts = msgspec.field(name="wants")
-    hourly_rates: dict[str, list[float]] = msgspec.field(name="hours")
-
-
-_decode = msgspec.msgpack.Decoder(Snapshot).decode
-
-
-def solve_in_process(solver: str, slow_ms: float, hosts: list[WorkerCapacity], needs: Any, budget: int) -> Placement:
-    """Solve one problem; runs in the solver's process."""
-    if slow_ms:
-        time.sleep(slow_ms / 1000)
-    return place_greedily(hosts, needs, budget) if solver == "greedy" else place_by_program(hosts, needs, budget)
-
-
 @dataclass(slots=True)
 class EdgeConnection:
     """One edge's socket, and whether output is being sent on it."""
@@ -99,12 +75,12 @@
         self._channels: dict[PlannerChannel, EdgeConnection] = {}
         self._listener = Listener(self._loop, self._on_connect, lambda sock, peer, back: sock.close(), log.warning)
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._solver_pool: ProcessPoolExecutor | None = None
-        self._file = options.state_folder / "planner.bin" if options.state_folder is not None else None
+        self._solver = SolverProcess(options.solver, options.solve_timeout_s, log)
+        folder = options.state_folder
+        self._snapshots = SnapshotFile(folder / SNAPSHOT_FILE if folder is not None else None, log)
         self.address = ""
         self.bytes_out = self.bytes_in = 0
         self.solve_ms, self.solve_delay_ms = 0.0, options.solve_delay_ms
-        self._saved = b""
 
     # Edges.
 
@@ -203,41 +179,16 @@
         self.send_plans()
 
     async def _solve(self, problem: PlacementProblem) -> None:
-        began, placed = now_ms(), None
-        if self._solver_pool is None:
-            self._solver_pool = ProcessPoolExecutor(1, mp_context=get_context("forkserver"))
-        try:
-            job = self._solver_pool.submit(
-                solve_in_process,
-                self._options.solver,
-                self.solve_delay_ms,
-                problem.workers,
-                problem.demands,
-                problem.budget,
-            )
-            placed = await asyncio.wait_for(asyncio.wrap_future(job), self._options.solve_timeout_s)
-        except TimeoutError:
-            self._log.warning("plan-late", number=problem.number)
-            self._kill_solver()
-        except (BrokenProcessPool, ValueError, MemoryError) as cause:
-            self._log.error("plan-failed", number=problem.number, reason=str(cause) or type(cause).__name__)
-            self._kill_solver()
+        began = now_ms()
+        placement = await self._solver.solve(problem, self.solve_delay_ms)
         self.solve_ms = now_ms() - began
-        self.planner.on_solution(now_ms(), problem.number, placed)
+        self.planner.on_solution(now_ms(), problem.number, placement)
         self.send_plans()
 
-    def _kill_solver(self) -> None:
-        """Kill the solver's process, which may hang; the next problem gets a new one."""
-        pool, self._solver_pool = self._solver_pool, None
-        if pool is not None:
-            for process in list(getattr(pool, "_processes", {}).values()):
-                process.kill()
-            pool.shutdown(wait=False, cancel_futures=True)
-
     def on_endpoints(self, listing: EndpointList) -> None:
         """A new endpoint list."""
         self.planner.on_endpoints(
-            now_ms(), worker_capacities(self._deployment, listing), (listing.lineage, listing.version)
+            now_ms(), worker_capacities(self._deployment, listing), EndpointsVersion(listing.lineage, listing.version)
         )
         self.background.request_run("tick")
 
@@ -251,36 +202,17 @@
 
     def restore(self) -> bool:
         """Load the snapshot; False if there is none or it is damaged."""
-        if self._file is None or not self._file.exists():
-            return False
-        try:
-            kept = _decode(zstandard.ZstdDecompressor().decompress(self._file.read_bytes(), MAX_FILE_BYTES))
-        except (OSError, zstandard.ZstdError, msgspec.MsgspecError) as cause:
-            self._log.warning("snapshot-unusable", file=str(self._file), reason=str(cause))
+        snapshot = self._snapshots.load()
+        if snapshot is None:
             return False
-        self.planner.restore_plan(kept.instances)
-        self.planner.demand.restore_hourly_rates(kept.hourly_rates)
+        self.planner.restore_plan(snapshot.instances)
+        self.planner.demand.restore_hourly_rates(snapshot.hourly_rates)
         return True
 
     def save(self) -> None:
         """Background work: write a snapshot if anything has changed."""
-        if self._file is None:
-            return
         hours = {m: a.hourly_rates for m, a in self.planner.demand.functions.items() if any(a.hourly_rates)}
-        data = msgspec.msgpack.encode(Snapshot(self.planner.epoch, self.planner.target, hours))
-        if data == self._saved:
-            return
-        draft = self._file.with_suffix(".new")
-        try:
-            self._file.parent.mkdir(parents=True, exist_ok=True)
-            with open(draft, "wb") as file:
-                file.write(zstandard.ZstdCompressor().compress(data))
-                file.flush()
-                os.fsync(file.fileno())
-            draft.replace(self._file)
-            self._saved = data
-        except OSError as cause:
-            self._log.warning("snapshot-unsaved", reason=str(cause))
+        self._snapshots.save(Snapshot(self.planner.epoch, self.planner.target, hours))
 
     def clear_faults(self) -> None:
         """End the faults of a trial."""
@@ -310,12 +242,12 @@
 
     def _on_lease_acquired(self, token: FencingToken) -> None:
         self.planner.on_lease_acquired(now_ms(), token.round, token.client_id)
-        self._log.info("role", role=self.planner.role.value, epoch=token.round)
+        self._log.info("role-changed", role=self.planner.role.value, epoch=token.round)
         self.send_heartbeats()
 
     def _on_lease_lost(self, token: FencingToken, reason: str) -> None:
         self.planner.on_lease_lost()
-        self._log.info("role", role=self.planner.role.value, epoch=token.round, reason=reason)
+        self._log.info("role-changed", role=self.planner.role.value, epoch=token.round, reason=reason)
         self.send_heartbeats()
 
     def start(self) -> None:
@@ -332,7 +264,7 @@
         self.background.stop()
         self.save()
         self._listener.close()
-        self._kill_solver()
+        self._solver.kill()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*list(self._tasks), return_exceptions=True)
--- a/kelptrail/planner/edge_driver.py
+++ b/kelptrail/planner/edge_driver.py
@@ -7,7 +7,6 @@
 
 import asyncio
 import contextlib
-import os
 import socket
 from collections.abc import Callable
 from pathlib import Path
@@ -19,9 +18,10 @@
 from kelptrail.clock import now_ms, wall_ms
 from kelptrail.gateway.core import Gateway
 from kelptrail.peers.messages import ChannelError, FrameReader, Heartbeat, encode_frame
+from kelptrail.store.atomic_file import replace_file
 
 from .channel import READ, EdgeChannel, LeaderContact, PlanResult
-from .plan import BEFORE_ALL_PLANS, Plan, PlanOrder
+from .plan import BEFORE_ALL_PLANS, EndpointsVersion, Plan, PlanOrder
 from .plan_follower import PlanState
 
 HEARTBEAT_MS = 500.0
@@ -73,9 +73,9 @@
         return {w.id for w in self._gateway.members if w.live}
 
     @property
-    def endpoints_version(self) -> tuple[str, int]:
+    def endpoints_version(self) -> EndpointsVersion:
         """Lineage and version of the edge's own endpoint list."""
-        return self._gateway.members.lineage, self._gateway.members.version
+        return EndpointsVersion(self._gateway.members.lineage, self._gateway.members.version)
 
     def load_saved_plan(self) -> bool:
         """Follow the plan on disk, if there is an undamaged one that is still valid; True if it is followed."""
@@ -84,7 +84,7 @@
         try:
             saved = _decode(zstandard.ZstdDecompressor().decompress(self._file.read_bytes(), MAX_FILE_BYTES))
         except (OSError, zstandard.ZstdError, msgspec.MsgspecError) as cause:
-            self._log.warning("last-plan-unusable", file=str(self._file), reason=str(cause))
+            self._log.warning("saved-plan-unusable", file=str(self._file), reason=str(cause))
             return False
         left = saved.remaining_ms - max(0.0, wall_ms() - saved.saved_wall_ms)
         taken = self.plan_state.restore(now_ms(), saved.plan, left, self.live_workers)
@@ -143,16 +143,11 @@
         if self._file is None or plan is None or plan.header.order == self._saved_order:
             return
         saved = SavedPlan(plan, self.plan_state.remaining_ms(now_ms()), wall_ms())
-        draft = self._file.with_suffix(".new")
         try:
-            with open(draft, "wb") as file:
-                file.write(zstandard.ZstdCompressor().compress(msgspec.msgpack.encode(saved)))
-                file.flush()
-                os.fsync(file.fileno())
-            draft.replace(self._file)
+            replace_file(self._file, zstandard.ZstdCompressor().compress(msgspec.msgpack.encode(saved)))
             self._saved_order = plan.header.order
         except OSError as cause:
-            self._log.warning("plan-unsaved", reason=str(cause))
+            self._log.warning("plan-not-saved", reason=str(cause))
 
     def status(self) -> dict[str, Any]:
         """The `plan` section of the control port."""
--- a/kelptrail/planner/plan.py
+++ b/kelptrail/planner/plan.py
@@ -7,19 +7,27 @@
 from __future__ import annotations
 
 from hashlib import blake2b
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 import zstandard
 
 FORMAT = 1
 MAX_UNPACKED_BYTES = 1 << 26
+DIGEST_BYTES = 16
 MAX_INSTANCES = 64  # of one function on one worker
 InstanceCounts = dict[str, dict[str, int]]  # by model and worker; on disk and on the wire called wants
 PlanOrder = tuple[int, str, int]  # epoch, owner, number
 BEFORE_ALL_PLANS: PlanOrder = (0, "", 0)  # before all plans
 
 
+class EndpointsVersion(NamedTuple):
+    """Version of an endpoint list: the run of its source, and a number that grows within one run."""
+
+    lineage: str
+    number: int
+
+
 class PlanError(ValueError):
     """The bytes are not a plan of this format."""
 
@@ -34,7 +42,7 @@
     owner: str
     number: int
     valid_ms: float
-    endpoints_version: tuple[str, int]
+    endpoints_version: EndpointsVersion
     digest: bytes = b""
 
     @property
@@ -62,8 +70,8 @@
 
 
 def digest_of(header: PlanHeader, instances: InstanceCounts) -> bytes:
-    """16 bytes over the content of a plan, whatever the order of its parts."""
-    said: list[Any] = [
+    """`DIGEST_BYTES` bytes over the content of a plan, whatever the order of its parts."""
+    content: list[Any] = [
         header.lineage,
         header.epoch,
         header.owner,
@@ -71,12 +79,12 @@
         header.valid_ms,
         list(header.endpoints_version),
     ]
-    said += [[model, sorted(at.items())] for model, at in sorted(instances.items()) if at]
-    return blake2b(msgspec.msgpack.encode(said), digest_size=16).digest()
+    content += [[model, sorted(at.items())] for model, at in sorted(instances.items()) if at]
+    return blake2b(msgspec.msgpack.encode(content), digest_size=DIGEST_BYTES).digest()
 
 
 def make_plan(
-    lineage: str, order: PlanOrder, valid_ms: float, endpoints_version: tuple[str, int], instances: InstanceCounts
+    lineage: str, order: PlanOrder, valid_ms: float, endpoints_version: EndpointsVersion, instances: InstanceCounts
 ) -> Plan:
     """A plan with its digest."""
     header = PlanHeader(lineage, *order, valid_ms, endpoints_version)
@@ -89,17 +97,17 @@
     out: InstanceCounts = {}
     for model in before.keys() | after.keys():
         old, new = before.get(model, {}), after.get(model, {})
-        if moved := {w: new.get(w, 0) for w in old.keys() | new.keys() if old.get(w, 0) != new.get(w, 0)}:
-            out[model] = moved
+        if changed := {w: new.get(w, 0) for w in old.keys() | new.keys() if old.get(w, 0) != new.get(w, 0)}:
+            out[model] = changed
     return out
 
 
 def apply_difference(before: InstanceCounts, difference: InstanceCounts) -> InstanceCounts:
     """The instances after a difference has been applied."""
     out = {model: dict(at) for model, at in before.items()}
-    for model, moved in difference.items():
+    for model, changed in difference.items():
         at = out.setdefault(model, {})
-        at |= moved
+        at |= changed
         out[model] = {w: n for w, n in at.items() if n}
     return {model: at for model, at in out.items() if at}
 
--- a/kelptrail/planner/plan_follower.py
+++ b/kelptrail/planner/plan_follower.py
@@ -11,8 +11,19 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
-from .plan import BEFORE_ALL_PLANS, InstanceCounts, Plan, PlanHeader, PlanOrder, PlanPacket, apply_difference, digest_of
+from .plan import (
+    BEFORE_ALL_PLANS,
+    EndpointsVersion,
+    InstanceCounts,
+    Plan,
+    PlanHeader,
+    PlanOrder,
+    PlanPacket,
+    apply_difference,
+    digest_of,
+)
 
 
 class RefusalReason(Enum):
@@ -35,6 +46,13 @@
     text: str
 
 
+class WaitingPlan(NamedTuple):
+    """A plan that waits for the endpoint list that it was made from, and until when it is valid (ms)."""
+
+    plan: Plan
+    valid_until: float
+
+
 class PlanState:
     """The plan that one edge follows.  Times in milliseconds of the edge's own clock."""
 
@@ -43,14 +61,12 @@
         self.plan: Plan | None = None
         self.fence: PlanOrder = BEFORE_ALL_PLANS  # order of the latest plan accepted or read from disk
         self._valid_until = 0.0
-        self._waiting_for_list: tuple[float, Plan] | None = (
-            None  # until when it is valid; made from a later list than ours
-        )
+        self._waiting_plan: WaitingPlan | None = None  # made from a later endpoint list than this edge has
         self.accepted = 0
         self.refusals: dict[RefusalReason, int] = dict.fromkeys(RefusalReason, 0)
 
     def on_plan(
-        self, now: float, packet: PlanPacket, live: Collection[str], endpoints_version: tuple[str, int]
+        self, now: float, packet: PlanPacket, live: Collection[str], endpoints_version: EndpointsVersion
     ) -> PlanRefusal | None:
         """A plan arrived.  None: it is in force, or waits for the endpoint list that it was made from."""
         header = packet.header
@@ -71,7 +87,7 @@
         plan, until = Plan(header, instances), now + header.valid_ms - packet.age_ms
         missing = self._missing_workers(plan, live)
         if missing and _is_later(header.endpoints_version, endpoints_version):
-            self._waiting_for_list = until, plan  # our list is older than the plan's: checked again with the next list
+            self._waiting_plan = WaitingPlan(plan, until)  # checked again with the next endpoint list
             return None
         if missing:
             return self._refuse(
@@ -80,13 +96,15 @@
         self._accept(plan, until)
         return None
 
-    def on_endpoints(self, now: float, live: Collection[str], endpoints_version: tuple[str, int]) -> PlanRefusal | None:
+    def on_endpoints(
+        self, now: float, live: Collection[str], endpoints_version: EndpointsVersion
+    ) -> PlanRefusal | None:
         """The endpoint list has changed: a plan that waited for it is checked again."""
-        if self._waiting_for_list is None:
+        if self._waiting_plan is None:
             return None
-        if _is_later(self._waiting_for_list[1].header.endpoints_version, endpoints_version):
+        if _is_later(self._waiting_plan.plan.header.endpoints_version, endpoints_version):
             return None
-        (until, plan), self._waiting_for_list = self._waiting_for_list, None
+        (plan, until), self._waiting_plan = self._waiting_plan, None
         if plan.header.order <= self.fence or now >= until:
             return None
         if missing := self._missing_workers(plan, live):
@@ -114,7 +132,7 @@
         return True
 
     def _accept(self, plan: Plan, until: float) -> None:
-        self.plan, self._valid_until, self.fence, self._waiting_for_list = plan, until, plan.header.order, None
+        self.plan, self._valid_until, self.fence, self._waiting_plan = plan, until, plan.header.order, None
         self.accepted += 1
 
     @staticmethod
@@ -126,6 +144,6 @@
         return PlanRefusal(reason, header, text)
 
 
-def _is_later(version: tuple[str, int], than: tuple[str, int]) -> bool:
+def _is_later(version: EndpointsVersion, than: EndpointsVersion) -> bool:
     """Whether a version of the endpoint list follows another of the same lineage."""
     return version[0] == than[0] and version[1] > than[1]
--- a/kelptrail/simulation/planners.py
+++ b/kelptrail/simulation/planners.py
@@ -10,9 +10,10 @@
 from kelptrail.planner.channel import LeaderContact
 from kelptrail.planner.core import PlacementProblem, Planner, Role
 from kelptrail.planner.driver import LEASE_NAME
-from kelptrail.planner.placement import place_by_program, place_greedily
-from kelptrail.planner.plan import FORMAT, InstanceCounts, Plan, PlanOrder, PlanPacket
+from kelptrail.planner.greedy_placement import place_greedily
+from kelptrail.planner.plan import FORMAT, EndpointsVersion, InstanceCounts, Plan, PlanOrder, PlanPacket
 from kelptrail.planner.plan_follower import PlanState
+from kelptrail.planner.program_placement import place_by_program
 
 if TYPE_CHECKING:
     from .cluster import SimulatedCluster, SimulatedDispatcher
@@ -65,7 +66,7 @@
         self.core.on_endpoints(
             self._cluster.event_queue.now,
             worker_capacities(self._cluster.deployment, endpoints),
-            (endpoints.lineage, endpoints.version),
+            EndpointsVersion(endpoints.lineage, endpoints.version),
         )
 
     def _tick(self, start: int) -> None:
@@ -133,7 +134,7 @@
         """The dispatcher's endpoint list has changed."""
         members = self._dispatcher.gateway.members
         self.follower.on_endpoints(
-            self._cluster.event_queue.now, self._live_workers(), (members.lineage, members.version)
+            self._cluster.event_queue.now, self._live_workers(), EndpointsVersion(members.lineage, members.version)
         )
         self._applied = None
         self.apply()
@@ -156,7 +157,7 @@
             now,
             PlanPacket(FORMAT, plan.header, 0, age_ms, plan.instances),
             self._live_workers(),
-            (members.lineage, members.version),
+            EndpointsVersion(members.lineage, members.version),
         )
         if report is None:
             self._leader_contact.last_ms, self._saved = now, self.follower.plan
--- a/kelptrail/store/driver.py
+++ b/kelptrail/store/driver.py
@@ -99,7 +99,7 @@
 
     def _on_durable(self, number: int) -> None:
         if self.group_commit.failing:
-            self._log.info("journal-well-again")
+            self._log.info("journal-writable")
         self.group_commit.on_batch_durable(number)
 
     def _on_failed(self, number: int, reason: str) -> None:
@@ -111,7 +111,7 @@
             self._store.forget(stale)
         except JournalError as cause:
             reason = str(cause)
-            return lambda: self._log.warning("journal-keeps-stale", reason=reason)
+            return lambda: self._log.warning("journal-cleanup-failed", reason=reason)
         return lambda: None
 
     async def close(self, within_ms: float) -> bool:
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -120,7 +120,7 @@
         await again.stop()
         (tmp_path / "plan.bin").write_bytes(b"nonsense")
         broken = pair.follower()
-        assert broken.plan_state.plan is None and any(e == "last-plan-unusable" for e, _ in pair.log.lines)
+        assert broken.plan_state.plan is None and any(e == "saved-plan-unusable" for e, _ in pair.log.lines)
         await broken.stop()
 
     run(main())
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -30,14 +30,8 @@
 )
 from kelptrail.planner.core import FunctionProfile, Planner, PlannerSettings, Role
 from kelptrail.planner.demand import Demand
-from kelptrail.planner.placement import (
-    FunctionDemand,
-    WorkerCapacity,
-    place_by_program,
-    place_greedily,
-    placement_cost,
-    violations,
-)
+from kelptrail.planner.greedy_placement import place_greedily
+from kelptrail.planner.placement import FunctionDemand, WorkerCapacity, placement_cost, violations
 from kelptrail.planner.plan import (
     BEFORE_ALL_PLANS,
     InstanceCounts,
@@ -50,6 +44,7 @@
 )
 from kelptrail.planner.plan import make_plan as make_plan
 from kelptrail.planner.plan_follower import PlanState, RefusalReason
+from kelptrail.planner.program_placement import place_by_program
 
 LIVE = {f"w{n}" for n in range(6)}
 ROSTER = ("list", 5)
