--- a/kelptrail/lease/__init__.py
+++ b/kelptrail/lease/__init__.py
@@ -1,1 +1,1 @@
-"""Leases on fleet-wide tasks: voters, askers and tokens as pure cores, and a driver that carries their messages."""
+"""Leases on fleet-wide tasks: acceptors, clients and fencing tokens as pure cores, and a driver that runs them."""
--- a/kelptrail/lease/acceptor.py
+++ b/kelptrail/lease/acceptor.py
@@ -9,7 +9,7 @@
 A new acceptor set takes over in three steps: a majority of the previous set enters the new one, which seals the
 previous set; the longest lease elapses; the new set learns the sealed state.
 
-The first start of a whole set (`Stage.FOUNDING`) is distinguished from the loss of all its disks: each acceptor must
+The first start of a complete set (`Stage.FOUNDING`) is distinguished from the loss of all its disks: each acceptor must
 find all others empty, make that durable, and find that all others have done the same.
 """
 
@@ -96,13 +96,13 @@
         elif isinstance(message, StateReply):
             self._on_state_reply(now, sender, message)
 
-    def on_written(self, write: Write, safe: bool) -> None:
+    def on_written(self, write: Write, durable: bool) -> None:
         """A write is durable, or has failed: then its reply is dropped, and a change of stage is written again."""
         if write.state is not None:
-            self._stage_durable = safe
-            if not safe:
+            self._stage_durable = durable
+            if not durable:
                 self._enter_stage(write.state.stage, write.state.sealed_previous)
-        if not safe:
+        if not durable:
             return
         for row in write.rows:
             self.records[row.task].durable_token = max(self.records[row.task].durable_token, row.token)
--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -39,6 +39,8 @@
 MESSAGE_TYPES = (AcquireRequest, Grant, Refusal, Release, Transferred, StateRequest, StateReply, WriteNote, NoteWritten)
 ACCEPTOR_MESSAGES = (AcquireRequest, Release, StateRequest, StateReply, WriteNote)
 MAX_TIMER_MS = 1000.0  # longest timer: the rate of the clock may change
+TIMER_MARGIN_S = 0.0005  # so that the time is surely reached when the timer fires
+STORE_CLOSE_MS = 500.0
 OnAcquired = Callable[[FencingToken], None]
 OnLost = Callable[[FencingToken, str], None]
 OnNoteStored = Callable[[FencingToken, int], None]
@@ -96,7 +98,7 @@
         if self._timer is not None:
             self._timer.cancel()
         if self._journal is not None:
-            await self._journal.close(500.0)
+            await self._journal.close(STORE_CLOSE_MS)
 
     # For lease holders.
 
@@ -196,12 +198,12 @@
             self._notify(client.events.popleft())
         return any_output
 
-    def _on_written(self, write: Write, safe: bool) -> None:
+    def _on_written(self, write: Write, durable: bool) -> None:
         if self.acceptor is not None:
-            if safe and write.reply is not None:
+            if durable and write.reply is not None:
                 self.step_hook("voted")  # durable, and not answered yet
             before = self.acceptor.stage
-            self.acceptor.on_written(write, safe)
+            self.acceptor.on_written(write, durable)
             if write.state is not None:
                 self._log.info("acceptor-stage", stage=before.value, number=self.acceptor.config_number)
 
@@ -227,13 +229,10 @@
     def _schedule_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        dues = [
-            d
-            for d in (self.client.next_tick_at(), self.acceptor.next_tick_at() if self.acceptor is not None else None)
-            if d is not None
-        ]
-        wait = min([MAX_TIMER_MS, *(d - now_ms() for d in dues)])
-        self._timer = self._loop.call_later(max(0.0, wait) / 1000 + 0.0005, self.run_pending)
+        acceptor_due = self.acceptor.next_tick_at() if self.acceptor is not None else None
+        due_times = [due for due in (self.client.next_tick_at(), acceptor_due) if due is not None]
+        wait_ms = min([MAX_TIMER_MS, *(due - now_ms() for due in due_times)])
+        self._timer = self._loop.call_later(max(0.0, wait_ms) / 1000 + TIMER_MARGIN_S, self.run_pending)
 
     def status(self) -> dict[str, Any]:
         """State of leases and acceptor, for operators."""
--- a/kelptrail/planner/core.py
+++ b/kelptrail/planner/core.py
@@ -155,9 +155,8 @@
             for worker, count in at.items():
                 known[worker] = ReportedInstances(count, now)
         self._check_fence(order)
-        if self.role is Role.LEADER and any(
-            m in self.target for m in self.demand.recently_requested(now, edge, self._settings.interest_ms) - before
-        ):
+        newly_requested = self.demand.recently_requested(now, edge, self._settings.interest_ms) - before
+        if self.role is Role.LEADER and any(model in self.target for model in newly_requested):
             self._edges_to_update.add(edge)
 
     def on_plan_refused(self, now: float, edge: str, reason: str, order: PlanOrder) -> None:
@@ -192,7 +191,9 @@
             return
         live = {worker.id for worker in self.workers}
         target = {
-            m: kept for m, at in placement.instances.items() if (kept := {w: n for w, n in at.items() if w in live})
+            model: on_live
+            for model, by_worker in placement.instances.items()
+            if (on_live := {worker: count for worker, count in by_worker.items() if worker in live})
         }
         solver = placement.solver.value
         self.counters.by_solver[solver] = self.counters.by_solver.get(solver, 0) + 1
--- a/kelptrail/planner/demand.py
+++ b/kelptrail/planner/demand.py
@@ -8,6 +8,11 @@
 from kelptrail.gateway.counters import FunctionCounters
 
 HOURS = 24
+WORK_SMOOTHING = 0.3  # share of a new window in the average work of a call
+HOURLY_SMOOTHING = 0.2  # share of the slow average's step by which the usual rate of an hour follows
+SLOW_RATE_SHARE = 0.7  # of the slow average, below which a forecast does not fall
+MAX_GROWTH = 2  # a forecast's largest multiple of the present rate
+IDLE_RATE = 1e-3  # calls a second, below which a function without instances is forgotten
 
 
 @dataclass(slots=True)
@@ -24,6 +29,12 @@
     window: dict[str, FunctionCounters] = field(default_factory=dict)  # counters of the open window, by edge
     hourly_rates: list[float] = field(default_factory=lambda: [0.0] * HOURS)  # usual calls a second by hour of the day
 
+    @property
+    def is_idle(self) -> bool:
+        """Whether the function is not requested, not planned and has no usual rates."""
+        is_requested = self.fast_rate >= IDLE_RATE or self.slow_rate >= IDLE_RATE
+        return not is_requested and not self.planned and not any(self.hourly_rates)
+
 
 class Demand:
     """Rates from usage reports, in windows of a second.  The caller, which has a clock, passes the hour (0 to 23)."""
@@ -37,12 +48,12 @@
 
     def add_report(self, now: float, edge: str, counters: dict[str, FunctionCounters]) -> None:
         """Add an edge's counters since its last report."""
-        asked = self.requested_at.setdefault(edge, {})
+        requested = self.requested_at.setdefault(edge, {})
         for model, counted in counters.items():
-            mine = self.functions.setdefault(model, FunctionLoad())
-            mine.window[edge] = mine.window.get(edge, FunctionCounters()).plus(counted)
+            load = self.functions.setdefault(model, FunctionLoad())
+            load.window[edge] = load.window.get(edge, FunctionCounters()).plus(counted)
             if counted.received:
-                asked[model] = now
+                requested[model] = now
 
     def restore_hourly_rates(self, hours: dict[str, list[float]]) -> None:
         """Take the usual rates by hour from a snapshot."""
@@ -67,29 +78,29 @@
             return
         self._closed = now
         fast, slow = (1 - math.exp(-seconds * 1000 / t) for t in (self._fast, self._slow))
-        for model, mine in list(self.functions.items()):
-            counters, mine.window = mine.window.values(), {}
-            rate = self.error_factor * sum(t.received for t in counters) / seconds
-            done = sum(t.completed for t in counters)
-            mine.fast_rate += fast * (rate - mine.fast_rate)
-            mine.slow_rate += slow * (rate - mine.slow_rate)
-            mine.queue_depth += fast * (sum(t.queue_depth for t in counters) - mine.queue_depth)
-            mine.not_loaded_rate += fast * (sum(t.not_loaded for t in counters) / seconds - mine.not_loaded_rate)
-            if done:
-                spent = sum(t.work_ms for t in counters) / done
-                mine.work_ms += (0.3 if mine.work_ms else 1.0) * (spent - mine.work_ms)
-            usual = mine.hourly_rates[hour]
-            mine.hourly_rates[hour] = rate if not usual else usual + min(1.0, 0.2 * slow) * (rate - usual)
-            if mine.fast_rate < 1e-3 and mine.slow_rate < 1e-3 and not mine.planned and not any(mine.hourly_rates):
+        for model, load in list(self.functions.items()):
+            counters, load.window = load.window.values(), {}
+            rate = self.error_factor * sum(each.received for each in counters) / seconds
+            completed = sum(each.completed for each in counters)
+            load.fast_rate += fast * (rate - load.fast_rate)
+            load.slow_rate += slow * (rate - load.slow_rate)
+            load.queue_depth += fast * (sum(each.queue_depth for each in counters) - load.queue_depth)
+            load.not_loaded_rate += fast * (sum(each.not_loaded for each in counters) / seconds - load.not_loaded_rate)
+            if completed:
+                work_ms = sum(each.work_ms for each in counters) / completed
+                load.work_ms += (WORK_SMOOTHING if load.work_ms else 1.0) * (work_ms - load.work_ms)
+            usual = load.hourly_rates[hour]
+            load.hourly_rates[hour] = rate if not usual else usual + min(1.0, HOURLY_SMOOTHING * slow) * (rate - usual)
+            if load.is_idle:
                 del self.functions[model]
 
     def forecast(self, model: str, hour: int) -> float:
         """Calls a second that the next minute is planned for: the present rate, or the present rate scaled by the usual
         change from the hour before to this one, at most twice the present rate.  The bound guards against a forecast
         that is wrong on a release day: it costs no more than as much again."""
-        mine = self.functions[model]
-        now = max(mine.fast_rate, 0.7 * mine.slow_rate)
-        usual, before = mine.hourly_rates[hour], mine.hourly_rates[(hour - 1) % HOURS]
+        load = self.functions[model]
+        present = max(load.fast_rate, SLOW_RATE_SHARE * load.slow_rate)
+        usual, before = load.hourly_rates[hour], load.hourly_rates[(hour - 1) % HOURS]
         if not usual or not before:
-            return now
-        return max(now, min(2 * now, now * usual / before))
+            return present
+        return max(present, min(MAX_GROWTH * present, present * usual / before))
--- a/kelptrail/planner/edge_driver.py
+++ b/kelptrail/planner/edge_driver.py
@@ -87,10 +87,10 @@
             self._log.warning("saved-plan-unusable", file=str(self._file), reason=str(cause))
             return False
         left = saved.remaining_ms - max(0.0, wall_ms() - saved.saved_wall_ms)
-        taken = self.plan_state.restore(now_ms(), saved.plan, left, self.live_workers)
+        restored = self.plan_state.restore(now_ms(), saved.plan, left, self.live_workers)
         self._saved_order = saved.plan.header.order
         self.apply_plan()
-        return taken
+        return restored
 
     def start(self) -> None:
         """Connect to the planners."""
--- a/kelptrail/planner/greedy_placement.py
+++ b/kelptrail/planner/greedy_placement.py
@@ -57,10 +57,10 @@
         if worker not in assignment.workers or remaining <= 0:
             continue
         fitting = int(assignment.free_mb[worker] // demand.memory_mb) if demand.memory_mb else loaded
-        kept = min(remaining, loaded, fitting)
-        if kept > 0:
-            assignment.add(demand, worker, kept)
-            remaining -= kept
+        reused = min(remaining, loaded, fitting)
+        if reused > 0:
+            assignment.add(demand, worker, reused)
+            remaining -= reused
 
 
 def _add_new(
--- a/kelptrail/planner/plan_follower.py
+++ b/kelptrail/planner/plan_follower.py
@@ -34,7 +34,7 @@
     EXPIRED = "expired"
     DIGEST = "digest"
     WORKERS = "workers"  # it names one that drains, is removed or is not known
-    BASE = "base"  # a difference from a plan that is not the one in force: a complete one is wanted
+    BASE = "base"  # a difference from a plan that is not in force: a complete plan is needed
 
 
 @dataclass(frozen=True, slots=True)
--- a/kelptrail/replication/journal_review.py
+++ b/kelptrail/replication/journal_review.py
@@ -15,13 +15,13 @@
 
 
 class JournalReview:
-    """Looks at the state of each journal on each tick and has `journals` act on it."""
+    """Reviews each journal on each tick; `journals` claims, transfers, releases or closes it."""
 
     def __init__(self, context: ReplicationContext, journals: JournalManager) -> None:
         self._context, self._journals = context, journals
 
     def tick_primaries(self, now: float, reachable: Iterable[str], ranking: tuple[str, ...]) -> None:
-        """Drive the streams of journals whose lease is held; then check whether each journal can be kept."""
+        """Drive the streams of journals whose lease is held; then check whether each journal can stay here."""
         for handle in list(self._journals.handles.values()):
             primary = handle.primary
             if primary.token.round and self._context.lease_token(handle.journal_id) == primary.token:
--- a/kelptrail/replication/lookup.py
+++ b/kelptrail/replication/lookup.py
@@ -58,7 +58,7 @@
         inconclusive: bool,
         on_result: LookupCallback,
     ) -> None:
-        """Start a lookup that was sent to `asked`; with nobody to ask it finishes at once."""
+        """Start a lookup that was sent to `asked`; without recipients it finishes at once."""
         self._pending[target] = PendingLookup(
             now + self._timeout_ms, set(asked), inconclusive, set(primaries), on_result=[on_result]
         )
--- a/kelptrail/replication/messages.py
+++ b/kelptrail/replication/messages.py
@@ -215,12 +215,12 @@
     return [int.from_bytes(data[n : n + DIGEST_BYTES]) for n in range(0, len(data), DIGEST_BYTES)]
 
 
-def differing_buckets(mine: list[int], reply: DigestReply) -> list[int]:
-    """Buckets of a reply whose digests differ from `mine`, which begins at the same bucket."""
+def differing_buckets(local_digests: list[int], reply: DigestReply) -> list[int]:
+    """Buckets of a reply whose digests differ from `local_digests`, which begins at the same bucket."""
     return [
         bucket
         for bucket, (local, remote) in enumerate(
-            zip(mine, unpack_digests(reply.digests), strict=False), reply.first_bucket
+            zip(local_digests, unpack_digests(reply.digests), strict=False), reply.first_bucket
         )
         if local != remote
     ]
--- a/kelptrail/store/__init__.py
+++ b/kelptrail/store/__init__.py
@@ -1,1 +1,1 @@
-"""Crash-safe records of activations whose clients may come back: entries, group commit, the book on disk."""
+"""Crash-safe records of activations: journal entries, group commit, the activation journal on disk, recovery."""
--- a/kelptrail/store/driver.py
+++ b/kelptrail/store/driver.py
@@ -14,7 +14,7 @@
 
 MAX_FORGET_BATCH = 500  # activations deleted in one transaction: a commit may have to wait for it
 MAX_STALE = 20_000  # beyond it activations are deleted even when the thread is busy with commits
-RETRY_POLL_S = 0.1  # how often a failing journal is looked at
+RETRY_POLL_S = 0.1  # how often a failing journal is tried
 CLOSE_POLL_S = 0.005
 
 
@@ -37,7 +37,7 @@
     def __init__(self, journal: GroupCommit, store: EntryStore, progress: Callable[[], None], log: Any) -> None:
         self.group_commit, self._store, self._progress, self._log = journal, store, progress, log
         self._loop = asyncio.get_running_loop()
-        self._thread = ThreadPoolExecutor(1, "book")
+        self._thread = ThreadPoolExecutor(1, "journal")
         self._busy = False
         self._stale: list[str] = []
         self._timer: asyncio.TimerHandle | None = None
--- a/kelptrail/store/recovery.py
+++ b/kelptrail/store/recovery.py
@@ -1,4 +1,4 @@
-"""What becomes of an activation that a crash remaining_ms without its final answer, and in which order; free of I/O.
+"""What becomes of an activation that a crash left without its final answer, and in which order; free of I/O.
 
 It depends on the request class and on what the journal says of attempts.  What was never attempted, and idempotent
 requests, run again within their time; deduplicated ones only while the workers still drop a repeat; at-most-once ones
@@ -26,7 +26,7 @@
     idempotency: Idempotency
     scope: str  # of deduplication: "all", "zone" or "cell"
     deduplication_window_ms: float
-    utility: float
+    priority_weight: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,15 +40,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumeRequest:
-    """Run the request deduplicated_for_ms, with `remaining_ms` remaining_ms.
+    """Run the request, with `remaining_ms` of its time left.
 
-    `deduplicated_for_ms`: for how much longer the workers drop a repeat; None where a repeat does no harm.
+    `deduplicated_for_ms`: for how much longer the workers drop a repeat; None where a repeat is harmless.
     """
 
     entries: ActivationEntries
     remaining_ms: float
     deduplicated_for_ms: float | None
-    priority: float  # utility for each millisecond left
+    priority: float  # priority weight for each millisecond left
 
 
 def decide_recovery(
@@ -80,10 +80,10 @@
             )
         if remaining_ms <= min_run_ms:
             return EndRequest(entries, FinalStatus.FAILED, WAS_DOWN + "; it may have run")
-        return ResumeRequest(entries, remaining_ms, deduplicated_for_ms, rule.utility / remaining_ms)
+        return ResumeRequest(entries, remaining_ms, deduplicated_for_ms, rule.priority_weight / remaining_ms)
     if remaining_ms <= min_run_ms:
         return EndRequest(entries, FinalStatus.REJECTED, WAS_DOWN)
-    return ResumeRequest(entries, remaining_ms, None, rule.utility / remaining_ms)
+    return ResumeRequest(entries, remaining_ms, None, rule.priority_weight / remaining_ms)
 
 
 def _later(resume: ResumeRequest, ms: float) -> ResumeRequest:
@@ -97,13 +97,13 @@
 
 
 class ResumeQueue:
-    """Requests to resume: the most utility for the time left first, at most `max_concurrent` at once.
+    """Requests to resume: the highest priority first, at most `max_concurrent` at once.
 
     The bound keeps a restart from overloading the workers.
     """
 
-    def __init__(self, found: list[ResumeRequest], max_concurrent: int, min_run_ms: float) -> None:
-        self._waiting = deque(sorted(found, key=lambda resume: -resume.priority))
+    def __init__(self, resumable: list[ResumeRequest], max_concurrent: int, min_run_ms: float) -> None:
+        self._waiting = deque(sorted(resumable, key=lambda resume: -resume.priority))
         self._max_concurrent, self._min_run_ms, self._resumed = max_concurrent, min_run_ms, 0
 
     def __len__(self) -> int:
@@ -127,15 +127,15 @@
         self._resumed += 1
         return first
 
-    def add(self, found: list[ResumeRequest], since_ms: float) -> None:
+    def add(self, resumable: list[ResumeRequest], since_ms: float) -> None:
         """Add requests, `since_ms` after `decide_recovery` was called for the first ones."""
-        later = [_later(resume, since_ms) for resume in found]
+        later = [_later(resume, since_ms) for resume in resumable]
         self._waiting = deque(sorted([*self._waiting, *later], key=lambda resume: -resume.priority))
 
     def remove(self, ids: Iterable[str]) -> None:
         """Other dispatchers have taken these over."""
-        gone = set(ids)
-        self._waiting = deque(resume for resume in self._waiting if resume.entries.accepted.id not in gone)
+        taken_over = set(ids)
+        self._waiting = deque(resume for resume in self._waiting if resume.entries.accepted.id not in taken_over)
 
     def on_finished(self) -> None:
         """A resumed request has its final answer."""
--- a/kelptrail/store/wal.py
+++ b/kelptrail/store/wal.py
@@ -1,8 +1,8 @@
 """The write-ahead log of an SQLite database, as far as a commit that failed needs it.
 
 A commit whose sync failed leaves its frames in the log, with their commit mark: the library forgets them in its index,
-but a start after a kill has no index and takes them for committed.  Whoever was told that the commit failed may have
-acted on that, so they are cut off.
+but a start after a kill has no index and takes them for committed.  The failure has been reported and may have been
+acted on, so these frames are cut off.
 
 Source: the library's page "WAL-mode File Format": a header of 32 bytes, frames of a header of 24 bytes and a page;
 the index begins with a version, and holds the page size at byte 14 and the number of valid frames at byte 16, in the
