--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Leases: the cores looked through, rules broken on purpose, the ledger, settings, and what the audit sees."""
+"""Leases: model checking of the cores and of faulty ones, the acceptor store, settings, and the history checker."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 from kelptrail.settings.reader import SettingsError
 
 ROOT = Path(__file__).parent.parent
-FIGURES = {
+TIMES = {
     "max_lease_ms": 100.0,
     "request_timeout_ms": 8.0,
     "retry_pause_ms": 5.0,
@@ -48,10 +48,10 @@
     "transfer_reservation_ms": 20.0,
     "clock_rate_bound": 0.02,
 }
-SET = LeaseSettings(("a", "b", "c"), **FIGURES)  # type: ignore[arg-type]
-NEXT = LeaseSettings(("a", "b", "d"), 2, ("a", "b", "c"), **FIGURES)  # type: ignore[arg-type]
-RATES = (("a", 1.02), ("b", 1.02), ("c", 1.02), ("x", 0.98), ("y", 0.98), ("z", 0.98))
-FULL = Budget(
+SETTINGS = LeaseSettings(("a", "b", "c"), **TIMES)  # type: ignore[arg-type]
+NEXT_SETTINGS = LeaseSettings(("a", "b", "d"), 2, ("a", "b", "c"), **TIMES)  # type: ignore[arg-type]
+CLOCK_RATES = (("a", 1.02), ("b", 1.02), ("c", 1.02), ("x", 0.98), ("y", 0.98), ("z", 0.98))
+ALL_FAULTS = Budget(
     drops=9,
     duplicates=9,
     delays=60,
@@ -63,58 +63,60 @@
     releases=3,
     actions=9,
 )
-LATE = Budget(drops=30, duplicates=9, delays=200, pauses=9, actions=20)
-LOST = Budget(drops=10, duplicates=2, delays=200, disk_losses=1, client_restarts=1)
-CHANGE = Budget(drops=5, duplicates=3, delays=100, restarts=3, client_restarts=2)
+DELAYS = Budget(drops=30, duplicates=9, delays=200, pauses=9, actions=20)
+DISK_LOSS = Budget(drops=10, duplicates=2, delays=200, disk_losses=1, client_restarts=1)
+CONFIG_CHANGE = Budget(drops=5, duplicates=3, delays=100, restarts=3, client_restarts=2)
 
 
-def world(seed: int, budget: Budget, **how: Any) -> Model:
-    askers = ("x", "y") if seed % 2 else ("x", "y", "z")
-    return Model(ModelSetup(how.pop("settings", SET), askers, budget, clock_rates=RATES, **how))
+def initial_state(seed: int, budget: Budget, **how: Any) -> Model:
+    clients = ("x", "y") if seed % 2 else ("x", "y", "z")
+    return Model(ModelSetup(how.pop("settings", SETTINGS), clients, budget, clock_rates=CLOCK_RATES, **how))
 
 
 def walk(seed: int, budget: Budget, faults: float, length: int, **how: Any) -> None:
-    last = [world(seed, budget, **how)]
+    last = [initial_state(seed, budget, **how)]
 
-    def look(state: Model) -> None:
+    def check_and_remember(state: Model) -> None:
         state.check()
         last[0] = state
 
-    random_walk(last[0], look, seed, length, faults)
+    random_walk(last[0], check_and_remember, seed, length, faults)
     last[0].check_recovery(3000.0)
 
 
 @pytest.mark.parametrize(
     ("budget", "faults", "length", "how"),
     [
-        (FULL, 0.12, 400, {}),
-        (LATE, 0.3, 800, {}),
-        (LOST, 0.3, 600, {}),
-        (CHANGE, 0.1, 500, {"next_settings": NEXT}),
+        (ALL_FAULTS, 0.12, 400, {}),
+        (DELAYS, 0.3, 800, {}),
+        (DISK_LOSS, 0.3, 600, {}),
+        (CONFIG_CHANGE, 0.1, 500, {"next_settings": NEXT_SETTINGS}),
         (Budget(drops=5, delays=60, restarts=3, client_restarts=1), 0.1, 300, {"is_founded": False}),
-        (FULL, 0.12, 400, {"with_notes": True}),
-        (LOST, 0.3, 600, {"with_notes": True}),
-        (CHANGE, 0.1, 500, {"next_settings": NEXT, "with_notes": True}),
+        (ALL_FAULTS, 0.12, 400, {"with_notes": True}),
+        (DISK_LOSS, 0.3, 600, {"with_notes": True}),
+        (CONFIG_CHANGE, 0.1, 500, {"next_settings": NEXT_SETTINGS, "with_notes": True}),
     ],
-    ids=["all", "late", "disk-lost", "set-changed", "founding", "notes", "notes-disk-lost", "notes-set-changed"],
+    ids=["all", "delays", "disk-loss", "config-change", "founding", "notes", "notes-disk-loss", "notes-config-change"],
 )
-def test_walks_break_nothing_and_it_heals(budget: Budget, faults: float, length: int, how: dict[str, Any]) -> None:
+def test_random_walks_violate_no_property_and_recover(
+    budget: Budget, faults: float, length: int, how: dict[str, Any]
+) -> None:
     for seed in range(25):
         walk(seed, budget, faults, length, **how)
 
 
-def test_near_states_break_nothing() -> None:
-    found = explore(world(1, Budget(drops=1, delays=1, restarts=1, actions=1)), Model.check, 7, 5000)
+def test_states_near_the_start_violate_no_property() -> None:
+    found = explore(initial_state(1, Budget(drops=1, delays=1, restarts=1, actions=1)), Model.check, 7, 5000)
     assert found.states > 3000 and found.depth >= 6
 
 
-class GrantsWhatIsHeld(Acceptor):
+class GrantsHeldTask(Acceptor):
     def _refusal_reason(self, now: float, sender: str, request: AcquireRequest) -> RefusalReason | None:
         reason = super()._refusal_reason(now, sender, request)
         return None if reason is RefusalReason.HELD else reason
 
 
-class SaysBeforeDisk(Acceptor):
+class RepliesBeforeSync(Acceptor):
     def _enqueue_write(
         self, rows: tuple[LeaseRow, ...], state: DurableState | None = None, to: str = "", reply: Message | None = None
     ) -> None:
@@ -123,33 +125,33 @@
             self.outbox.append((to, reply))
 
 
-class ForgetsGrants(Acceptor):
+class ForgetsGrantsAtRestart(Acceptor):
     def __init__(self, *words: Any) -> None:
         super().__init__(*words)
-        for seat in self.records.values():
-            seat.expires_at = float("-inf")
+        for record in self.records.values():
+            record.expires_at = float("-inf")
 
 
-class VotesWithoutMemory(Acceptor):
+class VotesWithoutState(Acceptor):
     def __init__(
         self,
         name: str,
         settings: LeaseSettings,
         now: float,
-        memory: DurableState | None,
+        state: DurableState | None,
         rows: tuple[LeaseRow, ...] = (),
     ) -> None:
-        super().__init__(name, settings, now, memory or DurableState(settings.config_number, Stage.VOTING, False), rows)
+        super().__init__(name, settings, now, state or DurableState(settings.config_number, Stage.VOTING, False), rows)
 
 
-class GrantsOlder(Acceptor):
+class GrantsOlderToken(Acceptor):
     def _refusal_reason(self, now: float, sender: str, request: AcquireRequest) -> RefusalReason | None:
         record = self.records.get(request.task, LeaseRecord())
         reason = super()._refusal_reason(now, sender, request)
         return None if reason is RefusalReason.OLDER_TOKEN and not record.is_held(now) else reason
 
 
-class ChangesAtOnce(Acceptor):
+class ChangesConfigAtOnce(Acceptor):
     def _next_stage(self, now: float) -> Stage | None:
         return Stage.VOTING if self.stage is Stage.CHANGING else super()._next_stage(now)
 
@@ -161,73 +163,80 @@
                 record.expires_at = now
 
 
-class CountsFromTheAnswer(LeaseClient):
-    def _on_grant(self, now: float, sender: str, wish: Any, answer: Grant) -> None:
-        if (question := wish.ballots.get(answer.request_id)) is not None:
-            question.sent_at = now
-        super()._on_grant(now, sender, wish, answer)
+class CountsLeaseFromReply(LeaseClient):
+    def _on_grant(self, now: float, sender: str, request: Any, answer: Grant) -> None:
+        if (ballot := request.ballots.get(answer.request_id)) is not None:
+            ballot.sent_at = now
+        super()._on_grant(now, sender, request, answer)
 
 
-class BelievesItsState(LeaseClient):
+class IgnoresExpiry(LeaseClient):
     def held_token(self, now: float, task: str) -> FencingToken | None:
-        wish = self.requests.get(task)
-        return wish.token if wish is not None and wish.state is RequestState.HOLDING else None
+        request = self.requests.get(task)
+        return request.token if request is not None and request.state is RequestState.HOLDING else None
 
 
-class TakesOneForKept(LeaseClient):
-    def _on_note_written(self, sender: str, wish: Any, answer: NoteWritten) -> None:
-        wish.note_acceptors |= {"b", "c"}
-        super()._on_note_written(sender, wish, answer)
+class CountsNoteAfterOneAck(LeaseClient):
+    def _on_note_written(self, sender: str, request: Any, answer: NoteWritten) -> None:
+        request.note_acceptors |= {"b", "c"}
+        super()._on_note_written(sender, request, answer)
 
 
-class CountsOneVoterTwice(LeaseClient):
-    def _on_grant(self, now: float, sender: str, wish: Any, answer: Grant) -> None:
-        if (question := wish.ballots.get(answer.request_id)) is not None:
-            question.granted_by.add("c")
-        super()._on_grant(now, sender, wish, answer)
+class CountsAbsentAcceptor(LeaseClient):
+    def _on_grant(self, now: float, sender: str, request: Any, answer: Grant) -> None:
+        if (ballot := request.ballots.get(answer.request_id)) is not None:
+            ballot.granted_by.add("c")
+        super()._on_grant(now, sender, request, answer)
 
 
 @dataclasses.dataclass(frozen=True)
-class ClocksAgree(LeaseSettings):
+class IdealClockSettings(LeaseSettings):
     def safe_hold_ms(self, length_ms: float) -> float:
         return length_ms
 
 
-AGREE = ClocksAgree(("a", "b", "c"), **FIGURES)  # type: ignore[arg-type]
+IDEAL_CLOCK_SETTINGS = IdealClockSettings(("a", "b", "c"), **TIMES)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
     ("budget", "faults", "length", "how"),
     [
-        (FULL, 0.12, 400, {"acceptor_type": GrantsWhatIsHeld}),
-        (FULL, 0.12, 400, {"acceptor_type": SaysBeforeDisk}),
-        (FULL, 0.12, 400, {"acceptor_type": ForgetsGrants}),
-        (LOST, 0.3, 600, {"acceptor_type": VotesWithoutMemory}),
-        (FULL, 0.12, 400, {"acceptor_type": GrantsOlder}),
-        (Budget(drops=20, delays=100), 0.2, 500, {"acceptor_type": ChangesAtOnce, "next_settings": NEXT}),
-        (LATE, 0.3, 800, {"client_type": CountsFromTheAnswer}),
-        (LATE, 0.3, 800, {"client_type": BelievesItsState}),
-        (FULL, 0.12, 400, {"client_type": CountsOneVoterTwice}),
-        (LATE, 0.3, 800, {"settings": AGREE}),
+        (ALL_FAULTS, 0.12, 400, {"acceptor_type": GrantsHeldTask}),
+        (ALL_FAULTS, 0.12, 400, {"acceptor_type": RepliesBeforeSync}),
+        (ALL_FAULTS, 0.12, 400, {"acceptor_type": ForgetsGrantsAtRestart}),
+        (DISK_LOSS, 0.3, 600, {"acceptor_type": VotesWithoutState}),
+        (ALL_FAULTS, 0.12, 400, {"acceptor_type": GrantsOlderToken}),
+        (
+            Budget(drops=20, delays=100),
+            0.2,
+            500,
+            {"acceptor_type": ChangesConfigAtOnce, "next_settings": NEXT_SETTINGS},
+        ),
+        (DELAYS, 0.3, 800, {"client_type": CountsLeaseFromReply}),
+        (DELAYS, 0.3, 800, {"client_type": IgnoresExpiry}),
+        (ALL_FAULTS, 0.12, 400, {"client_type": CountsAbsentAcceptor}),
+        (DELAYS, 0.3, 800, {"settings": IDEAL_CLOCK_SETTINGS}),
         (Budget(releases=9, actions=40, delays=60), 0.1, 300, {"checks_tokens": False}),
-        (FULL, 0.12, 400, {"client_type": TakesOneForKept, "with_notes": True}),
+        (ALL_FAULTS, 0.12, 400, {"client_type": CountsNoteAfterOneAck, "with_notes": True}),
     ],
     ids=[
-        "held",
-        "before-disk",
+        "held-task",
+        "before-sync",
         "forgets",
-        "no-memory",
-        "older",
-        "change",
-        "from-answer",
-        "state",
-        "twice",
-        "clocks",
-        "fence",
-        "notes-one",
+        "no-state",
+        "older-token",
+        "config-change",
+        "from-reply",
+        "expiry",
+        "absent-acceptor",
+        "ideal-clocks",
+        "no-fencing",
+        "note-one-ack",
     ],
 )
-def test_rules_broken_on_purpose_are_found(budget: Budget, faults: float, length: int, how: dict[str, Any]) -> None:
+def test_faulty_cores_are_found_by_random_walks(
+    budget: Budget, faults: float, length: int, how: dict[str, Any]
+) -> None:
     with pytest.raises(
         PropertyError, match=r"rely on the lease at one time|acquired it under|was accepted after|did not inherit"
     ):
@@ -235,24 +244,26 @@
             walk(seed, budget, faults, length, **how)
 
 
-def test_a_voter_keeps_no_note_under_an_older_token_and_learns_what_others_keep() -> None:
-    """Both are too rare for walks to break within seconds."""
+def test_acceptor_rejects_note_under_older_token_and_learns_notes_of_others() -> None:
+    """Both faults are too rare for random walks to find within seconds."""
     old, new = FencingToken(1, "x/1"), FencingToken(2, "y/1")
-    voter = Acceptor(
+    acceptor = Acceptor(
         "a",
-        SET,
+        SETTINGS,
         0.0,
         DurableState(1, Stage.VOTING, False),
         (LeaseRow("t", new, 10.0, False, LeaseNote(old, 3, b"first")),),
     )
-    voter.on_message(1.0, "x", WriteNote("t", LeaseNote(old, 4, b"late"), 1))
-    voter.on_message(1.0, "y", WriteNote("t", LeaseNote(new, 1, b"next"), 2))
-    assert not voter.pending_writes and not voter.outbox, "neither under an older token nor for another set"
-    voter.on_message(1.0, "y", WriteNote("t", LeaseNote(new, 1, b"next"), 1))
-    voter.on_written(voter.pending_writes.popleft(), True)
-    voter.on_message(1.0, "y", WriteNote("t", LeaseNote(new, 0, b"before"), 1))
-    assert [m for _, m in voter.outbox] == [NoteWritten("t", new, 1)] and voter.records["t"].note.text == b"next"
-    empty = Acceptor("c", SET, 0.0, None)
+    acceptor.on_message(1.0, "x", WriteNote("t", LeaseNote(old, 4, b"late"), 1))
+    acceptor.on_message(1.0, "y", WriteNote("t", LeaseNote(new, 1, b"next"), 2))
+    assert not acceptor.pending_writes and not acceptor.outbox, (
+        "neither under an older token nor for another acceptor set"
+    )
+    acceptor.on_message(1.0, "y", WriteNote("t", LeaseNote(new, 1, b"next"), 1))
+    acceptor.on_written(acceptor.pending_writes.popleft(), True)
+    acceptor.on_message(1.0, "y", WriteNote("t", LeaseNote(new, 0, b"before"), 1))
+    assert [m for _, m in acceptor.outbox] == [NoteWritten("t", new, 1)] and acceptor.records["t"].note.text == b"next"
+    empty = Acceptor("c", SETTINGS, 0.0, None)
     empty.stage, empty._stage_durable = Stage.EMPTY, True
     empty.recovery.replies = {
         "a": StateReply(1, 0, "voting", False, (LeaseRow("t", old, 10.0, True, LeaseNote(new, 1, b"next")),))
@@ -261,130 +272,134 @@
     assert empty.records["t"].note.text == b"next"
 
 
-def test_an_old_token_is_never_acted_under_whatever_the_clocks() -> None:
-    """Ten times the bound: two may believe, but what is acted on takes no older token."""
+def test_resource_accepts_no_older_token_whatever_the_clock_rates() -> None:
+    """Ten times the bound: two clients may rely on the lease, but the resource accepts no older token."""
     rates = (("a", 1.2), ("b", 1.2), ("c", 1.2), ("x", 0.8), ("y", 0.8))
     both = 0
     for seed in range(150):
-        state = Model(ModelSetup(SET, ("x", "y"), LATE, clock_rates=rates, clocks_in_bound=False))
+        state = Model(ModelSetup(SETTINGS, ("x", "y"), DELAYS, clock_rates=rates, clocks_in_bound=False))
 
-        def look(one: Model) -> None:
+        def check_and_remember(one: Model) -> None:
             nonlocal both
             one.check()
             both += sum(a.held_token(one.local_time(n), TASK) is not None for n, a in one.clients.items()) > 1
 
-        random_walk(state, look, seed, 400, 0.3)
-    assert both > 0, "the clocks were wrong enough to matter"
+        random_walk(state, check_and_remember, seed, 400, 0.3)
+    assert both > 0, "the clock rates were wrong enough to matter"
 
 
-# Askers.
+# The client.
 
 
-def asked(asker: LeaseClient) -> list[tuple[str, AcquireRequest]]:
-    found = [(to, m) for to, m in asker.outbox if isinstance(m, AcquireRequest)]
-    asker.outbox.clear()
+def take_requests(client: LeaseClient) -> list[tuple[str, AcquireRequest]]:
+    found = [(to, m) for to, m in client.outbox if isinstance(m, AcquireRequest)]
+    client.outbox.clear()
     return found
 
 
-def held(asker: LeaseClient, now: float = 0.0) -> FencingToken:
-    asker.acquire(now, "t", 100.0)
-    asker.tick(now)
-    while questions := asked(asker):
-        for to, ask in questions:
-            asker.on_message(now, to, Grant("t", ask.token, ask.request_id))
-    won = asker.events.popleft()
-    assert isinstance(won, LeaseAcquired)
-    return won.token
-
-
-def test_renewals_count_only_answers_to_one_question_and_from_when_it_was_asked() -> None:
-    asker = LeaseClient("x", "x/1", SET)
-    token = held(asker)
-    until = SET.safe_hold_ms(100.0)
-    assert asker.held_token(until - 0.01, "t") == token and asker.held_token(until, "t") is None
-    asker.tick(40.0)
-    first = asked(asker)
-    asker.tick(75.0)
-    second = asked(asker)
-    asker.on_message(76.0, "a", Grant("t", token, first[0][1].request_id))
-    asker.on_message(76.0, "b", Grant("t", token, second[0][1].request_id))
-    assert asker.remaining_ms(76.0, "t") == pytest.approx(until - 76.0), "two halves are no majority"
-    asker.on_message(77.0, "c", Grant("t", token, first[0][1].request_id))
-    assert asker.remaining_ms(77.0, "t") == pytest.approx(40.0 + until - 77.0)
-    asker.on_message(78.0, "c", Grant("t", token, first[0][1].request_id))
-    asker.on_message(78.0, "stranger", Grant("t", token, second[0][1].request_id))
-    assert asker.remaining_ms(78.0, "t") == pytest.approx(40.0 + until - 78.0)
-    asker.tick(200.0)
-    assert asker.events.popleft() == LeaseLost("t", token, LossReason.EXPIRED) and asker.held_token(200.0, "t") is None
-
-
-def test_answers_of_the_set_before_do_not_count_for_the_next() -> None:
-    asker = LeaseClient("x", "x/1", SET)
-    asker.acquire(0.0, "t", 100.0)
-    asker.tick(0.0)
-    [(first, ask)] = asked(asker)
-    asker.on_message(1.0, first, Grant("t", ask.token, ask.request_id))
-    rest = asked(asker)
-    asker.on_message(
+def acquire_lease(client: LeaseClient, now: float = 0.0) -> FencingToken:
+    client.acquire(now, "t", 100.0)
+    client.tick(now)
+    while requests := take_requests(client):
+        for to, request in requests:
+            client.on_message(now, to, Grant("t", request.token, request.request_id))
+    event = client.events.popleft()
+    assert isinstance(event, LeaseAcquired)
+    return event.token
+
+
+def test_renewal_needs_a_majority_for_one_request_and_counts_from_its_sending() -> None:
+    client = LeaseClient("x", "x/1", SETTINGS)
+    token = acquire_lease(client)
+    until = SETTINGS.safe_hold_ms(100.0)
+    assert client.held_token(until - 0.01, "t") == token and client.held_token(until, "t") is None
+    client.tick(40.0)
+    first = take_requests(client)
+    client.tick(75.0)
+    second = take_requests(client)
+    client.on_message(76.0, "a", Grant("t", token, first[0][1].request_id))
+    client.on_message(76.0, "b", Grant("t", token, second[0][1].request_id))
+    assert client.remaining_ms(76.0, "t") == pytest.approx(until - 76.0), "grants for two requests are no majority"
+    client.on_message(77.0, "c", Grant("t", token, first[0][1].request_id))
+    assert client.remaining_ms(77.0, "t") == pytest.approx(40.0 + until - 77.0)
+    client.on_message(78.0, "c", Grant("t", token, first[0][1].request_id))
+    client.on_message(78.0, "stranger", Grant("t", token, second[0][1].request_id))
+    assert client.remaining_ms(78.0, "t") == pytest.approx(40.0 + until - 78.0)
+    client.tick(200.0)
+    assert (
+        client.events.popleft() == LeaseLost("t", token, LossReason.EXPIRED) and client.held_token(200.0, "t") is None
+    )
+
+
+def test_grants_of_the_previous_acceptor_set_do_not_count() -> None:
+    client = LeaseClient("x", "x/1", SETTINGS)
+    client.acquire(0.0, "t", 100.0)
+    client.tick(0.0)
+    [(first, request)] = take_requests(client)
+    client.on_message(1.0, first, Grant("t", request.token, request.request_id))
+    rest = take_requests(client)
+    client.on_message(
         2.0,
         rest[0][0],
-        Refusal("t", ask.token, ask.request_id, RefusalReason.OTHER_CONFIG, NO_TOKEN, 0.0, 2, ("a", "b", "d")),
+        Refusal("t", request.token, request.request_id, RefusalReason.OTHER_CONFIG, NO_TOKEN, 0.0, 2, ("a", "b", "d")),
     )
-    asker.on_message(3.0, rest[1][0], Grant("t", ask.token, ask.request_id))
-    assert asker.config_number == 2 and not asker.events and asker.requests["t"].state is RequestState.WAITING
+    client.on_message(3.0, rest[1][0], Grant("t", request.token, request.request_id))
+    assert client.config_number == 2 and not client.events and client.requests["t"].state is RequestState.WAITING
     with pytest.raises(ValueError, match="at most"):
-        asker.acquire(0.0, "u", 101.0)
+        client.acquire(0.0, "u", 101.0)
 
 
-def test_what_is_handed_over_is_had_at_once_by_whom_it_was_meant_for() -> None:
-    voters = {name: Acceptor(name, SET, 0.0, DurableState(1, Stage.VOTING, False)) for name in SET.acceptors}
-    askers = {name: LeaseClient(name, f"{name}/1", SET) for name in ("x", "y", "z")}
-    told: list[str] = []
+def test_transferred_lease_is_acquired_at_once_by_the_successor() -> None:
+    acceptors = {
+        name: Acceptor(name, SETTINGS, 0.0, DurableState(1, Stage.VOTING, False)) for name in SETTINGS.acceptors
+    }
+    clients = {name: LeaseClient(name, f"{name}/1", SETTINGS) for name in ("x", "y", "z")}
+    transfers: list[str] = []
 
     def pump(now: float) -> None:
         busy = True
         while busy:
             busy = False
-            for name, core in [*voters.items(), *askers.items()]:
+            for name, core in [*acceptors.items(), *clients.items()]:
                 while isinstance(core, Acceptor) and core.pending_writes:
                     core.on_written(core.pending_writes.popleft(), True)
                 while core.outbox:
                     to, message = core.outbox.popleft()
                     busy = True
-                    told.append(to) if isinstance(message, Transferred) else None
-                    (voters.get(to) or askers[to]).on_message(now, name, message)
+                    transfers.append(to) if isinstance(message, Transferred) else None
+                    (acceptors.get(to) or clients[to]).on_message(now, name, message)
 
-    held_by = askers["x"]
+    holder = clients["x"]
     for name in ("x", "y", "z"):
-        askers[name].acquire(0.0, "t", 100.0)
-        askers[name].tick(0.0)
+        clients[name].acquire(0.0, "t", 100.0)
+        clients[name].tick(0.0)
         pump(0.0)
-    first = held_by.held_token(1.0, "t")
+    first = holder.held_token(1.0, "t")
     assert first is not None
-    held_by.release(10.0, "t", "z")
+    holder.release(10.0, "t", "z")
     pump(10.0)
-    askers["z"].tick(10.0)
+    clients["z"].tick(10.0)
     pump(10.0)
-    second = askers["z"].held_token(10.0, "t")
-    assert second is not None and second > first and told.count("z") == 3
-    assert askers["y"].held_token(10.0, "t") is None and held_by.events.pop() == LeaseLost(
+    second = clients["z"].held_token(10.0, "t")
+    assert second is not None and second > first and transfers.count("z") == 3
+    assert clients["y"].held_token(10.0, "t") is None and holder.events.pop() == LeaseLost(
         "t", first, LossReason.RELEASED
     )
 
 
-def test_a_fleet_that_waits_is_given_places_one_after_another() -> None:
-    settings = dataclasses.replace(SET, queue_spacing_ms=20.0)
-    voter = Acceptor("a", settings, 0.0, DurableState(1, Stage.VOTING, False))
-    voter.on_message(0.0, "x", AcquireRequest("t", FencingToken(1, "x/1"), 100.0, 1, 1))
-    voter.on_written(voter.pending_writes.popleft(), True)
-    voter.outbox.clear()
+def test_waiting_clients_get_spaced_retry_times() -> None:
+    settings = dataclasses.replace(SETTINGS, queue_spacing_ms=20.0)
+    acceptor = Acceptor("a", settings, 0.0, DurableState(1, Stage.VOTING, False))
+    acceptor.on_message(0.0, "x", AcquireRequest("t", FencingToken(1, "x/1"), 100.0, 1, 1))
+    acceptor.on_written(acceptor.pending_writes.popleft(), True)
+    acceptor.outbox.clear()
     for number in range(200):
-        voter.on_message(1.0, f"y{number}", AcquireRequest("t", FencingToken(2, f"y{number}/1"), 100.0, 1, 1))
-    left = [message.retry_after_ms for _, message in voter.outbox if isinstance(message, Refusal)]
+        acceptor.on_message(1.0, f"y{number}", AcquireRequest("t", FencingToken(2, f"y{number}/1"), 100.0, 1, 1))
+    left = [message.retry_after_ms for _, message in acceptor.outbox if isinstance(message, Refusal)]
     assert left == pytest.approx([99.0 + 20.0 * n for n in range(200)])
-    voter.outbox.clear()
-    voter.on_message(2.0, "x", Release("t", FencingToken(1, "x/1")))
-    assert list(voter.outbox) == [("y0", Transferred("t"))], "the first in line need not wait for an end that has come"
+    acceptor.outbox.clear()
+    acceptor.on_message(2.0, "x", Release("t", FencingToken(1, "x/1")))
+    assert list(acceptor.outbox) == [("y0", Transferred("t"))], "the first waiting client is notified of the release"
 
 
 def test_refusal_reasons_are_strings_on_the_wire_and_an_unknown_one_is_decoded() -> None:
@@ -397,64 +412,66 @@
     assert {stage.value for stage in Stage} - {"voting"} <= {reason.value for reason in RefusalReason}
 
 
-# A voter's memory.
+# The acceptor store.
 
 
-def test_a_voter_goes_on_from_its_ledger_and_without_one_does_not_vote(tmp_path: Path) -> None:
+def test_acceptor_continues_from_its_store_and_does_not_vote_without_one(tmp_path: Path) -> None:
     file = tmp_path / "leases.sqlite"
-    ledger, memory, rows, reason = open_acceptor_store(file)
-    assert memory is None and not rows and not reason
-    kept = LeaseRow("t", FencingToken(7, "x/1"), 100.0, False)
-    ledger.commit(
-        [Write(1, (kept,), DurableState(1, Stage.VOTING, False)), Write(2, (LeaseRow("u", NO_TOKEN, 0.0, True),))]
+    store, state, rows, reason = open_acceptor_store(file)
+    assert state is None and not rows and not reason
+    row = LeaseRow("t", FencingToken(7, "x/1"), 100.0, False)
+    store.commit(
+        [Write(1, (row,), DurableState(1, Stage.VOTING, False)), Write(2, (LeaseRow("u", NO_TOKEN, 0.0, True),))]
+    )
+    store.close()
+    store, state, rows, _ = open_acceptor_store(file)
+    assert state == DurableState(1, Stage.VOTING, False) and rows == (row, LeaseRow("u", NO_TOKEN, 0.0, True))
+    store.close()
+    acceptor = Acceptor("a", SETTINGS, 50.0, state, rows)
+    acceptor.on_message(60.0, "y", AcquireRequest("t", FencingToken(8, "y/1"), 100.0, 1, 1))
+    assert isinstance(refused := acceptor.outbox.popleft()[1], Refusal) and refused.retry_after_ms == pytest.approx(
+        90.0
     )
-    ledger.close()
-    ledger, memory, rows, _ = open_acceptor_store(file)
-    assert memory == DurableState(1, Stage.VOTING, False) and rows == (kept, LeaseRow("u", NO_TOKEN, 0.0, True))
-    ledger.close()
-    voter = Acceptor("a", SET, 50.0, memory, rows)
-    voter.on_message(60.0, "y", AcquireRequest("t", FencingToken(8, "y/1"), 100.0, 1, 1))
-    assert isinstance(refused := voter.outbox.popleft()[1], Refusal) and refused.retry_after_ms == pytest.approx(90.0)
-    voter.on_message(151.0, "y", AcquireRequest("t", FencingToken(8, "y/1"), 100.0, 2, 1))
-    assert not voter.outbox, "not before it is on disk"
-    voter.on_written(voter.pending_writes.popleft(), False)
-    assert not voter.outbox, "nor where it cannot be"
+    acceptor.on_message(151.0, "y", AcquireRequest("t", FencingToken(8, "y/1"), 100.0, 2, 1))
+    assert not acceptor.outbox, "not before the write is durable"
+    acceptor.on_written(acceptor.pending_writes.popleft(), False)
+    assert not acceptor.outbox, "nor after the write failed"
     database = apsw.Connection(str(file))
     database.execute("UPDATE kept SET body = zeroblob(length(body)) WHERE name = 't'")
     database.close()
-    ledger, memory, rows, reason = open_acceptor_store(file)
-    assert memory is None and not rows and "Corrupt" in reason and (tmp_path / "leases.sqlite.damaged-1").exists()
-    ledger.close()
-    empty = Acceptor("a", SET, 0.0, memory, rows)
+    store, state, rows, reason = open_acceptor_store(file)
+    assert state is None and not rows and "Corrupt" in reason and (tmp_path / "leases.sqlite.damaged-1").exists()
+    store.close()
+    empty = Acceptor("a", SETTINGS, 0.0, state, rows)
     empty.on_message(1.0, "y", AcquireRequest("t", FencingToken(9, "y/1"), 100.0, 1, 1))
     assert isinstance(refused := empty.outbox.popleft()[1], Refusal) and refused.reason is RefusalReason.EMPTY
 
 
-def test_a_voter_without_memory_learns_after_the_longest_lease_from_a_majority_that_votes() -> None:
-    voter = Acceptor("a", SET, 0.0, None)
+def test_acceptor_without_state_votes_after_longest_lease_and_replies_of_voting_majority() -> None:
+    acceptor = Acceptor("a", SETTINGS, 0.0, None)
 
     def answered(now: float, stages: dict[str, str]) -> Stage:
-        voter.tick(now)
-        nonce = voter.outbox[-1][1].nonce  # type: ignore[union-attr]
-        voter.outbox.clear()
+        acceptor.tick(now)
+        nonce = acceptor.outbox[-1][1].nonce  # type: ignore[union-attr]
+        acceptor.outbox.clear()
         for name, stage in stages.items():
-            voter.on_message(
+            acceptor.on_message(
                 now, name, StateReply(1, nonce, stage, False, (LeaseRow("t", FencingToken(5, "x/1"), 100.0, False),))
             )
-        while voter.pending_writes:
-            voter.on_written(voter.pending_writes.popleft(), True)
-        return voter.stage
+        while acceptor.pending_writes:
+            acceptor.on_written(acceptor.pending_writes.popleft(), True)
+        return acceptor.stage
 
     assert answered(1.0, {"b": "voting", "c": "voting"}) is Stage.EMPTY
-    assert answered(SET.recovery_wait_ms + 1, {"b": "voting", "c": "empty"}) is Stage.EMPTY, "one is no majority"
-    assert answered(SET.recovery_wait_ms + 20, {"b": "voting", "c": "voting"}) is Stage.VOTING
-    voter.on_message(130.0, "y", AcquireRequest("t", FencingToken(5, "a/1"), 100.0, 1, 1))
-    voter.on_message(130.0, "x", AcquireRequest("t", FencingToken(5, "x/1"), 100.0, 1, 1))
-    (_, old), (_, renewed) = voter.outbox
+    assert answered(SETTINGS.recovery_wait_ms + 1, {"b": "voting", "c": "empty"}) is Stage.EMPTY, "one is no majority"
+    assert answered(SETTINGS.recovery_wait_ms + 20, {"b": "voting", "c": "voting"}) is Stage.VOTING
+    acceptor.on_message(130.0, "y", AcquireRequest("t", FencingToken(5, "a/1"), 100.0, 1, 1))
+    acceptor.on_message(130.0, "x", AcquireRequest("t", FencingToken(5, "x/1"), 100.0, 1, 1))
+    (_, old), (_, renewed) = acceptor.outbox
     assert isinstance(old, Refusal) and old.reason is RefusalReason.OLDER_TOKEN and isinstance(renewed, Grant)
 
 
-# Settings and the audit.
+# Settings and the history checker.
 
 FLEET = (ROOT / "examples" / "fleet.sexp").read_text()
 
@@ -479,14 +496,14 @@
         ("(clock-bound 0.01)", "(clock-bound 0.5)", "from 0 to 0.2"),
     ],
 )
-def test_settings_that_cannot_be_are_refused_with_their_line(old: str, new: str, word: str) -> None:
+def test_invalid_settings_are_reported_with_file_and_line(old: str, new: str, word: str) -> None:
     assert old in FLEET
     with pytest.raises(SettingsError) as caught:
         parse(FLEET.replace(old, new), "fleet.sexp")
     assert any(word in str(f) and str(f).startswith("fleet.sexp:") for f in caught.value.faults)
 
 
-def test_one_voter_may_be_replaced_and_two_may_come_or_go() -> None:
+def test_one_acceptor_may_be_replaced_and_two_added_or_removed() -> None:
     for before in (
         "dispatcher-0 dispatcher-1 dispatcher-2 dispatcher-3 dispatcher-9",
         "dispatcher-0 dispatcher-1 dispatcher-2",
@@ -496,7 +513,7 @@
     assert load(ROOT / "examples" / "season.sexp").leases is not None
 
 
-def act(t: float, token: int, looked: float, by: str = "d", taken: bool = True, what: str = "act") -> dict[str, Any]:
+def use(t: float, token: int, looked: float, by: str = "d", taken: bool = True, what: str = "act") -> dict[str, Any]:
     return {
         "t": t,
         "who": "witness",
@@ -509,8 +526,8 @@
     }
 
 
-def test_the_audit_sees_two_holders_and_old_tokens_in_captures_alone() -> None:
-    world = {
+def test_history_checker_finds_two_holders_and_old_tokens() -> None:
+    first_event = {
         "t": 0.0,
         "who": "player",
         "what": "world",
@@ -520,15 +537,15 @@
         "clock_bound": 0.01,
         "rules": {"drain_grace_ms": 1, "tip": 1, "tip_ms": 1, "load_span_ms": 0},
     }
-    good = [act(10, 1, 9), act(20, 1, 19, what="done"), act(30, 2, 29, "e"), act(40, 1, 19, taken=False)]
-    verdict = check_history([world, *good])
-    assert not verdict.broken and verdict.old_tokens_refused == 1 and verdict.acts == 3
-    two = check_history([world, *good, act(50, 1, 45, taken=False)])
-    assert two.holders_two == 1 and two.broken and not two.old_tokens_taken
-    taken = check_history([world, *good, act(50, 1, 19)])
-    assert taken.old_tokens_taken == 1 and not taken.holders_two
-    clock = {"t": 25.0, "who": "player", "what": "trouble", "kind": "clock-rate", "seconds": 1.0, "factor": 1.1}
-    beyond = check_history([world, clock, *good, act(50, 1, 45, taken=False)])
-    assert beyond.holders_two_by_clocks == 1 and not beyond.broken
-    within = check_history([world, clock | {"factor": 1.01}, *good, act(50, 1, 45, taken=False)])
-    assert within.holders_two == 1
+    good = [use(10, 1, 9), use(20, 1, 19, what="done"), use(30, 2, 29, "e"), use(40, 1, 19, taken=False)]
+    result = check_history([first_event, *good])
+    assert not result.broken and result.old_tokens_refused == 1 and result.acts == 3
+    two_holders = check_history([first_event, *good, use(50, 1, 45, taken=False)])
+    assert two_holders.holders_two == 1 and two_holders.broken and not two_holders.old_tokens_taken
+    old_token_accepted = check_history([first_event, *good, use(50, 1, 19)])
+    assert old_token_accepted.old_tokens_taken == 1 and not old_token_accepted.holders_two
+    clock_fault = {"t": 25.0, "who": "player", "what": "trouble", "kind": "clock-rate", "seconds": 1.0, "factor": 1.1}
+    beyond_bound = check_history([first_event, clock_fault, *good, use(50, 1, 45, taken=False)])
+    assert beyond_bound.holders_two_by_clocks == 1 and not beyond_bound.broken
+    within_bound = check_history([first_event, clock_fault | {"factor": 1.01}, *good, use(50, 1, 45, taken=False)])
+    assert within_bound.holders_two == 1
