--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -54,7 +54,7 @@
     return [Member(f"dispatcher-{n}", f"hall-{n % zones}") for n in range(count)]
 
 
-@pytest.mark.parametrize(("size", "halls", "count"), [(7, 3, 1), (7, 3, 2), (30, 3, 2), (60, 4, 3), (9, 1, 2)])
+@pytest.mark.parametrize(("size", "zones", "count"), [(7, 3, 1), (7, 3, 2), (30, 3, 2), (60, 4, 3), (9, 1, 2)])
 def test_replicas_are_spread_evenly_over_other_zones_and_few_move(size: int, zones: int, count: int) -> None:
     members = fleet(size, zones)
     zone_of = {m.name: m.zone for m in members}
