--- a/kelptrail/cli/scenarios.py
+++ b/kelptrail/cli/scenarios.py
@@ -36,9 +36,9 @@
         runner = ScenarioRunner(scenario, deployment, seed, out, context.obj["level"], script)
     except ValueError as cause:
         raise UnusableInputError(f"{script}: {cause}") from None
-    clean = bool(run_async(runner.run()))
+    observations = run_async(runner.run())
     events = read_captures(out / "captures")
-    report = write_report(out, scenario.name, seed, events, check_history(events), clean, runner.memory, runner.states)
+    report = write_report(out, scenario.name, seed, events, check_history(events), observations)
     print_json({key: value for key, value in report.items() if key not in _LEFT_OUT_OF_BRIEF})
     for line in report["details"][:SHOWN_DETAILS]:
         click.echo(line, err=True)
--- /dev/null
+++ b/kelptrail/fault_scenario/dispatcher_faults.py
@@ -0,0 +1,122 @@
+"""Faults of dispatcher processes: kills, lost machines, pauses, disks, clocks and the links between them."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import signal
+from typing import Any
+
+from kelptrail.codec.http import HttpError
+from kelptrail.emulator.capture import Capture
+from kelptrail.emulator.cluster import Cluster, Process, http_json
+
+from .peer_links import PeerLinks
+from .scenario import Fault
+
+LEASE_QUERY_TIMEOUT_S = 0.3  # a dispatcher that is stopped doesn't answer
+PAUSE_AFTER_LEASE_CHECK = "looked"  # type of a pause: between a check of the lease and its use
+
+
+class DispatcherFaults:
+    """Injects faults into dispatchers of a cluster; each method returns once its fault is over."""
+
+    def __init__(self, cluster: Cluster, capture: Capture, links: PeerLinks, scenario_seconds: float) -> None:
+        self._cluster, self._capture, self._links = cluster, capture, links
+        self._scenario_seconds = scenario_seconds
+        self._killed: set[Process] = set()  # dispatchers that a fault has killed and will restart
+
+    async def inject_peer_fault(self, fault: Fault, targets: list[Process]) -> None:
+        """Inject a fault of `PEER_FAULTS`."""
+        kind = fault.kind
+        if kind == "cut-peers":
+            await self._links.cut_off(fault, targets)
+        elif kind == "slow-peers":
+            await self._links.slow(fault)
+        elif kind == "reset-peers":
+            await self._links.reset(fault.share)
+        elif kind == "pause-dispatchers":
+            await self._pause_all(fault, targets)
+        elif kind == "lose-machines":
+            lost_for_good = fault.at + fault.duration > self._scenario_seconds
+            down_s = None if lost_for_good else fault.duration
+            await asyncio.gather(*(self.kill(target, down_s, lose_disk=True) for target in targets))
+        else:
+            await self._disturb_clocks(fault, targets)
+
+    async def inject_disk_fault(self, fault: Fault, targets: list[Process]) -> None:
+        """Inject a fault of `DISK_FAULTS`."""
+        settings: dict[str, dict[str, Any]] = {
+            "disk-slow": {"sync_ms": fault.ms},
+            "disk-fails": {"fails": True},
+            "disk-full": {"full": True},
+        }
+        for target in targets:
+            self._cluster.set_disk_fault(target, **settings[fault.kind])
+        await asyncio.sleep(fault.duration)
+        for target in targets:
+            self._cluster.set_disk_fault(target)
+
+    async def _disturb_clocks(self, fault: Fault, targets: list[Process]) -> None:
+        settings = {"rate": fault.factor} if fault.kind == "clock-rate" else {"step_ms": fault.ms}
+        for target in targets:
+            self._cluster.set_clock_fault(target, **settings)
+        await asyncio.sleep(fault.duration)
+        for target in targets:
+            self._cluster.set_clock_fault(target)
+
+    async def _pause_all(self, fault: Fault, targets: list[Process]) -> None:
+        """Pause the targets; after a lease check: the dispatchers that hold leases, where there are any."""
+        after_lease_check = fault.type == PAUSE_AFTER_LEASE_CHECK
+        if after_lease_check:
+            targets = await self._lease_holders() or targets
+        await asyncio.gather(*(self._pause(target, fault.duration, after_lease_check) for target in targets))
+
+    async def _lease_holders(self) -> list[Process]:
+        """Dispatchers that hold the lease of a task."""
+        found = []
+        for dispatcher in self._cluster.dispatchers:
+            with contextlib.suppress(OSError, HttpError, TimeoutError):
+                async with asyncio.timeout(LEASE_QUERY_TIMEOUT_S):
+                    if dispatcher.running and (await http_json(dispatcher.said["asked_at"], "GET", "/leases"))["holds"]:
+                        found.append(dispatcher)
+        return found
+
+    async def _pause(self, target: Process, duration_s: float, after_lease_check: bool) -> None:
+        """Stop and continue the process: at any instant, or between its next check of a lease and the use of it."""
+        number = self._cluster.dispatchers.index(target)
+        self._capture.write("stopped", dispatcher=number)
+        self._cluster.signal(target, signal.SIGUSR1 if after_lease_check else signal.SIGSTOP)
+        await asyncio.sleep(duration_s)
+        if after_lease_check:
+            self._cluster.signal(target, signal.SIGUSR2)
+        self._cluster.signal(target, signal.SIGCONT)
+        self._capture.write("woken", dispatcher=number)
+
+    async def kill(self, target: Process, down_s: float | None, lose_disk: bool = False) -> None:
+        """Kill a dispatcher, with its disk where `lose_disk`; restart it after `down_s`, or never where that is None.
+
+        One that another fault has killed is left to that fault: guards against two processes of one name, the first
+        of which is not supervised."""
+        if target in self._killed:
+            return
+        self._killed.add(target)
+        try:
+            await self._kill_and_restart(target, down_s, lose_disk)
+        finally:
+            self._killed.discard(target)
+
+    async def _kill_and_restart(self, target: Process, down_s: float | None, lose_disk: bool) -> None:
+        number = self._cluster.dispatchers.index(target)
+        self._capture.write("kill", dispatcher=number)
+        self._cluster.kill(target)
+        if lose_disk:
+            if target.process is not None:
+                await target.process.wait()
+            self._cluster.lose_disk(target)
+            self._capture.write("disk-lost", dispatcher=number)
+        if down_s is None:
+            return
+        await asyncio.sleep(down_s)
+        await self._cluster.launch(target)
+        self._capture.write("restarted", dispatcher=number)
--- a/kelptrail/fault_scenario/report.py
+++ b/kelptrail/fault_scenario/report.py
@@ -3,9 +3,10 @@
 from __future__ import annotations
 
 from collections import defaultdict
+from dataclasses import dataclass
 from itertools import pairwise
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 from hdrh.histogram import HdrHistogram
@@ -13,17 +14,47 @@
 from kelptrail.history_checker.checker import CheckResult, Event
 from kelptrail.settings.deployment import Deployment
 
+from .timeline_plot import draw_timeline
+
+PERCENTILES = (50, 90, 99, 99.9)
+LONGEST_LATENCY_US = 600_000_000
+SECONDS_AFTER_LOAD = 8  # for the last answers, in the timeline
+MAX_LEASE_GAP_MS = 300.0  # between two uses of a lease: past it no dispatcher is counted as its holder
+
+
+class MemorySample(NamedTuple):
+    """Resident memory of each dispatcher that is up, at a second of the load."""
+
+    seconds: float
+    resident_kb: list[int]
+
+
+@dataclass(frozen=True, slots=True)
+class RunObservations:
+    """What a run through real processes showed beside its captures."""
+
+    drained_cleanly: bool  # whether all dispatchers that were up at the end drained cleanly
+    memory: list[MemorySample]
+    states: list[dict[str, Any]]  # what each dispatcher's control port said at the end
+
+
+class Timeline(NamedTuple):
+    """Rows of the report: one for each second of the load, and one for each fault."""
+
+    seconds: list[dict[str, Any]]
+    faults: list[dict[str, Any]]
+
 
 def latencies(events: list[Event]) -> dict[str, dict[str, float]]:
     """Percentiles (ms) of completed blocking calls by request class, from an HDR histogram of microseconds."""
     calls = {e["call"]: e for e in events if e["what"] == "call"}
-    kinds: dict[str, HdrHistogram] = defaultdict(lambda: HdrHistogram(1, 600_000_000, 3))
+    kinds: dict[str, HdrHistogram] = defaultdict(lambda: HdrHistogram(1, LONGEST_LATENCY_US, 3))
     for event in events:
         if event["what"] == "final" and event["answer"] == "completed" and event.get("took") is None:
             call = calls[event["call"]]
             kinds[call["type"]].record_value(max(1, int((event["t"] - call["t"]) * 1000)))
     return {
-        kind: {f"p{p:g}": round(h.get_value_at_percentile(p) / 1000, 2) for p in (50, 90, 99, 99.9)}
+        kind: {f"p{p:g}": round(h.get_value_at_percentile(p) / 1000, 2) for p in PERCENTILES}
         | {"count": h.get_total_count()}
         for kind, h in sorted(kinds.items())
     }
@@ -52,10 +83,10 @@
     }
 
 
-def timeline(events: list[Event]) -> tuple[list[dict[str, Any]], list[dict[str, Any]]]:
+def timeline(events: list[Event]) -> Timeline:
     """Each second's calls and final answers, and the faults.  Seconds count from the start of the load."""
     (begin,) = [e for e in events if e["what"] == "begin"]
-    start, seconds = begin["start"], int(begin["seconds"]) + 8
+    start, seconds = begin["start"], int(begin["seconds"]) + SECONDS_AFTER_LOAD
     targets = {t["name"]: t["target_ms"] for t in next(e for e in events if e["what"] == "world")["types"]}
     rows: list[dict[str, Any]] = [
         {"second": n, "calls": 0, "completed": 0, "in_time": 0, "rejected": 0, "aborted": 0, "sends": 0, "orders": 0}
@@ -75,25 +106,30 @@
         elif what == "order":
             row["orders"] += 1
         elif what == "final" and event["answer"] in row:
-            row[event["answer"]] += 1
             call = calls[event["call"]]
-            latency_ms = event["took"] if event.get("took") is not None else event["t"] - call["t"]
-            row["in_time"] += event["answer"] == "completed" and latency_ms <= targets[call["type"]]
+            row[event["answer"]] += 1
+            row["in_time"] += event["answer"] == "completed" and _latency_ms(event, call) <= targets[call["type"]]
         elif what == "trouble":
-            faults.append(
-                {
-                    "kind": event["kind"],
-                    "at": round((event["t"] - start) / 1000, 2),
-                    "for": event["seconds"],
-                    "of": event["of"],
-                }
-            )
-    while rows and not any(v for k, v in rows[-1].items() if k != "second"):
+            faults.append(_fault_row(event, start))
+    while rows and not any(value for key, value in rows[-1].items() if key != "second"):
         rows.pop()
-    return rows, faults
+    return Timeline(rows, faults)
 
 
-MAX_LEASE_GAP_MS = 300.0  # between two uses of a lease: past it no dispatcher is counted as its holder
+def _latency_ms(final: Event, call: Event) -> float:
+    """Time of a final answer, from the record of a deferred call, else as the client saw it."""
+    if final.get("took") is not None:
+        return float(final["took"])
+    return float(final["t"] - call["t"])
+
+
+def _fault_row(event: Event, start: float) -> dict[str, Any]:
+    return {
+        "kind": event["kind"],
+        "at": round((event["t"] - start) / 1000, 2),
+        "for": event["seconds"],
+        "of": event["of"],
+    }
 
 
 def lease_holders(events: list[Event], seconds: int) -> dict[str, Any]:
@@ -104,40 +140,46 @@
     for event in sorted((e for e in events if e["what"] in ("act", "done") and e["taken"]), key=lambda e: e["looked"]):
         lease_uses[event["task"]].append(event)
     out: dict[str, Any] = {}
-    for task, found in sorted(lease_uses.items()):
-        spans: list[dict[str, Any]] = []
-        for event in found:
-            at, who = (event["looked"] - begin["start"]) / 1000, f"{event['token'][0]}.{event['token'][1]}"
-            if spans and spans[-1]["token"] == who and at - spans[-1]["until"] <= MAX_LEASE_GAP_MS / 1000:
-                spans[-1]["until"] = round(at, 3)
-            else:
-                spans.append({"by": event["by"], "token": who, "from": round(at, 3), "until": round(at, 3)})
-        gaps = [round(b["from"] - a["until"], 3) for a, b in pairwise(spans) if b["from"] > 0]
-        last = spans[-1]["until"] if spans else 0.0
-        if seconds - last > MAX_LEASE_GAP_MS / 1000:
-            gaps.append(round(seconds - last, 3))
+    for task, uses in sorted(lease_uses.items()):
+        spans = _lease_spans(uses, begin["start"])
+        gaps = _lease_gaps(spans, seconds)
         out[task] = {
             "spans": spans,
             "without_s": round(sum(g for g in gaps if g > MAX_LEASE_GAP_MS / 1000), 3),
             "longest_without_s": max(gaps, default=0.0),
-            "acts": len(found),
+            "acts": len(uses),
         }
     return out
 
 
+def _lease_spans(uses: list[Event], start: float) -> list[dict[str, Any]]:
+    """Spans of uses under one token with no long gap between them, in seconds of the load."""
+    spans: list[dict[str, Any]] = []
+    for event in uses:
+        at, token = (event["looked"] - start) / 1000, f"{event['token'][0]}.{event['token'][1]}"
+        if spans and spans[-1]["token"] == token and at - spans[-1]["until"] <= MAX_LEASE_GAP_MS / 1000:
+            spans[-1]["until"] = round(at, 3)
+        else:
+            spans.append({"by": event["by"], "token": token, "from": round(at, 3), "until": round(at, 3)})
+    return spans
+
+
+def _lease_gaps(spans: list[dict[str, Any]], seconds: int) -> list[float]:
+    """Seconds between spans, and from the last one to the end of the load where that is long."""
+    gaps: list[float] = [round(b["from"] - a["until"], 3) for a, b in pairwise(spans) if b["from"] > 0]
+    last = spans[-1]["until"] if spans else 0.0
+    if seconds - last > MAX_LEASE_GAP_MS / 1000:
+        gaps.append(round(seconds - last, 3))
+    return gaps
+
+
 def write_report(
-    folder: Path,
-    name: str,
-    seed: int,
-    events: list[Event],
-    result: CheckResult,
-    clean: bool,
-    memory: list[tuple[float, list[int]]],
-    states: list[dict[str, Any]],
+    folder: Path, name: str, seed: int, events: list[Event], result: CheckResult, observations: RunObservations
 ) -> dict[str, Any]:
     """Write report.json and timeline.png into `folder`; returns the report."""
     rows, faults = timeline(events)
     deployment = next(e for e in events if e["what"] == "world")
+    memory, states = observations.memory, observations.states
     report: dict[str, Any] = {
         "name": name,
         "seed": seed,
@@ -145,11 +187,11 @@
         "dispatchers": deployment["dispatchers"],
         **result.counts(),
         "broken": result.broken,
-        "drained_cleanly": clean,
+        "drained_cleanly": observations.drained_cleanly,
         "latency_ms": latencies(events),
         "dispatcher_memory_mb": {
-            "first": [kb // 1024 for kb in memory[0][1]] if memory else [],
-            "last": [kb // 1024 for kb in memory[-1][1]] if memory else [],
+            "first": [kb // 1024 for kb in memory[0].resident_kb] if memory else [],
+            "last": [kb // 1024 for kb in memory[-1].resident_kb] if memory else [],
         },
         "second_sends": sum(s["second_sends"] for s in states),  # since their last starts
         "second_saved": sum(s["second_saved"] for s in states),
@@ -160,67 +202,5 @@
         "timeline": rows,
     }
     (folder / "report.json").write_bytes(msgspec.json.format(msgspec.json.encode(report)) + b"\n")
-    draw_timeline(folder / "timeline.png", name, rows, faults, report["leases"])
+    draw_timeline(folder / "timeline.png", name, Timeline(rows, faults), report["leases"])
     return report
-
-
-def draw_timeline(
-    file: Path, name: str, rows: list[dict[str, Any]], faults: list[dict[str, Any]], leases: dict[str, Any]
-) -> None:
-    """Plot the results of each second, the lease holders, and the faults below."""
-    import matplotlib
-
-    matplotlib.use("Agg")
-    from matplotlib import pyplot
-
-    seconds = [row["second"] for row in rows]
-    figure, (top, middle, lease_axis, low) = pyplot.subplots(
-        4,
-        1,
-        figsize=(11, 8 + 0.5 * len(leases)),
-        sharex=True,
-        height_ratios=[3, 1.5, 0.5 * len(leases) + 0.01, max(1.0, 0.16 * len(faults))],
-    )
-    _draw_leases(lease_axis, leases)
-    late = [row["completed"] - row["in_time"] for row in rows]
-    top.stackplot(
-        seconds,
-        [r["in_time"] for r in rows],
-        late,
-        [r["rejected"] for r in rows],
-        [r["aborted"] for r in rows],
-        labels=["in time", "late", "rejected", "aborted"],
-        colors=["#3a7d44", "#d9b44a", "#4a6fa5", "#a63d40"],
-    )
-    top.plot(seconds, [r["calls"] for r in rows], color="black", linewidth=0.8, label="calls")
-    top.set_ylabel("a second")
-    top.set_title(name)
-    top.legend(loc="upper right", ncols=5, fontsize=8)
-    middle.plot(seconds, [r["sends"] for r in rows], label="sends", color="#555555")
-    middle.plot(seconds, [r["orders"] for r in rows], label="hold orders", color="#c06014")
-    middle.legend(loc="upper right", fontsize=8)
-    for number, fault in enumerate(faults):
-        low.barh(number, max(0.3, fault["for"]), left=fault["at"], color="#8a5a83")
-        low.text(fault["at"] + max(0.3, fault["for"]) + 0.2, number, fault["kind"], fontsize=7, va="center")
-    low.set_yticks([])
-    low.set_xlabel("seconds")
-    low.set_ylabel("troubles")
-    figure.tight_layout()
-    figure.savefig(file, dpi=110)
-    pyplot.close(figure)
-
-
-def _draw_leases(lease_axis: Any, leases: dict[str, Any]) -> None:
-    """A line for each task, a colour for each holder."""
-    names = sorted({span["by"] for task in leases.values() for span in task["spans"]})
-    colors = {name: f"C{number}" for number, name in enumerate(names)}
-    for row, task in enumerate(leases.values()):
-        for span in task["spans"]:
-            lease_axis.barh(row, span["until"] - span["from"], left=span["from"], color=colors[span["by"]], height=0.7)
-    lease_axis.set_yticks(range(len(leases)), list(leases), fontsize=8)
-    if not leases:
-        lease_axis.set_axis_off()
-    for name in names:
-        lease_axis.barh(0, 0, color=colors[name], label=name)
-    if names:
-        lease_axis.legend(loc="lower right", bbox_to_anchor=(1, 1), ncols=len(names), fontsize=6)
