--- a/kelptrail/fault_scenario/__init__.py
+++ b/kelptrail/fault_scenario/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted bad days: load and faults played through real processes, judged by the audit."""
+"""Fault scenarios: load and faults run through real processes, checked by the history checker."""
--- /dev/null
+++ b/kelptrail/fault_scenario/inferred_faults.py
@@ -0,0 +1,225 @@
+"""Infers faults from what a capture showed; each by the symptom that only it causes, where there is one."""
+
+from __future__ import annotations
+
+from collections import Counter, defaultdict
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+import numpy as np
+
+from .captured_run import AttemptResult, CapturedRun
+
+MIN_ANSWERS = 5  # a second of a worker with fewer answers is not evaluated
+MIN_SYMPTOM_SECONDS = 2
+FAILING_SHARE = 0.25  # of a worker's answers, above which it counts as failing
+MISSES_SHARE = 0.15  # of all answers, above which models may have been unloaded everywhere
+MISSES_FACTOR = 4  # over the usual share
+MISSES_SETTLE_S = 5  # until another such fault is looked for
+SLOW_LOADS_FACTOR = 2.5  # over the median load time
+MIN_LOADS = 3  # a second with fewer loads is not evaluated
+ROLLING_DEPLOY_S, WORKER_DOWN_S, COLD_RESTART_S = 3.0, 3.0, 1.0  # where the capture has no end
+SHORTEST_DOWN_S = 0.5
+MERGED_WITHIN_S = 2.0  # intervals that begin so close together are one fault
+
+Interval = tuple[float, float]  # when it begins, and its length, in seconds
+
+
+@dataclass(slots=True)
+class FaultInterval:
+    """One fault for the scenario."""
+
+    kind: str
+    at: float
+    duration: float
+    part: float
+    settings: dict[str, float | str] = field(default_factory=dict)
+
+    def write(self) -> str:
+        """The fault as a line of a scenario."""
+        more = "".join(f" ({k} {v if isinstance(v, str) else f'{v:.3g}'})" for k, v in self.settings.items())
+        return f"  (trouble {self.kind} (at {self.at:.1f}) (for {self.duration:.1f}) (part {self.part:.2f}){more})"
+
+
+def fault_intervals(captured: CapturedRun) -> list[FaultInterval]:
+    """All faults inferred from a capture, in order of time."""
+    seconds = int(captured.length) + 1
+    found = [
+        *_killed_dispatchers(captured),
+        *_listed_faults(captured),
+        *_worker_faults(captured, seconds),
+        *_voided_models(captured, seconds),
+        *_slow_store(captured, seconds),
+    ]
+    return sorted(found, key=lambda interval: interval.at)
+
+
+def _killed_dispatchers(captured: CapturedRun) -> list[FaultInterval]:
+    """Dispatchers that ended, until their next start."""
+    downs: list[Interval] = []
+    for at, name in captured.exits:
+        back = next((t for t, other in captured.restarts if other == name and t >= at), captured.length)
+        downs.append((at, max(SHORTEST_DOWN_S, back - at)))
+    return _merge_intervals("kill-dispatchers", downs, len(captured.dispatchers))
+
+
+def _listed_faults(captured: CapturedRun) -> list[FaultInterval]:
+    """Drains, crashes and restarts of workers, from the endpoint lists."""
+    intervals: dict[str, list[Interval]] = defaultdict(list)
+    for at, worker, state in captured.state_changes:
+        if state == "quiescing":
+            intervals["rolling-deploy"].append((at, ROLLING_DEPLOY_S))
+        elif state == "dead":
+            back = next(
+                (t for t, w, s in captured.state_changes if w == worker and s != "dead" and t > at),
+                at + WORKER_DOWN_S,
+            )
+            intervals["crash"].append((at, max(SHORTEST_DOWN_S, back - at)))
+        elif state == "restarted":
+            intervals["restart-cold"].append((at, COLD_RESTART_S))
+    found: list[FaultInterval] = []
+    for kind, of_kind in intervals.items():
+        found += _merge_intervals(kind, of_kind, len(captured.workers))
+    return found
+
+
+class Symptom(NamedTuple):
+    """What a worker showed in one second: a kind of fault, its share of the attempts, and the one class it hit."""
+
+    kind: str
+    share: float
+    request_class: int | None
+
+
+class SymptomRun(NamedTuple):
+    """Seconds in a row in which a worker showed one symptom."""
+
+    kind: str
+    first: float
+    last: float
+    share: float
+    request_class: int | None
+
+
+def _worker_faults(captured: CapturedRun, seconds: int) -> list[FaultInterval]:
+    """Workers that failed or did not answer."""
+    runs_by_kind: dict[str, list[SymptomRun]] = defaultdict(list)
+    for worker in sorted(captured.workers):
+        for run in _symptom_runs(captured, worker, seconds):
+            runs_by_kind[run.kind].append(run)
+    found: list[FaultInterval] = []
+    for kind, runs in runs_by_kind.items():
+        settings: dict[str, float | str] = {}
+        if kind != "hang":
+            settings["share"] = float(np.mean([run.share for run in runs]))
+        if kind == "fail-type":
+            settings["type"] = _most_common_class(captured, runs)
+        intervals = [(run.first, run.last - run.first + 1.0) for run in runs]
+        found += _merge_intervals(kind, intervals, len(captured.workers), settings)
+    return found
+
+
+def _most_common_class(captured: CapturedRun, runs: list[SymptomRun]) -> str:
+    classes = Counter(run.request_class for run in runs if run.request_class is not None)
+    number = classes.most_common(1)[0][0]
+    return str(captured.env["classes"][number]["name"])
+
+
+def _symptom_runs(captured: CapturedRun, worker: str, seconds: int) -> Iterator[SymptomRun]:
+    """Runs of seconds in which a worker showed one symptom; one that lasts to the end of the capture is left out."""
+    run: list[Symptom] = []
+    for second in range(seconds + 1):
+        symptom = _symptom(captured.results.get((worker, second), Counter()))
+        if run and (symptom is None or symptom.kind != run[0].kind):
+            if len(run) >= MIN_SYMPTOM_SECONDS:
+                share = float(np.mean([of_second.share for of_second in run]))
+                first = float(second - len(run))
+                yield SymptomRun(run[0].kind, first, float(second - 1), share, run[0].request_class)
+            run = []
+        if symptom is not None:
+            run.append(symptom)
+
+
+def _symptom(results: Counter[AttemptResult]) -> Symptom | None:
+    """The symptom of a worker's results in one second: errors, errors of one class, or no answer at all."""
+    total = sum(results.values())
+    answered = sum(count for (ending, _), count in results.items() if ending in "SEFM")
+    if total >= MIN_ANSWERS and not answered:
+        return Symptom("hang", 1.0, None)
+    errors = Counter({class_: count for (ending, class_), count in results.items() if ending == "E"})
+    if answered < MIN_ANSWERS or sum(errors.values()) / answered <= FAILING_SHARE:
+        return None
+    totals = {failing: sum(n for (_, class_), n in results.items() if class_ == failing) for failing in errors}
+    share = max(count / totals[class_] for class_, count in errors.items())
+    classes = {class_ for (_, class_) in results}
+    if len(errors) == 1 and len(classes) > 1:
+        return Symptom("fail-type", share, next(iter(errors)))
+    return Symptom("fail-fast", share, None)
+
+
+def _voided_models(captured: CapturedRun, seconds: int) -> list[FaultInterval]:
+    """Misses at all workers at once: a release of models."""
+    misses, answers = np.zeros(seconds + 1), np.ones(seconds + 1)
+    for (_, second), results in captured.results.items():
+        if second <= seconds:
+            misses[second] += sum(count for (ending, _), count in results.items() if ending == "M")
+            answers[second] += sum(results.values())
+    share = misses / answers
+    usual = float(np.median(share))
+    found = []
+    second = 3
+    while second < seconds:
+        if share[second] > max(MISSES_SHARE, MISSES_FACTOR * usual) and share[second] > 2 * share[second - 1]:
+            voided_share = float(min(1.0, 2 * share[second]))
+            found.append(FaultInterval("models-voided", float(second), 1.0, 1.0, {"share": voided_share}))
+            second += MISSES_SETTLE_S
+        second += 1
+    return found
+
+
+def _slow_store(captured: CapturedRun, seconds: int) -> list[FaultInterval]:
+    """Loads that are slow at all workers."""
+    if not captured.loads:
+        return []
+    times = np.array([load.at for load in captured.loads])
+    durations = np.array([load.duration_ms for load in captured.loads])
+    usual = float(np.median(durations))
+    slow_seconds = []
+    for second in range(seconds):
+        of_second = durations[(times >= second) & (times < second + 1)]
+        if of_second.size >= MIN_LOADS and float(np.median(of_second)) > SLOW_LOADS_FACTOR * usual:
+            slow_seconds.append(second)
+    found = []
+    for first, last in _consecutive(slow_seconds):
+        if last - first >= 2:
+            factor = float(np.median(durations[(times >= first) & (times <= last + 1)])) / usual
+            found.append(FaultInterval("store-slow", float(first), float(last - first + 1), 1.0, {"factor": factor}))
+    return found
+
+
+def _consecutive(seconds: list[int]) -> list[tuple[int, int]]:
+    """First and last of each run of seconds, of which one may be left out."""
+    runs: list[tuple[int, int]] = []
+    for second in seconds:
+        if runs and second - runs[-1][1] <= 2:
+            runs[-1] = (runs[-1][0], second)
+        else:
+            runs.append((second, second))
+    return runs
+
+
+def _merge_intervals(
+    kind: str, intervals: list[Interval], of: int, settings: dict[str, float | str] | None = None
+) -> list[FaultInterval]:
+    """Merge intervals that begin close together into one fault, which hits so many of `of` processes."""
+    found: list[FaultInterval] = []
+    group: list[Interval] = []
+    for interval in [*sorted(intervals), (float("inf"), 0.0)]:
+        if group and interval[0] - group[0][0] > MERGED_WITHIN_S:
+            duration = float(np.median([length for _, length in group]))
+            part = min(1.0, len(group) / max(1, of))
+            found.append(FaultInterval(kind, group[0][0], duration, part, dict(settings or {})))
+            group = []
+        group.append(interval)
+    return found
--- a/kelptrail/fault_scenario/scenario.py
+++ b/kelptrail/fault_scenario/scenario.py
@@ -102,11 +102,12 @@
     @property
     def last_fault_ends(self) -> float:
         """When the last fault is over."""
-        return max((t.at + t.duration for t in self.faults), default=0.0)
+        return max((fault.at + fault.duration for fault in self.faults), default=0.0)
 
 
-def _scenario_of(name: str, trouble: list[Fault], **settings: Any) -> FaultScenario:
-    return FaultScenario(name, faults=trouble, **settings)
+def _scenario_of(name: str, **settings: Any) -> FaultScenario:
+    faults = settings.pop("trouble")
+    return FaultScenario(name, faults=faults, **settings)
 
 
 FAULT = Shape(
@@ -183,7 +184,7 @@
 
 
 def _check_faults(checker: Checker, root: Form, scenario: FaultScenario) -> None:
-    """Check what concerns several fields of a fault, or the scenario as a whole."""
+    """Check what concerns several fields of a fault, or the scenario with its faults."""
     for form, fault in zip(_forms(root, "trouble"), scenario.faults, strict=True):
         if fault.ms < 0 and fault.kind != "clock-step":
             checker.fault(form.place, f"{fault.ms:g} ms", "0 or more; only clock-step goes back")
--- a/tests/test_place.py
+++ b/tests/test_place.py
@@ -16,7 +16,9 @@
 
 import pytest
 
-from kelptrail.fault_scenario.import_capture import fault_intervals, import_capture, read_capture
+from kelptrail.fault_scenario.captured_run import read_capture
+from kelptrail.fault_scenario.import_capture import import_capture
+from kelptrail.fault_scenario.inferred_faults import fault_intervals
 from kelptrail.settings.deployment import parse
 
 pytestmark = pytest.mark.processes  # one at a time: they measure time
