--- a/bench/leases.py
+++ b/bench/leases.py
@@ -241,7 +241,11 @@
         verdict = check_history([e for e in events if e["what"] in ("act", "done", "world", "trouble")])
         print(
             json.dumps(
-                {"acts": verdict.acts, "holders_two": verdict.holders_two, "old_tokens_taken": verdict.old_tokens_taken}
+                {
+                    "acts": verdict.lease_uses,
+                    "holders_two": verdict.holders_two,
+                    "old_tokens_taken": verdict.old_tokens_taken,
+                }
             )
         )
 
--- a/kelptrail/fault_scenario/campaign.py
+++ b/kelptrail/fault_scenario/campaign.py
@@ -17,7 +17,7 @@
 import msgspec
 import numpy as np
 
-from kelptrail.history_checker.checker import CheckResult
+from kelptrail.history_checker.result import Breach
 
 LEASE_SECONDS, LEASE_LOAD = 16.0, 10.0
 REPLICATION_SECONDS, REPLICATION_LOAD = 30.0, 25.0
@@ -243,7 +243,7 @@
         "exit": exit_code,
         "dispatchers": report["dispatchers"],
         "troubles": [t["kind"] for t in report["troubles"]],
-        "broken": {name: report[name] for name in CheckResult.BREACHES if report[name]},
+        "broken": {breach.report_key: report[breach.report_key] for breach in Breach if report[breach.report_key]},
         "without_s": max((t["without_s"] for t in leases), default=0.0),
         "longest_without_s": max((t["longest_without_s"] for t in leases), default=0.0),
         "holders": sum(len(t["spans"]) for t in leases),
--- a/kelptrail/fault_scenario/report.py
+++ b/kelptrail/fault_scenario/report.py
@@ -11,7 +11,8 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from kelptrail.history_checker.checker import CheckResult, Event
+from kelptrail.history_checker.history import Event
+from kelptrail.history_checker.result import CheckResult
 from kelptrail.settings.deployment import Deployment
 
 from .timeline_plot import draw_timeline
--- a/kelptrail/history_checker/__init__.py
+++ b/kelptrail/history_checker/__init__.py
@@ -1,1 +1,1 @@
-"""The five rules judged from captured traffic, knowing nothing of how decisions were reached."""
+"""Checks the five rules on captured traffic, knowing nothing of how decisions were reached."""
--- /dev/null
+++ b/kelptrail/history_checker/answers.py
@@ -0,0 +1,115 @@
+"""Rule 1: each accepted call has one final answer in time, and no attempt begins after it."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+
+from .history import SLACK_MS, Event, History, arrived_by
+from .outages import Outages
+from .result import Breach, CheckResult
+
+
+class AnswerCheck:
+    """Checks rule 1 at the clients: each call that was accepted has one final answer in time."""
+
+    def __init__(self, history: History, result: CheckResult) -> None:
+        self._history, self._result = history, result
+        self._outages = Outages(history)
+        deployment = history.deployment
+        self._replicated = bool(deployment.get("copies", 0))
+        # An acknowledged activation must be found again, whatever happened to its dispatcher, where that keeps a
+        # journal.
+        self._acknowledged = {e["call"] for e in history.of("accepted")} if deployment.get("kept") else set()
+        self._lost_disks = set() if self._replicated else {event["dispatcher"] for event in history.of("disk-lost")}
+        self._gave_up_at: dict[str, float] = {event["call"]: event["t"] for event in history.of("no-answer")}
+
+    def run(self) -> None:
+        """Check all calls."""
+        not_taken = {event["call"] for event in self._history.of("not-taken")}
+        self._result.not_taken = len(not_taken)
+        self._check_promises()
+        self._check_contradictions()
+        finals_of_call: dict[str, list[Event]] = defaultdict(list)
+        for event in self._history.of("final"):
+            finals_of_call[event["call"]].append(event)
+        for number, call in self._history.calls.items():
+            if number in not_taken:
+                continue
+            self._result.taken += 1
+            finals = finals_of_call.get(number)
+            if finals:
+                self._check_finals(number, call, finals)
+            else:
+                self._check_unanswered(number, call)
+
+    def _check_promises(self) -> None:
+        for event in self._history.of("denied"):
+            if event["call"] in self._acknowledged:
+                self._result.add_breach(Breach.PROMISES_DENIED, f"{event['activation']} at {event['at']}")
+
+    def _check_contradictions(self) -> None:
+        """No activation has two different final answers."""
+        for event in self._history.of("final"):
+            known = self._history.finals.get(event["activation"], event)
+            if known["answer"] != event["answer"]:
+                detail = f"{event['activation']} {known['answer']}, {event['answer']}"
+                self._result.add_breach(Breach.FINALS_TWICE, detail)
+
+    def _check_unanswered(self, number: str, call: Event) -> None:
+        result = self._result
+        acknowledged = number in self._acknowledged
+        if acknowledged and call["dispatcher"] in self._lost_disks:
+            result.lost_with_disk += 1  # stored on that one disk alone
+        elif acknowledged and number in self._gave_up_at:
+            result.add_breach(Breach.ACCEPTED_LOST, f"{number} {call['action']} was acknowledged and is not known")
+        elif self._outages.was_down(call, self._gave_up_at.get(number, float("inf"))):
+            result.lost_with_dispatcher += 1
+        else:
+            result.add_breach(Breach.UNANSWERED, f"{number} {call['action']} by {call['dispatcher']}")
+
+    def _check_finals(self, number: str, call: Event, finals: list[Event]) -> None:
+        result, final = self._result, finals[0]
+        if len(finals) > 1:
+            result.add_breach(Breach.FINALS_TWICE, number)
+        answer = final["answer"]
+        if answer == "completed":
+            result.completed += 1
+        elif answer == "rejected":
+            result.rejected += 1
+        elif answer == "aborted":
+            result.aborted += 1
+        else:
+            result.other_answers += 1
+        took_ms = final["took"] if final.get("took") is not None else arrived_by(final) - call["t"]
+        if took_ms > call["limit_ms"] + SLACK_MS and not self._is_late_by_outage(number, call, final):
+            result.add_breach(Breach.LATE_FINALS, f"{number} took {took_ms:.0f} of {call['limit_ms']:.0f} ms")
+
+    def _is_late_by_outage(self, number: str, call: Event, final: Event) -> bool:
+        if self._outages.was_down(call, final["t"]):
+            return True
+        # The answer of a replicated record waits for its replicas, which a cut keeps away.
+        waits_for_replicas = self._replicated and number in self._acknowledged
+        return waits_for_replicas and self._outages.was_cut_off(call, final["t"])
+
+
+def check_attempts_after_final(history: History, result: CheckResult) -> None:
+    """Rule 1, at the workers: no attempt begins once the client has its answer."""
+    for event in history.of("send"):
+        final = history.finals.get(event["activation"])
+        if final is not None and arrived_by(event) > final["t"] + SLACK_MS:
+            late_ms = event["t"] - final["t"]
+            result.add_breach(
+                Breach.ATTEMPTS_AFTER_FINAL, f"{event['activation']} at {event['worker']}, {late_ms:.0f} ms later"
+            )
+
+
+def check_attempts_after_part(history: History, result: CheckResult) -> None:
+    """Rule 1, streamed answers: no attempt begins once the client has received a part."""
+    first_part_at = {event["activation"]: event["t"] for event in reversed(history.of("part"))}
+    for event in history.of("send"):
+        since = first_part_at.get(event["activation"])
+        if since is not None and arrived_by(event) > since + SLACK_MS:
+            late_ms = event["t"] - since
+            result.add_breach(
+                Breach.ATTEMPTS_AFTER_PART, f"{event['activation']} at {event['worker']}, {late_ms:.0f} ms later"
+            )
--- /dev/null
+++ b/kelptrail/history_checker/result.py
@@ -0,0 +1,93 @@
+"""The result of a check: counts of what happened, and of the breaches of each rule with details."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field, fields
+from enum import StrEnum
+
+MAX_DETAILS = 200
+# Keys of `report.json` that differ from the names of fields.
+REPORT_KEYS = {
+    "attempts_after_final": "sends_after_final",
+    "attempts_after_part": "sends_after_part",
+    "attempts": "sends",
+    "lease_uses": "acts",
+}
+
+
+class Breach(StrEnum):
+    """Ways to break a rule; each value is the field of `CheckResult` that counts them."""
+
+    UNANSWERED = "unanswered"
+    ACCEPTED_LOST = "accepted_lost"
+    LATE_FINALS = "late_finals"
+    FINALS_TWICE = "finals_twice"
+    ATTEMPTS_AFTER_FINAL = "attempts_after_final"
+    ATTEMPTS_AFTER_PART = "attempts_after_part"
+    EFFECTS_TWICE = "effects_twice"
+    FALSE_REJECTIONS = "false_rejections"
+    DRAIN_BREACHES = "drain_breaches"
+    COLD_BREACHES = "cold_breaches"
+    RATION_BREACHES = "ration_breaches"
+    HOLDERS_TWO = "holders_two"
+    OLD_TOKENS_TAKEN = "old_tokens_taken"
+    PROMISES_DENIED = "promises_denied"
+
+    @property
+    def report_key(self) -> str:
+        """The key of its count in `report.json`."""
+        return REPORT_KEYS.get(self, str(self))
+
+
+@dataclass(slots=True)
+class CheckResult:
+    """Counts of what happened, and of each rule's breaches with details.  `counts` has them by key of `report.json`."""
+
+    taken: int = 0
+    completed: int = 0
+    rejected: int = 0
+    aborted: int = 0
+    unanswered: int = 0
+    accepted_lost: int = 0
+    late_finals: int = 0
+    finals_twice: int = 0
+    attempts_after_final: int = 0
+    attempts_after_part: int = 0
+    effects_twice: int = 0
+    false_rejections: int = 0
+    drain_breaches: int = 0
+    cold_breaches: int = 0
+    ration_breaches: int = 0
+    holders_two: int = 0
+    old_tokens_taken: int = 0
+    promises_denied: int = 0  # polls of an acknowledged activation that were answered as unknown
+    holders_two_by_clocks: int = 0  # while a clock ran at a rate outside its bound
+    old_tokens_refused: int = 0
+    lease_uses: int = 0
+    lost_with_disk: int = 0
+    lost_with_dispatcher: int = 0
+    not_taken: int = 0
+    other_answers: int = 0
+    attempts: int = 0
+    loads: int = 0
+    effects: int = 0
+    details: list[str] = field(default_factory=list)
+
+    @property
+    def broken(self) -> bool:
+        """Whether any rule was broken."""
+        return any(getattr(self, breach) for breach in Breach)
+
+    def add_breach(self, breach: Breach, detail: str) -> None:
+        """Count a breach and keep its detail."""
+        setattr(self, breach, getattr(self, breach) + 1)
+        if len(self.details) < MAX_DETAILS:
+            self.details.append(f"{breach.report_key}: {detail}")
+
+    def counts(self) -> dict[str, int]:
+        """All counts by key of `report.json`."""
+        return {
+            REPORT_KEYS.get(count.name, count.name): getattr(self, count.name)
+            for count in fields(self)
+            if count.name != "details"
+        }
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -492,7 +492,7 @@
     }
     good = [act(10, 1, 9), act(20, 1, 19, what="done"), act(30, 2, 29, "e"), act(40, 1, 19, taken=False)]
     verdict = check_history([world, *good])
-    assert not verdict.broken and verdict.old_tokens_refused == 1 and verdict.acts == 3
+    assert not verdict.broken and verdict.old_tokens_refused == 1 and verdict.lease_uses == 3
     two = check_history([world, *good, act(50, 1, 45, taken=False)])
     assert two.holders_two == 1 and two.broken and not two.old_tokens_taken
     taken = check_history([world, *good, act(50, 1, 19)])
