--- a/bench/leases.py
+++ b/bench/leases.py
@@ -34,7 +34,7 @@
 from kelptrail.model_checking.explorer import explore, random_walk
 from kelptrail.settings.deployment import load
 from kelptrail.simulation.event_queue import EventQueue
-from kelptrail.simulation.leases import SimulatedLeases
+from kelptrail.simulation.leases import SimulatedLeases, SimulatedLeaseSettings
 
 ROOT = Path(__file__).parent.parent
 FIGURES: dict[str, Any] = {
@@ -306,9 +306,8 @@
     engine, names = EventQueue(), [f"dispatcher-{n:03d}" for n in range(count)]
     settings = LeaseSettings(tuple(names[:5]), max_lease_ms=4000.0)
     acts: list[float] = []
-    leases = SimulatedLeases(
-        engine, settings, 4000.0, names, 1, 2.0, 0.2, 3000.0, lambda what, **f: acts.append(engine.now)
-    )
+    simulated = SimulatedLeaseSettings(settings, length_ms=4000.0, sync_ms=2.0, network_ms=0.2, silent_ms=3000.0)
+    leases = SimulatedLeases(engine, simulated, names, 1, lambda what, **f: acts.append(engine.now))
     leases.contend(("sweep",), names)
     engine.run(20_000.0)
     if outage:
--- a/kelptrail/simulation/clients.py
+++ b/kelptrail/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Simulated clients: arrivals of a load, calls with patience, retries and polling, and their results."""
+"""Simulated clients: calls with patience, retries and polling."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 
 from kelptrail.gateway.invocation import Invocation
 from kelptrail.gateway.records import Record
-from kelptrail.load.arrivals import Arrivals, popularity
 from kelptrail.load.client_behavior import ClientBehavior, ClientOutcome, behavior_of, retry_delay_ms
 from kelptrail.load.plan import Load
-from kelptrail.settings.deployment import ActionSettings, NamespaceSettings
+from kelptrail.settings.deployment import ActionSettings, NamespaceSettings, TypeSettings
 
+from .call_arrivals import CallArrivals
+from .call_results import CallResults, ReceivedAnswer
 from .dispatchers import WALL_CLOCK_ORIGIN_MS, SimulatedDispatcher
 from .event_queue import Timer
 
@@ -23,6 +24,9 @@
 
 POLL_MS = 150.0  # between two polls of a deferred call
 POLLING_GRACE_MS = 3000.0  # beyond the call's timeout, until a polling client gives up
+PATIENCE_MS = 500.0  # beyond the call's timeout, until a client gives up waiting
+CONNECT_BYTES = 100  # of a request, for the overload control
+MAX_UNACCEPTED_RETRIES = 20  # beyond the client's retries, while no dispatcher accepts the call
 
 
 @dataclass(slots=True, eq=False)
@@ -42,7 +46,7 @@
     first_sent_at: float = 0.0  # simulated ms
     patience_timer: Timer | None = None
     invocation: Invocation | None = None
-    run: int = 0  # start number of the dispatcher that accepted it
+    dispatcher_start: int = 0  # start number of the dispatcher that accepted it
     after: Callable[[], None] | None = None  # in a closed loop: the client's next step
 
 
@@ -51,9 +55,10 @@
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster, self._event_queue, self._settings = cluster, cluster.event_queue, cluster.settings
-        self._deployment, self._scenario = cluster.deployment, cluster.scenario
+        self._deployment, self._results = cluster.deployment, CallResults(cluster)
         seed, (number, count) = cluster.seed, cluster.shard_part
         self._random = np.random.default_rng([seed, 7, number, count] if count > 1 else [seed, 7])
+        self._arrivals = CallArrivals(cluster, self._random, self._begin_call)
         self._id_prefix = f"{number}-" if count > 1 else ""
         self._ticket_count = self._call_count = 0
         self._namespaces = list(cluster.deployment.namespaces.values())
@@ -61,51 +66,15 @@
         self._cumulative_shares = np.cumsum(shares / shares.sum())
 
     def schedule_arrivals(self, load: Load) -> None:
-        """A load's arrivals, drawn a second at a time; of a closed loop its clients, spread over their first pause."""
-        end = min(self._scenario.seconds, load.at + load.duration)
-        actions = list(self._deployment.actions.values())
-        by_path = {a.path: a for a in actions}
-        cumulative_popularity = np.cumsum(popularity(list(by_path), load))
-        # A stream of its own: variants of an experiment meet the same arrivals, whatever their clients do.
-        random = np.random.default_rng(
-            [self._cluster.seed, 13, self._scenario.load.index(load), self._cluster.shard_part[0]]
-        )
-        arrivals = Arrivals(load, random, self._cluster.shard_part)
+        """Have the clients of a load come at its times."""
+        self._arrivals.schedule(load)
 
-        def draw_second(at: float) -> None:
-            span_s = min(1.0, end - at)
-            if span_s <= 0:
-                return
-            found = arrivals.draw(at, span_s)
-            picks = np.searchsorted(cumulative_popularity, random.random(len(found)))
-            for (when, named), pick in zip(found, picks, strict=True):
-                self._event_queue.at(
-                    self._cluster.start + when * 1000, self._begin_call, by_path.get(named) or actions[int(pick)], load
-                )
-            self._event_queue.at(self._cluster.start + (at + span_s) * 1000, draw_second, at + span_s)
-
-        def call_now() -> None:
-            if self._event_queue.now < self._cluster.start + end * 1000:
-                self._begin_call(
-                    actions[int(np.searchsorted(cumulative_popularity, self._random.random()))], load, pause
-                )
-
-        def pause() -> None:
-            self._event_queue.after(float(self._random.exponential(load.think)) * 1000, call_now)
-
-        if load.shape == "closed":
-            for _ in range(self._cluster.shard_part[0], load.clients, self._cluster.shard_part[1]):
-                self._event_queue.at(self._cluster.start + load.at * 1000, pause)
-        else:
-            self._event_queue.at(self._cluster.start + load.at * 1000, draw_second, load.at)
+    # Calls on their way to a dispatcher.
 
     def _begin_call(self, action: ActionSettings, load: Load, after: Callable[[], None] | None = None) -> None:
         self._ticket_count += 1
         random = self._random
-        namespace = (
-            self._deployment.namespaces.get(load.namespace)
-            or (self._namespaces[int(np.searchsorted(self._cumulative_shares, random.random()))])
-        )
+        namespace = self._deployment.namespaces.get(load.namespace) or self._draw_namespace()
         call = ClientCall(
             f"t{self._id_prefix}{self._ticket_count}",
             action,
@@ -116,63 +85,45 @@
             first_sent_at=self._event_queue.now,
             after=after,
         )
-        self._cluster.by_namespace[namespace.name][0] += 1
-        self._send_call(call, None)
+        self._results.on_call_wanted(call)
+        self._call_dispatcher(call, None)
+
+    def _draw_namespace(self) -> NamespaceSettings:
+        return self._namespaces[int(np.searchsorted(self._cumulative_shares, self._random.random()))]
 
-    def _send_call(self, call: ClientCall, last: int | None) -> None:
+    def _call_dispatcher(self, call: ClientCall, last_dispatcher: int | None) -> None:
+        """Call a dispatcher: any one at first, the next one in a retry."""
         call.tries -= 1
         self._call_count += 1
-        count, kind = len(self._cluster.local_dispatchers), self._deployment.types[call.action.type]
-        call.dispatcher = int(self._random.integers(count)) if last is None else (last + 1) % count
-        call.number, call.sent_at, call.activation, call.invocation = (
-            f"c{self._id_prefix}{self._call_count}",
-            self._event_queue.now,
-            "",
-            None,
-        )
-        second = self._cluster.second()
-        second.calls += 1
-        second.repeats += self._event_queue.now > call.first_sent_at
-        if self._cluster.record_event is not None:
-            self._cluster.record_event(
-                "call",
-                call=call.number,
-                ticket=call.ticket,
-                action=call.action.path,
-                type=kind.name,
-                dispatcher=self._cluster.local_dispatchers[call.dispatcher].number,
-                deferred=call.deferred,
-                limit_ms=kind.timeout_ms,
-                front=False,
-            )
+        count = len(self._cluster.local_dispatchers)
+        if last_dispatcher is None:
+            call.dispatcher = int(self._random.integers(count))
+        else:
+            call.dispatcher = (last_dispatcher + 1) % count
+        call.number, call.sent_at = f"c{self._id_prefix}{self._call_count}", self._event_queue.now
+        call.activation, call.invocation = "", None
         dispatcher = self._cluster.local_dispatchers[call.dispatcher]
-        call.patience_timer = self._event_queue.after(kind.timeout_ms + 500, self._on_patience_over, call, call.number)
+        timeout_ms = self._type_of(call).timeout_ms
+        self._results.on_call_sent(call, dispatcher.number, timeout_ms)
+        call.patience_timer = self._event_queue.after(
+            timeout_ms + PATIENCE_MS, self._on_patience_over, call, call.number
+        )
         self._event_queue.after(self._settings.network_ms, self._arrive, dispatcher, call, call.number)
 
+    def _type_of(self, call: ClientCall) -> TypeSettings:
+        return self._deployment.types[call.action.type]
+
     def _arrive(self, dispatcher: SimulatedDispatcher, call: ClientCall, number: str) -> None:
         if not dispatcher.up:
             self._on_not_taken(call)
         else:
             dispatcher.enqueue_input(self._on_call_arrived, dispatcher, call, number)
 
-    def _on_not_taken(self, call: ClientCall) -> None:
-        self._cancel_patience(call)
-        self._cluster.second().not_taken += 1
-        if self._cluster.record_event is not None:
-            self._cluster.record_event("not-taken", call=call.number)
-        self._retry_or_end(call, ClientOutcome.NOT_TAKEN)
-
-    def _cancel_patience(self, call: ClientCall) -> None:
-        if call.patience_timer is not None:
-            call.patience_timer.cancel()
-            call.patience_timer = None
-
     def _on_call_arrived(self, dispatcher: SimulatedDispatcher, call: ClientCall, number: str) -> None:
         if call.number != number:
             return
         gateway, now = dispatcher.gateway, self._event_queue.now
-        kind = self._deployment.types[call.action.type]
-        key = call.ticket if kind.effect == "deduplicated" else None
+        key = call.ticket if self._type_of(call).effect == "deduplicated" else None
         if key is not None:
             known = gateway.find_by_key(call.namespace.name, call.action.path, key, "")
             if known is not None:
@@ -181,10 +132,15 @@
         if call.deferred and gateway.durability.journal is not None and not gateway.durability.journal.is_accepting():
             self._on_not_taken(call)
             return
-        refused = gateway.on_connect(now, call.namespace.name, call.action.path, 100, call.ticket)
+        refused = gateway.on_connect(now, call.namespace.name, call.action.path, CONNECT_BYTES, call.ticket)
         if refused is not None:
-            self._finish_call(call, "", "rejected", refused[1], None)
+            self._finish_call(call, ReceivedAnswer("", "rejected", retry_after_ms=refused[1]))
             return
+        self._submit(dispatcher, call, key)
+
+    def _submit(self, dispatcher: SimulatedDispatcher, call: ClientCall, key: str | None) -> None:
+        """Submit the call to the gateway core; a deferred one is acknowledged once its record is durable."""
+        gateway, now, number = dispatcher.gateway, self._event_queue.now, call.number
         invocation = gateway.submit(
             now,
             WALL_CLOCK_ORIGIN_MS + now,
@@ -197,12 +153,12 @@
             call.deferred,
             client_key=call.ticket,
         )
-        call.invocation, call.run = invocation, dispatcher.starts
+        call.invocation, call.dispatcher_start = invocation, dispatcher.starts
         if call.deferred:
             dispatcher.schedule_decisions()
             if not invocation.record.final:
                 gateway.when_durable(
-                    invocation, lambda safe: self._on_promise_settled(dispatcher, call, invocation, safe)
+                    invocation, lambda durable: self._on_durability_known(dispatcher, call, invocation, durable)
                 )
                 dispatcher.schedule_decisions()
 
@@ -216,32 +172,30 @@
             number = call.number
             invocation.waiters.append(lambda ended: self._deliver_record(call, number, ended))
 
-    def _on_promise_settled(
-        self, dispatcher: SimulatedDispatcher, call: ClientCall, invocation: Invocation, safe: bool | None
+    def _on_durability_known(
+        self, dispatcher: SimulatedDispatcher, call: ClientCall, invocation: Invocation, durable: bool | None
     ) -> None:
-        if safe:
+        if durable:
             invocation.waiters.clear()
             self._on_accepted(call, invocation.record.id)
         else:
             dispatcher.gateway.on_client_gone(self._event_queue.now, invocation)
             self._on_not_taken(call)
 
+    # Answers.
+
     def _on_accepted(self, call: ClientCall, activation_id: str) -> None:
         self._cancel_patience(call)
         call.activation = activation_id
-        if self._cluster.record_event is not None:
-            self._cluster.record_event("accepted", call=call.number, activation=activation_id)
+        self._results.on_accepted(call)
         self._event_queue.after(POLL_MS, self._poll, call)
 
     def _poll(self, call: ClientCall) -> None:
-        kind, dispatcher = (
-            self._deployment.types[call.action.type],
-            self._cluster.local_dispatchers[call.dispatcher],
-        )
+        dispatcher = self._cluster.local_dispatchers[call.dispatcher]
         record = dispatcher.gateway.records.get(call.namespace.name, call.activation) if dispatcher.up else None
         if record is not None and record.visible:
             self._finish_with_record(call, record, record.end - record.start)
-        elif self._event_queue.now - call.sent_at > kind.timeout_ms + POLLING_GRACE_MS:
+        elif self._event_queue.now - call.sent_at > self._type_of(call).timeout_ms + POLLING_GRACE_MS:
             self._on_call_lost(call, "polled")
         else:
             self._event_queue.after(POLL_MS, self._poll, call)
@@ -254,85 +208,68 @@
             self._cancel_patience(call)
             self._finish_with_record(call, record, None)
 
-    def _finish_with_record(self, call: ClientCall, record: Record, took: float | None) -> None:
-        repeat_within_ms = record.deduplicated_for_ms or None
-        answer = record.answer.value if record.answer is not None else ""
-        self._finish_call(call, record.id, answer, record.retry_after_ms, repeat_within_ms, took, record.code)
+    def _finish_with_record(self, call: ClientCall, record: Record, took_ms: float | None) -> None:
+        answer = ReceivedAnswer(
+            record.id,
+            record.answer.value if record.answer is not None else "",
+            retry_after_ms=record.retry_after_ms,
+            repeat_within_ms=record.deduplicated_for_ms or None,
+            took_ms=took_ms,
+            code=record.code,
+        )
+        self._finish_call(call, answer)
 
-    def _on_patience_over(self, call: ClientCall, number: str) -> None:
-        if call.number == number and call.patience_timer is not None:
+    def _finish_call(self, call: ClientCall, answer: ReceivedAnswer) -> None:
+        self._cancel_patience(call)
+        self._results.on_final(call, answer, self._type_of(call))
+        self._retry_or_end(call, ClientOutcome(answer.answer), answer.retry_after_ms, answer.repeat_within_ms)
+
+    # Calls without an answer.
+
+    def _on_not_taken(self, call: ClientCall) -> None:
+        self._cancel_patience(call)
+        self._results.on_not_taken(call)
+        self._retry_or_end(call, ClientOutcome.NOT_TAKEN)
+
+    def _cancel_patience(self, call: ClientCall) -> None:
+        if call.patience_timer is not None:
+            call.patience_timer.cancel()
             call.patience_timer = None
-            dispatcher = self._cluster.local_dispatchers[call.dispatcher]
-            if (
-                dispatcher.up
-                and call.run == dispatcher.starts
-                and call.invocation is not None
-                and not call.invocation.record.key
-            ):
-                call.invocation.waiters.clear()
-                dispatcher.enqueue_input(self._tell_client_gone, dispatcher, call.invocation)
-            self._on_call_lost(call, "no-answer")
-
-    @staticmethod
-    def _tell_client_gone(dispatcher: SimulatedDispatcher, invocation: Invocation) -> None:
-        dispatcher.gateway.on_client_gone(dispatcher._event_queue.now, invocation)
+
+    def _on_patience_over(self, call: ClientCall, number: str) -> None:
+        if call.number != number or call.patience_timer is None:
+            return
+        call.patience_timer = None
+        dispatcher, invocation = self._cluster.local_dispatchers[call.dispatcher], call.invocation
+        still_runs = dispatcher.up and call.dispatcher_start == dispatcher.starts
+        if still_runs and invocation is not None and not invocation.record.key:
+            invocation.waiters.clear()
+            dispatcher.enqueue_input(dispatcher.on_client_gone, invocation)
+        self._on_call_lost(call, "no-answer")
 
     def _on_call_lost(self, call: ClientCall, ending: str) -> None:
-        self._cluster.second().lost += 1
-        self._cluster.give_ups[ending] = self._cluster.give_ups.get(ending, 0) + 1
-        if self._cluster.record_event is not None:
-            self._cluster.record_event("no-answer", call=call.number, ending=ending)
+        self._results.on_lost(call, ending)
         self._retry_or_end(call, ClientOutcome.LOST)
 
-    def _finish_call(
-        self,
-        call: ClientCall,
-        activation: str,
-        answer: str,
-        return_ms: float,
-        repeat_within_ms: float | None,
-        took: float | None = None,
-        code: int = 0,
-    ) -> None:
-        self._cancel_patience(call)
-        kind, second = self._deployment.types[call.action.type], self._cluster.second()
-        if self._cluster.record_event is not None:
-            self._cluster.record_event(
-                "final", call=call.number, activation=activation, answer=answer, status=0, lag=0.0, took=took, code=code
-            )
-        if answer == "completed":
-            took = self._event_queue.now - call.sent_at if took is None else took
-            second.completed += 1
-            second.in_time += took <= kind.target_ms
-            self._cluster.by_namespace[call.namespace.name][1] += took <= kind.target_ms
-            self._cluster.latency[kind.name].append(took)
-        else:
-            self._cluster.give_ups[answer] = self._cluster.give_ups.get(answer, 0) + 1
-            if answer == "rejected":
-                second.rejected += 1
-            else:
-                second.aborted += 1
-        self._retry_or_end(call, ClientOutcome(answer), return_ms, repeat_within_ms)
-
     def _retry_or_end(
         self, call: ClientCall, outcome: ClientOutcome, retry_after_ms: float = 0.0, within_ms: float | None = None
     ) -> None:
         """Retry or end the call, by the client's behavior."""
-        kind = self._deployment.types[call.action.type]
-        wait = retry_delay_ms(
+        type_ = self._type_of(call)
+        delay_ms = retry_delay_ms(
             call.behavior,
             outcome,
-            kind.effect,
-            kind.timeout_ms,
+            type_.effect,
+            type_.timeout_ms,
             retry_after_ms,
             within_ms,
             self._event_queue.now - call.sent_at,
         )
-        if wait is not None and outcome is ClientOutcome.NOT_TAKEN and call.tries > -20:
-            self._event_queue.after(wait, self._send_call, call, call.dispatcher)
-        elif wait is not None and outcome is not ClientOutcome.NOT_TAKEN and call.tries > 0:
-            self._event_queue.after(
-                wait * float(self._random.uniform(*call.behavior.jitter)), self._send_call, call, call.dispatcher
-            )
+        not_taken = outcome is ClientOutcome.NOT_TAKEN
+        if delay_ms is not None and not_taken and call.tries > -MAX_UNACCEPTED_RETRIES:
+            self._event_queue.after(delay_ms, self._call_dispatcher, call, call.dispatcher)
+        elif delay_ms is not None and not not_taken and call.tries > 0:
+            jittered_ms = delay_ms * float(self._random.uniform(*call.behavior.jitter))
+            self._event_queue.after(jittered_ms, self._call_dispatcher, call, call.dispatcher)
         elif call.after is not None:
             call.after()
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -11,8 +11,6 @@
 
 import numpy as np
 
-from kelptrail.codec.infer import WorkerAnswer
-from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.fault_scenario.report import describe_deployment
 from kelptrail.fault_scenario.scenario import FaultScenario, ScenarioError
 from kelptrail.gateway.overload import OverloadStage
@@ -26,13 +24,20 @@
 from .dispatchers import SimulatedDispatcher
 from .event_queue import EventQueue
 from .faults import FaultInjector
-from .leases import SimulatedLeases
+from .leases import SimulatedLeases, SimulatedLeaseSettings
+from .model_store import SimulatedStore
 from .planners import SimulatedPlanner
+from .remote import RemoteDispatcher, RemoteStore, RemoteWorker, SharedEffectLog
 from .settings import SimulationSettings
-from .sharding import RemoteDispatcher, RemoteStore, RemoteWorker, Shard, SharedEffectLog, answer_remote
-from .workers import ConnectedWorker, SimulatedStore
+from .shard import Shard
+from .worker_messages import WorkerIdentity
+from .workers import SimulatedWorker
 
 DEFAULT_SILENCE_MS = 3000.0  # where a deployment has no (peers ...)
+START_MS = 200.0  # of the load
+LAST_ANSWERS_MS = 5000.0  # beyond the longest timeout, for the last answers to arrive
+SECONDS_AFTER_LOAD = 60  # in the results, for the last answers
+SAMPLE_AT_MS = 999.0  # within each second of the load
 
 
 class SimulatedCluster:
@@ -48,46 +53,50 @@
         shard: Shard | None = None,
     ) -> None:
         """`shard`: this process's part of a run over several.  Raises `ScenarioError` for planners without leases."""
-        shard_part, self.shard = (shard.number, shard.shard_count) if shard is not None else (0, 1), shard
-        self.seed = seed
-        self.shard_part = shard_part
+        if scenario.planners and deployment.leases is None:
+            raise ScenarioError(
+                f"{scenario.name}: planners act under a lease: {scenario.deployment} needs (leases ...)"
+            )
         self.scenario, self.deployment, self.settings = scenario, deployment, settings or SimulationSettings()
+        self.seed, self.shard = seed, shard
+        self.shard_part = (shard.number, shard.shard_count) if shard is not None else (0, 1)
         self.event_queue = EventQueue()
         self.events: list[dict[str, Any]] = []
         self.record_event = self._record_event if capture else None
-        self.store: Any = SimulatedStore(self.event_queue, deployment.store)
-        self.by_model = {a.model: a for a in deployment.actions.values()}
-        self._effect_log: dict[tuple[str, str], float] = {}
+        self._make_results()
+        self._make_processes()
+        self.publish_endpoints()
+        self.start = self.event_queue.now + START_MS
+        self._record_for_run("begin", start=self.start, seconds=scenario.seconds)
+        self._schedule_scenario()
+
+    def _make_results(self) -> None:
+        self.seconds: list[Second] = [Second() for _ in range(int(self.scenario.seconds) + SECONDS_AFTER_LOAD)]
+        self.latency: dict[str, list[float]] = {name: [] for name in self.deployment.types}
+        self.give_ups: dict[str, int] = {}
+        self.by_namespace: dict[str, list[int]] = {n: [0, 0] for n in self.deployment.namespaces}  # calls, in time
+
+    def _make_processes(self) -> None:
+        """The store, workers, dispatchers, planners and lease nodes."""
+        scenario, deployment, shard = self.scenario, self.deployment, self.shard
+        self.by_model = {action.model: action for action in deployment.actions.values()}
+        self.store: SimulatedStore | RemoteStore = SimulatedStore(self.event_queue, deployment.store)
+        self.effect_log: dict[tuple[str, str], float] = {}
         if shard is not None:
-            self._effect_log = SharedEffectLog(shard, self.event_queue, self.settings)
+            self.effect_log = SharedEffectLog(shard, self.event_queue, self.settings)
             if shard.number:
                 self.store = RemoteStore(shard, self.event_queue, self.settings)
-        self.endpoints_delay_ms, self._version = 0.0, 0
-        zones = deployment.zones
-        self.seconds: list[Second] = [Second() for _ in range(int(scenario.seconds) + 60)]
-        self.latency: dict[str, list[float]] = {name: [] for name in deployment.types}
-        self.give_ups: dict[str, int] = {}
-        is_first_shard = shard_part[0] == 0
-        if self.record_event is not None and is_first_shard:
-            names = [f"dispatcher-{n}" for n in range(scenario.dispatchers)]
-            self.record_event("world", **describe_deployment(deployment, names, scenario.workers))
-        self.workers: dict[str, ConnectedWorker | RemoteWorker] = {
+        self.endpoints: EndpointList | None = None
+        self.endpoints_delay_ms, self._endpoints_version = 0.0, 0
+        dispatcher_names = [f"dispatcher-{n}" for n in range(scenario.dispatchers)]
+        self._record_for_run("world", **describe_deployment(deployment, dispatcher_names, scenario.workers))
+        self.workers: dict[str, SimulatedWorker | RemoteWorker] = {
             f"worker-{n}": self._make_worker(n) for n in range(scenario.workers)
         }
-        self.dispatchers: list[SimulatedDispatcher | RemoteDispatcher] = [
-            SimulatedDispatcher(self, n, zones[n % len(zones)])
-            if shard is None or shard.has_dispatcher(n)
-            else RemoteDispatcher(n)
-            for n in range(scenario.dispatchers)
-        ]
-        self.endpoints: EndpointList | None = None
-        self.planners: list[SimulatedPlanner] = []
-        self.leases: SimulatedLeases | None = None
+        self.dispatchers = [self._make_dispatcher(n) for n in range(scenario.dispatchers)]
         self.local_dispatchers = [d for d in self.dispatchers if isinstance(d, SimulatedDispatcher)]
-        if scenario.planners and deployment.leases is None:
-            raise ScenarioError(
-                f"{scenario.name}: planners act under a lease: {scenario.deployment} needs (leases ...)"
-            )
+        self.leases: SimulatedLeases | None = None
+        self.planners: list[SimulatedPlanner] = []
         self.planners = [SimulatedPlanner(self, n, scenario.solver) for n in range(scenario.planners)]
         if deployment.leases is not None and shard is None:
             self.leases = self._make_leases(deployment.leases)
@@ -95,46 +104,35 @@
             for planner in self.planners:
                 node = self.leases.nodes[planner.name]
                 self.leases.want(node, LEASE_NAME, planner.on_lease_acquired, planner.on_lease_lost)
-        self.publish_endpoints()
-        self.by_namespace: dict[str, list[int]] = {n: [0, 0] for n in deployment.namespaces}  # wanted, served in time
-        self.start = self.event_queue.now + 200
-        if self.record_event is not None and is_first_shard:
-            self.record_event("begin", start=self.start, seconds=scenario.seconds)
-        self._schedule_scenario()
 
-    def _make_worker(self, number: int) -> ConnectedWorker | RemoteWorker:
-        zones, worker_id, cell = self.deployment.zones, f"worker-{number}", number // 2
-        zone = zones[number % len(zones)]
+    def _make_worker(self, number: int) -> SimulatedWorker | RemoteWorker:
+        zones = self.deployment.zones
+        identity = WorkerIdentity(f"worker-{number}", zones[number % len(zones)], cell=number // 2)
         if self.shard is not None and (home := self.shard.shard_of_worker(number)) != self.shard.number:
             cold_ms = self.deployment.rules.cold_ms
-            return RemoteWorker(self.shard, home, worker_id, zone, cell, self.event_queue, self.settings, cold_ms)
-        return ConnectedWorker(
-            self.event_queue,
-            self.deployment,
-            worker_id,
-            zone,
-            cell,
-            self.store,
-            self._effect_log,
-            self.seed,
-            True,
-            self.record_event,
+            return RemoteWorker(self.shard, home, identity, self.event_queue, self.settings, cold_ms)
+        return SimulatedWorker(
+            self.event_queue, self.deployment, identity, self.store, self.effect_log, self.seed, self.record_event
         )
 
-    def _make_leases(self, settings: LeasesPlan) -> SimulatedLeases:
-        names = [dispatcher.name for dispatcher in self.local_dispatchers]
+    def _make_dispatcher(self, number: int) -> SimulatedDispatcher | RemoteDispatcher:
+        if self.shard is not None and not self.shard.has_dispatcher(number):
+            return RemoteDispatcher(number)
+        zones = self.deployment.zones
+        return SimulatedDispatcher(self, number, zones[number % len(zones)])
+
+    def _make_leases(self, plan: LeasesPlan) -> SimulatedLeases:
         peers = self.deployment.peers
-        return SimulatedLeases(
-            self.event_queue,
-            lease_settings(settings),
-            settings.length_ms,
-            names + [planner.name for planner in self.planners],
-            self.seed,
-            self.settings.sync_ms,
-            self.settings.network_ms,
-            peers.silent_ms if peers is not None else DEFAULT_SILENCE_MS,
-            self.record_event,
+        settings = SimulatedLeaseSettings(
+            lease_settings(plan),
+            plan.length_ms,
+            sync_ms=self.settings.sync_ms,
+            network_ms=self.settings.network_ms,
+            silent_ms=peers.silent_ms if peers is not None else DEFAULT_SILENCE_MS,
         )
+        names = [dispatcher.name for dispatcher in self.local_dispatchers]
+        names += [planner.name for planner in self.planners]
+        return SimulatedLeases(self.event_queue, settings, names, self.seed, self.record_event)
 
     def _schedule_scenario(self) -> None:
         """Schedule the loads, the faults and the first sample."""
@@ -144,14 +142,14 @@
         for fault in self.scenario.faults:
             self.event_queue.at(self.start + fault.at * 1000, fault_injector.inject, fault)
         self._fetches_before = 0
-        self.event_queue.at(self.start + 999.0, self._sample_second)
+        self.event_queue.at(self.start + SAMPLE_AT_MS, self._sample_second)
 
     def _sample_second(self) -> None:
         """Enter the gauges at the end of each second of the load."""
         second = self.second()
         second.in_hand = sum(d.gateway.in_flight for d in self.local_dispatchers if d.up)
         second.loads, self._fetches_before = self.store.fetches - self._fetches_before, self.store.fetches
-        second.idle_mb = sum(w.idle_mb for w in self.workers.values() if isinstance(w, ConnectedWorker) and w.up)
+        second.idle_mb = sum(w.idle_mb for w in self.workers.values() if isinstance(w, SimulatedWorker) and w.up)
         second.storming = sum(
             d.up and d.gateway.overload.stage is not OverloadStage.CALM for d in self.local_dispatchers
         )
@@ -161,64 +159,31 @@
     def _record_event(self, event: str, /, **fields: Any) -> None:
         self.events.append({"what": event, "t": self.event_queue.now, **fields})
 
+    def _record_for_run(self, event: str, /, **fields: Any) -> None:
+        """Record an event of the run, which only its first shard does."""
+        if self.record_event is not None and self.shard_part[0] == 0:
+            self.record_event(event, **fields)
+
     def run(self) -> None:
         """Run the scenario, and then until the last client has its answer."""
         longest_timeout_ms = max(t.timeout_ms for t in self.deployment.types.values())
-        self.event_queue.run(self.start + self.scenario.seconds * 1000 + longest_timeout_ms + 5000)
+        self.event_queue.run(self.start + self.scenario.seconds * 1000 + longest_timeout_ms + LAST_ANSWERS_MS)
 
     def second(self) -> Second:
         """The results of the current second, counted from the start of the load."""
         return self.seconds[max(0, min(len(self.seconds) - 1, int((self.event_queue.now - self.start) / 1000)))]
 
-    # Endpoint lists.
-
     def publish_endpoints(self) -> None:
         """Send the current endpoint list to all planners and dispatchers."""
-        self._version += 1
+        self._endpoints_version += 1
         entries = [worker.endpoint for worker in self.workers.values() if worker.up]
-        endpoints = self.endpoints = EndpointList(self._version, entries, "lab")
+        endpoints = self.endpoints = EndpointList(self._endpoints_version, entries, "lab")
+        delay_ms = self.endpoints_delay_ms + self.settings.network_ms
         for planner in self.planners:
             if planner.up:
-                self.event_queue.after(
-                    self.endpoints_delay_ms + self.settings.network_ms, planner.on_endpoints, endpoints
-                )
+                self.event_queue.after(delay_ms, planner.on_endpoints, endpoints)
         for dispatcher in self.dispatchers:
-            self.event_queue.after(
-                self.endpoints_delay_ms + self.settings.network_ms, dispatcher.on_endpoints, endpoints
-            )
-
-    # Other shards.
-
-    def on_shard_message(self, kind: str, arguments: tuple[Any, ...]) -> None:
-        """A message of another shard arrives."""
-        shard, network_ms = self.shard, self.settings.network_ms
-        assert shard is not None
-        if kind == "reply":
-            shard.on_reply(*arguments)
-        elif kind == "mark":
-            assert isinstance(self._effect_log, SharedEffectLog)
-            self._effect_log.on_remote_effect(*arguments)
-        else:
-            to, number, *rest = arguments
-            reply = answer_remote(shard, self.event_queue, network_ms, to, number)
-            if kind == "fetch":
-                self.store.fetch(rest[0], reply)
-                return
-            worker = self.workers[rest[0]]
-            assert isinstance(worker, ConnectedWorker)
-            if not worker.up:
-                reply(AttemptStatus.UNREACHABLE, None if kind == "send" else 0)
-            elif kind == "order":
-                worker.order_instances(self.by_model[rest[1]], rest[2], rest[3], reply)
-            else:
-                path, mark, activation, attempt, process_id, limit = rest[1:]
-                worker.open_replies[reply] = None
-
-                def end(outcome: AttemptStatus, answer: WorkerAnswer | None) -> None:
-                    worker.open_replies.pop(reply, None)
-                    reply(outcome, answer)
-
-                worker.start_attempt(self.deployment.actions[path], mark, activation, attempt, process_id, limit, end)
+            self.event_queue.after(delay_ms, dispatcher.on_endpoints, endpoints)
 
 
 def result_of(cluster: SimulatedCluster) -> Result:
--- a/kelptrail/simulation/compare.py
+++ b/kelptrail/simulation/compare.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import numpy as np
 from scipy import stats
@@ -41,15 +41,22 @@
     verdict: str  # "better", "worse" or "not told apart": the second beside the first
 
 
-def interval(differences: np.ndarray, confidence: float = 0.95) -> tuple[float, float]:
+class Interval(NamedTuple):
+    """Bounds of a confidence interval."""
+
+    low: float
+    high: float
+
+
+def interval(differences: np.ndarray, confidence: float = 0.95) -> Interval:
     """Where the mean of paired differences lies (Student's t); without bounds for fewer than two pairs."""
     if len(differences) < 2:
-        return float("-inf"), float("inf")
+        return Interval(float("-inf"), float("inf"))
     mean, error = float(np.mean(differences)), float(stats.sem(differences))
     if error == 0:
-        return mean, mean
+        return Interval(mean, mean)
     low, high = stats.t.interval(confidence, len(differences) - 1, loc=mean, scale=error)
-    return float(low), float(high)
+    return Interval(float(low), float(high))
 
 
 def compare(first: list[dict[str, Any]], second: list[dict[str, Any]]) -> list[Difference]:
--- a/kelptrail/simulation/dispatchers.py
+++ b/kelptrail/simulation/dispatchers.py
@@ -8,6 +8,7 @@
 
 import zlib
 from collections.abc import Callable
+from functools import partial
 from typing import TYPE_CHECKING, Any
 
 from kelptrail.codec.infer import WorkerAnswer
@@ -17,14 +18,17 @@
 from kelptrail.gateway.effects import CancelAttempt, CancelReason, FinalAnswer, StartAttempt, StartLoad
 from kelptrail.gateway.invocation import Invocation
 from kelptrail.membership.members import EndpointList
+from kelptrail.settings.deployment import ActionSettings
 from kelptrail.store.activation_journal import ActivationEntries
 from kelptrail.store.entries import Accepted, Ended, MayRun
 from kelptrail.store.group_commit import GroupCommit
 
 from .event_queue import Timer
 from .planners import SimulatedEdge
-from .sharding import RemoteWorker
-from .workers import ConnectedWorker, Reply
+from .remote import RemoteWorker
+from .shard import MessageKind
+from .worker_messages import AttemptMessage, AttemptReply, OrderReply
+from .workers import SimulatedWorker
 
 if TYPE_CHECKING:
     from .cluster import SimulatedCluster
@@ -51,8 +55,8 @@
         self.process_id = f"{self.name}/{self.boot}"
         cluster = self._cluster
         self.journal = GroupCommit(cluster.deployment.journal.most_waiting) if cluster.deployment.journal.keep else None
-        world = DispatcherParts(cluster.deployment, self._zone, zlib.crc32(self.boot.encode()))
-        self.gateway = Gateway(world, self.boot, self.journal)
+        parts = DispatcherParts(cluster.deployment, self._zone, zlib.crc32(self.boot.encode()))
+        self.gateway = Gateway(parts, self.boot, self.journal)
         self.gateway.answer_ms = 2 * self._settings.cpu_ms
         self._busy_until, self._timer, self._timer_at, self._deciding = 0.0, None, float("inf"), False
         self._open_orders: dict[LoadOrder, Timer] = {}
@@ -103,6 +107,10 @@
                 )
             self.schedule_decisions()
 
+    def on_client_gone(self, invocation: Invocation) -> None:
+        """The client of an invocation waits no longer."""
+        self.gateway.on_client_gone(self._event_queue.now, invocation)
+
     def enqueue_input(self, callback: Callable[..., None], *arguments: Any) -> None:
         """Queue an input for the dispatcher's CPU."""
         start = self.starts
@@ -161,91 +169,86 @@
             self.schedule_decisions()
 
     def _start_attempt(self, invocation: Invocation, attempt: Attempt) -> None:
-        worker = self._cluster.workers[attempt.instance.worker.id]
-        start, network_ms = self.starts, self._settings.network_ms
+        worker, network_ms = self._cluster.workers[attempt.instance.worker.id], self._settings.network_ms
         self._open_attempts[attempt] = None
         self._cluster.second().sends += 1
-
-        def finish(outcome: AttemptStatus, answer: WorkerAnswer | None) -> None:
-            if self.up and start == self.starts and attempt in self._open_attempts:
-                del self._open_attempts[attempt]
-                self.enqueue_input(self._on_attempt_finished, start, attempt, outcome, answer)
-
+        finish = partial(self._on_attempt_answered, self.starts, attempt)
         if not isinstance(worker, RemoteWorker):
             self._event_queue.after(network_ms, self._arrive_at_worker, worker, invocation, attempt, finish)
         elif worker.up:
+            message = self._attempt_message(invocation, attempt)
             worker.request(
-                "send",
+                MessageKind.ATTEMPT,
                 finish,
-                invocation.action.path,
-                invocation.deduplication_id,
-                invocation.record.id,
-                attempt.number,
-                self.process_id,
-                attempt.request.deadline - attempt.started_at,
+                message.action.path,
+                message.deduplication_id,
+                message.activation,
+                message.number,
+                message.dispatcher,
+                message.limit_ms,
             )
         else:
             self._event_queue.after(2 * network_ms, finish, AttemptStatus.UNREACHABLE, None)
 
-    def _arrive_at_worker(
-        self, worker: ConnectedWorker, invocation: Invocation, attempt: Attempt, finish: Reply
-    ) -> None:
-        def send_back(outcome: AttemptStatus, answer: WorkerAnswer | None) -> None:
-            if attempt in self._open_attempts:
-                self._event_queue.after(self._settings.network_ms, finish, outcome, answer)
-
-        def end(outcome: AttemptStatus, answer: WorkerAnswer | None) -> None:
-            worker.open_replies.pop(send_back, None)
-            send_back(outcome, answer)
-
-        if not worker.up:
-            send_back(AttemptStatus.UNREACHABLE, None)
-            return
-        worker.open_replies[send_back] = None
-        worker.start_attempt(
+    def _attempt_message(self, invocation: Invocation, attempt: Attempt) -> AttemptMessage:
+        return AttemptMessage(
             invocation.action,
             invocation.deduplication_id,
             invocation.record.id,
             attempt.number,
             self.process_id,
             attempt.request.deadline - attempt.started_at,
-            end,
         )
 
-    def _start_load(self, order: LoadOrder) -> None:
-        worker, start, network_ms = (
-            self._cluster.workers[order.instance.worker.id],
-            self.starts,
-            self._settings.network_ms,
-        )
-        action = self._cluster.by_model[order.instance.function.id]
-        if order.count:
-            self._cluster.second().orders += 1
-
-        def reply(outcome: AttemptStatus, loaded: int) -> None:
-            self._event_queue.after(network_ms, finish, outcome, loaded)
+    def _arrive_at_worker(
+        self, worker: SimulatedWorker, invocation: Invocation, attempt: Attempt, finish: AttemptReply
+    ) -> None:
+        reply = partial(self._return_answer, attempt, finish)
+        worker.receive_attempt(self._attempt_message(invocation, attempt), reply)
 
-        def finish(outcome: AttemptStatus, loaded: int) -> None:
-            timer = self._open_orders.pop(order, None) if start == self.starts else None
-            if timer is not None and self.up:
-                timer.cancel()
-                self.gateway.on_load_report(self._event_queue.now, order, outcome, loaded)
-                self.schedule_decisions()
+    def _return_answer(
+        self, attempt: Attempt, finish: AttemptReply, status: AttemptStatus, answer: WorkerAnswer | None
+    ) -> None:
+        """A worker's answer on its way to the dispatcher."""
+        if attempt in self._open_attempts:
+            self._event_queue.after(self._settings.network_ms, finish, status, answer)
 
-        def arrive() -> None:
-            assert not isinstance(worker, RemoteWorker)
-            if worker.up:
-                worker.order_instances(action, order.count, self.process_id, reply)
-            else:
-                reply(AttemptStatus.UNREACHABLE, 0)
+    def _on_attempt_answered(
+        self, start: int, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
+    ) -> None:
+        if self.up and start == self.starts and attempt in self._open_attempts:
+            del self._open_attempts[attempt]
+            self.enqueue_input(self._on_attempt_finished, start, attempt, status, answer)
 
+    def _start_load(self, order: LoadOrder) -> None:
+        worker, function_id = self._cluster.workers[order.instance.worker.id], order.instance.function.id
+        if order.count:
+            self._cluster.second().orders += 1
+        finish = partial(self._on_load_answered, self.starts, order)
         self._open_orders[order] = self._event_queue.after(
             self._cluster.deployment.pool.order_ms, finish, AttemptStatus.SILENT, 0
         )
         if isinstance(worker, RemoteWorker):
-            worker.request("order", finish, order.instance.function.id, order.count, self.process_id)
+            worker.request(MessageKind.LOAD_ORDER, finish, function_id, order.count, self.process_id)
         else:
-            self._event_queue.after(network_ms, arrive)
+            action = self._cluster.by_model[function_id]
+            self._event_queue.after(self._settings.network_ms, self._order_arrives, worker, action, order, finish)
+
+    def _order_arrives(
+        self, worker: SimulatedWorker, action: ActionSettings, order: LoadOrder, finish: OrderReply
+    ) -> None:
+        worker.receive_order(action, order.count, self.process_id, partial(self._return_load_report, finish))
+
+    def _return_load_report(self, finish: OrderReply, status: AttemptStatus, loaded: int) -> None:
+        """A worker's answer to an order on its way to the dispatcher."""
+        self._event_queue.after(self._settings.network_ms, finish, status, loaded)
+
+    def _on_load_answered(self, start: int, order: LoadOrder, status: AttemptStatus, loaded: int) -> None:
+        timer = self._open_orders.pop(order, None) if start == self.starts else None
+        if timer is not None and self.up:
+            timer.cancel()
+            self.gateway.on_load_report(self._event_queue.now, order, status, loaded)
+            self.schedule_decisions()
 
     def _write_journal(self) -> None:
         """Write the next batch of the journal, one batch at a time."""
@@ -263,13 +266,20 @@
         if self.disk_fails:
             self.journal.on_batch_failed(self._event_queue.now, batch.number, "the disk fails")
         else:
-            for endpoint in batch.entries:
-                if isinstance(endpoint, Accepted):
-                    self._journal_entries.setdefault(endpoint.id, ActivationEntries(endpoint))
-                elif (entries := self._journal_entries.get(endpoint.id)) is not None:
-                    if isinstance(endpoint, MayRun):
-                        entries.may_run = entries.may_run or endpoint
-                    elif isinstance(endpoint, Ended):
-                        entries.ended = entries.ended or endpoint
+            for entry in batch.entries:
+                self._store_entry(entry)
             self.journal.on_batch_durable(batch.number)
         self.schedule_decisions()
+
+    def _store_entry(self, entry: Any) -> None:
+        """Add an entry to what the disk holds; the first of each kind counts."""
+        if isinstance(entry, Accepted):
+            self._journal_entries.setdefault(entry.id, ActivationEntries(entry))
+            return
+        entries = self._journal_entries.get(entry.id)
+        if entries is None:
+            return
+        if isinstance(entry, MayRun):
+            entries.may_run = entries.may_run or entry
+        elif isinstance(entry, Ended):
+            entries.ended = entries.ended or entry
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -17,7 +17,7 @@
 from concurrent.futures import ProcessPoolExecutor, as_completed
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from kelptrail.fault_scenario.scenario import FaultScenario, load_scenario
 from kelptrail.load.results import Rows, figures, rows_of, spread_of, write
@@ -43,12 +43,36 @@
     section: str
     key: str
     value: float | bool | str
-    place: SourcePosition
+    position: SourcePosition
 
     def __str__(self) -> str:
         return f"{self.section}.{self.key.replace('_', '-')}={self.value}"
 
 
+class PlannedRun(NamedTuple):
+    """One run of an experiment; without a point where there is no sweep."""
+
+    variant: str
+    point: Change | None
+    seed: int
+
+
+class RunInputs(NamedTuple):
+    """What a run simulates."""
+
+    scenario: FaultScenario
+    deployment: Deployment
+    simulation: SimulationSettings
+
+
+class RunTables(NamedTuple):
+    """Rows of the tables of `kelptrail.load.results`: of runs, of their seconds and of their latencies."""
+
+    runs: Rows
+    seconds: Rows
+    spread: Rows
+
+
 @dataclass(frozen=True, slots=True)
 class Experiment:
     """An experiment, read and checked."""
@@ -59,12 +83,12 @@
     variants: dict[str, tuple[Change, ...]]
     sweep: tuple[Change, ...]  # one point each; none: a single point without a change
 
-    def runs(self) -> Iterator[tuple[str, Change | None, int]]:
-        """Variant, point and seed of each run."""
+    def runs(self) -> Iterator[PlannedRun]:
+        """All runs: every seed at every point of every variant."""
         for variant in self.variants:
             for point in self.sweep or (None,):
                 for seed in self.seeds:
-                    yield variant, point, seed
+                    yield PlannedRun(variant, point, seed)
 
 
 def load(path: str | Path) -> Experiment:
@@ -89,7 +113,7 @@
             except ValueError:
                 checker.fault(item.place, "seeds", "whole numbers")
         elif item.head == "variant" and len(item.items) > 1:
-            variants[str(_value(item.items[1]))] = _parse_variant(checker, item)
+            variants[str(_value(item.items[1]))] = tuple(_parse_variant(checker, item))
         elif item.head == "sweep" and len(item.items) > 2:
             for value in item.items[2:]:
                 sweep += _parse_change(checker, item.place, item.items[1], value)
@@ -105,14 +129,14 @@
     return experiment
 
 
-def _parse_variant(checker: Checker, variant: Form) -> tuple[Change, ...]:
+def _parse_variant(checker: Checker, variant: Form) -> list[Change]:
     changes = list[Change]()
     for item in variant.items[2:]:
         if isinstance(item, Form) and item.head == "set" and len(item.items) == 3:
             changes += _parse_change(checker, item.place, item.items[1], item.items[2])
         else:
             checker.fault(variant.place, item, "(set SECTION.KEY VALUE)")
-    return tuple(changes)
+    return changes
 
 
 def _check_changes(checker: Checker, experiment: Experiment) -> None:
@@ -123,7 +147,7 @@
         try:
             apply_changes(scenario, deployment, SimulationSettings(), [change])
         except ValueError as cause:
-            checker.fault(change.place, str(change), str(cause))
+            checker.fault(change.position, str(change), str(cause))
     checker.done()
 
 
@@ -131,10 +155,10 @@
     return getattr(item, "value", item)
 
 
-def _parse_change(checker: Checker, place: SourcePosition, name: Any, value: Any) -> list[Change]:
+def _parse_change(checker: Checker, position: SourcePosition, name: Any, value: Any) -> list[Change]:
     section, separator, key = str(_value(name)).partition(".")
     if not separator or not key:
-        checker.fault(place, name, "SECTION.KEY")
+        checker.fault(position, name, "SECTION.KEY")
         return []
     text = str(_value(value))
     read_as: float | bool | str
@@ -142,12 +166,12 @@
         read_as = float(text)
     except ValueError:
         read_as = {"yes": True, "no": False}.get(text, text)
-    return [Change(section, key.replace("-", "_"), read_as, place)]
+    return [Change(section, key.replace("-", "_"), read_as, position)]
 
 
 def apply_changes(
     scenario: FaultScenario, deployment: Deployment, simulation: SimulationSettings, changes: list[Change]
-) -> tuple[FaultScenario, Deployment, SimulationSettings]:
+) -> RunInputs:
     """The three with the changes applied.  Raises `ChangeError` for an unknown key or a value of another type."""
     for change in changes:
         section, key, value = change.section, change.key, change.value
@@ -162,7 +186,7 @@
             deployment = _replace_key(deployment, section, _replace_key(getattr(deployment, section), key, value))
         else:
             raise ChangeError("a section: lab, script, load, trouble, " + ", ".join(DEPLOYMENT_SECTIONS))
-    return scenario, deployment, simulation
+    return RunInputs(scenario, deployment, simulation)
 
 
 def _fitting_value(settings: Any, key: str, value: Any) -> Any:
@@ -182,7 +206,7 @@
     return dataclasses.replace(settings, **{fields_by_key(settings)[key]: fitting})
 
 
-def run_one(path: str, variant: str, point: Change | None, seed: int) -> tuple[Rows, Rows, Rows]:
+def run_one(path: str, variant: str, point: Change | None, seed: int) -> RunTables:
     """One run, in a worker process: the rows of its figures, its seconds and its latencies."""
     experiment = load(path)
     scenario = load_scenario(experiment.script)
@@ -205,20 +229,20 @@
         | figures(scenario.seconds, scenario.last_fault_ends, result)
         | {"took_s": took_s, "simulated_s_a_second": scenario.seconds / took_s}
     )
-    return [row], rows_of(run_key, scenario.seconds, result), spread_of(run_key, result)
+    return RunTables([row], rows_of(run_key, scenario.seconds, result), spread_of(run_key, result))
 
 
 def run(path: str, out: Path, workers: int, progress: Callable[[dict[str, Any]], None]) -> Rows:
     """Run everything over `workers` processes, write the tables of `kelptrail.load.results`; the rows of the runs."""
     experiment = load(path)
-    tables: tuple[Rows, Rows, Rows] = ([], [], [])
+    tables = RunTables([], [], [])
     with ProcessPoolExecutor(workers) as pool:
         jobs = [pool.submit(run_one, path, *arguments) for arguments in experiment.runs()]
         for job in as_completed(jobs):
             tables_of_run = job.result()
             for table, rows in zip(tables, tables_of_run, strict=True):
                 table += rows
-            progress(tables_of_run[0][0])
-    tables[0].sort(key=lambda r: (r["variant"], r["value"], r["point"], r["seed"]))
+            progress(tables_of_run.runs[0])
+    tables.runs.sort(key=lambda r: (r["variant"], r["value"], r["point"], r["seed"]))
     write(out, *tables)
-    return tables[0]
+    return tables.runs
--- a/kelptrail/simulation/faults.py
+++ b/kelptrail/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a scenario, injected into a simulated cluster; every shard draws the same victims."""
+"""Faults of a scenario, injected into a simulated cluster; every shard draws the same targets."""
 
 from __future__ import annotations
 
@@ -17,15 +17,20 @@
 )
 
 from .dispatchers import SimulatedDispatcher
-from .sharding import RemoteDispatcher, RemoteWorker
-from .workers import ConnectedWorker
+from .remote import RemoteDispatcher, RemoteWorker
+from .workers import SimulatedWorker
 
 if TYPE_CHECKING:
     from .cluster import SimulatedCluster
 
 
+WORK_ENDS_WITHIN_MS = 1500.0  # after a worker was told to drain, until it is stopped
+DEPLOY_PAUSE_MS = 1000.0  # added between two workers of a rolling deploy
+LEASE_FAULT_OF_PLANNER_FAULT = {"pause-planners": "pause-dispatchers", "cut-planners": "cut-peers"}
+
+
 class FaultInjector:
-    """Injects faults into one cluster, with a random stream of its own for the choice of victims."""
+    """Injects faults into one cluster, with a random stream of its own for the choice of targets."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster, self._event_queue, self._settings = cluster, cluster.event_queue, cluster.settings
@@ -33,7 +38,7 @@
         self._random = np.random.default_rng([cluster.seed, 11])
 
     def inject(self, fault: Fault) -> None:
-        """Draw the victims of a fault and inject it for its duration."""
+        """Draw the targets of a fault and inject it for its duration."""
         if fault.kind in WORKER_FAULTS:
             self._inject_worker_fault(fault)
         elif fault.kind in PLANNER_FAULTS:
@@ -49,14 +54,16 @@
         kind = fault.kind
         up = [worker for worker in self._cluster.workers.values() if worker.up]
         count = min(len(up), max(1, round(fault.part * len(up))))
-        victims = [up[int(n)] for n in self._random.choice(len(up), count, replace=False)] if up else []
-        self._record_fault(fault, [worker.id for worker in victims])
-        for number, worker in enumerate(victims):
+        targets = [up[int(n)] for n in self._random.choice(len(up), count, replace=False)] if up else []
+        self._record_fault(fault, [worker.id for worker in targets])
+        for number, worker in enumerate(targets):
             if kind == "crash":
                 self._crash(worker, fault.duration * 1000)
             elif kind in ("rolling-deploy", "drain"):
-                pause_ms = fault.duration * 1000 / max(1, len(victims))
-                self._event_queue.after(number * (pause_ms + 1000), self._deploy, worker, kind == "rolling-deploy")
+                pause_ms = fault.duration * 1000 / max(1, len(targets))
+                self._event_queue.after(
+                    number * (pause_ms + DEPLOY_PAUSE_MS), self._deploy, worker, kind == "rolling-deploy"
+                )
             else:
                 worker.inject(kind, fault)
                 if kind == "restart-cold":
@@ -65,37 +72,37 @@
 
     def _inject_dispatcher_fault(self, fault: Fault) -> None:
         kind, duration_ms = fault.kind, fault.duration * 1000
-        victims = self._cluster.dispatchers
+        targets = self._cluster.dispatchers
         if kind == "kill-dispatchers" or kind in (*DISK_FAULTS, *PEER_FAULTS):
-            count = max(1, round(fault.part * len(victims)))
-            victims = [victims[int(n)] for n in self._random.choice(len(victims), count, replace=False)]
-        self._record_fault(fault, [dispatcher.name for dispatcher in victims])
+            count = max(1, round(fault.part * len(targets)))
+            targets = [targets[int(n)] for n in self._random.choice(len(targets), count, replace=False)]
+        self._record_fault(fault, [dispatcher.name for dispatcher in targets])
         if kind == "list-late":
             self._cluster.endpoints_delay_ms = fault.ms
             self._event_queue.after(duration_ms, setattr, self._cluster, "endpoints_delay_ms", 0.0)
         elif kind == "kill-dispatchers":
-            for dispatcher in victims:
+            for dispatcher in targets:
                 self._kill(dispatcher, duration_ms)
         elif kind == "lose-machines":
             for_good = fault.at + fault.duration > self._scenario.seconds
-            for dispatcher in victims:
+            for dispatcher in targets:
                 self._kill(dispatcher, None if for_good else duration_ms, True)
         elif kind in PEER_FAULTS:
-            self._inject_peer_fault(fault, victims)
+            self._inject_peer_fault(fault, targets)
         elif kind in DISK_FAULTS:
-            for dispatcher in victims:
+            for dispatcher in targets:
                 self._inject_disk_fault(fault, dispatcher)
 
-    def _inject_peer_fault(self, fault: Fault, victims: list[SimulatedDispatcher | RemoteDispatcher]) -> None:
+    def _inject_peer_fault(self, fault: Fault, targets: list[SimulatedDispatcher | RemoteDispatcher]) -> None:
         if fault.kind == "pause-dispatchers":
             for dispatcher in self._cluster.local_dispatchers:
-                if dispatcher in victims:
+                if dispatcher in targets:
                     dispatcher.pause(fault.duration * 1000)
                     if self._cluster.record_event is not None:
                         self._cluster.record_event("stopped", dispatcher=dispatcher.number)
                         self._event_queue.after(fault.duration * 1000, self._record_resumed, dispatcher)
         if self._cluster.leases is not None:
-            names = [dispatcher.name for dispatcher in victims]
+            names = [dispatcher.name for dispatcher in targets]
             self._cluster.leases.inject(fault, names, self._draw_direction)
 
     def _draw_direction(self) -> bool:
@@ -112,31 +119,22 @@
         self._event_queue.after(fault.duration * 1000, self._restore_disk, dispatcher)
 
     def _inject_planner_fault(self, fault: Fault) -> None:
-        count = max(1, round(fault.part * len(self._cluster.planners))) if self._cluster.planners else 0
-        victims = (
-            [
-                self._cluster.planners[int(n)]
-                for n in self._random.choice(len(self._cluster.planners), count, replace=False)
-            ]
-            if count
-            else []
-        )
-        for planner in victims:
+        planners = self._cluster.planners
+        if not planners:
+            return
+        count = max(1, round(fault.part * len(planners)))
+        targets = [planners[int(n)] for n in self._random.choice(len(planners), count, replace=False)]
+        for planner in targets:
             if fault.kind == "planners-slow":
                 planner.slow_ms = fault.ms
                 self._event_queue.after(fault.duration * 1000, setattr, planner, "slow_ms", 0.0)
             elif fault.kind == "planners-wrong":
                 planner.core.demand.error_factor = fault.factor
                 self._event_queue.after(fault.duration * 1000, setattr, planner.core.demand, "error_factor", 1.0)
-            elif fault.kind in ("pause-planners", "cut-planners"):
+            elif fault.kind in LEASE_FAULT_OF_PLANNER_FAULT:
                 assert self._cluster.leases is not None
-                self._cluster.leases.inject(
-                    replace(
-                        fault, kind={"pause-planners": "pause-dispatchers", "cut-planners": "cut-peers"}[fault.kind]
-                    ),
-                    [planner.name],
-                    self._draw_direction,
-                )
+                lease_fault = replace(fault, kind=LEASE_FAULT_OF_PLANNER_FAULT[fault.kind])
+                self._cluster.leases.inject(lease_fault, [planner.name], self._draw_direction)
             else:
                 planner.kill()
                 self._event_queue.after(
@@ -186,31 +184,30 @@
         if self._cluster.record_event is not None:
             self._cluster.record_event("woken", dispatcher=dispatcher.number)
 
-    def _crash(self, worker: ConnectedWorker | RemoteWorker, down_ms: float) -> None:
+    def _crash(self, worker: SimulatedWorker | RemoteWorker, down_ms: float) -> None:
         worker.up = False
         worker.close_connections()
         self._cluster.publish_endpoints()
         self._event_queue.after(down_ms + self._settings.restart_ms, self._restart_worker, worker)
 
-    def _restart_worker(self, worker: ConnectedWorker | RemoteWorker) -> None:
+    def _restart_worker(self, worker: SimulatedWorker | RemoteWorker) -> None:
         worker.up, worker.state = True, "live"
         worker.start_process(warm=False)
         self._cluster.publish_endpoints()
 
-    def _deploy(self, worker: ConnectedWorker | RemoteWorker, restart: bool) -> None:
+    def _deploy(self, worker: SimulatedWorker | RemoteWorker, restart: bool) -> None:
         """Drain the worker, stop it, and with `restart` start it anew."""
         if not worker.up:
             return
         worker.state = "draining"
         self._cluster.publish_endpoints()
-        self._event_queue.after(self._deployment.rules.drain_grace_ms, setattr, worker, "draining", True)
-        down_after_ms = self._deployment.rules.drain_grace_ms + 1500
-
-        def stop() -> None:
-            worker.up = False
-            worker.close_connections()
-            self._cluster.publish_endpoints()
-            if restart:
-                self._event_queue.after(self._settings.restart_ms, self._restart_worker, worker)
+        drain_grace_ms = self._deployment.rules.drain_grace_ms
+        self._event_queue.after(drain_grace_ms, setattr, worker, "draining", True)
+        self._event_queue.after(drain_grace_ms + WORK_ENDS_WITHIN_MS, self._stop_deployed, worker, restart)
 
-        self._event_queue.after(down_after_ms, stop)
+    def _stop_deployed(self, worker: SimulatedWorker | RemoteWorker, restart: bool) -> None:
+        worker.up = False
+        worker.close_connections()
+        self._cluster.publish_endpoints()
+        if restart:
+            self._event_queue.after(self._settings.restart_ms, self._restart_worker, worker)
--- a/kelptrail/simulation/leases.py
+++ b/kelptrail/simulation/leases.py
@@ -44,7 +44,7 @@
     sync_ms: float
     lease_client: LeaseClient | None = None
     acceptor: Acceptor | None = None
-    memory: DurableState | None = None
+    durable_state: DurableState | None = None
     rows: dict[str, LeaseRow] = field(default_factory=dict)
     starts: int = 0
     up: bool = True
@@ -64,31 +64,37 @@
         return self.clock_base_ms + (now - self.clock_set_at_ms) * self.clock_rate
 
 
+@dataclass(frozen=True, slots=True)
+class SimulatedLeaseSettings:
+    """The settings of the lease cores, the length of leases, and what is assumed of disks and links; in ms."""
+
+    cores: LeaseSettings
+    length_ms: float
+    sync_ms: float
+    network_ms: float  # one way
+    silent_ms: float  # after which a cut link drops what it holds
+
+
 class SimulatedLeases:
-    """All lease nodes of a cluster; `record_event` records each use of a lease that a witness would see."""
+    """All lease nodes of a cluster; `record_event` records each use of a lease that the side-effect log would see."""
 
     def __init__(
         self,
         event_queue: EventQueue,
-        settings: LeaseSettings,
-        length_ms: float,
+        settings: SimulatedLeaseSettings,
         names: list[str],
         seed: int,
-        sync_ms: float,
-        network_ms: float,
-        silent_ms: float,
         record_event: Callable[..., None] | None,
     ) -> None:
-        self._event_queue, self.settings, self._length_ms, self._seed = event_queue, settings, length_ms, seed
-        self._network_ms, self._record_event = network_ms, record_event
+        self._event_queue, self._settings, self._seed = event_queue, settings, seed
+        self._record_event = record_event
         self._cut_links: Counter[tuple[str, str]] = Counter()
         self._held_messages: dict[tuple[str, str], list[Message]] = {}
         self._cut_since: dict[tuple[str, str], float] = {}  # when a link was cut
-        self._silent_ms = silent_ms
         self._slow_links: list[tuple[float, float]] = []
         self._draws = 0
         self._highest_tokens: dict[str, FencingToken] = {}
-        self.nodes = {name: LeaseNode(name, name in settings.acceptors, sync_ms) for name in names}
+        self.nodes = {name: LeaseNode(name, name in settings.cores.acceptors, settings.sync_ms) for name in names}
         for node in self.nodes.values():
             self.start_process(node)
 
@@ -96,12 +102,14 @@
         """Start a node's process with what its disk holds."""
         node.starts += 1
         node.up, node.paused, node.unread = True, False, []
-        node.lease_client = LeaseClient(node.name, f"{node.name}/{self._seed}-{node.starts}", self.settings)
+        node.lease_client = LeaseClient(node.name, f"{node.name}/{self._seed}-{node.starts}", self._settings.cores)
         now = node.local_time(self._event_queue.now)
         if node.is_acceptor:
-            node.acceptor = Acceptor(node.name, self.settings, now, node.memory, tuple(node.rows.values()))
+            node.acceptor = Acceptor(
+                node.name, self._settings.cores, now, node.durable_state, tuple(node.rows.values())
+            )
         for task in node.wanted_tasks:
-            node.lease_client.acquire(now, task, self._length_ms)
+            node.lease_client.acquire(now, task, self._settings.length_ms)
         self._run_cores(node)
 
     def want(
@@ -110,11 +118,11 @@
         """Have a node acquire the lease of a task whenever it can."""
         node.wanted_tasks[task] = on_acquired, on_lost
         if node.up and node.lease_client is not None:
-            node.lease_client.acquire(node.local_time(self._event_queue.now), task, self._length_ms)
+            node.lease_client.acquire(node.local_time(self._event_queue.now), task, self._settings.length_ms)
             self._run_cores(node)
 
     def contend(self, tasks: tuple[str, ...], names: list[str]) -> None:
-        """Have these nodes compete for the leases of tasks, and use each lease at a witness while they hold it."""
+        """Have these nodes compete for the leases of tasks; the holder uses its lease at the side-effect log."""
         for node in (self.nodes[name] for name in names):
             for task in tasks:
                 self.want(
@@ -170,7 +178,7 @@
                         delivered_locally.append(True)
                         self._deliver(node, to, message)
                     else:
-                        self._send(node.name, to, message)
+                        self._transmit(node.name, to, message)
             while node.acceptor is not None and node.acceptor.pending_writes:
                 write = node.acceptor.pending_writes.popleft()
                 delay_ms = WRITE_RETRY_MS if node.disk_fails and write.state is not None else node.sync_ms
@@ -206,7 +214,7 @@
         if node.starts != start or not node.up or node.acceptor is None:
             return
         if not node.disk_fails:
-            node.memory = write.state or node.memory
+            node.durable_state = write.state or node.durable_state
             node.rows |= {row.task: row for row in write.rows}
         node.acceptor.on_written(write, not node.disk_fails)
         self._run_cores(node)
@@ -219,12 +227,12 @@
         elif node.acceptor is not None:
             node.acceptor.on_message(now, sender, message)
 
-    def _send(self, sender: str, to: str, message: Message) -> None:
+    def _transmit(self, sender: str, to: str, message: Message) -> None:
         if self._cut_links[sender, to] > 0:
-            if self._event_queue.now - self._cut_since[sender, to] < self._silent_ms:
+            if self._event_queue.now - self._cut_since[sender, to] < self._settings.silent_ms:
                 self._held_messages.setdefault((sender, to), []).append(message)
             return
-        delay_ms = self._network_ms
+        delay_ms = self._settings.network_ms
         for ms, share in self._slow_links:
             self._draws += 1
             if zlib.crc32(f"{self._seed} slow {self._draws}".encode()) / 2**32 < share:
@@ -249,7 +257,7 @@
         node = self.nodes[name]
         node.up, node.lease_client, node.acceptor = False, None, None
         if disk_lost:
-            node.memory, node.rows = None, {}
+            node.durable_state, node.rows = None, {}
 
     def inject(self, fault: Fault, node_names: list[str], one_way: Callable[[], bool]) -> None:
         """Inject a fault between nodes for its duration; `kill` and `start_process` serve kills and lost machines."""
@@ -299,8 +307,8 @@
         for pair in pairs:
             if self._cut_links[pair] <= 0:
                 held, clock_set_at_ms = self._held_messages.pop(pair, []), self._cut_since.pop(pair, 0.0)
-                for message in held if self._event_queue.now - clock_set_at_ms < self._silent_ms else []:
-                    self._send(*pair, message)
+                for message in held if self._event_queue.now - clock_set_at_ms < self._settings.silent_ms else []:
+                    self._transmit(*pair, message)
 
     def set_disk(self, name: str, sync_ms: float, fails: bool) -> None:
         """Set the write time of a node's disk in ms, and whether its writes fail."""
--- a/kelptrail/simulation/planners.py
+++ b/kelptrail/simulation/planners.py
@@ -76,19 +76,18 @@
         if (problem := self.core.next_problem(now, HOUR_OF_DAY)) is not None:
             event_queue.after(SOLVE_MS + self.slow_ms, self._solved, start, problem)
         self._saved = self.core.target
-        self._send()
+        self._send_plans()
         event_queue.after(TICK_MS, self._tick, start)
 
     def _solved(self, start: int, problem: PlacementProblem) -> None:
         if start == self._starts and self.up:
-            place = place_greedily if self._solver == "greedy" else place_by_program
-            self.core.on_solution(
-                self._cluster.event_queue.now, problem.number, place(problem.workers, problem.demands, problem.budget)
-            )
+            solve = place_greedily if self._solver == "greedy" else place_by_program
+            solution = solve(problem.workers, problem.demands, problem.budget)
+            self.core.on_solution(self._cluster.event_queue.now, problem.number, solution)
             self.plans, self.moves = self.core.counters.plans, self.core.counters.new_instances
-            self._send()
+            self._send_plans()
 
-    def _send(self) -> None:
+    def _send_plans(self) -> None:
         now, network_ms = self._cluster.event_queue.now, self._cluster.settings.network_ms
         dispatchers = {d.name: d for d in self._cluster.local_dispatchers}
         leases = self._cluster.leases
--- a/kelptrail/simulation/sharding.py
+++ b/kelptrail/simulation/sharding.py
@@ -13,159 +13,66 @@
 from __future__ import annotations
 
 import traceback
-import zlib
 from collections.abc import Callable
 from multiprocessing import get_context
 from multiprocessing.connection import Connection
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import Any, NamedTuple
 
 from kelptrail.fault_scenario.scenario import FaultScenario
 from kelptrail.load.results import Result, Second
-from kelptrail.membership.members import Endpoint
 from kelptrail.settings.deployment import Deployment
 
-from .event_queue import EventQueue
-
-if TYPE_CHECKING:
-    from .settings import SimulationSettings
+from .cluster import LAST_ANSWERS_MS, SECONDS_AFTER_LOAD, START_MS, SimulatedCluster
+from .settings import SimulationSettings
+from .shard import MessageKind, Shard, ShardMessage
+from .shard_inbox import ShardInbox
 
 WINDOW_FRACTION = 0.999  # of the network delay: a window ends before its own events can reach another shard
-Message = tuple[float, int, str, tuple[Any, ...]]  # arrival time in ms, target shard, kind, arguments
-
-
-class Shard:
-    """This process's part of the run, and its outgoing messages."""
-
-    def __init__(self, number: int, shard_count: int) -> None:
-        self.number, self.shard_count = number, shard_count
-        self.out: list[Message] = []
-        self._replies: dict[int, Callable[..., None]] = {}
-        self._last_request = 0
-
-    def has_dispatcher(self, dispatcher: int) -> bool:
-        """Whether a dispatcher, by number, is in this shard."""
-        return dispatcher % self.shard_count == self.number
-
-    def shard_of_worker(self, worker: int) -> int:
-        """The number of the shard that has a worker; both workers of a cell are in one shard."""
-        return worker // 2 % self.shard_count
-
-    def post(self, when: float, target: int, kind: str, *arguments: Any) -> None:
-        """Send a message that arrives at another shard at time `when` in ms."""
-        self.out.append((when, target, kind, arguments))
+PROGRESS_INTERVAL_MS = 1000.0
+PROCESS_END_S = 5
 
-    def request(self, when: float, target: int, kind: str, on_reply: Callable[..., None], *arguments: Any) -> None:
-        """Send a message whose first reply calls `on_reply`."""
-        self._last_request += 1
-        self._replies[self._last_request] = on_reply
-        self.post(when, target, kind, self.number, self._last_request, *arguments)
-
-    def on_reply(self, number: int, arguments: tuple[Any, ...]) -> None:
-        """Deliver a reply to a request; a second reply is ignored."""
-        on_reply = self._replies.pop(number, None)
-        if on_reply is not None:
-            on_reply(*arguments)
-
-
-class RemoteWorker:
-    """A worker of another shard: its state as faults change it, and the connection to it."""
-
-    def __init__(
-        self,
-        shard: Shard,
-        shard_of_worker: int,
-        worker_id: str,
-        zone: str,
-        cell: int,
-        event_queue: EventQueue,
-        settings: SimulationSettings,
-        cold_ms: float,
-    ) -> None:
-        self.id, self._zone, self._cell, self._cold_ms = worker_id, zone, cell, cold_ms
-        self._shard, self._home_shard, self._event_queue, self._settings = shard, shard_of_worker, event_queue, settings
-        self.up, self.state, self.draining, self._starts = True, "live", False, 0
-        self.faults: dict[str, Any] = {}
-        self.start_process(True)
-
-    def start_process(self, warm: bool) -> None:
-        """Start the process anew, as the worker's own shard does."""
-        self._starts += 1
-        self.incarnation = f"{zlib.crc32(self.id.encode()):08x}-{self._starts}"
-        self.started = self._event_queue.now - (self._cold_ms + 1 if warm else 0.0)
-
-    @property
-    def endpoint(self) -> Endpoint:
-        """The worker as the endpoint list shows it."""
-        return Endpoint(
-            self.id, self.id, self.state, self.incarnation, self._event_queue.now - self.started, self._zone, self._cell
-        )
-
-    def close_connections(self) -> None:
-        """Nothing to do: the worker's own shard reports the lost connections."""
-
-    def inject(self, kind: str, fault: Any) -> None:
-        """The fault acts in the worker's own shard; here only a restart matters."""
-        if kind == "restart-cold":
-            self.start_process(False)
-
-    def request(self, kind: str, on_reply: Callable[..., None], *arguments: Any) -> None:
-        """Send the worker a request; `on_reply` gets the reply one network delay after it was given."""
-        self._shard.request(
-            self._event_queue.now + self._settings.network_ms, self._home_shard, kind, on_reply, self.id, *arguments
-        )
 
+class ShardError(Exception):
+    """A shard's process failed; the text is its traceback."""
 
-class RemoteDispatcher:
-    """A dispatcher of another shard; only whether it is up is known here."""
 
-    def __init__(self, number: int) -> None:
-        self.number, self.name, self.up = number, f"dispatcher-{number}", True
-        self.sync_ms, self.disk_fails = 0.0, False
+class ShardedRun(NamedTuple):
+    """The results of all shards as one, and their events in order of time."""
 
-    def kill(self) -> None:
-        """Mark the dispatcher as down."""
-        self.up = False
+    result: Result
+    events: list[dict[str, Any]]
 
-    def start_process(self) -> None:
-        """Mark the dispatcher as up."""
-        self.up = True
 
-    def on_endpoints(self, endpoints: Any) -> None:
-        """Nothing to do: its own shard delivers the list."""
+class ShardRunArguments(NamedTuple):
+    """What every shard's process simulates."""
 
+    scenario: FaultScenario
+    deployment: Deployment
+    seed: int
+    settings: SimulationSettings
+    capture: bool
 
-class RemoteStore:
-    """The model store, as the shards without it reach it."""
 
-    def __init__(self, shard: Shard, event_queue: EventQueue, settings: SimulationSettings) -> None:
-        self._shard, self._event_queue, self._settings = shard, event_queue, settings
-        self.fetches = 0
+class InboxMessage(NamedTuple):
+    """A message as its target shard gets it."""
 
-    def fetch(self, ms: float, on_done: Callable[[bool], None]) -> None:
-        """Fetch through the first shard."""
-        self._shard.request(self._event_queue.now + self._settings.network_ms, 0, "fetch", on_done, ms)
+    at: float
+    kind: MessageKind
+    arguments: tuple[Any, ...]
 
-    def inject(self, kind: str, factor: float, duration_ms: float) -> None:
-        """Nothing to do: the fault acts in the first shard."""
 
+class Window(NamedTuple):
+    """What a shard is to run next: up to a time in ms, with the messages that arrive until then."""
 
-class SharedEffectLog(dict[tuple[str, str], float]):
-    """The log of effects against repeats; entries of this shard are sent to all others."""
+    until: float
+    inbox: list[InboxMessage]
 
-    def __init__(self, shard: Shard, event_queue: EventQueue, settings: SimulationSettings) -> None:
-        super().__init__()
-        self._shard, self._event_queue, self._settings = shard, event_queue, settings
 
-    def __setitem__(self, key: tuple[str, str], when: float) -> None:
-        super().__setitem__(key, when)
-        if not key[0].startswith("cell-"):
-            for target in range(self._shard.shard_count):
-                if target != self._shard.number:
-                    self._shard.post(self._event_queue.now + self._settings.network_ms, target, "mark", key, when)
+class WindowReport(NamedTuple):
+    """What a shard says at the end of a window: the time of its next event in ms, and its outgoing messages."""
 
-    def on_remote_effect(self, key: tuple[str, str], when: float) -> None:
-        """Enter an effect of another shard, without sending it on."""
-        super().__setitem__(key, when)
+    next_at: float
+    out: list[ShardMessage]
 
 
 class ShardResult(NamedTuple):
@@ -180,23 +87,18 @@
     captured: list[dict[str, Any]]
 
 
-def _run_shard(pipe: Connection, number: int, shard_count: int, arguments: tuple[Any, ...], capture: bool) -> None:
+def _run_shard(pipe: Connection, shard: Shard, arguments: ShardRunArguments) -> None:
     """Run one shard's process: up to each window's end, then exchange messages with the coordinator."""
     try:
-        from .cluster import SimulatedCluster
-
-        scenario, deployment, seed, settings = arguments
-        shard = Shard(number, shard_count)
+        scenario, deployment, seed, settings, capture = arguments
         cluster = SimulatedCluster(scenario, deployment, seed, settings, capture, shard)
-        pipe.send((cluster.event_queue.next_at(), shard.out))
-        shard.out = []
-        while (reported_at := pipe.recv()) is not None:
-            until, inboxes = reported_at
-            for when, kind, theirs in inboxes:
-                cluster.event_queue.at(when, cluster.on_shard_message, kind, theirs)
-            cluster.event_queue.run(until)
-            out, shard.out = shard.out, []
-            pipe.send((cluster.event_queue.next_at(), out))
+        inbox = ShardInbox(cluster, shard)
+        pipe.send(WindowReport(cluster.event_queue.next_at(), shard.take_out()))
+        while (window := pipe.recv()) is not None:
+            for message in window.inbox:
+                cluster.event_queue.at(message.at, inbox.on_message, message.kind, message.arguments)
+            cluster.event_queue.run(window.until)
+            pipe.send(WindowReport(cluster.event_queue.next_at(), shard.take_out()))
         pipe.send(
             ShardResult(
                 cluster.seconds,
@@ -215,10 +117,6 @@
         raise
 
 
-class ShardError(Exception):
-    """A shard's process failed; the text is its traceback."""
-
-
 def play_sharded(
     scenario: FaultScenario,
     deployment: Deployment,
@@ -227,33 +125,75 @@
     processes: int,
     capture: bool = False,
     progress: Callable[[float], None] | None = None,
-) -> tuple[Result, list[dict[str, Any]]]:
+) -> ShardedRun:
     """One run over several processes, and its events in order where `capture` asks for them.  The same for the same
     seed and number of processes.  Raises `ShardError`."""
     context = get_context("forkserver")
+    arguments = ShardRunArguments(scenario, deployment, seed, settings, capture)
     pipes, children = list[Connection](), []
     for number in range(processes):
-        mine, theirs = context.Pipe()
-        child = context.Process(
-            target=_run_shard,
-            daemon=True,
-            args=(theirs, number, processes, (scenario, deployment, seed, settings), capture),
-        )
+        coordinator_end, shard_end = context.Pipe()
+        child = context.Process(target=_run_shard, daemon=True, args=(shard_end, Shard(number, processes), arguments))
         child.start()
-        theirs.close()
-        pipes.append(mine)
+        shard_end.close()
+        pipes.append(coordinator_end)
         children.append(child)
     try:
-        return _coordinate(pipes, scenario, deployment, settings, progress)
+        results = Coordinator(pipes, settings, progress).run(_end_ms(scenario, deployment))
+        return _merge_results(results, scenario)
     finally:
         for pipe in pipes:
             pipe.close()
         for child in children:
-            child.join(5)
+            child.join(PROCESS_END_S)
             if child.is_alive():
                 child.kill()
 
 
+def _end_ms(scenario: FaultScenario, deployment: Deployment) -> float:
+    """When the last client has its answer, as `SimulatedCluster.run` has it."""
+    longest_timeout_ms = max(t.timeout_ms for t in deployment.types.values())
+    return START_MS + scenario.seconds * 1000 + longest_timeout_ms + LAST_ANSWERS_MS
+
+
+class Coordinator:
+    """Has all shards run window after window, and passes their messages on."""
+
+    def __init__(
+        self, pipes: list[Connection], settings: SimulationSettings, progress: Callable[[float], None] | None
+    ) -> None:
+        self._pipes, self._settings, self._progress = pipes, settings, progress
+        self._inboxes: list[list[InboxMessage]] = [[] for _ in pipes]
+
+    def run(self, end: float) -> list[ShardResult]:
+        """Run all shards up to the time `end` in ms; their results."""
+        until = progress_at = 0.0
+        earliest = self._gather_reports()
+        while until < end:
+            until = min(end, max(until, earliest) + self._settings.network_ms * WINDOW_FRACTION)
+            for number, pipe in enumerate(self._pipes):
+                inbox, self._inboxes[number] = self._inboxes[number], []
+                pipe.send(Window(until, inbox))
+            earliest = self._gather_reports()
+            if self._progress is not None and until - progress_at >= PROGRESS_INTERVAL_MS:
+                progress_at = until
+                self._progress(until)
+        for pipe in self._pipes:
+            pipe.send(None)
+        return [_receive(pipe) for pipe in self._pipes]
+
+    def _gather_reports(self) -> float:
+        """Receive all shards' reports and sort their messages into inboxes; the time of the earliest event in ms."""
+        earliest = float("inf")
+        for pipe in self._pipes:
+            report: WindowReport = _receive(pipe)
+            earliest = min(earliest, report.next_at)
+            for message in report.out:
+                self._inboxes[message.target].append(InboxMessage(message.at, message.kind, message.arguments))
+                earliest = min(earliest, message.at)
+        return earliest
+
+
 def _receive(pipe: Connection) -> Any:
     try:
         received = pipe.recv()
@@ -264,46 +204,9 @@
     return received
 
 
-def _coordinate(
-    pipes: list[Connection],
-    scenario: FaultScenario,
-    deployment: Deployment,
-    settings: SimulationSettings,
-    progress: Callable[[float], None] | None,
-) -> tuple[Result, list[dict[str, Any]]]:
-    longest_timeout_ms = max(t.timeout_ms for t in deployment.types.values())
-    end = 200 + scenario.seconds * 1000 + longest_timeout_ms + 5000
-    inboxes: list[list[tuple[float, str, tuple[Any, ...]]]] = [[] for _ in pipes]
-    until, reported_at = 0.0, 0.0
-
-    def gather() -> float:
-        earliest = float("inf")
-        for pipe in pipes:
-            first, out = _receive(pipe)
-            earliest = min(earliest, first)
-            for when, target, kind, arguments in out:
-                inboxes[target].append((when, kind, arguments))
-                earliest = min(earliest, when)
-        return earliest
-
-    earliest = gather()
-    while until < end:
-        until = min(end, max(until, earliest) + settings.network_ms * WINDOW_FRACTION)
-        for number, pipe in enumerate(pipes):
-            inbox, inboxes[number] = inboxes[number], []
-            pipe.send((until, inbox))
-        earliest = gather()
-        if progress is not None and until - reported_at >= 1000:
-            reported_at = until
-            progress(until)
-    for pipe in pipes:
-        pipe.send(None)
-    return _merge_results([_receive(pipe) for pipe in pipes], scenario)
-
-
-def _merge_results(results: list[ShardResult], scenario: FaultScenario) -> tuple[Result, list[dict[str, Any]]]:
+def _merge_results(results: list[ShardResult], scenario: FaultScenario) -> ShardedRun:
     """The results of all shards as one, and their events in order of time."""
-    total = Result([Second() for _ in range(int(scenario.seconds) + 60)], {}, {}, 0, 0)
+    total = Result([Second() for _ in range(int(scenario.seconds) + SECONDS_AFTER_LOAD)], {}, {}, 0, 0)
     namespaces: dict[str, list[int]] = {}
     events: list[dict[str, Any]] = []
     for result in results:
@@ -321,15 +224,4 @@
         total.loads += result.loads
         events += result.captured
     total.extra = {f"served_{name}": in_time / wanted for name, (wanted, in_time) in namespaces.items() if wanted}
-    return total, sorted(events, key=lambda event: event["t"])
-
-
-def answer_remote(
-    shard: Shard, event_queue: EventQueue, network_ms: float, target: int, number: int
-) -> Callable[..., None]:
-    """The callback by which a worker or the store replies to a request of another shard; the first reply counts."""
-
-    def reply(*arguments: Any) -> None:
-        shard.post(event_queue.now + network_ms, target, "reply", number, arguments)
-
-    return reply
+    return ShardedRun(total, sorted(events, key=lambda event: event["t"]))
--- /dev/null
+++ b/kelptrail/simulation/slow_start.py
@@ -0,0 +1,44 @@
+"""Slow start of a simulated worker: its capacity by age, and the collapse under too much work."""
+
+from __future__ import annotations
+
+from collections import deque
+from typing import NamedTuple
+
+from kelptrail.settings.deployment import RuleSettings
+
+
+class ArrivedWork(NamedTuple):
+    """When an attempt arrived, and the work that it takes in ms of a core."""
+
+    at: float
+    work_ms: float
+
+
+class SlowStart:
+    """One worker process from its start on.  Once overloaded while it warms up, it has collapsed for good."""
+
+    def __init__(self, rules: RuleSettings, cores: int, started: float) -> None:
+        self._rules, self._cores, self._started = rules, cores, started
+        self._arrivals: deque[ArrivedWork] = deque()
+        self._arrived_work_ms = 0.0
+        self.collapsed = False
+
+    def capacity(self, now: float) -> float:
+        """The share of its capacity, 0 to 1, that the worker has at its age."""
+        age_ms = now - self._started
+        if age_ms >= self._rules.cold_ms:
+            return 1.0
+        return self._rules.cold_share + (1 - self._rules.cold_share) * age_ms / self._rules.cold_ms
+
+    def add_arrival(self, now: float, work_ms: float) -> None:
+        """Add the work of an attempt that arrives; collapse where the arrivals of the window are too many."""
+        capacity = self.capacity(now)
+        if capacity >= 1 or self.collapsed:
+            return
+        window_ms = self._rules.tip_ms
+        self._arrivals.append(ArrivedWork(now, work_ms))
+        self._arrived_work_ms += work_ms
+        while self._arrivals[0].at < now - window_ms:
+            self._arrived_work_ms -= self._arrivals.popleft().work_ms
+        self.collapsed = self._arrived_work_ms > self._rules.overload_multiple * capacity * self._cores * window_ms
--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -1,4 +1,4 @@
-"""A simulation run over several processes: the same rules, the same figures, the same each time."""
+"""A simulation run over several processes: deterministic, close to a run in one process, no rule broken."""
 
 from __future__ import annotations
 
@@ -13,8 +13,10 @@
 from kelptrail.settings.deployment import load
 from kelptrail.simulation.cluster import SimulatedCluster, result_of
 from kelptrail.simulation.event_queue import EventQueue
+from kelptrail.simulation.remote import RemoteStore, SharedEffectLog
 from kelptrail.simulation.settings import SimulationSettings
-from kelptrail.simulation.sharding import RemoteStore, Shard, ShardError, SharedEffectLog, play_sharded
+from kelptrail.simulation.shard import Shard
+from kelptrail.simulation.sharding import ShardError, play_sharded
 
 ROOT = Path(__file__).parent.parent
 SETTINGS = SimulationSettings(network_ms=1.0)
@@ -56,7 +58,7 @@
 
 
 def test_faults_apply_to_all_shards_alike_and_no_rule_breaks() -> None:
-    """Effects are distinguished by mark, sends by activation: one shard that believed in other workers would show."""
+    """Effects are told apart by idempotency key, attempts by activation: shards that disagree on workers would show."""
     faults = [
         fault("crash", 2, 1.5, 0.2),
         fault("rolling-deploy", 3, 2, 0.2),
@@ -67,26 +69,26 @@
     ]
     scenario, deployment = scenario_with(faults), load(ROOT / "examples" / "nursery.sexp")
     _, events = play_sharded(scenario, deployment, 5, SETTINGS, 3, capture=True)
-    verdict = check_history(events)
-    assert not verdict.broken, verdict.details
-    assert verdict.taken > 800 and verdict.unanswered == 0 and verdict.completed > 0.8 * verdict.taken
+    result = check_history(events)
+    assert not result.broken, result.details
+    assert result.taken > 800 and result.unanswered == 0 and result.completed > 0.8 * result.taken
     assert [e["kind"] for e in events if e["what"] == "trouble"] == sorted(
-        (t.kind for t in faults), key=lambda kind: next(t.at for t in faults if t.kind == kind)
+        (f.kind for f in faults), key=lambda kind: next(f.at for f in faults if f.kind == kind)
     )
     senders = {(e["dispatcher"].split("/")[0], e["worker"]) for e in events if e["what"] == "send"}
     across = [(d, w) for d, w in senders if int(d[11:]) % 3 != int(w[7:]) // 2 % 3]
-    assert len(across) > len(senders) / 2, "sends cross shards"
+    assert len(across) > len(senders) / 2, "attempts cross shards"
     starts = {e["incarnation"] for e in events if e["what"] == "start"}
     listed = {i for e in events if e["what"] == "list" for _, i in e["workers"].values()}
     assert listed <= starts, "every shard lists the incarnations that there are"
 
 
-def test_a_mark_set_in_one_shard_is_known_in_the_others_a_way_later() -> None:
+def test_an_effect_in_one_shard_is_known_in_the_others_one_network_delay_later() -> None:
     event_queue, shard = EventQueue(), Shard(1, 3)
     effect_log = SharedEffectLog(shard, event_queue, SETTINGS)
     effect_log["all", "m"] = 5.0
     effect_log["cell-2", "n"] = 6.0
-    assert shard.out == [(1.0, to, "mark", (("all", "m"), 5.0)) for to in (0, 2)], "a cell is in one shard"
+    assert shard.out == [(1.0, to, "mark", (("all", "m"), 5.0)) for to in (0, 2)], "a cell is within one shard"
     effect_log.on_remote_effect(("all", "x"), 7.0)
     assert effect_log["all", "x"] == 7.0 and len(shard.out) == 2
     replies: list[bool] = []
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -17,15 +17,17 @@
 from kelptrail.history_checker.checker import check_history
 from kelptrail.load.plan import steady_load
 from kelptrail.load.results import Result, Second, read, read_runs, read_seconds, recovery
-from kelptrail.settings.deployment import load
+from kelptrail.settings.deployment import Deployment, load
 from kelptrail.settings.reader import SettingsError
 from kelptrail.simulation.cluster import SimulatedCluster, play
 from kelptrail.simulation.compare import compare, interval, report
 from kelptrail.simulation.event_queue import EventQueue
 from kelptrail.simulation.experiment import load as load_experiment
 from kelptrail.simulation.experiment import run
+from kelptrail.simulation.model_store import SimulatedStore
 from kelptrail.simulation.settings import SimulationSettings
-from kelptrail.simulation.workers import SimulatedStore, SimulatedWorker
+from kelptrail.simulation.worker_messages import AttemptMessage, WorkerIdentity
+from kelptrail.simulation.workers import SimulatedWorker
 
 ROOT = Path(__file__).parent.parent
 
@@ -42,58 +44,66 @@
     assert seen[-1] == "d" and event_queue.events == 4
 
 
-def test_the_store_slows_all_fetches_beyond_its_number_and_refuses_past_its_most() -> None:
-    deployment = load(ROOT / "examples" / "nursery.sexp")  # 8 at full pace, 32 at most
+def test_the_store_slows_all_fetches_beyond_its_capacity_and_refuses_past_its_limit() -> None:
+    deployment = load(ROOT / "examples" / "nursery.sexp")  # 8 at the full rate, 32 at most
     event_queue = EventQueue()
     store = SimulatedStore(event_queue, deployment.store)
     ends: list[tuple[float, bool]] = []
     for _ in range(40):
-        store.fetch(100.0, lambda good: ends.append((event_queue.now, good)))
+        store.fetch(100.0, lambda succeeded: ends.append((event_queue.now, succeeded)))
     event_queue.run(1000)
-    assert [good for _, good in ends].count(False) == 8
-    assert {round(t) for t, good in ends if good} == {400}, "32 fetches at a quarter of the pace"
+    assert [succeeded for _, succeeded in ends].count(False) == 8
+    assert {round(t) for t, succeeded in ends if succeeded} == {400}, "32 fetches at a quarter of the rate"
     store.inject("slow", 5.0, 100.0)
-    store.fetch(100.0, lambda good: ends.append((event_queue.now, good)))
+    store.fetch(100.0, lambda succeeded: ends.append((event_queue.now, succeeded)))
     event_queue.run(3000)
-    assert ends[-1] == (pytest.approx(1180.0), True), "a fifth of the pace for 100 ms, then all of it"
+    assert ends[-1] == (pytest.approx(1180.0), True), "a fifth of the rate for 100 ms, then all of it"
+
+
+def make_worker(
+    event_queue: EventQueue, deployment: Deployment, recorded: list[tuple[str, dict[str, Any]]]
+) -> SimulatedWorker:
+    """A worker past its slow start, with a store of its own, that records its events."""
+    return SimulatedWorker(
+        event_queue,
+        deployment,
+        WorkerIdentity("w", "north", 0),
+        SimulatedStore(event_queue, deployment.store),
+        effect_log={},
+        seed=1,
+        record_event=lambda event, **fields: recorded.append((event, fields)),
+    )
 
 
 def test_a_worker_loads_queues_drops_repeats_and_collapses_when_overloaded_cold() -> None:
     deployment = load(ROOT / "examples" / "nursery.sexp")
     event_queue = EventQueue()
     recorded: list[tuple[str, dict[str, Any]]] = []
-    store, effect_log = SimulatedStore(event_queue, deployment.store), dict[tuple[str, str], float]()
-    worker = SimulatedWorker(
-        event_queue,
-        deployment,
-        "w",
-        "north",
-        0,
-        store,
-        effect_log,
-        1,
-        True,
-        lambda what, **fields: recorded.append((what, fields)),
-    )
+    worker = make_worker(event_queue, deployment, recorded)
     action = deployment.actions["places/place-activate"]
     ends: list[Any] = []
-    worker.start_attempt(action, "m", "a1", 0, "d", 1000.0, lambda outcome, _: ends.append(outcome))
+
+    def start_attempt(key: str, activation: str, number: int = 0) -> None:
+        attempt = AttemptMessage(action, key, activation, number, "d", 1000.0)
+        worker.start_attempt(attempt, lambda status, _: ends.append(status))
+
+    start_attempt("m", "a1")
     assert ends == [AttemptStatus.NOT_LOADED]
-    worker.order_instances(action, 1, "d", lambda outcome, loaded: ends.append((outcome, loaded)))
+    worker.order_instances(action, 1, "d", lambda status, loaded: ends.append((status, loaded)))
     event_queue.run(1000)
     assert ends[-1] == (AttemptStatus.COMPLETED, 1)
     for number in range(2):
-        worker.start_attempt(action, "m", f"a{number}", number, "d", 1000.0, lambda outcome, _: ends.append(outcome))
+        start_attempt("m", f"a{number}", number)
     event_queue.run(1500)
     assert ends[-2:] == [AttemptStatus.COMPLETED] * 2
-    assert sum(what == "effect" for what, _ in recorded) == 1, "the same mark has one effect"
+    assert sum(event == "effect" for event, _ in recorded) == 1, "the same idempotency key has one effect"
     event_queue.run(20_000)
-    worker.start_attempt(action, "n", "a9", 0, "d", 1000.0, lambda outcome, _: ends.append(outcome))
-    assert ends[-1] is AttemptStatus.NOT_LOADED, "idle past its keep-alive, the copy has gone"
+    start_attempt("n", "a9")
+    assert ends[-1] is AttemptStatus.NOT_LOADED, "idle past its keep-alive, the instance was unloaded"
     worker.start_process(warm=False)
     for number in range(400):
-        worker.start_attempt(action, f"x{number}", "b", 0, "d", 1000.0, lambda outcome, _: ends.append(outcome))
-    assert worker.collapsed and any(what == "fell" for what, _ in recorded)
+        start_attempt(f"x{number}", "b")
+    assert worker.collapsed and any(event == "fell" for event, _ in recorded)
 
 
 @pytest.mark.parametrize("name", ["kills", "second-sends", "first"])
@@ -101,10 +111,10 @@
     scenario = load_scenario(ROOT / "examples" / "bad-days" / f"{name}.sexp")
     cluster = SimulatedCluster(scenario, load(scenario.deployment), 3, capture=True)
     cluster.run()
-    verdict = check_history(sorted(cluster.events, key=lambda event: event["t"]))
-    assert not verdict.broken, verdict.details
-    assert verdict.taken > 3000 and verdict.completed > 0.9 * verdict.taken and verdict.unanswered == 0
-    assert verdict.completed == sum(s.completed for s in cluster.seconds)
+    result = check_history(sorted(cluster.events, key=lambda event: event["t"]))
+    assert not result.broken, result.details
+    assert result.taken > 3000 and result.completed > 0.9 * result.taken and result.unanswered == 0
+    assert result.completed == sum(s.completed for s in cluster.seconds)
 
 
 def test_a_run_is_the_same_for_the_same_seed_and_another_for_another() -> None:
@@ -132,7 +142,7 @@
     function.load_ms = 1000.0
     now, limits, number = 0.0, [], 0
     while now < 4500:
-        for _ in range(8):  # more than any number of its copies bears
+        for _ in range(8):  # more than any number of its instances can run
             number += 1
             dispatcher.on_request(now, new_request(function, now, number, 60_000.0))
         for decision in pull(dispatcher, now):
@@ -145,10 +155,10 @@
     assert all(b <= 2 * a for a, b in pairwise(seen)), "twofold at most"
     assert len(seen) <= 5, "once a load time"
     quiet = make(60, load_ration=LoadRation(True, 999.0, 0.3, 5000.0))
-    shallow = model("g", concurrency=8)
-    shallow.load_ms, shallow.queued_since, shallow.instance_limit = 1000.0, 0.0, 4
-    shallow.queue.extend(new_request(shallow, 0.0, n) for n in range(5))
-    assert quiet.parts.queues.instance_limit(1500.0, shallow, True) == 5, "a shallow lag still adds one"
+    short_queue = model("g", concurrency=8)
+    short_queue.load_ms, short_queue.queued_since, short_queue.instance_limit = 1000.0, 0.0, 4
+    short_queue.queue.extend(new_request(short_queue, 0.0, n) for n in range(5))
+    assert quiet.parts.queues.instance_limit(1500.0, short_queue, True) == 5, "a short queue still adds one"
 
 
 # Experiments.
@@ -161,7 +171,7 @@
 """
 
 
-def test_an_experiment_plays_its_runs_in_parallel_keeps_columns_and_tells_variants_apart(tmp_path: Path) -> None:
+def test_an_experiment_runs_in_parallel_writes_its_tables_and_tells_variants_apart(tmp_path: Path) -> None:
     file, out = tmp_path / "small.sexp", tmp_path / "out"
     file.write_text(EXPERIMENT.format(root=ROOT))
     seen: list[Any] = []
@@ -185,7 +195,7 @@
         assert (out / f"{name}.png").stat().st_size > 5000 and f"{name}.png" in text
 
 
-def test_intervals_cover_what_they_should() -> None:
+def test_confidence_intervals_cover_the_mean_as_often_as_stated() -> None:
     random = np.random.default_rng(4)
     covered = 0
     for _ in range(400):
@@ -216,48 +226,30 @@
         load_experiment(file)
 
 
-def test_recovery_counts_from_the_last_faults_end() -> None:
+def test_recovery_counts_from_the_end_of_the_last_fault() -> None:
     scenario = load_scenario(ROOT / "examples" / "bad-days" / "kills.sexp")
-    end = max(t.at + t.duration for t in scenario.faults)
+    end = max(fault.at + fault.duration for fault in scenario.faults)
     seconds = [Second(calls=10, in_time=10 if n < 5 or n >= end + 3 else 2) for n in range(int(scenario.seconds) + 60)]
     assert recovery(scenario.seconds, scenario.last_fault_ends, Result(seconds, {}, {}, 0, 0)) == 3.0
     never = [Second(calls=10, in_time=1)] * 100
     assert recovery(scenario.seconds, scenario.last_fault_ends, Result(never, {}, {}, 0, 0)) == scenario.seconds - end
 
 
-def test_a_paused_worker_goes_on_with_what_came_meanwhile_and_heavy_work_keeps_its_share() -> None:
-    """Guards against a simulation that is too favourable: it dropped what a paused worker got, and made 2% of the work
-    heavy where the script said all of it (99th percentile 759 ms beside 2,640 on sockets)."""
+def test_a_paused_worker_reads_what_arrived_meanwhile_and_heavy_work_has_its_share() -> None:
+    """Guards against a simulation that is too favourable: it dropped what a paused worker was sent, and made 2% of the
+    work heavy where the script said all of it (99th percentile 759 ms beside 2,640 on sockets)."""
     deployment = load(ROOT / "examples" / "nursery.sexp")
     event_queue, recorded, ends = EventQueue(), list[tuple[str, dict[str, Any]]](), list[tuple[float, Any]]()
-    worker = SimulatedWorker(
-        event_queue,
-        deployment,
-        "w",
-        "north",
-        0,
-        SimulatedStore(event_queue, deployment.store),
-        {},
-        1,
-        True,
-        lambda what, **fields: recorded.append((what, fields)),
-    )
+    worker = make_worker(event_queue, deployment, recorded)
     action = deployment.actions["places/place-check"]
-    worker.order_instances(action, 1, "d", lambda outcome, loaded: None)
+    worker.order_instances(action, 1, "d", lambda status, loaded: None)
     event_queue.run(1000)
     scenario = load_scenario(ROOT / "examples" / "bad-days" / "first.sexp")
-    pause = next(t for t in scenario.faults if t.kind == "pause")  # 2 s
+    pause = next(fault for fault in scenario.faults if fault.kind == "pause")  # 2 s
 
     def start_attempt(number: int) -> None:
-        worker.start_attempt(
-            action,
-            f"m{number}",
-            f"a{number}",
-            0,
-            "d",
-            5000.0,
-            lambda outcome, _: ends.append((event_queue.now, outcome)),
-        )
+        attempt = AttemptMessage(action, f"m{number}", f"a{number}", 0, "d", 5000.0)
+        worker.start_attempt(attempt, lambda status, _: ends.append((event_queue.now, status)))
 
     start_attempt(0)
     worker.inject("pause", pause)
@@ -265,12 +257,12 @@
     event_queue.run(2500)
     assert not ends
     event_queue.run(4000)
-    assert [outcome for _, outcome in ends] == [AttemptStatus.COMPLETED] * 2 and all(3000 <= t < 3400 for t, _ in ends)
-    assert [fields["lag"] for what, fields in recorded if what == "send"] == [0.0, 2000.0], (
-        "as the sockets' audit has it"
+    assert [status for _, status in ends] == [AttemptStatus.COMPLETED] * 2 and all(3000 <= t < 3400 for t, _ in ends)
+    assert [fields["lag"] for event, fields in recorded if event == "send"] == [0.0, 2000.0], (
+        "as captures of real workers have it"
     )
-    heavy = next(t for t in scenario.faults if t.kind == "heavy-work")  # 3 in 100, twenty times
+    heavy = next(fault for fault in scenario.faults if fault.kind == "heavy-work")  # 3 in 100, twenty times
     worker.faults["heavy-work"] = heavy
-    model = worker.model(action)
-    work_durations = np.array([worker._work_duration_ms(model) for _ in range(4000)])
+    model_state = worker.instances.model(action)
+    work_durations = np.array([worker._work_duration_ms(model_state) for _ in range(4000)])
     assert 0.02 < np.mean(work_durations > 8 * action.work_ms) < 0.04
