--- a/tests/platform_fixture.py
+++ b/tests/platform_fixture.py
@@ -42,7 +42,7 @@
 
 
 class WorkerStub:
-    """A worker whose answers the test scripts; loads succeed unless the test says otherwise."""
+    """A worker whose answers the test scripts; loads succeed unless the test sets another answer."""
 
     def __init__(self, script: Script, load: bytes = b"OK units=1 0") -> None:
         self.script, self.load, self.calls, self.connections = script, load, list[bytes](), 0
@@ -68,16 +68,16 @@
         writer.close()
 
 
-def echo(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+def echo(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
     writer.write(b"%b OK tell=up,meter=cpu:0.5;x1:0;x0:0.2 %d\r\n%b\r\n" % (id_, len(body), body))
 
 
 class PlatformFixture:
     """One dispatcher with its workers, endpoint list and raw clients."""
 
-    def __init__(self, *runners: WorkerStub, **limits: Any) -> None:
-        self.workers, self.limits = runners, {"cores": 1, "memory_mb": 64, "sockets": 256} | limits
-        self.asked: list[int] = []
+    def __init__(self, *workers: WorkerStub, **limits: Any) -> None:
+        self.workers, self.limits = workers, {"cores": 1, "memory_mb": 64, "sockets": 256} | limits
+        self.polled_from: list[int] = []  # the event number of each poll of the endpoint list
         self.events: list[bytes] = []
         self.after = "stay"  # what the feed does after its events
         self._feed_writers: set[asyncio.StreamWriter] = set()  # of the open connections
@@ -88,7 +88,7 @@
         targets = [
             {
                 "uid": f"s-{n:08x}",
-                "endpoint": f"127.0.0.1:{await runner.open()}",
+                "endpoint": f"127.0.0.1:{await worker.open()}",
                 "az": "a",
                 "model": "m",
                 "pod_group": 0,
@@ -96,10 +96,10 @@
                 "capacity_hint": 1,
                 "boot_ms": 0,
             }
-            for n, runner in enumerate(self.workers)
+            for n, worker in enumerate(self.workers)
         ]
         known = {"pos": 1, "entries": [{"pos": 1, "hosts": {"rev": 1, "all": True, "targets": targets}}]}
-        self.told = told = {
+        self.configuration = {
             "name": "n0",
             "listen": "127.0.0.1:0",
             "seed": "0f",
@@ -108,7 +108,7 @@
             "known": known,
             "settings": SETTINGS,
         }
-        self.service = Service(asyncio.get_running_loop(), config.parse(json.dumps(told)))
+        self.service = Service(asyncio.get_running_loop(), config.parse(json.dumps(self.configuration)))
         self.port = self.service.open()
         return self
 
@@ -124,7 +124,7 @@
 
     async def _feed(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-            self.asked.append(int.from_bytes(await reader.readexactly(8), "big"))
+            self.polled_from.append(int.from_bytes(await reader.readexactly(8), "big"))
             for event in self.events:
                 writer.write(event)
             self._feed_writers.add(writer)
@@ -145,7 +145,7 @@
         self.reader, self.writer, self._read = reader, writer, frames.FrameReader(1 << 20)
 
     def ask(self, stream: int = 1, body: bytes = b"hello", **other: str | None) -> None:
-        told = {
+        fields = {
             "verb": "t",
             "txn": f"{stream:016x}",
             "limit": "1500",
@@ -153,8 +153,8 @@
             "item": ITEM,
             "info": "memory_mb:512;lanes:2",
         } | other
-        fields = frames.encode_fields({name: value for name, value in told.items() if value is not None})
-        self.writer.write(frames.encode_frame(frames.REQUEST, stream, fields + body))
+        encoded = frames.encode_fields({name: value for name, value in fields.items() if value is not None})
+        self.writer.write(frames.encode_frame(frames.REQUEST, stream, encoded + body))
 
     async def next(self, within: float = 3.0) -> tuple[int, int, bytes] | None:
         """The next frame; None at the end of the connection."""
@@ -184,11 +184,11 @@
 
 
 def event(number: int, kind: int, *records: tuple[int, int, int]) -> bytes:
-    told = b"".join(
+    data = b"".join(
         struct.pack(">I4sHBBBHIQ", id_, bytes((127, 0, 0, 1)), port, state, 0, 0, 0, 1000, 0)
         for id_, port, state in records
     )
-    return struct.pack(">IQB", 9 + len(told), number, kind) + told
+    return struct.pack(">IQB", 9 + len(data), number, kind) + data
 
 
 def configuration() -> dict[str, Any]:
--- a/tests/raw_sockets.py
+++ b/tests/raw_sockets.py
@@ -42,7 +42,7 @@
 
 def request(stream: int, body: bytes = b"hello", **other: str) -> bytes:
     """A request's bytes."""
-    told = {
+    fields = {
         "verb": "t",
         "txn": f"{stream:016x}",
         "limit": "1500",
@@ -50,7 +50,7 @@
         "item": f"{stream:016x}",
         "info": "memory_mb:512;lanes:2",
     } | other
-    return frames.encode_frame(frames.REQUEST, stream, frames.encode_fields(told) + body)
+    return frames.encode_frame(frames.REQUEST, stream, frames.encode_fields(fields) + body)
 
 
 def read_all(sock: socket.socket, within: float = 3.0) -> list[tuple[int, int, bytes]]:
@@ -67,9 +67,9 @@
 
 def answers(found: list[tuple[int, int, bytes]]) -> dict[int, int]:
     """The code that each stream was answered."""
-    told = [(stream, payload[0]) for kind, stream, payload in found if kind == frames.ANSWER]
-    assert len(dict(told)) == len(told), "one answer each"
-    return dict(told)
+    codes = [(stream, payload[0]) for kind, stream, payload in found if kind == frames.ANSWER]
+    assert len(dict(codes)) == len(codes), "one answer each"
+    return dict(codes)
 
 
 class BlockedConnects:
@@ -89,13 +89,13 @@
 
 
 def read_until(process: subprocess.Popen[bytes], text: str, within: float = 4.0) -> str:
-    """What the process says up to and with `text`."""
+    """The output of the process up to and with `text`."""
     assert process.stdout is not None
-    said, deadline = "", time.monotonic() + within
-    while text not in said:
+    output, deadline = "", time.monotonic() + within
+    while text not in output:
         left = deadline - time.monotonic()
-        assert left > 0 and select.select([process.stdout], [], [], left)[0], f"{text!r} not said: {said}"
+        assert left > 0 and select.select([process.stdout], [], [], left)[0], f"{text!r} not in the output: {output}"
         data = os.read(process.stdout.fileno(), 65536)
-        assert data, f"ended: {said}"
-        said += data.decode()
-    return said
+        assert data, f"ended: {output}"
+        output += data.decode()
+    return output
--- a/tests/test_attempt_races.py
+++ b/tests/test_attempt_races.py
@@ -43,11 +43,11 @@
 def test_a_connection_that_ends_proves_which_attempts_were_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         bare = ConnectionsOverSmallBuffers(monkeypatch)
-        sock, things = await bare.full()
+        sock, items = await bare.full()
         sock.close()  # a reset, as bytes wait there
         await until(lambda: len(bare.ended) == 4)
-        told = dict(bare.ended)
-        assert [told[thing] for thing in things][1:] == [AttemptStatus.NOT_SENT] * 3
+        statuses = dict(bare.ended)
+        assert [statuses[item] for item in items][1:] == [AttemptStatus.NOT_SENT] * 3
         assert not len(bare.connections) and not bare.connections.limits.open_count
 
     run(main())
@@ -56,10 +56,10 @@
 def test_no_cancel_is_sent_where_the_settings_forbid_it(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         bare = ConnectionsOverSmallBuffers(monkeypatch, cancels=False)
-        thing = bare.send("a" * 16, 10)
+        item = bare.send("a" * 16, 10)
         sock = await bare.take()
         await asyncio.sleep(0.05)
-        assert bare.connections.cancel(thing) is True
+        assert bare.connections.cancel(item) is True
         assert await asyncio.to_thread(commands, sock) == [b"CALL " + b"a" * 16]
         bare.connections.close()
 
@@ -74,13 +74,13 @@
             ConnectionsOverSmallBuffers(monkeypatch, parallel=False),
             ConnectionsOverSmallBuffers(monkeypatch, parallel=False),
         )
-        thing, _ = first.send("a" * 16, 10), second.send("b" * 16, 10)
+        item, _ = first.send("a" * 16, 10), second.send("b" * 16, 10)
         ends = [await first.take(), await second.take()]
         await asyncio.sleep(0.05)
         ends[0].setblocking(False)
         assert ends[0].recv(1000).startswith(b"CALL")
         second.send("c" * 16, 10)  # its link is about to write
-        assert first.connections.cancel(thing) is True
+        assert first.connections.cancel(item) is True
         second.send("a" * 16, 10)
         assert ends[0].recv(1000) == b"CANCEL " + b"a" * 16 + b"\r\n", "in the same turn, before any link's flush"
         for bare in (first, second):
@@ -144,9 +144,9 @@
     async def main() -> None:
         began: list[float] = []
 
-        def late(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+        def late(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
             began.append(time.monotonic())
-            echo(runner, id_, body, writer)
+            echo(worker, id_, body, writer)
 
         async with PlatformFixture(WorkerStub(late)) as platform:
             loop, busy = asyncio.get_running_loop(), True
@@ -175,10 +175,10 @@
 def test_an_attempt_for_a_finished_request_does_not_end_the_round_of_decisions() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            client, taken = await platform.client(), platform.service.engine.on_request
+            client, on_request = await platform.client(), platform.service.engine.on_request
 
             def forget_the_first(*args: Any) -> Any:
-                accepted = taken(*args)
+                accepted = on_request(*args)
                 if accepted.id == f"{1:016x}":
                     platform.service._loop.call_soon(platform.service.executor.client_requests.pop, accepted)
                 return accepted
@@ -203,14 +203,14 @@
     async def main() -> None:
         writers: list[asyncio.StreamWriter] = []
 
-        def script(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+        def script(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
             writers.append(writer)
             if len(writers) == 1:
                 writer.write(b"%b MISS - 0\r\n\r\n" % id_)
                 return
             if len(writers) == 2:  # the first answer's copy comes while the further send runs
                 writers[0].write(b"%b MISS - 0\r\n\r\n" % id_)
-            asyncio.get_running_loop().call_later(0.1, echo, runner, id_, body, writer)
+            asyncio.get_running_loop().call_later(0.1, echo, worker, id_, body, writer)
 
         async with PlatformFixture(WorkerStub(script)) as platform:
             client = await platform.client()
@@ -230,7 +230,8 @@
             client.ask(1)
             await until(lambda: held.waiting)
             (port,) = {
-                int(t["endpoint"].rpartition(":")[2]) for t in platform.told["known"]["entries"][0]["hosts"]["targets"]
+                int(t["endpoint"].rpartition(":")[2])
+                for t in platform.configuration["known"]["entries"][0]["hosts"]["targets"]
             }
             (old,) = platform.service.executor.workers.connections.values()
             connecting = list(old._connections)
@@ -250,7 +251,8 @@
         async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
             platform.service.executor.workers.limits.connect_ms = 5000.0
             ports = [
-                int(t["endpoint"].rpartition(":")[2]) for t in platform.told["known"]["entries"][0]["hosts"]["targets"]
+                int(t["endpoint"].rpartition(":")[2])
+                for t in platform.configuration["known"]["entries"][0]["hosts"]["targets"]
             ]
             held, client = BlockedConnects(monkeypatch), await platform.client()
             client.ask(1)
@@ -280,7 +282,7 @@
     async def main() -> None:
         held: list[BlockedConnects] = []
 
-        def breaks(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+        def breaks(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
             held.append(BlockedConnects(monkeypatch))  # the repeat's connection comes up late
             writer.transport.abort()
 
@@ -292,6 +294,6 @@
             held[0].gate.set()
             assert await client.code() in (frames.FAILED, frames.REFUSED)
             await asyncio.sleep(0.05)
-            assert sum(len(runner.calls) for runner in platform.workers) == 1
+            assert sum(len(worker.calls) for worker in platform.workers) == 1
 
     run(main())
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -45,9 +45,9 @@
 
         bare = ConnectionsOverSmallBuffers(monkeypatch)
         monkeypatch.setattr(worker_connection, "connect", none)
-        thing = bare.send("a" * 16, 10)
+        item = bare.send("a" * 16, 10)
         await until(lambda: bare.ended)
-        assert bare.ended == [(thing, AttemptStatus.NOT_SENT)]
+        assert bare.ended == [(item, AttemptStatus.NOT_SENT)]
 
     run(main())
 
@@ -102,13 +102,13 @@
             front, loop = platform.service.client_server, asyncio.get_running_loop()
             (listening,) = front._listener._sockets
             loop.remove_reader(listening)
-            asked = [connect_raw(platform.port) for _ in range(front.connections._max_connections + 4)]
-            for n, sock in enumerate(asked):
+            clients = [connect_raw(platform.port) for _ in range(front.connections._max_connections + 4)]
+            for n, sock in enumerate(clients):
                 sock.sendall(request(n + 1))
             loop.add_reader(listening, front._listener._ready, listening)  # all are let in in one turn
-            found = [await asyncio.to_thread(lambda sock=sock: answers(read_some(sock))) for sock in asked]
-            assert [list(each) for each in found] == [[n + 1] for n in range(len(asked))], "each is answered"
-            for sock in asked:
+            found = [await asyncio.to_thread(lambda sock=sock: answers(read_some(sock))) for sock in clients]
+            assert [list(each) for each in found] == [[n + 1] for n in range(len(clients))], "each is answered"
+            for sock in clients:
                 sock.close()
 
     run(main())
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -152,12 +152,12 @@
     async def main() -> None:
         left = list(spoilt)
 
-        def script(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+        def script(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
             if left:
                 bad = left.pop()
                 writer.write(bad % id_ if b"%b" in bad else bad)
             else:
-                echo(runner, id_, body, writer)
+                echo(worker, id_, body, writer)
 
         async with PlatformFixture(*(WorkerStub(script) for _ in range(9))) as platform:
             client = await platform.client()
@@ -170,10 +170,10 @@
 
 
 def test_duplicate_and_unknown_answers_are_ignored() -> None:
-    def script(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+    def script(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"ffffffffffffffff OK - 3\r\nbad\r\n")
-        echo(runner, id_, body, writer)
-        echo(runner, id_, b"again", writer)
+        echo(worker, id_, body, writer)
+        echo(worker, id_, b"again", writer)
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(script)) as platform:
@@ -192,9 +192,9 @@
         async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
             platform.after = "break"
             platform.events = [event(2, 2, (1, 9, 1)), event(2, 2, (1, 9, 1)), event(2, 0), event(3, 2, (1, 9, 2))[:20]]
-            platform.service.reload(config.parse(json.dumps(platform.told), platform.service.config))
+            platform.service.reload(config.parse(json.dumps(platform.configuration), platform.service.config))
             await asyncio.sleep(0.2)
-            assert set(platform.asked) == {1, 2}
+            assert set(platform.polled_from) == {1, 2}
             platform.events, platform.after = [event(3, 2, (1, 9, 2))], "stay"
             await asyncio.sleep(0.3)
             assert platform.service.last_event_number == 3
@@ -204,8 +204,8 @@
 
 def test_a_client_that_leaves_frees_its_work_and_a_shutdown_answers_open_requests() -> None:
     async def main() -> None:
-        def later(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
-            asyncio.get_running_loop().call_later(1.0, echo, runner, id_, body, writer)
+        def later(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+            asyncio.get_running_loop().call_later(1.0, echo, worker, id_, body, writer)
 
         async with PlatformFixture(WorkerStub(later)) as platform:
             gone, stays = await platform.client(), await platform.client()
@@ -300,8 +300,8 @@
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            platform.told["listen"] = "127.0.0.1:0"
-            (tmp_path / "c.json").write_text(json.dumps(platform.told))
+            platform.configuration["listen"] = "127.0.0.1:0"
+            (tmp_path / "c.json").write_text(json.dumps(platform.configuration))
             process = await asyncio.create_subprocess_exec(
                 *command, env=os.environ | {"LB_CONFIG": str(tmp_path / "c.json")}, stdout=asyncio.subprocess.PIPE
             )
@@ -315,7 +315,7 @@
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
 
-            (tmp_path / "c.json").write_text(json.dumps(platform.told))
+            (tmp_path / "c.json").write_text(json.dumps(platform.configuration))
             read, write = os.pipe()
             process = await asyncio.create_subprocess_exec(
                 *command, env=os.environ | {"LB_CONFIG": str(tmp_path / "c.json")}, stdout=write
@@ -343,14 +343,16 @@
     st.lists(st.integers(1, 60), min_size=1),
 )
 def test_frames_come_back_from_any_split(sent: list[tuple[int, dict[str, str], bytes]], cuts: list[int]) -> None:
-    data = b"".join(frames.encode_frame(65, stream, frames.encode_fields(told) + body) for stream, told, body in sent)
+    data = b"".join(
+        frames.encode_frame(65, stream, frames.encode_fields(fields) + body) for stream, fields, body in sent
+    )
     reader, found, at, n = frames.FrameReader(), [], 0, 0
     while at < len(data):
         reader.feed(data[at : at + cuts[n % len(cuts)]])
         at, n = at + cuts[n % len(cuts)], n + 1
         while (frame := reader.next()) is not None:
-            told, end = frames.read_fields(frame[2])
-            found.append((frame[1], told, frame[2][end:]))
+            fields, end = frames.read_fields(frame[2])
+            found.append((frame[1], fields, frame[2][end:]))
     assert found == sent and not len(reader)
 
 
@@ -369,12 +371,12 @@
         spoilt = bytearray(good[:200])
         for _ in range(chance.randrange(1, 6)):
             spoilt[chance.randrange(200)] = chance.randrange(256)
-        for made, error in (
+        for reader, error in (
             (lines.LineReader(1000), lines.LineError),
             (frames.FrameReader(), frames.FrameError),
             (feed.FeedReader(2, 1), feed.FeedError),
         ):
-            made.feed(bytes(spoilt))
+            reader.feed(bytes(spoilt))
             with contextlib.suppress(error):
-                while made.next() is not None:
+                while reader.next() is not None:
                     pass
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -69,8 +69,8 @@
     *way, last = path.split(".")
     named = "".join(f"[{step}]" if step.isdecimal() else f".{step}" for step in [*way, last]).replace(".", "", 1)
     for value in ["missing", *spoilt]:
-        told = configuration()
-        at: Any = told
+        raw = configuration()
+        at: Any = raw
         for step in way:
             at = at[int(step) if step.isdecimal() else step]
         if value == "missing" and last == "customers":
@@ -79,22 +79,22 @@
             del at[last]
         else:
             at[last] = value
-        started_only = path.split(".")[0] in ("name", "listen", "seed", "limits")  # not taken up on SIGHUP
+        started_only = path.split(".")[0] in ("name", "listen", "seed", "limits")  # not applied on SIGHUP
         for before in [None] if started_only else [None, running]:
             with pytest.raises(config.ConfigError) as told_why:
-                config.parse(json.dumps(told), before)
+                config.parse(json.dumps(raw), before)
             why = str(told_why.value)
             assert named in why and "\n" not in why, why
 
 
 def test_unknown_settings_and_absent_optional_ones_are_accepted() -> None:
-    told = configuration()
-    told["settings"]["classes"][0] |= {"colour": "red", "key_scope": None, "window_us": None}
+    raw = configuration()
+    raw["settings"]["classes"][0] |= {"colour": "red", "key_scope": None, "window_us": None}
     for part in ("bounds", "rules", "specifics", "report"):
-        told["settings"][part]["unheard_of"] = {"deep": [1]}
-    told |= {"unheard_of": 1}
-    told["settings"]["customers"] = None
-    assert config.parse(json.dumps(told)).sockets.zones == ["a", "b"]
+        raw["settings"][part]["unheard_of"] = {"deep": [1]}
+    raw |= {"unheard_of": 1}
+    raw["settings"]["customers"] = None
+    assert config.parse(json.dumps(raw)).sockets.zones == ["a", "b"]
 
 
 @pytest.mark.parametrize(
@@ -108,22 +108,22 @@
 def test_another_deployment_with_every_name_and_figure_changed_is_served(
     effect: str, fields: list[str], customers: list[dict[str, Any]] | None
 ) -> None:
-    def answers(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+    def answers(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
         meter = b",meter=" + b";".join(b"%b:3.5" % name.encode() for name in fields) if fields else b""
         writer.write(b"%b OK tell=fresh%b %d\r\n%b\r\n" % (id_, meter, len(body), body))
 
     async def main() -> None:
-        runner, told = WorkerStub(answers), configuration()
-        target = told["known"]["entries"][0]["hosts"]["targets"][0]
+        worker, raw = WorkerStub(answers), configuration()
+        target = raw["known"]["entries"][0]["hosts"]["targets"][0]
         target |= {
             "uid": "s-0badcafe",
-            "endpoint": f"127.0.0.1:{await runner.open()}",
+            "endpoint": f"127.0.0.1:{await worker.open()}",
             "az": "quay",
             "model": "crane-9",
             "pod_group": 41,
             "capacity_hint": 0.37,
         }
-        settings = told["settings"]
+        settings = raw["settings"]
         settings |= {
             "failure_domains": ["pier", "quay", "mole"],
             "my_zone": 2,
@@ -164,7 +164,7 @@
             "machine_mb": [10.0, 900.0],
             "not_loaded": "load",
         }
-        service = Service(asyncio.get_running_loop(), config.parse(json.dumps(told)))
+        service = Service(asyncio.get_running_loop(), config.parse(json.dumps(raw)))
         client = Client(*await asyncio.open_connection("127.0.0.1", service.open()))
         for n in range(1, 9):
             client.ask(
@@ -178,20 +178,20 @@
             )
             assert await client.next() == (frames.ANSWER, n, b"\0\0%d" % n)
         client.ask(9, verb="t", team="acme")  # what the first deployment calls them is unknown here
-        assert await client.code() == frames.FAILED and len(runner.calls) == 8
+        assert await client.code() == frames.FAILED and len(worker.calls) == 8
         service.close()
 
     run(main())
 
 
 def test_whether_a_worker_loads_on_demand_is_what_the_settings_say() -> None:
-    told = configuration()
-    for says, loads in (("load", True), ("miss", False), (None, False)):
-        told["settings"]["specifics"]["not_loaded"] = says
-        assert read_settings(told["settings"]).loads_on_demand is loads
-    told["settings"]["specifics"]["not_loaded"] = "perhaps"
+    raw = configuration()
+    for setting, loads in (("load", True), ("miss", False), (None, False)):
+        raw["settings"]["specifics"]["not_loaded"] = setting
+        assert read_settings(raw["settings"]).loads_on_demand is loads
+    raw["settings"]["specifics"]["not_loaded"] = "perhaps"
     with pytest.raises(config.ConfigError, match=r"specifics\.not_loaded: 'perhaps' is none of load, miss"):
-        config.parse(json.dumps(told))
+        config.parse(json.dumps(raw))
 
 
 @pytest.mark.parametrize("text", ["{", "[]", "{}", "3", "9" * 5000, "[" * 100_000, "\ud800"])
@@ -214,10 +214,10 @@
     ],
 )
 def test_a_worker_in_the_initial_events_must_be_valid(spoilt: dict[str, Any]) -> None:
-    told = configuration()
-    told["known"]["entries"][0]["hosts"]["targets"][0].update(spoilt)
+    raw = configuration()
+    raw["known"]["entries"][0]["hosts"]["targets"][0].update(spoilt)
     with pytest.raises(config.ConfigError, match="known events"):
-        config.parse(json.dumps(told))
+        config.parse(json.dumps(raw))
 
 
 def test_an_unusable_setting_ends_the_start_with_one_line_and_no_running_dispatcher(tmp_path: Path) -> None:
@@ -230,17 +230,19 @@
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            file.write_text(json.dumps(platform.told))
+            file.write_text(json.dumps(platform.configuration))
             process = await asyncio.create_subprocess_exec(
                 *command, env=os.environ | {"LB_CONFIG": str(file)}, stdout=asyncio.subprocess.PIPE
             )
             assert process.stdout is not None and b"list number=1" in await process.stdout.readline()
             await asyncio.sleep(0.2)
-            file.write_text(json.dumps(platform.told | {"settings": spoilt["settings"], "journal": "127.0.0.1:1"}))
+            file.write_text(
+                json.dumps(platform.configuration | {"settings": spoilt["settings"], "journal": "127.0.0.1:1"})
+            )
             process.send_signal(signal.SIGHUP)
             line = await process.stdout.readline()
             assert b"configuration kept" in line and b"settings.rules.fall_us" in line
-            assert len(platform.asked) == 2, "the list is still followed where it was"
+            assert len(platform.polled_from) == 2, "the endpoint list is still watched at its address"
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
 
--- a/tests/test_platform_load.py
+++ b/tests/test_platform_load.py
@@ -34,14 +34,14 @@
 class UnreliableWorker(WorkerStub):
     """Answers well, twice, late, with noise, with a break or not at all, as a seed has it; keeps what it was sent."""
 
-    def __init__(self, chance: random.Random, seen: dict[bytes, list[str]]) -> None:
+    def __init__(self, rng: random.Random, seen: dict[bytes, list[str]]) -> None:
         super().__init__(self.act)
-        self.chance, self.seen, self.last = chance, seen, 0.0
+        self.rng, self.seen, self.last = rng, seen, 0.0
 
     @property
     def load(self) -> bytes:
         self.last = asyncio.get_running_loop().time()
-        return self.chance.choice([b"OK units=1 0"] * 9 + [b"BUSY units=0 0"])
+        return self.rng.choice([b"OK units=1 0"] * 9 + [b"BUSY units=0 0"])
 
     @load.setter
     def load(self, _: bytes) -> None:
@@ -50,34 +50,34 @@
     def act(self, _: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
         self.last = loop.time()
-        does = self.chance.choice(["good"] * 70 + ["twice", "MISS", "MISS", "BUSY", "ERR", "noise", "break", "silent"])
-        self.seen[id_].append(does)
+        behavior = self.rng.choice(["good"] * 70 + ["twice", "MISS", "MISS", "BUSY", "ERR", "noise", "break", "silent"])
+        self.seen[id_].append(behavior)
         good = b"%b OK tell=up,ahead=1 %d\r\n%b\r\n" % (id_, len(body), body)
-        says = {"good": good, "twice": good + good, "noise": b"\0\xff nonsense\r\n", "silent": b"", "break": b""}.get(
-            does, b"%b %b - 0\r\n\r\n" % (id_, does.encode())
+        reply = {"good": good, "twice": good + good, "noise": b"\0\xff nonsense\r\n", "silent": b"", "break": b""}.get(
+            behavior, b"%b %b - 0\r\n\r\n" % (id_, behavior.encode())
         )
 
-        def say() -> None:
+        def send_reply() -> None:
             with contextlib.suppress(RuntimeError):
-                writer.write(says)
-                if does == "break":
+                writer.write(reply)
+                if behavior == "break":
                     writer.transport.abort()
 
-        loop.call_later(self.chance.random() * 0.03, say)
+        loop.call_later(self.rng.random() * 0.03, send_reply)
 
 
 class Caller:
     """One client of a load: asks, and keeps each answer with its time."""
 
     def __init__(self, client: Client, base: int) -> None:
-        self.client, self.base, self.asked, self.answers = client, base, dict[int, tuple[float, float, str]](), {}
-        self.more = True
+        self.client, self.base, self.sent, self.answers = client, base, dict[int, tuple[float, float, str]](), {}
+        self.accepts_more = True
         self.got: dict[int, list[tuple[float, int, bytes]]] = collections.defaultdict(list)
         self._reader = asyncio.create_task(self._read())
 
     def ask(self, n: int, kind: str, limit_ms: int) -> None:
         now = asyncio.get_running_loop().time()
-        self.asked[n] = now, now + limit_ms / 1000, kind
+        self.sent[n] = now, now + limit_ms / 1000, kind
         self.client.ask(
             n,
             b"%d" % (self.base + n),
@@ -90,14 +90,14 @@
 
     @property
     def open(self) -> int:
-        return len(self.asked) - len(self.got)
+        return len(self.sent) - len(self.got)
 
     async def _read(self) -> None:
         with contextlib.suppress(TimeoutError):
             while (frame := await self.client.next(10)) is not None:
                 kind, stream, payload = frame
                 if kind == frames.GO_AWAY:
-                    self.more = False
+                    self.accepts_more = False
                 elif kind == frames.ANSWER:
                     _, end = frames.read_fields(payload[1:])
                     self.got[stream].append((asyncio.get_running_loop().time(), payload[0], payload[1 + end :]))
@@ -114,18 +114,18 @@
     monkeypatch.setitem(SETTINGS, "classes", TYPES)
 
     async def main() -> None:
-        chance, seen = random.Random(seed), collections.defaultdict[bytes, list[str]](list)
-        runners = [UnreliableWorker(chance, seen) for _ in range(4)]
-        async with PlatformFixture(*runners) as platform:
+        rng, seen = random.Random(seed), collections.defaultdict[bytes, list[str]](list)
+        workers = [UnreliableWorker(rng, seen) for _ in range(4)]
+        async with PlatformFixture(*workers) as platform:
             loop = asyncio.get_running_loop()
             callers = [Caller(await platform.client(), 1000 * (n + 1)) for n in range(8)]
             drained = 0.0
             for n in range(1, 121):
                 for caller in callers:
                     if caller.open < 24:
-                        caller.ask(n, chance.choice("ttko"), chance.choice((400, 800, 1500)))
+                        caller.ask(n, rng.choice("ttko"), rng.choice((400, 800, 1500)))
                 if n == 60:  # one worker drains
-                    endpoint = platform.told["known"]["entries"][0]["hosts"]["targets"][3]["endpoint"]
+                    endpoint = platform.configuration["known"]["entries"][0]["hosts"]["targets"][3]["endpoint"]
                     port = int(endpoint.rpartition(":")[2])
                     platform.push(event(2, 2, (3, port, 1)))
                     platform.service.reload(platform.service.config)
@@ -135,20 +135,20 @@
                 while any(caller.open for caller in callers):
                     await asyncio.sleep(0.05)
             await asyncio.sleep(0.1)  # nothing comes after the one answer
-            told = collections.Counter[int]()
+            code_counts = collections.Counter[int]()
             for caller in callers:
-                for n, (_, until, kind) in caller.asked.items():
+                for n, (_, until, kind) in caller.sent.items():
                     ((at, code, body),) = caller.got[n]
-                    told[code] += 1
+                    code_counts[code] += 1
                     assert at <= until + SLACK_S, "in time"
                     ran = [d for d in seen[f"{caller.base + n:016x}".encode()] if d not in ("MISS", "BUSY")]
-                    assert (code == frames.SERVED) <= (body == b"%d" % (caller.base + n)), "what its worker answered"
+                    assert (code == frames.SERVED) <= (body == b"%d" % (caller.base + n)), "the answer of its worker"
                     if kind == "o":
-                        assert len(ran) <= 1, "once-only ran twice"
-                        assert not (ran and code == frames.REFUSED), "a rejection promises the truth"
+                        assert len(ran) <= 1, "at most once: ran twice"
+                        assert not (ran and code == frames.REFUSED), "a rejected request had no effect"
                 caller.close()
-            assert told[frames.SERVED] > 0.5 * sum(told.values()) and sum(told.values()) > 700
-            assert platform.service.last_event_number == 2 and runners[3].last < drained + 0.5, "drains kept"
+            assert code_counts[frames.SERVED] > 0.5 * sum(code_counts.values()) and sum(code_counts.values()) > 700
+            assert platform.service.last_event_number == 2 and workers[3].last < drained + 0.5, "the drain is respected"
             async with asyncio.timeout(4):
                 while platform.service.engine.requests:  # till the sends that nobody answers have had their time
                     await asyncio.sleep(0.05)
@@ -163,7 +163,7 @@
                 free.bind(("127.0.0.1", 0))
                 port = free.getsockname()[1]
             file = tmp_path / "c.json"
-            file.write_text(json.dumps(platform.told | {"listen": f"127.0.0.1:{port}"}))
+            file.write_text(json.dumps(platform.configuration | {"listen": f"127.0.0.1:{port}"}))
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -180,7 +180,7 @@
                 await asyncio.sleep(0.02)
             for n in range(1, 400):
                 for caller in callers:
-                    if caller.more and caller.open < 20:
+                    if caller.accepts_more and caller.open < 20:
                         caller.ask(n, "t", 1500)
                 if n == 100:
                     process.send_signal(signal.SIGHUP)
@@ -188,9 +188,9 @@
                     process.send_signal(signal.SIGTERM)
                 await asyncio.sleep(0.005)
             assert await process.wait() == 0
-            assert all(len(caller.asked) > 100 and not caller.more for caller in callers), "told to go away"
-            assert all(len(c.got[n]) == 1 for c in callers for n in c.asked), "nothing lost, once each"
-            codes = collections.Counter(code for c in callers for n in c.asked for _, code, _ in c.got[n])
+            assert all(len(caller.sent) > 100 and not caller.accepts_more for caller in callers), "GOAWAY was received"
+            assert all(len(c.got[n]) == 1 for c in callers for n in c.sent), "nothing lost, once each"
+            codes = collections.Counter(code for c in callers for n in c.sent for _, code, _ in c.got[n])
             # A machine that stands still for a while earns honest rejections; a signal earns no failure.
             assert codes.keys() <= {frames.SERVED, frames.REFUSED} and codes[frames.SERVED] > codes[frames.REFUSED]
 
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -35,20 +35,20 @@
 
 def test_a_request_in_the_moment_of_shutdown_is_answered_or_sees_the_close_and_ran_nowhere() -> None:
     async def main() -> None:
-        def slowly(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
-            asyncio.get_running_loop().call_later(0.2, echo, runner, id_, body, writer)
+        def slowly(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+            asyncio.get_running_loop().call_later(0.2, echo, worker, id_, body, writer)
 
         async with PlatformFixture(WorkerStub(slowly)) as platform:
             client = await platform.client()
             client.ask(1)
             assert await client.code() == frames.SERVED
-            loop, asked = asyncio.get_running_loop(), []
+            loop, late_requests = asyncio.get_running_loop(), []
             later = loop.call_later
 
             def crossing(delay: float, back: Callable[..., Any], *args: Any, **more: Any) -> Any:
                 ends = getattr(back, "__name__", "") in ("set_result", "_finish")
-                if ends and not asked:  # the last look has found nothing: now a request comes
-                    asked.append(2)
+                if ends and not late_requests:  # the last check found nothing: now a request arrives
+                    late_requests.append(2)
                     client.ask(2)
                 return later(delay, back, *args, **more)
 
@@ -56,7 +56,7 @@
             platform.service.shut_down()
             assert await client.next() == (frames.GO_AWAY, 0, b"")
             await asyncio.wait_for(platform.service.finished, 3.0)
-            assert asked
+            assert late_requests
             platform.service.close()
             code = await client.code()
             assert code == frames.SERVED or (code is None and len(platform.workers[0].calls) == 1)
@@ -78,17 +78,17 @@
 def test_shutdown_waits_for_answers_that_a_client_reads_and_for_none_that_it_does_not(reads: bool) -> None:
     body = bytes(90_000)
 
-    def large(runner: WorkerStub, id_: bytes, _: bytes, writer: asyncio.StreamWriter) -> None:
-        echo(runner, id_, body, writer)
+    def large(worker: WorkerStub, id_: bytes, _: bytes, writer: asyncio.StreamWriter) -> None:
+        echo(worker, id_, body, writer)
 
     async def main() -> None:
-        async with PlatformFixture(runner := WorkerStub(large)) as platform:
+        async with PlatformFixture(worker := WorkerStub(large)) as platform:
             sock = connect_raw(platform.port, SMALL_BUFFER_BYTES)
             await until(lambda: len(platform.service.client_server.connections))
             (client,) = platform.service.client_server.connections.fresh
             client.connection.transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
             sock.sendall(request(1))
-            await until(lambda: len(runner.calls) and client.connection._writing)
+            await until(lambda: len(worker.calls) and client.connection._writing)
             began = time.monotonic()
             platform.service.shut_down()
             if not reads:
@@ -137,8 +137,8 @@
     monkeypatch.setitem(SETTINGS, "classes", [CLASS | {"give_up_us": 400_000}])
 
     async def main() -> None:
-        def slowly(runner: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
-            asyncio.get_running_loop().call_later(0.1, echo, runner, id_, body, writer)
+        def slowly(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+            asyncio.get_running_loop().call_later(0.1, echo, worker, id_, body, writer)
 
         async with PlatformFixture(WorkerStub(slowly)) as platform:
             client, stream = await platform.client(), 0
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -70,7 +70,7 @@
     """On the client's connection, the worker's and the list's: what is open there goes on."""
 
     async def main() -> None:
-        async with PlatformFixture(runner := WorkerStub(echo)) as platform:
+        async with PlatformFixture(worker := WorkerStub(echo)) as platform:
             client = await platform.client()
             client.ask(1)
             assert await client.code() == frames.SERVED
@@ -82,7 +82,7 @@
                 each.transport.sock = Failing(each.transport.sock, "send", [code, code])  # type: ignore[assignment]
             client.ask(2)
             assert await client.code() == frames.SERVED
-            assert runner.connections == 1 and connection in worker_links._connections
+            assert worker.connections == 1 and connection in worker_links._connections
 
     run(main())
 
@@ -115,7 +115,7 @@
 
 
 def test_the_limit_passed_on_is_what_the_client_has_left_when_the_call_leaves(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The worker's connection comes up late: what was decided before says the time that is left then."""
+    """The worker's connection comes up late: an attempt decided before carries the time that is left then."""
     limits: list[int] = []
 
     class Reads(WorkerStub):
@@ -163,7 +163,7 @@
 
 @pytest.mark.parametrize("codes", [[code] for code in FAILING_ACCEPT] + [[errno.ECONNABORTED, errno.EMFILE] * 3])
 def test_clients_in_the_accept_queue_are_answered_at_shutdown_though_accepts_fail(codes: list[int]) -> None:
-    """Whoever has connected before the listener closes is taken in, also behind a client that has gone."""
+    """Each client that connected before the listener closes is accepted, also behind one that has gone."""
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
@@ -213,15 +213,15 @@
                 writer.write(event(1, 0))
                 await asyncio.sleep(0.1)
 
-        asked = EndpointListStub(serve)
-        port = await asked.open()
+        endpoint_list = EndpointListStub(serve)
+        port = await endpoint_list.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
             await follow(platform, port)
-            await until(lambda: asked.asked)
+            await until(lambda: endpoint_list.asked)
             for _ in range(25):
                 await asyncio.sleep(0.04)
                 await follow(platform, port)
-            assert len(asked.asked) <= 3
+            assert len(endpoint_list.asked) <= 3
 
     run(main())
 
@@ -285,10 +285,10 @@
 
 def test_an_address_in_use_for_a_moment_is_retried(tmp_path: Path) -> None:
     """As it is where the process before still closes, or descriptors lack in the whole system."""
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
-        port = taken.getsockname()[1]
+    with socket.socket() as occupied:
+        occupied.bind(("127.0.0.1", 0))
+        occupied.listen()
+        port = occupied.getsockname()[1]
         process = start_process(tmp_path, json.dumps(configuration() | {"listen": f"127.0.0.1:{port}"}))
         time.sleep(0.9)
     try:
@@ -310,8 +310,8 @@
     """The request is answered, so nothing is open; the answer still stands in the link."""
     body = bytes(100_000)
 
-    def large(runner: WorkerStub, id_: bytes, _: bytes, writer: asyncio.StreamWriter) -> None:
-        echo(runner, id_, body, writer)
+    def large(worker: WorkerStub, id_: bytes, _: bytes, writer: asyncio.StreamWriter) -> None:
+        echo(worker, id_, body, writer)
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(large)) as platform:
@@ -344,14 +344,14 @@
     """Ends of what was open at the close must not lead to new attempts and orders."""
 
     async def main() -> None:
-        async with PlatformFixture(runner := WorkerStub(never_answer)) as platform:
+        async with PlatformFixture(worker := WorkerStub(never_answer)) as platform:
             client = await platform.client()
             client.ask(1)
-            await until(lambda: runner.calls)
+            await until(lambda: worker.calls)
             platform.service.close()
-            connections = runner.connections
+            connections = worker.connections
             await asyncio.sleep(0.1)
-            assert runner.connections == connections and len(runner.calls) == 1
+            assert worker.connections == connections and len(worker.calls) == 1
 
     run(main())
 
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -140,7 +140,7 @@
             held = BlockedConnects(monkeypatch, endpoint_watch, port=9)  # a connect to the old address hangs for good
             await follow(platform, 9)
             await until(lambda: held.waiting)
-            platform.told["journal"] = f"127.0.0.1:{port}"
+            platform.configuration["journal"] = f"127.0.0.1:{port}"
             platform.service.reload(feed_config(platform))
             await until(lambda: platform.service.last_event_number == 2, 0.5)
 
@@ -148,7 +148,7 @@
 
 
 def feed_config(platform: PlatformFixture) -> config.Config:
-    return config.parse(json.dumps(platform.told), platform.service.config)
+    return config.parse(json.dumps(platform.configuration), platform.service.config)
 
 
 def test_a_new_address_during_a_backoff_is_used_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/worker_connections_fixture.py
+++ b/tests/worker_connections_fixture.py
@@ -73,10 +73,10 @@
         )
 
     def send(self, id_: str, size: int = 16_000) -> Any:
-        thing = StubItem(id_)
+        item = StubItem(id_)
         data = encode_call(id_, "t", "a" * 16, 1000, "", bytes(size))
-        self.connections.start_attempt(thing, lambda: data, len(data))  # type: ignore[arg-type]
-        return thing
+        self.connections.start_attempt(item, lambda: data, len(data))  # type: ignore[arg-type]
+        return item
 
     async def take(self) -> socket.socket:
         """The worker's end of the connection, once it is up."""
@@ -86,11 +86,11 @@
 
     async def full(self, count: int = 4) -> tuple[socket.socket, list[Any]]:
         """Attempts behind a socket that accepts no more of the first."""
-        things = [self.send(f"{n:016x}") for n in range(count)]
+        items = [self.send(f"{n:016x}") for n in range(count)]
         sock = await self.take()
         (connection,) = self.connections._connections
         await until(lambda: connection.connection is not None and connection.connection._awaits_writable)
-        return sock, things
+        return sock, items
 
 
 def commands(sock: socket.socket, within: float = 0.3) -> list[bytes]:
