--- a/kelptrail/net/grpc_connection.py
+++ b/kelptrail/net/grpc_connection.py
@@ -12,8 +12,6 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from h2.config import H2Configuration
-from h2.connection import H2Connection
 from h2.errors import ErrorCodes
 from h2.events import (
     DataReceived,
@@ -26,17 +24,17 @@
     WindowUpdated,
 )
 from h2.exceptions import FlowControlError, ProtocolError, StreamClosedError
-from h2.settings import SettingCodes, Settings
 from hyperframe.frame import GoAwayFrame
 
 from kelptrail.codec.grpc import Code, GrpcError, TimeoutHeaderError, timeout_ms
 
 from .grpc_stream import GrpcStream, ignore
 from .guard import CloseStage, FloodGuard, GuardAction
+from .h2_setup import new_h2_connection, read_headers
 from .transport import Transport
 
 if TYPE_CHECKING:
-    from .grpc_server import GrpcLimits, GrpcServer
+    from .grpc_server import GrpcServer
 
 READ_BUFFER_BYTES = 65_536
 PAUSE_READING_BYTES = 4 * READ_BUFFER_BYTES  # of unwritten output, above which the client is not read from
@@ -45,48 +43,13 @@
 MAX_STREAM_ID = 2**31 - 1
 
 
-def _new_h2_connection(limits: GrpcLimits) -> H2Connection:
-    # Inbound names and values are checked, as they come from clients; outbound ones are our own.
-    connection = H2Connection(
-        H2Configuration(
-            client_side=False,
-            header_encoding=None,
-            validate_inbound_headers=True,
-            validate_outbound_headers=False,
-            normalize_outbound_headers=False,
-        )
-    )
-    connection.local_settings = Settings(
-        client=False,
-        initial_values={
-            SettingCodes.MAX_CONCURRENT_STREAMS: limits.streams,
-            SettingCodes.MAX_HEADER_LIST_SIZE: limits.header_bytes,
-            SettingCodes.ENABLE_PUSH: 0,
-        },
-    )
-    connection.decoder.max_header_list_size = limits.header_bytes  # from the first frame on, not once it is acked
-    connection.initiate_connection()
-    connection.increment_flow_control_window(limits.message_bytes)
-    return connection
-
-
-def _read_headers(event: RequestReceived) -> dict[str, str]:
-    """A request's headers; the values of a repeated one are joined by commas."""
-    headers: dict[str, str] = {}
-    for name, value in event.headers or ():
-        key = bytes(name).decode("latin-1")
-        text = bytes(value).decode("latin-1")
-        headers[key] = f"{headers[key]},{text}" if key in headers and not key.startswith(":") else text
-    return headers
-
-
 class GrpcConnection:
     """One client's connection.  Times are milliseconds."""
 
     def __init__(self, server: GrpcServer, transport: Transport, peer: str, identity: str) -> None:
         self.server, self._transport, self.peer, self.identity = server, transport, peer, identity
         limits, now = server.limits, server.now()
-        self._h2 = _new_h2_connection(limits)
+        self._h2 = new_h2_connection(limits)
         self.guard = FloodGuard(limits.guard, now, zlib.crc32(peer.encode()) / 2**32)
         self.streams: dict[int, GrpcStream] = {}
         self._out = bytearray()
@@ -170,7 +133,7 @@
         if not self.guard.accepts_streams:
             self._send_reset(id_, ErrorCodes.REFUSED_STREAM)  # nothing was done, so a retry is safe
             return
-        headers = _read_headers(event)
+        headers = read_headers(event)
         if headers.get(":method") != "POST" or not headers.get("content-type", "").startswith("application/grpc"):
             self._h2.send_headers(id_, [(b":status", b"415")], end_stream=True)
             return
