--- a/kelptrail/dispatch/attempt_results.py
+++ b/kelptrail/dispatch/attempt_results.py
@@ -10,9 +10,8 @@
 from .request_lifecycle import RequestLifecycle
 
 MIN_CONCURRENCY_LIMIT = 2.0  # a worker is always allowed two attempts at once
-CONCURRENCY_DECREASE = (
-    0.9  # of the concurrency limit, which otherwise grows by one per limit's worth of attempts
-)
+# Of the concurrency limit, which otherwise grows by one per limit's worth of attempts.
+CONCURRENCY_DECREASE = 0.9
 MAX_IDLE_IN_FLIGHT = 0.3  # above this mean the worker's concurrency limit already reacts to its delays
 
 _LOST = (AttemptStatus.CONNECTION_LOST, AttemptStatus.UNREACHABLE)
--- a/kelptrail/dispatch/entities.py
+++ b/kelptrail/dispatch/entities.py
@@ -132,9 +132,8 @@
     mean_in_flight: float = 0.0  # attempts in flight, moving average
     concurrency_limit: float = 0.0  # estimated number of attempts that it can run at once
     silent_since: float = 0.0  # time of the last response, or of the first attempt after an idle period
-    mean_response_gap: float = (
-        0.0  # moving average of the time between responses while attempts are in flight
-    )
+    # Moving average of the time between responses while attempts are in flight.
+    mean_response_gap: float = 0.0
     response_gap_deviation: float = 0.0
     outlier_state: OutlierState = field(default_factory=OutlierState)
     outlier_state_by_class: dict[RequestClass, OutlierState] = field(
@@ -203,9 +202,8 @@
     worker: Worker
     loaded: int = 0
     load_order: LoadOrder | None = None  # a load order in flight
-    trial_attempt: Attempt | None = (
-        None  # sent without a load order, to find out whether an instance is loaded
-    )
+    # Sent without a load order, to find out whether an instance is loaded.
+    trial_attempt: Attempt | None = None
     in_flight: int = 0
     last_used_at: float = 0.0  # last start or completion of an attempt
     idle_since: float = 0.0  # the earliest time since which it may be idle at the worker
@@ -231,9 +229,8 @@
     final_status: FinalStatus | None = None  # never changes once set
     reason: TerminationReason | None = None  # why it was rejected or failed
     retry_after_ms: float = 0.0  # with a rejection: when the client may retry
-    streaming_attempt: Attempt | None = (
-        None  # its response has begun: no other attempt can complete the request
-    )
+    # Its response has begun: no other attempt can complete the request.
+    streaming_attempt: Attempt | None = None
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/kelptrail/dispatch/placement.py
+++ b/kelptrail/dispatch/placement.py
@@ -19,12 +19,10 @@
 MAX_SPREAD_FACTOR = 4.0  # one response raises the number of a function's workers by at most this factor
 SPREAD_DECAY = 0.75  # and lowers it to no less than this share
 OTHER_ZONE_LOAD = 0.5  # the extra load for which an attempt goes to another zone
-LATE_LIMIT_SHARE = (
-    0.5  # late requests use this share of a concurrency limit, so that others do not get late too
-)
-LOAD_STEP = (
-    3.0  # loads within this multiple of the mean are equal, so that dispatchers choose the same workers
-)
+# Late requests use this share of a concurrency limit, so that others do not get late too.
+LATE_LIMIT_SHARE = 0.5
+# Loads within this multiple of the mean are equal, so that dispatchers choose the same workers.
+LOAD_STEP = 3.0
 MEAN_LOAD_INTERVAL_MS = 200  # CPU: the loads of a large fleet are not averaged for each load order
 
 
--- a/kelptrail/dispatch/safety.py
+++ b/kelptrail/dispatch/safety.py
@@ -156,9 +156,8 @@
         rejected = (retry_is_safe and now + retry_after_ms < self.retry_closes_at(request)) or not any(
             attempt.may_have_run for attempt in request.attempts
         )
-        rejected = (
-            rejected and request.streaming_attempt is None
-        )  # its client has received part of a response
+        if request.streaming_attempt is not None:
+            rejected = False  # its client has received part of a response
         request.final_status = FinalStatus.REJECTED if rejected else FinalStatus.FAILED
         return request
 
--- a/kelptrail/dispatch/shutdown.py
+++ b/kelptrail/dispatch/shutdown.py
@@ -9,9 +9,8 @@
 from dataclasses import dataclass
 
 ARRIVALS_MS = 700.0  # requests that clients sent before they knew of the shutdown arrive for so long
-REFUSE_AFTER_MS = (
-    200.0  # connections then in the accept queue are served for so long; later requests are refused
-)
+# Connections then in the accept queue are served for so long; later requests are refused.
+REFUSE_AFTER_MS = 200.0
 LONGEST_COUNTED_MS = 3_000.0  # a longer deadline is not waited for
 MARGIN_MS = 250.0  # time for clients to read the last responses and for the process to exit by itself
 
--- a/kelptrail/dispatch/slow_start.py
+++ b/kelptrail/dispatch/slow_start.py
@@ -16,9 +16,8 @@
 
 MEASUREMENT_INTERVAL_MS = 50.0  # CPU: the throughput of a large fleet is not summed for each attempt
 OVERLOAD_MARGIN = 0.5  # half of the allowed multiple is used
-DRAW_SHARE = (
-    0.8  # of the budget in a draw; the rest is for chance, as any time window meets two of the draws'
-)
+# Of the budget in a draw; the rest is for chance, as any time window meets two of the draws'.
+DRAW_SHARE = 0.8
 CRC_RANGE = 2**32
 
 
