--- a/bench/lease_measurements/client_load.py
+++ b/bench/lease_measurements/client_load.py
@@ -13,11 +13,12 @@
 
 from kelptrail.lease.messages import LeaseSettings
 from kelptrail.simulation.event_queue import EventQueue
-from kelptrail.simulation.leases import SimulatedLeases
+from kelptrail.simulation.leases import SimulatedLeases, SimulatedLeaseSettings
 from lease_measurements.failover import TASK, LeaseCluster, lease_report
 
 ACCEPTORS = 5
-LEASE_MS = 4000.0
+LEASE_MS, SYNC_MS, NETWORK_MS, SILENT_MS = 4000.0, 2.0, 0.2, 3000.0
+SEED = 1
 SETTLE_MS, OUTAGE_MS, STEP_MS = 20_000.0, 35_000.0, 100.0
 REAL_SETTLE_S = 8.0
 
@@ -28,9 +29,8 @@
     acceptors, clients = names[:ACCEPTORS], names[ACCEPTORS:]
     settings = LeaseSettings(tuple(acceptors), max_lease_ms=LEASE_MS)
     used_at: list[float] = []
-    leases = SimulatedLeases(
-        queue, settings, LEASE_MS, names, 1, 2.0, 0.2, 3000.0, lambda what, **fields: used_at.append(queue.now)
-    )
+    simulated = SimulatedLeaseSettings(settings, LEASE_MS, SYNC_MS, NETWORK_MS, SILENT_MS)
+    leases = SimulatedLeases(queue, simulated, names, SEED, lambda what, **fields: used_at.append(queue.now))
     leases.contend((TASK,), names)
     queue.run(SETTLE_MS)
     if outage:
--- a/bench/lease_measurements/failover.py
+++ b/bench/lease_measurements/failover.py
@@ -127,11 +127,8 @@
     if plot is not None:
         draw_gaps(plot, gaps_ms, bound_ms)
     verdict = check_history([e for e in events if e["what"] in ("act", "done", "world", "trouble")])
-    print(
-        json.dumps(
-            {"acts": verdict.acts, "holders_two": verdict.holders_two, "old_tokens_taken": verdict.old_tokens_taken}
-        )
-    )
+    row = {"acts": verdict.lease_uses, "holders_two": verdict.holders_two, "old_tokens_taken": verdict.old_tokens_taken}
+    print(json.dumps(row))
 
 
 def holder_gaps_ms(events: list[dict[str, Any]], moments: list[float]) -> list[float]:
--- a/bench/planner.py
+++ b/bench/planner.py
@@ -39,9 +39,9 @@
 
 async def start_planner(cluster: Cluster, name: str) -> PlannerProcesses:
     """Start both; `name` is that of the endpoint service."""
-    endpoint_service = await cluster._start_process(name, ["emulate", "endpoint-service"])
+    endpoint_service = await cluster.start_process(name, ["emulate", "endpoint-service"])
     options = ["--roster", endpoint_service.said["address"], "--control", "127.0.0.1:0"]
-    planner = await cluster._start_process("planner", ["planner", str(LARGE), *options])
+    planner = await cluster.start_process("planner", ["planner", str(LARGE), *options])
     return PlannerProcesses(planner, endpoint_service)
 
 
--- a/bench/planner_times.py
+++ b/bench/planner_times.py
@@ -9,7 +9,9 @@
 
 import numpy as np
 
-from kelptrail.planner.placement import FunctionDemand, WorkerCapacity, place_by_program, place_greedily, violations
+from kelptrail.planner.greedy_placement import place_greedily
+from kelptrail.planner.placement import FunctionDemand, WorkerCapacity, violations
+from kelptrail.planner.program_placement import place_by_program
 
 SIZES = ((10, 50), (30, 150), (100, 500), (300, 1500), (1000, 5000))  # workers, functions
 MEMORY_FACTORS = (1.0, 0.12)  # plenty, and too little for all instances
@@ -62,7 +64,7 @@
     took_s = time.perf_counter() - start
     assert not violations(plan.instances, problem.capacities, problem.demands, max_new)
     return {
-        "by": plan.solver,
+        "by": plan.solver.value,
         "s": round(took_s, 3),
         "price": round(plan.cost, 1),
         "missing": plan.missing,
--- a/kelptrail/simulation/planners.py
+++ b/kelptrail/simulation/planners.py
@@ -10,9 +10,10 @@
 from kelptrail.planner.channel import LeaderContact
 from kelptrail.planner.core import PlacementProblem, Planner, Role
 from kelptrail.planner.driver import LEASE_NAME
-from kelptrail.planner.placement import place_by_program, place_greedily
-from kelptrail.planner.plan import FORMAT, InstanceCounts, Plan, PlanOrder, PlanPacket
+from kelptrail.planner.greedy_placement import place_greedily
+from kelptrail.planner.plan import FORMAT, EndpointsVersion, InstanceCounts, Plan, PlanOrder, PlanPacket
 from kelptrail.planner.plan_follower import PlanState
+from kelptrail.planner.program_placement import place_by_program
 
 if TYPE_CHECKING:
     from .cluster import SimulatedCluster, SimulatedDispatcher
@@ -65,7 +66,7 @@
         self.core.on_endpoints(
             self._cluster.event_queue.now,
             worker_capacities(self._cluster.deployment, endpoints),
-            (endpoints.lineage, endpoints.version),
+            EndpointsVersion(endpoints.lineage, endpoints.version),
         )
 
     def _tick(self, start: int) -> None:
@@ -76,19 +77,18 @@
         if (problem := self.core.next_problem(now, HOUR_OF_DAY)) is not None:
             event_queue.after(SOLVE_MS + self.slow_ms, self._solved, start, problem)
         self._saved = self.core.target
-        self._send()
+        self._send_plans()
         event_queue.after(TICK_MS, self._tick, start)
 
     def _solved(self, start: int, problem: PlacementProblem) -> None:
         if start == self._starts and self.up:
-            place = place_greedily if self._solver == "greedy" else place_by_program
-            self.core.on_solution(
-                self._cluster.event_queue.now, problem.number, place(problem.workers, problem.demands, problem.budget)
-            )
+            solve = place_greedily if self._solver == "greedy" else place_by_program
+            solution = solve(problem.workers, problem.demands, problem.budget)
+            self.core.on_solution(self._cluster.event_queue.now, problem.number, solution)
             self.plans, self.moves = self.core.counters.plans, self.core.counters.new_instances
-            self._send()
+            self._send_plans()
 
-    def _send(self) -> None:
+    def _send_plans(self) -> None:
         now, network_ms = self._cluster.event_queue.now, self._cluster.settings.network_ms
         dispatchers = {d.name: d for d in self._cluster.local_dispatchers}
         leases = self._cluster.leases
@@ -133,7 +133,7 @@
         """The dispatcher's endpoint list has changed."""
         members = self._dispatcher.gateway.members
         self.follower.on_endpoints(
-            self._cluster.event_queue.now, self._live_workers(), (members.lineage, members.version)
+            self._cluster.event_queue.now, self._live_workers(), EndpointsVersion(members.lineage, members.version)
         )
         self._applied = None
         self.apply()
@@ -156,7 +156,7 @@
             now,
             PlanPacket(FORMAT, plan.header, 0, age_ms, plan.instances),
             self._live_workers(),
-            (members.lineage, members.version),
+            EndpointsVersion(members.lineage, members.version),
         )
         if report is None:
             self._leader_contact.last_ms, self._saved = now, self.follower.plan
