--- a/kelptrail/front/inference/api.py
+++ b/kelptrail/front/inference/api.py
@@ -22,7 +22,8 @@
 from kelptrail.codec.grpc import Code, GrpcError
 from kelptrail.codec.infer import Payload
 from kelptrail.codec.tensors import JsonTensor, TensorError, fill, scalars, to_json, write_scalars
-from kelptrail.front.callers import UNSURE, Callers, Finder
+from kelptrail.front.activation_lookup import UNCONFIRMED_AFTER_SHARE, ActivationLookup
+from kelptrail.front.authentication import Authenticator
 from kelptrail.gateway.driver import GatewayDriver
 from kelptrail.gateway.idempotency_keys import KeyConflictError
 from kelptrail.gateway.invocation import Invocation
@@ -55,14 +56,14 @@
 class InferenceApi:
     """Handles the calls of one dispatcher's second front."""
 
-    def __init__(self, deployment: Deployment, driver: GatewayDriver, callers: Callers) -> None:
-        self._deployment, self._driver, self._callers = deployment, driver, callers
+    def __init__(self, deployment: Deployment, driver: GatewayDriver, authenticator: Authenticator) -> None:
+        self._deployment, self._driver, self._authenticator = deployment, driver, authenticator
         self._front = deployment.inference
         self._loop = asyncio.get_running_loop()
         self._calls = 0
         self._trace_salt = os.urandom(8).hex()
-        self.copies: Finder | None = None  # who else may have an activation
-        self.leaving = False  # the dispatcher drains: nothing new is taken
+        self.activation_lookup: ActivationLookup | None = None  # who else may have an activation
+        self.draining = False  # the dispatcher drains: nothing new is taken
         self._unary: dict[str, tuple[Any, Callable[[GrpcStream, NamespaceSettings, Any], None]]] = {
             "ServerLive": (pb.ServerLiveRequest, self._live),
             "ServerReady": (pb.ServerReadyRequest, self._ready),
@@ -106,10 +107,7 @@
         messages.append(data)
 
     def _caller(self, stream: GrpcStream) -> NamespaceSettings:
-        header = stream.metadata.get("authorization", "")
-        found = self._callers.of(header) if header else None
-        if found is None and not header and stream.identity:
-            found = self._deployment.namespaces.get(stream.identity)
+        found = self._authenticator.authenticate(stream.metadata.get("authorization", ""), stream.identity)
         if found is None:
             raise GrpcError(Code.UNAUTHENTICATED, "The supplied authentication is invalid.")
         return found
@@ -121,7 +119,7 @@
 
     def _ready(self, stream: GrpcStream, caller: NamespaceSettings, request: Any) -> None:
         able = any(worker.live for worker in self._driver.gateway.members)
-        self._say(stream, pb.ServerReadyResponse(ready=able and not self.leaving))
+        self._say(stream, pb.ServerReadyResponse(ready=able and not self.draining))
 
     def _server(self, stream: GrpcStream, caller: NamespaceSettings, request: Any) -> None:
         self._say(stream, pb.ServerMetadataResponse(name="kelptrail", version=VERSION, extensions=EXTENSIONS))
@@ -212,7 +210,7 @@
     def admit(self, caller: NamespaceSettings, action: ActionSettings, payload: bytes, key: str | None = None) -> str:
         """Refuse what is beyond a bound, or comes while the dispatcher closes, before anything is done for it.
         Returns by what its client's coming again is known."""
-        if self.leaving:
+        if self.draining:
             raise GrpcError(
                 Code.UNAVAILABLE, "This dispatcher is closing; the call was not taken.", 1000.0, "NOT_TAKEN"
             )
@@ -270,8 +268,8 @@
     def _poll(self, stream: GrpcStream, caller: NamespaceSettings, request: Any, id_: str, wait: Any) -> None:
         gateway = self._driver.gateway
         record = gateway.records.get(caller.name, id_)
-        if record is None and self.copies is not None and not gateway.records.has(id_):
-            self.copies.find(id_, lambda at: self._looked_for(stream, at))
+        if record is None and self.activation_lookup is not None and not gateway.records.has(id_):
+            self.activation_lookup.find(id_, lambda at: self._looked_for(stream, at))
             return
         if record is None:
             peer = gateway.members.issuer_of(id_)
@@ -451,9 +449,9 @@
         if not self._stream.ended:
             self._api._driver.gateway.when_durable(ivk, lambda safe: self._promised(ivk, safe))
             self._api._driver.start_writes()
-            if self._api.copies is not None:  # as on the first front
+            if self._api.activation_lookup is not None:  # as on the first front
                 self._timer = self._api._loop.call_later(
-                    UNSURE * ivk.record.timeout_ms / 1000, self._promised, ivk, None
+                    UNCONFIRMED_AFTER_SHARE * ivk.record.timeout_ms / 1000, self._promised, ivk, None
                 )
 
     def _promised(self, ivk: Invocation, safe: bool | None) -> None:
--- a/kelptrail/front/invoke/api.py
+++ b/kelptrail/front/invoke/api.py
@@ -23,7 +23,8 @@
 from kelptrail.codec.events import CONTENT_TYPE as EVENT_STREAM
 from kelptrail.codec.events import encode_event
 from kelptrail.codec.http import Request
-from kelptrail.front.callers import UNSURE, Callers, Finder
+from kelptrail.front.activation_lookup import UNCONFIRMED_AFTER_SHARE, ActivationLookup
+from kelptrail.front.authentication import Authenticator
 from kelptrail.gateway.driver import GatewayDriver
 from kelptrail.gateway.idempotency_keys import KeyConflictError
 from kelptrail.gateway.invocation import Invocation
@@ -64,19 +65,19 @@
     """Handles the requests of one dispatcher's front."""
 
     def __init__(
-        self, deployment: Deployment, driver: GatewayDriver, boot: str, callers: Callers | None = None
+        self, deployment: Deployment, driver: GatewayDriver, boot: str, authenticator: Authenticator | None = None
     ) -> None:
         self._deployment, self._driver, self._boot = deployment, driver, boot
         self._front = deployment.front
         self._most_promised = deployment.most_promised
         self._loop = asyncio.get_running_loop()
-        self._callers = callers or Callers(deployment)
+        self._authenticator = authenticator or Authenticator(deployment)
         self._routes: dict[tuple[str, str], _Route] = {}  # invocations already read, a few thousand
         self._requests = 0
         self._trace_salt = os.urandom(8).hex()
-        self.own = ""  # where this dispatcher can be asked for what it took, whoever holds the front address
-        self.copies: Finder | None = None  # who else may have an activation
-        self.leaving = False  # the dispatcher drains: nothing new is taken
+        self.url = ""  # where this dispatcher can be asked for what it took, whoever holds the front address
+        self.activation_lookup: ActivationLookup | None = None  # who else may have an activation
+        self.draining = False  # the dispatcher drains: nothing new is taken
 
     def handle(self, request: Request, exchange: Exchange) -> None:
         """Answer a request, at once or when its activation ends."""
@@ -134,10 +135,7 @@
 
     def _caller(self, request: Request, exchange: Exchange) -> NamespaceSettings:
         """Who calls, by basic authentication (RFC 7617) with `uuid:key`."""
-        header = request.headers.get("authorization", "")
-        found = self._callers.of(header)
-        if found is None and not header and exchange.identity:  # named by its certificate
-            found = self._deployment.namespaces.get(exchange.identity)
+        found = self._authenticator.authenticate(request.headers.get("authorization", ""), exchange.identity)
         if found is None:
             raise ApiError(
                 401, "The supplied authentication is invalid.", {"www-authenticate": 'Basic realm="kelptrail"'}
@@ -199,7 +197,7 @@
         self, request: Request, exchange: Exchange, caller: NamespaceSettings, route: _Route, first: bool = True
     ) -> None:
         action, blocking = route.action, route.blocking
-        if self.leaving:
+        if self.draining:
             raise ApiError(503, "This dispatcher is closing; the call was not taken.", {"retry-after": "1"})
         payload = _object(request)
         key = request.headers.get("idempotency-key")
@@ -227,9 +225,9 @@
             raise ApiError(
                 503, "Deferred calls cannot be kept safe at the moment; the call was not taken.", {"retry-after": "1"}
             )
-        if key is not None and not blocking and self.copies is not None and first:
+        if key is not None and not blocking and self.activation_lookup is not None and first:
             # The same key may have been promised elsewhere, by one that is lost.
-            self.copies.find(
+            self.activation_lookup.find(
                 f"key:{caller.name}/{action.path}/{key}",
                 partial(self._key_looked_for, request, exchange, caller, route),
             )
@@ -383,7 +381,7 @@
             exchange.reply(200, views.encode([show(r) for r in islice(found, skip, skip + limit)]))
             return
         record = records.get(caller.name, rest[0])
-        if record is None and self.copies is not None and not records.has(rest[0]):
+        if record is None and self.activation_lookup is not None and not records.has(rest[0]):
             self._look_for(request, exchange, rest[0])
             return
         if record is None:
@@ -439,8 +437,8 @@
                     {"retry-after": "1"},
                 )
 
-        assert self.copies is not None
-        self.copies.find(id_, found)
+        assert self.activation_lookup is not None
+        self.activation_lookup.find(id_, found)
 
     def _not_here(self, request: Request, id_: str) -> ApiError:
         """Of what others may have in hand nothing is said but where to ask; `boot` starts with our own prefix."""
@@ -524,10 +522,10 @@
         if not self._exchange.replied:
             self._api._driver.gateway.when_durable(ivk, lambda safe: self._promised(ivk, safe))
             self._api._driver.start_writes()
-            if self._api.copies is not None and not self._exchange.replied:
+            if self._api.activation_lookup is not None and not self._exchange.replied:
                 # Nothing can be safe while no majority of voters is heard: its client hears so before it gives up.
                 self._timer = self._api._loop.call_later(
-                    UNSURE * ivk.record.timeout_ms / 1000, self._taken_over, ivk.record, 0
+                    UNCONFIRMED_AFTER_SHARE * ivk.record.timeout_ms / 1000, self._taken_over, ivk.record, 0
                 )
 
     def _promised(self, ivk: Invocation, safe: bool | None) -> None:
@@ -543,7 +541,7 @@
 
     def _taken_over(self, record: Record, looks: int) -> None:
         """Another dispatcher has the book that the call may be in: ask until that is known."""
-        copies = self._api.copies
+        copies = self._api.activation_lookup
         if copies is None or looks == 0:
             if not self._exchange.replied:
                 self._exchange.reply(500, views.error(UNKNOWN, "unknown", activationId=record.id))
@@ -571,9 +569,9 @@
             self._timer.cancel()
         if not self._exchange.replied:
             headers = {"x-openwhisk-activation-id": record.id}
-            if at or self._api.own:
+            if at or self._api.url:
                 headers["location"] = (
-                    f"{at or self._api.own}/api/v1/namespaces/{record.namespace}/activations/{record.id}"
+                    f"{at or self._api.url}/api/v1/namespaces/{record.namespace}/activations/{record.id}"
                 )
             record.deferred = True
             self._exchange.reply(202, views.encode({"activationId": record.id}), headers)
--- a/kelptrail/service/fronts.py
+++ b/kelptrail/service/fronts.py
@@ -1,4 +1,4 @@
-"""The client-facing side of a dispatcher: TLS, the callers' keys, the two APIs, and the servers that carry them."""
+"""The client-facing side of a dispatcher: TLS, client authentication, the two APIs, and the servers that carry them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Any
 
 from kelptrail.clock import now_ms
-from kelptrail.front.callers import Callers
+from kelptrail.front.authentication import Authenticator
 from kelptrail.front.inference.api import InferenceApi
 from kelptrail.front.invoke.api import InvokeApi
 from kelptrail.gateway.driver import GatewayDriver
@@ -47,9 +47,9 @@
         if TO_WORKERS in self.reloaders:
             driver.tls = self.reloaders[TO_WORKERS].context
         self._http_tls, self._grpc_tls = self._tls_context(HTTP), self._tls_context(GRPC)
-        self._callers = Callers(deployment)
-        self.invoke = InvokeApi(deployment, driver, boot, self._callers)
-        self.inference = InferenceApi(deployment, driver, self._callers)
+        self._authenticator = Authenticator(deployment)
+        self.invoke = InvokeApi(deployment, driver, boot, self._authenticator)
+        self.inference = InferenceApi(deployment, driver, self._authenticator)
         self.grpc = self.make_grpc_server()
         self.http = self.make_http_server(self.invoke.handle)
 
@@ -61,7 +61,7 @@
             front_limits(settings),
             self._log.warning,
             self._http_tls,
-            self._callers.named,
+            self._authenticator.namespace_of_certificate,
             self._connect_pace(settings),
         )
         server.listener.on_connect = self._on_connect
@@ -75,7 +75,7 @@
             grpc_limits(settings),
             self._log.warning,
             self._grpc_tls,
-            self._callers.named,
+            self._authenticator.namespace_of_certificate,
             self._connect_pace(settings),
         )
         server.listener.on_connect = self._on_connect
--- a/tests/program.py
+++ b/tests/program.py
@@ -17,7 +17,7 @@
 from kelptrail.codec.http import Request, Response, ResponseReader, encode_request
 from kelptrail.codec.infer import infer_answer, read_infer, tensors_answer
 from kelptrail.codec.tensors import JsonTensor
-from kelptrail.front.callers import Callers
+from kelptrail.front.authentication import Authenticator
 from kelptrail.front.inference.api import InferenceApi
 from kelptrail.front.invoke.api import InvokeApi
 from kelptrail.gateway.build import DispatcherParts
@@ -198,7 +198,7 @@
             self.log.warning,
         )
         self.server.listen("127.0.0.1", 0)
-        self.inference = InferenceApi(self.deployment, self.driver, Callers(self.deployment))
+        self.inference = InferenceApi(self.deployment, self.driver, Authenticator(self.deployment))
         self.grpc = GrpcServer(self.inference.handle, grpc_limits(self.deployment.inference), self.log.warning)
         self.grpc.listen("127.0.0.1", 0)
         self.version = 0
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -22,7 +22,7 @@
 from kelptrail.certificates.authority import Authority, AuthorityError, new_api_key
 from kelptrail.codec.events import EventReader, TooLongError, encode_event
 from kelptrail.codec.http import ResponseReader, encode_request
-from kelptrail.front.callers import Callers
+from kelptrail.front.authentication import Authenticator
 from kelptrail.front.inference import inference_pb2 as pb
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.server import HttpServer
@@ -104,13 +104,13 @@
 def test_keys_as_digests_two_live_at_once_and_faults_named() -> None:
     (old, old_hash), (new, new_hash) = new_api_key(), new_api_key()
     text = DEPLOYMENT.replace('(key "k1")', f'(key-hash "{old_hash}") (key-hash "{new_hash}")')
-    callers = Callers(parse(text, "t"))
+    authenticator = Authenticator(parse(text, "t"))
     one = "00000000-0000-0000-0000-000000000001"
     for key, good in ((old, True), (new, True), ("k1", False), ("", False), (old_hash, False)):
-        assert (callers.of(auth(one, key)["authorization"]) is not None) is good
-    assert callers.of(auth(one, "k2")["authorization"]) is None, "another namespace's key"
+        assert (authenticator.by_header(auth(one, key)["authorization"]) is not None) is good
+    assert authenticator.by_header(auth(one, "k2")["authorization"]) is None, "another namespace's key"
     for header in ("", "Basic", "Basic !!!", "Bearer x", "Basic " + "//8="):
-        assert callers.of(header) is None
+        assert authenticator.by_header(header) is None
     three = f'(key-hash "{old_hash}") ' * 3
     for bad, word in ((three, "third"), ('(key-hash "md5:1")', "64 hex"), ("", "credentials")):
         with pytest.raises(SettingsError, match=word):
@@ -142,15 +142,21 @@
         self.dispatcher = Dispatcher([], self.deployment)
         self.dispatcher.driver.tls = keep["to-workers"].context  # type: ignore[union-attr]
         self.dispatcher.list([self.worker])
-        callers = Callers(self.deployment)
-        self.http = HttpServer(self.dispatcher.api.handle, None, self.log.warning, keep["front"].context, callers.named)  # type: ignore[union-attr]
+        authenticator = Authenticator(self.deployment)
+        self.http = HttpServer(
+            self.dispatcher.api.handle,
+            None,
+            self.log.warning,
+            keep["front"].context,
+            authenticator.namespace_of_certificate,
+        )  # type: ignore[union-attr]
         self.http.listen("127.0.0.1", 0)
         self.grpc = GrpcServer(
             self.dispatcher.inference.handle,
             grpc_limits(self.deployment.inference),
             self.log.warning,
             self.h2.context,
-            callers.named,
+            authenticator.namespace_of_certificate,
         )  # type: ignore[union-attr]
         self.grpc.listen("127.0.0.1", 0)
 
