--- /dev/null
+++ b/kelptrail/front/invoke/activations.py
@@ -0,0 +1,159 @@
+"""The paths below `activations`: the list of records, one record with its result and logs, polls and cancels."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from http import HTTPStatus
+from itertools import islice
+from typing import Any
+
+from kelptrail.codec.http import Request
+from kelptrail.dispatch.entities import Idempotency
+from kelptrail.gateway.invocation import Invocation
+from kelptrail.gateway.records import Record
+from kelptrail.membership.members import ID_PREFIX_DIGITS
+from kelptrail.net.server import Exchange
+from kelptrail.settings.deployment import NamespaceSettings
+
+from . import views
+from .context import InvokeContext
+from .errors import RETRY_SOON, ApiError, in_flight, moved, not_found
+from .replies import reply_error, reply_json
+from .request_parsing import check_method, parse_flag, parse_number, parse_page
+
+View = Callable[[Record], dict[str, Any]]  # what is shown of a record
+
+MAX_TIME_MS = 1e15  # wall time
+LOST = "No dispatcher knows the activation: it never was, or is no longer kept, or all that held it are lost."
+NOT_KNOWN_YET = "The activation is not known yet: whoever may have it is being taken over, or cannot be heard."
+
+
+class ActivationRoutes:
+    """Handles requests to the paths below `activations`."""
+
+    def __init__(self, context: InvokeContext) -> None:
+        self._context = context
+        self._max_wait_ms = context.deployment.front.longest_wait_ms
+
+    def handle(self, request: Request, exchange: Exchange, namespace: NamespaceSettings, path: list[str]) -> None:
+        """Handle a request; `path` is what follows `activations`.  Raises `ApiError`."""
+        if not path or path == [""]:
+            self._list(request, exchange, namespace)
+            return
+        id_ = path[0]
+        check_method(request, "GET", *(("DELETE",) if len(path) == 1 and id_ else ()))
+        records = self._context.gateway.records
+        record = records.get(namespace.name, id_)
+        if record is None:
+            self._find_elsewhere(request, exchange, id_)
+        elif request.method == "DELETE":
+            self._cancel(exchange, record)
+        else:
+            self._get(request, exchange, record, _view(path[1:]))
+
+    def _list(self, request: Request, exchange: Exchange, namespace: NamespaceSettings) -> None:
+        check_method(request, "GET")
+        query = request.query
+        page = parse_page(query)
+        since = parse_number(query, "since", 0, MAX_TIME_MS, 0.0)
+        upto = parse_number(query, "upto", 0, MAX_TIME_MS, float("inf"))
+        records = self._context.gateway.records.newest(namespace.name, query.get("name"), since, upto)
+        if parse_flag(query, "count"):
+            count = sum(1 for _ in records)
+            reply_json(exchange, {"activations": max(0, count - page.skip)})
+            return
+        view = views.activation if parse_flag(query, "docs") else views.summary
+        shown = islice(records, page.skip, page.skip + page.limit)
+        reply_json(exchange, [view(record) for record in shown])
+
+    def _get(self, request: Request, exchange: Exchange, record: Record, view: View) -> None:
+        """Reply with a record that is ended; wait for one that is not where the client asks for it."""
+        if record.visible:
+            record.fetched = True
+            reply_json(exchange, view(record))
+            return
+        wait_ms = parse_number(request.query, "wait", 0, self._max_wait_ms, 0.0)
+        invocation = self._context.gateway.in_flight_of(record.id)
+        if not wait_ms or invocation is None:
+            raise in_flight()
+        self._long_poll(exchange, invocation, wait_ms, view)
+
+    def _long_poll(self, exchange: Exchange, invocation: Invocation, wait_ms: float, view: View) -> None:
+        """Reply once there is a final answer, or after `wait_ms`."""
+        gateway = self._context.gateway
+
+        def on_final(record: Record) -> None:
+            timer.cancel()
+            record.fetched = True
+            reply_json(exchange, view(record))
+
+        def on_wait_over() -> None:
+            gateway.remove_waiter(invocation.record, on_final)
+            reply_error(exchange, in_flight(), self._context.error_code())
+
+        def on_client_gone() -> None:
+            timer.cancel()
+            gateway.remove_waiter(invocation.record, on_final)
+
+        timer = self._context.call_later(wait_ms, on_wait_over)
+        invocation.waiters.append(on_final)
+        exchange.on_client_gone = on_client_gone
+
+    def _cancel(self, exchange: Exchange, record: Record) -> None:
+        """Cancel a request that has no effect which could be left half done: idempotent, or never run."""
+        invocation = self._context.gateway.in_flight_of(record.id)
+        if record.final or invocation is None:
+            message = "The activation has its final answer, or is being resumed; nothing was cancelled."
+            raise ApiError(HTTPStatus.CONFLICT, message)
+        may_have_run = any(attempt.may_have_run for attempt in invocation.request.attempts)
+        if may_have_run and record.idempotency != Idempotency.IDEMPOTENT.value:
+            message = "The activation may have run; cancelling would not undo its effect."
+            raise ApiError(HTTPStatus.CONFLICT, message)
+        self._context.abandon(invocation)
+        exchange.reply(HTTPStatus.ACCEPTED, views.encode({"activationId": record.id}))
+
+    # Activations of other dispatchers.
+
+    def _find_elsewhere(self, request: Request, exchange: Exchange, id_: str) -> None:
+        """Lead the client to the dispatcher that has an activation without a record here.  Raises `ApiError`."""
+        lookup = self._context.activation_lookup
+        if lookup is None or self._context.gateway.records.has(id_):  # `has`: another namespace's
+            raise self._not_here(request, id_)
+        code = self._context.error_code()
+
+        def on_result(address: str | None) -> None:
+            if not exchange.replied and not exchange.client_gone:
+                reply_error(exchange, _lookup_error(request, address), code)
+
+        lookup.find(id_, on_result)
+
+    def _not_here(self, request: Request, id_: str) -> ApiError:
+        """Where to ask, by the prefix of the id, which names the dispatcher that issued it."""
+        if id_[:ID_PREFIX_DIGITS] == self._context.boot[:ID_PREFIX_DIGITS]:
+            message = "The requested resource does not exist: its record is not, or no longer, kept here."
+            return ApiError(HTTPStatus.NOT_FOUND, message)
+        peer = self._context.gateway.members.issuer_of(id_)
+        if peer is None:
+            message = "This dispatcher does not know the activation; whoever gave the id may."
+            return ApiError(HTTPStatus.NOT_FOUND, message)
+        return moved(f"The activation was given by {peer.name}; ask there.", peer.address, request.target)
+
+
+def _view(parts: list[str]) -> View:
+    """What is shown of a record, by the path after its id.  Raises `ApiError`."""
+    if not parts:
+        return views.activation
+    if parts == ["result"]:
+        return views.result
+    if parts == ["logs"]:
+        return views.logs
+    raise not_found()
+
+
+def _lookup_error(request: Request, address: str | None) -> ApiError:
+    """The reply to a request for an activation after its lookup; `address` as in `ActivationLookup.find`."""
+    if address:
+        return moved(f"The activation is at {address} now; ask there.", address, request.target)
+    if address is None:
+        return ApiError(HTTPStatus.NOT_FOUND, LOST)
+    return ApiError(HTTPStatus.NOT_FOUND, NOT_KNOWN_YET, RETRY_SOON, known="not-yet")
--- /dev/null
+++ b/kelptrail/front/invoke/client_wait.py
@@ -0,0 +1,119 @@
+"""A client that waits for an activation: for its final answer, or for the durable record of a deferred request."""
+
+from __future__ import annotations
+
+import asyncio
+from functools import partial
+from http import HTTPStatus
+
+from kelptrail.clock import now_ms
+from kelptrail.front.activation_lookup import UNCONFIRMED_AFTER_SHARE
+from kelptrail.gateway.invocation import Invocation
+from kelptrail.gateway.records import Record
+from kelptrail.net.server import Exchange
+
+from . import views
+from .context import InvokeContext
+from .errors import NOT_DURABLE, ApiError, unavailable
+from .replies import ACTIVATION_ID_HEADER, reply_error, reply_final
+
+JOURNAL_CODE, UNKNOWN_CODE = "journal", "unknown"  # codes of errors about durability
+TAKEOVER_LOOKUPS, TAKEOVER_LOOKUP_INTERVAL_MS = 15, 500.0  # while another dispatcher takes the journal over
+TAKEN_OVER = "Another dispatcher has taken over; whether it has this call is not known here.  Ask before a repeat."
+
+
+class ClientWait:
+    """Replies to one request: with the final answer, with the activation id, or with an error."""
+
+    __slots__ = ("_context", "_exchange", "_result_only", "_timer")
+
+    def __init__(self, context: InvokeContext, exchange: Exchange, result_only: bool) -> None:
+        self._context, self._exchange, self._result_only = context, exchange, result_only
+        self._timer: asyncio.TimerHandle | None = None
+
+    def on_final(self, record: Record) -> None:
+        """The activation has its final answer."""
+        self._cancel_timer()
+        if not self._exchange.replied and not self._exchange.client_gone:
+            reply_final(self._exchange, record, self._result_only, self._context.error_code())
+
+    def limit(self, invocation: Invocation, wait_ms: float) -> None:
+        """A blocking client waits at most `wait_ms`; then it gets the activation id and may poll."""
+        if wait_ms < invocation.record.timeout_ms:
+            self._timer = self._context.call_later(wait_ms, partial(self._on_wait_over, invocation))
+
+    def _on_wait_over(self, invocation: Invocation) -> None:
+        """The client continues with the activation id, so the record has to survive a crash from now on."""
+        gateway = self._context.gateway
+        gateway.make_durable(now_ms(), invocation)
+        if invocation.lifecycle.journaled:
+            gateway.when_durable(invocation, lambda _durable: self.accept(invocation.record))
+            self._context.driver.schedule_decisions()
+        else:
+            self.accept(invocation.record)
+
+    def accept_when_durable(self, invocation: Invocation) -> None:
+        """Accept a deferred request once its record is durable; reply with an error where it cannot be."""
+        if self._exchange.replied:
+            return
+        self._context.gateway.when_durable(invocation, partial(self._on_durability_known, invocation))
+        self._context.driver.start_writes()
+        if self._context.activation_lookup is not None and not self._exchange.replied:
+            # While no majority of acceptors is reachable nothing becomes durable: tell the client in time.
+            delay_ms = UNCONFIRMED_AFTER_SHARE * invocation.record.timeout_ms
+            self._timer = self._context.call_later(delay_ms, partial(self._reply_unknown, invocation.record))
+
+    def _on_durability_known(self, invocation: Invocation, durable: bool | None) -> None:
+        """`durable` is None where another dispatcher has taken over the journal."""
+        if durable:
+            self.accept(invocation.record)
+        elif durable is None:
+            self._look_up_after_takeover(invocation.record, TAKEOVER_LOOKUPS)
+        elif not self._exchange.replied:
+            self._reply_not_durable()
+            self._context.abandon(invocation)
+
+    def _look_up_after_takeover(self, record: Record, lookups_left: int) -> None:
+        """Ask the other dispatchers for the request until one knows whether the journal contained it."""
+        lookup = self._context.activation_lookup
+        if lookup is None or lookups_left == 0:
+            self._reply_unknown(record)
+            return
+
+        def on_result(address: str | None) -> None:
+            if self._exchange.replied or self._exchange.client_gone:
+                return
+            if address:
+                self.accept(record, f"http://{address}")
+            elif address is None:  # the journal's new primary has looked, too
+                self._reply_not_durable()
+            else:
+                retry = partial(self._look_up_after_takeover, record, lookups_left - 1)
+                self._context.call_later(TAKEOVER_LOOKUP_INTERVAL_MS, retry)
+
+        lookup.find(record.id, on_result)
+
+    def _reply_unknown(self, record: Record) -> None:
+        if not self._exchange.replied:
+            error = ApiError(HTTPStatus.INTERNAL_SERVER_ERROR, TAKEN_OVER, activationId=record.id)
+            reply_error(self._exchange, error, UNKNOWN_CODE)
+
+    def _reply_not_durable(self) -> None:
+        reply_error(self._exchange, unavailable(NOT_DURABLE), JOURNAL_CODE)
+
+    def accept(self, record: Record, url: str = "") -> None:
+        """Reply 202 with the activation id, unless there was a reply.  `url` is of the dispatcher that has the record;
+        empty: this one."""
+        self._cancel_timer()
+        if self._exchange.replied:
+            return
+        headers = {ACTIVATION_ID_HEADER: record.id}
+        if url or self._context.url:
+            path = f"/api/v1/namespaces/{record.namespace}/activations/{record.id}"
+            headers["location"] = f"{url or self._context.url}{path}"
+        record.deferred = True
+        self._exchange.reply(HTTPStatus.ACCEPTED, views.encode({"activationId": record.id}), headers)
+
+    def _cancel_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
--- /dev/null
+++ b/kelptrail/front/invoke/invocations.py
@@ -0,0 +1,230 @@
+"""Invokes actions: checks a request, submits it to the gateway, and says who waits for its answer."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from functools import partial
+from http import HTTPStatus
+
+from kelptrail.clock import now_ms, wall_ms
+from kelptrail.codec.http import Request
+from kelptrail.dispatch.entities import FinalStatus
+from kelptrail.front.idempotency import client_key, payload_digest
+from kelptrail.front.trace_context import INVALID_VERSION, parse_traceparent
+from kelptrail.gateway.idempotency_keys import KeyConflictError
+from kelptrail.gateway.invocation import Invocation
+from kelptrail.gateway.limits import REJECTION_MESSAGES
+from kelptrail.gateway.records import Record
+from kelptrail.net.server import Exchange
+from kelptrail.settings.deployment import ActionSettings, NamespaceSettings
+
+from .client_wait import ClientWait
+from .context import InvokeContext
+from .errors import ApiError, moved, unavailable
+from .event_stream import EventStreamReply
+from .replies import reply_error, retry_after_seconds
+from .request_parsing import read_idempotency_key, read_json_object, wants_event_stream
+
+
+@dataclass(frozen=True, slots=True)
+class InvocationTarget:
+    """What the path and the query of an invocation say."""
+
+    namespace: str
+    action: ActionSettings
+    blocking: bool
+    result_only: bool  # reply with the result in place of the record
+    wait_ms: float  # how long a blocking client waits
+
+
+@dataclass(frozen=True, slots=True)
+class InvocationRequest:
+    """A client's request to invoke an action."""
+
+    request: Request
+    exchange: Exchange
+    namespace: NamespaceSettings  # the client's
+    target: InvocationTarget
+
+
+@dataclass(frozen=True, slots=True)
+class InvocationContent:
+    """The checked headers and body of an invocation."""
+
+    payload: bytes
+    key: str | None  # the client's idempotency key
+    digest: str  # of the payload; empty without a key
+    client_key: str  # by which overload control recognises the client's retry
+    traceparent: str
+
+
+class InvocationHandler:
+    """Handles all requests to invoke an action."""
+
+    def __init__(self, context: InvokeContext) -> None:
+        self._context = context
+        self._max_deferred_bytes = context.deployment.most_promised  # 0: no limit
+
+    def invoke(self, call: InvocationRequest, look_up_key: bool = True) -> None:
+        """Submit the request, or join it to the activation that its idempotency key names.
+
+        `look_up_key`: ask the other dispatchers for a key that is not known here.  Raises `ApiError`.
+        """
+        if self._context.draining:
+            raise unavailable("This dispatcher is closing; the call was not taken.")
+        content = self._read(call.request)
+        if content.key is not None:
+            record = self._find_by_key(call, content, content.key)
+            if record is not None:
+                self._join(call, record)
+                return
+        blocking = call.target.blocking
+        streamed = wants_event_stream(call.request, blocking, content.key)
+        if not blocking:
+            self._check_deferrable(content.payload)
+            if content.key is not None and look_up_key and self._look_up_key(call, content.key):
+                return
+        self._admit(call, content)
+        if streamed:
+            self._submit_streamed(call, content)
+        else:
+            self._submit(call, content)
+
+    def _read(self, request: Request) -> InvocationContent:
+        payload = read_json_object(request)
+        key = read_idempotency_key(request)
+        parent = parse_traceparent(request.headers.get("traceparent", ""))
+        if parent is not None and parent.version == INVALID_VERSION:
+            parent = None
+        traceparent = self._context.trace_ids.traceparent(parent, self._context.request_count)
+        digest = payload_digest(payload) if key is not None else ""
+        return InvocationContent(payload, key, digest, client_key(key, payload), traceparent)
+
+    # Idempotency keys.
+
+    def _find_by_key(self, call: InvocationRequest, content: InvocationContent, key: str) -> Record | None:
+        path = call.target.action.path
+        try:
+            return self._context.gateway.find_by_key(call.namespace.name, path, key, content.digest)
+        except KeyConflictError as cause:
+            raise ApiError(HTTPStatus.CONFLICT, f"Conflict: {cause}.") from None
+
+    def _join(self, call: InvocationRequest, record: Record) -> None:
+        """The client's own repeat gets the recorded answer, or waits for the activation in flight."""
+        gateway, target = self._context.gateway, call.target
+        wait = ClientWait(self._context, call.exchange, target.result_only)
+        invocation = gateway.in_flight_of(record.id)
+        if record.visible:
+            record.fetched = True
+            wait.on_final(record)
+        elif not target.blocking or invocation is None:  # None: recovered after a restart and not resumed yet
+            wait.accept(record)
+        else:
+            invocation.waiters.append(wait.on_final)
+            call.exchange.on_client_gone = lambda: gateway.remove_waiter(record, wait.on_final)
+            wait.limit(invocation, target.wait_ms)
+
+    def _look_up_key(self, call: InvocationRequest, key: str) -> bool:
+        """Ask the other dispatchers for the key: one that is lost may have accepted a deferred request under it.
+
+        False where there are none to ask.
+        """
+        lookup = self._context.activation_lookup
+        if lookup is None:
+            return False
+        target = f"key:{call.namespace.name}/{call.target.action.path}/{key}"
+        lookup.find(target, partial(self._on_key_looked_up, call))
+        return True
+
+    def _on_key_looked_up(self, call: InvocationRequest, address: str | None) -> None:
+        exchange, code = call.exchange, self._context.error_code()
+        if exchange.replied or exchange.client_gone:
+            return
+        if address:
+            message = f"The call under this key is at {address} now; ask there."
+            reply_error(exchange, moved(message, address, call.request.target), code)
+        elif address is None:
+            try:
+                self.invoke(call, look_up_key=False)
+            except ApiError as error:
+                reply_error(exchange, error, code)
+        else:
+            message = "Whether a call under this key was taken is not known yet; nothing was done."
+            reply_error(exchange, unavailable(message), code)
+
+    # Admission.
+
+    def _check_deferrable(self, payload: bytes) -> None:
+        """Raises `ApiError` where a deferred request could not be made durable."""
+        limit = self._max_deferred_bytes
+        if limit and len(payload) > limit:
+            message = f"A deferred call's body has at most {limit} bytes here: others hold it."
+            raise ApiError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, message)
+        if not self._context.gateway.accepts_deferred():
+            raise unavailable("Deferred calls cannot be kept safe at the moment; the call was not taken.")
+
+    def _admit(self, call: InvocationRequest, content: InvocationContent) -> None:
+        """Raises `ApiError` where the request is beyond a limit, before anything is done for it."""
+        path = call.target.action.path
+        rejection = self._context.gateway.on_connect(
+            now_ms(), call.namespace.name, path, len(content.payload), content.client_key
+        )
+        if rejection is None:
+            return
+        reason, retry_after_ms = rejection
+        raise ApiError(
+            HTTPStatus.TOO_MANY_REQUESTS,
+            REJECTION_MESSAGES[reason],
+            {"retry-after": retry_after_seconds(retry_after_ms)},
+            answer=FinalStatus.REJECTED.value,
+            retry_after_ms=round(retry_after_ms, 3),
+        )
+
+    # Submission.
+
+    def _submit(self, call: InvocationRequest, content: InvocationContent) -> None:
+        exchange, target = call.exchange, call.target
+        wait = ClientWait(self._context, exchange, target.result_only)
+        invocation = self._context.gateway.submit(
+            now_ms(),
+            wall_ms(),
+            call.namespace.name,
+            target.action,
+            content.payload,
+            content.key,
+            content.traceparent,
+            wait.on_final,
+            deferred=not target.blocking,
+            digest=content.digest,
+            client_key=content.client_key,
+        )
+        if target.blocking:
+            exchange.on_client_gone = lambda: self._on_client_gone(invocation, wait)
+            wait.limit(invocation, target.wait_ms)
+            self._context.driver.schedule_decisions()
+        else:
+            # The decision comes first: a deferred request that is rejected at once is answered 429, not 202.
+            self._context.driver.schedule_decisions(lambda: wait.accept_when_durable(invocation))
+
+    def _submit_streamed(self, call: InvocationRequest, content: InvocationContent) -> None:
+        target = call.target
+        invocation = self._context.gateway.submit(
+            now_ms(),
+            wall_ms(),
+            call.namespace.name,
+            target.action,
+            content.payload,
+            trace=content.traceparent,
+            streamed=True,
+            client_key=content.client_key,
+        )
+        EventStreamReply(self._context, call.exchange, invocation, target.result_only)
+        self._context.driver.schedule_decisions()
+
+    def _on_client_gone(self, invocation: Invocation, wait: ClientWait) -> None:
+        """A client that named an idempotency key may come back for the answer; without one nobody waits for it."""
+        if invocation.record.key:
+            self._context.gateway.remove_waiter(invocation.record, wait.on_final)
+            return
+        invocation.waiters.clear()
+        self._context.abandon(invocation)
--- a/kelptrail/front/invoke/views.py
+++ b/kelptrail/front/invoke/views.py
@@ -1,4 +1,4 @@
-"""What the invoke API shows: activation records, actions and errors as their specification words them."""
+"""Bodies of the invoke API's replies: activation records, actions and errors in the form of its specification."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 
 import msgspec
 
+from kelptrail.dispatch.entities import FinalStatus
 from kelptrail.gateway.records import STATUS_MESSAGES, Record
 from kelptrail.settings.deployment import ActionSettings, Deployment
 
@@ -13,39 +14,38 @@
 VERSION = "0.0.1"
 
 
-def error(text: str, code: str, **more: Any) -> bytes:
-    """An error body: `{"error", "code"}` and what else is to be told."""
-    return encode({"error": text, "code": code} | more)
+def error(message: str, code: str, **details: Any) -> bytes:
+    """An error body: `{"error", "code"}` and further fields."""
+    return encode({"error": message, "code": code} | details)
 
 
-def notes(record: Record) -> list[dict[str, Any]]:
-    """The record's annotations; those under `kelptrail` say which of the three final answers it got."""
-    out: list[dict[str, Any]] = [
+def activation_annotations(record: Record) -> list[dict[str, Any]]:
+    """The record's annotations; the one under the key `kelptrail` says which of the three final answers it got."""
+    return [
         {"key": "path", "value": f"{record.namespace}/{record.path}"},
         {"key": "kind", "value": record.request_class},
         {"key": "limits", "value": {"timeout": record.timeout_ms}},
         {"key": "waitTime", "value": round(record.queued_ms)},
-        {"key": "kelptrail", "value": answer(record)},
+        {"key": "kelptrail", "value": final_answer(record)},
     ]
-    return out
 
 
-def answer(record: Record) -> dict[str, Any]:
-    """The final answer in our words, with what may be done about it."""
-    out: dict[str, Any] = {"answer": record.answer, "effect": record.idempotency, "sends": record.attempt_count}
+def final_answer(record: Record) -> dict[str, Any]:
+    """The final answer, with what its client needs to know before a retry."""
+    shown: dict[str, Any] = {"answer": record.answer, "effect": record.idempotency, "sends": record.attempt_count}
     if record.trace:
-        out["traceparent"] = record.trace
-    if record.answer == "rejected":
-        out["retry_after_ms"] = round(record.retry_after_ms, 3)
+        shown["traceparent"] = record.trace
+    if record.answer == FinalStatus.REJECTED:
+        shown["retry_after_ms"] = round(record.retry_after_ms, 3)
         if record.deduplicated_for_ms:
-            out["repeat_within_ms"] = round(record.deduplicated_for_ms)
-    elif record.answer == "aborted":
-        out["promise"] = "none"
-    return out
+            shown["repeat_within_ms"] = round(record.deduplicated_for_ms)
+    elif record.answer == FinalStatus.FAILED:
+        shown["promise"] = "none"
+    return shown
 
 
-def activation(record: Record, logs: bool = True) -> dict[str, Any]:
-    """A whole activation record."""
+def activation(record: Record) -> dict[str, Any]:
+    """A complete activation record."""
     return {
         "activationId": record.id,
         "namespace": record.namespace,
@@ -62,13 +62,13 @@
             "success": record.code == 0,
             "result": msgspec.Raw(record.result),
         },
-        "annotations": notes(record),
-        "logs": record.logs if logs else [],
+        "annotations": activation_annotations(record),
+        "logs": record.logs,
     }
 
 
 def summary(record: Record) -> dict[str, Any]:
-    """A record as lists show it without `docs`."""
+    """A record in a list, unless the client asks for `docs`."""
     return {
         "activationId": record.id,
         "namespace": record.namespace,
@@ -79,12 +79,12 @@
         "end": round(record.end),
         "duration": round(record.end - record.start),
         "statusCode": record.code,
-        "annotations": notes(record),
+        "annotations": activation_annotations(record),
     }
 
 
 def result(record: Record) -> dict[str, Any]:
-    """The `/result` of a record."""
+    """The `/result` of an activation."""
     return {
         "status": STATUS_MESSAGES[record.code],
         "statusCode": record.code,
@@ -93,8 +93,13 @@
     }
 
 
+def logs(record: Record) -> dict[str, Any]:
+    """The `/logs` of an activation."""
+    return {"logs": record.logs}
+
+
 def action(deployment: Deployment, namespace: str, item: ActionSettings) -> dict[str, Any]:
-    """One action."""
+    """An action, with the settings of its request class."""
     kind = deployment.types[item.type]
     return {
         "namespace": f"{namespace}/{item.package}" if item.package else namespace,
--- /dev/null
+++ b/kelptrail/front/trace_context.py
@@ -0,0 +1,47 @@
+"""Trace context of requests (W3C Trace Context, section 3.2)."""
+
+from __future__ import annotations
+
+import os
+from typing import NamedTuple
+
+FIELD_LENGTHS = [2, 32, 16, 2]  # version, trace id, parent id and flags, in hexadecimal digits
+HEX_DIGITS = frozenset("0123456789abcdef")
+INVALID_TRACE_ID = "0" * 32
+INVALID_VERSION = "ff"
+SPAN_ID_MASK = (1 << 64) - 1
+
+
+class TraceParent(NamedTuple):
+    """A well-formed `traceparent` header."""
+
+    version: str
+    trace_id: str
+    flags: str
+    has_more_fields: bool  # as versions after 00 may
+
+
+def parse_traceparent(header: str) -> TraceParent | None:
+    """The fields of a `traceparent` header, or None where it is malformed or absent."""
+    fields = header.strip().lower().split("-")
+    known = fields[: len(FIELD_LENGTHS)]
+    if [len(field) for field in known] != FIELD_LENGTHS or not all(HEX_DIGITS.issuperset(field) for field in known):
+        return None
+    version, trace_id, _, flags = known
+    if trace_id == INVALID_TRACE_ID:
+        return None
+    return TraceParent(version, trace_id, flags, len(fields) > len(known))
+
+
+class TraceIdSource:
+    """Makes the `traceparent` of requests; traces that start here are unique by a random prefix."""
+
+    def __init__(self) -> None:
+        self._prefix = os.urandom(8).hex()
+
+    def traceparent(self, parent: TraceParent | None, span_number: int) -> str:
+        """The header for the workers: a span of the client's trace, or of a new one."""
+        span_id = f"{span_number & SPAN_ID_MASK:016x}"
+        if parent is None:
+            return f"00-{self._prefix}{span_id}-{span_id}-00"
+        return f"00-{parent.trace_id}-{span_id}-{parent.flags}"
--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -135,7 +135,7 @@
             fleet.enable_replication(deployment.peers, self.log)
             at_once, least_ms = deployment.journal.resume_at_once, least_run_ms(deployment)
             take_over_journal(fleet.replication, self.gateway, self.driver, at_once, least_ms)
-            self.fronts.invoke.activation_lookup = self.fronts.inference.activation_lookup = fleet.replication
+            self.fronts.invoke.context.activation_lookup = self.fronts.inference.activation_lookup = fleet.replication
         return fleet
 
     def _start_fleet(self, fleet: Fleet) -> None:
@@ -186,7 +186,7 @@
     def _listen_http(self) -> None:
         options, server = self.options, self.fronts.http
         self.port = server.listen(options.host, options.port, options.shared_port)
-        self.fronts.invoke.url, self.endpoints.address = self.fronts.url(), server.address
+        self.fronts.invoke.context.url, self.endpoints.address = self.fronts.url(), server.address
         if self.fleet is not None and self.fleet.replication is not None:
             self.fleet.replication.address = server.address
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -323,7 +323,7 @@
         kept = await connect(dispatcher.server.address)
         while len(held) < 4:
             await asyncio.sleep(0.01)
-        dispatcher.api.draining = True
+        dispatcher.api.context.draining = True
         drains = asyncio.gather(dispatcher.driver.drain(2000), dispatcher.server.drain(2000))
         assert [(await call)[0] for call in calls] == [200] * 4
         assert await drains == [True, True]
--- a/tests/test_front_replies.py
+++ b/tests/test_front_replies.py
@@ -436,10 +436,10 @@
             assert (await request(dispatcher, "POST", f"{target}?blocking=true", key, b'{"a":1}'))[0] == 200
             reply = await request(dispatcher, "POST", f"{target}?blocking=true", key, b'{"a":2}')
             assert reply[0] == 409 and reply[2].startswith('{"error":"Conflict: ')
-            dispatcher.api.draining = True
+            dispatcher.api.context.draining = True
             reply = await request(dispatcher, "POST", target, None, b"{")
             assert reply == error(503, "This dispatcher is closing; the call was not taken.", 4, retry)
-            dispatcher.api.draining = False
+            dispatcher.api.context.draining = False
             dispatcher.gateway.accepts_deferred = lambda: False  # type: ignore[method-assign]
             reply = await request(dispatcher, "POST", target, None, b"{}")
             message = "Deferred calls cannot be kept safe at the moment; the call was not taken."
@@ -509,7 +509,7 @@
             reply = await request(dispatcher, "GET", f"{target}?wait=5")
             location = {"location": f"http://127.0.0.1:1234{target}?wait=5"}
             assert reply == error(307, "The activation was given by one; ask there.", 1, location)
-            lookup = dispatcher.api.activation_lookup = FakeLookup("h:1", None, "", "h:1")
+            lookup = dispatcher.api.context.activation_lookup = FakeLookup("h:1", None, "", "h:1")
             location = {"location": f"http://h:1{target}"}
             message = "The activation is at h:1 now; ask there."
             assert await request(dispatcher, "GET", target) == error(307, message, 2, location)
@@ -532,7 +532,7 @@
 
     async def main() -> None:
         async with place(answer) as (dispatcher, _):
-            lookup = dispatcher.api.activation_lookup = FakeLookup("h:1", "", None)
+            lookup = dispatcher.api.context.activation_lookup = FakeLookup("h:1", "", None)
             message = "The call under this key is at h:1 now; ask there."
             reply = await request(dispatcher, "POST", target, key, b"{}")
             assert reply == error(307, message, 1, {"location": f"http://h:1{target}"})
@@ -564,7 +564,7 @@
             durable = None
             reply = await request(dispatcher, "POST", target, None, b"{}")
             assert reply == error(500, unknown, "unknown", activationId=activation_id(2))
-            lookup = dispatcher.api.activation_lookup = FakeLookup("", "h:1", None)
+            lookup = dispatcher.api.context.activation_lookup = FakeLookup("", "h:1", None)
             reply = await request(dispatcher, "POST", target, None, b"{}")
             id_ = activation_id(3)
             headers = {"x-openwhisk-activation-id": id_}
