--- a/kelptrail/front/invoke/activations.py
+++ b/kelptrail/front/invoke/activations.py
@@ -2,14 +2,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from functools import partial
 from http import HTTPStatus
 from itertools import islice
-from typing import Any
 
 from kelptrail.codec.http import Request
 from kelptrail.dispatch.entities import Idempotency
-from kelptrail.gateway.invocation import Invocation
 from kelptrail.gateway.records import Record
 from kelptrail.membership.members import ID_PREFIX_DIGITS
 from kelptrail.net.server import Exchange
@@ -18,11 +16,10 @@
 from . import views
 from .context import InvokeContext
 from .errors import RETRY_SOON, ApiError, in_flight, moved, not_found
+from .long_poll import LongPoll, View
 from .replies import reply_error, reply_json
 from .request_parsing import check_method, parse_flag, parse_number, parse_page
 
-View = Callable[[Record], dict[str, Any]]  # what is shown of a record
-
 MAX_TIME_MS = 1e15  # wall time
 LOST = "No dispatcher knows the activation: it never was, or is no longer kept, or all that held it are lost."
 NOT_KNOWN_YET = "The activation is not known yet: whoever may have it is being taken over, or cannot be heard."
@@ -76,28 +73,7 @@
         invocation = self._context.gateway.in_flight_of(record.id)
         if not wait_ms or invocation is None:
             raise in_flight()
-        self._long_poll(exchange, invocation, wait_ms, view)
-
-    def _long_poll(self, exchange: Exchange, invocation: Invocation, wait_ms: float, view: View) -> None:
-        """Reply once there is a final answer, or after `wait_ms`."""
-        gateway = self._context.gateway
-
-        def on_final(record: Record) -> None:
-            timer.cancel()
-            record.fetched = True
-            reply_json(exchange, view(record))
-
-        def on_wait_over() -> None:
-            gateway.remove_waiter(invocation.record, on_final)
-            reply_error(exchange, in_flight(), self._context.error_code())
-
-        def on_client_gone() -> None:
-            timer.cancel()
-            gateway.remove_waiter(invocation.record, on_final)
-
-        timer = self._context.call_later(wait_ms, on_wait_over)
-        invocation.waiters.append(on_final)
-        exchange.on_client_gone = on_client_gone
+        LongPoll(self._context, exchange, invocation, view).start(wait_ms)
 
     def _cancel(self, exchange: Exchange, record: Record) -> None:
         """Cancel a request that has no effect which could be left half done: idempotent, or never run."""
@@ -119,13 +95,7 @@
         lookup = self._context.activation_lookup
         if lookup is None or self._context.gateway.records.has(id_):  # `has`: another namespace's
             raise self._not_here(request, id_)
-        code = self._context.error_code()
-
-        def on_result(address: str | None) -> None:
-            if not exchange.replied and not exchange.client_gone:
-                reply_error(exchange, _lookup_error(request, address), code)
-
-        lookup.find(id_, on_result)
+        lookup.find(id_, partial(_reply_after_lookup, request, exchange, self._context.error_code()))
 
     def _not_here(self, request: Request, id_: str) -> ApiError:
         """Where to ask, by the prefix of the id, which names the dispatcher that issued it."""
@@ -150,6 +120,11 @@
     raise not_found()
 
 
+def _reply_after_lookup(request: Request, exchange: Exchange, code: str, address: str | None) -> None:
+    if not exchange.replied and not exchange.client_gone:
+        reply_error(exchange, _lookup_error(request, address), code)
+
+
 def _lookup_error(request: Request, address: str | None) -> ApiError:
     """The reply to a request for an activation after its lookup; `address` as in `ActivationLookup.find`."""
     if address:
--- a/kelptrail/front/invoke/client_wait.py
+++ b/kelptrail/front/invoke/client_wait.py
@@ -79,19 +79,18 @@
         if lookup is None or lookups_left == 0:
             self._reply_unknown(record)
             return
+        lookup.find(record.id, partial(self._on_lookup, record, lookups_left))
 
-        def on_result(address: str | None) -> None:
-            if self._exchange.replied or self._exchange.client_gone:
-                return
-            if address:
-                self.accept(record, f"http://{address}")
-            elif address is None:  # the journal's new primary has looked, too
-                self._reply_not_durable()
-            else:
-                retry = partial(self._look_up_after_takeover, record, lookups_left - 1)
-                self._context.call_later(TAKEOVER_LOOKUP_INTERVAL_MS, retry)
-
-        lookup.find(record.id, on_result)
+    def _on_lookup(self, record: Record, lookups_left: int, address: str | None) -> None:
+        if self._exchange.replied or self._exchange.client_gone:
+            return
+        if address:
+            self.accept(record, f"http://{address}")
+        elif address is None:  # the journal's new primary has looked, too
+            self._reply_not_durable()
+        else:
+            retry = partial(self._look_up_after_takeover, record, lookups_left - 1)
+            self._context.call_later(TAKEOVER_LOOKUP_INTERVAL_MS, retry)
 
     def _reply_unknown(self, record: Record) -> None:
         if not self._exchange.replied:
--- a/kelptrail/front/invoke/invocations.py
+++ b/kelptrail/front/invoke/invocations.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass
 from functools import partial
 from http import HTTPStatus
@@ -86,9 +87,9 @@
                 return
         self._admit(call, content)
         if streamed:
-            self._submit_streamed(call, content)
+            self._reply_streamed(call, content)
         else:
-            self._submit(call, content)
+            self._reply_when_final(call, content)
 
     def _read(self, request: Request) -> InvocationContent:
         payload = read_json_object(request)
@@ -133,10 +134,10 @@
         if lookup is None:
             return False
         target = f"key:{call.namespace.name}/{call.target.action.path}/{key}"
-        lookup.find(target, partial(self._on_key_looked_up, call))
+        lookup.find(target, partial(self._on_key_lookup, call))
         return True
 
-    def _on_key_looked_up(self, call: InvocationRequest, address: str | None) -> None:
+    def _on_key_lookup(self, call: InvocationRequest, address: str | None) -> None:
         exchange, code = call.exchange, self._context.error_code()
         if exchange.replied or exchange.client_gone:
             return
@@ -182,22 +183,10 @@
 
     # Submission.
 
-    def _submit(self, call: InvocationRequest, content: InvocationContent) -> None:
+    def _reply_when_final(self, call: InvocationRequest, content: InvocationContent) -> None:
         exchange, target = call.exchange, call.target
         wait = ClientWait(self._context, exchange, target.result_only)
-        invocation = self._context.gateway.submit(
-            now_ms(),
-            wall_ms(),
-            call.namespace.name,
-            target.action,
-            content.payload,
-            content.key,
-            content.traceparent,
-            wait.on_final,
-            deferred=not target.blocking,
-            digest=content.digest,
-            client_key=content.client_key,
-        )
+        invocation = self._submit(call, content, wait.on_final)
         if target.blocking:
             exchange.on_client_gone = lambda: self._on_client_gone(invocation, wait)
             wait.limit(invocation, target.wait_ms)
@@ -206,20 +195,29 @@
             # The decision comes first: a deferred request that is rejected at once is answered 429, not 202.
             self._context.driver.schedule_decisions(lambda: wait.accept_when_durable(invocation))
 
-    def _submit_streamed(self, call: InvocationRequest, content: InvocationContent) -> None:
-        target = call.target
-        invocation = self._context.gateway.submit(
+    def _reply_streamed(self, call: InvocationRequest, content: InvocationContent) -> None:
+        invocation = self._submit(call, content, None)
+        EventStreamReply(self._context, call.exchange, invocation, call.target.result_only)
+        self._context.driver.schedule_decisions()
+
+    def _submit(
+        self, call: InvocationRequest, content: InvocationContent, waiter: Callable[[Record], None] | None
+    ) -> Invocation:
+        """Submit the request to the gateway; without a `waiter` its answer is streamed."""
+        return self._context.gateway.submit(
             now_ms(),
             wall_ms(),
             call.namespace.name,
-            target.action,
+            call.target.action,
             content.payload,
-            trace=content.traceparent,
-            streamed=True,
+            content.key,
+            content.traceparent,
+            waiter,
+            deferred=not call.target.blocking,
+            digest=content.digest,
+            streamed=waiter is None,
             client_key=content.client_key,
         )
-        EventStreamReply(self._context, call.exchange, invocation, target.result_only)
-        self._context.driver.schedule_decisions()
 
     def _on_client_gone(self, invocation: Invocation, wait: ClientWait) -> None:
         """A client that named an idempotency key may come back for the answer; without one nobody waits for it."""
--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -135,7 +135,8 @@
             fleet.enable_replication(deployment.peers, self.log)
             at_once, least_ms = deployment.journal.resume_at_once, least_run_ms(deployment)
             take_over_journal(fleet.replication, self.gateway, self.driver, at_once, least_ms)
-            self.fronts.invoke.context.activation_lookup = self.fronts.inference.activation_lookup = fleet.replication
+            for api in (self.fronts.invoke, self.fronts.inference):
+                api.context.activation_lookup = fleet.replication
         return fleet
 
     def _start_fleet(self, fleet: Fleet) -> None:
--- a/kelptrail/service/shutdown.py
+++ b/kelptrail/service/shutdown.py
@@ -32,7 +32,7 @@
     """Drain and stop.  True if every accepted request got its final answer and every connection closed in time."""
     gateway, fronts = dispatcher.gateway, dispatcher.fronts
     dispatcher.log.info("draining", in_hand=gateway.in_flight, connections=fronts.http.connections)
-    fronts.invoke.context.draining = fronts.inference.draining = True
+    fronts.invoke.context.draining = fronts.inference.context.draining = True
     fronts.grpc.start_draining()
     deadline = _Deadline(dispatcher.deployment.front.drain_ms)
     await _give_up_duties(dispatcher)
--- a/tests/test_front_replies.py
+++ b/tests/test_front_replies.py
@@ -684,7 +684,7 @@
             await asyncio.sleep(0.01)
         message = "Too many concurrent requests in flight for this namespace."
         assert await client.infer("grant") == ("RESOURCE_EXHAUSTED", message, 1000.0, "NOT_TAKEN", {})
-        dispatcher.inference.draining = True
+        dispatcher.inference.context.draining = True
         message = "This dispatcher is closing; the call was not taken."
         closing = ("UNAVAILABLE", message, 1000.0, "NOT_TAKEN", {})
         assert await client.infer("grant") == closing
@@ -716,7 +716,7 @@
             message = "This dispatcher does not know the activation; whoever gave the id may."
             details = {"asked_at": "127.0.0.1:1234"}
             assert await client.infer("grant", poll=id_) == ("NOT_FOUND", message, None, "ELSEWHERE", details)
-            dispatcher.inference.activation_lookup = FakeLookup("h:1", None, "")
+            dispatcher.inference.context.activation_lookup = FakeLookup("h:1", None, "")
             message = "Another dispatcher has the activation now."
             status = await client.infer("grant", poll=id_)
             assert status == ("NOT_FOUND", message, None, "ELSEWHERE", {"asked_at": "h:1"})
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -822,7 +822,7 @@
             call = asyncio.create_task(client.infer("p/check", [tensor("INT8", [1])]))
             while not held:
                 await asyncio.sleep(0.01)
-            dispatcher.inference.draining = True
+            dispatcher.inference.context.draining = True
             assert (await fails(client.infer("p/check")))[0] == "UNAVAILABLE"
             drain = asyncio.create_task(dispatcher.grpc.drain(2000))
             await asyncio.sleep(0.2)
