--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""The invoke API on sockets, as its specification has it, with clients that behave and clients that do not."""
+"""The invoke API over sockets: its specification, and clients that are slow, malformed or gone."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     exchange.reply(200, infer_answer("m", infer.id, '{"error":"no such family"}', False))
 
 
-def test_blocking_deferred_result_and_records() -> None:
+def test_blocking_and_deferred_requests_and_their_records() -> None:
     async def main() -> None:
         async with place(answer) as (dispatcher, (worker,)):
             status, headers, record = await dispatcher.call("p/check", body={"family": 7})
@@ -47,13 +47,13 @@
             assert record["end"] >= record["start"] and record["logs"] == []
             assert headers["x-openwhisk-activation-id"] == record["activationId"]
             assert verdict(record)["answer"] == "completed"
-            status, _, bare = await dispatcher.call("p/check", body={"a": [1]}, query="&result=true")
-            assert (status, bare) == (200, {"a": [1]})
-            status, _, told = await dispatcher.call("grant", blocking=False, body={})
-            assert status == 202 and set(told) == {"activationId"}
-            done = await dispatcher.final(told["activationId"])
-            assert done["name"] == "grant"
-            id_ = told["activationId"]
+            status, _, result = await dispatcher.call("p/check", body={"a": [1]}, query="&result=true")
+            assert (status, result) == (200, {"a": [1]})
+            status, _, accepted = await dispatcher.call("grant", blocking=False, body={})
+            assert status == 202 and set(accepted) == {"activationId"}
+            id_ = accepted["activationId"]
+            record = await dispatcher.final(id_)
+            assert record["name"] == "grant"
             _, _, result = await dispatcher.ask("GET", f"{BASE}/activations/{id_}/result")
             assert result == {"status": "success", "statusCode": 0, "success": True, "result": {}}
             assert (await dispatcher.ask("GET", f"{BASE}/activations/{id_}/logs"))[2] == {"logs": []}
@@ -62,22 +62,22 @@
     run(main())
 
 
-def test_lists_page_by_name_and_time() -> None:
+def test_lists_are_filtered_by_name_and_time_and_paged() -> None:
     async def main() -> None:
         async with place(answer) as (dispatcher, _):
             for n in range(5):
                 await dispatcher.call("grant" if n % 2 else "p/check", body={"n": n})
             ask = dispatcher.ask
-            _, _, whole = await ask("GET", f"{BASE}/activations")
-            assert [a["name"] for a in whole] == ["check", "grant", "check", "grant", "check"]
-            assert "response" not in whole[0] and whole[0]["statusCode"] == 0
-            _, _, some = await ask("GET", f"{BASE}/activations?name=check&limit=1&skip=1&docs=true")
-            assert [a["response"]["result"] for a in some] == [{"n": 2}]
-            _, _, named = await ask("GET", f"{BASE}/activations?name=p%2Fcheck")
-            assert len(named) == 3
-            since = whole[2]["start"]
+            _, _, records = await ask("GET", f"{BASE}/activations")
+            assert [a["name"] for a in records] == ["check", "grant", "check", "grant", "check"]
+            assert "response" not in records[0] and records[0]["statusCode"] == 0
+            _, _, page = await ask("GET", f"{BASE}/activations?name=check&limit=1&skip=1&docs=true")
+            assert [a["response"]["result"] for a in page] == [{"n": 2}]
+            _, _, of_action = await ask("GET", f"{BASE}/activations?name=p%2Fcheck")
+            assert len(of_action) == 3
+            since = records[2]["start"]
             _, _, later = await ask("GET", f"{BASE}/activations?since={since}&upto={since + 60_000}")
-            assert {a["activationId"] for a in later} >= {whole[0]["activationId"], whole[1]["activationId"]}
+            assert {a["activationId"] for a in later} >= {records[0]["activationId"], records[1]["activationId"]}
             assert (await ask("GET", f"{BASE}/activations?count=true"))[2] == {"activations": 5}
             for bad in ("limit=-1", "limit=201", "skip=x", "docs=maybe", "since=1e3"):
                 assert (await ask("GET", f"{BASE}/activations?{bad}"))[0] == 400
@@ -106,11 +106,11 @@
                 ("DELETE", f"{BASE}/actions/grant", 405),
                 ("GET", "/elsewhere", 404),
             ):
-                got, _, body = await ask(method, target)
-                assert got == status and set(body) == {"error", "code"}, (method, target, got, body)
+                got_status, _, body = await ask(method, target)
+                assert got_status == status and set(body) == {"error", "code"}, (method, target, got_status, body)
             for headers in ({"authorization": "Basic !!"}, auth(key="wrong"), auth(uuid="no"), {"authorization": ""}):
-                got, told, body = await ask("GET", f"{BASE}/actions", headers=headers)
-                assert got == 401 and "www-authenticate" in told and body["code"]
+                status, reply_headers, body = await ask("GET", f"{BASE}/actions", headers=headers)
+                assert status == 401 and "www-authenticate" in reply_headers and body["code"]
             status, _, record = await dispatcher.call("grant", body={})
             assert status == 502 and record["response"]["status"] == "application error"
             assert record["response"]["result"] == {"error": "no such family"}
@@ -125,30 +125,30 @@
     run(main())
 
 
-def test_past_its_wait_a_blocking_call_gets_its_id_and_stays_answerable() -> None:
+def test_a_blocking_request_past_its_wait_gets_its_activation_id() -> None:
     async def main() -> None:
         async with place(silent) as (dispatcher, _):
-            status, _, told = await dispatcher.call("grant", query="&timeout=100")
+            status, _, accepted = await dispatcher.call("grant", query="&timeout=100")
             assert status == 202
-            status, _, body = await dispatcher.ask("GET", f"{BASE}/activations/{told['activationId']}")
+            status, _, body = await dispatcher.ask("GET", f"{BASE}/activations/{accepted['activationId']}")
             assert status == 404 and "in hand" in body["error"]
-            record = await dispatcher.final(told["activationId"])
+            record = await dispatcher.final(accepted["activationId"])
             assert verdict(record)["answer"] == "aborted" and record["end"] - record["start"] <= 900
             assert "may have run" in record["response"]["result"]["error"]
 
     run(main())
 
 
-def test_a_rejection_is_429_with_a_time_to_return() -> None:
+def test_a_rejection_is_429_with_retry_after() -> None:
     async def main() -> None:
         async with place(silent, order=refuse(None)) as (dispatcher, _):
             calls = [asyncio.create_task(dispatcher.call("p/check", body={})) for _ in range(60)]
             answers = await asyncio.gather(*calls)
-            told = [(h, b) for status, h, b in answers if status == 429]
-            assert told, [a[0] for a in answers]
-            timed = [h for h, b in told if b["retry_after_ms"]]
+            rejections = [(h, b) for status, h, b in answers if status == 429]
+            assert rejections, [a[0] for a in answers]
+            timed = [h for h, b in rejections if b["retry_after_ms"]]
             assert timed and all(int(h["retry-after"]) >= 1 for h in timed)
-            assert all(b["answer"] == "rejected" and b["code"] for _, b in told)
+            assert all(b["answer"] == "rejected" and b["code"] for _, b in rejections)
             assert (
                 dispatcher.gateway.counts.received
                 == 60
@@ -160,12 +160,12 @@
 
 def test_pipelined_requests_are_answered_in_order() -> None:
     async def main() -> None:
-        held: list[tuple[Request, Exchange]] = []
+        pending: list[tuple[Request, Exchange]] = []
 
-        def later(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
-            held.append((request, exchange))
+        def answer_later(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
+            pending.append((request, exchange))
 
-        async with place(later) as (dispatcher, (worker,)):
+        async with place(answer_later) as (dispatcher, (worker,)):
             sock = await connect(dispatcher.server.address)
             loop = asyncio.get_running_loop()
             data = b"".join(
@@ -175,22 +175,22 @@
                 for n in range(3)
             )
             await loop.sock_sendall(sock, data + encode_request("GET", "/api/v1", "x"))
-            while len(held) < 3:
+            while len(pending) < 3:
                 await asyncio.sleep(0.01)
-            for request, exchange in reversed(held):
+            for request, exchange in reversed(pending):
                 answer(worker, request, exchange)
-            got, buffer = b"", bytearray(65536)
-            while got.count(b"HTTP/1.1 200") < 4:
+            received, buffer = b"", bytearray(65536)
+            while received.count(b"HTTP/1.1 200") < 4:
                 count = await loop.sock_recv_into(sock, buffer)
-                got += bytes(buffer[:count])
-            places = [got.index(b'{"n":%d}' % n) for n in range(3)] + [got.index(b"invoke API")]
-            assert places == sorted(places)
+                received += bytes(buffer[:count])
+            positions = [received.index(b'{"n":%d}' % n) for n in range(3)] + [received.index(b"invoke API")]
+            assert positions == sorted(positions)
             sock.close()
 
     run(main())
 
 
-def test_expect_continue_chunks_and_a_body_too_large() -> None:
+def test_expect_continue_chunked_bodies_and_a_body_too_large() -> None:
     async def main() -> None:
         async with place(answer) as (dispatcher, _):
             loop, head = asyncio.get_running_loop(), f"authorization: {auth()['authorization']}\r\nhost: x\r\n"
@@ -219,12 +219,12 @@
     [
         (b"\x00\x01\x02\x03\r\n\r\n", 400),
         (b"GET / HTTP/9.9\r\n\r\n", 400),
-        (b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nab", 408),  # never the rest of it
+        (b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nab", 408),  # its rest never arrives
         (b"GET / HT", 408),
         (b"GET /" + b"a" * 5000 + b" HTTP/1.1\r\n\r\n", 431),
     ],
 )
-def test_malformed_and_slow_requests_are_answered_and_closed(data: bytes, status: int) -> None:
+def test_malformed_and_slow_requests_are_answered_and_their_connections_closed(data: bytes, status: int) -> None:
     async def main() -> None:
         async with place(answer) as (dispatcher, _):
             loop = asyncio.get_running_loop()
@@ -239,7 +239,7 @@
     run(main())
 
 
-def test_a_truncated_request_ends_in_400_and_nothing_is_taken() -> None:
+def test_a_truncated_request_is_answered_400_and_not_accepted() -> None:
     async def main() -> None:
         async with place(answer) as (dispatcher, _):
             loop = asyncio.get_running_loop()
@@ -254,34 +254,34 @@
     run(main())
 
 
-def test_half_closed_clients_are_served_and_gone_ones_told_to_the_decisions() -> None:
+def test_half_closed_clients_are_served_and_requests_of_closed_ones_cancelled() -> None:
     async def main() -> None:
-        held: list[tuple[Request, Exchange]] = []
+        pending: list[tuple[Request, Exchange]] = []
 
-        def later(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
-            held.append((request, exchange))
+        def answer_later(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
+            pending.append((request, exchange))
 
-        async with place(later) as (dispatcher, (worker,)):
+        async with place(answer_later) as (dispatcher, (worker,)):
             loop = asyncio.get_running_loop()
             data = encode_request("POST", f"{BASE}/actions/grant?blocking=true&result=true", "x", b'{"a":1}', auth())
-            half = await connect(dispatcher.server.address)
-            await loop.sock_sendall(half, data)
-            half.shutdown(socket.SHUT_WR)
-            gone = await connect(dispatcher.server.address)
-            await loop.sock_sendall(gone, data)
-            while len(held) < 2:
+            half_closed = await connect(dispatcher.server.address)
+            await loop.sock_sendall(half_closed, data)
+            half_closed.shutdown(socket.SHUT_WR)
+            closed = await connect(dispatcher.server.address)
+            await loop.sock_sendall(closed, data)
+            while len(pending) < 2:
                 await asyncio.sleep(0.01)
-            gone.close()  # a plain close: only writing to it can tell it from a half-closed one
+            closed.close()  # not a reset: only a write shows that it is not half-closed
             await asyncio.sleep(0.15)
             assert dispatcher.gateway.counts.failed == 1 and dispatcher.gateway.in_flight == 1
-            answer(worker, *held[0])
-            assert (await read_reply(half)).body == b'{"a":1}'
-            half.close()
+            answer(worker, *pending[0])
+            assert (await read_reply(half_closed)).body == b'{"a":1}'
+            half_closed.close()
 
     run(main())
 
 
-def test_a_thousand_idle_connections_and_one_that_reads_a_byte_a_second() -> None:
+def test_a_thousand_idle_connections_and_one_that_does_not_read() -> None:
     async def main() -> None:
         async with place(answer) as (dispatcher, _):
             loop = asyncio.get_running_loop()
@@ -291,14 +291,14 @@
             slow.setblocking(False)
             host, _, port = dispatcher.server.address.rpartition(":")
             await loop.sock_connect(slow, (host, int(port)))
-            many = encode_request("GET", f"{BASE}/actions", "x", b"", auth()) * 4000
-            sending = asyncio.create_task(loop.sock_sendall(slow, many))
+            requests = encode_request("GET", f"{BASE}/actions", "x", b"", auth()) * 4000
+            sending = asyncio.create_task(loop.sock_sendall(slow, requests))
             await asyncio.sleep(0.2)
-            began = loop.time()
+            started_at = loop.time()
             statuses = [(await dispatcher.call("grant"))[0] for _ in range(20)]
-            assert statuses == [200] * 20 and loop.time() - began < 1.0
-            end = loop.time() + 6  # it takes nothing: past the write limit it is closed
-            while dispatcher.server.connections > 1000 and loop.time() < end:
+            assert statuses == [200] * 20 and loop.time() - started_at < 1.0
+            ends_at = loop.time() + 6  # it reads nothing: past the write timeout it is closed
+            while dispatcher.server.connections > 1000 and loop.time() < ends_at:
                 await asyncio.sleep(0.1)
             assert dispatcher.server.connections == 1000
             assert any(event == "slow-reader" for event, _ in dispatcher.log.lines)
@@ -309,34 +309,34 @@
     run(main())
 
 
-def test_draining_answers_what_was_taken_and_takes_nothing_new() -> None:
+def test_draining_answers_requests_in_flight_and_accepts_none() -> None:
     async def main() -> None:
-        held: list[tuple[Request, Exchange]] = []
+        pending: list[tuple[Request, Exchange]] = []
 
-        def later(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
-            held.append((request, exchange))
+        def answer_later(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
+            pending.append((request, exchange))
             asyncio.get_running_loop().call_later(0.2, answer, worker, request, exchange)
 
-        worker = ScriptedWorker("w", later)
+        worker = ScriptedWorker("w", answer_later)
         dispatcher = Dispatcher([worker])
         calls = [asyncio.create_task(dispatcher.call("p/check", body={})) for _ in range(4)]
-        kept = await connect(dispatcher.server.address)
-        while len(held) < 4:
+        idle = await connect(dispatcher.server.address)
+        while len(pending) < 4:
             await asyncio.sleep(0.01)
         dispatcher.api.context.draining = True
         drains = asyncio.gather(dispatcher.driver.drain(2000), dispatcher.server.drain(2000))
         assert [(await call)[0] for call in calls] == [200] * 4
         assert await drains == [True, True]
-        assert await asyncio.get_running_loop().sock_recv(kept, 10) == b""
+        assert await asyncio.get_running_loop().sock_recv(idle, 10) == b""
         with pytest.raises(OSError):
             await connect(dispatcher.server.address)
-        kept.close()
+        idle.close()
         await worker.server.drain(0)
 
     run(main())
 
 
-def test_a_namespace_beyond_its_bound_is_refused_before_anything_is_taken() -> None:
+def test_a_namespace_over_its_limit_is_rejected_on_arrival() -> None:
     async def main() -> None:
         settings = parse(DEPLOYMENT.replace("(records 1000)", "(records 1000) (held-each 3)"), "t")
         worker = ScriptedWorker("w", silent)
@@ -348,118 +348,120 @@
         assert status == 429 and headers["retry-after"] == "1" and "in flight" in body["error"]
         other = auth("00000000-0000-0000-0000-000000000002", "k2")
         status, _, _ = await dispatcher.ask("POST", f"{BASE}/actions/p/check", {}, other)
-        assert status == 202, "another namespace is served"
+        assert status == 202, "another namespace is accepted"
         assert dispatcher.gateway.counts.received == 4 and dispatcher.gateway.limits.rejections["namespace"] == 1
         assert all(status in (429, 502) for status, _, _ in await asyncio.gather(*calls))
         status, _, _ = await dispatcher.call("p/check", blocking=False, body={})
-        assert status in (202, 429) and dispatcher.gateway.limits.rejections["namespace"] == 1, "there is room again"
+        assert status in (202, 429) and dispatcher.gateway.limits.rejections["namespace"] == 1, "below the limit again"
         await dispatcher.server.drain(0)
         await worker.server.drain(0)
 
     run(main())
 
 
-def test_many_slow_readers_stay_within_the_bound_and_others_are_served() -> None:
+def test_slow_readers_stay_within_the_memory_limit_and_others_are_served() -> None:
     async def main() -> None:
-        loop, noted = asyncio.get_running_loop(), []
+        loop, events = asyncio.get_running_loop(), []
         server = HttpServer(
             lambda request, exchange: exchange.reply(200, b"x" * 500_000) and None,
             Limits(unread_bytes=5e6),
-            lambda event, **_: noted.append(event),
+            lambda event, **_: events.append(event),
         )
         server.listen("127.0.0.1", 0)
-        ask, socks, most = encode_request("GET", "/", "x", b"") * 30, [], 0
-        for _ in range(20):  # 300 MB asked for and not read; the system's own buffers take a part
+        requests, socks, peak_bytes = encode_request("GET", "/", "x", b"") * 30, [], 0
+        for _ in range(20):  # 300 MB requested and not read; the kernel's buffers hold a part
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1024)
             sock.setblocking(False)
             host, _, port = server.address.rpartition(":")
             await loop.sock_connect(sock, (host, int(port)))
-            await loop.sock_sendall(sock, ask)
+            await loop.sock_sendall(sock, requests)
             socks.append(sock)
             await asyncio.sleep(0.02)
-            most = max(most, server.unwritten_bytes)
-        assert 3e6 < most <= 5e6, "filled, and bounded"
-        assert server.slow_readers_closed > 0 and "slow-reader-cut" in noted
+            peak_bytes = max(peak_bytes, server.unwritten_bytes)
+        assert 3e6 < peak_bytes <= 5e6, "filled, and bounded"
+        assert server.slow_readers_closed > 0 and "slow-reader-cut" in events
         assert (await exchange(server.address, encode_request("GET", "/", "x", b""))).status == 200
         for sock in socks:
             sock.close()
         await asyncio.sleep(0.2)
-        assert server.unwritten_bytes == 0, "nothing stays counted"
+        assert server.unwritten_bytes == 0, "none stays counted"
         await server.drain(0)
 
     run(main())
 
 
-def test_a_poll_elsewhere_is_told_where_to_ask_or_that_it_is_not_known() -> None:
+def test_a_poll_at_another_dispatcher_is_redirected_or_not_found() -> None:
     async def main() -> None:
         worker = ScriptedWorker("w", silent)
         one = Dispatcher([worker], boot=id_prefix("one") + "1" * 10)
         two = Dispatcher([worker], boot=id_prefix("two") + "2" * 10)
         peers = [Peer("one", one.server.address), Peer("two", two.server.address)]
         two.driver.on_endpoints(EndpointList(9, [worker.entry], "test", peers))
-        status, _, told = await one.call("grant", blocking=False, body={})
+        status, _, accepted = await one.call("grant", blocking=False, body={})
         assert status == 202
-        target = f"{BASE}/activations/{told['activationId']}"
+        target = f"{BASE}/activations/{accepted['activationId']}"
         status, headers, body = await two.ask("GET", target + "?wait=50")
         assert status == 307 and headers["location"] == f"http://{one.server.address}{target}?wait=50"
         assert "one" in body["error"]
         assert (await two.ask("DELETE", target))[0] == 307
         status, _, body = await two.ask("GET", f"{BASE}/activations/{id_prefix('three')}{'0' * 26}")
-        assert status == 404 and "does not know" in body["error"], "of what may be in hand elsewhere it says no more"
+        assert status == 404 and "does not know" in body["error"], (
+            "it says no more about another dispatcher's activations"
+        )
         status, _, body = await two.ask("GET", f"{BASE}/activations/{id_prefix('two')}{'0' * 26}")
         assert status == 404 and "kept here" in body["error"]
-        assert (await one.ask("GET", target))[0] == 404, "in hand"
-        for end in (one, two):
-            await end.driver.drain(0)
-            await end.server.drain(0)
+        assert (await one.ask("GET", target))[0] == 404, "in flight"
+        for dispatcher in (one, two):
+            await dispatcher.driver.drain(0)
+            await dispatcher.server.drain(0)
         await worker.server.drain(0)
 
     run(main())
 
 
 @pytest.mark.parametrize(
-    ("action", "answered", "sends"),
+    ("action", "final_answer", "attempts"),
     [("p/check", "completed", 2), ("activate", "completed", 2), ("grant", "aborted", 1)],
 )
-def test_half_an_answer_may_have_run(action: str, answered: str, sends: int) -> None:
-    """The worker's connection ends in the middle of its answer's body: what may not run twice is not sent again."""
+def test_a_request_with_a_truncated_answer_may_have_run(action: str, final_answer: str, attempts: int) -> None:
+    """The worker's connection ends in the middle of its answer's body: an at-most-once request is not retried."""
 
-    def half(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
+    def answer_truncated(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
         infer, payload = read_infer(request.body)
         if sum(len(w.sends) for w in workers) > 1:
             answer(worker, request, exchange)
             return
-        whole = encode_response(200, infer_answer("m", infer.id, payload, True))
+        reply = encode_response(200, infer_answer("m", infer.id, payload, True))
         exchange.keep_alive = False
-        exchange._connection._out += whole[:-7]
+        exchange._connection._out += reply[:-7]
         exchange._connection._close_when_written = True
         exchange._connection._wake_writer()
 
     workers: list[ScriptedWorker] = []
 
     async def main() -> None:
-        async with place(half, half) as (dispatcher, made):
-            workers.extend(made)
+        async with place(answer_truncated, answer_truncated) as (dispatcher, both):
+            workers.extend(both)
             status, _, record = await dispatcher.call(action, body={"a": 1}, key="k")
-            assert verdict(record)["answer"] == answered and (status == 200) == (answered == "completed")
-            assert sum(len(w.sends) for w in made) == sends
+            assert verdict(record)["answer"] == final_answer and (status == 200) == (final_answer == "completed")
+            assert sum(len(w.sends) for w in both) == attempts
             assert dispatcher.gateway.counts.attempt_statuses == {AttemptStatus.CONNECTION_LOST: 1} | (
-                {AttemptStatus.COMPLETED: 1} if sends == 2 else {}
+                {AttemptStatus.COMPLETED: 1} if attempts == 2 else {}
             )
 
     run(main())
 
 
 def test_an_answer_after_the_final_one_changes_nothing() -> None:
-    held: list[tuple[ScriptedWorker, Request, Exchange]] = []
+    pending: list[tuple[ScriptedWorker, Request, Exchange]] = []
 
     async def main() -> None:
-        async with place(lambda *line: held.append(line)) as (dispatcher, (worker,)):
+        async with place(lambda *call: pending.append(call)) as (dispatcher, (worker,)):
             status, _, record = await dispatcher.call("grant", body={"a": 1})
             assert status == 502 and verdict(record)["answer"] == "aborted"
-            for line in held:
-                answer(*line)
+            for call in pending:
+                answer(*call)
             await asyncio.sleep(0.05)
             again = (await dispatcher.ask("GET", f"{BASE}/activations/{record['activationId']}"))[2]
             assert again == record and len(worker.sends) == 1 and not dispatcher.gateway.in_flight
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -1,4 +1,4 @@
-"""The second front through a gRPC client library: calls, streams, errors; and through a client that means harm."""
+"""The inference API through a gRPC client library, and its server through malformed and hostile frames."""
 
 from __future__ import annotations
 
@@ -49,11 +49,11 @@
 from kelptrail.settings.deployment import parse
 
 ROOT = Path(__file__).parent.parent
-MOST = [("grpc.max_receive_message_length", 1 << 26), ("grpc.use_local_subchannel_pool", 1)]
+CHANNEL_OPTIONS = [("grpc.max_receive_message_length", 1 << 26), ("grpc.use_local_subchannel_pool", 1)]
 BASE = "/api/v1/namespaces/_"
 
 
-def test_the_generated_code_is_fresh(tmp_path: Path) -> None:
+def test_generated_code_matches_the_proto_file(tmp_path: Path) -> None:
     folder = ROOT / "kelptrail" / "front" / "inference"
     subprocess.run(
         [
@@ -71,7 +71,7 @@
         assert (tmp_path / name).read_text() == (folder / name).read_text(), "run `make proto`"
 
 
-# The codecs.
+# Codecs.
 
 
 def test_messages_timeouts_and_trailers() -> None:
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("datatype", sorted(KINDS))
-def test_every_datatype_goes_through_json_and_back_typed_and_raw(datatype: str) -> None:
+def test_every_datatype_round_trips_through_json_typed_and_raw(datatype: str) -> None:
     size, field, kind = KINDS[datatype]
     info = np.iinfo(kind) if "INT" in datatype else None
     values: list[Any] = SAMPLES.get(datatype) or [int(info.min), int(info.max), 7]  # type: ignore[union-attr]
@@ -118,20 +118,19 @@
     forms = [(pb.ModelInferRequest.InferInputTensor(name="t", datatype=datatype, shape=[len(values)]), raw)]
     if field:
         forms.append((tensor(datatype, values), None))
-    for given, packed in forms:
-        kept = to_json(given, packed)
-        got = values_of(kept)
-        assert str(got) == str(values)
+    for message, raw_contents in forms:
+        in_json = to_json(message, raw_contents)
+        assert str(values_of(in_json)) == str(values)
         back = pb.ModelInferResponse.InferOutputTensor()
-        assert fill(back, kept, True) == raw
+        assert fill(back, in_json, True) == raw
         if field:
             back = pb.ModelInferResponse.InferOutputTensor()
-            assert fill(back, kept, False) is None and str(list(getattr(back.contents, field))) == str(values)
+            assert fill(back, in_json, False) is None and str(list(getattr(back.contents, field))) == str(values)
 
 
-def test_faulty_tensors_are_refused_by_name() -> None:
+def test_malformed_tensors_are_rejected_by_name() -> None:
     make = pb.ModelInferRequest.InferInputTensor
-    faults = [
+    malformed = [
         (make(name="t", datatype="INT9", shape=[1]), None, "datatype"),
         (make(name="", datatype="INT8", shape=[1]), None, "without a name"),
         (make(name="t", datatype="INT8", shape=[-1]), None, "negative"),
@@ -146,54 +145,54 @@
         (tensor("INT32", [1, 2], [3]), None, "2 elements"),
         (tensor("INT32", [1]), b"\0\0\0\0", "both typed and raw"),
     ]
-    wrong = tensor("INT32", [1])
-    wrong.contents.fp32_contents.append(0.5)
-    for given, raw, text in [*faults, (wrong, None, "fp32_contents")]:
+    wrong_field = tensor("INT32", [1])
+    wrong_field.contents.fp32_contents.append(0.5)
+    for message, raw, text in [*malformed, (wrong_field, None, "fp32_contents")]:
         with pytest.raises(TensorError, match=text):
-            to_json(given, raw)
-    for kept, text in (
+            to_json(message, raw)
+    for in_json, text in (
         (JsonTensor("t", "INT8", [1], ["1"]), "no INT8"),
         (JsonTensor("t", "BYTES", [1], [1]), "no text"),
         (JsonTensor("t", "FP32", [1], [[[1.0, 2.0]]]), "2 elements"),
         (JsonTensor("t", "FP32", [1], ["*"], {"raw": True}), "base64"),
     ):
         with pytest.raises(TensorError, match=text):
-            values_of(kept)
+            values_of(in_json)
     assert values_of(JsonTensor("t", "INT8", [2, 2], [[1, 2], [3, 4]])) == [1, 2, 3, 4], "nested lists are allowed"
 
 
-def test_seeded_garbage_ends_in_named_errors_only() -> None:
-    chance = np.random.default_rng(5)
+def test_random_bytes_raise_typed_errors_only() -> None:
+    rng = np.random.default_rng(5)
     inputs = [tensor("BYTES", [b"abc"]), tensor("FP32", [1.0, 2.0], name="u")]
-    whole = pb.ModelInferRequest(
+    encoded = pb.ModelInferRequest(
         model_name="m", inputs=inputs, raw_input_contents=[b"\0" * 7, b"\1\0\0\0x"]
     ).SerializeToString()
-    refused = taken = 0
+    rejected = accepted = 0
     for _ in range(3000):
-        data = bytearray(whole)
-        for _ in range(int(chance.integers(1, 6))):
-            data[int(chance.integers(len(data)))] = int(chance.integers(256))
+        data = bytearray(encoded)
+        for _ in range(int(rng.integers(1, 6))):
+            data[int(rng.integers(len(data)))] = int(rng.integers(256))
         try:
             request = pb.ModelInferRequest.FromString(bytes(data))
-            for n, one in enumerate(request.inputs):
-                raws = request.raw_input_contents
-                to_json(one, raws[n] if n < len(raws) else None)
-            taken += 1
+            for n, tensor_ in enumerate(request.inputs):
+                raw_contents = request.raw_input_contents
+                to_json(tensor_, raw_contents[n] if n < len(raw_contents) else None)
+            accepted += 1
         except (TensorError, Exception) as cause:
             assert isinstance(cause, TensorError) or type(cause).__name__ == "DecodeError", repr(cause)
-            refused += 1
+            rejected += 1
         with pytest.raises(GrpcError):
             MessageReader(100).feed(b"\2" + bytes(data))
-    assert refused > 2000 and refused + taken == 3000
+    assert rejected > 2000 and rejected + accepted == 3000
 
 
-# The guard.
+# Flood guard.
 
 
-def test_budgets_fill_again_and_ages_come_in_steps() -> None:
+def test_flood_budgets_refill_and_old_connections_close_in_steps() -> None:
     guard = FloodGuard(GuardSettings(10, 5.0, 1000.0, 300.0), 0.0, 0.5)
     assert [guard.spend(0.0, GuardAction.RESET) for _ in range(11)] == [True] * 10 + [False]
-    assert guard.spend(0.0, GuardAction.PING), "each act has its own"
+    assert guard.spend(0.0, GuardAction.PING), "each kind of frame has a budget of its own"
     assert guard.spend(1000.0, GuardAction.RESET)
     assert guard.due(990.0, 3, 100.0) is None and guard.accepts_streams
     assert guard.due(1000.0, 3, 100.0) is CloseStage.WARNED and guard.accepts_streams
@@ -201,7 +200,9 @@
     assert guard.due(1100.0, 3, 100.0) is CloseStage.CLOSING and not guard.accepts_streams
     assert guard.due(1200.0, 3, 100.0) is None and guard.due(1400.0, 3, 100.0) is CloseStage.CLOSED
     ages = {FloodGuard(GuardSettings(age_ms=1000.0), 0.0, s / 10)._expires_at for s in range(10)}
-    assert len(ages) == 10 and min(ages) >= 900 and max(ages) <= 1100, "not all at once"
+    assert len(ages) == 10 and min(ages) >= 900 and max(ages) <= 1100, (
+        "spread, so that clients do not all reconnect at once"
+    )
 
 
 # Calls, through a client library.
@@ -210,13 +211,13 @@
 class Client:
     """A client of the service."""
 
-    def __init__(self, address: str, who: dict[str, str] | None = None, **options: Any) -> None:
-        self.channel = grpc.aio.insecure_channel(address, options=MOST)
-        self.metadata = list((auth() if who is None else who).items())
+    def __init__(self, address: str, credentials: dict[str, str] | None = None) -> None:
+        self.channel = grpc.aio.insecure_channel(address, options=CHANNEL_OPTIONS)
+        self.metadata = list((auth() if credentials is None else credentials).items())
 
-    def method(self, name: str, answers: Any) -> Any:
+    def method(self, name: str, response_type: Any) -> Any:
         return self.channel.unary_unary(
-            f"/inference.GRPCInferenceService/{name}", lambda m: m.SerializeToString(), answers.FromString
+            f"/inference.GRPCInferenceService/{name}", lambda m: m.SerializeToString(), response_type.FromString
         )
 
     async def infer(
@@ -228,7 +229,7 @@
         id_: str = "1",
         **parameters: Any,
     ) -> Any:
-        request = ask(model, inputs, raw, id_, **parameters)
+        request = infer_request(model, inputs, raw, id_, **parameters)
         return await self.method("ModelInfer", pb.ModelInferResponse)(request, timeout=timeout, metadata=self.metadata)
 
     def stream(self, requests: AsyncIterator[Any] | list[Any], timeout: float | None = None) -> Any:
@@ -238,14 +239,14 @@
             pb.ModelStreamInferResponse.FromString,
         )
 
-        async def all_of() -> AsyncIterator[Any]:
+        async def each() -> AsyncIterator[Any]:
             for request in requests:  # type: ignore[union-attr]
                 yield request
 
-        return method(all_of() if isinstance(requests, list) else requests, timeout=timeout, metadata=self.metadata)
+        return method(each() if isinstance(requests, list) else requests, timeout=timeout, metadata=self.metadata)
 
 
-def ask(
+def infer_request(
     model: str, inputs: list[Any] | None = None, raw: list[bytes] | None = None, id_: str = "1", **parameters: Any
 ) -> Any:
     request = pb.ModelInferRequest(model_name=model, id=id_, inputs=inputs or [], raw_input_contents=raw or [])
@@ -255,24 +256,25 @@
     return request
 
 
-def told(cause: grpc.aio.AioRpcError) -> tuple[str, float | None, str, dict[str, str]]:
-    """Code, when to come back, reason and what else is told."""
+def read_error(cause: grpc.aio.AioRpcError) -> tuple[str, float | None, str, dict[str, str]]:
+    """Code, milliseconds of the retry info, reason and details."""
     headers = dict(cause.trailing_metadata() or ())
-    packed = headers.get("grpc-status-details-bin")
-    if packed is None:
+    status = headers.get("grpc-status-details-bin")
+    if status is None:
         return cause.code().name, None, "", {}
     import base64
 
-    _, _, retry, reason, more = read_trailers(
-        {"grpc-status": str(cause.code().value[0]), "grpc-status-details-bin": base64.b64encode(packed).decode()}
+    _, _, retry_ms, reason, details = read_trailers(
+        {"grpc-status": str(cause.code().value[0]), "grpc-status-details-bin": base64.b64encode(status).decode()}
     )
-    return cause.code().name, retry, reason, more
+    return cause.code().name, retry_ms, reason, details
 
 
-async def fails(call: Any) -> tuple[str, float | None, str, dict[str, str]]:
+async def error_of(call: Any) -> tuple[str, float | None, str, dict[str, str]]:
+    """The error that ends a call, as `read_error` shows it."""
     with pytest.raises(grpc.aio.AioRpcError) as cause:
         await call
-    return told(cause.value)
+    return read_error(cause.value)
 
 
 def test_every_unary_method_and_typed_and_raw_tensors() -> None:
@@ -284,12 +286,13 @@
             assert out.id == "7" and out.model_name == "p/check" and not out.raw_output_contents
             assert list(out.outputs[0].contents.fp32_contents) == [0.5, 2.0]
             assert list(out.outputs[1].contents.bytes_contents) == [b"\xff"]
-            record = await dispatcher.ask("GET", f"{BASE}/activations/{out.parameters['activation_id'].string_param}")
-            assert record[0] == 200 and record[2]["name"] == "check", "the first front shows it, too"
-            made = pb.ModelInferRequest.InferInputTensor(name="r", datatype="INT16", shape=[2, 1])
-            out = await client.infer("p/check", [made], raw=[b"\1\0\2\0"], temperature=0.5)
+            id_ = out.parameters["activation_id"].string_param
+            status, _, record = await dispatcher.ask("GET", f"{BASE}/activations/{id_}")
+            assert status == 200 and record["name"] == "check", "the invoke API shows it, too"
+            untyped = pb.ModelInferRequest.InferInputTensor(name="r", datatype="INT16", shape=[2, 1])
+            out = await client.infer("p/check", [untyped], raw=[b"\1\0\2\0"], temperature=0.5)
             assert list(out.raw_output_contents) == [b"\1\0\2\0"] and list(out.outputs[0].shape) == [2, 1]
-            assert worker.sends[-1][1]["temperature"] == 0.5, "a caller's own parameters go along"
+            assert worker.sends[-1][1]["temperature"] == 0.5, "other parameters are passed on to the worker"
             for name, request, kind, field in (
                 ("ServerLive", pb.ServerLiveRequest(), pb.ServerLiveResponse, "live"),
                 ("ServerReady", pb.ServerReadyRequest(), pb.ServerReadyResponse, "ready"),
@@ -297,8 +300,8 @@
                 ("ServerMetadata", pb.ServerMetadataRequest(), pb.ServerMetadataResponse, "name"),
                 ("ModelMetadata", pb.ModelMetadataRequest(name="grant"), pb.ModelMetadataResponse, "inputs"),
             ):
-                got = await client.method(name, kind)(request, metadata=client.metadata)
-                assert getattr(got, field), name
+                response = await client.method(name, kind)(request, metadata=client.metadata)
+                assert getattr(response, field), name
             for call, code in (
                 (client.infer("nobody"), "NOT_FOUND"),
                 (client.infer("grant", [tensor("INT8", [300])]), "INVALID_ARGUMENT"),
@@ -307,13 +310,13 @@
                 (client.infer("grant", idempotency_key=""), "INVALID_ARGUMENT"),
                 (client.infer("grant", deferred=3), "INVALID_ARGUMENT"),
                 (
-                    client.method("ModelHop", pb.ModelInferResponse)(ask("grant"), metadata=client.metadata),
+                    client.method("ModelHop", pb.ModelInferResponse)(infer_request("grant"), metadata=client.metadata),
                     "UNIMPLEMENTED",
                 ),
                 (Client(dispatcher.grpc.address, {}).infer("grant"), "UNAUTHENTICATED"),
                 (Client(dispatcher.grpc.address, auth(key="no")).infer("grant"), "UNAUTHENTICATED"),
             ):
-                assert (await fails(call))[0] == code
+                assert (await error_of(call))[0] == code
             await client.channel.close()
 
     run(main())
@@ -327,70 +330,72 @@
         (silent, "grant", "DEADLINE_EXCEEDED", "MAY_HAVE_RUN"),
     ],
 )
-def test_the_three_final_answers_and_what_retrying_would_risk(script: Any, action: str, code: str, reason: str) -> None:
+def test_error_statuses_say_what_a_retry_would_risk(script: Any, action: str, code: str, reason: str) -> None:
     async def main() -> None:
         async with place(script) as (dispatcher, _):
             client = Client(dispatcher.grpc.address)
-            got, retry, why, more = await fails(client.infer(action))
-            assert (got, why) == (code, reason)
-            assert (retry is not None) == (why == "REJECTED")
-            if why == "MAY_HAVE_RUN":
-                assert "second effect" in more["retrying"] and more["effect"] == "once-only"
+            got_code, retry_ms, got_reason, details = await error_of(client.infer(action))
+            assert (got_code, got_reason) == (code, reason)
+            assert (retry_ms is not None) == (reason == "REJECTED")
+            if reason == "MAY_HAVE_RUN":
+                assert "second effect" in details["retrying"] and details["effect"] == "once-only"
             await client.channel.close()
 
     run(main())
 
 
-def test_deadlines_cancelling_marks_and_deferred_calls_on_both_fronts() -> None:
-    held: list[Any] = []
+def test_deadlines_cancels_idempotency_keys_and_deferred_requests_on_both_apis() -> None:
+    pending: list[Any] = []
 
     async def main() -> None:
-        async with place(lambda *line: held.append(line)) as (dispatcher, (worker,)):
+        async with place(lambda *call: pending.append(call)) as (dispatcher, (worker,)):
             client = Client(dispatcher.grpc.address)
             loop = asyncio.get_running_loop()
-            began = loop.time()
-            code, *_ = await fails(client.infer("grant", timeout=0.4))
-            assert code == "DEADLINE_EXCEEDED" and loop.time() - began < 0.5
-            assert worker.sends[-1][1]["limit_ms"] < 400, "the worker is told the client's own deadline"
+            started_at = loop.time()
+            code, *_ = await error_of(client.infer("grant", timeout=0.4))
+            assert code == "DEADLINE_EXCEEDED" and loop.time() - started_at < 0.5
+            assert worker.sends[-1][1]["limit_ms"] < 400, "the worker gets the client's own deadline"
             call = asyncio.create_task(client.infer("p/check"))
-            while len(held) < 2:
+            while len(pending) < 2:
                 await asyncio.sleep(0.01)
             call.cancel()
             while dispatcher.gateway.in_flight:
                 await asyncio.sleep(0.01)
-            assert dispatcher.gateway.counts.failed == 2, "a cancelled call is told to the decisions"
-            # A mark joins what is in hand, on either front; another body conflicts.
-            one = tensor("INT8", [1])
-            first = asyncio.create_task(client.infer("activate", [one], idempotency_key="k"))
-            while len(held) < 3:
+            assert dispatcher.gateway.counts.failed == 2, "the dispatcher knows that the call was cancelled"
+            # A repeated key joins the request in flight; another body conflicts.
+            inputs = tensor("INT8", [1])
+            first = asyncio.create_task(client.infer("activate", [inputs], idempotency_key="k"))
+            while len(pending) < 3:
                 await asyncio.sleep(0.01)
-            again = asyncio.create_task(client.infer("activate", [one], idempotency_key="k", id_="2"))
-            two = tensor("INT8", [2])
-            assert (await fails(client.infer("activate", [two], idempotency_key="k")))[0] == "ALREADY_EXISTS"
+            repeat = asyncio.create_task(client.infer("activate", [inputs], idempotency_key="k", id_="2"))
+            other_inputs = tensor("INT8", [2])
+            code, *_ = await error_of(client.infer("activate", [other_inputs], idempotency_key="k"))
+            assert code == "ALREADY_EXISTS"
             await asyncio.sleep(0.05)
-            answer(*held[2])
-            a, b = await asyncio.gather(first, again)
-            assert a.parameters["activation_id"] == b.parameters["activation_id"] and (a.id, b.id) == ("1", "2")
-            assert len(held) == 3
-            # Deferred on one front, polled on the other.
-            given = await client.infer("p/check", [one], deferred=True)
-            id_ = given.parameters["activation_id"].string_param
-            assert given.parameters["deferred"].bool_param and not given.outputs
-            assert (await fails(client.infer("p/check", poll=id_)))[2] == "IN_HAND"
+            answer(*pending[2])
+            responses = await asyncio.gather(first, repeat)
+            assert responses[0].parameters["activation_id"] == responses[1].parameters["activation_id"]
+            assert [r.id for r in responses] == ["1", "2"]
+            assert len(pending) == 3
+            # Deferred on one API, polled on the other.
+            accepted = await client.infer("p/check", [inputs], deferred=True)
+            id_ = accepted.parameters["activation_id"].string_param
+            assert accepted.parameters["deferred"].bool_param and not accepted.outputs
+            assert (await error_of(client.infer("p/check", poll=id_)))[2] == "IN_HAND"
             poll = asyncio.create_task(client.infer("p/check", poll=id_, wait_ms=2000))
             await asyncio.sleep(0.05)
-            answer(*held[3])
+            answer(*pending[3])
             assert list((await poll).outputs[0].contents.int_contents) == [1]
             assert (await dispatcher.final(id_))["response"]["result"]["outputs"][0]["data"] == [1]
-            _, _, said = await dispatcher.call("p/check", blocking=False, body={"a": 1})
-            while len(held) < 5:
+            _, _, accepted = await dispatcher.call("p/check", blocking=False, body={"a": 1})
+            while len(pending) < 5:
                 await asyncio.sleep(0.01)
-            answer(*held[4])
-            out = await client.infer("p/check", poll=said["activationId"], wait_ms=1000)
+            answer(*pending[4])
+            out = await client.infer("p/check", poll=accepted["activationId"], wait_ms=1000)
             assert list(out.outputs[0].contents.bytes_contents) == [b'{"a":1}']
-            assert (await fails(client.infer("p/check", poll="0" * 32)))[2] == "UNKNOWN_ID"
+            assert (await error_of(client.infer("p/check", poll="0" * 32)))[2] == "UNKNOWN_ID"
             other = Client(dispatcher.grpc.address, auth("00000000-0000-0000-0000-000000000002", "k2"))
-            assert (await fails(other.infer("p/check", poll=id_)))[0] == "NOT_FOUND", "a namespace sees its own"
+            assert (await error_of(other.infer("p/check", poll=id_)))[0] == "NOT_FOUND", "of another namespace"
             await client.channel.close()
 
     run(main())
@@ -407,23 +412,24 @@
     ]
 
 
-def test_streams_carry_many_parts_for_many_requests_at_once() -> None:
+def test_one_stream_carries_parts_of_many_requests() -> None:
     async def main() -> None:
         async with place(parts(5, 0.01), parts(5, 0.01)) as (dispatcher, workers):
             client = Client(dispatcher.grpc.address)
-            got: dict[str, list[Any]] = {}
-            async for response in client.stream([ask("p/check", id_=f"r{n}") for n in range(6)]):
-                got.setdefault(response.infer_response.id, []).append(response)
-            assert sorted(got) == [f"r{n}" for n in range(6)]
-            for responses in got.values():
+            by_request: dict[str, list[Any]] = {}
+            async for response in client.stream([infer_request("p/check", id_=f"r{n}") for n in range(6)]):
+                by_request.setdefault(response.infer_response.id, []).append(response)
+            assert sorted(by_request) == [f"r{n}" for n in range(6)]
+            for responses in by_request.values():
                 assert numbers(responses) == [0, 1, 2, 3, 4]
                 assert responses[-1].infer_response.parameters["final_response"].bool_param
                 assert sum(r.infer_response.parameters["final_response"].bool_param for r in responses) == 1
             assert sum(len(w.sends) for w in workers) == 6
             assert dispatcher.gateway.counts.completed == 6 and not dispatcher.gateway.in_flight
-            # One that does not stream gives all in one; a faulty request ends alone.
+            # A worker that does not stream answers in one part; a faulty request ends alone.
             workers[0].script = workers[1].script = answer
-            out = [r async for r in client.stream([ask("p/check", [tensor("INT8", [3])]), ask("nobody", id_="n")])]
+            requests = [infer_request("p/check", [tensor("INT8", [3])]), infer_request("nobody", id_="n")]
+            out = [r async for r in client.stream(requests)]
             good = next(r for r in out if r.infer_response.id == "1")
             assert list(good.infer_response.outputs[0].contents.int_contents) == [3]
             bad = next(r for r in out if r.infer_response.id == "n")
@@ -436,14 +442,14 @@
 
 @pytest.mark.parametrize("end", ["cut", "stall"])
 @pytest.mark.parametrize("action", ["p/check", "grant"])
-def test_after_its_first_part_nothing_is_sent_again_whatever_the_effect(end: str, action: str) -> None:
+def test_a_stream_is_not_retried_after_its_first_part(end: str, action: str) -> None:
     settings = parse(DEPLOYMENT.replace("(timeout-ms 900)", "(timeout-ms 900) (stall-ms 300)"), "t")
 
     async def main() -> None:
         workers = [ScriptedWorker(f"w{n}", parts(2, 0.01, end)) for n in range(2)]
         dispatcher = Dispatcher(workers, settings)
         client = Client(dispatcher.grpc.address)
-        out = [r async for r in client.stream([ask(action)])]
+        out = [r async for r in client.stream([infer_request(action)])]
         assert numbers(out[:-1]) == [0, 1]
         assert out[-1].error_message.startswith("ABORTED") and "middle of its stream" in out[-1].error_message
         assert sum(len(w.sends) for w in workers) == 1
@@ -457,54 +463,54 @@
     run(main())
 
 
-def test_a_stream_cut_off_long_after_its_first_part_was_not_late() -> None:
-    """Guards against telling a deadline where a worker broke off: a stream has a time of its own."""
+def test_a_stream_cut_after_its_first_part_is_aborted_and_not_timed_out() -> None:
+    """Guards against reporting a deadline where the worker's connection was lost."""
 
     async def main() -> None:
-        async with place(parts(12, 0.1, "cut")) as (dispatcher, _):  # 1.2 s, its type has 900 ms to the first part
+        async with place(parts(12, 0.1, "cut")) as (dispatcher, _):  # 1.2 s; its class has 900 ms to the first part
             client = Client(dispatcher.grpc.address)
-            out = [r async for r in client.stream([ask("grant")])]
+            out = [r async for r in client.stream([infer_request("grant")])]
             assert numbers(out[:-1]) == list(range(12)) and out[-1].error_message.startswith("ABORTED")
             await client.channel.close()
 
     run(main())
 
 
-def test_before_its_first_part_a_stream_goes_to_another_worker() -> None:
+def test_a_stream_is_retried_at_another_worker_before_its_first_part() -> None:
     async def main() -> None:
         async with place(reset, reset) as (dispatcher, workers):
-            sent: list[Any] = []
+            attempts: list[Any] = []
 
             def first_breaks(worker: Any, request: Any, exchange: Any) -> None:
-                sent.append(worker)
-                (reset if len(sent) == 1 else parts(2))(worker, request, exchange)
+                attempts.append(worker)
+                (reset if len(attempts) == 1 else parts(2))(worker, request, exchange)
 
             for worker in workers:
                 worker.script = first_breaks
             client = Client(dispatcher.grpc.address)
-            out = [r async for r in client.stream([ask("p/check")])]
-            assert numbers(out) == [0, 1] and len(sent) == 2
+            out = [r async for r in client.stream([infer_request("p/check")])]
+            assert numbers(out) == [0, 1] and len(attempts) == 2
             await client.channel.close()
 
     run(main())
 
 
-async def endless() -> AsyncIterator[Any]:
-    """A client that never ends its side, and asks for nothing."""
+async def silent_client() -> AsyncIterator[Any]:
+    """A client that sends no request and does not end its side."""
     await asyncio.sleep(30)
-    yield ask("grant")
+    yield infer_request("grant")
 
 
-def test_a_stream_outlives_the_time_to_its_first_part() -> None:
+def test_a_stream_may_outlast_the_timeout_of_its_first_part() -> None:
     async def main() -> None:
-        async with place(parts(12, 0.1)) as (dispatcher, _):  # its type has 900 ms, to the first part
+        async with place(parts(12, 0.1)) as (dispatcher, _):  # its class has 900 ms to the first part
             client = Client(dispatcher.grpc.address)
-            assert numbers([r async for r in client.stream([ask("grant")])]) == list(range(12))
-            # The client's own deadline is one for the whole: told within the stream, in time for its status.
-            out = [r async for r in client.stream([ask("grant")], timeout=0.5)]
+            assert numbers([r async for r in client.stream([infer_request("grant")])]) == list(range(12))
+            # The client's own deadline is for the whole stream: the error comes within it, before the call's status.
+            out = [r async for r in client.stream([infer_request("grant")], timeout=0.5)]
             assert out[-1].error_message.startswith("DEADLINE_EXCEEDED") and 2 < len(out) < 7
-            never = client.stream(endless(), timeout=0.3)
-            assert (await fails(never.read()))[0] == "DEADLINE_EXCEEDED"
+            call = client.stream(silent_client(), timeout=0.3)
+            assert (await error_of(call.read()))[0] == "DEADLINE_EXCEEDED"
             while dispatcher.gateway.in_flight:
                 await asyncio.sleep(0.01)
             await client.channel.close()
@@ -512,19 +518,19 @@
     run(main())
 
 
-def test_a_slow_reader_holds_its_worker_back_and_memory_stays_bounded() -> None:
+def test_a_slow_reader_pauses_its_worker_and_memory_stays_bounded() -> None:
     async def main() -> None:
         async with place(parts(400, 0.0, "final", 50_000)) as (dispatcher, (worker,)):
             client = Client(dispatcher.grpc.address)
-            call = client.stream([ask("p/check")])
+            call = client.stream([infer_request("p/check")])
             reads = call.__aiter__()
             assert (await anext(reads)).infer_response.id == "1"
             await asyncio.sleep(0.7)
-            held, given = dispatcher.grpc.unwritten_bytes, worker.given
-            assert held < 262_144 + 200_000, "20 MB are to come"
-            assert given < 350, "the worker waits"
+            unwritten_bytes, written = dispatcher.grpc.unwritten_bytes, worker.given
+            assert unwritten_bytes < 262_144 + 200_000, "of 20 MB"
+            assert written < 350, "the worker waits"
             await asyncio.sleep(0.3)
-            assert worker.given - given < 20
+            assert worker.given - written < 20
             out = [r async for r in reads]
             assert len(out) == 400 and out[-1].infer_response.parameters["final_response"].bool_param, "399 and the end"
             assert dispatcher.gateway.counts.completed == 1
@@ -533,18 +539,18 @@
     run(main())
 
 
-def test_cancelling_in_the_middle_of_a_stream_calls_the_worker_off() -> None:
+def test_cancelling_a_stream_cancels_its_attempt() -> None:
     async def main() -> None:
         async with place(parts(1000, 0.01)) as (dispatcher, (worker,)):
             client = Client(dispatcher.grpc.address)
-            call = client.stream([ask("grant")])
+            call = client.stream([infer_request("grant")])
             for _ in range(3):
                 await call.read()
             call.cancel()
             await asyncio.sleep(0.3)
-            given = worker.given
+            written = worker.given
             await asyncio.sleep(0.2)
-            assert worker.given <= given + 1 < 100 and not dispatcher.gateway.in_flight
+            assert worker.given <= written + 1 < 100 and not dispatcher.gateway.in_flight
             assert dispatcher.gateway.counts.failed == 1
             await client.channel.close()
 
@@ -552,7 +558,7 @@
 
 
 @pytest.mark.processes
-def test_a_thousand_streams_at_once() -> None:
+def test_a_thousand_concurrent_streams() -> None:
     settings = parse(
         DEPLOYMENT.replace("(lanes 4)", "(lanes 2000)")
         .replace("(timeout-ms 900)", "(timeout-ms 55000) (stall-ms 55000)")
@@ -561,28 +567,28 @@
     )
 
     async def main() -> None:
-        all_open = asyncio.Event()  # no worker goes on past its first part before
+        all_open = asyncio.Event()  # workers wait for it after their first part
         workers = [ScriptedWorker(f"w{n}", parts(3, gate=all_open)) for n in range(4)]
         dispatcher = Dispatcher(workers, settings)
-        for known in dispatcher.gateway.members:
-            known.concurrency_limit = 400.0
+        for member in dispatcher.gateway.members:
+            member.concurrency_limit = 400.0
         client = Client(dispatcher.grpc.address)
 
-        async def watch() -> int:
+        async def wait_until_open() -> int:
             while dispatcher.grpc.open_streams < 1000:
                 await asyncio.sleep(0.005)
             all_open.set()
             return dispatcher.grpc.open_streams
 
-        async def one(n: int) -> list[int]:
+        async def read_stream(n: int) -> list[int]:
             out = []
-            async for response in client.stream([ask("p/check", id_=str(n))]):
+            async for response in client.stream([infer_request("p/check", id_=str(n))]):
                 out.append(response)
             assert not out[-1].error_message, out[-1].error_message
             return numbers(out)
 
-        most, *done = await asyncio.gather(watch(), *(one(n) for n in range(1000)))
-        assert done == [[0, 1, 2]] * 1000 and most == 1000
+        open_streams, *received = await asyncio.gather(wait_until_open(), *(read_stream(n) for n in range(1000)))
+        assert received == [[0, 1, 2]] * 1000 and open_streams == 1000
         assert dispatcher.grpc.open_streams == 0 and dispatcher.grpc.unwritten_bytes == 0
         await client.channel.close()
         await dispatcher.grpc.drain(0)
@@ -596,8 +602,8 @@
 # Connections.
 
 
-class Raw:
-    """A client on frames of its own."""
+class FrameClient:
+    """A client that writes HTTP/2 frames itself."""
 
     def __init__(self, sock: Any) -> None:
         self.sock, self.events = sock, list[Any]()
@@ -611,7 +617,7 @@
         await self.loop.sock_sendall(self.sock, self.h2.data_to_send())
 
     async def read(self, until: type, within: float = 2.0) -> Any:
-        """Events until one of a kind; None where the connection ends first."""
+        """The next event of a kind; None where the connection ends first."""
         buffer = bytearray(65536)
         async with asyncio.timeout(within):
             while True:
@@ -653,180 +659,180 @@
             self.h2.send_data(id_, encode_message(b"") if data is None else data, end_stream=end)
 
 
-async def guarded(handler: Any = None, **limits: Any) -> tuple[GrpcServer, Silent]:
+async def serve(handler: Any = None, **limits: Any) -> tuple[GrpcServer, Silent]:
     log = Silent()
 
-    def live(stream: GrpcStream) -> None:
-        def whole() -> None:
+    def reply_ok(stream: GrpcStream) -> None:
+        def on_end() -> None:
             stream.send(b"ok")
             stream.finish()
 
-        stream.on_end = whole
+        stream.on_end = on_end
 
-    server = GrpcServer(handler or live, GrpcLimits(**limits), log.warning)
+    server = GrpcServer(handler or reply_ok, GrpcLimits(**limits), log.warning)
     server.listen("127.0.0.1", 0)
     return server, log
 
 
-def test_floods_that_cost_their_sender_nothing_end_the_connection() -> None:
+def test_floods_of_cheap_frames_close_the_connection() -> None:
     async def main() -> None:
         for kind in ("reset", "ping", "settings", "empty"):
-            server, log = await guarded(guard=GuardSettings(burst=50, per_s=1.0))
-            raw = Raw(await connect(server.address))
-            await raw.flush()
-            assert await raw.read(h2.events.RemoteSettingsChanged) is not None
+            server, log = await serve(guard=GuardSettings(burst=50, per_s=1.0))
+            client = FrameClient(await connect(server.address))
+            await client.flush()
+            assert await client.read(h2.events.RemoteSettingsChanged) is not None
             if kind == "empty":
-                raw.call(1, end=False, data=b"")
+                client.call(1, end=False, data=b"")
             for n in range(80):
                 if kind == "reset":
-                    raw.call(2 * n + 1, end=False)
-                    raw.h2.reset_stream(2 * n + 1)
+                    client.call(2 * n + 1, end=False)
+                    client.h2.reset_stream(2 * n + 1)
                 elif kind == "ping":
-                    raw.h2.ping(b"12345678")
+                    client.h2.ping(b"12345678")
                 elif kind == "settings":
-                    raw.h2.update_settings({4: 65535 + n})
+                    client.h2.update_settings({4: 65535 + n})
                 else:
-                    raw.h2.send_data(1, b"")
-            await raw.flush()
-            gone = await raw.read(h2.events.ConnectionTerminated)
-            assert gone is not None and gone.error_code == 11, kind
+                    client.h2.send_data(1, b"")
+            await client.flush()
+            goaway = await client.read(h2.events.ConnectionTerminated)
+            assert goaway is not None and goaway.error_code == 11, kind
             assert server.floods_stopped == 1 and ("flood" in [e for e, _ in log.lines])
             await asyncio.sleep(0.1)
             assert server.connections == 0 and server.open_streams == 0
-            raw.sock.close()
+            client.sock.close()
             await server.drain(0)
 
     run(main())
 
 
-def test_hostile_headers_frames_and_half_calls_are_answered_or_closed() -> None:
+def test_malformed_headers_frames_and_incomplete_calls_are_answered_or_closed() -> None:
     async def main() -> None:
-        server, _ = await guarded(header_bytes=4096, message_bytes=1000, read_ms=200.0, connections=40)
-        raw = Raw(await connect(server.address))
-        raw.call(1, data=encode_message(b"x" * 1001), end=False)
-        raw.call(3, data=b"\0\0\0\0\5ab")
-        raw.call(5, end=False, data=b"\0\0\0")  # never whole
-        raw.h2.send_headers(
+        server, _ = await serve(header_bytes=4096, message_bytes=1000, read_ms=200.0, connections=40)
+        client = FrameClient(await connect(server.address))
+        client.call(1, data=encode_message(b"x" * 1001), end=False)
+        client.call(3, data=b"\0\0\0\0\5ab")
+        client.call(5, end=False, data=b"\0\0\0")  # never completed
+        client.h2.send_headers(
             7, [(":method", "GET"), (":scheme", "http"), (":path", "/"), (":authority", "x")], end_stream=True
         )
-        raw.call(9, **{"grpc-timeout": "soon"})
-        raw.call(11, **{"grpc-encoding": "gzip"})
-        await raw.flush()
+        client.call(9, **{"grpc-timeout": "soon"})
+        client.call(11, **{"grpc-encoding": "gzip"})
+        await client.flush()
         codes: dict[int, str] = {}
         while len(codes) < 6:
-            event = await raw.read((h2.events.ResponseReceived, h2.events.TrailersReceived))  # type: ignore[arg-type]
+            event = await client.read((h2.events.ResponseReceived, h2.events.TrailersReceived))  # type: ignore[arg-type]
             headers = dict(event.headers)
             codes[event.stream_id] = headers.get("grpc-status") or headers[":status"]
         assert codes == {1: "8", 3: "13", 5: "4", 7: "415", 9: "3", 11: "12"}
-        raw.sock.close()
-        big = Raw(await connect(server.address))
-        big.call(1, **{f"x-{n}": "y" * 500 for n in range(20)})
-        await big.flush()
-        assert await big.read(h2.events.ConnectionTerminated) is not None
-        big.sock.close()
-        chance = np.random.default_rng(3)
+        client.sock.close()
+        oversized = FrameClient(await connect(server.address))
+        oversized.call(1, **{f"x-{n}": "y" * 500 for n in range(20)})
+        await oversized.flush()
+        assert await oversized.read(h2.events.ConnectionTerminated) is not None
+        oversized.sock.close()
+        rng = np.random.default_rng(3)
         for n in range(30):  # garbage, after the preface and without it
             sock = await connect(server.address)
             data = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" if n % 2 else b""
-            data += bytes(chance.integers(0, 256, 400, np.uint8))
+            data += bytes(rng.integers(0, 256, 400, np.uint8))
             await asyncio.get_running_loop().sock_sendall(sock, data)
             await asyncio.sleep(0.005)
             sock.close()
         await asyncio.sleep(0.3)
         assert server.connections == 0 and server.open_streams == 0 and server.partial_bytes == 0
-        good = Raw(await connect(server.address))
-        good.call(1)
-        await good.flush()
-        assert await good.read(h2.events.TrailersReceived) is not None, "others are served"
-        good.sock.close()
+        valid = FrameClient(await connect(server.address))
+        valid.call(1)
+        await valid.flush()
+        assert await valid.read(h2.events.TrailersReceived) is not None, "others are served"
+        valid.sock.close()
         await server.drain(0)
 
     run(main())
 
 
-def test_a_connection_of_age_is_asked_to_go_and_what_it_had_is_served() -> None:
+def test_an_old_connection_gets_goaway_and_its_open_calls_finish() -> None:
     async def main() -> None:
-        held: list[GrpcStream] = []
-        server, _ = await guarded(held.append, guard=GuardSettings(age_ms=200.0, grace_ms=2000.0))
-        raw = Raw(await connect(server.address))
-        raw.call(1)
-        await raw.flush()
+        streams: list[GrpcStream] = []
+        server, _ = await serve(streams.append, guard=GuardSettings(age_ms=200.0, grace_ms=2000.0))
+        client = FrameClient(await connect(server.address))
+        client.call(1)
+        await client.flush()
         frames = bytearray()
         buffer, loop = bytearray(65536), asyncio.get_running_loop()
         async with asyncio.timeout(3):
             while frames.count(GoAwayFrame(0, 1, 0).serialize()[3:9]) < 2:
-                count = await loop.sock_recv_into(raw.sock, buffer)
+                count = await loop.sock_recv_into(client.sock, buffer)
                 frames += buffer[:count]
         assert GoAwayFrame(0, 2**31 - 1, 0).serialize() in frames, "first a warning"
-        assert GoAwayFrame(0, 1, 0).serialize() in frames, "then the last that is served"
-        raw.call(3)  # too late: refused, which promises that nothing was done
-        await raw.flush()
-        held[0].send(b"late but whole")
-        held[0].finish()
+        assert GoAwayFrame(0, 1, 0).serialize() in frames, "then the last stream that is served"
+        client.call(3)  # too late: refused, so that the client knows that it was not processed
+        await client.flush()
+        streams[0].send(b"late but complete")
+        streams[0].finish()
         frames.clear()
         async with asyncio.timeout(3):
-            while count := await loop.sock_recv_into(raw.sock, buffer):
+            while count := await loop.sock_recv_into(client.sock, buffer):
                 frames += buffer[:count]
-        assert b"late but whole" in frames and len(held) == 1
+        assert b"late but complete" in frames and len(streams) == 1
         assert b"\0\0\4\3\0\0\0\0\3\0\0\0\7" in frames, "RST_STREAM of stream 3 with REFUSED_STREAM"
-        raw.sock.close()
+        client.sock.close()
         await server.drain(0)
 
     run(main())
 
 
-def test_bounds_on_connections_partial_messages_and_unread_answers() -> None:
+def test_limits_on_connections_partial_messages_and_unread_responses() -> None:
     async def main() -> None:
-        server, _ = await guarded(connections=2, partial_bytes=1500.0, message_bytes=1000)
-        raws = [Raw(await connect(server.address)) for _ in range(3)]
-        for raw in raws[:2]:
-            raw.call(1, end=False, data=b"\0\0\0\3\xe8" + b"x" * 900)
-            await raw.flush()
-        assert await raws[2].read(h2.events.ResponseReceived) is None and server.rejected_connections == 1
-        headers = dict((await raws[1].read(h2.events.ResponseReceived)).headers)
+        server, _ = await serve(connections=2, partial_bytes=1500.0, message_bytes=1000)
+        clients = [FrameClient(await connect(server.address)) for _ in range(3)]
+        for client in clients[:2]:
+            client.call(1, end=False, data=b"\0\0\0\3\xe8" + b"x" * 900)
+            await client.flush()
+        assert await clients[2].read(h2.events.ResponseReceived) is None and server.rejected_connections == 1
+        headers = dict((await clients[1].read(h2.events.ResponseReceived)).headers)
         assert headers["grpc-status"] == "8" and server.partial_bytes <= 1500
-        for raw in raws:
-            raw.sock.close()
+        for client in clients:
+            client.sock.close()
         await server.drain(0)
-        many: list[GrpcStream] = []
+        streams: list[GrpcStream] = []
 
-        def floods(stream: GrpcStream) -> None:
-            many.append(stream)
+        def send_much(stream: GrpcStream) -> None:
+            streams.append(stream)
             stream.send(b"x" * 300_000)
 
-        server, log = await guarded(floods, unread_bytes=2e6)
-        raw = Raw(await connect(server.address))
+        server, log = await serve(send_much, unread_bytes=2e6)
+        client = FrameClient(await connect(server.address))
         for n in range(20):  # its flow control takes 64 KB in all
-            raw.call(2 * n + 1)
-        await raw.flush()
+            client.call(2 * n + 1)
+        await client.flush()
         await asyncio.sleep(0.3)
         assert (
             server.unwritten_bytes <= 2e6
             and server.slow_readers_closed >= 10
             and any(e == "slow-reader-cut" for e, _ in log.lines)
         )
-        assert sum(s.ended for s in many) == server.slow_readers_closed
-        raw.sock.close()
+        assert sum(s.ended for s in streams) == server.slow_readers_closed
+        client.sock.close()
         await server.drain(0)
         assert server.unwritten_bytes == 0
 
     run(main())
 
 
-def test_draining_serves_what_is_in_hand_and_refuses_the_rest() -> None:
-    held: list[Any] = []
+def test_draining_finishes_calls_in_flight_and_rejects_new_ones() -> None:
+    pending: list[Any] = []
 
     async def main() -> None:
-        async with place(lambda *line: held.append(line)) as (dispatcher, _):
+        async with place(lambda *call: pending.append(call)) as (dispatcher, _):
             client = Client(dispatcher.grpc.address)
             call = asyncio.create_task(client.infer("p/check", [tensor("INT8", [1])]))
-            while not held:
+            while not pending:
                 await asyncio.sleep(0.01)
             dispatcher.inference.context.draining = True
-            assert (await fails(client.infer("p/check")))[0] == "UNAVAILABLE"
+            assert (await error_of(client.infer("p/check")))[0] == "UNAVAILABLE"
             drain = asyncio.create_task(dispatcher.grpc.drain(2000))
             await asyncio.sleep(0.2)
-            answer(*held[0])
+            answer(*pending[0])
             assert (await call).outputs and await drain
             await client.channel.close()
 
@@ -835,20 +841,20 @@
 
 def test_a_ping_is_answered() -> None:
     async def main() -> None:
-        server, _ = await guarded()
-        raw = Raw(await connect(server.address))
-        raw.h2.ping(b"abcdefgh")
-        await raw.flush()
-        event = await raw.read(h2.events.PingAckReceived)
+        server, _ = await serve()
+        client = FrameClient(await connect(server.address))
+        client.h2.ping(b"abcdefgh")
+        await client.flush()
+        event = await client.read(h2.events.PingAckReceived)
         assert event.ping_data == b"abcdefgh"
-        raw.sock.close()
+        client.sock.close()
         await server.drain(0)
 
     run(main())
 
 
-def test_two_thousand_fuzzed_connections_leave_memory_flat_and_others_served() -> None:
-    """Frames of a sound call with bytes changed, and tensors changed within sound frames."""
+def test_fuzzed_connections_leave_memory_flat_and_others_are_served() -> None:
+    """A valid call with bytes of its frames changed, or with bytes of its tensors changed within valid frames."""
     import os
 
     def memory_mb() -> float:
@@ -856,28 +862,28 @@
 
     async def main() -> None:
         async with place(answer) as (dispatcher, _):
-            loop, chance = asyncio.get_running_loop(), np.random.default_rng(9)
-            message = ask("p/check", [tensor("FP32", [1.0, 2.0]), tensor("BYTES", [b"abc"], name="u")])
-            sound = Raw(await connect(dispatcher.grpc.address))
-            sound.call(1, SERVICE + "ModelInfer", data=encode_message(message.SerializeToString()))
-            whole = bytes(sound.h2.data_to_send())
-            sound.sock.close()
-            before = 0.0
+            loop, rng = asyncio.get_running_loop(), np.random.default_rng(9)
+            message = infer_request("p/check", [tensor("FP32", [1.0, 2.0]), tensor("BYTES", [b"abc"], name="u")])
+            valid = FrameClient(await connect(dispatcher.grpc.address))
+            valid.call(1, SERVICE + "ModelInfer", data=encode_message(message.SerializeToString()))
+            frames = bytes(valid.h2.data_to_send())
+            valid.sock.close()
+            memory_before = 0.0
             for n in range(2000):
                 sock = await connect(dispatcher.grpc.address)
-                data = bytearray(whole)
-                first = 24 if n % 2 else len(whole) - 60  # frames, or what the last one carries
-                for _ in range(int(chance.integers(1, 5))):
-                    data[int(chance.integers(first, len(data)))] = int(chance.integers(256))
+                data = bytearray(frames)
+                first = 24 if n % 2 else len(frames) - 60  # all after the preface, or the last frame's payload
+                for _ in range(int(rng.integers(1, 5))):
+                    data[int(rng.integers(first, len(data)))] = int(rng.integers(256))
                 await loop.sock_sendall(sock, bytes(data))
                 if n % 40 == 0:
                     await asyncio.sleep(0.02)
                 sock.close()
                 if n == 500:
                     await asyncio.sleep(0.2)
-                    before = memory_mb()
+                    memory_before = memory_mb()
             await asyncio.sleep(0.5)
-            assert memory_mb() - before < 12, "1,500 more take no more"
+            assert memory_mb() - memory_before < 12, "the last 1,500 take no more memory"
             assert (
                 dispatcher.grpc.connections == 0
                 and dispatcher.grpc.partial_bytes == 0
@@ -892,8 +898,8 @@
 
 
 @pytest.mark.processes
-def test_a_client_library_against_the_real_program_with_faults(tmp_path: Path) -> None:
-    """Processes of their own: a place, one dispatcher; a worker's faults are set while calls run."""
+def test_a_client_library_against_real_processes_with_faults(tmp_path: Path) -> None:
+    """A dispatcher and workers as processes; the workers' faults are injected while calls run."""
     from kelptrail.emulator.cluster import Cluster
     from kelptrail.settings.deployment import load
 
@@ -901,39 +907,39 @@
 
     async def main() -> None:
         deployment = load(file)
-        made = Cluster(deployment, file, tmp_path, quiet=True)
-        await made.start(2, 1, tmp_path / "state")
+        cluster = Cluster(deployment, file, tmp_path, quiet=True)
+        await cluster.start(2, 1, tmp_path / "state")
         try:
-            space = deployment.namespaces["families"]
-            client = Client(made.dispatchers[0].said["grpc"], auth(space.uuid, space.key))
-            one = [tensor("INT32", [4, 2])]
-            assert list((await client.infer("places/place-check", one)).outputs[0].contents.int_contents) == [4, 2]
-            out = [r async for r in client.stream([ask("places/place-check", one, parts=4)])]
+            namespace = deployment.namespaces["families"]
+            client = Client(cluster.dispatchers[0].said["grpc"], auth(namespace.uuid, namespace.key))
+            inputs = [tensor("INT32", [4, 2])]
+            assert list((await client.infer("places/place-check", inputs)).outputs[0].contents.int_contents) == [4, 2]
+            out = [r async for r in client.stream([infer_request("places/place-check", inputs, parts=4)])]
             assert len(out) == 5 and out[-1].infer_response.parameters["final_response"].bool_param
-            given = await client.infer("grant", one, deferred=True)
-            id_ = given.parameters["activation_id"].string_param
+            accepted = await client.infer("grant", inputs, deferred=True)
+            id_ = accepted.parameters["activation_id"].string_param
             assert (await client.infer("grant", poll=id_, wait_ms=3000)).outputs
-            assert (await fails(client.infer("grant", [tensor("INT8", [999])])))[0] == "INVALID_ARGUMENT"
-            call = client.stream([ask("places/place-check", one, parts=500, gap_ms=10.0)])
+            assert (await error_of(client.infer("grant", [tensor("INT8", [999])])))[0] == "INVALID_ARGUMENT"
+            call = client.stream([infer_request("places/place-check", inputs, parts=500, gap_ms=10.0)])
             reads = call.__aiter__()
             await anext(reads)
             call.cancel()
-            for worker in made.workers:
-                await made.fault(worker, kind="cut", share=1.0, for_ms=600)
+            for worker in cluster.workers:
+                await cluster.fault(worker, kind="cut", share=1.0, for_ms=600)
             await asyncio.sleep(0.05)
-            out = [r async for r in client.stream([ask("grant", one, parts=4)])]
+            out = [r async for r in client.stream([infer_request("grant", inputs, parts=4)])]
             assert out[-1].error_message.startswith("ABORTED") and len(out) >= 2
             await asyncio.sleep(0.7)
-            for worker in made.workers:
-                await made.fault(worker, kind="hang", for_ms=1500)
+            for worker in cluster.workers:
+                await cluster.fault(worker, kind="hang", for_ms=1500)
             await asyncio.sleep(0.05)
-            code, _, reason, more = await fails(client.infer("grant", one, timeout=0.8))
-            assert (code, reason) == ("DEADLINE_EXCEEDED", "MAY_HAVE_RUN") and "second effect" in more["retrying"]
+            code, _, reason, details = await error_of(client.infer("grant", inputs, timeout=0.8))
+            assert (code, reason) == ("DEADLINE_EXCEEDED", "MAY_HAVE_RUN") and "second effect" in details["retrying"]
             await asyncio.sleep(1.0)
-            out = (await client.infer("places/place-activate", one, idempotency_key="k1", timeout=4)).outputs
-            assert list(out[0].contents.int_contents) == [4, 2]
+            outputs = (await client.infer("places/place-activate", inputs, idempotency_key="k1", timeout=4)).outputs
+            assert list(outputs[0].contents.int_contents) == [4, 2]
             await client.channel.close()
         finally:
-            assert await made.stop()
+            assert await cluster.stop()
 
     run(main())
