--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -380,7 +380,7 @@
             await asyncio.sleep(0.02)
             peak_bytes = max(peak_bytes, server.unwritten_bytes)
         assert 3e6 < peak_bytes <= 5e6, "filled, and bounded"
-        assert server.slow_readers_closed > 0 and "slow-reader-cut" in events
+        assert server.slow_readers_closed > 0 and "slow-reader-closed" in events
         assert (await exchange(server.address, encode_request("GET", "/", "x", b""))).status == 200
         for sock in socks:
             sock.close()
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -696,7 +696,7 @@
             await client.flush()
             goaway = await client.read(h2.events.ConnectionTerminated)
             assert goaway is not None and goaway.error_code == 11, kind
-            assert server.floods_stopped == 1 and ("flood" in [e for e, _ in log.lines])
+            assert server.floods_stopped == 1 and ("flood-detected" in [e for e, _ in log.lines])
             await asyncio.sleep(0.1)
             assert server.connections == 0 and server.open_streams == 0
             client.sock.close()
@@ -809,7 +809,7 @@
         assert (
             server.unwritten_bytes <= 2e6
             and server.slow_readers_closed >= 10
-            and any(e == "slow-reader-cut" for e, _ in log.lines)
+            and any(e == "slow-reader-closed" for e, _ in log.lines)
         )
         assert sum(s.ended for s in streams) == server.slow_readers_closed
         client.sock.close()
