--- a/kelptrail/front/__init__.py
+++ b/kelptrail/front/__init__.py
@@ -1,1 +1,1 @@
-"""What clients speak; every front calls the same gateway core."""
+"""The APIs that clients use: they authenticate and check requests and render responses; the gateway does the work."""
--- a/kelptrail/front/inference/__init__.py
+++ b/kelptrail/front/inference/__init__.py
@@ -1,1 +1,1 @@
-"""The Open Inference Protocol over gRPC: the second front, on the same core, decisions and rules as the first."""
+"""The inference API: Open Inference Protocol v2 over gRPC, on the same gateway as the invoke API."""
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of an activation: every order of events to a depth, and the steps that must not be."""
+"""The lifecycle of a request: every order of events up to a depth, and the illegal steps."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     "publish",
     "publish-late",
     "forget",
-    *(f"{need.value}:{word}" for need, word in product(EntryKind, ("safe", "failed"))),
+    *(f"{kind.value}:{result}" for kind, result in product(EntryKind, ("durable", "failed"))),
 )
 FIELDS = (
     "idempotent",
@@ -42,94 +42,100 @@
     "in_flight",
     "attempt_count",
 )
-DEPTH, MOST_SENDS = 12, 2
+DEPTH, MAX_ATTEMPTS = 12, 2
 
 
-class Seen:
-    """A lifecycle beside what the outside has seen of it, judged by the promises' own words."""
+class ObservedLifecycle:
+    """A lifecycle, and what clients, workers and the journal have observed of it, checked against the guarantees."""
 
     def __init__(self, idempotent: bool, journaled: bool, deferred: bool) -> None:
         self.lifecycle = RequestLifecycle(idempotent, journaled, deferred)
-        self.asked: list[EntryKind] = []
-        self.safe: set[EntryKind] = set()
-        self.finals = self.shown = 0
+        self.pending_writes: list[EntryKind] = []
+        self.durable: set[EntryKind] = set()
+        self.finals = self.published = 0
 
     def key(self) -> tuple[object, ...]:
         state = tuple(getattr(self.lifecycle, name) for name in FIELDS)
-        return (*state, tuple(self.asked), frozenset(self.safe), self.finals, self.shown)
+        return (*state, tuple(self.pending_writes), frozenset(self.durable), self.finals, self.published)
 
-    def copy(self) -> Seen:
-        twin = Seen(False, False, False)
+    def copy(self) -> ObservedLifecycle:
+        twin = ObservedLifecycle(False, False, False)
         for name in FIELDS:
             setattr(twin.lifecycle, name, getattr(self.lifecycle, name))
-        twin.asked, twin.safe, twin.finals, twin.shown = list(self.asked), set(self.safe), self.finals, self.shown
+        twin.pending_writes, twin.durable = list(self.pending_writes), set(self.durable)
+        twin.finals, twin.published = self.finals, self.published
         return twin
 
-    def do(self, event: str) -> bool:
-        """Try an event; False where the machine refuses it, by name."""
-        lifecycle, (name, _, word) = self.lifecycle, event.partition(":")
+    def apply(self, event: str) -> bool:
+        """Try an event; False where the lifecycle raises `IllegalStepError`."""
+        lifecycle, (name, _, result) = self.lifecycle, event.partition(":")
         try:
-            if word:
-                need = EntryKind(name)
-                lifecycle.on_written(need, word == "safe")
-                assert need in self.asked, "nothing is told of that was not asked for"
-                self.asked.remove(need)
-                self.safe |= {need} if word == "safe" else set()
+            if result:
+                kind = EntryKind(name)
+                lifecycle.on_written(kind, result == "durable")
+                assert kind in self.pending_writes, "only requested writes are reported"
+                self.pending_writes.remove(kind)
+                self.durable |= {kind} if result == "durable" else set()
             elif name == "on_attempt_decided":
                 lifecycle.on_attempt_decided()
             elif name.startswith("publish"):
                 lifecycle.publish(name == "publish-late")
-                self.shown += 1
+                self.published += 1
                 if lifecycle.deferred and lifecycle.accepted_write is WriteState.DURABLE:
-                    assert EntryKind.ENDED in self.safe, "what was promised to last is shown only once it is safe"
+                    assert EntryKind.ENDED in self.durable, (
+                        "the answer to an accepted deferred request is durable before it is published"
+                    )
             elif name == "start_attempt":
                 lifecycle.start_attempt()
-                assert not self.finals, "nothing is sent after the final answer"
+                assert not self.finals, "no attempt starts after the final answer"
                 if lifecycle.journaled and not lifecycle.idempotent:
-                    assert EntryKind.MAY_RUN in self.safe, "may run is safe before the first byte"
+                    assert EntryKind.MAY_RUN in self.durable, "the may-run entry is durable before the first byte"
             else:
                 getattr(lifecycle, name)()
                 self.finals += name == "finish"
         except IllegalStepError:
             return False
-        while (entry_ := lifecycle.next_entry()) is not None:
-            assert entry_ not in self.asked, "each need is asked for once at a time"
-            self.asked.append(entry_)
-        assert self.finals <= 1 and self.shown <= self.finals
-        assert lifecycle.durable_result is not True or EntryKind.ACCEPTED in self.safe, (
-            "a promise rests on a safe record"
+        while (entry := lifecycle.next_entry()) is not None:
+            assert entry not in self.pending_writes, "each entry is written once at a time"
+            self.pending_writes.append(entry)
+        assert self.finals <= 1 and self.published <= self.finals
+        assert lifecycle.durable_result is not True or EntryKind.ACCEPTED in self.durable, (
+            "only a durable record is reported as durable"
         )
         return True
 
 
 @pytest.mark.parametrize(("idempotent", "journaled", "deferred"), list(product((True, False), repeat=3)))
-def test_every_order_of_events_keeps_the_promises(idempotent: bool, journaled: bool, deferred: bool) -> None:
-    start = Seen(idempotent, journaled, deferred)
-    reached, stages, refused = {start.key()}, set[RequestStage](), 0
-    edge = deque([(start, 0)])
-    while edge:
-        seen, depth = edge.popleft()
-        stages.add(seen.lifecycle.stage)
+def test_every_order_of_events_keeps_the_guarantees(idempotent: bool, journaled: bool, deferred: bool) -> None:
+    start = ObservedLifecycle(idempotent, journaled, deferred)
+    reached, stages, rejected = {start.key()}, set[RequestStage](), 0
+    frontier = deque([(start, 0)])
+    while frontier:
+        observed, depth = frontier.popleft()
+        stages.add(observed.lifecycle.stage)
         if depth == DEPTH:
             continue
         for event in EVENTS:
-            if event == "on_attempt_decided" and seen.lifecycle.attempt_count + seen.lifecycle.held >= MOST_SENDS:
+            if (
+                event == "on_attempt_decided"
+                and observed.lifecycle.attempt_count + observed.lifecycle.held >= MAX_ATTEMPTS
+            ):
                 continue
-            after = seen.copy()
+            after = observed.copy()
             before = after.lifecycle.stage
-            if not after.do(event):
-                refused += 1
-                assert after.lifecycle.stage is before, "a refused step changes nothing"
+            if not after.apply(event):
+                rejected += 1
+                assert after.lifecycle.stage is before, "an illegal step changes nothing"
                 continue
             assert after.lifecycle.stage is before or after.lifecycle.stage in NEXT_STAGES[before]
             if after.key() not in reached:
                 reached.add(after.key())
-                edge.append((after, depth + 1))
+                frontier.append((after, depth + 1))
     assert stages == set(RequestStage)
-    assert len(reached) > 60 and refused > 500
+    assert len(reached) > 60 and rejected > 500
 
 
-def test_named_errors_for_steps_out_of_order() -> None:
+def test_steps_out_of_order_raise_typed_errors() -> None:
     lifecycle = RequestLifecycle(False, True, True)
     with pytest.raises(IllegalStepError, match="before the dispatcher"):
         lifecycle.on_attempt_decided()
@@ -165,7 +171,7 @@
     assert lifecycle.stage is RequestStage.FORGOTTEN
 
 
-def test_what_failed_to_be_written_is_held_back_and_may_be_asked_for_again() -> None:
+def test_an_attempt_whose_entry_failed_is_held_and_its_entry_written_again() -> None:
     lifecycle = RequestLifecycle(False, True, False)
     lifecycle.queue()
     lifecycle.on_attempt_decided()
