--- a/kelptrail/front/invoke/invocations.py
+++ b/kelptrail/front/invoke/invocations.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass
 from functools import partial
 from http import HTTPStatus
+from typing import NamedTuple
 
 from kelptrail.clock import now_ms, wall_ms
 from kelptrail.codec.http import Request
@@ -38,8 +39,7 @@
     wait_ms: float  # how long a blocking client waits
 
 
-@dataclass(frozen=True, slots=True)
-class InvocationRequest:
+class InvocationRequest(NamedTuple):
     """A client's request to invoke an action."""
 
     request: Request
@@ -48,8 +48,7 @@
     target: InvocationTarget
 
 
-@dataclass(frozen=True, slots=True)
-class InvocationContent:
+class InvocationContent(NamedTuple):
     """The checked headers and body of an invocation."""
 
     payload: bytes
--- a/kelptrail/front/trace_context.py
+++ b/kelptrail/front/trace_context.py
@@ -23,6 +23,8 @@
 
 def parse_traceparent(header: str) -> TraceParent | None:
     """The fields of a `traceparent` header, or None where it is malformed or absent."""
+    if not header:
+        return None
     fields = header.strip().lower().split("-")
     known = fields[: len(FIELD_LENGTHS)]
     if [len(field) for field in known] != FIELD_LENGTHS or not all(HEX_DIGITS.issuperset(field) for field in known):
