--- a/tests/test_front_replies.py
+++ b/tests/test_front_replies.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from base64 import b64encode
 from collections.abc import Callable
 from typing import Any
 
@@ -599,8 +600,6 @@
 
     @staticmethod
     def _read(cause: grpc.aio.AioRpcError) -> Status:
-        from base64 import b64encode
-
         packed = dict(cause.trailing_metadata() or ()).get("grpc-status-details-bin", b"")
         trailers = {
             "grpc-status": str(cause.code().value[0]),
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import asyncio
+import base64
+import os
 import subprocess
 import sys
 from collections.abc import AsyncIterator
@@ -174,9 +176,9 @@
             data[int(rng.integers(len(data)))] = int(rng.integers(256))
         try:
             request = pb.ModelInferRequest.FromString(bytes(data))
-            for n, tensor_ in enumerate(request.inputs):
+            for n, received in enumerate(request.inputs):
                 raw_contents = request.raw_input_contents
-                to_json(tensor_, raw_contents[n] if n < len(raw_contents) else None)
+                to_json(received, raw_contents[n] if n < len(raw_contents) else None)
             accepted += 1
         except (TensorError, Exception) as cause:
             assert isinstance(cause, TensorError) or type(cause).__name__ == "DecodeError", repr(cause)
@@ -262,8 +264,6 @@
     status = headers.get("grpc-status-details-bin")
     if status is None:
         return cause.code().name, None, "", {}
-    import base64
-
     _, _, retry_ms, reason, details = read_trailers(
         {"grpc-status": str(cause.code().value[0]), "grpc-status-details-bin": base64.b64encode(status).decode()}
     )
@@ -855,7 +855,6 @@
 
 def test_fuzzed_connections_leave_memory_flat_and_others_are_served() -> None:
     """A valid call with bytes of its frames changed, or with bytes of its tensors changed within valid frames."""
-    import os
 
     def memory_mb() -> float:
         return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
