--- a/bench/planner.py
+++ b/bench/planner.py
@@ -23,8 +23,10 @@
 from kelptrail.gateway.counters import FunctionCounters
 from kelptrail.peers.messages import VERSION, FrameReader, Heartbeat, Hello, encode_frame
 from kelptrail.planner.channel import READ, UsageReport
-from kelptrail.planner.placement import FunctionDemand, WorkerCapacity, place_by_program, place_greedily, violations
+from kelptrail.planner.greedy_placement import place_greedily
+from kelptrail.planner.placement import FunctionDemand, WorkerCapacity, violations
 from kelptrail.planner.plan import BEFORE_ALL_PLANS
+from kelptrail.planner.program_placement import place_by_program
 from kelptrail.settings.deployment import load
 
 ROOT = Path(__file__).parent.parent
@@ -71,7 +73,7 @@
                         "functions": functions,
                         "memory": tight,
                         "how": name,
-                        "by": found.solver,
+                        "by": found.solver.value,
                         "s": round(took, 3),
                         "price": round(found.cost, 1),
                         "missing": found.missing,
@@ -154,8 +156,8 @@
     place = Cluster(load(file), file, None, 1, "warning", None, quiet=True)
     await place.start(4, 1, None)
     large = ROOT / "examples" / "large.sexp"
-    roster = await place._start_process("roster-2", ["emulate", "endpoint-service"])
-    planner = await place._start_process(
+    roster = await place.start_process("roster-2", ["emulate", "endpoint-service"])
+    planner = await place.start_process(
         "planner", ["planner", str(large), "--roster", roster.said["address"], "--control", "127.0.0.1:0"]
     )
     fakes: list[asyncio.Task[None]] = []
@@ -228,8 +230,8 @@
     large = ROOT / "examples" / "large.sexp"
     deployment = load(large)
     place = Cluster(deployment, str(large), None, 1, "warning", None, quiet=True)
-    roster = await place._start_process("roster", ["emulate", "endpoint-service"])
-    planner = await place._start_process(
+    roster = await place.start_process("roster", ["emulate", "endpoint-service"])
+    planner = await place.start_process(
         "planner", ["planner", str(large), "--roster", roster.said["address"], "--control", "127.0.0.1:0"]
     )
     for n in range(1000):
--- a/tests/test_front_replies.py
+++ b/tests/test_front_replies.py
@@ -1,4 +1,4 @@
-"""Error replies of both APIs, compared exactly: status, headers in order, and body."""
+"""Error replies of both APIs, compared exactly: status, headers and body."""
 
 from __future__ import annotations
 
@@ -10,7 +10,17 @@
 import grpc
 import msgspec
 import pytest
-from program import DEPLOYMENT, Dispatcher, ScriptedWorker, answer, auth, exchange, place, run, silent
+from program import (
+    DEPLOYMENT,
+    Dispatcher,
+    ScriptedWorker,
+    answer,
+    authorization,
+    never_answer,
+    run,
+    running_dispatcher,
+    send_request,
+)
 
 from kelptrail.codec.grpc import read_trailers
 from kelptrail.codec.http import encode_request
@@ -39,12 +49,12 @@
     dispatcher: Dispatcher, method: str, target: str, headers: dict[str, str] | None = None, body: bytes = b""
 ) -> tuple[int, dict[str, str], str]:
     """Status, headers beside those of every reply, and body."""
-    data = encode_request(method, target, "x", body, auth() | (headers or {}))
+    data = encode_request(method, target, "x", body, authorization() | (headers or {}))
     return await send(dispatcher, data)
 
 
 async def send(dispatcher: Dispatcher, data: bytes) -> tuple[int, dict[str, str], str]:
-    reply = await exchange(dispatcher.server.address, data)
+    reply = await send_request(dispatcher.server.address, data)
     headers = dict(reply.headers)
     assert headers.pop("content-type") == "application/json" and int(headers.pop("content-length")) == len(reply.body)
     return reply.status, headers, reply.body.decode()
@@ -111,7 +121,7 @@
         (
             "GET",
             f"{BASE}/actions",
-            auth(key="wrong"),
+            authorization(key="wrong"),
             b"",
             401,
             {"www-authenticate": 'Basic realm="kelptrail"'},
@@ -414,7 +424,7 @@
     message: str,
 ) -> None:
     async def main() -> None:
-        async with place(answer) as (dispatcher, _):
+        async with running_dispatcher(answer) as (dispatcher, _):
             reply = await request(dispatcher, method, target, headers, body)
             assert reply == error(status, message, 1, reply_headers)
             assert dispatcher.gateway.counts.received == 0
@@ -426,9 +436,9 @@
     target, retry = f"{BASE}/actions/activate", {"retry-after": "1"}
 
     async def main() -> None:
-        async with place(answer) as (dispatcher, _):
+        async with running_dispatcher(answer) as (dispatcher, _):
             old_version = encode_request(
-                "POST", f"{target}?blocking=true", "x", b"{}", auth() | {"accept": "text/event-stream"}
+                "POST", f"{target}?blocking=true", "x", b"{}", authorization() | {"accept": "text/event-stream"}
             ).replace(b"HTTP/1.1", b"HTTP/1.0")
             assert await send(dispatcher, old_version) == error(
                 406, "HTTP/1.0 has no streamed answers.", 1, {"connection": "close"}
@@ -454,7 +464,7 @@
     text = DEPLOYMENT.replace("(records 1000)", "(records 1000) (held-each 1)")
 
     async def main() -> None:
-        worker = ScriptedWorker("w", silent)
+        worker = ScriptedWorker("w", never_answer)
         dispatcher = Dispatcher([worker], parse(text, "t"), BOOT)
         call = asyncio.create_task(request(dispatcher, "POST", f"{BASE}/actions/grant?blocking=true", None, b"{}"))
         while not dispatcher.gateway.in_flight:
@@ -472,7 +482,7 @@
 
 def test_replies_to_polls_and_cancels() -> None:
     async def main() -> None:
-        async with place(silent) as (dispatcher, (worker,)):
+        async with running_dispatcher(never_answer) as (dispatcher, (worker,)):
             accepted = await request(dispatcher, "POST", f"{BASE}/actions/grant", None, b"{}")
             id_ = activation_id(1)
             assert accepted == (202, {"x-openwhisk-activation-id": id_}, f'{{"activationId":"{id_}"}}')
@@ -485,11 +495,11 @@
             assert await request(dispatcher, "GET", f"{target}/other") == error(404, missing, 5)
             message = "The query parameter 'wait' is a whole number from 0 to 60000, not 'x'."
             assert await request(dispatcher, "GET", f"{target}?wait=x") == error(400, message, 6)
-            while not worker.sends:
+            while not worker.attempts:
                 await asyncio.sleep(0.01)
             message = "The activation may have run; cancelling would not undo its effect."
             assert await request(dispatcher, "DELETE", target) == error(409, message, 7)
-            await dispatcher.final(id_)
+            await dispatcher.wait_for_record(id_)
             status, _, body = await request(dispatcher, "DELETE", target)
             message = "The activation has its final answer, or is being resumed; nothing was cancelled."
             assert status == 409 and msgspec.json.decode(body)["error"] == message
@@ -503,9 +513,9 @@
 
 def test_replies_about_activations_of_other_dispatchers() -> None:
     async def main() -> None:
-        async with place(answer) as (dispatcher, (worker,)):
+        async with running_dispatcher(answer) as (dispatcher, (worker,)):
             peers = [Peer("one", "127.0.0.1:1234")]
-            dispatcher.driver.on_endpoints(EndpointList(9, [worker.entry], "test", peers))
+            dispatcher.driver.on_endpoints(EndpointList(9, [worker.endpoint], "test", peers))
             target = f"{BASE}/activations/{id_prefix('one')}{'0' * 26}"
             reply = await request(dispatcher, "GET", f"{target}?wait=5")
             location = {"location": f"http://127.0.0.1:1234{target}?wait=5"}
@@ -532,7 +542,7 @@
     target, key = f"{BASE}/actions/activate", {"idempotency-key": "k"}
 
     async def main() -> None:
-        async with place(answer) as (dispatcher, _):
+        async with running_dispatcher(answer) as (dispatcher, _):
             lookup = dispatcher.api.context.activation_lookup = FakeLookup("h:1", "", None)
             message = "The call under this key is at h:1 now; ask there."
             reply = await request(dispatcher, "POST", target, key, b"{}")
@@ -556,7 +566,7 @@
     unknown = "Another dispatcher has taken over; whether it has this call is not known here.  Ask before a repeat."
 
     async def main() -> None:
-        async with place(silent) as (dispatcher, _):
+        async with running_dispatcher(never_answer) as (dispatcher, _):
             durable: bool | None = False
             dispatcher.gateway.when_durable = lambda invocation, done: done(durable)  # type: ignore[method-assign]
             reply = await request(dispatcher, "POST", target, None, b"{}")
@@ -589,7 +599,7 @@
 
     def __init__(self, dispatcher: Dispatcher, metadata: dict[str, str] | None = None) -> None:
         self.channel = grpc.aio.insecure_channel(dispatcher.grpc.address)
-        self.metadata = list((auth() if metadata is None else metadata).items())
+        self.metadata = list((authorization() if metadata is None else metadata).items())
 
     async def status(self, method: str, message: bytes, path: str = SERVICE) -> Status:
         """Code, text, milliseconds of the retry info, reason and details that end a unary call."""
@@ -635,12 +645,12 @@
 
 def test_statuses_of_faulty_inference_calls() -> None:
     async def main() -> None:
-        async with place(answer) as (dispatcher, _):
+        async with running_dispatcher(answer) as (dispatcher, _):
             client = InferenceClient(dispatcher)
             invalid = "INVALID_ARGUMENT"
             no_details: tuple[None, str, dict[str, str]] = (None, "", {})
             unauthenticated = ("UNAUTHENTICATED", "The supplied authentication is invalid.", *no_details)
-            for metadata in ({}, {"authorization": "Basic !!"}, auth(key="wrong")):
+            for metadata in ({}, {"authorization": "Basic !!"}, authorization(key="wrong")):
                 assert await InferenceClient(dispatcher, metadata).infer("grant") == unauthenticated
             status = await client.status("Other", b"")
             assert status == ("UNIMPLEMENTED", f"there is no method {SERVICE}Other", *no_details)
@@ -675,7 +685,7 @@
     text = DEPLOYMENT.replace("(records 1000)", "(records 1000) (held-each 1)")
 
     async def main() -> None:
-        worker = ScriptedWorker("w", silent)
+        worker = ScriptedWorker("w", never_answer)
         dispatcher = Dispatcher([worker], parse(text, "t"), BOOT)
         client = InferenceClient(dispatcher)
         waiting = asyncio.create_task(client.infer("grant"))
@@ -707,10 +717,10 @@
 
 def test_statuses_about_activations_of_other_dispatchers() -> None:
     async def main() -> None:
-        async with place(answer) as (dispatcher, (worker,)):
+        async with running_dispatcher(answer) as (dispatcher, (worker,)):
             client = InferenceClient(dispatcher)
             peers = [Peer("one", "127.0.0.1:1234")]
-            dispatcher.driver.on_endpoints(EndpointList(9, [worker.entry], "test", peers))
+            dispatcher.driver.on_endpoints(EndpointList(9, [worker.endpoint], "test", peers))
             id_ = id_prefix("one") + "0" * 26
             message = "This dispatcher does not know the activation; whoever gave the id may."
             details = {"asked_at": "127.0.0.1:1234"}
@@ -732,7 +742,7 @@
 
 def test_statuses_when_a_deferred_inference_is_not_durable() -> None:
     async def main() -> None:
-        async with place(silent) as (dispatcher, _):
+        async with running_dispatcher(never_answer) as (dispatcher, _):
             client = InferenceClient(dispatcher)
             durable: bool | None = False
             dispatcher.gateway.when_durable = lambda invocation, done: done(durable)  # type: ignore[method-assign]
@@ -764,7 +774,7 @@
     text = DEPLOYMENT.replace("(pool ", "(inference (stream-requests 1))\n  (pool ")
 
     async def main() -> None:
-        worker = ScriptedWorker("w", silent)
+        worker = ScriptedWorker("w", never_answer)
         dispatcher = Dispatcher([worker], parse(text, "t"), BOOT)
         client = InferenceClient(dispatcher)
         requests = [
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -24,14 +24,14 @@
     ScriptedWorker,
     Silent,
     answer,
-    auth,
+    authorization,
+    break_connection,
     connect,
-    parts,
-    place,
-    refuse,
-    reset,
+    never_answer,
+    reject_with,
     run,
-    silent,
+    running_dispatcher,
+    stream_parts,
 )
 
 from kelptrail.codec.grpc import (
@@ -215,7 +215,7 @@
 
     def __init__(self, address: str, credentials: dict[str, str] | None = None) -> None:
         self.channel = grpc.aio.insecure_channel(address, options=CHANNEL_OPTIONS)
-        self.metadata = list((auth() if credentials is None else credentials).items())
+        self.metadata = list((authorization() if credentials is None else credentials).items())
 
     def method(self, name: str, response_type: Any) -> Any:
         return self.channel.unary_unary(
@@ -279,7 +279,7 @@
 
 def test_every_unary_method_and_typed_and_raw_tensors() -> None:
     async def main() -> None:
-        async with place(answer) as (dispatcher, (worker,)):
+        async with running_dispatcher(answer) as (dispatcher, (worker,)):
             client = Client(dispatcher.grpc.address)
             inputs = [tensor("FP32", [0.5, 2.0]), tensor("BYTES", [b"\xff"], name="b")]
             out = await client.infer("p/check", inputs, id_="7")
@@ -287,12 +287,12 @@
             assert list(out.outputs[0].contents.fp32_contents) == [0.5, 2.0]
             assert list(out.outputs[1].contents.bytes_contents) == [b"\xff"]
             id_ = out.parameters["activation_id"].string_param
-            status, _, record = await dispatcher.ask("GET", f"{BASE}/activations/{id_}")
+            status, _, record = await dispatcher.request("GET", f"{BASE}/activations/{id_}")
             assert status == 200 and record["name"] == "check", "the invoke API shows it, too"
             untyped = pb.ModelInferRequest.InferInputTensor(name="r", datatype="INT16", shape=[2, 1])
             out = await client.infer("p/check", [untyped], raw=[b"\1\0\2\0"], temperature=0.5)
             assert list(out.raw_output_contents) == [b"\1\0\2\0"] and list(out.outputs[0].shape) == [2, 1]
-            assert worker.sends[-1][1]["temperature"] == 0.5, "other parameters are passed on to the worker"
+            assert worker.attempts[-1][1]["temperature"] == 0.5, "other parameters are passed on to the worker"
             for name, request, kind, field in (
                 ("ServerLive", pb.ServerLiveRequest(), pb.ServerLiveResponse, "live"),
                 ("ServerReady", pb.ServerReadyRequest(), pb.ServerReadyResponse, "ready"),
@@ -314,7 +314,7 @@
                     "UNIMPLEMENTED",
                 ),
                 (Client(dispatcher.grpc.address, {}).infer("grant"), "UNAUTHENTICATED"),
-                (Client(dispatcher.grpc.address, auth(key="no")).infer("grant"), "UNAUTHENTICATED"),
+                (Client(dispatcher.grpc.address, authorization(key="no")).infer("grant"), "UNAUTHENTICATED"),
             ):
                 assert (await error_of(call))[0] == code
             await client.channel.close()
@@ -325,14 +325,14 @@
 @pytest.mark.parametrize(
     ("script", "action", "code", "reason"),
     [
-        (refuse("full"), "p/check", "RESOURCE_EXHAUSTED", "REJECTED"),
-        (reset, "grant", "ABORTED", "MAY_HAVE_RUN"),
-        (silent, "grant", "DEADLINE_EXCEEDED", "MAY_HAVE_RUN"),
+        (reject_with("full"), "p/check", "RESOURCE_EXHAUSTED", "REJECTED"),
+        (break_connection, "grant", "ABORTED", "MAY_HAVE_RUN"),
+        (never_answer, "grant", "DEADLINE_EXCEEDED", "MAY_HAVE_RUN"),
     ],
 )
 def test_error_statuses_say_what_a_retry_would_risk(script: Any, action: str, code: str, reason: str) -> None:
     async def main() -> None:
-        async with place(script) as (dispatcher, _):
+        async with running_dispatcher(script) as (dispatcher, _):
             client = Client(dispatcher.grpc.address)
             got_code, retry_ms, got_reason, details = await error_of(client.infer(action))
             assert (got_code, got_reason) == (code, reason)
@@ -348,13 +348,13 @@
     pending: list[Any] = []
 
     async def main() -> None:
-        async with place(lambda *call: pending.append(call)) as (dispatcher, (worker,)):
+        async with running_dispatcher(lambda *call: pending.append(call)) as (dispatcher, (worker,)):
             client = Client(dispatcher.grpc.address)
             loop = asyncio.get_running_loop()
             started_at = loop.time()
             code, *_ = await error_of(client.infer("grant", timeout=0.4))
             assert code == "DEADLINE_EXCEEDED" and loop.time() - started_at < 0.5
-            assert worker.sends[-1][1]["limit_ms"] < 400, "the worker gets the client's own deadline"
+            assert worker.attempts[-1][1]["limit_ms"] < 400, "the worker gets the client's own deadline"
             call = asyncio.create_task(client.infer("p/check"))
             while len(pending) < 2:
                 await asyncio.sleep(0.01)
@@ -386,7 +386,7 @@
             await asyncio.sleep(0.05)
             answer(*pending[3])
             assert list((await poll).outputs[0].contents.int_contents) == [1]
-            assert (await dispatcher.final(id_))["response"]["result"]["outputs"][0]["data"] == [1]
+            assert (await dispatcher.wait_for_record(id_))["response"]["result"]["outputs"][0]["data"] == [1]
             _, _, accepted = await dispatcher.call("p/check", blocking=False, body={"a": 1})
             while len(pending) < 5:
                 await asyncio.sleep(0.01)
@@ -394,7 +394,7 @@
             out = await client.infer("p/check", poll=accepted["activationId"], wait_ms=1000)
             assert list(out.outputs[0].contents.bytes_contents) == [b'{"a":1}']
             assert (await error_of(client.infer("p/check", poll="0" * 32)))[2] == "UNKNOWN_ID"
-            other = Client(dispatcher.grpc.address, auth("00000000-0000-0000-0000-000000000002", "k2"))
+            other = Client(dispatcher.grpc.address, authorization("00000000-0000-0000-0000-000000000002", "k2"))
             assert (await error_of(other.infer("p/check", poll=id_)))[0] == "NOT_FOUND", "of another namespace"
             await client.channel.close()
 
@@ -414,7 +414,7 @@
 
 def test_one_stream_carries_parts_of_many_requests() -> None:
     async def main() -> None:
-        async with place(parts(5, 0.01), parts(5, 0.01)) as (dispatcher, workers):
+        async with running_dispatcher(stream_parts(5, 0.01), stream_parts(5, 0.01)) as (dispatcher, workers):
             client = Client(dispatcher.grpc.address)
             by_request: dict[str, list[Any]] = {}
             async for response in client.stream([infer_request("p/check", id_=f"r{n}") for n in range(6)]):
@@ -424,10 +424,10 @@
                 assert numbers(responses) == [0, 1, 2, 3, 4]
                 assert responses[-1].infer_response.parameters["final_response"].bool_param
                 assert sum(r.infer_response.parameters["final_response"].bool_param for r in responses) == 1
-            assert sum(len(w.sends) for w in workers) == 6
+            assert sum(len(w.attempts) for w in workers) == 6
             assert dispatcher.gateway.counts.completed == 6 and not dispatcher.gateway.in_flight
             # A worker that does not stream answers in one part; a faulty request ends alone.
-            workers[0].script = workers[1].script = answer
+            workers[0].on_attempt = workers[1].on_attempt = answer
             requests = [infer_request("p/check", [tensor("INT8", [3])]), infer_request("nobody", id_="n")]
             out = [r async for r in client.stream(requests)]
             good = next(r for r in out if r.infer_response.id == "1")
@@ -446,13 +446,13 @@
     settings = parse(DEPLOYMENT.replace("(timeout-ms 900)", "(timeout-ms 900) (stall-ms 300)"), "t")
 
     async def main() -> None:
-        workers = [ScriptedWorker(f"w{n}", parts(2, 0.01, end)) for n in range(2)]
+        workers = [ScriptedWorker(f"w{n}", stream_parts(2, 0.01, end)) for n in range(2)]
         dispatcher = Dispatcher(workers, settings)
         client = Client(dispatcher.grpc.address)
         out = [r async for r in client.stream([infer_request(action)])]
         assert numbers(out[:-1]) == [0, 1]
         assert out[-1].error_message.startswith("ABORTED") and "middle of its stream" in out[-1].error_message
-        assert sum(len(w.sends) for w in workers) == 1
+        assert sum(len(w.attempts) for w in workers) == 1
         assert dispatcher.gateway.counts.failed == 1 and dispatcher.gateway.counts.repeat_attempts == 0
         await client.channel.close()
         await dispatcher.grpc.drain(0)
@@ -467,7 +467,10 @@
     """Guards against reporting a deadline where the worker's connection was lost."""
 
     async def main() -> None:
-        async with place(parts(12, 0.1, "cut")) as (dispatcher, _):  # 1.2 s; its class has 900 ms to the first part
+        async with running_dispatcher(stream_parts(12, 0.1, "cut")) as (
+            dispatcher,
+            _,
+        ):  # 1.2 s; its class has 900 ms to the first part
             client = Client(dispatcher.grpc.address)
             out = [r async for r in client.stream([infer_request("grant")])]
             assert numbers(out[:-1]) == list(range(12)) and out[-1].error_message.startswith("ABORTED")
@@ -478,15 +481,15 @@
 
 def test_a_stream_is_retried_at_another_worker_before_its_first_part() -> None:
     async def main() -> None:
-        async with place(reset, reset) as (dispatcher, workers):
+        async with running_dispatcher(break_connection, break_connection) as (dispatcher, workers):
             attempts: list[Any] = []
 
             def first_breaks(worker: Any, request: Any, exchange: Any) -> None:
                 attempts.append(worker)
-                (reset if len(attempts) == 1 else parts(2))(worker, request, exchange)
+                (break_connection if len(attempts) == 1 else stream_parts(2))(worker, request, exchange)
 
             for worker in workers:
-                worker.script = first_breaks
+                worker.on_attempt = first_breaks
             client = Client(dispatcher.grpc.address)
             out = [r async for r in client.stream([infer_request("p/check")])]
             assert numbers(out) == [0, 1] and len(attempts) == 2
@@ -503,7 +506,10 @@
 
 def test_a_stream_may_outlast_the_timeout_of_its_first_part() -> None:
     async def main() -> None:
-        async with place(parts(12, 0.1)) as (dispatcher, _):  # its class has 900 ms to the first part
+        async with running_dispatcher(stream_parts(12, 0.1)) as (
+            dispatcher,
+            _,
+        ):  # its class has 900 ms to the first part
             client = Client(dispatcher.grpc.address)
             assert numbers([r async for r in client.stream([infer_request("grant")])]) == list(range(12))
             # The client's own deadline is for the whole stream: the error comes within it, before the call's status.
@@ -520,17 +526,17 @@
 
 def test_a_slow_reader_pauses_its_worker_and_memory_stays_bounded() -> None:
     async def main() -> None:
-        async with place(parts(400, 0.0, "final", 50_000)) as (dispatcher, (worker,)):
+        async with running_dispatcher(stream_parts(400, 0.0, "final", 50_000)) as (dispatcher, (worker,)):
             client = Client(dispatcher.grpc.address)
             call = client.stream([infer_request("p/check")])
             reads = call.__aiter__()
             assert (await anext(reads)).infer_response.id == "1"
             await asyncio.sleep(0.7)
-            unwritten_bytes, written = dispatcher.grpc.unwritten_bytes, worker.given
+            unwritten_bytes, written = dispatcher.grpc.unwritten_bytes, worker.chunks_written
             assert unwritten_bytes < 262_144 + 200_000, "of 20 MB"
             assert written < 350, "the worker waits"
             await asyncio.sleep(0.3)
-            assert worker.given - written < 20
+            assert worker.chunks_written - written < 20
             out = [r async for r in reads]
             assert len(out) == 400 and out[-1].infer_response.parameters["final_response"].bool_param, "399 and the end"
             assert dispatcher.gateway.counts.completed == 1
@@ -541,16 +547,16 @@
 
 def test_cancelling_a_stream_cancels_its_attempt() -> None:
     async def main() -> None:
-        async with place(parts(1000, 0.01)) as (dispatcher, (worker,)):
+        async with running_dispatcher(stream_parts(1000, 0.01)) as (dispatcher, (worker,)):
             client = Client(dispatcher.grpc.address)
             call = client.stream([infer_request("grant")])
             for _ in range(3):
                 await call.read()
             call.cancel()
             await asyncio.sleep(0.3)
-            written = worker.given
+            written = worker.chunks_written
             await asyncio.sleep(0.2)
-            assert worker.given <= written + 1 < 100 and not dispatcher.gateway.in_flight
+            assert worker.chunks_written <= written + 1 < 100 and not dispatcher.gateway.in_flight
             assert dispatcher.gateway.counts.failed == 1
             await client.channel.close()
 
@@ -568,7 +574,7 @@
 
     async def main() -> None:
         all_open = asyncio.Event()  # workers wait for it after their first part
-        workers = [ScriptedWorker(f"w{n}", parts(3, gate=all_open)) for n in range(4)]
+        workers = [ScriptedWorker(f"w{n}", stream_parts(3, gate=all_open)) for n in range(4)]
         dispatcher = Dispatcher(workers, settings)
         for member in dispatcher.gateway.members:
             member.concurrency_limit = 400.0
@@ -651,7 +657,7 @@
                 (":authority", "x"),
                 ("content-type", "application/grpc"),
                 ("te", "trailers"),
-                *auth().items(),
+                *authorization().items(),
                 *headers.items(),
             ],
         )
@@ -823,7 +829,7 @@
     pending: list[Any] = []
 
     async def main() -> None:
-        async with place(lambda *call: pending.append(call)) as (dispatcher, _):
+        async with running_dispatcher(lambda *call: pending.append(call)) as (dispatcher, _):
             client = Client(dispatcher.grpc.address)
             call = asyncio.create_task(client.infer("p/check", [tensor("INT8", [1])]))
             while not pending:
@@ -860,7 +866,7 @@
         return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
     async def main() -> None:
-        async with place(answer) as (dispatcher, _):
+        async with running_dispatcher(answer) as (dispatcher, _):
             loop, rng = asyncio.get_running_loop(), np.random.default_rng(9)
             message = infer_request("p/check", [tensor("FP32", [1.0, 2.0]), tensor("BYTES", [b"abc"], name="u")])
             valid = FrameClient(await connect(dispatcher.grpc.address))
@@ -910,7 +916,7 @@
         await cluster.start(2, 1, tmp_path / "state")
         try:
             namespace = deployment.namespaces["families"]
-            client = Client(cluster.dispatchers[0].said["grpc"], auth(namespace.uuid, namespace.key))
+            client = Client(cluster.dispatchers[0].said["grpc"], authorization(namespace.uuid, namespace.key))
             inputs = [tensor("INT32", [4, 2])]
             assert list((await client.infer("places/place-check", inputs)).outputs[0].contents.int_contents) == [4, 2]
             out = [r async for r in client.stream([infer_request("places/place-check", inputs, parts=4)])]
