--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -11,13 +11,15 @@
 
 from kelptrail.clock import now_ms
 from kelptrail.peers.driver import Peers
-from kelptrail.store.activation_journal import JournalError
+from kelptrail.store.database import JournalError
 from kelptrail.store.driver import JournalDriver
 from kelptrail.store.group_commit import GroupCommit
 
-from .acceptor import Acceptor, Write
+from .acceptor import Acceptor
+from .acceptor_state import Write
 from .acceptor_store import open_acceptor_store
-from .client import LeaseAcquired, LeaseClient, LeaseLost, NoteStored
+from .client import LeaseClient
+from .events import LeaseAcquired, LeaseEvent, NoteStored
 from .messages import (
     AcquireRequest,
     FencingToken,
@@ -37,6 +39,8 @@
 MESSAGE_TYPES = (AcquireRequest, Grant, Refusal, Release, Transferred, StateRequest, StateReply, WriteNote, NoteWritten)
 ACCEPTOR_MESSAGES = (AcquireRequest, Release, StateRequest, StateReply, WriteNote)
 MAX_TIMER_MS = 1000.0  # longest timer: the rate of the clock may change
+TIMER_MARGIN_S = 0.0005  # so that the time is surely reached when the timer fires
+STORE_CLOSE_MS = 500.0
 OnAcquired = Callable[[FencingToken], None]
 OnLost = Callable[[FencingToken, str], None]
 OnNoteStored = Callable[[FencingToken, int], None]
@@ -63,15 +67,17 @@
     def start_acceptor(self, file: Path, vfs: str | None = None) -> bool:
         """Run an acceptor with its store in `file`.  False, and no acceptor, where the store cannot be used."""
         try:
-            store, state, rows, reason = open_acceptor_store(file, vfs)
+            opened = open_acceptor_store(file, vfs)
         except JournalError as cause:
             self._log.error("acceptor-store-unusable", file=str(file), reason=str(cause))
             return False
-        if reason:
-            self._log.error("acceptor-store-set-aside", file=str(file), reason=reason)
-        self.acceptor = Acceptor(self.name, self.settings, now_ms(), state, rows)
-        self._log.info("voter", stage=self.acceptor.stage.value, number=self.acceptor.config_number, tasks=len(rows))
-        self._journal = JournalDriver(GroupCommit(), store, self.run_pending, self._log)
+        if opened.damage:
+            self._log.error("acceptor-store-set-aside", file=str(file), reason=opened.damage)
+        acceptor = self.acceptor = Acceptor(self.name, self.settings, now_ms(), opened.state, opened.rows)
+        self._log.info(
+            "acceptor-stage", stage=acceptor.stage.value, number=acceptor.config_number, tasks=len(opened.rows)
+        )
+        self._journal = JournalDriver(GroupCommit(), opened.store, self.run_pending, self._log)
         return True
 
     def start(self) -> None:
@@ -92,7 +98,7 @@
         if self._timer is not None:
             self._timer.cancel()
         if self._journal is not None:
-            await self._journal.close(500.0)
+            await self._journal.close(STORE_CLOSE_MS)
 
     # For lease holders.
 
@@ -192,16 +198,16 @@
             self._notify(client.events.popleft())
         return any_output
 
-    def _on_written(self, write: Write, safe: bool) -> None:
+    def _on_written(self, write: Write, durable: bool) -> None:
         if self.acceptor is not None:
-            if safe and write.reply is not None:
+            if durable and write.reply is not None:
                 self.step_hook("voted")  # durable, and not answered yet
             before = self.acceptor.stage
-            self.acceptor.on_written(write, safe)
+            self.acceptor.on_written(write, durable)
             if write.state is not None:
-                self._log.info("voter", stage=before.value, number=self.acceptor.config_number)
+                self._log.info("acceptor-stage", stage=before.value, number=self.acceptor.config_number)
 
-    def _notify(self, event: LeaseAcquired | LeaseLost | NoteStored) -> None:
+    def _notify(self, event: LeaseEvent) -> None:
         on_acquired, on_lost, on_note_stored = self._callbacks[event.task]
         if isinstance(event, NoteStored):
             if on_note_stored is not None:
@@ -211,8 +217,8 @@
             self._log.info("lease-acquired", task=event.task, token=str(event.token))
             on_acquired(event.token)
         else:
-            self._log.info("lease-lost", task=event.task, token=str(event.token), reason=event.reason)
-            on_lost(event.token, event.reason)
+            self._log.info("lease-lost", task=event.task, token=str(event.token), reason=event.reason.value)
+            on_lost(event.token, event.reason.value)
 
     def _update_connections(self) -> None:
         self._connected_acceptors = self.client.acceptors
@@ -223,13 +229,10 @@
     def _schedule_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        dues = [
-            d
-            for d in (self.client.next_tick_at(), self.acceptor.next_tick_at() if self.acceptor is not None else None)
-            if d is not None
-        ]
-        wait = min([MAX_TIMER_MS, *(d - now_ms() for d in dues)])
-        self._timer = self._loop.call_later(max(0.0, wait) / 1000 + 0.0005, self.run_pending)
+        acceptor_due = self.acceptor.next_tick_at() if self.acceptor is not None else None
+        due_times = [due for due in (self.client.next_tick_at(), acceptor_due) if due is not None]
+        wait_ms = min([MAX_TIMER_MS, *(due - now_ms() for due in due_times)])
+        self._timer = self._loop.call_later(max(0.0, wait_ms) / 1000 + TIMER_MARGIN_S, self.run_pending)
 
     def status(self) -> dict[str, Any]:
         """State of leases and acceptor, for operators."""
--- a/kelptrail/lease/model_state.py
+++ b/kelptrail/lease/model_state.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass, field
 from typing import Self
 
-from .acceptor import Acceptor, DurableState, Stage, Write
+from .acceptor import Acceptor
+from .acceptor_state import DurableState, Stage, Write
 from .client import LeaseClient
 from .messages import NO_NOTE, NO_TOKEN, FencingToken, LeaseRow, LeaseSettings, Message
 
@@ -180,10 +181,10 @@
         yield (
             acceptor.stage,
             acceptor.sealed_previous,
-            _time_until(acceptor.quiet_since, now),
+            _time_until(acceptor.recovery.quiet_since, now),
             _time_until(acceptor.next_tick_at(), now),
-            acceptor._nonce,
-            frozenset(acceptor._state_replies.items()),
+            acceptor.recovery.nonce,
+            frozenset(acceptor.recovery.replies.items()),
             tuple(acceptor.pending_writes),
             self.disks[name].state,
             self.disks[name].rows.get(TASK),
@@ -203,7 +204,7 @@
     def _client_key(self, name: str) -> Iterator[Hashable]:
         client, now = self.clients[name], self.local_time(name)
         highest_round = client.highest_rounds.get(TASK, 0)
-        yield name, client.client_id, client._last_request_id, client._jitter_draws, highest_round
+        yield name, client.client_id, client._last_request_id, client.backoff.draws, highest_round
         request = client.requests.get(TASK)
         if request is None:
             return
--- a/kelptrail/replication/messages.py
+++ b/kelptrail/replication/messages.py
@@ -46,7 +46,7 @@
 
 
 class ReplicaEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One journal entry.  `data` is the output of `store.entries.pack`.
+    """One journal entry.  `data` is the output of `store.entries.encode_entry`.
 
     `age_ms` is its age when it was sent: counted from the acceptance of the call, or, for a may-run entry, from its
     write.
@@ -215,12 +215,12 @@
     return [int.from_bytes(data[n : n + DIGEST_BYTES]) for n in range(0, len(data), DIGEST_BYTES)]
 
 
-def differing_buckets(mine: list[int], reply: DigestReply) -> list[int]:
-    """Buckets of a reply whose digests differ from `mine`, which begins at the same bucket."""
+def differing_buckets(local_digests: list[int], reply: DigestReply) -> list[int]:
+    """Buckets of a reply whose digests differ from `local_digests`, which begins at the same bucket."""
     return [
         bucket
         for bucket, (local, remote) in enumerate(
-            zip(mine, unpack_digests(reply.digests), strict=False), reply.first_bucket
+            zip(local_digests, unpack_digests(reply.digests), strict=False), reply.first_bucket
         )
         if local != remote
     ]
