--- a/kelptrail/simulation/compare.py
+++ b/kelptrail/simulation/compare.py
@@ -23,6 +23,20 @@
 }
 
 
+# Columns of the report's table, and how their numbers are written.
+TABLE_FORMATS = {
+    "served_share": ".3f",
+    "recovery_s": ".1f",
+    "p50_ms": ".0f",
+    "p99_ms": ".0f",
+    "rejected": ".0f",
+    "lost": ".0f",
+    "sends": ".0f",
+    "loads": ".0f",
+}
+CONFIDENCE = 0.95
+
+
 class NoCommonRunsError(ValueError):
     """Two variants have no run with the same point and seed."""
 
@@ -48,7 +62,7 @@
     high: float
 
 
-def interval(differences: np.ndarray, confidence: float = 0.95) -> Interval:
+def interval(differences: np.ndarray, confidence: float = CONFIDENCE) -> Interval:
     """Where the mean of paired differences lies (Student's t); without bounds for fewer than two pairs."""
     if len(differences) < 2:
         return Interval(float("-inf"), float("inf"))
@@ -124,18 +138,18 @@
     rows = []
     for variant in variants:
         for point in points:
-            mine = [r for r in runs if r["variant"] == variant and r["point"] == point]
-            if mine:
+            of_point = [r for r in runs if r["variant"] == variant and r["point"] == point]
+            if of_point:
+                rows.append(f"| {variant} | {point or '-'} | {_mean_figures(of_point)} |")
+    return rows
 
-                def mean(key: str, of: list[dict[str, Any]] = mine) -> float:
-                    return float(np.mean([r[key] for r in of]))
 
-                rows.append(
-                    f"| {variant} | {point or '-'} | {mean('served_share'):.3f} | {mean('recovery_s'):.1f} | "
-                    f"{mean('p50_ms'):.0f} | {mean('p99_ms'):.0f} | {mean('rejected'):.0f} | "
-                    f"{mean('lost'):.0f} | {mean('sends'):.0f} | {mean('loads'):.0f} |"
-                )
-    return rows
+def _mean_figures(runs: list[dict[str, Any]]) -> str:
+    """The cells of a table row."""
+    return " | ".join(
+        format(float(np.mean([run[figure] for run in runs])), number_format)
+        for figure, number_format in TABLE_FORMATS.items()
+    )
 
 
 def _comparison(runs: list[dict[str, Any]], first: str, second: str) -> list[str]:
--- a/kelptrail/simulation/worker_instances.py
+++ b/kelptrail/simulation/worker_instances.py
@@ -200,9 +200,9 @@
             self._forget_if_absent(model)
         self._answer_orders(model, succeeded)
         if model.is_absent:
-            self._worker.fail_waiting(model)
+            self._worker.executor.fail_waiting(model)
         self._start_loads()
-        self._worker.start_queued()
+        self._worker.executor.start_queued()
 
     def _answer_orders(self, model: ModelState, load_succeeded: bool) -> None:
         """Answer the orders that are carried out, and after a failed load all others."""
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -8,9 +8,8 @@
 from __future__ import annotations
 
 import zlib
-from collections import deque
 from dataclasses import replace
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 import numpy as np
 
@@ -19,10 +18,11 @@
 from kelptrail.membership.members import Endpoint
 from kelptrail.settings.deployment import ActionSettings, Deployment
 
+from .attempt_executor import AttemptExecutor, WorkFactors
 from .event_queue import EventQueue
 from .model_store import SimulatedStore
 from .slow_start import SlowStart
-from .worker_instances import ModelState, QueuedAttempt, WorkerInstances
+from .worker_instances import QueuedAttempt, WorkerInstances
 from .worker_messages import AttemptMessage, AttemptReply, EventRecorder, OrderReply, WorkerIdentity
 
 if TYPE_CHECKING:
@@ -30,19 +30,7 @@
 
     from .remote import RemoteStore
 
-UTILIZATION_WINDOW_MS = 250.0  # of the moving average, as the emulated worker reports it
-REPORT_INTERVAL_MS = 200.0  # a report is made anew at most so often
 MAX_FOREIGN_IN_FLIGHT = 30  # as a worker's answer can say
-WORK_SIGMA, WORK_FACTORS_DRAWN = 0.2, 512  # of the lognormal factor of an attempt's work
-NEVER = -1e18
-
-
-class LoadReport(NamedTuple):
-    """What a worker reports of itself: shares of its cores and its memory, and its open loads."""
-
-    utilization: float
-    open_loads: int
-    memory: float
 
 
 class SimulatedWorker:
@@ -63,7 +51,7 @@
         self.id, self.zone, self.cell = identity
         self._fleet, self._rules, self._effect_log = deployment.fleet, deployment.rules, effect_log
         self._random = np.random.default_rng([seed, zlib.crc32(self.id.encode())])
-        self._work_factors = np.empty(0)
+        self._work_factors = WorkFactors(self._random)
         self._record_event = record_event
         self._open_replies: dict[AttemptReply, None] = {}
         self.faults: dict[str, Fault] = {}  # those that are active, by kind
@@ -78,13 +66,10 @@
         self.incarnation = f"{zlib.crc32(self.id.encode()):08x}-{self._starts}"
         self.started = now - (self._rules.cold_ms + 1 if warm else 0.0)
         self.instances = WorkerInstances(self, self._event_queue, self._deployment, self._store)
+        self.executor = AttemptExecutor(self, self._event_queue, self._fleet, self._work_factors, self._effect_log)
         self._slow_start = SlowStart(self._rules, self._fleet.cores, self.started)
-        self._running = 0
-        self._queue: deque[ModelState] = deque()  # a model once for each of its waiting attempts
         self.draining = False
-        self._utilization_at, self._utilization = now, 0.0
-        self._last_report, self._reported_at = LoadReport(0.0, 0, 0.0), NEVER
-        self._record(
+        self.record(
             "start",
             incarnation=self.incarnation,
             started=self.started,
@@ -93,7 +78,8 @@
             cold_share=self._rules.cold_share,
         )
 
-    def _record(self, event: str, /, **fields: Any) -> None:
+    def record(self, event: str, /, **fields: Any) -> None:
+        """Record an event of this worker, where there is a capture."""
         if self._record_event is not None:
             self._record_event(event, worker=self.id, **fields)
 
@@ -159,7 +145,7 @@
             self._event_queue.at(self.paused_until, self.start_attempt, delayed, reply, read_delay_ms + wait_ms)
             return
         model = self.instances.model(action)
-        self._record(
+        self.record(
             "send",
             model=action.model,
             mark=attempt.deduplication_id,
@@ -189,127 +175,19 @@
         had_collapsed = self.collapsed
         self._slow_start.add_arrival(self._event_queue.now, work_ms)
         if self.collapsed and not had_collapsed:
-            self._record("fell", incarnation=self.incarnation)
+            self.record("fell", incarnation=self.incarnation)
 
     def _fail_or_queue(self, attempt: QueuedAttempt) -> None:
         """Answer an attempt at once by a fault, a model that is not loaded or a full queue; else queue it."""
         model, reply = attempt.model, attempt.reply
-        if self._hits("fail-fast") or self._fails_type(model.type.name):
+        if self.is_hit_by("fail-fast") or self._fails_type(model.type.name):
             reply(AttemptStatus.ERROR, WorkerAnswer("error"))
         elif model.is_absent:
-            reply(AttemptStatus.NOT_LOADED, WorkerAnswer("miss", report=self._report()))
-        elif self.draining or len(self._queue) >= self._fleet.queue:
-            reply(AttemptStatus.OUT_OF_CAPACITY, WorkerAnswer("full", report=self._report()))
+            reply(AttemptStatus.NOT_LOADED, WorkerAnswer("miss", report=self.executor.report()))
+        elif self.draining or self.executor.is_full:
+            reply(AttemptStatus.OUT_OF_CAPACITY, WorkerAnswer("full", report=self.executor.report()))
         else:
-            model.waiting.append(attempt)
-            self._queue.append(model)
-            self.start_queued()
-
-    def _hits(self, kind: str) -> bool:
-        """Whether a fault of this kind is active and hits the attempt, drawn by the fault's share."""
-        fault = self.faults.get(kind)
-        return fault is not None and bool(self._random.random() < fault.share)
-
-    def _fails_type(self, type_name: str) -> bool:
-        fault = self.faults.get("fail-type")
-        return fault is not None and fault.type == type_name
-
-    def start_queued(self) -> None:
-        """Start the waiting attempts for which there are a core and an instance, in order of arrival."""
-        for _ in range(len(self._queue)):
-            if self._running >= self._fleet.cores:
-                return
-            model = self._queue.popleft()
-            if not model.waiting:
-                continue
-            if model.busy >= model.loaded * model.action.concurrency:
-                self._queue.append(model)
-                continue
-            attempt = model.waiting.popleft()
-            if self._event_queue.now >= attempt.deadline:
-                attempt.reply(AttemptStatus.ERROR, WorkerAnswer("error"))
-                continue
-            self._update_utilization()
-            self._running += 1
-            model.busy += 1
-            self._event_queue.after(self._work_duration_ms(model), self._on_work_done, attempt, self._starts)
-
-    def fail_waiting(self, model: ModelState) -> None:
-        """Answer all waiting attempts of a model whose load has failed."""
-        while model.waiting:
-            answer = WorkerAnswer("miss", load_failed=True, report=self._report())
-            model.waiting.popleft().reply(AttemptStatus.NOT_LOADED, answer)
-
-    def _work_duration_ms(self, model: ModelState) -> float:
-        if not len(self._work_factors):
-            self._work_factors = self._random.lognormal(0.0, WORK_SIGMA, WORK_FACTORS_DRAWN)
-        factor, self._work_factors = float(self._work_factors[-1]), self._work_factors[:-1]
-        if self._hits("heavy-work"):
-            factor *= self.faults["heavy-work"].factor
-        return model.action.work_ms * factor / self.slow_start_capacity
-
-    def _on_work_done(self, attempt: QueuedAttempt, start: int) -> None:
-        if self._event_queue.now < self.paused_until:
-            self._event_queue.at(self.paused_until, self._on_work_done, attempt, start)
-            return
-        if start != self._starts or not self.up:
-            return
-        model = attempt.model
-        self._update_utilization()
-        self._running -= 1
-        model.busy -= 1
-        model.last_used = self._event_queue.now
-        if not self._is_repeat(attempt):
-            self._record(
-                "effect",
-                mark=attempt.deduplication_id,
-                type=model.type.name,
-                activation=attempt.activation,
-                send=attempt.number,
-            )
-        if "silent" not in self.faults and not self._hits("answers-lost"):
-            self._answer_completed(attempt)
-        self.start_queued()
-
-    def _is_repeat(self, attempt: QueuedAttempt) -> bool:
-        """Whether the group has had this effect within the deduplication window; enters it otherwise."""
-        type_ = attempt.model.type
-        if type_.effect != "deduplicated":
-            return False
-        now = self._event_queue.now
-        group = {"all": "all", "zone": self.zone, "cell": f"cell-{self.cell}"}[type_.deduplication_scope]
-        last_effect_at = self._effect_log.get((group, attempt.deduplication_id), NEVER)
-        if now - last_effect_at <= type_.deduplication_window_ms:
-            return True
-        self._effect_log[group, attempt.deduplication_id] = now
-        return False
-
-    def _answer_completed(self, attempt: QueuedAttempt) -> None:
-        answer = WorkerAnswer(
-            "completed", b"{}", True, False, attempt.was_loaded, attempt.foreign_in_flight, self._report()
-        )
-        late = self.faults.get("answers-late")
-        delay_ms = late.ms if late is not None else 0.0
-        self._event_queue.after(delay_ms, attempt.reply, AttemptStatus.COMPLETED, answer)
-
-    # Reports of load.
-
-    def _update_utilization(self) -> None:
-        now = self._event_queue.now
-        elapsed_ms = now - self._utilization_at
-        if elapsed_ms > 0:
-            weight = min(1.0, elapsed_ms / UTILIZATION_WINDOW_MS)
-            self._utilization += weight * (self._running / self._fleet.cores - self._utilization)
-            self._utilization_at = now
-
-    def _report(self) -> dict[str, float]:
-        if self._event_queue.now - self._reported_at > REPORT_INTERVAL_MS:
-            self._reported_at = self._event_queue.now
-            self._update_utilization()
-            memory = self.instances.busy_mb / self._fleet.memory_mb
-            self._last_report = LoadReport(self._utilization, self.instances.open_loads, memory)
-        report = self._last_report
-        return {"util": report.utilization, "x1": report.open_loads, "x0": report.memory}
+            self.executor.queue(attempt)
 
     # Instances.
 
@@ -330,7 +208,7 @@
             )
             return
         model = self.instances.model(action)
-        self._record("order", model=action.model, copies=instances, dispatcher=dispatcher, lag=read_delay_ms)
+        self.record("order", model=action.model, copies=instances, dispatcher=dispatcher, lag=read_delay_ms)
         if "hang" in self.faults or "silent" in self.faults:
             return
         if self.draining:
@@ -340,6 +218,15 @@
 
     # Faults.
 
+    def is_hit_by(self, kind: str) -> bool:
+        """Whether a fault of this kind is active and hits what happens now, drawn by the fault's share."""
+        fault = self.faults.get(kind)
+        return fault is not None and bool(self._random.random() < fault.share)
+
+    def _fails_type(self, type_name: str) -> bool:
+        fault = self.faults.get("fail-type")
+        return fault is not None and fault.type == type_name
+
     def inject(self, kind: str, fault: Fault) -> None:
         """Inject a fault for its duration."""
         if kind == "models-voided":
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -264,5 +264,5 @@
     heavy = next(fault for fault in scenario.faults if fault.kind == "heavy-work")  # 3 in 100, twenty times
     worker.faults["heavy-work"] = heavy
     model_state = worker.instances.model(action)
-    work_durations = np.array([worker._work_duration_ms(model_state) for _ in range(4000)])
+    work_durations = np.array([worker.executor.draw_duration_ms(model_state) for _ in range(4000)])
     assert 0.02 < np.mean(work_durations > 8 * action.work_ms) < 0.04
