--- a/kelptrail/cli/simulation.py
+++ b/kelptrail/cli/simulation.py
@@ -106,14 +106,14 @@
 def run(experiment: str, out: Path, processes: int) -> None:
     """Play an EXPERIMENT's variants, points and seeds in parallel; write columns, plots and a report."""
     from kelptrail.load.results import read
-    from kelptrail.simulation.compare import report
     from kelptrail.simulation.experiment import load
     from kelptrail.simulation.experiment import run as run_all
+    from kelptrail.simulation.experiment_report import write_report
 
     count = sum(1 for _ in read_input(load, experiment).runs())
     with click.progressbar(length=count, label="runs", file=sys.stderr) as bar:
         runs = run_all(experiment, out, processes, lambda _row: bar.update(1))
-    file = report(out, runs, read(out, "seconds"), read(out, "spread"))
+    file = write_report(out, runs, read(out, "seconds"), read(out, "spread"))
     print_json_line(runs=len(runs), report=str(file))
 
 
--- a/kelptrail/simulation/dispatchers.py
+++ b/kelptrail/simulation/dispatchers.py
@@ -15,7 +15,7 @@
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder
 from kelptrail.gateway.build import DispatcherParts
 from kelptrail.gateway.core import Gateway
-from kelptrail.gateway.effects import CancelAttempt, CancelReason, FinalAnswer, StartAttempt, StartLoad
+from kelptrail.gateway.effects import CancelAttempt, CancelReason, Effect, FinalAnswer, StartAttempt, StartLoad
 from kelptrail.gateway.invocation import Invocation
 from kelptrail.membership.members import EndpointList
 from kelptrail.settings.deployment import ActionSettings
@@ -34,6 +34,8 @@
     from .cluster import SimulatedCluster
 
 WALL_CLOCK_ORIGIN_MS = 1e12  # the wall clock at simulated time 0
+ANSWER_MARGINS = 2  # of a call that is recovered
+TIMER_TOLERANCE_MS = 0.01  # a timer is not set anew for less
 
 
 class SimulatedDispatcher:
@@ -45,6 +47,8 @@
         self._settings, self._event_queue = cluster.settings, cluster.event_queue
         self.sync_ms, self.disk_fails = cluster.settings.sync_ms, False
         self.endpoints: EndpointList | None = None
+        self._timer: Timer | None = None
+        self.edge: SimulatedEdge | None = None
         self.start_process()
         self.edge = SimulatedEdge(cluster, self) if cluster.scenario.planners else None
 
@@ -53,9 +57,9 @@
         self.starts += 1
         self.boot = f"{zlib.crc32(f'{self.name}/{self.starts}'.encode()):08x}{self.number:04x}{self.starts:04x}"
         self.process_id = f"{self.name}/{self.boot}"
-        cluster = self._cluster
-        self.journal = GroupCommit(cluster.deployment.journal.most_waiting) if cluster.deployment.journal.keep else None
-        parts = DispatcherParts(cluster.deployment, self._zone, zlib.crc32(self.boot.encode()))
+        deployment = self._cluster.deployment
+        self.journal = GroupCommit(deployment.journal.most_waiting) if deployment.journal.keep else None
+        parts = DispatcherParts(deployment, self._zone, zlib.crc32(self.boot.encode()))
         self.gateway = Gateway(parts, self.boot, self.journal)
         self.gateway.answer_ms = 2 * self._settings.cpu_ms
         self._busy_until, self._timer, self._timer_at, self._deciding = 0.0, None, float("inf"), False
@@ -64,20 +68,17 @@
         self._syncing = False
         self.up = True
         if self.journal is not None and self._journal_entries:
-            margin = 2 * cluster.deployment.dispatcher.answer_margin_ms
-            self.gateway.recover(
-                self._event_queue.now,
-                WALL_CLOCK_ORIGIN_MS + self._event_queue.now,
-                self._journal_entries.values(),
-                margin,
-                cluster.deployment.journal.resume_at_once,
-            )
+            self._recover()
         if self.endpoints is not None:
             self.gateway.on_endpoints(self._event_queue.now, self.endpoints)
         self.schedule_decisions()
 
-    _timer: Timer | None
-    edge: SimulatedEdge | None
+    def _recover(self) -> None:
+        """Recover the activations of the journal."""
+        now, deployment = self._event_queue.now, self._cluster.deployment
+        margin_ms = ANSWER_MARGINS * deployment.dispatcher.answer_margin_ms
+        entries, resume_at_once = self._journal_entries.values(), deployment.journal.resume_at_once
+        self.gateway.recover(now, WALL_CLOCK_ORIGIN_MS + now, entries, margin_ms, resume_at_once)
 
     def kill(self) -> None:
         """End the process; its journal remains."""
@@ -132,25 +133,30 @@
         now, gateway = self._event_queue.now, self.gateway
         try:
             while (effect := gateway.next_effect(now)) is not None:
-                if isinstance(effect, StartAttempt):
-                    self._start_attempt(effect.invocation, effect.attempt)
-                elif isinstance(effect, FinalAnswer):
-                    waiters, effect.invocation.waiters = effect.invocation.waiters, []
-                    for waiter in waiters:
-                        waiter(effect.invocation.record)
-                elif isinstance(effect, StartLoad):
-                    self._start_load(effect.order)
-                elif isinstance(effect, CancelAttempt) and effect.attempt in self._open_attempts:
-                    del self._open_attempts[effect.attempt]
-                    outcome = (
-                        AttemptStatus.CANCELLED if effect.reason is CancelReason.CANCELLED else AttemptStatus.SILENT
-                    )
-                    self._event_queue.after(0.0, self._on_attempt_finished, self.starts, effect.attempt, outcome, None)
+                self._carry_out(effect)
         finally:
             self._deciding = False
         self._write_journal()
-        due = gateway.next_due()
-        if due < self._timer_at - 0.01 or self._timer is None:
+        self._set_timer(gateway.next_due())
+
+    def _carry_out(self, effect: Effect) -> None:
+        if isinstance(effect, StartAttempt):
+            self._start_attempt(effect.invocation, effect.attempt)
+        elif isinstance(effect, FinalAnswer):
+            waiters, effect.invocation.waiters = effect.invocation.waiters, []
+            for waiter in waiters:
+                waiter(effect.invocation.record)
+        elif isinstance(effect, StartLoad):
+            self._start_load(effect.order)
+        elif isinstance(effect, CancelAttempt) and effect.attempt in self._open_attempts:
+            del self._open_attempts[effect.attempt]
+            cancelled = effect.reason is CancelReason.CANCELLED
+            status = AttemptStatus.CANCELLED if cancelled else AttemptStatus.SILENT
+            self._event_queue.after(0.0, self._on_attempt_finished, self.starts, effect.attempt, status, None)
+
+    def _set_timer(self, due: float) -> None:
+        """Have the core run when it is due; a timer that is set for an earlier time stays."""
+        if due < self._timer_at - TIMER_TOLERANCE_MS or self._timer is None:
             if self._timer is not None:
                 self._timer.cancel()
             self._timer_at = due
@@ -162,10 +168,10 @@
             self.schedule_decisions()
 
     def _on_attempt_finished(
-        self, start: int, attempt: Attempt, outcome: AttemptStatus, answer: WorkerAnswer | None
+        self, start: int, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
     ) -> None:
         if start == self.starts and self.up and attempt.status is None:
-            self.gateway.on_attempt_finished(self._event_queue.now, attempt, outcome, answer)
+            self.gateway.on_attempt_finished(self._event_queue.now, attempt, status, answer)
             self.schedule_decisions()
 
     def _start_attempt(self, invocation: Invocation, attempt: Attempt) -> None:
--- a/kelptrail/simulation/faults.py
+++ b/kelptrail/simulation/faults.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any, TypeVar
 
 import numpy as np
 
@@ -24,6 +24,7 @@
     from .cluster import SimulatedCluster
 
 
+T = TypeVar("T")
 WORK_ENDS_WITHIN_MS = 1500.0  # after a worker was told to drain, until it is stopped
 DEPLOY_PAUSE_MS = 1000.0  # added between two workers of a rolling deploy
 LEASE_FAULT_OF_PLANNER_FAULT = {"pause-planners": "pause-dispatchers", "cut-planners": "cut-peers"}
@@ -50,11 +51,23 @@
         else:
             self._inject_dispatcher_fault(fault)
 
+    def _draw_targets(self, processes: list[T], count: int) -> list[T]:
+        return [processes[int(n)] for n in self._random.choice(len(processes), count, replace=False)]
+
+    def _record(self, event: str, /, **fields: Any) -> None:
+        if self._cluster.record_event is not None:
+            self._cluster.record_event(event, **fields)
+
+    def _record_fault(self, fault: Fault, names: list[str]) -> None:
+        """Record a fault of the run, which only its first shard does."""
+        if self._cluster.shard_part[0] == 0:
+            self._record("trouble", kind=fault.kind, seconds=fault.duration, factor=fault.factor, of=names)
+
     def _inject_worker_fault(self, fault: Fault) -> None:
         kind = fault.kind
         up = [worker for worker in self._cluster.workers.values() if worker.up]
         count = min(len(up), max(1, round(fault.part * len(up))))
-        targets = [up[int(n)] for n in self._random.choice(len(up), count, replace=False)] if up else []
+        targets = self._draw_targets(up, count) if up else []
         self._record_fault(fault, [worker.id for worker in targets])
         for number, worker in enumerate(targets):
             if kind == "crash":
@@ -74,8 +87,7 @@
         kind, duration_ms = fault.kind, fault.duration * 1000
         targets = self._cluster.dispatchers
         if kind == "kill-dispatchers" or kind in (*DISK_FAULTS, *PEER_FAULTS):
-            count = max(1, round(fault.part * len(targets)))
-            targets = [targets[int(n)] for n in self._random.choice(len(targets), count, replace=False)]
+            targets = self._draw_targets(targets, max(1, round(fault.part * len(targets))))
         self._record_fault(fault, [dispatcher.name for dispatcher in targets])
         if kind == "list-late":
             self._cluster.endpoints_delay_ms = fault.ms
@@ -99,7 +111,7 @@
                 if dispatcher in targets:
                     dispatcher.pause(fault.duration * 1000)
                     if self._cluster.record_event is not None:
-                        self._cluster.record_event("stopped", dispatcher=dispatcher.number)
+                        self._record("stopped", dispatcher=dispatcher.number)
                         self._event_queue.after(fault.duration * 1000, self._record_resumed, dispatcher)
         if self._cluster.leases is not None:
             names = [dispatcher.name for dispatcher in targets]
@@ -122,9 +134,7 @@
         planners = self._cluster.planners
         if not planners:
             return
-        count = max(1, round(fault.part * len(planners)))
-        targets = [planners[int(n)] for n in self._random.choice(len(planners), count, replace=False)]
-        for planner in targets:
+        for planner in self._draw_targets(planners, max(1, round(fault.part * len(planners)))):
             if fault.kind == "planners-slow":
                 planner.slow_ms = fault.ms
                 self._event_queue.after(fault.duration * 1000, setattr, planner, "slow_ms", 0.0)
@@ -143,12 +153,6 @@
                     fault.kind == "planners-forget",
                 )
 
-    def _record_fault(self, fault: Fault, names: list[str]) -> None:
-        if self._cluster.record_event is not None and self._cluster.shard_part[0] == 0:
-            self._cluster.record_event(
-                "trouble", kind=fault.kind, seconds=fault.duration, factor=fault.factor, of=names
-            )
-
     def _restore_disk(self, dispatcher: SimulatedDispatcher | RemoteDispatcher) -> None:
         dispatcher.sync_ms, dispatcher.disk_fails = self._settings.sync_ms, False
         if self._cluster.leases is not None:
@@ -159,10 +163,10 @@
     ) -> None:
         if not dispatcher.up:
             return
-        if self._cluster.record_event is not None and dispatcher in self._cluster.local_dispatchers:
-            self._cluster.record_event("kill", dispatcher=dispatcher.number)
+        if dispatcher in self._cluster.local_dispatchers:
+            self._record("kill", dispatcher=dispatcher.number)
             if disk_lost:
-                self._cluster.record_event("disk-lost", dispatcher=dispatcher.number)
+                self._record("disk-lost", dispatcher=dispatcher.number)
         dispatcher.kill()
         if disk_lost and isinstance(dispatcher, SimulatedDispatcher):
             dispatcher.lose_disk()
@@ -177,12 +181,11 @@
             self._cluster.leases.start_process(self._cluster.leases.nodes[dispatcher.name])
         if isinstance(dispatcher, SimulatedDispatcher) and dispatcher.edge is not None:
             dispatcher.edge.start_process()
-        if self._cluster.record_event is not None and dispatcher in self._cluster.local_dispatchers:
-            self._cluster.record_event("restarted", dispatcher=dispatcher.number)
+        if dispatcher in self._cluster.local_dispatchers:
+            self._record("restarted", dispatcher=dispatcher.number)
 
     def _record_resumed(self, dispatcher: SimulatedDispatcher) -> None:
-        if self._cluster.record_event is not None:
-            self._cluster.record_event("woken", dispatcher=dispatcher.number)
+        self._record("woken", dispatcher=dispatcher.number)
 
     def _crash(self, worker: SimulatedWorker | RemoteWorker, down_ms: float) -> None:
         worker.up = False
--- a/kelptrail/simulation/leases.py
+++ b/kelptrail/simulation/leases.py
@@ -10,7 +10,8 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any
+from functools import partial
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from kelptrail.lease.acceptor import Acceptor, DurableState, Write
 from kelptrail.lease.client import LeaseAcquired, LeaseClient
@@ -35,6 +36,27 @@
 ACCEPTOR_MESSAGES = (AcquireRequest, Release, StateRequest, StateReply)
 
 
+class WantedLease(NamedTuple):
+    """What to call once a node has acquired a lease, and once it has lost it."""
+
+    on_acquired: Callable[[FencingToken], None]
+    on_lost: Callable[[], None]
+
+
+class Link(NamedTuple):
+    """The link from one node to another."""
+
+    sender: str
+    receiver: str
+
+
+class SlowLinks(NamedTuple):
+    """A delay in ms that this share of all messages has."""
+
+    delay_ms: float
+    share: float
+
+
 @dataclass(slots=True, eq=False)
 class LeaseNode:
     """One process: its cores, its disk, its clock."""
@@ -51,11 +73,11 @@
     paused: bool = False
     unread: list[tuple[str, Message]] = field(default_factory=list)
     clock_rate: float = 1.0
-    clock_base_ms: float = 0.0  # of its clock, at `since`
-    clock_set_at_ms: float = 0.0
+    clock_base_ms: float = 0.0  # what its clock showed when its rate was last set
+    clock_set_at_ms: float = 0.0  # simulated time of that
     disk_fails: bool = False
     core_timer: Timer | None = None
-    wanted_tasks: dict[str, tuple[Callable[[FencingToken], None], Callable[[], None]]] = field(default_factory=dict)
+    wanted_leases: dict[str, WantedLease] = field(default_factory=dict)  # by task
     messages_received: int = 0
     lease_uses: int = 0
 
@@ -88,11 +110,11 @@
     ) -> None:
         self._event_queue, self._settings, self._seed = event_queue, settings, seed
         self._record_event = record_event
-        self._cut_links: Counter[tuple[str, str]] = Counter()
-        self._held_messages: dict[tuple[str, str], list[Message]] = {}
-        self._cut_since: dict[tuple[str, str], float] = {}  # when a link was cut
-        self._slow_links: list[tuple[float, float]] = []
-        self._draws = 0
+        self._cut_links: Counter[Link] = Counter()  # the number of faults that cut each
+        self._held_messages: dict[Link, list[Message]] = {}
+        self._cut_since: dict[Link, float] = {}
+        self._slow_links: list[SlowLinks] = []
+        self._draws = 0  # of delays
         self._highest_tokens: dict[str, FencingToken] = {}
         self.nodes = {name: LeaseNode(name, name in settings.cores.acceptors, settings.sync_ms) for name in names}
         for node in self.nodes.values():
@@ -108,7 +130,7 @@
             node.acceptor = Acceptor(
                 node.name, self._settings.cores, now, node.durable_state, tuple(node.rows.values())
             )
-        for task in node.wanted_tasks:
+        for task in node.wanted_leases:
             node.lease_client.acquire(now, task, self._settings.length_ms)
         self._run_cores(node)
 
@@ -116,7 +138,7 @@
         self, node: LeaseNode, task: str, on_acquired: Callable[[FencingToken], None], on_lost: Callable[[], None]
     ) -> None:
         """Have a node acquire the lease of a task whenever it can."""
-        node.wanted_tasks[task] = on_acquired, on_lost
+        node.wanted_leases[task] = WantedLease(on_acquired, on_lost)
         if node.up and node.lease_client is not None:
             node.lease_client.acquire(node.local_time(self._event_queue.now), task, self._settings.length_ms)
             self._run_cores(node)
@@ -125,12 +147,7 @@
         """Have these nodes compete for the leases of tasks; the holder uses its lease at the side-effect log."""
         for node in (self.nodes[name] for name in names):
             for task in tasks:
-                self.want(
-                    node,
-                    task,
-                    lambda token, n=node, t=task: self._use_lease(n, n.starts, t, token),  # type: ignore[misc]
-                    lambda: None,
-                )
+                self.want(node, task, partial(self._begin_use, node, task), lambda: None)
 
     def holds(self, name: str, task: str) -> FencingToken | None:
         """The token of the lease that a node holds now; None where it holds none."""
@@ -139,59 +156,81 @@
             return None
         return node.lease_client.held_token(node.local_time(self._event_queue.now), task)
 
+    def _begin_use(self, node: LeaseNode, task: str, token: FencingToken) -> None:
+        self._use_lease(node, node.starts, task, token)
+
     def _use_lease(self, node: LeaseNode, start: int, task: str, token: FencingToken) -> None:
+        """Use a lease now and then, until the node has lost it or its process has ended."""
         if not node.up or node.starts != start or node.lease_client is None:
             return
         if not node.paused:
             if node.lease_client.requests[task].token != token:
                 return
             if self.holds(node.name, task) == token:
-                node.lease_uses += 1
-                accepted = token >= self._highest_tokens.get(task, NO_TOKEN)
-                self._highest_tokens[task] = max(token, self._highest_tokens.get(task, NO_TOKEN))
-                if self._record_event is not None:
-                    self._record_event(
-                        "act",
-                        task=task,
-                        token=[token.round, token.client_id],
-                        by=node.name,
-                        looked=self._event_queue.now,
-                        taken=accepted,
-                    )
+                self._record_use(node, task, token)
         self._event_queue.after(LEASE_USE_INTERVAL_MS, self._use_lease, node, start, task, token)
 
+    def _record_use(self, node: LeaseNode, task: str, token: FencingToken) -> None:
+        """A use at the side-effect log, which accepts it unless it has seen a newer token."""
+        node.lease_uses += 1
+        highest = self._highest_tokens.get(task, NO_TOKEN)
+        self._highest_tokens[task] = max(token, highest)
+        if self._record_event is not None:
+            self._record_event(
+                "act",
+                task=task,
+                token=[token.round, token.client_id],
+                by=node.name,
+                looked=self._event_queue.now,
+                taken=token >= highest,
+            )
+
     # Running the cores.
 
     def _run_cores(self, node: LeaseNode) -> None:
+        """Have the cores do what is due, and carry out what they put out."""
         if not node.up or node.paused or node.lease_client is None:
             return
-        now, delivered_locally = node.local_time(self._event_queue.now), [True]
+        now = node.local_time(self._event_queue.now)
         node.lease_client.tick(now)
         if node.acceptor is not None:
             node.acceptor.tick(now)
+        delivered_locally = True
         while delivered_locally:
-            delivered_locally = []
-            for core in (node.acceptor, node.lease_client):
-                while core is not None and core.outbox:
-                    to, message = core.outbox.popleft()
-                    if to == node.name:
-                        delivered_locally.append(True)
-                        self._deliver(node, to, message)
-                    else:
-                        self._transmit(node.name, to, message)
-            while node.acceptor is not None and node.acceptor.pending_writes:
-                write = node.acceptor.pending_writes.popleft()
-                delay_ms = WRITE_RETRY_MS if node.disk_fails and write.state is not None else node.sync_ms
-                self._event_queue.after(delay_ms, self._written, node, node.starts, write)
-            while node.lease_client.events:
-                event = node.lease_client.events.popleft()
-                on_acquired, on_lost = node.wanted_tasks[event.task]
-                if isinstance(event, LeaseAcquired):
-                    on_acquired(event.token)
-                else:
-                    on_lost()
+            delivered_locally = self._send_messages(node)
+            self._start_writes(node)
+            self._report_lease_events(node)
         self._schedule_core_timer(node, now)
 
+    def _send_messages(self, node: LeaseNode) -> bool:
+        """Send the cores' messages; whether one was for the node itself, whose cores then may have more to do."""
+        delivered_locally = False
+        for core in (node.acceptor, node.lease_client):
+            while core is not None and core.outbox:
+                to, message = core.outbox.popleft()
+                if to == node.name:
+                    delivered_locally = True
+                    self._deliver(node, to, message)
+                else:
+                    self._transmit(Link(node.name, to), message)
+        return delivered_locally
+
+    def _start_writes(self, node: LeaseNode) -> None:
+        while node.acceptor is not None and node.acceptor.pending_writes:
+            write = node.acceptor.pending_writes.popleft()
+            delay_ms = WRITE_RETRY_MS if node.disk_fails and write.state is not None else node.sync_ms
+            self._event_queue.after(delay_ms, self._on_written, node, node.starts, write)
+
+    @staticmethod
+    def _report_lease_events(node: LeaseNode) -> None:
+        while node.lease_client is not None and node.lease_client.events:
+            event = node.lease_client.events.popleft()
+            wanted = node.wanted_leases[event.task]
+            if isinstance(event, LeaseAcquired):
+                wanted.on_acquired(event.token)
+            else:
+                wanted.on_lost()
+
     def _schedule_core_timer(self, node: LeaseNode, now: float) -> None:
         """Run the cores again when the first of them is due; `now` is the node's local time."""
         assert node.lease_client is not None
@@ -210,7 +249,7 @@
                 max(0.01, (min(due_times) - now) / node.clock_rate), self._run_cores, node
             )
 
-    def _written(self, node: LeaseNode, start: int, write: Write) -> None:
+    def _on_written(self, node: LeaseNode, start: int, write: Write) -> None:
         if node.starts != start or not node.up or node.acceptor is None:
             return
         if not node.disk_fails:
@@ -227,20 +266,24 @@
         elif node.acceptor is not None:
             node.acceptor.on_message(now, sender, message)
 
-    def _transmit(self, sender: str, to: str, message: Message) -> None:
-        if self._cut_links[sender, to] > 0:
-            if self._event_queue.now - self._cut_since[sender, to] < self._settings.silent_ms:
-                self._held_messages.setdefault((sender, to), []).append(message)
+    def _transmit(self, link: Link, message: Message) -> None:
+        if self._cut_links[link] > 0:
+            if self._event_queue.now - self._cut_since[link] < self._settings.silent_ms:
+                self._held_messages.setdefault(link, []).append(message)
             return
         delay_ms = self._settings.network_ms
-        for ms, share in self._slow_links:
-            self._draws += 1
-            if zlib.crc32(f"{self._seed} slow {self._draws}".encode()) / 2**32 < share:
-                delay_ms += ms
-        self._event_queue.after(delay_ms, self._on_message, sender, to, message)
-
-    def _on_message(self, sender: str, to: str, message: Message) -> None:
-        node = self.nodes.get(to)
+        for slow_links in self._slow_links:
+            if self._draw_share() < slow_links.share:
+                delay_ms += slow_links.delay_ms
+        self._event_queue.after(delay_ms, self._on_message, link.sender, link.receiver, message)
+
+    def _draw_share(self) -> float:
+        """A number from 0 to 1 that depends on the seed and on how many were drawn."""
+        self._draws += 1
+        return zlib.crc32(f"{self._seed} slow {self._draws}".encode()) / 2**32
+
+    def _on_message(self, sender: str, receiver: str, message: Message) -> None:
+        node = self.nodes.get(receiver)
         if node is None or not node.up:
             return
         node.messages_received += 1
@@ -264,17 +307,13 @@
         kind, duration_ms, event_queue = fault.kind, fault.duration * 1000, self._event_queue
         nodes = [self.nodes[name] for name in node_names if name in self.nodes]
         if kind == "cut-peers":
-            pairs = []
-            for node in nodes:
-                out = not fault.one_way or one_way()
-                for other in self.nodes.keys() - set(node_names):
-                    pairs += [(node.name, other)] if out else []
-                    pairs += [(other, node.name)] if not fault.one_way or not out else []
-            self.cut(pairs)
-            event_queue.after(duration_ms, self.heal, pairs)
+            links = self._links_to_cut(nodes, set(node_names), fault, one_way)
+            self.cut(links)
+            event_queue.after(duration_ms, self.heal, links)
         elif kind == "slow-peers":
-            self._slow_links.append((fault.ms, fault.share))
-            event_queue.after(duration_ms, self._slow_links.remove, (fault.ms, fault.share))
+            slow_links = SlowLinks(fault.ms, fault.share)
+            self._slow_links.append(slow_links)
+            event_queue.after(duration_ms, self._slow_links.remove, slow_links)
         elif kind == "pause-dispatchers":
             for node in nodes:
                 node.paused = True
@@ -284,6 +323,21 @@
                 self._set_clock_rate(node, fault.factor)
                 event_queue.after(duration_ms, self._set_clock_rate, node, 1.0)
 
+    def _links_to_cut(
+        self, nodes: list[LeaseNode], node_names: set[str], fault: Fault, one_way: Callable[[], bool]
+    ) -> list[Link]:
+        """The links between these nodes and all others; of a one-way cut, `one_way` draws a direction for each node."""
+        links: list[Link] = []
+        for node in nodes:
+            outgoing = not fault.one_way or one_way()
+            incoming = not fault.one_way or not outgoing
+            for other in self.nodes.keys() - node_names:
+                if outgoing:
+                    links.append(Link(node.name, other))
+                if incoming:
+                    links.append(Link(other, node.name))
+        return links
+
     def _set_clock_rate(self, node: LeaseNode, clock_rate: float) -> None:
         now = self._event_queue.now
         node.clock_base_ms, node.clock_set_at_ms, node.clock_rate = node.local_time(now), now, clock_rate
@@ -295,20 +349,22 @@
             self._deliver(node, sender, message)
         self._run_cores(node)
 
-    def cut(self, pairs: list[tuple[str, str]]) -> None:
-        """Cut these links, each a (sender, receiver) pair."""
-        for pair in pairs:
-            self._cut_since.setdefault(pair, self._event_queue.now)
-        self._cut_links.update(pairs)
+    def cut(self, links: list[Link]) -> None:
+        """Cut these links."""
+        for link in links:
+            self._cut_since.setdefault(link, self._event_queue.now)
+        self._cut_links.update(links)
 
-    def heal(self, pairs: list[tuple[str, str]]) -> None:
+    def heal(self, links: list[Link]) -> None:
         """Heal these links; held messages are delivered only within the silence timeout."""
-        self._cut_links.subtract(pairs)
-        for pair in pairs:
-            if self._cut_links[pair] <= 0:
-                held, clock_set_at_ms = self._held_messages.pop(pair, []), self._cut_since.pop(pair, 0.0)
-                for message in held if self._event_queue.now - clock_set_at_ms < self._settings.silent_ms else []:
-                    self._transmit(*pair, message)
+        self._cut_links.subtract(links)
+        for link in links:
+            if self._cut_links[link] > 0:
+                continue
+            held, cut_since = self._held_messages.pop(link, []), self._cut_since.pop(link, 0.0)
+            if self._event_queue.now - cut_since < self._settings.silent_ms:
+                for message in held:
+                    self._transmit(link, message)
 
     def set_disk(self, name: str, sync_ms: float, fails: bool) -> None:
         """Set the write time of a node's disk in ms, and whether its writes fail."""
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -20,10 +20,11 @@
 from kelptrail.settings.deployment import Deployment, load
 from kelptrail.settings.reader import SettingsError
 from kelptrail.simulation.cluster import SimulatedCluster, play
-from kelptrail.simulation.compare import compare, interval, report
+from kelptrail.simulation.compare import compare, interval
 from kelptrail.simulation.event_queue import EventQueue
 from kelptrail.simulation.experiment import load as load_experiment
 from kelptrail.simulation.experiment import run
+from kelptrail.simulation.experiment_report import write_report
 from kelptrail.simulation.model_store import SimulatedStore
 from kelptrail.simulation.settings import SimulationSettings
 from kelptrail.simulation.worker_messages import AttemptMessage, WorkerIdentity
@@ -189,7 +190,7 @@
     assert better["p50_ms", "load.rate=60.0"] == "better"
     with pytest.raises(ValueError, match="same point"):
         compare(as_is, [])
-    text = report(out, runs, seconds, read(out, "spread")).read_text()
+    text = write_report(out, runs, seconds, read(out, "spread")).read_text()
     assert "slower beside as-is" in text and (out / "service.png").stat().st_size > 5000
     for name in ("recovery", "latency", "give-ups", "work"):
         assert (out / f"{name}.png").stat().st_size > 5000 and f"{name}.png" in text
