--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,4 +1,4 @@
-"""Edge and planner on sockets: plans taken, lost, forged, kept; a bad day of planners through real processes."""
+"""Edge and planner on sockets: plans accepted, lost, forged, saved; a fault scenario with real processes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 async def until(what: object, within: float = 20.0) -> None:
     end = now_ms() + within * 1000
     while not what():  # type: ignore[operator]
-        assert now_ms() < end, "it did not come to that"
+        assert now_ms() < end, "the condition did not become true"
         await asyncio.sleep(0.02)
 
 
@@ -42,14 +42,14 @@
         self.workers = [ScriptedWorker(f"w{n}") for n in range(3)]
         self.dispatcher = Dispatcher(self.workers, parse(FAST, "fast"))
         self.state, self.log = state, Silent()
-        self.voters = Voters(self.dispatcher.deployment, state)
+        self.acceptors = Voters(self.dispatcher.deployment, state)
         self.planners = [self.planner(n) for n in range(planners)]
         self.edge = self.follower()
 
     def planner(self, number: int, state: Path | None = None, port: int = 0) -> PlannerDriver:
-        fleet = self.voters.join(f"planner-{number}")
+        fleet = self.acceptors.join(f"planner-{number}")
         assert fleet.leases is not None
-        made = PlannerDriver(
+        planner_driver = PlannerDriver(
             self.dispatcher.deployment,
             PlannerOptions(
                 f"planner-{number}", "127.0.0.1", port, "", state or self.state / f"p{number}", None, "greedy"
@@ -58,11 +58,11 @@
             fleet.lease_length_ms,
             self.log,
         )
-        made.restore()
-        made.listen()
-        made.start()
-        made.on_endpoints(EndpointList(self.dispatcher.version, [w.entry for w in self.workers], "test"))
-        return made
+        planner_driver.restore()
+        planner_driver.listen()
+        planner_driver.start()
+        planner_driver.on_endpoints(EndpointList(self.dispatcher.version, [w.entry for w in self.workers], "test"))
+        return planner_driver
 
     def follower(self) -> PlanFollower:
         edge = PlanFollower(
@@ -93,14 +93,14 @@
         await self.edge.stop()
         for planner in self.planners:
             await planner.stop()
-        await self.voters.stop()
+        await self.acceptors.stop()
         await self.dispatcher.server.drain(500)
         await self.dispatcher.driver.drain(500)
         for worker in self.workers:
             await worker.server.drain(0)
 
 
-def test_a_plan_comes_is_followed_runs_out_and_the_edge_goes_on(tmp_path: Path) -> None:
+def test_edge_follows_a_plan_until_it_expires_and_serves_without_one(tmp_path: Path) -> None:
     async def main() -> None:
         pair = Pair(tmp_path)
         planner = pair.planners[0]
@@ -108,37 +108,37 @@
         await until(lambda: pair.edge.plan_state.target(now_ms()))
         assert planner.planner.role is Role.LEADER and set(pair.edge.plan_state.target(now_ms()) or ()) == {"check"}
         await calling
-        await planner.stop()  # gone: the plan goes on until it runs out, calls all the while
+        await planner.stop()  # the plan is followed until it expires, and calls are served all the time
         assert await pair.calls(2.5) > 30 and pair.edge.plan_state.target(now_ms()) is None
         assert not any(f.planned for f in pair.dispatcher.gateway.state.parts._functions.values())
         pair.planners = [pair.planner(0, port=int(planner.address.rpartition(":")[2]))]
         await asyncio.gather(until(lambda: pair.edge.plan_state.target(now_ms())), pair.calls(3.0))
-        assert pair.planners[0].planner.epoch > planner.planner.epoch, "a new epoch fences what the first may still say"
+        assert pair.planners[0].planner.epoch > planner.planner.epoch, "a new epoch fences the first planner"
         await pair.stop()
-        again = pair.follower()
-        assert again.plan_state.fence == pair.edge.plan_state.fence, "the next start knows the last plan"
-        await again.stop()
+        restarted = pair.follower()
+        assert restarted.plan_state.fence == pair.edge.plan_state.fence, "the next run knows the last plan"
+        await restarted.stop()
         (tmp_path / "plan.bin").write_bytes(b"nonsense")
-        broken = pair.follower()
-        assert broken.plan_state.plan is None and any(e == "saved-plan-unusable" for e, _ in pair.log.lines)
-        await broken.stop()
+        with_damaged_file = pair.follower()
+        assert with_damaged_file.plan_state.plan is None and any(e == "saved-plan-unusable" for e, _ in pair.log.lines)
+        await with_damaged_file.stop()
 
     run(main())
 
 
-def test_of_two_planners_one_acts_and_the_other_takes_over(tmp_path: Path) -> None:
+def test_one_of_two_planners_leads_and_the_other_takes_over(tmp_path: Path) -> None:
     async def main() -> None:
         pair = Pair(tmp_path, 2)
         await pair.calls(2.5)
-        acting = [p for p in pair.planners if p.planner.role is Role.LEADER]
-        assert len(acting) == 1
-        first = acting[0]
+        leaders = [p for p in pair.planners if p.planner.role is Role.LEADER]
+        assert len(leaders) == 1
+        first = leaders[0]
         await first.stop()
         pair.planners.remove(first)
         began = now_ms()
         core = pair.planners[0].planner
         await asyncio.gather(until(lambda: core.role is Role.LEADER), pair.calls(2.0))
-        while pair.edge.plan_state.fence[:2] != (core.epoch, core.owner):  # its first plan is on its way
+        while pair.edge.plan_state.fence[:2] != (core.epoch, core.owner):  # its first plan has not arrived
             assert now_ms() - began < 6000, (pair.edge.plan_state.fence, core.epoch, core.owner)
             await pair.calls(0.1)
         assert now_ms() - began < 6000
@@ -147,17 +147,17 @@
     run(main())
 
 
-def test_a_worker_that_drains_after_the_plan_gets_nothing_and_a_forged_plan_is_refused(tmp_path: Path) -> None:
+def test_draining_worker_gets_no_attempts_and_forged_plans_are_refused(tmp_path: Path) -> None:
     async def main() -> None:
         pair = Pair(tmp_path, 0)
         offers: list[bytes] = []
-        said: list[object] = []
+        received: list[object] = []
 
         async def forger(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(encode_frame(Hello(VERSION, "forger", pair.dispatcher.deployment.name)))
             frames = FrameReader(READ)
             while data := await reader.read(65536):
-                said.extend(frames.feed(data))
+                received.extend(frames.feed(data))
                 writer.write(encode_frame(Heartbeat()))
                 while offers:
                     writer.write(encode_frame(PlanOffer(offers.pop(0))))
@@ -175,26 +175,25 @@
         )
         edge.start()
         await pair.calls(0.2)
-        name, roster = pair.dispatcher.deployment.name, edge.endpoints_version
-        good = make_plan(
-            name, (1, "forger", 1), 9e5, roster, {"check": {"w0": 2, "w1": 2, "w2": 2}, "activate": {"w1": 1}}
-        )
-        offers.append(encode_plan(good, 0.0))
+        name, endpoints_version = pair.dispatcher.deployment.name, edge.endpoints_version
+        instances = {"check": {"w0": 2, "w1": 2, "w2": 2}, "activate": {"w1": 1}}
+        plan = make_plan(name, (1, "forger", 1), 9e5, endpoints_version, instances)
+        offers.append(encode_plan(plan, 0.0))
         await asyncio.gather(until(lambda: edge.plan_state.accepted == 1), pair.calls(0.5))
         orders = sum(w.orders for w in pair.workers)
-        assert orders >= 2, "copies ahead of calls"
+        assert orders >= 2, "instances are loaded ahead of calls"
         pair.workers[1].state = "draining"
         pair.dispatcher.list(pair.workers)
         edge.on_endpoints()
         before = pair.workers[1].orders, len(pair.workers[1].sends)
         await pair.calls(1.0)
-        assert (pair.workers[1].orders, len(pair.workers[1].sends)) == before, "nothing to a drain, planned or not"
+        assert (pair.workers[1].orders, len(pair.workers[1].sends)) == before, "a draining worker gets nothing"
         offers += [
-            encode_plan(make_plan(name, (1, "forger", n), 9e5, roster, {"check": {w: 1}}), 0.0)
+            encode_plan(make_plan(name, (1, "forger", n), 9e5, endpoints_version, {"check": {w: 1}}), 0.0)
             for n, w in ((2, "w1"), (3, "nobody"), (1, "w0"))
-        ] + [encode_plan(good, 0.0)[:-3], b"", b"\x28\xb5"]
-        await until(lambda: sum(isinstance(m, PlanReply) for m in said) >= 7)
-        reasons = [m.reason for m in said if isinstance(m, PlanReply)]
+        ] + [encode_plan(plan, 0.0)[:-3], b"", b"\x28\xb5"]
+        await until(lambda: sum(isinstance(m, PlanReply) for m in received) >= 7)
+        reasons = [m.reason for m in received if isinstance(m, PlanReply)]
         assert reasons == ["", "workers", "workers", "older", "digest", "digest", "digest"]
         assert edge.plan_state.fence == (1, "forger", 1)
         await edge.stop()
@@ -206,11 +205,11 @@
 
 @pytest.mark.processes
 @pytest.mark.parametrize("seed", [1])
-def test_a_bad_day_of_planners_breaks_no_rule_and_calls_go_on(seed: int, tmp_path: Path) -> None:
-    """Slow, killed, started with nothing, while workers drain and crash; the audit judges what passed."""
-    script = (ROOT / "examples" / "bad-days" / "planned.sexp").read_text()
+def test_planner_fault_scenario_breaks_no_rule(seed: int, tmp_path: Path) -> None:
+    """Planners are slow, killed and started without state while workers drain and crash."""
+    scenario = (ROOT / "examples" / "bad-days" / "planned.sexp").read_text()
     for old, new in (
-        ("(seconds 40)", "(seconds 18)"),  # eight after the last planner is back: its lease has to run out and be won
+        ("(seconds 40)", "(seconds 18)"),  # eight after the last planner is back: a lease has to expire and be acquired
         ("(at 8)", "(at 5)"),
         ("(at 10) (for 8)", "(at 6) (for 2)"),
         ("(at 12) (for 4)", "(at 6) (for 3)"),
@@ -222,10 +221,10 @@
         ("(rate 120)", "(rate 80)"),
         ("../fleet.sexp", str(ROOT / "examples" / "fleet.sexp")),
     ):
-        assert old in script
-        script = script.replace(old, new)
+        assert old in scenario
+        scenario = scenario.replace(old, new)
     file = tmp_path / "planned.sexp"
-    file.write_text(script)
+    file.write_text(scenario)
     done = subprocess.run(
         [
             sys.executable,
@@ -248,4 +247,4 @@
     assert not report["broken"] and report["taken"] > 700 and report["unanswered"] == 0
     assert report["completed"] > 0.95 * report["taken"]
     logs = "".join(f.read_text() for f in (tmp_path / "out" / "logs").glob("planner-*.log"))
-    assert logs.count('"role":"acting"') >= 2, "somebody led, was lost, and was followed by another"
+    assert logs.count('"role":"acting"') >= 2, "a planner led, was lost, and was followed by another"
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -203,15 +203,15 @@
                 writer.write(event(1, 0))
                 await asyncio.sleep(0.1)
 
-        asked = EndpointListStub(serve)
-        port = await asked.open()
+        service = EndpointListStub(serve)
+        port = await service.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
             await follow(platform, port)
-            await until(lambda: asked.asked)
+            await until(lambda: service.requested_after)
             for _ in range(25):
                 await asyncio.sleep(0.04)
                 await follow(platform, port)
-            assert len(asked.asked) <= 3
+            assert len(service.requested_after) <= 3
 
     run(main())
 
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -1,4 +1,4 @@
-"""The worker list through rare moments, forced: silence, trickles, moves, events that fail, no descriptor left."""
+"""The endpoint watch under rare conditions: silence, slow or failing events, address changes, no descriptor left."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 
 
 class EndpointListStub:
-    """A list's service of the test: what it does on each connection, and from where it was asked."""
+    """An endpoint service: `serve` handles each connection; `requested_after`: event numbers that clients sent."""
 
     def __init__(self, serve: Serve) -> None:
-        self._serve, self.asked = serve, list[int]()
+        self._serve, self.requested_after = serve, list[int]()
 
     async def open(self, port: int = 0) -> int:
-        self.server = await asyncio.start_server(self._came, "127.0.0.1", port)
+        self.server = await asyncio.start_server(self._on_connect, "127.0.0.1", port)
         return self.server.sockets[0].getsockname()[1]
 
-    async def _came(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _on_connect(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-            self.asked.append(int.from_bytes(await reader.readexactly(8), "big"))
+            self.requested_after.append(int.from_bytes(await reader.readexactly(8), "big"))
             await self._serve(reader, writer)
         writer.close()
 
@@ -47,111 +47,111 @@
     platform.service.endpoints.watch.set_address(("127.0.0.1", port))
 
 
-def test_an_event_that_could_not_be_applied_is_requested_again() -> None:
+def test_event_that_could_not_be_applied_is_requested_again() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
-            host, listed, fails = platform.service.engine, platform.service.engine.on_endpoints, [True]
+            engine, on_endpoints, failures_left = platform.service.engine, platform.service.engine.on_endpoints, [True]
 
-            def once(*args: Any) -> Any:
-                if fails:
-                    fails.pop()
-                    raise RuntimeError("not foreseen")
-                return listed(*args)
+            def fail_once(*args: Any) -> Any:
+                if failures_left:
+                    failures_left.pop()
+                    raise RuntimeError("injected fault")
+                return on_endpoints(*args)
 
-            host.on_endpoints = once  # type: ignore[method-assign]
+            engine.on_endpoints = fail_once  # type: ignore[method-assign]
             platform.events = [event(2, 2, (1, 9, 1))]
             platform.service.reload(platform.service.config)
             await until(lambda: platform.service.last_event_number == 2)
-            assert not fails and not host.workers["s-00000001"].live
+            assert not failures_left and not engine.workers["s-00000001"].live
 
     run(main())
 
 
-@pytest.mark.parametrize("says", ["bytes of a frame that never ends", "nothing", "empty events, then nothing"])
-def test_a_list_that_sends_no_complete_event_is_requested_again(says: str, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("behavior", ["bytes of a frame that never ends", "nothing", "empty events, then nothing"])
+def test_service_without_a_complete_event_is_requested_again(behavior: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT_MS", 200.0)
 
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            if says.startswith("empty"):
+            if behavior.startswith("empty"):
                 writer.write(event(1, 0))
             for byte in event(2, 2, (1, 9, 1)):
-                if says.startswith("bytes"):
+                if behavior.startswith("bytes"):
                     writer.write(bytes((byte,)))
                 await asyncio.sleep(0.05)
             await reader.read()
 
-        asked = EndpointListStub(serve)
-        port = await asked.open()
+        endpoint_service = EndpointListStub(serve)
+        port = await endpoint_service.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
             await follow(platform, port)
-            await until(lambda: len(asked.asked) >= 3, 1.5)
-            assert set(asked.asked) == {1}
+            await until(lambda: len(endpoint_service.requested_after) >= 3, 1.5)
+            assert set(endpoint_service.requested_after) == {1}
 
     run(main())
 
 
-def test_a_connection_too_slow_for_one_event_is_given_more_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_too_slow_for_one_event_gets_more_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT_MS", 100.0)
-    monkeypatch.setattr(endpoint_watch, "BACKOFF_MS", 5.0)  # while it pauses it still hears the connection of before
+    monkeypatch.setattr(endpoint_watch, "BACKOFF_MS", 5.0)  # during a backoff the previous connection is still read
     monkeypatch.setattr(endpoint_watch, "MAX_BACKOFF_MS", 10.0)
 
     async def main() -> None:
-        async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def serve_slowly(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             for byte in event(2, 2, (1, 9, 1)):
                 writer.write(bytes((byte,)))
                 await asyncio.sleep(0.01)  # some 0.4 s for the event
             await reader.read()
 
-        asked = EndpointListStub(slow)
-        port = await asked.open()
+        endpoint_service = EndpointListStub(serve_slowly)
+        port = await endpoint_service.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
             await follow(platform, port)
             await until(lambda: platform.service.last_event_number == 2)
-            assert len(asked.asked) > 1, "not at the first time"
+            assert len(endpoint_service.requested_after) > 1, "not on the first connection"
 
     run(main())
 
 
-def test_a_list_that_disconnects_at_once_each_time_is_requested_with_backoff() -> None:
+def test_endpoint_service_that_disconnects_each_time_is_requested_with_backoff() -> None:
     async def main() -> None:
-        async def breaks(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def serve_with_gap(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(event(1, 0) + event(5, 2, (1, 9, 1)))  # events are missing
 
-        asked = EndpointListStub(breaks)
-        port = await asked.open()
+        endpoint_service = EndpointListStub(serve_with_gap)
+        port = await endpoint_service.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
             await follow(platform, port)
             await asyncio.sleep(0.5)
-            assert 2 <= len(asked.asked) <= 8
+            assert 2 <= len(endpoint_service.requested_after) <= 8
 
     run(main())
 
 
-def test_a_new_address_during_a_connect_is_used_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_new_address_during_a_connect_is_used_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(event(2, 2, (1, 9, 1)))
             await reader.read()
 
-        asked = EndpointListStub(serve)
-        port = await asked.open()
+        endpoint_service = EndpointListStub(serve)
+        port = await endpoint_service.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            held = HeldConnect(monkeypatch, endpoint_watch, port=9)  # a connect to the old address hangs for good
+            held_connect = HeldConnect(monkeypatch, endpoint_watch, port=9)  # a connect to the old address never ends
             await follow(platform, 9)
-            await until(lambda: held.waiting)
+            await until(lambda: held_connect.waiting)
             platform.told["journal"] = f"127.0.0.1:{port}"
-            platform.service.reload(feed_config(platform))
+            platform.service.reload(current_config(platform))
             await until(lambda: platform.service.last_event_number == 2, 0.5)
 
     run(main())
 
 
-def feed_config(platform: PlatformFixture) -> config.Config:
+def current_config(platform: PlatformFixture) -> config.Config:
     return config.parse(json.dumps(platform.told), platform.service.config)
 
 
-def test_a_new_address_during_a_backoff_is_used_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_new_address_during_a_backoff_is_used_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(endpoint_watch, "BACKOFF_MS", 60_000.0)
     monkeypatch.setattr(endpoint_watch, "MAX_BACKOFF_MS", 60_000.0)
 
@@ -160,12 +160,12 @@
             writer.write(event(2, 2, (1, 9, 1)))
             await reader.read()
 
-        asked = EndpointListStub(serve)
-        port = await asked.open()
+        endpoint_service = EndpointListStub(serve)
+        port = await endpoint_service.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
             unreachable: list[str] = []
             platform.service.endpoints.watch.log = lambda what, **_: unreachable.append(what)
-            await follow(platform, 9)  # nobody listens there
+            await follow(platform, 9)  # no service listens there
             await until(lambda: unreachable)
             await follow(platform, port)
             await until(lambda: platform.service.last_event_number == 2, 0.5)
@@ -190,36 +190,36 @@
         async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
             await follow(platform, ports[0])
             await until(lambda: writers)
-            held = HeldConnect(monkeypatch, endpoint_watch, port=ports[1])
+            held_connect = HeldConnect(monkeypatch, endpoint_watch, port=ports[1])
             await follow(platform, ports[1])
-            await until(lambda: held.waiting)
+            await until(lambda: held_connect.waiting)
             writers[0].write(event(2, 2, (1, 9, 1))[:30])
             await asyncio.sleep(0.02)
             writers[0].write(event(2, 2, (1, 9, 1))[30:])
             await until(lambda: platform.service.last_event_number == 2)
-            held.gate.set()
+            held_connect.gate.set()
             await until(lambda: platform.service.last_event_number == 3)
-            assert second.asked == [2], "nothing is asked for twice"
+            assert second.requested_after == [2], "no event is requested twice"
 
     run(main())
 
 
-def test_a_descriptor_is_reserved_for_the_list_while_idle_clients_use_the_rest(tmp_path: Path) -> None:
-    """The process has fewer descriptors than it was told: clients take all, then the list comes up."""
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        port = taken.getsockname()[1]
-    (journal, listen) = (port, socket.socket())
+def test_descriptor_is_reserved_for_the_endpoint_watch_while_clients_use_the_rest(tmp_path: Path) -> None:
+    """The process has fewer descriptors than configured: clients use all of them before the endpoint service starts."""
+    with socket.socket() as reserved:
+        reserved.bind(("127.0.0.1", 0))
+        port = reserved.getsockname()[1]
+    listen = socket.socket()
     listen.bind(("127.0.0.1", 0))
-    door = listen.getsockname()[1]
+    listen_port = listen.getsockname()[1]
     listen.close()
     file = tmp_path / "c.json"
     file.write_text(
         json.dumps(
             configuration()
             | {
-                "listen": f"127.0.0.1:{door}",
-                "journal": f"127.0.0.1:{journal}",
+                "listen": f"127.0.0.1:{listen_port}",
+                "journal": f"127.0.0.1:{port}",
                 "limits": {"cores": 1, "memory_mb": 64, "sockets": 400},
             }
         )
@@ -236,11 +236,11 @@
         deadline = time.monotonic() + 5
         while time.monotonic() < deadline:
             with contextlib.suppress(ConnectionRefusedError):
-                clients.append(raw(door))
+                clients.append(raw(listen_port))
                 break
             time.sleep(0.02)
         while len(os.listdir(f"/proc/{process.pid}/fd")) < 40 and len(clients) < 100:
-            clients.append(raw(door))
+            clients.append(raw(listen_port))
             clients[-1].sendall(frames.encode_frame(frames.READY_QUERY, 1, b"\0"))
         read_until(process, "accept-failed")
 
@@ -250,10 +250,10 @@
                     writer.write(event(1, 0))
                     await asyncio.sleep(0.1)
 
-            asked = EndpointListStub(serve)
-            await asked.open(journal)
-            await until(lambda: asked.asked, 3.0)
-            assert asked.asked == [1]
+            endpoint_service = EndpointListStub(serve)
+            await endpoint_service.open(port)
+            await until(lambda: endpoint_service.requested_after, 3.0)
+            assert endpoint_service.requested_after == [1]
 
         run(main())
     finally:
@@ -263,9 +263,9 @@
             sock.close()
 
 
-def test_new_versions_of_what_is_loaded_arrive_on_a_quiet_day() -> None:
-    """All copies go stale at once, with one call here and there and no burst: each function is ordered anew when it is
-    next called for, its call is served, and orders stay within the ration."""
+def test_new_version_of_loaded_functions_is_loaded_without_a_burst() -> None:
+    """All instances become outdated at once and calls are rare: each function is loaded again when it is next called,
+    its call is served, and load orders stay within the ration."""
 
     async def main() -> None:
         versions: dict[bytes, int] = {}
@@ -298,13 +298,13 @@
                         stream += 1
                         client.ask(stream, item=f"{n:016x}")
                         assert await client.code() == frames.SERVED, (release, n)
-            assert len(orders) <= 3 * 6 + 2, "one for each version and function, no storm"
+            assert len(orders) <= 3 * 6 + 2, "one for each version and function"
 
     run(main())
 
 
-def test_a_list_service_that_is_slow_to_its_first_byte_is_used(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It needs longer than the silence after which it is asked again: the connection that it answers is still there."""
+def test_endpoint_service_that_is_slow_to_its_first_byte_is_used(monkeypatch: pytest.MonkeyPatch) -> None:
+    """It needs longer than the silence timeout: the connection on which it answers is still open."""
     monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT_MS", 200.0)
 
     async def main() -> None:
@@ -313,8 +313,8 @@
             writer.write(event(2, 2, (1, 9, 1)))
             await reader.read()
 
-        asked = EndpointListStub(serve)
-        port = await asked.open()
+        endpoint_service = EndpointListStub(serve)
+        port = await endpoint_service.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
             await follow(platform, port)
             await until(lambda: platform.service.last_event_number == 2, 1.5)
@@ -323,23 +323,25 @@
     run(main())
 
 
-def test_a_list_service_that_is_slow_to_accept_is_reached(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A connect that takes longer than one to a worker may take, while new configurations come in a row."""
+def test_endpoint_service_that_is_slow_to_accept_is_reached(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A connect takes longer than one to a worker may take, while the configuration is reloaded repeatedly."""
 
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(event(2, 2, (1, 9, 1)))
             await reader.read()
 
-        async def slowly(loop: asyncio.AbstractEventLoop, address: tuple[str, int], within: float) -> socket.socket:
+        async def slow_connect(
+            loop: asyncio.AbstractEventLoop, address: tuple[str, int], within: float
+        ) -> socket.socket:
             async with asyncio.timeout(within / 1000):
                 await asyncio.sleep(0.6)
                 return await connect(loop, address, within)
 
-        asked = EndpointListStub(serve)
-        port = await asked.open()
+        endpoint_service = EndpointListStub(serve)
+        port = await endpoint_service.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            monkeypatch.setattr(endpoint_watch, "connect", slowly)
+            monkeypatch.setattr(endpoint_watch, "connect", slow_connect)
             await follow(platform, port)
             for _ in range(20):
                 await asyncio.sleep(0.05)
@@ -349,7 +351,7 @@
     run(main())
 
 
-def test_two_addresses_in_turn_are_followed_though_each_connect_outlasts_the_turn(
+def test_alternating_addresses_are_followed_though_connects_are_slow(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
@@ -357,18 +359,20 @@
             writer.write(event(2, 2, (1, 9, 1)))
             await reader.read()
 
-        async def slowly(loop: asyncio.AbstractEventLoop, address: tuple[str, int], within: float) -> socket.socket:
+        async def slow_connect(
+            loop: asyncio.AbstractEventLoop, address: tuple[str, int], within: float
+        ) -> socket.socket:
             await asyncio.sleep(0.2)
             return await connect(loop, address, within)
 
         services = [EndpointListStub(serve), EndpointListStub(serve)]
         ports = [await service.open() for service in services]
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            monkeypatch.setattr(endpoint_watch, "connect", slowly)
+            monkeypatch.setattr(endpoint_watch, "connect", slow_connect)
             for turn in range(20):
                 await follow(platform, ports[turn % 2])
                 await asyncio.sleep(0.05)
             assert platform.service.last_event_number == 2, "reached between the turns"
-            assert sum(len(service.asked) for service in services) <= 4
+            assert sum(len(service.requested_after) for service in services) <= 4
 
     run(main())
