--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: entries, group commit, the book on a disk that fails, recovery by effect, crashes of real processes."""
+"""The store: entries, group commit, the journal on a failing disk, recovery decisions, crashes of real processes."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 # Entries.
 
 
-def test_entries_come_back_as_they_were_and_damage_is_seen() -> None:
+def test_entries_are_decoded_unchanged_and_corruption_is_detected() -> None:
     large = b'{"x":"' + b"abc" * 5000 + b'"}'
     for entry in (ACCEPTED, MayRun("a" * 32, 1100.0, "w"), ended(), ended(result=large)):
         data, crc = encode_entry(entry)
@@ -60,92 +60,96 @@
 # Group commit.
 
 
-def test_calls_that_come_together_share_a_sync_and_are_told_in_order() -> None:
-    journal, told = GroupCommit(), list[tuple[int, bool]]()
+def test_entries_that_arrive_together_share_a_sync_and_are_reported_in_order() -> None:
+    group_commit, results = GroupCommit(), list[tuple[int, bool]]()
     for n in range(5):
-        journal.write(MayRun(str(n), 0.0, "w"), lambda safe, n=n: told.append((n, safe)))
-    first = journal.next_batch(0.0)
-    assert first is not None and len(first.entries) == 5 and journal.next_batch(0.0) is None
-    journal.write(MayRun("5", 0.0, "w"), lambda safe: told.append((5, safe)))
-    assert not told, "nothing is said before it is safe"
+        group_commit.write(MayRun(str(n), 0.0, "w"), lambda durable, n=n: results.append((n, durable)))
+    first = group_commit.next_batch(0.0)
+    assert first is not None and len(first.entries) == 5 and group_commit.next_batch(0.0) is None
+    group_commit.write(MayRun("5", 0.0, "w"), lambda durable: results.append((5, durable)))
+    assert not results, "nothing is reported before it is durable"
     with pytest.raises(UnexpectedBatchError):
-        journal.on_batch_durable(first.number + 1)
-    journal.on_batch_durable(first.number)
-    assert told == [(n, True) for n in range(5)] and journal.commits == 1
-    second = journal.next_batch(1.0)
+        group_commit.on_batch_durable(first.number + 1)
+    group_commit.on_batch_durable(first.number)
+    assert results == [(n, True) for n in range(5)] and group_commit.commits == 1
+    second = group_commit.next_batch(1.0)
     assert second is not None and [e.id for e in second.entries] == ["5"]
 
 
-def test_a_failing_sync_promises_nothing_and_final_answers_are_kept_for_later() -> None:
-    journal, told = GroupCommit(retry_ms=500.0), list[tuple[str, bool]]()
-    journal.write(ACCEPTED, lambda safe: told.append(("accepted", safe)))
-    journal.write(ended(), lambda safe: told.append(("ended", safe)), keep=True)
-    batch = journal.next_batch(0.0)
+def test_failed_sync_reports_failure_and_retries_final_answers() -> None:
+    group_commit, results = GroupCommit(retry_ms=500.0), list[tuple[str, bool]]()
+    group_commit.write(ACCEPTED, lambda durable: results.append(("accepted", durable)))
+    group_commit.write(ended(), lambda durable: results.append(("ended", durable)), keep=True)
+    batch = group_commit.next_batch(0.0)
     assert batch is not None
-    journal.write(MayRun("b", 0.0, "w"), lambda safe: told.append(("may-run", safe)))
-    journal.on_batch_failed(10.0, batch.number, "full")
-    assert told == [("accepted", False), ("may-run", False)] and not journal.is_accepting() and journal.waiting == 1
-    journal.write(ACCEPTED, lambda safe: told.append(("again", safe)))
-    assert told[-1] == ("again", False) and journal.next_batch(400.0) is None
-    trial = journal.next_batch(510.0)
+    group_commit.write(MayRun("b", 0.0, "w"), lambda durable: results.append(("may-run", durable)))
+    group_commit.on_batch_failed(10.0, batch.number, "full")
+    assert (
+        results == [("accepted", False), ("may-run", False)]
+        and not group_commit.is_accepting()
+        and group_commit.waiting == 1
+    )
+    group_commit.write(ACCEPTED, lambda durable: results.append(("again", durable)))
+    assert results[-1] == ("again", False) and group_commit.next_batch(400.0) is None
+    trial = group_commit.next_batch(510.0)
     assert trial is not None and [type(e) for e in trial.entries] == [Ended]
-    journal.on_batch_failed(520.0, trial.number, "full")
-    trial = journal.next_batch(1030.0)
+    group_commit.on_batch_failed(520.0, trial.number, "full")
+    trial = group_commit.next_batch(1030.0)
     assert trial is not None
-    journal.on_batch_durable(trial.number)
-    assert told[-1] == ("ended", True) and journal.is_accepting() and journal.waiting == 0
+    group_commit.on_batch_durable(trial.number)
+    assert results[-1] == ("ended", True) and group_commit.is_accepting() and group_commit.waiting == 0
 
 
-# The book.
+# The activation journal.
 
 
-def test_lives_by_start_retention_and_writing_twice(tmp_path: Path) -> None:
-    book = ActivationJournal(tmp_path / "b")
-    book.commit([Accepted(f"{n:032x}", "one", "grant", 100.0 - n, 900.0, b"{}") for n in range(5)])
-    book.commit([MayRun(f"{1:032x}", 120.0, "w"), MayRun(f"{1:032x}", 999.0, "v"), ended(f"{2:032x}")])
-    lives = list(book.activations())
-    assert [life.accepted.start for life in lives] == [96, 97, 98, 99, 100]
-    assert lives[3].may_run == MayRun(f"{1:032x}", 120.0, "w"), "the first time counts"
-    assert lives[2].ended == ended(f"{2:032x}")
-    book.forget([f"{n:032x}" for n in range(3)])
-    book.close()
+def test_activations_are_ordered_deduplicated_and_deleted(tmp_path: Path) -> None:
+    journal = ActivationJournal(tmp_path / "b")
+    journal.commit([Accepted(f"{n:032x}", "one", "grant", 100.0 - n, 900.0, b"{}") for n in range(5)])
+    journal.commit([MayRun(f"{1:032x}", 120.0, "w"), MayRun(f"{1:032x}", 999.0, "v"), ended(f"{2:032x}")])
+    activations = list(journal.activations())
+    assert [activation.accepted.start for activation in activations] == [96, 97, 98, 99, 100]
+    assert activations[3].may_run == MayRun(f"{1:032x}", 120.0, "w"), "the first may-run entry counts"
+    assert activations[2].ended == ended(f"{2:032x}")
+    journal.forget([f"{n:032x}" for n in range(3)])
+    journal.close()
     assert ActivationJournal(tmp_path / "b").count() == 2
 
 
-def test_flipped_bytes_in_a_row_count_against_running_again(tmp_path: Path) -> None:
-    book = ActivationJournal(tmp_path / "b")
-    book.commit([ACCEPTED, ended()])
-    book._database.run("UPDATE entries SET body = zeroblob(length(body)) WHERE kind = 2")
-    (life,) = book.activations()
-    assert book.damaged == 1 and life.ended is None and life.may_run is not None, "it may have run"
+def test_corrupt_row_counts_as_may_have_run(tmp_path: Path) -> None:
+    journal = ActivationJournal(tmp_path / "b")
+    journal.commit([ACCEPTED, ended()])
+    journal._database.run("UPDATE entries SET body = zeroblob(length(body)) WHERE kind = 2")
+    (activation,) = journal.activations()
+    assert journal.damaged == 1 and activation.ended is None and activation.may_run is not None, "it may have run"
 
 
-def test_torn_tails_lose_only_what_was_not_said(tmp_path: Path) -> None:
+def test_torn_log_loses_only_the_last_commits(tmp_path: Path) -> None:
     file = tmp_path / "b"
-    book = ActivationJournal(file)
-    book._database.run("PRAGMA wal_autocheckpoint=0")
+    journal = ActivationJournal(file)
+    journal._database.run("PRAGMA wal_autocheckpoint=0")
     for n in range(20):
-        book.commit([Accepted(f"{n:032x}", "one", "grant", float(n), 900.0, b"{}" * 200)])
+        journal.commit([Accepted(f"{n:032x}", "one", "grant", float(n), 900.0, b"{}" * 200)])
     wal, base = (tmp_path / "b-wal").read_bytes(), file.read_bytes()
-    chance = random.Random(1)
+    rng = random.Random(1)
     for n in range(12):
-        place = tmp_path / f"torn-{n}"
-        place.mkdir()
-        (place / "b").write_bytes(base)
-        (place / "b-wal").write_bytes(wal[: chance.randrange(len(wal))])
-        torn, aside = open_journal(place / "b")
-        lives = [life.accepted.start for life in torn.activations()]
-        assert aside is None and lives == [float(i) for i in range(len(lives))], "a prefix, whole"
-    assert len([1 for _ in book.activations()]) == 20
+        folder = tmp_path / f"torn-{n}"
+        folder.mkdir()
+        (folder / "b").write_bytes(base)
+        (folder / "b-wal").write_bytes(wal[: rng.randrange(len(wal))])
+        torn, set_aside = open_journal(folder / "b")
+        activations = [activation.accepted.start for activation in torn.activations()]
+        assert set_aside is None and activations == [float(i) for i in range(len(activations))], "a complete prefix"
+    assert len([1 for _ in journal.activations()]) == 20
 
 
-def test_a_book_that_cannot_be_read_is_set_aside_and_a_newer_one_left_alone(tmp_path: Path) -> None:
+def test_unreadable_journal_is_moved_aside_and_newer_format_refused(tmp_path: Path) -> None:
     file = tmp_path / "b"
     file.write_bytes(os.urandom(8192))
-    book, aside = open_journal(file)
-    assert aside is not None and aside.stat().st_size == 8192 and book.count() == 0
-    book._database.run("PRAGMA user_version=99")
-    book.close()
+    journal, set_aside = open_journal(file)
+    assert set_aside is not None and set_aside.stat().st_size == 8192 and journal.count() == 0
+    journal._database.run("PRAGMA user_version=99")
+    journal.close()
     with pytest.raises(JournalError, match="newer"):
         open_journal(file)
 
@@ -159,68 +163,68 @@
     data, crc = encode_entry(ACCEPTED)
     old.execute("INSERT INTO rows VALUES (?, 0, ?, ?, ?)", (ACCEPTED.id, ACCEPTED.start, crc, data))
     old.close()
-    book, aside = open_journal(tmp_path / "b")
-    assert aside is None and [life.accepted for life in book.activations()] == [ACCEPTED]
+    journal, set_aside = open_journal(tmp_path / "b")
+    assert set_aside is None and [activation.accepted for activation in journal.activations()] == [ACCEPTED]
 
 
-def test_failing_syncs_a_full_disk_and_a_read_only_folder(tmp_path: Path) -> None:
+def test_failing_sync_full_disk_and_missing_folder(tmp_path: Path) -> None:
     disk = FaultyDisk()
-    book = ActivationJournal(tmp_path / "b", vfs="harmed")
-    book.commit([ACCEPTED])
+    journal = ActivationJournal(tmp_path / "b", vfs="harmed")
+    journal.commit([ACCEPTED])
     assert disk.syncs > 0, "a commit syncs"
     disk.fault = {"fails": True}
     with pytest.raises(JournalError, match="IOError"):
-        book.commit([ended()])
+        journal.commit([ended()])
     disk.fault = {}
-    book.commit([ended()])
-    assert next(book.activations()).ended == ended()
+    journal.commit([ended()])
+    assert next(journal.activations()).ended == ended()
     small = ActivationJournal(tmp_path / "small", max_bytes=100_000)
     with pytest.raises(JournalError, match="Full"):
         for n in range(200):
             small.commit([Accepted(f"{n:032x}", "one", "grant", float(n), 900.0, os.urandom(4000))])
-    kept = small.count()
-    assert 0 < kept < 200
-    small.forget([life.accepted.id for life in small.activations()][: kept // 2])
-    small.commit([ACCEPTED])  # there is room again
+    stored = small.count()
+    assert 0 < stored < 200
+    small.forget([activation.accepted.id for activation in small.activations()][: stored // 2])
+    small.commit([ACCEPTED])  # there is free space again
     with pytest.raises(JournalError):
         ActivationJournal(tmp_path / "no-such-folder" / "b")
-    book.close()
+    journal.close()
 
 
 @pytest.mark.parametrize("before", [0, 1, 7])
 @pytest.mark.parametrize("fault", ["fails", "full"])
-def test_a_commit_that_failed_is_not_there_after_a_kill(tmp_path: Path, fault: str, before: int) -> None:
-    """Its caller was refused and tries elsewhere: the next start must not find it and run it."""
+def test_failed_commit_is_absent_after_a_kill(tmp_path: Path, fault: str, before: int) -> None:
+    """The call was rejected and is retried elsewhere: the next start must not find and run it."""
     disk = FaultyDisk()
-    book = ActivationJournal(tmp_path / "b", vfs="harmed")
+    journal = ActivationJournal(tmp_path / "b", vfs="harmed")
     accepted = [Accepted(f"{n:032x}", "one", "grant", float(n), 900.0, b"{}") for n in range(before + 2)]
     for entry in accepted[:before]:
-        book.commit([entry])
+        journal.commit([entry])
     try:
         disk.fault = {fault: True}
         for _ in range(2):
             with pytest.raises(JournalError):
-                book.commit([accepted[before]])
-        found = found_after_a_kill(tmp_path)
+                journal.commit([accepted[before]])
+        found = accepted_after_kill(tmp_path)
     finally:
         disk.fault = {}
     assert found == accepted[:before]
-    book.commit([accepted[before + 1]])
-    assert found_after_a_kill(tmp_path) == [*accepted[:before], accepted[before + 1]]
-    book.close()
+    journal.commit([accepted[before + 1]])
+    assert accepted_after_kill(tmp_path) == [*accepted[:before], accepted[before + 1]]
+    journal.close()
 
 
-def found_after_a_kill(folder: Path) -> list[Accepted]:
-    """What a start finds if the process were killed now: the kernel keeps what was written, synced or not."""
-    left = folder / "left"
-    shutil.rmtree(left, ignore_errors=True)
-    left.mkdir()
+def accepted_after_kill(folder: Path) -> list[Accepted]:
+    """What a start reads if the process is killed now: the kernel keeps what was written, synced or not."""
+    copied = folder / "left"
+    shutil.rmtree(copied, ignore_errors=True)
+    copied.mkdir()
     for file in folder.glob("b*"):
-        shutil.copy(file, left / file.name)
-    book, aside = open_journal(left / "b")
-    assert aside is None
-    found = [life.accepted for life in book.activations()]
-    book.close()
+        shutil.copy(file, copied / file.name)
+    journal, set_aside = open_journal(copied / "b")
+    assert set_aside is None
+    found = [activation.accepted for activation in journal.activations()]
+    journal.close()
     return found
 
 
@@ -236,7 +240,7 @@
 
 
 @pytest.mark.parametrize(
-    ("effect", "ran", "later", "what"),
+    ("rule", "may_have_run", "elapsed_ms", "expected"),
     [
         ("repeatable", False, 100, "resume"),
         ("repeatable", True, 100, "resume"),
@@ -253,43 +257,45 @@
         ("once-only", True, -50, "aborted"),
     ],
 )
-def test_what_becomes_of_one_by_effect_sends_and_time(effect: str, ran: bool, later: float, what: str) -> None:
+def test_recovery_decision_by_idempotency_attempts_and_time(
+    rule: str, may_have_run: bool, elapsed_ms: float, expected: str
+) -> None:
     accepted = Accepted("x", "one", "p", 1000.0, 2500.0, b"{}")
-    life = ActivationEntries(accepted, MayRun("x", 1000.0, "w") if ran else None)
-    found = decide_recovery(life, RULES[effect], 1000.0 + later, 100.0)
-    assert (found.answer if isinstance(found, EndRequest) else "resume") == what
-    if isinstance(found, ResumeRequest):
-        assert found.remaining_ms == 2500 - later
+    activation = ActivationEntries(accepted, MayRun("x", 1000.0, "w") if may_have_run else None)
+    decision = decide_recovery(activation, RULES[rule], 1000.0 + elapsed_ms, 100.0)
+    assert (decision.answer if isinstance(decision, EndRequest) else "resume") == expected
+    if isinstance(decision, ResumeRequest):
+        assert decision.remaining_ms == 2500 - elapsed_ms
 
 
-def test_the_pace_takes_the_most_useful_first_only_so_many_at_once() -> None:
+def test_resume_queue_orders_by_priority_and_bounds_concurrency() -> None:
     found = [
         ResumeRequest(ActivationEntries(Accepted(str(n), "one", "p", 0, 1000, b"")), 1000.0, None, float(n))
         for n in range(10)
     ]
-    pace = ResumeQueue(found, 3, 100.0)
-    taken = [pace.next(10.0 * n) for n in range(5)]
-    assert [t.entries.accepted.id for t in taken if t] == ["9", "8", "7"] and taken[3:] == [None, None]
-    pace.on_finished()
-    again = pace.next(60.0)
-    assert isinstance(again, ResumeRequest) and again.entries.accepted.id == "6" and pace.next(70.0) is None
-    late = [pace.next(950.0) for _ in range(len(pace))]
+    queue = ResumeQueue(found, 3, 100.0)
+    resumed = [queue.next(10.0 * n) for n in range(5)]
+    assert [t.entries.accepted.id for t in resumed if t] == ["9", "8", "7"] and resumed[3:] == [None, None]
+    queue.on_finished()
+    repeated = queue.next(60.0)
+    assert isinstance(repeated, ResumeRequest) and repeated.entries.accepted.id == "6" and queue.next(70.0) is None
+    late = [queue.next(950.0) for _ in range(len(queue))]
     assert all(isinstance(e, EndRequest) and e.answer == "rejected" for e in late) and len(late) == 6
 
 
-# The core with a disk that forgets what was not synced.
+# The gateway's core with a disk that loses unsynced entries.
 
 
-class Run:
+class CrashModel:
     """A core, a journal and a model of the disk; crashes lose whatever was not acknowledged."""
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.deployment = parse(DEPLOYMENT, "t")
         self.now, self.wall = 1000.0, 5e12
-        self.disk: list[Any] = []  # entries that are safe
-        self.promised: set[str] = set()  # ids that clients hold
-        self.shown: dict[str, str] = {}  # final answers that clients saw
+        self.disk: list[Any] = []  # durable entries
+        self.acknowledged: set[str] = set()  # ids that were acknowledged to clients
+        self.shown: dict[str, str] = {}  # final answers that clients have read
         self.effects: dict[str, int] = {}
         self.kinds: dict[str, str] = {}
         self.boots = 0
@@ -302,68 +308,72 @@
         self.gateway.on_endpoints(
             self.now, EndpointList(1, [Listed(f"w{n}", f"h:{n}", incarnation="1") for n in range(3)], "x")
         )
-        lives: dict[str, ActivationEntries] = {}
+        activations: dict[str, ActivationEntries] = {}
         for entry in self.disk:
-            if entry.id not in lives and not isinstance(entry, Accepted):
-                continue  # the book passes it over, too
+            if entry.id not in activations and not isinstance(entry, Accepted):
+                continue  # the journal skips it, too
             if isinstance(entry, Accepted):
-                lives.setdefault(entry.id, ActivationEntries(entry))
-            elif isinstance(entry, MayRun) and lives[entry.id].may_run is None:
-                lives[entry.id].may_run = entry
-            elif isinstance(entry, Ended) and lives[entry.id].ended is None:
-                lives[entry.id].ended = entry
-        self.gateway.recover(self.now, self.wall, lives.values(), 50.0, 4)
+                activations.setdefault(entry.id, ActivationEntries(entry))
+            elif isinstance(entry, MayRun) and activations[entry.id].may_run is None:
+                activations[entry.id].may_run = entry
+            elif isinstance(entry, Ended) and activations[entry.id].ended is None:
+                activations[entry.id].ended = entry
+        self.gateway.recover(self.now, self.wall, activations.values(), 50.0, 4)
         self.out: list[tuple[float, Any]] = []
-        for id_ in self.promised:
-            assert self.gateway.records.get("one", id_) is not None, "what was acknowledged is found"
+        for id_ in self.acknowledged:
+            assert self.gateway.records.get("one", id_) is not None, "an acknowledged call is recovered"
         self.poll()
 
     def poll(self) -> None:
-        for id_ in self.promised:
+        for id_ in self.acknowledged:
             record = self.gateway.records.get("one", id_)
             if record is not None and record.visible:
                 assert self.shown.setdefault(id_, record.answer) == record.answer, "one answer, also after a crash"
 
     def step(self) -> None:
-        chance, gateway = self.chance, self.gateway
-        passed = chance.uniform(0.5, 6.0)
+        rng, gateway = self.rng, self.gateway
+        passed = rng.uniform(0.5, 6.0)
         self.now, self.wall = self.now + passed, self.wall + passed
-        if chance.random() < 0.4 and self.journal.is_accepting():  # else the API refuses
-            action = chance.choice(list(self.deployment.actions.values()))
-            ivk = gateway.submit(self.now, self.wall, "one", action, b"{}", None, deferred=True)
-            self.kinds[ivk.record.id] = ivk.record.idempotency
+        if rng.random() < 0.4 and self.journal.is_accepting():  # else the API refuses
+            action = rng.choice(list(self.deployment.actions.values()))
+            invocation = gateway.submit(self.now, self.wall, "one", action, b"{}", None, deferred=True)
+            self.kinds[invocation.record.id] = invocation.record.idempotency
             self.pull()
-            if not ivk.record.final:
+            if not invocation.record.final:
                 gateway.when_durable(
-                    ivk,
-                    lambda safe: self.promised.add(ivk.record.id) if safe else gateway.on_client_gone(self.now, ivk),
+                    invocation,
+                    lambda durable: (
+                        self.acknowledged.add(invocation.record.id)
+                        if durable
+                        else gateway.on_client_gone(self.now, invocation)
+                    ),
                 )
-        for due, send in [e for e in self.out if e[0] <= self.now]:
-            self.out.remove((due, send))
-            if send.status is None:
+        for due, attempt in [e for e in self.out if e[0] <= self.now]:
+            self.out.remove((due, attempt))
+            if attempt.status is None:
                 ends = [
                     AttemptStatus.COMPLETED,
                     AttemptStatus.ERROR,
                     AttemptStatus.CONNECTION_LOST,
                     AttemptStatus.OUT_OF_CAPACITY,
                 ]
-                outcome = chance.choices(ends, [6, 1, 1, 1])[0]
+                outcome = rng.choices(ends, [6, 1, 1, 1])[0]
                 if outcome is not AttemptStatus.OUT_OF_CAPACITY:
-                    self.effects[send.request.id] = self.effects.get(send.request.id, 0) + 1
-                gateway.on_attempt_finished(self.now, send, outcome)
-        if chance.random() < 0.5 and (batch := self.journal.next_batch(self.now)) is not None:
-            if chance.random() < 0.06:
+                    self.effects[attempt.request.id] = self.effects.get(attempt.request.id, 0) + 1
+                gateway.on_attempt_finished(self.now, attempt, outcome)
+        if rng.random() < 0.5 and (batch := self.journal.next_batch(self.now)) is not None:
+            if rng.random() < 0.06:
                 self.journal.on_batch_failed(self.now, batch.number, "full")
             else:
                 self.disk += batch.entries
                 self.journal.on_batch_durable(batch.number)
         self.pull()
         self.poll()
-        if chance.random() < 0.015:  # whatever went out may have run, whatever was not synced is gone
-            for _, send in self.out:
-                if chance.random() < 0.5:
-                    self.effects[send.request.id] = self.effects.get(send.request.id, 0) + 1
-            passed = chance.uniform(5, 400)
+        if rng.random() < 0.015:  # attempts in flight may have run, unsynced entries are lost
+            for _, attempt in self.out:
+                if rng.random() < 0.5:
+                    self.effects[attempt.request.id] = self.effects.get(attempt.request.id, 0) + 1
+            passed = rng.uniform(5, 400)
             self.now, self.wall = self.now + passed, self.wall + passed
             self.start()
 
@@ -372,8 +382,10 @@
             if isinstance(effect, StartAttempt):
                 id_, kind = effect.attempt.request.id, effect.invocation.record.idempotency
                 if kind != "repeatable":
-                    assert any(isinstance(e, MayRun) and e.id == id_ for e in self.disk), "may run is safe before"
-                self.out.append((self.now + self.chance.uniform(5, 200), effect.attempt))
+                    assert any(isinstance(e, MayRun) and e.id == id_ for e in self.disk), (
+                        "the may-run entry is durable before"
+                    )
+                self.out.append((self.now + self.rng.uniform(5, 200), effect.attempt))
             elif isinstance(effect, CancelAttempt) and effect.attempt.status is None:
                 self.out = [e for e in self.out if e[1] is not effect.attempt]
                 self.gateway.on_attempt_finished(self.now, effect.attempt, AttemptStatus.CANCELLED)
@@ -384,65 +396,65 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_a_disk_that_forgets_what_was_not_synced_breaks_no_promise(seed: int) -> None:
-    life = Run(seed)
+def test_crashes_that_lose_unsynced_entries_lose_no_acknowledged_call(seed: int) -> None:
+    model = CrashModel(seed)
     for _ in range(1500):
-        life.step()
-    assert life.boots > 5 and len(life.promised) > 100 and len(life.shown) > 80
-    for id_, count in life.effects.items():
-        assert count <= 1 or life.kinds[id_] != "once-only", "once-only never twice"
+        model.step()
+    assert model.boots > 5 and len(model.acknowledged) > 100 and len(model.shown) > 80
+    for id_, count in model.effects.items():
+        assert count <= 1 or model.kinds[id_] != "once-only", "at-most-once calls run at most once"
 
 
-def test_what_is_resumed_earns_no_load_orders() -> None:
+def test_resumed_requests_earn_no_load_orders() -> None:
     deployment = parse(DEPLOYMENT, "t")
-    world = DispatcherParts(deployment, "a", 1)
-    gateway = Gateway(world, "b" * 16, GroupCommit())
-    lives = [ActivationEntries(Accepted(f"{n:032x}", "one", "p/check", 1000.0, 900.0, b"{}")) for n in range(5)]
-    assert gateway.recover(0.0, 1100.0, lives, 100.0, 16)["resumed"] == 5
+    parts = DispatcherParts(deployment, "a", 1)
+    gateway = Gateway(parts, "b" * 16, GroupCommit())
+    activations = [ActivationEntries(Accepted(f"{n:032x}", "one", "p/check", 1000.0, 900.0, b"{}")) for n in range(5)]
+    assert gateway.recover(0.0, 1100.0, activations, 100.0, 16)["resumed"] == 5
     while gateway.next_effect(1.0) is not None:
         pass
-    assert gateway.counts.received == 5 and not world.safety.request_times, (
-        "they were counted by the run that took them"
+    assert gateway.counts.received == 5 and not parts.safety.request_times, (
+        "they were counted by the run that accepted them"
     )
 
 
-def test_a_deferred_call_earns_load_orders_only_once_it_is_certain_that_it_is_taken() -> None:
-    """Found in ten minutes of faults: calls turned away by a failing disk had earned an order each."""
-    world = DispatcherParts(parse(DEPLOYMENT, "t"), "a", 1)
-    journal = GroupCommit()
-    gateway = Gateway(world, "b" * 16, journal)
-    action = world.deployment.actions["p/check"]
-    for number, safe in enumerate((True, False)):
-        ivk = gateway.submit(float(number), 1000.0, "one", action, b"{}", deferred=True)
-        gateway.when_durable(ivk, lambda _safe: None)
-        batch = journal.next_batch(0.0)
-        assert batch is not None and len(world.safety.request_times) == number
-        if safe:
-            journal.on_batch_durable(batch.number)
+def test_deferred_call_earns_load_orders_once_it_is_durable() -> None:
+    """Found in ten minutes of faults: calls rejected because of a failing disk had earned a load order each."""
+    parts = DispatcherParts(parse(DEPLOYMENT, "t"), "a", 1)
+    group_commit = GroupCommit()
+    gateway = Gateway(parts, "b" * 16, group_commit)
+    action = parts.deployment.actions["p/check"]
+    for number, durable in enumerate((True, False)):
+        invocation = gateway.submit(float(number), 1000.0, "one", action, b"{}", deferred=True)
+        gateway.when_durable(invocation, lambda _safe: None)
+        batch = group_commit.next_batch(0.0)
+        assert batch is not None and len(parts.safety.request_times) == number
+        if durable:
+            group_commit.on_batch_durable(batch.number)
         else:
-            journal.on_batch_failed(0.0, batch.number, "full")
+            group_commit.on_batch_failed(0.0, batch.number, "full")
         while gateway.next_effect(float(number)) is not None:
             pass
-    assert len(world.safety.request_times) == 1
+    assert len(parts.safety.request_times) == 1
     gateway.submit(3.0, 1000.0, "one", action, b"{}")
-    assert len(world.safety.request_times) == 2, "a blocking call gets an answer in any case"
+    assert len(parts.safety.request_times) == 2, "a blocking call gets an answer in any case"
 
 
 # The API with a journal.
 
 
-class Kept(Dispatcher):
-    """A dispatcher with a book."""
+class JournaledDispatcher(Dispatcher):
+    """A dispatcher with an activation journal."""
 
     def __init__(self, workers: list[ScriptedWorker], file: Path, boot: str = "b" * 16, vfs: str | None = None) -> None:
         deployment = parse(DEPLOYMENT, "t")
         super().__init__([], deployment, boot)
-        book, _ = open_journal(file, vfs=vfs)
+        journal, _ = open_journal(file, vfs=vfs)
         self.gateway.durability.journal = GroupCommit(retry_ms=100.0)
         self.driver.journal = JournalDriver(
-            self.gateway.durability.journal, book, self.driver.schedule_decisions, self.log
+            self.gateway.durability.journal, journal, self.driver.schedule_decisions, self.log
         )
-        self.found = self.gateway.recover(*now(), book.activations(), 100.0, 16)
+        self.found = self.gateway.recover(*now(), journal.activations(), 100.0, 16)
         self.list(workers)
 
     async def end(self) -> None:
@@ -456,48 +468,50 @@
     return time.monotonic() * 1000, time.time() * 1000
 
 
-def test_keys_join_what_is_in_hand_get_what_is_recorded_and_conflict_on_another_body(tmp_path: Path) -> None:
-    held: list[tuple[Request, Exchange]] = []
+def test_idempotency_keys_join_calls_in_flight_and_return_recorded_answers(tmp_path: Path) -> None:
+    in_flight: list[tuple[Request, Exchange]] = []
 
-    def later(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
-        held.append((request, exchange))
+    def hold(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
+        in_flight.append((request, exchange))
 
     async def main() -> None:
-        worker = ScriptedWorker("w", later)
-        first = Kept([worker], tmp_path / "b")
+        worker = ScriptedWorker("w", hold)
+        first = JournaledDispatcher([worker], tmp_path / "b")
         calls = [asyncio.create_task(first.call("grant", body={"a": 1}, key="k")) for _ in range(3)]
-        while not held:
+        while not in_flight:
             await asyncio.sleep(0.01)
         assert (await first.call("grant", body={"a": 2}, key="k"))[0] == 409
-        status, _, told = await first.call("grant", blocking=False, body={"a": 1}, key="k")
+        status, _, body = await first.call("grant", blocking=False, body={"a": 1}, key="k")
         assert status == 202
-        target = f"/api/v1/namespaces/_/activations/{told['activationId']}?wait=800"
+        target = f"/api/v1/namespaces/_/activations/{body['activationId']}?wait=800"
         poll = asyncio.create_task(first.ask("GET", target))
         await asyncio.sleep(0.05)
-        answer(worker, *held[0])
+        answer(worker, *in_flight[0])
         answers = await asyncio.gather(*calls)
         assert [a[0] for a in answers] == [200] * 3 and len({a[2]["activationId"] for a in answers}) == 1
-        assert len(held) == 1, "one run for all of them"
+        assert len(in_flight) == 1, "one run for all of them"
         assert (await poll)[0] == 200, "a long poll ends with the answer"
-        assert (await first.call("grant", body={"a": 1}, key="k"))[0] == 200 and len(held) == 1
+        assert (await first.call("grant", body={"a": 1}, key="k"))[0] == 200 and len(in_flight) == 1
         await first.end()
-        second = Kept([worker], tmp_path / "b", "c" * 16)
-        status, _, again = await second.call("grant", body={"a": 1}, key="k")
-        assert status == 200 and again["activationId"] == told["activationId"] and len(held) == 1, "across a restart"
+        second = JournaledDispatcher([worker], tmp_path / "b", "c" * 16)
+        status, _, repeated = await second.call("grant", body={"a": 1}, key="k")
+        assert status == 200 and repeated["activationId"] == body["activationId"] and len(in_flight) == 1, (
+            "across a restart"
+        )
         assert (await second.call("grant", body={}, key="k"))[0] == 409
         (listed,) = (await second.ask("GET", "/api/v1/namespaces/_/activations"))[2]
-        assert listed["activationId"] == told["activationId"]
+        assert listed["activationId"] == body["activationId"]
         await second.end()
         await worker.server.drain(0)
 
     run(main())
 
 
-def test_a_failing_disk_refuses_deferred_calls_and_keeps_blocking_ones(tmp_path: Path) -> None:
+def test_failing_disk_rejects_deferred_calls_and_serves_blocking_ones(tmp_path: Path) -> None:
     async def main() -> None:
         disk = FaultyDisk()
         worker = ScriptedWorker("w", answer)
-        one = Kept([worker], tmp_path / "b", vfs="harmed")
+        one = JournaledDispatcher([worker], tmp_path / "b", vfs="harmed")
         assert (await one.call("grant", blocking=False, body={}))[0] == 202
         disk.fault = {"fails": True}
         statuses = [(await one.call("grant", blocking=False, body={}))[0] for _ in range(3)]
@@ -509,8 +523,8 @@
         await asyncio.sleep(0.4)
         assert (await one.call("grant", blocking=False, body={}))[0] == 202
         await asyncio.sleep(0.1)
-        assert len(worker.sends) == sent + 1, "what was refused never ran"
-        disk.fault = {"sync_ms": 400}  # a slow disk delays promises and the sends that need one, not other calls
+        assert len(worker.sends) == sent + 1, "a rejected call never ran"
+        disk.fault = {"sync_ms": 400}  # a slow disk delays acknowledgements and attempts that need one, not other calls
         loop = asyncio.get_running_loop()
         began = loop.time()
         slow = asyncio.create_task(one.call("grant", blocking=False, body={}))
@@ -523,17 +537,17 @@
     run(main())
 
 
-def test_cancelling_where_the_effect_allows_it(tmp_path: Path) -> None:
+def test_cancelling_where_idempotency_allows_it(tmp_path: Path) -> None:
     async def main() -> None:
         worker = ScriptedWorker("w", silent)
-        one = Kept([worker], tmp_path / "b")
+        one = JournaledDispatcher([worker], tmp_path / "b")
         for action, status in (("p/check", 202), ("grant", 409)):
-            _, _, told = await one.call(action, blocking=False, body={})
-            while len(worker.sends) == 0 or worker.sends[-1][1]["activation"] != told["activationId"]:
+            _, _, body = await one.call(action, blocking=False, body={})
+            while len(worker.sends) == 0 or worker.sends[-1][1]["activation"] != body["activationId"]:
                 await asyncio.sleep(0.01)
-            got, _, _ = await one.ask("DELETE", f"/api/v1/namespaces/_/activations/{told['activationId']}")
+            got, _, _ = await one.ask("DELETE", f"/api/v1/namespaces/_/activations/{body['activationId']}")
             assert got == status
-            record = await one.final(told["activationId"])
+            record = await one.final(body["activationId"])
             assert verdict(record)["answer"] == "aborted"
         await one.end()
         await worker.server.drain(0)
@@ -542,7 +556,7 @@
 
 
 @pytest.mark.rigs
-def test_a_dispatcher_killed_at_a_step_keeps_what_it_had_promised() -> None:
+def test_dispatcher_killed_at_a_step_keeps_acknowledged_calls() -> None:
     """Two steps of the matrix of bench/crash_points.py, every effect, deferred and keyed, with real processes."""
     done = subprocess.run(
         [sys.executable, "bench/crash_points.py", "--steps", "cleared,ended"],
@@ -555,7 +569,7 @@
     found = [json.loads(line) for line in done.stdout.splitlines()]
     assert done.returncode == 0, done.stdout + done.stderr[-1500:]
     assert len(found) == 10 and not any(case["broken"] for case in found)
-    # A deferred one may die before its 202 has left: then nothing was promised, and nobody asks.
+    # A deferred call may be lost before its 202 was sent: then it was not acknowledged, and no client polls it.
     assert {
         case["answer"]
         for case in found
@@ -563,24 +577,24 @@
     } == {"aborted"}
 
 
-def test_compaction_goes_in_slices_and_commits_go_between_them(tmp_path: Path) -> None:
+def test_deletion_runs_in_batches_with_commits_between(tmp_path: Path) -> None:
     async def main() -> None:
-        book, told = ActivationJournal(tmp_path / "b"), list[bool]()
+        journal, results = ActivationJournal(tmp_path / "b"), list[bool]()
         ids = [f"{n:032x}" for n in range(1700)]
-        book.commit([Accepted(id_, "one", "grant", 100.0, 900.0, b"{}") for id_ in ids])
-        driver = JournalDriver(GroupCommit(100), book, lambda: None, Silent())
+        journal.commit([Accepted(id_, "one", "grant", 100.0, 900.0, b"{}") for id_ in ids])
+        driver = JournalDriver(GroupCommit(100), journal, lambda: None, Silent())
         for id_ in ids:
             driver.forget(id_)
-        assert not driver._busy, "nothing before background work has its turn"
-        assert driver.compact() and driver.compact(), "one slice at a time"
-        driver.group_commit.write(Accepted("f" * 32, "one", "grant", 100.0, 900.0, b"{}"), told.append)
-        while not told:
+        assert not driver._busy, "nothing is deleted before background work runs"
+        assert driver.compact() and driver.compact(), "one batch at a time"
+        driver.group_commit.write(Accepted("f" * 32, "one", "grant", 100.0, 900.0, b"{}"), results.append)
+        while not results:
             await asyncio.sleep(0.002)
-        assert told == [True] and book.count() > 600, "the commit did not wait for all slices"
+        assert results == [True] and journal.count() > 600, "the commit did not wait for all batches"
         while driver._stale or driver._busy:
             driver.compact()
             await asyncio.sleep(0.002)
-        assert book.count() == 1
+        assert journal.count() == 1
         await driver.close(1000)
 
     run(main())
