--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from program import DEPLOYMENT, PEERS, Dispatcher, ScriptedWorker, Silent, Voters, run
+from program import DEPLOYMENT, PEERS, Acceptors, Dispatcher, ScriptedWorker, Silent, run
 
 from kelptrail.clock import now_ms
 from kelptrail.membership.members import EndpointList
@@ -42,7 +42,7 @@
         self.workers = [ScriptedWorker(f"w{n}") for n in range(3)]
         self.dispatcher = Dispatcher(self.workers, parse(FAST, "fast"))
         self.state, self.log = state, Silent()
-        self.acceptors = Voters(self.dispatcher.deployment, state)
+        self.acceptors = Acceptors(self.dispatcher.deployment, state)
         self.planners = [self.planner(n) for n in range(planners)]
         self.edge = self.follower()
 
@@ -61,7 +61,7 @@
         planner_driver.restore()
         planner_driver.listen()
         planner_driver.start()
-        planner_driver.on_endpoints(EndpointList(self.dispatcher.version, [w.entry for w in self.workers], "test"))
+        planner_driver.on_endpoints(EndpointList(self.dispatcher.version, [w.endpoint for w in self.workers], "test"))
         return planner_driver
 
     def follower(self) -> PlanFollower:
@@ -180,14 +180,16 @@
         plan = make_plan(name, (1, "forger", 1), 9e5, endpoints_version, instances)
         offers.append(encode_plan(plan, 0.0))
         await asyncio.gather(until(lambda: edge.plan_state.accepted == 1), pair.calls(0.5))
-        orders = sum(w.orders for w in pair.workers)
+        orders = sum(w.load_order_count for w in pair.workers)
         assert orders >= 2, "instances are loaded ahead of calls"
         pair.workers[1].state = "draining"
-        pair.dispatcher.list(pair.workers)
+        pair.dispatcher.set_workers(pair.workers)
         edge.on_endpoints()
-        before = pair.workers[1].orders, len(pair.workers[1].sends)
+        draining = pair.workers[1]
+        before = draining.load_order_count, len(draining.attempts)
         await pair.calls(1.0)
-        assert (pair.workers[1].orders, len(pair.workers[1].sends)) == before, "a draining worker gets nothing"
+        after = draining.load_order_count, len(draining.attempts)
+        assert after == before, "a draining worker gets nothing"
         offers += [
             encode_plan(make_plan(name, (1, "forger", n), 9e5, endpoints_version, {"check": {w: 1}}), 0.0)
             for n, w in ((2, "w1"), (3, "nobody"), (1, "w0"))
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -539,7 +539,7 @@
     }
     good = [use(10, 1, 9), use(20, 1, 19, what="done"), use(30, 2, 29, "e"), use(40, 1, 19, taken=False)]
     result = check_history([first_event, *good])
-    assert not result.broken and result.old_tokens_refused == 1 and result.acts == 3
+    assert not result.broken and result.old_tokens_refused == 1 and result.lease_uses == 3
     two_holders = check_history([first_event, *good, use(50, 1, 45, taken=False)])
     assert two_holders.holders_two == 1 and two_holders.broken and not two_holders.old_tokens_taken
     old_token_accepted = check_history([first_event, *good, use(50, 1, 19)])
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -13,7 +13,7 @@
 
 import apsw
 import pytest
-from program import auth, exchange, run, verdict
+from program import authorization, final_answer, run, send_request
 
 from kelptrail.codec.http import encode_request
 from kelptrail.emulator.cluster import Cluster, http_json
@@ -664,7 +664,7 @@
                     await asyncio.sleep(0.1)
             first, *others = cluster.dispatchers
             key = {
-                "authorization": auth("23bc46b1-71f6-4ed5-8c54-816aa4f8c502", "try-this-key-on-loopback-only")[
+                "authorization": authorization("23bc46b1-71f6-4ed5-8c54-816aa4f8c502", "try-this-key-on-loopback-only")[
                     "authorization"
                 ]
             }
@@ -696,7 +696,7 @@
                 if status == 307:
                     at = headers["location"].removeprefix("http://").partition("/")[0]
                     status, _, body = await http(at, "GET", f"activations/{id_}", key)
-                assert status == 200 and verdict(body)["answer"] == "completed"
+                assert status == 200 and final_answer(body)["answer"] == "completed"
         finally:
             await cluster.stop()
 
@@ -706,5 +706,5 @@
 async def http(
     address: str, method: str, target: str, headers: dict[str, str], body: bytes = b""
 ) -> tuple[int, dict[str, str], Any]:
-    reply = await exchange(address, encode_request(method, f"/api/v1/namespaces/_/{target}", "x", body, headers))
+    reply = await send_request(address, encode_request(method, f"/api/v1/namespaces/_/{target}", "x", body, headers))
     return reply.status, reply.headers, json.loads(reply.body)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -16,8 +16,18 @@
 from typing import Any
 
 import pytest
-from test_crossings import SMALL, HeldConnect, answers, raw, read_all, read_until, request, silent, until
-from test_platform import PlatformFixture, WorkerStub, configuration, echo, event, run
+from platform_fixture import PlatformFixture, WorkerStub, configuration, echo, event, run
+from raw_sockets import (
+    SMALL_BUFFER_BYTES,
+    BlockedConnects,
+    answers,
+    connect_raw,
+    never_answer,
+    read_all,
+    read_until,
+    request,
+    until,
+)
 from test_worker_list import EndpointListStub, follow
 
 from kelptrail.codec import feed, frames
@@ -60,7 +70,7 @@
     """On the client's connection, the worker's and the list's: what is open there goes on."""
 
     async def main() -> None:
-        async with PlatformFixture(runner := WorkerStub(echo)) as platform:
+        async with PlatformFixture(worker := WorkerStub(echo)) as platform:
             client = await platform.client()
             client.ask(1)
             assert await client.code() == frames.SERVED
@@ -72,7 +82,7 @@
                 each.transport.sock = Failing(each.transport.sock, "send", [code, code])  # type: ignore[assignment]
             client.ask(2)
             assert await client.code() == frames.SERVED
-            assert runner.connections == 1 and connection in worker_links._connections
+            assert worker.connections == 1 and connection in worker_links._connections
 
     run(main())
 
@@ -105,7 +115,7 @@
 
 
 def test_the_limit_passed_on_is_what_the_client_has_left_when_the_call_leaves(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The worker's connection comes up late: what was decided before says the time that is left then."""
+    """The worker's connection comes up late: an attempt decided before carries the time that is left then."""
     limits: list[int] = []
 
     class Reads(WorkerStub):
@@ -126,7 +136,7 @@
             assert await client.code() == frames.SERVED  # an instance is loaded
             for links in platform.service.executor.workers.connections.values():
                 links.close()
-            held = HeldConnect(monkeypatch)
+            held = BlockedConnects(monkeypatch)
             client.ask(2, limit="1500")
             await until(lambda: held.waiting)
             await asyncio.sleep(0.4)
@@ -153,14 +163,14 @@
 
 @pytest.mark.parametrize("codes", [[code] for code in FAILING_ACCEPT] + [[errno.ECONNABORTED, errno.EMFILE] * 3])
 def test_clients_in_the_accept_queue_are_answered_at_shutdown_though_accepts_fail(codes: list[int]) -> None:
-    """Whoever has connected before the listener closes is taken in, also behind a client that has gone."""
+    """Each client that connected before the listener closes is accepted, also behind one that has gone."""
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
             door = platform.service.client_server._listener
             (listening,) = door._sockets
             asyncio.get_running_loop().remove_reader(listening)  # whoever comes stands in the queue of the kernel
-            clients = [raw(platform.port) for _ in range(3)]
+            clients = [connect_raw(platform.port) for _ in range(3)]
             for number, client in enumerate(clients, 1):
                 client.sendall(request(number))
             door._sockets = {Failing(listening, "accept", list(codes)): None}  # type: ignore[dict-item]
@@ -178,12 +188,12 @@
     """Beyond the bound, too: no connection is closed over a request that stands in its socket."""
 
     async def main() -> None:
-        async with PlatformFixture(WorkerStub(silent), sockets=48) as platform:
-            busy = [raw(platform.port) for _ in range(20)]
+        async with PlatformFixture(WorkerStub(never_answer), sockets=48) as platform:
+            busy = [connect_raw(platform.port) for _ in range(20)]
             for number, client in enumerate(busy, 1):
                 client.sendall(request(number))
             await until(lambda: len(platform.service.executor.client_requests) == 20)
-            crowd = [raw(platform.port) for _ in range(30)]
+            crowd = [connect_raw(platform.port) for _ in range(30)]
             for number, client in enumerate(crowd, 100):
                 client.sendall(request(number))
             for number, client in enumerate(crowd, 100):
@@ -275,10 +285,10 @@
 
 def test_an_address_in_use_for_a_moment_is_retried(tmp_path: Path) -> None:
     """As it is where the process before still closes, or descriptors lack in the whole system."""
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
-        port = taken.getsockname()[1]
+    with socket.socket() as occupied:
+        occupied.bind(("127.0.0.1", 0))
+        occupied.listen()
+        port = occupied.getsockname()[1]
         process = start_process(tmp_path, json.dumps(configuration() | {"listen": f"127.0.0.1:{port}"}))
         time.sleep(0.9)
     try:
@@ -300,15 +310,15 @@
     """The request is answered, so nothing is open; the answer still stands in the link."""
     body = bytes(100_000)
 
-    def large(runner: WorkerStub, id_: bytes, _: bytes, writer: asyncio.StreamWriter) -> None:
-        echo(runner, id_, body, writer)
+    def large(worker: WorkerStub, id_: bytes, _: bytes, writer: asyncio.StreamWriter) -> None:
+        echo(worker, id_, body, writer)
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(large)) as platform:
-            front, slow = platform.service.client_server, raw(platform.port, SMALL)
+            front, slow = platform.service.client_server, connect_raw(platform.port, SMALL_BUFFER_BYTES)
             await until(lambda: len(front.connections))
             (client,) = front.connections.fresh
-            client.connection.transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
+            client.connection.transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
             slow.sendall(request(1))
             await until(lambda: client in front.connections.idle and client.connection.has_pending_writes)
             front.connections.make_room()
@@ -334,14 +344,14 @@
     """Ends of what was open at the close must not lead to new attempts and orders."""
 
     async def main() -> None:
-        async with PlatformFixture(runner := WorkerStub(silent)) as platform:
+        async with PlatformFixture(worker := WorkerStub(never_answer)) as platform:
             client = await platform.client()
             client.ask(1)
-            await until(lambda: runner.calls)
+            await until(lambda: worker.calls)
             platform.service.close()
-            connections = runner.connections
+            connections = worker.connections
             await asyncio.sleep(0.1)
-            assert runner.connections == connections and len(runner.calls) == 1
+            assert worker.connections == connections and len(worker.calls) == 1
 
     run(main())
 
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 import pytest
-from test_crossings import HeldConnect, raw, read_until, until
-from test_platform import PlatformFixture, WorkerStub, configuration, echo, event, run
+from platform_fixture import PlatformFixture, WorkerStub, configuration, echo, event, run
+from raw_sockets import BlockedConnects, connect_raw, read_until, until
 
 from kelptrail.codec import frames
 from kelptrail.net.connection import connect
@@ -137,10 +137,12 @@
         endpoint_service = EndpointListStub(serve)
         port = await endpoint_service.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            held_connect = HeldConnect(monkeypatch, endpoint_watch, port=9)  # a connect to the old address never ends
+            held_connect = BlockedConnects(
+                monkeypatch, endpoint_watch, port=9
+            )  # a connect to the old address never ends
             await follow(platform, 9)
             await until(lambda: held_connect.waiting)
-            platform.told["journal"] = f"127.0.0.1:{port}"
+            platform.configuration["journal"] = f"127.0.0.1:{port}"
             platform.service.reload(current_config(platform))
             await until(lambda: platform.service.last_event_number == 2, 0.5)
 
@@ -148,7 +150,7 @@
 
 
 def current_config(platform: PlatformFixture) -> config.Config:
-    return config.parse(json.dumps(platform.told), platform.service.config)
+    return config.parse(json.dumps(platform.configuration), platform.service.config)
 
 
 def test_new_address_during_a_backoff_is_used_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -190,7 +192,7 @@
         async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
             await follow(platform, ports[0])
             await until(lambda: writers)
-            held_connect = HeldConnect(monkeypatch, endpoint_watch, port=ports[1])
+            held_connect = BlockedConnects(monkeypatch, endpoint_watch, port=ports[1])
             await follow(platform, ports[1])
             await until(lambda: held_connect.waiting)
             writers[0].write(event(2, 2, (1, 9, 1))[:30])
@@ -236,11 +238,11 @@
         deadline = time.monotonic() + 5
         while time.monotonic() < deadline:
             with contextlib.suppress(ConnectionRefusedError):
-                clients.append(raw(listen_port))
+                clients.append(connect_raw(listen_port))
                 break
             time.sleep(0.02)
         while len(os.listdir(f"/proc/{process.pid}/fd")) < 40 and len(clients) < 100:
-            clients.append(raw(listen_port))
+            clients.append(connect_raw(listen_port))
             clients[-1].sendall(frames.encode_frame(frames.READY_QUERY, 1, b"\0"))
         read_until(process, "accept-failed")
 
