--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from functools import partial
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from kelptrail.clock import now_ms
 from kelptrail.peers.driver import Peers
@@ -46,6 +46,14 @@
 OnNoteStored = Callable[[FencingToken, int], None]
 
 
+class LeaseCallbacks(NamedTuple):
+    """What a user of a lease is called with: its token, the reason of its loss, the number of a stored note."""
+
+    on_acquired: OnAcquired
+    on_lost: OnLost
+    on_note_stored: OnNoteStored | None
+
+
 class LeaseDriver:
     """The leases of one process, and its acceptor where it is one.  `run`: unique among the runs of a name."""
 
@@ -55,7 +63,7 @@
         self.client = LeaseClient(name, f"{name}/{run}", settings)
         self.acceptor: Acceptor | None = None
         self._journal: JournalDriver | None = None
-        self._callbacks: dict[str, tuple[OnAcquired, OnLost, OnNoteStored | None]] = {}
+        self._callbacks: dict[str, LeaseCallbacks] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._running = self._stopped = False
         self._connected_acceptors = settings.acceptors
@@ -113,7 +121,7 @@
         """Acquire a task's lease and keep it until `release`; the callbacks report each change.
 
         Raises `LeaseLengthError` for a length beyond what acceptors grant."""
-        self._callbacks[task] = on_acquired, on_lost, on_note_stored
+        self._callbacks[task] = LeaseCallbacks(on_acquired, on_lost, on_note_stored)
         self.client.acquire(now_ms(), task, length_ms)
         self.run_pending()
 
@@ -208,17 +216,17 @@
                 self._log.info("acceptor-stage", stage=before.value, number=self.acceptor.config_number)
 
     def _notify(self, event: LeaseEvent) -> None:
-        on_acquired, on_lost, on_note_stored = self._callbacks[event.task]
+        callbacks = self._callbacks[event.task]
         if isinstance(event, NoteStored):
-            if on_note_stored is not None:
-                on_note_stored(event.token, event.sequence)
+            if callbacks.on_note_stored is not None:
+                callbacks.on_note_stored(event.token, event.sequence)
             return
         if isinstance(event, LeaseAcquired):
             self._log.info("lease-acquired", task=event.task, token=str(event.token))
-            on_acquired(event.token)
+            callbacks.on_acquired(event.token)
         else:
             self._log.info("lease-lost", task=event.task, token=str(event.token), reason=event.reason.value)
-            on_lost(event.token, event.reason.value)
+            callbacks.on_lost(event.token, event.reason.value)
 
     def _update_connections(self) -> None:
         self._connected_acceptors = self.client.acceptors
@@ -236,39 +244,39 @@
 
     def status(self) -> dict[str, Any]:
         """State of leases and acceptor, for operators."""
-        now, heard, acceptor = now_ms(), self._peers.ms_since_heard(), self.acceptor
+        now, heard, client = now_ms(), self._peers.ms_since_heard(), self.client
         return {
             "name": self.name,
-            "number": self.client.config_number,
+            "number": client.config_number,
             "voters": {
                 name: None if name != self.name and name not in heard else round(heard.get(name, 0.0))
-                for name in self.client.acceptors
+                for name in client.acceptors
             },
             "holds": {
-                task: {"token": str(token), "left_ms": round(self.client.remaining_ms(now, task))}
-                for task in sorted(self.client.requests)
-                if (token := self.client.held_token(now, task)) is not None
+                task: {"token": str(token), "left_ms": round(client.remaining_ms(now, task))}
+                for task in sorted(client.requests)
+                if (token := client.held_token(now, task)) is not None
             },
-            "wants": sorted(self.client.requests),
+            "wants": sorted(client.requests),
             "seen": {
-                task: {"token": str(token), "left_ms": max(0, round(until - now))}
-                for task, (token, until) in sorted(self.client.known_holders.items())
-            },
-            "vote": None
-            if acceptor is None
-            else {
-                "stage": acceptor.stage.value,
-                "number": acceptor.config_number,
-                "disk": "failing" if self._journal is not None and self._journal.group_commit.failing else "well",
-                "tasks": {
-                    task: {
-                        "token": str(record.highest_token),
-                        "left_ms": max(0, round(record.expires_at - now))
-                        if not record.released and record.expires_at > now
-                        else 0,
-                    }
-                    for task, record in sorted(acceptor.records.items())
-                },
+                task: {"token": str(holder.token), "left_ms": max(0, round(holder.expires_at - now))}
+                for task, holder in sorted(client.known_holders.items())
             },
+            "vote": None if self.acceptor is None else self._acceptor_status(now, self.acceptor),
             "messages": self.message_count,
         }
+
+    def _acceptor_status(self, now: float, acceptor: Acceptor) -> dict[str, Any]:
+        is_disk_failing = self._journal is not None and self._journal.group_commit.failing
+        return {
+            "stage": acceptor.stage.value,
+            "number": acceptor.config_number,
+            "disk": "failing" if is_disk_failing else "well",
+            "tasks": {
+                task: {
+                    "token": str(record.highest_token),
+                    "left_ms": max(0, round(record.expires_at - now)) if record.is_held(now) else 0,
+                }
+                for task, record in sorted(acceptor.records.items())
+            },
+        }
--- a/kelptrail/replication/failover.py
+++ b/kelptrail/replication/failover.py
@@ -2,10 +2,19 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 MIN_BACKOFF_MS, MAX_BACKOFF_MS = 2000.0, 60_000.0  # after a journal was rejected or released; doubles
 APPEND_SILENCE_MS = 2500.0  # several digest checks of a primary
 
 
+class ClaimBackoff(NamedTuple):
+    """A pause in which a journal is not claimed: its end and its length, ms."""
+
+    ends_at: float
+    length_ms: float
+
+
 class FailoverMonitor:
     """When each dispatcher and each stream was last heard, by this process's clock; its start counts as such."""
 
@@ -13,7 +22,7 @@
         self._name, self._failover_after_ms, self._start = name, failover_after_ms, now
         self._last_heard: dict[str, float] = {}
         self._last_append: dict[str, float] = {}  # last message of the primary, by journal
-        self._backoffs: dict[str, tuple[float, float]] = {}  # by journal: end and length, ms
+        self._backoffs: dict[str, ClaimBackoff] = {}  # by journal
         self._last_tick = now
         self.claims: set[str] = set()
 
@@ -54,9 +63,9 @@
 
     def back_off(self, now: float, journal_id: str) -> None:
         """Do not claim the journal for a growing time: prevents a loop of acquiring and rejecting it."""
-        _, before = self._backoffs.get(journal_id, (0.0, MIN_BACKOFF_MS / 2))
-        pause = min(MAX_BACKOFF_MS, 2 * before)
-        self._backoffs[journal_id] = now + pause, pause
+        earlier = self._backoffs.get(journal_id)
+        length_ms = MIN_BACKOFF_MS if earlier is None else min(MAX_BACKOFF_MS, 2 * earlier.length_ms)
+        self._backoffs[journal_id] = ClaimBackoff(now + length_ms, length_ms)
 
     def clear_backoff(self, journal_id: str) -> None:
         """The journal may be claimed here again."""
@@ -71,7 +80,8 @@
 
         A journal whose last primary was this dispatcher is claimed at once.
         """
-        if now < self._backoffs.get(journal_id, (0.0, 0.0))[0]:
+        backoff = self._backoffs.get(journal_id)
+        if backoff is not None and now < backoff.ends_at:
             return False
         # A primary that is reachable and sends nothing may have released the journal without any replica noticing.
         return (
--- a/kelptrail/store/group_commit.py
+++ b/kelptrail/store/group_commit.py
@@ -10,7 +10,7 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 Entry = Any  # what the journal stores; it is only passed on here
 Waiter = Callable[[bool], None]
@@ -25,6 +25,13 @@
     waiters: list[Waiter] = field(default_factory=list)
 
 
+class RetriedEntry(NamedTuple):
+    """An entry that is written again after a failure, with its waiter."""
+
+    entry: Entry
+    waiter: Waiter | None
+
+
 class UnexpectedBatchError(Exception):
     """A result was reported for a batch that is not being written."""
 
@@ -36,7 +43,7 @@
         self._max_waiting, self._retry_ms = max_waiting, retry_ms
         self._collecting = Batch(1)
         self._writing: Batch | None = None
-        self._to_retry: deque[tuple[Entry, Waiter | None]] = deque()  # to be tried again after a failure
+        self._to_retry: deque[RetriedEntry] = deque()
         self.failing = False
         self.reason = ""
         self._retry_at = 0.0
@@ -60,7 +67,7 @@
         """
         if self.failing:
             if keep:
-                self._to_retry.append((entry, waiter))
+                self._to_retry.append(RetriedEntry(entry, waiter))
             elif waiter is not None:
                 waiter(False)
             return
@@ -75,7 +82,7 @@
 
     def _on_retryable_written(self, entry: Entry, waiter: Waiter | None, durable: bool) -> None:
         if not durable:
-            self._to_retry.append((entry, waiter))
+            self._to_retry.append(RetriedEntry(entry, waiter))
         elif waiter is not None:
             waiter(True)
 
