--- a/kelptrail/fault_scenario/dispatcher_faults.py
+++ b/kelptrail/fault_scenario/dispatcher_faults.py
@@ -12,7 +12,7 @@
 from kelptrail.emulator.cluster import Cluster, Process, http_json
 
 from .peer_links import PeerLinks
-from .scenario import Fault
+from .scenario import Fault, FaultKind
 
 LEASE_QUERY_TIMEOUT_S = 0.3  # a dispatcher that is stopped doesn't answer
 PAUSE_AFTER_LEASE_CHECK = "looked"  # type of a pause: between a check of the lease and its use
@@ -29,15 +29,15 @@
     async def inject_peer_fault(self, fault: Fault, targets: list[Process]) -> None:
         """Inject a fault of `PEER_FAULTS`."""
         kind = fault.kind
-        if kind == "cut-peers":
+        if kind == FaultKind.CUT_PEERS:
             await self._links.cut_off(fault, targets)
-        elif kind == "slow-peers":
+        elif kind == FaultKind.SLOW_PEERS:
             await self._links.slow(fault)
-        elif kind == "reset-peers":
+        elif kind == FaultKind.RESET_PEERS:
             await self._links.reset(fault.share)
-        elif kind == "pause-dispatchers":
+        elif kind == FaultKind.PAUSE_DISPATCHERS:
             await self._pause_all(fault, targets)
-        elif kind == "lose-machines":
+        elif kind == FaultKind.LOSE_MACHINES:
             lost_for_good = fault.at + fault.duration > self._scenario_seconds
             down_s = None if lost_for_good else fault.duration
             await asyncio.gather(*(self.kill(target, down_s, lose_disk=True) for target in targets))
@@ -47,9 +47,9 @@
     async def inject_disk_fault(self, fault: Fault, targets: list[Process]) -> None:
         """Inject a fault of `DISK_FAULTS`."""
         settings: dict[str, dict[str, Any]] = {
-            "disk-slow": {"sync_ms": fault.ms},
-            "disk-fails": {"fails": True},
-            "disk-full": {"full": True},
+            FaultKind.DISK_SLOW: {"sync_ms": fault.ms},
+            FaultKind.DISK_FAILS: {"fails": True},
+            FaultKind.DISK_FULL: {"full": True},
         }
         for target in targets:
             self._cluster.set_disk_fault(target, **settings[fault.kind])
@@ -58,7 +58,7 @@
             self._cluster.set_disk_fault(target)
 
     async def _disturb_clocks(self, fault: Fault, targets: list[Process]) -> None:
-        settings = {"rate": fault.factor} if fault.kind == "clock-rate" else {"step_ms": fault.ms}
+        settings = {"rate": fault.factor} if fault.kind == FaultKind.CLOCK_RATE else {"step_ms": fault.ms}
         for target in targets:
             self._cluster.set_clock_fault(target, **settings)
         await asyncio.sleep(fault.duration)
--- a/kelptrail/fault_scenario/fault_injector.py
+++ b/kelptrail/fault_scenario/fault_injector.py
@@ -25,6 +25,7 @@
     STORE_FAULTS,
     WORKER_FAULTS,
     Fault,
+    FaultKind,
     FaultScenario,
 )
 
@@ -70,7 +71,7 @@
         cluster = self._cluster
         if fault.kind in WORKER_FAULTS:
             return self._draw_targets([w for w in cluster.workers if w.running], fault.part)
-        if fault.kind == "kill-dispatchers" or fault.kind in (*DISK_FAULTS, *PEER_FAULTS):
+        if fault.kind == FaultKind.KILL_DISPATCHERS or fault.kind in (*DISK_FAULTS, *PEER_FAULTS):
             if fault.zone:
                 return self._dispatchers_of_zone(fault.zone)
             return self._draw_targets(cluster.dispatchers, fault.part)
@@ -95,15 +96,15 @@
         if kind in STORE_FAULTS:
             store_kind = kind.removeprefix("store-")
             await cluster.fault(cluster.store, kind=store_kind, for_ms=duration_ms, factor=fault.factor)
-        elif kind == "list-late":
+        elif kind == FaultKind.LIST_LATE:
             await cluster.fault(cluster.endpoint_service, kind="late", for_ms=duration_ms, late_ms=fault.ms)
-        elif kind == "list-names-nobody":
+        elif kind == FaultKind.LIST_NAMES_NOBODY:
             await self._list_unreachable_worker(fault)
-        elif kind in ("idle-connections", "slow-readers"):
+        elif kind in (FaultKind.IDLE_CONNECTIONS, FaultKind.SLOW_READERS):
             await hold_connections(cluster, fault)
         elif kind in PLANNER_FAULTS:
             await asyncio.gather(*(self._inject_planner_fault(target, fault) for target in targets))
-        elif kind == "kill-dispatchers":
+        elif kind == FaultKind.KILL_DISPATCHERS:
             await asyncio.gather(*(self._dispatcher_faults.kill(target, fault.duration) for target in targets))
         elif kind in PEER_FAULTS:
             await self._dispatcher_faults.inject_peer_fault(fault, targets)
@@ -113,13 +114,13 @@
             await self._inject_worker_fault(fault, targets)
 
     async def _inject_worker_fault(self, fault: Fault, targets: list[Process]) -> None:
-        if fault.kind == "crash":
+        if fault.kind == FaultKind.CRASH:
             await asyncio.gather(*(self._crash_worker(target, fault.duration) for target in targets))
             return
-        if fault.kind in ("rolling-deploy", "drain"):
+        if fault.kind in (FaultKind.ROLLING_DEPLOY, FaultKind.DRAIN):
             pause_s = fault.duration / max(1, len(targets))
             for target in targets:
-                await self._replace_worker(target, restart=fault.kind == "rolling-deploy")
+                await self._replace_worker(target, restart=fault.kind == FaultKind.ROLLING_DEPLOY)
                 await asyncio.sleep(pause_s)
             return
         settings: dict[str, Any] = {"share": fault.share, "factor": fault.factor, "ms": fault.ms}
@@ -132,26 +133,26 @@
 
     async def _inject_planner_fault(self, target: Process, fault: Fault) -> None:
         """Slow a planner down, or kill and restart it, with its state or without."""
-        if fault.kind in ("planners-slow", "planners-wrong"):
-            settings = {"ms": fault.ms} if fault.kind == "planners-slow" else {"factor": fault.factor}
+        if fault.kind in (FaultKind.PLANNERS_SLOW, FaultKind.PLANNERS_WRONG):
+            settings = {"ms": fault.ms} if fault.kind == FaultKind.PLANNERS_SLOW else {"factor": fault.factor}
             await http_json(target.said["control"], "POST", "/fault", settings | {"for_ms": fault.duration * 1000})
             return
-        if fault.kind == "pause-planners":
+        if fault.kind == FaultKind.PAUSE_PLANNERS:
             self._cluster.signal(target, signal.SIGSTOP)
             await asyncio.sleep(fault.duration)
             self._cluster.signal(target, signal.SIGCONT)
             return
-        if fault.kind == "cut-planners":
+        if fault.kind == FaultKind.CUT_PLANNERS:
             await self._links.cut_off(fault, [target])
             return
         self._cluster.kill(target)
-        if fault.kind == "planners-forget":
+        if fault.kind == FaultKind.PLANNERS_FORGET:
             (self._state_folder / target.name / "planner.bin").unlink(missing_ok=True)
         await asyncio.sleep(fault.duration)
         await self._cluster.launch(target)
 
     async def _crash_worker(self, target: Process, down_s: float) -> None:
-        await self._cluster.fault(target, kind="crash")
+        await self._cluster.fault(target, kind=FaultKind.CRASH)
         await asyncio.sleep(down_s)
         await self._cluster.launch(target)
 
--- a/kelptrail/fault_scenario/held_connections.py
+++ b/kelptrail/fault_scenario/held_connections.py
@@ -9,7 +9,7 @@
 from kelptrail.clock import now_ms
 from kelptrail.emulator.cluster import Cluster
 
-from .scenario import Fault
+from .scenario import Fault, FaultKind
 
 RECEIVE_BUFFER_BYTES = 2048
 PIPELINED_REQUESTS = 50  # enough that their answers fill the socket's buffers
@@ -18,7 +18,7 @@
 
 async def hold_connections(cluster: Cluster, fault: Fault) -> None:
     """Hold `fault.count` connections open for the fault's duration, spread over the dispatchers."""
-    reads_slowly = fault.kind == "slow-readers"
+    reads_slowly = fault.kind == FaultKind.SLOW_READERS
     sockets: list[socket.socket] = []
     for number in range(fault.count):
         dispatcher = cluster.dispatchers[number % len(cluster.dispatchers)]
--- a/kelptrail/fault_scenario/inferred_faults.py
+++ b/kelptrail/fault_scenario/inferred_faults.py
@@ -10,6 +10,7 @@
 import numpy as np
 
 from .captured_run import AttemptResult, CapturedRun
+from .scenario import FaultKind
 
 MIN_ANSWERS = 5  # a second of a worker with fewer answers is not evaluated
 MIN_SYMPTOM_SECONDS = 2
@@ -61,7 +62,7 @@
     for at, name in captured.exits:
         back = next((t for t, other in captured.restarts if other == name and t >= at), captured.length)
         downs.append((at, max(SHORTEST_DOWN_S, back - at)))
-    return _merge_intervals("kill-dispatchers", downs, len(captured.dispatchers))
+    return _merge_intervals(FaultKind.KILL_DISPATCHERS, downs, len(captured.dispatchers))
 
 
 def _listed_faults(captured: CapturedRun) -> list[FaultInterval]:
@@ -69,15 +70,15 @@
     intervals: dict[str, list[Interval]] = defaultdict(list)
     for at, worker, state in captured.state_changes:
         if state == "quiescing":
-            intervals["rolling-deploy"].append((at, ROLLING_DEPLOY_S))
+            intervals[FaultKind.ROLLING_DEPLOY].append((at, ROLLING_DEPLOY_S))
         elif state == "dead":
             back = next(
                 (t for t, w, s in captured.state_changes if w == worker and s != "dead" and t > at),
                 at + WORKER_DOWN_S,
             )
-            intervals["crash"].append((at, max(SHORTEST_DOWN_S, back - at)))
+            intervals[FaultKind.CRASH].append((at, max(SHORTEST_DOWN_S, back - at)))
         elif state == "restarted":
-            intervals["restart-cold"].append((at, COLD_RESTART_S))
+            intervals[FaultKind.RESTART_COLD].append((at, COLD_RESTART_S))
     found: list[FaultInterval] = []
     for kind, of_kind in intervals.items():
         found += _merge_intervals(kind, of_kind, len(captured.workers))
@@ -111,9 +112,9 @@
     found: list[FaultInterval] = []
     for kind, runs in runs_by_kind.items():
         settings: dict[str, float | str] = {}
-        if kind != "hang":
+        if kind != FaultKind.HANG:
             settings["share"] = float(np.mean([run.share for run in runs]))
-        if kind == "fail-type":
+        if kind == FaultKind.FAIL_TYPE:
             settings["type"] = _most_common_class(captured, runs)
         intervals = [(run.first, run.last - run.first + 1.0) for run in runs]
         found += _merge_intervals(kind, intervals, len(captured.workers), settings)
@@ -146,7 +147,7 @@
     total = sum(results.values())
     answered = sum(count for (ending, _), count in results.items() if ending in "SEFM")
     if total >= MIN_ANSWERS and not answered:
-        return Symptom("hang", 1.0, None)
+        return Symptom(FaultKind.HANG, 1.0, None)
     errors = Counter({class_: count for (ending, class_), count in results.items() if ending == "E"})
     if answered < MIN_ANSWERS or sum(errors.values()) / answered <= FAILING_SHARE:
         return None
@@ -154,8 +155,8 @@
     share = max(count / totals[class_] for class_, count in errors.items())
     classes = {class_ for (_, class_) in results}
     if len(errors) == 1 and len(classes) > 1:
-        return Symptom("fail-type", share, next(iter(errors)))
-    return Symptom("fail-fast", share, None)
+        return Symptom(FaultKind.FAIL_TYPE, share, next(iter(errors)))
+    return Symptom(FaultKind.FAIL_FAST, share, None)
 
 
 def _voided_models(captured: CapturedRun, seconds: int) -> list[FaultInterval]:
@@ -172,7 +173,7 @@
     while second < seconds:
         if share[second] > max(MISSES_SHARE, MISSES_FACTOR * usual) and share[second] > 2 * share[second - 1]:
             voided_share = float(min(1.0, 2 * share[second]))
-            found.append(FaultInterval("models-voided", float(second), 1.0, 1.0, {"share": voided_share}))
+            found.append(FaultInterval(FaultKind.MODELS_VOIDED, float(second), 1.0, 1.0, {"share": voided_share}))
             second += MISSES_SETTLE_S
         second += 1
     return found
@@ -194,7 +195,9 @@
     for first, last in _consecutive(slow_seconds):
         if last - first >= 2:
             factor = float(np.median(durations[(times >= first) & (times <= last + 1)])) / usual
-            found.append(FaultInterval("store-slow", float(first), float(last - first + 1), 1.0, {"factor": factor}))
+            found.append(
+                FaultInterval(FaultKind.STORE_SLOW, float(first), float(last - first + 1), 1.0, {"factor": factor})
+            )
     return found
 
 
--- a/kelptrail/fault_scenario/scenario.py
+++ b/kelptrail/fault_scenario/scenario.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
+from enum import StrEnum
 from pathlib import Path
 from typing import Any
 
@@ -11,48 +12,113 @@
 from kelptrail.settings.reader import Atom, Form, SourcePosition, read
 from kelptrail.settings.shape import Checker, Many, Shape, number, some, word, yes_no
 
+
+class FaultKind(StrEnum):
+    """Kinds of faults; the values are the words of scenario files and of captures."""
+
+    # At workers.
+    STALL = "stall"
+    CUT = "cut"
+    FAIL_FAST = "fail-fast"
+    FAIL_TYPE = "fail-type"
+    HANG = "hang"
+    SILENT = "silent"
+    PAUSE = "pause"
+    MODELS_VOIDED = "models-voided"
+    HEAVY_WORK = "heavy-work"
+    HANDSHAKES_SLOW = "handshakes-slow"
+    ANSWERS_LOST = "answers-lost"
+    ANSWERS_TWICE = "answers-twice"
+    ANSWERS_LATE = "answers-late"
+    CRASH = "crash"
+    RESTART_COLD = "restart-cold"
+    ROLLING_DEPLOY = "rolling-deploy"
+    DRAIN = "drain"
+
+    # At the model store.
+    STORE_SLOW = "store-slow"
+    STORE_REFUSE = "store-refuse"
+    STORE_STOPPED = "store-stopped"
+
+    # At disks of dispatchers.
+    DISK_SLOW = "disk-slow"
+    DISK_FAILS = "disk-fails"
+    DISK_FULL = "disk-full"
+
+    # At planners.
+    KILL_PLANNERS = "kill-planners"
+    PLANNERS_SLOW = "planners-slow"
+    PLANNERS_FORGET = "planners-forget"
+    PLANNERS_WRONG = "planners-wrong"
+    PAUSE_PLANNERS = "pause-planners"
+    CUT_PLANNERS = "cut-planners"
+
+    # At dispatchers that have peers, and between them.
+    CUT_PEERS = "cut-peers"
+    SLOW_PEERS = "slow-peers"
+    RESET_PEERS = "reset-peers"
+    PAUSE_DISPATCHERS = "pause-dispatchers"
+    LOSE_MACHINES = "lose-machines"
+    CLOCK_RATE = "clock-rate"
+    CLOCK_STEP = "clock-step"
+
+    # At dispatchers, the endpoint list and connections.
+    KILL_DISPATCHERS = "kill-dispatchers"
+    LIST_LATE = "list-late"
+    LIST_NAMES_NOBODY = "list-names-nobody"
+    IDLE_CONNECTIONS = "idle-connections"
+    SLOW_READERS = "slow-readers"
+
+
 WORKER_FAULTS = (
-    "stall",
-    "cut",
-    "fail-fast",
-    "fail-type",
-    "hang",
-    "silent",
-    "pause",
-    "models-voided",
-    "heavy-work",
-    "handshakes-slow",
-    "answers-lost",
-    "answers-twice",
-    "answers-late",
-    "crash",
-    "restart-cold",
-    "rolling-deploy",
-    "drain",
+    FaultKind.STALL,
+    FaultKind.CUT,
+    FaultKind.FAIL_FAST,
+    FaultKind.FAIL_TYPE,
+    FaultKind.HANG,
+    FaultKind.SILENT,
+    FaultKind.PAUSE,
+    FaultKind.MODELS_VOIDED,
+    FaultKind.HEAVY_WORK,
+    FaultKind.HANDSHAKES_SLOW,
+    FaultKind.ANSWERS_LOST,
+    FaultKind.ANSWERS_TWICE,
+    FaultKind.ANSWERS_LATE,
+    FaultKind.CRASH,
+    FaultKind.RESTART_COLD,
+    FaultKind.ROLLING_DEPLOY,
+    FaultKind.DRAIN,
+)
+STORE_FAULTS = (
+    FaultKind.STORE_SLOW,
+    FaultKind.STORE_REFUSE,
+    FaultKind.STORE_STOPPED,
+)
+DISK_FAULTS = (
+    FaultKind.DISK_SLOW,
+    FaultKind.DISK_FAILS,
+    FaultKind.DISK_FULL,
 )
-STORE_FAULTS = ("store-slow", "store-refuse", "store-stopped")
-DISK_FAULTS = ("disk-slow", "disk-fails", "disk-full")
 PLANNER_FAULTS = (
-    "kill-planners",
-    "planners-slow",
-    "planners-forget",
-    "planners-wrong",
-    "pause-planners",
-    "cut-planners",
+    FaultKind.KILL_PLANNERS,
+    FaultKind.PLANNERS_SLOW,
+    FaultKind.PLANNERS_FORGET,
+    FaultKind.PLANNERS_WRONG,
+    FaultKind.PAUSE_PLANNERS,
+    FaultKind.CUT_PLANNERS,
 )
 PEER_FAULTS = (
-    "cut-peers",
-    "slow-peers",
-    "reset-peers",
-    "pause-dispatchers",
-    "lose-machines",
-    "clock-rate",
-    "clock-step",
+    FaultKind.CUT_PEERS,
+    FaultKind.SLOW_PEERS,
+    FaultKind.RESET_PEERS,
+    FaultKind.PAUSE_DISPATCHERS,
+    FaultKind.LOSE_MACHINES,
+    FaultKind.CLOCK_RATE,
+    FaultKind.CLOCK_STEP,
 )
+KINDS = tuple(FaultKind)
 RENAMED_FAULT_KEYS = {"for": "duration", "hall": "zone"}
-MIN_PEERS = 5  # dispatchers, in different zones, of a scenario with such faults
-OTHER_FAULTS = ("kill-dispatchers", "list-late", "list-names-nobody", "idle-connections", "slow-readers")
-KINDS = WORKER_FAULTS + STORE_FAULTS + DISK_FAULTS + PLANNER_FAULTS + PEER_FAULTS + OTHER_FAULTS
+MIN_PEERS = 5  # dispatchers, in different zones, of a scenario with faults of peers
 
 
 class ScenarioError(ValueError):
@@ -186,7 +252,7 @@
 def _check_faults(checker: Checker, root: Form, scenario: FaultScenario) -> None:
     """Check what concerns several fields of a fault, or the scenario with its faults."""
     for form, fault in zip(_forms(root, "trouble"), scenario.faults, strict=True):
-        if fault.ms < 0 and fault.kind != "clock-step":
+        if fault.ms < 0 and fault.kind != FaultKind.CLOCK_STEP:
             checker.fault(form.place, f"{fault.ms:g} ms", "0 or more; only clock-step goes back")
     if scenario.dispatchers >= MIN_PEERS:
         return
--- a/kelptrail/simulation/attempt_executor.py
+++ b/kelptrail/simulation/attempt_executor.py
@@ -9,6 +9,7 @@
 
 from kelptrail.codec.infer import WorkerAnswer
 from kelptrail.dispatch.entities import AttemptStatus
+from kelptrail.fault_scenario.scenario import FaultKind
 from kelptrail.settings.deployment import FleetSettings
 
 from .event_queue import EventQueue
@@ -106,8 +107,8 @@
     def draw_duration_ms(self, model: ModelState) -> float:
         """How long an attempt at a model takes that starts now."""
         factor = self._work_factors.draw()
-        if self._worker.is_hit_by("heavy-work"):
-            factor *= self._worker.faults["heavy-work"].factor
+        if self._worker.is_hit_by(FaultKind.HEAVY_WORK):
+            factor *= self._worker.faults[FaultKind.HEAVY_WORK].factor
         return model.action.work_ms * factor / self._worker.slow_start_capacity
 
     def _on_work_done(self, attempt: QueuedAttempt) -> None:
@@ -130,7 +131,7 @@
                 activation=attempt.activation,
                 send=attempt.number,
             )
-        if "silent" not in worker.faults and not worker.is_hit_by("answers-lost"):
+        if FaultKind.SILENT not in worker.faults and not worker.is_hit_by(FaultKind.ANSWERS_LOST):
             self._answer_completed(attempt)
         self.start_queued()
 
@@ -151,7 +152,7 @@
         answer = WorkerAnswer(
             "completed", b"{}", True, False, attempt.was_loaded, attempt.foreign_in_flight, self.report()
         )
-        late = self._worker.faults.get("answers-late")
+        late = self._worker.faults.get(FaultKind.ANSWERS_LATE)
         delay_ms = late.ms if late is not None else 0.0
         self._event_queue.after(delay_ms, attempt.reply, AttemptStatus.COMPLETED, answer)
 
--- a/kelptrail/simulation/faults.py
+++ b/kelptrail/simulation/faults.py
@@ -14,6 +14,7 @@
     STORE_FAULTS,
     WORKER_FAULTS,
     Fault,
+    FaultKind,
 )
 
 from .dispatchers import SimulatedDispatcher
@@ -27,7 +28,10 @@
 T = TypeVar("T")
 WORK_ENDS_WITHIN_MS = 1500.0  # after a worker was told to drain, until it is stopped
 DEPLOY_PAUSE_MS = 1000.0  # added between two workers of a rolling deploy
-LEASE_FAULT_OF_PLANNER_FAULT = {"pause-planners": "pause-dispatchers", "cut-planners": "cut-peers"}
+LEASE_FAULT_OF_PLANNER_FAULT: dict[str, FaultKind] = {
+    FaultKind.PAUSE_PLANNERS: FaultKind.PAUSE_DISPATCHERS,
+    FaultKind.CUT_PLANNERS: FaultKind.CUT_PEERS,
+}
 
 
 class FaultInjector:
@@ -70,32 +74,32 @@
         targets = self._draw_targets(up, count) if up else []
         self._record_fault(fault, [worker.id for worker in targets])
         for number, worker in enumerate(targets):
-            if kind == "crash":
+            if kind == FaultKind.CRASH:
                 self._crash(worker, fault.duration * 1000)
-            elif kind in ("rolling-deploy", "drain"):
+            elif kind in (FaultKind.ROLLING_DEPLOY, FaultKind.DRAIN):
                 pause_ms = fault.duration * 1000 / max(1, len(targets))
                 self._event_queue.after(
-                    number * (pause_ms + DEPLOY_PAUSE_MS), self._deploy, worker, kind == "rolling-deploy"
+                    number * (pause_ms + DEPLOY_PAUSE_MS), self._deploy, worker, kind == FaultKind.ROLLING_DEPLOY
                 )
             else:
                 worker.inject(kind, fault)
-                if kind == "restart-cold":
+                if kind == FaultKind.RESTART_COLD:
                     worker.close_connections()
                     self._cluster.publish_endpoints()
 
     def _inject_dispatcher_fault(self, fault: Fault) -> None:
         kind, duration_ms = fault.kind, fault.duration * 1000
         targets = self._cluster.dispatchers
-        if kind == "kill-dispatchers" or kind in (*DISK_FAULTS, *PEER_FAULTS):
+        if kind == FaultKind.KILL_DISPATCHERS or kind in (*DISK_FAULTS, *PEER_FAULTS):
             targets = self._draw_targets(targets, max(1, round(fault.part * len(targets))))
         self._record_fault(fault, [dispatcher.name for dispatcher in targets])
-        if kind == "list-late":
+        if kind == FaultKind.LIST_LATE:
             self._cluster.endpoints_delay_ms = fault.ms
             self._event_queue.after(duration_ms, setattr, self._cluster, "endpoints_delay_ms", 0.0)
-        elif kind == "kill-dispatchers":
+        elif kind == FaultKind.KILL_DISPATCHERS:
             for dispatcher in targets:
                 self._kill(dispatcher, duration_ms)
-        elif kind == "lose-machines":
+        elif kind == FaultKind.LOSE_MACHINES:
             for_good = fault.at + fault.duration > self._scenario.seconds
             for dispatcher in targets:
                 self._kill(dispatcher, None if for_good else duration_ms, True)
@@ -106,7 +110,7 @@
                 self._inject_disk_fault(fault, dispatcher)
 
     def _inject_peer_fault(self, fault: Fault, targets: list[SimulatedDispatcher | RemoteDispatcher]) -> None:
-        if fault.kind == "pause-dispatchers":
+        if fault.kind == FaultKind.PAUSE_DISPATCHERS:
             for dispatcher in self._cluster.local_dispatchers:
                 if dispatcher in targets:
                     dispatcher.pause(fault.duration * 1000)
@@ -122,7 +126,7 @@
         return bool(self._random.random() < 0.5)
 
     def _inject_disk_fault(self, fault: Fault, dispatcher: SimulatedDispatcher | RemoteDispatcher) -> None:
-        if fault.kind == "disk-slow":
+        if fault.kind == FaultKind.DISK_SLOW:
             dispatcher.sync_ms = fault.ms
         else:
             dispatcher.disk_fails = True
@@ -135,10 +139,10 @@
         if not planners:
             return
         for planner in self._draw_targets(planners, max(1, round(fault.part * len(planners)))):
-            if fault.kind == "planners-slow":
+            if fault.kind == FaultKind.PLANNERS_SLOW:
                 planner.slow_ms = fault.ms
                 self._event_queue.after(fault.duration * 1000, setattr, planner, "slow_ms", 0.0)
-            elif fault.kind == "planners-wrong":
+            elif fault.kind == FaultKind.PLANNERS_WRONG:
                 planner.core.demand.error_factor = fault.factor
                 self._event_queue.after(fault.duration * 1000, setattr, planner.core.demand, "error_factor", 1.0)
             elif fault.kind in LEASE_FAULT_OF_PLANNER_FAULT:
@@ -150,7 +154,7 @@
                 self._event_queue.after(
                     fault.duration * 1000 + self._settings.start_ms,
                     planner.start_process,
-                    fault.kind == "planners-forget",
+                    fault.kind == FaultKind.PLANNERS_FORGET,
                 )
 
     def _restore_disk(self, dispatcher: SimulatedDispatcher | RemoteDispatcher) -> None:
--- a/kelptrail/simulation/leases.py
+++ b/kelptrail/simulation/leases.py
@@ -11,8 +11,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from functools import partial
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import Any, NamedTuple
 
+from kelptrail.fault_scenario.scenario import Fault, FaultKind
 from kelptrail.lease.acceptor import Acceptor, DurableState, Write
 from kelptrail.lease.client import LeaseAcquired, LeaseClient
 from kelptrail.lease.messages import (
@@ -29,9 +30,6 @@
 
 from .event_queue import EventQueue, Timer
 
-if TYPE_CHECKING:
-    from kelptrail.fault_scenario.scenario import Fault
-
 LEASE_USE_INTERVAL_MS, WRITE_RETRY_MS = 50.0, 100.0
 ACCEPTOR_MESSAGES = (AcquireRequest, Release, StateRequest, StateReply)
 
@@ -306,19 +304,19 @@
         """Inject a fault between nodes for its duration; `kill` and `start_process` serve kills and lost machines."""
         kind, duration_ms, event_queue = fault.kind, fault.duration * 1000, self._event_queue
         nodes = [self.nodes[name] for name in node_names if name in self.nodes]
-        if kind == "cut-peers":
+        if kind == FaultKind.CUT_PEERS:
             links = self._links_to_cut(nodes, set(node_names), fault, one_way)
             self.cut(links)
             event_queue.after(duration_ms, self.heal, links)
-        elif kind == "slow-peers":
+        elif kind == FaultKind.SLOW_PEERS:
             slow_links = SlowLinks(fault.ms, fault.share)
             self._slow_links.append(slow_links)
             event_queue.after(duration_ms, self._slow_links.remove, slow_links)
-        elif kind == "pause-dispatchers":
+        elif kind == FaultKind.PAUSE_DISPATCHERS:
             for node in nodes:
                 node.paused = True
                 event_queue.after(duration_ms, self._resume, node)
-        elif kind == "clock-rate":
+        elif kind == FaultKind.CLOCK_RATE:
             for node in nodes:
                 self._set_clock_rate(node, fault.factor)
                 event_queue.after(duration_ms, self._set_clock_rate, node, 1.0)
--- a/kelptrail/simulation/remote.py
+++ b/kelptrail/simulation/remote.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
+from kelptrail.fault_scenario.scenario import Fault, FaultKind
 from kelptrail.membership.members import Endpoint
 
 from .event_queue import EventQueue
@@ -14,7 +15,6 @@
 from .worker_messages import WorkerIdentity
 
 if TYPE_CHECKING:
-    from kelptrail.fault_scenario.scenario import Fault
     from kelptrail.membership.members import EndpointList
 
 
@@ -54,7 +54,7 @@
 
     def inject(self, kind: str, fault: Fault) -> None:
         """The fault has its effects in the worker's own shard; here only a restart matters."""
-        if kind == "restart-cold":
+        if kind == FaultKind.RESTART_COLD:
             self.start_process(False)
 
     def request(self, kind: MessageKind, on_reply: Callable[..., None], *arguments: Any) -> None:
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -15,6 +15,7 @@
 
 from kelptrail.codec.infer import WorkerAnswer
 from kelptrail.dispatch.entities import AttemptStatus
+from kelptrail.fault_scenario.scenario import Fault, FaultKind
 from kelptrail.membership.members import Endpoint
 from kelptrail.settings.deployment import ActionSettings, Deployment
 
@@ -26,8 +27,6 @@
 from .worker_messages import AttemptMessage, AttemptReply, EventRecorder, OrderReply, WorkerIdentity
 
 if TYPE_CHECKING:
-    from kelptrail.fault_scenario.scenario import Fault
-
     from .remote import RemoteStore
 
 MAX_FOREIGN_IN_FLIGHT = 30  # as a worker's answer can say
@@ -157,7 +156,7 @@
             work=action.work_ms,
         )
         self._add_to_slow_start(action.work_ms)
-        if self.collapsed or "hang" in self.faults:
+        if self.collapsed or FaultKind.HANG in self.faults:
             return
         queued = QueuedAttempt(
             model,
@@ -180,7 +179,7 @@
     def _fail_or_queue(self, attempt: QueuedAttempt) -> None:
         """Answer an attempt at once by a fault, a model that is not loaded or a full queue; else queue it."""
         model, reply = attempt.model, attempt.reply
-        if self.is_hit_by("fail-fast") or self._fails_type(model.type.name):
+        if self.is_hit_by(FaultKind.FAIL_FAST) or self._fails_type(model.type.name):
             reply(AttemptStatus.ERROR, WorkerAnswer("error"))
         elif model.is_absent:
             reply(AttemptStatus.NOT_LOADED, WorkerAnswer("miss", report=self.executor.report()))
@@ -209,7 +208,7 @@
             return
         model = self.instances.model(action)
         self.record("order", model=action.model, copies=instances, dispatcher=dispatcher, lag=read_delay_ms)
-        if "hang" in self.faults or "silent" in self.faults:
+        if FaultKind.HANG in self.faults or FaultKind.SILENT in self.faults:
             return
         if self.draining:
             reply(AttemptStatus.OUT_OF_CAPACITY, model.loaded)
@@ -224,16 +223,16 @@
         return fault is not None and bool(self._random.random() < fault.share)
 
     def _fails_type(self, type_name: str) -> bool:
-        fault = self.faults.get("fail-type")
+        fault = self.faults.get(FaultKind.FAIL_TYPE)
         return fault is not None and fault.type == type_name
 
     def inject(self, kind: str, fault: Fault) -> None:
         """Inject a fault for its duration."""
-        if kind == "models-voided":
+        if kind == FaultKind.MODELS_VOIDED:
             self._void_models(fault.share)
-        elif kind == "restart-cold":
+        elif kind == FaultKind.RESTART_COLD:
             self.start_process(warm=False)
-        elif kind == "pause":  # the process stops; later it reads what arrived meanwhile
+        elif kind == FaultKind.PAUSE:  # the process stops; later it reads what arrived meanwhile
             self.paused_until = self._event_queue.now + fault.duration * 1000
         else:
             self.faults[kind] = fault
