--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import dataclasses
+import sys
 from pathlib import Path
 from typing import Any
 
@@ -40,52 +41,24 @@
 from kelptrail.settings.reader import SettingsError
 
 ROOT = Path(__file__).parent.parent
-TIMES = {
-    "max_lease_ms": 100.0,
-    "request_timeout_ms": 8.0,
-    "retry_pause_ms": 5.0,
-    "queue_spacing_ms": 0.0,
-    "transfer_reservation_ms": 20.0,
-    "clock_rate_bound": 0.02,
-}
-SETTINGS = LeaseSettings(("a", "b", "c"), **TIMES)  # type: ignore[arg-type]
-NEXT_SETTINGS = LeaseSettings(("a", "b", "d"), 2, ("a", "b", "c"), **TIMES)  # type: ignore[arg-type]
-CLOCK_RATES = (("a", 1.02), ("b", 1.02), ("c", 1.02), ("x", 0.98), ("y", 0.98), ("z", 0.98))
-ALL_FAULTS = Budget(
-    drops=9,
-    duplicates=9,
-    delays=60,
-    restarts=3,
-    disk_losses=1,
-    sync_failures=3,
-    client_restarts=3,
-    pauses=3,
-    releases=3,
-    actions=9,
+sys.path.insert(0, str(ROOT / "bench"))
+
+from lease_measurements.models import (  # noqa: E402
+    ALL_FAULTS,
+    CONFIG_CHANGE,
+    DELAYS,
+    DISK_LOSS,
+    NEXT_SETTINGS,
+    SETTINGS,
+    TIMES,
+    WalkSetup,
+    initial_state,
+    walk,
 )
-DELAYS = Budget(drops=30, duplicates=9, delays=200, pauses=9, actions=20)
-DISK_LOSS = Budget(drops=10, duplicates=2, delays=200, disk_losses=1, client_restarts=1)
-CONFIG_CHANGE = Budget(drops=5, duplicates=3, delays=100, restarts=3, client_restarts=2)
-
-
-def initial_state(seed: int, budget: Budget, **how: Any) -> Model:
-    clients = ("x", "y") if seed % 2 else ("x", "y", "z")
-    return Model(ModelSetup(how.pop("settings", SETTINGS), clients, budget, clock_rates=CLOCK_RATES, **how))
-
-
-def walk(seed: int, budget: Budget, faults: float, length: int, **how: Any) -> None:
-    last = [initial_state(seed, budget, **how)]
-
-    def check_and_remember(state: Model) -> None:
-        state.check()
-        last[0] = state
-
-    random_walk(last[0], check_and_remember, seed, length, faults)
-    last[0].check_recovery(3000.0)
 
 
 @pytest.mark.parametrize(
-    ("budget", "faults", "length", "how"),
+    ("budget", "fault_share", "length", "options"),
     [
         (ALL_FAULTS, 0.12, 400, {}),
         (DELAYS, 0.3, 800, {}),
@@ -99,14 +72,14 @@
     ids=["all", "delays", "disk-loss", "config-change", "founding", "notes", "notes-disk-loss", "notes-config-change"],
 )
 def test_random_walks_violate_no_property_and_recover(
-    budget: Budget, faults: float, length: int, how: dict[str, Any]
+    budget: Budget, fault_share: float, length: int, options: dict[str, Any]
 ) -> None:
     for seed in range(25):
-        walk(seed, budget, faults, length, **how)
+        walk(seed, WalkSetup(budget, fault_share, length, options))
 
 
 def test_states_near_the_start_violate_no_property() -> None:
-    found = explore(initial_state(1, Budget(drops=1, delays=1, restarts=1, actions=1)), Model.check, 7, 5000)
+    found = explore(initial_state(1, Budget(drops=1, delays=1, restarts=1, actions=1), {}), Model.check, 7, 5000)
     assert found.states > 3000 and found.depth >= 6
 
 
@@ -199,7 +172,7 @@
 
 
 @pytest.mark.parametrize(
-    ("budget", "faults", "length", "how"),
+    ("budget", "fault_share", "length", "options"),
     [
         (ALL_FAULTS, 0.12, 400, {"acceptor_type": GrantsHeldTask}),
         (ALL_FAULTS, 0.12, 400, {"acceptor_type": RepliesBeforeSync}),
@@ -235,13 +208,13 @@
     ],
 )
 def test_faulty_cores_are_found_by_random_walks(
-    budget: Budget, faults: float, length: int, how: dict[str, Any]
+    budget: Budget, fault_share: float, length: int, options: dict[str, Any]
 ) -> None:
     with pytest.raises(
         PropertyError, match=r"rely on the lease at one time|acquired it under|was accepted after|did not inherit"
     ):
         for seed in range(2000):
-            walk(seed, budget, faults, length, **how)
+            walk(seed, WalkSetup(budget, fault_share, length, options))
 
 
 def test_acceptor_rejects_note_under_older_token_and_learns_notes_of_others() -> None:
