--- a/Makefile
+++ b/Makefile
@@ -23,6 +23,7 @@
 	$(BIN)/ruff check --line-length 110 kelptrail/dispatch
 	$(BIN)/ruff format --check kelptrail tests bench
 	$(BIN)/mypy
+	MYPYPATH=bench $(BIN)/mypy bench
 
 test: lint
 	$(BIN)/python -m pytest -q -n $(JOBS) -m "not processes and not rigs" $(ARGS)
--- a/bench/crash_trial.py
+++ b/bench/crash_trial.py
@@ -54,7 +54,7 @@
     @property
     def answer(self) -> str:
         """The final status in an activation record."""
-        return next(each["value"]["answer"] for each in self.body["annotations"] if each["key"] == "kelptrail")
+        return str(next(each["value"]["answer"] for each in self.body["annotations"] if each["key"] == "kelptrail"))
 
 
 class CrashTrial:
@@ -88,7 +88,7 @@
     @property
     def peer_address(self) -> str:
         """The address of a peer that gets no request before a fault."""
-        return self.cluster.dispatchers[1].said["address"]
+        return str(self.cluster.dispatchers[1].said["address"])
 
     async def launch(self, name: str, *fault: str) -> Process:
         """Start a dispatcher alone, with the options of its fault."""
--- a/bench/deferred.py
+++ b/bench/deferred.py
@@ -65,7 +65,8 @@
 
 def journal_counts(process: PinnedProcess) -> dict[str, Any]:
     """The journal's counters at the control port."""
-    return process.control("state")["journal"]
+    counts: dict[str, Any] = process.control("state")["journal"]
+    return counts
 
 
 def commit_rates(before: dict[str, Any], after: dict[str, Any], seconds: float) -> dict[str, float]:
--- a/bench/fault_injection/slow_start_check.py
+++ b/bench/fault_injection/slow_start_check.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import math
 from collections.abc import Iterable
 
 from fault_injection.captured_attempts import CapturedAttempt
@@ -55,4 +56,5 @@
 
 def _margin(allowed: float) -> float:
     """What random draws of the processes may add."""
-    return 3 * allowed**0.5 + 3 if allowed < 30 else 2 * allowed**0.5 + 2
+    root = math.sqrt(allowed)
+    return 3 * root + 3 if allowed < 30 else 2 * root + 2
--- a/kelptrail/cli/calls.py
+++ b/kelptrail/cli/calls.py
@@ -41,7 +41,8 @@
         if not isinstance(self.body, dict):
             return None
         annotations = {note["key"]: note["value"] for note in self.body.get("annotations", [])}
-        return annotations.get("kelptrail", {}).get("answer")
+        answer: str | None = annotations.get("kelptrail", {}).get("answer")
+        return answer
 
 
 client_options = combined(
--- a/kelptrail/cli/serving.py
+++ b/kelptrail/cli/serving.py
@@ -184,7 +184,7 @@
 @click.option("--slow-ms", default=0.0, hidden=True)
 @with_stdin_option
 @click.pass_context
-def planner(context: click.Context, file: str, with_stdin: bool, **values: Any) -> None:
+def planner(context: click.Context, /, file: str, with_stdin: bool, **values: Any) -> None:
     """Plan loads and placement ahead for edges, until SIGTERM, while it holds the lease; others stand by."""
     deployment = read_deployment(file)
     options = _planner_options(values)
--- a/kelptrail/codec/tensors.py
+++ b/kelptrail/codec/tensors.py
@@ -97,7 +97,8 @@
         return out
     if len(raw) != count * size:
         raise TensorError(f"tensor {name!r}: {len(raw)} raw bytes, its shape takes {count * size}")
-    return np.frombuffer(raw, dtype=kind).tolist()
+    values: list[Any] = np.frombuffer(raw, dtype=kind).tolist()
+    return values
 
 
 def _to_raw(datatype: str, values: Iterable[Any]) -> bytes:
--- a/kelptrail/emulator/worker.py
+++ b/kelptrail/emulator/worker.py
@@ -221,7 +221,7 @@
             return True
         if model is None or FaultKind.FAIL_TYPE not in self._faults:
             return False
-        return model.type.name == self._faults.setting(FaultKind.FAIL_TYPE, "type", None)
+        return bool(model.type.name == self._faults.setting(FaultKind.FAIL_TYPE, "type", None))
 
     def _reject(self, exchange: Exchange, status: int, proof: str, text: str) -> None:
         """Reject an attempt, with the proof that it never ran."""
--- a/kelptrail/engine/engine.py
+++ b/kelptrail/engine/engine.py
@@ -112,9 +112,9 @@
             if complete and id_ not in listed:
                 worker.state = WorkerState.REMOVED
         for entry in entries:
-            worker = self.workers.get(entry.id)
-            if worker is None:
-                worker = self.workers[entry.id] = Worker(entry.id)
+            if entry.id not in self.workers:
+                self.workers[entry.id] = Worker(entry.id)
+            worker = self.workers[entry.id]
             if entry.started_at != worker.started_at and entry.started_at is not None:
                 restarted.append(worker)
             worker.zone, worker.cell, worker.kind = entry.zone, entry.cell, entry.kind
--- a/kelptrail/lease/backoff.py
+++ b/kelptrail/lease/backoff.py
@@ -18,7 +18,7 @@
     def pause_ms(self, failed_attempts: int = 0) -> float:
         """The pause before the next attempt, in ms; doubled from the second consecutive failure on."""
         doublings = min(MAX_BACKOFF_DOUBLINGS, max(0, failed_attempts - 1))
-        return self._base_ms * 2**doublings * (MIN_JITTER_FACTOR + self._jitter())
+        return self._base_ms * 2.0**doublings * (MIN_JITTER_FACTOR + self._jitter())
 
     def _jitter(self) -> float:
         """Pseudo-random number from 0 to 1."""
--- a/kelptrail/platform/client_server.py
+++ b/kelptrail/platform/client_server.py
@@ -85,7 +85,7 @@
             sock.close()
             raise
         self._listener.add_socket(sock)
-        return sock.getsockname()[1]
+        return int(sock.getsockname()[1])
 
     def close(self) -> None:
         """Close the listener and all connections at once."""
--- a/kelptrail/service/fleet.py
+++ b/kelptrail/service/fleet.py
@@ -17,7 +17,7 @@
 from kelptrail.replication.replica_placement import Member
 from kelptrail.replication.replica_store import ReplicaStore, open_replica_store
 from kelptrail.settings.deployment import Deployment, LeasesPlan, PeersPlan
-from kelptrail.store.activation_journal import JournalError
+from kelptrail.store.database import JournalError
 
 from .errors import StateFolderError
 
--- a/kelptrail/service/journal.py
+++ b/kelptrail/service/journal.py
@@ -12,7 +12,8 @@
 from kelptrail.gateway.driver import GatewayDriver
 from kelptrail.replication.driver import ReplicationDriver
 from kelptrail.settings.deployment import Deployment
-from kelptrail.store.activation_journal import ActivationJournal, JournalError, open_journal
+from kelptrail.store.activation_journal import ActivationJournal, open_journal
+from kelptrail.store.database import JournalError
 from kelptrail.store.driver import JournalDriver
 from kelptrail.store.group_commit import GroupCommit
 
--- a/kelptrail/settings/reader.py
+++ b/kelptrail/settings/reader.py
@@ -136,7 +136,7 @@
     return Fault(SourcePosition(file, last.line or 1, last.column or 1), "the end of the file", "a ) for this bracket")
 
 
-def _convert(node: Token | Tree, file: str) -> Atom | Form:
+def _convert(node: Token | Tree[Token], file: str) -> Atom | Form:
     if isinstance(node, Token):
         place = SourcePosition(file, node.line or 1, node.column or 1)
         if node.type == "NUMBER":
--- a/kelptrail/simulation/leases.py
+++ b/kelptrail/simulation/leases.py
@@ -14,8 +14,10 @@
 from typing import Any, NamedTuple
 
 from kelptrail.fault_scenario.scenario import Fault, FaultKind
-from kelptrail.lease.acceptor import Acceptor, DurableState, Write
-from kelptrail.lease.client import LeaseAcquired, LeaseClient
+from kelptrail.lease.acceptor import Acceptor
+from kelptrail.lease.acceptor_state import DurableState, Write
+from kelptrail.lease.client import LeaseClient
+from kelptrail.lease.events import LeaseAcquired
 from kelptrail.lease.messages import (
     NO_TOKEN,
     AcquireRequest,
--- a/kelptrail/simulation/planners.py
+++ b/kelptrail/simulation/planners.py
@@ -16,7 +16,8 @@
 from kelptrail.planner.program_placement import place_by_program
 
 if TYPE_CHECKING:
-    from .cluster import SimulatedCluster, SimulatedDispatcher
+    from .cluster import SimulatedCluster
+    from .dispatchers import SimulatedDispatcher
 
 TICK_MS, REPORT_MS, HOUR_OF_DAY = 250.0, 1000.0, 8
 SOLVE_MS = 200.0  # of a plan, without what a fault adds
--- a/kelptrail/store/database.py
+++ b/kelptrail/store/database.py
@@ -8,6 +8,7 @@
 import contextlib
 from collections.abc import Callable, Iterable, Iterator
 from pathlib import Path
+from typing import Any
 
 import apsw
 
@@ -15,6 +16,9 @@
 FILE_SUFFIXES = ("", "-wal", "-shm")  # of the files that make up a database
 
 
+Row = tuple[Any, ...]  # the values of one row, of the types that SQLite gives them
+
+
 class JournalError(Exception):
     """A database could not be opened, read or written; the text is the library's."""
 
@@ -39,11 +43,11 @@
         self.run("PRAGMA journal_mode=WAL")
         self.run("PRAGMA synchronous=FULL")
 
-    def run(self, text: str, values: tuple[object, ...] = ()) -> list[tuple]:
+    def run(self, text: str, values: tuple[object, ...] = ()) -> list[Row]:
         """Execute a statement and return all of its rows."""
         return list(self.rows(text, values))
 
-    def rows(self, text: str, values: tuple[object, ...] = ()) -> Iterator[tuple]:
+    def rows(self, text: str, values: tuple[object, ...] = ()) -> Iterator[Row]:
         """Execute a statement and return its rows one after another."""
         return self._connection.execute(text, values)
 
--- a/kelptrail/vrrp/packet.py
+++ b/kelptrail/vrrp/packet.py
@@ -104,7 +104,7 @@
     """The Internet checksum (RFC 1071): the one's complement of the one's complement sum of 16-bit words."""
     if len(data) % 2:
         data += b"\0"
-    total = sum(struct.unpack(f"!{len(data) // 2}H", data))
+    total: int = sum(struct.unpack(f"!{len(data) // 2}H", data))
     while total >> 16:
         total = (total & 0xFFFF) + (total >> 16)
     return ~total & 0xFFFF
