--- a/bench/leases.py
+++ b/bench/leases.py
@@ -34,7 +34,8 @@
 from kelptrail.model_checking.explorer import explore, random_walk
 from kelptrail.settings.deployment import load
 from kelptrail.simulation.event_queue import EventQueue
-from kelptrail.simulation.leases import Link, SimulatedLeases, SimulatedLeaseSettings
+from kelptrail.simulation.lease_links import Link
+from kelptrail.simulation.leases import SimulatedLeases, SimulatedLeaseSettings
 
 ROOT = Path(__file__).parent.parent
 FIGURES: dict[str, Any] = {
@@ -312,10 +313,10 @@
     engine.run(20_000.0)
     if outage:
         links = [Link(a, b) for a in names for b in names if a != b]
-        leases.cut(links)
+        leases.links.cut(links)
         engine.run(35_000.0)
         healed = engine.now
-        leases.heal(links)
+        leases.links.heal(links)
     start, before = engine.now, {name: node.messages_received for name, node in leases.nodes.items()}
     peak, cpu, step = 0.0, time.process_time(), 100.0
     while engine.now < start + seconds * 1000:
--- a/kelptrail/simulation/dispatchers.py
+++ b/kelptrail/simulation/dispatchers.py
@@ -20,10 +20,10 @@
 from kelptrail.membership.members import EndpointList
 from kelptrail.settings.deployment import ActionSettings
 from kelptrail.store.activation_journal import ActivationEntries
-from kelptrail.store.entries import Accepted, Ended, MayRun
 from kelptrail.store.group_commit import GroupCommit
 
 from .event_queue import Timer
+from .journal_disk import JournalDisk
 from .planners import SimulatedEdge
 from .remote import RemoteWorker
 from .shard import MessageKind
@@ -43,7 +43,7 @@
 
     def __init__(self, cluster: SimulatedCluster, number: int, zone: str) -> None:
         self._cluster, self.number, self.name, self._zone = cluster, number, f"dispatcher-{number}", zone
-        self.up, self.starts, self._journal_entries = False, 0, dict[str, ActivationEntries]()
+        self.up, self.starts, self._disk = False, 0, JournalDisk()
         self._settings, self._event_queue = cluster.settings, cluster.event_queue
         self.sync_ms, self.disk_fails = cluster.settings.sync_ms, False
         self.endpoints: EndpointList | None = None
@@ -67,18 +67,18 @@
         self._open_attempts: dict[Attempt, None] = {}
         self._syncing = False
         self.up = True
-        if self.journal is not None and self._journal_entries:
-            self._recover()
+        if self.journal is not None and (stored := self._disk.stored()):
+            self._recover(stored)
         if self.endpoints is not None:
             self.gateway.on_endpoints(self._event_queue.now, self.endpoints)
         self.schedule_decisions()
 
-    def _recover(self) -> None:
+    def _recover(self, stored: list[ActivationEntries]) -> None:
         """Recover the activations of the journal."""
         now, deployment = self._event_queue.now, self._cluster.deployment
         margin_ms = ANSWER_MARGINS * deployment.dispatcher.answer_margin_ms
-        entries, resume_at_once = self._journal_entries.values(), deployment.journal.resume_at_once
-        self.gateway.recover(now, WALL_CLOCK_ORIGIN_MS + now, entries, margin_ms, resume_at_once)
+        resume_at_once = deployment.journal.resume_at_once
+        self.gateway.recover(now, WALL_CLOCK_ORIGIN_MS + now, stored, margin_ms, resume_at_once)
 
     def kill(self) -> None:
         """End the process; its journal remains."""
@@ -86,7 +86,7 @@
 
     def lose_disk(self) -> None:
         """Erase the journal."""
-        self._journal_entries = {}
+        self._disk.erase()
 
     def pause(self, duration_ms: float) -> None:
         """Stop the process for a time; inputs queue meanwhile."""
@@ -272,20 +272,6 @@
         if self.disk_fails:
             self.journal.on_batch_failed(self._event_queue.now, batch.number, "the disk fails")
         else:
-            for entry in batch.entries:
-                self._store_entry(entry)
+            self._disk.write(batch.entries)
             self.journal.on_batch_durable(batch.number)
         self.schedule_decisions()
-
-    def _store_entry(self, entry: Any) -> None:
-        """Add an entry to what the disk holds; the first of each kind counts."""
-        if isinstance(entry, Accepted):
-            self._journal_entries.setdefault(entry.id, ActivationEntries(entry))
-            return
-        entries = self._journal_entries.get(entry.id)
-        if entries is None:
-            return
-        if isinstance(entry, MayRun):
-            entries.may_run = entries.may_run or entry
-        elif isinstance(entry, Ended):
-            entries.ended = entries.ended or entry
--- a/kelptrail/simulation/leases.py
+++ b/kelptrail/simulation/leases.py
@@ -1,13 +1,10 @@
-"""Simulated leases: the real acceptors and lease clients on emulated disks, links and clocks, and their faults.
+"""Simulated leases: the real acceptors and lease clients on simulated disks, links and clocks, and their faults.
 
-A cut link holds messages until it is healed; once the silence timeout has passed, it drops them.  A paused node reads
-its messages when it resumes; a lost disk is an empty one: as between real processes.
+A paused node reads its messages when it resumes; a lost disk is an empty one: as between real processes.
 """
 
 from __future__ import annotations
 
-import zlib
-from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from functools import partial
@@ -29,6 +26,7 @@
 )
 
 from .event_queue import EventQueue, Timer
+from .lease_links import Link, SimulatedLinks, SlowLinks
 
 LEASE_USE_INTERVAL_MS, WRITE_RETRY_MS = 50.0, 100.0
 ACCEPTOR_MESSAGES = (AcquireRequest, Release, StateRequest, StateReply)
@@ -41,20 +39,6 @@
     on_lost: Callable[[], None]
 
 
-class Link(NamedTuple):
-    """The link from one node to another."""
-
-    sender: str
-    receiver: str
-
-
-class SlowLinks(NamedTuple):
-    """A delay in ms that this share of all messages has."""
-
-    delay_ms: float
-    share: float
-
-
 @dataclass(slots=True, eq=False)
 class LeaseNode:
     """One process: its cores, its disk, its clock."""
@@ -108,11 +92,7 @@
     ) -> None:
         self._event_queue, self._settings, self._seed = event_queue, settings, seed
         self._record_event = record_event
-        self._cut_links: Counter[Link] = Counter()  # the number of faults that cut each
-        self._held_messages: dict[Link, list[Message]] = {}
-        self._cut_since: dict[Link, float] = {}
-        self._slow_links: list[SlowLinks] = []
-        self._draws = 0  # of delays
+        self.links = SimulatedLinks(event_queue, seed, settings.network_ms, settings.silent_ms, self._on_message)
         self._highest_tokens: dict[str, FencingToken] = {}
         self.nodes = {name: LeaseNode(name, name in settings.cores.acceptors, settings.sync_ms) for name in names}
         for node in self.nodes.values():
@@ -210,7 +190,7 @@
                     delivered_locally = True
                     self._deliver(node, to, message)
                 else:
-                    self._transmit(Link(node.name, to), message)
+                    self.links.send(Link(node.name, to), message)
         return delivered_locally
 
     def _start_writes(self, node: LeaseNode) -> None:
@@ -264,31 +244,15 @@
         elif node.acceptor is not None:
             node.acceptor.on_message(now, sender, message)
 
-    def _transmit(self, link: Link, message: Message) -> None:
-        if self._cut_links[link] > 0:
-            if self._event_queue.now - self._cut_since[link] < self._settings.silent_ms:
-                self._held_messages.setdefault(link, []).append(message)
-            return
-        delay_ms = self._settings.network_ms
-        for slow_links in self._slow_links:
-            if self._draw_share() < slow_links.share:
-                delay_ms += slow_links.delay_ms
-        self._event_queue.after(delay_ms, self._on_message, link.sender, link.receiver, message)
-
-    def _draw_share(self) -> float:
-        """A number from 0 to 1 that depends on the seed and on how many were drawn."""
-        self._draws += 1
-        return zlib.crc32(f"{self._seed} slow {self._draws}".encode()) / 2**32
-
-    def _on_message(self, sender: str, receiver: str, message: Message) -> None:
-        node = self.nodes.get(receiver)
+    def _on_message(self, link: Link, message: Message) -> None:
+        node = self.nodes.get(link.receiver)
         if node is None or not node.up:
             return
         node.messages_received += 1
         if node.paused:
-            node.unread.append((sender, message))
+            node.unread.append((link.sender, message))
             return
-        self._deliver(node, sender, message)
+        self._deliver(node, link.sender, message)
         self._run_cores(node)
 
     # Faults.
@@ -306,12 +270,10 @@
         nodes = [self.nodes[name] for name in node_names if name in self.nodes]
         if kind == FaultKind.CUT_PEERS:
             links = self._links_to_cut(nodes, set(node_names), fault, one_way)
-            self.cut(links)
-            event_queue.after(duration_ms, self.heal, links)
+            self.links.cut(links)
+            event_queue.after(duration_ms, self.links.heal, links)
         elif kind == FaultKind.SLOW_PEERS:
-            slow_links = SlowLinks(fault.ms, fault.share)
-            self._slow_links.append(slow_links)
-            event_queue.after(duration_ms, self._slow_links.remove, slow_links)
+            self.links.slow(SlowLinks(fault.ms, fault.share), duration_ms)
         elif kind == FaultKind.PAUSE_DISPATCHERS:
             for node in nodes:
                 node.paused = True
@@ -347,23 +309,6 @@
             self._deliver(node, sender, message)
         self._run_cores(node)
 
-    def cut(self, links: list[Link]) -> None:
-        """Cut these links."""
-        for link in links:
-            self._cut_since.setdefault(link, self._event_queue.now)
-        self._cut_links.update(links)
-
-    def heal(self, links: list[Link]) -> None:
-        """Heal these links; held messages are delivered only within the silence timeout."""
-        self._cut_links.subtract(links)
-        for link in links:
-            if self._cut_links[link] > 0:
-                continue
-            held, cut_since = self._held_messages.pop(link, []), self._cut_since.pop(link, 0.0)
-            if self._event_queue.now - cut_since < self._settings.silent_ms:
-                for message in held:
-                    self._transmit(link, message)
-
     def set_disk(self, name: str, sync_ms: float, fails: bool) -> None:
         """Set the write time of a node's disk in ms, and whether its writes fail."""
         if (node := self.nodes.get(name)) is not None:
