--- a/bench/lease_measurements/client_load.py
+++ b/bench/lease_measurements/client_load.py
@@ -13,7 +13,8 @@
 
 from kelptrail.lease.messages import LeaseSettings
 from kelptrail.simulation.event_queue import EventQueue
-from kelptrail.simulation.leases import Link, SimulatedLeases, SimulatedLeaseSettings
+from kelptrail.simulation.lease_links import Link
+from kelptrail.simulation.leases import SimulatedLeases, SimulatedLeaseSettings
 from lease_measurements.failover import TASK, LeaseCluster, lease_report
 
 ACCEPTORS = 5
@@ -61,9 +62,9 @@
 
 def _cut_all_links(leases: SimulatedLeases, queue: EventQueue, names: list[str]) -> None:
     links = [Link(a, b) for a in names for b in names if a != b]
-    leases.cut(links)
+    leases.links.cut(links)
     queue.run(OUTAGE_MS)
-    leases.heal(links)
+    leases.links.heal(links)
 
 
 def _messages(leases: SimulatedLeases) -> dict[str, int]:
