--- /dev/null
+++ b/kelptrail/load/choices.py
@@ -0,0 +1,45 @@
+"""What clients choose at random: the action of a call, by popularity, and its namespace, by the quotas."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+import numpy as np
+
+from kelptrail.settings.deployment import ActionSettings, NamespaceSettings
+
+from .arrivals import popularity
+from .plan import Load
+
+
+class ActionChoice:
+    """Draws actions by their popularity in a load."""
+
+    def __init__(self, actions: list[ActionSettings], load: Load) -> None:
+        self._actions = actions
+        self._cumulative_popularity = np.cumsum(popularity([action.path for action in actions], load))
+
+    def draw(self, random: np.random.Generator, count: int) -> list[ActionSettings]:
+        """So many actions."""
+        numbers = np.searchsorted(self._cumulative_popularity, random.random(count))
+        return [self._actions[int(number)] for number in numbers]
+
+    def draw_one(self, random: np.random.Generator) -> ActionSettings:
+        """One action."""
+        return self._actions[int(np.searchsorted(self._cumulative_popularity, random.random()))]
+
+
+class NamespaceChoice:
+    """Draws namespaces by their quotas, for loads that name none."""
+
+    def __init__(self, namespaces: Mapping[str, NamespaceSettings]) -> None:
+        self._by_name, self._namespaces = namespaces, list(namespaces.values())
+        quotas = np.array([namespace.allowed_per_s for namespace in self._namespaces])
+        self._cumulative_shares = np.cumsum(quotas / quotas.sum())
+
+    def draw(self, random: np.random.Generator, load: Load) -> NamespaceSettings:
+        """The namespace that the load names, else one at random."""
+        named = self._by_name.get(load.namespace)
+        if named is not None:
+            return named
+        return self._namespaces[int(np.searchsorted(self._cumulative_shares, random.random()))]
--- a/kelptrail/load/generator.py
+++ b/kelptrail/load/generator.py
@@ -11,7 +11,8 @@
 from kelptrail.clock import now_ms
 from kelptrail.settings.deployment import ActionSettings, Deployment
 
-from .arrivals import Arrivals, popularity
+from .arrivals import Arrivals
+from .choices import ActionChoice, NamespaceChoice
 from .client_behavior import behavior_of
 from .generator_clients import POLL_FOR_MS, GeneratedCall, GeneratorClients
 from .generator_counters import GeneratorCounters, new_counters
@@ -34,9 +35,7 @@
         self._loop = asyncio.get_running_loop()
         self.counters = new_counters(start, script.seconds, deployment.types)
         self._clients = GeneratorClients(deployment, settings, self.counters, self._random)
-        self._namespaces = list(deployment.namespaces.values())
-        quotas = np.array([namespace.allowed_per_s for namespace in self._namespaces])
-        self._cumulative_quota_shares = np.cumsum(quotas / quotas.sum())
+        self._namespaces = NamespaceChoice(deployment.namespaces)
         self._ticket_count = 0
 
     async def run(self) -> GeneratorCounters:
@@ -55,23 +54,18 @@
 
     async def _run_load(self, load: Load) -> None:
         end = min(self._script.seconds, load.at + load.duration)
-        actions = list(self._deployment.actions.values())
-        by_path = {action.path: action for action in actions}
-        cumulative_popularity = np.cumsum(popularity(list(by_path), load))
-
-        def draw_action() -> ActionSettings:
-            """An action by popularity."""
-            return actions[int(np.searchsorted(cumulative_popularity, self._random.random()))]
-
         if load.shape == "closed":
-            await self._run_closed_loop(load, end, draw_action)
+            await self._run_closed_loop(load, end)
         else:
-            await self._run_open_loop(load, end, by_path, draw_action)
+            await self._run_open_loop(load, end)
 
-    async def _run_open_loop(
-        self, load: Load, end: float, by_path: dict[str, ActionSettings], draw_action: Callable[[], ActionSettings]
-    ) -> None:
+    def _action_choice(self, load: Load) -> ActionChoice:
+        return ActionChoice(list(self._deployment.actions.values()), load)
+
+    async def _run_open_loop(self, load: Load, end: float) -> None:
         """Start the calls when they are due, whatever became of earlier ones."""
+        by_path = {action.path: action for action in self._deployment.actions.values()}
+        choice = self._action_choice(load)
         arrivals = Arrivals(load, self._random, (self._settings.index, self._settings.process_count))
         at = load.at
         while at < end:
@@ -81,11 +75,12 @@
                 wait_ms = due - now_ms()
                 if wait_ms > SHORTEST_SLEEP_MS:
                     await asyncio.sleep(wait_ms / 1000)
-                self._start_call(by_path.get(recorded_action) or draw_action(), load, due)
+                self._start_call(by_path.get(recorded_action) or choice.draw_one(self._random), load, due)
             at += span
 
-    async def _run_closed_loop(self, load: Load, end: float, draw_action: Callable[[], ActionSettings]) -> None:
+    async def _run_closed_loop(self, load: Load, end: float) -> None:
         """Run clients that each call again some time after their last answer."""
+        choice = self._action_choice(load)
         client_count = len(range(self._settings.index, load.clients, self._settings.process_count))
         stop = self._start + end * 1000
 
@@ -96,7 +91,7 @@
         def call() -> None:
             """Call, unless the load is over."""
             if now_ms() < stop:
-                self._start_call(draw_action(), load, now_ms(), think)
+                self._start_call(choice.draw_one(self._random), load, now_ms(), think)
 
         await asyncio.sleep(max(0.0, self._start / 1000 + load.at - now_ms() / 1000))
         for _ in range(client_count):
@@ -108,15 +103,11 @@
     ) -> None:
         self._ticket_count += 1
         random, settings = self._random, self._settings
-        namespace = (
-            self._deployment.namespaces.get(load.namespace)
-            or self._namespaces[int(np.searchsorted(self._cumulative_quota_shares, random.random()))]
-        )
         call = GeneratedCall(
             f"l{settings.seed}-{settings.index}-{self._ticket_count}",
             action,
             self._deployment.types[action.type],
-            namespace,
+            self._namespaces.draw(random, load),
             load,
             bool(random.random() < load.deferred),
             behavior_of(float(random.random()), load.retry_after_share, load.half_retry_after_share),
--- a/kelptrail/simulation/call_arrivals.py
+++ b/kelptrail/simulation/call_arrivals.py
@@ -7,7 +7,8 @@
 
 import numpy as np
 
-from kelptrail.load.arrivals import Arrivals, popularity
+from kelptrail.load.arrivals import Arrivals
+from kelptrail.load.choices import ActionChoice
 from kelptrail.load.plan import Load
 from kelptrail.settings.deployment import ActionSettings
 
@@ -32,19 +33,6 @@
             OpenLoad(self._cluster, load, self._begin_call).schedule()
 
 
-class ActionChoice:
-    """Draws actions by their popularity in a load."""
-
-    def __init__(self, actions: list[ActionSettings], load: Load) -> None:
-        self._actions = actions
-        self._cumulative_popularity = np.cumsum(popularity([action.path for action in actions], load))
-
-    def draw(self, random: np.random.Generator, count: int) -> list[ActionSettings]:
-        """So many actions."""
-        numbers = np.searchsorted(self._cumulative_popularity, random.random(count))
-        return [self._actions[int(number)] for number in numbers]
-
-
 def _load_end(cluster: SimulatedCluster, load: Load) -> float:
     """When a load ends, in seconds from the start of the run."""
     return min(cluster.scenario.seconds, load.at + load.duration)
@@ -108,5 +96,5 @@
     def _call(self) -> None:
         cluster = self._cluster
         if cluster.event_queue.now < cluster.start + _load_end(cluster, self._load) * 1000:
-            (action,) = self._actions.draw(self._random, 1)
+            action = self._actions.draw_one(self._random)
             self._begin_call(action, self._load, self._pause)
--- a/kelptrail/simulation/clients.py
+++ b/kelptrail/simulation/clients.py
@@ -10,7 +10,14 @@
 
 from kelptrail.gateway.invocation import Invocation
 from kelptrail.gateway.records import Record
-from kelptrail.load.client_behavior import ClientBehavior, ClientOutcome, behavior_of, retry_delay_ms
+from kelptrail.load.choices import NamespaceChoice
+from kelptrail.load.client_behavior import (
+    ClientBehavior,
+    ClientOutcome,
+    behavior_of,
+    has_attempts_left,
+    retry_delay_ms,
+)
 from kelptrail.load.plan import Load
 from kelptrail.settings.deployment import ActionSettings, NamespaceSettings, TypeSettings
 
@@ -26,7 +33,6 @@
 POLLING_GRACE_MS = 3000.0  # beyond the call's timeout, until a polling client gives up
 PATIENCE_MS = 500.0  # beyond the call's timeout, until a client gives up waiting
 CONNECT_BYTES = 100  # of a request, for the overload control
-MAX_UNACCEPTED_RETRIES = 20  # beyond the client's retries, while no dispatcher accepts the call
 
 
 @dataclass(slots=True, eq=False)
@@ -38,7 +44,7 @@
     namespace: NamespaceSettings
     deferred: bool
     behavior: ClientBehavior
-    tries: int
+    attempts_left: int
     dispatcher: int = 0
     sent_at: float = 0.0
     activation: str = ""
@@ -61,9 +67,7 @@
         self._arrivals = CallArrivals(cluster, self._random, self._begin_call)
         self._id_prefix = f"{number}-" if count > 1 else ""
         self._ticket_count = self._call_count = 0
-        self._namespaces = list(cluster.deployment.namespaces.values())
-        shares = np.array([namespace.allowed_per_s for namespace in self._namespaces])
-        self._cumulative_shares = np.cumsum(shares / shares.sum())
+        self._namespaces = NamespaceChoice(cluster.deployment.namespaces)
 
     def schedule_arrivals(self, load: Load) -> None:
         """Have the clients of a load come at its times."""
@@ -74,11 +78,10 @@
     def _begin_call(self, action: ActionSettings, load: Load, after: Callable[[], None] | None = None) -> None:
         self._ticket_count += 1
         random = self._random
-        namespace = self._deployment.namespaces.get(load.namespace) or self._draw_namespace()
         call = ClientCall(
             f"t{self._id_prefix}{self._ticket_count}",
             action,
-            namespace,
+            self._namespaces.draw(random, load),
             bool(random.random() < load.deferred),
             behavior_of(float(random.random()), load.retry_after_share, load.half_retry_after_share),
             1 + load.retries,
@@ -88,12 +91,9 @@
         self._results.on_call_wanted(call)
         self._call_dispatcher(call, None)
 
-    def _draw_namespace(self) -> NamespaceSettings:
-        return self._namespaces[int(np.searchsorted(self._cumulative_shares, self._random.random()))]
-
     def _call_dispatcher(self, call: ClientCall, last_dispatcher: int | None) -> None:
         """Call a dispatcher: any one at first, the next one in a retry."""
-        call.tries -= 1
+        call.attempts_left -= 1
         self._call_count += 1
         count = len(self._cluster.local_dispatchers)
         if last_dispatcher is None:
@@ -265,11 +265,10 @@
             within_ms,
             self._event_queue.now - call.sent_at,
         )
-        not_taken = outcome is ClientOutcome.NOT_TAKEN
-        if delay_ms is not None and not_taken and call.tries > -MAX_UNACCEPTED_RETRIES:
-            self._event_queue.after(delay_ms, self._call_dispatcher, call, call.dispatcher)
-        elif delay_ms is not None and not not_taken and call.tries > 0:
-            jittered_ms = delay_ms * float(self._random.uniform(*call.behavior.jitter))
-            self._event_queue.after(jittered_ms, self._call_dispatcher, call, call.dispatcher)
-        elif call.after is not None:
-            call.after()
+        if delay_ms is None or not has_attempts_left(outcome, call.attempts_left):
+            if call.after is not None:
+                call.after()
+            return
+        if outcome is not ClientOutcome.NOT_TAKEN:
+            delay_ms *= float(self._random.uniform(*call.behavior.jitter))
+        self._event_queue.after(delay_ms, self._call_dispatcher, call, call.dispatcher)
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -14,7 +14,7 @@
 from kelptrail.fault_scenario.report import describe_deployment
 from kelptrail.fault_scenario.scenario import FaultScenario, ScenarioError
 from kelptrail.gateway.overload import OverloadStage
-from kelptrail.load.results import Result, Second
+from kelptrail.load.results import Result, Second, empty_seconds
 from kelptrail.membership.members import EndpointList
 from kelptrail.planner.driver import LEASE_NAME
 from kelptrail.service.fleet import lease_settings
@@ -36,7 +36,6 @@
 DEFAULT_SILENCE_MS = 3000.0  # where a deployment has no (peers ...)
 START_MS = 200.0  # of the load
 LAST_ANSWERS_MS = 5000.0  # beyond the longest timeout, for the last answers to arrive
-SECONDS_AFTER_LOAD = 60  # in the results, for the last answers
 SAMPLE_AT_MS = 999.0  # within each second of the load
 
 
@@ -71,7 +70,7 @@
         self._schedule_scenario()
 
     def _make_results(self) -> None:
-        self.seconds: list[Second] = [Second() for _ in range(int(self.scenario.seconds) + SECONDS_AFTER_LOAD)]
+        self.seconds: list[Second] = empty_seconds(self.scenario.seconds)
         self.latency: dict[str, list[float]] = {name: [] for name in self.deployment.types}
         self.give_ups: dict[str, int] = {}
         self.by_namespace: dict[str, list[int]] = {n: [0, 0] for n in self.deployment.namespaces}  # calls, in time
--- a/kelptrail/simulation/sharding.py
+++ b/kelptrail/simulation/sharding.py
@@ -19,10 +19,10 @@
 from typing import Any, NamedTuple
 
 from kelptrail.fault_scenario.scenario import FaultScenario
-from kelptrail.load.results import Result, Second
+from kelptrail.load.results import Result, Second, empty_seconds
 from kelptrail.settings.deployment import Deployment
 
-from .cluster import LAST_ANSWERS_MS, SECONDS_AFTER_LOAD, START_MS, SimulatedCluster
+from .cluster import LAST_ANSWERS_MS, START_MS, SimulatedCluster
 from .settings import SimulationSettings
 from .shard import MessageKind, Shard, ShardMessage
 from .shard_inbox import ShardInbox
@@ -206,13 +206,12 @@
 
 def _merge_results(results: list[ShardResult], scenario: FaultScenario) -> ShardedRun:
     """The results of all shards as one, and their events in order of time."""
-    total = Result([Second() for _ in range(int(scenario.seconds) + SECONDS_AFTER_LOAD)], {}, {}, 0, 0)
+    total = Result(empty_seconds(scenario.seconds), {}, {}, 0, 0)
     namespaces: dict[str, list[int]] = {}
     events: list[dict[str, Any]] = []
     for result in results:
         for mine, theirs in zip(total.seconds, result.seconds, strict=True):
-            for name in Second.__slots__:
-                setattr(mine, name, getattr(mine, name) + getattr(theirs, name))
+            mine.add(theirs)
         for name, latencies in result.latency.items():
             total.latency.setdefault(name, []).extend(latencies)
         for cause, occurrences in result.give_ups.items():
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -16,6 +16,7 @@
 from kelptrail.codec.http import Request
 from kelptrail.fault_scenario.scenario import FaultScenario, load_scenario
 from kelptrail.load.arrivals import Arrivals, TraceError, read_trace
+from kelptrail.load.choices import NamespaceChoice
 from kelptrail.load.client_behavior import ClientBehavior, ClientOutcome, behavior_of, has_attempts_left, retry_delay_ms
 from kelptrail.load.coordinator import GeneratorOutput, merge_counters, write_results
 from kelptrail.load.generator import LoadGenerator
@@ -117,6 +118,17 @@
     assert retry_delay_ms(full, not_taken, "repeatable", 900, 700, elapsed_ms=3000) is None
 
 
+def test_a_load_with_a_namespace_draws_none_and_others_draw_by_the_quotas() -> None:
+    namespaces = load_deployment(str(ROOT / "examples" / "nursery.sexp")).namespaces
+    choice, random = NamespaceChoice(namespaces), np.random.default_rng(1)
+    before = random.bit_generator.state
+    assert choice.draw(random, make_load("poisson", namespace="desks")).name == "desks"
+    assert random.bit_generator.state == before
+    names = [choice.draw(random, make_load("poisson")).name for _ in range(3000)]
+    quota_share = namespaces["desks"].allowed_per_s / sum(n.allowed_per_s for n in namespaces.values())
+    assert names.count("desks") / 3000 == pytest.approx(quota_share, abs=0.03)
+
+
 def test_calls_that_no_dispatcher_accepts_have_more_attempts() -> None:
     assert has_attempts_left(ClientOutcome.REJECTED, 1) and not has_attempts_left(ClientOutcome.REJECTED, 0)
     assert has_attempts_left(ClientOutcome.NOT_TAKEN, -19) and not has_attempts_left(ClientOutcome.NOT_TAKEN, -20)
