--- a/tests/test_place.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Whole processes on loopback: the demo as a newcomer starts it, a short bad day, a killed dispatcher."""
+"""Clusters of processes on loopback: the demo as a newcomer starts it, fault scenarios, a killed dispatcher."""
 
 from __future__ import annotations
 
@@ -26,9 +26,10 @@
 ROOT = Path(__file__).parent.parent
 
 
-def start(*words: str) -> tuple[subprocess.Popen[str], dict[str, Any]]:
+def start(*arguments: str) -> tuple[subprocess.Popen[str], dict[str, Any]]:
+    """Start a command; its process and its ready line."""
     process = subprocess.Popen(
-        [sys.executable, "-m", "kelptrail", *words],
+        [sys.executable, "-m", "kelptrail", *arguments],
         cwd=ROOT,
         text=True,
         stdout=subprocess.PIPE,
@@ -39,8 +40,9 @@
     return process, json.loads(process.stdout.readline())
 
 
-def ask(ready: dict[str, Any], method: str, target: str, body: Any = None) -> tuple[int, Any]:
-    request = urllib.request.Request(
+def request(ready: dict[str, Any], method: str, target: str, body: Any = None) -> tuple[int, Any]:
+    """One request of the demo's first namespace; the status and the decoded body."""
+    http_request = urllib.request.Request(
         f"{ready['invoke']}/api/v1/namespaces/_/{target}",
         method=method,
         data=None if body is None else json.dumps(body).encode(),
@@ -50,29 +52,29 @@
         },
     )
     try:
-        with urllib.request.urlopen(request, timeout=10) as reply:
+        with urllib.request.urlopen(http_request, timeout=10) as reply:
             return reply.status, json.loads(reply.read())
     except urllib.error.HTTPError as cause:
         return cause.code, json.loads(cause.read())
 
 
-def test_the_demo_serves_every_effect_and_drains_what_it_took() -> None:
+def test_the_demo_serves_every_request_class_and_drains() -> None:
     process, ready = start("demo", "--quiet-logs")
     try:
         assert ready["ready"] and {a["effect"] for a in ready["actions"]} == {"repeatable", "deduplicated", "once-only"}
         first = {a["effect"]: a for a in reversed(ready["actions"])}
         for action in first.values():
             path = f"{action['package']}/{action['name']}" if action["package"] else action["name"]
-            status, record = ask(ready, "POST", f"actions/{path}?blocking=true", {"family": 7})
+            status, record = request(ready, "POST", f"actions/{path}?blocking=true", {"family": 7})
             assert status == 200 and record["response"]["result"]["echo"] == {"family": 7}
-        status, told = ask(ready, "POST", "actions/grant", {"family": 8})
+        status, accepted = request(ready, "POST", "actions/grant", {"family": 8})
         assert status == 202
         command = [
             sys.executable,
             "-m",
             "kelptrail",
             "poll",
-            told["activationId"],
+            accepted["activationId"],
             "--within",
             "5",
             "--url",
@@ -81,7 +83,7 @@
             ready["auth"],
         ]
         done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
-        assert done.returncode == 0 and json.loads(done.stdout)["activationId"] == told["activationId"]
+        assert done.returncode == 0 and json.loads(done.stdout)["activationId"] == accepted["activationId"]
     finally:
         process.send_signal(signal.SIGTERM)
         out, err = process.communicate(timeout=30)
@@ -89,7 +91,7 @@
     assert "curl" in err
 
 
-def test_the_demo_ends_with_ctrl_c_and_leaves_no_child_behind() -> None:
+def test_the_demo_ends_with_ctrl_c_and_leaves_no_child_process() -> None:
     process, _ready = start("demo", "--quiet-logs")
     children = Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text().split()
     assert len(children) >= 7
@@ -99,7 +101,7 @@
     assert not any(os.path.exists(f"/proc/{child}") for child in children)
 
 
-def test_children_end_when_whoever_started_them_is_killed() -> None:
+def test_child_processes_end_when_their_parent_is_killed() -> None:
     process, _ = start("demo", "--quiet-logs")
     children = Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text().split()
     process.kill()
@@ -110,7 +112,21 @@
     assert not any(os.path.exists(f"/proc/{child}") for child in children)
 
 
-SCRIPT = """(bad-day short (deployment "{root}/examples/nursery.sexp") (seconds 9) (workers 5) (dispatchers 2)
+def run_scenario(text: str, folder: Path) -> subprocess.CompletedProcess[str]:
+    """Run a fault scenario through real processes, with its output in `folder`."""
+    script = folder / "scenario.sexp"
+    script.write_text(text.format(root=ROOT))
+    return subprocess.run(
+        [sys.executable, "-m", "kelptrail", "fault-scenario", str(script), "--out", str(folder / "out")],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=90,
+        check=False,
+    )
+
+
+SHORT_SCENARIO = """(bad-day short (deployment "{root}/examples/nursery.sexp") (seconds 9) (workers 5) (dispatchers 2)
   (load (rate 120) (deferred 0.3))
   (trouble hang (at 1) (for 3) (part 0.2))
   (trouble silent (at 2) (for 2) (part 0.2))
@@ -123,18 +139,10 @@
 """
 
 
-def test_a_short_bad_day_keeps_the_rules(tmp_path: Path) -> None:
-    """Some 200 calls are in hand or deferred at the killed dispatcher's end; it starts with its last list only."""
-    script, out = tmp_path / "short.sexp", tmp_path / "out"
-    script.write_text(SCRIPT.format(root=ROOT))
-    done = subprocess.run(
-        [sys.executable, "-m", "kelptrail", "fault-scenario", str(script), "--out", str(out)],
-        cwd=ROOT,
-        capture_output=True,
-        text=True,
-        timeout=90,
-        check=False,
-    )
+def test_a_short_fault_scenario_breaks_no_rule(tmp_path: Path) -> None:
+    """Some 200 calls are in flight or deferred when the dispatcher is killed; it restarts with its last list only."""
+    out = tmp_path / "out"
+    done = run_scenario(SHORT_SCENARIO, tmp_path)
     assert done.returncode == 0, done.stdout + done.stderr
     report = json.loads((out / "report.json").read_text())
     assert report["taken"] > 800 and not report["broken"] and report["unanswered"] == 0
@@ -144,33 +152,26 @@
     assert '"from_last_list":true' in logs
 
 
-KILLED = """(bad-day killed (deployment "{root}/examples/halls.sexp") (seconds 9) (workers 6) (dispatchers 1)
+KILLED_DISPATCHER_SCENARIO = """(bad-day killed
+  (deployment "{root}/examples/halls.sexp") (seconds 9) (workers 6) (dispatchers 1)
   (load (rate 180) (deferred 0.2) (retries 0) (zipf 0.3))
   (trouble hang (at 2) (for 2) (part 1))
   (trouble kill-dispatchers (at 3.6) (for 0.5) (part 1)))
 """
 
 
-def test_a_dispatcher_killed_with_two_hundred_calls_in_hand_serves_again_from_its_last_list(tmp_path: Path) -> None:
-    script, out = tmp_path / "killed.sexp", tmp_path / "out"
-    script.write_text(KILLED.format(root=ROOT))
-    done = subprocess.run(
-        [sys.executable, "-m", "kelptrail", "fault-scenario", str(script), "--out", str(out)],
-        cwd=ROOT,
-        capture_output=True,
-        text=True,
-        timeout=90,
-        check=False,
-    )
+def test_a_dispatcher_killed_with_two_hundred_calls_in_flight_restarts_from_its_last_list(tmp_path: Path) -> None:
+    out = tmp_path / "out"
+    done = run_scenario(KILLED_DISPATCHER_SCENARIO, tmp_path)
     report = json.loads((out / "report.json").read_text())
     assert done.returncode == 0 and not report["broken"], report["details"]
-    assert report["lost_with_dispatcher"] >= 150, "in hand when it was killed"
+    assert report["lost_with_dispatcher"] >= 150, "in flight when it was killed"
     log = (out / "logs" / "dispatcher-0.log").read_text()
     assert '"from_last_list":false' in log and '"from_last_list":true' in log
     assert sum(row["completed"] for row in report["timeline"] if row["second"] >= 5) > 50, "it serves again"
 
 
-def test_settings_with_faults_end_in_exit_2_with_each_named(tmp_path: Path) -> None:
+def test_malformed_settings_are_all_reported_with_exit_code_2(tmp_path: Path) -> None:
     bad = tmp_path / "bad.sexp"
     bad.write_text("(deployment d\n (type t (effect never))\n (what 1))")
     done = subprocess.run(
@@ -213,7 +214,7 @@
 }
 
 
-def tap(file: Path) -> None:
+def write_capture(file: Path) -> None:
     """Twenty seconds of two dispatchers and three workers; one worker hangs, one fails, one dispatcher is killed."""
     batches = []
 
@@ -271,8 +272,8 @@
             sink.write(f'>> process 0, {len(text)} bytes\n{text}\n<< process 0, 14 bytes\n{{"actions":[]}}\n')
 
 
-def test_a_tap_turns_into_a_script_with_its_troubles(tmp_path: Path) -> None:
-    tap(tmp_path / "day.tap")
+def test_a_captured_run_becomes_a_scenario_with_its_faults(tmp_path: Path) -> None:
+    write_capture(tmp_path / "day.tap")
     found = {(s.kind, round(s.at)): s for s in fault_intervals(read_capture(tmp_path / "day.tap"))}
     assert set(found) == {("hang", 5), ("kill-dispatchers", 10), ("fail-fast", 12)}
     assert abs(found["kill-dispatchers", 10].duration - 3) < 0.2 and found["hang", 5].duration == 4
@@ -284,7 +285,8 @@
         read_capture(tmp_path / "no.tap")
 
 
-BOTH_FRONTS = """(bad-day both (deployment "{root}/examples/streams.sexp") (seconds 11) (workers 5) (dispatchers 2)
+BOTH_APIS_SCENARIO = """(bad-day both
+  (deployment "{root}/examples/streams.sexp") (seconds 11) (workers 5) (dispatchers 2)
   (load (rate 80) (deferred 0.3) (zipf 0.8) (retries 1) (grpc 0.6) (streams 0.5))
   (trouble cut              (at 1.5) (for 3) (part 0.6) (share 0.3))
   (trouble stall            (at 3)   (for 2) (part 0.6) (share 0.3))
@@ -295,22 +297,14 @@
 """
 
 
-def test_both_fronts_keep_the_rules_through_cut_streams_slow_disks_and_two_kills_in_a_row(tmp_path: Path) -> None:
-    """The twin of the long runs of examples/bad-days."""
-    script, out = tmp_path / "both.sexp", tmp_path / "out"
-    script.write_text(BOTH_FRONTS.format(root=ROOT))
-    done = subprocess.run(
-        [sys.executable, "-m", "kelptrail", "fault-scenario", str(script), "--out", str(out)],
-        cwd=ROOT,
-        capture_output=True,
-        text=True,
-        timeout=90,
-        check=False,
-    )
+def test_both_apis_break_no_rule_through_cut_streams_slow_disks_and_repeated_kills(tmp_path: Path) -> None:
+    """A short form of the long runs of examples/bad-days."""
+    out = tmp_path / "out"
+    done = run_scenario(BOTH_APIS_SCENARIO, tmp_path)
     report = json.loads((out / "report.json").read_text())
     assert done.returncode == 0 and not report["broken"], report["details"]
     assert report["taken"] > 600 and report["accepted_lost"] == 0
     calls = [json.loads(line) for line in (out / "captures" / "clients.jsonl").read_text().splitlines()]
     streamed = {c["call"] for c in calls if c["what"] == "call" and c.get("streamed")}
     ends = [c["answer"] for c in calls if c["what"] == "final" and c["call"] in streamed]
-    assert ends.count("completed") > 100 and "aborted" in ends, "some were cut off, and said so"
+    assert ends.count("completed") > 100 and "aborted" in ends, "some were cut off, and their clients were notified"
