--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -57,7 +57,7 @@
     return SafetyGuard(values["seed"], settings, slow_start)
 
 
-def make(
+def make_dispatcher(
     workers: int = 3,
     retry_after_ms: float = 500.0,
     shared: float = 0.0,
@@ -74,7 +74,7 @@
         outliers,
         Placement(safety, outliers, 0, seed),
         instances,
-        RequestQueues(seed, [kind(), kind(weight=8.0)], []),
+        RequestQueues(seed, [make_request_class(), make_request_class(weight=8.0)], []),
         timers,
     )
     dispatcher = Dispatcher(parts, DispatcherOptions(can_cancel=True, max_retry_after_ms=retry_after_ms))
@@ -82,14 +82,16 @@
     return dispatcher
 
 
-def kind(idempotency: Idempotency = Idempotency.IDEMPOTENT, scope: str = "all", weight: float = 2.0) -> RequestClass:
+def make_request_class(
+    idempotency: Idempotency = Idempotency.IDEMPOTENT, scope: str = "all", weight: float = 2.0
+) -> RequestClass:
     """A request class with a latency objective of 500 ms and a deduplication window of 5 s."""
     return RequestClass(idempotency.value, idempotency, 500.0, weight, 0.3, scope, 5000.0)
 
 
-def model(name: str = "f", concurrency: int = 2, request_class: RequestClass | None = None) -> Function:
+def make_function(name: str = "f", concurrency: int = 2, request_class: RequestClass | None = None) -> Function:
     """A function with that many concurrency slots in an instance."""
-    return Function(name, request_class or kind(), 300.0, concurrency)
+    return Function(name, request_class or make_request_class(), 300.0, concurrency)
 
 
 def new_request(
@@ -99,7 +101,7 @@
     return Request(f"{function.id}/{n}", function.request_class, function, tenant, now, now + ms)
 
 
-def pull(dispatcher: Dispatcher, now: float) -> list[Decision]:
+def decide_all(dispatcher: Dispatcher, now: float) -> list[Decision]:
     """All decisions that are due now."""
     found: list[Decision] = []
     while (decision := dispatcher.decide(now)) is not None:
@@ -112,10 +114,10 @@
     request = new_request(function, now)
     dispatcher.on_request(now, request)
     dispatcher.parts.instances.shared_ratio = 0.0
-    (order,) = pull(dispatcher, now)
+    (order,) = decide_all(dispatcher, now)
     assert isinstance(order, LoadOrder)
     dispatcher.on_load_report(now, order, AttemptStatus.COMPLETED, instances)
-    (attempt,) = pull(dispatcher, now)
+    (attempt,) = decide_all(dispatcher, now)
     assert isinstance(attempt, Attempt)
     complete(dispatcher, attempt, now + 50)
     return attempt.instance.worker
@@ -130,7 +132,7 @@
     """`count` requests arrive; returns what is decided on them."""
     for n in range(count):
         dispatcher.on_request(now, new_request(function, now, n, ms))
-    return pull(dispatcher, now)
+    return decide_all(dispatcher, now)
 
 
 def tick(dispatcher: Dispatcher, now: float) -> float:
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -5,13 +5,13 @@
 from helpers import (
     AMPLE_LOADS,
     complete,
-    kind,
+    decide_all,
     load_and_serve_one,
-    make,
+    make_dispatcher,
+    make_function,
+    make_request_class,
     make_safety,
-    model,
     new_request,
-    pull,
     submit,
     tick,
 )
@@ -29,7 +29,7 @@
 
 
 def test_requests_wait_for_slots_then_queue_depth_adds_instances_and_the_limit_rejects() -> None:
-    dispatcher, function = make(), model(concurrency=2)
+    dispatcher, function = make_dispatcher(), make_function(concurrency=2)
     first = load_and_serve_one(dispatcher, function)
     found = submit(dispatcher, function, 100.0, 30)
     assert [d.instance.worker for d in found if isinstance(d, Attempt)] == [first] * 2, "two slots, on its own instance"
@@ -43,72 +43,72 @@
 
 
 def test_dispatchers_that_share_nothing_choose_the_same_worker() -> None:
-    function = [model(f"m{n}") for n in range(20)]
-    pair = make(8, load_ration=AMPLE_LOADS), make(8, load_ration=AMPLE_LOADS)
-    hosts = [[load_and_serve_one(dispatcher, model(f.id)).id for f in function] for dispatcher in pair]
+    function = [make_function(f"m{n}") for n in range(20)]
+    pair = make_dispatcher(8, load_ration=AMPLE_LOADS), make_dispatcher(8, load_ration=AMPLE_LOADS)
+    hosts = [[load_and_serve_one(dispatcher, make_function(f.id)).id for f in function] for dispatcher in pair]
     assert sum(a == b for a, b in zip(*hosts, strict=True)) > 10 and len(set(hosts[0])) > 3
 
 
 def test_a_not_loaded_answer_orders_a_load_and_retries() -> None:
-    dispatcher, function = make(), model(request_class=kind(Idempotency.AT_MOST_ONCE))
+    dispatcher, function = make_dispatcher(), make_function(request_class=make_request_class(Idempotency.AT_MOST_ONCE))
     load_and_serve_one(dispatcher, function)
     (attempt,) = submit(dispatcher, function, 100.0, 1)
     dispatcher.on_attempt_finished(101.0, attempt, AttemptResult(AttemptStatus.NOT_LOADED, False))
-    (order,) = pull(dispatcher, 101.0)
+    (order,) = decide_all(dispatcher, 101.0)
     assert isinstance(order, LoadOrder) and order.count == 1
     dispatcher.on_load_report(900.0, order, AttemptStatus.COMPLETED, 1)
-    (again,) = pull(dispatcher, 900.0)
+    (again,) = decide_all(dispatcher, 900.0)
     assert again.request is attempt.request and again.number == 1
 
 
 def test_a_used_instance_is_renewed_and_an_idle_one_expires() -> None:
-    dispatcher, function = make(), model()
+    dispatcher, function = make_dispatcher(), make_function()
     worker = load_and_serve_one(dispatcher, function)
-    (renewal,) = pull(dispatcher, 6500.0)
+    (renewal,) = decide_all(dispatcher, 6500.0)
     assert isinstance(renewal, LoadOrder) and renewal.instance.worker is worker and renewal.count == 1
     dispatcher.on_load_report(6501.0, renewal, AttemptStatus.COMPLETED, 1)
-    assert pull(dispatcher, 13000.0) == [], "idle for more than ten seconds"
-    pull(dispatcher, 14600.0)
+    assert decide_all(dispatcher, 13000.0) == [], "idle for more than ten seconds"
+    decide_all(dispatcher, 14600.0)
     assert not function.instances
 
 
 def test_unused_functions_and_finished_requests_are_forgotten() -> None:
-    dispatcher = make(load_ration=AMPLE_LOADS)
+    dispatcher = make_dispatcher(load_ration=AMPLE_LOADS)
     for n in range(30):
-        load_and_serve_one(dispatcher, model(f"scan{n}"), 200.0 * n)
+        load_and_serve_one(dispatcher, make_function(f"scan{n}"), 200.0 * n)
     gone = [dispatcher.on_tick(80_000.0 + n) for n in range(40)]
-    pull(dispatcher, 90_000.0)
+    decide_all(dispatcher, 90_000.0)
     assert sum(f is not None for f in gone) == 30 and not dispatcher.timers
     assert not any(w.instances or w.attempts for w in dispatcher.workers)
 
 
 def test_a_load_order_whose_connection_is_lost_is_repeated_and_unloads_nothing() -> None:
-    dispatcher, function = make(workers=2, load_ration=AMPLE_LOADS), model(concurrency=1)
+    dispatcher, function = make_dispatcher(workers=2, load_ration=AMPLE_LOADS), make_function(concurrency=1)
     dispatcher.on_request(0.0, new_request(function, 0.0))
-    (order,) = (d for d in pull(dispatcher, 0.0) if isinstance(d, LoadOrder))
+    (order,) = (d for d in decide_all(dispatcher, 0.0) if isinstance(d, LoadOrder))
     dispatcher.on_load_report(5.0, order, AttemptStatus.CONNECTION_LOST, 0)
-    (again,) = (d for d in pull(dispatcher, 40.0) if isinstance(d, LoadOrder))
+    (again,) = (d for d in decide_all(dispatcher, 40.0) if isinstance(d, LoadOrder))
     assert again.instance is order.instance and not order.instance.worker.outlier_state.ejection_ms
     dispatcher.on_load_report(900.0, again, AttemptStatus.COMPLETED, 1)
     for n in range(3):
         dispatcher.on_request(901.0, new_request(function, 901.0, n))
-    (more,) = (d for d in pull(dispatcher, 901.0) if isinstance(d, LoadOrder))
+    (more,) = (d for d in decide_all(dispatcher, 901.0) if isinstance(d, LoadOrder))
     dispatcher.on_load_report(905.0, more, AttemptStatus.CONNECTION_LOST, 0)
     assert function.instances[again.instance.worker].loaded == 1
 
 
 def test_without_load_budget_attempts_start_unordered_and_a_not_loaded_answer_suspends_the_instance() -> None:
-    dispatcher, function = make(load_ration=LoadRation(True, 0.0, 0.0, 5000.0)), model()
+    dispatcher, function = make_dispatcher(load_ration=LoadRation(True, 0.0, 0.0, 5000.0)), make_function()
     (attempt,) = submit(dispatcher, function, 0.0, 1)
     assert isinstance(attempt, Attempt)
     dispatcher.on_attempt_finished(1.0, attempt, AttemptResult(AttemptStatus.NOT_LOADED, False))
-    again = [d for step in range(50) for d in pull(dispatcher, tick(dispatcher, 30.0 + 30 * step))]
+    again = [d for step in range(50) for d in decide_all(dispatcher, tick(dispatcher, 30.0 + 30 * step))]
     (second,) = [d for d in again if isinstance(d, Attempt)]
     assert second.started_at > 1000.0, "not another worker at once: an instance there is no likelier"
 
 
 def test_where_others_mostly_loaded_the_function_an_attempt_goes_first_and_a_load_follows_a_miss() -> None:
-    dispatcher, loaded, missing = make(shared=0.6), model("loaded"), model("missing")
+    dispatcher, loaded, missing = make_dispatcher(shared=0.6), make_function("loaded"), make_function("missing")
     (attempt,) = submit(dispatcher, loaded, 0.0, 1)
     assert isinstance(attempt, Attempt), "no load budget is spent on asking"
     complete(dispatcher, attempt, 50.0)
@@ -116,21 +116,21 @@
     (attempt,) = submit(dispatcher, missing, 60.0, 1)
     assert isinstance(attempt, Attempt)
     dispatcher.on_attempt_finished(62.0, attempt, AttemptResult(AttemptStatus.NOT_LOADED, False))
-    (order,) = pull(dispatcher, 62.0)
+    (order,) = decide_all(dispatcher, 62.0)
     assert isinstance(order, LoadOrder) and order.instance is attempt.instance and order.count == 1
     believed_shared = dispatcher.parts.instances.shared_ratio
     dispatcher.on_load_report(900.0, order, AttemptStatus.COMPLETED, 1)
     assert dispatcher.parts.instances.shared_ratio == believed_shared, "one discovery is counted once"
-    assert [d.instance for d in pull(dispatcher, 900.0) if isinstance(d, Attempt)] == [attempt.instance]
+    assert [d.instance for d in decide_all(dispatcher, 900.0) if isinstance(d, Attempt)] == [attempt.instance]
 
 
 def test_the_share_of_instances_loaded_by_others_is_learned_from_first_uses() -> None:
-    dispatcher = make(8, shared=0.5, load_ration=AMPLE_LOADS)
+    dispatcher = make_dispatcher(8, shared=0.5, load_ration=AMPLE_LOADS)
     for n, took in enumerate([0.0] * 4 + [900.0] * 12):
-        dispatcher.on_request(2000.0 * n, new_request(model(f"f{n}"), 2000.0 * n))
+        dispatcher.on_request(2000.0 * n, new_request(make_function(f"f{n}"), 2000.0 * n))
         (first,) = (
             d
-            for d in pull(dispatcher, 2000.0 * n)
+            for d in decide_all(dispatcher, 2000.0 * n)
             if isinstance(d, Attempt | LoadOrder) and (d.instance.function.id == f"f{n}")
         )
         if isinstance(first, Attempt):
@@ -139,13 +139,15 @@
         else:
             assert isinstance(first, LoadOrder)
             dispatcher.on_load_report(2000.0 * n + took, first, AttemptStatus.COMPLETED, 1)
-        pull(dispatcher, 2000.0 * n + took)
+        decide_all(dispatcher, 2000.0 * n + took)
         assert isinstance(first, Attempt) == (1 <= n <= 6), n
 
 
 def test_load_orders_delayed_by_a_connection_keep_the_budget_on_arrival() -> None:
-    guard, dispatcher = make_safety(max_delivery_ms=250.0), make(8)
-    instances = [dispatcher.parts.instances.get_or_add(model(f"f{n}"), dispatcher.workers[0]) for n in range(12)]
+    guard, dispatcher = make_safety(max_delivery_ms=250.0), make_dispatcher(8)
+    instances = [
+        dispatcher.parts.instances.get_or_add(make_function(f"f{n}"), dispatcher.workers[0]) for n in range(12)
+    ]
     given = [now for now in (0.0, 5100.0) for instance in instances if guard.start_load(now, instance, 1)]
     assert given == [0.0] * 5, "the first ones may have arrived 250 ms late"
     assert guard.start_load(5251.0, instances[0], 1) is not None
@@ -153,19 +155,19 @@
 
 def test_an_instance_is_placed_on_its_preferred_worker_unless_that_is_far_over_the_average() -> None:
     for reported, at_home in ((3.0, True), (12.0, False)):
-        dispatcher, function = make(8), model()
+        dispatcher, function = make_dispatcher(8), make_function()
         home = load_and_serve_one(dispatcher, function)
         for worker in dispatcher.workers:  # all have reported, with one load under way each
             worker.mean_response_gap, worker.load_report = (
                 10.0,
                 {"x1": reported if worker is home else 1.0, "util": 0.7},
             )
-        host, _ = dispatcher.parts.placement.choose_worker(5000.0, model(), dispatcher.workers)
+        host, _ = dispatcher.parts.placement.choose_worker(5000.0, make_function(), dispatcher.workers)
         assert (host is home) == at_home
 
 
 def test_an_unchanged_endpoint_list_is_not_sorted_and_an_answer_without_queue_scans_no_instances() -> None:
-    dispatcher, function = make(8), model()
+    dispatcher, function = make_dispatcher(8), make_function()
     load_and_serve_one(dispatcher, function)
     homes = function.preferred_workers
     dispatcher.on_endpoints(100.0, list(dispatcher.workers), [])
@@ -180,23 +182,23 @@
     seen.clear()
     assert isinstance(attempt, Attempt)
     complete(dispatcher, attempt, 340.0)
-    assert not pull(dispatcher, 340.0) and not seen
+    assert not decide_all(dispatcher, 340.0) and not seen
 
 
 def test_a_load_order_names_sixteen_instances_at_most() -> None:
-    dispatcher, function = make(workers=1), model()
+    dispatcher, function = make_dispatcher(workers=1), make_function()
     instance = load_and_serve_one(dispatcher, function, instances=16).instances[function]
     assert dispatcher.parts.safety.start_load(100.0, instance, 17).count == 16
 
 
 def test_foreign_load_spreads_a_function_and_an_empty_instance_concentrates_it() -> None:
-    dispatcher, function = make(8, load_ration=AMPLE_LOADS), model(concurrency=1)
+    dispatcher, function = make_dispatcher(8, load_ration=AMPLE_LOADS), make_function(concurrency=1)
     load_and_serve_one(dispatcher, function)
     for foreign_in_flight, wider in ((9, True), (0, False)):
         before = function.target_worker_count
         for n in range(12):
             now = 1000.0 * (n + 1) + 20_000 * (not wider)
-            for decision in submit(dispatcher, function, now, 1) + pull(dispatcher, now + 2):
+            for decision in submit(dispatcher, function, now, 1) + decide_all(dispatcher, now + 2):
                 if isinstance(decision, Attempt):
                     how = AttemptStatus.COMPLETED
                     dispatcher.on_attempt_finished(
@@ -210,7 +212,10 @@
 
 def test_where_workers_load_on_demand_the_first_attempt_needs_no_load_order() -> None:
     for loads in (True, False):
-        dispatcher, function = make(4, shared=0.5 + loads, loads_on_demand=loads, load_ration=AMPLE_LOADS), model()
+        dispatcher, function = (
+            make_dispatcher(4, shared=0.5 + loads, loads_on_demand=loads, load_ration=AMPLE_LOADS),
+            make_function(),
+        )
         for _ in range(20):
             dispatcher.parts.instances.observe_first_use(False)  # nothing was loaded by others
         found = submit(dispatcher, function, 10.0, 1)
@@ -218,7 +223,7 @@
 
 
 def test_instances_are_placed_where_attempts_may_start_and_ejected_slots_do_not_count() -> None:
-    dispatcher, function = make(8, load_ration=AMPLE_LOADS), model()
+    dispatcher, function = make_dispatcher(8, load_ration=AMPLE_LOADS), make_function()
     home = load_and_serve_one(dispatcher, function)
     home.started_at = 2000.0
     dispatcher.on_endpoints(2000.0, dispatcher.workers, [home])
@@ -230,27 +235,27 @@
 
 
 def test_cancelled_requests_and_functions_that_cannot_load_earn_no_load_budget() -> None:
-    dispatcher = make(3, load_ration=LoadRation(True, 2.0, 0.5, 5000.0))
-    guard, bogus = dispatcher.parts.safety, model("bogus")
+    dispatcher = make_dispatcher(3, load_ration=LoadRation(True, 2.0, 0.5, 5000.0))
+    guard, bogus = dispatcher.parts.safety, make_function("bogus")
     for n in range(40):
-        request = new_request(model(f"t{n}"), 0.0, n)
+        request = new_request(make_function(f"t{n}"), 0.0, n)
         dispatcher.on_request(0.0, request)
         dispatcher.on_client_gone(request)
-    assert not guard.request_times and not pull(dispatcher, 0.0)
+    assert not guard.request_times and not decide_all(dispatcher, 0.0)
     calls = [new_request(bogus, 1.0, n) for n in range(4)]
     for request in calls:
         dispatcher.on_request(1.0, request)
-    (first,) = (d for d in pull(dispatcher, 1.0) if isinstance(d, LoadOrder))
+    (first,) = (d for d in decide_all(dispatcher, 1.0) if isinstance(d, LoadOrder))
     dispatcher.on_load_report(2.0, first, AttemptStatus.ERROR, 0)
     assert not guard.request_times
-    (second,) = (d for d in pull(dispatcher, 30.0) if isinstance(d, LoadOrder))
+    (second,) = (d for d in decide_all(dispatcher, 30.0) if isinstance(d, LoadOrder))
     dispatcher.on_load_report(31.0, second, AttemptStatus.ERROR, 0)
-    assert {d for d in pull(dispatcher, 31.0) if isinstance(d, Request)} == set(calls), "terminated at once"
+    assert {d for d in decide_all(dispatcher, 31.0) if isinstance(d, Request)} == set(calls), "terminated at once"
     assert all(request.final_status == "rejected" for request in calls)
 
 
 def test_a_failed_load_of_a_function_that_was_loaded_before_terminates_nothing() -> None:
-    dispatcher, function = make(3, load_ration=AMPLE_LOADS), model()
+    dispatcher, function = make_dispatcher(3, load_ration=AMPLE_LOADS), make_function()
     now = 0.0
     for status, loaded in (
         (AttemptStatus.COMPLETED, 1),
@@ -260,8 +265,8 @@
     ):
         for n in range(4):
             dispatcher.on_request(now, new_request(function, now, n))
-        found = [d for d in pull(dispatcher, now) if isinstance(d, LoadOrder)]
+        found = [d for d in decide_all(dispatcher, now) if isinstance(d, LoadOrder)]
         for order in found:
             dispatcher.on_load_report(now + 1, order, status, loaded)
-        assert not [d for d in pull(dispatcher, now + 1) if isinstance(d, Request)]
+        assert not [d for d in decide_all(dispatcher, now + 1) if isinstance(d, Request)]
         now += 30
--- a/tests/test_dispatch_hedging.py
+++ b/tests/test_dispatch_hedging.py
@@ -5,11 +5,11 @@
 import pytest
 from helpers import (
     AMPLE_LOADS,
-    kind,
-    make,
-    model,
+    decide_all,
+    make_dispatcher,
+    make_function,
+    make_request_class,
     new_request,
-    pull,
 )
 
 from kelptrail.dispatch.attempt_results import AttemptResult
@@ -32,7 +32,7 @@
         for attempt in attempts:
             dispatcher.on_attempt_finished(now + took, attempt, AttemptResult(AttemptStatus.COMPLETED, True))
         now += took
-        pull(dispatcher, now)
+        decide_all(dispatcher, now)
     return now
 
 
@@ -45,7 +45,7 @@
     dispatcher.on_request(now, request)
     attempts = []
     for _ in range(3):
-        for decision in pull(dispatcher, now):
+        for decision in decide_all(dispatcher, now):
             if isinstance(decision, LoadOrder):
                 dispatcher.on_load_report(now, decision, AttemptStatus.COMPLETED, decision.count)
             elif isinstance(decision, Attempt):
@@ -61,28 +61,28 @@
 
 @pytest.mark.parametrize("effect", [Idempotency.IDEMPOTENT, Idempotency.DEDUPLICATED])
 def test_a_hedge_starts_after_the_usual_deviation_on_another_worker(effect: Idempotency) -> None:
-    dispatcher = make(3, load_ration=AMPLE_LOADS)
-    function = model(request_class=hedged_class(effect))
+    dispatcher = make_dispatcher(3, load_ration=AMPLE_LOADS)
+    function = make_function(request_class=hedged_class(effect))
     now = serve_in_sequence(dispatcher, function, 0.0, 40.0, 30)
     load_everywhere(dispatcher, function, now)
     request, (first,) = submit_one(dispatcher, function, now)
     wait = dispatcher.parts.retry_budget.hedge_delay(function, first.instance.worker)
     assert 40 <= wait < 60, "steady latencies have a small deviation"
-    assert not pull(dispatcher, now + wait - 1)
-    (second,) = [d for d in pull(dispatcher, now + wait + 1) if isinstance(d, Attempt)]
+    assert not decide_all(dispatcher, now + wait - 1)
+    (second,) = [d for d in decide_all(dispatcher, now + wait + 1) if isinstance(d, Attempt)]
     assert second.request is request and second.instance.worker is not first.instance.worker
     dispatcher.on_attempt_finished(now + 90, second, AttemptResult(AttemptStatus.COMPLETED, True))
-    assert [d for d in pull(dispatcher, now + 90) if isinstance(d, Attempt)] == [first] and first.cancelled
+    assert [d for d in decide_all(dispatcher, now + 90) if isinstance(d, Attempt)] == [first] and first.cancelled
 
 
 def test_no_hedge_without_permission_without_a_free_slot_or_without_budget() -> None:
     for request_class, instances, budget in (
-        (kind(), True, True),
+        (make_request_class(), True, True),
         (hedged_class(), False, True),
         (hedged_class(), True, False),
     ):
-        dispatcher = make(3, load_ration=AMPLE_LOADS)
-        function = model(request_class=request_class)
+        dispatcher = make_dispatcher(3, load_ration=AMPLE_LOADS)
+        function = make_function(request_class=request_class)
         now = serve_in_sequence(dispatcher, function, 0.0, 40.0, 30)
         if instances:
             load_everywhere(dispatcher, function, now)
@@ -95,12 +95,12 @@
         ]
         for instance in () if instances else others:
             instance.loaded = 0
-        assert not [d for d in pull(dispatcher, now + 150) if isinstance(d, Attempt)]
+        assert not [d for d in decide_all(dispatcher, now + 150) if isinstance(d, Attempt)]
         assert not function.queue_depth, "a hedge never waits in a queue"
 
 
 def test_the_retry_budget_grows_with_completed_requests() -> None:
-    dispatcher = make(2, load_ration=AMPLE_LOADS)
+    dispatcher = make_dispatcher(2, load_ration=AMPLE_LOADS)
     retry_budget = dispatcher.parts.retry_budget
     spent = 0
     while retry_budget.try_spend():
@@ -116,8 +116,8 @@
 
 def test_retries_of_overdue_attempts_wait_for_the_retry_budget() -> None:
     """Guards against retrying everything at once at workers that fall silent under load."""
-    dispatcher = make(4, load_ration=AMPLE_LOADS)
-    function = model(concurrency=8)
+    dispatcher = make_dispatcher(4, load_ration=AMPLE_LOADS)
+    function = make_function(concurrency=8)
     now = serve_in_sequence(dispatcher, function, 0.0, 40.0, 20)
     load_everywhere(dispatcher, function, now)
     while dispatcher.parts.retry_budget.try_spend():
@@ -128,18 +128,18 @@
     now += 1500  # unusually long
     dispatcher.on_tick(now)
     assert all(attempt.overdue for attempt in attempts) and not [
-        d for d in pull(dispatcher, now) if isinstance(d, Attempt)
+        d for d in decide_all(dispatcher, now) if isinstance(d, Attempt)
     ]
     for _ in range(11):
         dispatcher.parts.retry_budget.deposit()
     now += 600  # silent workers are ejected for a time
     dispatcher.on_tick(now)
-    assert len([d for d in pull(dispatcher, now) if isinstance(d, Attempt)]) == 2
+    assert len([d for d in decide_all(dispatcher, now) if isinstance(d, Attempt)]) == 2
     dispatcher.on_attempt_finished(now + 50, attempts[5], AttemptResult(AttemptStatus.COMPLETED, True))
     for _ in range(100):
         dispatcher.parts.retry_budget.deposit()
     dispatcher.on_tick(now + 100)
-    late = [d for d in pull(dispatcher, now + 100) if isinstance(d, Attempt) and not d.cancelled]
+    late = [d for d in decide_all(dispatcher, now + 100) if isinstance(d, Attempt) and not d.cancelled]
     assert 0 < len(late) <= 4 and all(d.request is not attempts[5].request for d in late), (
         "a finished request is not retried"
     )
@@ -147,8 +147,8 @@
 
 def test_a_deferred_retry_does_not_cancel_an_attempt_whose_response_has_started() -> None:
     """Guards against a stream that breaks off at its client, as its attempt was overdue before the first part."""
-    dispatcher = make(4, load_ration=AMPLE_LOADS)
-    function = model(concurrency=8)
+    dispatcher = make_dispatcher(4, load_ration=AMPLE_LOADS)
+    function = make_function(concurrency=8)
     now = serve_in_sequence(dispatcher, function, 0.0, 40.0, 20)
     load_everywhere(dispatcher, function, now)
     while dispatcher.parts.retry_budget.try_spend():
@@ -156,17 +156,19 @@
     _, (attempt,) = submit_one(dispatcher, function, now)
     now += 1500  # unusually long
     dispatcher.on_tick(now)
-    assert not any(isinstance(d, Attempt) for d in pull(dispatcher, now)) and attempt.overdue, "no budget for a retry"
+    assert not any(isinstance(d, Attempt) for d in decide_all(dispatcher, now)) and attempt.overdue, (
+        "no budget for a retry"
+    )
     dispatcher.on_response_started(now + 1, attempt, now + 5000)
     for _ in range(11):
         dispatcher.parts.retry_budget.deposit()
     dispatcher.on_tick(now + 100)
-    assert not attempt.cancelled and not pull(dispatcher, now + 100)
+    assert not attempt.cancelled and not decide_all(dispatcher, now + 100)
 
 
 def test_latency_deviation_and_a_slow_worker_make_the_hedge_delay_longer() -> None:
-    dispatcher = make(2, load_ration=AMPLE_LOADS)
-    steady, spread, retry_budget = model("a"), model("b"), dispatcher.parts.retry_budget
+    dispatcher = make_dispatcher(2, load_ration=AMPLE_LOADS)
+    steady, spread, retry_budget = make_function("a"), make_function("b"), dispatcher.parts.retry_budget
     one, slow = dispatcher.workers
     for n in range(200):
         retry_budget.observe_latency(steady, one, 40.0)
--- a/tests/test_dispatch_outliers.py
+++ b/tests/test_dispatch_outliers.py
@@ -5,12 +5,12 @@
 from helpers import (
     AMPLE_LOADS,
     complete,
-    kind,
+    decide_all,
     load_and_serve_one,
-    make,
-    model,
+    make_dispatcher,
+    make_function,
+    make_request_class,
     new_request,
-    pull,
     submit,
     tick,
 )
@@ -31,7 +31,7 @@
         (Idempotency.DEDUPLICATED, True),
         (Idempotency.AT_MOST_ONCE, False),
     ):
-        dispatcher, function = make(), model(concurrency=4, request_class=kind(effect))
+        dispatcher, function = make_dispatcher(), make_function(concurrency=4, request_class=make_request_class(effect))
         hung = load_and_serve_one(dispatcher, function)
         for n in range(20):
             (attempt,) = submit(dispatcher, function, 100.0 + 60 * n, 1)
@@ -40,22 +40,22 @@
         found = []
         for step in range(60):
             dispatcher.on_tick(2000.0 + 50 * step)
-            found += pull(dispatcher, 2000.0 + 50 * step)
+            found += decide_all(dispatcher, 2000.0 + 50 * step)
         assert any(isinstance(d, str) and hung.id in d for d in found), "the log names it"
         orders = [d for d in found if isinstance(d, LoadOrder) and d.instance.worker is not hung]
         assert bool(orders) is again
         if again:
             dispatcher.on_load_report(5000.0, orders[0], AttemptStatus.COMPLETED, 1)
-            assert [d.request for d in pull(dispatcher, 5000.0) if isinstance(d, Attempt)] == [attempt.request]
+            assert [d.request for d in decide_all(dispatcher, 5000.0) if isinstance(d, Attempt)] == [attempt.request]
 
 
 def test_a_worker_that_fails_fast_is_ejected_then_probed_with_one_attempt() -> None:
-    dispatcher, function = make(workers=1), model(concurrency=4)
+    dispatcher, function = make_dispatcher(workers=1), make_function(concurrency=4)
     worker, now = load_and_serve_one(dispatcher, function), 100.0
     for attempt in submit(dispatcher, function, now, 4):
         dispatcher.on_attempt_finished(now + 1, attempt, AttemptResult(AttemptStatus.ERROR, False))
-    assert [d for d in pull(dispatcher, now + 2) if isinstance(d, Attempt)] == [], "they return to the queue"
-    tried = [d for step in range(15) for d in pull(dispatcher, tick(dispatcher, now + 50 * step))]
+    assert [d for d in decide_all(dispatcher, now + 2) if isinstance(d, Attempt)] == [], "they return to the queue"
+    tried = [d for step in range(15) for d in decide_all(dispatcher, tick(dispatcher, now + 50 * step))]
     assert (
         len([d for d in tried if isinstance(d, Attempt)]) == 1
         and worker.outlier_state_by_class[function.request_class].ejection_ms > 0
@@ -63,23 +63,23 @@
 
 
 def test_a_rejected_attempt_suspends_its_instance_and_not_the_worker() -> None:
-    dispatcher, function, other = make(workers=1), model("a"), model("b")
+    dispatcher, function, other = make_dispatcher(workers=1), make_function("a"), make_function("b")
     worker = load_and_serve_one(dispatcher, function)
     load_and_serve_one(dispatcher, other, 60.0)
     (attempt,) = submit(dispatcher, function, 200.0, 1)
     dispatcher.on_attempt_finished(201.0, attempt, AttemptResult(AttemptStatus.OUT_OF_CAPACITY, False))
-    assert not [d for d in pull(dispatcher, 201.0) if isinstance(d, Attempt)]
+    assert not [d for d in decide_all(dispatcher, 201.0) if isinstance(d, Attempt)]
     assert [d.instance.worker for d in submit(dispatcher, other, 202.0, 1) if isinstance(d, Attempt)] == [worker]
 
 
 def test_lost_connections_eject_no_worker_that_answers_and_four_in_a_row_do() -> None:
-    dispatcher, function = make(workers=1), model(concurrency=4)
+    dispatcher, function = make_dispatcher(workers=1), make_function(concurrency=4)
     worker = load_and_serve_one(dispatcher, function)
     for n in range(12):  # every third is lost: the rest is answered
         (attempt,) = submit(dispatcher, function, 100.0 + 50 * n, 1)
         if n % 3 == 2:
             dispatcher.on_attempt_finished(110.0 + 50 * n, attempt, AttemptResult(AttemptStatus.CONNECTION_LOST, False))
-            (again,) = (d for d in pull(dispatcher, 110.0 + 50 * n) if isinstance(d, Attempt))
+            (again,) = (d for d in decide_all(dispatcher, 110.0 + 50 * n) if isinstance(d, Attempt))
             assert again.request is attempt.request
             attempt = again
         complete(dispatcher, attempt, 120.0 + 50 * n)
@@ -88,11 +88,15 @@
         assert not worker.outlier_state.ejection_ms or n > 1
         dispatcher.on_attempt_finished(1001.0 + n, attempt, AttemptResult(AttemptStatus.CONNECTION_LOST, False))
     assert worker.outlier_state.ejected_until > 1004.0 and function.instances[worker].loaded == 1
-    assert not [d for d in pull(dispatcher, 1004.0) if isinstance(d, Attempt)]
+    assert not [d for d in decide_all(dispatcher, 1004.0) if isinstance(d, Attempt)]
 
 
 def test_a_worker_that_fails_one_class_serves_the_others_and_a_lost_answer_is_retried() -> None:
-    dispatcher, fails, well = make(workers=1), model("a", 4), model("b", 4, kind(Idempotency.AT_MOST_ONCE))
+    dispatcher, fails, well = (
+        make_dispatcher(workers=1),
+        make_function("a", 4),
+        make_function("b", 4, make_request_class(Idempotency.AT_MOST_ONCE)),
+    )
     worker = load_and_serve_one(dispatcher, fails)
     load_and_serve_one(dispatcher, well, 60.0)
     for attempt in submit(dispatcher, fails, 200.0, 3):
@@ -100,7 +104,7 @@
     assert not dispatcher.parts.outliers.usable(202.0, worker, fails.request_class)
     (lost, *_) = [d for d in submit(dispatcher, well, 202.0, 1) if isinstance(d, Attempt)]
     assert lost.instance.worker is worker
-    dispatcher, function = make(workers=2, load_ration=AMPLE_LOADS), model(concurrency=4)
+    dispatcher, function = make_dispatcher(workers=2, load_ration=AMPLE_LOADS), make_function(concurrency=4)
     load_and_serve_one(dispatcher, function)
     (lost,) = submit(dispatcher, function, 100.0, 1)
     found: list[Decision] = []
@@ -110,19 +114,19 @@
             d for d in found if isinstance(d, Attempt) and d.request is not lost.request and d.status is None
         ]:
             complete(dispatcher, attempt, 240.0 + 60 * n)
-        found += pull(dispatcher, tick(dispatcher, 245.0 + 60 * n))
+        found += decide_all(dispatcher, tick(dispatcher, 245.0 + 60 * n))
     assert lost.overdue and len(lost.request.attempts) + lost.request.queued > 1
 
 
 def test_one_attempt_that_merely_takes_long_ejects_no_worker() -> None:
-    dispatcher, function = make(1, load_ration=AMPLE_LOADS), model(concurrency=4)
+    dispatcher, function = make_dispatcher(1, load_ration=AMPLE_LOADS), make_function(concurrency=4)
     worker = dispatcher.workers[0]
     requests = [new_request(function, 0.0, n, 9000.0) for n in range(3)]
     for request in requests:
         dispatcher.on_request(0.0, request)
-    (order,) = (d for d in pull(dispatcher, 0.0) if isinstance(d, LoadOrder))
+    (order,) = (d for d in decide_all(dispatcher, 0.0) if isinstance(d, LoadOrder))
     dispatcher.on_load_report(0.0, order, AttemptStatus.COMPLETED, 1)
-    attempts = [d for d in pull(dispatcher, 0.0) if isinstance(d, Attempt)]
+    attempts = [d for d in decide_all(dispatcher, 0.0) if isinstance(d, Attempt)]
     dispatcher.on_attempt_finished(100.0, attempts[0], AttemptResult(AttemptStatus.COMPLETED, True, warm=True))
     dispatcher.on_attempt_finished(101.0, attempts[1], AttemptResult(AttemptStatus.COMPLETED, True, warm=True))
     dispatcher.on_tick(600.0)
@@ -131,18 +135,18 @@
     assert attempts[2].overdue and not worker.outlier_state.ejection_ms, "one answer is missing"
     for n in (8, 9):
         dispatcher.on_request(1400.0, new_request(function, 1400.0, n, 9000.0))
-    assert len([d for d in pull(dispatcher, 1400.0) if isinstance(d, Attempt)]) == 2
+    assert len([d for d in decide_all(dispatcher, 1400.0) if isinstance(d, Attempt)]) == 2
     dispatcher.on_tick(2900.0)
     assert worker.outlier_state.ejection_ms, "two more are missing, and nothing else came"
 
 
 def test_a_load_at_an_ejected_worker_adds_no_expected_slot_and_load_times_are_learned() -> None:
-    dispatcher, function = make(3, load_ration=AMPLE_LOADS), model()
+    dispatcher, function = make_dispatcher(3, load_ration=AMPLE_LOADS), make_function()
     dispatcher.on_request(0.0, new_request(function, 0.0))
-    (order,) = (d for d in pull(dispatcher, 0.0) if isinstance(d, LoadOrder))
+    (order,) = (d for d in decide_all(dispatcher, 0.0) if isinstance(d, LoadOrder))
     dispatcher.parts.outliers.eject(100.0, order.instance.worker.outlier_state)
     dispatcher.on_tick(200.0)
-    (other,) = (d for d in pull(dispatcher, 200.0) if isinstance(d, LoadOrder))
+    (other,) = (d for d in decide_all(dispatcher, 200.0) if isinstance(d, LoadOrder))
     assert other.instance.worker is not order.instance.worker
     dispatcher.on_load_report(800.0, other, AttemptStatus.COMPLETED, 1)
     assert 600.0 < function.load_ms < 1000.0
--- a/tests/test_dispatch_rules.py
+++ b/tests/test_dispatch_rules.py
@@ -10,9 +10,9 @@
 import pytest
 from helpers import (
     SAFETY,
-    kind,
-    make,
-    model,
+    make_dispatcher,
+    make_function,
+    make_request_class,
     new_request,
 )
 
@@ -31,7 +31,12 @@
 )
 from kelptrail.dispatch.safety import SafetyGuard
 
-KINDS = [kind(), kind(Idempotency.DEDUPLICATED), kind(Idempotency.DEDUPLICATED, "zone"), kind(Idempotency.AT_MOST_ONCE)]
+KINDS = [
+    make_request_class(),
+    make_request_class(Idempotency.DEDUPLICATED),
+    make_request_class(Idempotency.DEDUPLICATED, "zone"),
+    make_request_class(Idempotency.AT_MOST_ONCE),
+]
 
 
 SLACK_MS = 16.0
@@ -112,9 +117,9 @@
 def run_random_schedule(seed: int, steps: int = 1500, **settings: Any) -> tuple[Dispatcher, DecisionChecker]:
     """Drive one dispatcher with random events; the checker judges every decision."""
     rng, checker = random.Random(seed), DecisionChecker(**settings)
-    dispatcher = make(workers=6, shared=0.2 * (seed % 6), **settings)
+    dispatcher = make_dispatcher(workers=6, shared=0.2 * (seed % 6), **settings)
     workers = checker.workers = list(dispatcher.workers)
-    functions = [model(f"f{n}", rng.choice((1, 2, 4)), KINDS[n % len(KINDS)]) for n in range(8)]
+    functions = [make_function(f"f{n}", rng.choice((1, 2, 4)), KINDS[n % len(KINDS)]) for n in range(8)]
     now, serial, in_flight, orders, open_requests = 0.0, 0, [], [], []
     for step in range(steps + 400):
         due = dispatcher.timers.next_due()  # the engine never sleeps past a due time
--- a/tests/test_dispatch_slow_start.py
+++ b/tests/test_dispatch_slow_start.py
@@ -8,9 +8,9 @@
 from helpers import (
     AMPLE_LOADS,
     load_and_serve_one,
-    make,
+    make_dispatcher,
+    make_function,
     make_safety,
-    model,
     new_request,
 )
 
@@ -24,7 +24,7 @@
 def test_many_small_dispatchers_together_do_not_overload_a_cold_worker() -> None:
     started = 0
     for seed in range(100):
-        dispatcher, function = make(workers=5, load_ration=AMPLE_LOADS, seed=seed), model(f"f{seed}")
+        dispatcher, function = make_dispatcher(workers=5, load_ration=AMPLE_LOADS, seed=seed), make_function(f"f{seed}")
         load_and_serve_one(dispatcher, function)  # each completes one: a hundred on four warm workers
         cold = dispatcher.workers[seed % 5]
         cold.started_at = 100.0
@@ -40,7 +40,7 @@
     for seed in range(400):
         guard, cold = make_safety(seed=seed, slow_start_ms=1e9), Worker("cold", started_at=0.0)
         guard._warm_throughput, guard._measured_at = 0.5, 1e9  # throughput of warm workers: a share of 0.15 is ours
-        one, two = (new_request(model(), 4000.0, n) for n in (1, 2))
+        one, two = (new_request(make_function(), 4000.0, n) for n in (1, 2))
         for now in drawn:
             drawn[now] += guard.may_attempt(now, one, cold)
         if guard.may_attempt(4100.0, one, cold):
@@ -63,7 +63,7 @@
     warm_count, overload_multiple, window_ms, slow_start_ms, initial_capacity = 10, 3.0, 3000.0, 17_000.0, 0.2
     over = windows = started = 0
     for seed in range(6 if dispatcher_count < 100 else 2):
-        rng, start, function = random.Random(seed), 4000.0, model()
+        rng, start, function = random.Random(seed), 4000.0, make_function()
         weights = [rng.lognormvariate(0, 1.2) if uneven else 1.0 for _ in range(dispatcher_count)]
 
         def make_guard(rng: random.Random = rng, start: float = start) -> tuple[SafetyGuard, list[Worker], Worker]:
--- a/tests/test_dispatch_termination.py
+++ b/tests/test_dispatch_termination.py
@@ -8,12 +8,12 @@
 import pytest
 from helpers import (
     complete,
-    kind,
+    decide_all,
     load_and_serve_one,
-    make,
-    model,
+    make_dispatcher,
+    make_function,
+    make_request_class,
     new_request,
-    pull,
     submit,
     tick,
 )
@@ -30,7 +30,7 @@
 
 
 def test_a_request_that_cannot_meet_its_deadline_is_rejected_at_once() -> None:
-    dispatcher, function = make(), model()
+    dispatcher, function = make_dispatcher(), make_function()
     load_and_serve_one(dispatcher, function)
     function.mean_latency_ms = 400.0
     (end,) = submit(dispatcher, function, 100.0, 1, 150.0)
@@ -38,22 +38,25 @@
 
 
 def test_late_answers_shed_the_lowest_priority_weight_first_and_timely_ones_admit_again() -> None:
-    queues = make().parts.queues
+    queues = make_dispatcher().parts.queues
     for n in range(60):
-        queues.observe_worker_delay(model(f"f{n}"), True)
-    low = sum(queues.should_shed(1.0, new_request(model(), 0.0)) for _ in range(200))
-    high = sum(queues.should_shed(1.0, new_request(model(request_class=kind(weight=8.0)), 0.0)) for _ in range(200))
+        queues.observe_worker_delay(make_function(f"f{n}"), True)
+    low = sum(queues.should_shed(1.0, new_request(make_function(), 0.0)) for _ in range(200))
+    high = sum(
+        queues.should_shed(1.0, new_request(make_function(request_class=make_request_class(weight=8.0)), 0.0))
+        for _ in range(200)
+    )
     assert low > 190 > high > 0
     for _ in range(60):
-        queues.observe_worker_delay(model(), False)
-    assert not any(queues.should_shed(1.0, new_request(model(), 0.0)) for _ in range(200))
+        queues.observe_worker_delay(make_function(), False)
+    assert not any(queues.should_shed(1.0, new_request(make_function(), 0.0)) for _ in range(200))
 
 
 def test_a_deduplicated_request_that_may_have_run_is_rejected_only_with_a_valid_key() -> None:
     cases = ((True, 100.0, "rejected"), (True, 9000.0, "aborted"), (False, 100.0, "aborted"))
     for has_key, later, final_status in cases:
-        dispatcher = make(workers=1)
-        function = model(request_class=kind(Idempotency.DEDUPLICATED))
+        dispatcher = make_dispatcher(workers=1)
+        function = make_function(request_class=make_request_class(Idempotency.DEDUPLICATED))
         load_and_serve_one(dispatcher, function)
         (attempt,) = submit(dispatcher, function, 100.0, 1)
         attempt.request.has_idempotency_key = has_key
@@ -62,8 +65,8 @@
 
 def test_a_retry_after_beyond_the_deduplication_window_makes_no_rejection() -> None:
     """A client that comes back when it was told to must still be remembered."""
-    dispatcher = make(workers=1, retry_after_ms=500.0)
-    function = model(request_class=kind(Idempotency.DEDUPLICATED))
+    dispatcher = make_dispatcher(workers=1, retry_after_ms=500.0)
+    function = make_function(request_class=make_request_class(Idempotency.DEDUPLICATED))
     load_and_serve_one(dispatcher, function)
     (attempt,) = submit(dispatcher, function, 100.0, 1)
     function.load_ms = 1000.0
@@ -76,10 +79,10 @@
 def start_attempt(dispatcher: Dispatcher, request: Request, now: float) -> Attempt:
     """Start an attempt of the request, after the load of an instance if there was none."""
     dispatcher.on_request(now, request)
-    found = pull(dispatcher, now)
+    found = decide_all(dispatcher, now)
     for order in (d for d in found if isinstance(d, LoadOrder)):
         dispatcher.on_load_report(now, order, AttemptStatus.COMPLETED, order.count)
-    (attempt,) = (d for d in [*found, *pull(dispatcher, now)] if isinstance(d, Attempt))
+    (attempt,) = (d for d in [*found, *decide_all(dispatcher, now)] if isinstance(d, Attempt))
     return attempt
 
 
@@ -96,7 +99,7 @@
 
 
 def past_the_queue_limit(dispatcher: Dispatcher) -> Termination:
-    requests = [new_request(model("f", 1), 0.0, n) for n in range(30)]
+    requests = [new_request(make_function("f", 1), 0.0, n) for n in range(30)]
     for request in requests:
         request.function = requests[0].function
         dispatcher.on_request(0.0, request)
@@ -104,7 +107,7 @@
 
 
 def too_little_time(dispatcher: Dispatcher) -> Termination:
-    function = model()
+    function = make_function()
     complete(dispatcher, start_attempt(dispatcher, new_request(function, 0.0), 0.0), 400.0)
     request = new_request(function, 500.0, 1, 150.0)
     dispatcher.on_request(500.0, request)
@@ -113,25 +116,25 @@
 
 def out_of_attempts(dispatcher: Dispatcher) -> Termination:
     dispatcher.parts.safety._max_attempts = 1
-    request = new_request(model(), 0.0)
+    request = new_request(make_function(), 0.0)
     answer(dispatcher, start_attempt(dispatcher, request, 0.0), AttemptStatus.OUT_OF_CAPACITY, 40.0)
     return Termination(40.0, [request], "rejected")
 
 
 def at_most_once_lost(dispatcher: Dispatcher) -> Termination:
-    request = new_request(model(request_class=kind(Idempotency.AT_MOST_ONCE)), 0.0)
+    request = new_request(make_function(request_class=make_request_class(Idempotency.AT_MOST_ONCE)), 0.0)
     answer(dispatcher, start_attempt(dispatcher, request, 0.0), AttemptStatus.CONNECTION_LOST, 40.0)
     return Termination(40.0, [request], "aborted")
 
 
 def past_the_deduplication_window(dispatcher: Dispatcher) -> Termination:
-    request = new_request(model(request_class=kind(Idempotency.DEDUPLICATED)), 0.0, 0, 9000.0)
+    request = new_request(make_function(request_class=make_request_class(Idempotency.DEDUPLICATED)), 0.0, 0, 9000.0)
     answer(dispatcher, start_attempt(dispatcher, request, 0.0), AttemptStatus.CONNECTION_LOST, 5100.0)
     return Termination(5100.0, [request], "aborted")
 
 
 def too_late_to_retry(dispatcher: Dispatcher) -> Termination:
-    function = model()
+    function = make_function()
     complete(dispatcher, start_attempt(dispatcher, new_request(function, 0.0), 0.0), 400.0)
     request = new_request(function, 500.0, 1, 900.0)
     answer(dispatcher, start_attempt(dispatcher, request, 500.0), AttemptStatus.OUT_OF_CAPACITY, 1250.0)
@@ -139,32 +142,32 @@
 
 
 def nobody_can_load(dispatcher: Dispatcher) -> Termination:
-    requests = [new_request(model("bogus"), 0.0, n) for n in range(4)]
+    requests = [new_request(make_function("bogus"), 0.0, n) for n in range(4)]
     for request in requests:
         request.function = requests[0].function
         dispatcher.on_request(0.0, request)
     for now in (0.0, 30.0):
-        (order,) = (d for d in pull(dispatcher, tick(dispatcher, now)) if isinstance(d, LoadOrder))
+        (order,) = (d for d in decide_all(dispatcher, tick(dispatcher, now)) if isinstance(d, LoadOrder))
         dispatcher.on_load_report(now + 1, order, AttemptStatus.ERROR, 0)
     return Termination(31.0, requests, "rejected")
 
 
 def load_shed(dispatcher: Dispatcher) -> Termination:
     dispatcher.parts.queues._admitted_share = 0.05
-    requests = [new_request(model(), 0.0, n) for n in range(2)]
+    requests = [new_request(make_function(), 0.0, n) for n in range(2)]
     for request in requests:
         dispatcher.on_request(0.0, request)
     return Termination(0.0, requests, "rejected")
 
 
 def deadline_reached(dispatcher: Dispatcher) -> Termination:
-    request = new_request(model(request_class=kind(Idempotency.AT_MOST_ONCE)), 0.0)
+    request = new_request(make_function(request_class=make_request_class(Idempotency.AT_MOST_ONCE)), 0.0)
     start_attempt(dispatcher, request, 0.0)
     return Termination(2995.0, [request], "aborted")
 
 
 def too_little_time_behind_others(dispatcher: Dispatcher) -> Termination:
-    function = model(concurrency=1)
+    function = make_function(concurrency=1)
     complete(dispatcher, start_attempt(dispatcher, new_request(function, 0.0), 0.0), 400.0)
     start_attempt(dispatcher, new_request(function, 500.0, 1), 500.0)
     for worker in dispatcher.workers:
@@ -172,18 +175,18 @@
     behind = new_request(function, 500.0, 3, 800.0)
     for request in (new_request(function, 500.0, 2), behind):
         dispatcher.on_request(500.0, request)
-    pull(dispatcher, 500.0)
+    decide_all(dispatcher, 500.0)
     return Termination(1100.0, [behind], "rejected")  # half of the usual time is left, and the first may still wait
 
 
 def window_closes_behind_others(dispatcher: Dispatcher) -> Termination:
-    function = model(concurrency=1, request_class=kind(Idempotency.DEDUPLICATED))
+    function = make_function(concurrency=1, request_class=make_request_class(Idempotency.DEDUPLICATED))
     request = new_request(function, 0.0, 0, 9000.0)
     attempt = start_attempt(dispatcher, request, 0.0)
     for worker in dispatcher.workers:
         worker.outlier_state.ejected_until = 8000.0
     answer(dispatcher, attempt, AttemptStatus.CONNECTION_LOST, 100.0)
-    pull(dispatcher, 100.0)
+    decide_all(dispatcher, 100.0)
     function.queue.appendleft(new_request(function, 100.0, 1, 9000.0))
     return Termination(4980.0, [request], "aborted")
 
@@ -208,9 +211,9 @@
 def test_terminated_requests_are_answered_at_once_with_retry_after_where_allowed(
     scenario: Callable[[Dispatcher], Termination], max_retry_after_ms: float
 ) -> None:
-    dispatcher = make(retry_after_ms=max_retry_after_ms)
+    dispatcher = make_dispatcher(retry_after_ms=max_retry_after_ms)
     now, requests, final_status = scenario(dispatcher)
-    ended = [d for d in pull(dispatcher, now) if isinstance(d, Request)]
+    ended = [d for d in decide_all(dispatcher, now) if isinstance(d, Request)]
     assert sorted(a.id for a in ended) == sorted(a.id for a in requests)
     for request in ended:
         assert request.final_status == final_status
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -9,7 +9,7 @@
 import msgspec
 import numpy as np
 import pytest
-from helpers import make, model, new_request, pull
+from helpers import decide_all, make_dispatcher, make_function, new_request
 
 from kelptrail.dispatch.attempt_results import AttemptResult
 from kelptrail.dispatch.dispatcher import Dispatcher
@@ -442,13 +442,13 @@
 def tick_and_take_orders(dispatcher: Dispatcher, now: float) -> list[HoldOrder]:
     """The load orders of one tick."""
     dispatcher.on_tick(now)
-    return [d for d in pull(dispatcher, now) if isinstance(d, HoldOrder)]
+    return [d for d in decide_all(dispatcher, now) if isinstance(d, HoldOrder)]
 
 
 def test_planned_loads_use_half_of_the_ration_and_never_go_to_draining_workers() -> None:
-    dispatcher = make(8, load_ration=LoadRation(True, 6.0, 0.0, 10_000.0))
+    dispatcher = make_dispatcher(8, load_ration=LoadRation(True, 6.0, 0.0, 10_000.0))
     workers: list[Worker] = dispatcher.workers
-    function = model(concurrency=2)
+    function = make_function(concurrency=2)
     dispatcher.on_request(0.0, new_request(function, 0.0, 1))
     first = tick_and_take_orders(dispatcher, 0.0)
     complete_loads(dispatcher, 0.0, first)
@@ -466,8 +466,8 @@
 
 def test_planned_instances_are_kept_while_planned() -> None:
     def run_dispatcher(plan: bool) -> list[tuple[float, str, int]]:
-        dispatcher = make(4, load_ration=LoadRation(True, 999.0, 0.0, 10_000.0))
-        function, out = model(concurrency=2), list[tuple[float, str, int]]()
+        dispatcher = make_dispatcher(4, load_ration=LoadRation(True, 999.0, 0.0, 10_000.0))
+        function, out = make_function(concurrency=2), list[tuple[float, str, int]]()
         dispatcher.on_request(0.0, new_request(function, 0.0, 1))
         for step in range(600):
             now = 100.0 * step
@@ -478,7 +478,7 @@
             if step % 100 == 0:  # requested now and then, so that it is not forgotten
                 dispatcher.on_request(now, new_request(function, now, step))
             dispatcher.on_tick(now)
-            for decision in pull(dispatcher, now):
+            for decision in decide_all(dispatcher, now):
                 if isinstance(decision, HoldOrder):
                     out.append((now, decision.instance.worker.id, decision.count))
                     dispatcher.on_load_report(now, decision, AttemptStatus.COMPLETED, decision.count)
@@ -489,23 +489,26 @@
         return out
 
     planned, plain = run_dispatcher(True), run_dispatcher(False)
-    last = make(4).workers[3].id
+    last = make_dispatcher(4).workers[3].id
     assert sum(w == last and t < 30_000 for t, w, _ in planned) > sum(w == last and t < 30_000 for t, w, _ in plain)
     assert run_dispatcher(False) == plain
 
 
 def test_loads_for_queued_requests_go_to_planned_workers_first() -> None:
     """Guards against each dispatcher's loading instances of its own after a release."""
-    function, dispatcher = model(concurrency=1), make(8, load_ration=LoadRation(True, 999.0, 0.0, 10_000.0))
+    function, dispatcher = (
+        make_function(concurrency=1),
+        make_dispatcher(8, load_ration=LoadRation(True, 999.0, 0.0, 10_000.0)),
+    )
     dispatcher.on_request(0.0, new_request(function, 0.0, 0))
-    own = next(d for d in pull(dispatcher, 0.0) if isinstance(d, HoldOrder)).instance.worker
+    own = next(d for d in decide_all(dispatcher, 0.0) if isinstance(d, HoldOrder)).instance.worker
     planned = [w for w in dispatcher.workers if w is not own][-2:]
     dispatcher.on_plan({function: dict.fromkeys(planned, 1)})
     orders: list[Worker] = []
     for step in range(60):  # queueing without a tick: nothing is loaded ahead
         now = 30.0 * step
         dispatcher.on_request(now, new_request(function, now, step + 1, 60_000.0))
-        orders += [d.instance.worker for d in pull(dispatcher, now) if isinstance(d, HoldOrder)]
+        orders += [d.instance.worker for d in decide_all(dispatcher, now) if isinstance(d, HoldOrder)]
     assert set(orders[:2]) == set(planned) and len(orders) > 2
     assert not set(orders[2:]) & set(planned), "each planned worker has its order; further ones go elsewhere"
 
@@ -515,8 +518,8 @@
     """Random plans, draining workers, attempts without an instance and failed loads: the load ration is kept, and no
     order goes to a worker that is not live."""
     rng = random.Random(seed)
-    dispatcher = make(10, load_ration=LoadRation(True, 5.0, 0.3, 5000.0))
-    functions = [model(f"f{n}", concurrency=2) for n in range(6)]
+    dispatcher = make_dispatcher(10, load_ration=LoadRation(True, 5.0, 0.3, 5000.0))
+    functions = [make_function(f"f{n}", concurrency=2) for n in range(6)]
     requested_at, ordered_at, now, number = list[float](), list[float](), 0.0, 0
     while now < 30_000:
         now += rng.choice([5, 20, 100])
@@ -537,7 +540,7 @@
             worker.state = WorkerState.DRAINING if worker.live else WorkerState.LIVE
             dispatcher.on_endpoints(now, list(dispatcher.workers), [])
         dispatcher.on_tick(now)
-        for decision in pull(dispatcher, now):
+        for decision in decide_all(dispatcher, now):
             if isinstance(decision, HoldOrder):
                 assert decision.instance.worker.live
                 if decision.count:
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 import pytest
-from helpers import make, model, new_request, pull
+from helpers import decide_all, make_dispatcher, make_function, new_request
 
 from kelptrail.dispatch.entities import AttemptStatus, LoadOrder
 from kelptrail.dispatch.safety import LoadRation
@@ -138,15 +138,15 @@
 
 def test_the_instance_limit_grows_with_the_queue_at_most_twofold() -> None:
     """Guards against a start with nothing under load: by one a load time it took seventeen seconds."""
-    dispatcher = make(60, load_ration=LoadRation(True, 999.0, 0.3, 5000.0))
-    function = model(concurrency=2)
+    dispatcher = make_dispatcher(60, load_ration=LoadRation(True, 999.0, 0.3, 5000.0))
+    function = make_function(concurrency=2)
     function.load_ms = 1000.0
     now, limits, number = 0.0, [], 0
     while now < 4500:
         for _ in range(8):  # more than any number of its instances can run
             number += 1
             dispatcher.on_request(now, new_request(function, now, number, 60_000.0))
-        for decision in pull(dispatcher, now):
+        for decision in decide_all(dispatcher, now):
             if isinstance(decision, LoadOrder):
                 dispatcher.on_load_report(now, decision, AttemptStatus.COMPLETED, decision.count)
         limits.append(function.instance_limit)
@@ -155,8 +155,8 @@
     assert seen[0] == 4 and seen[-1] >= 16, seen
     assert all(b <= 2 * a for a, b in pairwise(seen)), "twofold at most"
     assert len(seen) <= 5, "once a load time"
-    quiet = make(60, load_ration=LoadRation(True, 999.0, 0.3, 5000.0))
-    short_queue = model("g", concurrency=8)
+    quiet = make_dispatcher(60, load_ration=LoadRation(True, 999.0, 0.3, 5000.0))
+    short_queue = make_function("g", concurrency=8)
     short_queue.load_ms, short_queue.queued_since, short_queue.instance_limit = 1000.0, 0.0, 4
     short_queue.queue.extend(new_request(short_queue, 0.0, n) for n in range(5))
     assert quiet.parts.queues.instance_limit(1500.0, short_queue, True) == 5, "a short queue still adds one"
