--- a/kelptrail/load/coordinator.py
+++ b/kelptrail/load/coordinator.py
@@ -152,10 +152,10 @@
                 continue
             attempts, load_orders = state["sends"], state["orders"]
             last_attempts, last_load_orders = last_counts.get(number, (attempts, load_orders))
-            second.sends += max(0, attempts - last_attempts)
-            second.orders += max(0, load_orders - last_load_orders)
-            second.in_hand += state["in_hand"]
-            second.storming += state["storm"]["stage"] != "calm"
+            second.attempts += max(0, attempts - last_attempts)
+            second.load_orders += max(0, load_orders - last_load_orders)
+            second.calls_in_flight += state["in_hand"]
+            second.overloaded_dispatchers += state["storm"]["stage"] != "calm"
             last_counts[number] = (attempts, load_orders)
 
 
--- a/kelptrail/load/generator_counters.py
+++ b/kelptrail/load/generator_counters.py
@@ -62,7 +62,7 @@
         now = now_ms()
         second = self._current_second()
         second.calls += 1
-        second.repeats += due > first_due
+        second.retries += due > first_due
         self.send_lag.record_value(_microseconds(now - due))
 
     def count_completed(self, type_: TypeSettings, load: Load, latency_ms: float) -> None:
--- a/kelptrail/load/results.py
+++ b/kelptrail/load/results.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field, fields
+from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import numpy as np
 import pyarrow
 import pyarrow.parquet
@@ -16,9 +17,18 @@
 PERCENTILES = (1.0, 5.0, 10.0, 25.0, 50.0, 75.0, 90.0, 95.0, 99.0, 99.9, 100.0)
 
 
-@dataclass(slots=True)
-class Second:
-    """Counts of one second; its fields are columns of the table `seconds`."""
+# Columns of the table `seconds` whose names differ from the fields of `Second`.
+COLUMN_NAMES = {
+    "attempts": "sends",
+    "load_orders": "orders",
+    "retries": "repeats",
+    "calls_in_flight": "in_hand",
+    "overloaded_dispatchers": "storming",
+}
+
+
+class Second(msgspec.Struct, rename=COLUMN_NAMES):
+    """Counts of one second."""
 
     calls: int = 0  # attempts of clients
     completed: int = 0
@@ -27,18 +37,22 @@
     aborted: int = 0
     lost: int = 0
     not_taken: int = 0
-    sends: int = 0  # attempts at workers
-    orders: int = 0  # load orders
+    attempts: int = 0  # at workers
+    load_orders: int = 0
     loads: int = 0
-    repeats: int = 0  # calls that are a client's retries
-    in_hand: int = 0  # calls in flight at its end
+    retries: int = 0  # calls that are a client's retries
+    calls_in_flight: int = 0  # at its end
     idle_mb: float = 0.0  # memory of instances on which nothing runs, at its end
-    storming: int = 0  # dispatchers whose overload control is active at its end
+    overloaded_dispatchers: int = 0  # whose overload control is active at its end
 
     def add(self, other: Second) -> None:
         """Add another's counts."""
-        for counter in fields(self):
-            setattr(self, counter.name, getattr(self, counter.name) + getattr(other, counter.name))
+        for counter in self.__struct_fields__:
+            setattr(self, counter, getattr(self, counter) + getattr(other, counter))
+
+    def columns(self) -> dict[str, int | float]:
+        """The counts by column of the table `seconds`."""
+        return {COLUMN_NAMES.get(counter, counter): getattr(self, counter) for counter in self.__struct_fields__}
 
 
 def empty_seconds(length: float) -> list[Second]:
@@ -62,7 +76,7 @@
     """The figures of one run, by column of the table `runs`.  Times in ms, `recovery_s` in seconds: see `recovery`."""
     seconds = result.seconds[: int(length)]
     calls = sum(s.calls for s in seconds) or 1
-    new_calls = calls - sum(s.repeats for s in seconds) or 1
+    new_calls = calls - sum(s.retries for s in seconds) or 1
     latencies = (
         np.concatenate([np.asarray(v) for v in result.latency.values()])
         if any(result.latency.values())
@@ -79,8 +93,8 @@
         "aborted": sum(s.aborted for s in seconds),
         "lost": sum(s.lost for s in seconds),
         "not_taken": sum(s.not_taken for s in seconds),
-        "sends": sum(s.sends for s in seconds),
-        "orders": sum(s.orders for s in seconds),
+        "sends": sum(s.attempts for s in seconds),
+        "orders": sum(s.load_orders for s in seconds),
         "loads": result.loads,
         "p50_ms": float(np.percentile(latencies, 50)),
         "p99_ms": float(np.percentile(latencies, 99)),
@@ -95,7 +109,7 @@
     recovered_seconds = 0
     for number in range(int(last_fault_ends), min(int(length), len(result.seconds))):
         second = result.seconds[number]
-        new_calls = second.calls - second.repeats
+        new_calls = second.calls - second.retries
         recovered_seconds = recovered_seconds + 1 if second.in_time >= RECOVERED_SHARE * new_calls else 0
         if recovered_seconds == RECOVERED_SECONDS:
             return max(0.0, number - RECOVERED_SECONDS + 1 - last_fault_ends)
@@ -104,10 +118,7 @@
 
 def rows_of(key_columns: dict[str, Any], length: float, result: Result) -> Rows:
     """A row for each second."""
-    return [
-        key_columns | {"second": n} | {f.name: getattr(s, f.name) for f in fields(s)}
-        for n, s in enumerate(result.seconds[: int(length)])
-    ]
+    return [key_columns | {"second": n} | s.columns() for n, s in enumerate(result.seconds[: int(length)])]
 
 
 def spread_of(key_columns: dict[str, Any], result: Result) -> Rows:
--- a/kelptrail/simulation/call_results.py
+++ b/kelptrail/simulation/call_results.py
@@ -42,7 +42,7 @@
         """A client calls a dispatcher, for the first time or in a retry."""
         second = self._cluster.second()
         second.calls += 1
-        second.repeats += self._cluster.event_queue.now > call.first_sent_at
+        second.retries += self._cluster.event_queue.now > call.first_sent_at
         self._record(
             "call",
             call=call.number,
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -146,10 +146,10 @@
     def _sample_second(self) -> None:
         """Enter the gauges at the end of each second of the load."""
         second = self.second()
-        second.in_hand = sum(d.gateway.in_flight for d in self.local_dispatchers if d.up)
+        second.calls_in_flight = sum(d.gateway.in_flight for d in self.local_dispatchers if d.up)
         second.loads, self._fetches_before = self.store.fetches - self._fetches_before, self.store.fetches
         second.idle_mb = sum(w.idle_mb for w in self.workers.values() if isinstance(w, SimulatedWorker) and w.up)
-        second.storming = sum(
+        second.overloaded_dispatchers = sum(
             d.up and d.gateway.overload.stage is not OverloadStage.CALM for d in self.local_dispatchers
         )
         if self.event_queue.now < self.start + (len(self.seconds) - 1) * 1000:
--- a/kelptrail/simulation/dispatchers.py
+++ b/kelptrail/simulation/dispatchers.py
@@ -177,7 +177,7 @@
     def _start_attempt(self, invocation: Invocation, attempt: Attempt) -> None:
         worker, network_ms = self._cluster.workers[attempt.instance.worker.id], self._settings.network_ms
         self._open_attempts[attempt] = None
-        self._cluster.second().sends += 1
+        self._cluster.second().attempts += 1
         finish = partial(self._on_attempt_answered, self.starts, attempt)
         if not isinstance(worker, RemoteWorker):
             self._event_queue.after(network_ms, self._arrive_at_worker, worker, invocation, attempt, finish)
@@ -229,7 +229,7 @@
     def _start_load(self, order: LoadOrder) -> None:
         worker, function_id = self._cluster.workers[order.instance.worker.id], order.instance.function.id
         if order.count:
-            self._cluster.second().orders += 1
+            self._cluster.second().load_orders += 1
         finish = partial(self._on_load_answered, self.starts, order)
         self._open_orders[order] = self._event_queue.after(
             self._cluster.deployment.pool.order_ms, finish, AttemptStatus.SILENT, 0
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -160,7 +160,7 @@
     calls = sum(second.calls for second in cluster.seconds)
     cycle_s = 0.2 + 0.05
     assert 0.6 * 30 * 20 / cycle_s < calls < 30 * 20 / 0.2
-    assert max(second.in_hand for second in cluster.seconds) <= 30
+    assert max(second.calls_in_flight for second in cluster.seconds) <= 30
 
 
 def test_the_generator_counts_a_stall_against_every_call_that_came_due_in_it(tmp_path: Path) -> None:
@@ -204,8 +204,8 @@
     merged = merge_counters(scenario, output)
     seconds = merged.result.seconds
     assert merged.latencies["check"].get_total_count() == 2 * counters.latencies["check"].get_total_count()
-    assert seconds[0].calls == 2 * counters.seconds[0].calls and seconds[1].sends == 4
-    assert seconds[0].storming == 1 and seconds[0].in_hand == 2
+    assert seconds[0].calls == 2 * counters.seconds[0].calls and seconds[1].attempts == 4
+    assert seconds[0].overloaded_dispatchers == 1 and seconds[0].calls_in_flight == 2
     key_columns = {"experiment": "x", "variant": "v", "point": "", "value": 0.0, "seed": 1}
     row = write_results(folder, key_columns, scenario, output)
     assert read(folder, "runs") == [row] and row["completed"] == sum(s.completed for s in seconds[:1])
