--- a/kelptrail/emulator/client_calls.py
+++ b/kelptrail/emulator/client_calls.py
@@ -13,13 +13,18 @@
 import numpy as np
 
 from kelptrail.clock import now_ms
-from kelptrail.load.client_behavior import ClientBehavior, ClientOutcome, has_attempts_left, retry_delay_ms
+from kelptrail.load.client_behavior import (
+    RETRIED_ANSWERS,
+    ClientBehavior,
+    ClientOutcome,
+    has_attempts_left,
+    retry_delay_ms,
+)
 from kelptrail.load.invoke_api import read_final_answer
 from kelptrail.settings.deployment import ActionSettings, NamespaceSettings, TypeSettings
 
 from .capture import Capture, ReadLag
 
-RETRIED_ANSWERS = ("rejected", "aborted")
 FAILED_REASONS = ("MAY_HAVE_RUN", "NEVER_RAN")  # of gRPC answers
 
 
@@ -75,8 +80,8 @@
 def answer_of_reason(reason: str | None, otherwise: str) -> str:
     """The answer that a gRPC error's reason stands for."""
     if reason == "REJECTED":
-        return "rejected"
-    return "aborted" if reason in FAILED_REASONS else otherwise
+        return ClientOutcome.REJECTED.value
+    return ClientOutcome.ABORTED.value if reason in FAILED_REASONS else otherwise
 
 
 class CallTracker:
--- a/kelptrail/emulator/inference_client.py
+++ b/kelptrail/emulator/inference_client.py
@@ -8,6 +8,7 @@
 from kelptrail.codec.tensors import scalars
 from kelptrail.front.inference import inference_pb2 as pb
 from kelptrail.front.inference.api import SERVICE
+from kelptrail.load.client_behavior import ClientOutcome
 from kelptrail.load.invoke_api import authorization_of
 from kelptrail.net.grpc_client import CallResult, GrpcClient
 from kelptrail.settings.deployment import Deployment
@@ -62,7 +63,7 @@
         if response.parameters["deferred"].bool_param:
             self._invoke_client.poll_from(call, activation, self._poll_addresses[call.dispatcher])
         else:
-            self._tracker.on_final(call, ClientAnswer("completed", activation, code=0))
+            self._tracker.on_final(call, ClientAnswer(ClientOutcome.COMPLETED.value, activation, code=0))
 
     def _on_stream_part(self, call: ClientCall, data: bytes) -> None:
         message = pb.ModelStreamInferResponse.FromString(data)
@@ -76,7 +77,7 @@
         call.final_part_received = True
         reason = str(fields.get("reason", ""))
         if not message.error_message:
-            self._tracker.on_final(call, ClientAnswer("completed", activation, code=0))
+            self._tracker.on_final(call, ClientAnswer(ClientOutcome.COMPLETED.value, activation, code=0))
         elif reason == "NOT_TAKEN":
             self._tracker.on_stream_not_taken(call)
         else:
--- a/kelptrail/load/client_behavior.py
+++ b/kelptrail/load/client_behavior.py
@@ -25,6 +25,9 @@
     LOST = "lost"  # no answer
 
 
+RETRIED_ANSWERS = (ClientOutcome.REJECTED.value, ClientOutcome.ABORTED.value)  # after which a client may retry
+
+
 @dataclass(frozen=True, slots=True)
 class ClientBehavior:
     """How one client retries."""
--- a/kelptrail/load/generator_clients.py
+++ b/kelptrail/load/generator_clients.py
@@ -14,7 +14,13 @@
 from kelptrail.net.pool import Call, CallOutcome, WorkerPool
 from kelptrail.settings.deployment import ActionSettings, Deployment, NamespaceSettings, TypeSettings
 
-from .client_behavior import ClientBehavior, ClientOutcome, has_attempts_left, retry_delay_ms
+from .client_behavior import (
+    RETRIED_ANSWERS,
+    ClientBehavior,
+    ClientOutcome,
+    has_attempts_left,
+    retry_delay_ms,
+)
 from .generator_counters import GeneratorCounters
 from .generator_settings import GeneratorSettings
 from .invoke_api import FinalAnswer, authorization_of, encode_call, encode_poll, read_final_answer
@@ -137,10 +143,10 @@
         self._on_final_answer(call, read_final_answer(response.status, record), latency_ms)
 
     def _on_final_answer(self, call: GeneratedCall, answer: FinalAnswer, latency_ms: float) -> None:
-        if answer.answer == "completed":
+        if answer.answer == ClientOutcome.COMPLETED.value:
             self._counters.count_completed(call.type, call.load, latency_ms)
             self._end_attempt(call, ClientOutcome.COMPLETED, "")
-        elif answer.answer in ("rejected", "aborted"):
+        elif answer.answer in RETRIED_ANSWERS:
             outcome = ClientOutcome(answer.answer)
             self._end_attempt(call, outcome, answer.answer, answer.retry_after_ms, answer.repeat_within_ms)
         else:  # an error of the client's own, such as 401, which no retry corrects
