--- a/kelptrail/emulator/worker.py
+++ b/kelptrail/emulator/worker.py
@@ -33,7 +33,7 @@
 from .capture import Capture, ReadLag
 from .worker_control import WorkerControl
 from .worker_effects import SideEffects
-from .worker_faults import ActiveFaults, FaultKind
+from .worker_faults import ActiveFaults, WorkerFault
 from .worker_instances import InstanceLoader
 from .worker_jobs import JobRunner
 from .worker_load_report import LoadReporter
@@ -180,7 +180,7 @@
             return
         model, now = self._state.models.get(name), now_ms()
         self._record_attempt(name, model, infer)
-        if self._is_overloaded_by(model, now) or FaultKind.HANG in self._faults:
+        if self._is_overloaded_by(model, now) or WorkerFault.HANG in self._faults:
             return
         if self._fails_at_once(model):
             exchange.reply_encoded(error_response(500, "failed"))
@@ -217,11 +217,11 @@
         return True
 
     def _fails_at_once(self, model: HostedModel | None) -> bool:
-        if self._faults.draw(FaultKind.FAIL_FAST, 1):
+        if self._faults.draw(WorkerFault.FAIL_FAST, 1):
             return True
-        if model is None or FaultKind.FAIL_TYPE not in self._faults:
+        if model is None or WorkerFault.FAIL_TYPE not in self._faults:
             return False
-        return model.type.name == self._faults.setting(FaultKind.FAIL_TYPE, "type", None)
+        return model.type.name == self._faults.setting(WorkerFault.FAIL_TYPE, "type", None)
 
     def _reject(self, exchange: Exchange, status: int, proof: str, text: str) -> None:
         """Reject an attempt, with the proof that it never ran."""
@@ -266,5 +266,5 @@
             dispatcher=dispatcher,
             lag=self._arrival_lag_ms(),
         )
-        if FaultKind.HANG not in self._faults and FaultKind.SILENT not in self._faults:
+        if WorkerFault.HANG not in self._faults and WorkerFault.SILENT not in self._faults:
             self._instances.order(model, instance_count, exchange)
--- a/kelptrail/emulator/worker_control.py
+++ b/kelptrail/emulator/worker_control.py
@@ -16,7 +16,7 @@
 from kelptrail.net.server import Exchange, HttpServer
 
 from .capture import Capture
-from .worker_faults import ActiveFaults, FaultKind
+from .worker_faults import ActiveFaults, WorkerFault
 from .worker_state import WorkerState
 
 CRASH_EXIT_CODE = 70
@@ -69,17 +69,17 @@
 
     def _inject(self, settings: dict[str, Any]) -> None:
         kind, duration_s = settings["kind"], float(settings.get("for_ms", 0)) / 1000
-        if kind == FaultKind.CRASH:
+        if kind == WorkerFault.CRASH:
             os._exit(CRASH_EXIT_CODE)
-        elif kind == FaultKind.PAUSE:
+        elif kind == WorkerFault.PAUSE:
             began = now_ms()
             time.sleep(duration_s)
             self._capture.write("paused", worker=self._worker_id, began=began)
-        elif kind == FaultKind.MODELS_VOIDED:
+        elif kind == WorkerFault.MODELS_VOIDED:
             self._lose_idle_instances(settings.get("share", 1))
-        elif kind == FaultKind.RESTART_COLD:
+        elif kind == WorkerFault.RESTART_COLD:
             self._restart()
-        elif kind == FaultKind.HANDSHAKES_SLOW:
+        elif kind == WorkerFault.HANDSHAKES_SLOW:
             self._server.accept_delay_ms = float(settings.get("ms", DEFAULT_HANDSHAKE_MS))
             self._loop.call_later(duration_s, setattr, self._server, "accept_delay_ms", 0.0)
         else:
--- a/kelptrail/emulator/worker_faults.py
+++ b/kelptrail/emulator/worker_faults.py
@@ -10,7 +10,7 @@
 DEFAULT_STREAM_FAULT_SHARE = 0.2
 
 
-class FaultKind(StrEnum):
+class WorkerFault(StrEnum):
     """Faults by their names on the control port."""
 
     HANG = "hang"  # requests are read and never answered
@@ -38,7 +38,7 @@
         self._random = random
         self._settings: dict[str, dict[str, Any]] = {}
 
-    def __contains__(self, kind: FaultKind) -> bool:
+    def __contains__(self, kind: WorkerFault) -> bool:
         return kind in self._settings
 
     def start(self, kind: str, settings: dict[str, Any]) -> None:
@@ -49,17 +49,17 @@
         """End a fault, if it is active."""
         self._settings.pop(kind, None)
 
-    def setting(self, kind: FaultKind, name: str, default: Any) -> Any:
+    def setting(self, kind: WorkerFault, name: str, default: Any) -> Any:
         """A setting of an active fault."""
         return self._settings[kind].get(name, default)
 
-    def draw(self, kind: FaultKind, default_share: float) -> bool:
+    def draw(self, kind: WorkerFault, default_share: float) -> bool:
         """Whether the fault is active and hits; draws a random number only where it is active."""
         return kind in self and bool(self._random.random() < self.setting(kind, "share", default_share))
 
-    def draw_stream_fault(self) -> FaultKind | None:
+    def draw_stream_fault(self) -> WorkerFault | None:
         """The fault that hits a stream, if any."""
-        for kind in (FaultKind.STALL, FaultKind.CUT):
+        for kind in (WorkerFault.STALL, WorkerFault.CUT):
             if self.draw(kind, DEFAULT_STREAM_FAULT_SHARE):
                 return kind
         return None
--- a/kelptrail/emulator/worker_jobs.py
+++ b/kelptrail/emulator/worker_jobs.py
@@ -15,7 +15,7 @@
 
 from .worker_answers import encode_answer, read_stream_shape, takes_tensors, write_parts
 from .worker_effects import SideEffects, StoredEffect
-from .worker_faults import ActiveFaults, FaultKind
+from .worker_faults import ActiveFaults, WorkerFault
 from .worker_load_report import LoadReporter
 from .worker_state import InferenceJob, WorkerState
 
@@ -84,8 +84,8 @@
     def _execute(self, job: InferenceJob) -> None:
         variation = float(self._random.lognormal(0.0, WORK_SIGMA))
         work_ms = self._state.work_ms(job.model) * variation / self._state.slow_start.capacity_factor
-        if self._faults.draw(FaultKind.HEAVY_WORK, DEFAULT_HEAVY_SHARE):
-            work_ms *= self._faults.setting(FaultKind.HEAVY_WORK, "factor", DEFAULT_HEAVY_FACTOR)
+        if self._faults.draw(WorkerFault.HEAVY_WORK, DEFAULT_HEAVY_SHARE):
+            work_ms *= self._faults.setting(WorkerFault.HEAVY_WORK, "factor", DEFAULT_HEAVY_FACTOR)
         self._loop.call_later(work_ms / 1000, self._on_executed, job)
 
     def _on_executed(self, job: InferenceJob) -> None:
@@ -117,7 +117,7 @@
         """Answer a job; without a result it has failed."""
         if not self._state.is_current(job):
             return
-        if job.request.parameters.get("stream") and result is not None and FaultKind.SILENT not in self._faults:
+        if job.request.parameters.get("stream") and result is not None and WorkerFault.SILENT not in self._faults:
             self._loop.create_task(self._stream(job, result))
             return
         self._release(job)
@@ -131,17 +131,17 @@
         job.model.last_used = now_ms()
 
     def _loses_answer(self) -> bool:
-        return FaultKind.SILENT in self._faults or self._faults.draw(FaultKind.ANSWERS_LOST, DEFAULT_LOST_SHARE)
+        return WorkerFault.SILENT in self._faults or self._faults.draw(WorkerFault.ANSWERS_LOST, DEFAULT_LOST_SHARE)
 
     def _answer(self, job: InferenceJob, result: str | None) -> None:
         if result is None:
             job.exchange.reply_encoded(error_response(500, "failed"))
             return
         data = encode_response(200, encode_answer(job, result), self._load_report(job))
-        if FaultKind.ANSWERS_TWICE in self._faults:
+        if WorkerFault.ANSWERS_TWICE in self._faults:
             data += data
-        if FaultKind.ANSWERS_LATE in self._faults:
-            delay_ms = self._faults.setting(FaultKind.ANSWERS_LATE, "ms", DEFAULT_ANSWER_DELAY_MS)
+        if WorkerFault.ANSWERS_LATE in self._faults:
+            delay_ms = self._faults.setting(WorkerFault.ANSWERS_LATE, "ms", DEFAULT_ANSWER_DELAY_MS)
             self._loop.call_later(delay_ms / 1000, job.exchange.reply_encoded, data)
         else:
             job.exchange.reply_encoded(data)
@@ -156,7 +156,7 @@
         fault = self._faults.draw_stream_fault()
         part_count = shape.part_count if fault is None else (shape.part_count + 1) // 2
         await write_parts(job, shape, part_count, self._state, self._worker_id)
-        if fault is FaultKind.CUT:
+        if fault is WorkerFault.CUT:
             exchange.abort()
         elif fault is None and not exchange.client_gone:
             exchange.write_chunk(encode_event(encode_answer(job, result, final=True)))
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -10,7 +10,7 @@
 
 from kelptrail.emulator.capture import Capture
 from kelptrail.emulator.endpoint_service import EndpointService
-from kelptrail.emulator.worker_faults import ActiveFaults, FaultKind
+from kelptrail.emulator.worker_faults import ActiveFaults, WorkerFault
 from kelptrail.emulator.worker_slow_start import SlowStart
 from kelptrail.net.http_client import HttpClient
 from kelptrail.settings.deployment import parse
@@ -44,10 +44,10 @@
     random = np.random.default_rng(1)
     faults = ActiveFaults(random)
     before = random.bit_generator.state
-    assert not faults.draw(FaultKind.ANSWERS_LOST, 1.0) and faults.draw_stream_fault() is None
+    assert not faults.draw(WorkerFault.ANSWERS_LOST, 1.0) and faults.draw_stream_fault() is None
     assert random.bit_generator.state == before
     faults.start("cut", {"kind": "cut", "share": 1})
-    assert faults.draw_stream_fault() is FaultKind.CUT
+    assert faults.draw_stream_fault() is WorkerFault.CUT
     assert random.bit_generator.state != before
     faults.end("cut")
     assert faults.draw_stream_fault() is None
