--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -12,6 +12,7 @@
 from kelptrail.emulator.endpoint_service import EndpointService
 from kelptrail.emulator.worker_faults import ActiveFaults, WorkerFault
 from kelptrail.emulator.worker_slow_start import SlowStart
+from kelptrail.fault_scenario.scenario import WORKER_FAULTS
 from kelptrail.net.http_client import HttpClient
 from kelptrail.settings.deployment import parse
 
@@ -53,6 +54,10 @@
     assert faults.draw_stream_fault() is None
 
 
+def test_scenarios_know_every_fault_of_the_worker() -> None:
+    assert {fault.value for fault in WorkerFault} <= {kind.value for kind in WORKER_FAULTS}
+
+
 def test_too_much_work_during_slow_start_overloads_a_worker() -> None:
     deployment = parse(DEPLOYMENT, "test")
     warm, cold = SlowStart(deployment, warm=True), SlowStart(deployment, warm=False)
