--- a/kelptrail/simulation/clients.py
+++ b/kelptrail/simulation/clients.py
@@ -32,12 +32,7 @@
 POLL_MS = 150.0  # between two polls of a deferred call
 POLLING_GRACE_MS = 3000.0  # beyond the call's timeout, until a polling client gives up
 PATIENCE_MS = 500.0  # beyond the call's timeout, until a client gives up waiting
-<<<<<<< HEAD
-CONNECT_BYTES = 100  # size of a call, for the limits of its namespace
-MAX_UNACCEPTED_RETRIES = 20  # beyond the client's retries, while no dispatcher accepts the call
-=======
 CONNECT_BYTES = 100  # of a request, for the overload control
->>>>>>> emulator
 
 
 @dataclass(slots=True, eq=False)
