--- a/bench/copies.py
+++ b/bench/copies.py
@@ -192,7 +192,7 @@
     def is_accepting(self) -> bool:
         return True
 
-    def may_act(self, now: float) -> bool:
+    def is_primary(self, now: float) -> bool:
         return True
 
     def write(self, entry: Any, waiter: Any = None, keep: bool = False) -> None:
--- a/kelptrail/gateway/attempts.py
+++ b/kelptrail/gateway/attempts.py
@@ -32,7 +32,7 @@
         if attempt.number == 0:
             record.queued_ms = now - record.received_at
         journal = record.replicated_journal
-        may_start = invocation.lifecycle.on_attempt_decided() and (journal is None or journal.may_act(now))
+        may_start = invocation.lifecycle.on_attempt_decided() and (journal is None or journal.is_primary(now))
         if not may_start:
             invocation.held_attempts.append(attempt)
         self._durability.write_entries(invocation)
--- a/kelptrail/gateway/build.py
+++ b/kelptrail/gateway/build.py
@@ -20,7 +20,7 @@
     """The dispatcher of one process, and the request classes, tenants and functions that its deployment names."""
 
     def __init__(self, deployment: Deployment, zone: str, seed: int) -> None:
-        place, rules = deployment.dispatcher, deployment.rules
+        settings, rules = deployment.dispatcher, deployment.rules
         self.deployment = deployment
         self.request_classes = {
             t.name: RequestClass(
@@ -40,8 +40,8 @@
         safety = self.safety = SafetyGuard(
             seed,
             SafetySettings(
-                place.parallel,
-                place.max_attempts,
+                settings.parallel,
+                settings.max_attempts,
                 LoadRation(rules.orders, rules.free_loads, rules.load_share, rules.load_span_ms),
             ),
             SlowStartSettings(rules.overload_multiple, rules.tip_ms, rules.cold_share, rules.cold_ms),
@@ -51,12 +51,12 @@
             safety,
             health,
             Placement(safety, health, self.zones.get(zone, 0), seed),
-            InstanceTable(timers, place.keep_alive_ms),
+            InstanceTable(timers, settings.keep_alive_ms),
             RequestQueues(seed, list(self.request_classes.values()), list(self.tenants.values())),
             timers,
-            RetryBudget(place.second_share, place.second_most),
+            RetryBudget(settings.second_share, settings.second_most),
         )
-        self.dispatcher = Dispatcher(parts, DispatcherOptions(place.cancels, place.longest_return_ms))
+        self.dispatcher = Dispatcher(parts, DispatcherOptions(settings.cancels, settings.longest_return_ms))
         self._functions: dict[str, Function] = {}
         self.paths = {action.model: path for path, action in deployment.actions.items()}
 
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -66,7 +66,7 @@
         self._attempts = Attempts(state, self.durability, self._completion)
         self._streams = ResponseStreams(state)
         self.records.on_drop = self._on_record_dropped
-        self._max_utility = max(kind.priority_weight for kind in parts.deployment.types.values())
+        self._max_priority_weight = max(kind.priority_weight for kind in parts.deployment.types.values())
         self._cold_ms = parts.deployment.rules.cold_ms
         self._next_tick_at = self._next_cold_count_at = NEVER_MS
 
@@ -89,7 +89,7 @@
             return reason, RETRY_AFTER_MS
         kind = self._parts.deployment.types[self._parts.deployment.actions[path].type]
         retry_after_ms = self.overload.on_request(
-            now, f"{namespace}/{path}/{mark}", namespace, kind.priority_weight / self._max_utility
+            now, f"{namespace}/{path}/{mark}", namespace, kind.priority_weight / self._max_priority_weight
         )
         if retry_after_ms is not None:
             self.limits.rejections[RejectionReason.EARLY] += 1
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -221,7 +221,7 @@
         started, answers = now_ms(), 0
         try:
             while (effect := self.gateway.next_effect(started)) is not None:
-                self._carry_out(effect)
+                self._execute(effect)
                 answers += isinstance(effect, FinalAnswer)
         finally:
             self._running_effects = False
@@ -233,7 +233,7 @@
         self._measure(started, answers)
         self._set_timer()
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         if isinstance(effect, StartAttempt):
             self._start_attempt(effect.invocation, effect.attempt)
         elif isinstance(effect, FinalAnswer):
@@ -295,7 +295,7 @@
 
     def _start_attempt(self, invocation: Invocation, attempt: Attempt) -> None:
         journal = invocation.record.replicated_journal
-        if journal is not None and not journal.may_act(now_ms()):
+        if journal is not None and not journal.is_primary(now_ms()):
             # Checked right before the write: another dispatcher may have become the primary since the decision.
             self.gateway.on_attempt_finished(now_ms(), attempt, AttemptStatus.NOT_SENT)
             return
--- a/kelptrail/gateway/overload.py
+++ b/kelptrail/gateway/overload.py
@@ -8,8 +8,9 @@
 
 In a storm each rejected client gets a retry-after time of its own, so that the retries together fit what is completed
 beyond the first tries; a client that returns earlier is rejected on arrival, at no cost, and gets a longer one.  For a
-tenant over its quota, retries are admitted by a budget that follows what is completed, the highest utility first, and
-first tries before them.  All other requests go on to the dispatcher: a burst that it can serve is not damped.
+tenant over its quota, retries are admitted by a budget that follows what is completed, the highest priority weight
+first, and first tries before them.  All other requests go on to the dispatcher: a burst that it can serve is not
+damped.
 """
 
 from __future__ import annotations
@@ -53,7 +54,7 @@
     connection_surge_factor: float = 4.0  # times the usual connections, from which they raise an alarm
     cold_share: float = 0.3  # of the workers, from which attempts without an instance raise an alarm
     over_quota_factor: float = 1.25  # times its share of the requests, from which a tenant is over its quota
-    harmed_share: float = 0.1  # of others' requests rejected or late, from which tenants over quota are held back
+    degraded_share: float = 0.1  # of others' requests rejected or late, from which tenants over quota are held back
     max_clients: int = 200_000  # rejected clients that are remembered
     forget_after_ms: float = 30_000.0  # past its retry-after time, a client that has not returned is forgotten
 
@@ -84,7 +85,7 @@
         self._requests = self._retries = self._completed = self._rejections = 0
         self._connections = self._not_loaded = self._answers = 0
         self._by_tenant: dict[str, int] = {}
-        self._within_quota = self._harmed = 0  # requests of tenants within quota, and those rejected or late
+        self._within_quota = self._degraded = 0  # requests of tenants within quota, and those rejected or late
         # Recent averages.
         self._tenant_rates: dict[str, float] = {}  # requests a window
         self.baseline_connections = 0.0  # a window, while it is calm
@@ -113,10 +114,10 @@
         self._answers += 1
         self._not_loaded += not_loaded
 
-    def on_request(self, now: float, client: str, tenant: str = "", utility: float = 1.0) -> float | None:
+    def on_request(self, now: float, client: str, tenant: str = "", priority_weight: float = 1.0) -> float | None:
         """A request arrives: None where it goes on to the dispatcher, else its retry-after time, as it is rejected now.
 
-        `utility`: of its request class, as a share of the highest.
+        `priority_weight`: of its request class, as a share of the highest.
         """
         self._close_windows(now)
         self._requests += 1
@@ -136,7 +137,7 @@
         if now >= known.retry_at - EARLY_TOLERANCE_MS:
             if over and not (
                 self._admit(self.admitted_share**2)
-                and (self.stage is not OverloadStage.STORM or self._spend_budget(utility))
+                and (self.stage is not OverloadStage.STORM or self._spend_budget(priority_weight))
             ):
                 self.held_back += 1
                 return self._assign_retry_after(now, client, 0.0)
@@ -149,7 +150,7 @@
         """The dispatcher rejects a request: its retry-after time, not below the dispatcher's own `retry_after_ms`."""
         self._close_windows(now)
         self._rejections += 1
-        self._harmed += not self._is_over_quota(tenant)
+        self._degraded += not self._is_over_quota(tenant)
         if self.stage is OverloadStage.CALM or not self._settings.enabled:
             self._remember(client, now + retry_after_ms)
             return retry_after_ms
@@ -159,7 +160,7 @@
         """A request is completed; `late`: after its latency objective."""
         self._close_windows(now)
         self._completed += 1
-        self._harmed += late and not self._is_over_quota(tenant)
+        self._degraded += late and not self._is_over_quota(tenant)
         self._retry_budget += 1
         self._clients.pop(client, None)
 
@@ -180,9 +181,9 @@
         self._draws += 1
         return crc32(f"{self._seed} in {self._draws}".encode()) < share * 2**32
 
-    def _spend_budget(self, utility: float) -> bool:
-        """Take one retry from the budget if it has enough; a lower utility needs a fuller budget."""
-        if self._retry_budget < 1 + 0.5 * (1 - utility) * self._max_budget():
+    def _spend_budget(self, priority_weight: float) -> bool:
+        """Take one retry from the budget if it has enough; a lower weight needs a fuller budget."""
+        if self._retry_budget < 1 + 0.5 * (1 - priority_weight) * self._max_budget():
             return False
         self._retry_budget -= 1
         return True
@@ -199,11 +200,11 @@
         """
         self.delayed += 1
         known = self._clients.get(client)
-        spare = max(
+        retry_capacity_per_s = max(
             self.completed_per_s - self.first_tries_per_s, self._settings.min_retry_share * self.completed_per_s, 1.0
         )
         if known is None or now >= known.retry_at - EARLY_TOLERANCE_MS:  # a client that returns early keeps its place
-            self._next_retry_at = max(self._next_retry_at, now) + 1000 / spare
+            self._next_retry_at = max(self._next_retry_at, now) + 1000 / retry_capacity_per_s
             wait = self._next_retry_at - now
         else:
             wait = known.retry_at - now
@@ -239,9 +240,11 @@
 
     def _close_window(self) -> None:
         self._update_rates()
-        harmed = self._harmed > self._settings.harmed_share * max(self._within_quota, self._settings.min_samples)
-        self.alarm += 0.5 * (max(self._early_signs(), float(bool(self._over_quota) and harmed)) - self.alarm)
-        self._update_quotas(harmed)
+        others_degraded = self._degraded > self._settings.degraded_share * max(
+            self._within_quota, self._settings.min_samples
+        )
+        self.alarm += 0.5 * (max(self._early_signs(), float(bool(self._over_quota) and others_degraded)) - self.alarm)
+        self._update_quotas(others_degraded)
         self._reset_window()
         self._forget_clients()
         self._update_stage()
@@ -262,8 +265,11 @@
                 sign = max(sign, self._rejections / requests)
         self.retry_share += 0.5 * (sign - self.retry_share)
 
-    def _update_quotas(self, harmed: bool) -> None:
-        """Which tenants are over quota, and how much of their requests is admitted; `harmed`: others suffer."""
+    def _update_quotas(self, others_degraded: bool) -> None:
+        """Which tenants are over quota, and how much of their requests is admitted.
+
+        `others_degraded`: many requests of tenants within quota are rejected or late.
+        """
         for tenant in set(self._tenant_rates) | set(self._by_tenant):
             before = self._tenant_rates.get(tenant, 0.0)
             self._tenant_rates[tenant] = before + 0.2 * (self._by_tenant.get(tenant, 0) - before)
@@ -274,14 +280,14 @@
             for tenant, rate in self._tenant_rates.items()
             if rate > factor * self._shares.get(tenant, 1.0) * total
         }
-        if self._over_quota and harmed:
+        if self._over_quota and others_degraded:
             self.admitted_share = max(0.05, 0.85 * self.admitted_share)
         else:
             growth = 0.08 if self.stage is OverloadStage.CALM else 0.01
             self.admitted_share = min(1.0, self.admitted_share + growth)
 
     def _reset_window(self) -> None:
-        self._within_quota = self._harmed = 0
+        self._within_quota = self._degraded = 0
         budget = self._max_budget()
         self._retry_budget = max(-budget, min(budget, self._retry_budget))
         self._requests = self._retries = self._completed = self._rejections = 0
--- a/kelptrail/gateway/records.py
+++ b/kelptrail/gateway/records.py
@@ -20,7 +20,7 @@
     def is_accepting(self) -> bool:
         """Whether a new request can be made durable."""
 
-    def may_act(self, now: float) -> bool:
+    def is_primary(self, now: float) -> bool:
         """Whether this dispatcher is the primary at this instant, so that it may act on the entries."""
 
     def write(self, entry: Any, waiter: Callable[[bool], None] | None = None, keep: bool = False) -> None:
--- a/kelptrail/gateway/state.py
+++ b/kelptrail/gateway/state.py
@@ -29,17 +29,17 @@
     """State of one gateway.  It changes only through the gateway and its parts, on one thread."""
 
     def __init__(self, parts: DispatcherParts, boot: str) -> None:
-        place = parts.deployment.dispatcher
+        settings = parts.deployment.dispatcher
         damping = parts.deployment.storm
         self.parts = parts
         self.dispatcher = parts.dispatcher
-        self.margin_ms = place.answer_margin_ms  # a final answer is given this long before the client's limit
+        self.margin_ms = settings.answer_margin_ms  # a final answer is given this long before the client's limit
         self.invocations: dict[Request, Invocation] = {}
         self.invocations_by_id: dict[str, Invocation] = {}
         self.effects: deque[Effect] = deque()  # decided, not yet handed to the host
         self.deadlines = TimerQueue()  # requests whose attempts are cancelled when it fires
         self.keys = IdempotencyKeys()
-        self.limits = InFlightLimits(place.held, place.held_mb * 1e6, place.held_each)
+        self.limits = InFlightLimits(settings.held, settings.held_mb * 1e6, settings.held_each)
         self.overload = OverloadController(
             OverloadSettings(
                 damping.damp, max_retry_after_ms=damping.longest_return_ms, max_clients=damping.most_known
@@ -48,7 +48,7 @@
             {space.name: space.allowed_per_s for space in parts.deployment.namespaces.values()},
         )
         self.members = WorkerRegistry(parts.zones)
-        self.records = Records(place.records, place.records_mb * 1e6, place.record_ms)
+        self.records = Records(settings.records, settings.records_mb * 1e6, settings.record_ms)
         self.counts = GatewayCounters()
         self.counters_by_model: dict[str, FunctionCounters] = {}  # since the last report to a planner
 
--- a/kelptrail/replication/primary_handle.py
+++ b/kelptrail/replication/primary_handle.py
@@ -30,10 +30,10 @@
 
     def is_accepting(self) -> bool:
         """Whether a new deferred call can be accepted."""
-        return self.recovered and self.primary.accepts_requests() and self.may_act(now_ms())
+        return self.recovered and self.primary.accepts_requests() and self.is_primary(now_ms())
 
-    def may_act(self, now: float) -> bool:
-        """Whether entries of the journal may be acted on at this instant; checks the lease."""
+    def is_primary(self, now: float) -> bool:
+        """Whether this dispatcher is the journal's primary at this instant; checks the lease."""
         return (
             self.primary.ready
             and not self.primary.fenced_by
