--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -363,7 +363,7 @@
         if now >= self._next_cold_count_at:  # CPU: a large fleet is not counted at each tick
             self._next_cold_count_at = now + COLD_COUNT_INTERVAL_MS
             cold = [w.started_at is not None and now - w.started_at < self._cold_ms for w in self.members if w.live]
-            self.overload.cold_share = sum(cold) / len(cold) if cold else 0.0
+            self.overload.signals.cold_share = sum(cold) / len(cold) if cold else 0.0
 
     def _on_expired(self, now: float, request: Request) -> None:
         """A request's time is up: cancel its attempts, and show its answer even if that is not durable yet."""
--- a/kelptrail/gateway/overload.py
+++ b/kelptrail/gateway/overload.py
@@ -15,104 +15,46 @@
 
 from __future__ import annotations
 
-from collections import OrderedDict
 from collections.abc import Mapping
-from dataclasses import dataclass
-from enum import Enum
-from zlib import crc32
 
-EARLY_TOLERANCE_MS = 20.0  # a client that returns so much before its time counts as on time
+from .overload_settings import OverloadSettings, OverloadStage
+from .overload_signals import OverloadSignals, WindowCounts
+from .retry_after import RetryAfterQueue
+from .seeded_draws import SeededDraws
+from .tenant_quotas import TenantQuotas
+
 MAX_CATCH_UP_WINDOWS = 40  # windows without a request that are closed one by one
 MAX_STAGE_HISTORY = 100
 
 
-class OverloadStage(Enum):
-    """How far a retry storm has developed."""
-
-    CALM = "calm"
-    RISING = "rising"
-    STORM = "storm"
-    RECOVERING = "recovering"
-
-
-@dataclass(frozen=True, slots=True)
-class OverloadSettings:
-    """Thresholds of overload control, which looks at windows of `window_ms`.
-
-    The stage follows from the share of retries among a window's requests.
-    """
-
-    enabled: bool = True  # False: the dispatcher's own retry-after times only
-    window_ms: float = 250.0
-    min_samples: int = 20  # requests, connections or answers of a window, below which nothing is concluded
-    high_share: float = 0.35
-    surge_factor: float = 1.3  # times the usual requests, from which rejections count as a sign
-    low_share: float = 0.15
-    min_stage_windows: int = 4  # that a stage lasts before it may end
-    max_retry_after_ms: float = 12_000.0
-    min_retry_share: float = 0.1  # of what is completed: at least so much is left for retries
-    connection_surge_factor: float = 4.0  # times the usual connections, from which they raise an alarm
-    cold_share: float = 0.3  # of the workers, from which attempts without an instance raise an alarm
-    over_quota_factor: float = 1.25  # times its share of the requests, from which a tenant is over its quota
-    degraded_share: float = 0.1  # of others' requests rejected or late, from which tenants over quota are held back
-    max_clients: int = 200_000  # rejected clients that are remembered
-    forget_after_ms: float = 30_000.0  # past its retry-after time, a client that has not returned is forgotten
-
-
-@dataclass(slots=True)
-class _RejectedClient:
-    """A client that was given a retry-after time."""
-
-    retry_at: float
-    early_retries: int = 0  # how often it returned before that
-
-
 class OverloadController:
     """Overload as one gateway sees it.  Times in milliseconds; `seed` varies the random draws."""
 
     def __init__(self, settings: OverloadSettings, seed: int, shares: Mapping[str, float] | None = None) -> None:
         """`shares`: each tenant's quota, in any unit; one without a quota is never over it."""
-        self._settings, self._seed, self._draws = settings, seed, 0
-        total = sum((shares or {}).values()) or 1.0
-        self._shares = {name: share / total for name, share in (shares or {}).items()}
+        self._settings = settings
+        draws = SeededDraws(seed)
+        self.signals = OverloadSignals(settings)
+        self.quotas = TenantQuotas(settings, draws, shares)
+        self.retry_after = RetryAfterQueue(settings, draws)
         self.stage = OverloadStage.CALM
         self.stage_history: list[tuple[float, OverloadStage]] = []
         self._stage_windows = 0  # windows in this stage
-        self._clients: OrderedDict[str, _RejectedClient] = OrderedDict()
-        self._next_retry_at = 0.0  # until when retry-after times are assigned
-        # Counts of this window.
         self._window_start = 0.0
-        self._requests = self._retries = self._completed = self._rejections = 0
-        self._connections = self._not_loaded = self._answers = 0
-        self._by_tenant: dict[str, int] = {}
-        self._within_quota = self._degraded = 0  # requests of tenants within quota, and those rejected or late
-        # Recent averages.
-        self._tenant_rates: dict[str, float] = {}  # requests a window
-        self.baseline_connections = 0.0  # a window, while it is calm
-        self.baseline_per_s = 0.0  # requests while it is calm, on a slow average
-        self.first_tries_per_s = self.completed_per_s = 0.0
-        self.retry_share = 0.0  # of retries among the requests
-        self.alarm = 0.0  # how strong the early signs are, from 0 to 1
-        self.cold_share = 0.0  # of the workers; set by the gateway
-        # Tenants over quota.
-        self._over_quota: set[str] = set()
-        self.admitted_share = 1.0  # of their requests
-        self._retry_budget = 0.0  # retries of theirs that are admitted
-        self.held_back = 0  # requests of theirs that were not admitted
-        self.early_retries = self.delayed = 0  # before the retry-after time; retry-after times assigned
+        self._window = WindowCounts()
 
     # Inputs.
 
     def on_connection(self, now: float) -> None:
         """A client connects."""
         self._close_windows(now)
-        self._connections += 1
+        self._window.connections += 1
 
     def on_attempt_answered(self, now: float, not_loaded: bool) -> None:
         """A worker answered an attempt; `not_loaded`: it had no instance."""
         self._close_windows(now)
-        self._answers += 1
-        self._not_loaded += not_loaded
+        self._window.answers += 1
+        self._window.not_loaded += not_loaded
 
     def on_request(self, now: float, client: str, tenant: str = "", priority_weight: float = 1.0) -> float | None:
         """A request arrives: None where it goes on to the dispatcher, else its retry-after time, as it is rejected now.
@@ -120,110 +62,43 @@
         `priority_weight`: of its request class, as a share of the highest.
         """
         self._close_windows(now)
-        self._requests += 1
-        self._by_tenant[tenant] = self._by_tenant.get(tenant, 0) + 1
-        over = self._is_over_quota(tenant)
-        self._within_quota += not over
-        known = self._clients.get(client)
+        self._window.requests += 1
+        self.quotas.on_request(tenant)
+        known = self.retry_after.find(client)
         if known is None:
-            if over and not self._admit(self.admitted_share):
-                self.held_back += 1
-                return self._assign_retry_after(now, client, 0.0)
-            self._retry_budget -= over  # first tries go before retries
-            return None
-        self._retries += 1
+            return None if self.quotas.admit_first_try(tenant) else self._assign_retry_after(now, client)
+        self._window.retries += 1
         if not self._settings.enabled or self.stage is OverloadStage.CALM:
             return None
-        if now >= known.retry_at - EARLY_TOLERANCE_MS:
-            if over and not (
-                self._admit(self.admitted_share**2)
-                and (self.stage is not OverloadStage.STORM or self._spend_budget(priority_weight))
-            ):
-                self.held_back += 1
-                return self._assign_retry_after(now, client, 0.0)
+        if known.is_early(now):
+            self.retry_after.on_early_retry(known)
+            return self._assign_retry_after(now, client)
+        needs_budget = self.stage is OverloadStage.STORM
+        if self.quotas.admit_retry(tenant, priority_weight, needs_budget):
             return None
-        self.early_retries += 1
-        known.early_retries += 1
-        return self._assign_retry_after(now, client, 0.0)
+        return self._assign_retry_after(now, client)
 
     def on_rejected(self, now: float, client: str, retry_after_ms: float, tenant: str = "") -> float:
         """The dispatcher rejects a request: its retry-after time, not below the dispatcher's own `retry_after_ms`."""
         self._close_windows(now)
-        self._rejections += 1
-        self._degraded += not self._is_over_quota(tenant)
+        self._window.rejections += 1
+        self.quotas.on_degraded(tenant)
         if self.stage is OverloadStage.CALM or not self._settings.enabled:
-            self._remember(client, now + retry_after_ms)
+            self.retry_after.remember(client, now + retry_after_ms)
             return retry_after_ms
         return self._assign_retry_after(now, client, retry_after_ms)
 
     def on_completed(self, now: float, client: str, tenant: str = "", late: bool = False) -> None:
         """A request is completed; `late`: after its latency objective."""
         self._close_windows(now)
-        self._completed += 1
-        self._degraded += late and not self._is_over_quota(tenant)
-        self._retry_budget += 1
-        self._clients.pop(client, None)
-
-    # Decisions.
-
-    def _is_over_quota(self, tenant: str) -> bool:
-        """Whether a tenant is over its quota.  Guards against one tenant's retry storm that harms others."""
-        return tenant in self._over_quota
-
-    def _admit(self, share: float) -> bool:
-        """Whether a request is admitted, by a random draw with this share.
-
-        Guards against one tenant's retry storm that harms others: of tenants over quota ever fewer requests are
-        admitted while the requests of others are rejected or late.
-        """
-        if share >= 1 or not self._settings.enabled:
-            return True
-        self._draws += 1
-        return crc32(f"{self._seed} in {self._draws}".encode()) < share * 2**32
+        self._window.completed += 1
+        if late:
+            self.quotas.on_degraded(tenant)
+        self.quotas.on_completed()
+        self.retry_after.forget(client)
 
-    def _spend_budget(self, priority_weight: float) -> bool:
-        """Take one retry from the budget if it has enough; a lower weight needs a fuller budget."""
-        if self._retry_budget < 1 + 0.5 * (1 - priority_weight) * self._max_budget():
-            return False
-        self._retry_budget -= 1
-        return True
-
-    def _max_budget(self) -> float:
-        return max(1.0, self.completed_per_s * self._settings.window_ms / 1000)
-
-    def _assign_retry_after(self, now: float, client: str, least: float) -> float:
-        """A retry-after time of the client's own, at least `least`.
-
-        It is the next place in a queue that moves at the rate of what can be served beyond first tries; longer, within
-        the bound, for a client that keeps returning early.  Guards against all clients returning at one moment, and
-        against clients that ignore their retry-after time.
-        """
-        self.delayed += 1
-        known = self._clients.get(client)
-        retry_capacity_per_s = max(
-            self.completed_per_s - self.first_tries_per_s, self._settings.min_retry_share * self.completed_per_s, 1.0
-        )
-        if known is None or now >= known.retry_at - EARLY_TOLERANCE_MS:  # a client that returns early keeps its place
-            self._next_retry_at = max(self._next_retry_at, now) + 1000 / retry_capacity_per_s
-            wait = self._next_retry_at - now
-        else:
-            wait = known.retry_at - now
-        wait *= 1 + min(3, known.early_retries) / 2 if known is not None else 1.0
-        self._draws += 1
-        spread = 0.75 + 0.25 * crc32(f"{self._seed} back {self._draws}".encode()) / 2**32  # also where the bound cuts
-        wait = max(least, min(self._settings.max_retry_after_ms, wait) * spread)
-        self._next_retry_at = min(self._next_retry_at, now + self._settings.max_retry_after_ms)
-        self._remember(client, now + wait)
-        return wait
-
-    def _remember(self, client: str, until: float) -> None:
-        known = self._clients.pop(client, None)
-        if known is None:
-            known = _RejectedClient(until)
-        known.retry_at = until
-        self._clients[client] = known
-        while len(self._clients) > self._settings.max_clients:
-            self._clients.popitem(last=False)
+    def _assign_retry_after(self, now: float, client: str, min_ms: float = 0.0) -> float:
+        return self.retry_after.assign(now, client, min_ms, self.signals.retry_capacity_per_s)
 
     # Windows.
 
@@ -239,73 +114,20 @@
             self._close_window()
 
     def _close_window(self) -> None:
-        self._update_rates()
-        others_degraded = self._degraded > self._settings.degraded_share * max(
-            self._within_quota, self._settings.min_samples
-        )
-        self.alarm += 0.5 * (max(self._early_signs(), float(bool(self._over_quota) and others_degraded)) - self.alarm)
-        self._update_quotas(others_degraded)
-        self._reset_window()
-        self._forget_clients()
-        self._update_stage()
-
-    def _update_rates(self) -> None:
-        settings, requests, retries = self._settings, self._requests, self._retries
-        seconds = settings.window_ms / 1000
-        first_tries = (requests - retries) / seconds
-        self.first_tries_per_s += 0.1 * (first_tries - self.first_tries_per_s)
-        self.completed_per_s += 0.1 * (self._completed / seconds - self.completed_per_s)
-        if self.stage is OverloadStage.CALM and not self._rejections:
-            weight = 0.02 if self.baseline_per_s else 1.0
-            self.baseline_per_s += weight * (requests / seconds - self.baseline_per_s)
-        sign = 0.0
-        if requests >= settings.min_samples:
-            sign = retries / requests
-            if requests / seconds > settings.surge_factor * self.baseline_per_s:
-                sign = max(sign, self._rejections / requests)
-        self.retry_share += 0.5 * (sign - self.retry_share)
-
-    def _update_quotas(self, others_degraded: bool) -> None:
-        """Which tenants are over quota, and how much of their requests is admitted.
-
-        `others_degraded`: many requests of tenants within quota are rejected or late.
-        """
-        for tenant in set(self._tenant_rates) | set(self._by_tenant):
-            before = self._tenant_rates.get(tenant, 0.0)
-            self._tenant_rates[tenant] = before + 0.2 * (self._by_tenant.get(tenant, 0) - before)
-        total = sum(self._tenant_rates.values())
-        factor = self._settings.over_quota_factor
-        self._over_quota = {
-            tenant
-            for tenant, rate in self._tenant_rates.items()
-            if rate > factor * self._shares.get(tenant, 1.0) * total
-        }
-        if self._over_quota and others_degraded:
-            self.admitted_share = max(0.05, 0.85 * self.admitted_share)
-        else:
-            growth = 0.08 if self.stage is OverloadStage.CALM else 0.01
-            self.admitted_share = min(1.0, self.admitted_share + growth)
-
-    def _reset_window(self) -> None:
-        self._within_quota = self._degraded = 0
-        budget = self._max_budget()
-        self._retry_budget = max(-budget, min(budget, self._retry_budget))
-        self._requests = self._retries = self._completed = self._rejections = 0
-        self._connections = self._not_loaded = self._answers = 0
-        self._by_tenant.clear()
+        calm = self.stage is OverloadStage.CALM
+        others_degraded = self.quotas.others_degraded()
+        self.signals.update_rates(self._window, calm)
+        self.signals.update_alarm(self._window, calm, bool(self.quotas.over_quota) and others_degraded)
+        self.quotas.close_window(calm, others_degraded, self.signals.completed_per_s)
+        self._window = WindowCounts()
         self._stage_windows += 1
-
-    def _forget_clients(self) -> None:
-        while self._clients:
-            client, oldest = next(iter(self._clients.items()))
-            if self._window_start < oldest.retry_at + self._settings.forget_after_ms:
-                break
-            del self._clients[client]
+        self.retry_after.forget_absent(self._window_start)
+        self._update_stage()
 
     def _update_stage(self) -> None:
-        settings = self._settings
-        high, low = self.retry_share >= settings.high_share, self.retry_share <= settings.low_share
-        may_end, alarmed = self._stage_windows >= settings.min_stage_windows, self.alarm >= settings.high_share
+        settings, signals = self._settings, self.signals
+        high, low = signals.retry_share >= settings.high_share, signals.retry_share <= settings.low_share
+        may_end, alarmed = self._stage_windows >= settings.min_stage_windows, signals.alarm >= settings.high_share
         if self.stage is OverloadStage.CALM:
             if high or alarmed:
                 self._enter(OverloadStage.RISING)
@@ -321,24 +143,7 @@
             self._enter(OverloadStage.STORM)
         elif low and self._stage_windows >= 2 * settings.min_stage_windows:
             self._enter(OverloadStage.CALM)
-            self._next_retry_at = 0.0
-
-    def _early_signs(self) -> float:
-        """Early signs of a window, from 0 to 1: a surge of connections; missing instances while workers are cold."""
-        settings, sign = self._settings, 0.0
-        if (
-            self._connections >= settings.min_samples
-            and self.baseline_connections
-            and (self._connections > settings.connection_surge_factor * self.baseline_connections)
-        ):
-            sign = 1 - self.baseline_connections / self._connections
-        if self._answers >= settings.min_samples and self.cold_share >= settings.cold_share:
-            sign = max(sign, self._not_loaded / self._answers)
-        if self.stage is OverloadStage.CALM:
-            self.baseline_connections += (0.02 if self.baseline_connections else 1.0) * (
-                self._connections - self.baseline_connections
-            )
-        return sign
+            self.retry_after.restart()
 
     def _enter(self, stage: OverloadStage) -> None:
         self.stage, self._stage_windows = stage, 0
@@ -347,16 +152,17 @@
 
     def status(self) -> dict[str, object]:
         """The status that operators see; its keys are part of the status page."""
+        signals, quotas, retry_after = self.signals, self.quotas, self.retry_after
         return {
             "stage": self.stage.value,
-            "repeats": round(self.retry_share, 3),
-            "fresh_per_s": round(self.first_tries_per_s, 1),
-            "done_per_s": round(self.completed_per_s, 1),
-            "told_to_return": self.delayed,
-            "came_early": self.early_retries,
-            "known": len(self._clients),
-            "alarm": round(self.alarm, 3),
-            "held_back": self.held_back,
-            "over_share": sorted(self._over_quota),
-            "allowed_of_those": round(self.admitted_share, 3),
+            "repeats": round(signals.retry_share, 3),
+            "fresh_per_s": round(signals.first_tries_per_s, 1),
+            "done_per_s": round(signals.completed_per_s, 1),
+            "told_to_return": retry_after.assigned,
+            "came_early": retry_after.early_retries,
+            "known": len(retry_after),
+            "alarm": round(signals.alarm, 3),
+            "held_back": quotas.held_back,
+            "over_share": sorted(quotas.over_quota),
+            "allowed_of_those": round(quotas.admitted_share, 3),
         }
--- /dev/null
+++ b/kelptrail/gateway/tenant_quotas.py
@@ -0,0 +1,116 @@
+"""Which tenants are over their quota, and how much of their requests is admitted while others suffer.
+
+Guards against one tenant's retry storm that degrades the service of others: of tenants over quota ever fewer requests
+are admitted while the requests of others are rejected or late.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from .overload_settings import OverloadSettings
+from .seeded_draws import SeededDraws
+
+RATE_WEIGHT = 0.2  # of one window in a tenant's average rate
+MIN_ADMITTED_SHARE = 0.05
+ADMITTED_SHARE_DECREASE = 0.85  # factor of a window in which others suffer
+ADMITTED_SHARE_INCREASE = 0.01  # of another window
+ADMITTED_SHARE_INCREASE_CALM = 0.08
+
+
+class TenantQuotas:
+    """Admission by quota.  Requests are counted by windows, which `close_window` ends."""
+
+    def __init__(self, settings: OverloadSettings, draws: SeededDraws, shares: Mapping[str, float] | None) -> None:
+        """`shares`: each tenant's quota, in any unit; one without a quota is never over it."""
+        self._settings, self._draws = settings, draws
+        total = sum((shares or {}).values()) or 1.0
+        self._shares = {name: share / total for name, share in (shares or {}).items()}
+        self._rates: dict[str, float] = {}  # by tenant: requests a window, a recent average
+        self.over_quota: set[str] = set()
+        self.admitted_share = 1.0  # of the requests of tenants over quota
+        self.held_back = 0  # requests of theirs that were not admitted
+        self._retry_budget = 0.0  # retries of theirs that are admitted
+        self._max_retry_budget = 1.0
+        # Counts of this window.
+        self._requests: dict[str, int] = {}  # by tenant
+        self._within_quota = self._degraded = 0  # requests of tenants within quota, and those rejected or late
+
+    # Inputs.
+
+    def on_request(self, tenant: str) -> None:
+        """A request arrives."""
+        self._requests[tenant] = self._requests.get(tenant, 0) + 1
+        self._within_quota += tenant not in self.over_quota
+
+    def on_degraded(self, tenant: str) -> None:
+        """A request is rejected by the dispatcher, or completed late."""
+        self._degraded += tenant not in self.over_quota
+
+    def on_completed(self) -> None:
+        """A request is completed: one more retry may be admitted."""
+        self._retry_budget += 1
+
+    # Decisions.
+
+    def admit_first_try(self, tenant: str) -> bool:
+        """Whether the first try of a request is admitted; first tries go before retries."""
+        if tenant not in self.over_quota:
+            return True
+        if not self._admit(self.admitted_share):
+            self.held_back += 1
+            return False
+        self._retry_budget -= 1
+        return True
+
+    def admit_retry(self, tenant: str, priority_weight: float, needs_budget: bool) -> bool:
+        """Whether a retry at its time is admitted; `needs_budget`: only if the budget has enough, too."""
+        if tenant not in self.over_quota:
+            return True
+        if self._admit(self.admitted_share**2) and (not needs_budget or self._spend_budget(priority_weight)):
+            return True
+        self.held_back += 1
+        return False
+
+    def _admit(self, share: float) -> bool:
+        """Whether a request is admitted, by a random draw with this share."""
+        if share >= 1 or not self._settings.enabled:
+            return True
+        return self._draws.draw("in") < share
+
+    def _spend_budget(self, priority_weight: float) -> bool:
+        """Take one retry from the budget if it has enough; a lower weight needs a fuller budget."""
+        if self._retry_budget < 1 + 0.5 * (1 - priority_weight) * self._max_retry_budget:
+            return False
+        self._retry_budget -= 1
+        return True
+
+    # Windows.
+
+    def others_degraded(self) -> bool:
+        """Whether many requests of tenants within quota were rejected or late in this window."""
+        settings = self._settings
+        return self._degraded > settings.degraded_share * max(self._within_quota, settings.min_samples)
+
+    def close_window(self, calm: bool, others_degraded: bool, completed_per_s: float) -> None:
+        """End a window: who is over quota, how much of their requests is admitted, and how many retries."""
+        self._update_over_quota()
+        if self.over_quota and others_degraded:
+            self.admitted_share = max(MIN_ADMITTED_SHARE, ADMITTED_SHARE_DECREASE * self.admitted_share)
+        else:
+            increase = ADMITTED_SHARE_INCREASE_CALM if calm else ADMITTED_SHARE_INCREASE
+            self.admitted_share = min(1.0, self.admitted_share + increase)
+        self._max_retry_budget = budget = max(1.0, completed_per_s * self._settings.window_ms / 1000)
+        self._retry_budget = max(-budget, min(budget, self._retry_budget))
+        self._within_quota = self._degraded = 0
+        self._requests.clear()
+
+    def _update_over_quota(self) -> None:
+        for tenant in set(self._rates) | set(self._requests):
+            before = self._rates.get(tenant, 0.0)
+            self._rates[tenant] = before + RATE_WEIGHT * (self._requests.get(tenant, 0) - before)
+        total = sum(self._rates.values())
+        factor = self._settings.over_quota_factor
+        self.over_quota = {
+            tenant for tenant, rate in self._rates.items() if rate > factor * self._shares.get(tenant, 1.0) * total
+        }
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -1,4 +1,4 @@
-"""The storm core: stages with hysteresis, return times in a row, and what must not be damped."""
+"""Overload control: stages with hysteresis, retry-after times one after the other, and what must not be damped."""
 
 from __future__ import annotations
 
@@ -8,50 +8,54 @@
 from kelptrail.gateway.overload import OverloadController, OverloadSettings, OverloadStage
 
 
-def rush(
-    storm: OverloadController,
+def run_load(
+    controller: OverloadController,
     start: float,
     seconds: float,
     per_s: float,
-    turned: float,
-    done: float,
+    rejected_share: float,
+    completed_share: float,
     seed: int = 1,
-    again: float = 0.0,
+    retry_share: float = 0.0,
 ) -> tuple[float, list[float]]:
-    """Comers at a rate, of whom a part is turned away and a part completed; `again`: the share that comes again at
-    once.  Returns when it ends, and the return times told."""
-    chance, now, told, waiting = random.Random(seed), start, list[float](), list[str]()
+    """Requests at a rate, of which a share is rejected and a share of the others completed; `retry_share`: of the
+    requests, those that retry a rejected one at once.  Returns when it ends, and the retry-after times."""
+    random_source, now = random.Random(seed), start
+    retry_after_ms, rejected_clients = list[float](), list[str]()
     number = 0
     while now < start + seconds * 1000:
-        now += chance.expovariate(per_s / 1000)
+        now += random_source.expovariate(per_s / 1000)
         number += 1
-        who = waiting.pop(0) if waiting and chance.random() < again else f"{seed}-{start}-{number}"
-        back = storm.on_request(now, who)
-        if back is not None:
-            told.append(back)
-            waiting.append(who)
-        elif chance.random() < turned:
-            told.append(storm.on_rejected(now, who, 1000.0))
-            waiting.append(who)
-        elif chance.random() < done:
-            storm.on_completed(now, who)
-    return now, told
-
-
-def test_a_storm_is_seen_as_it_starts_and_ends_in_steps() -> None:
-    storm = OverloadController(OverloadSettings(), 1)
-    now, told = rush(storm, 0.0, 10, 400, 0.0, 1.0)
-    assert storm.stage is OverloadStage.CALM and not told
-    began = now
-    now, told = rush(storm, now, 6, 1600, 0.8, 1.0, 2, again=0.6)
-    assert storm.stage is OverloadStage.STORM
-    seen = dict(reversed([(stage, when) for when, stage in storm.stage_history]))
-    assert seen[OverloadStage.RISING] - began < 1000 and seen[OverloadStage.STORM] - began < 2500
-    now, _ = rush(storm, now, 2, 420, 0.02, 1.0, 3)
-    assert storm.stage is OverloadStage.RECOVERING
-    now, _ = rush(storm, now, 6, 400, 0.0, 1.0, 4)
-    assert storm.stage is OverloadStage.CALM
-    order = [stage for _, stage in storm.stage_history]
+        retries = rejected_clients and random_source.random() < retry_share
+        client = rejected_clients.pop(0) if retries else f"{seed}-{start}-{number}"
+        wait_ms = controller.on_request(now, client)
+        if wait_ms is not None:
+            retry_after_ms.append(wait_ms)
+            rejected_clients.append(client)
+        elif random_source.random() < rejected_share:
+            retry_after_ms.append(controller.on_rejected(now, client, 1000.0))
+            rejected_clients.append(client)
+        elif random_source.random() < completed_share:
+            controller.on_completed(now, client)
+    return now, retry_after_ms
+
+
+def test_a_retry_storm_is_detected_as_it_starts_and_ends_in_steps() -> None:
+    controller = OverloadController(OverloadSettings(), 1)
+    now, retry_after_ms = run_load(controller, 0.0, 10, 400, 0.0, 1.0)
+    assert controller.stage is OverloadStage.CALM and not retry_after_ms
+    storm_start = now
+    now, retry_after_ms = run_load(controller, now, 6, 1600, 0.8, 1.0, 2, retry_share=0.6)
+    assert controller.stage is OverloadStage.STORM
+    entered_at = dict(reversed([(stage, when) for when, stage in controller.stage_history]))
+    assert (
+        entered_at[OverloadStage.RISING] - storm_start < 1000 and entered_at[OverloadStage.STORM] - storm_start < 2500
+    )
+    now, _ = run_load(controller, now, 2, 420, 0.02, 1.0, 3)
+    assert controller.stage is OverloadStage.RECOVERING
+    now, _ = run_load(controller, now, 6, 400, 0.0, 1.0, 4)
+    assert controller.stage is OverloadStage.CALM
+    order = [stage for _, stage in controller.stage_history]
     assert order[:2] == [OverloadStage.RISING, OverloadStage.STORM] and order[-2:] == [
         OverloadStage.RECOVERING,
         OverloadStage.CALM,
@@ -59,145 +63,158 @@
     assert len(order) <= 8, "it does not flap"
 
 
-def test_a_rush_that_is_served_and_a_few_refusals_are_no_storm() -> None:
-    for turned, per_s in ((0.0, 2000.0), (0.1, 400.0), (0.1, 1200.0)):
-        storm = OverloadController(OverloadSettings(), 1)
-        now, _ = rush(storm, 0.0, 10, 400, 0.0, 1.0)
-        _, told = rush(storm, now, 8, per_s, turned, 1.0, 2)
-        assert storm.stage is OverloadStage.CALM, (turned, per_s)
-        assert set(told) <= {1000.0}, "the decisions' own return time"
-
-
-def test_return_times_stand_in_a_row_that_fits_what_can_be_taken() -> None:
-    storm = OverloadController(OverloadSettings(max_retry_after_ms=600_000.0), 1)
-    now, _ = rush(storm, 0.0, 10, 400, 0.0, 1.0)
-    now, _ = rush(storm, now, 4, 1600, 0.7, 1.0, 2)
-    assert storm.stage is OverloadStage.STORM
-    spare = max(storm.completed_per_s - storm.first_tries_per_s, 0.1 * storm.completed_per_s, 1.0)
-    before = storm._next_retry_at
-    times = sorted(now + storm.on_rejected(now, f"x{n}", 0.0) for n in range(200))
-    assert storm._next_retry_at - before > 0.9 * 200 * 1000 / spare, "each has a place of its own"
+def test_a_burst_that_is_served_and_a_few_rejections_are_no_storm() -> None:
+    for rejected_share, per_s in ((0.0, 2000.0), (0.1, 400.0), (0.1, 1200.0)):
+        controller = OverloadController(OverloadSettings(), 1)
+        now, _ = run_load(controller, 0.0, 10, 400, 0.0, 1.0)
+        _, retry_after_ms = run_load(controller, now, 8, per_s, rejected_share, 1.0, 2)
+        assert controller.stage is OverloadStage.CALM, (rejected_share, per_s)
+        assert set(retry_after_ms) <= {1000.0}, "the dispatcher's own retry-after time"
+
+
+def test_retry_after_times_are_spaced_by_what_can_be_served() -> None:
+    controller = OverloadController(OverloadSettings(max_retry_after_ms=600_000.0), 1)
+    now, _ = run_load(controller, 0.0, 10, 400, 0.0, 1.0)
+    now, _ = run_load(controller, now, 4, 1600, 0.7, 1.0, 2)
+    assert controller.stage is OverloadStage.STORM
+    completed_per_s, first_tries_per_s = controller.signals.completed_per_s, controller.signals.first_tries_per_s
+    retry_capacity_per_s = max(completed_per_s - first_tries_per_s, 0.1 * completed_per_s, 1.0)
+    before = controller.retry_after.next_retry_at
+    times = sorted(now + controller.on_rejected(now, f"x{n}", 0.0) for n in range(200))
+    queued_ms = controller.retry_after.next_retry_at - before
+    assert queued_ms > 0.9 * 200 * 1000 / retry_capacity_per_s, "each has a slot of its own"
     assert len({round(t) for t in times}) > 190, "not all at one moment"
     bounded = OverloadController(OverloadSettings(max_retry_after_ms=3000.0), 1)
-    now, _ = rush(bounded, 0.0, 10, 400, 0.0, 1.0)
-    now, told = rush(bounded, now, 6, 4000, 0.95, 1.0, 2)
-    assert max(told) <= 3000 and len({round(t) for t in told[-200:]}) > 100, "spread also at the bound"
-    assert bounded._next_retry_at <= now + 3000
-
-
-def test_whoever_comes_early_is_refused_at_the_door_and_told_longer_but_not_without_end() -> None:
-    storm = OverloadController(OverloadSettings(), 1)
-    now, _ = rush(storm, 0.0, 10, 400, 0.0, 1.0)
-    now, _ = rush(storm, now, 6, 1600, 0.8, 1.0, 2, again=0.6)
-    assert storm.stage is OverloadStage.STORM
-    first = storm.on_rejected(now, "me", 4000.0)
-    slot = storm._next_retry_at
-    backs = [storm.on_request(now + 10 + n, "me") for n in range(8)]
-    assert all(b is not None and b <= 12_000 for b in backs)
-    assert storm._next_retry_at == slot, "it takes nobody else's place"
-    assert backs[0] is not None and backs[0] > 0.74 * min(12_000.0, 1.5 * (first - 10)), "longer, not shorter"
-    last = backs[-1]
-    assert last is not None and storm.on_request(now + 20 + last + 100, "me") is None, "at its time it is let in"
-    storm.on_completed(now + 30_000, "me")
-    assert "me" not in storm._clients
-
-
-def test_whoever_never_comes_back_is_forgotten() -> None:
-    storm = OverloadController(OverloadSettings(forget_after_ms=2000.0), 1)
-    now, _ = rush(storm, 0.0, 5, 400, 0.3, 1.0)
-    assert len(storm._clients) > 300
-    rush(storm, now, 5, 200, 0.0, 1.0, 2)
-    assert not storm._clients
-
-
-def test_undamped_it_only_watches_and_memory_is_bounded() -> None:
-    storm = OverloadController(OverloadSettings(enabled=False, max_clients=500), 1)
-    now, _ = rush(storm, 0.0, 5, 400, 0.0, 1.0)
-    _, told = rush(storm, now, 6, 1600, 0.8, 1.0, 2, again=0.6)
-    assert storm.stage is OverloadStage.STORM and set(told) == {1000.0} and len(storm._clients) <= 500
-    assert storm.status()["stage"] == "storm"
-
-
-def test_connects_and_misses_raise_an_alarm_but_no_storm() -> None:
-    storm = OverloadController(OverloadSettings(), 1)
+    now, _ = run_load(bounded, 0.0, 10, 400, 0.0, 1.0)
+    now, retry_after_ms = run_load(bounded, now, 6, 4000, 0.95, 1.0, 2)
+    assert max(retry_after_ms) <= 3000
+    assert len({round(t) for t in retry_after_ms[-200:]}) > 100, "spread also at the bound"
+    assert bounded.retry_after.next_retry_at <= now + 3000
+
+
+def test_an_early_retry_is_rejected_on_arrival_with_a_longer_retry_after_time_within_the_bound() -> None:
+    controller = OverloadController(OverloadSettings(), 1)
+    now, _ = run_load(controller, 0.0, 10, 400, 0.0, 1.0)
+    now, _ = run_load(controller, now, 6, 1600, 0.8, 1.0, 2, retry_share=0.6)
+    assert controller.stage is OverloadStage.STORM
+    first = controller.on_rejected(now, "early-client", 4000.0)
+    slot = controller.retry_after.next_retry_at
+    waits_ms = [controller.on_request(now + 10 + n, "early-client") for n in range(8)]
+    assert all(b is not None and b <= 12_000 for b in waits_ms)
+    assert controller.retry_after.next_retry_at == slot, "it takes no other client's slot"
+    assert waits_ms[0] is not None and waits_ms[0] > 0.74 * min(12_000.0, 1.5 * (first - 10)), "longer, not shorter"
+    last = waits_ms[-1]
+    assert last is not None
+    assert controller.on_request(now + 20 + last + 100, "early-client") is None, "at its time it is admitted"
+    controller.on_completed(now + 30_000, "early-client")
+    assert "early-client" not in controller.retry_after
+
+
+def test_clients_that_never_return_are_forgotten() -> None:
+    controller = OverloadController(OverloadSettings(forget_after_ms=2000.0), 1)
+    now, _ = run_load(controller, 0.0, 5, 400, 0.3, 1.0)
+    assert len(controller.retry_after) > 300
+    run_load(controller, now, 5, 200, 0.0, 1.0, 2)
+    assert len(controller.retry_after) == 0
+
+
+def test_disabled_it_only_measures_and_memory_is_bounded() -> None:
+    controller = OverloadController(OverloadSettings(enabled=False, max_clients=500), 1)
+    now, _ = run_load(controller, 0.0, 5, 400, 0.0, 1.0)
+    _, retry_after_ms = run_load(controller, now, 6, 1600, 0.8, 1.0, 2, retry_share=0.6)
+    assert controller.stage is OverloadStage.STORM
+    assert set(retry_after_ms) == {1000.0} and len(controller.retry_after) <= 500
+    assert controller.status()["stage"] == "storm"
+
+
+def test_connections_and_missing_instances_raise_an_alarm_but_no_storm() -> None:
+    controller = OverloadController(OverloadSettings(), 1)
     now = 0.0
     while now < 10_000:
         now += 5
-        storm.on_connection(now) if now % 50 == 0 else storm.on_attempt_answered(now, False)
-    assert storm.stage is OverloadStage.CALM
-    while now < 12_000:  # everybody connects anew
+        controller.on_connection(now) if now % 50 == 0 else controller.on_attempt_answered(now, False)
+    assert controller.stage is OverloadStage.CALM
+    while now < 12_000:  # all clients reconnect
         now += 2
-        storm.on_connection(now)
-    assert storm.stage is OverloadStage.RISING and [s for _, s in storm.stage_history] == [OverloadStage.RISING]
+        controller.on_connection(now)
+    assert controller.stage is OverloadStage.RISING
+    assert [stage for _, stage in controller.stage_history] == [OverloadStage.RISING]
     while now < 15_000:
         now += 50
-        storm.on_connection(now)
-    assert storm.stage is OverloadStage.CALM
-    storm.cold_share = 0.1
+        controller.on_connection(now)
+    assert controller.stage is OverloadStage.CALM
+    controller.signals.cold_share = 0.1
     for share, stage in ((0.1, OverloadStage.CALM), (0.6, OverloadStage.RISING)):
-        storm.cold_share = share
+        controller.signals.cold_share = share
         for _ in range(600):
             now += 3
-            storm.on_attempt_answered(now, True)
-        assert storm.stage is stage, "misses alone are no sign, misses while workers are cold are"
+            controller.on_attempt_answered(now, True)
+        assert controller.stage is stage, "missing instances are a sign only while workers are cold"
 
 
-def test_repeats_of_a_customer_over_its_share_take_what_is_left() -> None:
-    """One customer storms, the other asks for what it always does: its first tries and its repeats go on."""
-    storm, chance, now = OverloadController(OverloadSettings(), 1, {"quiet": 1.0, "loud": 1.0}), random.Random(3), 0.0
-    held, passed, number, told = {"quiet": 0, "loud": 0}, {"quiet": 0, "loud": 0}, 0, list[tuple[float, str, str]]()
+def test_retries_of_a_tenant_over_quota_take_the_capacity_that_is_left() -> None:
+    """One tenant's clients retry in a storm; the other tenant's usual requests and retries are admitted."""
+    controller = OverloadController(OverloadSettings(), 1, {"quiet": 1.0, "loud": 1.0})
+    random_source, now, number = random.Random(3), 0.0, 0
+    held_back, admitted = {"quiet": 0, "loud": 0}, {"quiet": 0, "loud": 0}
+    retries = list[tuple[float, str, str]]()  # when, the tenant, the client
     while now < 30_000:
         now += 1
-        comers = [
-            (space, f"{space}-{number}-{n}")
-            for space, odds in (("quiet", 0.2), ("loud", 0.2 + (now > 8000)))
-            for n in range(1)
-            if chance.random() < odds
+        arrivals = [
+            (tenant, f"{tenant}-{number}")
+            for tenant, probability in (("quiet", 0.2), ("loud", 0.2 + (now > 8000)))
+            if random_source.random() < probability
         ]
-        while told and told[0][0] <= now:
-            comers.append(heappop(told)[1:])
-        for space, who in comers:
+        while retries and retries[0][0] <= now:
+            arrivals.append(heappop(retries)[1:])
+        for tenant, client in arrivals:
             number += 1
-            back = storm.on_request(now, who, space, 1.0)
-            late = now > 12_000 and storm.stage is OverloadStage.STORM
-            if back is not None:
-                held[space] += late
-                heappush(told, (now + back, space, who))
-            elif chance.random() < (0.0 if now < 8000 else 0.7):
-                passed[space] += late
-                heappush(told, (now + storm.on_rejected(now, who, 100.0), space, who))
+            retry_after_ms = controller.on_request(now, client, tenant, 1.0)
+            counted = now > 12_000 and controller.stage is OverloadStage.STORM
+            if retry_after_ms is not None:
+                held_back[tenant] += counted
+                heappush(retries, (now + retry_after_ms, tenant, client))
+            elif random_source.random() < (0.0 if now < 8000 else 0.7):
+                admitted[tenant] += counted
+                heappush(retries, (now + controller.on_rejected(now, client, 100.0), tenant, client))
             else:
-                passed[space] += late
-                storm.on_completed(now, who)
-    assert storm.held_back > 100 and held["loud"] > 100 and held["quiet"] == 0 and passed["quiet"] > 1000
-
-
-def test_one_customer_over_its_share_is_held_back_while_the_others_are_hurt_and_no_longer() -> None:
-    storm, chance, now = OverloadController(OverloadSettings(), 1, {"quiet": 2.0, "loud": 1.0}), random.Random(5), 0.0
-    let_in: dict[float, list[int]] = {}
+                admitted[tenant] += counted
+                controller.on_completed(now, client)
+    assert (
+        controller.quotas.held_back > 100
+        and held_back["loud"] > 100
+        and held_back["quiet"] == 0
+        and admitted["quiet"] > 1000
+    )
+
+
+def test_a_tenant_over_quota_is_held_back_while_others_are_degraded_and_no_longer() -> None:
+    controller = OverloadController(OverloadSettings(), 1, {"quiet": 2.0, "loud": 1.0})
+    random_source, now = random.Random(5), 0.0
+    requests_by_second: dict[float, list[int]] = {}  # arrived, admitted
     while now < 30_000:
         now += 1
-        loud = 10_000 < now < 20_000
-        for space, odds in (("quiet", 0.4), ("loud", 1.0 if loud else 0.2)):
-            if chance.random() >= odds:
+        surge = 10_000 < now < 20_000
+        for tenant, probability in (("quiet", 0.4), ("loud", 1.0 if surge else 0.2)):
+            if random_source.random() >= probability:
                 continue
-            who = f"{space} {now}"
-            back = storm.on_request(now, who, space)
-            second = let_in.setdefault(now // 1000, [0, 0])
-            if space == "loud":
-                second[0] += 1
-                second[1] += back is None
+            client = f"{tenant} {now}"
+            retry_after_ms = controller.on_request(now, client, tenant)
+            counts = requests_by_second.setdefault(now // 1000, [0, 0])
+            if tenant == "loud":
+                counts[0] += 1
+                counts[1] += retry_after_ms is None
             else:
-                assert back is None, "whoever keeps to its share is not held back"
-            if back is None:
-                crowded = loud and storm.admitted_share > 0.4  # what is let in is more than can be carried
-                storm.on_completed(now, who, space, late=crowded and chance.random() < 0.5)
-    share = {second: good / came for second, (came, good) in let_in.items() if came}
+                assert retry_after_ms is None, "a tenant within its quota is not held back"
+            if retry_after_ms is None:
+                overloaded = surge and controller.quotas.admitted_share > 0.4  # more is admitted than can be served
+                controller.on_completed(now, client, tenant, late=overloaded and random_source.random() < 0.5)
+    share = {second: admitted / arrived for second, (arrived, admitted) in requests_by_second.items() if arrived}
     assert all(share[n] == 1.0 for n in range(10)) and all(share[n] < 0.6 for n in range(13, 20))
     assert all(share[n] == 1.0 for n in range(24, 30)), "and no longer"
     other = OverloadController(OverloadSettings(), 1, {"quiet": 2.0, "loud": 1.0})
-    for step in range(20_000):  # over its share, and nobody is the worse for it
-        space = "loud" if step % 2 else "quiet"
-        assert other.on_request(step, f"{space} {step}", space) is None
-        other.on_completed(step, f"{space} {step}", space)
-    assert other.admitted_share == 1.0
+    for step in range(20_000):  # over its quota while no other tenant is degraded
+        tenant = "loud" if step % 2 else "quiet"
+        assert other.on_request(step, f"{tenant} {step}", tenant) is None
+        other.on_completed(step, f"{tenant} {step}", tenant)
+    assert other.quotas.admitted_share == 1.0
