--- a/bench/deferred.py
+++ b/bench/deferred.py
@@ -16,6 +16,7 @@
 
 from overhead import DEPLOYMENT, STARTED, List, Process, load
 
+from kelptrail.gateway.admission import Submission
 from kelptrail.gateway.build import DispatcherParts
 from kelptrail.gateway.core import Gateway
 from kelptrail.settings.deployment import parse
@@ -83,7 +84,8 @@
     gc.collect()
     before = memory()
     for n in range(count):
-        gateway.submit(0.0, 1e12, "n", action, bytes(body) + b" ", f"key-{n}", "0" * 55, None, True)
+        submission = Submission("n", action, bytes(body) + b" ", f"key-{n}", "0" * 55, deferred=True)
+        gateway.submit(0.0, 1e12, submission)
     gc.collect()
     return {"in_hand": gateway.in_flight, "body_bytes": len(body), "bytes_each": round((memory() - before) / count)}
 
--- a/bench/split.py
+++ b/bench/split.py
@@ -15,6 +15,7 @@
 from kelptrail.codec.http import RequestReader, ResponseReader, encode_request, encode_response
 from kelptrail.codec.infer import infer_answer, infer_request, read_answer
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder, Request
+from kelptrail.gateway.admission import Submission
 from kelptrail.gateway.build import DispatcherParts
 from kelptrail.gateway.core import Gateway
 from kelptrail.gateway.effects import FinalAnswer, StartAttempt, StartLoad
@@ -74,7 +75,7 @@
     def run() -> None:
         clock[0] += 0.3
         now = clock[0]
-        gateway.submit(now, now, "n", action, b"{}")
+        gateway.submit(now, now, Submission("n", action, b"{}"))
         while (effect := gateway.next_effect(now)) is not None:
             if isinstance(effect, StartAttempt):
                 gateway.on_attempt_finished(now + 0.2, effect.attempt, AttemptStatus.COMPLETED)
--- a/kelptrail/front/inference/api.py
+++ b/kelptrail/front/inference/api.py
@@ -23,6 +23,7 @@
 from kelptrail.codec.infer import Payload
 from kelptrail.codec.tensors import JsonTensor, TensorError, fill, scalars, to_json, write_scalars
 from kelptrail.front.callers import UNSURE, Callers, Finder
+from kelptrail.gateway.admission import Submission
 from kelptrail.gateway.driver import GatewayDriver
 from kelptrail.gateway.idempotency_keys import KeyConflictError
 from kelptrail.gateway.invocation import Invocation
@@ -191,17 +192,19 @@
         ivk = gateway.submit(
             now_ms(),
             wall_ms(),
-            caller.name,
-            action,
-            payload,
-            key,
-            self._trace(stream),
+            Submission(
+                caller.name,
+                action,
+                payload,
+                key,
+                self._trace(stream),
+                deferred,
+                digest,
+                float("inf") if deferred else limit,
+                "tensors",
+                client_key=who,
+            ),
             waits.ended,
-            deferred,
-            digest,
-            float("inf") if deferred else limit,
-            "tensors",
-            client_key=who,
         )
         if deferred:
             self._driver.schedule_decisions(lambda: waits.promise(ivk))
@@ -538,18 +541,16 @@
         ivk = api._driver.gateway.submit(
             now_ms(),
             wall_ms(),
-            self._caller.name,
-            action,
-            payload,
-            None,
-            api._trace(self._stream),
-            None,
-            False,
-            "",
-            limit,
-            "tensors",
-            True,
-            who,
+            Submission(
+                self._caller.name,
+                action,
+                payload,
+                trace=api._trace(self._stream),
+                limit_ms=limit,
+                payload_format="tensors",
+                streamed=True,
+                client_key=who,
+            ),
         )
         ivk.stream_limit_ms = limit
         ivk.on_part = lambda part: self._part(ivk, part)
--- a/kelptrail/front/invoke/api.py
+++ b/kelptrail/front/invoke/api.py
@@ -24,6 +24,7 @@
 from kelptrail.codec.events import encode_event
 from kelptrail.codec.http import Request
 from kelptrail.front.callers import UNSURE, Callers, Finder
+from kelptrail.gateway.admission import Submission
 from kelptrail.gateway.driver import GatewayDriver
 from kelptrail.gateway.idempotency_keys import KeyConflictError
 from kelptrail.gateway.invocation import Invocation
@@ -251,15 +252,8 @@
         ivk = gateway.submit(
             now_ms(),
             wall_ms(),
-            caller.name,
-            action,
-            payload,
-            key,
-            trace,
+            Submission(caller.name, action, payload, key, trace, not blocking, digest, client_key=who),
             wait.ended,
-            not blocking,
-            digest,
-            client_key=who,
         )
         if blocking:
             exchange.on_client_gone = lambda: self._left(ivk, wait)
@@ -280,7 +274,7 @@
         """A streamed answer as server-sent events: `part`s, then one `final` with the record."""
         driver = self._driver
         ivk = driver.gateway.submit(
-            now_ms(), wall_ms(), caller.name, action, payload, None, trace, streamed=True, client_key=who
+            now_ms(), wall_ms(), Submission(caller.name, action, payload, None, trace, streamed=True, client_key=who)
         )
         held = False
 
--- /dev/null
+++ b/kelptrail/gateway/admission.py
@@ -0,0 +1,150 @@
+"""Requests on their way in: rejected at a limit or under overload, or accepted with a record and a deadline."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from kelptrail.dispatch.entities import Idempotency, Request
+from kelptrail.settings.deployment import ActionSettings
+
+from .durability import DurabilityWriter
+from .invocation import Invocation
+from .lifecycle import RequestLifecycle
+from .limits import RETRY_AFTER_MS, RejectionReason
+from .records import Record
+from .state import GatewayState
+
+MAX_MARGIN_SHARE = 0.25  # of a request's time: the answer margin grows no further under load
+
+
+class RequestRejection(NamedTuple):
+    """Why a request is rejected on arrival, and when its client may retry."""
+
+    reason: RejectionReason
+    retry_after_ms: float
+
+
+@dataclass(frozen=True, slots=True)
+class Submission:
+    """What a client asks for."""
+
+    namespace: str
+    action: ActionSettings
+    payload: bytes
+    key: str | None = None  # the client's idempotency key
+    trace: str = ""
+    deferred: bool = False  # the client expects only the activation id
+    digest: str = ""  # of the body, to recognise another body under the same key
+    limit_ms: float = float("inf")  # what the client itself allows, where that is less than its request class does
+    payload_format: str = "json"
+    streamed: bool = False  # the client accepts the response in parts
+    client_key: str = ""  # by which overload control recognises the client's retry; empty: its key or id
+
+
+class RequestAdmission:
+    """Rejects or accepts requests, and informs the dispatcher of the accepted ones."""
+
+    def __init__(self, state: GatewayState, durability: DurabilityWriter, boot: str) -> None:
+        self._state, self._durability, self._parts = state, durability, state.parts
+        self._boot, self._submitted = boot, 0  # activation ids: this start's prefix and a number
+        self._max_priority_weight = max(kind.priority_weight for kind in self._parts.deployment.types.values())
+
+    def on_connect(self, now: float, namespace: str, path: str, size: int, mark: str) -> RequestRejection | None:
+        """Admit a request before anything is done for it, or say why it is rejected.
+
+        `mark` is the client's idempotency key or whatever else identifies its retry.
+        """
+        limits, deployment = self._state.limits, self._parts.deployment
+        reason = limits.rejection_reason(namespace, size)
+        if reason is not None:
+            return RequestRejection(reason, RETRY_AFTER_MS)
+        kind = deployment.types[deployment.actions[path].type]
+        retry_after_ms = self._state.overload.on_request(
+            now, f"{namespace}/{path}/{mark}", namespace, kind.priority_weight / self._max_priority_weight
+        )
+        if retry_after_ms is not None:
+            limits.rejections[RejectionReason.EARLY] += 1
+            return RequestRejection(RejectionReason.EARLY, retry_after_ms)
+        return None
+
+    def submit(
+        self, now: float, wall: float, submission: Submission, waiter: Callable[[Record], None] | None
+    ) -> Invocation:
+        """Accept a request; its final answer goes to `waiter`."""
+        record = self._new_record(now, wall, submission)
+        has_key = submission.key is not None
+        request = self._new_request(now, record, has_key)
+        journaled = self._durability.choose_journal(record, submission.deferred, has_key)
+        invocation = self._new_invocation(submission, record, request, journaled)
+        if waiter is not None:
+            invocation.waiters.append(waiter)
+        self._register(invocation, has_key)
+        # Guards against load orders earned by requests that a failing disk rejects: those were not accepted.
+        self._state.dispatcher.on_request(now, request, count=not (journaled and submission.deferred))
+        return invocation
+
+    def _new_record(self, now: float, wall: float, submission: Submission) -> Record:
+        action = submission.action
+        settings = self._parts.deployment.types[action.type]
+        self._submitted += 1
+        record = Record(
+            f"{self._boot}{self._submitted:016x}",
+            submission.namespace,
+            action.path,
+            action.type,
+            settings.effect,
+            wall,
+            now,
+            min(settings.timeout_ms, submission.limit_ms),
+            submission.trace,
+        )
+        record.payload_format = submission.payload_format
+        record.key, record.digest, record.deferred = submission.key or "", submission.digest, submission.deferred
+        return record
+
+    def _new_request(self, now: float, record: Record, has_key: bool) -> Request:
+        # Guards against many requests that arrived together and must all be answered at one moment: writing so many
+        # answers takes time, and the last of them would be late.
+        margin_ms = self._state.margin_ms
+        load_margin_ms = margin_ms + self._state.answer_ms * len(self._state.invocations)
+        margin = min(MAX_MARGIN_SHARE * record.timeout_ms, load_margin_ms)
+        return Request(
+            record.id,
+            self._parts.request_classes[record.request_class],
+            self._parts.function(record.path),
+            self._parts.tenants[record.namespace],
+            now,
+            now + record.timeout_ms - max(margin_ms, margin),
+            has_idempotency_key=has_key,
+        )
+
+    @staticmethod
+    def _new_invocation(submission: Submission, record: Record, request: Request, journaled: bool) -> Invocation:
+        name, key, deferred = f"{record.namespace}/{record.path}", submission.key, submission.deferred
+        return Invocation(
+            request,
+            record,
+            submission.action,
+            submission.payload,
+            deduplication_id=f"{name}/{key}" if key is not None else record.id,
+            lifecycle=RequestLifecycle(record.idempotency == Idempotency.IDEMPOTENT.value, journaled, deferred),
+            payload_format=submission.payload_format,
+            deferred=deferred,
+            streamed=submission.streamed,
+            expires_at=request.deadline,
+            client_key=f"{name}/{submission.client_key or key or record.id}",
+        )
+
+    def _register(self, invocation: Invocation, has_key: bool) -> None:
+        state, record, request = self._state, invocation.record, invocation.request
+        if has_key:
+            state.keys.add(record)
+        state.records.add(record)
+        state.invocations[request] = state.invocations_by_id[record.id] = invocation
+        state.deadlines.add(request.deadline, request)
+        state.counts.received += 1
+        state.counters_of(record.path).received += 1
+        state.limits.acquire(record.namespace, len(invocation.payload))
+        invocation.lifecycle.queue()
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -16,16 +16,15 @@
     AttemptStatus,
     FinalStatus,
     Function,
-    Idempotency,
     LoadOrder,
     Request,
     Worker,
 )
 from kelptrail.membership.members import EndpointList
-from kelptrail.settings.deployment import ActionSettings
 from kelptrail.store.activation_journal import ActivationEntries
 from kelptrail.store.group_commit import GroupCommit
 
+from .admission import RequestAdmission, RequestRejection, Submission
 from .attempts import Attempts
 from .build import DispatcherParts
 from .completion import RequestCompletion
@@ -33,15 +32,14 @@
 from .durability import DurabilityWriter
 from .effects import CancelReason, Effect, LogEvent, StartLoad
 from .invocation import Invocation
-from .lifecycle import RequestLifecycle, RequestStage
-from .limits import RETRY_AFTER_MS, RejectionReason
+from .lifecycle import RequestStage
+from .limits import RETRY_AFTER_MS
 from .records import Record, ReplicatedJournal
 from .recovery import RestartRecovery
 from .state import GatewayState
 from .streaming import ResponseStreams
 
 CLIENT_GONE = b'{"error":"The client went away before the answer."}'
-MAX_MARGIN_SHARE = 0.25  # of a request's time: the answer margin grows no further under load
 COLD_COUNT_INTERVAL_MS = 1000.0  # how often warming-up workers are counted
 NEVER_MS = -1e18
 
@@ -55,18 +53,16 @@
 
     def __init__(self, parts: DispatcherParts, boot: str, journal: GroupCommit | None = None) -> None:
         self._parts, self._dispatcher = parts, parts.dispatcher
-        self._boot, self._submitted = boot, 0  # activation ids: this start's prefix and a number
-        self.answer_ms = 0.0  # what writing one answer costs the host, which measures it
         self.state = state = GatewayState(parts, boot)
         self.limits, self.overload, self.members = state.limits, state.overload, state.members
         self.records, self.counts = state.records, state.counts
         self.durability = DurabilityWriter(state, journal)
         self._recovery = RestartRecovery(state, self.durability)
         self._completion = RequestCompletion(state, self.durability, self._recovery)
+        self._admission = RequestAdmission(state, self.durability, boot)
         self._attempts = Attempts(state, self.durability, self._completion)
         self._streams = ResponseStreams(state)
         self.records.on_drop = self._on_record_dropped
-        self._max_priority_weight = max(kind.priority_weight for kind in parts.deployment.types.values())
         self._cold_ms = parts.deployment.rules.cold_ms
         self._next_tick_at = self._next_cold_count_at = NEVER_MS
 
@@ -77,117 +73,15 @@
 
     # Requests.
 
-    def on_connect(
-        self, now: float, namespace: str, path: str, size: int, mark: str
-    ) -> tuple[RejectionReason, float] | None:
-        """Admit a request before anything is done for it: None, or why it is rejected and its retry-after time.
-
-        `mark` is the client's idempotency key or whatever else identifies its retry.
-        """
-        reason = self.limits.rejection_reason(namespace, size)
-        if reason is not None:
-            return reason, RETRY_AFTER_MS
-        kind = self._parts.deployment.types[self._parts.deployment.actions[path].type]
-        retry_after_ms = self.overload.on_request(
-            now, f"{namespace}/{path}/{mark}", namespace, kind.priority_weight / self._max_priority_weight
-        )
-        if retry_after_ms is not None:
-            self.limits.rejections[RejectionReason.EARLY] += 1
-            return RejectionReason.EARLY, retry_after_ms
-        return None
+    def on_connect(self, now: float, namespace: str, path: str, size: int, mark: str) -> RequestRejection | None:
+        """See `RequestAdmission.on_connect`."""
+        return self._admission.on_connect(now, namespace, path, size, mark)
 
     def submit(
-        self,
-        now: float,
-        wall: float,
-        namespace: str,
-        action: ActionSettings,
-        payload: bytes,
-        key: str | None = None,
-        trace: str = "",
-        waiter: Callable[[Record], None] | None = None,
-        deferred: bool = False,
-        digest: str = "",
-        limit_ms: float = float("inf"),
-        payload_format: str = "json",
-        streamed: bool = False,
-        client_key: str = "",
+        self, now: float, wall: float, submission: Submission, waiter: Callable[[Record], None] | None = None
     ) -> Invocation:
-        """Accept a request; its final answer goes to `waiter`.
-
-        `key`: the client's idempotency key.  `digest`: of the body, to recognise another body under the same key.
-        `limit_ms`: what the client itself allows, where that is less than its request class does.
-        """
-        record = self._new_record(now, wall, namespace, action, limit_ms, trace)
-        id_ = record.id
-        request = self._new_request(now, record, key is not None)
-        record.payload_format = payload_format
-        record.key, record.digest, record.deferred = key or "", digest, deferred
-        journaled = self.durability.choose_journal(record, deferred, key is not None)
-        invocation = Invocation(
-            request,
-            record,
-            action,
-            payload,
-            f"{namespace}/{action.path}/{key}" if key is not None else id_,
-            RequestLifecycle(record.idempotency == Idempotency.IDEMPOTENT.value, journaled, deferred),
-            [waiter] if waiter is not None else [],
-            None,
-            payload_format,
-            deferred,
-            streamed,
-            request.deadline,
-            f"{namespace}/{action.path}/{client_key or key or id_}",
-        )
-        self._register(invocation, key is not None)
-        # Guards against load orders earned by requests that a failing disk rejects: those were not accepted.
-        self._dispatcher.on_request(now, request, count=not (journaled and deferred))
-        return invocation
-
-    def _new_record(
-        self, now: float, wall: float, namespace: str, action: ActionSettings, limit_ms: float, trace: str
-    ) -> Record:
-        settings = self._parts.deployment.types[action.type]
-        self._submitted += 1
-        return Record(
-            f"{self._boot}{self._submitted:016x}",
-            namespace,
-            action.path,
-            action.type,
-            settings.effect,
-            wall,
-            now,
-            min(settings.timeout_ms, limit_ms),
-            trace,
-        )
-
-    def _new_request(self, now: float, record: Record, has_key: bool) -> Request:
-        # Guards against many requests that arrived together and must all be answered at one moment: writing so many
-        # answers takes time, and the last of them would be late.
-        margin_ms = self.state.margin_ms
-        load_margin_ms = margin_ms + self.answer_ms * len(self.state.invocations)
-        margin = min(MAX_MARGIN_SHARE * record.timeout_ms, load_margin_ms)
-        return Request(
-            record.id,
-            self._parts.request_classes[record.request_class],
-            self._parts.function(record.path),
-            self._parts.tenants[record.namespace],
-            now,
-            now + record.timeout_ms - max(margin_ms, margin),
-            has_idempotency_key=has_key,
-        )
-
-    def _register(self, invocation: Invocation, has_key: bool) -> None:
-        state, record, request = self.state, invocation.record, invocation.request
-        if has_key:
-            state.keys.add(record)
-        state.records.add(record)
-        state.invocations[request] = state.invocations_by_id[record.id] = invocation
-        state.deadlines.add(request.deadline, request)
-        state.counts.received += 1
-        state.counters_of(record.path).received += 1
-        state.limits.acquire(record.namespace, len(invocation.payload))
-        invocation.lifecycle.queue()
+        """See `RequestAdmission.submit`."""
+        return self._admission.submit(now, wall, submission, waiter)
 
     def find_by_key(self, namespace: str, path: str, key: str, digest: str) -> Record | None:
         """See `IdempotencyKeys.find`.  Raises `KeyConflictError`."""
@@ -237,31 +131,8 @@
         self.durability.on_became_primary(journal)
 
     def release(self, journal: ReplicatedJournal) -> int:
-        """Another dispatcher has taken a journal over; how many requests it had.
-
-        Nothing of them is sent, answered or acknowledged here any more.
-        """
-        released = self.records.kept_by(journal)
-        for record in released:
-            self.state.keys.remove(record)
-            self._recovery.on_finished(record.id)
-            invocation = self.state.invocations_by_id.pop(record.id, None)
-            if invocation is not None:
-                self._release_invocation(invocation)
-        self._recovery.remove(record.id for record in released)
-        self.records.remove(released)
-        return len(released)
-
-    def _release_invocation(self, invocation: Invocation) -> None:
-        if not invocation.lifecycle.final:
-            self._dispatcher.on_client_gone(invocation.request)
-            self.limits.release(invocation.record.namespace, len(invocation.payload))
-            self.durability.release_held(invocation, False)
-        invocation.lifecycle.release()
-        durability_waiters, invocation.durability_waiters, invocation.waiters = invocation.durability_waiters, [], []
-        for waiter in durability_waiters:
-            waiter(None)
-        self.state.settle(invocation.request)
+        """See `RestartRecovery.release`."""
+        return self._recovery.release(journal)
 
     def recover(
         self,
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -254,7 +254,8 @@
         done = now_ms()
         if answers:
             answer_ms = min(MAX_ANSWER_MS, SOCKET_WRITE_FACTOR * (done - started) / answers)
-            self.gateway.answer_ms += ANSWER_COST_WEIGHT * (answer_ms - self.gateway.answer_ms)
+            state = self.gateway.state
+            state.answer_ms += ANSWER_COST_WEIGHT * (answer_ms - state.answer_ms)
         if done - started > LATE_MS:
             self._log.warning("long-decision", ms=round(done - started), in_hand=self.gateway.in_flight)
 
--- a/kelptrail/gateway/recovery.py
+++ b/kelptrail/gateway/recovery.py
@@ -224,7 +224,32 @@
         if self._queue is not None:
             self._queue.on_finished()
 
-    def remove(self, ids: Iterable[str]) -> None:
-        """Another dispatcher has taken these over: they are not resumed here."""
+    # Released journals.
+
+    def release(self, journal: ReplicatedJournal) -> int:
+        """Another dispatcher has taken a journal over; how many requests it had.
+
+        Nothing of them is sent, answered or acknowledged here any more.
+        """
+        released = self._state.records.kept_by(journal)
+        for record in released:
+            self._state.keys.remove(record)
+            self.on_finished(record.id)
+            invocation = self._state.invocations_by_id.pop(record.id, None)
+            if invocation is not None:
+                self._release_invocation(invocation)
         if self._queue is not None:
-            self._queue.remove(ids)
+            self._queue.remove(record.id for record in released)
+        self._state.records.remove(released)
+        return len(released)
+
+    def _release_invocation(self, invocation: Invocation) -> None:
+        if not invocation.lifecycle.final:
+            self._state.dispatcher.on_client_gone(invocation.request)
+            self._state.limits.release(invocation.record.namespace, len(invocation.payload))
+            self._durability.release_held(invocation, False)
+        invocation.lifecycle.release()
+        durability_waiters, invocation.durability_waiters, invocation.waiters = invocation.durability_waiters, [], []
+        for waiter in durability_waiters:
+            waiter(None)
+        self._state.settle(invocation.request)
--- a/kelptrail/gateway/state.py
+++ b/kelptrail/gateway/state.py
@@ -34,6 +34,7 @@
         self.parts = parts
         self.dispatcher = parts.dispatcher
         self.margin_ms = settings.answer_margin_ms  # a final answer is given this long before the client's limit
+        self.answer_ms = 0.0  # what writing one answer costs the host, which measures it
         self.invocations: dict[Request, Invocation] = {}
         self.invocations_by_id: dict[str, Invocation] = {}
         self.effects: deque[Effect] = deque()  # decided, not yet handed to the host
--- a/kelptrail/simulation/clients.py
+++ b/kelptrail/simulation/clients.py
@@ -8,6 +8,7 @@
 
 import numpy as np
 
+from kelptrail.gateway.admission import Submission
 from kelptrail.gateway.invocation import Invocation
 from kelptrail.gateway.records import Record
 from kelptrail.load.arrivals import Arrivals, popularity
@@ -183,19 +184,13 @@
             return
         refused = gateway.on_connect(now, call.namespace.name, call.action.path, 100, call.ticket)
         if refused is not None:
-            self._finish_call(call, "", "rejected", refused[1], None)
+            self._finish_call(call, "", "rejected", refused.retry_after_ms, None)
             return
         invocation = gateway.submit(
             now,
             WALL_CLOCK_ORIGIN_MS + now,
-            call.namespace.name,
-            call.action,
-            b"{}",
-            key,
-            "",
+            Submission(call.namespace.name, call.action, b"{}", key, deferred=call.deferred, client_key=call.ticket),
             lambda record: self._deliver_record(call, number, record),
-            call.deferred,
-            client_key=call.ticket,
         )
         call.invocation, call.run = invocation, dispatcher.starts
         if call.deferred:
--- a/kelptrail/simulation/dispatchers.py
+++ b/kelptrail/simulation/dispatchers.py
@@ -53,7 +53,7 @@
         self.journal = GroupCommit(cluster.deployment.journal.most_waiting) if cluster.deployment.journal.keep else None
         world = DispatcherParts(cluster.deployment, self._zone, zlib.crc32(self.boot.encode()))
         self.gateway = Gateway(world, self.boot, self.journal)
-        self.gateway.answer_ms = 2 * self._settings.cpu_ms
+        self.gateway.state.answer_ms = 2 * self._settings.cpu_ms
         self._busy_until, self._timer, self._timer_at, self._deciding = 0.0, None, float("inf"), False
         self._open_orders: dict[LoadOrder, Timer] = {}
         self._open_attempts: dict[Attempt, None] = {}
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -9,6 +9,7 @@
 
 from kelptrail.codec.infer import WorkerAnswer
 from kelptrail.dispatch.entities import NEVER_RAN, Attempt, AttemptStatus, FinalStatus, Idempotency, WorkerState
+from kelptrail.gateway.admission import Submission
 from kelptrail.gateway.build import DispatcherParts
 from kelptrail.gateway.core import Gateway
 from kelptrail.gateway.effects import CancelAttempt, FinalAnswer, StartAttempt, StartLoad
@@ -51,7 +52,10 @@
             action, key = chance.choice(self.actions), chance.choice([None, f"k{chance.randrange(10**9)}"])
             before = len(self.told)
             ivk = gateway.submit(
-                now, 5e12 + now, "one", action, b"{}", key, "", lambda r: self.told.append((now, r.id))
+                now,
+                5e12 + now,
+                Submission("one", action, b"{}", key),
+                lambda r: self.told.append((now, r.id)),
             )
             assert len(self.told) == before, "answers come as effects only"
             self.taken.append(ivk)
@@ -193,10 +197,10 @@
     back were answered up to 140 ms late."""
     gateway = Gateway(DispatcherParts(parse(DEPLOYMENT, "t"), "a", 1), "b" * 16)
     action = gateway.state.parts.deployment.actions["p/check"]
-    plain = [gateway.submit(0.0, 0.0, "one", action, b"{}").request.deadline for _ in range(20)]
+    plain = [gateway.submit(0.0, 0.0, Submission("one", action, b"{}")).request.deadline for _ in range(20)]
     assert set(plain) == {800.0}, "900 less the margin"
-    gateway.answer_ms = 0.5
-    herd = [gateway.submit(0.0, 0.0, "one", action, b"{}").request.deadline for _ in range(1000)]
+    gateway.state.answer_ms = 0.5
+    herd = [gateway.submit(0.0, 0.0, Submission("one", action, b"{}")).request.deadline for _ in range(1000)]
     assert herd[0] == 790.0 and herd == sorted(herd, reverse=True)
     assert herd[200] == 900 - 100 - 0.5 * 220, "so much earlier that those before it can be answered"
     assert herd[-1] == 900 - 0.25 * 900, "at the most a quarter of its time"
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -19,6 +19,7 @@
 
 from kelptrail.codec.http import Request
 from kelptrail.dispatch.entities import AttemptStatus, Idempotency
+from kelptrail.gateway.admission import Submission
 from kelptrail.gateway.build import DispatcherParts
 from kelptrail.gateway.core import Gateway
 from kelptrail.gateway.effects import CancelAttempt, FinalAnswer, StartAttempt, StartLoad
@@ -330,7 +331,7 @@
         self.now, self.wall = self.now + passed, self.wall + passed
         if chance.random() < 0.4 and self.journal.is_accepting():  # else the API refuses
             action = chance.choice(list(self.deployment.actions.values()))
-            ivk = gateway.submit(self.now, self.wall, "one", action, b"{}", None, deferred=True)
+            ivk = gateway.submit(self.now, self.wall, Submission("one", action, b"{}", deferred=True))
             self.kinds[ivk.record.id] = ivk.record.idempotency
             self.pull()
             if not ivk.record.final:
@@ -413,7 +414,7 @@
     gateway = Gateway(world, "b" * 16, journal)
     action = world.deployment.actions["p/check"]
     for number, safe in enumerate((True, False)):
-        ivk = gateway.submit(float(number), 1000.0, "one", action, b"{}", deferred=True)
+        ivk = gateway.submit(float(number), 1000.0, Submission("one", action, b"{}", deferred=True))
         gateway.when_durable(ivk, lambda _safe: None)
         batch = journal.next_batch(0.0)
         assert batch is not None and len(world.safety.request_times) == number
@@ -424,7 +425,7 @@
         while gateway.next_effect(float(number)) is not None:
             pass
     assert len(world.safety.request_times) == 1
-    gateway.submit(3.0, 1000.0, "one", action, b"{}")
+    gateway.submit(3.0, 1000.0, Submission("one", action, b"{}"))
     assert len(world.safety.request_times) == 2, "a blocking call gets an answer in any case"
 
 
