--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -61,8 +61,7 @@
         self._stores = open_stores(deployment, options.state_folder, self._vfs, log)
         self.gateway = Gateway(parts, self.boot, self._stores.commits)
         install_step_faults(self.gateway, options)
-        self.driver = GatewayDriver(self.gateway, f"{options.name}/{self.boot}", deployment.pool, log)
-        self.driver.debug = debug
+        self.driver = GatewayDriver(self.gateway, f"{options.name}/{self.boot}", deployment.pool, log, debug)
         self.fronts = Fronts(deployment, self.driver, self.boot, log)
         self.fleet = self._build_fleet()
         replication = self.fleet.replication if self.fleet is not None else None
--- a/kelptrail/service/front_addresses.py
+++ b/kelptrail/service/front_addresses.py
@@ -111,7 +111,7 @@
 
     async def _workers_reachable(self) -> bool:
         """Whether workers can be reached, by recent attempts; workers are probed only while no attempt tells."""
-        health = self._driver.connection_health
+        health = self._driver.worker_calls.connection_health
         healthy = health.is_healthy(now_ms())
         if healthy is None:
             health.on_connect_result(now_ms(), await self._can_reach_a_worker())
--- a/kelptrail/service/fronts.py
+++ b/kelptrail/service/fronts.py
@@ -45,7 +45,7 @@
         self._pace_seed = zlib.crc32(boot.encode())
         self.reloaders = certificate_reloaders(deployment, log)
         if TO_WORKERS in self.reloaders:
-            driver.tls = self.reloaders[TO_WORKERS].context
+            driver.worker_calls.tls = self.reloaders[TO_WORKERS].context
         self._http_tls, self._grpc_tls = self._tls_context(HTTP), self._tls_context(GRPC)
         self._callers = Callers(deployment)
         self.invoke = InvokeApi(deployment, driver, boot, self._callers)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -140,7 +140,7 @@
         self.worker = ScriptedWorker("w0", script)
         self.worker.server._tls = keep["runners"].context  # type: ignore[union-attr]
         self.dispatcher = Dispatcher([], self.deployment)
-        self.dispatcher.driver.tls = keep["to-workers"].context  # type: ignore[union-attr]
+        self.dispatcher.driver.worker_calls.tls = keep["to-workers"].context  # type: ignore[union-attr]
         self.dispatcher.list([self.worker])
         callers = Callers(self.deployment)
         self.http = HttpServer(self.dispatcher.api.handle, None, self.log.warning, keep["front"].context, callers.named)  # type: ignore[union-attr]
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -157,7 +157,7 @@
         assert status == 502
         await asyncio.sleep(0.05)
         assert dispatcher.gateway.counts.attempt_statuses.get(AttemptStatus.SILENT) == 1
-        assert not dispatcher.driver._calls
+        assert dispatcher.driver.worker_calls.attempts_in_flight == 0
         await dispatcher.server.drain(0)
         await worker.server.drain(0)
 
