--- a/kelptrail/gateway/recovery.py
+++ b/kelptrail/gateway/recovery.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass
+from functools import partial
 
 import msgspec
 
@@ -44,6 +45,10 @@
     journal: ReplicatedJournal | None
 
 
+def _on_ended_written(record: Record, _durable: bool) -> None:
+    record.durable = True
+
+
 class RestartRecovery:
     """Takes up journals; resumed requests go to the dispatcher a few at a time (`resume_ready`)."""
 
@@ -150,11 +155,7 @@
         else:
             state.counts.failed += 1
         record.durable = False
-
-        def on_written(_durable: bool, record: Record = record) -> None:
-            record.durable = True
-
-        self._durability.journal_of(record).write(ended_entry(record), on_written, keep=True)
+        self._durability.journal_of(record).write(ended_entry(record), partial(_on_ended_written, record), keep=True)
 
     # Resuming.
 
