--- a/bench/leases.py
+++ b/bench/leases.py
@@ -229,10 +229,10 @@
         # A grant just before the end, on the slowest voter; the pause; the places; one silent first voter; two round
         # trips of questions with their syncs.
         bound = (
-            leases.length_ms / (1 - leases.clock_bound)
-            + 1.5 * leases.retry_ms
-            + 7 * leases.gap_ms
-            + leases.ask_ms
+            leases.length_ms / (1 - leases.clock_rate_bound)
+            + 1.5 * leases.retry_pause_ms
+            + 7 * leases.queue_spacing_ms
+            + leases.request_timeout_ms
             + 100
         )
         print(json.dumps({"bound_ms": round(bound)}))
--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -118,7 +118,11 @@
         if self.deployment.peers is not None:
             plans, leases = [f"planner-{n}" for n in range(planners)], self.deployment.leases
             every = leases is None or len(names) <= ALL_PAIRS_LIMIT
-            to = names if every or leases is None else list(dict.fromkeys((*leases.acceptors, *leases.before)))
+            to = (
+                names
+                if every or leases is None
+                else list(dict.fromkeys((*leases.acceptors, *leases.previous_acceptors)))
+            )
             self.channel_proxy = await self._start_process(
                 "links",
                 [
--- a/kelptrail/emulator/worker.py
+++ b/kelptrail/emulator/worker.py
@@ -257,9 +257,9 @@
         if warmth >= 1:
             return self.overloaded
         self._recent_work.append((now, self._work_ms(model)))
-        while self._recent_work[0][0] < now - self._rules.tip_ms:
+        while self._recent_work[0][0] < now - self._rules.overload_window_ms:
             self._recent_work.popleft()
-        limit = self._rules.overload_multiple * warmth * self._fleet.cores * self._rules.tip_ms
+        limit = self._rules.overload_multiple * warmth * self._fleet.cores * self._rules.overload_window_ms
         if sum(work for _, work in self._recent_work) > limit:
             self.overloaded = True
             self._capture.write("fell", worker=self.id, incarnation=self.incarnation)
--- a/kelptrail/gateway/build.py
+++ b/kelptrail/gateway/build.py
@@ -40,11 +40,11 @@
         safety = self.safety = SafetyGuard(
             seed,
             SafetySettings(
-                settings.parallel,
+                settings.parallel_attempts,
                 settings.max_attempts,
-                LoadRation(rules.orders, rules.free_loads, rules.load_share, rules.load_span_ms),
+                LoadRation(rules.loads_allowed, rules.free_loads, rules.loads_per_request, rules.load_window_ms),
             ),
-            SlowStartSettings(rules.overload_multiple, rules.tip_ms, rules.cold_share, rules.cold_ms),
+            SlowStartSettings(rules.overload_multiple, rules.overload_window_ms, rules.cold_share, rules.cold_ms),
         )
         health, timers = OutlierDetector(), TimerQueue()
         parts = Components(
@@ -54,9 +54,9 @@
             InstanceTable(timers, settings.keep_alive_ms),
             RequestQueues(seed, list(self.request_classes.values()), list(self.tenants.values())),
             timers,
-            RetryBudget(settings.second_share, settings.second_most),
+            RetryBudget(settings.retry_budget_share, settings.retry_budget_capacity),
         )
-        self.dispatcher = Dispatcher(parts, DispatcherOptions(settings.cancels, settings.longest_return_ms))
+        self.dispatcher = Dispatcher(parts, DispatcherOptions(settings.can_cancel, settings.max_retry_after_ms))
         self._functions: dict[str, Function] = {}
         self.paths = {action.model: path for path, action in deployment.actions.items()}
 
--- a/kelptrail/gateway/state.py
+++ b/kelptrail/gateway/state.py
@@ -30,7 +30,7 @@
 
     def __init__(self, parts: DispatcherParts, boot: str) -> None:
         settings = parts.deployment.dispatcher
-        damping = parts.deployment.storm
+        overload = parts.deployment.overload
         self.parts = parts
         self.dispatcher = parts.dispatcher
         self.margin_ms = settings.answer_margin_ms  # a final answer is given this long before the client's limit
@@ -40,16 +40,18 @@
         self.effects: deque[Effect] = deque()  # decided, not yet handed to the host
         self.deadlines = TimerQueue()  # requests whose attempts are cancelled when it fires
         self.keys = IdempotencyKeys()
-        self.limits = InFlightLimits(settings.held, settings.held_mb * 1e6, settings.held_each)
+        self.limits = InFlightLimits(
+            settings.max_in_flight, settings.max_in_flight_mb * 1e6, settings.max_in_flight_per_namespace
+        )
         self.overload = OverloadController(
             OverloadSettings(
-                damping.damp, max_retry_after_ms=damping.longest_return_ms, max_clients=damping.most_known
+                overload.enabled, max_retry_after_ms=overload.max_retry_after_ms, max_clients=overload.max_clients
             ),
             crc32(boot.encode()),
             {space.name: space.allowed_per_s for space in parts.deployment.namespaces.values()},
         )
         self.members = WorkerRegistry(parts.zones)
-        self.records = Records(settings.records, settings.records_mb * 1e6, settings.record_ms)
+        self.records = Records(settings.max_records, settings.max_records_mb * 1e6, settings.max_record_age_ms)
         self.counts = GatewayCounters()
         self.counters_by_model: dict[str, FunctionCounters] = {}  # since the last report to a planner
 
--- a/kelptrail/gateway/worker_calls.py
+++ b/kelptrail/gateway/worker_calls.py
@@ -94,7 +94,7 @@
                 settings.connections,
                 settings.connect_ms,
                 settings.idle_ms,
-                settings.answer_bytes,
+                settings.max_answer_bytes,
                 self.tls,
             )
         return pool
@@ -130,7 +130,9 @@
         data = self._infer_request(pool.address, invocation, attempt)
         tag = _AttemptCall(invocation, attempt)
         if invocation.streamed:
-            stream = ResponseStream(invocation, self._settings.answer_bytes, partial(self._on_response_part, attempt))
+            stream = ResponseStream(
+                invocation, self._settings.max_answer_bytes, partial(self._on_response_part, attempt)
+            )
             call = pool.start(data, self._on_attempt_finished, tag, partial(self._on_stream_data, stream))
             self._streams[call], stream.call = stream, call
         else:
@@ -227,7 +229,7 @@
         data = load_request(pool.address, instance.function.id, order.count, self._name)
         call = pool.start(data, self._on_load_finished, order)
         self._load_timeouts[call] = self._loop.call_later(
-            self._settings.order_ms / 1000, call.cancel, CancelReason.LOAD_TIMEOUT
+            self._settings.load_timeout_ms / 1000, call.cancel, CancelReason.LOAD_TIMEOUT
         )
         if self._debug:
             self._log.debug("order", function=instance.function.id, worker=instance.worker.id, count=order.count)
--- a/kelptrail/planner/build.py
+++ b/kelptrail/planner/build.py
@@ -11,9 +11,14 @@
 
 def planner_settings(deployment: Deployment) -> PlannerSettings:
     """A deployment's planner settings."""
-    plan = deployment.planner
+    config = deployment.planner
     return PlannerSettings(
-        deployment.name, plan.every_ms, plan.valid_ms, plan.down_ms, plan.moves_share, plan.moves_least
+        deployment.name,
+        config.interval_ms,
+        config.valid_ms,
+        config.scale_down_ms,
+        config.new_instances_share,
+        config.new_instances_min,
     )
 
 
--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -132,7 +132,7 @@
         )
         if deployment.peers.replicas:
             fleet.enable_replication(deployment.peers, self.log)
-            at_once, least_ms = deployment.journal.resume_at_once, least_run_ms(deployment)
+            at_once, least_ms = deployment.journal.max_resumed, least_run_ms(deployment)
             take_over_journal(fleet.replication, self.gateway, self.driver, at_once, least_ms)
             self.fronts.invoke.copies = self.fronts.inference.copies = fleet.replication
         return fleet
@@ -154,13 +154,13 @@
 
     def _build_usage(self, fleet: Fleet) -> UsageDriver | None:
         leases = self.deployment.leases
-        if fleet.leases is None or leases is None or not leases.usage_ms:
+        if fleet.leases is None or leases is None or not leases.usage_interval_ms:
             return None
         return UsageDriver(
             fleet.leases,
             fleet.peers,
             self.boot,
-            leases.usage_ms,
+            leases.usage_interval_ms,
             fleet.lease_length_ms,
             self._namespace_counts,
             fleet.dispatcher_names,
@@ -205,7 +205,7 @@
 
     def _start_planning(self) -> None:
         addresses = list(self.options.planners)
-        if self.deployment.planner.within and self.fleet is not None and self.fleet.leases is not None:
+        if self.deployment.planner.embedded and self.fleet is not None and self.fleet.leases is not None:
             self.planner = self._start_planner(self.fleet)
             addresses.append(self.planner.address)
         if addresses:
--- a/kelptrail/service/fleet.py
+++ b/kelptrail/service/fleet.py
@@ -16,7 +16,7 @@
 from kelptrail.replication.messages import ReplicationSettings
 from kelptrail.replication.replica_placement import Member
 from kelptrail.replication.replica_store import ReplicaStore, open_replica_store
-from kelptrail.settings.deployment import Deployment, LeasesPlan, PeersPlan
+from kelptrail.settings.deployment import Deployment, LeasesConfig, PeersConfig
 from kelptrail.store.activation_journal import JournalError
 
 from .errors import StateFolderError
@@ -36,40 +36,45 @@
     zone: str = ""
 
 
-def peer_settings(plan: PeersPlan) -> PeerSettings:
+def peer_settings(config: PeersConfig) -> PeerSettings:
     """The peer channel's settings."""
     return PeerSettings(
-        plan.beat_ms, plan.silent_ms, plan.connect_ms, int(plan.most_kb * 1024), plan.per_s, int(plan.most_kb * 1024)
+        config.heartbeat_ms,
+        config.silence_timeout_ms,
+        config.connect_timeout_ms,
+        int(config.max_buffer_kb * 1024),
+        config.max_messages_per_s,
+        int(config.max_buffer_kb * 1024),
     )
 
 
-def lease_settings(plan: LeasesPlan) -> LeaseSettings:
+def lease_settings(config: LeasesConfig) -> LeaseSettings:
     """The settings of lease acceptors and clients."""
     return LeaseSettings(
-        plan.acceptors,
-        plan.number,
-        plan.before,
-        plan.clock_bound,
-        plan.longest_ms,
-        plan.ask_ms,
-        plan.retry_ms,
-        plan.gap_ms,
-        plan.reserve_ms,
-        plan.first_round,
+        config.acceptors,
+        config.config_number,
+        config.previous_acceptors,
+        config.clock_rate_bound,
+        config.max_lease_ms,
+        config.request_timeout_ms,
+        config.retry_pause_ms,
+        config.queue_spacing_ms,
+        config.transfer_reservation_ms,
+        config.round_floor,
     )
 
 
-def replication_settings(plan: PeersPlan) -> ReplicationSettings:
+def replication_settings(config: PeersConfig) -> ReplicationSettings:
     """The settings of journal replication."""
     return ReplicationSettings(
-        plan.replicas,
-        plan.copies_short == "promise",
-        replica_timeout_ms=plan.slow_ms,
-        retry_ms=min(300.0, plan.slow_ms / 4),
-        reconnect_pause_ms=2 * plan.slow_ms,
-        window_bytes=int(plan.most_kb * 1024) // 4,
-        repair_bytes_per_ms=plan.fill_kb_per_s * 1.024,
-        max_entry_bytes=int(plan.copies_kb * 1024),
+        config.replicas,
+        config.under_replication_policy == "promise",
+        replica_timeout_ms=config.replica_timeout_ms,
+        retry_ms=min(300.0, config.replica_timeout_ms / 4),
+        reconnect_pause_ms=2 * config.replica_timeout_ms,
+        window_bytes=int(config.max_buffer_kb * 1024) // 4,
+        repair_bytes_per_ms=config.repair_kb_per_s * 1.024,
+        max_entry_bytes=int(config.max_replicated_kb * 1024),
     )
 
 
@@ -77,24 +82,24 @@
     """One process's part.  Raises `StateFolderError` if it is a lease acceptor without a state folder."""
 
     def __init__(self, deployment: Deployment, options: FleetOptions, log: Any) -> None:
-        plan, leases = deployment.peers, deployment.leases
-        assert plan is not None
+        config, leases = deployment.peers, deployment.leases
+        assert config is not None
         self._options, self._listed_addresses = options, dict[str, str]()
-        self._configured_addresses = {peer.name: peer.at for peer in plan.peer if peer.at}
+        self._configured_addresses = {peer.name: peer.at for peer in config.peer if peer.at}
         self.lease_length_ms = leases.length_ms if leases is not None else 0.0
-        self.peers = Peers(options.name, deployment.name, peer_settings(plan), self.address_of, log)
+        self.peers = Peers(options.name, deployment.name, peer_settings(config), self.address_of, log)
         self.leases: LeaseDriver | None = None
         self.replication: ReplicationDriver | None = None
-        self._zones = {peer.name: peer.zone for peer in plan.peer}
+        self._zones = {peer.name: peer.zone for peer in config.peer}
         if leases is None:
             return
         self.leases = LeaseDriver(options.name, options.run_id, lease_settings(leases), self.peers, log)
-        if options.name in (*leases.acceptors, *leases.before):
+        if options.name in (*leases.acceptors, *leases.previous_acceptors):
             if options.state_folder is None:
                 raise StateFolderError(f"{options.name} is a voter and needs --state: its promises are kept there")
             self.leases.start_acceptor(options.state_folder / "leases.sqlite", options.vfs)
 
-    def enable_replication(self, plan: PeersPlan, log: Any) -> None:
+    def enable_replication(self, config: PeersConfig, log: Any) -> None:
         """Keep replicas of other dispatchers' journals in the state folder.  Where its file is unusable, none are kept
         and no deferred call is accepted.  Raises `StateFolderError`."""
         options, state = self._options, self._options.state_folder
@@ -102,7 +107,7 @@
             raise StateFolderError(f"{options.name} keeps copies and needs --state")
         try:
             own, aside = open_replica_store(state / "copies.sqlite", options.vfs)
-            others = own if plan.copies_in == "disk" else ReplicaStore(None)
+            others = own if config.replica_storage == "disk" else ReplicaStore(None)
         except JournalError as cause:
             log.error("copies-unusable", reason=str(cause))
             return
@@ -110,8 +115,8 @@
             log.error("copies-set-aside", file=str(aside))
         self.replication = ReplicationDriver(
             options.name,
-            replication_settings(plan),
-            plan.take_ms,
+            replication_settings(config),
+            config.primary_timeout_ms,
             self.lease_length_ms,
             self.peers,
             self.leases,
--- a/kelptrail/service/front_addresses.py
+++ b/kelptrail/service/front_addresses.py
@@ -14,7 +14,7 @@
 from kelptrail.gateway.driver import GatewayDriver
 from kelptrail.net.grpc_server import GrpcServer
 from kelptrail.net.server import Handler, HttpServer, Limits
-from kelptrail.settings.deployment import FrontSettings, KeySettings, RouterPlan, VrrpSettings
+from kelptrail.settings.deployment import FrontSettings, KeySettings, RouterConfig, VrrpSettings
 from kelptrail.vrrp.address import FrontAddress
 from kelptrail.vrrp.authentication import Key, Signer, Verifier
 from kelptrail.vrrp.driver import VrrpDriver, next_epoch, parse_socket_address
@@ -151,7 +151,7 @@
             sock.close()
 
 
-def _router_settings(router: RouterPlan, name: str) -> RouterSettings | None:
+def _router_settings(router: RouterConfig, name: str) -> RouterSettings | None:
     """What a dispatcher is in a virtual router; None: it has no part in it."""
     member = next((member for member in router.member if member.name == name), None)
     if member is None:
--- a/kelptrail/service/fronts.py
+++ b/kelptrail/service/fronts.py
@@ -95,8 +95,8 @@
         return self.reloaders[name].context if name in self.reloaders else None
 
     def _connect_pace(self, settings: FrontSettings | InferenceSettings) -> ConnectPace:
-        longest_return_ms = self._deployment.storm.longest_return_ms
-        pace = PaceSettings(settings.connects_at_once, settings.connects_per_s, longest_return_ms)
+        max_retry_after_ms = self._deployment.overload.max_retry_after_ms
+        pace = PaceSettings(settings.connects_at_once, settings.connects_per_s, max_retry_after_ms)
         return ConnectPace(pace, self._pace_seed)
 
     def _on_connect(self) -> None:
--- a/kelptrail/service/journal.py
+++ b/kelptrail/service/journal.py
@@ -36,10 +36,10 @@
     with contextlib.suppress(OSError):  # whoever needs the folder reports that it cannot be used
         state_folder.mkdir(parents=True, exist_ok=True)
     settings = deployment.journal
-    if not settings.keep:
+    if not settings.enabled:
         return JournalStores()
-    file = _open_file(state_folder / JOURNAL_FILE, settings.most_mb * BYTES_PER_MB, vfs, log)
-    commits = GroupCommit(settings.most_waiting)
+    file = _open_file(state_folder / JOURNAL_FILE, settings.max_mb * BYTES_PER_MB, vfs, log)
+    commits = GroupCommit(settings.max_pending_entries)
     if file is None:
         commits.failing, commits.reason = True, "the book cannot be used"
     return JournalStores(file, commits)
@@ -73,9 +73,7 @@
     began = now_ms()
     replicated = replication.activation_ids() if replication is not None else set[str]()
     activations = (entries for entries in stores.file.activations() if entries.accepted.id not in replicated)
-    recovered = gateway.recover(
-        began, wall_ms(), activations, least_run_ms(deployment), deployment.journal.resume_at_once
-    )
+    recovered = gateway.recover(began, wall_ms(), activations, least_run_ms(deployment), deployment.journal.max_resumed)
     log.info("recovered", ms=round(now_ms() - began), damaged=stores.file.damaged, **recovered)
 
 
--- a/kelptrail/settings/cooperation.py
+++ b/kelptrail/settings/cooperation.py
@@ -1,6 +1,8 @@
 """The channel between dispatchers, replication, leases, the activation journal and the planner.
 
-Times are milliseconds, memory is megabytes.  Every default is stated here, once.
+Times are milliseconds, memory is megabytes.  Every default is stated here, once.  Classes are named `...Config` where
+the subsystem has a `...Settings` class of its own.  A field whose settings key has another name holds the key in its
+metadata.
 """
 
 from __future__ import annotations
@@ -11,21 +13,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlannerPlan:
-    """Planning ahead.  `within`: a dispatcher brings a planner of its own along."""
+class PlannerConfig:
+    """Planning ahead.
 
-    within: bool
-    every_ms: float
+    `embedded`: each dispatcher runs a planner in its process; `interval_ms`: between two plans; `valid_ms`: how long
+    edges follow a plan; `scale_down_ms`: how long demand must have been lower before a function's instances are
+    reduced; `new_instances_share`, `new_instances_min`: how many new instances one plan may bring, as a share of the
+    calls expected in the next minute, and at least.
+    """
+
+    embedded: bool = field(metadata={"key": "within"})
+    interval_ms: float = field(metadata={"key": "every_ms"})
     valid_ms: float
-    down_ms: float
-    moves_share: float
-    moves_least: int
+    scale_down_ms: float = field(metadata={"key": "down_ms"})
+    new_instances_share: float = field(metadata={"key": "moves_share"})
+    new_instances_min: int = field(metadata={"key": "moves_least"})
 
 
 @dataclass(frozen=True, slots=True)
-class PeerPlan:
-    """A dispatcher that is known by name; `at`: where its channel listens, `hall`: where it stands, if the worker list
-    does not tell."""
+class PeerConfig:
+    """A dispatcher that is known by name.
+
+    `at`: where its channel listens; `zone`: its failure zone; both may come from the endpoint list instead.
+    """
 
     name: str
     at: str
@@ -33,50 +43,60 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeersPlan:
-    """The channel between dispatchers."""
-
-    peer: list[PeerPlan]
-    beat_ms: float
-    silent_ms: float
-    connect_ms: float
-    most_kb: float
-    per_s: float
-    replicas: int = field(metadata={"key": "copies"})  # further dispatchers that hold each deferred call
-    copies_in: str  # where they have it: on "disk" or in "memory"
-    copies_short: str  # with fewer: "refuse" new deferred calls, or "promise" them all the same
-    copies_kb: float  # a larger body is not promised
-    take_ms: float  # an owner that is not heard for so long is taken to be lost
-    slow_ms: float  # a holder that does not answer for so long is replaced
-    fill_kb_per_s: float  # pace at which a holder is filled up
+class PeersConfig:
+    """The channel between dispatchers, and replication of the journals of deferred calls over it.
+
+    `replicas`: further dispatchers that store each deferred call, on "disk" or in "memory" (`replica_storage`);
+    `under_replication_policy`: with fewer replicas, "refuse" or "promise" new deferred calls; `max_replicated_kb`: a
+    deferred call with a larger body is rejected; `primary_timeout_ms`: a primary that is silent for so long counts as
+    failed; `replica_timeout_ms`: a replica that does not answer for so long is replaced; `repair_kb_per_s`: rate limit
+    of the repair of one replica.
+    """
+
+    peer: list[PeerConfig]
+    heartbeat_ms: float = field(metadata={"key": "beat_ms"})
+    silence_timeout_ms: float = field(metadata={"key": "silent_ms"})
+    connect_timeout_ms: float = field(metadata={"key": "connect_ms"})
+    max_buffer_kb: float = field(metadata={"key": "most_kb"})
+    max_messages_per_s: float = field(metadata={"key": "per_s"})
+    replicas: int = field(metadata={"key": "copies"})
+    replica_storage: str = field(metadata={"key": "copies_in"})
+    under_replication_policy: str = field(metadata={"key": "copies_short"})
+    max_replicated_kb: float = field(metadata={"key": "copies_kb"})
+    primary_timeout_ms: float = field(metadata={"key": "take_ms"})
+    replica_timeout_ms: float = field(metadata={"key": "slow_ms"})
+    repair_kb_per_s: float = field(metadata={"key": "fill_kb_per_s"})
 
 
 @dataclass(frozen=True, slots=True)
-class LeasesPlan:
-    """Leases on fleet-wide tasks; see `kelptrail/lease/messages.py`."""
+class LeasesConfig:
+    """Leases on fleet-wide tasks; see `kelptrail/lease/messages.py`.
+
+    `usage_interval_ms`: how often usage is collected over the fleet; 0: never.
+    """
 
     acceptors: tuple[str, ...] = field(metadata={"key": "voters"})
-    number: int
-    before: tuple[str, ...]
-    clock_bound: float
+    config_number: int = field(metadata={"key": "number"})
+    previous_acceptors: tuple[str, ...] = field(metadata={"key": "before"})
+    clock_rate_bound: float = field(metadata={"key": "clock_bound"})
     length_ms: float
-    longest_ms: float
-    ask_ms: float
-    retry_ms: float
-    gap_ms: float
-    reserve_ms: float
-    first_round: int
-    usage_ms: float  # how often usage is collected over the fleet; 0: never
+    max_lease_ms: float = field(metadata={"key": "longest_ms"})
+    request_timeout_ms: float = field(metadata={"key": "ask_ms"})
+    retry_pause_ms: float = field(metadata={"key": "retry_ms"})
+    queue_spacing_ms: float = field(metadata={"key": "gap_ms"})
+    transfer_reservation_ms: float = field(metadata={"key": "reserve_ms"})
+    round_floor: int = field(metadata={"key": "first_round"})
+    usage_interval_ms: float = field(metadata={"key": "usage_ms"})
 
 
 @dataclass(frozen=True, slots=True)
 class JournalSettings:
     """What outlives a dispatcher's process; needs a state folder."""
 
-    keep: bool
-    most_mb: float
-    resume_at_once: int
-    most_waiting: int
+    enabled: bool = field(metadata={"key": "keep"})
+    max_mb: float = field(metadata={"key": "most_mb"})
+    max_resumed: int = field(metadata={"key": "resume_at_once"})
+    max_pending_entries: int = field(metadata={"key": "most_waiting"})
 
 
 PLANNER = Shape(
@@ -88,13 +108,13 @@
         "moves-share": number(0, 10, default=0.05),
         "moves-least": number(0, 100_000, whole=True, default=8),
     },
-    build=PlannerPlan,
+    build=PlannerConfig,
 )
 
 
 PEERS = Shape(
     {
-        "peer": Many(Shape({"at": word(default=""), "hall": word(default="")}, ("name",), PeerPlan)),
+        "peer": Many(Shape({"at": word(default=""), "hall": word(default="")}, ("name",), PeerConfig)),
         "beat-ms": milliseconds(50, 60_000, 500.0),
         "silent-ms": milliseconds(100, 600_000, 3000.0),
         "connect-ms": milliseconds(10, 60_000, 1000.0),
@@ -108,7 +128,7 @@
         "slow-ms": milliseconds(50, 600_000, 1500.0),
         "fill-kb-per-s": number(1, 1e7, default=20_000.0),
     },
-    build=PeersPlan,
+    build=PeersConfig,
 )
 
 
@@ -127,7 +147,7 @@
         "first-round": number(0, 1e15, whole=True, default=0),
         "usage-ms": milliseconds(0, 3.6e6, 5000.0),
     },
-    build=LeasesPlan,
+    build=LeasesConfig,
 )
 
 
--- a/kelptrail/settings/deployment.py
+++ b/kelptrail/settings/deployment.py
@@ -10,9 +10,19 @@
 from pathlib import Path
 from typing import Any
 
-from .cooperation import JOURNAL, LEASES, PEERS, PLANNER, JournalSettings, LeasesPlan, PeerPlan, PeersPlan, PlannerPlan
+from .cooperation import (
+    JOURNAL,
+    LEASES,
+    PEERS,
+    PLANNER,
+    JournalSettings,
+    LeasesConfig,
+    PeerConfig,
+    PeersConfig,
+    PlannerConfig,
+)
 from .cross_checks import check_across_sections
-from .dispatching import DISPATCHER, POOL, RULES, STORM, DispatcherSettings, PoolSettings, RuleSettings, StormPlan
+from .dispatching import DISPATCHER, POOL, RULES, STORM, DispatcherSettings, OverloadConfig, PoolSettings, RuleSettings
 from .emulated import FLEET, STORE, FleetSettings, StoreSettings
 from .fronts import FRONT, INFERENCE, SIDES, TLS, FrontSettings, InferenceSettings, TlsSettings
 from .reader import Form, SourcePosition, read
@@ -27,7 +37,7 @@
     TypeSettings,
 )
 from .shape import Checker, Group, Many, Shape, some, word
-from .vrrp import TRACKED, VRRP, InstanceSettings, KeySettings, MemberSettings, RouterPlan, TrackPlan, VrrpSettings
+from .vrrp import TRACKED, VRRP, InstanceSettings, KeySettings, MemberSettings, RouterConfig, TrackConfig, VrrpSettings
 
 __all__ = [
     "LEASES",
@@ -44,19 +54,19 @@
     "JournalSettings",
     "KeyHash",
     "KeySettings",
-    "LeasesPlan",
+    "LeasesConfig",
     "MemberSettings",
     "NamespaceSettings",
-    "PeerPlan",
-    "PeersPlan",
-    "PlannerPlan",
+    "OverloadConfig",
+    "PeerConfig",
+    "PeersConfig",
+    "PlannerConfig",
     "PoolSettings",
-    "RouterPlan",
+    "RouterConfig",
     "RuleSettings",
     "StoreSettings",
-    "StormPlan",
     "TlsSettings",
-    "TrackPlan",
+    "TrackConfig",
     "TypeSettings",
     "VrrpSettings",
     "load",
@@ -64,8 +74,8 @@
 ]
 
 DEFAULT_JOURNAL = JournalSettings(True, 1024.0, 64, 100_000)
-DEFAULT_STORM = StormPlan(True, 12_000.0, 200_000)
-DEFAULT_PLANNER = PlannerPlan(False, 5000.0, 60_000.0, 60_000.0, 0.05, 8)
+DEFAULT_OVERLOAD = OverloadConfig(True, 12_000.0, 200_000)
+DEFAULT_PLANNER = PlannerConfig(False, 5000.0, 60_000.0, 60_000.0, 0.05, 8)
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,16 +97,16 @@
     vrrp: VrrpSettings | None = None
     journal: JournalSettings = DEFAULT_JOURNAL
     tls: dict[str, TlsSettings] = field(default_factory=dict)
-    storm: StormPlan = DEFAULT_STORM
-    planner: PlannerPlan = DEFAULT_PLANNER
-    peers: PeersPlan | None = None
-    leases: LeasesPlan | None = None
+    overload: OverloadConfig = field(default=DEFAULT_OVERLOAD, metadata={"key": "storm"})
+    planner: PlannerConfig = DEFAULT_PLANNER
+    peers: PeersConfig | None = None
+    leases: LeasesConfig | None = None
     folder: Path = Path()  # of the settings file
 
     @property
     def most_promised(self) -> int:
         """Bytes that a deferred call's body may have, as others must hold it; 0: no bound of theirs."""
-        return int(self.peers.copies_kb * 1024) if self.peers is not None and self.peers.replicas else 0
+        return int(self.peers.max_replicated_kb * 1024) if self.peers is not None and self.peers.replicas else 0
 
 
 DEPLOYMENT = Shape(
--- a/kelptrail/settings/dispatching.py
+++ b/kelptrail/settings/dispatching.py
@@ -16,13 +16,13 @@
 
     drain_grace_ms: float
     overload_multiple: float = field(metadata={"key": "tip"})
-    tip_ms: float
+    overload_window_ms: float = field(metadata={"key": "tip_ms"})
     cold_share: float
     cold_ms: float
-    orders: bool
+    loads_allowed: bool = field(metadata={"key": "orders"})
     free_loads: float
-    load_share: float
-    load_span_ms: float
+    loads_per_request: float = field(metadata={"key": "load_share"})
+    load_window_ms: float = field(metadata={"key": "load_span_ms"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,20 +30,20 @@
     """What a dispatcher may do, and what it keeps."""
 
     zone: str = field(metadata={"key": "hall"})
-    parallel: bool
+    parallel_attempts: bool = field(metadata={"key": "parallel"})
     max_attempts: int = field(metadata={"key": "most_sends"})
-    cancels: bool
+    can_cancel: bool = field(metadata={"key": "cancels"})
     answer_margin_ms: float
-    longest_return_ms: float
+    max_retry_after_ms: float = field(metadata={"key": "longest_return_ms"})
     keep_alive_ms: float = field(metadata={"key": "keep_ms"})
-    records: int
-    records_mb: float
-    record_ms: float
-    held: int
-    held_mb: float
-    held_each: int
-    second_share: float
-    second_most: float
+    max_records: int = field(metadata={"key": "records"})
+    max_records_mb: float = field(metadata={"key": "records_mb"})
+    max_record_age_ms: float = field(metadata={"key": "record_ms"})
+    max_in_flight: int = field(metadata={"key": "held"})
+    max_in_flight_mb: float = field(metadata={"key": "held_mb"})
+    max_in_flight_per_namespace: int = field(metadata={"key": "held_each"})
+    retry_budget_share: float = field(metadata={"key": "second_share"})
+    retry_budget_capacity: float = field(metadata={"key": "second_most"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,17 +53,17 @@
     connections: int
     connect_ms: float
     idle_ms: float
-    order_ms: float
-    answer_bytes: int
+    load_timeout_ms: float = field(metadata={"key": "order_ms"})
+    max_answer_bytes: int = field(metadata={"key": "answer_bytes"})
 
 
 @dataclass(frozen=True, slots=True)
-class StormPlan:
-    """Damping of storms of clients that come again."""
+class OverloadConfig:
+    """Overload control: whether retry storms are damped, and within which limits."""
 
-    damp: bool
-    longest_return_ms: float
-    most_known: int
+    enabled: bool = field(metadata={"key": "damp"})
+    max_retry_after_ms: float = field(metadata={"key": "longest_return_ms"})
+    max_clients: int = field(metadata={"key": "most_known"})
 
 
 RULES = Shape(
@@ -122,5 +122,5 @@
         "longest-return-ms": milliseconds(100, 600_000, 12_000.0),
         "most-known": number(1, 10_000_000, whole=True, default=200_000),
     },
-    build=StormPlan,
+    build=OverloadConfig,
 )
--- a/kelptrail/settings/vrrp.py
+++ b/kelptrail/settings/vrrp.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RouterPlan:
+class RouterConfig:
     """One virtual router: its front address and who backs it."""
 
     vrid: str
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TrackPlan:
+class TrackConfig:
     """What lowers the priority while it fails."""
 
     name: str
@@ -72,8 +72,8 @@
     pseudo_header: bool
     key: list[KeySettings]
     instance: list[InstanceSettings]
-    router: list[RouterPlan]
-    track: list[TrackPlan]
+    router: list[RouterConfig]
+    track: list[TrackConfig]
 
 
 VRRP = Shape(
@@ -93,7 +93,7 @@
                     "member": Many(Shape({"priority": number(1, 255, whole=True)}, ("name",), MemberSettings), 1),
                 },
                 ("vrid",),
-                RouterPlan,
+                RouterConfig,
             ),
             1,
         ),
@@ -106,7 +106,7 @@
                     "release": yes_no(False),
                 },
                 ("name",),
-                TrackPlan,
+                TrackConfig,
             )
         ),
     },
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -20,7 +20,7 @@
 from kelptrail.membership.members import EndpointList
 from kelptrail.planner.driver import LEASE_NAME
 from kelptrail.service.fleet import lease_settings
-from kelptrail.settings.deployment import Deployment, LeasesPlan
+from kelptrail.settings.deployment import Deployment, LeasesConfig
 
 from .clients import SimulatedClients
 from .dispatchers import SimulatedDispatcher
@@ -121,7 +121,7 @@
             self.record_event,
         )
 
-    def _make_leases(self, settings: LeasesPlan) -> SimulatedLeases:
+    def _make_leases(self, settings: LeasesConfig) -> SimulatedLeases:
         names = [dispatcher.name for dispatcher in self.local_dispatchers]
         peers = self.deployment.peers
         return SimulatedLeases(
@@ -132,7 +132,7 @@
             self.seed,
             self.settings.sync_ms,
             self.settings.network_ms,
-            peers.silent_ms if peers is not None else DEFAULT_SILENCE_MS,
+            peers.silence_timeout_ms if peers is not None else DEFAULT_SILENCE_MS,
             self.record_event,
         )
 
--- a/kelptrail/simulation/dispatchers.py
+++ b/kelptrail/simulation/dispatchers.py
@@ -50,7 +50,9 @@
         self.boot = f"{zlib.crc32(f'{self.name}/{self.starts}'.encode()):08x}{self.number:04x}{self.starts:04x}"
         self.process_id = f"{self.name}/{self.boot}"
         cluster = self._cluster
-        self.journal = GroupCommit(cluster.deployment.journal.most_waiting) if cluster.deployment.journal.keep else None
+        self.journal = (
+            GroupCommit(cluster.deployment.journal.max_pending_entries) if cluster.deployment.journal.enabled else None
+        )
         world = DispatcherParts(cluster.deployment, self._zone, zlib.crc32(self.boot.encode()))
         self.gateway = Gateway(world, self.boot, self.journal)
         self.gateway.state.answer_ms = 2 * self._settings.cpu_ms
@@ -66,7 +68,7 @@
                 WALL_CLOCK_ORIGIN_MS + self._event_queue.now,
                 self._journal_entries.values(),
                 margin,
-                cluster.deployment.journal.resume_at_once,
+                cluster.deployment.journal.max_resumed,
             )
         if self.endpoints is not None:
             self.gateway.on_endpoints(self._event_queue.now, self.endpoints)
@@ -240,7 +242,7 @@
                 reply(AttemptStatus.UNREACHABLE, 0)
 
         self._open_orders[order] = self._event_queue.after(
-            self._cluster.deployment.pool.order_ms, finish, AttemptStatus.SILENT, 0
+            self._cluster.deployment.pool.load_timeout_ms, finish, AttemptStatus.SILENT, 0
         )
         if isinstance(worker, RemoteWorker):
             worker.request("order", finish, order.instance.function.id, order.count, self.process_id)
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -159,7 +159,7 @@
             parts = getattr(scenario, fields_by_key(scenario)[section])
             scenario = _replace_key(scenario, section, [_replace_key(part, key, value) for part in parts])
         elif section in DEPLOYMENT_SECTIONS:
-            deployment = _replace_key(deployment, section, _replace_key(getattr(deployment, section), key, value))
+            deployment = _replace_key(deployment, section, _replace_key(_section_of(deployment, section), key, value))
         else:
             raise ChangeError("a section: lab, script, load, trouble, " + ", ".join(DEPLOYMENT_SECTIONS))
     return scenario, deployment, simulation
@@ -177,6 +177,10 @@
     return value
 
 
+def _section_of(deployment: Deployment, section: str) -> Any:
+    return getattr(deployment, fields_by_key(deployment)[section])
+
+
 def _replace_key(settings: Any, key: str, value: Any) -> Any:
     fitting = _fitting_value(settings, key, value)
     return dataclasses.replace(settings, **{fields_by_key(settings)[key]: fitting})
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -289,11 +289,11 @@
             return self.collapsed
         self._cold_arrivals.append((now, work))
         self._cold_work_ms += work
-        while self._cold_arrivals[0][0] < now - self._rules.tip_ms:
+        while self._cold_arrivals[0][0] < now - self._rules.overload_window_ms:
             self._cold_work_ms -= self._cold_arrivals.popleft()[1]
         if (
             self._cold_work_ms
-            > self._rules.overload_multiple * slow_start_capacity * self._fleet.cores * self._rules.tip_ms
+            > self._rules.overload_multiple * slow_start_capacity * self._fleet.cores * self._rules.overload_window_ms
         ):
             self.collapsed = True
             if self._record_event is not None:
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -454,7 +454,7 @@
 def test_copies_need_leases_and_a_journal() -> None:
     text = (ROOT / "examples/copies.sexp").read_text()
     plan = load(ROOT / "examples/copies.sexp").peers
-    assert plan is not None and plan.replicas == 2 and plan.copies_in == "disk"
+    assert plan is not None and plan.replicas == 2 and plan.replica_storage == "disk"
     with pytest.raises(SettingsError, match=r"copies 2.*\(leases"):
         parse(text[: text.index("\n  (leases")] + ")", "t")
     with pytest.raises(SettingsError, match=r"copies 2.*journal"):
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -462,7 +462,7 @@
         "dispatcher-0 dispatcher-1 dispatcher-2",
     ):
         made = parse(FLEET.replace("(ask-ms 150)", f"(ask-ms 150) (number 2) (before {before})"), "fleet.sexp")
-        assert made.leases is not None and made.leases.number == 2
+        assert made.leases is not None and made.leases.config_number == 2
     assert load(ROOT / "examples" / "season.sexp").leases is not None
 
 
