--- a/kelptrail/fault_scenario/scenario.py
+++ b/kelptrail/fault_scenario/scenario.py
@@ -118,7 +118,7 @@
         "factor": number(0.1, 1000, default=5.0),
         "ms": number(-86_400_000, 86_400_000, default=500.0),
         "type": word(default=""),
-        "count": number(1, 100_000, whole=True, default=100),
+        "count": number(1, 100_000, integer=True, default=100),
         "one-way": yes_no(False),
         "hall": word(default=""),
     },
@@ -130,10 +130,10 @@
     {
         "deployment": word(),
         "seconds": number(1, 86_400),
-        "workers": number(1, 10_000, whole=True, default=8),
-        "dispatchers": number(1, 1000, whole=True, default=3),
-        "client-processes": number(1, 64, whole=True, default=1),
-        "planners": number(0, 16, whole=True, default=0),
+        "workers": number(1, 10_000, integer=True, default=8),
+        "dispatchers": number(1, 1000, integer=True, default=3),
+        "client-processes": number(1, 64, integer=True, default=1),
+        "planners": number(0, 16, integer=True, default=0),
         "solver": word(("program", "greedy"), "program"),
         "tasks": some(word(), ()),
         "load": Many(LOAD, 1),
@@ -153,7 +153,7 @@
     scenario: FaultScenario = checker.form(root, SCENARIO)
     checker.done()
     for form, load in zip(_forms(root, "load"), scenario.load, strict=True):
-        check_load(checker, form.place, load, Path(path).parent)
+        check_load(checker, form.position, load, Path(path).parent)
     _check_faults(checker, root, scenario)
     checker.done()
     deployment = Path(scenario.deployment)
@@ -179,20 +179,20 @@
     for form in _forms(root, "trouble"):
         if len(form.items) > 1 and str(form.items[1]) not in KINDS:
             kind = form.items[1]
-            checker.fault(kind.place, kind, "a kind of trouble: " + ", ".join(KINDS))
+            checker.fault(kind.position, kind, "a kind of trouble: " + ", ".join(KINDS))
 
 
 def _check_faults(checker: Checker, root: Form, scenario: FaultScenario) -> None:
     """Check what concerns several fields of a fault, or the scenario as a whole."""
     for form, fault in zip(_forms(root, "trouble"), scenario.faults, strict=True):
         if fault.ms < 0 and fault.kind != "clock-step":
-            checker.fault(form.place, f"{fault.ms:g} ms", "0 or more; only clock-step goes back")
+            checker.fault(form.position, f"{fault.ms:g} ms", "0 or more; only clock-step goes back")
     if scenario.dispatchers >= MIN_PEERS:
         return
     for form in _forms(root, "trouble"):
         if str(form.items[1]) in PEER_FAULTS:
             checker.fault(
-                form.place,
+                form.position,
                 f"{form.items[1]} among {scenario.dispatchers} dispatchers",
                 f"{MIN_PEERS} dispatchers at least, in different halls",
             )
--- a/kelptrail/settings/cooperation.py
+++ b/kelptrail/settings/cooperation.py
@@ -106,7 +106,7 @@
         "valid-ms": milliseconds(1000, 8.64e7, 60_000.0),
         "down-ms": milliseconds(0, 8.64e7, 60_000.0),
         "moves-share": number(0, 10, default=0.05),
-        "moves-least": number(0, 100_000, whole=True, default=8),
+        "moves-least": number(0, 100_000, integer=True, default=8),
     },
     build=PlannerConfig,
 )
@@ -120,7 +120,7 @@
         "connect-ms": milliseconds(10, 60_000, 1000.0),
         "most-kb": number(1, 1e6, default=1024.0),
         "per-s": number(1, 1e6, default=2000.0),
-        "copies": number(0, 4, whole=True, default=0),
+        "copies": number(0, 4, integer=True, default=0),
         "copies-in": word(("disk", "memory"), "disk"),
         "copies-short": word(("refuse", "promise"), "refuse"),
         "copies-kb": number(1, 1e6, default=256.0),
@@ -135,7 +135,7 @@
 LEASES = Shape(
     {
         "voters": some(word()),
-        "number": number(1, 1_000_000_000, whole=True, default=1),
+        "number": number(1, 1_000_000_000, integer=True, default=1),
         "before": some(word(), ()),
         "clock-bound": number(0, 0.2, default=0.01),
         "length-ms": milliseconds(100, 600_000, 4000.0),
@@ -144,7 +144,7 @@
         "retry-ms": milliseconds(5, 60_000, 100.0),
         "gap-ms": milliseconds(0, 60_000, 20.0),
         "reserve-ms": milliseconds(0, 60_000, 1000.0),
-        "first-round": number(0, 1e15, whole=True, default=0),
+        "first-round": number(0, 1e15, integer=True, default=0),
         "usage-ms": milliseconds(0, 3.6e6, 5000.0),
     },
     build=LeasesConfig,
@@ -155,8 +155,8 @@
     {
         "keep": yes_no(True),
         "most-mb": number(0.1, 1e7, default=1024.0),
-        "resume-at-once": number(1, 100_000, whole=True, default=64),
-        "most-waiting": number(1, 10_000_000, whole=True, default=100_000),
+        "resume-at-once": number(1, 100_000, integer=True, default=64),
+        "most-waiting": number(1, 10_000_000, integer=True, default=100_000),
     },
     build=JournalSettings,
 )
--- a/kelptrail/settings/cross_checks.py
+++ b/kelptrail/settings/cross_checks.py
@@ -57,11 +57,11 @@
     package = setting(form, "package") if head == "action" else None
     full_name = f"{package.text}/{name}" if package else name
     if not _NAME.fullmatch(name):
-        context.checker.fault(form.place, name, "a name of letters, digits, _ @ . - that starts with no dot")
+        context.checker.fault(form.position, name, "a name of letters, digits, _ @ . - that starts with no dot")
     if (head, full_name) in context.names:
         line = context.names[head, full_name].line
-        context.checker.fault(form.place, f"{head} {full_name} again", f"another name; line {line} has it already")
-    context.names[head, full_name] = form.place
+        context.checker.fault(form.position, f"{head} {full_name} again", f"another name; line {line} has it already")
+    context.names[head, full_name] = form.position
 
 
 def _check_type(context: _Context, form: Form) -> None:
@@ -73,13 +73,13 @@
     effect, window = setting(form, "effect"), setting(form, "remembered-ms")
     if effect and effect.text == "deduplicated" and not (window and window.number > 0):
         checker.fault(
-            form.place,
+            form.position,
             f"type {first_name(form)} without (remembered-ms ...)",
             "for how long repeats of a deduplicated type are dropped, above 0",
         )
     hedge = setting(form, "hedge")
     if effect and effect.text == "once-only" and hedge and hedge.text == "yes":
-        checker.fault(hedge.place, "hedge yes", "no: a once-only type is never sent beside a send that is out")
+        checker.fault(hedge.position, "hedge yes", "no: a once-only type is never sent beside a send that is out")
 
 
 def _check_times(context: _Context, form: Form) -> None:
@@ -90,11 +90,11 @@
         return
     margin_ms = _answer_margin_ms(context)
     if 0 < timeout.number <= 2 * margin_ms:
-        checker.fault(timeout.place, timeout.text, f"over twice the answer-margin-ms, {margin_ms:g}")
+        checker.fault(timeout.position, timeout.text, f"over twice the answer-margin-ms, {margin_ms:g}")
     if stream and stream.number < timeout.number:
-        checker.fault(stream.place, stream.text, f"a stream's time of at least the timeout, {timeout.text}")
+        checker.fault(stream.position, stream.text, f"a stream's time of at least the timeout, {timeout.text}")
     if target and timeout.number < target.number:
-        checker.fault(timeout.place, timeout.text, f"a timeout of at least the target, {target.text}")
+        checker.fault(timeout.position, timeout.text, f"a timeout of at least the target, {target.text}")
 
 
 def _answer_margin_ms(context: _Context) -> float:
@@ -108,39 +108,39 @@
     types = {first_name(other) for other in sections(context.deployment, "type")}
     kind = setting(form, "type")
     if kind and kind.text not in types:
-        context.checker.fault(kind.place, kind.text, "a type of this file: " + ", ".join(sorted(types)))
+        context.checker.fault(kind.position, kind.text, "a type of this file: " + ", ".join(sorted(types)))
 
 
 def _check_dispatcher(context: _Context, form: Form) -> None:
-    listed = {str(name) for halls in sections(context.deployment, "halls") for name in halls.items[1:]}
+    listed = {str(name) for zones in sections(context.deployment, "halls") for name in zones.items[1:]}
     zones = listed or {DEFAULT_ZONE}
     zone = setting(form, "hall")
     if zone and zone.text not in zones:
-        context.checker.fault(zone.place, zone.text, "a hall of this file: " + ", ".join(sorted(zones)))
+        context.checker.fault(zone.position, zone.text, "a hall of this file: " + ", ".join(sorted(zones)))
 
 
 def _check_tls(context: _Context, form: Form) -> None:
     """Known sides, once each, with the files that they cannot do without."""
     checker, side = context.checker, first_name(form)
     if side not in SIDES:
-        checker.fault(form.place, side, "one of " + ", ".join(SIDES))
+        checker.fault(form.position, side, "one of " + ", ".join(SIDES))
     if ("tls", side) in context.names:
         line = context.names["tls", side].line
-        checker.fault(form.place, f"tls {side} again", f"one; line {line} has it already")
-    context.names["tls", side] = form.place
+        checker.fault(form.position, f"tls {side} again", f"one; line {line} has it already")
+    context.names["tls", side] = form.position
     if side in ("front", "runners") and not setting(form, "certificate"):
-        checker.fault(form.place, f"tls {side} without a certificate", "(certificate FILE)")
+        checker.fault(form.position, f"tls {side} without a certificate", "(certificate FILE)")
     authority, peers = setting(form, "authority"), setting(form, "peers")
     if side == "to-workers" and not authority:
-        checker.fault(form.place, "tls to-workers without an authority", "(authority FILE): who vouches for workers")
+        checker.fault(form.position, "tls to-workers without an authority", "(authority FILE): who vouches for workers")
     if peers and peers.text in ("asked", "required") and not authority:
-        checker.fault(peers.place, f"peers {peers.text}", "(authority FILE) beside it: who vouches for clients")
+        checker.fault(peers.position, f"peers {peers.text}", "(authority FILE) beside it: who vouches for clients")
 
 
 def _check_planner(context: _Context, form: Form) -> None:
     within = setting(form, "within")
     if within and within.text == "yes" and not context.has("leases"):
-        context.checker.fault(within.place, "within yes", "(leases ...) beside it: planners act under a lease")
+        context.checker.fault(within.position, "within yes", "(leases ...) beside it: planners act under a lease")
 
 
 def _check_peers(context: _Context, form: Form) -> None:
@@ -150,16 +150,16 @@
         return
     read = f"copies {replicas.text}"
     if not context.has("leases"):
-        checker.fault(replicas.place, read, "(leases ...) beside it: a book is owned under a lease")
+        checker.fault(replicas.position, read, "(leases ...) beside it: a book is owned under a lease")
     body, channel = setting(form, "copies-kb"), setting(form, "most-kb")
     body_kb = body.number if body else default_of(PEERS, "copies-kb")
     channel_kb = channel.number if channel else default_of(PEERS, "most-kb")
     if body_kb > channel_kb / _CHANNEL_SHARE_OF_A_BODY:
-        place = (body or channel or replicas).place
-        checker.fault(place, f"copies-kb {body.text if body else f'{body_kb:g}'}", "a fourth of most-kb at the most")
-    keeps = [setting(journal, "keep") for journal in sections(context.deployment, "journal")]
-    if any(keep and keep.text == "no" for keep in keeps):
-        checker.fault(replicas.place, read, "(journal (keep yes)): what is copied is kept")
+        position = (body or channel or replicas).position
+        checker.fault(position, f"copies-kb {body.text if body else f'{body_kb:g}'}", "a fourth of most-kb at the most")
+    journal_settings = [setting(journal, "keep") for journal in sections(context.deployment, "journal")]
+    if any(enabled and enabled.text == "no" for enabled in journal_settings):
+        checker.fault(replicas.position, read, "(journal (keep yes)): what is copied is kept")
 
 
 def _check_leases(context: _Context, form: Form) -> None:
@@ -179,17 +179,17 @@
     hashes = list(sections(form, "key-hash"))
     if not hashes and not setting(form, "key") and not list(sections(form, "certificate")):
         checker.fault(
-            form.place,
+            form.position,
             f"namespace {first_name(form)} without credentials",
             "(key ...), (key-hash ...) or (certificate ...)",
         )
     if len(hashes) > _MOST_KEY_HASHES:
-        place = hashes[_MOST_KEY_HASHES].place
-        checker.fault(place, "a third key-hash", "two at most: the old one and the new one")
+        position = hashes[_MOST_KEY_HASHES].position
+        checker.fault(position, "a third key-hash", "two at most: the old one and the new one")
     for key_hash in hashes:
         digest = first_name(key_hash).strip('"')
         if not _DIGEST.fullmatch(digest):
-            checker.fault(key_hash.place, digest[:12] + "...", "sha256: and 64 hex digits")
+            checker.fault(key_hash.position, digest[:12] + "...", "sha256: and 64 hex digits")
 
 
 def _check_uuid(context: _Context, form: Form) -> None:
@@ -197,11 +197,11 @@
     if uuid is None:
         return
     if not _UUID.fullmatch(uuid.text):
-        context.checker.fault(uuid.place, uuid.text, "a UUID, as 8-4-4-4-12 hex digits")
+        context.checker.fault(uuid.position, uuid.text, "a UUID, as 8-4-4-4-12 hex digits")
     known = context.uuids.get(uuid.text.lower())
     if known is not None:
-        context.checker.fault(uuid.place, uuid.text, f"a UUID of its own; line {known.line} has it already")
-    context.uuids[uuid.text.lower()] = uuid.place
+        context.checker.fault(uuid.position, uuid.text, f"a UUID of its own; line {known.line} has it already")
+    context.uuids[uuid.text.lower()] = uuid.position
 
 
 _CHECKS: dict[str, Callable[[_Context, Form], None]] = {
--- a/kelptrail/settings/deployment.py
+++ b/kelptrail/settings/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment: everything that the program may know of a place, read from one file and checked.
+"""A deployment: everything that the program knows about one installation, read from one file and checked.
 
 The sections' classes and shapes are in the modules beside this one, and are exported from here too.
 Times are milliseconds, memory is megabytes.
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """One place, whole and checked."""
+    """One installation; all sections are checked."""
 
     name: str
     zones: tuple[str, ...]
@@ -144,16 +144,16 @@
     checker = Checker()
     forms = read(text, file)
     start = SourcePosition(file, 1, 1)
-    whole = [f for f in forms if isinstance(f, Form) and f.head == "deployment"]
+    deployments = [f for f in forms if isinstance(f, Form) and f.head == "deployment"]
     for item in forms:
-        if item not in whole:
-            checker.fault(item.place, item, "(deployment NAME ...) and nothing beside it")
-    if len(whole) != 1:
-        place = whole[1].place if whole else start
-        checker.fault(place, f"{len(whole)} deployments", "one (deployment NAME ...)")
+        if item not in deployments:
+            checker.fault(item.position, item, "(deployment NAME ...) and nothing beside it")
+    if len(deployments) != 1:
+        position = deployments[1].position if deployments else start
+        checker.fault(position, f"{len(deployments)} deployments", "one (deployment NAME ...)")
         checker.done()
-    fields = checker.form(whole[0], DEPLOYMENT)
-    check_across_sections(checker, whole[0])
+    fields = checker.form(deployments[0], DEPLOYMENT)
+    check_across_sections(checker, deployments[0])
     checker.done()
     return _deployment_of(fields, Path(file).parent)
 
--- a/kelptrail/settings/dispatching.py
+++ b/kelptrail/settings/dispatching.py
@@ -86,17 +86,17 @@
     {
         "hall": word(default=""),
         "parallel": yes_no(True),
-        "most-sends": number(1, 16, whole=True, default=6),
+        "most-sends": number(1, 16, integer=True, default=6),
         "cancels": yes_no(True),
         "answer-margin-ms": milliseconds(0, 10_000, 100.0),
         "longest-return-ms": milliseconds(0, 600_000, 1000.0),
         "keep-ms": milliseconds(100, 3.6e6, 8000.0),
-        "records": number(1, 10_000_000, whole=True, default=20_000),
+        "records": number(1, 10_000_000, integer=True, default=20_000),
         "records-mb": number(0.001, 100_000, default=64.0),
         "record-ms": milliseconds(1000, 8.64e7, 600_000.0),
-        "held": number(1, 10_000_000, whole=True, default=20_000),
+        "held": number(1, 10_000_000, integer=True, default=20_000),
         "held-mb": number(0.001, 100_000, default=256.0),
-        "held-each": number(1, 10_000_000, whole=True, default=20_000),
+        "held-each": number(1, 10_000_000, integer=True, default=20_000),
         "second-share": number(0, 16, default=0.2),
         "second-most": number(0, 1_000_000, default=60.0),
     },
@@ -106,11 +106,11 @@
 
 POOL = Shape(
     {
-        "connections": number(1, 100_000, whole=True, default=128),
+        "connections": number(1, 100_000, integer=True, default=128),
         "connect-ms": milliseconds(1, 60_000, 250.0),
         "idle-ms": milliseconds(10, 3.6e6, 15_000.0),
         "order-ms": milliseconds(10, 600_000, 10_000.0),
-        "answer-bytes": number(64, 1 << 30, whole=True, default=4_194_304),
+        "answer-bytes": number(64, 1 << 30, integer=True, default=4_194_304),
     },
     build=PoolSettings,
 )
@@ -120,7 +120,7 @@
     {
         "damp": yes_no(True),
         "longest-return-ms": milliseconds(100, 600_000, 12_000.0),
-        "most-known": number(1, 10_000_000, whole=True, default=200_000),
+        "most-known": number(1, 10_000_000, integer=True, default=200_000),
     },
     build=OverloadConfig,
 )
--- a/kelptrail/settings/emulated.py
+++ b/kelptrail/settings/emulated.py
@@ -34,12 +34,12 @@
 
 FLEET = Shape(
     {
-        "workers": number(1, 10_000, whole=True, default=4),
-        "cores": number(1, 4096, whole=True, default=4),
+        "workers": number(1, 10_000, integer=True, default=4),
+        "cores": number(1, 4096, integer=True, default=4),
         "memory-mb": number(1, 1e8, default=8000.0),
-        "queue": number(0, 1_000_000, whole=True, default=64),
-        "connections": number(1, 1_000_000, whole=True, default=1024),
-        "loads": number(1, 1024, whole=True, default=4),
+        "queue": number(0, 1_000_000, integer=True, default=64),
+        "connections": number(1, 1_000_000, integer=True, default=1024),
+        "loads": number(1, 1024, integer=True, default=4),
         "keep-ms": milliseconds(100, 3.6e6, 8000.0),
     },
     build=FleetSettings,
@@ -48,8 +48,8 @@
 
 STORE = Shape(
     {
-        "fetches": number(1, 100_000, whole=True, default=8),
-        "most": number(1, 100_000, whole=True, default=64),
+        "fetches": number(1, 100_000, integer=True, default=8),
+        "most": number(1, 100_000, integer=True, default=64),
         "fetch-share": number(0, 1, default=0.6),
     },
     build=StoreSettings,
--- a/kelptrail/settings/forms.py
+++ b/kelptrail/settings/forms.py
@@ -12,7 +12,7 @@
     """A field's value as text, and where it is in the file."""
 
     text: str
-    place: SourcePosition
+    position: SourcePosition
 
     @property
     def number(self) -> float:
@@ -39,5 +39,5 @@
     """The value of the first `(key VALUE)` in a form, if there is one."""
     for item in sections(form, key):
         if len(item.items) == 2 and not isinstance(value := item.items[1], Form):
-            return Setting(str(value.value), value.place)
+            return Setting(str(value.value), value.position)
     return None
--- a/kelptrail/settings/lease_checks.py
+++ b/kelptrail/settings/lease_checks.py
@@ -32,9 +32,9 @@
                 expected = "a peer of this file, as (peers (peer NAME)): " + (
                     ", ".join(sorted(known)) or "there is none"
                 )
-                checker.fault(atom.place, name, expected)
+                checker.fault(atom.position, name, expected)
         if len(names) not in ACCEPTOR_COUNTS or len(set(names)) < len(names):
-            checker.fault(item.place, f"{len(names)} {key}: {' '.join(names)}", "three or five different names")
+            checker.fault(item.position, f"{len(names)} {key}: {' '.join(names)}", "three or five different names")
     return names
 
 
@@ -46,7 +46,7 @@
     least, most = sorted((len(after), len(before)))
     if staying < (most - 1 if least == most else least):
         checker.fault(
-            form.place,
+            form.position,
             f"from {' '.join(before)} to {' '.join(after)}",
             "one voter replaced, or two more, or two fewer, at a time",
         )
@@ -54,19 +54,19 @@
 
 def _check_set_number(checker: Checker, form: Form, before: list[str]) -> None:
     given, number = setting(form, "number"), _figure(form, "number")
-    place = given.place if given else form.place
+    position = given.position if given else form.position
     if before and number < 2:
-        checker.fault(place, "number 1", "2 at least, where there is a set before")
+        checker.fault(position, "number 1", "2 at least, where there is a set before")
     if not before and number > 1:
-        checker.fault(place, f"number {number:g}", "(before NAME ...) beside it: the set before")
+        checker.fault(position, f"number {number:g}", "(before NAME ...) beside it: the set before")
 
 
 def _check_longest(checker: Checker, form: Form) -> None:
     longest_ms, length_ms = _figure(form, "longest-ms"), _figure(form, "length-ms")
     if longest_ms < length_ms:
         given: Setting | None = setting(form, "longest-ms") or setting(form, "length-ms")
-        place = given.place if given else form.place
-        checker.fault(place, f"{longest_ms:g}", f"at least the length-ms, {length_ms:g}")
+        position = given.position if given else form.position
+        checker.fault(position, f"{longest_ms:g}", f"at least the length-ms, {length_ms:g}")
 
 
 def _check_length(checker: Checker, form: Form) -> None:
@@ -76,7 +76,7 @@
     if usable_ms < least_ms:
         given = setting(form, "length-ms")
         checker.fault(
-            given.place if given else form.place,
+            given.position if given else form.position,
             f"{length_ms:g}",
             f"a length of which at least four times the ask-ms is left, {least_ms:g}: clocks take "
             f"{length_ms - usable_ms:.0f}",
--- a/kelptrail/settings/reader.py
+++ b/kelptrail/settings/reader.py
@@ -41,16 +41,16 @@
 class Fault:
     """One thing wrong with a settings file."""
 
-    place: SourcePosition
+    position: SourcePosition
     read: str
     expected: str
 
     def __str__(self) -> str:
-        return f"{self.place}: read {self.read}, expected {self.expected}"
+        return f"{self.position}: read {self.read}, expected {self.expected}"
 
 
 class SettingsError(Exception):
-    """Settings that cannot be used; `faults` names each reason with its place."""
+    """Settings that cannot be used; `faults` names each reason with its position."""
 
     def __init__(self, faults: list[Fault]) -> None:
         self.faults = faults
@@ -63,7 +63,7 @@
 
     value: str | float
     kind: str  # "word", "string" or "number"
-    place: SourcePosition
+    position: SourcePosition
 
     def __str__(self) -> str:
         if self.kind == "number":
@@ -76,7 +76,7 @@
     """A list; `head` is its first word, if it starts with one."""
 
     items: tuple[Atom | Form, ...]
-    place: SourcePosition
+    position: SourcePosition
 
     @property
     def head(self) -> str | None:
@@ -138,11 +138,11 @@
 
 def _convert(node: Token | Tree, file: str) -> Atom | Form:
     if isinstance(node, Token):
-        place = SourcePosition(file, node.line or 1, node.column or 1)
+        position = SourcePosition(file, node.line or 1, node.column or 1)
         if node.type == "NUMBER":
-            return Atom(float(node), "number", place)
+            return Atom(float(node), "number", position)
         if node.type == "STRING":
-            return Atom(node[1:-1].replace('\\"', '"').replace("\\\\", "\\"), "string", place)
-        return Atom(str(node), "word", place)
-    place = SourcePosition(file, node.meta.line, node.meta.column)
-    return Form(tuple(_convert(child, file) for child in node.children), place)
+            return Atom(node[1:-1].replace('\\"', '"').replace("\\\\", "\\"), "string", position)
+        return Atom(str(node), "word", position)
+    position = SourcePosition(file, node.meta.line, node.meta.column)
+    return Form(tuple(_convert(child, file) for child in node.children), position)
--- a/kelptrail/settings/request_classes.py
+++ b/kelptrail/settings/request_classes.py
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NamespaceSettings:
-    """A namespace: who calls, and what it may take of the whole."""
+    """A namespace: who calls, and its quota."""
 
     name: str
     uuid: str
@@ -110,10 +110,10 @@
         "type": word(),
         "model": word(default=""),
         "memory-mb": number(0.001, 1e7),
-        "lanes": number(1, 4096, whole=True, default=1),
+        "lanes": number(1, 4096, integer=True, default=1),
         "load-ms": milliseconds(0, 3.6e6, 0.0),
         "work-ms": milliseconds(0, 3.6e6, 50.0),
-        "count": number(1, 100_000, whole=True, default=1),
+        "count": number(1, 100_000, integer=True, default=1),
     },
     ("name",),
     ActionSettings,
--- a/kelptrail/settings/shape.py
+++ b/kelptrail/settings/shape.py
@@ -1,4 +1,4 @@
-"""What a settings file may hold: forms, their fields, ranges, and how faults are told.
+"""What a settings file may hold: forms, their fields, ranges, and the texts of faults.
 
 A shape is data; `Checker` walks a form beside its shape and gathers every fault before anything is used.
 """
@@ -16,11 +16,15 @@
 REQUIRED: Any = object()
 
 
+class SettingValueError(ValueError):
+    """A value of another kind or out of range; the text says what was expected."""
+
+
 @dataclass(frozen=True, slots=True)
 class Value:
     """A field with one value: `(key value)`."""
 
-    convert: Callable[[Atom | Form], Any]  # raises ValueError with what was expected
+    convert: Callable[[Atom | Form], Any]  # raises SettingValueError with what was expected
     expected: str
     default: Any = REQUIRED
 
@@ -59,17 +63,18 @@
     build: Callable[..., Any] = field(default=dict)
 
 
-def number(low: float, high: float, whole: bool = False, default: Any = REQUIRED) -> Value:
-    """A number from `low` to `high`."""
-    kind = "a whole number" if whole else "a number"
+def number(low: float, high: float, integer: bool = False, default: Any = REQUIRED) -> Value:
+    """A number from `low` to `high`; `integer`: without a fraction."""
+    kind = "a whole number" if integer else "a number"
     expected = f"{kind} from {low:g} to {high:g}"
 
     def convert(item: Atom | Form) -> float | int:
+        """The number of an item.  Raises `SettingValueError`."""
         if not isinstance(item, Atom) or item.kind != "number" or not isinstance(item.value, float):
-            raise ValueError(expected)
-        if not low <= item.value <= high or (whole and item.value != int(item.value)):
-            raise ValueError(expected)
-        return int(item.value) if whole else item.value
+            raise SettingValueError(expected)
+        if not low <= item.value <= high or (integer and item.value != int(item.value)):
+            raise SettingValueError(expected)
+        return int(item.value) if integer else item.value
 
     return Value(convert, expected, default)
 
@@ -85,8 +90,9 @@
     expected = "one of " + ", ".join(known) if known else "a word or a string"
 
     def convert(item: Atom | Form) -> str:
+        """The text of an item.  Raises `SettingValueError`."""
         if not isinstance(item, Atom) or item.kind == "number" or (known and item.value not in known):
-            raise ValueError(expected)
+            raise SettingValueError(expected)
         return str(item.value)
 
     return Value(convert, expected, default)
@@ -131,14 +137,14 @@
     def __init__(self) -> None:
         self.faults: list[Fault] = []
 
-    def fault(self, place: SourcePosition, read: object, expected: str) -> None:
+    def fault(self, position: SourcePosition, read: object, expected: str) -> None:
         """Note a fault and go on."""
-        self.faults.append(Fault(place, str(read), expected))
+        self.faults.append(Fault(position, str(read), expected))
 
     def done(self) -> None:
         """Raise `SettingsError` with all faults, if there are any."""
         if self.faults:
-            raise SettingsError(sorted(self.faults, key=lambda f: (f.place.line, f.place.column)))
+            raise SettingsError(sorted(self.faults, key=lambda f: (f.position.line, f.position.column)))
 
     def form(self, form: Form, shape: Shape) -> Any:
         """The built value of a form, or None where it has faults."""
@@ -147,12 +153,12 @@
             if items and isinstance(items[0], Atom):
                 out[name] = str(items.pop(0)).strip('"')
             else:
-                self.fault(form.place, form, f"({form.head} {name.upper()} ...)")
+                self.fault(form.position, form, f"({form.head} {name.upper()} ...)")
         seen: dict[str, SourcePosition] = {}
         lists: dict[str, list[Any]] = {k: [] for k, f in shape.fields.items() if isinstance(f, Many)}
         for item in items:
             if not isinstance(item, Form) or item.head is None:
-                self.fault(item.place, item, f"a field of ({form.head} ...) in brackets")
+                self.fault(item.position, item, f"a field of ({form.head} ...) in brackets")
                 continue
             spec = shape.fields.get(item.head)
             if spec is None:
@@ -163,17 +169,19 @@
                 continue
             if item.head in seen:
                 self.fault(
-                    item.place, f"({item.head} ...) again", f"it once; it stands in line {seen[item.head].line} already"
+                    item.position,
+                    f"({item.head} ...) again",
+                    f"it once; it stands in line {seen[item.head].line} already",
                 )
                 continue
-            seen[item.head] = item.place
+            seen[item.head] = item.position
             out[item.head.replace("-", "_")] = self._field(item, spec)
         for key, spec in shape.fields.items():
             name = key.replace("-", "_")
             if isinstance(spec, Many):
                 out[name] = lists[key]
                 if len(lists[key]) < spec.least:
-                    self.fault(form.place, f"{len(lists[key])} of ({key} ...)", f"{spec.least} at least")
+                    self.fault(form.position, f"{len(lists[key])} of ({key} ...)", f"{spec.least} at least")
             elif key not in seen:
                 out[name] = self._absent(form, key, spec)
         return _build(shape, out) if len(self.faults) == before else None
@@ -182,21 +190,21 @@
         near = difflib.get_close_matches(str(item.head), shape.fields, 1)
         hint = f" (did you mean {near[0]}?)" if near else ""
         expected = f"a field of ({form.head} ...): " + ", ".join(sorted(shape.fields)) + hint
-        self.fault(item.place, f"({item.head} ...)", expected)
+        self.fault(item.position, f"({item.head} ...)", expected)
 
     def _field(self, item: Form, spec: Value | Values | Group) -> Any:
         if isinstance(spec, Group):
             return self.form(item, spec.shape)
         values = item.items[1:]
         if isinstance(spec, Value) and len(values) != 1:
-            self.fault(item.place, f"{len(values)} values for {item.head}", spec.expected)
+            self.fault(item.position, f"{len(values)} values for {item.head}", spec.expected)
             return None
         out = []
         for value in values:
             try:
                 out.append(spec.convert(value))
             except ValueError as cause:
-                self.fault(value.place, value, f"{cause} for {item.head}")
+                self.fault(value.position, value, f"{cause} for {item.head}")
         if isinstance(spec, Value):
             return out[0] if out else None
         return tuple(out)
@@ -205,8 +213,8 @@
         if isinstance(spec, Group):
             if spec.optional:
                 return None
-            return self.form(Form((Atom(key, "word", form.place),), form.place), spec.shape)
+            return self.form(Form((Atom(key, "word", form.position),), form.position), spec.shape)
         if spec.default is REQUIRED:
-            self.fault(form.place, f"no ({key} ...) in {form}", spec.expected)
+            self.fault(form.position, f"no ({key} ...) in {form}", spec.expected)
             return None
         return spec.default
--- a/kelptrail/settings/vrrp.py
+++ b/kelptrail/settings/vrrp.py
@@ -85,12 +85,12 @@
             Shape(
                 {
                     "address": word(),
-                    "port": number(1, 65535, whole=True),
-                    "interval-cs": number(1, 4095, whole=True, default=100),
+                    "port": number(1, 65535, integer=True),
+                    "interval-cs": number(1, 4095, integer=True, default=100),
                     "preempt": yes_no(True),
                     "accept": yes_no(True),
-                    "grpc-port": number(0, 65535, whole=True, default=0),
-                    "member": Many(Shape({"priority": number(1, 255, whole=True)}, ("name",), MemberSettings), 1),
+                    "grpc-port": number(0, 65535, integer=True, default=0),
+                    "member": Many(Shape({"priority": number(1, 255, integer=True)}, ("name",), MemberSettings), 1),
                 },
                 ("vrid",),
                 RouterConfig,
@@ -100,7 +100,7 @@
         "track": Many(
             Shape(
                 {
-                    "weight": number(0, 254, whole=True),
+                    "weight": number(0, 254, integer=True),
                     "fall-ms": milliseconds(0, 600_000, 1000.0),
                     "rise-ms": milliseconds(0, 600_000, 3000.0),
                     "release": yes_no(False),
--- a/kelptrail/settings/vrrp_checks.py
+++ b/kelptrail/settings/vrrp_checks.py
@@ -26,7 +26,7 @@
         if part.head == "key":
             _check_key(checker, part)
         if part.head == "track" and first_name(part) not in TRACKED:
-            checker.fault(part.place, first_name(part), "one of " + ", ".join(TRACKED))
+            checker.fault(part.position, first_name(part), "one of " + ", ".join(TRACKED))
 
 
 def _check_instances(checker: Checker, form: Form, instances: dict[str, Form]) -> set[int]:
@@ -42,7 +42,7 @@
                 families[name] = version
     versions = set(families.values())
     if len(versions) > 1:
-        checker.fault(form.place, "IPv4 and IPv6 instances", "one family for all instances")
+        checker.fault(form.position, "IPv4 and IPv6 instances", "one family for all instances")
     return versions
 
 
@@ -56,38 +56,38 @@
     except ValueError:
         sound = False
     if not sound:
-        checker.fault(address.place, address.text, f"an address and a port for {key}, such as 127.0.1.1:8112")
+        checker.fault(address.position, address.text, f"an address and a port for {key}, such as 127.0.1.1:8112")
     return version
 
 
 def _check_once(checker: Checker, part: Form, seen: dict[str, SourcePosition]) -> None:
     identity = f"{part.head} {first_name(part)}"
-    known = seen.setdefault(identity, part.place)
-    if known is not part.place:
-        checker.fault(part.place, f"{identity} again", f"it once; line {known.line} has it already")
+    known = seen.setdefault(identity, part.position)
+    if known is not part.position:
+        checker.fault(part.position, f"{identity} again", f"it once; line {known.line} has it already")
 
 
 def _check_router(checker: Checker, router: Form, instances: dict[str, Form], families: set[int]) -> None:
     vrid = first_name(router)
     if not vrid.isdigit() or not 1 <= int(vrid) <= 255:
-        checker.fault(router.place, vrid, "a virtual router identifier from 1 to 255")
+        checker.fault(router.position, vrid, "a virtual router identifier from 1 to 255")
     if (address := setting(router, "address")) is not None:
         version: int | None = None
         with contextlib.suppress(ValueError):
             version = ip_address(address.text).version
         if version not in families:
-            checker.fault(address.place, address.text, "an IP address of the instances' family")
+            checker.fault(address.position, address.text, "an IP address of the instances' family")
     members = list(sections(router, "member"))
     owners = [m for m in members if (priority := setting(m, "priority")) and priority.text == OWNER_PRIORITY]
     if len(owners) > 1:
-        checker.fault(owners[1].place, "a second priority 255", "one owner of the address at most")
+        checker.fault(owners[1].position, "a second priority 255", "one owner of the address at most")
     for member in members:
         if first_name(member) not in instances:
             expected = "an instance of this section: " + ", ".join(sorted(instances))
-            checker.fault(member.place, first_name(member), expected)
+            checker.fault(member.position, first_name(member), expected)
 
 
 def _check_key(checker: Checker, key: Form) -> None:
     number = first_name(key)
     if not number.isdigit() or not 0 <= int(number) <= 255:
-        checker.fault(key.place, number, "a key number from 0 to 255")
+        checker.fault(key.position, number, "a key number from 0 to 255")
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -80,23 +80,23 @@
     variants, sweep = dict[str, tuple[Change, ...]](), list[Change]()
     for item in form.items[2:]:
         if not isinstance(item, Form):
-            checker.fault(form.place, item, "forms after the name")
+            checker.fault(form.position, item, "forms after the name")
         elif item.head == "script" and len(item.items) == 2:
             script = str(_value(item.items[1]))
         elif item.head == "seeds":
             try:
                 seeds = tuple(int(float(str(_value(seed)))) for seed in item.items[1:])
             except ValueError:
-                checker.fault(item.place, "seeds", "whole numbers")
+                checker.fault(item.position, "seeds", "whole numbers")
         elif item.head == "variant" and len(item.items) > 1:
             variants[str(_value(item.items[1]))] = _parse_variant(checker, item)
         elif item.head == "sweep" and len(item.items) > 2:
             for value in item.items[2:]:
-                sweep += _parse_change(checker, item.place, item.items[1], value)
+                sweep += _parse_change(checker, item.position, item.items[1], value)
         else:
-            checker.fault(item.place, item.head, "one of script, seeds, variant, sweep, with what they need")
+            checker.fault(item.position, item.head, "one of script, seeds, variant, sweep, with what they need")
     if not script:
-        checker.fault(form.place, "no script", "(script FILE)")
+        checker.fault(form.position, "no script", "(script FILE)")
     checker.done()
     file = Path(script) if Path(script).is_absolute() else Path(path).parent / script
     name = str(_value(form.items[1]))
@@ -109,9 +109,9 @@
     changes = list[Change]()
     for item in variant.items[2:]:
         if isinstance(item, Form) and item.head == "set" and len(item.items) == 3:
-            changes += _parse_change(checker, item.place, item.items[1], item.items[2])
+            changes += _parse_change(checker, item.position, item.items[1], item.items[2])
         else:
-            checker.fault(variant.place, item, "(set SECTION.KEY VALUE)")
+            checker.fault(variant.position, item, "(set SECTION.KEY VALUE)")
     return tuple(changes)
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,42 +1,42 @@
-"""Settings: every fault with its place and reason, in one pass."""
+"""Settings: every fault with its position and reason, in one pass."""
 
 from pathlib import Path
 
 import pytest
 
-from kelptrail.fault_scenario import scenario as script
+from kelptrail.fault_scenario import scenario
 from kelptrail.settings.deployment import load, parse
 from kelptrail.settings.reader import SettingsError, read
 
-GOOD = """(deployment d (halls a)
+VALID = """(deployment d (halls a)
   (type t (effect repeatable) (target-ms 100) (timeout-ms 1000))
   (namespace n (uuid "00000000-0000-0000-0000-000000000001") (key "k"))
   (action f (type t) (memory-mb 10)))
 """
 
 
-def faults(text: str) -> list[str]:
+def faults_of(text: str) -> list[str]:
     with pytest.raises(SettingsError) as caught:
         parse(text, "x.sexp")
     return [str(fault) for fault in caught.value.faults]
 
 
-def test_examples_are_sound() -> None:
+def test_examples_have_no_faults() -> None:
     for file in sorted(Path("examples").glob("*.sexp")):
         deployment = load(file)
         assert deployment.actions and {t.effect for t in deployment.types.values()} >= {"repeatable"}
     for file in sorted(Path("examples/bad-days").glob("*.sexp")):
-        assert load(script.load_scenario(file).deployment).actions
+        assert load(scenario.load_scenario(file).deployment).actions
 
 
 def test_defaults_and_counts() -> None:
-    deployment = parse(GOOD.replace("(memory-mb 10)", "(memory-mb 10) (count 3) (package p)"), "x")
+    deployment = parse(VALID.replace("(memory-mb 10)", "(memory-mb 10) (count 3) (package p)"), "x")
     assert list(deployment.actions) == ["p/f-0", "p/f-1", "p/f-2"]
     assert deployment.actions["p/f-1"].model == "f-1"
     assert deployment.rules.drain_grace_ms == 500 and deployment.front.pipelined == 32
 
 
-def test_all_faults_come_in_one_pass_with_line_and_reason() -> None:
+def test_all_faults_are_reported_in_one_pass_with_line_and_reason() -> None:
     text = """(deployment d
   (halls a)
   (type t (effect twice) (target-ms 100) (timeout-ms 99))
@@ -49,8 +49,8 @@
   oops)
 (more)
 """
-    found = faults(text)
-    for line, words in (
+    found = faults_of(text)
+    for line, expected in (
         (3, "twice"),
         (3, "at least the target"),
         (3, "answer-margin-ms"),
@@ -67,22 +67,22 @@
         (10, "oops"),
         (11, "nothing beside it"),
     ):
-        assert any(f.startswith(f"x.sexp:{line}:") and words in f for f in found), (line, words, found)
+        assert any(f.startswith(f"x.sexp:{line}:") and expected in f for f in found), (line, expected, found)
 
 
 @pytest.mark.parametrize(
-    ("text", "line", "words"),
+    ("text", "line", "expected"),
     [
         ("(a (b 1)", 1, "a ) for this bracket"),
         ("(a\n (b\n  1))\n)", 4, "closes nothing"),
         ('(a "open\n)', 1, "a closed string"),
     ],
 )
-def test_brackets_and_quotes(text: str, line: int, words: str) -> None:
+def test_unbalanced_brackets_and_open_strings(text: str, line: int, expected: str) -> None:
     with pytest.raises(SettingsError) as caught:
         read(text, "x")
     (fault,) = caught.value.faults
-    assert fault.place.line == line and words in fault.expected
+    assert fault.position.line == line and expected in fault.expected
 
 
 def test_strings_numbers_and_comments() -> None:
@@ -90,11 +90,11 @@
     assert [item.value for item in form.items] == ["a", -1.5, 1000.0, "x-1", 'q "r"', 2.0]
 
 
-def test_a_script_names_unknown_troubles(tmp_path: Path) -> None:
+def test_a_scenario_with_an_unknown_fault_kind_is_rejected_with_its_line(tmp_path: Path) -> None:
     file = tmp_path / "day.sexp"
     file.write_text('(bad-day x (deployment "d") (seconds 5) (load (rate 1))\n (trouble flood (at 1)))')
     with pytest.raises(SettingsError) as caught:
-        script.load_scenario(file)
+        scenario.load_scenario(file)
     assert "flood" in str(caught.value) and ":2:" in str(caught.value)
 
 
@@ -106,9 +106,9 @@
   (track moon (weight 1)))"""
 
 
-def test_a_vrrp_section_names_its_faults() -> None:
-    found = faults(GOOD.rstrip()[:-1] + VRRP + ")")
-    for line, words in (
+def test_all_faults_of_a_vrrp_section_are_reported() -> None:
+    found = faults_of(VALID.rstrip()[:-1] + VRRP + ")")
+    for line, expected in (
         (5, "key number"),
         (6, "an address and a port"),
         (7, "from 1 to 255"),
@@ -117,5 +117,5 @@
         (8, "one owner"),
         (9, "one of workers, front, journal"),
     ):
-        assert any(f.startswith(f"x.sexp:{line}:") and words in f for f in found), (line, words, found)
+        assert any(f.startswith(f"x.sexp:{line}:") and expected in f for f in found), (line, expected, found)
     assert parse(Path("examples/shared-address.sexp").read_text(), "x").vrrp is not None
