--- a/kelptrail/cli/serving.py
+++ b/kelptrail/cli/serving.py
@@ -118,7 +118,7 @@
         peers=values["peers"] if values["peers_port"] is None else f"127.0.0.1:{values['peers_port']}",
         peer_addresses=values["peer_addresses"],
         clock_fault_file=values["faulty_clock"],
-        trial_witness=values["side_effect_log"],
+        trial_side_effect_log=values["side_effect_log"],
         trial_leases=values["tasks"],
     )
 
--- a/kelptrail/service/build.py
+++ b/kelptrail/service/build.py
@@ -45,19 +45,21 @@
     )
 
 
+def _settings_file(deployment: Deployment, name: str) -> Path | None:
+    """A file that the settings name, relative to their own folder."""
+    return deployment.folder / name if name else None
+
+
 def certificate_reloader(deployment: Deployment, side: str, alpn: list[str], log: Any) -> CertificateReloader | None:
     """One side's TLS, if the settings have it.  Raises `ValueError` where its files are unusable."""
     found = deployment.tls.get(side)
     if found is None:
         return None
 
-    def file(name: str) -> Path | None:
-        return deployment.folder / name if name else None
-
     files = TlsFiles(
-        file(found.certificate),
-        file(found.key),
-        file(found.authority),
+        _settings_file(deployment, found.certificate),
+        _settings_file(deployment, found.key),
+        _settings_file(deployment, found.authority),
         found.peers,
         found.least,
         found.ciphers,
--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -19,13 +19,14 @@
 from kelptrail.membership.client import EndpointClient
 from kelptrail.membership.members import ID_PREFIX_DIGITS, EndpointList, id_prefix
 from kelptrail.net.server import HttpServer, Limits
-from kelptrail.planner.driver import PlannerDriver, PlannerOptions
+from kelptrail.planner.driver import PlannerDriver
 from kelptrail.planner.edge_driver import PlanFollower
 from kelptrail.settings.deployment import Deployment
 from kelptrail.store.faulty_disk import FaultyDisk
+from kelptrail.vrrp.address import FrontService
 
-from .build import front_limits
 from .control import Control
+from .embedded_planner import start_embedded_planner
 from .fleet import Fleet, FleetOptions
 from .front_addresses import FrontAddresses
 from .fronts import Fronts
@@ -35,7 +36,7 @@
 from .lease_trial import FaultyClock, LeaseTrial
 from .options import DispatcherOptions
 from .step_faults import install_step_faults
-from .usage import NamespaceCounts, UsageDriver
+from .usage import NamespaceCounts, UsageDriver, UsageSettings
 
 FIRST_LIST_TIMEOUT_S = 3.0
 CONTROL_CONNECTIONS = 64
@@ -146,9 +147,9 @@
         if self.usage is not None:
             self.usage.start()
         self.endpoints.channel_address, self.endpoints.zone = fleet.peers.address, options.zone
-        if fleet.leases is not None and options.trial_witness:
+        if fleet.leases is not None and options.trial_side_effect_log:
             self.lease_trial = LeaseTrial(
-                fleet.leases, options.trial_witness, options.trial_leases, fleet.lease_length_ms
+                fleet.leases, options.trial_side_effect_log, options.trial_leases, fleet.lease_length_ms
             )
             self.lease_trial.start()
 
@@ -160,8 +161,7 @@
             fleet.leases,
             fleet.peers,
             self.boot,
-            leases.usage_interval_ms,
-            fleet.lease_length_ms,
+            UsageSettings(leases.usage_interval_ms, fleet.lease_length_ms),
             self._namespace_counts,
             fleet.dispatcher_names,
             self.log,
@@ -206,23 +206,11 @@
     def _start_planning(self) -> None:
         addresses = list(self.options.planners)
         if self.deployment.planner.embedded and self.fleet is not None and self.fleet.leases is not None:
-            self.planner = self._start_planner(self.fleet)
+            self.planner = start_embedded_planner(self.deployment, self.options, self.fleet, self.log)
             addresses.append(self.planner.address)
         if addresses:
             self.plan_follower = self._start_plan_follower(addresses)
 
-    def _start_planner(self, fleet: Fleet) -> PlannerDriver:
-        assert fleet.leases is not None
-        options = self.options
-        planner_options = PlannerOptions(
-            f"{options.name}-planner", "127.0.0.1", 0, options.endpoint_service, options.state_folder
-        )
-        planner = PlannerDriver(self.deployment, planner_options, fleet.leases, fleet.lease_length_ms, self.log)
-        planner.restore()
-        planner.listen()
-        planner.start()
-        return planner
-
     def _start_plan_follower(self, addresses: list[str]) -> PlanFollower:
         follower = PlanFollower(
             addresses,
@@ -246,18 +234,22 @@
         deployment, options = self.deployment, self.options
         if deployment.vrrp is None or options.name not in {instance.name for instance in deployment.vrrp.instance}:
             return
+        front = deployment.front
+        service = FrontService(
+            self.fronts.invoke.handle,
+            self.fronts.make_http_server,
+            self.fronts.make_grpc_server,
+            front.drain_ms,
+            front.linger_ms,
+        )
         self.front_addresses = FrontAddresses(
             deployment.vrrp,
             options.name,
             options.state_folder,
             self.driver,
-            self.fronts.invoke,
-            front_limits(deployment.front),
-            deployment.front,
+            service,
             self.log,
             self._can_store,
-            self.fronts.make_http_server,
-            self.fronts.make_grpc_server,
         )
         self.front_addresses.start()
 
--- a/kelptrail/service/front_addresses.py
+++ b/kelptrail/service/front_addresses.py
@@ -7,15 +7,13 @@
 from collections.abc import Callable
 from ipaddress import ip_address
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from kelptrail.clock import now_ms
-from kelptrail.front.invoke.api import InvokeApi
 from kelptrail.gateway.driver import GatewayDriver
-from kelptrail.net.grpc_server import GrpcServer
-from kelptrail.net.server import Handler, HttpServer, Limits
-from kelptrail.settings.deployment import FrontSettings, KeySettings, RouterConfig, VrrpSettings
-from kelptrail.vrrp.address import FrontAddress
+from kelptrail.net.server import HttpServer
+from kelptrail.settings.deployment import KeySettings, RouterConfig, VrrpSettings
+from kelptrail.vrrp.address import FrontAddress, FrontService
 from kelptrail.vrrp.authentication import Key, Signer, Verifier
 from kelptrail.vrrp.driver import VrrpDriver, next_epoch, parse_socket_address
 from kelptrail.vrrp.instance import Instance
@@ -40,43 +38,47 @@
         name: str,
         state: Path | None,
         driver: GatewayDriver,
-        api: InvokeApi,
-        limits: Limits,
-        front: FrontSettings,
+        service: FrontService,
         log: Any,
         journal_usable: Callable[[], bool] = lambda: True,
-        make_http_server: Callable[[Handler], HttpServer] | None = None,
-        make_grpc_server: Callable[[], GrpcServer] | None = None,
     ) -> None:
         """`journal_usable` tells whether what must be kept on disk can be.  Raises `StateFolderError`."""
-        self._driver, self._front, self._log = driver, front, log
+        self._driver, self._log = driver, log
         self._loop = asyncio.get_running_loop()
         self._journal_usable = journal_usable
         self._rejected_before = 0  # connections that the servers had rejected at the last check
         self._next_worker = 0
         self._task: asyncio.Task[None] | None = None
         self.addresses: dict[int, FrontAddress] = {}  # by virtual router identifier
-
+        routers: list[RouterSettings] = []
+        for router in settings.router:
+            own = _router_settings(router, name)
+            if own is not None:
+                routers.append(own)
+                self.addresses[own.vrid] = FrontAddress(router.address, router.port, service, log, router.grpc_port)
+        self.vrrp = self._make_driver(settings, name, state, routers)
+
+    def _make_driver(
+        self, settings: VrrpSettings, name: str, state: Path | None, routers: list[RouterSettings]
+    ) -> VrrpDriver:
         own = next(instance for instance in settings.instance if instance.name == name)
         others = [instance for instance in settings.instance if instance.name != name]
-        primary = ip_address(parse_socket_address(own.udp)[0])
+        own_address = parse_socket_address(own.udp)
+        primary = ip_address(own_address[0])
         peers = {
             ip_address(parse_socket_address(other.udp)[0]): parse_socket_address(other.reached_at) for other in others
         }
-        routers: list[RouterSettings] = []
-        for router in settings.router:
-            if (own_settings := _router_settings(router, name)) is not None:
-                routers.append(own_settings)
-                servers = make_http_server, make_grpc_server
-                self.addresses[own_settings.vrid] = FrontAddress(
-                    router.address, router.port, api.handle, limits, log, front.linger_ms, *servers, router.grpc_port
-                )
-        signer, verifier = _authentication(settings.key, state, primary)
+        authentication = _authentication(settings.key, state, primary)
         instance = Instance(
-            primary, tuple(peers), routers, _tracking(settings), signer, verifier, settings.pseudo_header
+            primary,
+            tuple(peers),
+            routers,
+            _tracking(settings),
+            authentication.signer,
+            authentication.verifier,
+            settings.pseudo_header,
         )
-        own_address = parse_socket_address(own.udp)
-        self.vrrp = VrrpDriver(instance, own_address, peers, self._acquire, self._release, log)
+        return VrrpDriver(instance, own_address, peers, self._acquire, self._release, self._log)
 
     def start(self) -> None:
         """Take part in the virtual routers."""
@@ -98,7 +100,7 @@
         self.addresses[vrid].acquire()
 
     def _release(self, vrid: int) -> None:
-        self.addresses[vrid].release(self._front.drain_ms)
+        self.addresses[vrid].release()
 
     async def _watch_health(self) -> None:
         """Report what is tracked to VRRP, for as long as this dispatcher takes part."""
@@ -166,16 +168,21 @@
     )
 
 
-def _authentication(
-    keys: list[KeySettings], state: Path | None, primary: Address
-) -> tuple[Signer | None, Verifier | None]:
-    """Both sides of authentication, None without keys.  Raises `StateFolderError`."""
+class _Authentication(NamedTuple):
+    """Both sides of authentication; None where there are no keys."""
+
+    signer: Signer | None
+    verifier: Verifier | None
+
+
+def _authentication(keys: list[KeySettings], state: Path | None, primary: Address) -> _Authentication:
+    """Signs with the first key and accepts all.  Raises `StateFolderError`."""
     if not keys:
-        return None, None
+        return _Authentication(None, None)
     if state is None:
         raise StateFolderError("a vrrp key needs --state: the count of starts is kept there")
     live = tuple(Key(int(key.number), key.secret.encode()) for key in keys)
-    return Signer(live[0], next_epoch(state / EPOCH_FILE), primary), Verifier(live)
+    return _Authentication(Signer(live[0], next_epoch(state / EPOCH_FILE), primary), Verifier(live))
 
 
 def _tracking(settings: VrrpSettings) -> Tracking:
--- a/kelptrail/service/journal_takeover.py
+++ b/kelptrail/service/journal_takeover.py
@@ -28,14 +28,17 @@
         return
 
     def on_recovered(handle: PrimaryHandle, activations: list[ActivationEntries]) -> None:
+        """The activations of an acquired journal are to be ended or resumed."""
         gateway.recover(now_ms(), replication.wall_ms(), activations, min_remaining_ms, max_resumed, handle)
         driver.schedule_decisions()
 
     def on_resumed(handle: PrimaryHandle) -> None:
+        """This dispatcher is the primary again."""
         gateway.on_became_primary(handle)
         driver.schedule_decisions()
 
     def on_released(handle: PrimaryHandle) -> int:
+        """Another dispatcher has the journal; returns how many requests it had."""
         count = gateway.release(handle)
         driver.schedule_decisions()
         return count
--- a/kelptrail/service/lease_trial.py
+++ b/kelptrail/service/lease_trial.py
@@ -1,7 +1,8 @@
-"""For trials: leases that many dispatchers request, and writes under them to a witness that records who writes when.
+"""For trials: leases that many dispatchers request, and writes under them to a side-effect log.
 
-A write checks the lease, sends its fencing token to the witness, works for a while, checks again and reports that it is
-done.  The witness stands for the protected resource: it accepts no write under a token older than one it has seen.
+A write checks the lease, sends its fencing token to the log, works for a while, checks again and reports that it is
+done.  The log stands for the protected resource: it accepts no write under a token older than one it has seen, and
+records who writes when.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 import contextlib
 import os
 import signal
-from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 import msgspec
@@ -30,8 +31,8 @@
     """One dispatcher's writes under some leases.  After SIGUSR1 the process suspends itself (SIGSTOP) once, between the
     next check of a lease and the write; SIGUSR2 cancels that.  The trial's runner resumes it."""
 
-    def __init__(self, leases: LeaseDriver, witness: str, tasks: tuple[str, ...], length_ms: float) -> None:
-        self._leases, self._witness_address, self._tasks, self._length_ms = leases, witness, tasks, length_ms
+    def __init__(self, leases: LeaseDriver, side_effect_log: str, tasks: tuple[str, ...], length_ms: float) -> None:
+        self._leases, self._log_address, self._tasks, self._length_ms = leases, side_effect_log, tasks, length_ms
         self._pause_next = False
         self._loop = asyncio.get_running_loop()
         self._tasks_running: dict[str, asyncio.Task[None]] = {}
@@ -42,27 +43,21 @@
         self._loop.add_signal_handler(signal.SIGUSR1, setattr, self, "_pause_next", True)
         self._loop.add_signal_handler(signal.SIGUSR2, setattr, self, "_pause_next", False)
         for task in self._tasks:
-            self._leases.acquire(task, self._length_ms, self._on_acquired(task), self._on_lost(task))
+            self._leases.acquire(task, self._length_ms, partial(self._on_acquired, task), partial(self._on_lost, task))
 
     def stop(self) -> None:
         """Stop writing."""
         for task in self._tasks_running.values():
             task.cancel()
 
-    def _on_acquired(self, task: str) -> Callable[[FencingToken], None]:
-        def won(token: FencingToken) -> None:
-            self._tasks_running[task] = self._loop.create_task(self._write_repeatedly(task, token))
+    def _on_acquired(self, task: str, token: FencingToken) -> None:
+        self._tasks_running[task] = self._loop.create_task(self._write_repeatedly(task, token))
 
-        return won
-
-    def _on_lost(self, task: str) -> Callable[[FencingToken, str], None]:
-        def lost(token: FencingToken, reason: str) -> None:
-            self._tasks_running.pop(task).cancel()
-
-        return lost
+    def _on_lost(self, task: str, _token: FencingToken, _reason: str) -> None:
+        self._tasks_running.pop(task).cancel()
 
     async def _write_repeatedly(self, task: str, token: FencingToken) -> None:
-        client = HttpClient(self._witness_address)
+        client = HttpClient(self._log_address)
         try:
             while True:
                 with contextlib.suppress(OSError, HttpError, TimeoutError):
@@ -73,12 +68,13 @@
             client.close()
 
     async def _write_once(self, client: HttpClient, task: str, token: FencingToken) -> bool:
-        looked, message = true_ms(), {"task": task, "token": [token.round, token.client_id], "who": self._leases.name}
+        checked_at = true_ms()
+        message = {"task": task, "token": [token.round, token.client_id], "who": self._leases.name}
         if self._pause_next:
             self._pause_next = False
             os.kill(os.getpid(), signal.SIGSTOP)
         self.writes += 1
-        if not (await client.json("POST", "/act", message | {"looked": looked}))["taken"]:
+        if not (await client.json("POST", "/act", message | {"looked": checked_at}))["taken"]:
             return False
         await asyncio.sleep(WORK_MS / 1000)
         if self._leases.held_token(task) != token:
--- a/kelptrail/service/options.py
+++ b/kelptrail/service/options.py
@@ -26,5 +26,5 @@
     peers: str | None = None  # address its peer channel listens on; None: as the settings say, or a free port
     peer_addresses: dict[str, str] = field(default_factory=dict)  # by name; they precede settings and endpoint list
     clock_fault_file: Path | None = None  # names the faults of the clock, for trials
-    trial_witness: str = ""  # address of the witness of writes under `trial_leases`, for trials
+    trial_side_effect_log: str = ""  # address of the log of writes under `trial_leases`, for trials
     trial_leases: tuple[str, ...] = ()
--- a/kelptrail/service/planner.py
+++ b/kelptrail/service/planner.py
@@ -68,6 +68,7 @@
 
 def _endpoint_client(options: PlannerOptions, fleet: Fleet, planner: PlannerDriver, log: Any) -> EndpointClient:
     def on_endpoints(listing: EndpointList) -> None:
+        """Pass a new endpoint list to the parts that follow it."""
         fleet.on_endpoints(listing)
         planner.on_endpoints(listing)
 
--- a/kelptrail/service/shutdown.py
+++ b/kelptrail/service/shutdown.py
@@ -9,7 +9,7 @@
 
 from .dispatcher import Dispatcher
 
-POLL_S = 0.05  # between looks at deferred results that no client has fetched
+POLL_S = 0.05  # between checks for deferred results that no client has fetched
 MIN_STORE_MS = 500.0  # stores and the HTTP front may take so long even when the drain time is over
 MIN_GRPC_MS, MAX_GRPC_MS = 100.0, 1000.0
 
@@ -21,10 +21,12 @@
         self._end = now_ms() + drain_ms
 
     def remaining_ms(self, at_least: float = float("-inf")) -> float:
+        """What is left of the drain time, or `at_least`."""
         return max(at_least, self._end - now_ms())
 
     @property
     def passed(self) -> bool:
+        """Whether the drain time is over."""
         return now_ms() >= self._end
 
 
@@ -35,7 +37,7 @@
     fronts.invoke.leaving = fronts.inference.leaving = True
     fronts.grpc.start_draining()
     deadline = _Deadline(dispatcher.deployment.front.drain_ms)
-    await _give_up_duties(dispatcher)
+    await _release_duties(dispatcher)
     answered = await dispatcher.driver.drain(deadline.remaining_ms())
     await _wait_for_fetches(dispatcher, deadline)
     answered = await _close_stores(dispatcher, deadline) and answered
@@ -45,16 +47,14 @@
     return answered and closed
 
 
-async def _give_up_duties(dispatcher: Dispatcher) -> None:
+async def _release_duties(dispatcher: Dispatcher) -> None:
     """Hand over what other dispatchers can do at once: fleet-wide tasks and front addresses."""
     if dispatcher.lease_trial is not None:
         dispatcher.lease_trial.stop()
     if dispatcher.usage is not None:
         dispatcher.usage.stop()
     if dispatcher.fleet is not None and dispatcher.fleet.leases is not None:
-        dispatcher.fleet.leases.release_except(
-            JOURNAL_LEASES
-        )  # journals stay leased until their activations have ended
+        dispatcher.fleet.leases.release_except(JOURNAL_LEASES)  # those are held until their activations have ended
     if dispatcher.front_addresses is not None:
         await dispatcher.front_addresses.stop()
 
--- a/kelptrail/service/step_faults.py
+++ b/kelptrail/service/step_faults.py
@@ -21,6 +21,7 @@
 
 def _crash_at(point: str) -> Callable[[str], None]:
     def crash(step: str) -> None:
+        """Kill the process at the step."""
         if step == point:
             os.kill(os.getpid(), signal.SIGKILL)
 
@@ -31,6 +32,7 @@
     remaining = [point]
 
     def pause(step: str) -> None:
+        """Suspend the process when it first comes to the step."""
         if step in remaining:
             remaining.clear()
             os.kill(os.getpid(), signal.SIGSTOP)
--- a/kelptrail/service/usage.py
+++ b/kelptrail/service/usage.py
@@ -116,6 +116,13 @@
         return True
 
 
+class UsageSettings(NamedTuple):
+    """How often usage is collected, and for how long the lease on collecting it is granted; milliseconds."""
+
+    interval_ms: float
+    lease_length_ms: float
+
+
 class UsageDriver:
     """One dispatcher's part.  `counts` returns what it has counted, `names` the dispatchers that it knows."""
 
@@ -124,14 +131,13 @@
         leases: LeaseDriver,
         peers: Peers,
         run: str,
-        every_ms: float,
-        length_ms: float,
+        settings: UsageSettings,
         counts: Callable[[], NamespaceCounts],
         names: Callable[[], set[str]],
         log: Any,
     ) -> None:
-        self._leases, self._peers, self._run_id, self._every_ms = leases, peers, run, every_ms
-        self._length_ms, self._counts, self._names, self._log = length_ms, counts, names, log
+        self._leases, self._peers, self._run_id, self._settings = leases, peers, run, settings
+        self._counts, self._names, self._log = counts, names, log
         self._loop = asyncio.get_running_loop()
         self.view = UsageView()
         self._collector: UsageCollector | None = None
@@ -140,7 +146,7 @@
 
     def start(self) -> None:
         """Request the lease."""
-        self._leases.acquire(LEASE_NAME, self._length_ms, self._on_lease_acquired, self._on_lease_lost)
+        self._leases.acquire(LEASE_NAME, self._settings.lease_length_ms, self._on_lease_acquired, self._on_lease_lost)
 
     def stop(self) -> None:
         """Stop collecting."""
@@ -168,12 +174,12 @@
             for name in names:
                 self._peers.send(name, total)
             self.view.on_total(total)
-        question = collector.start_turn(now_ms())
+        request = collector.start_turn(now_ms())
         for name in names:
-            self._peers.send(name, question)
+            self._peers.send(name, request)
         if self.view.accepts(collector.token):
             collector.on_counts(self._leases.name, UsageCounts(collector.turn, self._run_id, self._counts()))
-        self._timer = self._loop.call_later(self._every_ms / 1000, self._next_turn)
+        self._timer = self._loop.call_later(self._settings.interval_ms / 1000, self._next_turn)
 
     def _on_message(self, sender: str, message: UsageRequest | UsageCounts | UsageTotal) -> None:
         if isinstance(message, UsageTotal):
--- a/kelptrail/vrrp/address.py
+++ b/kelptrail/vrrp/address.py
@@ -9,41 +9,45 @@
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 from kelptrail.codec.http import Request
 from kelptrail.net.grpc_server import GrpcServer
-from kelptrail.net.server import Exchange, Handler, HttpServer, Limits
+from kelptrail.net.server import Exchange, Handler, HttpServer
 
 ADDRESS_MOVED = b'{"error":"This address has moved to another dispatcher; the call was not taken.","code":"moved"}'
 
 RETRY_S = 0.05  # between attempts to listen on an address that is in use
 
 
+@dataclass(frozen=True, slots=True)
+class FrontService:
+    """What is served on a front address, by servers that are made anew each time it is acquired.
+
+    `drain_ms`: for the requests in flight when the address is released; `linger_ms`: for which open connections are
+    then kept, so that late requests are answered.
+    """
+
+    handler: Handler
+    make_http_server: Callable[[Handler], HttpServer]
+    make_grpc_server: Callable[[], GrpcServer] | None = None
+    drain_ms: float = 0.0
+    linger_ms: float = 0.0
+
+
 class FrontAddress:
     """One address, and the servers on it while it is held."""
 
-    def __init__(
-        self,
-        host: str,
-        port: int,
-        handler: Handler,
-        limits: Limits,
-        log: Any,
-        linger_ms: float = 0.0,
-        make_http_server: Callable[[Handler], HttpServer] | None = None,
-        make_grpc_server: Callable[[], GrpcServer] | None = None,
-        grpc_port: int = 0,
-    ) -> None:
-        self._make_http_server = make_http_server or (lambda handler: HttpServer(handler, limits, log.warning))
-        self._make_grpc_server, self._grpc_port = make_grpc_server, grpc_port
-        self._grpc: GrpcServer | None = None
-        self._host, self._port, self._handler, self._limits, self._log = host, port, handler, limits, log
+    def __init__(self, host: str, port: int, service: FrontService, log: Any, grpc_port: int = 0) -> None:
+        """`grpc_port`: of the gRPC front on the same address; 0: there is none."""
+        self._host, self._port, self._grpc_port = host, port, grpc_port
+        self._service, self._log = service, log
         self._loop = asyncio.get_running_loop()
         self._server: HttpServer | None = None
+        self._grpc: GrpcServer | None = None
         self._draining: set[asyncio.Task[None]] = set()
         self._retry: asyncio.TimerHandle | None = None
-        self._linger_ms = linger_ms
 
     @property
     def held(self) -> bool:
@@ -60,8 +64,9 @@
         if self._server is not None:
             return
         self._retry = None
-        server = self._make_http_server(self._handle)
-        grpc = self._make_grpc_server() if self._make_grpc_server is not None and self._grpc_port else None
+        service = self._service
+        server = service.make_http_server(service.handler)
+        grpc = service.make_grpc_server() if service.make_grpc_server is not None and self._grpc_port else None
         try:
             server.listen(self._host, self._port, reuse_port=True)
             if grpc is not None:
@@ -73,8 +78,8 @@
             return
         self._server, self._grpc = server, grpc
 
-    def release(self, drain_ms: float) -> None:
-        """Stop listening; requests in flight get `drain_ms` to be answered."""
+    def release(self) -> None:
+        """Stop listening; requests in flight get the service's `drain_ms` to be answered."""
         if self._retry is not None:
             self._retry.cancel()
             self._retry = None
@@ -84,21 +89,19 @@
             server.start_draining()  # at once: later connections reach the new holder
             if self._grpc is not None:
                 self._grpc.stop_listening()
-            task = self._loop.create_task(self._drain(server, self._grpc, drain_ms))
+            task = self._loop.create_task(self._drain(server, self._grpc))
             self._grpc = None
             self._draining.add(task)
             task.add_done_callback(self._draining.discard)
 
-    async def _drain(self, server: HttpServer, grpc: GrpcServer | None, drain_ms: float) -> None:
-        ends = [server.drain(drain_ms, self._linger_ms)]
+    async def _drain(self, server: HttpServer, grpc: GrpcServer | None) -> None:
+        drain_ms = self._service.drain_ms
+        ends = [server.drain(drain_ms, self._service.linger_ms)]
         if grpc is not None:  # clients get GOAWAY; open streams go on
             ends.append(grpc.drain(drain_ms))
         if not all(await asyncio.gather(*ends)):
             self._log.warning("address-left-late", address=f"{self._host}:{self._port}")
 
-    def _handle(self, request: Request, exchange: Exchange) -> None:
-        self._handler(request, exchange)
-
     @staticmethod
     def _reject_moved(request: Request, exchange: Exchange) -> None:
         exchange.reply(503, ADDRESS_MOVED, {"retry-after": "1"}, close=True)
--- a/kelptrail/vrrp/authentication.py
+++ b/kelptrail/vrrp/authentication.py
@@ -74,7 +74,7 @@
         self._newest: dict[Address, tuple[int, int]] = {}
 
     def verify(self, data: bytes, sender: Address) -> bytes:
-        """The message without its trailer.  Raises one of `SEAL_ERRORS`."""
+        """The message without its trailer.  Raises one of `AUTHENTICATION_ERRORS`."""
         if len(data) < TRAILER.size or data[-TRAILER.size : -TRAILER.size + 3] != MAGIC:
             raise UnsealedError("no trailer")
         _, number, epoch, count, mac = TRAILER.unpack(data[-TRAILER.size :])
--- a/kelptrail/vrrp/model.py
+++ b/kelptrail/vrrp/model.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Hashable, Iterator
 from dataclasses import dataclass, replace
 from functools import partial
 
@@ -64,7 +64,7 @@
         twin.holds_address, twin.alive, twin.paused = list(self.holds_address), list(self.alive), list(self.paused)
         return twin
 
-    def key(self) -> tuple[object, ...]:
+    def key(self) -> Hashable:
         """All that later states depend on."""
         advertisement = sorted((f.advert.priority, f.sender, f.to, f.age) for f in self.in_flight)
         return (
@@ -274,7 +274,8 @@
     """Breadth first to `depth` steps or `most_states` states.  Raises `PropertyError` with the way to it."""
     found = VrrpSearchResult()
 
-    def look(model: Model) -> None:
+    def check_state(model: Model) -> None:
+        """Count the masters of a state, and check it and what must follow once all faults end."""
         masters = sum(a and r.state is State.MASTER for a, r in zip(model.alive, model.routers, strict=True))
         found.most_masters = max(found.most_masters, masters)
         found.two_masters += masters > 1
@@ -282,11 +283,11 @@
         model.check()
         heal(model, heal_ms)
 
-    looked = explorer.explore(start(make, budget), look, depth, most_states)
+    explored = explorer.explore(start(make, budget), check_state, depth, most_states)
     found.states, found.transitions, found.depth, found.complete = (
-        looked.states,
-        looked.transitions,
-        looked.depth,
-        looked.complete,
+        explored.states,
+        explored.transitions,
+        explored.depth,
+        explored.complete,
     )
     return found
--- a/kelptrail/vrrp/simulation.py
+++ b/kelptrail/vrrp/simulation.py
@@ -144,10 +144,10 @@
             elif isinstance(output, ReleaseAddress):
                 self._hold(address, False)
             elif not isinstance(output, StateChange):
-                copies = 2 if self._random.random() < faults.duplication else 1
+                deliveries = 2 if self._random.random() < faults.duplication else 1
                 if (address, output.to) in faults.cut or self._random.random() < faults.loss:
-                    copies = 0
-                for _ in range(copies):
+                    deliveries = 0
+                for _ in range(deliveries):
                     self._number += 1
                     heappush(
                         self._in_flight,
--- a/kelptrail/vrrp/state_machine.py
+++ b/kelptrail/vrrp/state_machine.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Hashable
 from dataclasses import dataclass
 from enum import Enum
 
@@ -267,7 +268,7 @@
 
     # For model checking.
 
-    def snapshot(self, now: float) -> tuple[object, ...]:
+    def snapshot(self, now: float) -> Hashable:
         """All that later states depend on, hashable, with times relative to `now`."""
         adver = None if self._adver_due is None else round(self._adver_due - now, 3)
         down = None if self._down_due is None else round(self._down_due - now, 3)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,7 +23,7 @@
 from kelptrail.net.server import Exchange, HttpServer
 from kelptrail.peers.connection import PeerConnection, PeerSettings
 from kelptrail.peers.messages import VERSION, ChannelError, FrameReader, Heartbeat, Hello, decoder, encode_frame
-from kelptrail.service.usage import UsageCollector, UsageCounts, UsageDriver, UsageTotal, UsageView
+from kelptrail.service.usage import UsageCollector, UsageCounts, UsageDriver, UsageSettings, UsageTotal, UsageView
 from kelptrail.settings.deployment import parse
 from kelptrail.settings.reader import SettingsError
 
@@ -303,8 +303,7 @@
                     fleet.leases,
                     fleet.peers,
                     f"r{n}",
-                    100.0,
-                    1000.0,
+                    UsageSettings(100.0, 1000.0),
                     lambda n=n: {"one": (calls[n], 0, 0)},
                     fleet.dispatcher_names,
                     voters.log,
--- a/tests/test_front_addresses.py
+++ b/tests/test_front_addresses.py
@@ -1,4 +1,4 @@
-"""VRRP joined to running dispatchers: UDP on loopback, front addresses that move cleanly, failovers of processes."""
+"""VRRP of running dispatchers: UDP on loopback, front addresses that move without lost requests, failovers."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.gateway.connection_health import ConnectionHealth
 from kelptrail.net.grpc_server import GrpcServer
-from kelptrail.net.server import Exchange, Limits
+from kelptrail.net.server import Exchange, HttpServer, Limits
 from kelptrail.service.front_addresses import FrontAddresses
 from kelptrail.settings.deployment import parse
-from kelptrail.vrrp.address import FrontAddress
+from kelptrail.vrrp.address import FrontAddress, FrontService
 from kelptrail.vrrp.driver import next_epoch
 
 ROOT = Path(__file__).parent.parent
@@ -34,33 +34,46 @@
         return int(probe.getsockname()[1])
 
 
-def test_an_address_given_up_answers_what_it_took_and_sends_the_rest_away() -> None:
+def front_service(
+    dispatcher: Dispatcher, drain_ms: float = 0.0, linger_ms: float = 0.0, grpc: bool = False
+) -> FrontService:
+    return FrontService(
+        dispatcher.api.handle,
+        lambda handler: HttpServer(handler, Limits(), dispatcher.log.warning),
+        (lambda: GrpcServer(dispatcher.inference.handle)) if grpc else None,
+        drain_ms,
+        linger_ms,
+    )
+
+
+def test_a_released_address_answers_accepted_requests_and_rejects_later_ones() -> None:
     async def main() -> None:
-        held: list[tuple[Request, Exchange]] = []
+        in_flight: list[tuple[Request, Exchange]] = []
 
         def later(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
-            held.append((request, exchange))
+            in_flight.append((request, exchange))
 
         worker = ScriptedWorker("w", later)
         dispatcher, other = Dispatcher([worker]), Dispatcher([ScriptedWorker("v", answer)])
         port = free_port()
-        old = FrontAddress("127.0.0.1", port, dispatcher.api.handle, Limits(), Silent(), linger_ms=150.0)
-        new = FrontAddress("127.0.0.1", port, other.api.handle, Limits(), Silent())
+        service = front_service(dispatcher, drain_ms=2000.0, linger_ms=150.0)
+        old = FrontAddress("127.0.0.1", port, service, Silent())
+        new = FrontAddress("127.0.0.1", port, front_service(other), Silent())
         old.acquire()
         loop = asyncio.get_running_loop()
         idle, busy = await connect(f"127.0.0.1:{port}"), await connect(f"127.0.0.1:{port}")
         await loop.sock_sendall(busy, CALL)
-        while not held:
+        while not in_flight:
             await asyncio.sleep(0.01)
         new.acquire()  # two masters for a moment: both listen
         assert old.held and new.held
-        old.release(2000.0)
+        old.release()
         assert not old.held
         late = await connect(f"127.0.0.1:{port}")
         await loop.sock_sendall(late, CALL)
         assert (await read_reply(late)).status == 200, "the new one serves at once"
         await loop.sock_sendall(busy, CALL)  # one more on the old connection
-        answer(worker, *held[0])
+        answer(worker, *in_flight[0])
         got, buffer = b"", bytearray(4096)
         while count := await loop.sock_recv_into(busy, buffer):
             got += bytes(buffer[:count])
@@ -70,7 +83,7 @@
         assert reply.status == 503 and reply.headers["retry-after"] == "1" and not reply.keep_alive
         await old.wait_closed()
         assert dispatcher.gateway.counts.received == 1 and dispatcher.gateway.in_flight == 0
-        new.release(0.0)
+        new.release()
         await new.wait_closed()
         for sock in (idle, busy, late):
             sock.close()
@@ -80,10 +93,10 @@
     run(main())
 
 
-def test_a_request_after_the_address_moved_is_told_to_come_back() -> None:
+def test_a_request_after_the_address_moved_gets_503_with_retry_after() -> None:
     async def main() -> None:
         dispatcher = Dispatcher([ScriptedWorker("w", silent)])
-        front = FrontAddress("127.0.0.1", free_port(), dispatcher.api.handle, Limits(), Silent())
+        front = FrontAddress("127.0.0.1", free_port(), front_service(dispatcher), Silent())
         front.acquire()
         assert front.server is not None
         server, address = front.server, front.server.address
@@ -95,7 +108,7 @@
         reply = await read_reply(sock)
         assert reply.status == 503 and reply.headers["retry-after"] == "1" and not reply.keep_alive
         assert dispatcher.gateway.counts.received == 0
-        front.release(0.0)
+        front.release()
         await front.wait_closed()
         sock.close()
         await dispatcher.server.drain(0)
@@ -110,7 +123,7 @@
 """
 
 
-def test_two_instances_on_loopback_move_the_address_and_drop_what_is_not_theirs(tmp_path: Path) -> None:
+def test_two_instances_on_loopback_move_the_address_and_drop_foreign_datagrams(tmp_path: Path) -> None:
     async def main() -> None:
         from program import DEPLOYMENT
 
@@ -127,22 +140,20 @@
                     name,
                     tmp_path / name,
                     dispatcher.driver,
-                    dispatcher.api,
-                    Limits(),
-                    deployment.front,
+                    front_service(dispatcher, deployment.front.drain_ms, deployment.front.linger_ms),
                     dispatcher.log,
                 )
             )
         for member in members:
             member.start()
 
-        async def held(*wanted: bool) -> None:
+        async def wait_for_holders(*wanted: bool) -> None:
             async with asyncio.timeout(3):
                 while [s.addresses[7].held for s in members] != list(wanted):
                     await asyncio.sleep(0.005)
 
-        await held(True, False)
-        # what does not belong is counted and changes nothing
+        await wait_for_holders(True, False)
+        # datagrams of others are counted and change nothing
         counts = members[1].vrrp.instance.counters
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         stranger.bind(("127.0.31.1", 0))
@@ -153,13 +164,13 @@
         stranger.sendto(b"y" * 60, (here[0], int(here[2])))
         await asyncio.sleep(0.05)
         assert counts["UnsealedError"] == 3
-        # the master's links fail: it hands over in bounded time, and takes back once all has long been well
-        both[0].list([])  # as it sees it there is nobody left
-        await held(False, True)
+        # the master's connections fail: the address moves in bounded time, and back once they work for long enough
+        both[0].list([])  # its endpoint list has no worker any more
+        await wait_for_holders(False, True)
         both[0].list(workers)
-        await held(True, False)
+        await wait_for_holders(True, False)
         await members[0].stop()  # a release: the other takes over after its skew
-        await held(False, True)
+        await wait_for_holders(False, True)
         status = members[1].vrrp.status()
         (router,) = status["routers"]
         assert router["state"] == "master" and status["transitions"][-1]["cause"] == "master down"
@@ -173,16 +184,16 @@
     run(main())
 
 
-def test_what_two_masters_send_for_one_client_carries_one_mark() -> None:
+def test_attempts_of_two_masters_for_one_client_key_carry_one_deduplication_id() -> None:
     async def main() -> None:
         worker = ScriptedWorker("w", answer)
         both = [Dispatcher([worker], boot=letter * 16) for letter in "bc"]
-        for dispatcher in both:  # the client repeats through the other master
+        for dispatcher in both:  # the client retries through the other master
             assert (await dispatcher.call("activate", body={}, key="ticket-7"))[0] == 200
-        assert [mark for mark, _ in worker.sends] == ["one/activate/ticket-7"] * 2, "the group drops the repeat by it"
+        assert [id_ for id_, _ in worker.sends] == ["one/activate/ticket-7"] * 2, "the group drops the repeat by it"
         for dispatcher in both:
             assert (await dispatcher.call("activate", body={}))[0] == 200
-        assert len({mark for mark, _ in worker.sends}) == 3, "calls without a key are never one"
+        assert len({id_ for id_, _ in worker.sends}) == 3, "requests without a key never share one"
         for dispatcher in both:
             await dispatcher.server.drain(0)
         await worker.server.drain(0)
@@ -190,7 +201,7 @@
     run(main())
 
 
-def test_epochs_grow_whatever_happens_to_the_file(tmp_path: Path) -> None:
+def test_epochs_increase_whatever_happens_to_the_file(tmp_path: Path) -> None:
     file = tmp_path / "epoch"
     first = next_epoch(file)
     file.write_text(str(first + 10**9))  # the clock went back since
@@ -201,19 +212,19 @@
     assert next_epoch(file) >= first
 
 
-def test_sight_speaks_only_of_what_is_recent() -> None:
-    sight = ConnectionHealth(1000.0)
-    assert sight.is_healthy(0.0) is None
-    sight.on_attempt_finished(100.0, AttemptStatus.UNREACHABLE)
-    assert sight.is_healthy(200.0) is False
-    sight.on_attempt_finished(150.0, AttemptStatus.OUT_OF_CAPACITY)  # a refusal shows that somebody was reached
-    assert sight.is_healthy(1100.0) is True and sight.is_healthy(1200.0) is None
-    sight.on_attempt_finished(1300.0, AttemptStatus.CANCELLED)
-    assert sight.is_healthy(1300.0) is None
+def test_connection_health_counts_recent_results_only() -> None:
+    health = ConnectionHealth(1000.0)
+    assert health.is_healthy(0.0) is None
+    health.on_attempt_finished(100.0, AttemptStatus.UNREACHABLE)
+    assert health.is_healthy(200.0) is False
+    health.on_attempt_finished(150.0, AttemptStatus.OUT_OF_CAPACITY)  # a rejection shows that a worker was reached
+    assert health.is_healthy(1100.0) is True and health.is_healthy(1200.0) is None
+    health.on_attempt_finished(1300.0, AttemptStatus.CANCELLED)
+    assert health.is_healthy(1300.0) is None
 
 
 @pytest.mark.processes
-def test_two_failovers_of_real_processes_keep_the_rules(tmp_path: Path) -> None:
+def test_two_failovers_of_real_processes_break_no_rule(tmp_path: Path) -> None:
     text = (ROOT / "examples" / "shared-address.sexp").read_text()
     for port, kind in (("8112", socket.SOCK_DGRAM), ("8310", socket.SOCK_STREAM), ("8311", socket.SOCK_STREAM)):
         text = text.replace(port, str(free_port(kind)))
@@ -245,46 +256,37 @@
     assert (tmp_path / "masters.png").stat().st_size > 10_000
 
 
-def test_a_front_address_carries_the_second_front_and_leaves_it_by_goaway() -> None:
+def test_a_front_address_serves_grpc_too_and_drains_it_with_goaway() -> None:
     async def main() -> None:
-        held: list[tuple[ScriptedWorker, Request, Exchange]] = []
+        in_flight: list[tuple[ScriptedWorker, Request, Exchange]] = []
         one, two = (
-            Dispatcher([ScriptedWorker("w", lambda *line: held.append(line))]),
+            Dispatcher([ScriptedWorker("w", lambda *exchange: in_flight.append(exchange))]),
             Dispatcher([ScriptedWorker("v", answer)]),
         )
-        port, second = free_port(), free_port()
-
-        def address(of: Dispatcher) -> FrontAddress:
-            return FrontAddress(
-                "127.0.0.1",
-                port,
-                of.api.handle,
-                Limits(),
-                Silent(),
-                0.0,
-                None,
-                lambda: GrpcServer(of.inference.handle),
-                second,
-            )
+        port, grpc_port = free_port(), free_port()
+
+        def address(dispatcher: Dispatcher, drain_ms: float) -> FrontAddress:
+            service = front_service(dispatcher, drain_ms, grpc=True)
+            return FrontAddress("127.0.0.1", port, service, Silent(), grpc_port)
 
-        old, new = address(one), address(two)
+        old, new = address(one, 3000.0), address(two, 0.0)
         old.acquire()
-        client = Client(f"127.0.0.1:{second}")
+        client = Client(f"127.0.0.1:{grpc_port}")
         call = asyncio.create_task(client.infer("p/check", [tensor("INT8", [7])]))
-        while not held:
+        while not in_flight:
             await asyncio.sleep(0.01)
         new.acquire()
-        old.release(3000.0)
-        await asyncio.sleep(0.2)  # the warning is heard
-        # What the old one took is served by it; the same client's next call goes to the new one, none fails.
+        old.release()
+        await asyncio.sleep(0.2)  # the client reads GOAWAY
+        # The old one serves what it accepted; the same client's next calls go to the new one, and none fails.
         after = [await client.infer("p/check", [tensor("INT8", [n])]) for n in range(3)]
         assert [list(r.outputs[0].contents.int_contents) for r in after] == [[0], [1], [2]]
         assert two.gateway.counts.received >= 1 and one.gateway.counts.received + two.gateway.counts.received == 4
-        answer(*held[0])
+        answer(*in_flight[0])
         assert list((await call).outputs[0].contents.int_contents) == [7]
         await old.wait_closed()
         await client.channel.close()
-        new.release(0.0)
+        new.release()
         await new.wait_closed()
         for end in (one, two):
             await end.grpc.drain(0)
