--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -1,4 +1,4 @@
-"""Rooms stand on floors: an import goes down, never up, so there is no circle between rooms."""
+"""Packages are layered: an import goes to a lower layer only, so there is no cycle between packages."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent / "kelptrail"
-FLOORS = (
+LAYERS = (  # from the lowest
     "dispatch",
     "clock",
     "settings",
@@ -37,11 +37,11 @@
 )
 
 
-def arrows() -> set[tuple[str, str, str]]:
-    """Imports between rooms: from, to, and the file."""
-    found = set()
+def package_imports() -> set[tuple[str, str, str]]:
+    """Imports between packages: from, to, and the file."""
+    imports = set()
     for file in ROOT.rglob("*.py"):
-        here = file.relative_to(ROOT)
+        path = file.relative_to(ROOT)
         for node in ast.walk(ast.parse(file.read_text())):
             names = (
                 [node.module or ""]
@@ -52,14 +52,18 @@
             )
             for name in names:
                 parts = name.split(".")
-                if parts[0] == "kelptrail" and len(parts) > 1 and len(here.parts) > 1:
-                    found.add((here.parts[0], parts[1], str(here)))
-    return found
+                if parts[0] == "kelptrail" and len(parts) > 1 and len(path.parts) > 1:
+                    imports.add((path.parts[0], parts[1], str(path)))
+    return imports
 
 
-def test_every_import_goes_down() -> None:
-    level = {room: n for n, room in enumerate(FLOORS)}
-    seen = arrows()
-    assert len(seen) > 100
-    assert not [(here, to, file) for here, to, file in seen if here != to and level[to] >= level[here]]
-    assert {here for here, _, _ in seen} <= set(FLOORS)
+def test_every_import_goes_to_a_lower_layer() -> None:
+    level = {package: n for n, package in enumerate(LAYERS)}
+    imports = package_imports()
+    assert len(imports) > 100
+    assert not [
+        (source, target, file)
+        for source, target, file in imports
+        if source != target and level[target] >= level[source]
+    ]
+    assert {source for source, _, _ in imports} <= set(LAYERS)
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -1,4 +1,4 @@
-"""VRRP: packets, state machine, seals and tracking; explored products of two and three cores; seeded failovers."""
+"""VRRP: packets, state machine, authentication and tracking; explored states of two and three routers; failovers."""
 
 from __future__ import annotations
 
@@ -68,17 +68,21 @@
 
 @pytest.mark.parametrize("pseudo", [True, False])
 def test_decode_after_encode_is_the_identity(pseudo: bool) -> None:
-    chance = random.Random(1)
+    random_source = random.Random(1)
     for _ in range(300):
-        six = chance.random() < 0.5
-        made = IPv6Address if six else IPv4Address
-        addresses = tuple(made(chance.getrandbits(128 if six else 32)) for _ in range(chance.randint(1, 255)))
-        packet = Advertisement(chance.randint(1, 255), chance.randint(0, 255), chance.randint(1, 4095), addresses)
+        six = random_source.random() < 0.5
+        address_type = IPv6Address if six else IPv4Address
+        addresses = tuple(
+            address_type(random_source.getrandbits(128 if six else 32)) for _ in range(random_source.randint(1, 255))
+        )
+        packet = Advertisement(
+            random_source.randint(1, 255), random_source.randint(0, 255), random_source.randint(1, 4095), addresses
+        )
         ends = (SIX, SIX2) if six else (A, B)
         assert decode(encode(packet, *ends, pseudo), *ends, 255, pseudo) == packet
 
 
-def test_a_packet_as_the_specification_lays_it_out() -> None:
+def test_a_packet_is_laid_out_as_specified() -> None:
     data = encode(Advertisement(7, 200, 100, (ip_address("192.0.2.1"),)), A, B)
     assert data[:6] == bytes([0x31, 7, 200, 1, 0, 100]) and data[8:] == bytes([192, 0, 2, 1]) and len(data) == 12
     assert checksum(A.packed + B.packed + struct.pack("!BBH", 0, 112, 12) + data) == 0
@@ -86,9 +90,9 @@
     assert len(six) == 24 and checksum(pseudo_header(SIX, SIX2, 24) + six) == 0
 
 
-def resum(data: bytes) -> bytes:
-    bare = data[:6] + b"\0\0" + data[8:]
-    return data[:6] + struct.pack("!H", checksum(pseudo_header(A, B, len(bare)) + bare)) + data[8:]
+def with_checksum(data: bytes) -> bytes:
+    cleared = data[:6] + b"\0\0" + data[8:]
+    return data[:6] + struct.pack("!H", checksum(pseudo_header(A, B, len(cleared)) + cleared)) + data[8:]
 
 
 @pytest.mark.parametrize(
@@ -101,31 +105,33 @@
         (lambda d: b"\x21" + d[1:], VersionError),
         (lambda d: b"\x32" + d[1:], TypeFieldError),
         (lambda d: d[:-1] + b"\x09", ChecksumError),
-        (lambda d: resum(d[:1] + b"\0" + d[2:]), VridError),
-        (lambda d: resum(d[:3] + b"\0" + d[4:8]), CountError),
-        (lambda d: resum(d[:4] + b"\xf0\0" + d[6:]), IntervalError),
+        (lambda d: with_checksum(d[:1] + b"\0" + d[2:]), VridError),
+        (lambda d: with_checksum(d[:3] + b"\0" + d[4:8]), CountError),
+        (lambda d: with_checksum(d[:4] + b"\xf0\0" + d[6:]), IntervalError),
         (lambda d: d[:3] + b"\x09" + d[4:], TooShortError),
     ],
 )
-def test_each_malformed_field_is_an_error_of_its_own(change, error) -> None:
+def test_each_malformed_field_has_an_error_class_of_its_own(change, error) -> None:
     with pytest.raises(PacketError) as caught:
         decode(change(encode(advert(), A, B)), A, B)
     assert type(caught.value) is error
     with pytest.raises(HopsError):
         decode(encode(advert(), A, B), A, B, hops=64)
     reserved = encode(advert(), A, B)
-    assert decode(resum(reserved[:4] + b"\x50\x64" + reserved[6:]), A, B) == advert(), "reserved bits are ignored"
+    assert decode(with_checksum(reserved[:4] + b"\x50\x64" + reserved[6:]), A, B) == advert(), (
+        "reserved bits are ignored"
+    )
 
 
 @settings(derandomize=True, max_examples=600, deadline=None)
 @given(st.binary(max_size=120), st.integers(0, 255), st.booleans())
 def test_fuzzed_bytes_end_in_named_errors_only(data: bytes, at: int, six: bool) -> None:
     ends = (SIX, SIX2) if six else (A, B)
-    sound = bytearray(encode(Advertisement(1, 100, 100, (SIX,) if six else FRONT), *ends))
-    sound[at % len(sound)] ^= (data[0] if data else 0) or 1
-    for tried in (data, bytes(sound), bytes(sound[: at % len(sound)]), bytes(sound) + data):
+    valid = bytearray(encode(Advertisement(1, 100, 100, (SIX,) if six else FRONT), *ends))
+    valid[at % len(valid)] ^= (data[0] if data else 0) or 1
+    for candidate in (data, bytes(valid), bytes(valid[: at % len(valid)]), bytes(valid) + data):
         try:
-            decode(tried, *ends)
+            decode(candidate, *ends)
         except PacketError as cause:
             assert type(cause) in PACKET_ERRORS
 
@@ -145,43 +151,43 @@
     assert decode(encode(packet, *ends), *ends) == packet
 
 
-def test_no_bytes_end_in_anything_but_a_named_error() -> None:
-    chance, sound, signer = random.Random(2), encode(advert(), A, B), Signer(Key(1, b"k"), 1, A)
+def test_damaged_bytes_raise_named_errors_only() -> None:
+    random_source, valid, signer = random.Random(2), encode(advert(), A, B), Signer(Key(1, b"k"), 1, A)
     verifier = Verifier((Key(1, b"k"),))
-    named = 0
+    error_count = 0
     for n in range(20_000):
-        data = bytearray(sound if n % 2 else chance.randbytes(chance.randint(0, 80)))
-        for _ in range(chance.randint(1, 4)):
+        data = bytearray(valid if n % 2 else random_source.randbytes(random_source.randint(0, 80)))
+        for _ in range(random_source.randint(1, 4)):
             if data:
-                data[chance.randrange(len(data))] = chance.getrandbits(8)
+                data[random_source.randrange(len(data))] = random_source.getrandbits(8)
         try:
-            decode(bytes(data[: chance.randint(0, len(data))] if n % 3 == 0 else data), A, B)
+            decode(bytes(data[: random_source.randint(0, len(data))] if n % 3 == 0 else data), A, B)
         except PacketError as cause:
             assert type(cause) in PACKET_ERRORS
-            named += 1
-        sealed = bytearray(signer.sign(sound))
-        sealed[chance.randrange(len(sealed))] ^= 1 << chance.randrange(8)
+            error_count += 1
+        signed = bytearray(signer.sign(valid))
+        signed[random_source.randrange(len(signed))] ^= 1 << random_source.randrange(8)
         with pytest.raises(PacketError) as caught:
-            verifier.verify(bytes(sealed), A)
+            verifier.verify(bytes(signed), A)
         assert type(caught.value) in AUTHENTICATION_ERRORS
-    assert named > 15_000
+    assert error_count > 15_000
 
 
-def test_seals_keys_and_replays() -> None:
+def test_signatures_keys_and_replays() -> None:
     old, new = Key(1, b"old"), Key(2, b"new")
     data = encode(advert(), A, B)
     first, second = Signer(old, 5, A), Signer(new, 5, B)
     both = Verifier((new, old))
     one = first.sign(data)
-    assert both.verify(one, A) == data and both.verify(second.sign(data), B) == data, "two keys live"
-    for bad, error in ((one, ReplayError), (data, UnsealedError)):
+    assert both.verify(one, A) == data and both.verify(second.sign(data), B) == data, "two live keys"
+    for rejected, error in ((one, ReplayError), (data, UnsealedError)):
         with pytest.raises(error):
-            both.verify(bad, A)
+            both.verify(rejected, A)
     with pytest.raises(ForgedError):
-        both.verify(first.sign(data), B)  # another's packet
+        both.verify(first.sign(data), B)  # the packet of another sender
     with pytest.raises(UnknownKeyError):
         Verifier((new,)).verify(first.sign(data), A)
-    both.verify(Signer(old, 6, A).sign(data), A)  # started again
+    both.verify(Signer(old, 6, A).sign(data), A)  # after a restart
     with pytest.raises(ReplayError):
         both.verify(first.sign(data), A)
 
@@ -193,7 +199,7 @@
     return VirtualRouter(RouterSettings(1, priority, FRONT, interval, preempt), here)
 
 
-def pull(r: VirtualRouter) -> list[object]:
+def take_outputs(r: VirtualRouter) -> list[object]:
     out = list(r.outputs)
     r.outputs.clear()
     return out
@@ -202,7 +208,9 @@
 def test_startup_backup_and_master_down_with_skew() -> None:
     r = router(100)
     r.startup(1000.0)
-    assert r.state is State.BACKUP and pull(r) == [StateChange(1, State.INITIALIZE, State.BACKUP, "startup", 1000.0)]
+    assert r.state is State.BACKUP and take_outputs(r) == [
+        StateChange(1, State.INITIALIZE, State.BACKUP, "startup", 1000.0)
+    ]
     assert (
         r.skew_ms == 156 * 1000 / 256
         and r.master_down_ms == 3000 + r.skew_ms
@@ -212,45 +220,45 @@
     assert r.state is State.BACKUP
     due = r.next_due()
     r.tick(due)
-    out = pull(r)
+    out = take_outputs(r)
     assert (
         out[:2] == [SendAdvertisement(advert(100)), AcquireAddress(1)]
         and r.state is State.MASTER
         and r.next_due() == due + 1000
     )
     r.tick(due + 1000)
-    assert pull(r) == [SendAdvertisement(advert(100))] and r.running_timers(due + 1500) == {"adver": 500.0}
+    assert take_outputs(r) == [SendAdvertisement(advert(100))] and r.running_timers(due + 1500) == {"adver": 500.0}
 
 
-def test_the_owner_starts_as_master_and_hears_nobody() -> None:
+def test_the_owner_starts_as_master_and_ignores_advertisements() -> None:
     r = router(255)
     r.startup(0.0)
-    assert r.state is State.MASTER and pull(r)[:2] == [SendAdvertisement(advert(255)), AcquireAddress(1)]
+    assert r.state is State.MASTER and take_outputs(r)[:2] == [SendAdvertisement(advert(255)), AcquireAddress(1)]
     r.on_advertisement(10.0, advert(255), C)
-    assert r.state is State.MASTER and not pull(r)
+    assert r.state is State.MASTER and not take_outputs(r)
 
 
 @pytest.mark.parametrize(
     ("heard", "preempt", "resets"), [(100, True, True), (150, True, True), (50, True, False), (50, False, True)]
 )
-def test_a_backup_hears_whom_it_should(heard: int, preempt: bool, resets: bool) -> None:
+def test_a_backup_resets_its_timer_for_masters_of_sufficient_priority(heard: int, preempt: bool, resets: bool) -> None:
     r = router(100, preempt)
     r.startup(0.0)
     before = r.next_due()
     r.on_advertisement(500.0, advert(heard, interval=50), B)
-    if resets:  # the interval is learnt from the master
+    if resets:  # the interval is learned from the master
         assert r.master_interval_cs == 50 and r.next_due() == 500 + 1500 + 156 * 500 / 256
     else:
         assert r.next_due() == before and r.master_interval_cs == 100
     r.on_advertisement(600.0, advert(0), B)
-    assert r.next_due() == 600 + r.skew_ms, "a release: take over after the skew"
+    assert r.next_due() == 600 + r.skew_ms, "a release: the backup becomes master after the skew time"
 
 
 def master(priority: int = 100, here=A) -> VirtualRouter:
     r = router(priority, here=here)
     r.startup(0.0)
     r.tick(r.next_due())
-    pull(r)
+    take_outputs(r)
     return r
 
 
@@ -258,11 +266,13 @@
     ("heard", "sender", "yields"),
     [(101, B, True), (100, B, True), (100, ip_address("127.0.1.0"), False), (99, B, False)],
 )
-def test_a_master_yields_to_the_better_and_asserts_itself_to_others(heard: int, sender, yields: bool) -> None:
+def test_a_master_yields_to_a_higher_priority_and_asserts_itself_to_a_lower_one(
+    heard: int, sender, yields: bool
+) -> None:
     r = master()
     now = r.next_due() - 400
     r.on_advertisement(now, advert(heard, interval=20), sender)
-    out = pull(r)
+    out = take_outputs(r)
     if yields:
         assert r.state is State.BACKUP and out[0] == ReleaseAddress(1) and r.master_interval_cs == 20
         assert r.next_due() == now + 600 + 156 * 200 / 256
@@ -270,36 +280,36 @@
         assert out == [SendAdvertisement(advert(100))] and r.next_due() == now + 1000
 
 
-def test_release_shutdown_and_messages_to_a_master() -> None:
+def test_release_shutdown_and_advertisements_at_a_master() -> None:
     r = master()
     now = r.next_due() - 100
     r.on_advertisement(now, advert(0), B)
-    assert pull(r) == [SendAdvertisement(advert(100))] and r.next_due() == now + 1000
+    assert take_outputs(r) == [SendAdvertisement(advert(100))] and r.next_due() == now + 1000
     r.on_advertisement(now, advert(200), A)  # its own packet
     assert r.state is State.MASTER
     r.shutdown(now + 1)
     assert (
-        pull(r)[:2] == [SendAdvertisement(advert(0)), ReleaseAddress(1)]
+        take_outputs(r)[:2] == [SendAdvertisement(advert(0)), ReleaseAddress(1)]
         and r.state is State.INITIALIZE
         and r.next_due() is None
     )
     r.on_advertisement(now + 2, advert(200), B)
-    assert not pull(r)
+    assert not take_outputs(r)
 
 
-def test_a_master_that_slept_listens_before_it_advertises() -> None:
+def test_a_suspended_master_listens_before_it_advertises() -> None:
     r = master(200)
     r.tick(r.next_due() + 5000)
-    assert r.state is State.BACKUP and not any(isinstance(o, SendAdvertisement) for o in pull(r))
+    assert r.state is State.BACKUP and not any(isinstance(o, SendAdvertisement) for o in take_outputs(r))
     backup = router(100)
     backup.startup(0.0)
     backup.tick(20_000.0)
-    assert backup.state is State.BACKUP, "what lay unread may tell of a master"
+    assert backup.state is State.BACKUP, "an unread advertisement may be that of a master"
     backup.tick(backup.next_due())
     assert backup.state is State.MASTER
 
 
-def test_a_clock_told_backwards_changes_nothing() -> None:
+def test_a_time_that_goes_backwards_changes_nothing() -> None:
     r = master()
     due = r.next_due()
     r.tick(due - 5000)
@@ -307,7 +317,7 @@
     assert r.state is State.MASTER and r.next_due() >= due
 
 
-def test_wrong_addresses_are_counted_and_heard() -> None:
+def test_advertisements_with_other_addresses_are_counted_and_accepted() -> None:
     r = router(100)
     r.startup(0.0)
     r.on_advertisement(10.0, Advertisement(1, 150, 100, (C,)), B)
@@ -317,7 +327,7 @@
 # Tracking.
 
 
-def test_tracking_has_hysteresis_and_flaps_wait_longer() -> None:
+def test_tracking_has_hysteresis_and_flapping_lengthens_the_recovery_time() -> None:
     track = Track(TrackSettings("workers", 120, 500.0, 2000.0))
     assert not track.on_health(0.0, False) and not track.on_health(400.0, False) and track.on_health(500.0, False)
     assert not track.on_health(600.0, True) and not track.on_health(2500.0, True) and track.on_health(2600.0, True)
@@ -326,29 +336,29 @@
     assert not track.on_health(3400.0, True) and not track.on_tick(7300.0) and track.on_tick(7400.0)
 
 
-def test_a_master_that_loses_its_workers_hands_over_in_bounded_time_and_does_not_flap() -> None:
+def test_a_master_without_workers_loses_the_address_in_bounded_time_without_flapping() -> None:
     network = SimulatedNetwork(1, [(A, 200), (B, 150), (C, 100)], tracks=[TrackSettings("workers", 120, 500.0, 2000.0)])
     network.run(6000.0)
     assert network.holders() == [A]
     network.instances[A].on_health(network.now, "workers", False)
-    began, moves = network.now, len(network.moves)
+    failed_at, moves_before = network.now, len(network.moves)
     network.run(500.0 + 100 + 3 * 1000 + 1000)
-    assert network.holders() == [B] and network.moves[-1][0] - began < 500 + 3000 + 1000
-    for n in range(40):  # its links flap every 300 ms
+    assert network.holders() == [B] and network.moves[-1].at - failed_at < 500 + 3000 + 1000
+    for n in range(40):  # its connections flap every 300 ms
         network.instances[A].on_health(network.now, "workers", bool(n % 2))
         network.run(300.0)
-    assert network.holders() == [B] and len(network.moves) - moves <= 3
+    assert network.holders() == [B] and len(network.moves) - moves_before <= 3
 
 
-def test_release_by_tracking_takes_a_skew() -> None:
+def test_a_release_by_tracking_moves_the_address_after_the_skew_time() -> None:
     network = SimulatedNetwork(
         2, [(A, 200), (B, 150)], tracks=[TrackSettings("workers", 0, 100.0, 500.0, release=True)]
     )
     network.run(6000.0)
     network.instances[A].on_health(network.now, "workers", False)
-    began = network.now
+    failed_at = network.now
     network.run(100 + 106 * 1000 / 256 + 50)
-    assert network.holders() == [B] and network.moves[-1][0] - began < 600
+    assert network.holders() == [B] and network.moves[-1].at - failed_at < 600
     network.instances[A].on_health(network.now, "workers", True)
     network.run(6000.0)
     assert network.holders() == [A]
@@ -357,10 +367,10 @@
 # Several routers, counters.
 
 
-def test_an_instance_counts_what_it_drops_and_backs_several_routers() -> None:
+def test_an_instance_counts_dropped_datagrams_and_backs_several_routers() -> None:
     routers = [RouterSettings(1, 200, FRONT), RouterSettings(2, 100, (ip_address("127.0.2.2"),))]
-    one = Instance(A, (B,), routers)
-    one.startup(0.0)
+    instance = Instance(A, (B,), routers)
+    instance.startup(0.0)
     for data, sender, hops in (
         (b"junk", B, 255),
         (encode(advert(), B, A), B, 64),
@@ -369,8 +379,8 @@
         (encode(advert(), A, A), A, 255),
         (encode(advert(interval=50), B, A), B, 255),
     ):
-        one.on_datagram(1.0, data, sender, hops)
-    assert dict(+one.counters) == {
+        instance.on_datagram(1.0, data, sender, hops)
+    assert dict(+instance.counters) == {
         "received": 6,
         "VersionError": 1,
         "HopsError": 1,
@@ -379,17 +389,17 @@
         "own": 1,
         "other-interval": 1,
     }
-    for _ in range(400):
-        one.tick(_ * 20.0)
-    assert [r.state for r in one.routers.values()] == [State.MASTER] * 2
-    sent = [o for o in one.outputs if isinstance(o, Datagram)]
+    for step in range(400):
+        instance.tick(step * 20.0)
+    assert [r.state for r in instance.routers.values()] == [State.MASTER] * 2
+    sent = [o for o in instance.outputs if isinstance(o, Datagram)]
     assert {decode(d.data, A, B).vrid for d in sent} == {1, 2} and {d.to for d in sent} == {B}
 
 
-# Explored products; the deep runs are under bench/.
+# Model checking; the deep runs are under bench/.
 
 
-def cores(*priorities: int, preempt: bool = True):
+def make_routers(*priorities: int, preempt: bool = True):
     def make() -> list[VirtualRouter]:
         return [router(p, preempt, here=ip_address(f"127.0.1.{n + 1}")) for n, p in enumerate(priorities)]
 
@@ -399,14 +409,14 @@
 @pytest.mark.parametrize(
     ("make", "budget", "depth"),
     [
-        (cores(200, 100), FaultBudget(), 8),
-        (cores(100, 100), FaultBudget(), 7),
-        (cores(200, 100, preempt=False), FaultBudget(), 8),
-        (cores(255, 100), FaultBudget(), 8),
-        (cores(200, 150, 100), FaultBudget(drops=1, duplicates=0, crashes=1, pauses=1, delay=1), 5),
+        (make_routers(200, 100), FaultBudget(), 8),
+        (make_routers(100, 100), FaultBudget(), 7),
+        (make_routers(200, 100, preempt=False), FaultBudget(), 8),
+        (make_routers(255, 100), FaultBudget(), 8),
+        (make_routers(200, 150, 100), FaultBudget(drops=1, duplicates=0, crashes=1, pauses=1, delay=1), 5),
     ],
 )
-def test_explored_products_keep_their_properties(make, budget: FaultBudget, depth: int) -> None:
+def test_explored_states_satisfy_the_properties(make, budget: FaultBudget, depth: int) -> None:
     found = explore(make, budget, depth, 100_000, 9000.0)
     assert found.complete and found.states > 500 and found.two_masters > 0, found
 
@@ -416,32 +426,32 @@
 
 
 def broken_backup(self, now, advert) -> None:
-    """A backup that waits on for ever for whoever speaks, also lower ones."""
+    """A backup that restarts its timer for every advertisement, also of lower priorities."""
     self._down_due = now + self.master_down_ms
 
 
-def broken_take(self, now, after, cause) -> None:
-    """A move to Master that forgets to take the address."""
+def broken_acquire(self, now, after, cause) -> None:
+    """A transition to Master that does not acquire the address."""
     before, self.state = self.state, after
     if before is State.MASTER:
         self.outputs.append(ReleaseAddress(1))
 
 
 @pytest.mark.parametrize(
-    ("name", "instead", "message"),
+    ("name", "replacement", "message"),
     [
         ("_on_advertisement_as_master", broken_yield, "2 masters"),
         ("_on_advertisement_as_backup", broken_backup, "has the higher priority"),
-        ("_change_state", broken_take, "does not hold the address"),
+        ("_change_state", broken_acquire, "does not hold the address"),
     ],
 )
-def test_a_broken_transition_is_found(monkeypatch, name: str, instead, message: str) -> None:
-    monkeypatch.setattr(machine.VirtualRouter, name, instead)
+def test_a_broken_transition_violates_a_property(monkeypatch, name: str, replacement, message: str) -> None:
+    monkeypatch.setattr(machine.VirtualRouter, name, replacement)
     with pytest.raises(PropertyError, match=message):
-        explore(cores(200, 100), FaultBudget(), 9, 40_000, 9000.0)
+        explore(make_routers(200, 100), FaultBudget(), 9, 40_000, 9000.0)
 
 
-def test_seeded_failovers_stay_within_the_bound() -> None:
+def test_seeded_failovers_end_within_the_bound() -> None:
     found = simulate_failovers(range(60))
     assert found.failovers == 60 and not found.broken, found.broken[:3]
     assert found.worst_ratio <= 1.0
