--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -52,7 +52,10 @@
         gateway.on_endpoints(now_ms(), listing)
         self.worker_calls.close_moved()
         self._log.info(
-            "list", version=listing.version, workers=len(listing.workers), live=sum(w.live for w in gateway.members)
+            "endpoints-updated",
+            version=listing.version,
+            workers=len(listing.workers),
+            live=sum(w.live for w in gateway.members),
         )
         self.run_effects()
 
@@ -102,7 +105,7 @@
         elif isinstance(effect, CancelAttempt):
             self.worker_calls.cancel(effect.attempt, effect.reason)
         elif isinstance(effect, LogEvent):
-            self._log.warning("unusual", what=effect.text)
+            self._log.warning("dispatcher-warning", what=effect.text)
 
     def _measure(self, started: float, answers: int) -> None:
         """Average what an answer costs; report effects that blocked the loop for long."""
@@ -112,7 +115,7 @@
             state = self.gateway.state
             state.answer_ms += ANSWER_COST_WEIGHT * (answer_ms - state.answer_ms)
         if done - started > LATE_MS:
-            self._log.warning("long-decision", ms=round(done - started), in_hand=self.gateway.in_flight)
+            self._log.warning("decisions-slow", ms=round(done - started), in_flight=self.gateway.in_flight)
 
     def _set_timer(self) -> None:
         due = self.gateway.next_due()
@@ -132,7 +135,7 @@
     def _on_timer(self) -> None:
         now = now_ms()
         if now - self._timer_due > LATE_MS:
-            self._log.warning("behind", ms=round(now - self._timer_due), in_hand=self.gateway.in_flight)
+            self._log.warning("timer-late", ms=round(now - self._timer_due), in_flight=self.gateway.in_flight)
         self._timer, self._timer_due = None, float("inf")
         if now - self._swept_at >= SWEEP_INTERVAL_MS:
             self._swept_at = now
@@ -143,12 +146,12 @@
         record = invocation.record
         if self._debug:
             self._log.debug(
-                "final",
+                "request-finished",
                 activation=record.id,
                 trace=record.trace,
                 answer=record.answer,
                 code=record.code,
-                sends=record.attempt_count,
+                attempts=record.attempt_count,
                 ms=round(record.end - record.start, 3),
             )
         waiters, invocation.waiters = invocation.waiters, []
--- a/kelptrail/gateway/response_stream.py
+++ b/kelptrail/gateway/response_stream.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from kelptrail.codec.events import EventReader, TooLongError
-from kelptrail.codec.infer import MalformedError, WorkerAnswer, read_part
+from kelptrail.codec.infer import MalformedError, ResultPart, WorkerAnswer, read_part
 from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.net.pool import Call
 
@@ -22,13 +22,6 @@
     answer: WorkerAnswer | None
 
 
-class _LastPart(NamedTuple):
-    """The last part of a stream."""
-
-    result: bytes
-    success: bool
-
-
 class ResponseStream:
     """Reads the parts of one response; `on_part` is called with each but the last."""
 
@@ -37,7 +30,7 @@
     def __init__(self, invocation: Invocation, max_event_bytes: int, on_part: Callable[[bytes], None]) -> None:
         self._invocation, self._on_part = invocation, on_part
         self._events = EventReader(max_event_bytes)
-        self._last_part: _LastPart | None = None
+        self._last_part: ResultPart | None = None
         self._malformed = False
         self.call: Call | None = None
 
@@ -55,11 +48,11 @@
         if self._last_part is not None:
             raise MalformedError("more after the last part")
         invocation = self._invocation
-        result, last, success = read_part(event, invocation.deduplication_id, invocation.payload_format)
-        if last:
-            self._last_part = _LastPart(result, success)
+        part = read_part(event, invocation.deduplication_id, invocation.payload_format)
+        if part.is_last:
+            self._last_part = part
         else:
-            self._on_part(result)
+            self._on_part(part.result)
 
     def finish(self, answer: WorkerAnswer) -> AttemptEnd:
         """The attempt's end, once the response is complete.
--- a/kelptrail/gateway/worker_calls.py
+++ b/kelptrail/gateway/worker_calls.py
@@ -142,10 +142,10 @@
             self._loop.call_later(STEP_DELAY_S, self._gateway.durability.on_step, "sent")
         if self._debug:
             self._log.debug(
-                "send",
+                "attempt-started",
                 activation=invocation.record.id,
                 trace=invocation.record.trace,
-                send=attempt.number,
+                attempt=attempt.number,
                 worker=attempt.instance.worker.id,
             )
 
@@ -196,12 +196,12 @@
         status, answer = self._attempt_end(call, outcome, response)
         if self._debug:
             self._log.debug(
-                "send-ended",
+                "attempt-finished",
                 activation=attempt.request.id,
                 trace=invocation.record.trace,
-                send=attempt.number,
+                attempt=attempt.number,
                 worker=attempt.instance.worker.id,
-                outcome=status.value,
+                status=status.value,
             )
         now = now_ms()
         self.connection_health.on_attempt_finished(now, status)
@@ -232,7 +232,7 @@
             self._settings.load_timeout_ms / 1000, call.cancel, CancelReason.LOAD_TIMEOUT
         )
         if self._debug:
-            self._log.debug("order", function=instance.function.id, worker=instance.worker.id, count=order.count)
+            self._log.debug("load-started", function=instance.function.id, worker=instance.worker.id, count=order.count)
 
     def _on_load_finished(self, call: Call, outcome: CallOutcome, response: Response | None) -> None:
         """A load order's call has ended."""
@@ -243,11 +243,11 @@
         status, loaded = self._load_end(call, outcome, response)
         if self._debug:
             self._log.debug(
-                "order-ended",
+                "load-finished",
                 function=order.instance.function.id,
                 worker=order.instance.worker.id,
-                outcome=status.value,
-                standing=loaded,
+                status=status.value,
+                loaded=loaded,
             )
         now = now_ms()
         self.connection_health.on_attempt_finished(now, status)
--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -224,7 +224,7 @@
         self.background.add("report", follower.send_reports, 2, 250.0, 1500.0, 0.05)
         self.background.add("save-plan", follower.save_plan, 6, 2000.0, 20_000.0)
         if follower.load_saved_plan():
-            self.log.info("plan-from-last", order=list(follower.plan_state.fence))
+            self.log.info("plan-restored", order=list(follower.plan_state.fence))
         follower.start()
         return follower
 
--- a/kelptrail/service/fleet.py
+++ b/kelptrail/service/fleet.py
@@ -109,10 +109,10 @@
             own, aside = open_replica_store(state / "copies.sqlite", options.vfs)
             others = own if config.replica_storage == "disk" else ReplicaStore(None)
         except JournalError as cause:
-            log.error("copies-unusable", reason=str(cause))
+            log.error("replica-store-unusable", reason=str(cause))
             return
         if aside is not None:
-            log.error("copies-set-aside", file=str(aside))
+            log.error("replica-store-set-aside", file=str(aside))
         self.replication = ReplicationDriver(
             options.name,
             replication_settings(config),
--- a/kelptrail/service/journal.py
+++ b/kelptrail/service/journal.py
@@ -49,10 +49,10 @@
     try:
         journal, damaged_copy = open_journal(file, most_bytes, vfs)
     except JournalError as cause:
-        log.error("book-unusable", file=str(file), reason=str(cause))
+        log.error("journal-unusable", file=str(file), reason=str(cause))
         return None
     if damaged_copy is not None:
-        log.error("book-set-aside", file=str(damaged_copy))
+        log.error("journal-set-aside", file=str(damaged_copy))
     return journal
 
 
--- a/kelptrail/service/lease_trial.py
+++ b/kelptrail/service/lease_trial.py
@@ -94,11 +94,11 @@
             fault: dict[str, float] = {}
             with contextlib.suppress(OSError, msgspec.DecodeError):
                 fault = msgspec.json.decode(self._file.read_bytes())
-            message = float(fault.get("rate", 1.0)), float(fault.get("step_ms", 0.0))
-            if message != self._applied:
-                self._applied = message
-                set_skew(*message)
-                self._log.info("clock-harmed", rate=message[0], step_ms=message[1], now=now_ms())
+            skew = float(fault.get("rate", 1.0)), float(fault.get("step_ms", 0.0))
+            if skew != self._applied:
+                self._applied = skew
+                set_skew(*skew)
+                self._log.info("clock-fault-applied", rate=skew[0], step_ms=skew[1], now=now_ms())
             await asyncio.sleep(CLOCK_POLL_MS / 1000)
 
     def stop(self) -> None:
--- a/kelptrail/service/shutdown.py
+++ b/kelptrail/service/shutdown.py
@@ -33,7 +33,7 @@
 async def shut_down(dispatcher: Dispatcher) -> bool:
     """Drain and stop.  True if every accepted request got its final answer and every connection closed in time."""
     gateway, fronts = dispatcher.gateway, dispatcher.fronts
-    dispatcher.log.info("draining", in_hand=gateway.in_flight, connections=fronts.http.connections)
+    dispatcher.log.info("draining", in_flight=gateway.in_flight, connections=fronts.http.connections)
     fronts.invoke.leaving = fronts.inference.leaving = True
     fronts.grpc.start_draining()
     deadline = _Deadline(dispatcher.deployment.front.drain_ms)
@@ -108,12 +108,12 @@
 def _log_end(dispatcher: Dispatcher, clean: bool) -> None:
     counts = dispatcher.gateway.counts
     dispatcher.log.info(
-        "ended",
+        "shutdown-finished",
         clean=clean,
-        taken=counts.received,
+        received=counts.received,
         completed=counts.completed,
         rejected=counts.rejected,
-        aborted=counts.failed,
-        sends=counts.attempts,
-        orders=counts.load_orders,
+        failed=counts.failed,
+        attempts=counts.attempts,
+        load_orders=counts.load_orders,
     )
--- a/kelptrail/vrrp/address.py
+++ b/kelptrail/vrrp/address.py
@@ -73,7 +73,7 @@
                 grpc.listen(self._host, self._grpc_port, reuse_port=True)
         except OSError as cause:
             server.stop_listening()
-            self._log.warning("address-not-taken", address=f"{self._host}:{self._port}", reason=str(cause))
+            self._log.warning("address-not-acquired", address=f"{self._host}:{self._port}", reason=str(cause))
             self._retry = self._loop.call_later(RETRY_S, self.acquire)
             return
         self._server, self._grpc = server, grpc
@@ -100,7 +100,7 @@
         if grpc is not None:  # clients get GOAWAY; open streams go on
             ends.append(grpc.drain(drain_ms))
         if not all(await asyncio.gather(*ends)):
-            self._log.warning("address-left-late", address=f"{self._host}:{self._port}")
+            self._log.warning("address-drain-timeout", address=f"{self._host}:{self._port}")
 
     @staticmethod
     def _reject_moved(request: Request, exchange: Exchange) -> None:
--- a/kelptrail/vrrp/driver.py
+++ b/kelptrail/vrrp/driver.py
@@ -113,7 +113,7 @@
                 return
             except OSError as cause:  # an ICMP error of an earlier send
                 self.instance.counters["socket-error"] += 1
-                self._log.debug("vrrp-socket", reason=str(cause))
+                self._log.debug("vrrp-socket-error", reason=str(cause))
                 return
             hops = next(
                 (
@@ -141,14 +141,18 @@
                     self._sock.sendto(output.data, self._peers[output.to])
                 except OSError as cause:
                     self.instance.counters["unsent"] += 1
-                    self._log.warning("vrrp-unsent", to=str(output.to), reason=str(cause))
+                    self._log.warning("vrrp-send-failed", to=str(output.to), reason=str(cause))
             elif isinstance(output, AcquireAddress):
                 self._acquire(output.vrid)
             elif isinstance(output, ReleaseAddress):
                 self._release(output.vrid)
             elif isinstance(output, StateChange):
                 self._log.info(
-                    "vrrp", router=output.vrid, before=output.before.value, after=output.after.value, cause=output.cause
+                    "vrrp-state-changed",
+                    router=output.vrid,
+                    before=output.before.value,
+                    after=output.after.value,
+                    cause=output.cause,
                 )
         if self._timer is not None:
             self._timer.cancel()
