--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,7 +12,7 @@
 
 import msgspec
 import pytest
-from program import DEPLOYMENT, PEERS, Voters, run
+from program import DEPLOYMENT, PEERS, Acceptors, run
 
 from kelptrail.codec.http import Request
 from kelptrail.fault_scenario.runner import ScenarioRunner
@@ -115,7 +115,7 @@
 @pytest.mark.processes
 def test_on_sockets_a_lease_is_transferred_and_expires_during_a_blocked_loop(tmp_path: Path) -> None:
     async def main() -> None:
-        voters = Voters(FLEET, tmp_path)
+        voters = Acceptors(FLEET, tmp_path)
         events: list[tuple[str, str]] = []
         clients = [voters.join(f"x{n}").leases for n in range(3)]
         for leases in clients:
@@ -140,7 +140,7 @@
         count_before = len(events)
         await asyncio.sleep(0.4)
         assert not [e for e in events[count_before:] if e[1] != "expired"], "one acceptor of three is no majority"
-        restarted = Voters.__new__(Voters)
+        restarted = Acceptors.__new__(Acceptors)
         restarted.__dict__.update(voters.__dict__)
         voters.fleets = voters.fleets[2:]
         for name in ("v0", "v1"):
@@ -167,7 +167,7 @@
     )
 
     async def main() -> None:
-        voters = Voters(FLEET, tmp_path)
+        voters = Acceptors(FLEET, tmp_path)
         events: list[tuple[str, str]] = []
         isolated = voters.join("x")
         client = isolated.leases
@@ -208,7 +208,7 @@
     file.write_text(DEPLOYMENT.replace("(pool (connect-ms 150))", f"(pool (connect-ms 150))\n{PEERS}"))
 
     async def main() -> None:
-        voters = Voters(FLEET, tmp_path)
+        voters = Acceptors(FLEET, tmp_path)
         await voters.fleets.pop().stop()  # the third runs in a process of its own, which dies at its first grant
         (tmp_path / "v2" / "leases.sqlite").unlink()
         process = await asyncio.create_subprocess_exec(
@@ -258,7 +258,7 @@
 
 def test_the_leases_command_prints_the_status(tmp_path: Path) -> None:
     async def main() -> None:
-        voters = Voters(FLEET, tmp_path)
+        voters = Acceptors(FLEET, tmp_path)
         holder = voters.fleets[0].leases
         assert holder is not None
         acquire(holder, [])
@@ -302,7 +302,7 @@
     assert view.refused == 2
 
     async def main() -> None:
-        voters = Voters.__new__(Voters)
+        voters = Acceptors.__new__(Acceptors)
         voters.deployment, voters.state, voters.at, voters.fleets = FLEET, tmp_path, {}, []
         from program import Silent
 
--- a/tests/test_front_addresses.py
+++ b/tests/test_front_addresses.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from program import Dispatcher, ScriptedWorker, Silent, answer, auth, connect, read_reply, run, silent
+from program import Dispatcher, ScriptedWorker, Silent, answer, authorization, connect, never_answer, read_reply, run
 from test_inference import Client, tensor
 
 from kelptrail.codec.http import Request, encode_request
@@ -25,7 +25,7 @@
 
 ROOT = Path(__file__).parent.parent
 TARGET = "/api/v1/namespaces/_/actions/grant?blocking=true&result=true"
-CALL = encode_request("POST", TARGET, "x", b'{"a":1}', auth())
+CALL = encode_request("POST", TARGET, "x", b'{"a":1}', authorization())
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
@@ -95,7 +95,7 @@
 
 def test_a_request_after_the_address_moved_gets_503_with_retry_after() -> None:
     async def main() -> None:
-        dispatcher = Dispatcher([ScriptedWorker("w", silent)])
+        dispatcher = Dispatcher([ScriptedWorker("w", never_answer)])
         front = FrontAddress("127.0.0.1", free_port(), front_service(dispatcher), Silent())
         front.acquire()
         assert front.server is not None
@@ -165,9 +165,9 @@
         await asyncio.sleep(0.05)
         assert counts["UnsealedError"] == 3
         # the master's connections fail: the address moves in bounded time, and back once they work for long enough
-        both[0].list([])  # its endpoint list has no worker any more
+        both[0].set_workers([])  # its endpoint list has no worker any more
         await wait_for_holders(False, True)
-        both[0].list(workers)
+        both[0].set_workers(workers)
         await wait_for_holders(True, False)
         await members[0].stop()  # a release: the other takes over after its skew
         await wait_for_holders(False, True)
@@ -190,10 +190,10 @@
         both = [Dispatcher([worker], boot=letter * 16) for letter in "bc"]
         for dispatcher in both:  # the client retries through the other master
             assert (await dispatcher.call("activate", body={}, key="ticket-7"))[0] == 200
-        assert [id_ for id_, _ in worker.sends] == ["one/activate/ticket-7"] * 2, "the group drops the repeat by it"
+        assert [id_ for id_, _ in worker.attempts] == ["one/activate/ticket-7"] * 2, "the group drops the repeat by it"
         for dispatcher in both:
             assert (await dispatcher.call("activate", body={}))[0] == 200
-        assert len({id_ for id_, _ in worker.sends}) == 3, "requests without a key never share one"
+        assert len({id_ for id_, _ in worker.attempts}) == 3, "requests without a key never share one"
         for dispatcher in both:
             await dispatcher.server.drain(0)
         await worker.server.drain(0)
