--- a/kelptrail/gateway/admission.py
+++ b/kelptrail/gateway/admission.py
@@ -49,7 +49,7 @@
     def __init__(self, state: GatewayState, durability: DurabilityWriter, boot: str) -> None:
         self._state, self._durability, self._parts = state, durability, state.parts
         self._boot, self._submitted = boot, 0  # activation ids: this start's prefix and a number
-        self._max_priority_weight = max(kind.priority_weight for kind in self._parts.deployment.types.values())
+        self._max_priority_weight = max(t.priority_weight for t in self._parts.deployment.types.values())
 
     def on_connect(self, now: float, namespace: str, path: str, size: int, mark: str) -> RequestRejection | None:
         """Admit a request before anything is done for it, or say why it is rejected.
@@ -60,9 +60,9 @@
         reason = limits.rejection_reason(namespace, size)
         if reason is not None:
             return RequestRejection(reason, RETRY_AFTER_MS)
-        kind = deployment.types[deployment.actions[path].type]
+        settings = deployment.types[deployment.actions[path].type]
         retry_after_ms = self._state.overload.on_request(
-            now, f"{namespace}/{path}/{mark}", namespace, kind.priority_weight / self._max_priority_weight
+            now, f"{namespace}/{path}/{mark}", namespace, settings.priority_weight / self._max_priority_weight
         )
         if retry_after_ms is not None:
             limits.rejections[RejectionReason.EARLY] += 1
--- a/kelptrail/gateway/recovery.py
+++ b/kelptrail/gateway/recovery.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass
+from enum import StrEnum
 from functools import partial
 
 import msgspec
@@ -32,6 +33,16 @@
 CODE_INTERNAL_ERROR = 3  # index of `records.STATUS_MESSAGES`
 
 
+class RecoveryOutcome(StrEnum):
+    """What became of a journaled activation; the values are shown in the log."""
+
+    ENDED = "ended"  # it had its final answer before
+    ABORTED = "aborted"
+    REJECTED = "rejected"
+    RESUMED = "resumed"
+    UNKNOWN = "unknown"  # the settings have no such action or namespace any more
+
+
 class MissingRecordError(Exception):
     """A request is to be resumed whose record is gone."""
 
@@ -75,11 +86,11 @@
         """
         source = _Source(now, wall, journal)
         found: list[ResumeRequest] = []
-        counts = {"ended": 0, "aborted": 0, "rejected": 0, "resumed": 0, "unknown": 0}
+        counts = {outcome.value: 0 for outcome in RecoveryOutcome}
         for entries in activations:
             outcome = self._recover_one(source, entries, min_run_ms, found)
             if outcome is not None:
-                counts[outcome] += 1
+                counts[outcome.value] += 1
         if self._queue is None:
             self._queue, self._queue_started_at = ResumeQueue([], max_concurrent, min_run_ms), now
         self._queue.add(found, now - self._queue_started_at)
@@ -88,39 +99,42 @@
 
     def _recover_one(
         self, source: _Source, entries: ActivationEntries, min_run_ms: float, found: list[ResumeRequest]
-    ) -> str | None:
-        """Under which word one activation is counted; None where its record is here already."""
+    ) -> RecoveryOutcome | None:
+        """Restore, end or resume one activation; None where its record is here already."""
         deployment, accepted = self._state.parts.deployment, entries.accepted
         action = deployment.actions.get(accepted.path)
         if action is None or accepted.namespace not in self._state.parts.tenants:
-            return "unknown"  # the settings have changed: its entries stay on disk
+            return RecoveryOutcome.UNKNOWN  # the settings have changed: its entries stay on disk
         if self._state.records.has(accepted.id):
             return None
         if entries.ended is not None:
             self._restore(source, accepted, entries.ended)
-            return "ended"
-        kind = deployment.types[action.type]
+            return RecoveryOutcome.ENDED
+        settings = deployment.types[action.type]
         rule = RecoveryRule(
-            Idempotency(kind.effect), kind.deduplication_scope, kind.deduplication_window_ms, kind.priority_weight
+            Idempotency(settings.effect),
+            settings.deduplication_scope,
+            settings.deduplication_window_ms,
+            settings.priority_weight,
         )
         decided = decide_recovery(entries, rule, source.wall, min_run_ms)
         self._add_record(source, accepted)
         if isinstance(decided, ResumeRequest):
             found.append(decided)
-            return "resumed"
+            return RecoveryOutcome.RESUMED
         self._end(source.now, decided)
-        return decided.answer.value
+        return RecoveryOutcome(decided.answer.value)
 
     def _add_record(self, source: _Source, accepted: Accepted) -> Record:
         """The record of a request without a final answer; its time continues from its acceptance."""
         deployment = self._state.parts.deployment
-        kind = deployment.types[deployment.actions[accepted.path].type]
+        settings = deployment.types[deployment.actions[accepted.path].type]
         record = Record(
             accepted.id,
             accepted.namespace,
             accepted.path,
-            kind.name,
-            kind.effect,
+            settings.name,
+            settings.effect,
             accepted.start,
             source.now - max(0.0, source.wall - accepted.start),
             accepted.timeout_ms,
--- a/kelptrail/service/build.py
+++ b/kelptrail/service/build.py
@@ -23,7 +23,7 @@
         front.read_ms,
         front.write_ms,
         front.idle_ms,
-        front.unread_mb * 1e6,
+        front.max_unwritten_mb * 1e6,
     )
 
 
@@ -34,14 +34,14 @@
         front.streams,
         front.header_bytes,
         front.message_bytes,
-        front.partial_mb * 1e6,
-        front.unread_mb * 1e6,
+        front.max_partial_mb * 1e6,
+        front.max_unwritten_mb * 1e6,
         front.stream_bytes,
         front.read_ms,
         front.write_ms,
         front.idle_ms,
         front.handshake_ms,
-        GuardSettings(front.flood_at_once, front.flood_per_s, front.age_ms, front.grace_ms),
+        GuardSettings(front.flood_burst, front.flood_per_s, front.max_connection_age_ms, front.close_grace_ms),
     )
 
 
@@ -52,17 +52,17 @@
 
 def certificate_reloader(deployment: Deployment, side: str, alpn: list[str], log: Any) -> CertificateReloader | None:
     """One side's TLS, if the settings have it.  Raises `ValueError` where its files are unusable."""
-    found = deployment.tls.get(side)
-    if found is None:
+    settings = deployment.tls.get(side)
+    if settings is None:
         return None
 
     files = TlsFiles(
-        _settings_file(deployment, found.certificate),
-        _settings_file(deployment, found.key),
-        _settings_file(deployment, found.authority),
-        found.peers,
-        found.least,
-        found.ciphers,
-        found.warn_days,
+        _settings_file(deployment, settings.certificate),
+        _settings_file(deployment, settings.key),
+        _settings_file(deployment, settings.authority),
+        settings.client_certificates,
+        settings.min_version,
+        settings.ciphers,
+        settings.expiry_warning_days,
     )
     return CertificateReloader(files, side != "to-workers", alpn, log, wall_ms)
--- a/kelptrail/service/fronts.py
+++ b/kelptrail/service/fronts.py
@@ -96,7 +96,7 @@
 
     def _connect_pace(self, settings: FrontSettings | InferenceSettings) -> ConnectPace:
         max_retry_after_ms = self._deployment.overload.max_retry_after_ms
-        pace = PaceSettings(settings.connects_at_once, settings.connects_per_s, max_retry_after_ms)
+        pace = PaceSettings(settings.connect_burst, settings.connects_per_s, max_retry_after_ms)
         return ConnectPace(pace, self._pace_seed)
 
     def _on_connect(self) -> None:
--- a/kelptrail/settings/dispatching.py
+++ b/kelptrail/settings/dispatching.py
@@ -1,4 +1,4 @@
-"""The figures of the dispatch rules, what a dispatcher may do and keep, and the connections to a worker.
+"""Limits of the dispatch rules, of one dispatcher, of the connections to a worker, and of overload control.
 
 Times are milliseconds, memory is megabytes.  Every default is stated here, once.
 """
@@ -12,7 +12,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleSettings:
-    """The figures of the five rules."""
+    """Limits of the dispatch rules.
+
+    `drain_grace_ms`: attempts may reach a worker for so long after it began to drain; `overload_multiple`,
+    `overload_window_ms`: a worker in slow start that gets so many times its capacity within this time fails;
+    `cold_share`, `cold_ms`: capacity at the start, and the length, of slow start; `loads_allowed`, `free_loads`,
+    `loads_per_request`, `load_window_ms`: the load ration (`kelptrail.dispatch.safety.LoadRation`).
+    """
 
     drain_grace_ms: float
     overload_multiple: float = field(metadata={"key": "tip"})
@@ -27,7 +33,13 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatcherSettings:
-    """What a dispatcher may do, and what it keeps."""
+    """What a dispatcher may do, and the limits of what it holds.
+
+    `parallel_attempts`: two attempts of one request may be in flight; `can_cancel`: attempts in flight may be cancelled;
+    `answer_margin_ms`: a final answer is given so long before the client's timeout; `keep_alive_ms`: an idle instance
+    stays loaded for so long; `retry_budget_share`, `retry_budget_capacity`: tokens for second attempts, earned by a
+    completed one, and at most.
+    """
 
     zone: str = field(metadata={"key": "hall"})
     parallel_attempts: bool = field(metadata={"key": "parallel"})
--- a/kelptrail/settings/emulated.py
+++ b/kelptrail/settings/emulated.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """The stand-in workers."""
+    """The emulated workers."""
 
     workers: int
     cores: int
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSettings:
-    """The stand-in model store."""
+    """The emulated model store."""
 
     fetches: int
     most: int
--- a/kelptrail/settings/fronts.py
+++ b/kelptrail/settings/fronts.py
@@ -5,14 +5,14 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 from .shape import Shape, milliseconds, number, word, yes_no
 
 
 @dataclass(frozen=True, slots=True)
 class FrontSettings:
-    """Limits of the invoke API's door."""
+    """Limits of the invoke API's HTTP server."""
 
     connections: int
     header_bytes: int
@@ -24,14 +24,14 @@
     idle_ms: float
     drain_ms: float
     linger_ms: float
-    unread_mb: float
-    connects_at_once: float
+    max_unwritten_mb: float = field(metadata={"key": "unread_mb"})
+    connect_burst: float = field(metadata={"key": "connects_at_once"})
     connects_per_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class InferenceSettings:
-    """Limits of the second front, the inference protocol over gRPC."""
+    """Limits of the inference API's gRPC server."""
 
     serve: bool
     port: int
@@ -40,34 +40,36 @@
     stream_requests: int
     header_bytes: int
     message_bytes: int
-    partial_mb: float
-    unread_mb: float
+    max_partial_mb: float = field(metadata={"key": "partial_mb"})
+    max_unwritten_mb: float = field(metadata={"key": "unread_mb"})
     stream_bytes: int
     read_ms: float
     write_ms: float
     idle_ms: float
     handshake_ms: float
-    age_ms: float
-    grace_ms: float
-    flood_at_once: int
+    max_connection_age_ms: float = field(metadata={"key": "age_ms"})
+    close_grace_ms: float = field(metadata={"key": "grace_ms"})
+    flood_burst: int = field(metadata={"key": "flood_at_once"})
     flood_per_s: float
-    connects_at_once: float
+    connect_burst: float = field(metadata={"key": "connects_at_once"})
     connects_per_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class TlsSettings:
-    """One side's TLS: `front` (both fronts), `to-workers`, or `runners` (the stand-in workers).  Paths count from the
-    settings file's folder."""
+    """TLS of one side: `front` (both client APIs), `to-workers`, or `runners` (the emulated workers).
+
+    Paths are relative to the settings file's folder.  `client_certificates`: "none", "asked" or "required".
+    """
 
     side: str
     certificate: str
     key: str
     authority: str
-    peers: str
-    least: str
+    client_certificates: str = field(metadata={"key": "peers"})
+    min_version: str = field(metadata={"key": "least"})
     ciphers: str
-    warn_days: float
+    expiry_warning_days: float = field(metadata={"key": "warn_days"})
 
 
 FRONT = Shape(
--- a/kelptrail/settings/request_classes.py
+++ b/kelptrail/settings/request_classes.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TypeSettings:
-    """A namespace type."""
+    """A request class."""
 
     name: str
     effect: str
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyHash:
-    """A key known by its digest: `sha256:HEX`.  Two may live at once while one takes over from the other."""
+    """A key known by its digest, `sha256:HEX`.  Two may be live at once, so that a key can be rotated."""
 
     digest: str
 
 
 @dataclass(frozen=True, slots=True)
 class CertificateName:
-    """A name in a client's certificate that stands for the namespace."""
+    """A name in a client's certificate that identifies the namespace."""
 
     name: str
 
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ActionSettings:
-    """An action: a name to call, the model that runs it and what a copy takes."""
+    """An action: a name to call, the model that runs it and what an instance takes."""
 
     name: str
     package: str
