--- a/kelptrail/settings/dispatching.py
+++ b/kelptrail/settings/dispatching.py
@@ -35,10 +35,10 @@
 class DispatcherSettings:
     """What a dispatcher may do, and the limits of what it holds.
 
-    `parallel_attempts`: two attempts of one request may be in flight; `can_cancel`: attempts in flight may be cancelled;
-    `answer_margin_ms`: a final answer is given so long before the client's timeout; `keep_alive_ms`: an idle instance
-    stays loaded for so long; `retry_budget_share`, `retry_budget_capacity`: tokens for second attempts, earned by a
-    completed one, and at most.
+    `parallel_attempts`: two attempts of one request may be in flight; `can_cancel`: attempts in flight may be
+    cancelled; `answer_margin_ms`: a final answer is given so long before the client's timeout; `keep_alive_ms`: an idle
+    instance stays loaded for so long; `retry_budget_share`, `retry_budget_capacity`: tokens for second attempts, earned
+    by a completed one, and at most.
     """
 
     zone: str = field(metadata={"key": "hall"})
