--- a/kelptrail/cli/serving.py
+++ b/kelptrail/cli/serving.py
@@ -278,7 +278,7 @@
                 "package": action.package,
                 "type": action.type,
                 "effect": deployment.types[action.type].effect,
-                "target_ms": deployment.types[action.type].target_ms,
+                "target_ms": deployment.types[action.type].latency_objective_ms,
                 "timeout_ms": deployment.types[action.type].timeout_ms,
             }
             for action in deployment.actions.values()
--- a/kelptrail/emulator/clients.py
+++ b/kelptrail/emulator/clients.py
@@ -90,7 +90,7 @@
     def _draw_namespace(self) -> NamespaceSettings:
         """A namespace, drawn by the quotas."""
         namespaces = list(self._deployment.namespaces.values())
-        quotas = np.array([namespace.allowed_per_s for namespace in namespaces])
+        quotas = np.array([namespace.quota_per_s for namespace in namespaces])
         return namespaces[int(self._random.choice(len(namespaces), p=quotas / quotas.sum()))]
 
     def _attempt(self, call: ClientCall, last_dispatcher: int | None) -> None:
--- a/kelptrail/emulator/worker.py
+++ b/kelptrail/emulator/worker.py
@@ -113,8 +113,8 @@
             incarnation=self.incarnation,
             started=started,
             cores=self._fleet.cores,
-            cold_ms=rules.cold_ms,
-            cold_share=rules.cold_share,
+            cold_ms=rules.slow_start_ms,
+            cold_share=rules.slow_start_share,
         )
         await self._endpoint_service.json(
             "POST",
--- a/kelptrail/emulator/worker_slow_start.py
+++ b/kelptrail/emulator/worker_slow_start.py
@@ -23,7 +23,7 @@
 
     def __init__(self, deployment: Deployment, warm: bool) -> None:
         self._rules, self._cores = deployment.rules, deployment.fleet.cores
-        self.started = now_ms() - (self._rules.cold_ms + 1 if warm else 0.0)
+        self.started = now_ms() - (self._rules.slow_start_ms + 1 if warm else 0.0)
         self.overloaded = False
         self._recent_work: deque[_ArrivedWork] = deque()
 
@@ -31,9 +31,9 @@
     def capacity_factor(self) -> float:
         """The share of its capacity that the worker has at its age."""
         age = now_ms() - self.started
-        if age >= self._rules.cold_ms:
+        if age >= self._rules.slow_start_ms:
             return 1.0
-        return self._rules.cold_share + (1 - self._rules.cold_share) * age / self._rules.cold_ms
+        return self._rules.slow_start_share + (1 - self._rules.slow_start_share) * age / self._rules.slow_start_ms
 
     def add_work(self, now: float, work_ms: float) -> bool:
         """Count work that arrives; True where it overloads the worker, which then serves nothing more."""
--- a/kelptrail/fault_scenario/report.py
+++ b/kelptrail/fault_scenario/report.py
@@ -65,7 +65,9 @@
     """What the history checker must know of the deployment."""
     rules = deployment.rules
     return {
-        "types": [{"name": t.name, "effect": t.effect, "target_ms": t.target_ms} for t in deployment.types.values()],
+        "types": [
+            {"name": t.name, "effect": t.effect, "target_ms": t.latency_objective_ms} for t in deployment.types.values()
+        ],
         "rules": {
             "drain_grace_ms": rules.drain_grace_ms,
             "tip": rules.overload_multiple,
--- a/kelptrail/front/invoke/views.py
+++ b/kelptrail/front/invoke/views.py
@@ -108,7 +108,7 @@
         "annotations": [
             {"key": "type", "value": kind.name},
             {"key": "effect", "value": kind.effect},
-            {"key": "target_ms", "value": kind.target_ms},
+            {"key": "target_ms", "value": kind.latency_objective_ms},
             {"key": "model", "value": item.model},
             *(
                 [{"key": "remembered_ms", "value": kind.deduplication_window_ms}]
--- a/kelptrail/gateway/build.py
+++ b/kelptrail/gateway/build.py
@@ -26,16 +26,16 @@
             t.name: RequestClass(
                 t.name,
                 Idempotency(t.effect),
-                t.target_ms,
+                t.latency_objective_ms,
                 t.priority_weight,
-                t.late_share,
+                t.late_value_share,
                 t.deduplication_scope,
                 t.deduplication_window_ms,
                 t.hedge,
             )
             for t in deployment.types.values()
         }
-        self.tenants = {n.name: Tenant(n.name, n.allowed_per_s) for n in deployment.namespaces.values()}
+        self.tenants = {n.name: Tenant(n.name, n.quota_per_s) for n in deployment.namespaces.values()}
         self.zones = {name: number for number, name in enumerate(deployment.zones)}
         safety = self.safety = SafetyGuard(
             seed,
@@ -44,7 +44,9 @@
                 settings.max_attempts,
                 LoadRation(rules.loads_allowed, rules.free_loads, rules.loads_per_request, rules.load_window_ms),
             ),
-            SlowStartSettings(rules.overload_multiple, rules.overload_window_ms, rules.cold_share, rules.cold_ms),
+            SlowStartSettings(
+                rules.overload_multiple, rules.overload_window_ms, rules.slow_start_share, rules.slow_start_ms
+            ),
         )
         health, timers = OutlierDetector(), TimerQueue()
         parts = Components(
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -63,7 +63,7 @@
         self._attempts = Attempts(state, self.durability, self._completion)
         self._streams = ResponseStreams(state)
         self.records.on_drop = self._on_record_dropped
-        self._cold_ms = parts.deployment.rules.cold_ms
+        self._slow_start_ms = parts.deployment.rules.slow_start_ms
         self._next_tick_at = self._next_cold_count_at = NEVER_MS
 
     @property
@@ -233,7 +233,9 @@
         self.records.trim(now)
         if now >= self._next_cold_count_at:  # CPU: a large fleet is not counted at each tick
             self._next_cold_count_at = now + COLD_COUNT_INTERVAL_MS
-            cold = [w.started_at is not None and now - w.started_at < self._cold_ms for w in self.members if w.live]
+            cold = [
+                w.started_at is not None and now - w.started_at < self._slow_start_ms for w in self.members if w.live
+            ]
             self.overload.signals.cold_share = sum(cold) / len(cold) if cold else 0.0
 
     def _on_expired(self, now: float, request: Request) -> None:
--- a/kelptrail/gateway/streaming.py
+++ b/kelptrail/gateway/streaming.py
@@ -23,7 +23,7 @@
             return
         if request.streaming_attempt is None:
             request_class = state.parts.deployment.types[invocation.record.request_class]
-            stream_ms = min(request_class.stream_ms, invocation.stream_limit_ms)
+            stream_ms = min(request_class.max_stream_ms, invocation.stream_limit_ms)
             stream_deadline = request.received_at + stream_ms - state.margin_ms
             state.dispatcher.on_response_started(now, attempt, max(now, stream_deadline))
         if request.streaming_attempt is not attempt:
@@ -38,7 +38,7 @@
         if request.streaming_attempt is None or invocation.lifecycle.final:
             return
         request_class = self._state.parts.deployment.types[invocation.record.request_class]
-        stall_ms = request_class.stall_ms if reading else float("inf")
+        stall_ms = request_class.stream_stall_ms if reading else float("inf")
         before, invocation.expires_at = invocation.expires_at, min(request.deadline, now + stall_ms)
         if invocation.expires_at < before or invocation.part_count == 1:
             self._state.deadlines.add(invocation.expires_at, request)
--- a/kelptrail/load/generator.py
+++ b/kelptrail/load/generator.py
@@ -35,7 +35,7 @@
         self.counters = new_counters(start, script.seconds, deployment.types)
         self._clients = GeneratorClients(deployment, settings, self.counters, self._random)
         self._namespaces = list(deployment.namespaces.values())
-        quotas = np.array([namespace.allowed_per_s for namespace in self._namespaces])
+        quotas = np.array([namespace.quota_per_s for namespace in self._namespaces])
         self._cumulative_quota_shares = np.cumsum(quotas / quotas.sum())
         self._ticket_count = 0
 
--- a/kelptrail/load/generator_counters.py
+++ b/kelptrail/load/generator_counters.py
@@ -69,7 +69,7 @@
         """Count a completed call and its latency."""
         second = self._current_second()
         second.completed += 1
-        second.in_time += latency_ms <= type_.target_ms
+        second.in_time += latency_ms <= type_.latency_objective_ms
         histogram = self.latencies[type_.name]
         if load.shape == "closed":
             histogram.record_corrected_value(_microseconds(latency_ms), max(1, int(load.think * 1_000_000)))
--- a/kelptrail/planner/build.py
+++ b/kelptrail/planner/build.py
@@ -32,7 +32,7 @@
 
 def worker_capacities(deployment: Deployment, listing: EndpointList) -> list[WorkerCapacity]:
     """The live workers of a list; what each holds is the settings' matter."""
-    fleet, cold_ms = deployment.fleet, deployment.rules.cold_ms
+    fleet, cold_ms = deployment.fleet, deployment.rules.slow_start_ms
     return [
         WorkerCapacity(w.id, fleet.memory_mb, fleet.cores * w.size, w.age_ms < cold_ms)
         for w in listing.workers
--- a/kelptrail/settings/dispatching.py
+++ b/kelptrail/settings/dispatching.py
@@ -16,15 +16,15 @@
 
     `drain_grace_ms`: attempts may reach a worker for so long after it began to drain; `overload_multiple`,
     `overload_window_ms`: a worker in slow start that gets so many times its capacity within this time fails;
-    `cold_share`, `cold_ms`: capacity at the start, and the length, of slow start; `loads_allowed`, `free_loads`,
-    `loads_per_request`, `load_window_ms`: the load ration (`kelptrail.dispatch.safety.LoadRation`).
+    `slow_start_share`, `slow_start_ms`: capacity at the start, and the length, of slow start; `loads_allowed`,
+    `free_loads`, `loads_per_request`, `load_window_ms`: the load ration (`kelptrail.dispatch.safety.LoadRation`).
     """
 
     drain_grace_ms: float
     overload_multiple: float = field(metadata={"key": "tip"})
     overload_window_ms: float = field(metadata={"key": "tip_ms"})
-    cold_share: float
-    cold_ms: float
+    slow_start_share: float = field(metadata={"key": "cold_share"})
+    slow_start_ms: float = field(metadata={"key": "cold_ms"})
     loads_allowed: bool = field(metadata={"key": "orders"})
     free_loads: float
     loads_per_request: float = field(metadata={"key": "load_share"})
--- a/kelptrail/settings/request_classes.py
+++ b/kelptrail/settings/request_classes.py
@@ -16,15 +16,15 @@
 
     name: str
     effect: str
-    target_ms: float
+    latency_objective_ms: float = field(metadata={"key": "target_ms"})
     timeout_ms: float
     priority_weight: float = field(metadata={"key": "utility"})
-    late_share: float
+    late_value_share: float = field(metadata={"key": "late_share"})
     deduplication_scope: str = field(metadata={"key": "scope"})
     deduplication_window_ms: float = field(metadata={"key": "remembered_ms"})
     hedge: bool = False
-    stream_ms: float = 600_000.0
-    stall_ms: float = 10_000.0
+    max_stream_ms: float = field(default=600_000.0, metadata={"key": "stream_ms"})
+    stream_stall_ms: float = field(default=10_000.0, metadata={"key": "stall_ms"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
     name: str
     uuid: str
     key: str
-    allowed_per_s: float
+    quota_per_s: float = field(metadata={"key": "allowed_per_s"})
     key_hash: list[KeyHash] = field(default_factory=list)
     certificate: list[CertificateName] = field(default_factory=list)
 
--- a/kelptrail/simulation/call_results.py
+++ b/kelptrail/simulation/call_results.py
@@ -86,7 +86,7 @@
         if answer.answer == "completed":
             now = self._cluster.event_queue.now
             took_ms = now - call.sent_at if answer.took_ms is None else answer.took_ms
-            in_time = took_ms <= type_.target_ms
+            in_time = took_ms <= type_.latency_objective_ms
             second.completed += 1
             second.in_time += in_time
             self._cluster.by_namespace[call.namespace.name][1] += in_time
--- a/kelptrail/simulation/clients.py
+++ b/kelptrail/simulation/clients.py
@@ -63,7 +63,7 @@
         self._id_prefix = f"{number}-" if count > 1 else ""
         self._ticket_count = self._call_count = 0
         self._namespaces = list(cluster.deployment.namespaces.values())
-        shares = np.array([namespace.allowed_per_s for namespace in self._namespaces])
+        shares = np.array([namespace.quota_per_s for namespace in self._namespaces])
         self._cumulative_shares = np.cumsum(shares / shares.sum())
 
     def schedule_arrivals(self, load: Load) -> None:
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -109,7 +109,7 @@
         zones = self.deployment.zones
         identity = WorkerIdentity(f"worker-{number}", zones[number % len(zones)], cell=number // 2)
         if self.shard is not None and (home := self.shard.shard_of_worker(number)) != self.shard.number:
-            cold_ms = self.deployment.rules.cold_ms
+            cold_ms = self.deployment.rules.slow_start_ms
             return RemoteWorker(self.shard, home, identity, self.event_queue, self.settings, cold_ms)
         return SimulatedWorker(
             self.event_queue, self.deployment, identity, self.store, self.effect_log, self.seed, self.record_event
--- a/kelptrail/simulation/slow_start.py
+++ b/kelptrail/simulation/slow_start.py
@@ -27,9 +27,9 @@
     def capacity(self, now: float) -> float:
         """The share of its capacity, 0 to 1, that the worker has at its age."""
         age_ms = now - self._started
-        if age_ms >= self._rules.cold_ms:
+        if age_ms >= self._rules.slow_start_ms:
             return 1.0
-        return self._rules.cold_share + (1 - self._rules.cold_share) * age_ms / self._rules.cold_ms
+        return self._rules.slow_start_share + (1 - self._rules.slow_start_share) * age_ms / self._rules.slow_start_ms
 
     def add_arrival(self, now: float, work_ms: float) -> None:
         """Add the work of an attempt that arrives; collapse where the arrivals of the window are too many."""
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -76,7 +76,7 @@
         now = self._event_queue.now
         self._starts += 1
         self.incarnation = f"{zlib.crc32(self.id.encode()):08x}-{self._starts}"
-        self.started = now - (self._rules.cold_ms + 1 if warm else 0.0)
+        self.started = now - (self._rules.slow_start_ms + 1 if warm else 0.0)
         self.instances = WorkerInstances(self, self._event_queue, self._deployment, self._store)
         self._slow_start = SlowStart(self._rules, self._fleet.cores, self.started)
         self._running = 0
@@ -89,8 +89,8 @@
             incarnation=self.incarnation,
             started=self.started,
             cores=self._fleet.cores,
-            cold_ms=self._rules.cold_ms,
-            cold_share=self._rules.cold_share,
+            cold_ms=self._rules.slow_start_ms,
+            cold_share=self._rules.slow_start_share,
         )
 
     def _record(self, event: str, /, **fields: Any) -> None:
