--- a/kelptrail/settings/deployment.py
+++ b/kelptrail/settings/deployment.py
@@ -104,8 +104,8 @@
     folder: Path = Path()  # of the settings file
 
     @property
-    def most_promised(self) -> int:
-        """Bytes that a deferred call's body may have, as others must hold it; 0: no bound of theirs."""
+    def max_deferred_bytes(self) -> int:
+        """The largest body of a deferred request, which replicas must store; 0: no limit of theirs."""
         return int(self.peers.max_replicated_kb * 1024) if self.peers is not None and self.peers.replicas else 0
 
 
