--- a/kelptrail/gateway/attempts.py
+++ b/kelptrail/gateway/attempts.py
@@ -74,9 +74,9 @@
                 invocation.lifecycle.on_attempt_finished()
             self._note_answer(now, invocation, attempt, status, answer)
         final = request.final_status is not None or status is AttemptStatus.COMPLETED
-        heard = answer or NO_ANSWER
+        reply = answer or NO_ANSWER
         result = AttemptResult(
-            status, final, heard.load_failed, heard.instance_loaded, heard.other_requests, heard.report
+            status, final, reply.load_failed, reply.instance_loaded, reply.other_requests, reply.report
         )
         self._state.dispatcher.on_attempt_finished(now, attempt, result)
         if invocation is not None and not invocation.record.final and request.final_status is FinalStatus.COMPLETED:
--- a/kelptrail/gateway/build.py
+++ b/kelptrail/gateway/build.py
@@ -13,41 +13,40 @@
 from kelptrail.dispatch.safety import LoadRation, SafetyGuard, SafetySettings
 from kelptrail.dispatch.slow_start import SlowStartSettings
 from kelptrail.dispatch.timer_queue import TimerQueue
-from kelptrail.settings.deployment import Deployment
+from kelptrail.settings.deployment import Deployment, DispatcherSettings, RuleSettings, TypeSettings
+
+
+def _request_class(settings: TypeSettings) -> RequestClass:
+    return RequestClass(
+        settings.name,
+        Idempotency(settings.effect),
+        settings.latency_objective_ms,
+        settings.priority_weight,
+        settings.late_value_share,
+        settings.deduplication_scope,
+        settings.deduplication_window_ms,
+        settings.hedge,
+    )
+
+
+def _safety_guard(settings: DispatcherSettings, rules: RuleSettings, seed: int) -> SafetyGuard:
+    ration = LoadRation(rules.loads_allowed, rules.free_loads, rules.loads_per_request, rules.load_window_ms)
+    slow_start = SlowStartSettings(
+        rules.overload_multiple, rules.overload_window_ms, rules.slow_start_share, rules.slow_start_ms
+    )
+    return SafetyGuard(seed, SafetySettings(settings.parallel_attempts, settings.max_attempts, ration), slow_start)
 
 
 class DispatcherParts:
     """The dispatcher of one process, and the request classes, tenants and functions that its deployment names."""
 
     def __init__(self, deployment: Deployment, zone: str, seed: int) -> None:
-        settings, rules = deployment.dispatcher, deployment.rules
+        settings = deployment.dispatcher
         self.deployment = deployment
-        self.request_classes = {
-            t.name: RequestClass(
-                t.name,
-                Idempotency(t.effect),
-                t.latency_objective_ms,
-                t.priority_weight,
-                t.late_value_share,
-                t.deduplication_scope,
-                t.deduplication_window_ms,
-                t.hedge,
-            )
-            for t in deployment.types.values()
-        }
+        self.request_classes = {name: _request_class(kind) for name, kind in deployment.types.items()}
         self.tenants = {n.name: Tenant(n.name, n.quota_per_s) for n in deployment.namespaces.values()}
         self.zones = {name: number for number, name in enumerate(deployment.zones)}
-        safety = self.safety = SafetyGuard(
-            seed,
-            SafetySettings(
-                settings.parallel_attempts,
-                settings.max_attempts,
-                LoadRation(rules.loads_allowed, rules.free_loads, rules.loads_per_request, rules.load_window_ms),
-            ),
-            SlowStartSettings(
-                rules.overload_multiple, rules.overload_window_ms, rules.slow_start_share, rules.slow_start_ms
-            ),
-        )
+        safety = self.safety = _safety_guard(settings, deployment.rules, seed)
         health, timers = OutlierDetector(), TimerQueue()
         parts = Components(
             safety,
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -1,9 +1,9 @@
 """The gateway core: requests from submission to their one final answer, free of I/O and clocks.
 
 Inputs (`submit`, `on_attempt_finished`, `on_load_report`, `on_client_gone`, `on_endpoints`) update the state and inform
-the dispatcher; the host then calls `next_effect(now)` until it returns None and carries each effect out.  Whatever a
-client is told goes through one `FinalAnswer`.  Nothing is decided here: attempts, load orders and rejections come from
-`kelptrail.dispatch`.  All times are milliseconds by the caller's clock, `wall` is wall time.
+the dispatcher; the host then calls `next_effect(now)` until it returns None and carries each effect out.  Each request
+has one `FinalAnswer`.  Nothing is decided here: attempts, load orders and rejections come from `kelptrail.dispatch`.
+All times are milliseconds by the caller's clock, `wall` is wall time.
 """
 
 from __future__ import annotations
--- a/kelptrail/gateway/durability.py
+++ b/kelptrail/gateway/durability.py
@@ -172,7 +172,7 @@
             return  # the request has moved to another journal
         if not durable and invocation.record.replicated_journal is not None:
             # The entry is in the journal all the same: a dispatcher that takes the journal over would run a request
-            # whose client was told to retry.  So it is rejected, and the end is journaled first.
+            # whose client was rejected and may retry.  So it is rejected, and the end is journaled first.
             invocation.lifecycle.on_written(EntryKind.ACCEPTED, True)
             invocation.under_replicated = True
             self.under_replicated.append(invocation)
--- a/kelptrail/gateway/invocation.py
+++ b/kelptrail/gateway/invocation.py
@@ -37,6 +37,6 @@
     stream_limit_ms: float = float("inf")  # the client's own limit for the whole stream
     on_part: Callable[[bytes], None] | None = None  # the host calls it with each part
     durability_waiters: list[Callable[[bool | None], None]] = field(default_factory=list)
-    under_replicated: bool = False  # too few replicas have its record: its end is journaled before the client is told
+    under_replicated: bool = False  # too few replicas have its record: its end is journaled before it is published
     moved_to_replicated: bool = False  # from the local journal to a replicated one
     held_attempts: list[Attempt] = field(default_factory=list)  # wait until the may-run entry is durable
--- a/kelptrail/gateway/lifecycle.py
+++ b/kelptrail/gateway/lifecycle.py
@@ -59,7 +59,7 @@
 
 
 class RequestLifecycle:
-    """One request.  `idempotent`: a second run does no harm; `journaled`: it outlives the process."""
+    """One request.  `idempotent`: a second run is harmless; `journaled`: it survives a restart."""
 
     __slots__ = (
         "_entries",
--- a/kelptrail/gateway/worker_calls.py
+++ b/kelptrail/gateway/worker_calls.py
@@ -66,7 +66,7 @@
     def __init__(
         self, gateway: Gateway, name: str, settings: PoolSettings, log: Any, debug: bool, on_event: Callable[[], None]
     ) -> None:
-        """`name`: of this dispatcher, which workers are told.  `on_event`: called after each report to the core."""
+        """`name`: of this dispatcher, sent to workers.  `on_event`: called after each report to the core."""
         self._gateway, self._name, self._settings, self._log = gateway, name, settings, log
         self._on_event = on_event
         self._loop = asyncio.get_running_loop()
--- a/kelptrail/service/usage.py
+++ b/kelptrail/service/usage.py
@@ -3,7 +3,7 @@
 It needs a lease, as usage is summed once for the fleet, each turn costs a message to every dispatcher, and two
 collectors would publish two different totals.  Counts are sums since a run's start, so a turn that is lost or collected
 twice changes nothing; rates are the differences between two turns.  A receiver accepts nothing under an older fencing
-token or of an older turn; forgetting that at a restart does no harm, as the next turn sends all of it again.
+token or of an older turn; forgetting that at a restart is harmless, as the next turn sends the totals again.
 """
 
 from __future__ import annotations
