--- a/bench/deferred.py
+++ b/bench/deferred.py
@@ -22,6 +22,7 @@
     stop_all,
 )
 
+from kelptrail.gateway.admission import Submission
 from kelptrail.gateway.build import DispatcherParts
 from kelptrail.gateway.core import Gateway
 from kelptrail.settings.deployment import parse
@@ -93,7 +94,8 @@
     gc.collect()
     before = own_memory()
     for n in range(count):
-        gateway.submit(0.0, 1e12, "n", action, bytes(body) + b" ", f"key-{n}", "0" * 55, None, True)
+        submission = Submission("n", action, bytes(body) + b" ", f"key-{n}", "0" * 55, deferred=True)
+        gateway.submit(0.0, 1e12, submission)
     gc.collect()
     bytes_each = round((own_memory() - before) / count)
     return {"in_hand": gateway.in_flight, "body_bytes": len(body), "bytes_each": bytes_each}
--- a/bench/replication_takeover.py
+++ b/bench/replication_takeover.py
@@ -37,7 +37,7 @@
     def is_accepting(self) -> bool:
         return True
 
-    def may_act(self, now: float) -> bool:
+    def is_primary(self, now: float) -> bool:
         return True
 
     def write(self, entry: Any, waiter: Callable[[bool], None] | None = None, keep: bool = False) -> None:
--- a/bench/split.py
+++ b/bench/split.py
@@ -16,6 +16,7 @@
 from kelptrail.codec.infer import infer_answer, infer_request, read_answer
 from kelptrail.dispatch.attempt_results import AttemptResult
 from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder, Request
+from kelptrail.gateway.admission import Submission
 from kelptrail.gateway.build import DispatcherParts
 from kelptrail.gateway.core import Gateway
 from kelptrail.gateway.effects import FinalAnswer, StartAttempt, StartLoad
@@ -82,7 +83,7 @@
     def run() -> None:
         clock[0] += ARRIVAL_INTERVAL_MS
         now = clock[0]
-        gateway.submit(now, now, "n", action, b"{}")
+        gateway.submit(now, now, Submission("n", action, b"{}"))
         while (effect := gateway.next_effect(now)) is not None:
             if isinstance(effect, StartAttempt):
                 gateway.on_attempt_finished(now + RUN_MS, effect.attempt, AttemptStatus.COMPLETED)
--- a/kelptrail/emulator/cluster_commands.py
+++ b/kelptrail/emulator/cluster_commands.py
@@ -63,7 +63,7 @@
         leases = self.deployment.leases
         targets = dispatchers
         if leases is not None and len(dispatchers) > ALL_PAIRS_LIMIT:
-            targets = list(dict.fromkeys((*leases.acceptors, *leases.before)))
+            targets = list(dict.fromkeys((*leases.acceptors, *leases.previous_acceptors)))
         return [
             "emulate",
             "channel-proxy",
--- a/kelptrail/emulator/worker_slow_start.py
+++ b/kelptrail/emulator/worker_slow_start.py
@@ -1,7 +1,7 @@
 """Slow start of the emulated worker: what share of its capacity it has at its age, and when too much work overloads it.
 
 The rules are those of the dispatchers' settings: capacity rises linearly from `cold_share` to 1 within `cold_ms` of the
-start, and a worker that meanwhile gets more than a multiple of its capacity within `tip_ms` fails for good.
+start, and a worker that meanwhile gets more than a multiple of its capacity within `overload_window_ms` fails for good.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
     def __init__(self, deployment: Deployment, warm: bool) -> None:
         self._rules, self._cores = deployment.rules, deployment.fleet.cores
-        self.started = now_ms() - (self._rules.cold_ms + 1 if warm else 0.0)
+        self.started = now_ms() - (self._rules.slow_start_ms + 1 if warm else 0.0)
         self.overloaded = False
         self._recent_work: deque[_ArrivedWork] = deque()
 
@@ -31,16 +31,16 @@
     def capacity_factor(self) -> float:
         """The share of its capacity that the worker has at its age."""
         age = now_ms() - self.started
-        if age >= self._rules.cold_ms:
+        if age >= self._rules.slow_start_ms:
             return 1.0
-        return self._rules.cold_share + (1 - self._rules.cold_share) * age / self._rules.cold_ms
+        return self._rules.slow_start_share + (1 - self._rules.slow_start_share) * age / self._rules.slow_start_ms
 
     def add_work(self, now: float, work_ms: float) -> bool:
         """Count work that arrives; True where it overloads the worker, which then serves nothing more."""
         capacity_factor = self.capacity_factor
         if capacity_factor >= 1:
             return False
-        window_ms = self._rules.tip_ms
+        window_ms = self._rules.overload_window_ms
         self._recent_work.append(_ArrivedWork(now, work_ms))
         while self._recent_work[0].time < now - window_ms:
             self._recent_work.popleft()
--- a/kelptrail/fault_scenario/report.py
+++ b/kelptrail/fault_scenario/report.py
@@ -65,19 +65,21 @@
     """What the history checker must know of the deployment."""
     rules = deployment.rules
     return {
-        "types": [{"name": t.name, "effect": t.effect, "target_ms": t.target_ms} for t in deployment.types.values()],
+        "types": [
+            {"name": t.name, "effect": t.effect, "target_ms": t.latency_objective_ms} for t in deployment.types.values()
+        ],
         "rules": {
             "drain_grace_ms": rules.drain_grace_ms,
             "tip": rules.overload_multiple,
-            "tip_ms": rules.tip_ms,
+            "tip_ms": rules.overload_window_ms,
             "order_wait_ms": deployment.pool.connect_ms,
             "free_loads": rules.free_loads,
-            "load_share": rules.load_share,
-            "load_span_ms": rules.load_span_ms if rules.orders else 0.0,
+            "load_share": rules.loads_per_request,
+            "load_span_ms": rules.load_window_ms if rules.loads_allowed else 0.0,
         },
-        "clock_bound": deployment.leases.clock_bound if deployment.leases is not None else 0.0,
+        "clock_bound": deployment.leases.clock_rate_bound if deployment.leases is not None else 0.0,
         "copies": deployment.peers.replicas if deployment.peers is not None else 0,
-        "kept": deployment.journal.keep,
+        "kept": deployment.journal.enabled,
         "names": names,
         "workers": workers,
         "dispatchers": len(names),
--- a/kelptrail/front/inference/stream_inference.py
+++ b/kelptrail/front/inference/stream_inference.py
@@ -11,6 +11,7 @@
 from kelptrail.clock import now_ms, wall_ms
 from kelptrail.codec.grpc import GrpcError
 from kelptrail.codec.tensors import scalars
+from kelptrail.gateway.admission import Submission
 from kelptrail.gateway.invocation import Invocation
 from kelptrail.gateway.records import Record
 from kelptrail.net.grpc_server import GrpcStream
@@ -74,14 +75,16 @@
         invocation = self._context.gateway.submit(
             now_ms(),
             wall_ms(),
-            self._namespace.name,
-            request.action,
-            request.payload,
-            trace=self._context.next_traceparent(self._stream),
-            limit_ms=limit_ms,
-            payload_format=TENSORS_FORMAT,
-            streamed=True,
-            client_key=client,
+            Submission(
+                self._namespace.name,
+                request.action,
+                request.payload,
+                trace=self._context.next_traceparent(self._stream),
+                limit_ms=limit_ms,
+                payload_format=TENSORS_FORMAT,
+                streamed=True,
+                client_key=client,
+            ),
         )
         invocation.stream_limit_ms = limit_ms
         invocation.on_part = partial(self._on_part, invocation)
--- a/kelptrail/front/inference/unary_inference.py
+++ b/kelptrail/front/inference/unary_inference.py
@@ -7,6 +7,7 @@
 from kelptrail.clock import now_ms, wall_ms
 from kelptrail.codec.grpc import Code, GrpcError
 from kelptrail.codec.tensors import Scalar, scalars
+from kelptrail.gateway.admission import Submission
 from kelptrail.gateway.idempotency_keys import KeyConflictError
 from kelptrail.gateway.invocation import Invocation
 from kelptrail.gateway.records import Record
@@ -70,22 +71,24 @@
         return self._context.gateway.submit(
             now_ms(),
             wall_ms(),
-            namespace.name,
-            request.action,
-            request.payload,
-            request.key,
-            self._context.next_traceparent(stream),
+            Submission(
+                namespace.name,
+                request.action,
+                request.payload,
+                request.key,
+                self._context.next_traceparent(stream),
+                deferred,
+                request.digest,
+                limit_ms,
+                TENSORS_FORMAT,
+                client_key=client,
+            ),
             wait.on_final,
-            deferred,
-            request.digest,
-            limit_ms,
-            TENSORS_FORMAT,
-            client_key=client,
         )
 
     def _check_deferrable(self, payload: bytes) -> None:
         """Raises `GrpcError` where a deferred request could not be made durable."""
-        limit = self._context.deployment.most_promised
+        limit = self._context.deployment.max_deferred_bytes
         if limit and len(payload) > limit:
             text = f"A deferred call's tensors take at most {limit} bytes here: they are held by others."
             raise GrpcError(Code.RESOURCE_EXHAUSTED, text)
--- a/kelptrail/front/invoke/invocations.py
+++ b/kelptrail/front/invoke/invocations.py
@@ -13,6 +13,7 @@
 from kelptrail.dispatch.entities import FinalStatus
 from kelptrail.front.idempotency import client_key, payload_digest
 from kelptrail.front.trace_context import INVALID_VERSION, parse_traceparent
+from kelptrail.gateway.admission import Submission
 from kelptrail.gateway.idempotency_keys import KeyConflictError
 from kelptrail.gateway.invocation import Invocation
 from kelptrail.gateway.limits import REJECTION_MESSAGES
@@ -63,7 +64,7 @@
 
     def __init__(self, context: InvokeContext) -> None:
         self._context = context
-        self._max_deferred_bytes = context.deployment.most_promised  # 0: no limit
+        self._max_deferred_bytes = context.deployment.max_deferred_bytes  # 0: no limit
 
     def invoke(self, call: InvocationRequest, look_up_key: bool = True) -> None:
         """Submit the request, or join it to the activation that its idempotency key names.
@@ -206,16 +207,18 @@
         return self._context.gateway.submit(
             now_ms(),
             wall_ms(),
-            call.namespace.name,
-            call.target.action,
-            content.payload,
-            content.key,
-            content.traceparent,
+            Submission(
+                call.namespace.name,
+                call.target.action,
+                content.payload,
+                content.key,
+                content.traceparent,
+                deferred=not call.target.blocking,
+                digest=content.digest,
+                streamed=waiter is None,
+                client_key=content.client_key,
+            ),
             waiter,
-            deferred=not call.target.blocking,
-            digest=content.digest,
-            streamed=waiter is None,
-            client_key=content.client_key,
         )
 
     def _on_client_gone(self, invocation: Invocation, wait: ClientWait) -> None:
--- a/kelptrail/gateway/state.py
+++ b/kelptrail/gateway/state.py
@@ -16,7 +16,8 @@
 from .invocation import Invocation
 from .lifecycle import RequestStage
 from .limits import InFlightLimits
-from .overload import OverloadController, OverloadSettings
+from .overload import OverloadController
+from .overload_settings import OverloadSettings
 from .records import Records
 
 
@@ -29,26 +30,29 @@
     """State of one gateway.  It changes only through the gateway and its parts, on one thread."""
 
     def __init__(self, parts: DispatcherParts, boot: str) -> None:
-        place = parts.deployment.dispatcher
-        damping = parts.deployment.storm
+        settings = parts.deployment.dispatcher
+        overload = parts.deployment.overload
         self.parts = parts
         self.dispatcher = parts.dispatcher
-        self.margin_ms = place.answer_margin_ms  # a final answer is given this long before the client's limit
+        self.margin_ms = settings.answer_margin_ms  # a final answer is given this long before the client's limit
+        self.answer_ms = 0.0  # what writing one answer costs the host, which measures it
         self.invocations: dict[Request, Invocation] = {}
         self.invocations_by_id: dict[str, Invocation] = {}
         self.effects: deque[Effect] = deque()  # decided, not yet handed to the host
         self.deadlines = TimerQueue()  # requests whose attempts are cancelled when it fires
         self.keys = IdempotencyKeys()
-        self.limits = InFlightLimits(place.held, place.held_mb * 1e6, place.held_each)
+        self.limits = InFlightLimits(
+            settings.max_in_flight, settings.max_in_flight_mb * 1e6, settings.max_in_flight_per_namespace
+        )
         self.overload = OverloadController(
             OverloadSettings(
-                damping.damp, max_retry_after_ms=damping.longest_return_ms, max_clients=damping.most_known
+                overload.enabled, max_retry_after_ms=overload.max_retry_after_ms, max_clients=overload.max_clients
             ),
             crc32(boot.encode()),
-            {space.name: space.allowed_per_s for space in parts.deployment.namespaces.values()},
+            {space.name: space.quota_per_s for space in parts.deployment.namespaces.values()},
         )
         self.members = WorkerRegistry(parts.zones)
-        self.records = Records(place.records, place.records_mb * 1e6, place.record_ms)
+        self.records = Records(settings.max_records, settings.max_records_mb * 1e6, settings.max_record_age_ms)
         self.counts = GatewayCounters()
         self.counters_by_model: dict[str, FunctionCounters] = {}  # since the last report to a planner
 
--- a/kelptrail/load/choices.py
+++ b/kelptrail/load/choices.py
@@ -34,7 +34,7 @@
 
     def __init__(self, namespaces: Mapping[str, NamespaceSettings]) -> None:
         self._by_name, self._namespaces = namespaces, list(namespaces.values())
-        quotas = np.array([namespace.allowed_per_s for namespace in self._namespaces])
+        quotas = np.array([namespace.quota_per_s for namespace in self._namespaces])
         self._cumulative_shares = np.cumsum(quotas / quotas.sum())
 
     def draw(self, random: np.random.Generator, load: Load) -> NamespaceSettings:
--- a/kelptrail/planner/build.py
+++ b/kelptrail/planner/build.py
@@ -11,9 +11,14 @@
 
 def planner_settings(deployment: Deployment) -> PlannerSettings:
     """A deployment's planner settings."""
-    plan = deployment.planner
+    config = deployment.planner
     return PlannerSettings(
-        deployment.name, plan.every_ms, plan.valid_ms, plan.down_ms, plan.moves_share, plan.moves_least
+        deployment.name,
+        config.interval_ms,
+        config.valid_ms,
+        config.scale_down_ms,
+        config.new_instances_share,
+        config.new_instances_min,
     )
 
 
@@ -27,7 +32,7 @@
 
 def worker_capacities(deployment: Deployment, listing: EndpointList) -> list[WorkerCapacity]:
     """The live workers of a list; what each holds is the settings' matter."""
-    fleet, cold_ms = deployment.fleet, deployment.rules.cold_ms
+    fleet, cold_ms = deployment.fleet, deployment.rules.slow_start_ms
     return [
         WorkerCapacity(w.id, fleet.memory_mb, fleet.cores * w.size, w.age_ms < cold_ms)
         for w in listing.workers
--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -19,13 +19,14 @@
 from kelptrail.membership.client import EndpointClient
 from kelptrail.membership.members import ID_PREFIX_DIGITS, EndpointList, id_prefix
 from kelptrail.net.server import HttpServer, Limits
-from kelptrail.planner.driver import PlannerDriver, PlannerOptions
+from kelptrail.planner.driver import PlannerDriver
 from kelptrail.planner.edge_driver import PlanFollower
 from kelptrail.settings.deployment import Deployment
 from kelptrail.store.faulty_disk import FaultyDisk
+from kelptrail.vrrp.address import FrontService
 
-from .build import front_limits
 from .control import Control
+from .embedded_planner import start_embedded_planner
 from .fleet import Fleet, FleetOptions
 from .front_addresses import FrontAddresses
 from .fronts import Fronts
@@ -35,7 +36,7 @@
 from .lease_trial import FaultyClock, LeaseTrial
 from .options import DispatcherOptions
 from .step_faults import install_step_faults
-from .usage import NamespaceCounts, UsageDriver
+from .usage import NamespaceCounts, UsageDriver, UsageSettings
 
 FIRST_LIST_TIMEOUT_S = 3.0
 CONTROL_CONNECTIONS = 64
@@ -61,8 +62,7 @@
         self._stores = open_stores(deployment, options.state_folder, self._vfs, log)
         self.gateway = Gateway(parts, self.boot, self._stores.commits)
         install_step_faults(self.gateway, options)
-        self.driver = GatewayDriver(self.gateway, f"{options.name}/{self.boot}", deployment.pool, log)
-        self.driver.debug = debug
+        self.driver = GatewayDriver(self.gateway, f"{options.name}/{self.boot}", deployment.pool, log, debug)
         self.fronts = Fronts(deployment, self.driver, self.boot, log)
         self.fleet = self._build_fleet()
         replication = self.fleet.replication if self.fleet is not None else None
@@ -133,7 +133,7 @@
         )
         if deployment.peers.replicas:
             fleet.enable_replication(deployment.peers, self.log)
-            at_once, least_ms = deployment.journal.resume_at_once, least_run_ms(deployment)
+            at_once, least_ms = deployment.journal.max_resumed, least_run_ms(deployment)
             take_over_journal(fleet.replication, self.gateway, self.driver, at_once, least_ms)
             for api in (self.fronts.invoke, self.fronts.inference):
                 api.context.activation_lookup = fleet.replication
@@ -148,22 +148,21 @@
         if self.usage is not None:
             self.usage.start()
         self.endpoints.channel_address, self.endpoints.zone = fleet.peers.address, options.zone
-        if fleet.leases is not None and options.trial_witness:
+        if fleet.leases is not None and options.trial_side_effect_log:
             self.lease_trial = LeaseTrial(
-                fleet.leases, options.trial_witness, options.trial_leases, fleet.lease_length_ms
+                fleet.leases, options.trial_side_effect_log, options.trial_leases, fleet.lease_length_ms
             )
             self.lease_trial.start()
 
     def _build_usage(self, fleet: Fleet) -> UsageDriver | None:
         leases = self.deployment.leases
-        if fleet.leases is None or leases is None or not leases.usage_ms:
+        if fleet.leases is None or leases is None or not leases.usage_interval_ms:
             return None
         return UsageDriver(
             fleet.leases,
             fleet.peers,
             self.boot,
-            leases.usage_ms,
-            fleet.lease_length_ms,
+            UsageSettings(leases.usage_interval_ms, fleet.lease_length_ms),
             self._namespace_counts,
             fleet.dispatcher_names,
             self.log,
@@ -207,24 +206,12 @@
 
     def _start_planning(self) -> None:
         addresses = list(self.options.planners)
-        if self.deployment.planner.within and self.fleet is not None and self.fleet.leases is not None:
-            self.planner = self._start_planner(self.fleet)
+        if self.deployment.planner.embedded and self.fleet is not None and self.fleet.leases is not None:
+            self.planner = start_embedded_planner(self.deployment, self.options, self.fleet, self.log)
             addresses.append(self.planner.address)
         if addresses:
             self.plan_follower = self._start_plan_follower(addresses)
 
-    def _start_planner(self, fleet: Fleet) -> PlannerDriver:
-        assert fleet.leases is not None
-        options = self.options
-        planner_options = PlannerOptions(
-            f"{options.name}-planner", "127.0.0.1", 0, options.endpoint_service, options.state_folder
-        )
-        planner = PlannerDriver(self.deployment, planner_options, fleet.leases, fleet.lease_length_ms, self.log)
-        planner.restore()
-        planner.listen()
-        planner.start()
-        return planner
-
     def _start_plan_follower(self, addresses: list[str]) -> PlanFollower:
         follower = PlanFollower(
             addresses,
@@ -238,7 +225,7 @@
         self.background.add("report", follower.send_reports, 2, 250.0, 1500.0, 0.05)
         self.background.add("save-plan", follower.save_plan, 6, 2000.0, 20_000.0)
         if follower.load_saved_plan():
-            self.log.info("plan-from-last", order=list(follower.plan_state.fence))
+            self.log.info("plan-restored", order=list(follower.plan_state.fence))
         follower.start()
         return follower
 
@@ -248,18 +235,22 @@
         deployment, options = self.deployment, self.options
         if deployment.vrrp is None or options.name not in {instance.name for instance in deployment.vrrp.instance}:
             return
+        front = deployment.front
+        service = FrontService(
+            self.fronts.invoke.handle,
+            self.fronts.make_http_server,
+            self.fronts.make_grpc_server,
+            front.drain_ms,
+            front.linger_ms,
+        )
         self.front_addresses = FrontAddresses(
             deployment.vrrp,
             options.name,
             options.state_folder,
             self.driver,
-            self.fronts.invoke,
-            front_limits(deployment.front),
-            deployment.front,
+            service,
             self.log,
             self._can_store,
-            self.fronts.make_http_server,
-            self.fronts.make_grpc_server,
         )
         self.front_addresses.start()
 
--- a/kelptrail/service/fronts.py
+++ b/kelptrail/service/fronts.py
@@ -45,7 +45,7 @@
         self._pace_seed = zlib.crc32(boot.encode())
         self.reloaders = certificate_reloaders(deployment, log)
         if TO_WORKERS in self.reloaders:
-            driver.tls = self.reloaders[TO_WORKERS].context
+            driver.worker_calls.tls = self.reloaders[TO_WORKERS].context
         self._http_tls, self._grpc_tls = self._tls_context(HTTP), self._tls_context(GRPC)
         self._authenticator = Authenticator(deployment)
         self.invoke = InvokeApi(deployment, driver, boot, self._authenticator)
@@ -95,8 +95,8 @@
         return self.reloaders[name].context if name in self.reloaders else None
 
     def _connect_pace(self, settings: FrontSettings | InferenceSettings) -> ConnectPace:
-        longest_return_ms = self._deployment.storm.longest_return_ms
-        pace = PaceSettings(settings.connects_at_once, settings.connects_per_s, longest_return_ms)
+        max_retry_after_ms = self._deployment.overload.max_retry_after_ms
+        pace = PaceSettings(settings.connect_burst, settings.connects_per_s, max_retry_after_ms)
         return ConnectPace(pace, self._pace_seed)
 
     def _on_connect(self) -> None:
--- a/kelptrail/settings/deployment.py
+++ b/kelptrail/settings/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment: everything that the program may know of a place, read from one file and checked.
+"""A deployment: everything that the program knows about one installation, read from one file and checked.
 
 The sections' classes and shapes are in the modules beside this one, and are exported from here too.
 Times are milliseconds, memory is megabytes.
@@ -10,9 +10,19 @@
 from pathlib import Path
 from typing import Any
 
-from .cooperation import JOURNAL, LEASES, PEERS, PLANNER, JournalSettings, LeasesPlan, PeerPlan, PeersPlan, PlannerPlan
+from .cooperation import (
+    JOURNAL,
+    LEASES,
+    PEERS,
+    PLANNER,
+    JournalSettings,
+    LeasesConfig,
+    PeerConfig,
+    PeersConfig,
+    PlannerConfig,
+)
 from .cross_checks import check_across_sections
-from .dispatching import DISPATCHER, POOL, RULES, STORM, DispatcherSettings, PoolSettings, RuleSettings, StormPlan
+from .dispatching import DISPATCHER, POOL, RULES, STORM, DispatcherSettings, OverloadConfig, PoolSettings, RuleSettings
 from .emulated import FLEET, STORE, FleetSettings, StoreSettings
 from .fronts import FRONT, INFERENCE, SIDES, TLS, FrontSettings, InferenceSettings, TlsSettings
 from .reader import Form, SourcePosition, read
@@ -27,7 +37,7 @@
     TypeSettings,
 )
 from .shape import Checker, Group, Many, Shape, some, word
-from .vrrp import TRACKED, VRRP, InstanceSettings, KeySettings, MemberSettings, RouterPlan, TrackPlan, VrrpSettings
+from .vrrp import TRACKED, VRRP, InstanceSettings, KeySettings, MemberSettings, RouterConfig, TrackConfig, VrrpSettings
 
 __all__ = [
     "LEASES",
@@ -44,19 +54,19 @@
     "JournalSettings",
     "KeyHash",
     "KeySettings",
-    "LeasesPlan",
+    "LeasesConfig",
     "MemberSettings",
     "NamespaceSettings",
-    "PeerPlan",
-    "PeersPlan",
-    "PlannerPlan",
+    "OverloadConfig",
+    "PeerConfig",
+    "PeersConfig",
+    "PlannerConfig",
     "PoolSettings",
-    "RouterPlan",
+    "RouterConfig",
     "RuleSettings",
     "StoreSettings",
-    "StormPlan",
     "TlsSettings",
-    "TrackPlan",
+    "TrackConfig",
     "TypeSettings",
     "VrrpSettings",
     "load",
@@ -64,13 +74,13 @@
 ]
 
 DEFAULT_JOURNAL = JournalSettings(True, 1024.0, 64, 100_000)
-DEFAULT_STORM = StormPlan(True, 12_000.0, 200_000)
-DEFAULT_PLANNER = PlannerPlan(False, 5000.0, 60_000.0, 60_000.0, 0.05, 8)
+DEFAULT_OVERLOAD = OverloadConfig(True, 12_000.0, 200_000)
+DEFAULT_PLANNER = PlannerConfig(False, 5000.0, 60_000.0, 60_000.0, 0.05, 8)
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """One place, whole and checked."""
+    """One installation; all sections are checked."""
 
     name: str
     zones: tuple[str, ...]
@@ -87,16 +97,16 @@
     vrrp: VrrpSettings | None = None
     journal: JournalSettings = DEFAULT_JOURNAL
     tls: dict[str, TlsSettings] = field(default_factory=dict)
-    storm: StormPlan = DEFAULT_STORM
-    planner: PlannerPlan = DEFAULT_PLANNER
-    peers: PeersPlan | None = None
-    leases: LeasesPlan | None = None
+    overload: OverloadConfig = field(default=DEFAULT_OVERLOAD, metadata={"key": "storm"})
+    planner: PlannerConfig = DEFAULT_PLANNER
+    peers: PeersConfig | None = None
+    leases: LeasesConfig | None = None
     folder: Path = Path()  # of the settings file
 
     @property
-    def most_promised(self) -> int:
-        """Bytes that a deferred call's body may have, as others must hold it; 0: no bound of theirs."""
-        return int(self.peers.copies_kb * 1024) if self.peers is not None and self.peers.replicas else 0
+    def max_deferred_bytes(self) -> int:
+        """The largest body of a deferred request, which replicas must store; 0: no limit of theirs."""
+        return int(self.peers.max_replicated_kb * 1024) if self.peers is not None and self.peers.replicas else 0
 
 
 DEPLOYMENT = Shape(
@@ -134,16 +144,16 @@
     checker = Checker()
     forms = read(text, file)
     start = SourcePosition(file, 1, 1)
-    whole = [f for f in forms if isinstance(f, Form) and f.head == "deployment"]
+    deployments = [f for f in forms if isinstance(f, Form) and f.head == "deployment"]
     for item in forms:
-        if item not in whole:
-            checker.fault(item.place, item, "(deployment NAME ...) and nothing beside it")
-    if len(whole) != 1:
-        place = whole[1].place if whole else start
-        checker.fault(place, f"{len(whole)} deployments", "one (deployment NAME ...)")
+        if item not in deployments:
+            checker.fault(item.position, item, "(deployment NAME ...) and nothing beside it")
+    if len(deployments) != 1:
+        position = deployments[1].position if deployments else start
+        checker.fault(position, f"{len(deployments)} deployments", "one (deployment NAME ...)")
         checker.done()
-    fields = checker.form(whole[0], DEPLOYMENT)
-    check_across_sections(checker, whole[0])
+    fields = checker.form(deployments[0], DEPLOYMENT)
+    check_across_sections(checker, deployments[0])
     checker.done()
     return _deployment_of(fields, Path(file).parent)
 
--- a/kelptrail/settings/dispatching.py
+++ b/kelptrail/settings/dispatching.py
@@ -1,4 +1,4 @@
-"""The figures of the dispatch rules, what a dispatcher may do and keep, and the connections to a worker.
+"""Limits of the dispatch rules, of one dispatcher, of the connections to a worker, and of overload control.
 
 Times are milliseconds, memory is megabytes.  Every default is stated here, once.
 """
@@ -12,38 +12,50 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleSettings:
-    """The figures of the five rules."""
+    """Limits of the dispatch rules.
+
+    `drain_grace_ms`: attempts may reach a worker for so long after it began to drain; `overload_multiple`,
+    `overload_window_ms`: a worker in slow start that gets so many times its capacity within this time fails;
+    `slow_start_share`, `slow_start_ms`: capacity at the start, and the length, of slow start; `loads_allowed`,
+    `free_loads`, `loads_per_request`, `load_window_ms`: the load ration (`kelptrail.dispatch.safety.LoadRation`).
+    """
 
     drain_grace_ms: float
     overload_multiple: float = field(metadata={"key": "tip"})
-    tip_ms: float
-    cold_share: float
-    cold_ms: float
-    orders: bool
+    overload_window_ms: float = field(metadata={"key": "tip_ms"})
+    slow_start_share: float = field(metadata={"key": "cold_share"})
+    slow_start_ms: float = field(metadata={"key": "cold_ms"})
+    loads_allowed: bool = field(metadata={"key": "orders"})
     free_loads: float
-    load_share: float
-    load_span_ms: float
+    loads_per_request: float = field(metadata={"key": "load_share"})
+    load_window_ms: float = field(metadata={"key": "load_span_ms"})
 
 
 @dataclass(frozen=True, slots=True)
 class DispatcherSettings:
-    """What a dispatcher may do, and what it keeps."""
+    """What a dispatcher may do, and the limits of what it holds.
+
+    `parallel_attempts`: two attempts of one request may be in flight; `can_cancel`: attempts in flight may be
+    cancelled; `answer_margin_ms`: a final answer is given so long before the client's timeout; `keep_alive_ms`: an idle
+    instance stays loaded for so long; `retry_budget_share`, `retry_budget_capacity`: tokens for second attempts, earned
+    by a completed one, and at most.
+    """
 
     zone: str = field(metadata={"key": "hall"})
-    parallel: bool
+    parallel_attempts: bool = field(metadata={"key": "parallel"})
     max_attempts: int = field(metadata={"key": "most_sends"})
-    cancels: bool
+    can_cancel: bool = field(metadata={"key": "cancels"})
     answer_margin_ms: float
-    longest_return_ms: float
+    max_retry_after_ms: float = field(metadata={"key": "longest_return_ms"})
     keep_alive_ms: float = field(metadata={"key": "keep_ms"})
-    records: int
-    records_mb: float
-    record_ms: float
-    held: int
-    held_mb: float
-    held_each: int
-    second_share: float
-    second_most: float
+    max_records: int = field(metadata={"key": "records"})
+    max_records_mb: float = field(metadata={"key": "records_mb"})
+    max_record_age_ms: float = field(metadata={"key": "record_ms"})
+    max_in_flight: int = field(metadata={"key": "held"})
+    max_in_flight_mb: float = field(metadata={"key": "held_mb"})
+    max_in_flight_per_namespace: int = field(metadata={"key": "held_each"})
+    retry_budget_share: float = field(metadata={"key": "second_share"})
+    retry_budget_capacity: float = field(metadata={"key": "second_most"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,17 +65,17 @@
     connections: int
     connect_ms: float
     idle_ms: float
-    order_ms: float
-    answer_bytes: int
+    load_timeout_ms: float = field(metadata={"key": "order_ms"})
+    max_answer_bytes: int = field(metadata={"key": "answer_bytes"})
 
 
 @dataclass(frozen=True, slots=True)
-class StormPlan:
-    """Damping of storms of clients that come again."""
+class OverloadConfig:
+    """Overload control: whether retry storms are damped, and within which limits."""
 
-    damp: bool
-    longest_return_ms: float
-    most_known: int
+    enabled: bool = field(metadata={"key": "damp"})
+    max_retry_after_ms: float = field(metadata={"key": "longest_return_ms"})
+    max_clients: int = field(metadata={"key": "most_known"})
 
 
 RULES = Shape(
@@ -86,17 +98,17 @@
     {
         "hall": word(default=""),
         "parallel": yes_no(True),
-        "most-sends": number(1, 16, whole=True, default=6),
+        "most-sends": number(1, 16, integer=True, default=6),
         "cancels": yes_no(True),
         "answer-margin-ms": milliseconds(0, 10_000, 100.0),
         "longest-return-ms": milliseconds(0, 600_000, 1000.0),
         "keep-ms": milliseconds(100, 3.6e6, 8000.0),
-        "records": number(1, 10_000_000, whole=True, default=20_000),
+        "records": number(1, 10_000_000, integer=True, default=20_000),
         "records-mb": number(0.001, 100_000, default=64.0),
         "record-ms": milliseconds(1000, 8.64e7, 600_000.0),
-        "held": number(1, 10_000_000, whole=True, default=20_000),
+        "held": number(1, 10_000_000, integer=True, default=20_000),
         "held-mb": number(0.001, 100_000, default=256.0),
-        "held-each": number(1, 10_000_000, whole=True, default=20_000),
+        "held-each": number(1, 10_000_000, integer=True, default=20_000),
         "second-share": number(0, 16, default=0.2),
         "second-most": number(0, 1_000_000, default=60.0),
     },
@@ -106,11 +118,11 @@
 
 POOL = Shape(
     {
-        "connections": number(1, 100_000, whole=True, default=128),
+        "connections": number(1, 100_000, integer=True, default=128),
         "connect-ms": milliseconds(1, 60_000, 250.0),
         "idle-ms": milliseconds(10, 3.6e6, 15_000.0),
         "order-ms": milliseconds(10, 600_000, 10_000.0),
-        "answer-bytes": number(64, 1 << 30, whole=True, default=4_194_304),
+        "answer-bytes": number(64, 1 << 30, integer=True, default=4_194_304),
     },
     build=PoolSettings,
 )
@@ -120,7 +132,7 @@
     {
         "damp": yes_no(True),
         "longest-return-ms": milliseconds(100, 600_000, 12_000.0),
-        "most-known": number(1, 10_000_000, whole=True, default=200_000),
+        "most-known": number(1, 10_000_000, integer=True, default=200_000),
     },
-    build=StormPlan,
+    build=OverloadConfig,
 )
--- a/kelptrail/settings/request_classes.py
+++ b/kelptrail/settings/request_classes.py
@@ -12,50 +12,50 @@
 
 @dataclass(frozen=True, slots=True)
 class TypeSettings:
-    """A namespace type."""
+    """A request class."""
 
     name: str
     effect: str
-    target_ms: float
+    latency_objective_ms: float = field(metadata={"key": "target_ms"})
     timeout_ms: float
     priority_weight: float = field(metadata={"key": "utility"})
-    late_share: float
+    late_value_share: float = field(metadata={"key": "late_share"})
     deduplication_scope: str = field(metadata={"key": "scope"})
     deduplication_window_ms: float = field(metadata={"key": "remembered_ms"})
     hedge: bool = False
-    stream_ms: float = 600_000.0
-    stall_ms: float = 10_000.0
+    max_stream_ms: float = field(default=600_000.0, metadata={"key": "stream_ms"})
+    stream_stall_ms: float = field(default=10_000.0, metadata={"key": "stall_ms"})
 
 
 @dataclass(frozen=True, slots=True)
 class KeyHash:
-    """A key known by its digest: `sha256:HEX`.  Two may live at once while one takes over from the other."""
+    """A key known by its digest, `sha256:HEX`.  Two may be live at once, so that a key can be rotated."""
 
     digest: str
 
 
 @dataclass(frozen=True, slots=True)
 class CertificateName:
-    """A name in a client's certificate that stands for the namespace."""
+    """A name in a client's certificate that identifies the namespace."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class NamespaceSettings:
-    """A namespace: who calls, and what it may take of the whole."""
+    """A namespace: who calls, and its quota."""
 
     name: str
     uuid: str
     key: str
-    allowed_per_s: float
+    quota_per_s: float = field(metadata={"key": "allowed_per_s"})
     key_hash: list[KeyHash] = field(default_factory=list)
     certificate: list[CertificateName] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
 class ActionSettings:
-    """An action: a name to call, the model that runs it and what a copy takes."""
+    """An action: a name to call, the model that runs it and what an instance takes."""
 
     name: str
     package: str
@@ -110,10 +110,10 @@
         "type": word(),
         "model": word(default=""),
         "memory-mb": number(0.001, 1e7),
-        "lanes": number(1, 4096, whole=True, default=1),
+        "lanes": number(1, 4096, integer=True, default=1),
         "load-ms": milliseconds(0, 3.6e6, 0.0),
         "work-ms": milliseconds(0, 3.6e6, 50.0),
-        "count": number(1, 100_000, whole=True, default=1),
+        "count": number(1, 100_000, integer=True, default=1),
     },
     ("name",),
     ActionSettings,
--- a/kelptrail/settings/vrrp.py
+++ b/kelptrail/settings/vrrp.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RouterPlan:
+class RouterConfig:
     """One virtual router: its front address and who backs it."""
 
     vrid: str
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TrackPlan:
+class TrackConfig:
     """What lowers the priority while it fails."""
 
     name: str
@@ -72,8 +72,8 @@
     pseudo_header: bool
     key: list[KeySettings]
     instance: list[InstanceSettings]
-    router: list[RouterPlan]
-    track: list[TrackPlan]
+    router: list[RouterConfig]
+    track: list[TrackConfig]
 
 
 VRRP = Shape(
@@ -85,28 +85,28 @@
             Shape(
                 {
                     "address": word(),
-                    "port": number(1, 65535, whole=True),
-                    "interval-cs": number(1, 4095, whole=True, default=100),
+                    "port": number(1, 65535, integer=True),
+                    "interval-cs": number(1, 4095, integer=True, default=100),
                     "preempt": yes_no(True),
                     "accept": yes_no(True),
-                    "grpc-port": number(0, 65535, whole=True, default=0),
-                    "member": Many(Shape({"priority": number(1, 255, whole=True)}, ("name",), MemberSettings), 1),
+                    "grpc-port": number(0, 65535, integer=True, default=0),
+                    "member": Many(Shape({"priority": number(1, 255, integer=True)}, ("name",), MemberSettings), 1),
                 },
                 ("vrid",),
-                RouterPlan,
+                RouterConfig,
             ),
             1,
         ),
         "track": Many(
             Shape(
                 {
-                    "weight": number(0, 254, whole=True),
+                    "weight": number(0, 254, integer=True),
                     "fall-ms": milliseconds(0, 600_000, 1000.0),
                     "rise-ms": milliseconds(0, 600_000, 3000.0),
                     "release": yes_no(False),
                 },
                 ("name",),
-                TrackPlan,
+                TrackConfig,
             )
         ),
     },
--- a/kelptrail/simulation/clients.py
+++ b/kelptrail/simulation/clients.py
@@ -8,6 +8,7 @@
 
 import numpy as np
 
+from kelptrail.gateway.admission import Submission
 from kelptrail.gateway.invocation import Invocation
 from kelptrail.gateway.records import Record
 from kelptrail.load.choices import NamespaceChoice
@@ -134,7 +135,7 @@
             return
         refused = gateway.on_connect(now, call.namespace.name, call.action.path, CONNECT_BYTES, call.ticket)
         if refused is not None:
-            self._finish_call(call, ReceivedAnswer("", "rejected", retry_after_ms=refused[1]))
+            self._finish_call(call, ReceivedAnswer("", "rejected", retry_after_ms=refused.retry_after_ms))
             return
         self._submit(dispatcher, call, key)
 
@@ -144,14 +145,8 @@
         invocation = gateway.submit(
             now,
             WALL_CLOCK_ORIGIN_MS + now,
-            call.namespace.name,
-            call.action,
-            b"{}",
-            key,
-            "",
+            Submission(call.namespace.name, call.action, b"{}", key, deferred=call.deferred, client_key=call.ticket),
             lambda record: self._deliver_record(call, number, record),
-            call.deferred,
-            client_key=call.ticket,
         )
         call.invocation, call.dispatcher_start = invocation, dispatcher.starts
         if call.deferred:
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -13,12 +13,12 @@
 
 from kelptrail.fault_scenario.report import describe_deployment
 from kelptrail.fault_scenario.scenario import FaultScenario, ScenarioError
-from kelptrail.gateway.overload import OverloadStage
+from kelptrail.gateway.overload_settings import OverloadStage
 from kelptrail.load.results import Result, Second, empty_seconds
 from kelptrail.membership.members import EndpointList
 from kelptrail.planner.driver import LEASE_NAME
 from kelptrail.service.fleet import lease_settings
-from kelptrail.settings.deployment import Deployment, LeasesPlan
+from kelptrail.settings.deployment import Deployment, LeasesConfig
 
 from .clients import SimulatedClients
 from .dispatchers import SimulatedDispatcher
@@ -108,7 +108,7 @@
         zones = self.deployment.zones
         identity = WorkerIdentity(f"worker-{number}", zones[number % len(zones)], cell=number // 2)
         if self.shard is not None and (home := self.shard.shard_of_worker(number)) != self.shard.number:
-            cold_ms = self.deployment.rules.cold_ms
+            cold_ms = self.deployment.rules.slow_start_ms
             return RemoteWorker(self.shard, home, identity, self.event_queue, self.settings, cold_ms)
         return SimulatedWorker(
             self.event_queue, self.deployment, identity, self.store, self.effect_log, self.seed, self.record_event
@@ -120,14 +120,14 @@
         zones = self.deployment.zones
         return SimulatedDispatcher(self, number, zones[number % len(zones)])
 
-    def _make_leases(self, plan: LeasesPlan) -> SimulatedLeases:
+    def _make_leases(self, config: LeasesConfig) -> SimulatedLeases:
         peers = self.deployment.peers
         settings = SimulatedLeaseSettings(
-            lease_settings(plan),
-            plan.length_ms,
+            lease_settings(config),
+            config.length_ms,
             sync_ms=self.settings.sync_ms,
             network_ms=self.settings.network_ms,
-            silent_ms=peers.silent_ms if peers is not None else DEFAULT_SILENCE_MS,
+            silent_ms=peers.silence_timeout_ms if peers is not None else DEFAULT_SILENCE_MS,
         )
         names = [dispatcher.name for dispatcher in self.local_dispatchers]
         names += [planner.name for planner in self.planners]
--- a/kelptrail/simulation/dispatchers.py
+++ b/kelptrail/simulation/dispatchers.py
@@ -58,10 +58,10 @@
         self.boot = f"{zlib.crc32(f'{self.name}/{self.starts}'.encode()):08x}{self.number:04x}{self.starts:04x}"
         self.process_id = f"{self.name}/{self.boot}"
         deployment = self._cluster.deployment
-        self.journal = GroupCommit(deployment.journal.most_waiting) if deployment.journal.keep else None
+        self.journal = GroupCommit(deployment.journal.max_pending_entries) if deployment.journal.enabled else None
         parts = DispatcherParts(deployment, self._zone, zlib.crc32(self.boot.encode()))
         self.gateway = Gateway(parts, self.boot, self.journal)
-        self.gateway.answer_ms = 2 * self._settings.cpu_ms
+        self.gateway.state.answer_ms = 2 * self._settings.cpu_ms
         self._busy_until, self._timer, self._timer_at, self._deciding = 0.0, None, float("inf"), False
         self._open_orders: dict[LoadOrder, Timer] = {}
         self._open_attempts: dict[Attempt, None] = {}
@@ -77,8 +77,8 @@
         """Recover the activations of the journal."""
         now, deployment = self._event_queue.now, self._cluster.deployment
         margin_ms = ANSWER_MARGINS * deployment.dispatcher.answer_margin_ms
-        resume_at_once = deployment.journal.resume_at_once
-        self.gateway.recover(now, WALL_CLOCK_ORIGIN_MS + now, stored, margin_ms, resume_at_once)
+        max_resumed = deployment.journal.max_resumed
+        self.gateway.recover(now, WALL_CLOCK_ORIGIN_MS + now, stored, margin_ms, max_resumed)
 
     def kill(self) -> None:
         """End the process; its journal remains."""
@@ -232,7 +232,7 @@
             self._cluster.second().load_orders += 1
         finish = partial(self._on_load_answered, self.starts, order)
         self._open_orders[order] = self._event_queue.after(
-            self._cluster.deployment.pool.order_ms, finish, AttemptStatus.SILENT, 0
+            self._cluster.deployment.pool.load_timeout_ms, finish, AttemptStatus.SILENT, 0
         )
         if isinstance(worker, RemoteWorker):
             worker.request(MessageKind.LOAD_ORDER, finish, function_id, order.count, self.process_id)
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -104,23 +104,23 @@
     variants, sweep = dict[str, tuple[Change, ...]](), list[Change]()
     for item in form.items[2:]:
         if not isinstance(item, Form):
-            checker.fault(form.place, item, "forms after the name")
+            checker.fault(form.position, item, "forms after the name")
         elif item.head == "script" and len(item.items) == 2:
             script = str(_value(item.items[1]))
         elif item.head == "seeds":
             try:
                 seeds = tuple(int(float(str(_value(seed)))) for seed in item.items[1:])
             except ValueError:
-                checker.fault(item.place, "seeds", "whole numbers")
+                checker.fault(item.position, "seeds", "whole numbers")
         elif item.head == "variant" and len(item.items) > 1:
             variants[str(_value(item.items[1]))] = tuple(_parse_variant(checker, item))
         elif item.head == "sweep" and len(item.items) > 2:
             for value in item.items[2:]:
-                sweep += _parse_change(checker, item.place, item.items[1], value)
+                sweep += _parse_change(checker, item.position, item.items[1], value)
         else:
-            checker.fault(item.place, item.head, "one of script, seeds, variant, sweep, with what they need")
+            checker.fault(item.position, item.head, "one of script, seeds, variant, sweep, with what they need")
     if not script:
-        checker.fault(form.place, "no script", "(script FILE)")
+        checker.fault(form.position, "no script", "(script FILE)")
     checker.done()
     file = Path(script) if Path(script).is_absolute() else Path(path).parent / script
     name = str(_value(form.items[1]))
@@ -133,9 +133,9 @@
     changes = list[Change]()
     for item in variant.items[2:]:
         if isinstance(item, Form) and item.head == "set" and len(item.items) == 3:
-            changes += _parse_change(checker, item.place, item.items[1], item.items[2])
+            changes += _parse_change(checker, item.position, item.items[1], item.items[2])
         else:
-            checker.fault(variant.place, item, "(set SECTION.KEY VALUE)")
+            checker.fault(variant.position, item, "(set SECTION.KEY VALUE)")
     return changes
 
 
@@ -183,7 +183,7 @@
             parts = getattr(scenario, fields_by_key(scenario)[section])
             scenario = _replace_key(scenario, section, [_replace_key(part, key, value) for part in parts])
         elif section in DEPLOYMENT_SECTIONS:
-            deployment = _replace_key(deployment, section, _replace_key(getattr(deployment, section), key, value))
+            deployment = _replace_key(deployment, section, _replace_key(_section_of(deployment, section), key, value))
         else:
             raise ChangeError("a section: lab, script, load, trouble, " + ", ".join(DEPLOYMENT_SECTIONS))
     return RunInputs(scenario, deployment, simulation)
@@ -201,6 +201,10 @@
     return value
 
 
+def _section_of(deployment: Deployment, section: str) -> Any:
+    return getattr(deployment, fields_by_key(deployment)[section])
+
+
 def _replace_key(settings: Any, key: str, value: Any) -> Any:
     fitting = _fitting_value(settings, key, value)
     return dataclasses.replace(settings, **{fields_by_key(settings)[key]: fitting})
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -152,7 +152,7 @@
         self.worker = ScriptedWorker("w0", script)
         self.worker.server._tls = keep["runners"].context  # type: ignore[union-attr]
         self.dispatcher = Dispatcher([], self.deployment)
-        self.dispatcher.driver.tls = keep["to-workers"].context  # type: ignore[union-attr]
+        self.dispatcher.driver.worker_calls.tls = keep["to-workers"].context  # type: ignore[union-attr]
         self.dispatcher.set_workers([self.worker])
         authenticator = Authenticator(self.deployment)
         self.http = HttpServer(
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -125,7 +125,7 @@
     assert choice.draw(random, make_load("poisson", namespace="desks")).name == "desks"
     assert random.bit_generator.state == before
     names = [choice.draw(random, make_load("poisson")).name for _ in range(3000)]
-    quota_share = namespaces["desks"].allowed_per_s / sum(n.allowed_per_s for n in namespaces.values())
+    quota_share = namespaces["desks"].quota_per_s / sum(n.quota_per_s for n in namespaces.values())
     assert names.count("desks") / 3000 == pytest.approx(quota_share, abs=0.03)
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -19,6 +19,7 @@
 
 from kelptrail.codec.http import Request
 from kelptrail.dispatch.entities import AttemptStatus, Idempotency
+from kelptrail.gateway.admission import Submission
 from kelptrail.gateway.build import DispatcherParts
 from kelptrail.gateway.core import Gateway
 from kelptrail.gateway.effects import CancelAttempt, FinalAnswer, StartAttempt, StartLoad
@@ -336,7 +337,7 @@
         self.now, self.wall = self.now + passed, self.wall + passed
         if rng.random() < 0.4 and self.journal.is_accepting():  # else the API refuses
             action = rng.choice(list(self.deployment.actions.values()))
-            invocation = gateway.submit(self.now, self.wall, "one", action, b"{}", None, deferred=True)
+            invocation = gateway.submit(self.now, self.wall, Submission("one", action, b"{}", deferred=True))
             self.kinds[invocation.record.id] = invocation.record.idempotency
             self.pull()
             if not invocation.record.final:
@@ -425,7 +426,7 @@
     gateway = Gateway(parts, "b" * 16, group_commit)
     action = parts.deployment.actions["p/check"]
     for number, durable in enumerate((True, False)):
-        invocation = gateway.submit(float(number), 1000.0, "one", action, b"{}", deferred=True)
+        invocation = gateway.submit(float(number), 1000.0, Submission("one", action, b"{}", deferred=True))
         gateway.when_durable(invocation, lambda _safe: None)
         batch = group_commit.next_batch(0.0)
         assert batch is not None and len(parts.safety.request_times) == number
@@ -436,7 +437,7 @@
         while gateway.next_effect(float(number)) is not None:
             pass
     assert len(parts.safety.request_times) == 1
-    gateway.submit(3.0, 1000.0, "one", action, b"{}")
+    gateway.submit(3.0, 1000.0, Submission("one", action, b"{}"))
     assert len(parts.safety.request_times) == 2, "a blocking call gets an answer in any case"
 
 
