--- a/kelptrail/emulator/worker_slow_start.py
+++ b/kelptrail/emulator/worker_slow_start.py
@@ -1,7 +1,8 @@
 """Slow start of the emulated worker: what share of its capacity it has at its age, and when too much work overloads it.
 
-The rules are those of the dispatchers' settings: capacity rises linearly from `cold_share` to 1 within `cold_ms` of the
-start, and a worker that meanwhile gets more than a multiple of its capacity within `overload_window_ms` fails for good.
+The rules are those of the dispatchers' settings: capacity rises linearly from `slow_start_share` to 1 within
+`slow_start_ms` of the start, and a worker that meanwhile gets more than a multiple of its capacity within
+`overload_window_ms` fails for good.
 """
 
 from __future__ import annotations
--- a/kelptrail/gateway/state.py
+++ b/kelptrail/gateway/state.py
@@ -16,7 +16,8 @@
 from .invocation import Invocation
 from .lifecycle import RequestStage
 from .limits import InFlightLimits
-from .overload import OverloadController, OverloadSettings
+from .overload import OverloadController
+from .overload_settings import OverloadSettings
 from .records import Records
 
 
--- a/kelptrail/simulation/dispatchers.py
+++ b/kelptrail/simulation/dispatchers.py
@@ -20,10 +20,10 @@
 from kelptrail.membership.members import EndpointList
 from kelptrail.settings.deployment import ActionSettings
 from kelptrail.store.activation_journal import ActivationEntries
-from kelptrail.store.entries import Accepted, Ended, MayRun
 from kelptrail.store.group_commit import GroupCommit
 
 from .event_queue import Timer
+from .journal_disk import JournalDisk
 from .planners import SimulatedEdge
 from .remote import RemoteWorker
 from .shard import MessageKind
@@ -43,7 +43,7 @@
 
     def __init__(self, cluster: SimulatedCluster, number: int, zone: str) -> None:
         self._cluster, self.number, self.name, self._zone = cluster, number, f"dispatcher-{number}", zone
-        self.up, self.starts, self._journal_entries = False, 0, dict[str, ActivationEntries]()
+        self.up, self.starts, self._disk = False, 0, JournalDisk()
         self._settings, self._event_queue = cluster.settings, cluster.event_queue
         self.sync_ms, self.disk_fails = cluster.settings.sync_ms, False
         self.endpoints: EndpointList | None = None
@@ -67,18 +67,18 @@
         self._open_attempts: dict[Attempt, None] = {}
         self._syncing = False
         self.up = True
-        if self.journal is not None and self._journal_entries:
-            self._recover()
+        if self.journal is not None and (stored := self._disk.stored()):
+            self._recover(stored)
         if self.endpoints is not None:
             self.gateway.on_endpoints(self._event_queue.now, self.endpoints)
         self.schedule_decisions()
 
-    def _recover(self) -> None:
+    def _recover(self, stored: list[ActivationEntries]) -> None:
         """Recover the activations of the journal."""
         now, deployment = self._event_queue.now, self._cluster.deployment
         margin_ms = ANSWER_MARGINS * deployment.dispatcher.answer_margin_ms
-        entries, max_resumed = self._journal_entries.values(), deployment.journal.max_resumed
-        self.gateway.recover(now, WALL_CLOCK_ORIGIN_MS + now, entries, margin_ms, max_resumed)
+        max_resumed = deployment.journal.max_resumed
+        self.gateway.recover(now, WALL_CLOCK_ORIGIN_MS + now, stored, margin_ms, max_resumed)
 
     def kill(self) -> None:
         """End the process; its journal remains."""
@@ -86,7 +86,7 @@
 
     def lose_disk(self) -> None:
         """Erase the journal."""
-        self._journal_entries = {}
+        self._disk.erase()
 
     def pause(self, duration_ms: float) -> None:
         """Stop the process for a time; inputs queue meanwhile."""
@@ -177,7 +177,7 @@
     def _start_attempt(self, invocation: Invocation, attempt: Attempt) -> None:
         worker, network_ms = self._cluster.workers[attempt.instance.worker.id], self._settings.network_ms
         self._open_attempts[attempt] = None
-        self._cluster.second().sends += 1
+        self._cluster.second().attempts += 1
         finish = partial(self._on_attempt_answered, self.starts, attempt)
         if not isinstance(worker, RemoteWorker):
             self._event_queue.after(network_ms, self._arrive_at_worker, worker, invocation, attempt, finish)
@@ -229,7 +229,7 @@
     def _start_load(self, order: LoadOrder) -> None:
         worker, function_id = self._cluster.workers[order.instance.worker.id], order.instance.function.id
         if order.count:
-            self._cluster.second().orders += 1
+            self._cluster.second().load_orders += 1
         finish = partial(self._on_load_answered, self.starts, order)
         self._open_orders[order] = self._event_queue.after(
             self._cluster.deployment.pool.load_timeout_ms, finish, AttemptStatus.SILENT, 0
@@ -272,20 +272,6 @@
         if self.disk_fails:
             self.journal.on_batch_failed(self._event_queue.now, batch.number, "the disk fails")
         else:
-            for entry in batch.entries:
-                self._store_entry(entry)
+            self._disk.write(batch.entries)
             self.journal.on_batch_durable(batch.number)
         self.schedule_decisions()
-
-    def _store_entry(self, entry: Any) -> None:
-        """Add an entry to what the disk holds; the first of each kind counts."""
-        if isinstance(entry, Accepted):
-            self._journal_entries.setdefault(entry.id, ActivationEntries(entry))
-            return
-        entries = self._journal_entries.get(entry.id)
-        if entries is None:
-            return
-        if isinstance(entry, MayRun):
-            entries.may_run = entries.may_run or entry
-        elif isinstance(entry, Ended):
-            entries.ended = entries.ended or entry
