--- a/Makefile
+++ b/Makefile
@@ -1,9 +1,10 @@
 # Two commands do all set-up on a fresh machine: `make run` and `make test`.
 PY ?= python3
 BIN := .venv/bin
-# Processes of the tests.  Those marked `rigs` run a bench's command each and judge what it counts: two at a time.
-# Those marked `processes` start whole places and measure time: they run alone, last.
+# Test processes at a time.  Tests marked `scenarios` run processes of their own and judge what they count; those marked
+# `timed` measure time: they run alone, last.
 JOBS ?= 6
+SCENARIO_JOBS ?= 3
 
 .PHONY: run demo test lint lock proto
 run: demo
@@ -26,9 +27,9 @@
 	MYPYPATH=bench $(BIN)/mypy bench
 
 test: lint
-	$(BIN)/python -m pytest -q -n $(JOBS) -m "not processes and not rigs" $(ARGS)
-	$(BIN)/python -m pytest -q -n 2 -m rigs $(ARGS) || [ $$? -eq 5 ]
-	$(BIN)/python -m pytest -q -m processes $(ARGS) || [ $$? -eq 5 ]
+	$(BIN)/python -m pytest -q -n $(JOBS) -m "not timed and not scenarios" $(ARGS)
+	$(BIN)/python -m pytest -q -n $(SCENARIO_JOBS) -m scenarios $(ARGS) || [ $$? -eq 5 ]
+	$(BIN)/python -m pytest -q -m timed $(ARGS) || [ $$? -eq 5 ]
 
 # The code of the gRPC messages; a test tells when it is older than its .proto.
 proto: .venv/.locked
--- a/bench/pinned_processes.py
+++ b/bench/pinned_processes.py
@@ -81,7 +81,7 @@
 
 def stop_all() -> None:
     """End all processes that are still running."""
-    for process in list(_running):
+    for process in _running:
         process.stop()
 
 
--- a/kelptrail/background/core.py
+++ b/kelptrail/background/core.py
@@ -29,7 +29,8 @@
 @dataclass(frozen=True, slots=True)
 class SchedulerSettings:
     """`share`: of real time that background work may use; `busy_share`: of that, while requests are in flight;
-    `max_budget_ms`: the most unused CPU time that is saved up."""
+    `max_budget_ms`: the most unused CPU time that is saved up.
+    """
 
     share: float = 0.1
     busy_share: float = 0.5
@@ -72,7 +73,8 @@
     def add(self, now: float, job: Job, after_ms: float | None = None) -> Job:
         """Add a job; a periodic one is due after its interval, or after `after_ms`.
 
-        Raises `DuplicateJobError` for a name that is in use."""
+        Raises `DuplicateJobError` for a name that is in use.
+        """
         if job.name in self.jobs:
             raise DuplicateJobError(f"there is a job {job.name} already")
         self.jobs[job.name] = job
--- a/kelptrail/background/driver.py
+++ b/kelptrail/background/driver.py
@@ -65,7 +65,7 @@
             began, more, failed = time.thread_time(), False, False
             try:
                 more = job.step()
-            except Exception as cause:  # an error in one job must not end the others
+            except Exception as cause:  # noqa: BLE001 - an error in one job must not end the others
                 failed = True
                 self._log.error("background-failed", job=job.name, reason=f"{type(cause).__name__}: {cause}")
             self.scheduler.on_step_done(self._now(), job, (time.thread_time() - began) * 1000, more, failed)
--- a/kelptrail/certificates/authority.py
+++ b/kelptrail/certificates/authority.py
@@ -149,7 +149,8 @@
     ) -> IssuedCertificate:
         """Issue a certificate for a name, with `others` (DNS names, URIs, addresses) as alternative names.
 
-        Raises `AuthorityError` where the name has a certificate already, unless `again`."""
+        Raises `AuthorityError` where the name has a certificate already, unless `again`.
+        """
         _check_name(name)
         file = self._folder / f"{name}.pem"
         if file.exists() and not again:
--- a/kelptrail/cli/operations.py
+++ b/kelptrail/cli/operations.py
@@ -129,7 +129,8 @@
 @json_option
 def copies(control: str, as_json: bool) -> None:
     """Activation journals that the dispatcher at CONTROL owns or replicates, how far replicas are behind, at risk since
-    when."""
+    when.
+    """
     status = _fetch_status(control, "/copies")
     if as_json:
         print_json(status)
--- a/kelptrail/cli/scenarios.py
+++ b/kelptrail/cli/scenarios.py
@@ -53,7 +53,8 @@
 @output_folder_option
 def campaign(settings: Path, seeds: int, first: int, at_once: int, out: Path) -> None:
     """Run randomly drawn fault scenarios between real processes: of replication where the settings have it, else of
-    leases.  Exit 6 where any of them broke a rule."""
+    leases.  Exit 6 where any of them broke a rule.
+    """
     from kelptrail.fault_scenario.campaign import run_campaign, summarize
 
     peers = read_deployment(str(settings)).peers
--- a/kelptrail/cli/serving.py
+++ b/kelptrail/cli/serving.py
@@ -83,7 +83,8 @@
 @dispatcher_options
 def serve(context: click.Context, file: str, **values: Any) -> None:
     """Run one dispatcher until SIGTERM, then drain; with a planner of its own where the settings say so.  Exit 1 where
-    an accepted call had no answer in time."""
+    an accepted call had no answer in time.
+    """
     _run_dispatcher(context, file, (), values)
 
 
--- a/kelptrail/codec/frames.py
+++ b/kelptrail/codec/frames.py
@@ -44,7 +44,8 @@
     def next(self) -> tuple[int, int, bytes] | None:
         """Type, stream id and payload of the next complete frame, or None.  Raises `FrameError`.
 
-        A bare tuple: this runs once for each frame, and a named one costs several times as much to make."""
+        A bare tuple: this runs once for each frame, and a named one costs several times as much to make.
+        """
         buffer = self._buffer
         if len(buffer) < 4:
             return None
--- a/kelptrail/codec/grpc.py
+++ b/kelptrail/codec/grpc.py
@@ -90,7 +90,8 @@
 
 class MessageReader:
     """Parses the payload of DATA frames into messages.  A message over `max_message_bytes` is rejected on its prefix,
-    before its bytes are buffered."""
+    before its bytes are buffered.
+    """
 
     def __init__(self, max_message_bytes: int) -> None:
         self._max_message_bytes, self._buffer = max_message_bytes, bytearray()
@@ -128,7 +129,8 @@
     code: Code, text: str = "", retry_ms: float | None = None, reason: str = "", details: dict[str, str] | None = None
 ) -> list[tuple[bytes, bytes]]:
     """The trailers that end a call.  The text is percent-encoded UTF-8; the rest is sent as a `google.rpc.Status` in
-    `grpc-status-details-bin`."""
+    `grpc-status-details-bin`.
+    """
     out = [(b"grpc-status", str(int(code)).encode())]
     if text:
         out.append((b"grpc-message", quote(text[:1000], safe=" !\"#$&'()*+,-./:;<=>?@[\\]^_`{|}~").encode()))
--- a/kelptrail/codec/infer.py
+++ b/kelptrail/codec/infer.py
@@ -42,7 +42,8 @@
 
 class LoadRequest(msgspec.Struct):
     """The body of `POST /v2/repository/models/{model}/load`; the parameter `copies`
-    is the number of instances to keep loaded."""
+    is the number of instances to keep loaded.
+    """
 
     parameters: dict[str, str | int | float | bool] = {}
 
@@ -258,7 +259,8 @@
 
 def load_report(text: str | None) -> dict[str, float] | None:
     """An ORCA header in TEXT form as values by metric, or None.  `cpu_utilization` becomes `util`; malformed fields are
-    skipped."""
+    skipped.
+    """
     if not text or not text.startswith("TEXT "):
         return None
     metrics: dict[str, float] = {}
--- a/kelptrail/codec/lines.py
+++ b/kelptrail/codec/lines.py
@@ -128,7 +128,8 @@
 
 def encode_call(id_: str, class_: str, item: str, limit_ms: int, nonce: str, body: bytes) -> bytes:
     """The command that runs a request: `class_` and `item` name what runs, `limit_ms` is its time left,
-    `nonce` its idempotency key (empty: none)."""
+    `nonce` its idempotency key (empty: none).
+    """
     key = f",nonce={nonce}" if nonce else ""
     return f"CALL {id_} cls={class_},item={item},limit={limit_ms}{key} {len(body)}\r\n".encode() + body + b"\r\n"
 
--- a/kelptrail/codec/tensors.py
+++ b/kelptrail/codec/tensors.py
@@ -126,7 +126,8 @@
 
 def to_json(tensor: Any, raw: bytes | None) -> JsonTensor:
     """A protobuf tensor in the JSON form; `raw` is its entry in the message's raw contents, if any.  Raises
-    `TensorError`."""
+    `TensorError`.
+    """
     name, datatype, shape = tensor.name, tensor.datatype, list(tensor.shape)
     count = elements(name, datatype, shape)
     _, field, _ = KINDS[datatype]
@@ -189,7 +190,8 @@
 
 def fill(out: Any, tensor: JsonTensor, raw: bool) -> bytes | None:
     """Write a worker's tensor into a protobuf one.  Returns its raw contents where `raw` is true or its datatype has no
-    typed contents.  Raises `TensorError`."""
+    typed contents.  Raises `TensorError`.
+    """
     values = values_of(tensor)
     out.name, out.datatype = tensor.name, tensor.datatype
     out.shape.extend(tensor.shape)
--- a/kelptrail/dispatch/attempt_results.py
+++ b/kelptrail/dispatch/attempt_results.py
@@ -49,7 +49,8 @@
 
     def on_attempt_finished(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
         """Update the worker, the instance and the function, then requeue the request or cancel what is
-        left."""
+        left.
+        """
         status, request, instance = result.status, attempt.request, attempt.instance
         worker, function = instance.worker, instance.function
         attempt.status = status
@@ -84,7 +85,8 @@
     def _observe_health(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
         """Count the response as a success or a failure of the worker.  A lost connection may be the network's
         fault and leaves the instance loaded; errors of a function that never ran count against the function:
-        guards against calls of functions that do not work anywhere."""
+        guards against calls of functions that do not work anywhere.
+        """
         status, function, worker = result.status, attempt.instance.function, attempt.instance.worker
         connection_lost = status in _LOST
         function.has_loaded = function.has_loaded or status is AttemptStatus.COMPLETED
@@ -100,7 +102,8 @@
 
     def _on_completed(self, now: float, attempt: Attempt, warm: bool | None) -> float:
         """Update latencies and the concurrency limit; returns the latency, of a stream until its first
-        part."""
+        part.
+        """
         request, instance = attempt.request, attempt.instance
         worker = instance.worker
         self._safety.completed(now, worker)
@@ -121,7 +124,8 @@
 
     def _on_refused(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
         """The worker did not run the attempt.  Without other attempts of the function there, none of its
-        instances is loaded and none fits."""
+        instances is loaded and none fits.
+        """
         instance, worker = attempt.instance, attempt.instance.worker
         worker.concurrency_limit = max(
             MIN_CONCURRENCY_LIMIT,
@@ -137,7 +141,8 @@
         self, now: float, attempt: Attempt, latency_ms: float, foreign_in_flight: int
     ) -> None:
         """Learn from a completed or refused attempt how busy the worker is with other dispatchers'
-        attempts."""
+        attempts.
+        """
         instance, worker = attempt.instance, attempt.instance.worker
         refused = attempt.status is AttemptStatus.OUT_OF_CAPACITY
         if worker.mean_in_flight < MAX_IDLE_IN_FLIGHT:
--- a/kelptrail/dispatch/dispatcher.py
+++ b/kelptrail/dispatch/dispatcher.py
@@ -61,7 +61,8 @@
 
     def on_request(self, now: float, request: Request, count: bool = True) -> None:
         """A request arrived.  `count` is False for one that an earlier process counted, or that the caller
-        counts with `count_request` once it is durable."""
+        counts with `count_request` once it is durable.
+        """
         if count:
             self.count_request(now, request)
         function, known = request.function, self._state.known_functions
@@ -87,7 +88,8 @@
 
     def on_response_started(self, now: float, attempt: Attempt, deadline: float) -> None:
         """The first part of a streamed response arrived: only this attempt can complete the request, whatever
-        its idempotency, until `deadline`."""
+        its idempotency, until `deadline`.
+        """
         request = attempt.request
         if request.final_status or request.streaming_attempt or attempt.status:
             return
@@ -125,12 +127,14 @@
 
     def on_plan(self, plan: Plan) -> None:
         """A plan of the instances wanted ahead of demand replaces the previous one; an empty one cancels
-        it."""
+        it.
+        """
         self._planned.replace_plan(plan)
 
     def on_tick(self, now: float) -> Function | None:
         """The periodic work, every `tick_ms`; returns a function that the caller must forget, if there is
-        one."""
+        one.
+        """
         self._planned.start_loads(now)
         self._second_attempts.check_workers(now)
         self._second_attempts.retry_deferred(now)
--- a/kelptrail/dispatch/instance_table.py
+++ b/kelptrail/dispatch/instance_table.py
@@ -22,7 +22,8 @@
     ) -> None:
         """`keep_alive_ms`: a worker keeps an idle instance for so long; `idle_limit_ms`: an instance unused
         for so long is not renewed; `loads_on_demand`: a worker without the function loads it for an
-        attempt."""
+        attempt.
+        """
         self._timers = timers
         self._keep_alive_ms, self._idle_limit_ms = keep_alive_ms, idle_limit_ms
         self._loads_on_demand = loads_on_demand
--- a/kelptrail/dispatch/load_results.py
+++ b/kelptrail/dispatch/load_results.py
@@ -12,7 +12,8 @@
 
 class LoadResults:
     """Learns from load orders which instances are loaded, and ends requests of functions that cannot be
-    loaded."""
+    loaded.
+    """
 
     def __init__(self, parts: Components, state: DispatchState, lifecycle: RequestLifecycle) -> None:
         self._safety, self._outliers = parts.safety, parts.outliers
@@ -21,7 +22,8 @@
 
     def on_load_report(self, now: float, order: LoadOrder, status: AttemptStatus, loaded_count: int) -> None:
         """A load order ended, with `loaded_count` instances now loaded there.  A worker out of capacity gets
-        no other order for a load time: guards against a burst of orders at workers without capacity."""
+        no other order for a load time: guards against a burst of orders at workers without capacity.
+        """
         instance, order.instance.load_order = order.instance, None
         instance.worker.pending_loads -= 1
         if status is AttemptStatus.OUT_OF_CAPACITY:
@@ -53,7 +55,8 @@
 
     def on_load_failed(self, now: float, function: Function) -> None:
         """A function that was never loaded failed to load: its requests earn no load orders, and after a
-        second failure they are ended at once.  Guards against calls of functions that do not exist."""
+        second failure they are ended at once.  Guards against calls of functions that do not exist.
+        """
         function.failed_loads += 1
         for request in [*function.arrivals, *function.queue, *function.late_queue]:
             self._safety.uncount_request(request)
--- a/kelptrail/dispatch/outlier_detection.py
+++ b/kelptrail/dispatch/outlier_detection.py
@@ -20,7 +20,8 @@
 
     def __init__(self, ejection_ms: float = 500.0, max_ejection_ms: float = 8000.0) -> None:
         """The first ejection lasts `ejection_ms`; each one that follows at once doubles, up to the
-        maximum."""
+        maximum.
+        """
         self._ejection_ms, self._max_ejection_ms = ejection_ms, max_ejection_ms
 
     def usable(
@@ -31,7 +32,8 @@
         idempotency: Idempotency | None = None,
     ) -> bool:
         """Whether the worker may get an attempt.  After an ejection it is probed with one attempt at a time,
-        never with an at-most-once request."""
+        never with an at-most-once request.
+        """
         for state in (worker.outlier_state, worker.outlier_state_by_class[request_class]):
             if now < state.ejected_until or (
                 state.ejection_ms
@@ -53,7 +55,8 @@
     ) -> bool:
         """Record a response; True if it ejects, as a worker that fails fast must not look least loaded.
         Guards against workers that fail one request class and serve the rest: the whole worker is ejected
-        only if a second class fails."""
+        only if a second class fails.
+        """
         gap, worker.silent_since = now - worker.silent_since, now
         worker.response_gap_deviation += (
             GAP_WEIGHT * (abs(gap - worker.mean_response_gap) - worker.response_gap_deviation)
@@ -79,7 +82,8 @@
     def record(self, now: float, state: OutlierState, failed: bool, connection_lost: bool = False) -> bool:
         """Record one success or failure; True if it ejects.  Guards against links that lose connections,
         where the worker answers on others: a lost connection ejects above one half (four in a row), any other
-        failure as the second of two."""
+        failure as the second of two.
+        """
         state.failure_rate += FAILURE_WEIGHT * (failed - state.failure_rate)
         if not failed and state.failure_rate < EJECTION_FAILURE_RATE:
             state.ejection_ms = 0.0
@@ -96,7 +100,8 @@
 
     def overdue_attempts(self, now: float, worker: Worker) -> list[Attempt]:
         """Mark and return the attempts that are overdue: all of the worker's if its silence is unusual for
-        its response gaps, else only those that are far too late, as single responses get lost."""
+        its response gaps, else only those that are far too late, as single responses get lost.
+        """
         usual_ms = {
             attempt: attempt.request.function.mean_latency_ms
             or attempt.request.request_class.latency_objective_ms
@@ -122,7 +127,8 @@
 
     def _unusually_silent(self, now: float, worker: Worker, late: int) -> bool:
         """Whether the silence of a worker with `late` late attempts is unusual.  Guards against the ejection
-        of a worker, with all instances loaded there, for one response that is late or lost."""
+        of a worker, with all instances loaded there, for one response that is late or lost.
+        """
         silence = now - max(worker.silent_since, worker.outlier_state.ejected_until)
         lost = sum(
             attempt.overdue and attempt.started_at >= worker.silent_since for attempt in worker.attempts
--- a/kelptrail/dispatch/placement.py
+++ b/kelptrail/dispatch/placement.py
@@ -65,7 +65,8 @@
     def observe_foreign_load(self, now: float, instance: Instance, foreign_in_flight: float) -> None:
         """Record how many attempts of other dispatchers a response reported.  Guards against dispatchers that
         cannot communicate and crowd one worker with a hot function: it spreads over more workers until it
-        finds free slots."""
+        finds free slots.
+        """
         function, worker = instance.function, instance.worker
         share = foreign_in_flight / min(
             worker.concurrency_limit, max(1, instance.loaded) * function.concurrency
@@ -150,6 +151,7 @@
 
 def _rank_workers(function: Function, workers: list[Worker]) -> None:
     """Rank the workers by a hash of function and worker, the same at all dispatchers, so that they share
-    instances without communicating (rendezvous hashing)."""
+    instances without communicating (rendezvous hashing).
+    """
     function.ranked_workers, base = workers, crc32(f"{function.id} ".encode())
     function.preferred_workers = sorted(workers, key=lambda w: (crc32(w.id.encode(), base), w.id))
--- a/kelptrail/dispatch/planned_placement.py
+++ b/kelptrail/dispatch/planned_placement.py
@@ -18,7 +18,8 @@
 
 class PlannedPlacement:
     """Follows the current plan.  It is a hint: instances for queued requests are loaded first and beyond it,
-    and each load order is subject to the safety rules."""
+    and each load order is subject to the safety rules.
+    """
 
     def __init__(self, parts: Components, state: DispatchState, lifecycle: RequestLifecycle) -> None:
         self._safety, self._outliers, self._instances = parts.safety, parts.outliers, parts.instances
@@ -46,7 +47,8 @@
 
     def planned_worker(self, now: float, function: Function) -> WorkerChoice | None:
         """A worker at which the plan lacks an instance.  Guards against dispatchers that each choose another
-        worker after a release and load the function everywhere."""
+        worker after a release and load the function everywhere.
+        """
         if function.planned:
             for instance in function.instances.values():
                 if (
@@ -60,7 +62,8 @@
 
     def _next_load(self, now: float) -> LoadOrder | None:
         """The next load ahead of demand; workers in slow start, ejected or out of capacity are passed
-        over."""
+        over.
+        """
         for _ in range(min(INSTANCES_EXAMINED, len(self._unexamined))):
             instance, worker = self._unexamined[0], self._unexamined[0].worker
             self._unexamined.rotate(-1)
--- a/kelptrail/dispatch/queue_service.py
+++ b/kelptrail/dispatch/queue_service.py
@@ -72,7 +72,8 @@
 
     def _supply(self, now: float, function: Function) -> Supply:
         """Count what may be used from here: ejected and suspect workers, and those without budget, do not
-        count."""
+        count.
+        """
         slots = loading_slots = instances = workers = 0
         concurrency, request_class = function.concurrency, function.request_class
         for instance in function.instances.values():
@@ -140,7 +141,8 @@
 
     def _add_instance(self, now: float, function: Function, count: int) -> Decision | None:
         """Load another instance, or find out with an attempt whether one is loaded already; `count` there
-        are."""
+        are.
+        """
         choice = self._planned.planned_worker(now, function) or self._placement.choose_worker(
             now, function, self._state.workers
         )
@@ -182,7 +184,8 @@
     def _trial_attempt(self, now: float, instance: Instance) -> Attempt | None:
         """Send the first queued request to an instance that another dispatcher has probably loaded; if it is
         not loaded, a load order follows.  Guards against spending a small ration on instances that are
-        loaded, with none left for those that are not."""
+        loaded, with none left for those that are not.
+        """
         function = instance.function
         self._instances.set_loaded(now, instance, 1)
         request = (function.queue or function.late_queue)[0]
--- a/kelptrail/dispatch/queues.py
+++ b/kelptrail/dispatch/queues.py
@@ -31,7 +31,8 @@
 
     def observe_worker_delay(self, function: Function, delayed: bool) -> None:
         """Record whether an attempt was late or refused for capacity: queueing at the workers counts like
-        queueing here.  Delays of one function in a row count once."""
+        queueing here.  Delays of one function in a row count once.
+        """
         if not delayed:
             self._admitted_share = min(1.0, self._admitted_share + ADMIT_MORE_STEP)
         elif function is not self._last_delayed:
@@ -40,7 +41,8 @@
 
     def should_shed(self, quota_factor: float, request: Request) -> bool:
         """Whether to shed the request.  Guards against overload that shows in no dispatcher's own queues:
-        requests of the lowest priority are shed first."""
+        requests of the lowest priority are shed first.
+        """
         self._draws += self._admitted_share < 1
         weight = request.request_class.priority_weight
         admitted = self._admitted_share ** (self._max_weight / weight / quota_factor)
@@ -49,7 +51,8 @@
 
     def over_quota(self, now: float, request: Request) -> bool:
         """Whether the tenant exceeds its share of the requests.  Guards against one tenant's surge that
-        crowds out the others."""
+        crowds out the others.
+        """
         if request.tenant is None:
             return False
         total = sum(len(drop_until(tenant.request_times, now - QUOTA_WINDOW_MS)) for tenant in self._tenants)
@@ -58,12 +61,14 @@
 
     def latest_start(self, request: Request) -> float:
         """When the last useful attempt starts.  Guards against executions whose result no client waits for:
-        short deadlines, and requests that spent most of theirs in a queue."""
+        short deadlines, and requests that spent most of theirs in a queue.
+        """
         return request.deadline - max(MIN_RUN_MS, LATENCY_SHARE * request.function.mean_latency_ms)
 
     def over_limit(self, now: float, request: Request, slots: int) -> bool:
         """Whether the queue is over its limit, here or at the workers; beyond the tenant's quota, over half
-        of it."""
+        of it.
+        """
         function = request.function
         quota_factor = OVER_QUOTA_SHARE if self.over_quota(now, request) else 1.0
         limit = quota_factor * QUEUED_PER_SLOT * max(slots, function.concurrency)
@@ -72,7 +77,8 @@
     def instance_limit(self, now: float, function: Function, has_capacity: bool) -> int:
         """The most instances of the function.  A queue that lasts longer than a load raises it by the
         instances that the queue would fill, at most twofold.  Guards against a cold start in which instances
-        added one by one took some twenty load times."""
+        added one by one took some twenty load times.
+        """
         function.instance_limit = function.instance_limit or INITIAL_INSTANCE_LIMIT
         function.queued_since = now if function.queued_since is None else function.queued_since
         if has_capacity and now - function.queued_since > function.load_ms:
--- a/kelptrail/dispatch/request_lifecycle.py
+++ b/kelptrail/dispatch/request_lifecycle.py
@@ -56,7 +56,8 @@
 
     def check_deadline(self, now: float, request: Request) -> Request | None:
         """End the request if its time is over, else set a timer for the next check.  Guards against requests
-        that can no longer start an attempt and wait behind others in the queue."""
+        that can no longer start an attempt and wait behind others in the queue.
+        """
         closes_at = now
         if request.queued:
             closes_at = min(self._queues.latest_start(request), self._safety.retry_closes_at(request))
--- a/kelptrail/dispatch/retries.py
+++ b/kelptrail/dispatch/retries.py
@@ -19,12 +19,14 @@
 
     def __init__(self, share: float = 0.2, capacity: float = 60.0) -> None:
         """`share`: tokens earned by one completed attempt; `capacity`: the most tokens, available at the
-        start."""
+        start.
+        """
         self._share, self._capacity, self._tokens = share, capacity, capacity
 
     def observe_latency(self, function: Function, worker: Worker, latency_ms: float) -> None:
         """Update mean and deviation of the function's latency (in the manner of RFC 6298, section 2), and the
-        worker's latency relative to the mean."""
+        worker's latency relative to the mean.
+        """
         if mean := function.mean_latency_ms:
             function.latency_deviation_ms += DEVIATION_WEIGHT * (
                 abs(latency_ms - mean) - function.latency_deviation_ms
@@ -44,7 +46,8 @@
 
     def deposit(self) -> None:
         """Add what a completed attempt earns.  Guards against second attempts that feed an overload: the
-        budget follows what workers complete."""
+        budget follows what workers complete.
+        """
         self._tokens = min(self._capacity, self._tokens + self._share)
 
     def try_spend(self) -> bool:
--- a/kelptrail/dispatch/safety.py
+++ b/kelptrail/dispatch/safety.py
@@ -1,5 +1,6 @@
 """The five rules, enforced where every attempt, load order and final answer passes.  Times are
-milliseconds."""
+milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +29,8 @@
 @dataclass(frozen=True, slots=True)
 class LoadRation:
     """How many load orders one dispatcher may send.  The order of the fields is that of the platform's
-    settings."""
+    settings.
+    """
 
     loads_allowed: bool  # the platform accepts load orders at all
     free_loads: float  # load orders in a window without any request
@@ -70,7 +72,8 @@
 
     def retry_closes_at(self, request: Request) -> float:
         """From when another execution would have a second effect, provided it stays in the deduplication
-        scope."""
+        scope.
+        """
         if (
             request.request_class.idempotency is Idempotency.IDEMPOTENT
             or (first := next((attempt for attempt in request.attempts if attempt.may_have_run), None))
@@ -113,7 +116,8 @@
     ) -> LoadOrder | None:
         """A load order within the ration, or None; the share `reserve` of the ration is left for other loads.
         A count of 0 only asks and is not rationed.  Guards against orders that wait for a connection and
-        arrive together with those of the next window."""
+        arrive together with those of the next window.
+        """
         if not self._loads_allowed:
             return None
         if count and not self._take_from_ration(now, instance.worker, reserve):
@@ -133,7 +137,8 @@
     def may_start(self, now: float, item: Attempt | LoadOrder) -> bool:
         """Whether the first byte of a decided attempt or load order may still leave.  Guards against what
         changed while it waited for a connection: the client disconnected, a response, a draining worker, a
-        time limit."""
+        time limit.
+        """
         if not (item.instance.worker.live and now < item.latest_start):
             return False
         if isinstance(item, LoadOrder):
@@ -142,14 +147,16 @@
 
     def uncount_request(self, request: Request) -> None:
         """Remove the request from those that earn load orders.  Guards against calls that are no work:
-        cancelled before the first attempt, or of a function that cannot be loaded anywhere."""
+        cancelled before the first attempt, or of a function that cannot be loaded anywhere.
+        """
         with suppress(ValueError):
             self.request_times.remove(request.received_at)
 
     def finish(self, now: float, request: Request, retry_after_ms: float = 0.0) -> Request:
         """Set the final status: rejected if a retry of the client cannot have a second effect, else failed.
         Guards against clients that retry without the idempotency key, or after `retry_after_ms` when no
-        worker remembers the first attempt, and cause a second effect."""
+        worker remembers the first attempt, and cause a second effect.
+        """
         retry_is_safe = request.request_class.idempotency is not Idempotency.DEDUPLICATED or (
             request.has_idempotency_key and request.request_class.deduplication_scope == "all"
         )
--- a/kelptrail/dispatch/second_attempts.py
+++ b/kelptrail/dispatch/second_attempts.py
@@ -18,7 +18,8 @@
 
 class SecondAttempts:
     """Starts a second attempt where the first has probably failed or will be late, within the retry
-    budget."""
+    budget.
+    """
 
     def __init__(self, parts: Components, state: DispatchState, lifecycle: RequestLifecycle) -> None:
         self._safety, self._outliers, self._placement = parts.safety, parts.outliers, parts.placement
@@ -48,7 +49,8 @@
 
     def retry(self, now: float, attempts: Iterable[Attempt]) -> None:
         """Requeue the requests of attempts that are overdue or were lost with their worker, the last one
-        first, so that the first ends up at the head of its queue."""
+        first, so that the first ends up at the head of its queue.
+        """
         for attempt in reversed(list(attempts)):
             request = attempt.request
             if (
@@ -70,7 +72,8 @@
 
     def start_hedge(self, now: float, first: Attempt) -> Attempt | None:
         """A second attempt beside one that takes unusually long: only in a free slot, so that it delays no
-        one."""
+        one.
+        """
         request = first.request
         if (
             first.status
--- a/kelptrail/dispatch/slow_start.py
+++ b/kelptrail/dispatch/slow_start.py
@@ -66,7 +66,8 @@
 
     def has_budget(self, now: float, worker: Worker) -> bool:
         """Whether the worker may get another attempt: in slow start only a share of what warm workers of its
-        size get, so that all dispatchers together stay below the overload limit."""
+        size get, so that all dispatchers together stay below the overload limit.
+        """
         if (capacity := self.capacity_factor(now, worker)) >= 1:
             return True
         budget = (
@@ -86,6 +87,7 @@
 
     def completed(self, now: float, worker: Worker) -> None:
         """Count a completed attempt of a warm worker; in slow start the starts of attempts are counted
-        instead, as an overloaded worker completes far less than it gets."""
+        instead, as an overloaded worker completes far less than it gets.
+        """
         if self.capacity_factor(now, worker) >= 1:
             drop_until(worker.recent_times, now - self._overload_window_ms).append(now)
--- a/kelptrail/dispatch/timer_queue.py
+++ b/kelptrail/dispatch/timer_queue.py
@@ -1,5 +1,6 @@
 """All due times of a dispatcher, except its one periodic tick, in one ordered queue.  Times are
-milliseconds."""
+milliseconds.
+"""
 
 from __future__ import annotations
 
--- a/kelptrail/emulator/channel_proxy.py
+++ b/kelptrail/emulator/channel_proxy.py
@@ -40,7 +40,8 @@
 
 class ChannelProxy:
     """From each of `sources` to each of `targets`.  Settings at its control port: `at` (addresses),
-    `cut` (ordered pairs whose bytes are delayed), `slow` (ms and share of reads), `reset` (share of connections)."""
+    `cut` (ordered pairs whose bytes are delayed), `slow` (ms and share of reads), `reset` (share of connections).
+    """
 
     def __init__(self, sources: list[str], targets: list[str], capture: Capture, seed: int) -> None:
         self._capture, self._faults = capture, NetworkFaults(seed, RANDOM_SALT)
--- a/kelptrail/emulator/clients.py
+++ b/kelptrail/emulator/clients.py
@@ -37,7 +37,8 @@
         part: tuple[int, int] = (0, 1),
     ) -> None:
         """`front`: the addresses are shared, so which dispatcher answers is not known beforehand; `second`: addresses
-        of the inference API; `part`: number of this process of clients, and how many there are."""
+        of the inference API; `part`: number of this process of clients, and how many there are.
+        """
         self._part, self._id_prefix = part, f"{part[0]}-" if part[1] > 1 else ""
         self._deployment, self._dispatcher_count, self._shared_address = deployment, len(addresses), front
         seeds = [seed, RANDOM_STREAM, *part] if part[1] > 1 else [seed, RANDOM_STREAM]
--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -62,7 +62,8 @@
         tasks: tuple[str, ...] = (),
     ) -> None:
         """Start all processes, each after those it depends on.  With planners the dispatchers are edges of theirs;
-        where the settings have peers, their channels go through a proxy; all dispatchers acquire `tasks` as leases."""
+        where the settings have peers, their channels go through a proxy; all dispatchers acquire `tasks` as leases.
+        """
         self.store = await self.start_process("store", self._commands.model_store())
         self.endpoint_service = await self.start_process("roster", ["emulate", "endpoint-service"])
         vrrp = self.deployment.vrrp
--- a/kelptrail/engine/invariants.py
+++ b/kelptrail/engine/invariants.py
@@ -52,7 +52,8 @@
 
     def attempt_begins(self, now: float, attempt: Attempt, client_gone: float | None, limit_ms: float) -> None:
         """An attempt's first byte is about to leave, with the time limit `limit_ms` for the worker; its client
-        disconnected at `client_gone`."""
+        disconnected at `client_gone`.
+        """
         request, request_id = attempt.request, attempt.request.id
         if client_gone is not None and now > client_gone + CLIENT_GONE_SLACK_MS:
             self.violated(Violation.ATTEMPT_AFTER_CLIENT_LEFT, request_id, late_ms=round(now - client_gone))
--- a/kelptrail/engine/wall_clock.py
+++ b/kelptrail/engine/wall_clock.py
@@ -37,7 +37,8 @@
 
     def monotonic_ms(self, unix_ms: float, now_ms: float, unknown_at_ms: float = float("-inf")) -> float:
         """The monotonic time of a past event, `now_ms` at the latest.  At `unknown_at_ms` the event was not known yet:
-        a result long before that comes from another clock, and `unknown_at_ms` is returned instead."""
+        a result long before that comes from another clock, and `unknown_at_ms` is returned instead.
+        """
         candidates = [unix_ms - offset for offset in self._offsets]
         past = [candidate for candidate in candidates if candidate <= now_ms + STEP_MS]
         latest = min(now_ms, max(past, default=now_ms))
--- a/kelptrail/fault_scenario/dispatcher_faults.py
+++ b/kelptrail/fault_scenario/dispatcher_faults.py
@@ -97,7 +97,8 @@
         """Kill a dispatcher, with its disk where `lose_disk`; restart it after `down_s`, or never where that is None.
 
         One that another fault has killed is left to that fault: guards against two processes of one name, the first
-        of which is not supervised."""
+        of which is not supervised.
+        """
         if target in self._killed:
             return
         self._killed.add(target)
--- a/kelptrail/fault_scenario/report.py
+++ b/kelptrail/fault_scenario/report.py
@@ -137,7 +137,8 @@
 
 def lease_holders(events: list[Event], seconds: int) -> dict[str, Any]:
     """For each task which dispatcher held its lease from when to when, in seconds of the load, and the times without a
-    holder: from uses that the side-effect log accepted, by when their users had checked their leases."""
+    holder: from uses that the side-effect log accepted, by when their users had checked their leases.
+    """
     (begin,) = [e for e in events if e["what"] == "begin"]
     lease_uses: dict[str, list[Event]] = defaultdict(list)
     for event in sorted((e for e in events if e["what"] in ("act", "done") and e["taken"]), key=lambda e: e["looked"]):
--- a/kelptrail/fault_scenario/runner.py
+++ b/kelptrail/fault_scenario/runner.py
@@ -33,7 +33,8 @@
 
 class ScenarioRunner:
     """One run.  The seed determines arrivals, fault targets and the emulators' random draws.  Raises `ScenarioError`
-    for faults that the deployment cannot have."""
+    for faults that the deployment cannot have.
+    """
 
     def __init__(
         self,
@@ -129,7 +130,8 @@
 
     def _begin_load(self, delay_ms: float) -> None:
         """Fix the start of the load, and keep garbage collection rare: pauses of the clients' own process must not
-        look like late answers."""
+        look like late answers.
+        """
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
--- a/kelptrail/fault_scenario/scenario.py
+++ b/kelptrail/fault_scenario/scenario.py
@@ -129,7 +129,8 @@
 class Fault:
     """One fault: its kind, when it begins and how long it lasts (seconds), and which processes it hits.
 
-    `key` in a field's metadata: its name in `(set trouble.KEY VALUE)` of an experiment, where that differs."""
+    `key` in a field's metadata: its name in `(set trouble.KEY VALUE)` of an experiment, where that differs.
+    """
 
     kind: str
     at: float
--- a/kelptrail/front/invoke/client_wait.py
+++ b/kelptrail/front/invoke/client_wait.py
@@ -102,7 +102,8 @@
 
     def accept(self, record: Record, url: str = "") -> None:
         """Reply 202 with the activation id, unless there was a reply.  `url` is of the dispatcher that has the record;
-        empty: this one."""
+        empty: this one.
+        """
         self._cancel_timer()
         if self._exchange.replied:
             return
--- a/kelptrail/history_checker/checker.py
+++ b/kelptrail/history_checker/checker.py
@@ -23,7 +23,8 @@
 
 def read_captures(folder: Path) -> list[Event]:
     """All captures of a folder in order of time.  A torn last line of a killed process is skipped.  Raises
-    `CaptureError` with the first other line that cannot be read."""
+    `CaptureError` with the first other line that cannot be read.
+    """
     events: list[Event] = []
     for file in sorted(folder.glob("*.jsonl")):
         lines = file.read_text(encoding="utf-8").split("\n")
--- a/kelptrail/lease/acceptor.py
+++ b/kelptrail/lease/acceptor.py
@@ -205,7 +205,8 @@
 
     def _on_write_note(self, sender: str, note: WriteNote) -> None:
         """Store the holder's note.  One under an older token is ignored: the grant of the newer token has already
-        carried the note that was stored then."""
+        carried the note that was stored then.
+        """
         record, noted = self.records.get(note.task), note.note
         if record is None or not self._may_vote or note.config_number != self.config_number:
             return
--- a/kelptrail/lease/acceptor_recovery.py
+++ b/kelptrail/lease/acceptor_recovery.py
@@ -43,7 +43,8 @@
 
     def _stage_after_state_loss(self, now: float, stage: Stage) -> Stage | None:
         """Without durable state: vote once all leases granted here have expired and a majority of voting acceptors has
-        sent its state, or once it is certain that all of the set is new."""
+        sent its state, or once it is certain that all of the set is new.
+        """
         if not self._is_wait_over(now):
             return None
         others = [name for name in self.settings.acceptors if name != self.name]
--- a/kelptrail/lease/acceptor_store.py
+++ b/kelptrail/lease/acceptor_store.py
@@ -103,7 +103,8 @@
 def open_acceptor_store(file: Path, vfs: str | None = None) -> OpenedAcceptorStore:
     """Open a store and read it; a damaged file is renamed.
 
-    Raises `JournalError` where no file can be created, or the disk fails: then its content may still be intact."""
+    Raises `JournalError` where no file can be created, or the disk fails: then its content may still be intact.
+    """
     try:
         store = AcceptorStore(file, vfs)
         try:
--- a/kelptrail/lease/client.py
+++ b/kelptrail/lease/client.py
@@ -69,7 +69,8 @@
     def acquire(self, now: float, task: str, length_ms: float) -> None:
         """Acquire a task's lease, retrying until granted, and renew it until `release`.
 
-        Raises `LeaseLengthError` for a length that acceptors would refuse."""
+        Raises `LeaseLengthError` for a length that acceptors would refuse.
+        """
         if not 0 < length_ms <= self.settings.max_lease_ms:
             raise LeaseLengthError(f"a lease of {length_ms:g} ms, at most {self.settings.max_lease_ms:g}")
         if task not in self.requests:
@@ -88,7 +89,8 @@
     def write_note(self, task: str, text: bytes) -> int | None:
         """Replace the note of a held task; `NoteStored` follows once a majority has it.
 
-        Returns the note's sequence number, or None where the task is not held."""
+        Returns the note's sequence number, or None where the task is not held.
+        """
         request = self.requests.get(task)
         if request is None or not request.is_held:
             return None
@@ -259,7 +261,8 @@
 
     def _abandon_attempt(self, now: float, request: LeaseRequest) -> None:
         """The attempt has failed: release what was granted; retry when the task may be free, or, where no holder is
-        known, after an exponential backoff.  Jitter separates the clients."""
+        known, after an exponential backoff.  Jitter separates the clients.
+        """
         self._send_release(request, tuple(sorted(request.acceptors_asked)), "")
         is_reserved = now < request.reserved_until
         free_at = max(request.refusals.values(), default=now) if not is_reserved else now
--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -120,7 +120,8 @@
     ) -> None:
         """Acquire a task's lease and keep it until `release`; the callbacks report each change.
 
-        Raises `LeaseLengthError` for a length beyond what acceptors grant."""
+        Raises `LeaseLengthError` for a length beyond what acceptors grant.
+        """
         self._callbacks[task] = LeaseCallbacks(on_acquired, on_lost, on_note_stored)
         self.client.acquire(now_ms(), task, length_ms)
         self.run_pending()
--- a/kelptrail/lease/messages.py
+++ b/kelptrail/lease/messages.py
@@ -28,7 +28,8 @@
 
 class AcquireRequest(msgspec.Struct, frozen=True, tag="ask", array_like=True):
     """Acquire or renew the lease of `task` for `length_ms`.  `request_id` distinguishes renewals under one token;
-    `config_number` is the acceptor set that the client knows."""
+    `config_number` is the acceptor set that the client knows.
+    """
 
     task: str
     token: FencingToken
@@ -96,7 +97,8 @@
 
 class Refusal(msgspec.Struct, frozen=True, tag="refused", array_like=True):
     """The request is refused.  `highest_token`: of the task; `retry_after_ms`: earliest useful retry; `config_number`
-    and `acceptors`: the acceptor set in force here (no acceptors where this acceptor's own settings are outdated)."""
+    and `acceptors`: the acceptor set in force here (no acceptors where this acceptor's own settings are outdated).
+    """
 
     task: str
     token: FencingToken
@@ -110,7 +112,8 @@
 
 class Release(msgspec.Struct, frozen=True, tag="release", array_like=True):
     """The lease is released before it expires, or the attempt is abandoned.  `successor`: name of the client that
-    should get it next, or empty."""
+    should get it next, or empty.
+    """
 
     task: str
     token: FencingToken
@@ -125,7 +128,8 @@
 
 class LeaseRow(msgspec.Struct, frozen=True, array_like=True):
     """Durable state of one task at an acceptor: the highest granted token, the lease's length, whether it was released,
-    and the latest note."""
+    and the latest note.
+    """
 
     task: str
     token: FencingToken
@@ -143,7 +147,8 @@
 
 class StateReply(msgspec.Struct, frozen=True, tag="learnt", array_like=True):
     """An acceptor's state.  `stage`: a value of `acceptor.Stage`; `sealed_previous`: it remembers everything that it
-    granted in the previous acceptor set, and grants nothing in that set any more."""
+    granted in the previous acceptor set, and grants nothing in that set any more.
+    """
 
     config_number: int
     nonce: int
@@ -182,7 +187,8 @@
         """How long a holder may rely on a lease by its own clock, counted from before the request was sent.
 
         Acceptors count `length_ms` on clocks that may be as fast as the bound allows, while the holder's clock may be
-        as slow, so the holder's view of the lease ends before any acceptor's."""
+        as slow, so the holder's view of the lease ends before any acceptor's.
+        """
         return length_ms * (1 - self.clock_rate_bound) / (1 + self.clock_rate_bound)
 
     @property
--- a/kelptrail/lease/model_state.py
+++ b/kelptrail/lease/model_state.py
@@ -65,7 +65,8 @@
 @dataclass(frozen=True, slots=True)
 class ModelSetup:
     """Initial conditions: settings, clients, budget, classes of the cores (tests replace them by broken ones), clock
-    rates by name; `is_founded`: the acceptors have voted before; `checks_tokens`: the resource checks tokens."""
+    rates by name; `is_founded`: the acceptors have voted before; `checks_tokens`: the resource checks tokens.
+    """
 
     settings: LeaseSettings
     clients: tuple[str, ...]
--- a/kelptrail/lease/model_transitions.py
+++ b/kelptrail/lease/model_transitions.py
@@ -165,10 +165,8 @@
     def _collect_output(self) -> None:
         """Move the cores' output to the network, and check each acquisition against the earlier ones."""
         left = self.budget
-        if not (
-            left.restarts or left.disk_losses or left.sync_failures
-        ):  # the time of a sync makes no difference any more
-            self._sync_all()
+        if not (left.restarts or left.disk_losses or left.sync_failures):
+            self._sync_all()  # the time of a sync makes no difference any more
         cores: list[tuple[str, Acceptor | LeaseClient]] = [*self.acceptors.items(), *self.clients.items()]
         for name, core in cores:
             while core.outbox:
@@ -178,13 +176,7 @@
             while client.events:
                 event = client.events.popleft()
                 if isinstance(event, LeaseAcquired):
-                    if event.token <= self.highest_acquired:
-                        self.violation = f"{name} acquired it under {event.token} after {self.highest_acquired}"
-                    if event.inherited_note < self.stored_note:
-                        self.violation = (
-                            f"{name} acquired it under {event.token} and did not inherit the note {self.stored_note}"
-                        )
-                    self.highest_acquired = max(self.highest_acquired, event.token)
+                    self._check_acquisition(name, event)
                     if self.setup.with_notes:
                         client.write_note(TASK, b"")
                 elif isinstance(event, NoteStored):
@@ -193,6 +185,13 @@
                 to, message = client.outbox.popleft()
                 self.in_flight += (InFlight(name, to, message),)
 
+    def _check_acquisition(self, name: str, event: LeaseAcquired) -> None:
+        if event.token <= self.highest_acquired:
+            self.violation = f"{name} acquired it under {event.token} after {self.highest_acquired}"
+        if event.inherited_note < self.stored_note:
+            self.violation = f"{name} acquired it under {event.token} and did not inherit the note {self.stored_note}"
+        self.highest_acquired = max(self.highest_acquired, event.token)
+
     def _deliver_everything(self) -> None:
         """Deliver all messages and sync all writes, until there are none."""
         while self.in_flight or any(acceptor.pending_writes for acceptor in self.acceptors.values()):
--- a/kelptrail/load/client_behavior.py
+++ b/kelptrail/load/client_behavior.py
@@ -38,7 +38,8 @@
 
 def behavior_of(draw: float, full_share: float, half_share: float) -> ClientBehavior:
     """A client's behaviour by a draw from 0 to 1: `full_share` of clients honour a retry-after time, `half_share` wait
-    half of it, and the rest retries at once."""
+    half of it, and the rest retries at once.
+    """
     if draw < full_share:
         return ClientBehavior(1.0)
     return ClientBehavior(0.5 if draw < full_share + half_share else 0.0)
--- a/kelptrail/load/plan.py
+++ b/kelptrail/load/plan.py
@@ -16,7 +16,8 @@
 class Load:
     """Calls at a rate, from a time on, for a time.  Shapes of arrivals are those of `kelptrail/load/arrivals.py`.
 
-    `key` in a field's metadata: its name in `(set load.KEY VALUE)` of an experiment, where that differs."""
+    `key` in a field's metadata: its name in `(set load.KEY VALUE)` of an experiment, where that differs.
+    """
 
     rate: float  # calls a second
     at: float
--- a/kelptrail/load/results.py
+++ b/kelptrail/load/results.py
@@ -105,7 +105,8 @@
 
 def recovery(length: float, last_fault_ends: float, result: Result) -> float:
     """Seconds from the end of the last fault, or from the start where there is none, until in three seconds in a row
-    95% of the new calls are completed in time; the rest of the run where that never happens."""
+    95% of the new calls are completed in time; the rest of the run where that never happens.
+    """
     recovered_seconds = 0
     for number in range(int(last_fault_ends), min(int(length), len(result.seconds))):
         second = result.seconds[number]
--- a/kelptrail/model_checking/explorer.py
+++ b/kelptrail/model_checking/explorer.py
@@ -53,7 +53,8 @@
 def explore(first: S, check: Callable[[S], None], depth: int, most_states: int) -> SearchResult:
     """Search breadth first to `depth` steps or `most_states` states.
 
-    `check` raises `PropertyError` for a bad state; this raises it again with the steps that lead there."""
+    `check` raises `PropertyError` for a bad state; this raises it again with the steps that lead there.
+    """
     result, seen = SearchResult(), {first.key()}
     queue: deque[tuple[int, S]] = deque([(0, first)])
     while queue:
@@ -78,7 +79,8 @@
 def random_walk(first: S, check: Callable[[S], None], seed: int, length: int, faults: float = 0.1) -> SearchResult:
     """Walk `length` random steps, a fault with probability `faults`; reaches depths beyond exhaustive search.
 
-    Raises `PropertyError` with the steps of the walk."""
+    Raises `PropertyError` with the steps of the walk.
+    """
     chance, result, state = random.Random(seed), SearchResult(), first
     for _ in range(length):
         _check(check, state)
--- a/kelptrail/net/connection.py
+++ b/kelptrail/net/connection.py
@@ -50,7 +50,8 @@
     def consume(self, count: int) -> int:
         """Account for `count` bytes that the socket took of what this and later writes rendered last.
 
-        Returns how many of them belong to later writes."""
+        Returns how many of them belong to later writes.
+        """
         unsent = len(self._data) - self._sent_bytes
         own = min(count, unsent)
         self._sent_bytes += own
@@ -126,7 +127,8 @@
 
     def write_deferred(self, make: Callable[[], bytes], size: int) -> PendingWrite:
         """Send the bytes, some `size` of them, that `make` returns when they are sent; it may return none.  It may be
-        called several times, and must not use the connection."""
+        called several times, and must not use the connection.
+        """
         return self._queue(PendingWrite(size, make=make))
 
     def _queue(self, write: PendingWrite) -> PendingWrite:
@@ -156,7 +158,8 @@
 
     def close_gracefully(self, within_ms: float) -> None:
         """Send all pending writes, shut down the sending side, then read and discard until the peer closes; close at
-        the latest after `within_ms`.  Guards against a reset that destroys what the peer has yet to read."""
+        the latest after `within_ms`.  Guards against a reset that destroys what the peer has yet to read.
+        """
         if self.closed or self._closing:
             return
         self._closing = True
@@ -207,7 +210,7 @@
             return
         except OSError:
             pass
-        except Exception as cause:  # a fault in a message's handler ends only its own connection
+        except Exception as cause:  # noqa: BLE001 - a fault in a message's handler ends only its own connection
             self._loop.call_exception_handler({"message": "a connection's reader failed", "exception": cause})
         self._on_lost()
 
@@ -302,7 +305,8 @@
     Raises `OSError`, and its subclass `TimeoutError` after `within_ms`.
 
     Does not use the loop's own `sock_connect`: that resolves each address in a thread pool, whose threads receive the
-    process's signals after the loop has removed its handlers, and costs CPU for each connection."""
+    process's signals after the loop has removed its handlers, and costs CPU for each connection.
+    """
     deadline, pause_ms = loop.time() + within_ms / 1000, CONNECT_RETRY_MS
     while True:
         try:
--- a/kelptrail/net/grpc_client.py
+++ b/kelptrail/net/grpc_client.py
@@ -37,7 +37,8 @@
 @dataclass(frozen=True, slots=True)
 class CallResult:
     """How a call ended; `code` is None without a status, `written` says whether the server may have read anything,
-    `refused` that the server declared it unprocessed (REFUSED_STREAM, RFC 9113 section 8.7)."""
+    `refused` that the server declared it unprocessed (REFUSED_STREAM, RFC 9113 section 8.7).
+    """
 
     code: Code | None
     text: str = ""
@@ -104,7 +105,8 @@
     ) -> GrpcCall:
         """Start a call of one request message; `on_end` is called later, never from within.
 
-        The server gets `timeout_ms` as its deadline; the client waits `grace_ms` longer."""
+        The server gets `timeout_ms` as its deadline; the client waits `grace_ms` longer.
+        """
         call = GrpcCall(message, on_message, on_end, self._max_message_bytes)
         call.timer = self._loop.call_later((timeout_ms + grace_ms) / 1000, self._on_timeout, call)
         headers = [
--- a/kelptrail/net/grpc_connection.py
+++ b/kelptrail/net/grpc_connection.py
@@ -94,37 +94,50 @@
             self._wake_writer()
 
     def _on_event(self, event: Event) -> None:
-        if isinstance(event, RequestReceived):
-            self._on_request(event)
-        elif isinstance(event, DataReceived):
-            self._on_data(event)
-        elif isinstance(event, StreamEnded):
-            stream = self.streams.get(event.stream_id)
-            if stream is not None:
-                stream.client_ended = stream.request_complete = True
-                if stream.reader.partial_bytes and not stream.ended:
-                    stream.fail(GrpcError(Code.INTERNAL, "the call ended within a message"))
-                else:
-                    self._run_callback(stream, stream.on_end)
-        elif isinstance(event, StreamReset):
-            if not self.guard.spend(self.server.now(), GuardAction.RESET):
-                self._stop_flood("streams are reset too often")
-            if (stream := self.streams.get(event.stream_id)) is not None:
-                self._on_client_gone(stream)
-        elif isinstance(event, WindowUpdated):
-            if event.stream_id:
-                if (stream := self.streams.get(event.stream_id)) is not None:
-                    self.pump(stream, False)
-            else:
-                for stream in list(self.streams.values()):
-                    self.pump(stream, False)
-        elif isinstance(event, RemoteSettingsChanged):
-            if not self.guard.spend(self.server.now(), GuardAction.SETTINGS):
-                self._stop_flood("settings come too often")
-            for stream in list(self.streams.values()):
-                self.pump(stream, False)
-        elif isinstance(event, PingReceived) and not self.guard.spend(self.server.now(), GuardAction.PING):
-            self._stop_flood("pings come too often")
+        match event:
+            case RequestReceived():
+                self._on_request(event)
+            case DataReceived():
+                self._on_data(event)
+            case StreamEnded():
+                self._on_stream_ended(event)
+            case StreamReset():
+                self._on_stream_reset(event)
+            case WindowUpdated():
+                self._on_window_updated(event)
+            case RemoteSettingsChanged():
+                if not self.guard.spend(self.server.now(), GuardAction.SETTINGS):
+                    self._stop_flood("settings come too often")
+                self._pump_all()
+            case PingReceived():
+                if not self.guard.spend(self.server.now(), GuardAction.PING):
+                    self._stop_flood("pings come too often")
+
+    def _on_stream_ended(self, event: StreamEnded) -> None:
+        stream = self.streams.get(event.stream_id)
+        if stream is None:
+            return
+        stream.client_ended = stream.request_complete = True
+        if stream.reader.partial_bytes and not stream.ended:
+            stream.fail(GrpcError(Code.INTERNAL, "the call ended within a message"))
+        else:
+            self._run_callback(stream, stream.on_end)
+
+    def _on_stream_reset(self, event: StreamReset) -> None:
+        if not self.guard.spend(self.server.now(), GuardAction.RESET):
+            self._stop_flood("streams are reset too often")
+        if (stream := self.streams.get(event.stream_id)) is not None:
+            self._on_client_gone(stream)
+
+    def _on_window_updated(self, event: WindowUpdated) -> None:
+        if not event.stream_id:  # the window of the whole connection
+            self._pump_all()
+        elif (stream := self.streams.get(event.stream_id)) is not None:
+            self.pump(stream, False)
+
+    def _pump_all(self) -> None:
+        for stream in list(self.streams.values()):
+            self.pump(stream, False)
 
     def _on_request(self, event: RequestReceived) -> None:
         id_ = event.stream_id
@@ -152,7 +165,7 @@
             self.server.handle(stream)
         except GrpcError as fault:
             stream.fail(fault)
-        except Exception as fault:  # a fault of ours must not leave a client without an answer
+        except Exception as fault:  # noqa: BLE001 - a fault of ours must not leave a client without an answer
             self.server.log_handler_failure(fault)
             stream.finish(Code.INTERNAL, "There was an internal server error.")
 
@@ -188,7 +201,7 @@
             callback(*arguments)
         except GrpcError as fault:
             stream.fail(fault)
-        except Exception as fault:
+        except Exception as fault:  # noqa: BLE001 - the same
             self.server.log_handler_failure(fault)
             stream.finish(Code.INTERNAL, "There was an internal server error.")
 
--- a/kelptrail/net/guard.py
+++ b/kelptrail/net/guard.py
@@ -23,7 +23,8 @@
 @dataclass(frozen=True, slots=True)
 class GuardSettings:
     """Frames of a kind allowed at once and each second; a connection's age in ms (0: no limit) and, once it is closing,
-    the time in ms for its streams to end."""
+    the time in ms for its streams to end.
+    """
 
     burst: int = 200
     per_s: float = 20.0
--- a/kelptrail/net/http_connection.py
+++ b/kelptrail/net/http_connection.py
@@ -120,7 +120,6 @@
             self._output_ready.set_result(None)
 
     async def _read_requests(self) -> None:
-        loop = self._server.loop
         buffer, receive = bytearray(FIRST_BUFFER_BYTES), self._transport.recv_into
         try:
             while not self.closing:
@@ -138,10 +137,7 @@
                 if error is not None:
                     self._reply_error(error)
                     return
-                if not self._reader.partial:
-                    self.reading_since, self.idle_since = None, loop.time()
-                elif self.reading_since is None or requests:
-                    self.reading_since = loop.time()
+                self._update_read_times(bool(requests))
                 await self._wait_until_below_limits()
                 if count == len(buffer) < MAX_BUFFER_BYTES:
                     buffer = bytearray(2 * count)
@@ -151,12 +147,20 @@
             if not self._timed_out:
                 self._on_lost()
 
+    def _update_read_times(self, has_requests: bool) -> None:
+        """Bytes were read; `has_requests`: requests were complete with them."""
+        now = self._server.loop.time()
+        if not self._reader.partial:
+            self.reading_since, self.idle_since = None, now
+        elif self.reading_since is None or has_requests:
+            self.reading_since = now
+
     def _handle(self, request: Request) -> None:
         exchange = Exchange(self, request)
         self._exchanges.append(exchange)
         try:
             self._server.handle(request, exchange)
-        except Exception as cause:  # a fault of ours must not leave a client without an answer
+        except Exception as cause:  # noqa: BLE001 - a fault of ours must not leave a client without an answer
             self._server.log_handler_failure(cause)
             exchange.reply(500, INTERNAL_ERROR)
 
@@ -242,7 +246,8 @@
 
     async def _linger(self) -> None:
         """Close without a reset, which would destroy the reply: shut down our side, then read and discard for a while
-        (RFC 9112 section 9.6)."""
+        (RFC 9112 section 9.6).
+        """
         self._tasks[0].cancel()
         await asyncio.gather(self._tasks[0], return_exceptions=True)
         self._transport.shutdown_write()
--- a/kelptrail/net/listener.py
+++ b/kelptrail/net/listener.py
@@ -30,7 +30,8 @@
 @dataclass(frozen=True, slots=True)
 class PaceSettings:
     """A token bucket of connections: `burst` at once, `per_s` each second (0: no limit).  A client beyond it gets its
-    own time to retry, at most `max_delay_ms` away."""
+    own time to retry, at most `max_delay_ms` away.
+    """
 
     burst: float = 1000.0
     per_s: float = 0.0
@@ -46,7 +47,8 @@
 
 class ConnectPace:
     """Limits the rate of new connections.  Guards against a reconnect storm after an outage: handshakes and first
-    requests of thousands of clients would delay the calls in flight.  Times in milliseconds."""
+    requests of thousands of clients would delay the calls in flight.  Times in milliseconds.
+    """
 
     def __init__(self, settings: PaceSettings, seed: int) -> None:
         self._settings, self._seed, self._draws = settings, seed, 0
--- a/kelptrail/net/tls.py
+++ b/kelptrail/net/tls.py
@@ -26,7 +26,8 @@
 class TlsFiles:
     """One side's files and options.  `certificate` holds the chain, and the key too where `key` is None; `authority` is
     the CA that must have signed peers' certificates; `peers` says whether a client's certificate is "none" (not
-    requested), "asked" (requested) or "required"; `least` is the minimum TLS version."""
+    requested), "asked" (requested) or "required"; `least` is the minimum TLS version.
+    """
 
     certificate: Path | None
     key: Path | None = None
--- a/kelptrail/net/transport.py
+++ b/kelptrail/net/transport.py
@@ -164,7 +164,8 @@
 
     def probe_idle(self) -> IdleState:
         """As on a plain connection, but reads and decrypts; records of TLS itself, such as new session tickets
-        (RFC 8446, section 4.6.1), leave it idle."""
+        (RFC 8446, section 4.6.1), leave it idle.
+        """
         try:
             while True:
                 data = self.sock.recv(BUFFER)
--- a/kelptrail/peers/driver.py
+++ b/kelptrail/peers/driver.py
@@ -31,7 +31,8 @@
 
 class Peers:
     """All peer connections of a process.  Users `register` their messages before `start`; `address_of` gives a peer's
-    address, or "" while it is unknown."""
+    address, or "" while it is unknown.
+    """
 
     def __init__(
         self, name: str, lineage: str, settings: PeerSettings, address_of: Callable[[str], str], log: Any
@@ -135,7 +136,8 @@
 
     async def _stay_connected(self, name: str) -> None:
         """Connect whenever there is no connection: the lesser name at once, the other a little later, as the lesser may
-        not need one."""
+        not need one.
+        """
         pause = MIN_BACKOFF_MS
         if name < self.name:
             await asyncio.sleep(4 * MIN_BACKOFF_MS / 1000)
--- a/kelptrail/peers/messages.py
+++ b/kelptrail/peers/messages.py
@@ -24,7 +24,8 @@
 
 class Hello(msgspec.Struct, frozen=True, tag="hello", array_like=True):
     """The sender's identity.  `latest_plan`: on an edge, the order of the latest plan that it has seen; `capabilities`:
-    message groups that it reads (version 2)."""
+    message groups that it reads (version 2).
+    """
 
     version: int
     name: str
--- a/kelptrail/planner/channel.py
+++ b/kelptrail/planner/channel.py
@@ -115,7 +115,8 @@
 
     def add_counters(self, counters: dict[str, FunctionCounters]) -> None:
         """Add to the next report.  Each connection counts for itself: every planner must get all requests, though they
-        get their reports at different moments."""
+        get their reports at different moments.
+        """
         for model, counted in counters.items():
             self._counters[model] = self._counters.get(model, FunctionCounters()).plus(counted)
 
--- a/kelptrail/planner/core.py
+++ b/kelptrail/planner/core.py
@@ -38,7 +38,8 @@
 class PlannerSettings:
     """Times in milliseconds.  A plan may bring as many new instances as `new_instances_share` of the calls expected in
     the next minute, and `new_instances_min` at least.  `scale_down_ms`: how long demand must have been lower before a
-    function's instances are reduced."""
+    function's instances are reduced.
+    """
 
     lineage: str
     interval_ms: float = 5000.0
--- a/kelptrail/planner/demand.py
+++ b/kelptrail/planner/demand.py
@@ -97,7 +97,8 @@
     def forecast(self, model: str, hour: int) -> float:
         """Calls a second that the next minute is planned for: the present rate, or the present rate scaled by the usual
         change from the hour before to this one, at most twice the present rate.  The bound guards against a forecast
-        that is wrong on a release day: it costs no more than as much again."""
+        that is wrong on a release day: it costs no more than as much again.
+        """
         load = self.functions[model]
         present = max(load.fast_rate, SLOW_RATE_SHARE * load.slow_rate)
         usual, before = load.hourly_rates[hour], load.hourly_rates[(hour - 1) % HOURS]
--- a/kelptrail/planner/driver.py
+++ b/kelptrail/planner/driver.py
@@ -38,7 +38,8 @@
 @dataclass(frozen=True, slots=True)
 class PlannerOptions:
     """What differs from one planner to the next.  `solver`: "program" or "greedy"; `solve_delay_ms`: for trials, how
-    much longer each plan takes; `solve_timeout_s`: after this time a problem is given up and the plan before stays."""
+    much longer each plan takes; `solve_timeout_s`: after this time a problem is given up and the plan before stays.
+    """
 
     name: str
     host: str
--- a/kelptrail/planner/greedy_placement.py
+++ b/kelptrail/planner/greedy_placement.py
@@ -36,7 +36,8 @@
 
 def place_greedily(workers: list[WorkerCapacity], demands: list[FunctionDemand], budget: int) -> Placement:
     """Place functions in the order of their value: first where they are loaded, then on the least used worker that has
-    memory left.  `budget`: new instances allowed."""
+    memory left.  `budget`: new instances allowed.
+    """
     assignment = _Assignment(
         {worker.id: worker for worker in workers},
         {worker.id: worker.memory_mb * MEMORY_SHARE for worker in workers},
@@ -78,7 +79,8 @@
     assignment: _Assignment, demand: FunctionDemand, least_used: list[tuple[float, str]], wanted: int
 ) -> int:
     """Place up to `wanted` new instances of a function; returns how many were placed.  `least_used`: a heap, whose
-    entries may be out of date."""
+    entries may be out of date.
+    """
     without_memory: list[tuple[float, str]] = []
     placed = 0
     while placed < wanted and least_used:
--- a/kelptrail/planner/plan.py
+++ b/kelptrail/planner/plan.py
@@ -35,7 +35,8 @@
 class PlanHeader(msgspec.Struct, frozen=True, array_like=True):
     """What identifies a plan.  `epoch` and `owner` are the fencing token of the lease it was made under, `number` grows
     within them.  `valid_ms` counts from when it was made; `endpoints_version` is the lineage and the version of the
-    endpoint list that it was made from."""
+    endpoint list that it was made from.
+    """
 
     lineage: str
     epoch: int
@@ -60,7 +61,8 @@
 
 class PlanPacket(msgspec.Struct, frozen=True, array_like=True):
     """A plan on the wire.  `base_number`: the number, in the same epoch, of the plan that a difference starts from; 0:
-    the plan is complete.  In a difference, 0 instances remove a worker.  `age_ms`: how long ago it was made."""
+    the plan is complete.  In a difference, 0 instances remove a worker.  `age_ms`: how long ago it was made.
+    """
 
     format: int
     header: PlanHeader
--- a/kelptrail/planner/plan_follower.py
+++ b/kelptrail/planner/plan_follower.py
@@ -122,7 +122,8 @@
 
     def restore(self, now: float, plan: Plan, left_ms: float, live: Collection[str]) -> bool:
         """Follow a plan from disk; False where it has expired, is damaged or names workers that are not live.  Its
-        epoch fences in any case, unless it is damaged."""
+        epoch fences in any case, unless it is damaged.
+        """
         if plan.header.lineage != self._lineage or digest_of(plan.header, plan.instances) != plan.header.digest:
             return False
         self.fence = max(self.fence, plan.header.order)
--- a/kelptrail/planner/program_placement.py
+++ b/kelptrail/planner/program_placement.py
@@ -40,7 +40,8 @@
 @dataclass(frozen=True, slots=True)
 class ProgramLimits:
     """Limits of the mixed-integer program.  `pairs`: of a function and a worker; `preferred`: workers for a function
-    beside those where it is loaded and those of the greedy placement."""
+    beside those where it is loaded and those of the greedy placement.
+    """
 
     nodes: int = 200
     seconds: float = 20.0
@@ -71,7 +72,8 @@
     limits: ProgramLimits = PROGRAM_LIMITS,
 ) -> Placement:
     """The mixed-integer program's placement where it costs less than the greedy one, else the greedy one.  That one
-    also stands where the program is too large or takes too long."""
+    also stands where the program is too large or takes too long.
+    """
     greedy = place_greedily(workers, demands, budget)
     requested = [demand for demand in demands if demand.instances_needed]
     pairs = _candidate_pairs(workers, requested, greedy, limits)
@@ -91,7 +93,8 @@
     workers: list[WorkerCapacity], requested: list[FunctionDemand], greedy: Placement, limits: ProgramLimits
 ) -> list[Pair]:
     """For each function the workers that it may be placed on: where it is loaded, those of the greedy placement, and a
-    few that it prefers."""
+    few that it prefers.
+    """
     number_of = {worker.id: number for number, worker in enumerate(workers)}
     warm = [worker for worker in workers if not worker.warming_up]
     with_preferred = len(warm) * len(requested) <= MAX_PREFERENCES
--- a/kelptrail/platform/__main__.py
+++ b/kelptrail/platform/__main__.py
@@ -39,7 +39,8 @@
 
 async def open_listener(service: Service) -> None:
     """Begin to serve; retries while the address is in use or the process lacks descriptors or memory.  Raises
-    `OSError`."""
+    `OSError`.
+    """
     deadline = asyncio.get_running_loop().time() + LISTEN_TIMEOUT_MS / 1000
     while not service.shutting_down:
         try:
--- a/kelptrail/platform/client_connections.py
+++ b/kelptrail/platform/client_connections.py
@@ -120,7 +120,8 @@
 
     def make_room(self) -> bool:
         """Close one connection on which no client waits: closing, without a frame yet, or idle; whether there was
-        one."""
+        one.
+        """
         for group in (self.closing, self.fresh, self.idle):
             for client in islice(group, MAX_EVICTION_CANDIDATES):
                 if group is self.closing:
--- a/kelptrail/platform/client_server.py
+++ b/kelptrail/platform/client_server.py
@@ -103,7 +103,8 @@
 
     def stop_accepting(self) -> bool:
         """Accept the clients in the accept queue, then close the listener: later clients try another dispatcher.
-        False while some in the queue cannot be accepted; the listener stays open for them."""
+        False while some in the queue cannot be accepted; the listener stays open for them.
+        """
         if not self._listener.accept_queued():
             return False
         self._listener.close()
--- a/kelptrail/platform/config.py
+++ b/kelptrail/platform/config.py
@@ -79,7 +79,8 @@
 
 def parse(text: str, before: Config | None = None) -> Config:
     """The configuration in `text`.  All of it is checked; of one that replaces `before` only the address of the
-    endpoint list is used, as a running dispatcher can change nothing else.  Raises `ConfigError`."""
+    endpoint list is used, as a running dispatcher can change nothing else.  Raises `ConfigError`.
+    """
     try:
         content = json.loads(text)
     except (ValueError, RecursionError) as cause:
--- a/kelptrail/platform/decision_executor.py
+++ b/kelptrail/platform/decision_executor.py
@@ -157,7 +157,8 @@
 
     def _render_call(self, attempt: Attempt, client_request: ClientRequest) -> bytes:
         """The bytes of an attempt as they are sent, with the time that its client has left then; none if it may no
-        longer start."""
+        longer start.
+        """
         request, now = attempt.request, time.monotonic() * 1000
         limit_ms = int(request.deadline - now)
         if limit_ms < 1 or not self._engine.may_start(now, attempt):
--- a/kelptrail/platform/endpoint_updates.py
+++ b/kelptrail/platform/endpoint_updates.py
@@ -119,7 +119,8 @@
 
     def _started_at(self, now: float, record: EndpointRecord) -> float | None:
         """When a worker started.  The same `record.started` always gives the same time, whatever steps the wall clock
-        makes in between."""
+        makes in between.
+        """
         if not record.started:
             return None
         known, started = self._started.get(record.id, (0, 0.0))
--- a/kelptrail/platform/endpoint_watch.py
+++ b/kelptrail/platform/endpoint_watch.py
@@ -87,7 +87,8 @@
 
 class EndpointWatch:
     """Calls `on_event` for each new event, in order and once.  Keeps descriptors in reserve for its next connections.
-    Times are seconds of the loop's clock."""
+    Times are seconds of the loop's clock.
+    """
 
     def __init__(
         self,
@@ -112,7 +113,8 @@
 
     def set_address(self, address: tuple[str, int]) -> None:
         """Watch the list at another address: connect there at once, beside the present connections.  At the same
-        address it reconnects after a while, so that repeated reloads do not overload a slow service."""
+        address it reconnects after a while, so that repeated reloads do not overload a slow service.
+        """
         if address == self._address:
             newest = self._newest
             retry_at = newest.created_at + MAX_BACKOFF_MS / 1000 if newest is not None else self._timer_due
@@ -176,7 +178,7 @@
         except FeedError as cause:
             self.log(log_events.FEED_UNREADABLE, cause=str(cause))
             connection.fail()
-        except Exception as cause:  # it must not stop the watch
+        except Exception as cause:  # noqa: BLE001 - it must not stop the watch
             self._loop.call_exception_handler({"message": "an event could not be applied", "exception": cause})
             connection.fail()
 
@@ -243,7 +245,8 @@
 
     def _reserve_descriptors(self) -> None:
         """Reserve descriptors for the next connections, which clients would otherwise use up while the list's service
-        is down."""
+        is down.
+        """
         with contextlib.suppress(OSError):
             while len(self._reserved) < RESERVED_DESCRIPTORS:
                 self._reserved.append(os.open(os.devnull, os.O_RDONLY))
--- a/kelptrail/platform/log.py
+++ b/kelptrail/platform/log.py
@@ -54,7 +54,8 @@
     @staticmethod
     def _write(line: str) -> bool:
         """Whether the line was written.  A reader of the log that has gone or does not read must delay neither the
-        timer nor a shutdown, so nothing is written where the pipe is full."""
+        timer nor a shutdown, so nothing is written where the pipe is full.
+        """
         data = f"{time.strftime('%H:%M:%S')} {line}".encode(errors="replace")[:LINE_BYTES] + b"\n"
         with contextlib.suppress(OSError):
             poll = select.poll()
--- a/kelptrail/platform/service.py
+++ b/kelptrail/platform/service.py
@@ -214,7 +214,8 @@
 
 def _share_descriptors(descriptors: int) -> DescriptorShares:
     """Split the descriptors of the process.  A third of the descriptors is enough for well-behaved
-    clients; some more hold those over the limit."""
+    clients; some more hold those over the limit.
+    """
     clients = descriptors * 5 // 12
     others = min(OTHER_DESCRIPTORS, descriptors // 8)
     return DescriptorShares(clients, max(MIN_WORKER_CONNECTIONS, descriptors - clients - others))
--- a/kelptrail/platform/signals.py
+++ b/kelptrail/platform/signals.py
@@ -10,7 +10,8 @@
 
 class HeldSignals:
     """Records the signals for shutdown and reload.  Their default action would end the process at once, which the
-    sender would see as a crash."""
+    sender would see as a crash.
+    """
 
     def __init__(self, numbers: tuple[int, ...] = SIGNALS) -> None:
         self._received: list[int] = []
--- a/kelptrail/platform/worker_connection.py
+++ b/kelptrail/platform/worker_connection.py
@@ -39,7 +39,8 @@
 @dataclass(slots=True)
 class WorkerConnectionLimits:
     """What the settings allow of connections to workers.  `open_count` counts the open connections of all workers,
-    `close_longest_idle` closes an idle one of any worker and returns whether there was one."""
+    `close_longest_idle` closes an idle one of any worker and returns whether there was one.
+    """
 
     connect_ms: float
     idle_ms: float
@@ -140,7 +141,8 @@
 
     def cancel(self, id_: str) -> bool:
         """Cancel an item; whether it may still reach the worker.  Bytes that were begun are sent to their end, as the
-        worker counts them."""
+        worker counts them.
+        """
         if self.cancel_unsent(id_):
             return False
         del self.open_items[id_]
--- a/kelptrail/service/control.py
+++ b/kelptrail/service/control.py
@@ -18,6 +18,12 @@
 
 from .front_addresses import FrontAddresses
 
+MISSING_STATUS = {
+    "/leases": b'{"error":"no leases section in the settings"}',
+    "/copies": b'{"error":"no copies in the settings"}',
+    "/vrrp": b'{"error":"no vrrp section in the settings"}',
+}
+
 
 class Control:
     """`GET /state`, `GET /vrrp`, `GET /leases`, `GET /usage`, `GET /copies`, `POST /retire`."""
@@ -43,24 +49,29 @@
             exchange.reply(202, b"{}")
         elif request.method != "GET":
             exchange.reply(405, b'{"error":"only GET"}', {"allow": "GET"})
-        elif request.path == "/state":
-            exchange.reply(200, msgspec.json.encode(self._state()))
-        elif request.path == "/vrrp" and self._front_addresses is not None:
-            exchange.reply(200, msgspec.json.encode(self._front_addresses.vrrp.status()))
-        elif request.path == "/leases" and "leases" in self._sections:
-            exchange.reply(200, msgspec.json.encode(self._sections["leases"]() | {"peers": self._sections["peers"]()}))
-        elif request.path == "/leases":
-            exchange.reply(404, b'{"error":"no leases section in the settings"}')
-        elif request.path == "/copies" and "copies" in self._sections:
-            exchange.reply(200, msgspec.json.encode(self._sections["copies"]()))
-        elif request.path == "/copies":
-            exchange.reply(404, b'{"error":"no copies in the settings"}')
-        elif request.path == "/usage" and "usage" in self._sections:
-            exchange.reply(200, msgspec.json.encode(self._sections["usage"]()))
-        elif request.path == "/vrrp":
-            exchange.reply(404, b'{"error":"no vrrp section in the settings"}')
         else:
-            exchange.reply(404, b'{"error":"no such thing"}')
+            self._reply_status(request.path, exchange)
+
+    def _reply_status(self, path: str, exchange: Exchange) -> None:
+        """Answer with the status at a path, or say what is missing."""
+        status = self._status_sources().get(path)
+        if status is not None:
+            exchange.reply(200, msgspec.json.encode(status()))
+        else:
+            exchange.reply(404, MISSING_STATUS.get(path, b'{"error":"no such thing"}'))
+
+    def _status_sources(self) -> dict[str, Callable[[], Any]]:
+        """What gives the status at each path that this dispatcher has."""
+        sources: dict[str, Callable[[], Any]] = {"/state": self._state}
+        if self._front_addresses is not None:
+            sources["/vrrp"] = self._front_addresses.vrrp.status
+        if "leases" in self._sections:
+            sources["/leases"] = lambda: self._sections["leases"]() | {"peers": self._sections["peers"]()}
+        if "copies" in self._sections:
+            sources["/copies"] = self._sections["copies"]
+        if "usage" in self._sections:
+            sources["/usage"] = self._sections["usage"]
+        return sources
 
     def _state(self) -> dict[str, Any]:
         gateway = self._driver.gateway
--- a/kelptrail/service/fleet.py
+++ b/kelptrail/service/fleet.py
@@ -25,7 +25,8 @@
 @dataclass(frozen=True, slots=True)
 class FleetOptions:
     """What differs from one process to the next.  `listen`: host and port of its channel, None: it only connects;
-    `peer_addresses`: by name, they precede those of the settings and of the endpoint list."""
+    `peer_addresses`: by name, they precede those of the settings and of the endpoint list.
+    """
 
     name: str
     run_id: str
@@ -101,7 +102,8 @@
 
     def enable_replication(self, config: PeersConfig, log: Any) -> None:
         """Keep replicas of other dispatchers' journals in the state folder.  Where its file is unusable, none are kept
-        and no deferred call is accepted.  Raises `StateFolderError`."""
+        and no deferred call is accepted.  Raises `StateFolderError`.
+        """
         options, state = self._options, self._options.state_folder
         if state is None or self.leases is None:
             raise StateFolderError(f"{options.name} keeps copies and needs --state")
--- a/kelptrail/service/garbage_collection.py
+++ b/kelptrail/service/garbage_collection.py
@@ -12,7 +12,8 @@
 
 def freeze_startup_objects() -> None:
     """Exempt all that exists now from collection and make automatic full collections rare.  A full collection stops
-    the process for up to 100 ms; it must not come in the middle of calls."""
+    the process for up to 100 ms; it must not come in the middle of calls.
+    """
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/kelptrail/service/journal.py
+++ b/kelptrail/service/journal.py
@@ -31,7 +31,8 @@
 
 def open_stores(deployment: Deployment, state_folder: Path | None, vfs: str | None, log: Any) -> JournalStores:
     """Create the state folder and open the journal in it.  An unusable file is logged: blocking calls go on without
-    it, deferred calls are refused."""
+    it, deferred calls are refused.
+    """
     if state_folder is None:
         return JournalStores()
     with contextlib.suppress(OSError):  # whoever needs the folder reports that it cannot be used
@@ -66,7 +67,8 @@
     log: Any,
 ) -> None:
     """Attach the journal to the gateway and resume what an earlier run accepted.  Activations that moved on to a
-    replicated journal are recovered from there."""
+    replicated journal are recovered from there.
+    """
     if stores.file is None or stores.commits is None:
         return
     driver.journal = JournalDriver(stores.commits, stores.file, driver.schedule_decisions, log)
@@ -80,5 +82,6 @@
 
 def least_run_ms(deployment: Deployment) -> float:
     """The time below which a recovered activation is not begun: twice the answer margin, as half of it is the least
-    that an attempt and its answer take."""
+    that an attempt and its answer take.
+    """
     return 2 * deployment.dispatcher.answer_margin_ms
--- a/kelptrail/service/lease_trial.py
+++ b/kelptrail/service/lease_trial.py
@@ -29,7 +29,8 @@
 
 class LeaseTrial:
     """One dispatcher's writes under some leases.  After SIGUSR1 the process suspends itself (SIGSTOP) once, between the
-    next check of a lease and the write; SIGUSR2 cancels that.  The trial's runner resumes it."""
+    next check of a lease and the write; SIGUSR2 cancels that.  The trial's runner resumes it.
+    """
 
     def __init__(self, leases: LeaseDriver, side_effect_log: str, tasks: tuple[str, ...], length_ms: float) -> None:
         self._leases, self._log_address, self._tasks, self._length_ms = leases, side_effect_log, tasks, length_ms
--- a/kelptrail/service/planner.py
+++ b/kelptrail/service/planner.py
@@ -32,7 +32,8 @@
     stop: asyncio.Event | None = None,
 ) -> None:
     """Run until SIGTERM, SIGINT or `stop`.  `ready` is called once with the planner's address and that of its control
-    port.  Raises `LeaseSettingsError`, and `OSError` where an address cannot be had."""
+    port.  Raises `LeaseSettingsError`, and `OSError` where an address cannot be had.
+    """
     stop = stop or asyncio.Event()
     stop_on_signals(stop)
     if deployment.peers is None or deployment.leases is None:
--- a/kelptrail/settings/shape.py
+++ b/kelptrail/settings/shape.py
@@ -99,7 +99,7 @@
 
 
 def yes_no(default: Any = REQUIRED) -> Value:
-    """yes or no."""
+    """Yes or no."""
     inner = word(("yes", "no"))
     return Value(lambda item: inner.convert(item) == "yes", inner.expected, default)
 
@@ -119,7 +119,8 @@
 def fields_by_key(section: Any) -> dict[str, str]:
     """The field of each settings key, with underscores, of a dataclass or its instance.
 
-    A key is the field's name, or the `key` of its metadata where the field has the better name."""
+    A key is the field's name, or the `key` of its metadata where the field has the better name.
+    """
     return {f.metadata.get("key", f.name): f.name for f in dataclasses.fields(section)}
 
 
@@ -148,12 +149,8 @@
 
     def form(self, form: Form, shape: Shape) -> Any:
         """The built value of a form, or None where it has faults."""
-        before, items, out = len(self.faults), list(form.items[1:]), dict[str, Any]()
-        for name in shape.names:
-            if items and isinstance(items[0], Atom):
-                out[name] = str(items.pop(0)).strip('"')
-            else:
-                self.fault(form.position, form, f"({form.head} {name.upper()} ...)")
+        before, items = len(self.faults), list(form.items[1:])
+        out = self._names(form, shape, items)
         seen: dict[str, SourcePosition] = {}
         lists: dict[str, list[Any]] = {k: [] for k, f in shape.fields.items() if isinstance(f, Many)}
         for item in items:
@@ -179,13 +176,27 @@
         for key, spec in shape.fields.items():
             name = key.replace("-", "_")
             if isinstance(spec, Many):
-                out[name] = lists[key]
-                if len(lists[key]) < spec.least:
-                    self.fault(form.position, f"{len(lists[key])} of ({key} ...)", f"{spec.least} at least")
+                out[name] = self._enough(form, key, spec, lists[key])
             elif key not in seen:
                 out[name] = self._absent(form, key, spec)
         return _build(shape, out) if len(self.faults) == before else None
 
+    def _names(self, form: Form, shape: Shape, items: list[Atom | Form]) -> dict[str, Any]:
+        """The names at the start of a form; they are taken off `items`."""
+        names = dict[str, Any]()
+        for name in shape.names:
+            if items and isinstance(items[0], Atom):
+                names[name] = str(items.pop(0)).strip('"')
+            else:
+                self.fault(form.position, form, f"({form.head} {name.upper()} ...)")
+        return names
+
+    def _enough(self, form: Form, key: str, spec: Many, values: list[Any]) -> list[Any]:
+        """The values of a field that may stand several times."""
+        if len(values) < spec.least:
+            self.fault(form.position, f"{len(values)} of ({key} ...)", f"{spec.least} at least")
+        return values
+
     def _unknown_field(self, item: Form, form: Form, shape: Shape) -> None:
         near = difflib.get_close_matches(str(item.head), shape.fields, 1)
         hint = f" (did you mean {near[0]}?)" if near else ""
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -108,10 +108,7 @@
         elif item.head == "script" and len(item.items) == 2:
             script = str(_value(item.items[1]))
         elif item.head == "seeds":
-            try:
-                seeds = tuple(int(float(str(_value(seed)))) for seed in item.items[1:])
-            except ValueError:
-                checker.fault(item.position, "seeds", "whole numbers")
+            seeds = _parse_seeds(checker, item)
         elif item.head == "variant" and len(item.items) > 1:
             variants[str(_value(item.items[1]))] = tuple(_parse_variant(checker, item))
         elif item.head == "sweep" and len(item.items) > 2:
@@ -129,6 +126,14 @@
     return experiment
 
 
+def _parse_seeds(checker: Checker, form: Form) -> tuple[int, ...]:
+    try:
+        return tuple(int(float(str(_value(seed)))) for seed in form.items[1:])
+    except ValueError:
+        checker.fault(form.position, "seeds", "whole numbers")
+        return ()
+
+
 def _parse_variant(checker: Checker, variant: Form) -> list[Change]:
     changes = list[Change]()
     for item in variant.items[2:]:
--- a/kelptrail/simulation/experiment_report.py
+++ b/kelptrail/simulation/experiment_report.py
@@ -93,6 +93,7 @@
         "| --- | --- | --- | --- | --- |",
     ]
     both = [[r for r in runs if r["variant"] == v] for v in (first, second)]
-    for d in compare(*both):
-        lines.append(f"| {d.figure} | {d.point or '-'} | {d.pairs} | {d.low:.3g} to {d.high:.3g} | {d.verdict} |")
-    return lines
+    return lines + [
+        f"| {d.figure} | {d.point or '-'} | {d.pairs} | {d.low:.3g} to {d.high:.3g} | {d.verdict} |"
+        for d in compare(*both)
+    ]
--- a/kelptrail/simulation/lease_links.py
+++ b/kelptrail/simulation/lease_links.py
@@ -28,7 +28,8 @@
 
 class SimulatedLinks:
     """All links; `deliver` gets each message one delay after it was sent.  A link that is cut holds its messages until
-    it is healed; once it was silent for `silent_ms`, it drops them."""
+    it is healed; once it was silent for `silent_ms`, it drops them.
+    """
 
     def __init__(
         self,
--- a/kelptrail/simulation/sharding.py
+++ b/kelptrail/simulation/sharding.py
@@ -127,7 +127,8 @@
     progress: Callable[[float], None] | None = None,
 ) -> ShardedRun:
     """One run over several processes, and its events in order where `capture` asks for them.  The same for the same
-    seed and number of processes.  Raises `ShardError`."""
+    seed and number of processes.  Raises `ShardError`.
+    """
     context = get_context("forkserver")
     arguments = ShardRunArguments(scenario, deployment, seed, settings, capture)
     pipes, children = list[Connection](), []
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -34,7 +34,8 @@
 
 class SimulatedWorker:
     """One worker with its open connections; `record_event` records what the history checker reads, None without a
-    capture.  It starts past its slow start."""
+    capture.  It starts past its slow start.
+    """
 
     def __init__(
         self,
--- a/kelptrail/simulator_adapter/__main__.py
+++ b/kelptrail/simulator_adapter/__main__.py
@@ -62,7 +62,7 @@
         for name in changed:
             try:
                 actions += self._instances[name].actions(now)
-            except Exception as cause:
+            except Exception as cause:  # noqa: BLE001 - a fault in one instance must not end the others
                 traceback.print_exc()
                 actions.append({"Fatal": {"i": name, "message": f"{type(cause).__name__}: {cause}"}})
         return {"actions": actions}
--- a/kelptrail/vrrp/packet.py
+++ b/kelptrail/vrrp/packet.py
@@ -135,20 +135,12 @@
 
     `hops` is the TTL or hop limit it came with, None where the transport does not tell.
     """
-    if hops is not None and hops != 255:
-        raise HopsError(f"came with a hop limit of {hops}, not 255")
-    if not data or data[0] >> 4 != VERSION:
-        raise VersionError(f"version {data[0] >> 4 if data else 'none'}, not 3")
-    if len(data) < HEADER.size:
-        raise TooShortError(f"{len(data)} bytes; a head has {HEADER.size}")
+    _check_origin(data, hops)
     kind, vrid, priority, count, interval, _ = HEADER.unpack_from(data)
     if kind & 0x0F != ADVERTISEMENT:
         raise TypeFieldError(f"type {kind & 0x0F}, not 1")
     size = 4 if source.version == 4 else 16
-    if len(data) < HEADER.size + count * size:
-        raise TooShortError(f"{len(data)} bytes for {count} addresses")
-    if len(data) > HEADER.size + count * size:
-        raise TooLongError(f"{len(data)} bytes for {count} addresses")
+    _check_length(data, count, size)
     cover = pseudo_header(source, destination, len(data)) if pseudo or source.version == 6 else b""
     if checksum(cover + data) != 0:
         raise ChecksumError("the checksum does not fit")
@@ -160,3 +152,21 @@
         raise IntervalError("interval 0")
     addresses = tuple(ip_address(data[at : at + size]) for at in range(HEADER.size, len(data), size))
     return Advertisement(vrid, priority, interval & 0x0FFF, addresses)
+
+
+def _check_origin(data: bytes, hops: int | None) -> None:
+    """Check the hop limit, the version, and that there is a header."""
+    if hops is not None and hops != 255:
+        raise HopsError(f"came with a hop limit of {hops}, not 255")
+    if not data or data[0] >> 4 != VERSION:
+        raise VersionError(f"version {data[0] >> 4 if data else 'none'}, not 3")
+    if len(data) < HEADER.size:
+        raise TooShortError(f"{len(data)} bytes; a head has {HEADER.size}")
+
+
+def _check_length(data: bytes, count: int, size: int) -> None:
+    """Check the length against the number of addresses, of `size` bytes each."""
+    if len(data) < HEADER.size + count * size:
+        raise TooShortError(f"{len(data)} bytes for {count} addresses")
+    if len(data) > HEADER.size + count * size:
+        raise TooLongError(f"{len(data)} bytes for {count} addresses")
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -205,7 +205,7 @@
     run(main())
 
 
-@pytest.mark.processes
+@pytest.mark.scenarios
 @pytest.mark.parametrize("seed", [1])
 def test_planner_fault_scenario_breaks_no_rule(seed: int, tmp_path: Path) -> None:
     """Planners are slow, killed and started without state while workers drain and crash."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -112,7 +112,7 @@
     )
 
 
-@pytest.mark.processes
+@pytest.mark.timed
 def test_on_sockets_a_lease_is_transferred_and_expires_during_a_blocked_loop(tmp_path: Path) -> None:
     async def main() -> None:
         voters = Acceptors(FLEET, tmp_path)
@@ -153,7 +153,7 @@
     run(main())
 
 
-@pytest.mark.processes
+@pytest.mark.timed
 def test_a_new_acceptor_set_takes_over_and_clients_of_the_old_file_learn_of_it(tmp_path: Path) -> None:
     next_deployment = parse(
         DEPLOYMENT.replace(
@@ -202,7 +202,7 @@
     run(main())
 
 
-@pytest.mark.processes
+@pytest.mark.timed
 def test_an_acceptor_killed_between_write_and_reply_keeps_what_it_wrote(tmp_path: Path) -> None:
     file = tmp_path / "fleet.sexp"
     file.write_text(DEPLOYMENT.replace("(pool (connect-ms 150))", f"(pool (connect-ms 150))\n{PEERS}"))
@@ -359,7 +359,7 @@
         assert any(message in str(f) for f in caught.value.faults)
 
 
-@pytest.mark.processes
+@pytest.mark.timed
 def test_a_short_campaign_between_real_processes_breaks_no_rule(tmp_path: Path) -> None:
     done = subprocess.run(
         [
--- a/tests/test_front_addresses.py
+++ b/tests/test_front_addresses.py
@@ -223,7 +223,7 @@
     assert health.is_healthy(1300.0) is None
 
 
-@pytest.mark.processes
+@pytest.mark.scenarios
 def test_two_failovers_of_real_processes_break_no_rule(tmp_path: Path) -> None:
     text = (ROOT / "examples" / "shared-address.sexp").read_text()
     for port, kind in (("8112", socket.SOCK_DGRAM), ("8310", socket.SOCK_STREAM), ("8311", socket.SOCK_STREAM)):
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -563,7 +563,7 @@
     run(main())
 
 
-@pytest.mark.processes
+@pytest.mark.timed
 def test_a_thousand_concurrent_streams() -> None:
     settings = parse(
         DEPLOYMENT.replace("(lanes 4)", "(lanes 2000)")
@@ -902,7 +902,7 @@
     run(main())
 
 
-@pytest.mark.processes
+@pytest.mark.timed
 def test_a_client_library_against_real_processes_with_faults(tmp_path: Path) -> None:
     """A dispatcher and workers as processes; the workers' faults are injected while calls run."""
     from kelptrail.emulator.cluster import Cluster
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -277,7 +277,7 @@
     run(main())
 
 
-@pytest.mark.processes
+@pytest.mark.timed
 def test_certificates_are_renewed_under_load_without_a_lost_call(tmp_path: Path) -> None:
     made = authority(tmp_path)
 
--- a/tests/test_platform_fuzz.py
+++ b/tests/test_platform_fuzz.py
@@ -40,7 +40,7 @@
     assert errors == []
 
 
-@pytest.mark.rigs
+@pytest.mark.scenarios
 def test_the_rules_hold_through_random_signals_closes_and_answers() -> None:
     done = subprocess.run(
         [sys.executable, "bench/platform_fuzz.py", "--days", "1", "--seconds", "5"],
--- a/tests/test_platform_load.py
+++ b/tests/test_platform_load.py
@@ -21,7 +21,7 @@
 
 from kelptrail.codec import frames
 
-pytestmark = pytest.mark.processes  # one at a time: they measure time
+pytestmark = pytest.mark.timed  # one at a time: they measure time
 
 TYPES = [
     CLASS | {"give_up_us": 2000000, "aim_us": 300000},
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -21,8 +21,6 @@
 from kelptrail.fault_scenario.inferred_faults import fault_intervals
 from kelptrail.settings.deployment import parse
 
-pytestmark = pytest.mark.processes  # one at a time: they measure time
-
 ROOT = Path(__file__).parent.parent
 
 
@@ -58,6 +56,7 @@
         return cause.code, json.loads(cause.read())
 
 
+@pytest.mark.timed
 def test_the_demo_serves_every_request_class_and_drains() -> None:
     process, ready = start("demo", "--quiet-logs")
     try:
@@ -91,6 +90,7 @@
     assert "curl" in err
 
 
+@pytest.mark.timed
 def test_the_demo_ends_with_ctrl_c_and_leaves_no_child_process() -> None:
     process, _ready = start("demo", "--quiet-logs")
     children = Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text().split()
@@ -101,6 +101,7 @@
     assert not any(os.path.exists(f"/proc/{child}") for child in children)
 
 
+@pytest.mark.timed
 def test_child_processes_end_when_their_parent_is_killed() -> None:
     process, _ = start("demo", "--quiet-logs")
     children = Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text().split()
@@ -139,6 +140,7 @@
 """
 
 
+@pytest.mark.scenarios
 def test_a_short_fault_scenario_breaks_no_rule(tmp_path: Path) -> None:
     """Some 200 calls are in flight or deferred when the dispatcher is killed; it restarts with its last list only."""
     out = tmp_path / "out"
@@ -160,6 +162,7 @@
 """
 
 
+@pytest.mark.scenarios
 def test_a_dispatcher_killed_with_two_hundred_calls_in_flight_restarts_from_its_last_list(tmp_path: Path) -> None:
     out = tmp_path / "out"
     done = run_scenario(KILLED_DISPATCHER_SCENARIO, tmp_path)
@@ -297,6 +300,7 @@
 """
 
 
+@pytest.mark.scenarios
 def test_both_apis_break_no_rule_through_cut_streams_slow_disks_and_repeated_kills(tmp_path: Path) -> None:
     """A short form of the long runs of examples/bad-days."""
     out = tmp_path / "out"
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -580,7 +580,7 @@
 # Between processes.
 
 
-@pytest.mark.processes
+@pytest.mark.timed
 def test_short_campaign_of_lost_machines_loses_no_acknowledged_call(tmp_path: Path) -> None:
     done = subprocess.run(
         [
@@ -617,7 +617,7 @@
     assert all(row["troubles"].count("lose-machines") == 2 and len(row["troubles"]) >= 6 for row in rows)
 
 
-@pytest.mark.rigs
+@pytest.mark.scenarios
 def test_calls_of_a_dispatcher_lost_at_a_step_are_completed_elsewhere() -> None:
     """One step of the matrix of bench/crash_points.py --lost, by id and by a repeat under the key."""
     done = subprocess.run(
@@ -633,7 +633,7 @@
     assert {case.get("joined", True) for case in found if case["first"] == 202} == {True}
 
 
-@pytest.mark.rigs
+@pytest.mark.scenarios
 def test_paused_dispatcher_does_not_repeat_a_call_that_was_taken_over() -> None:
     """One step of the matrix of bench/crash_points.py --paused: just before the first byte."""
     done = subprocess.run(
@@ -650,7 +650,7 @@
         assert len(case["answers"]) == 1 and len(case["answers"][0]) == 1, "the same answer from both"
 
 
-@pytest.mark.processes
+@pytest.mark.scenarios
 def test_retired_dispatcher_transfers_all_calls(tmp_path: Path) -> None:
     file = str(ROOT / "examples" / "copies.sexp")
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -16,7 +16,7 @@
 
 from kelptrail.codec import frames
 
-pytestmark = pytest.mark.processes
+pytestmark = pytest.mark.timed
 
 MANY, CORES, WITHIN_S = 30, 2, 10.0
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -15,7 +15,7 @@
 from soak_mutants import MUTANTS, Mutant  # noqa: E402
 
 
-@pytest.mark.rigs
+@pytest.mark.scenarios
 def test_the_invariants_hold_through_overlapping_faults() -> None:
     command = [sys.executable, "bench/soak.py", "--seeds", "1", "--seconds", "8", "--processes", "12"]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -556,7 +556,7 @@
     run(main())
 
 
-@pytest.mark.rigs
+@pytest.mark.scenarios
 def test_dispatcher_killed_at_a_step_keeps_acknowledged_calls() -> None:
     """Two steps of the matrix of bench/crash_points.py, every effect, deferred and keyed, with real processes."""
     done = subprocess.run(
