--- a/bench/lease_measurements/failover.py
+++ b/bench/lease_measurements/failover.py
@@ -18,7 +18,7 @@
 from kelptrail.emulator.cluster import Cluster, Process, http_json
 from kelptrail.fault_scenario.report import describe_deployment
 from kelptrail.history_checker.checker import check_history, read_captures
-from kelptrail.settings.cooperation import LeasesPlan
+from kelptrail.settings.cooperation import LeasesConfig
 from kelptrail.settings.deployment import load
 
 FLEET = Path(__file__).parent.parent.parent / "examples" / "fleet.sexp"
@@ -154,16 +154,12 @@
     }
 
 
-def gap_bound_ms(leases: LeasesPlan) -> float:
+def gap_bound_ms(leases: LeasesConfig) -> float:
     """The longest time without a holder by the settings: a grant just before the fault, on the slowest acceptor; the
     retry pause; the spacing of the queue; one silent first acceptor; two round trips of requests with their syncs."""
-    return (
-        leases.length_ms / (1 - leases.clock_rate_bound)
-        + 1.5 * leases.retry_pause_ms
-        + 7 * leases.queue_spacing_ms
-        + leases.request_timeout_ms
-        + 100
-    )
+    longest_lease_ms: float = leases.length_ms / (1 - leases.clock_rate_bound)
+    waits_ms = 1.5 * leases.retry_pause_ms + 7 * leases.queue_spacing_ms + leases.request_timeout_ms
+    return longest_lease_ms + waits_ms + 100
 
 
 def draw_gaps(file: Path, gaps_ms: dict[str, list[float]], bound_ms: float) -> None:
