--- a/kelptrail/service/planner.py
+++ b/kelptrail/service/planner.py
@@ -52,10 +52,7 @@
     endpoints = _endpoint_client(options, fleet, planner, log)
     endpoints.load_saved()
     endpoint_task = asyncio.get_running_loop().create_task(endpoints.follow())
-    control = HttpServer(PlannerControl(fleet, planner).handle, Limits(connections=CONTROL_CONNECTIONS))
-    if options.control is not None:
-        host, _, port = options.control.rpartition(":")
-        control.listen(host, int(port))
+    control = _control_server(options, fleet, planner)
     log.info("planning", address=planner.address, from_snapshot=from_snapshot)
     if ready is not None:
         ready(planner.address, control.address)
@@ -67,6 +64,15 @@
     await fleet.stop()
 
 
+def _control_server(options: PlannerOptions, fleet: Fleet, planner: PlannerDriver) -> HttpServer:
+    """The control port; it listens only where the options give its address."""
+    control = HttpServer(PlannerControl(fleet, planner).handle, Limits(connections=CONTROL_CONNECTIONS))
+    if options.control is not None:
+        host, _, port = options.control.rpartition(":")
+        control.listen(host, int(port))
+    return control
+
+
 def _endpoint_client(options: PlannerOptions, fleet: Fleet, planner: PlannerDriver, log: Any) -> EndpointClient:
     def on_endpoints(listing: EndpointList) -> None:
         """Pass a new endpoint list to the parts that follow it."""
