--- a/bench/pinned_processes.py
+++ b/bench/pinned_processes.py
@@ -81,8 +81,8 @@
 
 def stop_all() -> None:
     """End all processes that are still running."""
-    for process in _running:
-        process.stop()
+    while _running:  # `stop` takes a process off the list
+        _running[-1].stop()
 
 
 def cpu_seconds(pid: int) -> float:
