--- a/kelptrail/dispatch/__init__.py
+++ b/kelptrail/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on attempts, loads, rejections, retries and health; `dispatcher.py` joins them."""
+"""Decides on attempts, load orders, rejections, retries and ejections; `dispatcher.py` combines the parts."""
--- a/kelptrail/dispatch/attempt_results.py
+++ b/kelptrail/dispatch/attempt_results.py
@@ -1,4 +1,4 @@
-"""What the result of an attempt changes.  Times are milliseconds."""
+"""Updates the state of a dispatcher with the result of each attempt.  Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -11,9 +11,12 @@
 from .worker_delays import WorkerDelays
 
 MIN_CONCURRENCY_LIMIT = 2.0  # a worker is always allowed two attempts at once
-# Of the concurrency limit, which otherwise grows by one per limit's worth of attempts.
+# A delayed or refused attempt multiplies the concurrency limit by this factor; as many attempts in time as
+# the limit allows at once raise it by one.
 CONCURRENCY_DECREASE = 0.9
-MAX_IDLE_IN_FLIGHT = 0.3  # above this mean the worker's concurrency limit already reacts to its delays
+# The delays of a worker whose mean number of attempts in flight is higher already lower its concurrency
+# limit.
+MAX_IDLE_IN_FLIGHT = 0.3
 
 CONNECTION_FAILURES = (AttemptStatus.CONNECTION_LOST, AttemptStatus.UNREACHABLE)
 _RESPONSES = frozenset(
@@ -28,18 +31,18 @@
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ended, and what the response reported."""
+    """The status of a finished attempt and the data that its response reported."""
 
     status: AttemptStatus
     request_done: bool  # the client has its answer
     load_failed: bool = False  # the error came from loading the function
-    warm: bool | None = None  # whether the instance was warm; None if the response does not tell
+    warm: bool | None = None  # whether the instance was warm; None if the response does not report it
     foreign_in_flight: int = 0  # attempts of other dispatchers for the function at the worker
     load_report: dict[str, float] | None = None
 
 
 class AttemptResults:
-    """Learns from each finished attempt, and requeues or ends its request."""
+    """Records the result of each finished attempt, and requeues or finishes its request."""
 
     def __init__(
         self, parts: Components, state: DispatchState, lifecycle: RequestLifecycle, loads: LoadResults
@@ -50,8 +53,8 @@
         self._worker_delays = WorkerDelays()
 
     def on_attempt_finished(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
-        """Update the worker, the instance and the function, then requeue the request or cancel what is
-        left.
+        """Update the worker, the instance and the function, then requeue the request or cancel its other
+        attempts.
         """
         status, request, instance = result.status, attempt.request, attempt.instance
         worker, function = instance.worker, instance.function
@@ -75,7 +78,7 @@
             AttemptStatus.NOT_LOADED,
         ):
             self._instances.observe_first_use(status is AttemptStatus.COMPLETED and result.warm is not False)
-            function.examined_at = LONG_AGO
+            function.searched_at = LONG_AGO
         if status in (AttemptStatus.COMPLETED, AttemptStatus.OUT_OF_CAPACITY):
             self._observe_congestion(now, attempt, latency_ms, result.foreign_in_flight)
         if result.request_done:
@@ -89,17 +92,18 @@
         self._state.runnable[function] = None
 
     def on_connection_lost(self, now: float, worker: Worker) -> None:
-        """A connection to the worker was refused, or ended under an item.  With the list out of reach it may
-        be a new process when it answers again, with nothing loaded.
+        """Record that a connection to the worker was refused, or was lost with an attempt, load order or
+        probe in flight.  While the endpoint list is unreachable, the worker may since be a new process
+        without any loaded instance.
         """
         if self._safety.readiness.on_connection_lost(now, worker):
             for instance in worker.instances.values():
                 instance.loaded = 0
 
     def _observe_health(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
-        """Count the response as a success or a failure of the worker.  A lost connection may be the network's
-        fault and leaves the instance loaded; errors of a function that never ran count against the function:
-        guards against calls of functions that do not work anywhere.
+        """Count the response as a success or a failure of the worker.  A lost connection may be a network
+        fault and leaves the instance loaded.  Errors of a function that never ran count against the function,
+        so that calls of a function that works nowhere do not eject workers.
         """
         status, function, worker = result.status, attempt.instance.function, attempt.instance.worker
         connection_lost = status in CONNECTION_FAILURES
@@ -115,8 +119,8 @@
             self._state.decisions.append(LogMessage(message))
 
     def _on_completed(self, now: float, attempt: Attempt, warm: bool | None) -> float:
-        """Update latencies and the concurrency limit; returns the latency, of a stream until its first
-        part.
+        """Update latencies and the concurrency limit.  Return the latency; for a stream, the time until its
+        first part.
         """
         request, instance = attempt.request, attempt.instance
         worker = instance.worker
@@ -125,8 +129,8 @@
         latency_ms = (now if attempt.first_part_at is None else attempt.first_part_at) - attempt.started_at
         self._retry_budget.observe_latency(instance.function, worker, latency_ms)
         self._retry_budget.deposit()
-        # A cold instance is slow by itself; where responses do not tell, a nearly full worker explains the
-        # latency.
+        # A cold instance is slow without congestion.  Where responses do not report whether it was warm, a
+        # high latency counts as congestion only if the worker is nearly at its limit.
         congested = warm if warm is not None else 2 * len(worker.attempts) >= worker.concurrency_limit - 1
         if congested and latency_ms > request.request_class.latency_objective_ms / 2:
             worker.concurrency_limit = max(
@@ -137,8 +141,8 @@
         return latency_ms
 
     def _on_refused(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
-        """The worker did not run the attempt.  Without other attempts of the function there, none of its
-        instances is loaded and none fits.
+        """Record that the worker did not run the attempt.  If no other attempts of the function are in flight
+        there, the function has no loaded instance at the worker.
         """
         instance, worker = attempt.instance, attempt.instance.worker
         worker.concurrency_limit = max(
@@ -154,8 +158,8 @@
     def _observe_congestion(
         self, now: float, attempt: Attempt, latency_ms: float, foreign_in_flight: int
     ) -> None:
-        """Learn from a completed or refused attempt how busy the worker is with other dispatchers'
-        attempts.
+        """Update the estimated load that other dispatchers put on the worker, from a completed or refused
+        attempt.
         """
         instance, worker = attempt.instance, attempt.instance.worker
         refused = attempt.status is AttemptStatus.OUT_OF_CAPACITY
@@ -163,8 +167,9 @@
             late = latency_ms > attempt.request.request_class.latency_objective_ms
             delayed = refused or late
             self._worker_delays.observe(now, worker, delayed)
-            # A worker that rejects everything is no overload of the fleet: the others may be idle.
-            if not delayed or not self._worker_delays.stands_out(now, worker):
+            # One worker that rejects everything does not mean that the fleet is overloaded: others may be
+            # idle.
+            if not delayed or not self._worker_delays.is_outlier(now, worker):
                 self._queues.observe_worker_delay(instance.function, delayed)
         self._placement.observe_foreign_load(
             now, instance, max(foreign_in_flight, worker.concurrency_limit * refused)
--- a/kelptrail/dispatch/components.py
+++ b/kelptrail/dispatch/components.py
@@ -1,4 +1,4 @@
-"""What the modules of a dispatcher share: its components, its options and its state."""
+"""The components, options and state that the modules of a dispatcher share."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Components:
-    """The parts that a dispatcher is built from."""
+    """The components of a dispatcher."""
 
     safety: SafetyGuard
     outliers: OutlierDetector
@@ -30,20 +30,20 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatcherOptions:
-    """What the deployment allows a dispatcher."""
+    """Options that the deployment sets for a dispatcher."""
 
     can_cancel: bool  # attempts in flight may be cancelled
-    max_retry_after_ms: float  # the longest time after which a rejected client is told to retry
+    max_retry_after_ms: float  # the longest Retry-After of a rejection
 
 
 @dataclass(slots=True, eq=False)
 class DispatchState:
-    """What the inputs change and the decisions use.  The dictionaries are ordered sets."""
+    """State that inputs update and decisions read.  The dictionaries are ordered sets."""
 
-    decisions: deque[Decision] = field(default_factory=deque)  # made, not yet returned by `decide`
+    decisions: deque[Decision] = field(default_factory=deque)  # decisions not yet returned by `decide`
     runnable: dict[Function, None] = field(default_factory=dict)  # functions whose queue is to be served
     known_functions: dict[Function, None] = field(default_factory=dict)  # least recently requested first
-    active_workers: dict[Worker, None] = field(default_factory=dict)  # recently with attempts in flight
-    workers: list[Worker] = field(
-        default_factory=list
-    )  # of the endpoint list; replaced, never changed in place
+    # Workers with attempts in flight, now or recently.
+    active_workers: dict[Worker, None] = field(default_factory=dict)
+    # Workers of the endpoint list.  The list is replaced, never changed in place.
+    workers: list[Worker] = field(default_factory=list)
--- a/kelptrail/dispatch/dispatcher.py
+++ b/kelptrail/dispatch/dispatcher.py
@@ -1,6 +1,6 @@
-"""All decisions of kelptrail, joined.
+"""Combines all decisions of kelptrail in one `Dispatcher`.
 
-Build the components and a `Dispatcher` from them, pass it what happens (`on_request`, `on_attempt_finished`,
+Build the components and a `Dispatcher` from them, pass it each event (`on_request`, `on_attempt_finished`,
 `on_load_report`, `on_probe_finished`, `on_client_gone`, `on_endpoints`, `on_list_heard`, `on_tick`), then
 call `decide(now)` until it returns None.  The entities are in `entities.py`, due times in `timer_queue.py`;
 `kelptrail/engine` and the gateway embed it; the design is in `docs/design.md`.  Times are milliseconds.
@@ -34,13 +34,13 @@
 from .request_lifecycle import RequestLifecycle
 from .second_attempts import SecondAttempts
 
-DEFAULT_LOAD_MS = 1000.0  # of a function whose load time is unknown
-INITIAL_CONCURRENCY_LIMIT = 6.0  # of a worker that no attempt has measured yet
+DEFAULT_LOAD_MS = 1000.0  # assumed while the load time of a function is unknown
+INITIAL_CONCURRENCY_LIMIT = 6.0  # applies until attempts have adjusted the limit of the worker
 FUNCTION_LIFETIME_MS = 60_000  # a function without requests is forgotten after this time
 
 
 class Dispatcher:
-    """Passes inputs to the module that learns from them, and returns one decision after the other."""
+    """Passes each input to the module that handles it, and returns decisions one at a time."""
 
     tick_ms = 100.0
 
@@ -63,17 +63,16 @@
     # Inputs.
 
     def on_request(self, now: float, request: Request, count: bool = True) -> None:
-        """A request arrived.  `count` is False for one that an earlier process counted, or that the caller
-        counts with `count_request` once it is durable.
+        """Accept a request that arrived.  Set `count` to False if an earlier process has counted it, or if
+        the caller counts it with `count_request` once it is durable.
         """
         if count:
             self.count_request(now, request)
         self.questions.on_request()
         function, known = request.function, self._state.known_functions
         function.last_request_at, function.load_ms = now, function.load_ms or DEFAULT_LOAD_MS
-        known[function] = known.pop(
-            function, None
-        )  # moves it to the end: the first is the least recently used
+        # Moves the function to the end, so that the first one is the least recently used.
+        known[function] = known.pop(function, None)
         function.arrivals.append(request)
         self._state.runnable[function] = None
 
@@ -84,15 +83,15 @@
             request.tenant.request_times.append(now)
 
     def on_client_gone(self, request: Request) -> None:
-        """The client no longer waits for an answer."""
+        """Cancel a request whose client no longer waits for an answer."""
         request.final_status = request.final_status or FinalStatus.CLIENT_GONE
         if not request.attempts:
             self.parts.safety.uncount_request(request)
         self._lifecycle.cancel_attempts(request)
 
     def on_response_started(self, now: float, attempt: Attempt, deadline: float) -> None:
-        """The first part of a streamed response arrived: only this attempt can complete the request, whatever
-        its idempotency, until `deadline`.
+        """Record that the first part of a streamed response arrived.  From now on only this attempt can
+        complete the request, whatever its idempotency; it has until `deadline`.
         """
         request = attempt.request
         if request.final_status or request.streaming_attempt or attempt.status:
@@ -103,41 +102,42 @@
         self._lifecycle.cancel_attempts(request, attempt)
 
     def on_attempt_finished(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
-        """An attempt ended."""
+        """Record the result of an attempt."""
         self._results.on_attempt_finished(now, attempt, result)
 
     def on_load_report(self, now: float, order: LoadOrder, status: AttemptStatus, loaded_count: int) -> None:
-        """A load order ended; `loaded_count` instances are now loaded there."""
+        """Record the result of a load order; `loaded_count` instances are now loaded at its worker."""
         self._loads.on_load_report(now, order, status, loaded_count)
 
     def on_initial_list(self, now: float) -> None:
-        """The endpoints are those of a configuration or a file: nobody says how old they are."""
+        """Record that the endpoints came from a configuration or a file, so that their age is unknown."""
         self.parts.safety.readiness.on_initial_list(now)
 
     def on_list_heard(self, now: float) -> None:
-        """The endpoint list is complete as of now: its source said so, be it that nothing has changed."""
+        """Record that the source of the endpoint list confirmed it as complete, with or without changes."""
         readiness = self.parts.safety.readiness
-        was_in_doubt = readiness.list_is_stale(now) or readiness.presumes_restarts
+        was_in_doubt = readiness.list_is_stale(now) or readiness.assumes_restarts
         readiness.on_list_heard(now)
         if was_in_doubt:
-            for worker in self._state.workers:  # a restart in the outage is told by the list itself
+            # The list itself reports restarts that happened during the outage.
+            for worker in self._state.workers:
                 worker.assumed_started_at, worker.ask_again_at = None, 0.0
-            self.questions.resume_all()
+            self.questions.resume_held_queues()
 
     def on_list_lost(self, now: float) -> None:
-        """The connection to the source of the endpoint list broke, or could not be made."""
+        """Record that the connection to the source of the endpoint list broke, or could not be made."""
         self.parts.safety.readiness.on_list_lost(now)
 
     def on_probe_finished(
         self, now: float, probe: ReadinessProbe, status: AttemptStatus, loaded_count: int = 0
     ) -> None:
-        """A probe of a readiness question ended; a load query found `loaded_count` instances."""
+        """Record the result of a readiness probe; a load query found `loaded_count` instances."""
         if status in CONNECTION_FAILURES:
             self._results.on_connection_lost(now, probe.question.instance.worker)
         self.questions.on_probe_finished(now, probe, status, loaded_count)
 
     def on_endpoints(self, now: float, workers: list[Worker], restarted: Iterable[Worker]) -> None:
-        """The endpoint list changed; `restarted` are the workers that run a new process under their id."""
+        """Apply a changed endpoint list; `restarted` are workers with a new process under their id."""
         state = self._state
         for worker in restarted:
             worker.outlier_state, worker.outlier_state_by_class = OutlierState(), defaultdict(OutlierState)
@@ -156,13 +156,11 @@
         self.parts.safety.set_workers(state.workers)
 
     def on_plan(self, plan: Plan) -> None:
-        """A plan of the instances wanted ahead of demand replaces the previous one; an empty one cancels
-        it.
-        """
+        """Replace the plan of the instances to load ahead of demand; an empty plan cancels it."""
         self._planned.replace_plan(plan)
 
     def on_tick(self, now: float) -> Function | None:
-        """The periodic work, every `tick_ms`; returns a function that the caller must forget, if there is
+        """Do the periodic work, every `tick_ms`.  Return a function that the caller must forget, if there is
         one.
         """
         self._planned.start_loads(now)
@@ -173,19 +171,19 @@
         return self._forget_unused_function(now)
 
     def terminate(self, now: float, request: Request) -> Request:
-        """The process shuts down and cannot wait for the request; returns it with its final answer."""
+        """End a request that a shutdown cannot wait for; return it with its final answer."""
         return self._lifecycle.finish(now, request, TerminationReason.SHUTTING_DOWN)
 
     # Decisions.
 
     def may_start(self, now: float, item: Attempt | LoadOrder) -> bool:
-        """Whether the first byte of a decided attempt or load order may still leave.  A question may always
-        be asked: it starts no work.
+        """Return whether the first byte of a decided attempt or load order may still be sent.  Readiness
+        questions may always be sent, as they start no work.
         """
         return self.parts.safety.may_start(now, item)
 
     def decide(self, now: float) -> Decision | None:
-        """The next decision, or None until the next input or due time."""
+        """Return the next decision, or None if there is none until the next input or due time."""
         while (item := self.timers.pop_due(now)) is not None:
             if decision := self._on_timer(now, item):
                 return decision
@@ -200,7 +198,7 @@
         return None
 
     def _on_timer(self, now: float, item: Instance | Attempt | Request) -> Decision | None:
-        """An instance may need a renewal, an attempt a hedge, a request its final answer."""
+        """Renew an instance, hedge an attempt or end a request, if that is needed at its due time."""
         if isinstance(item, Instance):
             if self.parts.instances.needs_renewal(now, item):
                 return self._lifecycle.start_load(now, item, item.loaded, DEMAND_RESERVE)
--- a/kelptrail/dispatch/entities.py
+++ b/kelptrail/dispatch/entities.py
@@ -1,6 +1,6 @@
-"""The entities that decisions are about: requests, attempts, workers, functions, instances, request classes.
+"""The entities that decisions refer to: requests, attempts, workers, functions, instances, request classes.
 
-Plain state without a decision: the other modules of this package read and write it to decide.  Objects refer
+They hold state and decide nothing: the other modules of this package read and write them.  Objects refer
 to each other directly; ids are resolved by the program that embeds a dispatcher (`kelptrail/engine`, the
 gateway). All times are milliseconds on that program's clock.
 """
@@ -13,7 +13,7 @@
 
 
 class Idempotency(Enum):
-    """What a second execution of a request does."""
+    """The effect of a second execution of a request."""
 
     IDEMPOTENT = "repeatable"
     DEDUPLICATED = "deduplicated"
@@ -21,7 +21,7 @@
 
 
 class AttemptStatus(Enum):
-    """How an attempt ended; `NEVER_RAN` lists the statuses that prove that it was not executed."""
+    """The outcome of an attempt; `NEVER_RAN` lists the outcomes that prove that it was not executed."""
 
     COMPLETED = "completed"
     ERROR = "error"
@@ -44,7 +44,7 @@
 
 
 class TerminationReason(Enum):
-    """Why a request was ended without a result."""
+    """The reason why a request ended without a result."""
 
     OVERLOAD = "queue past its bound, or shed"
     INSUFFICIENT_TIME = "too little time left"
@@ -59,8 +59,8 @@
 """A time limit that never passes."""
 
 LONG_AGO = -1e9
-"""The time of an event that has not happened yet: earlier than any time of the clock, so no pause runs from
-it."""
+"""The time of an event that has not happened yet.  It is earlier than any time of the clock, so that every
+interval counted from it has passed."""
 
 NEVER_RAN = frozenset(
     {
@@ -89,8 +89,9 @@
     latency_objective_ms: float
     priority_weight: float
     late_value_share: float = 0.0
-    deduplication_scope: str = "all"  # which workers drop a repeat between them: "all", "zone" or "cell"
-    deduplication_window_ms: float = 0.0  # for how long they drop it
+    # The workers that share deduplication: "all", or those of a "zone" or "cell".
+    deduplication_scope: str = "all"
+    deduplication_window_ms: float = 0.0  # time within which they drop a repeated request
     hedged: bool = False  # a second attempt may start while the first takes unusually long
 
 
@@ -105,7 +106,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class OutlierState:
-    """Failures of a worker as seen by this dispatcher, in one request class or over all of them."""
+    """Failures of a worker that this dispatcher observed, in one request class or over all of them."""
 
     failure_rate: float = 0.0  # share of failures among recent responses
     ejected_until: float = 0.0
@@ -114,7 +115,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Worker:
-    """A worker as the endpoint list describes it, and what this dispatcher has observed of it."""
+    """A worker: its entry in the endpoint list, and the state that this dispatcher has observed."""
 
     id: str
     zone: int = 0
@@ -123,16 +124,15 @@
     size: float = 1.0
     state: WorkerState = WorkerState.LIVE
     started_at: float | None = None  # None: a long time ago
-    attempts: dict[Attempt, None] = field(default_factory=dict)  # in flight, oldest first
+    attempts: dict[Attempt, None] = field(default_factory=dict)  # attempts in flight, oldest first
     instances: dict[Function, Instance] = field(default_factory=dict)
     load_report: dict[str, float] = field(default_factory=dict)
     load_reported_at: float = 0.0
-    recent_times: deque[float] = field(
-        default_factory=deque
-    )  # starts of attempts in slow start, else completions
+    # In slow start the start times of recent attempts, afterwards their completion times.
+    recent_times: deque[float] = field(default_factory=deque)
     pending_loads: int = 0  # load orders in flight
-    mean_in_flight: float = 0.0  # attempts in flight, moving average
-    concurrency_limit: float = 0.0  # estimated number of attempts that it can run at once
+    mean_in_flight: float = 0.0  # number of attempts in flight, moving average
+    concurrency_limit: float = 0.0  # estimated number of attempts that the worker can run at once
     silent_since: float = 0.0  # time of the last response, or of the first attempt after an idle period
     # Moving average of the time between responses while attempts are in flight.
     mean_response_gap: float = 0.0
@@ -141,22 +141,22 @@
     outlier_state_by_class: dict[RequestClass, OutlierState] = field(
         default_factory=lambda: defaultdict(OutlierState)
     )
-    out_of_capacity_until: float = 0.0  # it reported no capacity for another instance
-    foreign_in_flight: float = 0.0  # attempts of other dispatchers observed there, moving average
+    # Until then the worker counts as without capacity for another instance.
+    out_of_capacity_until: float = 0.0
+    foreign_in_flight: float = 0.0  # number of attempts of other dispatchers, moving average
     foreign_observed_at: float = 0.0
-    suspect: bool = False  # one of its attempts is overdue
-    relative_latency: float = 1.0  # its latency divided by the usual latency, moving average
-    ready_proven_at: float = (
-        LONG_AGO  # when it was asked what it last answered as a worker that does not drain
-    )
-    readiness_question: ReadinessQuestion | None = None  # the last one, in flight
-    ask_again_at: float = 0.0  # after a question that proved nothing
-    # It may be a new process since then, without the endpoint list having said so.
+    suspect: bool = False  # an attempt at the worker is overdue
+    relative_latency: float = 1.0  # latency divided by the usual latency, moving average
+    # Send time of the latest item whose answer proved that the worker does not drain.
+    ready_proven_at: float = LONG_AGO
+    readiness_question: ReadinessQuestion | None = None  # the latest question, while it is in flight
+    ask_again_at: float = 0.0  # no readiness question before this time, after one that proved nothing
+    # Since this time the worker may be a new process that the endpoint list has not reported.
     assumed_started_at: float | None = None
 
     @property
-    def presumed_start(self) -> float | None:
-        """The latest time at which it may have started; None for a long time ago."""
+    def latest_possible_start(self) -> float | None:
+        """The latest time at which the worker may have started; None for a long time ago."""
         if self.assumed_started_at is None or self.started_at is None:
             return self.started_at if self.assumed_started_at is None else self.assumed_started_at
         return max(self.started_at, self.assumed_started_at)
@@ -181,21 +181,22 @@
     memory_mb: float
     concurrency: int
     load_ms: float = 0.0  # usual duration of a load; 0: unknown
-    arrivals: deque[Request] = field(default_factory=deque)  # received, not yet admitted
+    arrivals: deque[Request] = field(default_factory=deque)  # requests received and not yet admitted
     queue: deque[Request] = field(default_factory=deque)
-    late_queue: deque[Request] = field(default_factory=deque)  # requests past their objective, served last
+    # Requests past their latency objective, served last.
+    late_queue: deque[Request] = field(default_factory=deque)
     instances: dict[Worker, Instance] = field(default_factory=dict)
     instance_limit: int = 0
-    target_worker_count: float = 1.0  # the number of preferred workers over which it spreads
+    target_worker_count: float = 1.0  # the number of preferred workers that share its load
     queued_since: float | None = None
-    ranked_workers: list[Worker] | None = None  # the list from which `preferred_workers` was computed
+    ranked_workers: list[Worker] | None = None  # the worker list that `preferred_workers` was computed from
     preferred_workers: list[Worker] = field(default_factory=list)  # workers in order of preference
-    examined_at: float = LONG_AGO  # when a worker for another instance was last searched
+    searched_at: float = LONG_AGO  # time of the last search for a worker for another instance
     last_request_at: float = 0.0
     mean_latency_ms: float = 0.0  # moving average of the latency of an attempt
     latency_deviation_ms: float = 0.0
     planned: bool = False  # the current plan places its instances
-    has_loaded: bool = False  # a worker has run it, or reported an instance of it
+    has_loaded: bool = False  # a worker has run the function, or reported a loaded instance
     failed_loads: int = 0  # loads that failed before the first instance was loaded
 
     @property
@@ -212,20 +213,20 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Instance:
-    """The loaded instances of one function at one worker, as far as this dispatcher knows."""
+    """The instances of one function at one worker, as recorded by this dispatcher."""
 
     function: Function
     worker: Worker
     loaded: int = 0
-    load_order: LoadOrder | None = None  # a load order in flight
-    # Sent without a load order, to find out whether an instance is loaded.
+    load_order: LoadOrder | None = None  # the load order in flight
+    # Attempt sent without a load order, to find out whether an instance is loaded.
     trial_attempt: Attempt | None = None
     in_flight: int = 0
     last_used_at: float = 0.0  # last start or completion of an attempt
-    idle_since: float = 0.0  # the earliest time since which it may be idle at the worker
+    idle_since: float = 0.0  # earliest time since which the worker may count the instance as idle
     unavailable_until: float = 0.0
-    not_loaded_at: float = LONG_AGO  # when an attempt last found it not loaded
-    planned_count: int = 0  # instances that the current plan places there
+    not_loaded_at: float = LONG_AGO  # time at which an attempt last found no loaded instance
+    planned_count: int = 0  # number of instances that the current plan places at the worker
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -239,14 +240,14 @@
     received_at: float
     deadline: float
     work_ms: float | None = None
-    has_idempotency_key: bool = True  # a retry by its client carries the same key
+    has_idempotency_key: bool = True  # a retry by the client carries the same key
     attempts: list[Attempt] = field(default_factory=list)
     queued: bool = False
     final_status: FinalStatus | None = None  # never changes once set
-    reason: TerminationReason | None = None  # why it was rejected or failed
-    retry_after_ms: float = 0.0  # with a rejection: when the client may retry
-    held_for_readiness: bool = False  # it has waited for a worker whose readiness was not known
-    # Its response has begun: no other attempt can complete the request.
+    reason: TerminationReason | None = None  # set if the request was rejected or failed
+    retry_after_ms: float = 0.0  # time after which a rejected client may retry
+    held_for_readiness: bool = False  # the request has waited for a worker that is known to be ready
+    # The attempt whose response has begun; no other attempt can complete the request.
     streaming_attempt: Attempt | None = None
 
 
@@ -261,39 +262,42 @@
     status: AttemptStatus | None = None
     cancelled: bool = False
     overdue: bool = False  # in flight for an unusually long time
-    first_part_at: float | None = None  # when the first part of a streamed response arrived
-    # Its first byte may not leave later: the deduplication window ends, and a slow-start budget counts it as
-    # of now.
+    first_part_at: float | None = None  # arrival time of the first part of a streamed response
+    # Latest time to send the first byte: the deduplication window ends, and the slow-start budget counts the
+    # attempt from its decision on.
     latest_start: float = NEVER
-    write_started_at: float | None = None  # when its first byte was about to leave
+    write_started_at: float | None = None  # time just before the first byte was sent
 
     @property
     def may_have_run(self) -> bool:
-        """True unless its status proves that it was not executed; one in flight may have been executed."""
+        """Whether the attempt may have been executed: always while it is in flight, later according to its
+        status.
+        """
         return self.status not in NEVER_RAN
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class LoadOrder:
-    """An order to keep at least `count` instances loaded at a worker; 0 only asks how many are loaded."""
+    """An order to keep at least `count` instances loaded at a worker; 0 only queries how many are loaded."""
 
     instance: Instance
     count: int
     placed_at: float
-    latest_start: float = NEVER  # its first byte may not leave later: the load ration counts it as of now
-    write_started_at: float | None = None  # when its first byte was about to leave
+    # Latest time to send the first byte, as the load ration counts the order from its decision on.
+    latest_start: float = NEVER
+    write_started_at: float | None = None  # time just before the first byte was sent
 
 
 class ProbeKind(Enum):
-    """What a worker is asked."""
+    """The kind of a readiness probe."""
 
     HEALTH_CHECK = "health check"
-    LOAD_QUERY = "load query"  # a load order with count 0, which only asks
+    LOAD_QUERY = "load query"  # a load order with count 0, which loads nothing
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class ReadinessProbe:
-    """One question on the wire; `status` is how it ended."""
+    """One probe of a readiness question; `status` is its outcome, None while it is in flight."""
 
     question: ReadinessQuestion
     kind: ProbeKind
@@ -302,13 +306,13 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class ReadinessQuestion:
-    """Asks a worker whether it takes new work, without starting any.  Its probes are sent together."""
+    """A query whether a worker accepts new work, which starts none.  Its probes are sent together."""
 
-    instance: Instance  # the function that the question is asked for, and the worker
+    instance: Instance  # the queried worker, and the function that needs it
     asked_at: float
     probes: list[ReadinessProbe] = field(default_factory=list)
-    write_started_at: float | None = None  # when its first byte was about to leave
-    loaded_count: int | None = None  # instances that the load query found
+    write_started_at: float | None = None  # time just before the first byte was sent
+    loaded_count: int | None = None  # number of instances that the load query found
 
 
 class LogMessage(str):
@@ -318,5 +322,5 @@
 
 
 Decision = Attempt | LoadOrder | ReadinessQuestion | Request | LogMessage
-"""What a dispatcher decides: an attempt to start (or, if `cancelled`, to cancel), a load order to send, a
-question to ask, a request with its final answer, or a line to log."""
+"""A decision of a dispatcher: an attempt to start (or, if `cancelled`, to cancel), a load order to send, a
+readiness question to send, a request with its final answer, or a line to log."""
--- a/kelptrail/dispatch/instance_table.py
+++ b/kelptrail/dispatch/instance_table.py
@@ -1,13 +1,14 @@
-"""Which instances of functions are believed to be loaded where.  Times are milliseconds."""
+"""Records which instances of functions are assumed to be loaded at which workers.  Times are milliseconds."""
 
 from __future__ import annotations
 
 from .entities import Function, Instance, Worker
 from .timer_queue import TimerQueue
 
-RENEWAL_SHARE = 0.8  # of the keep-alive: a renewal has the rest of it to arrive
+# An instance is renewed after this share of the keep-alive time; the rest is left for the renewal to arrive.
+RENEWAL_SHARE = 0.8
 RENEWAL_TOLERANCE_MS = 1.0  # a timer may fire a fraction of a millisecond before the computed time
-FIRST_USE_WEIGHT = 0.1  # of one observation in the moving average `shared_ratio`
+FIRST_USE_WEIGHT = 0.1  # weight of one observation in the moving average `shared_ratio`
 
 
 class InstanceTable:
@@ -20,14 +21,17 @@
         loads_on_demand: bool = False,
         idle_limit_ms: float = 10_000,
     ) -> None:
-        """`keep_alive_ms`: a worker keeps an idle instance for so long; `idle_limit_ms`: an instance unused
-        for so long is not renewed; `loads_on_demand`: a worker without the function loads it for an
-        attempt.
+        """Create an empty table.
+
+        A worker keeps an idle instance for `keep_alive_ms`.  An instance that was not used for
+        `idle_limit_ms` is not renewed.  With `loads_on_demand` a worker without the function loads it when an
+        attempt arrives.
         """
         self._timers = timers
         self._keep_alive_ms, self._idle_limit_ms = keep_alive_ms, idle_limit_ms
         self._loads_on_demand = loads_on_demand
-        # The recent share of instances that were already loaded, or loaded on demand, at their first use.
+        # Share of instances that were already loaded, or loaded on demand, at their first use; moving
+        # average.
         self.shared_ratio = 0.5 + loads_on_demand
 
     def observe_first_use(self, was_loaded: bool) -> None:
@@ -35,19 +39,19 @@
         self.shared_ratio += FIRST_USE_WEIGHT * ((was_loaded or self._loads_on_demand) - self.shared_ratio)
 
     def get_or_add(self, function: Function, worker: Worker) -> Instance:
-        """The instance of a function at a worker; a new one is not loaded."""
+        """Return the instance of a function at a worker; add one that is not loaded if there is none."""
         if worker not in function.instances:
             function.instances[worker] = worker.instances[function] = Instance(function, worker)
         return function.instances[worker]
 
     def set_loaded(self, now: float, instance: Instance, count: int) -> None:
-        """Record that `count` instances are loaded there, idle as of now."""
+        """Record that `count` instances are loaded and idle as of now."""
         if count and not instance.loaded:
             self._timers.add(now + RENEWAL_SHARE * self._keep_alive_ms, instance)
         instance.loaded, instance.idle_since = count, now
 
     def needs_renewal(self, now: float, instance: Instance) -> bool:
-        """Whether to renew the instance now; an instance past its keep-alive is removed."""
+        """Return whether to renew the instance now; remove an instance past its keep-alive time."""
         if instance.function.instances.get(instance.worker) is not instance:
             return False
         if instance.in_flight:
@@ -61,7 +65,7 @@
         self._timers.add(
             instance.idle_since + (1.0 if due else RENEWAL_SHARE) * self._keep_alive_ms, instance
         )
-        # Of a planned function the plan says which idle instances are kept.
+        # For a planned function the plan decides which idle instances are kept.
         used = now - instance.last_used_at < self._idle_limit_ms and not instance.function.planned
         return due and instance.load_order is None and (used or instance.planned_count > 0)
 
--- a/kelptrail/dispatch/load_results.py
+++ b/kelptrail/dispatch/load_results.py
@@ -1,4 +1,4 @@
-"""What the result of a load order changes.  Times are milliseconds."""
+"""Updates the state of a dispatcher with the result of each load order.  Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -6,14 +6,12 @@
 from .entities import AttemptStatus, Function, Instance, LoadOrder, TerminationReason
 from .request_lifecycle import RequestLifecycle
 
-REAL_LOAD_SHARE = 0.25  # an order answered in a smaller share of the load time found the instances loaded
-LOAD_TIME_WEIGHT = 0.3  # of one load in the moving average of the function's load time
+REAL_LOAD_SHARE = 0.25  # an order answered within this share of the load time found the instances loaded
+LOAD_TIME_WEIGHT = 0.3  # weight of one load in the moving average of the load time
 
 
 class LoadResults:
-    """Learns from load orders which instances are loaded, and ends requests of functions that cannot be
-    loaded.
-    """
+    """Records the results of load orders, and ends requests of functions that cannot be loaded."""
 
     def __init__(self, parts: Components, state: DispatchState, lifecycle: RequestLifecycle) -> None:
         self._safety, self._outliers = parts.safety, parts.outliers
@@ -21,8 +19,9 @@
         self._state, self._lifecycle = state, lifecycle
 
     def on_load_report(self, now: float, order: LoadOrder, status: AttemptStatus, loaded_count: int) -> None:
-        """A load order ended, with `loaded_count` instances now loaded there.  A worker out of capacity gets
-        no other order for a load time: guards against a burst of orders at workers without capacity.
+        """Record the result of a load order; `loaded_count` instances are now loaded at its worker.  A worker
+        out of capacity gets no other order for one load time, which prevents a burst of orders to workers
+        without capacity.
         """
         instance, order.instance.load_order = order.instance, None
         instance.worker.pending_loads -= 1
@@ -32,7 +31,8 @@
         self._observe_load(now, order, instance, status)
         if status in (AttemptStatus.COMPLETED, AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.ERROR):
             self._instances.set_loaded(now, instance, loaded_count)
-        # The connection was lost: the order may have arrived, and loaded instances are still assumed loaded.
+        # The connection was lost: the order may have arrived, and instances that were loaded still count as
+        # loaded.
         else:
             self._outliers.record(now, instance.worker.outlier_state, True, True)
         if not loaded_count and status not in (AttemptStatus.CONNECTION_LOST, AttemptStatus.NOT_SENT):
@@ -44,7 +44,7 @@
         self._state.runnable[instance.function] = None
 
     def _observe_load(self, now: float, order: LoadOrder, instance: Instance, status: AttemptStatus) -> None:
-        """Learn the load time, and whether the instances were loaded already, for another dispatcher."""
+        """Update the load time, and the share of instances that another dispatcher had already loaded."""
         function, duration_ms = instance.function, now - order.placed_at
         was_loading = (
             status is not AttemptStatus.COMPLETED or duration_ms > REAL_LOAD_SHARE * function.load_ms
@@ -55,8 +55,9 @@
             function.load_ms += LOAD_TIME_WEIGHT * (duration_ms - function.load_ms)
 
     def on_load_failed(self, now: float, function: Function) -> None:
-        """A function that was never loaded failed to load: its requests earn no load orders, and after a
-        second failure they are ended at once.  Guards against calls of functions that do not exist.
+        """Record a failed load of a function that was never loaded.  Its requests no longer count for the
+        load ration, and after a second failure they end at once.  Guards against calls of functions that do
+        not exist.
         """
         function.failed_loads += 1
         for request in [*function.arrivals, *function.queue, *function.late_queue]:
--- a/kelptrail/dispatch/outlier_detection.py
+++ b/kelptrail/dispatch/outlier_detection.py
@@ -1,26 +1,28 @@
-"""Judges workers by silence and failures, and ejects them for a time.  Times are milliseconds."""
+"""Ejects workers for a time because of unusual silence or failures.  Times are milliseconds."""
 
 from __future__ import annotations
 
 from .entities import Attempt, Idempotency, OutlierState, RequestClass, Worker
 
-GAP_WEIGHT = 0.05  # of one response in the moving averages of a worker's response gaps
-FAILURE_WEIGHT = 0.2  # of one response in the failure rate: two failures in a row pass 0.3, four pass 0.5
-EJECTION_FAILURE_RATE = 0.3  # a worker is ejected above this rate, and trusted again below it
-LOST_CONNECTION_FAILURE_RATE = 0.5  # the same if the connection was lost, which may be the network's fault
-OTHER_CLASS_FAILURE_RATE = 0.1  # failures in another class above this rate speak against the whole worker
-OVERDUE_FACTOR = 4  # an attempt is late after so many times its usual latency
-LOST_FACTOR = 8  # and counted as lost after so many, although the worker answers others
+GAP_WEIGHT = 0.05  # weight of one response in the moving averages of a worker's response gaps
+# Weight of one response in the failure rate: two failures in a row exceed a rate of 0.3, four exceed 0.5.
+FAILURE_WEIGHT = 0.2
+EJECTION_FAILURE_RATE = 0.3  # a worker is ejected above this rate, and no longer probed below it
+# Failure rate above which a lost connection ejects; it is higher because the network may be at fault.
+LOST_CONNECTION_FAILURE_RATE = 0.5
+OTHER_CLASS_FAILURE_RATE = 0.1  # a failure rate above this in another class counts against the worker in all
+OVERDUE_FACTOR = 4  # an attempt is late after this multiple of its usual latency
+LOST_FACTOR = 8  # after this multiple it counts as lost, although the worker answers others
 MIN_SILENCE_MS = 50  # a silence shorter than this is never unusual
-SILENCE_DEVIATIONS = 10  # a silence is unusual past the mean gap plus so many deviations
+SILENCE_DEVIATIONS = 10  # a silence is unusual past the mean gap plus this many deviations
 
 
 class OutlierDetector:
-    """Judges workers, separately for each request class, by unusual silence and by failures."""
+    """Detects workers that are unusually silent or fail, separately for each request class."""
 
     def __init__(self, ejection_ms: float = 500.0, max_ejection_ms: float = 8000.0) -> None:
-        """The first ejection lasts `ejection_ms`; each one that follows at once doubles, up to the
-        maximum.
+        """Create a detector whose first ejection of a worker lasts `ejection_ms`.  Each ejection that follows
+        without a recovery lasts twice as long, up to `max_ejection_ms`.
         """
         self._ejection_ms, self._max_ejection_ms = ejection_ms, max_ejection_ms
 
@@ -31,8 +33,8 @@
         request_class: RequestClass,
         idempotency: Idempotency | None = None,
     ) -> bool:
-        """Whether the worker may get an attempt.  After an ejection it is probed with one attempt at a time,
-        never with an at-most-once request.
+        """Return whether the worker may get an attempt.  After an ejection it is probed with one attempt at a
+        time, never with an at-most-once request.
         """
         for state in (worker.outlier_state, worker.outlier_state_by_class[request_class]):
             if now < state.ejected_until or (
@@ -53,9 +55,9 @@
         failed: bool,
         connection_lost: bool = False,
     ) -> bool:
-        """Record a response; True if it ejects, as a worker that fails fast must not look least loaded.
-        Guards against workers that fail one request class and serve the rest: the whole worker is ejected
-        only if a second class fails.
+        """Record a response; return whether it ejects the worker.  Without ejection a worker that fails fast
+        would appear to be the least loaded.  A worker that fails one request class and serves the others is
+        ejected for that class only; it is ejected for all if a second class fails.
         """
         gap, worker.silent_since = now - worker.silent_since, now
         worker.response_gap_deviation += (
@@ -80,9 +82,9 @@
         )
 
     def record(self, now: float, state: OutlierState, failed: bool, connection_lost: bool = False) -> bool:
-        """Record one success or failure; True if it ejects.  Guards against links that lose connections,
-        where the worker answers on others: a lost connection ejects above one half (four in a row), any other
-        failure as the second of two.
+        """Record one success or failure; return whether it ejects.  A lost connection ejects at a failure
+        rate above one half (four in a row), as the worker may still answer over other links; any other
+        failure ejects as the second in a row.
         """
         state.failure_rate += FAILURE_WEIGHT * (failed - state.failure_rate)
         if not failed and state.failure_rate < EJECTION_FAILURE_RATE:
@@ -91,7 +93,7 @@
         return failed and state.failure_rate > limit and self.eject(now, state)
 
     def eject(self, now: float, state: OutlierState) -> bool:
-        """Eject for the first time or for twice the previous time; False if it is ejected already."""
+        """Eject for the initial time, or for twice the previous time; return False if already ejected."""
         if now < state.ejected_until:
             return False
         state.ejection_ms = min(self._max_ejection_ms, max(self._ejection_ms, 2 * state.ejection_ms))
@@ -99,8 +101,8 @@
         return True
 
     def overdue_attempts(self, now: float, worker: Worker) -> list[Attempt]:
-        """Mark and return the attempts that are overdue: all of the worker's if its silence is unusual for
-        its response gaps, else only those that are far too late, as single responses get lost.
+        """Mark and return the attempts that are overdue: all attempts at the worker if its silence is unusual
+        for its response gaps, else only those past `LOST_FACTOR`, as single responses can get lost.
         """
         usual_ms = {
             attempt: attempt.request.function.mean_latency_ms
@@ -113,7 +115,7 @@
         ]
         if not overdue:
             return overdue
-        if self._unusually_silent(now, worker, len(overdue)):
+        if self._is_unusually_silent(now, worker, len(overdue)):
             self.eject(now, worker.outlier_state)
             overdue = list(usual_ms)
         else:
@@ -125,9 +127,9 @@
             self.record(now, worker.outlier_state_by_class[attempt.request.request_class], True)
         return overdue
 
-    def _unusually_silent(self, now: float, worker: Worker, late: int) -> bool:
-        """Whether the silence of a worker with `late` late attempts is unusual.  Guards against the ejection
-        of a worker, with all instances loaded there, for one response that is late or lost.
+    def _is_unusually_silent(self, now: float, worker: Worker, late: int) -> bool:
+        """Return whether the silence of a worker with `late` late attempts is unusual.  One response that is
+        late or lost must not eject a worker, as all instances loaded there would become unusable.
         """
         silence = now - max(worker.silent_since, worker.outlier_state.ejected_until)
         lost = sum(
--- a/kelptrail/dispatch/placement.py
+++ b/kelptrail/dispatch/placement.py
@@ -1,4 +1,4 @@
-"""Where an attempt and a new instance go.  Times are milliseconds."""
+"""Chooses the workers for attempts and for new instances.  Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from .outlier_detection import OutlierDetector
 from .safety import SafetyGuard
 
-# The counted load is multiplied by 0.3 plus the reported utilisation; a worker without a report counts as at
-# 0.7, which leaves its counted load unchanged.
+# The counted load is multiplied by 0.3 plus the reported utilisation.  A worker without a report counts with
+# a utilisation of 0.7, which leaves its counted load unchanged.
 UTILISATION_BASE = 0.3
 UNKNOWN_UTILISATION = 0.7
-MIN_HEALTH = 0.1  # so that the load of a worker that always fails stays finite
-FOREIGN_LOAD_WEIGHT = 0.3  # of one observation in the moving average of other dispatchers' attempts
-FOREIGN_LOAD_AGE_MS = 10_000  # an observation loses its weight over this time
-LOAD_REPORT_AGE_MS = 10_000  # a load report says nothing any more after this time
+MIN_HEALTH = 0.1  # keeps the load of a worker that always fails finite
+FOREIGN_LOAD_WEIGHT = 0.3  # weight of one observation in the moving average of other dispatchers' attempts
+FOREIGN_LOAD_AGE_MS = 10_000  # an observation decays to zero over this time
+LOAD_REPORT_AGE_MS = 10_000  # a load report is ignored after this time
 NO_REPORT: dict[str, float] = {}
-MAX_SPREAD_FACTOR = 4.0  # one response raises the number of a function's workers by at most this factor
-SPREAD_DECAY = 0.75  # and lowers it to no less than this share
-OTHER_ZONE_LOAD = 0.5  # the extra load for which an attempt goes to another zone
-# Late requests use this share of a concurrency limit, so that others do not get late too.
+MAX_SPREAD_FACTOR = 4.0  # one response multiplies the number of a function's workers by at most this factor
+SPREAD_DECAY = 0.75  # one response lowers the number of a function's workers to no less than this share
+OTHER_ZONE_LOAD = 0.5  # load added to workers of other zones in a comparison
+# Late requests use only this share of a concurrency limit, so that they do not delay requests in time.
 LATE_LIMIT_SHARE = 0.5
-# Loads within this multiple of the mean are equal, so that dispatchers choose the same workers.
+# Loads are compared in steps of this multiple of the mean, so that dispatchers choose the same workers.
 LOAD_STEP = 3.0
-MEAN_LOAD_INTERVAL_MS = 200  # CPU: the loads of a large fleet are not averaged for each load order
+MEAN_LOAD_INTERVAL_MS = 200  # saves CPU: averaging over a large fleet for each load order is expensive
 
 
 class WorkerChoice(NamedTuple):
@@ -37,7 +37,7 @@
 
 
 class Placement:
-    """Chooses workers by load: own attempts in flight plus reports, relative to size, age and health."""
+    """Chooses workers by load: own attempts in flight and reported load, relative to size, age and health."""
 
     def __init__(self, safety: SafetyGuard, outliers: OutlierDetector, zone: int, seed: int) -> None:
         self._safety, self._outliers, self._zone, self._seed = safety, outliers, zone, seed
@@ -45,8 +45,9 @@
         self._mean_load, self._mean_load_at = 1.0, LONG_AGO
 
     def load(self, now: float, worker: Worker, request_class: RequestClass | None = None) -> float:
-        """The load of a worker, comparable between workers; without a unit."""
-        # A worker that reported a high load and is avoided for it reports nothing else.
+        """Return the load of a worker relative to its size; it has no unit."""
+        # A worker that is avoided for a high reported load gets no attempts and sends no new report, so that
+        # old reports must expire.
         report = worker.load_report if now - worker.load_reported_at < LOAD_REPORT_AGE_MS else NO_REPORT
         busy = 1 + len(worker.attempts) + worker.mean_in_flight + worker.pending_loads + report.get("x1", 0.0)
         utilisation = report.get("util", UNKNOWN_UTILISATION)
@@ -62,9 +63,9 @@
         return busy / (worker.size * self._safety.capacity_factor(now, worker) * health)
 
     def observe_foreign_load(self, now: float, instance: Instance, foreign_in_flight: float) -> None:
-        """Record how many attempts of other dispatchers a response reported.  Guards against dispatchers that
-        cannot communicate and crowd one worker with a hot function: it spreads over more workers until it
-        finds free slots.
+        """Record how many attempts of other dispatchers a response reported.  Dispatchers do not communicate
+        and could overload one worker with a hot function; the function therefore spreads over more workers
+        until there are free slots.
         """
         function, worker = instance.function, instance.worker
         share = foreign_in_flight / min(
@@ -83,19 +84,19 @@
         worker.foreign_observed_at = now
 
     def foreign_load(self, now: float, worker: Worker) -> float:
-        """The estimated number of other dispatchers' attempts in flight at the worker."""
+        """Return the estimated number of other dispatchers' attempts in flight at the worker."""
         age = now - worker.foreign_observed_at
         return worker.foreign_in_flight * max(0.0, 1 - age / FOREIGN_LOAD_AGE_MS)
 
     def find_slot(self, now: float, request: Request, late: bool) -> Instance | None:
-        """The least loaded instance with a free concurrency slot, in the own zone if loads are alike."""
+        """Return the least loaded instance with a free concurrency slot, preferably in the own zone."""
         return self._find_slot(now, request, late, self._safety.may_attempt)
 
     def find_unproven_slot(self, now: float, request: Request, late: bool) -> Instance | None:
-        """The same among workers that may first have to be asked whether they are ready."""
+        """Return an instance as `find_slot` does, also at workers whose readiness has to be queried first."""
 
         def may_attempt(now: float, request: Request, worker: Worker) -> bool:
-            """Whether an attempt may start there, at once or after the answer to a question."""
+            """Return whether an attempt may start, now or after the answer to a readiness question."""
             readiness = self._safety.readiness
             return readiness.may_become_known(now, worker) and self._safety.may_attempt_once_ready(
                 now, request, worker
@@ -129,7 +130,7 @@
         return best
 
     def choose_worker(self, now: float, function: Function, workers: list[Worker]) -> WorkerChoice:
-        """The worker for a new instance, and whether its load is below the mean."""
+        """Return the worker for a new instance, and whether its load is below the mean."""
         if function.ranked_workers != workers:
             _rank_workers(function, workers)
         if now >= self._mean_load_at + MEAN_LOAD_INTERVAL_MS:
@@ -167,8 +168,8 @@
 
 
 def _rank_workers(function: Function, workers: list[Worker]) -> None:
-    """Rank the workers by a hash of function and worker, the same at all dispatchers, so that they share
-    instances without communicating (rendezvous hashing).
+    """Rank the workers by a hash of function and worker (rendezvous hashing).  All dispatchers compute the
+    same order, so that they share instances without communicating.
     """
     function.ranked_workers, base = workers, crc32(f"{function.id} ".encode())
     function.preferred_workers = sorted(workers, key=lambda w: (crc32(w.id.encode(), base), w.id))
--- a/kelptrail/dispatch/planned_placement.py
+++ b/kelptrail/dispatch/planned_placement.py
@@ -1,4 +1,4 @@
-"""Loads ahead of demand, at the workers that a plan names.  Times are milliseconds."""
+"""Loads instances ahead of demand, at the workers that a plan names.  Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from .request_lifecycle import RequestLifecycle
 
 Plan = dict[Function, dict[Worker, int]]
-"""How many instances of a function are wanted at a worker."""
+"""The wanted number of instances by function and worker."""
 
-INSTANCES_EXAMINED = 16  # CPU: a plan of thousands of instances is examined in portions
+INSTANCES_EXAMINED = 16  # saves CPU: a plan of thousands of instances is examined in portions of this size
 DEMAND_RESERVE = 0.5  # the share of the load ration that is left for queued requests
 
 
 class PlannedPlacement:
-    """Follows the current plan.  It is a hint: instances for queued requests are loaded first and beyond it,
-    and each load order is subject to the safety rules.
+    """Places instances according to the current plan.  The plan is a hint: queued requests have precedence
+    and may load instances that it does not contain, and each load order is subject to the safety rules.
     """
 
     def __init__(self, parts: Components, state: DispatchState, lifecycle: RequestLifecycle) -> None:
@@ -28,7 +28,7 @@
         self._unexamined = deque[Instance]()
 
     def replace_plan(self, plan: Plan) -> None:
-        """Follow this plan instead of the previous one; an empty one cancels it."""
+        """Replace the current plan; an empty plan cancels it."""
         for instance in self._planned:
             instance.planned_count, instance.function.planned = 0, False
         self._planned = {}
@@ -41,13 +41,13 @@
         self._unexamined = deque(self._planned)
 
     def start_loads(self, now: float) -> None:
-        """Order the instances that the plan still lacks, as far as the ration allows."""
+        """Order planned instances that are not loaded yet, as far as the load ration allows."""
         while self._unexamined and (order := self._next_load(now)):
             self._state.decisions.append(order)
 
     def planned_worker(self, now: float, function: Function) -> WorkerChoice | None:
-        """A worker at which the plan lacks an instance.  Guards against dispatchers that each choose another
-        worker after a release and load the function everywhere.
+        """Return a worker with fewer instances of the function than planned, or None.  Guards against
+        dispatchers that each choose another worker after a release and so load the function everywhere.
         """
         if function.planned:
             for instance in function.instances.values():
@@ -62,8 +62,8 @@
         return None
 
     def _next_load(self, now: float) -> LoadOrder | None:
-        """The next load ahead of demand; workers in slow start, ejected or out of capacity are passed
-        over.
+        """Return the next load order ahead of demand.  Skip workers that are in slow start, ejected or out of
+        capacity.
         """
         for _ in range(min(INSTANCES_EXAMINED, len(self._unexamined))):
             instance, worker = self._unexamined[0], self._unexamined[0].worker
@@ -81,7 +81,7 @@
                 or not self._safety.readiness.is_known(now, worker)
             ):
                 continue
-            if instance.function.instances.get(worker) is not instance:  # removed from the table since
+            if instance.function.instances.get(worker) is not instance:  # it was removed from the table
                 instance.function.instances[worker] = worker.instances[instance.function] = instance
             return self._lifecycle.start_load(now, instance, instance.planned_count, DEMAND_RESERVE)
         return None
--- a/kelptrail/dispatch/queue_service.py
+++ b/kelptrail/dispatch/queue_service.py
@@ -13,23 +13,24 @@
 from .readiness_questions import ReadinessQuestions
 from .request_lifecycle import RequestLifecycle
 
-SEARCH_PAUSE_MS = 25.0  # CPU: a worker for a queued function is searched only so often
-LOAD_PATIENCE = 1.5  # a load in progress counts as coming slots for so many load times
-LATE_SHARE = 0.5  # a request is late if half of the mean latency from now is past its objective
-TRIAL_RATIO = 0.5  # above this share of instances already loaded, an attempt is worth more than a load order
+SEARCH_PAUSE_MS = 25.0  # saves CPU: minimum time between two searches of a worker for a queued function
+LOAD_TIMEOUT_FACTOR = 1.5  # a load in progress counts as future slots for this multiple of the load time
+LATE_SHARE = 0.5  # a request is late if it would miss its objective after this share of the mean latency
+# Above this share of instances that others had already loaded, a trial attempt is sent before a load order.
+TRIAL_RATIO = 0.5
 
 
 class Supply(NamedTuple):
-    """What the instances of a function offer, now and soon."""
+    """Capacity of the instances of a function, now and after the loads in progress."""
 
-    slots: int  # concurrency slots usable from here
+    slots: int  # concurrency slots that this dispatcher may use
     loading_slots: int  # slots of instances that are being loaded
-    instances: int  # usable or being loaded
-    workers: int  # with an instance loaded or being loaded
+    instances: int  # instances that are usable or being loaded
+    workers: int  # workers with an instance loaded or being loaded
 
 
 class QueueService:
-    """Decides for one function after the other what its queue needs."""
+    """Makes the decisions that the queue of a function needs, one function at a time."""
 
     def __init__(
         self,
@@ -52,11 +53,11 @@
         }
 
     def serve(self, now: float, function: Function) -> Decision | None:
-        """The next decision about the function, or None if it needs none now."""
+        """Return the next decision about the function, or None if it needs none now."""
         if not (function.arrivals or function.queue_depth) and (
-            function.target_worker_count < 2 or now < function.examined_at + function.load_ms
+            function.target_worker_count < 2 or now < function.searched_at + function.load_ms
         ):
-            function.queued_since = None  # CPU: most responses leave nothing to decide
+            function.queued_since = None  # saves CPU: most responses leave nothing to decide
             return None
         supply = self._supply(now, function)
         slots = supply.slots + supply.loading_slots
@@ -67,18 +68,18 @@
         if function.queue_depth:
             self._queued_functions[function] = None
             wanted, pause_ms = function.queue_depth > slots, SEARCH_PAUSE_MS
-        else:  # instances crowded by other dispatchers count as a queue
+        else:  # instances that other dispatchers keep busy count as a queue
             function.queued_since = None
             wanted = 0 < supply.workers < int(function.target_worker_count)
             pause_ms = function.load_ms
-        if not wanted or now < function.examined_at + pause_ms:
+        if not wanted or now < function.searched_at + pause_ms:
             return None
-        function.examined_at = now
+        function.searched_at = now
         return self._add_instance(now, function, supply.instances)
 
     def _supply(self, now: float, function: Function) -> Supply:
-        """Count what may be used from here: ejected and suspect workers, and those without budget, do not
-        count.
+        """Count the capacity that this dispatcher may use, without ejected or suspect workers and without
+        workers whose slow-start budget is used up.
         """
         slots = loading_slots = instances = workers = 0
         concurrency, request_class = function.concurrency, function.request_class
@@ -93,14 +94,14 @@
             usable = usable and self._safety.has_budget(now, worker)
             free = max(0, int(worker.concurrency_limit) - len(worker.attempts))
             slots += min(instance.loaded * concurrency, instance.in_flight + free) * usable
-            if usable and order and now - order.placed_at < LOAD_PATIENCE * function.load_ms:
+            if usable and order and now - order.placed_at < LOAD_TIMEOUT_FACTOR * function.load_ms:
                 loading_slots += loading * concurrency
             instances += instance.loaded * usable + loading
             workers += instance.loaded + loading > 0
         return Supply(slots, loading_slots, instances, workers)
 
     def _admit(self, now: float, function: Function, slots: int) -> Request | None:
-        """Move arrivals into the queue; returns the first that is rejected."""
+        """Move arrivals into the queue; return the first one that is rejected."""
         while function.arrivals:
             if (request := function.arrivals.popleft()).final_status:
                 continue
@@ -108,22 +109,22 @@
                 return self._lifecycle.finish(now, request, TerminationReason.OVERLOAD)
             if now >= self._queues.latest_start(request):
                 return self._lifecycle.finish(now, request, TerminationReason.INSUFFICIENT_TIME)
-            if self._readiness_is_lost(now):
+            if self._cannot_prove_readiness(now):
                 return self._lifecycle.finish(now, request, TerminationReason.READINESS_UNKNOWN)
             function.queue.append(request)
             request.queued = True
             self._lifecycle.check_deadline(now, request)
         return None
 
-    def _readiness_is_lost(self, now: float) -> bool:
-        """Whether the list is stale, no worker may be asked, and none has proven its readiness of late."""
+    def _cannot_prove_readiness(self, now: float) -> bool:
+        """Return whether the list is stale, no probe is allowed, and no recent answer proves readiness."""
         readiness = self._safety.readiness
         if not readiness.list_is_stale(now) or readiness.probe_kinds:
             return False
         return not any(readiness.is_known(now, worker) for worker in self._state.workers if worker.live)
 
     def _serve_queue(self, now: float, function: Function) -> Attempt | ReadinessQuestion | Request | None:
-        """The next attempt, or a request that can have none; None if no slot is free."""
+        """Return the next attempt, or a request that can have none; None if no slot is free."""
         while queue := function.queue or function.late_queue:
             request = queue[0]
             if (
@@ -150,17 +151,19 @@
                 function.late_queue.append(queue.popleft())
                 continue
             if (instance := self._placement.find_slot(now, request, queue is function.late_queue)) is None:
-                return self._without_slot(now, request, queue is function.late_queue)
+                return self._query_or_reject(now, request, queue is function.late_queue)
             return self._lifecycle.start_attempt(now, request, instance)
         return None
 
-    def _without_slot(self, now: float, request: Request, late: bool) -> ReadinessQuestion | Request | None:
-        """Ask a worker with a free slot whether it is ready, if the list no longer says so; end the request
-        if no worker can prove it.
+    def _query_or_reject(
+        self, now: float, request: Request, late: bool
+    ) -> ReadinessQuestion | Request | None:
+        """Query a worker with a free slot for its readiness if the endpoint list is stale; end the request if
+        no worker can prove its readiness.
         """
         if not self._safety.readiness.list_is_stale(now):
             return None
-        if self._readiness_is_lost(now) and all(attempt.status for attempt in request.attempts):
+        if self._cannot_prove_readiness(now) and all(attempt.status for attempt in request.attempts):
             function = request.function
             (function.late_queue if late else function.queue).popleft()
             request.queued = False
@@ -169,15 +172,15 @@
         return None if instance is None else self._questions.ask(now, request.function, instance.worker)
 
     def _add_instance(self, now: float, function: Function, count: int) -> Decision | None:
-        """Load another instance, or find out with an attempt whether one is loaded already; `count` there
-        are.
+        """Load another instance, or find out with an attempt whether one is loaded already; the function has
+        `count` instances.
         """
         choice = self._planned.planned_worker(now, function) or self._placement.choose_worker(
             now, function, self._state.workers
         )
         if choice.worker is None:
             if self._safety.readiness.list_is_stale(now):
-                self._questions.hold(function)
+                self._questions.hold_queue(function)
             return None
         if count >= self._queues.instance_limit(now, function, choice.below_mean_load):
             return None
@@ -199,10 +202,12 @@
             return attempt
         if order := self._lifecycle.start_load(now, instance, instance.loaded + 1):
             return order
-        return self._without_ration(now, instance, unknown)
+        return self._try_without_load_order(now, instance, unknown)
 
-    def _without_ration(self, now: float, instance: Instance, unknown: bool) -> Attempt | None:
-        """No load order is allowed: try the instance if nothing is known of it, else give it up for now."""
+    def _try_without_load_order(self, now: float, instance: Instance, unknown: bool) -> Attempt | None:
+        """Handle a load order that the ration does not allow: send a trial attempt if it is unknown whether
+        an instance is loaded, else suspend or remove the instance.
+        """
         function = instance.function
         if now < instance.not_loaded_at + function.load_ms:
             instance.unavailable_until = instance.not_loaded_at + function.load_ms
@@ -216,8 +221,8 @@
 
     def _trial_attempt(self, now: float, instance: Instance) -> Attempt | None:
         """Send the first queued request to an instance that another dispatcher has probably loaded; if it is
-        not loaded, a load order follows.  Guards against spending a small ration on instances that are
-        loaded, with none left for those that are not.
+        not loaded, a load order follows.  This avoids spending a small load ration on instances that are
+        already loaded.
         """
         function = instance.function
         self._instances.set_loaded(now, instance, 1)
--- a/kelptrail/dispatch/readiness.py
+++ b/kelptrail/dispatch/readiness.py
@@ -1,10 +1,10 @@
-"""How long what is known of a worker's readiness may be relied on, and where it comes from.
+"""Decides how long a worker counts as ready according to the endpoint list or its own answers.
 
-The endpoint list tells which workers drain.  What it would have told counts as notified some time after it
-was last heard, whether it can be reached or not; past that, and the grace for new work, only the worker
-itself can prove that it does not drain.  Proof is an answer that a draining worker would not have given, and
-it is as old as its question.  Times are milliseconds.  Source: the platform's protocol pages, rule on
-draining workers.
+The endpoint list reports which workers drain.  A change of the list counts as notified a fixed time after the
+list was last confirmed, whether its source is reachable or not.  After that time and the grace time for new
+work, only the worker itself can prove that it does not drain.  The proof is an answer that a draining worker
+would not have given; it is dated from the time its question was sent.  Times are milliseconds.  Source: the
+platform's protocol pages, rule on draining workers.
 """
 
 from __future__ import annotations
@@ -15,91 +15,95 @@
 
 from .entities import LONG_AGO, NEVER, Attempt, AttemptStatus, Idempotency, LoadOrder, ProbeKind, Worker
 
-EARLY_SHARE = (
-    0.1  # of the notification time: each process stops relying on its list earlier by its own part of this
-)
-# Of the notification time without a word of the list: it may be out of reach.
-PRESUMED_OUTAGE_SHARE = 0.5
-ANSWER_PATIENCE_MS = 100.0  # a worker that did not answer a question by then is passed over
+# Each process stops relying on its list earlier, by its own fraction of this share of the notification time,
+# so that processes do not do so all at once.
+EARLY_SHARE = 0.1
+# The list may be unreachable once it was not confirmed for this share of the notification time.
+ASSUMED_OUTAGE_SHARE = 0.5
+ANSWER_TIMEOUT_MS = 100.0  # a worker that has not answered a question within this time is skipped
 CRC_RANGE = 2**32
 
 
 @dataclass(frozen=True, slots=True)
 class ReadinessLimits:
-    """How old what the endpoint list said may become."""
+    """Time limits on the use of an endpoint list that is no longer confirmed."""
 
-    notification_ms: float = NEVER  # a change counts as notified so long after the list was last heard
-    # The same after a connection to the list broke.
+    # A change counts as notified when this time has passed since the list was last confirmed.
+    notification_ms: float = NEVER
+    # A change counts as notified when this time has passed since the connection to the list broke.
     broken_notification_ms: float = NEVER
-    drain_grace_ms: float = 0.0  # new work may start so long after the notification
-    # What may be asked of a worker without starting work; a ready worker answers all of it.
+    drain_grace_ms: float = 0.0  # time after a notification during which new work may still start
+    # Probes that may be sent to a worker; they start no work, and a ready worker answers all of them.
     probe_kinds: Sequence[ProbeKind] = ()
 
 
 class Readiness:
-    """Whether new work may still start at a worker, as far as its readiness is known."""
+    """Decides whether the readiness of a worker is known, so that new work may start there."""
 
     def __init__(self, limits: ReadinessLimits, seed: int = 0) -> None:
         self._limits = limits
         early_share = EARLY_SHARE * crc32(f"{seed} readiness".encode()) / CRC_RANGE
         self._notification_ms = limits.notification_ms * (1 - early_share)
-        self._heard_at = LONG_AGO
-        self.presumes_restarts = False  # of workers whose connection was lost since the list was last heard
-        self._notified_at = NEVER  # when a change that the list could not tell counts as notified
+        self._confirmed_at = LONG_AGO
+        # Whether a worker lost its connection since the list was last confirmed and may have restarted.
+        self.assumes_restarts = False
+        self._notified_at = NEVER  # time from which on an unreported change counts as notified
 
     @property
     def probe_kinds(self) -> Sequence[ProbeKind]:
-        """What may be asked of a worker."""
+        """The probes that may be sent to a worker."""
         return self._limits.probe_kinds
 
     @property
     def proof_lifetime_ms(self) -> float:
-        """How long a proof of readiness lasts, from its question on."""
+        """The time for which a proof of readiness is valid, counted from its question."""
         return self._limits.drain_grace_ms
 
     @property
     def list_expires_at(self) -> float:
-        """From when on new work needs a worker's own proof."""
+        """The time from which on new work needs a proof of readiness from the worker."""
         return self._notified_at + self._limits.drain_grace_ms
 
     def on_list_heard(self, now: float) -> None:
-        """The endpoint list is complete as of now."""
-        self._heard_at, self._notified_at = now, now + self._notification_ms
-        self.presumes_restarts = False
+        """Record that the endpoint list is complete as of now."""
+        self._confirmed_at, self._notified_at = now, now + self._notification_ms
+        self.assumes_restarts = False
 
     def on_list_lost(self, now: float) -> None:
-        """The connection to the endpoint list broke, or could not be made."""
+        """Record that the connection to the endpoint list broke, or could not be made."""
         self._notified_at = min(self._notified_at, now + self._limits.broken_notification_ms)
 
     def on_initial_list(self, now: float) -> None:
-        """A list from the configuration or the disk was applied.  Its age is unknown, so a change since then
-        counts as notified already.
+        """Record that a list from the configuration or the disk was applied.  Its age is unknown, so that a
+        change since then already counts as notified.
         """
         if self._limits.notification_ms < NEVER:
-            self._heard_at, self._notified_at = LONG_AGO, now
+            self._confirmed_at, self._notified_at = LONG_AGO, now
 
     def list_is_stale(self, now: float) -> bool:
-        """Whether the list alone allows no new work any more."""
+        """Return whether the list alone no longer allows new work."""
         return now >= self.list_expires_at
 
     def is_known(self, now: float, worker: Worker) -> bool:
-        """Whether new work may start at a worker that the list has as live."""
+        """Return whether new work may start at a worker that is live in the list."""
         return now < max(self._notified_at, worker.ready_proven_at) + self._limits.drain_grace_ms
 
     def may_become_known(self, now: float, worker: Worker) -> bool:
-        """Whether the worker's readiness is known, or soon may be: by an answer that is due, or by asking.
-        Guards against requests that wait for a worker that hangs while others would answer.
+        """Return whether the worker's readiness is known or can soon be: through the answer to a question in
+        flight, or by sending one.  A worker that does not answer is excluded, so that requests do not wait
+        for it while others would answer.
         """
         if self.is_known(now, worker):
             return True
         question = worker.readiness_question
-        hangs = question is not None and now >= question.asked_at + ANSWER_PATIENCE_MS
+        hangs = question is not None and now >= question.asked_at + ANSWER_TIMEOUT_MS
         return bool(self.probe_kinds) and not hangs and now >= worker.ask_again_at
 
     def on_answer(self, item: Attempt | LoadOrder, status: AttemptStatus) -> bool:
-        """Record what an answer proves; True if it proves that the worker was ready when it was asked.  A
-        draining worker turns new work away; it may repeat the answer to a deduplicated request, and a missing
-        instance, an error or a rejection may come from any worker.
+        """Record an answer; return whether it proves that the worker was ready when the item was sent.  A
+        draining worker refuses new work, so that a completed attempt or load order is a proof.  The answer to
+        a deduplicated request is none, as a draining worker may repeat it; nor is a missing instance, an
+        error or a rejection, which any worker may return.
         """
         if status is not AttemptStatus.COMPLETED:
             return False
@@ -112,11 +116,15 @@
         return True
 
     def on_connection_lost(self, now: float, worker: Worker) -> bool:
-        """A connection to the worker was refused, or ended under an item.  True if the list could not tell by
-        now that the worker was started anew: it counts as started now, and has to prove its readiness again.
+        """Record that a connection to the worker was refused, or was lost with an item in flight.  Return
+        whether the worker may have restarted without a report of the list; it then counts as started now, and
+        has to prove its readiness again.
         """
-        if self._notified_at == NEVER or now < self._heard_at + PRESUMED_OUTAGE_SHARE * self._notification_ms:
+        if (
+            self._notified_at == NEVER
+            or now < self._confirmed_at + ASSUMED_OUTAGE_SHARE * self._notification_ms
+        ):
             return False
         worker.ready_proven_at, worker.assumed_started_at = LONG_AGO, now
-        self.presumes_restarts = True
+        self.assumes_restarts = True
         return True
--- a/kelptrail/dispatch/request_lifecycle.py
+++ b/kelptrail/dispatch/request_lifecycle.py
@@ -1,5 +1,5 @@
-"""The steps of a request: attempts and loads are started, attempts cancelled, requests requeued and finished
-here.
+"""Carries out the steps of a request: starts attempts and loads, cancels attempts, requeues and finishes
+requests.
 
 Times are milliseconds.
 """
@@ -9,11 +9,11 @@
 from .components import Components, DispatcherOptions, DispatchState
 from .entities import Attempt, FinalStatus, Instance, LoadOrder, Request, TerminationReason
 
-FINAL_ANSWER_MARGIN_MS = 5  # a request without a result is finished so long before its deadline
+FINAL_ANSWER_MARGIN_MS = 5  # time before the deadline at which a request without a result is finished
 
 
 class RequestLifecycle:
-    """Starts attempts and loads, and ends what must end."""
+    """Starts attempts and loads, cancels attempts, and requeues or finishes requests."""
 
     def __init__(self, parts: Components, state: DispatchState, options: DispatcherOptions) -> None:
         self._safety, self._queues, self._timers = parts.safety, parts.queues, parts.timers
@@ -23,7 +23,7 @@
     def start_load(
         self, now: float, instance: Instance, count: int, reserve: float = 0.0
     ) -> LoadOrder | None:
-        """Order `count` instances, if the ration allows it with the share `reserve` left over."""
+        """Order `count` instances if the load ration, reduced by the share `reserve`, allows it."""
         instance.load_order = self._safety.start_load(now, instance, count, reserve)
         instance.worker.pending_loads += instance.load_order is not None
         return instance.load_order
@@ -42,7 +42,9 @@
         return attempt
 
     def finish(self, now: float, request: Request, reason: TerminationReason) -> Request:
-        """End the request without a result; a rejection names when the missing capacity may be available."""
+        """End the request without a result.  The Retry-After of a rejection is the load time of the function
+        (up to the configured maximum), after which capacity may be available.
+        """
         request.reason = reason
         if request.held_for_readiness and not request.attempts:
             request.reason = TerminationReason.READINESS_UNKNOWN
@@ -57,17 +59,19 @@
         self._timers.add(deadline - FINAL_ANSWER_MARGIN_MS, request)
 
     def check_deadline(self, now: float, request: Request) -> Request | None:
-        """End the request if its time is over, else set a timer for the next check.  Guards against requests
-        that can no longer start an attempt and wait behind others in the queue.
+        """End the request if its time is over, else set a timer for the next check.  A queued request that
+        can no longer start an attempt ends even if other requests are ahead of it in the queue.
         """
-        closes_at = now
+        give_up_at = now
         if request.queued:
-            closes_at = min(self._queues.latest_start(request), self._safety.retry_closes_at(request))
+            give_up_at = min(self._queues.latest_start(request), self._safety.latest_retry_at(request))
         if now >= request.deadline - FINAL_ANSWER_MARGIN_MS or (
-            request.queued and now >= closes_at and all(attempt.status for attempt in request.attempts)
+            request.queued and now >= give_up_at and all(attempt.status for attempt in request.attempts)
         ):
             return self.finish(now, request, TerminationReason.DEADLINE_EXCEEDED)
-        self._timers.add(closes_at if closes_at > now else request.deadline - FINAL_ANSWER_MARGIN_MS, request)
+        self._timers.add(
+            give_up_at if give_up_at > now else request.deadline - FINAL_ANSWER_MARGIN_MS, request
+        )
         return None
 
     def requeue(self, now: float, request: Request) -> None:
@@ -84,7 +88,7 @@
             self._state.decisions.append(ended)
 
     def cancel_attempts(self, request: Request, keep: Attempt | None = None) -> None:
-        """Cancel the attempts in flight except `keep`, where the deployment can cancel."""
+        """Cancel the attempts in flight except `keep`, if the deployment allows cancellation."""
         for attempt in request.attempts:
             if self._can_cancel and attempt is not keep and attempt.status is None and not attempt.cancelled:
                 attempt.cancelled = True
--- a/kelptrail/dispatch/safety.py
+++ b/kelptrail/dispatch/safety.py
@@ -1,5 +1,6 @@
-"""The five rules, enforced where every attempt, load order and final answer passes.  Times are
-milliseconds.
+"""Enforces the five rules at the one place where attempts, load orders and final answers are created.
+
+Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -22,19 +23,17 @@
 from .sliding_window import drop_until
 from .slow_start import SlowStart, SlowStartSettings
 
-DEDUPLICATION_MARGIN_MS = 20.0  # a retry is sent so long before the workers forget the first attempt
-MAX_LOAD_COUNT = 16  # the most instances that one load order may name
+DEDUPLICATION_MARGIN_MS = 20.0  # minimum time from a retry to the end of the deduplication window
+MAX_LOAD_COUNT = 16  # maximum number of instances in one load order
 
 
 @dataclass(frozen=True, slots=True)
 class LoadRation:
-    """How many load orders one dispatcher may send.  The order of the fields is that of the platform's
-    settings.
-    """
+    """The limit on the load orders of one dispatcher.  The fields are in the order of the platform's keys."""
 
     loads_allowed: bool  # the platform accepts load orders at all
-    free_loads: float  # load orders in a window without any request
-    loads_per_request: float  # and so many more for each request in the window
+    free_loads: float  # load orders allowed in a window without requests
+    loads_per_request: float  # further load orders for each request in the window
     window_ms: float  # 0: no limit
 
 
@@ -66,7 +65,7 @@
         self._load_times, self.request_times = deque[float](), deque[float]()
 
     def accepts_attempt(self, now: float, request: Request) -> bool:
-        """Rules 1 and 2, as far as they do not depend on the worker."""
+        """Return whether rules 1 and 2 allow another attempt, as far as they do not depend on the worker."""
         in_flight = sum(attempt.status is None for attempt in request.attempts)
         if (
             request.final_status
@@ -75,11 +74,11 @@
             or in_flight > self._parallel_attempts
         ):
             return False
-        return now < min(request.deadline, self.retry_closes_at(request))
+        return now < min(request.deadline, self.latest_retry_at(request))
 
-    def retry_closes_at(self, request: Request) -> float:
-        """From when another execution would have a second effect, provided it stays in the deduplication
-        scope.
+    def latest_retry_at(self, request: Request) -> float:
+        """Return the time from which another execution would have a second effect, even within the
+        deduplication scope.
         """
         if (
             request.request_class.idempotency is Idempotency.IDEMPOTENT
@@ -94,24 +93,24 @@
         )
 
     def may_attempt(self, now: float, request: Request, worker: Worker) -> bool:
-        """Whether an attempt of the request may start at the worker now."""
+        """Return whether an attempt of the request may start at the worker now."""
         return self.readiness.is_known(now, worker) and self.may_attempt_once_ready(now, request, worker)
 
     def may_attempt_once_ready(self, now: float, request: Request, worker: Worker) -> bool:
-        """Whether an attempt may start at the worker now if the worker does not drain."""
+        """Return whether an attempt may start at the worker now, provided that the worker does not drain."""
         if not worker.live or not self.accepts_attempt(now, request):
             return False
-        if request.request_class.idempotency is Idempotency.DEDUPLICATED and not _drops_repeat(
+        if request.request_class.idempotency is Idempotency.DEDUPLICATED and not _deduplicates_retry(
             request, worker
         ):
             return False
         return self.has_budget(now, worker)
 
     def start_attempt(self, now: float, request: Request, instance: Instance) -> Attempt | None:
-        """The next attempt of the request, or None if the rules do not allow it."""
+        """Create the next attempt of the request; return None if the rules do not allow it."""
         if not self.may_attempt(now, request, instance.worker):
             return None
-        latest_start = self.retry_closes_at(request)
+        latest_start = self.latest_retry_at(request)
         if self.capacity_factor(now, instance.worker) < 1:
             instance.worker.recent_times.append(now)
             latest_start = min(latest_start, now + (self._max_delivery_ms or NEVER))
@@ -122,8 +121,8 @@
     def start_load(
         self, now: float, instance: Instance, count: int, reserve: float = 0.0
     ) -> LoadOrder | None:
-        """A load order within the ration, or None; the share `reserve` of the ration is left for other loads.
-        Guards against orders that wait for a connection and
+        """Create a load order within the load ration, or return None.  The share `reserve` of the ration is
+        left for other loads.  The order has a latest start, so that orders that wait for a connection do not
         arrive together with those of the next window.
         """
         if not self._loads_allowed or not self.readiness.is_known(now, instance.worker):
@@ -143,9 +142,9 @@
         return True
 
     def may_start(self, now: float, item: Attempt | LoadOrder) -> bool:
-        """Whether the first byte of a decided attempt or load order may still leave.  Guards against what
-        changed while it waited for a connection: the client disconnected, a response, a draining worker, a
-        worker whose readiness was known when it was decided and is no longer, a time limit.
+        """Return whether the first byte of a decided attempt or load order may still be sent.  While it
+        waited for a connection the client may have disconnected, a response may have arrived, the worker may
+        drain or no longer be known to be ready, or a time limit may have passed.
         """
         worker = item.instance.worker
         if not (worker.live and now < item.latest_start):
@@ -157,21 +156,21 @@
         return item.status is None and not item.cancelled and item.request.final_status is None
 
     def uncount_request(self, request: Request) -> None:
-        """Remove the request from those that earn load orders.  Guards against calls that are no work:
-        cancelled before the first attempt, or of a function that cannot be loaded anywhere.
+        """Remove the request from those that the load ration counts.  This applies to calls that cause no
+        work: they were cancelled before the first attempt, or their function cannot be loaded anywhere.
         """
         with suppress(ValueError):
             self.request_times.remove(request.received_at)
 
     def finish(self, now: float, request: Request, retry_after_ms: float = 0.0) -> Request:
         """Set the final status: rejected if a retry of the client cannot have a second effect, else failed.
-        Guards against clients that retry without the idempotency key, or after `retry_after_ms` when no
-        worker remembers the first attempt, and cause a second effect.
+        A retry could have one if the client sends no idempotency key, or if the deduplication window has
+        ended when the client retries after `retry_after_ms`.
         """
         retry_is_safe = request.request_class.idempotency is not Idempotency.DEDUPLICATED or (
             request.has_idempotency_key and request.request_class.deduplication_scope == "all"
         )
-        rejected = (retry_is_safe and now + retry_after_ms < self.retry_closes_at(request)) or not any(
+        rejected = (retry_is_safe and now + retry_after_ms < self.latest_retry_at(request)) or not any(
             attempt.may_have_run for attempt in request.attempts
         )
         if request.streaming_attempt is not None:
@@ -180,9 +179,9 @@
         return request
 
 
-def _drops_repeat(request: Request, worker: Worker) -> bool:
-    """Whether the worker drops a repeat of what the first worker may have run.  One that may have been
-    started anew, with no list to say so, may have forgotten it, or may be in another group.
+def _deduplicates_retry(request: Request, worker: Worker) -> bool:
+    """Return whether the worker drops a repeat of the attempt that may have run first.  It may not if it has
+    perhaps restarted without a report of the endpoint list, or is in another deduplication scope.
     """
     first = next((attempt for attempt in request.attempts if attempt.may_have_run), None)
     if first is None:
--- a/kelptrail/dispatch/second_attempts.py
+++ b/kelptrail/dispatch/second_attempts.py
@@ -1,4 +1,4 @@
-"""Second attempts: hedges of attempts that take long, and retries of attempts that are overdue.
+"""Starts second attempts: hedges of attempts that take long, and retries of attempts that are overdue.
 
 Times are milliseconds.
 """
@@ -12,44 +12,41 @@
 from .entities import Attempt, Idempotency, LogMessage
 from .request_lifecycle import RequestLifecycle
 
-MEAN_IN_FLIGHT_WEIGHT = 0.06  # of one tick in the moving average of a worker's attempts in flight
-INACTIVE_IN_FLIGHT = 0.05  # below this mean a worker without attempts is no longer examined
+MEAN_IN_FLIGHT_WEIGHT = 0.06  # weight of one tick in the moving average of a worker's attempts in flight
+INACTIVE_IN_FLIGHT = 0.05  # a worker without attempts and with a lower mean is no longer examined
 
 
 class SecondAttempts:
-    """Starts a second attempt where the first has probably failed or will be late, within the retry
-    budget.
-    """
+    """Starts a second attempt if the first has probably failed or will be late, within the retry budget."""
 
     def __init__(self, parts: Components, state: DispatchState, lifecycle: RequestLifecycle) -> None:
         self._safety, self._outliers, self._placement = parts.safety, parts.outliers, parts.placement
         self._queues, self._retry_budget = parts.queues, parts.retry_budget
         self._state, self._lifecycle = state, lifecycle
-        self._deferred = deque[Attempt]()  # overdue attempts whose retry waits for budget
+        self._deferred = deque[Attempt]()  # overdue attempts whose retry waits for tokens
 
     def check_workers(self, now: float) -> None:
         """Update the workers' moving averages, and retry attempts that are overdue."""
-        for worker in list(
-            self._state.active_workers
-        ):  # CPU: most workers of a large fleet are not active here
+        # Saves CPU: most workers of a large fleet have no attempts of this dispatcher.
+        for worker in list(self._state.active_workers):
             worker.mean_in_flight += MEAN_IN_FLIGHT_WEIGHT * (len(worker.attempts) - worker.mean_in_flight)
             if not worker.attempts and worker.mean_in_flight < INACTIVE_IN_FLIGHT:
                 del self._state.active_workers[worker]
             elif overdue := self._outliers.overdue_attempts(now, worker):
-                message = f"worker {worker.id} unusually silent, {len(overdue)} out"
+                message = f"worker {worker.id} unusually silent, {len(overdue)} attempts overdue"
                 self._state.decisions.append(LogMessage(message))
                 self.retry(now, overdue)
                 self._state.runnable.update(dict.fromkeys(worker.instances))
             worker.suspect = any(attempt.overdue for attempt in worker.attempts)
 
     def retry_deferred(self, now: float) -> None:
-        """Retry what the budget did not allow before, in the same order."""
+        """Retry, in the same order, the attempts for which the budget had no token."""
         deferred, self._deferred = self._deferred, deque()
         self.retry(now, reversed(deferred))
 
     def retry(self, now: float, attempts: Iterable[Attempt]) -> None:
-        """Requeue the requests of attempts that are overdue or were lost with their worker, the last one
-        first, so that the first ends up at the head of its queue.
+        """Requeue the requests of attempts that are overdue or were lost with their worker.  They are
+        requeued in reverse order, so that the first one ends up at the head of its queue.
         """
         for attempt in reversed(list(attempts)):
             request = attempt.request
@@ -71,8 +68,8 @@
                 self._lifecycle.cancel_attempts(request)
 
     def start_hedge(self, now: float, first: Attempt) -> Attempt | None:
-        """A second attempt beside one that takes unusually long: only in a free slot, so that it delays no
-        one.
+        """Start a second attempt beside one that takes unusually long.  It needs a free slot, so that it
+        delays no other request.
         """
         request = first.request
         if (
--- a/kelptrail/dispatch/sliding_window.py
+++ b/kelptrail/dispatch/sliding_window.py
@@ -1,4 +1,4 @@
-"""Event times within a time window that ends now."""
+"""Keeps the event times of a sliding time window."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def drop_until(times: deque[float], before: float) -> deque[float]:
-    """Remove the times up to and including `before` from ascending `times`; returns the same deque."""
+    """Remove the times up to and including `before` from ascending `times`; return the same deque."""
     while times and times[0] <= before:
         times.popleft()
     return times
--- a/kelptrail/dispatch/slow_start.py
+++ b/kelptrail/dispatch/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: how many attempts a recently started worker may get from this dispatcher.
+"""Slow start: limits the attempts that a recently started worker gets from this dispatcher.
 
-No one counts what all dispatchers send together: each keeps to a share of what warm workers complete for it,
-and the shares add up to what the settings allow.  `docs/design.md`, the five rules, has the figures and their
-reasons.  Times are milliseconds.
+The attempts of all dispatchers together are not counted anywhere.  Each dispatcher limits itself to a share
+of the attempts that warm workers complete for it, and the shares add up to what the settings allow.
+`docs/design.md`, the five rules, has the figures and their reasons.  Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -14,9 +14,11 @@
 from .entities import LONG_AGO, Worker
 from .sliding_window import drop_until
 
-MEASUREMENT_INTERVAL_MS = 50.0  # CPU: the throughput of a large fleet is not summed for each attempt
-OVERLOAD_MARGIN = 0.5  # half of the allowed multiple is used
-# Of the budget in a draw; the rest is for chance, as any time window meets two of the draws'.
+# Saves CPU: summing the throughput of a large fleet for each attempt is expensive.
+MEASUREMENT_INTERVAL_MS = 50.0
+OVERLOAD_MARGIN = 0.5  # share of the allowed overload multiple that is used
+# Share of the budget used as the probability of a draw.  The rest is a margin for chance, as any time window
+# overlaps the windows of two draws.
 DRAW_SHARE = 0.8
 CRC_RANGE = 2**32
 
@@ -26,10 +28,10 @@
     """The limits that the platform sets for a recently started worker."""
 
     overload_multiple: float  # a worker is overloaded past this multiple of its present capacity
-    overload_window_ms: float  # measured over this time
-    initial_capacity: float  # the share of its capacity that a worker has when it starts
-    slow_start_ms: float  # the time until it has all of it
-    max_delivery_ms: float = 0.0  # an attempt or load order may arrive so long after it was decided
+    overload_window_ms: float  # time over which the load of a worker is measured
+    initial_capacity: float  # share of its capacity that a worker has when it starts
+    slow_start_ms: float  # time after its start until a worker has its full capacity
+    max_delivery_ms: float = 0.0  # maximum time from the decision on an item to its arrival at the worker
 
 
 class SlowStart:
@@ -50,7 +52,9 @@
         self._workers, self._measured_at, self._warm_throughput = workers, LONG_AGO, 0.0
 
     def warm_throughput(self, now: float) -> float:
-        """What a warm worker of size 1 completes for this dispatcher within the overload window."""
+        """Return the number of attempts that a warm worker of size 1 completes for this dispatcher within the
+        overload window.
+        """
         if now >= self._measured_at + MEASUREMENT_INTERVAL_MS:
             self._measured_at = now
             warm = [w for w in self._workers if w.live and self.capacity_factor(now, w) >= 1]
@@ -59,15 +63,15 @@
         return self._warm_throughput
 
     def capacity_factor(self, now: float, worker: Worker) -> float:
-        """The share of its capacity that a worker has at least, by its age: from 0 to 1."""
-        started_at = worker.presumed_start
+        """Return the minimum share of its capacity that a worker has at its age, from 0 to 1."""
+        started_at = worker.latest_possible_start
         if started_at is None or (age := now - started_at) >= self._slow_start_ms:
             return 1.0
         return 1 - min(1.0, 1 - age / self._slow_start_ms) * (1 - self._initial_capacity)
 
     def has_budget(self, now: float, worker: Worker) -> bool:
-        """Whether the worker may get another attempt: in slow start only a share of what warm workers of its
-        size get, so that all dispatchers together stay below the overload limit.
+        """Return whether the worker may get another attempt.  In slow start it gets only a share of what warm
+        workers of its size get, so that all dispatchers together stay below the overload limit.
         """
         if (capacity := self.capacity_factor(now, worker)) >= 1:
             return True
@@ -77,18 +81,18 @@
         window_ms = self._overload_window_ms + self._max_delivery_ms
         started = drop_until(worker.recent_times, now - 2 * window_ms)
         if budget >= 1:
-            return sum(at > now - window_ms for at in started) < budget
-        # Below one attempt in a window, a seeded draw in each window decides; its offset differs by
-        # dispatcher.
+            return sum(started_at > now - window_ms for started_at in started) < budget
+        # With a budget below one attempt in a window, a seeded random draw for each window decides.  The
+        # windows of different dispatchers have different offsets.
         offset = crc32(f"{self._seed} {worker.id}".encode()) / CRC_RANGE
-        window = (now - (worker.presumed_start or 0.0)) / window_ms + offset
+        window = (now - (worker.latest_possible_start or 0.0)) / window_ms + offset
         if started and started[-1] >= now - window % 1 * window_ms:
             return False
         return crc32(f"{self._seed} {worker.id} {int(window)}".encode()) < DRAW_SHARE * budget * CRC_RANGE
 
     def completed(self, now: float, worker: Worker) -> None:
-        """Count a completed attempt of a warm worker; in slow start the starts of attempts are counted
-        instead, as an overloaded worker completes far less than it gets.
+        """Count a completed attempt of a warm worker.  For a worker in slow start, the starts of attempts are
+        counted instead, as an overloaded worker completes far fewer attempts than it gets.
         """
         if self.capacity_factor(now, worker) >= 1:
             drop_until(worker.recent_times, now - self._overload_window_ms).append(now)
--- a/kelptrail/dispatch/timer_queue.py
+++ b/kelptrail/dispatch/timer_queue.py
@@ -1,6 +1,4 @@
-"""All due times of a dispatcher, except its one periodic tick, in one ordered queue.  Times are
-milliseconds.
-"""
+"""Holds all due times of a dispatcher, except its periodic tick, in order.  Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -19,12 +17,12 @@
         return len(self._heap)
 
     def add(self, due: float, item: Any) -> None:
-        """Insert `item` for the time `due`."""
+        """Insert `item` with the time `due`."""
         self._insertions += 1
         heappush(self._heap, (due, self._insertions, item))
 
     def next_due(self) -> float | None:
-        """The earliest due time, or None if the queue is empty."""
+        """Return the earliest due time, or None if the queue is empty."""
         return self._heap[0][0] if self._heap else None
 
     def pop_due(self, now: float) -> Any | None:
--- a/kelptrail/dispatch/worker_delays.py
+++ b/kelptrail/dispatch/worker_delays.py
@@ -1,5 +1,6 @@
-"""Which workers delay or refuse attempts, to tell one bad worker from an overloaded fleet.  Times are
-milliseconds.
+"""Measures which workers delay or refuse attempts, to distinguish one bad worker from an overloaded fleet.
+
+Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -8,43 +9,43 @@
 
 from .entities import Worker
 
-DELAY_WEIGHT = 0.2  # of one attempt in the moving average of a worker's delayed attempts
-MAX_AGE_MS = 10_000.0  # a worker without an attempt for so long does not count any more
-OUTLIER_SHARE = 0.4  # a worker that delays more than this share, three attempts in a row, may stand out
-OTHERS_SHARE = 0.1  # and does where the others on average delay at most this share of theirs
+DELAY_WEIGHT = 0.2  # weight of one attempt in the moving average of a worker's delayed attempts
+MAX_AGE_MS = 10_000.0  # a worker without an attempt for this time no longer counts
+OUTLIER_SHARE = 0.4  # an outlier delays more than this share of its attempts, three in a row from zero
+OTHERS_SHARE = 0.1  # the other workers delay on average at most this share, else no worker is an outlier
 
 
 @dataclass(slots=True)
-class _Observed:
+class _DelayRecord:
     delayed_share: float
     at: float
 
 
 class WorkerDelays:
-    """The share of delayed attempts, by worker."""
+    """The share of delayed attempts of each worker."""
 
     def __init__(self) -> None:
-        self._by_worker: dict[Worker, _Observed] = {}  # the longest not observed first
-        self._sum = 0.0  # of all shares
+        self._by_worker: dict[Worker, _DelayRecord] = {}  # least recently recorded first
+        self._sum = 0.0  # sum of all shares
 
     def observe(self, now: float, worker: Worker, delayed: bool) -> None:
-        """Record one attempt."""
+        """Record whether one attempt at the worker was delayed."""
         self._forget_old(now)
-        observed = self._by_worker.pop(worker, None) or _Observed(0.0, now)
-        self._sum -= observed.delayed_share
-        observed.delayed_share += DELAY_WEIGHT * (delayed - observed.delayed_share)
-        observed.at = now
-        self._sum += observed.delayed_share
-        self._by_worker[worker] = observed
-
-    def stands_out(self, now: float, worker: Worker) -> bool:
-        """Whether the worker delays most of its attempts, and the others hardly any of theirs."""
+        record = self._by_worker.pop(worker, None) or _DelayRecord(0.0, now)
+        self._sum -= record.delayed_share
+        record.delayed_share += DELAY_WEIGHT * (delayed - record.delayed_share)
+        record.at = now
+        self._sum += record.delayed_share
+        self._by_worker[worker] = record
+
+    def is_outlier(self, now: float, worker: Worker) -> bool:
+        """Return whether the worker delays many of its attempts, and the others hardly any of theirs."""
         self._forget_old(now)
-        observed = self._by_worker.get(worker)
+        record = self._by_worker.get(worker)
         others = len(self._by_worker) - 1
-        if observed is None or observed.delayed_share <= OUTLIER_SHARE or not others:
+        if record is None or record.delayed_share <= OUTLIER_SHARE or not others:
             return False
-        return (self._sum - observed.delayed_share) / others <= OTHERS_SHARE
+        return (self._sum - record.delayed_share) / others <= OTHERS_SHARE
 
     def _forget_old(self, now: float) -> None:
         while self._by_worker:
--- a/tests/test_dispatch_readiness.py
+++ b/tests/test_dispatch_readiness.py
@@ -24,7 +24,7 @@
     Worker,
 )
 from kelptrail.dispatch.placement import LOAD_REPORT_AGE_MS
-from kelptrail.dispatch.readiness import ANSWER_PATIENCE_MS, EARLY_SHARE, ReadinessLimits
+from kelptrail.dispatch.readiness import ANSWER_TIMEOUT_MS, EARLY_SHARE, ReadinessLimits
 from kelptrail.dispatch.readiness_questions import IGNORED_CHECK_MS, MAX_CREDIT, UNPROVEN_PAUSE_MS
 from kelptrail.dispatch.worker_delays import WorkerDelays
 
@@ -185,8 +185,8 @@
 def test_a_worker_that_hangs_over_a_question_does_not_hold_requests_for_the_others() -> None:
     dispatcher = make_following_dispatcher(workers=2)
     first = ask(dispatcher, STALE_AT, make_function())
-    dispatcher.on_tick(STALE_AT + ANSWER_PATIENCE_MS)
-    (second,) = decide_all(dispatcher, STALE_AT + ANSWER_PATIENCE_MS)
+    dispatcher.on_tick(STALE_AT + ANSWER_TIMEOUT_MS)
+    (second,) = decide_all(dispatcher, STALE_AT + ANSWER_TIMEOUT_MS)
     assert isinstance(second, ReadinessQuestion) and second.instance.worker is not first.instance.worker
 
 
@@ -311,13 +311,13 @@
     for _ in range(20):
         for n, worker in enumerate(workers):
             delays.observe(0.0, worker, delayed=n == 0)
-    assert [delays.stands_out(0.0, worker) for worker in workers] == [True, False, False, False]
+    assert [delays.is_outlier(0.0, worker) for worker in workers] == [True, False, False, False]
     for _ in range(20):
         for worker in workers:
             delays.observe(0.0, worker, delayed=True)
-    assert not any(delays.stands_out(0.0, worker) for worker in workers)
+    assert not any(delays.is_outlier(0.0, worker) for worker in workers)
     delays.observe(60_000.0, workers[0], delayed=True)
-    assert not delays.stands_out(60_000.0, workers[0]), "there is no other to compare it with"
+    assert not delays.is_outlier(60_000.0, workers[0]), "there is no other to compare it with"
 
 
 def test_a_load_report_does_not_keep_a_worker_unused_for_good() -> None:
