--- a/kelptrail/engine/__init__.py
+++ b/kelptrail/engine/__init__.py
@@ -1,1 +1,1 @@
-"""One dispatcher built from the settings object; ids become entities here, for the platform and the simulator."""
+"""Builds one dispatcher from the settings object and resolves ids to entities, for the platform and the simulator."""
--- a/kelptrail/engine/engine.py
+++ b/kelptrail/engine/engine.py
@@ -1,4 +1,4 @@
-"""Embeds one dispatcher: builds it from the settings object and translates ids to entities and back.
+"""Embeds one dispatcher: builds it from the settings object, and translates between ids and entities.
 
 The simulator's adapter (`kelptrail/simulator_adapter`) and the platform (`kelptrail/platform`) use it.  It decides
 nothing.  Times are milliseconds with fractions on the caller's clock.
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One worker of an endpoint list; `started_at` on the caller's clock, None for a long time ago."""
+    """One worker of an endpoint list; `started_at` is on the caller's clock, None for a long time ago."""
 
     id: str
     zone: int
@@ -53,33 +53,35 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListTiming:
-    """After which silence of its endpoint list a dispatcher counts as notified of what the list would have told; by
-    the protocol that it follows the list with, in milliseconds.
+    """Times, set by the protocol of the endpoint list, after which a dispatcher counts as notified of unreported
+    changes.
+
+    Both are milliseconds.
     """
 
-    notification_ms: float = NEVER
-    broken_notification_ms: float = NEVER  # after a connection to the list broke
+    notification_ms: float = NEVER  # time since the list was last confirmed
+    broken_notification_ms: float = NEVER  # time since the connection to the list broke
 
 
-PUSHED_LIST = EndpointListTiming()  # each change arrives by itself, and counts as notified when it does
+PUSHED_LIST = EndpointListTiming()  # the source pushes each change, which counts as notified when it arrives
 
 
 @dataclass(frozen=True, slots=True)
 class ReadinessReport:
-    """What is known of the workers' readiness, for the operators."""
+    """The known readiness of the workers, for the operators."""
 
     list_is_stale: bool
-    known: int  # live workers that may get new work
-    unknown: int  # live workers that may not, until they were asked
-    questions: Mapping[str, int]  # by their result, since the start
-    held_queues: int  # functions whose requests wait for a worker that is known to be ready
+    known: int  # number of live workers that may get new work
+    unknown: int  # number of live workers that get no new work until they prove their readiness
+    questions: Mapping[str, int]  # number of questions by result, since the start
+    held_queues: int  # number of functions whose requests wait for a worker that is known to be ready
 
 
 class Engine:
     """One dispatcher, independent of all others, and the entities for the ids that its caller uses."""
 
     def __init__(self, seed: int, settings: Mapping[str, Any], list_timing: EndpointListTiming = PUSHED_LIST) -> None:
-        """Raises `MalformedError` if the settings cannot be used."""
+        """Build the dispatcher from its settings.  Raises `MalformedError` if they cannot be used."""
         parsed = read_settings(settings)
         self.request_classes, self.tenants = parsed.request_classes, parsed.tenants
         self.report_fields, self.reports_warm = parsed.report_fields, parsed.reports_warm
@@ -89,14 +91,14 @@
         self._dispatcher = Dispatcher(parts, options)
         self.tick_ms = self._dispatcher.tick_ms
         self.readiness_limits = limits
-        self.probe_timeout_ms = parts.safety.readiness.proof_lifetime_ms  # a later answer proves nothing
+        self.probe_timeout_ms = parts.safety.readiness.proof_lifetime_ms  # a later answer is no proof
         self.next_due = parts.timers.next_due
         self.workers: dict[str, Worker] = {}
         self.functions: dict[str, Function] = {}
         self.requests: dict[str, Request] = {}
 
     def on_request(self, now: float, arrival: RequestArrival) -> Request:
-        """A request arrived."""
+        """Accept a request that arrived."""
         request_class = arrival.request_class
         function = self.functions.get(arrival.function_id)
         if function is None:
@@ -116,25 +118,25 @@
     def on_attempt_finished(
         self, now: float, attempt: Attempt, result: AttemptResult, load_values: Sequence[float] | None = None
     ) -> None:
-        """An attempt ended; its response reported `load_values` for the settings' `report_fields`, in their order."""
+        """Record the result of an attempt; its response reported `load_values`, in the order of `report_fields`."""
         if load_values:
             result = result._replace(load_report=dict(zip(self.report_fields, load_values, strict=True)))
         if not self.reports_warm:
             result = result._replace(warm=None)
         self._dispatcher.on_attempt_finished(now, attempt, result)
-        self.forget_if_settled(attempt.request)
+        self.remove_if_finished(attempt.request)
 
     def on_client_gone(self, request: Request) -> None:
-        """The client no longer waits for an answer."""
+        """Cancel a request whose client no longer waits for an answer."""
         self._dispatcher.on_client_gone(request)
-        self.forget_if_settled(request)
+        self.remove_if_finished(request)
 
     def on_load_report(self, now: float, order: LoadOrder, status: AttemptStatus, loaded_count: int) -> None:
-        """A load order ended; `loaded_count` instances are now loaded there."""
+        """Record the result of a load order; `loaded_count` instances are now loaded at its worker."""
         self._dispatcher.on_load_report(now, order, status, loaded_count)
 
     def on_endpoints(self, now: float, complete: bool, entries: Iterable[Endpoint]) -> list[Worker]:
-        """An endpoint list, or its changes if it is not `complete`; returns the workers that restarted."""
+        """Apply an endpoint list, or only its changes if it is not `complete`; return the workers that restarted."""
         entries = list(entries)
         listed = {entry.id for entry in entries}
         restarted = []
@@ -155,25 +157,25 @@
         return restarted
 
     def on_initial_list(self, now: float) -> None:
-        """The endpoints are those of the configuration, of unknown age."""
+        """Record that the endpoints came from the configuration, so that their age is unknown."""
         self._dispatcher.on_initial_list(now)
 
     def on_list_heard(self, now: float) -> None:
-        """The endpoint list is complete as of now."""
+        """Record that the endpoint list is complete as of now."""
         self._dispatcher.on_list_heard(now)
 
     def on_list_lost(self, now: float) -> None:
-        """The connection to the endpoint list broke, or could not be made."""
+        """Record that the connection to the endpoint list broke, or could not be made."""
         self._dispatcher.on_list_lost(now)
 
     def on_probe_finished(
         self, now: float, probe: ReadinessProbe, status: AttemptStatus, loaded_count: int = 0
     ) -> None:
-        """A probe ended; a load query found `loaded_count` instances."""
+        """Record the result of a probe; a load query found `loaded_count` instances."""
         self._dispatcher.on_probe_finished(now, probe, status, loaded_count)
 
     def readiness(self, now: float) -> ReadinessReport:
-        """What is known of the workers' readiness."""
+        """Return a report of the known readiness of the workers."""
         readiness = self._dispatcher.parts.safety.readiness
         live = [worker for worker in self.workers.values() if worker.live]
         known = sum(readiness.is_known(now, worker) for worker in live)
@@ -183,35 +185,37 @@
         return ReadinessReport(is_stale, known, len(live) - known, results, questions.held_queues)
 
     def terminate(self, now: float, request: Request) -> Request:
-        """The process shuts down and cannot wait for the request; returns it with its final answer."""
+        """End a request that a shutdown cannot wait for; return it with its final answer."""
         ended = self._dispatcher.terminate(now, request)
-        self.forget_if_settled(ended)
+        self.remove_if_finished(ended)
         return ended
 
     def may_start(self, now: float, item: Attempt | LoadOrder) -> bool:
-        """Whether the first byte of a decided attempt or load order may still leave."""
+        """Return whether the first byte of a decided attempt or load order may still be sent."""
         return self._dispatcher.may_start(now, item)
 
     def on_tick(self, now: float) -> None:
-        """The periodic work, every `tick_ms`."""
+        """Do the periodic work, every `tick_ms`."""
         if (unused := self._dispatcher.on_tick(now)) is not None:
             del self.functions[unused.id]
 
     def decide(self, now: float) -> Decision | None:
-        """The next decision, or None until the next input or due time."""
+        """Return the next decision, or None if there is none until the next input or due time."""
         decision = self._dispatcher.decide(now)
         if isinstance(decision, Request):
-            self.forget_if_settled(decision)
+            self.remove_if_finished(decision)
         return decision
 
-    def forget_if_settled(self, request: Request) -> None:
-        """Forget a request once it has its final status and none of its attempts is in flight."""
+    def remove_if_finished(self, request: Request) -> None:
+        """Remove a request that has its final status and no attempt in flight."""
         if request.final_status is not None and all(attempt.status is not None for attempt in request.attempts):
             self.requests.pop(request.id, None)
 
 
 def _readiness_limits(settings: ReadinessSettings, timing: EndpointListTiming) -> ReadinessLimits:
-    """No limits where the settings have no rule on draining workers, no questions where no answer can be in time."""
+    """Return the readiness limits: none if the settings have no rule on draining workers, and no probes if the grace
+    time leaves none for an answer.
+    """
     if settings.drain_grace_ms is None:
         return ReadinessLimits()
     probe_kinds = settings.probe_kinds if settings.drain_grace_ms else ()
@@ -219,7 +223,7 @@
 
 
 def _build_components(seed: int, settings: DispatcherSettings, readiness: ReadinessLimits) -> Components:
-    """The parts of a dispatcher, from its settings."""
+    """Build the components of a dispatcher from its settings."""
     timers, outliers = TimerQueue(), OutlierDetector()
     safety = SafetyGuard(
         seed,
--- a/kelptrail/engine/events.py
+++ b/kelptrail/engine/events.py
@@ -1,4 +1,4 @@
-"""Events of the engine's callers, with the entities of the settings in place of their wire forms."""
+"""Events that callers pass to the engine; they refer to entities of the settings instead of their wire forms."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass(slots=True)
 class RequestArrival:
-    """A request that arrived.  Times are milliseconds; None where the client did not give a figure."""
+    """A request that arrived.  Times are milliseconds; None if the client did not provide the value."""
 
     id: str
     request_class: RequestClass
     tenant: Tenant | None
     function_id: str
-    timeout_ms: float  # it gets a final answer within this time
-    memory_mb: float  # of one instance of the function
-    concurrency: int  # slots of one instance
+    timeout_ms: float  # time within which the request gets its final answer
+    memory_mb: float  # memory of one instance of the function
+    concurrency: int  # number of slots of one instance
     load_ms: float | None
     work_ms: float | None
--- a/kelptrail/engine/invariants.py
+++ b/kelptrail/engine/invariants.py
@@ -1,7 +1,7 @@
-"""Invariants that hold for every decision, checked at run time where an attempt or an answer is about to leave.
+"""Checks invariants of every decision at run time, just before an attempt or an answer is sent.
 
-The checks are independent of the code that decides: each compares what is about to happen with what happened
-before.  A violation is counted by its name and logged with its request; it never raises, and changes no behaviour.
+The checks are independent of the code that decides: each compares the item that is about to be sent with earlier
+events.  A violation is counted by its name and logged with its request.  It raises nothing and changes no behaviour.
 `docs/invariants.md` lists the invariants, the code that ensures each, and where it is checked.  Times are
 milliseconds of the monotonic clock.
 """
@@ -25,13 +25,13 @@
     Worker,
 )
 
-CLIENT_GONE_SLACK_MS = 100.0  # an attempt may start so long after its client disconnected
-LIMIT_SLACK_MS = 150.0  # the time limit passed to a worker may exceed what its client has left by so much
-START_SLACK_MS = 50.0  # on sockets each time limit of the rules is extended by so much
+CLIENT_GONE_SLACK_MS = 100.0  # time after its client disconnected within which an attempt may still start
+LIMIT_SLACK_MS = 150.0  # a worker's time limit may exceed the time left until the client's deadline by this
+START_SLACK_MS = 50.0  # tolerance for each time limit of the rules, as sending on sockets takes time
 
 
 class Violation(Enum):
-    """The invariants, by the name of their violation."""
+    """The invariants; each value is the name of the violation."""
 
     ATTEMPT_AFTER_CLIENT_LEFT = "attempt after client left"
     ATTEMPT_AFTER_ANSWER = "attempt after final answer"
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainClock:
-    """When a drain that nobody told counts as notified, and for how long new work may start after it."""
+    """Time after which an unreported drain counts as notified, and grace time for new work after it."""
 
     notification_ms: float = NEVER
     grace_ms: float = 0.0
@@ -61,54 +61,55 @@
 class Invariants:
     """Counts the violations of one dispatcher.
 
-    A worker's readiness is reckoned here from what was read on the sockets, apart from the guard that decides by it: by
-    the belief that it checks no check can fail.
+    The readiness of a worker is computed here from the data read on the sockets, independently of the guard that
+    decides by it: a check against the guard's own state could never fail.
     """
 
     def __init__(self, log: LogFunction, drain_clock: DrainClock | None = None) -> None:
         self._log, self._drain_clock = log, drain_clock or DrainClock()
-        self._list_heard_at = NEVER
-        self._health_checks_answered = False  # by any worker
-        self._ready_at: dict[str, float] = {}  # by worker: when a question left that it answered as a ready one
+        self._list_confirmed_at = NEVER
+        self._health_checks_answered = False  # whether any worker has answered a health check
+        # By worker id, the send time of the latest item that the worker answered as a ready one.
+        self._ready_at: dict[str, float] = {}
         self.violations: Counter[str] = Counter()
 
     def on_initial_list(self, now: float) -> None:
-        """The list of the configuration was applied; what has changed since it was written counts as notified."""
-        self._list_heard_at = now - self._drain_clock.notification_ms
+        """Record that the list of the configuration was applied; later changes already count as notified."""
+        self._list_confirmed_at = now - self._drain_clock.notification_ms
 
     def on_list_heard(self, now: float) -> None:
-        """A complete event of the endpoint list was read."""
-        self._list_heard_at = now
+        """Record that a complete event of the endpoint list was read."""
+        self._list_confirmed_at = now
 
     def forget_worker(self, worker: str) -> None:
-        """The worker has gone."""
+        """Remove the state of a worker that no longer exists."""
         self._ready_at.pop(worker, None)
 
     def on_answer(self, item: Attempt | LoadOrder | ReadinessProbe, status: AttemptStatus) -> None:
-        """A worker answered, or an item ended without an answer.  A load query proves something only in a fleet that
-        answers no health checks: a draining worker may answer it as a ready one does.
+        """Record that an item was answered, or ended without an answer.  A load query is a proof only in a fleet that
+        answers no health checks, as a draining worker may answer it as a ready one does.
         """
         if isinstance(item, ReadinessProbe):
             self._on_probe_answered(item, status)
         elif status is AttemptStatus.COMPLETED:
-            self._note_ready(item.instance.worker, item.write_started_at)
+            self._record_ready(item.instance.worker, item.write_started_at)
 
     def _on_probe_answered(self, probe: ReadinessProbe, status: AttemptStatus) -> None:
         is_check = probe.kind is ProbeKind.HEALTH_CHECK
         if is_check and status in (AttemptStatus.COMPLETED, AttemptStatus.OUT_OF_CAPACITY):
             self._health_checks_answered = True
         if status is AttemptStatus.COMPLETED and (is_check or not self._health_checks_answered):
-            self._note_ready(probe.question.instance.worker, probe.question.write_started_at)
+            self._record_ready(probe.question.instance.worker, probe.question.write_started_at)
 
-    def _note_ready(self, worker: Worker, left_at: float | None) -> None:
-        if left_at is not None:
-            self._ready_at[worker.id] = max(left_at, self._ready_at.get(worker.id, left_at))
+    def _record_ready(self, worker: Worker, sent_at: float | None) -> None:
+        if sent_at is not None:
+            self._ready_at[worker.id] = max(sent_at, self._ready_at.get(worker.id, sent_at))
 
     def _check_readiness(self, now: float, worker: Worker, request_id: str) -> None:
         clock = self._drain_clock
         if clock.notification_ms == NEVER:
             return
-        known_at = max(self._list_heard_at + clock.notification_ms, self._ready_at.get(worker.id, 0.0))
+        known_at = max(self._list_confirmed_at + clock.notification_ms, self._ready_at.get(worker.id, 0.0))
         late_ms = now - known_at - clock.grace_ms
         if late_ms > START_SLACK_MS:
             self.violated(Violation.READINESS_UNKNOWN, request_id, worker=worker.id, late_ms=round(late_ms))
@@ -119,8 +120,8 @@
         self._log("invariant violated", rule=violation.value, request=request, **fields)
 
     def attempt_begins(self, now: float, attempt: Attempt, client_gone: float | None, limit_ms: float) -> None:
-        """An attempt's first byte is about to leave, with the time limit `limit_ms` for the worker; its client
-        disconnected at `client_gone`.
+        """Check an attempt just before its first byte is sent.  `limit_ms` is the time limit passed to the worker, and
+        `client_gone` the time at which the client disconnected.
         """
         request, request_id = attempt.request, attempt.request.id
         if client_gone is not None and now > client_gone + CLIENT_GONE_SLACK_MS:
@@ -139,7 +140,7 @@
         self._check_second_effect(now, attempt)
 
     def _check_second_effect(self, now: float, attempt: Attempt) -> None:
-        """No attempt may have a second effect after an earlier one that may have been executed."""
+        """Check that the attempt cannot have a second effect after an earlier one that may have been executed."""
         request = attempt.request
         earlier = [other for other in request.attempts if other is not attempt and other.may_have_run]
         started = [
@@ -157,7 +158,7 @@
                 self.violated(Violation.SECOND_EFFECT, request.id, attempt=attempt.number, after_ms=round(now - first))
 
     def order_begins(self, now: float, order: LoadOrder) -> None:
-        """A load order's first byte is about to leave."""
+        """Check a load order just before its first byte is sent."""
         self._check_readiness(now, order.instance.worker, order.instance.function.id)
         if now > order.latest_start + START_SLACK_MS or not order.instance.worker.live:
             self.violated(Violation.LOAD_ORDER_LATE, order.instance.function.id, worker=order.instance.worker.id)
--- a/kelptrail/simulator_adapter/__init__.py
+++ b/kelptrail/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the simulator's protocol and the dispatch package."""
+"""Adapter between the simulator's protocol and the engine."""
--- a/kelptrail/simulator_adapter/__main__.py
+++ b/kelptrail/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m kelptrail.simulator_adapter`: batches on standard input, one reply to each on standard output."""
+"""`python -m kelptrail.simulator_adapter`: reads batches from standard input, and writes a reply to each."""
 
 from __future__ import annotations
 
@@ -25,14 +25,16 @@
 
 
 class SimulatorAdapter:
-    """All dispatcher instances of this process, and the endpoint tables that the simulator has sent."""
+    """The dispatcher instances of this process, and the endpoint tables that the simulator has sent."""
 
     def __init__(self) -> None:
         self._instances: dict[str, DispatcherInstance] = {}
         self._tables: dict[int, list[Fields]] = {}
 
     def reply(self, line: str) -> dict[str, Any]:
-        """The reply to one batch of events.  Raises `MalformedError`, or the error of a missing or mistyped field."""
+        """Return the reply to one batch of events.  Raises `MalformedError`, or the error of a missing or mistyped
+        field.
+        """
         batch = json.loads(line)
         now = batch["now_us"] / 1000
         changed: dict[str, None] = {}
@@ -62,14 +64,14 @@
         for name in changed:
             try:
                 actions += self._instances[name].actions(now)
-            except Exception as cause:  # noqa: BLE001 - a fault in one instance must not end the others
+            except Exception as cause:  # noqa: BLE001 - a failure of one instance must not stop the others
                 traceback.print_exc()
                 actions.append({"Fatal": {"i": name, "message": f"{type(cause).__name__}: {cause}"}})
         return {"actions": actions}
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
-    """Answer batches until the input ends; returns the exit code."""
+    """Answer batches until the input ends; return the exit code."""
     adapter = SimulatorAdapter()
     for line in source:
         if not line.strip():
--- a/kelptrail/simulator_adapter/instance.py
+++ b/kelptrail/simulator_adapter/instance.py
@@ -1,4 +1,4 @@
-"""One dispatcher in the simulator: its events become calls of an engine, decisions become its actions."""
+"""One dispatcher in the simulator: translates events to calls of an engine, and decisions to actions."""
 
 from __future__ import annotations
 
@@ -37,19 +37,19 @@
     "N": AttemptStatus.NOT_SENT,
     "M": AttemptStatus.NOT_LOADED,
 }
-DISCOVERY_BY_ASKING = "ask"  # the list's changes come only after a `Track`
-SUBSCRIBE_PAUSE_MS = 1_000.0  # between two calls for the list while it fails
+DISCOVERY_BY_ASKING = "ask"  # changes of the endpoint list are sent only after a `Track` action
+SUBSCRIBE_PAUSE_MS = 1_000.0  # minimum time between two subscriptions to the endpoint list
 TICK_TOKEN, DUE_TOKEN = "beat", "due"  # the simulator returns the token of an alarm unchanged
 
-# The `remark` of an answer: the reason of its status in the lowest three bits, above them the number of attempts of
-# other dispatchers.
+# The `remark` of an answer has the reason of its status in the lowest three bits, and the number of attempts of other
+# dispatchers in the higher bits.
 REMARK_REASONS = 8
 REMARK_WARM = 1
 REMARK_LOAD_FAILED = 4
 
 
 def _list_timing(settings: Fields) -> EndpointListTiming:
-    """A list that has to be asked for counts as told of what it held that long ago."""
+    """Return the notification times of the endpoint list, which apply only if it has to be subscribed to."""
     within_us = settings.get("rules", {}).get("ask_within_us")
     if settings.get("discovery") != DISCOVERY_BY_ASKING or not within_us:
         return PUSHED_LIST
@@ -63,16 +63,16 @@
         self._asks_for_list = settings.get("discovery") == DISCOVERY_BY_ASKING
         self._name, self._engine = name, Engine(seed, settings, _list_timing(settings))
         self._orders: dict[tuple[str, str], deque[LoadOrder | ReadinessProbe]] = {}
-        self._checks: dict[str, deque[ReadinessProbe]] = {}  # by worker, the oldest first
-        self._subscription: list[Fields] = []  # the call that asks for the list, not made yet
+        self._checks: dict[str, deque[ReadinessProbe]] = {}  # by worker id, oldest first
+        self._subscription: list[Fields] = []  # the pending `Track` action, if there is one
         self._is_subscribed, self._subscribe_at = False, 0.0
-        self._next_alarm: float | None = None  # when the alarm for the engine's due time goes off
+        self._next_alarm: float | None = None  # time of the alarm that is set for the engine's next due time
         self._tick_set = False
 
     # Events.
 
     def on_request(self, now: float, event: Fields) -> None:
-        """A client's request arrived."""
+        """Handle the arrival of a request."""
         engine, work_us = self._engine, event["cost_guess_us"]
         arrival = RequestArrival(
             event["handle"],
@@ -88,7 +88,7 @@
         engine.on_request(now, arrival)
 
     def on_attempt_finished(self, now: float, event: Fields) -> None:
-        """An attempt ended; a second report of it is ignored."""
+        """Record the result of an attempt; a second report of it is ignored."""
         request = self._engine.requests.get(event["handle"])
         if request is None:
             return
@@ -107,19 +107,19 @@
         self._engine.on_attempt_finished(now, attempt, result, event["stats"])
 
     def on_client_gone(self, now: float, event: Fields) -> None:
-        """A client no longer waits for its answer."""
+        """Cancel a request whose client no longer waits for an answer."""
         request = self._engine.requests.get(event["handle"])
         if request is not None:
             self._engine.on_client_gone(request)
 
     def on_response_started(self, now: float, event: Fields) -> None:
-        """The first part of an answer reached the client: nothing else may become its final answer."""
+        """Record that the first part of a response reached the client, so that no other final answer may be sent."""
         request = self._engine.requests.get(event["handle"])
         if request is not None:
             request.final_status = request.final_status or FinalStatus.COMPLETED
 
     def on_load_report(self, now: float, event: Fields) -> None:
-        """A load order ended; the reports for one function and worker come in the order of the load orders."""
+        """Record the result of a load order; reports for one function and worker arrive in the order of the orders."""
         orders = self._orders.get((event["runner"], event["fn"]))
         if orders:
             item, status = orders.popleft(), ATTEMPT_STATUSES[event["ending"]]
@@ -131,13 +131,13 @@
                 del self._orders[event["runner"], event["fn"]]
 
     def on_endpoints(self, now: float, event: Fields, entries: list[Fields] | None) -> None:
-        """An endpoint list (`how` C), its changes (D), or none (X).  Raises `MalformedError`."""
+        """Apply an endpoint list (`how` is C), its changes (D) or its loss (X).  Raises `MalformedError`."""
         if event["how"] == "X":
-            self._is_subscribed = False  # asked for again at the next tick
+            self._is_subscribed = False  # a later tick subscribes again
             self._engine.on_list_lost(now)
             return
         if entries is None:
-            raise MalformedError(f"Membership names a table that never came: {event['table']}")
+            raise MalformedError(f"Membership refers to a table that was not received: {event['table']}")
         self._engine.on_endpoints(
             now,
             event["how"] != "D",
@@ -158,7 +158,7 @@
             self._on_list(now, event)
 
     def _on_list(self, now: float, event: Fields) -> None:
-        """A list that has to be asked for: the first one is old, each later one is complete as of now."""
+        """Handle a subscribed list: its first version is old, and each later one is complete as of now."""
         if event["how"] == "C":
             self._engine.on_initial_list(now)
             self._subscribe()
@@ -170,11 +170,11 @@
         self._subscription = [{"Track": {"i": self._name, "on": True}}]
 
     def on_timer(self, now: float, event: Fields) -> None:
-        """An alarm went off."""
+        """Handle an alarm: the periodic tick, or the engine's due time."""
         if event["token"] == TICK_TOKEN:
             self._tick_set = False
             self._engine.on_tick(now)
-            if self._is_subscribed:  # changes come by themselves, so none means that there was none
+            if self._is_subscribed:  # changes are pushed, so that no event means no change
                 self._engine.on_list_heard(now)
             elif self._asks_for_list and now >= self._subscribe_at:
                 self._subscribe_at = now + SUBSCRIBE_PAUSE_MS
@@ -183,7 +183,7 @@
             self._next_alarm = None
 
     def on_health_check(self, now: float, event: Fields) -> None:
-        """A health check ended; those of one worker end in their order."""
+        """Record the result of a health check; the checks of one worker end in the order in which they were sent."""
         if not self._checks:
             return
         checks = self._checks.get(event["runner"])
@@ -193,12 +193,12 @@
                 del self._checks[event["runner"]]
 
     def ignore(self, now: float, event: Fields) -> None:
-        """Messages between dispatchers are not used."""
+        """Ignore an event; messages between dispatchers are not used."""
 
     # Actions.
 
     def actions(self, now: float) -> list[Fields]:
-        """All decisions that are due now as actions, then the alarms that are not set yet."""
+        """Return all decisions that are due now as actions, then the alarms that are not set yet."""
         actions, self._subscription = self._subscription, []
         while (decision := self._engine.decide(now)) is not None:
             if isinstance(decision, ReadinessQuestion):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Shared by the tests of the decisions: a dispatcher with its components, and short ways to call it."""
+"""Helpers for the tests of the dispatch package: build a dispatcher with its components, and call it."""
 
 from __future__ import annotations
 
@@ -45,9 +45,9 @@
 
 
 def make_safety(**changes: Any) -> SafetyGuard:
-    """A safety guard with the settings `SAFETY`, but for the changes."""
+    """Return a safety guard with the settings `SAFETY` and the given changes."""
     values = SAFETY | changes
-    assert values.keys() == SAFETY.keys(), "no setting of that name"
+    assert values.keys() == SAFETY.keys(), "unknown setting"
     settings = SafetySettings(values["parallel_attempts"], values["max_attempts"], values["load_ration"])
     slow_start = SlowStartSettings(
         values["overload_multiple"],
@@ -66,7 +66,7 @@
     loads_on_demand: bool = False,
     **safety_settings: Any,
 ) -> Dispatcher:
-    """A dispatcher with live, warm workers; `shared`: the share of instances it believes to be loaded by others."""
+    """Return a dispatcher with live, warm workers; `shared` is the assumed share of instances loaded by others."""
     seed = safety_settings.get("seed", 1)
     safety, outliers, timers = make_safety(**safety_settings), OutlierDetector(), TimerQueue()
     instances = InstanceTable(timers, 8000.0, loads_on_demand)
@@ -87,24 +87,24 @@
 def make_request_class(
     idempotency: Idempotency = Idempotency.IDEMPOTENT, scope: str = "all", weight: float = 2.0
 ) -> RequestClass:
-    """A request class with a latency objective of 500 ms and a deduplication window of 5 s."""
+    """Return a request class with a latency objective of 500 ms and a deduplication window of 5 s."""
     return RequestClass(idempotency.value, idempotency, 500.0, weight, 0.3, scope, 5000.0)
 
 
 def make_function(name: str = "f", concurrency: int = 2, request_class: RequestClass | None = None) -> Function:
-    """A function with that many concurrency slots in an instance."""
+    """Return a function whose instances have `concurrency` slots."""
     return Function(name, request_class or make_request_class(), 300.0, concurrency)
 
 
 def new_request(
     function: Function, now: float, n: int = 0, ms: float = 3000.0, tenant: Tenant | None = None
 ) -> Request:
-    """A request that arrives now with `ms` left to its deadline."""
+    """Return a request that arrives now with `ms` left to its deadline."""
     return Request(f"{function.id}/{n}", function.request_class, function, tenant, now, now + ms)
 
 
 def decide_all(dispatcher: Dispatcher, now: float) -> list[Decision]:
-    """All decisions that are due now."""
+    """Return all decisions that are due now."""
     found: list[Decision] = []
     while (decision := dispatcher.decide(now)) is not None:
         found.append(decision)
@@ -112,7 +112,7 @@
 
 
 def load_and_serve_one(dispatcher: Dispatcher, function: Function, now: float = 0.0, instances: int = 1) -> Worker:
-    """Load `instances` for one request and complete its attempt; returns the worker."""
+    """Load `instances` for one request and complete its attempt; return the worker."""
     request = new_request(function, now)
     dispatcher.on_request(now, request)
     dispatcher.parts.instances.shared_ratio = 0.0
@@ -126,18 +126,18 @@
 
 
 def complete(dispatcher: Dispatcher, attempt: Attempt, now: float) -> None:
-    """The attempt's worker has answered it."""
+    """Report the attempt as completed."""
     dispatcher.on_attempt_finished(now, attempt, AttemptResult(AttemptStatus.COMPLETED, True, warm=True))
 
 
 def submit(dispatcher: Dispatcher, function: Function, now: float, count: int, ms: float = 3000.0) -> list[Decision]:
-    """`count` requests arrive; returns what is decided on them."""
+    """Submit `count` requests; return the decisions on them."""
     for n in range(count):
         dispatcher.on_request(now, new_request(function, now, n, ms))
     return decide_all(dispatcher, now)
 
 
 def tick(dispatcher: Dispatcher, now: float) -> float:
-    """Let the dispatcher do its periodic work; returns `now`."""
+    """Let the dispatcher do its periodic work; return `now`."""
     dispatcher.on_tick(now)
     return now
