--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Queues, instances, load orders and placement of one dispatcher, case by case."""
+"""Tests of the queues, instances, load orders and placement of one dispatcher."""
 
 from __future__ import annotations
 
@@ -28,25 +28,29 @@
 from kelptrail.dispatch.safety import LoadRation
 
 
-def test_requests_wait_for_slots_then_queue_depth_adds_instances_and_the_limit_rejects() -> None:
+def test_queued_requests_add_instances_and_requests_over_the_limit_are_rejected() -> None:
     dispatcher, function = make_dispatcher(), make_function(concurrency=2)
     first = load_and_serve_one(dispatcher, function)
-    found = submit(dispatcher, function, 100.0, 30)
-    assert [d.instance.worker for d in found if isinstance(d, Attempt)] == [first] * 2, "two slots, on its own instance"
-    orders = [d for d in found if isinstance(d, LoadOrder)]
+    decisions = submit(dispatcher, function, 100.0, 30)
+    assert [d.instance.worker for d in decisions if isinstance(d, Attempt)] == [first] * 2, (
+        "both slots of the loaded instance are used"
+    )
+    orders = [d for d in decisions if isinstance(d, LoadOrder)]
     assert orders and all(o.count == 1 and o.instance.worker is not first for o in orders), (
-        "a worker without an instance"
+        "orders go to workers without an instance"
     )
-    refused = [d for d in found if isinstance(d, Request)]
-    assert refused and all(a.final_status == "rejected" and a.retry_after_ms > 0 for a in refused)
-    assert len(function.queue) + 2 == 8, "four a slot, two of them started"
+    rejected = [d for d in decisions if isinstance(d, Request)]
+    assert rejected and all(a.final_status == "rejected" and a.retry_after_ms > 0 for a in rejected)
+    assert len(function.queue) + 2 == 8, "the limit is four requests for each slot, and two have started"
 
 
-def test_dispatchers_that_share_nothing_choose_the_same_worker() -> None:
-    function = [make_function(f"m{n}") for n in range(20)]
-    pair = make_dispatcher(8, load_ration=AMPLE_LOADS), make_dispatcher(8, load_ration=AMPLE_LOADS)
-    hosts = [[load_and_serve_one(dispatcher, make_function(f.id)).id for f in function] for dispatcher in pair]
-    assert sum(a == b for a, b in zip(*hosts, strict=True)) > 10 and len(set(hosts[0])) > 3
+def test_dispatchers_choose_the_same_worker_without_communication() -> None:
+    functions = [make_function(f"m{n}") for n in range(20)]
+    dispatchers = make_dispatcher(8, load_ration=AMPLE_LOADS), make_dispatcher(8, load_ration=AMPLE_LOADS)
+    chosen_workers = [
+        [load_and_serve_one(dispatcher, make_function(f.id)).id for f in functions] for dispatcher in dispatchers
+    ]
+    assert sum(a == b for a, b in zip(*chosen_workers, strict=True)) > 10 and len(set(chosen_workers[0])) > 3
 
 
 def test_a_not_loaded_answer_orders_a_load_and_retries() -> None:
@@ -76,9 +80,9 @@
     dispatcher = make_dispatcher(load_ration=AMPLE_LOADS)
     for n in range(30):
         load_and_serve_one(dispatcher, make_function(f"scan{n}"), 200.0 * n)
-    gone = [dispatcher.on_tick(80_000.0 + n) for n in range(40)]
+    forgotten = [dispatcher.on_tick(80_000.0 + n) for n in range(40)]
     decide_all(dispatcher, 90_000.0)
-    assert sum(f is not None for f in gone) == 30 and not dispatcher.timers
+    assert sum(f is not None for f in forgotten) == 30 and not dispatcher.timers
     assert not any(w.instances or w.attempts for w in dispatcher.workers)
 
 
@@ -97,20 +101,20 @@
     assert function.instances[again.instance.worker].loaded == 1
 
 
-def test_without_load_budget_attempts_start_unordered_and_a_not_loaded_answer_suspends_the_instance() -> None:
+def test_without_load_ration_a_trial_attempt_starts_and_a_not_loaded_answer_suspends_the_instance() -> None:
     dispatcher, function = make_dispatcher(load_ration=LoadRation(True, 0.0, 0.0, 5000.0)), make_function()
     (attempt,) = submit(dispatcher, function, 0.0, 1)
     assert isinstance(attempt, Attempt)
     dispatcher.on_attempt_finished(1.0, attempt, AttemptResult(AttemptStatus.NOT_LOADED, False))
     again = [d for step in range(50) for d in decide_all(dispatcher, tick(dispatcher, 30.0 + 30 * step))]
     (second,) = [d for d in again if isinstance(d, Attempt)]
-    assert second.started_at > 1000.0, "not another worker at once: an instance there is no likelier"
+    assert second.started_at > 1000.0, "no other worker is tried at once: an instance there is not more likely"
 
 
-def test_where_others_mostly_loaded_the_function_an_attempt_goes_first_and_a_load_follows_a_miss() -> None:
+def test_a_trial_attempt_precedes_a_load_order_where_others_load_most_functions() -> None:
     dispatcher, loaded, missing = make_dispatcher(shared=0.6), make_function("loaded"), make_function("missing")
     (attempt,) = submit(dispatcher, loaded, 0.0, 1)
-    assert isinstance(attempt, Attempt), "no load budget is spent on asking"
+    assert isinstance(attempt, Attempt), "the load ration is not spent on queries"
     complete(dispatcher, attempt, 50.0)
     assert dispatcher.parts.instances.shared_ratio > 0.6 and attempt.instance.loaded == 1
     (attempt,) = submit(dispatcher, missing, 60.0, 1)
@@ -118,15 +122,15 @@
     dispatcher.on_attempt_finished(62.0, attempt, AttemptResult(AttemptStatus.NOT_LOADED, False))
     (order,) = decide_all(dispatcher, 62.0)
     assert isinstance(order, LoadOrder) and order.instance is attempt.instance and order.count == 1
-    believed_shared = dispatcher.parts.instances.shared_ratio
+    shared_ratio = dispatcher.parts.instances.shared_ratio
     dispatcher.on_load_report(900.0, order, AttemptStatus.COMPLETED, 1)
-    assert dispatcher.parts.instances.shared_ratio == believed_shared, "one discovery is counted once"
+    assert dispatcher.parts.instances.shared_ratio == shared_ratio, "one observation is counted once"
     assert [d.instance for d in decide_all(dispatcher, 900.0) if isinstance(d, Attempt)] == [attempt.instance]
 
 
-def test_the_share_of_instances_loaded_by_others_is_learned_from_first_uses() -> None:
+def test_the_share_of_instances_loaded_by_others_is_measured_at_first_uses() -> None:
     dispatcher = make_dispatcher(8, shared=0.5, load_ration=AMPLE_LOADS)
-    for n, took in enumerate([0.0] * 4 + [900.0] * 12):
+    for n, load_ms in enumerate([0.0] * 4 + [900.0] * 12):
         dispatcher.on_request(2000.0 * n, new_request(make_function(f"f{n}"), 2000.0 * n))
         (first,) = (
             d
@@ -134,12 +138,12 @@
             if isinstance(d, Attempt | LoadOrder) and (d.instance.function.id == f"f{n}")
         )
         if isinstance(first, Attempt):
-            found = AttemptStatus.NOT_LOADED if took else AttemptStatus.COMPLETED
-            dispatcher.on_attempt_finished(2000.0 * n + 1, first, AttemptResult(found, not took))
+            status = AttemptStatus.NOT_LOADED if load_ms else AttemptStatus.COMPLETED
+            dispatcher.on_attempt_finished(2000.0 * n + 1, first, AttemptResult(status, not load_ms))
         else:
             assert isinstance(first, LoadOrder)
-            dispatcher.on_load_report(2000.0 * n + took, first, AttemptStatus.COMPLETED, 1)
-        decide_all(dispatcher, 2000.0 * n + took)
+            dispatcher.on_load_report(2000.0 * n + load_ms, first, AttemptStatus.COMPLETED, 1)
+        decide_all(dispatcher, 2000.0 * n + load_ms)
         assert isinstance(first, Attempt) == (1 <= n <= 6), n
 
 
@@ -148,34 +152,34 @@
     instances = [
         dispatcher.parts.instances.get_or_add(make_function(f"f{n}"), dispatcher.workers[0]) for n in range(12)
     ]
-    given = [now for now in (0.0, 5100.0) for instance in instances if guard.start_load(now, instance, 1)]
-    assert given == [0.0] * 5, "the first ones may have arrived 250 ms late"
+    order_times = [now for now in (0.0, 5100.0) for instance in instances if guard.start_load(now, instance, 1)]
+    assert order_times == [0.0] * 5, "orders of the first window may have arrived 250 ms late"
     assert guard.start_load(5251.0, instances[0], 1) is not None
 
 
-def test_an_instance_is_placed_on_its_preferred_worker_unless_that_is_far_over_the_average() -> None:
-    for reported, at_home in ((3.0, True), (12.0, False)):
+def test_an_instance_is_placed_on_its_preferred_worker_unless_its_load_is_far_above_the_mean() -> None:
+    for reported, on_preferred in ((3.0, True), (12.0, False)):
         dispatcher, function = make_dispatcher(8), make_function()
-        home = load_and_serve_one(dispatcher, function)
-        for worker in dispatcher.workers:  # all have reported, with one load under way each
+        preferred = load_and_serve_one(dispatcher, function)
+        for worker in dispatcher.workers:  # every worker has sent a load report
             worker.mean_response_gap, worker.load_report = (
                 10.0,
-                {"x1": reported if worker is home else 1.0, "util": 0.7},
+                {"x1": reported if worker is preferred else 1.0, "util": 0.7},
             )
-        host, _ = dispatcher.parts.placement.choose_worker(5000.0, make_function(), dispatcher.workers)
-        assert (host is home) == at_home
+        chosen, _ = dispatcher.parts.placement.choose_worker(5000.0, make_function(), dispatcher.workers)
+        assert (chosen is preferred) == on_preferred
 
 
-def test_an_unchanged_endpoint_list_is_not_sorted_and_an_answer_without_queue_scans_no_instances() -> None:
+def test_an_unchanged_list_is_not_ranked_again_and_a_response_without_queue_scans_no_instances() -> None:
     dispatcher, function = make_dispatcher(8), make_function()
     load_and_serve_one(dispatcher, function)
-    homes = function.preferred_workers
+    preferred_workers = function.preferred_workers
     dispatcher.on_endpoints(100.0, list(dispatcher.workers), [])
     dispatcher.parts.placement.choose_worker(100.0, function, dispatcher.workers)
-    assert function.preferred_workers is homes
+    assert function.preferred_workers is preferred_workers
     dispatcher.on_endpoints(200.0, [*dispatcher.workers, Worker("new")], [])
     dispatcher.parts.placement.choose_worker(200.0, function, dispatcher.workers)
-    assert len(function.preferred_workers) == 9 and function.preferred_workers is not homes
+    assert len(function.preferred_workers) == 9 and function.preferred_workers is not preferred_workers
     seen = list[float]()
     dispatcher.parts.safety.has_budget = lambda now, worker: not seen.append(now)  # type: ignore[method-assign]
     (attempt,) = submit(dispatcher, function, 300.0, 1)
@@ -191,23 +195,23 @@
     assert dispatcher.parts.safety.start_load(100.0, instance, 17).count == 16
 
 
-def test_foreign_load_spreads_a_function_and_an_empty_instance_concentrates_it() -> None:
+def test_load_of_other_dispatchers_spreads_a_function_and_its_absence_concentrates_it() -> None:
     dispatcher, function = make_dispatcher(8, load_ration=AMPLE_LOADS), make_function(concurrency=1)
     load_and_serve_one(dispatcher, function)
-    for foreign_in_flight, wider in ((9, True), (0, False)):
+    for foreign_in_flight, spreads in ((9, True), (0, False)):
         before = function.target_worker_count
         for n in range(12):
-            now = 1000.0 * (n + 1) + 20_000 * (not wider)
+            now = 1000.0 * (n + 1) + 20_000 * (not spreads)
             for decision in submit(dispatcher, function, now, 1) + decide_all(dispatcher, now + 2):
                 if isinstance(decision, Attempt):
-                    how = AttemptStatus.COMPLETED
+                    status = AttemptStatus.COMPLETED
                     dispatcher.on_attempt_finished(
-                        now + 40, decision, AttemptResult(how, True, warm=True, foreign_in_flight=foreign_in_flight)
+                        now + 40, decision, AttemptResult(status, True, warm=True, foreign_in_flight=foreign_in_flight)
                     )
                 elif isinstance(decision, LoadOrder):
                     dispatcher.on_load_report(now + 1, decision, AttemptStatus.COMPLETED, 1)
-        assert (function.target_worker_count > before) is wider
-        assert not wider or len(function.instances) > 3
+        assert (function.target_worker_count > before) is spreads
+        assert not spreads or len(function.instances) > 3
 
 
 def test_where_workers_load_on_demand_the_first_attempt_needs_no_load_order() -> None:
@@ -217,24 +221,24 @@
             make_function(),
         )
         for _ in range(20):
-            dispatcher.parts.instances.observe_first_use(False)  # nothing was loaded by others
-        found = submit(dispatcher, function, 10.0, 1)
-        assert [type(each) for each in found] == [Attempt if loads else LoadOrder]
+            dispatcher.parts.instances.observe_first_use(False)  # no instance was loaded by other dispatchers
+        decisions = submit(dispatcher, function, 10.0, 1)
+        assert [type(each) for each in decisions] == [Attempt if loads else LoadOrder]
 
 
-def test_instances_are_placed_where_attempts_may_start_and_ejected_slots_do_not_count() -> None:
+def test_an_instance_is_added_elsewhere_while_a_cold_worker_may_get_no_attempt() -> None:
     dispatcher, function = make_dispatcher(8, load_ration=AMPLE_LOADS), make_function()
-    home = load_and_serve_one(dispatcher, function)
-    home.started_at = 2000.0
-    dispatcher.on_endpoints(2000.0, dispatcher.workers, [home])
-    home.instances[function].loaded = 1  # loaded again, by others
+    preferred = load_and_serve_one(dispatcher, function)
+    preferred.started_at = 2000.0
+    dispatcher.on_endpoints(2000.0, dispatcher.workers, [preferred])
+    preferred.instances[function].loaded = 1  # loaded again by another dispatcher
     safety = dispatcher.parts.safety
     safety._warm_throughput, safety._measured_at = 0.0, 1e9  # no attempt may start at a cold worker
     (order,) = (d for d in submit(dispatcher, function, 2001.0, 1) if isinstance(d, LoadOrder))
-    assert order.instance.worker is not home
+    assert order.instance.worker is not preferred
 
 
-def test_cancelled_requests_and_functions_that_cannot_load_earn_no_load_budget() -> None:
+def test_cancelled_requests_and_functions_that_cannot_load_do_not_count_for_the_load_ration() -> None:
     dispatcher = make_dispatcher(3, load_ration=LoadRation(True, 2.0, 0.5, 5000.0))
     guard, bogus = dispatcher.parts.safety, make_function("bogus")
     for n in range(40):
@@ -250,11 +254,11 @@
     assert not guard.request_times
     (second,) = (d for d in decide_all(dispatcher, 30.0) if isinstance(d, LoadOrder))
     dispatcher.on_load_report(31.0, second, AttemptStatus.ERROR, 0)
-    assert {d for d in decide_all(dispatcher, 31.0) if isinstance(d, Request)} == set(calls), "terminated at once"
+    assert {d for d in decide_all(dispatcher, 31.0) if isinstance(d, Request)} == set(calls), "they end at once"
     assert all(request.final_status == "rejected" for request in calls)
 
 
-def test_a_failed_load_of_a_function_that_was_loaded_before_terminates_nothing() -> None:
+def test_a_failed_load_of_a_function_that_was_loaded_before_ends_no_requests() -> None:
     dispatcher, function = make_dispatcher(3, load_ration=AMPLE_LOADS), make_function()
     now = 0.0
     for status, loaded in (
@@ -265,8 +269,8 @@
     ):
         for n in range(4):
             dispatcher.on_request(now, new_request(function, now, n))
-        found = [d for d in decide_all(dispatcher, now) if isinstance(d, LoadOrder)]
-        for order in found:
+        decisions = [d for d in decide_all(dispatcher, now) if isinstance(d, LoadOrder)]
+        for order in decisions:
             dispatcher.on_load_report(now + 1, order, status, loaded)
         assert not [d for d in decide_all(dispatcher, now + 1) if isinstance(d, Request)]
         now += 30
--- a/tests/test_dispatch_hedging.py
+++ b/tests/test_dispatch_hedging.py
@@ -1,4 +1,4 @@
-"""Hedged requests, retries of overdue attempts, and the retry budget."""
+"""Tests of hedged requests, retries of overdue attempts, and the retry budget."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 )
 
 
-def serve_in_sequence(dispatcher: Dispatcher, function: Function, now: float, took: float, n: int) -> float:
-    """Complete `n` requests one after the other, so that the usual latency is known."""
+def serve_in_sequence(dispatcher: Dispatcher, function: Function, now: float, latency_ms: float, n: int) -> float:
+    """Complete `n` requests one after the other, so that the mean latency is known."""
     for number in range(n):
         _, attempts = submit_one(dispatcher, function, now, 1000 + number)
         for attempt in attempts:
-            dispatcher.on_attempt_finished(now + took, attempt, AttemptResult(AttemptStatus.COMPLETED, True))
-        now += took
+            dispatcher.on_attempt_finished(now + latency_ms, attempt, AttemptResult(AttemptStatus.COMPLETED, True))
+        now += latency_ms
         decide_all(dispatcher, now)
     return now
 
 
-def hedged_class(effect: Idempotency = Idempotency.IDEMPOTENT) -> RequestClass:
-    return RequestClass(effect.value, effect, 500.0, 2.0, 0.3, "all", 5000.0, True)
+def hedged_class(idempotency: Idempotency = Idempotency.IDEMPOTENT) -> RequestClass:
+    return RequestClass(idempotency.value, idempotency, 500.0, 2.0, 0.3, "all", 5000.0, True)
 
 
 def submit_one(dispatcher: Dispatcher, function: Function, now: float, n: int = 1) -> tuple[Request, list[Attempt]]:
@@ -59,17 +59,17 @@
         dispatcher.parts.instances.set_loaded(now, dispatcher.parts.instances.get_or_add(function, worker), 1)
 
 
-@pytest.mark.parametrize("effect", [Idempotency.IDEMPOTENT, Idempotency.DEDUPLICATED])
-def test_a_hedge_starts_after_the_usual_deviation_on_another_worker(effect: Idempotency) -> None:
+@pytest.mark.parametrize("idempotency", [Idempotency.IDEMPOTENT, Idempotency.DEDUPLICATED])
+def test_a_hedge_starts_after_the_usual_deviation_on_another_worker(idempotency: Idempotency) -> None:
     dispatcher = make_dispatcher(3, load_ration=AMPLE_LOADS)
-    function = make_function(request_class=hedged_class(effect))
+    function = make_function(request_class=hedged_class(idempotency))
     now = serve_in_sequence(dispatcher, function, 0.0, 40.0, 30)
     load_everywhere(dispatcher, function, now)
     request, (first,) = submit_one(dispatcher, function, now)
-    wait = dispatcher.parts.retry_budget.hedge_delay(function, first.instance.worker)
-    assert 40 <= wait < 60, "steady latencies have a small deviation"
-    assert not decide_all(dispatcher, now + wait - 1)
-    (second,) = [d for d in decide_all(dispatcher, now + wait + 1) if isinstance(d, Attempt)]
+    delay_ms = dispatcher.parts.retry_budget.hedge_delay(function, first.instance.worker)
+    assert 40 <= delay_ms < 60, "steady latencies have a small deviation"
+    assert not decide_all(dispatcher, now + delay_ms - 1)
+    (second,) = [d for d in decide_all(dispatcher, now + delay_ms + 1) if isinstance(d, Attempt)]
     assert second.request is request and second.instance.worker is not first.instance.worker
     dispatcher.on_attempt_finished(now + 90, second, AttemptResult(AttemptStatus.COMPLETED, True))
     assert [d for d in decide_all(dispatcher, now + 90) if isinstance(d, Attempt)] == [first] and first.cancelled
@@ -96,26 +96,26 @@
         for instance in () if instances else others:
             instance.loaded = 0
         assert not [d for d in decide_all(dispatcher, now + 150) if isinstance(d, Attempt)]
-        assert not function.queue_depth, "a hedge never waits in a queue"
+        assert not function.queue_depth, "a hedge is never queued"
 
 
 def test_the_retry_budget_grows_with_completed_requests() -> None:
     dispatcher = make_dispatcher(2, load_ration=AMPLE_LOADS)
     retry_budget = dispatcher.parts.retry_budget
-    spent = 0
+    tokens = 0
     while retry_budget.try_spend():
-        spent += 1
-    assert 0 < spent <= 100
+        tokens += 1
+    assert 0 < tokens <= 100
     for _ in range(51):
         retry_budget.deposit()
-    again = 0
+    earned_tokens = 0
     while retry_budget.try_spend():
-        again += 1
-    assert again == 10, "a fifth of what was completed"
+        earned_tokens += 1
+    assert earned_tokens == 10, "one token for five completed requests"
 
 
 def test_retries_of_overdue_attempts_wait_for_the_retry_budget() -> None:
-    """Guards against retrying everything at once at workers that fall silent under load."""
+    """Guards against retrying all attempts at once when workers stop responding under load."""
     dispatcher = make_dispatcher(4, load_ration=AMPLE_LOADS)
     function = make_function(concurrency=8)
     now = serve_in_sequence(dispatcher, function, 0.0, 40.0, 20)
@@ -125,28 +125,28 @@
     requests = [submit_one(dispatcher, function, now, n) for n in range(6)]
     attempts = [attempt for _, found in requests for attempt in found]
     assert len(attempts) == 6
-    now += 1500  # unusually long
+    now += 1500  # makes all attempts overdue
     dispatcher.on_tick(now)
     assert all(attempt.overdue for attempt in attempts) and not [
         d for d in decide_all(dispatcher, now) if isinstance(d, Attempt)
     ]
     for _ in range(11):
         dispatcher.parts.retry_budget.deposit()
-    now += 600  # silent workers are ejected for a time
+    now += 600  # past the ejection of the silent workers
     dispatcher.on_tick(now)
     assert len([d for d in decide_all(dispatcher, now) if isinstance(d, Attempt)]) == 2
     dispatcher.on_attempt_finished(now + 50, attempts[5], AttemptResult(AttemptStatus.COMPLETED, True))
     for _ in range(100):
         dispatcher.parts.retry_budget.deposit()
     dispatcher.on_tick(now + 100)
-    late = [d for d in decide_all(dispatcher, now + 100) if isinstance(d, Attempt) and not d.cancelled]
-    assert 0 < len(late) <= 4 and all(d.request is not attempts[5].request for d in late), (
+    retried = [d for d in decide_all(dispatcher, now + 100) if isinstance(d, Attempt) and not d.cancelled]
+    assert 0 < len(retried) <= 4 and all(d.request is not attempts[5].request for d in retried), (
         "a finished request is not retried"
     )
 
 
 def test_a_deferred_retry_does_not_cancel_an_attempt_whose_response_has_started() -> None:
-    """Guards against a stream that breaks off at its client, as its attempt was overdue before the first part."""
+    """Guards against cancelling a stream to a client because its attempt was overdue before the first part."""
     dispatcher = make_dispatcher(4, load_ration=AMPLE_LOADS)
     function = make_function(concurrency=8)
     now = serve_in_sequence(dispatcher, function, 0.0, 40.0, 20)
@@ -154,7 +154,7 @@
     while dispatcher.parts.retry_budget.try_spend():
         pass
     _, (attempt,) = submit_one(dispatcher, function, now)
-    now += 1500  # unusually long
+    now += 1500  # makes the attempt overdue
     dispatcher.on_tick(now)
     assert not any(isinstance(d, Attempt) for d in decide_all(dispatcher, now)) and attempt.overdue, (
         "no budget for a retry"
--- a/tests/test_dispatch_outliers.py
+++ b/tests/test_dispatch_outliers.py
@@ -1,4 +1,4 @@
-"""Outlier detection: which failures eject a worker or suspend an instance, and how a worker is probed."""
+"""Tests of outlier detection: which failures eject a worker or suspend an instance, and how a worker is probed."""
 
 from __future__ import annotations
 
@@ -25,26 +25,29 @@
 )
 
 
-def test_a_hung_worker_neither_stalls_its_queue_nor_holds_what_may_be_retried() -> None:
-    for effect, again in (
+def test_requests_at_a_hung_worker_are_retried_at_another_unless_at_most_once() -> None:
+    for idempotency, is_retried in (
         (Idempotency.IDEMPOTENT, True),
         (Idempotency.DEDUPLICATED, True),
         (Idempotency.AT_MOST_ONCE, False),
     ):
-        dispatcher, function = make_dispatcher(), make_function(concurrency=4, request_class=make_request_class(effect))
+        dispatcher, function = (
+            make_dispatcher(),
+            make_function(concurrency=4, request_class=make_request_class(idempotency)),
+        )
         hung = load_and_serve_one(dispatcher, function)
         for n in range(20):
             (attempt,) = submit(dispatcher, function, 100.0 + 60 * n, 1)
             complete(dispatcher, attempt, 150.0 + 60 * n)
         (attempt,) = submit(dispatcher, function, 2000.0, 1, 5000.0)
-        found = []
+        decisions = []
         for step in range(60):
             dispatcher.on_tick(2000.0 + 50 * step)
-            found += decide_all(dispatcher, 2000.0 + 50 * step)
-        assert any(isinstance(d, str) and hung.id in d for d in found), "the log names it"
-        orders = [d for d in found if isinstance(d, LoadOrder) and d.instance.worker is not hung]
-        assert bool(orders) is again
-        if again:
+            decisions += decide_all(dispatcher, 2000.0 + 50 * step)
+        assert any(isinstance(d, str) and hung.id in d for d in decisions), "the log names the hung worker"
+        orders = [d for d in decisions if isinstance(d, LoadOrder) and d.instance.worker is not hung]
+        assert bool(orders) is is_retried
+        if is_retried:
             dispatcher.on_load_report(5000.0, orders[0], AttemptStatus.COMPLETED, 1)
             assert [d.request for d in decide_all(dispatcher, 5000.0) if isinstance(d, Attempt)] == [attempt.request]
 
@@ -54,10 +57,12 @@
     worker, now = load_and_serve_one(dispatcher, function), 100.0
     for attempt in submit(dispatcher, function, now, 4):
         dispatcher.on_attempt_finished(now + 1, attempt, AttemptResult(AttemptStatus.ERROR, False))
-    assert [d for d in decide_all(dispatcher, now + 2) if isinstance(d, Attempt)] == [], "they return to the queue"
-    tried = [d for step in range(15) for d in decide_all(dispatcher, tick(dispatcher, now + 50 * step))]
+    assert [d for d in decide_all(dispatcher, now + 2) if isinstance(d, Attempt)] == [], (
+        "the requests return to the queue"
+    )
+    decisions = [d for step in range(15) for d in decide_all(dispatcher, tick(dispatcher, now + 50 * step))]
     assert (
-        len([d for d in tried if isinstance(d, Attempt)]) == 1
+        len([d for d in decisions if isinstance(d, Attempt)]) == 1
         and worker.outlier_state_by_class[function.request_class].ejection_ms > 0
     )
 
@@ -72,10 +77,10 @@
     assert [d.instance.worker for d in submit(dispatcher, other, 202.0, 1) if isinstance(d, Attempt)] == [worker]
 
 
-def test_lost_connections_eject_no_worker_that_answers_and_four_in_a_row_do() -> None:
+def test_single_lost_connections_do_not_eject_a_worker_and_four_in_a_row_do() -> None:
     dispatcher, function = make_dispatcher(workers=1), make_function(concurrency=4)
     worker = load_and_serve_one(dispatcher, function)
-    for n in range(12):  # every third is lost: the rest is answered
+    for n in range(12):  # every third attempt loses its connection, the others are answered
         (attempt,) = submit(dispatcher, function, 100.0 + 50 * n, 1)
         if n % 3 == 2:
             dispatcher.on_attempt_finished(110.0 + 50 * n, attempt, AttemptResult(AttemptStatus.CONNECTION_LOST, False))
@@ -91,34 +96,34 @@
     assert not [d for d in decide_all(dispatcher, 1004.0) if isinstance(d, Attempt)]
 
 
-def test_a_worker_that_fails_one_class_serves_the_others_and_a_lost_answer_is_retried() -> None:
-    dispatcher, fails, well = (
+def test_a_worker_that_fails_one_class_serves_the_others_and_a_lost_response_is_retried() -> None:
+    dispatcher, failing, working = (
         make_dispatcher(workers=1),
         make_function("a", 4),
         make_function("b", 4, make_request_class(Idempotency.AT_MOST_ONCE)),
     )
-    worker = load_and_serve_one(dispatcher, fails)
-    load_and_serve_one(dispatcher, well, 60.0)
-    for attempt in submit(dispatcher, fails, 200.0, 3):
+    worker = load_and_serve_one(dispatcher, failing)
+    load_and_serve_one(dispatcher, working, 60.0)
+    for attempt in submit(dispatcher, failing, 200.0, 3):
         dispatcher.on_attempt_finished(201.0, attempt, AttemptResult(AttemptStatus.ERROR, True))
-    assert not dispatcher.parts.outliers.usable(202.0, worker, fails.request_class)
-    (lost, *_) = [d for d in submit(dispatcher, well, 202.0, 1) if isinstance(d, Attempt)]
+    assert not dispatcher.parts.outliers.usable(202.0, worker, failing.request_class)
+    (lost, *_) = [d for d in submit(dispatcher, working, 202.0, 1) if isinstance(d, Attempt)]
     assert lost.instance.worker is worker
     dispatcher, function = make_dispatcher(workers=2, load_ration=AMPLE_LOADS), make_function(concurrency=4)
     load_and_serve_one(dispatcher, function)
     (lost,) = submit(dispatcher, function, 100.0, 1)
-    found: list[Decision] = []
-    for n in range(10):  # the worker still answers others
-        found += submit(dispatcher, function, 200.0 + 60 * n, 1)
+    decisions: list[Decision] = []
+    for n in range(10):  # the worker still answers other requests
+        decisions += submit(dispatcher, function, 200.0 + 60 * n, 1)
         for attempt in [
-            d for d in found if isinstance(d, Attempt) and d.request is not lost.request and d.status is None
+            d for d in decisions if isinstance(d, Attempt) and d.request is not lost.request and d.status is None
         ]:
             complete(dispatcher, attempt, 240.0 + 60 * n)
-        found += decide_all(dispatcher, tick(dispatcher, 245.0 + 60 * n))
+        decisions += decide_all(dispatcher, tick(dispatcher, 245.0 + 60 * n))
     assert lost.overdue and len(lost.request.attempts) + lost.request.queued > 1
 
 
-def test_one_attempt_that_merely_takes_long_ejects_no_worker() -> None:
+def test_one_slow_attempt_does_not_eject_a_worker() -> None:
     dispatcher, function = make_dispatcher(1, load_ration=AMPLE_LOADS), make_function(concurrency=4)
     worker = dispatcher.workers[0]
     requests = [new_request(function, 0.0, n, 9000.0) for n in range(3)]
@@ -130,17 +135,17 @@
     dispatcher.on_attempt_finished(100.0, attempts[0], AttemptResult(AttemptStatus.COMPLETED, True, warm=True))
     dispatcher.on_attempt_finished(101.0, attempts[1], AttemptResult(AttemptStatus.COMPLETED, True, warm=True))
     dispatcher.on_tick(600.0)
-    assert not worker.outlier_state.ejection_ms, "four usual latencies"
+    assert not worker.outlier_state.ejection_ms, "one late attempt past OVERDUE_FACTOR does not eject"
     dispatcher.on_tick(1400.0)
-    assert attempts[2].overdue and not worker.outlier_state.ejection_ms, "one answer is missing"
+    assert attempts[2].overdue and not worker.outlier_state.ejection_ms, "one missing response does not eject"
     for n in (8, 9):
         dispatcher.on_request(1400.0, new_request(function, 1400.0, n, 9000.0))
     assert len([d for d in decide_all(dispatcher, 1400.0) if isinstance(d, Attempt)]) == 2
     dispatcher.on_tick(2900.0)
-    assert worker.outlier_state.ejection_ms, "two more are missing, and nothing else came"
+    assert worker.outlier_state.ejection_ms, "two more missing responses without any other eject"
 
 
-def test_a_load_at_an_ejected_worker_adds_no_expected_slot_and_load_times_are_learned() -> None:
+def test_a_load_at_an_ejected_worker_counts_no_future_slots_and_load_times_are_measured() -> None:
     dispatcher, function = make_dispatcher(3, load_ration=AMPLE_LOADS), make_function()
     dispatcher.on_request(0.0, new_request(function, 0.0))
     (order,) = (d for d in decide_all(dispatcher, 0.0) if isinstance(d, LoadOrder))
--- a/tests/test_dispatch_readiness.py
+++ b/tests/test_dispatch_readiness.py
@@ -1,4 +1,4 @@
-"""What is known of a worker's readiness while the endpoint list is out of reach, and the questions asked for it."""
+"""Tests of worker readiness while the endpoint list is unreachable, and of readiness questions."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 from kelptrail.dispatch.readiness_questions import IGNORED_CHECK_MS, MAX_CREDIT, UNPROVEN_PAUSE_MS
 from kelptrail.dispatch.worker_delays import WorkerDelays
 
-NOTIFICATION_MS, BROKEN_MS, GRACE_MS = 4000.0, 2000.0, 500.0
-BOTH = (ProbeKind.HEALTH_CHECK, ProbeKind.LOAD_QUERY)
+NOTIFICATION_MS, BROKEN_NOTIFICATION_MS, GRACE_MS = 4000.0, 2000.0, 500.0
+ALL_PROBES = (ProbeKind.HEALTH_CHECK, ProbeKind.LOAD_QUERY)
 STALE_AT = NOTIFICATION_MS + GRACE_MS
-IGNORING_WORKERS = 4  # of eight
+IGNORING_WORKERS = 4  # the fleet has eight workers
 UP, DOWN, NO_ANSWER = AttemptStatus.COMPLETED, AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.SILENT
 
 
-def make_following_dispatcher(probe_kinds: tuple[ProbeKind, ...] = BOTH, **settings: Any) -> Dispatcher:
-    """A dispatcher that heard its list at 0, and that may ask what `probe_kinds` says."""
-    limits = ReadinessLimits(NOTIFICATION_MS, BROKEN_MS, GRACE_MS, probe_kinds)
+def make_dispatcher_with_list(probe_kinds: tuple[ProbeKind, ...] = ALL_PROBES, **settings: Any) -> Dispatcher:
+    """Return a dispatcher whose list was confirmed at time 0, and that may send probes of `probe_kinds`."""
+    limits = ReadinessLimits(NOTIFICATION_MS, BROKEN_NOTIFICATION_MS, GRACE_MS, probe_kinds)
     dispatcher = make_dispatcher(readiness=limits, load_ration=AMPLE_LOADS, **settings)
     dispatcher.on_list_heard(0.0)
     return dispatcher
@@ -49,15 +49,15 @@
     return request
 
 
-def ask(dispatcher: Dispatcher, now: float, function: Function, n: int = 1) -> ReadinessQuestion:
-    """The question that a request makes the dispatcher ask."""
+def send_question(dispatcher: Dispatcher, now: float, function: Function, n: int = 1) -> ReadinessQuestion:
+    """Submit a request and return the question that the dispatcher sends for it."""
     request_at(dispatcher, now, function, n)
     (question,) = decide_all(dispatcher, now)
     assert isinstance(question, ReadinessQuestion)
     return question
 
 
-def answer(
+def answer_probes(
     dispatcher: Dispatcher, now: float, question: ReadinessQuestion, *statuses: AttemptStatus, loaded: int = 0
 ) -> None:
     for probe, status in zip(question.probes, statuses, strict=True):
@@ -68,8 +68,8 @@
     dispatcher.on_attempt_finished(now, attempt, AttemptResult(AttemptStatus.COMPLETED, True, warm=True))
 
 
-def test_a_list_is_relied_on_until_its_silence_counts_as_notified_and_the_grace_is_over() -> None:
-    dispatcher = make_following_dispatcher()
+def test_a_list_is_valid_until_the_notification_time_and_the_grace_time_have_passed() -> None:
+    dispatcher = make_dispatcher_with_list()
     worker, readiness = dispatcher.workers[0], dispatcher.parts.safety.readiness
     assert readiness.is_known(STALE_AT * (1 - EARLY_SHARE), worker)
     assert not readiness.is_known(STALE_AT, worker)
@@ -77,57 +77,59 @@
     assert readiness.is_known(STALE_AT, worker)
 
 
-def test_a_broken_connection_counts_as_notified_earlier_and_the_initial_list_at_once() -> None:
-    dispatcher = make_following_dispatcher()
+def test_the_list_expires_earlier_after_a_broken_connection_and_an_initial_list_after_the_grace_time() -> None:
+    dispatcher = make_dispatcher_with_list()
     worker, readiness = dispatcher.workers[0], dispatcher.parts.safety.readiness
     dispatcher.on_list_lost(100.0)
-    dispatcher.on_list_lost(1500.0)  # the first break counts
-    assert readiness.is_known(100.0 + BROKEN_MS + GRACE_MS - 1, worker)
-    assert not readiness.is_known(100.0 + BROKEN_MS + GRACE_MS, worker)
+    dispatcher.on_list_lost(1500.0)  # only the first break counts
+    assert readiness.is_known(100.0 + BROKEN_NOTIFICATION_MS + GRACE_MS - 1, worker)
+    assert not readiness.is_known(100.0 + BROKEN_NOTIFICATION_MS + GRACE_MS, worker)
     dispatcher.on_initial_list(9000.0)
     assert readiness.is_known(9000.0 + GRACE_MS - 1, worker) and not readiness.is_known(9000.0 + GRACE_MS, worker)
 
 
 def test_processes_stop_relying_on_their_lists_at_different_times() -> None:
-    ends = {make_following_dispatcher(seed=seed).parts.safety.readiness.list_expires_at for seed in range(20)}
+    ends = {make_dispatcher_with_list(seed=seed).parts.safety.readiness.list_expires_at for seed in range(20)}
     assert len(ends) == 20 and max(ends) <= STALE_AT and min(ends) >= STALE_AT - EARLY_SHARE * NOTIFICATION_MS
 
 
-def test_a_request_in_an_outage_asks_first_and_then_loads_where_a_worker_is_ready() -> None:
-    dispatcher = make_following_dispatcher()
-    question = ask(dispatcher, STALE_AT, make_function())
-    assert [probe.kind for probe in question.probes] == list(BOTH)
-    answer(dispatcher, STALE_AT + 5, question, UP, UP)
+def test_a_request_in_an_outage_sends_a_question_before_its_load_order() -> None:
+    dispatcher = make_dispatcher_with_list()
+    question = send_question(dispatcher, STALE_AT, make_function())
+    assert [probe.kind for probe in question.probes] == list(ALL_PROBES)
+    answer_probes(dispatcher, STALE_AT + 5, question, UP, UP)
     (order,) = decide_all(dispatcher, STALE_AT + 5)
     assert isinstance(order, LoadOrder) and order.instance.worker is question.instance.worker
 
 
-def test_an_instance_that_the_query_found_gets_the_attempt_without_a_load() -> None:
-    dispatcher = make_following_dispatcher()
-    question = ask(dispatcher, STALE_AT, make_function())
-    answer(dispatcher, STALE_AT + 5, question, UP, UP, loaded=1)
+def test_an_instance_that_the_load_query_found_gets_the_attempt_without_a_load_order() -> None:
+    dispatcher = make_dispatcher_with_list()
+    question = send_question(dispatcher, STALE_AT, make_function())
+    answer_probes(dispatcher, STALE_AT + 5, question, UP, UP, loaded=1)
     (attempt,) = decide_all(dispatcher, STALE_AT + 5)
     assert isinstance(attempt, Attempt) and attempt.instance.worker is question.instance.worker
 
 
 @pytest.mark.parametrize("statuses", [(DOWN, UP), (UP, DOWN), (DOWN, DOWN), (NO_ANSWER, UP), (UP, NO_ANSWER)])
 @pytest.mark.parametrize("reverse", [False, True])
-def test_both_answers_are_needed_in_any_order(statuses: tuple[AttemptStatus, ...], reverse: bool) -> None:
-    """A draining worker was seen to answer load queries as a ready one does, and health checks with DOWN."""
-    dispatcher = make_following_dispatcher(workers=1)
-    question = ask(dispatcher, STALE_AT, make_function())
-    pairs = list(zip(question.probes, statuses, strict=True))
-    for probe, status in reversed(pairs) if reverse else pairs:
+def test_a_proof_needs_positive_answers_to_both_probes_in_any_order(
+    statuses: tuple[AttemptStatus, ...], reverse: bool
+) -> None:
+    """A draining worker was observed to answer load queries as a ready one does, and health checks with DOWN."""
+    dispatcher = make_dispatcher_with_list(workers=1)
+    question = send_question(dispatcher, STALE_AT, make_function())
+    answers = list(zip(question.probes, statuses, strict=True))
+    for probe, status in reversed(answers) if reverse else answers:
         dispatcher.on_probe_finished(STALE_AT + 5, probe, status, 1)
     assert not dispatcher.parts.safety.readiness.is_known(STALE_AT + 5, dispatcher.workers[0])
     assert decide_all(dispatcher, STALE_AT + 5) == []
 
 
-def test_a_proof_is_as_old_as_its_question_and_is_asked_for_again_as_the_first_byte_leaves() -> None:
-    dispatcher = make_following_dispatcher(workers=1)
-    question = ask(dispatcher, STALE_AT, make_function())
+def test_a_proof_is_dated_from_its_question_and_checked_again_before_the_first_byte_is_sent() -> None:
+    dispatcher = make_dispatcher_with_list(workers=1)
+    question = send_question(dispatcher, STALE_AT, make_function())
     question.write_started_at = STALE_AT + 100
-    answer(dispatcher, STALE_AT + 400, question, UP, UP, loaded=1)
+    answer_probes(dispatcher, STALE_AT + 400, question, UP, UP, loaded=1)
     (attempt,) = decide_all(dispatcher, STALE_AT + 400)
     assert isinstance(attempt, Attempt)
     assert dispatcher.may_start(STALE_AT + 100 + GRACE_MS - 1, attempt)
@@ -139,14 +141,14 @@
     [
         (Idempotency.IDEMPOTENT, AttemptStatus.COMPLETED, True),
         (Idempotency.AT_MOST_ONCE, AttemptStatus.COMPLETED, True),
-        (Idempotency.DEDUPLICATED, AttemptStatus.COMPLETED, False),  # it may be the answer to an earlier attempt
+        (Idempotency.DEDUPLICATED, AttemptStatus.COMPLETED, False),  # the response may be that of an earlier attempt
         (Idempotency.IDEMPOTENT, AttemptStatus.OUT_OF_CAPACITY, False),
         (Idempotency.IDEMPOTENT, AttemptStatus.NOT_LOADED, False),
         (Idempotency.IDEMPOTENT, AttemptStatus.ERROR, False),
     ],
 )
-def test_what_an_attempt_proves(idempotency: Idempotency, status: AttemptStatus, proves: bool) -> None:
-    dispatcher = make_following_dispatcher(workers=1)
+def test_which_attempt_results_prove_readiness(idempotency: Idempotency, status: AttemptStatus, proves: bool) -> None:
+    dispatcher = make_dispatcher_with_list(workers=1)
     function = make_function(request_class=make_request_class(idempotency))
     load_and_serve_one(dispatcher, function)
     request_at(dispatcher, 3000.0, function)
@@ -157,8 +159,8 @@
     assert dispatcher.parts.safety.readiness.is_known(STALE_AT + 100, dispatcher.workers[0]) is proves
 
 
-def test_questions_cost_one_a_request_and_go_on_slowly_for_one_that_waits() -> None:
-    dispatcher = make_following_dispatcher(workers=200)
+def test_the_number_of_questions_is_limited_by_the_number_of_requests() -> None:
+    dispatcher = make_dispatcher_with_list(workers=200)
     asked = 0
     for n in range(100):
         now = STALE_AT + 20 * n
@@ -168,13 +170,13 @@
     assert asked <= 100 + MAX_CREDIT
 
 
-def test_a_worker_that_proved_nothing_is_passed_over_for_a_while() -> None:
-    dispatcher = make_following_dispatcher(workers=2)
-    first = ask(dispatcher, STALE_AT, make_function())
-    answer(dispatcher, STALE_AT + 5, first, DOWN, UP)
+def test_a_worker_that_did_not_prove_its_readiness_is_skipped_for_a_time() -> None:
+    dispatcher = make_dispatcher_with_list(workers=2)
+    first = send_question(dispatcher, STALE_AT, make_function())
+    answer_probes(dispatcher, STALE_AT + 5, first, DOWN, UP)
     (second,) = decide_all(dispatcher, STALE_AT + 5)
     assert isinstance(second, ReadinessQuestion) and second.instance.worker is not first.instance.worker
-    answer(dispatcher, STALE_AT + 10, second, DOWN, UP)
+    answer_probes(dispatcher, STALE_AT + 10, second, DOWN, UP)
     assert decide_all(dispatcher, STALE_AT + 10) == []
     again = STALE_AT + 10 + UNPROVEN_PAUSE_MS
     dispatcher.on_tick(again)
@@ -182,16 +184,16 @@
     assert isinstance(third, ReadinessQuestion)
 
 
-def test_a_worker_that_hangs_over_a_question_does_not_hold_requests_for_the_others() -> None:
-    dispatcher = make_following_dispatcher(workers=2)
-    first = ask(dispatcher, STALE_AT, make_function())
+def test_a_worker_that_does_not_answer_a_question_does_not_delay_requests_at_others() -> None:
+    dispatcher = make_dispatcher_with_list(workers=2)
+    first = send_question(dispatcher, STALE_AT, make_function())
     dispatcher.on_tick(STALE_AT + ANSWER_TIMEOUT_MS)
     (second,) = decide_all(dispatcher, STALE_AT + ANSWER_TIMEOUT_MS)
     assert isinstance(second, ReadinessQuestion) and second.instance.worker is not first.instance.worker
 
 
 def ignore_health_checks(dispatcher: Dispatcher) -> list[ReadinessQuestion]:
-    """All workers answer their load queries and no health check; returns their questions."""
+    """Let all workers answer their load queries and no health check; return their questions."""
     questions = []
     for n in range(len(dispatcher.workers)):
         asked = [each for each in decide_all(dispatcher, STALE_AT) if isinstance(each, ReadinessQuestion)]
@@ -205,17 +207,19 @@
     return questions
 
 
-def test_a_fleet_that_ignores_health_checks_is_known_by_its_load_queries() -> None:
-    dispatcher = make_following_dispatcher(workers=1)
+def test_a_fleet_that_ignores_health_checks_proves_its_readiness_by_load_queries() -> None:
+    dispatcher = make_dispatcher_with_list(workers=1)
     (question,) = ignore_health_checks(dispatcher)
     worker = question.instance.worker
     assert dispatcher.parts.safety.readiness.is_known(STALE_AT + 100, worker)
     dispatcher.on_probe_finished(STALE_AT + 200, question.probes[0], DOWN)
-    assert not dispatcher.parts.safety.readiness.is_known(STALE_AT + 200, worker), "it knows them after all"
+    assert not dispatcher.parts.safety.readiness.is_known(STALE_AT + 200, worker), (
+        "the worker does answer health checks"
+    )
 
 
-def test_a_few_workers_that_ignore_health_checks_prove_nothing() -> None:
-    dispatcher = make_following_dispatcher(workers=8)
+def test_load_queries_are_no_proof_if_only_some_workers_ignore_health_checks() -> None:
+    dispatcher = make_dispatcher_with_list(workers=8)
     ignoring: set[Worker] = set()
     for n in range(20):
         request_at(dispatcher, STALE_AT, make_function(f"f{n}"), n)
@@ -230,9 +234,9 @@
     assert not any(readiness.is_known(STALE_AT + IGNORED_CHECK_MS, each) for each in dispatcher.workers)
 
 
-def test_one_answered_health_check_makes_missing_ones_prove_nothing() -> None:
-    dispatcher = make_following_dispatcher(workers=3)
-    answer(dispatcher, STALE_AT, ask(dispatcher, STALE_AT, make_function("first")), DOWN, UP)
+def test_load_queries_are_no_proof_once_a_worker_has_answered_a_health_check() -> None:
+    dispatcher = make_dispatcher_with_list(workers=3)
+    answer_probes(dispatcher, STALE_AT, send_question(dispatcher, STALE_AT, make_function("first")), DOWN, UP)
     decide_all(dispatcher, STALE_AT)
     for worker in dispatcher.workers:
         if worker.readiness_question is not None:
@@ -241,8 +245,8 @@
     assert not any(dispatcher.parts.safety.readiness.is_known(STALE_AT + 100, each) for each in dispatcher.workers)
 
 
-def test_where_nothing_may_be_asked_requests_are_rejected_at_once_unless_answers_prove_readiness() -> None:
-    dispatcher = make_following_dispatcher((), workers=1)
+def test_without_probes_requests_are_rejected_at_once_unless_responses_prove_readiness() -> None:
+    dispatcher = make_dispatcher_with_list((), workers=1)
     function = make_function()
     load_and_serve_one(dispatcher, function)
     request_at(dispatcher, 4000.0, function)
@@ -257,8 +261,8 @@
     assert late.final_status is FinalStatus.REJECTED and late.reason is TerminationReason.READINESS_UNKNOWN
 
 
-def test_a_worker_whose_connection_was_lost_in_an_outage_may_be_a_new_process() -> None:
-    dispatcher = make_following_dispatcher(workers=1)
+def test_a_worker_whose_connection_was_lost_in_an_outage_counts_as_restarted() -> None:
+    dispatcher = make_dispatcher_with_list(workers=1)
     function = make_function()
     worker = load_and_serve_one(dispatcher, function)
     request_at(dispatcher, 3900.0, function)
@@ -272,8 +276,8 @@
     assert dispatcher.parts.safety.capacity_factor(STALE_AT, worker) == 1
 
 
-def test_a_lost_connection_with_the_list_up_leaves_the_worker_warm() -> None:
-    dispatcher = make_following_dispatcher(workers=1)
+def test_a_lost_connection_while_the_list_is_reachable_leaves_the_worker_warm() -> None:
+    dispatcher = make_dispatcher_with_list(workers=1)
     function = make_function()
     worker = load_and_serve_one(dispatcher, function)
     request_at(dispatcher, 500.0, function)
@@ -284,8 +288,8 @@
     assert dispatcher.parts.safety.capacity_factor(600.0, worker) == 1
 
 
-def test_a_deduplicated_request_is_not_repeated_at_a_process_that_may_have_forgotten_it() -> None:
-    dispatcher = make_following_dispatcher(workers=1)
+def test_a_deduplicated_request_is_not_retried_at_a_worker_that_may_have_restarted() -> None:
+    dispatcher = make_dispatcher_with_list(workers=1)
     function = make_function(request_class=make_request_class(Idempotency.DEDUPLICATED))
     worker = load_and_serve_one(dispatcher, function)
     request = request_at(dispatcher, 3900.0, function)
@@ -298,15 +302,15 @@
     assert dispatcher.parts.safety.may_attempt(STALE_AT, request, worker)
 
 
-def test_queues_that_were_held_go_on_when_the_list_is_heard_again() -> None:
-    dispatcher = make_following_dispatcher(workers=1)
-    answer(dispatcher, STALE_AT + 5, ask(dispatcher, STALE_AT, make_function()), DOWN, DOWN)
+def test_held_queues_resume_when_the_list_is_confirmed() -> None:
+    dispatcher = make_dispatcher_with_list(workers=1)
+    answer_probes(dispatcher, STALE_AT + 5, send_question(dispatcher, STALE_AT, make_function()), DOWN, DOWN)
     assert decide_all(dispatcher, STALE_AT + 5) == []
     dispatcher.on_list_heard(STALE_AT + 300)
     assert [type(each) for each in decide_all(dispatcher, STALE_AT + 300)] == [LoadOrder]
 
 
-def test_one_delaying_worker_is_told_from_a_fleet_that_delays() -> None:
+def test_one_worker_that_delays_attempts_is_distinguished_from_a_fleet_that_does() -> None:
     delays, workers = WorkerDelays(), [Worker(f"w{n}") for n in range(4)]
     for _ in range(20):
         for n, worker in enumerate(workers):
@@ -317,19 +321,19 @@
             delays.observe(0.0, worker, delayed=True)
     assert not any(delays.is_outlier(0.0, worker) for worker in workers)
     delays.observe(60_000.0, workers[0], delayed=True)
-    assert not delays.is_outlier(60_000.0, workers[0]), "there is no other to compare it with"
+    assert not delays.is_outlier(60_000.0, workers[0]), "there is no other worker to compare it with"
 
 
-def test_a_load_report_does_not_keep_a_worker_unused_for_good() -> None:
-    """A worker that is avoided for what it reported once gets no attempt with which it could report anything else."""
+def test_a_load_report_expires_so_that_the_worker_is_used_again() -> None:
+    """A worker that is avoided for its load report gets no attempt, and so could never send another report."""
     dispatcher = make_dispatcher(workers=1)
     function, placement = make_function(), dispatcher.parts.placement
     worker = load_and_serve_one(dispatcher, function)
     request_at(dispatcher, 1000.0, function)
     (attempt,) = decide_all(dispatcher, 1000.0)
     assert isinstance(attempt, Attempt)
-    unreported = placement.load(1000.0, worker)
+    load_without_report = placement.load(1000.0, worker)
     result = AttemptResult(AttemptStatus.COMPLETED, True, warm=True, load_report={"util": 1.0, "x1": 30.0})
     dispatcher.on_attempt_finished(1050.0, attempt, result)
-    assert placement.load(2000.0, worker) > 5 * unreported
-    assert placement.load(1050.0 + LOAD_REPORT_AGE_MS, worker) <= unreported
+    assert placement.load(2000.0, worker) > 5 * load_without_report
+    assert placement.load(1050.0 + LOAD_REPORT_AGE_MS, worker) <= load_without_report
--- a/tests/test_dispatch_rules.py
+++ b/tests/test_dispatch_rules.py
@@ -1,5 +1,4 @@
-"""The five rules of the decisions, checked after every step of seeded random schedules; the removal of a guard is
-detected."""
+"""Tests of the five rules, checked for every decision of seeded random schedules, also with a guard removed."""
 
 from __future__ import annotations
 
@@ -31,7 +30,7 @@
 )
 from kelptrail.dispatch.safety import SafetyGuard
 
-KINDS = [
+REQUEST_CLASSES = [
     make_request_class(),
     make_request_class(Idempotency.DEDUPLICATED),
     make_request_class(Idempotency.DEDUPLICATED, "zone"),
@@ -43,7 +42,7 @@
 
 
 class DecisionChecker:
-    """Checks each decision against the five rules, independently of the code that makes them."""
+    """Checks each decision against the five rules, independently of the code that decides."""
 
     def __init__(self, **settings: Any) -> None:
         self.settings = SAFETY | settings
@@ -51,33 +50,38 @@
         self.request_times: list[float] = []
         self.load_times: list[float] = []
         self.attempts: list[Attempt] = []
-        self.restart_known_at: dict[Worker, float] = {}  # when the endpoint list reported its restart
+        self.restart_known_at: dict[Worker, float] = {}  # time at which the endpoint list reported the restart
         self.workers: list[Worker] = []
 
     def on_final_answer(self, now: float, request: Request) -> None:
         assert request not in self.finished, "one final answer"
-        assert now <= request.deadline + SLACK_MS, "in time"
+        assert now <= request.deadline + SLACK_MS, "within the deadline"
         self.finished[request] = now
 
     def on_decision(self, now: float, decision: Decision) -> None:
         if isinstance(decision, Request):
             self.on_final_answer(now, decision)
             if decision.final_status == "rejected":
-                maybe_ran = [s for s in decision.attempts if s.status not in NEVER_RAN]
-                effect, scope = decision.request_class.idempotency, decision.request_class.deduplication_scope
-                in_window = all(now < s.started_at + decision.request_class.deduplication_window_ms for s in maybe_ran)
+                may_have_run = [other for other in decision.attempts if other.status not in NEVER_RAN]
+                idempotency, scope = decision.request_class.idempotency, decision.request_class.deduplication_scope
+                in_window = all(
+                    now < other.started_at + decision.request_class.deduplication_window_ms for other in may_have_run
+                )
                 deduplicated = (
-                    effect is Idempotency.DEDUPLICATED and scope == "all" and decision.has_idempotency_key and in_window
+                    idempotency is Idempotency.DEDUPLICATED
+                    and scope == "all"
+                    and decision.has_idempotency_key
+                    and in_window
                 )
-                harmless = not maybe_ran or effect is Idempotency.IDEMPOTENT or deduplicated
-                assert harmless, "a rejected request had no effect"
+                no_second_effect = not may_have_run or idempotency is Idempotency.IDEMPOTENT or deduplicated
+                assert no_second_effect, "a rejected request had no effect"
         elif isinstance(decision, LoadOrder) and decision.count:
             assert decision.instance.worker.state is WorkerState.LIVE, "load order at a draining worker"
             self.load_times.append(now)
             ration = self.settings["load_ration"]
-            span = now - ration.window_ms
-            allowed = ration.free_loads + ration.loads_per_request * sum(t > span for t in self.request_times)
-            assert sum(t > span for t in self.load_times) <= allowed, "load budget kept"
+            window_start = now - ration.window_ms
+            allowed = ration.free_loads + ration.loads_per_request * sum(t > window_start for t in self.request_times)
+            assert sum(t > window_start for t in self.load_times) <= allowed, "load budget kept"
         elif isinstance(decision, Attempt) and not decision.cancelled:
             self.on_attempt(now, decision)
 
@@ -87,44 +91,49 @@
         assert worker.state is WorkerState.LIVE, "attempt at a draining worker"
         earlier = request.attempts[:-1]
         assert len(request.attempts) <= self.settings["max_attempts"]
-        assert sum(s.status is None for s in earlier) <= (1 if self.settings["parallel_attempts"] else 0)
-        maybe_ran = [s for s in earlier if s.status not in NEVER_RAN]
-        if maybe_ran and request.request_class.idempotency is not Idempotency.IDEMPOTENT:
+        assert sum(other.status is None for other in earlier) <= (1 if self.settings["parallel_attempts"] else 0)
+        may_have_run = [other for other in earlier if other.status not in NEVER_RAN]
+        if may_have_run and request.request_class.idempotency is not Idempotency.IDEMPOTENT:
             assert request.request_class.idempotency is Idempotency.DEDUPLICATED, "at most once: never attempted twice"
-            assert now <= maybe_ran[0].started_at + request.request_class.deduplication_window_ms, (
+            assert now <= may_have_run[0].started_at + request.request_class.deduplication_window_ms, (
                 "inside the deduplication window"
             )
             assert (
-                request.request_class.deduplication_scope == "all" or worker.zone == maybe_ran[0].instance.worker.zone
+                request.request_class.deduplication_scope == "all"
+                or worker.zone == may_have_run[0].instance.worker.zone
             ), "inside the deduplication scope"
         self.attempts.append(attempt)
         if worker.started_at is not None and now - worker.started_at < self.settings["slow_start_ms"]:
-            span = now - self.settings["overload_window_ms"]
-            mine = sum(
-                s.started_at > max(span, self.restart_known_at[worker]) and s.instance.worker is worker
-                for s in self.attempts
+            window_start = now - self.settings["overload_window_ms"]
+            own_attempts = sum(
+                other.started_at > max(window_start, self.restart_known_at[worker]) and other.instance.worker is worker
+                for other in self.attempts
             )
-            warm_ms, least = self.settings["slow_start_ms"], self.settings["initial_capacity"]
+            warm_ms, initial_capacity = self.settings["slow_start_ms"], self.settings["initial_capacity"]
             others = [
                 w for w in self.workers if w.state is WorkerState.LIVE and now - (w.started_at or -1e9) >= warm_ms
             ]
-            warm = sum(s.started_at > span and s.instance.worker in others for s in self.attempts)
-            share = least + (1 - least) * (now - worker.started_at) / warm_ms
-            usual = warm / max(1, len(others))
-            assert mine <= max(1.0, self.settings["overload_multiple"] * share * usual), "slow start: not overloaded"
+            warm = sum(other.started_at > window_start and other.instance.worker in others for other in self.attempts)
+            share = initial_capacity + (1 - initial_capacity) * (now - worker.started_at) / warm_ms
+            mean_attempts = warm / max(1, len(others))
+            assert own_attempts <= max(1.0, self.settings["overload_multiple"] * share * mean_attempts), (
+                "slow start: not overloaded"
+            )
 
 
 def run_random_schedule(seed: int, steps: int = 1500, **settings: Any) -> tuple[Dispatcher, DecisionChecker]:
-    """Drive one dispatcher with random events; the checker judges every decision."""
+    """Run one dispatcher with random events, and check every decision."""
     rng, checker = random.Random(seed), DecisionChecker(**settings)
     dispatcher = make_dispatcher(workers=6, shared=0.2 * (seed % 6), **settings)
     workers = checker.workers = list(dispatcher.workers)
-    functions = [make_function(f"f{n}", rng.choice((1, 2, 4)), KINDS[n % len(KINDS)]) for n in range(8)]
+    functions = [
+        make_function(f"f{n}", rng.choice((1, 2, 4)), REQUEST_CLASSES[n % len(REQUEST_CLASSES)]) for n in range(8)
+    ]
     now, serial, in_flight, orders, open_requests = 0.0, 0, [], [], []
     for step in range(steps + 400):
-        due = dispatcher.timers.next_due()  # the engine never sleeps past a due time
-        ahead = rng.choice((0.0, 1.0, 4.0, 15.0)) if step < steps else 50.0
-        now = min(now + ahead, max(now, due or now) + 4)
+        due = dispatcher.timers.next_due()  # the engine never waits past a due time
+        step_ms = rng.choice((0.0, 1.0, 4.0, 15.0)) if step < steps else 50.0
+        now = min(now + step_ms, max(now, due or now) + 4)
         for _ in range(rng.randrange(4) if step < steps else 0):
             serial += 1
             request = new_request(rng.choice(functions), now, serial, rng.choice((300.0, 1500.0, 4000.0)))
@@ -137,7 +146,9 @@
                 [AttemptStatus.COMPLETED] * 6 + [AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.CONNECTION_LOST]
             )
             dispatcher.on_load_report(now, order, status, rng.randrange(order.count + 2))
-        for attempt in [s for s in in_flight if s.instance.worker is not workers[seed % 6] and rng.random() < 0.1]:
+        for attempt in [
+            other for other in in_flight if other.instance.worker is not workers[seed % 6] and rng.random() < 0.1
+        ]:
             in_flight.remove(attempt)
             status = rng.choice([AttemptStatus.COMPLETED] * 9 + list(AttemptStatus)[1:])
             status = AttemptStatus.CANCELLED if attempt.cancelled else status
@@ -180,26 +191,26 @@
     run_random_schedule(seed, parallel_attempts=seed % 3 != 0)
 
 
-def returns(answer: Any) -> Callable[..., Any]:
+def always_return(answer: Any) -> Callable[..., Any]:
     return lambda *_: answer
 
 
-def reject(_: SafetyGuard, now: float, request: Request, retry_after_ms: float = 0.0) -> Request:
+def always_reject(_: SafetyGuard, now: float, request: Request, retry_after_ms: float = 0.0) -> Request:
     request.final_status = "rejected"
     return request
 
 
 @pytest.mark.parametrize(
-    ("guard", "instead", "message"),
+    ("guard", "replacement", "message"),
     [
-        ("accepts_attempt", returns(True), "at most once|final answer|deduplication window|assert"),
+        ("accepts_attempt", always_return(True), "at most once|final answer|deduplication window|assert"),
         (
             "may_attempt",
             lambda self, now, request, worker: self.accepts_attempt(now, request),
             "draining worker|inside the deduplication scope|not overloaded",
         ),
-        ("capacity_factor", returns(1.0), "not overloaded"),
-        ("finish", reject, "had no effect"),
+        ("capacity_factor", always_return(1.0), "not overloaded"),
+        ("finish", always_reject, "had no effect"),
         (
             "start_load",
             lambda self, now, instance, count, reserve=0.0: LoadOrder(instance, count, now),
@@ -207,8 +218,10 @@
         ),
     ],
 )
-def test_a_removed_guard_is_detected(monkeypatch: pytest.MonkeyPatch, guard: str, instead: Any, message: str) -> None:
-    monkeypatch.setattr(SafetyGuard, guard, instead)
+def test_a_removed_guard_is_detected(
+    monkeypatch: pytest.MonkeyPatch, guard: str, replacement: Any, message: str
+) -> None:
+    monkeypatch.setattr(SafetyGuard, guard, replacement)
     with pytest.raises(AssertionError, match=message):
         for seed in range(4):
             run_random_schedule(seed)
--- a/tests/test_dispatch_slow_start.py
+++ b/tests/test_dispatch_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the budget of a cold worker, over one dispatcher and over many that share nothing."""
+"""Tests of slow start: the budget of a cold worker at one dispatcher and over many that do not communicate."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     started = 0
     for seed in range(100):
         dispatcher, function = make_dispatcher(workers=5, load_ration=AMPLE_LOADS, seed=seed), make_function(f"f{seed}")
-        load_and_serve_one(dispatcher, function)  # each completes one: a hundred on four warm workers
+        load_and_serve_one(dispatcher, function)  # each dispatcher completes one request: 100 over four warm workers
         cold = dispatcher.workers[seed % 5]
         cold.started_at = 100.0
         dispatcher.on_endpoints(100.0, dispatcher.workers, [cold])
@@ -34,20 +34,23 @@
     assert 0 < started < 0.5 * 3.0 * 0.2 * 100 / 4 * 3
 
 
-def test_a_random_draw_at_a_cold_worker_is_used_once_and_not_reused() -> None:
-    drawn = {100.0: 0, 2100.0: 0, 4100.0: 0}
-    again = 0
+def test_a_random_draw_for_a_cold_worker_admits_one_attempt() -> None:
+    admitted = {100.0: 0, 2100.0: 0, 4100.0: 0}
+    admitted_again = 0
     for seed in range(400):
         guard, cold = make_safety(seed=seed, slow_start_ms=1e9), Worker("cold", started_at=0.0)
-        guard._warm_throughput, guard._measured_at = 0.5, 1e9  # throughput of warm workers: a share of 0.15 is ours
+        # This throughput of warm workers makes a budget of 0.15 attempts in a window.
+        guard._warm_throughput, guard._measured_at = 0.5, 1e9
         one, two = (new_request(make_function(), 4000.0, n) for n in (1, 2))
-        for now in drawn:
-            drawn[now] += guard.may_attempt(now, one, cold)
+        for now in admitted:
+            admitted[now] += guard.may_attempt(now, one, cold)
         if guard.may_attempt(4100.0, one, cold):
             guard.start_attempt(4100.0, one, Instance(one.function, cold, 1))
-            again += guard.may_attempt(4101.0, two, cold)
-    assert all(0.7 * 400 * 0.12 < count < 1.3 * 400 * 0.12 for count in drawn.values()), "as many at any time"
-    assert not again, "each draw is used once"
+            admitted_again += guard.may_attempt(4101.0, two, cold)
+    assert all(0.7 * 400 * 0.12 < count < 1.3 * 400 * 0.12 for count in admitted.values()), (
+        "the probability is the same in each window"
+    )
+    assert not admitted_again, "each draw is used once"
 
 
 @pytest.mark.parametrize("uneven", [False, True])
@@ -58,10 +61,10 @@
 def test_all_dispatchers_together_keep_the_budget_of_a_cold_worker(
     dispatcher_count: int, per_s: float, uneven: bool
 ) -> None:
-    """Each dispatcher starts attempts whenever its guard admits them; some learn late of the worker's start, others
-    restart without state.  The limit for any window is that of the terms of service: N + 2 root N + 2."""
+    """Each dispatcher starts attempts whenever its guard admits them.  Some are notified late of the worker's start,
+    others restart without state.  The limit N + 2 sqrt(N) + 2 for any window is that of the terms of service."""
     warm_count, overload_multiple, window_ms, slow_start_ms, initial_capacity = 10, 3.0, 3000.0, 17_000.0, 0.2
-    over = windows = started = 0
+    exceeded = window_count = started = 0
     for seed in range(6 if dispatcher_count < 100 else 2):
         rng, start, function = random.Random(seed), 4000.0, make_function()
         weights = [rng.lognormvariate(0, 1.2) if uneven else 1.0 for _ in range(dispatcher_count)]
@@ -86,7 +89,7 @@
         start_times: list[float] = []
         for step in range(int(start / 50 + 160)):
             now = 50.0 * step
-            if rng.random() < 0.02 * dispatcher_count / 20:  # one restarts, with another seed
+            if rng.random() < 0.02 * dispatcher_count / 20:  # one dispatcher restarts with another seed
                 dispatchers[rng.randrange(dispatcher_count)] = make_guard()
             for n, (guard, workers, cold) in enumerate(dispatchers):
                 due = weights[n] / sum(weights) * per_s * 0.05
@@ -102,11 +105,11 @@
             share = (
                 initial_capacity
                 + (1 - initial_capacity) * ((at + max(start, at - window_ms)) / 2 - start) / slow_start_ms
-            )  # on the mean
+            )  # mean capacity over the window
             budget = overload_multiple * share * per_s / warm_count * window_ms / 1000
-            over += count > budget + 2 * budget**0.5 + 2
-            windows += 1
-    assert not over, f"{over} of {windows} windows"
+            exceeded += count > budget + 2 * budget**0.5 + 2
+            window_count += 1
+    assert not exceeded, f"{exceeded} of {window_count} windows"
     assert (
         started
         > (6 if dispatcher_count < 100 else 2) * 0.15 * overload_multiple * initial_capacity * per_s / warm_count * 8
--- a/tests/test_dispatch_termination.py
+++ b/tests/test_dispatch_termination.py
@@ -1,4 +1,4 @@
-"""Requests that end without the answer of a worker: with which status, how soon, and with which Retry-After."""
+"""Tests of requests that end without a response of a worker: their status, time and Retry-After."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     assert isinstance(end, Request) and end.final_status == "rejected"
 
 
-def test_late_answers_shed_the_lowest_priority_weight_first_and_timely_ones_admit_again() -> None:
+def test_late_responses_shed_the_lowest_priority_first_and_responses_in_time_end_the_shedding() -> None:
     queues = make_dispatcher().parts.queues
     for n in range(60):
         queues.observe_worker_delay(make_function(f"f{n}"), True)
@@ -54,30 +54,31 @@
 
 def test_a_deduplicated_request_that_may_have_run_is_rejected_only_with_a_valid_key() -> None:
     cases = ((True, 100.0, "rejected"), (True, 9000.0, "aborted"), (False, 100.0, "aborted"))
-    for has_key, later, final_status in cases:
+    for has_key, elapsed_ms, final_status in cases:
         dispatcher = make_dispatcher(workers=1)
         function = make_function(request_class=make_request_class(Idempotency.DEDUPLICATED))
         load_and_serve_one(dispatcher, function)
         (attempt,) = submit(dispatcher, function, 100.0, 1)
         attempt.request.has_idempotency_key = has_key
-        assert dispatcher.parts.safety.finish(100.0 + later, attempt.request).final_status == final_status
+        assert dispatcher.parts.safety.finish(100.0 + elapsed_ms, attempt.request).final_status == final_status
 
 
 def test_a_retry_after_beyond_the_deduplication_window_makes_no_rejection() -> None:
-    """A client that comes back when it was told to must still be remembered."""
+    """A client that retries after the given time must find its request within the deduplication window."""
     dispatcher = make_dispatcher(workers=1, retry_after_ms=500.0)
     function = make_function(request_class=make_request_class(Idempotency.DEDUPLICATED))
     load_and_serve_one(dispatcher, function)
     (attempt,) = submit(dispatcher, function, 100.0, 1)
     function.load_ms = 1000.0
-    within, beyond = 100.0 + 5000.0 - 600.0, 100.0 + 5000.0 - 400.0  # of the window of 5 s, half a second to come back
-    assert dispatcher.terminate(within, attempt.request).final_status == "rejected"
+    # The deduplication window is 5 s, Retry-After 0.5 s.
+    within_window, beyond_window = 100.0 + 5000.0 - 600.0, 100.0 + 5000.0 - 400.0
+    assert dispatcher.terminate(within_window, attempt.request).final_status == "rejected"
     attempt.request.final_status = None
-    assert dispatcher.terminate(beyond, attempt.request).final_status == "aborted"
+    assert dispatcher.terminate(beyond_window, attempt.request).final_status == "aborted"
 
 
 def start_attempt(dispatcher: Dispatcher, request: Request, now: float) -> Attempt:
-    """Start an attempt of the request, after the load of an instance if there was none."""
+    """Start an attempt of the request; load an instance first if there is none."""
     dispatcher.on_request(now, request)
     found = decide_all(dispatcher, now)
     for order in (d for d in found if isinstance(d, LoadOrder)):
@@ -91,7 +92,7 @@
 
 
 class Termination(NamedTuple):
-    """What a scenario expects: at this time, these requests end with this status."""
+    """The expected result of a scenario: the requests that end at `now`, and their status."""
 
     now: float
     requests: list[Request]
@@ -141,7 +142,7 @@
     return Termination(1250.0, [request], "rejected")
 
 
-def nobody_can_load(dispatcher: Dispatcher) -> Termination:
+def function_not_loadable(dispatcher: Dispatcher) -> Termination:
     requests = [new_request(make_function("bogus"), 0.0, n) for n in range(4)]
     for request in requests:
         request.function = requests[0].function
@@ -166,7 +167,7 @@
     return Termination(2995.0, [request], "aborted")
 
 
-def too_little_time_behind_others(dispatcher: Dispatcher) -> Termination:
+def too_little_time_in_the_queue(dispatcher: Dispatcher) -> Termination:
     function = make_function(concurrency=1)
     complete(dispatcher, start_attempt(dispatcher, new_request(function, 0.0), 0.0), 400.0)
     start_attempt(dispatcher, new_request(function, 500.0, 1), 500.0)
@@ -176,10 +177,11 @@
     for request in (new_request(function, 500.0, 2), behind):
         dispatcher.on_request(500.0, request)
     decide_all(dispatcher, 500.0)
-    return Termination(1100.0, [behind], "rejected")  # half of the usual time is left, and the first may still wait
+    # Half of the mean latency is left to this request, and the one ahead of it may still wait.
+    return Termination(1100.0, [behind], "rejected")
 
 
-def window_closes_behind_others(dispatcher: Dispatcher) -> Termination:
+def deduplication_window_ends_in_the_queue(dispatcher: Dispatcher) -> Termination:
     function = make_function(concurrency=1, request_class=make_request_class(Idempotency.DEDUPLICATED))
     request = new_request(function, 0.0, 0, 9000.0)
     attempt = start_attempt(dispatcher, request, 0.0)
@@ -198,17 +200,17 @@
     at_most_once_lost,
     past_the_deduplication_window,
     too_late_to_retry,
-    nobody_can_load,
+    function_not_loadable,
     load_shed,
     deadline_reached,
-    too_little_time_behind_others,
-    window_closes_behind_others,
+    too_little_time_in_the_queue,
+    deduplication_window_ends_in_the_queue,
 ]
 
 
 @pytest.mark.parametrize("max_retry_after_ms", [500.0, 0.0])
 @pytest.mark.parametrize("scenario", SCENARIOS)
-def test_terminated_requests_are_answered_at_once_with_retry_after_where_allowed(
+def test_requests_that_cannot_complete_end_at_once_with_retry_after_where_allowed(
     scenario: Callable[[Dispatcher], Termination], max_retry_after_ms: float
 ) -> None:
     dispatcher = make_dispatcher(retry_after_ms=max_retry_after_ms)
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator adapter over standard input and output."""
+"""Tests of the simulator adapter over standard input and output."""
 
 import json
 import subprocess
@@ -102,8 +102,8 @@
             "stats": None,
         }
     }
-    gone = {"Aborted": {"i": "dispatcher_0", "handle": "t/a"}}
-    batches = (1000, []), (2000, HELLO), (3000, [REQ]), (4000, [ready]), (94000, [answer, gone])
+    aborted = {"Aborted": {"i": "dispatcher_0", "handle": "t/a"}}
+    batches = (1000, []), (2000, HELLO), (3000, [REQ]), (4000, [ready]), (94000, [answer, aborted])
     code, replies, _ = run_adapter(*batches)
     assert code == 0 and replies[0] == []
     assert actions_of(replies[2], "StartCopy") == [place | {"fn": "h:f", "copies": 1}]
@@ -112,12 +112,12 @@
     assert not actions_of(replies[4], "Refuse") and not actions_of(replies[4], "DropRequest")
 
 
-def test_malformed_input_ends_with_one_plain_line() -> None:
-    lost = {"Req": {k: v for k, v in REQ["Req"].items() if k != "grace_us"}}
+def test_malformed_input_ends_the_process_with_a_one_line_error() -> None:
+    missing_field = {"Req": {k: v for k, v in REQ["Req"].items() if k != "grace_us"}}
     unknown = (1, [{"Huh": {"i": "dispatcher_0"}}])
-    spoilt = (1, [{"Hello": HELLO[0]["Hello"] | {"env": ENV | {"rules": ENV["rules"] | {"fall_us": "soon"}}}}])
-    for bad in ("{", "[]", '{"now_us":1}', unknown, (1, [REQ]), (1, [*HELLO, lost]), spoilt):
-        code, replies, errors = run_adapter(bad)
+    invalid_setting = (1, [{"Hello": HELLO[0]["Hello"] | {"env": ENV | {"rules": ENV["rules"] | {"fall_us": "soon"}}}}])
+    for batch in ("{", "[]", '{"now_us":1}', unknown, (1, [REQ]), (1, [*HELLO, missing_field]), invalid_setting):
+        code, replies, errors = run_adapter(batch)
         assert code != 0 and not replies
-        assert bad is not spoilt or "settings.rules.fall_us" in errors
+        assert batch is not invalid_setting or "settings.rules.fall_us" in errors
         assert errors.startswith("kelptrail.simulator_adapter: malformed input") and errors.count("\n") == 1
