--- a/bench/guard_cost.py
+++ b/bench/guard_cost.py
@@ -133,7 +133,7 @@
     before = time.process_time()
     for _ in range(rounds):
         guard.may_start(2.0, attempt)
-        invariants.attempt_begins(2.0, attempt, None, 1400.0)
+        invariants.check_attempt_start(2.0, attempt, None, 1400.0)
     return (time.process_time() - before) / rounds
 
 
--- a/bench/soak_mutants.py
+++ b/bench/soak_mutants.py
@@ -111,7 +111,7 @@
     Mutant(
         "shutdown does not wait for open requests, and leaves them unanswered",
         "kelptrail/platform/graceful_shutdown.py",
-        "if self._has_open_work() and now < plan.end:",
+        "if self._has_open_work() and now < plan.finish_by:",
         "if self._has_open_work() and False:",
         Edit(
             "kelptrail/platform/graceful_shutdown.py",
--- a/kelptrail/dispatch/dispatcher.py
+++ b/kelptrail/dispatch/dispatcher.py
@@ -1,7 +1,7 @@
 """Combines all decisions of kelptrail in one `Dispatcher`.
 
 Build the components and a `Dispatcher` from them, pass it each event (`on_request`, `on_attempt_finished`,
-`on_load_report`, `on_probe_finished`, `on_client_gone`, `on_endpoints`, `on_list_heard`, `on_tick`), then
+`on_load_report`, `on_probe_finished`, `on_client_gone`, `on_endpoints`, `on_list_confirmed`, `on_tick`), then
 call `decide(now)` until it returns None.  The entities are in `entities.py`, due times in `timer_queue.py`;
 `kelptrail/engine` and the gateway embed it; the design is in `docs/design.md`.  Times are milliseconds.
 """
@@ -113,11 +113,11 @@
         """Record that the endpoints came from a configuration or a file, so that their age is unknown."""
         self.parts.safety.readiness.on_initial_list(now)
 
-    def on_list_heard(self, now: float) -> None:
+    def on_list_confirmed(self, now: float) -> None:
         """Record that the source of the endpoint list confirmed it as complete, with or without changes."""
         readiness = self.parts.safety.readiness
         was_in_doubt = readiness.list_is_stale(now) or readiness.assumes_restarts
-        readiness.on_list_heard(now)
+        readiness.on_list_confirmed(now)
         if was_in_doubt:
             # The list itself reports restarts that happened during the outage.
             for worker in self._state.workers:
--- a/kelptrail/dispatch/readiness.py
+++ b/kelptrail/dispatch/readiness.py
@@ -64,7 +64,7 @@
         """The time from which on new work needs a proof of readiness from the worker."""
         return self._notified_at + self._limits.drain_grace_ms
 
-    def on_list_heard(self, now: float) -> None:
+    def on_list_confirmed(self, now: float) -> None:
         """Record that the endpoint list is complete as of now."""
         self._confirmed_at, self._notified_at = now, now + self._notification_ms
         self.assumes_restarts = False
--- a/kelptrail/dispatch/shutdown.py
+++ b/kelptrail/dispatch/shutdown.py
@@ -20,9 +20,9 @@
 class ShutdownPlan:
     """Times of the steps of one graceful shutdown."""
 
-    shut: float  # the listener closes; from then on the process may exit once nothing is in flight
-    refuse: float  # requests that arrive later are refused
-    end: float  # every request still in flight gets its final answer
+    listener_closes_at: float  # from then on the process may exit once nothing is in flight
+    refuse_from: float  # requests that arrive later are refused
+    finish_by: float  # every request still in flight gets its final answer
 
 
 NOT_PLANNED = ShutdownPlan(float("inf"), float("inf"), float("inf"))
@@ -30,6 +30,8 @@
 
 def plan_shutdown(now: float, longest_ms: float, arrivals_ms: float = ARRIVALS_MS) -> ShutdownPlan:
     """Return the steps of a shutdown requested now, where a client may wait up to `longest_ms`."""
-    shut = now + arrivals_ms
-    end = shut + min(longest_ms, MAX_DEADLINE_WAIT_MS) - MARGIN_MS
-    return ShutdownPlan(shut, shut + REFUSE_AFTER_MS, max(shut, end))
+    listener_closes_at = now + arrivals_ms
+    finish_by = listener_closes_at + min(longest_ms, MAX_DEADLINE_WAIT_MS) - MARGIN_MS
+    return ShutdownPlan(
+        listener_closes_at, listener_closes_at + REFUSE_AFTER_MS, max(listener_closes_at, finish_by)
+    )
--- a/kelptrail/engine/engine.py
+++ b/kelptrail/engine/engine.py
@@ -160,9 +160,9 @@
         """Record that the endpoints came from the configuration, so that their age is unknown."""
         self._dispatcher.on_initial_list(now)
 
-    def on_list_heard(self, now: float) -> None:
+    def on_list_confirmed(self, now: float) -> None:
         """Record that the endpoint list is complete as of now."""
-        self._dispatcher.on_list_heard(now)
+        self._dispatcher.on_list_confirmed(now)
 
     def on_list_lost(self, now: float) -> None:
         """Record that the connection to the endpoint list broke, or could not be made."""
--- a/kelptrail/engine/invariants.py
+++ b/kelptrail/engine/invariants.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DrainClock:
+class DrainTiming:
     """Time after which an unreported drain counts as notified, and grace time for new work after it."""
 
     notification_ms: float = NEVER
@@ -65,8 +65,8 @@
     decides by it: a check against the guard's own state could never fail.
     """
 
-    def __init__(self, log: LogFunction, drain_clock: DrainClock | None = None) -> None:
-        self._log, self._drain_clock = log, drain_clock or DrainClock()
+    def __init__(self, log: LogFunction, drain_timing: DrainTiming | None = None) -> None:
+        self._log, self._drain_timing = log, drain_timing or DrainTiming()
         self._list_confirmed_at = NEVER
         self._health_checks_answered = False  # whether any worker has answered a health check
         # By worker id, the send time of the latest item that the worker answered as a ready one.
@@ -75,9 +75,9 @@
 
     def on_initial_list(self, now: float) -> None:
         """Record that the list of the configuration was applied; later changes already count as notified."""
-        self._list_confirmed_at = now - self._drain_clock.notification_ms
+        self._list_confirmed_at = now - self._drain_timing.notification_ms
 
-    def on_list_heard(self, now: float) -> None:
+    def on_list_confirmed(self, now: float) -> None:
         """Record that a complete event of the endpoint list was read."""
         self._list_confirmed_at = now
 
@@ -106,36 +106,38 @@
             self._ready_at[worker.id] = max(sent_at, self._ready_at.get(worker.id, sent_at))
 
     def _check_readiness(self, now: float, worker: Worker, request_id: str) -> None:
-        clock = self._drain_clock
-        if clock.notification_ms == NEVER:
+        timing = self._drain_timing
+        if timing.notification_ms == NEVER:
             return
-        known_at = max(self._list_confirmed_at + clock.notification_ms, self._ready_at.get(worker.id, 0.0))
-        late_ms = now - known_at - clock.grace_ms
+        known_at = max(self._list_confirmed_at + timing.notification_ms, self._ready_at.get(worker.id, 0.0))
+        late_ms = now - known_at - timing.grace_ms
         if late_ms > START_SLACK_MS:
-            self.violated(Violation.READINESS_UNKNOWN, request_id, worker=worker.id, late_ms=round(late_ms))
+            self.report_violation(Violation.READINESS_UNKNOWN, request_id, worker=worker.id, late_ms=round(late_ms))
 
-    def violated(self, violation: Violation, request: str = "-", **fields: object) -> None:
+    def report_violation(self, violation: Violation, request: str = "-", **fields: object) -> None:
         """Count and log a violation."""
         self.violations[violation.value] += 1
         self._log("invariant violated", rule=violation.value, request=request, **fields)
 
-    def attempt_begins(self, now: float, attempt: Attempt, client_gone: float | None, limit_ms: float) -> None:
+    def check_attempt_start(self, now: float, attempt: Attempt, client_gone: float | None, limit_ms: float) -> None:
         """Check an attempt just before its first byte is sent.  `limit_ms` is the time limit passed to the worker, and
         `client_gone` the time at which the client disconnected.
         """
         request, request_id = attempt.request, attempt.request.id
         if client_gone is not None and now > client_gone + CLIENT_GONE_SLACK_MS:
-            self.violated(Violation.ATTEMPT_AFTER_CLIENT_LEFT, request_id, late_ms=round(now - client_gone))
+            self.report_violation(Violation.ATTEMPT_AFTER_CLIENT_LEFT, request_id, late_ms=round(now - client_gone))
         if request.final_status is not None:
-            self.violated(Violation.ATTEMPT_AFTER_ANSWER, request_id, final_status=request.final_status)
+            self.report_violation(Violation.ATTEMPT_AFTER_ANSWER, request_id, final_status=request.final_status)
         if limit_ms > request.deadline - now + LIMIT_SLACK_MS:
-            self.violated(
+            self.report_violation(
                 Violation.LIMIT_OVER_TIME_LEFT, request_id, limit_ms=limit_ms, left_ms=round(request.deadline - now)
             )
         if now > attempt.latest_start + START_SLACK_MS:
-            self.violated(Violation.ATTEMPT_PAST_ITS_TIME, request_id, late_ms=round(now - attempt.latest_start))
+            self.report_violation(
+                Violation.ATTEMPT_PAST_ITS_TIME, request_id, late_ms=round(now - attempt.latest_start)
+            )
         if not attempt.instance.worker.live:
-            self.violated(Violation.ATTEMPT_TO_DRAINING_WORKER, request_id, worker=attempt.instance.worker.id)
+            self.report_violation(Violation.ATTEMPT_TO_DRAINING_WORKER, request_id, worker=attempt.instance.worker.id)
         self._check_readiness(now, attempt.instance.worker, request_id)
         self._check_second_effect(now, attempt)
 
@@ -149,16 +151,20 @@
         if not started:
             return
         if request.request_class.idempotency is Idempotency.AT_MOST_ONCE:
-            self.violated(Violation.SECOND_EFFECT, request.id, attempt=attempt.number)
+            self.report_violation(Violation.SECOND_EFFECT, request.id, attempt=attempt.number)
         elif request.request_class.idempotency is Idempotency.DEDUPLICATED:
             first = min(
                 other.started_at if other.write_started_at is None else other.write_started_at for other in started
             )
             if now > first + request.request_class.deduplication_window_ms:
-                self.violated(Violation.SECOND_EFFECT, request.id, attempt=attempt.number, after_ms=round(now - first))
+                self.report_violation(
+                    Violation.SECOND_EFFECT, request.id, attempt=attempt.number, after_ms=round(now - first)
+                )
 
-    def order_begins(self, now: float, order: LoadOrder) -> None:
+    def check_load_order_start(self, now: float, order: LoadOrder) -> None:
         """Check a load order just before its first byte is sent."""
         self._check_readiness(now, order.instance.worker, order.instance.function.id)
         if now > order.latest_start + START_SLACK_MS or not order.instance.worker.live:
-            self.violated(Violation.LOAD_ORDER_LATE, order.instance.function.id, worker=order.instance.worker.id)
+            self.report_violation(
+                Violation.LOAD_ORDER_LATE, order.instance.function.id, worker=order.instance.worker.id
+            )
--- a/kelptrail/engine/settings.py
+++ b/kelptrail/engine/settings.py
@@ -31,10 +31,10 @@
 class SettingsObject:
     """A JSON object and its path in the settings.  Its methods raise `MalformedError` with the path of the key."""
 
-    def __init__(self, value: Any, at: str) -> None:
+    def __init__(self, value: Any, path: str) -> None:
         if not isinstance(value, Mapping):
-            raise MalformedError(f"{at}: is not an object")
-        self._values, self.at = value, at
+            raise MalformedError(f"{path}: is not an object")
+        self._values, self.path = value, path
 
     def has(self, name: str) -> bool:
         """Return whether the key is present and not null."""
@@ -43,36 +43,36 @@
     def find(self, name: str) -> Any:
         """Return the value of a required key."""
         if (value := self._values.get(name)) is None:
-            raise MalformedError(f"{self.at}.{name}: missing")
+            raise MalformedError(f"{self.path}.{name}: missing")
         return value
 
     def object(self, name: str) -> SettingsObject:
         """Return a nested object."""
-        return SettingsObject(self.find(name), f"{self.at}.{name}")
+        return SettingsObject(self.find(name), f"{self.path}.{name}")
 
     def items(self, name: str) -> list[Any]:
         """Return a list."""
         if not isinstance(value := self.find(name), list):
-            raise MalformedError(f"{self.at}.{name}: is not a list")
+            raise MalformedError(f"{self.path}.{name}: is not a list")
         return value
 
     def objects(self, name: str) -> Iterator[SettingsObject]:
         """Return the objects of a list."""
-        return (SettingsObject(item, f"{self.at}.{name}[{n}]") for n, item in enumerate(self.items(name)))
+        return (SettingsObject(item, f"{self.path}.{name}[{n}]") for n, item in enumerate(self.items(name)))
 
     def number(self, name: str, minimum: float = 0.0, maximum: float = MAX_NUMBER) -> float:
         """Return a number within a range, both ends included."""
         value = self.find(name)
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise MalformedError(f"{self.at}.{name}: {_shorten(value)} is no number")
+            raise MalformedError(f"{self.path}.{name}: {_shorten(value)} is no number")
         if not minimum <= value <= maximum:  # false for NaN as well
-            raise MalformedError(f"{self.at}.{name}: {_shorten(value)} is not from {minimum:g} to {maximum:g}")
+            raise MalformedError(f"{self.path}.{name}: {_shorten(value)} is not from {minimum:g} to {maximum:g}")
         return float(value)
 
     def integer(self, name: str, minimum: int = 0, maximum: int = 1 << 40) -> int:
         """Return an integer within a range, both ends included."""
         if (value := self.number(name, minimum, maximum)) != int(value):
-            raise MalformedError(f"{self.at}.{name}: {value:g} is not an integer")
+            raise MalformedError(f"{self.path}.{name}: {value:g} is not an integer")
         return int(value)
 
     def ms(self, name: str, minimum_us: float = 0.0) -> float:
@@ -82,27 +82,27 @@
     def flag(self, name: str) -> bool:
         """Return a boolean."""
         if not isinstance(value := self.find(name), bool):
-            raise MalformedError(f"{self.at}.{name}: {_shorten(value)} is neither true nor false")
+            raise MalformedError(f"{self.path}.{name}: {_shorten(value)} is neither true nor false")
         return value
 
     def text(self, name: str) -> str:
         """Return a non-empty string."""
         if not isinstance(value := self.find(name), str) or not value:
-            raise MalformedError(f"{self.at}.{name}: {_shorten(value)} is not a non-empty string")
+            raise MalformedError(f"{self.path}.{name}: {_shorten(value)} is not a non-empty string")
         return value
 
     def texts(self, name: str, minimum: int = 0) -> list[str]:
         """Return a list of at least `minimum` non-empty strings."""
         if len(value := self.items(name)) < minimum:
-            raise MalformedError(f"{self.at}.{name}: has too few items")
+            raise MalformedError(f"{self.path}.{name}: has too few items")
         if not all(isinstance(item, str) and item for item in value):
-            raise MalformedError(f"{self.at}.{name}: has an item that is not a non-empty string")
+            raise MalformedError(f"{self.path}.{name}: has an item that is not a non-empty string")
         return value
 
     def choice(self, name: str, choices: Mapping[str, T]) -> T:
         """Return the element of `choices` that a string selects."""
         if (value := self.text(name)) not in choices:
-            raise MalformedError(f"{self.at}.{name}: {_shorten(value)} is not one of {', '.join(choices)}")
+            raise MalformedError(f"{self.path}.{name}: {_shorten(value)} is not one of {', '.join(choices)}")
         return choices[value]
 
 
@@ -143,13 +143,13 @@
     rules, bounds, specifics = root.object("rules"), root.object("bounds"), root.object("specifics")
     request_classes = [_read_request_class(each) for each in root.objects("classes")]
     if not request_classes or len({each.name for each in request_classes}) < len(request_classes):
-        raise MalformedError(f"{root.at}.classes: empty, or a name occurs twice")
+        raise MalformedError(f"{root.path}.classes: empty, or a name occurs twice")
     tenants = [
         Tenant(each.text("name"), each.number("allowance_per_s"))
         for each in (root.objects("customers") if root.has("customers") else ())
     ]
     if tenants and not sum(tenant.quota_per_s for tenant in tenants):
-        raise MalformedError(f"{root.at}.customers: no entry has an allowance_per_s above 0")
+        raise MalformedError(f"{root.path}.customers: no entry has an allowance_per_s above 0")
     return DispatcherSettings(
         request_classes=request_classes,
         tenants=tenants,
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -50,9 +50,9 @@
         """The endpoint list that was applied was read from the disk."""
         self.gateway.readiness.on_initial_list(now_ms())
 
-    def on_list_heard(self) -> None:
+    def on_list_confirmed(self) -> None:
         """The source of the endpoint list has answered."""
-        self.gateway.readiness.on_list_heard(now_ms())
+        self.gateway.readiness.on_list_confirmed(now_ms())
         self.schedule_decisions()
 
     def on_endpoints(self, listing: EndpointList) -> None:
--- a/kelptrail/gateway/readiness.py
+++ b/kelptrail/gateway/readiness.py
@@ -16,9 +16,9 @@
         """The endpoint list that was applied comes from the disk, of unknown age."""
         self._dispatcher.on_initial_list(now)
 
-    def on_list_heard(self, now: float) -> None:
+    def on_list_confirmed(self, now: float) -> None:
         """The source of the endpoint list has answered: the list is complete as of now."""
-        self._dispatcher.on_list_heard(now)
+        self._dispatcher.on_list_confirmed(now)
 
     def on_probe_finished(self, now: float, probe: ReadinessProbe, status: AttemptStatus, loaded: int) -> None:
         """A probe of a readiness question has ended; a load query found `loaded` instances."""
--- a/kelptrail/platform/client_connections.py
+++ b/kelptrail/platform/client_connections.py
@@ -176,13 +176,13 @@
 
     def _close_now(self, client: ClientConnection, reason: CloseReason) -> None:
         for request in client.open_requests.values():
-            self._invariants.violated(Violation.CLOSED_OVER_REQUEST, request.id, reason=reason.value)
+            self._invariants.report_violation(Violation.CLOSED_OVER_REQUEST, request.id, reason=reason.value)
         if (
             client not in self.closing
             and client.partial_frame_since is None
             and client.connection.transport.unread_bytes()
         ):
-            self._invariants.violated(Violation.CLOSED_OVER_REQUEST, "not read", reason=reason.value)
+            self._invariants.report_violation(Violation.CLOSED_OVER_REQUEST, "not read", reason=reason.value)
         self._log(log_events.CLIENT_CONNECTION_CLOSED, reason=reason.value)
         self.remove(client)
         client.connection.close()
--- a/kelptrail/platform/client_server.py
+++ b/kelptrail/platform/client_server.py
@@ -118,7 +118,7 @@
         """Close all connections after what was written has been read."""
         for client in self.connections.active:
             for request in client.open_requests.values():
-                self._invariants.violated(Violation.ENDED_OVER_REQUEST, request.id)
+                self._invariants.report_violation(Violation.ENDED_OVER_REQUEST, request.id)
             client.connection.close_gracefully(timeout_ms)
 
     # Answers.
@@ -127,7 +127,7 @@
         """Write the one final answer of a request; `later_ms` is the protocol's Retry-After."""
         client = request.client
         if request.answered:
-            self._invariants.violated(Violation.SECOND_ANSWER, request.id)
+            self._invariants.report_violation(Violation.SECOND_ANSWER, request.id)
         if client.open_requests.pop(request.stream, None) is not None:
             request.answered = True
             self._body_bytes -= len(request.body)
--- a/kelptrail/platform/config.py
+++ b/kelptrail/platform/config.py
@@ -62,7 +62,7 @@
         if not (port.isascii() and port.isdecimal()) or int(port) > MAX_PORT:
             raise ValueError
     except (OSError, ValueError):
-        raise MalformedError(f"{source.at}.{name}: {text!r} is no address") from None
+        raise MalformedError(f"{source.path}.{name}: {text!r} is no address") from None
     return host, int(port)
 
 
@@ -113,7 +113,7 @@
     zones, kinds = settings.texts("failure_domains", 1), settings.texts("models", 1)
     settings.integer("my_zone", 0, len(zones) - 1)
     memories = SettingsObject(
-        {str(n): mb for n, mb in enumerate(specifics.items("machine_mb"))}, f"{specifics.at}.machine_mb"
+        {str(n): mb for n, mb in enumerate(specifics.items("machine_mb"))}, f"{specifics.path}.machine_mb"
     )
     max_function_mb = max(memories.number(str(n), 1) for n in range(len(kinds)))
     return SocketSettings(
@@ -134,4 +134,4 @@
     try:
         return int(text := source.text("seed"), 16)
     except ValueError:
-        raise MalformedError(f"{source.at}.seed: {text!r} is no number in hex") from None
+        raise MalformedError(f"{source.path}.seed: {text!r} is no number in hex") from None
--- a/kelptrail/platform/decision_executor.py
+++ b/kelptrail/platform/decision_executor.py
@@ -172,7 +172,7 @@
             now = time.monotonic() * 1000
             if may := self._engine.may_start(now, order):
                 order.write_started_at = now
-                self._invariants.order_begins(now, order)
+                self._invariants.check_load_order_start(now, order)
             return may
 
         self.workers.get_or_create(order.instance.worker).start_load(order, may_start)
@@ -202,7 +202,7 @@
             event_log(log_events.ATTEMPT_NOT_STARTED, request=request.id, attempt=attempt.number, left_ms=limit_ms)
             return b""
         attempt.write_started_at = now
-        self._invariants.attempt_begins(now, attempt, client_request.client_gone_ms, limit_ms)
+        self._invariants.check_attempt_start(now, attempt, client_request.client_gone_ms, limit_ms)
         return encode_call(
             request.id,
             request.request_class.name,
--- a/kelptrail/platform/endpoint_updates.py
+++ b/kelptrail/platform/endpoint_updates.py
@@ -97,8 +97,8 @@
 
     def _on_heard(self) -> None:
         now = self._now()
-        self._engine.on_list_heard(now)
-        self._invariants.on_list_heard(now)
+        self._engine.on_list_confirmed(now)
+        self._invariants.on_list_confirmed(now)
         if self._was_stale:
             self._schedule_decisions()
 
--- a/kelptrail/platform/graceful_shutdown.py
+++ b/kelptrail/platform/graceful_shutdown.py
@@ -53,9 +53,9 @@
     def _finish_if_idle(self) -> None:
         """Check for open work and close in the same turn of the loop, so that nothing can arrive in between."""
         now, plan = self._now(), self._plan
-        if now >= plan.refuse:
+        if now >= plan.refuse_from:
             self._client_server.refuse_new()
-        if self._has_open_work() and now < plan.end:
+        if self._has_open_work() and now < plan.finish_by:
             self._loop.call_later(CHECK_INTERVAL_S, self._finish_if_idle)
             return
         for request in list(self._executor.client_requests):
--- a/kelptrail/platform/service.py
+++ b/kelptrail/platform/service.py
@@ -13,7 +13,7 @@
 from typing import Any, NamedTuple
 
 from kelptrail.engine.engine import EndpointListTiming, Engine
-from kelptrail.engine.invariants import DrainClock, Invariants
+from kelptrail.engine.invariants import DrainTiming, Invariants
 from kelptrail.engine.wall_clock import WallClockReader
 
 from . import log_events
@@ -55,7 +55,7 @@
         loop.set_exception_handler(log_unexpected_error)
         self.engine = Engine(config.seed, config.settings, LIST_TIMING)
         self._wall_clock = WallClockReader(time.time() * 1000, self._now())
-        self.invariants = Invariants(event_log, self._drain_clock())
+        self.invariants = Invariants(event_log, self._drain_timing())
         shares = _share_descriptors(config.descriptors)
         self.client_server = self._make_client_server(shares.clients)
         self.executor = DecisionExecutor(
@@ -85,9 +85,9 @@
         )
         self.endpoints.follow(config)
 
-    def _drain_clock(self) -> DrainClock:
+    def _drain_timing(self) -> DrainTiming:
         limits = self.engine.readiness_limits
-        return DrainClock(limits.notification_ms, limits.drain_grace_ms)
+        return DrainTiming(limits.notification_ms, limits.drain_grace_ms)
 
     def _make_client_server(self, max_connections: int) -> ClientServer:
         sockets = self.config.sockets
--- a/kelptrail/simulator_adapter/instance.py
+++ b/kelptrail/simulator_adapter/instance.py
@@ -164,7 +164,7 @@
             self._subscribe()
         else:
             self._is_subscribed = True
-            self._engine.on_list_heard(now)
+            self._engine.on_list_confirmed(now)
 
     def _subscribe(self) -> None:
         self._subscription = [{"Track": {"i": self._name, "on": True}}]
@@ -175,7 +175,7 @@
             self._tick_set = False
             self._engine.on_tick(now)
             if self._is_subscribed:  # changes are pushed, so that no event means no change
-                self._engine.on_list_heard(now)
+                self._engine.on_list_confirmed(now)
             elif self._asks_for_list and now >= self._subscribe_at:
                 self._subscribe_at = now + SUBSCRIBE_PAUSE_MS
                 self._subscribe()
--- a/tests/test_dispatch_readiness.py
+++ b/tests/test_dispatch_readiness.py
@@ -39,7 +39,7 @@
     """Return a dispatcher whose list was confirmed at time 0, and that may send probes of `probe_kinds`."""
     limits = ReadinessLimits(NOTIFICATION_MS, BROKEN_NOTIFICATION_MS, GRACE_MS, probe_kinds)
     dispatcher = make_dispatcher(readiness=limits, load_ration=AMPLE_LOADS, **settings)
-    dispatcher.on_list_heard(0.0)
+    dispatcher.on_list_confirmed(0.0)
     return dispatcher
 
 
@@ -73,7 +73,7 @@
     worker, readiness = dispatcher.workers[0], dispatcher.parts.safety.readiness
     assert readiness.is_known(STALE_AT * (1 - EARLY_SHARE), worker)
     assert not readiness.is_known(STALE_AT, worker)
-    dispatcher.on_list_heard(STALE_AT)
+    dispatcher.on_list_confirmed(STALE_AT)
     assert readiness.is_known(STALE_AT, worker)
 
 
@@ -272,7 +272,7 @@
     dispatcher.on_attempt_finished(3950.0, attempt, result)
     assert worker.instances[function].loaded == 0
     assert dispatcher.parts.safety.capacity_factor(3950.0, worker) < 1
-    dispatcher.on_list_heard(STALE_AT)
+    dispatcher.on_list_confirmed(STALE_AT)
     assert dispatcher.parts.safety.capacity_factor(STALE_AT, worker) == 1
 
 
@@ -298,7 +298,7 @@
     dispatcher.on_attempt_finished(3950.0, attempt, AttemptResult(AttemptStatus.CONNECTION_LOST, False))
     worker.ready_proven_at = 4000.0
     assert not dispatcher.parts.safety.may_attempt(4000.0, request, worker)
-    dispatcher.on_list_heard(STALE_AT)
+    dispatcher.on_list_confirmed(STALE_AT)
     assert dispatcher.parts.safety.may_attempt(STALE_AT, request, worker)
 
 
@@ -306,7 +306,7 @@
     dispatcher = make_dispatcher_with_list(workers=1)
     answer_probes(dispatcher, STALE_AT + 5, send_question(dispatcher, STALE_AT, make_function()), DOWN, DOWN)
     assert decide_all(dispatcher, STALE_AT + 5) == []
-    dispatcher.on_list_heard(STALE_AT + 300)
+    dispatcher.on_list_confirmed(STALE_AT + 300)
     assert [type(each) for each in decide_all(dispatcher, STALE_AT + 300)] == [LoadOrder]
 
 
