--- a/kelptrail/dispatch/dispatcher.py
+++ b/kelptrail/dispatch/dispatcher.py
@@ -36,7 +36,7 @@
 
 DEFAULT_LOAD_MS = 1000.0  # assumed while the load time of a function is unknown
 INITIAL_CONCURRENCY_LIMIT = 6.0  # applies until attempts have adjusted the limit of the worker
-FUNCTION_LIFETIME_MS = 60_000  # a function without requests is forgotten after this time
+FUNCTION_LIFETIME_MS = 60_000  # a function without requests is removed after this time
 
 
 class Dispatcher:
@@ -121,7 +121,7 @@
         if was_in_doubt:
             # The list itself reports restarts that happened during the outage.
             for worker in self._state.workers:
-                worker.assumed_started_at, worker.ask_again_at = None, 0.0
+                worker.assumed_started_at, worker.next_question_at = None, 0.0
             self.questions.resume_held_queues()
 
     def on_list_lost(self, now: float) -> None:
@@ -160,7 +160,7 @@
         self._planned.replace_plan(plan)
 
     def on_tick(self, now: float) -> Function | None:
-        """Do the periodic work, every `tick_ms`.  Return a function that the caller must forget, if there is
+        """Do the periodic work, every `tick_ms`.  Return a function that the caller must remove, if there is
         one.
         """
         self._planned.start_loads(now)
@@ -168,7 +168,7 @@
         self._second_attempts.retry_deferred(now)
         self.questions.on_tick(now)
         self._queue_service.resume_queued()
-        return self._forget_unused_function(now)
+        return self._remove_unused_function(now)
 
     def terminate(self, now: float, request: Request) -> Request:
         """End a request that a shutdown cannot wait for; return it with its final answer."""
@@ -207,7 +207,7 @@
             return self._second_attempts.start_hedge(now, item)
         return self._lifecycle.check_deadline(now, item) if item.final_status is None else None
 
-    def _forget_unused_function(self, now: float) -> Function | None:
+    def _remove_unused_function(self, now: float) -> Function | None:
         """Remove the least recently requested function if it is past its lifetime and unused."""
         known = self._state.known_functions
         unused = next(iter(known), None)
--- a/kelptrail/dispatch/entities.py
+++ b/kelptrail/dispatch/entities.py
@@ -150,7 +150,7 @@
     # Send time of the latest item whose answer proved that the worker does not drain.
     ready_proven_at: float = LONG_AGO
     readiness_question: ReadinessQuestion | None = None  # the latest question, while it is in flight
-    ask_again_at: float = 0.0  # no readiness question before this time, after one that proved nothing
+    next_question_at: float = 0.0  # no readiness question before this time, after one that proved nothing
     # Since this time the worker may be a new process that the endpoint list has not reported.
     assumed_started_at: float | None = None
 
--- a/kelptrail/dispatch/instance_table.py
+++ b/kelptrail/dispatch/instance_table.py
@@ -70,6 +70,6 @@
         return due and instance.load_order is None and (used or instance.planned_count > 0)
 
     def remove(self, instance: Instance) -> None:
-        """Forget the instance."""
+        """Remove the instance from its function and its worker."""
         instance.function.instances.pop(instance.worker, None)
         instance.worker.instances.pop(instance.function, None)
--- a/kelptrail/dispatch/queue_service.py
+++ b/kelptrail/dispatch/queue_service.py
@@ -169,7 +169,7 @@
             request.queued = False
             return self._lifecycle.finish(now, request, TerminationReason.READINESS_UNKNOWN)
         instance = self._placement.find_unproven_slot(now, request, late)
-        return None if instance is None else self._questions.ask(now, request.function, instance.worker)
+        return None if instance is None else self._questions.create(now, request.function, instance.worker)
 
     def _add_instance(self, now: float, function: Function, count: int) -> Decision | None:
         """Load another instance, or find out with an attempt whether one is loaded already; the function has
@@ -185,7 +185,7 @@
         if count >= self._queues.instance_limit(now, function, choice.below_mean_load):
             return None
         if not self._safety.readiness.is_known(now, choice.worker):
-            return self._questions.ask(now, function, choice.worker)
+            return self._questions.create(now, function, choice.worker)
         if (instance := self._instances.get_or_add(function, choice.worker)).load_order:
             return None
         unknown = bool(
--- a/kelptrail/dispatch/readiness.py
+++ b/kelptrail/dispatch/readiness.py
@@ -97,7 +97,7 @@
             return True
         question = worker.readiness_question
         hangs = question is not None and now >= question.asked_at + ANSWER_TIMEOUT_MS
-        return bool(self.probe_kinds) and not hangs and now >= worker.ask_again_at
+        return bool(self.probe_kinds) and not hangs and now >= worker.next_question_at
 
     def on_answer(self, item: Attempt | LoadOrder, status: AttemptStatus) -> bool:
         """Record an answer; return whether it proves that the worker was ready when the item was sent.  A
--- a/kelptrail/dispatch/readiness_questions.py
+++ b/kelptrail/dispatch/readiness_questions.py
@@ -67,12 +67,12 @@
         self._state.runnable.update(self._held_functions)
         self._held_functions.clear()
 
-    def ask(self, now: float, function: Function, worker: Worker) -> ReadinessQuestion | None:
-        """Hold the function's queue and return a question to the worker; None if one is in flight or there is
-        no credit.
+    def create(self, now: float, function: Function, worker: Worker) -> ReadinessQuestion | None:
+        """Hold the function's queue and create a question to the worker; return None if one is in flight or
+        there is no credit.
         """
         self.hold_queue(function)
-        if not self._may_ask(now, worker):
+        if not self._may_query(now, worker):
             return None
         if self._credit < 1:
             self.results[QuestionResult.NO_CREDIT] += 1
@@ -84,10 +84,10 @@
         worker.readiness_question = question
         return question
 
-    def _may_ask(self, now: float, worker: Worker) -> bool:
+    def _may_query(self, now: float, worker: Worker) -> bool:
         previous = worker.readiness_question
         in_flight = previous is not None and now < previous.asked_at + self._readiness.proof_lifetime_ms
-        return bool(self._readiness.probe_kinds) and not in_flight and now >= worker.ask_again_at
+        return bool(self._readiness.probe_kinds) and not in_flight and now >= worker.next_question_at
 
     def on_probe_finished(
         self, now: float, probe: ReadinessProbe, status: AttemptStatus, loaded_count: int
@@ -104,7 +104,7 @@
             self._on_late_answer(probe)
         elif _is_inconclusive(probe):
             self._on_unproven(now, question)
-        elif all(each.status is not None for each in question.probes) or self._fleet_ignores_checks:
+        elif all(other.status is not None for other in question.probes) or self._fleet_ignores_checks:
             self._on_proven(now, question)
         else:
             self._load_query_answered_at[question] = now
@@ -125,7 +125,7 @@
         drains.
         """
         worker = probe.question.instance.worker
-        if probe.status is AttemptStatus.OUT_OF_CAPACITY and worker.ready_proven_at <= _asked_at(
+        if probe.status is AttemptStatus.OUT_OF_CAPACITY and worker.ready_proven_at <= _question_sent_at(
             probe.question
         ):
             worker.ready_proven_at = LONG_AGO
@@ -152,7 +152,7 @@
         worker = question.instance.worker
         self._load_query_answered_at.pop(question, None)
         worker.readiness_question = None
-        worker.ask_again_at = now + UNPROVEN_PAUSE_MS
+        worker.next_question_at = now + UNPROVEN_PAUSE_MS
         self.results[QuestionResult.UNPROVEN] += 1
         self._resume(question)
 
@@ -161,7 +161,7 @@
         worker = instance.worker
         self._load_query_answered_at.pop(question, None)
         worker.readiness_question = None
-        worker.ready_proven_at = max(worker.ready_proven_at, _asked_at(question))
+        worker.ready_proven_at = max(worker.ready_proven_at, _question_sent_at(question))
         self.results[QuestionResult.PROVEN] += 1
         if question.loaded_count is not None and not instance.load_order and not instance.in_flight:
             self._instances.set_loaded(now, instance, question.loaded_count)
@@ -172,10 +172,10 @@
     def _resume(self, question: ReadinessQuestion) -> None:
         """Serve the held queues again, and allow an immediate worker search for the question's function."""
         question.instance.function.searched_at = LONG_AGO
-        self._forget_unused(question)
+        self._remove_unused_instance(question)
         self.resume_held_queues()
 
-    def _forget_unused(self, question: ReadinessQuestion) -> None:
+    def _remove_unused_instance(self, question: ReadinessQuestion) -> None:
         """Remove the question's instance if it was added only for the question."""
         instance = question.instance
         in_use = instance.loaded or instance.load_order or instance.in_flight or instance.planned_count
@@ -183,7 +183,7 @@
             self._instances.remove(instance)
 
 
-def _asked_at(question: ReadinessQuestion) -> float:
+def _question_sent_at(question: ReadinessQuestion) -> float:
     return question.asked_at if question.write_started_at is None else question.write_started_at
 
 
--- a/kelptrail/dispatch/worker_delays.py
+++ b/kelptrail/dispatch/worker_delays.py
@@ -30,7 +30,7 @@
 
     def observe(self, now: float, worker: Worker, delayed: bool) -> None:
         """Record whether one attempt at the worker was delayed."""
-        self._forget_old(now)
+        self._remove_old(now)
         record = self._by_worker.pop(worker, None) or _DelayRecord(0.0, now)
         self._sum -= record.delayed_share
         record.delayed_share += DELAY_WEIGHT * (delayed - record.delayed_share)
@@ -40,14 +40,14 @@
 
     def is_outlier(self, now: float, worker: Worker) -> bool:
         """Return whether the worker delays many of its attempts, and the others hardly any of theirs."""
-        self._forget_old(now)
+        self._remove_old(now)
         record = self._by_worker.get(worker)
         others = len(self._by_worker) - 1
         if record is None or record.delayed_share <= OUTLIER_SHARE or not others:
             return False
         return (self._sum - record.delayed_share) / others <= OTHERS_SHARE
 
-    def _forget_old(self, now: float) -> None:
+    def _remove_old(self, now: float) -> None:
         while self._by_worker:
             worker = next(iter(self._by_worker))
             if now - self._by_worker[worker].at < MAX_AGE_MS:
--- a/kelptrail/engine/invariants.py
+++ b/kelptrail/engine/invariants.py
@@ -27,7 +27,7 @@
 
 CLIENT_GONE_SLACK_MS = 100.0  # time after its client disconnected within which an attempt may still start
 LIMIT_SLACK_MS = 150.0  # a worker's time limit may exceed the time left until the client's deadline by this
-START_SLACK_MS = 50.0  # tolerance for each time limit of the rules, as sending on sockets takes time
+START_SLACK_MS = 50.0  # on sockets, each time limit of the rules is extended by this time
 
 
 class Violation(Enum):
--- a/kelptrail/engine/settings.py
+++ b/kelptrail/engine/settings.py
@@ -141,12 +141,12 @@
     """Read the settings object that a dispatcher is started with.  Raises `MalformedError`."""
     root = SettingsObject(settings, "settings")
     rules, bounds, specifics = root.object("rules"), root.object("bounds"), root.object("specifics")
-    request_classes = [_read_request_class(each) for each in root.objects("classes")]
-    if not request_classes or len({each.name for each in request_classes}) < len(request_classes):
+    request_classes = [_read_request_class(entry) for entry in root.objects("classes")]
+    if not request_classes or len({request_class.name for request_class in request_classes}) < len(request_classes):
         raise MalformedError(f"{root.path}.classes: empty, or a name occurs twice")
     tenants = [
-        Tenant(each.text("name"), each.number("allowance_per_s"))
-        for each in (root.objects("customers") if root.has("customers") else ())
+        Tenant(entry.text("name"), entry.number("allowance_per_s"))
+        for entry in (root.objects("customers") if root.has("customers") else ())
     ]
     if tenants and not sum(tenant.quota_per_s for tenant in tenants):
         raise MalformedError(f"{root.path}.customers: no entry has an allowance_per_s above 0")
--- a/kelptrail/simulator_adapter/instance.py
+++ b/kelptrail/simulator_adapter/instance.py
@@ -37,7 +37,7 @@
     "N": AttemptStatus.NOT_SENT,
     "M": AttemptStatus.NOT_LOADED,
 }
-DISCOVERY_BY_ASKING = "ask"  # changes of the endpoint list are sent only after a `Track` action
+DISCOVERY_BY_SUBSCRIPTION = "ask"  # changes of the endpoint list are sent only after a `Track` action
 SUBSCRIBE_PAUSE_MS = 1_000.0  # minimum time between two subscriptions to the endpoint list
 TICK_TOKEN, DUE_TOKEN = "beat", "due"  # the simulator returns the token of an alarm unchanged
 
@@ -51,7 +51,7 @@
 def _list_timing(settings: Fields) -> EndpointListTiming:
     """Return the notification times of the endpoint list, which apply only if it has to be subscribed to."""
     within_us = settings.get("rules", {}).get("ask_within_us")
-    if settings.get("discovery") != DISCOVERY_BY_ASKING or not within_us:
+    if settings.get("discovery") != DISCOVERY_BY_SUBSCRIPTION or not within_us:
         return PUSHED_LIST
     return EndpointListTiming(within_us / 1000, within_us / 1000)
 
@@ -60,7 +60,7 @@
     """One dispatcher, independent of all others of this process."""
 
     def __init__(self, name: str, seed: int, settings: Fields) -> None:
-        self._asks_for_list = settings.get("discovery") == DISCOVERY_BY_ASKING
+        self._subscribes_to_list = settings.get("discovery") == DISCOVERY_BY_SUBSCRIPTION
         self._name, self._engine = name, Engine(seed, settings, _list_timing(settings))
         self._orders: dict[tuple[str, str], deque[LoadOrder | ReadinessProbe]] = {}
         self._checks: dict[str, deque[ReadinessProbe]] = {}  # by worker id, oldest first
@@ -154,7 +154,7 @@
                 for entry in entries
             ],
         )
-        if self._asks_for_list:
+        if self._subscribes_to_list:
             self._on_list(now, event)
 
     def _on_list(self, now: float, event: Fields) -> None:
@@ -176,7 +176,7 @@
             self._engine.on_tick(now)
             if self._is_subscribed:  # changes are pushed, so that no event means no change
                 self._engine.on_list_confirmed(now)
-            elif self._asks_for_list and now >= self._subscribe_at:
+            elif self._subscribes_to_list and now >= self._subscribe_at:
                 self._subscribe_at = now + SUBSCRIBE_PAUSE_MS
                 self._subscribe()
         else:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -105,10 +105,10 @@
 
 def decide_all(dispatcher: Dispatcher, now: float) -> list[Decision]:
     """Return all decisions that are due now."""
-    found: list[Decision] = []
+    decisions: list[Decision] = []
     while (decision := dispatcher.decide(now)) is not None:
-        found.append(decision)
-    return found
+        decisions.append(decision)
+    return decisions
 
 
 def load_and_serve_one(dispatcher: Dispatcher, function: Function, now: float = 0.0, instances: int = 1) -> Worker:
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -61,8 +61,8 @@
     (order,) = decide_all(dispatcher, 101.0)
     assert isinstance(order, LoadOrder) and order.count == 1
     dispatcher.on_load_report(900.0, order, AttemptStatus.COMPLETED, 1)
-    (again,) = decide_all(dispatcher, 900.0)
-    assert again.request is attempt.request and again.number == 1
+    (retry,) = decide_all(dispatcher, 900.0)
+    assert retry.request is attempt.request and retry.number == 1
 
 
 def test_a_used_instance_is_renewed_and_an_idle_one_expires() -> None:
@@ -91,14 +91,14 @@
     dispatcher.on_request(0.0, new_request(function, 0.0))
     (order,) = (d for d in decide_all(dispatcher, 0.0) if isinstance(d, LoadOrder))
     dispatcher.on_load_report(5.0, order, AttemptStatus.CONNECTION_LOST, 0)
-    (again,) = (d for d in decide_all(dispatcher, 40.0) if isinstance(d, LoadOrder))
-    assert again.instance is order.instance and not order.instance.worker.outlier_state.ejection_ms
-    dispatcher.on_load_report(900.0, again, AttemptStatus.COMPLETED, 1)
+    (repeated,) = (d for d in decide_all(dispatcher, 40.0) if isinstance(d, LoadOrder))
+    assert repeated.instance is order.instance and not order.instance.worker.outlier_state.ejection_ms
+    dispatcher.on_load_report(900.0, repeated, AttemptStatus.COMPLETED, 1)
     for n in range(3):
         dispatcher.on_request(901.0, new_request(function, 901.0, n))
     (more,) = (d for d in decide_all(dispatcher, 901.0) if isinstance(d, LoadOrder))
     dispatcher.on_load_report(905.0, more, AttemptStatus.CONNECTION_LOST, 0)
-    assert function.instances[again.instance.worker].loaded == 1
+    assert function.instances[repeated.instance.worker].loaded == 1
 
 
 def test_without_load_ration_a_trial_attempt_starts_and_a_not_loaded_answer_suspends_the_instance() -> None:
@@ -106,8 +106,8 @@
     (attempt,) = submit(dispatcher, function, 0.0, 1)
     assert isinstance(attempt, Attempt)
     dispatcher.on_attempt_finished(1.0, attempt, AttemptResult(AttemptStatus.NOT_LOADED, False))
-    again = [d for step in range(50) for d in decide_all(dispatcher, tick(dispatcher, 30.0 + 30 * step))]
-    (second,) = [d for d in again if isinstance(d, Attempt)]
+    decisions = [d for step in range(50) for d in decide_all(dispatcher, tick(dispatcher, 30.0 + 30 * step))]
+    (second,) = [d for d in decisions if isinstance(d, Attempt)]
     assert second.started_at > 1000.0, "no other worker is tried at once: an instance there is not more likely"
 
 
@@ -223,7 +223,7 @@
         for _ in range(20):
             dispatcher.parts.instances.observe_first_use(False)  # no instance was loaded by other dispatchers
         decisions = submit(dispatcher, function, 10.0, 1)
-        assert [type(each) for each in decisions] == [Attempt if loads else LoadOrder]
+        assert [type(decision) for decision in decisions] == [Attempt if loads else LoadOrder]
 
 
 def test_an_instance_is_added_elsewhere_while_a_cold_worker_may_get_no_attempt() -> None:
@@ -240,13 +240,13 @@
 
 def test_cancelled_requests_and_functions_that_cannot_load_do_not_count_for_the_load_ration() -> None:
     dispatcher = make_dispatcher(3, load_ration=LoadRation(True, 2.0, 0.5, 5000.0))
-    guard, bogus = dispatcher.parts.safety, make_function("bogus")
+    guard, not_loadable = dispatcher.parts.safety, make_function("bogus")
     for n in range(40):
         request = new_request(make_function(f"t{n}"), 0.0, n)
         dispatcher.on_request(0.0, request)
         dispatcher.on_client_gone(request)
     assert not guard.request_times and not decide_all(dispatcher, 0.0)
-    calls = [new_request(bogus, 1.0, n) for n in range(4)]
+    calls = [new_request(not_loadable, 1.0, n) for n in range(4)]
     for request in calls:
         dispatcher.on_request(1.0, request)
     (first,) = (d for d in decide_all(dispatcher, 1.0) if isinstance(d, LoadOrder))
--- a/tests/test_dispatch_hedging.py
+++ b/tests/test_dispatch_hedging.py
@@ -123,7 +123,7 @@
     while dispatcher.parts.retry_budget.try_spend():
         pass
     requests = [submit_one(dispatcher, function, now, n) for n in range(6)]
-    attempts = [attempt for _, found in requests for attempt in found]
+    attempts = [attempt for _, started in requests for attempt in started]
     assert len(attempts) == 6
     now += 1500  # makes all attempts overdue
     dispatcher.on_tick(now)
--- a/tests/test_dispatch_outliers.py
+++ b/tests/test_dispatch_outliers.py
@@ -84,9 +84,9 @@
         (attempt,) = submit(dispatcher, function, 100.0 + 50 * n, 1)
         if n % 3 == 2:
             dispatcher.on_attempt_finished(110.0 + 50 * n, attempt, AttemptResult(AttemptStatus.CONNECTION_LOST, False))
-            (again,) = (d for d in decide_all(dispatcher, 110.0 + 50 * n) if isinstance(d, Attempt))
-            assert again.request is attempt.request
-            attempt = again
+            (retry,) = (d for d in decide_all(dispatcher, 110.0 + 50 * n) if isinstance(d, Attempt))
+            assert retry.request is attempt.request
+            attempt = retry
         complete(dispatcher, attempt, 120.0 + 50 * n)
     assert not worker.outlier_state.ejection_ms
     for n, attempt in enumerate(submit(dispatcher, function, 1000.0, 4)):
--- a/tests/test_dispatch_readiness.py
+++ b/tests/test_dispatch_readiness.py
@@ -161,13 +161,13 @@
 
 def test_the_number_of_questions_is_limited_by_the_number_of_requests() -> None:
     dispatcher = make_dispatcher_with_list(workers=200)
-    asked = 0
+    questions_sent = 0
     for n in range(100):
         now = STALE_AT + 20 * n
         request_at(dispatcher, now, make_function(f"f{n}"), n)
         for decision in decide_all(dispatcher, now):
-            asked += isinstance(decision, ReadinessQuestion)
-    assert asked <= 100 + MAX_CREDIT
+            questions_sent += isinstance(decision, ReadinessQuestion)
+    assert questions_sent <= 100 + MAX_CREDIT
 
 
 def test_a_worker_that_did_not_prove_its_readiness_is_skipped_for_a_time() -> None:
@@ -178,9 +178,9 @@
     assert isinstance(second, ReadinessQuestion) and second.instance.worker is not first.instance.worker
     answer_probes(dispatcher, STALE_AT + 10, second, DOWN, UP)
     assert decide_all(dispatcher, STALE_AT + 10) == []
-    again = STALE_AT + 10 + UNPROVEN_PAUSE_MS
-    dispatcher.on_tick(again)
-    (third,) = decide_all(dispatcher, again)
+    next_question_at = STALE_AT + 10 + UNPROVEN_PAUSE_MS
+    dispatcher.on_tick(next_question_at)
+    (third,) = decide_all(dispatcher, next_question_at)
     assert isinstance(third, ReadinessQuestion)
 
 
@@ -196,13 +196,17 @@
     """Let all workers answer their load queries and no health check; return their questions."""
     questions = []
     for n in range(len(dispatcher.workers)):
-        asked = [each for each in decide_all(dispatcher, STALE_AT) if isinstance(each, ReadinessQuestion)]
-        if not asked:
+        new_questions = [
+            decision for decision in decide_all(dispatcher, STALE_AT) if isinstance(decision, ReadinessQuestion)
+        ]
+        if not new_questions:
             request_at(dispatcher, STALE_AT, make_function(f"f{n}"), n)
-            asked = [each for each in decide_all(dispatcher, STALE_AT) if isinstance(each, ReadinessQuestion)]
-        for question in asked:
+            new_questions = [
+                decision for decision in decide_all(dispatcher, STALE_AT) if isinstance(decision, ReadinessQuestion)
+            ]
+        for question in new_questions:
             dispatcher.on_probe_finished(STALE_AT, question.probes[1], UP, 1)
-        questions += asked
+        questions += new_questions
     dispatcher.on_tick(STALE_AT + IGNORED_CHECK_MS)
     return questions
 
@@ -231,7 +235,7 @@
     assert len(ignoring) == IGNORING_WORKERS
     dispatcher.on_tick(STALE_AT + IGNORED_CHECK_MS)
     readiness = dispatcher.parts.safety.readiness
-    assert not any(readiness.is_known(STALE_AT + IGNORED_CHECK_MS, each) for each in dispatcher.workers)
+    assert not any(readiness.is_known(STALE_AT + IGNORED_CHECK_MS, worker) for worker in dispatcher.workers)
 
 
 def test_load_queries_are_no_proof_once_a_worker_has_answered_a_health_check() -> None:
@@ -242,7 +246,7 @@
         if worker.readiness_question is not None:
             dispatcher.on_probe_finished(STALE_AT, worker.readiness_question.probes[1], UP, 1)
     dispatcher.on_tick(STALE_AT + 100)
-    assert not any(dispatcher.parts.safety.readiness.is_known(STALE_AT + 100, each) for each in dispatcher.workers)
+    assert not any(dispatcher.parts.safety.readiness.is_known(STALE_AT + 100, worker) for worker in dispatcher.workers)
 
 
 def test_without_probes_requests_are_rejected_at_once_unless_responses_prove_readiness() -> None:
@@ -255,10 +259,10 @@
     attempt.write_started_at = 4400.0
     complete(dispatcher, 4450.0, attempt)
     request_at(dispatcher, STALE_AT, function, 2)
-    assert [type(each) for each in decide_all(dispatcher, STALE_AT)] == [Attempt]
-    late = request_at(dispatcher, 4400.0 + GRACE_MS, function, 3)
-    assert decide_all(dispatcher, 4400.0 + GRACE_MS) == [late]
-    assert late.final_status is FinalStatus.REJECTED and late.reason is TerminationReason.READINESS_UNKNOWN
+    assert [type(decision) for decision in decide_all(dispatcher, STALE_AT)] == [Attempt]
+    rejected = request_at(dispatcher, 4400.0 + GRACE_MS, function, 3)
+    assert decide_all(dispatcher, 4400.0 + GRACE_MS) == [rejected]
+    assert rejected.final_status is FinalStatus.REJECTED and rejected.reason is TerminationReason.READINESS_UNKNOWN
 
 
 def test_a_worker_whose_connection_was_lost_in_an_outage_counts_as_restarted() -> None:
@@ -307,7 +311,7 @@
     answer_probes(dispatcher, STALE_AT + 5, send_question(dispatcher, STALE_AT, make_function()), DOWN, DOWN)
     assert decide_all(dispatcher, STALE_AT + 5) == []
     dispatcher.on_list_confirmed(STALE_AT + 300)
-    assert [type(each) for each in decide_all(dispatcher, STALE_AT + 300)] == [LoadOrder]
+    assert [type(decision) for decision in decide_all(dispatcher, STALE_AT + 300)] == [LoadOrder]
 
 
 def test_one_worker_that_delays_attempts_is_distinguished_from_a_fleet_that_does() -> None:
--- a/tests/test_dispatch_rules.py
+++ b/tests/test_dispatch_rules.py
@@ -170,8 +170,11 @@
             worker = rng.choice(workers[:3])
             worker.state = rng.choice([WorkerState.LIVE, WorkerState.LIVE, WorkerState.DRAINING, WorkerState.REMOVED])
             restarted = [worker] if worker.state is WorkerState.LIVE and rng.random() < 0.7 else []
-            for again in restarted:
-                again.started_at, checker.restart_known_at[again] = now - rng.choice((0.0, 500.0)), now
+            for restarted_worker in restarted:
+                restarted_worker.started_at, checker.restart_known_at[restarted_worker] = (
+                    now - rng.choice((0.0, 500.0)),
+                    now,
+                )
             dispatcher.on_endpoints(now, [w for w in workers if w.state is not WorkerState.REMOVED], restarted)
         if step % 5 == 0:
             dispatcher.on_tick(now)
--- a/tests/test_dispatch_termination.py
+++ b/tests/test_dispatch_termination.py
@@ -80,10 +80,10 @@
 def start_attempt(dispatcher: Dispatcher, request: Request, now: float) -> Attempt:
     """Start an attempt of the request; load an instance first if there is none."""
     dispatcher.on_request(now, request)
-    found = decide_all(dispatcher, now)
-    for order in (d for d in found if isinstance(d, LoadOrder)):
+    decisions = decide_all(dispatcher, now)
+    for order in (d for d in decisions if isinstance(d, LoadOrder)):
         dispatcher.on_load_report(now, order, AttemptStatus.COMPLETED, order.count)
-    (attempt,) = (d for d in [*found, *decide_all(dispatcher, now)] if isinstance(d, Attempt))
+    (attempt,) = (d for d in [*decisions, *decide_all(dispatcher, now)] if isinstance(d, Attempt))
     return attempt
 
 
