--- a/bench/soak_mutants.py
+++ b/bench/soak_mutants.py
@@ -146,8 +146,8 @@
     Mutant(
         "an answer is written twice",
         "kelptrail/platform/client_server.py",
-        "            client.connection.write(frames.encode_answer(request.stream, code, body, later_ms))\n",
-        "            client.connection.write(frames.encode_answer(request.stream, code, body, later_ms) * 2)\n",
+        "            client.connection.write(frames.encode_answer(request.stream, code, body, retry_after_ms))\n",
+        "            client.connection.write(frames.encode_answer(request.stream, code, body, retry_after_ms) * 2)\n",
     ),
 )
 
--- a/kelptrail/platform/__init__.py
+++ b/kelptrail/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The program that `run` starts: one dispatcher on the users' own protocol.
+"""The program that `run` starts: one dispatcher that serves the users' own protocol.
 
-It parses client requests, follows the endpoint list and carries out what `kelptrail.engine` decides.  No decision is
-made in this package.
+It parses client requests, follows the endpoint list and executes the decisions of `kelptrail.engine`.  This package
+makes no dispatch decisions.
 """
--- a/kelptrail/platform/__main__.py
+++ b/kelptrail/platform/__main__.py
@@ -1,6 +1,6 @@
 """`python -m kelptrail.platform`: one dispatcher, configured by the file that `LB_CONFIG` names."""
 
-# ruff: noqa: E402  signals are held before anything else is imported: their default action would end the process
+# ruff: noqa: E402  signals are held before all other imports: their default action would end the process
 from __future__ import annotations
 
 from kelptrail.platform.signals import SIGNALS, HeldSignals
@@ -22,24 +22,26 @@
 from kelptrail.platform.service import Service
 
 LISTEN_TIMEOUT_MS, LISTEN_RETRY_MS = 5_000.0, 50.0
-REREAD_BACKOFF_MS = (50.0, 100.0, 200.0, 400.0, 800.0)  # a file that is being written may be complete later
+# Delays before an unusable file is read again: it may still be being written.
+REREAD_BACKOFF_MS = (50.0, 100.0, 200.0, 400.0, 800.0)
 EXIT_OK, EXIT_UNUSABLE = 0, 2
 
 
-def read_first(path: str) -> config.Config:
-    """The configuration at the start; one that is being replaced is read again.  Raises `ConfigError`."""
-    for pause_ms in REREAD_BACKOFF_MS:
+def read_initial_config(path: str) -> config.Config:
+    """Read the configuration at startup, and again while the file is incomplete.  Raises `ConfigError`."""
+    for delay_ms in REREAD_BACKOFF_MS:
         try:
             return config.read(path)
         except config.IncompleteConfigError as cause:
             event_log(log_events.CONFIGURATION_INCOMPLETE, cause=cause)
-            time.sleep(pause_ms / 1000)  # the loop does not run yet; signals are held
+            time.sleep(delay_ms / 1000)  # blocking is safe: the event loop does not run yet and signals are held
     return config.read(path)
 
 
 async def open_listener(service: Service) -> None:
-    """Begin to serve; retries while the address is in use or the process lacks descriptors or memory.  Raises
-    `OSError`.
+    """Start to accept clients; retry while the address is in use or descriptors or memory are short.
+
+    Raises `OSError` for other causes, or after `LISTEN_TIMEOUT_MS`.
     """
     deadline = asyncio.get_running_loop().time() + LISTEN_TIMEOUT_MS / 1000
     while not service.shutting_down:
@@ -53,22 +55,22 @@
         await asyncio.sleep(LISTEN_RETRY_MS / 1000)
 
 
-async def serve(path: str, first: config.Config) -> None:
-    """Serve until a signal ends it.  Raises `OSError`."""
+async def serve(path: str, initial: config.Config) -> None:
+    """Run the dispatcher until SIGTERM or SIGINT.  Raises `OSError` if it cannot listen."""
     loop = asyncio.get_running_loop()
-    service = Service(loop, first)
-    rereads: list[asyncio.TimerHandle] = []
+    service = Service(loop, initial)
+    scheduled_rereads: list[asyncio.TimerHandle] = []
 
     def reload(backoff_ms: tuple[float, ...] = REREAD_BACKOFF_MS) -> None:
-        while rereads:
-            rereads.pop().cancel()
+        while scheduled_rereads:
+            scheduled_rereads.pop().cancel()
         try:
             service.reload(config.read(path, service.config))
         except config.ConfigError as cause:
-            if backoff_ms is REREAD_BACKOFF_MS or not backoff_ms:  # log the first and the last failure
+            if backoff_ms is REREAD_BACKOFF_MS or not backoff_ms:  # only the first and the last failure are logged
                 event_log(log_events.CONFIGURATION_KEPT, cause=cause)
             if backoff_ms:
-                rereads.append(loop.call_later(backoff_ms[0] / 1000, reload, backoff_ms[1:]))
+                scheduled_rereads.append(loop.call_later(backoff_ms[0] / 1000, reload, backoff_ms[1:]))
 
     handlers: dict[int, Callable[[], None]] = {
         signal.SIGHUP: reload,
@@ -83,18 +85,19 @@
         if signal.SIGHUP in received:
             reload()
         await service.finished
-    held_signals.block()  # the loop removes its signal handlers before the process exits
+    # The loop removes its signal handlers before the process exits, which would restore the default actions.
+    held_signals.block()
     service.close()
 
 
 def main() -> int:
-    """Exit codes: 0 after a shutdown, 2 for a configuration or an address that cannot be used."""
+    """Run the program; return its exit code: 0 after a shutdown, 2 for an unusable configuration or address."""
     path = os.environ.get("LB_CONFIG")
     if not path:
-        print("kelptrail.platform: LB_CONFIG names no file", file=sys.stderr)
+        print("kelptrail.platform: LB_CONFIG is unset or empty", file=sys.stderr)
         return EXIT_UNUSABLE
     try:
-        uvloop.run(serve(path, read_first(path)))
+        uvloop.run(serve(path, read_initial_config(path)))
     except (config.ConfigError, OSError) as cause:
         print(f"kelptrail.platform: {cause}", file=sys.stderr)
         return EXIT_UNUSABLE
--- a/kelptrail/platform/client_connection.py
+++ b/kelptrail/platform/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection, and the requests that are open on it."""
+"""The connection of one client and the requests that are open on it."""
 
 from __future__ import annotations
 
@@ -12,39 +12,40 @@
 from kelptrail.net.connection import Connection
 from kelptrail.net.transport import IdleState
 
-MAX_UNREAD_BYTES = 1 << 20  # written to a client that does not read; beyond it the connection is closed
-READ_STALL_MS = 1_000.0  # a client that has read nothing for so long is not waited for
+MAX_UNREAD_BYTES = 1 << 20  # limit of the bytes that wait for a client to read them; beyond it the connection is closed
+READ_STALL_MS = 1_000.0  # no connection is kept open for a client that has read nothing for this long
 
 
 class ClientRequest:
-    """A request that was accepted, until its final answer is written."""
+    """An accepted request, from its acceptance until its final answer is written."""
 
     __slots__ = ("answered", "body", "client", "client_gone_ms", "id", "key", "request", "stream")
 
     def __init__(self, client: ClientConnection, stream: int, id_: str, key: str, body: bytes) -> None:
         self.client, self.stream, self.id, self.key, self.body = client, stream, id_, key, body
-        self.request: Request | None = None  # the engine's record of it
-        self.client_gone_ms: float | None = None  # when its client went, on the loop's clock
+        self.request: Request | None = None  # the engine's record of the request
+        # Time at which the client cancelled or disconnected, in ms of the loop's clock.
+        self.client_gone_ms: float | None = None
         self.answered = False
 
 
 class FrameHandler(Protocol):
-    """Receives the frames of all clients; `time` is the loop's clock in seconds."""
+    """Receives the frames of all clients.  `time` returns the loop's clock in seconds."""
 
     loop: asyncio.AbstractEventLoop
     time: Callable[[], float]
 
     def on_complete_frame(self, client: ClientConnection) -> None:
-        """A complete frame was read."""
+        """Record that a complete frame was read; called before `on_frame`."""
 
     def on_frame(self, client: ClientConnection, kind: int, stream: int, payload: bytes) -> None:
-        """Handle that frame.  Raises `FrameError`."""
+        """Handle the frame that was read.  Raises `FrameError`."""
 
     def close_unreadable(self, client: ClientConnection, cause: FrameError) -> None:
-        """The bytes received cannot be parsed."""
+        """Handle bytes that cannot be parsed as a frame."""
 
     def on_closed(self, client: ClientConnection) -> None:
-        """The connection has ended."""
+        """Handle the end of the connection."""
 
 
 class ClientConnection:
@@ -64,13 +65,14 @@
     def __init__(self, handler: FrameHandler, sock: socket.socket) -> None:
         self._handler, self.reader = handler, FrameReader()
         self.open_requests: dict[int, ClientRequest] = {}  # by stream
-        self.idle_since = self.last_received_at = handler.time()  # connected, or the last open request ended
+        # `idle_since`: time of the connect or of the end of the last open request.
+        self.idle_since = self.last_received_at = handler.time()
         self.partial_frame_since: float | None = None
-        self.is_overflow = False  # accepted over the connection limit
+        self.is_overflow = False  # True for a connection accepted over the connection limit
         self.connection = Connection(handler.loop, sock, self._on_data, self._on_closed, MAX_UNREAD_BYTES)
 
     def has_pending_io(self) -> bool:
-        """Whether a frame is half read, bytes are unread in the socket, or the client is still reading an answer."""
+        """Return whether a frame is incomplete, the socket has unread bytes, or the client still reads an answer."""
         connection = self.connection
         if connection.closed:
             return False
--- a/kelptrail/platform/client_connections.py
+++ b/kelptrail/platform/client_connections.py
@@ -1,7 +1,8 @@
-"""All clients' connections by their state, how many there may be, and which are closed to make room.
+"""The connections of all clients grouped by state, their limit, and their eviction.
 
-A well-behaved client closes what it no longer needs.  Descriptors are freed for it by closing first connections that
-have sent nothing, then those that have been idle longest.  A connection on which a client waits is never closed.
+A well-behaved client closes the connections that it no longer needs.  To free descriptors for such clients, connections
+that have sent nothing are evicted first, then those that have been idle longest.  A connection whose client waits for
+an answer is never evicted.
 """
 
 from __future__ import annotations
@@ -19,26 +20,26 @@
 from .close_reasons import CloseReason
 from .log import LogWriter
 
-FRAME_TIMEOUT_MS = 2_000.0  # for a client's first frame, and between two reads of one frame
-IDLE_TIMEOUT_MS = 6_000.0  # a well-behaved client closes sooner
-OVERFLOW_IDLE_TIMEOUT_MS = 100.0  # a connection over the limit may be idle so long, so that its answer is read
-ERROR_LINGER_MS = 1_000.0  # a connection is held so long after an error, so that the client reads it
-MAX_OVERFLOW = 8  # connections over the limit, accepted so that their requests are refused with an answer
-MAX_EVICTION_CANDIDATES = 16  # connections examined of each group to find one that may be closed
+FRAME_TIMEOUT_MS = 2_000.0  # limit for the first frame of a client, and between two reads of one frame
+IDLE_TIMEOUT_MS = 6_000.0  # well-behaved clients close idle connections sooner
+OVERFLOW_IDLE_TIMEOUT_MS = 100.0  # gives a client over the connection limit time to read its answer
+ERROR_LINGER_MS = 1_000.0  # gives a client time to read an error before its connection is closed
+MAX_OVERFLOW = 8  # connections accepted over the limit, so that their requests are refused with an answer
+MAX_EVICTION_CANDIDATES = 16  # connections of each group that are examined to find one that may be closed
 
 
 class ConnectionOwner(Protocol):
-    """The server whose connections these are."""
+    """The server that owns the connections."""
 
     def drop_open_requests(self, client: ClientConnection) -> None:
-        """The client of all these requests is gone."""
+        """Drop all open requests of a client that disconnected."""
 
     def close_unreadable(self, client: ClientConnection, cause: FrameError) -> None:
-        """Answer with an error, then close."""
+        """Answer with an error, then close the connection."""
 
 
 class ClientConnections:
-    """The connections of one server.  Each is in one of the groups `fresh`, `idle`, `busy` and `closing`."""
+    """The connections of one server.  Each is in exactly one of the groups `fresh`, `idle`, `busy` and `closing`."""
 
     def __init__(
         self,
@@ -52,51 +53,51 @@
         self._owner, self._time, self._log, self._invariants = owner, time, log, invariants
         self._max_connections = max_connections
         self._max_frame_s = max(FRAME_TIMEOUT_MS, max_timeout_ms) / 1000
-        self.fresh: dict[ClientConnection, None] = {}  # no complete frame yet, oldest first
-        self.idle: dict[ClientConnection, None] = {}  # no open request, longest idle first
-        self.busy: dict[ClientConnection, None] = {}
-        self.closing: dict[ClientConnection, None] = {}  # an error was written, to be closed
-        self.overflow: dict[ClientConnection, None] = {}  # accepted over the limit; also in one of the groups above
+        self.fresh: dict[ClientConnection, None] = {}  # no complete frame received yet; oldest first
+        self.idle: dict[ClientConnection, None] = {}  # no open request; longest idle first
+        self.busy: dict[ClientConnection, None] = {}  # at least one open request
+        self.closing: dict[ClientConnection, None] = {}  # error written; closed after `ERROR_LINGER_MS`
+        self.overflow: dict[ClientConnection, None] = {}  # accepted over the limit; also a member of a group above
 
     def __len__(self) -> int:
         return len(self.fresh) + len(self.idle) + len(self.busy) + len(self.closing)
 
     @property
     def active(self) -> list[ClientConnection]:
-        """All but those that are closing."""
+        """All connections that are not in the group `closing`."""
         return [*self.fresh, *self.idle, *self.busy]
 
     @property
-    def is_settled(self) -> bool:
-        """Whether no client has bytes to be read, half a frame, or an answer that it is still reading."""
+    def is_quiescent(self) -> bool:
+        """Whether no connection has unread bytes, an incomplete frame, or an answer that its client still reads."""
         return not any(client.has_pending_io() for client in self.active)
 
     def add(self, client: ClientConnection) -> None:
-        """Add a new connection, over the limit where no room could be made.  Its `is_overflow` is set."""
+        """Add a new connection and set its `is_overflow` if the limit is reached."""
         client.is_overflow = self._regular_count >= self._max_connections
         self.fresh[client] = None
         if client.is_overflow:
             self.overflow[client] = None
 
     def mark_busy(self, client: ClientConnection) -> None:
-        """A request is open on it."""
+        """Move a connection with an open request to the group `busy`."""
         self.idle.pop(client, None)
         self.busy[client] = None
 
     def mark_idle(self, client: ClientConnection) -> None:
-        """No request is open on it."""
+        """Move a connection without open requests to the group `idle`."""
         if self.busy.pop(client, True) is None or client not in self.idle:
             client.idle_since = self._time()
             self.idle[client] = None
 
     def remove(self, client: ClientConnection) -> None:
-        """It has ended, or is about to: its requests are dropped."""
+        """Remove a connection that has ended or is about to be closed, and drop its open requests."""
         self._owner.drop_open_requests(client)
         for group in (self.fresh, self.idle, self.busy, self.closing, self.overflow):
             group.pop(client, None)
 
     def close_after_error(self, client: ClientConnection) -> None:
-        """Close once the client has read the error that was written."""
+        """Close a connection once its client has read the error, at the latest after `ERROR_LINGER_MS`."""
         self.remove(client)
         if not client.connection.closed:
             self.closing[client] = None
@@ -106,39 +107,43 @@
 
     @property
     def _regular_count(self) -> int:
-        """Connections within the limit."""
+        """The number of connections that were accepted within the limit."""
         return len(self) - len(self.overflow)
 
     def has_capacity(self) -> bool:
-        """Whether one more may be accepted, over the limit or not.  Others stay in the accept queue until then."""
-        return len(self) < self._max_connections + MAX_OVERFLOW or self.make_room()
+        """Return whether one more connection may be accepted, evicting one if needed.
 
-    def make_room_within_limit(self) -> None:
-        """Close connections until one more is within the limit, or none may be closed."""
-        while self._regular_count >= self._max_connections and self.make_room():
+        Clients that may not be accepted stay in the accept queue.
+        """
+        return len(self) < self._max_connections + MAX_OVERFLOW or self.evict_one()
+
+    def evict_to_limit(self) -> None:
+        """Evict connections until another one fits within the limit, or until none can be evicted."""
+        while self._regular_count >= self._max_connections and self.evict_one():
             pass
 
-    def make_room(self) -> bool:
-        """Close one connection on which no client waits: closing, without a frame yet, or idle; whether there was
-        one.
+    def evict_one(self) -> bool:
+        """Close one connection whose client does not wait for an answer, and return whether there was one.
+
+        Connections that are closing come first, then those without a complete frame, then idle ones.
         """
         for group in (self.closing, self.fresh, self.idle):
             for client in islice(group, MAX_EVICTION_CANDIDATES):
                 if group is self.closing:
-                    self._close_now(client, CloseReason.MADE_ROOM)
+                    self._close_now(client, CloseReason.EVICTED)
                     return True
-                if self._close_if_idle(client, CloseReason.MADE_ROOM):
+                if self._close_if_idle(client, CloseReason.EVICTED):
                     return True
         return False
 
     def sweep(self) -> None:
-        """Close connections that sent no frame in time, stopped within a frame, or were idle too long."""
+        """Close connections that sent no frame in time, stalled within a frame, or were idle for too long."""
         now = self._time()
-        self._close_silent(now)
+        self._close_timed_out(now)
         self._close_overflow(now)
         self._close_stalled(now)
 
-    def _close_silent(self, now: float) -> None:
+    def _close_timed_out(self, now: float) -> None:
         for group, timeout_ms, reason in (
             (self.fresh, FRAME_TIMEOUT_MS, CloseReason.SILENT),
             (self.idle, IDLE_TIMEOUT_MS, CloseReason.IDLE),
@@ -151,10 +156,13 @@
     def _close_overflow(self, now: float) -> None:
         for client in list(self.overflow):
             if (now - client.idle_since) * 1000 >= OVERFLOW_IDLE_TIMEOUT_MS and client in self.idle:
-                self._close_if_idle(client, CloseReason.NO_ROOM)
+                self._close_if_idle(client, CloseReason.OVER_LIMIT)
 
     def _close_stalled(self, now: float) -> None:
-        """A slow frame of which bytes keep coming may take as long as the longest request."""
+        """Close connections that stalled within a frame.
+
+        A frame whose bytes keep arriving may take as long as the longest request timeout.
+        """
         for client in self.active:
             since = client.partial_frame_since
             if (
@@ -168,7 +176,7 @@
                     self._owner.close_unreadable(client, FrameError("incomplete frame"))
 
     def _close_if_idle(self, client: ClientConnection, reason: CloseReason) -> bool:
-        """Close a connection unless a request or I/O is pending on it; whether it was closed."""
+        """Close a connection unless a request or I/O is pending on it; return whether it was closed."""
         if client.open_requests or client.has_pending_io():
             return False
         self._close_now(client, reason)
--- a/kelptrail/platform/client_server.py
+++ b/kelptrail/platform/client_server.py
@@ -1,7 +1,7 @@
-"""The clients' side of the protocol: accepts connections, reads requests and writes their answers.
+"""The client side of the protocol: accepts connections, reads requests and writes their answers.
 
-A frame that cannot be parsed is answered with an error and its connection closed; a request whose fields cannot be used
-is answered with an error.  Neither reaches the engine.
+A frame that cannot be parsed is answered with an error and its connection is closed.  A request with invalid fields is
+answered with an error and its connection stays open.  Neither reaches the engine.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 from .log import LogWriter
 from .parsed_request import ParsedRequest, RequestRules, UnusableRequestError
 
-MAX_OPEN_REQUESTS = 32  # on one connection
+MAX_OPEN_REQUESTS = 32  # per connection
 LISTEN_BACKLOG = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """Limits on all clients together; `max_timeout_ms` is the longest that any request may take."""
+    """Limits for all clients together.  `max_timeout_ms` is the longest timeout of any request class."""
 
     max_connections: int
-    max_body_bytes: int  # of all open requests
+    max_body_bytes: int  # total body size of all open requests
     max_timeout_ms: float
 
 
@@ -40,17 +40,17 @@
     """Receives the requests of all clients."""
 
     def on_request(self, client_request: ClientRequest, parsed: ParsedRequest) -> None:
-        """A request was accepted; each is answered once, unless its client goes first."""
+        """Handle an accepted request; it must be answered once, unless its client cancels it or disconnects first."""
 
     def on_client_gone(self, client_request: ClientRequest) -> None:
-        """The client cancelled the request, or its connection has ended."""
+        """Handle a request that its client cancelled, or whose connection has ended."""
 
     def is_open(self, request_id: str) -> bool:
-        """Whether a request of that id is open."""
+        """Return whether a request with this id is open."""
 
 
 class ClientServer:
-    """Serves all clients of one dispatcher.  `handler` must be set before `open`."""
+    """Serves all clients of one dispatcher.  `handler` must be set before `open` is called."""
 
     handler: RequestHandler
 
@@ -67,14 +67,14 @@
         self.connections = ClientConnections(
             self, loop.time, limits.max_connections, limits.max_timeout_ms, log, invariants
         )
-        self._listener = Listener(loop, self._on_connect, _ignore_early, log)
+        self._listener = Listener(loop, self._on_connect, _reject_over_rate, log)
         self._listener.has_capacity = self.connections.has_capacity
-        self._listener.on_descriptor_shortage = self.connections.make_room
-        self.ready = True  # as the protocol reports it; False once GOAWAY was sent
+        self._listener.on_descriptor_shortage = self.connections.evict_one
+        self.ready = True  # reported to readiness queries; False once GOAWAY was sent
         self._refuses_new = False
 
     def open(self, address: tuple[str, int]) -> int:
-        """Listen; returns the port.  Raises `OSError`."""
+        """Listen at an address and return the port.  Raises `OSError`."""
         sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -88,7 +88,7 @@
         return int(sock.getsockname()[1])
 
     def close(self) -> None:
-        """Close the listener and all connections at once."""
+        """Close the listener and all connections immediately."""
         self._listener.close()
         for client in [*self.connections.active, *self.connections.closing]:
             client.connection.close()
@@ -96,14 +96,15 @@
     # Shutdown.
 
     def write_go_away(self) -> None:
-        """Report not ready, and send GOAWAY on all connections, present and future."""
+        """Report the dispatcher as not ready, and send GOAWAY on all open and later connections."""
         self.ready = False
         for client in self.connections.active:
             client.connection.write(frames.encode_frame(frames.GO_AWAY, 0))
 
     def stop_accepting(self) -> bool:
-        """Accept the clients in the accept queue, then close the listener: later clients try another dispatcher.
-        False while some in the queue cannot be accepted; the listener stays open for them.
+        """Accept the clients in the accept queue, then close the listener; later clients use another dispatcher.
+
+        Return False while clients in the queue cannot be accepted; the listener then stays open.
         """
         if not self._listener.accept_queued():
             return False
@@ -111,11 +112,11 @@
         return True
 
     def refuse_new(self) -> None:
-        """Refuse every further request at once."""
+        """Refuse every request that arrives from now on."""
         self._refuses_new = True
 
     def close_gracefully(self, timeout_ms: float) -> None:
-        """Close all connections after what was written has been read."""
+        """Close all connections once their clients have read the pending output, or after the timeout."""
         for client in self.connections.active:
             for request in client.open_requests.values():
                 self._invariants.violated(Violation.ENDED_OVER_REQUEST, request.id)
@@ -123,28 +124,28 @@
 
     # Answers.
 
-    def answer(self, request: ClientRequest, code: int, body: bytes = b"", later_ms: int = 0) -> None:
-        """Write the one final answer of a request; `later_ms` is the protocol's Retry-After."""
+    def answer(self, request: ClientRequest, code: int, body: bytes = b"", retry_after_ms: int = 0) -> None:
+        """Write the only answer of a request.  `retry_after_ms` is the protocol's Retry-After."""
         client = request.client
         if request.answered:
             self._invariants.violated(Violation.SECOND_ANSWER, request.id)
         if client.open_requests.pop(request.stream, None) is not None:
             request.answered = True
             self._body_bytes -= len(request.body)
-            client.connection.write(frames.encode_answer(request.stream, code, body, later_ms))
+            client.connection.write(frames.encode_answer(request.stream, code, body, retry_after_ms))
             if not client.open_requests:
                 self.connections.mark_idle(client)
 
     # Events of the connections.
 
     def on_complete_frame(self, client: ClientConnection) -> None:
-        """A complete frame was read."""
+        """Move a client that has sent its first complete frame to the idle connections."""
         if client in self.connections.fresh:
             del self.connections.fresh[client]
             self.connections.mark_idle(client)
 
     def on_frame(self, client: ClientConnection, kind: int, stream: int, payload: bytes) -> None:
-        """Handle one frame.  Raises `FrameError` where the protocol does not allow it."""
+        """Handle one frame.  Raises `FrameError` if the protocol does not allow it."""
         if kind == frames.REQUEST:
             self._on_request_frame(client, stream, payload)
         elif kind == frames.CANCEL:
@@ -156,7 +157,7 @@
             raise FrameError(f"unexpected frame type {kind}", stream)
 
     def close_unreadable(self, client: ClientConnection, cause: FrameError) -> None:
-        """Answer with an error and close: after bytes that cannot be parsed the next frame's start is unknown."""
+        """Answer with an error and close the connection: the start of the next frame cannot be found."""
         open_count = len(client.open_requests)
         self._log(
             log_events.CLIENT_CONNECTION_CLOSED, reason=CloseReason.UNREADABLE.value, cause=cause, open=open_count
@@ -166,16 +167,16 @@
         self.connections.close_after_error(client)
 
     def on_closed(self, client: ClientConnection) -> None:
-        """A connection has ended."""
+        """Remove a connection that has ended."""
         self.connections.remove(client)
 
     def drop_open_requests(self, client: ClientConnection) -> None:
-        """The client of all these requests is gone."""
+        """Drop all open requests of a client that disconnected."""
         for request in list(client.open_requests.values()):
             self._drop_request(request)
 
     def _on_connect(self, sock: socket.socket, _: str) -> None:
-        self.connections.make_room_within_limit()
+        self.connections.evict_to_limit()
         client = ClientConnection(self, sock)
         self.connections.add(client)
         if not self.ready:
@@ -186,14 +187,14 @@
             raise FrameError("stream is zero or already open", stream)
         if len(client.open_requests) >= MAX_OPEN_REQUESTS:
             raise FrameError("too many open requests on the connection", stream)
-        fields, body_at = frames.read_fields(payload)
-        body = payload[body_at:]
+        fields, body_offset = frames.read_fields(payload)
+        body = payload[body_offset:]
         if len(body) > frames.MAX_BODY_BYTES:
             raise FrameError("body too long", stream)
         try:
             parsed = ParsedRequest(fields, self._rules)
             if self.handler.is_open(parsed.id):
-                raise UnusableRequestError("the id of an open request")
+                raise UnusableRequestError("an open request has the same id")
         except UnusableRequestError as cause:
             reason = RequestRefusal.UNUSABLE.value
             self._log(log_events.REQUEST_FAILED, request=fields.get("txn"), reason=reason, cause=cause)
@@ -213,8 +214,8 @@
         if self._refuses_new:
             return RequestRefusal.SHUTTING_DOWN
         if client.is_overflow:
-            return RequestRefusal.NO_ROOM
-        if self._body_bytes + len(body) > self._max_body_bytes:  # requests already accepted come first
+            return RequestRefusal.OVER_LIMIT
+        if self._body_bytes + len(body) > self._max_body_bytes:  # accepted requests keep their memory
             return RequestRefusal.NO_MEMORY
         return None
 
@@ -228,6 +229,6 @@
             self.connections.mark_idle(client)
 
 
-def _ignore_early(sock: socket.socket, address: str, retry_after: float) -> None:
-    """The listener has no pace limit, so it never calls this."""
+def _reject_over_rate(sock: socket.socket, address: str, retry_after: float) -> None:
+    """Close the socket; never called, because this listener does not limit the connection rate."""
     sock.close()
--- a/kelptrail/platform/close_reasons.py
+++ b/kelptrail/platform/close_reasons.py
@@ -1,4 +1,4 @@
-"""The reasons that the log and its counts give for closed connections, cancelled attempts and refused requests."""
+"""Reasons in the log for closed connections, cancelled attempts and refused requests."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
     SILENT = "no frame in time"
     IDLE = "idle"
-    MADE_ROOM = "made room for a new connection"
-    NO_ROOM = "over the connection limit"
+    EVICTED = "made room for a new connection"
+    OVER_LIMIT = "over the connection limit"
     UNREADABLE = "unreadable"
 
 
 class CancelReason(Enum):
-    """Why an attempt or load was cancelled before its first byte was sent."""
+    """Why an attempt, load order or probe was cancelled before its first byte was sent."""
 
     CLIENT_GONE = "client gone"
     TOO_LATE_TO_START = "too late to start"
@@ -28,6 +28,6 @@
     """Why a request was refused or failed before it reached the engine."""
 
     UNUSABLE = "unusable"
-    NO_ROOM = "over the connection limit"
+    OVER_LIMIT = "over the connection limit"
     NO_MEMORY = "no memory for its body"
     SHUTTING_DOWN = "the process ends"
--- a/kelptrail/platform/config.py
+++ b/kelptrail/platform/config.py
@@ -1,4 +1,4 @@
-"""Reads and checks the configuration file, at the start and on SIGHUP."""
+"""Reads and validates the configuration file, at startup and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -15,46 +15,46 @@
 
 
 class ConfigError(ValueError):
-    """A configuration that cannot be used."""
+    """The configuration is invalid."""
 
 
 class IncompleteConfigError(ConfigError):
-    """A file that cannot be read or is not valid JSON: it may be complete a little later."""
+    """The file cannot be read or is not valid JSON; it may still be being written."""
 
 
 @dataclass(frozen=True, slots=True)
 class SocketSettings:
-    """The settings of the sockets, and the limits of what a request may ask for.  Times are milliseconds."""
+    """Settings of the sockets, and limits on the fields of requests.  Times are in milliseconds."""
 
     zones: list[str]
     kinds: list[str]
-    max_timeout_ms: dict[str, float]  # of a request, by request class
-    max_function_mb: float  # the memory of the largest worker
+    max_timeout_ms: dict[str, float]  # longest timeout of a request, by request class
+    max_function_mb: float  # memory of the largest worker kind
     load_timeout_ms: float
-    connect_ms: float  # for a connection to a worker to come up
-    idle_ms: float  # after which a worker closes an idle connection
-    streams: int  # open attempts and loads on one connection to a worker
-    may_cancel: bool  # whether an attempt may be cancelled
+    connect_ms: float  # timeout of a connect to a worker
+    idle_ms: float  # idle time after which a worker closes a connection
+    streams: int  # limit of open attempts and loads on one connection to a worker
+    may_cancel: bool  # whether attempts may be cancelled
     parallel_attempts: bool  # whether two attempts of a request may be in flight at once
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """A checked configuration."""
+    """A validated configuration."""
 
     name: str
     listen: tuple[str, int]
     seed: int
-    descriptors: int  # file descriptors that the process may hold
+    descriptors: int  # limit of the file descriptors of the process
     memory_mb: float
-    endpoint_list: tuple[str, int]  # the address of its service
-    initial_events: list[EndpointEvent]  # of the endpoint list
+    endpoint_list: tuple[str, int]  # address of the endpoint list's service
+    initial_events: list[EndpointEvent]  # state of the endpoint list at startup
     sockets: SocketSettings
     settings: dict[str, Any]
 
 
 def read_address(source: SettingsObject, name: str) -> tuple[str, int]:
-    """Host and port of `host:port`.  Raises `MalformedError`."""
+    """Return the host and port of a setting of the form `host:port`.  Raises `MalformedError`."""
     host, _, port = (text := source.text(name)).rpartition(":")
     host = host.strip("[]")
     try:
@@ -62,24 +62,26 @@
         if not (port.isascii() and port.isdecimal()) or int(port) > MAX_PORT:
             raise ValueError
     except (OSError, ValueError):
-        raise MalformedError(f"{source.at}.{name}: {text!r} is no address") from None
+        raise MalformedError(f"{source.at}.{name}: {text!r} is not an IP address with a port") from None
     return host, int(port)
 
 
-def read(path: str, before: Config | None = None) -> Config:
-    """The configuration at `path`.  Raises `ConfigError`."""
+def read(path: str, current: Config | None = None) -> Config:
+    """Return the configuration in the file at `path`.  Raises `ConfigError`."""
     try:
         with open(path, encoding="utf-8") as file:
-            return parse(file.read(), before)
+            return parse(file.read(), current)
     except (OSError, UnicodeDecodeError, IncompleteConfigError) as cause:
         raise IncompleteConfigError(f"{path}: {cause}") from None
     except ValueError as cause:
         raise ConfigError(f"{path}: {cause}") from None
 
 
-def parse(text: str, before: Config | None = None) -> Config:
-    """The configuration in `text`.  All of it is checked; of one that replaces `before` only the address of the
-    endpoint list is used, as a running dispatcher can change nothing else.  Raises `ConfigError`.
+def parse(text: str, current: Config | None = None) -> Config:
+    """Parse and validate the configuration in `text`.  Raises `ConfigError`.
+
+    If it replaces `current`, the result differs from `current` only in the address of the endpoint list, as a running
+    dispatcher can change nothing else.
     """
     try:
         content = json.loads(text)
@@ -91,8 +93,8 @@
         settings, limits = source.find("settings"), source.object("limits")
         read_settings(settings)
         sockets = _read_sockets(SettingsObject(settings, "settings"))
-        if before is not None:
-            return replace(before, endpoint_list=endpoint_list)
+        if current is not None:
+            return replace(current, endpoint_list=endpoint_list)
         return Config(
             source.text("name"),
             read_address(source, "listen"),
@@ -112,10 +114,10 @@
     bounds, specifics = settings.object("bounds"), settings.object("specifics")
     zones, kinds = settings.texts("failure_domains", 1), settings.texts("models", 1)
     settings.integer("my_zone", 0, len(zones) - 1)
-    memories = SettingsObject(
+    memory_by_kind = SettingsObject(
         {str(n): mb for n, mb in enumerate(specifics.items("machine_mb"))}, f"{specifics.at}.machine_mb"
     )
-    max_function_mb = max(memories.number(str(n), 1) for n in range(len(kinds)))
+    max_function_mb = max(memory_by_kind.number(str(n), 1) for n in range(len(kinds)))
     return SocketSettings(
         zones,
         kinds,
--- a/kelptrail/platform/decision_executor.py
+++ b/kelptrail/platform/decision_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the engine's decisions on the sockets, and reports to the engine how each ended."""
+"""Executes the engine's decisions on the sockets and reports the result of each to the engine."""
 
 from __future__ import annotations
 
@@ -33,11 +33,14 @@
 from .worker_connection import WorkItem
 from .worker_pool import WorkerPool
 
-CALL_HEADER_BYTES = 160  # of a call beside its body, about
+CALL_HEADER_BYTES = 160  # approximate size of a call without its body
 
 
 class DecisionExecutor:
-    """Connects clients' requests, the engine and the workers.  Times are milliseconds of the loop's clock."""
+    """Passes requests, decisions and results between clients, engine and workers.
+
+    Times are in milliseconds of the loop's clock.
+    """
 
     def __init__(
         self,
@@ -55,20 +58,22 @@
         self.workers = WorkerPool(
             loop, config.sockets, max_worker_connections, config.descriptors, self.on_item_finished, event_log
         )
-        self.client_requests: dict[Request, ClientRequest] = {}  # accepted and not answered
-        self.timeouts = TimerQueue()  # attempts past their latest start or final answer, loads past their timeout
-        self.status_counts: Counter[str] = Counter()  # of ended attempts and loads since the last state line
+        self.client_requests: dict[Request, ClientRequest] = {}  # accepted requests without a final answer
+        # Attempts at their latest start or at the deadline of their answered request, loads and probes at their timeout
+        self.timeouts = TimerQueue()
+        # Number of attempts, loads and probes that ended since the last state line, by status.
+        self.status_counts: Counter[str] = Counter()
 
     # Events of the clients.
 
     def on_request(self, client_request: ClientRequest, parsed: ParsedRequest) -> None:
-        """Hand an accepted request to the engine."""
+        """Pass an accepted request to the engine."""
         request = client_request.request = self._engine.on_request(self._loop.time() * 1000, parsed.arrival())
         self.client_requests[request] = client_request
         self._schedule_decisions()
 
     def on_client_gone(self, client_request: ClientRequest) -> None:
-        """No client waits for the answer any more."""
+        """Cancel the unsent attempts of a request whose client cancelled it or disconnected."""
         request = client_request.request
         if request is not None and self.client_requests.pop(request, None) is not None:
             self._engine.on_client_gone(request)
@@ -76,13 +81,13 @@
             self._schedule_decisions()
 
     def is_open(self, request_id: str) -> bool:
-        """Whether the engine has an unfinished request of that id."""
+        """Return whether the engine has an unfinished request with this id."""
         return request_id in self._engine.requests
 
     # Events of the workers.
 
     def on_item_finished(self, item: WorkItem, status: AttemptStatus, answer: WorkerAnswer | None) -> None:
-        """An attempt or load has ended."""
+        """Report the end of an item to the engine; answer the client if the item is a completed attempt."""
         now = self._loop.time() * 1000
         self.status_counts[status.value] += 1
         loaded_count = answer.loaded_instances if answer is not None else 0
@@ -123,7 +128,7 @@
             self._cancel_unsent_attempts(request, CancelReason.FINISHED)
 
     def _load_values(self, answer: WorkerAnswer) -> list[float] | None:
-        """The metrics of an answer in the order of the settings; `cpu` stands in for a missing `util`."""
+        """Return the metrics of an answer in the order of the settings; `cpu` replaces a missing `util`."""
         if answer.metrics is None:
             return None
         return [
@@ -134,7 +139,7 @@
     # Decisions.
 
     def execute_decisions(self, now: float) -> None:
-        """Carry out all decisions that the engine has at this time."""
+        """Execute all decisions that the engine makes at the time `now`."""
         while (decision := self._engine.decide(now)) is not None:
             if isinstance(decision, Attempt):
                 if decision.cancelled:
@@ -145,7 +150,7 @@
                 self._start_load(decision)
                 self.timeouts.add(now + self._load_timeout_ms, decision)
             elif isinstance(decision, ReadinessQuestion):
-                self._ask(now, decision)
+                self._send_probes(now, decision)
             elif isinstance(decision, Request):
                 self.answer_final(decision)
             else:
@@ -153,7 +158,7 @@
 
     def _start_attempt(self, now: float, attempt: Attempt) -> None:
         request, client_request = attempt.request, self.client_requests.get(attempt.request)
-        if client_request is None:  # an attempt for an answered request must not end the round of decisions
+        if client_request is None:  # already answered: an exception here would stop the remaining decisions
             self._engine.on_attempt_finished(now, attempt, AttemptResult(AttemptStatus.NOT_SENT, True))
             return
         if attempt.latest_start < request.deadline:
@@ -170,18 +175,18 @@
     def _start_load(self, order: LoadOrder) -> None:
         def may_start() -> bool:
             now = time.monotonic() * 1000
-            if may := self._engine.may_start(now, order):
+            if allowed := self._engine.may_start(now, order):
                 order.write_started_at = now
                 self._invariants.order_begins(now, order)
-            return may
+            return allowed
 
         self.workers.get_or_create(order.instance.worker).start_load(order, may_start)
 
-    def _ask(self, now: float, question: ReadinessQuestion) -> None:
-        """Send the probes of a question together, on one connection where there is one."""
+    def _send_probes(self, now: float, question: ReadinessQuestion) -> None:
+        """Send all probes of a readiness question, on an open connection if there is one."""
 
         def on_write() -> None:
-            """The first byte of the first probe is about to leave."""
+            """Record the time at which the first byte of the first probe is sent."""
             if question.write_started_at is None:
                 question.write_started_at = time.monotonic() * 1000
 
@@ -193,8 +198,9 @@
             connections.start_probe(probe, on_write)
 
     def _render_call(self, attempt: Attempt, client_request: ClientRequest) -> bytes:
-        """The bytes of an attempt as they are sent, with the time that its client has left then; none if it may no
-        longer start.
+        """Encode an attempt at the time of sending, with the time until its deadline as its limit.
+
+        Return no bytes if the attempt may no longer start.
         """
         request, now = attempt.request, time.monotonic() * 1000
         limit_ms = int(request.deadline - now)
@@ -213,7 +219,7 @@
         )
 
     def answer_final(self, request: Request) -> None:
-        """WorkerAnswer a request that was rejected or has failed."""
+        """Answer a request that was rejected or has failed."""
         client_request = self.client_requests.pop(request, None)
         if client_request is not None:
             is_rejected = request.final_status is FinalStatus.REJECTED
@@ -224,23 +230,23 @@
                 attempts=[_attempt_result(attempt) for attempt in request.attempts],
             )
             code = frames.REFUSED if is_rejected else frames.FAILED
-            later_ms = round(request.retry_after_ms) if is_rejected else 0
-            self._client_server.answer(client_request, code, later_ms=later_ms)
+            retry_after_ms = round(request.retry_after_ms) if is_rejected else 0
+            self._client_server.answer(client_request, code, retry_after_ms=retry_after_ms)
         self._cancel_unsent_attempts(request, CancelReason.FINISHED)
         for attempt in request.attempts:
             if attempt.status is None:
                 self.timeouts.add(request.deadline, attempt)
 
-    # Cancelling and timeouts.
+    # Cancellation and timeouts.
 
     def expire_timeouts(self, now: float) -> None:
-        """Cancel attempts and loads whose time is over."""
+        """Cancel attempts, loads and probes whose timeout has passed."""
         while (item := self.timeouts.pop_due(now)) is not None:
             if isinstance(item, LoadOrder):
                 self._expire_load(now, item)
             elif isinstance(item, ReadinessProbe):
                 self._expire_probe(now, item)
-            elif item.request.final_status is None:  # past its latest start; if it was sent, it goes on
+            elif item.request.final_status is None:  # past its latest start; continues if it was sent
                 self._cancel_unsent(item, CancelReason.TOO_LATE_TO_START)
             else:
                 self._cancel_attempt(now, item, AttemptStatus.SILENT)
@@ -264,7 +270,7 @@
             self._engine.on_attempt_finished(now, attempt, result)
 
     def _cancel_unsent_attempts(self, request: Request, reason: CancelReason) -> None:
-        """Cancel attempts that wait behind others on a slow worker, or for a connection that is not up yet."""
+        """Cancel attempts that are queued behind others at a slow worker or wait for their connection."""
         for attempt in request.attempts:
             if attempt.status is None:
                 self._cancel_unsent(attempt, reason)
@@ -280,6 +286,6 @@
 
 
 def _attempt_result(attempt: Attempt) -> str:
-    """How an attempt ended and at which worker, for the log."""
+    """Return the status and the worker of an attempt as text for the log."""
     result = "in flight" if attempt.status is None else attempt.status.value
     return f"{result} at {attempt.instance.worker.id}"
--- a/kelptrail/platform/endpoint_updates.py
+++ b/kelptrail/platform/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Applies the events of the endpoint list: to the engine's workers, and to the connections to them."""
+"""Applies the events of the endpoint list to the engine's workers and to the connections to them."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from .worker_connections import OnItemFinished
 from .worker_pool import WorkerPool
 
-WORKER_STATES = {READY: WorkerState.LIVE, GONE: WorkerState.REMOVED}  # all other states of the list: draining
+WORKER_STATES = {READY: WorkerState.LIVE, GONE: WorkerState.REMOVED}  # all other states mean draining
 
 
 class EndpointUpdates:
-    """Follows the endpoint list from the configuration's initial events on.  Times are milliseconds."""
+    """Applies the configuration's initial events, then follows the endpoint list.  Times are in milliseconds."""
 
     def __init__(
         self,
@@ -40,8 +40,9 @@
         self._loop, self._engine, self._workers, self._wall_clock = loop, engine, workers, wall_clock
         self._invariants, self._was_stale = invariants, False
         self._on_item_finished, self._schedule_decisions = on_item_finished, schedule_decisions
-        self._started: dict[str, tuple[int, float]] = {}  # by worker: as the list has it, and on the loop's clock
-        self.watch: EndpointWatch | None = None  # from `follow` on
+        # Start time of each worker: the value in the list, and the time on the loop's clock.
+        self._started: dict[str, tuple[int, float]] = {}
+        self.watch: EndpointWatch | None = None  # set by `follow`
 
     @property
     def last_event_number(self) -> int:
@@ -50,7 +51,7 @@
 
     @property
     def list_age_ms(self) -> float:
-        """Time since the list was last heard, in milliseconds."""
+        """Time since the last complete event, in milliseconds."""
         return 0.0 if self.watch is None else self.watch.silent_ms
 
     def follow(self, config: Config) -> None:
@@ -64,12 +65,12 @@
             config.endpoint_list,
             config.initial_events[-1].number if config.initial_events else 0,
             partial(FeedReader, len(config.sockets.zones), len(config.sockets.kinds)),
-            WatchListener(self.on_event, self._on_heard, self._on_lost),
+            WatchListener(self.on_event, self._on_list_confirmed, self._on_connection_lost),
             event_log,
         )
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """Watch the list at another address."""
+        """Change the address at which the list is watched."""
         if self.watch is not None:
             self.watch.set_address(address)
 
@@ -79,7 +80,7 @@
             self.watch.close()
 
     def check_age(self) -> None:
-        """Log when the list became too old for new work, and when it no longer is."""
+        """Log when the list becomes too old for new work, and when it is recent enough again."""
         report = self._engine.readiness(self._now())
         if report.list_is_stale == self._was_stale:
             return
@@ -95,18 +96,18 @@
     def _now(self) -> float:
         return self._loop.time() * 1000
 
-    def _on_heard(self) -> None:
+    def _on_list_confirmed(self) -> None:
         now = self._now()
         self._engine.on_list_heard(now)
         self._invariants.on_list_heard(now)
         if self._was_stale:
             self._schedule_decisions()
 
-    def _on_lost(self) -> None:
+    def _on_connection_lost(self) -> None:
         self._engine.on_list_lost(self._now())
 
     def on_event(self, event: EndpointEvent) -> None:
-        """Apply one event."""
+        """Apply one event of the list."""
         now = self._loop.time() * 1000
         records = event.records or ()
         endpoints = [self._endpoint(now, record) for record in records]
@@ -148,23 +149,24 @@
             return
         if is_restarted or connections.address != self._workers.addresses[worker.id]:
             self._workers.drop(worker)
-        elif worker.removed:  # its address may be another worker's from now on
+        elif worker.removed:  # another worker may use its address from now on
             connections.close_connecting()
-        elif not worker.live:  # items queued behind others could be sent after the drain grace
+        elif not worker.live:  # queued items could otherwise be sent after the drain grace period
             for item in connections.cancel_all_unsent():
                 event_log(log_events.CANCELLED_FOR_DRAIN, worker=worker.id, reason=CancelReason.DRAINING.value)
                 self._on_item_finished(item, AttemptStatus.NOT_SENT, None)
 
     def _started_at(self, now: float, record: EndpointRecord) -> float | None:
-        """When a worker started.  The same `record.started` always gives the same time, whatever steps the wall clock
-        makes in between.
+        """Return the time at which a worker started, or None if the list does not give it.
+
+        The same `record.started` always maps to the same time, even if the wall clock is stepped in between.
         """
         if not record.started:
             return None
         known, started = self._started.get(record.id, (0, 0.0))
         if known != record.started:
             self._wall_clock.observe(time.time() * 1000, now)
-            unknown_at = self.watch.last_heard_at * 1000 if self.watch is not None else float("-inf")
+            unknown_at = self.watch.last_event_at * 1000 if self.watch is not None else float("-inf")
             started = self._wall_clock.monotonic_ms(record.started, now, unknown_at)
             self._started[record.id] = record.started, started
         return started
--- a/kelptrail/platform/endpoint_watch.py
+++ b/kelptrail/platform/endpoint_watch.py
@@ -1,8 +1,8 @@
-"""Watches the users' endpoint list: connects, asks for the events after the last one, reconnects where needed.
+"""Watches the users' endpoint list: connects, requests the events after the last one, reconnects as needed.
 
-The list's service sends an event each second, be it an empty one, so silence is a fault; of the connection or of a slow
-service, which cannot be told apart.  A further connection is opened beside the silent one, and the first that delivers
-an event is kept.  After a disconnect the watch reconnects at once, then with exponential backoff.
+The list's service sends an event every second, even if it is empty, so silence is a fault.  As a failed connection
+cannot be distinguished from a slow service, another connection is opened beside the silent one, and the first one that
+delivers an event is kept.  After a disconnect the watch reconnects immediately, then with exponential backoff.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from . import log_events
 from .log import LogWriter
 
-SILENCE_TIMEOUT_MS = 2_000.0  # two of the empty events are missing
-MAX_SILENCE_TIMEOUT_MS = 8_000.0  # while bytes come, and no complete event
-EXTRA_CONNECT_AFTER_MS = 1_000.0  # a further connection is tried beside one that is not up by then
+SILENCE_TIMEOUT_MS = 2_000.0  # twice the interval of the empty events
+MAX_SILENCE_TIMEOUT_MS = 8_000.0  # limit while bytes arrive that do not complete an event
+EXTRA_CONNECT_AFTER_MS = 1_000.0  # a connect that takes longer gets a parallel one
 CONNECT_TIMEOUT_MS = 8_000.0
 BACKOFF_MS, MAX_BACKOFF_MS = 50.0, 1_000.0
 MAX_BACKOFF_DOUBLINGS = 10
-MAX_CONNECTIONS = 4  # at a time, including those that are not up yet
-RESERVED_DESCRIPTORS = 2  # one for the connection in use and one for the next address
+MAX_CONNECTIONS = 4  # simultaneous connections, including those that are being established
+RESERVED_DESCRIPTORS = 2  # one for a reconnect and one for a new address
 MAX_UNREAD_BYTES = 1 << 16
 
 OnEvent = Callable[[EndpointEvent], None]
@@ -35,31 +35,34 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchListener:
-    """Who is told by a watch.  `on_event`: each new event, in order and once.  `on_heard`: the list at its present
-    address is complete as of now.  `on_lost`: a connection to it ended, or could not be made.
+    """The callbacks of a watch.
+
+    `on_event` receives each new event once and in order.  `on_confirmed` is called when the service at the current
+    address confirms that no event is missing.  `on_connection_lost` is called when a connection to the current address
+    ended or could not be established.
     """
 
     on_event: OnEvent
-    on_heard: Callable[[], None] = lambda: None
-    on_lost: Callable[[], None] = lambda: None
+    on_confirmed: Callable[[], None] = lambda: None
+    on_connection_lost: Callable[[], None] = lambda: None
 
 
 class WatchConnection:
-    """One connection to the list, from connect to close.  Times are seconds of the loop's clock."""
+    """One connection to the list's service, from connect to close.  Times are in seconds of the loop's clock."""
 
     def __init__(self, watch: EndpointWatch, loop: asyncio.AbstractEventLoop, address: tuple[str, int]) -> None:
         self._watch, self._loop, self.address = watch, loop, address
         self.reader = watch.new_reader()
-        self.last_progress_at = loop.time()  # created, connected, or last delivered an event
+        self.last_progress_at = loop.time()  # creation, connect or last event
         self.created_at = self.last_progress_at
-        self.event_count = 0  # complete events, including empty ones
-        self.has_partial_event = False  # bytes came since the last complete event
+        self.event_count = 0  # complete events received, including empty ones
+        self.has_partial_event = False  # whether bytes arrived after the last complete event
         self.connection: Connection | None = None
         self.closed = False
         self._connect_task: asyncio.Task[None] | None = loop.create_task(self._connect())
 
     async def _connect(self) -> None:
-        self._watch.release_descriptor()  # in the same turn of the loop the connect uses it
+        self._watch.release_descriptor()  # `connect` uses it in the same iteration of the loop
         try:
             sock = await connect(self._loop, self.address, CONNECT_TIMEOUT_MS)
         except OSError as cause:
@@ -82,14 +85,14 @@
             self._watch.on_closed(self)
 
     def fail(self) -> None:
-        """Close it and report it as closed: nothing further that it delivers is used."""
+        """Close the connection, report it as closed, and ignore further data from it."""
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.close()
         self._on_closed()
 
     def close(self) -> None:
-        """Close it without a report."""
+        """Close the connection without reporting it as closed."""
         self.closed = True
         if self._connect_task is not None:
             self._connect_task.cancel()
@@ -98,8 +101,9 @@
 
 
 class EndpointWatch:
-    """Follows the list and tells its `listener`.  Keeps descriptors in reserve for its next connections.
-    Times are seconds of the loop's clock.
+    """Follows the list and notifies a `WatchListener`.  Keeps descriptors in reserve for its next connections.
+
+    Times are in seconds of the loop's clock.
     """
 
     def __init__(
@@ -113,20 +117,22 @@
     ) -> None:
         self._loop, self._address, self.new_reader, self._listener, self.log = loop, address, new_reader, listener, log
         self.last_event_number = last_event_number
-        self.last_heard_at = loop.time()  # when the last complete event came
-        self._has_been_silent = False  # longer than `SILENCE_TIMEOUT_MS`, or could not be connected to
-        self._connections: list[WatchConnection] = []  # the oldest first
-        self._failures = 0  # connections in a row that delivered nothing, or lasted a short time
+        self.last_event_at = loop.time()  # time of the last complete event
+        self._has_fault = False  # whether a fault was logged since the last complete event
+        self._connections: list[WatchConnection] = []  # oldest first
+        self._failures = 0  # consecutive connections that delivered no event or ended soon
         self._silence_timeout_ms = SILENCE_TIMEOUT_MS
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due = 0.0
-        self._reserved: list[int] = []  # descriptors
+        self._reserved: list[int] = []  # open descriptors held in reserve
         self._reserve_descriptors()
         self._open_connection()
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """Watch the list at another address: connect there at once, beside the present connections.  At the same
-        address it reconnects after a while, so that repeated reloads do not overload a slow service.
+        """Watch the list at `address`: connect there immediately, and keep the open connections meanwhile.
+
+        If the address is unchanged, reconnect only after a delay, so that repeated reloads do not overload a slow
+        service.
         """
         if address == self._address:
             newest = self._newest
@@ -134,14 +140,14 @@
             self._set_timer(min(self._timer_due, max(self._loop.time(), retry_at)))
             return
         self._address = address
-        present = next((each for each in self._connections if each.address == address), None)
-        if present is None:
+        existing = next((each for each in self._connections if each.address == address), None)
+        if existing is None:
             self._open_connection()
             return
-        self._connections.remove(present)  # it becomes the newest again
-        self._connections.append(present)
-        timeout_ms = EXTRA_CONNECT_AFTER_MS if present.connection is None else SILENCE_TIMEOUT_MS
-        self._set_timer(present.last_progress_at + timeout_ms / 1000)
+        self._connections.remove(existing)  # makes it the newest connection
+        self._connections.append(existing)
+        timeout_ms = EXTRA_CONNECT_AFTER_MS if existing.connection is None else SILENCE_TIMEOUT_MS
+        self._set_timer(existing.last_progress_at + timeout_ms / 1000)
 
     def close(self) -> None:
         """Stop watching."""
@@ -156,17 +162,17 @@
     @property
     def silent_ms(self) -> float:
         """Time since the last complete event, in milliseconds."""
-        return (self._loop.time() - self.last_heard_at) * 1000
+        return (self._loop.time() - self.last_event_at) * 1000
 
     def log_fault(self, event: str, **fields: object) -> None:
-        """Log a fault of the list, with the last event that is known and for how long none came."""
-        self._has_been_silent = True
+        """Log a fault of the list with the number of the last applied event and the time since the last event."""
+        self._has_fault = True
         self.log(event, number=self.last_event_number, silent_ms=round(self.silent_ms), **fields)
 
     # Events of the connections.
 
     def on_connected(self, connection: WatchConnection) -> None:
-        """A connection is up."""
+        """Request the events after the last one on a new connection."""
         self._reserve_descriptors()
         if connection.connection is not None:
             connection.connection.write(encode_poll(self.last_event_number))
@@ -174,14 +180,14 @@
             self._set_timer(connection.last_progress_at + self._silence_timeout_ms / 1000)
 
     def on_closed(self, connection: WatchConnection) -> None:
-        """A connection has ended, or could not be made."""
+        """Schedule a reconnect after a connection ended or could not be established."""
         if connection not in self._connections:
             return
         was_newest = connection is self._newest
         self._connections.remove(connection)
         self._reserve_descriptors()
         if connection.address == self._address:
-            self._listener.on_lost()
+            self._listener.on_connection_lost()
         if connection.address != self._address or not was_newest:
             return
         lasted = connection.event_count and (self._loop.time() - connection.created_at) * 1000 > MAX_BACKOFF_MS
@@ -191,7 +197,7 @@
         self._set_timer(self._loop.time() + min(MAX_BACKOFF_MS, backoff_ms) / 1000)
 
     def on_data(self, connection: WatchConnection, data: memoryview) -> None:
-        """Bytes came."""
+        """Parse received bytes and apply the complete events."""
         if connection.closed:
             return
         connection.reader.feed(data)
@@ -203,7 +209,7 @@
         except FeedError as cause:
             self.log_fault(log_events.FEED_UNREADABLE, cause=str(cause))
             connection.fail()
-        except Exception as cause:  # noqa: BLE001 - it must not stop the watch
+        except Exception as cause:  # noqa: BLE001 - an error in a listener must not stop the watch
             self._loop.call_exception_handler({"message": "an event could not be applied", "exception": cause})
             connection.fail()
 
@@ -213,25 +219,26 @@
         if event.records is None:
             raise FeedError("events are missing")
         if event.number != self.last_event_number + 1 and not event.is_snapshot:
-            raise FeedError(f"event {event.number} after {self.last_event_number}")
+            raise FeedError(f"event {event.number} follows event {self.last_event_number}")
         self._listener.on_event(event)
-        self.last_event_number = event.number  # only once it was applied: one that fails is requested again
+        self.last_event_number = event.number  # set after the event was applied: a failed one is requested again
 
     def _on_event_applied(self, connection: WatchConnection, event: EndpointEvent) -> None:
-        """After a complete event from the current address no other connection is needed.  Only an empty one says that
-        the list is complete: after a change further ones may follow, above all after an outage; and a service that has
-        an older event than this watch is behind.
+        """Record a complete event; if it came from the current address, drop all other connections.
+
+        Only an empty event confirms that no event is missing: after a change others may follow, in particular after an
+        outage.  A service whose event number is lower than that of this watch is behind and confirms nothing.
         """
         connection.event_count += 1
         connection.has_partial_event = False
-        if self._has_been_silent:
-            self._has_been_silent = False
+        if self._has_fault:
+            self._has_fault = False
             self.log(log_events.FEED_HEARD_AGAIN, number=self.last_event_number, silent_ms=round(self.silent_ms))
-        connection.last_progress_at = self.last_heard_at = self._loop.time()
+        connection.last_progress_at = self.last_event_at = self._loop.time()
         if connection.address != self._address:
             return
         if event.records is None and event.number >= self.last_event_number:
-            self._listener.on_heard()
+            self._listener.on_confirmed()
         self._silence_timeout_ms = SILENCE_TIMEOUT_MS
         for other in [other for other in self._connections if other is not connection]:
             self._drop(other)
@@ -245,7 +252,7 @@
         return self._connections[-1] if self._connections else None
 
     def _open_connection(self) -> None:
-        """Open a connection beside the present ones."""
+        """Open a connection beside the open ones; drop the oldest ones if there are too many."""
         while len(self._connections) >= MAX_CONNECTIONS:
             self._drop(self._connections[0])
         connection = WatchConnection(self, self._loop, self._address)
@@ -264,27 +271,28 @@
         self._timer = self._loop.call_at(due, self._on_timer)
 
     def _on_timer(self) -> None:
-        """No event came in time, or a backoff is over."""
+        """Open a connection because no event arrived in time or a backoff has ended."""
         newest = self._newest
         if newest is not None and newest.address == self._address:
             event = log_events.FEED_SILENT if newest.connection is not None else log_events.FEED_SLOW_TO_CONNECT
             self.log_fault(event)
-            # A connection too slow for one event within the usual time is given more.
-            longer_ms = min(MAX_SILENCE_TIMEOUT_MS, 2 * self._silence_timeout_ms)
-            self._silence_timeout_ms = longer_ms if newest.has_partial_event else SILENCE_TIMEOUT_MS
+            # A connection that delivers part of an event within the timeout gets more time.
+            extended_ms = min(MAX_SILENCE_TIMEOUT_MS, 2 * self._silence_timeout_ms)
+            self._silence_timeout_ms = extended_ms if newest.has_partial_event else SILENCE_TIMEOUT_MS
         self._open_connection()
 
-    # Descriptors in reserve.
+    # Reserved descriptors.
 
     def _reserve_descriptors(self) -> None:
-        """Reserve descriptors for the next connections, which clients would otherwise use up while the list's service
-        is down.
+        """Reserve descriptors for the next connections.
+
+        Clients could otherwise use up all descriptors while the list's service is down.
         """
         with contextlib.suppress(OSError):
             while len(self._reserved) < RESERVED_DESCRIPTORS:
                 self._reserved.append(os.open(os.devnull, os.O_RDONLY))
 
     def release_descriptor(self) -> None:
-        """Free a descriptor for the connection that is about to be made."""
+        """Free a reserved descriptor for a connection that is about to be established."""
         if self._reserved:
             os.close(self._reserved.pop())
--- a/kelptrail/platform/graceful_shutdown.py
+++ b/kelptrail/platform/graceful_shutdown.py
@@ -1,7 +1,7 @@
-"""The steps of a graceful shutdown, at the times that `kelptrail.dispatch.shutdown` plans.
+"""Executes the steps of a graceful shutdown at the times that `kelptrail.dispatch.shutdown` plans.
 
-GOAWAY is sent at once, requests that still arrive are served for `ACCEPT_MS`, then new ones are refused, and at the end
-of the plan what is still open gets its final answer.  The process may end sooner, once nothing is open.
+GOAWAY is sent immediately.  Requests that still arrive are served until the planned time of refusal, and at the planned
+end all open requests get their final answer.  From `ACCEPT_MS` on the process may exit as soon as nothing is open.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from .decision_executor import DecisionExecutor
 from .log import event_log
 
-ACCEPT_MS = ARRIVALS_MS  # new connections are accepted for so long
+ACCEPT_MS = ARRIVALS_MS  # new connections are accepted for at least this time
 CHECK_INTERVAL_S = 0.02
-CLOSE_LINGER_MS = 50.0  # clients may read on for so long after the last answer
+CLOSE_LINGER_MS = 50.0  # gives clients time to read the last answers
 
 
 class GracefulShutdown:
-    """Ends one dispatcher; `finished` is done when the process may exit."""
+    """Shuts down one dispatcher; `finished` is done when the process may exit."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         return not self._client_server.ready
 
     def begin(self) -> None:
-        """Start to shut down; a second call changes nothing."""
+        """Start the shutdown; further calls have no effect."""
         if self.has_begun:
             return
         event_log(log_events.SHUTTING_DOWN, in_flight=len(self._executor.client_requests))
@@ -51,7 +51,10 @@
         self._loop.call_later(ACCEPT_MS / 1000, self._finish_if_idle)
 
     def _finish_if_idle(self) -> None:
-        """Check for open work and close in the same turn of the loop, so that nothing can arrive in between."""
+        """Close all connections if no work is open or the planned end is reached; otherwise check again later.
+
+        The check and the close run in the same iteration of the loop, so that no request can arrive in between.
+        """
         now, plan = self._now(), self._plan
         if now >= plan.refuse:
             self._client_server.refuse_new()
@@ -65,7 +68,9 @@
 
     def _has_open_work(self) -> bool:
         server = self._client_server
-        return not server.stop_accepting() or bool(self._executor.client_requests) or not server.connections.is_settled
+        return (
+            not server.stop_accepting() or bool(self._executor.client_requests) or not server.connections.is_quiescent
+        )
 
     def _finish(self) -> None:
         if not self.finished.done():
--- a/kelptrail/platform/log.py
+++ b/kelptrail/platform/log.py
@@ -1,7 +1,7 @@
-"""The log: structured lines on standard output, rate limited per event; the count of each event is always kept.
+"""Structured log lines on standard output, rate limited per event; each event is counted even if its line is skipped.
 
-An event is a short fixed text (see `log_events`); its fields describe the case, one of them may be the `reason`.  Lines
-of one event and reason beyond `LINES_PER_S` are left out, and the next such line says how many were (`skipped`).
+An event is a short fixed text (see `log_events`) with fields that describe the case; one of them may be the `reason`.
+Lines beyond `LINES_PER_S` for one event and reason are skipped; the next line for them has their number (`skipped`).
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from collections import Counter
 from typing import Any, Protocol
 
-LINES_PER_S = 20  # of one event and reason
-LINE_BYTES = 2_000  # less than PIPE_BUF: a line that poll() reports as writable is written in one call
+LINES_PER_S = 20  # for each event and reason
+LINE_BYTES = 2_000  # less than PIPE_BUF: a pipe that poll() reports as writable accepts a line in one write
 STANDARD_OUTPUT = 1
 
 
@@ -25,14 +25,14 @@
 
 
 class EventLog:
-    """Writes the log lines of one process.  A line that would block is counted and dropped."""
+    """Writes the log lines of one process.  A line whose write would block is dropped and counted."""
 
     def __init__(self, lines_per_s: int = LINES_PER_S) -> None:
         self._lines_per_s = lines_per_s
         self._second = 0
-        self._written: Counter[str] = Counter()  # lines of each event and reason in this second
-        self._skipped: Counter[str] = Counter()  # lines of each that were left out since its last line
-        self.counts: Counter[str] = Counter()  # how often each event and reason happened since the start
+        self._written: Counter[str] = Counter()  # lines by event and reason in the current second
+        self._skipped: Counter[str] = Counter()  # lines skipped since the last written one, by event and reason
+        self.counts: Counter[str] = Counter()  # number of events since the start, by event and reason
 
     def __call__(self, event: str, **fields: Any) -> None:
         kind = f"{event}: {fields['reason']}" if "reason" in fields else event
@@ -53,8 +53,10 @@
 
     @staticmethod
     def _write(line: str) -> bool:
-        """Whether the line was written.  A reader of the log that has gone or does not read must delay neither the
-        timer nor a shutdown, so nothing is written where the pipe is full.
+        """Write a line and return whether it was written.
+
+        Nothing is written while the pipe is full: a log reader that has exited or does not read must delay neither the
+        timer nor a shutdown.
         """
         data = f"{time.strftime('%H:%M:%S')} {line}".encode(errors="replace")[:LINE_BYTES] + b"\n"
         with contextlib.suppress(OSError):
@@ -65,4 +67,4 @@
         return False
 
 
-event_log = EventLog()  # of this process
+event_log = EventLog()  # the log of this process
--- a/kelptrail/platform/log_events.py
+++ b/kelptrail/platform/log_events.py
@@ -1,4 +1,4 @@
-"""The names of the log events of this program; `docs/ops/platform.md` says what an operator does about each.
+"""Names of the log events of this program; `docs/ops/platform.md` describes what an operator does about each.
 
 `bench/soak.py` looks for `UNEXPECTED_ERROR` and for the engine's `invariant violated` in the log.
 """
--- a/kelptrail/platform/parsed_request.py
+++ b/kelptrail/platform/parsed_request.py
@@ -1,7 +1,7 @@
-"""Reads and checks the fields of a client's request.
+"""Parses and validates the fields of a client's request.
 
-The wire names are the users': `txn` the request id, `item` the function, `unique` the idempotency key, `verb` the
-request class, `team` the tenant, `limit` the time left in milliseconds, `info` further figures.
+The protocol's field names: `txn` is the request id, `item` the function, `unique` the idempotency key, `verb` the
+request class, `team` the tenant, `limit` the time left in milliseconds, `info` further numbers.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 
 class UnusableRequestError(ValueError):
-    """A request whose frame can be read and whose fields cannot be used."""
+    """A request has a readable frame but invalid fields."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRules:
-    """What the settings allow in a request.  `max_timeout_ms` is by the name of the request class."""
+    """The values that the settings allow in a request.  `max_timeout_ms` is keyed by the name of the request class."""
 
     request_classes: Mapping[str, RequestClass]
     tenants: Mapping[str, Tenant]
@@ -36,7 +36,7 @@
 
 
 class ParsedRequest:
-    """The checked fields of one request.  Times are milliseconds, `load_ms` and `work_ms` None where not given."""
+    """The validated fields of one request.  Times are in milliseconds; `load_ms` and `work_ms` are None if absent."""
 
     __slots__ = (
         "function_id",
@@ -52,7 +52,7 @@
     )
 
     def __init__(self, fields: dict[str, str], rules: RequestRules) -> None:
-        """Raises `UnusableRequestError`."""
+        """Validate the fields of a request.  Raises `UnusableRequestError`."""
         self.id, self.function_id, self.key = fields.get("txn", ""), fields.get("item", ""), fields.get("unique", "")
         if not _HEX_ID.fullmatch(self.id) or not _HEX_ID.fullmatch(self.function_id):
             raise UnusableRequestError("invalid request or function id")
@@ -73,7 +73,7 @@
         self.work_ms = _read_number(fields, "cpu", 0, MAX_WORK_MS) if "cpu" in fields else None
 
     def arrival(self) -> RequestArrival:
-        """The request as the engine takes it."""
+        """Return the request in the form that the engine accepts."""
         return RequestArrival(
             self.id,
             self.request_class,
@@ -88,7 +88,7 @@
 
 
 def _read_info(text: str) -> dict[str, str]:
-    """The figures of the `info` field, `name:value` separated by semicolons."""
+    """Parse the `info` field, `name:value` pairs separated by semicolons."""
     info = {}
     for part in text.split(";"):
         name, _, value = part.partition(":")
@@ -96,8 +96,8 @@
     return info
 
 
-def _read_number(fields: Mapping[str, str], name: str, least: float, most: float) -> float:
+def _read_number(fields: Mapping[str, str], name: str, minimum: float, maximum: float) -> float:
     text = fields.get(name, "")
-    if not _NUMBER.fullmatch(text) or not least <= (number := float(text)) <= most:
-        raise UnusableRequestError(f"{name} is not a number from {least:g} to {most:g}")
+    if not _NUMBER.fullmatch(text) or not minimum <= (number := float(text)) <= maximum:
+        raise UnusableRequestError(f"{name} is not a number from {minimum:g} to {maximum:g}")
     return number
--- a/kelptrail/platform/service.py
+++ b/kelptrail/platform/service.py
@@ -1,8 +1,8 @@
-"""Assembles one dispatcher on the event loop and runs its one timer.
+"""Assembles one dispatcher on the event loop and runs its timer.
 
-Bytes of a client are read by `client_server`, accepted requests go through `decision_executor` to the engine, whose
-decisions it carries out on `worker_connections`; answers go back the same way.  `endpoint_updates` keeps the workers up
-to date, `graceful_shutdown` ends it all.
+`client_server` reads the bytes of clients.  `decision_executor` passes accepted requests to the engine and executes its
+decisions on `worker_connections`; answers take the same way back.  `endpoint_updates` keeps the workers up to date, and
+`graceful_shutdown` stops the dispatcher.
 """
 
 from __future__ import annotations
@@ -25,17 +25,21 @@
 from .log import event_log
 from .parsed_request import RequestRules
 
-# The protocol page: what the list would have told counts as notified so long after it fell silent or broke off.
+# According to the protocol page, a change that the list could not deliver counts as notified 4 s after the list fell
+# silent, or 2 s after a connection to it broke.
 LIST_TIMING = EndpointListTiming(notification_ms=4_000.0, broken_notification_ms=2_000.0)
-STATE_INTERVAL_MS = 5_000.0  # between two `state` lines of the log
-TIMER_TOLERANCE_MS = 0.01  # the timer is not set anew for a due time that is earlier by less
-OTHER_DESCRIPTORS = 24  # neither clients' nor workers': the loop, the endpoint list, the log
+STATE_INTERVAL_MS = 5_000.0  # interval of the `state` lines in the log
+TIMER_TOLERANCE_MS = 0.01  # the timer is not rescheduled if the new due time is earlier by less than this
+OTHER_DESCRIPTORS = 24  # descriptors for the event loop, the endpoint list and the log
 MIN_WORKER_CONNECTIONS = 4
-BODY_MEMORY_SHARE = 1 / 16  # of the process's memory, for the bodies of open requests
+BODY_MEMORY_SHARE = 1 / 16  # share of the process's memory for the bodies of open requests
 
 
 def log_unexpected_error(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """The loop's exception handler: log the error, which ends only the callback or task where it happened."""
+    """Log an unhandled exception; the loop's exception handler.
+
+    The exception ends only the callback or task that raised it.
+    """
     cause = context.get("exception")
     frame = traceback.extract_tb(cause.__traceback__)[-1] if cause is not None and cause.__traceback__ else None
     event_log(
@@ -48,7 +52,7 @@
 
 
 class Service:
-    """The dispatcher of one configuration.  Times are milliseconds of the loop's clock."""
+    """One dispatcher with its configuration.  Times are in milliseconds of the loop's clock."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config) -> None:
         self._loop, self.config = loop, config
@@ -103,7 +107,7 @@
 
     @property
     def finished(self) -> asyncio.Future[None]:
-        """Done when a shutdown is complete."""
+        """A future that is done when a shutdown is complete."""
         return self._shutdown.finished
 
     @property
@@ -117,23 +121,23 @@
         return self._shutdown.has_begun
 
     def open(self) -> int:
-        """Begin to serve; returns the port.  Raises `OSError`."""
+        """Start to accept clients and return the port.  Raises `OSError`."""
         port = self.client_server.open(self.config.listen)
         self._schedule_decisions()
         return port
 
     def reload(self, config: Config) -> None:
-        """Apply a new configuration: of a running dispatcher only the address of the endpoint list changes."""
+        """Apply a new configuration; only the address of the endpoint list can change while the dispatcher runs."""
         self.config = config
         event_log(log_events.CONFIGURATION, journal=config.endpoint_list)
         self.endpoints.set_address(config.endpoint_list)
 
     def shut_down(self) -> None:
-        """Begin a graceful shutdown."""
+        """Start a graceful shutdown."""
         self._shutdown.begin()
 
     def close(self) -> None:
-        """Close all sockets; nothing is decided from then on, and open attempts end."""
+        """Close all sockets, which ends open attempts; no decisions are made afterwards."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -147,7 +151,7 @@
     # Decisions.
 
     def _schedule_decisions(self) -> None:
-        """Decide once all events that the loop has ready were handled."""
+        """Schedule a round of decisions after the events that the loop has ready."""
         if not self._decisions_scheduled:
             self._decisions_scheduled = True
             self._loop.call_soon(self._decide)
@@ -162,7 +166,7 @@
         finally:
             self._set_timer()
 
-    # The one timer.
+    # Timer.
 
     def _set_timer(self) -> None:
         tick_due = self._tick_due
@@ -195,7 +199,7 @@
         self.executor.workers.sweep()
 
     def _log_state(self) -> None:
-        """What the engine holds of load and health, beside what is open on the sockets."""
+        """Log the load and health that the engine records, and the number of open connections and items."""
         executor, workers = self.executor, self.engine.workers.values()
         readiness = self.engine.readiness(self._now())
         event_log(
@@ -222,15 +226,16 @@
 
 
 class DescriptorShares(NamedTuple):
-    """How many connections clients and workers may have."""
+    """Limits of the connections to clients and to workers."""
 
     clients: int
     workers: int
 
 
 def _share_descriptors(descriptors: int) -> DescriptorShares:
-    """Split the descriptors of the process.  A third of the descriptors is enough for well-behaved
-    clients; some more hold those over the limit.
+    """Divide the descriptors of the process between clients, workers and other uses.
+
+    A third of them is enough for well-behaved clients; clients get 5/12 because of connections over the limit.
     """
     clients = descriptors * 5 // 12
     others = min(OTHER_DESCRIPTORS, descriptors // 8)
--- a/kelptrail/platform/signals.py
+++ b/kelptrail/platform/signals.py
@@ -1,4 +1,4 @@
-"""Holds the process's signals from its first line until the event loop can handle them."""
+"""Holds signals from the start of the process until the event loop can handle them."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 
 
 class HeldSignals:
-    """Records the signals for shutdown and reload.  Their default action would end the process at once, which the
-    sender would see as a crash.
+    """Records the signals for shutdown and reload.
+
+    Their default action would end the process immediately, which the sender would treat as a crash.
     """
 
     def __init__(self, numbers: tuple[int, ...] = SIGNALS) -> None:
@@ -19,13 +20,16 @@
             signal.signal(number, self._record)
 
     def release(self) -> list[int]:
-        """The signals received before other handlers were installed, each once, in order of arrival."""
+        """Return and clear the received signals, without duplicates and in order of arrival.
+
+        Call it after other handlers are installed.
+        """
         received, self._received = list(dict.fromkeys(self._received)), []
         return received
 
     @staticmethod
     def block() -> None:
-        """Block all of them: the process is about to exit by itself."""
+        """Block all these signals while the process exits."""
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
     def _record(self, number: int, _: FrameType | None) -> None:
--- a/kelptrail/platform/worker_connection.py
+++ b/kelptrail/platform/worker_connection.py
@@ -1,8 +1,8 @@
-"""One connection to a worker, and the attempts and loads that are open on it.
+"""One connection to a worker, and the attempts, loads and probes that are open on it.
 
-The socket proves how an item ended.  A connection that never came up: unreachable.  Bytes that the socket never took
-whole: not sent.  A connection that ends after that, or brings what cannot be parsed: connection lost, for all that is
-open on it.
+The state of the socket determines the status of an item that ends without an answer.  If the connection could not be
+established, the item is unreachable.  If the socket did not accept all of its bytes, it was not sent.  If the
+connection ends later, or delivers data that cannot be parsed, all sent items have lost their connection.
 """
 
 from __future__ import annotations
@@ -31,27 +31,29 @@
     "UP": AttemptStatus.COMPLETED,
     "DOWN": AttemptStatus.OUT_OF_CAPACITY,
 }
-MAX_UNREAD_BYTES = 1 << 20  # written to a worker that does not read; beyond it the connection is closed
-KERNEL_UNSENT_BYTES = 16_384  # that the kernel may hold unsent: they can be neither changed nor cancelled
+MAX_UNREAD_BYTES = 1 << 20  # limit of the bytes that wait for a worker to read them; beyond it the connection is closed
+KERNEL_UNSENT_BYTES = 16_384  # limit of unsent bytes in the kernel, which can be neither changed nor cancelled
 
 WorkItem = Attempt | LoadOrder | ReadinessProbe
-RenderBytes = Callable[[], bytes]  # the bytes of an item as they are sent; none if it may no longer start
+RenderBytes = Callable[[], bytes]  # encodes an item when it is sent; returns no bytes if it may no longer start
 
 
 @dataclass(slots=True)
 class WorkerConnectionLimits:
-    """What the settings allow of connections to workers.  `open_count` counts the open connections of all workers,
-    `close_longest_idle` closes an idle one of any worker and returns whether there was one.
+    """Limits from the settings for the connections to workers.
+
+    `open_count` is the number of open connections to all workers.  `close_longest_idle` closes an idle connection to
+    any worker and returns whether there was one.
     """
 
     connect_ms: float
     idle_ms: float
-    streams: int  # items open on one connection
-    max_in_all: int  # connections to all workers
+    streams: int  # limit of open items on one connection
+    max_in_all: int  # limit of connections to all workers
     answer_bytes: int
     may_cancel: bool  # whether the protocol allows CANCEL
-    parallel_attempts: bool  # whether two attempts of a request may run at once
-    max_timeout_ms: float  # of any request: a late answer may come for so long
+    parallel_attempts: bool  # whether two attempts of a request may run at the same time
+    max_timeout_ms: float  # longest timeout of any request: late answers may arrive until then
     close_longest_idle: Callable[[], bool]
     max_per_worker: int = 1
     open_count: int = 0
@@ -59,11 +61,11 @@
 
 @dataclass(slots=True)
 class OpenItem:
-    """An item that is open on a connection; its write is pending once the connection is up."""
+    """An item that is open on a connection; it has a pending write once the connection is established."""
 
     item: WorkItem
     render: RenderBytes
-    size: int  # bytes, about
+    size: int  # approximate size in bytes
     pending_write: PendingWrite | None = None
 
 
@@ -76,17 +78,17 @@
     log: LogWriter
 
     def on_not_sent(self, item: WorkItem) -> None:
-        """The item's time to start is over."""
+        """Handle an item that may no longer start: its `render` returned no bytes."""
 
     def on_item_finished(self, item: WorkItem, status: AttemptStatus, answer: WorkerAnswer | None) -> None:
-        """The item has ended."""
+        """Handle the end of an item."""
 
     def on_connection_closed(self, connection: WorkerConnection) -> None:
-        """The connection has ended."""
+        """Handle the end of a connection."""
 
 
 class WorkerConnection:
-    """One connection and its open items.  Times are seconds of the loop's clock."""
+    """One connection and its open items.  Times are in seconds of the loop's clock."""
 
     __slots__ = (
         "_connect_task",
@@ -104,20 +106,25 @@
     def __init__(self, owner: ConnectionOwner, loop: asyncio.AbstractEventLoop) -> None:
         self._owner, self._loop = owner, loop
         self._reader = LineReader(owner.limits.answer_bytes)
-        self.open_items: dict[str, OpenItem] = {}  # by id, in the order of their start
-        self.used_ids: dict[str, float] = {}  # ids used before, and until when a late answer to them may come
-        self.suspect = False  # an item was cancelled without an answer, and nothing was received since
+        self.open_items: dict[str, OpenItem] = {}  # by id, in order of start
+        # Time until which late answers to an id may arrive, for ids that were used before.
+        self.used_ids: dict[str, float] = {}
+        self.suspect = False  # an unanswered item was cancelled, and nothing was received since
         self.last_used_at = self.last_received_at = loop.time()
         self.connection: Connection | None = None
         self._connect_task: asyncio.Task[None] | None = loop.create_task(self._connect())
 
     @property
     def rank(self) -> tuple[bool, int, float]:
-        """The least is used next: not suspect, fewest open items, last used: long idle ones may be dead."""
+        """Sort key for the choice of a connection; the lowest is used next.
+
+        Connections that are not suspect come first, then those with the fewest open items, then the most recently used
+        ones, because connections that were idle for long may be dead.
+        """
         return self.suspect, len(self.open_items), -self.last_used_at
 
     def start(self, id_: str, item: WorkItem, render: RenderBytes, size: int) -> None:
-        """Open an item; where `render` returns no bytes when it is about to be sent, it ends as not sent."""
+        """Open an item and send it; it ends as not sent if `render` returns no bytes at the time of sending."""
         self.last_used_at = self._loop.time()
         self.used_ids[id_] = self.last_used_at + self._owner.limits.max_timeout_ms / 1000
         opened = self.open_items[id_] = OpenItem(item, render, size)
@@ -134,7 +141,7 @@
         opened.pending_write = connection.write_deferred(render, opened.size)
 
     def cancel_unsent(self, id_: str) -> bool:
-        """Cancel an item whose first byte was not sent; whether it was cancelled."""
+        """Cancel an item whose first byte was not sent; return whether it was cancelled."""
         write = self.open_items[id_].pending_write
         if write is not None and self.connection is not None and not self.connection.cancel_unsent(write):
             return False
@@ -142,8 +149,9 @@
         return True
 
     def cancel(self, id_: str) -> bool:
-        """Cancel an item; whether it may still reach the worker.  Bytes that were begun are sent to their end, as the
-        worker counts them.
+        """Cancel an item and return whether it may still reach the worker.
+
+        An item that is partly sent is sent completely, because the worker counts its bytes.
         """
         if self.cancel_unsent(id_):
             return False
@@ -151,22 +159,23 @@
         self.suspect = True
         if self._owner.limits.may_cancel and self.connection is not None:
             self.connection.write(encode_cancel(id_))
-            self.connection.flush_now()  # the next attempt, on a connection written before, must not overtake it
+            # The next attempt, on a connection that was written to earlier, must not be sent before this CANCEL.
+            self.connection.flush_now()
             if self.connection.has_pending_writes and not self._owner.limits.parallel_attempts:
-                self.close()  # the worker does not read: the end of the connection cancels what it was sent
+                self.close()  # the worker does not read; closing the connection cancels its items
         return True
 
     def expire_ids(self, now: float) -> None:
-        """Forget ids for which no late answer can come any more."""
+        """Forget ids whose late answers can no longer arrive."""
         for id_ in [id_ for id_, until in self.used_ids.items() if until < now and id_ not in self.open_items]:
             del self.used_ids[id_]
 
     def is_stalled(self, now: float) -> bool:
-        """Whether an answer stopped half way."""
+        """Return whether an incomplete answer has received no bytes for the connect timeout."""
         return self._reader.partial and now - self.last_received_at > self._owner.limits.connect_ms / 1000
 
     def close(self) -> None:
-        """Close; open items end as lost, or as not sent."""
+        """Close the connection; open items end as connection lost if they were sent, otherwise as not sent."""
         if self._connect_task is not None:
             self._connect_task.cancel()
         if self.connection is not None:
@@ -176,7 +185,7 @@
     async def _connect(self) -> None:
         try:
             sock = await connect(self._loop, self._owner.address, self._owner.limits.connect_ms)
-        except asyncio.CancelledError:  # by `close`, which has ended the open items
+        except asyncio.CancelledError:  # raised by `close`, which ends the open items
             return
         except OSError as cause:
             self._on_connect_failed(cause)
@@ -190,7 +199,10 @@
             self._write(self.connection, opened)
 
     def _on_connect_failed(self, cause: OSError) -> None:
-        """A local shortage, such as of descriptors, says nothing about the worker."""
+        """End all items as unreachable.
+
+        After a local shortage, such as of descriptors, they end as not sent: the worker is not at fault.
+        """
         self._connect_task = None
         status = AttemptStatus.NOT_SENT if is_local_shortage(cause) else AttemptStatus.UNREACHABLE
         self._owner.log(log_events.WORKER_CONNECT_FAILED, worker=self._owner.id, cause=cause, outcome=status.value)
@@ -203,9 +215,9 @@
             while (answer := self._reader.next()) is not None:
                 self.suspect = False
                 found = self.open_items.pop(answer.id, None)
-                if found is not None:  # else a duplicate, a late answer, or one to no request
+                if found is not None:  # otherwise a duplicate, late or unknown answer
                     self.last_used_at = self.last_received_at
-                    # A duplicate answer, if any, comes soon after the first.
+                    # A duplicate answer would arrive soon after the first one.
                     self.used_ids[answer.id] = self.last_received_at + self._owner.limits.connect_ms / 1000
                     status = STATUS_BY_WORD.get(answer.status, AttemptStatus.CONNECTION_LOST)
                     self._owner.on_item_finished(found.item, status, answer)
--- a/kelptrail/platform/worker_connections.py
+++ b/kelptrail/platform/worker_connections.py
@@ -1,6 +1,6 @@
-"""The connections to one worker: which of them an item uses, and when one is opened or closed.
+"""The connections to one worker: chooses a connection for each item, and opens and closes connections.
 
-Only the connection is chosen here, among those to the worker that the engine decided on.
+The engine chooses the worker; this module chooses only among the connections to it.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from .log import LogWriter
 from .worker_connection import RenderBytes, WorkerConnection, WorkerConnectionLimits, WorkItem
 
-SWEEP_IDLE_SHARE = 0.2  # a connection is closed after this share of the workers' own idle timeout
+SWEEP_IDLE_SHARE = 0.2  # share of the workers' own idle timeout after which an idle connection is closed
 
 OnItemFinished = Callable[[WorkItem, AttemptStatus, WorkerAnswer | None], None]
 
 
 class WorkerConnections:
-    """The connections to one worker; `on_finished` is called once for each item that was not cancelled."""
+    """The connections to one worker.  `on_finished` is called once for each item that was not cancelled."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._loop, self.id, self.address, self.limits = loop, id_, address, limits
         self._on_finished, self.log = on_finished, log
         self._connections: dict[WorkerConnection, None] = {}
-        self._locations: dict[WorkItem, tuple[WorkerConnection, str]] = {}  # connection, and id on it
+        self._locations: dict[WorkItem, tuple[WorkerConnection, str]] = {}  # connection and id of each open item
         self._load_count = self._probe_count = 0
 
     def __len__(self) -> int:
@@ -43,23 +43,25 @@
 
     @property
     def open_items(self) -> int:
-        """How many attempts and loads are open."""
+        """The number of open attempts, loads and probes."""
         return sum(len(connection.open_items) for connection in self._connections)
 
     def start_attempt(self, attempt: Attempt, render: RenderBytes, size: int) -> None:
-        """Send an attempt, whose bytes are rendered when they are sent."""
+        """Send an attempt that is encoded by `render` at the time of sending; `size` is approximate."""
         self._start(attempt.request.id, attempt, render, size)
 
     def start_load(self, order: LoadOrder, may_start: Callable[[], bool]) -> None:
-        """Send a load order, if it may still start when the connection takes it."""
+        """Send a load order unless `may_start` returns False at the time of sending."""
         self._load_count += 1
         id_ = f"o{self._load_count}"
         data = encode_load(id_, order.instance.function.id, order.count)
         self._start(id_, order, lambda: data if may_start() else b"", len(data))
 
     def start_probe(self, probe: ReadinessProbe, on_write: Callable[[], None]) -> None:
-        """Ask the worker; `on_write` is called as the first byte leaves.  A connection is opened only if there is none:
-        connections are scarce at workers, and a question waits for nothing there.
+        """Send a readiness probe; `on_write` is called before its first byte is sent.
+
+        A connection is opened only if there is none: workers have few connections, and a probe does not queue behind
+        other items at the worker.
         """
         self._probe_count += 1
         id_ = f"q{self._probe_count}"
@@ -67,24 +69,24 @@
         data = encode_health_check(id_) if probe.kind is ProbeKind.HEALTH_CHECK else encode_load(id_, function, 0)
 
         def render() -> bytes:
-            """The probe's bytes, as they are sent."""
+            """Return the bytes of the probe and report that they are about to be sent."""
             on_write()
             return data
 
         self._start(id_, probe, render, len(data), may_open_more=False)
 
     def on_not_sent(self, item: WorkItem) -> None:
-        """The item's time to start is over."""
+        """End an item that may no longer start as not sent."""
         if self.cancel_unsent(item):
             self._on_finished(item, AttemptStatus.NOT_SENT, None)
 
     def cancel(self, item: WorkItem) -> bool | None:
-        """Cancel an item; whether it may still reach the worker.  None: it has ended."""
+        """Cancel an item; return whether it may still reach the worker, or None if it has ended."""
         location = self._locations.pop(item, None)
         return None if location is None else location[0].cancel(location[1])
 
     def cancel_unsent(self, item: WorkItem) -> bool:
-        """Cancel an item whose first byte was not sent; whether it was cancelled."""
+        """Cancel an item whose first byte was not sent; return whether it was cancelled."""
         location = self._locations.get(item)
         if location is None or not location[0].cancel_unsent(location[1]):
             return False
@@ -97,17 +99,17 @@
 
     @property
     def longest_idle(self) -> WorkerConnection | None:
-        """Of the connections without open items the one that was used the longest ago."""
+        """The least recently used connection among those without open items."""
         idle = (connection for connection in self._connections if not connection.open_items)
         return min(idle, key=lambda connection: connection.last_used_at, default=None)
 
     def close_connecting(self) -> None:
-        """Close connections that are not up yet: another worker may answer at the address by now."""
+        """Close connections that are not established yet, because another worker may use the address by now."""
         for connection in [each for each in self._connections if each.connection is None]:
             connection.close()
 
     def sweep(self) -> None:
-        """Close connections that were idle too long, stalled in an answer, or are suspect and empty."""
+        """Close connections that stalled in an answer, and empty ones that are suspect or were idle for too long."""
         now = self._loop.time()
         for connection in list(self._connections):
             if connection.is_stalled(now):
@@ -121,25 +123,25 @@
                 connection.expire_ids(now)
 
     def close(self) -> None:
-        """Close all; open items end."""
+        """Close all connections, which ends their open items."""
         for connection in list(self._connections):
             connection.close()
 
     def on_item_finished(self, item: WorkItem, status: AttemptStatus, answer: WorkerAnswer | None) -> None:
-        """An open item has ended."""
+        """Report an item whose connection answered it or ended."""
         del self._locations[item]
         self._on_finished(item, status, answer)
 
     def on_connection_closed(self, connection: WorkerConnection) -> None:
-        """A connection has ended."""
+        """Remove a connection that has ended."""
         if connection in self._connections:
             del self._connections[connection]
             self.limits.open_count -= 1
 
     def _start(self, id_: str, item: WorkItem, render: RenderBytes, size: int, may_open_more: bool = True) -> None:
         best = self._best_connection(id_)
-        if best is None or (may_open_more and (best.open_items or best.suspect) and self._has_room()):
-            if best is None and not self._has_room() and not self._make_room():
+        if best is None or (may_open_more and (best.open_items or best.suspect) and self._has_capacity()):
+            if best is None and not self._has_capacity() and not self._evict_idle():
                 self._on_finished(item, AttemptStatus.NOT_SENT, None)
                 return
             best = WorkerConnection(self, self._loop)
@@ -151,20 +153,23 @@
     def _best_connection(self, id_: str) -> WorkerConnection | None:
         best, now = None, self._loop.time()
         for connection in self._connections:
-            # A late answer to an earlier attempt under this id would be mistaken for the new attempt's answer.
-            used = id_ in connection.open_items or connection.used_ids.get(id_, now) > now
-            if used or len(connection.open_items) >= self.limits.streams:
+            # A late answer to an earlier attempt with this id would be taken for the answer to the new one.
+            id_in_use = id_ in connection.open_items or connection.used_ids.get(id_, now) > now
+            if id_in_use or len(connection.open_items) >= self.limits.streams:
                 continue
             if best is None or connection.rank < best.rank:
                 best = connection
         return best
 
-    def _has_room(self) -> bool:
+    def _has_capacity(self) -> bool:
         limits = self.limits
         return len(self._connections) < limits.max_per_worker and limits.open_count < limits.max_in_all
 
-    def _make_room(self) -> bool:
-        """Close an idle connection, of this worker or, where only the total is used up, of any; whether one was."""
+    def _evict_idle(self) -> bool:
+        """Close an idle connection and return whether there was one.
+
+        It is one to this worker or, if only the limit for all workers is reached, one to any worker.
+        """
         if (idle := self.longest_idle) is not None:
             idle.close()
             return True
--- a/kelptrail/platform/worker_pool.py
+++ b/kelptrail/platform/worker_pool.py
@@ -1,4 +1,4 @@
-"""The connections to all workers, within the descriptors that the process has for them."""
+"""The connections to all workers, limited by the descriptors of the process."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class WorkerPool:
-    """All workers' connections, opened when first used."""
+    """The connections to all workers, opened on first use."""
 
     def __init__(
         self,
@@ -45,25 +45,25 @@
 
     @property
     def connection_count(self) -> int:
-        """Connections to all workers."""
+        """The number of connections to all workers."""
         return sum(len(connections) for connections in self.connections.values())
 
     @property
     def open_items(self) -> int:
-        """Attempts and loads that are open on the sockets."""
+        """The number of attempts, loads and probes that are open on connections."""
         return sum(connections.open_items for connections in self.connections.values())
 
     def share_descriptors(self, worker_count: int) -> None:
-        """Let each worker have its part of a quarter of the process's descriptors."""
+        """Divide a quarter of the process's descriptors equally among the workers."""
         share = self._descriptors // 4 // max(1, worker_count)
         self.limits.max_per_worker = max(MIN_CONNECTIONS_PER_WORKER, share)
 
     def get(self, worker: Worker) -> WorkerConnections | None:
-        """The connections to a worker, if any was opened."""
+        """Return the connections to a worker, or None if none was opened."""
         return self.connections.get(worker)
 
     def get_or_create(self, worker: Worker) -> WorkerConnections:
-        """The connections to a worker whose address is known."""
+        """Return the connections to a worker whose address is known."""
         connections = self.connections.get(worker)
         if connections is None:
             connections = self.connections[worker] = WorkerConnections(
@@ -76,7 +76,7 @@
         self.connections.pop(worker).close()
 
     def sweep(self) -> None:
-        """Close idle and stalled connections, and those to removed workers once nothing is open on them."""
+        """Close idle and stalled connections, and those to removed workers without open items."""
         for worker, connections in list(self.connections.items()):
             connections.sweep()
             if worker.removed and not connections.open_items:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -252,7 +252,7 @@
             (mine,) = front.connections.idle
             client.ask(2)  # written, and not yet read
             mine.connection.transport.sock = Failing(mine.connection.transport.sock, "recv", [errno.ENOMEM])  # type: ignore[assignment]
-            front.connections.make_room()
+            front.connections.evict_one()
             assert await client.code() == frames.SERVED
 
     run(main())
@@ -321,7 +321,7 @@
             client.connection.transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
             slow.sendall(request(1))
             await until(lambda: client in front.connections.idle and client.connection.has_pending_writes)
-            front.connections.make_room()
+            front.connections.evict_one()
             slow.settimeout(3.0)
             found = await asyncio.to_thread(read_frame, slow)
             assert found[2] == b"\0\0" + body
