--- a/tests/outage_fixture.py
+++ b/tests/outage_fixture.py
@@ -1,4 +1,4 @@
-"""A real process of the platform's program, workers that drain as real ones do, and an endpoint list that fails."""
+"""A process of the platform's program, workers that drain as real ones do, and an endpoint list that fails."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 from kelptrail.codec import frames
 
-NOTIFICATION_S = 4.0  # what the list would have told counts as told so long after it fell silent, at the latest
-GRACE_S = 0.5
-MACHINE_SLACK_S = 0.15  # two processes that wait for a core, beside the 0.05 s of the rule
+NOTIFICATION_S = 4.0  # after this silence of the list, a change that it could not deliver counts as notified
+DRAIN_GRACE_S = 0.5  # new work may start at a worker for this time after its drain counts as notified
+SCHEDULING_SLACK_S = 0.15  # scheduling delay of two processes, in addition to the 0.05 s that the rule allows
 LOAD_S = 0.03
 RUN_S = 0.01
 CLIENT_LIMIT_MS = 1200
@@ -32,16 +32,16 @@
 
 
 class ListFault(Enum):
-    """What the endpoint list's service does in an outage."""
+    """Behavior of the endpoint list's service in an outage."""
 
-    SILENT = auto()  # its connections stay up and deliver nothing
-    REFUSES = auto()  # its connections are reset, new ones are refused
-    CLOSES = auto()  # it accepts, and closes after a while
-    TRICKLES = auto()  # it sends the first bytes of an event
+    SILENT = auto()  # connections stay open and deliver nothing
+    REFUSES = auto()  # open connections are closed and new ones are refused
+    CLOSES = auto()  # new connections are accepted and closed after 0.3 s
+    TRICKLES = auto()  # only the first byte of an event is sent
 
 
 class EndpointService:
-    """The endpoint list's service.  `publish` adds an event, which is delivered once there is no fault."""
+    """The endpoint list's service.  `publish` adds an event, which is delivered while there is no fault."""
 
     def __init__(self) -> None:
         self.fault: ListFault | None = None
@@ -92,7 +92,7 @@
         writer.close()
 
     async def _pause(self) -> None:
-        """Until the next event is due, or something was published or changed."""
+        """Wait until the next event is due, an event is published or the fault changes."""
         published, fault = len(self._events), self.fault
         for _ in range(int(LIST_INTERVAL_S / 0.02)):
             await asyncio.sleep(0.02)
@@ -100,28 +100,28 @@
                 return
 
 
-class Begin(NamedTuple):
-    """A command as a worker received it.  `count` is of a load order, None for a call."""
+class ReceivedCommand(NamedTuple):
+    """A command that a worker received.  `count` is the number of instances to load, or None for a call."""
 
-    at: float
+    received_at: float
     count: int | None
 
 
 class WorkerAnswers(Enum):
-    """What workers answer to questions while they drain."""
+    """Answers of draining workers to health checks and load queries."""
 
-    AS_OBSERVED = auto()  # DOWN to a health check, the number of instances to a load query
-    AS_DOCUMENTED = auto()  # DOWN, and BUSY to a load query
-    QUERIES_ONLY = auto()  # nothing to any health check, BUSY to a load query
+    AS_OBSERVED = auto()  # DOWN to a health check, the number of loaded instances to a load query
+    AS_DOCUMENTED = auto()  # DOWN to a health check, BUSY to a load query
+    QUERIES_ONLY = auto()  # no answer to health checks, BUSY to a load query
 
 
 class Worker:
-    """A worker that loads functions on order, and turns away new work while it drains."""
+    """A worker that loads functions on order and rejects new work while it is_draining."""
 
     def __init__(self, preloaded: bool, answers: WorkerAnswers) -> None:
-        self.drains, self._preloaded, self._answers = False, preloaded, answers
-        self.questions = 0
-        self.begins: list[Begin] = []
+        self.is_draining, self._preloaded, self._answers = False, preloaded, answers
+        self.load_queries = 0
+        self.commands: list[ReceivedCommand] = []
         self._loaded: set[bytes] = set()
         self._loading: set[bytes] = set()
 
@@ -129,10 +129,10 @@
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
-    def begun_after(self, moment: float) -> Counter[str]:
-        """Attempts and load orders that arrived later; orders that only ask do not count."""
-        late = [begin for begin in self.begins if begin.at > moment]
-        return Counter("attempt" if begin.count is None else "load order" for begin in late if begin.count != 0)
+    def work_received_after(self, time_s: float) -> Counter[str]:
+        """Count the attempts and load orders that arrived after a time; load queries do not count."""
+        late = [command for command in self.commands if command.received_at > time_s]
+        return Counter("attempt" if command.count is None else "load order" for command in late if command.count != 0)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
@@ -140,12 +140,12 @@
                 word, id_, *rest = line.split()
                 fields = dict(part.split(b"=") for part in rest[0].split(b",")) if rest else {}
                 if word == b"LOAD":
-                    self.begins.append(Begin(time.monotonic(), int(fields[b"units"])))
+                    self.commands.append(ReceivedCommand(time.monotonic(), int(fields[b"units"])))
                     self._load(id_, fields[b"item"], int(fields[b"units"]), writer)
                 elif word == b"PING" and self._answers is not WorkerAnswers.QUERIES_ONLY:
-                    self._answer(0, writer, b"%b %b - 0\r\n\r\n" % (id_, b"DOWN" if self.drains else b"UP"))
+                    self._answer(0, writer, b"%b %b - 0\r\n\r\n" % (id_, b"DOWN" if self.is_draining else b"UP"))
                 elif word == b"CALL":
-                    self.begins.append(Begin(time.monotonic(), None))
+                    self.commands.append(ReceivedCommand(time.monotonic(), None))
                     body = (await reader.readexactly(int(rest[-1]) + 2))[:-2]
                     self._call(id_, fields[b"item"], body, writer)
         writer.close()
@@ -154,8 +154,8 @@
         return self._preloaded or function in self._loaded
 
     def _load(self, id_: bytes, function: bytes, count: int, writer: asyncio.StreamWriter) -> None:
-        self.questions += not count
-        if self.drains and (count or self._answers is not WorkerAnswers.AS_OBSERVED):
+        self.load_queries += not count
+        if self.is_draining and (count or self._answers is not WorkerAnswers.AS_OBSERVED):
             self._answer(0, writer, b"%b BUSY units=0 0\r\n\r\n" % id_)
         elif not count:
             self._answer(0, writer, b"%b OK units=%d 0\r\n\r\n" % (id_, self._has_loaded(function)))
@@ -167,7 +167,7 @@
             self._answer(LOAD_S, writer, b"%b OK units=1 0\r\n\r\n" % id_)
 
     def _call(self, id_: bytes, function: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
-        if self.drains:
+        if self.is_draining:
             self._answer(0, writer, b"%b BUSY - 0\r\n\r\n" % id_)
         elif not self._has_loaded(function) and function not in self._loading:
             self._answer(0, writer, b"%b MISS - 0\r\n\r\n" % id_)
@@ -185,7 +185,7 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """How a request ended for its client; `code` is None without an answer."""
+    """The result of a request for its client; `code` is None without an answer."""
 
     sent_at: float
     code: int | None = None
@@ -194,13 +194,13 @@
 
 @dataclass
 class Cluster:
-    """The process, its workers, its list and its clients.  Times are seconds of the monotonic clock."""
+    """A dispatcher process with its workers, endpoint list and clients.  Times are seconds of the monotonic clock."""
 
     folder: Path
     worker_count: int = 4
     requests_per_s: float = 120.0
     answers: WorkerAnswers = WorkerAnswers.AS_DOCUMENTED
-    preloaded: bool = False  # each function is loaded at each worker, for other dispatchers
+    preloaded: bool = False  # every function is already loaded at every worker
     bounds: dict[str, Any] = field(default_factory=dict)
     specifics: dict[str, Any] = field(default_factory=dict)
     service: EndpointService = field(default_factory=EndpointService)
@@ -212,9 +212,9 @@
         for worker in self.workers:
             await worker.open()
         await self.service.open()
-        with socket.socket() as unused:
-            unused.bind(("127.0.0.1", 0))
-            self.port = unused.getsockname()[1]
+        with socket.socket() as sock:
+            sock.bind(("127.0.0.1", 0))
+            self.port = sock.getsockname()[1]
         file = self.folder / "configuration.json"
         file.write_text(json.dumps(self._configuration()))
         self.log_file = self.folder / "log"
@@ -254,7 +254,7 @@
             for n, worker in enumerate(self.workers)
         ]
         known = {"pos": 1, "entries": [{"pos": 1, "hosts": {"rev": 1, "all": True, "targets": targets}}]}
-        rules = SETTINGS["rules"] | {"stop_sending_within_us": int(GRACE_S * 1e6)}
+        rules = SETTINGS["rules"] | {"stop_sending_within_us": int(DRAIN_GRACE_S * 1e6)}
         specifics = SETTINGS["specifics"] | {"free_loads": 1000.0, "load_share": 1.0} | self.specifics
         return {
             "name": "n0",
@@ -273,17 +273,17 @@
         }
 
     def drain(self, number: int) -> None:
-        """A worker begins to drain: it turns new work away, and its list says so where it can be reached."""
-        self.workers[number].drains = True
+        """Let a worker drain: it rejects new work, and the endpoint list publishes the change."""
+        self.workers[number].is_draining = True
         self.service.publish((number, self.workers[number].port, DRAINING))
 
     async def send_requests(self, until: float, function: Callable[[int], int] = lambda n: n) -> None:
-        """Send requests at an even pace until `until`; `function` maps the number of a request to its function."""
+        """Send requests at a constant rate until `until`; `function` maps the number of a request to its function."""
         clients = [Client(*await asyncio.open_connection("127.0.0.1", self.port)) for _ in range(CLIENT_CONNECTIONS)]
-        by_stream: list[dict[int, Outcome]] = [{} for _ in clients]
+        outcomes_by_stream: list[dict[int, Outcome]] = [{} for _ in clients]
         readers = [
             asyncio.create_task(_read_answers(client, outcomes))
-            for client, outcomes in zip(clients, by_stream, strict=True)
+            for client, outcomes in zip(clients, outcomes_by_stream, strict=True)
         ]
         number, started_at = 0, time.monotonic()
         while (now := time.monotonic()) < until:
@@ -291,7 +291,7 @@
                 number += 1
                 outcome = Outcome(time.monotonic())
                 self.outcomes.append(outcome)
-                by_stream[number % len(clients)][number] = outcome
+                outcomes_by_stream[number % len(clients)][number] = outcome
                 clients[number % len(clients)].ask(number, item=f"{function(number):016x}", limit=str(CLIENT_LIMIT_MS))
             await asyncio.sleep(0.004)
         await asyncio.sleep(CLIENT_LIMIT_MS / 1000 + 0.3)
@@ -301,14 +301,14 @@
             client.writer.close()
 
     def served_share(self, since: float) -> float:
-        """The share of the requests sent since then that was served."""
+        """Return the share of the requests sent since a time that was served."""
         codes = [outcome.code for outcome in self.outcomes if outcome.sent_at >= since]
         return sum(code == frames.SERVED for code in codes) / len(codes)
 
     @property
-    def questions(self) -> int:
-        """Load queries that all workers got."""
-        return sum(worker.questions for worker in self.workers)
+    def load_queries(self) -> int:
+        """The number of load queries that all workers received."""
+        return sum(worker.load_queries for worker in self.workers)
 
     def log(self) -> str:
         return self.log_file.read_text()
--- a/tests/platform_fixture.py
+++ b/tests/platform_fixture.py
@@ -1,4 +1,4 @@
-"""A dispatcher of the platform's program on loopback, with scripted workers, an endpoint list and raw clients."""
+"""One dispatcher of the platform's program on loopback with scripted workers, an endpoint list and raw clients."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from kelptrail.platform import config
 from kelptrail.platform.service import Service
 
-ITEM = "7f3a9c21e0b4d655"
+FUNCTION_ID = "7f3a9c21e0b4d655"
 
 
 CLASS = ENV["classes"][0]
@@ -42,7 +42,7 @@
 
 
 class WorkerStub:
-    """A worker whose answers the test scripts; loads succeed unless the test sets another answer."""
+    """A worker with scripted answers to calls; loads succeed unless the test sets another answer."""
 
     def __init__(self, script: Script, load: bytes = b"OK units=1 0") -> None:
         self.script, self.load, self.calls, self.connections = script, load, list[bytes](), 0
@@ -73,18 +73,18 @@
 
 
 class PlatformFixture:
-    """One dispatcher with its workers, endpoint list and raw clients."""
+    """One dispatcher with its workers and its endpoint list; creates raw clients."""
 
     def __init__(self, *workers: WorkerStub, **limits: Any) -> None:
         self.workers, self.limits = workers, {"cores": 1, "memory_mb": 64, "sockets": 256} | limits
-        self.polled_from: list[int] = []  # the event number of each poll of the endpoint list
+        self.polled_from: list[int] = []  # event number in each poll of the endpoint list
         self.events: list[bytes] = []
-        self.after = "stay"  # what the feed does after its events
-        self._feed_writers: set[asyncio.StreamWriter] = set()  # of the open connections
+        self.after_events = "stay"  # "break": the endpoint list's service closes connections after its events
+        self._list_writers: set[asyncio.StreamWriter] = set()  # open connections to the endpoint list's service
 
     async def __aenter__(self) -> PlatformFixture:
-        server = await asyncio.start_server(self._feed, "127.0.0.1", 0)
-        self.journal = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+        server = await asyncio.start_server(self._serve_list, "127.0.0.1", 0)
+        self.list_address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         targets = [
             {
                 "uid": f"s-{n:08x}",
@@ -104,7 +104,7 @@
             "listen": "127.0.0.1:0",
             "seed": "0f",
             "limits": self.limits,
-            "journal": self.journal,
+            "journal": self.list_address,
             "known": known,
             "settings": SETTINGS,
         }
@@ -117,21 +117,21 @@
         assert not self.service.invariants.violations
 
     def push(self, event: bytes) -> None:
-        """Send an event to all who watch the list, as its service does at once, and to all who ask later."""
+        """Send an event on all open connections of the list and in answer to all later polls."""
         self.events = [event]
-        for writer in self._feed_writers:
+        for writer in self._list_writers:
             writer.write(event)
 
-    async def _feed(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_list(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             self.polled_from.append(int.from_bytes(await reader.readexactly(8), "big"))
             for event in self.events:
                 writer.write(event)
-            self._feed_writers.add(writer)
-            if self.after == "break":
+            self._list_writers.add(writer)
+            if self.after_events == "break":
                 writer.close()
             await reader.read()
-        self._feed_writers.discard(writer)
+        self._list_writers.discard(writer)
         writer.close()
 
     async def client(self) -> Client:
@@ -139,38 +139,38 @@
 
 
 class Client:
-    """A raw client."""
+    """A client that sends and receives frames of the protocol."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer, self._read = reader, writer, frames.FrameReader(1 << 20)
+        self.reader, self.writer, self._frames = reader, writer, frames.FrameReader(1 << 20)
 
-    def ask(self, stream: int = 1, body: bytes = b"hello", **other: str | None) -> None:
+    def ask(self, stream: int = 1, body: bytes = b"hello", **overrides: str | None) -> None:
         fields = {
             "verb": "t",
             "txn": f"{stream:016x}",
             "limit": "1500",
             "team": "acme",
-            "item": ITEM,
+            "item": FUNCTION_ID,
             "info": "memory_mb:512;lanes:2",
-        } | other
+        } | overrides
         encoded = frames.encode_fields({name: value for name, value in fields.items() if value is not None})
         self.writer.write(frames.encode_frame(frames.REQUEST, stream, encoded + body))
 
     async def next(self, within: float = 3.0) -> tuple[int, int, bytes] | None:
-        """The next frame; None at the end of the connection."""
+        """Return the next frame, or None at the end of the connection."""
         async with asyncio.timeout(within):
-            while (frame := self._read.next()) is None:
+            while (frame := self._frames.next()) is None:
                 try:
                     data = await self.reader.read(65536)
                 except ConnectionResetError:
                     return None
                 if not data:
                     return None
-                self._read.feed(data)
+                self._frames.feed(data)
             return frame
 
     async def code(self, within: float = 3.0) -> int | None:
-        """The code of the next answer, None at an end without one."""
+        """Return the code of the next answer, or None if the connection ends without one."""
         frame = await self.next(within)
         return None if frame is None else frame[2][0]
 
@@ -184,6 +184,7 @@
 
 
 def event(number: int, kind: int, *records: tuple[int, int, int]) -> bytes:
+    """Encode an event of the endpoint list; a record is the number, the port and the state of a worker."""
     data = b"".join(
         struct.pack(">I4sHBBBHIQ", id_, bytes((127, 0, 0, 1)), port, state, 0, 0, 0, 1000, 0)
         for id_, port, state in records
--- a/tests/test_attempt_races.py
+++ b/tests/test_attempt_races.py
@@ -1,5 +1,7 @@
-"""Attempts on real sockets, met by a cancel, a leaving client, a lost connection, a duplicate answer or a change of the
-endpoint list between two steps.  One side is held at a known point; nothing depends on chance."""
+"""Races of attempts on real sockets with cancels, disconnects, lost connections, duplicate answers and list changes.
+
+One side is blocked at a known point, so that the order of events does not depend on timing.
+"""
 
 from __future__ import annotations
 
@@ -16,123 +18,130 @@
     request,
     until,
 )
-from worker_connections_fixture import ConnectionsOverSmallBuffers, commands
+from worker_connections_fixture import ConnectionsOverSmallBuffers, read_commands
 
 from kelptrail.codec import frames
 from kelptrail.dispatch.entities import AttemptStatus
 from kelptrail.platform.client_server import MAX_OPEN_REQUESTS
 
 
-def test_an_attempt_behind_a_full_socket_is_cancelled_and_a_started_one_goes_on(
+def test_a_queued_attempt_is_cancelled_and_a_partly_sent_one_is_completed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
-        bare = ConnectionsOverSmallBuffers(monkeypatch)
-        sock, (begun, second, third, _) = await bare.full()
-        assert bare.connections.cancel(begun) is True, "it will arrive: nobody may take it for unsent"
-        assert bare.connections.cancel(third) is False and bare.connections.cancel_unsent(second)
-        assert not bare.connections.cancel_unsent(second) and bare.connections.cancel(third) is None
-        found = await asyncio.to_thread(commands, sock)
+        fixture = ConnectionsOverSmallBuffers(monkeypatch)
+        sock, (partly_sent, second, third, _) = await fixture.fill_socket()
+        assert fixture.connections.cancel(partly_sent) is True, "it will reach the worker and does not count as unsent"
+        assert fixture.connections.cancel(third) is False and fixture.connections.cancel_unsent(second)
+        assert not fixture.connections.cancel_unsent(second) and fixture.connections.cancel(third) is None
+        found = await asyncio.to_thread(read_commands, sock)
         assert found == [b"CALL %016d" % 0, b"CALL %016d" % 3, b"CANCEL %016d" % 0]
-        bare.connections.close()
+        fixture.connections.close()
         sock.close()
 
     run(main())
 
 
-def test_a_connection_that_ends_proves_which_attempts_were_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_closed_connection_reports_which_attempts_were_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        bare = ConnectionsOverSmallBuffers(monkeypatch)
-        sock, items = await bare.full()
-        sock.close()  # a reset, as bytes wait there
-        await until(lambda: len(bare.ended) == 4)
-        statuses = dict(bare.ended)
+        fixture = ConnectionsOverSmallBuffers(monkeypatch)
+        sock, items = await fixture.fill_socket()
+        sock.close()  # causes a reset, because the socket has unread bytes
+        await until(lambda: len(fixture.ended) == 4)
+        statuses = dict(fixture.ended)
         assert [statuses[item] for item in items][1:] == [AttemptStatus.NOT_SENT] * 3
-        assert not len(bare.connections) and not bare.connections.limits.open_count
+        assert not len(fixture.connections) and not fixture.connections.limits.open_count
 
     run(main())
 
 
-def test_no_cancel_is_sent_where_the_settings_forbid_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_cancel_is_sent_if_the_settings_forbid_it(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        bare = ConnectionsOverSmallBuffers(monkeypatch, cancels=False)
-        item = bare.send("a" * 16, 10)
-        sock = await bare.take()
+        fixture = ConnectionsOverSmallBuffers(monkeypatch, may_cancel=False)
+        item = fixture.send("a" * 16, 10)
+        sock = await fixture.accept()
         await asyncio.sleep(0.05)
-        assert bare.connections.cancel(item) is True
-        assert await asyncio.to_thread(commands, sock) == [b"CALL " + b"a" * 16]
-        bare.connections.close()
+        assert fixture.connections.cancel(item) is True
+        assert await asyncio.to_thread(read_commands, sock) == [b"CALL " + b"a" * 16]
+        fixture.connections.close()
 
     run(main())
 
 
-def test_a_cancel_is_sent_before_a_retry_can_be(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The further send's link may have been written to earlier in the turn: it would leave first."""
+def test_a_cancel_is_sent_before_the_retry(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The connection of the retry may have been written to earlier in the same iteration of the loop.
+
+    Without an immediate flush of the cancel, the retry would then be sent first.
+    """
 
     async def main() -> None:
         first, second = (
-            ConnectionsOverSmallBuffers(monkeypatch, parallel=False),
-            ConnectionsOverSmallBuffers(monkeypatch, parallel=False),
+            ConnectionsOverSmallBuffers(monkeypatch, parallel_attempts=False),
+            ConnectionsOverSmallBuffers(monkeypatch, parallel_attempts=False),
         )
         item, _ = first.send("a" * 16, 10), second.send("b" * 16, 10)
-        ends = [await first.take(), await second.take()]
+        worker_sockets = [await first.accept(), await second.accept()]
         await asyncio.sleep(0.05)
-        ends[0].setblocking(False)
-        assert ends[0].recv(1000).startswith(b"CALL")
-        second.send("c" * 16, 10)  # its link is about to write
+        worker_sockets[0].setblocking(False)
+        assert worker_sockets[0].recv(1000).startswith(b"CALL")
+        second.send("c" * 16, 10)  # its connection will be flushed at the end of this iteration
         assert first.connections.cancel(item) is True
         second.send("a" * 16, 10)
-        assert ends[0].recv(1000) == b"CANCEL " + b"a" * 16 + b"\r\n", "in the same turn, before any link's flush"
-        for bare in (first, second):
-            bare.connections.close()
+        assert worker_sockets[0].recv(1000) == b"CANCEL " + b"a" * 16 + b"\r\n", "sent before any flush"
+        for fixture in (first, second):
+            fixture.connections.close()
 
     run(main())
 
 
-@pytest.mark.parametrize("parallel", [True, False])
+@pytest.mark.parametrize("parallel_attempts", [True, False])
 def test_a_cancel_that_cannot_be_sent_closes_its_connection_without_parallel_attempts(
-    parallel: bool, monkeypatch: pytest.MonkeyPatch
+    parallel_attempts: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main() -> None:
-        bare = ConnectionsOverSmallBuffers(monkeypatch, parallel=parallel)
-        sock, (begun, *others) = await bare.full()
-        assert bare.connections.cancel(begun) is True
-        assert bool(len(bare.connections)) is parallel, "what it was sent is given up by the end of its connection"
-        assert [outcome for _, outcome in bare.ended] == ([] if parallel else [AttemptStatus.NOT_SENT] * len(others))
-        bare.connections.close()
+        fixture = ConnectionsOverSmallBuffers(monkeypatch, parallel_attempts=parallel_attempts)
+        sock, (partly_sent, *others) = await fixture.fill_socket()
+        assert fixture.connections.cancel(partly_sent) is True
+        assert bool(len(fixture.connections)) is parallel_attempts, "closing the connection cancels its attempts"
+        assert [status for _, status in fixture.ended] == (
+            [] if parallel_attempts else [AttemptStatus.NOT_SENT] * len(others)
+        )
+        fixture.connections.close()
         sock.close()
 
     run(main())
 
 
-@pytest.mark.parametrize("cancels", [True, False])
-@pytest.mark.parametrize("leaves", ["close", "reset", "half", "cancel"])
-def test_no_attempt_starts_for_a_client_that_left_during_the_connect(
-    leaves: str, cancels: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("may_cancel", [True, False])
+@pytest.mark.parametrize("disconnect", ["close", "reset", "half", "cancel"])
+def test_no_attempt_starts_for_a_client_that_disconnected_during_the_connect(
+    disconnect: str, may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setitem(SETTINGS, "bounds", SETTINGS["bounds"] | {"may_cancel": cancels, "connect_timeout_us": 10**6})
+    monkeypatch.setitem(
+        SETTINGS, "bounds", SETTINGS["bounds"] | {"may_cancel": may_cancel, "connect_timeout_us": 10**6}
+    )
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            stays = await platform.client()
-            stays.ask(1)
-            assert await stays.code() == frames.SERVED  # a copy stands
-            for links in platform.service.executor.workers.connections.values():
-                links.close()
-            held = BlockedConnects(monkeypatch)
+            client = await platform.client()
+            client.ask(1)
+            assert await client.code() == frames.SERVED  # an instance is loaded
+            for connections in platform.service.executor.workers.connections.values():
+                connections.close()
+            blocked = BlockedConnects(monkeypatch)
             sock = connect_raw(platform.port)
             sock.sendall(request(2, item=f"{0x7F3A9C21E0B4D655:016x}"))
-            await until(lambda: held.waiting)
-            if leaves == "cancel":
+            await until(lambda: blocked.waiting)
+            if disconnect == "cancel":
                 sock.sendall(frames.encode_frame(frames.CANCEL, 2))
-            elif leaves == "half":
+            elif disconnect == "half":
                 sock.shutdown(socket.SHUT_WR)
             else:
-                if leaves == "reset":
+                if disconnect == "reset":
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 sock.close()
             await until(lambda: not platform.service.executor.client_requests)
-            held.gate.set()
+            blocked.gate.set()
             await asyncio.sleep(0.15)
             assert platform.workers[0].calls == [b"%016x" % 1]
             sock.close()
@@ -140,18 +149,18 @@
     run(main())
 
 
-def test_a_close_behind_many_requests_is_seen_before_they_go_on() -> None:
+def test_a_close_after_many_requests_is_detected_before_more_attempts_start() -> None:
     async def main() -> None:
-        began: list[float] = []
+        started_at: list[float] = []
 
-        def late(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
-            began.append(time.monotonic())
+        def record_start(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+            started_at.append(time.monotonic())
             echo(worker, id_, body, writer)
 
-        async with PlatformFixture(WorkerStub(late)) as platform:
+        async with PlatformFixture(WorkerStub(record_start)) as platform:
             loop, busy = asyncio.get_running_loop(), True
 
-            def work() -> None:  # each turn of the loop takes 10 ms
+            def work() -> None:  # each iteration of the loop takes 10 ms
                 time.sleep(0.01)
                 if busy:
                     loop.call_soon(work)
@@ -162,42 +171,42 @@
             await until(lambda: len(platform.service.client_server.connections))
             work()
             await asyncio.to_thread(sock.sendall, data)
-            closed = time.monotonic()
+            closed_at = time.monotonic()
             sock.close()
             await until(lambda: not len(platform.service.client_server.connections))
             await asyncio.sleep(0.1)
             busy = False
-            assert not [at - closed for at in began if at > closed + 0.1]
+            assert not [at - closed_at for at in started_at if at > closed_at + 0.1]
 
     run(main())
 
 
-def test_an_attempt_for_a_finished_request_does_not_end_the_round_of_decisions() -> None:
+def test_an_attempt_for_a_finished_request_does_not_stop_other_decisions() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
             client, on_request = await platform.client(), platform.service.engine.on_request
 
-            def forget_the_first(*args: Any) -> Any:
+            def drop_first_request(*args: Any) -> Any:
                 accepted = on_request(*args)
                 if accepted.id == f"{1:016x}":
                     platform.service._loop.call_soon(platform.service.executor.client_requests.pop, accepted)
                 return accepted
 
-            platform.service.engine.on_request = forget_the_first  # type: ignore[method-assign]
+            platform.service.engine.on_request = drop_first_request  # type: ignore[method-assign]
             decide = platform.service._decide
             platform.service.executor._schedule_decisions = lambda: asyncio.get_running_loop().call_soon(
                 asyncio.get_running_loop().call_soon, decide
             )
-            failed: list[Any] = []
-            asyncio.get_running_loop().set_exception_handler(lambda _, context: failed.append(context))
+            errors: list[Any] = []
+            asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
             client.ask(1)
             client.ask(2, item="1" * 16)
-            assert await client.next() is not None and not failed
+            assert await client.next() is not None and not errors
 
     run(main())
 
 
-def test_a_duplicate_answer_is_never_mistaken_for_that_of_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_duplicate_answer_is_not_taken_for_the_answer_to_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setitem(SETTINGS, "classes", [CLASS | {"effect": "single_shot", "give_up_us": 2000000}])
 
     async def main() -> None:
@@ -208,7 +217,7 @@
             if len(writers) == 1:
                 writer.write(b"%b MISS - 0\r\n\r\n" % id_)
                 return
-            if len(writers) == 2:  # the first answer's copy comes while the further send runs
+            if len(writers) == 2:  # a duplicate of the first answer arrives while the retry runs
                 writers[0].write(b"%b MISS - 0\r\n\r\n" % id_)
             asyncio.get_running_loop().call_later(0.1, echo, worker, id_, body, writer)
 
@@ -217,29 +226,29 @@
             client.ask(1)
             assert await client.code() == frames.SERVED
             await asyncio.sleep(0.1)
-            assert len(platform.workers[0].calls) == 2, "once-only ran once"
+            assert len(platform.workers[0].calls) == 2, "the at-most-once request was executed once"
 
     run(main())
 
 
-def test_an_address_that_passes_to_another_worker_during_a_connect(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_address_is_reassigned_to_another_worker_during_a_connect(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
             platform.service.executor.workers.limits.connect_ms = 5000.0
-            held, client = BlockedConnects(monkeypatch), await platform.client()
+            blocked, client = BlockedConnects(monkeypatch), await platform.client()
             client.ask(1)
-            await until(lambda: held.waiting)
+            await until(lambda: blocked.waiting)
             (port,) = {
                 int(t["endpoint"].rpartition(":")[2])
                 for t in platform.configuration["known"]["entries"][0]["hosts"]["targets"]
             }
-            (old,) = platform.service.executor.workers.connections.values()
-            connecting = list(old._connections)
+            (connections,) = platform.service.executor.workers.connections.values()
+            connecting = list(connections._connections)
             platform.events = [event(2, 2, (0, port, 2)), event(3, 2, (7, port, 0))]
             platform.service.reload(platform.service.config)
             await until(lambda: platform.service.last_event_number == 3)
-            assert not any(each in old._connections for each in connecting), "who answers there is not certain"
-            held.gate.set()
+            assert not any(each in connections._connections for each in connecting), "another worker may answer"
+            blocked.gate.set()
             assert await client.code() == frames.SERVED
             assert len(platform.workers[0].calls) == 1
 
@@ -254,17 +263,17 @@
                 int(t["endpoint"].rpartition(":")[2])
                 for t in platform.configuration["known"]["entries"][0]["hosts"]["targets"]
             ]
-            held, client = BlockedConnects(monkeypatch), await platform.client()
+            blocked, client = BlockedConnects(monkeypatch), await platform.client()
             client.ask(1)
-            await until(lambda: held.waiting)
-            ((first, links),) = platform.service.executor.workers.connections.items()
-            number = int(first.id[2:], 16)
-            assert links.open_items
-            platform.events = [event(2, 2, (number, ports[number], 1))]  # it drains
+            await until(lambda: blocked.waiting)
+            ((worker, connections),) = platform.service.executor.workers.connections.items()
+            number = int(worker.id[2:], 16)
+            assert connections.open_items
+            platform.events = [event(2, 2, (number, ports[number], 1))]  # the worker drains
             platform.service.reload(platform.service.config)
             await until(lambda: platform.service.last_event_number == 2)
-            assert not links.open_items
-            held.gate.set()
+            assert not connections.open_items
+            blocked.gate.set()
             assert await client.code() == frames.SERVED
             assert not platform.workers[number].calls and len(platform.workers[1 - number].calls) == 1
 
@@ -280,18 +289,18 @@
     monkeypatch.setitem(SETTINGS, "bounds", SETTINGS["bounds"] | {"connect_timeout_us": 1_500_000})
 
     async def main() -> None:
-        held: list[BlockedConnects] = []
+        blocked: list[BlockedConnects] = []
 
-        def breaks(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
-            held.append(BlockedConnects(monkeypatch))  # the repeat's connection comes up late
+        def abort(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+            blocked.append(BlockedConnects(monkeypatch))  # the connection for the retry is established late
             writer.transport.abort()
 
-        async with PlatformFixture(WorkerStub(breaks), WorkerStub(breaks)) as platform:
+        async with PlatformFixture(WorkerStub(abort), WorkerStub(abort)) as platform:
             client = await platform.client()
             client.ask(1, verb="k", unique="u" * 32)
-            await until(lambda: held and held[0].waiting)
+            await until(lambda: blocked and blocked[0].waiting)
             await asyncio.sleep(0.35)
-            held[0].gate.set()
+            blocked[0].gate.set()
             assert await client.code() in (frames.FAILED, frames.REFUSED)
             await asyncio.sleep(0.05)
             assert sum(len(worker.calls) for worker in platform.workers) == 1
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's codecs, and one dispatcher on loopback between scripted workers, an endpoint list and clients."""
+"""The platform's codecs, and one dispatcher on loopback with scripted workers, an endpoint list and clients."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from kelptrail.platform import config
 
 
-def test_a_request_goes_through_unchanged_and_comes_back() -> None:
+def test_request_and_answer_bodies_are_passed_on_unchanged() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
             client, body = await platform.client(), bytes(range(256)) * 8
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    "other",
+    "overrides",
     [
         {"txn": None},
         {"txn": "xyz"},
@@ -59,11 +59,11 @@
         {"info": "memory_mb:1e99;lanes:0"},
     ],
 )
-def test_an_unusable_request_is_answered_and_reaches_no_worker(other: dict[str, str | None]) -> None:
+def test_a_request_with_invalid_fields_is_answered_and_reaches_no_worker(overrides: dict[str, str | None]) -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
             client = await platform.client()
-            client.ask(1, **other)
+            client.ask(1, **overrides)
             assert await client.code() == frames.FAILED
             client.ask(2)
             assert await client.code() == frames.SERVED
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "malformed",
     [
         struct.pack(">IBI", 4, 65, 1),
         struct.pack(">IBI", 60_000_000, 65, 1),
@@ -85,11 +85,11 @@
         frames.encode_frame(65, 1, b"\0" + b"x" * 20_000),
     ],
 )
-def test_an_unreadable_frame_is_answered_and_closed(bad: bytes) -> None:
+def test_a_malformed_frame_is_answered_and_its_connection_closed(malformed: bytes) -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
             client = await platform.client()
-            client.writer.write(bad)
+            client.writer.write(malformed)
             assert await client.code() in (frames.FAILED, None)
             assert await client.next() is None
             other = await platform.client()
@@ -99,7 +99,7 @@
     run(main())
 
 
-def test_a_number_used_twice_and_an_open_id_are_never_served() -> None:
+def test_a_reused_open_stream_or_request_id_is_not_served() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(lambda *_: None)) as platform:
             first, second = await platform.client(), await platform.client()
@@ -107,10 +107,10 @@
             await asyncio.sleep(0.05)
             second.ask(1, b"other")  # the id of an open request
             assert await second.code() == frames.FAILED
-            first.ask(1)  # a number that is open
+            first.ask(1)  # the number of an open stream
             assert await first.code() == frames.FAILED and await first.next() is None
             await asyncio.sleep(0.05)
-            assert platform.workers[0].cancelled == [b"%016x" % 1]  # nobody waits for it any more
+            assert platform.workers[0].cancelled == [b"%016x" % 1]  # the client is disconnected
 
     run(main())
 
@@ -118,14 +118,14 @@
 def test_partial_frames_and_silent_connections_are_closed_in_time() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            half, silent = await platform.client(), await platform.client()
-            half.writer.write(b"\0\0")
-            assert await half.next(3.0) is None and await silent.next(1.0) is None
+            partial, silent = await platform.client(), await platform.client()
+            partial.writer.write(b"\0\0")
+            assert await partial.next(3.0) is None and await silent.next(1.0) is None
 
     run(main())
 
 
-def test_silent_connections_are_closed_for_new_ones() -> None:
+def test_silent_connections_are_evicted_for_new_ones() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo), sockets=40) as platform:
             silent = [await platform.client() for _ in range(30)]
@@ -137,8 +137,8 @@
     run(main())
 
 
-def test_unreadable_answers_close_their_connection_and_the_rest_goes_on() -> None:
-    spoilt = [
+def test_malformed_worker_answers_close_only_their_own_connection() -> None:
+    malformed = [
         b"noise\r\n",
         b"%b OK - 3000000000\r\n",
         b"%b OK - 2\r\nabcd\r\n",
@@ -150,21 +150,21 @@
     ]
 
     async def main() -> None:
-        left = list(spoilt)
+        remaining = list(malformed)
 
         def script(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
-            if left:
-                bad = left.pop()
-                writer.write(bad % id_ if b"%b" in bad else bad)
+            if remaining:
+                answer = remaining.pop()
+                writer.write(answer % id_ if b"%b" in answer else answer)
             else:
                 echo(worker, id_, body, writer)
 
         async with PlatformFixture(*(WorkerStub(script) for _ in range(9))) as platform:
             client = await platform.client()
-            for n in range(1, len(spoilt) + 3):
+            for n in range(1, len(malformed) + 3):
                 client.ask(n)
-                assert await client.code() == frames.SERVED  # repeatable: it went out again
-            assert not left
+                assert await client.code() == frames.SERVED  # a retry was served
+            assert not remaining
 
     run(main())
 
@@ -190,52 +190,52 @@
 def test_the_endpoint_list_is_followed_through_disconnects_duplicates_and_a_new_address() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
-            platform.after = "break"
+            platform.after_events = "break"
             platform.events = [event(2, 2, (1, 9, 1)), event(2, 2, (1, 9, 1)), event(2, 0), event(3, 2, (1, 9, 2))[:20]]
             platform.service.reload(config.parse(json.dumps(platform.configuration), platform.service.config))
             await asyncio.sleep(0.2)
             assert set(platform.polled_from) == {1, 2}
-            platform.events, platform.after = [event(3, 2, (1, 9, 2))], "stay"
+            platform.events, platform.after_events = [event(3, 2, (1, 9, 2))], "stay"
             await asyncio.sleep(0.3)
             assert platform.service.last_event_number == 3
 
     run(main())
 
 
-def test_a_client_that_leaves_frees_its_work_and_a_shutdown_answers_open_requests() -> None:
+def test_a_disconnect_cancels_the_attempt_and_a_shutdown_answers_open_requests() -> None:
     async def main() -> None:
         def later(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
             asyncio.get_running_loop().call_later(1.0, echo, worker, id_, body, writer)
 
         async with PlatformFixture(WorkerStub(later)) as platform:
-            gone, stays = await platform.client(), await platform.client()
-            gone.ask(1)
-            stays.ask(2)
+            leaving, remaining = await platform.client(), await platform.client()
+            leaving.ask(1)
+            remaining.ask(2)
             await asyncio.sleep(0.05)
-            gone.writer.close()
+            leaving.writer.close()
             await asyncio.sleep(0.05)
             assert platform.workers[0].cancelled == [b"%016x" % 1]
             platform.service.shut_down()
-            assert await stays.next() == (frames.GO_AWAY, 0, b"")
+            assert await remaining.next() == (frames.GO_AWAY, 0, b"")
             late = await platform.client()
-            late.ask(3)  # it was under way when the end began
-            assert await late.next() == (frames.GO_AWAY, 0, b"")  # so is whoever comes after it
-            assert await stays.code() == frames.SERVED and await late.code() == frames.SERVED
+            late.ask(3)  # clients that connect during the shutdown are still served
+            assert await late.next() == (frames.GO_AWAY, 0, b"")  # sent to new connections, too
+            assert await remaining.code() == frames.SERVED and await late.code() == frames.SERVED
             await asyncio.wait_for(platform.service.finished, 1.0)
 
     run(main())
 
 
-def test_no_connection_is_closed_over_a_request_that_waits_to_be_read() -> None:
+def test_a_connection_with_an_unread_request_is_not_closed() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            client, front = await platform.client(), platform.service.client_server
+            client, server = await platform.client(), platform.service.client_server
             client.ask(1)
             assert await client.code() == frames.SERVED
-            (mine,) = front.connections.idle
-            mine.idle_since -= 100.0
-            client.ask(2)  # written, and not yet read
-            front.connections.sweep()
+            (connection,) = server.connections.idle
+            connection.idle_since -= 100.0
+            client.ask(2)  # written, but not read by the server yet
+            server.connections.sweep()
             platform.service._shutdown._finish_if_idle()
             assert await client.code() == frames.SERVED and not platform.service.finished.done()
             await asyncio.wait_for(platform.service.finished, 1.0)
@@ -243,18 +243,18 @@
     run(main())
 
 
-def test_a_reader_that_fails_ends_its_own_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_frame_handler_closes_only_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
             bad, good = await platform.client(), await platform.client()
-            front, frame = platform.service.client_server, platform.service.client_server.on_frame
+            server, on_frame = platform.service.client_server, platform.service.client_server.on_frame
 
             def fail(client: Any, kind: int, stream: int, payload: bytes) -> None:
                 if stream == 99:
-                    raise RuntimeError("not foreseen")
-                frame(client, kind, stream, payload)
+                    raise RuntimeError("injected fault")
+                on_frame(client, kind, stream, payload)
 
-            monkeypatch.setattr(front, "on_frame", fail)
+            monkeypatch.setattr(server, "on_frame", fail)
             bad.ask(99)
             good.ask(1)
             assert await bad.next() is None and await good.code() == frames.SERVED
@@ -262,8 +262,8 @@
     run(main())
 
 
-def test_a_process_starts_without_heavy_libraries_serves_and_ends_when_told(tmp_path: Path) -> None:
-    heavy = [
+def test_a_process_imports_no_unwanted_modules_reloads_and_exits_on_sigterm(tmp_path: Path) -> None:
+    unwanted_modules = [
         "numpy",
         "scipy",
         "h2",
@@ -289,7 +289,7 @@
         "kelptrail.simulation",
         "kelptrail.fault_scenario",
     ]
-    code = f"import sys, kelptrail.platform.__main__; sys.exit(any(m in sys.modules for m in {heavy}))"
+    code = f"import sys, kelptrail.platform.__main__; sys.exit(any(m in sys.modules for m in {unwanted_modules}))"
     assert subprocess.run([sys.executable, "-c", code], timeout=30).returncode == 0
     command = [sys.executable, "-m", "kelptrail.platform"]
     (tmp_path / "bad.json").write_text("{")
@@ -322,7 +322,7 @@
             )
             os.close(write)
             assert b"list" in os.read(read, 100)
-            os.close(read)  # whoever read the log has gone
+            os.close(read)  # nobody reads the log any more
             await asyncio.sleep(0.3)
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
@@ -342,41 +342,43 @@
     ),
     st.lists(st.integers(1, 60), min_size=1),
 )
-def test_frames_come_back_from_any_split(sent: list[tuple[int, dict[str, str], bytes]], cuts: list[int]) -> None:
+def test_frames_are_parsed_however_their_bytes_are_split(
+    sent: list[tuple[int, dict[str, str], bytes]], sizes: list[int]
+) -> None:
     data = b"".join(
         frames.encode_frame(65, stream, frames.encode_fields(fields) + body) for stream, fields, body in sent
     )
-    reader, found, at, n = frames.FrameReader(), [], 0, 0
-    while at < len(data):
-        reader.feed(data[at : at + cuts[n % len(cuts)]])
-        at, n = at + cuts[n % len(cuts)], n + 1
+    reader, found, offset, n = frames.FrameReader(), [], 0, 0
+    while offset < len(data):
+        reader.feed(data[offset : offset + sizes[n % len(sizes)]])
+        offset, n = offset + sizes[n % len(sizes)], n + 1
         while (frame := reader.next()) is not None:
             fields, end = frames.read_fields(frame[2])
             found.append((frame[1], fields, frame[2][end:]))
     assert found == sent and not len(reader)
 
 
-def test_readers_take_any_cut_and_never_crash() -> None:
-    chance = random.Random(5)
-    good = b"".join(b"%016x OK tell=up,ahead=%d %d\r\n%b\r\n" % (n, n, n, b"z" * n) for n in range(30))
-    reader, found, at = lines.LineReader(1000), [], 0
-    while at < len(good):
-        step = chance.randrange(1, 40)
-        reader.feed(good[at : at + step])
-        at += step
+def test_readers_parse_any_split_and_raise_only_format_errors() -> None:
+    rng = random.Random(5)
+    valid = b"".join(b"%016x OK tell=up,ahead=%d %d\r\n%b\r\n" % (n, n, n, b"z" * n) for n in range(30))
+    reader, found, offset = lines.LineReader(1000), [], 0
+    while offset < len(valid):
+        size = rng.randrange(1, 40)
+        reader.feed(valid[offset : offset + size])
+        offset += size
         while (answer := reader.next()) is not None:
             found.append(answer)
     assert [(a.queue_ahead, len(a.body)) for a in found] == [(n, n) for n in range(30)] and not reader.partial
     for _ in range(2000):
-        spoilt = bytearray(good[:200])
-        for _ in range(chance.randrange(1, 6)):
-            spoilt[chance.randrange(200)] = chance.randrange(256)
+        corrupted = bytearray(valid[:200])
+        for _ in range(rng.randrange(1, 6)):
+            corrupted[rng.randrange(200)] = rng.randrange(256)
         for reader, error in (
             (lines.LineReader(1000), lines.LineError),
             (frames.FrameReader(), frames.FrameError),
             (feed.FeedReader(2, 1), feed.FeedError),
         ):
-            reader.feed(bytes(spoilt))
+            reader.feed(bytes(corrupted))
             with contextlib.suppress(error):
                 while reader.next() is not None:
                     pass
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -1,4 +1,4 @@
-"""The configuration of the platform's program: what is accepted, and what is reported for each unusable setting."""
+"""The configuration of the platform's program: accepted settings, and the error for each invalid setting."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from kelptrail.platform import config
 from kelptrail.platform.service import Service
 
-SPOILT: list[tuple[str, list[Any]]] = [  # a place, and what may not stand there
+INVALID_VALUES: list[tuple[str, list[Any]]] = [  # path of a setting and invalid values for it
     ("name", [3]),
     ("listen", ["127.0.0.1", "127.0.0.1:65536", "127.0.0.1:\u0663"]),
     ("seed", ["", "xyz", 5]),
@@ -63,28 +63,30 @@
 ]
 
 
-@pytest.mark.parametrize(("path", "spoilt"), SPOILT, ids=[path for path, _ in SPOILT])
-def test_a_setting_missing_or_unusable_is_named_and_changes_nothing_that_runs(path: str, spoilt: list[Any]) -> None:
+@pytest.mark.parametrize(("path", "invalid"), INVALID_VALUES, ids=[path for path, _ in INVALID_VALUES])
+def test_a_missing_or_invalid_setting_is_reported_by_name_and_not_applied(path: str, invalid: list[Any]) -> None:
     running = config.parse(json.dumps(configuration()))
-    *way, last = path.split(".")
-    named = "".join(f"[{step}]" if step.isdecimal() else f".{step}" for step in [*way, last]).replace(".", "", 1)
-    for value in ["missing", *spoilt]:
+    *parents, last = path.split(".")
+    reported_path = "".join(f"[{key}]" if key.isdecimal() else f".{key}" for key in [*parents, last]).replace(
+        ".", "", 1
+    )
+    for value in ["missing", *invalid]:
         raw = configuration()
-        at: Any = raw
-        for step in way:
-            at = at[int(step) if step.isdecimal() else step]
+        container: Any = raw
+        for key in parents:
+            container = container[int(key) if key.isdecimal() else key]
         if value == "missing" and last == "customers":
-            continue  # a deployment may have none
+            continue  # optional: a deployment may have no tenants
         if value == "missing":
-            del at[last]
+            del container[last]
         else:
-            at[last] = value
-        started_only = path.split(".")[0] in ("name", "listen", "seed", "limits")  # not applied on SIGHUP
-        for before in [None] if started_only else [None, running]:
-            with pytest.raises(config.ConfigError) as told_why:
-                config.parse(json.dumps(raw), before)
-            why = str(told_why.value)
-            assert named in why and "\n" not in why, why
+            container[last] = value
+        only_at_startup = path.split(".")[0] in ("name", "listen", "seed", "limits")  # not applied on SIGHUP
+        for current in [None] if only_at_startup else [None, running]:
+            with pytest.raises(config.ConfigError) as raised:
+                config.parse(json.dumps(raw), current)
+            message = str(raised.value)
+            assert reported_path in message and "\n" not in message, message
 
 
 def test_unknown_settings_and_absent_optional_ones_are_accepted() -> None:
@@ -105,7 +107,7 @@
         ("single_shot", ["rps"], [{"name": "muelle-a", "allowance_per_s": 7.0}]),
     ],
 )
-def test_another_deployment_with_every_name_and_figure_changed_is_served(
+def test_a_deployment_with_other_names_and_values_is_served(
     effect: str, fields: list[str], customers: list[dict[str, Any]] | None
 ) -> None:
     def answers(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
@@ -177,14 +179,14 @@
                 unique=f"key:{n}" if effect == "guarded" else None,
             )
             assert await client.next() == (frames.ANSWER, n, b"\0\0%d" % n)
-        client.ask(9, verb="t", team="acme")  # what the first deployment calls them is unknown here
+        client.ask(9, verb="t", team="acme")  # names of another deployment are unknown here
         assert await client.code() == frames.FAILED and len(worker.calls) == 8
         service.close()
 
     run(main())
 
 
-def test_whether_a_worker_loads_on_demand_is_what_the_settings_say() -> None:
+def test_loading_on_demand_follows_the_settings() -> None:
     raw = configuration()
     for setting, loads in (("load", True), ("miss", False), (None, False)):
         raw["settings"]["specifics"]["not_loaded"] = setting
@@ -195,14 +197,14 @@
 
 
 @pytest.mark.parametrize("text", ["{", "[]", "{}", "3", "9" * 5000, "[" * 100_000, "\ud800"])
-def test_an_unusable_configuration_is_named(tmp_path: Path, text: str) -> None:
+def test_an_invalid_configuration_is_reported_with_its_file_name(tmp_path: Path, text: str) -> None:
     (tmp_path / "c.json").write_bytes(text.encode(errors="surrogatepass"))
     with pytest.raises(config.ConfigError, match=r"c\.json: .*(JSON|object|missing|decode)"):
         config.read(str(tmp_path / "c.json"))
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "invalid",
     [
         {"endpoint": "127.0.0.1"},
         {"endpoint": ":5"},
@@ -213,18 +215,18 @@
         {"boot_ms": [1]},
     ],
 )
-def test_a_worker_in_the_initial_events_must_be_valid(spoilt: dict[str, Any]) -> None:
+def test_a_worker_in_the_initial_events_must_be_valid(invalid: dict[str, Any]) -> None:
     raw = configuration()
-    raw["known"]["entries"][0]["hosts"]["targets"][0].update(spoilt)
+    raw["known"]["entries"][0]["hosts"]["targets"][0].update(invalid)
     with pytest.raises(config.ConfigError, match="known events"):
         config.parse(json.dumps(raw))
 
 
-def test_an_unusable_setting_ends_the_start_with_one_line_and_no_running_dispatcher(tmp_path: Path) -> None:
+def test_an_invalid_setting_prevents_the_start_but_does_not_stop_a_running_dispatcher(tmp_path: Path) -> None:
     command, file = [sys.executable, "-m", "kelptrail.platform"], tmp_path / "c.json"
-    spoilt = configuration()
-    spoilt["settings"]["rules"]["fall_us"] = "soon"
-    file.write_text(json.dumps(spoilt))
+    invalid = configuration()
+    invalid["settings"]["rules"]["fall_us"] = "soon"
+    file.write_text(json.dumps(invalid))
     bad = subprocess.run(command, env=os.environ | {"LB_CONFIG": str(file)}, capture_output=True, text=True, timeout=30)
     assert bad.returncode == 2 and bad.stderr.count("\n") == 1 and "settings.rules.fall_us" in bad.stderr
 
@@ -237,12 +239,12 @@
             assert process.stdout is not None and b"list number=1" in await process.stdout.readline()
             await asyncio.sleep(0.2)
             file.write_text(
-                json.dumps(platform.configuration | {"settings": spoilt["settings"], "journal": "127.0.0.1:1"})
+                json.dumps(platform.configuration | {"settings": invalid["settings"], "journal": "127.0.0.1:1"})
             )
             process.send_signal(signal.SIGHUP)
             line = await process.stdout.readline()
             assert b"configuration kept" in line and b"settings.rules.fall_us" in line
-            assert len(platform.polled_from) == 2, "the endpoint list is still watched at its address"
+            assert len(platform.polled_from) == 2, "the address of the endpoint list is unchanged"
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
 
--- a/tests/test_platform_fuzz.py
+++ b/tests/test_platform_fuzz.py
@@ -1,4 +1,4 @@
-"""A short run of bench/platform_fuzz.py: processes of the program under signals, closes and answers at random."""
+"""A short run of bench/platform_fuzz.py: processes of the program under random signals, closes and answers."""
 
 from __future__ import annotations
 
@@ -18,10 +18,8 @@
 from fault_injection.run_state import RunState, WorkerBehavior  # noqa: E402
 
 
-def test_a_second_answer_to_a_connection_that_has_ended_is_dropped(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """It is scheduled some milliseconds after the first; the dispatcher may have closed or reset the connection."""
+def test_a_second_answer_on_a_closed_connection_is_dropped(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """It is scheduled some milliseconds after the first one; the dispatcher may have closed the connection by then."""
     monkeypatch.setattr(workers, "CALL_BEHAVIORS", [WorkerBehavior.NOT_LOADED_TWICE])
     errors: list[dict[str, Any]] = []
 
@@ -41,7 +39,7 @@
 
 
 @pytest.mark.scenarios
-def test_the_rules_hold_through_random_signals_closes_and_answers() -> None:
+def test_no_rule_is_violated_under_random_signals_closes_and_answers() -> None:
     done = subprocess.run(
         [sys.executable, "bench/platform_fuzz.py", "--days", "1", "--seconds", "5"],
         cwd=ROOT,
--- a/tests/test_platform_load.py
+++ b/tests/test_platform_load.py
@@ -1,4 +1,4 @@
-"""The platform's program under many requests: seeded faults, signals under load, memory and descriptors."""
+"""The platform's program under load: seeded faults, signals, memory and descriptors."""
 
 from __future__ import annotations
 
@@ -21,37 +21,40 @@
 
 from kelptrail.codec import frames
 
-pytestmark = pytest.mark.timed  # one at a time: they measure time
+pytestmark = pytest.mark.timed  # these tests measure time and run one after another
 
-TYPES = [
+REQUEST_CLASSES = [
     CLASS | {"give_up_us": 2000000, "aim_us": 300000},
     CLASS | {"name": "k", "effect": "guarded", "window_us": 700000, "give_up_us": 2000000},
     CLASS | {"name": "o", "effect": "single_shot", "give_up_us": 2000000},
 ]
-SLACK_S = 0.25  # for a machine that is busy with other tests
+SLACK_S = 0.25  # scheduling delay of a busy machine
 
 
 class UnreliableWorker(WorkerStub):
-    """Answers well, twice, late, with noise, with a break or not at all, as a seed has it; keeps what it was sent."""
+    """Answers correctly, twice, with an error, malformed, with a reset or not at all, as a seeded generator chooses.
 
-    def __init__(self, rng: random.Random, seen: dict[bytes, list[str]]) -> None:
-        super().__init__(self.act)
-        self.rng, self.seen, self.last = rng, seen, 0.0
+    Answers take up to 30 ms.  Records its behavior for each attempt in `behaviors`.
+    """
+
+    def __init__(self, rng: random.Random, behaviors: dict[bytes, list[str]]) -> None:
+        super().__init__(self.answer_call)
+        self.rng, self.behaviors, self.last_command_at = rng, behaviors, 0.0
 
     @property
     def load(self) -> bytes:
-        self.last = asyncio.get_running_loop().time()
+        self.last_command_at = asyncio.get_running_loop().time()
         return self.rng.choice([b"OK units=1 0"] * 9 + [b"BUSY units=0 0"])
 
     @load.setter
     def load(self, _: bytes) -> None:
         pass
 
-    def act(self, _: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
+    def answer_call(self, _: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
-        self.last = loop.time()
+        self.last_command_at = loop.time()
         behavior = self.rng.choice(["good"] * 70 + ["twice", "MISS", "MISS", "BUSY", "ERR", "noise", "break", "silent"])
-        self.seen[id_].append(behavior)
+        self.behaviors[id_].append(behavior)
         good = b"%b OK tell=up,ahead=1 %d\r\n%b\r\n" % (id_, len(body), body)
         reply = {"good": good, "twice": good + good, "noise": b"\0\xff nonsense\r\n", "silent": b"", "break": b""}.get(
             behavior, b"%b %b - 0\r\n\r\n" % (id_, behavior.encode())
@@ -67,12 +70,12 @@
 
 
 class Caller:
-    """One client of a load: asks, and keeps each answer with its time."""
+    """One client of a load: sends requests and records each answer with its time."""
 
     def __init__(self, client: Client, base: int) -> None:
         self.client, self.base, self.sent, self.answers = client, base, dict[int, tuple[float, float, str]](), {}
         self.accepts_more = True
-        self.got: dict[int, list[tuple[float, int, bytes]]] = collections.defaultdict(list)
+        self.received: dict[int, list[tuple[float, int, bytes]]] = collections.defaultdict(list)
         self._reader = asyncio.create_task(self._read())
 
     def ask(self, n: int, kind: str, limit_ms: int) -> None:
@@ -90,7 +93,7 @@
 
     @property
     def open(self) -> int:
-        return len(self.sent) - len(self.got)
+        return len(self.sent) - len(self.received)
 
     async def _read(self) -> None:
         with contextlib.suppress(TimeoutError):
@@ -100,7 +103,7 @@
                     self.accepts_more = False
                 elif kind == frames.ANSWER:
                     _, end = frames.read_fields(payload[1:])
-                    self.got[stream].append((asyncio.get_running_loop().time(), payload[0], payload[1 + end :]))
+                    self.received[stream].append((asyncio.get_running_loop().time(), payload[0], payload[1 + end :]))
 
     def close(self) -> None:
         self._reader.cancel()
@@ -108,18 +111,18 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_many_requests_through_faults_each_get_one_answer_and_no_second_effect(
+def test_requests_under_faults_get_one_answer_each_and_no_second_effect(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setitem(SETTINGS, "classes", TYPES)
+    monkeypatch.setitem(SETTINGS, "classes", REQUEST_CLASSES)
 
     async def main() -> None:
-        rng, seen = random.Random(seed), collections.defaultdict[bytes, list[str]](list)
-        workers = [UnreliableWorker(rng, seen) for _ in range(4)]
+        rng, behaviors = random.Random(seed), collections.defaultdict[bytes, list[str]](list)
+        workers = [UnreliableWorker(rng, behaviors) for _ in range(4)]
         async with PlatformFixture(*workers) as platform:
             loop = asyncio.get_running_loop()
             callers = [Caller(await platform.client(), 1000 * (n + 1)) for n in range(8)]
-            drained = 0.0
+            drained_at = 0.0
             for n in range(1, 121):
                 for caller in callers:
                     if caller.open < 24:
@@ -129,39 +132,43 @@
                     port = int(endpoint.rpartition(":")[2])
                     platform.push(event(2, 2, (3, port, 1)))
                     platform.service.reload(platform.service.config)
-                    drained = loop.time()
+                    drained_at = loop.time()
                 await asyncio.sleep(0.03)
             async with asyncio.timeout(4):
                 while any(caller.open for caller in callers):
                     await asyncio.sleep(0.05)
-            await asyncio.sleep(0.1)  # nothing comes after the one answer
+            await asyncio.sleep(0.1)  # no second answer may arrive
             code_counts = collections.Counter[int]()
             for caller in callers:
-                for n, (_, until, kind) in caller.sent.items():
-                    ((at, code, body),) = caller.got[n]
+                for n, (_, deadline, kind) in caller.sent.items():
+                    ((at, code, body),) = caller.received[n]
                     code_counts[code] += 1
-                    assert at <= until + SLACK_S, "in time"
-                    ran = [d for d in seen[f"{caller.base + n:016x}".encode()] if d not in ("MISS", "BUSY")]
-                    assert (code == frames.SERVED) <= (body == b"%d" % (caller.base + n)), "the answer of its worker"
+                    assert at <= deadline + SLACK_S, "answered before the deadline"
+                    executed = [d for d in behaviors[f"{caller.base + n:016x}".encode()] if d not in ("MISS", "BUSY")]
+                    assert (code == frames.SERVED) <= (body == b"%d" % (caller.base + n)), (
+                        "the worker's answer to this request"
+                    )
                     if kind == "o":
-                        assert len(ran) <= 1, "at most once: ran twice"
-                        assert not (ran and code == frames.REFUSED), "a rejected request had no effect"
+                        assert len(executed) <= 1, "at-most-once request was executed twice"
+                        assert not (executed and code == frames.REFUSED), "a rejected request had no effect"
                 caller.close()
             assert code_counts[frames.SERVED] > 0.5 * sum(code_counts.values()) and sum(code_counts.values()) > 700
-            assert platform.service.last_event_number == 2 and workers[3].last < drained + 0.5, "the drain is respected"
+            assert platform.service.last_event_number == 2 and workers[3].last_command_at < drained_at + 0.5, (
+                "the drain is respected"
+            )
             async with asyncio.timeout(4):
-                while platform.service.engine.requests:  # till the sends that nobody answers have had their time
+                while platform.service.engine.requests:  # until unanswered attempts have timed out
                     await asyncio.sleep(0.05)
 
     run(main())
 
 
-def test_signals_under_load_lose_nothing(tmp_path: Path) -> None:
+def test_signals_under_load_lose_no_request(tmp_path: Path) -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
-            with socket.socket() as free:
-                free.bind(("127.0.0.1", 0))
-                port = free.getsockname()[1]
+            with socket.socket() as sock:
+                sock.bind(("127.0.0.1", 0))
+                port = sock.getsockname()[1]
             file = tmp_path / "c.json"
             file.write_text(json.dumps(platform.configuration | {"listen": f"127.0.0.1:{port}"}))
             process = await asyncio.create_subprocess_exec(
@@ -189,18 +196,20 @@
                 await asyncio.sleep(0.005)
             assert await process.wait() == 0
             assert all(len(caller.sent) > 100 and not caller.accepts_more for caller in callers), "GOAWAY was received"
-            assert all(len(c.got[n]) == 1 for c in callers for n in c.sent), "nothing lost, once each"
-            codes = collections.Counter(code for c in callers for n in c.sent for _, code, _ in c.got[n])
-            # A machine that stands still for a while earns honest rejections; a signal earns no failure.
+            assert all(len(c.received[n]) == 1 for c in callers for n in c.sent), (
+                "each request is answered exactly once"
+            )
+            codes = collections.Counter(code for c in callers for n in c.sent for _, code, _ in c.received[n])
+            # A machine that stalls may cause rejections, but a signal must not cause failures.
             assert codes.keys() <= {frames.SERVED, frames.REFUSED} and codes[frames.SERVED] > codes[frames.REFUSED]
 
     run(main())
 
 
-def test_memory_and_descriptors_stay_flat_over_many_connections_ids_and_functions() -> None:
+def test_memory_and_descriptors_do_not_grow_with_connections_ids_and_functions() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
-            held: list[tuple[int, int]] = []
+            samples: list[tuple[int, int]] = []
             tracemalloc.start()
             for phase in range(5):
                 for n in range(80):
@@ -216,10 +225,10 @@
                         caller.close()
                 await asyncio.sleep(0.3)
                 gc.collect()
-                held.append((tracemalloc.get_traced_memory()[0], len(os.listdir("/proc/self/fd"))))
+                samples.append((tracemalloc.get_traced_memory()[0], len(os.listdir("/proc/self/fd"))))
             tracemalloc.stop()
             assert not platform.service.engine.requests and not len(platform.service.client_server.connections)
-            assert held[-1][1] <= held[1][1] + 4, "descriptors"
-            assert held[-1][0] - held[2][0] < 150_000, "bytes over a thousand requests"
+            assert samples[-1][1] <= samples[1][1] + 4, "descriptors"
+            assert samples[-1][0] - samples[2][0] < 150_000, "bytes over a thousand requests"
 
     run(main())
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -1,5 +1,7 @@
-"""Graceful shutdown and signals of the platform's program, met by an event between any two steps.  One side is held at
-a known point; nothing depends on chance."""
+"""Races of graceful shutdown and signals of the platform's program with other events.
+
+One side is blocked at a known point, so that the order of events does not depend on timing.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +35,7 @@
 from kelptrail.platform import graceful_shutdown
 
 
-def test_a_request_in_the_moment_of_shutdown_is_answered_or_sees_the_close_and_ran_nowhere() -> None:
+def test_a_request_that_arrives_as_shutdown_ends_is_answered_or_not_executed() -> None:
     async def main() -> None:
         def slowly(worker: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
             asyncio.get_running_loop().call_later(0.2, echo, worker, id_, body, writer)
@@ -43,16 +45,16 @@
             client.ask(1)
             assert await client.code() == frames.SERVED
             loop, late_requests = asyncio.get_running_loop(), []
-            later = loop.call_later
+            original_call_later = loop.call_later
 
-            def crossing(delay: float, back: Callable[..., Any], *args: Any, **more: Any) -> Any:
-                ends = getattr(back, "__name__", "") in ("set_result", "_finish")
-                if ends and not late_requests:  # the last check found nothing: now a request arrives
+            def call_later(delay: float, callback: Callable[..., Any], *args: Any, **options: Any) -> Any:
+                is_end = getattr(callback, "__name__", "") in ("set_result", "_finish")
+                if is_end and not late_requests:  # a request arrives after the last check found no open work
                     late_requests.append(2)
                     client.ask(2)
-                return later(delay, back, *args, **more)
+                return original_call_later(delay, callback, *args, **options)
 
-            platform.service._shutdown._loop = LoopWithCallLater(loop, crossing)
+            platform.service._shutdown._loop = LoopWithCallLater(loop, call_later)
             platform.service.shut_down()
             assert await client.next() == (frames.GO_AWAY, 0, b"")
             await asyncio.wait_for(platform.service.finished, 3.0)
@@ -65,17 +67,17 @@
 
 
 class LoopWithCallLater:
-    """The loop with another `call_later`."""
+    """An event loop whose `call_later` is replaced."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, later: Callable[..., Any]) -> None:
-        self._loop, self.call_later = loop, later
+    def __init__(self, loop: asyncio.AbstractEventLoop, call_later: Callable[..., Any]) -> None:
+        self._loop, self.call_later = loop, call_later
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._loop, name)
 
 
 @pytest.mark.parametrize("reads", [True, False])
-def test_shutdown_waits_for_answers_that_a_client_reads_and_for_none_that_it_does_not(reads: bool) -> None:
+def test_shutdown_waits_for_answers_only_while_their_client_reads(reads: bool) -> None:
     body = bytes(90_000)
 
     def large(worker: WorkerStub, id_: bytes, _: bytes, writer: asyncio.StreamWriter) -> None:
@@ -89,18 +91,18 @@
             client.connection.transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
             sock.sendall(request(1))
             await until(lambda: len(worker.calls) and client.connection._writing)
-            began = time.monotonic()
+            started_at = time.monotonic()
             platform.service.shut_down()
             if not reads:
                 await asyncio.wait_for(platform.service.finished, 2.5)
                 sock.close()
                 return
-            await asyncio.sleep(0.8)  # the last look comes after 0.7 s
+            await asyncio.sleep(0.8)  # the first check for open work comes after 0.7 s
             assert not platform.service.finished.done()
             found = await asyncio.to_thread(read_all, sock)
             assert answers(found) == {1: frames.SERVED} and found[0][2] == b"\0\0" + body
             await asyncio.wait_for(platform.service.finished, 1.0)
-            assert time.monotonic() - began < 2.5
+            assert time.monotonic() - started_at < 2.5
             sock.close()
 
     run(main())
@@ -109,21 +111,21 @@
 def test_shutdown_waits_for_a_partial_frame_and_accepts_clients_in_the_accept_queue() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            half, front = await platform.client(), platform.service.client_server
+            partial, server = await platform.client(), platform.service.client_server
             data = request(1)
-            half.writer.write(data[:30])
-            await until(lambda: any(each.partial_frame_since for each in front.connections.fresh))
-            (listening,) = front._listener._sockets
+            partial.writer.write(data[:30])
+            await until(lambda: any(each.partial_frame_since for each in server.connections.fresh))
+            (listener,) = server._listener._sockets
             loop = asyncio.get_running_loop()
-            loop.remove_reader(listening)  # whoever comes stands in the queue of the kernel
+            loop.remove_reader(listener)  # new clients stay in the accept queue
             platform.service.shut_down()
-            assert await half.next() == (frames.GO_AWAY, 0, b"")
+            assert await partial.next() == (frames.GO_AWAY, 0, b"")
             late = connect_raw(platform.port)
             late.sendall(request(2))
             await asyncio.sleep(0.75)
             assert not platform.service.finished.done()
-            half.writer.write(data[30:])
-            assert await half.code() == frames.SERVED
+            partial.writer.write(data[30:])
+            assert await partial.code() == frames.SERVED
             await asyncio.wait_for(platform.service.finished, 2.0)
             platform.service.close()
             assert answers(await asyncio.to_thread(read_all, late)) == {2: frames.SERVED}
@@ -158,10 +160,10 @@
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
             sock = connect_raw(platform.port)
-            sock.sendall(b"\0\0\0\2no" + bytes(3000))  # no frame: configuration_text, and closed
+            sock.sendall(b"\0\0\0\2no" + bytes(3000))  # not a frame: answered with an error and closed
             await asyncio.sleep(0.2)
             with contextlib.suppress(OSError):
-                sock.sendall(bytes(1000))  # what comes after that must not reset the connection
+                sock.sendall(bytes(1000))  # later bytes must not reset the connection
             await asyncio.sleep(0.05)
             assert answers(read_all(sock)) == {0: frames.FAILED}
             sock.close()
@@ -171,7 +173,7 @@
 
 
 class ProcessReadingPipe:
-    """A process whose configuration is a pipe: it stands still in reading it, before its signals are the loop's."""
+    """A process whose configuration is a pipe: it blocks while reading it, before the event loop handles signals."""
 
     def __init__(self, tmp_path: Path) -> None:
         self._pipe = tmp_path / "pipe.json"
@@ -182,21 +184,21 @@
             stdout=subprocess.PIPE,
         )
 
-    def reading(self) -> int:
-        """The pipe's other end, once the process reads."""
+    def open_writer(self) -> int:
+        """Open the writing end of the pipe once the process reads from it."""
         deadline = time.monotonic() + 10
         while time.monotonic() < deadline and self.process.poll() is None:
             try:
                 return os.open(self._pipe, os.O_WRONLY | os.O_NONBLOCK)
-            except OSError:  # nobody reads yet
+            except OSError:  # the process does not read yet
                 time.sleep(0.005)
-        raise AssertionError(f"it reads nothing; exit code {self.process.poll()}")
+        raise AssertionError(f"the process does not read the pipe; exit code {self.process.poll()}")
 
     def replace(self, text: str) -> None:
-        """A file in the pipe's place: what is read already stays."""
-        whole = self._pipe.with_suffix(".whole")
-        whole.write_text(text)
-        whole.replace(self._pipe)
+        """Replace the pipe by a file; a reader that has opened the pipe continues to read from it."""
+        file = self._pipe.with_suffix(".whole")
+        file.write_text(text)
+        file.replace(self._pipe)
 
     def __enter__(self) -> ProcessReadingPipe:
         return self
@@ -206,9 +208,9 @@
         self.process.wait()
 
 
-def write_and_close(end: int, text: str) -> None:
-    os.write(end, text.encode())
-    os.close(end)
+def write_and_close(descriptor: int, text: str) -> None:
+    os.write(descriptor, text.encode())
+    os.close(descriptor)
 
 
 def configuration_text(port: int) -> str:
@@ -216,29 +218,29 @@
 
 
 def test_signals_before_the_loop_handles_them_are_held(tmp_path: Path) -> None:
-    with ProcessReadingPipe(tmp_path) as held:
-        end = held.reading()
-        held.process.send_signal(signal.SIGHUP)
+    with ProcessReadingPipe(tmp_path) as blocked:
+        writer = blocked.open_writer()
+        blocked.process.send_signal(signal.SIGHUP)
         time.sleep(0.05)
-        held.replace(configuration_text(0))  # what is read again, for the signal
-        write_and_close(end, configuration_text(0))
-        read_until(held.process, "configuration journal")
-        held.process.send_signal(signal.SIGTERM)
-        held.process.send_signal(signal.SIGTERM)
-        assert held.process.wait(5) == 0
-
-
-def test_a_shutdown_before_the_listener_is_open_opens_none(tmp_path: Path) -> None:
-    with ProcessReadingPipe(tmp_path) as held:
-        end = held.reading()
-        held.process.send_signal(signal.SIGTERM)
+        blocked.replace(configuration_text(0))  # read because of the signal
+        write_and_close(writer, configuration_text(0))
+        read_until(blocked.process, "configuration journal")
+        blocked.process.send_signal(signal.SIGTERM)
+        blocked.process.send_signal(signal.SIGTERM)
+        assert blocked.process.wait(5) == 0
+
+
+def test_a_shutdown_before_the_listener_is_open_does_not_open_it(tmp_path: Path) -> None:
+    with ProcessReadingPipe(tmp_path) as blocked:
+        writer = blocked.open_writer()
+        blocked.process.send_signal(signal.SIGTERM)
         time.sleep(0.05)
-        write_and_close(end, configuration_text(0))
-        assert held.process.wait(5) == 0 and held.process.stdout is not None
-        assert b"ending" not in held.process.stdout.read(), "nobody has come, nobody is waited for"
+        write_and_close(writer, configuration_text(0))
+        assert blocked.process.wait(5) == 0 and blocked.process.stdout is not None
+        assert b"ending" not in blocked.process.stdout.read(), "there are no clients to wait for"
 
 
-def test_a_reload_at_any_moment_of_shutdown_is_no_crash(tmp_path: Path) -> None:
+def test_reloads_during_shutdown_do_not_crash_the_process(tmp_path: Path) -> None:
     file = tmp_path / "c.json"
     file.write_text(configuration_text(0))
     process = subprocess.Popen(
@@ -257,7 +259,7 @@
         process.wait()
 
 
-def test_a_file_that_is_half_written_at_the_signal_is_read_again(tmp_path: Path) -> None:
+def test_a_configuration_file_that_is_incomplete_at_the_signal_is_read_again(tmp_path: Path) -> None:
     file = tmp_path / "c.json"
     file.write_text(configuration_text(0))
     process = subprocess.Popen(
@@ -266,11 +268,11 @@
     try:
         read_until(process, "list number=1")
         time.sleep(0.2)
-        whole = json.dumps(configuration() | {"journal": "127.0.0.1:19"})
-        file.write_text(whole[: len(whole) // 2])
+        text = json.dumps(configuration() | {"journal": "127.0.0.1:19"})
+        file.write_text(text[: len(text) // 2])
         process.send_signal(signal.SIGHUP)
         read_until(process, "configuration kept")
-        file.write_text(whole)
+        file.write_text(text)
         assert "kept" not in read_until(process, "configuration journal=('127.0.0.1', 19)")
     finally:
         process.kill()
@@ -280,8 +282,10 @@
 def test_open_requests_are_answered_before_a_process_in_shutdown_is_killed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """SIGKILL comes 0.7 s and at most 3 s after SIGTERM; a worker hangs through all of it and the client would wait
-    longer."""
+    """SIGKILL may come 3.7 s after SIGTERM: 0.7 s plus the longest timeout, of which at most 3 s count.
+
+    The worker never answers, and the deadline of the request is later.
+    """
     monkeypatch.setitem(SETTINGS, "classes", [CLASS | {"give_up_us": 8_000_000}])
 
     async def main() -> None:
@@ -289,10 +293,10 @@
             client = await platform.client()
             client.ask(1, limit="8000")
             await until(lambda: platform.workers[0].calls)
-            began = time.monotonic()
+            started_at = time.monotonic()
             platform.service.shut_down()
             assert await client.next() == (frames.GO_AWAY, 0, b"")
-            assert await client.code(3.7) == frames.REFUSED, "it may run again, and does so elsewhere"
-            await asyncio.wait_for(platform.service.finished, 3.7 - (time.monotonic() - began))
+            assert await client.code(3.7) == frames.REFUSED, "the client may retry it at another dispatcher"
+            await asyncio.wait_for(platform.service.finished, 3.7 - (time.monotonic() - started_at))
 
     run(main())
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -1,4 +1,4 @@
-"""The endpoint watch under rare conditions: silence, slow or failing events, address changes, no descriptor left."""
+"""The endpoint watch under rare conditions: silence, slow or failing events, address changes, lack of descriptors."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class EndpointListStub:
-    """An endpoint service: `serve` handles each connection; `requested_after`: event numbers that clients sent."""
+    """An endpoint service.  `serve` handles each connection; `requested_after` holds the event number of each poll."""
 
     def __init__(self, serve: Serve) -> None:
         self._serve, self.requested_after = serve, list[int]()
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("behavior", ["bytes of a frame that never ends", "nothing", "empty events, then nothing"])
-def test_service_without_a_complete_event_is_requested_again(behavior: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_service_without_a_complete_event_is_polled_again(behavior: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT_MS", 200.0)
 
     async def main() -> None:
@@ -101,7 +101,7 @@
         async def serve_slowly(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             for byte in event(2, 2, (1, 9, 1)):
                 writer.write(bytes((byte,)))
-                await asyncio.sleep(0.01)  # some 0.4 s for the event
+                await asyncio.sleep(0.01)  # about 0.4 s for the event
             await reader.read()
 
         endpoint_service = EndpointListStub(serve_slowly)
@@ -109,15 +109,15 @@
         async with PlatformFixture(WorkerStub(echo)) as platform:
             await follow(platform, port)
             await until(lambda: platform.service.last_event_number == 2)
-            assert len(endpoint_service.requested_after) > 1, "not on the first connection"
+            assert len(endpoint_service.requested_after) > 1, "the event did not arrive on the first connection"
 
     run(main())
 
 
-def test_endpoint_service_that_disconnects_each_time_is_requested_with_backoff() -> None:
+def test_endpoint_service_that_always_disconnects_is_polled_with_backoff() -> None:
     async def main() -> None:
         async def serve_with_gap(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            writer.write(event(1, 0) + event(5, 2, (1, 9, 1)))  # events are missing
+            writer.write(event(1, 0) + event(5, 2, (1, 9, 1)))  # a gap: events 2 to 4 are missing
 
         endpoint_service = EndpointListStub(serve_with_gap)
         port = await endpoint_service.open()
@@ -138,11 +138,10 @@
         endpoint_service = EndpointListStub(serve)
         port = await endpoint_service.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            held_connect = BlockedConnects(
-                monkeypatch, endpoint_watch, port=9
-            )  # a connect to the old address never ends
+            # A connect to the old address never ends.
+            blocked_connect = BlockedConnects(monkeypatch, endpoint_watch, port=9)
             await follow(platform, 9)
-            await until(lambda: held_connect.waiting)
+            await until(lambda: blocked_connect.waiting)
             platform.configuration["journal"] = f"127.0.0.1:{port}"
             platform.service.reload(current_config(platform))
             await until(lambda: platform.service.last_event_number == 2, 0.5)
@@ -166,10 +165,10 @@
         endpoint_service = EndpointListStub(serve)
         port = await endpoint_service.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            unreachable: list[str] = []
-            platform.service.endpoints.watch.log = lambda what, **_: unreachable.append(what)
+            logged: list[str] = []
+            platform.service.endpoints.watch.log = lambda event, **_: logged.append(event)
             await follow(platform, 9)  # no service listens there
-            await until(lambda: unreachable)
+            await until(lambda: logged)
             await follow(platform, port)
             await until(lambda: platform.service.last_event_number == 2, 0.5)
 
@@ -193,14 +192,14 @@
         async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
             await follow(platform, ports[0])
             await until(lambda: writers)
-            held_connect = BlockedConnects(monkeypatch, endpoint_watch, port=ports[1])
+            blocked_connect = BlockedConnects(monkeypatch, endpoint_watch, port=ports[1])
             await follow(platform, ports[1])
-            await until(lambda: held_connect.waiting)
+            await until(lambda: blocked_connect.waiting)
             writers[0].write(event(2, 2, (1, 9, 1))[:30])
             await asyncio.sleep(0.02)
             writers[0].write(event(2, 2, (1, 9, 1))[30:])
             await until(lambda: platform.service.last_event_number == 2)
-            held_connect.gate.set()
+            blocked_connect.gate.set()
             await until(lambda: platform.service.last_event_number == 3)
             assert second.requested_after == [2], "no event is requested twice"
 
@@ -208,10 +207,10 @@
 
 
 def test_descriptor_is_reserved_for_the_endpoint_watch_while_clients_use_the_rest(tmp_path: Path) -> None:
-    """The process has fewer descriptors than configured: clients use all of them before the endpoint service starts."""
-    with socket.socket() as reserved:
-        reserved.bind(("127.0.0.1", 0))
-        port = reserved.getsockname()[1]
+    """The process has fewer descriptors than configured; clients use all of them before the endpoint service starts."""
+    with socket.socket() as sock:
+        sock.bind(("127.0.0.1", 0))
+        port = sock.getsockname()[1]
     listen = socket.socket()
     listen.bind(("127.0.0.1", 0))
     listen_port = listen.getsockname()[1]
@@ -267,47 +266,49 @@
 
 
 def test_new_version_of_loaded_functions_is_loaded_without_a_burst() -> None:
-    """All instances become outdated at once and calls are rare: each function is loaded again when it is next called,
-    its call is served, and load orders stay within the ration."""
+    """All instances become outdated at the same time and calls are rare.
+
+    Each function is loaded again at its next call, the call is served, and load orders stay within the ration.
+    """
 
     async def main() -> None:
         versions: dict[bytes, int] = {}
-        release, orders = [1], list[float]()
+        newest, orders = [1], list[float]()
 
-        class Versions(WorkerStub):
-            """Serves a function only in the version that is the newest."""
+        class VersionedWorker(WorkerStub):
+            """Serves a function only if its newest version is loaded."""
 
             async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                     while line := await reader.readline():
                         word, id_, *rest = line.split()
                         if word == b"LOAD":
-                            versions[rest[0][5:21]] = release[0]
+                            versions[rest[0][5:21]] = newest[0]
                             orders.append(asyncio.get_running_loop().time())
                             writer.write(id_ + b" OK units=1 0\r\n\r\n")
                         elif word == b"CALL":
                             body = (await reader.readexactly(int(rest[-1]) + 2))[:-2]
                             item = rest[0].partition(b"item=")[2][:16]
-                            if versions.get(item) == release[0]:
+                            if versions.get(item) == newest[0]:
                                 echo(self, id_, body, writer)
                             else:
                                 writer.write(id_ + b" MISS - 0\r\n\r\n")
 
-        async with PlatformFixture(Versions(echo)) as platform:
+        async with PlatformFixture(VersionedWorker(echo)) as platform:
             client, stream = await platform.client(), 0
-            for release[0] in (1, 2, 3):
+            for newest[0] in (1, 2, 3):
                 for n in range(6):
                     for _ in range(3):
                         stream += 1
                         client.ask(stream, item=f"{n:016x}")
-                        assert await client.code() == frames.SERVED, (release, n)
-            assert len(orders) <= 3 * 6 + 2, "one for each version and function"
+                        assert await client.code() == frames.SERVED, (newest, n)
+            assert len(orders) <= 3 * 6 + 2, "one load order for each version and function"
 
     run(main())
 
 
 def test_endpoint_service_that_is_slow_to_its_first_byte_is_used(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It needs longer than the silence timeout: the connection on which it answers is still open."""
+    """Its first byte takes longer than the silence timeout; the connection must still be open by then."""
     monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT_MS", 200.0)
 
     async def main() -> None:
@@ -327,7 +328,7 @@
 
 
 def test_endpoint_service_that_is_slow_to_accept_is_reached(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A connect takes longer than one to a worker may take, while the configuration is reloaded repeatedly."""
+    """A connect takes longer than the connect timeout of workers, and the configuration is reloaded repeatedly."""
 
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -354,7 +355,7 @@
     run(main())
 
 
-def test_alternating_addresses_are_followed_though_connects_are_slow(
+def test_alternating_addresses_are_followed_despite_slow_connects(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
@@ -372,40 +373,40 @@
         ports = [await service.open() for service in services]
         async with PlatformFixture(WorkerStub(echo)) as platform:
             monkeypatch.setattr(endpoint_watch, "connect", slow_connect)
-            for turn in range(20):
-                await follow(platform, ports[turn % 2])
+            for number in range(20):
+                await follow(platform, ports[number % 2])
                 await asyncio.sleep(0.05)
-            assert platform.service.last_event_number == 2, "reached between the turns"
+            assert platform.service.last_event_number == 2, "a service was reached although the address changed"
             assert sum(len(service.requested_after) for service in services) <= 4
 
     run(main())
 
 
-async def heard_count(serve: Serve, *further: Serve, moves_after_s: float = 0.3) -> list[int]:
-    """How often a watch counted its list as heard, by service: it moves from one to the next."""
+async def confirmation_counts(serve: Serve, *others: Serve, interval_s: float = 0.3) -> list[int]:
+    """Return the number of confirmations of the list by each service; the watch moves from one to the next."""
     counts = [0]
 
-    def on_heard() -> None:
+    def on_confirmed() -> None:
         counts[-1] += 1
 
-    services = [EndpointListStub(each) for each in (serve, *further)]
+    services = [EndpointListStub(each) for each in (serve, *others)]
     ports = [await service.open() for service in services]
-    listener = endpoint_watch.WatchListener(lambda event: None, on_heard)
+    listener = endpoint_watch.WatchListener(lambda event: None, on_confirmed)
     loop = asyncio.get_running_loop()
     watch = endpoint_watch.EndpointWatch(
         loop, ("127.0.0.1", ports[0]), 5, lambda: FeedReader(1, 1), listener, lambda event, **fields: None
     )
     for port in ports[1:]:
-        await asyncio.sleep(moves_after_s)
+        await asyncio.sleep(interval_s)
         counts.append(0)
         watch.set_address(("127.0.0.1", port))
-    await asyncio.sleep(moves_after_s)
+    await asyncio.sleep(interval_s)
     watch.close()
     return counts
 
 
 def test_a_service_that_is_behind_or_catching_up_and_an_old_address_do_not_confirm_the_list() -> None:
-    """What they do not tell counts as notified all the same."""
+    """Drains that they do not report must still count as notified after the protocol's delay."""
 
     async def repeat(number: int, writer: asyncio.StreamWriter) -> None:
         for _ in range(100):
@@ -427,10 +428,10 @@
         await reader.read()
 
     async def main() -> None:
-        assert (await heard_count(current))[0] > 5
-        assert await heard_count(catching_up) == [0], "further changes may follow"
-        assert await heard_count(behind) == [0]
-        before, after = await heard_count(current, silent)
-        assert before > 5 and after == 0, "the old address still answers"
+        assert (await confirmation_counts(current))[0] > 5
+        assert await confirmation_counts(catching_up) == [0], "further changes may follow"
+        assert await confirmation_counts(behind) == [0]
+        before, after = await confirmation_counts(current, silent)
+        assert before > 5 and after == 0, "the service at the old address still sends events"
 
     run(main())
--- a/tests/worker_connections_fixture.py
+++ b/tests/worker_connections_fixture.py
@@ -1,4 +1,4 @@
-"""Connections to a scripted worker over small socket buffers, and what the worker reads of them."""
+"""Connections to one worker over small socket buffers, and the commands that the worker reads from them."""
 
 from __future__ import annotations
 
@@ -23,52 +23,54 @@
 
 
 class StubItem:
-    """An attempt, as far as the connections know of it."""
+    """An attempt with only the attributes that the connections use."""
 
     def __init__(self, id_: str) -> None:
         self.id, self.request = id_, self
 
 
 class ConnectionsOverSmallBuffers:
-    """Connections to one worker that reads when the test does, over small buffers."""
+    """Connections over small buffers to one worker that reads only when the test does."""
 
     def __init__(
         self,
         monkeypatch: pytest.MonkeyPatch,
-        most: int = 1,
-        in_all: int = 8,
-        cancels: bool = True,
-        parallel: bool = True,
+        max_per_worker: int = 1,
+        max_total: int = 8,
+        may_cancel: bool = True,
+        parallel_attempts: bool = True,
     ) -> None:
-        async def small(loop: asyncio.AbstractEventLoop, address: tuple[str, int], within: float) -> socket.socket:
-            sock = await connect(loop, address, within)
+        async def connect_small(
+            loop: asyncio.AbstractEventLoop, address: tuple[str, int], within_ms: float
+        ) -> socket.socket:
+            sock = await connect(loop, address, within_ms)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
             return sock
 
-        monkeypatch.setattr(worker_connection, "connect", small)
-        self.listening = socket.socket()
-        self.listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
-        self.listening.bind(("127.0.0.1", 0))
-        self.listening.listen()
+        monkeypatch.setattr(worker_connection, "connect", connect_small)
+        self.listener = socket.socket()
+        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
+        self.listener.bind(("127.0.0.1", 0))
+        self.listener.listen()
         self.ended: list[tuple[Any, AttemptStatus]] = []
         limits = WorkerConnectionLimits(
             connect_ms=150.0,
             idle_ms=15_000.0,
             streams=100,
-            max_in_all=in_all,
+            max_in_all=max_total,
             answer_bytes=1 << 17,
-            may_cancel=cancels,
-            parallel_attempts=parallel,
+            may_cancel=may_cancel,
+            parallel_attempts=parallel_attempts,
             max_timeout_ms=2000.0,
             close_longest_idle=lambda: False,
-            max_per_worker=most,
+            max_per_worker=max_per_worker,
         )
         self.connections = WorkerConnections(
             asyncio.get_running_loop(),
             "w",
-            self.listening.getsockname(),
+            self.listener.getsockname(),
             limits,
-            lambda item, outcome, _: self.ended.append((item, outcome)),
+            lambda item, status, _: self.ended.append((item, status)),
             never_answer,
         )
 
@@ -78,28 +80,28 @@
         self.connections.start_attempt(item, lambda: data, len(data))  # type: ignore[arg-type]
         return item
 
-    async def take(self) -> socket.socket:
-        """The worker's end of the connection, once it is up."""
-        sock, _ = await asyncio.to_thread(self.listening.accept)
+    async def accept(self) -> socket.socket:
+        """Return the worker's end of the connection once the connection is established."""
+        sock, _ = await asyncio.to_thread(self.listener.accept)
         await until(lambda: all(each.connection for each in self.connections._connections))
         return sock
 
-    async def full(self, count: int = 4) -> tuple[socket.socket, list[Any]]:
-        """Attempts behind a socket that accepts no more of the first."""
+    async def fill_socket(self, count: int = 4) -> tuple[socket.socket, list[Any]]:
+        """Start attempts until the socket is full; the first of them is partly sent, the others are queued."""
         items = [self.send(f"{n:016x}") for n in range(count)]
-        sock = await self.take()
+        sock = await self.accept()
         (connection,) = self.connections._connections
         await until(lambda: connection.connection is not None and connection.connection._awaits_writable)
         return sock, items
 
 
-def commands(sock: socket.socket, within: float = 0.3) -> list[bytes]:
-    """The lines that the worker reads, bodies passed over; fails where the framing does not hold."""
-    sock.settimeout(within)
+def read_commands(sock: socket.socket, timeout_s: float = 0.3) -> list[bytes]:
+    """Return the first two words of each command that the worker reads; fail if the framing is invalid."""
+    sock.settimeout(timeout_s)
     data, found = b"", []
     with contextlib.suppress(TimeoutError):
-        while more := sock.recv(65536):
-            data += more
+        while chunk := sock.recv(65536):
+            data += chunk
     while data:
         line, _, data = data.partition(b"\r\n")
         words = line.split(b" ")
