--- a/kelptrail/platform/worker_connection.py
+++ b/kelptrail/platform/worker_connection.py
@@ -49,7 +49,7 @@
     connect_ms: float
     idle_ms: float
     streams: int  # limit of open items on one connection
-    max_in_all: int  # limit of connections to all workers
+    max_total: int  # limit of connections to all workers
     answer_bytes: int
     may_cancel: bool  # whether the protocol allows CANCEL
     parallel_attempts: bool  # whether two attempts of a request may run at the same time
--- a/kelptrail/platform/worker_connections.py
+++ b/kelptrail/platform/worker_connections.py
@@ -163,7 +163,7 @@
 
     def _has_capacity(self) -> bool:
         limits = self.limits
-        return len(self._connections) < limits.max_per_worker and limits.open_count < limits.max_in_all
+        return len(self._connections) < limits.max_per_worker and limits.open_count < limits.max_total
 
     def _evict_idle(self) -> bool:
         """Close an idle connection and return whether there was one.
--- a/kelptrail/platform/worker_pool.py
+++ b/kelptrail/platform/worker_pool.py
@@ -35,7 +35,7 @@
             connect_ms=settings.connect_ms,
             idle_ms=settings.idle_ms,
             streams=settings.streams,
-            max_in_all=max_connections,
+            max_total=max_connections,
             answer_bytes=MAX_ANSWER_BYTES,
             may_cancel=settings.may_cancel,
             parallel_attempts=settings.parallel_attempts,
--- a/tests/outage_fixture.py
+++ b/tests/outage_fixture.py
@@ -292,7 +292,9 @@
                 outcome = Outcome(time.monotonic())
                 self.outcomes.append(outcome)
                 outcomes_by_stream[number % len(clients)][number] = outcome
-                clients[number % len(clients)].ask(number, item=f"{function(number):016x}", limit=str(CLIENT_LIMIT_MS))
+                clients[number % len(clients)].send_request(
+                    number, item=f"{function(number):016x}", limit=str(CLIENT_LIMIT_MS)
+                )
             await asyncio.sleep(0.004)
         await asyncio.sleep(CLIENT_LIMIT_MS / 1000 + 0.3)
         for reader in readers:
@@ -315,7 +317,7 @@
 
 
 async def _read_answers(client: Client, outcomes: dict[int, Outcome]) -> None:
-    while (frame := await client.next(within=60.0)) is not None:
+    while (frame := await client.next_frame(within=60.0)) is not None:
         kind, stream, payload = frame
         if kind == frames.ANSWER and stream in outcomes:
             outcomes[stream].code, outcomes[stream].answered_at = payload[0], time.monotonic()
--- a/tests/platform_fixture.py
+++ b/tests/platform_fixture.py
@@ -144,7 +144,7 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer, self._frames = reader, writer, frames.FrameReader(1 << 20)
 
-    def ask(self, stream: int = 1, body: bytes = b"hello", **overrides: str | None) -> None:
+    def send_request(self, stream: int = 1, body: bytes = b"hello", **overrides: str | None) -> None:
         fields = {
             "verb": "t",
             "txn": f"{stream:016x}",
@@ -156,7 +156,7 @@
         encoded = frames.encode_fields({name: value for name, value in fields.items() if value is not None})
         self.writer.write(frames.encode_frame(frames.REQUEST, stream, encoded + body))
 
-    async def next(self, within: float = 3.0) -> tuple[int, int, bytes] | None:
+    async def next_frame(self, within: float = 3.0) -> tuple[int, int, bytes] | None:
         """Return the next frame, or None at the end of the connection."""
         async with asyncio.timeout(within):
             while (frame := self._frames.next()) is None:
@@ -169,9 +169,9 @@
                 self._frames.feed(data)
             return frame
 
-    async def code(self, within: float = 3.0) -> int | None:
+    async def answer_code(self, within: float = 3.0) -> int | None:
         """Return the code of the next answer, or None if the connection ends without one."""
-        frame = await self.next(within)
+        frame = await self.next_frame(within)
         return None if frame is None else frame[2][0]
 
 
--- a/tests/test_attempt_races.py
+++ b/tests/test_attempt_races.py
@@ -124,8 +124,8 @@
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
             client = await platform.client()
-            client.ask(1)
-            assert await client.code() == frames.SERVED  # an instance is loaded
+            client.send_request(1)
+            assert await client.answer_code() == frames.SERVED  # an instance is loaded
             for connections in platform.service.executor.workers.connections.values():
                 connections.close()
             blocked = BlockedConnects(monkeypatch)
@@ -199,9 +199,9 @@
             )
             errors: list[Any] = []
             asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
-            client.ask(1)
-            client.ask(2, item="1" * 16)
-            assert await client.next() is not None and not errors
+            client.send_request(1)
+            client.send_request(2, item="1" * 16)
+            assert await client.next_frame() is not None and not errors
 
     run(main())
 
@@ -223,8 +223,8 @@
 
         async with PlatformFixture(WorkerStub(script)) as platform:
             client = await platform.client()
-            client.ask(1)
-            assert await client.code() == frames.SERVED
+            client.send_request(1)
+            assert await client.answer_code() == frames.SERVED
             await asyncio.sleep(0.1)
             assert len(platform.workers[0].calls) == 2, "the at-most-once request was executed once"
 
@@ -236,7 +236,7 @@
         async with PlatformFixture(WorkerStub(echo)) as platform:
             platform.service.executor.workers.limits.connect_ms = 5000.0
             blocked, client = BlockedConnects(monkeypatch), await platform.client()
-            client.ask(1)
+            client.send_request(1)
             await until(lambda: blocked.waiting)
             (port,) = {
                 int(t["endpoint"].rpartition(":")[2])
@@ -249,7 +249,7 @@
             await until(lambda: platform.service.last_event_number == 3)
             assert not any(each in connections._connections for each in connecting), "another worker may answer"
             blocked.gate.set()
-            assert await client.code() == frames.SERVED
+            assert await client.answer_code() == frames.SERVED
             assert len(platform.workers[0].calls) == 1
 
     run(main())
@@ -264,7 +264,7 @@
                 for t in platform.configuration["known"]["entries"][0]["hosts"]["targets"]
             ]
             blocked, client = BlockedConnects(monkeypatch), await platform.client()
-            client.ask(1)
+            client.send_request(1)
             await until(lambda: blocked.waiting)
             ((worker, connections),) = platform.service.executor.workers.connections.items()
             number = int(worker.id[2:], 16)
@@ -274,7 +274,7 @@
             await until(lambda: platform.service.last_event_number == 2)
             assert not connections.open_items
             blocked.gate.set()
-            assert await client.code() == frames.SERVED
+            assert await client.answer_code() == frames.SERVED
             assert not platform.workers[number].calls and len(platform.workers[1 - number].calls) == 1
 
     run(main())
@@ -297,11 +297,11 @@
 
         async with PlatformFixture(WorkerStub(abort), WorkerStub(abort)) as platform:
             client = await platform.client()
-            client.ask(1, verb="k", unique="u" * 32)
+            client.send_request(1, verb="k", unique="u" * 32)
             await until(lambda: blocked and blocked[0].waiting)
             await asyncio.sleep(0.35)
             blocked[0].gate.set()
-            assert await client.code() in (frames.FAILED, frames.REFUSED)
+            assert await client.answer_code() in (frames.FAILED, frames.REFUSED)
             await asyncio.sleep(0.05)
             assert sum(len(worker.calls) for worker in platform.workers) == 1
 
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -26,12 +26,12 @@
 def test_connections_to_workers_stay_within_the_descriptors_and_idle_ones_are_closed() -> None:
     async def main() -> None:
         async with PlatformFixture(*(WorkerStub(echo) for _ in range(24)), sockets=32) as platform:
-            most = platform.service.executor.workers.limits.max_in_all
+            most = platform.service.executor.workers.limits.max_total
             assert most < 24
             client = await platform.client()
             for n in range(1, 30):
-                client.ask(n, item=f"{n:016x}")
-                assert await client.code() == frames.SERVED
+                client.send_request(n, item=f"{n:016x}")
+                assert await client.answer_code() == frames.SERVED
                 held = sum(len(links) for links in platform.service.executor.workers.connections.values())
                 assert held == platform.service.executor.workers.limits.open_count <= most
 
@@ -61,8 +61,8 @@
         async with PlatformFixture(WorkerStub(echo)) as platform:
             slow, stuck, front = await platform.client(), await platform.client(), platform.service.client_server
             for client in (slow, stuck):
-                client.ask(1, txn=f"{id(client) % 2**32:016x}")
-                assert await client.code() == frames.SERVED
+                client.send_request(1, txn=f"{id(client) % 2**32:016x}")
+                assert await client.answer_code() == frames.SERVED
             data = request(2, item="7f3a9c21e0b4d655")
             slow.writer.write(data[:20])
             stuck.writer.write(request(3)[:20])
@@ -74,8 +74,8 @@
             other.last_received_at -= 2.5
             front.connections.sweep()
             slow.writer.write(data[20:])
-            assert await slow.code() == frames.SERVED
-            assert await stuck.code() == frames.FAILED and await stuck.next() is None
+            assert await slow.answer_code() == frames.SERVED
+            assert await stuck.answer_code() == frames.FAILED and await stuck.next_frame() is None
 
     run(main())
 
@@ -86,11 +86,11 @@
             front, busy = platform.service.client_server, []
             for n in range(front.connections._max_connections):
                 busy.append(await platform.client())
-                busy[-1].ask(1, txn=f"{n:016x}", item=f"{n:016x}")
+                busy[-1].send_request(1, txn=f"{n:016x}", item=f"{n:016x}")
             await until(lambda: len(front.connections.busy) == front.connections._max_connections)
             late = await platform.client()
-            late.ask(1, txn="f" * 16)
-            assert await late.code() == frames.REFUSED and await late.next() is None
+            late.send_request(1, txn="f" * 16)
+            assert await late.answer_code() == frames.REFUSED and await late.next_frame() is None
             assert len(front.connections.busy) == front.connections._max_connections, "nobody lost anything for it"
 
     run(main())
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -29,11 +29,11 @@
         async with PlatformFixture(WorkerStub(echo)) as platform:
             client, body = await platform.client(), bytes(range(256)) * 8
             client.writer.write(frames.encode_frame(frames.READY_QUERY, 7, b"\0"))
-            assert await client.next() == (frames.READY, 7, b"\0\0")
-            client.ask(3, body)
-            assert await client.next() == (frames.ANSWER, 3, b"\0\0" + body)
-            client.ask(4, b"", verb="k", unique="a" * 32)
-            assert await client.next() == (frames.ANSWER, 4, b"\0\0")
+            assert await client.next_frame() == (frames.READY, 7, b"\0\0")
+            client.send_request(3, body)
+            assert await client.next_frame() == (frames.ANSWER, 3, b"\0\0" + body)
+            client.send_request(4, b"", verb="k", unique="a" * 32)
+            assert await client.next_frame() == (frames.ANSWER, 4, b"\0\0")
             assert platform.workers[0].calls == [b"%016x" % 3, b"%016x" % 4]
 
     run(main())
@@ -63,10 +63,10 @@
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
             client = await platform.client()
-            client.ask(1, **overrides)
-            assert await client.code() == frames.FAILED
-            client.ask(2)
-            assert await client.code() == frames.SERVED
+            client.send_request(1, **overrides)
+            assert await client.answer_code() == frames.FAILED
+            client.send_request(2)
+            assert await client.answer_code() == frames.SERVED
             assert len(platform.workers[0].calls) == 1
 
     run(main())
@@ -90,11 +90,11 @@
         async with PlatformFixture(WorkerStub(echo)) as platform:
             client = await platform.client()
             client.writer.write(malformed)
-            assert await client.code() in (frames.FAILED, None)
-            assert await client.next() is None
+            assert await client.answer_code() in (frames.FAILED, None)
+            assert await client.next_frame() is None
             other = await platform.client()
-            other.ask()
-            assert await other.code() == frames.SERVED
+            other.send_request()
+            assert await other.answer_code() == frames.SERVED
 
     run(main())
 
@@ -103,12 +103,12 @@
     async def main() -> None:
         async with PlatformFixture(WorkerStub(lambda *_: None)) as platform:
             first, second = await platform.client(), await platform.client()
-            first.ask(1)
+            first.send_request(1)
             await asyncio.sleep(0.05)
-            second.ask(1, b"other")  # the id of an open request
-            assert await second.code() == frames.FAILED
-            first.ask(1)  # the number of an open stream
-            assert await first.code() == frames.FAILED and await first.next() is None
+            second.send_request(1, b"other")  # the id of an open request
+            assert await second.answer_code() == frames.FAILED
+            first.send_request(1)  # the number of an open stream
+            assert await first.answer_code() == frames.FAILED and await first.next_frame() is None
             await asyncio.sleep(0.05)
             assert platform.workers[0].cancelled == [b"%016x" % 1]  # the client is disconnected
 
@@ -120,7 +120,7 @@
         async with PlatformFixture(WorkerStub(echo)) as platform:
             partial, silent = await platform.client(), await platform.client()
             partial.writer.write(b"\0\0")
-            assert await partial.next(3.0) is None and await silent.next(1.0) is None
+            assert await partial.next_frame(3.0) is None and await silent.next_frame(1.0) is None
 
     run(main())
 
@@ -130,9 +130,9 @@
         async with PlatformFixture(WorkerStub(echo), sockets=40) as platform:
             silent = [await platform.client() for _ in range(30)]
             client = await platform.client()
-            client.ask()
-            assert await client.code() == frames.SERVED
-            assert await silent[0].next(1.0) is None
+            client.send_request()
+            assert await client.answer_code() == frames.SERVED
+            assert await silent[0].next_frame(1.0) is None
 
     run(main())
 
@@ -162,8 +162,8 @@
         async with PlatformFixture(*(WorkerStub(script) for _ in range(9))) as platform:
             client = await platform.client()
             for n in range(1, len(malformed) + 3):
-                client.ask(n)
-                assert await client.code() == frames.SERVED  # a retry was served
+                client.send_request(n)
+                assert await client.answer_code() == frames.SERVED  # a retry was served
             assert not remaining
 
     run(main())
@@ -179,10 +179,10 @@
         async with PlatformFixture(WorkerStub(script)) as platform:
             client = await platform.client()
             for n in (1, 2, 3):
-                client.ask(n, b"%d" % n)
-                assert await client.next() == (frames.ANSWER, n, b"\0\0%d" % n)
+                client.send_request(n, b"%d" % n)
+                assert await client.next_frame() == (frames.ANSWER, n, b"\0\0%d" % n)
             with pytest.raises(TimeoutError):
-                await client.next(0.1)
+                await client.next_frame(0.1)
 
     run(main())
 
@@ -209,18 +209,18 @@
 
         async with PlatformFixture(WorkerStub(later)) as platform:
             leaving, remaining = await platform.client(), await platform.client()
-            leaving.ask(1)
-            remaining.ask(2)
+            leaving.send_request(1)
+            remaining.send_request(2)
             await asyncio.sleep(0.05)
             leaving.writer.close()
             await asyncio.sleep(0.05)
             assert platform.workers[0].cancelled == [b"%016x" % 1]
             platform.service.shut_down()
-            assert await remaining.next() == (frames.GO_AWAY, 0, b"")
+            assert await remaining.next_frame() == (frames.GO_AWAY, 0, b"")
             late = await platform.client()
-            late.ask(3)  # clients that connect during the shutdown are still served
-            assert await late.next() == (frames.GO_AWAY, 0, b"")  # sent to new connections, too
-            assert await remaining.code() == frames.SERVED and await late.code() == frames.SERVED
+            late.send_request(3)  # clients that connect during the shutdown are still served
+            assert await late.next_frame() == (frames.GO_AWAY, 0, b"")  # sent to new connections, too
+            assert await remaining.answer_code() == frames.SERVED and await late.answer_code() == frames.SERVED
             await asyncio.wait_for(platform.service.finished, 1.0)
 
     run(main())
@@ -230,14 +230,14 @@
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
             client, server = await platform.client(), platform.service.client_server
-            client.ask(1)
-            assert await client.code() == frames.SERVED
+            client.send_request(1)
+            assert await client.answer_code() == frames.SERVED
             (connection,) = server.connections.idle
             connection.idle_since -= 100.0
-            client.ask(2)  # written, but not read by the server yet
+            client.send_request(2)  # written, but not read by the server yet
             server.connections.sweep()
             platform.service._shutdown._finish_if_idle()
-            assert await client.code() == frames.SERVED and not platform.service.finished.done()
+            assert await client.answer_code() == frames.SERVED and not platform.service.finished.done()
             await asyncio.wait_for(platform.service.finished, 1.0)
 
     run(main())
@@ -255,9 +255,9 @@
                 on_frame(client, kind, stream, payload)
 
             monkeypatch.setattr(server, "on_frame", fail)
-            bad.ask(99)
-            good.ask(1)
-            assert await bad.next() is None and await good.code() == frames.SERVED
+            bad.send_request(99)
+            good.send_request(1)
+            assert await bad.next_frame() is None and await good.answer_code() == frames.SERVED
 
     run(main())
 
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -169,7 +169,7 @@
         service = Service(asyncio.get_running_loop(), config.parse(json.dumps(raw)))
         client = Client(*await asyncio.open_connection("127.0.0.1", service.open()))
         for n in range(1, 9):
-            client.ask(
+            client.send_request(
                 n,
                 b"%d" % n,
                 verb="berth",
@@ -178,9 +178,9 @@
                 info="lanes:1;memory_mb:899.5",
                 unique=f"key:{n}" if effect == "guarded" else None,
             )
-            assert await client.next() == (frames.ANSWER, n, b"\0\0%d" % n)
-        client.ask(9, verb="t", team="acme")  # names of another deployment are unknown here
-        assert await client.code() == frames.FAILED and len(worker.calls) == 8
+            assert await client.next_frame() == (frames.ANSWER, n, b"\0\0%d" % n)
+        client.send_request(9, verb="t", team="acme")  # names of another deployment are unknown here
+        assert await client.answer_code() == frames.FAILED and len(worker.calls) == 8
         service.close()
 
     run(main())
--- a/tests/test_platform_load.py
+++ b/tests/test_platform_load.py
@@ -78,10 +78,10 @@
         self.received: dict[int, list[tuple[float, int, bytes]]] = collections.defaultdict(list)
         self._reader = asyncio.create_task(self._read())
 
-    def ask(self, n: int, kind: str, limit_ms: int) -> None:
+    def send_request(self, n: int, kind: str, limit_ms: int) -> None:
         now = asyncio.get_running_loop().time()
         self.sent[n] = now, now + limit_ms / 1000, kind
-        self.client.ask(
+        self.client.send_request(
             n,
             b"%d" % (self.base + n),
             verb=kind,
@@ -97,7 +97,7 @@
 
     async def _read(self) -> None:
         with contextlib.suppress(TimeoutError):
-            while (frame := await self.client.next(10)) is not None:
+            while (frame := await self.client.next_frame(10)) is not None:
                 kind, stream, payload = frame
                 if kind == frames.GO_AWAY:
                     self.accepts_more = False
@@ -126,7 +126,7 @@
             for n in range(1, 121):
                 for caller in callers:
                     if caller.open < 24:
-                        caller.ask(n, rng.choice("ttko"), rng.choice((400, 800, 1500)))
+                        caller.send_request(n, rng.choice("ttko"), rng.choice((400, 800, 1500)))
                 if n == 60:  # one worker drains
                     endpoint = platform.configuration["known"]["entries"][0]["hosts"]["targets"][3]["endpoint"]
                     port = int(endpoint.rpartition(":")[2])
@@ -188,7 +188,7 @@
             for n in range(1, 400):
                 for caller in callers:
                     if caller.accepts_more and caller.open < 20:
-                        caller.ask(n, "t", 1500)
+                        caller.send_request(n, "t", 1500)
                 if n == 100:
                     process.send_signal(signal.SIGHUP)
                 if n == 200:
@@ -216,8 +216,8 @@
                     clients: list[Any] = [Caller(await platform.client(), 10**6 * phase + 100 * n) for _ in range(3)]
                     for number, caller in enumerate(clients):
                         caller.base += 10 * number
-                        caller.ask(1, "t", 100)
-                        caller.ask(2, "t", 100)
+                        caller.send_request(1, "t", 100)
+                        caller.send_request(2, "t", 100)
                     async with asyncio.timeout(2):
                         while any(caller.open for caller in clients):
                             await asyncio.sleep(0.002)
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -42,8 +42,8 @@
 
         async with PlatformFixture(WorkerStub(slowly)) as platform:
             client = await platform.client()
-            client.ask(1)
-            assert await client.code() == frames.SERVED
+            client.send_request(1)
+            assert await client.answer_code() == frames.SERVED
             loop, late_requests = asyncio.get_running_loop(), []
             original_call_later = loop.call_later
 
@@ -51,16 +51,16 @@
                 is_end = getattr(callback, "__name__", "") in ("set_result", "_finish")
                 if is_end and not late_requests:  # a request arrives after the last check found no open work
                     late_requests.append(2)
-                    client.ask(2)
+                    client.send_request(2)
                 return original_call_later(delay, callback, *args, **options)
 
             platform.service._shutdown._loop = LoopWithCallLater(loop, call_later)
             platform.service.shut_down()
-            assert await client.next() == (frames.GO_AWAY, 0, b"")
+            assert await client.next_frame() == (frames.GO_AWAY, 0, b"")
             await asyncio.wait_for(platform.service.finished, 3.0)
             assert late_requests
             platform.service.close()
-            code = await client.code()
+            code = await client.answer_code()
             assert code == frames.SERVED or (code is None and len(platform.workers[0].calls) == 1)
 
     run(main())
@@ -119,13 +119,13 @@
             loop = asyncio.get_running_loop()
             loop.remove_reader(listener)  # new clients stay in the accept queue
             platform.service.shut_down()
-            assert await partial.next() == (frames.GO_AWAY, 0, b"")
+            assert await partial.next_frame() == (frames.GO_AWAY, 0, b"")
             late = connect_raw(platform.port)
             late.sendall(request(2))
             await asyncio.sleep(0.75)
             assert not platform.service.finished.done()
             partial.writer.write(data[30:])
-            assert await partial.code() == frames.SERVED
+            assert await partial.answer_code() == frames.SERVED
             await asyncio.wait_for(platform.service.finished, 2.0)
             platform.service.close()
             assert answers(await asyncio.to_thread(read_all, late)) == {2: frames.SERVED}
@@ -148,7 +148,7 @@
             async with asyncio.timeout(1.0):
                 while not platform.service.finished.done():
                     stream += 1
-                    client.ask(stream, limit="400")
+                    client.send_request(stream, limit="400")
                     await asyncio.sleep(0.02)
             with pytest.raises(ConnectionRefusedError):
                 await platform.client()
@@ -291,12 +291,12 @@
     async def main() -> None:
         async with PlatformFixture(WorkerStub(never_answer)) as platform:
             client = await platform.client()
-            client.ask(1, limit="8000")
+            client.send_request(1, limit="8000")
             await until(lambda: platform.workers[0].calls)
             started_at = time.monotonic()
             platform.service.shut_down()
-            assert await client.next() == (frames.GO_AWAY, 0, b"")
-            assert await client.code(3.7) == frames.REFUSED, "the client may retry it at another dispatcher"
+            assert await client.next_frame() == (frames.GO_AWAY, 0, b"")
+            assert await client.answer_code(3.7) == frames.REFUSED, "the client may retry it at another dispatcher"
             await asyncio.wait_for(platform.service.finished, 3.7 - (time.monotonic() - started_at))
 
     run(main())
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -72,16 +72,16 @@
     async def main() -> None:
         async with PlatformFixture(worker := WorkerStub(echo)) as platform:
             client = await platform.client()
-            client.ask(1)
-            assert await client.code() == frames.SERVED
+            client.send_request(1)
+            assert await client.answer_code() == frames.SERVED
             (worker_links,) = platform.service.executor.workers.connections.values()
             (connection,) = worker_links._connections
             (front_client,) = platform.service.client_server.connections.idle
             for each in (connection.connection, front_client.connection):
                 assert each is not None
                 each.transport.sock = Failing(each.transport.sock, "send", [code, code])  # type: ignore[assignment]
-            client.ask(2)
-            assert await client.code() == frames.SERVED
+            client.send_request(2)
+            assert await client.answer_code() == frames.SERVED
             assert worker.connections == 1 and connection in worker_links._connections
 
     run(main())
@@ -132,16 +132,16 @@
     async def main() -> None:
         async with PlatformFixture(Reads(echo)) as platform:
             client = await platform.client()
-            client.ask(1)
-            assert await client.code() == frames.SERVED  # an instance is loaded
+            client.send_request(1)
+            assert await client.answer_code() == frames.SERVED  # an instance is loaded
             for links in platform.service.executor.workers.connections.values():
                 links.close()
             held = BlockedConnects(monkeypatch)
-            client.ask(2, limit="1500")
+            client.send_request(2, limit="1500")
             await until(lambda: held.waiting)
             await asyncio.sleep(0.4)
             held.gate.set()
-            assert await client.code() == frames.SERVED
+            assert await client.answer_code() == frames.SERVED
             assert limits and limits[-1] <= 1500 - 400 + 20
 
     run(main())
@@ -247,13 +247,13 @@
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
             client, front = await platform.client(), platform.service.client_server
-            client.ask(1)
-            assert await client.code() == frames.SERVED
+            client.send_request(1)
+            assert await client.answer_code() == frames.SERVED
             (mine,) = front.connections.idle
-            client.ask(2)  # written, and not yet read
+            client.send_request(2)  # written, and not yet read
             mine.connection.transport.sock = Failing(mine.connection.transport.sock, "recv", [errno.ENOMEM])  # type: ignore[assignment]
             front.connections.evict_one()
-            assert await client.code() == frames.SERVED
+            assert await client.answer_code() == frames.SERVED
 
     run(main())
 
@@ -346,7 +346,7 @@
     async def main() -> None:
         async with PlatformFixture(worker := WorkerStub(never_answer)) as platform:
             client = await platform.client()
-            client.ask(1)
+            client.send_request(1)
             await until(lambda: worker.calls)
             platform.service.close()
             connections = worker.connections
@@ -361,8 +361,8 @@
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
             resting, front = await platform.client(), platform.service.client_server
-            resting.ask(1)
-            assert await resting.code() == frames.SERVED
+            resting.send_request(1)
+            assert await resting.answer_code() == frames.SERVED
             (listening,) = front._listener._sockets
             loop = asyncio.get_running_loop()
             loop.remove_reader(listening)
@@ -370,9 +370,9 @@
             front._listener._sockets = {failing: None}  # type: ignore[dict-item]
             loop.add_reader(listening, front._listener._ready, failing)
             late = await platform.client()
-            late.ask(2)
-            assert await late.code() == frames.SERVED
-            resting.ask(3)
-            assert await resting.code() == frames.SERVED
+            late.send_request(2)
+            assert await late.answer_code() == frames.SERVED
+            resting.send_request(3)
+            assert await resting.answer_code() == frames.SERVED
 
     run(main())
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -300,8 +300,8 @@
                 for n in range(6):
                     for _ in range(3):
                         stream += 1
-                        client.ask(stream, item=f"{n:016x}")
-                        assert await client.code() == frames.SERVED, (newest, n)
+                        client.send_request(stream, item=f"{n:016x}")
+                        assert await client.answer_code() == frames.SERVED, (newest, n)
             assert len(orders) <= 3 * 6 + 2, "one load order for each version and function"
 
     run(main())
--- a/tests/worker_connections_fixture.py
+++ b/tests/worker_connections_fixture.py
@@ -57,7 +57,7 @@
             connect_ms=150.0,
             idle_ms=15_000.0,
             streams=100,
-            max_in_all=max_total,
+            max_total=max_total,
             answer_bytes=1 << 17,
             may_cancel=may_cancel,
             parallel_attempts=parallel_attempts,
