--- a/kelptrail/replication/batch_queue.py
+++ b/kelptrail/replication/batch_queue.py
@@ -1,4 +1,4 @@
-"""Batches of journal entries at the primary: the one that collects entries, and those that are not committed yet."""
+"""Batches of journal entries at the primary: one that collects new entries, and started ones that are not committed."""
 
 from __future__ import annotations
 
@@ -8,11 +8,14 @@
 from .messages import ReplicaEntry
 from .replica_stream import Batch, CommitCallback
 
-MAX_UNCOMMITTED_BATCHES = 4  # further entries are collected in the next batch
+MAX_UNCOMMITTED_BATCHES = 4  # above this limit new entries wait in the collecting batch
 
 
 class BatchQueue:
-    """Batches are numbered from 1 and committed in order.  `uncommitted`: started and not committed, oldest first."""
+    """Batches of one journal, numbered from 1 and committed in order.
+
+    `uncommitted` contains the batches that were started and are not committed, oldest first.
+    """
 
     def __init__(self) -> None:
         self.uncommitted: deque[Batch] = deque()
@@ -23,7 +26,7 @@
     def append(
         self, entries: Iterable[ReplicaEntry], on_commit: CommitCallback | None, deleted_ids: Iterable[str]
     ) -> None:
-        """Add to the batch that is started next."""
+        """Add entries, a commit callback and ids of activations to delete to the batch that is started next."""
         batch = self._collecting
         for entry in entries:
             batch.entries.append(entry)
@@ -33,7 +36,7 @@
             batch.on_commit.append(on_commit)
 
     def start_next(self) -> Batch | None:
-        """Start the batch that was collected; None if it is empty or too many are uncommitted."""
+        """Start the collecting batch; return None if it is empty or too many batches are uncommitted."""
         batch = self._collecting
         is_empty = not (batch.entries or batch.deleted_ids or batch.on_commit)
         if is_empty or len(self.uncommitted) >= MAX_UNCOMMITTED_BATCHES:
@@ -44,7 +47,7 @@
         return batch
 
     def commit_first(self) -> Batch:
-        """The oldest uncommitted batch is committed; its callbacks are called by the caller."""
+        """Remove the oldest uncommitted batch as committed and return it; the caller calls its callbacks."""
         batch = self.uncommitted.popleft()
         self.uncommitted_bytes -= batch.size_bytes
         self.committed_batches += 1
@@ -63,10 +66,10 @@
 
     @property
     def last_locally_durable(self) -> int:
-        """Number of the last batch that is on the local disk."""
+        """Number of the last batch that is stored on the local disk."""
         durable = (batch.number for batch in self.uncommitted if batch.locally_durable)
         return max(durable, default=self.last_committed)
 
     def not_locally_durable(self) -> list[Batch]:
-        """Started batches that are not on the local disk yet."""
+        """Return the started batches that are not stored on the local disk yet."""
         return [batch for batch in self.uncommitted if not batch.locally_durable]
--- a/kelptrail/replication/journal_review.py
+++ b/kelptrail/replication/journal_review.py
@@ -26,7 +26,7 @@
             primary = handle.primary
             if primary.token.round and self._context.lease_token(handle.journal_id) == primary.token:
                 for name in reachable:
-                    primary.on_heard(now, name)
+                    primary.on_reachable(now, name)
                 primary.update_streams(now, reachable, ranking)
                 primary.tick(now)
             self._review(handle)
--- a/kelptrail/replication/messages.py
+++ b/kelptrail/replication/messages.py
@@ -2,10 +2,10 @@
 
 A *journal* is the record of the deferred calls of one run of one dispatcher.  It has one *primary* at a time, which
 holds the lease on the journal, and an *in-sync set*: all dispatchers that have every committed entry, including the
-primary.  The in-sync set is stored as a note with the lease.  The next lease holder therefore knows which disks are
-complete, even if a replica was removed from the set and does not know it.
+primary.  The in-sync set is stored as a note with the lease.  The next lease holder reads from it which disks are
+complete.  This holds even for a replica that was removed from the set without being notified.
 
-Times are milliseconds.  No message carries a time of day; ages are counted up to the moment of sending.
+Times are milliseconds.  No message carries a time of day; entries carry their age at the time of sending instead.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from kelptrail.lease.messages import FencingToken
 
 BUCKETS = 256  # hash ranges of activation ids; each has one digest
-DIGEST_BYTES = 8  # of one bucket
+DIGEST_BYTES = 8  # length of the digest of one bucket
 LEASE_PREFIX = "book/"  # name of a journal's lease: this prefix and the journal id
 
 
@@ -35,7 +35,7 @@
 
 
 NO_BUCKETS = BucketRange(0, 0)
-ALL_BUCKETS = BucketRange(0, -1)  # `end` -1: all buckets, from the digests in memory
+ALL_BUCKETS = BucketRange(0, -1)  # all buckets; the replica returns the digests that it keeps in memory
 
 
 class EntryKey(NamedTuple):
@@ -48,8 +48,8 @@
 class ReplicaEntry(msgspec.Struct, frozen=True, array_like=True):
     """One journal entry.  `data` is the output of `store.entries.encode_entry`.
 
-    `age_ms` is its age when it was sent: counted from the acceptance of the call, or, for a may-run entry, from its
-    write.
+    `age_ms` is the entry's age at the time of sending, counted from the acceptance of the call or, for a may-run entry,
+    from the time at which the entry was written.
     """
 
     id: str
@@ -59,9 +59,9 @@
 
 
 class OpenStream(msgspec.Struct, frozen=True, tag="copies-open", array_like=True):
-    """The primary opens a stream to a replica and asks for the digests of all buckets.
+    """Opens a stream from the primary to a replica and requests the digests of all buckets.
 
-    `stream_id` is larger for each new stream under one token.
+    `stream_id` increases with each new stream under the same token.
     """
 
     journal_id: str
@@ -72,9 +72,9 @@
 class Append(msgspec.Struct, frozen=True, tag="put", array_like=True):
     """The next message of a stream: entries to store and activation ids to delete.
 
-    `trimmed_bucket`: the replica deletes everything in this bucket except `retained`; -1: no bucket is trimmed.
-    `digest_range`: buckets whose digests the replica reads from disk and reports; see `BucketRange`.
-    `delay_ms`: time from the first queueing of this message to its sending, added to the ages of its entries.
+    `trimmed_bucket`: bucket in which the replica deletes everything except `retained`; -1 if no bucket is trimmed.
+    `digest_range`: buckets whose digests the replica computes from its disk and returns.
+    `delay_ms`: time from queueing this message to sending it, to be added to the ages of its entries.
     """
 
     journal_id: str
@@ -90,9 +90,9 @@
 
 
 class DigestReply(msgspec.Struct, frozen=True, tag="copies-told", array_like=True):
-    """Digests of a replica's buckets, from `first_bucket` on, after it stored `sequence` of the stream.
+    """Digests of a replica's buckets, from `first_bucket` on, after it has stored message `sequence` of the stream.
 
-    `disk_id` is a random name drawn when the replica's store was created; no two disks share one.
+    `disk_id` is a random id, generated when the replica's store is created; no two disks have the same one.
     """
 
     journal_id: str
@@ -114,14 +114,17 @@
 
 
 class FencedReply(msgspec.Struct, frozen=True, tag="fenced", array_like=True):
-    """The request was rejected because its fencing token is older than `token`, the newest seen by the replica."""
+    """Rejects a message whose fencing token is older than `token`, the newest one that the replica has received."""
 
     journal_id: str
     token: FencingToken
 
 
 class CloseStream(msgspec.Struct, frozen=True, tag="copies-shut", array_like=True):
-    """The receiver is no longer a replica of this journal and may delete its copy; `stream_id` as in `OpenStream`."""
+    """Notifies the receiver that it is no longer a replica of this journal, so that it deletes its copy.
+
+    `stream_id` is chosen as for `OpenStream`.
+    """
 
     journal_id: str
     token: FencingToken
@@ -129,26 +132,29 @@
 
 
 class Claim(msgspec.Struct, frozen=True, tag="copies-take", array_like=True):
-    """The lease on the journal was released in favour of the receiver, which should acquire it now."""
+    """Requests that the receiver acquire the journal's lease, which was released in its favour."""
 
     journal_id: str
 
 
 class DrainNotice(msgspec.Struct, frozen=True, tag="copies-leaving", array_like=True):
-    """The sender is draining: primaries replace it as a replica before they remove it from the in-sync set."""
+    """Announces that the sender is draining.  Primaries replace it before they remove it from the in-sync set."""
 
 
 class Lookup(msgspec.Struct, frozen=True, tag="find", array_like=True):
-    """Asks who has an activation.  `target` is its id, or `key:NAMESPACE/ACTION/KEY` for an idempotency key."""
+    """Queries whether a dispatcher has an activation.
+
+    `target` is the activation's id, or `key:NAMESPACE/ACTION/KEY` for an idempotency key.
+    """
 
     target: str
 
 
 class LookupReply(msgspec.Struct, frozen=True, tag="found", array_like=True):
-    """Reply to `Lookup`.  `state` is a value of `lookup.LookupState`; `address` is set where the state is HERE.
+    """Reply to `Lookup`.  `state` is a value of `lookup.LookupState`; `address` is set if the state is HERE.
 
-    `responder`: name and run of the sender.  `primaries`: name and run of each primary of a journal that is replicated
-    at the sender and may contain the target.
+    `responder`: name and run of the sender.  `primaries`: name and run of the primary of each journal that is
+    replicated at the sender and may contain the target.
     """
 
     target: str
@@ -161,14 +167,14 @@
 class InSyncSet(msgspec.Struct, frozen=True, array_like=True):
     """The note stored with a journal's lease: the last primary, and the disk id of each in-sync dispatcher by name.
 
-    The disk id prevents a dispatcher that restarts with an empty disk from being treated as complete.
+    The disk id prevents a dispatcher that restarts with an empty disk from counting as in sync.
     """
 
     primary: str
     disk_ids: dict[str, str]
 
 
-Answer = DigestReply | AppendAck | FencedReply
+ReplicaReply = DigestReply | AppendAck | FencedReply
 Message = (
     OpenStream
     | Append
@@ -182,32 +188,35 @@
     | LookupReply
 )
 
-_read_members = msgspec.msgpack.Decoder(InSyncSet).decode
+_decode_in_sync = msgspec.msgpack.Decoder(InSyncSet).decode
 
 
-def encode_in_sync(members: InSyncSet) -> bytes:
-    """The in-sync set as it is stored with the lease."""
-    return msgspec.msgpack.encode(members)
+def encode_in_sync(in_sync: InSyncSet) -> bytes:
+    """Encode the in-sync set as it is stored with the lease."""
+    return msgspec.msgpack.encode(in_sync)
 
 
-def decode_in_sync(text: bytes) -> InSyncSet:
-    """Decode the output of `encode_in_sync`; an empty text gives an empty set.  Raises `msgspec.MsgspecError`."""
-    return _read_members(text) if text else InSyncSet("", {})
+def decode_in_sync(data: bytes) -> InSyncSet:
+    """Decode the output of `encode_in_sync`; empty `data` gives an empty set.  Raises `msgspec.MsgspecError`."""
+    return _decode_in_sync(data) if data else InSyncSet("", {})
 
 
 def bucket_of(id_: str) -> int:
-    """The bucket of an activation id."""
+    """Return the bucket of an activation id."""
     return crc32(id_.encode()) % BUCKETS
 
 
 def entry_digest(id_: str, kind: int, crc: int) -> int:
-    """Digest of one entry whose packed bytes have this CRC-32.  A bucket's digest is the xor over its entries."""
+    """Return the digest of an entry whose encoded bytes have this CRC-32.
+
+    The digest of a bucket is the XOR of the digests of its entries.
+    """
     return int.from_bytes(blake2b(f"{id_}\0{kind}\0{crc}".encode(), digest_size=DIGEST_BYTES).digest())
 
 
-def pack_digests(found: Iterable[int]) -> bytes:
-    """Encode digests of consecutive buckets."""
-    return b"".join(one.to_bytes(DIGEST_BYTES) for one in found)
+def pack_digests(digests: Iterable[int]) -> bytes:
+    """Encode the digests of consecutive buckets."""
+    return b"".join(digest.to_bytes(DIGEST_BYTES) for digest in digests)
 
 
 def unpack_digests(data: bytes) -> list[int]:
@@ -216,7 +225,10 @@
 
 
 def differing_buckets(local_digests: list[int], reply: DigestReply) -> list[int]:
-    """Buckets of a reply whose digests differ from `local_digests`, which begins at the same bucket."""
+    """Return the buckets of a reply whose digests differ from `local_digests`.
+
+    `local_digests` begins at the same bucket as the reply.
+    """
     return [
         bucket
         for bucket, (local, remote) in enumerate(
@@ -226,12 +238,12 @@
     ]
 
 
-def bucket_digests(items: Iterable[ReplicaEntry]) -> list[int]:
-    """Digests of all buckets, computed from entries."""
-    found: list[list[int]] = [[] for _ in range(BUCKETS)]
-    for item in items:
-        found[bucket_of(item.id)].append(entry_digest(item.id, item.kind, crc32(item.data)))
-    return [reduce(xor, ones, 0) for ones in found]
+def bucket_digests(entries: Iterable[ReplicaEntry]) -> list[int]:
+    """Compute the digests of all buckets from entries."""
+    by_bucket: list[list[int]] = [[] for _ in range(BUCKETS)]
+    for entry in entries:
+        by_bucket[bucket_of(entry.id)].append(entry_digest(entry.id, entry.kind, crc32(entry.data)))
+    return [reduce(xor, digests, 0) for digests in by_bucket]
 
 
 @dataclass(frozen=True, slots=True)
@@ -239,13 +251,13 @@
     """Settings of the primary.  Times are milliseconds, sizes bytes."""
 
     replica_count: int = 0  # replicas of each journal besides the primary
-    allow_under_replicated: bool = False  # accept deferred calls with fewer replicas, too
-    retry_ms: float = 300.0  # an unacknowledged message is sent again after this time
-    replica_timeout_ms: float = 1500.0  # a replica that is silent or does not acknowledge for so long is dropped
-    reconnect_pause_ms: float = 3000.0  # before a dropped replica is tried again
-    max_uncommitted_bytes: int = 64 << 20  # new calls are rejected above this
-    window_bytes: int = 256 << 10  # sent and unacknowledged, per replica
-    repair_bytes_per_ms: float = 20_000.0  # rate limit of the repair of one replica
-    max_entry_bytes: int = 256 << 10  # of one entry; of a larger result only the outcome is stored
-    verify_interval_ms: float = 1000.0  # between two digest checks of one replica
+    allow_under_replicated: bool = False  # whether deferred calls are accepted even with too few in-sync replicas
+    retry_ms: float = 300.0  # time after which an unacknowledged message is sent again
+    replica_timeout_ms: float = 1500.0  # time without a message or acknowledgement after which a replica is dropped
+    reconnect_pause_ms: float = 3000.0  # pause before a stream to a dropped replica is opened again
+    max_uncommitted_bytes: int = 64 << 20  # limit above which new calls are rejected
+    window_bytes: int = 256 << 10  # limit on sent and unacknowledged data per replica
+    repair_bytes_per_ms: float = 20_000.0  # rate limit for the repair of one replica
+    max_entry_bytes: int = 256 << 10  # size limit of an entry; of a larger result only the outcome is stored
+    verify_interval_ms: float = 1000.0  # time between two digest checks of one replica
     verify_buckets: int = 8  # buckets per digest check
--- a/kelptrail/replication/primary.py
+++ b/kelptrail/replication/primary.py
@@ -2,11 +2,11 @@
 
 Entries are collected in batches.  A batch is written to the local disk and sent to all replicas in parallel.  A replica
 joins the in-sync set once it has everything that the primary has; one that does not acknowledge in time is removed from
-it.  Either change is first stored as a note with the journal's lease.  The next lease holder therefore has every
-committed batch, provided that it is in the noted set.
+it.  Either change is stored as a note with the journal's lease before it takes effect.  The next lease holder therefore
+has every committed batch, provided that the note lists it.
 
-Each replica has a stream of its own.  The stream begins with the replica's digests.  Buckets that differ are repaired
-one by one at a bounded rate; batches written meanwhile are deferred until the repair is over.
+Each replica has its own stream.  The replica first sends its digests.  Buckets that differ are then repaired one by one
+at a bounded rate; batches written meanwhile are deferred until the repair is complete.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from kelptrail.lease.messages import NO_TOKEN, FencingToken
 
 from .batch_queue import BatchQueue
-from .messages import Answer, AppendAck, DigestReply, FencedReply, ReplicaEntry, ReplicationSettings
+from .messages import AppendAck, DigestReply, FencedReply, ReplicaEntry, ReplicaReply, ReplicationSettings
 from .replica_stream import Batch, CommitCallback, ReplicaStream, StreamState
 from .replica_streams import ReplicaStreams
 from .stream_repair import StreamRepair
@@ -25,29 +25,30 @@
 
 
 class UnderReplicationTimer:
-    """How long a journal has had fewer in-sync replicas than configured.  Times are milliseconds."""
+    """Measures how long a journal has had fewer in-sync replicas than configured.  Times are milliseconds."""
 
     def __init__(self) -> None:
-        self.since: float | None = None  # start of the current period
+        self.since: float | None = None  # start of the current under-replicated period
         self.earlier_ms = 0.0  # sum of earlier periods
 
     def start(self, now: float) -> None:
-        """The journal is under-replicated; a second call changes nothing."""
+        """Start an under-replicated period unless one is in progress."""
         if self.since is None:
             self.since = now
 
     def stop(self, now: float) -> None:
-        """The journal is fully replicated; a second call changes nothing."""
+        """End the under-replicated period if one is in progress."""
         if self.since is not None:
             self.earlier_ms += now - self.since
             self.since = None
 
 
 class Primary:
-    """One journal at its primary `name`.  `disk_id`: id of the local store; `digests`: reads the local digests.
+    """One journal at its primary, the dispatcher `name`.
 
-    The driver sends `outbox`, writes `local_writes`, carries out `bucket_reads` and stores `in_sync_updates` with the
-    lease, each in order.
+    `disk_id` is the id of the local store, and `digests` returns the digests of its buckets.  The driver sends the
+    messages of `outbox`, writes `local_writes`, carries out `bucket_reads` and stores `in_sync_updates` with the lease,
+    each in order.
     """
 
     def __init__(
@@ -64,23 +65,26 @@
         self.outbox, self.bucket_reads = self.sender.outbox, self._repair.bucket_reads
         self.local_writes: deque[Batch] = deque()
         self.in_sync_updates: deque[dict[str, str]] = deque()  # disk ids by name
-        self.ready = False  # the first note under this token is stored: entries may be committed
-        self.fenced_by: FencingToken | None = None  # token of another primary
+        self.ready = False  # set once the first note under this token is stored; only then entries may be committed
+        self.fenced_by: FencingToken | None = None  # later token of another primary
         self.disk_failed = False
-        self.pending_in_sync: dict[str, str] | None = None  # is being stored
+        self.pending_in_sync: dict[str, str] | None = None  # in-sync set that is being stored
         self.under_replication = UnderReplicationTimer()
-        self.closing = False  # every entry is deleted
-        self.repaired_buckets = 0  # that differed at an in-sync replica
+        self.closing = False  # set once the journal is empty and is being closed
+        self.repaired_buckets = 0  # buckets that were found to differ at an in-sync replica
 
     # The lease.
 
-    def on_lease_acquired(self, now: float, token: FencingToken, members: Mapping[str, str]) -> None:
-        """This dispatcher is the primary under `token`; `members`: the noted in-sync set without a lost primary."""
+    def on_lease_acquired(self, now: float, token: FencingToken, in_sync: Mapping[str, str]) -> None:
+        """Become the primary under `token`.
+
+        `in_sync` is the in-sync set from the note of the lease, without the primary that was lost.
+        """
         self.token, self.ready, self.fenced_by = token, False, None
         self.sender.token = token
         self._streams.forget_all()
         self.pending_in_sync = None
-        self.in_sync = {**members, self.name: self.disk_id}
+        self.in_sync = {**in_sync, self.name: self.disk_id}
         self.in_sync_updates.clear()
         self._store_in_sync(self.in_sync)
         if not self.is_fully_replicated:
@@ -90,7 +94,7 @@
                 self._streams.open(now, name)
 
     def on_in_sync_stored(self, now: float) -> None:
-        """The pending in-sync set is stored with the lease."""
+        """Make the pending in-sync set the current one: it is stored with the lease."""
         if self.pending_in_sync is None:
             return
         self.in_sync, self.pending_in_sync, self.ready = self.pending_in_sync, None, True
@@ -101,14 +105,14 @@
         self._commit()
 
     def add_stale_replica(self, name: str) -> None:
-        """Have a former primary delete its copy once it is reachable."""
+        """Record a former primary, which must delete its copy once it is reachable."""
         if name not in self.in_sync:
             self._streams.stale_replicas.add(name)
 
     def probe_fencing(self, reported_holder: str) -> None:
-        """Without the lease: send an open to the replicas and to the reported lease holder.
+        """Find out, without the lease, whether another primary has acted: the replicas then reply with its later token.
 
-        If another primary has acted, they reply with its later token.
+        The request is an `OpenStream` message to the replicas and to the reported lease holder.
         """
         for name in sorted({*self.in_sync, reported_holder} - {self.name}):
             self.sender.probe(name)
@@ -119,7 +123,7 @@
         return len(self.in_sync) > self.settings.replica_count
 
     def accepts_requests(self) -> bool:
-        """Whether a new deferred call can be accepted."""
+        """Return whether a new deferred call can be accepted."""
         return (
             self.ready
             and not self.disk_failed
@@ -133,11 +137,12 @@
     def append(
         self, entries: Iterable[ReplicaEntry], on_commit: CommitCallback | None, deleted_ids: Iterable[str] = ()
     ) -> None:
-        """Add entries to the next batch, and delete activations.
+        """Add entries, and the ids of activations to delete, to the next batch.
 
-        `on_commit` is called once the batch is committed: with True if the journal is fully replicated then; never, if
-        the journal is lost before.  Without entries it is called when everything on the local disk is committed: after
-        a failover no entry found there may be acted on before, as other replicas may not have it.
+        `on_commit` is called once the batch is committed, with True if the journal is fully replicated at that time.
+        If the journal is lost before, it is never called.  Without entries it is called when everything on the local
+        disk is committed: after a failover an entry on this disk must not be acted on earlier, as other replicas may
+        not have it.
         """
         self.batches.append(entries, on_commit, deleted_ids)
 
@@ -156,7 +161,7 @@
                 self.sender.send_batch(now, stream, batch)
 
     def on_local_write(self, batch: Batch, succeeded: bool) -> None:
-        """A batch was written to the local disk, or failed.
+        """Handle the end of a batch's write to the local disk.
 
         After a failure the contents of the disk are unknown, so the driver transfers the journal to another replica.
         """
@@ -167,7 +172,7 @@
         self._commit()
 
     def _commit(self) -> None:
-        """Commit batches, in order, that all in-sync replicas have stored."""
+        """Commit, in order, the batches that all in-sync replicas have stored."""
         caught_up = {stream.replica for stream in self.streams.values() if stream.state is StreamState.IN_SYNC}
         required = {*self.in_sync, *(self.pending_in_sync or ()), *caught_up} - {self.name}
         while self.batches.uncommitted and self.ready and not self.fenced_by:
@@ -185,7 +190,7 @@
     # Replicas.
 
     def update_streams(self, now: float, reachable: Iterable[str], ranking: Iterable[str]) -> None:
-        """Open streams to missing replicas in the order of `ranking`; drop those that are not reachable."""
+        """Open streams to missing replicas in the order of `ranking`; drop the streams of unreachable replicas."""
         names = set(reachable)
         self._streams.update(now, names, ranking if not self.closing else (), lambda: self.in_sync)
         if self.pending_in_sync is None and self.ready:
@@ -194,8 +199,8 @@
     def _on_stream_dropped(self) -> None:
         self._update_in_sync()
 
-    def on_heard(self, now: float, name: str) -> None:
-        """A replica was heard; this counts as a sign of life if it has nothing to acknowledge."""
+    def on_reachable(self, now: float, name: str) -> None:
+        """Restart the time-out of a replica that is connected and has nothing to acknowledge."""
         stream = self.streams.get(name)
         if stream is not None and not stream.unacked and stream.state is StreamState.IN_SYNC:
             stream.waiting_since = now
@@ -204,18 +209,18 @@
         """Store a new in-sync set if replicas have caught up or were dropped."""
         if self.pending_in_sync is not None or not self.token.round or self.closing:
             return
-        # A replica that joins has every committed batch: none is committed without it from the end of its repair.
-        members = {self.name: self.disk_id}
+        # A replica that joins has every committed batch: once its repair is complete, no batch is committed without it.
+        in_sync = {self.name: self.disk_id}
         for name, stream in sorted(self.streams.items()):
             has_caught_up = stream.state is StreamState.IN_SYNC and stream.acked_batch >= self.batches.last_committed
             if has_caught_up or (name in self.in_sync and stream.disk_id in ("", self.in_sync[name])):
-                members[name] = stream.disk_id or self.in_sync[name]
-        if members != self.in_sync:
-            self._store_in_sync(members)
+                in_sync[name] = stream.disk_id or self.in_sync[name]
+        if in_sync != self.in_sync:
+            self._store_in_sync(in_sync)
 
-    def _store_in_sync(self, members: dict[str, str]) -> None:
-        self.pending_in_sync = members
-        self.in_sync_updates.append(members)
+    def _store_in_sync(self, in_sync: dict[str, str]) -> None:
+        self.pending_in_sync = in_sync
+        self.in_sync_updates.append(in_sync)
 
     def close(self) -> None:
         """Close the journal: store an empty in-sync set and have all replicas delete their copies."""
@@ -225,36 +230,39 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether the empty set is stored and all replicas were notified."""
+        """Whether the empty in-sync set is stored and all replicas were notified."""
         return self.closing and self.pending_in_sync is None and not self._streams.stale_replicas
 
-    def on_message(self, now: float, replica: str, answer: Answer) -> None:
-        """Handle a reply of a replica; replies to other streams are ignored."""
-        if isinstance(answer, FencedReply):
-            if answer.token > self.token:
-                self.fenced_by = max(answer.token, self.fenced_by or NO_TOKEN)
+    def on_message(self, now: float, replica: str, reply: ReplicaReply) -> None:
+        """Handle a reply of a replica; replies to former streams are ignored."""
+        if isinstance(reply, FencedReply):
+            if reply.token > self.token:
+                self.fenced_by = max(reply.token, self.fenced_by or NO_TOKEN)
             return
         stream = self.streams.get(replica)
-        if stream is None or (answer.token, answer.stream_id) != (self.token, stream.stream_id):
+        if stream is None or (reply.token, reply.stream_id) != (self.token, stream.stream_id):
             return
-        if isinstance(answer, AppendAck):
-            self._on_ack(now, stream, answer.sequence)
+        if isinstance(reply, AppendAck):
+            self._on_ack(now, stream, reply.sequence)
         elif stream.state is StreamState.OPENING:
-            self._repair.start(now, stream, answer)
+            self._repair.start(now, stream, reply)
         else:
-            self._verify_digests(now, stream, answer)
+            self._verify_digests(now, stream, reply)
 
     def on_bucket_read(
         self, now: float, name: str, stream_id: int, bucket: int, entries: tuple[ReplicaEntry, ...] | None
     ) -> None:
-        """The entries of a local bucket; None: the read failed and is repeated."""
+        """Send the entries of a local bucket to a replica under repair.
+
+        `entries` is None if the read failed; it is then repeated.
+        """
         stream = self.streams.get(name)
         if stream is None or stream.stream_id != stream_id or stream.reading_bucket != bucket:
             return
         self._repair.on_bucket_read(now, stream, entries)
 
     def _verify_digests(self, now: float, stream: ReplicaStream, reply: DigestReply) -> None:
-        """Drop a stream whose replica has lost acknowledged entries: it is out of sync until it is repaired."""
+        """Drop the stream of a replica that has lost acknowledged entries: it is out of sync until it is repaired."""
         if lost := self._repair.lost_buckets(stream, reply):
             self.repaired_buckets += len(lost)
             self._streams.drop(now, stream, reconnect_pause_ms=0.0)
@@ -273,7 +281,7 @@
         self._commit()
 
     def tick(self, now: float) -> None:
-        """Drop replicas that time out, resend, continue repairs, check digests; then start a batch."""
+        """Drop replicas that time out, resend messages, continue repairs and check digests; then start a batch."""
         for stream in list(self.streams.values()):
             self._tick_stream(now, stream)
         self._update_in_sync()
--- a/kelptrail/replication/replica.py
+++ b/kelptrail/replication/replica.py
@@ -1,8 +1,9 @@
 """The replica's side of replication, without I/O and clocks: it stores the entries of other dispatchers' journals.
 
-A replica rejects every message whose fencing token is older than the newest one it has seen.  It stores a token before
-it replies under it, so that a former primary cannot commit anything after a failover.  The sequence numbers of a stream
-have no gaps: a message that arrives too early is dropped, and the primary sends it again.
+A replica rejects every message whose fencing token is older than the newest one that it has received.  It stores a new
+token on disk before it replies to messages with that token, so that a former primary cannot commit anything after a
+failover.  The sequence numbers of a stream have no gaps: a message that arrives too early is dropped, and the primary
+sends it again.
 """
 
 from __future__ import annotations
@@ -38,9 +39,9 @@
 
 @dataclass(slots=True, eq=False)
 class ReplicaWrite:
-    """One atomic write to the replica store; writes are carried out in order, then the primary gets a reply.
+    """One atomic write to the replica store.  Writes are carried out in order; the primary then gets a reply.
 
-    `fence`: the token that is stored as the newest one, and the primary under it.  For `trimmed_bucket`, `retained`,
+    `fence`: the newest token and the primary that holds it, to be stored.  For `trimmed_bucket`, `retained`,
     `digest_range` and `delay_ms` see `Append`.
     """
 
@@ -51,21 +52,21 @@
     retained: tuple[EntryKey, ...] = ()
     delay_ms: float = 0.0
     fence: Fence | None = None
-    digest_range: BucketRange = NO_BUCKETS  # buckets whose digests are read back
+    digest_range: BucketRange = NO_BUCKETS  # buckets whose digests are returned in `digests`
     closes: bool = False
     reply_to: str = ""
     stream_id: int = 0
     sequence: int = 0
-    wall_ms: float = 0.0  # arrival time, set by the driver; ages of entries are subtracted from it
-    digests: bytes = b""  # result of reading `digest_range`
+    wall_ms: float = 0.0  # arrival time, set by the driver; subtracting the age of an entry gives its time
+    digests: bytes = b""  # digests of `digest_range`, set by the store
 
 
 @dataclass(slots=True)
 class ReplicaLog:
     """State of one journal at this replica.
 
-    `received_sequence` is the last message of the stream that was accepted, `durable_sequence` the last one stored.
-    An empty `primary` means that the journal is closed here.
+    `received_sequence` is the number of the last message of the stream that was accepted, `durable_sequence` that of
+    the last one stored.  An empty `primary` means that the journal is closed here.
     """
 
     token: FencingToken = NO_TOKEN
@@ -76,10 +77,10 @@
 
 
 class Replica:
-    """All journals stored at this dispatcher, its own included.
+    """All journals stored at this dispatcher, including its own.
 
-    `fences`: newest token and primary of each journal, as read from disk.  `disk_id_of`: id of the store that has a
-    journal.  The driver carries out `pending_writes` and sends `outbox`.
+    `fences` is the newest token and primary of each journal, as read from disk.  `disk_id_of` returns the id of the
+    store that contains a journal.  The driver carries out `pending_writes` and sends the messages of `outbox`.
     """
 
     def __init__(self, fences: Mapping[str, Fence], disk_id_of: Callable[[str], str]) -> None:
@@ -90,7 +91,7 @@
         self.fenced_messages = 0
 
     def on_message(self, sender: str, message: OpenStream | Append | CloseStream) -> None:
-        """Handle a message from a primary, or from a dispatcher that believes it is the primary."""
+        """Handle a message from a primary, or from a former primary that still acts as one."""
         log = self.logs.get(message.journal_id, ReplicaLog())
         if message.token < log.token:
             self.fenced_messages += 1
@@ -147,7 +148,7 @@
             )
 
     def on_write_done(self, write: ReplicaWrite, succeeded: bool) -> None:
-        """A write has ended.  If it failed, its stream continues from the message before it."""
+        """Reply to the primary after a write; after a failed write the stream continues from the message before it."""
         log = self.logs.get(write.journal_id)
         if log is None or not write.reply_to or log.stream_id != write.stream_id:
             return  # the journal was closed, or another stream was opened meanwhile
@@ -177,22 +178,22 @@
             )
 
     def is_latest_token(self, journal_id: str, token: FencingToken) -> bool:
-        """Whether no other primary has written to this journal under a later token.
+        """Return whether no other primary has written to this journal under a later token.
 
-        Prevents a primary from continuing with entries that its successor has already deleted from this disk.
+        This prevents a primary from continuing with entries that its successor has already deleted from this disk.
         """
         log = self.logs.get(journal_id)
         return log is not None and log.token == token
 
     def close(self, journal_id: str, token: FencingToken, stream_id: int = 0) -> None:
-        """Delete a journal's entries and keep its token, so that a former primary is still rejected here."""
+        """Delete a journal's entries.  Its token stays stored, so that a former primary is still rejected."""
         self.logs[journal_id] = ReplicaLog(token, "", stream_id)
         self.pending_writes.append(ReplicaWrite(journal_id, fence=Fence(token, ""), closes=True))
 
     def become_primary(self, journal_id: str, token: FencingToken, primary: str) -> ReplicaWrite | None:
-        """Make this dispatcher the primary; returns the write that must be stored before it acts.
+        """Make this dispatcher the primary; return the write that must be stored before it acts as the primary.
 
-        None if a later token has been seen.
+        Return None if a later token has been received.
         """
         log = self.logs.get(journal_id, ReplicaLog())
         if token < log.token:
--- a/kelptrail/replication/replica_stream.py
+++ b/kelptrail/replication/replica_stream.py
@@ -1,4 +1,4 @@
-"""The stream of appends from a primary to one replica: its state and its window of unacknowledged messages."""
+"""The stream of `Append` messages from a primary to one replica: its state and its window of unacknowledged ones."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 class StreamState(Enum):
-    """Progress of a replica; operators see the values."""
+    """State of a replica; the values appear in the status for operators."""
 
-    OPENING = "opening"  # the replica's digests are awaited
-    REPAIRING = "filling"  # buckets that differ are being copied
-    IN_SYNC = "whole"  # it has everything that the primary has
+    OPENING = "opening"  # waiting for the replica's digests
+    REPAIRING = "filling"  # copying the buckets that differ
+    IN_SYNC = "whole"  # the replica has everything that the primary has
 
 
 @dataclass(slots=True, eq=False)
 class Batch:
     """Entries that are committed together.
 
-    `on_commit` callbacks get True if the in-sync set has as many replicas as configured.
+    The callbacks in `on_commit` get True if the in-sync set has as many replicas as configured.
     """
 
     number: int
@@ -39,7 +39,10 @@
 
 
 class UnackedAppend(NamedTuple):
-    """A message that the replica has not acknowledged; `batch`: the last batch that it completes, or 0."""
+    """A message that the replica has not acknowledged.
+
+    `batch` is the number of the last batch that the message completes, or 0 if it completes none.
+    """
 
     append: Append
     size_bytes: int
@@ -61,20 +64,20 @@
 
     replica: str
     stream_id: int
-    waiting_since: float  # start of the wait for an acknowledgement, or last sign of life
+    waiting_since: float  # start of the wait for an acknowledgement, or last contact with the replica
     state: StreamState = StreamState.OPENING
-    disk_id: str = ""  # known after the first reply
-    last_sequence: int = 0  # last message that was queued
+    disk_id: str = ""  # empty until the first reply
+    last_sequence: int = 0  # number of the last message that was queued
     acked_sequence: int = 0
-    acked_batch: int = 0  # last batch that the replica has stored
-    repaired_batch: int = 0  # last batch that the repair covers
-    repair_end: int = 0  # the replica is in sync once this sequence is acknowledged; 0: the repair is not over
-    retry_at: float = 0.0  # when unacknowledged messages are sent again
-    repair_at: float = 0.0  # earliest time of the next bucket, by the rate limit
-    reading_bucket: int = -1  # the bucket that is being read from the local disk; -1: none
+    acked_batch: int = 0  # number of the last batch that the replica has stored
+    repaired_batch: int = 0  # number of the last batch whose entries the repair includes
+    repair_end: int = 0  # message whose acknowledgement ends the repair; 0 until it is queued
+    retry_at: float = 0.0  # time at which unacknowledged messages are sent again
+    repair_at: float = 0.0  # earliest time of the next bucket under the rate limit
+    reading_bucket: int = -1  # bucket that is being read from the local disk; -1 if none
     differing_buckets: deque[int] = field(default_factory=deque)
     unacked: deque[UnackedAppend] = field(default_factory=deque)
-    deferred_batches: list[Batch] = field(default_factory=list)  # sent after the repair
+    deferred_batches: list[Batch] = field(default_factory=list)  # batches to be sent after the repair
     sent_sequence: int = 0
     unacked_bytes: int = 0
     repaired_bytes: int = 0
@@ -83,7 +86,7 @@
 
     @property
     def awaits_reply(self) -> bool:
-        """Whether the replica has something to acknowledge."""
+        """Whether the replica has to acknowledge a message or to reply to the opening of the stream."""
         return bool(self.unacked) or self.state is StreamState.OPENING
 
     def queue(self, now: float, append: Append, batch: int, retry_ms: float) -> None:
@@ -95,7 +98,7 @@
         self.unacked_bytes += size_bytes
 
     def take_sendable(self, now: float, window_bytes: int) -> list[UnackedAppend]:
-        """Unsent messages that fit into the window; they count as sent.  Their delay is brought up to date."""
+        """Return the unsent messages that fit into the window, with updated delays, and record them as sent."""
         sendable = list[UnackedAppend]()
         for unacked in self.unacked:
             if window_bytes <= 0:
@@ -107,7 +110,7 @@
         return sendable
 
     def acknowledge(self, now: float, sequence: int, retry_ms: float) -> None:
-        """The replica has stored everything up to `sequence`."""
+        """Remove the messages up to and including `sequence`, which the replica has stored."""
         while self.unacked and self.unacked[0].append.sequence <= sequence:
             unacked = self.unacked.popleft()
             self.unacked_bytes -= unacked.size_bytes
@@ -123,14 +126,15 @@
 
 
 def entries_size(entries: Iterable[ReplicaEntry]) -> int:
-    """Bytes of entries as the window counts them."""
+    """Return the size of entries in bytes as the window counts it."""
     return sum(len(entry.id) + len(entry.data) for entry in entries)
 
 
 def split_entries(entries: Iterable[ReplicaEntry], max_bytes: int) -> list[tuple[ReplicaEntry, ...]]:
-    """Split entries into messages of at most `max_bytes`, or of one entry; at least one message, which may be empty.
+    """Split entries into parts of at most `max_bytes`; a larger entry is a part of its own.
 
-    Peer connections do not carry larger messages.
+    Each part is sent as one message, because peer connections limit the size of messages.  There is at least one part,
+    which may be empty.
     """
     parts, part_bytes = list[list[ReplicaEntry]]([[]]), 0
     for entry in entries:
--- a/kelptrail/replication/replica_streams.py
+++ b/kelptrail/replication/replica_streams.py
@@ -1,4 +1,4 @@
-"""The streams of a journal to its replicas: which are opened and dropped, and which former replicas are closed."""
+"""The streams of a journal to its replicas: which to open, drop or replace, and which former replicas to close."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 class ReplicaStreams:
     """Streams of the primary `name`.  `on_dropped` is called after a stream was dropped.
 
-    `draining`: replicas to be replaced; they stay in sync until then.
+    `draining` contains replicas that are to be replaced; they stay in the in-sync set until they are.
     """
 
     def __init__(
@@ -22,7 +22,7 @@
         self.by_replica: dict[str, ReplicaStream] = {}
         self.draining: set[str] = set()
         self.stale_replicas: set[str] = set()  # former replicas that may still have a copy
-        self._reconnect_at: dict[str, float] = {}  # dropped replicas
+        self._reconnect_at: dict[str, float] = {}  # earliest time of a new stream to each dropped replica
 
     def open(self, now: float, name: str) -> ReplicaStream:
         """Open a stream to a replica."""
@@ -31,14 +31,14 @@
         return stream
 
     def drop(self, now: float, stream: ReplicaStream, reconnect_pause_ms: float) -> None:
-        """Drop a stream; the replica may be tried again after the pause."""
+        """Drop a stream; a new one may be opened after the pause."""
         del self.by_replica[stream.replica]
         self._reconnect_at[stream.replica] = now + reconnect_pause_ms
         self.stale_replicas.add(stream.replica)
         self._on_dropped()
 
     def forget_all(self) -> None:
-        """Forget all streams; their replicas may still have copies."""
+        """Remove all streams; their replicas are recorded as stale, as they may still have copies."""
         self.stale_replicas |= self.by_replica.keys()
         self.by_replica.clear()
 
@@ -47,7 +47,7 @@
     ) -> None:
         """Drop unreachable replicas, open streams to missing ones in the order of `ranking`, replace draining ones.
 
-        `in_sync`: the present in-sync set, which changes as streams are dropped.
+        `in_sync` returns the current in-sync set, which changes as streams are dropped.
         """
         for stream in list(self.by_replica.values()):
             silent_ms = now - stream.waiting_since
@@ -60,7 +60,7 @@
             if self._may_open(now, name, reachable):
                 remaining.append(self.open(now, name))
         if sum(stream.replica in in_sync() for stream in remaining) >= self._settings.replica_count:
-            for stream in [each for each in self.by_replica.values() if each.replica in self.draining]:
+            for stream in [stream for stream in self.by_replica.values() if stream.replica in self.draining]:
                 self.drop(now, stream, self._settings.reconnect_pause_ms)
 
     def _may_open(self, now: float, name: str, reachable: set[str]) -> bool:
@@ -68,7 +68,7 @@
         return is_candidate and self._reconnect_at.get(name, 0.0) <= now
 
     def close_stale(self, reachable: set[str], in_sync: Collection[str]) -> None:
-        """Have reachable former replicas delete their copies."""
+        """Notify reachable former replicas that they can delete their copies."""
         for name in sorted(self.stale_replicas & reachable - self.by_replica.keys()):
             if name not in in_sync:
                 self.stale_replicas.discard(name)
--- a/kelptrail/replication/stream_repair.py
+++ b/kelptrail/replication/stream_repair.py
@@ -1,4 +1,4 @@
-"""Repair of a replica: the buckets whose digests differ from the primary's are sent one by one, at a bounded rate."""
+"""Repair of a replica: sends the buckets whose digests differ from the primary's one by one, at a bounded rate."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class StreamRepair:
-    """Repairs the streams of one journal.  `digests`: reads the local digests.
+    """Repairs the replicas of one journal.  `digests` returns the digests of the local buckets.
 
-    The driver carries out `bucket_reads` in order and reports each by `on_bucket_read`.
+    The driver carries out `bucket_reads` in order and passes each result to `on_bucket_read`.
     """
 
     def __init__(
@@ -28,16 +28,16 @@
         self.bucket_reads: deque[BucketRead] = deque()
 
     def start(self, now: float, stream: ReplicaStream, reply: DigestReply) -> None:
-        """Begin the repair of a stream, with the digests that the replica sent when it was opened."""
+        """Start the repair of a replica with the digests that it sent when the stream was opened."""
         stream.differing_buckets.extend(differing_buckets(self._digests(), reply))
         stream.state, stream.waiting_since, stream.disk_id = StreamState.REPAIRING, now, reply.disk_id
-        # Batches on the local disk are in its digests, so the repair covers them; the others are sent afterwards.
+        # The local digests include the batches on the local disk, so the repair covers these.  Others are sent later.
         stream.repaired_batch = self._batches.last_locally_durable
         stream.deferred_batches = self._batches.not_locally_durable()
         self.proceed(now, stream)
 
     def proceed(self, now: float, stream: ReplicaStream) -> None:
-        """Read the next bucket if the window and the rate allow it; end the repair after the last one."""
+        """Read the next bucket if the window and the rate limit allow it; end the repair after the last one."""
         if stream.repair_end or stream.reading_bucket >= 0:
             return
         if not stream.differing_buckets:
@@ -47,7 +47,7 @@
             self.bucket_reads.append(BucketRead(stream.replica, stream.stream_id, stream.reading_bucket))
 
     def on_bucket_read(self, now: float, stream: ReplicaStream, entries: tuple[ReplicaEntry, ...] | None) -> None:
-        """The entries of the bucket that was being read; None: the read failed and is repeated."""
+        """Send the entries of the bucket that was read; if the read failed, `entries` is None and it is repeated."""
         bucket, stream.reading_bucket = stream.reading_bucket, -1
         if entries is None:
             stream.repair_at = now + self._settings.retry_ms
@@ -57,9 +57,10 @@
         self.proceed(now, stream)
 
     def lost_buckets(self, stream: ReplicaStream, reply: DigestReply) -> list[int]:
-        """Buckets of which the replica's disk has lost acknowledged entries, by digests read from that disk.
+        """Return the buckets in which the replica's disk has lost acknowledged entries.
 
-        They can only be compared while no message and no local write is in flight; else the result is empty.
+        They are found from digests that the replica computed from its disk.  While a message or a local write is in
+        flight the digests cannot be compared, and the result is empty.
         """
         local = self._digests()[reply.first_bucket : reply.first_bucket + self._settings.verify_buckets]
         if reply.sequence != stream.last_sequence or self._batches.not_locally_durable():
--- a/kelptrail/replication/stream_sender.py
+++ b/kelptrail/replication/stream_sender.py
@@ -1,4 +1,4 @@
-"""Puts the messages of a primary into its outbox: stream control, batches, repaired buckets, digest checks."""
+"""Queues the messages of a primary in its outbox: stream control, batches, repaired buckets and digest checks."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class AppendContent(NamedTuple):
-    """What an `Append` changes or asks for at the replica, in the order of its fields."""
+    """Fields of an `Append` that change or query the replica, in the order in which `Append` has them."""
 
     entries: tuple[ReplicaEntry, ...] = ()
     deleted_ids: tuple[str, ...] = ()
@@ -32,7 +32,10 @@
 
 
 class StreamSender:
-    """Messages of one journal under `token`, which the primary sets.  `outbox`: receiver and message, in order."""
+    """Sends the messages of one journal with the fencing token `token`, which the primary sets.
+
+    `outbox` contains the receiver and the message, in the order of sending.
+    """
 
     def __init__(self, journal_id: str, settings: ReplicationSettings) -> None:
         self._journal_id, self._settings = journal_id, settings
@@ -49,17 +52,17 @@
         return stream
 
     def probe(self, name: str) -> None:
-        """Send an open without a stream; a dispatcher with a later token replies with it."""
+        """Send an `OpenStream` for which no stream is recorded; a dispatcher that has a later token replies with it."""
         self._last_stream_id += 1
         self.outbox.append((name, OpenStream(self._journal_id, self.token, self._last_stream_id)))
 
     def close(self, name: str) -> None:
-        """Have a former replica delete its copy."""
+        """Notify a former replica that it can delete its copy."""
         self._last_stream_id += 1
         self.outbox.append((name, CloseStream(self._journal_id, self.token, self._last_stream_id)))
 
     def resend(self, now: float, stream: ReplicaStream) -> None:
-        """Send everything unacknowledged again."""
+        """Send all unacknowledged messages again, as far as the window allows."""
         stream.retry_at = now + self._settings.retry_ms
         if stream.state is StreamState.OPENING:
             self._send_open(stream)
@@ -68,25 +71,25 @@
             self.send_window(now, stream)
 
     def send_batch(self, now: float, stream: ReplicaStream, batch: Batch) -> None:
-        """Queue a batch; the last of its messages completes it."""
+        """Queue the messages of a batch; the batch is complete at the replica with the last one."""
         *parts, last = split_entries(batch.entries, self._settings.window_bytes // 2)
         for part in parts:
             self._queue(now, stream, AppendContent(part))
         self._queue(now, stream, AppendContent(last, tuple(batch.deleted_ids)), batch.number)
 
     def send_bucket(self, now: float, stream: ReplicaStream, bucket: int, entries: tuple[ReplicaEntry, ...]) -> None:
-        """Queue the contents of a bucket, limited by the repair rate.
+        """Queue the contents of a bucket, and delay the next bucket according to the repair rate.
 
-        Entries are added before others are deleted, so that an in-sync replica stays complete all the time.
+        Entries are added before others are deleted, so that an in-sync replica is complete at any time.
         """
         *parts, last = split_entries(entries, self._settings.window_bytes // 2)
         for part in parts:
             self._queue(now, stream, AppendContent(part))
         retained = tuple(EntryKey(entry.id, entry.kind) for entry in entries)
         self._queue(now, stream, AppendContent(last, trimmed_bucket=bucket, retained=retained))
-        sent = entries_size(entries)
-        stream.repaired_bytes += sent
-        stream.repair_at = max(stream.repair_at, now) + sent / self._settings.repair_bytes_per_ms
+        size_bytes = entries_size(entries)
+        stream.repaired_bytes += size_bytes
+        stream.repair_at = max(stream.repair_at, now) + size_bytes / self._settings.repair_bytes_per_ms
 
     def send_repair_end(self, now: float, stream: ReplicaStream) -> None:
         """Queue the message that completes the batches covered by the repair, then the deferred batches."""
@@ -96,7 +99,7 @@
         stream.deferred_batches, stream.repair_end = [], stream.last_sequence
 
     def send_digest_check(self, now: float, stream: ReplicaStream) -> None:
-        """Ask for the digests of the next buckets, read from the replica's disk."""
+        """Request the digests of the next buckets, computed from the replica's disk."""
         stream.verify_at = now + self._settings.verify_interval_ms
         end = min(BUCKETS, stream.verify_bucket + self._settings.verify_buckets)
         self._queue(now, stream, AppendContent(digest_range=BucketRange(stream.verify_bucket, end)))
@@ -112,7 +115,7 @@
         self.outbox.append((stream.replica, OpenStream(self._journal_id, self.token, stream.stream_id)))
 
     def _queue(self, now: float, stream: ReplicaStream, content: AppendContent, batch: int = 0) -> None:
-        """Queue the next message of a stream; `batch`: the last batch that it completes, or 0."""
+        """Queue the next message of a stream; `batch` is the last batch that it completes, or 0."""
         stream.last_sequence += 1
         append = Append(self._journal_id, self.token, stream.stream_id, stream.last_sequence, *content)
         stream.queue(now, append, batch, self._settings.retry_ms)
