--- a/bench/replication.py
+++ b/bench/replication.py
@@ -184,7 +184,7 @@
         model = Model(seed)
         for _ in range(WALK_STEPS):
             model.step()
-        model.heal()
+        model.run_without_faults()
         counts.append(WalkCounts(model.takeovers, len(model.acknowledged), bool(model.all_disks_lost)))
     return total(counts)
 
--- a/kelptrail/replication/activation_locator.py
+++ b/kelptrail/replication/activation_locator.py
@@ -1,4 +1,4 @@
-"""Locates activations and idempotency keys across dispatchers, and replies to the lookups of others."""
+"""Locates activations and idempotency keys across dispatchers, and replies to the lookups of other dispatchers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 class ActivationLocator:
-    """`address`: where this dispatcher serves its activations; `members`: the known dispatchers."""
+    """Lookups of one dispatcher.
+
+    `members` returns the known dispatchers.  `address` is the address at which this dispatcher serves its activations.
+    """
 
     def __init__(
         self, context: ReplicationContext, journals: JournalManager, members: Callable[[], list[Member]]
@@ -27,24 +30,24 @@
         self.address = ""
 
     def find(self, target: str, on_result: Callable[[str | None], None]) -> None:
-        """Look up an activation id or a key; see `messages.Lookup`.
+        """Look up an activation id or an idempotency key in the form of `messages.Lookup.target`.
 
-        `on_result` gets the address that has it; "" if it may exist; None if no dispatcher has it.
+        `on_result` gets the address of the dispatcher that has it, "" if it may exist, or None if no dispatcher has it.
         """
         if self._lookups.join(target, on_result):
             return
-        heard = self._context.peers.ms_since_heard().keys()
-        # For a key, an unreachable dispatcher matters only through its journal, which its replicas report.
+        connected = self._context.peers.ms_since_heard().keys()
+        # An unreachable dispatcher has a key only in its journal, and the journal's replicas report it as the primary.
         unreachable = not target.startswith(KEY_TARGET_PREFIX) and any(
-            member.name not in heard and member.name != self._context.name for member in self._members()
+            member.name not in connected and member.name != self._context.name for member in self._members()
         )
-        # A peer that does not support the message has no journals of others.
-        asked = [name for name in heard if self._context.peers.send(name, Lookup(target))]
+        # A peer that does not support the message has no journals of other dispatchers.
+        queried = [name for name in connected if self._context.peers.send(name, Lookup(target))]
         inconclusive = unreachable or self._may_appear(target)
-        self._lookups.start(now_ms(), target, asked, self._primaries_of(target), inconclusive, on_result)
+        self._lookups.start(now_ms(), target, queried, self._primaries_of(target), inconclusive, on_result)
 
     def tick(self, now: float) -> None:
-        """Finish lookups that timed out."""
+        """Finish the lookups that have timed out."""
         self._lookups.tick(now)
 
     def on_lookup(self, sender: str, message: Lookup) -> None:
@@ -64,7 +67,7 @@
         )
 
     def _candidates(self, target: str) -> list[str]:
-        """Journals stored here that may contain the target."""
+        """Return the journals stored here that may contain the target."""
         return [
             journal_id
             for journal_id, log in self._context.replica.logs.items()
@@ -74,10 +77,9 @@
         ]
 
     def _may_appear(self, target: str) -> bool:
-        """Whether the target may be in a journal for which a negative reply of this run is not conclusive.
+        """Return whether the target may be in a journal for which a negative reply of this run is not conclusive.
 
-        That is a journal of this dispatcher that is not recovered yet, or one that it released and for which no other
-        primary has appeared.
+        Such a journal is not recovered here yet, or it was released and no other primary has written to it here since.
         """
         journals, logs = self._journals.handles, self._context.replica.logs
         return any(
@@ -88,7 +90,7 @@
         )
 
     def _primaries_of(self, target: str) -> tuple[str, ...]:
-        """Name and run of the primaries of journals that are replicated here and may contain the target."""
+        """Return name and run of the primaries of journals that are replicated here and may contain the target."""
         return tuple(
             sorted(
                 {
--- a/kelptrail/replication/context.py
+++ b/kelptrail/replication/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the replication driver share: settings, connections, leases, stores, and hooks of the gateway."""
+"""State shared by the parts of the replication driver: settings, connections, leases, stores, hooks of the gateway."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def dispatcher_of(client_id: str) -> str:
-    """Name of the dispatcher of a lease client's id, which is name and run."""
+    """Return the dispatcher's name from the id of a lease client, which consists of name and run."""
     return client_id.partition("/")[0]
 
 
@@ -28,9 +28,11 @@
 class GatewayHooks:
     """Callbacks of the gateway; `service/journal_takeover.py` sets them.
 
-    `on_recovered` gets activations of a journal that this dispatcher has acquired.  `on_resumed`: the journal may be
-    acted on.  `on_released`: another dispatcher has it; returns the number of calls given up.  `on_progress`: a batch
-    may have been committed.
+    `on_recovered` gets activations of a journal that this dispatcher has acquired.  `on_resumed` is called once the
+    gateway may act on the journal.  `on_released` is called when this dispatcher stops acting on a journal, and returns
+    the number of calls that the gateway gives up.  `on_progress` is called when batches may have been
+    committed.  `has_activation` gets the target of a lookup, `is_issued_by` a dispatcher's name and an activation id.
+    `has_in_flight` returns whether a journal has calls in flight.
     """
 
     on_recovered: Callable[[PrimaryHandle, list[ActivationEntries]], None] = lambda handle, activations: None
@@ -38,8 +40,8 @@
     on_released: Callable[[PrimaryHandle], int] = lambda handle: 0
     on_progress: Callable[[], None] = lambda: None
     has_activation: Callable[[str], bool] = lambda id_: False
-    is_issued_by: Callable[[str, str], bool] = lambda name, id_: False  # dispatcher name, activation id
-    has_in_flight: Callable[[PrimaryHandle], bool] = lambda handle: False  # whether calls of a journal are
+    is_issued_by: Callable[[str, str], bool] = lambda name, id_: False
+    has_in_flight: Callable[[PrimaryHandle], bool] = lambda handle: False
 
 
 @dataclass(slots=True)
@@ -60,20 +62,20 @@
     wall_offset_ms: float = field(default_factory=lambda: wall_ms() - now_ms())
 
     def wall_ms(self) -> float:
-        """The time of day, continued from the start of this run.
+        """Return the time of day at the start of this run plus the time since then, in ms.
 
-        Prevents a wall clock that is set while a call is recorded from shortening or extending the call's time.
+        A change of the wall clock while a call is recorded would otherwise shorten or extend the call's time.
         """
         return self.wall_offset_ms + now_ms()
 
     def is_own(self, journal_id: str) -> bool:
-        """Whether a run of this dispatcher created the journal."""
+        """Return whether a run of this dispatcher created the journal."""
         return self.stores.is_own(journal_id)
 
     def lease_token(self, journal_id: str) -> FencingToken | None:
-        """The token under which this process holds the journal's lease at this instant."""
+        """Return the token under which this process holds the journal's lease now, or None."""
         return self.leases.held_token(LEASE_PREFIX + journal_id)
 
     def reported_holder(self, journal_id: str) -> str:
-        """Name and run of the last reported holder of the journal's lease; there must be one."""
+        """Return name and run of the last reported holder of the journal's lease; there must be one."""
         return self.leases.client.known_holders[LEASE_PREFIX + journal_id].token.client_id
--- a/kelptrail/replication/drain.py
+++ b/kelptrail/replication/drain.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of a dispatcher's replication: its journals and its replicas move to other dispatchers."""
+"""Draining of a dispatcher's replication: its journals and its replicas move to other dispatchers."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from .messages import DrainNotice
 from .primary_handle import PrimaryHandle
 
-DRAIN_TIMEOUT_MS = 30_000.0  # then journals are transferred with calls in flight
+DRAIN_TIMEOUT_MS = 30_000.0  # time after which journals are transferred even with calls in flight
 DRAIN_NOTICE_INTERVAL_MS = 500.0
 
 
 class DrainController:
-    """While draining no call is accepted; primaries that replicate here are asked to choose another replica."""
+    """Drains a dispatcher: no new call is accepted, and primaries that replicate here must choose another replica."""
 
     def __init__(self, context: ReplicationContext, journals: JournalManager) -> None:
         self._context, self._journals = context, journals
@@ -23,7 +23,7 @@
         self._next_notice_at = 0.0
 
     def start(self) -> None:
-        """Begin to drain; a second call changes nothing."""
+        """Start draining; a second call has no effect."""
         if self.draining:
             return
         self._context.log.warning(
@@ -55,4 +55,4 @@
         successor = next((name for name in others if name in self._context.peers.ms_since_heard()), others[0])
         self._journals.release(handle, successor)
         if handle.journal_id in self._context.replica.logs:
-            self._context.replica.logs[handle.journal_id].primary = successor  # which closes the replica here later
+            self._context.replica.logs[handle.journal_id].primary = successor  # later closes the replica here
--- a/kelptrail/replication/driver.py
+++ b/kelptrail/replication/driver.py
@@ -1,6 +1,6 @@
-"""Runs the replication of a dispatcher: messages, disk requests, timers; joins its parts.
+"""Runs the replication of a dispatcher: connects its parts to messages, disk requests and timers.
 
-Nothing is decided here: `Primary`, `Replica`, `FailoverMonitor` and `replica_placement` decide.
+Decisions are made by `Primary`, `Replica`, `FailoverMonitor` and `replica_placement`, which do no I/O.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 from .replica_store import ReadRequest, ReplicaStore
 from .status import replication_status
 
-CHANNEL_FEATURE = "copies"  # by which peers announce that they take these messages
+CHANNEL_FEATURE = "copies"  # capability by which peers announce that they support these messages
 MESSAGE_TYPES = (
     OpenStream,
     Append,
@@ -58,17 +58,17 @@
 )
 TICK_MS = 25.0
 STOP_POLL_S = 0.01
-CLOSE_TIMEOUT_MS = 500.0  # for each store
-FULL_MESH_LIMIT = 32  # in a larger fleet connections are kept to replicas only
-EXTRA_CONNECTIONS = 2  # candidates for replicas to which connections are kept as well
+CLOSE_TIMEOUT_MS = 500.0  # limit for each store
+FULL_MESH_LIMIT = 32  # fleet size above which connections are kept to replicas and candidates only
+EXTRA_CONNECTIONS = 2  # further candidates for replicas to which connections are kept
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicationOptions:
-    """A dispatcher's name and what its settings say of replication.
+    """A dispatcher's name and its settings for replication.
 
-    `failover_after_ms`: for how long a primary is silent before its journals are claimed; `lease_ms`: length of the
-    leases on journals.
+    `failover_after_ms` is the time without a message from a primary after which its journals are claimed, `lease_ms`
+    the length of the leases on journals.
     """
 
     name: str
@@ -78,7 +78,10 @@
 
 
 class ReplicationDriver:
-    """Replication of one process.  `own` and `others`: see `JournalStores`; `members`: the known dispatchers."""
+    """Replication of one process.
+
+    `own` and `others` are the two stores of `JournalStores`; `members` returns the known dispatchers.
+    """
 
     def __init__(
         self,
@@ -110,7 +113,7 @@
         self._locator = ActivationLocator(self._context, self._journals, members)
         self._drain = DrainController(self._context, self._journals)
         self._flushing = self._stopped = False
-        self._reported_batches = 0  # committed batches at the last `on_progress`
+        self._reported_batches = 0  # number of committed batches at the last call of `on_progress`
         self._timer: asyncio.TimerHandle | None = None
         self._ranked_members: tuple[Member, ...] = ()
         self._ranking: tuple[str, ...] = ()
@@ -123,12 +126,12 @@
 
     @property
     def address(self) -> str:
-        """Where this dispatcher serves its activations."""
+        """Address at which this dispatcher serves its activations; empty until its server listens."""
         return self._locator.address
 
     @address.setter
     def address(self, address: str) -> None:
-        """Set by the program once its server listens."""
+        """Set the address once the server listens."""
         self._locator.address = address
 
     # Start and stop.
@@ -139,7 +142,10 @@
         self._tick()
 
     async def stop(self, within_ms: float) -> bool:
-        """Wait for commits, release the leases and close the stores; True if every entry was committed."""
+        """Wait at most `within_ms` for commits, release the leases and close the stores.
+
+        Return True if every entry was committed.
+        """
         end = now_ms() + within_ms
         while self._journals.has_uncommitted and now_ms() < end:
             await asyncio.sleep(STOP_POLL_S)
@@ -158,26 +164,26 @@
     # For the gateway.
 
     def wall_ms(self) -> float:
-        """The time of day, continued from the start of this run; see `ReplicationContext.wall_ms`."""
+        """Return the time of day as of `ReplicationContext.wall_ms`, in ms."""
         return self._context.wall_ms()
 
     def activation_ids(self) -> set[str]:
-        """Ids of all stored activations; only before `start`."""
+        """Return the ids of all stored activations; must be called before `start`."""
         return self._context.stores.activation_ids()
 
     def journal_for_new_requests(self) -> PrimaryHandle | None:
-        """The journal for new deferred calls; None while there is none, and while draining."""
+        """Return the journal for new deferred calls; None if there is none, and while draining."""
         return self._journals.current if not self._drain.draining else None
 
     def find(self, target: str, on_result: Callable[[str | None], None]) -> None:
-        """Look up an activation id or a key; see `ActivationLocator.find`."""
+        """Look up an activation id or an idempotency key; see `ActivationLocator.find`."""
         self._locator.find(target, on_result)
 
     # Messages.
 
     def _on_message(self, sender: str, message: Message) -> None:
         now = now_ms()
-        self._context.failover.on_heard(sender, now)
+        self._context.failover.on_message(sender, now)
         if isinstance(message, OpenStream | Append | CloseStream):
             self._on_primary_message(now, sender, message)
         elif isinstance(message, DigestReply | AppendAck | FencedReply):
@@ -208,13 +214,13 @@
         if self._stopped:
             return
         self._timer = self._loop.call_later(TICK_MS / 1000, self._tick)
-        now, heard = now_ms(), self._peers.ms_since_heard()
+        now, ms_since_heard = now_ms(), self._peers.ms_since_heard()
         failover, draining = self._context.failover, self._drain.draining
         failover.on_tick(now, TICK_MS)
-        for name in heard:
-            failover.on_heard(name, now - heard[name])
-        ranking = self._rank(heard)
-        self._review.tick_primaries(now, heard, ranking)
+        for name in ms_since_heard:
+            failover.on_message(name, now - ms_since_heard[name])
+        ranking = self._rank(ms_since_heard)
+        self._review.tick_primaries(now, ms_since_heard, ranking)
         self._review.tick_replicas(now, draining)
         self._journals.create_if_due(now)
         if draining:
@@ -224,7 +230,7 @@
         self.flush()
 
     def _keep_connections(self, ranking: tuple[str, ...]) -> None:
-        """Keep connections to all dispatchers of a small fleet, else to replicas and candidates for replicas."""
+        """Keep connections to all dispatchers of a small fleet, otherwise to replicas and candidates for replicas."""
         names = {member.name for member in self._members()}
         if len(names) > FULL_MESH_LIMIT:
             candidates = ranking[: self._context.settings.replica_count + EXTRA_CONNECTIONS]
@@ -232,20 +238,25 @@
             names = {*candidates, *in_sync}
         self._context.leases.keep_connected(names, CHANNEL_FEATURE)
 
-    def _rank(self, heard: Iterable[str]) -> tuple[str, ...]:
-        """Reachable candidates for the replicas of own journals, best first; cached by members."""
+    def _rank(self, connected: Iterable[str]) -> tuple[str, ...]:
+        """Return the reachable candidates for the replicas of own journals, best first.
+
+        The result is cached until the reachable members change.
+        """
         name = self._context.name
-        reachable = {*heard, name}
-        members = sorted((member for member in self._members() if member.name in reachable), key=lambda m: m.name)
+        reachable = {*connected, name}
+        members = sorted(
+            (member for member in self._members() if member.name in reachable), key=lambda member: member.name
+        )
         if tuple(members) != self._ranked_members:
             self._ranked_members = tuple(members)
             self._ranking = rank_replicas(members, name, self._context.settings.replica_count)
         return self._ranking
 
-    # Output of the cores.
+    # Output of the parts that do no I/O.
 
     def flush(self) -> None:
-        """Carry out everything that the cores have queued."""
+        """Carry out all queued reads, writes, messages and updates of in-sync sets."""
         if self._flushing or self._stopped:
             return
         self._flushing = True
@@ -261,7 +272,7 @@
             self.hooks.on_progress()
 
     def _flush_once(self) -> bool:
-        """One pass over all queues; True if any had something."""
+        """Make one pass over all queues; return True if any was not empty."""
         now = now_ms()
         any_work = self._flush_replica()
         for handle in list(self._journals.handles.values()):
@@ -305,5 +316,5 @@
     # For operators.
 
     def status(self) -> dict[str, Any]:
-        """State for operators; see `status.replication_status`."""
+        """Return the state for operators; see `status.replication_status`."""
         return replication_status(now_ms(), self._context, self._journals, self._drain)
--- a/kelptrail/replication/failover.py
+++ b/kelptrail/replication/failover.py
@@ -4,86 +4,90 @@
 
 from typing import NamedTuple
 
-MIN_BACKOFF_MS, MAX_BACKOFF_MS = 2000.0, 60_000.0  # after a journal was rejected or released; doubles
-APPEND_SILENCE_MS = 2500.0  # several digest checks of a primary
+MIN_BACKOFF_MS, MAX_BACKOFF_MS = 2000.0, 60_000.0  # pause after a journal was rejected or released; doubles each time
+APPEND_SILENCE_MS = 2500.0  # long enough for several digest checks of a primary
 
 
 class ClaimBackoff(NamedTuple):
-    """A pause in which a journal is not claimed: its end and its length, ms."""
+    """A pause in which a journal is not claimed.  Times are milliseconds."""
 
     ends_at: float
     length_ms: float
 
 
 class FailoverMonitor:
-    """When each dispatcher and each stream was last heard, by this process's clock; its start counts as such."""
+    """Records the last message of each dispatcher and of each journal's primary, and decides when to claim a journal.
+
+    Times are milliseconds of this process's clock.  Before the first message, the start of the process counts as its
+    time.
+    """
 
     def __init__(self, name: str, failover_after_ms: float, now: float) -> None:
         self._name, self._failover_after_ms, self._start = name, failover_after_ms, now
-        self._last_heard: dict[str, float] = {}
-        self._last_append: dict[str, float] = {}  # last message of the primary, by journal
+        self._last_message_at: dict[str, float] = {}
+        self._last_append_at: dict[str, float] = {}  # by journal; last append or digest check of its primary
         self._backoffs: dict[str, ClaimBackoff] = {}  # by journal
         self._last_tick = now
         self.claims: set[str] = set()
 
     def on_tick(self, now: float, interval_ms: float) -> None:
-        """Called every `interval_ms`.  The delay of a late call is added to all times.
+        """Shift all recorded times by the delay of this call, which is expected every `interval_ms`.
 
-        Prevents a process that was suspended from treating all others as lost when it resumes.
+        This prevents a process that was suspended from treating all other dispatchers as lost when it resumes.
         """
         late = now - self._last_tick - 2 * interval_ms
         if late > interval_ms:
             self._start += late
-            self._last_heard = {name: when + late for name, when in self._last_heard.items()}
-            self._last_append = {journal_id: when + late for journal_id, when in self._last_append.items()}
+            self._last_message_at = {name: at + late for name, at in self._last_message_at.items()}
+            self._last_append_at = {journal_id: at + late for journal_id, at in self._last_append_at.items()}
         self._last_tick = now
 
-    def on_heard(self, name: str, when: float) -> None:
-        """A message of a dispatcher arrived at `when`."""
-        self._last_heard[name] = max(when, self._last_heard.get(name, self._start))
+    def on_message(self, name: str, received_at: float) -> None:
+        """Record that a message of a dispatcher arrived at `received_at`."""
+        self._last_message_at[name] = max(received_at, self._last_message_at.get(name, self._start))
 
     def on_append(self, journal_id: str, now: float) -> None:
-        """The primary of a journal has sent an append or a digest check, which it does continuously."""
-        self._last_append[journal_id] = now
+        """Record an append or a digest check of a journal's primary; an active primary sends them continuously."""
+        self._last_append_at[journal_id] = now
 
     def _append_silence_ms(self, now: float, journal_id: str) -> float:
-        return now - self._last_append.get(journal_id, self._start)
+        return now - self._last_append_at.get(journal_id, self._start)
 
     def silent_ms(self, now: float, name: str) -> int:
-        """Time since the last message of a dispatcher, ms; 0 for this one."""
-        return 0 if name == self._name else round(now - self._last_heard.get(name, self._start))
+        """Return the time since the last message of a dispatcher in ms; 0 for this dispatcher."""
+        return 0 if name == self._name else round(now - self._last_message_at.get(name, self._start))
 
     def add_claim(self, journal_id: str) -> None:
-        """This dispatcher requests the journal's lease from now on."""
+        """Record that this dispatcher requests the journal's lease."""
         self.claims.add(journal_id)
 
     def remove_claim(self, journal_id: str) -> None:
-        """This dispatcher no longer requests the lease."""
+        """Record that this dispatcher no longer requests the journal's lease."""
         self.claims.discard(journal_id)
 
     def back_off(self, now: float, journal_id: str) -> None:
-        """Do not claim the journal for a growing time: prevents a loop of acquiring and rejecting it."""
+        """Pause claims of the journal, each time for longer, to prevent a loop of acquiring and rejecting it."""
         earlier = self._backoffs.get(journal_id)
         length_ms = MIN_BACKOFF_MS if earlier is None else min(MAX_BACKOFF_MS, 2 * earlier.length_ms)
         self._backoffs[journal_id] = ClaimBackoff(now + length_ms, length_ms)
 
     def clear_backoff(self, journal_id: str) -> None:
-        """The journal may be claimed here again."""
+        """Allow claims of the journal again."""
         self._backoffs.pop(journal_id, None)
 
     def has_claim(self, journal_id: str) -> bool:
-        """Whether this dispatcher requests the journal's lease."""
+        """Return whether this dispatcher requests the journal's lease."""
         return journal_id in self.claims
 
     def should_claim(self, now: float, journal_id: str, primary: str) -> bool:
-        """Whether this dispatcher should request the lease of a journal that is replicated here.
+        """Return whether this dispatcher should request the lease of a journal that is replicated here.
 
         A journal whose last primary was this dispatcher is claimed at once.
         """
         backoff = self._backoffs.get(journal_id)
         if backoff is not None and now < backoff.ends_at:
             return False
-        # A primary that is reachable and sends nothing may have released the journal without any replica noticing.
+        # A reachable primary that sends no appends may have released the journal without notifying any replica.
         return (
             primary == self._name
             or self.silent_ms(now, primary) >= self._failover_after_ms
@@ -91,7 +95,7 @@
         )
 
     def primary_returned(self, now: float, journal_id: str, primary: str) -> bool:
-        """Whether the primary is heard again and uses its stream before another dispatcher has the lease."""
+        """Return whether messages of the primary arrive again, on its stream too, so the claim can be withdrawn."""
         return (
             primary != self._name
             and self.silent_ms(now, primary) < self._failover_after_ms / 2
--- a/kelptrail/replication/journal_manager.py
+++ b/kelptrail/replication/journal_manager.py
@@ -1,7 +1,7 @@
 """The journals of which this process is, or becomes, the primary: leases, failover, recovery, transfer and closing.
 
-Decisions are made elsewhere: `JournalReview` and `FailoverMonitor` say which journals to claim, release or close,
-`Primary` and `Replica` which entries are committed.
+Decisions are made elsewhere: `JournalReview` and `FailoverMonitor` decide which journals to claim, release or close,
+`Primary` and `Replica` decide which entries are committed.
 """
 
 from __future__ import annotations
@@ -21,42 +21,44 @@
 from .primary_handle import PrimaryHandle
 from .recovery import DISK_FAILED, JournalRecovery
 
-MIN_CREATE_BACKOFF_MS, MAX_CREATE_BACKOFF_MS = 100.0, 10_000.0  # before a new journal replaces a lost one
-JOURNAL_ID_BYTES = 6  # random part of a journal id
+MIN_CREATE_BACKOFF_MS, MAX_CREATE_BACKOFF_MS = 100.0, 10_000.0  # pause before a new journal replaces a lost one
+JOURNAL_ID_BYTES = 6  # length of the random part of a journal id
 NEVER = float("inf")
 
 
 class CreationSchedule:
-    """When a journal is created in place of a lost one: after a pause that doubles.  Times are milliseconds.
+    """Schedules a new journal in place of a lost one after a pause that doubles each time.  Times are milliseconds.
 
-    Prevents a disk on which every journal fails from causing a rapid series of new ones.
+    The pause prevents a disk on which every journal fails from causing a rapid series of new journals.
     """
 
     def __init__(self) -> None:
         self._due_at, self._backoff_ms = NEVER, MIN_CREATE_BACKOFF_MS
 
     def schedule(self, now: float) -> None:
-        """Schedule a creation, unless one is scheduled."""
+        """Schedule the creation of a journal, unless one is scheduled already."""
         if self._due_at == NEVER:
             self._due_at = now + self._backoff_ms
             self._backoff_ms = min(MAX_CREATE_BACKOFF_MS, 2 * self._backoff_ms)
 
     def take_due(self, now: float) -> bool:
-        """Whether a creation is due; it is not scheduled any more then."""
+        """Return whether a creation is due; if so, remove it from the schedule."""
         if now < self._due_at:
             return False
         self._due_at = NEVER
         return True
 
     def reset_backoff(self) -> None:
-        """A journal works: the next pause is the shortest again."""
+        """Reset the next pause to the shortest one, because a journal works."""
         self._backoff_ms = MIN_CREATE_BACKOFF_MS
 
 
 class JournalManager:
-    """`handles`: journals by id; `current`: the one for new calls; `released`: those given up, until another writes.
+    """The journals of one process.
 
-    `reported_primary`: name and run of the reported lease holder of a journal whose stream does not come here.
+    `handles` contains the journals of which this process is or becomes the primary, by id; `current` is the one for new
+    calls.  `released` contains the ids of journals that were given up, until another primary writes to them here.
+    `reported_primary` is name and run of the reported lease holder of a journal, until its messages arrive here.
     """
 
     def __init__(self, context: ReplicationContext) -> None:
@@ -68,7 +70,7 @@
         self.may_create = True
         self.activations_recovered = 0
         self.activations_released = 0
-        self._recovery = JournalRecovery(context, self._is_present, self._on_recovered, self.transfer)
+        self._recovery = JournalRecovery(context, self._is_active, self._on_recovered, self.transfer)
         self._creation = CreationSchedule()
 
     # Start and stop.
@@ -90,24 +92,24 @@
 
     @property
     def has_uncommitted(self) -> bool:
-        """Whether any entry of any journal is not committed."""
+        """Whether any journal has an entry that is not committed."""
         return any(handle.primary.batches.uncommitted_entries for handle in self.handles.values())
 
     @property
     def committed_batches(self) -> int:
-        """Committed batches of the present journals."""
+        """Number of committed batches of the journals in `handles`."""
         return sum(handle.primary.batches.committed_batches for handle in self.handles.values())
 
     # Claims.
 
     def on_claim(self, journal_id: str) -> None:
-        """Another dispatcher released the journal in favour of this one."""
+        """Claim a journal that another dispatcher released in favour of this one."""
         if journal_id in self._context.replica.logs and not self._context.failover.has_claim(journal_id):
             self._context.failover.clear_backoff(journal_id)
             self.claim(journal_id)
 
     def on_replica_message(self, journal_id: str) -> None:
-        """A primary has written to a journal replicated here, so lookups can rely on its token."""
+        """Record that a primary writes to the replica here, so that lookups find the primary by its token."""
         self.reported_primary.pop(journal_id, None)
         self.released.discard(journal_id)
 
@@ -118,7 +120,7 @@
         self.claim(journal_id)
 
     def claim(self, journal_id: str) -> None:
-        """Request the journal's lease until `abandon`."""
+        """Request the journal's lease, until `abandon` is called."""
         self._context.failover.add_claim(journal_id)
         self._context.leases.acquire(
             LEASE_PREFIX + journal_id,
@@ -138,10 +140,12 @@
         self._creation.schedule(now_ms())
 
     def create_if_due(self, now: float) -> None:
-        """Create a journal if one is scheduled and none is present or claimed."""
+        """Create a journal if one is scheduled, no journal is current and no own journal is claimed."""
         if not self.may_create or not self._creation.take_due(now):
             return
-        if self.current is None and not any(self._context.is_own(each) for each in self._context.failover.claims):
+        if self.current is None and not any(
+            self._context.is_own(journal_id) for journal_id in self._context.failover.claims
+        ):
             self._create()
 
     # Leases and recovery, in the order of the steps.
@@ -170,8 +174,8 @@
             handle = self.handles[journal_id] = _new_handle(context, journal_id)
         handle.token = token
         self.released.discard(journal_id)
-        lost = {in_sync.primary} - {context.name}
-        remaining = {name: disk_id for name, disk_id in in_sync.disk_ids.items() if name not in lost}
+        lost_primaries = {in_sync.primary} - {context.name}
+        remaining = {name: disk_id for name, disk_id in in_sync.disk_ids.items() if name not in lost_primaries}
         write.wall_ms = context.wall_ms()
         context.stores.submit(write, partial(self._on_fence_stored, handle, token, remaining, in_sync.primary))
         context.flush()
@@ -202,8 +206,8 @@
         previous_primary: str,
         succeeded: bool,
     ) -> None:
-        """The fence is on disk: become the primary, and have the disk's contents stored by all in-sync replicas."""
-        if not self._is_present(handle) or self._context.lease_token(handle.journal_id) != token:
+        """Become the primary, now that the fence is on disk, and replicate the disk's contents to the in-sync set."""
+        if not self._is_active(handle) or self._context.lease_token(handle.journal_id) != token:
             return
         if not succeeded:
             self.transfer(handle, DISK_FAILED)
@@ -217,7 +221,7 @@
     def _on_all_committed(
         self, handle: PrimaryHandle, token: FencingToken, previous_primary: str, _fully_replicated: bool
     ) -> None:
-        """Everything on the local disk is committed and may be acted on."""
+        """Resume or recover the journal: everything on the local disk is committed and may be acted on."""
         if handle.recovered:
             self._context.log.info("journal_resumed", journal=handle.journal_id, token=str(token))
             self._context.hooks.on_resumed(handle)
@@ -225,14 +229,14 @@
             self._recovery.start(handle, token, previous_primary)
 
     def _on_recovered(self, handle: PrimaryHandle, count: int) -> None:
-        """The gateway has all activations; the first own journal becomes the current one."""
+        """Finish a recovery: the gateway has all activations.  The first own journal becomes the current one."""
         self._context.failover.clear_backoff(handle.journal_id)
         self.activations_recovered += count
         if self._context.is_own(handle.journal_id) and not self._has_current():
             self.current = handle
             self._creation.reset_backoff()
 
-    def _is_present(self, handle: PrimaryHandle) -> bool:
+    def _is_active(self, handle: PrimaryHandle) -> bool:
         return self.handles.get(handle.journal_id) is handle
 
     def _has_current(self) -> bool:
@@ -249,22 +253,22 @@
             self._context.flush()
 
     def store_in_sync(self, handle: PrimaryHandle, in_sync: dict[str, str]) -> None:
-        """Submit a new in-sync set to the lease; `_on_note_stored` is called once it is stored."""
+        """Submit a new in-sync set as the lease's note; `_on_note_stored` is called once it is stored."""
         note = encode_in_sync(InSyncSet(self._context.name, in_sync))
         handle.note_number = self._context.leases.write_note(LEASE_PREFIX + handle.journal_id, note) or 0
 
     # Release.
 
     def transfer(self, handle: PrimaryHandle, reason: str) -> None:
-        """Release a journal that this disk cannot serve, in favour of a reachable in-sync replica."""
+        """Release a journal whose local disk has failed, in favour of a reachable in-sync replica."""
         name, reachable = self._context.name, self._context.peers.ms_since_heard()
-        others = [each for each in sorted(handle.primary.in_sync) if each != name and each in reachable]
+        others = [other for other in sorted(handle.primary.in_sync) if other != name and other in reachable]
         successor = others[0] if others else ""
         self._context.log.error("journal_transferred", journal=handle.journal_id, reason=reason, successor=successor)
         self.release(handle, successor)
 
     def release(self, handle: PrimaryHandle, successor: str = "") -> None:
-        """Stop being the primary and release the lease; the successor is asked to claim it."""
+        """Stop being the primary and release the lease; the successor, if any, is notified to claim it."""
         self._discard(handle)
         self.abandon(handle.journal_id, successor)
         if successor:
@@ -302,14 +306,14 @@
 
 
 def _is_complete_here(context: ReplicationContext, journal_id: str, in_sync: InSyncSet) -> bool:
-    """Whether the local disk has every committed entry of a journal whose lease note is `in_sync`."""
+    """Return whether the local disk has every committed entry of a journal whose lease note is `in_sync`."""
     store = context.stores.of(journal_id)
     is_new = not in_sync.primary and journal_id not in store.digests
     return is_new or in_sync.disk_ids.get(context.name) == store.disk_id
 
 
 def _can_continue(context: ReplicationContext, handle: PrimaryHandle, in_sync: InSyncSet) -> bool:
-    """Whether this process was the last primary and no other one has written since."""
+    """Return whether this process was the last primary and no other primary has written since."""
     return (
         handle.primary.token.round > 0
         and in_sync.primary == context.name
--- a/kelptrail/replication/journal_review.py
+++ b/kelptrail/replication/journal_review.py
@@ -1,4 +1,4 @@
-"""Periodic review of the journals: streams are driven, lost primaries replaced, journals released or closed."""
+"""Periodic review of the journals: runs their streams, replaces lost primaries, and releases or closes journals."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class JournalReview:
-    """Reviews each journal on each tick; `journals` claims, transfers, releases or closes it."""
+    """Reviews each journal on each tick, and has `journals` claim, transfer, release or close it."""
 
     def __init__(self, context: ReplicationContext, journals: JournalManager) -> None:
         self._context, self._journals = context, journals
 
     def tick_primaries(self, now: float, reachable: Iterable[str], ranking: tuple[str, ...]) -> None:
-        """Drive the streams of journals whose lease is held; then check whether each journal can stay here."""
+        """Run the streams of journals whose lease is held; then check whether each journal can stay here."""
         for handle in list(self._journals.handles.values()):
             primary = handle.primary
             if primary.token.round and self._context.lease_token(handle.journal_id) == primary.token:
@@ -46,7 +46,7 @@
         elif self._other_holds_lease(journal_id):
             self._journals.reported_primary[journal_id] = self._context.reported_holder(journal_id)
             log.primary = dispatcher_of(self._journals.reported_primary[journal_id])
-            if self._context.is_own(journal_id):  # another dispatcher has it: this run creates its own
+            if self._context.is_own(journal_id):  # another dispatcher took it over, so this run creates a new one
                 self._journals.abandon(journal_id)
                 failover.back_off(now, journal_id)
                 self._journals.schedule_create()
@@ -64,7 +64,7 @@
                 log.primary = dispatcher_of(primary.fenced_by.client_id)
             self._journals.release(handle)
         elif self._should_probe(now, handle):
-            # The reported lease holder may not have acted yet; only the replicas' tokens tell.
+            # The reported lease holder may not have acted yet; only the tokens of the replicas show whether it has.
             handle.next_probe_at = now + context.settings.retry_ms
             primary.probe_fencing(dispatcher_of(context.reported_holder(handle.journal_id)))
         elif self._should_close(handle):
@@ -79,7 +79,7 @@
         )
 
     def _should_close(self, handle: PrimaryHandle) -> bool:
-        """Whether a journal that takes no new calls is empty."""
+        """Return whether a journal that accepts no new calls is empty."""
         return (
             handle is not self._journals.current
             and handle.recovered
@@ -89,10 +89,10 @@
         )
 
     def _other_holds_lease(self, journal_id: str) -> bool:
-        """Whether another dispatcher was last reported to hold the lease."""
-        seen = self._context.leases.client.known_holders.get(LEASE_PREFIX + journal_id)
+        """Return whether another dispatcher was last reported to hold the lease."""
+        reported = self._context.leases.client.known_holders.get(LEASE_PREFIX + journal_id)
         return (
-            seen is not None
-            and not seen.token.client_id.startswith(f"{self._context.name}/")
-            and ((handle := self._journals.handles.get(journal_id)) is None or seen.token > handle.primary.token)
+            reported is not None
+            and not reported.token.client_id.startswith(f"{self._context.name}/")
+            and ((handle := self._journals.handles.get(journal_id)) is None or reported.token > handle.primary.token)
         )
--- a/kelptrail/replication/journal_stores.py
+++ b/kelptrail/replication/journal_stores.py
@@ -11,13 +11,13 @@
 from .replica import ReplicaWrite
 from .replica_store import ReadRequest, ReplicaStore
 
-MAX_WAITING = 1_000_000  # requests; the windows of the streams are the real bound
+MAX_WAITING = 1_000_000  # requests; in practice the windows of the streams limit them earlier
 
 
 class JournalStores:
-    """`own` has the journals of this dispatcher's runs, `others` all others; they are the same if replicas are on disk.
+    """The journals of this dispatcher's runs are in the store `own`, all others in `others`.
 
-    `on_progress` is called after each transaction.
+    Both are the same store if replicas are kept on disk.  `on_progress` is called after each transaction.
     """
 
     def __init__(
@@ -29,24 +29,24 @@
         }
 
     def is_own(self, journal_id: str) -> bool:
-        """Whether a run of this dispatcher created the journal."""
+        """Return whether a run of this dispatcher created the journal."""
         return journal_id.rpartition(".")[0] == self._name
 
     def of(self, journal_id: str) -> ReplicaStore:
-        """The store of a journal."""
+        """Return the store of a journal."""
         return self._own if self.is_own(journal_id) else self._others
 
     def digests(self, journal_id: str) -> list[int]:
-        """Digests of all buckets of a journal."""
+        """Return the digests of all buckets of a journal."""
         return self.of(journal_id).digests_of(journal_id)
 
     def activation_ids(self) -> set[str]:
-        """Ids of all activations in any journal; only before the first request."""
+        """Return the ids of the activations in all journals; must be called before the first request."""
         return self._own.activation_ids() | self._others.activation_ids()
 
     @property
     def own_disk_id(self) -> str:
-        """Id of the disk of own journals."""
+        """Id of the disk that has the journals of this dispatcher."""
         return self._own.disk_id
 
     @property
@@ -64,6 +64,6 @@
             disk.start_next_batch()
 
     async def close(self, within_ms: float) -> None:
-        """Finish queued requests and close the stores, each within a time."""
+        """Finish queued requests and close the stores, each within `within_ms`."""
         for disk in self._disks.values():
             await disk.close(within_ms)
--- a/kelptrail/replication/lookup.py
+++ b/kelptrail/replication/lookup.py
@@ -1,8 +1,8 @@
-"""Finds the dispatcher that has an activation or an idempotency key by asking all reachable ones; free of I/O.
+"""Finds the dispatcher that has an activation or an idempotency key by querying all reachable ones; free of I/O.
 
-The result is an address; or "may exist"; or "does not exist".  The last one needs a negative reply from every
-dispatcher that was asked, and from the primary of every journal that may contain the target, as named by its replicas:
-an unreachable dispatcher may have it, and so may the next primary of its journal.
+The result is an address, "may exist" or "does not exist".  "Does not exist" requires a negative reply from every
+dispatcher that was queried, and from the primary of every journal that may contain the target, as reported by the
+journal's replicas: an unreachable dispatcher may have the target, and so may the next primary of its journal.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 class LookupState(StrEnum):
-    """State of a target at the dispatcher that replies; the values go over the wire."""
+    """State of a target at the dispatcher that replies; the values are sent in messages."""
 
     HERE = "here"
-    PENDING = "pending"  # it may appear there after a recovery
+    PENDING = "pending"  # the target may appear there after a recovery
     NO = "no"
 
 
@@ -25,25 +25,32 @@
 
 @dataclass(slots=True)
 class PendingLookup:
-    """A lookup in progress.  `awaiting`: who has not replied; `inconclusive`: the target may appear later."""
+    """A lookup in progress.
+
+    `awaiting` contains the dispatchers that have not replied.  `inconclusive` is set if the target may appear later.
+    `primaries` and `responders` are names and runs; "does not exist" requires a reply of each primary.
+    """
 
     deadline: float
     awaiting: set[str]
     inconclusive: bool
-    primaries: set[str]  # name and run; each must have replied
+    primaries: set[str]
     responders: set[str] = field(default_factory=set)
     on_result: list[LookupCallback] = field(default_factory=list)
 
 
 class LookupService:
-    """All lookups in progress, by target.  Results go to callbacks: an address; "": may exist; None: does not exist."""
+    """All lookups in progress, by target.
+
+    A callback gets the result: an address, "" if the target may exist, or None if it does not exist.
+    """
 
     def __init__(self, own_responder: str, timeout_ms: float) -> None:
         self._own_responder, self._timeout_ms = own_responder, timeout_ms
         self._pending: dict[str, PendingLookup] = {}
 
     def join(self, target: str, on_result: LookupCallback) -> bool:
-        """Add a callback to the lookup of this target; False if none is in progress."""
+        """Add a callback to the lookup of this target; return False if none is in progress."""
         lookup = self._pending.get(target)
         if lookup is not None:
             lookup.on_result.append(on_result)
@@ -53,21 +60,24 @@
         self,
         now: float,
         target: str,
-        asked: Iterable[str],
+        queried: Iterable[str],
         primaries: Iterable[str],
         inconclusive: bool,
         on_result: LookupCallback,
     ) -> None:
-        """Start a lookup that was sent to `asked`; without recipients it finishes at once."""
+        """Start a lookup that was sent to the dispatchers `queried`; if there are none, it finishes at once."""
         self._pending[target] = PendingLookup(
-            now + self._timeout_ms, set(asked), inconclusive, set(primaries), on_result=[on_result]
+            now + self._timeout_ms, set(queried), inconclusive, set(primaries), on_result=[on_result]
         )
         self._check(target)
 
     def on_reply(
         self, sender: str, target: str, state: str, address: str, responder: str, primaries: Iterable[str]
     ) -> None:
-        """A reply.  `responder` and `primaries` are name and run: a new run does not have what an earlier run had."""
+        """Handle a reply.
+
+        `responder` and `primaries` are name and run, because a new run does not have what an earlier run had.
+        """
         lookup = self._pending.get(target)
         if lookup is None or sender not in lookup.awaiting:
             return
@@ -81,7 +91,7 @@
             self._check(target)
 
     def tick(self, now: float) -> None:
-        """Finish lookups that timed out: a dispatcher that has not replied may have the target."""
+        """Finish the lookups that have timed out with "may exist": dispatchers without a reply may have the target."""
         for target, lookup in list(self._pending.items()):
             if now >= lookup.deadline:
                 self._finish(target, "")
--- a/kelptrail/replication/model.py
+++ b/kelptrail/replication/model.py
@@ -1,11 +1,12 @@
-"""Randomized model of one journal: primaries in turn, replicas and disks.
+"""Randomized model of one journal with its successive primaries, replicas and disks.
 
-Messages are lost, duplicated, delayed and reordered; syncs fail; processes restart; disks are lost; a primary loses its
-lease at any instant and still completes one write (a pause between the check of the lease and the write).  The lease is
-modelled as `docs/leases.md` specifies it: one holder at a time, tokens that grow, and a note for the next holder.
+Messages are lost, duplicated, delayed and reordered; syncs fail; processes restart; disks are lost.  A primary loses
+its lease at any time and still completes one write, as if it were paused between the check of the lease and the write.
+The lease is modelled as `docs/leases.md` specifies it: one holder at a time, increasing tokens, and a note for the next
+holder.
 
-Properties: the next primary has every acknowledged call, unless the disks of all in-sync replicas are lost; no call is
-run twice; no call has two final answers; no replica stores anything under an older token.
+Checked properties: the next primary has every acknowledged call, unless the disks of all in-sync replicas are lost; no
+call runs twice; no call has two final answers; no replica stores anything under an older token.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True)
 class Faults:
-    """Probability of each fault at each step at which it can occur."""
+    """Probability of each fault in each step in which it can occur."""
 
     lost: float = 0.1
     duplicated: float = 0.1
@@ -43,7 +44,7 @@
 
 
 class Model:
-    """One walk from a seed; `roles`: classes of the cores, replaced by faulty ones in tests."""
+    """One random walk with a seed.  `roles` are the classes of primary and replica; tests pass faulty ones."""
 
     def __init__(
         self,
@@ -60,7 +61,7 @@
             NO_TOKEN,
             InSyncSet("", {}),
             "",
-        )  # as the acceptors have them
+        )  # state of the lease at the acceptors
         self.acknowledged: set[str] = set()
         self.executed_at: dict[str, str] = {}
         self.final_answers: dict[str, str] = {}
@@ -70,40 +71,40 @@
 
     def _grant_lease(self, node: Node) -> None:
         """Grant the lease to a node; every earlier lease has expired."""
-        first = not self.lease_token.round
+        is_first = not self.lease_token.round
         self.lease_token, self.lease_holder = FencingToken(self.lease_token.round + 1, node.name), node.name
-        members = self.in_sync
-        if not first and members.disk_ids.get(node.name) != node.disk_id:
-            self.lease_holder = ""  # not in sync: it releases the lease
+        in_sync = self.in_sync
+        if not is_first and in_sync.disk_ids.get(node.name) != node.disk_id:
+            self.lease_holder = ""  # a node that is not in sync releases the lease
             return
         node.holds_lease = True
         token_before = node.primary.token
         can_continue = (
             token_before.round > 0
-            and members.primary == node.name
+            and in_sync.primary == node.name
             and node.replica.is_latest_token(JOURNAL, token_before)
             and not node.primary.disk_failed
         )
         if (write := node.replica.become_primary(JOURNAL, self.lease_token, node.name)) is None:
-            raise PropertyError(f"{node.name} has seen a later token than the lease's")
+            raise PropertyError(f"{node.name} has received a later token than the lease's")
         if not can_continue:
             node.primary = node.new_primary()
             node.requests = {}
-        lost = {members.primary} - {node.name}
-        remaining = {name: disk_id for name, disk_id in members.disk_ids.items() if name not in lost}
+        lost_primaries = {in_sync.primary} - {node.name}
+        remaining = {name: disk_id for name, disk_id in in_sync.disk_ids.items() if name not in lost_primaries}
         node.disk_queue.append((write, partial(self._on_fence_stored, node, self.lease_token, remaining)))
 
-    def _on_fence_stored(self, node: Node, token: FencingToken, members: dict[str, str], succeeded: bool) -> None:
+    def _on_fence_stored(self, node: Node, token: FencingToken, in_sync: dict[str, str], succeeded: bool) -> None:
         if not node.holds_lease or token != self.lease_token:
             return
         if not succeeded:
             self._lose_lease(node)
             return
         self.takeovers += 1
-        node.primary.on_lease_acquired(self.now, token, members)
+        node.primary.on_lease_acquired(self.now, token, in_sync)
         node.primary.append((), partial(self._recover, node, node.primary))
 
-    def _recover(self, node: Node, primary: Primary, _full: bool) -> None:
+    def _recover(self, node: Node, primary: Primary, _fully_replicated: bool) -> None:
         stored_ids = {id_ for id_, _ in node.disk.entries}
         if (lost := self.acknowledged - stored_ids) and not self._check_disks_lost():
             raise PropertyError(f"{node.name} is the primary and lacks {sorted(lost)}, which were acknowledged")
@@ -116,7 +117,7 @@
                 self._attempt(node, id_)
 
     def _check_disks_lost(self) -> bool:
-        """Whether the disks of all in-sync replicas are lost; once true, it stays so."""
+        """Return whether the disks of all in-sync replicas are lost or were lost at an earlier check."""
         if self.all_disks_lost:
             return True
         self.all_disks_lost = all(
@@ -137,25 +138,27 @@
         id_ = f"c{self.requests}"
         node.requests[id_] = "record"
         node.primary.append(
-            [ReplicaEntry(id_, ACCEPTED, 0.0, b"")], partial(self._on_recorded, node, node.primary, id_)
+            [ReplicaEntry(id_, ACCEPTED, 0.0, b"")], partial(self._on_accepted_committed, node, node.primary, id_)
         )
         if self.rng.random() < 0.5:
             self._attempt(node, id_)
 
-    def _on_recorded(self, node: Node, primary: Primary, id_: str, full: bool) -> None:
-        if full:
+    def _on_accepted_committed(self, node: Node, primary: Primary, id_: str, fully_replicated: bool) -> None:
+        if fully_replicated:
             self.acknowledged.add(id_)
-        if not full and node.requests.get(id_) == "record":
+        if not fully_replicated and node.requests.get(id_) == "record":
             self._finish(node, id_, "rejected")
         elif node.requests.get(id_) == "record":
             self._attempt(node, id_)
 
     def _attempt(self, node: Node, id_: str) -> None:
         node.requests[id_] = "may-run"
-        node.primary.append([ReplicaEntry(id_, MAY_RUN, 0.0, b"")], partial(self._on_cleared, node, node.primary, id_))
+        node.primary.append(
+            [ReplicaEntry(id_, MAY_RUN, 0.0, b"")], partial(self._on_may_run_committed, node, node.primary, id_)
+        )
 
-    def _on_cleared(self, node: Node, primary: Primary, id_: str, _full: bool) -> None:
-        """The call runs, even if the process was suspended after its last check of the lease."""
+    def _on_may_run_committed(self, node: Node, primary: Primary, id_: str, _fully_replicated: bool) -> None:
+        """Run the call, even if the process was suspended after its last check of the lease."""
         if id_ in self.executed_at:
             raise PropertyError(f"{id_} ran at {self.executed_at[id_]} and at {node.name}")
         self.executed_at[id_] = node.name
@@ -167,14 +170,14 @@
 
     def _record_final(self, id_: str, answer: str) -> None:
         if self.final_answers.setdefault(id_, answer) != answer:
-            raise PropertyError(f"{id_} was {self.final_answers[id_]} and is {answer}")
+            raise PropertyError(f"{id_} has the final answers {self.final_answers[id_]} and {answer}")
         if answer == "rejected" and id_ in self.executed_at:
             raise PropertyError(f"{id_} was rejected and ran")
 
     # Steps.
 
     def step(self, faults: bool = True) -> None:
-        """One step.  Raises `PropertyError`."""
+        """Make one step.  Raises `PropertyError`."""
         self.now += self.rng.uniform(1, 60)
         node = self.nodes[self.rng.choice(sorted(self.nodes))]
         if faults:
@@ -182,20 +185,24 @@
         if self.lease_holder and faults and self.rng.random() < self.faults.lease_loss:
             self._lose_lease(self.nodes[self.lease_holder])
         if not self.lease_holder and self.rng.random() < 0.3:
-            eligible = [each for each in self.nodes.values() if each.disk.token.round or not self.lease_token.round]
+            eligible = [
+                candidate
+                for candidate in self.nodes.values()
+                if candidate.disk.token.round or not self.lease_token.round
+            ]
             if eligible:
                 self._grant_lease(self.rng.choice(eligible))
-        for each in self.nodes.values():
-            self._run_node(each, faults)
+        for running_node in self.nodes.values():
+            self._run_node(running_node, faults)
         self._deliver(faults)
 
     def _fail_node(self, node: Node) -> None:
-        """Restart a node, lose its disk, or lose an entry of it, each by chance."""
+        """Restart a node, replace its disk by an empty one or remove an entry from it, each with its probability."""
         rng, rates = self.rng, self.faults
         if rng.random() < rates.restart:
             self._lose_lease(node)
             node.restart()
-        nodes_with_lost_disk = sum(bool(each.disks_lost) for each in self.nodes.values())
+        nodes_with_lost_disk = sum(bool(other.disks_lost) for other in self.nodes.values())
         if rng.random() < rates.disk_loss and nodes_with_lost_disk < MAX_NODES_WITH_LOST_DISK:
             self._lose_lease(node)
             node.lose_disk()
@@ -235,7 +242,7 @@
             self._lose_lease(node)
 
     def _collect_messages(self, node: Node, primary: Primary) -> None:
-        """Move what the cores have queued into transit; an empty receiver stands for the acceptors of the lease."""
+        """Put the queued messages into transit; an empty receiver stands for the acceptors of the lease."""
         messages: list[tuple[str, Any]] = [*primary.outbox, *node.replica.outbox]
         self.in_transit += [(node.name, to, message) for to, message in messages]
         for in_sync in primary.in_sync_updates:
@@ -259,7 +266,8 @@
                 self.in_transit.append((sender, to, message))
                 continue
             if not to:
-                self._on_in_sync_stored(sender, *message)  # acceptors are many: a note is lost only with its sender
+                # There are several acceptors, so that a note is lost only with its sender.
+                self._on_in_sync_stored(sender, *message)
                 continue
             if draw < self.faults.delayed + self.faults.lost:
                 continue
@@ -274,18 +282,21 @@
         token_before = node.newest_token()
         node.replica.on_message(sender, message)
         if JOURNAL in node.replica.logs and node.newest_token() < token_before:
-            raise PropertyError(f"{node.name} went back from {token_before} to {node.newest_token()}")
+            raise PropertyError(f"{node.name} returned from {token_before} to {node.newest_token()}")
 
-    def _on_in_sync_stored(self, sender: str, token: FencingToken, members: dict[str, str]) -> None:
+    def _on_in_sync_stored(self, sender: str, token: FencingToken, in_sync: dict[str, str]) -> None:
         if token != self.lease_token:
             return
-        self.in_sync = InSyncSet(sender, members)
+        self.in_sync = InSyncSet(sender, in_sync)
         primary = self.nodes[sender].primary
-        if primary.token == token and primary.pending_in_sync == members and self.lease_holder == sender:
+        if primary.token == token and primary.pending_in_sync == in_sync and self.lease_holder == sender:
             primary.on_in_sync_stored(self.now)
 
-    def heal(self, steps: int = 400) -> None:
-        """Run without faults until all calls have ended.  Raises `PropertyError`."""
+    def run_without_faults(self, steps: int = 400) -> None:
+        """Make steps without faults, then check that every acknowledged call has a final answer.
+
+        Raises `PropertyError`.
+        """
         for _ in range(steps):
             self.step(False)
         if self.all_disks_lost or self._check_disks_lost():
--- a/kelptrail/replication/model_node.py
+++ b/kelptrail/replication/model_node.py
@@ -1,4 +1,4 @@
-"""A dispatcher of the replication model: its disk, its process and the cores that run in it."""
+"""A dispatcher of the replication model: its disk, its process, and the primary and replica that run in it."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Roles(NamedTuple):
-    """Classes of the cores; tests replace them by faulty ones."""
+    """Classes of the primary and the replica; tests replace them by faulty ones."""
 
     primary: type[Primary] = Primary
     replica: type[Replica] = Replica
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class Disk:
-    """What a dispatcher's disk has of the journal."""
+    """The state of the journal on a dispatcher's disk."""
 
     token: FencingToken = NO_TOKEN
     primary: str = ""
@@ -44,8 +44,8 @@
             self.token, self.primary = write.fence
         if write.closes:
             self.entries.clear()
-        for item in write.entries:
-            self.entries[item.id, item.kind] = item.data
+        for entry in write.entries:
+            self.entries[entry.id, entry.kind] = entry.data
         for id_, kind in list(self.entries):
             if id_ in write.deleted_ids or (
                 bucket_of(id_) == write.trimmed_bucket and (id_, kind) not in write.retained
@@ -56,16 +56,16 @@
             write.digests = pack_digests(self.digests()[first : end if end >= 0 else BUCKETS])
 
     def digests(self) -> list[int]:
-        """Digests of all buckets."""
+        """Return the digests of all buckets."""
         return bucket_digests(self.all_entries())
 
     def all_entries(self) -> list[ReplicaEntry]:
-        """All entries, ordered by id and kind."""
+        """Return all entries, ordered by id and kind."""
         return [ReplicaEntry(id_, kind, 0.0, data) for (id_, kind), data in sorted(self.entries.items())]
 
 
 class Node:
-    """One dispatcher: its disk, and the memory of its process.  `roles`: classes of the cores."""
+    """One dispatcher: its disk, and the memory of its process.  `roles` are the classes of primary and replica."""
 
     def __init__(self, roles: Roles, name: str) -> None:
         self.roles, self.name, self.disk, self.disks_lost = roles, name, Disk(), 0
@@ -73,18 +73,18 @@
         self.restart()
 
     def restart(self) -> None:
-        """Start the process with what its disk has."""
+        """Start the process again from the state of its disk."""
         disk = self.disk
         fences = {JOURNAL: Fence(disk.token, disk.primary)} if disk.token.round else {}
         self.replica = self.roles.replica(fences, lambda _: self.disk_id)
         self.primary = self.new_primary()
         self.disk_queue.clear()
         self.holds_lease = False
-        self.requests: dict[str, str] = {}  # calls in progress and the entry that each awaits
+        self.requests: dict[str, str] = {}  # by call: name of the last entry that was queued for it
 
     @property
     def disk_id(self) -> str:
-        """Id of the present disk."""
+        """Id of the current disk."""
         return f"{self.disks_lost}"
 
     def lose_disk(self) -> None:
@@ -93,9 +93,9 @@
         self.restart()
 
     def newest_token(self) -> FencingToken:
-        """The newest token that its replica has seen."""
+        """Return the newest token that the replica has received."""
         return self.replica.logs[JOURNAL].token if JOURNAL in self.replica.logs else NO_TOKEN
 
     def new_primary(self) -> Primary:
-        """A primary without any state."""
+        """Create a primary without any state."""
         return self.roles.primary(JOURNAL, self.name, self.disk_id, SETTINGS, lambda: self.disk.digests())
--- a/kelptrail/replication/replica_store.py
+++ b/kelptrail/replication/replica_store.py
@@ -1,8 +1,8 @@
-"""Journals on disk, both replicated and own ones: an SQLite database in WAL mode, or in memory if so configured.
+"""Store of own and replicated journals: an SQLite database in WAL mode, or in memory if so configured.
 
-`docs/formats/copies.md` has the layout.  One thread at a time uses it.  Each row carries a checksum.  Digests of
-buckets are kept in memory and updated by each write; `ReplicaWrite.digest_range` computes them from the rows on disk,
-which finds silent corruption.
+`docs/formats/copies.md` describes the layout.  Only one thread may use a store at a time.  Each row has a checksum.
+Digests of buckets are kept in memory and updated by each write.  A write with a `digest_range` other than all buckets
+computes them from the rows on disk, which detects silent corruption.
 """
 
 from __future__ import annotations
@@ -38,22 +38,25 @@
 
 @dataclass(slots=True, eq=False)
 class ReadRequest:
-    """A read of one bucket, or of all activations of a journal (`bucket` -1); times are wall-clock times."""
+    """A read of the entries of one bucket, or of all activations of a journal if `bucket` is -1.
+
+    `wall_ms` is the time of the read; times in `activations` are wall-clock times.  `damaged` counts corrupt entries.
+    """
 
     journal_id: str
     bucket: int = -1
-    wall_ms: float = 0.0  # time of the read
+    wall_ms: float = 0.0
     entries: tuple[ReplicaEntry, ...] | None = None
     activations: list[ActivationEntries] = field(default_factory=list)
     damaged: int = 0
 
 
 class ReplicaStore:
-    """One database; `file` None: in memory.  Raises `JournalError`."""
+    """One database, in memory if `file` is None.  Raises `JournalError`."""
 
     def __init__(self, file: Path | None, vfs: str | None = None) -> None:
-        self.digests: dict[str, list[int]] = {}  # as committed
-        self._staged: dict[str, list[int]] = {}
+        self.digests: dict[str, list[int]] = {}  # digests of all buckets by journal, as committed
+        self._staged: dict[str, list[int]] = {}  # digests including the current transaction
         with journal_errors(IndexError):
             self._database = Database(file, vfs)
             if not self._database.format_version(FORMAT):
@@ -76,18 +79,18 @@
         return self._staged.setdefault(journal_id, [0] * BUCKETS)
 
     def digests_of(self, journal_id: str) -> list[int]:
-        """Digests of all buckets of a journal, as committed."""
+        """Return the digests of all buckets of a journal, as committed."""
         return self.digests.get(journal_id, [0] * BUCKETS)
 
     def fences(self) -> dict[str, Fence]:
-        """Newest token and primary of each journal."""
+        """Return the newest token and primary of each journal."""
         return {
             journal_id: Fence(FencingToken(round_, who), primary)
             for journal_id, round_, who, primary in self._database.run("SELECT book, round, who, owner FROM shelves")
         }
 
     def activation_ids(self) -> set[str]:
-        """Ids of the activations in any journal."""
+        """Return the ids of the activations in all journals."""
         return {id_ for (id_,) in self._database.run("SELECT DISTINCT id FROM entries")}
 
     def commit(self, requests: Iterable[ReplicaWrite | ReadRequest]) -> None:
@@ -110,30 +113,38 @@
                 (journal_id, token.round, token.client_id, primary, write.wall_ms),
             )
         digests = self._staged_digests(journal_id)
-        for item in write.entries:
-            bucket, crc = bucket_of(item.id), crc32(item.data)
-            self._delete_rows(digests, journal_id, bucket, "id = ? AND kind = ?", (item.id, item.kind))
+        for entry in write.entries:
+            bucket, crc = bucket_of(entry.id), crc32(entry.data)
+            self._delete_rows(digests, journal_id, bucket, "id = ? AND kind = ?", (entry.id, entry.kind))
             self._database.run(
                 "INSERT INTO entries VALUES (?, ?, ?, ?, ?, ?, ?)",
-                (journal_id, bucket, item.id, item.kind, write.wall_ms - item.age_ms - write.delay_ms, crc, item.data),
+                (
+                    journal_id,
+                    bucket,
+                    entry.id,
+                    entry.kind,
+                    write.wall_ms - entry.age_ms - write.delay_ms,
+                    crc,
+                    entry.data,
+                ),
             )
-            digests[bucket] ^= entry_digest(item.id, item.kind, crc)
+            digests[bucket] ^= entry_digest(entry.id, entry.kind, crc)
         for id_ in write.deleted_ids:
             self._delete_rows(digests, journal_id, bucket_of(id_), "id = ?", (id_,))
         if write.trimmed_bucket >= 0:
-            only = set(write.retained)
-            here = self._database.run(
+            retained = set(write.retained)
+            stored = self._database.run(
                 "SELECT id, kind FROM entries WHERE book = ? AND bucket = ?", (journal_id, write.trimmed_bucket)
             )
-            for id_, kind in here:
-                if (id_, kind) not in only:
+            for id_, kind in stored:
+                if (id_, kind) not in retained:
                     self._delete_rows(digests, journal_id, write.trimmed_bucket, "id = ? AND kind = ?", (id_, kind))
         if write.digest_range == ALL_BUCKETS:
             write.digests = pack_digests(digests)
         elif write.digest_range != NO_BUCKETS:
             write.digests = pack_digests(self._digests_on_disk(journal_id, *write.digest_range))
         if write.closes:
-            self._database.run("DELETE FROM entries WHERE book = ?", (journal_id,))  # the token stays
+            self._database.run("DELETE FROM entries WHERE book = ?", (journal_id,))  # the token stays stored
             self._staged.pop(journal_id, None)
 
     def _delete_rows(
@@ -145,15 +156,15 @@
         ):
             digests[bucket] ^= entry_digest(id_, kind, crc)
 
-    def _digests_on_disk(self, journal_id: str, first: int, upto: int) -> list[int]:
-        """Digests of some buckets, computed from the rows on disk."""
-        out = [0] * (upto - first)
+    def _digests_on_disk(self, journal_id: str, first: int, end: int) -> list[int]:
+        """Compute the digests of the buckets from `first` up to, but not including, `end` from the rows on disk."""
+        digests = [0] * (end - first)
         for bucket, id_, kind, body in self._database.rows(
             "SELECT bucket, id, kind, body FROM entries WHERE book = ? AND bucket >= ? AND bucket < ?",
-            (journal_id, first, upto),
+            (journal_id, first, end),
         ):
-            out[bucket - first] ^= entry_digest(id_, kind, crc32(body))
-        return out
+            digests[bucket - first] ^= entry_digest(id_, kind, crc32(body))
+        return digests
 
     def _read(self, request: ReadRequest) -> None:
         if request.bucket >= 0:
@@ -165,7 +176,7 @@
                 )
             )
             return
-        activation, shift = cast(ActivationEntries | None, None), 0.0
+        activation, clock_offset_ms = cast(ActivationEntries | None, None), 0.0
         for id_, kind, since, crc, body in self._database.rows(
             "SELECT id, kind, since, crc, body FROM entries WHERE book = ? ORDER BY bucket, id, kind",
             (request.journal_id,),
@@ -174,43 +185,46 @@
                 entry = decode_entry(bytes(body), crc)
             except CorruptEntryError:
                 request.damaged += 1
-                # The damaged entry may have been a may-run entry, so the call may have run.
+                # The corrupt entry may have been a may-run entry, so the call may have run.
                 if activation is not None and activation.accepted.id == id_ and activation.may_run is None and kind:
                     activation.may_run = MayRun(id_, activation.accepted.start, "")
                 continue
             if isinstance(entry, Accepted):
-                # Times are converted to this machine's clock; that of the primary may differ.
-                activation, shift = ActivationEntries(msgspec.structs.replace(entry, start=since)), since - entry.start
+                # Times are converted to this machine's clock, from which the primary's clock may differ.
+                activation, clock_offset_ms = (
+                    ActivationEntries(msgspec.structs.replace(entry, start=since)),
+                    since - entry.start,
+                )
                 request.activations.append(activation)
             elif activation is not None and activation.accepted.id == id_:
                 if isinstance(entry, MayRun):
                     activation.may_run = MayRun(id_, since, entry.worker)
                 elif isinstance(entry, Ended):
-                    activation.ended = msgspec.structs.replace(entry, end=entry.end + shift)
+                    activation.ended = msgspec.structs.replace(entry, end=entry.end + clock_offset_ms)
 
     def forget(self, ids: Iterable[str]) -> None:
-        """Does nothing: entries are only deleted by `ReplicaWrite`."""
+        """Do nothing: entries are only deleted by a `ReplicaWrite`."""
 
     def activation_count(self, journal_id: str) -> int:
-        """Number of activations in a journal."""
+        """Return the number of activations in a journal."""
         return int(self._database.run("SELECT count(*) FROM entries WHERE book = ? AND kind = 0", (journal_id,))[0][0])
 
     def close(self) -> None:
-        """Close the database; committed data stays."""
+        """Close the database; committed data stays in the file."""
         self._database.close()
 
 
 class OpenedStore(NamedTuple):
-    """A store, and the name to which an unreadable file in its place was moved, if there was one."""
+    """A store, and the path to which an unreadable file at its place was moved, if there was one."""
 
     store: ReplicaStore
     set_aside: Path | None
 
 
 def open_replica_store(file: Path | None, vfs: str | None = None) -> OpenedStore:
-    """Open a store; an unreadable file is moved aside and replaced.
+    """Open a store; an unreadable file is moved aside and replaced by a new store.
 
-    The new store has a new disk id, so it counts as a lost disk and is repaired from replicas.
+    The new store has a new disk id, so it is treated as a lost disk and repaired from replicas.
     Raises `JournalError`.
     """
     try:
@@ -218,5 +232,5 @@
     except JournalError as cause:
         if file is None or not any(mark in str(cause) for mark in DAMAGE_MARKS):
             raise
-    aside = move_aside(file)
-    return OpenedStore(ReplicaStore(file, vfs), aside)
+    set_aside = move_aside(file)
+    return OpenedStore(ReplicaStore(file, vfs), set_aside)
--- a/kelptrail/replication/status.py
+++ b/kelptrail/replication/status.py
@@ -1,4 +1,4 @@
-"""State of replication for operators.  The keys are those of `kelptrail copies --json`; times are milliseconds."""
+"""State of replication for operators, with the keys of `kelptrail copies --json`.  Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def replication_status(
     now: float, context: ReplicationContext, journals: JournalManager, drain: DrainController
 ) -> dict[str, Any]:
-    """State of a dispatcher's journals and of those replicated at it."""
+    """Return the state of a dispatcher's own journals and of those replicated at it."""
     return {
         "name": context.name,
         "copies": context.settings.replica_count,
@@ -40,7 +40,7 @@
 
 
 def primary_status(now: float, primary: Primary) -> dict[str, Any]:
-    """State of a journal at its primary."""
+    """Return the state of a journal at its primary."""
     since = primary.under_replication.since
     return {
         "token": str(primary.token),
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -83,7 +83,7 @@
 def walk(model: Model, steps: int = 300) -> Model:
     for _ in range(steps):
         model.step()
-    model.heal()
+    model.run_without_faults()
     return model
 
 
@@ -348,14 +348,14 @@
 
 def test_journals_are_claimed_once_their_primary_is_silent() -> None:
     monitor = FailoverMonitor("me", 1000.0, 0.0)
-    monitor.on_heard("a", 500.0)
+    monitor.on_message("a", 500.0)
     monitor.on_append("b", 500.0)
     assert (
         not monitor.should_claim(1400.0, "b", "a")
         and monitor.should_claim(1500.0, "b", "a")
         and monitor.should_claim(0.0, "b", "me")
     )
-    monitor.on_heard("a", 7000.0)
+    monitor.on_message("a", 7000.0)
     assert monitor.should_claim(500.0 + 1000.0 + APPEND_SILENCE_MS, "b", "a"), "heard, but without appends"
     monitor.on_append("b", 7000.0)
     assert monitor.primary_returned(7100.0, "b", "a") and not monitor.primary_returned(9000.0, "b", "a")
