--- a/kelptrail/peers/connection.py
+++ b/kelptrail/peers/connection.py
@@ -1,7 +1,7 @@
 """One connection to a peer: handshake, message rates and output buffer; free of I/O.
 
-Everything is bounded: buffered output in bytes, received messages per second.  Messages beyond a bound are dropped and
-counted, and affect this connection only; the users of the channel must tolerate losses anyway.
+Buffered output is bounded in bytes, received messages in number per second.  Messages beyond a bound are dropped and
+counted, and affect this connection only; the users of the channel must tolerate lost messages anyway.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 from .messages import OLDEST_VERSION, VERSION, ChannelError, FrameReader, Heartbeat, Hello, MessageDecoder, encode_frame
 
-MAX_NAME_CHARACTERS = 200  # of a peer's name
+MAX_NAME_CHARACTERS = 200  # length limit of a peer's name
 
 
 @dataclass(frozen=True, slots=True)
 class PeerSettings:
     """Limits of a connection.
 
-    `heartbeat_ms`: a heartbeat is sent after so long without output; `silence_timeout_ms`: the peer counts as gone
-    after so long without input; `max_pending_bytes`: buffered output; `max_messages_per_s`: accepted from a peer, also
-    the burst size; `max_frame_bytes`: size of one message.
+    `heartbeat_ms`: time without output after which a heartbeat is sent; `silence_timeout_ms`: time without input after
+    which the connection is closed; `max_pending_bytes`: limit on buffered output; `max_messages_per_s`: limit on
+    messages accepted from a peer, also the burst size; `max_frame_bytes`: size limit of a message.
     """
 
     heartbeat_ms: float = 500.0
@@ -35,7 +35,7 @@
 
 
 class PeerConnection:
-    """One connection.  `hello`: this side's greeting; `decoder`: the result of `messages.decoder`."""
+    """One connection.  `hello` is the first message to the peer, `decoder` a result of `messages.decoder`."""
 
     def __init__(self, hello: Hello, settings: PeerSettings, decoder: MessageDecoder, now: float) -> None:
         self._settings, self._lineage = settings, hello.lineage
@@ -43,23 +43,23 @@
         self.output: deque[bytes] = deque([encode_frame(hello)])
         self.pending_bytes = len(self.output[0])
         self.peer, self.version, self.capabilities = "", OLDEST_VERSION, frozenset[str]()
-        self.last_heard = self._last_sent = now
-        self._rate_tokens, self._tokens_updated = settings.max_messages_per_s, now
+        self.last_heard = self._last_sent_at = now
+        self._rate_tokens, self._rate_tokens_updated_at = settings.max_messages_per_s, now
         self.received = self.sent = self.dropped = self.rate_limited = 0
 
     @property
     def unknown_messages(self) -> int:
-        """Number of received messages of unknown kinds."""
+        """Number of received messages of unknown types."""
         return self._reader.unknown_messages
 
     def receive_data(self, now: float, data: bytes | memoryview) -> list[Any]:
-        """The messages in received bytes, without greetings and heartbeats.  Raises `ChannelError`."""
-        self.last_heard, out = now, []
+        """Return the messages that are complete with `data`, except hellos and heartbeats.  Raises `ChannelError`."""
+        self.last_heard, messages = now, []
         self._rate_tokens = min(
             self._settings.max_messages_per_s,
-            self._rate_tokens + (now - self._tokens_updated) / 1000 * self._settings.max_messages_per_s,
+            self._rate_tokens + (now - self._rate_tokens_updated_at) / 1000 * self._settings.max_messages_per_s,
         )
-        self._tokens_updated = now
+        self._rate_tokens_updated_at = now
         for message in self._reader.feed(data):
             if isinstance(message, Hello):
                 self._on_hello(message)
@@ -69,29 +69,29 @@
                     continue
                 self._rate_tokens -= 1
                 self.received += 1
-                out.append(message)
-        return out
+                messages.append(message)
+        return messages
 
     def _on_hello(self, hello: Hello) -> None:
         if hello.lineage != self._lineage:
-            raise ChannelError(f"lineage {hello.lineage!r}, not {self._lineage!r}")
+            raise ChannelError(f"the peer has lineage {hello.lineage!r}, expected {self._lineage!r}")
         if not hello.name or len(hello.name) > MAX_NAME_CHARACTERS:
-            raise ChannelError("a peer says who it is")
+            raise ChannelError("a hello must contain a name of valid length")
         self.peer, self.version, self.capabilities = (
             hello.name,
             min(VERSION, hello.version),
             frozenset(hello.capabilities),
         )
 
-    def enqueue(self, now: float, message: msgspec.Struct, needs: str) -> bool:
-        """Buffer a message for output; False where the peer lacks the capability `needs`, or the buffer is full."""
-        if needs not in self.capabilities:
+    def enqueue(self, now: float, message: msgspec.Struct, capability: str) -> bool:
+        """Buffer a message for output; return False if the peer lacks the capability or the buffer is full."""
+        if capability not in self.capabilities:
             return False
         return self._enqueue_frame(now, encode_frame(message))
 
     def tick(self, now: float) -> bool:
-        """Send a heartbeat if one is due; False once the peer counts as gone."""
-        if now - self._last_sent >= self._settings.heartbeat_ms:
+        """Send a heartbeat if one is due; return False once the peer has been silent for too long."""
+        if now - self._last_sent_at >= self._settings.heartbeat_ms:
             self._enqueue_frame(now, encode_frame(Heartbeat()))
         return now - self.last_heard < self._settings.silence_timeout_ms
 
@@ -102,11 +102,11 @@
         self.output.append(data)
         self.pending_bytes += len(data)
         self.sent += 1
-        self._last_sent = now
+        self._last_sent_at = now
         return True
 
     def data_to_send(self) -> bytes:
-        """Take the buffered output."""
+        """Remove the buffered output and return it."""
         data = b"".join(self.output)
         self.output.clear()
         self.pending_bytes = 0
--- a/kelptrail/peers/driver.py
+++ b/kelptrail/peers/driver.py
@@ -1,7 +1,7 @@
-"""Connections to peers on the event loop: listens, connects where needed, passes messages both ways.
+"""Connections to peers on the event loop: accepts and opens connections, sends and receives messages.
 
-Of two peers that need each other the one with the lesser name connects, so that there is one connection between them.
-A connection that breaks, is silent or violates the protocol is closed and opened again with exponential backoff,
+If two peers need a connection to each other, the one whose name sorts first connects, so that there is only one.  A
+connection that breaks, is silent or violates the protocol is closed and opened again with exponential backoff,
 independently of all others.
 """
 
@@ -22,7 +22,7 @@
 from .messages import VERSION, ChannelError, Hello, decoder
 
 MIN_BACKOFF_MS, MAX_BACKOFF_MS = 100.0, 2000.0
-STABLE_MS = 5000.0  # a connection that lasted longer resets the backoff
+STABLE_MS = 5000.0  # lifetime of a connection above which the backoff is reset
 BACKOFF_FACTOR = 1.6
 READ_BYTES = 65_536
 ACCEPT_BACKLOG = 512
@@ -30,8 +30,10 @@
 
 
 class Peers:
-    """All peer connections of a process.  Users `register` their messages before `start`; `address_of` gives a peer's
-    address, or "" while it is unknown.
+    """All peer connections of a process.
+
+    Users of the channel `register` their message types before `start`.  `address_of` returns the address of a peer, or
+    "" while it is unknown.
     """
 
     def __init__(
@@ -40,7 +42,7 @@
         self.name, self._lineage, self._settings, self._address_of, self._log = name, lineage, settings, address_of, log
         self._loop = asyncio.get_running_loop()
         self._handlers: dict[type, Handler] = {}
-        self._needs: dict[type, str] = {}
+        self._capabilities: dict[type, str] = {}
         self._decoder = decoder()
         self._connections: dict[PeerConnection, socket.socket] = {}
         self._by_name: dict[str, PeerConnection] = {}
@@ -48,14 +50,17 @@
         self._connectors: dict[str, asyncio.Task[None]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._listener = Listener(self._loop, self._on_accept, lambda sock, peer, back: sock.close(), log.warning)
-        self._heartbeats: asyncio.Task[None] | None = None
+        self._heartbeat_task: asyncio.Task[None] | None = None
         self.address = ""
         self.connections_lost = 0
 
-    def register(self, name: str, handler: Handler, *kinds: type[msgspec.Struct]) -> None:
-        """Pass messages of these kinds to `handler` with the sender's name; `name` is announced as a capability."""
-        for kind in kinds:
-            self._handlers[kind], self._needs[kind] = handler, name
+    def register(self, capability: str, handler: Handler, *message_types: type[msgspec.Struct]) -> None:
+        """Call `handler` with the sender's name and the message for each received message of these types.
+
+        `capability` is announced to peers, which only send messages of these types to processes that announce it.
+        """
+        for message_type in message_types:
+            self._handlers[message_type], self._capabilities[message_type] = handler, capability
         self._decoder = decoder(*self._handlers)
 
     def listen(self, host: str, port: int) -> None:
@@ -69,39 +74,45 @@
         self._listener.add_socket(sock)
 
     def start(self) -> None:
-        """Start heartbeats."""
-        self._heartbeats = self._loop.create_task(self._send_heartbeats())
+        """Start to send heartbeats."""
+        self._heartbeat_task = self._loop.create_task(self._send_heartbeats())
 
     async def stop(self) -> None:
         """Close all connections."""
         self._listener.close()
-        tasks = [*self._tasks, *self._connectors.values(), *([self._heartbeats] if self._heartbeats else [])]
+        tasks = [*self._tasks, *self._connectors.values(), *([self._heartbeat_task] if self._heartbeat_task else [])]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def keep_connected(self, names: set[str]) -> None:
-        """Keep connections to exactly these peers: connect to those that do not connect here."""
+        """Keep connections to exactly these peers.
+
+        A connection is opened to each peer that does not connect here; connections opened to others are closed.
+        """
         for name in names - self._connectors.keys() - {self.name}:
             self._connectors[name] = self._loop.create_task(self._stay_connected(name))
         for name in self._connectors.keys() - names:
             self._connectors.pop(name).cancel()
 
     def send(self, to: str, message: msgspec.Struct) -> bool:
-        """Send if there is a connection whose peer reads this kind; delivery is not confirmed."""
+        """Send a message if there is a connection whose peer supports its type; delivery is not confirmed.
+
+        Return False if the message was not sent.
+        """
         connection = self._by_name.get(to)
-        if connection is None or not connection.enqueue(now_ms(), message, self._needs[type(message)]):
+        if connection is None or not connection.enqueue(now_ms(), message, self._capabilities[type(message)]):
             return False
         self._write(connection)
         return True
 
     def ms_since_heard(self) -> dict[str, float]:
-        """The connected peers, and the time since each was last heard, in ms."""
+        """Return the connected peers and the time since data of each was last received, in ms."""
         now = now_ms()
         return {name: now - connection.last_heard for name, connection in self._by_name.items()}
 
     def status(self) -> dict[str, Any]:
-        """State of all connections, for operators."""
+        """Return the state of all connections for operators."""
         return {
             "address": self.address,
             "lost": self.connections_lost,
@@ -135,14 +146,16 @@
             self._log.info("peer-lost", address=peer, reason=str(cause) or type(cause).__name__)
 
     async def _stay_connected(self, name: str) -> None:
-        """Connect whenever there is no connection: the lesser name at once, the other a little later, as the lesser may
-        not need one.
+        """Connect to a peer whenever there is no connection.
+
+        The process whose name sorts first connects at once.  The other one connects a little later, because the first
+        one may not need the connection and then does not connect.
         """
-        pause = MIN_BACKOFF_MS
+        backoff_ms = MIN_BACKOFF_MS
         if name < self.name:
             await asyncio.sleep(4 * MIN_BACKOFF_MS / 1000)
         while True:
-            began, address = now_ms(), self._address_of(name)
+            started_at, address = now_ms(), self._address_of(name)
             if name not in self._by_name and address:
                 host, _, port = address.rpartition(":")
                 sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
@@ -158,14 +171,18 @@
                     sock.close()
                 self.connections_lost += 1
                 self._log.info("peer-lost", peer=name, address=address, reason=reason)
-            pause = MIN_BACKOFF_MS if now_ms() - began > STABLE_MS else min(MAX_BACKOFF_MS, pause * BACKOFF_FACTOR)
-            await asyncio.sleep(pause / 1000)
-
-    async def _run_connection(self, sock: socket.socket, expected: str = "") -> None:
+            backoff_ms = (
+                MIN_BACKOFF_MS
+                if now_ms() - started_at > STABLE_MS
+                else min(MAX_BACKOFF_MS, backoff_ms * BACKOFF_FACTOR)
+            )
+            await asyncio.sleep(backoff_ms / 1000)
+
+    async def _run_connection(self, sock: socket.socket, expected_name: str = "") -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        can = tuple(sorted(set(self._needs.values())))
+        capabilities = tuple(sorted(set(self._capabilities.values())))
         connection = PeerConnection(
-            Hello(VERSION, self.name, self._lineage, capabilities=can), self._settings, self._decoder, now_ms()
+            Hello(VERSION, self.name, self._lineage, capabilities=capabilities), self._settings, self._decoder, now_ms()
         )
         self._connections[connection] = sock
         buffer = bytearray(READ_BYTES)
@@ -179,9 +196,10 @@
                 with memoryview(buffer) as view:
                     messages = connection.receive_data(now_ms(), view[:count])
                 if connection.peer and self._by_name.get(connection.peer) is not connection:
-                    if expected and connection.peer != expected:
-                        raise ChannelError(f"{connection.peer} answers where {expected} should")
-                    self._by_name[connection.peer] = connection  # the newest is the one that the peer still has
+                    if expected_name and connection.peer != expected_name:
+                        raise ChannelError(f"{connection.peer} is connected, but {expected_name} was expected")
+                    # Of several connections to a peer, the peer may have closed all but the newest one.
+                    self._by_name[connection.peer] = connection
                 for message in messages:
                     self._handlers[type(message)](connection.peer, message)
         finally:
@@ -202,7 +220,7 @@
             for connection, sock in list(self._connections.items()):
                 if connection.tick(now):
                     self._write(connection)
-                else:  # ends its reader with an error
+                else:  # the task that reads from the socket then ends with an error
                     with contextlib.suppress(OSError):
                         sock.shutdown(socket.SHUT_RDWR)
 
@@ -210,13 +228,13 @@
         if not connection.output or connection in self._writing:
             return
         sock = self._connections[connection]
-        try:  # nearly always sends everything
+        try:  # in most cases everything is sent at once
             data = connection.data_to_send()
             sent = sock.send(data)
         except BlockingIOError:
             sent = 0
         except OSError:
-            return  # its reader reports the error
+            return  # the task that reads from the socket reports the error
         if sent < len(data):
             self._writing.add(connection)
             task = self._loop.create_task(self._write_remaining(connection, sock, data[sent:]))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -63,10 +63,10 @@
     )
     assert new_peer.enqueue(2.0, REQUEST, "lease")
     for frame, message in (
-        (b"\0\0\0\2{}", "no message"),
+        (b"\0\0\0\2{}", "invalid message"),
         (encode_frame(Hello(2, "x", "there")), "lineage"),
-        (encode_frame(FutureMessage()), "no message"),
-        (encode_frame(Hello(2, "", "here")), "says who"),
+        (encode_frame(FutureMessage()), "invalid message"),
+        (encode_frame(Hello(2, "", "here")), "must contain a name"),
         (b"\x7f\0\0\0", "a frame of"),
         (encode_frame(Heartbeat()), "hello must come first"),
     ):
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -373,10 +373,10 @@
         assert [m for n in range(0, len(data), size) for m in reader.feed(data[n : n + size])] == messages
     for bad, word in (
         (encode_frame(Heartbeat()), "hello must come first"),
-        (encode_frame(messages[0]) * 2, "one hello"),
+        (encode_frame(messages[0]) * 2, "only one hello"),
         (encode_frame(Hello(0, "e", "here")), "version 0"),
         (b"\xff\xff\xff\xff", "a frame of"),
-        (encode_frame(messages[0]) + b"\0\0\0\3abc", "no message"),
+        (encode_frame(messages[0]) + b"\0\0\0\3abc", "invalid message"),
     ):
         with pytest.raises(ChannelError, match=word):
             FrameReader(READ).feed(bad)
