--- a/kelptrail/replication/lookup.py
+++ b/kelptrail/replication/lookup.py
@@ -91,7 +91,7 @@
             self._check(target)
 
     def tick(self, now: float) -> None:
-        """Finish the lookups that have timed out with "may exist": dispatchers without a reply may have the target."""
+        """Finish lookups that have timed out, as "may exist": a dispatcher that has not replied may have the target."""
         for target, lookup in list(self._pending.items()):
             if now >= lookup.deadline:
                 self._finish(target, "")
