--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -245,7 +245,7 @@
 
     def status(self) -> dict[str, Any]:
         """State of leases and acceptor, for operators."""
-        now, heard, client = now_ms(), self._peers.ms_since_heard(), self.client
+        now, heard, client = now_ms(), self._peers.ms_since_received(), self.client
         return {
             "name": self.name,
             "number": client.config_number,
--- a/kelptrail/peers/connection.py
+++ b/kelptrail/peers/connection.py
@@ -43,7 +43,7 @@
         self.output: deque[bytes] = deque([encode_frame(hello)])
         self.pending_bytes = len(self.output[0])
         self.peer, self.version, self.capabilities = "", OLDEST_VERSION, frozenset[str]()
-        self.last_heard = self._last_sent_at = now
+        self.last_received_at = self._last_sent_at = now
         self._rate_tokens, self._rate_tokens_updated_at = settings.max_messages_per_s, now
         self.received = self.sent = self.dropped = self.rate_limited = 0
 
@@ -54,7 +54,7 @@
 
     def receive_data(self, now: float, data: bytes | memoryview) -> list[Any]:
         """Return the messages that are complete with `data`, except hellos and heartbeats.  Raises `ChannelError`."""
-        self.last_heard, messages = now, []
+        self.last_received_at, messages = now, []
         self._rate_tokens = min(
             self._settings.max_messages_per_s,
             self._rate_tokens + (now - self._rate_tokens_updated_at) / 1000 * self._settings.max_messages_per_s,
@@ -93,7 +93,7 @@
         """Send a heartbeat if one is due; return False once the peer has been silent for too long."""
         if now - self._last_sent_at >= self._settings.heartbeat_ms:
             self._enqueue_frame(now, encode_frame(Heartbeat()))
-        return now - self.last_heard < self._settings.silence_timeout_ms
+        return now - self.last_received_at < self._settings.silence_timeout_ms
 
     def _enqueue_frame(self, now: float, data: bytes) -> bool:
         if self.pending_bytes + len(data) > self._settings.max_pending_bytes:
--- a/kelptrail/peers/driver.py
+++ b/kelptrail/peers/driver.py
@@ -106,10 +106,10 @@
         self._write(connection)
         return True
 
-    def ms_since_heard(self) -> dict[str, float]:
+    def ms_since_received(self) -> dict[str, float]:
         """Return the connected peers and the time since data of each was last received, in ms."""
         now = now_ms()
-        return {name: now - connection.last_heard for name, connection in self._by_name.items()}
+        return {name: now - connection.last_received_at for name, connection in self._by_name.items()}
 
     def status(self) -> dict[str, Any]:
         """Return the state of all connections for operators."""
@@ -118,7 +118,7 @@
             "lost": self.connections_lost,
             "links": {
                 name: {
-                    "heard_ms": round(now_ms() - connection.last_heard),
+                    "heard_ms": round(now_ms() - connection.last_received_at),
                     "version": connection.version,
                     "can": sorted(connection.capabilities),
                     "came": connection.received,
--- a/kelptrail/replication/activation_locator.py
+++ b/kelptrail/replication/activation_locator.py
@@ -36,7 +36,7 @@
         """
         if self._lookups.join(target, on_result):
             return
-        connected = self._context.peers.ms_since_heard().keys()
+        connected = self._context.peers.ms_since_received().keys()
         # An unreachable dispatcher has a key only in its journal, and the journal's replicas report it as the primary.
         unreachable = not target.startswith(KEY_TARGET_PREFIX) and any(
             member.name not in connected and member.name != self._context.name for member in self._members()
--- a/kelptrail/replication/drain.py
+++ b/kelptrail/replication/drain.py
@@ -52,7 +52,7 @@
         return not self._context.hooks.has_in_flight(handle) or now >= self._deadline
 
     def _transfer(self, handle: PrimaryHandle, others: list[str]) -> None:
-        successor = next((name for name in others if name in self._context.peers.ms_since_heard()), others[0])
+        successor = next((name for name in others if name in self._context.peers.ms_since_received()), others[0])
         self._journals.release(handle, successor)
         if handle.journal_id in self._context.replica.logs:
             self._context.replica.logs[handle.journal_id].primary = successor  # later closes the replica here
--- a/kelptrail/replication/driver.py
+++ b/kelptrail/replication/driver.py
@@ -214,13 +214,13 @@
         if self._stopped:
             return
         self._timer = self._loop.call_later(TICK_MS / 1000, self._tick)
-        now, ms_since_heard = now_ms(), self._peers.ms_since_heard()
+        now, ms_since_received = now_ms(), self._peers.ms_since_received()
         failover, draining = self._context.failover, self._drain.draining
         failover.on_tick(now, TICK_MS)
-        for name in ms_since_heard:
-            failover.on_message(name, now - ms_since_heard[name])
-        ranking = self._rank(ms_since_heard)
-        self._review.tick_primaries(now, ms_since_heard, ranking)
+        for name in ms_since_received:
+            failover.on_message(name, now - ms_since_received[name])
+        ranking = self._rank(ms_since_received)
+        self._review.tick_primaries(now, ms_since_received, ranking)
         self._review.tick_replicas(now, draining)
         self._journals.create_if_due(now)
         if draining:
--- a/kelptrail/replication/journal_manager.py
+++ b/kelptrail/replication/journal_manager.py
@@ -183,7 +183,7 @@
     def _reject_incomplete(self, journal_id: str, in_sync: InSyncSet) -> None:
         """Release a lease that this dispatcher cannot use, in favour of a reachable in-sync replica if there is one."""
         context = self._context
-        reachable = context.peers.ms_since_heard()
+        reachable = context.peers.ms_since_received()
         successor = next((name for name in sorted(in_sync.disk_ids) if name in reachable), "")
         context.log.warning(
             "journal_replica_incomplete", journal=journal_id, in_sync=sorted(in_sync.disk_ids), successor=successor
@@ -261,7 +261,7 @@
 
     def transfer(self, handle: PrimaryHandle, reason: str) -> None:
         """Release a journal whose local disk has failed, in favour of a reachable in-sync replica."""
-        name, reachable = self._context.name, self._context.peers.ms_since_heard()
+        name, reachable = self._context.name, self._context.peers.ms_since_received()
         others = [other for other in sorted(handle.primary.in_sync) if other != name and other in reachable]
         successor = others[0] if others else ""
         self._context.log.error("journal_transferred", journal=handle.journal_id, reason=reason, successor=successor)
