--- a/kelptrail/replication/primary.py
+++ b/kelptrail/replication/primary.py
@@ -2,8 +2,8 @@
 
 Entries are collected in batches.  A batch is written to the local disk and sent to all replicas in parallel.  A replica
 joins the in-sync set once it has everything that the primary has; one that does not acknowledge in time is removed from
-it.  Either change is stored as a note with the journal's lease before it takes effect.  The next lease holder therefore
-has every committed batch, provided that the note lists it.
+it.  Either change is first stored as a note with the journal's lease.  The next lease holder therefore has every
+committed batch, provided that the note lists it.
 
 Each replica has its own stream.  The replica first sends its digests.  Buckets that differ are then repaired one by one
 at a bounded rate; batches written meanwhile are deferred until the repair is complete.
