--- a/kelptrail/dispatch/second_attempts.py
+++ b/kelptrail/dispatch/second_attempts.py
@@ -33,7 +33,7 @@
             if not worker.attempts and worker.mean_in_flight < INACTIVE_IN_FLIGHT:
                 del self._state.active_workers[worker]
             elif overdue := self._outliers.overdue_attempts(now, worker):
-                message = f"worker {worker.id} unusually silent, {len(overdue)} attempts overdue"
+                message = f"worker {worker.id} unusually silent, {len(overdue)} out"
                 self._state.decisions.append(LogMessage(message))
                 self.retry(now, overdue)
                 self._state.runnable.update(dict.fromkeys(worker.instances))
