--- a/kelptrail/gateway/__init__.py
+++ b/kelptrail/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The program's core: owns activations from taken to final answer; joins the decisions to sockets and records."""
+"""The gateway: owns each activation from acceptance to final answer, and carries out the dispatcher's decisions."""
--- a/kelptrail/gateway/admission.py
+++ b/kelptrail/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Requests on their way in: rejected at a limit or under overload, or accepted with a record and a deadline."""
+"""Admission of requests: each is rejected at a limit or under overload, or accepted with a record and a deadline."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from .records import Record
 from .state import GatewayState
 
-MAX_MARGIN_SHARE = 0.25  # of a request's time: the answer margin grows no further under load
+MAX_MARGIN_SHARE = 0.25  # largest share of a request's timeout that the answer margin takes under load
 
 
 class RequestRejection(NamedTuple):
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """What a client asks for."""
+    """A client's request, as the front end passes it to the gateway."""
 
     namespace: str
     action: ActionSettings
@@ -36,11 +36,11 @@
     key: str | None = None  # the client's idempotency key
     trace: str = ""
     deferred: bool = False  # the client expects only the activation id
-    digest: str = ""  # of the body, to recognise another body under the same key
-    limit_ms: float = float("inf")  # what the client itself allows, where that is less than its request class does
+    digest: str = ""  # digest of the body, which detects another body under the same key
+    limit_ms: float = float("inf")  # the client's own timeout; applies where it is below that of the request class
     payload_format: str = "json"
     streamed: bool = False  # the client accepts the response in parts
-    client_key: str = ""  # by which overload control recognises the client's retry; empty: its key or id
+    client_key: str = ""  # identifies the client's retries to overload control; if empty, the key or the id does
 
 
 class RequestAdmission:
@@ -48,13 +48,13 @@
 
     def __init__(self, state: GatewayState, durability: DurabilityWriter, boot: str) -> None:
         self._state, self._durability, self._parts = state, durability, state.parts
-        self._boot, self._submitted = boot, 0  # activation ids: this start's prefix and a number
+        self._boot, self._submitted = boot, 0  # an activation id consists of this start's prefix and a counter
         self._max_priority_weight = max(t.priority_weight for t in self._parts.deployment.types.values())
 
-    def on_connect(self, now: float, namespace: str, path: str, size: int, mark: str) -> RequestRejection | None:
-        """Admit a request before anything is done for it, or say why it is rejected.
+    def on_connect(self, now: float, namespace: str, path: str, size: int, retry_key: str) -> RequestRejection | None:
+        """Return None if a request of `size` bytes is admitted, or why it is rejected before any work is done for it.
 
-        `mark` is the client's idempotency key or whatever else identifies its retry.
+        `retry_key` is the client's idempotency key or other text that identifies its retries.
         """
         limits, deployment = self._state.limits, self._parts.deployment
         reason = limits.rejection_reason(namespace, size)
@@ -62,7 +62,7 @@
             return RequestRejection(reason, RETRY_AFTER_MS)
         settings = deployment.types[deployment.actions[path].type]
         retry_after_ms = self._state.overload.on_request(
-            now, f"{namespace}/{path}/{mark}", namespace, settings.priority_weight / self._max_priority_weight
+            now, f"{namespace}/{path}/{retry_key}", namespace, settings.priority_weight / self._max_priority_weight
         )
         if retry_after_ms is not None:
             limits.rejections[RejectionReason.EARLY] += 1
@@ -72,7 +72,7 @@
     def submit(
         self, now: float, wall: float, submission: Submission, waiter: Callable[[Record], None] | None
     ) -> Invocation:
-        """Accept a request; its final answer goes to `waiter`."""
+        """Accept a request, and call `waiter` with its record once the final answer may be shown."""
         record = self._new_record(now, wall, submission)
         has_key = submission.key is not None
         request = self._new_request(now, record, has_key)
@@ -81,7 +81,8 @@
         if waiter is not None:
             invocation.waiters.append(waiter)
         self._register(invocation, has_key)
-        # Guards against load orders earned by requests that a failing disk rejects: those were not accepted.
+        # A deferred request counts towards the load ration only once it is durable: one that is rejected because the
+        # disk fails was never accepted, and must not allow a load order.
         self._state.dispatcher.on_request(now, request, count=not (journaled and submission.deferred))
         return invocation
 
@@ -105,8 +106,8 @@
         return record
 
     def _new_request(self, now: float, record: Record, has_key: bool) -> Request:
-        # Guards against many requests that arrived together and must all be answered at one moment: writing so many
-        # answers takes time, and the last of them would be late.
+        # Requests that arrive together would all have to be answered at the same moment.  Writing the answers takes
+        # time, so each deadline is earlier by the time that the answers to the requests in flight take.
         margin_ms = self._state.margin_ms
         load_margin_ms = margin_ms + self._state.answer_ms * len(self._state.invocations)
         margin = min(MAX_MARGIN_SHARE * record.timeout_ms, load_margin_ms)
--- a/kelptrail/gateway/attempts.py
+++ b/kelptrail/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: starts them when their journal entry is durable, cancels them, and takes in how they ended."""
+"""Attempts: starts them when their journal entry is durable, cancels them, and processes their results."""
 
 from __future__ import annotations
 
@@ -16,17 +16,20 @@
 
 
 class AttemptAlreadyEndedError(Exception):
-    """A second end of one attempt."""
+    """The end of an attempt was reported a second time."""
 
 
 class Attempts:
-    """Carries the dispatcher's attempts from their decision to their end."""
+    """Manages the dispatcher's attempts from the decision to start them to their end."""
 
     def __init__(self, state: GatewayState, durability: DurabilityWriter, completion: RequestCompletion) -> None:
         self._state, self._durability, self._completion = state, durability, completion
 
     def start(self, now: float, attempt: Attempt) -> StartAttempt | None:
-        """Start an attempt, or hold it until its may-run entry is durable and this dispatcher is the primary."""
+        """Start an attempt, or hold it until its may-run entry is durable and this dispatcher is the primary.
+
+        Return the effect to carry out, or None for an attempt that is held.
+        """
         invocation = self._state.invocations[attempt.request]
         record = invocation.record
         if attempt.number == 0:
@@ -42,7 +45,7 @@
         return StartAttempt(invocation, attempt)
 
     def cancel(self, now: float, attempt: Attempt, reason: CancelReason) -> None:
-        """Cancel an attempt; one that was held never went out."""
+        """Cancel an attempt; one that is held ends at once, as nothing of it was sent."""
         invocation = self._state.invocations.get(attempt.request)
         if invocation is not None and attempt in invocation.held_attempts:
             invocation.held_attempts.remove(attempt)
@@ -59,20 +62,20 @@
         answer: WorkerAnswer | None = None,
         started: bool = True,
     ) -> None:
-        """An attempt has ended; `started` is False for one that was held and never went out.
+        """Process the end of an attempt; `started` is False for one that was held and never sent.
 
-        Raises `AttemptAlreadyEndedError` at a second end.
+        Raises `AttemptAlreadyEndedError` if the attempt has ended before.
         """
         request = attempt.request
         if attempt.status is not None:
-            raise AttemptAlreadyEndedError(f"attempt {attempt.number} of {request.id} has ended already")
+            raise AttemptAlreadyEndedError(f"attempt {attempt.number} of request {request.id} has already ended")
         statuses = self._state.counts.attempt_statuses
         statuses[status] = statuses.get(status, 0) + 1
         invocation = self._state.invocations.get(request)
         if invocation is not None:
             if started:
                 invocation.lifecycle.on_attempt_finished()
-            self._note_answer(now, invocation, attempt, status, answer)
+            self._record_answer(now, invocation, attempt, status, answer)
         final = request.final_status is not None or status is AttemptStatus.COMPLETED
         reply = answer or NO_ANSWER
         result = AttemptResult(
@@ -83,10 +86,10 @@
             self._completion.finish(now, invocation, FinalStatus.COMPLETED)
         self._state.settle(request)
 
-    def _note_answer(
+    def _record_answer(
         self, now: float, invocation: Invocation, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
     ) -> None:
-        """Keep the answer of the first completed attempt; count what was completed or not loaded."""
+        """Store the answer of the first completed attempt, and count attempts that completed or found no instance."""
         completed, request = status is AttemptStatus.COMPLETED, attempt.request
         if completed and request.final_status is None:
             invocation.answer = answer
--- a/kelptrail/gateway/build.py
+++ b/kelptrail/gateway/build.py
@@ -16,7 +16,7 @@
 from kelptrail.dispatch.timer_queue import TimerQueue
 from kelptrail.settings.deployment import Deployment, DispatcherSettings, RuleSettings, TypeSettings
 
-# Two long polls of the endpoint source, each held for 2 s: one that is not answered by then is not held but lost.
+# Two long polls of the endpoint source, which holds each for 2 s: a poll without an answer after this time is lost.
 LIST_NOTIFICATION_MS = 4_000.0
 
 
@@ -45,7 +45,7 @@
 
 
 class DispatcherParts:
-    """The dispatcher of one process, and the request classes, tenants and functions that its deployment names."""
+    """The dispatcher of one process, and the request classes, tenants and functions that its deployment defines."""
 
     def __init__(self, deployment: Deployment, zone: str, seed: int) -> None:
         settings = deployment.dispatcher
@@ -69,7 +69,7 @@
         self.paths = {action.model: path for path, action in deployment.actions.items()}
 
     def function(self, path: str) -> Function:
-        """The function of an action, created when it is first invoked."""
+        """Return the function of an action; it is created at the first call."""
         function = self._functions.get(path)
         if function is None:
             action = self.deployment.actions[path]
@@ -79,5 +79,5 @@
         return function
 
     def forget_function(self, function: Function) -> None:
-        """Remove a function that has been idle for long."""
+        """Remove a function that has been idle for a long time."""
         self._functions = {p: f for p, f in self._functions.items() if f is not function}
--- a/kelptrail/gateway/completion.py
+++ b/kelptrail/gateway/completion.py
@@ -1,4 +1,4 @@
-"""Gives a request its one final answer: counts it, ends its record, and publishes the answer or journals it first."""
+"""Gives a request its one final answer: counts it, ends its record, and publishes or first journals the answer."""
 
 from __future__ import annotations
 
@@ -9,12 +9,10 @@
 from .recovery import RestartRecovery
 from .state import GatewayState
 
-ABORTED_MAY_HAVE_RUN = (
-    b'{"error":"The activation was aborted: it may have run, so trying again may repeat its effect."}'
-)
-ABORTED_IN_STREAM = b'{"error":"The activation was aborted in the middle of its stream; what was given stands."}'
-ABORTED_NEVER_RAN = b'{"error":"The activation was aborted before any run of it began."}'
-REJECTED = b'{"error":"The activation was rejected; trying again is harmless."}'
+ABORTED_MAY_HAVE_RUN = b'{"error":"The activation was aborted: it may have run, so a retry may repeat its effect."}'
+ABORTED_IN_STREAM = b'{"error":"The activation was aborted during its stream; the parts already sent remain valid."}'
+ABORTED_NEVER_RAN = b'{"error":"The activation was aborted before it ran."}'
+REJECTED = b'{"error":"The activation was rejected; a retry is safe."}'
 CODE_SUCCESS, CODE_APPLICATION_ERROR, CODE_INTERNAL_ERROR = 0, 1, 3  # indices of `records.STATUS_MESSAGES`
 
 
@@ -27,7 +25,7 @@
     def finish(
         self, now: float, invocation: Invocation, status: FinalStatus, failure_result: bytes | None = None
     ) -> None:
-        """Give the final answer; `failure_result` replaces the usual text of a failed one."""
+        """Give a request its final answer; `failure_result` replaces the default result of a failed request."""
         may_have_run = [attempt for attempt in invocation.request.attempts if attempt.may_have_run]
         if status is FinalStatus.COMPLETED and invocation.answer is not None:
             self._complete(now, invocation, invocation.answer.success, invocation.answer.result)
@@ -73,7 +71,7 @@
         state.counts.failed += 1
         record.timed_out = now >= request.deadline - state.margin_ms
         if request.streaming_attempt:
-            usual = ABORTED_IN_STREAM
+            default = ABORTED_IN_STREAM
         else:
-            usual = ABORTED_MAY_HAVE_RUN if may_have_run else ABORTED_NEVER_RAN
-        state.records.end(now, record, FinalStatus.FAILED, CODE_INTERNAL_ERROR, result or usual)
+            default = ABORTED_MAY_HAVE_RUN if may_have_run else ABORTED_NEVER_RAN
+        state.records.end(now, record, FinalStatus.FAILED, CODE_INTERNAL_ERROR, result or default)
--- a/kelptrail/gateway/connection_health.py
+++ b/kelptrail/gateway/connection_health.py
@@ -1,7 +1,7 @@
-"""Whether this dispatcher's connections to workers work, judged by how its attempts end; free of I/O.
+"""Checks whether this dispatcher can reach workers, according to how its attempts end; free of I/O.
 
-They do if any attempt of the recent span reached a worker.  A span without a result shows nothing: then the host may
-try a connection itself and report the result.
+Its connections are healthy if any recent attempt reached a worker.  Without a recent result nothing is known: the host
+may then open a connection itself and report the result.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 
 
 class ConnectionHealth:
-    """Whether any worker can be reached; `span_ms` is for how long one result counts."""
+    """Tracks whether any worker can be reached; `span_ms` is how long a result is valid, in ms."""
 
     def __init__(self, span_ms: float = 1000.0) -> None:
         self._span_ms = span_ms
         self._reached = self._failed = float("-inf")
 
     def on_attempt_finished(self, now: float, outcome: AttemptStatus) -> None:
-        """An attempt or a load order has ended."""
+        """Record the result of an attempt or a load order."""
         if outcome in REACHED:
             self._reached = now
         elif outcome in NOT_REACHED:
             self._failed = now
 
     def on_connect_result(self, now: float, reached: bool) -> None:
-        """The host has opened a connection itself, or failed to."""
+        """Record whether the host could open a connection itself."""
         if reached:
             self._reached = now
         else:
             self._failed = now
 
     def is_healthy(self, now: float) -> bool | None:
-        """True, False, or None without a recent result."""
+        """Return whether workers can be reached, or None without a recent result."""
         if now - self._reached <= self._span_ms:
             return True
         return False if now - self._failed <= self._span_ms else None
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -1,9 +1,9 @@
-"""The gateway core: requests from submission to their one final answer, free of I/O and clocks.
+"""The gateway core: handles requests from submission to their one final answer; free of I/O and clocks.
 
-Inputs (`submit`, `on_attempt_finished`, `on_load_report`, `on_client_gone`, `on_endpoints`) update the state and inform
-the dispatcher; the host then calls `next_effect(now)` until it returns None and carries each effect out.  Each request
-has one `FinalAnswer`.  Nothing is decided here: attempts, load orders and rejections come from `kelptrail.dispatch`.
-All times are milliseconds by the caller's clock, `wall` is wall time.
+Inputs (`submit`, `on_attempt_finished`, `on_load_report`, `on_client_gone`, `on_endpoints`) update the state and notify
+the dispatcher; the host then calls `next_effect(now)` until it returns None, and carries out each effect.  Each request
+gets one `FinalAnswer`.  The core decides nothing itself: `kelptrail.dispatch` decides on attempts, load orders and
+rejections.  All times are in milliseconds of the caller's clock; `wall` is wall time.
 """
 
 from __future__ import annotations
@@ -42,16 +42,16 @@
 from .state import GatewayState
 from .streaming import ResponseStreams
 
-CLIENT_GONE = b'{"error":"The client went away before the answer."}'
-COLD_COUNT_INTERVAL_MS = 1000.0  # how often warming-up workers are counted
+CLIENT_GONE = b'{"error":"The client disconnected before the answer."}'
+COLD_COUNT_INTERVAL_MS = 1000.0  # interval at which recently started (cold) workers are counted
 NEVER_MS = -1e18
 
 
 class Gateway:
-    """All requests that one dispatcher holds.
+    """All requests of one dispatcher.
 
-    Requests that outlive the process (deferred ones, and those with an idempotency key) go through a journal.  What
-    must be durable before a step is kept by each one's `RequestLifecycle`.
+    Requests that must survive a restart (deferred ones, and those with an idempotency key) are written to a journal.
+    The `RequestLifecycle` of each request tracks which entries must be durable before its next step.
     """
 
     def __init__(self, parts: DispatcherParts, boot: str, journal: GroupCommit | None = None) -> None:
@@ -72,14 +72,14 @@
 
     @property
     def in_flight(self) -> int:
-        """Activations without a final answer."""
+        """Number of activations without a final answer."""
         return self.records.in_flight()
 
     # Requests.
 
-    def on_connect(self, now: float, namespace: str, path: str, size: int, mark: str) -> RequestRejection | None:
+    def on_connect(self, now: float, namespace: str, path: str, size: int, retry_key: str) -> RequestRejection | None:
         """See `RequestAdmission.on_connect`."""
-        return self._admission.on_connect(now, namespace, path, size, mark)
+        return self._admission.on_connect(now, namespace, path, size, retry_key)
 
     def submit(
         self, now: float, wall: float, submission: Submission, waiter: Callable[[Record], None] | None = None
@@ -91,25 +91,25 @@
         """See `IdempotencyKeys.find`.  Raises `KeyConflictError`."""
         return self.state.keys.find(namespace, path, key, digest)
 
-    def has_record(self, what: str) -> bool:
-        """Whether a record is here, by its id, or as `key:NAMESPACE/ACTION/KEY` by its idempotency key."""
-        if not what.startswith("key:"):
-            return self.records.has(what)
-        namespace, _, path_and_key = what.removeprefix("key:").partition("/")
+    def has_record(self, id_or_key: str) -> bool:
+        """Return whether a record exists for an activation id, or for `key:NAMESPACE/ACTION/KEY`."""
+        if not id_or_key.startswith("key:"):
+            return self.records.has(id_or_key)
+        namespace, _, path_and_key = id_or_key.removeprefix("key:").partition("/")
         return self.state.keys.has(namespace, path_and_key, self._parts.deployment.actions)
 
     def in_flight_of(self, id_: str) -> Invocation | None:
-        """The request in flight with this activation id."""
+        """Return the request in flight with this activation id, or None."""
         return self.state.invocations_by_id.get(id_)
 
     def remove_waiter(self, record: Record, waiter: Callable[[Record], None]) -> None:
-        """Do not notify `waiter` of the final answer any more."""
+        """Stop notifying `waiter` of the final answer."""
         invocation = self.state.invocations_by_id.get(record.id)
         if invocation is not None and waiter in invocation.waiters:
             invocation.waiters.remove(waiter)
 
     def on_client_gone(self, now: float, invocation: Invocation) -> None:
-        """The client of a blocking request has gone away before its final answer."""
+        """End a blocking request whose client has disconnected before the final answer."""
         if invocation.record.final:
             return
         self._dispatcher.on_client_gone(invocation.request)
@@ -119,7 +119,7 @@
     # Durability.
 
     def accepts_deferred(self) -> bool:
-        """Whether a deferred request could be made durable now."""
+        """See `DurabilityWriter.accepts_deferred`."""
         return self.durability.accepts_deferred()
 
     def when_durable(self, invocation: Invocation, done: Callable[[bool | None], None]) -> None:
@@ -171,11 +171,11 @@
         self._streams.set_reading(now, invocation, reading)
 
     def on_load_report(self, now: float, order: LoadOrder, status: AttemptStatus, loaded: int) -> None:
-        """A load order has ended; `loaded`: how many instances the worker has."""
+        """Process the end of a load order; `loaded` is the number of instances that the worker then has."""
         self._dispatcher.on_load_report(now, order, status, loaded)
 
     def on_endpoints(self, now: float, listing: EndpointList) -> None:
-        """The endpoint list has changed."""
+        """Apply a new endpoint list."""
         workers, restarted = self.members.apply(now, listing)
         self._dispatcher.on_endpoints(now, workers, restarted)
         self.members.remove_departed()
@@ -183,7 +183,7 @@
     # The planner.
 
     def on_plan(self, wants: Mapping[str, Mapping[str, int]] | None) -> None:
-        """A plan's instances by model and worker, in place of the plan before; None: there is no plan."""
+        """Replace the current plan: instances by model and worker, or None where there is no plan."""
         workers = {worker.id: worker for worker in self.members}
         planned: dict[Function, dict[Worker, int]] = {}
         for model, counts in (wants or {}).items():
@@ -192,11 +192,11 @@
         self._dispatcher.on_plan(planned)
 
     def counters(self) -> dict[str, FunctionCounters]:
-        """The counters by model since the last call."""
+        """Return the counters by model since the last call."""
         return self.state.take_counters()
 
     def loaded_instances(self) -> dict[str, dict[str, int]]:
-        """How many instances the dispatcher believes to be loaded, by model and worker."""
+        """Return how many instances are loaded according to the dispatcher's records, by model and worker."""
         loaded: dict[str, dict[str, int]] = {}
         for worker in self.members:
             for function, instance in worker.instances.items():
@@ -207,7 +207,7 @@
     # Effects.
 
     def next_effect(self, now: float) -> Effect | None:
-        """The next effect to carry out, or None."""
+        """Return the next effect to carry out, or None."""
         if now >= self._next_tick_at:
             self._tick(now)
         while (expired := self.state.deadlines.pop_due(now)) is not None:
@@ -221,11 +221,11 @@
             decision = self._dispatcher.decide(now)
             if decision is None:
                 return None
-            if (effect := self._follow(now, decision)) is not None:
+            if (effect := self._apply_decision(now, decision)) is not None:
                 return effect
 
     def next_due(self) -> float:
-        """When `next_effect` should be called again at the latest."""
+        """Return the latest time at which `next_effect` should be called again."""
         dues = (self._next_tick_at, self.state.deadlines.next_due(), self._dispatcher.timers.next_due())
         return min(due for due in dues if due is not None)
 
@@ -235,7 +235,7 @@
         if idle_function is not None:
             self._parts.forget_function(idle_function)
         self.records.trim(now)
-        if now >= self._next_cold_count_at:  # CPU: a large fleet is not counted at each tick
+        if now >= self._next_cold_count_at:  # counting a large fleet at each tick would take too much CPU time
             self._next_cold_count_at = now + COLD_COUNT_INTERVAL_MS
             cold = [
                 w.started_at is not None and now - w.started_at < self._slow_start_ms for w in self.members if w.live
@@ -243,28 +243,28 @@
             self.overload.signals.cold_share = sum(cold) / len(cold) if cold else 0.0
 
     def _on_expired(self, now: float, request: Request) -> None:
-        """A request's time is up: cancel its attempts, and show its answer even if that is not durable yet."""
+        """Cancel the attempts of a request whose time is up, and show its answer even if that is not durable yet."""
         invocation = self.state.invocations.get(request)
-        if invocation is not None and invocation.expires_at > now:  # a part of its stream has arrived meanwhile
+        if invocation is not None and invocation.expires_at > now:  # a part of its stream has arrived since
             self.state.deadlines.add(invocation.expires_at, request)
             return
         for attempt in request.attempts:
             if attempt.status is None:
                 self._attempts.cancel(now, attempt, CancelReason.SILENT)
-        invocation = self.state.invocations.get(request)  # it may have been settled
+        invocation = self.state.invocations.get(request)  # cancelling the attempts may have settled the request
         if invocation is None or invocation.lifecycle.deferred:
             return
         if invocation.lifecycle.stage is RequestStage.FINAL:
-            self.durability.publish(invocation, True)  # a slow disk delays no blocking client's answer
+            self.durability.publish(invocation, True)  # a slow disk must not delay the answer to a blocking client
 
     def _apply_journal_results(self, now: float) -> None:
-        """Act on what the journal has reported since the last call."""
+        """Process the results that the journal has reported since the last call."""
         durability = self.durability
         while durability.durable_deferred:
             self._dispatcher.count_request(now, durability.durable_deferred.popleft())
         while durability.under_replicated:
             self._reject_under_replicated(now, durability.under_replicated.popleft())
-        while durability.unsafe_attempts:  # no byte of it was written to a worker
+        while durability.unsafe_attempts:  # nothing of these was written to a worker
             attempt = durability.unsafe_attempts.popleft()
             if attempt.status is None:
                 self._attempts.on_finished(now, attempt, AttemptStatus.NOT_SENT, None, False)
@@ -276,8 +276,8 @@
         self._dispatcher.on_client_gone(invocation.request)
         self._completion.finish(now, invocation, FinalStatus.REJECTED)
 
-    def _follow(self, now: float, decision: Decision) -> Effect | None:
-        """One decision as an effect; None where its effect is queued, or waits for the journal."""
+    def _apply_decision(self, now: float, decision: Decision) -> Effect | None:
+        """Return the effect of a decision, or None where the effect is queued or waits for the journal."""
         if isinstance(decision, str):
             return LogEvent(decision)
         if isinstance(decision, ReadinessQuestion):
--- a/kelptrail/gateway/counters.py
+++ b/kelptrail/gateway/counters.py
@@ -1,4 +1,4 @@
-"""What a gateway counts: in all since its start, and for each function since the last report to a planner."""
+"""Counters of a gateway: totals since its start, and counters of each function since the last report to a planner."""
 
 from __future__ import annotations
 
@@ -10,18 +10,21 @@
 
 
 class FunctionCounters(msgspec.Struct, array_like=True):
-    """One function at one gateway since its last report; an array on the wire, so the order of fields is fixed."""
+    """Counters of one function since the gateway's last report.
+
+    They are sent as an array, so the order of the fields is fixed.
+    """
 
     received: int = 0
     completed: int = 0
     rejected: int = 0
     not_loaded: int = 0  # attempts whose worker had no instance
-    late: int = 0  # completed after the latency objective
-    queue_depth: int = 0  # when it was reported
-    work_ms: float = 0.0  # the sum of times from an attempt's start to its answer
+    late: int = 0  # requests completed after their latency objective
+    queue_depth: int = 0  # requests in the queue at the time of the report
+    work_ms: float = 0.0  # sum of the times from an attempt's start to its answer
 
     def plus(self, later: FunctionCounters) -> FunctionCounters:
-        """Both together; the queue depth is the later one's."""
+        """Return the sum of both; the queue depth is that of `later`."""
         return FunctionCounters(
             self.received + later.received,
             self.completed + later.completed,
@@ -35,7 +38,7 @@
 
 @dataclass(slots=True)
 class GatewayCounters:
-    """What has happened since the start."""
+    """Totals since the start of the gateway."""
 
     received: int = 0
     completed: int = 0
@@ -43,6 +46,6 @@
     failed: int = 0
     attempts: int = 0
     load_orders: int = 0
-    repeat_attempts: int = 0  # retries and hedges: started while an earlier attempt of the request may have run
-    useful_repeats: int = 0  # repeat attempts that brought the final answer; the others were wasted work
+    repeat_attempts: int = 0  # retries and hedges, started although an earlier attempt may have run
+    useful_repeats: int = 0  # repeat attempts that returned the final answer; the others were wasted work
     attempt_statuses: dict[AttemptStatus, int] = field(default_factory=dict)
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -1,6 +1,6 @@
 """Carries out the gateway core's effects on the event loop: calls to workers, answers to clients, one timer.
 
-Nothing is decided here.
+The driver makes no decisions.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 from .invocation import Invocation
 from .worker_calls import WorkerCalls
 
-LATE_MS = 50.0  # a timer that fires so late, or effects that take so long, are logged: the loop is overloaded
-MAX_ANSWER_MS = 2.0  # what one answer may be taken to cost: a stall is not the answers' cost
-SOCKET_WRITE_FACTOR = 2  # writing an answer to its socket, on the loop later, costs about as much again
-ANSWER_COST_WEIGHT = 0.02  # of one measurement in the average cost of an answer
+LATE_MS = 50.0  # a longer delay of the timer, or of a run of effects, is logged as a sign of an overloaded loop
+MAX_ANSWER_MS = 2.0  # bound of the cost counted for one answer, so that a stall of the loop is not counted
+SOCKET_WRITE_FACTOR = 2  # the later write of an answer to its socket takes about as long again
+ANSWER_COST_WEIGHT = 0.02  # weight of one measurement in the average cost of an answer
 TIMER_TOLERANCE_MS = 0.01
-SWEEP_INTERVAL_MS = 1000.0  # how often idle worker connections are closed
+SWEEP_INTERVAL_MS = 1000.0  # interval at which idle worker connections are closed
 DRAIN_POLL_S = 0.005
 
 
 class GatewayDriver:
-    """One dispatcher on the event loop: the core, a connection pool for each worker, one timer."""
+    """Runs one dispatcher on the event loop: the core, a connection pool for each worker, and one timer."""
 
     def __init__(self, gateway: Gateway, name: str, pool: PoolSettings, log: Any, debug: bool = False) -> None:
-        """`debug`: log each attempt, load order and final answer."""
+        """Create the driver of a gateway; `debug` logs each attempt, load order and final answer."""
         self.gateway, self.name, self._log, self._debug = gateway, name, log, debug
         self.worker_calls = WorkerCalls(gateway, name, pool, log, debug, self.schedule_decisions)
         self._loop = asyncio.get_running_loop()
@@ -42,21 +42,21 @@
         self._after_effects: list[Callable[[], None]] = []
         self._swept_at = 0.0
         self.journal: JournalDriver | None = None
-        self.start_replication: Callable[[], None] | None = None  # starts writes to replicas
+        self.start_replication: Callable[[], None] | None = None  # called to start writes to replicas
 
     # Events.
 
     def on_initial_list(self) -> None:
-        """The endpoint list that was applied was read from the disk."""
+        """Record that the applied endpoint list was read from the disk."""
         self.gateway.readiness.on_initial_list(now_ms())
 
     def on_list_heard(self) -> None:
-        """The source of the endpoint list has answered."""
+        """Record that the source of the endpoint list has answered."""
         self.gateway.readiness.on_list_heard(now_ms())
         self.schedule_decisions()
 
     def on_endpoints(self, listing: EndpointList) -> None:
-        """A new endpoint list: close the pools of workers that are gone or have moved."""
+        """Apply a new endpoint list, and close the pools of workers that were removed or have another address."""
         gateway = self.gateway
         gateway.on_endpoints(now_ms(), listing)
         self.worker_calls.close_moved()
@@ -71,9 +71,10 @@
     # Effects.
 
     def schedule_decisions(self, after: Callable[[], None] | None = None) -> None:
-        """Carry out effects once the loop has processed all ready events; `after` is called when that is done.
+        """Schedule `run_effects` for when the loop has processed all ready events; `after` is called afterwards.
 
-        Guards against deciding again for each of a hundred answers that arrived together, above all in overload.
+        Otherwise the dispatcher would decide again for each of a hundred answers that arrived together, which costs
+        most under overload.
         """
         if after is not None:
             self._after_effects.append(after)
@@ -82,7 +83,7 @@
             self._loop.call_soon(self.run_effects)
 
     def run_effects(self) -> None:
-        """Carry out effects until there is none, start journal writes, and set the timer."""
+        """Carry out all pending effects, start journal writes, and set the timer."""
         if self._running_effects:
             return
         self._running_effects, self._effects_scheduled = True, False
@@ -119,7 +120,7 @@
             self._log.warning("dispatcher-warning", what=effect.text)
 
     def _measure(self, started: float, answers: int) -> None:
-        """Average what an answer costs; report effects that blocked the loop for long."""
+        """Update the average cost of an answer, and log effects that blocked the loop for a long time."""
         done = now_ms()
         if answers:
             answer_ms = min(MAX_ANSWER_MS, SOCKET_WRITE_FACTOR * (done - started) / answers)
@@ -170,19 +171,19 @@
             waiter(record)
 
     def set_reading(self, invocation: Invocation, reading: bool) -> None:
-        """Whether a stream's client reads: reading from its worker's connection resumes or pauses with it."""
+        """Resume or pause reading from the worker of a stream, according to whether its client reads."""
         self.worker_calls.set_reading(invocation.request.streaming_attempt, reading)
         self.gateway.set_reading(now_ms(), invocation, reading)
 
     # Shutdown.
 
     async def drain(self, within_ms: float) -> bool:
-        """Wait until every accepted request has its final answer, at most `within_ms`; True if all have."""
+        """Wait up to `within_ms` for all final answers, then close all connections; return whether all were given."""
         end = now_ms() + within_ms
         while self.gateway.in_flight and now_ms() < end:
             await asyncio.sleep(DRAIN_POLL_S)
-        clean = not self.gateway.in_flight
+        drained = not self.gateway.in_flight
         if self._timer is not None:
             self._timer.cancel()
         self.worker_calls.close()
-        return clean
+        return drained
--- a/kelptrail/gateway/durability.py
+++ b/kelptrail/gateway/durability.py
@@ -1,7 +1,7 @@
-"""Journals what a request needs before it may go on, and publishes final answers once they are durable.
+"""Writes the journal entries that a request needs before its next step, and publishes durable final answers.
 
-A request is journaled when it must outlive the process: a deferred one, or one with an idempotency key.  Its entries
-go to the local journal or, where there is one, to a replicated journal.
+A request is journaled if it must survive a restart: a deferred one, or one with an idempotency key.  Its entries are
+written to the local journal or, where there is one, to a replicated journal.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 
 class NoJournalError(Exception):
-    """An entry is to be written for a request that no journal keeps."""
+    """An entry was requested for an activation that has no journal."""
 
 
 def ended_entry(record: Record) -> Ended:
-    """The journal entry of a record's final answer."""
+    """Return the journal entry of a record's final answer."""
     assert record.answer is not None
     return Ended(
         record.id,
@@ -43,25 +43,25 @@
 
 
 class DurabilityWriter:
-    """Writes entries as request lifecycles ask for them.
+    """Writes the entries that request lifecycles require.
 
-    Nothing is decided in the callbacks of a journal: what they find is queued and handled by `Gateway.next_effect`.
+    The callbacks of a journal decide nothing: they queue their results, which `Gateway.next_effect` processes.
     """
 
     def __init__(self, state: GatewayState, journal: GroupCommit | None) -> None:
         self._state = state
-        self.journal = journal  # on this dispatcher's disk alone
-        self.replicated_journal: Callable[[], ReplicatedJournal | None] | None = None  # the one for new requests
-        self.on_step: Callable[[str], None] = lambda _step: None  # called at each step to durability; for crash tests
-        self.on_forget: Callable[[str], None] | None = None  # called with the id of a record that is dropped
-        self.under_replicated: deque[Invocation] = deque()  # too few replicas have their record
-        self.unsafe_attempts: deque[Attempt] = deque()  # not to be started: their may-run entry was not written
+        self.journal = journal  # the local journal, on this dispatcher's disk only
+        self.replicated_journal: Callable[[], ReplicatedJournal | None] | None = None  # returns that of new requests
+        self.on_step: Callable[[str], None] = lambda _step: None  # called at each durability step, for crash tests
+        self.on_forget: Callable[[str], None] | None = None  # called with the id of a dropped record
+        self.under_replicated: deque[Invocation] = deque()  # requests whose record is on too few replicas
+        self.unsafe_attempts: deque[Attempt] = deque()  # held attempts that must not start: no may-run entry
         self.durable_deferred: deque[Request] = deque()  # deferred requests whose records have become durable
 
-    # Which journal.
+    # Choice of the journal.
 
     def choose_journal(self, record: Record, deferred: bool, has_key: bool) -> bool:
-        """Whether a new request is journaled; notes in its record which replicated journal keeps it."""
+        """Return whether a new request is journaled; its record gets the replicated journal, if one is used."""
         if deferred and self.replicated_journal is not None:
             journal = self.replicated_journal()
             journaled = journal is not None and journal.is_accepting()
@@ -70,21 +70,21 @@
         return self.journal is not None and self.journal.is_accepting() and (deferred or has_key)
 
     def accepts_deferred(self) -> bool:
-        """Whether a deferred request could be made durable now."""
+        """Return whether a deferred request could be made durable now."""
         if self.replicated_journal is not None:
             journal = self.replicated_journal()
             return journal is not None and journal.is_accepting()
         return self.journal is None or self.journal.is_accepting()
 
     def journal_of(self, record: Record) -> Journal:
-        """The journal that keeps a record.  Raises `NoJournalError`."""
+        """Return the journal that stores a record.  Raises `NoJournalError`."""
         journal = record.replicated_journal or self.journal
         if journal is None:
             raise NoJournalError(f"activation {record.id} is not journaled")
         return journal
 
     def forget(self, record: Record) -> None:
-        """A record is dropped: its entries may go, too."""
+        """Request the deletion of the journal entries of a dropped record."""
         if record.replicated_journal is not None:
             record.replicated_journal.forget(record.id)
         elif self.on_forget is not None:
@@ -93,9 +93,10 @@
     # Writing.
 
     def when_durable(self, invocation: Invocation, done: Callable[[bool | None], None]) -> None:
-        """Call `done` once it is known whether the request's record is durable; at once where no journal is kept.
+        """Call `done` with whether the request's record is durable, once that is known.
 
-        It is called with None where another dispatcher has taken over the journal, so that nobody here knows.
+        For a request that is not journaled it is called at once, with True only if there is no local journal at all.
+        It is called with None where another dispatcher has taken over the journal, so that the result is unknown.
         """
         lifecycle = invocation.lifecycle
         if not lifecycle.journaled:
@@ -108,7 +109,7 @@
             self.write_entries(invocation)
 
     def make_durable(self, invocation: Invocation) -> None:
-        """Journal a blocking request whose client continues with the activation id."""
+        """Journal a blocking request whose client will poll with the activation id instead."""
         if invocation.lifecycle.final or self.journal is None or not self.accepts_deferred():
             return
         record = invocation.record
@@ -120,7 +121,7 @@
         self.write_entries(invocation)
 
     def write_entries(self, invocation: Invocation) -> None:
-        """Write the entries that the request's lifecycle asks for."""
+        """Write the entries that the request's lifecycle requires."""
         while (kind := invocation.lifecycle.next_entry()) is not None:
             journal = self.journal_of(invocation.record)
             if kind is EntryKind.ACCEPTED:
@@ -162,17 +163,17 @@
         entry = ended_entry(invocation.record)
         if invocation.lifecycle.deferred:
             journal.write(entry, partial(self._on_ended_written, invocation), keep=True)
-        else:  # a blocking client was promised no record: a failing journal delays no answer
+        else:  # a blocking client was promised no record, so a failing journal must not delay its answer
             journal.write(entry, partial(self._on_blocking_ended_written, invocation))
 
-    # What became of an entry.
+    # Results of writes.
 
     def _on_accepted_written(self, invocation: Invocation, journal: Journal, durable: bool) -> None:
         if journal is not self.journal_of(invocation.record):
             return  # the request has moved to another journal
         if not durable and invocation.record.replicated_journal is not None:
-            # The entry is in the journal all the same: a dispatcher that takes the journal over would run a request
-            # whose client was rejected and may retry.  So it is rejected, and the end is journaled first.
+            # The entry is in the journal nevertheless.  A dispatcher that takes over the journal would run this request
+            # although its client was rejected and may retry, so the rejection is journaled before it is published.
             invocation.lifecycle.on_written(EntryKind.ACCEPTED, True)
             invocation.under_replicated = True
             self.under_replicated.append(invocation)
@@ -203,10 +204,10 @@
             self.journal_of(invocation.record).write(ended_entry(invocation.record), None, keep=True)
         self._on_ended_written(invocation, durable)
 
-    # What waited for it.
+    # Steps that waited for a write.
 
     def release_held(self, invocation: Invocation, may_start: bool) -> None:
-        """Start the attempts that waited for the may-run entry, or end them as not sent."""
+        """Start the attempts that waited for the may-run entry, or queue them to be ended as not sent."""
         held, invocation.held_attempts = invocation.held_attempts, []
         for attempt in held:
             if may_start and not invocation.lifecycle.final and not invocation.under_replicated:
@@ -217,7 +218,7 @@
                 self.unsafe_attempts.append(attempt)
 
     def on_became_primary(self, journal: ReplicatedJournal) -> None:
-        """This dispatcher may act on a journal again: start the attempts that were held only for that."""
+        """Start the attempts that were held only because this dispatcher was not the primary of their journal."""
         for invocation in list(self._state.invocations.values()):
             if (
                 invocation.record.replicated_journal is journal
@@ -227,9 +228,9 @@
                 self.release_held(invocation, True)
 
     def publish(self, invocation: Invocation, late: bool = False) -> None:
-        """Show a final answer, once; `late`: its client waits and its time is up, though the journal is not done."""
+        """Publish a final answer, once; `late`: the client's time is up, although the answer is not durable yet."""
         if invocation.lifecycle.stage is not RequestStage.FINAL:
-            return  # it was late, and has been published
+            return  # it was published late, before this write ended
         invocation.lifecycle.publish(late)
         if not invocation.record.durable:
             self.on_step("ended")
--- a/kelptrail/gateway/effects.py
+++ b/kelptrail/gateway/effects.py
@@ -1,4 +1,4 @@
-"""What the gateway core asks its host to carry out: attempts, load orders, cancellations, answers, log events."""
+"""Effects that the gateway core returns to its host: attempts, load orders, cancellations, answers, log events."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class CancelReason(StrEnum):
-    """Why the host stops waiting for a worker's answer."""
+    """The reason why the host stops waiting for a worker's answer."""
 
     CANCELLED = "revoked"  # the dispatcher cancelled the attempt
     SILENT = "silent"  # the request's time is up, or a stream has stalled
     LOAD_TIMEOUT = "order-time"  # a load order was not answered in time
-    MALFORMED = "malformed"  # the worker's stream broke the protocol
+    MALFORMED = "malformed"  # the worker's stream violated the protocol
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponsePart:
-    """A part of a streamed response, to be passed on at once."""
+    """Send a part of a streamed response to the client at once."""
 
     invocation: Invocation
     data: bytes
@@ -59,14 +59,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalAnswer:
-    """The one final answer is in the record and may be shown: notify the waiters."""
+    """Notify the waiters of a request: its one final answer is in the record and may be shown."""
 
     invocation: Invocation
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Something unusual, for the log."""
+    """Log an unusual event."""
 
     text: str
 
--- a/kelptrail/gateway/idempotency_keys.py
+++ b/kelptrail/gateway/idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Which activation a client's idempotency key belongs to."""
+"""An index of activations by the idempotency keys of their clients."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class KeyConflictError(Exception):
-    """An idempotency key that was used before with another body."""
+    """An idempotency key was used before with another body."""
 
 
 class IdempotencyKeys:
@@ -20,20 +20,20 @@
         self._records: dict[tuple[str, str, str], Record] = {}
 
     def add(self, record: Record) -> None:
-        """Enter a record that has a key; it replaces an older one."""
+        """Add a record that has a key; it replaces an older one with the same key."""
         self._records[record.namespace, record.path, record.key] = record
 
     def remove(self, record: Record) -> None:
         """Remove a record, unless a newer one has its key."""
-        at = (record.namespace, record.path, record.key)
-        if record.key and self._records.get(at) is record:
-            del self._records[at]
+        index_key = (record.namespace, record.path, record.key)
+        if record.key and self._records.get(index_key) is record:
+            del self._records[index_key]
 
     def find(self, namespace: str, path: str, key: str, digest: str) -> Record | None:
-        """The activation that a client's repeat joins, or None where the repeat is a new request.
+        """Return the activation that a client's retry joins, or None where the retry is a new request.
 
-        A rejected one had no effect, so a retry runs; an idempotent one that failed may run again.  Raises
-        `KeyConflictError` where the key came with another body (`digest`).
+        A rejected activation had no effect, so its retry runs; an idempotent one that failed may run again.  Raises
+        `KeyConflictError` where the key was used with another body (`digest`).
         """
         record = self._records.get((namespace, path, key))
         if record is None or record.answer is FinalStatus.REJECTED:
@@ -41,11 +41,14 @@
         if record.answer is FinalStatus.FAILED and record.idempotency == Idempotency.IDEMPOTENT.value:
             return None
         if record.digest != digest:
-            raise KeyConflictError(f"the key belongs to activation {record.id}, which has another body")
+            raise KeyConflictError(f"the idempotency key belongs to activation {record.id}, which has another body")
         return record
 
     def has(self, namespace: str, path_and_key: str, paths: Iterable[str]) -> bool:
-        """Whether `PATH/KEY` is known in a namespace; `paths` are all action paths, as both may contain slashes."""
+        """Return whether a namespace has a record for `PATH/KEY`.
+
+        A path and a key may both contain slashes, so each of `paths`, all action paths, is tried.
+        """
         return any(
             (namespace, path, path_and_key.removeprefix(f"{path}/")) in self._records
             for path in paths
--- a/kelptrail/gateway/invocation.py
+++ b/kelptrail/gateway/invocation.py
@@ -1,4 +1,4 @@
-"""A request that the gateway holds: the dispatcher's request, its activation record, and what an attempt carries."""
+"""A request in the gateway: the dispatcher's request, its activation record, and the data that attempts send."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 class Invocation:
     """One request from its submission until its final answer is shown and no attempt is in flight.
 
-    Times are milliseconds by the caller's clock.
+    Times are in milliseconds of the caller's clock.
     """
 
     request: Request
     record: Record
     action: ActionSettings
     payload: bytes
-    deduplication_id: str  # workers recognise a repeated attempt by it
+    deduplication_id: str  # identifies a repeated attempt to the workers
     lifecycle: RequestLifecycle
-    waiters: list[Callable[[Record], None]] = field(default_factory=list)  # the host calls them with the final answer
+    waiters: list[Callable[[Record], None]] = field(default_factory=list)  # called by the host with the final answer
     answer: WorkerAnswer | None = None
-    payload_format: str = "json"  # of payload and result: "json", or "tensors" for the inference protocol
+    payload_format: str = "json"  # format of payload and result: "json", or "tensors" for the inference protocol
     deferred: bool = False  # submitted as non-blocking: the client expects only the activation id
     streamed: bool = False  # the client accepts the response in parts
-    expires_at: float = 0.0  # when its attempts are cancelled unless something arrives
-    client_key: str = ""  # by which overload control recognises the client's retry
-    part_count: int = 0  # parts of the streamed response so far
-    stream_limit_ms: float = float("inf")  # the client's own limit for the whole stream
-    on_part: Callable[[bytes], None] | None = None  # the host calls it with each part
+    expires_at: float = 0.0  # time at which its attempts are cancelled; each part of a stream extends it
+    client_key: str = ""  # identifies the client's retries to overload control
+    part_count: int = 0  # number of parts of the streamed response so far
+    stream_limit_ms: float = float("inf")  # the client's own limit for the complete stream
+    on_part: Callable[[bytes], None] | None = None  # called by the host with each part
     durability_waiters: list[Callable[[bool | None], None]] = field(default_factory=list)
     under_replicated: bool = False  # too few replicas have its record: its end is journaled before it is published
-    moved_to_replicated: bool = False  # from the local journal to a replicated one
-    held_attempts: list[Attempt] = field(default_factory=list)  # wait until the may-run entry is durable
+    moved_to_replicated: bool = False  # moved from the local journal to a replicated one
+    held_attempts: list[Attempt] = field(default_factory=list)  # attempts that wait for a durable may-run entry
--- a/kelptrail/gateway/lifecycle.py
+++ b/kelptrail/gateway/lifecycle.py
@@ -1,9 +1,9 @@
 """The lifecycle of one request, and which journal entries must be durable before each step; free of I/O.
 
-As in the ready loop of a replicated log, an event may ask for entries (`next_entry`) that the caller writes to a
-journal, and the caller reports what state of each (`on_written`).  What is not durable yet holds back exactly three
-things: the acknowledgement of a deferred request (`durable_result`), the first byte of an attempt whose repeat could
-double an effect (`start_attempt`), and the final answer of a deferred request (`publish`).  A step out of order raises
+As in the ready loop of a replicated log, an event may request entries (`next_entry`), which the caller writes to a
+journal; the caller then reports the result of each write (`on_written`).  Exactly three steps wait for a durable entry:
+the acknowledgement of a deferred request (`durable_result`), the first byte of an attempt whose repetition could double
+an effect (`start_attempt`), and the final answer of a deferred request (`publish`).  A step out of order raises
 `IllegalStepError`.
 """
 
@@ -13,13 +13,13 @@
 
 
 class RequestStage(Enum):
-    """How far a request has come."""
+    """The stage of a request."""
 
-    ACCEPTED = "accepted"  # the dispatcher has not been informed yet
-    QUEUED = "queued"  # the dispatcher has it
+    ACCEPTED = "accepted"  # the dispatcher has not been notified yet
+    QUEUED = "queued"  # the dispatcher has been notified
     HELD = "held"  # an attempt was decided and waits until the may-run entry is durable
     SENT = "sent"  # at least one attempt is in flight
-    ANSWERED = "answered"  # all attempts have ended, and none of them brought the final answer
+    ANSWERED = "answered"  # all attempts have ended, and none of them returned the final answer
     FINAL = "final"  # the one final answer is decided
     PUBLISHED = "published"  # the answer is as durable as the client was promised, and may be shown
     FORGOTTEN = "forgotten"
@@ -38,7 +38,7 @@
 
 
 class EntryKind(Enum):
-    """The journal entries of a request."""
+    """The kind of a journal entry."""
 
     ACCEPTED = "record"
     MAY_RUN = "may-run"
@@ -46,7 +46,7 @@
 
 
 class WriteState(Enum):
-    """How far the write of one entry has come."""
+    """The state of the write of one entry."""
 
     NOT_REQUESTED = "no"
     PENDING = "asked"
@@ -55,11 +55,11 @@
 
 
 class IllegalStepError(Exception):
-    """A step that a request may not take in its stage, or one before the entry that it needs is durable."""
+    """A step is not allowed in the request's stage, or the entry that it requires is not durable."""
 
 
 class RequestLifecycle:
-    """One request.  `idempotent`: a second run is harmless; `journaled`: it survives a restart."""
+    """The state of one request.  `idempotent`: a second run is harmless; `journaled`: it survives a restart."""
 
     __slots__ = (
         "_entries",
@@ -77,7 +77,7 @@
 
     def __init__(self, idempotent: bool, journaled: bool, deferred: bool = False) -> None:
         self.idempotent, self.journaled = idempotent, journaled
-        self.deferred = deferred  # its client gets the activation id in place of the answer
+        self.deferred = deferred  # the client gets the activation id instead of the answer
         self.stage = RequestStage.ACCEPTED
         self.accepted_write = self.may_run_write = self.ended_write = WriteState.NOT_REQUESTED
         self.held = self.in_flight = self.attempt_count = 0
@@ -85,7 +85,7 @@
 
     @classmethod
     def resumed(cls, idempotent: bool, may_have_run: bool) -> RequestLifecycle:
-        """One that a restart found in a journal; `may_have_run`: with its may-run entry."""
+        """Create the lifecycle of a request found in a journal; `may_have_run`: its may-run entry was found, too."""
         lifecycle = cls(idempotent, True, True)
         lifecycle.accepted_write = WriteState.DURABLE
         lifecycle.may_run_write = WriteState.DURABLE if may_have_run else WriteState.NOT_REQUESTED
@@ -95,11 +95,11 @@
         if stage is self.stage:
             return
         if stage not in NEXT_STAGES[self.stage]:
-            raise IllegalStepError(f"from {self.stage.value} to {stage.value}")
+            raise IllegalStepError(f"a request cannot go from {self.stage.value} to {stage.value}")
         self.stage = stage
 
     def _update_stage(self) -> None:
-        """The stage that follows from the attempts in flight and held."""
+        """Enter the stage that follows from the attempts in flight and held."""
         if self.final:
             return
         if self.in_flight:
@@ -117,7 +117,7 @@
     # Journal entries.
 
     def next_entry(self) -> EntryKind | None:
-        """The next entry to write, or None; each is returned once."""
+        """Return the next entry to write, or None; each is returned once."""
         return self._entries.pop(0) if self._entries else None
 
     def _request_entry(self, kind: EntryKind) -> None:
@@ -130,30 +130,30 @@
         self._entries.append(kind)
 
     def request_accepted_entry(self) -> None:
-        """Ask for the accepted entry, if the request is journaled and this was not asked for yet."""
+        """Request the accepted entry, if the request is journaled and the entry was not requested before."""
         if self.journaled and self.accepted_write is WriteState.NOT_REQUESTED and not self.final:
             self._request_entry(EntryKind.ACCEPTED)
 
     def on_written(self, kind: EntryKind, durable: bool) -> None:
-        """An entry is durable, or could not be written.  Raises `IllegalStepError` where it was not asked for."""
-        now = {
+        """Process the result of a write.  Raises `IllegalStepError` where no such write is pending."""
+        current = {
             EntryKind.ACCEPTED: self.accepted_write,
             EntryKind.MAY_RUN: self.may_run_write,
             EntryKind.ENDED: self.ended_write,
         }[kind]
-        if now is not WriteState.PENDING:
-            raise IllegalStepError(f"{kind.value} was reported and not asked for")
+        if current is not WriteState.PENDING:
+            raise IllegalStepError(f"{kind.value}: the result of an entry was reported that was not requested")
         state = WriteState.DURABLE if durable else WriteState.FAILED
         if kind is EntryKind.ACCEPTED:
             self.accepted_write = state
         elif kind is EntryKind.MAY_RUN:
-            self.may_run_write = state if durable else WriteState.NOT_REQUESTED  # another attempt may ask again
+            self.may_run_write = state if durable else WriteState.NOT_REQUESTED  # another attempt may request it again
         else:
             self.ended_write = state
 
     @property
     def durable_result(self) -> bool | None:
-        """Whether the accepted entry is durable, so that the client may get the id; None while that is not known."""
+        """Whether the accepted entry is durable, so that the client may get the id; None while that is unknown."""
         if not self.journaled:
             return False
         return {WriteState.DURABLE: True, WriteState.FAILED: False}.get(self.accepted_write)
@@ -161,15 +161,18 @@
     # Events.
 
     def queue(self) -> None:
-        """The dispatcher has been informed."""
+        """Record that the dispatcher has been notified of the request."""
         self._enter(RequestStage.QUEUED)
 
     def on_attempt_decided(self) -> bool:
-        """An attempt was decided: True if it may start now, else it is held and the may-run entry is asked for."""
+        """Record an attempt that was decided; return whether it may start now.
+
+        Otherwise it is held, and the may-run entry is requested.
+        """
         if self.final:
-            raise IllegalStepError("an attempt of what has its final answer")
+            raise IllegalStepError("an attempt was decided after the final answer")
         if self.stage is RequestStage.ACCEPTED:
-            raise IllegalStepError("an attempt before the dispatcher was informed")
+            raise IllegalStepError("an attempt was decided before the dispatcher was notified")
         self.request_accepted_entry()
         self.held += 1
         may_start = self.may_start
@@ -184,37 +187,37 @@
         return self.idempotent or not self.journaled or self.may_run_write is WriteState.DURABLE
 
     def start_attempt(self) -> None:
-        """A decided attempt starts.  Raises `IllegalStepError` where the may-run entry is not durable."""
+        """Start a decided attempt.  Raises `IllegalStepError` where the may-run entry is not durable."""
         if not self.held:
-            raise IllegalStepError("an attempt that was not decided")
+            raise IllegalStepError("no decided attempt waits to start")
         if not self.may_start:
-            raise IllegalStepError('an attempt before "may run" is durable')
+            raise IllegalStepError("an attempt cannot start before its may-run entry is durable")
         if self.final:
-            raise IllegalStepError("an attempt after the final answer")
+            raise IllegalStepError("an attempt cannot start after the final answer")
         self.held, self.in_flight, self.attempt_count = self.held - 1, self.in_flight + 1, self.attempt_count + 1
         self._update_stage()
 
     def drop_held(self) -> None:
-        """A held attempt was cancelled: nothing of it was written to a worker."""
+        """Drop a held attempt: nothing of it was written to a worker."""
         if not self.held:
-            raise IllegalStepError("nothing is held")
+            raise IllegalStepError("no attempt is held")
         self.held -= 1
         self._update_stage()
 
     def on_attempt_finished(self) -> None:
-        """An attempt in flight has ended."""
+        """Record the end of an attempt in flight."""
         if not self.in_flight:
             raise IllegalStepError("no attempt is in flight")
         self.in_flight -= 1
         self._update_stage()
 
     def make_durable(self, moved: bool = False) -> None:
-        """The client continues with the activation id, so the request is journaled from here on.
+        """Journal the request from now on, as its client will poll with the activation id.
 
-        What may have run is journaled, too.  `moved`: entries in another journal are written anew.
+        If it may have run, that is journaled, too.  `moved`: its entries are in another journal and are written again.
         """
         if self.final:
-            raise IllegalStepError("it has its final answer")
+            raise IllegalStepError("a request with a final answer cannot be made durable")
         self.deferred = True
         if self.journaled and not moved:
             return
@@ -225,14 +228,17 @@
             self._request_entry(EntryKind.MAY_RUN)
 
     def release(self) -> None:
-        """Another dispatcher has taken it over: nothing more is written, answered or shown here."""
+        """Give up the request, as another dispatcher has taken it over: nothing more is written or shown here."""
         self._entries.clear()
         self.stage = RequestStage.PUBLISHED
 
     def finish(self) -> bool:
-        """The one final answer is decided: True if it may be shown at once, else the ended entry is asked for."""
+        """Record that the one final answer is decided; return whether it may be shown at once.
+
+        Otherwise the ended entry is requested.
+        """
         if self.final:
-            raise IllegalStepError("a second final answer")
+            raise IllegalStepError("a request cannot have a second final answer")
         self._enter(RequestStage.FINAL)
         if self.accepted_write in (WriteState.NOT_REQUESTED, WriteState.FAILED):
             return True  # its client was not promised a durable answer
@@ -240,23 +246,24 @@
         return False
 
     def publish(self, late: bool = False) -> None:
-        """The final answer is shown.
+        """Publish the final answer.
 
-        That of a deferred request must be durable.  A blocking client was promised nothing, so its answer may be shown
-        when the journal failed, or has not finished when the request's time is up (`late`).
+        The answer to a deferred request must be durable.  A blocking client was promised no durable answer, so its
+        answer may also be published if the journal has failed, or if the write is pending when the request's time is
+        up (`late`).
         """
         if self.stage is not RequestStage.FINAL:
-            raise IllegalStepError(f"nothing to show while {self.stage.value}")
+            raise IllegalStepError(f"there is no answer to publish in stage {self.stage.value}")
         may_show = self.ended_write is WriteState.DURABLE or self.accepted_write in (
             WriteState.NOT_REQUESTED,
             WriteState.FAILED,
         )
         if not may_show and (self.deferred or not (late or self.ended_write is WriteState.FAILED)):
-            raise IllegalStepError("an answer before it is durable")
+            raise IllegalStepError("an answer cannot be published before it is durable")
         self._enter(RequestStage.PUBLISHED)
 
     def forget(self) -> None:
-        """Nothing refers to it any more.  Raises `IllegalStepError` where an attempt is in flight or nothing shown."""
+        """End the lifecycle.  Raises `IllegalStepError` with an attempt in flight or held, or an unpublished answer."""
         if self.in_flight or self.held:
-            raise IllegalStepError("an attempt is in flight, or held")
+            raise IllegalStepError("an attempt is in flight or held")
         self._enter(RequestStage.FORGOTTEN)
--- a/kelptrail/gateway/limits.py
+++ b/kelptrail/gateway/limits.py
@@ -1,6 +1,6 @@
-"""Limits of what is in flight at once: requests and bytes in all, requests of one namespace; free of I/O.
+"""Limits on requests in flight: their number, their bytes, and their number in each namespace; free of I/O.
 
-A request beyond a limit is rejected before anything is done for it: cheaply, at once, and counted by its reason.
+A request beyond a limit is rejected at once, before any work is done for it, and is counted by its reason.
 """
 
 from __future__ import annotations
@@ -8,32 +8,32 @@
 from collections import Counter
 from enum import StrEnum
 
-RETRY_AFTER_MS = 1000.0  # after a rejection at a limit
+RETRY_AFTER_MS = 1000.0  # retry-after time of a rejection at a limit
 
 
 class RejectionReason(StrEnum):
-    """Why a request is rejected on arrival; the values are shown in the status and the metrics."""
+    """The reason for a rejection on arrival; the values are shown in the status and the metrics."""
 
     HELD = "held"  # too many requests in flight
-    BYTES = "bytes"  # their bodies take too much memory
+    BYTES = "bytes"  # the bodies of the requests in flight take too much memory
     NAMESPACE = "namespace"  # too many requests of its namespace in flight
     EARLY = "early"  # a retry before its retry-after time, under overload
 
 
 REJECTION_MESSAGES = {
-    RejectionReason.HELD: "Too many calls are in hand at this dispatcher.",
-    RejectionReason.BYTES: "The calls in hand at this dispatcher take too much memory.",
-    RejectionReason.EARLY: "The call came again before the time that it was told.",
+    RejectionReason.HELD: "Too many requests are in flight at this dispatcher.",
+    RejectionReason.BYTES: "The requests in flight at this dispatcher take too much memory.",
+    RejectionReason.EARLY: "The request was retried before its retry-after time.",
     RejectionReason.NAMESPACE: "Too many concurrent requests in flight for this namespace.",
 }
 
 
 class NothingInFlightError(Exception):
-    """A request ends in a namespace that has none in flight."""
+    """A request ended in a namespace that has none in flight."""
 
 
 class InFlightLimits:
-    """What is in flight, and its limits.  `bytes` counts the bodies of requests without a final answer."""
+    """The requests in flight and their limits.  `bytes` counts the bodies of requests without a final answer."""
 
     def __init__(self, max_requests: int, max_bytes: float, max_per_namespace: int) -> None:
         self._max_requests, self._max_bytes, self._max_per_namespace = max_requests, max_bytes, max_per_namespace
@@ -42,7 +42,7 @@
         self.rejections: Counter[str] = Counter()
 
     def rejection_reason(self, namespace: str, size: int) -> RejectionReason | None:
-        """Why a request of `size` bytes is rejected, or None; a rejection is counted."""
+        """Return why a request of `size` bytes is rejected, or None; a rejection is counted."""
         reason = None
         if self.requests >= self._max_requests:
             reason = RejectionReason.HELD
@@ -55,15 +55,15 @@
         return reason
 
     def acquire(self, namespace: str, size: int) -> None:
-        """A request of `size` bytes is accepted."""
+        """Count an accepted request of `size` bytes."""
         self.requests += 1
         self.bytes += size
         self._by_namespace[namespace] += 1
 
     def release(self, namespace: str, size: int) -> None:
-        """It has its final answer.  Raises `NothingInFlightError`."""
+        """Stop counting a request of `size` bytes that has its final answer.  Raises `NothingInFlightError`."""
         if not self._by_namespace[namespace]:
-            raise NothingInFlightError(f"nothing of {namespace} is in flight")
+            raise NothingInFlightError(f"namespace {namespace} has no request in flight")
         self.requests -= 1
         self.bytes -= size
         self._by_namespace[namespace] -= 1
--- a/kelptrail/gateway/overload.py
+++ b/kelptrail/gateway/overload.py
@@ -1,16 +1,16 @@
-"""Retry storms: detected as they begin, and damped by the retry-after time that each client gets; free of I/O.
-
-What one gateway sees is enough: which clients were rejected here and return, and whether before their retry-after
-time; how many requests arrive beyond the usual rate, and how many of them the dispatcher rejects (clients mostly retry
-elsewhere); how many requests complete.  Three early signs raise only an alarm: many more connections than usual,
-attempts that find no instance while workers are cold, and tenants within their quota that are rejected or late while
-another is over its own.
-
-In a storm each rejected client gets a retry-after time of its own, so that the retries together fit what is completed
-beyond the first tries; a client that returns earlier is rejected on arrival, at no cost, and gets a longer one.  For a
-tenant over its quota, retries are admitted by a budget that follows what is completed, the highest priority weight
-first, and first tries before them.  All other requests go on to the dispatcher: a burst that it can serve is not
-damped.
+"""Overload control: detects retry storms as they begin, and damps them with retry-after times; free of I/O.
+
+The data of one gateway are sufficient: which clients were rejected here and retry, and whether they do so before their
+retry-after time; how many requests arrive beyond the usual rate, and how many of them the dispatcher rejects (most
+clients retry at another gateway); how many requests complete.  Three early signs only raise an alarm: many more
+connections than usual, attempts that find no instance while workers are cold, and tenants within their quota that are
+rejected or late while another tenant is over its own.
+
+In a storm each rejected client gets its own retry-after time, so that all retries together match the capacity left
+beyond first tries; a client that returns earlier is rejected on arrival, at no cost, and gets a longer one.  For a
+tenant over its quota, retries are admitted from a budget that follows the completed requests, those with the highest
+priority weight first, and after first tries.  All other requests go on to the dispatcher: a burst that it can serve is
+not damped.
 """
 
 from __future__ import annotations
@@ -23,15 +23,18 @@
 from .seeded_draws import SeededDraws
 from .tenant_quotas import TenantQuotas
 
-MAX_CATCH_UP_WINDOWS = 40  # windows without a request that are closed one by one
+MAX_CATCH_UP_WINDOWS = 40  # largest number of past windows that are closed one by one
 MAX_STAGE_HISTORY = 100
 
 
 class OverloadController:
-    """Overload as one gateway sees it.  Times in milliseconds; `seed` varies the random draws."""
+    """Overload control of one gateway.  Times are in milliseconds."""
 
     def __init__(self, settings: OverloadSettings, seed: int, shares: Mapping[str, float] | None = None) -> None:
-        """`shares`: each tenant's quota, in any unit; one without a quota is never over it."""
+        """Create overload control; `seed` varies the random draws.
+
+        `shares` has each tenant's quota, in any unit; a tenant without a quota is never over it.
+        """
         self._settings = settings
         draws = SeededDraws(seed)
         self.signals = OverloadSignals(settings)
@@ -39,39 +42,39 @@
         self.retry_after = RetryAfterQueue(settings, draws)
         self.stage = OverloadStage.CALM
         self.stage_history: list[tuple[float, OverloadStage]] = []
-        self._stage_windows = 0  # windows in this stage
+        self._stage_windows = 0  # number of windows closed in this stage
         self._window_start = 0.0
         self._window = WindowCounts()
 
     # Inputs.
 
     def on_connection(self, now: float) -> None:
-        """A client connects."""
+        """Count a client's new connection."""
         self._close_windows(now)
         self._window.connections += 1
 
     def on_attempt_answered(self, now: float, not_loaded: bool) -> None:
-        """A worker answered an attempt; `not_loaded`: it had no instance."""
+        """Count a worker's answer to an attempt; `not_loaded`: the worker had no instance."""
         self._close_windows(now)
         self._window.answers += 1
         self._window.not_loaded += not_loaded
 
     def on_request(self, now: float, client: str, tenant: str = "", priority_weight: float = 1.0) -> float | None:
-        """A request arrives: None where it goes on to the dispatcher, else its retry-after time, as it is rejected now.
+        """Return None for a request that goes on to the dispatcher, or the retry-after time of one rejected now.
 
-        `priority_weight`: of its request class, as a share of the highest.
+        `priority_weight` is that of its request class, relative to the highest.
         """
         self._close_windows(now)
         self._window.requests += 1
         self.quotas.on_request(tenant)
-        known = self.retry_after.find(client)
-        if known is None:
+        rejected_client = self.retry_after.find(client)
+        if rejected_client is None:
             return None if self.quotas.admit_first_try(tenant) else self._assign_retry_after(now, client)
         self._window.retries += 1
         if not self._settings.enabled or self.stage is OverloadStage.CALM:
             return None
-        if known.is_early(now):
-            self.retry_after.on_early_retry(known)
+        if rejected_client.is_early(now):
+            self.retry_after.on_early_retry(rejected_client)
             return self._assign_retry_after(now, client)
         needs_budget = self.stage is OverloadStage.STORM
         if self.quotas.admit_retry(tenant, priority_weight, needs_budget):
@@ -79,7 +82,7 @@
         return self._assign_retry_after(now, client)
 
     def on_rejected(self, now: float, client: str, retry_after_ms: float, tenant: str = "") -> float:
-        """The dispatcher rejects a request: its retry-after time, not below the dispatcher's own `retry_after_ms`."""
+        """Return the retry-after time of a request that the dispatcher rejects, at least its `retry_after_ms`."""
         self._close_windows(now)
         self._window.rejections += 1
         self.quotas.on_degraded(tenant)
@@ -89,7 +92,7 @@
         return self._assign_retry_after(now, client, retry_after_ms)
 
     def on_completed(self, now: float, client: str, tenant: str = "", late: bool = False) -> None:
-        """A request is completed; `late`: after its latency objective."""
+        """Count a completed request; `late`: after its latency objective."""
         self._close_windows(now)
         self._window.completed += 1
         if late:
@@ -103,11 +106,11 @@
     # Windows.
 
     def _close_windows(self, now: float) -> None:
-        """Close the windows that have passed."""
+        """Close all windows that have ended."""
         window = self._settings.window_ms
         if now < self._window_start + window:
             return
-        if now > self._window_start + MAX_CATCH_UP_WINDOWS * window:  # no request for long: nothing is known of it
+        if now > self._window_start + MAX_CATCH_UP_WINDOWS * window:  # a long time without input is skipped
             self._window_start = now - window
         while now >= self._window_start + window:
             self._window_start += window
@@ -151,7 +154,7 @@
         del self.stage_history[:-MAX_STAGE_HISTORY]
 
     def status(self) -> dict[str, object]:
-        """The status that operators see; its keys are part of the status page."""
+        """Return the status for operators; its keys are part of the status page."""
         signals, quotas, retry_after = self.signals, self.quotas, self.retry_after
         return {
             "stage": self.stage.value,
--- a/kelptrail/gateway/overload_settings.py
+++ b/kelptrail/gateway/overload_settings.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
-EARLY_TOLERANCE_MS = 20.0  # a client that returns so much before its time counts as on time
+EARLY_TOLERANCE_MS = 20.0  # a client that returns at most this much before its retry-after time counts as on time
 
 
 class OverloadStage(Enum):
-    """How far a retry storm has developed."""
+    """The stage of a retry storm."""
 
     CALM = "calm"
     RISING = "rising"
@@ -19,23 +19,24 @@
 
 @dataclass(frozen=True, slots=True)
 class OverloadSettings:
-    """Thresholds of overload control, which looks at windows of `window_ms`.
+    """Thresholds of overload control, which counts events in windows of `window_ms`.
 
     The stage follows from the share of retries among a window's requests.
     """
 
-    enabled: bool = True  # False: the dispatcher's own retry-after times only
+    enabled: bool = True  # if False, clients get only the dispatcher's own retry-after times
     window_ms: float = 250.0
-    min_samples: int = 20  # requests, connections or answers of a window, below which nothing is concluded
-    high_share: float = 0.35
-    surge_factor: float = 1.3  # times the usual requests, from which rejections count as a sign
-    low_share: float = 0.15
-    min_stage_windows: int = 4  # that a stage lasts before it may end
+    min_samples: int = 20  # a window with fewer requests, connections or answers gives no sign of a storm
+    high_share: float = 0.35  # share of retries, or strength of the alarm, from which a storm is suspected
+    surge_factor: float = 1.3  # rejections count as a sign above this multiple of the usual request rate
+    low_share: float = 0.15  # share of retries up to which a storm ends
+    min_stage_windows: int = 4  # number of windows that a stage lasts at least
     max_retry_after_ms: float = 12_000.0
-    min_retry_share: float = 0.1  # of what is completed: at least so much is left for retries
-    connection_surge_factor: float = 4.0  # times the usual connections, from which they raise an alarm
-    cold_share: float = 0.3  # of the workers, from which attempts without an instance raise an alarm
-    over_quota_factor: float = 1.25  # times its share of the requests, from which a tenant is over its quota
-    degraded_share: float = 0.1  # of others' requests rejected or late, from which tenants over quota are held back
-    max_clients: int = 200_000  # rejected clients that are remembered
-    forget_after_ms: float = 30_000.0  # past its retry-after time, a client that has not returned is forgotten
+    min_retry_share: float = 0.1  # capacity left for retries at least, as a share of the completed requests
+    connection_surge_factor: float = 4.0  # connections raise an alarm above this multiple of the usual number
+    cold_share: float = 0.3  # share of cold workers from which attempts without an instance raise an alarm
+    over_quota_factor: float = 1.25  # a tenant is over its quota above this multiple of its share of the requests
+    # Tenants over quota are held back if more than this share of the other tenants' requests is rejected or late.
+    degraded_share: float = 0.1
+    max_clients: int = 200_000  # number of rejected clients that are remembered
+    forget_after_ms: float = 30_000.0  # time after its retry-after time at which an absent client is forgotten
--- a/kelptrail/gateway/overload_signals.py
+++ b/kelptrail/gateway/overload_signals.py
@@ -1,4 +1,4 @@
-"""What overload control measures: rates of requests, the share of retries, and early signs of a storm."""
+"""Measurements of overload control: request rates, the share of retries, and early signs of a storm."""
 
 from __future__ import annotations
 
@@ -6,45 +6,45 @@
 
 from .overload_settings import OverloadSettings
 
-RATE_WEIGHT = 0.1  # of one window in the averages of rates
-BASELINE_WEIGHT = 0.02  # of one calm window in the usual rates
-SHARE_WEIGHT = 0.5  # of one window in the share of retries and in the alarm
+RATE_WEIGHT = 0.1  # weight of one window in the average rates
+BASELINE_WEIGHT = 0.02  # weight of one calm window in the usual rates
+SHARE_WEIGHT = 0.5  # weight of one window in the share of retries and in the alarm
 
 
 @dataclass(slots=True)
 class WindowCounts:
-    """What happened in one window."""
+    """Counters of one window."""
 
     requests: int = 0
     retries: int = 0
     completed: int = 0
     rejections: int = 0
     connections: int = 0
-    answers: int = 0  # of workers to attempts
-    not_loaded: int = 0  # answers without an instance
+    answers: int = 0  # answers of workers to attempts
+    not_loaded: int = 0  # answers of workers without an instance
 
 
 class OverloadSignals:
-    """Recent averages over windows."""
+    """Moving averages over windows."""
 
     def __init__(self, settings: OverloadSettings) -> None:
         self._settings = settings
-        self.baseline_connections = 0.0  # a window, while it is calm
-        self.baseline_per_s = 0.0  # requests while it is calm, on a slow average
+        self.baseline_connections = 0.0  # slow average of connections in a window in the calm stage
+        self.baseline_per_s = 0.0  # slow average of the request rate in the calm stage
         self.first_tries_per_s = self.completed_per_s = 0.0
-        self.retry_share = 0.0  # of retries among the requests
-        self.alarm = 0.0  # how strong the early signs are, from 0 to 1
-        self.cold_share = 0.0  # of the workers; set by the gateway
+        self.retry_share = 0.0  # share of retries among the requests
+        self.alarm = 0.0  # strength of the early signs, from 0 to 1
+        self.cold_share = 0.0  # share of cold workers, set by the gateway
 
     @property
     def retry_capacity_per_s(self) -> float:
-        """How many retries can be served beside the first tries."""
+        """Rate of retries that can be served in addition to first tries."""
         return max(
             self.completed_per_s - self.first_tries_per_s, self._settings.min_retry_share * self.completed_per_s, 1.0
         )
 
     def update_rates(self, window: WindowCounts, calm: bool) -> None:
-        """Take a window into the rates and the share of retries."""
+        """Update the rates and the share of retries with a window."""
         settings, requests = self._settings, window.requests
         seconds = settings.window_ms / 1000
         first_tries = (requests - window.retries) / seconds
@@ -61,12 +61,12 @@
         self.retry_share += SHARE_WEIGHT * (sign - self.retry_share)
 
     def update_alarm(self, window: WindowCounts, calm: bool, others_degraded: bool) -> None:
-        """Take a window's early signs into the alarm; `others_degraded`: by a tenant over its quota."""
+        """Update the alarm with a window's early signs; `others_degraded`: a tenant over its quota degrades others."""
         signs = max(self._early_signs(window, calm), float(others_degraded))
         self.alarm += SHARE_WEIGHT * (signs - self.alarm)
 
     def _early_signs(self, window: WindowCounts, calm: bool) -> float:
-        """Early signs of a window, from 0 to 1: a surge of connections; missing instances while workers are cold."""
+        """Return a window's early signs, from 0 to 1: a surge of connections, missing instances on cold workers."""
         settings, sign, connections, usual = self._settings, 0.0, window.connections, self.baseline_connections
         surge = connections > settings.connection_surge_factor * usual
         if connections >= settings.min_samples and usual and surge:
--- a/kelptrail/gateway/recovery.py
+++ b/kelptrail/gateway/recovery.py
@@ -1,4 +1,4 @@
-"""After a restart or a takeover: restores records from a journal, and ends or resumes what had no final answer."""
+"""Recovery after a restart or a take-over: restores the records of a journal, and ends or resumes open requests."""
 
 from __future__ import annotations
 
@@ -34,22 +34,22 @@
 
 
 class RecoveryOutcome(StrEnum):
-    """What became of a journaled activation; the values are shown in the log."""
+    """The result of recovering a journaled activation; the values are shown in the log."""
 
-    ENDED = "ended"  # it had its final answer before
+    ENDED = "ended"  # the journal has its final answer
     ABORTED = "aborted"
     REJECTED = "rejected"
     RESUMED = "resumed"
-    UNKNOWN = "unknown"  # the settings have no such action or namespace any more
+    UNKNOWN = "unknown"  # its action or namespace is no longer in the settings
 
 
 class MissingRecordError(Exception):
-    """A request is to be resumed whose record is gone."""
+    """A request to be resumed has no record."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Source:
-    """Where entries come from and when they are read: `now` by the caller's clock, `wall` wall time, milliseconds."""
+    """The journal of entries, and when they are read: `now` by the caller's clock and `wall` as wall time, in ms."""
 
     now: float
     wall: float
@@ -61,13 +61,13 @@
 
 
 class RestartRecovery:
-    """Takes up journals; resumed requests go to the dispatcher a few at a time (`resume_ready`)."""
+    """Recovers journals; requests to be resumed go to the dispatcher a few at a time (`resume_ready`)."""
 
     def __init__(self, state: GatewayState, durability: DurabilityWriter) -> None:
         self._state, self._durability = state, durability
-        self._queue: ResumeQueue | None = None  # while something found waits or is resumed
-        self._queue_started_at = 0.0  # times in the queue count from here
-        self._resumed_ids = set[str]()  # resumed, without a final answer yet
+        self._queue: ResumeQueue | None = None  # None unless requests wait to be resumed or have been resumed
+        self._queue_started_at = 0.0  # start of the time that requests spend in the queue
+        self._resumed_ids = set[str]()  # ids of resumed requests without a final answer
 
     def recover(
         self,
@@ -78,11 +78,11 @@
         max_concurrent: int,
         journal: ReplicatedJournal | None = None,
     ) -> dict[str, int]:
-        """Take up a journal's activations; how many were ended, aborted, rejected, resumed, unknown.
+        """Recover a journal's activations, and return how many had each `RecoveryOutcome`.
 
-        Ended ones can be asked for again; the others are ended, or resumed within their time, at most `max_concurrent`
-        at once.  `min_run_ms`: the least time in which a run is worth beginning.  `journal`: a replicated one, of
-        another run or another dispatcher; None: the local one.
+        Those with a final answer can be polled again; the others are ended, or resumed within their timeout, at most
+        `max_concurrent` at once.  A request with `min_run_ms` or less left is not run.  `journal` is a replicated
+        journal, of an earlier run or of another dispatcher, or None for the local one.
         """
         source = _Source(now, wall, journal)
         found: list[ResumeRequest] = []
@@ -100,11 +100,11 @@
     def _recover_one(
         self, source: _Source, entries: ActivationEntries, min_run_ms: float, found: list[ResumeRequest]
     ) -> RecoveryOutcome | None:
-        """Restore, end or resume one activation; None where its record is here already."""
+        """Restore, end or resume one activation; return None where it already has a record."""
         deployment, accepted = self._state.parts.deployment, entries.accepted
         action = deployment.actions.get(accepted.path)
         if action is None or accepted.namespace not in self._state.parts.tenants:
-            return RecoveryOutcome.UNKNOWN  # the settings have changed: its entries stay on disk
+            return RecoveryOutcome.UNKNOWN  # the settings have changed; the entries stay on disk
         if self._state.records.has(accepted.id):
             return None
         if entries.ended is not None:
@@ -126,7 +126,7 @@
         return RecoveryOutcome(decided.answer.value)
 
     def _add_record(self, source: _Source, accepted: Accepted) -> Record:
-        """The record of a request without a final answer; its time continues from its acceptance."""
+        """Add the record of a recovered request; its timeout counts from its original acceptance."""
         deployment = self._state.parts.deployment
         settings = deployment.types[deployment.actions[accepted.path].type]
         record = Record(
@@ -157,7 +157,7 @@
         self._state.records.restore(source.now, record)
 
     def _end(self, now: float, end: EndRequest) -> None:
-        """Give the final answer that recovery decided, and journal it."""
+        """Give a request the final answer that recovery decided, and journal it."""
         state = self._state
         record = state.records.get(end.entries.accepted.namespace, end.entries.accepted.id)
         if record is None or (record.replicated_journal is None and self._durability.journal is None):
@@ -174,7 +174,7 @@
     # Resuming.
 
     def resume_ready(self, now: float) -> None:
-        """Resume what may be resumed now; end what ran out of time while it waited."""
+        """Resume the requests that may be resumed now, and end those whose time ran out in the queue."""
         while self._queue is not None:
             found = self._queue.next(now - self._queue_started_at)
             if found is None:
@@ -190,7 +190,7 @@
         state, accepted, may_run = self._state, found.entries.accepted, found.entries.may_run
         record = state.records.get(accepted.namespace, accepted.id)
         if record is None:
-            raise MissingRecordError(f"activation {accepted.id} is to be resumed and has no record")
+            raise MissingRecordError(f"activation {accepted.id} cannot be resumed: it has no record")
         action = state.parts.deployment.actions[accepted.path]
         request_class, function = state.parts.request_classes[action.type], state.parts.function(accepted.path)
         request = self._request(now, found, request_class, function)
@@ -213,7 +213,7 @@
         state.dispatcher.on_request(now, request, count=False)
 
     def _request(self, now: float, found: ResumeRequest, request_class: RequestClass, function: Function) -> Request:
-        """The dispatcher's request, with the attempt of the earlier run if that may have reached a worker."""
+        """Create the dispatcher's request, with the attempt of the earlier run if that may have reached a worker."""
         accepted, may_run = found.entries.accepted, found.entries.may_run
         queued_ms = now - self._queue_started_at
         request = Request(
@@ -227,12 +227,12 @@
         )
         if may_run is not None and found.deduplicated_for_ms is not None:
             started_at = now + found.deduplicated_for_ms - queued_ms - request_class.deduplication_window_ms
-            instance = Instance(function, Worker(may_run.worker))  # the worker of then counts as lost
+            instance = Instance(function, Worker(may_run.worker))  # the worker of the earlier run counts as lost
             request.attempts.append(Attempt(request, instance, 0, started_at, AttemptStatus.SILENT))
         return request
 
     def on_finished(self, id_: str) -> None:
-        """A request has its final answer, or another dispatcher has it: if it was resumed, the next one may be."""
+        """Allow the next request to be resumed, if this one was resumed and has ended or was taken over."""
         if id_ not in self._resumed_ids:
             return
         self._resumed_ids.remove(id_)
@@ -242,9 +242,9 @@
     # Released journals.
 
     def release(self, journal: ReplicatedJournal) -> int:
-        """Another dispatcher has taken a journal over; how many requests it had.
+        """Give up a journal that another dispatcher has taken over, and return how many activations it had.
 
-        Nothing of them is sent, answered or acknowledged here any more.
+        They are no longer sent, answered or acknowledged here.
         """
         released = self._state.records.kept_by(journal)
         for record in released:
--- a/kelptrail/gateway/response_stream.py
+++ b/kelptrail/gateway/response_stream.py
@@ -1,4 +1,4 @@
-"""A streamed response as it arrives from one worker: server-sent events, of which the last one ends the attempt."""
+"""A streamed response of one worker: server-sent events, of which the last one ends the attempt."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class AttemptEnd(NamedTuple):
-    """How an attempt ended, and the worker's answer if there is one."""
+    """The status of an attempt that ended, and the worker's answer if there is one."""
 
     status: AttemptStatus
     answer: WorkerAnswer | None
@@ -35,7 +35,7 @@
         self.call: Call | None = None
 
     def on_data(self, data: bytes) -> None:
-        """Bytes of the stream have arrived.  Where they break the protocol the call is cancelled as malformed."""
+        """Read bytes of the stream; if they violate the protocol, cancel the call as malformed."""
         try:
             for event in self._events.feed(data):
                 self._read_event(event)
@@ -46,7 +46,7 @@
 
     def _read_event(self, event: bytes) -> None:
         if self._last_part is not None:
-            raise MalformedError("more after the last part")
+            raise MalformedError("the stream goes on after its last part")
         invocation = self._invocation
         part = read_part(event, invocation.deduplication_id, invocation.payload_format)
         if part.is_last:
@@ -55,9 +55,9 @@
             self._on_part(part.result)
 
     def finish(self, answer: WorkerAnswer) -> AttemptEnd:
-        """The attempt's end, once the response is complete.
+        """Return how the attempt ended, once the response is complete.
 
-        A stream without its last part counts as a lost connection; a worker that does not stream sent one answer.
+        A stream without its last part counts as a lost connection; a worker that does not stream has sent one answer.
         """
         last = self._last_part
         if last is not None and not self._malformed:
--- a/kelptrail/gateway/seeded_draws.py
+++ b/kelptrail/gateway/seeded_draws.py
@@ -1,4 +1,4 @@
-"""Pseudo-random draws that depend on a seed and their number alone, so that a run can be repeated."""
+"""Pseudo-random draws that are reproducible from a seed, so that a run can be repeated."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class SeededDraws:
-    """Draws from a hash of the seed, the purpose and a running number."""
+    """Computes each draw as a hash of the seed, the purpose and a counter."""
 
     def __init__(self, seed: int) -> None:
         self._seed, self._count = seed, 0
 
     def draw(self, purpose: str) -> float:
-        """A number in [0, 1); `purpose` keeps draws for different decisions apart."""
+        """Return a number in [0, 1); `purpose` separates the draws for different decisions."""
         self._count += 1
         return crc32(f"{self._seed} {purpose} {self._count}".encode()) / 2**32
--- a/kelptrail/gateway/state.py
+++ b/kelptrail/gateway/state.py
@@ -1,4 +1,4 @@
-"""What the parts of a gateway share: requests in flight, pending effects, records, limits and counters."""
+"""The state that the parts of a gateway share: requests in flight, pending effects, records, limits and counters."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 
 
 def is_repeat(attempt: Attempt) -> bool:
-    """Whether an earlier attempt of the same request may have run: a hedge, or a retry after a failure."""
+    """Return whether an earlier attempt of the same request may have run: a hedge, or a retry after a failure."""
     return any(other.may_have_run for other in attempt.request.attempts[: attempt.number])
 
 
 class GatewayState:
-    """State of one gateway.  It changes only through the gateway and its parts, on one thread."""
+    """The state of one gateway.  Only the gateway and its parts change it, on one thread."""
 
     def __init__(self, parts: DispatcherParts, boot: str) -> None:
         settings = parts.deployment.dispatcher
         overload = parts.deployment.overload
         self.parts = parts
         self.dispatcher = parts.dispatcher
-        self.margin_ms = settings.answer_margin_ms  # a final answer is given this long before the client's limit
-        self.answer_ms = 0.0  # what writing one answer costs the host, which measures it
+        self.margin_ms = settings.answer_margin_ms  # time between the final answer and the client's timeout
+        self.answer_ms = 0.0  # time that the host takes to write one answer, as measured by the host
         self.invocations: dict[Request, Invocation] = {}
         self.invocations_by_id: dict[str, Invocation] = {}
-        self.effects: deque[Effect] = deque()  # decided, not yet handed to the host
-        self.deadlines = TimerQueue()  # requests whose attempts are cancelled when it fires
+        self.effects: deque[Effect] = deque()  # effects not yet returned to the host
+        self.deadlines = TimerQueue()  # times at which the attempts of a request are cancelled
         self.keys = IdempotencyKeys()
         self.limits = InFlightLimits(
             settings.max_in_flight, settings.max_in_flight_mb * 1e6, settings.max_in_flight_per_namespace
@@ -54,10 +54,10 @@
         self.members = WorkerRegistry(parts.zones)
         self.records = Records(settings.max_records, settings.max_records_mb * 1e6, settings.max_record_age_ms)
         self.counts = GatewayCounters()
-        self.counters_by_model: dict[str, FunctionCounters] = {}  # since the last report to a planner
+        self.counters_by_model: dict[str, FunctionCounters] = {}  # counters since the last report to a planner
 
     def counters_of(self, path: str) -> FunctionCounters:
-        """The counters of an action's model."""
+        """Return the counters of an action's model."""
         model = self.parts.deployment.actions[path].model
         counters = self.counters_by_model.get(model)
         if counters is None:
@@ -65,14 +65,14 @@
         return counters
 
     def take_counters(self) -> dict[str, FunctionCounters]:
-        """The counters by model since the last call."""
+        """Return the counters by model since the last call, and reset them."""
         taken, self.counters_by_model = self.counters_by_model, {}
         for model, counters in taken.items():
             counters.queue_depth = self.parts.function(self.parts.paths[model]).queue_depth
         return taken
 
     def start_attempt(self, invocation: Invocation, attempt: Attempt) -> None:
-        """Count an attempt that goes out.  Raises `IllegalStepError` where its may-run entry is not durable."""
+        """Count an attempt that starts.  Raises `IllegalStepError` where its may-run entry is not durable."""
         invocation.lifecycle.start_attempt()
         self.counts.repeat_attempts += is_repeat(attempt)
         invocation.record.attempt_count += 1
@@ -89,4 +89,4 @@
             invocation.lifecycle.forget()
             del self.invocations[request]
             self.invocations_by_id.pop(invocation.record.id, None)
-            request.attempts = []  # attempts refer to their request: freed without the cycle collector
+            request.attempts = []  # breaks the reference cycle, so that no garbage collection is needed
--- a/kelptrail/gateway/streaming.py
+++ b/kelptrail/gateway/streaming.py
@@ -1,4 +1,4 @@
-"""Streamed responses: binds a request to the attempt that streams, and supervises the gaps between parts."""
+"""Streamed responses: binds a request to the attempt that streams, and limits the gaps between parts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         self._state = state
 
     def on_part(self, now: float, attempt: Attempt, data: bytes) -> None:
-        """A part has arrived.  The first one binds the request to its attempt; parts of others are dropped."""
+        """Pass on a part.  The first one binds the request to its attempt; parts of other attempts are dropped."""
         state, request = self._state, attempt.request
         invocation = state.invocations.get(request)
         if invocation is None or invocation.lifecycle.final or not invocation.streamed:
@@ -33,7 +33,7 @@
         state.effects.append(ResponsePart(invocation, data))
 
     def set_reading(self, now: float, invocation: Invocation, reading: bool) -> None:
-        """Whether parts are read from the worker.  While a slow client prevents that, no stall is counted."""
+        """Set whether parts are read from the worker; while a slow client prevents that, the stream cannot stall."""
         request = invocation.request
         if request.streaming_attempt is None or invocation.lifecycle.final:
             return
--- a/kelptrail/gateway/tenant_quotas.py
+++ b/kelptrail/gateway/tenant_quotas.py
@@ -1,7 +1,7 @@
-"""Which tenants are over their quota, and how much of their requests is admitted while others suffer.
+"""Tenant quotas: which tenants are over their quota, and which share of their requests is admitted.
 
-Guards against one tenant's retry storm that degrades the service of others: of tenants over quota ever fewer requests
-are admitted while the requests of others are rejected or late.
+They protect tenants from the retry storm of another one: as long as requests of tenants within quota are rejected or
+late, fewer and fewer requests of tenants over quota are admitted.
 """
 
 from __future__ import annotations
@@ -11,50 +11,50 @@
 from .overload_settings import OverloadSettings
 from .seeded_draws import SeededDraws
 
-RATE_WEIGHT = 0.2  # of one window in a tenant's average rate
+RATE_WEIGHT = 0.2  # weight of one window in a tenant's average rate
 MIN_ADMITTED_SHARE = 0.05
-ADMITTED_SHARE_DECREASE = 0.85  # factor of a window in which others suffer
-ADMITTED_SHARE_INCREASE = 0.01  # of another window
-ADMITTED_SHARE_INCREASE_CALM = 0.08
+ADMITTED_SHARE_DECREASE = 0.85  # factor for a window in which other tenants are degraded
+ADMITTED_SHARE_INCREASE = 0.01  # added for any other window
+ADMITTED_SHARE_INCREASE_CALM = 0.08  # added for any other window in the calm stage
 
 
 class TenantQuotas:
-    """Admission by quota.  Requests are counted by windows, which `close_window` ends."""
+    """Admits requests according to quotas.  Requests are counted in windows, which `close_window` ends."""
 
     def __init__(self, settings: OverloadSettings, draws: SeededDraws, shares: Mapping[str, float] | None) -> None:
-        """`shares`: each tenant's quota, in any unit; one without a quota is never over it."""
+        """Create the quotas.  `shares` has each tenant's quota, in any unit; one without a quota is never over it."""
         self._settings, self._draws = settings, draws
         total = sum((shares or {}).values()) or 1.0
         self._shares = {name: share / total for name, share in (shares or {}).items()}
-        self._rates: dict[str, float] = {}  # by tenant: requests a window, a recent average
+        self._rates: dict[str, float] = {}  # moving average of requests in a window, by tenant
         self.over_quota: set[str] = set()
-        self.admitted_share = 1.0  # of the requests of tenants over quota
-        self.held_back = 0  # requests of theirs that were not admitted
-        self._retry_budget = 0.0  # retries of theirs that are admitted
+        self.admitted_share = 1.0  # admitted share of the requests of tenants over quota
+        self.held_back = 0  # number of requests of tenants over quota that were not admitted
+        self._retry_budget = 0.0  # number of retries of tenants over quota that may still be admitted
         self._max_retry_budget = 1.0
         # Counts of this window.
-        self._requests: dict[str, int] = {}  # by tenant
+        self._requests: dict[str, int] = {}  # requests by tenant
         self._within_quota = self._degraded = 0  # requests of tenants within quota, and those rejected or late
 
     # Inputs.
 
     def on_request(self, tenant: str) -> None:
-        """A request arrives."""
+        """Count a request."""
         self._requests[tenant] = self._requests.get(tenant, 0) + 1
         self._within_quota += tenant not in self.over_quota
 
     def on_degraded(self, tenant: str) -> None:
-        """A request is rejected by the dispatcher, or completed late."""
+        """Count a request that the dispatcher rejected, or that was completed late."""
         self._degraded += tenant not in self.over_quota
 
     def on_completed(self) -> None:
-        """A request is completed: one more retry may be admitted."""
+        """Allow one more retry, as a request is completed."""
         self._retry_budget += 1
 
     # Decisions.
 
     def admit_first_try(self, tenant: str) -> bool:
-        """Whether the first try of a request is admitted; first tries go before retries."""
+        """Return whether the first try of a request is admitted; it takes budget from retries."""
         if tenant not in self.over_quota:
             return True
         if not self._admit(self.admitted_share):
@@ -64,7 +64,7 @@
         return True
 
     def admit_retry(self, tenant: str, priority_weight: float, needs_budget: bool) -> bool:
-        """Whether a retry at its time is admitted; `needs_budget`: only if the budget has enough, too."""
+        """Return whether a retry that is not early is admitted; `needs_budget`: only if the budget suffices."""
         if tenant not in self.over_quota:
             return True
         if self._admit(self.admitted_share**2) and (not needs_budget or self._spend_budget(priority_weight)):
@@ -73,13 +73,13 @@
         return False
 
     def _admit(self, share: float) -> bool:
-        """Whether a request is admitted, by a random draw with this share."""
+        """Return whether a request is admitted, by a random draw with probability `share`."""
         if share >= 1 or not self._settings.enabled:
             return True
         return self._draws.draw("in") < share
 
     def _spend_budget(self, priority_weight: float) -> bool:
-        """Take one retry from the budget if it has enough; a lower weight needs a fuller budget."""
+        """Take one retry from the budget if it suffices; a lower priority weight needs a larger budget."""
         if self._retry_budget < 1 + 0.5 * (1 - priority_weight) * self._max_retry_budget:
             return False
         self._retry_budget -= 1
@@ -88,12 +88,12 @@
     # Windows.
 
     def others_degraded(self) -> bool:
-        """Whether many requests of tenants within quota were rejected or late in this window."""
+        """Return whether many requests of tenants within quota were rejected or late in this window."""
         settings = self._settings
         return self._degraded > settings.degraded_share * max(self._within_quota, settings.min_samples)
 
     def close_window(self, calm: bool, others_degraded: bool, completed_per_s: float) -> None:
-        """End a window: who is over quota, how much of their requests is admitted, and how many retries."""
+        """End a window: update the tenants over quota, their admitted share, and the retry budget."""
         self._update_over_quota()
         if self.over_quota and others_degraded:
             self.admitted_share = max(MIN_ADMITTED_SHARE, ADMITTED_SHARE_DECREASE * self.admitted_share)
--- a/kelptrail/gateway/worker_calls.py
+++ b/kelptrail/gateway/worker_calls.py
@@ -1,8 +1,8 @@
-"""Calls to workers: carries out attempts and load orders on sockets, and reports to the core how they ended.
+"""Calls to workers: carries out attempts and load orders on sockets, and reports their results to the core.
 
-An attempt's status follows from its socket: no connection is unreachable; nothing written is not sent; a response that
-was read and says so is out of capacity or not loaded; anything else after the first byte may have run.  Nothing is
-decided here.
+An attempt's status follows from its socket: without a connection it is unreachable; if nothing was written it is not
+sent; a complete response can report that the worker is out of capacity or has not loaded the function; in all other
+cases after the first byte the request may have run.  This module makes no decisions.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from .invocation import Invocation
 from .response_stream import AttemptEnd, ResponseStream
 
-STEP_DELAY_S = 0.01  # the request is on its way when the crash tests' step "sent" is reported
+STEP_DELAY_S = 0.01  # delay of the crash tests' step "sent", by which time the request has been written
 STATUS_BY_CANCEL_REASON: dict[str, AttemptStatus] = {
     CancelReason.CANCELLED: AttemptStatus.CANCELLED,
     CancelReason.SILENT: AttemptStatus.SILENT,
@@ -47,14 +47,14 @@
 
 
 class _AttemptCall(NamedTuple):
-    """What the call of an attempt is for: the call's `tag`."""
+    """The tag of an attempt's call."""
 
     invocation: Invocation
     attempt: Attempt
 
 
 class _LoadEnd(NamedTuple):
-    """How a load order ended, and how many instances the worker has then."""
+    """The status of a load order that ended, and how many instances the worker then has."""
 
     status: AttemptStatus
     loaded: int
@@ -66,7 +66,10 @@
     def __init__(
         self, gateway: Gateway, name: str, settings: PoolSettings, log: Any, debug: bool, on_event: Callable[[], None]
     ) -> None:
-        """`name`: of this dispatcher, sent to workers.  `on_event`: called after each report to the core."""
+        """Create the calls of one dispatcher.
+
+        `name` is the dispatcher's name, which is sent to workers; `on_event` is called after each report to the core.
+        """
         self._gateway, self._name, self._settings, self._log = gateway, name, settings, log
         self._on_event = on_event
         self._loop = asyncio.get_running_loop()
@@ -76,11 +79,11 @@
         self._load_timeouts: dict[Call, asyncio.TimerHandle] = {}
         self.connection_health = ConnectionHealth()
         self._debug = debug
-        self.tls: Callable[[], ssl.SSLContext] | None = None  # for connections to workers
+        self.tls: Callable[[], ssl.SSLContext] | None = None  # returns the TLS context of connections to workers
 
     @property
     def attempts_in_flight(self) -> int:
-        """The number of attempts whose calls have not ended."""
+        """Number of attempts whose calls have not ended."""
         return len(self._calls)
 
     # Pools.
@@ -100,7 +103,7 @@
         return pool
 
     def close_moved(self) -> None:
-        """Close the pools of workers that are gone or have another address."""
+        """Close the pools of workers that were removed or have another address."""
         addresses = self._gateway.members.addresses
         for worker, pool in list(self._pools.items()):
             if addresses.get(worker) != pool.address:
@@ -108,7 +111,7 @@
                 del self._pools[worker]
 
     def close_idle(self) -> None:
-        """Close connections that have been idle for long."""
+        """Close connections that have been idle for a long time."""
         for pool in self._pools.values():
             pool.close_idle()
 
@@ -124,8 +127,8 @@
         journal, now = invocation.record.replicated_journal, now_ms()
         is_primary = journal is None or journal.is_primary(now)
         if not is_primary or not self._gateway.readiness.may_start(now, attempt):
-            # Checked right before the write: since the decision another dispatcher may have become the primary, or
-            # what is known of the worker may have become too old.
+            # Checked right before the write: since the decision, another dispatcher may have become the primary, or
+            # the information about the worker's readiness may have become too old.
             self._gateway.on_attempt_finished(now, attempt, AttemptStatus.NOT_SENT)
             return
         attempt.write_started_at = now
@@ -158,7 +161,9 @@
             "dispatcher": self._name,
             "activation": record.id,
             "send": attempt.number,
-            "limit_ms": round(attempt.request.deadline - attempt.started_at, 1),  # a worker begins no later
+            "limit_ms": round(
+                attempt.request.deadline - attempt.started_at, 1
+            ),  # the worker starts within this time or not at all
         }
         if invocation.streamed:
             parameters["stream"] = True
@@ -193,7 +198,7 @@
         self._on_event()
 
     def _on_attempt_finished(self, call: Call, outcome: CallOutcome, response: Response | None) -> None:
-        """An attempt's call has ended."""
+        """Report the end of an attempt's call to the core."""
         invocation, attempt = call.tag
         self._calls.pop(attempt, None)
         status, answer = self._attempt_end(call, outcome, response)
@@ -219,7 +224,7 @@
             if stream is not None and status is AttemptStatus.COMPLETED:
                 return stream.finish(answer)
             return AttemptEnd(status, answer)
-        if outcome is CallOutcome.CANCELLED:  # no reason: the loop is closing
+        if outcome is CallOutcome.CANCELLED:  # there is no reason if the loop is closing
             return AttemptEnd(STATUS_BY_CANCEL_REASON.get(call.reason, AttemptStatus.CANCELLED), None)
         return AttemptEnd(STATUS_BY_OUTCOME[outcome], None)
 
@@ -238,7 +243,7 @@
             self._log.debug("load-started", function=instance.function.id, worker=instance.worker.id, count=order.count)
 
     def ask(self, question: ReadinessQuestion) -> None:
-        """Ask a worker whether it is ready: by a load order with count 0, which starts no work."""
+        """Query whether a worker is ready, with load orders of count 0, which start no work."""
         instance = question.instance
         pool = self._pool(instance.worker)
         question.write_started_at = now_ms()
@@ -258,7 +263,7 @@
         self._on_event()
 
     def _on_load_finished(self, call: Call, outcome: CallOutcome, response: Response | None) -> None:
-        """A load order's call has ended."""
+        """Report the end of a load order's call to the core."""
         order: LoadOrder = call.tag
         timer = self._load_timeouts.pop(call, None)
         if timer is not None:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The lifecycle of a request: every order of events up to a depth, and the illegal steps."""
+"""Tests of the lifecycle of a request: every order of events up to a depth, and illegal steps."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class ObservedLifecycle:
-    """A lifecycle, and what clients, workers and the journal have observed of it, checked against the guarantees."""
+    """A lifecycle and its observable results for clients, workers and the journal, checked against the guarantees."""
 
     def __init__(self, idempotent: bool, journaled: bool, deferred: bool) -> None:
         self.lifecycle = RequestLifecycle(idempotent, journaled, deferred)
@@ -54,20 +54,20 @@
         self.durable: set[EntryKind] = set()
         self.finals = self.published = 0
 
-    def key(self) -> tuple[object, ...]:
+    def state_key(self) -> tuple[object, ...]:
         state = tuple(getattr(self.lifecycle, name) for name in FIELDS)
         return (*state, tuple(self.pending_writes), frozenset(self.durable), self.finals, self.published)
 
     def copy(self) -> ObservedLifecycle:
-        twin = ObservedLifecycle(False, False, False)
+        copied = ObservedLifecycle(False, False, False)
         for name in FIELDS:
-            setattr(twin.lifecycle, name, getattr(self.lifecycle, name))
-        twin.pending_writes, twin.durable = list(self.pending_writes), set(self.durable)
-        twin.finals, twin.published = self.finals, self.published
-        return twin
+            setattr(copied.lifecycle, name, getattr(self.lifecycle, name))
+        copied.pending_writes, copied.durable = list(self.pending_writes), set(self.durable)
+        copied.finals, copied.published = self.finals, self.published
+        return copied
 
     def apply(self, event: str) -> bool:
-        """Try an event; False where the lifecycle raises `IllegalStepError`."""
+        """Try an event; return False where the lifecycle raises `IllegalStepError`."""
         lifecycle, (name, _, result) = self.lifecycle, event.partition(":")
         try:
             if result:
@@ -106,9 +106,9 @@
 
 
 @pytest.mark.parametrize(("idempotent", "journaled", "deferred"), list(product((True, False), repeat=3)))
-def test_every_order_of_events_keeps_the_guarantees(idempotent: bool, journaled: bool, deferred: bool) -> None:
+def test_guarantees_hold_for_every_order_of_events(idempotent: bool, journaled: bool, deferred: bool) -> None:
     start = ObservedLifecycle(idempotent, journaled, deferred)
-    reached, stages, rejected = {start.key()}, set[RequestStage](), 0
+    reached, stages, rejected = {start.state_key()}, set[RequestStage](), 0
     frontier = deque([(start, 0)])
     while frontier:
         observed, depth = frontier.popleft()
@@ -128,14 +128,14 @@
                 assert after.lifecycle.stage is before, "an illegal step changes nothing"
                 continue
             assert after.lifecycle.stage is before or after.lifecycle.stage in NEXT_STAGES[before]
-            if after.key() not in reached:
-                reached.add(after.key())
+            if after.state_key() not in reached:
+                reached.add(after.state_key())
                 frontier.append((after, depth + 1))
     assert stages == set(RequestStage)
     assert len(reached) > 60 and rejected > 500
 
 
-def test_steps_out_of_order_raise_typed_errors() -> None:
+def test_steps_out_of_order_raise_illegal_step_error() -> None:
     lifecycle = RequestLifecycle(False, True, True)
     with pytest.raises(IllegalStepError, match="before the dispatcher"):
         lifecycle.on_attempt_decided()
@@ -146,9 +146,9 @@
         EntryKind.MAY_RUN,
         None,
     ]
-    with pytest.raises(IllegalStepError, match="may run"):
+    with pytest.raises(IllegalStepError, match="before its may-run entry is durable"):
         lifecycle.start_attempt()
-    with pytest.raises(IllegalStepError, match="not asked for"):
+    with pytest.raises(IllegalStepError, match="end: the result of an entry was reported that was not requested"):
         lifecycle.on_written(EntryKind.ENDED, True)
     lifecycle.on_written(EntryKind.ACCEPTED, True)
     lifecycle.on_written(EntryKind.MAY_RUN, True)
@@ -171,7 +171,7 @@
     assert lifecycle.stage is RequestStage.FORGOTTEN
 
 
-def test_an_attempt_whose_entry_failed_is_held_and_its_entry_written_again() -> None:
+def test_attempt_after_a_failed_may_run_write_is_held_and_the_entry_is_written_again() -> None:
     lifecycle = RequestLifecycle(False, True, False)
     lifecycle.queue()
     lifecycle.on_attempt_decided()
