--- a/kelptrail/store/__init__.py
+++ b/kelptrail/store/__init__.py
@@ -1,1 +1,1 @@
-"""Crash-safe records of activations: journal entries, group commit, the activation journal on disk, recovery."""
+"""Crash-safe storage of activations: journal entries, group commit, the activation journal on disk, recovery."""
--- a/kelptrail/store/activation_journal.py
+++ b/kelptrail/store/activation_journal.py
@@ -1,7 +1,7 @@
-"""The activation journal on disk: entries in an SQLite database in WAL mode, each commit synced before it counts.
+"""The activation journal on disk: entries in an SQLite database in WAL mode, each commit synced before it returns.
 
-The library cuts off torn tails at the next start; rows carry a checksum of their own, as pages do not.  A database
-that cannot be read at all is renamed, never overwritten.  One thread at a time uses it.
+SQLite drops an incomplete end of the log at the next start; each row has its own checksum, because pages have none.  A
+database that cannot be read at all is renamed, never overwritten.  Only one thread at a time may use a journal.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 INDEX = "CREATE INDEX by_start ON entries (start)"
 
 
-MIN_PAGES = 16  # of a file, however small `max_bytes` is
-MAX_FREED_PAGES = 2000  # returned to the file system at a time
+MIN_PAGES = 16  # least size limit of a file, even if `max_bytes` is smaller
+MAX_FREED_PAGES = 2000  # largest number of pages returned to the file system at a time
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
 
 
 class ActivationJournal:
-    """One file of at most `max_bytes`: a commit beyond fails like one on a full disk.  `vfs` is for tests."""
+    """One file of at most `max_bytes`: a commit beyond that fails as on a full disk.  `vfs` is for tests."""
 
     def __init__(self, file: Path, max_bytes: float = 1e12, vfs: str | None = None) -> None:
         self.file, self.damaged = file, 0
@@ -51,7 +51,7 @@
             self._prepare(self._database.format_version(FORMAT))
 
     def _transaction(self) -> contextlib.AbstractContextManager[None]:
-        """Commit everything done within, or none of it, also after a crash."""
+        """Commit all statements of the block, or none of them, even after a crash."""
         return self._database.transaction(after_rollback=partial(drop_uncommitted, self.file))
 
     def _prepare(self, version: int) -> None:
@@ -60,7 +60,7 @@
                 self._database.run(TABLE)
                 self._database.run(INDEX)
                 self._database.set_format_version(FORMAT)
-        elif version == 1:  # entries of format 1 are read as they are: what was added has defaults
+        elif version == 1:  # entries of format 1 stay as they are, because the fields added since have defaults
             with self._transaction():
                 self._database.run("ALTER TABLE rows RENAME TO entries")
                 self._database.run(INDEX)
@@ -69,14 +69,17 @@
             self._database.set_format_version(FORMAT)
 
     def clear_orphans(self) -> None:
-        """Delete entries without an accepted entry: their activations never became durable.  Raises `JournalError`."""
+        """Delete the entries of activations without an accepted entry, which never became durable.
+
+        Raises `JournalError`.
+        """
         with journal_errors(), self._transaction():
             self._database.run(
                 "DELETE FROM entries WHERE kind != 0 AND id NOT IN (SELECT id FROM entries WHERE kind = 0)"
             )
 
     def commit(self, entries: Iterable[Entry]) -> None:
-        """Make entries durable, all or none; an entry written again is left as it was.  Raises `JournalError`."""
+        """Make entries durable, all or none; an entry that exists is not replaced.  Raises `JournalError`."""
         rows = []
         for entry in entries:
             data, crc = encode_entry(entry)
@@ -86,7 +89,10 @@
             self._database.run_many("INSERT OR IGNORE INTO entries VALUES (?, ?, ?, ?, ?)", rows)
 
     def activations(self) -> Iterator[ActivationEntries]:
-        """All activations in order of their start; damaged rows are counted and skipped.  Raises `JournalError`."""
+        """Yield all activations in order of their start; damaged rows are counted and skipped.
+
+        Raises `JournalError`.
+        """
         with journal_errors():
             for (id_,) in self._database.rows("SELECT id FROM entries WHERE kind = 0 ORDER BY start, id"):
                 activation: ActivationEntries | None = None
@@ -97,7 +103,7 @@
                         entry = decode_entry(bytes(body), crc)
                     except CorruptEntryError:
                         self.damaged += 1
-                        # An entry that cannot be read may have been the may-run entry.
+                        # The damaged entry may have been the may-run entry, so the request may have run.
                         if activation is not None and activation.may_run is None:
                             activation.may_run = MayRun(id_, activation.accepted.start, "")
                         continue
@@ -111,23 +117,23 @@
                     yield activation
 
     def forget(self, ids: Iterable[str]) -> None:
-        """Delete activations whose records are no longer kept, and free their pages.  Raises `JournalError`."""
+        """Delete activations whose records were dropped, and free their pages.  Raises `JournalError`."""
         with journal_errors():
             with self._transaction():
                 self._database.run_many("DELETE FROM entries WHERE id = ?", [(id_,) for id_ in ids])
             self._database.run(f"PRAGMA incremental_vacuum({MAX_FREED_PAGES})")
 
     def count(self) -> int:
-        """The number of activations."""
+        """Return the number of activations."""
         return int(self._database.run("SELECT count(*) FROM entries WHERE kind = 0")[0][0])
 
     def close(self) -> None:
-        """Close the file; what was committed stays."""
+        """Close the file; committed entries stay."""
         self._database.close()
 
 
 class OpenedJournal(NamedTuple):
-    """A journal, and the name to which an unreadable file in its place was moved, if there was one."""
+    """A journal, and the new name of an unreadable file that was moved out of its place, if there was one."""
 
     journal: ActivationJournal
     set_aside: Path | None
--- a/kelptrail/store/atomic_file.py
+++ b/kelptrail/store/atomic_file.py
@@ -5,14 +5,14 @@
 import os
 from pathlib import Path
 
-DRAFT_SUFFIX = ".new"  # in place of the file's own suffix, while it is written
+TEMPORARY_SUFFIX = ".new"  # replaces the file's own suffix while the new content is written
 
 
 def replace_file(file: Path, data: bytes) -> None:
-    """Write, sync and rename a draft beside the file.  Raises `OSError`."""
-    draft = file.with_suffix(DRAFT_SUFFIX)
-    with open(draft, "wb") as out:
+    """Write and sync a temporary file in the same folder, then rename it.  Raises `OSError`."""
+    temporary = file.with_suffix(TEMPORARY_SUFFIX)
+    with open(temporary, "wb") as out:
         out.write(data)
         out.flush()
         os.fsync(out.fileno())
-    draft.replace(file)
+    temporary.replace(file)
--- a/kelptrail/store/database.py
+++ b/kelptrail/store/database.py
@@ -1,6 +1,6 @@
-"""What the program's SQLite databases share: opening, transactions, errors, and moving a damaged file aside.
+"""Common code for SQLite databases: opening, transactions, errors, and moving a damaged file aside.
 
-A database is in WAL mode, and each commit is synced before it returns.  One thread at a time uses it.
+A database is in WAL mode, and each commit is synced before it returns.  Only one thread at a time may use it.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 
 import apsw
 
-DAMAGE_MARKS = ("NotADB", "Corrupt", "malformed", "not a database")  # in the text of an error: the file is damaged
-FILE_SUFFIXES = ("", "-wal", "-shm")  # of the files that make up a database
+DAMAGE_MARKS = ("NotADB", "Corrupt", "malformed", "not a database")  # texts in errors that report a damaged file
+FILE_SUFFIXES = ("", "-wal", "-shm")  # suffixes of the files of one database
 
 
-Row = tuple[Any, ...]  # the values of one row, of the types that SQLite gives them
+Row = tuple[Any, ...]  # the values of one row, in the types that SQLite returns
 
 
 class JournalError(Exception):
-    """A database could not be opened, read or written; the text is the library's."""
+    """A database could not be opened, read or written; the text is that of the SQLite error."""
 
 
 @contextlib.contextmanager
 def journal_errors(*other_errors: type[Exception]) -> Iterator[None]:
-    """Raise errors of the library, and `other_errors`, as `JournalError`."""
+    """Raise SQLite errors, and `other_errors`, as `JournalError`."""
     errors: tuple[type[Exception], ...] = (apsw.Error, *other_errors)
     try:
         yield
@@ -34,7 +34,7 @@
 
 
 class Database:
-    """One database; `file` None: in memory.  Methods raise `apsw.Error`; callers use `journal_errors`."""
+    """One database, in memory if `file` is None.  Methods raise `apsw.Error`; callers use `journal_errors`."""
 
     def __init__(self, file: Path | None, vfs: str | None = None) -> None:
         name, used_vfs = (str(file), vfs) if file is not None else (":memory:", None)
@@ -56,10 +56,13 @@
         self._connection.executemany(text, rows)
 
     def format_version(self, known: int) -> int:
-        """The version of the stored format; 0 for a new file.  Raises `JournalError` if it is later than `known`."""
+        """Return the version of the stored format, or 0 for a new file.
+
+        Raises `JournalError` if it is newer than `known`.
+        """
         version = int(self.run("PRAGMA user_version")[0][0])
         if version > known:
-            raise JournalError(f"format {version} is newer than {known}, which is known here")
+            raise JournalError(f"format {version} is newer than {known}, the newest supported format")
         return version
 
     def set_format_version(self, version: int) -> None:
@@ -68,26 +71,26 @@
 
     @contextlib.contextmanager
     def transaction(self, after_rollback: Callable[[], object] = lambda: None) -> Iterator[None]:
-        """Commit everything done within, or none of it; some errors of the library have rolled back already."""
+        """Commit all statements of the block, or none of them; `after_rollback` is called if the commit fails."""
         self.run("BEGIN IMMEDIATE")
         try:
             yield
             self.run("COMMIT")
         except apsw.Error:
-            if self._connection.in_transaction:
+            if self._connection.in_transaction:  # after some errors SQLite has already rolled back
                 with contextlib.suppress(apsw.Error):
                     self.run("ROLLBACK")
             after_rollback()
             raise
 
     def close(self) -> None:
-        """Close the database; what was committed stays."""
+        """Close the database; committed data stay."""
         with contextlib.suppress(apsw.Error):
             self._connection.close()
 
 
 def free_damaged_name(file: Path) -> Path:
-    """An unused name to which a damaged file can be moved."""
+    """Return an unused name to which a damaged file can be moved."""
     number = 1
     while (aside := file.with_name(f"{file.name}.damaged-{number}")).exists():
         number += 1
@@ -95,7 +98,7 @@
 
 
 def move_aside(file: Path) -> Path:
-    """Rename a damaged database, with all of its files; returns its new name.  Raises `OSError`."""
+    """Rename a damaged database with all of its files, and return its new name.  Raises `OSError`."""
     aside = free_damaged_name(file)
     for suffix in FILE_SUFFIXES:
         part = file.with_name(file.name + suffix)
--- a/kelptrail/store/driver.py
+++ b/kelptrail/store/driver.py
@@ -1,4 +1,4 @@
-"""Runs the journal in a thread of its own: one batch at a time, acknowledged on the event loop."""
+"""Writes the journal in a separate thread, one batch at a time, and reports the results on the event loop."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from .database import JournalError
 from .group_commit import Batch, GroupCommit
 
-MAX_FORGET_BATCH = 500  # activations deleted in one transaction: a commit may have to wait for it
-MAX_STALE = 20_000  # beyond it activations are deleted even when the thread is busy with commits
-RETRY_POLL_S = 0.1  # how often a failing journal is tried
+MAX_FORGET_BATCH = 500  # activations deleted in one transaction, for which a commit may have to wait
+MAX_STALE = 20_000  # from this number, stale activations are deleted without waiting for background work
+RETRY_POLL_S = 0.1  # interval at which a failing journal is checked for a due trial
 CLOSE_POLL_S = 0.005
 
 
 class EntryStore(Protocol):
-    """Durable storage of entries; one thread at a time uses it."""
+    """Durable storage of entries; only one thread at a time may use it."""
 
     def commit(self, entries: Iterable[Any], /) -> None:
         """Make entries durable, all or none.  Raises `JournalError`."""
@@ -28,7 +28,7 @@
         """Delete activations.  Raises `JournalError`."""
 
     def close(self) -> None:
-        """Close it."""
+        """Close the storage."""
 
 
 class JournalDriver:
@@ -43,13 +43,13 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def forget(self, id_: str) -> None:
-        """An activation whose record is no longer kept: delete its entries later."""
+        """Schedule the deletion of an activation whose record was dropped."""
         self._stale.append(id_)
         if len(self._stale) >= MAX_STALE:
             self.start_next_batch()
 
     def compact(self) -> bool:
-        """Background work: delete some stale activations and free their pages; whether many remain."""
+        """Start to delete a batch of stale activations, as background work; return whether many remain."""
         if self._stale and not self._busy and not self.group_commit.failing:
             self._start_forget()
         return len(self._stale) >= MAX_FORGET_BATCH
@@ -115,7 +115,7 @@
         return lambda: None
 
     async def close(self, within_ms: float) -> bool:
-        """Write what waits, at most `within_ms`, then close the storage; True if everything is durable."""
+        """Write waiting entries for up to `within_ms`, close the storage, and return whether all are durable."""
         end = now_ms() + within_ms
         while (self.group_commit.waiting or self._busy) and now_ms() < end:
             self.start_next_batch()
--- a/kelptrail/store/entries.py
+++ b/kelptrail/store/entries.py
@@ -1,8 +1,8 @@
 """Journal entries of an activation; free of I/O.  `docs/formats/book.md` has the layout.
 
 An activation has an `Accepted` entry, then `MayRun` before its first attempt unless it is idempotent, then `Ended`.
-Field names are keys on disk and stay as they are.  Wall times are milliseconds since the epoch: they must mean
-something after a restart.
+Field names are keys on disk and must not change.  Times are wall times in milliseconds since the epoch, so that they
+are valid after a restart.
 """
 
 from __future__ import annotations
@@ -13,12 +13,13 @@
 import msgspec
 import zstandard
 
-FORMAT = 3  # 2: `Accepted` had no form; 1: results were never compressed and it had no digest
-COMPRESS_FROM = 1024  # bytes of a result, from which it is compressed
+# In format 2 `Accepted` had no `form`; in format 1 it had no `digest` either, and results were never compressed.
+FORMAT = 3
+COMPRESS_FROM = 1024  # smallest size of a result that is compressed, in bytes
 
 
 class Accepted(msgspec.Struct, frozen=True, tag="accepted"):
-    """A request was accepted and is resumed after a crash."""
+    """A request was accepted; it is resumed after a crash."""
 
     id: str
     namespace: str
@@ -27,14 +28,14 @@
     timeout_ms: float
     payload: bytes
     key: str | None = None
-    digest: str = ""  # of the payload, to tell another body under the same key
+    digest: str = ""  # digest of the payload, which detects another body under the same key
     trace: str = ""
     deferred: bool = True
-    form: str = "json"  # of the payload
+    form: str = "json"  # format of the payload
 
 
 class MayRun(msgspec.Struct, frozen=True, tag="may-run"):
-    """The first attempt is about to start: from here on the request may have run, first at this worker."""
+    """The first attempt is about to start, at this worker: from now on the request may have run."""
 
     id: str
     sent: float
@@ -62,11 +63,11 @@
 
 
 class CorruptEntryError(Exception):
-    """Bytes that are no entry: altered, truncated or of another format."""
+    """The bytes are not a valid entry: altered, truncated or of another format."""
 
 
 class EncodedEntry(NamedTuple):
-    """An entry as bytes, and the CRC-32 of the bytes."""
+    """An encoded entry and its CRC-32."""
 
     data: bytes
     crc: int
@@ -75,17 +76,17 @@
 def encode_entry(entry: Entry) -> EncodedEntry:
     """Encode an entry; large results are compressed."""
     if isinstance(entry, Ended) and len(entry.result) >= COMPRESS_FROM and not entry.packed:
-        small = zstandard.compress(entry.result)
-        if len(small) < len(entry.result):
-            entry = msgspec.structs.replace(entry, result=small, packed=True)
+        compressed = zstandard.compress(entry.result)
+        if len(compressed) < len(entry.result):
+            entry = msgspec.structs.replace(entry, result=compressed, packed=True)
     data = _encode(entry)
     return EncodedEntry(data, zlib.crc32(data))
 
 
 def decode_entry(data: bytes, crc: int) -> Entry:
-    """Decode an entry, its result uncompressed.  Raises `CorruptEntryError`."""
+    """Decode an entry and decompress its result.  Raises `CorruptEntryError`."""
     if zlib.crc32(data) != crc:
-        raise CorruptEntryError("the checksum does not fit")
+        raise CorruptEntryError("the checksum does not match")
     try:
         entry = _decode(data)
         if isinstance(entry, Ended) and entry.packed:
--- a/kelptrail/store/faulty_disk.py
+++ b/kelptrail/store/faulty_disk.py
@@ -1,7 +1,7 @@
-"""A faulty disk for tests: a layer under the journal whose syncs and writes take long or fail on request.
+"""A faulty disk for tests: an SQLite VFS whose syncs are slow or fail, and whose writes fail, on request.
 
-The file holds JSON, `{"sync_ms": 2000, "fails": false, "full": false}`, and is read before each sync and write; no
-file, or one that cannot be read, means a disk without faults.
+A file sets the faults as JSON, `{"sync_ms": 2000, "fails": false, "full": false}`, and is checked at each sync and
+write; without a readable file the disk has no faults.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 import apsw
 
-NAME = "harmed"  # of the VFS
-READ_INTERVAL_S = 0.02
+NAME = "harmed"  # name of the VFS
+READ_INTERVAL_S = 0.02  # shortest interval between two reads of the file
 
 
 class FaultyDisk(apsw.VFS):
@@ -27,7 +27,7 @@
         super().__init__(NAME, "")
 
     def current_fault(self) -> dict[str, Any]:
-        """The faults that are set now; the file is read at most every `READ_INTERVAL_S`."""
+        """Return the faults that are set now; the file is read at most every `READ_INTERVAL_S`."""
         if self._file is not None and time.monotonic() > self._read_at + READ_INTERVAL_S:
             self._read_at, self.fault = time.monotonic(), {}
             with contextlib.suppress(OSError, ValueError):
@@ -35,7 +35,7 @@
         return self.fault
 
     def xOpen(self, name: Any, flags: Any) -> _FaultyFile:  # noqa: N802
-        """Open a file; called by the library."""
+        """Open a file; called by SQLite."""
         return _FaultyFile(self, name, flags)
 
 
@@ -45,7 +45,7 @@
         super().__init__("", name, flags)
 
     def xSync(self, flags: int) -> None:  # noqa: N802
-        """Sync the file, late or not at all; called by the library."""
+        """Sync the file, with a delay or an error if one is set; called by SQLite."""
         self._disk.syncs += 1
         fault = self._disk.current_fault()
         time.sleep(float(fault.get("sync_ms", 0.0)) / 1000)
@@ -54,7 +54,7 @@
         super().xSync(flags)
 
     def xWrite(self, data: bytes, offset: int) -> None:  # noqa: N802
-        """Write to the file unless the disk is full; called by the library."""
+        """Write to the file unless the disk is set to be full; called by SQLite."""
         if self._disk.current_fault().get("full"):
             raise apsw.FullError("the disk is full")
         super().xWrite(data, offset)
--- a/kelptrail/store/group_commit.py
+++ b/kelptrail/store/group_commit.py
@@ -1,8 +1,8 @@
-"""Group commit, free of I/O: collects entries with their waiters, hands out batches, and notifies the waiters.
+"""Group commit, free of I/O: collects entries with their waiters, returns batches, and notifies the waiters.
 
-One batch is written at a time; entries that arrive meanwhile make up the next one, so many requests share one sync.
-Nothing is acknowledged before its batch, and so every entry before it, is durable.  After a failure new entries are
-refused until a trial batch is durable; each entry that had been accepted is reported as failed exactly once.
+One batch is written at a time; entries that arrive during the write form the next batch, so many requests share one
+sync.  An entry is acknowledged only when its batch, and with it every earlier entry, is durable.  After a failure new
+entries are refused until a trial batch is durable; each entry accepted before is reported as failed exactly once.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-Entry = Any  # what the journal stores; it is only passed on here
+Entry = Any  # an entry of any journal; group commit only passes it on
 Waiter = Callable[[bool], None]
 
 
 @dataclass(slots=True)
 class Batch:
-    """Entries that share one sync; batches are numbered in order."""
+    """Entries that share one sync; batches are numbered consecutively."""
 
     number: int
     entries: list[Entry] = field(default_factory=list)
@@ -26,7 +26,7 @@
 
 
 class RetriedEntry(NamedTuple):
-    """An entry that is written again after a failure, with its waiter."""
+    """An entry to be written again after a failure, and its waiter."""
 
     entry: Entry
     waiter: Waiter | None
@@ -37,7 +37,7 @@
 
 
 class GroupCommit:
-    """Entries that are not durable yet.  Times in milliseconds."""
+    """The entries that are not durable yet.  Times are in milliseconds."""
 
     def __init__(self, max_waiting: int = 100_000, retry_ms: float = 500.0) -> None:
         self._max_waiting, self._retry_ms = max_waiting, retry_ms
@@ -51,19 +51,19 @@
 
     @property
     def waiting(self) -> int:
-        """Entries that are not durable yet."""
+        """Number of entries that are not durable yet."""
         return (
             len(self._collecting.entries) + (len(self._writing.entries) if self._writing else 0) + len(self._to_retry)
         )
 
     def is_accepting(self) -> bool:
-        """Whether a new request can be made durable: the disk works, and not too much waits."""
+        """Return whether a new request can be made durable: writes do not fail, and not too many entries wait."""
         return not self.failing and self.waiting < self._max_waiting
 
     def write(self, entry: Entry, waiter: Waiter | None = None, keep: bool = False) -> None:
-        """Write an entry.  `waiter` is called once: whether it is durable.
+        """Write an entry, and call `waiter` once with whether it is durable.
 
-        With `keep` a failure is tried again, and `waiter` is called only with True.
+        With `keep`, a failed write is retried, and `waiter` is called only with True.
         """
         if self.failing:
             if keep:
@@ -87,7 +87,10 @@
             waiter(True)
 
     def next_batch(self, now: float) -> Batch | None:
-        """The next batch to write, or None.  After a failure one trial at a time, with what is to be tried again."""
+        """Return the next batch to write, or None.
+
+        After a failure it is a trial batch, at most one in each retry interval, with the entries to be retried.
+        """
         if self._writing is not None:
             return None
         if self.failing:
@@ -102,7 +105,7 @@
         return self._writing
 
     def on_batch_durable(self, number: int) -> None:
-        """A batch is durable.  Raises `UnexpectedBatchError`."""
+        """Report a batch as durable to its waiters.  Raises `UnexpectedBatchError`."""
         batch = self._take_written(number)
         self.failing, self.reason = False, ""
         self.commits += 1
@@ -111,7 +114,7 @@
             waiter(True)
 
     def on_batch_failed(self, now: float, number: int, reason: str) -> None:
-        """A batch could not be written: none of its entries is durable.  Raises `UnexpectedBatchError`."""
+        """Report a batch as failed: none of its entries is durable.  Raises `UnexpectedBatchError`."""
         batch = self._take_written(number)
         self.failing, self.reason, self._retry_at = True, reason, now + self._retry_ms
         self.failures += 1
--- a/kelptrail/store/recovery.py
+++ b/kelptrail/store/recovery.py
@@ -1,9 +1,9 @@
-"""What becomes of an activation that a crash left without its final answer, and in which order; free of I/O.
+"""Recovery of activations that a crash left without a final answer: which are resumed, in which order; free of I/O.
 
-It depends on the request class and on what the journal says of attempts.  What was never attempted, and idempotent
-requests, run again within their time; deduplicated ones only while the workers still drop a repeat; at-most-once ones
-that may have run have failed.  A restart can rely on the wall clock alone; where that was set back, the request's time
-counts as used up.
+The decision depends on the request class and on the journal's entries about attempts.  Requests that were never
+attempted and idempotent ones run again within their timeout; deduplicated ones only as long as the workers still drop a
+repeat; at-most-once requests that may have run fail.  After a restart only the wall clock is usable; if it was set
+back, the request's timeout counts as expired.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 from .activation_journal import ActivationEntries
 
-WAS_DOWN = "Its dispatcher was down until its time was up"
+WAS_DOWN = "Its dispatcher was down until the timeout of the request"
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryRule:
-    """What recovery must know of a request class."""
+    """The properties of a request class that recovery depends on."""
 
     idempotency: Idempotency
-    scope: str  # of deduplication: "all", "zone" or "cell"
+    scope: str  # deduplication scope: "all", "zone" or "cell"
     deduplication_window_ms: float
     priority_weight: float
 
@@ -40,9 +40,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumeRequest:
-    """Run the request, with `remaining_ms` of its time left.
+    """Run the request, with `remaining_ms` left of its timeout.
 
-    `deduplicated_for_ms`: for how much longer the workers drop a repeat; None where a repeat is harmless.
+    `deduplicated_for_ms` is how much longer the workers drop a repeat, or None where a repeat is harmless.
     """
 
     entries: ActivationEntries
@@ -54,15 +54,15 @@
 def decide_recovery(
     entries: ActivationEntries, rule: RecoveryRule, wall: float, min_run_ms: float
 ) -> EndRequest | ResumeRequest:
-    """What becomes of one activation; `min_run_ms` is the least time in which a run is worth beginning."""
+    """Decide how to recover one activation; a request with `min_run_ms` or less left is not run."""
     accepted, may_run = entries.accepted, entries.may_run
     elapsed = wall - accepted.start
-    if elapsed < 0:  # the wall clock was set back: how long it was down is unknown
+    if elapsed < 0:  # the wall clock was set back, so the time since acceptance is unknown
         elapsed = accepted.timeout_ms
     remaining_ms = accepted.timeout_ms - elapsed
     if may_run is not None and rule.idempotency is Idempotency.AT_MOST_ONCE:
         return EndRequest(
-            entries, FinalStatus.FAILED, "It may have run when its dispatcher failed, and must not run twice"
+            entries, FinalStatus.FAILED, "It may have run before its dispatcher failed, and must not run twice"
         )
     if may_run is not None and rule.idempotency is Idempotency.DEDUPLICATED:
         deduplicated_for_ms = rule.deduplication_window_ms - max(0.0, wall - may_run.sent)
@@ -70,13 +70,13 @@
             return EndRequest(
                 entries,
                 FinalStatus.FAILED,
-                "It may have run when its dispatcher failed, at a group that is not known now",
+                "It may have run before its dispatcher failed, in a deduplication scope that is now unknown",
             )
         if deduplicated_for_ms <= min_run_ms:
             return EndRequest(
                 entries,
                 FinalStatus.FAILED,
-                "It may have run when its dispatcher failed; a repeat would not be dropped now",
+                "It may have run before its dispatcher failed, and its deduplication window is over",
             )
         if remaining_ms <= min_run_ms:
             return EndRequest(entries, FinalStatus.FAILED, WAS_DOWN + "; it may have run")
@@ -86,8 +86,8 @@
     return ResumeRequest(entries, remaining_ms, None, rule.priority_weight / remaining_ms)
 
 
-def _later(resume: ResumeRequest, ms: float) -> ResumeRequest:
-    """The same request with its times counted from `ms` earlier."""
+def _with_earlier_origin(resume: ResumeRequest, ms: float) -> ResumeRequest:
+    """Return the same request with its remaining times counted from `ms` earlier."""
     window = resume.deduplicated_for_ms
     return replace(
         resume,
@@ -99,7 +99,7 @@
 class ResumeQueue:
     """Requests to resume: the highest priority first, at most `max_concurrent` at once.
 
-    The bound keeps a restart from overloading the workers.
+    The limit prevents a restart from overloading the workers.
     """
 
     def __init__(self, resumable: list[ResumeRequest], max_concurrent: int, min_run_ms: float) -> None:
@@ -110,9 +110,9 @@
         return len(self._waiting)
 
     def next(self, since_ms: float) -> ResumeRequest | EndRequest | None:
-        """The next request to resume, or to end as its time ran out in the queue; None: not now.
+        """Return the next request to resume, or to end as its time ran out in the queue; None if there is none now.
 
-        `since_ms`: time since `decide_recovery` was called for the first ones.
+        `since_ms` is the time since `decide_recovery` was called for the first requests.
         """
         if not self._waiting:
             return None
@@ -129,14 +129,14 @@
 
     def add(self, resumable: list[ResumeRequest], since_ms: float) -> None:
         """Add requests, `since_ms` after `decide_recovery` was called for the first ones."""
-        later = [_later(resume, since_ms) for resume in resumable]
-        self._waiting = deque(sorted([*self._waiting, *later], key=lambda resume: -resume.priority))
+        added = [_with_earlier_origin(resume, since_ms) for resume in resumable]
+        self._waiting = deque(sorted([*self._waiting, *added], key=lambda resume: -resume.priority))
 
     def remove(self, ids: Iterable[str]) -> None:
-        """Other dispatchers have taken these over."""
+        """Remove requests that other dispatchers have taken over."""
         taken_over = set(ids)
         self._waiting = deque(resume for resume in self._waiting if resume.entries.accepted.id not in taken_over)
 
     def on_finished(self) -> None:
-        """A resumed request has its final answer."""
+        """Record that a resumed request has its final answer."""
         self._resumed -= 1
