--- a/kelptrail/gateway/durability.py
+++ b/kelptrail/gateway/durability.py
@@ -228,7 +228,7 @@
                 self.release_held(invocation, True)
 
     def publish(self, invocation: Invocation, late: bool = False) -> None:
-        """Publish a final answer, once; `late`: the client's time is up, although the answer is not durable yet."""
+        """Publish a final answer, once; `late`: the client's time is up, and the answer may not be durable yet."""
         if invocation.lifecycle.stage is not RequestStage.FINAL:
             return  # it was published late, before this write ended
         invocation.lifecycle.publish(late)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway core without I/O: seeded runs with every attempt status, one final answer for each request."""
+"""Tests of the gateway core without I/O: random runs with every attempt status, records, limits and deadlines."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class RandomRun:
-    """A gateway core whose attempts end at random; the invariants are checked at each step."""
+    """Runs a gateway core whose attempts end at random, and checks its invariants at each step."""
 
     def __init__(self, seed: int) -> None:
         self.random_source = random.Random(seed)
@@ -33,9 +33,9 @@
         self.gateway = Gateway(DispatcherParts(deployment, "a", seed), f"{seed:016x}")
         self.actions = list(deployment.actions.values())
         self.now, self.version = 1000.0, 0
-        self.open_attempts: list[tuple[float, Attempt, AttemptStatus]] = []  # when and how each ends
-        self.open_loads: list[tuple[float, StartLoad]] = []  # when each ends
-        self.final_at: dict[str, float] = {}  # by activation id
+        self.open_attempts: list[tuple[float, Attempt, AttemptStatus]] = []  # end time, attempt, status at its end
+        self.open_loads: list[tuple[float, StartLoad]] = []  # end time, load order
+        self.final_at: dict[str, float] = {}  # time of the final answer, by activation id
         self.invocations: list[Invocation] = []
         self.notified: list[tuple[float, str]] = []
         self.update_endpoints()
@@ -60,11 +60,11 @@
                 Submission("one", action, b"{}", key),
                 lambda r: self.notified.append((now, r.id)),
             )
-            assert len(self.notified) == notified_before, "answers come as effects only"
+            assert len(self.notified) == notified_before, "waiters are notified only through effects"
             self.invocations.append(invocation)
-        for ending in [e for e in self.open_attempts if e[0] <= now]:
-            self.open_attempts.remove(ending)
-            _, attempt, status = ending
+        for open_attempt in [e for e in self.open_attempts if e[0] <= now]:
+            self.open_attempts.remove(open_attempt)
+            _, attempt, status = open_attempt
             if attempt.status is None:
                 answer = (
                     WorkerAnswer("completed", b"{}", random_source.random() < 0.9)
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("seed", range(15))
-def test_seeded_runs_give_each_request_one_final_answer_in_time(seed: int) -> None:
+def test_random_runs_give_each_request_one_final_answer_in_time(seed: int) -> None:
     run = RandomRun(seed)
     for n in range(1500):
         run.step(load=n < 1200)
@@ -143,7 +143,7 @@
     counts = run.gateway.counts
     assert counts.completed and counts.rejected and counts.failed
     assert counts.received == counts.completed + counts.rejected + counts.failed == len(run.notified)
-    assert run.gateway.in_flight == 0 and not run.gateway.state.invocations, "nothing is left behind"
+    assert run.gateway.in_flight == 0 and not run.gateway.state.invocations, "no request remains in the gateway"
     assert run.gateway.limits.requests == run.gateway.limits.bytes == 0
 
 
@@ -170,23 +170,23 @@
     assert [r.id for r in small.newest("one")] == ["s4", "s3"] and small.dropped == 3
 
 
-def test_worker_registry_follows_versions_restarts_and_ages() -> None:
+def test_worker_registry_applies_list_versions_restarts_and_ages() -> None:
     registry = WorkerRegistry({"a": 0, "b": 1})
     first, _ = registry.apply(1000.0, EndpointList(5, [Endpoint("w", "h:1", "live", "i1", 400.0, "b")], "x"))
     assert first[0].started_at == 600.0 and first[0].zone == 1
     same, restarted = registry.apply(1100.0, EndpointList(4, [], "x"))
     assert same == first and first[0].live, "an older list changes nothing"
     _, restarted = registry.apply(1200.0, EndpointList(6, [Endpoint("w", "h:1", "live", "i1", 700.0, "b")], "x"))
-    assert not restarted and first[0].started_at == 600.0, "ages drift; a restart is recognised by its incarnation"
+    assert not restarted and first[0].started_at == 600.0, "only another incarnation, not an age, shows a restart"
     _, restarted = registry.apply(1300.0, EndpointList(7, [Endpoint("w", "h:1", "live", "i2", 10.0, "b")], "x"))
     assert restarted == first and first[0].started_at == 1290.0
-    gone, _ = registry.apply(1400.0, EndpointList(1, [], "y"))
-    assert gone == first and first[0].removed
+    removed, _ = registry.apply(1400.0, EndpointList(1, [], "y"))
+    assert removed == first and first[0].removed
     registry.remove_departed()
     assert len(registry) == 0 and not registry.addresses
 
 
-def test_in_flight_limits_reject_by_number_bytes_and_namespace_and_count_the_reason() -> None:
+def test_in_flight_limits_reject_by_number_bytes_and_namespace_and_count_each_reason() -> None:
     limits = InFlightLimits(4, 100.0, 2)
     for namespace in ("one", "one", "two"):
         assert limits.rejection_reason(namespace, 10) is None
@@ -202,14 +202,16 @@
 
 
 def test_requests_that_arrive_together_have_earlier_deadlines_so_that_all_are_answered_in_time() -> None:
-    """Guards against many equal deadlines: of two thousand requests accepted within 100 ms after a restart some were
-    answered up to 140 ms late."""
+    """Guards against late answers to many requests with the same deadline.
+
+    Of two thousand requests accepted within 100 ms after a restart, some were answered up to 140 ms late.
+    """
     gateway = Gateway(DispatcherParts(parse(DEPLOYMENT, "t"), "a", 1), "b" * 16)
     action = gateway.state.parts.deployment.actions["p/check"]
     deadlines = [gateway.submit(0.0, 0.0, Submission("one", action, b"{}")).request.deadline for _ in range(20)]
-    assert set(deadlines) == {800.0}, "900 less the margin"
+    assert set(deadlines) == {800.0}, "the timeout of 900 ms less the answer margin"
     gateway.state.answer_ms = 0.5
     burst_deadlines = [gateway.submit(0.0, 0.0, Submission("one", action, b"{}")).request.deadline for _ in range(1000)]
     assert burst_deadlines[0] == 790.0 and burst_deadlines == sorted(burst_deadlines, reverse=True)
-    assert burst_deadlines[200] == 900 - 100 - 0.5 * 220, "earlier by the time that the answers before it take"
-    assert burst_deadlines[-1] == 900 - 0.25 * 900, "at most by a quarter of its timeout"
+    assert burst_deadlines[200] == 900 - 100 - 0.5 * 220, "earlier by the time that earlier answers take"
+    assert burst_deadlines[-1] == 900 - 0.25 * 900, "earlier by at most a quarter of the timeout"
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: entries, group commit, the journal on a failing disk, recovery decisions, crashes of real processes."""
+"""Tests of the store: entries, group commit, the journal on a failing disk, recovery, crashes of real processes."""
 
 from __future__ import annotations
 
@@ -50,25 +50,25 @@
     for entry in (ACCEPTED, MayRun("a" * 32, 1100.0, "w"), ended(), ended(result=large)):
         data, crc = encode_entry(entry)
         assert decode_entry(data, crc) == entry
-        for at in range(0, len(data), max(1, len(data) // 40)):
-            flipped = bytearray(data)
-            flipped[at] ^= 0x10
+        for position in range(0, len(data), max(1, len(data) // 40)):
+            corrupt = bytearray(data)
+            corrupt[position] ^= 0x10
             with pytest.raises(CorruptEntryError):
-                decode_entry(bytes(flipped), crc)
+                decode_entry(bytes(corrupt), crc)
     assert len(encode_entry(ended(result=large))[0]) < len(large) / 10, "large results are compressed"
 
 
 # Group commit.
 
 
-def test_entries_that_arrive_together_share_a_sync_and_are_reported_in_order() -> None:
+def test_entries_that_arrive_together_share_a_batch_and_are_reported_in_order() -> None:
     group_commit, results = GroupCommit(), list[tuple[int, bool]]()
     for n in range(5):
         group_commit.write(MayRun(str(n), 0.0, "w"), lambda durable, n=n: results.append((n, durable)))
     first = group_commit.next_batch(0.0)
     assert first is not None and len(first.entries) == 5 and group_commit.next_batch(0.0) is None
     group_commit.write(MayRun("5", 0.0, "w"), lambda durable: results.append((5, durable)))
-    assert not results, "nothing is reported before it is durable"
+    assert not results, "no entry is reported before its batch is durable"
     with pytest.raises(UnexpectedBatchError):
         group_commit.on_batch_durable(first.number + 1)
     group_commit.on_batch_durable(first.number)
@@ -110,7 +110,7 @@
     journal.commit([MayRun(f"{1:032x}", 120.0, "w"), MayRun(f"{1:032x}", 999.0, "v"), ended(f"{2:032x}")])
     activations = list(journal.activations())
     assert [activation.accepted.start for activation in activations] == [96, 97, 98, 99, 100]
-    assert activations[3].may_run == MayRun(f"{1:032x}", 120.0, "w"), "the first may-run entry counts"
+    assert activations[3].may_run == MayRun(f"{1:032x}", 120.0, "w"), "the first may-run entry is kept"
     assert activations[2].ended == ended(f"{2:032x}")
     journal.forget([f"{n:032x}" for n in range(3)])
     journal.close()
@@ -122,10 +122,12 @@
     journal.commit([ACCEPTED, ended()])
     journal._database.run("UPDATE entries SET body = zeroblob(length(body)) WHERE kind = 2")
     (activation,) = journal.activations()
-    assert journal.damaged == 1 and activation.ended is None and activation.may_run is not None, "it may have run"
+    assert journal.damaged == 1 and activation.ended is None and activation.may_run is not None, (
+        "the damaged entry may have been the may-run entry"
+    )
 
 
-def test_torn_log_loses_only_the_last_commits(tmp_path: Path) -> None:
+def test_truncated_log_loses_only_the_last_commits(tmp_path: Path) -> None:
     file = tmp_path / "b"
     journal = ActivationJournal(file)
     journal._database.run("PRAGMA wal_autocheckpoint=0")
@@ -134,17 +136,17 @@
     wal, base = (tmp_path / "b-wal").read_bytes(), file.read_bytes()
     rng = random.Random(1)
     for n in range(12):
-        folder = tmp_path / f"torn-{n}"
+        folder = tmp_path / f"truncated-{n}"
         folder.mkdir()
         (folder / "b").write_bytes(base)
         (folder / "b-wal").write_bytes(wal[: rng.randrange(len(wal))])
-        torn, set_aside = open_journal(folder / "b")
-        activations = [activation.accepted.start for activation in torn.activations()]
-        assert set_aside is None and activations == [float(i) for i in range(len(activations))], "a complete prefix"
+        truncated, set_aside = open_journal(folder / "b")
+        starts = [activation.accepted.start for activation in truncated.activations()]
+        assert set_aside is None and starts == [float(i) for i in range(len(starts))], "a prefix of the commits is left"
     assert len([1 for _ in journal.activations()]) == 20
 
 
-def test_unreadable_journal_is_moved_aside_and_newer_format_refused(tmp_path: Path) -> None:
+def test_unreadable_journal_is_moved_aside_and_newer_format_is_rejected(tmp_path: Path) -> None:
     file = tmp_path / "b"
     file.write_bytes(os.urandom(8192))
     journal, set_aside = open_journal(file)
@@ -155,7 +157,7 @@
         open_journal(file)
 
 
-def test_format_1_is_read(tmp_path: Path) -> None:
+def test_journal_of_format_1_is_read(tmp_path: Path) -> None:
     old = apsw.Connection(str(tmp_path / "b"))
     old.execute(
         "CREATE TABLE rows (id TEXT NOT NULL, kind INTEGER NOT NULL, start REAL NOT NULL, crc INTEGER NOT NULL,"
@@ -168,7 +170,7 @@
     assert set_aside is None and [activation.accepted for activation in journal.activations()] == [ACCEPTED]
 
 
-def test_failing_sync_full_disk_and_missing_folder(tmp_path: Path) -> None:
+def test_journal_reports_failing_sync_full_disk_and_missing_folder(tmp_path: Path) -> None:
     disk = FaultyDisk()
     journal = ActivationJournal(tmp_path / "b", vfs="harmed")
     journal.commit([ACCEPTED])
@@ -186,7 +188,7 @@
     stored = small.count()
     assert 0 < stored < 200
     small.forget([activation.accepted.id for activation in small.activations()][: stored // 2])
-    small.commit([ACCEPTED])  # there is free space again
+    small.commit([ACCEPTED])  # the deletion has freed space
     with pytest.raises(JournalError):
         ActivationJournal(tmp_path / "no-such-folder" / "b")
     journal.close()
@@ -195,7 +197,10 @@
 @pytest.mark.parametrize("before", [0, 1, 7])
 @pytest.mark.parametrize("fault", ["fails", "full"])
 def test_failed_commit_is_absent_after_a_kill(tmp_path: Path, fault: str, before: int) -> None:
-    """The call was rejected and is retried elsewhere: the next start must not find and run it."""
+    """Guards against a second run of a request whose commit failed.
+
+    Its client was rejected and retries at another dispatcher, so the next start must not find and run it.
+    """
     disk = FaultyDisk()
     journal = ActivationJournal(tmp_path / "b", vfs="harmed")
     accepted = [Accepted(f"{n:032x}", "one", "grant", float(n), 900.0, b"{}") for n in range(before + 2)]
@@ -216,7 +221,7 @@
 
 
 def accepted_after_kill(folder: Path) -> list[Accepted]:
-    """What a start reads if the process is killed now: the kernel keeps what was written, synced or not."""
+    """Return what a start reads if the process is killed now: the kernel keeps all writes, synced or not."""
     copied = folder / "left"
     shutil.rmtree(copied, ignore_errors=True)
     copied.mkdir()
@@ -276,19 +281,19 @@
     ]
     queue = ResumeQueue(found, 3, 100.0)
     resumed = [queue.next(10.0 * n) for n in range(5)]
-    assert [t.entries.accepted.id for t in resumed if t] == ["9", "8", "7"] and resumed[3:] == [None, None]
+    assert [r.entries.accepted.id for r in resumed if r] == ["9", "8", "7"] and resumed[3:] == [None, None]
     queue.on_finished()
-    repeated = queue.next(60.0)
-    assert isinstance(repeated, ResumeRequest) and repeated.entries.accepted.id == "6" and queue.next(70.0) is None
-    late = [queue.next(950.0) for _ in range(len(queue))]
-    assert all(isinstance(e, EndRequest) and e.answer == "rejected" for e in late) and len(late) == 6
+    fourth = queue.next(60.0)
+    assert isinstance(fourth, ResumeRequest) and fourth.entries.accepted.id == "6" and queue.next(70.0) is None
+    expired = [queue.next(950.0) for _ in range(len(queue))]
+    assert all(isinstance(e, EndRequest) and e.answer == "rejected" for e in expired) and len(expired) == 6
 
 
-# The gateway's core with a disk that loses unsynced entries.
+# The gateway core with a disk that loses unsynced entries.
 
 
 class CrashModel:
-    """A core, a journal and a model of the disk; crashes lose whatever was not acknowledged."""
+    """A gateway core, a journal and a model of the disk; a crash loses all entries that were not synced."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -296,9 +301,9 @@
         self.now, self.wall = 1000.0, 5e12
         self.disk: list[Any] = []  # durable entries
         self.acknowledged: set[str] = set()  # ids that were acknowledged to clients
-        self.shown: dict[str, str] = {}  # final answers that clients have read
-        self.effects: dict[str, int] = {}
-        self.kinds: dict[str, str] = {}
+        self.shown: dict[str, str] = {}  # final answers that clients have read, by id
+        self.effects: dict[str, int] = {}  # number of runs that had an effect, by id
+        self.idempotency: dict[str, str] = {}
         self.boots = 0
         self.start()
 
@@ -312,7 +317,7 @@
         activations: dict[str, ActivationEntries] = {}
         for entry in self.disk:
             if entry.id not in activations and not isinstance(entry, Accepted):
-                continue  # the journal skips it, too
+                continue  # the journal also skips entries without an accepted entry
             if isinstance(entry, Accepted):
                 activations.setdefault(entry.id, ActivationEntries(entry))
             elif isinstance(entry, MayRun) and activations[entry.id].may_run is None:
@@ -320,26 +325,26 @@
             elif isinstance(entry, Ended) and activations[entry.id].ended is None:
                 activations[entry.id].ended = entry
         self.gateway.recover(self.now, self.wall, activations.values(), 50.0, 4)
-        self.out: list[tuple[float, Any]] = []
+        self.open_attempts: list[tuple[float, Any]] = []  # end time, attempt
         for id_ in self.acknowledged:
-            assert self.gateway.records.get("one", id_) is not None, "an acknowledged call is recovered"
+            assert self.gateway.records.get("one", id_) is not None, "an acknowledged call was not recovered"
         self.poll()
 
     def poll(self) -> None:
         for id_ in self.acknowledged:
             record = self.gateway.records.get("one", id_)
             if record is not None and record.visible:
-                assert self.shown.setdefault(id_, record.answer) == record.answer, "one answer, also after a crash"
+                assert self.shown.setdefault(id_, record.answer) == record.answer, "a shown answer changed"
 
     def step(self) -> None:
         rng, gateway = self.rng, self.gateway
-        passed = rng.uniform(0.5, 6.0)
-        self.now, self.wall = self.now + passed, self.wall + passed
-        if rng.random() < 0.4 and self.journal.is_accepting():  # else the API refuses
+        elapsed = rng.uniform(0.5, 6.0)
+        self.now, self.wall = self.now + elapsed, self.wall + elapsed
+        if rng.random() < 0.4 and self.journal.is_accepting():  # otherwise the API rejects the call
             action = rng.choice(list(self.deployment.actions.values()))
             invocation = gateway.submit(self.now, self.wall, Submission("one", action, b"{}", deferred=True))
-            self.kinds[invocation.record.id] = invocation.record.idempotency
-            self.pull()
+            self.idempotency[invocation.record.id] = invocation.record.idempotency
+            self.run_effects()
             if not invocation.record.final:
                 gateway.when_durable(
                     invocation,
@@ -349,46 +354,46 @@
                         else gateway.on_client_gone(self.now, invocation)
                     ),
                 )
-        for due, attempt in [e for e in self.out if e[0] <= self.now]:
-            self.out.remove((due, attempt))
+        for due, attempt in [e for e in self.open_attempts if e[0] <= self.now]:
+            self.open_attempts.remove((due, attempt))
             if attempt.status is None:
-                ends = [
+                statuses = [
                     AttemptStatus.COMPLETED,
                     AttemptStatus.ERROR,
                     AttemptStatus.CONNECTION_LOST,
                     AttemptStatus.OUT_OF_CAPACITY,
                 ]
-                outcome = rng.choices(ends, [6, 1, 1, 1])[0]
-                if outcome is not AttemptStatus.OUT_OF_CAPACITY:
+                status = rng.choices(statuses, [6, 1, 1, 1])[0]
+                if status is not AttemptStatus.OUT_OF_CAPACITY:
                     self.effects[attempt.request.id] = self.effects.get(attempt.request.id, 0) + 1
-                gateway.on_attempt_finished(self.now, attempt, outcome)
+                gateway.on_attempt_finished(self.now, attempt, status)
         if rng.random() < 0.5 and (batch := self.journal.next_batch(self.now)) is not None:
             if rng.random() < 0.06:
                 self.journal.on_batch_failed(self.now, batch.number, "full")
             else:
                 self.disk += batch.entries
                 self.journal.on_batch_durable(batch.number)
-        self.pull()
+        self.run_effects()
         self.poll()
-        if rng.random() < 0.015:  # attempts in flight may have run, unsynced entries are lost
-            for _, attempt in self.out:
+        if rng.random() < 0.015:  # a crash: attempts in flight may have run, and unsynced entries are lost
+            for _, attempt in self.open_attempts:
                 if rng.random() < 0.5:
                     self.effects[attempt.request.id] = self.effects.get(attempt.request.id, 0) + 1
-            passed = rng.uniform(5, 400)
-            self.now, self.wall = self.now + passed, self.wall + passed
+            elapsed = rng.uniform(5, 400)
+            self.now, self.wall = self.now + elapsed, self.wall + elapsed
             self.start()
 
-    def pull(self) -> None:
+    def run_effects(self) -> None:
         while (effect := self.gateway.next_effect(self.now)) is not None:
             if isinstance(effect, StartAttempt):
-                id_, kind = effect.attempt.request.id, effect.invocation.record.idempotency
-                if kind != "repeatable":
+                id_, idempotency = effect.attempt.request.id, effect.invocation.record.idempotency
+                if idempotency != "repeatable":
                     assert any(isinstance(e, MayRun) and e.id == id_ for e in self.disk), (
-                        "the may-run entry is durable before"
+                        "the may-run entry must be durable before the attempt starts"
                     )
-                self.out.append((self.now + self.rng.uniform(5, 200), effect.attempt))
+                self.open_attempts.append((self.now + self.rng.uniform(5, 200), effect.attempt))
             elif isinstance(effect, CancelAttempt) and effect.attempt.status is None:
-                self.out = [e for e in self.out if e[1] is not effect.attempt]
+                self.open_attempts = [e for e in self.open_attempts if e[1] is not effect.attempt]
                 self.gateway.on_attempt_finished(self.now, effect.attempt, AttemptStatus.CANCELLED)
             elif isinstance(effect, StartLoad):
                 self.gateway.on_load_report(self.now, effect.order, AttemptStatus.COMPLETED, effect.order.count)
@@ -403,7 +408,7 @@
         model.step()
     assert model.boots > 5 and len(model.acknowledged) > 100 and len(model.shown) > 80
     for id_, count in model.effects.items():
-        assert count <= 1 or model.kinds[id_] != "once-only", "at-most-once calls run at most once"
+        assert count <= 1 or model.idempotency[id_] != "once-only", "at-most-once calls run at most once"
 
 
 def test_resumed_requests_earn_no_load_orders() -> None:
@@ -415,19 +420,22 @@
     while gateway.next_effect(1.0) is not None:
         pass
     assert gateway.counts.received == 5 and not parts.safety.request_times, (
-        "they were counted by the run that accepted them"
+        "the dispatcher that accepted them has counted them"
     )
 
 
 def test_deferred_call_earns_load_orders_once_it_is_durable() -> None:
-    """Found in ten minutes of faults: calls rejected because of a failing disk had earned a load order each."""
+    """Guards against load orders for calls that were never accepted.
+
+    In a run of ten minutes with faults, each call that was rejected because of a failing disk earned a load order.
+    """
     parts = DispatcherParts(parse(DEPLOYMENT, "t"), "a", 1)
     group_commit = GroupCommit()
     gateway = Gateway(parts, "b" * 16, group_commit)
     action = parts.deployment.actions["p/check"]
     for number, durable in enumerate((True, False)):
         invocation = gateway.submit(float(number), 1000.0, Submission("one", action, b"{}", deferred=True))
-        gateway.when_durable(invocation, lambda _safe: None)
+        gateway.when_durable(invocation, lambda _durable: None)
         batch = group_commit.next_batch(0.0)
         assert batch is not None and len(parts.safety.request_times) == number
         if durable:
@@ -438,7 +446,7 @@
             pass
     assert len(parts.safety.request_times) == 1
     gateway.submit(3.0, 1000.0, Submission("one", action, b"{}"))
-    assert len(parts.safety.request_times) == 2, "a blocking call gets an answer in any case"
+    assert len(parts.safety.request_times) == 2, "a blocking call counts at once, as it needs no durable record"
 
 
 # The API with a journal.
@@ -490,14 +498,14 @@
         answer(worker, *in_flight[0])
         answers = await asyncio.gather(*calls)
         assert [a[0] for a in answers] == [200] * 3 and len({a[2]["activationId"] for a in answers}) == 1
-        assert len(in_flight) == 1, "one run for all of them"
+        assert len(in_flight) == 1, "all calls with the same key share one run"
         assert (await poll)[0] == 200, "a long poll ends with the answer"
         assert (await first.call("grant", body={"a": 1}, key="k"))[0] == 200 and len(in_flight) == 1
         await first.end()
         second = JournaledDispatcher([worker], tmp_path / "b", "c" * 16)
         status, _, repeated = await second.call("grant", body={"a": 1}, key="k")
         assert status == 200 and repeated["activationId"] == body["activationId"] and len(in_flight) == 1, (
-            "across a restart"
+            "the recorded answer is returned after a restart"
         )
         assert (await second.call("grant", body={}, key="k"))[0] == 409
         (listed,) = (await second.request("GET", "/api/v1/namespaces/_/activations"))[2]
@@ -512,45 +520,48 @@
     async def main() -> None:
         disk = FaultyDisk()
         worker = ScriptedWorker("w", answer)
-        one = JournaledDispatcher([worker], tmp_path / "b", vfs="harmed")
-        assert (await one.call("grant", blocking=False, body={}))[0] == 202
+        dispatcher = JournaledDispatcher([worker], tmp_path / "b", vfs="harmed")
+        assert (await dispatcher.call("grant", blocking=False, body={}))[0] == 202
         disk.fault = {"fails": True}
-        statuses = [(await one.call("grant", blocking=False, body={}))[0] for _ in range(3)]
+        statuses = [(await dispatcher.call("grant", blocking=False, body={}))[0] for _ in range(3)]
         assert statuses == [503] * 3
-        assert (await one.call("grant", body={}))[0] == 200
-        assert (await one.call("grant", body={}, key="k"))[0] == 200, "also with a key"
+        assert (await dispatcher.call("grant", body={}))[0] == 200
+        assert (await dispatcher.call("grant", body={}, key="k"))[0] == 200, "blocking calls with a key are served, too"
         sent = len(worker.attempts)
         disk.fault = {}
         await asyncio.sleep(0.4)
-        assert (await one.call("grant", blocking=False, body={}))[0] == 202
+        assert (await dispatcher.call("grant", blocking=False, body={}))[0] == 202
         await asyncio.sleep(0.1)
         assert len(worker.attempts) == sent + 1, "a rejected call never ran"
-        disk.fault = {"sync_ms": 400}  # a slow disk delays acknowledgements and attempts that need one, not other calls
+        # A slow disk delays acknowledgements and attempts that wait for a durable entry, but no other calls.
+        disk.fault = {"sync_ms": 400}
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        slow = asyncio.create_task(one.call("grant", blocking=False, body={}))
-        assert (await one.call("grant", body={}))[0] == 200 and loop.time() - began < 0.3
-        assert (await slow)[0] == 202 and loop.time() - began > 0.35
+        started_at = loop.time()
+        slow_call = asyncio.create_task(dispatcher.call("grant", blocking=False, body={}))
+        assert (await dispatcher.call("grant", body={}))[0] == 200 and loop.time() - started_at < 0.3
+        assert (await slow_call)[0] == 202 and loop.time() - started_at > 0.35
         disk.fault = {}
-        await one.end()
+        await dispatcher.end()
         await worker.server.drain(0)
 
     run(main())
 
 
-def test_cancelling_where_idempotency_allows_it(tmp_path: Path) -> None:
+def test_activation_can_be_cancelled_only_where_idempotency_allows_it(tmp_path: Path) -> None:
     async def main() -> None:
         worker = ScriptedWorker("w", never_answer)
-        one = JournaledDispatcher([worker], tmp_path / "b")
-        for action, status in (("p/check", 202), ("grant", 409)):
-            _, _, body = await one.call(action, blocking=False, body={})
+        dispatcher = JournaledDispatcher([worker], tmp_path / "b")
+        for action, expected in (("p/check", 202), ("grant", 409)):
+            _, _, body = await dispatcher.call(action, blocking=False, body={})
             while len(worker.attempts) == 0 or worker.attempts[-1][1]["activation"] != body["activationId"]:
                 await asyncio.sleep(0.01)
-            got, _, _ = await one.request("DELETE", f"/api/v1/namespaces/_/activations/{body['activationId']}")
-            assert got == status
-            record = await one.wait_for_record(body["activationId"])
+            status, _, _ = await dispatcher.request(
+                "DELETE", f"/api/v1/namespaces/_/activations/{body['activationId']}"
+            )
+            assert status == expected
+            record = await dispatcher.wait_for_record(body["activationId"])
             assert final_answer(record)["answer"] == "aborted"
-        await one.end()
+        await dispatcher.end()
         await worker.server.drain(0)
 
     run(main())
@@ -558,8 +569,11 @@
 
 @pytest.mark.scenarios
 def test_dispatcher_killed_at_a_step_keeps_acknowledged_calls() -> None:
-    """Two steps of the matrix of bench/crash_points.py, every effect, deferred and keyed, with real processes."""
-    done = subprocess.run(
+    """Guards against the loss of acknowledged calls when a dispatcher process is killed at a step of a request.
+
+    Runs two of the steps of bench/crash_points.py, with each idempotency, deferred and with a key, in real processes.
+    """
+    process = subprocess.run(
         [sys.executable, "bench/crash_points.py", "--steps", "cleared,ended"],
         cwd=ROOT,
         capture_output=True,
@@ -567,18 +581,18 @@
         timeout=90,
         check=False,
     )
-    found = [json.loads(line) for line in done.stdout.splitlines()]
-    assert done.returncode == 0, done.stdout + done.stderr[-1500:]
-    assert len(found) == 10 and not any(case["broken"] for case in found)
+    cases = [json.loads(line) for line in process.stdout.splitlines()]
+    assert process.returncode == 0, process.stdout + process.stderr[-1500:]
+    assert len(cases) == 10 and not any(case["broken"] for case in cases)
     # A deferred call may be lost before its 202 was sent: then it was not acknowledged, and no client polls it.
     assert {
         case["answer"]
-        for case in found
+        for case in cases
         if case["step"] == "cleared" and case["effect"] == "once-only" and "answer" in case
     } == {"aborted"}
 
 
-def test_deletion_runs_in_batches_with_commits_between(tmp_path: Path) -> None:
+def test_stale_activations_are_deleted_in_batches_with_commits_between(tmp_path: Path) -> None:
     async def main() -> None:
         journal, results = ActivationJournal(tmp_path / "b"), list[bool]()
         ids = [f"{n:032x}" for n in range(1700)]
@@ -586,12 +600,12 @@
         driver = JournalDriver(GroupCommit(100), journal, lambda: None, Silent())
         for id_ in ids:
             driver.forget(id_)
-        assert not driver._busy, "nothing is deleted before background work runs"
+        assert not driver._busy, "no activation is deleted before background work runs"
         assert driver.compact() and driver.compact(), "one batch at a time"
         driver.group_commit.write(Accepted("f" * 32, "one", "grant", 100.0, 900.0, b"{}"), results.append)
         while not results:
             await asyncio.sleep(0.002)
-        assert results == [True] and journal.count() > 600, "the commit did not wait for all batches"
+        assert results == [True] and journal.count() > 600, "the commit must not wait for all batches"
         while driver._stale or driver._busy:
             driver.compact()
             await asyncio.sleep(0.002)
