--- a/kelptrail/gateway/build.py
+++ b/kelptrail/gateway/build.py
@@ -50,7 +50,7 @@
     def __init__(self, deployment: Deployment, zone: str, seed: int) -> None:
         settings = deployment.dispatcher
         self.deployment = deployment
-        self.request_classes = {name: _request_class(kind) for name, kind in deployment.types.items()}
+        self.request_classes = {name: _request_class(type_) for name, type_ in deployment.types.items()}
         self.tenants = {n.name: Tenant(n.name, n.quota_per_s) for n in deployment.namespaces.values()}
         self.zones = {name: number for number, name in enumerate(deployment.zones)}
         safety = self.safety = _safety_guard(settings, deployment.rules, seed)
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -32,7 +32,7 @@
 from .completion import RequestCompletion
 from .counters import FunctionCounters
 from .durability import DurabilityWriter
-from .effects import AskWorker, CancelReason, Effect, LogEvent, StartLoad
+from .effects import CancelReason, Effect, LogEvent, ProbeWorker, StartLoad
 from .invocation import Invocation
 from .lifecycle import RequestStage
 from .limits import RETRY_AFTER_MS
@@ -182,11 +182,11 @@
 
     # The planner.
 
-    def on_plan(self, wants: Mapping[str, Mapping[str, int]] | None) -> None:
+    def on_plan(self, plan: Mapping[str, Mapping[str, int]] | None) -> None:
         """Replace the current plan: instances by model and worker, or None where there is no plan."""
         workers = {worker.id: worker for worker in self.members}
         planned: dict[Function, dict[Worker, int]] = {}
-        for model, counts in (wants or {}).items():
+        for model, counts in (plan or {}).items():
             if (path := self._parts.paths.get(model)) is not None:
                 planned[self._parts.function(path)] = {workers[w]: count for w, count in counts.items() if w in workers}
         self._dispatcher.on_plan(planned)
@@ -281,7 +281,7 @@
         if isinstance(decision, str):
             return LogEvent(decision)
         if isinstance(decision, ReadinessQuestion):
-            return AskWorker(decision)
+            return ProbeWorker(decision)
         if isinstance(decision, LoadOrder):
             self.counts.load_orders += 1
             return StartLoad(decision)
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -15,7 +15,7 @@
 from kelptrail.store.driver import JournalDriver
 
 from .core import Gateway
-from .effects import AskWorker, CancelAttempt, Effect, FinalAnswer, LogEvent, ResponsePart, StartAttempt, StartLoad
+from .effects import CancelAttempt, Effect, FinalAnswer, LogEvent, ProbeWorker, ResponsePart, StartAttempt, StartLoad
 from .invocation import Invocation
 from .worker_calls import WorkerCalls
 
@@ -112,8 +112,8 @@
                 effect.invocation.on_part(effect.data)
         elif isinstance(effect, StartLoad):
             self.worker_calls.start_load(effect.order)
-        elif isinstance(effect, AskWorker):
-            self.worker_calls.ask(effect.question)
+        elif isinstance(effect, ProbeWorker):
+            self.worker_calls.start_probes(effect.question)
         elif isinstance(effect, CancelAttempt):
             self.worker_calls.cancel(effect.attempt, effect.reason)
         elif isinstance(effect, LogEvent):
--- a/kelptrail/gateway/effects.py
+++ b/kelptrail/gateway/effects.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskWorker:
+class ProbeWorker:
     """Send the probes of a readiness question to its worker."""
 
     question: ReadinessQuestion
@@ -71,4 +71,4 @@
     text: str
 
 
-Effect = StartAttempt | CancelAttempt | StartLoad | AskWorker | ResponsePart | FinalAnswer | LogEvent
+Effect = StartAttempt | CancelAttempt | StartLoad | ProbeWorker | ResponsePart | FinalAnswer | LogEvent
--- a/kelptrail/gateway/recovery.py
+++ b/kelptrail/gateway/recovery.py
@@ -65,7 +65,7 @@
 
     def __init__(self, state: GatewayState, durability: DurabilityWriter) -> None:
         self._state, self._durability = state, durability
-        self._queue: ResumeQueue | None = None  # None unless requests wait to be resumed or have been resumed
+        self._queue: ResumeQueue | None = None  # None while no recovered request waits or runs
         self._queue_started_at = 0.0  # start of the time that requests spend in the queue
         self._resumed_ids = set[str]()  # ids of resumed requests without a final answer
 
@@ -85,22 +85,22 @@
         journal, of an earlier run or of another dispatcher, or None for the local one.
         """
         source = _Source(now, wall, journal)
-        found: list[ResumeRequest] = []
+        resumable: list[ResumeRequest] = []
         counts = {outcome.value: 0 for outcome in RecoveryOutcome}
         for entries in activations:
-            outcome = self._recover_one(source, entries, min_run_ms, found)
+            outcome = self._recover_one(source, entries, min_run_ms, resumable)
             if outcome is not None:
                 counts[outcome.value] += 1
         if self._queue is None:
             self._queue, self._queue_started_at = ResumeQueue([], max_concurrent, min_run_ms), now
-        self._queue.add(found, now - self._queue_started_at)
+        self._queue.add(resumable, now - self._queue_started_at)
         self._state.records.trim(now)
         return counts
 
     def _recover_one(
-        self, source: _Source, entries: ActivationEntries, min_run_ms: float, found: list[ResumeRequest]
+        self, source: _Source, entries: ActivationEntries, min_run_ms: float, resumable: list[ResumeRequest]
     ) -> RecoveryOutcome | None:
-        """Restore, end or resume one activation; return None where it already has a record."""
+        """Restore or end one activation, or add it to `resumable`; return None where it already has a record."""
         deployment, accepted = self._state.parts.deployment, entries.accepted
         action = deployment.actions.get(accepted.path)
         if action is None or accepted.namespace not in self._state.parts.tenants:
@@ -117,13 +117,13 @@
             settings.deduplication_window_ms,
             settings.priority_weight,
         )
-        decided = decide_recovery(entries, rule, source.wall, min_run_ms)
+        decision = decide_recovery(entries, rule, source.wall, min_run_ms)
         self._add_record(source, accepted)
-        if isinstance(decided, ResumeRequest):
-            found.append(decided)
+        if isinstance(decision, ResumeRequest):
+            resumable.append(decision)
             return RecoveryOutcome.RESUMED
-        self._end(source.now, decided)
-        return RecoveryOutcome(decided.answer.value)
+        self._end(source.now, decision)
+        return RecoveryOutcome(decision.answer.value)
 
     def _add_record(self, source: _Source, accepted: Accepted) -> Record:
         """Add the record of a recovered request; its timeout counts from its original acceptance."""
@@ -176,24 +176,24 @@
     def resume_ready(self, now: float) -> None:
         """Resume the requests that may be resumed now, and end those whose time ran out in the queue."""
         while self._queue is not None:
-            found = self._queue.next(now - self._queue_started_at)
-            if found is None:
+            ready = self._queue.next(now - self._queue_started_at)
+            if ready is None:
                 if not len(self._queue) and not self._resumed_ids:
                     self._queue = None
                 return
-            if isinstance(found, EndRequest):
-                self._end(now, found)
+            if isinstance(ready, EndRequest):
+                self._end(now, ready)
             else:
-                self._resume(now, found)
+                self._resume(now, ready)
 
-    def _resume(self, now: float, found: ResumeRequest) -> None:
-        state, accepted, may_run = self._state, found.entries.accepted, found.entries.may_run
+    def _resume(self, now: float, resume: ResumeRequest) -> None:
+        state, accepted, may_run = self._state, resume.entries.accepted, resume.entries.may_run
         record = state.records.get(accepted.namespace, accepted.id)
         if record is None:
             raise MissingRecordError(f"activation {accepted.id} cannot be resumed: it has no record")
         action = state.parts.deployment.actions[accepted.path]
         request_class, function = state.parts.request_classes[action.type], state.parts.function(accepted.path)
-        request = self._request(now, found, request_class, function)
+        request = self._create_request(now, resume, request_class, function)
         invocation = Invocation(
             request,
             record,
@@ -212,9 +212,11 @@
         state.limits.acquire(accepted.namespace, len(accepted.payload))
         state.dispatcher.on_request(now, request, count=False)
 
-    def _request(self, now: float, found: ResumeRequest, request_class: RequestClass, function: Function) -> Request:
+    def _create_request(
+        self, now: float, resume: ResumeRequest, request_class: RequestClass, function: Function
+    ) -> Request:
         """Create the dispatcher's request, with the attempt of the earlier run if that may have reached a worker."""
-        accepted, may_run = found.entries.accepted, found.entries.may_run
+        accepted, may_run = resume.entries.accepted, resume.entries.may_run
         queued_ms = now - self._queue_started_at
         request = Request(
             accepted.id,
@@ -222,11 +224,11 @@
             function,
             self._state.parts.tenants[accepted.namespace],
             now,
-            now + (found.remaining_ms - queued_ms) - self._state.margin_ms,
+            now + (resume.remaining_ms - queued_ms) - self._state.margin_ms,
             has_idempotency_key=accepted.key is not None,
         )
-        if may_run is not None and found.deduplicated_for_ms is not None:
-            started_at = now + found.deduplicated_for_ms - queued_ms - request_class.deduplication_window_ms
+        if may_run is not None and resume.deduplicated_for_ms is not None:
+            started_at = now + resume.deduplicated_for_ms - queued_ms - request_class.deduplication_window_ms
             instance = Instance(function, Worker(may_run.worker))  # the worker of the earlier run counts as lost
             request.attempts.append(Attempt(request, instance, 0, started_at, AttemptStatus.SILENT))
         return request
--- a/kelptrail/gateway/retry_after.py
+++ b/kelptrail/gateway/retry_after.py
@@ -30,7 +30,7 @@
     def __init__(self, settings: OverloadSettings, draws: SeededDraws) -> None:
         self._settings, self._draws = settings, draws
         self._clients: OrderedDict[str, RejectedClient] = OrderedDict()
-        self.next_retry_at = 0.0  # the last slot assigned in the queue of retry-after times
+        self.next_retry_at = 0.0  # time of the last slot assigned in the queue
         self.early_retries = 0  # number of retries before the retry-after time
         self.assigned = 0  # number of retry-after times assigned
 
--- a/kelptrail/gateway/state.py
+++ b/kelptrail/gateway/state.py
@@ -49,7 +49,7 @@
                 overload.enabled, max_retry_after_ms=overload.max_retry_after_ms, max_clients=overload.max_clients
             ),
             crc32(boot.encode()),
-            {space.name: space.quota_per_s for space in parts.deployment.namespaces.values()},
+            {namespace.name: namespace.quota_per_s for namespace in parts.deployment.namespaces.values()},
         )
         self.members = WorkerRegistry(parts.zones)
         self.records = Records(settings.max_records, settings.max_records_mb * 1e6, settings.max_record_age_ms)
--- a/kelptrail/gateway/worker_calls.py
+++ b/kelptrail/gateway/worker_calls.py
@@ -242,8 +242,8 @@
         if self._debug:
             self._log.debug("load-started", function=instance.function.id, worker=instance.worker.id, count=order.count)
 
-    def ask(self, question: ReadinessQuestion) -> None:
-        """Query whether a worker is ready, with load orders of count 0, which start no work."""
+    def start_probes(self, question: ReadinessQuestion) -> None:
+        """Send a worker the probes of a readiness question: load orders of count 0, which start no work."""
         instance = question.instance
         pool = self._pool(instance.worker)
         question.write_started_at = now_ms()
--- a/kelptrail/store/database.py
+++ b/kelptrail/store/database.py
@@ -55,14 +55,14 @@
         """Execute a statement once for each row of values."""
         self._connection.executemany(text, rows)
 
-    def format_version(self, known: int) -> int:
+    def format_version(self, newest: int) -> int:
         """Return the version of the stored format, or 0 for a new file.
 
-        Raises `JournalError` if it is newer than `known`.
+        Raises `JournalError` if it is newer than `newest`, the newest supported format.
         """
         version = int(self.run("PRAGMA user_version")[0][0])
-        if version > known:
-            raise JournalError(f"format {version} is newer than {known}, the newest supported format")
+        if version > newest:
+            raise JournalError(f"format {version} is newer than {newest}, the newest supported format")
         return version
 
     def set_format_version(self, version: int) -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -194,29 +194,29 @@
     journal.close()
 
 
-@pytest.mark.parametrize("before", [0, 1, 7])
+@pytest.mark.parametrize("earlier_commits", [0, 1, 7])
 @pytest.mark.parametrize("fault", ["fails", "full"])
-def test_failed_commit_is_absent_after_a_kill(tmp_path: Path, fault: str, before: int) -> None:
+def test_failed_commit_is_absent_after_a_kill(tmp_path: Path, fault: str, earlier_commits: int) -> None:
     """Guards against a second run of a request whose commit failed.
 
     Its client was rejected and retries at another dispatcher, so the next start must not find and run it.
     """
     disk = FaultyDisk()
     journal = ActivationJournal(tmp_path / "b", vfs="harmed")
-    accepted = [Accepted(f"{n:032x}", "one", "grant", float(n), 900.0, b"{}") for n in range(before + 2)]
-    for entry in accepted[:before]:
+    accepted = [Accepted(f"{n:032x}", "one", "grant", float(n), 900.0, b"{}") for n in range(earlier_commits + 2)]
+    for entry in accepted[:earlier_commits]:
         journal.commit([entry])
     try:
         disk.fault = {fault: True}
         for _ in range(2):
             with pytest.raises(JournalError):
-                journal.commit([accepted[before]])
+                journal.commit([accepted[earlier_commits]])
         found = accepted_after_kill(tmp_path)
     finally:
         disk.fault = {}
-    assert found == accepted[:before]
-    journal.commit([accepted[before + 1]])
-    assert accepted_after_kill(tmp_path) == [*accepted[:before], accepted[before + 1]]
+    assert found == accepted[:earlier_commits]
+    journal.commit([accepted[earlier_commits + 1]])
+    assert accepted_after_kill(tmp_path) == [*accepted[:earlier_commits], accepted[earlier_commits + 1]]
     journal.close()
 
 
