--- a/kelptrail/front/inference/context.py
+++ b/kelptrail/front/inference/context.py
@@ -36,7 +36,7 @@
             raise not_accepted("This dispatcher is closing; the call was not taken.")
         client = client_key(request.key, request.payload)
         size = len(request.payload)
-        rejection = self.gateway.on_connect(now_ms(), namespace.name, request.action.path, size, client)
+        rejection = self.gateway.check_admission(now_ms(), namespace.name, request.action.path, size, client)
         if rejection is not None:
             reason, retry_after_ms = rejection
             raise over_limit(REJECTION_MESSAGES[reason], retry_after_ms)
--- a/kelptrail/front/invoke/invocations.py
+++ b/kelptrail/front/invoke/invocations.py
@@ -167,7 +167,7 @@
     def _admit(self, call: InvocationRequest, content: InvocationContent) -> None:
         """Raises `ApiError` where the request is beyond a limit, before anything is done for it."""
         path = call.target.action.path
-        rejection = self._context.gateway.on_connect(
+        rejection = self._context.gateway.check_admission(
             now_ms(), call.namespace.name, path, len(content.payload), content.client_key
         )
         if rejection is None:
--- a/kelptrail/gateway/admission.py
+++ b/kelptrail/gateway/admission.py
@@ -51,10 +51,12 @@
         self._boot, self._submitted = boot, 0  # an activation id consists of this start's prefix and a counter
         self._max_priority_weight = max(t.priority_weight for t in self._parts.deployment.types.values())
 
-    def on_connect(self, now: float, namespace: str, path: str, size: int, retry_key: str) -> RequestRejection | None:
+    def check_admission(
+        self, now: float, namespace: str, path: str, size: int, client_key: str
+    ) -> RequestRejection | None:
         """Return None if a request of `size` bytes is admitted, or why it is rejected before any work is done for it.
 
-        `retry_key` is the client's idempotency key or other text that identifies its retries.
+        `client_key` is the client's idempotency key or other text that identifies its retries.
         """
         limits, deployment = self._state.limits, self._parts.deployment
         reason = limits.rejection_reason(namespace, size)
@@ -62,7 +64,7 @@
             return RequestRejection(reason, RETRY_AFTER_MS)
         settings = deployment.types[deployment.actions[path].type]
         retry_after_ms = self._state.overload.on_request(
-            now, f"{namespace}/{path}/{retry_key}", namespace, settings.priority_weight / self._max_priority_weight
+            now, f"{namespace}/{path}/{client_key}", namespace, settings.priority_weight / self._max_priority_weight
         )
         if retry_after_ms is not None:
             limits.rejections[RejectionReason.EARLY] += 1
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -77,9 +77,11 @@
 
     # Requests.
 
-    def on_connect(self, now: float, namespace: str, path: str, size: int, retry_key: str) -> RequestRejection | None:
-        """See `RequestAdmission.on_connect`."""
-        return self._admission.on_connect(now, namespace, path, size, retry_key)
+    def check_admission(
+        self, now: float, namespace: str, path: str, size: int, client_key: str
+    ) -> RequestRejection | None:
+        """See `RequestAdmission.check_admission`."""
+        return self._admission.check_admission(now, namespace, path, size, client_key)
 
     def submit(
         self, now: float, wall: float, submission: Submission, waiter: Callable[[Record], None] | None = None
--- a/kelptrail/gateway/records.py
+++ b/kelptrail/gateway/records.py
@@ -196,7 +196,7 @@
             ):
                 yield record
 
-    def unread_since(self, since: float) -> int:
+    def unfetched_since(self, since: float) -> int:
         """Return how many deferred activations ended after `since` and were not fetched yet."""
         recent = takewhile(lambda ended: ended[0] > since, reversed(self._ended))
         return sum(record.deferred and not record.fetched for _, record in recent)
--- a/kelptrail/service/shutdown.py
+++ b/kelptrail/service/shutdown.py
@@ -62,7 +62,7 @@
 async def _wait_for_fetches(dispatcher: Dispatcher, deadline: _Deadline) -> None:
     """Clients that were given an id may still fetch the result, at this dispatcher's own address."""
     records, drain_ms = dispatcher.gateway.records, dispatcher.deployment.front.drain_ms
-    while records.unread_since(now_ms() - drain_ms) and not deadline.passed:
+    while records.unfetched_since(now_ms() - drain_ms) and not deadline.passed:
         await asyncio.sleep(POLL_S)
 
 
--- a/kelptrail/simulation/clients.py
+++ b/kelptrail/simulation/clients.py
@@ -133,7 +133,7 @@
         if call.deferred and gateway.durability.journal is not None and not gateway.durability.journal.is_accepting():
             self._on_not_taken(call)
             return
-        refused = gateway.on_connect(now, call.namespace.name, call.action.path, CONNECT_BYTES, call.ticket)
+        refused = gateway.check_admission(now, call.namespace.name, call.action.path, CONNECT_BYTES, call.ticket)
         if refused is not None:
             self._finish_call(call, ReceivedAnswer("", "rejected", retry_after_ms=refused.retry_after_ms))
             return
