--- a/kelptrail/gateway/completion.py
+++ b/kelptrail/gateway/completion.py
@@ -9,10 +9,12 @@
 from .recovery import RestartRecovery
 from .state import GatewayState
 
-ABORTED_MAY_HAVE_RUN = b'{"error":"The activation was aborted: it may have run, so a retry may repeat its effect."}'
-ABORTED_IN_STREAM = b'{"error":"The activation was aborted during its stream; the parts already sent remain valid."}'
-ABORTED_NEVER_RAN = b'{"error":"The activation was aborted before it ran."}'
-REJECTED = b'{"error":"The activation was rejected; a retry is safe."}'
+ABORTED_MAY_HAVE_RUN = (
+    b'{"error":"The activation was aborted: it may have run, so trying again may repeat its effect."}'
+)
+ABORTED_IN_STREAM = b'{"error":"The activation was aborted in the middle of its stream; what was given stands."}'
+ABORTED_NEVER_RAN = b'{"error":"The activation was aborted before any run of it began."}'
+REJECTED = b'{"error":"The activation was rejected; trying again is harmless."}'
 CODE_SUCCESS, CODE_APPLICATION_ERROR, CODE_INTERNAL_ERROR = 0, 1, 3  # indices of `records.STATUS_MESSAGES`
 
 
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -42,7 +42,7 @@
 from .state import GatewayState
 from .streaming import ResponseStreams
 
-CLIENT_GONE = b'{"error":"The client disconnected before the answer."}'
+CLIENT_GONE = b'{"error":"The client went away before the answer."}'
 COLD_COUNT_INTERVAL_MS = 1000.0  # interval at which recently started (cold) workers are counted
 NEVER_MS = -1e18
 
--- a/kelptrail/gateway/idempotency_keys.py
+++ b/kelptrail/gateway/idempotency_keys.py
@@ -41,7 +41,7 @@
         if record.answer is FinalStatus.FAILED and record.idempotency == Idempotency.IDEMPOTENT.value:
             return None
         if record.digest != digest:
-            raise KeyConflictError(f"the idempotency key belongs to activation {record.id}, which has another body")
+            raise KeyConflictError(f"the key belongs to activation {record.id}, which has another body")
         return record
 
     def has(self, namespace: str, path_and_key: str, paths: Iterable[str]) -> bool:
--- a/kelptrail/gateway/limits.py
+++ b/kelptrail/gateway/limits.py
@@ -21,9 +21,9 @@
 
 
 REJECTION_MESSAGES = {
-    RejectionReason.HELD: "Too many requests are in flight at this dispatcher.",
-    RejectionReason.BYTES: "The requests in flight at this dispatcher take too much memory.",
-    RejectionReason.EARLY: "The request was retried before its retry-after time.",
+    RejectionReason.HELD: "Too many calls are in hand at this dispatcher.",
+    RejectionReason.BYTES: "The calls in hand at this dispatcher take too much memory.",
+    RejectionReason.EARLY: "The call came again before the time that it was told.",
     RejectionReason.NAMESPACE: "Too many concurrent requests in flight for this namespace.",
 }
 
--- a/kelptrail/store/recovery.py
+++ b/kelptrail/store/recovery.py
@@ -16,7 +16,7 @@
 
 from .activation_journal import ActivationEntries
 
-WAS_DOWN = "Its dispatcher was down until the timeout of the request"
+WAS_DOWN = "Its dispatcher was down until its time was up"
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,7 +62,7 @@
     remaining_ms = accepted.timeout_ms - elapsed
     if may_run is not None and rule.idempotency is Idempotency.AT_MOST_ONCE:
         return EndRequest(
-            entries, FinalStatus.FAILED, "It may have run before its dispatcher failed, and must not run twice"
+            entries, FinalStatus.FAILED, "It may have run when its dispatcher failed, and must not run twice"
         )
     if may_run is not None and rule.idempotency is Idempotency.DEDUPLICATED:
         deduplicated_for_ms = rule.deduplication_window_ms - max(0.0, wall - may_run.sent)
@@ -70,13 +70,13 @@
             return EndRequest(
                 entries,
                 FinalStatus.FAILED,
-                "It may have run before its dispatcher failed, in a deduplication scope that is now unknown",
+                "It may have run when its dispatcher failed, at a group that is not known now",
             )
         if deduplicated_for_ms <= min_run_ms:
             return EndRequest(
                 entries,
                 FinalStatus.FAILED,
-                "It may have run before its dispatcher failed, and its deduplication window is over",
+                "It may have run when its dispatcher failed; a repeat would not be dropped now",
             )
         if remaining_ms <= min_run_ms:
             return EndRequest(entries, FinalStatus.FAILED, WAS_DOWN + "; it may have run")
