--- a/kelptrail/gateway/completion.py
+++ b/kelptrail/gateway/completion.py
@@ -1,4 +1,4 @@
-"""Gives a request its one final answer: counts it, ends its record, and publishes the answer or journals it first."""
+"""Gives a request its one final answer: counts it, ends its record, and publishes or first journals the answer."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     def finish(
         self, now: float, invocation: Invocation, status: FinalStatus, failure_result: bytes | None = None
     ) -> None:
-        """Give the final answer; `failure_result` replaces the usual text of a failed one."""
+        """Give a request its final answer; `failure_result` replaces the default result of a failed request."""
         may_have_run = [attempt for attempt in invocation.request.attempts if attempt.may_have_run]
         if status is FinalStatus.COMPLETED and invocation.answer is not None:
             self._complete(now, invocation, invocation.answer.success, invocation.answer.result)
@@ -73,7 +73,7 @@
         state.counts.failed += 1
         record.timed_out = now >= request.deadline - state.margin_ms
         if request.streaming_attempt:
-            usual = ABORTED_IN_STREAM
+            default = ABORTED_IN_STREAM
         else:
-            usual = ABORTED_MAY_HAVE_RUN if may_have_run else ABORTED_NEVER_RAN
-        state.records.end(now, record, FinalStatus.FAILED, CODE_INTERNAL_ERROR, result or usual)
+            default = ABORTED_MAY_HAVE_RUN if may_have_run else ABORTED_NEVER_RAN
+        state.records.end(now, record, FinalStatus.FAILED, CODE_INTERNAL_ERROR, result or default)
