--- a/bench/soak_mutants.py
+++ b/bench/soak_mutants.py
@@ -122,7 +122,7 @@
     Mutant(
         "a disconnected client ends the accepting of those behind it",
         "kelptrail/net/errors.py",
-        "    return cause.errno in CLIENT_GONE\n",
+        "    return cause.errno in ACCEPT_RETRYABLE\n",
         "    return False\n",
     ),
     Mutant(
--- a/kelptrail/net/connection.py
+++ b/kelptrail/net/connection.py
@@ -1,9 +1,9 @@
 """A connection that reads continuously and batches its writes, over a `Transport`.
 
-Writes of one iteration of the event loop are sent in one call.  Each write is a `PendingWrite` that knows whether the
-socket took its first byte and its last, so that its user can tell afterwards what cannot have reached the peer, and can
-cancel a write of which nothing was sent.  A deferred write is rendered only when it is sent, as its bytes contain the
-time that is left.
+Writes of one iteration of the event loop are sent in one call.  Each write is a `PendingWrite` that records whether the
+socket accepted its first and its last byte.  So the caller can determine later which writes cannot have reached the
+peer, and can cancel a write of which nothing was sent.  A deferred write is rendered only when it is sent, because its
+bytes contain the remaining time.
 """
 
 from __future__ import annotations
@@ -21,14 +21,15 @@
 
 READ_BUFFER_BYTES = 8_192
 MAX_BATCH_BYTES = 65_536
-READS_AT_ONCE = 32  # full buffers read in a row without a wait, so that an end behind many bytes is seen soon
-MAX_DISCARDED_BYTES = 1 << 18  # discarded after `close_gracefully`; a reset would destroy unread answers
-RETRY_MS = 5.0  # after a call that failed transiently
-CONNECT_RETRY_MS, LONGEST_CONNECT_RETRY_MS = 10.0, 80.0
+# Number of full buffers read without waiting in between, so that an end of stream behind many bytes is detected soon.
+MAX_CONSECUTIVE_READS = 32
+MAX_DISCARDED_BYTES = 1 << 18  # input discarded after `close_gracefully`; a reset would destroy unread answers
+RETRY_MS = 5.0  # pause after a transient failure of a send or receive
+CONNECT_RETRY_MS, MAX_CONNECT_RETRY_MS = 10.0, 80.0
 
 
 class PendingWrite:
-    """The bytes of one message that wait to be sent: `data`, or what `make` returns when they are sent."""
+    """One message to be sent: `data`, or the bytes that `make` returns at the time of sending."""
 
     __slots__ = ("_data", "_make", "_sent_bytes", "cancelled", "sent", "size", "started")
 
@@ -38,7 +39,10 @@
         self.started = self.sent = self.cancelled = False
 
     def render(self) -> bytes:
-        """The bytes of it that are still to be sent, as of now."""
+        """Return the bytes that are still to be sent.
+
+        A deferred write is rendered again by each call until its first byte is sent.
+        """
         if self.started:
             return self._data[self._sent_bytes :]
         if self.cancelled:
@@ -48,28 +52,29 @@
         return self._data
 
     def consume(self, count: int) -> int:
-        """Account for `count` bytes that the socket took of what this and later writes rendered last.
+        """Account for `count` bytes that the socket accepted of this write and later ones, as rendered last.
 
-        Returns how many of them belong to later writes.
+        Return how many of them belong to later writes.
         """
         unsent = len(self._data) - self._sent_bytes
-        own = min(count, unsent)
-        self._sent_bytes += own
-        self.started = self.started or own > 0
-        self.sent = self.started and own == unsent
-        return count - own
+        consumed = min(count, unsent)
+        self._sent_bytes += consumed
+        self.started = self.started or consumed > 0
+        self.sent = self.started and consumed == unsent
+        return count - consumed
 
     @property
     def complete(self) -> bool:
-        """Whether none of it is to be sent any more."""
+        """Whether no bytes of it remain to be sent."""
         return self._sent_bytes == len(self._data)
 
 
 class Connection:
     """One open connection.
 
-    `on_data` gets bytes as they arrive.  `on_end` is called once, when the peer closed or the connection failed, and
-    not after `close`.  More than `max_pending_bytes` unsent close the connection: its peer does not read.
+    `on_data` receives bytes as they arrive.  `on_end` is called once, when the peer closed the connection or it failed,
+    and not after `close`.  Over `max_pending_bytes` unsent bytes the connection is closed, because its peer does not
+    read.
     """
 
     __slots__ = (
@@ -108,9 +113,10 @@
             on_end,
             max_pending_bytes,
         )
-        self._pending: deque[PendingWrite] = deque()  # writes that are not sent completely
-        self._pending_bytes = 0  # the size of all of them
-        self.last_write_progress = loop.time()  # loop time (s) at which the socket last took bytes, or had none to take
+        self._pending: deque[PendingWrite] = deque()  # writes that are not completely sent
+        self._pending_bytes = 0  # total size of the pending writes
+        # Loop time (s) at which the socket last accepted bytes, or at which the first pending write was queued.
+        self.last_write_progress = loop.time()
         self.closed = self._closing = self._writing = self._awaits_writable = False
         self._close_timer: asyncio.TimerHandle | None = None
         self._retry_timer: asyncio.TimerHandle | None = None
@@ -118,7 +124,7 @@
 
     @property
     def has_pending_writes(self) -> bool:
-        """Whether any write is not sent completely."""
+        """Whether any write is not completely sent."""
         return bool(self._pending)
 
     def write(self, data: bytes) -> PendingWrite:
@@ -126,8 +132,9 @@
         return self._queue(PendingWrite(len(data), data))
 
     def write_deferred(self, make: Callable[[], bytes], size: int) -> PendingWrite:
-        """Send the bytes, some `size` of them, that `make` returns when they are sent; it may return none.  It may be
-        called several times, and must not use the connection.
+        """Send the bytes that `make` returns at the time of sending, about `size` of them.
+
+        `make` may return no bytes, may be called several times, and must not use the connection.
         """
         return self._queue(PendingWrite(size, make=make))
 
@@ -138,7 +145,7 @@
             self.last_write_progress = self._loop.time()
         self._pending.append(write)
         self._pending_bytes += write.size
-        if self._pending_bytes > self._max_pending_bytes:  # guards against a peer that does not read its answers
+        if self._pending_bytes > self._max_pending_bytes:  # the peer does not read its answers
             self._loop.call_soon(self._on_lost)
         elif not self._writing:
             self._writing = True
@@ -146,19 +153,24 @@
         return write
 
     def cancel_unsent(self, write: PendingWrite) -> bool:
-        """Cancel a write; False once its first byte was sent, as the peer needs the rest to parse what follows."""
+        """Cancel a write.
+
+        Return False once its first byte was sent: the peer then needs the rest to parse what follows.
+        """
         if write.started or write.cancelled:
             return False
         write.cancelled = True
         return True
 
     def flush_now(self) -> None:
-        """Send now what the socket takes, ahead of the writes of other connections in this iteration of the loop."""
+        """Send pending writes now, before other connections send theirs in this iteration of the loop."""
         self._flush()
 
     def close_gracefully(self, within_ms: float) -> None:
-        """Send all pending writes, shut down the sending side, then read and discard until the peer closes; close at
-        the latest after `within_ms`.  Guards against a reset that destroys what the peer has yet to read.
+        """Send all pending writes, shut down the sending side, then read and discard until the peer closes.
+
+        The connection is closed after `within_ms` at the latest.  Guards against a reset that would destroy data that
+        the peer has not read yet.
         """
         if self.closed or self._closing:
             return
@@ -168,14 +180,15 @@
             self._on_all_written()
 
     def close(self) -> None:
-        """Close at once."""
+        """Close immediately, without sending the pending writes."""
         if self.closed:
             return
         self.closed = True
         self._pending.clear()
         if self._retry_timer is not None:
             self._retry_timer.cancel()
-        self._on_data = self._on_end = _ignore  # breaks the reference cycle with its user, else left to the collector
+        # Breaks the reference cycle with the user, which otherwise remains until the garbage collector runs.
+        self._on_data = self._on_end = _ignore
         if self._close_timer is not None:
             self._close_timer.cancel()
         self._watch_writable(False)
@@ -193,33 +206,37 @@
     async def _read(self) -> None:
         buffer = bytearray(READ_BUFFER_BYTES)
         view = memoryview(buffer)
-        full_reads = discarded = 0
+        consecutive_reads = discarded = 0
         try:
             while True:
-                count = await self._receive(buffer, at_once=full_reads > 0)
+                count = await self._receive(buffer, without_waiting=consecutive_reads > 0)
                 if not count:
                     break
-                full_reads = (full_reads + 1) % READS_AT_ONCE if count == READ_BUFFER_BYTES else 0
+                consecutive_reads = (consecutive_reads + 1) % MAX_CONSECUTIVE_READS if count == READ_BUFFER_BYTES else 0
                 if not self._closing:
                     self._on_data(view[:count])
                 elif (discarded := discarded + count) > MAX_DISCARDED_BYTES:
                     break
                 if self.closed:
                     return
-        except asyncio.CancelledError:  # by `close`; a task that ended cancelled would keep this frame and its buffer
+        except asyncio.CancelledError:
+            # Raised by `close`.  Not re-raised, because a cancelled task would keep this frame and its buffer alive.
             return
         except OSError:
             pass
-        except Exception as cause:  # noqa: BLE001 - a fault in a message's handler ends only its own connection
-            self._loop.call_exception_handler({"message": "a connection's reader failed", "exception": cause})
+        except Exception as cause:  # noqa: BLE001 - a bug in a message handler ends only its own connection
+            self._loop.call_exception_handler({"message": "reading from a connection failed", "exception": cause})
         self._on_lost()
 
-    async def _receive(self, buffer: bytearray, at_once: bool) -> int:
-        """Read bytes; returns their number, 0 at the end.  `at_once`: try to read before waiting.  Raises `OSError`."""
+    async def _receive(self, buffer: bytearray, without_waiting: bool) -> int:
+        """Read bytes and return their number, 0 at the end of the stream.  Raises `OSError`.
+
+        `without_waiting`: try to read before waiting for the socket to become readable.
+        """
         while True:
             try:
-                if at_once:
-                    at_once = False
+                if without_waiting:
+                    without_waiting = False
                     with contextlib.suppress(BlockingIOError):
                         return self.transport.sock.recv_into(buffer)
                 return await self.transport.recv_into(buffer)
@@ -229,12 +246,12 @@
                 await asyncio.sleep(RETRY_MS / 1000)
 
     def _flush(self) -> None:
-        """Send what the socket takes; wait for room where it is full."""
+        """Send as many pending writes as the socket accepts; wait until it is writable for the rest."""
         self._retry_timer = None
         while self._pending and not self.closed:
-            batch = self._batch()
+            batch = self._render_batch()
             size = sum(map(len, batch))
-            if self.closed:  # by a deferred write's `make`
+            if self.closed:  # closed by the `make` of a deferred write
                 return
             try:
                 count = self.transport.sock.send(b"".join(batch)) if size else 0
@@ -248,7 +265,7 @@
                 self._retry_timer = self._loop.call_later(RETRY_MS / 1000, self._flush)
                 return
             self._record_sent(len(batch), count)
-            if count < size:  # the socket is full
+            if count < size:  # the send buffer is full
                 self._watch_writable(True)
                 return
         if not self.closed:
@@ -256,8 +273,8 @@
             self._writing = False
             self._on_all_written()
 
-    def _batch(self) -> list[bytes]:
-        """The bytes of the next writes, as of now."""
+    def _render_batch(self) -> list[bytes]:
+        """Return the bytes of the next writes, one entry for each write, up to about `MAX_BATCH_BYTES`."""
         batch, size = [], 0
         for write in list(self._pending):
             data = write.render()
@@ -267,7 +284,7 @@
         return batch
 
     def _record_sent(self, writes: int, count: int) -> None:
-        """Account for `count` bytes that the socket took of the first `writes` writes."""
+        """Account for `count` bytes that the socket accepted of the first `writes` pending writes."""
         if count:
             self.last_write_progress = self._loop.time()
         for _ in range(writes):
@@ -278,17 +295,17 @@
             self._pending.popleft()
             self._pending_bytes -= write.size
 
-    def _watch_writable(self, for_room: bool) -> None:
-        """Call `_flush` whenever the socket has room, or stop doing so."""
-        if for_room != self._awaits_writable:
-            self._awaits_writable = for_room
-            if for_room:
+    def _watch_writable(self, watch: bool) -> None:
+        """Call `_flush` whenever the socket is writable, or stop doing so."""
+        if watch != self._awaits_writable:
+            self._awaits_writable = watch
+            if watch:
                 self._loop.add_writer(self.transport.sock, self._flush)
             else:
                 self._loop.remove_writer(self.transport.sock)
 
     def _on_all_written(self) -> None:
-        """Every write is sent: shut down the sending side of a connection that is closing."""
+        """Shut down the sending side if the connection is closing; called once every write is sent."""
         if self._closing:
             try:
                 self.transport.shutdown_write()
@@ -297,15 +314,17 @@
 
 
 def _ignore(*_: object) -> None:
-    """Replaces the user's callbacks once the connection is closed."""
+    """Do nothing: replaces the user's callbacks once the connection is closed."""
 
 
 async def connect(loop: asyncio.AbstractEventLoop, address: tuple[str, int], within_ms: float) -> socket.socket:
-    """A connected socket; the host of `address` is an IP address.  Transient failures are retried with backoff.
-    Raises `OSError`, and its subclass `TimeoutError` after `within_ms`.
+    """Return a connected socket; the host of `address` is an IP address.
+
+    Raises `OSError`, or its subclass `TimeoutError` after `within_ms`.  Shortages of local resources and route failures
+    are retried with backoff.
 
-    Does not use the loop's own `sock_connect`: that resolves each address in a thread pool, whose threads receive the
-    process's signals after the loop has removed its handlers, and costs CPU for each connection.
+    The loop's own `sock_connect` is not used: it resolves each address in a thread pool, whose threads receive the
+    process's signals after the loop has removed its handlers, and it costs CPU for each connection.
     """
     deadline, pause_ms = loop.time() + within_ms / 1000, CONNECT_RETRY_MS
     while True:
@@ -315,7 +334,7 @@
             if not is_connect_retryable(cause) or loop.time() + pause_ms / 1000 >= deadline:
                 raise
         await asyncio.sleep(pause_ms / 1000)
-        pause_ms = min(LONGEST_CONNECT_RETRY_MS, 2 * pause_ms)
+        pause_ms = min(MAX_CONNECT_RETRY_MS, 2 * pause_ms)
 
 
 async def _connect_once(loop: asyncio.AbstractEventLoop, address: tuple[str, int], within_s: float) -> socket.socket:
@@ -323,7 +342,7 @@
     try:
         sock.setblocking(False)
         code = sock.connect_ex(address)
-        while code == EINTR:  # the next call says whether the connect continues by itself
+        while code == EINTR:  # the next call reports whether the connect is still in progress
             code = sock.connect_ex(address)
         if code in (EINPROGRESS, EALREADY):
             await _until_writable(loop, sock, within_s)
--- a/kelptrail/net/grpc_client.py
+++ b/kelptrail/net/grpc_client.py
@@ -1,7 +1,7 @@
-"""gRPC calls over one HTTP/2 connection to an address, made anew as needed, by the h2 library.
+"""gRPC calls over one HTTP/2 connection to an address, based on the h2 library; reconnects as needed.
 
-A call ends exactly once: with the status that the server sent, or with none where the connection or the time ended it;
-`written` says whether the server may have read anything of it.
+A call ends exactly once: with the status that the server sent, or without a status if it was cancelled, timed out or
+lost its connection.  `written` records whether the server may have read anything of it.
 """
 
 from __future__ import annotations
@@ -31,13 +31,15 @@
 
 from .transport import TlsTransport, Transport
 
-BUFFER, WINDOW = 65_536, 1 << 20
+BUFFER_BYTES, STREAM_WINDOW_BYTES = 65_536, 1 << 20
 
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """How a call ended; `code` is None without a status, `written` says whether the server may have read anything,
-    `refused` that the server declared it unprocessed (REFUSED_STREAM, RFC 9113 section 8.7).
+    """How a call ended.
+
+    `code` is None without a status.  `written` is whether the server may have read anything of the call, `refused`
+    whether the server declared it unprocessed (REFUSED_STREAM, RFC 9113 section 8.7).
     """
 
     code: Code | None
@@ -55,28 +57,32 @@
     __slots__ = ("id", "on_end", "on_message", "reader", "timer", "unsent", "written")
 
     def __init__(
-        self, message: bytes, on_message: Callable[[bytes], None], on_end: Callable[[CallResult], None], most: int
+        self,
+        message: bytes,
+        on_message: Callable[[bytes], None],
+        on_end: Callable[[CallResult], None],
+        max_message_bytes: int,
     ) -> None:
         self.unsent = encode_message(message)
-        self.on_message, self.on_end, self.reader = on_message, on_end, MessageReader(most)
+        self.on_message, self.on_end, self.reader = on_message, on_end, MessageReader(max_message_bytes)
         self.id = 0
         self.written = False
         self.timer: asyncio.TimerHandle | None = None
 
-    def end(self, ended: CallResult) -> None:
-        """End the call; `on_end` is called once."""
+    def end(self, result: CallResult) -> None:
+        """End the call and pass `result` to `on_end`, which is called only once."""
         if self.timer is not None:
             self.timer.cancel()
         on_end, self.on_end, self.on_message = self.on_end, _ignore, _ignore
-        on_end(ended)
+        on_end(result)
 
 
 def _ignore(*_args: object) -> None:
-    """Replaces the callbacks of a call that has ended."""
+    """Do nothing: replaces the callbacks of a call that has ended."""
 
 
 class GrpcClient:
-    """Calls to one address."""
+    """A gRPC client of one address, with one connection."""
 
     def __init__(
         self,
@@ -86,7 +92,7 @@
         tls: Callable[[], ssl.SSLContext] | None = None,
     ) -> None:
         host, _, port = address.rpartition(":")
-        self.address, self._where, self._tls = address, (host.strip("[]"), int(port)), tls
+        self.address, self._endpoint, self._tls = address, (host.strip("[]"), int(port)), tls
         self._connect_ms, self._max_message_bytes = connect_ms, message_bytes
         self._loop = asyncio.get_running_loop()
         self._connection: _ClientConnection | None = None
@@ -103,9 +109,9 @@
         timeout_ms: float,
         grace_ms: float = 0.0,
     ) -> GrpcCall:
-        """Start a call of one request message; `on_end` is called later, never from within.
+        """Start a call with one request message; `on_end` is called later, never from within this method.
 
-        The server gets `timeout_ms` as its deadline; the client waits `grace_ms` longer.
+        The server receives `timeout_ms` as its deadline; the client waits `grace_ms` longer.
         """
         call = GrpcCall(message, on_message, on_end, self._max_message_bytes)
         call.timer = self._loop.call_later((timeout_ms + grace_ms) / 1000, self._on_timeout, call)
@@ -125,11 +131,11 @@
         return call
 
     async def _begin(self, call: GrpcCall, headers: list[tuple[str, str]]) -> None:
-        link = await self._get_connection()
-        if link is None:
+        connection = await self._get_connection()
+        if connection is None:
             call.end(CallResult(None, "no connection", written=False))
         elif call.on_end is not _ignore:
-            link.begin(call, headers)
+            connection.begin(call, headers)
 
     async def _get_connection(self) -> _ClientConnection | None:
         if self._connection is not None and self._connection.open:
@@ -139,15 +145,15 @@
         return await asyncio.shield(self._connecting)
 
     async def _connect(self) -> _ClientConnection | None:
-        sock = socket.socket(socket.AF_INET6 if ":" in self._where[0] else socket.AF_INET, socket.SOCK_STREAM)
+        sock = socket.socket(socket.AF_INET6 if ":" in self._endpoint[0] else socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             async with asyncio.timeout(self._connect_ms / 1000):
-                await self._loop.sock_connect(sock, self._where)
+                await self._loop.sock_connect(sock, self._endpoint)
                 transport = Transport(self._loop, sock)
                 if self._tls is not None:
-                    transport = secure = TlsTransport(self._loop, sock, self._tls(), False, self._where[0])
+                    transport = secure = TlsTransport(self._loop, sock, self._tls(), False, self._endpoint[0])
                     await secure.handshake(self._connect_ms)
         except OSError:
             sock.close()
@@ -163,7 +169,7 @@
         call.end(CallResult(None, "no answer in time", written=call.written))
 
     def cancel(self, call: GrpcCall) -> None:
-        """Cancel a call; it ends without a status."""
+        """Cancel a call, which ends without a status."""
         if self._connection is not None:
             self._connection.cancel(call)
         call.end(CallResult(None, "cancelled", written=call.written))
@@ -175,7 +181,7 @@
 
 
 class _ClientConnection:
-    """One connection and its calls."""
+    """One HTTP/2 connection and its calls."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, transport: Transport) -> None:
         self._loop, self._transport = loop, transport
@@ -184,8 +190,8 @@
         )
         self._h2.local_settings.update({SettingCodes.ENABLE_PUSH: 0})
         self._h2.initiate_connection()
-        self._h2.update_settings({SettingCodes.INITIAL_WINDOW_SIZE: WINDOW})
-        self._h2.increment_flow_control_window(WINDOW * 8)
+        self._h2.update_settings({SettingCodes.INITIAL_WINDOW_SIZE: STREAM_WINDOW_BYTES})
+        self._h2.increment_flow_control_window(STREAM_WINDOW_BYTES * 8)
         self._calls: dict[int, GrpcCall] = {}
         self._waiting: list[tuple[GrpcCall, list[tuple[str, str]]]] = []
         self._out = bytearray()
@@ -195,7 +201,7 @@
         self._tasks = [loop.create_task(self._read()), loop.create_task(self._write())]
 
     def begin(self, call: GrpcCall, headers: list[tuple[str, str]]) -> None:
-        """Send a call, or queue it until the server's stream limit allows another."""
+        """Send a call, or queue it while the server's limit of concurrent streams is reached."""
         if not self.open:
             call.end(CallResult(None, "the connection closes", written=False))
             return
@@ -206,10 +212,10 @@
         self._calls[call.id] = call
         call.written = True
         self._h2.send_headers(call.id, headers)
-        self._pump(call)
+        self._send_message(call)
         self._flush()
 
-    def _pump(self, call: GrpcCall) -> None:
+    def _send_message(self, call: GrpcCall) -> None:
         while call.unsent:
             window = min(self._h2.local_flow_control_window(call.id), self._h2.max_outbound_frame_size)
             if window <= 0:
@@ -223,17 +229,17 @@
             with contextlib.suppress(ProtocolError):
                 self._h2.reset_stream(call.id, ErrorCodes.CANCEL)
             self._flush()
-        self._waiting = [w for w in self._waiting if w[0] is not call]
+        self._waiting = [entry for entry in self._waiting if entry[0] is not call]
 
     async def _read(self) -> None:
-        buffer = bytearray(BUFFER)
+        buffer = bytearray(BUFFER_BYTES)
         try:
             while count := await self._transport.recv_into(buffer):
                 for event in self._h2.receive_data(bytes(buffer[:count])):
                     self._on_event(event)
                 for call in list(self._calls.values()):
                     if call.unsent:
-                        self._pump(call)
+                        self._send_message(call)
                 self._flush()
         except (OSError, ProtocolError, asyncio.CancelledError):
             pass
@@ -242,7 +248,7 @@
 
     def _on_event(self, event: object) -> None:
         if isinstance(event, ConnectionTerminated):
-            self.open = False  # calls in flight go on; new ones use a new connection
+            self.open = False  # calls in flight continue; new calls use a new connection
             return
         call = self._calls.get(getattr(event, "stream_id", 0) or 0)
         if call is None:
@@ -263,9 +269,9 @@
         elif isinstance(event, StreamEnded):
             self._end_call(call, CallResult(None, "no status"))
 
-    def _end_call(self, call: GrpcCall, ended: CallResult) -> None:
+    def _end_call(self, call: GrpcCall, result: CallResult) -> None:
         self._calls.pop(call.id, None)
-        call.end(ended)
+        call.end(result)
         while self._waiting and self.open:
             self.begin(*self._waiting.pop(0))
             if len(self._calls) >= self._h2.remote_settings.max_concurrent_streams:
@@ -303,5 +309,5 @@
         self._transport.close()
 
     def close(self) -> None:
-        """Close now."""
+        """Close immediately; calls in flight end without a status."""
         self._on_lost()
--- a/kelptrail/net/grpc_connection.py
+++ b/kelptrail/net/grpc_connection.py
@@ -1,7 +1,8 @@
-"""One client's HTTP/2 connection of a gRPC server: streams, flow control, floods and closing, by the h2 library.
+"""The HTTP/2 connection of one client of a gRPC server: streams, flow control, flood limits and closing.
 
-Closing has two steps (RFC 9113 section 6.8): a GOAWAY as a warning, which leaves streams in flight and new ones served,
-then one that names the last stream, after which new streams are refused with the promise that nothing was done.
+It is based on the h2 library.  A graceful close has two steps (RFC 9113 section 6.8).  The first GOAWAY is a warning:
+streams in flight and new ones are still served.  The second names the last stream; after it, new streams are refused
+with REFUSED_STREAM, which states that they were not processed.
 """
 
 from __future__ import annotations
@@ -37,14 +38,14 @@
     from .grpc_server import GrpcServer
 
 READ_BUFFER_BYTES = 65_536
-PAUSE_READING_BYTES = 4 * READ_BUFFER_BYTES  # of unwritten output, above which the client is not read from
-PAUSE_STREAMS_BYTES = 16 * READ_BUFFER_BYTES  # of unwritten output, above which streams send nothing
-GOAWAY_DELIVERY_MS = 100.0  # allowed for a GOAWAY to reach the client
+PAUSE_READING_BYTES = 4 * READ_BUFFER_BYTES  # unwritten output above which reading pauses
+PAUSE_STREAMS_BYTES = 16 * READ_BUFFER_BYTES  # unwritten output above which streams stop sending
+GOAWAY_DELIVERY_MS = 100.0  # time for a GOAWAY to reach the client
 MAX_STREAM_ID = 2**31 - 1
 
 
 class GrpcConnection:
-    """One client's connection.  Times are milliseconds."""
+    """The connection of one client.  Times are milliseconds."""
 
     def __init__(self, server: GrpcServer, transport: Transport, peer: str, identity: str) -> None:
         self.server, self._transport, self.peer, self.identity = server, transport, peer, identity
@@ -55,10 +56,10 @@
         self._out = bytearray()
         self._output_ready: asyncio.Future[None] | None = None
         self._input_resumed: asyncio.Future[None] | None = None
-        self._close_when_written = self._streams_dropped = False
+        self._close_when_written = self._streams_ended = False
         self._highest_stream_id = 0
         self.writing_since: float | None = None
-        self.active_at = now  # when a stream was last open
+        self.active_at = now  # last time at which a stream was opened or ended
         self._flush()
         self._tasks = [server.loop.create_task(self._read()), server.loop.create_task(self._write())]
 
@@ -81,15 +82,15 @@
                 while len(self._out) > PAUSE_READING_BYTES:
                     self._input_resumed = self.server.loop.create_future()
                     await self._input_resumed
-            self._drop_streams()
-        except ProtocolError as cause:  # the library has queued the GOAWAY that says why
+            self._end_all_streams()
+        except ProtocolError as cause:  # the library has queued a GOAWAY with the error code
             self.server.log_event("protocol-error", peer=self.peer, reason=f"{type(cause).__name__}: {cause}")
             self.server.protocol_errors += 1
             self._flush()
             self._close_when_written = True
-            self._drop_streams()
+            self._end_all_streams()
         except (OSError, asyncio.CancelledError):
-            self._drop_streams()
+            self._end_all_streams()
         finally:
             self._wake_writer()
 
@@ -107,11 +108,11 @@
                 self._on_window_updated(event)
             case RemoteSettingsChanged():
                 if not self.guard.spend(self.server.now(), GuardAction.SETTINGS):
-                    self._stop_flood("settings come too often")
-                self._pump_all()
+                    self._stop_flood("too many SETTINGS frames")
+                self._send_pending_of_all()
             case PingReceived():
                 if not self.guard.spend(self.server.now(), GuardAction.PING):
-                    self._stop_flood("pings come too often")
+                    self._stop_flood("too many PING frames")
 
     def _on_stream_ended(self, event: StreamEnded) -> None:
         stream = self.streams.get(event.stream_id)
@@ -125,26 +126,26 @@
 
     def _on_stream_reset(self, event: StreamReset) -> None:
         if not self.guard.spend(self.server.now(), GuardAction.RESET):
-            self._stop_flood("streams are reset too often")
+            self._stop_flood("too many stream resets")
         if (stream := self.streams.get(event.stream_id)) is not None:
             self._on_client_gone(stream)
 
     def _on_window_updated(self, event: WindowUpdated) -> None:
-        if not event.stream_id:  # the window of the whole connection
-            self._pump_all()
+        if not event.stream_id:  # the window of the connection
+            self._send_pending_of_all()
         elif (stream := self.streams.get(event.stream_id)) is not None:
-            self.pump(stream, False)
+            self.send_pending(stream, False)
 
-    def _pump_all(self) -> None:
+    def _send_pending_of_all(self) -> None:
         for stream in list(self.streams.values()):
-            self.pump(stream, False)
+            self.send_pending(stream, False)
 
     def _on_request(self, event: RequestReceived) -> None:
         id_ = event.stream_id
         assert id_ is not None
         self._highest_stream_id = max(self._highest_stream_id, id_)
         if not self.guard.accepts_streams:
-            self._send_reset(id_, ErrorCodes.REFUSED_STREAM)  # nothing was done, so a retry is safe
+            self._send_reset(id_, ErrorCodes.REFUSED_STREAM)  # nothing was processed, so a retry is safe
             return
         headers = read_headers(event)
         if headers.get(":method") != "POST" or not headers.get("content-type", "").startswith("application/grpc"):
@@ -165,14 +166,14 @@
             self.server.handle(stream)
         except GrpcError as fault:
             stream.fail(fault)
-        except Exception as fault:  # noqa: BLE001 - a fault of ours must not leave a client without an answer
+        except Exception as fault:  # noqa: BLE001 - a bug in a handler must not leave the client without a status
             self.server.log_handler_failure(fault)
             stream.finish(Code.INTERNAL, "There was an internal server error.")
 
     def _on_data(self, event: DataReceived) -> None:
         count, id_ = event.flow_controlled_length or 0, event.stream_id or 0
         if not event.data and not event.stream_ended and not self.guard.spend(self.server.now(), GuardAction.EMPTY):
-            self._stop_flood("empty frames come too often")
+            self._stop_flood("too many empty DATA frames")
             return
         stream = self.streams.get(id_)
         if count:
@@ -180,12 +181,12 @@
                 self._h2.acknowledge_received_data(count, id_)
         if stream is None or stream.ended:
             return
-        before = stream.reader.partial_bytes
+        partial_before = stream.reader.partial_bytes
         try:
             try:
                 messages = stream.reader.feed(event.data or b"")
             finally:
-                self.server.partial_bytes += stream.reader.partial_bytes - before
+                self.server.partial_bytes += stream.reader.partial_bytes - partial_before
             if self.server.partial_bytes > self.server.limits.partial_bytes:
                 raise GrpcError(Code.RESOURCE_EXHAUSTED, "too much is being received at once", 1000.0)
         except GrpcError as fault:
@@ -201,19 +202,19 @@
             callback(*arguments)
         except GrpcError as fault:
             stream.fail(fault)
-        except Exception as fault:  # noqa: BLE001 - the same
+        except Exception as fault:  # noqa: BLE001 - as in `_on_request`
             self.server.log_handler_failure(fault)
             stream.finish(Code.INTERNAL, "There was an internal server error.")
 
     # Writing.
 
     def send_headers(self, stream: GrpcStream) -> None:
-        """Send the headers of the response."""
+        """Send the headers of a response."""
         with contextlib.suppress(ProtocolError):
             self._h2.send_headers(stream.id, [(b":status", b"200"), (b"content-type", b"application/grpc")])
 
-    def pump(self, stream: GrpcStream, flush: bool = True) -> None:
-        """Send a stream's messages, as far as flow control allows (RFC 9113 section 5.2), and then its trailers."""
+    def send_pending(self, stream: GrpcStream, flush: bool = True) -> None:
+        """Send the messages of a stream as far as flow control allows (RFC 9113 section 5.2), then its trailers."""
         try:
             while stream.pending:
                 window = min(self._h2.local_flow_control_window(stream.id), self._h2.max_outbound_frame_size)
@@ -233,8 +234,8 @@
                 stream.blocked_since = None
             if stream.trailers is not None:
                 self._send_trailers(stream)
-            elif stream.awaits_room and stream.unsent_bytes < self.server.limits.stream_bytes // 2:
-                stream.awaits_room = False
+            elif stream.awaits_writable and stream.unsent_bytes < self.server.limits.stream_bytes // 2:
+                stream.awaits_writable = False
                 self.server.loop.call_soon(self._run_callback, stream, stream.on_writable)
         except (StreamClosedError, FlowControlError, ProtocolError):
             self._on_client_gone(stream)
@@ -243,14 +244,14 @@
 
     def _send_trailers(self, stream: GrpcStream) -> None:
         trailers, stream.trailers = stream.trailers or [], None
-        self._forget(stream)
-        if not stream.headers_sent:  # the gRPC form Trailers-Only
+        self._remove_stream(stream)
+        if not stream.headers_sent:  # the Trailers-Only form of a gRPC response
             trailers = [(b":status", b"200"), (b"content-type", b"application/grpc"), *trailers]
         self._h2.send_headers(stream.id, trailers, end_stream=True)
-        if not stream.client_ended:  # RFC 9113 section 8.1: the rest of the request is not needed
+        if not stream.client_ended:  # RFC 9113 section 8.1: ask the client not to send the rest of the request
             self._send_reset(stream.id, ErrorCodes.NO_ERROR)
 
-    def _forget(self, stream: GrpcStream) -> None:
+    def _remove_stream(self, stream: GrpcStream) -> None:
         if self.streams.pop(stream.id, None) is not None:
             self.server.open_streams -= 1
             self.server.unwritten_bytes -= stream.unsent_bytes
@@ -260,8 +261,8 @@
             self.active_at = self.server.now()
 
     def _on_client_gone(self, stream: GrpcStream) -> None:
-        """The client reset the stream or is gone: end the call without an answer."""
-        self._forget(stream)
+        """End a call without a status, as its client reset the stream or disconnected."""
+        self._remove_stream(stream)
         if not stream.ended:
             stream.ended = True
             on_client_gone, stream.on_client_gone = stream.on_client_gone, ignore
@@ -269,7 +270,7 @@
             on_client_gone()
 
     def reset(self, stream: GrpcStream) -> None:
-        """Reset a stream whose client does not read."""
+        """Reset a stream, for example because its client does not read."""
         self._send_reset(stream.id, ErrorCodes.CANCEL)
         self._on_client_gone(stream)
         self._flush()
@@ -279,7 +280,7 @@
             self._h2.reset_stream(id_, code)
 
     def _stop_flood(self, text: str) -> None:
-        """Close the connection of a client that sends too many frames that cost it nothing (RFC 9113 section 10.5)."""
+        """Close the connection of a client that sends a flood of frames (RFC 9113 section 10.5)."""
         if self._close_when_written:
             return
         self.server.log_event("flood-detected", peer=self.peer, reason=text)
@@ -288,11 +289,11 @@
             self._h2.close_connection(ErrorCodes.ENHANCE_YOUR_CALM)
         self._flush()
         self._close_when_written = True
-        self._drop_streams()
+        self._end_all_streams()
         self._wake_writer()
 
     def enforce_time_limits(self, now: float) -> None:
-        """Close what exceeds its time: connections by age, grace and idleness, blocked or incomplete streams."""
+        """Enforce the limits on the connection's age, grace and idle time, and on blocked or incomplete streams."""
         limits = self.server.limits
         stage = self.guard.due(now, len(self.streams), GOAWAY_DELIVERY_MS)
         if stage is CloseStage.WARNED:
@@ -318,26 +319,26 @@
             self.close_gracefully()
 
     def close_gracefully(self) -> None:
-        """Send the GOAWAY that warns the client; streams in flight are served."""
+        """Start the graceful close with the first GOAWAY; streams in flight are served."""
         if self.guard.stage is CloseStage.OPEN:
             self.guard.start_closing(self.server.now())
             self._send_goaway(MAX_STREAM_ID)
 
     def _send_goaway(self, last_stream_id: int) -> None:
-        # The library's own call ends its state machine at once; during a graceful close streams go on.
+        # The library's own method would close its state machine; during a graceful close, streams continue.
         self._out += GoAwayFrame(0, last_stream_id=last_stream_id, error_code=0).serialize()
         self._flush()
 
     def abort(self) -> None:
-        """Close now."""
+        """Close immediately."""
         self._close_when_written = True
         for task in self._tasks:
             task.cancel()
 
-    def _drop_streams(self) -> None:
-        if self._streams_dropped:
+    def _end_all_streams(self) -> None:
+        if self._streams_ended:
             return
-        self._streams_dropped = True
+        self._streams_ended = True
         self._close_when_written = True
         for stream in list(self.streams.values()):
             self._on_client_gone(stream)
@@ -366,7 +367,7 @@
                 await self._transport.sendall(data)
                 self.writing_since = None
                 for stream in [s for s in self.streams.values() if s.blocked_since is not None]:
-                    self.pump(stream, False)
+                    self.send_pending(stream, False)
                 self._flush()
                 if self._input_resumed is not None and not self._input_resumed.done():
                     self._input_resumed.set_result(None)
@@ -376,7 +377,7 @@
         finally:
             self._close_when_written = True
             self._tasks[0].cancel()
-            self._drop_streams()
+            self._end_all_streams()
             server.forget(self)
             with contextlib.suppress(asyncio.CancelledError):
                 await asyncio.gather(self._tasks[0], return_exceptions=True)
--- a/kelptrail/net/grpc_server.py
+++ b/kelptrail/net/grpc_server.py
@@ -1,8 +1,8 @@
-"""A listening gRPC server: HTTP/2 by the h2 library on the event loop's socket calls; it decides nothing about calls.
+"""A listening gRPC server, based on the h2 library and the event loop's socket calls.
 
-Each call is passed to the handler as a `GrpcStream` once its headers are read.  Messages are sent as the client's flow
-control allows; unsent bytes are bounded for a stream (`can_write`) and over all connections.  A call gets exactly one
-status.
+It makes no decisions about calls.  Each call is passed to the handler as a `GrpcStream` once its headers are read.
+Messages are sent as the client's flow control allows; unsent bytes are limited for each stream (`can_write`) and over
+all connections.  Each call gets exactly one status.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
     """Limits of one server; times are milliseconds."""
 
     connections: int = 10_000
-    streams: int = 1000  # for each connection
+    streams: int = 1000  # per connection
     header_bytes: int = 16_384
     message_bytes: int = 4_194_304
-    partial_bytes: float = 268_435_456  # of incomplete messages, over all connections
-    unread_bytes: float = 268_435_456  # of messages that clients have not read, over all connections
-    stream_bytes: int = 262_144  # unsent on one stream, above which its producer pauses
+    partial_bytes: float = 268_435_456  # buffered bytes of incomplete messages, over all connections
+    unread_bytes: float = 268_435_456  # bytes of messages not sent yet, over all connections
+    stream_bytes: int = 262_144  # unsent bytes of a stream above which its producer pauses
     read_ms: float = 10_000.0
     write_ms: float = 30_000.0
     idle_ms: float = 300_000.0
@@ -42,7 +42,7 @@
 
 
 class GrpcServer:
-    """Listens, holds connections and enforces their limits.  `identify` maps a client's certificate to its identity."""
+    """Accepts connections and enforces their limits.  `identify` maps a client's certificate to its identity."""
 
     def __init__(
         self,
@@ -57,30 +57,30 @@
         self.handle, self.limits = handler, limits or GrpcLimits()
         self.log_event = log_event or (lambda *_args, **_fields: None)
         self._tls, self._identify = tls, identify or (lambda _certificate: "")
-        self.listener = Listener(self.loop, self._on_accept, self._on_early, self.log_event, pace)
+        self.listener = Listener(self.loop, self._on_accept, self._on_over_pace, self.log_event, pace)
         self._tasks: set[asyncio.Task[Any]] = set()
         self._connections: dict[GrpcConnection, None] = {}
-        self._accepted_connections = 0  # connections, including those in a TLS handshake
+        self._accepted_connections = 0  # open connections, including those in a TLS handshake
         self.open_streams = self.unwritten_bytes = self.partial_bytes = 0
         self.slow_readers_closed = self.protocol_errors = self.floods_stopped = self.rejected_connections = 0
         self.address = ""
 
     def now(self) -> float:
-        """The loop's time in milliseconds."""
+        """Return the loop's time in milliseconds."""
         return self.loop.time() * 1000
 
     @property
     def rejected_by_pace(self) -> int:
-        """How many connections exceeded the pace."""
+        """Number of connections rejected because they exceeded the pace."""
         return self.listener.rejected_by_pace
 
     @property
     def connections(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self._connections)
 
     def listen(self, host: str, port: int, reuse_port: bool = False, backlog: int = 1024) -> int:
-        """Listen on `port` (0: a free one) and return it.  `reuse_port`: other sockets may listen on it too."""
+        """Listen on `port` (0: any free port) and return it.  `reuse_port`: other sockets may listen on it as well."""
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if reuse_port:
@@ -108,8 +108,8 @@
             return
         self._open_connection(client, peer)
 
-    def _on_early(self, client: socket.socket, peer: str, back_ms: float) -> None:
-        """Reject a client beyond the pace.  HTTP/2 has no response before its preface: the connection is closed."""
+    def _on_over_pace(self, client: socket.socket, peer: str, retry_after_ms: float) -> None:
+        """Close the connection of a client that exceeds the pace; HTTP/2 allows no response before its preface."""
         self.listener.reject(client, b"")
 
     def _open_connection(self, client: socket.socket, peer: str) -> None:
@@ -125,7 +125,7 @@
         try:
             await transport.handshake(self.limits.handshake_ms)
             if transport.protocol != "h2":
-                raise ssl.SSLError("the client did not ask for h2")
+                raise ssl.SSLError("the client did not negotiate h2")
         except (ssl.SSLError, OSError) as cause:
             self.log_event("handshake-failed", peer=peer, reason=str(cause) or type(cause).__name__)
             self.protocol_errors += 1
@@ -135,7 +135,7 @@
         self._connections[GrpcConnection(self, transport, peer, self._identify(transport.certificate))] = None
 
     def add_unwritten(self, count: int) -> None:
-        """Count bytes to send; over the limit, reset the stream that has been blocked for longest."""
+        """Count bytes to send; over the limit, reset the streams that have been blocked for longest."""
         self.unwritten_bytes += count
         while self.unwritten_bytes > self.limits.unread_bytes:
             blocked = [
@@ -159,16 +159,16 @@
                 connection.enforce_time_limits(now)
 
     def log_handler_failure(self, cause: Exception) -> None:
-        """Log an exception of a handler."""
+        """Log an exception raised by a handler."""
         self.log_event("handler-failed", reason=f"{type(cause).__name__}: {cause}")
 
     def forget(self, connection: GrpcConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
         if self._connections.pop(connection, 0) is None:
             self._accepted_connections -= 1
 
     def stop_listening(self) -> None:
-        """Accept the clients in the accept queue and no more."""
+        """Accept the clients in the accept queue, then stop listening."""
         self.listener.close(self._open_connection)
 
     def start_draining(self) -> None:
@@ -177,7 +177,7 @@
             connection.close_gracefully()
 
     async def drain(self, within_ms: float) -> bool:
-        """Stop listening, send GOAWAY, serve the streams in flight; True if none was cut off."""
+        """Stop listening, send a GOAWAY, and serve the streams in flight.  Return whether all of them completed."""
         self.stop_listening()
         self.start_draining()
         end = self.now() + within_ms
--- a/kelptrail/net/grpc_stream.py
+++ b/kelptrail/net/grpc_stream.py
@@ -1,4 +1,4 @@
-"""One gRPC call, as a handler of `GrpcServer` sees it: messages in both directions and exactly one status."""
+"""One gRPC call, as a handler of `GrpcServer` uses it: messages in both directions and exactly one status."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 def ignore(*_args: object) -> None:
-    """The default of callbacks."""
+    """Do nothing: the default of callbacks."""
 
 
 class GrpcStream:
-    """One call.  Its callbacks run from the loop, never from within a method of this object."""
+    """One call.  Its callbacks are called by the event loop, never from within a method of this object."""
 
     __slots__ = (
         "_connection",
-        "awaits_room",
+        "awaits_writable",
         "blocked_since",
         "client_ended",
         "deadline",
@@ -47,12 +47,12 @@
         limits = connection.server.limits
         self.reader = MessageReader(limits.message_bytes)
         self.pending: deque[bytes] = deque()
-        self.unsent_bytes = 0  # of `pending`
+        self.unsent_bytes = 0  # total size of `pending`
         self.trailers: list[tuple[bytes, bytes]] | None = None
-        self.headers_sent = self.awaits_room = False
-        self.ended = False  # it has its status, or the client has gone
+        self.headers_sent = self.awaits_writable = False
+        self.ended = False  # a status was given, or the client has disconnected
         self.client_ended = False
-        self.request_complete = False  # every message was received: the limit on its read time is over
+        self.request_complete = False  # all messages were received, so the limit on the read time no longer applies
         self.opened_at, self.blocked_since = now, None
         self.deadline: float | None = None
         self.on_message: Callable[[bytes], None] = ignore
@@ -74,14 +74,14 @@
 
     @property
     def can_write(self) -> bool:
-        """Whether to send more now; after False, `on_writable` is called once a slow client has read enough."""
+        """Whether to send more now.  After False, `on_writable` is called once a slow client has read enough."""
         if self.unsent_bytes < self._connection.server.limits.stream_bytes:
             return True
-        self.awaits_room = True
+        self.awaits_writable = True
         return False
 
     def send(self, message: bytes) -> bool:
-        """Send a message; False where the call has ended."""
+        """Send a message.  Return False if the call has ended."""
         if self.ended:
             return False
         self._send_headers()
@@ -89,7 +89,7 @@
         self.pending.append(data)
         self.unsent_bytes += len(data)
         self._connection.server.add_unwritten(len(data))
-        self._connection.pump(self)
+        self._connection.send_pending(self)
         return True
 
     def finish(
@@ -100,17 +100,17 @@
         reason: str = "",
         details: dict[str, str] | None = None,
     ) -> bool:
-        """Send the status, after all messages; False where there is one already, or the client has gone."""
+        """Send the status after all messages.  Return False if one was already given or the client has disconnected."""
         if self.ended:
             return False
         self.ended = True
         self.trailers = encode_trailers(code, text, retry_ms, reason, details)
         self.on_message = self.on_end = self.on_client_gone = self.on_writable = ignore
-        self._connection.pump(self)
+        self._connection.send_pending(self)
         return True
 
     def fail(self, cause: GrpcError) -> bool:
-        """Finish with an error's status."""
+        """Finish with the status of an error."""
         return self.finish(cause.code, cause.text, cause.retry_ms, cause.reason, cause.details)
 
     def _send_headers(self) -> None:
--- a/kelptrail/net/guard.py
+++ b/kelptrail/net/guard.py
@@ -1,8 +1,8 @@
-"""Limits on what one HTTP/2 connection may do, and on its age; no I/O, no clock.
+"""Limits on the frames that one HTTP/2 connection may send, and on its age; no I/O, no clock.
 
-Each kind of frame has a token bucket.  Guards against floods that cost their sender nothing (RFC 9113 section 10.5):
-streams opened and reset at once, pings, settings, empty frames.  The age limit makes clients connect anew, so that they
-spread over the dispatchers.
+Each kind of frame has a token bucket.  Guards against floods of frames that cost their sender nothing (RFC 9113 section
+10.5): streams opened and immediately reset, pings, settings, empty frames.  The age limit makes clients reconnect, so
+that they spread over the dispatchers.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class GuardAction(Enum):
-    """The kinds of frame that are counted."""
+    """Kinds of frame that are counted."""
 
     RESET = "reset"
     PING = "ping"
@@ -22,8 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GuardSettings:
-    """Frames of a kind allowed at once and each second; a connection's age in ms (0: no limit) and, once it is closing,
-    the time in ms for its streams to end.
+    """Limits of one connection.
+
+    `burst` frames of each kind are allowed at once and `per_s` each second.  `age_ms` is the maximum age (0: no limit),
+    `grace_ms` the time for streams to end once the connection is closing.
     """
 
     burst: int = 200
@@ -33,16 +35,19 @@
 
 
 class CloseStage(Enum):
-    """How far a connection is on the way to its close."""
+    """Stage of a connection's graceful close."""
 
     OPEN = "open"
     WARNED = "warned"  # a GOAWAY was sent; streams opened before it arrives are served
-    CLOSING = "closing"  # new streams are refused; those in flight are served
+    CLOSING = "closing"  # new streams are refused; streams in flight are served
     CLOSED = "over"
 
 
 class FloodGuard:
-    """One connection's budgets and age.  Times are milliseconds; `spread` (0 to 1) makes connections' ages differ."""
+    """Frame budgets and age of one connection.  Times are milliseconds.
+
+    `spread` (0 to 1) varies the maximum age by 10 % either way, so that connections do not all close at once.
+    """
 
     def __init__(self, settings: GuardSettings, now: float, spread: float = 0.0) -> None:
         self._settings = settings
@@ -53,20 +58,20 @@
         self.stage = CloseStage.OPEN
 
     def spend(self, now: float, action: GuardAction) -> bool:
-        """Count a frame; whether it is within the budget of its kind."""
-        grown, self._refilled_at = (now - self._refilled_at) / 1000 * self._settings.per_s, now
+        """Count a frame.  Return whether it is within the budget of its kind."""
+        refill, self._refilled_at = (now - self._refilled_at) / 1000 * self._settings.per_s, now
         for kind in GuardAction:
-            self._budgets[kind] = min(float(self._settings.burst), self._budgets[kind] + grown)
+            self._budgets[kind] = min(float(self._settings.burst), self._budgets[kind] + refill)
         self._budgets[action] -= 1
         return self._budgets[action] >= 0
 
     def start_closing(self, now: float) -> None:
-        """Start the close: at its age, or because its dispatcher drains or releases the address."""
+        """Start the graceful close: at the maximum age, or when the dispatcher drains or releases the address."""
         if self.stage is CloseStage.OPEN:
             self.stage, self._closing_started_at = CloseStage.WARNED, now
 
     def due(self, now: float, streams: int, delivery_ms: float) -> CloseStage | None:
-        """The stage that begins now, or None; `delivery_ms` is allowed for a GOAWAY to reach the client."""
+        """Return the stage that begins now, or None.  `delivery_ms` is the time for a GOAWAY to reach the client."""
         if self.stage is CloseStage.OPEN and now >= self._expires_at:
             self.start_closing(now)
             return CloseStage.WARNED
@@ -80,5 +85,5 @@
 
     @property
     def accepts_streams(self) -> bool:
-        """Whether a new stream is served; one that is not was never processed, so a retry is safe."""
+        """Whether new streams are served.  A refused stream was never processed, so a retry is safe."""
         return self.stage in (CloseStage.OPEN, CloseStage.WARNED)
--- a/kelptrail/net/h2_setup.py
+++ b/kelptrail/net/h2_setup.py
@@ -1,4 +1,4 @@
-"""Sets up the h2 library for a gRPC server: settings of a connection, and headers as text."""
+"""Set-up of the h2 library for a gRPC server: connection settings, and request headers as text."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 def new_h2_connection(limits: GrpcLimits) -> H2Connection:
-    """A server side connection of the h2 library with our settings (RFC 9113 section 6.5.2), its preface queued."""
-    # Inbound names and values are checked, as they come from clients; outbound ones are our own.
+    """Return a server-side h2 connection with the server's settings (RFC 9113 section 6.5.2) and its preface queued."""
+    # Inbound headers come from clients and are validated; outbound headers come from this server.
     connection = H2Connection(
         H2Configuration(
             client_side=False,
@@ -33,14 +33,15 @@
             SettingCodes.ENABLE_PUSH: 0,
         },
     )
-    connection.decoder.max_header_list_size = limits.header_bytes  # from the first frame on, not once it is acked
+    # Set on the decoder as well, so that the limit applies from the first frame, before the settings are acknowledged.
+    connection.decoder.max_header_list_size = limits.header_bytes
     connection.initiate_connection()
     connection.increment_flow_control_window(limits.message_bytes)
     return connection
 
 
 def read_headers(event: RequestReceived) -> dict[str, str]:
-    """A request's headers; the values of a repeated one are joined by commas."""
+    """Return the headers of a request; the values of a repeated header are joined by commas."""
     headers: dict[str, str] = {}
     for name, value in event.headers or ():
         key = bytes(name).decode("latin-1")
--- a/kelptrail/net/http_client.py
+++ b/kelptrail/net/http_client.py
@@ -1,4 +1,7 @@
-"""A small HTTP/1.1 client for the programs' own requests: one connection, one request at a time, JSON bodies."""
+"""A small HTTP/1.1 client for requests between kelptrail's own programs.
+
+It has one connection, sends one request at a time, and its bodies are JSON.
+"""
 
 from __future__ import annotations
 
@@ -14,12 +17,12 @@
 class HttpClient:
     """A persistent connection to one address.  Raises `OSError`, `TimeoutError` and `HttpError`."""
 
-    def __init__(self, address: str, answer_bytes: int = 1 << 26) -> None:
+    def __init__(self, address: str, max_response_bytes: int = 1 << 26) -> None:
         host, _, port = address.rpartition(":")
-        self.address, self._endpoint, self._max_body_bytes = address, (host.strip("[]"), int(port)), answer_bytes
+        self.address, self._endpoint, self._max_body_bytes = address, (host.strip("[]"), int(port)), max_response_bytes
         self._loop = asyncio.get_running_loop()
         self._sock: socket.socket | None = None
-        self._reader = ResponseReader(answer_bytes)
+        self._reader = ResponseReader(max_response_bytes)
 
     async def request(
         self,
@@ -29,11 +32,11 @@
         timeout_ms: float = 5000.0,
         headers: dict[str, str] | None = None,
     ) -> Response:
-        """Send one request and read its response; a connection that the peer closed meanwhile is made anew first."""
+        """Send one request and return its response; reconnect first if the peer has closed the connection."""
         data = encode_request(method, target, self.address, b"" if body is None else msgspec.json.encode(body), headers)
         async with asyncio.timeout(timeout_ms / 1000):
             try:
-                if self._sock is not None and not self._stale():
+                if self._sock is not None and not self._is_stale():
                     return await self._exchange(data)
                 self.close()
                 await self._connect()
@@ -43,13 +46,13 @@
                 raise
 
     async def json(self, method: str, target: str, body: Any = None, timeout_ms: float = 5000.0) -> Any:
-        """The decoded body of a 2xx response; raises `HttpError` for any other."""
+        """Send one request and return the decoded body of its 2xx response; raise `HttpError` for any other status."""
         response = await self.request(method, target, body, timeout_ms)
         if not 200 <= response.status < 300:
             raise HttpError(response.status, response.body.decode(errors="replace")[:200])
         return msgspec.json.decode(response.body) if response.body else None
 
-    def _stale(self) -> bool:
+    def _is_stale(self) -> bool:
         try:
             return self._sock is None or self._sock.recv(1, socket.MSG_PEEK) is not None
         except BlockingIOError:
@@ -71,7 +74,7 @@
         while True:
             count = await self._loop.sock_recv_into(self._sock, buffer)
             if not count:
-                raise ConnectionResetError(f"{self.address} closed before its answer")
+                raise ConnectionResetError(f"{self.address} closed the connection before its response was complete")
             with memoryview(buffer) as view:
                 response = self._reader.feed(view[:count])
             if response is not None:
@@ -80,7 +83,7 @@
                 return response
 
     def close(self) -> None:
-        """Close the connection; the next request makes another."""
+        """Close the connection; the next request opens a new one."""
         if self._sock is not None:
             self._sock.close()
             self._sock = None
--- a/kelptrail/net/http_connection.py
+++ b/kelptrail/net/http_connection.py
@@ -1,8 +1,8 @@
-"""One client's HTTP/1.1 connection: a task that reads requests, a task that writes replies, the exchanges between them.
+"""The HTTP/1.1 connection of one client: a task that reads requests, a task that writes replies, and the exchanges.
 
-Replies are sent in the order of the requests (RFC 9112 section 9.3.2), whatever the order in which handlers give them.
-A client that only closed its sending side (half-closed) is served on: an interim 102 response finds out whether it
-still reads (RFC 9110 section 15.2).
+Replies are sent in the order of the requests (RFC 9112 section 9.3.2), regardless of the order in which handlers give
+them.  A client that closed only its sending side (half-closed) is still served: an interim 102 response (RFC 9110
+section 15.2) makes the socket report an error if the client no longer reads.
 """
 
 from __future__ import annotations
@@ -22,57 +22,57 @@
     from .server import HttpServer
 
 FIRST_BUFFER_BYTES, MAX_BUFFER_BYTES = 8192, 262_144
-HALF_CLOSED_CHECK_S = 0.02  # between checks whether a half-closed client still reads
-LINGER_S = 0.5  # for which a closed connection still reads, so that no reset destroys its last reply
+HALF_CLOSED_CHECK_S = 0.02  # interval of checks whether a half-closed client still reads
+LINGER_S = 0.5  # time to read and discard input before closing, so that no reset destroys the last reply
 INTERNAL_ERROR = b'{"error":"There was an internal server error.","code":"500"}'
 
 
 class HttpConnection:
-    """One client's connection.  Times are seconds on the loop's clock."""
+    """The connection of one client.  Times are seconds on the loop's clock."""
 
     def __init__(self, server: HttpServer, transport: Transport, peer: str, identity: str = "") -> None:
         self._server, self._transport, self.peer, self.identity = server, transport, peer, identity
         self._reader = RequestReader(server.limits.header_bytes, server.limits.body_bytes)
         self._exchanges: deque[Exchange] = deque()
         self._out = bytearray()
-        self._output_ready: asyncio.Future[None] | None = None  # the writer waits for output
-        self._input_resumed: asyncio.Future[None] | None = None  # the reader waits for room
+        self._output_ready: asyncio.Future[None] | None = None  # set while the writer waits for output
+        self._input_resumed: asyncio.Future[None] | None = None  # set while the reader waits for its limits
         self._close_when_written = False
-        self.closing = False  # no further request is read
+        self.closing = False  # no further requests are read
         self._client_half_closed = self._timed_out = False
-        self.unwritten_bytes = 0  # of replies that were given
-        self.reading_since: float | None = None  # when the incomplete request started
-        self.writing_since: float | None = None  # when the write in progress started
+        self.unwritten_bytes = 0  # bytes of replies not written to the socket yet
+        self.reading_since: float | None = None  # start of the incomplete request
+        self.writing_since: float | None = None  # start of the write in progress
         self.idle_since = server.loop.time()
         self._tasks = [server.loop.create_task(self._read_requests()), server.loop.create_task(self._write_replies())]
 
     @property
     def busy(self) -> bool:
-        """Whether a request is in flight or a reply not written yet."""
+        """Whether a request is in flight or a reply is not written yet."""
         return bool(self._exchanges or self._out or self.writing_since is not None)
 
     def closes_after(self, exchange: Exchange) -> bool:
-        """Whether the connection closes after this exchange's reply."""
+        """Return whether the connection closes after the reply of this exchange."""
         last = bool(self._exchanges) and self._exchanges[-1] is exchange
         return last and (self.closing or self._server.draining)
 
     def add_unwritten(self, count: int) -> None:
-        """Count bytes of a reply that was given."""
+        """Count bytes of a reply that are to be written."""
         self.unwritten_bytes += count
         self._server.add_unwritten(count)
 
     def queue_replies(self) -> None:
-        """Move the replies whose turn it is to the output."""
+        """Move replies to the output, in the order of their requests, up to the first that is not ready."""
         moved = False
         while self._exchanges and (data := self._exchanges[0].data) is not None:
             first = self._exchanges[0]
             self._out += data
             moved = True
-            if first.streaming:  # its body must end before the next reply starts
+            if first.streaming:  # the body must end before the next reply starts
                 first.data = b""
                 break
             self._exchanges.popleft()
-            if not first.keep_alive:  # requests after it on this connection are not answered
+            if not first.keep_alive:  # later requests on this connection are not answered
                 self._close_when_written = self.closing = True
                 self._notify_client_gone()
         if self._client_half_closed and not self._exchanges:
@@ -90,7 +90,7 @@
         self._wake_writer()
 
     def _notify_client_gone(self) -> None:
-        """Notify all exchanges in flight that the client has gone."""
+        """Notify all exchanges in flight that the client has disconnected."""
         exchanges, self._exchanges = list(self._exchanges), deque()
         for exchange in exchanges:
             if not exchange.replied or exchange.streaming:
@@ -100,18 +100,18 @@
 
     @property
     def partial(self) -> bool:
-        """Whether the start of a request was read, but not its end."""
+        """Whether the start of a request was read but not its end."""
         return self._reader.partial
 
     def close_gracefully(self) -> None:
-        """Read no further request; close once all requests in flight are answered."""
+        """Read no further requests; close once all requests in flight are answered."""
         self.closing = True
         if not self._exchanges:
             self._close_when_written = True
             self._wake_writer()
 
     def abort(self) -> None:
-        """Close now; exchanges in flight are notified that the client has gone."""
+        """Close immediately; exchanges in flight are notified that the client has disconnected."""
         for task in self._tasks:
             task.cancel()
 
@@ -132,7 +132,7 @@
                 if self._reader.wants_continue and not self._exchanges and not requests:
                     self._send_continue()
                 for request in requests:
-                    await self._wait_until_below_limits()  # also between requests that arrived together
+                    await self._wait_until_below_limits()  # needed also between requests that arrived together
                     self._handle(request)
                 if error is not None:
                     self._reply_error(error)
@@ -148,7 +148,7 @@
                 self._on_lost()
 
     def _update_read_times(self, has_requests: bool) -> None:
-        """Bytes were read; `has_requests`: requests were complete with them."""
+        """Update the times of reading after input; `has_requests`: the input completed requests."""
         now = self._server.loop.time()
         if not self._reader.partial:
             self.reading_since, self.idle_since = None, now
@@ -160,20 +160,20 @@
         self._exchanges.append(exchange)
         try:
             self._server.handle(request, exchange)
-        except Exception as cause:  # noqa: BLE001 - a fault of ours must not leave a client without an answer
+        except Exception as cause:  # noqa: BLE001 - a bug in a handler must not leave the client without a reply
             self._server.log_handler_failure(cause)
             exchange.reply(500, INTERNAL_ERROR)
 
     async def _wait_until_below_limits(self) -> None:
-        """Wait while too many requests are in flight, or replies unread, on this connection."""
+        """Wait while this connection has too many requests in flight or too many unwritten bytes."""
         while len(self._exchanges) >= self._server.limits.pipelined or self.unwritten_bytes > MAX_UNWRITTEN_BYTES:
-            self.reading_since = None  # it is we who do not read, so the client's time is not counted
+            self.reading_since = None  # the server has paused reading, so this time does not count against the client
             self._input_resumed = self._server.loop.create_future()
             await self._input_resumed
             self.reading_since = self._server.loop.time() if self._reader.partial else None
 
     async def _on_client_half_closed(self) -> None:
-        """The client shut down its sending side: serve the requests in flight while it reads."""
+        """Serve the requests in flight of a client that shut down its sending side, as long as it reads."""
         self._client_half_closed = True
         self.reading_since = None
         if self._reader.partial:
@@ -196,13 +196,13 @@
     def _reply_error(self, error: HttpError) -> None:
         self._server.log_bad_request(error, self.peer)
         self.closing = True
-        last = Exchange(self, None)
-        self._exchanges.append(last)
+        error_exchange = Exchange(self, None)
+        self._exchanges.append(error_exchange)
         text = str(error).replace("\\", "/").replace('"', "'")
-        last.reply(error.status, f'{{"error":"{text}","code":"{error.status}"}}'.encode(), close=True)
+        error_exchange.reply(error.status, f'{{"error":"{text}","code":"{error.status}"}}'.encode(), close=True)
 
     def time_out(self) -> None:
-        """Reply 408: the request was not received completely in time (RFC 9110 section 15.5.9)."""
+        """Reply with status 408 as the request did not arrive completely in time (RFC 9110 section 15.5.9)."""
         self.reading_since, self._timed_out = None, True
         self._tasks[0].cancel()
         self._reply_error(HttpError(408, "the request did not arrive in time"))
@@ -226,7 +226,7 @@
                 self.writing_since = loop.time()
                 await self._transport.sendall(data)
                 self.writing_since, self.idle_since = None, loop.time()
-                written = min(len(data), self.unwritten_bytes)  # interim responses are not counted
+                written = min(len(data), self.unwritten_bytes)  # interim responses are not included in the count
                 self.unwritten_bytes -= written
                 self._server.unwritten_bytes -= written
                 if self._exchanges and self._exchanges[0].streaming:
@@ -245,8 +245,9 @@
             self._transport.close()
 
     async def _linger(self) -> None:
-        """Close without a reset, which would destroy the reply: shut down our side, then read and discard for a while
-        (RFC 9112 section 9.6).
+        """Shut down the sending side, then read and discard input for up to LINGER_S (RFC 9112 section 9.6).
+
+        Closing without this could reset the connection, which would destroy the last reply.
         """
         self._tasks[0].cancel()
         await asyncio.gather(self._tasks[0], return_exceptions=True)
--- a/kelptrail/net/http_exchange.py
+++ b/kelptrail/net/http_exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP request and the reply to it, as a handler of `HttpServer` sees them."""
+"""One HTTP request and its reply, as a handler of `HttpServer` uses them."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 if TYPE_CHECKING:
     from .http_connection import HttpConnection
 
-# A streamed reply pauses its producer, and a connection its reader, above this many unwritten bytes.
+# Above this many unwritten bytes, a streamed reply pauses its producer and a connection stops reading requests.
 MAX_UNWRITTEN_BYTES = 262_144
 
 
 class Exchange:
-    """One request and its reply, whose place in the connection's order of replies it keeps."""
+    """One request and its reply, which holds its place in the connection's order of replies."""
 
     __slots__ = (
-        "_awaits_room",
+        "_awaits_writable",
         "_connection",
         "client_gone",
         "data",
@@ -32,7 +32,7 @@
     def __init__(self, connection: HttpConnection, request: Request | None) -> None:
         self._connection, self.request = connection, request
         self.data: bytes | None = None
-        self.client_gone = self.keep_alive = self.streaming = self._awaits_room = False
+        self.client_gone = self.keep_alive = self.streaming = self._awaits_writable = False
         self.on_client_gone: Callable[[], None] | None = None
         self.on_writable: Callable[[], None] | None = None
 
@@ -59,7 +59,7 @@
         close: bool = False,
         content_type: str = "application/json",
     ) -> bool:
-        """Send the reply; False where the client has gone or there was a reply already."""
+        """Send the reply.  Return False if the client has disconnected or a reply was already given."""
         if self.data is not None or self.client_gone:
             return False
         request = self.request
@@ -73,7 +73,7 @@
         return True
 
     def reply_encoded(self, data: bytes) -> bool:
-        """Send a reply that is encoded already; False as for `reply`."""
+        """Send a reply that is already encoded.  Return False as `reply` does."""
         if self.data is not None or self.client_gone:
             return False
         self.on_client_gone, self.data = None, data
@@ -83,7 +83,7 @@
         return True
 
     def start_stream(self, status: int, headers: dict[str, str] | None, content_type: str) -> bool:
-        """Start a reply whose body is sent in chunks; False as for `reply`."""
+        """Start a reply whose body is sent in chunks.  Return False as `reply` does."""
         if self.data is not None or self.client_gone:
             return False
         request = self.request
@@ -93,7 +93,7 @@
         return True
 
     def write_chunk(self, data: bytes) -> bool:
-        """Send a chunk of the body; False where the client has gone."""
+        """Send a chunk of the body.  Return False if the client has disconnected or no streamed reply is open."""
         if not self.streaming or self.client_gone:
             return False
         if data:
@@ -101,7 +101,7 @@
         return True
 
     def end_stream(self) -> None:
-        """End the body."""
+        """End the body of a streamed reply."""
         if self.streaming and not self.client_gone:
             self.on_client_gone = self.on_writable = None
             self.streaming = False
@@ -114,16 +114,16 @@
 
     @property
     def can_write(self) -> bool:
-        """Whether to send more now; after False, `on_writable` is called once a slow client has read enough."""
+        """Whether to send more now.  After False, `on_writable` is called once a slow client has read enough."""
         if self._connection.unwritten_bytes < MAX_UNWRITTEN_BYTES:
             return True
-        self._awaits_room = True
+        self._awaits_writable = True
         return False
 
     def on_written(self) -> None:
-        """Called by the connection after a write."""
-        if self._awaits_room and self._connection.unwritten_bytes < MAX_UNWRITTEN_BYTES // 2:
-            self._awaits_room = False
+        """Resume a paused producer if enough was written; called by the connection after each write."""
+        if self._awaits_writable and self._connection.unwritten_bytes < MAX_UNWRITTEN_BYTES // 2:
+            self._awaits_writable = False
             if self.on_writable is not None:
                 self.on_writable()
 
--- a/kelptrail/net/listener.py
+++ b/kelptrail/net/listener.py
@@ -1,8 +1,8 @@
-"""Accepting connections: listening sockets, the pace of accepting, and early, cheap rejections.
+"""Accepts connections: listening sockets, a rate limit on new connections, and cheap rejections.
 
 `ConnectPace` decides and does no I/O; `Listener` holds the listening sockets.  It accepts in the loop's callback for a
-readable socket, not by `await sock_accept`: if that is cancelled after the client has left the kernel's accept queue,
-the client is lost, which appears to it as a reset while an address is being released.
+readable socket, not with `await sock_accept`: if that is cancelled after the client has left the kernel's accept queue,
+the client is lost: while an address is being released, it would see a reset.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 from typing import Any, NamedTuple
 from zlib import crc32
 
-from .errors import is_client_gone
+from .errors import is_accept_retryable
 
-ACCEPT_BATCH = 256  # clients accepted in one iteration of the loop
-NO_CAPACITY_RETRY_MS = 20.0  # pause while there is no capacity
-FAILURE_PAUSE_MS, MAX_FAILURE_PAUSE_MS = 5.0, 100.0  # pause after an accept that failed
-FAILURES_BEFORE_BACKOFF = 20  # in a row, after which each pause is twice the one before
-# A rejected connection stays open for a while: a reset would destroy the response before the client reads it.
+ACCEPT_BATCH = 256  # clients accepted in one iteration of the event loop
+NO_CAPACITY_RETRY_MS = 20.0  # pause before `has_capacity` is checked again
+FAILURE_PAUSE_MS, MAX_FAILURE_PAUSE_MS = 5.0, 100.0  # pause after a failed accept
+FAILURES_BEFORE_BACKOFF = 20  # consecutive failed accepts, after which each pause is twice the previous one
+# A rejected connection stays open for LINGER_MS: a reset would destroy the response before the client reads it.
 LINGER_MS, MAX_LINGERING = 300.0, 2048
 
 
 @dataclass(frozen=True, slots=True)
 class PaceSettings:
-    """A token bucket of connections: `burst` at once, `per_s` each second (0: no limit).  A client beyond it gets its
-    own time to retry, at most `max_delay_ms` away.
+    """A token bucket of new connections: `burst` at once, `per_s` each second (0: no limit).  A client over the limit
+    gets its own time to retry, at most `max_delay_ms` away.
     """
 
     burst: float = 1000.0
@@ -39,7 +39,7 @@
 
 
 class AcceptedClient(NamedTuple):
-    """A client that left the accept queue; `peer` is its address and port."""
+    """A client taken from the accept queue; `peer` is its address and port."""
 
     sock: socket.socket
     peer: str
@@ -47,16 +47,16 @@
 
 class ConnectPace:
     """Limits the rate of new connections.  Guards against a reconnect storm after an outage: handshakes and first
-    requests of thousands of clients would delay the calls in flight.  Times in milliseconds.
+    requests of thousands of clients would delay the calls in flight.  Times are milliseconds.
     """
 
     def __init__(self, settings: PaceSettings, seed: int) -> None:
         self._settings, self._seed, self._draws = settings, seed, 0
         self._budget, self._refilled_at = settings.burst, 0.0
-        self._reserved_until = 0.0  # retry times up to this one were given out
+        self._reserved_until = 0.0  # latest retry time assigned so far
 
     def admit(self, now: float) -> float | None:
-        """Decide on a new connection: None to accept it, else the time in ms after which its client may retry."""
+        """Decide on a new connection.  Return None to accept it, else the time in ms after which to retry."""
         settings = self._settings
         if not settings.per_s:
             return None
@@ -65,7 +65,7 @@
         if self._budget >= 1:
             self._budget -= 1
             return None
-        # Retry times are given out at half the rate: the other half is for clients that were never rejected.
+        # Retry times are assigned at half the rate: the other half is for clients that were never rejected.
         self._reserved_until = min(max(self._reserved_until, now) + 2000 / settings.per_s, now + settings.max_delay_ms)
         self._draws += 1
         spread = 0.75 + 0.25 * crc32(f"{self._seed} door {self._draws}".encode()) / 2**32
@@ -75,46 +75,46 @@
 class Listener:
     """The listening sockets of one server.
 
-    `on_accept(socket, peer)` gets each accepted client; `on_early(socket, peer, retry_after_ms)` each that exceeds the
-    pace, and must reject it.
+    `on_accept(socket, peer)` receives each accepted client; `on_over_pace(socket, peer, retry_after_ms)` each client
+    that exceeds the pace, and must reject it.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         on_accept: Callable[[socket.socket, str], None],
-        on_early: Callable[[socket.socket, str, float], None],
+        on_over_pace: Callable[[socket.socket, str, float], None],
         log_event: Callable[..., None],
         pace: ConnectPace | None = None,
     ) -> None:
-        self._loop, self._on_accept, self._on_early, self._log_event, self._pace = (
+        self._loop, self._on_accept, self._on_over_pace, self._log_event, self._pace = (
             loop,
             on_accept,
-            on_early,
+            on_over_pace,
             log_event,
             pace,
         )
         self._sockets: dict[socket.socket, asyncio.TimerHandle | None] = {}
         self._lingering: deque[socket.socket] = deque()
-        self._failures_in_a_row = 0  # accepts that failed
+        self._consecutive_failures = 0  # failed accepts since the last successful one
         self.accept_delay_ms = 0.0
         self.rejected_by_pace = 0
         self.on_connect: Callable[[], None] = _ignore  # called for each accepted client
-        self.has_capacity: Callable[[], bool] = _always_true  # while False, clients stay in the kernel's accept queue
-        self.on_descriptor_shortage: Callable[[], object] = _ignore  # called when descriptors run out
+        self.has_capacity: Callable[[], bool] = _always_true  # while it returns False, clients stay in the accept queue
+        self.on_descriptor_shortage: Callable[[], object] = _ignore  # called when the process runs out of descriptors
 
     @property
     def is_open(self) -> bool:
-        """Whether any socket listens."""
+        """Whether any socket is listening."""
         return bool(self._sockets)
 
     def add_socket(self, sock: socket.socket) -> None:
-        """Accept the clients of a listening socket; the listener closes it."""
+        """Accept the clients of a listening socket, which the listener closes later."""
         self._sockets[sock] = None
         self._loop.add_reader(sock, self._ready, sock)
 
     def close(self, on_queued: Callable[[socket.socket, str], Any] | None = None) -> None:
-        """Close all sockets.  `on_queued` gets each client in the accept queue: closing would reset it."""
+        """Close all sockets.  `on_queued` receives each client in the accept queue, which otherwise would be reset."""
         sockets, self._sockets = self._sockets, {}
         for sock, timer in sockets.items():
             if timer is not None:
@@ -128,7 +128,10 @@
             sock.close()
 
     def accept_queued(self) -> bool:
-        """Accept the clients in the accept queue, whatever the pace; False where some remain for lack of capacity."""
+        """Accept the clients in the accept queue regardless of the pace.
+
+        Return False where some may remain, for lack of capacity or after a failed accept.
+        """
         for sock in list(self._sockets):
             try:
                 while self.has_capacity():
@@ -143,7 +146,11 @@
         return True
 
     def reject(self, client: socket.socket, response: bytes) -> None:
-        """Send `response`, if any, and close: cheaply, and without a reset as long as few connections linger."""
+        """Send `response`, if any, and close the connection.
+
+        With a response, the close is delayed by LINGER_MS to avoid a reset.  Over MAX_LINGERING delayed closes, the
+        oldest is done at once.
+        """
         with contextlib.suppress(OSError):
             if response:
                 client.send(response)
@@ -168,14 +175,14 @@
 
     @staticmethod
     def _accept_next(sock: socket.socket) -> AcceptedClient | None:
-        """The next client in the accept queue and its address, or None.  Raises `OSError` if none can be accepted."""
+        """Return the next client in the accept queue, or None.  Raises `OSError` if none can be accepted."""
         for _ in range(ACCEPT_BATCH):
             try:
                 client, address = sock.accept()
             except BlockingIOError:
                 return None
             except OSError as cause:
-                if not is_client_gone(cause):
+                if not is_accept_retryable(cause):
                     raise
             else:
                 client.setblocking(False)
@@ -185,7 +192,7 @@
     def _on_accept_failure(self, cause: OSError) -> None:
         """Report an accept that failed for lack of descriptors or memory."""
         self._log_event("accept-failed", reason=str(cause))
-        if cause.errno == EMFILE:  # of any other resource, closing our own connections frees nothing
+        if cause.errno == EMFILE:  # for other resources, closing connections would not help
             self.on_descriptor_shortage()
 
     def _ready(self, sock: socket.socket) -> None:
@@ -197,13 +204,13 @@
                 return
             try:
                 accepted = self._accept_next(sock)
-            except OSError as cause:  # out of descriptors: wait until some are closed
+            except OSError as cause:  # for example out of descriptors: wait until some are closed
                 self._on_accept_failure(cause)
-                doublings = min(max(0, self._failures_in_a_row - FAILURES_BEFORE_BACKOFF), 10)
+                doublings = min(max(0, self._consecutive_failures - FAILURES_BEFORE_BACKOFF), 10)
                 self._pause_accepting(sock, min(MAX_FAILURE_PAUSE_MS, FAILURE_PAUSE_MS * 2**doublings))
-                self._failures_in_a_row += 1
+                self._consecutive_failures += 1
                 return
-            self._failures_in_a_row = 0
+            self._consecutive_failures = 0
             if accepted is None:
                 return
             self.on_connect()
@@ -216,10 +223,10 @@
                 self._on_accept(*accepted)
             else:
                 self.rejected_by_pace += 1
-                self._on_early(*accepted, retry_after_ms)
+                self._on_over_pace(*accepted, retry_after_ms)
 
     def _pause_accepting(self, sock: socket.socket, for_ms: float) -> None:
-        """Accept no client for a while."""
+        """Accept no client on this socket for `for_ms`."""
         self._loop.remove_reader(sock)
         self._sockets[sock] = self._loop.call_later(for_ms / 1000, self._resume_accepting, sock)
 
@@ -230,9 +237,9 @@
 
 
 def _ignore() -> None:
-    """The default of callbacks."""
+    """Do nothing: the default of callbacks."""
 
 
 def _always_true() -> bool:
-    """The default of `has_capacity`."""
+    """Return True: the default of `has_capacity`."""
     return True
--- a/kelptrail/net/pool.py
+++ b/kelptrail/net/pool.py
@@ -1,7 +1,7 @@
-"""Connections to one worker: limited in number, reused last in first out, closed when idle, with a connect deadline.
+"""A connection pool for one worker: limited in size, LIFO reuse, closing of idle connections, a connect timeout.
 
-A `Call` is one request to the worker.  It ends exactly once, and its `CallOutcome` says what was seen on the socket,
-above all whether anything had been written.  What that means for an attempt is decided elsewhere.
+A `Call` is one request to the worker.  It ends exactly once.  Its `CallOutcome` reports what was observed on the
+socket, in particular whether anything had been written; the caller decides what that means for the attempt.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 
 
 class CallOutcome(Enum):
-    """How a call ended, as seen on its socket."""
+    """How a call ended, as observed on its socket."""
 
     ANSWERED = "answered"  # a complete response was read
-    UNREACHABLE = "unreachable"  # no connection was made: nothing written
+    UNREACHABLE = "unreachable"  # no connection was established, so nothing was written
     UNSENT = "unsent"  # cancelled before anything was written
-    BROKEN = "broken"  # the connection ended after writing began, or the response was malformed
-    CANCELLED = "given-up"  # cancelled by us after writing began
+    BROKEN = "broken"  # the connection failed after writing began, or the response was malformed
+    CANCELLED = "given-up"  # cancelled by the caller after writing began
 
 
 OnDone = Callable[["Call", CallOutcome, Response | None], None]
 
 
 class Call:
-    """One request in flight; `on_done` is called exactly once.  `tag` is the caller's own."""
+    """One request in flight; `on_done` is called exactly once.  `tag` is opaque data of the caller."""
 
     __slots__ = (
         "_on_done",
@@ -52,7 +52,7 @@
 
     def __init__(self, data: bytes, on_done: OnDone, tag: Any, on_chunk: Callable[[bytes], None] | None = None) -> None:
         self.data, self._on_done, self.tag = data, on_done, tag
-        self.on_chunk = on_chunk  # gets the body of a streamed response as it arrives
+        self.on_chunk = on_chunk  # receives the body of a streamed response as it arrives
         self._paused, self._resumed = False, None
         self.reason = ""
         self._written = self._started = False
@@ -61,22 +61,22 @@
     _resumed: asyncio.Future[None] | None
 
     def pause(self) -> None:
-        """Stop reading the response: TCP flow control then holds the worker back."""
+        """Stop reading the response, so that TCP flow control blocks the worker."""
         self._paused = True
 
     def resume(self) -> None:
-        """Continue reading."""
+        """Continue reading the response."""
         self._paused = False
         if self._resumed is not None and not self._resumed.done():
             self._resumed.set_result(None)
 
     @property
     def written(self) -> bool:
-        """Whether the first byte may have been written."""
+        """Whether anything of the request may have been written."""
         return self._written
 
     def cancel(self, reason: str) -> None:
-        """Cancel the call, which closes its connection: HTTP/1.1 has no other way."""
+        """Cancel the call and close its connection, as HTTP/1.1 has no other way to cancel a request."""
         self.reason = self.reason or reason
         if self._started and self._task is not None:
             self._task.cancel()
@@ -87,7 +87,7 @@
 
 
 def _ignore(call: Call, outcome: CallOutcome, response: Response | None) -> None:
-    """Replaces `on_done` once it was called."""
+    """Do nothing: replaces `on_done` once it was called."""
 
 
 class _PooledConnection:
@@ -95,8 +95,8 @@
 
     __slots__ = ("buffer", "idle_since", "reader", "transport")
 
-    def __init__(self, transport: Transport, answer_bytes: int) -> None:
-        self.transport, self.reader, self.idle_since = transport, ResponseReader(answer_bytes), 0.0
+    def __init__(self, transport: Transport, max_response_bytes: int) -> None:
+        self.transport, self.reader, self.idle_since = transport, ResponseReader(max_response_bytes), 0.0
         self.buffer = bytearray(BUFFER_BYTES)
 
 
@@ -109,35 +109,35 @@
         max_connections: int,
         connect_ms: float,
         idle_ms: float,
-        answer_bytes: int,
+        max_response_bytes: int,
         tls: Callable[[], ssl.SSLContext] | None = None,
     ) -> None:
         host, _, port = address.rpartition(":")
         self.address, self._endpoint = address, (host.strip("[]"), int(port))
-        self._max_connections, self._connect_ms, self._idle_ms, self._answer_bytes = (
+        self._max_connections, self._connect_ms, self._idle_ms, self._max_response_bytes = (
             max_connections,
             connect_ms,
             idle_ms,
-            answer_bytes,
+            max_response_bytes,
         )
         self._loop, self._tls = asyncio.get_running_loop(), tls
         self._idle: list[_PooledConnection] = []
-        self._waiting: deque[asyncio.Future[None]] = deque()
+        self._waiters: deque[asyncio.Future[None]] = deque()
         self._closed = False
         self.open_connections = 0
         self.connections_made = 0
-        self.unexpected_data = 0  # connections with data that no request had asked for
+        self.unexpected_data = 0  # number of connections that received data belonging to no request
         self._calls: set[Call] = set()
 
     @property
     def calls_in_flight(self) -> int:
-        """The number of calls in flight."""
+        """Number of calls in flight."""
         return len(self._calls)
 
     def start(
         self, data: bytes, on_done: OnDone, tag: Any = None, on_chunk: Callable[[bytes], None] | None = None
     ) -> Call:
-        """Start a call; `on_done` is called later, never from within."""
+        """Start a call; `on_done` is called later, never from within this method."""
         call = Call(data, on_done, tag, on_chunk)
         self._calls.add(call)
         call._task = self._loop.create_task(self._run_call(call))
@@ -161,7 +161,7 @@
                 outcome = CallOutcome.ANSWERED
         except asyncio.CancelledError:
             outcome = CallOutcome.CANCELLED if call._written else CallOutcome.UNSENT
-        except TimeoutError:  # no free connection in time; once written, the transport's own time-out
+        except TimeoutError:  # no connection became free in time, or, after writing began, TCP timed out
             outcome = CallOutcome.BROKEN if call._written else CallOutcome.UNSENT
         except (OSError, HttpError):
             outcome = CallOutcome.BROKEN
@@ -179,7 +179,7 @@
             call._finish(outcome, response)
 
     async def _exchange(self, connection: _PooledConnection, call: Call) -> Response | None:
-        """Send a call's request and read its response; None where the worker closed before the end."""
+        """Send a call's request and return its response, None where the worker closed the connection before its end."""
         await connection.transport.sendall(call.data)
         receive, feed, buffer = connection.transport.recv_into, connection.reader.feed, connection.buffer
         connection.reader.on_chunk = call.on_chunk
@@ -196,7 +196,10 @@
         return response
 
     async def _acquire(self) -> _PooledConnection | None:
-        """An open connection; None if none can be made.  Raises `TimeoutError` where all stay in use for too long."""
+        """Return an open connection, None if none can be established.
+
+        Raises `TimeoutError` where no connection becomes free within the connect timeout.
+        """
         while True:
             while self._idle:
                 connection = self._idle.pop()
@@ -205,15 +208,15 @@
                 self._close(connection)
             if self.open_connections < self._max_connections:
                 return await self._connect()
-            turn = self._loop.create_future()
-            self._waiting.append(turn)
+            waiter = self._loop.create_future()
+            self._waiters.append(waiter)
             try:
                 async with asyncio.timeout(self._connect_ms / 1000):
-                    await turn
+                    await waiter
             except BaseException:
-                if turn in self._waiting:
-                    self._waiting.remove(turn)
-                elif turn.done() and not turn.cancelled():
+                if waiter in self._waiters:
+                    self._waiters.remove(waiter)
+                elif waiter.done() and not waiter.cancelled():
                     self._wake_next_waiter()
                 raise
 
@@ -234,17 +237,17 @@
             sock.close()
             self.open_connections -= 1
             self._wake_next_waiter()
-            if isinstance(cause, OSError):  # TimeoutError is one
+            if isinstance(cause, OSError):  # includes TimeoutError
                 return None
             raise
         self.connections_made += 1
-        return _PooledConnection(transport, self._answer_bytes)
+        return _PooledConnection(transport, self._max_response_bytes)
 
     def _is_reusable(self, connection: _PooledConnection) -> bool:
-        """Whether an idle connection is still open with nothing to read.
+        """Return whether an idle connection is still open with nothing to read.
 
-        Guards against an attempt on a connection that the worker has closed: its failure would not prove that it never
-        ran.  Unexpected data is a second answer to the attempt before.
+        Guards against an attempt on a connection that the worker has closed: its failure would not prove that the
+        attempt never ran.  Unexpected data is a second answer to the previous attempt.
         """
         state = connection.transport.probe_idle()
         self.unexpected_data += state is IdleState.UNEXPECTED_DATA
@@ -266,20 +269,20 @@
         self._wake_next_waiter()
 
     def _wake_next_waiter(self) -> None:
-        while self._waiting:
-            turn = self._waiting.popleft()
-            if not turn.done():
-                turn.set_result(None)
+        while self._waiters:
+            waiter = self._waiters.popleft()
+            if not waiter.done():
+                waiter.set_result(None)
                 return
 
     def close_idle(self) -> None:
-        """Close connections that were idle for too long."""
-        before = self._loop.time() - self._idle_ms / 1000
-        while self._idle and self._idle[0].idle_since < before:
+        """Close connections that have been idle for longer than the idle timeout."""
+        oldest_allowed = self._loop.time() - self._idle_ms / 1000
+        while self._idle and self._idle[0].idle_since < oldest_allowed:
             self._close(self._idle.pop(0))
 
     def close(self) -> None:
-        """Close idle connections now, and the others as their calls end."""
+        """Close idle connections now and the others as their calls end."""
         self._closed = True
         while self._idle:
             self._close(self._idle.pop())
--- a/kelptrail/net/server.py
+++ b/kelptrail/net/server.py
@@ -1,7 +1,7 @@
-"""A listening HTTP/1.1 server on the event loop's socket calls; it makes no decisions about requests.
+"""A listening HTTP/1.1 server, based on the event loop's socket calls; it makes no decisions about requests.
 
-Each complete request is passed to the handler with an `Exchange`, to be replied to at once or later, in any order.
-An exchange is notified when its client goes away.
+Each complete request is passed to the handler with an `Exchange`, through which the handler replies immediately or
+later, in any order.  An exchange is notified when its client disconnects.
 """
 
 from __future__ import annotations
@@ -38,11 +38,11 @@
     read_ms: float = 10_000.0
     write_ms: float = 30_000.0
     idle_ms: float = 75_000.0
-    unread_bytes: float = 268_435_456  # of replies that clients have not read yet, over all connections
+    unread_bytes: float = 268_435_456  # limit on unwritten bytes of replies, over all connections
 
 
 class HttpServer:
-    """Listens, holds connections and enforces their limits.  `identify` maps a client's certificate to its identity."""
+    """Accepts connections and enforces their limits.  `identify` maps a client's certificate to its identity."""
 
     def __init__(
         self,
@@ -60,20 +60,20 @@
         self.limits = limits or Limits()
         self.handle = handler
         self._log_event = log_event or (lambda *_args, **_fields: None)
-        self.listener = Listener(self.loop, self._on_accept, self._on_early, self._log_event, pace)
+        self.listener = Listener(self.loop, self._on_accept, self._on_over_pace, self._log_event, pace)
         self._tasks: list[asyncio.Task[Any]] = []
         self._connections: dict[HttpConnection, None] = {}
         self.bytes_in = 0
         self.rejected_connections = 0
-        self.unwritten_bytes = 0  # of replies, over all connections
+        self.unwritten_bytes = 0  # unwritten bytes of replies, over all connections
         self.slow_readers_closed = 0  # connections closed because too many bytes were unwritten
-        self.draining = False  # each reply closes its connection
+        self.draining = False  # while True, each reply closes its connection
         self.address = ""
 
     def add_unwritten(self, count: int) -> None:
         """Count bytes of a reply; over the limit, close the connection whose write has been in progress for longest.
 
-        Guards against many clients that request much and read slowly: each alone stays within its own limits.
+        Guards against many clients that request large replies and read slowly, each within its own limits.
         """
         self.unwritten_bytes += count
         while self.unwritten_bytes > self.limits.unread_bytes:
@@ -91,7 +91,7 @@
 
     @property
     def accept_delay_ms(self) -> float:
-        """The delay of each new connection in ms; used by emulators only."""
+        """Delay of each new connection in ms; used only by emulators."""
         return self.listener.accept_delay_ms
 
     @accept_delay_ms.setter
@@ -100,12 +100,12 @@
 
     @property
     def rejected_by_pace(self) -> int:
-        """How many connections exceeded the pace and were told to retry later."""
+        """Number of connections rejected because they exceeded the pace."""
         return self.listener.rejected_by_pace
 
     @property
     def connections(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self._connections)
 
     @property
@@ -114,7 +114,7 @@
         return any(connection.busy for connection in self._connections)
 
     def listen(self, host: str, port: int, reuse_port: bool = False, backlog: int = 1024) -> int:
-        """Listen on `port` (0: a free one) and return it.  `reuse_port`: other sockets may listen on it too."""
+        """Listen on `port` (0: any free port) and return it.  `reuse_port`: other sockets may listen on it as well."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM)
         try:
@@ -135,7 +135,7 @@
         return bound
 
     def _on_accept(self, client: socket.socket, peer: str) -> None:
-        """Open an accepted connection, or reject it over the limit."""
+        """Open an accepted connection, or reject it if the limit is reached."""
         if len(self._connections) + self._handshakes_in_progress >= self.limits.connections:
             self.rejected_connections += 1
             self._log_event("connection-rejected", open=len(self._connections))
@@ -143,8 +143,8 @@
             return
         self._open_connection(client, peer)
 
-    def _on_early(self, client: socket.socket, peer: str, retry_after_ms: float) -> None:
-        """Reject a client beyond the pace, with the time to retry.  Under TLS it is only closed."""
+    def _on_over_pace(self, client: socket.socket, peer: str, retry_after_ms: float) -> None:
+        """Reject a client that exceeds the pace, with its time to retry; over TLS, only close its connection."""
         body = b'{"error":"Too many connect at once; come back later.","code":"503"}'
         self.listener.reject(
             client,
@@ -198,50 +198,51 @@
                     connection.close_gracefully()
 
     def log_bad_request(self, fault: HttpError, peer: str) -> None:
-        """Log malformed input."""
+        """Log a request that could not be accepted."""
         self._log_event("bad-request", status=fault.status, reason=str(fault), peer=peer)
 
     def log_handler_failure(self, cause: Exception) -> None:
-        """Log an exception of the handler."""
+        """Log an exception raised by the handler."""
         self._log_event("handler-failed", reason=f"{type(cause).__name__}: {cause}")
 
     def forget(self, connection: HttpConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
         self._connections.pop(connection, None)
         self.unwritten_bytes, connection.unwritten_bytes = self.unwritten_bytes - connection.unwritten_bytes, 0
 
     def stop_listening(self) -> None:
-        """Accept no more connections; open ones stay."""
+        """Stop accepting connections; open ones stay open."""
         for task in self._tasks:
             task.cancel()
         self._tasks.clear()
         self.listener.close()
 
     def start_draining(self) -> None:
-        """Accept the clients in the accept queue and no more; from now on each reply closes its connection."""
+        """Accept the clients in the accept queue, then stop listening; from now on each reply closes its connection."""
         self.draining = True
         self.listener.close(self._open_connection)
         self.stop_listening()
 
     def abort_all(self) -> None:
-        """Close every connection now."""
+        """Close every connection immediately."""
         for connection in list(self._connections):
             connection.abort()
 
     async def drain(self, within_ms: float, linger_ms: float = 0.0) -> bool:
-        """Stop listening, finish the requests in flight, then close; True if all finished in time.
+        """Stop listening, finish the requests in flight, then close.  Return whether all finished in time.
 
-        Idle connections stay open for `linger_ms`: a request sent while we close would be lost without an answer
-        (RFC 9112 section 9.5).  A request that arrives on one is answered, and then it closes.
+        Idle connections stay open for `linger_ms`: a request sent while the server closes them would be lost without a
+        reply (RFC 9112 section 9.5).  A request that arrives on an idle connection is answered, then the connection is
+        closed.
         """
         self.start_draining()
         end = self.loop.time() + within_ms / 1000
-        lingers = self.loop.time() + min(linger_ms, within_ms) / 1000
-        while self._connections and self.loop.time() < lingers:
+        linger_end = self.loop.time() + min(linger_ms, within_ms) / 1000
+        while self._connections and self.loop.time() < linger_end:
             await asyncio.sleep(0.01)
         while self._connections and self.loop.time() < end:
             for connection in list(self._connections):
-                if not connection.partial:  # an incomplete request is read to its end, and answered
+                if not connection.partial:  # an incomplete request is read to its end and answered
                     connection.close_gracefully()
             await asyncio.sleep(0.01)
         clean = not self.busy
--- a/kelptrail/net/tls.py
+++ b/kelptrail/net/tls.py
@@ -1,7 +1,7 @@
 """TLS contexts from files, reloaded when the files change; warnings before a certificate expires.
 
-Open connections keep the context that they started with; the next handshake uses the new one.  Unusable files change
-nothing: the old context stays in use, and an error is logged.
+Open connections keep the context that they started with; the next handshake uses the new one.  If the changed files are
+unusable, the previous context stays in use and an error is logged.
 """
 
 from __future__ import annotations
@@ -24,9 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """One side's files and options.  `certificate` holds the chain, and the key too where `key` is None; `authority` is
-    the CA that must have signed peers' certificates; `peers` says whether a client's certificate is "none" (not
-    requested), "asked" (requested) or "required"; `least` is the minimum TLS version.
+    """Files and options of the client or the server side.
+
+    `certificate` holds the chain, and also the key where `key` is None.  `authority` is the CA that must have signed
+    the certificates of peers.  `peers` is the client certificate mode: "none" (not requested), "asked" (requested) or
+    "required".  `least` is the minimum TLS version.
     """
 
     certificate: Path | None
@@ -39,7 +41,7 @@
 
 
 class FileStamp(NamedTuple):
-    """Identifies one version of a file; zeros where the file cannot be examined."""
+    """Identifies one version of a file; the numbers are zero where the file cannot be examined."""
 
     path: str
     modified_ns: int
@@ -47,13 +49,13 @@
 
 
 class ExpiryWarning:
-    """When to warn of a certificate's expiry: once a day in its last `warn_days`.  No I/O; wall time in ms."""
+    """Decides when to warn of a certificate's expiry: once a day in its last `warn_days`.  Does no I/O."""
 
     def __init__(self, warn_days: float) -> None:
         self._warn_days, self._warned_at = warn_days, float("-inf")
 
     def due(self, wall_ms: float, expires_at: float) -> float | None:
-        """The days left, where a warning is due now; else None."""
+        """Return the number of days left if a warning is due now, else None.  Both times are Unix times in ms."""
         left = (expires_at - wall_ms) / DAY_MS
         if left > self._warn_days or wall_ms < self._warned_at + DAY_MS:
             return None
@@ -62,11 +64,11 @@
 
 
 class TlsFilesError(ValueError):
-    """Certificate, key or authority files that cannot be used."""
+    """Raised for certificate, key or authority files that cannot be used."""
 
 
 class CertificateReloader:
-    """Holds one side's context.  Raises `TlsFilesError` on creation where the files cannot be used."""
+    """Holds the TLS context of one side.  Raises `TlsFilesError` on creation if the files cannot be used."""
 
     def __init__(
         self, files: TlsFiles, server_side: bool, alpn: list[str], log: Any, wall_ms: Callable[[], float]
@@ -74,18 +76,18 @@
         self._files, self._server_side, self._alpn, self._log, self._wall_ms = files, server_side, alpn, log, wall_ms
         self._loaded_stamps: list[FileStamp] = []
         self._expiry = ExpiryWarning(files.warn_days)
-        self.expires_at: float | None = None  # wall ms
+        self.expires_at: float | None = None  # Unix time in ms
         self.names: list[str] = []
         self.loads = self.failures = 0
         self._loaded_stamps = self._file_stamps()
         self._context = self._load()
 
     def context(self) -> ssl.SSLContext:
-        """The current context."""
+        """Return the current context."""
         return self._context
 
     def reload_if_changed(self) -> None:
-        """Reload changed files; warn of an expiry that is near."""
+        """Reload the files if they changed, and log a warning when the certificate expires soon."""
         stamps = self._file_stamps()
         if stamps != self._loaded_stamps:
             self._loaded_stamps = stamps
@@ -100,7 +102,7 @@
             self._log.warning("certificate-ends", names=self.names, days=round(left, 1), ends=self._expiry_date())
 
     def status(self) -> dict[str, Any]:
-        """The state that operators see; nothing of it is secret."""
+        """Return the state shown to operators; none of it is secret."""
         left = (self.expires_at - self._wall_ms()) / DAY_MS if self.expires_at is not None else None
         return {
             "names": self.names,
@@ -134,14 +136,14 @@
                 context.set_ciphers(files.ciphers)
             if files.certificate is not None:
                 context.load_cert_chain(files.certificate, files.key)
-                found = read_certificate(files.certificate.read_bytes())
-                self.names = certificate_names(found.public_bytes(Encoding.DER))
-                self.expires_at = found.not_valid_after_utc.timestamp() * 1000
+                certificate = read_certificate(files.certificate.read_bytes())
+                self.names = certificate_names(certificate.public_bytes(Encoding.DER))
+                self.expires_at = certificate.not_valid_after_utc.timestamp() * 1000
             if files.authority is not None:
                 context.load_verify_locations(files.authority)
-        except (OSError, ssl.SSLError, AuthorityError) as cause:  # never the files' contents
-            named = ", ".join(str(f) for f in (files.certificate, files.key, files.authority) if f is not None)
-            raise TlsFilesError(f"{named}: {cause}") from None
+        except (OSError, ssl.SSLError, AuthorityError) as cause:  # the message never includes the files' contents
+            paths = ", ".join(str(f) for f in (files.certificate, files.key, files.authority) if f is not None)
+            raise TlsFilesError(f"{paths}: {cause}") from None
         if self._server_side:
             context.verify_mode = {"none": ssl.CERT_NONE, "asked": ssl.CERT_OPTIONAL, "required": ssl.CERT_REQUIRED}[
                 files.peers
--- a/kelptrail/net/transport.py
+++ b/kelptrail/net/transport.py
@@ -1,8 +1,7 @@
-"""A connection's byte stream, plain or under TLS, both on the event loop's socket calls.
+"""The byte stream of a connection, plain or over TLS, based on the event loop's socket calls.
 
-A plain transport passes `sock_recv_into` and `sock_sendall` on as they are.  A TLS transport runs the state machine of
-`ssl` over memory buffers between it and the socket.  So neither needs asyncio's transports, and both look the same to
-their users.
+A plain transport exposes `sock_recv_into` and `sock_sendall` directly.  A TLS transport connects the state machine of
+`ssl` to the socket through memory buffers.  So neither needs asyncio's transports, and both have the same interface.
 """
 
 from __future__ import annotations
@@ -21,15 +20,15 @@
 
 from .errors import is_transient
 
-BUFFER = 65_536
+BUFFER_BYTES = 65_536
 
 
 class IdleState(Enum):
-    """What a look at a connection on which no bytes are expected has found."""
+    """State of a connection on which no bytes are expected."""
 
     IDLE = "idle"  # open, with nothing to read
     CLOSED = "closed"  # the peer closed it, or it failed
-    UNEXPECTED_DATA = "unexpected-data"  # bytes arrived, or may have: the look itself failed transiently
+    UNEXPECTED_DATA = "unexpected-data"  # bytes arrived, or the check failed transiently and they may have
 
 
 class Transport:
@@ -53,7 +52,7 @@
         return None
 
     def probe_idle(self) -> IdleState:
-        """The state of a connection on which no bytes are expected; reads nothing from the socket's buffer."""
+        """Return the state of a connection on which no bytes are expected, without consuming any from the socket."""
         try:
             return IdleState.UNEXPECTED_DATA if self.sock.recv(1, socket.MSG_PEEK) else IdleState.CLOSED
         except BlockingIOError:
@@ -62,7 +61,7 @@
             return IdleState.UNEXPECTED_DATA if is_transient(cause) else IdleState.CLOSED
 
     def unread_bytes(self) -> int:
-        """Bytes in the socket's receive buffer; 0 where that cannot be determined."""
+        """Return the number of bytes in the socket's receive buffer, 0 where that cannot be determined."""
         count = array("i", [0])
         with contextlib.suppress(OSError, ValueError):
             fcntl.ioctl(self.sock.fileno(), termios.FIONREAD, count)
@@ -78,9 +77,9 @@
 
 
 class TlsTransport(Transport):
-    """A connection under TLS; `handshake` must complete first."""
+    """A connection over TLS; `handshake` must complete before it is used."""
 
-    __slots__ = ("_buffer", "_in", "_lock", "_loop", "_out", "_tls")
+    __slots__ = ("_buffer", "_incoming", "_loop", "_outgoing", "_send_lock", "_tls")
 
     def __init__(
         self,
@@ -91,10 +90,10 @@
         name: str | None = None,
     ) -> None:
         super().__init__(loop, sock)
-        self._loop, self._in, self._out = loop, ssl.MemoryBIO(), ssl.MemoryBIO()
-        self._tls = context.wrap_bio(self._in, self._out, server_side, name)
-        self._buffer = bytearray(BUFFER)
-        self._lock = asyncio.Lock()  # records are sent in the order in which they were made
+        self._loop, self._incoming, self._outgoing = loop, ssl.MemoryBIO(), ssl.MemoryBIO()
+        self._tls = context.wrap_bio(self._incoming, self._outgoing, server_side, name)
+        self._buffer = bytearray(BUFFER_BYTES)
+        self._send_lock = asyncio.Lock()  # records must be sent in the order in which they were produced
         self.recv_into, self.sendall = self._recv_into, self._sendall
 
     async def handshake(self, within_ms: float) -> None:
@@ -108,24 +107,24 @@
                 except ssl.SSLWantReadError:
                     await self._flush()
                     if not await self._fill():
-                        raise ConnectionResetError("the peer went away in the handshake") from None
+                        raise ConnectionResetError("the peer closed the connection during the TLS handshake") from None
                 except ssl.SSLError:
-                    await self._flush()  # send the alert
+                    await self._flush()  # sends the alert
                     raise
 
     async def _fill(self) -> bool:
         count = await self._loop.sock_recv_into(self.sock, self._buffer)
         if not count:
-            self._in.write_eof()
+            self._incoming.write_eof()
             return False
         with memoryview(self._buffer) as view:
-            self._in.write(view[:count])
+            self._incoming.write(view[:count])
         return True
 
     async def _flush(self) -> None:
-        if self._out.pending:
-            async with self._lock:
-                if data := self._out.read():
+        if self._outgoing.pending:
+            async with self._send_lock:
+                if data := self._outgoing.read():
                     await self._loop.sock_sendall(self.sock, data)
 
     async def _recv_into(self, buffer: Any) -> int:
@@ -133,7 +132,7 @@
             try:
                 return self._tls.read(len(buffer), buffer)  # type: ignore[return-value]
             except ssl.SSLWantReadError:
-                await self._flush()  # replies to key updates
+                await self._flush()  # sends replies to key updates
                 if not await self._fill():
                     return 0
             except ssl.SSLZeroReturnError:
@@ -144,10 +143,10 @@
                 raise ConnectionResetError(str(cause)) from None
 
     async def _sendall(self, data: Any) -> None:
-        view, at = memoryview(data), 0
-        while at < len(view):
+        view, offset = memoryview(data), 0
+        while offset < len(view):
             try:
-                at += self._tls.write(view[at : at + BUFFER])
+                offset += self._tls.write(view[offset : offset + BUFFER_BYTES])
             except ssl.SSLError as cause:
                 raise ConnectionResetError(str(cause)) from None
             await self._flush()
@@ -163,15 +162,16 @@
         return self._tls.selected_alpn_protocol()
 
     def probe_idle(self) -> IdleState:
-        """As on a plain connection, but reads and decrypts; records of TLS itself, such as new session tickets
-        (RFC 8446, section 4.6.1), leave it idle.
+        """Return the state of a connection on which no bytes are expected; reads and decrypts pending input.
+
+        Records that carry no application data, such as new session tickets (RFC 8446 section 4.6.1), leave it idle.
         """
         try:
             while True:
-                data = self.sock.recv(BUFFER)
+                data = self.sock.recv(BUFFER_BYTES)
                 if not data:
                     return IdleState.CLOSED
-                self._in.write(data)
+                self._incoming.write(data)
         except BlockingIOError:
             pass
         except OSError:
@@ -189,10 +189,10 @@
         return self._tls.version()
 
     def end(self) -> None:
-        """Send `close_notify` (RFC 8446, section 6.1), as far as the socket takes it at once, and shut down."""
+        """Send `close_notify` (RFC 8446 section 6.1) without waiting, and shut down the sending side."""
         with contextlib.suppress(ssl.SSLError, ValueError):
             self._tls.unwrap()
         with contextlib.suppress(OSError):
-            if data := self._out.read():
+            if data := self._outgoing.read():
                 self.sock.send(data)
         super().shutdown_write()
