--- a/kelptrail/codec/__init__.py
+++ b/kelptrail/codec/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes to messages and back, without I/O: HTTP/1.1, the inference protocol, load reports."""
+"""Encoders and decoders of messages, without I/O: HTTP/1.1, gRPC, the inference protocol, platform protocols."""
--- a/kelptrail/codec/frames.py
+++ b/kelptrail/codec/frames.py
@@ -1,8 +1,8 @@
-"""The binary frames between the platform's clients and a dispatcher; without I/O.
+"""Binary frames between the platform's clients and a dispatcher; without I/O.
 
-A frame is a length (4 bytes), a type (1), a stream id (4) and a payload; the length counts all that follows it.  Fields
-are a count (1 byte) and that many pairs of text: name length (1), name, value length (2), value.  Numbers are unsigned
-and big-endian.
+A frame is a length (4 bytes), a type (1), a stream id (4) and a payload.  The length counts the bytes that follow it.
+Fields are a count (1 byte) and that many pairs of text: name length (1), name, value length (2), value.  Numbers are
+unsigned and big-endian.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 class FrameError(ValueError):
-    """Bytes that are not a valid frame, or a payload that its type does not allow; `stream` is 0 where unknown."""
+    """Raised for an invalid frame, or a payload that its type does not allow.  `stream` is 0 where it is unknown."""
 
-    def __init__(self, what: str, stream: int = 0) -> None:
-        super().__init__(what)
+    def __init__(self, text: str, stream: int = 0) -> None:
+        super().__init__(text)
         self.stream = stream
 
 
@@ -34,24 +34,25 @@
         self._max_length, self._buffer = max_length, bytearray()
 
     def __len__(self) -> int:
-        """Bytes buffered of a frame that is not complete."""
+        """Return the number of buffered bytes of an incomplete frame."""
         return len(self._buffer)
 
     def feed(self, data: memoryview | bytes) -> None:
-        """Add bytes that were received."""
+        """Add received bytes."""
         self._buffer += data
 
     def next(self) -> tuple[int, int, bytes] | None:
-        """Type, stream id and payload of the next complete frame, or None.  Raises `FrameError`.
+        """Return type, stream id and payload of the next complete frame, or None.  Raises `FrameError`.
 
-        A bare tuple: this runs once for each frame, and a named one costs several times as much to make.
+        The result is a plain tuple because this runs for each frame and a named tuple costs several times as much to
+        create.
         """
         buffer = self._buffer
         if len(buffer) < 4:
             return None
         length = int.from_bytes(buffer[:4], "big")
         if length < 5:
-            raise FrameError(f"a frame of length {length}")
+            raise FrameError(f"invalid frame length {length}")
         if length > self._max_length:
             if len(buffer) < 9:
                 return None if length <= 16 * MAX_BODY_BYTES else self._too_long(length, 0)
@@ -65,47 +66,49 @@
 
     @staticmethod
     def _too_long(length: int, stream: int) -> None:
-        raise FrameError(f"a frame of length {length}", stream)
+        raise FrameError(f"invalid frame length {length}", stream)
 
 
 def read_fields(payload: bytes) -> tuple[dict[str, str], int]:
-    """The fields at the start of a payload, and the offset after them.  Raises `FrameError`."""
+    """Return the fields at the start of a payload and the offset after them.  Raises `FrameError`."""
     try:
-        count, at, fields = payload[0], 1, {}
+        count, offset, fields = payload[0], 1, {}
         for _ in range(count):
-            end = at + 1 + payload[at]
-            name = payload[at + 1 : end].decode()
-            at = end + 2 + (payload[end] << 8 | payload[end + 1])
-            if at > len(payload) or name in fields:
-                raise FrameError("fields beyond the payload" if at > len(payload) else f"field {name!r} twice")
-            fields[name] = payload[end + 2 : at].decode()
+            end = offset + 1 + payload[offset]
+            name = payload[offset + 1 : end].decode()
+            offset = end + 2 + (payload[end] << 8 | payload[end + 1])
+            if offset > len(payload) or name in fields:
+                raise FrameError(
+                    "fields exceed the payload" if offset > len(payload) else f"field {name!r} is repeated"
+                )
+            fields[name] = payload[end + 2 : offset].decode()
     except IndexError:
-        raise FrameError("fields beyond the payload") from None
+        raise FrameError("fields exceed the payload") from None
     except UnicodeDecodeError:
-        raise FrameError("fields that are no text") from None
-    return fields, at
+        raise FrameError("fields are not valid UTF-8") from None
+    return fields, offset
 
 
 def encode_frame(kind: int, stream: int, payload: bytes = b"") -> bytes:
-    """One frame of type `kind`."""
+    """Encode one frame of type `kind`."""
     return _HEAD.pack(5 + len(payload), kind, stream) + payload
 
 
-def encode_fields(named: dict[str, str]) -> bytes:
-    """Fields in the form that `read_fields` reads."""
-    out = [bytes((len(named),))]
-    for name, value in named.items():
+def encode_fields(fields: dict[str, str]) -> bytes:
+    """Encode fields in the form that `read_fields` reads."""
+    out = [bytes((len(fields),))]
+    for name, value in fields.items():
         key, text = name.encode(), value.encode()
         out += [bytes((len(key),)), key, _SIZE.pack(len(text)), text]
     return b"".join(out)
 
 
 def encode_answer(stream: int, code: int, body: bytes = b"", retry_after_ms: int = 0) -> bytes:
-    """The answer to a request; `retry_after_ms` asks the client to wait that long before it retries."""
-    header = encode_fields({"later": str(retry_after_ms)}) if retry_after_ms else b"\0"
-    return _HEAD.pack(6 + len(header) + len(body), ANSWER, stream) + bytes((code,)) + header + body
+    """Encode the answer to a request.  `retry_after_ms` is how long the client should wait before a retry (0: none)."""
+    fields = encode_fields({"later": str(retry_after_ms)}) if retry_after_ms else b"\0"
+    return _HEAD.pack(6 + len(fields) + len(body), ANSWER, stream) + bytes((code,)) + fields + body
 
 
 def encode_ready(stream: int, is_ready: bool) -> bytes:
-    """The answer to a `READY_QUERY`."""
+    """Encode the answer to a `READY_QUERY`."""
     return encode_frame(READY, stream, bytes((SERVED if is_ready else REFUSED, 0)))
--- a/kelptrail/codec/grpc.py
+++ b/kelptrail/codec/grpc.py
@@ -46,7 +46,8 @@
 class GrpcError(Exception):
     """A status other than OK.
 
-    `retry_ms` becomes `RetryInfo`, after how many ms the client may retry; `reason` and `details` become `ErrorInfo`.
+    `retry_ms`, the time in ms after which the client may retry, is sent as `RetryInfo`; `reason` and `details` are sent
+    as `ErrorInfo`.
     """
 
     def __init__(
@@ -62,11 +63,11 @@
 
 
 class TimeoutHeaderError(ValueError):
-    """A `grpc-timeout` header that is malformed."""
+    """Raised for a malformed `grpc-timeout` header."""
 
 
 class CallStatus(NamedTuple):
-    """The status that ended a call, as its client reads it; `retry_ms` is None where the server gave no `RetryInfo`."""
+    """The status that ended a call, as its client receives it; `retry_ms` is None if the server sent no `RetryInfo`."""
 
     code: Code
     text: str
@@ -76,7 +77,7 @@
 
 
 def timeout_ms(text: str) -> float:
-    """`grpc-timeout` in milliseconds: at most 8 digits and a unit.  Raises `TimeoutHeaderError`."""
+    """Return a `grpc-timeout` header in ms: at most 8 digits and a unit.  Raises `TimeoutHeaderError`."""
     number, unit = text[:-1], text[-1:]
     if not 0 < len(number) <= 8 or not number.isascii() or not number.isdigit() or unit not in UNITS_MS:
         raise TimeoutHeaderError(f"no grpc-timeout: {text[:20]!r}")
@@ -84,13 +85,14 @@
 
 
 def encode_message(data: bytes) -> bytes:
-    """One length-prefixed message, not compressed."""
+    """Encode one length-prefixed message, without compression."""
     return PREFIX.pack(0, len(data)) + data
 
 
 class MessageReader:
-    """Parses the payload of DATA frames into messages.  A message over `max_message_bytes` is rejected on its prefix,
-    before its bytes are buffered.
+    """Parses the payload of DATA frames into messages.
+
+    A message over `max_message_bytes` is rejected when its length prefix is read, before the message is buffered.
     """
 
     def __init__(self, max_message_bytes: int) -> None:
@@ -98,37 +100,42 @@
 
     @property
     def partial_bytes(self) -> int:
-        """Bytes buffered of a message that is not complete."""
+        """Number of buffered bytes of an incomplete message."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add bytes; return the messages that are complete now.  Raises `GrpcError` for one compressed or too large."""
+        """Add bytes and return the messages that are now complete.
+
+        Raises `GrpcError` for a message that is compressed or too large, or has undefined flags.
+        """
         self._buffer += data
         messages: list[bytes] = []
-        at = 0
-        while len(self._buffer) - at >= PREFIX.size:
-            packed, length = PREFIX.unpack_from(self._buffer, at)
-            if packed > 1:
-                raise GrpcError(Code.INTERNAL, f"a message with flags {packed}, which are not defined")
-            if packed:
+        offset = 0
+        while len(self._buffer) - offset >= PREFIX.size:
+            flags, length = PREFIX.unpack_from(self._buffer, offset)
+            if flags > 1:
+                raise GrpcError(Code.INTERNAL, f"a message with flags {flags}, which are not defined")
+            if flags:
                 raise GrpcError(Code.UNIMPLEMENTED, "a compressed message; no compression is spoken here")
             if length > self._max_message_bytes:
                 text = f"a message of {length} bytes, at most {self._max_message_bytes}"
                 raise GrpcError(Code.RESOURCE_EXHAUSTED, text)
-            if len(self._buffer) - at < PREFIX.size + length:
+            if len(self._buffer) - offset < PREFIX.size + length:
                 break
-            at += PREFIX.size
-            messages.append(bytes(self._buffer[at : at + length]))
-            at += length
-        if at:
-            del self._buffer[:at]
+            offset += PREFIX.size
+            messages.append(bytes(self._buffer[offset : offset + length]))
+            offset += length
+        if offset:
+            del self._buffer[:offset]
         return messages
 
 
 def encode_trailers(
     code: Code, text: str = "", retry_ms: float | None = None, reason: str = "", details: dict[str, str] | None = None
 ) -> list[tuple[bytes, bytes]]:
-    """The trailers that end a call.  The text is percent-encoded UTF-8; the rest is sent as a `google.rpc.Status` in
+    """Encode the trailers that end a call.
+
+    The text is percent-encoded UTF-8.  `retry_ms`, `reason` and `details` are sent as a `google.rpc.Status` in
     `grpc-status-details-bin`.
     """
     out = [(b"grpc-status", str(int(code)).encode())]
@@ -148,7 +155,7 @@
 
 
 def read_trailers(headers: dict[str, str]) -> CallStatus:
-    """The status in a call's trailers."""
+    """Return the status in the trailers of a call."""
     code = Code(int(headers.get("grpc-status", "2")))
     retry_ms, reason, details = None, "", dict[str, str]()
     packed = headers.get("grpc-status-details-bin", "")
--- a/kelptrail/codec/http.py
+++ b/kelptrail/codec/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 messages without I/O, on top of the parser `httptools`.
+"""HTTP/1.1 messages without I/O, based on the parser of `httptools`.
 
 `RequestReader` and `ResponseReader` parse a byte stream into complete messages.  Malformed input and input over a limit
-end in an `HttpError` with the status to reply with (RFC 9110 section 15, RFC 9112).
+result in an `HttpError` with the status to reply with (RFC 9110 section 15, RFC 9112).
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class HttpError(Exception):
-    """Input that ends the connection; `status` is the one to reply with, where a reply is still possible."""
+    """Input after which the connection is closed; `status` is the status to reply with if a reply is possible."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -42,38 +42,41 @@
 
     @property
     def path(self) -> str:
-        """The path as sent, still escaped."""
+        """The path as received, still percent-encoded."""
         return self.target.partition("?")[0]
 
     @property
     def segments(self) -> list[str]:
-        """The unescaped segments of the path."""
+        """The percent-decoded segments of the path."""
         return [unquote(part) for part in urlsplit(self.path).path.strip("/").split("/")]
 
     @property
     def query(self) -> dict[str, str]:
-        """The query's fields, the last of each name."""
+        """The fields of the query; the last value of a repeated name counts."""
         _, _, query = self.target.partition("?")
         return dict(parse_qsl(query, keep_blank_values=True)) if query else {}
 
 
 class CompletedRequests(NamedTuple):
-    """Requests that are complete, in order, and the error that ends the connection once they are answered, if any."""
+    """Complete requests in order, and the error, if any, after which the connection closes once they are answered."""
 
     requests: list[Request]
     error: HttpError | None
 
 
 class RequestReader:
-    """Parses requests, for a server.  `wants_continue`: the client waits for a status 100 (RFC 9110 section 10.1.1)."""
+    """Parses requests for a server.
+
+    `wants_continue` is True while the client waits for an interim response with status 100 (RFC 9110 section 10.1.1).
+    """
 
     def __init__(self, header_bytes: int, body_bytes: int) -> None:
         self._header_bytes, self._body_bytes = header_bytes, body_bytes
         self._parser = httptools.HttpRequestParser(self)
-        self._done: list[Request] = []
-        self._fault: HttpError | None = None
+        self._completed: list[Request] = []
+        self._error: HttpError | None = None
         self._closed = False
-        self.partial = False  # the start of a request was read, but not its end
+        self.partial = False  # whether the start of a request was read but not its end
         self.wants_continue = False
         self._reset()
         self._in_head = False
@@ -81,31 +84,31 @@
     def _reset(self) -> None:
         self._target, self._body = b"", bytearray()
         self._headers: dict[str, str] = {}
-        # Bytes of the request's head: in the parser's callbacks, and in buffers that held nothing else.
+        # Bytes of the request's head, as counted in the parser's callbacks and in input buffers that held nothing else.
         self._parsed_head_bytes = self._raw_head_bytes = 0
         self._in_head = True
 
     # Callbacks of the parser; they must not raise.
 
     def on_message_begin(self) -> None:
-        """A request starts."""
+        """Start a new request."""
         self._reset()
         self.partial = True
 
     def on_url(self, url: bytes) -> None:
-        """A part of the request target."""
+        """Add a part of the request target."""
         self._target += url
         self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header field."""
+        """Add one header field."""
         self._count_head_bytes(len(name) + len(value))
         key, text = name.decode("latin-1").lower(), value.decode("latin-1")
         known = self._headers.get(key)
         self._headers[key] = text if known is None else f"{known}, {text}"
 
     def on_headers_complete(self) -> None:
-        """The head is complete: check the announced length and `Expect`."""
+        """Check the fields `Content-Length` and `Expect` once the head is complete."""
         self._in_head = False
         length = self._headers.get("content-length")
         if length is not None and length.isdigit() and int(length) > self._body_bytes:
@@ -116,26 +119,26 @@
             self._fail(417, "only 100-continue can be expected")
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body."""
+        """Add a part of the body."""
         if len(self._body) + len(body) > self._body_bytes:
             self._fail(413, f"a body over {self._body_bytes} bytes")
         else:
             self._body += body
 
     def on_message_complete(self) -> None:
-        """The request is complete."""
+        """Store the complete request for the next return of `feed`."""
         self.partial = self.wants_continue = False
-        if self._fault is not None:
+        if self._error is not None:
             return
-        keep = self._parser.should_keep_alive()
-        self._closed = self._closed or not keep
-        self._done.append(
+        keep_alive = self._parser.should_keep_alive()
+        self._closed = self._closed or not keep_alive
+        self._completed.append(
             Request(
                 self._parser.get_method().decode("latin-1"),
                 self._target.decode("latin-1"),
                 self._headers,
                 bytes(self._body),
-                keep,
+                keep_alive,
                 self._parser.get_http_version(),
             )
         )
@@ -149,11 +152,11 @@
             self._fail(431, f"a head over {self._header_bytes} bytes")
 
     def _fail(self, status: int, reason: str) -> None:
-        self._fault = self._fault or HttpError(status, reason)
+        self._error = self._error or HttpError(status, reason)
 
     def feed(self, data: bytes | memoryview) -> CompletedRequests:
-        """Add bytes; return the requests that are complete now."""
-        if self._closed:  # RFC 9112 section 9.6: bytes after a last request are not read
+        """Add bytes and return the requests that are now complete."""
+        if self._closed:  # RFC 9112 section 9.6: input after the last request is ignored
             return CompletedRequests([], None)
         in_head = self.partial and self._in_head
         try:
@@ -163,11 +166,11 @@
         except httptools.HttpParserError as cause:
             if not self._closed:
                 self._fail(400, f"malformed HTTP: {cause}")
-        if in_head and self._in_head and not self._done:  # the parser makes no callback for a header without an end
+        if in_head and self._in_head and not self._completed:  # no callback runs for an incomplete header
             self._raw_head_bytes += len(data)
             self._check_head()
-        done, self._done = self._done, []
-        return CompletedRequests(done, self._fault)
+        completed, self._completed = self._completed, []
+        return CompletedRequests(completed, self._error)
 
 
 @dataclass(slots=True, eq=False)
@@ -181,7 +184,7 @@
 
 
 class ResponseReader:
-    """Parses responses, for a client that has one request at a time in flight on a connection."""
+    """Parses responses for a client that has at most one request in flight on a connection."""
 
     def __init__(self, body_bytes: int) -> None:
         self._body_bytes = body_bytes
@@ -189,20 +192,20 @@
         self._headers: dict[str, str] = {}
         self._body = bytearray()
         self._response: Response | None = None
-        self.unexpected_data = False  # bytes came that belong to no request
-        self.on_chunk: Callable[[bytes], None] | None = None  # gets the body of an event stream as it arrives
+        self.unexpected_data = False  # whether bytes arrived that belong to no request
+        self.on_chunk: Callable[[bytes], None] | None = None  # receives the body of an event stream as it arrives
         self._streaming = False
 
     def on_message_begin(self) -> None:
-        """A response starts."""
+        """Start a new response."""
         self._headers, self._body = {}, bytearray()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header field."""
+        """Add one header field."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """The head is complete: decide whether the body is passed on in chunks."""
+        """Decide, once the head is complete, whether to pass the body on in chunks."""
         self._streaming = (
             self.on_chunk is not None
             and self._parser.get_status_code() == 200
@@ -210,16 +213,16 @@
         )
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body."""
+        """Add a part of the body, or pass it on if the response is streamed."""
         if self._streaming and self.on_chunk is not None:
             self.on_chunk(body)
         elif len(self._body) <= self._body_bytes:
             self._body += body
 
     def on_message_complete(self) -> None:
-        """The response is complete."""
+        """Store the complete response for the next return of `feed`; skip interim responses."""
         status = self._parser.get_status_code()
-        if status < 200:  # RFC 9110 section 15.2: interim responses are skipped
+        if status < 200:  # an interim response, RFC 9110 section 15.2
             return
         if self._response is not None:
             self.unexpected_data = True
@@ -227,7 +230,7 @@
         self._response = Response(status, self._headers, bytes(self._body), self._parser.should_keep_alive())
 
     def feed(self, data: bytes | memoryview) -> Response | None:
-        """Add bytes; return the response once it is complete.  Raises `HttpError` for a malformed or too long one."""
+        """Add bytes and return the response once it is complete.  Raises `HttpError` if it is malformed or too long."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as cause:
@@ -247,7 +250,7 @@
     keep_alive: bool = True,
     content_type: str = "application/json",
 ) -> bytes:
-    """A response with a `content-length`; status 204 has no body (RFC 9110 section 15.3.5)."""
+    """Encode a response with a `content-length`; status 204 has no body (RFC 9110 section 15.3.5)."""
     head = [b"HTTP/1.1 %d %s\r\n" % (status, PHRASES.get(status, b"Status"))]
     if status != 204:
         head.append(b"content-type: %s\r\ncontent-length: %d\r\n" % (content_type.encode(), len(body)))
@@ -261,7 +264,7 @@
 
 
 def encode_head(status: int, headers: Mapping[str, str] | None, content_type: str, keep_alive: bool) -> bytes:
-    """The head of a response whose body is sent in chunks (RFC 9112 section 7.1)."""
+    """Encode the head of a response whose body is sent in chunks (RFC 9112 section 7.1)."""
     head = [
         f"HTTP/1.1 {status} {PHRASES.get(status, b'Status').decode()}\r\ncontent-type: {content_type}\r\n"
         "transfer-encoding: chunked\r\n"
@@ -273,14 +276,14 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """One chunk; an empty one ends the body (RFC 9112 section 7.1)."""
+    """Encode one chunk; an empty one ends the body (RFC 9112 section 7.1)."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 def encode_request(
     method: str, target: str, host: str, body: bytes = b"", headers: Mapping[str, str] | None = None
 ) -> bytes:
-    """A request with a `content-length`."""
+    """Encode a request with a `content-length`."""
     lines = [f"{method} {target} HTTP/1.1\r\nhost: {host}\r\ncontent-length: {len(body)}\r\n"]
     if body:
         lines.append("content-type: application/json\r\n")
--- a/kelptrail/codec/infer.py
+++ b/kelptrail/codec/infer.py
@@ -1,9 +1,10 @@
 """The Open Inference Protocol v2 over HTTP with the model repository extension, as workers implement it.
 
-A request's parameters are sent as one BYTES tensor that holds a JSON object, its idempotency key as the `id`.  A worker
-proves that an attempt never ran by the header `never-ran` on its rejection (`full` or `miss`); a rejection without
-the header proves nothing.  Load is reported by the ORCA header `endpoint-load-metrics` in its TEXT form; its metrics
-`found` and `company` say whether an instance was loaded, and how many other requests of the model it had.
+The parameters of a request are sent as one BYTES tensor that holds a JSON object, its idempotency key as the `id`.  A
+worker proves that an attempt never ran with the header `never-ran` (`full` or `miss`) on its rejection; a rejection
+without the header proves nothing.  Load is reported in the ORCA header `endpoint-load-metrics` in its TEXT form.  Its
+metrics `found` and `company` report whether an instance was loaded, and how many other requests of the model the worker
+had.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 class InferResponse(msgspec.Struct):
-    """The body of the response to it; `parameters.success` false: the function itself failed."""
+    """The body of the response to an `InferRequest`.  If `parameters.success` is false, the function itself failed."""
 
     model_name: str
     id: str
@@ -41,22 +42,23 @@
 
 
 class LoadRequest(msgspec.Struct):
-    """The body of `POST /v2/repository/models/{model}/load`; the parameter `copies`
-    is the number of instances to keep loaded.
+    """The body of `POST /v2/repository/models/{model}/load`.
+
+    The parameter `copies` is the number of instances to keep loaded.
     """
 
     parameters: dict[str, str | int | float | bool] = {}
 
 
 class LoadResponse(msgspec.Struct):
-    """The body of the response to it; `standing`: how many instances are loaded."""
+    """The body of the response to a `LoadRequest`; `standing` is the number of loaded instances."""
 
     standing: int = 0
     error: str = ""
 
 
 class TensorsRequest(msgspec.Struct, omit_defaults=True):
-    """The body of an attempt whose payload is the caller's own tensors; `outputs` names the tensors that it wants."""
+    """The body of an attempt whose payload is tensors of the caller; `outputs` names the requested output tensors."""
 
     id: str
     inputs: msgspec.Raw
@@ -65,7 +67,7 @@
 
 
 class Payload(msgspec.Struct, omit_defaults=True):
-    """The payload of a request in tensors, as it is stored."""
+    """The payload of a tensor request, as it is stored."""
 
     inputs: msgspec.Raw
     outputs: msgspec.Raw = msgspec.Raw(b"[]")
@@ -73,7 +75,7 @@
 
 
 class MalformedError(Exception):
-    """A body that does not follow the protocol."""
+    """Raised for a body that does not follow the protocol."""
 
 
 _encode = msgspec.json.Encoder().encode
@@ -87,24 +89,24 @@
 def infer_request(
     host: str,
     model: str,
-    mark: str,
+    request_id: str,
     payload: bytes,
     parameters: dict[str, str | int | float | bool],
     headers: dict[str, str],
     form: str = "json",
 ) -> bytes:
-    """The request of one attempt.  The caller's own parameters are included, but never replace ours."""
+    """Encode the request of one attempt.  Parameters of the caller are included but never override `parameters`."""
     body: InferRequest | TensorsRequest
     if form == "tensors":
         tensors = _payload(payload)
-        body = TensorsRequest(mark, tensors.inputs, tensors.parameters | parameters, tensors.outputs)
+        body = TensorsRequest(request_id, tensors.inputs, tensors.parameters | parameters, tensors.outputs)
     else:
-        body = InferRequest(mark, [Tensor("params", "BYTES", [1], [payload.decode()])], parameters)
+        body = InferRequest(request_id, [Tensor("params", "BYTES", [1], [payload.decode()])], parameters)
     return encode_request("POST", f"/v2/models/{quote(model, safe='')}/infer", host, _encode(body), headers)
 
 
 class ParsedInfer(NamedTuple):
-    """The body of an attempt, and the JSON text in it, empty for a request in tensors."""
+    """The body of an attempt and its JSON text, which is empty for a tensor request."""
 
     request: InferRequest
     payload: str
@@ -125,22 +127,24 @@
         raise MalformedError(str(cause)) from None
 
 
-def tensors_answer(model: str, mark: str, outputs: list[JsonTensor], **parameters: str | int | float | bool) -> bytes:
-    """The body of a response in tensors."""
-    return _encode(InferResponse(model, mark, outputs, parameters))
+def tensors_answer(
+    model: str, request_id: str, outputs: list[JsonTensor], **parameters: str | int | float | bool
+) -> bytes:
+    """Encode the body of a response in tensors."""
+    return _encode(InferResponse(model, request_id, outputs, parameters))
 
 
-def infer_answer(model: str, mark: str, result: str, success: bool) -> bytes:
-    """The body of a response with a JSON result."""
-    out = InferResponse(model, mark, [Tensor("result", "BYTES", [1], [result])], {"success": success})
-    return _encode(out)
+def infer_answer(model: str, request_id: str, result: str, success: bool) -> bytes:
+    """Encode the body of a response with a JSON result."""
+    response = InferResponse(model, request_id, [Tensor("result", "BYTES", [1], [result])], {"success": success})
+    return _encode(response)
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerAnswer:
-    """What a worker's response to an attempt says.
+    """Content of a worker's response to an attempt.
 
-    `instance_loaded` is None where it was not reported; `report` is the load report, by metric.
+    `instance_loaded` is None if it was not reported.  `report` is the load report, by metric name.
     """
 
     kind: str  # "completed", "error", "full" or "miss"
@@ -150,33 +154,33 @@
     instance_loaded: bool | None = None
     other_requests: int = 0
     report: dict[str, float] | None = None
-    streamed: bool = False  # its parts were passed on as they arrived
+    streamed: bool = False  # whether its parts were passed on as they arrived
 
 
 class ResultPart(NamedTuple):
-    """One response of the protocol: the result in the request's form, whether it is the last, whether it succeeded."""
+    """One response of the protocol; `result` is in the form of the request (JSON or tensors)."""
 
     result: bytes
     is_last: bool
     success: bool
 
 
-def read_part(data: bytes, mark: str, form: str = "json") -> ResultPart:
-    """Parse one response body.  Raises `MalformedError`, also where its `id` is not `mark`."""
+def read_part(data: bytes, request_id: str, form: str = "json") -> ResultPart:
+    """Parse one response body.  Raises `MalformedError`, also if its `id` is not `request_id`."""
     try:
         body = _response(data)
-        if body.id != mark:  # the answer to another request proves nothing about this attempt
+        if body.id != request_id:  # an answer to another request proves nothing about this attempt
             raise MalformedError("an answer to another call")
         if form == "tensors":
             result = _encode(
                 {"outputs": body.outputs}
                 | (
-                    {"parameters": own}
-                    if (own := {k: v for k, v in body.parameters.items() if k not in ("success", "final")})
+                    {"parameters": parameters}
+                    if (parameters := {k: v for k, v in body.parameters.items() if k not in ("success", "final")})
                     else {}
                 )
             )
-        elif body.parameters.get("final") is True and not body.outputs:  # the end of a stream needs no result
+        elif body.parameters.get("final") is True and not body.outputs:  # the last part of a stream may have no result
             result = b"{}"
         else:
             result = _only_element(body.outputs, "result").encode()
@@ -186,38 +190,41 @@
     return ResultPart(result, body.parameters.get("final") is True, bool(body.parameters.get("success", True)))
 
 
-def read_answer(response: Response, mark: str, form: str = "json") -> WorkerAnswer:
-    """Parse the response to an attempt.  Outside the protocol it is an error: the attempt may have run."""
+def read_answer(response: Response, request_id: str, form: str = "json") -> WorkerAnswer:
+    """Parse the response to an attempt.
+
+    A response that does not follow the protocol has the kind "error": the attempt may have run.
+    """
     report = load_report(response.headers.get(LOAD_REPORT))
-    found, company = None, 0
+    instance_loaded, other_requests = None, 0
     if report is not None:
-        found = {0.0: False, 1.0: True}.get(report.pop("found", -1.0))
-        company = max(0, min(30, int(report.pop("company", 0.0))))
+        instance_loaded = {0.0: False, 1.0: True}.get(report.pop("found", -1.0))
+        other_requests = max(0, min(30, int(report.pop("company", 0.0))))
     if response.status == 200:
         if response.headers.get("content-type", "").startswith(CONTENT_TYPE):
-            return WorkerAnswer("completed", b"{}", True, False, found, company, report, streamed=True)
+            return WorkerAnswer("completed", b"{}", True, False, instance_loaded, other_requests, report, streamed=True)
         try:
-            result, _, success = read_part(response.body, mark, form)
+            result, _, success = read_part(response.body, request_id, form)
         except MalformedError:
             return WorkerAnswer("error", report=report)
-        return WorkerAnswer("completed", result, success, False, found, company, report)
+        return WorkerAnswer("completed", result, success, False, instance_loaded, other_requests, report)
     proof = response.headers.get(NEVER_RAN)
-    failed = response.headers.get("load-failed") == "1"
+    load_failed = response.headers.get("load-failed") == "1"
     if response.status == 503 and proof == "full":
-        return WorkerAnswer("full", other_requests=company, report=report)
+        return WorkerAnswer("full", other_requests=other_requests, report=report)
     if response.status == 404 and proof == "miss":
-        return WorkerAnswer("miss", load_failed=failed, report=report)
-    return WorkerAnswer("error", load_failed=failed, report=report)
+        return WorkerAnswer("miss", load_failed=load_failed, report=report)
+    return WorkerAnswer("error", load_failed=load_failed, report=report)
 
 
 def load_request(host: str, model: str, copies: int, dispatcher: str) -> bytes:
-    """A load order: keep `copies` instances of the model loaded."""
+    """Encode a load order, which requests to keep `copies` instances of the model loaded."""
     body = _encode(LoadRequest({"copies": copies, "dispatcher": dispatcher}))
     return encode_request("POST", f"/v2/repository/models/{quote(model, safe='')}/load", host, body)
 
 
 class LoadOrderBody(NamedTuple):
-    """A load order as a worker reads it: the number of instances, and the dispatcher that asks for them."""
+    """A load order as a worker receives it: the number of instances and the requesting dispatcher."""
 
     instances: int
     dispatcher: str
@@ -236,7 +243,7 @@
 
 
 class LoadResult(NamedTuple):
-    """How a load order ended ("completed", "full" or "error"), and how many instances are loaded."""
+    """How a load order ended ("completed", "full" or "error") and the number of loaded instances."""
 
     kind: str
     loaded_instances: int
@@ -253,13 +260,14 @@
 
 
 def error_response(status: int, text: str, headers: dict[str, str] | None = None) -> bytes:
-    """An error response of the protocol: `{"error": text}`."""
+    """Encode an error response of the protocol: `{"error": text}`."""
     return encode_response(status, _encode({"error": text}), headers)
 
 
 def load_report(text: str | None) -> dict[str, float] | None:
-    """An ORCA header in TEXT form as values by metric, or None.  `cpu_utilization` becomes `util`; malformed fields are
-    skipped.
+    """Return the values of an ORCA header in TEXT form by metric name, or None for another form.
+
+    `cpu_utilization` is renamed to `util`; malformed fields are skipped.
     """
     if not text or not text.startswith("TEXT "):
         return None
@@ -276,9 +284,9 @@
 
 
 def write_report(util: float, **named: float) -> str:
-    """The ORCA header in TEXT form."""
-    rest = "".join(f", named_metrics.{name}={value:g}" for name, value in named.items())
-    return f"TEXT cpu_utilization={util:.3g}{rest}"
+    """Encode an ORCA header in TEXT form."""
+    named_metrics = "".join(f", named_metrics.{name}={value:g}" for name, value in named.items())
+    return f"TEXT cpu_utilization={util:.3g}{named_metrics}"
 
 
 def _only_element(tensors: list[Tensor], name: str) -> str:
--- a/kelptrail/codec/lines.py
+++ b/kelptrail/codec/lines.py
@@ -1,7 +1,7 @@
 """The text protocol between a dispatcher and the platform's workers; without I/O.
 
-Commands and answers are words on a line that ends in CR LF; where the last word is a length, a body of that many bytes
-and CR LF follow.  Fields are `name=value,name=value`, or `-` for none.
+Commands and answers are words on a line that ends in CR LF.  Where the last word is a length, a body of that many bytes
+and CR LF follow.  Fields have the form `name=value,name=value`, or `-` for none.
 """
 
 from __future__ import annotations
@@ -17,19 +17,20 @@
 
 
 class LineError(ValueError):
-    """Bytes that are not a valid answer."""
+    """Raised for bytes that are not a valid answer."""
 
 
 class _FieldError(ValueError):
-    """A field of an answer that is malformed or out of range."""
+    """Raised for a field of an answer that is malformed or out of range."""
 
 
 @dataclass(slots=True)
 class WorkerAnswer:
     """One answer to the command `id`.
 
-    `status` is one of `STATUSES`.  Known fields: `notice` (wire: `tell`), what the worker says of itself; `queue_ahead`
-    (`ahead`), requests queued before this one; `loaded_instances` (`units`); `metrics` (`meter`), its load report.
+    `status` is one of `STATUSES`.  The known fields, with their names on the wire: `notice` (`tell`), a state that the
+    worker reports about itself; `queue_ahead` (`ahead`), the number of requests queued before this one;
+    `loaded_instances` (`units`); `metrics` (`meter`), the load report.
     """
 
     id: str
@@ -53,34 +54,34 @@
 
     @property
     def partial(self) -> bool:
-        """Whether the start of an answer was read, but not its end."""
+        """Whether the start of an answer was read but not its end."""
         return self._head is not None or bool(self._buffer)
 
     def feed(self, data: memoryview | bytes) -> None:
-        """Add bytes that were received."""
+        """Add received bytes."""
         self._buffer += data
 
     def next(self) -> WorkerAnswer | None:
-        """The next complete answer, or None.  Raises `LineError`."""
+        """Return the next complete answer, or None.  Raises `LineError`."""
         buffer = self._buffer
         if self._head is None:
             end = buffer.find(b"\r\n", 0, MAX_LINE_BYTES + 2)
             if end < 0:
                 if len(buffer) > MAX_LINE_BYTES:
-                    raise LineError("a line that does not end")
+                    raise LineError("a line is too long")
                 return None
-            self._head, self._body_bytes = self._read(bytes(buffer[:end]))
+            self._head, self._body_bytes = self._read_head(bytes(buffer[:end]))
             del buffer[: end + 2]
         if len(buffer) < self._body_bytes + 2:
             return None
         if buffer[self._body_bytes : self._body_bytes + 2] != b"\r\n":
-            raise LineError("a body that does not end where it should")
+            raise LineError("a body is not followed by CR LF")
         answer, self._head = self._head, None
         answer.body = bytes(buffer[: self._body_bytes])
         del buffer[: self._body_bytes + 2]
         return answer
 
-    def _read(self, line: bytes) -> tuple[WorkerAnswer, int]:
+    def _read_head(self, line: bytes) -> tuple[WorkerAnswer, int]:
         words = line.split(b" ")
         if (
             len(words) != 4
@@ -88,62 +89,63 @@
             or not _ID.fullmatch(words[0])
             or (not _LENGTH.fullmatch(words[3]))
         ):
-            raise LineError("a line that is no answer")
+            raise LineError("a line is not an answer")
         if (body_bytes := int(words[3])) > self._max_body_bytes:
-            raise LineError(f"a body of {body_bytes} bytes")
+            raise LineError(f"a body of {body_bytes} bytes is too long")
         answer = WorkerAnswer(words[0].decode(), words[1].decode())
         if words[2] != b"-":
             try:
                 for part in words[2].decode("ascii").split(","):
                     _read_field(answer, part)
-            except ValueError as cause:  # `_FieldError`, or a number or text that Python cannot read
-                raise LineError(f"fields that cannot be read: {cause}") from None
+            except ValueError as cause:  # `_FieldError`, or a number or text that cannot be decoded
+                raise LineError(f"invalid fields: {cause}") from None
         return answer, body_bytes
 
 
 def _read_field(answer: WorkerAnswer, part: str) -> None:
     name, equals, value = part.partition("=")
     if not equals:
-        raise _FieldError("no value")
+        raise _FieldError("a field has no value")
     if name == "tell":
         answer.notice = value
     elif name == "ahead":
-        answer.queue_ahead = _number(value)
+        answer.queue_ahead = _read_number(value)
     elif name == "units":
-        answer.loaded_instances = _number(value)
+        answer.loaded_instances = _read_number(value)
     elif name == "meter" and value:
         answer.metrics = {}
-        for figure in value.split(";"):
-            named, _, text = figure.partition(":")
-            answer.metrics[named] = float(text)
-            if not 0 <= answer.metrics[named] < 1e9:
-                raise _FieldError("a figure out of range")
+        for metric in value.split(";"):
+            metric_name, _, text = metric.partition(":")
+            answer.metrics[metric_name] = float(text)
+            if not 0 <= answer.metrics[metric_name] < 1e9:
+                raise _FieldError("a metric is out of range")
 
 
-def _number(text: str) -> int:
+def _read_number(text: str) -> int:
     if not _NUMBER.fullmatch(text):
         raise _FieldError("no number")
     return int(text)
 
 
 def encode_call(id_: str, class_: str, item: str, limit_ms: int, nonce: str, body: bytes) -> bytes:
-    """The command that runs a request: `class_` and `item` name what runs, `limit_ms` is its time left,
-    `nonce` its idempotency key (empty: none).
+    """Encode the command that runs a request.
+
+    `class_` and `item` name what to run, `limit_ms` is the remaining time, `nonce` the idempotency key (empty: none).
     """
-    key = f",nonce={nonce}" if nonce else ""
-    return f"CALL {id_} cls={class_},item={item},limit={limit_ms}{key} {len(body)}\r\n".encode() + body + b"\r\n"
+    nonce_text = f",nonce={nonce}" if nonce else ""
+    return f"CALL {id_} cls={class_},item={item},limit={limit_ms}{nonce_text} {len(body)}\r\n".encode() + body + b"\r\n"
 
 
 def encode_cancel(id_: str) -> bytes:
-    """The command that cancels a request."""
+    """Encode the command that cancels a request."""
     return f"CANCEL {id_}\r\n".encode()
 
 
 def encode_load(tag: str, item: str, units: int) -> bytes:
-    """The command to keep at least `units` instances loaded; 0 only asks how many there are."""
+    """Encode the command to keep at least `units` instances loaded; 0 only queries how many there are."""
     return f"LOAD {tag} item={item},units={units}\r\n".encode()
 
 
 def encode_health_check(tag: str) -> bytes:
-    """The command that asks whether the worker takes new work; answered UP or DOWN."""
+    """Encode the health check command; the worker answers UP if it accepts new work, else DOWN."""
     return f"PING {tag}\r\n".encode()
--- a/kelptrail/codec/tensors.py
+++ b/kelptrail/codec/tensors.py
@@ -1,8 +1,9 @@
-"""Tensors of the Open Inference Protocol v2 between their two forms: protobuf (typed or raw) and a worker's JSON.
+"""Conversion of Open Inference Protocol v2 tensors between protobuf (typed or raw contents) and the JSON of workers.
 
-In JSON a tensor is `{"name", "datatype", "shape", "data"}` with a flat list; what JSON cannot hold (bytes that are no
-UTF-8, numbers that are not finite) goes as its raw form in base64, marked by the tensor's parameter `raw`.  Raw is
-little-endian, row-major; a BYTES element is its length in 4 bytes and itself.  Every error names its tensor.
+In JSON a tensor is `{"name", "datatype", "shape", "data"}` with a flat list.  Contents that JSON cannot represent
+(bytes that are not UTF-8, numbers that are not finite) are sent in raw form as base64, marked by the parameter `raw`.
+The raw form is little-endian and row-major; a BYTES element is its length in 4 bytes, then its bytes.  Every error
+names its tensor.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 import msgspec
 import numpy as np
 
-# Datatype: how many bytes an element takes in raw form, the field of its typed contents, its numpy type.
+# For each datatype: bytes per element in raw form (0: variable), field of the typed contents, numpy type.
 KINDS: dict[str, tuple[int, str, str]] = {
     "BOOL": (1, "bool_contents", "?"),
     "UINT8": (1, "uint_contents", "<u1"),
@@ -59,11 +60,11 @@
 
 
 class TensorError(ValueError):
-    """A tensor whose contents do not match its datatype or shape; the text names the tensor."""
+    """Raised for a tensor whose contents do not match its datatype or shape; the text names the tensor."""
 
 
 def elements(name: str, datatype: str, shape: Sequence[int]) -> int:
-    """How many elements a tensor has.  Raises `TensorError` for an unknown datatype or a shape out of bounds."""
+    """Return the number of elements of a tensor.  Raises `TensorError` for an unknown datatype or an invalid shape."""
     if not name:
         raise TensorError("a tensor without a name")
     if datatype not in KINDS:
@@ -78,55 +79,58 @@
     return count
 
 
-def _of_raw(name: str, datatype: str, count: int, raw: bytes) -> list[Any]:
-    size, _, kind = KINDS[datatype]
+def _decode_raw(name: str, datatype: str, count: int, raw: bytes) -> list[Any]:
+    element_bytes, _, numpy_type = KINDS[datatype]
     if datatype == "BYTES":
-        out, at = [], 0
-        while at < len(raw):
-            if at + 4 > len(raw):
+        elements_read, offset = [], 0
+        while offset < len(raw):
+            if offset + 4 > len(raw):
                 raise TensorError(f"tensor {name!r}: raw contents end within a length")
-            (length,) = struct.unpack_from("<I", raw, at)
-            if at + 4 + length > len(raw):
+            (length,) = struct.unpack_from("<I", raw, offset)
+            if offset + 4 + length > len(raw):
                 raise TensorError(f"tensor {name!r}: raw contents end within an element of {length} bytes")
-            out.append(raw[at + 4 : at + 4 + length])
-            at += 4 + length
-            if len(out) > count:
+            elements_read.append(raw[offset + 4 : offset + 4 + length])
+            offset += 4 + length
+            if len(elements_read) > count:
                 break
-        if len(out) != count:
-            raise TensorError(f"tensor {name!r}: {len(out)} raw elements, its shape has {count}")
-        return out
-    if len(raw) != count * size:
-        raise TensorError(f"tensor {name!r}: {len(raw)} raw bytes, its shape takes {count * size}")
-    values: list[Any] = np.frombuffer(raw, dtype=kind).tolist()
+        if len(elements_read) != count:
+            raise TensorError(f"tensor {name!r}: {len(elements_read)} raw elements, its shape has {count}")
+        return elements_read
+    if len(raw) != count * element_bytes:
+        raise TensorError(f"tensor {name!r}: {len(raw)} raw bytes, its shape takes {count * element_bytes}")
+    values: list[Any] = np.frombuffer(raw, dtype=numpy_type).tolist()
     return values
 
 
-def _to_raw(datatype: str, values: Iterable[Any]) -> bytes:
+def _encode_raw(datatype: str, values: Iterable[Any]) -> bytes:
     if datatype == "BYTES":
         return b"".join(struct.pack("<I", len(value)) + value for value in values)
     return np.asarray(list(values), dtype=KINDS[datatype][2]).tobytes()
 
 
-def _checked(name: str, datatype: str, values: list[Any]) -> list[Any]:
-    """The values, each checked against the datatype.  Raises `TensorError` with the first that does not fit."""
+def _check_values(name: str, datatype: str, values: list[Any]) -> list[Any]:
+    """Return the values after checking each against the datatype.  Raises `TensorError` for the first invalid one."""
     if datatype == "BYTES":
         return values
     if datatype == "BOOL":
-        wrong = next((v for v in values if not isinstance(v, bool)), None)
+        invalid = next((v for v in values if not isinstance(v, bool)), None)
     elif datatype.startswith("FP"):
-        wrong = next((v for v in values if isinstance(v, bool) or not isinstance(v, int | float)), None)
+        invalid = next((v for v in values if isinstance(v, bool) or not isinstance(v, int | float)), None)
     else:
         info = np.iinfo(KINDS[datatype][2])
         low, high = int(info.min), int(info.max)
-        wrong = next((v for v in values if isinstance(v, bool) or not isinstance(v, int) or not low <= v <= high), None)
-    if wrong is not None:
-        raise TensorError(f"tensor {name!r}: {str(wrong)[:40]!r} is no {datatype}")
+        invalid = next(
+            (v for v in values if isinstance(v, bool) or not isinstance(v, int) or not low <= v <= high), None
+        )
+    if invalid is not None:
+        raise TensorError(f"tensor {name!r}: {str(invalid)[:40]!r} is no {datatype}")
     return values
 
 
 def to_json(tensor: Any, raw: bytes | None) -> JsonTensor:
-    """A protobuf tensor in the JSON form; `raw` is its entry in the message's raw contents, if any.  Raises
-    `TensorError`.
+    """Convert a protobuf tensor to the JSON form.  Raises `TensorError`.
+
+    `raw` is the tensor's entry in the raw contents of the message, if any.
     """
     name, datatype, shape = tensor.name, tensor.datatype, list(tensor.shape)
     count = elements(name, datatype, shape)
@@ -134,7 +138,7 @@
     if raw is not None:
         if tensor.HasField("contents"):
             raise TensorError(f"tensor {name!r}: both typed and raw contents")
-        values = _of_raw(name, datatype, count, raw)
+        values = _decode_raw(name, datatype, count, raw)
     else:
         if not field:
             raise TensorError(f"tensor {name!r}: {datatype} has raw contents only")
@@ -144,43 +148,46 @@
         values = list(getattr(tensor.contents, field))
         if len(values) != count:
             raise TensorError(f"tensor {name!r}: {len(values)} elements in {field}, its shape has {count}")
-        _checked(name, datatype, values)
-    given = scalars(tensor.parameters)
+        _check_values(name, datatype, values)
+    parameters = scalars(tensor.parameters)
     if datatype == "BYTES":
         try:
-            return JsonTensor(name, datatype, shape, [value.decode() for value in values], given)
+            return JsonTensor(name, datatype, shape, [value.decode() for value in values], parameters)
         except UnicodeDecodeError:
             pass
     elif not datatype.startswith("FP") or all(map(math.isfinite, values)):
-        return JsonTensor(name, datatype, shape, values, given)
+        return JsonTensor(name, datatype, shape, values, parameters)
     return JsonTensor(
-        name, datatype, shape, [base64.b64encode(_to_raw(datatype, values)).decode()], given | {"raw": True}
+        name, datatype, shape, [base64.b64encode(_encode_raw(datatype, values)).decode()], parameters | {"raw": True}
     )
 
 
 def values_of(tensor: JsonTensor) -> list[Any]:
-    """The elements of a worker's tensor, BYTES as bytes.  Raises `TensorError`."""
+    """Return the elements of a worker's tensor; those of BYTES are `bytes`.  Raises `TensorError`."""
     name, datatype = tensor.name, tensor.datatype
     count = elements(name, datatype, tensor.shape)
     if tensor.parameters.get("raw") is True:
         if len(tensor.data) != 1 or not isinstance(tensor.data[0], str):
             raise TensorError(f"tensor {name!r}: raw data is one base64 text")
         try:
-            return _of_raw(name, datatype, count, base64.b64decode(tensor.data[0], validate=True))
+            return _decode_raw(name, datatype, count, base64.b64decode(tensor.data[0], validate=True))
         except binascii.Error:
             raise TensorError(f"tensor {name!r}: raw data is no base64") from None
-    flat = _flat(tensor.data)
+    flat = _flatten(tensor.data)
     if len(flat) != count:
         raise TensorError(f"tensor {name!r}: {len(flat)} elements, its shape has {count}")
     if datatype != "BYTES":
-        return _checked(name, datatype, flat)
+        return _check_values(name, datatype, flat)
     if any(not isinstance(value, str) for value in flat):
         raise TensorError(f"tensor {name!r}: a BYTES element that is no text")
     return [value.encode() for value in flat]
 
 
-def _flat(data: list[Any]) -> list[Any]:
-    """The elements of nested lists, which the protocol allows; too deep a nesting fails the check of the count."""
+def _flatten(data: list[Any]) -> list[Any]:
+    """Flatten nested lists, which the protocol allows.
+
+    Lists nested deeper than MAX_DIMENSIONS are left as they are; the caller's checks reject them.
+    """
     for _ in range(MAX_DIMENSIONS):
         if not any(isinstance(item, list) for item in data):
             return data
@@ -189,8 +196,9 @@
 
 
 def fill(out: Any, tensor: JsonTensor, raw: bool) -> bytes | None:
-    """Write a worker's tensor into a protobuf one.  Returns its raw contents where `raw` is true or its datatype has no
-    typed contents.  Raises `TensorError`.
+    """Write a worker's tensor into the protobuf tensor `out`.  Raises `TensorError`.
+
+    Return its raw contents if `raw` is true or its datatype has no typed contents, else None.
     """
     values = values_of(tensor)
     out.name, out.datatype = tensor.name, tensor.datatype
@@ -198,19 +206,19 @@
     field = KINDS[tensor.datatype][1]
     write_scalars(out.parameters, {k: v for k, v in tensor.parameters.items() if k != "raw"})
     if raw or not field:
-        return _to_raw(tensor.datatype, values)
+        return _encode_raw(tensor.datatype, values)
     getattr(out.contents, field).extend(values)
     return None
 
 
 def scalars(parameters: Any) -> dict[str, Scalar]:
-    """A protobuf map of parameters as plain values; a parameter without a value is skipped."""
-    out: dict[str, Scalar] = {}
+    """Convert a protobuf map of parameters to plain values; a parameter without a value is skipped."""
+    values: dict[str, Scalar] = {}
     for name, value in parameters.items():
-        which = value.WhichOneof("parameter_choice")
-        if which is not None:
-            out[name] = getattr(value, which)
-    return out
+        value_field = value.WhichOneof("parameter_choice")
+        if value_field is not None:
+            values[name] = getattr(value, value_field)
+    return values
 
 
 def write_scalars(parameters: Any, values: dict[str, Scalar]) -> None:
