--- a/tests/raw_sockets.py
+++ b/tests/raw_sockets.py
@@ -1,4 +1,4 @@
-"""Blocking sockets, held connects and the output of processes, for tests that force an order of events."""
+"""Helpers for tests that force an order of events: blocking sockets, delayed connects, output of processes."""
 
 from __future__ import annotations
 
@@ -18,21 +18,22 @@
 from kelptrail.net.connection import connect
 from kelptrail.platform import worker_connection
 
-SMALL_BUFFER_BYTES = 4096  # bytes of a socket's buffer, where it shall be full soon
+SMALL_BUFFER_BYTES = 4096  # size of a socket buffer that is to fill up quickly
 
 
 def never_answer(*_: Any, **__: Any) -> None:
-    """A worker that never answers."""
+    """Handle a request at a worker that never answers."""
 
 
-async def until(true: Callable[[], Any], within: float = 3.0) -> None:
+async def until(condition: Callable[[], Any], within: float = 3.0) -> None:
+    """Wait until `condition` holds.  Raises `TimeoutError` after `within` seconds."""
     async with asyncio.timeout(within):
-        while not true():
+        while not condition():
             await asyncio.sleep(0.005)
 
 
 def connect_raw(port: int, receive: int | None = None) -> socket.socket:
-    """A client's socket; its buffer is bound before it connects."""
+    """Return a connected client socket.  `receive` is the size of its receive buffer, set before it connects."""
     sock = socket.socket()
     if receive is not None:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive)
@@ -41,7 +42,7 @@
 
 
 def request(stream: int, body: bytes = b"hello", **other: str) -> bytes:
-    """A request's bytes."""
+    """Encode a request frame; `other` replaces or adds fields."""
     fields = {
         "verb": "t",
         "txn": f"{stream:016x}",
@@ -54,7 +55,7 @@
 
 
 def read_all(sock: socket.socket, within: float = 3.0) -> list[tuple[int, int, bytes]]:
-    """All frames until the connection ends."""
+    """Return all frames until the connection ends."""
     sock.settimeout(within)
     reader, found = frames.FrameReader(1 << 20), []
     with contextlib.suppress(ConnectionResetError):
@@ -66,14 +67,14 @@
 
 
 def answers(found: list[tuple[int, int, bytes]]) -> dict[int, int]:
-    """The code that each stream was answered."""
+    """Return the status code of the answer to each stream."""
     codes = [(stream, payload[0]) for kind, stream, payload in found if kind == frames.ANSWER]
-    assert len(dict(codes)) == len(codes), "one answer each"
+    assert len(dict(codes)) == len(codes), "one answer for each stream"
     return dict(codes)
 
 
 class BlockedConnects:
-    """Replaces `connect` of a module: connects to come wait until `gate` is set."""
+    """Replaces `connect` of a module; new connects wait until `gate` is set."""
 
     def __init__(
         self, monkeypatch: pytest.MonkeyPatch, module: Any = worker_connection, port: int | None = None
@@ -89,13 +90,15 @@
 
 
 def read_until(process: subprocess.Popen[bytes], text: str, within: float = 4.0) -> str:
-    """The output of the process up to and with `text`."""
+    """Return the output of the process up to and including `text`."""
     assert process.stdout is not None
     output, deadline = "", time.monotonic() + within
     while text not in output:
-        left = deadline - time.monotonic()
-        assert left > 0 and select.select([process.stdout], [], [], left)[0], f"{text!r} not in the output: {output}"
+        remaining = deadline - time.monotonic()
+        assert remaining > 0 and select.select([process.stdout], [], [], remaining)[0], (
+            f"{text!r} not in the output: {output}"
+        )
         data = os.read(process.stdout.fileno(), 65536)
-        assert data, f"ended: {output}"
+        assert data, f"the process ended: {output}"
         output += data.decode()
     return output
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Codecs without I/O: HTTP messages in any cut, the inference protocol, load reports."""
+"""Codecs without I/O: HTTP messages split at any position, the inference protocol, load reports."""
 
 import random
 
@@ -24,15 +24,15 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_requests_come_whole_however_they_are_cut(seed: int) -> None:
-    chance, reader, found = random.Random(seed), RequestReader(4096, 4096), list[Request]()
-    at = 0
-    while at < len(STREAM):
-        step = chance.choice((1, 3, 20, 500))
-        requests, fault = reader.feed(STREAM[at : at + step])
-        assert fault is None
+def test_requests_are_parsed_wherever_the_stream_is_split(seed: int) -> None:
+    rng, reader, found = random.Random(seed), RequestReader(4096, 4096), list[Request]()
+    offset = 0
+    while offset < len(STREAM):
+        step = rng.choice((1, 3, 20, 500))
+        requests, error = reader.feed(STREAM[offset : offset + step])
+        assert error is None
         found += requests
-        at += step
+        offset += step
     assert [(r.method, r.path, r.body) for r in found] == [
         ("POST", "/a/b%20c", b'{"k":1}'),
         ("POST", "/chunks", b"abcde"),
@@ -56,24 +56,24 @@
         (b"POST / HTTP/1.1\r\nhost: h\r\nexpect: miracles\r\ncontent-length: 1\r\n\r\n", 417),
     ],
 )
-def test_malformed_and_oversized_requests_name_their_status(data: bytes, status: int) -> None:
+def test_malformed_and_oversized_requests_fail_with_their_status(data: bytes, status: int) -> None:
     reader = RequestReader(2048, 1024)
-    fault = None
-    for at in range(0, len(data), 100):
-        _, fault = reader.feed(data[at : at + 100])
-        if fault is not None:
+    error = None
+    for offset in range(0, len(data), 100):
+        _, error = reader.feed(data[offset : offset + 100])
+        if error is not None:
             break
-    assert fault is not None and fault.status == status
+    assert error is not None and error.status == status
 
 
-def test_nothing_after_a_last_request_is_read() -> None:
+def test_input_after_the_last_request_is_ignored() -> None:
     reader = RequestReader(2048, 1024)
-    requests, fault = reader.feed(b"GET / HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\nGET /2 HTTP/1.1\r\n\r\n")
-    assert len(requests) == 1 and not requests[0].keep_alive and fault is None
+    requests, error = reader.feed(b"GET / HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\nGET /2 HTTP/1.1\r\n\r\n")
+    assert len(requests) == 1 and not requests[0].keep_alive and error is None
     assert reader.feed(b"GET /3 HTTP/1.1\r\n\r\n") == ([], None)
 
 
-def test_responses_interim_extra_and_malformed() -> None:
+def test_interim_extra_and_malformed_responses() -> None:
     reader = ResponseReader(100)
     assert reader.feed(b"HTTP/1.1 102 Processing\r\n\r\n") is None
     data = encode_response(200, b"{}", {"a": "b"})
@@ -94,17 +94,22 @@
     return ResponseReader(1 << 20).feed(encode_response(status, body, headers))
 
 
-def test_a_send_travels_there_and_back() -> None:
+def test_an_attempt_and_its_answer_survive_encoding_and_parsing() -> None:
     request = parse(infer_request("h", "m 1", "mark", '{"ñ": 1}'.encode(), {"send": 0}, {"traceparent": "t"}))
     assert request.segments == ["v2", "models", "m 1", "infer"]
     infer, payload = read_infer(request.body)
     assert infer.id == "mark" and payload == '{"ñ": 1}' and infer.parameters == {"send": 0}
     report = write_report(0.5, x1=2, x0=0.25, found=1, company=3)
-    got = read_answer(
+    parsed = read_answer(
         respond(200, infer_answer("m 1", "mark", payload, True), {"endpoint-load-metrics": report}), "mark"
     )
-    assert (got.kind, got.result.decode(), got.instance_loaded, got.other_requests) == ("completed", payload, True, 3)
-    assert got.report == {"util": 0.5, "x1": 2.0, "x0": 0.25}
+    assert (parsed.kind, parsed.result.decode(), parsed.instance_loaded, parsed.other_requests) == (
+        "completed",
+        payload,
+        True,
+        3,
+    )
+    assert parsed.report == {"util": 0.5, "x1": 2.0, "x0": 0.25}
 
 
 @pytest.mark.parametrize(
@@ -114,17 +119,17 @@
         (200, infer_answer("m", "another", "{}", True), {}, "error"),
         (200, infer_answer("m", "mark", "not json", True), {}, "error"),
         (500, b"{}", {}, "error"),
-        (503, b"{}", {}, "error"),  # a refusal that does not prove anything
+        (503, b"{}", {}, "error"),  # a rejection without the header proves nothing
         (503, b"{}", {"never-ran": "full"}, "full"),
         (404, b"{}", {"never-ran": "miss"}, "miss"),
         (404, b"{}", {"never-ran": "full"}, "error"),
     ],
 )
-def test_only_a_marked_refusal_proves_that_nothing_ran(status, body, headers, kind) -> None:
+def test_only_a_rejection_with_the_header_proves_that_the_attempt_never_ran(status, body, headers, kind) -> None:
     assert read_answer(respond(status, body, headers), "mark").kind == kind
 
 
-def test_load_reports_pass_over_what_is_odd() -> None:
+def test_malformed_fields_of_load_reports_are_skipped() -> None:
     assert load_report("TEXT cpu_utilization=0.4, named_metrics.x1=z, x=nan, eps=1") == {"util": 0.4, "eps": 1.0}
     assert load_report("JSON {}") is None and load_report(None) is None
     for body in (b"{", b'{"parameters":{"copies":17}}', b'{"parameters":{"copies":true}}'):
@@ -132,14 +137,14 @@
             read_load(body)
 
 
-def test_many_pipelined_requests_are_no_large_head_and_an_endless_header_is() -> None:
+def test_many_pipelined_requests_do_not_exceed_the_head_limit_and_an_endless_header_does() -> None:
     reader, data = RequestReader(2048, 1024), encode_request("GET", "/x", "h", b"", {"a": "b" * 500}) * 400
     count = 0
-    for at in range(0, len(data), 8192):
-        requests, fault = reader.feed(data[at : at + 8192])
+    for offset in range(0, len(data), 8192):
+        requests, error = reader.feed(data[offset : offset + 8192])
         count += len(requests)
-        assert fault is None
+        assert error is None
     assert count == 400
     reader.feed(b"GET / HTTP/1.1\r\nx: ")
-    faults = [reader.feed(b"a" * 512)[1] for _ in range(6)]
-    assert faults[2] is None and faults[-1] is not None and faults[-1].status == 431
+    errors = [reader.feed(b"a" * 512)[1] for _ in range(6)]
+    assert errors[2] is None and errors[-1] is not None and errors[-1].status == 431
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Limits of the platform's connections: descriptors, idle and slow peers, unread answers."""
+"""Limits of connections on the platform: descriptors, idle and slow peers, unread answers."""
 
 from __future__ import annotations
 
@@ -26,88 +26,90 @@
 def test_connections_to_workers_stay_within_the_descriptors_and_idle_ones_are_closed() -> None:
     async def main() -> None:
         async with PlatformFixture(*(WorkerStub(echo) for _ in range(24)), sockets=32) as platform:
-            most = platform.service.executor.workers.limits.max_in_all
-            assert most < 24
+            limit = platform.service.executor.workers.limits.max_in_all
+            assert limit < 24
             client = await platform.client()
             for n in range(1, 30):
                 client.ask(n, item=f"{n:016x}")
                 assert await client.code() == frames.SERVED
-                held = sum(len(links) for links in platform.service.executor.workers.connections.values())
-                assert held == platform.service.executor.workers.limits.open_count <= most
+                open_count = sum(len(worker) for worker in platform.service.executor.workers.connections.values())
+                assert open_count == platform.service.executor.workers.limits.open_count <= limit
 
     run(main())
 
 
-def test_a_lack_of_descriptors_says_nothing_about_a_worker(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_shortage_of_descriptors_is_not_taken_for_a_failure_of_the_worker(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        async def none(*_: Any) -> socket.socket:
+        async def fail_to_connect(*_: Any) -> socket.socket:
             raise OSError(24, "Too many open files")
 
-        bare = ConnectionsOverSmallBuffers(monkeypatch)
-        monkeypatch.setattr(worker_connection, "connect", none)
-        item = bare.send("a" * 16, 10)
-        await until(lambda: bare.ended)
-        assert bare.ended == [(item, AttemptStatus.NOT_SENT)]
+        connections = ConnectionsOverSmallBuffers(monkeypatch)
+        monkeypatch.setattr(worker_connection, "connect", fail_to_connect)
+        item = connections.send("a" * 16, 10)
+        await until(lambda: connections.ended)
+        assert connections.ended == [(item, AttemptStatus.NOT_SENT)]
 
     run(main())
 
 
-def test_a_slow_frame_is_waited_for_and_a_stalled_one_is_not(
+def test_a_slow_frame_is_read_to_its_end_and_a_stalled_one_ends_the_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setitem(SETTINGS, "classes", [CLASS | {"give_up_us": 5_000_000}])
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            slow, stuck, front = await platform.client(), await platform.client(), platform.service.client_server
-            for client in (slow, stuck):
+            slow, stalled, server = await platform.client(), await platform.client(), platform.service.client_server
+            for client in (slow, stalled):
                 client.ask(1, txn=f"{id(client) % 2**32:016x}")
                 assert await client.code() == frames.SERVED
             data = request(2, item="7f3a9c21e0b4d655")
             slow.writer.write(data[:20])
-            stuck.writer.write(request(3)[:20])
-            await until(lambda: all(each.partial_frame_since for each in front.connections.idle))
-            mine, other = front.connections.idle
-            for each in (mine, other):  # it began so long ago
-                each.partial_frame_since -= 2.5
-                each.idle_since -= 7.0
-            other.last_received_at -= 2.5
-            front.connections.sweep()
+            stalled.writer.write(request(3)[:20])
+            await until(lambda: all(connection.partial_frame_since for connection in server.connections.idle))
+            slow_connection, stalled_connection = server.connections.idle
+            for connection in (slow_connection, stalled_connection):  # move the start of the frames to the past
+                connection.partial_frame_since -= 2.5
+                connection.idle_since -= 7.0
+            stalled_connection.last_received_at -= 2.5
+            server.connections.sweep()
             slow.writer.write(data[20:])
             assert await slow.code() == frames.SERVED
-            assert await stuck.code() == frames.FAILED and await stuck.next() is None
+            assert await stalled.code() == frames.FAILED and await stalled.next() is None
 
     run(main())
 
 
-def test_a_new_client_among_busy_ones_is_refused_with_an_answer() -> None:
+def test_a_new_client_is_refused_with_an_answer_while_all_connections_are_busy() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(never_answer), sockets=32) as platform:
-            front, busy = platform.service.client_server, []
-            for n in range(front.connections._max_connections):
+            server, busy = platform.service.client_server, []
+            for n in range(server.connections._max_connections):
                 busy.append(await platform.client())
                 busy[-1].ask(1, txn=f"{n:016x}", item=f"{n:016x}")
-            await until(lambda: len(front.connections.busy) == front.connections._max_connections)
+            await until(lambda: len(server.connections.busy) == server.connections._max_connections)
             late = await platform.client()
             late.ask(1, txn="f" * 16)
             assert await late.code() == frames.REFUSED and await late.next() is None
-            assert len(front.connections.busy) == front.connections._max_connections, "nobody lost anything for it"
+            assert len(server.connections.busy) == server.connections._max_connections, "no other connection was closed"
 
     run(main())
 
 
-def test_a_connection_with_an_unread_request_is_not_closed_for_others() -> None:
+def test_a_connection_with_an_unread_request_is_not_closed_to_make_room_for_others() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo), sockets=32) as platform:
-            front, loop = platform.service.client_server, asyncio.get_running_loop()
-            (listening,) = front._listener._sockets
+            server, loop = platform.service.client_server, asyncio.get_running_loop()
+            (listening,) = server._listener._sockets
             loop.remove_reader(listening)
-            clients = [connect_raw(platform.port) for _ in range(front.connections._max_connections + 4)]
+            clients = [connect_raw(platform.port) for _ in range(server.connections._max_connections + 4)]
             for n, sock in enumerate(clients):
                 sock.sendall(request(n + 1))
-            loop.add_reader(listening, front._listener._ready, listening)  # all are let in in one turn
+            loop.add_reader(listening, server._listener._ready, listening)  # accepts all in one iteration of the loop
             found = [await asyncio.to_thread(lambda sock=sock: answers(read_some(sock))) for sock in clients]
-            assert [list(each) for each in found] == [[n + 1] for n in range(len(clients))], "each is answered"
+            assert [list(codes) for codes in found] == [[n + 1] for n in range(len(clients))], (
+                "each request is answered"
+            )
             for sock in clients:
                 sock.close()
 
@@ -115,7 +117,7 @@
 
 
 def read_some(sock: socket.socket) -> list[tuple[int, int, bytes]]:
-    """Frames until an answer or the end."""
+    """Return the frames of the first read that completes any, or none if the connection ends."""
     sock.settimeout(3.0)
     reader, found = frames.FrameReader(1 << 20), []
     while not found and (data := sock.recv(65536)):
@@ -134,7 +136,7 @@
             client.connection.transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
             sock.sendall(frames.encode_frame(frames.READY_QUERY, 7, b"\0") * 3000)
             await until(lambda: client.connection._writing)
-            sock.sendall(b"\0\0\0\2no")
+            sock.sendall(b"\0\0\0\2no")  # an invalid frame
             await until(lambda: client.connection.closed, 2.5)
             assert not len(platform.service.client_server.connections)
             sock.close()
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""The listener: the pace of accepting, early rejections, and no client lost while it closes."""
+"""The listener: the pace of accepting, rejections of clients over the pace, and no client lost while it closes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_the_pace_is_kept_and_retry_times_fit_into_it(seed: int) -> None:
+def test_accepted_connections_and_assigned_retry_times_stay_within_the_pace(seed: int) -> None:
     rng = random.Random(seed)
     settings = PaceSettings(rng.randint(1, 200), rng.uniform(5, 500), 20_000.0)
     pace, now, accepted, retry_times = ConnectPace(settings, seed), 0.0, 0, list[float]()
@@ -30,10 +30,10 @@
             assert 50 <= delay_ms <= settings.max_delay_ms
             retry_times.append(now + delay_ms)
     retry_times.sort()
-    # Retry times fill half of the pace; they bunch only at the maximum delay.
-    for early, late in zip(retry_times, retry_times[100:], strict=False):
-        if late < now + settings.max_delay_ms * 0.7:
-            assert 100 / max(1.0, late - early) * 1000 <= 0.8 * settings.per_s + 100
+    # Retry times use half of the pace; they cluster only at the maximum delay.
+    for earlier, later in zip(retry_times, retry_times[100:], strict=False):
+        if later < now + settings.max_delay_ms * 0.7:
+            assert 100 / max(1.0, later - earlier) * 1000 <= 0.8 * settings.per_s + 100
     assert ConnectPace(PaceSettings(1, 0), 1).admit(0) is None
 
 
@@ -45,19 +45,19 @@
         server = HttpServer(handle, Limits(), Silent().warning, pace=ConnectPace(PaceSettings(10, 10.0, 3000.0), 1))
         server.listen("127.0.0.1", 0)
         replies = await asyncio.gather(*(send_request(server.address, CALL) for _ in range(40)))
-        early = [r for r in replies if r.status == 503]
-        assert 25 <= len(early) == server.rejected_by_pace <= 30 and all(not r.keep_alive for r in early)
-        delays = [float(r.headers["retry-after-ms"]) for r in early]
-        assert len(set(delays)) == len(delays) and max(delays) <= 3000, "each client gets its own time"
+        rejections = [r for r in replies if r.status == 503]
+        assert 25 <= len(rejections) == server.rejected_by_pace <= 30 and all(not r.keep_alive for r in rejections)
+        delays = [float(r.headers["retry-after-ms"]) for r in rejections]
+        assert len(set(delays)) == len(delays) and max(delays) <= 3000, "each client gets its own retry time"
         await asyncio.sleep(0.35)
-        assert (await send_request(server.address, CALL)).status == 200, "a pace, not a ban"
+        assert (await send_request(server.address, CALL)).status == 200, "clients are accepted again later"
         await server.drain(100)
 
     run(main())
 
 
 def test_no_connected_client_is_lost_while_the_listener_closes() -> None:
-    """Guards against a connection that `sock_accept` had taken and that was dropped with its task."""
+    """Guards against a connection that was accepted in `sock_accept` and dropped when that task was cancelled."""
 
     async def main() -> None:
         def handle(request: Request, exchange: Exchange) -> None:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""Each attempt status is derived from what the socket shows; guarantees hold when workers misbehave."""
+"""Attempt statuses follow from what the socket shows; delivery guarantees hold when workers misbehave."""
 
 from __future__ import annotations
 
@@ -28,11 +28,12 @@
 from kelptrail.net.server import Exchange
 from kelptrail.settings.deployment import parse
 
-EFFECTS = ("p/check", "activate", "grant")
+# One action for each effect: repeatable, deduplicated, once-only.
+ACTIONS = ("p/check", "activate", "grant")
 
 
 def in_sequence(*scripts: Script) -> Script:
-    """The first attempt gets the first script, and so on; the last script is repeated."""
+    """Return a script that runs one of `scripts` for each attempt, in order; the last one is repeated."""
     remaining = list(scripts)
 
     def script(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
@@ -46,24 +47,24 @@
     return sum(len(worker.attempts) for worker in workers)
 
 
-@pytest.mark.parametrize("action", EFFECTS)
+@pytest.mark.parametrize("action", ACTIONS)
 def test_a_worker_that_never_answers(action: str) -> None:
     async def main() -> None:
         async with running_dispatcher(never_answer, never_answer) as (dispatcher, workers):
             loop = asyncio.get_running_loop()
-            began = loop.time()
+            started_at = loop.time()
             status, _, body = await dispatcher.call(action, body={}, key="k")
-            assert loop.time() - began < 0.9, "before the client's timeout"
+            assert loop.time() - started_at < 0.9, "answered before the client's timeout"
             if action == "p/check":
                 assert status == 429
-            elif action == "activate":  # its key is known for 2 s beyond the timeout: a retry is harmless
+            elif action == "activate":  # deduplicated by its key for 2 s beyond the timeout, so a retry is harmless
                 assert status == 429 and 0 < body["repeat_within_ms"] <= 2000
                 assert {request_id for w in workers for request_id, _ in w.attempts} == {"one/activate/k"}
             else:
                 assert status == 502 and final_answer(body)["answer"] == "aborted" and attempt_count(workers) == 1
             count = attempt_count(workers)
             await asyncio.sleep(0.2)
-            assert attempt_count(workers) == count, "nothing is sent after the final answer"
+            assert attempt_count(workers) == count, "no attempt is sent after the final answer"
             assert dispatcher.gateway.in_flight == 0
 
     run(main())
@@ -78,7 +79,7 @@
     run(main())
 
 
-@pytest.mark.parametrize("action", EFFECTS)
+@pytest.mark.parametrize("action", ACTIONS)
 def test_a_reset_before_the_answer(action: str) -> None:
     async def main() -> None:
         async with running_dispatcher(in_sequence(break_connection, answer)) as (dispatcher, (worker,)):
@@ -89,7 +90,7 @@
             else:
                 assert status == 200 and len(worker.attempts) == 2
                 assert len({request_id for request_id, _ in worker.attempts}) == 1, (
-                    "one idempotency key for all attempts"
+                    "all attempts have the same idempotency key"
                 )
 
     run(main())
@@ -122,7 +123,7 @@
     run(main())
 
 
-def test_a_listed_worker_that_does_not_listen() -> None:
+def test_a_listed_worker_that_refuses_connections() -> None:
     async def main() -> None:
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
@@ -140,21 +141,24 @@
 def test_late_and_repeated_answers_are_dropped() -> None:
     unanswered: list[tuple[str, Exchange]] = []
 
-    def twice(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
+    def answer_twice(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
         infer, payload = read_infer(request.body)
         data = encode_response(200, infer_answer("m", infer.id, payload, True))
         exchange.reply_encoded(data + data)
 
-    def late(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
+    def answer_late(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
         infer, _ = read_infer(request.body)
         unanswered.append((infer.id, exchange))
 
     async def main() -> None:
-        async with running_dispatcher(in_sequence(late, twice, twice, twice, answer)) as (dispatcher, (_worker,)):
+        async with running_dispatcher(in_sequence(answer_late, answer_twice, answer_twice, answer_twice, answer)) as (
+            dispatcher,
+            (_worker,),
+        ):
             status, _, body = await dispatcher.call("grant", body={})
             assert status == 502
             ((request_id, exchange),) = unanswered
-            exchange.reply(200, infer_answer("m", request_id, '{"late":1}', True))  # after the final answer
+            exchange.reply(200, infer_answer("m", request_id, '{"late":1}', True))  # sent after the final answer
             for n in range(4):
                 status, _, record = await dispatcher.call("p/check", body={"n": n})
                 assert status == 200 and record["response"]["result"] == {"n": n}
@@ -196,7 +200,7 @@
             worker.state = "draining"
             dispatcher.set_workers([worker, other])
             attempts_before, load_orders_before = len(worker.attempts), worker.load_order_count
-            load_orders[0].reply(200, b'{"standing":1}')  # the load that was in progress succeeds after all
+            load_orders[0].reply(200, b'{"standing":1}')  # the load order in progress succeeds
             answers = await asyncio.gather(*calls)
             assert [status for status, _, _ in answers] == [200] * 3
             assert len(worker.attempts) == attempts_before and worker.load_order_count == load_orders_before
@@ -215,13 +219,13 @@
             task.cancel()
             await asyncio.sleep(0.2)
             assert dispatcher.gateway.counts.attempt_statuses == {AttemptStatus.CANCELLED: 1}
-            assert worker.exchanges[0].client_gone, "its connection is closed"
+            assert worker.exchanges[0].client_gone, "the connection of the attempt is closed"
 
     run(main())
 
 
 def test_call_outcomes_of_a_pool() -> None:
-    """A call is unsent or unreachable only where nothing was written."""
+    """The outcome is unsent or unreachable only if nothing was written."""
 
     async def main() -> None:
         def record(_call: Call, outcome: CallOutcome, _response: Response | None) -> None:
@@ -235,10 +239,10 @@
         worker.on_load = never_answer
         calls = [pool.start(data, record) for _ in range(3)]
         calls.append(pool.start(data, record))
-        calls[3].cancel("revoked")  # before it ever began
+        calls[3].cancel("revoked")  # before its task started
         await asyncio.sleep(0.25)
         assert outcomes == [CallOutcome.UNSENT, CallOutcome.UNSENT], (
-            "no free connection in time; cancelled before it began"
+            "no free connection in time; cancelled before it started"
         )
         calls[0].cancel("revoked")
         calls[0].cancel("again")
@@ -251,7 +255,7 @@
         pool.start(data, record)
         await asyncio.sleep(0.05)
         assert outcomes[4:] == [CallOutcome.ANSWERED] and pool.open_connections == 1
-        worker.server.abort_all()  # an idle connection closed by the worker is not used again
+        worker.server.abort_all()  # an idle connection that the worker closed is not reused
         await asyncio.sleep(0.05)
         pool.start(data, record)
         await asyncio.sleep(0.05)
@@ -260,7 +264,7 @@
         pool.start(data, record)
         await asyncio.sleep(0.05)
         assert outcomes[6:] == [CallOutcome.UNREACHABLE]
-        full = socket.socket()  # it listens, but its accept queue is full
+        full = socket.socket()  # a listening socket whose accept queue is full
         full.bind(("127.0.0.1", 0))
         full.listen(0)
         unreachable = WorkerPool(f"127.0.0.1:{full.getsockname()[1]}", 8, 100.0, 1000.0, 1 << 16)
@@ -268,10 +272,10 @@
         for sock in queued:
             sock.setblocking(False)
             sock.connect_ex(full.getsockname())
-        began = loop.time()
+        started_at = loop.time()
         unreachable.start(data, record)
         await asyncio.sleep(0.2)
-        assert outcomes[7:] == [CallOutcome.UNREACHABLE] and loop.time() - began < 0.3
+        assert outcomes[7:] == [CallOutcome.UNREACHABLE] and loop.time() - started_at < 0.3
         for sock in [*queued, full]:
             sock.close()
         pool.close()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, as Linux documents them, forced one by one at the platform's sockets."""
+"""Transient failures of system calls, as Linux documents them, forced one at a time on the platform's sockets."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 from kelptrail.codec import feed, frames
 from kelptrail.engine.wall_clock import WallClockReader
 
-FAILING_ACCEPT = (
+ACCEPT_ERRORS = (
     errno.ECONNABORTED,
     errno.EINTR,
     errno.EMFILE,
@@ -42,11 +42,11 @@
     errno.ENOMEM,
     errno.EPROTO,
 )
-PASSING_SEND = (errno.ENOBUFS, errno.ENOMEM, errno.EINTR)
+TRANSIENT_SEND_ERRORS = (errno.ENOBUFS, errno.ENOMEM, errno.EINTR)
 
 
 class Failing:
-    """Wraps an object; calls of one method fail with the errors of a list, then go on as usual."""
+    """Wraps an object; calls of one method fail with the errors of a list, then work as usual."""
 
     def __init__(self, wrapped: Any, method: str, codes: list[int]) -> None:
         self._wrapped, self._method, self._codes = wrapped, method, codes
@@ -65,9 +65,9 @@
         return call
 
 
-@pytest.mark.parametrize("code", PASSING_SEND)
-def test_a_transient_send_failure_costs_no_connection(code: int) -> None:
-    """On the client's connection, the worker's and the list's: what is open there goes on."""
+@pytest.mark.parametrize("code", TRANSIENT_SEND_ERRORS)
+def test_a_transient_send_failure_closes_no_connection(code: int) -> None:
+    """The connections to the client and to the worker stay open, and the request is answered."""
 
     async def main() -> None:
         async with PlatformFixture(worker := WorkerStub(echo)) as platform:
@@ -76,10 +76,10 @@
             assert await client.code() == frames.SERVED
             (worker_links,) = platform.service.executor.workers.connections.values()
             (connection,) = worker_links._connections
-            (front_client,) = platform.service.client_server.connections.idle
-            for each in (connection.connection, front_client.connection):
-                assert each is not None
-                each.transport.sock = Failing(each.transport.sock, "send", [code, code])  # type: ignore[assignment]
+            (client_connection,) = platform.service.client_server.connections.idle
+            for wrapped in (connection.connection, client_connection.connection):
+                assert wrapped is not None
+                wrapped.transport.sock = Failing(wrapped.transport.sock, "send", [code, code])  # type: ignore[assignment]
             client.ask(2)
             assert await client.code() == frames.SERVED
             assert worker.connections == 1 and connection in worker_links._connections
@@ -91,15 +91,15 @@
 def test_a_worker_that_starts_after_a_step_of_the_wall_clock_is_in_slow_start(
     step_ms: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its age counts on the monotonic clock from its start, whichever way the wall clock went in between."""
+    """The worker's age is measured on the monotonic clock, in whichever direction the wall clock was stepped."""
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
             now_ms = platform.service._now
-            real = time.time
-            monkeypatch.setattr("time.time", lambda: real() + step_ms / 1000)
-            await asyncio.sleep(0.25)  # the periodic work sees the step
-            started = int(real() * 1000 + step_ms) - 100
+            real_time = time.time
+            monkeypatch.setattr("time.time", lambda: real_time() + step_ms / 1000)
+            await asyncio.sleep(0.25)  # the periodic work detects the step
+            started = int(real_time() * 1000 + step_ms) - 100
             platform.service.endpoints.on_event(worker_event(2, 7, started))
             worker = platform.service.engine.workers["s-00000007"]
             assert worker.started_at is not None
@@ -109,16 +109,16 @@
 
 
 def worker_event(number: int, id_: int, started: int) -> Any:
-    """An event that tells of one live worker, as the reader gives it."""
+    """Return an event with one running worker, as the reader of the endpoint list returns it."""
     record = feed.EndpointRecord(f"s-{id_:08x}", "127.0.0.1", 9, feed.READY, 0, 0, 0, 1.0, started)
     return feed.EndpointEvent(number, False, [record])
 
 
 def test_the_limit_passed_on_is_what_the_client_has_left_when_the_call_leaves(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The worker's connection comes up late: an attempt decided before carries the time that is left then."""
+    """An attempt that waits for a slow connect is sent with the time that remains when it is sent."""
     limits: list[int] = []
 
-    class Reads(WorkerStub):
+    class LimitRecorder(WorkerStub):
         async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while line := await reader.readline():
                 word, id_, *rest = line.split()
@@ -130,50 +130,50 @@
                     writer.write(id_ + b" OK units=1 0\r\n\r\n")
 
     async def main() -> None:
-        async with PlatformFixture(Reads(echo)) as platform:
+        async with PlatformFixture(LimitRecorder(echo)) as platform:
             client = await platform.client()
             client.ask(1)
             assert await client.code() == frames.SERVED  # an instance is loaded
-            for links in platform.service.executor.workers.connections.values():
-                links.close()
-            held = BlockedConnects(monkeypatch)
+            for worker in platform.service.executor.workers.connections.values():
+                worker.close()
+            connects = BlockedConnects(monkeypatch)
             client.ask(2, limit="1500")
-            await until(lambda: held.waiting)
+            await until(lambda: connects.waiting)
             await asyncio.sleep(0.4)
-            held.gate.set()
+            connects.gate.set()
             assert await client.code() == frames.SERVED
             assert limits and limits[-1] <= 1500 - 400 + 20
 
     run(main())
 
 
-def test_a_unix_time_is_read_by_the_clock_that_makes_it_latest_and_never_in_the_future() -> None:
+def test_a_unix_time_is_converted_to_the_latest_possible_time_that_is_not_in_the_future() -> None:
     hour = 3_600_000.0
     reader = WallClockReader(1_000_000.0, 0.0)
     assert reader.monotonic_ms(1_000_500.0, 1000.0) == 500.0
-    assert not reader.observe(1_002_000.0 + 40.0, 2000.0), "clocks drift"
+    assert not reader.observe(1_002_000.0 + 40.0, 2000.0), "a small difference is drift, not a step"
     assert reader.observe(1_003_000.0 + hour, 3000.0)
-    assert reader.monotonic_ms(1_002_900.0, 3100.0) == 2860.0, "written before the step"
-    assert reader.monotonic_ms(1_003_050.0 + hour, 3100.0) == 3050.0, "and after it"
+    assert reader.monotonic_ms(1_002_900.0, 3100.0) == 2860.0, "a time written before the step"
+    assert reader.monotonic_ms(1_003_050.0 + hour, 3100.0) == 3050.0, "a time written after the step"
     assert reader.observe(1_004_000.0, 4000.0)
     assert reader.monotonic_ms(1_004_020.0, 4100.0) == 4020.0
-    assert reader.monotonic_ms(1_004_000.0 + 9 * hour, 4100.0) == 4100.0, "by no clock of ours: as of now"
+    assert reader.monotonic_ms(1_004_000.0 + 9 * hour, 4100.0) == 4100.0, "a time that fits neither clock counts as now"
     assert reader.steps == 2
 
 
-@pytest.mark.parametrize("codes", [[code] for code in FAILING_ACCEPT] + [[errno.ECONNABORTED, errno.EMFILE] * 3])
+@pytest.mark.parametrize("codes", [[code] for code in ACCEPT_ERRORS] + [[errno.ECONNABORTED, errno.EMFILE] * 3])
 def test_clients_in_the_accept_queue_are_answered_at_shutdown_though_accepts_fail(codes: list[int]) -> None:
-    """Each client that connected before the listener closes is accepted, also behind one that has gone."""
+    """Each client that connected before the listener closes is accepted, also after accepts that fail."""
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            door = platform.service.client_server._listener
-            (listening,) = door._sockets
-            asyncio.get_running_loop().remove_reader(listening)  # whoever comes stands in the queue of the kernel
+            listener = platform.service.client_server._listener
+            (listening,) = listener._sockets
+            asyncio.get_running_loop().remove_reader(listening)  # new clients stay in the accept queue
             clients = [connect_raw(platform.port) for _ in range(3)]
             for number, client in enumerate(clients, 1):
                 client.sendall(request(number))
-            door._sockets = {Failing(listening, "accept", list(codes)): None}  # type: ignore[dict-item]
+            listener._sockets = {Failing(listening, "accept", list(codes)): None}  # type: ignore[dict-item]
             platform.service.shut_down()
             await asyncio.wait_for(platform.service.finished, 3.0)
             platform.service.close()
@@ -184,8 +184,8 @@
     run(main())
 
 
-def test_many_new_clients_with_requests_are_answered_one_by_one() -> None:
-    """Beyond the bound, too: no connection is closed over a request that stands in its socket."""
+def test_all_of_many_new_clients_are_answered_beyond_the_connection_limit() -> None:
+    """No connection is closed while an unread request is in its receive buffer."""
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(never_answer), sockets=48) as platform:
@@ -193,19 +193,19 @@
             for number, client in enumerate(busy, 1):
                 client.sendall(request(number))
             await until(lambda: len(platform.service.executor.client_requests) == 20)
-            crowd = [connect_raw(platform.port) for _ in range(30)]
-            for number, client in enumerate(crowd, 100):
+            new_clients = [connect_raw(platform.port) for _ in range(30)]
+            for number, client in enumerate(new_clients, 100):
                 client.sendall(request(number))
-            for number, client in enumerate(crowd, 100):
+            for number, client in enumerate(new_clients, 100):
                 assert set(answers(await asyncio.to_thread(read_all, client, 4.0))) == {number}
-            for client in busy + crowd:
+            for client in busy + new_clients:
                 client.close()
 
     run(main())
 
 
-def test_repeated_reloads_do_not_reconnect_often_to_a_list_that_answers() -> None:
-    """The address is the same and the list tells its events: nothing is called off for a word that changes nothing."""
+def test_repeated_reloads_do_not_reconnect_often_to_an_endpoint_list_that_answers() -> None:
+    """A reload of the configuration with the same list address leaves a working connection open."""
 
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -213,27 +213,27 @@
                 writer.write(event(1, 0))
                 await asyncio.sleep(0.1)
 
-        service = EndpointListStub(serve)
-        port = await service.open()
+        endpoint_list = EndpointListStub(serve)
+        port = await endpoint_list.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
             await follow(platform, port)
-            await until(lambda: service.requested_after)
+            await until(lambda: endpoint_list.requested_after)
             for _ in range(25):
                 await asyncio.sleep(0.04)
                 await follow(platform, port)
-            assert len(service.requested_after) <= 3
+            assert len(endpoint_list.requested_after) <= 3
 
     run(main())
 
 
-def test_a_worker_added_by_a_change_is_no_older_than_the_list_without_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The process started under a wall clock that is an hour ahead of the list's; it has seen no step."""
-    real = time.time
-    monkeypatch.setattr("time.time", lambda: real() + 3600)
+def test_a_worker_added_by_a_change_is_no_older_than_the_previous_list(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The dispatcher's wall clock is an hour ahead of the list's since its start, so it has detected no step."""
+    real_time = time.time
+    monkeypatch.setattr("time.time", lambda: real_time() + 3600)
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
-            platform.service.endpoints.on_event(worker_event(2, 7, int(real() * 1000) - 100))
+            platform.service.endpoints.on_event(worker_event(2, 7, int(real_time() * 1000) - 100))
             worker = platform.service.engine.workers["s-00000007"]
             assert worker.started_at is not None
             assert platform.service._now() - worker.started_at <= 1000.0
@@ -242,24 +242,24 @@
 
 
 def test_a_transient_receive_failure_is_not_taken_for_the_end_of_a_connection() -> None:
-    """A request stands in its socket: the close of a resting connection must not go by a look that failed."""
+    """An idle connection with an unread request is not closed to make room because the check for input failed."""
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            client, front = await platform.client(), platform.service.client_server
+            client, server = await platform.client(), platform.service.client_server
             client.ask(1)
             assert await client.code() == frames.SERVED
-            (mine,) = front.connections.idle
-            client.ask(2)  # written, and not yet read
-            mine.connection.transport.sock = Failing(mine.connection.transport.sock, "recv", [errno.ENOMEM])  # type: ignore[assignment]
-            front.connections.make_room()
+            (idle,) = server.connections.idle
+            client.ask(2)  # sent but not read yet
+            idle.connection.transport.sock = Failing(idle.connection.transport.sock, "recv", [errno.ENOMEM])  # type: ignore[assignment]
+            server.connections.make_room()
             assert await client.code() == frames.SERVED
 
     run(main())
 
 
 def start_process(tmp_path: Path, text: str) -> subprocess.Popen[bytes]:
-    """A process of `run` with this text as its configuration."""
+    """Start a platform dispatcher with `text` as its configuration file."""
     (tmp_path / "c.json").write_text(text)
     return subprocess.Popen(
         [sys.executable, "-m", "kelptrail.platform"],
@@ -269,12 +269,12 @@
     )
 
 
-def test_a_configuration_that_is_being_replaced_at_the_start_is_read_again(tmp_path: Path) -> None:
-    whole = json.dumps(configuration() | {"listen": "127.0.0.1:0"})
-    process = start_process(tmp_path, whole[: len(whole) // 2])
+def test_a_configuration_that_is_incomplete_at_the_start_is_read_again(tmp_path: Path) -> None:
+    complete = json.dumps(configuration() | {"listen": "127.0.0.1:0"})
+    process = start_process(tmp_path, complete[: len(complete) // 2])
     try:
         time.sleep(0.8)
-        (tmp_path / "c.json").write_text(whole)
+        (tmp_path / "c.json").write_text(complete)
         read_until(process, "list number=")
         process.terminate()
         assert process.wait(3.0) == 0
@@ -283,8 +283,8 @@
         process.wait()
 
 
-def test_an_address_in_use_for_a_moment_is_retried(tmp_path: Path) -> None:
-    """As it is where the process before still closes, or descriptors lack in the whole system."""
+def test_listening_is_retried_while_the_address_is_in_use(tmp_path: Path) -> None:
+    """The previous process may still be closing; a system-wide shortage of descriptors is handled in the same way."""
     with socket.socket() as occupied:
         occupied.bind(("127.0.0.1", 0))
         occupied.listen()
@@ -306,8 +306,8 @@
         process.wait()
 
 
-def test_an_answer_that_its_client_still_reads_is_not_cut_to_make_room() -> None:
-    """The request is answered, so nothing is open; the answer still stands in the link."""
+def test_an_answer_that_its_client_still_reads_is_not_truncated_to_make_room() -> None:
+    """The connection has no open request, but its answer is not completely written."""
     body = bytes(100_000)
 
     def large(worker: WorkerStub, id_: bytes, _: bytes, writer: asyncio.StreamWriter) -> None:
@@ -315,13 +315,13 @@
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(large)) as platform:
-            front, slow = platform.service.client_server, connect_raw(platform.port, SMALL_BUFFER_BYTES)
-            await until(lambda: len(front.connections))
-            (client,) = front.connections.fresh
+            server, slow = platform.service.client_server, connect_raw(platform.port, SMALL_BUFFER_BYTES)
+            await until(lambda: len(server.connections))
+            (client,) = server.connections.fresh
             client.connection.transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
             slow.sendall(request(1))
-            await until(lambda: client in front.connections.idle and client.connection.has_pending_writes)
-            front.connections.make_room()
+            await until(lambda: client in server.connections.idle and client.connection.has_pending_writes)
+            server.connections.make_room()
             slow.settimeout(3.0)
             found = await asyncio.to_thread(read_frame, slow)
             assert found[2] == b"\0\0" + body
@@ -331,17 +331,17 @@
 
 
 def read_frame(sock: socket.socket) -> tuple[int, int, bytes]:
-    """The next whole frame."""
+    """Return the next complete frame."""
     reader = frames.FrameReader(1 << 20)
     while (found := reader.next()) is None:
         data = sock.recv(65536)
-        assert data, "ended in the middle of an answer"
+        assert data, "the connection ended within an answer"
         reader.feed(data)
     return found
 
 
 def test_nothing_is_decided_once_the_process_has_closed_its_sockets() -> None:
-    """Ends of what was open at the close must not lead to new attempts and orders."""
+    """Requests and attempts that end with the close must not lead to new attempts or load orders."""
 
     async def main() -> None:
         async with PlatformFixture(worker := WorkerStub(never_answer)) as platform:
@@ -357,22 +357,22 @@
 
 
 @pytest.mark.parametrize("code", [errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
-def test_an_accept_that_fails_for_what_the_whole_system_lacks_closes_no_other_client(code: int) -> None:
+def test_an_accept_that_fails_for_a_system_wide_shortage_closes_no_other_client(code: int) -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            resting, front = await platform.client(), platform.service.client_server
-            resting.ask(1)
-            assert await resting.code() == frames.SERVED
-            (listening,) = front._listener._sockets
+            idle, server = await platform.client(), platform.service.client_server
+            idle.ask(1)
+            assert await idle.code() == frames.SERVED
+            (listening,) = server._listener._sockets
             loop = asyncio.get_running_loop()
             loop.remove_reader(listening)
             failing = Failing(listening, "accept", [code] * 3)
-            front._listener._sockets = {failing: None}  # type: ignore[dict-item]
-            loop.add_reader(listening, front._listener._ready, failing)
+            server._listener._sockets = {failing: None}  # type: ignore[dict-item]
+            loop.add_reader(listening, server._listener._ready, failing)
             late = await platform.client()
             late.ask(2)
             assert await late.code() == frames.SERVED
-            resting.ask(3)
-            assert await resting.code() == frames.SERVED
+            idle.ask(3)
+            assert await idle.code() == frames.SERVED
 
     run(main())
