--- a/kelptrail/codec/feed.py
+++ b/kelptrail/codec/feed.py
@@ -15,7 +15,7 @@
 _HEAD = Struct(">IQB")
 _RECORD = Struct(">I4sHBBBHIQ")
 _STATES = {"in_service": 0, "terminating": 1, "terminated": 2}
-READY, DRAINING, GONE = 0, 1, 2  # states of a worker
+READY, DRAINING, TERMINATED = 0, 1, 2  # states of a worker
 
 
 class FeedError(ValueError):
@@ -79,7 +79,7 @@
 
     def _records(self, payload: bytes) -> Iterator[EndpointRecord]:
         for id_, address, port, state, zone, kind, cell, weight, started in _RECORD.iter_unpack(payload):
-            if state > GONE or zone >= self._zones or kind >= self._kinds or not (weight or state):
+            if state > TERMINATED or zone >= self._zones or kind >= self._kinds or not (weight or state):
                 raise FeedError("a record has a value out of range")
             yield EndpointRecord(
                 f"s-{id_:08x}", ".".join(map(str, address)), port, state, zone, kind, cell, weight / 1000, started
--- a/kelptrail/codec/infer.py
+++ b/kelptrail/codec/infer.py
@@ -17,7 +17,7 @@
 
 from .events import CONTENT_TYPE
 from .http import Response, encode_request, encode_response
-from .tensors import JsonTensor, TensorError, values_of
+from .tensors import JsonTensor, TensorError, tensor_values
 from .tensors import JsonTensor as Tensor
 
 NEVER_RAN = "never-ran"
@@ -118,7 +118,7 @@
         request = _request(body)
         if request.parameters.get("form") == "tensors":
             for tensor in request.inputs:
-                values_of(tensor)
+                tensor_values(tensor)
             return ParsedInfer(request, "")
         return ParsedInfer(request, _only_element(request.inputs, "params"))
     except TensorError as cause:
@@ -195,7 +195,7 @@
 
     A response that does not follow the protocol has the kind "error": the attempt may have run.
     """
-    report = load_report(response.headers.get(LOAD_REPORT))
+    report = read_load_report(response.headers.get(LOAD_REPORT))
     instance_loaded, other_requests = None, 0
     if report is not None:
         instance_loaded = {0.0: False, 1.0: True}.get(report.pop("found", -1.0))
@@ -264,7 +264,7 @@
     return encode_response(status, _encode({"error": text}), headers)
 
 
-def load_report(text: str | None) -> dict[str, float] | None:
+def read_load_report(text: str | None) -> dict[str, float] | None:
     """Return the values of an ORCA header in TEXT form by metric name, or None for another form.
 
     `cpu_utilization` is renamed to `util`; malformed fields are skipped.
--- a/kelptrail/codec/tensors.py
+++ b/kelptrail/codec/tensors.py
@@ -19,7 +19,7 @@
 import numpy as np
 
 # For each datatype: bytes per element in raw form (0: variable), field of the typed contents, numpy type.
-KINDS: dict[str, tuple[int, str, str]] = {
+DATATYPES: dict[str, tuple[int, str, str]] = {
     "BOOL": (1, "bool_contents", "?"),
     "UINT8": (1, "uint_contents", "<u1"),
     "UINT16": (2, "uint_contents", "<u2"),
@@ -35,7 +35,7 @@
     "BYTES": (0, "bytes_contents", ""),
 }
 MAX_DIMENSIONS, MAX_ELEMENTS = 32, 1 << 28
-FIELDS = (
+CONTENT_FIELDS = (
     "bool_contents",
     "int_contents",
     "int64_contents",
@@ -63,12 +63,12 @@
     """Raised for a tensor whose contents do not match its datatype or shape; the text names the tensor."""
 
 
-def elements(name: str, datatype: str, shape: Sequence[int]) -> int:
+def element_count(name: str, datatype: str, shape: Sequence[int]) -> int:
     """Return the number of elements of a tensor.  Raises `TensorError` for an unknown datatype or an invalid shape."""
     if not name:
         raise TensorError("a tensor without a name")
-    if datatype not in KINDS:
-        raise TensorError(f"tensor {name!r}: datatype {datatype!r} is none of {', '.join(KINDS)}")
+    if datatype not in DATATYPES:
+        raise TensorError(f"tensor {name!r}: datatype {datatype!r} is none of {', '.join(DATATYPES)}")
     if len(shape) > MAX_DIMENSIONS:
         raise TensorError(f"tensor {name!r}: {len(shape)} dimensions, at most {MAX_DIMENSIONS}")
     if any(size < 0 for size in shape):
@@ -80,7 +80,7 @@
 
 
 def _decode_raw(name: str, datatype: str, count: int, raw: bytes) -> list[Any]:
-    element_bytes, _, numpy_type = KINDS[datatype]
+    element_bytes, _, numpy_type = DATATYPES[datatype]
     if datatype == "BYTES":
         elements_read, offset = [], 0
         while offset < len(raw):
@@ -105,7 +105,7 @@
 def _encode_raw(datatype: str, values: Iterable[Any]) -> bytes:
     if datatype == "BYTES":
         return b"".join(struct.pack("<I", len(value)) + value for value in values)
-    return np.asarray(list(values), dtype=KINDS[datatype][2]).tobytes()
+    return np.asarray(list(values), dtype=DATATYPES[datatype][2]).tobytes()
 
 
 def _check_values(name: str, datatype: str, values: list[Any]) -> list[Any]:
@@ -117,7 +117,7 @@
     elif datatype.startswith("FP"):
         invalid = next((v for v in values if isinstance(v, bool) or not isinstance(v, int | float)), None)
     else:
-        info = np.iinfo(KINDS[datatype][2])
+        info = np.iinfo(DATATYPES[datatype][2])
         low, high = int(info.min), int(info.max)
         invalid = next(
             (v for v in values if isinstance(v, bool) or not isinstance(v, int) or not low <= v <= high), None
@@ -133,8 +133,8 @@
     `raw` is the tensor's entry in the raw contents of the message, if any.
     """
     name, datatype, shape = tensor.name, tensor.datatype, list(tensor.shape)
-    count = elements(name, datatype, shape)
-    _, field, _ = KINDS[datatype]
+    count = element_count(name, datatype, shape)
+    _, field, _ = DATATYPES[datatype]
     if raw is not None:
         if tensor.HasField("contents"):
             raise TensorError(f"tensor {name!r}: both typed and raw contents")
@@ -142,14 +142,14 @@
     else:
         if not field:
             raise TensorError(f"tensor {name!r}: {datatype} has raw contents only")
-        other = next((f for f in FIELDS if f != field and len(getattr(tensor.contents, f))), None)
+        other = next((f for f in CONTENT_FIELDS if f != field and len(getattr(tensor.contents, f))), None)
         if other is not None:
             raise TensorError(f"tensor {name!r}: {other} with datatype {datatype}, which takes {field}")
         values = list(getattr(tensor.contents, field))
         if len(values) != count:
             raise TensorError(f"tensor {name!r}: {len(values)} elements in {field}, its shape has {count}")
         _check_values(name, datatype, values)
-    parameters = scalars(tensor.parameters)
+    parameters = read_parameters(tensor.parameters)
     if datatype == "BYTES":
         try:
             return JsonTensor(name, datatype, shape, [value.decode() for value in values], parameters)
@@ -162,10 +162,10 @@
     )
 
 
-def values_of(tensor: JsonTensor) -> list[Any]:
+def tensor_values(tensor: JsonTensor) -> list[Any]:
     """Return the elements of a worker's tensor; those of BYTES are `bytes`.  Raises `TensorError`."""
     name, datatype = tensor.name, tensor.datatype
-    count = elements(name, datatype, tensor.shape)
+    count = element_count(name, datatype, tensor.shape)
     if tensor.parameters.get("raw") is True:
         if len(tensor.data) != 1 or not isinstance(tensor.data[0], str):
             raise TensorError(f"tensor {name!r}: raw data is one base64 text")
@@ -195,23 +195,23 @@
     return data
 
 
-def fill(out: Any, tensor: JsonTensor, raw: bool) -> bytes | None:
+def write_tensor(out: Any, tensor: JsonTensor, raw: bool) -> bytes | None:
     """Write a worker's tensor into the protobuf tensor `out`.  Raises `TensorError`.
 
     Return its raw contents if `raw` is true or its datatype has no typed contents, else None.
     """
-    values = values_of(tensor)
+    values = tensor_values(tensor)
     out.name, out.datatype = tensor.name, tensor.datatype
     out.shape.extend(tensor.shape)
-    field = KINDS[tensor.datatype][1]
-    write_scalars(out.parameters, {k: v for k, v in tensor.parameters.items() if k != "raw"})
+    field = DATATYPES[tensor.datatype][1]
+    write_parameters(out.parameters, {k: v for k, v in tensor.parameters.items() if k != "raw"})
     if raw or not field:
         return _encode_raw(tensor.datatype, values)
     getattr(out.contents, field).extend(values)
     return None
 
 
-def scalars(parameters: Any) -> dict[str, Scalar]:
+def read_parameters(parameters: Any) -> dict[str, Scalar]:
     """Convert a protobuf map of parameters to plain values; a parameter without a value is skipped."""
     values: dict[str, Scalar] = {}
     for name, value in parameters.items():
@@ -221,7 +221,7 @@
     return values
 
 
-def write_scalars(parameters: Any, values: dict[str, Scalar]) -> None:
+def write_parameters(parameters: Any, values: dict[str, Scalar]) -> None:
     """Write plain values into a protobuf map of parameters."""
     for name, value in values.items():
         if isinstance(value, bool):
--- a/kelptrail/emulator/inference_client.py
+++ b/kelptrail/emulator/inference_client.py
@@ -5,7 +5,7 @@
 from functools import partial
 
 from kelptrail.codec.grpc import Code
-from kelptrail.codec.tensors import scalars
+from kelptrail.codec.tensors import read_parameters
 from kelptrail.front.inference import inference_pb2 as pb
 from kelptrail.front.inference.api import SERVICE
 from kelptrail.load.client_behavior import ClientOutcome
@@ -67,7 +67,7 @@
 
     def _on_stream_part(self, call: ClientCall, data: bytes) -> None:
         message = pb.ModelStreamInferResponse.FromString(data)
-        fields = scalars(message.infer_response.parameters)
+        fields = read_parameters(message.infer_response.parameters)
         activation = str(fields.get("activation_id", ""))
         if not fields.get("final_response"):
             call.parts += 1
--- a/kelptrail/front/inference/responses.py
+++ b/kelptrail/front/inference/responses.py
@@ -6,7 +6,7 @@
 from google.protobuf.message import Message
 
 from kelptrail.codec.grpc import Code, GrpcError
-from kelptrail.codec.tensors import JsonTensor, Scalar, TensorError, fill, write_scalars
+from kelptrail.codec.tensors import JsonTensor, Scalar, TensorError, write_parameters, write_tensor
 from kelptrail.dispatch.entities import FinalStatus
 from kelptrail.gateway.records import Record
 from kelptrail.net.grpc_server import GrpcStream
@@ -61,7 +61,7 @@
     except (TensorError, msgspec.MsgspecError) as cause:
         text, details = f"the model's answer is none: {cause}", {"activation": record.id}
         raise GrpcError(Code.INTERNAL, text, reason=ErrorReason.MODEL_ANSWER, details=details) from None
-    write_scalars(response.parameters, parameters)
+    write_parameters(response.parameters, parameters)
     return response
 
 
@@ -69,7 +69,7 @@
     """Add the tensors of a result; returns its parameters.  Raises `TensorError` and `MsgspecError`."""
     decoded = _decode_tensors(result)
     for tensor in decoded.outputs:
-        raw_contents = fill(response.outputs.add(), tensor, raw)
+        raw_contents = write_tensor(response.outputs.add(), tensor, raw)
         if raw_contents is not None:
             response.raw_output_contents.append(raw_contents)
     if response.raw_output_contents and len(response.raw_output_contents) != len(response.outputs):
@@ -80,7 +80,7 @@
 def render_accepted(record: Record, request_id: str) -> pb.ModelInferResponse:
     """The response to a deferred request: the activation id."""
     response = pb.ModelInferResponse(model_name=record.path, model_version=MODEL_VERSION, id=request_id)
-    write_scalars(response.parameters, {"activation_id": record.id, "deferred": True})
+    write_parameters(response.parameters, {"activation_id": record.id, "deferred": True})
     return response
 
 
@@ -94,5 +94,5 @@
         parameters["retry_after_ms"] = float(error.retry_ms)
     if activation_id:
         parameters["activation_id"] = activation_id
-    write_scalars(response.parameters, parameters | dict(error.details))
+    write_parameters(response.parameters, parameters | dict(error.details))
     return pb.ModelStreamInferResponse(error_message=f"{error.code.name}: {error.text}", infer_response=response)
--- a/kelptrail/front/inference/stream_inference.py
+++ b/kelptrail/front/inference/stream_inference.py
@@ -10,7 +10,7 @@
 
 from kelptrail.clock import now_ms, wall_ms
 from kelptrail.codec.grpc import GrpcError
-from kelptrail.codec.tensors import scalars
+from kelptrail.codec.tensors import read_parameters
 from kelptrail.gateway.admission import Submission
 from kelptrail.gateway.invocation import Invocation
 from kelptrail.gateway.records import Record
@@ -64,7 +64,7 @@
     def _parse(self, message: pb.ModelInferRequest) -> InferenceRequest:
         if len(self._open) >= self._context.deployment.inference.stream_requests:
             raise over_limit("Too many requests are under way in this stream.", RETRY_AFTER_MS)
-        parameters = scalars(message.parameters)
+        parameters = read_parameters(message.parameters)
         if not parameters.keys().isdisjoint(OWN_PARAMETERS):
             raise invalid("a streamed request is neither deferred, polled nor marked")
         return parse_request(self._context.deployment, message, parameters)
--- a/kelptrail/front/inference/unary_inference.py
+++ b/kelptrail/front/inference/unary_inference.py
@@ -6,7 +6,7 @@
 
 from kelptrail.clock import now_ms, wall_ms
 from kelptrail.codec.grpc import Code, GrpcError
-from kelptrail.codec.tensors import Scalar, scalars
+from kelptrail.codec.tensors import Scalar, read_parameters
 from kelptrail.gateway.admission import Submission
 from kelptrail.gateway.idempotency_keys import KeyConflictError
 from kelptrail.gateway.invocation import Invocation
@@ -30,7 +30,7 @@
 
     def handle(self, stream: GrpcStream, namespace: NamespaceSettings, message: pb.ModelInferRequest) -> None:
         """Handle the one message of a call.  Raises `GrpcError`."""
-        parameters = scalars(message.parameters)
+        parameters = read_parameters(message.parameters)
         if POLL in parameters:
             self._poll(stream, namespace, message.id, parameters)
             return
--- a/kelptrail/net/grpc_connection.py
+++ b/kelptrail/net/grpc_connection.py
@@ -295,7 +295,7 @@
     def enforce_time_limits(self, now: float) -> None:
         """Enforce the limits on the connection's age, grace and idle time, and on blocked or incomplete streams."""
         limits = self.server.limits
-        stage = self.guard.due(now, len(self.streams), GOAWAY_DELIVERY_MS)
+        stage = self.guard.advance_stage(now, len(self.streams), GOAWAY_DELIVERY_MS)
         if stage is CloseStage.WARNED:
             self._send_goaway(MAX_STREAM_ID)
         elif stage is CloseStage.CLOSING:
--- a/kelptrail/net/guard.py
+++ b/kelptrail/net/guard.py
@@ -70,8 +70,11 @@
         if self.stage is CloseStage.OPEN:
             self.stage, self._closing_started_at = CloseStage.WARNED, now
 
-    def due(self, now: float, streams: int, delivery_ms: float) -> CloseStage | None:
-        """Return the stage that begins now, or None.  `delivery_ms` is the time for a GOAWAY to reach the client."""
+    def advance_stage(self, now: float, streams: int, delivery_ms: float) -> CloseStage | None:
+        """Enter the next stage if it is due, and return it, else None.
+
+        `delivery_ms` is the time for a GOAWAY to reach the client.
+        """
         if self.stage is CloseStage.OPEN and now >= self._expires_at:
             self.start_closing(now)
             return CloseStage.WARNED
--- a/kelptrail/net/tls.py
+++ b/kelptrail/net/tls.py
@@ -27,17 +27,17 @@
     """Files and options of the client or the server side.
 
     `certificate` holds the chain, and also the key where `key` is None.  `authority` is the CA that must have signed
-    the certificates of peers.  `peers` is the client certificate mode: "none" (not requested), "asked" (requested) or
-    "required".  `least` is the minimum TLS version.
+    the certificates of peers.  `client_certificates` is "none" (not requested), "asked" (requested) or "required".
+    `expiry_warning_days` is how many days before the expiry warnings start.
     """
 
     certificate: Path | None
     key: Path | None = None
     authority: Path | None = None
-    peers: str = "none"
-    least: str = "tls-1.2"
+    client_certificates: str = "none"
+    min_version: str = "tls-1.2"
     ciphers: str = ""
-    warn_days: float = 14.0
+    expiry_warning_days: float = 14.0
 
 
 class FileStamp(NamedTuple):
@@ -49,15 +49,15 @@
 
 
 class ExpiryWarning:
-    """Decides when to warn of a certificate's expiry: once a day in its last `warn_days`.  Does no I/O."""
+    """Decides when to warn of a certificate's expiry: once a day in its last `warning_days`.  Does no I/O."""
 
-    def __init__(self, warn_days: float) -> None:
-        self._warn_days, self._warned_at = warn_days, float("-inf")
+    def __init__(self, warning_days: float) -> None:
+        self._warning_days, self._warned_at = warning_days, float("-inf")
 
     def due(self, wall_ms: float, expires_at: float) -> float | None:
         """Return the number of days left if a warning is due now, else None.  Both times are Unix times in ms."""
         left = (expires_at - wall_ms) / DAY_MS
-        if left > self._warn_days or wall_ms < self._warned_at + DAY_MS:
+        if left > self._warning_days or wall_ms < self._warned_at + DAY_MS:
             return None
         self._warned_at = wall_ms
         return left
@@ -75,7 +75,7 @@
     ) -> None:
         self._files, self._server_side, self._alpn, self._log, self._wall_ms = files, server_side, alpn, log, wall_ms
         self._loaded_stamps: list[FileStamp] = []
-        self._expiry = ExpiryWarning(files.warn_days)
+        self._expiry = ExpiryWarning(files.expiry_warning_days)
         self.expires_at: float | None = None  # Unix time in ms
         self.names: list[str] = []
         self.loads = self.failures = 0
@@ -93,7 +93,7 @@
             self._loaded_stamps = stamps
             try:
                 self._context = self._load()
-                self._expiry = ExpiryWarning(self._files.warn_days)
+                self._expiry = ExpiryWarning(self._files.expiry_warning_days)
                 self._log.info("tls-reloaded", names=self.names, ends=self._expiry_date())
             except TlsFilesError as cause:
                 self.failures += 1
@@ -129,7 +129,7 @@
     def _load(self) -> ssl.SSLContext:
         files = self._files
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if self._server_side else ssl.PROTOCOL_TLS_CLIENT)
-        context.minimum_version = VERSIONS[files.least]
+        context.minimum_version = VERSIONS[files.min_version]
         context.options |= ssl.OP_NO_COMPRESSION | ssl.OP_NO_RENEGOTIATION
         try:
             if files.ciphers:
@@ -146,7 +146,7 @@
             raise TlsFilesError(f"{paths}: {cause}") from None
         if self._server_side:
             context.verify_mode = {"none": ssl.CERT_NONE, "asked": ssl.CERT_OPTIONAL, "required": ssl.CERT_REQUIRED}[
-                files.peers
+                files.client_certificates
             ]
         if self._alpn:
             context.set_alpn_protocols(self._alpn)
--- a/kelptrail/platform/endpoint_updates.py
+++ b/kelptrail/platform/endpoint_updates.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from kelptrail.codec.feed import GONE, READY, EndpointEvent, EndpointRecord, FeedReader
+from kelptrail.codec.feed import READY, TERMINATED, EndpointEvent, EndpointRecord, FeedReader
 from kelptrail.dispatch.entities import AttemptStatus, Worker, WorkerState
 from kelptrail.engine.engine import Endpoint, Engine
 from kelptrail.engine.invariants import Invariants
@@ -21,7 +21,7 @@
 from .worker_connections import OnItemFinished
 from .worker_pool import WorkerPool
 
-WORKER_STATES = {READY: WorkerState.LIVE, GONE: WorkerState.REMOVED}  # all other states of the list: draining
+WORKER_STATES = {READY: WorkerState.LIVE, TERMINATED: WorkerState.REMOVED}  # all other states of the list: draining
 
 
 class EndpointUpdates:
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -9,10 +9,10 @@
     MalformedError,
     infer_answer,
     infer_request,
-    load_report,
     read_answer,
     read_infer,
     read_load,
+    read_load_report,
     write_report,
 )
 
@@ -130,8 +130,8 @@
 
 
 def test_malformed_fields_of_load_reports_are_skipped() -> None:
-    assert load_report("TEXT cpu_utilization=0.4, named_metrics.x1=z, x=nan, eps=1") == {"util": 0.4, "eps": 1.0}
-    assert load_report("JSON {}") is None and load_report(None) is None
+    assert read_load_report("TEXT cpu_utilization=0.4, named_metrics.x1=z, x=nan, eps=1") == {"util": 0.4, "eps": 1.0}
+    assert read_load_report("JSON {}") is None and read_load_report(None) is None
     for body in (b"{", b'{"parameters":{"copies":17}}', b'{"parameters":{"copies":true}}'):
         with pytest.raises(MalformedError):
             read_load(body)
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -43,7 +43,7 @@
     read_trailers,
     timeout_ms,
 )
-from kelptrail.codec.tensors import KINDS, JsonTensor, TensorError, fill, to_json, values_of
+from kelptrail.codec.tensors import DATATYPES, JsonTensor, TensorError, tensor_values, to_json, write_tensor
 from kelptrail.front.inference import inference_pb2 as pb
 from kelptrail.front.inference.api import SERVICE
 from kelptrail.net.grpc_server import GrpcLimits, GrpcServer, GrpcStream
@@ -98,7 +98,7 @@
 
 def tensor(datatype: str, values: list[Any], shape: list[int] | None = None, name: str = "t") -> Any:
     out = pb.ModelInferRequest.InferInputTensor(name=name, datatype=datatype, shape=shape or [len(values)])
-    getattr(out.contents, KINDS[datatype][1]).extend(values)
+    getattr(out.contents, DATATYPES[datatype][1]).extend(values)
     return out
 
 
@@ -111,9 +111,9 @@
 }
 
 
-@pytest.mark.parametrize("datatype", sorted(KINDS))
+@pytest.mark.parametrize("datatype", sorted(DATATYPES))
 def test_every_datatype_round_trips_through_json_typed_and_raw(datatype: str) -> None:
-    size, field, kind = KINDS[datatype]
+    size, field, kind = DATATYPES[datatype]
     info = np.iinfo(kind) if "INT" in datatype else None
     values: list[Any] = SAMPLES.get(datatype) or [int(info.min), int(info.max), 7]  # type: ignore[union-attr]
     raw = b"".join(len(v).to_bytes(4, "little") + v for v in values) if not size else np.array(values, kind).tobytes()
@@ -122,12 +122,14 @@
         forms.append((tensor(datatype, values), None))
     for message, raw_contents in forms:
         in_json = to_json(message, raw_contents)
-        assert str(values_of(in_json)) == str(values)
+        assert str(tensor_values(in_json)) == str(values)
         back = pb.ModelInferResponse.InferOutputTensor()
-        assert fill(back, in_json, True) == raw
+        assert write_tensor(back, in_json, True) == raw
         if field:
             back = pb.ModelInferResponse.InferOutputTensor()
-            assert fill(back, in_json, False) is None and str(list(getattr(back.contents, field))) == str(values)
+            assert write_tensor(back, in_json, False) is None and str(list(getattr(back.contents, field))) == str(
+                values
+            )
 
 
 def test_malformed_tensors_are_rejected_by_name() -> None:
@@ -159,8 +161,8 @@
         (JsonTensor("t", "FP32", [1], ["*"], {"raw": True}), "base64"),
     ):
         with pytest.raises(TensorError, match=text):
-            values_of(in_json)
-    assert values_of(JsonTensor("t", "INT8", [2, 2], [[1, 2], [3, 4]])) == [1, 2, 3, 4], "nested lists are allowed"
+            tensor_values(in_json)
+    assert tensor_values(JsonTensor("t", "INT8", [2, 2], [[1, 2], [3, 4]])) == [1, 2, 3, 4], "nested lists are allowed"
 
 
 def test_random_bytes_raise_typed_errors_only() -> None:
@@ -196,11 +198,11 @@
     assert [guard.spend(0.0, GuardAction.RESET) for _ in range(11)] == [True] * 10 + [False]
     assert guard.spend(0.0, GuardAction.PING), "each kind of frame has a budget of its own"
     assert guard.spend(1000.0, GuardAction.RESET)
-    assert guard.due(990.0, 3, 100.0) is None and guard.accepts_streams
-    assert guard.due(1000.0, 3, 100.0) is CloseStage.WARNED and guard.accepts_streams
-    assert guard.due(1050.0, 3, 100.0) is None
-    assert guard.due(1100.0, 3, 100.0) is CloseStage.CLOSING and not guard.accepts_streams
-    assert guard.due(1200.0, 3, 100.0) is None and guard.due(1400.0, 3, 100.0) is CloseStage.CLOSED
+    assert guard.advance_stage(990.0, 3, 100.0) is None and guard.accepts_streams
+    assert guard.advance_stage(1000.0, 3, 100.0) is CloseStage.WARNED and guard.accepts_streams
+    assert guard.advance_stage(1050.0, 3, 100.0) is None
+    assert guard.advance_stage(1100.0, 3, 100.0) is CloseStage.CLOSING and not guard.accepts_streams
+    assert guard.advance_stage(1200.0, 3, 100.0) is None and guard.advance_stage(1400.0, 3, 100.0) is CloseStage.CLOSED
     ages = {FloodGuard(GuardSettings(age_ms=1000.0), 0.0, s / 10)._expires_at for s in range(10)}
     assert len(ages) == 10 and min(ages) >= 900 and max(ages) <= 1100, (
         "spread, so that clients do not all reconnect at once"
