--- a/kelptrail/net/pool.py
+++ b/kelptrail/net/pool.py
@@ -179,7 +179,7 @@
             call._finish(outcome, response)
 
     async def _exchange(self, connection: _PooledConnection, call: Call) -> Response | None:
-        """Send a call's request and return its response, None where the worker closed the connection before its end."""
+        """Send a call's request and return its response, None if the worker closed the connection too early."""
         await connection.transport.sendall(call.data)
         receive, feed, buffer = connection.transport.recv_into, connection.reader.feed, connection.buffer
         connection.reader.on_chunk = call.on_chunk
--- a/tests/raw_sockets.py
+++ b/tests/raw_sockets.py
@@ -57,18 +57,18 @@
 def read_all(sock: socket.socket, within: float = 3.0) -> list[tuple[int, int, bytes]]:
     """Return all frames until the connection ends."""
     sock.settimeout(within)
-    reader, found = frames.FrameReader(1 << 20), []
+    reader, received = frames.FrameReader(1 << 20), []
     with contextlib.suppress(ConnectionResetError):
         while data := sock.recv(65536):
             reader.feed(data)
             while (frame := reader.next()) is not None:
-                found.append(frame)
-    return found
+                received.append(frame)
+    return received
 
 
-def answers(found: list[tuple[int, int, bytes]]) -> dict[int, int]:
+def answers(received: list[tuple[int, int, bytes]]) -> dict[int, int]:
     """Return the status code of the answer to each stream."""
-    codes = [(stream, payload[0]) for kind, stream, payload in found if kind == frames.ANSWER]
+    codes = [(stream, payload[0]) for kind, stream, payload in received if kind == frames.ANSWER]
     assert len(dict(codes)) == len(codes), "one answer for each stream"
     return dict(codes)
 
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -25,20 +25,20 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_requests_are_parsed_wherever_the_stream_is_split(seed: int) -> None:
-    rng, reader, found = random.Random(seed), RequestReader(4096, 4096), list[Request]()
+    rng, reader, parsed = random.Random(seed), RequestReader(4096, 4096), list[Request]()
     offset = 0
     while offset < len(STREAM):
         step = rng.choice((1, 3, 20, 500))
         requests, error = reader.feed(STREAM[offset : offset + step])
         assert error is None
-        found += requests
+        parsed += requests
         offset += step
-    assert [(r.method, r.path, r.body) for r in found] == [
+    assert [(r.method, r.path, r.body) for r in parsed] == [
         ("POST", "/a/b%20c", b'{"k":1}'),
         ("POST", "/chunks", b"abcde"),
         ("GET", "/last", b""),
     ]
-    assert found[0].segments == ["a", "b c"] and found[0].query == {"x": "2"} and found[0].headers["x-one"] == "1"
+    assert parsed[0].segments == ["a", "b c"] and parsed[0].query == {"x": "2"} and parsed[0].headers["x-one"] == "1"
     assert not reader.partial
 
 
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -106,8 +106,8 @@
             for n, sock in enumerate(clients):
                 sock.sendall(request(n + 1))
             loop.add_reader(listening, server._listener._ready, listening)  # accepts all in one iteration of the loop
-            found = [await asyncio.to_thread(lambda sock=sock: answers(read_some(sock))) for sock in clients]
-            assert [list(codes) for codes in found] == [[n + 1] for n in range(len(clients))], (
+            answered = [await asyncio.to_thread(lambda sock=sock: answers(read_some(sock))) for sock in clients]
+            assert [list(codes) for codes in answered] == [[n + 1] for n in range(len(clients))], (
                 "each request is answered"
             )
             for sock in clients:
@@ -119,12 +119,12 @@
 def read_some(sock: socket.socket) -> list[tuple[int, int, bytes]]:
     """Return the frames of the first read that completes any, or none if the connection ends."""
     sock.settimeout(3.0)
-    reader, found = frames.FrameReader(1 << 20), []
-    while not found and (data := sock.recv(65536)):
+    reader, received = frames.FrameReader(1 << 20), []
+    while not received and (data := sock.recv(65536)):
         reader.feed(data)
         while (frame := reader.next()) is not None:
-            found.append(frame)
-    return found
+            received.append(frame)
+    return received
 
 
 def test_a_client_that_never_reads_its_answer_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -52,10 +52,10 @@
         self._wrapped, self._method, self._codes = wrapped, method, codes
 
     def __getattr__(self, name: str) -> Any:
-        found = getattr(self._wrapped, name)
-        return self._fails_first(found) if name == self._method else found
+        attribute = getattr(self._wrapped, name)
+        return self._fail_first(attribute) if name == self._method else attribute
 
-    def _fails_first(self, method: Callable[..., Any]) -> Callable[..., Any]:
+    def _fail_first(self, method: Callable[..., Any]) -> Callable[..., Any]:
         def call(*arguments: Any) -> Any:
             if self._codes:
                 code = self._codes.pop(0)
@@ -323,8 +323,8 @@
             await until(lambda: client in server.connections.idle and client.connection.has_pending_writes)
             server.connections.make_room()
             slow.settimeout(3.0)
-            found = await asyncio.to_thread(read_frame, slow)
-            assert found[2] == b"\0\0" + body
+            frame = await asyncio.to_thread(read_frame, slow)
+            assert frame[2] == b"\0\0" + body
             slow.close()
 
     run(main())
@@ -333,11 +333,11 @@
 def read_frame(sock: socket.socket) -> tuple[int, int, bytes]:
     """Return the next complete frame."""
     reader = frames.FrameReader(1 << 20)
-    while (found := reader.next()) is None:
+    while (frame := reader.next()) is None:
         data = sock.recv(65536)
         assert data, "the connection ended within an answer"
         reader.feed(data)
-    return found
+    return frame
 
 
 def test_nothing_is_decided_once_the_process_has_closed_its_sockets() -> None:
