--- a/kelptrail/net/tls.py
+++ b/kelptrail/net/tls.py
@@ -1,7 +1,7 @@
 """TLS contexts from files, reloaded when the files change; warnings before a certificate expires.
 
-Open connections keep the context that they started with; the next handshake uses the new one.  Unusable files change
-nothing: the old context stays in use, and an error is logged.
+Open connections keep the context that they started with; the next handshake uses the new one.  If the changed files are
+unusable, the previous context stays in use and an error is logged.
 """
 
 from __future__ import annotations
@@ -24,22 +24,24 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """One side's files and options.  `certificate` holds the chain, and the key too where `key` is None; `authority` is
-    the CA that must have signed peers' certificates; `peers` says whether a client's certificate is "none" (not
-    requested), "asked" (requested) or "required"; `least` is the minimum TLS version.
+    """Files and options of the client or the server side.
+
+    `certificate` holds the chain, and also the key where `key` is None.  `authority` is the CA that must have signed
+    the certificates of peers.  `client_certificates` is "none" (not requested), "asked" (requested) or "required".
+    `expiry_warning_days` is how many days before the expiry warnings start.
     """
 
     certificate: Path | None
     key: Path | None = None
     authority: Path | None = None
-    peers: str = "none"
-    least: str = "tls-1.2"
+    client_certificates: str = "none"
+    min_version: str = "tls-1.2"
     ciphers: str = ""
-    warn_days: float = 14.0
+    expiry_warning_days: float = 14.0
 
 
 class FileStamp(NamedTuple):
-    """Identifies one version of a file; zeros where the file cannot be examined."""
+    """Identifies one version of a file; the numbers are zero where the file cannot be examined."""
 
     path: str
     modified_ns: int
@@ -47,51 +49,51 @@
 
 
 class ExpiryWarning:
-    """When to warn of a certificate's expiry: once a day in its last `warn_days`.  No I/O; wall time in ms."""
+    """Decides when to warn of a certificate's expiry: once a day in its last `warning_days`.  Does no I/O."""
 
-    def __init__(self, warn_days: float) -> None:
-        self._warn_days, self._warned_at = warn_days, float("-inf")
+    def __init__(self, warning_days: float) -> None:
+        self._warning_days, self._warned_at = warning_days, float("-inf")
 
     def due(self, wall_ms: float, expires_at: float) -> float | None:
-        """The days left, where a warning is due now; else None."""
+        """Return the number of days left if a warning is due now, else None.  Both times are Unix times in ms."""
         left = (expires_at - wall_ms) / DAY_MS
-        if left > self._warn_days or wall_ms < self._warned_at + DAY_MS:
+        if left > self._warning_days or wall_ms < self._warned_at + DAY_MS:
             return None
         self._warned_at = wall_ms
         return left
 
 
 class TlsFilesError(ValueError):
-    """Certificate, key or authority files that cannot be used."""
+    """Raised for certificate, key or authority files that cannot be used."""
 
 
 class CertificateReloader:
-    """Holds one side's context.  Raises `TlsFilesError` on creation where the files cannot be used."""
+    """Holds the TLS context of one side.  Raises `TlsFilesError` on creation if the files cannot be used."""
 
     def __init__(
         self, files: TlsFiles, server_side: bool, alpn: list[str], log: Any, wall_ms: Callable[[], float]
     ) -> None:
         self._files, self._server_side, self._alpn, self._log, self._wall_ms = files, server_side, alpn, log, wall_ms
         self._loaded_stamps: list[FileStamp] = []
-        self._expiry = ExpiryWarning(files.warn_days)
-        self.expires_at: float | None = None  # wall ms
+        self._expiry = ExpiryWarning(files.expiry_warning_days)
+        self.expires_at: float | None = None  # Unix time in ms
         self.names: list[str] = []
         self.loads = self.failures = 0
         self._loaded_stamps = self._file_stamps()
         self._context = self._load()
 
     def context(self) -> ssl.SSLContext:
-        """The current context."""
+        """Return the current context."""
         return self._context
 
     def reload_if_changed(self) -> None:
-        """Reload changed files; warn of an expiry that is near."""
+        """Reload the files if they changed, and log a warning when the certificate expires soon."""
         stamps = self._file_stamps()
         if stamps != self._loaded_stamps:
             self._loaded_stamps = stamps
             try:
                 self._context = self._load()
-                self._expiry = ExpiryWarning(self._files.warn_days)
+                self._expiry = ExpiryWarning(self._files.expiry_warning_days)
                 self._log.info("tls-reloaded", names=self.names, ends=self._expiry_date())
             except TlsFilesError as cause:
                 self.failures += 1
@@ -100,7 +102,7 @@
             self._log.warning("certificate-ends", names=self.names, days=round(left, 1), ends=self._expiry_date())
 
     def status(self) -> dict[str, Any]:
-        """The state that operators see; nothing of it is secret."""
+        """Return the state shown to operators; none of it is secret."""
         left = (self.expires_at - self._wall_ms()) / DAY_MS if self.expires_at is not None else None
         return {
             "names": self.names,
@@ -127,24 +129,24 @@
     def _load(self) -> ssl.SSLContext:
         files = self._files
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if self._server_side else ssl.PROTOCOL_TLS_CLIENT)
-        context.minimum_version = VERSIONS[files.least]
+        context.minimum_version = VERSIONS[files.min_version]
         context.options |= ssl.OP_NO_COMPRESSION | ssl.OP_NO_RENEGOTIATION
         try:
             if files.ciphers:
                 context.set_ciphers(files.ciphers)
             if files.certificate is not None:
                 context.load_cert_chain(files.certificate, files.key)
-                found = read_certificate(files.certificate.read_bytes())
-                self.names = certificate_names(found.public_bytes(Encoding.DER))
-                self.expires_at = found.not_valid_after_utc.timestamp() * 1000
+                certificate = read_certificate(files.certificate.read_bytes())
+                self.names = certificate_names(certificate.public_bytes(Encoding.DER))
+                self.expires_at = certificate.not_valid_after_utc.timestamp() * 1000
             if files.authority is not None:
                 context.load_verify_locations(files.authority)
-        except (OSError, ssl.SSLError, AuthorityError) as cause:  # never the files' contents
-            named = ", ".join(str(f) for f in (files.certificate, files.key, files.authority) if f is not None)
-            raise TlsFilesError(f"{named}: {cause}") from None
+        except (OSError, ssl.SSLError, AuthorityError) as cause:  # the message never includes the files' contents
+            paths = ", ".join(str(f) for f in (files.certificate, files.key, files.authority) if f is not None)
+            raise TlsFilesError(f"{paths}: {cause}") from None
         if self._server_side:
             context.verify_mode = {"none": ssl.CERT_NONE, "asked": ssl.CERT_OPTIONAL, "required": ssl.CERT_REQUIRED}[
-                files.peers
+                files.client_certificates
             ]
         if self._alpn:
             context.set_alpn_protocols(self._alpn)
