--- a/kelptrail/front/activation_lookup.py
+++ b/kelptrail/front/activation_lookup.py
@@ -1,19 +1,20 @@
-"""Lookup of activations that another dispatcher may hold, as both client APIs use it."""
+"""Lookup of activations at other dispatchers, used by both client APIs."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
-UNCONFIRMED_AFTER_SHARE = 0.75  # share of a request's timeout after which its client hears that durability is unknown
+# Share of a request's timeout after which the client is notified that durability is unknown.
+DURABILITY_WAIT_SHARE = 0.75
 
 
 class ActivationLookup(Protocol):
-    """Asks the other dispatchers which of them has an activation."""
+    """Queries the other dispatchers for the one that has an activation."""
 
     def find(self, target: str, on_result: Callable[[str | None], None]) -> None:
         """Look up an activation id, or an idempotency key as `key:NAMESPACE/ACTION/KEY`.
 
-        `on_result` gets the address of the dispatcher that has it; "" where that is not known yet; None where no
-        dispatcher has it.
+        `on_result` receives the address of the dispatcher that has the activation, "" if that is not known yet, or None
+        if no dispatcher has it.
         """
--- a/kelptrail/front/authentication.py
+++ b/kelptrail/front/authentication.py
@@ -1,8 +1,8 @@
 """Authentication of clients: HTTP basic authentication (RFC 7617) with `uuid:key`, or a client certificate.
 
-Keys are compared as SHA-256 digests in constant time.  The settings may give them as digests only, and several at a
-time, so that a new key can be introduced before the old one is removed.  Keys are long and random, so that a plain
-digest, without salt or stretching, is enough.
+Keys are compared as SHA-256 digests in constant time.  The settings may contain the digests only, and several per
+namespace, so that a new key can be introduced before the old one is removed.  Keys are long and random, so a plain
+digest without salt or stretching is sufficient.
 """
 
 from __future__ import annotations
@@ -14,8 +14,9 @@
 from kelptrail.certificates.names import certificate_names, key_digest
 from kelptrail.settings.deployment import Deployment, NamespaceSettings
 
-MAX_CACHED_HEADERS = 4096  # valid `authorization` headers whose digests are not compared again
-UNKNOWN_UUID_DIGEST = b"sha256:" + b"0" * 64  # compared for an unknown uuid, so that it takes the same time
+MAX_CACHED_HEADERS = 4096  # Maximum number of valid `authorization` headers in the cache
+# Compared with the key of an unknown uuid, so that the check takes as long as for a known one.
+UNKNOWN_UUID_DIGEST = b"sha256:" + b"0" * 64
 
 
 class Authenticator:
@@ -32,17 +33,17 @@
         self._by_header: dict[str, NamespaceSettings] = {}
 
     def authenticate(self, authorization: str, identity: str) -> NamespaceSettings | None:
-        """The client's namespace, or None where its credentials are invalid.
+        """Return the client's namespace, or None if its credentials are invalid.
 
-        `authorization` is the header, empty where there is none; only then `identity` counts, the namespace that
-        `namespace_of_certificate` gave for the connection.
+        `authorization` is the header, or empty without one.  `identity` is the namespace that
+        `namespace_of_certificate` returned for the connection; it is used only without the header.
         """
         if authorization:
             return self.by_header(authorization)
         return self._by_name.get(identity) if identity else None
 
     def by_header(self, header: str) -> NamespaceSettings | None:
-        """The namespace of an `authorization` header, or None where it is invalid."""
+        """Return the namespace of an `authorization` header, or None if the header is invalid."""
         if (cached := self._by_header.get(header)) is not None:
             return cached
         scheme, _, encoded = header.partition(" ")
@@ -60,7 +61,7 @@
         return namespace
 
     def _key_matches(self, namespace: NamespaceSettings | None, key: str) -> bool:
-        """Whether the key is one of the namespace's; all digests are compared, to take the same time for any key."""
+        """Return whether the namespace has this key; compare all digests, so that each key takes the same time."""
         digest = key_digest(key).encode()
         matches = False
         for accepted in self._key_digests[namespace.name] if namespace else [UNKNOWN_UUID_DIGEST]:
@@ -68,7 +69,10 @@
         return matches
 
     def namespace_of_certificate(self, certificate: bytes | None) -> str:
-        """The namespace that a client certificate (DER, verified by the handshake) names; empty where it names none."""
+        """Return the namespace that a client certificate names, or "" if there is none.
+
+        The certificate is in DER form and was verified by the TLS handshake.
+        """
         if certificate is None or not self._by_certificate:
             return ""
         names = certificate_names(certificate)
--- a/kelptrail/front/context.py
+++ b/kelptrail/front/context.py
@@ -1,4 +1,4 @@
-"""What the handlers of one client API share: settings, the gateway, timers and the dispatcher's state."""
+"""State shared by the handlers of one client API: settings, the gateway, timers and the dispatcher's state."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 
 class ApiContext:
-    """Shared by the handlers of one API; `activation_lookup` and `draining` are set by the dispatcher's program."""
+    """State shared by the handlers of one API; the dispatcher process sets `activation_lookup` and `draining`."""
 
     def __init__(self, deployment: Deployment, driver: GatewayDriver) -> None:
         self.deployment, self.driver = deployment, driver
         self.trace_ids = TraceIdSource()
-        self.activation_lookup: ActivationLookup | None = None  # None: no other dispatcher holds activations
-        self.draining = False  # new requests are rejected
+        self.activation_lookup: ActivationLookup | None = None  # None if no other dispatcher holds activations
+        self.draining = False  # While set, new requests are rejected
         self._loop = asyncio.get_running_loop()
 
     @property
     def gateway(self) -> Gateway:
-        """The gateway core that owns all requests."""
+        """Gateway core that owns all requests."""
         return self.driver.gateway
 
     def call_later(self, delay_ms: float, callback: Callable[[], None]) -> asyncio.TimerHandle:
-        """Call `callback` after a delay, unless the timer is cancelled before."""
+        """Call `callback` after `delay_ms`, unless the returned timer is cancelled first."""
         return self._loop.call_later(delay_ms / 1000, callback)
 
-    def abandon(self, invocation: Invocation) -> None:
-        """Cancel a request for whose answer no client waits."""
+    def cancel(self, invocation: Invocation) -> None:
+        """Cancel a request whose answer no client waits for, and end it as failed."""
         self.gateway.on_client_gone(now_ms(), invocation)
         self.driver.schedule_decisions()
--- a/kelptrail/front/inference/api.py
+++ b/kelptrail/front/inference/api.py
@@ -1,9 +1,9 @@
-"""The Open Inference Protocol over gRPC as a handler of calls; the gateway does all work.
+"""The Open Inference Protocol over gRPC as a handler of calls; the gateway executes them.
 
-A model's name is an action's path.  Credentials are in the metadata (`authorization`, as on the invoke API) or in the
-client's certificate.  Request parameters beyond the protocol: `idempotency_key`, `deferred` (reply with the activation
-id in place of the answer), `poll` (the id of a deferred request, with `wait_ms`).  Response parameters beyond it:
-`activation_id`, `deferred`, `part`, `final_response`.
+The name of a model is the path of an action.  Credentials are in the metadata (`authorization`, as in the invoke API)
+or in the client's certificate.  Request parameters that extend the protocol: `idempotency_key`, `deferred` (reply with
+the activation id instead of the answer), `poll` (the id of a deferred request, with `wait_ms`).  Response parameters
+that extend it: `activation_id`, `deferred`, `part`, `final_response`.
 """
 
 from __future__ import annotations
@@ -33,19 +33,19 @@
 SERVER_NAME = PLATFORM = "kelptrail"
 SERVER_VERSION = "0.2.0"
 EXTENSIONS = ("model_stream_infer", "deferred", "idempotency_key")
-SHOWN_PATH_CHARACTERS = 100  # of an unknown method, in the error
+SHOWN_PATH_CHARACTERS = 100  # Maximum length of the path of an unknown method in an error
 
 
 @dataclass(frozen=True, slots=True)
 class UnaryMethod:
-    """A method with one request message and one response message."""
+    """Method with one request message and one response message."""
 
-    request_type: Any  # a class of `inference_pb2`
+    request_type: Any  # Class of `inference_pb2`
     handler: Callable[[GrpcStream, NamespaceSettings, Any], None]
 
 
 class InferenceApi:
-    """Handles the calls of one dispatcher's gRPC front."""
+    """Handles the calls that one dispatcher receives over gRPC."""
 
     def __init__(self, deployment: Deployment, driver: GatewayDriver, authenticator: Authenticator) -> None:
         self.context = InferenceContext(deployment, driver)
@@ -60,11 +60,11 @@
         }
 
     def handle(self, stream: GrpcStream) -> None:
-        """Handle a call whose headers were read.  Raises `GrpcError` where it fails at once."""
+        """Handle a call whose headers have been read.  Raises `GrpcError` if it fails immediately."""
         name = stream.path.removeprefix(SERVICE) if stream.path.startswith(SERVICE) else ""
         if name == STREAM_METHOD:
             namespace = self._authenticate(stream)
-            stream.request_complete = True  # the client may keep it open as long as it likes
+            stream.request_complete = True  # Exempts the stream from the limit on the read time of a request
             StreamInference(self.context, stream, namespace)
             return
         method = self._unary_methods.get(name)
@@ -73,7 +73,7 @@
         _UnaryCall(stream, self._authenticate(stream), method)
 
     def _authenticate(self, stream: GrpcStream) -> NamespaceSettings:
-        """The client's namespace.  Raises `GrpcError`."""
+        """Return the client's namespace.  Raises `GrpcError`."""
         header = stream.metadata.get("authorization", "")
         namespace = self._authenticator.authenticate(header, stream.identity)
         if namespace is None:
@@ -98,7 +98,7 @@
         reply(stream, pb.ServerMetadataResponse(name=SERVER_NAME, version=SERVER_VERSION, extensions=EXTENSIONS))
 
     def _model_ready(self, stream: GrpcStream, _namespace: NamespaceSettings, request: pb.ModelReadyRequest) -> None:
-        """Models are loaded on demand: each that exists is ready."""
+        """Reply that an existing model is ready if a worker is live, as models are loaded on demand."""
         find_action(self.context.deployment, request.name, request.version)
         reply(stream, pb.ModelReadyResponse(ready=self._has_live_worker()))
 
@@ -113,7 +113,7 @@
 
 
 class _UnaryCall:
-    """Reads the one message of a call and passes it to the method."""
+    """Reads the single message of a call and passes it to the handler of the method."""
 
     def __init__(self, stream: GrpcStream, namespace: NamespaceSettings, method: UnaryMethod) -> None:
         self._stream, self._namespace, self._method = stream, namespace, method
--- a/kelptrail/front/inference/client_wait.py
+++ b/kelptrail/front/inference/client_wait.py
@@ -1,4 +1,4 @@
-"""A client that waits for the one response to its unary inference call."""
+"""Client that waits for the response to its unary inference call."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from functools import partial
 
 from kelptrail.codec.grpc import Code, GrpcError
-from kelptrail.front.activation_lookup import UNCONFIRMED_AFTER_SHARE
+from kelptrail.front.activation_lookup import DURABILITY_WAIT_SHARE
 from kelptrail.gateway.invocation import Invocation
 from kelptrail.gateway.records import Record
 from kelptrail.net.grpc_server import GrpcStream
@@ -16,11 +16,11 @@
 from .errors import RETRY_RISK, deadline_exceeded, final_error, in_flight, not_accepted
 from .responses import render_accepted, render_result, reply, succeeded
 
-POLL_MARGIN_MS = 20  # a poll is answered this long before its client's deadline
+POLL_MARGIN_MS = 20  # Minimum time between the answer to a poll and the client's deadline
 
 
 class ClientWait:
-    """Responds to one call: with the result, with the activation id, or with an error status."""
+    """Responds to one call with the result, the activation id or an error status."""
 
     def __init__(self, context: InferenceContext, stream: GrpcStream, request_id: str, raw: bool) -> None:
         self._context, self._stream = context, stream
@@ -28,7 +28,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def on_final(self, record: Record) -> None:
-        """The activation has its final answer."""
+        """Respond with the final answer of the activation."""
         self._cancel_timer()
         record.fetched = True
         if self._stream.ended:
@@ -41,20 +41,20 @@
         except GrpcError as error:
             self._stream.fail(error)
 
-    def watch(self, invocation: Invocation, key: str | None) -> None:
-        """Watch the client of a request in flight: it may go away, and its deadline may come first."""
-        self._stream.on_client_gone = partial(self._on_client_gone, invocation, key)
+    def watch_client(self, invocation: Invocation, key: str | None) -> None:
+        """Handle a disconnect or an expired deadline of the client of a request in flight."""
+        self._stream.on_client_gone = partial(self._on_client_disconnected, invocation, key)
         if self._stream.deadline is not None:
             delay_ms = max(0.0, time_left_ms(self._stream))
             self._timer = self._context.call_later(delay_ms, partial(self._on_deadline, invocation))
 
-    def _on_client_gone(self, invocation: Invocation, key: str | None) -> None:
+    def _on_client_disconnected(self, invocation: Invocation, key: str | None) -> None:
         self._cancel_timer()
-        if key is not None:  # the client may come back for the answer
+        if key is not None:  # The client may retry with this key for the answer
             self._context.gateway.remove_waiter(invocation.record, self.on_final)
         else:
             invocation.waiters.clear()
-            self._context.abandon(invocation)
+            self._context.cancel(invocation)
 
     def _on_deadline(self, invocation: Invocation) -> None:
         record = invocation.record
@@ -64,7 +64,7 @@
         self._stream.fail(deadline_exceeded(details))
 
     def join(self, record: Record, deferred: bool) -> None:
-        """The client's own repeat gets the recorded answer, or waits for the activation in flight."""
+        """Respond to a client's retry with the recorded answer, or let it wait for the activation in flight."""
         invocation = self._context.gateway.in_flight_of(record.id)
         if record.visible:
             self.on_final(record)
@@ -72,43 +72,43 @@
             self.accept(record)
         else:
             invocation.waiters.append(self.on_final)
-            self.watch(invocation, record.key)
+            self.watch_client(invocation, record.key)
 
     def poll(self, invocation: Invocation, wait_ms: float) -> None:
-        """Respond once there is a final answer, or after `wait_ms`."""
+        """Respond with the final answer, or with an error after `wait_ms`."""
         wait_ms = max(0.0, min(wait_ms, time_left_ms(self._stream) - POLL_MARGIN_MS))
-        self._timer = self._context.call_later(wait_ms, partial(self._on_poll_over, invocation))
-        self._stream.on_client_gone = partial(self._on_poller_gone, invocation)
+        self._timer = self._context.call_later(wait_ms, partial(self._on_poll_timeout, invocation))
+        self._stream.on_client_gone = partial(self._on_poll_client_disconnected, invocation)
         invocation.waiters.append(self.on_final)
 
-    def _on_poll_over(self, invocation: Invocation) -> None:
+    def _on_poll_timeout(self, invocation: Invocation) -> None:
         self._context.gateway.remove_waiter(invocation.record, self.on_final)
         self._stream.fail(in_flight())
 
-    def _on_poller_gone(self, invocation: Invocation) -> None:
+    def _on_poll_client_disconnected(self, invocation: Invocation) -> None:
         self._cancel_timer()
         self._context.gateway.remove_waiter(invocation.record, self.on_final)
 
     def accept_when_durable(self, invocation: Invocation) -> None:
-        """Accept a deferred request once its record is durable; fail where it cannot be."""
+        """Accept a deferred request once its record is durable; respond with an error if it cannot become durable."""
         if self._stream.ended:
             return
         self._context.gateway.when_durable(invocation, partial(self._on_durability_known, invocation))
         self._context.driver.start_writes()
         if self._context.activation_lookup is not None:
-            # While no majority of acceptors is reachable nothing becomes durable: tell the client in time.
-            delay_ms = UNCONFIRMED_AFTER_SHARE * invocation.record.timeout_ms
+            # Without a reachable majority of acceptors nothing becomes durable: notify the client before its timeout.
+            delay_ms = DURABILITY_WAIT_SHARE * invocation.record.timeout_ms
             self._timer = self._context.call_later(delay_ms, partial(self._fail_unknown, invocation.record))
 
     def _on_durability_known(self, invocation: Invocation, durable: bool | None) -> None:
-        """`durable` is None where another dispatcher has taken over the journal."""
+        """Respond according to `durable`, which is None if another dispatcher has taken over the journal."""
         if durable:
             self.accept(invocation.record)
         elif durable is None:
             self._fail_unknown(invocation.record)
         elif not self._stream.ended:
             self._stream.fail(not_accepted("The call could not be kept safe and was not taken."))
-            self._context.abandon(invocation)
+            self._context.cancel(invocation)
 
     def _fail_unknown(self, record: Record) -> None:
         if not self._stream.ended:
--- a/kelptrail/front/inference/context.py
+++ b/kelptrail/front/inference/context.py
@@ -1,4 +1,4 @@
-"""What the handlers of the inference API share."""
+"""State shared by the handlers of the inference API."""
 
 from __future__ import annotations
 
@@ -16,36 +16,36 @@
 
 
 def time_left_ms(stream: GrpcStream) -> float:
-    """The time until the client's deadline; infinite without one."""
+    """Return the time until the client's deadline; infinite without one."""
     return stream.deadline - now_ms() if stream.deadline is not None else float("inf")
 
 
 class InferenceContext(ApiContext):
-    """Shared by the handlers of the inference API."""
+    """State shared by the handlers of the inference API."""
 
     def __init__(self, deployment: Deployment, driver: GatewayDriver) -> None:
         super().__init__(deployment, driver)
-        self._submitted = 0
+        self._trace_count = 0
 
     def admit(self, namespace: NamespaceSettings, request: InferenceRequest) -> str:
-        """Admit a request before anything is done for it; returns by what its client's retry is recognised.
+        """Admit a request before any work is done for it; return the key that identifies retries to overload control.
 
-        Raises `GrpcError` beyond a limit, or while the dispatcher drains.
+        Raises `GrpcError` beyond a limit or while the dispatcher drains.
         """
         if self.draining:
             raise not_accepted("This dispatcher is closing; the call was not taken.")
-        client = client_key(request.key, request.payload)
+        retry_key = client_key(request.key, request.payload)
         size = len(request.payload)
-        rejection = self.gateway.on_connect(now_ms(), namespace.name, request.action.path, size, client)
+        rejection = self.gateway.on_connect(now_ms(), namespace.name, request.action.path, size, retry_key)
         if rejection is not None:
             reason, retry_after_ms = rejection
             raise over_limit(REJECTION_MESSAGES[reason], retry_after_ms)
-        return client
+        return retry_key
 
     def next_traceparent(self, stream: GrpcStream) -> str:
-        """The trace of the next submitted request: a span of the client's trace, or of a new one."""
-        self._submitted += 1
+        """Return the `traceparent` of the next request: a span of the client's trace, or of a new one."""
+        self._trace_count += 1
         parent = parse_traceparent(stream.metadata.get("traceparent", ""))
         if parent is not None and parent.has_more_fields:
             parent = None
-        return self.trace_ids.traceparent(parent, self._submitted)
+        return self.trace_ids.traceparent(parent, self._trace_count)
--- a/kelptrail/front/inference/errors.py
+++ b/kelptrail/front/inference/errors.py
@@ -1,4 +1,4 @@
-"""Error statuses of the inference API: gRPC code, text, `RetryInfo`, and `ErrorInfo` with a reason and details."""
+"""Error statuses of the inference API: gRPC code, text, `RetryInfo` and `ErrorInfo` with a reason and details."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 from kelptrail.gateway.records import Record
 
 RETRY_AFTER_MS = 1000.0
-SHOWN_RESULT_BYTES = 500  # of a failed function's result, in the status text
-RETRY_RISK = {  # what a retry may do where an attempt may have run, by the request's idempotency
+SHOWN_RESULT_BYTES = 500  # Maximum length of a failed function's result in the status text
+# Effect of a retry if an attempt may have run, by the idempotency of the request.
+RETRY_RISK = {
     Idempotency.IDEMPOTENT.value: "it may have run; running it again does no harm",
     Idempotency.DEDUPLICATED.value: (
         "it may have run; a repeat is dropped only with the same mark, in its group and time"
@@ -22,50 +23,53 @@
 
 
 class ErrorReason(StrEnum):
-    """The `reason` of an `ErrorInfo`; the values are part of the API."""
+    """Values of `reason` in an `ErrorInfo`; they are part of the API."""
 
-    NOT_TAKEN = "NOT_TAKEN"  # not accepted: a retry is always safe
-    REJECTED = "REJECTED"  # accepted, and ended without an effect
+    NOT_TAKEN = "NOT_TAKEN"  # The request was not accepted; a retry is always safe
+    REJECTED = "REJECTED"  # The request was accepted and ended without an effect
     MAY_HAVE_RUN = "MAY_HAVE_RUN"
     NEVER_RAN = "NEVER_RAN"
-    MODEL_FAILED = "MODEL_FAILED"  # the function itself failed
-    MODEL_ANSWER = "MODEL_ANSWER"  # the worker's answer is malformed
-    TENSOR = "TENSOR"  # a malformed tensor in the request
-    IN_HAND = "IN_HAND"  # no result yet
-    ELSEWHERE = "ELSEWHERE"  # another dispatcher has the activation
-    UNKNOWN_ID = "UNKNOWN_ID"  # no dispatcher has the activation
-    NOT_YET = "NOT_YET"  # it is not known yet which dispatcher has the activation
+    MODEL_FAILED = "MODEL_FAILED"  # The function itself failed
+    MODEL_ANSWER = "MODEL_ANSWER"  # The worker's answer is malformed
+    TENSOR = "TENSOR"  # The request contains a malformed tensor
+    IN_HAND = "IN_HAND"  # The activation has no result yet
+    ELSEWHERE = "ELSEWHERE"  # Another dispatcher has the activation
+    UNKNOWN_ID = "UNKNOWN_ID"  # No dispatcher has the activation
+    NOT_YET = "NOT_YET"  # Not known yet which dispatcher has the activation
 
 
 def invalid(text: str, reason: str = "") -> GrpcError:
-    """A malformed message, tensor or parameter."""
+    """Return the error for a malformed message, tensor or parameter."""
     return GrpcError(Code.INVALID_ARGUMENT, text, reason=reason)
 
 
 def not_accepted(text: str) -> GrpcError:
-    """The request was not accepted, and may be retried soon."""
+    """Return the error for a request that was not accepted and may be retried soon."""
     return GrpcError(Code.UNAVAILABLE, text, RETRY_AFTER_MS, ErrorReason.NOT_TAKEN)
 
 
 def over_limit(text: str, retry_after_ms: float) -> GrpcError:
-    """The request was not accepted, as a limit is reached."""
+    """Return the error for a request that was not accepted because it exceeds a limit."""
     return GrpcError(Code.RESOURCE_EXHAUSTED, text, retry_after_ms, ErrorReason.NOT_TAKEN)
 
 
 def in_flight() -> GrpcError:
-    """The activation has no result yet."""
+    """Return the error for an activation without a result."""
     text = "The activation is in hand and has no result yet."
     return GrpcError(Code.UNAVAILABLE, text, RETRY_AFTER_MS, ErrorReason.IN_HAND)
 
 
 def deadline_exceeded(details: dict[str, str]) -> GrpcError:
-    """The client's own deadline has come before the final answer."""
+    """Return the error for a client's deadline that expired before the final answer."""
     text = "The client's deadline has come."
     return GrpcError(Code.DEADLINE_EXCEEDED, text, None, ErrorReason.MAY_HAVE_RUN, details)
 
 
 def lookup_error(address: str | None) -> GrpcError:
-    """The status of a poll for an activation without a record here; `address` as in `ActivationLookup.find`."""
+    """Return the error for a poll for an activation without a record here.
+
+    `address` has the values that `ActivationLookup.find` passes to `on_result`.
+    """
     if address:
         text = "Another dispatcher has the activation now."
         return GrpcError(Code.NOT_FOUND, text, reason=ErrorReason.ELSEWHERE, details={"asked_at": address})
@@ -77,7 +81,7 @@
 
 
 def final_error(record: Record) -> GrpcError:
-    """The status of a final answer that is not a result; the details say what a retry would risk."""
+    """Return the error for a final answer that is not a result; its details state the risk of a retry."""
     details = {"activation": record.id, "effect": record.idempotency, "sends": str(record.attempt_count)}
     if record.answer == FinalStatus.REJECTED:
         return _rejected(record, details)
--- a/kelptrail/front/inference/request_parsing.py
+++ b/kelptrail/front/inference/request_parsing.py
@@ -1,4 +1,4 @@
-"""Reads and checks inference requests.  Everything malformed raises `GrpcError`."""
+"""Parsing and validation of inference requests.  Malformed input raises `GrpcError`."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 from . import inference_pb2 as pb
 from .errors import ErrorReason, invalid
 
-# Request parameters of this API; all others are passed on to the worker.
+# Request parameters that this API evaluates; all others are passed on to the worker.
 IDEMPOTENCY_KEY, DEFERRED, POLL, WAIT_MS = "idempotency_key", "deferred", "poll", "wait_ms"
 OWN_PARAMETERS = (IDEMPOTENCY_KEY, DEFERRED, POLL, WAIT_MS)
-MODEL_VERSION = "1"  # the only version of each model
-MAX_PAYLOAD_GROWTH = 4  # a payload in JSON may be this many times the largest message
-SHOWN_NAME_CHARACTERS, SHOWN_VERSION_CHARACTERS = 200, 50  # in errors
+MODEL_VERSION = "1"  # Only version of each model
+MAX_PAYLOAD_GROWTH = 4  # Maximum ratio of a JSON payload to the largest message
+SHOWN_NAME_CHARACTERS, SHOWN_VERSION_CHARACTERS = 200, 50  # Maximum lengths in error texts
 
 
 class InferenceRequest(NamedTuple):
-    """A checked inference request."""
+    """Validated inference request."""
 
     action: ActionSettings
-    payload: bytes  # the tensors in the form that workers read
-    key: str | None  # the client's idempotency key
-    digest: str  # of the payload; empty without a key
+    payload: bytes  # Tensors in the format that workers read
+    key: str | None  # Idempotency key of the client
+    digest: str  # Digest of the payload; empty without a key
 
 
 def find_action(deployment: Deployment, name: str, version: str) -> ActionSettings:
-    """The action of a model; the model's name is the action's path."""
+    """Return the action of a model; the name of the model is the path of the action."""
     action = deployment.actions.get(name)
     if action is None:
         raise GrpcError(Code.NOT_FOUND, f"there is no model {name[:SHOWN_NAME_CHARACTERS]!r}")
     if version not in ("", MODEL_VERSION):
-        shown = version[:SHOWN_VERSION_CHARACTERS]
-        text = f"there is no version {shown!r} of model {name!r}, only {MODEL_VERSION}"
+        shown_version = version[:SHOWN_VERSION_CHARACTERS]
+        text = f"there is no version {shown_version!r} of model {name!r}, only {MODEL_VERSION}"
         raise GrpcError(Code.NOT_FOUND, text)
     return action
 
@@ -47,7 +47,7 @@
 def parse_request(
     deployment: Deployment, request: pb.ModelInferRequest, parameters: dict[str, Scalar]
 ) -> InferenceRequest:
-    """Check an inference request; `parameters` are the request's own as plain values."""
+    """Validate an inference request; `parameters` are its parameters as plain values."""
     action = find_action(deployment, request.model_name, request.model_version)
     inputs = _parse_inputs(request)
     key = _parse_key(parameters)
@@ -95,7 +95,7 @@
 
 
 def parse_deferred(parameters: dict[str, Scalar]) -> bool:
-    """Whether the client wants the activation id in place of the answer."""
+    """Return whether the client requests the activation id instead of the answer."""
     deferred = parameters.get(DEFERRED, False)
     if not isinstance(deferred, bool):
         raise invalid(f"parameter '{DEFERRED}' is a bool")
@@ -103,7 +103,7 @@
 
 
 def parse_wait_ms(parameters: dict[str, Scalar]) -> float:
-    """How long a poll waits for the final answer."""
+    """Return the time that a poll waits for the final answer, in ms."""
     wait_ms: Any = parameters.get(WAIT_MS, 0)
     if isinstance(wait_ms, bool) or not isinstance(wait_ms, int | float) or wait_ms < 0:
         raise invalid(f"parameter '{WAIT_MS}' is a number of milliseconds")
--- a/kelptrail/front/inference/responses.py
+++ b/kelptrail/front/inference/responses.py
@@ -1,4 +1,4 @@
-"""Renders and sends the responses of the inference API."""
+"""Functions that render and send the responses of the inference API."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from .errors import ErrorReason
 from .request_parsing import MODEL_VERSION
 
-TENSORS_FORMAT = "tensors"  # of payloads and results, as a record keeps it
+TENSORS_FORMAT = "tensors"  # `payload_format` of records whose payload and result are tensors
 EMPTY_RESULT = b"{}"
 
 
 class TensorsResult(msgspec.Struct):
-    """A result, or a part of one, as workers answer a request in tensors."""
+    """A worker's answer to a request with tensors: a result, or a part of one."""
 
     outputs: list[JsonTensor] = []
     parameters: dict[str, Scalar] = {}
@@ -30,23 +30,23 @@
 
 
 def reply(stream: GrpcStream, message: Message) -> None:
-    """End a unary call with its one response."""
+    """Send the response of a unary call and end the call."""
     stream.send(message.SerializeToString())
     stream.finish()
 
 
 def succeeded(record: Record) -> bool:
-    """Whether the final answer is a result."""
+    """Return whether the final answer is a result."""
     return record.answer == FinalStatus.COMPLETED and not record.code
 
 
 def render_result(
     record: Record, request_id: str, raw: bool, result: bytes, final: bool = False
 ) -> pb.ModelInferResponse:
-    """A record's result, or a part of one, as a response.
+    """Render a record's result, or a part of one, as a response.
 
-    `raw`: with raw contents, as the request had.  `final`: this ends a streamed answer.  Raises `GrpcError` where the
-    worker's answer is malformed.
+    `raw` puts the tensors into raw contents, as in the request.  `final` marks the end of a streamed answer.  Raises
+    `GrpcError` if the worker's answer is malformed.
     """
     response = pb.ModelInferResponse(model_name=record.path, model_version=MODEL_VERSION, id=request_id)
     parameters: dict[str, Scalar] = {"activation_id": record.id}
@@ -66,7 +66,7 @@
 
 
 def _add_tensors(response: pb.ModelInferResponse, raw: bool, result: bytes) -> dict[str, Scalar]:
-    """Add the tensors of a result; returns its parameters.  Raises `TensorError` and `MsgspecError`."""
+    """Add the tensors of a result to a response and return its parameters.  Raises `TensorError` and `MsgspecError`."""
     decoded = _decode_tensors(result)
     for tensor in decoded.outputs:
         raw_contents = fill(response.outputs.add(), tensor, raw)
@@ -78,7 +78,7 @@
 
 
 def render_accepted(record: Record, request_id: str) -> pb.ModelInferResponse:
-    """The response to a deferred request: the activation id."""
+    """Render the response to an accepted deferred request, which contains the activation id."""
     response = pb.ModelInferResponse(model_name=record.path, model_version=MODEL_VERSION, id=request_id)
     write_scalars(response.parameters, {"activation_id": record.id, "deferred": True})
     return response
@@ -87,7 +87,10 @@
 def render_stream_error(
     request_id: str, model: str, error: GrpcError, activation_id: str = ""
 ) -> pb.ModelStreamInferResponse:
-    """The end of one request within a stream that goes on: its status in the text and in parameters."""
+    """Render the error that ends one request of a stream; the stream continues.
+
+    The status is in the error message and in the parameters of the response.
+    """
     response = pb.ModelInferResponse(model_name=model, id=request_id)
     parameters: dict[str, Scalar] = {"final_response": True, "status": error.code.name, "reason": error.reason}
     if error.retry_ms is not None:
--- a/kelptrail/front/inference/stream_inference.py
+++ b/kelptrail/front/inference/stream_inference.py
@@ -1,4 +1,4 @@
-"""ModelStreamInfer: requests arrive on one stream, and each is answered in parts that carry its id."""
+"""ModelStreamInfer: one stream carries several requests, and each is answered in parts that contain its id."""
 
 from __future__ import annotations
 
@@ -25,52 +25,52 @@
 
 
 class OpenRequest(NamedTuple):
-    """A request of a stream that has no final answer yet."""
+    """Request of a stream without a final answer."""
 
     id: str
-    raw: bool  # its tensors came as raw contents, and its response is the same
+    raw: bool  # Tensors are in raw contents, in the request and in its responses
 
 
 class StreamInference:
-    """One call of ModelStreamInfer."""
+    """Handles one call of ModelStreamInfer."""
 
     def __init__(self, context: InferenceContext, stream: GrpcStream, namespace: NamespaceSettings) -> None:
         self._context, self._stream, self._namespace = context, stream, namespace
-        self._open: dict[Invocation, OpenRequest] = {}
-        self._paused = False  # the workers' connections are not read, as the client reads slowly
-        self._client_ended = False
-        stream.on_message, stream.on_end = self._on_message, self._on_client_ended
-        stream.on_client_gone, stream.on_writable = self._on_client_gone, self._on_writable
+        self._open_requests: dict[Invocation, OpenRequest] = {}
+        self._paused = False  # Reading from the workers is paused because the client reads slowly
+        self._requests_ended = False  # The client sends no more requests
+        stream.on_message, stream.on_end = self._on_message, self._on_requests_ended
+        stream.on_client_gone, stream.on_writable = self._on_client_disconnected, self._on_writable
         self._timer: asyncio.TimerHandle | None = None
         if stream.deadline is not None:
             self._timer = context.call_later(max(0.0, time_left_ms(stream)), self._on_deadline)
 
     def _on_message(self, data: bytes) -> None:
-        """A request: it is submitted, or ended alone with an error.  Raises `GrpcError` for another message."""
+        """Submit a request, or end only this request with an error.  Raises `GrpcError` if it cannot be decoded."""
         try:
             message = pb.ModelInferRequest.FromString(data)
         except DecodeError as cause:
             raise invalid(f"no ModelInferRequest: {cause}") from None
         try:
             request = self._parse(message)
-            client = self._context.admit(self._namespace, request)
+            retry_key = self._context.admit(self._namespace, request)
         except GrpcError as error:
             self._send_error(message.id, message.model_name, error)
             return
-        invocation = self._submit(request, client)
-        self._open[invocation] = OpenRequest(message.id, bool(message.raw_input_contents))
+        invocation = self._submit(request, retry_key)
+        self._open_requests[invocation] = OpenRequest(message.id, bool(message.raw_input_contents))
         self._context.driver.schedule_decisions()
 
     def _parse(self, message: pb.ModelInferRequest) -> InferenceRequest:
-        if len(self._open) >= self._context.deployment.inference.stream_requests:
+        if len(self._open_requests) >= self._context.deployment.inference.stream_requests:
             raise over_limit("Too many requests are under way in this stream.", RETRY_AFTER_MS)
         parameters = scalars(message.parameters)
         if not parameters.keys().isdisjoint(OWN_PARAMETERS):
             raise invalid("a streamed request is neither deferred, polled nor marked")
         return parse_request(self._context.deployment, message, parameters)
 
-    def _submit(self, request: InferenceRequest, client: str) -> Invocation:
-        # Until its first part a request has the timeout of its request class, then the time limit of a stream.
+    def _submit(self, request: InferenceRequest, retry_key: str) -> Invocation:
+        # The timeout of the request class applies until the first part, then the time limit of the stream.
         limit_ms = time_left_ms(self._stream)
         invocation = self._context.gateway.submit(
             now_ms(),
@@ -83,7 +83,7 @@
                 limit_ms=limit_ms,
                 payload_format=TENSORS_FORMAT,
                 streamed=True,
-                client_key=client,
+                client_key=retry_key,
             ),
         )
         invocation.stream_limit_ms = limit_ms
@@ -92,18 +92,18 @@
         return invocation
 
     def _on_part(self, invocation: Invocation, data: bytes) -> None:
-        request = self._open.get(invocation)
+        request = self._open_requests.get(invocation)
         if request is None or self._stream.ended:
             return
         try:
             self._send(render_result(invocation.record, request.id, request.raw, data))
         except GrpcError as error:
-            del self._open[invocation]
+            del self._open_requests[invocation]
             self._send_error(request.id, invocation.record.path, error)
-            self._context.abandon(invocation)
+            self._context.cancel(invocation)
 
     def _on_final(self, invocation: Invocation, record: Record) -> None:
-        request = self._open.pop(invocation, None)
+        request = self._open_requests.pop(invocation, None)
         if request is not None and not self._stream.ended:
             self._send_final(request, record)
         self._finish_if_done()
@@ -119,9 +119,9 @@
 
     def _send(self, response: pb.ModelInferResponse) -> None:
         self._stream.send(pb.ModelStreamInferResponse(infer_response=response).SerializeToString())
-        if not self._stream.can_write and not self._paused:  # flow control extends to the workers
+        if not self._stream.can_write and not self._paused:  # Extends flow control to the workers
             self._paused = True
-            for invocation in self._open:
+            for invocation in self._open_requests:
                 self._context.driver.set_reading(invocation, False)
 
     def _send_error(self, request_id: str, model: str, error: GrpcError, activation_id: str = "") -> None:
@@ -130,31 +130,30 @@
 
     def _on_writable(self) -> None:
         self._paused = False
-        for invocation in list(self._open):
+        for invocation in list(self._open_requests):
             self._context.driver.set_reading(invocation, True)
 
-    def _on_client_ended(self) -> None:
-        """The client sends no more requests."""
-        self._client_ended = True
+    def _on_requests_ended(self) -> None:
+        self._requests_ended = True
         self._finish_if_done()
 
     def _finish_if_done(self) -> None:
-        if self._client_ended and not self._open and not self._stream.ended:
+        if self._requests_ended and not self._open_requests and not self._stream.ended:
             self._cancel_timer()
             self._stream.finish()
 
-    def _on_client_gone(self) -> None:
+    def _on_client_disconnected(self) -> None:
         self._cancel_timer()
-        self._abandon_open()
+        self._cancel_open_requests()
 
     def _on_deadline(self) -> None:
-        self._stream.fail(deadline_exceeded({"under_way": str(len(self._open))}))
-        self._abandon_open()
+        self._stream.fail(deadline_exceeded({"under_way": str(len(self._open_requests))}))
+        self._cancel_open_requests()
 
-    def _abandon_open(self) -> None:
-        """Cancel all open requests: no client waits for them."""
-        abandoned, self._open = self._open, {}
-        for invocation in abandoned:
+    def _cancel_open_requests(self) -> None:
+        """Cancel all open requests, which no client waits for any more."""
+        cancelled, self._open_requests = self._open_requests, {}
+        for invocation in cancelled:
             invocation.waiters.clear()
             invocation.on_part = None
             self._context.gateway.on_client_gone(now_ms(), invocation)
--- a/kelptrail/front/inference/unary_inference.py
+++ b/kelptrail/front/inference/unary_inference.py
@@ -29,7 +29,7 @@
         self._context = context
 
     def handle(self, stream: GrpcStream, namespace: NamespaceSettings, message: pb.ModelInferRequest) -> None:
-        """Handle the one message of a call.  Raises `GrpcError`."""
+        """Handle the single message of a call.  Raises `GrpcError`."""
         parameters = scalars(message.parameters)
         if POLL in parameters:
             self._poll(stream, namespace, message.id, parameters)
@@ -49,7 +49,7 @@
         if deferred:
             self._context.driver.schedule_decisions(lambda: wait.accept_when_durable(invocation))
         else:
-            wait.watch(invocation, request.key)
+            wait.watch_client(invocation, request.key)
             self._context.driver.schedule_decisions()
 
     def _find_by_key(self, namespace: NamespaceSettings, request: InferenceRequest, key: str) -> Record | None:
@@ -67,7 +67,7 @@
         deferred: bool,
         limit_ms: float,
     ) -> Invocation:
-        client = self._context.admit(namespace, request)
+        retry_key = self._context.admit(namespace, request)
         return self._context.gateway.submit(
             now_ms(),
             wall_ms(),
@@ -81,13 +81,13 @@
                 request.digest,
                 limit_ms,
                 TENSORS_FORMAT,
-                client_key=client,
+                client_key=retry_key,
             ),
             wait.on_final,
         )
 
     def _check_deferrable(self, payload: bytes) -> None:
-        """Raises `GrpcError` where a deferred request could not be made durable."""
+        """Check that a deferred request could be made durable.  Raises `GrpcError` if not."""
         limit = self._context.deployment.max_deferred_bytes
         if limit and len(payload) > limit:
             text = f"A deferred call's tensors take at most {limit} bytes here: they are held by others."
@@ -102,7 +102,7 @@
         id_ = str(parameters[POLL])
         record = gateway.records.get(namespace.name, id_)
         if record is None:
-            self._find_elsewhere(stream, id_)
+            self._find_at_other_dispatchers(stream, id_)
             return
         wait_ms = parse_wait_ms(parameters)
         wait = ClientWait(self._context, stream, request_id, raw=False)
@@ -114,10 +114,11 @@
             raise in_flight()
         wait.poll(invocation, min(float(wait_ms), self._context.deployment.front.longest_wait_ms))
 
-    def _find_elsewhere(self, stream: GrpcStream, id_: str) -> None:
-        """Say which dispatcher has an activation without a record here.  Raises `GrpcError`."""
+    def _find_at_other_dispatchers(self, stream: GrpcStream, id_: str) -> None:
+        """Respond with the dispatcher that has an activation without a record here.  Raises `GrpcError`."""
         gateway, lookup = self._context.gateway, self._context.activation_lookup
-        if lookup is not None and not gateway.records.has(id_):  # `has`: another namespace's
+        # A record that exists here belongs to another namespace.
+        if lookup is not None and not gateway.records.has(id_):
             lookup.find(id_, partial(_fail_after_lookup, stream))
             return
         text = "This dispatcher does not know the activation; whoever gave the id may."
--- a/kelptrail/front/invoke/actions.py
+++ b/kelptrail/front/invoke/actions.py
@@ -1,4 +1,4 @@
-"""The paths below `actions`: the list of actions, one action, and its invocation."""
+"""Routes below `actions`: the list of actions, one action, and its invocation."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .replies import reply_json
 from .request_parsing import check_method, parse_flag, parse_number, parse_page
 
-OWN_NAMESPACE = "_"  # in a path: the client's own
+OWN_NAMESPACE = "_"  # Stands for the client's own namespace in a path
 MAX_CACHED_TARGETS = 8192
 
 
@@ -24,20 +24,20 @@
         self._deployment = context.deployment
         self._max_wait_ms = context.deployment.front.longest_wait_ms
         self._invocations = InvocationHandler(context)
-        self._targets: dict[tuple[str, str], InvocationTarget] = {}  # by method and request target
+        self._targets: dict[tuple[str, str], InvocationTarget] = {}  # By method and request target
 
     def cached_target(self, request: Request) -> InvocationTarget | None:
-        """The parsed target of an invocation like an earlier one, or None."""
+        """Return the cached target of an earlier invocation with the same method and request target, or None."""
         return self._targets.get((request.method, request.target))
 
     def invoke(
         self, request: Request, exchange: Exchange, namespace: NamespaceSettings, target: InvocationTarget
     ) -> None:
-        """Invoke the action that a target names.  Raises `ApiError`."""
+        """Invoke the action of a target.  Raises `ApiError`."""
         self._invocations.invoke(InvocationRequest(request, exchange, namespace, target))
 
     def handle(self, request: Request, exchange: Exchange, namespace: NamespaceSettings, path: list[str]) -> None:
-        """Handle a request; `path` is what follows `actions`.  Raises `ApiError`."""
+        """Handle a request; `path` contains the path segments after `actions`.  Raises `ApiError`."""
         if not path or path == [""]:
             self._list(request, exchange, namespace)
             return
--- a/kelptrail/front/invoke/activations.py
+++ b/kelptrail/front/invoke/activations.py
@@ -1,4 +1,4 @@
-"""The paths below `activations`: the list of records, one record with its result and logs, polls and cancels."""
+"""Routes below `activations`: the list of records, one record with its result and logs, polls and cancellation."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 from . import views
 from .context import InvokeContext
-from .errors import RETRY_SOON, ApiError, in_flight, moved, not_found
+from .errors import RETRY_SOON, ApiError, in_flight, not_found, redirect
 from .long_poll import LongPoll, View
 from .replies import reply_error, reply_json
 from .request_parsing import check_method, parse_flag, parse_number, parse_page
 
-MAX_TIME_MS = 1e15  # wall time
-LOST = "No dispatcher knows the activation: it never was, or is no longer kept, or all that held it are lost."
-NOT_KNOWN_YET = "The activation is not known yet: whoever may have it is being taken over, or cannot be heard."
+MAX_TIME_MS = 1e15  # Maximum wall time in `since` and `upto`
+LOST_MESSAGE = "No dispatcher knows the activation: it never was, or is no longer kept, or all that held it are lost."
+NOT_KNOWN_YET_MESSAGE = "The activation is not known yet: whoever may have it is being taken over, or cannot be heard."
 
 
 class ActivationRoutes:
@@ -33,7 +33,7 @@
         self._max_wait_ms = context.deployment.front.longest_wait_ms
 
     def handle(self, request: Request, exchange: Exchange, namespace: NamespaceSettings, path: list[str]) -> None:
-        """Handle a request; `path` is what follows `activations`.  Raises `ApiError`."""
+        """Handle a request; `path` contains the path segments after `activations`.  Raises `ApiError`."""
         if not path or path == [""]:
             self._list(request, exchange, namespace)
             return
@@ -42,7 +42,7 @@
         records = self._context.gateway.records
         record = records.get(namespace.name, id_)
         if record is None:
-            self._find_elsewhere(request, exchange, id_)
+            self._find_at_other_dispatchers(request, exchange, id_)
         elif request.method == "DELETE":
             self._cancel(exchange, record)
         else:
@@ -60,11 +60,11 @@
             reply_json(exchange, {"activations": max(0, count - page.skip)})
             return
         view = views.activation if parse_flag(query, "docs") else views.summary
-        shown = islice(records, page.skip, page.skip + page.limit)
-        reply_json(exchange, [view(record) for record in shown])
+        listed_records = islice(records, page.skip, page.skip + page.limit)
+        reply_json(exchange, [view(record) for record in listed_records])
 
     def _get(self, request: Request, exchange: Exchange, record: Record, view: View) -> None:
-        """Reply with a record that is ended; wait for one that is not where the client asks for it."""
+        """Reply with a record that has its final answer; otherwise wait for the answer if the client requests that."""
         if record.visible:
             record.fetched = True
             reply_json(exchange, view(record))
@@ -76,7 +76,7 @@
         LongPoll(self._context, exchange, invocation, view).start(wait_ms)
 
     def _cancel(self, exchange: Exchange, record: Record) -> None:
-        """Cancel a request that has no effect which could be left half done: idempotent, or never run."""
+        """Cancel a request that cannot leave a partial effect: it is idempotent, or no attempt may have run."""
         invocation = self._context.gateway.in_flight_of(record.id)
         if record.final or invocation is None:
             message = "The activation has its final answer, or is being resumed; nothing was cancelled."
@@ -85,20 +85,21 @@
         if may_have_run and record.idempotency != Idempotency.IDEMPOTENT.value:
             message = "The activation may have run; cancelling would not undo its effect."
             raise ApiError(HTTPStatus.CONFLICT, message)
-        self._context.abandon(invocation)
+        self._context.cancel(invocation)
         exchange.reply(HTTPStatus.ACCEPTED, views.encode({"activationId": record.id}))
 
     # Activations of other dispatchers.
 
-    def _find_elsewhere(self, request: Request, exchange: Exchange, id_: str) -> None:
-        """Lead the client to the dispatcher that has an activation without a record here.  Raises `ApiError`."""
+    def _find_at_other_dispatchers(self, request: Request, exchange: Exchange, id_: str) -> None:
+        """Redirect the client to the dispatcher that has an activation without a record here.  Raises `ApiError`."""
         lookup = self._context.activation_lookup
-        if lookup is None or self._context.gateway.records.has(id_):  # `has`: another namespace's
-            raise self._not_here(request, id_)
+        # A record that exists here belongs to another namespace.
+        if lookup is None or self._context.gateway.records.has(id_):
+            raise self._error_by_issuer(request, id_)
         lookup.find(id_, partial(_reply_after_lookup, request, exchange, self._context.error_code()))
 
-    def _not_here(self, request: Request, id_: str) -> ApiError:
-        """Where to ask, by the prefix of the id, which names the dispatcher that issued it."""
+    def _error_by_issuer(self, request: Request, id_: str) -> ApiError:
+        """Return a redirect to the dispatcher that issued the id, which its prefix identifies, or an error."""
         if id_[:ID_PREFIX_DIGITS] == self._context.boot[:ID_PREFIX_DIGITS]:
             message = "The requested resource does not exist: its record is not, or no longer, kept here."
             return ApiError(HTTPStatus.NOT_FOUND, message)
@@ -106,11 +107,11 @@
         if peer is None:
             message = "This dispatcher does not know the activation; whoever gave the id may."
             return ApiError(HTTPStatus.NOT_FOUND, message)
-        return moved(f"The activation was given by {peer.name}; ask there.", peer.address, request.target)
+        return redirect(f"The activation was given by {peer.name}; ask there.", peer.address, request.target)
 
 
 def _view(parts: list[str]) -> View:
-    """What is shown of a record, by the path after its id.  Raises `ApiError`."""
+    """Return the view of a record for the path segments after its id.  Raises `ApiError`."""
     if not parts:
         return views.activation
     if parts == ["result"]:
@@ -126,9 +127,12 @@
 
 
 def _lookup_error(request: Request, address: str | None) -> ApiError:
-    """The reply to a request for an activation after its lookup; `address` as in `ActivationLookup.find`."""
+    """Return the reply to a request for an activation after its lookup.
+
+    `address` has the values that `ActivationLookup.find` passes to `on_result`.
+    """
     if address:
-        return moved(f"The activation is at {address} now; ask there.", address, request.target)
+        return redirect(f"The activation is at {address} now; ask there.", address, request.target)
     if address is None:
-        return ApiError(HTTPStatus.NOT_FOUND, LOST)
-    return ApiError(HTTPStatus.NOT_FOUND, NOT_KNOWN_YET, RETRY_SOON, known="not-yet")
+        return ApiError(HTTPStatus.NOT_FOUND, LOST_MESSAGE)
+    return ApiError(HTTPStatus.NOT_FOUND, NOT_KNOWN_YET_MESSAGE, RETRY_SOON, known="not-yet")
--- a/kelptrail/front/invoke/api.py
+++ b/kelptrail/front/invoke/api.py
@@ -1,4 +1,4 @@
-"""The invoke API (OpenWhisk REST API v1) as a handler of HTTP requests; the gateway does all work.
+"""The invoke API (OpenWhisk REST API v1) as a handler of HTTP requests; the gateway executes them.
 
 Routes, below `/api/v1`: `namespaces`, `namespaces/{ns}/actions[/{pkg}]/{name}` (GET and POST), and
 `namespaces/{ns}/activations[/{id}[/result|/logs]]`; `_` stands for the client's own namespace.
@@ -28,7 +28,7 @@
 
 
 class InvokeApi:
-    """Handles the requests of one dispatcher's HTTP front."""
+    """Handles the requests that one dispatcher receives over HTTP."""
 
     def __init__(
         self, deployment: Deployment, driver: GatewayDriver, boot: str, authenticator: Authenticator | None = None
@@ -39,7 +39,7 @@
         self._activations = ActivationRoutes(self.context)
 
     def handle(self, request: Request, exchange: Exchange) -> None:
-        """Reply to a request, at once or when its activation ends."""
+        """Reply to a request, immediately or when its activation ends."""
         self.context.request_count += 1
         code = self.context.error_code()
         try:
@@ -85,7 +85,7 @@
             raise not_found()
 
     def _authenticate(self, request: Request, exchange: Exchange) -> NamespaceSettings:
-        """The client's namespace.  Raises `ApiError`."""
+        """Return the client's namespace.  Raises `ApiError`."""
         header = request.headers.get("authorization", "")
         namespace = self._authenticator.authenticate(header, exchange.identity)
         if namespace is None:
--- a/kelptrail/front/invoke/client_wait.py
+++ b/kelptrail/front/invoke/client_wait.py
@@ -7,23 +7,26 @@
 from http import HTTPStatus
 
 from kelptrail.clock import now_ms
-from kelptrail.front.activation_lookup import UNCONFIRMED_AFTER_SHARE
+from kelptrail.front.activation_lookup import DURABILITY_WAIT_SHARE
 from kelptrail.gateway.invocation import Invocation
 from kelptrail.gateway.records import Record
 from kelptrail.net.server import Exchange
 
 from . import views
 from .context import InvokeContext
-from .errors import NOT_DURABLE, ApiError, unavailable
+from .errors import NOT_DURABLE_MESSAGE, ApiError, unavailable
 from .replies import ACTIVATION_ID_HEADER, reply_error, reply_final
 
-JOURNAL_CODE, UNKNOWN_CODE = "journal", "unknown"  # codes of errors about durability
-TAKEOVER_LOOKUPS, TAKEOVER_LOOKUP_INTERVAL_MS = 15, 500.0  # while another dispatcher takes the journal over
-TAKEN_OVER = "Another dispatcher has taken over; whether it has this call is not known here.  Ask before a repeat."
+JOURNAL_CODE, UNKNOWN_CODE = "journal", "unknown"  # Values of `code` in error bodies about durability
+# Lookups of a request while another dispatcher takes over the journal.
+MAX_TAKEOVER_LOOKUPS, TAKEOVER_LOOKUP_INTERVAL_MS = 15, 500.0
+TAKEN_OVER_MESSAGE = (
+    "Another dispatcher has taken over; whether it has this call is not known here.  Ask before a repeat."
+)
 
 
 class ClientWait:
-    """Replies to one request: with the final answer, with the activation id, or with an error."""
+    """Replies to one request with the final answer, the activation id or an error."""
 
     __slots__ = ("_context", "_exchange", "_result_only", "_timer")
 
@@ -32,18 +35,21 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def on_final(self, record: Record) -> None:
-        """The activation has its final answer."""
+        """Reply with the final answer of the activation."""
         self._cancel_timer()
         if not self._exchange.replied and not self._exchange.client_gone:
             reply_final(self._exchange, record, self._result_only, self._context.error_code())
 
-    def limit(self, invocation: Invocation, wait_ms: float) -> None:
-        """A blocking client waits at most `wait_ms`; then it gets the activation id and may poll."""
+    def limit_wait(self, invocation: Invocation, wait_ms: float) -> None:
+        """Reply to a blocking client with the activation id after `wait_ms`; it may then poll."""
         if wait_ms < invocation.record.timeout_ms:
-            self._timer = self._context.call_later(wait_ms, partial(self._on_wait_over, invocation))
+            self._timer = self._context.call_later(wait_ms, partial(self._on_wait_timeout, invocation))
 
-    def _on_wait_over(self, invocation: Invocation) -> None:
-        """The client continues with the activation id, so the record has to survive a crash from now on."""
+    def _on_wait_timeout(self, invocation: Invocation) -> None:
+        """Make the record durable and reply with the activation id.
+
+        The client can only poll with this id, so the record has to survive a crash from now on.
+        """
         gateway = self._context.gateway
         gateway.make_durable(now_ms(), invocation)
         if invocation.lifecycle.journaled:
@@ -53,28 +59,28 @@
             self.accept(invocation.record)
 
     def accept_when_durable(self, invocation: Invocation) -> None:
-        """Accept a deferred request once its record is durable; reply with an error where it cannot be."""
+        """Accept a deferred request once its record is durable; reply with an error if it cannot become durable."""
         if self._exchange.replied:
             return
         self._context.gateway.when_durable(invocation, partial(self._on_durability_known, invocation))
         self._context.driver.start_writes()
         if self._context.activation_lookup is not None and not self._exchange.replied:
-            # While no majority of acceptors is reachable nothing becomes durable: tell the client in time.
-            delay_ms = UNCONFIRMED_AFTER_SHARE * invocation.record.timeout_ms
+            # Without a reachable majority of acceptors nothing becomes durable: notify the client before its timeout.
+            delay_ms = DURABILITY_WAIT_SHARE * invocation.record.timeout_ms
             self._timer = self._context.call_later(delay_ms, partial(self._reply_unknown, invocation.record))
 
     def _on_durability_known(self, invocation: Invocation, durable: bool | None) -> None:
-        """`durable` is None where another dispatcher has taken over the journal."""
+        """Reply according to `durable`, which is None if another dispatcher has taken over the journal."""
         if durable:
             self.accept(invocation.record)
         elif durable is None:
-            self._look_up_after_takeover(invocation.record, TAKEOVER_LOOKUPS)
+            self._look_up_after_takeover(invocation.record, MAX_TAKEOVER_LOOKUPS)
         elif not self._exchange.replied:
             self._reply_not_durable()
-            self._context.abandon(invocation)
+            self._context.cancel(invocation)
 
     def _look_up_after_takeover(self, record: Record, lookups_left: int) -> None:
-        """Ask the other dispatchers for the request until one knows whether the journal contained it."""
+        """Query the other dispatchers until the result shows whether the journal contained the request."""
         lookup = self._context.activation_lookup
         if lookup is None or lookups_left == 0:
             self._reply_unknown(record)
@@ -86,7 +92,7 @@
             return
         if address:
             self.accept(record, f"http://{address}")
-        elif address is None:  # the journal's new primary has looked, too
+        elif address is None:  # The new primary of the journal does not have the request either
             self._reply_not_durable()
         else:
             retry = partial(self._look_up_after_takeover, record, lookups_left - 1)
@@ -94,15 +100,16 @@
 
     def _reply_unknown(self, record: Record) -> None:
         if not self._exchange.replied:
-            error = ApiError(HTTPStatus.INTERNAL_SERVER_ERROR, TAKEN_OVER, activationId=record.id)
+            error = ApiError(HTTPStatus.INTERNAL_SERVER_ERROR, TAKEN_OVER_MESSAGE, activationId=record.id)
             reply_error(self._exchange, error, UNKNOWN_CODE)
 
     def _reply_not_durable(self) -> None:
-        reply_error(self._exchange, unavailable(NOT_DURABLE), JOURNAL_CODE)
+        reply_error(self._exchange, unavailable(NOT_DURABLE_MESSAGE), JOURNAL_CODE)
 
     def accept(self, record: Record, url: str = "") -> None:
-        """Reply 202 with the activation id, unless there was a reply.  `url` is of the dispatcher that has the record;
-        empty: this one.
+        """Reply 202 with the activation id, unless a reply was sent.
+
+        `url` is the URL of the dispatcher that has the record; empty for this one.
         """
         self._cancel_timer()
         if self._exchange.replied:
--- a/kelptrail/front/invoke/context.py
+++ b/kelptrail/front/invoke/context.py
@@ -1,4 +1,4 @@
-"""What the handlers of the invoke API share."""
+"""State shared by the handlers of the invoke API."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 from kelptrail.gateway.driver import GatewayDriver
 from kelptrail.settings.deployment import Deployment
 
-BOOT_DIGITS_IN_CODE = 8
+BOOT_DIGITS_IN_CODE = 8  # Leading digits of `boot` in error codes
 
 
 class InvokeContext(ApiContext):
-    """Shared by the handlers of the invoke API; `boot` is the prefix of this run's activation ids."""
+    """State shared by the handlers of the invoke API; `boot` is the prefix of all activation ids of this process."""
 
     def __init__(self, deployment: Deployment, driver: GatewayDriver, boot: str) -> None:
         super().__init__(deployment, driver)
         self.boot = boot
-        self.url = ""  # of this dispatcher itself, whoever has the front address; empty: not given to clients
+        # URL of this dispatcher, independent of who holds the front address; if empty, clients do not receive it.
+        self.url = ""
         self.request_count = 0
 
     def error_code(self) -> str:
-        """The `code` of an error body: this run, and the number of requests so far."""
+        """Return the `code` of an error body: the start of `boot` and the number of requests so far."""
         return f"{self.boot[:BOOT_DIGITS_IN_CODE]}{self.request_count:x}"
--- a/kelptrail/front/invoke/event_stream.py
+++ b/kelptrail/front/invoke/event_stream.py
@@ -1,4 +1,4 @@
-"""A streamed answer as server-sent events: one `part` for each part, then one `final` with the record."""
+"""Streamed answer as server-sent events: one `part` event for each part, then one `final` event with the record."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     def __init__(self, context: InvokeContext, exchange: Exchange, invocation: Invocation, result_only: bool) -> None:
         self._context, self._exchange, self._invocation = context, exchange, invocation
         self._result_only = result_only
-        self._paused = False  # the worker's connection is not read, as the client reads slowly
+        self._paused = False  # Reading from the worker is paused because the client reads slowly
         invocation.on_part = self._on_part
         invocation.waiters.append(self._on_final)
-        exchange.on_client_gone, exchange.on_writable = self._on_client_gone, self._on_writable
+        exchange.on_client_gone, exchange.on_writable = self._on_client_disconnected, self._on_writable
 
     def _on_part(self, data: bytes) -> None:
         exchange = self._exchange
@@ -44,10 +44,10 @@
         if self._exchange.replied:
             self._exchange.write_chunk(encode_event(views.encode(views.activation(record)), "final"))
             self._exchange.end_stream()
-        else:  # no part was sent: a reply as without streaming
+        else:  # Without parts, the reply is the same as without streaming
             reply_final(self._exchange, record, self._result_only, self._context.error_code())
 
-    def _on_client_gone(self) -> None:
+    def _on_client_disconnected(self) -> None:
         self._invocation.waiters.clear()
         self._invocation.on_part = None
-        self._context.abandon(self._invocation)
+        self._context.cancel(self._invocation)
--- a/kelptrail/front/invoke/invocations.py
+++ b/kelptrail/front/invoke/invocations.py
@@ -1,4 +1,4 @@
-"""Invokes actions: checks a request, submits it to the gateway, and says who waits for its answer."""
+"""Invocation of actions: checks a request, submits it to the gateway and sets up the reply to the client."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 from .client_wait import ClientWait
 from .context import InvokeContext
-from .errors import ApiError, moved, unavailable
+from .errors import ApiError, redirect, unavailable
 from .event_stream import EventStreamReply
 from .replies import reply_error, retry_after_seconds
 from .request_parsing import read_idempotency_key, read_json_object, wants_event_stream
@@ -31,13 +31,13 @@
 
 @dataclass(frozen=True, slots=True)
 class InvocationTarget:
-    """What the path and the query of an invocation say."""
+    """Parsed path and query of an invocation."""
 
     namespace: str
     action: ActionSettings
     blocking: bool
-    result_only: bool  # reply with the result in place of the record
-    wait_ms: float  # how long a blocking client waits
+    result_only: bool  # Reply with the result instead of the record
+    wait_ms: float  # Maximum wait of a blocking client
 
 
 class InvocationRequest(NamedTuple):
@@ -45,17 +45,17 @@
 
     request: Request
     exchange: Exchange
-    namespace: NamespaceSettings  # the client's
+    namespace: NamespaceSettings  # Namespace of the client
     target: InvocationTarget
 
 
 class InvocationContent(NamedTuple):
-    """The checked headers and body of an invocation."""
+    """Validated headers and body of an invocation."""
 
     payload: bytes
-    key: str | None  # the client's idempotency key
-    digest: str  # of the payload; empty without a key
-    client_key: str  # by which overload control recognises the client's retry
+    key: str | None  # Idempotency key of the client
+    digest: str  # Digest of the payload; empty without a key
+    client_key: str  # Key by which overload control recognises the client's retry
     traceparent: str
 
 
@@ -64,12 +64,12 @@
 
     def __init__(self, context: InvokeContext) -> None:
         self._context = context
-        self._max_deferred_bytes = context.deployment.max_deferred_bytes  # 0: no limit
+        self._max_deferred_bytes = context.deployment.max_deferred_bytes  # 0 means no limit
 
     def invoke(self, call: InvocationRequest, look_up_key: bool = True) -> None:
-        """Submit the request, or join it to the activation that its idempotency key names.
+        """Submit the request, or join it to the activation that has the same idempotency key.
 
-        `look_up_key`: ask the other dispatchers for a key that is not known here.  Raises `ApiError`.
+        `look_up_key`: query the other dispatchers for a key that has no record here.  Raises `ApiError`.
         """
         if self._context.draining:
             raise unavailable("This dispatcher is closing; the call was not taken.")
@@ -111,24 +111,24 @@
             raise ApiError(HTTPStatus.CONFLICT, f"Conflict: {cause}.") from None
 
     def _join(self, call: InvocationRequest, record: Record) -> None:
-        """The client's own repeat gets the recorded answer, or waits for the activation in flight."""
+        """Reply to a client's retry with the recorded answer, or let it wait for the activation in flight."""
         gateway, target = self._context.gateway, call.target
         wait = ClientWait(self._context, call.exchange, target.result_only)
         invocation = gateway.in_flight_of(record.id)
         if record.visible:
             record.fetched = True
             wait.on_final(record)
-        elif not target.blocking or invocation is None:  # None: recovered after a restart and not resumed yet
+        elif not target.blocking or invocation is None:  # None after a restart, until the activation is resumed
             wait.accept(record)
         else:
             invocation.waiters.append(wait.on_final)
             call.exchange.on_client_gone = lambda: gateway.remove_waiter(record, wait.on_final)
-            wait.limit(invocation, target.wait_ms)
+            wait.limit_wait(invocation, target.wait_ms)
 
     def _look_up_key(self, call: InvocationRequest, key: str) -> bool:
-        """Ask the other dispatchers for the key: one that is lost may have accepted a deferred request under it.
+        """Query the other dispatchers for the key; return False if there are none.
 
-        False where there are none to ask.
+        A dispatcher that was lost since may have accepted a deferred request under this key.
         """
         lookup = self._context.activation_lookup
         if lookup is None:
@@ -143,7 +143,7 @@
             return
         if address:
             message = f"The call under this key is at {address} now; ask there."
-            reply_error(exchange, moved(message, address, call.request.target), code)
+            reply_error(exchange, redirect(message, address, call.request.target), code)
         elif address is None:
             try:
                 self.invoke(call, look_up_key=False)
@@ -156,7 +156,7 @@
     # Admission.
 
     def _check_deferrable(self, payload: bytes) -> None:
-        """Raises `ApiError` where a deferred request could not be made durable."""
+        """Check that a deferred request could be made durable.  Raises `ApiError` if not."""
         limit = self._max_deferred_bytes
         if limit and len(payload) > limit:
             message = f"A deferred call's body has at most {limit} bytes here: others hold it."
@@ -165,7 +165,7 @@
             raise unavailable("Deferred calls cannot be kept safe at the moment; the call was not taken.")
 
     def _admit(self, call: InvocationRequest, content: InvocationContent) -> None:
-        """Raises `ApiError` where the request is beyond a limit, before anything is done for it."""
+        """Check the limits on requests before any work is done for this one.  Raises `ApiError` beyond a limit."""
         path = call.target.action.path
         rejection = self._context.gateway.on_connect(
             now_ms(), call.namespace.name, path, len(content.payload), content.client_key
@@ -188,11 +188,11 @@
         wait = ClientWait(self._context, exchange, target.result_only)
         invocation = self._submit(call, content, wait.on_final)
         if target.blocking:
-            exchange.on_client_gone = lambda: self._on_client_gone(invocation, wait)
-            wait.limit(invocation, target.wait_ms)
+            exchange.on_client_gone = lambda: self._on_client_disconnected(invocation, wait)
+            wait.limit_wait(invocation, target.wait_ms)
             self._context.driver.schedule_decisions()
         else:
-            # The decision comes first: a deferred request that is rejected at once is answered 429, not 202.
+            # Accept after the decision: a deferred request that is rejected immediately is answered 429, not 202.
             self._context.driver.schedule_decisions(lambda: wait.accept_when_durable(invocation))
 
     def _reply_streamed(self, call: InvocationRequest, content: InvocationContent) -> None:
@@ -203,7 +203,7 @@
     def _submit(
         self, call: InvocationRequest, content: InvocationContent, waiter: Callable[[Record], None] | None
     ) -> Invocation:
-        """Submit the request to the gateway; without a `waiter` its answer is streamed."""
+        """Submit the request to the gateway; without a `waiter`, its answer is streamed."""
         return self._context.gateway.submit(
             now_ms(),
             wall_ms(),
@@ -221,10 +221,10 @@
             waiter,
         )
 
-    def _on_client_gone(self, invocation: Invocation, wait: ClientWait) -> None:
-        """A client that named an idempotency key may come back for the answer; without one nobody waits for it."""
+    def _on_client_disconnected(self, invocation: Invocation, wait: ClientWait) -> None:
+        """Stop waiting if the client may retry with its idempotency key; cancel the request if it has none."""
         if invocation.record.key:
             self._context.gateway.remove_waiter(invocation.record, wait.on_final)
             return
         invocation.waiters.clear()
-        self._context.abandon(invocation)
+        self._context.cancel(invocation)
--- a/kelptrail/front/invoke/replies.py
+++ b/kelptrail/front/invoke/replies.py
@@ -1,4 +1,4 @@
-"""Sends the replies of the invoke API."""
+"""Functions that send the replies of the invoke API."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from .errors import ApiError
 
 ACTIVATION_ID_HEADER = "x-openwhisk-activation-id"
-REJECTED = "The call was rejected before it had any effect that a repeat would double; try again later."
+REJECTED_MESSAGE = "The call was rejected before it had any effect that a repeat would double; try again later."
 
 
 def retry_after_seconds(retry_after_ms: float) -> str:
-    """The value of a `retry-after` header: full seconds, at least one."""
+    """Return the value of a `retry-after` header: full seconds, rounded up, at least one."""
     return str(max(1, math.ceil(retry_after_ms / 1000)))
 
 
@@ -28,18 +28,18 @@
 
 
 def reply_error(exchange: Exchange, error: ApiError, code: str) -> None:
-    """Reply with an error; `code` identifies the request in the log of its client."""
+    """Reply with an error; `code` identifies the request in the client's log."""
     exchange.reply(error.status, views.error(str(error), code, **error.details), error.headers)
 
 
 def reply_final(exchange: Exchange, record: Record, result_only: bool, code: str) -> None:
-    """Reply with the final answer of a blocking request, or of a deferred one that is rejected at once."""
+    """Reply with the final answer of a blocking request, or of a deferred one that is rejected immediately."""
     headers = {ACTIVATION_ID_HEADER: record.id}
     if record.answer == FinalStatus.REJECTED:
         if record.retry_after_ms > 0:
             headers["retry-after"] = retry_after_seconds(record.retry_after_ms)
         details = {"activationId": record.id} | views.final_answer(record)
-        reply_error(exchange, ApiError(HTTPStatus.TOO_MANY_REQUESTS, REJECTED, headers, **details), code)
+        reply_error(exchange, ApiError(HTTPStatus.TOO_MANY_REQUESTS, REJECTED_MESSAGE, headers, **details), code)
         return
     status = HTTPStatus.OK if record.code == 0 else HTTPStatus.BAD_GATEWAY
     body = record.result if result_only else views.encode(views.activation(record))
--- a/kelptrail/front/invoke/request_parsing.py
+++ b/kelptrail/front/invoke/request_parsing.py
@@ -1,4 +1,4 @@
-"""Reads and checks what a request to the invoke API contains.  Everything malformed raises `ApiError`."""
+"""Parsing and validation of requests to the invoke API.  Malformed input raises `ApiError`."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 DEFAULT_PAGE_SIZE, MAX_PAGE_SIZE = 30, 200
 MAX_SKIP = 1e9
-SHOWN_CHARACTERS = 40  # of a malformed value, in the error
-CONVERTED_DIGITS = 18  # of a number; more digits are beyond every range
+SHOWN_CHARACTERS = 40  # Maximum length of a malformed value in an error message
+MAX_CONVERTED_DIGITS = 18  # A number with more digits is beyond every allowed range
 BODY_TYPES = ("application/json", "application/x-www-form-urlencoded")
 
 
 class Page(NamedTuple):
-    """Which entries of a list are shown."""
+    """Range of the entries of a list in a reply."""
 
     limit: int
     skip: int
 
 
 def check_method(request: Request, *allowed: str) -> None:
-    """Raises `ApiError` for a method that the path does not have."""
+    """Check that the path supports the request's method.  Raises `ApiError`."""
     if request.method not in allowed:
         raise method_not_allowed(allowed)
 
 
 def parse_flag(query: dict[str, str], name: str) -> bool:
-    """A query parameter that is true or false; false where it is absent."""
+    """Return a boolean query parameter; False if it is absent."""
     value = query.get(name, "false").lower()
     if value not in ("true", "false"):
         raise invalid(f"The query parameter '{name}' is true or false, not '{value[:SHOWN_CHARACTERS]}'.")
@@ -42,11 +42,11 @@
 
 
 def parse_number(query: dict[str, str], name: str, minimum: float, maximum: float, default: float) -> float:
-    """A query parameter that is a whole number in a range."""
+    """Return a query parameter that is a whole number in a range; `default` if it is absent."""
     if name not in query:
         return default
     text = query[name]
-    if not text.isascii() or not text.isdigit() or not minimum <= int(text[:CONVERTED_DIGITS]) <= maximum:
+    if not text.isascii() or not text.isdigit() or not minimum <= int(text[:MAX_CONVERTED_DIGITS]) <= maximum:
         raise invalid(
             f"The query parameter '{name}' is a whole number from {minimum:.0f} to {maximum:.0f}, "
             f"not '{text[:SHOWN_CHARACTERS]}'."
@@ -55,14 +55,14 @@
 
 
 def parse_page(query: dict[str, str]) -> Page:
-    """The query parameters `limit` (0: as many as are allowed) and `skip`."""
+    """Return the query parameters `limit` (0 stands for the maximum) and `skip`."""
     limit = int(parse_number(query, "limit", 0, MAX_PAGE_SIZE, DEFAULT_PAGE_SIZE))
     skip = int(parse_number(query, "skip", 0, MAX_SKIP, 0))
     return Page(limit or MAX_PAGE_SIZE, skip)
 
 
 def read_json_object(request: Request) -> bytes:
-    """The body, checked to be a JSON object and passed on unchanged; `{}` where there is none."""
+    """Check that the body is a JSON object and return it unchanged; `{}` if it is empty."""
     if not request.body:
         return b"{}"
     content_type = request.headers.get("content-type", BODY_TYPES[0]).partition(";")[0].strip().lower()
@@ -79,7 +79,7 @@
 
 
 def read_idempotency_key(request: Request) -> str | None:
-    """The `idempotency-key` header, or None."""
+    """Return the `idempotency-key` header, or None if it is absent."""
     key = request.headers.get("idempotency-key")
     if key is not None and not is_valid_key(key):
         raise invalid(f"An Idempotency-Key has 1 to {MAX_KEY_LENGTH} characters.")
@@ -87,7 +87,7 @@
 
 
 def wants_event_stream(request: Request, blocking: bool, key: str | None) -> bool:
-    """Whether the answer is streamed as server-sent events."""
+    """Return whether the client requests its answer as a stream of server-sent events."""
     if EVENT_STREAM not in request.headers.get("accept", ""):
         return False
     if key is not None or not blocking:
--- a/kelptrail/front/invoke/views.py
+++ b/kelptrail/front/invoke/views.py
@@ -1,4 +1,4 @@
-"""Bodies of the invoke API's replies: activation records, actions and errors in the form of its specification."""
+"""Bodies of the invoke API's replies: activation records, actions and errors in the format of its specification."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from kelptrail.settings.deployment import ActionSettings, Deployment
 
 encode = msgspec.json.encode
-VERSION = "0.0.1"
+VERSION = "0.0.1"  # Version of all actions
 
 
 def error(message: str, code: str, **details: Any) -> bytes:
-    """An error body: `{"error", "code"}` and further fields."""
+    """Return an error body: `error`, `code` and the fields of `details`."""
     return encode({"error": message, "code": code} | details)
 
 
 def activation_annotations(record: Record) -> list[dict[str, Any]]:
-    """The record's annotations; the one under the key `kelptrail` says which of the three final answers it got."""
+    """Return the record's annotations; the one with key `kelptrail` shows which of the three final answers it got."""
     return [
         {"key": "path", "value": f"{record.namespace}/{record.path}"},
         {"key": "kind", "value": record.request_class},
@@ -31,21 +31,21 @@
 
 
 def final_answer(record: Record) -> dict[str, Any]:
-    """The final answer, with what its client needs to know before a retry."""
-    shown: dict[str, Any] = {"answer": record.answer, "effect": record.idempotency, "sends": record.attempt_count}
+    """Return the kind of the final answer and the details that a client needs before a retry."""
+    fields: dict[str, Any] = {"answer": record.answer, "effect": record.idempotency, "sends": record.attempt_count}
     if record.trace:
-        shown["traceparent"] = record.trace
+        fields["traceparent"] = record.trace
     if record.answer == FinalStatus.REJECTED:
-        shown["retry_after_ms"] = round(record.retry_after_ms, 3)
+        fields["retry_after_ms"] = round(record.retry_after_ms, 3)
         if record.deduplicated_for_ms:
-            shown["repeat_within_ms"] = round(record.deduplicated_for_ms)
+            fields["repeat_within_ms"] = round(record.deduplicated_for_ms)
     elif record.answer == FinalStatus.FAILED:
-        shown["promise"] = "none"
-    return shown
+        fields["promise"] = "none"
+    return fields
 
 
 def activation(record: Record) -> dict[str, Any]:
-    """A complete activation record."""
+    """Return a complete activation record."""
     return {
         "activationId": record.id,
         "namespace": record.namespace,
@@ -68,7 +68,7 @@
 
 
 def summary(record: Record) -> dict[str, Any]:
-    """A record in a list, unless the client asks for `docs`."""
+    """Return the short form of a record, used in lists unless the client sets `docs`."""
     return {
         "activationId": record.id,
         "namespace": record.namespace,
@@ -84,7 +84,7 @@
 
 
 def result(record: Record) -> dict[str, Any]:
-    """The `/result` of an activation."""
+    """Return the body for the `/result` of an activation."""
     return {
         "status": STATUS_MESSAGES[record.code],
         "statusCode": record.code,
@@ -94,30 +94,34 @@
 
 
 def logs(record: Record) -> dict[str, Any]:
-    """The `/logs` of an activation."""
+    """Return the body for the `/logs` of an activation."""
     return {"logs": record.logs}
 
 
-def action(deployment: Deployment, namespace: str, item: ActionSettings) -> dict[str, Any]:
-    """An action, with the settings of its request class."""
-    kind = deployment.types[item.type]
+def action(deployment: Deployment, namespace: str, settings: ActionSettings) -> dict[str, Any]:
+    """Return an action with the settings of its request class."""
+    request_class = deployment.types[settings.type]
     return {
-        "namespace": f"{namespace}/{item.package}" if item.package else namespace,
-        "name": item.name,
+        "namespace": f"{namespace}/{settings.package}" if settings.package else namespace,
+        "name": settings.name,
         "version": VERSION,
         "publish": False,
         "updated": 0,
         "exec": {"kind": "model", "binary": True},
-        "limits": {"timeout": kind.timeout_ms, "memory": item.memory_mb, "concurrency": item.concurrency},
+        "limits": {
+            "timeout": request_class.timeout_ms,
+            "memory": settings.memory_mb,
+            "concurrency": settings.concurrency,
+        },
         "parameters": [],
         "annotations": [
-            {"key": "type", "value": kind.name},
-            {"key": "effect", "value": kind.effect},
-            {"key": "target_ms", "value": kind.latency_objective_ms},
-            {"key": "model", "value": item.model},
+            {"key": "type", "value": request_class.name},
+            {"key": "effect", "value": request_class.effect},
+            {"key": "target_ms", "value": request_class.latency_objective_ms},
+            {"key": "model", "value": settings.model},
             *(
-                [{"key": "remembered_ms", "value": kind.deduplication_window_ms}]
-                if kind.deduplication_window_ms
+                [{"key": "remembered_ms", "value": request_class.deduplication_window_ms}]
+                if request_class.deduplication_window_ms
                 else []
             ),
         ],
--- a/kelptrail/front/trace_context.py
+++ b/kelptrail/front/trace_context.py
@@ -5,7 +5,7 @@
 import os
 from typing import NamedTuple
 
-FIELD_LENGTHS = [2, 32, 16, 2]  # version, trace id, parent id and flags, in hexadecimal digits
+FIELD_LENGTHS = [2, 32, 16, 2]  # Hexadecimal digits of version, trace id, parent id and flags
 HEX_DIGITS = frozenset("0123456789abcdef")
 INVALID_TRACE_ID = "0" * 32
 INVALID_VERSION = "ff"
@@ -18,31 +18,33 @@
     version: str
     trace_id: str
     flags: str
-    has_more_fields: bool  # as versions after 00 may
+    has_more_fields: bool  # Versions after 00 may append fields to the four of `FIELD_LENGTHS`
 
 
 def parse_traceparent(header: str) -> TraceParent | None:
-    """The fields of a `traceparent` header, or None where it is malformed or absent."""
+    """Parse a `traceparent` header; return None if it is malformed or absent."""
     if not header:
         return None
     fields = header.strip().lower().split("-")
-    known = fields[: len(FIELD_LENGTHS)]
-    if [len(field) for field in known] != FIELD_LENGTHS or not all(HEX_DIGITS.issuperset(field) for field in known):
+    known_fields = fields[: len(FIELD_LENGTHS)]
+    if [len(field) for field in known_fields] != FIELD_LENGTHS or not all(
+        HEX_DIGITS.issuperset(field) for field in known_fields
+    ):
         return None
-    version, trace_id, _, flags = known
+    version, trace_id, _, flags = known_fields
     if trace_id == INVALID_TRACE_ID:
         return None
-    return TraceParent(version, trace_id, flags, len(fields) > len(known))
+    return TraceParent(version, trace_id, flags, len(fields) > len(known_fields))
 
 
 class TraceIdSource:
-    """Makes the `traceparent` of requests; traces that start here are unique by a random prefix."""
+    """Generates the `traceparent` of requests; a random prefix makes the trace ids that are created here unique."""
 
     def __init__(self) -> None:
         self._prefix = os.urandom(8).hex()
 
     def traceparent(self, parent: TraceParent | None, span_number: int) -> str:
-        """The header for the workers: a span of the client's trace, or of a new one."""
+        """Return the header that is sent to workers: a span of the client's trace, or of a new one without `parent`."""
         span_id = f"{span_number & SPAN_ID_MASK:016x}"
         if parent is None:
             return f"00-{self._prefix}{span_id}-{span_id}-00"
