--- a/kelptrail/front/inference/stream_inference.py
+++ b/kelptrail/front/inference/stream_inference.py
@@ -134,6 +134,7 @@
             self._context.driver.set_reading(invocation, True)
 
     def _on_requests_ended(self) -> None:
+        """Finish the call once all requests are answered, as the client sends no more."""
         self._requests_ended = True
         self._finish_if_done()
 
--- a/kelptrail/front/invoke/activations.py
+++ b/kelptrail/front/invoke/activations.py
@@ -15,7 +15,7 @@
 
 from . import views
 from .context import InvokeContext
-from .errors import RETRY_SOON, ApiError, in_flight, not_found, redirect
+from .errors import RETRY_SOON_HEADERS, ApiError, in_flight, not_found, redirect
 from .long_poll import LongPoll, View
 from .replies import reply_error, reply_json
 from .request_parsing import check_method, parse_flag, parse_number, parse_page
@@ -135,4 +135,4 @@
         return redirect(f"The activation is at {address} now; ask there.", address, request.target)
     if address is None:
         return ApiError(HTTPStatus.NOT_FOUND, LOST_MESSAGE)
-    return ApiError(HTTPStatus.NOT_FOUND, NOT_KNOWN_YET_MESSAGE, RETRY_SOON, known="not-yet")
+    return ApiError(HTTPStatus.NOT_FOUND, NOT_KNOWN_YET_MESSAGE, RETRY_SOON_HEADERS, known="not-yet")
--- a/kelptrail/front/invoke/errors.py
+++ b/kelptrail/front/invoke/errors.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 from typing import Any
 
-RETRY_SOON = {"retry-after": "1"}  # Headers; seconds
+RETRY_SOON_HEADERS = {"retry-after": "1"}  # In seconds
 IN_FLIGHT_MESSAGE = "The activation is in hand and has no result yet."
 NOT_DURABLE_MESSAGE = "The call could not be kept safe and was not taken."
 
@@ -48,12 +48,12 @@
 
 def unavailable(message: str) -> ApiError:
     """Return the error for a request that was not accepted and may be retried soon."""
-    return ApiError(HTTPStatus.SERVICE_UNAVAILABLE, message, RETRY_SOON)
+    return ApiError(HTTPStatus.SERVICE_UNAVAILABLE, message, RETRY_SOON_HEADERS)
 
 
 def in_flight() -> ApiError:
     """Return the error for an activation without a result; by the API's specification it has no record until then."""
-    return ApiError(HTTPStatus.NOT_FOUND, IN_FLIGHT_MESSAGE, RETRY_SOON)
+    return ApiError(HTTPStatus.NOT_FOUND, IN_FLIGHT_MESSAGE, RETRY_SOON_HEADERS)
 
 
 def redirect(message: str, address: str, target: str) -> ApiError:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""The invoke API over sockets: its specification, and clients that are slow, malformed or gone."""
+"""Tests of the invoke API over sockets: its specification, and clients that are slow, malformed or disconnected."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 BASE = "/api/v1/namespaces/_"
 
 
-def failing(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
-    """The function itself fails: it ran, and its error is the answer."""
+def answer_with_error(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
+    """Answer with an error of the function itself: it ran, and its error is the result."""
     infer, _ = read_infer(request.body)
     exchange.reply(200, infer_answer("m", infer.id, '{"error":"no such family"}', False))
 
@@ -67,37 +67,37 @@
         async with running_dispatcher(answer) as (dispatcher, _):
             for n in range(5):
                 await dispatcher.call("grant" if n % 2 else "p/check", body={"n": n})
-            ask = dispatcher.request
-            _, _, records = await ask("GET", f"{BASE}/activations")
+            request = dispatcher.request
+            _, _, records = await request("GET", f"{BASE}/activations")
             assert [a["name"] for a in records] == ["check", "grant", "check", "grant", "check"]
             assert "response" not in records[0] and records[0]["statusCode"] == 0
-            _, _, page = await ask("GET", f"{BASE}/activations?name=check&limit=1&skip=1&docs=true")
+            _, _, page = await request("GET", f"{BASE}/activations?name=check&limit=1&skip=1&docs=true")
             assert [a["response"]["result"] for a in page] == [{"n": 2}]
-            _, _, of_action = await ask("GET", f"{BASE}/activations?name=p%2Fcheck")
+            _, _, of_action = await request("GET", f"{BASE}/activations?name=p%2Fcheck")
             assert len(of_action) == 3
             since = records[2]["start"]
-            _, _, later = await ask("GET", f"{BASE}/activations?since={since}&upto={since + 60_000}")
+            _, _, later = await request("GET", f"{BASE}/activations?since={since}&upto={since + 60_000}")
             assert {a["activationId"] for a in later} >= {records[0]["activationId"], records[1]["activationId"]}
-            assert (await ask("GET", f"{BASE}/activations?count=true"))[2] == {"activations": 5}
-            for bad in ("limit=-1", "limit=201", "skip=x", "docs=maybe", "since=1e3"):
-                assert (await ask("GET", f"{BASE}/activations?{bad}"))[0] == 400
+            assert (await request("GET", f"{BASE}/activations?count=true"))[2] == {"activations": 5}
+            for invalid_query in ("limit=-1", "limit=201", "skip=x", "docs=maybe", "since=1e3"):
+                assert (await request("GET", f"{BASE}/activations?{invalid_query}"))[0] == 400
 
     run(main())
 
 
 def test_actions_namespaces_and_errors_as_specified() -> None:
     async def main() -> None:
-        async with running_dispatcher(failing) as (dispatcher, _):
-            ask = dispatcher.request
-            assert (await ask("GET", "/api/v1/namespaces"))[2] == ["one"]
-            _, _, actions = await ask("GET", f"{BASE}/actions")
+        async with running_dispatcher(answer_with_error) as (dispatcher, _):
+            request = dispatcher.request
+            assert (await request("GET", "/api/v1/namespaces"))[2] == ["one"]
+            _, _, actions = await request("GET", f"{BASE}/actions")
             assert [(a["namespace"], a["name"]) for a in actions] == [
                 ("one/p", "check"),
                 ("one", "activate"),
                 ("one", "grant"),
             ]
-            assert (await ask("GET", f"{BASE}/actions?limit=1&skip=1"))[2][0]["name"] == "activate"
-            assert (await ask("GET", f"{BASE}/actions/p/check"))[2]["limits"]["timeout"] == 900
+            assert (await request("GET", f"{BASE}/actions?limit=1&skip=1"))[2][0]["name"] == "activate"
+            assert (await request("GET", f"{BASE}/actions/p/check"))[2]["limits"]["timeout"] == 900
             for method, target, status in (
                 ("GET", f"{BASE}/actions/none", 404),
                 ("POST", f"{BASE}/actions/check", 404),
@@ -106,7 +106,7 @@
                 ("DELETE", f"{BASE}/actions/grant", 405),
                 ("GET", "/elsewhere", 404),
             ):
-                got_status, _, body = await ask(method, target)
+                got_status, _, body = await request(method, target)
                 assert got_status == status and set(body) == {"error", "code"}, (method, target, got_status, body)
             for headers in (
                 {"authorization": "Basic !!"},
@@ -114,14 +114,14 @@
                 authorization(uuid="no"),
                 {"authorization": ""},
             ):
-                status, reply_headers, body = await ask("GET", f"{BASE}/actions", headers=headers)
+                status, reply_headers, body = await request("GET", f"{BASE}/actions", headers=headers)
                 assert status == 401 and "www-authenticate" in reply_headers and body["code"]
             status, _, record = await dispatcher.call("grant", body={})
             assert status == 502 and record["response"]["status"] == "application error"
             assert record["response"]["result"] == {"error": "no such family"}
-            other = authorization("00000000-0000-0000-0000-000000000002", "k2")
+            other_namespace = authorization("00000000-0000-0000-0000-000000000002", "k2")
             id_ = record["activationId"]
-            assert (await ask("GET", f"{BASE}/activations/{id_}", headers=other))[0] == 404
+            assert (await request("GET", f"{BASE}/activations/{id_}", headers=other_namespace))[0] == 404
             for raw in (b"[1]", b"{", b'{"a":"\xff"}', b"[" * 3000):
                 assert (await dispatcher.call("grant", raw=raw))[0] == 400
             for query in ("&timeout=0", "&timeout=99999999", "&result=yes"):
@@ -130,7 +130,7 @@
     run(main())
 
 
-def test_a_blocking_request_past_its_wait_gets_its_activation_id() -> None:
+def test_a_blocking_request_gets_its_activation_id_after_its_maximum_wait() -> None:
     async def main() -> None:
         async with running_dispatcher(never_answer) as (dispatcher, _):
             status, _, accepted = await dispatcher.call("grant", query="&timeout=100")
@@ -224,7 +224,7 @@
     [
         (b"\x00\x01\x02\x03\r\n\r\n", 400),
         (b"GET / HTTP/9.9\r\n\r\n", 400),
-        (b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nab", 408),  # its rest never arrives
+        (b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nab", 408),  # The rest of the body never arrives
         (b"GET / HT", 408),
         (b"GET /" + b"a" * 5000 + b" HTTP/1.1\r\n\r\n", 431),
     ],
@@ -278,7 +278,7 @@
             await loop.sock_sendall(closed, data)
             while len(pending) < 2:
                 await asyncio.sleep(0.01)
-            closed.close()  # not a reset: only a write shows that it is not half-closed
+            closed.close()  # Sends no reset: only a write shows that the connection is not half-closed
             await asyncio.sleep(0.15)
             assert dispatcher.gateway.counts.failed == 1 and dispatcher.gateway.in_flight == 1
             answer(worker, *pending[0])
@@ -288,7 +288,7 @@
     run(main())
 
 
-def test_a_thousand_idle_connections_and_one_that_does_not_read() -> None:
+def test_a_thousand_idle_connections_and_one_slow_reader() -> None:
     async def main() -> None:
         async with running_dispatcher(answer) as (dispatcher, _):
             loop = asyncio.get_running_loop()
@@ -304,8 +304,8 @@
             started_at = loop.time()
             statuses = [(await dispatcher.call("grant"))[0] for _ in range(20)]
             assert statuses == [200] * 20 and loop.time() - started_at < 1.0
-            ends_at = loop.time() + 6  # it reads nothing: past the write timeout it is closed
-            while dispatcher.server.connections > 1000 and loop.time() < ends_at:
+            deadline = loop.time() + 6  # The slow client reads nothing and is closed after the write timeout
+            while dispatcher.server.connections > 1000 and loop.time() < deadline:
                 await asyncio.sleep(0.1)
             assert dispatcher.server.connections == 1000
             assert any(event == "slow-reader" for event, _ in dispatcher.log.lines)
@@ -316,7 +316,7 @@
     run(main())
 
 
-def test_draining_answers_requests_in_flight_and_accepts_none() -> None:
+def test_draining_answers_requests_in_flight_and_accepts_no_new_ones() -> None:
     async def main() -> None:
         pending: list[tuple[Request, Exchange]] = []
 
@@ -353,8 +353,8 @@
             await asyncio.sleep(0.01)
         status, headers, body = await dispatcher.call("p/check", body={})
         assert status == 429 and headers["retry-after"] == "1" and "in flight" in body["error"]
-        other = authorization("00000000-0000-0000-0000-000000000002", "k2")
-        status, _, _ = await dispatcher.request("POST", f"{BASE}/actions/p/check", {}, other)
+        other_namespace = authorization("00000000-0000-0000-0000-000000000002", "k2")
+        status, _, _ = await dispatcher.request("POST", f"{BASE}/actions/p/check", {}, other_namespace)
         assert status == 202, "another namespace is accepted"
         assert dispatcher.gateway.counts.received == 4 and dispatcher.gateway.limits.rejections["namespace"] == 1
         assert all(status in (429, 502) for status, _, _ in await asyncio.gather(*calls))
@@ -376,7 +376,7 @@
         )
         server.listen("127.0.0.1", 0)
         requests, socks, peak_bytes = encode_request("GET", "/", "x", b"") * 30, [], 0
-        for _ in range(20):  # 300 MB requested and not read; the kernel's buffers hold a part
+        for _ in range(20):  # The clients request 300 MB in total and read nothing; kernel buffers hold a part
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1024)
             sock.setblocking(False)
@@ -386,13 +386,13 @@
             socks.append(sock)
             await asyncio.sleep(0.02)
             peak_bytes = max(peak_bytes, server.unwritten_bytes)
-        assert 3e6 < peak_bytes <= 5e6, "filled, and bounded"
+        assert 3e6 < peak_bytes <= 5e6, "the buffers fill, but only up to the limit"
         assert server.slow_readers_closed > 0 and "slow-reader-closed" in events
         assert (await send_request(server.address, encode_request("GET", "/", "x", b""))).status == 200
         for sock in socks:
             sock.close()
         await asyncio.sleep(0.2)
-        assert server.unwritten_bytes == 0, "none stays counted"
+        assert server.unwritten_bytes == 0, "no bytes of closed connections remain counted"
         await server.drain(0)
 
     run(main())
@@ -414,7 +414,7 @@
         assert (await two.request("DELETE", target))[0] == 307
         status, _, body = await two.request("GET", f"{BASE}/activations/{id_prefix('three')}{'0' * 26}")
         assert status == 404 and "does not know" in body["error"], (
-            "it says no more about another dispatcher's activations"
+            "the reply contains nothing else about activations of other dispatchers"
         )
         status, _, body = await two.request("GET", f"{BASE}/activations/{id_prefix('two')}{'0' * 26}")
         assert status == 404 and "kept here" in body["error"]
@@ -432,7 +432,7 @@
     [("p/check", "completed", 2), ("activate", "completed", 2), ("grant", "aborted", 1)],
 )
 def test_a_request_with_a_truncated_answer_may_have_run(action: str, expected_answer: str, attempts: int) -> None:
-    """The worker's connection ends in the middle of its answer's body: an at-most-once request is not retried."""
+    """A worker's connection ends within the body of its answer: at-most-once requests are not retried."""
 
     def answer_truncated(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
         infer, payload = read_infer(request.body)
@@ -448,13 +448,13 @@
     workers: list[ScriptedWorker] = []
 
     async def main() -> None:
-        async with running_dispatcher(answer_truncated, answer_truncated) as (dispatcher, both):
-            workers.extend(both)
+        async with running_dispatcher(answer_truncated, answer_truncated) as (dispatcher, running_workers):
+            workers.extend(running_workers)
             status, _, record = await dispatcher.call(action, body={"a": 1}, key="k")
             assert final_answer(record)["answer"] == expected_answer and (status == 200) == (
                 expected_answer == "completed"
             )
-            assert sum(len(w.attempts) for w in both) == attempts
+            assert sum(len(w.attempts) for w in running_workers) == attempts
             assert dispatcher.gateway.counts.attempt_statuses == {AttemptStatus.CONNECTION_LOST: 1} | (
                 {AttemptStatus.COMPLETED: 1} if attempts == 2 else {}
             )
@@ -472,7 +472,7 @@
             for call in pending:
                 answer(*call)
             await asyncio.sleep(0.05)
-            again = (await dispatcher.request("GET", f"{BASE}/activations/{record['activationId']}"))[2]
-            assert again == record and len(worker.attempts) == 1 and not dispatcher.gateway.in_flight
+            record_after = (await dispatcher.request("GET", f"{BASE}/activations/{record['activationId']}"))[2]
+            assert record_after == record and len(worker.attempts) == 1 and not dispatcher.gateway.in_flight
 
     run(main())
--- a/tests/test_front_addresses.py
+++ b/tests/test_front_addresses.py
@@ -1,4 +1,4 @@
-"""VRRP of running dispatchers: UDP on loopback, front addresses that move without lost requests, failovers."""
+"""Tests of VRRP in running dispatchers: UDP on loopback, front addresses that move without lost requests, failovers."""
 
 from __future__ import annotations
 
@@ -50,10 +50,10 @@
     async def main() -> None:
         in_flight: list[tuple[Request, Exchange]] = []
 
-        def later(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
+        def hold_request(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
             in_flight.append((request, exchange))
 
-        worker = ScriptedWorker("w", later)
+        worker = ScriptedWorker("w", hold_request)
         dispatcher, other = Dispatcher([worker]), Dispatcher([ScriptedWorker("v", answer)])
         port = free_port()
         service = front_service(dispatcher, drain_ms=2000.0, linger_ms=150.0)
@@ -65,20 +65,20 @@
         await loop.sock_sendall(busy, CALL)
         while not in_flight:
             await asyncio.sleep(0.01)
-        new.acquire()  # two masters for a moment: both listen
+        new.acquire()  # Two masters for a short time: both listen
         assert old.held and new.held
         old.release()
         assert not old.held
         late = await connect(f"127.0.0.1:{port}")
         await loop.sock_sendall(late, CALL)
-        assert (await read_reply(late)).status == 200, "the new one serves at once"
-        await loop.sock_sendall(busy, CALL)  # one more on the old connection
+        assert (await read_reply(late)).status == 200, "the new holder of the address serves immediately"
+        await loop.sock_sendall(busy, CALL)  # Another request on the old connection
         answer(worker, *in_flight[0])
-        got, buffer = b"", bytearray(4096)
+        received, buffer = b"", bytearray(4096)
         while count := await loop.sock_recv_into(busy, buffer):
-            got += bytes(buffer[:count])
-        assert got.index(b" 200 ") < got.index(b" 503 ") < got.index(b"connection: close"), got
-        await loop.sock_sendall(idle, CALL)  # sent while the address moves away: answered, not reset
+            received += bytes(buffer[:count])
+        assert received.index(b" 200 ") < received.index(b" 503 ") < received.index(b"connection: close"), received
+        await loop.sock_sendall(idle, CALL)  # Sent while the address moves: answered with 503, not reset
         reply = await read_reply(idle)
         assert reply.status == 503 and reply.headers["retry-after"] == "1" and not reply.keep_alive
         await old.wait_closed()
@@ -101,7 +101,8 @@
         assert front.server is not None
         server, address = front.server, front.server.address
         sock = await connect(address)
-        await asyncio.get_running_loop().sock_sendall(sock, CALL[:40])  # half a request: the connection is busy
+        # An incomplete request keeps the connection busy.
+        await asyncio.get_running_loop().sock_sendall(sock, CALL[:40])
         await asyncio.sleep(0.05)
         server.handle = front._reject_moved
         await asyncio.get_running_loop().sock_sendall(sock, CALL[40:])
@@ -116,7 +117,7 @@
     run(main())
 
 
-SECTION = """(vrrp (key 1 "s")
+VRRP_SECTION = """(vrrp (key 1 "s")
   (instance a (udp "127.0.31.1:{udp}")) (instance b (udp "127.0.31.2:{udp}"))
   (router 7 (address "127.0.32.7") (port {port}) (interval-cs 5) (member a (priority 200)) (member b (priority 100)))
   (track workers (weight 150) (fall-ms 100) (rise-ms 300)) (track front (weight 10)))
@@ -127,12 +128,12 @@
     async def main() -> None:
         from program import DEPLOYMENT
 
-        text = DEPLOYMENT.rstrip()[:-1] + SECTION.format(udp=free_port(socket.SOCK_DGRAM), port=free_port()) + ")"
+        text = DEPLOYMENT.rstrip()[:-1] + VRRP_SECTION.format(udp=free_port(socket.SOCK_DGRAM), port=free_port()) + ")"
         deployment = parse(text, "t")
         assert deployment.vrrp is not None
         workers = [ScriptedWorker("w", answer)]
-        both, members = [Dispatcher(workers, deployment) for _ in range(2)], []
-        for name, dispatcher in zip("ab", both, strict=True):
+        dispatchers, members = [Dispatcher(workers, deployment) for _ in range(2)], []
+        for name, dispatcher in zip("ab", dispatchers, strict=True):
             (tmp_path / name).mkdir()
             members.append(
                 FrontAddresses(
@@ -153,31 +154,32 @@
                     await asyncio.sleep(0.005)
 
         await wait_for_holders(True, False)
-        # datagrams of others are counted and change nothing
+        # Foreign datagrams are counted and have no other effect.
         counts = members[1].vrrp.instance.counters
-        stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        stranger.bind(("127.0.31.1", 0))
-        here = deployment.vrrp.instance[1].udp.rpartition(":")
+        foreign_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        foreign_socket.bind(("127.0.31.1", 0))
+        address_parts = deployment.vrrp.instance[1].udp.rpartition(":")
         for data in (b"junk", b"x" * 60):
-            stranger.sendto(data, (here[0], int(here[2])))
-        stranger.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, 4)
-        stranger.sendto(b"y" * 60, (here[0], int(here[2])))
+            foreign_socket.sendto(data, (address_parts[0], int(address_parts[2])))
+        foreign_socket.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, 4)
+        foreign_socket.sendto(b"y" * 60, (address_parts[0], int(address_parts[2])))
         await asyncio.sleep(0.05)
         assert counts["UnsealedError"] == 3
-        # the master's connections fail: the address moves in bounded time, and back once they work for long enough
-        both[0].set_workers([])  # its endpoint list has no worker any more
+        # The master's connections to workers fail: the address moves within the time limit.  It moves back once they
+        # have worked for long enough.
+        dispatchers[0].set_workers([])  # Its endpoint list has no workers any more
         await wait_for_holders(False, True)
-        both[0].set_workers(workers)
+        dispatchers[0].set_workers(workers)
         await wait_for_holders(True, False)
-        await members[0].stop()  # a release: the other takes over after its skew
+        await members[0].stop()  # Releases the address: the other member takes over after its skew time
         await wait_for_holders(False, True)
         status = members[1].vrrp.status()
         (router,) = status["routers"]
         assert router["state"] == "master" and status["transitions"][-1]["cause"] == "master down"
         assert "adver" in router["timers_ms"] and status["tracked"]["workers"]["well"]
         await members[1].stop()
-        stranger.close()
-        for dispatcher in both:
+        foreign_socket.close()
+        for dispatcher in dispatchers:
             await dispatcher.server.drain(0)
         await workers[0].server.drain(0)
 
@@ -187,24 +189,26 @@
 def test_attempts_of_two_masters_for_one_client_key_carry_one_deduplication_id() -> None:
     async def main() -> None:
         worker = ScriptedWorker("w", answer)
-        both = [Dispatcher([worker], boot=letter * 16) for letter in "bc"]
-        for dispatcher in both:  # the client retries through the other master
+        dispatchers = [Dispatcher([worker], boot=letter * 16) for letter in "bc"]
+        for dispatcher in dispatchers:  # The client retries through the other master
             assert (await dispatcher.call("activate", body={}, key="ticket-7"))[0] == 200
-        assert [id_ for id_, _ in worker.attempts] == ["one/activate/ticket-7"] * 2, "the group drops the repeat by it"
-        for dispatcher in both:
+        assert [id_ for id_, _ in worker.attempts] == ["one/activate/ticket-7"] * 2, (
+            "the deduplication scope drops the retry with the same id"
+        )
+        for dispatcher in dispatchers:
             assert (await dispatcher.call("activate", body={}))[0] == 200
-        assert len({id_ for id_, _ in worker.attempts}) == 3, "requests without a key never share one"
-        for dispatcher in both:
+        assert len({id_ for id_, _ in worker.attempts}) == 3, "requests without a key never share an id"
+        for dispatcher in dispatchers:
             await dispatcher.server.drain(0)
         await worker.server.drain(0)
 
     run(main())
 
 
-def test_epochs_increase_whatever_happens_to_the_file(tmp_path: Path) -> None:
+def test_epochs_increase_after_clock_steps_and_file_damage(tmp_path: Path) -> None:
     file = tmp_path / "epoch"
     first = next_epoch(file)
-    file.write_text(str(first + 10**9))  # the clock went back since
+    file.write_text(str(first + 10**9))  # The clock was set back after the file was written
     assert next_epoch(file) == first + 10**9 + 1
     file.write_text("torn")
     assert next_epoch(file) >= first
@@ -217,7 +221,7 @@
     assert health.is_healthy(0.0) is None
     health.on_attempt_finished(100.0, AttemptStatus.UNREACHABLE)
     assert health.is_healthy(200.0) is False
-    health.on_attempt_finished(150.0, AttemptStatus.OUT_OF_CAPACITY)  # a rejection shows that a worker was reached
+    health.on_attempt_finished(150.0, AttemptStatus.OUT_OF_CAPACITY)  # A rejection shows that a worker was reached
     assert health.is_healthy(1100.0) is True and health.is_healthy(1200.0) is None
     health.on_attempt_finished(1300.0, AttemptStatus.CANCELLED)
     assert health.is_healthy(1300.0) is None
@@ -230,7 +234,7 @@
         text = text.replace(port, str(free_port(kind)))
     settings = tmp_path / "shared.sexp"
     settings.write_text(text)
-    done = subprocess.run(
+    process = subprocess.run(
         [
             sys.executable,
             "bench/vrrp_failover.py",
@@ -249,7 +253,7 @@
         timeout=80,
         check=False,
     )
-    assert done.returncode == 0, done.stdout[-2000:] + done.stderr[-2000:]
+    assert process.returncode == 0, process.stdout[-2000:] + process.stderr[-2000:]
     report = json.loads((tmp_path / "report.json").read_text())
     assert report["taken_over"] == 2 and report["completed"] > 100 and not report["broken"]
     assert report["effects_twice"] == report["unanswered"] == report["finals_twice"] == 0
@@ -265,11 +269,11 @@
         )
         port, grpc_port = free_port(), free_port()
 
-        def address(dispatcher: Dispatcher, drain_ms: float) -> FrontAddress:
+        def make_address(dispatcher: Dispatcher, drain_ms: float) -> FrontAddress:
             service = front_service(dispatcher, drain_ms, grpc=True)
             return FrontAddress("127.0.0.1", port, service, Silent(), grpc_port)
 
-        old, new = address(one, 3000.0), address(two, 0.0)
+        old, new = make_address(one, 3000.0), make_address(two, 0.0)
         old.acquire()
         client = Client(f"127.0.0.1:{grpc_port}")
         call = asyncio.create_task(client.infer("p/check", [tensor("INT8", [7])]))
@@ -277,8 +281,8 @@
             await asyncio.sleep(0.01)
         new.acquire()
         old.release()
-        await asyncio.sleep(0.2)  # the client reads GOAWAY
-        # The old one serves what it accepted; the same client's next calls go to the new one, and none fails.
+        await asyncio.sleep(0.2)  # The client reads GOAWAY
+        # The old holder finishes the accepted call; the client's next calls go to the new holder, and none fails.
         after = [await client.infer("p/check", [tensor("INT8", [n])]) for n in range(3)]
         assert [list(r.outputs[0].contents.int_contents) for r in after] == [[0], [1], [2]]
         assert two.gateway.counts.received >= 1 and one.gateway.counts.received + two.gateway.counts.received == 4
@@ -288,9 +292,9 @@
         await client.channel.close()
         new.release()
         await new.wait_closed()
-        for end in (one, two):
-            await end.grpc.drain(0)
-            await end.driver.drain(0)
-            await end.server.drain(0)
+        for dispatcher in (one, two):
+            await dispatcher.grpc.drain(0)
+            await dispatcher.driver.drain(0)
+            await dispatcher.server.drain(0)
 
     run(main())
--- a/tests/test_front_replies.py
+++ b/tests/test_front_replies.py
@@ -48,7 +48,7 @@
 async def request(
     dispatcher: Dispatcher, method: str, target: str, headers: dict[str, str] | None = None, body: bytes = b""
 ) -> tuple[int, dict[str, str], str]:
-    """Status, headers beside those of every reply, and body."""
+    """Send a request; return the status, the headers that not every reply has, and the body."""
     data = encode_request(method, target, "x", body, authorization() | (headers or {}))
     return await send(dispatcher, data)
 
@@ -61,9 +61,9 @@
 
 
 def error(status: int, message: str, code: int | str, headers: dict[str, str] | None = None, **details: Any) -> Any:
-    """A reply with an error body; `code` is the number of the request since the start."""
-    shown = code if isinstance(code, str) else f"{BOOT[:8]}{code:x}"
-    body = msgspec.json.encode({"error": message, "code": shown} | details).decode()
+    """Return the expected reply with an error body; an int `code` is the number of the request since the start."""
+    shown_code = code if isinstance(code, str) else f"{BOOT[:8]}{code:x}"
+    body = msgspec.json.encode({"error": message, "code": shown_code} | details).decode()
     return status, headers or {}, body
 
 
@@ -414,7 +414,7 @@
         ),
     ],
 )
-def test_faulty_requests_get_these_replies(
+def test_replies_to_invalid_requests(
     method: str,
     target: str,
     headers: dict[str, str],
@@ -571,7 +571,7 @@
             dispatcher.gateway.when_durable = lambda invocation, done: done(durable)  # type: ignore[method-assign]
             reply = await request(dispatcher, "POST", target, None, b"{}")
             assert reply == error(503, not_accepted, "journal", retry)
-            assert dispatcher.gateway.counts.failed == 1, "its client was promised nothing"
+            assert dispatcher.gateway.counts.failed == 1, "the request was not accepted and ends as failed"
             durable = None
             reply = await request(dispatcher, "POST", target, None, b"{}")
             assert reply == error(500, unknown, "unknown", activationId=activation_id(2))
@@ -588,21 +588,21 @@
     run(main())
 
 
-# The inference API.
+# Inference API.
 
 
 Status = tuple[str, str, float | None, str, dict[str, str]]
 
 
 class InferenceClient:
-    """A client that shows all that an error status carries."""
+    """Client that returns the complete content of an error status."""
 
     def __init__(self, dispatcher: Dispatcher, metadata: dict[str, str] | None = None) -> None:
         self.channel = grpc.aio.insecure_channel(dispatcher.grpc.address)
         self.metadata = list((authorization() if metadata is None else metadata).items())
 
     async def status(self, method: str, message: bytes, path: str = SERVICE) -> Status:
-        """Code, text, milliseconds of the retry info, reason and details that end a unary call."""
+        """Return code, text, retry delay in ms, reason and details of the status that ends a unary call."""
         call = self.channel.unary_unary(path + method)
         with pytest.raises(grpc.aio.AioRpcError) as caught:
             await call(message, metadata=self.metadata)
@@ -610,10 +610,10 @@
 
     @staticmethod
     def _read(cause: grpc.aio.AioRpcError) -> Status:
-        packed = dict(cause.trailing_metadata() or ()).get("grpc-status-details-bin", b"")
+        encoded_details = dict(cause.trailing_metadata() or ()).get("grpc-status-details-bin", b"")
         trailers = {
             "grpc-status": str(cause.code().value[0]),
-            "grpc-status-details-bin": b64encode(packed).decode(),
+            "grpc-status-details-bin": b64encode(encoded_details).decode(),
         }
         status = read_trailers(trailers)
         return cause.code().name, cause.details() or "", status.retry_ms, status.reason, status.details
@@ -622,7 +622,7 @@
         return await self.status("ModelInfer", infer_request(model, inputs, raw, **parameters).SerializeToString())
 
     async def stream(self, *requests: bytes) -> list[Any]:
-        """The responses to all requests of one stream."""
+        """Return the responses to all requests of one stream."""
         call = self.channel.stream_stream(
             f"{SERVICE}ModelStreamInfer", response_deserializer=pb.ModelStreamInferResponse.FromString
         )
@@ -638,12 +638,12 @@
 
 
 def tensor(name: str = "t", values: tuple[int, ...] = (1,)) -> Any:
-    made = pb.ModelInferRequest.InferInputTensor(name=name, datatype="INT8", shape=[len(values)])
-    made.contents.int_contents.extend(values)
-    return made
+    input_tensor = pb.ModelInferRequest.InferInputTensor(name=name, datatype="INT8", shape=[len(values)])
+    input_tensor.contents.int_contents.extend(values)
+    return input_tensor
 
 
-def test_statuses_of_faulty_inference_calls() -> None:
+def test_statuses_of_invalid_inference_calls() -> None:
     async def main() -> None:
         async with running_dispatcher(answer) as (dispatcher, _):
             client = InferenceClient(dispatcher)
@@ -783,8 +783,8 @@
             infer_request("grant", [tensor()]),
             infer_request("p/check", [tensor()]),
         ]
-        responses = await client.stream(*(each.SerializeToString() for each in requests))
-        shown = [
+        responses = await client.stream(*(item.SerializeToString() for item in requests))
+        received = [
             (
                 response.error_message,
                 response.infer_response.id,
@@ -798,14 +798,14 @@
         ]
         final = {"final_response": True, "reason": ""}
         message = "NOT_FOUND: there is no model 'none'"
-        assert shown[0] == (message, "7", "none", final | {"status": "NOT_FOUND"})
+        assert received[0] == (message, "7", "none", final | {"status": "NOT_FOUND"})
         message = "INVALID_ARGUMENT: a streamed request is neither deferred, polled nor marked"
-        assert shown[1] == (message, "7", "grant", final | {"status": "INVALID_ARGUMENT"})
+        assert received[1] == (message, "7", "grant", final | {"status": "INVALID_ARGUMENT"})
         message = "RESOURCE_EXHAUSTED: Too many requests are under way in this stream."
         parameters = {"status": "RESOURCE_EXHAUSTED", "reason": "NOT_TAKEN", "retry_after_ms": 1000.0}
-        assert shown[2] == (message, "7", "p/check", final | parameters)
-        assert shown[3][0].startswith("DEADLINE_EXCEEDED: ") and shown[3][1:3] == ("7", "grant")
-        assert shown[3][3] == {
+        assert received[2] == (message, "7", "p/check", final | parameters)
+        assert received[3][0].startswith("DEADLINE_EXCEEDED: ") and received[3][1:3] == ("7", "grant")
+        assert received[3][3] == {
             "final_response": True,
             "status": "DEADLINE_EXCEEDED",
             "reason": "MAY_HAVE_RUN",
@@ -815,7 +815,7 @@
             "sends": "1",
             "retrying": "it may have run; a repeat may have a second effect",
         }
-        assert len(shown) == 4
+        assert len(received) == 4
         await client.channel.close()
         await dispatcher.grpc.drain(0)
         await worker.server.drain(0)
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -1,4 +1,4 @@
-"""The inference API through a gRPC client library, and its server through malformed and hostile frames."""
+"""Tests of the inference API with a gRPC client library, and of its server with malformed and hostile frames."""
 
 from __future__ import annotations
 
@@ -80,26 +80,26 @@
     reader = MessageReader(10)
     data = encode_message(b"abc") + encode_message(b"") + encode_message(b"0123456789")
     assert [m for n in range(len(data)) for m in reader.feed(data[n : n + 1])] == [b"abc", b"", b"0123456789"]
-    for bad, code in (
+    for invalid_data, code in (
         (b"\0\0\0\0\x0b", Code.RESOURCE_EXHAUSTED),
         (b"\x01\0\0\0\1x", Code.UNIMPLEMENTED),
         (b"\x07\0\0\0\1x", Code.INTERNAL),
     ):
         with pytest.raises(GrpcError) as cause:
-            MessageReader(10).feed(bad)
+            MessageReader(10).feed(invalid_data)
         assert cause.value.code is code
     assert [timeout_ms(t) for t in ("2S", "150m", "1M", "99999999u")] == [2000, 150, 60_000, 99_999.999]
-    for bad_text in ("", "S", "1", "123456789S", "-1S", "1x", "1.5S"):
+    for invalid_timeout in ("", "S", "1", "123456789S", "-1S", "1x", "1.5S"):
         with pytest.raises(ValueError, match="grpc-timeout"):
-            timeout_ms(bad_text)
+            timeout_ms(invalid_timeout)
     headers = {k.decode(): v.decode() for k, v in encode_trailers(Code.ABORTED, "100 % ñ\n", 1500.4, "R", {"a": "b"})}
     assert read_trailers(headers) == (Code.ABORTED, "100 % ñ\n", 1500.0, "R", {"a": "b"})
 
 
 def tensor(datatype: str, values: list[Any], shape: list[int] | None = None, name: str = "t") -> Any:
-    out = pb.ModelInferRequest.InferInputTensor(name=name, datatype=datatype, shape=shape or [len(values)])
-    getattr(out.contents, KINDS[datatype][1]).extend(values)
-    return out
+    input_tensor = pb.ModelInferRequest.InferInputTensor(name=name, datatype=datatype, shape=shape or [len(values)])
+    getattr(input_tensor.contents, KINDS[datatype][1]).extend(values)
+    return input_tensor
 
 
 SAMPLES = {
@@ -117,20 +117,20 @@
     info = np.iinfo(kind) if "INT" in datatype else None
     values: list[Any] = SAMPLES.get(datatype) or [int(info.min), int(info.max), 7]  # type: ignore[union-attr]
     raw = b"".join(len(v).to_bytes(4, "little") + v for v in values) if not size else np.array(values, kind).tobytes()
-    forms = [(pb.ModelInferRequest.InferInputTensor(name="t", datatype=datatype, shape=[len(values)]), raw)]
+    encodings = [(pb.ModelInferRequest.InferInputTensor(name="t", datatype=datatype, shape=[len(values)]), raw)]
     if field:
-        forms.append((tensor(datatype, values), None))
-    for message, raw_contents in forms:
+        encodings.append((tensor(datatype, values), None))
+    for message, raw_contents in encodings:
         in_json = to_json(message, raw_contents)
         assert str(values_of(in_json)) == str(values)
-        back = pb.ModelInferResponse.InferOutputTensor()
-        assert fill(back, in_json, True) == raw
+        output = pb.ModelInferResponse.InferOutputTensor()
+        assert fill(output, in_json, True) == raw
         if field:
-            back = pb.ModelInferResponse.InferOutputTensor()
-            assert fill(back, in_json, False) is None and str(list(getattr(back.contents, field))) == str(values)
+            output = pb.ModelInferResponse.InferOutputTensor()
+            assert fill(output, in_json, False) is None and str(list(getattr(output.contents, field))) == str(values)
 
 
-def test_malformed_tensors_are_rejected_by_name() -> None:
+def test_malformed_tensors_are_rejected_with_specific_errors() -> None:
     make = pb.ModelInferRequest.InferInputTensor
     malformed = [
         (make(name="t", datatype="INT9", shape=[1]), None, "datatype"),
@@ -194,7 +194,7 @@
 def test_flood_budgets_refill_and_old_connections_close_in_steps() -> None:
     guard = FloodGuard(GuardSettings(10, 5.0, 1000.0, 300.0), 0.0, 0.5)
     assert [guard.spend(0.0, GuardAction.RESET) for _ in range(11)] == [True] * 10 + [False]
-    assert guard.spend(0.0, GuardAction.PING), "each kind of frame has a budget of its own"
+    assert guard.spend(0.0, GuardAction.PING), "each kind of frame has its own budget"
     assert guard.spend(1000.0, GuardAction.RESET)
     assert guard.due(990.0, 3, 100.0) is None and guard.accepts_streams
     assert guard.due(1000.0, 3, 100.0) is CloseStage.WARNED and guard.accepts_streams
@@ -207,11 +207,11 @@
     )
 
 
-# Calls, through a client library.
+# Calls with a client library.
 
 
 class Client:
-    """A client of the service."""
+    """Client of the inference service."""
 
     def __init__(self, address: str, credentials: dict[str, str] | None = None) -> None:
         self.channel = grpc.aio.insecure_channel(address, options=CHANNEL_OPTIONS)
@@ -241,11 +241,11 @@
             pb.ModelStreamInferResponse.FromString,
         )
 
-        async def each() -> AsyncIterator[Any]:
+        async def send_all() -> AsyncIterator[Any]:
             for request in requests:  # type: ignore[union-attr]
                 yield request
 
-        return method(each() if isinstance(requests, list) else requests, timeout=timeout, metadata=self.metadata)
+        return method(send_all() if isinstance(requests, list) else requests, timeout=timeout, metadata=self.metadata)
 
 
 def infer_request(
@@ -259,7 +259,7 @@
 
 
 def read_error(cause: grpc.aio.AioRpcError) -> tuple[str, float | None, str, dict[str, str]]:
-    """Code, milliseconds of the retry info, reason and details."""
+    """Return the code, the retry delay in ms, the reason and the details of an error status."""
     headers = dict(cause.trailing_metadata() or ())
     status = headers.get("grpc-status-details-bin")
     if status is None:
@@ -271,7 +271,7 @@
 
 
 async def error_of(call: Any) -> tuple[str, float | None, str, dict[str, str]]:
-    """The error that ends a call, as `read_error` shows it."""
+    """Return the error that ends a call, in the form of `read_error`."""
     with pytest.raises(grpc.aio.AioRpcError) as cause:
         await call
     return read_error(cause.value)
@@ -288,7 +288,7 @@
             assert list(out.outputs[1].contents.bytes_contents) == [b"\xff"]
             id_ = out.parameters["activation_id"].string_param
             status, _, record = await dispatcher.request("GET", f"{BASE}/activations/{id_}")
-            assert status == 200 and record["name"] == "check", "the invoke API shows it, too"
+            assert status == 200 and record["name"] == "check", "the invoke API returns its record, too"
             untyped = pb.ModelInferRequest.InferInputTensor(name="r", datatype="INT16", shape=[2, 1])
             out = await client.infer("p/check", [untyped], raw=[b"\1\0\2\0"], temperature=0.5)
             assert list(out.raw_output_contents) == [b"\1\0\2\0"] and list(out.outputs[0].shape) == [2, 1]
@@ -330,7 +330,7 @@
         (never_answer, "grant", "DEADLINE_EXCEEDED", "MAY_HAVE_RUN"),
     ],
 )
-def test_error_statuses_say_what_a_retry_would_risk(script: Any, action: str, code: str, reason: str) -> None:
+def test_error_statuses_show_the_risk_of_a_retry(script: Any, action: str, code: str, reason: str) -> None:
     async def main() -> None:
         async with running_dispatcher(script) as (dispatcher, _):
             client = Client(dispatcher.grpc.address)
@@ -354,15 +354,15 @@
             started_at = loop.time()
             code, *_ = await error_of(client.infer("grant", timeout=0.4))
             assert code == "DEADLINE_EXCEEDED" and loop.time() - started_at < 0.5
-            assert worker.attempts[-1][1]["limit_ms"] < 400, "the worker gets the client's own deadline"
+            assert worker.attempts[-1][1]["limit_ms"] < 400, "the worker receives the client's deadline"
             call = asyncio.create_task(client.infer("p/check"))
             while len(pending) < 2:
                 await asyncio.sleep(0.01)
             call.cancel()
             while dispatcher.gateway.in_flight:
                 await asyncio.sleep(0.01)
-            assert dispatcher.gateway.counts.failed == 2, "the dispatcher knows that the call was cancelled"
-            # A repeated key joins the request in flight; another body conflicts.
+            assert dispatcher.gateway.counts.failed == 2, "the dispatcher is notified that the call was cancelled"
+            # A retry with the same key joins the request in flight; with a different body it is a conflict.
             inputs = tensor("INT8", [1])
             first = asyncio.create_task(client.infer("activate", [inputs], idempotency_key="k"))
             while len(pending) < 3:
@@ -377,7 +377,7 @@
             assert responses[0].parameters["activation_id"] == responses[1].parameters["activation_id"]
             assert [r.id for r in responses] == ["1", "2"]
             assert len(pending) == 3
-            # Deferred on one API, polled on the other.
+            # A request that was deferred through one API can be polled through the other.
             accepted = await client.infer("p/check", [inputs], deferred=True)
             id_ = accepted.parameters["activation_id"].string_param
             assert accepted.parameters["deferred"].bool_param and not accepted.outputs
@@ -394,8 +394,10 @@
             out = await client.infer("p/check", poll=accepted["activationId"], wait_ms=1000)
             assert list(out.outputs[0].contents.bytes_contents) == [b'{"a":1}']
             assert (await error_of(client.infer("p/check", poll="0" * 32)))[2] == "UNKNOWN_ID"
-            other = Client(dispatcher.grpc.address, authorization("00000000-0000-0000-0000-000000000002", "k2"))
-            assert (await error_of(other.infer("p/check", poll=id_)))[0] == "NOT_FOUND", "of another namespace"
+            other_client = Client(dispatcher.grpc.address, authorization("00000000-0000-0000-0000-000000000002", "k2"))
+            assert (await error_of(other_client.infer("p/check", poll=id_)))[0] == "NOT_FOUND", (
+                "the activation belongs to another namespace"
+            )
             await client.channel.close()
 
     run(main())
@@ -404,7 +406,7 @@
 # Streams.
 
 
-def numbers(responses: list[Any]) -> list[int]:
+def part_numbers(responses: list[Any]) -> list[int]:
     return [
         r.infer_response.outputs[0].contents.int_contents[0]
         for r in responses
@@ -421,20 +423,20 @@
                 by_request.setdefault(response.infer_response.id, []).append(response)
             assert sorted(by_request) == [f"r{n}" for n in range(6)]
             for responses in by_request.values():
-                assert numbers(responses) == [0, 1, 2, 3, 4]
+                assert part_numbers(responses) == [0, 1, 2, 3, 4]
                 assert responses[-1].infer_response.parameters["final_response"].bool_param
                 assert sum(r.infer_response.parameters["final_response"].bool_param for r in responses) == 1
             assert sum(len(w.attempts) for w in workers) == 6
             assert dispatcher.gateway.counts.completed == 6 and not dispatcher.gateway.in_flight
-            # A worker that does not stream answers in one part; a faulty request ends alone.
+            # A worker that does not stream answers in one part; an invalid request does not end the others.
             workers[0].on_attempt = workers[1].on_attempt = answer
             requests = [infer_request("p/check", [tensor("INT8", [3])]), infer_request("nobody", id_="n")]
             out = [r async for r in client.stream(requests)]
-            good = next(r for r in out if r.infer_response.id == "1")
-            assert list(good.infer_response.outputs[0].contents.int_contents) == [3]
-            bad = next(r for r in out if r.infer_response.id == "n")
-            assert bad.error_message.startswith("NOT_FOUND")
-            assert bad.infer_response.parameters["final_response"].bool_param
+            completed = next(r for r in out if r.infer_response.id == "1")
+            assert list(completed.infer_response.outputs[0].contents.int_contents) == [3]
+            rejected = next(r for r in out if r.infer_response.id == "n")
+            assert rejected.error_message.startswith("NOT_FOUND")
+            assert rejected.infer_response.parameters["final_response"].bool_param
             await client.channel.close()
 
     run(main())
@@ -450,7 +452,7 @@
         dispatcher = Dispatcher(workers, settings)
         client = Client(dispatcher.grpc.address)
         out = [r async for r in client.stream([infer_request(action)])]
-        assert numbers(out[:-1]) == [0, 1]
+        assert part_numbers(out[:-1]) == [0, 1]
         assert out[-1].error_message.startswith("ABORTED") and "middle of its stream" in out[-1].error_message
         assert sum(len(w.attempts) for w in workers) == 1
         assert dispatcher.gateway.counts.failed == 1 and dispatcher.gateway.counts.repeat_attempts == 0
@@ -464,16 +466,14 @@
 
 
 def test_a_stream_cut_after_its_first_part_is_aborted_and_not_timed_out() -> None:
-    """Guards against reporting a deadline where the worker's connection was lost."""
+    """Guards against reporting an expired deadline when the worker's connection was lost."""
 
     async def main() -> None:
-        async with running_dispatcher(stream_parts(12, 0.1, "cut")) as (
-            dispatcher,
-            _,
-        ):  # 1.2 s; its class has 900 ms to the first part
+        # The stream takes 1.2 s; the timeout of its request class, 900 ms, applies to the first part only.
+        async with running_dispatcher(stream_parts(12, 0.1, "cut")) as (dispatcher, _):
             client = Client(dispatcher.grpc.address)
             out = [r async for r in client.stream([infer_request("grant")])]
-            assert numbers(out[:-1]) == list(range(12)) and out[-1].error_message.startswith("ABORTED")
+            assert part_numbers(out[:-1]) == list(range(12)) and out[-1].error_message.startswith("ABORTED")
             await client.channel.close()
 
     run(main())
@@ -492,27 +492,25 @@
                 worker.on_attempt = first_breaks
             client = Client(dispatcher.grpc.address)
             out = [r async for r in client.stream([infer_request("p/check")])]
-            assert numbers(out) == [0, 1] and len(attempts) == 2
+            assert part_numbers(out) == [0, 1] and len(attempts) == 2
             await client.channel.close()
 
     run(main())
 
 
 async def silent_client() -> AsyncIterator[Any]:
-    """A client that sends no request and does not end its side."""
+    """Send no request and keep the client's side of the stream open."""
     await asyncio.sleep(30)
     yield infer_request("grant")
 
 
 def test_a_stream_may_outlast_the_timeout_of_its_first_part() -> None:
     async def main() -> None:
-        async with running_dispatcher(stream_parts(12, 0.1)) as (
-            dispatcher,
-            _,
-        ):  # its class has 900 ms to the first part
+        # The stream takes 1.2 s; the timeout of its request class, 900 ms, applies to the first part only.
+        async with running_dispatcher(stream_parts(12, 0.1)) as (dispatcher, _):
             client = Client(dispatcher.grpc.address)
-            assert numbers([r async for r in client.stream([infer_request("grant")])]) == list(range(12))
-            # The client's own deadline is for the whole stream: the error comes within it, before the call's status.
+            assert part_numbers([r async for r in client.stream([infer_request("grant")])]) == list(range(12))
+            # The client's deadline applies to the complete stream: the error arrives in it, before the call's status.
             out = [r async for r in client.stream([infer_request("grant")], timeout=0.5)]
             assert out[-1].error_message.startswith("DEADLINE_EXCEEDED") and 2 < len(out) < 7
             call = client.stream(silent_client(), timeout=0.3)
@@ -533,12 +531,14 @@
             assert (await anext(reads)).infer_response.id == "1"
             await asyncio.sleep(0.7)
             unwritten_bytes, written = dispatcher.grpc.unwritten_bytes, worker.chunks_written
-            assert unwritten_bytes < 262_144 + 200_000, "of 20 MB"
-            assert written < 350, "the worker waits"
+            assert unwritten_bytes < 262_144 + 200_000, "only a small part of the 20 MB is buffered"
+            assert written < 350, "the worker is paused"
             await asyncio.sleep(0.3)
             assert worker.chunks_written - written < 20
             out = [r async for r in reads]
-            assert len(out) == 400 and out[-1].infer_response.parameters["final_response"].bool_param, "399 and the end"
+            assert len(out) == 400 and out[-1].infer_response.parameters["final_response"].bool_param, (
+                "399 parts and the final response"
+            )
             assert dispatcher.gateway.counts.completed == 1
             await client.channel.close()
 
@@ -573,7 +573,7 @@
     )
 
     async def main() -> None:
-        all_open = asyncio.Event()  # workers wait for it after their first part
+        all_open = asyncio.Event()  # Workers wait for this event after their first part
         workers = [ScriptedWorker(f"w{n}", stream_parts(3, gate=all_open)) for n in range(4)]
         dispatcher = Dispatcher(workers, settings)
         for member in dispatcher.gateway.members:
@@ -591,7 +591,7 @@
             async for response in client.stream([infer_request("p/check", id_=str(n))]):
                 out.append(response)
             assert not out[-1].error_message, out[-1].error_message
-            return numbers(out)
+            return part_numbers(out)
 
         open_streams, *received = await asyncio.gather(wait_until_open(), *(read_stream(n) for n in range(1000)))
         assert received == [[0, 1, 2]] * 1000 and open_streams == 1000
@@ -609,7 +609,7 @@
 
 
 class FrameClient:
-    """A client that writes HTTP/2 frames itself."""
+    """Client that writes HTTP/2 frames itself."""
 
     def __init__(self, sock: Any) -> None:
         self.sock, self.events = sock, list[Any]()
@@ -623,7 +623,7 @@
         await self.loop.sock_sendall(self.sock, self.h2.data_to_send())
 
     async def read(self, until: type, within: float = 2.0) -> Any:
-        """The next event of a kind; None where the connection ends first."""
+        """Return the next event of a kind; None if the connection ends first."""
         buffer = bytearray(65536)
         async with asyncio.timeout(within):
             while True:
@@ -717,7 +717,7 @@
         client = FrameClient(await connect(server.address))
         client.call(1, data=encode_message(b"x" * 1001), end=False)
         client.call(3, data=b"\0\0\0\0\5ab")
-        client.call(5, end=False, data=b"\0\0\0")  # never completed
+        client.call(5, end=False, data=b"\0\0\0")  # The message is never completed
         client.h2.send_headers(
             7, [(":method", "GET"), (":scheme", "http"), (":path", "/"), (":authority", "x")], end_stream=True
         )
@@ -737,7 +737,7 @@
         assert await oversized.read(h2.events.ConnectionTerminated) is not None
         oversized.sock.close()
         rng = np.random.default_rng(3)
-        for n in range(30):  # garbage, after the preface and without it
+        for n in range(30):  # Random bytes, with and without the connection preface
             sock = await connect(server.address)
             data = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" if n % 2 else b""
             data += bytes(rng.integers(0, 256, 400, np.uint8))
@@ -749,7 +749,7 @@
         valid = FrameClient(await connect(server.address))
         valid.call(1)
         await valid.flush()
-        assert await valid.read(h2.events.TrailersReceived) is not None, "others are served"
+        assert await valid.read(h2.events.TrailersReceived) is not None, "other connections are served"
         valid.sock.close()
         await server.drain(0)
 
@@ -769,9 +769,9 @@
             while frames.count(GoAwayFrame(0, 1, 0).serialize()[3:9]) < 2:
                 count = await loop.sock_recv_into(client.sock, buffer)
                 frames += buffer[:count]
-        assert GoAwayFrame(0, 2**31 - 1, 0).serialize() in frames, "first a warning"
-        assert GoAwayFrame(0, 1, 0).serialize() in frames, "then the last stream that is served"
-        client.call(3)  # too late: refused, so that the client knows that it was not processed
+        assert GoAwayFrame(0, 2**31 - 1, 0).serialize() in frames, "the first GOAWAY is a warning"
+        assert GoAwayFrame(0, 1, 0).serialize() in frames, "the second GOAWAY contains the last stream that is served"
+        client.call(3)  # Refused after GOAWAY; the error code shows the client that the call was not processed
         await client.flush()
         streams[0].send(b"late but complete")
         streams[0].finish()
@@ -808,7 +808,7 @@
 
         server, log = await serve(send_much, unread_bytes=2e6)
         client = FrameClient(await connect(server.address))
-        for n in range(20):  # its flow control takes 64 KB in all
+        for n in range(20):  # The client's flow control allows 64 KB in total
             client.call(2 * n + 1)
         await client.flush()
         await asyncio.sleep(0.3)
@@ -860,7 +860,7 @@
 
 
 def test_fuzzed_connections_leave_memory_flat_and_others_are_served() -> None:
-    """A valid call with bytes of its frames changed, or with bytes of its tensors changed within valid frames."""
+    """Sends a valid call with changed bytes in its frames, or with changed bytes in its tensors within valid frames."""
 
     def memory_mb() -> float:
         return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
@@ -877,7 +877,7 @@
             for n in range(2000):
                 sock = await connect(dispatcher.grpc.address)
                 data = bytearray(frames)
-                first = 24 if n % 2 else len(frames) - 60  # all after the preface, or the last frame's payload
+                first = 24 if n % 2 else len(frames) - 60  # Anywhere after the preface, or in the last frame's payload
                 for _ in range(int(rng.integers(1, 5))):
                     data[int(rng.integers(first, len(data)))] = int(rng.integers(256))
                 await loop.sock_sendall(sock, bytes(data))
@@ -888,7 +888,7 @@
                     await asyncio.sleep(0.2)
                     memory_before = memory_mb()
             await asyncio.sleep(0.5)
-            assert memory_mb() - memory_before < 12, "the last 1,500 take no more memory"
+            assert memory_mb() - memory_before < 12, "the last 1,500 connections take no additional memory"
             assert (
                 dispatcher.grpc.connections == 0
                 and dispatcher.grpc.partial_bytes == 0
@@ -904,7 +904,7 @@
 
 @pytest.mark.timed
 def test_a_client_library_against_real_processes_with_faults(tmp_path: Path) -> None:
-    """A dispatcher and workers as processes; the workers' faults are injected while calls run."""
+    """Runs a dispatcher and workers as processes and injects faults into the workers while calls run."""
     from kelptrail.emulator.cluster import Cluster
     from kelptrail.settings.deployment import load
 
