--- a/kelptrail/front/inference/stream_inference.py
+++ b/kelptrail/front/inference/stream_inference.py
@@ -25,7 +25,7 @@
 
 
 class OpenRequest(NamedTuple):
-    """Request of a stream without a final answer."""
+    """Unanswered request of a stream."""
 
     id: str
     raw: bool  # Tensors are in raw contents, in the request and in its responses
