--- a/kelptrail/planner/__init__.py
+++ b/kelptrail/planner/__init__.py
@@ -1,1 +1,1 @@
-"""Loads and placement ahead: plans with epochs, the planner that makes them, the edge's side that follows them."""
+"""Placement ahead of demand: plans with epochs, the planner that makes them, and the edge side that follows them."""
--- a/kelptrail/planner/build.py
+++ b/kelptrail/planner/build.py
@@ -1,4 +1,4 @@
-"""From settings and lists to what the planner's core takes; free of I/O."""
+"""Converts settings and endpoint lists to the inputs of the planner core; free of I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def planner_settings(deployment: Deployment) -> PlannerSettings:
-    """A deployment's planner settings."""
+    """Return the planner settings of a deployment."""
     config = deployment.planner
     return PlannerSettings(
         deployment.name,
@@ -23,18 +23,20 @@
 
 
 def function_profiles(deployment: Deployment) -> dict[str, FunctionProfile]:
-    """What the settings say of functions."""
+    """Return the profiles of all functions of a deployment, by model."""
     return {
-        a.model: FunctionProfile(a.memory_mb, a.concurrency, a.load_ms, deployment.types[a.type].priority_weight)
-        for a in deployment.actions.values()
+        action.model: FunctionProfile(
+            action.memory_mb, action.concurrency, action.load_ms, deployment.types[action.type].priority_weight
+        )
+        for action in deployment.actions.values()
     }
 
 
 def worker_capacities(deployment: Deployment, listing: EndpointList) -> list[WorkerCapacity]:
-    """The live workers of a list; what each holds is the settings' matter."""
-    fleet, cold_ms = deployment.fleet, deployment.rules.slow_start_ms
+    """Return the capacities of the live workers of an endpoint list; memory and cores come from the settings."""
+    fleet, warm_up_ms = deployment.fleet, deployment.rules.slow_start_ms
     return [
-        WorkerCapacity(w.id, fleet.memory_mb, fleet.cores * w.size, w.age_ms < cold_ms)
-        for w in listing.workers
-        if w.state == "live"
+        WorkerCapacity(worker.id, fleet.memory_mb, fleet.cores * worker.size, worker.age_ms < warm_up_ms)
+        for worker in listing.workers
+        if worker.state == "live"
     ]
--- a/kelptrail/planner/channel.py
+++ b/kelptrail/planner/channel.py
@@ -1,8 +1,8 @@
-"""The messages between edges and planners, and both ends' protocol state; free of I/O.
+"""Messages between edges and planners, and the protocol state of both ends; free of I/O.
 
 An edge reports at a bounded rate; counters that could not be sent are added to the next report.  A planner has one plan
 in flight to an edge at a time: a newer plan replaces the one that waits, so a slow edge costs the memory of one plan.
-Heartbeats in both directions detect a dead connection, and tell the edge which planner leads.
+Heartbeats in both directions detect a dead connection and tell the edge which planner leads.
 """
 
 from __future__ import annotations
@@ -21,7 +21,10 @@
 
 
 class UsageReport(msgspec.Struct, frozen=True, tag="report", array_like=True):
-    """An edge's counters since its last report, and changes of the loaded instances (`complete`: all of them)."""
+    """An edge's counters since its last report, and its loaded instances.
+
+    `loaded` has all of them if `complete`, else only those that changed.
+    """
 
     order: PlanOrder
     leader_silent_ms: float
@@ -31,13 +34,13 @@
 
 
 class PlanOffer(msgspec.Struct, frozen=True, tag="offer", array_like=True):
-    """A plan, packed."""
+    """A plan as encoded by `encode_plan`."""
 
     data: bytes
 
 
 class PlanReply(msgspec.Struct, frozen=True, tag="reply", array_like=True):
-    """The answer to a plan: `reason` is empty if it was accepted, else a `RefusalReason` value."""
+    """An edge's reply to a plan: `reason` is empty if it was accepted, else a `RefusalReason` value."""
 
     order: PlanOrder
     reason: str = ""
@@ -46,18 +49,21 @@
 
 Message = Hello | Heartbeat | UsageReport | PlanOffer | PlanReply
 READ = decoder(UsageReport, PlanOffer, PlanReply)
-MAX_NAME = 200  # characters of an edge's name
+MAX_NAME_LENGTH = 200  # longest name of an edge, in characters
 
 
 class PlanResult(Enum):
-    """What an edge did with a plan."""
+    """Whether an edge accepted or refused a plan."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
 
 
 class EdgeChannel:
-    """An edge's end of one connection to a planner; all of an edge share one `PlanState` and one `LeaderContact`."""
+    """An edge's end of one connection to a planner.
+
+    All channels of an edge share one `PlanState` and one `LeaderContact`.
+    """
 
     def __init__(
         self,
@@ -70,18 +76,21 @@
     ) -> None:
         self._plan_state, self._leader_contact, self._report_ms = plan_state, leader_contact, report_ms
         self.output: list[bytes] = [encode_frame(Hello(VERSION, name, lineage, plan_state.fence))]
-        self._counters: dict[str, FunctionCounters] = {}  # since the last report on this connection
-        self._reported: InstanceCounts | None = None  # what the planner knows; None: nothing yet
+        self._counters: dict[str, FunctionCounters] = {}  # sums since the last report on this connection
+        self._reported: InstanceCounts | None = None  # instances in the last report; None before the first
         self._next_report_ms = now
-        self.last_heard = now
+        self.last_received_ms = now
         self.planner = ""
-        self.writing = False  # set by the driver: some of the output is being sent
+        self.writing = False  # set by the driver while it sends output
 
     def on_message(
         self, now: float, message: Message, live: Collection[str], endpoints_version: EndpointsVersion
     ) -> PlanResult | None:
-        """Process a message; returns the result if it was a plan.  Raises `ChannelError` for a planner's messages."""
-        self.last_heard = now
+        """Process a message, and return the result if it was a plan.
+
+        Raises `ChannelError` for a message that only edges send.
+        """
+        self.last_received_ms = now
         if isinstance(message, Hello):
             self.planner = message.name
         elif isinstance(message, Heartbeat):
@@ -90,7 +99,7 @@
         elif isinstance(message, PlanOffer):
             return self._on_plan(now, message.data, live, endpoints_version)
         else:
-            raise ChannelError(f"{type(message).__name__} is not for an edge")
+            raise ChannelError(f"{type(message).__name__} messages are not accepted by an edge")
         return None
 
     def _on_plan(
@@ -110,26 +119,28 @@
         return PlanResult.REFUSED
 
     def report_due(self, now: float) -> bool:
-        """Whether the report interval has passed."""
+        """Return whether the report interval has passed."""
         return now >= self._next_report_ms
 
     def add_counters(self, counters: dict[str, FunctionCounters]) -> None:
-        """Add to the next report.  Each connection counts for itself: every planner must get all requests, though they
-        get their reports at different moments.
+        """Add counters to the next report.
+
+        Each connection has its own sums, because every planner must receive the counts of all requests, although the
+        planners receive their reports at different times.
         """
         for model, counted in counters.items():
             self._counters[model] = self._counters.get(model, FunctionCounters()).plus(counted)
 
     def queue_report(self, now: float, loaded: InstanceCounts) -> None:
-        """Queue a report; it has only what changed since the last one."""
+        """Queue a report with the counters and the instances that changed since the last one."""
         self._next_report_ms = now + self._report_ms
-        before = self._reported
-        changed = loaded if before is None else _changed_instances(before, loaded)
+        reported = self._reported
+        changed = loaded if reported is None else _changed_instances(reported, loaded)
         self._reported = loaded
         counters, self._counters = self._counters, {}
         silent_ms = self._leader_contact.silent_ms(now)
         self.output.append(
-            encode_frame(UsageReport(self._plan_state.fence, silent_ms, counters, changed, before is None))
+            encode_frame(UsageReport(self._plan_state.fence, silent_ms, counters, changed, reported is None))
         )
 
 
@@ -142,7 +153,7 @@
 
 
 def _changed_counts(before: dict[str, int], after: dict[str, int]) -> dict[str, int]:
-    """Differs from `plan.difference` in that a worker which appears with 0 instances is a change."""
+    """Return the changed counts; unlike in `plan.difference`, a worker that appears with 0 instances is a change."""
     return {
         worker: after.get(worker, 0)
         for worker in before.keys() | after.keys()
@@ -151,18 +162,18 @@
 
 
 class LeaderContact:
-    """When an edge last heard from the planner that leads."""
+    """Time of the last message that an edge received from the leading planner."""
 
     def __init__(self, now: float) -> None:
         self.last_ms = now
 
     def silent_ms(self, now: float) -> float:
-        """Milliseconds since then."""
+        """Return the milliseconds since the last message."""
         return now - self.last_ms
 
 
 class OfferedPlan(NamedTuple):
-    """A plan for an edge, and when it was made (ms)."""
+    """A plan for an edge, and the time in ms at which it was made."""
 
     plan: Plan
     made_at: float
@@ -175,25 +186,25 @@
         self._lineage = lineage
         self.output: list[bytes] = [encode_frame(Hello(VERSION, name, lineage))]
         self.edge = ""
-        self.loaded: InstanceCounts = {}  # by the edge, accumulated from its reports
-        self._waiting: OfferedPlan | None = None
-        self._last_accepted: Plan | None = None  # the base of the next difference; None: the next plan goes complete
+        self.loaded: InstanceCounts = {}  # instances loaded according to the edge, accumulated from its reports
+        self._waiting_plan: OfferedPlan | None = None
+        self._last_accepted: Plan | None = None  # base of the next difference; None: the next plan is sent complete
         self._in_flight: Plan | None = None
 
     def on_message(self, message: Message) -> Message:
-        """Check and process a message from the edge; a report updates `loaded`.  Raises `ChannelError`."""
+        """Check, process and return a message from the edge; a report updates `loaded`.  Raises `ChannelError`."""
         if isinstance(message, Hello):
             if message.lineage != self._lineage:
-                raise ChannelError(f"lineage {message.lineage!r}, not {self._lineage!r}")
-            if not message.name or len(message.name) > MAX_NAME:
-                raise ChannelError(f"an edge gives its name, of at most {MAX_NAME} characters")
+                raise ChannelError(f"lineage {message.lineage!r} does not match {self._lineage!r}")
+            if not message.name or len(message.name) > MAX_NAME_LENGTH:
+                raise ChannelError(f"an edge must send a name of at most {MAX_NAME_LENGTH} characters")
             self.edge = message.name
         elif isinstance(message, UsageReport):
             if message.complete:
                 self.loaded = {}
-            for model, at in message.loaded.items():
+            for model, changed in message.loaded.items():
                 by_worker = self.loaded.setdefault(model, {})
-                by_worker |= at
+                by_worker |= changed
         elif isinstance(message, PlanReply):
             if self._in_flight is not None and not message.reason and message.order == self._in_flight.header.order:
                 self._last_accepted = self._in_flight
@@ -201,18 +212,18 @@
                 self._last_accepted = None
             self._in_flight = None
         elif not isinstance(message, Heartbeat):
-            raise ChannelError(f"{type(message).__name__} is not for a planner")
+            raise ChannelError(f"{type(message).__name__} messages are not accepted by a planner")
         return message
 
-    def offer_plan(self, plan: Plan, made: float) -> None:
-        """Queue a plan for this edge; it replaces one that still waits."""
-        self._waiting = OfferedPlan(plan, made)
+    def offer_plan(self, plan: Plan, made_at: float) -> None:
+        """Set the next plan for this edge; it replaces one that still waits."""
+        self._waiting_plan = OfferedPlan(plan, made_at)
 
     def queue_next_plan(self, now: float) -> bool:
-        """Move the waiting plan to the output unless one is in flight; True if it did."""
-        if self._waiting is None or self._in_flight is not None:
+        """Move the waiting plan to the output unless a plan is in flight; return whether one was moved."""
+        if self._waiting_plan is None or self._in_flight is not None:
             return False
-        (plan, made), self._waiting = self._waiting, None
-        self.output.append(encode_frame(PlanOffer(encode_plan(plan, now - made, self._last_accepted))))
+        (plan, made_at), self._waiting_plan = self._waiting_plan, None
+        self.output.append(encode_frame(PlanOffer(encode_plan(plan, now - made_at, self._last_accepted))))
         self._in_flight = plan
         return True
--- a/kelptrail/planner/core.py
+++ b/kelptrail/planner/core.py
@@ -1,10 +1,10 @@
-"""The planner: from what edges report to plans, free of I/O, clocks and chance.
+"""Planner core: makes plans from the usage that edges report; free of I/O, clocks and randomness.
 
-Endpoint lists, usage reports and edges that connect or go come in as events; the driver asks for the next problem to
-solve and for the plans to send.  Leadership is not decided here: a planner leads from the event that it acquired the
-lease to the event that it lost it, and receives reports all the while.  Every plan carries the lease's fencing token.
-Edges accept no plan with an older token than they have seen; a planner that learns of a later one from an edge stops
-leading at once.
+Endpoint lists, usage reports, and connecting and disconnecting edges arrive as events; the driver requests the next
+problem to solve and the plans to send.  Leadership is not decided here: a planner leads from the event that it acquired
+the lease to the event that it lost it, and receives reports all the time.  Every plan carries the lease's fencing
+token.  Edges refuse plans with an older token than the latest that they have seen; a planner that receives a later
+token from an edge stops leading at once.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from .plan_follower import RefusalReason
 
 LOADED_VALID_MS = 30_000.0  # how long a reported instance counts as loaded
-RETRY_MS = 500.0  # until the next plan when an edge refused one over its workers
-DEFAULT_WORK_MS = 100.0  # of a call, while none has been measured
+REPLAN_DELAY_MS = 500.0  # delay of the next plan after an edge refused one because of its workers
+DEFAULT_WORK_MS = 100.0  # assumed work per call before any has been measured
 SECONDS_PER_MINUTE = 60
 BISECTION_STEPS = 40
 
 
 class Role(Enum):
-    """Whether a planner makes plans; the values are shown to operators."""
+    """Role of a planner: only the leader makes plans.  The values are shown to operators."""
 
     STANDBY = "standby"
     LEADER = "acting"
@@ -36,9 +36,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerSettings:
-    """Times in milliseconds.  A plan may bring as many new instances as `new_instances_share` of the calls expected in
-    the next minute, and `new_instances_min` at least.  `scale_down_ms`: how long demand must have been lower before a
-    function's instances are reduced.
+    """Settings of a planner; times in milliseconds.
+
+    The number of new instances in a plan is limited to the share `new_instances_share` of the calls expected in the
+    next minute; the limit is at least `new_instances_min`.  `scale_down_ms`: how long demand must be lower before the
+    instances of a function are reduced.
     """
 
     lineage: str
@@ -47,14 +49,14 @@
     scale_down_ms: float = 60_000.0
     new_instances_share: float = 0.05
     new_instances_min: int = 8
-    interest_ms: float = 120_000.0  # an edge gets plans for the functions that it requested within this time
-    min_rate: float = 0.05  # calls a second, below which no instance is planned
-    edge_timeout_ms: float = 3000.0  # an edge that sent no report for so long is dropped
+    interest_ms: float = 120_000.0  # an edge receives plans for the functions that it requested within this time
+    min_rate: float = 0.05  # calls per second below which no instance is planned
+    edge_timeout_ms: float = 3000.0  # an edge that sends no report for this long is removed
 
 
 @dataclass(frozen=True, slots=True)
 class FunctionProfile:
-    """What the settings say about a function."""
+    """Configured properties of a function."""
 
     memory_mb: float
     concurrency: int
@@ -64,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementProblem:
-    """One placement to solve.  `budget`: new instances allowed."""
+    """A placement problem for the solver.  `budget`: maximum number of new instances."""
 
     number: int
     workers: list[WorkerCapacity]
@@ -74,7 +76,7 @@
 
 
 class ReportedInstances(NamedTuple):
-    """Instances of a function that an edge believed to be loaded on a worker, and when it said so (ms)."""
+    """Number of instances of a function that an edge reported as loaded on a worker, and time of the report in ms."""
 
     instances: int
     reported_at: float
@@ -82,26 +84,26 @@
 
 @dataclass(slots=True)
 class Edge:
-    """What is known about one edge."""
+    """State of one connected edge."""
 
     name: str
-    last_heard_ms: float
-    plan_order: PlanOrder = BEFORE_ALL_PLANS  # the latest plan that it has seen
+    last_report_ms: float
+    plan_order: PlanOrder = BEFORE_ALL_PLANS  # order of the latest plan that the edge has seen
 
 
 @dataclass(slots=True)
 class PlannerCounters:
-    """What this planner has done since its start."""
+    """Counters of a planner since its start."""
 
     plans: int = 0
-    unchanged: int = 0  # plans equal to the one before
+    unchanged: int = 0  # plans with the same instances as the previous plan
     by_solver: dict[str, int] = field(default_factory=dict)
     refusals: dict[str, int] = field(default_factory=dict)
     new_instances: int = 0
 
 
 class Planner:
-    """One planner's decisions.  All times are milliseconds of the caller's clock."""
+    """Decisions of one planner.  All times are milliseconds of the caller's clock."""
 
     def __init__(self, name: str, settings: PlannerSettings, profiles: dict[str, FunctionProfile], now: float) -> None:
         self.name, self._settings, self._profiles = name, settings, profiles
@@ -115,13 +117,16 @@
         self._next_problem_ms = now
         self._open_problem: int | None = None  # number of the problem that is being solved
         self._plan_made_ms = now
-        self._edges_to_update: set[str] = set()  # edges that a new plan is to be sent to
+        self._edges_to_update: set[str] = set()  # edges that must receive a new plan
         self.counters = PlannerCounters()
 
     # Inputs.
 
     def on_endpoints(self, now: float, workers: list[WorkerCapacity], version: EndpointsVersion) -> None:
-        """A new endpoint list; `workers` are its live ones.  If the plan names others, a new one is made at once."""
+        """Apply a new endpoint list with the live workers `workers`.
+
+        If the current plan uses a worker that is not among them, the next problem is due at once.
+        """
         self.workers, self.endpoints_version = workers, version
         live = {worker.id for worker in workers}
         for by_worker in self._loaded.values():
@@ -131,37 +136,43 @@
             self._next_problem_ms = min(self._next_problem_ms, now)
 
     def on_lease_acquired(self, now: float, epoch: int, owner: str) -> None:
-        """The lease is held under the fencing token of `epoch` and `owner`, which all plans carry from now on."""
+        """Start leading: from now on all plans carry the fencing token of `epoch` and `owner`."""
         self.role, self.epoch, self.owner = Role.LEADER, epoch, owner
         self._last_number, self._next_problem_ms, self._open_problem = 0, now, None
 
     def on_lease_lost(self) -> None:
-        """The lease is not held any more: no plan is made or sent until it is held again."""
+        """Stop leading: no plan is made or sent until the lease is acquired again."""
         self.role = Role.STANDBY
         self._edges_to_update.clear()
 
     def on_report(
         self, now: float, edge: str, order: PlanOrder, counters: dict[str, FunctionCounters], loaded: InstanceCounts
     ) -> None:
-        """An edge's usage.  `order`: the latest plan it has seen; `loaded`: instances that it believes to be loaded."""
+        """Process the usage report of an edge.
+
+        `order`: order of the latest plan that the edge has seen; `loaded`: instances that it reports as loaded.
+        """
         known_edge = self.edges.get(edge)
         if known_edge is None:
             known_edge = self.edges[edge] = Edge(edge, now)
             self._edges_to_update.add(edge)
-        known_edge.last_heard_ms, known_edge.plan_order = now, order
-        before = self.demand.recently_requested(now, edge, self._settings.interest_ms)
+        known_edge.last_report_ms, known_edge.plan_order = now, order
+        requested_before = self.demand.recently_requested(now, edge, self._settings.interest_ms)
         self.demand.add_report(now, edge, counters)
-        for model, at in loaded.items():
-            known = self._loaded.setdefault(model, {})
-            for worker, count in at.items():
-                known[worker] = ReportedInstances(count, now)
+        for model, by_worker in loaded.items():
+            reported = self._loaded.setdefault(model, {})
+            for worker, count in by_worker.items():
+                reported[worker] = ReportedInstances(count, now)
         self._check_fence(order)
-        newly_requested = self.demand.recently_requested(now, edge, self._settings.interest_ms) - before
+        newly_requested = self.demand.recently_requested(now, edge, self._settings.interest_ms) - requested_before
         if self.role is Role.LEADER and any(model in self.target for model in newly_requested):
             self._edges_to_update.add(edge)
 
     def on_plan_refused(self, now: float, edge: str, reason: str, order: PlanOrder) -> None:
-        """An edge refused a plan: it gets a complete one, made anew where workers were the reason."""
+        """Record that an edge refused a plan, and prepare a complete one for it.
+
+        If the plan's workers were the reason, a new plan is needed: the next problem is due after `REPLAN_DELAY_MS`.
+        """
         self.counters.refusals[reason] = self.counters.refusals.get(reason, 0) + 1
         known_edge = self.edges.get(edge)
         if known_edge is None:
@@ -169,22 +180,25 @@
         known_edge.plan_order = max(known_edge.plan_order, order)
         self._check_fence(order)
         if reason == RefusalReason.WORKERS.value:
-            self._next_problem_ms = min(self._next_problem_ms, now + RETRY_MS)
+            self._next_problem_ms = min(self._next_problem_ms, now + REPLAN_DELAY_MS)
         elif reason == RefusalReason.BASE.value:
             self._edges_to_update.add(edge)
 
-    def on_edge_gone(self, edge: str) -> None:
-        """An edge has closed its connection."""
+    def on_edge_disconnected(self, edge: str) -> None:
+        """Remove an edge that has disconnected or stopped sending reports."""
         self.edges.pop(edge, None)
         self.demand.remove_edge(edge)
         self._edges_to_update.discard(edge)
 
     def restore_plan(self, target: InstanceCounts) -> None:
-        """Continue from the plan in an earlier run's snapshot."""
+        """Continue from the plan in the snapshot of an earlier run."""
         self.target = target
 
     def on_solution(self, now: float, number: int, placement: Placement | None) -> None:
-        """A problem's solution; None: it could not be solved, and the plan before stays in force."""
+        """Make a plan from the solution of a problem.
+
+        If `placement` is None, the problem could not be solved and the previous plan stays in force.
+        """
         if number != self._open_problem:
             return
         self._open_problem = None
@@ -210,14 +224,14 @@
     # Outputs.
 
     def tick(self, now: float, hour: int) -> None:
-        """Close the demand window and drop silent edges.  To be called about once a second."""
+        """Close the demand window and remove silent edges.  Must be called about once a second."""
         settings = self._settings
         self.demand.close_window(now, hour)
-        for edge in [e.name for e in self.edges.values() if now - e.last_heard_ms > settings.edge_timeout_ms]:
-            self.on_edge_gone(edge)
+        for edge in [e.name for e in self.edges.values() if now - e.last_report_ms > settings.edge_timeout_ms]:
+            self.on_edge_disconnected(edge)
 
     def next_problem(self, now: float, hour: int) -> PlacementProblem | None:
-        """The problem to solve now, if any; one at a time."""
+        """Return the problem to solve now, if any; only one is open at a time."""
         if (
             self.role is not Role.LEADER
             or self._open_problem is not None
@@ -234,16 +248,16 @@
         return PlacementProblem(self._open_problem, self.workers, demands, budget, self.endpoints_version)
 
     def plans_to_send(self, now: float) -> list[tuple[str, Plan]]:
-        """The plans to send now, by edge; each has only the functions that the edge requested lately."""
+        """Return the plans to send now, by edge; each has only the functions that the edge recently requested."""
         if self.role is not Role.LEADER or not self._edges_to_update or not self._last_number:
             return []
         names, self._edges_to_update = sorted(self._edges_to_update), set()
-        out = []
+        plans = []
         for name in names:
             if name not in self.edges:
                 continue
             requested = self.demand.recently_requested(now, name, self._settings.interest_ms)
-            instances = {m: at for m, at in self.target.items() if m in requested}
+            instances = {model: by_worker for model, by_worker in self.target.items() if model in requested}
             self._last_number += 1
             plan = make_plan(
                 self._settings.lineage,
@@ -252,22 +266,22 @@
                 self.endpoints_version,
                 instances,
             )
-            out.append((name, plan))
-        return out
+            plans.append((name, plan))
+        return plans
 
     def plan_age_ms(self, now: float) -> float:
-        """The age of the placement that plans carry."""
+        """Return the age in ms of the placement that plans carry."""
         return now - self._plan_made_ms
 
     # Internals.
 
     def _check_fence(self, order: PlanOrder) -> None:
-        """Stop leading if an edge has seen a plan with a later token: the lease has passed on."""
+        """Stop leading if an edge has seen a plan with a later token, because another planner then holds the lease."""
         if self.role is Role.LEADER and order[:2] > (self.epoch, self.owner):
             self.on_lease_lost()
 
     def _demands(self, now: float, hour: int) -> list[FunctionDemand]:
-        """The functions that the settings know and edges request or requested."""
+        """Return the demands of all functions that are configured and have been requested by edges."""
         return [
             self._demand_of(now, hour, model, profile, load)
             for model, load in self.demand.functions.items()
@@ -286,20 +300,20 @@
             load.work_ms or DEFAULT_WORK_MS,
             profile.priority_weight,
             rate if rate >= self._settings.min_rate else 0.0,
-            self._loaded_lately(now, model),
+            self._recently_loaded(now, model),
             load.planned,
         )
-        # Scale up at once, down only after a while, so that instances are not unloaded and loaded again.
+        # Scale up at once, but down only after `scale_down_ms`, so that instances are not unloaded and loaded again.
         if demand.instances_needed >= load.planned:
             load.below_plan_since = now
         elif now - load.below_plan_since < self._settings.scale_down_ms:
-            return self._raised_to(demand, load.planned)
+            return self._raise_demand(demand, load.planned)
         else:
             load.below_plan_since = now
         return demand
 
-    def _loaded_lately(self, now: float, model: str) -> dict[str, int]:
-        """Instances of a function by worker, as far as edges have reported them within `LOADED_VALID_MS`."""
+    def _recently_loaded(self, now: float, model: str) -> dict[str, int]:
+        """Return the instances of a function by worker that edges have reported within `LOADED_VALID_MS`."""
         return {
             worker: reported.instances
             for worker, reported in self._loaded.get(model, {}).items()
@@ -307,8 +321,8 @@
         }
 
     @staticmethod
-    def _raised_to(demand: FunctionDemand, instances: int) -> FunctionDemand:
-        """The same demand at a rate for which at least `instances` are needed, found by bisection."""
+    def _raise_demand(demand: FunctionDemand, instances: int) -> FunctionDemand:
+        """Return the demand at a raised rate for which at least `instances` are needed, found by bisection."""
         low, high = demand.rate, max(1.0, demand.rate)
         while replace(demand, rate=high).instances_needed < instances:
             high *= 2
--- a/kelptrail/planner/driver.py
+++ b/kelptrail/planner/driver.py
@@ -1,4 +1,4 @@
-"""A planner on the event loop: connections of edges, a solver in a process of its own, the lease, and snapshots."""
+"""A planner on the event loop: connections of edges, the solver process, the lease, and snapshots."""
 
 from __future__ import annotations
 
@@ -28,17 +28,19 @@
 from .solver_process import SolverProcess
 
 HEARTBEAT_MS = 500.0
-SILENT_MS = 5000.0  # without a message from the edge, after which the connection is closed
+READ_TIMEOUT_MS = 5000.0  # time without data from an edge after which its connection is closed
 ACCEPT_BACKLOG = 512
 READ_BYTES = 65_536
-SNAPSHOT_FILE = "planner.bin"  # in the state folder
-LEASE_NAME = "planner"  # the lease under which one planner leads
+SNAPSHOT_FILE = "planner.bin"  # file in the state folder
+LEASE_NAME = "planner"  # lease whose holder is the leading planner
 
 
 @dataclass(frozen=True, slots=True)
 class PlannerOptions:
-    """What differs from one planner to the next.  `solver`: "program" or "greedy"; `solve_delay_ms`: for trials, how
-    much longer each plan takes; `solve_timeout_s`: after this time a problem is given up and the plan before stays.
+    """Options of one planner process.
+
+    `solver`: "program" or "greedy"; `solve_delay_ms`: delay added to each solution, for fault tests; `solve_timeout_s`:
+    time after which a problem is abandoned and the previous plan stays in force.
     """
 
     name: str
@@ -50,31 +52,36 @@
     solver: str = "program"
     solve_delay_ms: float = 0.0
     solve_timeout_s: float = 30.0
-    peer_addresses: dict[str, str] = field(default_factory=dict)  # of lease acceptors; they precede the settings
+    peer_addresses: dict[str, str] = field(default_factory=dict)  # of lease acceptors; they override the settings
 
 
 @dataclass(slots=True)
 class EdgeConnection:
-    """One edge's socket, and whether output is being sent on it."""
+    """Socket of one edge, and whether output is being sent on it."""
 
     sock: socket.socket
     writing: bool = False
 
 
 class PlannerDriver:
-    """One planner on the event loop.  `leases`: this process's; `length_ms`: how long its lease lasts."""
+    """Runs one planner on the event loop.
+
+    `leases`: lease driver of this process; `lease_length_ms`: duration of the planner's lease.
+    """
 
     def __init__(
-        self, deployment: Deployment, options: PlannerOptions, leases: LeaseDriver, length_ms: float, log: Any
+        self, deployment: Deployment, options: PlannerOptions, leases: LeaseDriver, lease_length_ms: float, log: Any
     ) -> None:
-        self._leases, self._lease_length_ms = leases, length_ms
+        self._leases, self._lease_length_ms = leases, lease_length_ms
         self._deployment, self._options, self._log = deployment, options, log
         self._loop = asyncio.get_running_loop()
         settings = planner_settings(deployment)
         self.planner = Planner(options.name, settings, function_profiles(deployment), now_ms())
         self.background = Background(SchedulerSettings(share=0.5), now_ms, lambda: False, log)
         self._channels: dict[PlannerChannel, EdgeConnection] = {}
-        self._listener = Listener(self._loop, self._on_connect, lambda sock, peer, back: sock.close(), log.warning)
+        self._listener = Listener(
+            self._loop, self._on_connect, lambda sock, peer, retry_after_ms: sock.close(), log.warning
+        )
         self._tasks: set[asyncio.Task[Any]] = set()
         self._solver = SolverProcess(options.solver, options.solve_timeout_s, log)
         folder = options.state_folder
@@ -86,7 +93,7 @@
     # Edges.
 
     def listen(self) -> None:
-        """Listen for edges.  Raises `OSError` where the address cannot be had."""
+        """Listen for edges.  Raises `OSError` if the address cannot be bound."""
         sock = socket.socket(socket.AF_INET6 if ":" in self._options.host else socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((self._options.host, self._options.port))
@@ -99,8 +106,8 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._spawn(self._serve_edge(sock, peer))
 
-    def _spawn(self, what: Any) -> None:
-        task = self._loop.create_task(what)
+    def _spawn(self, coroutine: Any) -> None:
+        task = self._loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -111,7 +118,7 @@
         try:
             self._write(channel)
             while True:
-                async with asyncio.timeout(SILENT_MS / 1000):
+                async with asyncio.timeout(READ_TIMEOUT_MS / 1000):
                     count = await self._loop.sock_recv_into(sock, buffer)
                 if not count:
                     break
@@ -127,7 +134,7 @@
             del self._channels[channel]
             sock.close()
             if channel.edge and not any(other.edge == channel.edge for other in self._channels):
-                self.planner.on_edge_gone(channel.edge)
+                self.planner.on_edge_disconnected(channel.edge)
 
     def _on_message(self, channel: PlannerChannel, message: Any) -> None:
         now, core = now_ms(), self.planner
@@ -143,10 +150,10 @@
     def send_plans(self) -> None:
         """Queue new plans for their edges and send what is queued."""
         now = now_ms()
-        by_name = {channel.edge: channel for channel in self._channels}
-        # The lease is checked right before plans are sent: what was solved while it ran out is not sent.
+        channels_by_edge = {channel.edge: channel for channel in self._channels}
+        # The lease is checked right before sending, so that a plan whose lease expired during solving is not sent.
         for edge, plan in self.planner.plans_to_send(now) if self._leases.held_token(LEASE_NAME) is not None else ():
-            if (channel := by_name.get(edge)) is not None:
+            if (channel := channels_by_edge.get(edge)) is not None:
                 channel.offer_plan(plan, now - self.planner.plan_age_ms(now))
         for channel in self._channels:
             channel.queue_next_plan(now)
@@ -171,7 +178,7 @@
     # Planning.
 
     def tick(self) -> None:
-        """Background work: close demand windows and solve the next problem."""
+        """Close demand windows, solve the next problem and send plans; a background job."""
         now, hour = now_ms(), time.localtime(wall_ms() / 1000).tm_hour
         self.planner.tick(now, hour)
         problem = self.planner.next_problem(now, hour)
@@ -187,14 +194,14 @@
         self.send_plans()
 
     def on_endpoints(self, listing: EndpointList) -> None:
-        """A new endpoint list."""
+        """Pass a new endpoint list to the planner, and request a run of its background job."""
         self.planner.on_endpoints(
             now_ms(), worker_capacities(self._deployment, listing), EndpointsVersion(listing.lineage, listing.version)
         )
         self.background.request_run("tick")
 
     def send_heartbeats(self) -> None:
-        """Background work: heartbeats."""
+        """Send a heartbeat to each edge; a background job."""
         for channel in self._channels:
             channel.output.append(encode_frame(Heartbeat(self.planner.role is Role.LEADER, self.planner.epoch)))
             self._write(channel)
@@ -202,7 +209,7 @@
     # Snapshots.
 
     def restore(self) -> bool:
-        """Load the snapshot; False if there is none or it is damaged."""
+        """Load the snapshot; return False if there is none or it is damaged."""
         snapshot = self._snapshots.load()
         if snapshot is None:
             return False
@@ -211,16 +218,18 @@
         return True
 
     def save(self) -> None:
-        """Background work: write a snapshot if anything has changed."""
-        hours = {m: a.hourly_rates for m, a in self.planner.demand.functions.items() if any(a.hourly_rates)}
-        self._snapshots.save(Snapshot(self.planner.epoch, self.planner.target, hours))
+        """Write a snapshot if anything has changed; a background job."""
+        hourly_rates = {
+            model: load.hourly_rates for model, load in self.planner.demand.functions.items() if any(load.hourly_rates)
+        }
+        self._snapshots.save(Snapshot(self.planner.epoch, self.planner.target, hourly_rates))
 
     def clear_faults(self) -> None:
-        """End the faults of a trial."""
+        """End the injected faults."""
         self.solve_delay_ms, self.planner.demand.error_factor = self._options.solve_delay_ms, 1.0
 
     def status(self) -> dict[str, Any]:
-        """The answer of the control port."""
+        """Return the status that the control port reports."""
         core = self.planner
         return {
             "role": core.role.value,
@@ -228,7 +237,7 @@
             "edges": len(self._channels),
             "workers": len(core.workers),
             "models": len(core.target),
-            "copies": sum(sum(at.values()) for at in core.target.values()),
+            "copies": sum(sum(by_worker.values()) for by_worker in core.target.values()),
             "plans": core.counters.plans,
             "same": core.counters.unchanged,
             "by": core.counters.by_solver,
@@ -252,7 +261,7 @@
         self.send_heartbeats()
 
     def start(self) -> None:
-        """Start background work and request the lease."""
+        """Request the lease and start the background jobs."""
         self._leases.acquire(LEASE_NAME, self._lease_length_ms, self._on_lease_acquired, self._on_lease_lost)
         self.background.add("tick", self.tick, 1, 250.0, 1000.0, 0.5)
         self.background.add("beat", self.send_heartbeats, 0, HEARTBEAT_MS, 700.0, 0.2)
@@ -260,7 +269,7 @@
         self.background.start()
 
     async def stop(self) -> None:
-        """Release the lease, so that another planner leads at once, and end."""
+        """Stop, and release the lease so that another planner can lead at once."""
         self._leases.release(LEASE_NAME)
         self.background.stop()
         self.save()
--- a/kelptrail/planner/edge_driver.py
+++ b/kelptrail/planner/edge_driver.py
@@ -1,6 +1,7 @@
 """The edge's connections to planners: passes plans to the gateway, sends reports, and keeps the plan on disk.
 
-No request waits for any of it: reports and saving are background work, a planner that is slow or gone costs nothing.
+Requests never wait for any of this: background jobs send reports and save plans, so a slow or disconnected planner does
+not delay requests.
 """
 
 from __future__ import annotations
@@ -25,16 +26,16 @@
 from .plan_follower import PlanState
 
 HEARTBEAT_MS = 500.0
-SILENT_MS = 3000.0  # without a message from the planner, after which the connection is closed
+READ_TIMEOUT_MS = 3000.0  # time without data from the planner after which the connection is closed
 CONNECT_TIMEOUT_S = 2.0
 BACKOFF_MS, MAX_BACKOFF_MS, BACKOFF_FACTOR = 300.0, 5000.0, 1.6
-STABLE_MS = 10_000.0  # a connection that lasted so long resets the backoff
-MAX_FILE_BYTES = 1 << 26  # unpacked
+STABLE_MS = 10_000.0  # a connection that lasts longer resets the backoff
+MAX_FILE_BYTES = 1 << 26  # limit of the decompressed size
 READ_BYTES = 65_536
 
 
 class SavedPlan(msgspec.Struct, frozen=True):
-    """A plan on disk: how long it was valid, in milliseconds, and the wall clock at that moment."""
+    """A plan on disk, the time in ms for which it was still valid when saved, and the wall-clock time of saving."""
 
     plan: Plan
     remaining_ms: float = msgspec.field(name="left_ms")
@@ -45,7 +46,7 @@
 
 
 class PlanFollower:
-    """One edge's connections to all its planners.  `on_change` is called when the gateway's plan has changed."""
+    """Connections of one edge to all its planners.  `on_change` is called when the plan of the gateway has changed."""
 
     def __init__(
         self,
@@ -63,14 +64,14 @@
         self._loop = asyncio.get_running_loop()
         self._tasks: list[asyncio.Task[None]] = []
         self._channels: dict[EdgeChannel, socket.socket] = {}
-        self._applied: PlanOrder | None = None  # order of the plan that the gateway has
+        self._applied_order: PlanOrder | None = None  # order of the gateway's plan; None: a plan must be applied
         self._saved_order: PlanOrder = BEFORE_ALL_PLANS
         self.bytes_in = self.bytes_out = self.reconnects = 0
 
     @property
     def live_workers(self) -> set[str]:
         """The workers that are live in the edge's own endpoint list."""
-        return {w.id for w in self._gateway.members if w.live}
+        return {worker.id for worker in self._gateway.members if worker.live}
 
     @property
     def endpoints_version(self) -> EndpointsVersion:
@@ -78,7 +79,7 @@
         return EndpointsVersion(self._gateway.members.lineage, self._gateway.members.version)
 
     def load_saved_plan(self) -> bool:
-        """Follow the plan on disk, if there is an undamaged one that is still valid; True if it is followed."""
+        """Follow the plan on disk if it is undamaged and still valid; return whether it is followed."""
         if self._file is None or not self._file.exists():
             return False
         try:
@@ -86,8 +87,8 @@
         except (OSError, zstandard.ZstdError, msgspec.MsgspecError) as cause:
             self._log.warning("saved-plan-unusable", file=str(self._file), reason=str(cause))
             return False
-        left = saved.remaining_ms - max(0.0, wall_ms() - saved.saved_wall_ms)
-        restored = self.plan_state.restore(now_ms(), saved.plan, left, self.live_workers)
+        remaining_ms = saved.remaining_ms - max(0.0, wall_ms() - saved.saved_wall_ms)
+        restored = self.plan_state.restore(now_ms(), saved.plan, remaining_ms, self.live_workers)
         self._saved_order = saved.plan.header.order
         self.apply_plan()
         return restored
@@ -104,41 +105,45 @@
         self.save_plan()
 
     def on_endpoints(self) -> None:
-        """The endpoint list has changed."""
-        report = self.plan_state.on_endpoints(now_ms(), self.live_workers, self.endpoints_version)
-        if report is not None:
-            self._log.warning("plan-refused", reason=report.reason.value, text=report.text)
-        self._applied = None  # the new list may have workers that the plan names
+        """Check and apply the plan again after the endpoint list has changed."""
+        refusal = self.plan_state.on_endpoints(now_ms(), self.live_workers, self.endpoints_version)
+        if refusal is not None:
+            self._log.warning("plan-refused", reason=refusal.reason.value, text=refusal.text)
+        self._applied_order = None  # the plan may use workers that only the new list has
         self.apply_plan()
 
     def apply_plan(self) -> None:
-        """Pass the plan in force to the gateway; none once it has expired."""
+        """Pass the plan in force to the gateway, or None if it has expired."""
         target = self.plan_state.target(now_ms())
         order = (
             self.plan_state.plan.header.order
             if target is not None and self.plan_state.plan is not None
             else BEFORE_ALL_PLANS
         )
-        if order != self._applied:
-            self._applied = order
+        if order != self._applied_order:
+            self._applied_order = order
             self._gateway.on_plan(target)
             self._on_change()
 
     def send_reports(self) -> None:
-        """Background work: a report to each planner that is connected and has read the last one."""
+        """Send a report on each connection whose previous output has been sent; a background job."""
         now = now_ms()
-        self.apply_plan()  # it may have expired
+        self.apply_plan()  # the plan may have expired
         counters = self._gateway.counters()
         for channel in self._channels:
             channel.add_counters(counters)
-        ready = [c for c in self._channels if c.report_due(now) and not c.output and not c.writing]
+        ready = [
+            channel
+            for channel in self._channels
+            if channel.report_due(now) and not channel.output and not channel.writing
+        ]
         loaded = self._gateway.loaded_instances() if ready else {}
         for channel in ready:
             channel.queue_report(now, loaded)
             self._write(channel)
 
     def save_plan(self) -> None:
-        """Background work: keep the plan in force for the next start."""
+        """Save the plan in force for the next start, if it has changed; a background job."""
         plan = self.plan_state.plan
         if self._file is None or plan is None or plan.header.order == self._saved_order:
             return
@@ -150,22 +155,22 @@
             self._log.warning("plan-not-saved", reason=str(cause))
 
     def status(self) -> dict[str, Any]:
-        """The `plan` section of the control port."""
-        follower, plan = self.plan_state, self.plan_state.plan
+        """Return the `plan` section of the status that the control port reports."""
+        state, plan = self.plan_state, self.plan_state.plan
         return {
-            "planners": {channel.planner: round(now_ms() - channel.last_heard) for channel in self._channels},
-            "order": list(follower.fence),
-            "taken": follower.accepted,
-            "left_ms": round(follower.remaining_ms(now_ms())),
+            "planners": {channel.planner: round(now_ms() - channel.last_received_ms) for channel in self._channels},
+            "order": list(state.fence),
+            "taken": state.accepted,
+            "left_ms": round(state.remaining_ms(now_ms())),
             "models": len(plan.instances) if plan is not None else 0,
-            "refused": {r.value: n for r, n in follower.refusals.items() if n},
+            "refused": {reason.value: count for reason, count in state.refusals.items() if count},
             "bytes_in": self.bytes_in,
             "bytes_out": self.bytes_out,
             "reconnects": self.reconnects,
         }
 
     async def _keep_connected(self, address: str) -> None:
-        """Keep one connection up; after a failure it is tried again with backoff."""
+        """Keep one connection open; reconnect with backoff after it has failed."""
         backoff = BACKOFF_MS
         while True:
             began = now_ms()
@@ -196,7 +201,7 @@
             heartbeats = self._loop.create_task(self._send_heartbeats(channel))
             reader, buffer = FrameReader(READ), bytearray(READ_BYTES)
             while True:
-                async with asyncio.timeout(SILENT_MS / 1000):
+                async with asyncio.timeout(READ_TIMEOUT_MS / 1000):
                     count = await self._loop.sock_recv_into(sock, buffer)
                 if not count:
                     return
@@ -211,7 +216,9 @@
                         self._log.warning(
                             "plan-refused",
                             planner=channel.planner,
-                            refused={r.value: n for r, n in self.plan_state.refusals.items() if n},
+                            refused={
+                                reason.value: count for reason, count in self.plan_state.refusals.items() if count
+                            },
                         )
                 self._write(channel)
         finally:
@@ -228,7 +235,7 @@
             self._write(channel)
 
     def _write(self, channel: EdgeChannel) -> None:
-        """Send the output in the background; meanwhile reports wait."""
+        """Send the output in a task; until it is sent, no report is queued."""
         sock = self._channels.get(channel)
         if sock is None or not channel.output or channel.writing:
             return
--- a/kelptrail/planner/placement.py
+++ b/kelptrail/planner/placement.py
@@ -1,8 +1,8 @@
-"""Placements: how many instances of each function to load on which workers; what they cost and what must hold.
+"""Placements: how many instances of each function to load on which workers, with their constraints and cost.
 
-It must hold: never more memory on a worker than it has, nothing on a worker that is not live, no more new instances
-than the budget allows.  The cost counts missing instances, new instances by their load time, and crowded workers.
-`greedy_placement` always has an answer; that of `program_placement` is used where it costs less.
+A valid placement never exceeds the memory of a worker, uses no worker that is not live, and has no more new instances
+than the budget allows.  The cost counts missing instances, new instances according to their load time, and overloaded
+workers.  `greedy_placement` always has a solution; that of `program_placement` is used where it costs less.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 from .plan import InstanceCounts
 
-HEADROOM = 1.3  # concurrency slots planned for each one in use
-MEMORY_SHARE = 0.8  # of a worker's memory that plans use: the rest is for what no plan foresaw
-EVEN_SHARE = 0.7  # of a worker's cores: use beyond it is crowding
-MISSING_COST = 20.0  # of a missing instance, by its load cost and priority weight
-CROWDED_COST = 1.0  # of a worker whose use is one whole worker beyond the even share
-MIN_LOAD_S = 0.05  # loads that take less cost as much as this
+HEADROOM = 1.3  # planned concurrency slots per slot in use
+MEMORY_SHARE = 0.8  # share of a worker's memory that plans may use; the rest is reserved for unplanned instances
+TARGET_UTILIZATION = 0.7  # share of a worker's cores above which it counts as overloaded
+MISSING_COST = 20.0  # cost of a missing instance, multiplied by its load cost and priority weight
+OVERLOAD_COST = 1.0  # cost of a utilization that is 1.0 above the target
+MIN_LOAD_S = 0.05  # shorter loads cost as much as this load time
 MEMORY_TOLERANCE_MB = 1e-6
 
 
 class Solver(Enum):
-    """How a placement was found."""
+    """Method that found a placement."""
 
     GREEDY = "greedy"
     PROGRAM = "program"
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerCapacity:
-    """A live worker.  `warming_up`: it started lately, and no new instances are planned for it."""
+    """Capacity of a live worker.  `warming_up`: it started recently, so no new instances are planned for it."""
 
     id: str
     memory_mb: float
@@ -42,21 +42,25 @@
 
 @dataclass(frozen=True, slots=True)
 class FunctionDemand:
-    """A function: what an instance takes, how often it is called, and where it is loaded."""
+    """Demand of a function: the resources of an instance, the rate of calls, and where instances are loaded."""
 
     model: str
     memory_mb: float
-    concurrency: int  # requests that an instance serves at once
+    concurrency: int  # requests that an instance serves at the same time
     load_ms: float
     work_ms: float
     priority_weight: float
-    rate: float  # calls a second
+    rate: float  # calls per second
     loaded: dict[str, int] = field(default_factory=dict)  # instances by worker
-    previously_planned: int = 0  # instances in the plan before
+    previously_planned: int = 0  # instances in the previous plan
 
     @property
     def instances_needed(self) -> int:
-        """Concurrency slots by Little's law, with headroom and, as arrivals come in bunches, a standard deviation."""
+        """Number of instances that the demand needs.
+
+        By Little's law, rate times work is the number of concurrency slots in use.  Headroom is added and, because
+        arrivals come in bursts, one standard deviation.
+        """
         if self.rate <= 0:
             return 0
         busy = self.rate * max(1.0, self.work_ms) / 1000
@@ -75,7 +79,7 @@
 
 
 class PlacementCost(NamedTuple):
-    """The cost of a placement, with its missing and its new instances."""
+    """Cost of a placement, and its numbers of missing and new instances."""
 
     total: float
     missing: int
@@ -85,7 +89,7 @@
 def violations(
     instances: InstanceCounts, workers: list[WorkerCapacity], demands: list[FunctionDemand], budget: int
 ) -> list[str]:
-    """What a placement breaks, as sentences; none for the placements of this module."""
+    """Return the constraints that a placement violates, as texts; the solvers' placements violate none."""
     by_id, used_mb = {worker.id: worker for worker in workers}, dict[str, float]()
     sizes, loaded = {d.model: d.memory_mb for d in demands}, {d.model: d.loaded for d in demands}
     found, new_instances = [], 0
@@ -98,10 +102,10 @@
             new = max(0, count - loaded[model].get(worker, 0))
             new_instances += new
             if new and by_id[worker].warming_up:
-                found.append(f"{model} anew on {worker}, which is warming up")
+                found.append(f"{model} newly placed on {worker}, which is warming up")
     for worker, used in used_mb.items():
         if used > by_id[worker].memory_mb * MEMORY_SHARE + MEMORY_TOLERANCE_MB:
-            found.append(f"{used:.0f} MB on {worker}")
+            found.append(f"{used:.0f} MB used on {worker}")
     if new_instances > budget:
         found.append(f"{new_instances} new instances, {budget} allowed")
     return found
@@ -110,7 +114,7 @@
 def placement_cost(
     instances: InstanceCounts, workers: list[WorkerCapacity], demands: list[FunctionDemand]
 ) -> PlacementCost:
-    """What a placement costs."""
+    """Return the cost of a placement."""
     total, all_missing, all_new = 0.0, 0, 0
     cores_in_use = dict.fromkeys((worker.id for worker in workers), 0.0)
     for demand in demands:
@@ -126,15 +130,15 @@
             for worker, count in on_workers.items():
                 cores_in_use[worker] += count * cores_each
     for capacity in workers:
-        total += CROWDED_COST * max(0.0, cores_in_use[capacity.id] / capacity.cores - EVEN_SHARE)
+        total += OVERLOAD_COST * max(0.0, cores_in_use[capacity.id] / capacity.cores - TARGET_UTILIZATION)
     return PlacementCost(total, all_missing, all_new)
 
 
 def load_cost(demand: FunctionDemand) -> float:
-    """Cost of loading an instance: its load time in seconds."""
+    """Return the cost of loading an instance: its load time in seconds, at least `MIN_LOAD_S`."""
     return max(MIN_LOAD_S, demand.load_ms / 1000)
 
 
 def busy_cores(demand: FunctionDemand) -> float:
-    """Cores that the requests of a function keep busy."""
+    """Return the number of cores that the requests of a function keep busy."""
     return demand.rate * demand.work_ms / 1000
--- a/kelptrail/planner/plan.py
+++ b/kelptrail/planner/plan.py
@@ -1,7 +1,7 @@
-"""A plan: how many instances of which function should be loaded on which workers, for a limited time; free of I/O.
+"""A plan: how many instances of which function to load on which workers, for a limited time; free of I/O.
 
-On the wire a plan is MessagePack under Zstandard, complete or as a difference from the one before.  Its digest covers
-its content, so that a truncated, altered or wrongly combined plan is never accepted.
+On the wire a plan is MessagePack compressed by Zstandard, either complete or as a difference from an earlier one.  Its
+digest covers its content, so that a truncated, altered or wrongly combined plan is never accepted.
 """
 
 from __future__ import annotations
@@ -15,27 +15,29 @@
 FORMAT = 1
 MAX_UNPACKED_BYTES = 1 << 26
 DIGEST_BYTES = 16
-MAX_INSTANCES = 64  # of one function on one worker
-InstanceCounts = dict[str, dict[str, int]]  # by model and worker; on disk and on the wire called wants
+MAX_INSTANCES = 64  # maximum for one function on one worker
+InstanceCounts = dict[str, dict[str, int]]  # by model and worker; stored under the name `wants`
 PlanOrder = tuple[int, str, int]  # epoch, owner, number
-BEFORE_ALL_PLANS: PlanOrder = (0, "", 0)  # before all plans
+BEFORE_ALL_PLANS: PlanOrder = (0, "", 0)  # less than the order of any plan
 
 
 class EndpointsVersion(NamedTuple):
-    """Version of an endpoint list: the run of its source, and a number that grows within one run."""
+    """Version of an endpoint list: `lineage` identifies a run of its source, `number` increases within that run."""
 
     lineage: str
     number: int
 
 
 class PlanError(ValueError):
-    """The bytes are not a plan of this format."""
+    """Raised for bytes that are not a plan of this format."""
 
 
 class PlanHeader(msgspec.Struct, frozen=True, array_like=True):
-    """What identifies a plan.  `epoch` and `owner` are the fencing token of the lease it was made under, `number` grows
-    within them.  `valid_ms` counts from when it was made; `endpoints_version` is the lineage and the version of the
-    endpoint list that it was made from.
+    """Identity, validity and digest of a plan.
+
+    `epoch` and `owner` are the fencing token of the lease that the planner held; `number` increases within one token.
+    `valid_ms` counts from the time when the plan was made; `endpoints_version` is the version of the endpoint list that
+    it was made from.
     """
 
     lineage: str
@@ -48,7 +50,7 @@
 
     @property
     def order(self) -> PlanOrder:
-        """Epoch, owner and number: later plans have a greater one."""
+        """Epoch, owner and number; a later plan has a greater order."""
         return self.epoch, self.owner, self.number
 
 
@@ -60,8 +62,10 @@
 
 
 class PlanPacket(msgspec.Struct, frozen=True, array_like=True):
-    """A plan on the wire.  `base_number`: the number, in the same epoch, of the plan that a difference starts from; 0:
-    the plan is complete.  In a difference, 0 instances remove a worker.  `age_ms`: how long ago it was made.
+    """A plan on the wire, complete or as a difference.
+
+    `base_number`: number, under the same token, of the plan that the difference applies to; 0 for a complete plan.  In
+    a difference, a count of 0 removes the function from the worker.  `age_ms`: time since the plan was made.
     """
 
     format: int
@@ -72,7 +76,7 @@
 
 
 def digest_of(header: PlanHeader, instances: InstanceCounts) -> bytes:
-    """`DIGEST_BYTES` bytes over the content of a plan, whatever the order of its parts."""
+    """Return a digest of `DIGEST_BYTES` bytes over the content of a plan, independent of the order of its entries."""
     content: list[Any] = [
         header.lineage,
         header.epoch,
@@ -81,49 +85,47 @@
         header.valid_ms,
         list(header.endpoints_version),
     ]
-    content += [[model, sorted(at.items())] for model, at in sorted(instances.items()) if at]
+    content += [[model, sorted(by_worker.items())] for model, by_worker in sorted(instances.items()) if by_worker]
     return blake2b(msgspec.msgpack.encode(content), digest_size=DIGEST_BYTES).digest()
 
 
 def make_plan(
     lineage: str, order: PlanOrder, valid_ms: float, endpoints_version: EndpointsVersion, instances: InstanceCounts
 ) -> Plan:
-    """A plan with its digest."""
+    """Return a plan with its digest."""
     header = PlanHeader(lineage, *order, valid_ms, endpoints_version)
-    instances = {model: dict(at) for model, at in instances.items() if at}
+    instances = {model: dict(by_worker) for model, by_worker in instances.items() if by_worker}
     return Plan(msgspec.structs.replace(header, digest=digest_of(header, instances)), instances)
 
 
 def difference(before: InstanceCounts, after: InstanceCounts) -> InstanceCounts:
-    """What turns one into the other; 0 instances remove a worker."""
-    out: InstanceCounts = {}
+    """Return the changes from `before` to `after`; a count of 0 removes a function from a worker."""
+    changes: InstanceCounts = {}
     for model in before.keys() | after.keys():
         old, new = before.get(model, {}), after.get(model, {})
         if changed := {w: new.get(w, 0) for w in old.keys() | new.keys() if old.get(w, 0) != new.get(w, 0)}:
-            out[model] = changed
-    return out
+            changes[model] = changed
+    return changes
 
 
 def apply_difference(before: InstanceCounts, difference: InstanceCounts) -> InstanceCounts:
-    """The instances after a difference has been applied."""
-    out = {model: dict(at) for model, at in before.items()}
+    """Return the instances after the changes of `difference` have been applied."""
+    after = {model: dict(by_worker) for model, by_worker in before.items()}
     for model, changed in difference.items():
-        at = out.setdefault(model, {})
-        at |= changed
-        out[model] = {w: n for w, n in at.items() if n}
-    return {model: at for model, at in out.items() if at}
+        by_worker = after.setdefault(model, {})
+        by_worker |= changed
+        after[model] = {worker: count for worker, count in by_worker.items() if count}
+    return {model: by_worker for model, by_worker in after.items() if by_worker}
 
 
-def encode_plan(plan: Plan, age_ms: float, before: Plan | None = None) -> bytes:
-    """A plan as bytes; as a difference where the one before has the same token and lineage."""
+def encode_plan(plan: Plan, age_ms: float, base: Plan | None = None) -> bytes:
+    """Encode a plan, as a difference from `base` if that plan has the same token and lineage."""
     if (
-        before is not None
-        and before.header.order[:2] == plan.header.order[:2]
-        and before.header.lineage == plan.header.lineage
+        base is not None
+        and base.header.order[:2] == plan.header.order[:2]
+        and base.header.lineage == plan.header.lineage
     ):
-        packet = PlanPacket(
-            FORMAT, plan.header, before.header.number, age_ms, difference(before.instances, plan.instances)
-        )
+        packet = PlanPacket(FORMAT, plan.header, base.header.number, age_ms, difference(base.instances, plan.instances))
     else:
         packet = PlanPacket(FORMAT, plan.header, 0, age_ms, plan.instances)
     return zstandard.ZstdCompressor(level=3).compress(msgspec.msgpack.encode(packet))
@@ -133,7 +135,10 @@
 
 
 def decode_plan(data: bytes) -> PlanPacket:
-    """Raises `PlanError` for what is cut, altered, too large, or of another format."""
+    """Decode a plan without checking its digest.
+
+    Raises `PlanError` for data that is truncated, altered, too large or of another format.
+    """
     try:
         size = zstandard.frame_content_size(data)
         if size < 0 or size > MAX_UNPACKED_BYTES:
@@ -143,6 +148,6 @@
         raise PlanError(f"not a plan: {cause}") from None
     if packet.format != FORMAT:
         raise PlanError(f"format {packet.format}, not {FORMAT}")
-    if any(n < 0 or n > MAX_INSTANCES for at in packet.instances.values() for n in at.values()):
+    if any(n < 0 or n > MAX_INSTANCES for by_worker in packet.instances.values() for n in by_worker.values()):
         raise PlanError("copies from 0 to 64")
     return packet
--- a/kelptrail/planner/snapshot.py
+++ b/kelptrail/planner/snapshot.py
@@ -1,4 +1,4 @@
-"""A planner's state on disk, from which its next run continues."""
+"""State of a planner on disk, from which its next run continues."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """What a planner keeps on disk: its plan and the usual rates by hour.  `epoch` is for people who read the file."""
+    """A planner's plan and its usual rates by hour.  `epoch` is only for people who inspect the file."""
 
     epoch: int
     instances: InstanceCounts = msgspec.field(name="wants")
@@ -27,14 +27,14 @@
 
 
 class SnapshotFile:
-    """The file of one planner; `path` None: nothing is kept."""
+    """Snapshot file of one planner; with `path` None nothing is loaded or saved."""
 
     def __init__(self, path: Path | None, log: Any) -> None:
         self._path, self._log = path, log
-        self._saved = b""  # content that was written last
+        self._saved = b""  # content of the last write
 
     def load(self) -> Snapshot | None:
-        """The saved snapshot; None if there is none or it is damaged, which is logged."""
+        """Return the saved snapshot; None if there is none or it is damaged, which is logged."""
         if self._path is None or not self._path.exists():
             return None
         try:
--- a/kelptrail/planner/solver_process.py
+++ b/kelptrail/planner/solver_process.py
@@ -1,4 +1,4 @@
-"""Solves placement problems in a process of its own, so that the event loop is not blocked."""
+"""Solves placement problems in a separate process, so that the event loop is not blocked."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def solve_in_process(
     solver: str, delay_ms: float, workers: list[WorkerCapacity], demands: list[FunctionDemand], budget: int
 ) -> Placement:
-    """Solve one problem; runs in the solver's process."""
+    """Solve one problem; runs in the solver process."""
     if delay_ms:
         time.sleep(delay_ms / 1000)
     if solver == Solver.GREEDY.value:
@@ -27,14 +27,17 @@
 
 
 class SolverProcess:
-    """The solver's process.  `solver`: a value of `Solver`; after `timeout_s` a problem is given up."""
+    """The solver process.  `solver`: a value of `Solver`; `timeout_s`: time after which a problem is abandoned."""
 
     def __init__(self, solver: str, timeout_s: float, log: Any) -> None:
         self._solver, self._timeout_s, self._log = solver, timeout_s, log
         self._pool: ProcessPoolExecutor | None = None
 
     async def solve(self, problem: PlacementProblem, delay_ms: float) -> Placement | None:
-        """Solve a problem; None if it failed or took too long, which is logged.  `delay_ms`: added, for trials."""
+        """Solve a problem; return None if this fails or takes too long, which is logged.
+
+        `delay_ms`: delay added to the solution, for fault tests.
+        """
         if self._pool is None:
             self._pool = ProcessPoolExecutor(1, mp_context=get_context("forkserver"))
         try:
@@ -51,7 +54,7 @@
         return None
 
     def kill(self) -> None:
-        """Kill the process, which may hang; the next problem gets a new one."""
+        """Kill the process, which may hang; the next problem starts a new one."""
         pool, self._pool = self._pool, None
         if pool is not None:
             for process in list(getattr(pool, "_processes", {}).values()):
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -425,7 +425,7 @@
         }
         assert reported == loaded
     assert not edge.report_due(3.5) and edge.report_due(1003.0)
-    with pytest.raises(ChannelError, match="not for a planner"):
+    with pytest.raises(ChannelError, match="not accepted by a planner"):
         planner_channel.on_message(PlanOffer(b""))
     with pytest.raises(ChannelError, match="lineage"):
         PlannerChannel("p", "there").on_message(Hello(VERSION, "e", "here"))
