--- a/kelptrail/background/__init__.py
+++ b/kelptrail/background/__init__.py
@@ -1,1 +1,1 @@
-"""Background work that must not steal from calls: a scheduler with priorities and budgets."""
+"""Background jobs that must not slow down requests: a scheduler with priorities and CPU budgets."""
--- a/kelptrail/background/driver.py
+++ b/kelptrail/background/driver.py
@@ -1,4 +1,4 @@
-"""Runs background jobs on the event loop, one step at a time, charged by the thread's CPU clock."""
+"""Runs background jobs on the event loop, one step at a time; the thread's CPU clock measures each step."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Background:
-    """The background work of one process.  `busy`: whether requests are in flight."""
+    """Background jobs of one process.  `busy` returns whether requests are in flight."""
 
     def __init__(
         self, settings: SchedulerSettings, now_ms: Callable[[], float], busy: Callable[[], bool], log: Any
@@ -31,7 +31,7 @@
         share: float = 0.05,
         first_delay_ms: float | None = None,
     ) -> None:
-        """Add a job; see `Job`.  A step that returns nothing is a complete run."""
+        """Add a job; see `Job`.  A step that returns None is a complete run."""
         self.scheduler.add(
             self._now(), Job(name, lambda: bool(step()), priority, interval_ms, max_wait_ms, share), first_delay_ms
         )
@@ -47,7 +47,7 @@
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def stop(self) -> None:
-        """Stop after the current step, which is never interrupted."""
+        """Stop the scheduler task; a step that runs is never interrupted."""
         if self._task is not None:
             self._task.cancel()
 
@@ -65,7 +65,7 @@
             began, more, failed = time.thread_time(), False, False
             try:
                 more = job.step()
-            except Exception as cause:  # noqa: BLE001 - an error in one job must not end the others
+            except Exception as cause:  # noqa: BLE001 - an error in one job must not stop the others
                 failed = True
                 self._log.error("background-failed", job=job.name, reason=f"{type(cause).__name__}: {cause}")
             self.scheduler.on_step_done(self._now(), job, (time.thread_time() - began) * 1000, more, failed)
--- a/kelptrail/clock/__init__.py
+++ b/kelptrail/clock/__init__.py
@@ -1,30 +1,31 @@
-"""The program's clock: milliseconds that only go forward, shared by all processes of one machine."""
+"""The program's clocks in milliseconds; the monotonic one is shared by all processes of a machine."""
 
 from __future__ import annotations
 
 import time
 
-# Clock faults for tests: another rate of the clock, an offset of the wall clock.
-_rate, _base, _since, _step = 1.0, 0.0, 0.0, 0.0
+# Clock faults for tests: the monotonic clock runs at `_rate` from `_base_ms`, which is its time at the true time
+# `_base_true_ms`; the wall clock is offset by `_wall_offset_ms`.
+_rate, _base_ms, _base_true_ms, _wall_offset_ms = 1.0, 0.0, 0.0, 0.0
 
 
 def now_ms() -> float:
-    """Monotonic milliseconds with fractions (CLOCK_MONOTONIC)."""
-    return _base + (time.monotonic() * 1000.0 - _since) * _rate
+    """Return monotonic milliseconds with fractions (CLOCK_MONOTONIC)."""
+    return _base_ms + (time.monotonic() * 1000.0 - _base_true_ms) * _rate
 
 
 def wall_ms() -> float:
-    """Milliseconds since the epoch; for display only, never for comparisons."""
-    return time.time() * 1000.0 + _step
+    """Return milliseconds since the Unix epoch; for display only, never for comparisons."""
+    return time.time() * 1000.0 + _wall_offset_ms
 
 
 def true_ms() -> float:
-    """Monotonic milliseconds without clock faults; for captures."""
+    """Return monotonic milliseconds without clock faults, for captures."""
     return time.monotonic() * 1000.0
 
 
-def set_skew(rate: float, step_ms: float) -> None:
-    """Inject a clock fault: from now on `now_ms` runs at `rate`, and the wall clock is offset by `step_ms`."""
-    global _rate, _base, _since, _step
-    _base, _since = now_ms(), true_ms()
-    _rate, _step = rate, step_ms
+def set_skew(rate: float, wall_offset_ms: float) -> None:
+    """Inject a clock fault: `now_ms` runs at `rate` from now on, and the wall clock is offset by `wall_offset_ms`."""
+    global _rate, _base_ms, _base_true_ms, _wall_offset_ms
+    _base_ms, _base_true_ms = now_ms(), true_ms()
+    _rate, _wall_offset_ms = rate, wall_offset_ms
--- a/kelptrail/model_checking/__init__.py
+++ b/kelptrail/model_checking/__init__.py
@@ -1,1 +1,1 @@
-"""Exhaustive and random search over the states of a model."""
+"""Model checking: exhaustive and random search of the states of a model."""
--- a/kelptrail/model_checking/explorer.py
+++ b/kelptrail/model_checking/explorer.py
@@ -1,4 +1,4 @@
-"""Model checker: searches the states of a model for one that violates a property, exhaustively or by random walks."""
+"""Model checker: searches a model for a state that violates a property, exhaustively or by random walks."""
 
 from __future__ import annotations
 
@@ -10,96 +10,103 @@
 
 
 class PropertyError(Exception):
-    """A property is violated; the message names it and the steps that lead to the state."""
+    """Raised when a property is violated; the message names the property and the steps that lead to the state."""
 
 
 class State(Protocol):
-    """One state of a model.  States with equal keys have the same future."""
+    """A state of a model.  `trail`: names of the steps that lead to it.
+
+    States with equal keys are equivalent: the same steps and states follow on them.
+    """
 
     trail: tuple[str, ...]
 
     def key(self) -> Hashable:
-        """What the future depends on."""
+        """Return everything on which the following steps and states depend."""
 
     def steps(self) -> Iterator[Step[Self]]:
-        """Every step that can follow."""
+        """Yield every step that can follow."""
 
 
-W = TypeVar("W")
+NextStateT = TypeVar("NextStateT")
 
 
 @dataclass(frozen=True, slots=True)
-class Step(Generic[W]):
-    """A named step; `apply` returns the next state.  `is_fault`: it uses up fault budget."""
+class Step(Generic[NextStateT]):
+    """A named step; `apply` returns the next state.  `is_fault`: the step uses some of the fault budget."""
 
     name: str
-    apply: Callable[[], W]
+    apply: Callable[[], NextStateT]
     is_fault: bool = False
 
 
-S = TypeVar("S", bound=State)
+StateT = TypeVar("StateT", bound=State)
 
 
 @dataclass(slots=True)
 class SearchResult:
-    """Size of a search."""
+    """Size of a search, and whether it was exhaustive."""
 
     states: int = 0
     transitions: int = 0
     depth: int = 0
-    complete: bool = False  # all states within the depth were visited
+    complete: bool = False  # all states within the depth limit were visited
 
 
-def explore(first: S, check: Callable[[S], None], depth: int, most_states: int) -> SearchResult:
-    """Search breadth first to `depth` steps or `most_states` states.
+def explore(initial: StateT, check: Callable[[StateT], None], depth: int, max_states: int) -> SearchResult:
+    """Search breadth first up to `depth` steps or `max_states` states.
 
-    `check` raises `PropertyError` for a bad state; this raises it again with the steps that lead there.
+    `check` raises `PropertyError` for a state that violates a property; it is raised again with the steps that lead to
+    the state.
     """
-    result, seen = SearchResult(), {first.key()}
-    queue: deque[tuple[int, S]] = deque([(0, first)])
+    result, seen = SearchResult(), {initial.key()}
+    queue: deque[tuple[int, StateT]] = deque([(0, initial)])
     while queue:
-        at, state = queue.popleft()
+        steps_taken, state = queue.popleft()
         result.states += 1
-        result.depth = at
+        result.depth = steps_taken
         _check(check, state)
-        if at >= depth or result.states + len(queue) >= most_states:
+        if steps_taken >= depth or result.states + len(queue) >= max_states:
             continue
         for step in state.steps():
             result.transitions += 1
-            after = step.apply()
-            key = after.key()
+            next_state = step.apply()
+            key = next_state.key()
             if key not in seen:
                 seen.add(key)
-                after.trail = (*state.trail, step.name)
-                queue.append((at + 1, after))
-    result.complete = len(seen) < most_states
+                next_state.trail = (*state.trail, step.name)
+                queue.append((steps_taken + 1, next_state))
+    result.complete = len(seen) < max_states
     return result
 
 
-def random_walk(first: S, check: Callable[[S], None], seed: int, length: int, faults: float = 0.1) -> SearchResult:
-    """Walk `length` random steps, a fault with probability `faults`; reaches depths beyond exhaustive search.
+def random_walk(
+    initial: StateT, check: Callable[[StateT], None], seed: int, length: int, fault_probability: float = 0.1
+) -> SearchResult:
+    """Walk `length` random steps, which reaches depths beyond an exhaustive search.
 
-    Raises `PropertyError` with the steps of the walk.
+    Each step is a fault with probability `fault_probability` if there is a choice.  Raises `PropertyError` with the
+    steps of the walk.
     """
-    chance, result, state = random.Random(seed), SearchResult(), first
+    rng, result, state = random.Random(seed), SearchResult(), initial
     for _ in range(length):
         _check(check, state)
         steps = list(state.steps())
         result.states, result.transitions = result.states + 1, result.transitions + len(steps)
-        wrong = chance.random() < faults
-        drawn = [step for step in steps if step.is_fault is wrong] or steps
-        if not drawn:
+        take_fault = rng.random() < fault_probability
+        candidates = [step for step in steps if step.is_fault is take_fault] or steps
+        if not candidates:
             break
-        step = chance.choice(drawn)
-        after = step.apply()
-        after.trail = (*state.trail, step.name)
-        state, result.depth = after, result.depth + 1
+        step = rng.choice(candidates)
+        next_state = step.apply()
+        next_state.trail = (*state.trail, step.name)
+        state, result.depth = next_state, result.depth + 1
     _check(check, state)
     return result
 
 
-def _check(check: Callable[[S], None], state: S) -> None:
+def _check(check: Callable[[StateT], None], state: StateT) -> None:
     try:
         check(state)
     except PropertyError as cause:
-        raise PropertyError(f"{cause}; by: {', '.join(state.trail)}") from None
+        raise PropertyError(f"{cause}; steps: {', '.join(state.trail)}") from None
