--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -1,4 +1,4 @@
-"""Background work: priorities, budgets, starvation bounds; seeded, and on the loop."""
+"""Background jobs: priorities, budgets and maximum waits, with random jobs and on the event loop."""
 
 from __future__ import annotations
 
@@ -14,11 +14,13 @@
 from kelptrail.clock import now_ms
 
 
-def job(name: str, priority: int = 1, every: float = 100.0, longest: float = 2000.0, share: float = 0.5) -> Job:
-    return Job(name, lambda: False, priority, every, longest, share)
+def job(
+    name: str, priority: int = 1, interval_ms: float = 100.0, max_wait_ms: float = 2000.0, share: float = 0.5
+) -> Job:
+    return Job(name, lambda: False, priority, interval_ms, max_wait_ms, share)
 
 
-def test_the_most_urgent_goes_first_one_at_a_time_and_only_when_due() -> None:
+def test_the_job_of_the_highest_priority_runs_first_one_at_a_time_and_only_when_due() -> None:
     scheduler = Scheduler(SchedulerSettings(1.0, 1.0, 1000.0), 0.0)
     low, high = scheduler.add(0.0, job("low", 5)), scheduler.add(0.0, job("high", 1, 0.0))
     with pytest.raises(ValueError, match="already"):
@@ -31,45 +33,45 @@
     scheduler.on_step_done(101.0, high, 0.0, False)
     assert scheduler.next_job(101.0, False) is low
     scheduler.on_step_done(102.0, low, 0.0, True)
-    assert scheduler.next_job(102.0, False) is low, "more of its turn remains"
+    assert scheduler.next_job(102.0, False) is low, "its run has more steps"
     scheduler.on_step_done(103.0, low, 0.0, False)
     assert scheduler.next_job(150.0, False) is None and low.due_at == 203.0 and high.due_at == float("inf")
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_budgets_are_kept_and_nothing_starves(seed: int) -> None:
-    chance, now = random.Random(seed), 0.0
-    settings = SchedulerSettings(chance.uniform(0.05, 0.4), 0.5, 100.0)
+def test_budgets_are_kept_and_no_job_starves(seed: int) -> None:
+    rng, now = random.Random(seed), 0.0
+    settings = SchedulerSettings(rng.uniform(0.05, 0.4), 0.5, 100.0)
     scheduler = Scheduler(settings, now)
     jobs = [
         scheduler.add(
             now,
-            job(f"j{n}", n, chance.choice([50.0, 300.0, 1000.0]), chance.uniform(500, 4000), chance.uniform(0.02, 0.3)),
+            job(f"j{n}", n, rng.choice([50.0, 300.0, 1000.0]), rng.uniform(500, 4000), rng.uniform(0.02, 0.3)),
         )
         for n in range(6)
     ]
-    spent, began, longest = 0.0, dict[Job, float](), 40.0
+    spent, began, max_step_ms = 0.0, dict[Job, float](), 40.0
     while now < 120_000:
         busy = (now // 10_000) % 2 == 1
         found = scheduler.next_job(now, busy)
         if found is None:
             wait = scheduler.wait_ms(now, busy)
-            assert wait > 0, "it would spin"
+            assert wait > 0, "a wait of 0 without a job to run would be a busy loop"
             now += min(wait, 50.0)
             continue
         began[found] = now
-        cost = chance.uniform(0, longest if chance.random() < 0.1 else 5)
+        cost = rng.uniform(0, max_step_ms if rng.random() < 0.1 else 5)
         now += cost
         spent += cost
-        scheduler.on_step_done(now, found, cost, chance.random() < 0.3)
-        assert spent <= settings.share * now + 2 * settings.max_budget_ms + longest
+        scheduler.on_step_done(now, found, cost, rng.random() < 0.3)
+        assert spent <= settings.share * now + 2 * settings.max_budget_ms + max_step_ms
     assert all(j.runs >= 5 for j in jobs), [(j.name, j.runs) for j in jobs]
-    whole = sum(longest for _ in jobs)
+    all_steps_ms = sum(max_step_ms for _ in jobs)
     for j in jobs:
-        assert j.worst_wait_ms <= j.max_wait_ms + (whole + 2 * settings.max_budget_ms) / settings.share
+        assert j.worst_wait_ms <= j.max_wait_ms + (all_steps_ms + 2 * settings.max_budget_ms) / settings.share
 
 
-def test_while_calls_are_in_hand_only_a_part_is_used() -> None:
+def test_while_requests_are_in_flight_only_a_part_of_the_budget_is_used() -> None:
     used = {}
     for busy in (False, True):
         scheduler, now = Scheduler(SchedulerSettings(0.1, 0.3, 200.0), 0.0), 0.0
@@ -83,14 +85,14 @@
     assert used[True] < 0.6 * used[False]
 
 
-def test_on_the_loop_steps_leave_calls_their_turn_and_a_fault_ends_only_itself() -> None:
+def test_steps_on_the_event_loop_yield_to_requests_and_an_error_in_one_job_does_not_stop_others() -> None:
     async def main() -> None:
         log, seen = Silent(), list[str]()
         background = Background(SchedulerSettings(0.3, 0.5, 50.0), now_ms, lambda: True, log)
 
         def slow() -> bool:
-            until = time.thread_time() + 0.01
-            while time.thread_time() < until:
+            end = time.thread_time() + 0.01
+            while time.thread_time() < end:
                 pass
             seen.append("slow")
             return True
@@ -115,6 +117,8 @@
             and ("background-failed", {"job": "broken", "reason": "RuntimeError: no"}) in log.lines
         )
         assert seen.count("slow") >= 3 and status["slow"]["cpu_ms"] <= 0.3 * 800 + 50 + 40
-        assert seen.count("late") <= 1 and sorted(gaps)[len(gaps) // 2] < 8, "most turns of the loop are the calls'"
+        assert seen.count("late") <= 1 and sorted(gaps)[len(gaps) // 2] < 8, (
+            "most gaps between turns of the event loop are short"
+        )
 
     run(main())
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,4 +1,4 @@
-"""Edge and planner on sockets: plans accepted, lost, forged, saved; a fault scenario with real processes."""
+"""Edge and planner on sockets: accepted, expired, forged and saved plans; a fault scenario with real processes."""
 
 from __future__ import annotations
 
@@ -28,25 +28,25 @@
 )
 
 
-async def until(what: object, within: float = 20.0) -> None:
-    end = now_ms() + within * 1000
-    while not what():  # type: ignore[operator]
+async def wait_until(condition: object, within_s: float = 20.0) -> None:
+    end = now_ms() + within_s * 1000
+    while not condition():  # type: ignore[operator]
         assert now_ms() < end, "the condition did not become true"
         await asyncio.sleep(0.02)
 
 
-class Pair:
-    """A dispatcher in this process that follows planners, and one planner."""
+class PlanningSetup:
+    """A dispatcher in this process with scripted workers, its planners, and the edge that follows them."""
 
     def __init__(self, state: Path, planners: int = 1) -> None:
         self.workers = [ScriptedWorker(f"w{n}") for n in range(3)]
         self.dispatcher = Dispatcher(self.workers, parse(FAST, "fast"))
         self.state, self.log = state, Silent()
         self.acceptors = Acceptors(self.dispatcher.deployment, state)
-        self.planners = [self.planner(n) for n in range(planners)]
-        self.edge = self.follower()
+        self.planners = [self.start_planner(n) for n in range(planners)]
+        self.edge = self.start_edge()
 
-    def planner(self, number: int, state: Path | None = None, port: int = 0) -> PlannerDriver:
+    def start_planner(self, number: int, state: Path | None = None, port: int = 0) -> PlannerDriver:
         fleet = self.acceptors.join(f"planner-{number}")
         assert fleet.leases is not None
         planner_driver = PlannerDriver(
@@ -64,7 +64,7 @@
         planner_driver.on_endpoints(EndpointList(self.dispatcher.version, [w.endpoint for w in self.workers], "test"))
         return planner_driver
 
-    def follower(self) -> PlanFollower:
+    def start_edge(self) -> PlanFollower:
         edge = PlanFollower(
             [p.address for p in self.planners],
             "edge",
@@ -78,8 +78,11 @@
         edge.start()
         return edge
 
-    async def calls(self, seconds: float) -> int:
-        """Calls one after the other; each must be completed.  Reports go as background work would send them."""
+    async def make_calls(self, seconds: float) -> int:
+        """Make calls one after the other, each of which must be completed; returns their number.
+
+        The edge's reports, in service a background job, are sent between the calls.
+        """
         end, done = now_ms() + seconds * 1000, 0
         while now_ms() < end:
             status, _, _ = await self.dispatcher.call("p/check")
@@ -102,25 +105,25 @@
 
 def test_edge_follows_a_plan_until_it_expires_and_serves_without_one(tmp_path: Path) -> None:
     async def main() -> None:
-        pair = Pair(tmp_path)
-        planner = pair.planners[0]
-        calling = asyncio.create_task(pair.calls(3.0))
-        await until(lambda: pair.edge.plan_state.target(now_ms()))
-        assert planner.planner.role is Role.LEADER and set(pair.edge.plan_state.target(now_ms()) or ()) == {"check"}
+        setup = PlanningSetup(tmp_path)
+        planner = setup.planners[0]
+        calling = asyncio.create_task(setup.make_calls(3.0))
+        await wait_until(lambda: setup.edge.plan_state.target(now_ms()))
+        assert planner.planner.role is Role.LEADER and set(setup.edge.plan_state.target(now_ms()) or ()) == {"check"}
         await calling
-        await planner.stop()  # the plan is followed until it expires, and calls are served all the time
-        assert await pair.calls(2.5) > 30 and pair.edge.plan_state.target(now_ms()) is None
-        assert not any(f.planned for f in pair.dispatcher.gateway.state.parts._functions.values())
-        pair.planners = [pair.planner(0, port=int(planner.address.rpartition(":")[2]))]
-        await asyncio.gather(until(lambda: pair.edge.plan_state.target(now_ms())), pair.calls(3.0))
-        assert pair.planners[0].planner.epoch > planner.planner.epoch, "a new epoch fences the first planner"
-        await pair.stop()
-        restarted = pair.follower()
-        assert restarted.plan_state.fence == pair.edge.plan_state.fence, "the next run knows the last plan"
+        await planner.stop()  # the plan is followed until it expires, and calls are always served
+        assert await setup.make_calls(2.5) > 30 and setup.edge.plan_state.target(now_ms()) is None
+        assert not any(f.planned for f in setup.dispatcher.gateway.state.parts._functions.values())
+        setup.planners = [setup.start_planner(0, port=int(planner.address.rpartition(":")[2]))]
+        await asyncio.gather(wait_until(lambda: setup.edge.plan_state.target(now_ms())), setup.make_calls(3.0))
+        assert setup.planners[0].planner.epoch > planner.planner.epoch, "a new epoch fences the first planner"
+        await setup.stop()
+        restarted = setup.start_edge()
+        assert restarted.plan_state.fence == setup.edge.plan_state.fence, "the next run restores the last plan"
         await restarted.stop()
         (tmp_path / "plan.bin").write_bytes(b"nonsense")
-        with_damaged_file = pair.follower()
-        assert with_damaged_file.plan_state.plan is None and any(e == "saved-plan-unusable" for e, _ in pair.log.lines)
+        with_damaged_file = setup.start_edge()
+        assert with_damaged_file.plan_state.plan is None and any(e == "saved-plan-unusable" for e, _ in setup.log.lines)
         await with_damaged_file.stop()
 
     run(main())
@@ -128,33 +131,34 @@
 
 def test_one_of_two_planners_leads_and_the_other_takes_over(tmp_path: Path) -> None:
     async def main() -> None:
-        pair = Pair(tmp_path, 2)
-        await pair.calls(2.5)
-        leaders = [p for p in pair.planners if p.planner.role is Role.LEADER]
+        setup = PlanningSetup(tmp_path, 2)
+        await setup.make_calls(2.5)
+        leaders = [p for p in setup.planners if p.planner.role is Role.LEADER]
         assert len(leaders) == 1
         first = leaders[0]
         await first.stop()
-        pair.planners.remove(first)
+        setup.planners.remove(first)
         began = now_ms()
-        core = pair.planners[0].planner
-        await asyncio.gather(until(lambda: core.role is Role.LEADER), pair.calls(2.0))
-        while pair.edge.plan_state.fence[:2] != (core.epoch, core.owner):  # its first plan has not arrived
-            assert now_ms() - began < 6000, (pair.edge.plan_state.fence, core.epoch, core.owner)
-            await pair.calls(0.1)
+        core = setup.planners[0].planner
+        await asyncio.gather(wait_until(lambda: core.role is Role.LEADER), setup.make_calls(2.0))
+        # Wait for the first plan of the new leader.
+        while setup.edge.plan_state.fence[:2] != (core.epoch, core.owner):
+            assert now_ms() - began < 6000, (setup.edge.plan_state.fence, core.epoch, core.owner)
+            await setup.make_calls(0.1)
         assert now_ms() - began < 6000
-        await pair.stop()
+        await setup.stop()
 
     run(main())
 
 
 def test_draining_worker_gets_no_attempts_and_forged_plans_are_refused(tmp_path: Path) -> None:
     async def main() -> None:
-        pair = Pair(tmp_path, 0)
+        setup = PlanningSetup(tmp_path, 0)
         offers: list[bytes] = []
         received: list[object] = []
 
         async def forger(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            writer.write(encode_frame(Hello(VERSION, "forger", pair.dispatcher.deployment.name)))
+            writer.write(encode_frame(Hello(VERSION, "forger", setup.dispatcher.deployment.name)))
             frames = FrameReader(READ)
             while data := await reader.read(65536):
                 received.extend(frames.feed(data))
@@ -167,51 +171,52 @@
         edge = PlanFollower(
             [f"127.0.0.1:{port}"],
             "edge",
-            pair.dispatcher.deployment.name,
-            pair.dispatcher.gateway,
-            pair.dispatcher.driver.schedule_decisions,
+            setup.dispatcher.deployment.name,
+            setup.dispatcher.gateway,
+            setup.dispatcher.driver.schedule_decisions,
             None,
-            pair.log,
+            setup.log,
         )
         edge.start()
-        await pair.calls(0.2)
-        name, endpoints_version = pair.dispatcher.deployment.name, edge.endpoints_version
+        await setup.make_calls(0.2)
+        name, endpoints_version = setup.dispatcher.deployment.name, edge.endpoints_version
         instances = {"check": {"w0": 2, "w1": 2, "w2": 2}, "activate": {"w1": 1}}
         plan = make_plan(name, (1, "forger", 1), 9e5, endpoints_version, instances)
         offers.append(encode_plan(plan, 0.0))
-        await asyncio.gather(until(lambda: edge.plan_state.accepted == 1), pair.calls(0.5))
-        orders = sum(w.load_order_count for w in pair.workers)
+        await asyncio.gather(wait_until(lambda: edge.plan_state.accepted == 1), setup.make_calls(0.5))
+        orders = sum(w.load_order_count for w in setup.workers)
         assert orders >= 2, "instances are loaded ahead of calls"
-        pair.workers[1].state = "draining"
-        pair.dispatcher.set_workers(pair.workers)
+        setup.workers[1].state = "draining"
+        setup.dispatcher.set_workers(setup.workers)
         edge.on_endpoints()
-        draining = pair.workers[1]
-        before = draining.load_order_count, len(draining.attempts)
-        await pair.calls(1.0)
-        after = draining.load_order_count, len(draining.attempts)
-        assert after == before, "a draining worker gets nothing"
+        draining_worker = setup.workers[1]
+        before = draining_worker.load_order_count, len(draining_worker.attempts)
+        await setup.make_calls(1.0)
+        after = draining_worker.load_order_count, len(draining_worker.attempts)
+        assert after == before, "a draining worker gets neither load orders nor attempts"
         offers += [
             encode_plan(make_plan(name, (1, "forger", n), 9e5, endpoints_version, {"check": {w: 1}}), 0.0)
             for n, w in ((2, "w1"), (3, "nobody"), (1, "w0"))
         ] + [encode_plan(plan, 0.0)[:-3], b"", b"\x28\xb5"]
-        await until(lambda: sum(isinstance(m, PlanReply) for m in received) >= 7)
+        await wait_until(lambda: sum(isinstance(m, PlanReply) for m in received) >= 7)
         reasons = [m.reason for m in received if isinstance(m, PlanReply)]
         assert reasons == ["", "workers", "workers", "older", "digest", "digest", "digest"]
         assert edge.plan_state.fence == (1, "forger", 1)
         await edge.stop()
         server.close()
-        await pair.stop()
+        await setup.stop()
 
     run(main())
 
 
 @pytest.mark.scenarios
 @pytest.mark.parametrize("seed", [1])
-def test_planner_fault_scenario_breaks_no_rule(seed: int, tmp_path: Path) -> None:
-    """Planners are slow, killed and started without state while workers drain and crash."""
+def test_planner_fault_scenario_violates_no_invariant(seed: int, tmp_path: Path) -> None:
+    """Planners are slow, are killed and start without state while workers drain and crash."""
     scenario = (ROOT / "examples" / "bad-days" / "planned.sexp").read_text()
     for old, new in (
-        ("(seconds 40)", "(seconds 18)"),  # eight after the last planner is back: a lease has to expire and be acquired
+        # 8 s remain after the last planner is back, in which the lease must expire and be acquired.
+        ("(seconds 40)", "(seconds 18)"),
         ("(at 8)", "(at 5)"),
         ("(at 10) (for 8)", "(at 6) (for 2)"),
         ("(at 12) (for 4)", "(at 6) (for 3)"),
@@ -227,7 +232,7 @@
         scenario = scenario.replace(old, new)
     file = tmp_path / "planned.sexp"
     file.write_text(scenario)
-    done = subprocess.run(
+    completed = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -244,9 +249,9 @@
         timeout=90,
         check=False,
     )
-    assert done.returncode == 0, done.stderr[-2000:]
-    report = json.loads(done.stdout)
+    assert completed.returncode == 0, completed.stderr[-2000:]
+    report = json.loads(completed.stdout)
     assert not report["broken"] and report["taken"] > 700 and report["unanswered"] == 0
     assert report["completed"] > 0.95 * report["taken"]
     logs = "".join(f.read_text() for f in (tmp_path / "out" / "logs").glob("planner-*.log"))
-    assert logs.count('"role":"acting"') >= 2, "a planner led, was lost, and was followed by another"
+    assert logs.count('"role":"acting"') >= 2, "after the first leader was lost, another planner led"
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Plans, placements, demand, the planner's and the edge's cores, and the channel between them."""
+"""Plans, placements, demand, the cores of planner and edge, and the channel between them."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 # Plans.
 
 
-def test_plans_are_encoded_completely_or_as_a_difference_and_altered_ones_refused() -> None:
+def test_plans_are_encoded_completely_or_as_a_difference_and_altered_plans_are_refused() -> None:
     first = plan_of(1, instances={f"m{n}": {"w1": 1, "w2": n % 3} for n in range(300)})
     second = plan_of(
         2, instances=apply_difference(first.instances, {"m3": {"w1": 0}, "m9": {"w4": 2}, "new": {"w0": 1}})
@@ -90,17 +90,17 @@
             del broken[rng.randrange(len(broken)) :]
         else:
             broken[rng.randrange(len(broken))] ^= 1 << rng.randrange(8)
-        follower = PlanState("here")
+        plan_state = PlanState("here")
         try:
             packet = decode_plan(bytes(broken))
         except PlanError:
             continue
-        if follower.on_plan(0.0, packet, LIVE, ENDPOINTS_VERSION) is None and follower.plan is not None:
-            assert follower.plan.instances == second.instances, "an accepted plan is unaltered"
+        if plan_state.on_plan(0.0, packet, LIVE, ENDPOINTS_VERSION) is None and plan_state.plan is not None:
+            assert plan_state.plan.instances == second.instances, "an accepted plan is unaltered"
 
 
 def test_edge_accepts_a_plan_completely_or_refuses_it_with_a_reason() -> None:
-    follower = PlanState("here")
+    plan_state = PlanState("here")
 
     def offer(
         plan: Plan,
@@ -110,45 +110,49 @@
         live: set[str] | None = None,
         endpoints_version: tuple[str, int] = ENDPOINTS_VERSION,
     ) -> RefusalReason | None:
-        found = follower.on_plan(
+        refusal = plan_state.on_plan(
             now, decode_plan(encode_plan(plan, age, before)), LIVE if live is None else live, endpoints_version
         )
-        return found.reason if found is not None else None
+        return refusal.reason if refusal is not None else None
 
-    assert follower.target(0.0) is None
+    assert plan_state.target(0.0) is None
     first = plan_of(1)
-    assert offer(first) is None and follower.target(0.0) == {"m": {"w1": 1}}
+    assert offer(first) is None and plan_state.target(0.0) == {"m": {"w1": 1}}
     assert offer(first) is RefusalReason.OLDER and offer(plan_of(0)) is RefusalReason.OLDER
     assert offer(plan_of(2, lineage="there")) is RefusalReason.LINEAGE
     assert offer(plan_of(2), age=10_000.0) is RefusalReason.EXPIRED
     assert offer(plan_of(2, instances={"m": {"w1": 1, "gone": 1}})) is RefusalReason.WORKERS
-    assert offer(plan_of(2, instances={"m": {"w1": 1}}), live=LIVE - {"w1"}) is RefusalReason.WORKERS, "it drains"
+    assert offer(plan_of(2, instances={"m": {"w1": 1}}), live=LIVE - {"w1"}) is RefusalReason.WORKERS, (
+        "the worker is draining"
+    )
     packet = decode_plan(encode_plan(plan_of(2), 0.0))
-    altered = follower.on_plan(
+    altered = plan_state.on_plan(
         0.0, msgspec.structs.replace(packet, instances={"m": {"w2": 1}}), LIVE, ENDPOINTS_VERSION
     )
     assert altered is not None and altered.reason is RefusalReason.DIGEST
-    assert follower.target(0.0) == {"m": {"w1": 1}}, "a refused plan changes nothing"
+    assert plan_state.target(0.0) == {"m": {"w1": 1}}, "a refused plan changes nothing"
     second, third = plan_of(2, instances={"m": {"w2": 1}}), plan_of(3, instances={"m": {"w3": 1}})
     assert offer(third, before=second) is RefusalReason.BASE
     assert offer(second, 100.0, 400.0, first) is None
-    assert follower.remaining_ms(100.0) == 9600 and follower.target(9700.1) is None, "it has expired"
-    assert offer(plan_of(1, epoch=1, owner="q")) is None, "within one epoch the later name wins"
+    assert plan_state.remaining_ms(100.0) == 9600 and plan_state.target(9700.1) is None, "the plan has expired"
+    assert offer(plan_of(1, epoch=1, owner="q")) is None, "within one epoch the greater owner name is later"
     assert offer(plan_of(9, epoch=1, owner="p")) is RefusalReason.OLDER
     assert offer(plan_of(1, epoch=2, owner="a")) is None
-    assert offer(plan_of(9, epoch=1, owner="q")) is RefusalReason.OLDER, "fenced"
+    assert offer(plan_of(9, epoch=1, owner="q")) is RefusalReason.OLDER, "plans of an earlier epoch are fenced"
     plan_of_later_list = plan_of(2, epoch=2, owner="a", instances={"m": {"new": 1}}, endpoints_version=("list", 7))
-    assert offer(plan_of_later_list, 500.0) is None and follower.target(500.0) == {"m": {"w1": 1}}, (
-        "the edge's list is older: the plan waits"
+    assert offer(plan_of_later_list, 500.0) is None and plan_state.target(500.0) == {"m": {"w1": 1}}, (
+        "the plan waits while the edge's endpoint list is older"
     )
-    assert follower.on_endpoints(600.0, LIVE, ("list", 6)) is None and follower.target(600.0) == {"m": {"w1": 1}}
-    assert follower.on_endpoints(700.0, LIVE | {"new"}, ("list", 7)) is None
-    assert follower.target(700.0) == {"m": {"new": 1}}
-    saved = follower.plan
+    assert plan_state.on_endpoints(600.0, LIVE, ("list", 6)) is None and plan_state.target(600.0) == {"m": {"w1": 1}}
+    assert plan_state.on_endpoints(700.0, LIVE | {"new"}, ("list", 7)) is None
+    assert plan_state.target(700.0) == {"m": {"new": 1}}
+    saved = plan_state.plan
     assert saved is not None
     restarted = PlanState("here")
-    assert not restarted.restore(0.0, saved, 5000.0, LIVE) and restarted.target(0.0) is None, "its worker is not live"
-    assert restarted.fence == saved.header.order, "but it fences"
+    assert not restarted.restore(0.0, saved, 5000.0, LIVE) and restarted.target(0.0) is None, (
+        "the plan's worker is not live"
+    )
+    assert restarted.fence == saved.header.order, "a saved plan that is not followed still fences"
     assert restarted.restore(0.0, saved, 5000.0, LIVE | {"new"}) and restarted.remaining_ms(0.0) == 5000.0
     assert not PlanState("there").restore(0.0, saved, 5000.0, LIVE | {"new"})
 
@@ -185,25 +189,25 @@
 @pytest.mark.parametrize("seed", range(25))
 def test_placements_respect_memory_and_budget_and_the_program_is_never_worse(seed: int) -> None:
     capacities, demands, budget = random_problem(seed, 6, 14, 0.7)
-    found = [place_greedily(capacities, demands, budget), place_by_program(capacities, demands, budget)]
-    for placed in found:
-        assert not violations(placed.instances, capacities, demands, budget)
-        assert placed.cost == pytest.approx(placement_cost(placed.instances, capacities, demands)[0])
-    assert found[1].cost <= found[0].cost + 1e-9
+    placements = [place_greedily(capacities, demands, budget), place_by_program(capacities, demands, budget)]
+    for placement in placements:
+        assert not violations(placement.instances, capacities, demands, budget)
+        assert placement.cost == pytest.approx(placement_cost(placement.instances, capacities, demands)[0])
+    assert placements[1].cost <= placements[0].cost + 1e-9
     assert (
-        place_by_program(capacities, demands, budget) == found[1]
-        and place_greedily(capacities, demands, budget) == found[0]
-    ), "deterministic"
+        place_by_program(capacities, demands, budget) == placements[1]
+        and place_greedily(capacities, demands, budget) == placements[0]
+    ), "placements are deterministic"
     shuffled = random.Random(seed).sample(demands, len(demands))
-    assert place_greedily(capacities, shuffled, budget).cost == pytest.approx(found[0].cost, rel=0.05)
+    assert place_greedily(capacities, shuffled, budget).cost == pytest.approx(placements[0].cost, rel=0.05)
     assert place_greedily([], demands, budget).instances == {} and place_by_program([], demands, budget).instances == {}
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_small_placements_are_close_to_the_optimum(seed: int) -> None:
-    """All placements of three functions on three workers, by brute force."""
+    """Compares both solvers with the best placement of three functions on three workers, found by brute force."""
     rng = np.random.default_rng(seed)
-    capacities = [WorkerCapacity(f"w{n}", 1250.0, 2) for n in range(3)]  # 1,000 MB may be used
+    capacities = [WorkerCapacity(f"w{n}", 1250.0, 2) for n in range(3)]  # plans may use 1,000 MB
     demands = [
         FunctionDemand(
             f"m{n}",
@@ -218,14 +222,17 @@
         for n in range(3)
     ]
     best = float("inf")
-    each = list(itertools.product(range(3), repeat=3))
-    for counts in itertools.product(each, repeat=3):
+    counts_by_worker = list(itertools.product(range(3), repeat=3))
+    for counts in itertools.product(counts_by_worker, repeat=3):
         instances = {
-            n.model: {f"w{w}": c for w, c in enumerate(at) if c} for n, at in zip(demands, counts, strict=True)
+            demand.model: {f"w{worker}": count for worker, count in enumerate(by_worker) if count}
+            for demand, by_worker in zip(demands, counts, strict=True)
         }
-        instances = {m: at for m, at in instances.items() if at}
+        instances = {model: by_worker for model, by_worker in instances.items() if by_worker}
         if all(
-            sum(at.values()) <= n.instances_needed for n in demands if (at := instances.get(n.model, {}))
+            sum(by_worker.values()) <= demand.instances_needed
+            for demand in demands
+            if (by_worker := instances.get(demand.model, {}))
         ) and not violations(instances, capacities, demands, 4):
             best = min(best, placement_cost(instances, capacities, demands)[0])
     assert place_by_program(capacities, demands, 4).cost <= best * 1.01 + 0.01
@@ -248,9 +255,11 @@
         now = 1e8 + second * 1000.0
         demand.add_report(now, "e", {"m": FunctionCounters(10, 10, 0, 0, 0, 0, 500.0)})
         demand.close_window(now, 7)
-    now_rate = max(demand.functions["m"].fast_rate, 0.7 * demand.functions["m"].slow_rate)
-    assert demand.forecast("m", 8) == pytest.approx(2 * now_rate), "usually eight times as much: planned is twice"
-    assert demand.forecast("m", 7) == pytest.approx(now_rate)
+    present_rate = max(demand.functions["m"].fast_rate, 0.7 * demand.functions["m"].slow_rate)
+    assert demand.forecast("m", 8) == pytest.approx(2 * present_rate), (
+        "the usual rate grows eightfold, the forecast at most twofold"
+    )
+    assert demand.forecast("m", 7) == pytest.approx(present_rate)
     assert demand.recently_requested(1e8 + 60_000, "e", 5000.0) == {"m"} and not demand.recently_requested(
         2e8, "e", 5000.0
     )
@@ -269,7 +278,7 @@
     order: tuple[int, str, int] = BEFORE_ALL_PLANS,
     steps: int = 30,
 ) -> float:
-    """Report one function's usage each second and solve the planner's problems."""
+    """Report the usage of one function each second and solve the planner's problems; returns the time afterwards."""
     for _ in range(steps):
         now += 1000
         planner.on_report(now, edge, order, {"m1": FunctionCounters(rate, rate, 0, 0, 0, 0, rate * 100.0)}, {})
@@ -279,21 +288,21 @@
     return now
 
 
-def test_instances_scale_up_at_once_and_down_after_a_while() -> None:
+def test_instances_scale_up_at_once_and_down_after_a_delay() -> None:
     planner = Planner("p", SETTINGS, MODELS, 0.0)
     planner.on_endpoints(0.0, WORKERS, ENDPOINTS_VERSION)
     run_planner(planner, 0.0, 90)
-    assert not planner.counters.plans, "no plan before the lease is held"
+    assert not planner.counters.plans, "no plan is made before the lease is acquired"
     planner.on_lease_acquired(30_000.0, 1, "p/1")
     now = run_planner(planner, 30_000.0, 90)
     assert planner.role is Role.LEADER and planner.epoch == 1
     high = sum(planner.target["m1"].values())
     assert high == replace(planner._demands(now, 8)[0]).instances_needed == 4
-    same = planner.counters.unchanged
+    unchanged = planner.counters.unchanged
     now = run_planner(planner, now, 90)
-    assert planner.counters.unchanged >= same + 10, "constant demand gives a constant plan"
+    assert planner.counters.unchanged >= unchanged + 10, "constant demand leads to unchanged plans"
     now = run_planner(planner, now, 20, steps=12)
-    assert sum(planner.target["m1"].values()) == high, "not yet"
+    assert sum(planner.target["m1"].values()) == high, "instances are not reduced before the delay has passed"
     now = run_planner(planner, now, 20, steps=200)
     assert sum(planner.target["m1"].values()) < high
     before = planner.counters.plans
@@ -303,16 +312,16 @@
 
 
 def test_edges_fence_a_planner_that_has_lost_the_lease() -> None:
-    """A lease passes between planners; the previous holder learns of it late or only from the edges; plans are lost,
-    delayed and duplicated.  The order of an edge's plan only grows, and at the end it is the holder's."""
+    """The lease passes between planners, and the previous holder is notified late or only by the edges; reports are
+    lost, plans are delayed and duplicated.  The order of an edge's plan must only increase, and in the end the plan
+    must be that of the lease holder."""
     for seed in range(15):
         rng = random.Random(seed)
         planners = {name: Planner(name, SETTINGS, MODELS, 0.0) for name in ("p", "q")}
         edges = {f"e{n}": PlanState("here") for n in range(4)}
         in_flight_plans: list[tuple[float, str, Plan]] = []
-        lease_news: list[
-            tuple[float, str, int]
-        ] = []  # when a planner learns that it holds the lease, or (0) that it does not
+        # Time of the notification, planner, and epoch of the acquired lease; epoch 0: the lease is lost.
+        lease_notifications: list[tuple[float, str, int]] = []
         now, accepted, epoch, lease_holder = 0.0, 0, 0, ""
         for planner in planners.values():
             planner.on_endpoints(0.0, WORKERS, ENDPOINTS_VERSION)
@@ -320,20 +329,20 @@
             now += 250
             if not lease_holder or (rng.random() < 0.02 and now < 40_000):
                 if lease_holder:
-                    lease_news.append((now + rng.choice([0, 500, 20_000]), lease_holder, 0))
+                    lease_notifications.append((now + rng.choice([0, 500, 20_000]), lease_holder, 0))
                 lease_holder, epoch = rng.choice(["p", "q"]), epoch + 1
-                lease_news.append((now, lease_holder, epoch))
-            for _, name, number in [one for one in lease_news if one[0] <= now]:
-                if number:
-                    planners[name].on_lease_acquired(now, number, name)
+                lease_notifications.append((now, lease_holder, epoch))
+            for _, name, new_epoch in [notification for notification in lease_notifications if notification[0] <= now]:
+                if new_epoch:
+                    planners[name].on_lease_acquired(now, new_epoch, name)
                 elif planners[name].epoch < epoch and planners[name].role is Role.LEADER and name != lease_holder:
                     planners[name].on_lease_lost()
-            lease_news = [one for one in lease_news if one[0] > now]
+            lease_notifications = [notification for notification in lease_notifications if notification[0] > now]
             for planner in planners.values():
-                for edge, follower in edges.items():
+                for edge, plan_state in edges.items():
                     if now >= 40_000 or rng.random() < 0.8:
                         planner.on_report(
-                            now, edge, follower.fence, {"m1": FunctionCounters(5, 5, 0, 0, 0, 0, 9.0)}, {}
+                            now, edge, plan_state.fence, {"m1": FunctionCounters(5, 5, 0, 0, 0, 0, 9.0)}, {}
                         )
                 planner.tick(now, 8)
                 if (problem := planner.next_problem(now, 8)) is not None:
@@ -346,20 +355,20 @@
             due = [plan_in_flight for plan_in_flight in in_flight_plans if plan_in_flight[0] <= now]
             in_flight_plans = [plan_in_flight for plan_in_flight in in_flight_plans if plan_in_flight[0] > now]
             for _, edge, plan in due:
-                follower, before = edges[edge], edges[edge].fence
-                report = follower.on_plan(now, decode_plan(encode_plan(plan, 0.0)), LIVE, ENDPOINTS_VERSION)
-                accepted += report is None
-                assert follower.fence >= before and (report is None) == (follower.fence > before)
-                if report is not None and plan.header.owner in planners:
-                    planners[plan.header.owner].on_plan_refused(now, edge, report.reason.value, follower.fence)
+                plan_state, before = edges[edge], edges[edge].fence
+                refusal = plan_state.on_plan(now, decode_plan(encode_plan(plan, 0.0)), LIVE, ENDPOINTS_VERSION)
+                accepted += refusal is None
+                assert plan_state.fence >= before and (refusal is None) == (plan_state.fence > before)
+                if refusal is not None and plan.header.owner in planners:
+                    planners[plan.header.owner].on_plan_refused(now, edge, refusal.reason.value, plan_state.fence)
         assert [p.name for p in planners.values() if p.role is Role.LEADER] == [lease_holder] and accepted > 20, seed
-        assert {f.fence[:2] for f in edges.values()} == {(epoch, lease_holder)}
+        assert {plan_state.fence[:2] for plan_state in edges.values()} == {(epoch, lease_holder)}
 
 
 # The channel.
 
 
-def test_frames_are_read_in_parts_of_any_size_and_violations_reported() -> None:
+def test_frames_are_parsed_from_chunks_of_any_size_and_protocol_violations_reported() -> None:
     messages = [
         Hello(VERSION, "e", "here", (3, "p", 1)),
         Heartbeat(True, 4),
@@ -371,15 +380,15 @@
     for size in (1, 3, 7, len(data)):
         reader = FrameReader(READ)
         assert [m for n in range(0, len(data), size) for m in reader.feed(data[n : n + size])] == messages
-    for bad, word in (
+    for invalid, text in (
         (encode_frame(Heartbeat()), "hello must come first"),
         (encode_frame(messages[0]) * 2, "one hello"),
         (encode_frame(Hello(0, "e", "here")), "version 0"),
         (b"\xff\xff\xff\xff", "a frame of"),
         (encode_frame(messages[0]) + b"\0\0\0\3abc", "no message"),
     ):
-        with pytest.raises(ChannelError, match=word):
-            FrameReader(READ).feed(bad)
+        with pytest.raises(ChannelError, match=text):
+            FrameReader(READ).feed(invalid)
     rng = np.random.default_rng(1)
     for _ in range(500):
         reader = FrameReader(READ, 1 << 16)
@@ -390,8 +399,8 @@
 
 
 def test_slow_edge_gets_only_the_latest_plan_and_reports_changes() -> None:
-    planner_channel, follower, leader_contact = PlannerChannel("p", "here"), PlanState("here"), LeaderContact(0.0)
-    edge, reader = EdgeChannel("e", "here", follower, leader_contact, 0.0), FrameReader(READ)
+    planner_channel, plan_state, leader_contact = PlannerChannel("p", "here"), PlanState("here"), LeaderContact(0.0)
+    edge, reader = EdgeChannel("e", "here", plan_state, leader_contact, 0.0), FrameReader(READ)
     planner_reader = FrameReader(READ)
     for message in planner_reader.feed(b"".join(edge.output)):
         planner_channel.on_message(message)
@@ -399,7 +408,7 @@
     for number in range(1, 6):
         planner_channel.offer_plan(plan_of(number, instances={"m": {f"w{number}": 1}}), 0.0)
         planner_channel.queue_next_plan(0.0)
-    assert len(planner_channel.output) == 2, "one plan in flight"
+    assert len(planner_channel.output) == 2, "only one plan is in flight, after the hello"
     for message in reader.feed(b"".join(planner_channel.output)):
         edge.on_message(1.0, message, LIVE, ENDPOINTS_VERSION)
     planner_channel.output.clear()
@@ -409,8 +418,10 @@
     assert planner_channel.queue_next_plan(2.0) and not planner_channel.queue_next_plan(2.0)
     for message in reader.feed(b"".join(planner_channel.output)):
         assert edge.on_message(2.0, message, LIVE, ENDPOINTS_VERSION) is PlanResult.ACCEPTED
-    assert follower.fence == (1, "p", 5) and follower.target(2.0) == {"m": {"w5": 1}}, "the plans between were skipped"
-    assert follower.accepted == 2 and leader_contact.silent_ms(2.0) == 0.0
+    assert plan_state.fence == (1, "p", 5) and plan_state.target(2.0) == {"m": {"w5": 1}}, (
+        "the plans between the first and the last are skipped"
+    )
+    assert plan_state.accepted == 2 and leader_contact.silent_ms(2.0) == 0.0
     for loaded in ({"a": {"w1": 2}}, {"a": {"w1": 1}, "b": {"w2": 1}}, {"b": {"w2": 1}}):
         edge.add_counters({"a": FunctionCounters(1, 1, 0, 0, 0, 4, 5.0)})
         edge.add_counters({"a": FunctionCounters(2, 1, 0, 0, 0, 2, 5.0)})
@@ -454,20 +465,20 @@
     complete_loads(dispatcher, 0.0, first)
     dispatcher.on_plan({function: dict.fromkeys(workers[:6], 1)})
     workers[0].state = workers[1].state = WorkerState.DRAINING
-    workers[2].started_at = 0.0  # in its slow start
+    workers[2].started_at = 0.0  # the worker is in its slow start
     orders = [o for n in range(1, 12) for o in tick_and_take_orders(dispatcher, 100.0 * n)]
-    assert len(first) == 1 and len(orders) == 2, "half of six, with the one for the queued request"
+    assert len(first) == 1 and len(orders) == 2, "half of the ration of six, including the order for the queued request"
     complete_loads(dispatcher, 1200.0, orders)
-    again = [o for n in range(120, 130) for o in tick_and_take_orders(dispatcher, 100.0 * n)]
-    ordered = {o.instance.worker for o in [*orders, *again]}
+    later_orders = [o for n in range(120, 130) for o in tick_and_take_orders(dispatcher, 100.0 * n)]
+    ordered = {o.instance.worker for o in [*orders, *later_orders]}
     assert ordered <= set(workers[2:6]) and all(o.instance.worker.live for o in orders)
-    assert len(ordered) >= 3, "more orders are allowed after the window"
+    assert len(ordered) >= 3, "more orders are allowed after the window of the ration"
 
 
 def test_planned_instances_are_kept_while_planned() -> None:
     def run_dispatcher(plan: bool) -> list[tuple[float, str, int]]:
         dispatcher = make_dispatcher(4, load_ration=LoadRation(True, 999.0, 0.0, 10_000.0))
-        function, out = make_function(concurrency=2), list[tuple[float, str, int]]()
+        function, load_orders = make_function(concurrency=2), list[tuple[float, str, int]]()
         dispatcher.on_request(0.0, new_request(function, 0.0, 1))
         for step in range(600):
             now = 100.0 * step
@@ -475,48 +486,50 @@
                 dispatcher.on_plan({function: {dispatcher.workers[3]: 1}})
             if plan and step == 300:
                 dispatcher.on_plan({})
-            if step % 100 == 0:  # requested now and then, so that it is not forgotten
+            if step % 100 == 0:  # occasional requests keep the function known
                 dispatcher.on_request(now, new_request(function, now, step))
             dispatcher.on_tick(now)
             for decision in decide_all(dispatcher, now):
                 if isinstance(decision, HoldOrder):
-                    out.append((now, decision.instance.worker.id, decision.count))
+                    load_orders.append((now, decision.instance.worker.id, decision.count))
                     dispatcher.on_load_report(now, decision, AttemptStatus.COMPLETED, decision.count)
                 elif isinstance(decision, Attempt):
                     dispatcher.on_attempt_finished(
                         now, decision, AttemptResult(AttemptStatus.COMPLETED, True, warm=True)
                     )
-        return out
+        return load_orders
 
-    planned, plain = run_dispatcher(True), run_dispatcher(False)
-    last = make_dispatcher(4).workers[3].id
-    assert sum(w == last and t < 30_000 for t, w, _ in planned) > sum(w == last and t < 30_000 for t, w, _ in plain)
-    assert run_dispatcher(False) == plain
+    with_plan, without_plan = run_dispatcher(True), run_dispatcher(False)
+    planned_worker = make_dispatcher(4).workers[3].id
+    assert sum(w == planned_worker and t < 30_000 for t, w, _ in with_plan) > sum(
+        w == planned_worker and t < 30_000 for t, w, _ in without_plan
+    )
+    assert run_dispatcher(False) == without_plan
 
 
 def test_loads_for_queued_requests_go_to_planned_workers_first() -> None:
-    """Guards against each dispatcher's loading instances of its own after a release."""
+    """Guards against dispatchers that each load additional instances of their own after a release."""
     function, dispatcher = (
         make_function(concurrency=1),
         make_dispatcher(8, load_ration=LoadRation(True, 999.0, 0.0, 10_000.0)),
     )
     dispatcher.on_request(0.0, new_request(function, 0.0, 0))
-    own = next(d for d in decide_all(dispatcher, 0.0) if isinstance(d, HoldOrder)).instance.worker
-    planned = [w for w in dispatcher.workers if w is not own][-2:]
+    first_worker = next(d for d in decide_all(dispatcher, 0.0) if isinstance(d, HoldOrder)).instance.worker
+    planned = [w for w in dispatcher.workers if w is not first_worker][-2:]
     dispatcher.on_plan({function: dict.fromkeys(planned, 1)})
     orders: list[Worker] = []
-    for step in range(60):  # queueing without a tick: nothing is loaded ahead
+    for step in range(60):  # without ticks, so that only queued requests cause loads
         now = 30.0 * step
         dispatcher.on_request(now, new_request(function, now, step + 1, 60_000.0))
         orders += [d.instance.worker for d in decide_all(dispatcher, now) if isinstance(d, HoldOrder)]
     assert set(orders[:2]) == set(planned) and len(orders) > 2
-    assert not set(orders[2:]) & set(planned), "each planned worker has its order; further ones go elsewhere"
+    assert not set(orders[2:]) & set(planned), "after one order for each planned worker, orders go to other workers"
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_load_ration_and_worker_states_hold_with_random_plans(seed: int) -> None:
-    """Random plans, draining workers, attempts without an instance and failed loads: the load ration is kept, and no
-    order goes to a worker that is not live."""
+def test_load_ration_and_worker_states_are_respected_with_random_plans(seed: int) -> None:
+    """With random plans, draining workers, attempts that find no instance and failed loads, the load ration is not
+    exceeded, and no order or attempt goes to a worker that is not live."""
     rng = random.Random(seed)
     dispatcher = make_dispatcher(10, load_ration=LoadRation(True, 5.0, 0.3, 5000.0))
     functions = [make_function(f"f{n}", concurrency=2) for n in range(6)]
@@ -566,9 +579,9 @@
 
 
 def test_planners_that_get_reports_at_different_times_each_get_all_counters() -> None:
-    """Guards against splitting the counters among the planners."""
-    follower, leader_contact = PlanState("here"), LeaderContact(0.0)
-    channels = [EdgeChannel("e", "here", follower, leader_contact, start, 1000.0) for start in (0.0, 500.0)]
+    """Guards against counters that are split among the planners instead of being reported to each."""
+    plan_state, leader_contact = PlanState("here"), LeaderContact(0.0)
+    channels = [EdgeChannel("e", "here", plan_state, leader_contact, start, 1000.0) for start in (0.0, 500.0)]
     received = [0, 0]
     readers = [FrameReader(READ), FrameReader(READ)]
     for step in range(41):
@@ -579,4 +592,4 @@
             for message in reader.feed(b"".join(planner_channel.output)):
                 received[number] += message.counters["m"].received if isinstance(message, UsageReport) else 0
             planner_channel.output.clear()
-    assert received[0] == 41 and received[1] == 39, "all but the counters since the last report"
+    assert received[0] == 41 and received[1] == 39, "all counters except those since the last report"
