--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -13,8 +13,7 @@
 
 from kelptrail.dispatch.attempt_results import AttemptResult
 from kelptrail.dispatch.dispatcher import Dispatcher
-from kelptrail.dispatch.entities import Attempt, AttemptStatus, Worker, WorkerState
-from kelptrail.dispatch.entities import LoadOrder as HoldOrder
+from kelptrail.dispatch.entities import Attempt, AttemptStatus, LoadOrder, Worker, WorkerState
 from kelptrail.dispatch.safety import LoadRation
 from kelptrail.gateway.counters import FunctionCounters
 from kelptrail.peers.messages import VERSION, ChannelError, FrameReader, Heartbeat, Hello, encode_frame
@@ -41,8 +40,8 @@
     decode_plan,
     difference,
     encode_plan,
+    make_plan,
 )
-from kelptrail.planner.plan import make_plan as make_plan
 from kelptrail.planner.plan_follower import PlanState, RefusalReason
 from kelptrail.planner.program_placement import place_by_program
 
@@ -445,15 +444,15 @@
 # The dispatcher's decisions with a plan.
 
 
-def complete_loads(dispatcher: Dispatcher, now: float, orders: list[HoldOrder]) -> None:
+def complete_loads(dispatcher: Dispatcher, now: float, orders: list[LoadOrder]) -> None:
     for order in orders:
         dispatcher.on_load_report(now, order, AttemptStatus.COMPLETED, order.count)
 
 
-def tick_and_take_orders(dispatcher: Dispatcher, now: float) -> list[HoldOrder]:
+def tick_and_take_orders(dispatcher: Dispatcher, now: float) -> list[LoadOrder]:
     """The load orders of one tick."""
     dispatcher.on_tick(now)
-    return [d for d in decide_all(dispatcher, now) if isinstance(d, HoldOrder)]
+    return [d for d in decide_all(dispatcher, now) if isinstance(d, LoadOrder)]
 
 
 def test_planned_loads_use_half_of_the_ration_and_never_go_to_draining_workers() -> None:
@@ -490,7 +489,7 @@
                 dispatcher.on_request(now, new_request(function, now, step))
             dispatcher.on_tick(now)
             for decision in decide_all(dispatcher, now):
-                if isinstance(decision, HoldOrder):
+                if isinstance(decision, LoadOrder):
                     load_orders.append((now, decision.instance.worker.id, decision.count))
                     dispatcher.on_load_report(now, decision, AttemptStatus.COMPLETED, decision.count)
                 elif isinstance(decision, Attempt):
@@ -514,14 +513,14 @@
         make_dispatcher(8, load_ration=LoadRation(True, 999.0, 0.0, 10_000.0)),
     )
     dispatcher.on_request(0.0, new_request(function, 0.0, 0))
-    first_worker = next(d for d in decide_all(dispatcher, 0.0) if isinstance(d, HoldOrder)).instance.worker
+    first_worker = next(d for d in decide_all(dispatcher, 0.0) if isinstance(d, LoadOrder)).instance.worker
     planned = [w for w in dispatcher.workers if w is not first_worker][-2:]
     dispatcher.on_plan({function: dict.fromkeys(planned, 1)})
     orders: list[Worker] = []
     for step in range(60):  # without ticks, so that only queued requests cause loads
         now = 30.0 * step
         dispatcher.on_request(now, new_request(function, now, step + 1, 60_000.0))
-        orders += [d.instance.worker for d in decide_all(dispatcher, now) if isinstance(d, HoldOrder)]
+        orders += [d.instance.worker for d in decide_all(dispatcher, now) if isinstance(d, LoadOrder)]
     assert set(orders[:2]) == set(planned) and len(orders) > 2
     assert not set(orders[2:]) & set(planned), "after one order for each planned worker, orders go to other workers"
 
@@ -554,7 +553,7 @@
             dispatcher.on_endpoints(now, list(dispatcher.workers), [])
         dispatcher.on_tick(now)
         for decision in decide_all(dispatcher, now):
-            if isinstance(decision, HoldOrder):
+            if isinstance(decision, LoadOrder):
                 assert decision.instance.worker.live
                 if decision.count:
                     ordered_at.append(now)
