--- a/bench/planner_edges.py
+++ b/bench/planner_edges.py
@@ -11,7 +11,7 @@
 from kelptrail.clock import now_ms
 from kelptrail.gateway.counters import FunctionCounters
 from kelptrail.peers.messages import VERSION, FrameReader, Heartbeat, Hello, encode_frame
-from kelptrail.planner.channel import READ, PlanOffer, PlanReply, UsageReport
+from kelptrail.planner.channel import MESSAGE_DECODER, PlanOffer, PlanReply, UsageReport
 from kelptrail.planner.plan import BEFORE_ALL_PLANS, decode_plan
 
 REPORT_INTERVAL_S = 1.0
@@ -64,7 +64,7 @@
                 return
 
     async def _acknowledge_plans(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        frames = FrameReader(READ)
+        frames = FrameReader(MESSAGE_DECODER)
         while data := await reader.read(1 << 16):
             self._bytes_in += len(data)
             for message in frames.feed(data):
--- a/kelptrail/planner/channel.py
+++ b/kelptrail/planner/channel.py
@@ -48,7 +48,7 @@
 
 
 Message = Hello | Heartbeat | UsageReport | PlanOffer | PlanReply
-READ = decoder(UsageReport, PlanOffer, PlanReply)
+MESSAGE_DECODER = decoder(UsageReport, PlanOffer, PlanReply)
 MAX_NAME_LENGTH = 200  # longest name of an edge, in characters
 
 
--- a/kelptrail/planner/driver.py
+++ b/kelptrail/planner/driver.py
@@ -21,7 +21,7 @@
 from kelptrail.settings.deployment import Deployment
 
 from .build import function_profiles, planner_settings, worker_capacities
-from .channel import READ, PlannerChannel, PlanReply, UsageReport
+from .channel import MESSAGE_DECODER, PlannerChannel, PlanReply, UsageReport
 from .core import PlacementProblem, Planner, Role
 from .plan import EndpointsVersion
 from .snapshot import Snapshot, SnapshotFile
@@ -114,7 +114,7 @@
     async def _serve_edge(self, sock: socket.socket, peer: str) -> None:
         channel = PlannerChannel(self._options.name, self._deployment.name)
         self._channels[channel] = EdgeConnection(sock)
-        reader, buffer = FrameReader(READ), bytearray(READ_BYTES)
+        reader, buffer = FrameReader(MESSAGE_DECODER), bytearray(READ_BYTES)
         try:
             self._write(channel)
             while True:
--- a/kelptrail/planner/edge_driver.py
+++ b/kelptrail/planner/edge_driver.py
@@ -21,7 +21,7 @@
 from kelptrail.peers.messages import ChannelError, FrameReader, Heartbeat, encode_frame
 from kelptrail.store.atomic_file import replace_file
 
-from .channel import READ, EdgeChannel, LeaderContact, PlanResult
+from .channel import MESSAGE_DECODER, EdgeChannel, LeaderContact, PlanResult
 from .plan import BEFORE_ALL_PLANS, EndpointsVersion, Plan, PlanOrder
 from .plan_follower import PlanState
 
@@ -199,7 +199,7 @@
             self._channels[channel] = sock
             self._write(channel)
             heartbeats = self._loop.create_task(self._send_heartbeats(channel))
-            reader, buffer = FrameReader(READ), bytearray(READ_BYTES)
+            reader, buffer = FrameReader(MESSAGE_DECODER), bytearray(READ_BYTES)
             while True:
                 async with asyncio.timeout(READ_TIMEOUT_MS / 1000):
                     count = await self._loop.sock_recv_into(sock, buffer)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -14,7 +14,7 @@
 from kelptrail.clock import now_ms
 from kelptrail.membership.members import EndpointList
 from kelptrail.peers.messages import VERSION, FrameReader, Heartbeat, Hello, encode_frame
-from kelptrail.planner.channel import READ, PlanOffer, PlanReply
+from kelptrail.planner.channel import MESSAGE_DECODER, PlanOffer, PlanReply
 from kelptrail.planner.core import Role
 from kelptrail.planner.driver import PlannerDriver, PlannerOptions
 from kelptrail.planner.edge_driver import PlanFollower
@@ -159,7 +159,7 @@
 
         async def forger(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(encode_frame(Hello(VERSION, "forger", setup.dispatcher.deployment.name)))
-            frames = FrameReader(READ)
+            frames = FrameReader(MESSAGE_DECODER)
             while data := await reader.read(65536):
                 received.extend(frames.feed(data))
                 writer.write(encode_frame(Heartbeat()))
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -18,7 +18,7 @@
 from kelptrail.gateway.counters import FunctionCounters
 from kelptrail.peers.messages import VERSION, ChannelError, FrameReader, Heartbeat, Hello, encode_frame
 from kelptrail.planner.channel import (
-    READ,
+    MESSAGE_DECODER,
     EdgeChannel,
     LeaderContact,
     PlannerChannel,
@@ -377,7 +377,7 @@
     ]
     data = b"".join(encode_frame(m) for m in messages)
     for size in (1, 3, 7, len(data)):
-        reader = FrameReader(READ)
+        reader = FrameReader(MESSAGE_DECODER)
         assert [m for n in range(0, len(data), size) for m in reader.feed(data[n : n + size])] == messages
     for invalid, text in (
         (encode_frame(Heartbeat()), "hello must come first"),
@@ -387,10 +387,10 @@
         (encode_frame(messages[0]) + b"\0\0\0\3abc", "no message"),
     ):
         with pytest.raises(ChannelError, match=text):
-            FrameReader(READ).feed(invalid)
+            FrameReader(MESSAGE_DECODER).feed(invalid)
     rng = np.random.default_rng(1)
     for _ in range(500):
-        reader = FrameReader(READ, 1 << 16)
+        reader = FrameReader(MESSAGE_DECODER, 1 << 16)
         try:
             reader.feed(encode_frame(messages[0]) + rng.bytes(int(rng.integers(1, 80))))
         except ChannelError:
@@ -399,8 +399,8 @@
 
 def test_slow_edge_gets_only_the_latest_plan_and_reports_changes() -> None:
     planner_channel, plan_state, leader_contact = PlannerChannel("p", "here"), PlanState("here"), LeaderContact(0.0)
-    edge, reader = EdgeChannel("e", "here", plan_state, leader_contact, 0.0), FrameReader(READ)
-    planner_reader = FrameReader(READ)
+    edge, reader = EdgeChannel("e", "here", plan_state, leader_contact, 0.0), FrameReader(MESSAGE_DECODER)
+    planner_reader = FrameReader(MESSAGE_DECODER)
     for message in planner_reader.feed(b"".join(edge.output)):
         planner_channel.on_message(message)
     edge.output.clear()
@@ -582,7 +582,7 @@
     plan_state, leader_contact = PlanState("here"), LeaderContact(0.0)
     channels = [EdgeChannel("e", "here", plan_state, leader_contact, start, 1000.0) for start in (0.0, 500.0)]
     received = [0, 0]
-    readers = [FrameReader(READ), FrameReader(READ)]
+    readers = [FrameReader(MESSAGE_DECODER), FrameReader(MESSAGE_DECODER)]
     for step in range(41):
         for number, (planner_channel, reader) in enumerate(zip(channels, readers, strict=True)):
             planner_channel.add_counters({"m": FunctionCounters(1)})
