--- a/kelptrail/planner/channel.py
+++ b/kelptrail/planner/channel.py
@@ -77,7 +77,7 @@
         self._plan_state, self._leader_contact, self._report_ms = plan_state, leader_contact, report_ms
         self.output: list[bytes] = [encode_frame(Hello(VERSION, name, lineage, plan_state.fence))]
         self._counters: dict[str, FunctionCounters] = {}  # sums since the last report on this connection
-        self._reported: InstanceCounts | None = None  # instances in the last report; None before the first
+        self._reported: InstanceCounts | None = None  # loaded instances as of the last report; None before the first
         self._next_report_ms = now
         self.last_received_ms = now
         self.planner = ""
--- a/kelptrail/planner/core.py
+++ b/kelptrail/planner/core.py
@@ -169,9 +169,10 @@
             self._edges_to_update.add(edge)
 
     def on_plan_refused(self, now: float, edge: str, reason: str, order: PlanOrder) -> None:
-        """Record that an edge refused a plan, and prepare a complete one for it.
+        """Record that an edge refused a plan; the next plan that it receives is a complete one.
 
-        If the plan's workers were the reason, a new plan is needed: the next problem is due after `REPLAN_DELAY_MS`.
+        It is sent at once if the base of a difference was the reason.  If the plan's workers were the reason, the next
+        problem is due after `REPLAN_DELAY_MS`.
         """
         self.counters.refusals[reason] = self.counters.refusals.get(reason, 0) + 1
         known_edge = self.edges.get(edge)
