--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -192,7 +192,7 @@
         raw["settings"]["specifics"]["not_loaded"] = setting
         assert read_settings(raw["settings"]).loads_on_demand is loads
     raw["settings"]["specifics"]["not_loaded"] = "perhaps"
-    with pytest.raises(config.ConfigError, match=r"specifics\.not_loaded: 'perhaps' is none of load, miss"):
+    with pytest.raises(config.ConfigError, match=r"specifics\.not_loaded: 'perhaps' is not one of load, miss"):
         config.parse(json.dumps(raw))
 
 
