--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -32,7 +32,7 @@
 )
 
 from kelptrail.codec import frames
-from kelptrail.platform import graceful_shutdown
+from kelptrail.platform import graceful_shutdown, log_events
 
 
 def test_a_request_that_arrives_as_shutdown_ends_is_answered_or_not_executed() -> None:
@@ -237,7 +237,9 @@
         time.sleep(0.05)
         write_and_close(writer, configuration_text(0))
         assert blocked.process.wait(5) == 0 and blocked.process.stdout is not None
-        assert b"ending" not in blocked.process.stdout.read(), "there are no clients to wait for"
+        assert log_events.SHUTTING_DOWN.encode() not in blocked.process.stdout.read(), (
+            "there are no clients to wait for"
+        )
 
 
 def test_reloads_during_shutdown_do_not_crash_the_process(tmp_path: Path) -> None:
