--- a/kelptrail/membership/client.py
+++ b/kelptrail/membership/client.py
@@ -1,7 +1,7 @@
-"""Follows an endpoint source by HTTP long polls, saves the last list to disk and starts from it.
+"""Follows the endpoint list of an endpoint source by HTTP long polls, and saves each new list to disk.
 
-The saved list is all that a dispatcher knows after a restart.  An age in it can only be too small, so no worker is
-treated as warmer than it is.
+After a restart, the saved list is the only information until the source answers.  Ages in it can only be too small, so
+that no worker is treated as warmer than it is.
 """
 
 from __future__ import annotations
@@ -19,14 +19,17 @@
 
 from .members import EndpointList
 
-POLL_MARGIN_MS = 3000.0  # beyond the requested wait, before a poll times out
+POLL_MARGIN_MS = 3000.0  # added to the requested wait to get the timeout of a poll
 MAX_BACKOFF_MS = 5000.0
 
 _decode = msgspec.json.Decoder(EndpointList).decode
 
 
 class EndpointClient:
-    """Client of one endpoint source; `on_change` is called with every new list.  Times are milliseconds."""
+    """Client of one endpoint source.  Times are in milliseconds.
+
+    `on_change` is called with every new list, and with the saved list at the start.
+    """
 
     def __init__(
         self,
@@ -46,15 +49,16 @@
             log,
         )
         self._poll_wait_ms, self._backoff_ms = poll_wait_ms, backoff_ms
-        self.address = ""  # where this dispatcher serves its activations
-        self.channel_address = ""  # of its peer listener
-        self.zone = ""  # of this dispatcher
+        self.address = ""  # address at which this dispatcher serves its activations
+        self.channel_address = ""  # address of the peer listener of this dispatcher
+        self.zone = ""  # zone of this dispatcher
         self.endpoints: EndpointList | None = None
-        self.on_heard: Callable[[], None] = lambda: None  # the source has answered, be it that nothing has changed
-        self.saved = True  # whether the last list was written to disk
+        # Called for each valid answer of the source, also if the list has not changed.
+        self.on_heard: Callable[[], None] = lambda: None
+        self.saved = True  # False if the last attempt to write a list to disk failed
 
     def load_saved(self) -> bool:
-        """Apply the saved list; False if there is none or it is unreadable."""
+        """Apply the saved list.  Returns False if there is none or it is unreadable."""
         if self._saved_file is None or not self._saved_file.exists():
             return False
         try:
@@ -62,12 +66,12 @@
         except (OSError, msgspec.MsgspecError) as cause:
             self._log.warning("saved-endpoints-unusable", file=str(self._saved_file), reason=str(cause))
             return False
-        # Without its lineage, so that the first list of the source replaces it whatever its version.
+        # The lineage is replaced, so that the first list of the source is applied whatever its version.
         self._on_change(EndpointList(-1, endpoints.workers, "last", endpoints.dispatchers))
         return True
 
     async def follow(self) -> None:
-        """Poll until cancelled; after a failure the old list stays and the poll is retried with backoff."""
+        """Poll until cancelled.  After a failure, the current list stays and the poll is retried with backoff."""
         http, backoff_ms = HttpClient(self._address), self._backoff_ms
         while True:
             known_version = f"{self.endpoints.lineage}:{self.endpoints.version}" if self.endpoints else ""
@@ -83,7 +87,7 @@
                     self.on_heard()
                     continue
                 if response.status != 200:
-                    raise HttpError(response.status, "no list")
+                    raise HttpError(response.status, "the endpoint source returned no endpoint list")
                 endpoints = _decode(response.body)
             except (OSError, HttpError, msgspec.MsgspecError) as cause:
                 self._log.warning("endpoint-poll-failed", reason=str(cause) or type(cause).__name__)
--- a/kelptrail/membership/members.py
+++ b/kelptrail/membership/members.py
@@ -1,7 +1,7 @@
-"""Applies endpoint lists to the worker entities on which decisions are made; free of I/O.
+"""Applies endpoint lists to the worker entities that dispatch decisions use.  Performs no I/O.
 
-A list has for every worker an address, a state, an incarnation (new at each start of its process) and an age.
-A worker missing from a list is removed.  A list older than the current one is ignored.
+A list contains the address, state, incarnation (new at each start of its process) and age of every worker.  A worker
+that is missing from a list is removed.  A list that is older than the current one is ignored.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 from kelptrail.dispatch.entities import Worker, WorkerState
 
-ID_PREFIX_DIGITS = 6  # leading hex digits of an activation id, derived from the name of its dispatcher
+ID_PREFIX_DIGITS = 6  # leading hex digits of an activation id, derived from its dispatcher's name
 STATE_BY_NAME = {"live": WorkerState.LIVE, "draining": WorkerState.DRAINING, "gone": WorkerState.REMOVED}
 
 
 class Endpoint(msgspec.Struct, frozen=True):
-    """One worker of a list; `age_ms` is the time since the start of its process."""
+    """One worker of an endpoint list.  `age_ms` is the time since the start of its process."""
 
     id: str
     address: str
@@ -33,9 +33,9 @@
 
 
 class Peer(msgspec.Struct, frozen=True):
-    """A dispatcher that follows the list.
+    """A dispatcher that follows the endpoint list.
 
-    `address` serves its activations, `channel` is the address of its peer listener.
+    `address` is where it serves its activations, and `channel` the address of its peer listener.
     """
 
     name: str
@@ -45,7 +45,7 @@
 
 
 class EndpointList(msgspec.Struct, frozen=True):
-    """A complete list.  `lineage` identifies the run of its source; versions increase within one."""
+    """A complete endpoint list.  `lineage` identifies the run of its source; versions increase within a lineage."""
 
     version: int
     workers: list[Endpoint]
@@ -54,26 +54,29 @@
 
 
 def id_prefix(name: str) -> str:
-    """The first hex digits of every id issued by a dispatcher of this name, in any run."""
+    """Return the first hex digits of every activation id that a dispatcher of this name issues, in any run."""
     return blake2b(name.encode(), digest_size=ID_PREFIX_DIGITS // 2).hexdigest()
 
 
 class WorkerChanges(NamedTuple):
-    """All workers after a list was applied, including those just removed, and those that have restarted."""
+    """Result of applying a list: all workers, and those of them that have restarted.
+
+    `workers` includes workers that the list has removed.
+    """
 
     workers: list[Worker]
     restarted: list[Worker]
 
 
 class WorkerRegistry:
-    """The known workers: live, draining and just removed."""
+    """All known workers: live and draining ones, and removed ones until `remove_departed` deletes them."""
 
     def __init__(self, zones: dict[str, int]) -> None:
         self._zones = zones
         self._workers: dict[str, Worker] = {}
         self._incarnations: dict[str, str] = {}
         self.addresses: dict[Worker, str] = {}
-        self.dispatchers_by_prefix: dict[str, Peer] = {}  # by the prefix of the ids that they issue
+        self.dispatchers_by_prefix: dict[str, Peer] = {}  # keyed by the prefix of the ids that each dispatcher issues
         self.version, self.lineage = -1, ""
 
     def __len__(self) -> int:
@@ -83,7 +86,7 @@
         return iter(self._workers.values())
 
     def apply(self, now: float, endpoints: EndpointList) -> WorkerChanges:
-        """Apply a list."""
+        """Apply a list and return the resulting workers.  A list that is older than the current one changes nothing."""
         if endpoints.lineage == self.lineage and endpoints.version < self.version:
             return WorkerChanges(list(self._workers.values()), [])
         self.version, self.lineage = endpoints.version, endpoints.lineage
@@ -92,14 +95,14 @@
         for endpoint in endpoints.workers:
             listed_ids.add(endpoint.id)
             worker = self._workers.get(endpoint.id)
-            known = self._incarnations.get(endpoint.id)
+            known_incarnation = self._incarnations.get(endpoint.id)
             if worker is None:
                 if STATE_BY_NAME.get(endpoint.state, WorkerState.LIVE) is WorkerState.REMOVED:
                     continue
                 worker = self._workers[endpoint.id] = Worker(endpoint.id)
-            elif endpoint.incarnation != known:
+            elif endpoint.incarnation != known_incarnation:
                 restarted.append(worker)
-            if endpoint.incarnation != known:
+            if endpoint.incarnation != known_incarnation:
                 worker.started_at = now - endpoint.age_ms
                 self._incarnations[endpoint.id] = endpoint.incarnation
             worker.zone, worker.cell, worker.kind = self._zones.get(endpoint.zone, 0), endpoint.cell, endpoint.kind
@@ -111,7 +114,7 @@
         return WorkerChanges(list(self._workers.values()), restarted)
 
     def issuer_of(self, id_: str) -> Peer | None:
-        """The listed dispatcher that issued an activation id; None if none matches."""
+        """Return the listed dispatcher that issued an activation id, or None if none matches."""
         return self.dispatchers_by_prefix.get(id_[:ID_PREFIX_DIGITS])
 
     def remove_departed(self) -> None:
