--- a/kelptrail/lease/__init__.py
+++ b/kelptrail/lease/__init__.py
@@ -1,1 +1,1 @@
-"""Leases on fleet-wide tasks: acceptors, clients and fencing tokens as pure cores, and a driver that runs them."""
+"""Leases on fleet-wide tasks: acceptors, clients and fencing tokens, all without I/O, and a driver that runs them."""
--- a/kelptrail/lease/acceptor.py
+++ b/kelptrail/lease/acceptor.py
@@ -1,16 +1,18 @@
-"""Acceptor of the lease protocol: grants each task to one client at a time; free of I/O and clocks.
+"""Acceptor of the lease protocol: grants each task to one client at a time.  Performs no I/O and reads no clock.
 
-Safety: tokens of a task only grow, and nothing is answered before it is durable: a grant waits as a `Write` until the
-driver reports the sync.  After a restart each durable grant counts as given at the time of the restart, so it ends
-here no earlier than at its holder.  An acceptor without durable state (a new, lost or damaged disk) does not vote until
-every lease that it may have granted has expired, and then learns the state of a majority of voting acceptors, in that
-order: so it also learns what the others granted meanwhile.
+Safety: the tokens of a task only increase, and no reply is sent before the state behind it is durable: a grant is kept
+in a `Write` until the driver reports that the write was synced.  After a restart, the length of each durable grant is
+counted from the restart, so that the grant expires here no earlier than at its holder.  An acceptor without durable
+state (on a new, lost or damaged disk) does not vote at first.  It waits until every lease that it may have granted has
+expired, and then requests the state of a majority of voting acceptors.  This order ensures that it also receives the
+leases that the others granted during its wait.
 
-A new acceptor set takes over in three steps: a majority of the previous set enters the new one, which seals the
-previous set; the longest lease elapses; the new set learns the sealed state.
+A new acceptor set replaces the previous one in three steps.  A majority of the previous set enters the new set; this
+seals the previous set, which can grant nothing more.  The length of the longest lease elapses.  The new set then
+receives the sealed state.
 
-The first start of a complete set (`Stage.FOUNDING`) is distinguished from the loss of all its disks: each acceptor must
-find all others empty, make that durable, and find that all others have done the same.
+`Stage.FOUNDING` distinguishes the first start of a complete set from the loss of all its disks: each acceptor must find
+that all others are empty, make this finding durable, and find that all others have done the same.
 """
 
 from __future__ import annotations
@@ -40,7 +42,10 @@
 
 
 class Acceptor:
-    """One acceptor.  `state` and `rows`: what its disk held; None: no usable durable state."""
+    """One acceptor.
+
+    `state` and `rows` are the contents of its disk; `state` is None where there is no usable durable state.
+    """
 
     def __init__(
         self,
@@ -60,9 +65,9 @@
         self._last_write_id = 0
         self._stage_durable = True
         for row in rows:
-            until = now + row.length_ms if not row.released else float("-inf")
+            expires_at = now + row.length_ms if not row.released else float("-inf")
             self.records[row.task] = LeaseRecord(
-                row.token, row.length_ms, until, row.released, row.token, note=row.note
+                row.token, row.length_ms, expires_at, row.released, row.token, note=row.note
             )
         if state is not None:
             self._restore_stage(state)
@@ -75,16 +80,16 @@
         elif state.config_number < settings.config_number:
             # A founding acceptor has granted nothing, so its state is complete.
             is_complete = state.stage in (Stage.VOTING, Stage.FOUNDING)
-            follows = state.config_number == settings.config_number - 1 and is_complete
-            self.recovery.quiet_since = None
-            self._enter_stage(Stage.CHANGING if follows else Stage.EMPTY, sealed_previous=follows)
+            is_next_config = state.config_number == settings.config_number - 1 and is_complete
+            self.recovery.wait_started_at = None
+            self._enter_stage(Stage.CHANGING if is_next_config else Stage.EMPTY, sealed_previous=is_next_config)
         elif self.stage is Stage.CHANGING:
-            self.recovery.quiet_since = None
+            self.recovery.wait_started_at = None
 
     # Inputs.
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
-        """Handle a message from a client or another acceptor; other messages are ignored."""
+        """Handle a message from a client or another acceptor, and ignore every other message."""
         if isinstance(message, AcquireRequest):
             self._on_acquire(now, sender, message)
         elif isinstance(message, Release):
@@ -97,7 +102,11 @@
             self._on_state_reply(now, sender, message)
 
     def on_written(self, write: Write, durable: bool) -> None:
-        """A write is durable, or has failed: then its reply is dropped, and a change of stage is written again."""
+        """Process the result of a write.
+
+        The reply of a durable write is sent.  The reply of a failed write is dropped, but a change of stage is written
+        again.
+        """
         if write.state is not None:
             self._stage_durable = durable
             if not durable:
@@ -110,7 +119,7 @@
             self.outbox.append((write.reply_to, write.reply))
 
     def tick(self, now: float) -> None:
-        """Query the other acceptors, while this one is not voting."""
+        """Query the state of the other acceptors if a query is due and this acceptor does not vote yet."""
         if not self._is_recovering or now < self.recovery.next_query_at:
             return
         nonce = self.recovery.start_query(now)
@@ -119,12 +128,12 @@
                 self.outbox.append((name, StateRequest(self.config_number, nonce)))
 
     def next_tick_at(self) -> float | None:
-        """When `tick` must be called next; None: not before another input."""
+        """Return when `tick` must be called next, or None if not before another input."""
         return self.recovery.next_query_at if self._is_recovering else None
 
     @property
     def _is_recovering(self) -> bool:
-        """Whether this acceptor does not vote yet, but will."""
+        """Whether this acceptor does not vote yet but will do so after recovery."""
         return self.stage not in (Stage.VOTING, Stage.BEHIND)
 
     @property
@@ -143,13 +152,14 @@
         record.expires_at, record.reserved_for = now + request.length_ms, ""
         self.waiting_clients.remove(request.task, sender)
         reply = Grant(request.task, request.token, request.request_id, record.note)
-        if record.durable_token == request.token:  # a renewal: after a restart it counts from the restart anyway
+        # A renewal needs no write: after a restart, the lease is counted from the restart anyway.
+        if record.durable_token == request.token:
             self.outbox.append((sender, reply))
         else:
-            self._enqueue_write((self._row(request.task),), to=sender, reply=reply)
+            self._enqueue_write((self._row(request.task),), reply_to=sender, reply=reply)
 
     def _refusal_reason(self, now: float, sender: str, request: AcquireRequest) -> RefusalReason | None:
-        """Why the request must be refused; None: it is granted."""
+        """Return why the request must be refused, or None if it can be granted."""
         record = self.records.get(request.task, LeaseRecord())
         if self.stage is not Stage.VOTING:
             return RefusalReason(self.stage.value)
@@ -194,27 +204,29 @@
             return
         if message.token == record.highest_token and record.released:
             return
-        # A token that was not seen yet counts as released: its request may still be in flight.
+        # An unknown token is recorded as released too: the request for it may arrive after this message.
         record.highest_token, record.released, record.expires_at = message.token, True, now
         if message.successor:
             record.reserved_for, record.reserved_until = message.successor, now + self.settings.transfer_reservation_ms
-        # The next client in the queue would otherwise wait until the lease would have expired.
+        # Without this message, the first waiting client would not retry before the lease would have expired.
         if to := message.successor or self.waiting_clients.first(message.task):
             self.outbox.append((to, Transferred(message.task)))
         self._enqueue_write((self._row(message.task),))
 
-    def _on_write_note(self, sender: str, note: WriteNote) -> None:
-        """Store the holder's note.  One under an older token is ignored: the grant of the newer token has already
-        carried the note that was stored then.
+    def _on_write_note(self, sender: str, message: WriteNote) -> None:
+        """Store the note of the lease holder.
+
+        A note under an older token is ignored, because the grant under the newer token has already included the note
+        that was stored at that time.
         """
-        record, noted = self.records.get(note.task), note.note
-        if record is None or not self._may_vote or note.config_number != self.config_number:
+        record, note = self.records.get(message.task), message.note
+        if record is None or not self._may_vote or message.config_number != self.config_number:
             return
-        if noted.token != record.highest_token or record.released or noted < record.note:
+        if note.token != record.highest_token or record.released or note < record.note:
             return
-        record.note = noted
+        record.note = note
         self._enqueue_write(
-            (self._row(note.task),), to=sender, reply=NoteWritten(note.task, noted.token, noted.sequence)
+            (self._row(message.task),), reply_to=sender, reply=NoteWritten(message.task, note.token, note.sequence)
         )
 
     def _row(self, task: str) -> LeaseRow:
@@ -222,15 +234,19 @@
         return LeaseRow(task, record.highest_token, record.length_ms, record.released, record.note)
 
     def _enqueue_write(
-        self, rows: tuple[LeaseRow, ...], state: DurableState | None = None, to: str = "", reply: Message | None = None
+        self,
+        rows: tuple[LeaseRow, ...],
+        state: DurableState | None = None,
+        reply_to: str = "",
+        reply: Message | None = None,
     ) -> None:
         self._last_write_id += 1
-        self.pending_writes.append(Write(self._last_write_id, rows, state, to, reply))
+        self.pending_writes.append(Write(self._last_write_id, rows, state, reply_to, reply))
 
     # Recovery.
 
     def _enter_stage(self, stage: Stage, sealed_previous: bool) -> None:
-        """Enter a stage; it must be durable before any answer is given in it."""
+        """Enter a stage, which must be durable before the acceptor replies to anything in it."""
         self.stage, self.sealed_previous, self._stage_durable = stage, sealed_previous, False
         self._enqueue_write(self._all_rows(), DurableState(self.config_number, stage, sealed_previous))
 
@@ -256,26 +272,26 @@
             self._enter_stage(next_stage, False)
 
     def _next_stage(self, now: float) -> Stage | None:
-        """The stage that this acceptor may enter now; None: it stays in its present one."""
+        """Return the stage that this acceptor may enter now, or None if it stays in its current one."""
         return self.recovery.next_stage(now, self.stage)
 
     def _start_voting(self, now: float) -> None:
-        """Adopt the highest token and the latest note of each task that the others sent, then vote."""
+        """Adopt the highest token and the latest note of each task from the replies of the others, then vote."""
         for reply in self.recovery.replies.values():
             for row in reply.rows:
                 record = self.records.setdefault(row.task, LeaseRecord())
                 record.note = max(record.note, row.note)
                 if row.token > record.highest_token:
                     record.highest_token, record.length_ms, record.released = row.token, row.length_ms, row.released
-                    # A grant of the others counts here, too: else the next client gets a larger token from
-                    # this acceptor, which from then on refuses the holder's renewals.
+                    # A lease that the others granted is held here too.  Otherwise this acceptor could grant the task
+                    # to another client under a larger token and would then refuse the holder's renewals.
                     record.expires_at = now + row.length_ms if not row.released else now
         self._enter_stage(Stage.VOTING, self.sealed_previous)
 
     # For the model checker.
 
     def clone(self) -> Acceptor:
-        """An independent copy."""
+        """Return an independent copy."""
         clone = Acceptor.__new__(type(self))
         clone.__dict__.update(self.__dict__)
         clone.records = {task: replace(record) for task, record in self.records.items()}
@@ -285,7 +301,7 @@
 
 
 def _renewal_refusal(record: LeaseRecord, request: AcquireRequest) -> RefusalReason | None:
-    """Why a request under the granted token must be refused; None: it renews the lease."""
+    """Return why a request under the granted token must be refused, or None if it renews the lease."""
     if record.released:
         return RefusalReason.RELEASED
     return None if request.length_ms == record.length_ms else RefusalReason.INVALID_LENGTH
--- a/kelptrail/lease/acceptor_state.py
+++ b/kelptrail/lease/acceptor_state.py
@@ -1,4 +1,4 @@
-"""State of an acceptor: its stage, what it has on disk, its pending writes, and its record of each task."""
+"""State of an acceptor: its stage, durable state, pending writes and record of each task."""
 
 from __future__ import annotations
 
@@ -9,18 +9,21 @@
 
 
 class Stage(Enum):
-    """State of an acceptor.  The values go over the wire and to disk."""
+    """Stage of an acceptor.  Leases are granted in `VOTING` alone.
+
+    The values are sent to other processes and stored on disk.
+    """
 
     EMPTY = "empty"  # no durable state
-    FOUNDING = "founding"  # no durable state, and no other acceptor had any
-    CHANGING = "changing"  # remembers its grants in the previous set, and has entered this one
+    FOUNDING = "founding"  # no durable state, and all other acceptors were found to have none either
+    CHANGING = "changing"  # has kept its grants in the previous acceptor set, and has entered the current set
     VOTING = "voting"
-    BEHIND = "behind"  # its settings name an older acceptor set than its disk
+    BEHIND = "behind"  # its settings contain an older acceptor set than its disk
 
 
 @dataclass(frozen=True, slots=True)
 class DurableState:
-    """What an acceptor has on disk beside the rows of its tasks."""
+    """State that an acceptor stores on disk in addition to the rows of its tasks."""
 
     config_number: int
     stage: Stage
@@ -29,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """An atomic write.  Once it is durable, `reply` may go to `reply_to`."""
+    """An atomic write.  Once it is durable, `reply` may be sent to `reply_to`."""
 
     write_id: int
     rows: tuple[LeaseRow, ...]
@@ -40,23 +43,29 @@
 
 @dataclass(slots=True)
 class LeaseRecord:
-    """One task at this acceptor.  Times in ms of its own clock; `durable_token`: the token that is on disk."""
+    """Record of one task at an acceptor.  Times are in ms on its own clock.
+
+    `durable_token` is the highest token whose write has been synced to disk.
+    """
 
     highest_token: FencingToken = NO_TOKEN
     length_ms: float = 0.0
     expires_at: float = float("-inf")
     released: bool = False
     durable_token: FencingToken = NO_TOKEN
-    reserved_for: str = ""  # the successor that the last holder named
+    reserved_for: str = ""  # successor named by the last holder
     reserved_until: float = float("-inf")
     note: LeaseNote = NO_NOTE
 
     def is_held(self, now: float) -> bool:
-        """Whether a lease that was granted here is still valid."""
+        """Return whether a lease that was granted here is still valid."""
         return now < self.expires_at and not self.released
 
     def free_at(self, now: float) -> float:
-        """When another client may get the task, as far as is known: `now` or later if it is reserved or held."""
+        """Return the estimated time at which another client can acquire the task.
+
+        It is `now` for a free task, and may be later if the task is held or reserved.
+        """
         return max(
             self.expires_at if not self.released else now,
             self.reserved_until if self.reserved_for else now,
--- a/kelptrail/lease/acceptor_store.py
+++ b/kelptrail/lease/acceptor_store.py
@@ -1,7 +1,7 @@
-"""Durable state of an acceptor: an SQLite database in WAL mode; each commit is synced before it counts.
+"""Store of an acceptor's durable state: an SQLite database in WAL mode, in which every commit is synced.
 
-A single row that does not match its checksum makes the whole file unusable, as an acceptor cannot know what it has
-forgotten.  Such a file is renamed, and the acceptor starts without durable state.
+A single row that does not match its checksum makes the complete file unusable, because the grants that were lost with
+it are unknown.  Such a file is renamed, and the acceptor starts without durable state.
 """
 
 from __future__ import annotations
@@ -26,24 +26,25 @@
 from .acceptor_state import DurableState, Stage, Write
 from .messages import LeaseRow
 
-FORMAT_VERSION = 2  # 1: rows had no note
+FORMAT_VERSION = 2  # version 1 stored rows without notes
 CREATE_TABLE = "CREATE TABLE kept (name TEXT PRIMARY KEY, crc INTEGER NOT NULL, body BLOB NOT NULL) WITHOUT ROWID"
-UNREADABLE_ROW_MARKS = ("DecodeError", "ValidationError")  # in the text of an error, beside `DAMAGE_MARKS`
-STATE_ROW = ""  # the name of the row that holds `DurableState`
+# Parts of error texts that indicate damage, in addition to `DAMAGE_MARKS`.
+UNREADABLE_ROW_MARKS = ("DecodeError", "ValidationError")
+STATE_ROW = ""  # name of the row that stores `DurableState`
 
 _decode_row = msgspec.msgpack.Decoder(LeaseRow).decode
 _decode_state = msgspec.msgpack.Decoder(tuple[int, str, bool]).decode
 
 
 class AcceptorContents(NamedTuple):
-    """What a store has: the acceptor's state, if it has one, and the rows of its tasks."""
+    """Contents of a store: the acceptor's state, or None if none is stored, and the rows of its tasks."""
 
     state: DurableState | None
     rows: tuple[LeaseRow, ...]
 
 
 class AcceptorStore:
-    """One database file; to be used by one thread at a time."""
+    """One database file.  Only one thread at a time may use it."""
 
     def __init__(self, file: Path, vfs: str | None = None) -> None:
         with journal_errors():
@@ -51,16 +52,17 @@
             version = self._database.format_version(FORMAT_VERSION)
             if not version:
                 self._database.run(CREATE_TABLE)
-            if version < FORMAT_VERSION:  # rows of format 1 are read as they are: what was added has a default
+            # Rows of version 1 need no conversion, because the added field has a default.
+            if version < FORMAT_VERSION:
                 self._database.set_format_version(FORMAT_VERSION)
 
     def read(self) -> AcceptorContents:
-        """Read everything.  Raises `JournalError` where any of it cannot be read."""
+        """Read the complete contents.  Raises `JournalError` if any part is unreadable."""
         state, rows = None, list[LeaseRow]()
         with journal_errors(msgspec.MsgspecError, ValueError):
             for name, crc, body in self._database.rows("SELECT name, crc, body FROM kept ORDER BY name"):
                 if crc32(body) != crc:
-                    raise JournalError(f"Corrupt: the row {name!r}")
+                    raise JournalError(f"Corrupt: checksum mismatch in row {name!r}")
                 if name == STATE_ROW:
                     config_number, stage, sealed_previous = _decode_state(body)
                     state = DurableState(config_number, Stage(stage), sealed_previous)
@@ -69,7 +71,7 @@
         return AcceptorContents(state, tuple(rows))
 
     def commit(self, writes: Iterable[Write]) -> None:
-        """Commit the writes atomically.  Raises `JournalError`."""
+        """Commit the writes atomically.  Raises `JournalError` if the commit fails."""
         bodies: dict[str, bytes] = {}
         for write in writes:
             bodies |= {row.task: msgspec.msgpack.encode(row) for row in write.rows}
@@ -80,7 +82,7 @@
             self._database.run_many("INSERT OR REPLACE INTO kept VALUES (?, ?, ?)", rows)
 
     def forget(self, ids: Iterable[str]) -> None:
-        """Does nothing: no row is deleted, as a later token must be above every earlier one."""
+        """Do nothing: rows are never deleted, because every new token must exceed all earlier ones."""
 
     def close(self) -> None:
         """Close the file."""
@@ -92,7 +94,10 @@
 
 
 class OpenedAcceptorStore(NamedTuple):
-    """A store and its contents; `damage`: why a file in its place was renamed, empty if none was."""
+    """An open store and its contents.
+
+    `damage` is the reason why a damaged file was renamed, or empty if none was.
+    """
 
     store: AcceptorStore
     state: DurableState | None
@@ -101,9 +106,9 @@
 
 
 def open_acceptor_store(file: Path, vfs: str | None = None) -> OpenedAcceptorStore:
-    """Open a store and read it; a damaged file is renamed.
+    """Open a store and read it.  A damaged file is renamed and replaced by an empty store.
 
-    Raises `JournalError` where no file can be created, or the disk fails: then its content may still be intact.
+    Raises `JournalError` if the file cannot be created or the disk fails; the file stays then, as it may be intact.
     """
     try:
         store = AcceptorStore(file, vfs)
@@ -117,13 +122,13 @@
         damage = str(cause)
         if not any(mark in damage for mark in (*DAMAGE_MARKS, *UNREADABLE_ROW_MARKS)):
             raise
-    _move_aside_if_possible(file)
+    _rename_damaged(file)
     return OpenedAcceptorStore(AcceptorStore(file, vfs), None, (), damage)
 
 
-def _move_aside_if_possible(file: Path) -> None:
-    """Rename a damaged database; what cannot be renamed stays, and opening it again reports why."""
-    aside = free_damaged_name(file)
+def _rename_damaged(file: Path) -> None:
+    """Rename the files of a damaged database.  If that fails, they stay, and opening the store reports the error."""
+    damaged_file = free_damaged_name(file)
     for suffix in FILE_SUFFIXES:
         with contextlib.suppress(OSError):
-            file.with_name(file.name + suffix).rename(aside.with_name(aside.name + suffix))
+            file.with_name(file.name + suffix).rename(damaged_file.with_name(damaged_file.name + suffix))
--- a/kelptrail/lease/client.py
+++ b/kelptrail/lease/client.py
@@ -1,14 +1,15 @@
-"""Lease client: acquires and renews leases from a majority of acceptors; free of I/O and clocks.
-
-Safety: a lease is valid from before its request was sent, on this client's clock, for the granted length shortened by
-the bound on clock rates (`LeaseSettings.safe_hold_ms`).  So the client stops relying on it before any acceptor of the
-granting majority may grant the task to another client, and as two majorities intersect, no two clients rely on it at
-one time.  Grants count only towards the ballot (one request id) they answer.  A lost lease is acquired again under a
-larger token, never under the old one.
-
-Liveness: a lease is renewed at a third of its safe length.  A client that wants a held task probes a single acceptor,
-which is the same for all clients of that task: it assigns retry times to the waiting clients, and the other acceptors
-are asked only after it has granted the lease.
+"""Lease client: acquires and renews leases from a majority of acceptors.  Performs no I/O and reads no clock.
+
+Safety: on this client's clock, a lease is valid for the granted length shortened by the bound on clock rates
+(`LeaseSettings.safe_hold_ms`), counted from a time before its request was sent.  So the client stops relying on the
+lease before any acceptor of the granting majority may grant the task to another client.  Because any two majorities
+intersect, no two clients rely on the lease at the same time.  A grant counts only for the ballot (one request id) that
+it answers.  A lost lease is acquired again under a larger token, never under the old one.
+
+Liveness: a lease is renewed after a third of its safe length.  A client that requests a task first sends its request to
+a single acceptor, which is the same for all clients of that task.  If the task is held, this acceptor assigns retry
+times to the waiting clients.  The other acceptors receive a request only after the first one has granted the lease,
+refused it for another reason, or not answered in time.
 """
 
 from __future__ import annotations
@@ -36,29 +37,32 @@
     majority,
 )
 
-RENEWALS_PER_LEASE = 3  # a lease is renewed after this part of its safe length
+RENEWALS_PER_LEASE = 3  # the renewal interval is the safe length of a lease divided by this
 
 
 class LeaseLengthError(ValueError):
-    """The length is not positive, or exceeds the longest lease that acceptors grant."""
+    """The requested length is not positive, or exceeds the longest lease that acceptors grant."""
 
 
 class KnownHolder(NamedTuple):
-    """The last holder of a task that an acceptor reported, and roughly when its lease expires (this client's clock)."""
+    """Token of the last holder of a task that an acceptor reported, and the approximate expiry of its lease.
+
+    `expires_at` is in ms on this client's clock.
+    """
 
     token: FencingToken
     expires_at: float
 
 
 class LeaseClient:
-    """The leases of one process.  `client_id`: its name and run; two runs never share one."""
+    """The leases of one process.  `client_id` consists of its name and run; no two runs share an id."""
 
     def __init__(self, name: str, client_id: str, settings: LeaseSettings) -> None:
         self.name, self.client_id, self.settings = name, client_id, settings
         self.acceptors, self.config_number = settings.acceptors, settings.config_number
         self.requests: dict[str, LeaseRequest] = {}
-        self.highest_rounds: dict[str, int] = {}  # by task
-        self.known_holders: dict[str, KnownHolder] = {}  # by task
+        self.highest_rounds: dict[str, int] = {}  # highest round of each task that is known here
+        self.known_holders: dict[str, KnownHolder] = {}  # last reported holder of each task
         self.outbox: deque[tuple[str, Message]] = deque()
         self.events: deque[LeaseEvent] = deque()
         self.backoff = Backoff(client_id, settings.retry_pause_ms)
@@ -67,29 +71,31 @@
     # Inputs.
 
     def acquire(self, now: float, task: str, length_ms: float) -> None:
-        """Acquire a task's lease, retrying until granted, and renew it until `release`.
+        """Acquire the lease of a task, retrying until it is granted, and renew it until `release`.
 
         Raises `LeaseLengthError` for a length that acceptors would refuse.
         """
         if not 0 < length_ms <= self.settings.max_lease_ms:
-            raise LeaseLengthError(f"a lease of {length_ms:g} ms, at most {self.settings.max_lease_ms:g}")
+            raise LeaseLengthError(
+                f"lease length is {length_ms:g} ms; it must be positive and at most {self.settings.max_lease_ms:g}"
+            )
         if task not in self.requests:
             self.requests[task] = LeaseRequest(task, length_ms, RequestState.WAITING, now)
 
     def release(self, now: float, task: str, successor: str = "") -> None:
-        """Release a task, or stop acquiring it.  `successor`: name of the client that should get it next."""
+        """Release a task, or stop acquiring it.  `successor` is the name of the client that should acquire it next."""
         request = self.requests.pop(task, None)
         if request is None or request.state is RequestState.WAITING:
             return
-        asked = self.acceptors if request.is_held else tuple(sorted(request.acceptors_asked))
-        self._send_release(request, asked, successor)
+        recipients = self.acceptors if request.is_held else tuple(sorted(request.contacted_acceptors))
+        self._send_release(request, recipients, successor)
         if request.is_held:
             self.events.append(LeaseLost(task, request.token, LossReason.RELEASED))
 
     def write_note(self, task: str, text: bytes) -> int | None:
-        """Replace the note of a held task; `NoteStored` follows once a majority has it.
+        """Replace the note of a held task; the event `NoteStored` follows once a majority has stored it.
 
-        Returns the note's sequence number, or None where the task is not held.
+        Returns the sequence number of the note, or None if the task is not held.
         """
         request = self.requests.get(task)
         if request is None or not request.is_held:
@@ -115,19 +121,19 @@
             self.events.append(NoteStored(request.task, note.token, note.sequence))
 
     def held_token(self, now: float, task: str) -> FencingToken | None:
-        """The token of the lease that is valid now; None: the task is not held."""
+        """Return the token of the lease that is valid now, or None if the task is not held."""
         request = self.requests.get(task)
         if request is None or not request.is_held or now >= request.expires_at:
             return None
         return request.token
 
     def remaining_ms(self, now: float, task: str) -> float:
-        """How long the lease remains valid; 0 where the task is not held."""
+        """Return how long the lease remains valid, in ms, or 0 if the task is not held."""
         request = self.requests.get(task)
         return max(0.0, request.expires_at - now) if request is not None and request.is_held else 0.0
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
-        """Handle an acceptor's answer or a transfer; other messages are ignored."""
+        """Handle the answer of an acceptor or a transfer, and ignore every other message."""
         if not isinstance(message, Grant | Refusal | Transferred | NoteWritten):
             return
         request = self.requests.get(message.task)
@@ -146,13 +152,13 @@
         """Take all steps that are due."""
         for request in list(self.requests.values()):
             while request.next_step_at <= now:
-                before = request.next_step_at
+                previous_step_at = request.next_step_at
                 self._advance(now, request)
-                if request.next_step_at <= before:
+                if request.next_step_at <= previous_step_at:
                     break
 
     def next_tick_at(self) -> float | None:
-        """When `tick` must be called next; None: not before another input."""
+        """Return when `tick` must be called next, or None if not before another input."""
         return min((request.next_step_at for request in self.requests.values()), default=None)
 
     # Steps.
@@ -166,7 +172,7 @@
         elif request.state is RequestState.WAITING:
             self._start_attempt(now, request)
         elif request.is_probing:  # the first acceptor has not answered
-            self._ask_remaining(now, request)
+            self._contact_remaining(now, request)
         else:
             self._abandon_attempt(now, request)
 
@@ -177,25 +183,25 @@
         self._last_request_id += 1
         request.open_ballot(self._last_request_id, now)
         request.next_step_at = now + self.settings.request_timeout_ms
-        self._ask(request, self._acceptor_order(request.task)[0])
+        self._send_acquire_request(request, self._acceptor_order(request.task)[0])
 
-    def _ask_remaining(self, now: float, request: LeaseRequest) -> None:
+    def _contact_remaining(self, now: float, request: LeaseRequest) -> None:
         request.is_probing = False
         request.next_step_at = now + 2 * self.settings.request_timeout_ms
         for acceptor in self._acceptor_order(request.task):
-            if acceptor not in request.acceptors_asked:
-                self._ask(request, acceptor)
+            if acceptor not in request.contacted_acceptors:
+                self._send_acquire_request(request, acceptor)
 
     def _renew(self, now: float, request: LeaseRequest) -> None:
         self._last_request_id += 1
         request.open_ballot(self._last_request_id, now)
         for acceptor in self.acceptors:
-            self._ask(request, acceptor)
-        self._send_pending_note(request)  # again, to acceptors that have not acknowledged it
+            self._send_acquire_request(request, acceptor)
+        self._send_pending_note(request)  # resent to acceptors that have not acknowledged it
         request.next_step_at = min(request.expires_at, now + self._renewal_interval_ms(request))
 
-    def _ask(self, request: LeaseRequest, acceptor: str) -> None:
-        request.acceptors_asked.add(acceptor)
+    def _send_acquire_request(self, request: LeaseRequest, acceptor: str) -> None:
+        request.contacted_acceptors.add(acceptor)
         message = AcquireRequest(
             request.task, request.token, request.length_ms, self._last_request_id, self.config_number
         )
@@ -215,20 +221,20 @@
             return
         ballot.granted_by.add(sender)
         request.inherited_note = max(request.inherited_note, answer.note)
-        until = ballot.sent_at + self.settings.safe_hold_ms(request.length_ms)
-        if len(ballot.granted_by) >= majority(self.acceptors) and now < until:
-            self._on_quorum(now, request, until)
+        expires_at = ballot.sent_at + self.settings.safe_hold_ms(request.length_ms)
+        if len(ballot.granted_by) >= majority(self.acceptors) and now < expires_at:
+            self._on_quorum(now, request, expires_at)
         elif request.state is RequestState.ACQUIRING and request.is_probing:
-            self._ask_remaining(now, request)
+            self._contact_remaining(now, request)
 
-    def _on_quorum(self, now: float, request: LeaseRequest, until: float) -> None:
+    def _on_quorum(self, now: float, request: LeaseRequest, expires_at: float) -> None:
         if request.is_held:
-            if until > request.expires_at:
-                request.expires_at = until
+            if expires_at > request.expires_at:
+                request.expires_at = expires_at
             return
-        request.state, request.expires_at, request.failed_attempts = RequestState.HOLDING, until, 0
-        request.next_step_at = min(until, now + self._renewal_interval_ms(request))
-        self.events.append(LeaseAcquired(request.task, request.token, until, request.inherited_note))
+        request.state, request.expires_at, request.failed_attempts = RequestState.HOLDING, expires_at, 0
+        request.next_step_at = min(expires_at, now + self._renewal_interval_ms(request))
+        self.events.append(LeaseAcquired(request.task, request.token, expires_at, request.inherited_note))
 
     def _on_refusal(self, now: float, sender: str, request: LeaseRequest, answer: Refusal) -> None:
         self.highest_rounds[request.task] = max(self.highest_rounds.get(request.task, 0), answer.highest_token.round)
@@ -247,12 +253,12 @@
         if request.is_probing and answer.reason in (RefusalReason.HELD, RefusalReason.RESERVED):
             self._abandon_attempt(now, request)
         elif request.is_probing:
-            self._ask_remaining(now, request)
+            self._contact_remaining(now, request)
         elif refusal_count > len(self.acceptors) - majority(self.acceptors):
             self._abandon_attempt(now, request)
 
     def _adopt_config(self, now: float, config_number: int, acceptors: tuple[str, ...]) -> None:
-        """Switch to a later acceptor set.  Answers to requests to the previous set do not count in the new one."""
+        """Switch to a later acceptor set.  Answers to requests sent to the previous set no longer count."""
         for request in self.requests.values():
             if request.state is RequestState.ACQUIRING:
                 self._abandon_attempt(now, request)
@@ -260,10 +266,12 @@
         self.acceptors, self.config_number = acceptors, config_number
 
     def _abandon_attempt(self, now: float, request: LeaseRequest) -> None:
-        """The attempt has failed: release what was granted; retry when the task may be free, or, where no holder is
-        known, after an exponential backoff.  Jitter separates the clients.
+        """Abandon an attempt, release its grants and schedule the next attempt.
+
+        The next attempt starts when the task may be free or, where no holder is known, after an exponential backoff.
+        Jitter spreads the attempts of different clients.
         """
-        self._send_release(request, tuple(sorted(request.acceptors_asked)), "")
+        self._send_release(request, tuple(sorted(request.contacted_acceptors)), "")
         is_reserved = now < request.reserved_until
         free_at = max(request.refusals.values(), default=now) if not is_reserved else now
         request.failed_attempts = request.failed_attempts + 1 if free_at <= now and not is_reserved else 0
@@ -282,14 +290,14 @@
                 self.outbox.append((acceptor, Release(request.task, request.token, successor)))
 
     def _acceptor_order(self, task: str) -> list[str]:
-        """The acceptors, rotated by task: all clients of one task ask the same acceptor first."""
+        """Return the acceptors, rotated so that all clients of one task contact the same acceptor first."""
         shift = crc32(task.encode()) % len(self.acceptors)
         return [*self.acceptors[shift:], *self.acceptors[:shift]]
 
     # For the model checker.
 
     def clone(self) -> LeaseClient:
-        """An independent copy."""
+        """Return an independent copy."""
         clone = LeaseClient.__new__(type(self))
         clone.__dict__.update(self.__dict__)
         clone.requests = {task: request.clone() for task, request in self.requests.items()}
--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -38,16 +38,19 @@
 CHANNEL = "lease"
 MESSAGE_TYPES = (AcquireRequest, Grant, Refusal, Release, Transferred, StateRequest, StateReply, WriteNote, NoteWritten)
 ACCEPTOR_MESSAGES = (AcquireRequest, Release, StateRequest, StateReply, WriteNote)
-MAX_TIMER_MS = 1000.0  # longest timer: the rate of the clock may change
-TIMER_MARGIN_S = 0.0005  # so that the time is surely reached when the timer fires
-STORE_CLOSE_MS = 500.0
+MAX_TIMER_MS = 1000.0  # maximum delay of the timer, because the rate of the clock may change
+TIMER_MARGIN_S = 0.0005  # ensures that the due time has been reached when the timer fires
+STORE_CLOSE_MS = 500.0  # timeout of closing the store
 OnAcquired = Callable[[FencingToken], None]
 OnLost = Callable[[FencingToken, str], None]
 OnNoteStored = Callable[[FencingToken, int], None]
 
 
 class LeaseCallbacks(NamedTuple):
-    """What a user of a lease is called with: its token, the reason of its loss, the number of a stored note."""
+    """Callbacks of a lease holder.
+
+    Each receives the lease's token; `on_lost` also the reason, `on_note_stored` the sequence number of the note.
+    """
 
     on_acquired: OnAcquired
     on_lost: OnLost
@@ -55,7 +58,10 @@
 
 
 class LeaseDriver:
-    """The leases of one process, and its acceptor where it is one.  `run`: unique among the runs of a name."""
+    """The lease client of one process, and its acceptor if it runs one.
+
+    `run` identifies the run of the process, and is unique among all runs of the same name.
+    """
 
     def __init__(self, name: str, run: str, settings: LeaseSettings, peers: Peers, log: Any) -> None:
         self.name, self.settings, self._peers, self._log = name, settings, peers, log
@@ -69,11 +75,11 @@
         self._connected_acceptors = settings.acceptors
         self._extra_peers: dict[str, set[str]] = {}
         self.message_count = 0
-        self.step_hook: Callable[[str], None] = lambda step: None  # crash tests: called at named steps
+        self.step_hook: Callable[[str], None] = lambda step: None  # called at named steps; crash tests replace it
         peers.register(CHANNEL, self._on_peer_message, *MESSAGE_TYPES)
 
     def start_acceptor(self, file: Path, vfs: str | None = None) -> bool:
-        """Run an acceptor with its store in `file`.  False, and no acceptor, where the store cannot be used."""
+        """Start an acceptor with its store in `file`.  Returns False, without an acceptor, if the store is unusable."""
         try:
             opened = open_acceptor_store(file, vfs)
         except JournalError as cause:
@@ -94,7 +100,7 @@
         self.run_pending()
 
     def release_except(self, prefix: str) -> None:
-        """Release all tasks but those whose names begin with `prefix`."""
+        """Release all tasks except those whose names begin with `prefix`."""
         for task in [task for task in self.client.requests if not task.startswith(prefix)]:
             self.release(task)
 
@@ -118,103 +124,109 @@
         on_lost: OnLost,
         on_note_stored: OnNoteStored | None = None,
     ) -> None:
-        """Acquire a task's lease and keep it until `release`; the callbacks report each change.
+        """Acquire the lease of a task and renew it until `release`; the callbacks report each change.
 
-        Raises `LeaseLengthError` for a length beyond what acceptors grant.
+        Raises `LeaseLengthError` for a length that acceptors would refuse.
         """
         self._callbacks[task] = LeaseCallbacks(on_acquired, on_lost, on_note_stored)
         self.client.acquire(now_ms(), task, length_ms)
         self.run_pending()
 
     def release(self, task: str, successor: str = "") -> None:
-        """Release a task, to `successor` if named.  Work done under the lease must be over."""
+        """Release a task, to `successor` if one is named.  All work under the lease must have ended before."""
         self.client.release(now_ms(), task, successor)
         self.run_pending()
 
     def held_token(self, task: str) -> FencingToken | None:
-        """The token of the valid lease; check right before each action under it.  None: not held."""
+        """Return the token of the valid lease, or None if the task is not held.
+
+        Callers must check this immediately before each action under the lease.
+        """
         return self.client.held_token(now_ms(), task)
 
     def write_note(self, task: str, text: bytes) -> int | None:
         """Store a note for the next holder; see `LeaseClient.write_note`."""
-        number = self.client.write_note(task, text)
+        sequence = self.client.write_note(task, text)
         self.run_pending()
-        return number
+        return sequence
 
     def inherited_note(self, task: str) -> bytes:
-        """The note of earlier holders, as of the acquisition; empty where there is none."""
+        """Return the note of earlier holders as of the acquisition of the lease, or empty bytes if there is none."""
         request = self.client.requests.get(task)
         return request.inherited_note.text if request is not None else b""
 
     def keep_connected(self, names: set[str], owner: str) -> None:
-        """Keep connections to these peers, too.  `owner` names the requester; its earlier set is replaced."""
+        """Keep connections to these peers in addition to the acceptors.  They replace the earlier peers of `owner`."""
         if self._extra_peers.get(owner) != names:
             self._extra_peers[owner] = names
             self._update_connections()
 
-    # Carrying out.
+    # Running the client and the acceptor.
 
     def _on_peer_message(self, sender: str, message: Message) -> None:
         self.message_count += 1
-        self._dispatch(sender, message)
+        self._deliver(sender, message)
         self.run_pending()
 
-    def _dispatch(self, sender: str, message: Message) -> None:
+    def _deliver(self, sender: str, message: Message) -> None:
         if not isinstance(message, ACCEPTOR_MESSAGES):
             self.client.on_message(now_ms(), sender, message)
         elif self.acceptor is not None:
             self.acceptor.on_message(now_ms(), sender, message)
 
     def run_pending(self) -> None:
-        """Run the cores until nothing is due or queued, then schedule the timer."""
+        """Run the client and the acceptor until nothing is due or queued, then schedule the timer."""
         if self._running or self._stopped:
             return
         self._running = True
         try:
-            now, own = now_ms(), deque[Message]()
+            now, local_messages = now_ms(), deque[Message]()
             self.client.tick(now)
             if self.acceptor is not None:
                 self.acceptor.tick(now)
-            while self._drain_cores(own):
-                while own:
-                    self._dispatch(self.name, own.popleft())
+            while self._process_output(local_messages):
+                while local_messages:
+                    self._deliver(self.name, local_messages.popleft())
         finally:
             self._running = False
         if self.client.acceptors != self._connected_acceptors:
             self._update_connections()
         self._schedule_timer()
 
-    def _drain_cores(self, own: deque[Message]) -> bool:
-        """Carry out what both cores have queued; returns whether there was anything."""
-        any_output, acceptor, client = bool(own), self.acceptor, self.client
+    def _process_output(self, local_messages: deque[Message]) -> bool:
+        """Process the queued output of the client and the acceptor, and return whether there was any.
+
+        Messages to this process are appended to `local_messages`.
+        """
+        had_output, acceptor, client = bool(local_messages), self.acceptor, self.client
         for core in (acceptor, client):
             while core is not None and core.outbox:
-                any_output = True
+                had_output = True
                 to, message = core.outbox.popleft()
                 if to == self.name:
-                    own.append(message)
+                    local_messages.append(message)
                 else:
                     self._peers.send(to, message)
         while acceptor is not None and acceptor.pending_writes and self._journal is not None:
-            any_output = True
+            had_output = True
             write = acceptor.pending_writes.popleft()
-            # A stage is retried until it is durable; a grant that is not durable is not answered.
+            # The write of a stage is retried until it succeeds.  A grant whose write fails is not answered.
             self._journal.group_commit.write(write, partial(self._on_written, write), write.state is not None)
         if self._journal is not None:
             self._journal.start_next_batch()
         while client.events:
-            any_output = True
+            had_output = True
             self._notify(client.events.popleft())
-        return any_output
+        return had_output
 
     def _on_written(self, write: Write, durable: bool) -> None:
         if self.acceptor is not None:
             if durable and write.reply is not None:
-                self.step_hook("voted")  # durable, and not answered yet
-            before = self.acceptor.stage
+                self.step_hook("voted")  # the grant is durable, but its reply has not been sent yet
+            stage_before = self.acceptor.stage
             self.acceptor.on_written(write, durable)
             if write.state is not None:
-                self._log.info("acceptor-stage", stage=before.value, number=self.acceptor.config_number)
+                self._log.info("acceptor-stage", stage=stage_before.value, number=self.acceptor.config_number)
 
     def _notify(self, event: LeaseEvent) -> None:
         callbacks = self._callbacks[event.task]
@@ -231,9 +243,9 @@
 
     def _update_connections(self) -> None:
         self._connected_acceptors = self.client.acceptors
-        every = {*self._connected_acceptors, *(self.settings.previous_acceptors if self.acceptor is not None else ())}
-        every = every.union(*self._extra_peers.values())
-        self._peers.keep_connected(every)
+        names = {*self._connected_acceptors, *(self.settings.previous_acceptors if self.acceptor is not None else ())}
+        names = names.union(*self._extra_peers.values())
+        self._peers.keep_connected(names)
 
     def _schedule_timer(self) -> None:
         if self._timer is not None:
@@ -244,13 +256,13 @@
         self._timer = self._loop.call_later(max(0.0, wait_ms) / 1000 + TIMER_MARGIN_S, self.run_pending)
 
     def status(self) -> dict[str, Any]:
-        """State of leases and acceptor, for operators."""
-        now, heard, client = now_ms(), self._peers.ms_since_heard(), self.client
+        """Return the state of the leases and the acceptor, for operators."""
+        now, silence_ms, client = now_ms(), self._peers.ms_since_heard(), self.client
         return {
             "name": self.name,
             "number": client.config_number,
             "voters": {
-                name: None if name != self.name and name not in heard else round(heard.get(name, 0.0))
+                name: None if name != self.name and name not in silence_ms else round(silence_ms.get(name, 0.0))
                 for name in client.acceptors
             },
             "holds": {
--- a/kelptrail/lease/events.py
+++ b/kelptrail/lease/events.py
@@ -1,4 +1,4 @@
-"""Events of a lease client: what happened to the leases that it wants."""
+"""Events of a lease client: changes to the leases that it has requested."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class LossReason(Enum):
-    """Why a lease is not held any more.  The values appear in the log."""
+    """Reason why a lease is no longer held.  The values appear in the log."""
 
     EXPIRED = "expired"
     RELEASED = "released"
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired:
-    """The lease was acquired; it is valid until `expires_at` (ms, this client's clock).
+    """The lease was acquired.  It is valid until `expires_at`, in ms on this client's clock.
 
-    `inherited_note`: the latest note of earlier holders; from now on no acceptor of the majority stores a note under an
-    older token.
+    `inherited_note` is the latest note of earlier holders.  From now on, no acceptor of the granting majority stores a
+    note under an older token.
     """
 
     task: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoteStored:
-    """A majority has stored this client's note: the next holder will receive it, or a later one."""
+    """A majority has stored this client's note, so that the next holder receives this note or a later one."""
 
     task: str
     token: FencingToken
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseLost:
-    """The lease is not held any more."""
+    """The lease is no longer held."""
 
     task: str
     token: FencingToken
--- a/kelptrail/lease/messages.py
+++ b/kelptrail/lease/messages.py
@@ -1,8 +1,8 @@
-"""Messages between lease clients and acceptors, and the settings that both are built with.
+"""Messages between lease clients and acceptors, and the settings of both.
 
-The protocol is a majority lease (Trencseni, Gazso, Reinhardt: PaxosLease, arXiv:1209.4187) whose ballot numbers serve
-as fencing tokens, as Chubby's sequencers do (Burrows, OSDI 2006).  All times are durations in milliseconds on the
-receiver's clock; no message carries a time of day.  Structs are arrays on the wire: fields are identified by position.
+The protocol is a majority lease (Trencseni, Gazso, Reinhardt: PaxosLease, arXiv:1209.4187).  Its ballot numbers serve
+as fencing tokens, like Chubby's sequencers (Burrows, OSDI 2006).  All times in messages are durations in milliseconds
+on the receiver's clock, never times of day.  Structs are encoded as arrays, whose fields are identified by position.
 """
 
 from __future__ import annotations
@@ -27,8 +27,10 @@
 
 
 class AcquireRequest(msgspec.Struct, frozen=True, tag="ask", array_like=True):
-    """Acquire or renew the lease of `task` for `length_ms`.  `request_id` distinguishes renewals under one token;
-    `config_number` is the acceptor set that the client knows.
+    """Request to acquire or renew the lease of `task` for `length_ms`.
+
+    `request_id` distinguishes the renewals under one token; `config_number` is the version of the acceptor set that the
+    client uses.
     """
 
     task: str
@@ -39,7 +41,7 @@
 
 
 class LeaseNote(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """Data that a lease holder leaves for the next holder; ordered by the time of writing."""
+    """Data that a lease holder stores for the next holder.  Notes are ordered by token, then by sequence number."""
 
     token: FencingToken
     sequence: int
@@ -50,7 +52,7 @@
 
 
 class Grant(msgspec.Struct, frozen=True, tag="granted", array_like=True):
-    """The lease is granted, and the grant is durable.  `note`: the latest note that this acceptor has of the task."""
+    """The lease is granted and the grant is durable.  `note` is the acceptor's latest note of the task."""
 
     task: str
     token: FencingToken
@@ -59,7 +61,7 @@
 
 
 class WriteNote(msgspec.Struct, frozen=True, tag="note", array_like=True):
-    """From the lease holder: replace the task's note."""
+    """Request of the lease holder to replace the note of a task."""
 
     task: str
     note: LeaseNote
@@ -67,7 +69,7 @@
 
 
 class NoteWritten(msgspec.Struct, frozen=True, tag="left", array_like=True):
-    """The note is durable at this acceptor."""
+    """The note is durable at the sending acceptor."""
 
     task: str
     token: FencingToken
@@ -75,20 +77,20 @@
 
 
 class RefusalReason(Enum):
-    """Why an acceptor refuses a request.  The values go over the wire; the first four are those of `Stage`."""
+    """Reason why an acceptor refuses a request.  The values are sent; the first four are those of `Stage`."""
 
     EMPTY = "empty"
     FOUNDING = "founding"
     CHANGING = "changing"
     BEHIND = "behind"
-    STAGE_NOT_DURABLE = "settling"  # the acceptor is about to vote
-    OTHER_CONFIG = "set"  # the client knows another acceptor set
-    INVALID_LENGTH = "length"  # longer than the longest lease, or a renewal with another length
+    STAGE_NOT_DURABLE = "settling"  # the acceptor has started to vote, but its stage is not durable yet
+    OTHER_CONFIG = "set"  # the client uses another acceptor set
+    INVALID_LENGTH = "length"  # not positive, longer than the longest lease, or a renewal with another length
     OLDER_TOKEN = "older"  # a later token was granted
-    RELEASED = "released"  # the lease to be renewed was released
-    HELD = "held"  # by another client
-    RESERVED = "reserved"  # for the successor that the last holder named
-    UNKNOWN = "unknown"  # never sent: a reason of another version of the program
+    RELEASED = "released"  # the lease that the client renews was released
+    HELD = "held"  # another client holds the lease
+    RESERVED = "reserved"  # the task is reserved for the successor named by the last holder
+    UNKNOWN = "unknown"  # decoded from a reason of another program version, never sent
 
     @classmethod
     def _missing_(cls, value: object) -> RefusalReason:
@@ -96,8 +98,11 @@
 
 
 class Refusal(msgspec.Struct, frozen=True, tag="refused", array_like=True):
-    """The request is refused.  `highest_token`: of the task; `retry_after_ms`: earliest useful retry; `config_number`
-    and `acceptors`: the acceptor set in force here (no acceptors where this acceptor's own settings are outdated).
+    """The request is refused.
+
+    `highest_token` is the highest token of the task, and `retry_after_ms` the time until a retry can succeed.
+    `config_number` and `acceptors` describe the current acceptor set; `acceptors` is empty if the settings of the
+    sending acceptor are outdated.
     """
 
     task: str
@@ -111,8 +116,9 @@
 
 
 class Release(msgspec.Struct, frozen=True, tag="release", array_like=True):
-    """The lease is released before it expires, or the attempt is abandoned.  `successor`: name of the client that
-    should get it next, or empty.
+    """The lease is released before it expires, or the attempt is abandoned.
+
+    `successor` is the name of the client that should acquire it next, or empty.
     """
 
     task: str
@@ -121,14 +127,16 @@
 
 
 class Transferred(msgspec.Struct, frozen=True, tag="handed", array_like=True):
-    """The task is free: sent to the successor that the holder named, else to the client that has waited longest."""
+    """The task is free.  Sent to the successor named by the holder, or else to the client that has waited longest."""
 
     task: str
 
 
 class LeaseRow(msgspec.Struct, frozen=True, array_like=True):
-    """Durable state of one task at an acceptor: the highest granted token, the lease's length, whether it was released,
-    and the latest note.
+    """Durable state of one task at an acceptor.
+
+    `token` is the highest granted token, and `note` the latest note; `length_ms` and `released` belong to the lease
+    under that token.
     """
 
     task: str
@@ -139,15 +147,17 @@
 
 
 class StateRequest(msgspec.Struct, frozen=True, tag="learn", array_like=True):
-    """From an acceptor that is not voting yet: asks for the receiver's state."""
+    """Request for the state of the receiver, from an acceptor that does not vote yet."""
 
     config_number: int
     nonce: int
 
 
 class StateReply(msgspec.Struct, frozen=True, tag="learnt", array_like=True):
-    """An acceptor's state.  `stage`: a value of `acceptor.Stage`; `sealed_previous`: it remembers everything that it
-    granted in the previous acceptor set, and grants nothing in that set any more.
+    """State of an acceptor.  `stage` is a value of `acceptor_state.Stage`.
+
+    `sealed_previous` is true if it has kept everything that it granted in the previous acceptor set, and grants nothing
+    more in that set.
     """
 
     config_number: int
@@ -162,14 +172,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseSettings:
-    """Settings that must be the same in the whole fleet.
-
-    `config_number`: version of the acceptor set, increased with each change; `previous_acceptors`: the set before it;
-    `clock_rate_bound`: each clock's rate is within 1 - bound to 1 + bound of true time; `max_lease_ms`: longest lease
-    that acceptors grant; `request_timeout_ms`: after it a request counts as unanswered; `retry_pause_ms`: base of the
-    backoff after a failed attempt; `queue_spacing_ms`: distance between the retry times of waiting clients;
-    `transfer_reservation_ms`: how long a released task is reserved for its successor; `round_floor`: rounds of tokens
-    begin above it.
+    """Lease settings, which must be the same in the complete fleet.
+
+    - `config_number`: version of the acceptor set, increased with each change.
+    - `previous_acceptors`: the acceptor set before the current one.
+    - `clock_rate_bound`: maximum relative error of a clock's rate, so that it is between 1 - bound and 1 + bound.
+    - `max_lease_ms`: longest lease that acceptors grant.
+    - `request_timeout_ms`: time after which a request counts as unanswered.
+    - `retry_pause_ms`: base of the backoff after a failed attempt.
+    - `queue_spacing_ms`: interval between the retry times of waiting clients.
+    - `transfer_reservation_ms`: time for which a released task is reserved for its successor.
+    - `round_floor`: acceptors grant only tokens with a round above it.
     """
 
     acceptors: tuple[str, ...]
@@ -184,19 +197,19 @@
     round_floor: int = 0
 
     def safe_hold_ms(self, length_ms: float) -> float:
-        """How long a holder may rely on a lease by its own clock, counted from before the request was sent.
+        """Return how long a holder may rely on a lease, in ms on its own clock from a time before the request was sent.
 
-        Acceptors count `length_ms` on clocks that may be as fast as the bound allows, while the holder's clock may be
-        as slow, so the holder's view of the lease ends before any acceptor's.
+        The clocks of the acceptors may be as fast, and the clock of the holder as slow, as the bound permits.  The
+        shortened length ensures that the lease ends at the holder no later than at any acceptor.
         """
         return length_ms * (1 - self.clock_rate_bound) / (1 + self.clock_rate_bound)
 
     @property
     def recovery_wait_ms(self) -> float:
-        """How long, on the fastest clock, until every lease granted before now has expired at its holder."""
+        """Time on the fastest clock after which every lease granted before now has expired at its holder, in ms."""
         return self.max_lease_ms * (1 + self.clock_rate_bound) / (1 - self.clock_rate_bound)
 
 
 def majority(acceptors: tuple[str, ...]) -> int:
-    """The smallest number of acceptors that is more than half."""
+    """Return the smallest number of acceptors that is more than half."""
     return len(acceptors) // 2 + 1
--- a/kelptrail/lease/model.py
+++ b/kelptrail/lease/model.py
@@ -1,9 +1,11 @@
-"""Model of the lease protocol for exhaustive and random search: steps and properties; free of I/O.
+"""Model of the lease protocol for exhaustive and random search: its steps and properties.  Performs no I/O.
 
-Steps: messages are delivered in any order, dropped or duplicated; time passes, also while messages are in flight;
-processes restart, disks are lost, syncs fail, clients pause.  Properties: in every state at most one client relies on
-the lease (where clock rates are within the bound); acquired tokens only grow, and the resource accepts no token older
-than one that it has seen; and once faults end, some client holds the lease within a stated time.
+Steps: messages are delivered in any order, dropped or duplicated; time advances, also while messages are in flight;
+processes restart, disks are lost, syncs fail, clients pause.
+
+Properties: in every state at most one client relies on the lease, if the clock rates are within the bound; acquired
+tokens only increase, and the resource accepts no token older than one that it has accepted before; and once the faults
+have ended, some client holds the lease within a given time.
 """
 
 from __future__ import annotations
@@ -31,7 +33,7 @@
     # Steps.
 
     def steps(self) -> Iterator[Step[Model]]:
-        """Every step that can follow; none after a violation."""
+        """Yield every step that can follow, or none after a violation."""
         if self.violation:
             return
         yield from self._message_steps()
@@ -73,34 +75,37 @@
                 yield Step(f"reconfigure {name}", partial(self._reconfigure_step, name), True)
 
     def _client_steps(self, name: str) -> Iterator[Step[Model]]:
-        left = self.budget
+        budget = self.budget
         if name in self.paused:
             yield Step(f"resume {name}", partial(self._pause_step, name, False), True)
             return
-        if left.pauses:
+        if budget.pauses:
             yield Step(f"pause {name}", partial(self._pause_step, name, True), True)
-        if left.client_restarts:
+        if budget.client_restarts:
             yield Step(f"restart {name}", partial(self._restart_client_step, name), True)
         if self.clients[name].held_token(self.local_time(name), TASK) is not None:
-            if left.actions:
+            if budget.actions:
                 yield Step(f"use token {name}", partial(self._use_token_step, name))
-            if left.releases:
+            if budget.releases:
                 yield Step(f"release {name}", partial(self._release_step, name))
 
     # Properties.
 
     def check(self) -> None:
-        """Check what must hold in every state.  Raises `PropertyError`."""
+        """Check the properties of every state.  Raises `PropertyError` if one is violated."""
         if self.violation:
             raise PropertyError(self.violation)
         holders = [
             name for name, client in self.clients.items() if client.held_token(self.local_time(name), TASK) is not None
         ]
         if len(holders) > 1 and self.setup.clocks_in_bound:
-            raise PropertyError(f"{' and '.join(holders)} rely on the lease at one time")
+            raise PropertyError(f"{' and '.join(holders)} rely on the lease at the same time")
 
     def check_recovery(self, within_ms: float) -> None:
-        """Check that some client holds the lease within `within_ms` after the last fault.  Raises `PropertyError`."""
+        """Check that some client holds the lease within `within_ms` after the last fault.
+
+        Raises `PropertyError` if none does.
+        """
         state, end = self.clone(), self.now + within_ms
         state.paused = frozenset()
         if state.setup.next_settings is not None:
@@ -114,9 +119,9 @@
                 client.held_token(state.local_time(name), TASK) is not None for name, client in state.clients.items()
             ):
                 return
-            due = state._next_event_at()
-            if due is None or due > end:
+            next_event_at = state._next_event_at()
+            if next_event_at is None or next_event_at > end:
                 raise PropertyError(f"no client holds the lease {within_ms:g} ms after the last fault")
-            state.now = due + ROUNDING_MS
+            state.now = next_event_at + ROUNDING_MS
             state._tick_cores()
         state.check()
--- a/kelptrail/lease/model_state.py
+++ b/kelptrail/lease/model_state.py
@@ -1,7 +1,7 @@
-"""State of the lease model: acceptors, clients and one protected resource; free of I/O.
+"""State of the lease model: acceptors, clients and one protected resource.  Performs no I/O.
 
-A state holds the cores, each acceptor's disk and its unsynced writes, messages and actions in flight, and the budget of
-faults that may still happen.  Each process's clock runs at its own rate.
+A state contains the acceptors with their disks and unsynced writes, the clients, the messages and actions in flight,
+and the budget of faults that may still happen.  The clock of each process runs at its own rate.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """How many faults of each kind may still happen, and how many `actions` under a token may still begin."""
+    """Number of faults of each kind that may still happen, and of `actions` under a token that may still start."""
 
     drops: int = 0
     duplicates: int = 0
-    delays: int = 0  # of time steps while messages or writes are in flight
-    restarts: int = 0  # of acceptors, from their disks
+    delays: int = 0  # time steps while messages or writes are in flight
+    restarts: int = 0  # restarts of acceptors with their disks
     disk_losses: int = 0
     sync_failures: int = 0
-    client_restarts: int = 0  # new runs of clients
+    client_restarts: int = 0  # restarts of clients under a new client id
     pauses: int = 0
     releases: int = 0
     actions: int = 0
@@ -42,19 +42,19 @@
     rows: dict[str, LeaseRow] = field(default_factory=dict)
 
     def sync(self, write: Write) -> None:
-        """Make a write durable."""
+        """Apply a write, which is durable from now on."""
         self.state = write.state or self.state
         for row in write.rows:
             self.rows[row.task] = row
 
     def clone(self) -> Disk:
-        """An independent copy."""
+        """Return an independent copy."""
         return Disk(self.state, dict(self.rows))
 
 
 @dataclass(frozen=True, slots=True)
 class InFlight:
-    """A message in flight, or an action under a token (`message` None) on its way to the protected resource."""
+    """A message in flight, or, if `message` is None, an action under a token that is in flight to the resource."""
 
     sender: str
     to: str
@@ -64,8 +64,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelSetup:
-    """Initial conditions: settings, clients, budget, classes of the cores (tests replace them by broken ones), clock
-    rates by name; `is_founded`: the acceptors have voted before; `checks_tokens`: the resource checks tokens.
+    """Initial conditions of a model.
+
+    Tests replace the classes of acceptors and clients with faulty ones.  `clock_rates` are the rates by process
+    name.  `is_founded` means that the acceptors have voted before, and `checks_tokens` that the resource checks tokens.
     """
 
     settings: LeaseSettings
@@ -77,18 +79,19 @@
     clock_rates: tuple[tuple[str, float], ...] = ()
     is_founded: bool = True
     checks_tokens: bool = True
-    clocks_in_bound: bool = True  # so at most one client may rely on the lease
+    clocks_in_bound: bool = True  # if true, at most one client may rely on the lease at a time
     disk_type: Callable[[], Disk] = Disk
-    with_notes: bool = False  # a client writes a note on each acquisition
-    next_settings: LeaseSettings | None = None  # next acceptor set, adopted process by process
+    with_notes: bool = False  # each client writes a note after each acquisition
+    # Settings with the next acceptor set, adopted by one process after another.
+    next_settings: LeaseSettings | None = None
 
     def clock_rate(self, name: str) -> float:
-        """The rate of a process's clock."""
+        """Return the clock rate of a process, relative to true time."""
         return dict(self.clock_rates).get(name, 1.0)
 
 
 class ModelState:
-    """One state: cores, disks, messages and writes in flight, clocks, and the remaining budget."""
+    """One state: acceptors, clients, disks, messages and writes in flight, time, and the remaining budget."""
 
     __slots__ = (
         "acceptors",
@@ -108,35 +111,35 @@
         "violation",
     )
 
-    def __init__(self, make: ModelSetup) -> None:
-        self.setup, self.budget, self.now = make, make.budget, 0.0
-        settings = make.settings
-        every = dict.fromkeys((*settings.acceptors, *(make.next_settings.acceptors if make.next_settings else ())))
-        self.disks = {name: make.disk_type() for name in every}
+    def __init__(self, setup: ModelSetup) -> None:
+        self.setup, self.budget, self.now = setup, setup.budget, 0.0
+        settings = setup.settings
+        names = dict.fromkeys((*settings.acceptors, *(setup.next_settings.acceptors if setup.next_settings else ())))
+        self.disks = {name: setup.disk_type() for name in names}
         self.reconfigured: frozenset[str] = frozenset()  # processes that use the next acceptor set
-        if make.is_founded:
+        if setup.is_founded:
             for name in settings.acceptors:
                 self.disks[name].state = DurableState(settings.config_number, Stage.VOTING, False)
         self.acceptors = {
-            name: make.acceptor_type(name, settings, 0.0, self.disks[name].state) for name in settings.acceptors
+            name: setup.acceptor_type(name, settings, 0.0, self.disks[name].state) for name in settings.acceptors
         }
-        self.client_runs = dict.fromkeys(make.clients, 1)
-        self.clients = {name: make.client_type(name, f"{name}/1", settings) for name in make.clients}
+        self.client_runs = dict.fromkeys(setup.clients, 1)
+        self.clients = {name: setup.client_type(name, f"{name}/1", settings) for name in setup.clients}
         self.in_flight: tuple[InFlight, ...] = ()
         self.paused: frozenset[str] = frozenset()
-        self.highest_used = self.highest_acquired = NO_TOKEN  # highest tokens used in an action, and acquired
-        self.stored_note = NO_NOTE  # the latest note acknowledged to its holder
+        self.highest_used = self.highest_acquired = NO_TOKEN  # highest token accepted by the resource, and acquired
+        self.stored_note = NO_NOTE  # latest note that was acknowledged to its holder
         self.violation = ""
         self.trail: tuple[str, ...] = ()
         for name, client in self.clients.items():
-            client.acquire(self.local_time(name), TASK, make.length_ms)
+            client.acquire(self.local_time(name), TASK, setup.length_ms)
 
     def local_time(self, name: str) -> float:
-        """The reading of a process's clock, ms."""
+        """Return the time on the clock of a process, in ms."""
         return self.now * self.setup.clock_rate(name)
 
     def settings_of(self, name: str) -> LeaseSettings:
-        """The settings that a process reads at its next start."""
+        """Return the settings that a process reads at its next start."""
         return (
             self.setup.next_settings
             if self.setup.next_settings is not None and name in self.reconfigured
@@ -144,24 +147,24 @@
         )
 
     def clone(self) -> Self:
-        """An independent copy."""
-        after = type(self).__new__(type(self))
-        after.setup, after.budget, after.now, after.in_flight = self.setup, self.budget, self.now, self.in_flight
-        after.disks = {name: disk.clone() for name, disk in self.disks.items()}
-        after.acceptors = {name: acceptor.clone() for name, acceptor in self.acceptors.items()}
-        after.clients = {name: client.clone() for name, client in self.clients.items()}
-        after.client_runs, after.paused, after.trail = dict(self.client_runs), self.paused, self.trail
-        after.highest_used, after.highest_acquired, after.violation, after.reconfigured = (
+        """Return an independent copy."""
+        clone = type(self).__new__(type(self))
+        clone.setup, clone.budget, clone.now, clone.in_flight = self.setup, self.budget, self.now, self.in_flight
+        clone.disks = {name: disk.clone() for name, disk in self.disks.items()}
+        clone.acceptors = {name: acceptor.clone() for name, acceptor in self.acceptors.items()}
+        clone.clients = {name: client.clone() for name, client in self.clients.items()}
+        clone.client_runs, clone.paused, clone.trail = dict(self.client_runs), self.paused, self.trail
+        clone.highest_used, clone.highest_acquired, clone.violation, clone.reconfigured = (
             self.highest_used,
             self.highest_acquired,
             self.violation,
             self.reconfigured,
         )
-        after.stored_note = self.stored_note
-        return after
+        clone.stored_note = self.stored_note
+        return clone
 
     def key(self) -> Hashable:
-        """Everything that the future depends on, with times relative to now."""
+        """Return everything on which the following states depend, with times relative to now."""
         parts: list[Hashable] = [
             self.budget,
             tuple(sorted(self.in_flight, key=repr)),
@@ -182,7 +185,7 @@
         yield (
             acceptor.stage,
             acceptor.sealed_previous,
-            _time_until(acceptor.recovery.quiet_since, now),
+            _time_until(acceptor.recovery.wait_started_at, now),
             _time_until(acceptor.next_tick_at(), now),
             acceptor.recovery.nonce,
             frozenset(acceptor.recovery.replies.items()),
@@ -218,7 +221,7 @@
             request.is_probing,
             request.failed_attempts,
             frozenset(request.refusals),
-            frozenset(request.acceptors_asked),
+            frozenset(request.contacted_acceptors),
             tuple(
                 (request_id, _time_until(ballot.sent_at, now), frozenset(ballot.granted_by))
                 for request_id, ballot in request.ballots.items()
@@ -227,5 +230,5 @@
 
 
 def _time_until(when: float | None, now: float) -> float | None:
-    """The time left until `when`; None for all times in the past."""
+    """Return the time left until `when`, or None for None and all times in the past."""
     return None if when is None or when <= now else round(when - now, 3)
--- a/kelptrail/lease/waiting_clients.py
+++ b/kelptrail/lease/waiting_clients.py
@@ -1,24 +1,24 @@
-"""Retry times for the clients that wait for a held task, so that those of a whole fleet do not retry all at once."""
+"""Retry times for clients that wait for a held task, so that they do not all retry at the same time."""
 
 from __future__ import annotations
 
-MAX_WAITING_CLIENTS = 1000  # clients for a task whose position in the queue is remembered
+MAX_WAITING_CLIENTS = 1000  # maximum length of the queue of one task
 
 
 class WaitingClients:
-    """The queue of each task at one acceptor: clients in order of their first refusal, with their retry times.
+    """Queues of one acceptor, one per task: clients in the order of their first refusal, with their retry times.
 
-    Retry times are `spacing_ms` apart.  A client that is `max_lease_ms` past its retry time is no longer waiting.
+    Retry times are `spacing_ms` apart.  A client that has not retried `max_lease_ms` after its retry time is removed.
     """
 
     def __init__(self, spacing_ms: float, max_lease_ms: float) -> None:
         self._spacing_ms, self._max_lease_ms = spacing_ms, max_lease_ms
-        self._queues: dict[str, dict[str, float]] = {}  # by task: client to its retry time
+        self._queues: dict[str, dict[str, float]] = {}  # retry time by client, for each task
 
     def retry_delay_ms(self, now: float, task: str, client: str, free_at: float) -> float:
-        """Add a client to the queue, unless it is full; returns how long the client should wait, in ms.
+        """Add a client to the queue of a task, unless it is full, and return how long the client should wait, in ms.
 
-        `free_at`: when the task may be free for the first client of the queue.
+        `free_at` is the estimated time at which the first client of the queue can acquire the task.
         """
         queue = self._queues.setdefault(task, {})
         for name in [n for n, retry_at in queue.items() if retry_at < now - self._max_lease_ms]:
@@ -32,15 +32,15 @@
         return retry_at - now
 
     def remove(self, task: str, client: str) -> None:
-        """The client has the task and waits no longer."""
+        """Remove a client that has acquired the task from its queue."""
         self._queues.get(task, {}).pop(client, None)
 
     def first(self, task: str) -> str:
-        """The client that has waited longest; empty if none waits."""
+        """Return the client that has waited longest, or an empty string if no client waits."""
         return next(iter(self._queues.get(task, ())), "")
 
     def clone(self) -> WaitingClients:
-        """An independent copy, for the model checker."""
+        """Return an independent copy, for the model checker."""
         clone = WaitingClients(self._spacing_ms, self._max_lease_ms)
         clone._queues = {task: dict(queue) for task, queue in self._queues.items()}
         return clone
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Leases: model checking of the cores and of faulty ones, the acceptor store, settings, and the history checker."""
+"""Leases: model checking of acceptors and clients, correct and faulty, the acceptor store, settings, and history."""
 
 from __future__ import annotations
 
@@ -79,8 +79,8 @@
 
 
 def test_states_near_the_start_violate_no_property() -> None:
-    found = explore(initial_state(1, Budget(drops=1, delays=1, restarts=1, actions=1), {}), Model.check, 7, 5000)
-    assert found.states > 3000 and found.depth >= 6
+    result = explore(initial_state(1, Budget(drops=1, delays=1, restarts=1, actions=1), {}), Model.check, 7, 5000)
+    assert result.states > 3000 and result.depth >= 6
 
 
 class GrantsHeldTask(Acceptor):
@@ -91,16 +91,20 @@
 
 class RepliesBeforeSync(Acceptor):
     def _enqueue_write(
-        self, rows: tuple[LeaseRow, ...], state: DurableState | None = None, to: str = "", reply: Message | None = None
+        self,
+        rows: tuple[LeaseRow, ...],
+        state: DurableState | None = None,
+        reply_to: str = "",
+        reply: Message | None = None,
     ) -> None:
-        super()._enqueue_write(rows, state, to)
+        super()._enqueue_write(rows, state, reply_to)
         if reply is not None:
-            self.outbox.append((to, reply))
+            self.outbox.append((reply_to, reply))
 
 
 class ForgetsGrantsAtRestart(Acceptor):
-    def __init__(self, *words: Any) -> None:
-        super().__init__(*words)
+    def __init__(self, *args: Any) -> None:
+        super().__init__(*args)
         for record in self.records.values():
             record.expires_at = float("-inf")
 
@@ -211,14 +215,16 @@
     budget: Budget, fault_share: float, length: int, options: dict[str, Any]
 ) -> None:
     with pytest.raises(
-        PropertyError, match=r"rely on the lease at one time|acquired it under|was accepted after|did not inherit"
+        PropertyError,
+        match=r"rely on the lease at the same time|acquired the lease under token|"
+        r"was accepted after token|did not inherit the note",
     ):
         for seed in range(2000):
             walk(seed, WalkSetup(budget, fault_share, length, options))
 
 
 def test_acceptor_rejects_note_under_older_token_and_learns_notes_of_others() -> None:
-    """Both faults are too rare for random walks to find within seconds."""
+    """Random walks do not find these faults within seconds, because both need rare schedules."""
     old, new = FencingToken(1, "x/1"), FencingToken(2, "y/1")
     acceptor = Acceptor(
         "a",
@@ -230,7 +236,7 @@
     acceptor.on_message(1.0, "x", WriteNote("t", LeaseNote(old, 4, b"late"), 1))
     acceptor.on_message(1.0, "y", WriteNote("t", LeaseNote(new, 1, b"next"), 2))
     assert not acceptor.pending_writes and not acceptor.outbox, (
-        "neither under an older token nor for another acceptor set"
+        "a note under an older token and a note for another acceptor set are not stored"
     )
     acceptor.on_message(1.0, "y", WriteNote("t", LeaseNote(new, 1, b"next"), 1))
     acceptor.on_written(acceptor.pending_writes.popleft(), True)
@@ -246,28 +252,33 @@
 
 
 def test_resource_accepts_no_older_token_whatever_the_clock_rates() -> None:
-    """Ten times the bound: two clients may rely on the lease, but the resource accepts no older token."""
+    """With clock rates at ten times the bound, two clients may rely on the lease at the same time.
+
+    Even then, the resource must not accept a token older than one that it has accepted.
+    """
     rates = (("a", 1.2), ("b", 1.2), ("c", 1.2), ("x", 0.8), ("y", 0.8))
-    both = 0
+    two_holder_states = 0
     for seed in range(150):
         state = Model(ModelSetup(SETTINGS, ("x", "y"), DELAYS, clock_rates=rates, clocks_in_bound=False))
 
-        def check_and_remember(one: Model) -> None:
-            nonlocal both
-            one.check()
-            both += sum(a.held_token(one.local_time(n), TASK) is not None for n, a in one.clients.items()) > 1
+        def check_and_count(model: Model) -> None:
+            nonlocal two_holder_states
+            model.check()
+            two_holder_states += (
+                sum(c.held_token(model.local_time(n), TASK) is not None for n, c in model.clients.items()) > 1
+            )
 
-        random_walk(state, check_and_remember, seed, 400, 0.3)
-    assert both > 0, "the clock rates were wrong enough to matter"
+        random_walk(state, check_and_count, seed, 400, 0.3)
+    assert two_holder_states > 0, "the clock rates must be wrong enough for two clients to rely on the lease"
 
 
 # The client.
 
 
 def take_requests(client: LeaseClient) -> list[tuple[str, AcquireRequest]]:
-    found = [(to, m) for to, m in client.outbox if isinstance(m, AcquireRequest)]
+    requests = [(to, m) for to, m in client.outbox if isinstance(m, AcquireRequest)]
     client.outbox.clear()
-    return found
+    return requests
 
 
 def acquire_lease(client: LeaseClient, now: float = 0.0) -> FencingToken:
@@ -284,20 +295,22 @@
 def test_renewal_needs_a_majority_for_one_request_and_counts_from_its_sending() -> None:
     client = LeaseClient("x", "x/1", SETTINGS)
     token = acquire_lease(client)
-    until = SETTINGS.safe_hold_ms(100.0)
-    assert client.held_token(until - 0.01, "t") == token and client.held_token(until, "t") is None
+    hold_ms = SETTINGS.safe_hold_ms(100.0)
+    assert client.held_token(hold_ms - 0.01, "t") == token and client.held_token(hold_ms, "t") is None
     client.tick(40.0)
     first = take_requests(client)
     client.tick(75.0)
     second = take_requests(client)
     client.on_message(76.0, "a", Grant("t", token, first[0][1].request_id))
     client.on_message(76.0, "b", Grant("t", token, second[0][1].request_id))
-    assert client.remaining_ms(76.0, "t") == pytest.approx(until - 76.0), "grants for two requests are no majority"
+    assert client.remaining_ms(76.0, "t") == pytest.approx(hold_ms - 76.0), (
+        "grants of two different requests do not form a majority"
+    )
     client.on_message(77.0, "c", Grant("t", token, first[0][1].request_id))
-    assert client.remaining_ms(77.0, "t") == pytest.approx(40.0 + until - 77.0)
+    assert client.remaining_ms(77.0, "t") == pytest.approx(40.0 + hold_ms - 77.0)
     client.on_message(78.0, "c", Grant("t", token, first[0][1].request_id))
     client.on_message(78.0, "stranger", Grant("t", token, second[0][1].request_id))
-    assert client.remaining_ms(78.0, "t") == pytest.approx(40.0 + until - 78.0)
+    assert client.remaining_ms(78.0, "t") == pytest.approx(40.0 + hold_ms - 78.0)
     client.tick(200.0)
     assert (
         client.events.popleft() == LeaseLost("t", token, LossReason.EXPIRED) and client.held_token(200.0, "t") is None
@@ -327,34 +340,34 @@
         name: Acceptor(name, SETTINGS, 0.0, DurableState(1, Stage.VOTING, False)) for name in SETTINGS.acceptors
     }
     clients = {name: LeaseClient(name, f"{name}/1", SETTINGS) for name in ("x", "y", "z")}
-    transfers: list[str] = []
+    transfer_recipients: list[str] = []
 
-    def pump(now: float) -> None:
-        busy = True
-        while busy:
-            busy = False
+    def deliver_all(now: float) -> None:
+        any_message = True
+        while any_message:
+            any_message = False
             for name, core in [*acceptors.items(), *clients.items()]:
                 while isinstance(core, Acceptor) and core.pending_writes:
                     core.on_written(core.pending_writes.popleft(), True)
                 while core.outbox:
                     to, message = core.outbox.popleft()
-                    busy = True
-                    transfers.append(to) if isinstance(message, Transferred) else None
+                    any_message = True
+                    transfer_recipients.append(to) if isinstance(message, Transferred) else None
                     (acceptors.get(to) or clients[to]).on_message(now, name, message)
 
     holder = clients["x"]
     for name in ("x", "y", "z"):
         clients[name].acquire(0.0, "t", 100.0)
         clients[name].tick(0.0)
-        pump(0.0)
+        deliver_all(0.0)
     first = holder.held_token(1.0, "t")
     assert first is not None
     holder.release(10.0, "t", "z")
-    pump(10.0)
+    deliver_all(10.0)
     clients["z"].tick(10.0)
-    pump(10.0)
+    deliver_all(10.0)
     second = clients["z"].held_token(10.0, "t")
-    assert second is not None and second > first and transfers.count("z") == 3
+    assert second is not None and second > first and transfer_recipients.count("z") == 3
     assert clients["y"].held_token(10.0, "t") is None and holder.events.pop() == LeaseLost(
         "t", first, LossReason.RELEASED
     )
@@ -368,8 +381,8 @@
     acceptor.outbox.clear()
     for number in range(200):
         acceptor.on_message(1.0, f"y{number}", AcquireRequest("t", FencingToken(2, f"y{number}/1"), 100.0, 1, 1))
-    left = [message.retry_after_ms for _, message in acceptor.outbox if isinstance(message, Refusal)]
-    assert left == pytest.approx([99.0 + 20.0 * n for n in range(200)])
+    delays_ms = [message.retry_after_ms for _, message in acceptor.outbox if isinstance(message, Refusal)]
+    assert delays_ms == pytest.approx([99.0 + 20.0 * n for n in range(200)])
     acceptor.outbox.clear()
     acceptor.on_message(2.0, "x", Release("t", FencingToken(1, "x/1")))
     assert list(acceptor.outbox) == [("y0", Transferred("t"))], "the first waiting client is notified of the release"
@@ -380,8 +393,8 @@
     data = msgspec.msgpack.encode(refusal)
     assert msgspec.msgpack.decode(data)[4] == "set"
     assert msgspec.msgpack.decode(data, type=Refusal) == refusal
-    later_version = msgspec.msgpack.decode(data.replace(b"\xa3set", b"\xa3new"), type=Refusal)
-    assert later_version.reason is RefusalReason.UNKNOWN
+    unknown_reason = msgspec.msgpack.decode(data.replace(b"\xa3set", b"\xa3new"), type=Refusal)
+    assert unknown_reason.reason is RefusalReason.UNKNOWN
     assert {stage.value for stage in Stage} - {"voting"} <= {reason.value for reason in RefusalReason}
 
 
@@ -406,9 +419,9 @@
         90.0
     )
     acceptor.on_message(151.0, "y", AcquireRequest("t", FencingToken(8, "y/1"), 100.0, 2, 1))
-    assert not acceptor.outbox, "not before the write is durable"
+    assert not acceptor.outbox, "no reply is sent before the write is durable"
     acceptor.on_written(acceptor.pending_writes.popleft(), False)
-    assert not acceptor.outbox, "nor after the write failed"
+    assert not acceptor.outbox, "no reply is sent after the write failed"
     database = apsw.Connection(str(file))
     database.execute("UPDATE kept SET body = zeroblob(length(body)) WHERE name = 't'")
     database.close()
@@ -423,7 +436,7 @@
 def test_acceptor_without_state_votes_after_longest_lease_and_replies_of_voting_majority() -> None:
     acceptor = Acceptor("a", SETTINGS, 0.0, None)
 
-    def answered(now: float, stages: dict[str, str]) -> Stage:
+    def stage_after_replies(now: float, stages: dict[str, str]) -> Stage:
         acceptor.tick(now)
         nonce = acceptor.outbox[-1][1].nonce  # type: ignore[union-attr]
         acceptor.outbox.clear()
@@ -435,13 +448,15 @@
             acceptor.on_written(acceptor.pending_writes.popleft(), True)
         return acceptor.stage
 
-    assert answered(1.0, {"b": "voting", "c": "voting"}) is Stage.EMPTY
-    assert answered(SETTINGS.recovery_wait_ms + 1, {"b": "voting", "c": "empty"}) is Stage.EMPTY, "one is no majority"
-    assert answered(SETTINGS.recovery_wait_ms + 20, {"b": "voting", "c": "voting"}) is Stage.VOTING
+    assert stage_after_replies(1.0, {"b": "voting", "c": "voting"}) is Stage.EMPTY
+    assert stage_after_replies(SETTINGS.recovery_wait_ms + 1, {"b": "voting", "c": "empty"}) is Stage.EMPTY, (
+        "one voting acceptor is no majority"
+    )
+    assert stage_after_replies(SETTINGS.recovery_wait_ms + 20, {"b": "voting", "c": "voting"}) is Stage.VOTING
     acceptor.on_message(130.0, "y", AcquireRequest("t", FencingToken(5, "a/1"), 100.0, 1, 1))
     acceptor.on_message(130.0, "x", AcquireRequest("t", FencingToken(5, "x/1"), 100.0, 1, 1))
-    (_, old), (_, renewed) = acceptor.outbox
-    assert isinstance(old, Refusal) and old.reason is RefusalReason.OLDER_TOKEN and isinstance(renewed, Grant)
+    (_, older), (_, renewal) = acceptor.outbox
+    assert isinstance(older, Refusal) and older.reason is RefusalReason.OLDER_TOKEN and isinstance(renewal, Grant)
 
 
 # Settings and the history checker.
@@ -449,15 +464,15 @@
 FLEET = (ROOT / "examples" / "fleet.sexp").read_text()
 
 
-LAST = "dispatcher-3 dispatcher-4)\n"
+END_OF_ACCEPTORS = "dispatcher-3 dispatcher-4)\n"
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "word"),
+    ("old", "new", "expected"),
     [
-        (LAST, "dispatcher-3)\n", "three or five"),
-        (LAST, "dispatcher-3 dispatcher-9)\n", "a peer of this"),
-        (LAST, "dispatcher-3 dispatcher-3)\n", "different names"),
+        (END_OF_ACCEPTORS, "dispatcher-3)\n", "three or five"),
+        (END_OF_ACCEPTORS, "dispatcher-3 dispatcher-9)\n", "a peer of this"),
+        (END_OF_ACCEPTORS, "dispatcher-3 dispatcher-3)\n", "different names"),
         ("(longest-ms 2000)", "(longest-ms 1500)", "at least the length-ms"),
         ("(length-ms 2000) (longest-ms 2000)", "(length-ms 500)", "four times the ask-ms"),
         ("(ask-ms 150)", "(ask-ms 150) (number 2)", "(before NAME ...)"),
@@ -469,11 +484,11 @@
         ("(clock-bound 0.01)", "(clock-bound 0.5)", "from 0 to 0.2"),
     ],
 )
-def test_invalid_settings_are_reported_with_file_and_line(old: str, new: str, word: str) -> None:
+def test_invalid_settings_are_reported_with_file_and_line(old: str, new: str, expected: str) -> None:
     assert old in FLEET
     with pytest.raises(SettingsError) as caught:
         parse(FLEET.replace(old, new), "fleet.sexp")
-    assert any(word in str(f) and str(f).startswith("fleet.sexp:") for f in caught.value.faults)
+    assert any(expected in str(f) and str(f).startswith("fleet.sexp:") for f in caught.value.faults)
 
 
 def test_one_acceptor_may_be_replaced_and_two_added_or_removed() -> None:
@@ -481,21 +496,24 @@
         "dispatcher-0 dispatcher-1 dispatcher-2 dispatcher-3 dispatcher-9",
         "dispatcher-0 dispatcher-1 dispatcher-2",
     ):
-        made = parse(FLEET.replace("(ask-ms 150)", f"(ask-ms 150) (number 2) (before {before})"), "fleet.sexp")
-        assert made.leases is not None and made.leases.config_number == 2
+        deployment = parse(FLEET.replace("(ask-ms 150)", f"(ask-ms 150) (number 2) (before {before})"), "fleet.sexp")
+        assert deployment.leases is not None and deployment.leases.config_number == 2
     assert load(ROOT / "examples" / "season.sexp").leases is not None
 
 
-def use(t: float, token: int, looked: float, by: str = "d", taken: bool = True, what: str = "act") -> dict[str, Any]:
+def token_use(
+    at: float, round_: int, checked_at: float, client: str = "d", accepted: bool = True, event: str = "act"
+) -> dict[str, Any]:
+    """Return the record of an action that was sent to the resource under a token."""
     return {
-        "t": t,
+        "t": at,
         "who": "witness",
-        "what": what,
+        "what": event,
         "task": "t",
-        "token": [token, by],
-        "by": by,
-        "looked": looked,
-        "taken": taken,
+        "token": [round_, client],
+        "by": client,
+        "looked": checked_at,
+        "taken": accepted,
     }
 
 
@@ -510,15 +528,22 @@
         "clock_bound": 0.01,
         "rules": {"drain_grace_ms": 1, "tip": 1, "tip_ms": 1, "load_span_ms": 0},
     }
-    good = [use(10, 1, 9), use(20, 1, 19, what="done"), use(30, 2, 29, "e"), use(40, 1, 19, taken=False)]
+    good = [
+        token_use(10, 1, 9),
+        token_use(20, 1, 19, event="done"),
+        token_use(30, 2, 29, "e"),
+        token_use(40, 1, 19, accepted=False),
+    ]
     result = check_history([first_event, *good])
     assert not result.broken and result.old_tokens_refused == 1 and result.lease_uses == 3
-    two_holders = check_history([first_event, *good, use(50, 1, 45, taken=False)])
+    two_holders = check_history([first_event, *good, token_use(50, 1, 45, accepted=False)])
     assert two_holders.holders_two == 1 and two_holders.broken and not two_holders.old_tokens_taken
-    old_token_accepted = check_history([first_event, *good, use(50, 1, 19)])
+    old_token_accepted = check_history([first_event, *good, token_use(50, 1, 19)])
     assert old_token_accepted.old_tokens_taken == 1 and not old_token_accepted.holders_two
     clock_fault = {"t": 25.0, "who": "player", "what": "trouble", "kind": "clock-rate", "seconds": 1.0, "factor": 1.1}
-    beyond_bound = check_history([first_event, clock_fault, *good, use(50, 1, 45, taken=False)])
+    beyond_bound = check_history([first_event, clock_fault, *good, token_use(50, 1, 45, accepted=False)])
     assert beyond_bound.holders_two_by_clocks == 1 and not beyond_bound.broken
-    within_bound = check_history([first_event, clock_fault | {"factor": 1.01}, *good, use(50, 1, 45, taken=False)])
+    within_bound = check_history(
+        [first_event, clock_fault | {"factor": 1.01}, *good, token_use(50, 1, 45, accepted=False)]
+    )
     assert within_bound.holders_two == 1
