--- a/kelptrail/membership/client.py
+++ b/kelptrail/membership/client.py
@@ -54,7 +54,7 @@
         self.zone = ""  # zone of this dispatcher
         self.endpoints: EndpointList | None = None
         # Called for each valid answer of the source, also if the list has not changed.
-        self.on_heard: Callable[[], None] = lambda: None
+        self.on_response: Callable[[], None] = lambda: None
         self.saved = True  # False if the last attempt to write a list to disk failed
 
     def load_saved(self) -> bool:
@@ -84,7 +84,7 @@
                     timeout_ms=self._poll_wait_ms + POLL_MARGIN_MS,
                 )
                 if response.status == 304:
-                    self.on_heard()
+                    self.on_response()
                     continue
                 if response.status != 200:
                     raise HttpError(response.status, "the endpoint source returned no endpoint list")
@@ -97,7 +97,7 @@
             backoff_ms = self._backoff_ms
             self.endpoints = endpoints
             self._on_change(endpoints)
-            self.on_heard()
+            self.on_response()
             self._save(response.body)
 
     def _save(self, body: bytes) -> None:
--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -73,7 +73,7 @@
         self.endpoints = EndpointClient(
             options.endpoint_service, self.driver.name, self._on_endpoints, self._state_file("last-list.json"), log
         )
-        self.endpoints.on_heard = self.driver.on_list_heard
+        self.endpoints.on_response = self.driver.on_list_heard
         self.usage: UsageDriver | None = None
         self.lease_trial: LeaseTrial | None = None
         self.planner: PlannerDriver | None = None
