--- a/kelptrail/lease/client.py
+++ b/kelptrail/lease/client.py
@@ -61,7 +61,7 @@
         self.name, self.client_id, self.settings = name, client_id, settings
         self.acceptors, self.config_number = settings.acceptors, settings.config_number
         self.requests: dict[str, LeaseRequest] = {}
-        self.highest_rounds: dict[str, int] = {}  # highest round of each task that is known here
+        self.highest_rounds: dict[str, int] = {}  # highest round received or used, by task
         self.known_holders: dict[str, KnownHolder] = {}  # last reported holder of each task
         self.outbox: deque[tuple[str, Message]] = deque()
         self.events: deque[LeaseEvent] = deque()
--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -199,10 +199,10 @@
         Messages to this process are appended to `local_messages`.
         """
         had_output, acceptor, client = bool(local_messages), self.acceptor, self.client
-        for core in (acceptor, client):
-            while core is not None and core.outbox:
+        for participant in (acceptor, client):
+            while participant is not None and participant.outbox:
                 had_output = True
-                to, message = core.outbox.popleft()
+                to, message = participant.outbox.popleft()
                 if to == self.name:
                     local_messages.append(message)
                 else:
--- a/kelptrail/lease/model.py
+++ b/kelptrail/lease/model.py
@@ -28,7 +28,7 @@
 
     def __init__(self, setup: ModelSetup) -> None:
         super().__init__(setup)
-        self._tick_cores()
+        self._tick_participants()
 
     # Steps.
 
@@ -123,5 +123,5 @@
             if next_event_at is None or next_event_at > end:
                 raise PropertyError(f"no client holds the lease {within_ms:g} ms after the last fault")
             state.now = next_event_at + ROUNDING_MS
-            state._tick_cores()
+            state._tick_participants()
         state.check()
--- a/kelptrail/lease/model_transitions.py
+++ b/kelptrail/lease/model_transitions.py
@@ -33,11 +33,11 @@
         next_state = self.clone()
         item = self.in_flight[number]
         next_state.in_flight = self.in_flight[:number] + self.in_flight[number + 1 :]
-        next_state._deliver_to_core(item)
+        next_state._deliver_to_recipient(item)
         next_state._collect_output()
         return next_state
 
-    def _deliver_to_core(self, item: InFlight) -> None:
+    def _deliver_to_recipient(self, item: InFlight) -> None:
         if item.message is None:
             if item.token >= self.highest_used or not self.setup.checks_tokens:
                 if item.token < self.highest_used:
@@ -98,11 +98,11 @@
 
     def _next_event_at(self) -> float | None:
         """Return the true time at which the next timer, grant or lease ends, or None if there is none."""
-        cores: list[tuple[str, Acceptor | LeaseClient]] = [*self.clients.items(), *self.acceptors.items()]
+        participants: list[tuple[str, Acceptor | LeaseClient]] = [*self.clients.items(), *self.acceptors.items()]
         event_times = [
             max(self.now, due / self.setup.clock_rate(name))
-            for name, core in cores
-            if name not in self.paused and (due := core.next_tick_at()) is not None
+            for name, participant in participants
+            if name not in self.paused and (due := participant.next_tick_at()) is not None
         ]
         expiries = [
             (name, record.expires_at)
@@ -124,10 +124,10 @@
         next_event_at = self._next_event_at()
         assert next_event_at is not None
         next_state.now = next_event_at + ROUNDING_MS
-        next_state._tick_cores()
+        next_state._tick_participants()
         return next_state
 
-    def _tick_cores(self) -> None:
+    def _tick_participants(self) -> None:
         for name, acceptor in self.acceptors.items():
             acceptor.tick(self.local_time(name))
         for name, client in self.clients.items():
@@ -179,10 +179,10 @@
         budget = self.budget
         if not (budget.restarts or budget.disk_losses or budget.sync_failures):
             self._sync_all()  # without these faults, the time of a sync makes no difference
-        cores: list[tuple[str, Acceptor | LeaseClient]] = [*self.acceptors.items(), *self.clients.items()]
-        for name, core in cores:
-            while core.outbox:
-                to, message = core.outbox.popleft()
+        participants: list[tuple[str, Acceptor | LeaseClient]] = [*self.acceptors.items(), *self.clients.items()]
+        for name, participant in participants:
+            while participant.outbox:
+                to, message = participant.outbox.popleft()
                 self.in_flight += (InFlight(name, to, message),)
         for name, client in self.clients.items():
             while client.events:
@@ -211,7 +211,7 @@
         while self.in_flight or any(acceptor.pending_writes for acceptor in self.acceptors.values()):
             items, self.in_flight = self.in_flight, ()
             for item in items:
-                self._deliver_to_core(item)
+                self._deliver_to_recipient(item)
             self._sync_all()
             self._collect_output()
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -211,7 +211,7 @@
         "note-one-ack",
     ],
 )
-def test_faulty_cores_are_found_by_random_walks(
+def test_faulty_acceptors_and_clients_are_found_by_random_walks(
     budget: Budget, fault_share: float, length: int, options: dict[str, Any]
 ) -> None:
     with pytest.raises(
@@ -346,11 +346,11 @@
         any_message = True
         while any_message:
             any_message = False
-            for name, core in [*acceptors.items(), *clients.items()]:
-                while isinstance(core, Acceptor) and core.pending_writes:
-                    core.on_written(core.pending_writes.popleft(), True)
-                while core.outbox:
-                    to, message = core.outbox.popleft()
+            for name, participant in [*acceptors.items(), *clients.items()]:
+                while isinstance(participant, Acceptor) and participant.pending_writes:
+                    participant.on_written(participant.pending_writes.popleft(), True)
+                while participant.outbox:
+                    to, message = participant.outbox.popleft()
                     any_message = True
                     transfer_recipients.append(to) if isinstance(message, Transferred) else None
                     (acceptors.get(to) or clients[to]).on_message(now, name, message)
