--- a/kelptrail/vrrp/__init__.py
+++ b/kelptrail/vrrp/__init__.py
@@ -1,4 +1,5 @@
-"""VRRP version 3 (RFC 9568, before it RFC 5798) over UDP: packets, state machine, tracking, driver, front address.
+"""VRRP version 3 over UDP: packets, state machine, tracking, driver, front address.
 
-The RFC's newer wording calls the state of the holder Active; here it is Master, as in the older one.
+The specification is RFC 9568, which replaced RFC 5798.  RFC 9568 calls the state of the router that holds the address
+Active; this package calls it Master, as RFC 5798 does.
 """
--- a/kelptrail/vrrp/address.py
+++ b/kelptrail/vrrp/address.py
@@ -1,8 +1,8 @@
-"""A front address on loopback: a listening socket that is acquired and released; it decides nothing.
+"""A front address on loopback: listening sockets that are opened on acquire and closed on release.
 
-On release, connections in the accept queue are accepted, then no more; requests in flight get their answers and their
-connections close; a later request on an open connection is answered 503 with `Retry-After` and not accepted, as the
-address leads to another dispatcher by then.
+VRRP decides when that happens.  On release, clients in the accept queue are still accepted, later ones are not.
+Requests in flight are answered and their connections closed.  A later request on a connection that is still open is
+rejected with 503 and `Retry-After`, because the address belongs to another dispatcher by then.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 ADDRESS_MOVED = b'{"error":"This address has moved to another dispatcher; the call was not taken.","code":"moved"}'
 
-RETRY_S = 0.05  # between attempts to listen on an address that is in use
+LISTEN_RETRY_S = 0.05  # interval between attempts to listen on an address that is in use
 
 
 @dataclass(frozen=True, slots=True)
 class FrontService:
-    """What is served on a front address, by servers that are made anew each time it is acquired.
+    """Describes the servers of a front address; new ones are created each time the address is acquired.
 
-    `drain_ms`: for the requests in flight when the address is released; `linger_ms`: for which open connections are
-    then kept, so that late requests are answered.
+    `drain_ms` is the time that requests in flight have to end after the address was released; `linger_ms` is how long
+    open connections are then kept, so that late requests on them are answered.
     """
 
     handler: Handler
@@ -37,33 +37,33 @@
 
 
 class FrontAddress:
-    """One address, and the servers on it while it is held."""
+    """One address and its servers, which exist while the address is held."""
 
     def __init__(self, host: str, port: int, service: FrontService, log: Any, grpc_port: int = 0) -> None:
-        """`grpc_port`: of the gRPC front on the same address; 0: there is none."""
+        """`grpc_port` is the port of the gRPC front on the same address; 0 means that there is none."""
         self._host, self._port, self._grpc_port = host, port, grpc_port
         self._service, self._log = service, log
         self._loop = asyncio.get_running_loop()
         self._server: HttpServer | None = None
         self._grpc: GrpcServer | None = None
-        self._draining: set[asyncio.Task[None]] = set()
-        self._retry: asyncio.TimerHandle | None = None
+        self._drain_tasks: set[asyncio.Task[None]] = set()
+        self._retry_timer: asyncio.TimerHandle | None = None
 
     @property
     def held(self) -> bool:
-        """Whether it listens."""
+        """Whether the servers listen on the address."""
         return self._server is not None
 
     @property
     def server(self) -> HttpServer | None:
-        """The server that listens, while held."""
+        """The HTTP server that listens on the address, or None while the address is not held."""
         return self._server
 
     def acquire(self) -> None:
-        """Listen on the address; retried while it is in use."""
+        """Listen on the address; retry while it is in use."""
         if self._server is not None:
             return
-        self._retry = None
+        self._retry_timer = None
         service = self._service
         server = service.make_http_server(service.handler)
         grpc = service.make_grpc_server() if service.make_grpc_server is not None and self._grpc_port else None
@@ -74,32 +74,32 @@
         except OSError as cause:
             server.stop_listening()
             self._log.warning("address-not-acquired", address=f"{self._host}:{self._port}", reason=str(cause))
-            self._retry = self._loop.call_later(RETRY_S, self.acquire)
+            self._retry_timer = self._loop.call_later(LISTEN_RETRY_S, self.acquire)
             return
         self._server, self._grpc = server, grpc
 
     def release(self) -> None:
-        """Stop listening; requests in flight get the service's `drain_ms` to be answered."""
-        if self._retry is not None:
-            self._retry.cancel()
-            self._retry = None
+        """Stop listening; requests in flight have the service's `drain_ms` to end."""
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
         server, self._server = self._server, None
         if server is not None:
             server.handle = self._reject_moved
-            server.start_draining()  # at once: later connections reach the new holder
+            server.start_draining()  # immediately, so that later connections reach the new holder
             if self._grpc is not None:
                 self._grpc.stop_listening()
             task = self._loop.create_task(self._drain(server, self._grpc))
             self._grpc = None
-            self._draining.add(task)
-            task.add_done_callback(self._draining.discard)
+            self._drain_tasks.add(task)
+            task.add_done_callback(self._drain_tasks.discard)
 
     async def _drain(self, server: HttpServer, grpc: GrpcServer | None) -> None:
         drain_ms = self._service.drain_ms
-        ends = [server.drain(drain_ms, self._service.linger_ms)]
-        if grpc is not None:  # clients get GOAWAY; open streams go on
-            ends.append(grpc.drain(drain_ms))
-        if not all(await asyncio.gather(*ends)):
+        drains = [server.drain(drain_ms, self._service.linger_ms)]
+        if grpc is not None:  # sends GOAWAY to clients; open streams continue
+            drains.append(grpc.drain(drain_ms))
+        if not all(await asyncio.gather(*drains)):
             self._log.warning("address-drain-timeout", address=f"{self._host}:{self._port}")
 
     @staticmethod
@@ -107,6 +107,6 @@
         exchange.reply(503, ADDRESS_MOVED, {"retry-after": "1"}, close=True)
 
     async def wait_closed(self) -> None:
-        """Wait until all released servers have ended."""
-        if self._draining:
-            await asyncio.gather(*list(self._draining), return_exceptions=True)
+        """Wait until all servers of released addresses have finished draining."""
+        if self._drain_tasks:
+            await asyncio.gather(*list(self._drain_tasks), return_exceptions=True)
--- a/kelptrail/vrrp/driver.py
+++ b/kelptrail/vrrp/driver.py
@@ -1,7 +1,8 @@
-"""UDP for one instance on the event loop: reads all waiting datagrams before a timer fires, sends with a TTL of 255.
+"""Runs a VRRP instance over UDP on the event loop.
 
-Unicast to configured peers replaces multicast, and a UDP port replaces IP protocol 112 (RFC 9568 section 5.1).  The
-source address names the sender; the TTL of each datagram is checked (sections 5.1.1.3 and 5.1.2.3).
+Reads all waiting datagrams before a timer fires and sends with a TTL of 255.  Unicast to configured peers replaces
+multicast, and a UDP port replaces IP protocol 112 (RFC 9568 section 5.1).  The source address identifies the sender;
+the TTL of each datagram is checked (sections 5.1.1.3 and 5.1.2.3).
 """
 
 from __future__ import annotations
@@ -23,41 +24,42 @@
 from .state_machine import AcquireAddress, ReleaseAddress, StateChange
 
 TTL = 255
-IP_RECVTTL = 12  # ip(7); the socket module does not name it on all versions
+IP_RECVTTL = 12  # see ip(7); not every Python version defines it in the socket module
 SocketAddress = tuple[str, int]
 
 
 def parse_socket_address(text: str) -> SocketAddress:
-    """`address:port` as the two; IPv6 addresses may be in brackets."""
+    """Parse `address:port`; an IPv6 address may be in brackets."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 def next_epoch(file: Path) -> int:
-    """A number larger than at any start before; kept on disk, and after a loss of the file still large.
+    """Return a number larger than at any start before, and store it on disk.
 
-    Raises `OSError` where it cannot be made safe.
+    The number is at least the wall clock in milliseconds, so that it still grows after the file was lost.  Raises
+    `OSError` if it cannot be stored.
     """
     last = 0
     with contextlib.suppress(FileNotFoundError, ValueError):
         last = int(file.read_text())
     epoch = max(last + 1, int(wall_ms()))
-    draft = file.with_suffix(".new")
-    with open(draft, "w", encoding="ascii") as sink:
-        sink.write(str(epoch))
-        sink.flush()
-        os.fsync(sink.fileno())
-    draft.replace(file)
+    new_file = file.with_suffix(".new")
+    with open(new_file, "w", encoding="ascii") as out:
+        out.write(str(epoch))
+        out.flush()
+        os.fsync(out.fileno())
+    new_file.replace(file)
     return epoch
 
 
 class VrrpDriver:
-    """Runs an `Instance`; `acquire` and `release` move the address of the virtual router with an identifier."""
+    """Runs an `Instance`; calls `acquire` and `release` with the identifier of a virtual router to move its address."""
 
     def __init__(
         self,
         instance: Instance,
-        here: SocketAddress,
+        local_address: SocketAddress,
         peers: dict[Address, SocketAddress],
         acquire: Callable[[int], None],
         release: Callable[[int], None],
@@ -66,7 +68,7 @@
         self.instance, self._peers, self._log = instance, peers, log
         self._acquire, self._release = acquire, release
         self._loop = asyncio.get_running_loop()
-        family = socket.AF_INET6 if ":" in here[0] else socket.AF_INET
+        family = socket.AF_INET6 if ":" in local_address[0] else socket.AF_INET
         self._sock = socket.socket(family, socket.SOCK_DGRAM)
         self._sock.setblocking(False)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -76,18 +78,21 @@
         else:
             self._sock.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_UNICAST_HOPS, TTL)
             self._sock.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_RECVHOPLIMIT, 1)
-        self._sock.bind(here)
+        self._sock.bind(local_address)
         self._timer: asyncio.TimerHandle | None = None
-        self._step_ms = max(5.0, min(100.0, instance.shortest_interval_ms / 4))
+        self._max_wait_ms = max(5.0, min(100.0, instance.shortest_interval_ms / 4))
 
     def start(self) -> None:
-        """The Startup event (RFC 9568 section 6.4)."""
-        self._loop.add_reader(self._sock.fileno(), self._readable)
+        """Start receiving and trigger the Startup event (RFC 9568 section 6.4)."""
+        self._loop.add_reader(self._sock.fileno(), self._on_readable)
         self.instance.startup(now_ms())
         self._perform_outputs()
 
     def stop(self) -> None:
-        """The Shutdown event (RFC 9568 section 6.4): masters release their addresses and advertise priority 0."""
+        """Trigger the Shutdown event (RFC 9568 section 6.4) and close the socket.
+
+        A Master advertises priority 0 and releases its addresses.
+        """
         self.instance.shutdown(now_ms())
         self._perform_outputs()
         if self._timer is not None:
@@ -96,22 +101,22 @@
         self._sock.close()
 
     def on_health(self, name: str, healthy: bool) -> None:
-        """An observation of a tracked item."""
+        """Pass the observed health of a tracked item to the instance."""
         self.instance.on_health(now_ms(), name, healthy)
         self._perform_outputs()
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         self._read_all()
         self._perform_outputs()
 
     def _read_all(self) -> None:
-        """Read all waiting datagrams.  A resumed process must read them before it advertises."""
+        """Read all waiting datagrams; a process resumed after a suspension must do so before it advertises."""
         while True:
             try:
                 data, extra, _, source = self._sock.recvmsg(4096, 64)
             except BlockingIOError:
                 return
-            except OSError as cause:  # an ICMP error of an earlier send
+            except OSError as cause:  # an ICMP error caused by an earlier send
                 self.instance.counters["socket-error"] += 1
                 self._log.debug("vrrp-socket-error", reason=str(cause))
                 return
@@ -157,11 +162,11 @@
         if self._timer is not None:
             self._timer.cancel()
         now, due = now_ms(), self.instance.next_due()
-        wait = self._step_ms if due is None else max(0.0, min(self._step_ms, due - now))
+        wait = self._max_wait_ms if due is None else max(0.0, min(self._max_wait_ms, due - now))
         self._timer = self._loop.call_later(wait / 1000, self._on_timer)
 
     def status(self) -> dict[str, Any]:
-        """The `/vrrp` answer of the control port."""
+        """Return the status that the control port serves as `/vrrp`."""
         now, instance = now_ms(), self.instance
         return {
             "primary": str(instance.primary),
@@ -180,7 +185,7 @@
                     "learnt_interval_ms": r.master_interval_cs * 10,
                     "skew_ms": round(r.skew_ms, 1),
                     "master_down_interval_ms": round(r.master_down_ms, 1),
-                    "timers_ms": {name: round(left, 1) for name, left in r.running_timers(now).items()},
+                    "timers_ms": {name: round(remaining_ms, 1) for name, remaining_ms in r.running_timers(now).items()},
                 }
                 for r in instance.routers.values()
             ],
@@ -191,12 +196,12 @@
             "counts": dict(sorted(instance.counters.items())),
             "transitions": [
                 {
-                    "router": m.vrid,
-                    "before": m.before.value,
-                    "after": m.after.value,
-                    "cause": m.cause,
-                    "ago_ms": round(now - m.at),
+                    "router": change.vrid,
+                    "before": change.before.value,
+                    "after": change.after.value,
+                    "cause": change.cause,
+                    "ago_ms": round(now - change.at),
                 }
-                for m in instance.history
+                for change in instance.history
             ],
         }
--- a/kelptrail/vrrp/instance.py
+++ b/kelptrail/vrrp/instance.py
@@ -1,7 +1,8 @@
-"""All virtual routers of one instance, free of I/O: datagrams in, datagrams and address changes out, all counted.
+"""All virtual routers of one instance, free of I/O.
 
 Combines packets, authentication, virtual routers and tracking.  The driver passes in datagrams with their sender and
-observations of tracked items, calls `tick` at `next_due()`, and carries out `outputs`.
+the health of tracked items, calls `tick` at `next_due()`, and performs `outputs`: datagrams to send, addresses to
+acquire or release, state changes to log.  Datagrams received, sent and dropped are counted.
 """
 
 from __future__ import annotations
@@ -26,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """Bytes for one peer."""
+    """Output: bytes to send to one peer."""
 
     data: bytes
     to: Address
 
 
 class Instance:
-    """One instance; `peers` are the primary addresses of the others."""
+    """One instance with its virtual routers; `peers` are the primary addresses of the other instances."""
 
     def __init__(
         self,
@@ -43,33 +44,33 @@
         tracking: Tracking | None = None,
         signer: Signer | None = None,
         verifier: Verifier | None = None,
-        pseudo: bool = True,
+        with_pseudo_header: bool = True,
     ) -> None:
         self.primary, self.peers = primary, peers
         self.routers = {s.vrid: VirtualRouter(s, primary) for s in routers}
         self.tracking = tracking or Tracking([])
-        self._signer, self._verifier, self._pseudo = signer, verifier, pseudo
+        self._signer, self._verifier, self._with_pseudo_header = signer, verifier, with_pseudo_header
         self.outputs: deque[Datagram | AcquireAddress | ReleaseAddress | StateChange] = deque()
         self.counters: Counter[str] = Counter()
         self.history: deque[StateChange] = deque(maxlen=50)
         self._running = False
 
     def startup(self, now: float) -> None:
-        """Start all routers."""
+        """Start all virtual routers, except while a failed tracked item requires the release of the address."""
         self._running = True
         for router in self.routers.values():
             self._apply_tracking(now, router)
-        self._collect()
+        self._collect_outputs()
 
     def shutdown(self, now: float) -> None:
-        """Stop all routers; masters release their addresses (priority 0)."""
+        """Stop all virtual routers; a Master advertises priority 0 and releases its addresses."""
         self._running = False
         for router in self.routers.values():
             router.shutdown(now)
-        self._collect()
+        self._collect_outputs()
 
     def on_datagram(self, now: float, data: bytes, sender: Address, hops: int | None = 255) -> None:
-        """A datagram arrived.  An invalid one is counted by the name of its error and dropped (section 7.1)."""
+        """Handle a received datagram; drop an invalid one (section 7.1), counted by its reason or error class."""
         self.counters["received"] += 1
         if sender == self.primary:
             self.counters["own"] += 1
@@ -79,54 +80,54 @@
             return
         try:
             message = self._verifier.verify(data, sender) if self._verifier is not None else data
-            advert = decode(message, sender, self.primary, hops, self._pseudo)
+            advert = decode(message, sender, self.primary, hops, self._with_pseudo_header)
         except PacketError as cause:
             self.counters[type(cause).__name__] += 1
             return
         router = self.routers.get(advert.vrid)
-        if router is None:  # 7.1: a virtual router that is not configured here
+        if router is None:  # section 7.1: the virtual router must be configured on this instance
             self.counters["foreign-vrid"] += 1
             return
         if advert.addresses and advert.addresses[0].version != self.primary.version:
             self.counters["other-family"] += 1
             return
-        strangers = router.foreign_address_lists
+        mismatches_before = router.mismatched_address_lists
         router.on_advertisement(now, advert, sender)
-        self.counters["wrong-addresses"] += router.foreign_address_lists - strangers
+        self.counters["wrong-addresses"] += router.mismatched_address_lists - mismatches_before
         if advert.interval_cs != router.settings.interval_cs:
             self.counters["other-interval"] += 1
-        self._collect()
+        self._collect_outputs()
 
     def on_health(self, now: float, name: str, healthy: bool) -> None:
-        """An observation of a tracked item."""
+        """Handle the health of a tracked item, as observed at `now`."""
         if self.tracking.on_health(now, name, healthy):
             self._apply_tracking_to_all(now)
 
     def tick(self, now: float) -> None:
-        """Time has passed: fire timers of virtual routers, apply the hysteresis of tracking."""
+        """Fire the due timers of virtual routers and apply the hysteresis of tracked items."""
         changed = self.tracking.on_tick(now)
         for router in self.routers.values():
             router.tick(now)
         if changed:
             self._apply_tracking_to_all(now)
-        self._collect()
+        self._collect_outputs()
 
     def next_due(self) -> float | None:
-        """When the next timer of a router is due."""
+        """Return when the next timer of a virtual router is due, or None if no timer runs."""
         return min((due for router in self.routers.values() if (due := router.next_due()) is not None), default=None)
 
     @property
     def shortest_interval_ms(self) -> float:
-        """The shortest advertisement interval."""
+        """The shortest advertisement interval of the virtual routers, in milliseconds."""
         return min(router.interval_ms for router in self.routers.values())
 
     def _apply_tracking_to_all(self, now: float) -> None:
         for router in self.routers.values():
             self._apply_tracking(now, router)
-        self._collect()
+        self._collect_outputs()
 
     def _apply_tracking(self, now: float, router: VirtualRouter) -> None:
-        """Set a virtual router's priority by what is tracked, or shut it down."""
+        """Set a virtual router's priority according to the tracked items, or shut it down if they require it."""
         if not self._running:
             return
         if self.tracking.released:
@@ -136,7 +137,7 @@
         if router.state is State.INITIALIZE:
             router.startup(now)
 
-    def _collect(self) -> None:
+    def _collect_outputs(self) -> None:
         for router in self.routers.values():
             while router.outputs:
                 self._emit(router.outputs.popleft())
@@ -149,5 +150,5 @@
             return
         self.counters["sent"] += 1
         for peer in self.peers:
-            message = encode(output.advert, self.primary, peer, self._pseudo)
+            message = encode(output.advert, self.primary, peer, self._with_pseudo_header)
             self.outputs.append(Datagram(self._signer.sign(message) if self._signer else message, peer))
--- a/kelptrail/vrrp/packet.py
+++ b/kelptrail/vrrp/packet.py
@@ -1,6 +1,6 @@
-"""VRRP version 3 advertisements, bytes to fields and back, without I/O (RFC 9568 section 5).
+"""Encoding and decoding of VRRP version 3 advertisements, free of I/O (RFC 9568 section 5).
 
-Each way in which a packet can be malformed is an error of its own, so that it can be counted by name.
+Each way in which a packet can be malformed has an error class of its own; packets dropped are counted by its name.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 Address = IPv4Address | IPv6Address
 
 VERSION, ADVERTISEMENT, PROTOCOL = 3, 1, 112
-OWNER_PRIORITY, RELEASE_PRIORITY = 255, 0  # priorities with a meaning of their own (section 5.2.4)
+OWNER_PRIORITY, RELEASE_PRIORITY = 255, 0  # reserved priorities: address owner, Master that stops (section 5.2.4)
 HEADER = struct.Struct("!BBBBHH")
 
 
 class PacketError(Exception):
-    """Bytes that are no advertisement for us; the class names the reason."""
+    """The bytes are not a valid advertisement for this instance; the class gives the reason."""
 
 
 class FieldError(ValueError):
-    """An advertisement that cannot be built: a field out of range (section 5.2)."""
+    """An advertisement cannot be created because a field is out of range (section 5.2)."""
 
 
 class TooShortError(PacketError):
-    """Fewer bytes than a head and the addresses it counts (section 7.1)."""
+    """Fewer bytes than the header and the number of addresses it gives (section 7.1)."""
 
 
 class TooLongError(PacketError):
-    """Bytes after the addresses that it counts."""
+    """More bytes than the header and the number of addresses it gives."""
 
 
 class VersionError(PacketError):
@@ -37,31 +37,31 @@
 
 
 class TypeFieldError(PacketError):
-    """Not an advertisement (section 5.2.2): unknown types are discarded."""
+    """Not of type ADVERTISEMENT; unknown types are discarded (section 5.2.2)."""
 
 
 class VridError(PacketError):
-    """A virtual router identifier of 0 (section 5.2.3: 1 to 255)."""
+    """A virtual router identifier outside 1 to 255 (section 5.2.3)."""
 
 
 class CountError(PacketError):
-    """No address at all (section 5.2.5: at least one)."""
+    """No address, where at least one is required, or more than 255 (section 5.2.5)."""
 
 
 class IntervalError(PacketError):
-    """An interval of 0 (section 5.2.7)."""
+    """An advertisement interval of 0, or one that does not fit into 12 bits (section 5.2.7)."""
 
 
 class ChecksumError(PacketError):
-    """The checksum does not fit (section 5.2.8)."""
+    """The checksum is wrong (section 5.2.8)."""
 
 
 class AddressListError(PacketError):
-    """An IPv6 list whose first address is not link-local, where that is asked for (section 5.2.9)."""
+    """The first address of an IPv6 list is not link-local, where this is required (section 5.2.9)."""
 
 
 class HopsError(PacketError):
-    """A TTL or hop limit other than 255 (sections 5.1.1.3, 5.1.2.3): it came from beyond the link."""
+    """A TTL or hop limit other than 255, so that the packet was forwarded by a router (sections 5.1.1.3, 5.1.2.3)."""
 
 
 PACKET_ERRORS = (
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Advertisement:
-    """One advertisement.  `interval_cs` is Max Advertise Interval in centiseconds, 1 to 4095."""
+    """One advertisement; `interval_cs` is Max Advertise Interval in centiseconds, 1 to 4095."""
 
     vrid: int
     priority: int
@@ -89,19 +89,19 @@
 
     def __post_init__(self) -> None:
         if not 1 <= self.vrid <= 255:
-            raise VridError(f"virtual router {self.vrid}; 1 to 255")
+            raise VridError(f"virtual router identifier {self.vrid} is not in 1 to 255")
         if not 0 <= self.priority <= 255:
-            raise FieldError(f"priority {self.priority}; 0 to 255")
+            raise FieldError(f"priority {self.priority} is not in 0 to 255")
         if not 1 <= self.interval_cs <= 4095:
-            raise IntervalError(f"interval {self.interval_cs} cs; 1 to 4095")
+            raise IntervalError(f"interval {self.interval_cs} cs is not in 1 to 4095")
         if not 1 <= len(self.addresses) <= 255:
-            raise CountError(f"{len(self.addresses)} addresses; 1 to 255")
+            raise CountError(f"{len(self.addresses)} addresses, not 1 to 255")
         if len({a.version for a in self.addresses}) > 1:
             raise FieldError("IPv4 and IPv6 addresses in one advertisement")
 
 
 def checksum(data: bytes) -> int:
-    """The Internet checksum (RFC 1071): the one's complement of the one's complement sum of 16-bit words."""
+    """Return the Internet checksum (RFC 1071): the one's complement of the one's complement sum of 16-bit words."""
     if len(data) % 2:
         data += b"\0"
     total: int = sum(struct.unpack(f"!{len(data) // 2}H", data))
@@ -111,61 +111,69 @@
 
 
 def pseudo_header(source: Address, destination: Address, length: int) -> bytes:
-    """What the checksum covers besides the message (RFC 8200 section 8.1; for IPv4 as RFC 793 has it)."""
+    """Return the pseudo-header that the checksum covers (IPv6: RFC 8200 section 8.1; IPv4: as in RFC 793)."""
     if isinstance(source, IPv4Address):
         return source.packed + destination.packed + struct.pack("!BBH", 0, PROTOCOL, length)
     return source.packed + destination.packed + struct.pack("!IHBB", length, 0, 0, PROTOCOL)
 
 
-def encode(advert: Advertisement, source: Address, destination: Address, pseudo: bool = True) -> bytes:
-    """An advertisement as bytes.  `pseudo`: the checksum covers a pseudo-header; IPv6 always has one."""
+def encode(advert: Advertisement, source: Address, destination: Address, with_pseudo_header: bool = True) -> bytes:
+    """Encode an advertisement.
+
+    `with_pseudo_header` selects whether the checksum over IPv4 covers a pseudo-header; over IPv6 it always does.
+    """
     body = b"".join(address.packed for address in advert.addresses)
-    head = HEADER.pack(
+    header = HEADER.pack(
         VERSION << 4 | ADVERTISEMENT, advert.vrid, advert.priority, len(advert.addresses), advert.interval_cs, 0
     )
-    cover = pseudo_header(source, destination, len(head) + len(body)) if pseudo or source.version == 6 else b""
-    value = checksum(cover + head + body)
-    return head[:6] + struct.pack("!H", value) + body
+    prefix = (
+        pseudo_header(source, destination, len(header) + len(body))
+        if with_pseudo_header or source.version == 6
+        else b""
+    )
+    value = checksum(prefix + header + body)
+    return header[:6] + struct.pack("!H", value) + body
 
 
 def decode(
-    data: bytes, source: Address, destination: Address, hops: int | None = 255, pseudo: bool = True
+    data: bytes, source: Address, destination: Address, hops: int | None = 255, with_pseudo_header: bool = True
 ) -> Advertisement:
-    """Bytes as an advertisement, checked in the order of section 7.1.  Raises a `PacketError`.
+    """Decode an advertisement and check it in the order of section 7.1.
 
-    `hops` is the TTL or hop limit it came with, None where the transport does not tell.
+    `hops` is the TTL or hop limit of the received packet, or None if the transport does not provide it.  Raises one
+    of `PACKET_ERRORS`.
     """
     _check_origin(data, hops)
-    kind, vrid, priority, count, interval, _ = HEADER.unpack_from(data)
-    if kind & 0x0F != ADVERTISEMENT:
-        raise TypeFieldError(f"type {kind & 0x0F}, not 1")
+    version_and_type, vrid, priority, count, interval, _ = HEADER.unpack_from(data)
+    if version_and_type & 0x0F != ADVERTISEMENT:
+        raise TypeFieldError(f"type {version_and_type & 0x0F}, not 1")
     size = 4 if source.version == 4 else 16
     _check_length(data, count, size)
-    cover = pseudo_header(source, destination, len(data)) if pseudo or source.version == 6 else b""
-    if checksum(cover + data) != 0:
-        raise ChecksumError("the checksum does not fit")
+    prefix = pseudo_header(source, destination, len(data)) if with_pseudo_header or source.version == 6 else b""
+    if checksum(prefix + data) != 0:
+        raise ChecksumError("wrong checksum")
     if vrid == 0:
-        raise VridError("virtual router 0")
+        raise VridError("virtual router identifier 0")
     if count == 0:
         raise CountError("no address")
     if interval & 0x0FFF == 0:  # the upper four bits are reserved and ignored (section 5.2.6)
         raise IntervalError("interval 0")
-    addresses = tuple(ip_address(data[at : at + size]) for at in range(HEADER.size, len(data), size))
+    addresses = tuple(ip_address(data[offset : offset + size]) for offset in range(HEADER.size, len(data), size))
     return Advertisement(vrid, priority, interval & 0x0FFF, addresses)
 
 
 def _check_origin(data: bytes, hops: int | None) -> None:
-    """Check the hop limit, the version, and that there is a header."""
+    """Check the hop limit, the version and that the header is complete."""
     if hops is not None and hops != 255:
-        raise HopsError(f"came with a hop limit of {hops}, not 255")
+        raise HopsError(f"hop limit {hops}, not 255")
     if not data or data[0] >> 4 != VERSION:
         raise VersionError(f"version {data[0] >> 4 if data else 'none'}, not 3")
     if len(data) < HEADER.size:
-        raise TooShortError(f"{len(data)} bytes; a head has {HEADER.size}")
+        raise TooShortError(f"{len(data)} bytes, less than a header of {HEADER.size}")
 
 
 def _check_length(data: bytes, count: int, size: int) -> None:
-    """Check the length against the number of addresses, of `size` bytes each."""
+    """Check the length against the number of addresses, each of `size` bytes."""
     if len(data) < HEADER.size + count * size:
         raise TooShortError(f"{len(data)} bytes for {count} addresses")
     if len(data) > HEADER.size + count * size:
--- a/kelptrail/vrrp/state_machine.py
+++ b/kelptrail/vrrp/state_machine.py
@@ -1,8 +1,8 @@
 """The VRRP state machine of one virtual router, free of I/O (RFC 9568 section 6).
 
-Times in milliseconds and received advertisements go in; advertisements to send, and acquiring or releasing the address,
-come out of `outputs`.  Numbers in brackets are the step numbers of section 6.4.  Where the RFC is silent (changed
-priorities, a process that slept) the comment says what is done and why.
+Callers pass in the time in milliseconds and received advertisements, and take advertisements to send and changes of
+the address from `outputs`.  Numbers in parentheses are the step numbers of section 6.4.  The RFC does not cover a
+priority that changes at run time or a process that was suspended; docstrings describe what is done there and why.
 """
 
 from __future__ import annotations
@@ -20,7 +20,10 @@
 
 
 class State(Enum):
-    """Section 6.3.  The RFC's newer text calls Master Active; operators' answers say master."""
+    """States of a virtual router (section 6.3).
+
+    RFC 9568 renamed Master to Active; the `/vrrp` status keeps the older name "master".
+    """
 
     INITIALIZE = "initialize"
     BACKUP = "backup"
@@ -29,28 +32,31 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAdvertisement:
-    """Send this advertisement to the peers."""
+    """Output: send this advertisement to the peers."""
 
     advert: Advertisement
 
 
 @dataclass(frozen=True, slots=True)
 class AcquireAddress:
-    """Acquire the addresses: this router is Master from now on (steps 110 to 140, 375 to 395)."""
+    """Output: acquire the addresses, because this router became Master.
+
+    Stands for the gratuitous ARP and neighbor advertisements within steps 110 to 140 and 375 to 395.
+    """
 
     vrid: int
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseAddress:
-    """Release the addresses: this router is no longer Master."""
+    """Output: release the addresses, because this router is no longer Master."""
 
     vrid: int
 
 
 @dataclass(frozen=True, slots=True)
 class StateChange:
-    """A transition and why, for the log."""
+    """Output: a state transition and its cause, for the log and the status."""
 
     vrid: int
     before: State
@@ -67,22 +73,22 @@
     """Parameters of one virtual router (section 6.1)."""
 
     vrid: int
-    priority: int  # 1 to 255; 255: this router owns the addresses
+    priority: int  # 1 to 255; 255 means that this router owns the addresses
     addresses: tuple[Address, ...]
     interval_cs: int = 100
     preempt: bool = True
-    accept: bool = True  # noted: a front that listens on the address accepts for it
+    accept: bool = True  # Accept_Mode; only reported, because a front listening on the address accepts its packets
 
 
 class VirtualRouter:
-    """One virtual router at one instance; `primary` is the address that its advertisements come from."""
+    """One virtual router on one instance; `primary` is the source address of its advertisements."""
 
     __slots__ = (
         "_adver_due",
         "_down_due",
         "_last_now",
         "_master_interval_cs",
-        "foreign_address_lists",
+        "mismatched_address_lists",
         "outputs",
         "primary",
         "priority",
@@ -95,21 +101,21 @@
         if not 1 <= settings.priority <= OWNER_PRIORITY:
             raise PriorityError(f"priority {settings.priority}; 1 to 255")
         self.settings, self.primary = settings, primary
-        self.priority = settings.priority  # lowered by tracking
+        self.priority = settings.priority  # current priority, which tracking lowers
         self.state = State.INITIALIZE
         self.since = 0.0
         self.outputs: deque[Output] = deque()
-        self.foreign_address_lists = 0  # advertisements whose addresses are not ours
+        self.mismatched_address_lists = 0  # advertisements with other addresses than the configured ones
         self._master_interval_cs = settings.interval_cs  # Master_Adver_Interval
         self._adver_due: float | None = None
         self._down_due: float | None = None
-        self._last_now = float("-inf")  # the latest time passed in
+        self._last_now = float("-inf")  # latest time passed in
 
-    # Section 6.1, all in milliseconds.
+    # Intervals of section 6.1, in milliseconds unless the name ends in `_cs`.
 
     @property
     def interval_ms(self) -> float:
-        """Advertisement_Interval."""
+        """Advertisement_Interval: the interval between this router's own advertisements."""
         return self.settings.interval_cs * 10.0
 
     @property
@@ -124,15 +130,18 @@
 
     @property
     def master_interval_cs(self) -> int:
-        """Master_Adver_Interval: the interval that the present master advertises."""
+        """Master_Adver_Interval: the interval that the current Master advertises, in centiseconds."""
         return self._master_interval_cs
 
     def next_due(self) -> float | None:
-        """When `tick` must be called at the latest, or None (Adver_Timer or Master_Down_Timer, section 6.2)."""
+        """Return when `tick` must be called at the latest, or None if no timer runs.
+
+        This is the expiry of Adver_Timer in Master and of Master_Down_Timer in Backup (section 6.2).
+        """
         return self._adver_due if self.state is State.MASTER else self._down_due
 
     def running_timers(self, now: float) -> dict[str, float]:
-        """What the running timer has left, in milliseconds (section 6.2)."""
+        """Return the running timer's name and remaining milliseconds (section 6.2); empty if none runs."""
         if self.state is State.MASTER and self._adver_due is not None:
             return {"adver": self._adver_due - now}
         if self.state is State.BACKUP and self._down_due is not None:
@@ -142,83 +151,89 @@
     # Inputs.
 
     def startup(self, now: float) -> None:
-        """The Startup event (section 6.4.1)."""
+        """Handle the Startup event (section 6.4.1)."""
         now = self._advance(now)
         if self.state is not State.INITIALIZE:
             return
-        if self.priority == OWNER_PRIORITY:  # (105)
-            self._advertise(self.priority)  # (110)
-            self._adver_due = now + self.interval_ms  # (140)
-            self._change_state(now, State.MASTER, "startup as owner")  # (145)
+        if self.priority == OWNER_PRIORITY:  # (105) address owner
+            self._advertise(self.priority)  # (110) send an advertisement
+            self._adver_due = now + self.interval_ms  # (140) set Adver_Timer
+            self._change_state(now, State.MASTER, "startup as owner")  # (145) become Master
         else:
-            self._master_interval_cs = self.settings.interval_cs  # (155)
-            self._down_due = now + self.master_down_ms  # (160)
-            self._change_state(now, State.BACKUP, "startup")  # (165)
+            self._master_interval_cs = self.settings.interval_cs  # (155) set Master_Adver_Interval
+            self._down_due = now + self.master_down_ms  # (160) set Master_Down_Timer
+            self._change_state(now, State.BACKUP, "startup")  # (165) become Backup
 
     def shutdown(self, now: float, cause: str = "shutdown") -> None:
-        """The Shutdown event (steps 345 and 655)."""
+        """Handle the Shutdown event (step 345 as Backup, step 655 as Master)."""
         now = self._advance(now)
         if self.state is State.MASTER:
-            self._adver_due = None  # (660)
-            self._advertise(RELEASE_PRIORITY)  # (665)
-            self._change_state(now, State.INITIALIZE, cause)  # (670)
+            self._adver_due = None  # (660) cancel Adver_Timer
+            self._advertise(RELEASE_PRIORITY)  # (665) advertise priority 0
+            self._change_state(now, State.INITIALIZE, cause)  # (670) return to Initialize
         elif self.state is State.BACKUP:
-            self._down_due = None  # (350)
-            self._change_state(now, State.INITIALIZE, cause)  # (355)
+            self._down_due = None  # (350) cancel Master_Down_Timer
+            self._change_state(now, State.INITIALIZE, cause)  # (355) return to Initialize
 
     def tick(self, now: float) -> None:
         """Fire timers that are due (sections 6.4.2 and 6.4.3)."""
         now = self._advance(now)
-        if self.state is State.BACKUP and self._down_due is not None and now >= self._down_due:  # (365)
-            self._advertise(self.priority)  # (370)
-            self._down_due, self._adver_due = None, now + self.interval_ms  # (400)
-            self._change_state(now, State.MASTER, "master down")  # (405)
-        elif self.state is State.MASTER and self._adver_due is not None and now >= self._adver_due:  # (680)
-            self._advertise(self.priority)  # (685)
-            self._adver_due = now + self.interval_ms  # (690)
+        # (365) Master_Down_Timer fires
+        if self.state is State.BACKUP and self._down_due is not None and now >= self._down_due:
+            self._advertise(self.priority)  # (370) send an advertisement
+            self._down_due, self._adver_due = None, now + self.interval_ms  # (400) set Adver_Timer
+            self._change_state(now, State.MASTER, "master down")  # (405) become Master
+        # (680) Adver_Timer fires
+        elif self.state is State.MASTER and self._adver_due is not None and now >= self._adver_due:
+            self._advertise(self.priority)  # (685) send an advertisement
+            self._adver_due = now + self.interval_ms  # (690) reset Adver_Timer
 
     def on_advertisement(self, now: float, advert: Advertisement, sender: Address) -> None:
-        """An advertisement for this router, valid by section 7.1."""
+        """Handle an advertisement for this virtual router that passed the checks of section 7.1."""
         now = self._advance(now)
         if self.state is State.INITIALIZE or sender == self.primary:
             return
-        # 7.1: the owner of the addresses discards whatever comes for them.
+        # Section 7.1: the address owner discards all advertisements for its virtual router.
         if self.settings.priority == OWNER_PRIORITY and self.priority == OWNER_PRIORITY:
             return
         if set(advert.addresses) != set(self.settings.addresses):
-            self.foreign_address_lists += 1  # 7.1: may be checked; it is counted and no reason to discard
+            # Section 7.1 makes this check optional; a mismatch is counted and the advertisement still processed.
+            self.mismatched_address_lists += 1
         if self.state is State.BACKUP:
             self._on_advertisement_as_backup(now, advert)
         else:
             self._on_advertisement_as_master(now, advert, sender)
 
-    def _on_advertisement_as_backup(self, now: float, advert: Advertisement) -> None:  # (415)
-        if advert.priority == RELEASE_PRIORITY:  # (420)
-            self._down_due = now + self.skew_ms  # (425)
-        elif not self.settings.preempt or advert.priority >= self.priority:  # (440)
-            self._master_interval_cs = advert.interval_cs  # (445)
-            self._down_due = now + self.master_down_ms  # (450, 455)
-
-    def _on_advertisement_as_master(self, now: float, advert: Advertisement, sender: Address) -> None:  # (700)
-        if advert.priority == RELEASE_PRIORITY:  # (705)
-            self._advertise(self.priority)  # (710)
-            self._adver_due = now + self.interval_ms  # (715)
-        elif advert.priority > self.priority or (  # (730)
-            advert.priority == self.priority and int(sender) > int(self.primary)
-        ):  # (740)
-            self._adver_due = None  # (745)
-            self._master_interval_cs = advert.interval_cs  # (750)
-            self._down_due = now + self.master_down_ms  # (755 to 765)
-            self._change_state(now, State.BACKUP, f"heard {advert.priority} from {sender}")  # (770)
-        else:  # (775): discarded, and asserted at once, so that the other gives up
+    def _on_advertisement_as_backup(self, now: float, advert: Advertisement) -> None:
+        """Handle an advertisement in state Backup (415)."""
+        if advert.priority == RELEASE_PRIORITY:  # (420) the Master stops
+            self._down_due = now + self.skew_ms  # (425) set Master_Down_Timer to Skew_Time
+        elif not self.settings.preempt or advert.priority >= self.priority:  # (440) accept this Master
+            self._master_interval_cs = advert.interval_cs  # (445) set Master_Adver_Interval
+            self._down_due = now + self.master_down_ms  # (450, 455) recompute and reset Master_Down_Timer
+
+    def _on_advertisement_as_master(self, now: float, advert: Advertisement, sender: Address) -> None:
+        """Handle an advertisement in state Master (700)."""
+        if advert.priority == RELEASE_PRIORITY:  # (705) another Master stops
+            self._advertise(self.priority)  # (710) send an advertisement
+            self._adver_due = now + self.interval_ms  # (715) reset Adver_Timer
+        # (730, 740) higher priority, or equal priority and a larger primary address
+        elif advert.priority > self.priority or (advert.priority == self.priority and int(sender) > int(self.primary)):
+            self._adver_due = None  # (745) cancel Adver_Timer
+            self._master_interval_cs = advert.interval_cs  # (750) set Master_Adver_Interval
+            self._down_due = now + self.master_down_ms  # (755 to 765) recompute and set Master_Down_Timer
+            self._change_state(now, State.BACKUP, f"heard {advert.priority} from {sender}")  # (770) become Backup
+        else:  # (775) discard it and advertise immediately, so that the other Master yields
             self._advertise(self.priority)
             self._adver_due = now + self.interval_ms
 
     def set_priority(self, now: float, priority: int) -> None:
-        """A priority changed by tracking, 1 to 254; the RFC has fixed ones only.
+        """Set the priority that tracking computed; the RFC itself has fixed priorities only.
 
-        A master tells at once, so that better backups start their wait now and not at the next advertisement; a
-        backup's running wait keeps the skew it began with, so that a change cannot put take-over off without end.
+        A Master advertises the new priority immediately, so that a Backup of higher priority starts Master_Down_Timer
+        now and not at the next advertisement.  A Backup's running Master_Down_Timer keeps the Skew_Time it was set
+        with, so that repeated changes cannot postpone take-over indefinitely.  Raises `PriorityError` for a value
+        outside 1 to 255.
         """
         now = self._advance(now)
         if not 1 <= priority <= OWNER_PRIORITY:
@@ -231,12 +246,13 @@
             self._adver_due = now + self.interval_ms
 
     def _advance(self, now: float) -> float:
-        """The time passed in, never backwards; notices that the process was suspended.
+        """Return the time passed in, but never an earlier one than before, and detect that the process was suspended.
 
-        Guards against a woken master that advertises an address which another holds by now, and a woken backup
-        whose timer ran out while advertisements lay unread.  A master has slept once three intervals have passed
-        since its last advertisement, the shortest Master_Down_Interval that a peer can have; a backup, once its
-        timer is late by a whole one.  A router that was suspended starts to listen again.
+        After a suspension, a Master must not advertise an address that a peer may have acquired meanwhile, and a
+        Backup must not become Master because its timer expired while advertisements were unread.  A Master counts as
+        suspended once three intervals have passed since its last advertisement, which is the lower bound of a peer's
+        Master_Down_Interval; a Backup, once its timer is late by a complete Master_Down_Interval.  Either one then
+        waits as Backup for another Master_Down_Interval.
         """
         if now <= self._last_now:
             return self._last_now
@@ -269,15 +285,15 @@
     # For model checking.
 
     def snapshot(self, now: float) -> Hashable:
-        """All that later states depend on, hashable, with times relative to `now`."""
+        """Return everything that later states depend on, in hashable form, with times relative to `now`."""
         adver = None if self._adver_due is None else round(self._adver_due - now, 3)
         down = None if self._down_due is None else round(self._down_due - now, 3)
         return (self.state, self.priority, self._master_interval_cs, adver, down)
 
     def copy(self) -> VirtualRouter:
-        """An independent copy without outputs."""
-        twin = VirtualRouter.__new__(VirtualRouter)
+        """Return an independent copy without outputs."""
+        clone = VirtualRouter.__new__(VirtualRouter)
         for name in self.__slots__:
-            setattr(twin, name, getattr(self, name))
-        twin.outputs = deque()
-        return twin
+            setattr(clone, name, getattr(self, name))
+        clone.outputs = deque()
+        return clone
--- a/kelptrail/vrrp/tracking.py
+++ b/kelptrail/vrrp/tracking.py
@@ -1,8 +1,9 @@
-"""Priority by an instance's own health: connections to workers, its front, its journal; free of I/O.
+"""Priority according to an instance's own health: connections to workers, its front, its journal; free of I/O.
 
-Each tracked item has a weight that is subtracted from the priority while it fails.  A failure counts once it has lasted
-`fall_ms`; it is over once the item has been healthy for `rise_ms`, which doubles with each failure that follows soon
-after the last, up to eight times: an item that flaps does not make the address flap.
+Each tracked item has a weight that is subtracted from the priority while the item has failed.  An item has failed once
+it has been unhealthy for `fall_ms`, and has recovered once it has been healthy for `rise_ms`.  To keep an item that
+flaps from moving the address back and forth, `rise_ms` doubles with each failure that begins soon after the last one
+ended, up to eight times the configured value.
 """
 
 from __future__ import annotations
@@ -14,7 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TrackSettings:
-    """One tracked item; times in milliseconds.  `release`: while it fails the address is released altogether."""
+    """Settings of one tracked item; times in milliseconds.
+
+    With `release`, the address is released while the item has failed, whatever the priority.
+    """
 
     name: str
     weight: int
@@ -29,31 +33,31 @@
     def __init__(self, settings: TrackSettings) -> None:
         self.settings = settings
         self.failed = False
-        self.healthy = True  # as last observed
-        self._observed_since = 0.0  # since when it has been observed so
-        self._last_failure_end = float("-inf")  # of the last failure
+        self.healthy = True  # last observation
+        self._healthy_changed_at = 0.0  # time from which `healthy` has had its current value, in ms
+        self._last_failure_end = float("-inf")  # in ms
         self._rise_factor = 1.0
 
     @property
     def rise_ms(self) -> float:
-        """How long it must be healthy until a failure is over."""
+        """Time for which the item must be healthy until it has recovered, in milliseconds."""
         return self.settings.rise_ms * self._rise_factor
 
     def on_health(self, now: float, healthy: bool) -> bool:
-        """An observation; True if `failed` has changed."""
+        """Record an observation; return True if `failed` changed."""
         if healthy is not self.healthy:
-            self.healthy, self._observed_since = healthy, now
+            self.healthy, self._healthy_changed_at = healthy, now
         return self.on_tick(now)
 
     def on_tick(self, now: float) -> bool:
-        """Time has passed; True if `failed` has changed."""
-        lasted = now - self._observed_since
-        if not self.healthy and not self.failed and lasted >= self.settings.fall_ms:
+        """Apply `fall_ms` and `rise_ms` at the current time; return True if `failed` changed."""
+        duration_ms = now - self._healthy_changed_at
+        if not self.healthy and not self.failed and duration_ms >= self.settings.fall_ms:
             self.failed = True
-            soon = self._observed_since - self._last_failure_end < 4 * self.rise_ms
-            self._rise_factor = min(MAX_RISE_FACTOR, self._rise_factor * 2) if soon else 1.0
+            failed_again_soon = self._healthy_changed_at - self._last_failure_end < 4 * self.rise_ms
+            self._rise_factor = min(MAX_RISE_FACTOR, self._rise_factor * 2) if failed_again_soon else 1.0
             return True
-        if self.healthy and self.failed and lasted >= self.rise_ms:
+        if self.healthy and self.failed and duration_ms >= self.rise_ms:
             self.failed, self._last_failure_end = False, now
             return True
         return False
@@ -66,26 +70,27 @@
         self.tracks = {s.name: Track(s) for s in settings}
 
     def on_health(self, now: float, name: str, healthy: bool) -> bool:
-        """An observation of one item; unknown names are ignored.  True if a priority may change."""
+        """Record an observation of one item, ignoring unknown names; return True if a priority may change."""
         track = self.tracks.get(name)
         return track is not None and track.on_health(now, healthy)
 
     def on_tick(self, now: float) -> bool:
-        """Time has passed; True if a priority may change."""
-        changed = [track.on_tick(now) for track in self.tracks.values()]  # all of them, not up to the first
+        """Update all items to the current time; return True if a priority may change."""
+        # A list, not `any` over a generator: every item must be updated.
+        changed = [track.on_tick(now) for track in self.tracks.values()]
         return True in changed
 
     def priority(self, base: int) -> int:
-        """The base priority less the weights of failed items, at least 1."""
-        lost = sum(track.settings.weight for track in self.tracks.values() if track.failed)
-        return max(1, base - lost)
+        """Return the base priority minus the weights of failed items, but at least 1."""
+        reduction = sum(track.settings.weight for track in self.tracks.values() if track.failed)
+        return max(1, base - reduction)
 
     @property
     def released(self) -> bool:
-        """Whether a failed item requires that the address is released."""
+        """Whether a failed item requires the release of the address."""
         return any(track.failed and track.settings.release for track in self.tracks.values())
 
     @property
     def failing(self) -> list[str]:
-        """The names of the failed items."""
+        """Names of the failed items."""
         return [name for name, track in self.tracks.items() if track.failed]
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -321,7 +321,7 @@
     r = router(100)
     r.startup(0.0)
     r.on_advertisement(10.0, Advertisement(1, 150, 100, (C,)), B)
-    assert r.foreign_address_lists == 1 and r.next_due() == 10 + r.master_down_ms
+    assert r.mismatched_address_lists == 1 and r.next_due() == 10 + r.master_down_ms
 
 
 # Tracking.
