--- a/kelptrail/vrrp/model.py
+++ b/kelptrail/vrrp/model.py
@@ -1,10 +1,12 @@
 """Model checking of two or three virtual routers under loss, delay, duplication, pauses and crashes; free of I/O.
 
-A state has the routers, the advertisements in flight and the rest of the fault budget.  From each state every step is
-taken: deliver, drop or duplicate an advertisement, let time pass to the next timer, crash, restart, pause, resume.
-States that differ only in the time they are reached at are one.  In every state the address is held by Masters only;
-and from every state, once the network heals, exactly one Master remains within a stated time, the best one where
-routers preempt, without an endless exchange at one moment.
+A state consists of the routers, the advertisements in flight and the remaining fault budget.  From each state every
+possible step is taken: deliver, drop or duplicate an advertisement, let time pass to the next timer, crash, restart,
+pause or resume a process.  States that differ only in the time at which they are reached count as one.
+
+Two properties are checked in every state.  Exactly the Masters hold the address.  Once all faults end, exactly one
+Master remains within a given time, the one of highest priority where routers preempt, and the routers do not exchange
+advertisements endlessly without time passing.
 """
 
 from __future__ import annotations
@@ -19,12 +21,12 @@
 from .packet import Advertisement
 from .state_machine import AcquireAddress, ReleaseAddress, SendAdvertisement, State, VirtualRouter
 
-MAX_SENT_AT_ONCE = 60  # advertisements sent without time passing, in a healed network of three
+MAX_SENT_AT_ONCE = 60  # advertisements sent without time passing, once faults ended in a network of three
 
 
 @dataclass(frozen=True, slots=True)
 class InFlight:
-    """An advertisement on its way; `age` in steps of time it has been held up."""
+    """An advertisement that is not yet delivered; `age` is the number of time steps it has been delayed."""
 
     advert: Advertisement
     sender: int
@@ -34,17 +36,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultBudget:
-    """Faults that are left to happen."""
+    """Number of faults of each kind that may still happen."""
 
     drops: int = 2
     duplicates: int = 1
     crashes: int = 1
     pauses: int = 1
-    delay: int = 1  # steps of time that an advertisement may be held up
+    delay: int = 1  # time steps by which an advertisement may be delayed
 
 
 class Model:
-    """One state."""
+    """One state of the routers and of the network between them."""
 
     __slots__ = ("alive", "budget", "holds_address", "in_flight", "now", "paused", "routers", "trail")
 
@@ -57,32 +59,32 @@
         self.trail: tuple[str, ...] = ()
 
     def copy(self) -> Model:
-        """An independent copy."""
-        twin = Model.__new__(Model)
-        twin.routers = [r.copy() for r in self.routers]
-        twin.budget, twin.now, twin.in_flight, twin.trail = self.budget, self.now, self.in_flight, self.trail
-        twin.holds_address, twin.alive, twin.paused = list(self.holds_address), list(self.alive), list(self.paused)
-        return twin
+        """Return an independent copy."""
+        clone = Model.__new__(Model)
+        clone.routers = [r.copy() for r in self.routers]
+        clone.budget, clone.now, clone.in_flight, clone.trail = self.budget, self.now, self.in_flight, self.trail
+        clone.holds_address, clone.alive, clone.paused = list(self.holds_address), list(self.alive), list(self.paused)
+        return clone
 
     def key(self) -> Hashable:
-        """All that later states depend on."""
-        advertisement = sorted((f.advert.priority, f.sender, f.to, f.age) for f in self.in_flight)
+        """Return everything that later states depend on."""
+        in_flight = sorted((f.advert.priority, f.sender, f.to, f.age) for f in self.in_flight)
         return (
             tuple(r.snapshot(self.now) for r in self.routers),
-            tuple(advertisement),
+            tuple(in_flight),
             tuple(self.alive),
             tuple(self.paused),
             self.budget,
         )
 
     def steps(self) -> Iterator[Step[Model]]:
-        """Every step that can follow."""
-        for name, after in _fault_steps(self):
-            after.collect()
-            yield Step(name, partial(_made, after))
+        """Yield every step that is possible from this state."""
+        for name, after in _next_models(self):
+            after.apply_outputs()
+            yield Step(name, partial(_identity, after))
 
-    def collect(self) -> int:
-        """Apply the outputs of the routers; returns how many advertisements were sent."""
+    def apply_outputs(self) -> int:
+        """Apply the outputs of the routers and return how many advertisements were sent."""
         sent = 0
         for number, router in enumerate(self.routers):
             while router.outputs:
@@ -108,13 +110,13 @@
                 )
 
     def deliver(self, advertisement: InFlight) -> None:
-        """An advertisement arrives, or waits unread at a paused or dead one."""
+        """Deliver an advertisement to its receiver; a crashed receiver loses it."""
         router = self.routers[advertisement.to]
         if self.alive[advertisement.to]:
             router.on_advertisement(self.now, advertisement.advert, self.routers[advertisement.sender].primary)
 
     def next_due(self) -> float | None:
-        """When the next timer of a running router is due."""
+        """Return when the next timer of a running router is due, or None if no timer runs."""
         dues = [
             due
             for n, r in enumerate(self.routers)
@@ -123,7 +125,7 @@
         return min(dues, default=None)
 
     def pass_time(self) -> bool:
-        """Let time pass to the next timer and let it fire; False where none is due."""
+        """Advance the time to the next timer and fire it; return False if no timer runs."""
         due = self.next_due()
         if due is None:
             return False
@@ -134,24 +136,24 @@
         return True
 
 
-def _made(model: Model) -> Model:
+def _identity(model: Model) -> Model:
     return model
 
 
-Make = Callable[[], list[VirtualRouter]]
+RouterFactory = Callable[[], list[VirtualRouter]]
 
 
-def start(make: Make, budget: FaultBudget) -> Model:
-    """The first state: all routers started, one after the other at one moment."""
-    model = Model(make(), budget)
+def initial_model(make_routers: RouterFactory, budget: FaultBudget) -> Model:
+    """Return the initial state: all routers started, one after the other at the same time."""
+    model = Model(make_routers(), budget)
     for router in model.routers:
         router.startup(model.now)
-    model.collect()
+    model.apply_outputs()
     return model
 
 
-def _fault_steps(model: Model) -> Iterator[tuple[str, Model]]:
-    """Every state that can follow, by the name of the step."""
+def _next_models(model: Model) -> Iterator[tuple[str, Model]]:
+    """Yield the name of every possible step and the state after it."""
     for position in range(len(model.in_flight)):
         yield from _delivery_steps(model, position)
     yield from _time_steps(model)
@@ -160,7 +162,7 @@
 
 
 def _delivery_steps(model: Model, position: int) -> Iterator[tuple[str, Model]]:
-    """One advertisement in flight is delivered, dropped or duplicated."""
+    """Yield the states after one advertisement in flight is delivered, dropped or duplicated."""
     advertisement, budget = model.in_flight[position], model.budget
     others = model.in_flight[:position] + model.in_flight[position + 1 :]
     name = f"{advertisement.sender}>{advertisement.to} p{advertisement.advert.priority}"
@@ -181,21 +183,25 @@
 
 
 def _time_steps(model: Model) -> Iterator[tuple[str, Model]]:
-    """Time passes to the next timer, unless an advertisement has been delayed for as long as the budget allows."""
-    most_delay = model.budget.delay
-    if not all(a.age < most_delay or model.paused[a.to] for a in model.in_flight):
+    """Yield the state after time passes to the next timer.
+
+    Yield nothing if an advertisement has already been delayed for as long as the budget allows.
+    """
+    max_delay = model.budget.delay
+    if not all(a.age < max_delay or model.paused[a.to] for a in model.in_flight):
         return
     after = model.copy()
-    after.in_flight = tuple(replace(a, age=min(a.age + 1, most_delay)) for a in after.in_flight)
+    after.in_flight = tuple(replace(a, age=min(a.age + 1, max_delay)) for a in after.in_flight)
     if after.pass_time():
         yield f"time {after.now - model.now:g}", after
 
 
 def _process_steps(model: Model, number: int) -> Iterator[tuple[str, Model]]:
-    """One router's process crashes or pauses, or comes back."""
+    """Yield the states after one router's process crashes, restarts, pauses or resumes."""
     after, budget = model.copy(), model.budget
     if model.paused[number]:
-        after.paused[number] = False  # what lay unread is still in flight: it is read before or after the tick
+        # Unread advertisements are still in flight, so that they may be read before or after the tick.
+        after.paused[number] = False
         after.routers[number].tick(after.now)
         yield f"wake {number}", after
     elif not model.alive[number]:
@@ -220,21 +226,24 @@
     model.routers[number].startup(model.now)
 
 
-def heal(model: Model, within_ms: float) -> Model:
-    """All faults end, paused ones wake, the dead stay dead; play on for `within_ms` and check what must come."""
+def check_recovery(model: Model, within_ms: float) -> Model:
+    """End all faults, run for `within_ms` and check that one suitable Master remains; return the state reached.
+
+    Paused processes resume, crashed ones stay down.  Raises `PropertyError`.
+    """
     model = model.copy()
     for number, paused in enumerate(model.paused):
         if paused:
             model.paused[number] = False
             model.routers[number].tick(model.now)
-    model.collect()
-    _settle(model)
+    model.apply_outputs()
+    _deliver_all(model)
     end = model.now + within_ms
     while (due := model.next_due()) is not None and due <= end:
         model.pass_time()
-        model.collect()
+        model.apply_outputs()
         model.check()
-        _settle(model)
+        _deliver_all(model)
     masters = [n for n, r in enumerate(model.routers) if model.alive[n] and r.state is State.MASTER]
     alive = [n for n in range(len(model.routers)) if model.alive[n]]
     if alive and len(masters) != 1:
@@ -249,45 +258,51 @@
     return model
 
 
-def _settle(model: Model) -> None:
-    """Deliver all advertisements in flight, until there is none."""
+def _deliver_all(model: Model) -> None:
+    """Deliver all advertisements in flight, and those sent in response, until none is left."""
     sent = 0
     while model.in_flight:
         first, model.in_flight = model.in_flight[0], model.in_flight[1:]
         model.deliver(first)
-        sent += model.collect()
+        sent += model.apply_outputs()
         model.check()
         if sent > MAX_SENT_AT_ONCE:
-            raise PropertyError("an endless exchange at one moment")
+            raise PropertyError("routers exchange advertisements endlessly without time passing")
 
 
 @dataclass(slots=True)
 class VrrpSearchResult(explorer.SearchResult):
-    """What was explored."""
+    """Size of a search, and the numbers of Masters in its states."""
+
+    most_masters: int = 0  # largest number of Masters in one state
+    two_masters: int = 0  # states with more than one Master
+    no_master: int = 0  # states without a Master
 
-    most_masters: int = 0
-    two_masters: int = 0  # states with more than one
-    no_master: int = 0
 
+def explore(
+    make_routers: RouterFactory, budget: FaultBudget, depth: int, max_states: int, recovery_ms: float
+) -> VrrpSearchResult:
+    """Search breadth first to `depth` steps or `max_states` states, checking the properties in each state.
 
-def explore(make: Make, budget: FaultBudget, depth: int, most_states: int, heal_ms: float) -> VrrpSearchResult:
-    """Breadth first to `depth` steps or `most_states` states.  Raises `PropertyError` with the way to it."""
-    found = VrrpSearchResult()
+    Each state must recover within `recovery_ms` once all faults end.  Raises `PropertyError` with the steps that lead
+    to a violation.
+    """
+    result = VrrpSearchResult()
 
     def check_state(model: Model) -> None:
-        """Count the masters of a state, and check it and what must follow once all faults end."""
+        """Count the Masters of a state, and check the state and its recovery once all faults end."""
         masters = sum(a and r.state is State.MASTER for a, r in zip(model.alive, model.routers, strict=True))
-        found.most_masters = max(found.most_masters, masters)
-        found.two_masters += masters > 1
-        found.no_master += masters == 0
+        result.most_masters = max(result.most_masters, masters)
+        result.two_masters += masters > 1
+        result.no_master += masters == 0
         model.check()
-        heal(model, heal_ms)
+        check_recovery(model, recovery_ms)
 
-    explored = explorer.explore(start(make, budget), check_state, depth, most_states)
-    found.states, found.transitions, found.depth, found.complete = (
+    explored = explorer.explore(initial_model(make_routers, budget), check_state, depth, max_states)
+    result.states, result.transitions, result.depth, result.complete = (
         explored.states,
         explored.transitions,
         explored.depth,
         explored.complete,
     )
-    return found
+    return result
--- a/kelptrail/vrrp/simulation.py
+++ b/kelptrail/vrrp/simulation.py
@@ -1,4 +1,4 @@
-"""Instances in simulated time on a network that loses, delays, duplicates and reorders datagrams; free of I/O."""
+"""Simulation of instances on a network that loses, delays, duplicates and reorders datagrams; free of I/O."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 KEY = Key(1, b"simulated")
 PRIORITIES = (200, 150, 100)
-SETTLING_INTERVALS = 6  # advertisement intervals after which one master is expected
-TRACKING_STEP_MS = 50.0
+SETTLING_INTERVALS = 6  # advertisement intervals after which exactly one Master is expected
+TRACKING_STEP_MS = 50.0  # interval between ticks while items are tracked
 
 
 class AddressChange(Enum):
-    """What an instance did with the address."""
+    """Whether an instance acquired or released the address."""
 
     ACQUIRED = "acquired"
     RELEASED = "released"
@@ -39,7 +39,7 @@
 
 
 class HolderSpan(NamedTuple):
-    """From `since` on so many instances held the address."""
+    """A span of time from `since`, in milliseconds, in which `holders` instances held the address."""
 
     since: float
     holders: int
@@ -47,16 +47,16 @@
 
 @dataclass(slots=True)
 class NetworkFaults:
-    """What the network does to a datagram: shares, and a pair of milliseconds."""
+    """Faults of the network."""
 
-    loss: float = 0.0
-    duplication: float = 0.0
-    delay: tuple[float, float] = (0.1, 2.0)
-    cut: set[tuple[Address, Address]] = field(default_factory=set)  # one way each
+    loss: float = 0.0  # share of datagrams lost
+    duplication: float = 0.0  # share of datagrams duplicated
+    delay: tuple[float, float] = (0.1, 2.0)  # range in ms
+    blocked_links: set[tuple[Address, Address]] = field(default_factory=set)  # pairs of sender and receiver
 
 
 class SimulatedNetwork:
-    """Instances of one virtual router, as (primary address, priority), on a network."""
+    """A network and the instances of one virtual router on it; `members` are (primary address, priority)."""
 
     def __init__(
         self,
@@ -72,10 +72,10 @@
         self.faults, self.now = NetworkFaults(), 0.0
         self._epochs = dict.fromkeys((a for a, _ in members), 0)
         self._in_flight: list[tuple[float, int, Datagram, Address]] = []
-        self._number = 0
+        self._sequence_number = 0  # keeps datagrams that arrive at the same time in order of sending
         self.instances: dict[Address, Instance] = {}
         self.paused: set[Address] = set()
-        self._unread: dict[Address, list[tuple[bytes, Address]]] = {}
+        self._unread_datagrams: dict[Address, list[tuple[bytes, Address]]] = {}
         self._held: dict[Address, bool] = {}
         self.moves: list[AddressMove] = []
         self.spans: list[HolderSpan] = [HolderSpan(0.0, 0)]
@@ -83,7 +83,7 @@
             self.start(address)
 
     def start(self, address: Address) -> None:
-        """An instance's process starts."""
+        """Start the process of an instance."""
         priority = dict(self._members)[address]
         self._epochs[address] += 1
         others = tuple(a for a, _ in self._members if a != address)
@@ -98,60 +98,60 @@
         )
         self._held[address] = False
         self.instances[address].startup(self.now)
-        self._collect(address)
+        self._apply_outputs(address)
 
     def kill(self, address: Address) -> None:
-        """Its process ends and sends nothing."""
+        """Kill the process of an instance, so that it sends nothing more."""
         del self.instances[address]
-        self._hold(address, False)
+        self._set_held(address, False)
 
     def stop(self, address: Address) -> None:
-        """Its process ends gracefully and releases the address."""
+        """Shut the process of an instance down gracefully, so that it releases the address."""
         self.instances[address].shutdown(self.now)
-        self._collect(address)
+        self._apply_outputs(address)
         del self.instances[address]
 
     def pause(self, address: Address) -> None:
-        """Its process is suspended; it continues to hold the address if it has it."""
+        """Suspend the process of an instance; it still holds the address if it held it before."""
         self.paused.add(address)
-        self._unread[address] = []
+        self._unread_datagrams[address] = []
 
     def wake(self, address: Address) -> None:
-        """Its process resumes: first it reads the waiting datagrams, then its timers fire."""
+        """Resume the process of an instance: it first reads the waiting datagrams, then fires its timers."""
         self.paused.discard(address)
-        for data, sender in self._unread.pop(address):
+        for data, sender in self._unread_datagrams.pop(address):
             self.instances[address].on_datagram(self.now, data, sender)
         self.instances[address].tick(self.now)
-        self._collect(address)
+        self._apply_outputs(address)
 
     def holders(self) -> list[Address]:
-        """The instances that hold the address."""
+        """Return the instances that hold the address."""
         return [address for address, held in self._held.items() if held]
 
-    def _hold(self, address: Address, held: bool) -> None:
+    def _set_held(self, address: Address, held: bool) -> None:
         if self._held.get(address) is not held:
             self._held[address] = held
             change = AddressChange.ACQUIRED if held else AddressChange.RELEASED
             self.moves.append(AddressMove(self.now, address, change))
             self.spans.append(HolderSpan(self.now, len(self.holders())))
 
-    def _collect(self, address: Address) -> None:
+    def _apply_outputs(self, address: Address) -> None:
         outputs, faults = self.instances[address].outputs, self.faults
         while outputs:
             output = outputs.popleft()
             if isinstance(output, AcquireAddress):
-                self._hold(address, True)
+                self._set_held(address, True)
             elif isinstance(output, ReleaseAddress):
-                self._hold(address, False)
+                self._set_held(address, False)
             elif not isinstance(output, StateChange):
                 deliveries = 2 if self._random.random() < faults.duplication else 1
-                if (address, output.to) in faults.cut or self._random.random() < faults.loss:
+                if (address, output.to) in faults.blocked_links or self._random.random() < faults.loss:
                     deliveries = 0
                 for _ in range(deliveries):
-                    self._number += 1
+                    self._sequence_number += 1
                     heappush(
                         self._in_flight,
-                        (self.now + self._random.uniform(*faults.delay), self._number, output, address),
+                        (self.now + self._random.uniform(*faults.delay), self._sequence_number, output, address),
                     )
 
     def run(self, ms: float) -> None:
@@ -161,39 +161,43 @@
             dues = [
                 due for a, i in self.instances.items() if a not in self.paused and (due := i.next_due()) is not None
             ]
-            tracked = [self.now + TRACKING_STEP_MS] if self._tracks else []  # hysteresis settles at ticks
-            due = min([*dues, *tracked, *(f[0] for f in self._in_flight[:1]), end])
+            # Tracked items need regular ticks, because their hysteresis is applied at ticks only.
+            tracking_due = [self.now + TRACKING_STEP_MS] if self._tracks else []
+            due = min([*dues, *tracking_due, *(f[0] for f in self._in_flight[:1]), end])
             self.now = max(self.now, due)
             if self._in_flight and self._in_flight[0][0] <= self.now:
                 _, _, datagram, sender = heappop(self._in_flight)
                 if datagram.to in self.paused:
-                    self._unread[datagram.to].append((datagram.data, sender))
+                    self._unread_datagrams[datagram.to].append((datagram.data, sender))
                 elif datagram.to in self.instances:
                     self.instances[datagram.to].on_datagram(self.now, datagram.data, sender)
-                    self._collect(datagram.to)
+                    self._apply_outputs(datagram.to)
                 continue
             for address, instance in list(self.instances.items()):
                 if address not in self.paused:
                     instance.tick(self.now)
-                    self._collect(address)
+                    self._apply_outputs(address)
             if self.now >= end:
                 return
 
 
 @dataclass(slots=True)
 class FailoverStatistics:
-    """Results of many failovers; times in milliseconds."""
+    """Results of a number of simulated failovers; times in milliseconds."""
 
     failovers: int = 0
     took: list[float] = field(default_factory=list)
-    worst_ratio: float = 0.0  # of a takeover to its bound
-    none_ms: float = 0.0  # how long no instance, one, or more held the address
-    one_ms: float = 0.0
-    more_ms: float = 0.0
+    worst_ratio: float = 0.0  # largest ratio of a take-over time to its bound
+    none_ms: float = 0.0  # time in which no instance held the address
+    one_ms: float = 0.0  # time in which exactly one instance held it
+    more_ms: float = 0.0  # time in which several instances held it
     broken: list[str] = field(default_factory=list)
 
     def add_holding_times(self, network: SimulatedNetwork, since: float) -> None:
-        """Count how long the address was held by how many, in spans that begin at `since` or later."""
+        """Add the times in which no, one or several instances held the address.
+
+        Spans that begin before `since` are left out.
+        """
         spans = [*network.spans, HolderSpan(network.now, 0)]
         for (began, holders), (ended, _) in pairwise(spans):
             if began < since:
@@ -207,7 +211,7 @@
 
 
 class Failure(Enum):
-    """What happens to the master."""
+    """The way in which the Master fails."""
 
     KILL = "kill"
     STOP = "stop"
@@ -218,10 +222,10 @@
 
 
 def simulate_failovers(seeds: Iterable[int], interval_cs: int = 100) -> FailoverStatistics:
-    """One failover a seed: three instances on a faulty network, the master killed, stopped or paused.
+    """Simulate one failover per seed: the Master of three instances on a faulty network is killed, stopped or paused.
 
-    The bound of a takeover is the Master_Down_Interval (RFC 9568 section 6.1) of the next in line and twice the
-    network's delay.
+    Each take-over is compared with its bound: the Master_Down_Interval (RFC 9568 section 6.1) of the instance with the
+    next highest priority, plus twice the largest delay of the network.
     """
     statistics = FailoverStatistics()
     for seed in seeds:
@@ -230,30 +234,30 @@
 
 
 def _simulate_failover(statistics: FailoverStatistics, seed: int, interval_cs: int) -> None:
-    chance = random.Random(seed)
+    random_source = random.Random(seed)
     members = [(_address(number), priority) for number, priority in enumerate(PRIORITIES)]
-    network = SimulatedNetwork(seed, members, interval_cs, preempt=chance.random() < 0.7)
-    network.faults.delay = (0.1, chance.uniform(1.0, 30.0))
-    network.faults.loss, network.faults.duplication = chance.uniform(0.0, 0.1), chance.uniform(0.0, 0.2)
+    network = SimulatedNetwork(seed, members, interval_cs, preempt=random_source.random() < 0.7)
+    network.faults.delay = (0.1, random_source.uniform(1.0, 30.0))
+    network.faults.loss, network.faults.duplication = random_source.uniform(0.0, 0.1), random_source.uniform(0.0, 0.2)
     interval_ms = interval_cs * 10.0
-    network.run(SETTLING_INTERVALS * interval_ms + chance.uniform(0, interval_ms))
+    network.run(SETTLING_INTERVALS * interval_ms + random_source.uniform(0, interval_ms))
     holders = network.holders()
     if len(holders) != 1:
         statistics.broken.append(f"{seed}: {len(holders)} holders before")
         return
-    old, failure = holders[0], FAILURES[seed % len(FAILURES)]
-    takeover_ms = _takeover_ms(network, old, failure, interval_ms)
-    if takeover_ms is None:
+    old_master, failure = holders[0], FAILURES[seed % len(FAILURES)]
+    take_over_ms = _take_over_ms(network, old_master, failure, interval_ms)
+    if take_over_ms is None:
         statistics.broken.append(f"{seed}: nobody took over from a {failure.value}")
         return
-    best = max(priority for address, priority in members if address != old)
+    best = max(priority for address, priority in members if address != old_master)
     bound_ms = (3 + (256 - best) / 256) * interval_ms + 2 * network.faults.delay[1]
-    statistics.took.append(takeover_ms)
-    statistics.worst_ratio = max(statistics.worst_ratio, takeover_ms / bound_ms)
+    statistics.took.append(take_over_ms)
+    statistics.worst_ratio = max(statistics.worst_ratio, take_over_ms / bound_ms)
     if failure is Failure.PAUSE:
-        network.wake(old)
+        network.wake(old_master)
     else:
-        network.start(old)
+        network.start(old_master)
     network.run(12 * interval_ms)
     holders = network.holders()
     if len(holders) != 1 or (network.preempt and holders != [members[0][0]]):
@@ -262,16 +266,19 @@
     statistics.add_holding_times(network, SETTLING_INTERVALS * interval_ms)
 
 
-def _takeover_ms(network: SimulatedNetwork, master: Address, failure: Failure, interval_ms: float) -> float | None:
-    """How long it takes until another instance has the address after the master failed; None: none took it."""
-    network.faults.loss = 0.0  # the bound is that of a network that recovers with the failure
-    began = network.now
+def _take_over_ms(network: SimulatedNetwork, master: Address, failure: Failure, interval_ms: float) -> float | None:
+    """Fail the Master and return how long it takes until another instance acquires the address, or None if none does.
+
+    Loss of datagrams ends with the failure, because the bound holds for a network without loss.
+    """
+    network.faults.loss = 0.0
+    failed_at = network.now
     fail = {Failure.KILL: network.kill, Failure.STOP: network.stop, Failure.PAUSE: network.pause}[failure]
     fail(master)
     network.run(4 * interval_ms + 1)
-    for when, address, change in network.moves:
-        if change is AddressChange.ACQUIRED and when >= began and address != master:
-            return when - began
+    for at, address, change in network.moves:
+        if change is AddressChange.ACQUIRED and at >= failed_at and address != master:
+            return at - failed_at
     return None
 
 
--- a/kelptrail/vrrp/state_machine.py
+++ b/kelptrail/vrrp/state_machine.py
@@ -99,7 +99,7 @@
 
     def __init__(self, settings: RouterSettings, primary: Address) -> None:
         if not 1 <= settings.priority <= OWNER_PRIORITY:
-            raise PriorityError(f"priority {settings.priority}; 1 to 255")
+            raise PriorityError(f"priority {settings.priority} is not in 1 to 255")
         self.settings, self.primary = settings, primary
         self.priority = settings.priority  # current priority, which tracking lowers
         self.state = State.INITIALIZE
@@ -230,14 +230,14 @@
     def set_priority(self, now: float, priority: int) -> None:
         """Set the priority that tracking computed; the RFC itself has fixed priorities only.
 
-        A Master advertises the new priority immediately, so that a Backup of higher priority starts Master_Down_Timer
-        now and not at the next advertisement.  A Backup's running Master_Down_Timer keeps the Skew_Time it was set
-        with, so that repeated changes cannot postpone take-over indefinitely.  Raises `PriorityError` for a value
-        outside 1 to 255.
+        A Master advertises the new priority immediately, so that Backups of higher priority begin to wait for
+        take-over now and not at the next advertisement.  A Backup's running Master_Down_Timer keeps the Skew_Time it
+        was set with, so that repeated changes cannot postpone take-over indefinitely.  Raises `PriorityError` for a
+        value outside 1 to 255.
         """
         now = self._advance(now)
         if not 1 <= priority <= OWNER_PRIORITY:
-            raise PriorityError(f"priority {priority}; 1 to 255")
+            raise PriorityError(f"priority {priority} is not in 1 to 255")
         if priority == self.priority:
             return
         self.priority = priority
