--- a/kelptrail/certificates/__init__.py
+++ b/kelptrail/certificates/__init__.py
@@ -1,1 +1,1 @@
-"""A private authority of one's own: certificates for fronts, workers and clients, and keys for namespaces."""
+"""A private certificate authority for fronts, workers and clients, and API keys for namespaces."""
--- a/kelptrail/certificates/authority.py
+++ b/kelptrail/certificates/authority.py
@@ -1,7 +1,8 @@
-"""A private certificate authority in a folder; uses the `cryptography` library, certificates after RFC 5280.
+"""A private certificate authority in a folder; certificates follow RFC 5280 (library: `cryptography`).
 
-`authority.pem` (certificate) and `authority.key`; for each name `NAME.pem`, its key and certificate in one file, so
-that a reader never sees one without the other.  Files are replaced atomically; keys are readable by their owner only.
+The folder holds the authority's certificate `authority.pem` and its key `authority.key`.  Each issued `NAME.pem` holds
+both key and certificate, so that a reader never sees one without the other.  Files are replaced atomically; keys are
+readable by their owner only.
 """
 
 from __future__ import annotations
@@ -24,17 +25,17 @@
 from .names import certificate_names, key_digest
 
 CERTIFICATE, KEY = "authority.pem", "authority.key"
-BACK_DATED = timedelta(minutes=5)  # clocks of others may be a little behind
+CLOCK_SKEW_ALLOWANCE = timedelta(minutes=5)  # certificates are valid earlier by this, as peers' clocks may be behind
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.@-]{0,62}")
 
 
 class AuthorityError(Exception):
-    """The operation is not possible; the message gives the reason."""
+    """An operation of the authority failed; the message gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class IssuedCertificate:
-    """The public content of a certificate."""
+    """The public contents of a certificate."""
 
     name: str
     names: list[str]
@@ -44,31 +45,31 @@
     valid_until: datetime
 
     def days_left(self, now: datetime) -> float:
-        """Days until it expires; negative once it has."""
+        """Return the days until the certificate expires, negative once it has expired."""
         return (self.valid_until - now).total_seconds() / 86_400
 
 
 def read_certificate(pem: bytes) -> x509.Certificate:
-    """Parse the first certificate of a PEM text.  Raises `AuthorityError`."""
+    """Parse the first certificate in PEM data.  Raises `AuthorityError`."""
     try:
         return x509.load_pem_x509_certificates(pem)[0]
     except (ValueError, IndexError) as cause:
-        raise AuthorityError(f"no certificate: {cause}") from None
+        raise AuthorityError(f"no valid certificate: {cause}") from None
 
 
 def describe(name: str, certificate: x509.Certificate) -> IssuedCertificate:
-    """Describe a certificate: names, usage, serial number, validity."""
+    """Return the names, usage, serial number and validity period of a certificate."""
     try:
-        use = certificate.extensions.get_extension_for_class(x509.ExtendedKeyUsage).value
-        words = {ExtendedKeyUsageOID.SERVER_AUTH: "server", ExtendedKeyUsageOID.CLIENT_AUTH: "client"}
-        kind = "+".join(words.get(one, one.dotted_string) for one in use)
+        extended_usage = certificate.extensions.get_extension_for_class(x509.ExtendedKeyUsage).value
+        usage_names = {ExtendedKeyUsageOID.SERVER_AUTH: "server", ExtendedKeyUsageOID.CLIENT_AUTH: "client"}
+        usage = "+".join(usage_names.get(oid, oid.dotted_string) for oid in extended_usage)
     except x509.ExtensionNotFound:
-        kind = "authority"
+        usage = "authority"
     der = certificate.public_bytes(serialization.Encoding.DER)
     return IssuedCertificate(
         name,
         certificate_names(der),
-        kind,
+        usage,
         f"{certificate.serial_number:x}",
         certificate.not_valid_before_utc,
         certificate.not_valid_after_utc,
@@ -76,7 +77,7 @@
 
 
 class ApiKey(NamedTuple):
-    """The API key of a namespace, and its digest for the settings."""
+    """An API key of a namespace, and its digest for the settings."""
 
     key: str
     digest: str
@@ -89,7 +90,7 @@
 
 
 class Authority:
-    """The authority in one folder.  Raises `AuthorityError` where the folder holds none."""
+    """The certificate authority in one folder.  Raises `AuthorityError` if the folder has no usable one."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -98,26 +99,29 @@
             key = serialization.load_pem_private_key((folder / KEY).read_bytes(), None)
         except OSError as cause:
             raise AuthorityError(
-                f"{folder} holds no authority: {cause.strerror}; `kelptrail keys init` makes one"
+                f"{folder} has no authority: {cause.strerror}; `kelptrail keys init` creates one"
             ) from None
         except ValueError as cause:
-            raise AuthorityError(f"{folder / KEY} is no key: {cause}") from None
-        certified = self._certificate.public_key()
+            raise AuthorityError(f"{folder / KEY} is not a private key: {cause}") from None
+        certified_key = self._certificate.public_key()
         if (
             not isinstance(key, ec.EllipticCurvePrivateKey)
-            or not isinstance(certified, ec.EllipticCurvePublicKey)
-            or key.public_key().public_numbers() != certified.public_numbers()
+            or not isinstance(certified_key, ec.EllipticCurvePublicKey)
+            or key.public_key().public_numbers() != certified_key.public_numbers()
         ):
             raise AuthorityError(f"{folder / KEY} does not belong to {folder / CERTIFICATE}")
         self._key = key
 
     @classmethod
     def create(cls, folder: Path, name: str, days: int, now: datetime) -> Authority:
-        """Create an authority.  Raises `AuthorityError` where the folder has one: it is never overwritten."""
+        """Create an authority in a folder.
+
+        An existing authority is never overwritten; raises `AuthorityError` if the folder has one.
+        """
         _check_name(name)
         folder.mkdir(parents=True, exist_ok=True)
         if (folder / KEY).exists() or (folder / CERTIFICATE).exists():
-            raise AuthorityError(f"{folder} holds an authority already")
+            raise AuthorityError(f"{folder} has an authority already")
         key = ec.generate_private_key(ec.SECP256R1())
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
         certificate = (
@@ -126,7 +130,7 @@
             .issuer_name(subject)
             .public_key(key.public_key())
             .serial_number(x509.random_serial_number())
-            .not_valid_before(now - BACK_DATED)
+            .not_valid_before(now - CLOCK_SKEW_ALLOWANCE)
             .not_valid_after(now + timedelta(days=days))
             .add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
             .add_extension(_key_usage(authority=True), critical=True)
@@ -140,31 +144,32 @@
     def issue(
         self,
         name: str,
-        others: Iterable[str],
+        alternative_names: Iterable[str],
         server: bool,
         client: bool,
         days: int,
         now: datetime,
-        again: bool = False,
+        replace: bool = False,
     ) -> IssuedCertificate:
-        """Issue a certificate for a name, with `others` (DNS names, URIs, addresses) as alternative names.
+        """Issue a key and certificate for a name; alternative names are DNS names, URIs or addresses.
 
-        Raises `AuthorityError` where the name has a certificate already, unless `again`.
+        The certificate expires no later than the authority's own.  Raises `AuthorityError` if the name has a
+        certificate already, unless `replace` is set.
         """
         _check_name(name)
         file = self._folder / f"{name}.pem"
-        if file.exists() and not again:
+        if file.exists() and not replace:
             raise AuthorityError(f"{name} has a certificate already; `kelptrail keys rotate` renews it")
         if not server and not client:
-            raise AuthorityError("a certificate is for a server, a client or both")
-        ends = min(now + timedelta(days=days), self._certificate.not_valid_after_utc)
-        if ends <= now:
-            raise AuthorityError("the authority itself has ended")
+            raise AuthorityError("a certificate must be for a server, a client or both")
+        valid_until = min(now + timedelta(days=days), self._certificate.not_valid_after_utc)
+        if valid_until <= now:
+            raise AuthorityError("the authority's own certificate has expired")
         key = ec.generate_private_key(ec.SECP256R1())
-        wanted_uses = ((ExtendedKeyUsageOID.SERVER_AUTH, server), (ExtendedKeyUsageOID.CLIENT_AUTH, client))
-        uses = [use for use, wanted in wanted_uses if wanted]
-        names = [_general_name(one) for one in dict.fromkeys([name, *others])]
-        certificate = self._sign(name, names, uses, key.public_key(), now - BACK_DATED, ends)
+        requested_usages = ((ExtendedKeyUsageOID.SERVER_AUTH, server), (ExtendedKeyUsageOID.CLIENT_AUTH, client))
+        usages = [usage for usage, requested in requested_usages if requested]
+        names = [_general_name(each) for each in dict.fromkeys([name, *alternative_names])]
+        certificate = self._sign(name, names, usages, key.public_key(), now - CLOCK_SKEW_ALLOWANCE, valid_until)
         _write_file(file, _private_key_pem(key) + certificate.public_bytes(serialization.Encoding.PEM), 0o600)
         return describe(name, certificate)
 
@@ -172,10 +177,10 @@
         self,
         name: str,
         names: list[x509.GeneralName],
-        uses: list[x509.ObjectIdentifier],
+        usages: list[x509.ObjectIdentifier],
         public_key: ec.EllipticCurvePublicKey,
-        begins: datetime,
-        ends: datetime,
+        valid_from: datetime,
+        valid_until: datetime,
     ) -> x509.Certificate:
         """Sign an end-entity certificate (RFC 5280) for a public key."""
         authority_key = self._key.public_key()
@@ -185,11 +190,11 @@
             .issuer_name(self._certificate.subject)
             .public_key(public_key)
             .serial_number(x509.random_serial_number())
-            .not_valid_before(begins)
-            .not_valid_after(ends)
+            .not_valid_before(valid_from)
+            .not_valid_after(valid_until)
             .add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
             .add_extension(_key_usage(authority=False), critical=True)
-            .add_extension(x509.ExtendedKeyUsage(uses), critical=False)
+            .add_extension(x509.ExtendedKeyUsage(usages), critical=False)
             .add_extension(x509.SubjectAlternativeName(names), critical=False)
             .add_extension(x509.SubjectKeyIdentifier.from_public_key(public_key), critical=False)
             .add_extension(x509.AuthorityKeyIdentifier.from_issuer_public_key(authority_key), critical=False)
@@ -197,38 +202,43 @@
         )
 
     def rotate(self, name: str, days: int, now: datetime) -> IssuedCertificate:
-        """Issue a new key and certificate for the same names and usage; the old file becomes `NAME.pem.old`."""
+        """Issue a new key and certificate for the same names and usage; the old file is kept as `NAME.pem.old`."""
         file = self._folder / f"{name}.pem"
         if not file.exists():
             raise AuthorityError(f"{name} has no certificate yet")
-        kept = file.read_bytes()
-        before = describe(name, read_certificate(kept))
-        _write_file(file.with_suffix(".pem.old"), kept, 0o600)
+        old_pem = file.read_bytes()
+        old = describe(name, read_certificate(old_pem))
+        _write_file(file.with_suffix(".pem.old"), old_pem, 0o600)
         return self.issue(
             name,
-            [n for n in before.names if n != name],
-            "server" in before.usage,
-            "client" in before.usage,
+            [each for each in old.names if each != name],
+            "server" in old.usage,
+            "client" in old.usage,
             days,
             now,
-            again=True,
+            replace=True,
         )
 
     def list_issued(self) -> list[IssuedCertificate]:
-        """Describe the authority, then its certificates by name.  Raises `AuthorityError` for an unreadable file."""
-        out = [describe("authority", self._certificate)]
+        """Return descriptions of the authority and of its certificates, sorted by file name.
+
+        Raises `AuthorityError` for a file without a valid certificate.
+        """
+        issued = [describe("authority", self._certificate)]
         for file in sorted(self._folder.glob("*.pem")):
             if file.name != CERTIFICATE:
                 try:
-                    out.append(describe(file.stem, read_certificate(file.read_bytes())))
+                    issued.append(describe(file.stem, read_certificate(file.read_bytes())))
                 except AuthorityError as cause:
                     raise AuthorityError(f"{file}: {cause}") from None
-        return out
+        return issued
 
 
 def _check_name(name: str) -> None:
     if not _NAME.fullmatch(name) or name == "authority":
-        raise AuthorityError(f"{name[:80]!r} is no name: letters, digits, _ . @ -, 63 at most, and not 'authority'")
+        raise AuthorityError(
+            f"{name[:80]!r} is not a valid name: 1 to 63 letters, digits and _ . @ -, except 'authority'"
+        )
 
 
 def _general_name(name: str) -> x509.GeneralName:
@@ -259,11 +269,11 @@
 
 
 def _write_file(file: Path, data: bytes, mode: int) -> None:
-    draft = file.with_name(file.name + ".new")
-    handle = os.open(draft, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
-    with os.fdopen(handle, "wb") as out:
+    new_file = file.with_name(file.name + ".new")
+    descriptor = os.open(new_file, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
+    with os.fdopen(descriptor, "wb") as out:
         out.write(data)
         out.flush()
         os.fsync(out.fileno())
-    draft.chmod(mode)
-    draft.replace(file)
+    new_file.chmod(mode)
+    new_file.replace(file)
