--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -1,4 +1,4 @@
-"""VRRP: packets, state machine, authentication and tracking; explored states of two and three routers; failovers."""
+"""VRRP: packets, authentication, state machine, tracking, model checking of two and three routers, failovers."""
 
 from __future__ import annotations
 
@@ -66,28 +66,28 @@
 # Packets.
 
 
-@pytest.mark.parametrize("pseudo", [True, False])
-def test_decode_after_encode_is_the_identity(pseudo: bool) -> None:
+@pytest.mark.parametrize("with_pseudo_header", [True, False])
+def test_decode_after_encode_is_the_identity(with_pseudo_header: bool) -> None:
     random_source = random.Random(1)
     for _ in range(300):
-        six = random_source.random() < 0.5
-        address_type = IPv6Address if six else IPv4Address
+        ipv6 = random_source.random() < 0.5
+        address_type = IPv6Address if ipv6 else IPv4Address
         addresses = tuple(
-            address_type(random_source.getrandbits(128 if six else 32)) for _ in range(random_source.randint(1, 255))
+            address_type(random_source.getrandbits(128 if ipv6 else 32)) for _ in range(random_source.randint(1, 255))
         )
         packet = Advertisement(
             random_source.randint(1, 255), random_source.randint(0, 255), random_source.randint(1, 4095), addresses
         )
-        ends = (SIX, SIX2) if six else (A, B)
-        assert decode(encode(packet, *ends, pseudo), *ends, 255, pseudo) == packet
+        endpoints = (SIX, SIX2) if ipv6 else (A, B)
+        assert decode(encode(packet, *endpoints, with_pseudo_header), *endpoints, 255, with_pseudo_header) == packet
 
 
-def test_a_packet_is_laid_out_as_specified() -> None:
+def test_an_encoded_packet_has_the_specified_layout() -> None:
     data = encode(Advertisement(7, 200, 100, (ip_address("192.0.2.1"),)), A, B)
     assert data[:6] == bytes([0x31, 7, 200, 1, 0, 100]) and data[8:] == bytes([192, 0, 2, 1]) and len(data) == 12
     assert checksum(A.packed + B.packed + struct.pack("!BBH", 0, 112, 12) + data) == 0
-    six = encode(Advertisement(7, 200, 100, (SIX,)), SIX, SIX2)
-    assert len(six) == 24 and checksum(pseudo_header(SIX, SIX2, 24) + six) == 0
+    ipv6_data = encode(Advertisement(7, 200, 100, (SIX,)), SIX, SIX2)
+    assert len(ipv6_data) == 24 and checksum(pseudo_header(SIX, SIX2, 24) + ipv6_data) == 0
 
 
 def with_checksum(data: bytes) -> bytes:
@@ -151,7 +151,7 @@
     assert decode(encode(packet, *ends), *ends) == packet
 
 
-def test_damaged_bytes_raise_named_errors_only() -> None:
+def test_randomly_damaged_packets_and_trailers_raise_packet_errors_only() -> None:
     random_source, valid, signer = random.Random(2), encode(advert(), A, B), Signer(Key(1, b"k"), 1, A)
     verifier = Verifier((Key(1, b"k"),))
     error_count = 0
@@ -173,21 +173,21 @@
     assert error_count > 15_000
 
 
-def test_signatures_keys_and_replays() -> None:
+def test_verifier_accepts_all_its_keys_and_rejects_forged_unsigned_and_replayed_packets() -> None:
     old, new = Key(1, b"old"), Key(2, b"new")
     data = encode(advert(), A, B)
     first, second = Signer(old, 5, A), Signer(new, 5, B)
     both = Verifier((new, old))
-    one = first.sign(data)
-    assert both.verify(one, A) == data and both.verify(second.sign(data), B) == data, "two live keys"
-    for rejected, error in ((one, ReplayError), (data, UnsealedError)):
+    signed = first.sign(data)
+    assert both.verify(signed, A) == data and both.verify(second.sign(data), B) == data, "both keys are accepted"
+    for rejected, error in ((signed, ReplayError), (data, UnsealedError)):
         with pytest.raises(error):
             both.verify(rejected, A)
     with pytest.raises(ForgedError):
-        both.verify(first.sign(data), B)  # the packet of another sender
+        both.verify(first.sign(data), B)  # signed by another sender
     with pytest.raises(UnknownKeyError):
         Verifier((new,)).verify(first.sign(data), A)
-    both.verify(Signer(old, 6, A).sign(data), A)  # after a restart
+    both.verify(Signer(old, 6, A).sign(data), A)  # the sender restarted, so its epoch grew
     with pytest.raises(ReplayError):
         both.verify(first.sign(data), A)
 
@@ -195,17 +195,17 @@
 # The state machine.
 
 
-def router(priority: int = 100, preempt: bool = True, interval: int = 100, here=A) -> VirtualRouter:
-    return VirtualRouter(RouterSettings(1, priority, FRONT, interval, preempt), here)
+def router(priority: int = 100, preempt: bool = True, interval: int = 100, primary=A) -> VirtualRouter:
+    return VirtualRouter(RouterSettings(1, priority, FRONT, interval, preempt), primary)
 
 
 def take_outputs(r: VirtualRouter) -> list[object]:
-    out = list(r.outputs)
+    outputs = list(r.outputs)
     r.outputs.clear()
-    return out
+    return outputs
 
 
-def test_startup_backup_and_master_down_with_skew() -> None:
+def test_a_router_starts_as_backup_and_becomes_master_after_the_master_down_interval() -> None:
     r = router(100)
     r.startup(1000.0)
     assert r.state is State.BACKUP and take_outputs(r) == [
@@ -220,9 +220,9 @@
     assert r.state is State.BACKUP
     due = r.next_due()
     r.tick(due)
-    out = take_outputs(r)
+    outputs = take_outputs(r)
     assert (
-        out[:2] == [SendAdvertisement(advert(100)), AcquireAddress(1)]
+        outputs[:2] == [SendAdvertisement(advert(100)), AcquireAddress(1)]
         and r.state is State.MASTER
         and r.next_due() == due + 1000
     )
@@ -230,7 +230,7 @@
     assert take_outputs(r) == [SendAdvertisement(advert(100))] and r.running_timers(due + 1500) == {"adver": 500.0}
 
 
-def test_the_owner_starts_as_master_and_ignores_advertisements() -> None:
+def test_the_address_owner_starts_as_master_and_ignores_advertisements() -> None:
     r = router(255)
     r.startup(0.0)
     assert r.state is State.MASTER and take_outputs(r)[:2] == [SendAdvertisement(advert(255)), AcquireAddress(1)]
@@ -239,23 +239,26 @@
 
 
 @pytest.mark.parametrize(
-    ("heard", "preempt", "resets"), [(100, True, True), (150, True, True), (50, True, False), (50, False, True)]
+    ("received_priority", "preempt", "resets"),
+    [(100, True, True), (150, True, True), (50, True, False), (50, False, True)],
 )
-def test_a_backup_resets_its_timer_for_masters_of_sufficient_priority(heard: int, preempt: bool, resets: bool) -> None:
+def test_a_backup_resets_its_timer_for_masters_of_sufficient_priority(
+    received_priority: int, preempt: bool, resets: bool
+) -> None:
     r = router(100, preempt)
     r.startup(0.0)
     before = r.next_due()
-    r.on_advertisement(500.0, advert(heard, interval=50), B)
+    r.on_advertisement(500.0, advert(received_priority, interval=50), B)
     if resets:  # the interval is learned from the master
         assert r.master_interval_cs == 50 and r.next_due() == 500 + 1500 + 156 * 500 / 256
     else:
         assert r.next_due() == before and r.master_interval_cs == 100
     r.on_advertisement(600.0, advert(0), B)
-    assert r.next_due() == 600 + r.skew_ms, "a release: the backup becomes master after the skew time"
+    assert r.next_due() == 600 + r.skew_ms, "priority 0: the backup becomes master after the skew time"
 
 
-def master(priority: int = 100, here=A) -> VirtualRouter:
-    r = router(priority, here=here)
+def master(priority: int = 100, primary=A) -> VirtualRouter:
+    r = router(priority, primary=primary)
     r.startup(0.0)
     r.tick(r.next_due())
     take_outputs(r)
@@ -263,24 +266,24 @@
 
 
 @pytest.mark.parametrize(
-    ("heard", "sender", "yields"),
+    ("received_priority", "sender", "yields"),
     [(101, B, True), (100, B, True), (100, ip_address("127.0.1.0"), False), (99, B, False)],
 )
-def test_a_master_yields_to_a_higher_priority_and_asserts_itself_to_a_lower_one(
-    heard: int, sender, yields: bool
+def test_a_master_yields_to_a_higher_priority_and_advertises_immediately_to_a_lower_one(
+    received_priority: int, sender, yields: bool
 ) -> None:
     r = master()
     now = r.next_due() - 400
-    r.on_advertisement(now, advert(heard, interval=20), sender)
-    out = take_outputs(r)
+    r.on_advertisement(now, advert(received_priority, interval=20), sender)
+    outputs = take_outputs(r)
     if yields:
-        assert r.state is State.BACKUP and out[0] == ReleaseAddress(1) and r.master_interval_cs == 20
+        assert r.state is State.BACKUP and outputs[0] == ReleaseAddress(1) and r.master_interval_cs == 20
         assert r.next_due() == now + 600 + 156 * 200 / 256
     else:
-        assert out == [SendAdvertisement(advert(100))] and r.next_due() == now + 1000
+        assert outputs == [SendAdvertisement(advert(100))] and r.next_due() == now + 1000
 
 
-def test_release_shutdown_and_advertisements_at_a_master() -> None:
+def test_a_master_handles_priority_0_its_own_packets_and_shutdown() -> None:
     r = master()
     now = r.next_due() - 100
     r.on_advertisement(now, advert(0), B)
@@ -297,14 +300,14 @@
     assert not take_outputs(r)
 
 
-def test_a_suspended_master_listens_before_it_advertises() -> None:
+def test_a_router_that_was_suspended_waits_as_backup_before_it_advertises() -> None:
     r = master(200)
     r.tick(r.next_due() + 5000)
     assert r.state is State.BACKUP and not any(isinstance(o, SendAdvertisement) for o in take_outputs(r))
     backup = router(100)
     backup.startup(0.0)
     backup.tick(20_000.0)
-    assert backup.state is State.BACKUP, "an unread advertisement may be that of a master"
+    assert backup.state is State.BACKUP, "a master may have sent advertisements that are still unread"
     backup.tick(backup.next_due())
     assert backup.state is State.MASTER
 
@@ -317,7 +320,7 @@
     assert r.state is State.MASTER and r.next_due() >= due
 
 
-def test_advertisements_with_other_addresses_are_counted_and_accepted() -> None:
+def test_advertisements_with_a_different_address_list_are_counted_and_accepted() -> None:
     r = router(100)
     r.startup(0.0)
     r.on_advertisement(10.0, Advertisement(1, 150, 100, (C,)), B)
@@ -332,11 +335,11 @@
     assert not track.on_health(0.0, False) and not track.on_health(400.0, False) and track.on_health(500.0, False)
     assert not track.on_health(600.0, True) and not track.on_health(2500.0, True) and track.on_health(2600.0, True)
     assert track.on_health(2700.0, False) is False and track.on_health(3300.0, False) and track.failed
-    assert track.rise_ms == 4000.0, "it failed again soon"
+    assert track.rise_ms == 4000.0, "it failed again soon after the last failure"
     assert not track.on_health(3400.0, True) and not track.on_tick(7300.0) and track.on_tick(7400.0)
 
 
-def test_a_master_without_workers_loses_the_address_in_bounded_time_without_flapping() -> None:
+def test_a_master_without_workers_releases_the_address_in_bounded_time_without_flapping() -> None:
     network = SimulatedNetwork(1, [(A, 200), (B, 150), (C, 100)], tracks=[TrackSettings("workers", 120, 500.0, 2000.0)])
     network.run(6000.0)
     assert network.holders() == [A]
@@ -344,13 +347,13 @@
     failed_at, moves_before = network.now, len(network.moves)
     network.run(500.0 + 100 + 3 * 1000 + 1000)
     assert network.holders() == [B] and network.moves[-1].at - failed_at < 500 + 3000 + 1000
-    for n in range(40):  # its connections flap every 300 ms
+    for n in range(40):  # its connections to workers flap every 300 ms
         network.instances[A].on_health(network.now, "workers", bool(n % 2))
         network.run(300.0)
     assert network.holders() == [B] and len(network.moves) - moves_before <= 3
 
 
-def test_a_release_by_tracking_moves_the_address_after_the_skew_time() -> None:
+def test_a_failed_item_with_release_moves_the_address_after_the_skew_time() -> None:
     network = SimulatedNetwork(
         2, [(A, 200), (B, 150)], tracks=[TrackSettings("workers", 0, 100.0, 500.0, release=True)]
     )
@@ -364,10 +367,10 @@
     assert network.holders() == [A]
 
 
-# Several routers, counters.
+# Several virtual routers, counters.
 
 
-def test_an_instance_counts_dropped_datagrams_and_backs_several_routers() -> None:
+def test_an_instance_counts_dropped_datagrams_and_runs_several_virtual_routers() -> None:
     routers = [RouterSettings(1, 200, FRONT), RouterSettings(2, 100, (ip_address("127.0.2.2"),))]
     instance = Instance(A, (B,), routers)
     instance.startup(0.0)
@@ -396,42 +399,42 @@
     assert {decode(d.data, A, B).vrid for d in sent} == {1, 2} and {d.to for d in sent} == {B}
 
 
-# Model checking; the deep runs are under bench/.
+# Model checking; searches to greater depths are in bench/vrrp_explore.py.
 
 
-def make_routers(*priorities: int, preempt: bool = True):
-    def make() -> list[VirtualRouter]:
-        return [router(p, preempt, here=ip_address(f"127.0.1.{n + 1}")) for n, p in enumerate(priorities)]
+def router_factory(*priorities: int, preempt: bool = True):
+    def make_routers() -> list[VirtualRouter]:
+        return [router(p, preempt, primary=ip_address(f"127.0.1.{n + 1}")) for n, p in enumerate(priorities)]
 
-    return make
+    return make_routers
 
 
 @pytest.mark.parametrize(
-    ("make", "budget", "depth"),
+    ("make_routers", "budget", "depth"),
     [
-        (make_routers(200, 100), FaultBudget(), 8),
-        (make_routers(100, 100), FaultBudget(), 7),
-        (make_routers(200, 100, preempt=False), FaultBudget(), 8),
-        (make_routers(255, 100), FaultBudget(), 8),
-        (make_routers(200, 150, 100), FaultBudget(drops=1, duplicates=0, crashes=1, pauses=1, delay=1), 5),
+        (router_factory(200, 100), FaultBudget(), 8),
+        (router_factory(100, 100), FaultBudget(), 7),
+        (router_factory(200, 100, preempt=False), FaultBudget(), 8),
+        (router_factory(255, 100), FaultBudget(), 8),
+        (router_factory(200, 150, 100), FaultBudget(drops=1, duplicates=0, crashes=1, pauses=1, delay=1), 5),
     ],
 )
-def test_explored_states_satisfy_the_properties(make, budget: FaultBudget, depth: int) -> None:
-    found = explore(make, budget, depth, 100_000, 9000.0)
-    assert found.complete and found.states > 500 and found.two_masters > 0, found
+def test_explored_states_satisfy_the_properties(make_routers, budget: FaultBudget, depth: int) -> None:
+    result = explore(make_routers, budget, depth, 100_000, 9000.0)
+    assert result.complete and result.states > 500 and result.two_masters > 0, result
 
 
-def broken_yield(self, now, advert, sender) -> None:
-    """A master that never yields."""
+def never_yield(self, now, advert, sender) -> None:
+    """Ignore every advertisement, so that a Master never yields."""
 
 
-def broken_backup(self, now, advert) -> None:
-    """A backup that restarts its timer for every advertisement, also of lower priorities."""
+def reset_for_every_advertisement(self, now, advert) -> None:
+    """Reset the Master_Down_Timer for every advertisement, also those of lower priority."""
     self._down_due = now + self.master_down_ms
 
 
-def broken_acquire(self, now, after, cause) -> None:
-    """A transition to Master that does not acquire the address."""
+def become_master_without_acquiring(self, now, after, cause) -> None:
+    """Change to Master without acquiring the address."""
     before, self.state = self.state, after
     if before is State.MASTER:
         self.outputs.append(ReleaseAddress(1))
@@ -440,18 +443,18 @@
 @pytest.mark.parametrize(
     ("name", "replacement", "message"),
     [
-        ("_on_advertisement_as_master", broken_yield, "2 masters"),
-        ("_on_advertisement_as_backup", broken_backup, "has the higher priority"),
-        ("_change_state", broken_acquire, "does not hold the address"),
+        ("_on_advertisement_as_master", never_yield, "2 masters"),
+        ("_on_advertisement_as_backup", reset_for_every_advertisement, "has the higher priority"),
+        ("_change_state", become_master_without_acquiring, "does not hold the address"),
     ],
 )
 def test_a_broken_transition_violates_a_property(monkeypatch, name: str, replacement, message: str) -> None:
     monkeypatch.setattr(machine.VirtualRouter, name, replacement)
     with pytest.raises(PropertyError, match=message):
-        explore(make_routers(200, 100), FaultBudget(), 9, 40_000, 9000.0)
+        explore(router_factory(200, 100), FaultBudget(), 9, 40_000, 9000.0)
 
 
-def test_seeded_failovers_end_within_the_bound() -> None:
-    found = simulate_failovers(range(60))
-    assert found.failovers == 60 and not found.broken, found.broken[:3]
-    assert found.worst_ratio <= 1.0
+def test_simulated_failovers_end_within_the_bound() -> None:
+    statistics = simulate_failovers(range(60))
+    assert statistics.failovers == 60 and not statistics.broken, statistics.broken[:3]
+    assert statistics.worst_ratio <= 1.0
