--- a/bench/vrrp_explore.py
+++ b/bench/vrrp_explore.py
@@ -65,10 +65,10 @@
     simulated = simulate_failovers(range(options.failovers))
     row = {
         "failovers": simulated.failovers,
-        "broken": simulated.broken[:SHOWN_VIOLATIONS],
-        "median_ms": round(statistics.median(simulated.took), 1),
-        "p99_ms": round(float(np.percentile(simulated.took, 99)), 1),
-        "worst_ms": round(max(simulated.took), 1),
+        "broken": simulated.violations[:SHOWN_VIOLATIONS],
+        "median_ms": round(statistics.median(simulated.take_over_times_ms), 1),
+        "p99_ms": round(float(np.percentile(simulated.take_over_times_ms, 99)), 1),
+        "worst_ms": round(max(simulated.take_over_times_ms), 1),
         "worst_of_bound": round(simulated.worst_ratio, 4),
         "seconds_none": round(simulated.none_ms / 1000, 1),
         "seconds_one": round(simulated.one_ms / 1000, 1),
--- a/kelptrail/vrrp/simulation.py
+++ b/kelptrail/vrrp/simulation.py
@@ -116,7 +116,7 @@
         self.paused.add(address)
         self._unread_datagrams[address] = []
 
-    def wake(self, address: Address) -> None:
+    def resume(self, address: Address) -> None:
         """Resume the process of an instance: it first reads the waiting datagrams, then fires its timers."""
         self.paused.discard(address)
         for data, sender in self._unread_datagrams.pop(address):
@@ -186,12 +186,12 @@
     """Results of a number of simulated failovers; times in milliseconds."""
 
     failovers: int = 0
-    took: list[float] = field(default_factory=list)
+    take_over_times_ms: list[float] = field(default_factory=list)
     worst_ratio: float = 0.0  # largest ratio of a take-over time to its bound
     none_ms: float = 0.0  # time in which no instance held the address
     one_ms: float = 0.0  # time in which exactly one instance held it
     more_ms: float = 0.0  # time in which several instances held it
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
     def add_holding_times(self, network: SimulatedNetwork, since: float) -> None:
         """Add the times in which no, one or several instances held the address.
@@ -243,25 +243,25 @@
     network.run(SETTLING_INTERVALS * interval_ms + random_source.uniform(0, interval_ms))
     holders = network.holders()
     if len(holders) != 1:
-        statistics.broken.append(f"{seed}: {len(holders)} holders before")
+        statistics.violations.append(f"{seed}: {len(holders)} holders before")
         return
     old_master, failure = holders[0], FAILURES[seed % len(FAILURES)]
     take_over_ms = _take_over_ms(network, old_master, failure, interval_ms)
     if take_over_ms is None:
-        statistics.broken.append(f"{seed}: nobody took over from a {failure.value}")
+        statistics.violations.append(f"{seed}: nobody took over from a {failure.value}")
         return
     best = max(priority for address, priority in members if address != old_master)
     bound_ms = (3 + (256 - best) / 256) * interval_ms + 2 * network.faults.delay[1]
-    statistics.took.append(take_over_ms)
+    statistics.take_over_times_ms.append(take_over_ms)
     statistics.worst_ratio = max(statistics.worst_ratio, take_over_ms / bound_ms)
     if failure is Failure.PAUSE:
-        network.wake(old_master)
+        network.resume(old_master)
     else:
         network.start(old_master)
     network.run(12 * interval_ms)
     holders = network.holders()
     if len(holders) != 1 or (network.preempt and holders != [members[0][0]]):
-        statistics.broken.append(f"{seed}: held by {holders} in the end")
+        statistics.violations.append(f"{seed}: held by {holders} in the end")
     statistics.failovers += 1
     statistics.add_holding_times(network, SETTLING_INTERVALS * interval_ms)
 
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -456,5 +456,5 @@
 
 def test_simulated_failovers_end_within_the_bound() -> None:
     statistics = simulate_failovers(range(60))
-    assert statistics.failovers == 60 and not statistics.broken, statistics.broken[:3]
+    assert statistics.failovers == 60 and not statistics.violations, statistics.violations[:3]
     assert statistics.worst_ratio <= 1.0
