--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -255,7 +255,7 @@
         for tls in (foreign_certificate, old_version, client_context(other_folder)):
             with pytest.raises((ssl.SSLError, ConnectionError, OSError)):
                 await post_over_tls(gateway.http.address, tls, authorization())
-        # A client that does not use TLS at all is disconnected.
+        # A client that sends plain HTTP does not disturb the server.
         host, _, port = gateway.http.address.rpartition(":")
         plain = socket.create_connection((host, int(port)))
         plain.sendall(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
