--- a/kelptrail/simulation/__init__.py
+++ b/kelptrail/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A cluster in simulated time around the real cores, and experiments over variants and seeds of it."""
+"""Simulation of a cluster around the real cores, and experiments over variants and seeds of a scenario."""
--- a/kelptrail/simulation/attempt_executor.py
+++ b/kelptrail/simulation/attempt_executor.py
@@ -1,4 +1,4 @@
-"""Runs the attempts of one simulated worker process: a queue, cores, the work itself, effects and reports of load."""
+"""Execution of attempts in one simulated worker process: queue, cores, side effects and load reports."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 if TYPE_CHECKING:
     from .workers import SimulatedWorker
 
-UTILIZATION_WINDOW_MS = 250.0  # of the moving average, as the emulated worker reports it
-REPORT_INTERVAL_MS = 200.0  # a report is made anew at most so often
-WORK_SIGMA, WORK_FACTORS_DRAWN = 0.2, 512  # of the lognormal factor of an attempt's work
-NEVER = -1e18
+UTILIZATION_WINDOW_MS = 250.0  # averaging window, as in the emulated worker
+REPORT_INTERVAL_MS = 200.0  # minimum time between two computations of the load report
+WORK_FACTOR_SIGMA, WORK_FACTOR_BATCH_SIZE = 0.2, 512  # lognormal factors of attempts' work, drawn in batches
+LONG_AGO_MS = -1e18  # a time before every run
 
 
 class WorkFactors:
-    """By how much attempts take longer or shorter than usual, drawn ahead from a worker's random generator."""
+    """Random factors of the time that attempts take, drawn in batches from a worker's random generator."""
 
     def __init__(self, random: np.random.Generator) -> None:
         self._random, self._drawn = random, np.empty(0)
 
     def draw(self) -> float:
-        """The factor of the next attempt."""
+        """Return the factor of the next attempt."""
         if not len(self._drawn):
-            self._drawn = self._random.lognormal(0.0, WORK_SIGMA, WORK_FACTORS_DRAWN)
+            self._drawn = self._random.lognormal(0.0, WORK_FACTOR_SIGMA, WORK_FACTOR_BATCH_SIZE)
         factor, self._drawn = float(self._drawn[-1]), self._drawn[:-1]
         return factor
 
 
 class LoadReport(NamedTuple):
-    """What a worker reports of itself: shares of its cores and its memory, and its open loads."""
+    """Load report of a worker: used shares of its cores and its memory, and its number of open loads."""
 
     utilization: float
     open_loads: int
@@ -47,7 +47,7 @@
 
 
 class AttemptExecutor:
-    """Queue and cores of one worker process; a restart of the process makes a new one."""
+    """Queue and cores of one worker process; each start of the process creates a new executor."""
 
     def __init__(
         self,
@@ -59,24 +59,24 @@
     ) -> None:
         self._worker, self._event_queue, self._fleet = worker, event_queue, fleet
         self._work_factors, self._effect_log = work_factors, effect_log
-        self._queue: deque[ModelState] = deque()  # a model once for each of its waiting attempts
+        self._queue: deque[ModelState] = deque()  # one entry for each waiting attempt
         self._running = 0
-        self._utilization_at, self._utilization = event_queue.now, 0.0
-        self._last_report, self._reported_at = LoadReport(0.0, 0, 0.0), NEVER
+        self._utilization_updated_at, self._utilization = event_queue.now, 0.0
+        self._last_report, self._reported_at = LoadReport(0.0, 0, 0.0), LONG_AGO_MS
 
     @property
     def is_full(self) -> bool:
-        """Whether the queue takes no more attempts."""
+        """Whether the queue has reached its limit."""
         return len(self._queue) >= self._fleet.queue
 
-    def queue(self, attempt: QueuedAttempt) -> None:
-        """Queue an attempt, and start what can start."""
+    def enqueue(self, attempt: QueuedAttempt) -> None:
+        """Add an attempt to the queue, and start the attempts that can start."""
         attempt.model.waiting.append(attempt)
         self._queue.append(attempt.model)
         self.start_queued()
 
     def start_queued(self) -> None:
-        """Start the waiting attempts for which there are a core and an instance, in order of arrival."""
+        """Start waiting attempts in order of arrival, each if a core and an instance of its model are free."""
         for _ in range(len(self._queue)):
             if self._running >= self._fleet.cores:
                 return
@@ -93,7 +93,7 @@
                 attempt.reply(AttemptStatus.ERROR, WorkerAnswer("error"))
 
     def fail_waiting(self, model: ModelState) -> None:
-        """Answer all waiting attempts of a model whose load has failed."""
+        """Reply `NOT_LOADED` to all waiting attempts of a model whose load has failed."""
         while model.waiting:
             answer = WorkerAnswer("miss", load_failed=True, report=self.report())
             model.waiting.popleft().reply(AttemptStatus.NOT_LOADED, answer)
@@ -105,9 +105,9 @@
         self._event_queue.after(self.draw_duration_ms(attempt.model), self._on_work_done, attempt)
 
     def draw_duration_ms(self, model: ModelState) -> float:
-        """How long an attempt at a model takes that starts now."""
+        """Draw the duration in ms of an attempt at a model that starts now."""
         factor = self._work_factors.draw()
-        if self._worker.is_hit_by(FaultKind.HEAVY_WORK):
+        if self._worker.fault_applies(FaultKind.HEAVY_WORK):
             factor *= self._worker.faults[FaultKind.HEAVY_WORK].factor
         return model.action.work_ms * factor / self._worker.slow_start_capacity
 
@@ -131,18 +131,18 @@
                 activation=attempt.activation,
                 send=attempt.number,
             )
-        if FaultKind.SILENT not in worker.faults and not worker.is_hit_by(FaultKind.ANSWERS_LOST):
+        if FaultKind.SILENT not in worker.faults and not worker.fault_applies(FaultKind.ANSWERS_LOST):
             self._answer_completed(attempt)
         self.start_queued()
 
     def _is_repeat(self, attempt: QueuedAttempt) -> bool:
-        """Whether the group has had this effect within the deduplication window; enters it otherwise."""
+        """Return whether the group had this effect within the deduplication window; record the effect if not."""
         type_, worker = attempt.model.type, self._worker
         if type_.effect != "deduplicated":
             return False
         now = self._event_queue.now
         group = {"all": "all", "zone": worker.zone, "cell": f"cell-{worker.cell}"}[type_.deduplication_scope]
-        last_effect_at = self._effect_log.get((group, attempt.deduplication_id), NEVER)
+        last_effect_at = self._effect_log.get((group, attempt.deduplication_id), LONG_AGO_MS)
         if now - last_effect_at <= type_.deduplication_window_ms:
             return True
         self._effect_log[group, attempt.deduplication_id] = now
@@ -150,22 +150,22 @@
 
     def _answer_completed(self, attempt: QueuedAttempt) -> None:
         answer = WorkerAnswer(
-            "completed", b"{}", True, False, attempt.was_loaded, attempt.foreign_in_flight, self.report()
+            "completed", b"{}", True, False, attempt.was_loaded, attempt.other_attempts, self.report()
         )
-        late = self._worker.faults.get(FaultKind.ANSWERS_LATE)
-        delay_ms = late.ms if late is not None else 0.0
+        late_answers = self._worker.faults.get(FaultKind.ANSWERS_LATE)
+        delay_ms = late_answers.ms if late_answers is not None else 0.0
         self._event_queue.after(delay_ms, attempt.reply, AttemptStatus.COMPLETED, answer)
 
     def _update_utilization(self) -> None:
         now = self._event_queue.now
-        elapsed_ms = now - self._utilization_at
+        elapsed_ms = now - self._utilization_updated_at
         if elapsed_ms > 0:
             weight = min(1.0, elapsed_ms / UTILIZATION_WINDOW_MS)
             self._utilization += weight * (self._running / self._fleet.cores - self._utilization)
-            self._utilization_at = now
+            self._utilization_updated_at = now
 
     def report(self) -> dict[str, float]:
-        """The metrics that go with an answer."""
+        """Return the load metrics that are sent with an answer."""
         if self._event_queue.now - self._reported_at > REPORT_INTERVAL_MS:
             self._reported_at = self._event_queue.now
             self._update_utilization()
--- a/kelptrail/simulation/call_arrivals.py
+++ b/kelptrail/simulation/call_arrivals.py
@@ -1,4 +1,4 @@
-"""When simulated clients come, and for which action: open loads by their arrivals, closed loops by their pauses."""
+"""Arrivals of simulated clients' calls: an arrival process for open loads, pauses for closed loops."""
 
 from __future__ import annotations
 
@@ -15,35 +15,39 @@
 if TYPE_CHECKING:
     from .cluster import SimulatedCluster
 
-DRAWN_AHEAD_S = 1.0  # of an open load's arrivals
+ARRIVAL_BATCH_S = 1.0  # time span of an open load's arrivals that are drawn together
 CallStarter = Callable[[ActionSettings, Load, Callable[[], None] | None], None]
 
 
 class CallArrivals:
-    """Schedules the arrivals of loads; `begin_call` starts each call, `random` is the clients' random generator."""
+    """Schedules the calls of loads; `begin_call` starts each call, `random` is the clients' random generator."""
 
     def __init__(self, cluster: SimulatedCluster, random: np.random.Generator, begin_call: CallStarter) -> None:
         self._cluster, self._random, self._begin_call = cluster, random, begin_call
 
     def schedule(self, load: Load) -> None:
-        """A load's arrivals, drawn a second at a time; of a closed loop its clients, spread over their first pause."""
+        """Schedule the calls of a load.
+
+        Arrivals of an open load are drawn one second at a time.  The clients of a closed loop begin with a pause, which
+        spreads their first calls.
+        """
         if load.shape == "closed":
             ClosedLoop(self._cluster, load, self._random, self._begin_call).schedule()
         else:
             OpenLoad(self._cluster, load, self._begin_call).schedule()
 
 
-def _load_end(cluster: SimulatedCluster, load: Load) -> float:
-    """When a load ends, in seconds from the start of the run."""
+def _load_end_s(cluster: SimulatedCluster, load: Load) -> float:
+    """Return when a load ends, in seconds from the start of the run."""
     return min(cluster.scenario.seconds, load.at + load.duration)
 
 
 class OpenLoad:
-    """Arrivals that do not wait for answers."""
+    """Calls that arrive independently of earlier answers."""
 
     def __init__(self, cluster: SimulatedCluster, load: Load, begin_call: CallStarter) -> None:
         self._cluster, self._load, self._begin_call = cluster, load, begin_call
-        # A stream of its own: variants of an experiment meet the same arrivals, whatever their clients do.
+        # A separate random stream gives all variants of an experiment the same arrivals, whatever their clients do.
         self._random = np.random.default_rng(
             [cluster.seed, 13, cluster.scenario.load.index(load), cluster.shard_part[0]]
         )
@@ -53,29 +57,29 @@
         self._actions = ActionChoice(actions, load)
 
     def schedule(self) -> None:
-        """Schedule the first draw."""
+        """Schedule the first batch of arrivals."""
         self._schedule_draw(self._load.at)
 
-    def _schedule_draw(self, at: float) -> None:
+    def _schedule_draw(self, at_s: float) -> None:
         cluster = self._cluster
-        cluster.event_queue.at(cluster.start + at * 1000, self._draw, at)
+        cluster.event_queue.at(cluster.start + at_s * 1000, self._draw, at_s)
 
-    def _draw(self, at: float) -> None:
-        """Draw and schedule the arrivals of the next second, and the next draw."""
+    def _draw(self, at_s: float) -> None:
+        """Draw and schedule the arrivals of the next second, and schedule the next batch."""
         cluster = self._cluster
-        span_s = min(DRAWN_AHEAD_S, _load_end(cluster, self._load) - at)
+        span_s = min(ARRIVAL_BATCH_S, _load_end_s(cluster, self._load) - at_s)
         if span_s <= 0:
             return
-        arrivals = self._arrivals.draw(at, span_s)
+        arrivals = self._arrivals.draw(at_s, span_s)
         actions = self._actions.draw(self._random, len(arrivals))
-        for (when, named), drawn in zip(arrivals, actions, strict=True):
-            action = self._by_path.get(named) or drawn
-            cluster.event_queue.at(cluster.start + when * 1000, self._begin_call, action, self._load, None)
-        self._schedule_draw(at + span_s)
+        for (arrival_s, path), drawn_action in zip(arrivals, actions, strict=True):
+            action = self._by_path.get(path) or drawn_action
+            cluster.event_queue.at(cluster.start + arrival_s * 1000, self._begin_call, action, self._load, None)
+        self._schedule_draw(at_s + span_s)
 
 
 class ClosedLoop:
-    """Clients that each pause after an answer and then call again."""
+    """Clients that each wait for an answer, pause and call again."""
 
     def __init__(
         self, cluster: SimulatedCluster, load: Load, random: np.random.Generator, begin_call: CallStarter
@@ -84,7 +88,7 @@
         self._actions = ActionChoice(list(cluster.deployment.actions.values()), load)
 
     def schedule(self) -> None:
-        """Schedule the first pause of each of this shard's clients."""
+        """Schedule the first pause of each client of this shard."""
         cluster, (number, shard_count) = self._cluster, self._cluster.shard_part
         for _ in range(number, self._load.clients, shard_count):
             cluster.event_queue.at(cluster.start + self._load.at * 1000, self._pause)
@@ -95,6 +99,6 @@
 
     def _call(self) -> None:
         cluster = self._cluster
-        if cluster.event_queue.now < cluster.start + _load_end(cluster, self._load) * 1000:
+        if cluster.event_queue.now < cluster.start + _load_end_s(cluster, self._load) * 1000:
             action = self._actions.draw_one(self._random)
             self._begin_call(action, self._load, self._pause)
--- a/kelptrail/simulation/call_results.py
+++ b/kelptrail/simulation/call_results.py
@@ -1,4 +1,4 @@
-"""What simulated clients saw of their calls, entered in the cluster's results and its capture."""
+"""Outcomes of simulated clients' calls, recorded in the cluster's results and its capture."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedAnswer:
-    """A final answer as a client gets it."""
+    """A final answer as the client receives it."""
 
     activation: str
-    answer: str  # the stored value of a final status
+    answer: str  # stored value of the final status
     retry_after_ms: float = 0.0
     repeat_within_ms: float | None = None
-    took_ms: float | None = None  # as the record of a deferred call says, None where the client measures it
+    latency_ms: float | None = None  # from the record of a deferred call; None if the client measures it
     code: int = 0
 
 
 class CallResults:
-    """Enters outcomes of calls in the results of the second in which they are seen."""
+    """Adds outcomes of calls to the results of the second in which the client observes them."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster = cluster
@@ -34,12 +34,12 @@
         if self._cluster.record_event is not None:
             self._cluster.record_event(event, **fields)
 
-    def on_call_wanted(self, call: ClientCall) -> None:
-        """A client wants a new call done."""
+    def on_new_call(self, call: ClientCall) -> None:
+        """Count a new call of a client."""
         self._cluster.by_namespace[call.namespace.name][0] += 1
 
     def on_call_sent(self, call: ClientCall, dispatcher: int, timeout_ms: float) -> None:
-        """A client calls a dispatcher, for the first time or in a retry."""
+        """Record that a client calls a dispatcher, for the first time or in a retry."""
         second = self._cluster.second()
         second.calls += 1
         second.retries += self._cluster.event_queue.now > call.first_sent_at
@@ -56,22 +56,22 @@
         )
 
     def on_not_taken(self, call: ClientCall) -> None:
-        """A dispatcher did not accept the call."""
+        """Record that a dispatcher did not accept the call."""
         self._cluster.second().not_taken += 1
         self._record("not-taken", call=call.number)
 
     def on_accepted(self, call: ClientCall) -> None:
-        """A deferred call was acknowledged."""
+        """Record that a deferred call was acknowledged."""
         self._record("accepted", call=call.number, activation=call.activation)
 
     def on_lost(self, call: ClientCall, ending: str) -> None:
-        """The client has given up waiting."""
+        """Record that the client gave up waiting or polling; `ending` says which."""
         self._cluster.second().lost += 1
         self._count_give_up(ending)
         self._record("no-answer", call=call.number, ending=ending)
 
     def on_final(self, call: ClientCall, answer: ReceivedAnswer, type_: TypeSettings) -> None:
-        """The client has its final answer."""
+        """Record the final answer of a call."""
         self._record(
             "final",
             call=call.number,
@@ -79,18 +79,18 @@
             answer=answer.answer,
             status=0,
             lag=0.0,
-            took=answer.took_ms,
+            took=answer.latency_ms,
             code=answer.code,
         )
         second = self._cluster.second()
         if answer.answer == "completed":
             now = self._cluster.event_queue.now
-            took_ms = now - call.sent_at if answer.took_ms is None else answer.took_ms
-            in_time = took_ms <= type_.latency_objective_ms
+            latency_ms = now - call.sent_at if answer.latency_ms is None else answer.latency_ms
+            in_time = latency_ms <= type_.latency_objective_ms
             second.completed += 1
             second.in_time += in_time
             self._cluster.by_namespace[call.namespace.name][1] += in_time
-            self._cluster.latency[type_.name].append(took_ms)
+            self._cluster.latency[type_.name].append(latency_ms)
             return
         self._count_give_up(answer.answer)
         if answer.answer == "rejected":
--- a/kelptrail/simulation/clients.py
+++ b/kelptrail/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Simulated clients: calls with patience, retries and polling."""
+"""Simulated clients: calls with client-side timeouts, retries, and polling of deferred calls."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 if TYPE_CHECKING:
     from .cluster import SimulatedCluster
 
-POLL_MS = 150.0  # between two polls of a deferred call
-POLLING_GRACE_MS = 3000.0  # beyond the call's timeout, until a polling client gives up
-PATIENCE_MS = 500.0  # beyond the call's timeout, until a client gives up waiting
-CONNECT_BYTES = 100  # of a request, for the overload control
+POLL_INTERVAL_MS = 150.0  # time between two polls of a deferred call
+POLL_TIMEOUT_MARGIN_MS = 3000.0  # a polling client gives up this long after the call's timeout
+CLIENT_TIMEOUT_MARGIN_MS = 500.0  # a waiting client gives up this long after the call's timeout
+REQUEST_BYTES = 100  # size of a request, as the overload control counts it
 
 
 @dataclass(slots=True, eq=False)
 class ClientCall:
-    """A call that a client wants done, over all its attempts to get it accepted and answered."""
+    """A call of a client, over all attempts to have it accepted and answered."""
 
     ticket: str
     action: ActionSettings
@@ -50,15 +50,15 @@
     sent_at: float = 0.0
     activation: str = ""
     number: str = ""
-    first_sent_at: float = 0.0  # simulated ms
-    patience_timer: Timer | None = None
+    first_sent_at: float = 0.0  # simulated time in ms
+    timeout_timer: Timer | None = None
     invocation: Invocation | None = None
-    dispatcher_start: int = 0  # start number of the dispatcher that accepted it
-    after: Callable[[], None] | None = None  # in a closed loop: the client's next step
+    dispatcher_start: int = 0  # start number of the dispatcher process that accepted the call
+    on_finished: Callable[[], None] | None = None  # starts the next pause of a closed loop's client
 
 
 class SimulatedClients:
-    """All clients of one shard; they call its dispatchers and enter the outcomes in the cluster's results."""
+    """All clients of one shard, which call its dispatchers and record the outcomes in the cluster's results."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster, self._event_queue, self._settings = cluster, cluster.event_queue, cluster.settings
@@ -71,12 +71,12 @@
         self._namespaces = NamespaceChoice(cluster.deployment.namespaces)
 
     def schedule_arrivals(self, load: Load) -> None:
-        """Have the clients of a load come at its times."""
+        """Schedule the calls of a load."""
         self._arrivals.schedule(load)
 
-    # Calls on their way to a dispatcher.
+    # Calls to dispatchers.
 
-    def _begin_call(self, action: ActionSettings, load: Load, after: Callable[[], None] | None = None) -> None:
+    def _begin_call(self, action: ActionSettings, load: Load, on_finished: Callable[[], None] | None = None) -> None:
         self._ticket_count += 1
         random = self._random
         call = ClientCall(
@@ -87,13 +87,13 @@
             behavior_of(float(random.random()), load.retry_after_share, load.half_retry_after_share),
             1 + load.retries,
             first_sent_at=self._event_queue.now,
-            after=after,
+            on_finished=on_finished,
         )
-        self._results.on_call_wanted(call)
+        self._results.on_new_call(call)
         self._call_dispatcher(call, None)
 
     def _call_dispatcher(self, call: ClientCall, last_dispatcher: int | None) -> None:
-        """Call a dispatcher: any one at first, the next one in a retry."""
+        """Call a random dispatcher, or in a retry the one after the last."""
         call.attempts_left -= 1
         self._call_count += 1
         count = len(self._cluster.local_dispatchers)
@@ -106,41 +106,41 @@
         dispatcher = self._cluster.local_dispatchers[call.dispatcher]
         timeout_ms = self._type_of(call).timeout_ms
         self._results.on_call_sent(call, dispatcher.number, timeout_ms)
-        call.patience_timer = self._event_queue.after(
-            timeout_ms + PATIENCE_MS, self._on_patience_over, call, call.number
+        call.timeout_timer = self._event_queue.after(
+            timeout_ms + CLIENT_TIMEOUT_MARGIN_MS, self._on_client_timeout, call, call.number
         )
-        self._event_queue.after(self._settings.network_ms, self._arrive, dispatcher, call, call.number)
+        self._event_queue.after(self._settings.network_ms, self._deliver_call, dispatcher, call, call.number)
 
     def _type_of(self, call: ClientCall) -> TypeSettings:
         return self._deployment.types[call.action.type]
 
-    def _arrive(self, dispatcher: SimulatedDispatcher, call: ClientCall, number: str) -> None:
+    def _deliver_call(self, dispatcher: SimulatedDispatcher, call: ClientCall, number: str) -> None:
         if not dispatcher.up:
             self._on_not_taken(call)
         else:
-            dispatcher.enqueue_input(self._on_call_arrived, dispatcher, call, number)
+            dispatcher.enqueue_input(self._handle_call, dispatcher, call, number)
 
-    def _on_call_arrived(self, dispatcher: SimulatedDispatcher, call: ClientCall, number: str) -> None:
+    def _handle_call(self, dispatcher: SimulatedDispatcher, call: ClientCall, number: str) -> None:
         if call.number != number:
             return
         gateway, now = dispatcher.gateway, self._event_queue.now
         key = call.ticket if self._type_of(call).effect == "deduplicated" else None
         if key is not None:
-            known = gateway.find_by_key(call.namespace.name, call.action.path, key, "")
-            if known is not None:
-                self._join_activation(dispatcher, call, known)
+            existing = gateway.find_by_key(call.namespace.name, call.action.path, key, "")
+            if existing is not None:
+                self._join_activation(dispatcher, call, existing)
                 return
         if call.deferred and gateway.durability.journal is not None and not gateway.durability.journal.is_accepting():
             self._on_not_taken(call)
             return
-        refused = gateway.on_connect(now, call.namespace.name, call.action.path, CONNECT_BYTES, call.ticket)
-        if refused is not None:
-            self._finish_call(call, ReceivedAnswer("", "rejected", retry_after_ms=refused.retry_after_ms))
+        refusal = gateway.on_connect(now, call.namespace.name, call.action.path, REQUEST_BYTES, call.ticket)
+        if refusal is not None:
+            self._finish_call(call, ReceivedAnswer("", "rejected", retry_after_ms=refusal.retry_after_ms))
             return
         self._submit(dispatcher, call, key)
 
     def _submit(self, dispatcher: SimulatedDispatcher, call: ClientCall, key: str | None) -> None:
-        """Submit the call to the gateway core; a deferred one is acknowledged once its record is durable."""
+        """Submit the call to the gateway core; a deferred call is acknowledged once its record is durable."""
         gateway, now, number = dispatcher.gateway, self._event_queue.now, call.number
         invocation = gateway.submit(
             now,
@@ -180,64 +180,64 @@
     # Answers.
 
     def _on_accepted(self, call: ClientCall, activation_id: str) -> None:
-        self._cancel_patience(call)
+        self._cancel_timeout(call)
         call.activation = activation_id
         self._results.on_accepted(call)
-        self._event_queue.after(POLL_MS, self._poll, call)
+        self._event_queue.after(POLL_INTERVAL_MS, self._poll, call)
 
     def _poll(self, call: ClientCall) -> None:
         dispatcher = self._cluster.local_dispatchers[call.dispatcher]
         record = dispatcher.gateway.records.get(call.namespace.name, call.activation) if dispatcher.up else None
         if record is not None and record.visible:
             self._finish_with_record(call, record, record.end - record.start)
-        elif self._event_queue.now - call.sent_at > self._type_of(call).timeout_ms + POLLING_GRACE_MS:
+        elif self._event_queue.now - call.sent_at > self._type_of(call).timeout_ms + POLL_TIMEOUT_MARGIN_MS:
             self._on_call_lost(call, "polled")
         else:
-            self._event_queue.after(POLL_MS, self._poll, call)
+            self._event_queue.after(POLL_INTERVAL_MS, self._poll, call)
 
     def _deliver_record(self, call: ClientCall, number: str, record: Record) -> None:
         self._event_queue.after(self._settings.network_ms, self._on_record_received, call, number, record)
 
     def _on_record_received(self, call: ClientCall, number: str, record: Record) -> None:
-        if call.number == number and call.patience_timer is not None:
-            self._cancel_patience(call)
+        if call.number == number and call.timeout_timer is not None:
+            self._cancel_timeout(call)
             self._finish_with_record(call, record, None)
 
-    def _finish_with_record(self, call: ClientCall, record: Record, took_ms: float | None) -> None:
+    def _finish_with_record(self, call: ClientCall, record: Record, latency_ms: float | None) -> None:
         answer = ReceivedAnswer(
             record.id,
             record.answer.value if record.answer is not None else "",
             retry_after_ms=record.retry_after_ms,
             repeat_within_ms=record.deduplicated_for_ms or None,
-            took_ms=took_ms,
+            latency_ms=latency_ms,
             code=record.code,
         )
         self._finish_call(call, answer)
 
     def _finish_call(self, call: ClientCall, answer: ReceivedAnswer) -> None:
-        self._cancel_patience(call)
+        self._cancel_timeout(call)
         self._results.on_final(call, answer, self._type_of(call))
         self._retry_or_end(call, ClientOutcome(answer.answer), answer.retry_after_ms, answer.repeat_within_ms)
 
     # Calls without an answer.
 
     def _on_not_taken(self, call: ClientCall) -> None:
-        self._cancel_patience(call)
+        self._cancel_timeout(call)
         self._results.on_not_taken(call)
         self._retry_or_end(call, ClientOutcome.NOT_TAKEN)
 
-    def _cancel_patience(self, call: ClientCall) -> None:
-        if call.patience_timer is not None:
-            call.patience_timer.cancel()
-            call.patience_timer = None
+    def _cancel_timeout(self, call: ClientCall) -> None:
+        if call.timeout_timer is not None:
+            call.timeout_timer.cancel()
+            call.timeout_timer = None
 
-    def _on_patience_over(self, call: ClientCall, number: str) -> None:
-        if call.number != number or call.patience_timer is None:
+    def _on_client_timeout(self, call: ClientCall, number: str) -> None:
+        if call.number != number or call.timeout_timer is None:
             return
-        call.patience_timer = None
+        call.timeout_timer = None
         dispatcher, invocation = self._cluster.local_dispatchers[call.dispatcher], call.invocation
-        still_runs = dispatcher.up and call.dispatcher_start == dispatcher.starts
-        if still_runs and invocation is not None and not invocation.record.key:
+        same_process_is_up = dispatcher.up and call.dispatcher_start == dispatcher.starts
+        if same_process_is_up and invocation is not None and not invocation.record.key:
             invocation.waiters.clear()
             dispatcher.enqueue_input(dispatcher.on_client_gone, invocation)
         self._on_call_lost(call, "no-answer")
@@ -247,9 +247,13 @@
         self._retry_or_end(call, ClientOutcome.LOST)
 
     def _retry_or_end(
-        self, call: ClientCall, outcome: ClientOutcome, retry_after_ms: float = 0.0, within_ms: float | None = None
+        self,
+        call: ClientCall,
+        outcome: ClientOutcome,
+        retry_after_ms: float = 0.0,
+        repeat_within_ms: float | None = None,
     ) -> None:
-        """Retry or end the call, by the client's behavior."""
+        """Retry the call or end it, according to the client's behavior."""
         type_ = self._type_of(call)
         delay_ms = retry_delay_ms(
             call.behavior,
@@ -257,12 +261,12 @@
             type_.effect,
             type_.timeout_ms,
             retry_after_ms,
-            within_ms,
+            repeat_within_ms,
             self._event_queue.now - call.sent_at,
         )
         if delay_ms is None or not has_attempts_left(outcome, call.attempts_left):
-            if call.after is not None:
-                call.after()
+            if call.on_finished is not None:
+                call.on_finished()
             return
         if outcome is not ClientOutcome.NOT_TAKEN:
             delay_ms *= float(self._random.uniform(*call.behavior.jitter))
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -1,9 +1,4 @@
-"""A cluster in simulated time: real gateway cores with emulated network, disks, clients and endpoint lists.
-
-A dispatcher is the program's `Gateway` with its journal on an emulated disk.  It is driven as the program's driver does
-it: inputs, then effects until there are none, and one timer.  Each input costs CPU time, so an overloaded dispatcher
-falls behind here, too.
-"""
+"""A cluster in simulated time: real gateway cores with simulated network, disks, clients and endpoint lists."""
 
 from __future__ import annotations
 
@@ -33,14 +28,14 @@
 from .worker_messages import WorkerIdentity
 from .workers import SimulatedWorker
 
-DEFAULT_SILENCE_MS = 3000.0  # where a deployment has no (peers ...)
-START_MS = 200.0  # of the load
-LAST_ANSWERS_MS = 5000.0  # beyond the longest timeout, for the last answers to arrive
-SAMPLE_AT_MS = 999.0  # within each second of the load
+DEFAULT_SILENCE_TIMEOUT_MS = 3000.0  # for deployments without (peers ...)
+LOAD_START_MS = 200.0  # simulated time at which the load starts
+LAST_ANSWERS_MS = 5000.0  # time for the last answers to arrive, after the longest timeout
+SAMPLE_OFFSET_MS = 999.0  # time of the sample within each second of the load
 
 
 class SimulatedCluster:
-    """One run of a fault scenario.  `capture`: keep all events for the history checker and the reports."""
+    """One run of a fault scenario; with `capture` it keeps all events for the history checker and the reports."""
 
     def __init__(
         self,
@@ -51,7 +46,10 @@
         capture: bool = False,
         shard: Shard | None = None,
     ) -> None:
-        """`shard`: this process's part of a run over several.  Raises `ScenarioError` for planners without leases."""
+        """Create the processes and schedule the scenario; `shard` is this process's part of a run over several.
+
+        Raises `ScenarioError` if the scenario has planners and the deployment has no leases.
+        """
         if scenario.planners and deployment.leases is None:
             raise ScenarioError(
                 f"{scenario.name}: planners act under a lease: {scenario.deployment} needs (leases ...)"
@@ -65,7 +63,7 @@
         self._make_results()
         self._make_processes()
         self.publish_endpoints()
-        self.start = self.event_queue.now + START_MS
+        self.start = self.event_queue.now + LOAD_START_MS
         self._record_for_run("begin", start=self.start, seconds=scenario.seconds)
         self._schedule_scenario()
 
@@ -73,10 +71,11 @@
         self.seconds: list[Second] = empty_seconds(self.scenario.seconds)
         self.latency: dict[str, list[float]] = {name: [] for name in self.deployment.types}
         self.give_ups: dict[str, int] = {}
-        self.by_namespace: dict[str, list[int]] = {n: [0, 0] for n in self.deployment.namespaces}  # calls, in time
+        # By namespace: the number of calls, and of calls that were answered in time.
+        self.by_namespace: dict[str, list[int]] = {n: [0, 0] for n in self.deployment.namespaces}
 
     def _make_processes(self) -> None:
-        """The store, workers, dispatchers, planners and lease nodes."""
+        """Create the store, workers, dispatchers, planners and lease nodes."""
         scenario, deployment, shard = self.scenario, self.deployment, self.shard
         self.by_model = {action.model: action for action in deployment.actions.values()}
         self.store: SimulatedStore | RemoteStore = SimulatedStore(self.event_queue, deployment.store)
@@ -102,14 +101,14 @@
             self.leases.contend(scenario.tasks, [dispatcher.name for dispatcher in self.local_dispatchers])
             for planner in self.planners:
                 node = self.leases.nodes[planner.name]
-                self.leases.want(node, LEASE_NAME, planner.on_lease_acquired, planner.on_lease_lost)
+                self.leases.request_lease(node, LEASE_NAME, planner.on_lease_acquired, planner.on_lease_lost)
 
     def _make_worker(self, number: int) -> SimulatedWorker | RemoteWorker:
         zones = self.deployment.zones
         identity = WorkerIdentity(f"worker-{number}", zones[number % len(zones)], cell=number // 2)
-        if self.shard is not None and (home := self.shard.shard_of_worker(number)) != self.shard.number:
-            cold_ms = self.deployment.rules.slow_start_ms
-            return RemoteWorker(self.shard, home, identity, self.event_queue, self.settings, cold_ms)
+        if self.shard is not None and (home_shard := self.shard.shard_of_worker(number)) != self.shard.number:
+            slow_start_ms = self.deployment.rules.slow_start_ms
+            return RemoteWorker(self.shard, home_shard, identity, self.event_queue, self.settings, slow_start_ms)
         return SimulatedWorker(
             self.event_queue, self.deployment, identity, self.store, self.effect_log, self.seed, self.record_event
         )
@@ -127,7 +126,7 @@
             config.length_ms,
             sync_ms=self.settings.sync_ms,
             network_ms=self.settings.network_ms,
-            silent_ms=peers.silence_timeout_ms if peers is not None else DEFAULT_SILENCE_MS,
+            silent_ms=peers.silence_timeout_ms if peers is not None else DEFAULT_SILENCE_TIMEOUT_MS,
         )
         names = [dispatcher.name for dispatcher in self.local_dispatchers]
         names += [planner.name for planner in self.planners]
@@ -140,14 +139,17 @@
             clients.schedule_arrivals(load)
         for fault in self.scenario.faults:
             self.event_queue.at(self.start + fault.at * 1000, fault_injector.inject, fault)
-        self._fetches_before = 0
-        self.event_queue.at(self.start + SAMPLE_AT_MS, self._sample_second)
+        self._fetches_at_last_sample = 0
+        self.event_queue.at(self.start + SAMPLE_OFFSET_MS, self._sample_second)
 
     def _sample_second(self) -> None:
-        """Enter the gauges at the end of each second of the load."""
+        """Record the gauges at the end of each second of the load."""
         second = self.second()
         second.calls_in_flight = sum(d.gateway.in_flight for d in self.local_dispatchers if d.up)
-        second.loads, self._fetches_before = self.store.fetches - self._fetches_before, self.store.fetches
+        second.loads, self._fetches_at_last_sample = (
+            self.store.fetches - self._fetches_at_last_sample,
+            self.store.fetches,
+        )
         second.idle_mb = sum(w.idle_mb for w in self.workers.values() if isinstance(w, SimulatedWorker) and w.up)
         second.overloaded_dispatchers = sum(
             d.up and d.gateway.overload.stage is not OverloadStage.CALM for d in self.local_dispatchers
@@ -159,17 +161,17 @@
         self.events.append({"what": event, "t": self.event_queue.now, **fields})
 
     def _record_for_run(self, event: str, /, **fields: Any) -> None:
-        """Record an event of the run, which only its first shard does."""
+        """Record an event of the complete run; only the first shard records these."""
         if self.record_event is not None and self.shard_part[0] == 0:
             self.record_event(event, **fields)
 
     def run(self) -> None:
-        """Run the scenario, and then until the last client has its answer."""
+        """Run the scenario, and then until the last answers have arrived."""
         longest_timeout_ms = max(t.timeout_ms for t in self.deployment.types.values())
         self.event_queue.run(self.start + self.scenario.seconds * 1000 + longest_timeout_ms + LAST_ANSWERS_MS)
 
     def second(self) -> Second:
-        """The results of the current second, counted from the start of the load."""
+        """Return the counts of the current second, numbered from the start of the load."""
         return self.seconds[max(0, min(len(self.seconds) - 1, int((self.event_queue.now - self.start) / 1000)))]
 
     def publish_endpoints(self) -> None:
@@ -186,8 +188,8 @@
 
 
 def result_of(cluster: SimulatedCluster) -> Result:
-    """The results of a run in one process."""
-    served = {f"served_{name}": in_time / wanted for name, (wanted, in_time) in cluster.by_namespace.items() if wanted}
+    """Return the results of a run in one process."""
+    served = {f"served_{name}": in_time / calls for name, (calls, in_time) in cluster.by_namespace.items() if calls}
     planned = {
         "plans": float(sum(p.plans for p in cluster.planners)),
         "moves": float(sum(p.moves for p in cluster.planners)),
@@ -206,7 +208,7 @@
 def play(
     scenario: FaultScenario, deployment: Deployment, seed: int, settings: SimulationSettings | None = None
 ) -> Result:
-    """The results of one run in this process, without a capture."""
+    """Run a scenario in this process without a capture, and return its results."""
     cluster = SimulatedCluster(scenario, deployment, seed, settings)
     cluster.run()
     return result_of(cluster)
--- a/kelptrail/simulation/compare.py
+++ b/kelptrail/simulation/compare.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One figure of two variants over their common runs, with the 95% interval of the mean difference."""
+    """One figure of two variants over their paired runs, with the 95% confidence interval of the mean difference."""
 
     figure: str
     point: str
@@ -37,7 +37,7 @@
     second: float
     low: float
     high: float
-    verdict: str  # "better", "worse" or "not told apart": the second compared with the first
+    verdict: str  # verdict on the second variant: "better", "worse" or "not told apart"
 
 
 class PairedRuns(NamedTuple):
@@ -55,7 +55,10 @@
 
 
 def interval(differences: np.ndarray, confidence: float = CONFIDENCE) -> Interval:
-    """Where the mean of paired differences lies (Student's t); without bounds for fewer than two pairs."""
+    """Return the confidence interval of the mean of paired differences (Student's t).
+
+    It is unbounded for fewer than two pairs.
+    """
     if len(differences) < 2:
         return Interval(float("-inf"), float("inf"))
     mean, error = float(np.mean(differences)), float(stats.sem(differences))
@@ -66,15 +69,17 @@
 
 
 def compare(first: list[dict[str, Any]], second: list[dict[str, Any]]) -> list[Difference]:
-    """Two variants' runs, paired by point and seed.  Raises `NoCommonRunsError` where they have none in common."""
+    """Compare two variants' runs, paired by point and seed.  Raises `NoCommonRunsError` if no runs can be paired."""
     first_runs = {(run["point"], run["seed"]): run for run in first}
     pairs: dict[str, list[PairedRuns]] = defaultdict(list)  # by point
     for run in second:
         if (partner := first_runs.get((run["point"], run["seed"]))) is not None:
             pairs[run["point"]].append(PairedRuns(partner, run))
     if not pairs:
-        raise NoCommonRunsError("no run of both has the same point and seed")
-    return [_difference(figure, point, of_point) for point, of_point in pairs.items() for figure in LARGER_IS_BETTER]
+        raise NoCommonRunsError("the two variants have no runs with the same point and seed")
+    return [
+        _difference(figure, point, paired_runs) for point, paired_runs in pairs.items() for figure in LARGER_IS_BETTER
+    ]
 
 
 def _difference(figure: str, point: str, pairs: list[PairedRuns]) -> Difference:
--- a/kelptrail/simulation/dispatchers.py
+++ b/kelptrail/simulation/dispatchers.py
@@ -1,7 +1,7 @@
-"""Simulated dispatchers: the real gateway core, driven in simulated time, with its journal on an emulated disk.
+"""Simulated dispatchers: the real gateway core in simulated time, with its journal on a simulated disk.
 
-A dispatcher is driven as the program's driver does it: inputs, then effects until there are none, and one timer.  Each
-input costs CPU time, so an overloaded dispatcher falls behind here, too.
+The core is driven as in the program: after each input its effects are carried out until none is left, and a timer runs
+it when it is due.  Each input takes CPU time, so that an overloaded dispatcher falls behind as a real one does.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 if TYPE_CHECKING:
     from .cluster import SimulatedCluster
 
-WALL_CLOCK_ORIGIN_MS = 1e12  # the wall clock at simulated time 0
-ANSWER_MARGINS = 2  # of a call that is recovered
-TIMER_TOLERANCE_MS = 0.01  # a timer is not set anew for less
+WALL_CLOCK_ORIGIN_MS = 1e12  # wall-clock time at simulated time 0
+RECOVERY_MARGIN_FACTOR = 2  # margin of a recovered call, in answer margins
+TIMER_TOLERANCE_MS = 0.01  # a timer is set again only if it is due earlier by more than this
 
 
 class SimulatedDispatcher:
-    """One dispatcher's process."""
+    """One dispatcher, including the restarts of its process."""
 
     def __init__(self, cluster: SimulatedCluster, number: int, zone: str) -> None:
         self._cluster, self.number, self.name, self._zone = cluster, number, f"dispatcher-{number}", zone
@@ -53,7 +53,7 @@
         self.edge = SimulatedEdge(cluster, self) if cluster.scenario.planners else None
 
     def start_process(self) -> None:
-        """Start the process with nothing but the last endpoint list and the journal."""
+        """Start the process; only the last endpoint list and the journal remain from an earlier one."""
         self.starts += 1
         self.boot = f"{zlib.crc32(f'{self.name}/{self.starts}'.encode()):08x}{self.number:04x}{self.starts:04x}"
         self.process_id = f"{self.name}/{self.boot}"
@@ -74,9 +74,9 @@
         self.schedule_decisions()
 
     def _recover(self, stored: list[ActivationEntries]) -> None:
-        """Recover the activations of the journal."""
+        """Recover the activations in the journal."""
         now, deployment = self._event_queue.now, self._cluster.deployment
-        margin_ms = ANSWER_MARGINS * deployment.dispatcher.answer_margin_ms
+        margin_ms = RECOVERY_MARGIN_FACTOR * deployment.dispatcher.answer_margin_ms
         max_resumed = deployment.journal.max_resumed
         self.gateway.recover(now, WALL_CLOCK_ORIGIN_MS + now, stored, margin_ms, max_resumed)
 
@@ -89,11 +89,11 @@
         self._disk.erase()
 
     def pause(self, duration_ms: float) -> None:
-        """Stop the process for a time; inputs queue meanwhile."""
+        """Stop the process for a time; inputs are queued until it resumes."""
         self._busy_until = max(self._busy_until, self._event_queue.now) + duration_ms
 
     def on_endpoints(self, endpoints: EndpointList) -> None:
-        """A new endpoint list has arrived."""
+        """Store a new endpoint list, and apply it if the process is up."""
         self.endpoints = endpoints
         if self.up:
             self.gateway.on_endpoints(self._event_queue.now, endpoints)
@@ -109,11 +109,11 @@
             self.schedule_decisions()
 
     def on_client_gone(self, invocation: Invocation) -> None:
-        """The client of an invocation waits no longer."""
+        """Notify the core that the client of an invocation has stopped waiting."""
         self.gateway.on_client_gone(self._event_queue.now, invocation)
 
     def enqueue_input(self, callback: Callable[..., None], *arguments: Any) -> None:
-        """Queue an input for the dispatcher's CPU."""
+        """Queue an input; it runs once the dispatcher's CPU has processed the earlier ones."""
         start = self.starts
         self._busy_until = max(self._busy_until, self._event_queue.now) + self._settings.cpu_ms
         self._event_queue.at(self._busy_until, self._run_input, start, callback, arguments)
@@ -123,10 +123,10 @@
             callback(*arguments)
             self.schedule_decisions()
 
-    # What the driver does in the program.
+    # The work of the program's driver.
 
     def schedule_decisions(self) -> None:
-        """Carry out effects of the core until there are none, then write the journal and set the timer."""
+        """Carry out the core's effects until none is left, then write the journal and set the timer."""
         if self._deciding:
             return
         self._deciding = True
@@ -155,7 +155,7 @@
             self._event_queue.after(0.0, self._on_attempt_finished, self.starts, effect.attempt, status, None)
 
     def _set_timer(self, due: float) -> None:
-        """Have the core run when it is due; a timer that is set for an earlier time stays."""
+        """Set the timer that runs the core when it is due; a timer for an earlier time stays."""
         if due < self._timer_at - TIMER_TOLERANCE_MS or self._timer is None:
             if self._timer is not None:
                 self._timer.cancel()
@@ -180,7 +180,7 @@
         self._cluster.second().attempts += 1
         finish = partial(self._on_attempt_answered, self.starts, attempt)
         if not isinstance(worker, RemoteWorker):
-            self._event_queue.after(network_ms, self._arrive_at_worker, worker, invocation, attempt, finish)
+            self._event_queue.after(network_ms, self._deliver_attempt, worker, invocation, attempt, finish)
         elif worker.up:
             message = self._attempt_message(invocation, attempt)
             worker.request(
@@ -206,7 +206,7 @@
             attempt.request.deadline - attempt.started_at,
         )
 
-    def _arrive_at_worker(
+    def _deliver_attempt(
         self, worker: SimulatedWorker, invocation: Invocation, attempt: Attempt, finish: AttemptReply
     ) -> None:
         reply = partial(self._return_answer, attempt, finish)
@@ -215,7 +215,7 @@
     def _return_answer(
         self, attempt: Attempt, finish: AttemptReply, status: AttemptStatus, answer: WorkerAnswer | None
     ) -> None:
-        """A worker's answer on its way to the dispatcher."""
+        """Send a worker's answer to the dispatcher, unless the attempt was cancelled."""
         if attempt in self._open_attempts:
             self._event_queue.after(self._settings.network_ms, finish, status, answer)
 
@@ -238,15 +238,15 @@
             worker.request(MessageKind.LOAD_ORDER, finish, function_id, order.count, self.process_id)
         else:
             action = self._cluster.by_model[function_id]
-            self._event_queue.after(self._settings.network_ms, self._order_arrives, worker, action, order, finish)
+            self._event_queue.after(self._settings.network_ms, self._deliver_load_order, worker, action, order, finish)
 
-    def _order_arrives(
+    def _deliver_load_order(
         self, worker: SimulatedWorker, action: ActionSettings, order: LoadOrder, finish: OrderReply
     ) -> None:
         worker.receive_order(action, order.count, self.process_id, partial(self._return_load_report, finish))
 
     def _return_load_report(self, finish: OrderReply, status: AttemptStatus, loaded: int) -> None:
-        """A worker's answer to an order on its way to the dispatcher."""
+        """Send a worker's answer to a load order to the dispatcher."""
         self._event_queue.after(self._settings.network_ms, finish, status, loaded)
 
     def _on_load_answered(self, start: int, order: LoadOrder, status: AttemptStatus, loaded: int) -> None:
@@ -257,7 +257,7 @@
             self.schedule_decisions()
 
     def _write_journal(self) -> None:
-        """Write the next batch of the journal, one batch at a time."""
+        """Write the next batch of the journal, unless a write is in progress."""
         if self.journal is None or self._syncing:
             return
         batch = self.journal.next_batch(self._event_queue.now)
--- a/kelptrail/simulation/event_queue.py
+++ b/kelptrail/simulation/event_queue.py
@@ -1,7 +1,7 @@
 """The event queue of the simulation: callbacks in order of simulated time, first in first out at equal times.
 
-Considered: simpy, whose processes are generators that wait.  The cores that are simulated here take inputs and return
-effects, so a heap of callbacks is enough, and it is the hot path of a run.
+The queue is the hot path of a run.  The alternative, simpy, models processes as generators that wait; the simulated
+cores take inputs and return effects, so a heap of callbacks is enough.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
         self.arguments = arguments
 
     def cancel(self) -> None:
-        """Keep the callback from running; without effect once it has run."""
+        """Cancel the callback; this has no effect once it has run."""
         self.callback, self.arguments = None, ()
 
 
 class EventQueue:
-    """Callbacks by simulated time.  `now` is in milliseconds, `events` counts the callbacks that ran."""
+    """Callbacks ordered by simulated time; `now` is in ms, and `events` counts the callbacks that have run."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -46,14 +46,14 @@
         return self.at(self.now + delay, callback, *arguments)
 
     def next_at(self) -> float:
-        """Time of the next callback in ms; infinity where there is none."""
+        """Return the time of the next callback in ms, infinity if there is none."""
         heap = self._heap
         while heap and heap[0][2].callback is None:
             heappop(heap)
         return heap[0][0] if heap else float("inf")
 
     def run(self, until: float) -> None:
-        """Run all callbacks due up to a time in ms, and advance `now` to it."""
+        """Run all callbacks that are due up to the time `until` in ms, and advance `now` to it."""
         heap = self._heap
         while heap and heap[0][0] <= until:
             self.now, _, timer = heappop(heap)
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -5,8 +5,9 @@
       (variant no-second-sends (set dispatcher.second-share 0) (set dispatcher.second-most 0))
       (sweep load.heed 1 0.5 0))
 
-A name in `set` and `sweep` is a section and a key: of the deployment (`dispatcher`, `rules`, `fleet`, `store` and so
-on), of the scenario (`script`; `load` and `trouble`: every load and every fault), or of `SimulationSettings` (`lab`).
+A name in `set` and `sweep` consists of a section and a key.  Sections of the deployment have their names (`dispatcher`,
+`rules`, `fleet`, `store` and so on).  `script` is the scenario itself, `load` and `trouble` change every load and every
+fault of it, and `lab` is `SimulationSettings`.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One setting of a variant or of a sweep's point."""
+    """One changed setting of a variant or of a point of the sweep."""
 
     section: str
     key: str
@@ -50,7 +51,7 @@
 
 
 class PlannedRun(NamedTuple):
-    """One run of an experiment; without a point where there is no sweep."""
+    """One run of an experiment; `point` is None without a sweep."""
 
     variant: str
     point: Change | None
@@ -58,7 +59,7 @@
 
 
 class RunInputs(NamedTuple):
-    """What a run simulates."""
+    """Inputs of one simulated run."""
 
     scenario: FaultScenario
     deployment: Deployment
@@ -66,7 +67,7 @@
 
 
 class RunTables(NamedTuple):
-    """Rows of the tables of `kelptrail.load.results`: of runs, of their seconds and of their latencies."""
+    """Rows of the three tables of `kelptrail.load.results`: runs, seconds, and distributions."""
 
     runs: Rows
     seconds: Rows
@@ -75,16 +76,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """An experiment, read and checked."""
+    """An experiment that has been read and checked."""
 
     name: str
     script: str
     seeds: tuple[int, ...]
     variants: dict[str, tuple[Change, ...]]
-    sweep: tuple[Change, ...]  # one point each; none: a single point without a change
+    sweep: tuple[Change, ...]  # one change for each point; empty for a single point without a change
 
     def runs(self) -> Iterator[PlannedRun]:
-        """All runs: every seed at every point of every variant."""
+        """Yield all runs: every seed at every point of every variant."""
         for variant in self.variants:
             for point in self.sweep or (None,):
                 for seed in self.seeds:
@@ -92,12 +93,12 @@
 
 
 def load(path: str | Path) -> Experiment:
-    """Read and check an experiment.  Raises `SettingsError` with every fault, `OSError` where unreadable."""
-    checker, start = Checker(), SourcePosition(str(path), 1, 1)
+    """Read and check an experiment.  Raises `SettingsError` with all errors, `OSError` if the file is unreadable."""
+    checker, file_start = Checker(), SourcePosition(str(path), 1, 1)
     forms = read(Path(path).read_text(encoding="utf-8", errors="replace"), str(path))
     form = forms[0] if forms else None
     if len(forms) != 1 or not isinstance(form, Form) or form.head != "experiment" or len(form.items) < 2:
-        checker.fault(start, f"{len(forms)} expressions", "one (experiment NAME ...)")
+        checker.fault(file_start, f"{len(forms)} expressions", "one (experiment NAME ...)")
         checker.done()
     assert isinstance(form, Form)
     script, seeds = "", tuple[int, ...]()
@@ -106,21 +107,21 @@
         if not isinstance(item, Form):
             checker.fault(form.position, item, "forms after the name")
         elif item.head == "script" and len(item.items) == 2:
-            script = str(_value(item.items[1]))
+            script = str(_value_of(item.items[1]))
         elif item.head == "seeds":
             seeds = _parse_seeds(checker, item)
         elif item.head == "variant" and len(item.items) > 1:
-            variants[str(_value(item.items[1]))] = tuple(_parse_variant(checker, item))
+            variants[str(_value_of(item.items[1]))] = tuple(_parse_variant(checker, item))
         elif item.head == "sweep" and len(item.items) > 2:
             for value in item.items[2:]:
                 sweep += _parse_change(checker, item.position, item.items[1], value)
         else:
-            checker.fault(item.position, item.head, "one of script, seeds, variant, sweep, with what they need")
+            checker.fault(item.position, item.head, "one of script, seeds, variant, sweep, with their values")
     if not script:
         checker.fault(form.position, "no script", "(script FILE)")
     checker.done()
     file = Path(script) if Path(script).is_absolute() else Path(path).parent / script
-    name = str(_value(form.items[1]))
+    name = str(_value_of(form.items[1]))
     experiment = Experiment(name, str(file), seeds or (1,), variants or {"as-is": ()}, tuple(sweep))
     _check_changes(checker, experiment)
     return experiment
@@ -128,7 +129,7 @@
 
 def _parse_seeds(checker: Checker, form: Form) -> tuple[int, ...]:
     try:
-        return tuple(int(float(str(_value(seed)))) for seed in form.items[1:])
+        return tuple(int(float(str(_value_of(seed)))) for seed in form.items[1:])
     except ValueError:
         checker.fault(form.position, "seeds", "whole numbers")
         return ()
@@ -145,7 +146,7 @@
 
 
 def _check_changes(checker: Checker, experiment: Experiment) -> None:
-    """Apply each change by itself to what it changes.  Raises `SettingsError` with every one that doesn't fit."""
+    """Apply each change separately.  Raises `SettingsError` with all changes that cannot be applied."""
     scenario = load_scenario(experiment.script)
     deployment = load_deployment(scenario.deployment)
     for change in [*(c for changes in experiment.variants.values() for c in changes), *experiment.sweep]:
@@ -156,28 +157,31 @@
     checker.done()
 
 
-def _value(item: Any) -> Any:
+def _value_of(item: Any) -> Any:
     return getattr(item, "value", item)
 
 
 def _parse_change(checker: Checker, position: SourcePosition, name: Any, value: Any) -> list[Change]:
-    section, separator, key = str(_value(name)).partition(".")
+    section, separator, key = str(_value_of(name)).partition(".")
     if not separator or not key:
         checker.fault(position, name, "SECTION.KEY")
         return []
-    text = str(_value(value))
-    read_as: float | bool | str
+    text = str(_value_of(value))
+    parsed: float | bool | str
     try:
-        read_as = float(text)
+        parsed = float(text)
     except ValueError:
-        read_as = {"yes": True, "no": False}.get(text, text)
-    return [Change(section, key.replace("-", "_"), read_as, position)]
+        parsed = {"yes": True, "no": False}.get(text, text)
+    return [Change(section, key.replace("-", "_"), parsed, position)]
 
 
 def apply_changes(
     scenario: FaultScenario, deployment: Deployment, simulation: SimulationSettings, changes: list[Change]
 ) -> RunInputs:
-    """The three with the changes applied.  Raises `ChangeError` for an unknown key or a value of another type."""
+    """Return the inputs of a run with the changes applied.
+
+    Raises `ChangeError` for an unknown section or key, or a value of another type.
+    """
     for change in changes:
         section, key, value = change.section, change.key, change.value
         if section == "lab":
@@ -194,7 +198,7 @@
     return RunInputs(scenario, deployment, simulation)
 
 
-def _fitting_value(settings: Any, key: str, value: Any) -> Any:
+def _convert_value(settings: Any, key: str, value: Any) -> Any:
     fields = fields_by_key(settings)
     if key not in fields:
         raise ChangeError("a key: " + ", ".join(name.replace("_", "-") for name in fields))
@@ -211,21 +215,21 @@
 
 
 def _replace_key(settings: Any, key: str, value: Any) -> Any:
-    fitting = _fitting_value(settings, key, value)
-    return dataclasses.replace(settings, **{fields_by_key(settings)[key]: fitting})
+    converted = _convert_value(settings, key, value)
+    return dataclasses.replace(settings, **{fields_by_key(settings)[key]: converted})
 
 
 def run_one(path: str, variant: str, point: Change | None, seed: int) -> RunTables:
-    """One run, in a worker process: the rows of its figures, its seconds and its latencies."""
+    """Simulate one run in a process of the pool, and return its rows of all tables."""
     experiment = load(path)
     scenario = load_scenario(experiment.script)
     changes = [*experiment.variants[variant], *([point] if point is not None else [])]
     scenario, deployment, simulation = apply_changes(
         scenario, load_deployment(scenario.deployment), SimulationSettings(), changes
     )
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     result = play(scenario, deployment, seed, simulation)
-    took_s = time.perf_counter() - began
+    took_s = time.perf_counter() - started_at
     run_key = {
         "experiment": experiment.name,
         "variant": variant,
@@ -242,7 +246,7 @@
 
 
 def run(path: str, out: Path, workers: int, progress: Callable[[dict[str, Any]], None]) -> Rows:
-    """Run everything over `workers` processes, write the tables of `kelptrail.load.results`; the rows of the runs."""
+    """Simulate all runs in `workers` processes and write their tables; return the rows of the table of runs."""
     experiment = load(path)
     tables = RunTables([], [], [])
     with ProcessPoolExecutor(workers) as pool:
--- a/kelptrail/simulation/experiment_plots.py
+++ b/kelptrail/simulation/experiment_plots.py
@@ -1,4 +1,4 @@
-"""Plots of an experiment, each written as a file of its folder."""
+"""Plots of an experiment, each written to a PNG file in its folder."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def draw_service(folder: Path, seconds: list[dict[str, Any]], variants: list[str], points: list[str]) -> None:
-    """Plot the calls answered in time over time, for each point."""
+    """Plot the share of calls that are answered in time over the run, for each point."""
     figure, axes = pyplot.subplots(len(points), 1, figsize=(10, 2.6 * len(points) + 0.6), squeeze=False, sharex=True)
     for axis, point in zip(axes[:, 0], points, strict=True):
         for variant in variants:
@@ -35,17 +35,19 @@
 
 
 def _plot_means(axis: Any, values: dict[int, list[float]], label: str) -> None:
-    """Plot the mean of the runs' values in each second."""
+    """Plot the mean of all runs' values in each second."""
     seconds = sorted(values)
     axis.plot(seconds, [float(np.mean(values[second])) for second in seconds], label=label)
 
 
 def draw_recovery(folder: Path, runs: list[dict[str, Any]], variants: list[str], points: list[str]) -> None:
-    """Plot the time to recover by point."""
+    """Plot the mean recovery time at each point."""
     figure, axis = pyplot.subplots(figsize=(7, 4))
     for variant in variants:
-        of_variant = [run for run in runs if run["variant"] == variant]
-        means = [float(np.mean([run["recovery_s"] for run in of_variant if run["point"] == point])) for point in points]
+        variant_runs = [run for run in runs if run["variant"] == variant]
+        means = [
+            float(np.mean([run["recovery_s"] for run in variant_runs if run["point"] == point])) for point in points
+        ]
         axis.plot(points, means, marker="o", label=variant)
     axis.set_ylabel("recovery, s")
     axis.legend(fontsize=8)
@@ -85,7 +87,7 @@
 
 
 def draw_give_ups(folder: Path, spread: list[dict[str, Any]], variants: list[str], points: list[str]) -> None:
-    """Plot the calls given up by cause."""
+    """Plot the unsuccessful attempts of calls by cause."""
     rows = [row for row in spread if row["what"] == "give_ups"]
     causes = list(dict.fromkeys(row["name"] for row in rows))
     figure, axis = pyplot.subplots(figsize=(8, 4))
@@ -95,8 +97,8 @@
         counts[row["name"], row["variant"], row["point"]].append(row["value"])
     bottom = np.zeros(len(bars))
     for cause in causes:
-        of_bars = [counts.get((cause, variant, point), [0.0]) for variant, point in bars]
-        heights = np.array([float(np.mean(of_bar)) for of_bar in of_bars])
+        counts_of_bars = [counts.get((cause, variant, point), [0.0]) for variant, point in bars]
+        heights = np.array([float(np.mean(counts_of_bar)) for counts_of_bar in counts_of_bars])
         axis.bar([f"{variant}\n{point}" for variant, point in bars], heights, bottom=bottom, label=cause)
         bottom += heights
     axis.set_ylabel("tries given up, a run")
--- a/kelptrail/simulation/experiment_report.py
+++ b/kelptrail/simulation/experiment_report.py
@@ -10,7 +10,7 @@
 from .compare import compare
 from .experiment_plots import draw_give_ups, draw_latency, draw_recovery, draw_service, draw_work
 
-# Columns of the report's table, and how their numbers are written.
+# Number formats of the columns of the report's table.
 TABLE_FORMATS = {
     "served_share": ".3f",
     "recovery_s": ".1f",
@@ -26,7 +26,7 @@
 def write_report(
     folder: Path, runs: list[dict[str, Any]], seconds: list[dict[str, Any]], spread: list[dict[str, Any]]
 ) -> Path:
-    """Write `report.md` and its plots beside the tables of an experiment; its path."""
+    """Write `report.md` and its plots to the folder of an experiment's tables; return the path of the report."""
     name = runs[0]["experiment"]
     variants = list(dict.fromkeys(r["variant"] for r in runs))
     points = list(dict.fromkeys(r["point"] for r in runs))
@@ -65,18 +65,18 @@
 
 
 def _figure_rows(runs: list[dict[str, Any]], variants: list[str], points: list[str]) -> list[str]:
-    """Table rows: the mean figures of each variant at each point."""
+    """Return table rows with the mean figures of each variant at each point."""
     rows = []
     for variant in variants:
         for point in points:
-            of_point = [r for r in runs if r["variant"] == variant and r["point"] == point]
-            if of_point:
-                rows.append(f"| {variant} | {point or '-'} | {_mean_figures(of_point)} |")
+            runs_at_point = [r for r in runs if r["variant"] == variant and r["point"] == point]
+            if runs_at_point:
+                rows.append(f"| {variant} | {point or '-'} | {_mean_figures(runs_at_point)} |")
     return rows
 
 
 def _mean_figures(runs: list[dict[str, Any]]) -> str:
-    """The cells of a table row."""
+    """Return the cells of a table row with the mean figures of these runs."""
     return " | ".join(
         format(float(np.mean([run[figure] for run in runs])), number_format)
         for figure, number_format in TABLE_FORMATS.items()
@@ -84,7 +84,7 @@
 
 
 def _comparison(runs: list[dict[str, Any]], first: str, second: str) -> list[str]:
-    """A section of the report: the differences of two variants."""
+    """Return a section of the report with the differences of two variants."""
     lines = [
         "",
         f"## {second} beside {first}",
@@ -92,8 +92,8 @@
         "| figure | point | pairs | difference (95%) | verdict |",
         "| --- | --- | --- | --- | --- |",
     ]
-    both = [[r for r in runs if r["variant"] == v] for v in (first, second)]
+    runs_of_variants = [[r for r in runs if r["variant"] == v] for v in (first, second)]
     return lines + [
         f"| {d.figure} | {d.point or '-'} | {d.pairs} | {d.low:.3g} to {d.high:.3g} | {d.verdict} |"
-        for d in compare(*both)
+        for d in compare(*runs_of_variants)
     ]
--- a/kelptrail/simulation/faults.py
+++ b/kelptrail/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a scenario, injected into a simulated cluster; every shard draws the same targets."""
+"""Injection of a scenario's faults into a simulated cluster; every shard draws the same targets."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 
 
 T = TypeVar("T")
-WORK_ENDS_WITHIN_MS = 1500.0  # after a worker was told to drain, until it is stopped
-DEPLOY_PAUSE_MS = 1000.0  # added between two workers of a rolling deploy
+DRAIN_TIMEOUT_MS = 1500.0  # time for running work, from the end of the drain grace to the worker's stop
+DEPLOY_INTERVAL_MS = 1000.0  # additional time between two workers of a rolling deploy
 LEASE_FAULT_OF_PLANNER_FAULT: dict[str, FaultKind] = {
     FaultKind.PAUSE_PLANNERS: FaultKind.PAUSE_DISPATCHERS,
     FaultKind.CUT_PLANNERS: FaultKind.CUT_PEERS,
@@ -35,7 +35,7 @@
 
 
 class FaultInjector:
-    """Injects faults into one cluster, with a random stream of its own for the choice of targets."""
+    """Injects faults into one cluster; a separate random stream draws the targets."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster, self._event_queue, self._settings = cluster, cluster.event_queue, cluster.settings
@@ -63,15 +63,15 @@
             self._cluster.record_event(event, **fields)
 
     def _record_fault(self, fault: Fault, names: list[str]) -> None:
-        """Record a fault of the run, which only its first shard does."""
+        """Record a fault of the complete run; only the first shard records these."""
         if self._cluster.shard_part[0] == 0:
             self._record("trouble", kind=fault.kind, seconds=fault.duration, factor=fault.factor, of=names)
 
     def _inject_worker_fault(self, fault: Fault) -> None:
         kind = fault.kind
-        up = [worker for worker in self._cluster.workers.values() if worker.up]
-        count = min(len(up), max(1, round(fault.part * len(up))))
-        targets = self._draw_targets(up, count) if up else []
+        running = [worker for worker in self._cluster.workers.values() if worker.up]
+        count = min(len(running), max(1, round(fault.part * len(running))))
+        targets = self._draw_targets(running, count) if running else []
         self._record_fault(fault, [worker.id for worker in targets])
         for number, worker in enumerate(targets):
             if kind == FaultKind.CRASH:
@@ -79,7 +79,7 @@
             elif kind in (FaultKind.ROLLING_DEPLOY, FaultKind.DRAIN):
                 pause_ms = fault.duration * 1000 / max(1, len(targets))
                 self._event_queue.after(
-                    number * (pause_ms + DEPLOY_PAUSE_MS), self._deploy, worker, kind == FaultKind.ROLLING_DEPLOY
+                    number * (pause_ms + DEPLOY_INTERVAL_MS), self._deploy, worker, kind == FaultKind.ROLLING_DEPLOY
                 )
             else:
                 worker.inject(kind, fault)
@@ -100,9 +100,9 @@
             for dispatcher in targets:
                 self._kill(dispatcher, duration_ms)
         elif kind == FaultKind.LOSE_MACHINES:
-            for_good = fault.at + fault.duration > self._scenario.seconds
+            permanent = fault.at + fault.duration > self._scenario.seconds
             for dispatcher in targets:
-                self._kill(dispatcher, None if for_good else duration_ms, True)
+                self._kill(dispatcher, None if permanent else duration_ms, True)
         elif kind in PEER_FAULTS:
             self._inject_peer_fault(fault, targets)
         elif kind in DISK_FAULTS:
@@ -122,7 +122,7 @@
             self._cluster.leases.inject(fault, names, self._draw_direction)
 
     def _draw_direction(self) -> bool:
-        """Whether a one-way cut stops what a node sends, or else what it receives."""
+        """Return whether a one-way cut stops the messages that a node sends; otherwise it stops those it receives."""
         return bool(self._random.random() < 0.5)
 
     def _inject_disk_fault(self, fault: Fault, dispatcher: SimulatedDispatcher | RemoteDispatcher) -> None:
@@ -203,14 +203,14 @@
         self._cluster.publish_endpoints()
 
     def _deploy(self, worker: SimulatedWorker | RemoteWorker, restart: bool) -> None:
-        """Drain the worker, stop it, and with `restart` start it anew."""
+        """Drain the worker, stop it, and start it again if `restart` is set."""
         if not worker.up:
             return
         worker.state = "draining"
         self._cluster.publish_endpoints()
         drain_grace_ms = self._deployment.rules.drain_grace_ms
         self._event_queue.after(drain_grace_ms, setattr, worker, "draining", True)
-        self._event_queue.after(drain_grace_ms + WORK_ENDS_WITHIN_MS, self._stop_deployed, worker, restart)
+        self._event_queue.after(drain_grace_ms + DRAIN_TIMEOUT_MS, self._stop_deployed, worker, restart)
 
     def _stop_deployed(self, worker: SimulatedWorker | RemoteWorker, restart: bool) -> None:
         worker.up = False
--- a/kelptrail/simulation/journal_disk.py
+++ b/kelptrail/simulation/journal_disk.py
@@ -9,21 +9,21 @@
 
 
 class JournalDisk:
-    """What the disk holds; it outlives the dispatcher's process."""
+    """Content of the disk, which outlives the dispatcher's process."""
 
     def __init__(self) -> None:
         self._entries: dict[str, ActivationEntries] = {}  # by activation
 
     def stored(self) -> list[ActivationEntries]:
-        """The entries of each activation, in order of acceptance."""
+        """Return the entries of each activation, in order of acceptance."""
         return list(self._entries.values())
 
     def erase(self) -> None:
-        """Lose everything."""
+        """Erase all entries."""
         self._entries = {}
 
     def write(self, entries: Iterable[object]) -> None:
-        """Add the entries of a batch; the first of each kind counts."""
+        """Store the entries of a batch; each activation keeps its first entry of each kind."""
         for entry in entries:
             if isinstance(entry, Accepted):
                 self._entries.setdefault(entry.id, ActivationEntries(entry))
--- a/kelptrail/simulation/lease_links.py
+++ b/kelptrail/simulation/lease_links.py
@@ -1,4 +1,4 @@
-"""Simulated links between lease nodes: delays, and cuts that hold messages until they are healed."""
+"""Simulated links between lease nodes: delays, and cuts that hold messages until a link is restored."""
 
 from __future__ import annotations
 
@@ -19,16 +19,17 @@
     receiver: str
 
 
-class SlowLinks(NamedTuple):
-    """A delay in ms that this share of all messages has."""
+class MessageDelay(NamedTuple):
+    """An additional delay in ms, and the share of all messages that it applies to."""
 
     delay_ms: float
     share: float
 
 
 class SimulatedLinks:
-    """All links; `deliver` gets each message one delay after it was sent.  A link that is cut holds its messages until
-    it is healed; once it was silent for `silent_ms`, it drops them.
+    """All links between lease nodes; `deliver` gets each message after its delay.
+
+    A cut link holds its messages until it is restored; once it has been cut for `silent_ms`, it drops them.
     """
 
     def __init__(
@@ -41,11 +42,11 @@
     ) -> None:
         self._event_queue, self._seed, self._deliver = event_queue, seed, deliver
         self._network_ms, self._silent_ms = network_ms, silent_ms
-        self._cuts: Counter[Link] = Counter()  # the number of faults that cut each
+        self._cuts: Counter[Link] = Counter()  # number of active faults that cut a link
         self._cut_since: dict[Link, float] = {}
         self._held_messages: dict[Link, list[Message]] = {}
-        self._slow_links: list[SlowLinks] = []
-        self._draws = 0  # of delays
+        self._message_delays: list[MessageDelay] = []
+        self._draw_count = 0
 
     def send(self, link: Link, message: Message) -> None:
         """Send a message over a link."""
@@ -54,29 +55,29 @@
                 self._held_messages.setdefault(link, []).append(message)
             return
         delay_ms = self._network_ms
-        for slow_links in self._slow_links:
-            if self._draw_share() < slow_links.share:
-                delay_ms += slow_links.delay_ms
+        for message_delay in self._message_delays:
+            if self._draw_uniform() < message_delay.share:
+                delay_ms += message_delay.delay_ms
         self._event_queue.after(delay_ms, self._deliver, link, message)
 
-    def _draw_share(self) -> float:
-        """A number from 0 to 1 that depends on the seed and on how many were drawn."""
-        self._draws += 1
-        return zlib.crc32(f"{self._seed} slow {self._draws}".encode()) / 2**32
+    def _draw_uniform(self) -> float:
+        """Return a pseudo-random number from 0 to 1; it depends on the seed and the number of earlier draws."""
+        self._draw_count += 1
+        return zlib.crc32(f"{self._seed} slow {self._draw_count}".encode()) / 2**32
 
-    def slow(self, slow_links: SlowLinks, duration_ms: float) -> None:
-        """Delay a share of the messages for a time."""
-        self._slow_links.append(slow_links)
-        self._event_queue.after(duration_ms, self._slow_links.remove, slow_links)
+    def delay_messages(self, message_delay: MessageDelay, duration_ms: float) -> None:
+        """Delay a share of all messages for `duration_ms`."""
+        self._message_delays.append(message_delay)
+        self._event_queue.after(duration_ms, self._message_delays.remove, message_delay)
 
     def cut(self, links: list[Link]) -> None:
-        """Cut these links."""
+        """Cut links; a link that was cut several times stays cut until it was restored as often."""
         for link in links:
             self._cut_since.setdefault(link, self._event_queue.now)
         self._cuts.update(links)
 
     def heal(self, links: list[Link]) -> None:
-        """Heal these links; held messages are delivered only within the silence timeout."""
+        """Restore links; their held messages are sent if the cut was shorter than `silent_ms`, else dropped."""
         self._cuts.subtract(links)
         for link in links:
             if self._cuts[link] > 0:
--- a/kelptrail/simulation/leases.py
+++ b/kelptrail/simulation/leases.py
@@ -1,6 +1,6 @@
 """Simulated leases: the real acceptors and lease clients on simulated disks, links and clocks, and their faults.
 
-A paused node reads its messages when it resumes; a lost disk is an empty one: as between real processes.
+A paused node reads its messages when it resumes, and a lost disk is replaced by an empty one, as with real processes.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 )
 
 from .event_queue import EventQueue, Timer
-from .lease_links import Link, SimulatedLinks, SlowLinks
+from .lease_links import Link, MessageDelay, SimulatedLinks
 
 LEASE_USE_INTERVAL_MS, WRITE_RETRY_MS = 50.0, 100.0
 ACCEPTOR_MESSAGES = (AcquireRequest, Release, StateRequest, StateReply)
 
 
-class WantedLease(NamedTuple):
-    """What to call once a node has acquired a lease, and once it has lost it."""
+class LeaseCallbacks(NamedTuple):
+    """Callbacks for the times at which a node has acquired a lease and has lost it."""
 
     on_acquired: Callable[[FencingToken], None]
     on_lost: Callable[[], None]
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, eq=False)
 class LeaseNode:
-    """One process: its cores, its disk, its clock."""
+    """One process with its lease client, its acceptor, its disk and its clock."""
 
     name: str
     is_acceptor: bool
@@ -57,32 +57,32 @@
     paused: bool = False
     unread: list[tuple[str, Message]] = field(default_factory=list)
     clock_rate: float = 1.0
-    clock_base_ms: float = 0.0  # what its clock showed when its rate was last set
-    clock_set_at_ms: float = 0.0  # simulated time of that
+    clock_base_ms: float = 0.0  # local time at which the clock rate was last set
+    clock_set_at_ms: float = 0.0  # simulated time at which the clock rate was last set
     disk_fails: bool = False
     core_timer: Timer | None = None
-    wanted_leases: dict[str, WantedLease] = field(default_factory=dict)  # by task
+    lease_callbacks: dict[str, LeaseCallbacks] = field(default_factory=dict)  # by task
     messages_received: int = 0
     lease_uses: int = 0
 
     def local_time(self, now: float) -> float:
-        """The time in ms that the node's clock shows at simulated time `now`."""
+        """Return the time in ms that the node's clock shows at simulated time `now`."""
         return self.clock_base_ms + (now - self.clock_set_at_ms) * self.clock_rate
 
 
 @dataclass(frozen=True, slots=True)
 class SimulatedLeaseSettings:
-    """The settings of the lease cores, the length of leases, and what is assumed of disks and links; in ms."""
+    """Settings of the lease cores, and the assumed times of leases, disks and links in ms."""
 
     cores: LeaseSettings
     length_ms: float
     sync_ms: float
     network_ms: float  # one way
-    silent_ms: float  # after which a cut link drops what it holds
+    silent_ms: float  # time after which a cut link drops its messages
 
 
 class SimulatedLeases:
-    """All lease nodes of a cluster; `record_event` records each use of a lease that the side-effect log would see."""
+    """All lease nodes of a cluster; `record_event` records each use of a lease at the side-effect log."""
 
     def __init__(
         self,
@@ -101,7 +101,7 @@
             self.start_process(node)
 
     def start_process(self, node: LeaseNode) -> None:
-        """Start a node's process with what its disk holds."""
+        """Start a node's process from the state on its disk."""
         node.starts += 1
         node.up, node.paused, node.unread = True, False, []
         node.lease_client = LeaseClient(node.name, f"{node.name}/{self._seed}-{node.starts}", self._settings.cores)
@@ -110,27 +110,27 @@
             node.acceptor = Acceptor(
                 node.name, self._settings.cores, now, node.durable_state, tuple(node.rows.values())
             )
-        for task in node.wanted_leases:
+        for task in node.lease_callbacks:
             node.lease_client.acquire(now, task, self._settings.length_ms)
         self._run_cores(node)
 
-    def want(
+    def request_lease(
         self, node: LeaseNode, task: str, on_acquired: Callable[[FencingToken], None], on_lost: Callable[[], None]
     ) -> None:
-        """Have a node acquire the lease of a task whenever it can."""
-        node.wanted_leases[task] = WantedLease(on_acquired, on_lost)
+        """Make a node request the lease of a task, now and after each restart."""
+        node.lease_callbacks[task] = LeaseCallbacks(on_acquired, on_lost)
         if node.up and node.lease_client is not None:
             node.lease_client.acquire(node.local_time(self._event_queue.now), task, self._settings.length_ms)
             self._run_cores(node)
 
     def contend(self, tasks: tuple[str, ...], names: list[str]) -> None:
-        """Have these nodes compete for the leases of tasks; the holder uses its lease at the side-effect log."""
+        """Make nodes compete for the leases of tasks; a holder uses its lease at the side-effect log."""
         for node in (self.nodes[name] for name in names):
             for task in tasks:
-                self.want(node, task, partial(self._begin_use, node, task), lambda: None)
+                self.request_lease(node, task, partial(self._begin_use, node, task), lambda: None)
 
-    def holds(self, name: str, task: str) -> FencingToken | None:
-        """The token of the lease that a node holds now; None where it holds none."""
+    def held_token(self, name: str, task: str) -> FencingToken | None:
+        """Return the token of the lease that a node holds now, None if it holds none."""
         node = self.nodes[name]
         if not node.up or node.paused or node.lease_client is None:
             return None
@@ -140,21 +140,21 @@
         self._use_lease(node, node.starts, task, token)
 
     def _use_lease(self, node: LeaseNode, start: int, task: str, token: FencingToken) -> None:
-        """Use a lease now and then, until the node has lost it or its process has ended."""
+        """Use a lease at regular intervals until the node has lost it or its process has ended."""
         if not node.up or node.starts != start or node.lease_client is None:
             return
         if not node.paused:
             if node.lease_client.requests[task].token != token:
                 return
-            if self.holds(node.name, task) == token:
+            if self.held_token(node.name, task) == token:
                 self._record_use(node, task, token)
         self._event_queue.after(LEASE_USE_INTERVAL_MS, self._use_lease, node, start, task, token)
 
     def _record_use(self, node: LeaseNode, task: str, token: FencingToken) -> None:
-        """A use at the side-effect log, which accepts it unless it has seen a newer token."""
+        """Record a use at the side-effect log, which accepts it unless it has received a newer token."""
         node.lease_uses += 1
-        highest = self._highest_tokens.get(task, NO_TOKEN)
-        self._highest_tokens[task] = max(token, highest)
+        highest_token = self._highest_tokens.get(task, NO_TOKEN)
+        self._highest_tokens[task] = max(token, highest_token)
         if self._record_event is not None:
             self._record_event(
                 "act",
@@ -162,13 +162,13 @@
                 token=[token.round, token.client_id],
                 by=node.name,
                 looked=self._event_queue.now,
-                taken=token >= highest,
+                taken=token >= highest_token,
             )
 
     # Running the cores.
 
     def _run_cores(self, node: LeaseNode) -> None:
-        """Have the cores do what is due, and carry out what they put out."""
+        """Run the due work of the lease client and the acceptor, and carry out their output."""
         if not node.up or node.paused or node.lease_client is None:
             return
         now = node.local_time(self._event_queue.now)
@@ -183,7 +183,7 @@
         self._schedule_core_timer(node, now)
 
     def _send_messages(self, node: LeaseNode) -> bool:
-        """Send the cores' messages; whether one was for the node itself, whose cores then may have more to do."""
+        """Send the cores' messages; return whether one was for the node itself, whose cores then must run again."""
         delivered_locally = False
         for core in (node.acceptor, node.lease_client):
             while core is not None and core.outbox:
@@ -205,14 +205,14 @@
     def _report_lease_events(node: LeaseNode) -> None:
         while node.lease_client is not None and node.lease_client.events:
             event = node.lease_client.events.popleft()
-            wanted = node.wanted_leases[event.task]
+            callbacks = node.lease_callbacks[event.task]
             if isinstance(event, LeaseAcquired):
-                wanted.on_acquired(event.token)
+                callbacks.on_acquired(event.token)
             else:
-                wanted.on_lost()
+                callbacks.on_lost()
 
     def _schedule_core_timer(self, node: LeaseNode, now: float) -> None:
-        """Run the cores again when the first of them is due; `now` is the node's local time."""
+        """Schedule the next run of the cores at their earliest due time; `now` is the node's local time."""
         assert node.lease_client is not None
         due_times = [
             d
@@ -266,16 +266,16 @@
         if disk_lost:
             node.durable_state, node.rows = None, {}
 
-    def inject(self, fault: Fault, node_names: list[str], one_way: Callable[[], bool]) -> None:
-        """Inject a fault between nodes for its duration; `kill` and `start_process` serve kills and lost machines."""
+    def inject(self, fault: Fault, node_names: list[str], draw_is_outgoing: Callable[[], bool]) -> None:
+        """Inject a fault for its duration; kills and lost machines use `kill` and `start_process` instead."""
         kind, duration_ms, event_queue = fault.kind, fault.duration * 1000, self._event_queue
         nodes = [self.nodes[name] for name in node_names if name in self.nodes]
         if kind == FaultKind.CUT_PEERS:
-            links = self._links_to_cut(nodes, set(node_names), fault, one_way)
+            links = self._links_to_cut(nodes, set(node_names), fault, draw_is_outgoing)
             self.links.cut(links)
             event_queue.after(duration_ms, self.links.heal, links)
         elif kind == FaultKind.SLOW_PEERS:
-            self.links.slow(SlowLinks(fault.ms, fault.share), duration_ms)
+            self.links.delay_messages(MessageDelay(fault.ms, fault.share), duration_ms)
         elif kind == FaultKind.PAUSE_DISPATCHERS:
             for node in nodes:
                 node.paused = True
@@ -286,12 +286,15 @@
                 event_queue.after(duration_ms, self._set_clock_rate, node, 1.0)
 
     def _links_to_cut(
-        self, nodes: list[LeaseNode], node_names: set[str], fault: Fault, one_way: Callable[[], bool]
+        self, nodes: list[LeaseNode], node_names: set[str], fault: Fault, draw_is_outgoing: Callable[[], bool]
     ) -> list[Link]:
-        """The links between these nodes and all others; of a one-way cut, `one_way` draws a direction for each node."""
+        """Return the links between these nodes and all others.
+
+        A one-way cut cuts one direction for each node; `draw_is_outgoing` chooses it.
+        """
         links: list[Link] = []
         for node in nodes:
-            outgoing = not fault.one_way or one_way()
+            outgoing = not fault.one_way or draw_is_outgoing()
             incoming = not fault.one_way or not outgoing
             for other in self.nodes.keys() - node_names:
                 if outgoing:
@@ -317,7 +320,7 @@
             node.sync_ms, node.disk_fails = sync_ms, fails
 
     def status(self) -> dict[str, Any]:
-        """Messages received by node, and uses of leases; the keys are part of the report."""
+        """Return the messages received by node, and the uses of leases; the keys are part of the report."""
         return {
             "told": {name: node.messages_received for name, node in self.nodes.items()},
             "acts": sum(node.lease_uses for node in self.nodes.values()),
--- a/kelptrail/simulation/model_store.py
+++ b/kelptrail/simulation/model_store.py
@@ -1,4 +1,4 @@
-"""Simulated model store, from which workers fetch the models that they load."""
+"""Simulated model store from which workers fetch models."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 
 from .event_queue import EventQueue, Timer
 
-REFUSAL_MS = 0.2
-DONE_MS = 1e-6  # of work left, at which a fetch is complete: sums of floating-point numbers
+REFUSAL_DELAY_MS = 0.2
+COMPLETION_TOLERANCE_MS = 1e-6  # remaining work of a complete fetch, due to floating-point rounding
 
 
 @dataclass(slots=True, eq=False)
 class OpenFetch:
-    """A fetch that is not complete; `remaining_ms` at the full rate."""
+    """A fetch in progress, with its remaining time at the full rate."""
 
     remaining_ms: float
     on_done: Callable[[bool], None]
 
 
 class SimulatedStore:
-    """The model store: concurrent fetches beyond its capacity share its rate; past a limit it refuses them."""
+    """The model store: concurrent fetches beyond its capacity share its rate; above a limit it refuses them."""
 
     def __init__(self, event_queue: EventQueue, settings: StoreSettings) -> None:
         self._event_queue, self._settings = event_queue, settings
-        self._open: list[OpenFetch] = []
+        self._open_fetches: list[OpenFetch] = []
         self._updated_at = 0.0
         self._completion_timer: Timer | None = None
         self._slow_factor, self._refusing, self._stopped = 1.0, False, False
         self.fetches = self.refused = 0
 
     def _service_rate(self) -> float:
-        """The rate of each open fetch, as a share of the full rate."""
-        if self._stopped or not self._open:
+        """Return the rate of each open fetch, as a share of the full rate."""
+        if self._stopped or not self._open_fetches:
             return 0.0
-        return min(1.0, self._settings.fetches / len(self._open)) / self._slow_factor
+        return min(1.0, self._settings.fetches / len(self._open_fetches)) / self._slow_factor
 
     def _advance(self) -> None:
         """Subtract the work done since the last update from every open fetch."""
         done_ms = (self._event_queue.now - self._updated_at) * self._service_rate()
         self._updated_at = self._event_queue.now
         if done_ms:
-            for fetch in self._open:
+            for fetch in self._open_fetches:
                 fetch.remaining_ms -= done_ms
 
     def _schedule_completion(self) -> None:
@@ -51,31 +51,31 @@
             self._completion_timer.cancel()
         service_rate = self._service_rate()
         if service_rate:
-            shortest_ms = max(0.0, min(fetch.remaining_ms for fetch in self._open))
+            shortest_ms = max(0.0, min(fetch.remaining_ms for fetch in self._open_fetches))
             self._completion_timer = self._event_queue.after(shortest_ms / service_rate, self._complete_fetches)
 
     def _complete_fetches(self) -> None:
         self._completion_timer = None
         self._advance()
-        complete = [fetch for fetch in self._open if fetch.remaining_ms <= DONE_MS]
-        self._open = [fetch for fetch in self._open if fetch.remaining_ms > DONE_MS]
+        complete = [fetch for fetch in self._open_fetches if fetch.remaining_ms <= COMPLETION_TOLERANCE_MS]
+        self._open_fetches = [fetch for fetch in self._open_fetches if fetch.remaining_ms > COMPLETION_TOLERANCE_MS]
         self._schedule_completion()
         for fetch in complete:
             fetch.on_done(True)
 
-    def fetch(self, ms: float, on_done: Callable[[bool], None]) -> None:
-        """Fetch what takes `ms` at the full rate; `on_done` gets whether it succeeded."""
+    def fetch(self, fetch_ms: float, on_done: Callable[[bool], None]) -> None:
+        """Start a fetch that takes `fetch_ms` at the full rate; `on_done` gets whether it succeeded."""
         self._advance()
-        if self._refusing or len(self._open) >= self._settings.most:
+        if self._refusing or len(self._open_fetches) >= self._settings.most:
             self.refused += 1
-            self._event_queue.after(REFUSAL_MS, on_done, False)
+            self._event_queue.after(REFUSAL_DELAY_MS, on_done, False)
             return
         self.fetches += 1
-        self._open.append(OpenFetch(ms, on_done))
+        self._open_fetches.append(OpenFetch(fetch_ms, on_done))
         self._schedule_completion()
 
     def inject(self, kind: str, factor: float, duration_ms: float) -> None:
-        """Inject `slow`, `refuse` or `stopped` for `duration_ms`."""
+        """Inject the fault `slow`, `refuse` or `stopped` for `duration_ms`; `factor` is the slowdown of `slow`."""
         self._advance()
         if kind == "slow":
             self._slow_factor = factor
--- a/kelptrail/simulation/planners.py
+++ b/kelptrail/simulation/planners.py
@@ -19,41 +19,41 @@
     from .cluster import SimulatedCluster
     from .dispatchers import SimulatedDispatcher
 
-TICK_MS, REPORT_MS, HOUR_OF_DAY = 250.0, 1000.0, 8
-SOLVE_MS = 200.0  # of a plan, without what a fault adds
+TICK_INTERVAL_MS, REPORT_INTERVAL_MS, HOUR_OF_DAY = 250.0, 1000.0, 8
+SOLVE_MS = 200.0  # time to compute a plan, without the delay that a fault adds
 
 
 class SimulatedPlanner:
-    """One planner process; its snapshot outlives a restart."""
+    """One planner, including the restarts of its process; its snapshot outlives them."""
 
     def __init__(self, cluster: SimulatedCluster, number: int, solver: str) -> None:
         self._cluster, self.name, self._solver = cluster, f"planner-{number}", solver
         self._settings = planner_settings(cluster.deployment)
-        self._models = function_profiles(cluster.deployment)
+        self._function_profiles = function_profiles(cluster.deployment)
         self.up, self.slow_ms, self._starts = False, 0.0, 0
-        self._saved: InstanceCounts = {}
+        self._snapshot: InstanceCounts = {}
         self.plans = self.moves = 0
         self.start_process(True)
 
     def start_process(self, without_snapshot: bool = False) -> None:
-        """Start the process from its snapshot, or, with `without_snapshot`, empty."""
+        """Start the process from its snapshot, or empty if `without_snapshot` is set."""
         self.up, self._starts = True, self._starts + 1
         leases = self._cluster.leases
         if leases is not None and self._starts > 1:
             leases.start_process(leases.nodes[self.name])
-        self.core = Planner(self.name, self._settings, self._models, self._cluster.event_queue.now)
+        self.core = Planner(self.name, self._settings, self._function_profiles, self._cluster.event_queue.now)
         if not without_snapshot:
-            self.core.restore_plan(self._saved)
+            self.core.restore_plan(self._snapshot)
         if self._cluster.endpoints is not None:
             self.on_endpoints(self._cluster.endpoints)
-        self._cluster.event_queue.after(TICK_MS, self._tick, self._starts)
+        self._cluster.event_queue.after(TICK_INTERVAL_MS, self._tick, self._starts)
 
     def on_lease_acquired(self, token: FencingToken) -> None:
-        """The planner has acquired the lease: it leads."""
+        """Make the planner the leader, since it has acquired the lease."""
         self.core.on_lease_acquired(self._cluster.event_queue.now, token.round, token.client_id)
 
     def on_lease_lost(self) -> None:
-        """The planner has lost the lease and its leadership."""
+        """End the planner's leadership, since it has lost the lease."""
         self.core.on_lease_lost()
 
     def kill(self) -> None:
@@ -63,7 +63,7 @@
             self._cluster.leases.kill(self.name)
 
     def on_endpoints(self, endpoints: EndpointList) -> None:
-        """A new endpoint list has arrived."""
+        """Pass a new endpoint list to the planner core."""
         self.core.on_endpoints(
             self._cluster.event_queue.now,
             worker_capacities(self._cluster.deployment, endpoints),
@@ -76,12 +76,12 @@
         now, event_queue = self._cluster.event_queue.now, self._cluster.event_queue
         self.core.tick(now, HOUR_OF_DAY)
         if (problem := self.core.next_problem(now, HOUR_OF_DAY)) is not None:
-            event_queue.after(SOLVE_MS + self.slow_ms, self._solved, start, problem)
-        self._saved = self.core.target
+            event_queue.after(SOLVE_MS + self.slow_ms, self._on_solved, start, problem)
+        self._snapshot = self.core.target
         self._send_plans()
-        event_queue.after(TICK_MS, self._tick, start)
+        event_queue.after(TICK_INTERVAL_MS, self._tick, start)
 
-    def _solved(self, start: int, problem: PlacementProblem) -> None:
+    def _on_solved(self, start: int, problem: PlacementProblem) -> None:
         if start == self._starts and self.up:
             solve = place_greedily if self._solver == "greedy" else place_by_program
             solution = solve(problem.workers, problem.demands, problem.budget)
@@ -93,7 +93,7 @@
         now, network_ms = self._cluster.event_queue.now, self._cluster.settings.network_ms
         dispatchers = {d.name: d for d in self._cluster.local_dispatchers}
         leases = self._cluster.leases
-        holds_lease = leases is not None and leases.holds(self.name, LEASE_NAME) is not None
+        holds_lease = leases is not None and leases.held_token(self.name, LEASE_NAME) is not None
         for dispatcher_name, plan in self.core.plans_to_send(now) if holds_lease else ():
             if (edge := dispatchers[dispatcher_name].edge) is not None:
                 self._cluster.event_queue.after(
@@ -107,31 +107,31 @@
 
 
 class SimulatedEdge:
-    """The plan follower of one dispatcher; a restart keeps the last plan, as the disk does."""
+    """The plan follower of one dispatcher; its last plan outlives a restart, as a plan on disk does."""
 
     def __init__(self, cluster: SimulatedCluster, dispatcher: SimulatedDispatcher) -> None:
         self._cluster, self._dispatcher = cluster, dispatcher
-        self._saved: Plan | None = None
+        self._saved_plan: Plan | None = None
         self.start_process()
 
     def start_process(self) -> None:
-        """Start with the dispatcher's process, from the last plan where there is one."""
+        """Start together with the dispatcher's process, from the last plan if there is one."""
         now = self._cluster.event_queue.now
         self._start = self._dispatcher.starts
         self.follower, self._leader_contact = PlanState(self._cluster.deployment.name), LeaderContact(now)
         self._applied: PlanOrder | None = None
-        if self._saved is not None:
-            self.follower.restore(now, self._saved, 10_000.0, self._live_workers())
+        if self._saved_plan is not None:
+            self.follower.restore(now, self._saved_plan, 10_000.0, self._live_workers())
             self.apply()
         self._cluster.event_queue.after(
-            REPORT_MS * (0.5 + self._dispatcher.number % 50 / 100), self._report, self._start
+            REPORT_INTERVAL_MS * (0.5 + self._dispatcher.number % 50 / 100), self._report, self._start
         )
 
     def _live_workers(self) -> set[str]:
         return {w.id for w in self._dispatcher.gateway.members if w.live}
 
     def on_endpoints(self) -> None:
-        """The dispatcher's endpoint list has changed."""
+        """Pass the dispatcher's new endpoint list to the plan follower, and apply the target again."""
         members = self._dispatcher.gateway.members
         self.follower.on_endpoints(
             self._cluster.event_queue.now, self._live_workers(), EndpointsVersion(members.lineage, members.version)
@@ -149,7 +149,7 @@
             self._dispatcher.schedule_decisions()
 
     def on_plan_offered(self, planner: SimulatedPlanner, plan: Plan, age_ms: float) -> None:
-        """A planner's plan has arrived: apply it, or report to the planner why it is refused."""
+        """Apply a planner's plan, or report to the planner why it is refused."""
         if not self._dispatcher.up:
             return
         now, members = self._cluster.event_queue.now, self._dispatcher.gateway.members
@@ -160,7 +160,7 @@
             EndpointsVersion(members.lineage, members.version),
         )
         if report is None:
-            self._leader_contact.last_ms, self._saved = now, self.follower.plan
+            self._leader_contact.last_ms, self._saved_plan = now, self.follower.plan
             self.apply()
         elif planner.up:
             self._cluster.event_queue.after(
@@ -184,4 +184,4 @@
                 planner.core.on_report(now, self._dispatcher.name, self.follower.fence, counters, loaded)
         if self.follower.target(now) is None and self._applied is not None:
             self.apply()  # the plan has expired
-        self._cluster.event_queue.after(REPORT_MS, self._report, start)
+        self._cluster.event_queue.after(REPORT_INTERVAL_MS, self._report, start)
--- a/kelptrail/simulation/remote.py
+++ b/kelptrail/simulation/remote.py
@@ -1,4 +1,4 @@
-"""Workers, dispatchers and the store of other shards, as a shard sees them, and the effect log that all share."""
+"""Proxies for workers, dispatchers and the store of other shards, and the effect log that all shards share."""
 
 from __future__ import annotations
 
@@ -19,53 +19,53 @@
 
 
 class RemoteWorker:
-    """A worker of another shard: its state as faults change it, and the connection to it."""
+    """A worker of another shard: the state that faults change, and the connection to it."""
 
     def __init__(
         self,
         shard: Shard,
-        shard_of_worker: int,
+        home_shard: int,
         identity: WorkerIdentity,
         event_queue: EventQueue,
         settings: SimulationSettings,
-        cold_ms: float,
+        slow_start_ms: float,
     ) -> None:
         self.id, self._zone, self._cell = identity
-        self._cold_ms = cold_ms
-        self._shard, self._home_shard, self._event_queue, self._settings = shard, shard_of_worker, event_queue, settings
+        self._slow_start_ms = slow_start_ms
+        self._shard, self._home_shard, self._event_queue, self._settings = shard, home_shard, event_queue, settings
         self.up, self.state, self.draining, self._starts = True, "live", False, 0
         self.start_process(True)
 
     def start_process(self, warm: bool) -> None:
-        """Start the process anew, as the worker's own shard does."""
+        """Start a new process, as the worker's own shard does; with `warm` its slow start is over."""
         self._starts += 1
         self.incarnation = f"{zlib.crc32(self.id.encode()):08x}-{self._starts}"
-        self.started = self._event_queue.now - (self._cold_ms + 1 if warm else 0.0)
+        self.started = self._event_queue.now - (self._slow_start_ms + 1 if warm else 0.0)
 
     @property
     def endpoint(self) -> Endpoint:
-        """The worker as the endpoint list shows it."""
+        """Entry of the worker in the endpoint list."""
         return Endpoint(
             self.id, self.id, self.state, self.incarnation, self._event_queue.now - self.started, self._zone, self._cell
         )
 
     def close_connections(self) -> None:
-        """Nothing to do: the worker's own shard reports the lost connections."""
+        """Do nothing: the worker's own shard reports the lost connections."""
 
     def inject(self, kind: str, fault: Fault) -> None:
-        """The fault has its effects in the worker's own shard; here only a restart matters."""
+        """Apply a restart; all other effects of faults take place in the worker's own shard."""
         if kind == FaultKind.RESTART_COLD:
             self.start_process(False)
 
     def request(self, kind: MessageKind, on_reply: Callable[..., None], *arguments: Any) -> None:
-        """Send the worker a request; `on_reply` gets the reply one network delay after it was given."""
+        """Send the worker a request; `on_reply` gets the reply one network delay after the worker sent it."""
         self._shard.request(
             self._event_queue.now + self._settings.network_ms, self._home_shard, kind, on_reply, self.id, *arguments
         )
 
 
 class RemoteDispatcher:
-    """A dispatcher of another shard; only whether it is up is known here."""
+    """A dispatcher of another shard; this shard only tracks whether it is up."""
 
     def __init__(self, number: int) -> None:
         self.number, self.name, self.up = number, f"dispatcher-{number}", True
@@ -80,27 +80,27 @@
         self.up = True
 
     def on_endpoints(self, endpoints: EndpointList) -> None:
-        """Nothing to do: its own shard delivers the list."""
+        """Do nothing: the dispatcher's own shard delivers the list."""
 
 
 class RemoteStore:
-    """The model store, as the shards without it reach it."""
+    """The model store for the shards that reach it over the network."""
 
     def __init__(self, shard: Shard, event_queue: EventQueue, settings: SimulationSettings) -> None:
         self._shard, self._event_queue, self._settings = shard, event_queue, settings
         self.fetches = 0
 
-    def fetch(self, ms: float, on_done: Callable[[bool], None]) -> None:
-        """Fetch through the first shard."""
-        when = self._event_queue.now + self._settings.network_ms
-        self._shard.request(when, 0, MessageKind.FETCH, on_done, ms)
+    def fetch(self, fetch_ms: float, on_done: Callable[[bool], None]) -> None:
+        """Start a fetch at the store in the first shard; `on_done` gets whether it succeeded."""
+        arrives_at = self._event_queue.now + self._settings.network_ms
+        self._shard.request(arrives_at, 0, MessageKind.FETCH, on_done, fetch_ms)
 
     def inject(self, kind: str, factor: float, duration_ms: float) -> None:
-        """Nothing to do: the fault has its effects in the first shard."""
+        """Do nothing: the fault takes effect in the first shard."""
 
 
 class SharedEffectLog(dict[tuple[str, str], float]):
-    """The log of effects against repeats; entries of this shard are sent to all others."""
+    """The log of effects for deduplication; entries of this shard are sent to all others."""
 
     def __init__(self, shard: Shard, event_queue: EventQueue, settings: SimulationSettings) -> None:
         super().__init__()
@@ -116,5 +116,5 @@
                 self._shard.post(arrives_at, target, MessageKind.EFFECT, key, when)
 
     def on_remote_effect(self, key: tuple[str, str], when: float) -> None:
-        """Enter an effect of another shard, without sending it on."""
+        """Add an effect of another shard without sending it to other shards."""
         super().__setitem__(key, when)
--- a/kelptrail/simulation/settings.py
+++ b/kelptrail/simulation/settings.py
@@ -1,4 +1,4 @@
-"""What a simulation assumes of machines and networks."""
+"""Assumptions of a simulation about processes, disks and networks."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SimulationSettings:
-    """What the simulation assumes of machines and networks, in ms; field names are keys of experiments."""
+    """Assumed times of processes, disks and networks in ms; the field names are keys of experiments."""
 
-    network_ms: float = 0.15  # one way, with what the loops on both ends add
-    cpu_ms: float = 0.1  # of a dispatcher, for each call and each answer
-    sync_ms: float = 2.0  # of its disk
-    start_ms: float = 600.0  # a dispatcher's start until it serves
-    restart_ms: float = 700.0  # a worker's
+    network_ms: float = 0.15  # one way, including the delay of the event loops on both ends
+    cpu_ms: float = 0.1  # CPU time of a dispatcher for each call and each answer
+    sync_ms: float = 2.0  # time to write and sync a batch on a dispatcher's disk
+    start_ms: float = 600.0  # time from a dispatcher's start until it serves
+    restart_ms: float = 700.0  # time from a worker's start until it serves
--- a/kelptrail/simulation/shard.py
+++ b/kelptrail/simulation/shard.py
@@ -1,4 +1,4 @@
-"""One process's part of a simulation run over several processes, and the messages between these parts."""
+"""Shards of a simulation run, one for each process, and the messages between them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class MessageKind(StrEnum):
-    """What a message between shards is about."""
+    """Kind of a message between shards."""
 
     REPLY = "reply"
     EFFECT = "mark"
@@ -20,7 +20,7 @@
 
 
 class ShardMessage(NamedTuple):
-    """A message that arrives at a shard at time `at` in ms."""
+    """A message that arrives at the shard `target` at time `at` in ms."""
 
     at: float
     target: int
@@ -29,35 +29,35 @@
 
 
 class Shard:
-    """This process's part of the run, and its outgoing messages."""
+    """This process's part of the run, with its outgoing messages and open requests."""
 
     def __init__(self, number: int, shard_count: int) -> None:
         self.number, self.shard_count = number, shard_count
-        self.out: list[ShardMessage] = []
+        self.outgoing: list[ShardMessage] = []
         self._replies: dict[int, Callable[..., None]] = {}
         self._last_request = 0
 
     def has_dispatcher(self, dispatcher: int) -> bool:
-        """Whether a dispatcher, by number, is in this shard."""
+        """Return whether the dispatcher of this number is in this shard."""
         return dispatcher % self.shard_count == self.number
 
     def shard_of_worker(self, worker: int) -> int:
-        """The number of the shard that has a worker; both workers of a cell are in one shard."""
+        """Return the number of the shard that contains a worker; both workers of a cell are in one shard."""
         return worker // 2 % self.shard_count
 
     def post(self, when: float, target: int, kind: MessageKind, *arguments: Any) -> None:
         """Send a message that arrives at another shard at time `when` in ms."""
-        self.out.append(ShardMessage(when, target, kind, arguments))
+        self.outgoing.append(ShardMessage(when, target, kind, arguments))
 
-    def take_out(self) -> list[ShardMessage]:
-        """The outgoing messages since the last call."""
-        out, self.out = self.out, []
-        return out
+    def take_outgoing(self) -> list[ShardMessage]:
+        """Return the outgoing messages since the last call."""
+        outgoing, self.outgoing = self.outgoing, []
+        return outgoing
 
     def request(
         self, when: float, target: int, kind: MessageKind, on_reply: Callable[..., None], *arguments: Any
     ) -> None:
-        """Send a message whose first reply calls `on_reply`."""
+        """Send a request that arrives at another shard at time `when` in ms; its first reply calls `on_reply`."""
         self._last_request += 1
         self._replies[self._last_request] = on_reply
         self.post(when, target, kind, self.number, self._last_request, *arguments)
@@ -70,13 +70,13 @@
 
 
 class RemoteReply:
-    """The callback by which a worker or the store replies to a request of another shard; the first reply counts."""
+    """Callback through which a worker or the store replies to a request of another shard."""
 
     def __init__(self, shard: Shard, event_queue: EventQueue, network_ms: float, target: int, request: int) -> None:
         self._shard, self._event_queue, self._network_ms = shard, event_queue, network_ms
         self._target, self._request = target, request
 
     def __call__(self, *arguments: Any) -> None:
-        """Post the reply, which arrives one network delay later."""
+        """Send the reply, which arrives one network delay later; the requester ignores all replies but the first."""
         when = self._event_queue.now + self._network_ms
         self._shard.post(when, self._target, MessageKind.REPLY, self._request, arguments)
--- a/kelptrail/simulation/shard_inbox.py
+++ b/kelptrail/simulation/shard_inbox.py
@@ -1,4 +1,4 @@
-"""Messages of other shards, carried out in a shard's cluster."""
+"""Handling of the messages that a shard receives from other shards."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         self._cluster, self._shard = cluster, shard
 
     def on_message(self, kind: MessageKind, arguments: tuple[Any, ...]) -> None:
-        """A message of another shard arrives."""
+        """Handle a message of another shard."""
         if kind is MessageKind.REPLY:
             self._shard.on_reply(*arguments)
         elif kind is MessageKind.EFFECT:
--- a/kelptrail/simulation/sharding.py
+++ b/kelptrail/simulation/sharding.py
@@ -1,13 +1,14 @@
-"""One simulation run over several processes, in windows that no message from another shard can reach into.
+"""One simulation run over several processes, which exchange messages between windows of simulated time.
 
-A shard has a part of the dispatchers with their clients, a part of the workers (a cell stays whole) and, the first
-one, the store.  A message between shards takes at least `network_ms`, so every shard may run up to the earliest event
-of all shards plus that time before it needs the others' messages (conservative windows, after Chandy, Misra and Bryant;
-considered: optimistic time warp, which would have to undo decisions of the real cores).  Faults apply to all shards
-alike: each draws the same victims, and keeps the state of workers of other shards.
+A shard contains a part of the dispatchers with their clients, and a part of the workers; the workers of a cell are in
+the same shard.  The first shard also contains the store.  A message between shards takes at least `network_ms`, so
+every shard can run up to the earliest event of all shards plus that time before it needs messages of the others.  These
+are conservative windows, after Chandy, Misra and Bryant.  Optimistic time warp, the alternative, would have to undo
+decisions of the real cores.  Faults apply to all shards alike: each shard draws the same targets, and tracks the state
+of workers of other shards.
 
 Differences from a run in one process: a client retries among its shard's dispatchers only, the store is one network
-delay away from workers of other shards, and an effect is known in other shards one network delay later.
+delay away from workers of other shards, and an effect is recorded in other shards one network delay later.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 from kelptrail.load.results import Result, Second, empty_seconds
 from kelptrail.settings.deployment import Deployment
 
-from .cluster import LAST_ANSWERS_MS, START_MS, SimulatedCluster
+from .cluster import LAST_ANSWERS_MS, LOAD_START_MS, SimulatedCluster
 from .settings import SimulationSettings
 from .shard import MessageKind, Shard, ShardMessage
 from .shard_inbox import ShardInbox
 
-WINDOW_FRACTION = 0.999  # of the network delay: a window ends before its own events can reach another shard
+WINDOW_FRACTION = 0.999  # share of the network delay; a window ends before its events can reach another shard
 PROGRESS_INTERVAL_MS = 1000.0
-PROCESS_END_S = 5
+PROCESS_EXIT_TIMEOUT_S = 5
 
 
 class ShardError(Exception):
@@ -37,14 +38,14 @@
 
 
 class ShardedRun(NamedTuple):
-    """The results of all shards as one, and their events in order of time."""
+    """Merged results of all shards, and their events in order of time."""
 
     result: Result
     events: list[dict[str, Any]]
 
 
 class ShardRunArguments(NamedTuple):
-    """What every shard's process simulates."""
+    """Inputs of the run, the same for every shard's process."""
 
     scenario: FaultScenario
     deployment: Deployment
@@ -54,7 +55,7 @@
 
 
 class InboxMessage(NamedTuple):
-    """A message as its target shard gets it."""
+    """A message as its target shard receives it."""
 
     at: float
     kind: MessageKind
@@ -62,21 +63,21 @@
 
 
 class Window(NamedTuple):
-    """What a shard is to run next: up to a time in ms, with the messages that arrive until then."""
+    """The next window of a shard: its end in ms, and the messages that arrive until then."""
 
     until: float
     inbox: list[InboxMessage]
 
 
 class WindowReport(NamedTuple):
-    """What a shard says at the end of a window: the time of its next event in ms, and its outgoing messages."""
+    """Report of a shard at the end of a window: the time of its next event in ms, and its outgoing messages."""
 
     next_at: float
-    out: list[ShardMessage]
+    outgoing: list[ShardMessage]
 
 
 class ShardResult(NamedTuple):
-    """What a shard's process returns at the end of the run."""
+    """Results of a shard's process at the end of the run."""
 
     seconds: list[Second]
     latency: dict[str, list[float]]
@@ -88,17 +89,17 @@
 
 
 def _run_shard(pipe: Connection, shard: Shard, arguments: ShardRunArguments) -> None:
-    """Run one shard's process: up to each window's end, then exchange messages with the coordinator."""
+    """Run one shard's process window by window, and exchange messages with the coordinator in between."""
     try:
         scenario, deployment, seed, settings, capture = arguments
         cluster = SimulatedCluster(scenario, deployment, seed, settings, capture, shard)
         inbox = ShardInbox(cluster, shard)
-        pipe.send(WindowReport(cluster.event_queue.next_at(), shard.take_out()))
+        pipe.send(WindowReport(cluster.event_queue.next_at(), shard.take_outgoing()))
         while (window := pipe.recv()) is not None:
             for message in window.inbox:
                 cluster.event_queue.at(message.at, inbox.on_message, message.kind, message.arguments)
             cluster.event_queue.run(window.until)
-            pipe.send(WindowReport(cluster.event_queue.next_at(), shard.take_out()))
+            pipe.send(WindowReport(cluster.event_queue.next_at(), shard.take_outgoing()))
         pipe.send(
             ShardResult(
                 cluster.seconds,
@@ -126,8 +127,9 @@
     capture: bool = False,
     progress: Callable[[float], None] | None = None,
 ) -> ShardedRun:
-    """One run over several processes, and its events in order where `capture` asks for them.  The same for the same
-    seed and number of processes.  Raises `ShardError`.
+    """Run a scenario over several processes; return its results and, with `capture`, its events in order of time.
+
+    Runs with the same seed and number of processes are the same.  Raises `ShardError` if a shard's process fails.
     """
     context = get_context("forkserver")
     arguments = ShardRunArguments(scenario, deployment, seed, settings, capture)
@@ -146,19 +148,19 @@
         for pipe in pipes:
             pipe.close()
         for child in children:
-            child.join(PROCESS_END_S)
+            child.join(PROCESS_EXIT_TIMEOUT_S)
             if child.is_alive():
                 child.kill()
 
 
 def _end_ms(scenario: FaultScenario, deployment: Deployment) -> float:
-    """When the last client has its answer, as `SimulatedCluster.run` has it."""
+    """Return the time in ms by which the last answers have arrived, as in `SimulatedCluster.run`."""
     longest_timeout_ms = max(t.timeout_ms for t in deployment.types.values())
-    return START_MS + scenario.seconds * 1000 + longest_timeout_ms + LAST_ANSWERS_MS
+    return LOAD_START_MS + scenario.seconds * 1000 + longest_timeout_ms + LAST_ANSWERS_MS
 
 
 class Coordinator:
-    """Has all shards run window after window, and passes their messages on."""
+    """Runs all shards window by window, and forwards their messages."""
 
     def __init__(
         self, pipes: list[Connection], settings: SimulationSettings, progress: Callable[[float], None] | None
@@ -167,7 +169,7 @@
         self._inboxes: list[list[InboxMessage]] = [[] for _ in pipes]
 
     def run(self, end: float) -> list[ShardResult]:
-        """Run all shards up to the time `end` in ms; their results."""
+        """Run all shards up to the time `end` in ms, and return their results."""
         until = progress_at = 0.0
         earliest = self._gather_reports()
         while until < end:
@@ -184,12 +186,12 @@
         return [_receive(pipe) for pipe in self._pipes]
 
     def _gather_reports(self) -> float:
-        """Receive all shards' reports and sort their messages into inboxes; the time of the earliest event in ms."""
+        """Receive all shards' reports and sort their messages into inboxes; return the earliest event's time in ms."""
         earliest = float("inf")
         for pipe in self._pipes:
             report: WindowReport = _receive(pipe)
             earliest = min(earliest, report.next_at)
-            for message in report.out:
+            for message in report.outgoing:
                 self._inboxes[message.target].append(InboxMessage(message.at, message.kind, message.arguments))
                 earliest = min(earliest, message.at)
         return earliest
@@ -199,29 +201,29 @@
     try:
         received = pipe.recv()
     except EOFError:
-        raise ShardError("a shard's process ended") from None
+        raise ShardError("a shard's process ended without a result") from None
     if isinstance(received, ShardError):
         raise received
     return received
 
 
 def _merge_results(results: list[ShardResult], scenario: FaultScenario) -> ShardedRun:
-    """The results of all shards as one, and their events in order of time."""
+    """Merge the results of all shards, and sort their events by time."""
     total = Result(empty_seconds(scenario.seconds), {}, {}, 0, 0)
     namespaces: dict[str, list[int]] = {}
     events: list[dict[str, Any]] = []
     for result in results:
-        for mine, theirs in zip(total.seconds, result.seconds, strict=True):
-            mine.add(theirs)
+        for total_second, shard_second in zip(total.seconds, result.seconds, strict=True):
+            total_second.add(shard_second)
         for name, latencies in result.latency.items():
             total.latency.setdefault(name, []).extend(latencies)
         for cause, occurrences in result.give_ups.items():
             total.give_ups[cause] = total.give_ups.get(cause, 0) + occurrences
-        for name, (wanted, in_time) in result.by_namespace.items():
-            before = namespaces.setdefault(name, [0, 0])
-            before[0], before[1] = before[0] + wanted, before[1] + in_time
+        for name, (calls, in_time) in result.by_namespace.items():
+            counts = namespaces.setdefault(name, [0, 0])
+            counts[0], counts[1] = counts[0] + calls, counts[1] + in_time
         total.events += result.events_run
         total.loads += result.loads
         events += result.captured
-    total.extra = {f"served_{name}": in_time / wanted for name, (wanted, in_time) in namespaces.items() if wanted}
+    total.extra = {f"served_{name}": in_time / calls for name, (calls, in_time) in namespaces.items() if calls}
     return ShardedRun(total, sorted(events, key=lambda event: event["t"]))
--- a/kelptrail/simulation/slow_start.py
+++ b/kelptrail/simulation/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start of a simulated worker: its capacity by age, and the collapse under too much work."""
+"""Slow start of a simulated worker: its capacity by age, and its collapse under overload."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class ArrivedWork(NamedTuple):
-    """When an attempt arrived, and the work that it takes in ms of a core."""
+    """Arrival time of an attempt, and its work in ms of one core."""
 
     at: float
     work_ms: float
 
 
 class SlowStart:
-    """One worker process from its start on.  Once overloaded while it warms up, it has collapsed for good."""
+    """Slow start of one worker process, which collapses permanently if it is overloaded during this time."""
 
     def __init__(self, rules: RuleSettings, cores: int, started: float) -> None:
         self._rules, self._cores, self._started = rules, cores, started
@@ -25,14 +25,14 @@
         self.collapsed = False
 
     def capacity(self, now: float) -> float:
-        """The share of its capacity, 0 to 1, that the worker has at its age."""
+        """Return the share of its full capacity, 0 to 1, that the worker has at its age."""
         age_ms = now - self._started
         if age_ms >= self._rules.slow_start_ms:
             return 1.0
         return self._rules.slow_start_share + (1 - self._rules.slow_start_share) * age_ms / self._rules.slow_start_ms
 
     def add_arrival(self, now: float, work_ms: float) -> None:
-        """Add the work of an attempt that arrives; collapse where the arrivals of the window are too many."""
+        """Add the work of an arriving attempt; collapse if the work in the overload window exceeds its limit."""
         capacity = self.capacity(now)
         if capacity >= 1 or self.collapsed:
             return
--- a/kelptrail/simulation/worker_instances.py
+++ b/kelptrail/simulation/worker_instances.py
@@ -1,4 +1,4 @@
-"""Instances of models at a simulated worker: memory, loads through the store, and unloads of idle ones."""
+"""Instances of models at a simulated worker: memory, loads from the store, and unloads of idle instances."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
     from .remote import RemoteStore
     from .workers import SimulatedWorker
 
-IDLE_CHECK_MS = 250.0  # between two checks whether instances are idle beyond their keep-alive
-QUEUED_LOADS_FACTOR = 2  # loads that may wait, for each that may run
+IDLE_CHECK_INTERVAL_MS = 250.0  # time between two checks whether a model's keep-alive time has passed
+MAX_QUEUED_LOADS_FACTOR = 2  # maximum queued loads for each concurrent load
 
 
 class PendingOrder(NamedTuple):
-    """An order to keep instances loaded that is not carried out yet."""
+    """A load order whose loads have not finished yet."""
 
     instances: int
     reply: OrderReply
@@ -38,20 +38,20 @@
     activation: str
     number: int
     reply: AttemptReply
-    foreign_in_flight: int  # other attempts at the model when this one was queued
+    other_attempts: int  # other attempts at the model when this one was queued
     was_loaded: bool
     deadline: float
 
 
 @dataclass(slots=True, eq=False)
 class ModelState:
-    """An action's model at one worker."""
+    """State of an action's model at one worker."""
 
     action: ActionSettings
     type: TypeSettings
     loaded: int = 0
     loading: int = 0
-    busy: int = 0  # attempts that run
+    busy: int = 0  # number of running attempts
     last_used: float = 0.0
     waiting: deque[QueuedAttempt] = field(default_factory=deque)
     pending_orders: list[PendingOrder] = field(default_factory=list)
@@ -73,7 +73,7 @@
 
 
 class WorkerInstances:
-    """All models of one worker process; a restart of the process makes a new one."""
+    """All models of one worker process; each start of the process creates a new object."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
         self._load_queue: deque[ModelState] = deque()
 
     def model(self, action: ActionSettings) -> ModelState:
-        """The state of an action's model, made on first use."""
+        """Return the state of an action's model, which is created on first use."""
         model = self._models.get(action.model)
         if model is None:
             model = self._models[action.model] = ModelState(action, self._deployment.types[action.type])
@@ -99,24 +99,24 @@
 
     @property
     def idle_mb(self) -> float:
-        """Memory in MB of loaded instances on which nothing runs."""
+        """Memory in MB of loaded instances without running attempts."""
         return sum((m.loaded - m.instances_in_use) * m.action.memory_mb for m in self._resident.values())
 
     @property
     def busy_mb(self) -> float:
-        """Memory in MB of instances on which attempts run or that are loading."""
+        """Memory in MB of instances with running attempts and of instances that are loading."""
         return sum((m.instances_in_use + m.loading) * m.action.memory_mb for m in self._resident.values())
 
     @property
     def open_loads(self) -> int:
-        """Loads that run or wait."""
+        """Number of running and queued loads."""
         return self._running_loads + len(self._load_queue)
 
     def keep_loaded(self, model: ModelState, instances: int, reply: OrderReply) -> None:
-        """Carry out an order to keep `instances` of a model loaded."""
+        """Carry out an order to keep `instances` of a model loaded, and answer it through `reply`."""
         model.last_used = self._event_queue.now
         while model.loaded + model.loading < instances:
-            if len(self._load_queue) >= QUEUED_LOADS_FACTOR * self._fleet.loads or not self._make_room(model):
+            if len(self._load_queue) >= MAX_QUEUED_LOADS_FACTOR * self._fleet.loads or not self._free_memory_for(model):
                 reply(AttemptStatus.OUT_OF_CAPACITY, model.loaded)
                 return
             model.loading += 1
@@ -130,21 +130,21 @@
             model.pending_orders.append(PendingOrder(instances, reply))
 
     def loaded_models(self) -> list[ModelState]:
-        """Models with loaded instances."""
+        """Return the models with loaded instances."""
         return [model for model in self._resident.values() if model.loaded]
 
     def unload(self, model: ModelState, instances: int) -> None:
-        """Unload so many instances of a model."""
+        """Unload `instances` instances of a model."""
         self._memory_mb -= instances * model.action.memory_mb
         model.loaded -= instances
-        self._forget_if_absent(model)
+        self._remove_if_absent(model)
 
-    def _forget_if_absent(self, model: ModelState) -> None:
+    def _remove_if_absent(self, model: ModelState) -> None:
         if model.is_absent:
             self._resident.pop(model.action.model, None)
 
-    def _make_room(self, model: ModelState) -> bool:
-        """Unload idle models until another instance of `model` fits; whether it does."""
+    def _free_memory_for(self, model: ModelState) -> bool:
+        """Unload idle models until another instance of `model` fits in memory; return whether it does."""
         needed_mb, limit_mb = model.action.memory_mb, self._fleet.memory_mb
         if self._memory_mb + needed_mb <= limit_mb:
             return True
@@ -179,8 +179,8 @@
     def _on_fetched(self, model: ModelState, fetch_ms: float, succeeded: bool) -> None:
         if self._process_ended:
             return
-        rest_ms = (model.action.load_ms - fetch_ms) / self._worker.slow_start_capacity if succeeded else 0.0
-        self._event_queue.after(rest_ms, self._on_loaded, model, succeeded)
+        remaining_ms = (model.action.load_ms - fetch_ms) / self._worker.slow_start_capacity if succeeded else 0.0
+        self._event_queue.after(remaining_ms, self._on_loaded, model, succeeded)
 
     def _on_loaded(self, model: ModelState, succeeded: bool) -> None:
         if self._event_queue.now < self._worker.paused_until:
@@ -193,11 +193,11 @@
         model.loaded += succeeded
         model.last_used = self._event_queue.now
         if succeeded:
-            first_check_ms = self._fleet.keep_alive_ms + IDLE_CHECK_MS
+            first_check_ms = self._fleet.keep_alive_ms + IDLE_CHECK_INTERVAL_MS
             self._event_queue.after(first_check_ms, self._unload_if_idle, model)
         else:
             self._memory_mb -= model.action.memory_mb
-            self._forget_if_absent(model)
+            self._remove_if_absent(model)
         self._answer_orders(model, succeeded)
         if model.is_absent:
             self._worker.executor.fail_waiting(model)
@@ -205,7 +205,7 @@
         self._worker.executor.start_queued()
 
     def _answer_orders(self, model: ModelState, load_succeeded: bool) -> None:
-        """Answer the orders that are carried out, and after a failed load all others."""
+        """Answer the orders that are fulfilled, and after a failed load all others, too."""
         pending_orders, model.pending_orders = model.pending_orders, []
         for order in pending_orders:
             if model.loaded >= order.instances:
@@ -216,11 +216,11 @@
                 model.pending_orders.append(order)
 
     def _unload_if_idle(self, model: ModelState) -> None:
-        """Unload the instances once they have been idle for their keep-alive."""
+        """Unload a model's instances once they have been idle for the keep-alive time."""
         if self._process_ended or not model.loaded:
             return
         remaining_ms = model.last_used + self._fleet.keep_alive_ms - self._event_queue.now
         if model.busy or model.waiting or remaining_ms > 0:
-            self._event_queue.after(max(IDLE_CHECK_MS, remaining_ms), self._unload_if_idle, model)
+            self._event_queue.after(max(IDLE_CHECK_INTERVAL_MS, remaining_ms), self._unload_if_idle, model)
         else:
             self.unload(model, model.loaded)
--- a/kelptrail/simulation/worker_messages.py
+++ b/kelptrail/simulation/worker_messages.py
@@ -1,4 +1,4 @@
-"""What simulated workers are sent and how they answer."""
+"""Messages to simulated workers, and the callbacks for their replies and events."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from kelptrail.settings.deployment import ActionSettings
 
 AttemptReply = Callable[[AttemptStatus, WorkerAnswer | None], None]
-OrderReply = Callable[[AttemptStatus, int], None]  # the number is that of loaded instances
-EventRecorder = Callable[..., None]  # the event's kind and fields, as the history checker reads them
+OrderReply = Callable[[AttemptStatus, int], None]  # status and number of loaded instances
+EventRecorder = Callable[..., None]  # kind and fields of an event, as the history checker reads them
 
 
 class WorkerIdentity(NamedTuple):
-    """What of a worker outlives its restarts."""
+    """Properties of a worker that outlive its restarts."""
 
     id: str
     zone: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptMessage:
-    """An attempt as a worker reads it; `limit_ms` counts from when it is read."""
+    """An attempt as a worker reads it; `limit_ms` is the time left when it is read."""
 
     action: ActionSettings
     deduplication_id: str
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -1,8 +1,8 @@
-"""Simulated workers: the rules of the emulated worker, in simulated time.
+"""Simulated workers, which follow the rules of the emulated worker in simulated time.
 
 A worker has cores, a bounded queue, instances that are loaded and unloaded, a slow start after a restart, a log of
-effects shared by its group against repeats, and the faults of fault scenarios.  `docs/simulation.md` says what is left
-out.
+effects for deduplication that it shares with its group, and the faults of fault scenarios.  `docs/simulation.md` lists
+what is not simulated.
 """
 
 from __future__ import annotations
@@ -29,12 +29,13 @@
 if TYPE_CHECKING:
     from .remote import RemoteStore
 
-MAX_FOREIGN_IN_FLIGHT = 30  # as a worker's answer can say
+MAX_OTHER_ATTEMPTS = 30  # largest number that a worker's answer can report
 
 
 class SimulatedWorker:
-    """One worker with its open connections; `record_event` records what the history checker reads, None without a
-    capture.  It starts past its slow start.
+    """One worker with its open connections; at first its slow start is already over.
+
+    `record_event` records the events that the history checker reads; it is None without a capture.
     """
 
     def __init__(
@@ -54,13 +55,13 @@
         self._work_factors = WorkFactors(self._random)
         self._record_event = record_event
         self._open_replies: dict[AttemptReply, None] = {}
-        self.faults: dict[str, Fault] = {}  # those that are active, by kind
+        self.faults: dict[str, Fault] = {}  # active faults by kind
         self.up, self._starts, self.paused_until = True, 0, 0.0
         self.state = "live"
         self.start_process(warm=True)
 
     def start_process(self, warm: bool) -> None:
-        """Start the process anew, empty; `warm`: past its slow start already."""
+        """Start a new process without instances; with `warm` its slow start is already over."""
         now = self._event_queue.now
         self._starts += 1
         self.incarnation = f"{zlib.crc32(self.id.encode()):08x}-{self._starts}"
@@ -79,57 +80,57 @@
         )
 
     def record(self, event: str, /, **fields: Any) -> None:
-        """Record an event of this worker, where there is a capture."""
+        """Record an event of this worker if there is a capture."""
         if self._record_event is not None:
             self._record_event(event, worker=self.id, **fields)
 
     @property
     def endpoint(self) -> Endpoint:
-        """The worker as the endpoint list shows it."""
+        """Entry of the worker in the endpoint list."""
         return Endpoint(
             self.id, self.id, self.state, self.incarnation, self._event_queue.now - self.started, self.zone, self.cell
         )
 
     @property
     def slow_start_capacity(self) -> float:
-        """The share of its capacity, 0 to 1, that the worker has at its age."""
+        """Share of its full capacity, 0 to 1, that the worker has at its age."""
         return self._slow_start.capacity(self._event_queue.now)
 
     @property
     def collapsed(self) -> bool:
-        """Whether the worker was overloaded during its slow start; it answers nothing any more."""
+        """Whether the worker was overloaded during its slow start and no longer answers."""
         return self._slow_start.collapsed
 
     @property
     def idle_mb(self) -> float:
-        """Memory in MB of loaded instances on which nothing runs."""
+        """Memory in MB of loaded instances without running attempts."""
         return self.instances.idle_mb
 
     # Connections.
 
     def receive_attempt(self, attempt: AttemptMessage, reply: AttemptReply) -> None:
-        """An attempt arrives; `reply` is called also where the worker is down or the connection is lost."""
+        """Receive an attempt; `reply` is also called if the worker is down or the connection is lost."""
         if not self.up:
             reply(AttemptStatus.UNREACHABLE, None)
             return
         self._open_replies[reply] = None
 
         def finish(status: AttemptStatus, answer: WorkerAnswer | None) -> None:
-            """Answer on the connection, which then has this attempt no longer."""
+            """Remove the attempt from the open ones, and send its answer."""
             self._open_replies.pop(reply, None)
             reply(status, answer)
 
         self.start_attempt(attempt, finish)
 
     def receive_order(self, action: ActionSettings, instances: int, dispatcher: str, reply: OrderReply) -> None:
-        """An order to keep `instances` loaded arrives; `reply` is called also where the worker is down."""
+        """Receive an order to keep `instances` loaded; `reply` is also called if the worker is down."""
         if self.up:
             self.order_instances(action, instances, dispatcher, reply)
         else:
             reply(AttemptStatus.UNREACHABLE, 0)
 
     def close_connections(self) -> None:
-        """Fail all open attempts: their connections are lost."""
+        """Close all connections, which fails their open attempts."""
         open_replies, self._open_replies = self._open_replies, {}
         for reply in open_replies:
             reply(AttemptStatus.CONNECTION_LOST, None)
@@ -137,9 +138,9 @@
     # Attempts.
 
     def start_attempt(self, attempt: AttemptMessage, reply: AttemptReply, read_delay_ms: float = 0.0) -> None:
-        """Read an attempt, `read_delay_ms` after it arrived, and answer it through `reply`."""
+        """Read an attempt `read_delay_ms` after its arrival, and answer it through `reply`."""
         now, action = self._event_queue.now, attempt.action
-        if now < self.paused_until:  # unread in the socket
+        if now < self.paused_until:  # the attempt stays unread in the socket
             wait_ms = self.paused_until - now
             delayed = replace(attempt, limit_ms=attempt.limit_ms - wait_ms)
             self._event_queue.at(self.paused_until, self.start_attempt, delayed, reply, read_delay_ms + wait_ms)
@@ -165,7 +166,7 @@
             attempt.activation,
             attempt.number,
             reply,
-            foreign_in_flight=min(MAX_FOREIGN_IN_FLIGHT, model.busy + len(model.waiting)),
+            other_attempts=min(MAX_OTHER_ATTEMPTS, model.busy + len(model.waiting)),
             was_loaded=bool(model.loaded),
             deadline=now + attempt.limit_ms,
         )
@@ -178,16 +179,16 @@
             self.record("fell", incarnation=self.incarnation)
 
     def _fail_or_queue(self, attempt: QueuedAttempt) -> None:
-        """Answer an attempt at once by a fault, a model that is not loaded or a full queue; else queue it."""
+        """Fail an attempt at once due to a fault, a model that is not loaded or a full queue; otherwise queue it."""
         model, reply = attempt.model, attempt.reply
-        if self.is_hit_by(FaultKind.FAIL_FAST) or self._fails_type(model.type.name):
+        if self.fault_applies(FaultKind.FAIL_FAST) or self._fails_type(model.type.name):
             reply(AttemptStatus.ERROR, WorkerAnswer("error"))
         elif model.is_absent:
             reply(AttemptStatus.NOT_LOADED, WorkerAnswer("miss", report=self.executor.report()))
         elif self.draining or self.executor.is_full:
             reply(AttemptStatus.OUT_OF_CAPACITY, WorkerAnswer("full", report=self.executor.report()))
         else:
-            self.executor.queue(attempt)
+            self.executor.enqueue(attempt)
 
     # Instances.
 
@@ -199,7 +200,7 @@
         reply: OrderReply,
         read_delay_ms: float = 0.0,
     ) -> None:
-        """Read an order to keep `instances` loaded, `read_delay_ms` after it arrived."""
+        """Read an order to keep `instances` loaded, `read_delay_ms` after its arrival."""
         now = self._event_queue.now
         if now < self.paused_until:
             wait_ms = self.paused_until - now
@@ -218,8 +219,8 @@
 
     # Faults.
 
-    def is_hit_by(self, kind: str) -> bool:
-        """Whether a fault of this kind is active and hits what happens now, drawn by the fault's share."""
+    def fault_applies(self, kind: str) -> bool:
+        """Return whether an active fault of this kind applies now; the fault's share is the probability."""
         fault = self.faults.get(kind)
         return fault is not None and bool(self._random.random() < fault.share)
 
@@ -230,10 +231,10 @@
     def inject(self, kind: str, fault: Fault) -> None:
         """Inject a fault for its duration."""
         if kind == FaultKind.MODELS_VOIDED:
-            self._void_models(fault.share)
+            self._unload_models(fault.share)
         elif kind == FaultKind.RESTART_COLD:
             self.start_process(warm=False)
-        elif kind == FaultKind.PAUSE:  # the process stops; later it reads what arrived meanwhile
+        elif kind == FaultKind.PAUSE:  # the process stops; when it resumes, it reads what has arrived
             self.paused_until = self._event_queue.now + fault.duration * 1000
         else:
             self.faults[kind] = fault
@@ -242,8 +243,8 @@
     def _end_fault(self, kind: str) -> None:
         self.faults.pop(kind, None)
 
-    def _void_models(self, share: float) -> None:
-        """Unload a share of the models, except for the instances that their running attempts need."""
+    def _unload_models(self, share: float) -> None:
+        """Unload a share of the models, except for the instances that running attempts need."""
         for model in self.instances.loaded_models():
             if self._random.random() < share:
                 self.instances.unload(model, model.loaded - model.instances_needed)
--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -1,4 +1,4 @@
-"""A simulation run over several processes: deterministic, close to a run in one process, no rule broken."""
+"""Simulation runs over several processes: deterministic, close to a run in one process, and without broken rules."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 SETTINGS = SimulationSettings(network_ms=1.0)
 
 
-def scenario_with(faults: list[Fault]) -> FaultScenario:
+def make_scenario(faults: list[Fault]) -> FaultScenario:
     file = str(ROOT / "examples" / "nursery.sexp")
     return FaultScenario("sharded", file, 8.0, 12, 6, 1, 0, "program", [steady_load(180.0, 8.0, 1.0)], faults)
 
 
-def fault(kind: str, at: float, seconds: float, part: float) -> Fault:
+def make_fault(kind: str, at: float, seconds: float, part: float) -> Fault:
     return Fault(
         kind,
         at,
@@ -43,31 +43,35 @@
     )
 
 
-def test_a_run_over_processes_is_the_same_each_time_and_close_to_one_in_a_single_process() -> None:
-    scenario, deployment = scenario_with([]), load(ROOT / "examples" / "nursery.sexp")
+def test_a_sharded_run_is_deterministic_and_close_to_a_run_in_one_process() -> None:
+    scenario, deployment = make_scenario([]), load(ROOT / "examples" / "nursery.sexp")
     single = SimulatedCluster(scenario, deployment, 2, SETTINGS)
     single.run()
     expected = figures(8.0, 0.0, result_of(single))
     (first, _), (second, _) = (play_sharded(scenario, deployment, 2, SETTINGS, 3) for _ in range(2))
     assert first.latency == second.latency and first.seconds == second.seconds and first.events == second.events
-    found = figures(8.0, 0.0, first)
-    assert found["wishes"] == pytest.approx(expected["wishes"], rel=0.12)
-    assert found["served_share"] == pytest.approx(expected["served_share"], abs=0.05)
-    assert found["p50_ms"] == pytest.approx(expected["p50_ms"], rel=0.15)
+    sharded = figures(8.0, 0.0, first)
+    assert sharded["wishes"] == pytest.approx(expected["wishes"], rel=0.12)
+    assert sharded["served_share"] == pytest.approx(expected["served_share"], abs=0.05)
+    assert sharded["p50_ms"] == pytest.approx(expected["p50_ms"], rel=0.15)
     assert first.loads == pytest.approx(single.store.fetches, rel=0.25), "all loads go through the first shard's store"
 
 
-def test_faults_apply_to_all_shards_alike_and_no_rule_breaks() -> None:
-    """Effects are told apart by idempotency key, attempts by activation: shards that disagree on workers would show."""
+def test_faults_apply_to_all_shards_alike_and_break_no_rule() -> None:
+    """Guards against shards that disagree on the state of workers.
+
+    The history checker tells effects apart by idempotency key and attempts by activation, so it finds such
+    disagreement.
+    """
     faults = [
-        fault("crash", 2, 1.5, 0.2),
-        fault("rolling-deploy", 3, 2, 0.2),
-        fault("kill-dispatchers", 4, 0.5, 0.3),
-        fault("hang", 5, 1.5, 0.2),
-        fault("store-slow", 2, 2, 1),
-        fault("restart-cold", 1, 0, 0.2),
+        make_fault("crash", 2, 1.5, 0.2),
+        make_fault("rolling-deploy", 3, 2, 0.2),
+        make_fault("kill-dispatchers", 4, 0.5, 0.3),
+        make_fault("hang", 5, 1.5, 0.2),
+        make_fault("store-slow", 2, 2, 1),
+        make_fault("restart-cold", 1, 0, 0.2),
     ]
-    scenario, deployment = scenario_with(faults), load(ROOT / "examples" / "nursery.sexp")
+    scenario, deployment = make_scenario(faults), load(ROOT / "examples" / "nursery.sexp")
     _, events = play_sharded(scenario, deployment, 5, SETTINGS, 3, capture=True)
     result = check_history(events)
     assert not result.broken, result.details
@@ -75,32 +79,34 @@
     assert [e["kind"] for e in events if e["what"] == "trouble"] == sorted(
         (f.kind for f in faults), key=lambda kind: next(f.at for f in faults if f.kind == kind)
     )
-    senders = {(e["dispatcher"].split("/")[0], e["worker"]) for e in events if e["what"] == "send"}
-    across = [(d, w) for d, w in senders if int(d[11:]) % 3 != int(w[7:]) // 2 % 3]
-    assert len(across) > len(senders) / 2, "attempts cross shards"
-    starts = {e["incarnation"] for e in events if e["what"] == "start"}
-    listed = {i for e in events if e["what"] == "list" for _, i in e["workers"].values()}
-    assert listed <= starts, "every shard lists the incarnations that there are"
+    dispatchers_and_workers = {(e["dispatcher"].split("/")[0], e["worker"]) for e in events if e["what"] == "send"}
+    across_shards = [(d, w) for d, w in dispatchers_and_workers if int(d[11:]) % 3 != int(w[7:]) // 2 % 3]
+    assert len(across_shards) > len(dispatchers_and_workers) / 2, "attempts go to workers of other shards"
+    started_incarnations = {e["incarnation"] for e in events if e["what"] == "start"}
+    listed_incarnations = {i for e in events if e["what"] == "list" for _, i in e["workers"].values()}
+    assert listed_incarnations <= started_incarnations, "every shard lists only incarnations that started"
 
 
-def test_an_effect_in_one_shard_is_known_in_the_others_one_network_delay_later() -> None:
+def test_an_effect_in_one_shard_reaches_the_others_one_network_delay_later() -> None:
     event_queue, shard = EventQueue(), Shard(1, 3)
     effect_log = SharedEffectLog(shard, event_queue, SETTINGS)
     effect_log["all", "m"] = 5.0
     effect_log["cell-2", "n"] = 6.0
-    assert shard.out == [(1.0, to, "mark", (("all", "m"), 5.0)) for to in (0, 2)], "a cell is within one shard"
+    assert shard.outgoing == [(1.0, to, "mark", (("all", "m"), 5.0)) for to in (0, 2)], (
+        "effects of a cell stay in its shard"
+    )
     effect_log.on_remote_effect(("all", "x"), 7.0)
-    assert effect_log["all", "x"] == 7.0 and len(shard.out) == 2
+    assert effect_log["all", "x"] == 7.0 and len(shard.outgoing) == 2
     replies: list[bool] = []
     RemoteStore(shard, event_queue, SETTINGS).fetch(30.0, replies.append)
-    assert shard.out[-1] == (1.0, 0, "fetch", (1, 1, 30.0))
+    assert shard.outgoing[-1] == (1.0, 0, "fetch", (1, 1, 30.0))
     shard.on_reply(1, (True,))
     shard.on_reply(1, (False,))
-    assert replies == [True], "the first reply counts"
+    assert replies == [True], "only the first reply is delivered"
 
 
 def test_a_shard_that_fails_is_reported_with_its_cause() -> None:
-    scenario, deployment = scenario_with([fault("nonsense", 1, 1, 0.2)]), load(ROOT / "examples" / "nursery.sexp")
+    scenario, deployment = make_scenario([make_fault("nonsense", 1, 1, 0.2)]), load(ROOT / "examples" / "nursery.sexp")
     object.__setattr__(scenario.faults[0], "at", "soon")
     with pytest.raises(ShardError, match="TypeError"):
         play_sharded(scenario, deployment, 1, SETTINGS, 2)
