--- a/kelptrail/simulation/call_arrivals.py
+++ b/kelptrail/simulation/call_arrivals.py
@@ -62,7 +62,7 @@
 
     def _schedule_draw(self, at_s: float) -> None:
         cluster = self._cluster
-        cluster.event_queue.at(cluster.start + at_s * 1000, self._draw, at_s)
+        cluster.event_queue.at(cluster.load_start + at_s * 1000, self._draw, at_s)
 
     def _draw(self, at_s: float) -> None:
         """Draw and schedule the arrivals of the next second, and schedule the next batch."""
@@ -74,7 +74,7 @@
         actions = self._actions.draw(self._random, len(arrivals))
         for (arrival_s, path), drawn_action in zip(arrivals, actions, strict=True):
             action = self._by_path.get(path) or drawn_action
-            cluster.event_queue.at(cluster.start + arrival_s * 1000, self._begin_call, action, self._load, None)
+            cluster.event_queue.at(cluster.load_start + arrival_s * 1000, self._begin_call, action, self._load, None)
         self._schedule_draw(at_s + span_s)
 
 
@@ -91,7 +91,7 @@
         """Schedule the first pause of each client of this shard."""
         cluster, (number, shard_count) = self._cluster, self._cluster.shard_part
         for _ in range(number, self._load.clients, shard_count):
-            cluster.event_queue.at(cluster.start + self._load.at * 1000, self._pause)
+            cluster.event_queue.at(cluster.load_start + self._load.at * 1000, self._pause)
 
     def _pause(self) -> None:
         pause_ms = float(self._random.exponential(self._load.think)) * 1000
@@ -99,6 +99,6 @@
 
     def _call(self) -> None:
         cluster = self._cluster
-        if cluster.event_queue.now < cluster.start + _load_end_s(cluster, self._load) * 1000:
+        if cluster.event_queue.now < cluster.load_start + _load_end_s(cluster, self._load) * 1000:
             action = self._actions.draw_one(self._random)
             self._begin_call(action, self._load, self._pause)
--- a/kelptrail/simulation/call_results.py
+++ b/kelptrail/simulation/call_results.py
@@ -36,11 +36,11 @@
 
     def on_new_call(self, call: ClientCall) -> None:
         """Count a new call of a client."""
-        self._cluster.by_namespace[call.namespace.name][0] += 1
+        self._cluster.calls_by_namespace[call.namespace.name][0] += 1
 
     def on_call_sent(self, call: ClientCall, dispatcher: int, timeout_ms: float) -> None:
         """Record that a client calls a dispatcher, for the first time or in a retry."""
-        second = self._cluster.second()
+        second = self._cluster.current_second()
         second.calls += 1
         second.retries += self._cluster.event_queue.now > call.first_sent_at
         self._record(
@@ -55,9 +55,9 @@
             front=False,
         )
 
-    def on_not_taken(self, call: ClientCall) -> None:
+    def on_not_accepted(self, call: ClientCall) -> None:
         """Record that a dispatcher did not accept the call."""
-        self._cluster.second().not_taken += 1
+        self._cluster.current_second().not_taken += 1
         self._record("not-taken", call=call.number)
 
     def on_accepted(self, call: ClientCall) -> None:
@@ -66,7 +66,7 @@
 
     def on_lost(self, call: ClientCall, ending: str) -> None:
         """Record that the client gave up waiting or polling; `ending` says which."""
-        self._cluster.second().lost += 1
+        self._cluster.current_second().lost += 1
         self._count_give_up(ending)
         self._record("no-answer", call=call.number, ending=ending)
 
@@ -82,14 +82,14 @@
             took=answer.latency_ms,
             code=answer.code,
         )
-        second = self._cluster.second()
+        second = self._cluster.current_second()
         if answer.answer == "completed":
             now = self._cluster.event_queue.now
             latency_ms = now - call.sent_at if answer.latency_ms is None else answer.latency_ms
             in_time = latency_ms <= type_.latency_objective_ms
             second.completed += 1
             second.in_time += in_time
-            self._cluster.by_namespace[call.namespace.name][1] += in_time
+            self._cluster.calls_by_namespace[call.namespace.name][1] += in_time
             self._cluster.latency[type_.name].append(latency_ms)
             return
         self._count_give_up(answer.answer)
--- a/kelptrail/simulation/clients.py
+++ b/kelptrail/simulation/clients.py
@@ -53,7 +53,7 @@
     first_sent_at: float = 0.0  # simulated time in ms
     timeout_timer: Timer | None = None
     invocation: Invocation | None = None
-    dispatcher_start: int = 0  # start number of the dispatcher process that accepted the call
+    dispatcher_start_number: int = 0  # start number of the dispatcher process that accepted the call
     on_finished: Callable[[], None] | None = None  # starts the next pause of a closed loop's client
 
 
@@ -116,7 +116,7 @@
 
     def _deliver_call(self, dispatcher: SimulatedDispatcher, call: ClientCall, number: str) -> None:
         if not dispatcher.up:
-            self._on_not_taken(call)
+            self._on_not_accepted(call)
         else:
             dispatcher.enqueue_input(self._handle_call, dispatcher, call, number)
 
@@ -131,7 +131,7 @@
                 self._join_activation(dispatcher, call, existing)
                 return
         if call.deferred and gateway.durability.journal is not None and not gateway.durability.journal.is_accepting():
-            self._on_not_taken(call)
+            self._on_not_accepted(call)
             return
         refusal = gateway.on_connect(now, call.namespace.name, call.action.path, REQUEST_BYTES, call.ticket)
         if refusal is not None:
@@ -148,7 +148,7 @@
             Submission(call.namespace.name, call.action, b"{}", key, deferred=call.deferred, client_key=call.ticket),
             lambda record: self._deliver_record(call, number, record),
         )
-        call.invocation, call.dispatcher_start = invocation, dispatcher.starts
+        call.invocation, call.dispatcher_start_number = invocation, dispatcher.start_number
         if call.deferred:
             dispatcher.schedule_decisions()
             if not invocation.record.final:
@@ -175,7 +175,7 @@
             self._on_accepted(call, invocation.record.id)
         else:
             dispatcher.gateway.on_client_gone(self._event_queue.now, invocation)
-            self._on_not_taken(call)
+            self._on_not_accepted(call)
 
     # Answers.
 
@@ -221,9 +221,9 @@
 
     # Calls without an answer.
 
-    def _on_not_taken(self, call: ClientCall) -> None:
+    def _on_not_accepted(self, call: ClientCall) -> None:
         self._cancel_timeout(call)
-        self._results.on_not_taken(call)
+        self._results.on_not_accepted(call)
         self._retry_or_end(call, ClientOutcome.NOT_TAKEN)
 
     def _cancel_timeout(self, call: ClientCall) -> None:
@@ -236,7 +236,7 @@
             return
         call.timeout_timer = None
         dispatcher, invocation = self._cluster.local_dispatchers[call.dispatcher], call.invocation
-        same_process_is_up = dispatcher.up and call.dispatcher_start == dispatcher.starts
+        same_process_is_up = dispatcher.up and call.dispatcher_start_number == dispatcher.start_number
         if same_process_is_up and invocation is not None and not invocation.record.key:
             invocation.waiters.clear()
             dispatcher.enqueue_input(dispatcher.on_client_gone, invocation)
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -63,8 +63,8 @@
         self._make_results()
         self._make_processes()
         self.publish_endpoints()
-        self.start = self.event_queue.now + LOAD_START_MS
-        self._record_for_run("begin", start=self.start, seconds=scenario.seconds)
+        self.load_start = self.event_queue.now + LOAD_START_MS
+        self._record_for_run("begin", start=self.load_start, seconds=scenario.seconds)
         self._schedule_scenario()
 
     def _make_results(self) -> None:
@@ -72,12 +72,12 @@
         self.latency: dict[str, list[float]] = {name: [] for name in self.deployment.types}
         self.give_ups: dict[str, int] = {}
         # By namespace: the number of calls, and of calls that were answered in time.
-        self.by_namespace: dict[str, list[int]] = {n: [0, 0] for n in self.deployment.namespaces}
+        self.calls_by_namespace: dict[str, list[int]] = {n: [0, 0] for n in self.deployment.namespaces}
 
     def _make_processes(self) -> None:
         """Create the store, workers, dispatchers, planners and lease nodes."""
         scenario, deployment, shard = self.scenario, self.deployment, self.shard
-        self.by_model = {action.model: action for action in deployment.actions.values()}
+        self.actions_by_model = {action.model: action for action in deployment.actions.values()}
         self.store: SimulatedStore | RemoteStore = SimulatedStore(self.event_queue, deployment.store)
         self.effect_log: dict[tuple[str, str], float] = {}
         if shard is not None:
@@ -138,13 +138,13 @@
         for load in self.scenario.load:
             clients.schedule_arrivals(load)
         for fault in self.scenario.faults:
-            self.event_queue.at(self.start + fault.at * 1000, fault_injector.inject, fault)
+            self.event_queue.at(self.load_start + fault.at * 1000, fault_injector.inject, fault)
         self._fetches_at_last_sample = 0
-        self.event_queue.at(self.start + SAMPLE_OFFSET_MS, self._sample_second)
+        self.event_queue.at(self.load_start + SAMPLE_OFFSET_MS, self._sample_second)
 
     def _sample_second(self) -> None:
         """Record the gauges at the end of each second of the load."""
-        second = self.second()
+        second = self.current_second()
         second.calls_in_flight = sum(d.gateway.in_flight for d in self.local_dispatchers if d.up)
         second.loads, self._fetches_at_last_sample = (
             self.store.fetches - self._fetches_at_last_sample,
@@ -154,7 +154,7 @@
         second.overloaded_dispatchers = sum(
             d.up and d.gateway.overload.stage is not OverloadStage.CALM for d in self.local_dispatchers
         )
-        if self.event_queue.now < self.start + (len(self.seconds) - 1) * 1000:
+        if self.event_queue.now < self.load_start + (len(self.seconds) - 1) * 1000:
             self.event_queue.after(1000.0, self._sample_second)
 
     def _record_event(self, event: str, /, **fields: Any) -> None:
@@ -168,11 +168,11 @@
     def run(self) -> None:
         """Run the scenario, and then until the last answers have arrived."""
         longest_timeout_ms = max(t.timeout_ms for t in self.deployment.types.values())
-        self.event_queue.run(self.start + self.scenario.seconds * 1000 + longest_timeout_ms + LAST_ANSWERS_MS)
+        self.event_queue.run(self.load_start + self.scenario.seconds * 1000 + longest_timeout_ms + LAST_ANSWERS_MS)
 
-    def second(self) -> Second:
+    def current_second(self) -> Second:
         """Return the counts of the current second, numbered from the start of the load."""
-        return self.seconds[max(0, min(len(self.seconds) - 1, int((self.event_queue.now - self.start) / 1000)))]
+        return self.seconds[max(0, min(len(self.seconds) - 1, int((self.event_queue.now - self.load_start) / 1000)))]
 
     def publish_endpoints(self) -> None:
         """Send the current endpoint list to all planners and dispatchers."""
@@ -189,7 +189,9 @@
 
 def result_of(cluster: SimulatedCluster) -> Result:
     """Return the results of a run in one process."""
-    served = {f"served_{name}": in_time / calls for name, (calls, in_time) in cluster.by_namespace.items() if calls}
+    served = {
+        f"served_{name}": in_time / calls for name, (calls, in_time) in cluster.calls_by_namespace.items() if calls
+    }
     planned = {
         "plans": float(sum(p.plans for p in cluster.planners)),
         "moves": float(sum(p.moves for p in cluster.planners)),
--- a/kelptrail/simulation/compare.py
+++ b/kelptrail/simulation/compare.py
@@ -54,7 +54,7 @@
     high: float
 
 
-def interval(differences: np.ndarray, confidence: float = CONFIDENCE) -> Interval:
+def confidence_interval(differences: np.ndarray, confidence: float = CONFIDENCE) -> Interval:
     """Return the confidence interval of the mean of paired differences (Student's t).
 
     It is unbounded for fewer than two pairs.
@@ -85,7 +85,7 @@
 def _difference(figure: str, point: str, pairs: list[PairedRuns]) -> Difference:
     first = np.array([pair.first[figure] for pair in pairs], dtype=float)
     second = np.array([pair.second[figure] for pair in pairs], dtype=float)
-    low, high = interval(second - first)
+    low, high = confidence_interval(second - first)
     verdict = "not told apart"
     if low > 0 or high < 0:
         verdict = "better" if (low > 0) is LARGER_IS_BETTER[figure] else "worse"
--- a/kelptrail/simulation/dispatchers.py
+++ b/kelptrail/simulation/dispatchers.py
@@ -39,11 +39,14 @@
 
 
 class SimulatedDispatcher:
-    """One dispatcher, including the restarts of its process."""
+    """One dispatcher, including the restarts of its process.
+
+    `start_number` identifies the process; callbacks for an earlier process are ignored.
+    """
 
     def __init__(self, cluster: SimulatedCluster, number: int, zone: str) -> None:
         self._cluster, self.number, self.name, self._zone = cluster, number, f"dispatcher-{number}", zone
-        self.up, self.starts, self._disk = False, 0, JournalDisk()
+        self.up, self.start_number, self._disk = False, 0, JournalDisk()
         self._settings, self._event_queue = cluster.settings, cluster.event_queue
         self.sync_ms, self.disk_fails = cluster.settings.sync_ms, False
         self.endpoints: EndpointList | None = None
@@ -54,8 +57,10 @@
 
     def start_process(self) -> None:
         """Start the process; only the last endpoint list and the journal remain from an earlier one."""
-        self.starts += 1
-        self.boot = f"{zlib.crc32(f'{self.name}/{self.starts}'.encode()):08x}{self.number:04x}{self.starts:04x}"
+        self.start_number += 1
+        self.boot = (
+            f"{zlib.crc32(f'{self.name}/{self.start_number}'.encode()):08x}{self.number:04x}{self.start_number:04x}"
+        )
         self.process_id = f"{self.name}/{self.boot}"
         deployment = self._cluster.deployment
         self.journal = GroupCommit(deployment.journal.max_pending_entries) if deployment.journal.enabled else None
@@ -114,12 +119,12 @@
 
     def enqueue_input(self, callback: Callable[..., None], *arguments: Any) -> None:
         """Queue an input; it runs once the dispatcher's CPU has processed the earlier ones."""
-        start = self.starts
+        start_number = self.start_number
         self._busy_until = max(self._busy_until, self._event_queue.now) + self._settings.cpu_ms
-        self._event_queue.at(self._busy_until, self._run_input, start, callback, arguments)
+        self._event_queue.at(self._busy_until, self._run_input, start_number, callback, arguments)
 
-    def _run_input(self, start: int, callback: Callable[..., None], arguments: tuple[Any, ...]) -> None:
-        if start == self.starts and self.up:
+    def _run_input(self, start_number: int, callback: Callable[..., None], arguments: tuple[Any, ...]) -> None:
+        if start_number == self.start_number and self.up:
             callback(*arguments)
             self.schedule_decisions()
 
@@ -152,7 +157,7 @@
             del self._open_attempts[effect.attempt]
             cancelled = effect.reason is CancelReason.CANCELLED
             status = AttemptStatus.CANCELLED if cancelled else AttemptStatus.SILENT
-            self._event_queue.after(0.0, self._on_attempt_finished, self.starts, effect.attempt, status, None)
+            self._event_queue.after(0.0, self._on_attempt_finished, self.start_number, effect.attempt, status, None)
 
     def _set_timer(self, due: float) -> None:
         """Set the timer that runs the core when it is due; a timer for an earlier time stays."""
@@ -160,25 +165,25 @@
             if self._timer is not None:
                 self._timer.cancel()
             self._timer_at = due
-            self._timer = self._event_queue.at(due, self._on_timer, self.starts)
+            self._timer = self._event_queue.at(due, self._on_timer, self.start_number)
 
-    def _on_timer(self, start: int) -> None:
-        if start == self.starts and self.up:
+    def _on_timer(self, start_number: int) -> None:
+        if start_number == self.start_number and self.up:
             self._timer, self._timer_at = None, float("inf")
             self.schedule_decisions()
 
     def _on_attempt_finished(
-        self, start: int, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
+        self, start_number: int, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
     ) -> None:
-        if start == self.starts and self.up and attempt.status is None:
+        if start_number == self.start_number and self.up and attempt.status is None:
             self.gateway.on_attempt_finished(self._event_queue.now, attempt, status, answer)
             self.schedule_decisions()
 
     def _start_attempt(self, invocation: Invocation, attempt: Attempt) -> None:
         worker, network_ms = self._cluster.workers[attempt.instance.worker.id], self._settings.network_ms
         self._open_attempts[attempt] = None
-        self._cluster.second().attempts += 1
-        finish = partial(self._on_attempt_answered, self.starts, attempt)
+        self._cluster.current_second().attempts += 1
+        finish = partial(self._on_attempt_answered, self.start_number, attempt)
         if not isinstance(worker, RemoteWorker):
             self._event_queue.after(network_ms, self._deliver_attempt, worker, invocation, attempt, finish)
         elif worker.up:
@@ -220,24 +225,24 @@
             self._event_queue.after(self._settings.network_ms, finish, status, answer)
 
     def _on_attempt_answered(
-        self, start: int, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
+        self, start_number: int, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
     ) -> None:
-        if self.up and start == self.starts and attempt in self._open_attempts:
+        if self.up and start_number == self.start_number and attempt in self._open_attempts:
             del self._open_attempts[attempt]
-            self.enqueue_input(self._on_attempt_finished, start, attempt, status, answer)
+            self.enqueue_input(self._on_attempt_finished, start_number, attempt, status, answer)
 
     def _start_load(self, order: LoadOrder) -> None:
         worker, function_id = self._cluster.workers[order.instance.worker.id], order.instance.function.id
         if order.count:
-            self._cluster.second().load_orders += 1
-        finish = partial(self._on_load_answered, self.starts, order)
+            self._cluster.current_second().load_orders += 1
+        finish = partial(self._on_load_answered, self.start_number, order)
         self._open_orders[order] = self._event_queue.after(
             self._cluster.deployment.pool.load_timeout_ms, finish, AttemptStatus.SILENT, 0
         )
         if isinstance(worker, RemoteWorker):
             worker.request(MessageKind.LOAD_ORDER, finish, function_id, order.count, self.process_id)
         else:
-            action = self._cluster.by_model[function_id]
+            action = self._cluster.actions_by_model[function_id]
             self._event_queue.after(self._settings.network_ms, self._deliver_load_order, worker, action, order, finish)
 
     def _deliver_load_order(
@@ -249,8 +254,8 @@
         """Send a worker's answer to a load order to the dispatcher."""
         self._event_queue.after(self._settings.network_ms, finish, status, loaded)
 
-    def _on_load_answered(self, start: int, order: LoadOrder, status: AttemptStatus, loaded: int) -> None:
-        timer = self._open_orders.pop(order, None) if start == self.starts else None
+    def _on_load_answered(self, start_number: int, order: LoadOrder, status: AttemptStatus, loaded: int) -> None:
+        timer = self._open_orders.pop(order, None) if start_number == self.start_number else None
         if timer is not None and self.up:
             timer.cancel()
             self.gateway.on_load_report(self._event_queue.now, order, status, loaded)
@@ -263,10 +268,10 @@
         batch = self.journal.next_batch(self._event_queue.now)
         if batch is not None:
             self._syncing = True
-            self._event_queue.after(self.sync_ms, self._on_journal_written, self.starts, batch)
+            self._event_queue.after(self.sync_ms, self._on_journal_written, self.start_number, batch)
 
-    def _on_journal_written(self, start: int, batch: Any) -> None:
-        if start != self.starts or not self.up or self.journal is None:
+    def _on_journal_written(self, start_number: int, batch: Any) -> None:
+        if start_number != self.start_number or not self.up or self.journal is None:
             return
         self._syncing = False
         if self.disk_fails:
--- a/kelptrail/simulation/leases.py
+++ b/kelptrail/simulation/leases.py
@@ -52,10 +52,10 @@
     acceptor: Acceptor | None = None
     durable_state: DurableState | None = None
     rows: dict[str, LeaseRow] = field(default_factory=dict)
-    starts: int = 0
+    start_number: int = 0
     up: bool = True
     paused: bool = False
-    unread: list[tuple[str, Message]] = field(default_factory=list)
+    unread_messages: list[tuple[str, Message]] = field(default_factory=list)
     clock_rate: float = 1.0
     clock_base_ms: float = 0.0  # local time at which the clock rate was last set
     clock_set_at_ms: float = 0.0  # simulated time at which the clock rate was last set
@@ -102,9 +102,11 @@
 
     def start_process(self, node: LeaseNode) -> None:
         """Start a node's process from the state on its disk."""
-        node.starts += 1
-        node.up, node.paused, node.unread = True, False, []
-        node.lease_client = LeaseClient(node.name, f"{node.name}/{self._seed}-{node.starts}", self._settings.cores)
+        node.start_number += 1
+        node.up, node.paused, node.unread_messages = True, False, []
+        node.lease_client = LeaseClient(
+            node.name, f"{node.name}/{self._seed}-{node.start_number}", self._settings.cores
+        )
         now = node.local_time(self._event_queue.now)
         if node.is_acceptor:
             node.acceptor = Acceptor(
@@ -137,18 +139,18 @@
         return node.lease_client.held_token(node.local_time(self._event_queue.now), task)
 
     def _begin_use(self, node: LeaseNode, task: str, token: FencingToken) -> None:
-        self._use_lease(node, node.starts, task, token)
+        self._use_lease(node, node.start_number, task, token)
 
-    def _use_lease(self, node: LeaseNode, start: int, task: str, token: FencingToken) -> None:
+    def _use_lease(self, node: LeaseNode, start_number: int, task: str, token: FencingToken) -> None:
         """Use a lease at regular intervals until the node has lost it or its process has ended."""
-        if not node.up or node.starts != start or node.lease_client is None:
+        if not node.up or node.start_number != start_number or node.lease_client is None:
             return
         if not node.paused:
             if node.lease_client.requests[task].token != token:
                 return
             if self.held_token(node.name, task) == token:
                 self._record_use(node, task, token)
-        self._event_queue.after(LEASE_USE_INTERVAL_MS, self._use_lease, node, start, task, token)
+        self._event_queue.after(LEASE_USE_INTERVAL_MS, self._use_lease, node, start_number, task, token)
 
     def _record_use(self, node: LeaseNode, task: str, token: FencingToken) -> None:
         """Record a use at the side-effect log, which accepts it unless it has received a newer token."""
@@ -199,7 +201,7 @@
         while node.acceptor is not None and node.acceptor.pending_writes:
             write = node.acceptor.pending_writes.popleft()
             delay_ms = WRITE_RETRY_MS if node.disk_fails and write.state is not None else node.sync_ms
-            self._event_queue.after(delay_ms, self._on_written, node, node.starts, write)
+            self._event_queue.after(delay_ms, self._on_written, node, node.start_number, write)
 
     @staticmethod
     def _report_lease_events(node: LeaseNode) -> None:
@@ -229,8 +231,8 @@
                 max(0.01, (min(due_times) - now) / node.clock_rate), self._run_cores, node
             )
 
-    def _on_written(self, node: LeaseNode, start: int, write: Write) -> None:
-        if node.starts != start or not node.up or node.acceptor is None:
+    def _on_written(self, node: LeaseNode, start_number: int, write: Write) -> None:
+        if node.start_number != start_number or not node.up or node.acceptor is None:
             return
         if not node.disk_fails:
             node.durable_state = write.state or node.durable_state
@@ -252,7 +254,7 @@
             return
         node.messages_received += 1
         if node.paused:
-            node.unread.append((link.sender, message))
+            node.unread_messages.append((link.sender, message))
             return
         self._deliver(node, link.sender, message)
         self._run_cores(node)
@@ -309,8 +311,8 @@
         self._run_cores(node)
 
     def _resume(self, node: LeaseNode) -> None:
-        unread, node.unread, node.paused = node.unread, [], False
-        for sender, message in unread:
+        messages, node.unread_messages, node.paused = node.unread_messages, [], False
+        for sender, message in messages:
             self._deliver(node, sender, message)
         self._run_cores(node)
 
--- a/kelptrail/simulation/planners.py
+++ b/kelptrail/simulation/planners.py
@@ -30,23 +30,23 @@
         self._cluster, self.name, self._solver = cluster, f"planner-{number}", solver
         self._settings = planner_settings(cluster.deployment)
         self._function_profiles = function_profiles(cluster.deployment)
-        self.up, self.slow_ms, self._starts = False, 0.0, 0
+        self.up, self.slow_ms, self._start_number = False, 0.0, 0
         self._snapshot: InstanceCounts = {}
         self.plans = self.moves = 0
         self.start_process(True)
 
     def start_process(self, without_snapshot: bool = False) -> None:
         """Start the process from its snapshot, or empty if `without_snapshot` is set."""
-        self.up, self._starts = True, self._starts + 1
+        self.up, self._start_number = True, self._start_number + 1
         leases = self._cluster.leases
-        if leases is not None and self._starts > 1:
+        if leases is not None and self._start_number > 1:
             leases.start_process(leases.nodes[self.name])
         self.core = Planner(self.name, self._settings, self._function_profiles, self._cluster.event_queue.now)
         if not without_snapshot:
             self.core.restore_plan(self._snapshot)
         if self._cluster.endpoints is not None:
             self.on_endpoints(self._cluster.endpoints)
-        self._cluster.event_queue.after(TICK_INTERVAL_MS, self._tick, self._starts)
+        self._cluster.event_queue.after(TICK_INTERVAL_MS, self._tick, self._start_number)
 
     def on_lease_acquired(self, token: FencingToken) -> None:
         """Make the planner the leader, since it has acquired the lease."""
@@ -70,19 +70,19 @@
             EndpointsVersion(endpoints.lineage, endpoints.version),
         )
 
-    def _tick(self, start: int) -> None:
-        if start != self._starts or not self.up:
+    def _tick(self, start_number: int) -> None:
+        if start_number != self._start_number or not self.up:
             return
         now, event_queue = self._cluster.event_queue.now, self._cluster.event_queue
         self.core.tick(now, HOUR_OF_DAY)
         if (problem := self.core.next_problem(now, HOUR_OF_DAY)) is not None:
-            event_queue.after(SOLVE_MS + self.slow_ms, self._on_solved, start, problem)
+            event_queue.after(SOLVE_MS + self.slow_ms, self._on_solved, start_number, problem)
         self._snapshot = self.core.target
         self._send_plans()
-        event_queue.after(TICK_INTERVAL_MS, self._tick, start)
+        event_queue.after(TICK_INTERVAL_MS, self._tick, start_number)
 
-    def _on_solved(self, start: int, problem: PlacementProblem) -> None:
-        if start == self._starts and self.up:
+    def _on_solved(self, start_number: int, problem: PlacementProblem) -> None:
+        if start_number == self._start_number and self.up:
             solve = place_greedily if self._solver == "greedy" else place_by_program
             solution = solve(problem.workers, problem.demands, problem.budget)
             self.core.on_solution(self._cluster.event_queue.now, problem.number, solution)
@@ -117,14 +117,14 @@
     def start_process(self) -> None:
         """Start together with the dispatcher's process, from the last plan if there is one."""
         now = self._cluster.event_queue.now
-        self._start = self._dispatcher.starts
+        self._start_number = self._dispatcher.start_number
         self.follower, self._leader_contact = PlanState(self._cluster.deployment.name), LeaderContact(now)
         self._applied: PlanOrder | None = None
         if self._saved_plan is not None:
             self.follower.restore(now, self._saved_plan, 10_000.0, self._live_workers())
             self.apply()
         self._cluster.event_queue.after(
-            REPORT_INTERVAL_MS * (0.5 + self._dispatcher.number % 50 / 100), self._report, self._start
+            REPORT_INTERVAL_MS * (0.5 + self._dispatcher.number % 50 / 100), self._report, self._start_number
         )
 
     def _live_workers(self) -> set[str]:
@@ -172,8 +172,8 @@
                 self.follower.fence,
             )
 
-    def _report(self, start: int) -> None:
-        if start != self._dispatcher.starts or not self._dispatcher.up:
+    def _report(self, start_number: int) -> None:
+        if start_number != self._dispatcher.start_number or not self._dispatcher.up:
             return
         now, gateway = self._cluster.event_queue.now, self._dispatcher.gateway
         counters, loaded = gateway.counters(), gateway.loaded_instances()
@@ -184,4 +184,4 @@
                 planner.core.on_report(now, self._dispatcher.name, self.follower.fence, counters, loaded)
         if self.follower.target(now) is None and self._applied is not None:
             self.apply()  # the plan has expired
-        self._cluster.event_queue.after(REPORT_INTERVAL_MS, self._report, start)
+        self._cluster.event_queue.after(REPORT_INTERVAL_MS, self._report, start_number)
--- a/kelptrail/simulation/remote.py
+++ b/kelptrail/simulation/remote.py
@@ -33,13 +33,13 @@
         self.id, self._zone, self._cell = identity
         self._slow_start_ms = slow_start_ms
         self._shard, self._home_shard, self._event_queue, self._settings = shard, home_shard, event_queue, settings
-        self.up, self.state, self.draining, self._starts = True, "live", False, 0
+        self.up, self.state, self.draining, self._start_number = True, "live", False, 0
         self.start_process(True)
 
     def start_process(self, warm: bool) -> None:
         """Start a new process, as the worker's own shard does; with `warm` its slow start is over."""
-        self._starts += 1
-        self.incarnation = f"{zlib.crc32(self.id.encode()):08x}-{self._starts}"
+        self._start_number += 1
+        self.incarnation = f"{zlib.crc32(self.id.encode()):08x}-{self._start_number}"
         self.started = self._event_queue.now - (self._slow_start_ms + 1 if warm else 0.0)
 
     @property
--- a/kelptrail/simulation/shard_inbox.py
+++ b/kelptrail/simulation/shard_inbox.py
@@ -41,7 +41,7 @@
         assert isinstance(worker, SimulatedWorker)
         if kind is MessageKind.LOAD_ORDER:
             model, instances, dispatcher = arguments[1:]
-            worker.receive_order(self._cluster.by_model[model], instances, dispatcher, reply)
+            worker.receive_order(self._cluster.actions_by_model[model], instances, dispatcher, reply)
         else:
             path, *fields = arguments[1:]
             worker.receive_attempt(AttemptMessage(self._cluster.deployment.actions[path], *fields), reply)
--- a/kelptrail/simulation/sharding.py
+++ b/kelptrail/simulation/sharding.py
@@ -84,7 +84,7 @@
     give_ups: dict[str, int]
     events_run: int
     loads: int
-    by_namespace: dict[str, list[int]]
+    calls_by_namespace: dict[str, list[int]]
     captured: list[dict[str, Any]]
 
 
@@ -107,7 +107,7 @@
                 cluster.give_ups,
                 cluster.event_queue.events,
                 cluster.store.fetches,
-                cluster.by_namespace,
+                cluster.calls_by_namespace,
                 cluster.events,
             )
         )
@@ -219,7 +219,7 @@
             total.latency.setdefault(name, []).extend(latencies)
         for cause, occurrences in result.give_ups.items():
             total.give_ups[cause] = total.give_ups.get(cause, 0) + occurrences
-        for name, (calls, in_time) in result.by_namespace.items():
+        for name, (calls, in_time) in result.calls_by_namespace.items():
             counts = namespaces.setdefault(name, [0, 0])
             counts[0], counts[1] = counts[0] + calls, counts[1] + in_time
         total.events += result.events_run
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -56,15 +56,15 @@
         self._record_event = record_event
         self._open_replies: dict[AttemptReply, None] = {}
         self.faults: dict[str, Fault] = {}  # active faults by kind
-        self.up, self._starts, self.paused_until = True, 0, 0.0
+        self.up, self._start_number, self.paused_until = True, 0, 0.0
         self.state = "live"
         self.start_process(warm=True)
 
     def start_process(self, warm: bool) -> None:
         """Start a new process without instances; with `warm` its slow start is already over."""
         now = self._event_queue.now
-        self._starts += 1
-        self.incarnation = f"{zlib.crc32(self.id.encode()):08x}-{self._starts}"
+        self._start_number += 1
+        self.incarnation = f"{zlib.crc32(self.id.encode()):08x}-{self._start_number}"
         self.started = now - (self._rules.slow_start_ms + 1 if warm else 0.0)
         self.instances = WorkerInstances(self, self._event_queue, self._deployment, self._store)
         self.executor = AttemptExecutor(self, self._event_queue, self._fleet, self._work_factors, self._effect_log)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -20,7 +20,7 @@
 from kelptrail.settings.deployment import Deployment, load
 from kelptrail.settings.reader import SettingsError
 from kelptrail.simulation.cluster import SimulatedCluster, play
-from kelptrail.simulation.compare import compare, interval
+from kelptrail.simulation.compare import compare, confidence_interval
 from kelptrail.simulation.event_queue import EventQueue
 from kelptrail.simulation.experiment import load as load_experiment
 from kelptrail.simulation.experiment import run
@@ -202,10 +202,10 @@
     random = np.random.default_rng(4)
     covered = 0
     for _ in range(400):
-        low, high = interval(random.normal(1.0, 2.0, 8))
+        low, high = confidence_interval(random.normal(1.0, 2.0, 8))
         covered += low <= 1.0 <= high
     assert 0.91 < covered / 400 < 0.99
-    assert interval(np.array([3.0])) == (float("-inf"), float("inf"))
+    assert confidence_interval(np.array([3.0])) == (float("-inf"), float("inf"))
 
 
 @pytest.mark.parametrize(
