--- a/kelptrail/simulation/dispatchers.py
+++ b/kelptrail/simulation/dispatchers.py
@@ -1,7 +1,7 @@
-"""Simulated dispatchers: the real gateway core, driven in simulated time, with its journal on an emulated disk.
+"""Simulated dispatchers: the real gateway core in simulated time, with its journal on a simulated disk.
 
-A dispatcher is driven as the program's driver does it: inputs, then effects until there are none, and one timer.  Each
-input costs CPU time, so an overloaded dispatcher falls behind here, too.
+The core is driven as in the program: after each input its effects are carried out until none is left, and a timer runs
+it when it is due.  Each input takes CPU time, so that an overloaded dispatcher falls behind as a real one does.
 """
 
 from __future__ import annotations
@@ -33,17 +33,20 @@
 if TYPE_CHECKING:
     from .cluster import SimulatedCluster
 
-WALL_CLOCK_ORIGIN_MS = 1e12  # the wall clock at simulated time 0
-ANSWER_MARGINS = 2  # of a call that is recovered
-TIMER_TOLERANCE_MS = 0.01  # a timer is not set anew for less
+WALL_CLOCK_ORIGIN_MS = 1e12  # wall-clock time at simulated time 0
+RECOVERY_MARGIN_FACTOR = 2  # margin of a recovered call, in answer margins
+TIMER_TOLERANCE_MS = 0.01  # a timer is set again only if it is due earlier by more than this
 
 
 class SimulatedDispatcher:
-    """One dispatcher's process."""
+    """One dispatcher, including the restarts of its process.
+
+    `start_number` identifies the process; callbacks for an earlier process are ignored.
+    """
 
     def __init__(self, cluster: SimulatedCluster, number: int, zone: str) -> None:
         self._cluster, self.number, self.name, self._zone = cluster, number, f"dispatcher-{number}", zone
-        self.up, self.starts, self._disk = False, 0, JournalDisk()
+        self.up, self.start_number, self._disk = False, 0, JournalDisk()
         self._settings, self._event_queue = cluster.settings, cluster.event_queue
         self.sync_ms, self.disk_fails = cluster.settings.sync_ms, False
         self.endpoints: EndpointList | None = None
@@ -53,9 +56,11 @@
         self.edge = SimulatedEdge(cluster, self) if cluster.scenario.planners else None
 
     def start_process(self) -> None:
-        """Start the process with nothing but the last endpoint list and the journal."""
-        self.starts += 1
-        self.boot = f"{zlib.crc32(f'{self.name}/{self.starts}'.encode()):08x}{self.number:04x}{self.starts:04x}"
+        """Start the process; only the last endpoint list and the journal remain from an earlier one."""
+        self.start_number += 1
+        self.boot = (
+            f"{zlib.crc32(f'{self.name}/{self.start_number}'.encode()):08x}{self.number:04x}{self.start_number:04x}"
+        )
         self.process_id = f"{self.name}/{self.boot}"
         deployment = self._cluster.deployment
         self.journal = GroupCommit(deployment.journal.max_pending_entries) if deployment.journal.enabled else None
@@ -74,9 +79,9 @@
         self.schedule_decisions()
 
     def _recover(self, stored: list[ActivationEntries]) -> None:
-        """Recover the activations of the journal."""
+        """Recover the activations in the journal."""
         now, deployment = self._event_queue.now, self._cluster.deployment
-        margin_ms = ANSWER_MARGINS * deployment.dispatcher.answer_margin_ms
+        margin_ms = RECOVERY_MARGIN_FACTOR * deployment.dispatcher.answer_margin_ms
         max_resumed = deployment.journal.max_resumed
         self.gateway.recover(now, WALL_CLOCK_ORIGIN_MS + now, stored, margin_ms, max_resumed)
 
@@ -89,11 +94,11 @@
         self._disk.erase()
 
     def pause(self, duration_ms: float) -> None:
-        """Stop the process for a time; inputs queue meanwhile."""
+        """Stop the process for a time; inputs are queued until it resumes."""
         self._busy_until = max(self._busy_until, self._event_queue.now) + duration_ms
 
     def on_endpoints(self, endpoints: EndpointList) -> None:
-        """A new endpoint list has arrived."""
+        """Store a new endpoint list, and apply it if the process is up."""
         self.endpoints = endpoints
         if self.up:
             self.gateway.on_endpoints(self._event_queue.now, endpoints)
@@ -109,24 +114,24 @@
             self.schedule_decisions()
 
     def on_client_gone(self, invocation: Invocation) -> None:
-        """The client of an invocation waits no longer."""
+        """Notify the core that the client of an invocation has stopped waiting."""
         self.gateway.on_client_gone(self._event_queue.now, invocation)
 
     def enqueue_input(self, callback: Callable[..., None], *arguments: Any) -> None:
-        """Queue an input for the dispatcher's CPU."""
-        start = self.starts
+        """Queue an input; it runs once the dispatcher's CPU has processed the earlier ones."""
+        start_number = self.start_number
         self._busy_until = max(self._busy_until, self._event_queue.now) + self._settings.cpu_ms
-        self._event_queue.at(self._busy_until, self._run_input, start, callback, arguments)
+        self._event_queue.at(self._busy_until, self._run_input, start_number, callback, arguments)
 
-    def _run_input(self, start: int, callback: Callable[..., None], arguments: tuple[Any, ...]) -> None:
-        if start == self.starts and self.up:
+    def _run_input(self, start_number: int, callback: Callable[..., None], arguments: tuple[Any, ...]) -> None:
+        if start_number == self.start_number and self.up:
             callback(*arguments)
             self.schedule_decisions()
 
-    # What the driver does in the program.
+    # The work of the program's driver.
 
     def schedule_decisions(self) -> None:
-        """Carry out effects of the core until there are none, then write the journal and set the timer."""
+        """Carry out the core's effects until none is left, then write the journal and set the timer."""
         if self._deciding:
             return
         self._deciding = True
@@ -152,35 +157,35 @@
             del self._open_attempts[effect.attempt]
             cancelled = effect.reason is CancelReason.CANCELLED
             status = AttemptStatus.CANCELLED if cancelled else AttemptStatus.SILENT
-            self._event_queue.after(0.0, self._on_attempt_finished, self.starts, effect.attempt, status, None)
+            self._event_queue.after(0.0, self._on_attempt_finished, self.start_number, effect.attempt, status, None)
 
     def _set_timer(self, due: float) -> None:
-        """Have the core run when it is due; a timer that is set for an earlier time stays."""
+        """Set the timer that runs the core when it is due; a timer for an earlier time stays."""
         if due < self._timer_at - TIMER_TOLERANCE_MS or self._timer is None:
             if self._timer is not None:
                 self._timer.cancel()
             self._timer_at = due
-            self._timer = self._event_queue.at(due, self._on_timer, self.starts)
+            self._timer = self._event_queue.at(due, self._on_timer, self.start_number)
 
-    def _on_timer(self, start: int) -> None:
-        if start == self.starts and self.up:
+    def _on_timer(self, start_number: int) -> None:
+        if start_number == self.start_number and self.up:
             self._timer, self._timer_at = None, float("inf")
             self.schedule_decisions()
 
     def _on_attempt_finished(
-        self, start: int, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
+        self, start_number: int, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
     ) -> None:
-        if start == self.starts and self.up and attempt.status is None:
+        if start_number == self.start_number and self.up and attempt.status is None:
             self.gateway.on_attempt_finished(self._event_queue.now, attempt, status, answer)
             self.schedule_decisions()
 
     def _start_attempt(self, invocation: Invocation, attempt: Attempt) -> None:
         worker, network_ms = self._cluster.workers[attempt.instance.worker.id], self._settings.network_ms
         self._open_attempts[attempt] = None
-        self._cluster.second().attempts += 1
-        finish = partial(self._on_attempt_answered, self.starts, attempt)
+        self._cluster.current_second().attempts += 1
+        finish = partial(self._on_attempt_answered, self.start_number, attempt)
         if not isinstance(worker, RemoteWorker):
-            self._event_queue.after(network_ms, self._arrive_at_worker, worker, invocation, attempt, finish)
+            self._event_queue.after(network_ms, self._deliver_attempt, worker, invocation, attempt, finish)
         elif worker.up:
             message = self._attempt_message(invocation, attempt)
             worker.request(
@@ -206,7 +211,7 @@
             attempt.request.deadline - attempt.started_at,
         )
 
-    def _arrive_at_worker(
+    def _deliver_attempt(
         self, worker: SimulatedWorker, invocation: Invocation, attempt: Attempt, finish: AttemptReply
     ) -> None:
         reply = partial(self._return_answer, attempt, finish)
@@ -215,58 +220,58 @@
     def _return_answer(
         self, attempt: Attempt, finish: AttemptReply, status: AttemptStatus, answer: WorkerAnswer | None
     ) -> None:
-        """A worker's answer on its way to the dispatcher."""
+        """Send a worker's answer to the dispatcher, unless the attempt was cancelled."""
         if attempt in self._open_attempts:
             self._event_queue.after(self._settings.network_ms, finish, status, answer)
 
     def _on_attempt_answered(
-        self, start: int, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
+        self, start_number: int, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
     ) -> None:
-        if self.up and start == self.starts and attempt in self._open_attempts:
+        if self.up and start_number == self.start_number and attempt in self._open_attempts:
             del self._open_attempts[attempt]
-            self.enqueue_input(self._on_attempt_finished, start, attempt, status, answer)
+            self.enqueue_input(self._on_attempt_finished, start_number, attempt, status, answer)
 
     def _start_load(self, order: LoadOrder) -> None:
         worker, function_id = self._cluster.workers[order.instance.worker.id], order.instance.function.id
         if order.count:
-            self._cluster.second().load_orders += 1
-        finish = partial(self._on_load_answered, self.starts, order)
+            self._cluster.current_second().load_orders += 1
+        finish = partial(self._on_load_answered, self.start_number, order)
         self._open_orders[order] = self._event_queue.after(
             self._cluster.deployment.pool.load_timeout_ms, finish, AttemptStatus.SILENT, 0
         )
         if isinstance(worker, RemoteWorker):
             worker.request(MessageKind.LOAD_ORDER, finish, function_id, order.count, self.process_id)
         else:
-            action = self._cluster.by_model[function_id]
-            self._event_queue.after(self._settings.network_ms, self._order_arrives, worker, action, order, finish)
+            action = self._cluster.actions_by_model[function_id]
+            self._event_queue.after(self._settings.network_ms, self._deliver_load_order, worker, action, order, finish)
 
-    def _order_arrives(
+    def _deliver_load_order(
         self, worker: SimulatedWorker, action: ActionSettings, order: LoadOrder, finish: OrderReply
     ) -> None:
         worker.receive_order(action, order.count, self.process_id, partial(self._return_load_report, finish))
 
     def _return_load_report(self, finish: OrderReply, status: AttemptStatus, loaded: int) -> None:
-        """A worker's answer to an order on its way to the dispatcher."""
+        """Send a worker's answer to a load order to the dispatcher."""
         self._event_queue.after(self._settings.network_ms, finish, status, loaded)
 
-    def _on_load_answered(self, start: int, order: LoadOrder, status: AttemptStatus, loaded: int) -> None:
-        timer = self._open_orders.pop(order, None) if start == self.starts else None
+    def _on_load_answered(self, start_number: int, order: LoadOrder, status: AttemptStatus, loaded: int) -> None:
+        timer = self._open_orders.pop(order, None) if start_number == self.start_number else None
         if timer is not None and self.up:
             timer.cancel()
             self.gateway.on_load_report(self._event_queue.now, order, status, loaded)
             self.schedule_decisions()
 
     def _write_journal(self) -> None:
-        """Write the next batch of the journal, one batch at a time."""
+        """Write the next batch of the journal, unless a write is in progress."""
         if self.journal is None or self._syncing:
             return
         batch = self.journal.next_batch(self._event_queue.now)
         if batch is not None:
             self._syncing = True
-            self._event_queue.after(self.sync_ms, self._on_journal_written, self.starts, batch)
+            self._event_queue.after(self.sync_ms, self._on_journal_written, self.start_number, batch)
 
-    def _on_journal_written(self, start: int, batch: Any) -> None:
-        if start != self.starts or not self.up or self.journal is None:
+    def _on_journal_written(self, start_number: int, batch: Any) -> None:
+        if start_number != self.start_number or not self.up or self.journal is None:
             return
         self._syncing = False
         if self.disk_fails:
--- a/kelptrail/simulation/shard_inbox.py
+++ b/kelptrail/simulation/shard_inbox.py
@@ -1,4 +1,4 @@
-"""Messages of other shards, carried out in a shard's cluster."""
+"""Handling of the messages that a shard receives from other shards."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         self._cluster, self._shard = cluster, shard
 
     def on_message(self, kind: MessageKind, arguments: tuple[Any, ...]) -> None:
-        """A message of another shard arrives."""
+        """Handle a message of another shard."""
         if kind is MessageKind.REPLY:
             self._shard.on_reply(*arguments)
         elif kind is MessageKind.EFFECT:
@@ -41,7 +41,7 @@
         assert isinstance(worker, SimulatedWorker)
         if kind is MessageKind.LOAD_ORDER:
             model, instances, dispatcher = arguments[1:]
-            worker.receive_order(self._cluster.by_model[model], instances, dispatcher, reply)
+            worker.receive_order(self._cluster.actions_by_model[model], instances, dispatcher, reply)
         else:
             path, *fields = arguments[1:]
             worker.receive_attempt(AttemptMessage(self._cluster.deployment.actions[path], *fields), reply)
