--- a/kelptrail/service/__init__.py
+++ b/kelptrail/service/__init__.py
@@ -1,1 +1,1 @@
-"""Assembles processes from the other packages: a dispatcher, an edge, a planner."""
+"""Builds the processes of a deployment (dispatcher, edge, planner) from the other packages."""
--- a/kelptrail/service/build.py
+++ b/kelptrail/service/build.py
@@ -1,4 +1,4 @@
-"""From the deployment's settings to those of servers and TLS."""
+"""Converts the settings of a deployment to those of the servers and of TLS."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def front_limits(front: FrontSettings) -> Limits:
-    """Limits of the HTTP front's server."""
+    """Return the limits of the HTTP front's server."""
     return Limits(
         front.connections,
         front.header_bytes,
@@ -28,7 +28,7 @@
 
 
 def grpc_limits(front: InferenceSettings) -> GrpcLimits:
-    """Limits of the gRPC front's server."""
+    """Return the limits of the gRPC front's server."""
     return GrpcLimits(
         front.connections,
         front.streams,
@@ -46,12 +46,15 @@
 
 
 def _settings_file(deployment: Deployment, name: str) -> Path | None:
-    """A file that the settings name, relative to their own folder."""
+    """Return the path of a file named in the settings, relative to the settings' folder; None if no name is given."""
     return deployment.folder / name if name else None
 
 
 def certificate_reloader(deployment: Deployment, side: str, alpn: list[str], log: Any) -> CertificateReloader | None:
-    """One side's TLS, if the settings have it.  Raises `ValueError` where its files are unusable."""
+    """Return the certificate reloader of one TLS side, or None if the settings have no TLS for it.
+
+    Raises `ValueError` if its files are unusable.
+    """
     settings = deployment.tls.get(side)
     if settings is None:
         return None
--- a/kelptrail/service/control.py
+++ b/kelptrail/service/control.py
@@ -1,6 +1,6 @@
-"""A dispatcher's control port: status for operators as JSON.  The only command is to retire.
+"""A dispatcher's control port: status for operators as JSON, and one command, `POST /retire`.
 
-The keys of the answers are an interface: operators' tools read them.
+Operators' tools read the keys of the responses, so they are a public interface.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Control:
-    """`GET /state`, `GET /vrrp`, `GET /leases`, `GET /usage`, `GET /copies`, `POST /retire`."""
+    """Handles `GET /state`, `GET /vrrp`, `GET /leases`, `GET /usage`, `GET /copies` and `POST /retire`."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
             self._reply_status(request.path, exchange)
 
     def _reply_status(self, path: str, exchange: Exchange) -> None:
-        """Answer with the status at a path, or say what is missing."""
+        """Reply with the status at a path, or with 404 and the reason why there is none."""
         status = self._status_sources().get(path)
         if status is not None:
             exchange.reply(200, msgspec.json.encode(status()))
@@ -61,7 +61,7 @@
             exchange.reply(404, MISSING_STATUS.get(path, b'{"error":"no such thing"}'))
 
     def _status_sources(self) -> dict[str, Callable[[], Any]]:
-        """What gives the status at each path that this dispatcher has."""
+        """Return the function that computes the status, for each path that this dispatcher serves."""
         sources: dict[str, Callable[[], Any]] = {"/state": self._state}
         if self._front_addresses is not None:
             sources["/vrrp"] = self._front_addresses.vrrp.status
--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -1,4 +1,4 @@
-"""The parts of one dispatcher process, and the order in which they are built and started."""
+"""The components of a dispatcher process, and the order in which they are built and started."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from .front_addresses import FrontAddresses
 from .fronts import Fronts
 from .garbage_collection import FullCollections, freeze_startup_objects
-from .journal import least_run_ms, open_stores, recover_activations
+from .journal import min_run_ms, open_stores, recover_activations
 from .journal_takeover import take_over_journal
 from .lease_trial import FaultyClock, LeaseTrial
 from .options import DispatcherOptions
@@ -40,21 +40,22 @@
 from .usage import NamespaceCounts, UsageDriver, UsageSettings
 
 FIRST_LIST_TIMEOUT_S = 3.0
-LISTEN_TIMEOUT_MS, LISTEN_RETRY_MS = 5_000.0, 50.0  # for an address that is taken
+LISTEN_TIMEOUT_MS, LISTEN_RETRY_MS = 5_000.0, 50.0  # retries while the address is in use
 CONTROL_CONNECTIONS = 64
 
 
 class Dispatcher:
     """One dispatcher process.
 
-    The constructor builds it up to the recovery of its journal; `start` begins to serve.
+    The constructor builds the components and recovers the journal; `start` begins to serve.
     """
 
-    background: Background  # from `start` on
+    background: Background  # set by `start`
 
     def __init__(self, deployment: Deployment, options: DispatcherOptions, log: Any, debug: bool) -> None:
         self.deployment, self.options, self.log = deployment, options, log
-        # Ids tell which dispatcher gave them; the rest is new at each start, so that they never meet another run's.
+        # The prefix of an id identifies the dispatcher that issued it.  The rest is random, so that the ids of two
+        # runs never collide.
         self.boot = id_prefix(options.name) + os.urandom(8).hex()[ID_PREFIX_DIGITS:]
         zone = options.zone or deployment.dispatcher.zone or deployment.zones[0]
         parts = DispatcherParts(deployment, zone, zlib.crc32(self.boot.encode()))
@@ -84,7 +85,7 @@
         self.port = 0
 
     async def start(self) -> None:
-        """Begin to serve.  Raises `OSError` where an address cannot be had."""
+        """Begin to serve.  Raises `OSError` if an address cannot be bound."""
         loaded_last_list = self.endpoints.load_saved()
         if loaded_last_list:
             self.driver.on_initial_list()
@@ -94,7 +95,7 @@
         self.background = Background(SchedulerSettings(), now_ms, lambda: bool(self.gateway.in_flight), self.log)
         self.background.add("collect", FullCollections(self.gateway).step, 9, 60_000.0, 600_000.0, 0.05)
         await self._listen_http()
-        self._add_upkeep()
+        self._add_maintenance()
         self._start_planning()
         self.background.start()
         self._listen_grpc()
@@ -116,7 +117,7 @@
         folder = self.options.state_folder
         return folder / name if folder is not None else None
 
-    # The fleet: peers, leases, replication, usage.
+    # Fleet: peers, leases, replication and usage.
 
     def _build_fleet(self) -> Fleet | None:
         deployment, options = self.deployment, self.options
@@ -138,8 +139,8 @@
         )
         if deployment.peers.replicas:
             fleet.enable_replication(deployment.peers, self.log)
-            at_once, least_ms = deployment.journal.max_resumed, least_run_ms(deployment)
-            take_over_journal(fleet.replication, self.gateway, self.driver, at_once, least_ms)
+            max_resumed, min_ms = deployment.journal.max_resumed, min_run_ms(deployment)
+            take_over_journal(fleet.replication, self.gateway, self.driver, max_resumed, min_ms)
             for api in (self.fronts.invoke, self.fronts.inference):
                 api.context.activation_lookup = fleet.replication
         return fleet
@@ -196,8 +197,10 @@
             self.fleet.replication.address = server.address
 
     async def _listen_when_free(self) -> int:
-        """Listen at the configured address; returns the port.  A restart may find its port taken for a moment, by its
-        predecessor or by an outgoing connection.  Raises `OSError`.
+        """Listen at the configured address and return the port.
+
+        After a restart the port may be in use for a short time, by the previous process or as the local port of an
+        outgoing connection.  Raises `OSError` if the address cannot be bound in time.
         """
         options, deadline = self.options, now_ms() + LISTEN_TIMEOUT_MS
         while True:
@@ -214,7 +217,7 @@
             port = settings.port if options.grpc_port is None else options.grpc_port
             self.fronts.grpc.listen(options.host, port, options.shared_port)
 
-    def _add_upkeep(self) -> None:
+    def _add_maintenance(self) -> None:
         if self.driver.journal is not None:
             self.background.add("compact", self.driver.journal.compact, 7, 2000.0, 30_000.0)
         if self.fronts.reloaders:
@@ -293,7 +296,7 @@
         return server
 
     def _status_sections(self) -> dict[str, Callable[[], Any]]:
-        """What the control port shows beside the gateway's state, in the order in which it is shown."""
+        """Return the status functions that `/state` appends to the gateway's state, by section and in output order."""
         sections: dict[str, Callable[[], Any]] = {"background": self.background.scheduler.status}
         if self.fleet is not None:
             sections |= self.fleet.status()
--- a/kelptrail/service/embedded_planner.py
+++ b/kelptrail/service/embedded_planner.py
@@ -1,4 +1,4 @@
-"""A planner in the process of a dispatcher, where the settings ask for one."""
+"""A planner that runs in a dispatcher's process, if the settings enable it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def start_embedded_planner(deployment: Deployment, options: DispatcherOptions, fleet: Fleet, log: Any) -> PlannerDriver:
-    """Start it on a free loopback port; it plans while it holds the planner's lease."""
+    """Start a planner on a free loopback port; it plans while it holds the planner's lease."""
     assert fleet.leases is not None
     planner_options = PlannerOptions(
         f"{options.name}-planner", "127.0.0.1", 0, options.endpoint_service, options.state_folder
--- a/kelptrail/service/errors.py
+++ b/kelptrail/service/errors.py
@@ -1,11 +1,11 @@
-"""What can be wrong with a process's settings and options together."""
+"""Errors of combinations of settings and command-line options."""
 
 from __future__ import annotations
 
 
 class StateFolderError(ValueError):
-    """The settings need a folder for the process's state, and none was given."""
+    """The settings need a state folder (`--state`), and none was given."""
 
 
 class LeaseSettingsError(ValueError):
-    """The settings lack the sections without which a process cannot hold a lease."""
+    """The settings lack a section that is needed to hold a lease."""
--- a/kelptrail/service/fleet.py
+++ b/kelptrail/service/fleet.py
@@ -1,4 +1,4 @@
-"""A process's part in the fleet: the channel to its peers, leases on fleet-wide tasks, and journal replication."""
+"""The fleet member in a process: the channel to its peers, leases on fleet-wide tasks, and journal replication."""
 
 from __future__ import annotations
 
@@ -24,8 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetOptions:
-    """What differs from one process to the next.  `listen`: host and port of its channel, None: it only connects;
-    `peer_addresses`: by name, they precede those of the settings and of the endpoint list.
+    """Options of one fleet member.
+
+    `listen`: host and port of its peer channel, or None if it only connects to others; `peer_addresses`: addresses by
+    name, which take precedence over those in the settings and in the endpoint list.
     """
 
     name: str
@@ -38,7 +40,7 @@
 
 
 def peer_settings(config: PeersConfig) -> PeerSettings:
-    """The peer channel's settings."""
+    """Return the settings of the peer channel."""
     return PeerSettings(
         config.heartbeat_ms,
         config.silence_timeout_ms,
@@ -50,7 +52,7 @@
 
 
 def lease_settings(config: LeasesConfig) -> LeaseSettings:
-    """The settings of lease acceptors and clients."""
+    """Return the settings of lease acceptors and clients."""
     return LeaseSettings(
         config.acceptors,
         config.config_number,
@@ -66,7 +68,7 @@
 
 
 def replication_settings(config: PeersConfig) -> ReplicationSettings:
-    """The settings of journal replication."""
+    """Return the settings of journal replication."""
     return ReplicationSettings(
         config.replicas,
         config.under_replication_policy == "promise",
@@ -80,7 +82,7 @@
 
 
 class Fleet:
-    """One process's part.  Raises `StateFolderError` if it is a lease acceptor without a state folder."""
+    """The fleet member in a process.  Raises `StateFolderError` if it is a lease acceptor without a state folder."""
 
     def __init__(self, deployment: Deployment, options: FleetOptions, log: Any) -> None:
         config, leases = deployment.peers, deployment.leases
@@ -97,24 +99,28 @@
         self.leases = LeaseDriver(options.name, options.run_id, lease_settings(leases), self.peers, log)
         if options.name in (*leases.acceptors, *leases.previous_acceptors):
             if options.state_folder is None:
-                raise StateFolderError(f"{options.name} is a voter and needs --state: its promises are kept there")
+                raise StateFolderError(
+                    f"{options.name} is a lease acceptor (voters) and needs --state to store its promises"
+                )
             self.leases.start_acceptor(options.state_folder / "leases.sqlite", options.vfs)
 
     def enable_replication(self, config: PeersConfig, log: Any) -> None:
-        """Keep replicas of other dispatchers' journals in the state folder.  Where its file is unusable, none are kept
-        and no deferred call is accepted.  Raises `StateFolderError`.
+        """Store replicas of other dispatchers' journals in the state folder.
+
+        If the file there is unusable, this dispatcher stores no replicas and accepts no deferred calls.  Raises
+        `StateFolderError` if there is no state folder.
         """
         options, state = self._options, self._options.state_folder
         if state is None or self.leases is None:
-            raise StateFolderError(f"{options.name} keeps copies and needs --state")
+            raise StateFolderError(f"{options.name} stores journal replicas (copies) and needs --state")
         try:
-            own, aside = open_replica_store(state / "copies.sqlite", options.vfs)
+            own, damaged_copy = open_replica_store(state / "copies.sqlite", options.vfs)
             others = own if config.replica_storage == "disk" else ReplicaStore(None)
         except JournalError as cause:
             log.error("replica-store-unusable", reason=str(cause))
             return
-        if aside is not None:
-            log.error("replica-store-set-aside", file=str(aside))
+        if damaged_copy is not None:
+            log.error("replica-store-set-aside", file=str(damaged_copy))
         self.replication = ReplicationDriver(
             ReplicationOptions(
                 options.name, replication_settings(config), config.primary_timeout_ms, self.lease_length_ms
@@ -128,20 +134,20 @@
         )
 
     def members(self) -> list[Member]:
-        """The known dispatchers with their zones."""
+        """Return the known dispatchers and this one, with their zones."""
         return [
             Member(name, self._zones.get(name, "")) for name in sorted({*self.dispatcher_names(), self._options.name})
         ]
 
     def address_of(self, name: str) -> str:
-        """A peer's address; empty while it is unknown."""
-        for known in (self._options.peer_addresses, self._configured_addresses, self._listed_addresses):
-            if known.get(name):
-                return known[name]
+        """Return a peer's address, or an empty string if it is unknown."""
+        for addresses in (self._options.peer_addresses, self._configured_addresses, self._listed_addresses):
+            if addresses.get(name):
+                return addresses[name]
         return ""
 
     def dispatcher_names(self) -> set[str]:
-        """The names of all known dispatchers."""
+        """Return the names of all known dispatchers."""
         return {
             *self._listed_addresses,
             *self._configured_addresses,
@@ -150,12 +156,12 @@
         }
 
     def on_endpoints(self, listing: EndpointList) -> None:
-        """A new endpoint list, which also has the dispatchers."""
+        """Update addresses and zones of the dispatchers from a new endpoint list."""
         self._listed_addresses = {peer.name: peer.channel for peer in listing.dispatchers if peer.channel}
         self._zones |= {peer.name: peer.zone for peer in listing.dispatchers if peer.zone}
 
     def start(self) -> None:
-        """Start.  Raises `OSError` where the channel's address is not available."""
+        """Start the channel, leases and replication.  Raises `OSError` if the channel's address cannot be bound."""
         if self._options.listen is not None:
             host, _, port = self._options.listen.rpartition(":")
             self.peers.listen(host.strip("[]"), int(port))
@@ -172,10 +178,10 @@
         await self.peers.stop()
 
     def status(self) -> dict[str, Callable[[], Any]]:
-        """The control port's sections, by name."""
-        shown: dict[str, Callable[[], Any]] = {"peers": self.peers.status}
+        """Return the status functions of the control port, by section."""
+        sections: dict[str, Callable[[], Any]] = {"peers": self.peers.status}
         if self.leases is not None:
-            shown["leases"] = self.leases.status
+            sections["leases"] = self.leases.status
         if self.replication is not None:
-            shown["copies"] = self.replication.status
-        return shown
+            sections["copies"] = self.replication.status
+        return sections
--- a/kelptrail/service/front_addresses.py
+++ b/kelptrail/service/front_addresses.py
@@ -1,4 +1,4 @@
-"""Connects VRRP to a running dispatcher: its front addresses, and the health checks that lower its priority."""
+"""Connects VRRP to a running dispatcher: its front addresses, and the tracked objects that lower its priority."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 from .errors import StateFolderError
 
-HEALTH_INTERVAL_MS = 200.0  # from one report of what is tracked to the next
-WORKERS_PROBED = 3  # when no attempt tells whether any worker can be reached
+HEALTH_INTERVAL_MS = 200.0  # between two reports of the tracked objects
+WORKERS_PROBED = 3  # per health check, while recent attempts show no result
 PROBE_TIMEOUT_S = 0.25
 EPOCH_FILE = "vrrp-epoch"
 
 
 class FrontAddresses:
-    """One dispatcher's part in the virtual routers of its deployment."""
+    """The VRRP instance of a dispatcher and its front addresses."""
 
     def __init__(
         self,
@@ -42,11 +42,15 @@
         log: Any,
         journal_usable: Callable[[], bool] = lambda: True,
     ) -> None:
-        """`journal_usable` tells whether what must be kept on disk can be.  Raises `StateFolderError`."""
+        """Build the VRRP instance of the dispatcher `name`.
+
+        `journal_usable` returns whether the data that must be stored on disk can be written.  Raises
+        `StateFolderError` if a key is configured and there is no state folder.
+        """
         self._driver, self._log = driver, log
         self._loop = asyncio.get_running_loop()
         self._journal_usable = journal_usable
-        self._rejected_before = 0  # connections that the servers had rejected at the last check
+        self._rejected_before = 0  # connections rejected by the servers up to the last check
         self._next_worker = 0
         self._task: asyncio.Task[None] | None = None
         self.addresses: dict[int, FrontAddress] = {}  # by virtual router identifier
@@ -81,7 +85,7 @@
         return VrrpDriver(instance, own_address, peers, self._acquire, self._release, self._log)
 
     def start(self) -> None:
-        """Take part in the virtual routers."""
+        """Start VRRP and the health checks."""
         self.vrrp.start()
         self._task = self._loop.create_task(self._watch_health())
 
@@ -93,7 +97,7 @@
         await asyncio.gather(*(address.wait_closed() for address in self.addresses.values()))
 
     def active_servers(self) -> list[HttpServer]:
-        """The servers on addresses that are held now."""
+        """Return the servers on the addresses that this dispatcher currently owns."""
         return [address.server for address in self.addresses.values() if address.server is not None]
 
     def _acquire(self, vrid: int) -> None:
@@ -103,7 +107,7 @@
         self.addresses[vrid].release()
 
     async def _watch_health(self) -> None:
-        """Report what is tracked to VRRP, for as long as this dispatcher takes part."""
+        """Report the state of the tracked objects to VRRP until cancelled."""
         while True:
             await asyncio.sleep(HEALTH_INTERVAL_MS / 1000)
             if "workers" in self.vrrp.instance.tracking.tracks:
@@ -112,7 +116,7 @@
             self.vrrp.on_health("journal", self._journal_usable())
 
     async def _workers_reachable(self) -> bool:
-        """Whether workers can be reached, by recent attempts; workers are probed only while no attempt tells."""
+        """Return whether workers are reachable according to recent attempts; probe some if these show no result."""
         health = self._driver.worker_calls.connection_health
         healthy = health.is_healthy(now_ms())
         if healthy is None:
@@ -121,7 +125,7 @@
         return bool(healthy)
 
     def _front_has_capacity(self) -> bool:
-        """Whether no server is full and none rejected a connection since the last check."""
+        """Return whether no server is full and none has rejected a connection since the last check."""
         servers = self.active_servers()
         rejected = sum(server.rejected_connections for server in servers)
         full = any(server.connections >= server.limits.connections for server in servers)
@@ -130,7 +134,7 @@
         return has_capacity
 
     async def _can_reach_a_worker(self) -> bool:
-        """Whether a connection to any of a few workers can be made."""
+        """Return whether a connection to at least one of a few workers succeeds."""
         members = self._driver.gateway.members
         addresses = [members.addresses[worker] for worker in members if worker.live]
         for _ in range(min(WORKERS_PROBED, len(addresses))):
@@ -154,7 +158,7 @@
 
 
 def _router_settings(router: RouterConfig, name: str) -> RouterSettings | None:
-    """What a dispatcher is in a virtual router; None: it has no part in it."""
+    """Return the settings of a dispatcher in a virtual router, or None if it is not a member."""
     member = next((member for member in router.member if member.name == name), None)
     if member is None:
         return None
@@ -169,20 +173,20 @@
 
 
 class _Authentication(NamedTuple):
-    """Both sides of authentication; None where there are no keys."""
+    """Signer and verifier of advertisements; both are None if no keys are configured."""
 
     signer: Signer | None
     verifier: Verifier | None
 
 
 def _authentication(keys: list[KeySettings], state: Path | None, primary: Address) -> _Authentication:
-    """Signs with the first key and accepts all.  Raises `StateFolderError`."""
+    """Sign with the first key and accept all keys.  Raises `StateFolderError` if there is no state folder."""
     if not keys:
         return _Authentication(None, None)
     if state is None:
-        raise StateFolderError("a vrrp key needs --state: the count of starts is kept there")
-    live = tuple(Key(int(key.number), key.secret.encode()) for key in keys)
-    return _Authentication(Signer(live[0], next_epoch(state / EPOCH_FILE), primary), Verifier(live))
+        raise StateFolderError("a vrrp key needs --state to store the number of starts")
+    accepted = tuple(Key(int(key.number), key.secret.encode()) for key in keys)
+    return _Authentication(Signer(accepted[0], next_epoch(state / EPOCH_FILE), primary), Verifier(accepted))
 
 
 def _tracking(settings: VrrpSettings) -> Tracking:
--- a/kelptrail/service/fronts.py
+++ b/kelptrail/service/fronts.py
@@ -1,4 +1,4 @@
-"""The client-facing side of a dispatcher: TLS, client authentication, the two APIs, and the servers that carry them."""
+"""The client-facing side of a dispatcher: TLS, client authentication, the two APIs, and their servers."""
 
 from __future__ import annotations
 
@@ -20,8 +20,9 @@
 
 from .build import certificate_reloader, front_limits, grpc_limits
 
-HTTP, GRPC, TO_WORKERS = "front", "grpc", "to-workers"  # names of TLS sides in logs and in the control port's answers
-TLS_SIDES = (  # name, side of the settings, ALPN protocols
+# Names of the TLS sides in logs and in the responses of the control port.
+HTTP, GRPC, TO_WORKERS = "front", "grpc", "to-workers"
+TLS_SIDES = (  # name, side in the settings, ALPN protocols
     (HTTP, "front", ["http/1.1"]),
     (GRPC, "front", ["h2"]),
     (TO_WORKERS, "to-workers", ["http/1.1"]),
@@ -29,7 +30,7 @@
 
 
 def certificate_reloaders(deployment: Deployment, log: Any) -> dict[str, CertificateReloader]:
-    """One reloader for each side that the settings give TLS.  Raises `ValueError` where its files are unusable."""
+    """Return a reloader for each side that has TLS in the settings.  Raises `ValueError` if its files are unusable."""
     return {
         name: reloader
         for name, side, protocols in TLS_SIDES
@@ -38,7 +39,7 @@
 
 
 class Fronts:
-    """The HTTP and the gRPC front of one dispatcher, and further servers of either kind for front addresses."""
+    """The HTTP and the gRPC front of a dispatcher; also creates further servers of both kinds for front addresses."""
 
     def __init__(self, deployment: Deployment, driver: GatewayDriver, boot: str, log: Any) -> None:
         self._deployment, self._gateway, self._log = deployment, driver.gateway, log
@@ -54,7 +55,7 @@
         self.http = self.make_http_server(self.invoke.handle)
 
     def make_http_server(self, handler: Handler) -> HttpServer:
-        """A server of the HTTP front that does not listen yet."""
+        """Return a new server of the HTTP front that does not listen yet."""
         settings = self._deployment.front
         server = HttpServer(
             handler,
@@ -68,7 +69,7 @@
         return server
 
     def make_grpc_server(self) -> GrpcServer:
-        """A server of the gRPC front that does not listen yet."""
+        """Return a new server of the gRPC front that does not listen yet."""
         settings = self._deployment.inference
         server = GrpcServer(
             self.inference.handle,
@@ -82,12 +83,12 @@
         return server
 
     def url(self) -> str:
-        """The HTTP front's own URL, once it listens."""
+        """Return the URL of the HTTP front; it must be listening."""
         scheme = "https" if self._http_tls else "http"
         return f"{scheme}://{self.http.address}"
 
     def reload_certificates(self) -> None:
-        """Background work: load certificate files that have changed."""
+        """Load certificate files that have changed; called as background work."""
         for reloader in self.reloaders.values():
             reloader.reload_if_changed()
 
--- a/kelptrail/service/journal.py
+++ b/kelptrail/service/journal.py
@@ -1,4 +1,4 @@
-"""A dispatcher's activation journal: opening it, and recovering from it what an earlier run accepted."""
+"""A dispatcher's activation journal: opens it, and recovers the activations that an earlier run accepted."""
 
 from __future__ import annotations
 
@@ -23,19 +23,20 @@
 
 @dataclass(frozen=True, slots=True)
 class JournalStores:
-    """The file and the group commit in front of it; either is None where no journal is kept or the file is unusable."""
+    """The journal file, None if unusable, and its group commit; both are None if no journal is kept."""
 
     file: ActivationJournal | None = None
     commits: GroupCommit | None = None
 
 
 def open_stores(deployment: Deployment, state_folder: Path | None, vfs: str | None, log: Any) -> JournalStores:
-    """Create the state folder and open the journal in it.  An unusable file is logged: blocking calls go on without
-    it, deferred calls are refused.
+    """Create the state folder and open the journal in it.
+
+    An unusable file is logged; blocking calls are then served without a journal, and deferred calls are refused.
     """
     if state_folder is None:
         return JournalStores()
-    with contextlib.suppress(OSError):  # whoever needs the folder reports that it cannot be used
+    with contextlib.suppress(OSError):  # components that use the folder report the error
         state_folder.mkdir(parents=True, exist_ok=True)
     settings = deployment.journal
     if not settings.enabled:
@@ -47,9 +48,9 @@
     return JournalStores(file, commits)
 
 
-def _open_file(file: Path, most_bytes: float, vfs: str | None, log: Any) -> ActivationJournal | None:
+def _open_file(file: Path, max_bytes: float, vfs: str | None, log: Any) -> ActivationJournal | None:
     try:
-        journal, damaged_copy = open_journal(file, most_bytes, vfs)
+        journal, damaged_copy = open_journal(file, max_bytes, vfs)
     except JournalError as cause:
         log.error("journal-unusable", file=str(file), reason=str(cause))
         return None
@@ -66,22 +67,26 @@
     replication: ReplicationDriver | None,
     log: Any,
 ) -> None:
-    """Attach the journal to the gateway and resume what an earlier run accepted.  Activations that moved on to a
-    replicated journal are recovered from there.
+    """Attach the journal to the gateway and resume the activations that an earlier run accepted.
+
+    Activations that were moved to a replicated journal are recovered from that journal instead.
     """
     if stores.file is None or stores.commits is None:
         return
     driver.journal = JournalDriver(stores.commits, stores.file, driver.schedule_decisions, log)
     gateway.durability.on_forget = driver.journal.forget
-    began = now_ms()
+    started_ms = now_ms()
     replicated = replication.activation_ids() if replication is not None else set[str]()
     activations = (entries for entries in stores.file.activations() if entries.accepted.id not in replicated)
-    recovered = gateway.recover(began, wall_ms(), activations, least_run_ms(deployment), deployment.journal.max_resumed)
-    log.info("recovered", ms=round(now_ms() - began), damaged=stores.file.damaged, **recovered)
+    recovered = gateway.recover(
+        started_ms, wall_ms(), activations, min_run_ms(deployment), deployment.journal.max_resumed
+    )
+    log.info("recovered", ms=round(now_ms() - started_ms), damaged=stores.file.damaged, **recovered)
+
 
+def min_run_ms(deployment: Deployment) -> float:
+    """Return the least time before its deadline, in ms, at which a recovered activation is still started.
 
-def least_run_ms(deployment: Deployment) -> float:
-    """The time below which a recovered activation is not begun: twice the answer margin, as half of it is the least
-    that an attempt and its answer take.
+    It is twice the answer margin: one margin is the least time that an attempt and its answer take.
     """
     return 2 * deployment.dispatcher.answer_margin_ms
--- a/kelptrail/service/journal_takeover.py
+++ b/kelptrail/service/journal_takeover.py
@@ -1,4 +1,4 @@
-"""Joins the replicated journals of a process to the gateway that acts on their contents."""
+"""Connects the replicated journals of a process to its gateway, which runs their activations."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     gateway: Gateway,
     driver: GatewayDriver,
     max_resumed: int,
-    min_remaining_ms: float,
+    min_run_ms: float,
 ) -> None:
-    """Send new deferred calls to the replicated journal, and recovered activations to the gateway.
+    """Record new deferred calls in the replicated journal, and pass recovered activations to the gateway.
 
-    `max_resumed` and `min_remaining_ms` are those of `Gateway.recover`.  Without replication no deferred call is
+    `max_resumed` and `min_run_ms` are passed to `Gateway.recover`.  Without replication, no deferred call is
     accepted.
     """
     if replication is None:
@@ -28,17 +28,17 @@
         return
 
     def on_recovered(handle: PrimaryHandle, activations: list[ActivationEntries]) -> None:
-        """The activations of an acquired journal are to be ended or resumed."""
-        gateway.recover(now_ms(), replication.wall_ms(), activations, min_remaining_ms, max_resumed, handle)
+        """End or resume the activations of a journal that was taken over."""
+        gateway.recover(now_ms(), replication.wall_ms(), activations, min_run_ms, max_resumed, handle)
         driver.schedule_decisions()
 
     def on_resumed(handle: PrimaryHandle) -> None:
-        """This dispatcher is the primary again."""
+        """Continue a journal of which this dispatcher is the primary again."""
         gateway.on_became_primary(handle)
         driver.schedule_decisions()
 
     def on_released(handle: PrimaryHandle) -> int:
-        """Another dispatcher has the journal; returns how many requests it had."""
+        """Release a journal that another dispatcher took over, and return its number of requests."""
         count = gateway.release(handle)
         driver.schedule_decisions()
         return count
--- a/kelptrail/service/lease_trial.py
+++ b/kelptrail/service/lease_trial.py
@@ -1,8 +1,8 @@
-"""For trials: leases that many dispatchers request, and writes under them to a side-effect log.
+"""Trial of leases that several dispatchers request at the same time, with writes under them to a side-effect log.
 
-A write checks the lease, sends its fencing token to the log, works for a while, checks again and reports that it is
-done.  The log stands for the protected resource: it accepts no write under a token older than one it has seen, and
-records who writes when.
+A write checks the lease, sends its fencing token to the log, works for `WORK_MS`, checks the lease again and reports
+that it is done.  The log represents the protected resource: it rejects a write under a token older than one it has
+seen, and records the writer and time of each write.
 """
 
 from __future__ import annotations
@@ -23,13 +23,15 @@
 from kelptrail.net.http_client import HttpClient
 
 WRITE_INTERVAL_MS = 50.0
-WORK_MS = 15.0  # what a write takes
+WORK_MS = 15.0  # duration of a write
 CLOCK_POLL_MS = 50.0
 
 
 class LeaseTrial:
-    """One dispatcher's writes under some leases.  After SIGUSR1 the process suspends itself (SIGSTOP) once, between the
-    next check of a lease and the write; SIGUSR2 cancels that.  The trial's runner resumes it.
+    """Writes of one dispatcher under some leases.
+
+    After SIGUSR1 the process suspends itself (SIGSTOP) once, between the next check of a lease and the write; SIGUSR2
+    cancels that.  The trial's runner resumes the process.
     """
 
     def __init__(self, leases: LeaseDriver, side_effect_log: str, tasks: tuple[str, ...], length_ms: float) -> None:
@@ -40,7 +42,7 @@
         self.writes = self.refused = 0
 
     def start(self) -> None:
-        """Request all leases."""
+        """Request all leases and install the signal handlers."""
         self._loop.add_signal_handler(signal.SIGUSR1, setattr, self, "_pause_next", True)
         self._loop.add_signal_handler(signal.SIGUSR2, setattr, self, "_pause_next", False)
         for task in self._tasks:
@@ -84,7 +86,7 @@
 
 
 class FaultyClock:
-    """Applies the clock faults in a file, `{"rate": 1.01, "step_ms": 0}`, to this process; without a file, none."""
+    """Applies the clock fault in a file, such as `{"rate": 1.01, "step_ms": 0}`; without the file there is no fault."""
 
     def __init__(self, file: Any, log: Any) -> None:
         self._file, self._log, self._applied = file, log, (1.0, 0.0)
--- a/kelptrail/service/planner.py
+++ b/kelptrail/service/planner.py
@@ -1,4 +1,4 @@
-"""One planner as a running program."""
+"""Runs a planner process."""
 
 from __future__ import annotations
 
@@ -31,8 +31,10 @@
     ready: Callable[[str, str], None] | None = None,
     stop: asyncio.Event | None = None,
 ) -> None:
-    """Run until SIGTERM, SIGINT or `stop`.  `ready` is called once with the planner's address and that of its control
-    port.  Raises `LeaseSettingsError`, and `OSError` where an address cannot be had.
+    """Run a planner until SIGTERM, SIGINT or `stop`.
+
+    `ready` is called once with the addresses of the planner and of its control port.  Raises `LeaseSettingsError` if
+    the settings lack `peers` or `leases`, and `OSError` if an address cannot be bound.
     """
     stop = stop or asyncio.Event()
     stop_on_signals(stop)
@@ -45,7 +47,7 @@
     from_snapshot = planner.restore()
     planner.listen()
     if options.state_folder is not None:
-        with contextlib.suppress(OSError):  # whoever needs the folder reports that it cannot be used
+        with contextlib.suppress(OSError):  # components that use the folder report the error
             options.state_folder.mkdir(parents=True, exist_ok=True)
     fleet.start()
     planner.start()
@@ -65,7 +67,7 @@
 
 
 def _control_server(options: PlannerOptions, fleet: Fleet, planner: PlannerDriver) -> HttpServer:
-    """The control port; it listens only where the options give its address."""
+    """Return the server of the control port; it listens only if the options give its address."""
     control = HttpServer(PlannerControl(fleet, planner).handle, Limits(connections=CONTROL_CONNECTIONS))
     if options.control is not None:
         host, _, port = options.control.rpartition(":")
@@ -75,7 +77,7 @@
 
 def _endpoint_client(options: PlannerOptions, fleet: Fleet, planner: PlannerDriver, log: Any) -> EndpointClient:
     def on_endpoints(listing: EndpointList) -> None:
-        """Pass a new endpoint list to the parts that follow it."""
+        """Pass a new endpoint list to the fleet and the planner."""
         fleet.on_endpoints(listing)
         planner.on_endpoints(listing)
 
@@ -84,14 +86,14 @@
 
 
 class PlannerControl:
-    """A planner's control port: its status, its leases, and faults for trials.  Answers are JSON."""
+    """A planner's control port: its status, its leases, and fault injection for trials.  Responses are JSON."""
 
     def __init__(self, fleet: Fleet, planner: PlannerDriver) -> None:
         self._fleet, self._planner = fleet, planner
         self._loop = asyncio.get_running_loop()
 
     def handle(self, request: Request, exchange: Exchange) -> None:
-        """Answer one request; paths that are not known get the status."""
+        """Answer one request; an unknown path gets the status."""
         if request.path == "/leases" and self._fleet.leases is not None:
             status = self._fleet.leases.status() | {"peers": self._fleet.peers.status()}
             exchange.reply(200, msgspec.json.encode(status))
@@ -101,7 +103,7 @@
         exchange.reply(200, msgspec.json.encode(self._planner.status()))
 
     def _inject_fault(self, fault: dict[str, Any]) -> None:
-        """For trials: plans that take `ms` longer and demand that is wrong by `factor`, for `for_ms`."""
+        """Delay plans by `ms` and scale the expected demand by `factor`, for `for_ms`; for trials."""
         self._planner.solve_delay_ms = float(fault.get("ms", 0.0))
         self._planner.planner.demand.error_factor = float(fault.get("factor", 1.0))
         self._loop.call_later(float(fault["for_ms"]) / 1000, self._planner.clear_faults)
--- a/kelptrail/service/serve.py
+++ b/kelptrail/service/serve.py
@@ -1,4 +1,4 @@
-"""One dispatcher as a running program, from its start to its graceful shutdown."""
+"""Runs a dispatcher process from its start to its graceful shutdown."""
 
 from __future__ import annotations
 
@@ -22,10 +22,11 @@
     ready: Callable[[int, str, str, str], None] | None = None,
     stop: asyncio.Event | None = None,
 ) -> bool:
-    """Run until SIGTERM, SIGINT or `stop`, then drain; True if all that was accepted got its final answer.
+    """Run a dispatcher until SIGTERM, SIGINT or `stop`, then drain; return whether the shutdown was clean.
 
-    `ready` is called once with the HTTP port and the addresses of the control port, the gRPC front and the peer
-    channel.  Raises `OSError` where an address cannot be had, `ValueError` where settings and options do not fit.
+    A shutdown is clean if every accepted request got its final answer and every connection closed in time.  `ready` is
+    called once with the HTTP port and the addresses of the control port, the gRPC front and the peer channel.  Raises
+    `OSError` if an address cannot be bound, and `ValueError` if settings and options contradict each other.
     """
     stop = stop or asyncio.Event()
     stop_on_signals(stop)
--- a/kelptrail/service/shutdown.py
+++ b/kelptrail/service/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of a dispatcher: drain what was accepted, then stop its parts in a fixed order."""
+"""Graceful shutdown of a dispatcher: drain the accepted requests, then stop the components in a fixed order."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 from .dispatcher import Dispatcher
 
-POLL_S = 0.05  # between checks for deferred results that no client has fetched
-MIN_STORE_MS = 500.0  # stores and the HTTP front may take so long even when the drain time is over
+POLL_S = 0.05  # between checks for deferred results that no client has fetched yet
+MIN_STORE_MS = 500.0  # time that the stores and the HTTP front get even after the drain time is over
 MIN_GRPC_MS, MAX_GRPC_MS = 100.0, 1000.0
 
 
 class _Deadline:
-    """The end of the drain time."""
+    """The deadline of the drain."""
 
     def __init__(self, drain_ms: float) -> None:
         self._end = now_ms() + drain_ms
 
     def remaining_ms(self, at_least: float = float("-inf")) -> float:
-        """What is left of the drain time, or `at_least`."""
+        """Return the rest of the drain time in ms, or `at_least` if that is longer."""
         return max(at_least, self._end - now_ms())
 
     @property
@@ -31,7 +31,7 @@
 
 
 async def shut_down(dispatcher: Dispatcher) -> bool:
-    """Drain and stop.  True if every accepted request got its final answer and every connection closed in time."""
+    """Drain and stop; return whether all accepted requests got a final answer and all connections closed in time."""
     gateway, fronts = dispatcher.gateway, dispatcher.fronts
     dispatcher.log.info("draining", in_flight=gateway.in_flight, connections=fronts.http.connections)
     fronts.invoke.context.draining = fronts.inference.context.draining = True
@@ -48,26 +48,29 @@
 
 
 async def _release_duties(dispatcher: Dispatcher) -> None:
-    """Hand over what other dispatchers can do at once: fleet-wide tasks and front addresses."""
+    """Release the fleet-wide tasks and front addresses, which other dispatchers can take over immediately."""
     if dispatcher.lease_trial is not None:
         dispatcher.lease_trial.stop()
     if dispatcher.usage is not None:
         dispatcher.usage.stop()
     if dispatcher.fleet is not None and dispatcher.fleet.leases is not None:
-        dispatcher.fleet.leases.release_except(JOURNAL_LEASES)  # those are held until their activations have ended
+        dispatcher.fleet.leases.release_except(JOURNAL_LEASES)  # journal leases are held until their activations end
     if dispatcher.front_addresses is not None:
         await dispatcher.front_addresses.stop()
 
 
 async def _wait_for_fetches(dispatcher: Dispatcher, deadline: _Deadline) -> None:
-    """Clients that were given an id may still fetch the result, at this dispatcher's own address."""
+    """Wait until clients have fetched their deferred results or the drain time is over.
+
+    The front addresses are already released, so clients fetch results at this dispatcher's own address.
+    """
     records, drain_ms = dispatcher.gateway.records, dispatcher.deployment.front.drain_ms
     while records.unread_since(now_ms() - drain_ms) and not deadline.passed:
         await asyncio.sleep(POLL_S)
 
 
 async def _close_stores(dispatcher: Dispatcher, deadline: _Deadline) -> bool:
-    """Close the replicated and the local journal and release the leases; True if both were completely written."""
+    """Close both journals (replicated and local), release the leases; return whether both were completely written."""
     written, fleet = True, dispatcher.fleet
     if fleet is not None and fleet.replication is not None:
         written = await fleet.replication.stop(deadline.remaining_ms(MIN_STORE_MS)) and written
@@ -79,7 +82,10 @@
 
 
 async def _close_fronts(dispatcher: Dispatcher, deadline: _Deadline) -> bool:
-    """Close client connections; True if all closed in time.  The HTTP front is drained only if the gRPC one was."""
+    """Close client connections; return whether all closed in time.
+
+    The HTTP front is drained only if the gRPC front was.
+    """
     grpc_ms = max(MIN_GRPC_MS, min(MAX_GRPC_MS, deadline.remaining_ms()))
     if not await dispatcher.fronts.grpc.drain(grpc_ms):
         return False
@@ -88,7 +94,7 @@
 
 
 async def _stop_parts(dispatcher: Dispatcher) -> None:
-    """End what no client sees."""
+    """Stop the components that are not visible to clients."""
     dispatcher.background.stop()
     if dispatcher.plan_follower is not None:
         await dispatcher.plan_follower.stop()
--- a/kelptrail/service/signals.py
+++ b/kelptrail/service/signals.py
@@ -1,4 +1,4 @@
-"""How a running program is asked to end."""
+"""Signals that stop a process."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def stop_on_signals(stop: asyncio.Event) -> None:
-    """Set `stop` at SIGTERM and SIGINT."""
+    """Set `stop` on SIGTERM and SIGINT."""
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
--- a/kelptrail/service/step_faults.py
+++ b/kelptrail/service/step_faults.py
@@ -1,4 +1,4 @@
-"""Crash and pause points for tests: a process that kills or suspends itself at a named step of the gateway."""
+"""Crash and pause points for tests: the process kills or suspends itself at a named step of the gateway."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def install_step_faults(gateway: Gateway, options: DispatcherOptions) -> None:
-    """Arm the crash point and the pause point that the options name; the pause point replaces the crash point."""
+    """Install the crash point or the pause point in the options; a pause point replaces a crash point."""
     if options.crash_at:
         gateway.durability.on_step = _crash_at(options.crash_at)
     if options.pause_at:
@@ -32,7 +32,7 @@
     remaining = [point]
 
     def pause(step: str) -> None:
-        """Suspend the process when it first comes to the step."""
+        """Suspend the process the first time it reaches the step."""
         if step in remaining:
             remaining.clear()
             os.kill(os.getpid(), signal.SIGSTOP)
--- a/kelptrail/service/usage.py
+++ b/kelptrail/service/usage.py
@@ -1,9 +1,9 @@
-"""Usage over the whole fleet: one dispatcher collects under a lease what all of them count, and sends all the totals.
+"""Usage of the complete fleet: one dispatcher, which holds a lease, collects all counts and sends the totals to all.
 
-It needs a lease, as usage is summed once for the fleet, each turn costs a message to every dispatcher, and two
-collectors would publish two different totals.  Counts are sums since a run's start, so a turn that is lost or collected
-twice changes nothing; rates are the differences between two turns.  A receiver accepts nothing under an older fencing
-token or of an older turn; forgetting that at a restart is harmless, as the next turn sends the totals again.
+The lease ensures that there is one collector: each turn costs a message to every dispatcher, and two collectors would
+publish two different totals.  Counts are sums since the start of a run, so a turn that is lost or collected twice does
+no harm; rates are the differences between two turns.  A receiver rejects messages with an older fencing token or of an
+older turn.  Losing this state at a restart is harmless, as the next turn sends the totals again.
 """
 
 from __future__ import annotations
@@ -20,12 +20,13 @@
 from kelptrail.peers.driver import Peers
 
 LEASE_NAME, CHANNEL = "usage", "usage"
-NamespaceCounts = dict[str, tuple[int, int, int]]  # by namespace: completed, rejected, aborted
-NamespaceRates = dict[str, tuple[float, float, float]]  # the same a second
+# By namespace: calls completed, rejected and aborted; counts since the start of a run, and rates per second.
+NamespaceCounts = dict[str, tuple[int, int, int]]
+NamespaceRates = dict[str, tuple[float, float, float]]
 
 
 class UsageRequest(msgspec.Struct, frozen=True, tag="collect", array_like=True):
-    """The collector asks for a dispatcher's counts."""
+    """Request of the collector for a dispatcher's counts."""
 
     token: FencingToken
     turn: int
@@ -40,7 +41,7 @@
 
 
 class UsageTotal(msgspec.Struct, frozen=True, tag="total", array_like=True):
-    """Calls a second over the fleet, from `dispatchers` that answered both this turn and the one before."""
+    """Calls per second over the fleet, from the `dispatchers` that answered both this turn and the previous one."""
 
     token: FencingToken
     turn: int
@@ -55,7 +56,7 @@
 
 
 class UsageCollector:
-    """The lease holder's side; free of I/O and clocks."""
+    """The lease holder's side of the protocol, without I/O or clocks."""
 
     def __init__(self, token: FencingToken) -> None:
         self.token, self.turn = token, 0
@@ -64,44 +65,44 @@
         self._this_turn: dict[str, _Answer] = {}
 
     def start_turn(self, now: float) -> UsageRequest:
-        """Start a turn; returns the request to send to all."""
+        """Start a turn and return the request to send to all dispatchers."""
         self.turn += 1
         self._previous_turn, self._this_turn, self._turn_started = self._previous_turn | self._this_turn, {}, now
         return UsageRequest(self.token, self.turn)
 
     def on_counts(self, name: str, used: UsageCounts) -> None:
-        """A dispatcher's counts; an answer to an earlier turn is dropped."""
+        """Record a dispatcher's counts; an answer to an earlier turn is dropped."""
         if used.turn == self.turn:
             self._this_turn[name] = _Answer(self._turn_started, used.run, used.counts)
 
     def total(self) -> UsageTotal:
-        """The rates of this turn, from the dispatchers that answered it and the one before."""
+        """Return the rates of the dispatchers that answered both this turn and the previous one."""
         rates: dict[str, list[float]] = {}
-        known = 0
+        dispatchers = 0
         for name, answer in self._this_turn.items():
-            before = self._previous_turn.get(name)
-            if before is None or answer.requested_ms <= before.requested_ms:
+            previous = self._previous_turn.get(name)
+            if previous is None or answer.requested_ms <= previous.requested_ms:
                 continue
-            known += 1
-            # A new run counts from 0: what the earlier run did since the last turn is lost.
-            old = before.counts if before.run == answer.run else {}
-            elapsed_ms = answer.requested_ms - before.requested_ms
+            dispatchers += 1
+            # A new run counts from 0; calls of the earlier run since the last turn are not counted.
+            old_counts = previous.counts if previous.run == answer.run else {}
+            elapsed_ms = answer.requested_ms - previous.requested_ms
             for namespace, counts in answer.counts.items():
                 sums = rates.setdefault(namespace, [0.0, 0.0, 0.0])
                 for position, count in enumerate(counts):
-                    sums[position] += (count - old.get(namespace, (0, 0, 0))[position]) * 1000 / elapsed_ms
-        return UsageTotal(self.token, self.turn, known, {s: (r[0], r[1], r[2]) for s, r in sorted(rates.items())})
+                    sums[position] += (count - old_counts.get(namespace, (0, 0, 0))[position]) * 1000 / elapsed_ms
+        return UsageTotal(self.token, self.turn, dispatchers, {n: (r[0], r[1], r[2]) for n, r in sorted(rates.items())})
 
 
 class UsageView:
-    """Every dispatcher's side: the newest total, and which requests are answered; free of I/O and clocks."""
+    """The state of each dispatcher: the newest total and the newest fencing token seen, without I/O or clocks."""
 
     def __init__(self) -> None:
         self.token, self.total = NO_TOKEN, UsageTotal(NO_TOKEN, 0, 0, {})
         self.refused = 0
 
     def accepts(self, token: FencingToken) -> bool:
-        """Whether a message under this token is accepted; one under an older token is not."""
+        """Return whether a message with this token is accepted; one with an older token is not."""
         if token < self.token:
             self.refused += 1
             return False
@@ -109,7 +110,7 @@
         return True
 
     def on_total(self, total: UsageTotal) -> bool:
-        """A total has come; False where it is older than the newest."""
+        """Record a received total; return False if it is not newer than the recorded one."""
         if not self.accepts(total.token) or (total.token, total.turn) <= (self.total.token, self.total.turn):
             return False
         self.total = total
@@ -117,14 +118,17 @@
 
 
 class UsageSettings(NamedTuple):
-    """How often usage is collected, and for how long the lease on collecting it is granted; milliseconds."""
+    """Interval between two turns and length of the collector's lease, both in ms."""
 
     interval_ms: float
     lease_length_ms: float
 
 
 class UsageDriver:
-    """One dispatcher's part.  `counts` returns what it has counted, `names` the dispatchers that it knows."""
+    """Usage collection in one dispatcher.
+
+    `counts` returns the dispatcher's own counts, `names` the names of the known dispatchers.
+    """
 
     def __init__(
         self,
@@ -163,7 +167,7 @@
         self._leases.keep_connected(set(), CHANNEL)
 
     def _next_turn(self) -> None:
-        """Send the last turn's total and start the next; the lease is checked right before."""
+        """Send the total of the last turn and start the next one, if this dispatcher still holds the lease."""
         collector = self._collector
         if collector is None or self._leases.held_token(LEASE_NAME) != collector.token:
             return
@@ -191,7 +195,7 @@
             self._peers.send(sender, UsageCounts(message.turn, self._run_id, self._counts()))
 
     def status(self) -> dict[str, Any]:
-        """The `/usage` answer of the control port; rates are calls a second."""
+        """Return the response of the control port to `/usage`; rates are calls per second."""
         total = self.view.total
         return {
             "collected_by": total.token.client_id.partition("/")[0],
@@ -200,7 +204,7 @@
             "dispatchers": total.dispatchers,
             "refused": self.view.refused,
             "namespaces": {
-                space: {"completed": round(r[0], 2), "rejected": round(r[1], 2), "aborted": round(r[2], 2)}
-                for space, r in total.rates.items()
+                namespace: {"completed": round(r[0], 2), "rejected": round(r[1], 2), "aborted": round(r[2], 2)}
+                for namespace, r in total.rates.items()
             },
         }
