--- a/kelptrail/settings/cooperation.py
+++ b/kelptrail/settings/cooperation.py
@@ -1,8 +1,8 @@
 """The channel between dispatchers, replication, leases, the activation journal and the planner.
 
-Times are milliseconds, memory is megabytes.  Every default is stated here, once.  Classes are named `...Config` where
-the subsystem has a `...Settings` class of its own.  A field whose settings key has another name holds the key in its
-metadata.
+Times are in milliseconds, sizes in `_mb` are in megabytes.  The shapes below hold the defaults.  A class is named
+`...Config` if its subsystem has a `...Settings` class of its own.  If the settings key of a field differs from the
+field's name, the field's metadata holds the key.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerConfig:
-    """Planning ahead.
+    """The planner.
 
-    `embedded`: each dispatcher runs a planner in its process; `interval_ms`: between two plans; `valid_ms`: how long
-    edges follow a plan; `scale_down_ms`: how long demand must have been lower before a function's instances are
-    reduced; `new_instances_share`, `new_instances_min`: how many new instances one plan may bring, as a share of the
-    calls expected in the next minute, and at least.
+    `embedded`: each dispatcher runs a planner in its process; `interval_ms`: time between two plans; `valid_ms`: time
+    for which edges follow a plan; `scale_down_ms`: time for which demand must have been lower before a function's
+    instances are reduced; `new_instances_share`: limit of the new instances in one plan, as a share of the calls
+    expected in the next minute; `new_instances_min`: number of new instances that a plan may always add.
     """
 
     embedded: bool = field(metadata={"key": "within"})
@@ -32,9 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerConfig:
-    """A dispatcher that is known by name.
+    """A dispatcher that the settings name.
 
-    `at`: where its channel listens; `zone`: its failure zone; both may come from the endpoint list instead.
+    `at`: address of its peer channel; `zone`: its failure zone; both may come from the endpoint list instead.
     """
 
     name: str
@@ -46,11 +46,11 @@
 class PeersConfig:
     """The channel between dispatchers, and replication of the journals of deferred calls over it.
 
-    `replicas`: further dispatchers that store each deferred call, on "disk" or in "memory" (`replica_storage`);
-    `under_replication_policy`: with fewer replicas, "refuse" or "promise" new deferred calls; `max_replicated_kb`: a
-    deferred call with a larger body is rejected; `primary_timeout_ms`: a primary that is silent for so long counts as
-    failed; `replica_timeout_ms`: a replica that does not answer for so long is replaced; `repair_kb_per_s`: rate limit
-    of the repair of one replica.
+    `replicas`: number of further dispatchers that store each deferred call, on "disk" or in "memory"
+    (`replica_storage`); `under_replication_policy`: whether to "refuse" new deferred calls or to "promise" them while
+    there are fewer replicas; `max_replicated_kb`: a deferred call with a larger body is rejected;
+    `primary_timeout_ms`: silence after which a primary counts as failed; `replica_timeout_ms`: time without an answer
+    after which a replica is replaced; `repair_kb_per_s`: rate limit of the repair of one replica.
     """
 
     peer: list[PeerConfig]
@@ -70,9 +70,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LeasesConfig:
-    """Leases on fleet-wide tasks; see `kelptrail/lease/messages.py`.
+    """Leases on fleet-wide tasks; the other fields are those of `LeaseSettings` in `kelptrail/lease/messages.py`.
 
-    `usage_interval_ms`: how often usage is collected over the fleet; 0: never.
+    `usage_interval_ms`: time between two collections of the fleet's usage; 0: usage is not collected.
     """
 
     acceptors: tuple[str, ...] = field(metadata={"key": "voters"})
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JournalSettings:
-    """What outlives a dispatcher's process; needs a state folder."""
+    """The activation journal, which survives a restart of the dispatcher; needs a state folder."""
 
     enabled: bool = field(metadata={"key": "keep"})
     max_mb: float = field(metadata={"key": "most_mb"})
--- a/kelptrail/settings/cross_checks.py
+++ b/kelptrail/settings/cross_checks.py
@@ -1,6 +1,6 @@
-"""Faults that show only between fields or between sections: names used twice, references to nothing, contradictions.
+"""Checks across fields and sections: duplicate names, references to undefined names, contradictions.
 
-Each check adds its faults to the checker, and goes on; none of them raises.
+The checks collect their faults in the checker and never raise.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 _NAME = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_@ .\-]{0,254}")
 _DIGEST = re.compile(r"sha256:[0-9a-fA-F]{64}")
 _UUID = re.compile(r"[0-9a-fA-F]{8}(-[0-9a-fA-F]{4}){3}-[0-9a-fA-F]{12}")
-_MOST_KEY_HASHES = 2  # the old one and the new one
-_CHANNEL_SHARE_OF_A_BODY = 4  # of the channel's buffer, a replicated body takes a fourth at most
+_MAX_KEY_HASHES = 2  # the old and the new key during a rotation
+_MIN_BODIES_PER_BUFFER = 4  # a replicated body takes at most a fourth of the channel's buffer
 DEFAULT_ZONE = "hall"
 
 
 @dataclass(slots=True)
 class _Context:
-    """What the checks of one file share: the deployment's form, and the names that were seen so far."""
+    """State shared by the checks of one file: the deployment's form, and the names and UUIDs found so far."""
 
     checker: Checker
     deployment: Form
@@ -36,12 +36,12 @@
     uuids: dict[str, SourcePosition] = field(default_factory=dict)
 
     def has(self, head: str) -> bool:
-        """Whether the file has such a section."""
+        """Return whether the deployment has a section with this head."""
         return any(True for _ in sections(self.deployment, head))
 
 
 def check_across_sections(checker: Checker, deployment: Form) -> None:
-    """Compare the sections of a deployment with each other, in the order of the file."""
+    """Check the sections of a deployment against each other, in the order of the file."""
     context = _Context(checker, deployment)
     for form in sections(deployment):
         if form.head in ("type", "namespace", "action"):
@@ -57,7 +57,7 @@
     package = setting(form, "package") if head == "action" else None
     full_name = f"{package.text}/{name}" if package else name
     if not _NAME.fullmatch(name):
-        context.checker.fault(form.position, name, "a name of letters, digits, _ @ . - that starts with no dot")
+        context.checker.fault(form.position, name, "a name of letters, digits, _ @ . - that does not start with a dot")
     if (head, full_name) in context.names:
         line = context.names[head, full_name].line
         context.checker.fault(form.position, f"{head} {full_name} again", f"another name; line {line} has it already")
@@ -75,15 +75,15 @@
         checker.fault(
             form.position,
             f"type {first_name(form)} without (remembered-ms ...)",
-            "for how long repeats of a deduplicated type are dropped, above 0",
+            "the time for which a deduplicated type drops repeats, above 0",
         )
     hedge = setting(form, "hedge")
     if effect and effect.text == "once-only" and hedge and hedge.text == "yes":
-        checker.fault(hedge.position, "hedge yes", "no: a once-only type is never sent beside a send that is out")
+        checker.fault(hedge.position, "hedge yes", "no: a once-only type is never hedged")
 
 
 def _check_times(context: _Context, form: Form) -> None:
-    """A timeout that leaves time for an attempt, and is between the target and the time of a stream."""
+    """Check that the timeout leaves time for an attempt, and lies between the target and the time of a stream."""
     checker = context.checker
     target, timeout, stream = (setting(form, key) for key in ("target-ms", "timeout-ms", "stream-ms"))
     if timeout is None:
@@ -120,7 +120,7 @@
 
 
 def _check_tls(context: _Context, form: Form) -> None:
-    """Known sides, once each, with the files that they cannot do without."""
+    """Check that the side is known and unique, and that the files it needs are given."""
     checker, side = context.checker, first_name(form)
     if side not in SIDES:
         checker.fault(form.position, side, "one of " + ", ".join(SIDES))
@@ -132,34 +132,42 @@
         checker.fault(form.position, f"tls {side} without a certificate", "(certificate FILE)")
     authority, peers = setting(form, "authority"), setting(form, "peers")
     if side == "to-workers" and not authority:
-        checker.fault(form.position, "tls to-workers without an authority", "(authority FILE): who vouches for workers")
+        checker.fault(
+            form.position,
+            "tls to-workers without an authority",
+            "(authority FILE), which verifies the workers' certificates",
+        )
     if peers and peers.text in ("asked", "required") and not authority:
-        checker.fault(peers.position, f"peers {peers.text}", "(authority FILE) beside it: who vouches for clients")
+        checker.fault(
+            peers.position,
+            f"peers {peers.text}",
+            "(authority FILE) beside it, which verifies the clients' certificates",
+        )
 
 
 def _check_planner(context: _Context, form: Form) -> None:
     within = setting(form, "within")
     if within and within.text == "yes" and not context.has("leases"):
-        context.checker.fault(within.position, "within yes", "(leases ...) beside it: planners act under a lease")
+        context.checker.fault(within.position, "within yes", "(leases ...) beside it: a planner holds a lease")
 
 
 def _check_peers(context: _Context, form: Form) -> None:
-    """What replication needs: leases, bodies that fit the channel, and a journal."""
+    """Check the requirements of replication: leases, a journal, and bodies that fit the channel's buffer."""
     checker, replicas = context.checker, setting(form, "copies")
     if not replicas or not replicas.number:
         return
     read = f"copies {replicas.text}"
     if not context.has("leases"):
-        checker.fault(replicas.position, read, "(leases ...) beside it: a book is owned under a lease")
+        checker.fault(replicas.position, read, "(leases ...) beside it: the primary of a journal holds a lease")
     body, channel = setting(form, "copies-kb"), setting(form, "most-kb")
     body_kb = body.number if body else default_of(PEERS, "copies-kb")
     channel_kb = channel.number if channel else default_of(PEERS, "most-kb")
-    if body_kb > channel_kb / _CHANNEL_SHARE_OF_A_BODY:
+    if body_kb > channel_kb / _MIN_BODIES_PER_BUFFER:
         position = (body or channel or replicas).position
-        checker.fault(position, f"copies-kb {body.text if body else f'{body_kb:g}'}", "a fourth of most-kb at the most")
+        checker.fault(position, f"copies-kb {body.text if body else f'{body_kb:g}'}", "a fourth of most-kb at most")
     journal_settings = [setting(journal, "keep") for journal in sections(context.deployment, "journal")]
     if any(enabled and enabled.text == "no" for enabled in journal_settings):
-        checker.fault(replicas.position, read, "(journal (keep yes)): what is copied is kept")
+        checker.fault(replicas.position, read, "(journal (keep yes)): replication needs a journal")
 
 
 def _check_leases(context: _Context, form: Form) -> None:
@@ -183,8 +191,8 @@
             f"namespace {first_name(form)} without credentials",
             "(key ...), (key-hash ...) or (certificate ...)",
         )
-    if len(hashes) > _MOST_KEY_HASHES:
-        position = hashes[_MOST_KEY_HASHES].position
+    if len(hashes) > _MAX_KEY_HASHES:
+        position = hashes[_MAX_KEY_HASHES].position
         checker.fault(position, "a third key-hash", "two at most: the old one and the new one")
     for key_hash in hashes:
         digest = first_name(key_hash).strip('"')
--- a/kelptrail/settings/deployment.py
+++ b/kelptrail/settings/deployment.py
@@ -1,7 +1,7 @@
-"""A deployment: everything that the program knows about one installation, read from one file and checked.
+"""The settings of a deployment, read from one file and checked.
 
-The sections' classes and shapes are in the modules beside this one, and are exported from here too.
-Times are milliseconds, memory is megabytes.
+The classes and shapes of the sections are defined in the other modules of this package and exported from here, too.
+Times are in milliseconds, sizes in `_mb` are in megabytes.
 """
 
 from __future__ import annotations
@@ -80,13 +80,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """One installation; all sections are checked."""
+    """The checked settings of a deployment."""
 
     name: str
     zones: tuple[str, ...]
     types: dict[str, TypeSettings]
     namespaces: dict[str, NamespaceSettings]
-    actions: dict[str, ActionSettings]  # by path, in order of the file
+    actions: dict[str, ActionSettings]  # by path, in the order of the file
     rules: RuleSettings
     dispatcher: DispatcherSettings
     front: FrontSettings
@@ -101,11 +101,11 @@
     planner: PlannerConfig = DEFAULT_PLANNER
     peers: PeersConfig | None = None
     leases: LeasesConfig | None = None
-    folder: Path = Path()  # of the settings file
+    folder: Path = Path()  # folder of the settings file
 
     @property
     def max_deferred_bytes(self) -> int:
-        """The largest body of a deferred request, which replicas must store; 0: no limit of theirs."""
+        """The largest body of a deferred request that replicas store; 0 without replication: no limit."""
         return int(self.peers.max_replicated_kb * 1024) if self.peers is not None and self.peers.replicas else 0
 
 
@@ -135,12 +135,12 @@
 
 
 def load(path: str | Path) -> Deployment:
-    """Read and check a deployment file.  Raises `SettingsError` with every fault, `OSError` where unreadable."""
+    """Read and check a deployment file.  Raises `SettingsError` with all faults, and `OSError` if it is unreadable."""
     return parse(Path(path).read_text(encoding="utf-8", errors="replace"), str(path))
 
 
 def parse(text: str, file: str) -> Deployment:
-    """Check the text of a deployment file; see `load`."""
+    """Parse and check the text of a deployment file; see `load`."""
     checker = Checker()
     forms = read(text, file)
     start = SourcePosition(file, 1, 1)
@@ -159,11 +159,11 @@
 
 
 def _deployment_of(fields: dict[str, Any], folder: Path) -> Deployment:
-    """The deployment of checked sections; `folder`: of the settings file."""
+    """Return the deployment with the checked sections; `folder` is that of the settings file."""
     actions: dict[str, ActionSettings] = {}
     for action in fields["action"]:
-        for one in _spread(action):
-            actions[one.path] = one
+        for single in _expand_count(action):
+            actions[single.path] = single
     return Deployment(
         fields["name"],
         fields["halls"],
@@ -188,8 +188,8 @@
     )
 
 
-def _spread(action: ActionSettings) -> list[ActionSettings]:
-    """`(count N)` stands for N actions, NAME-0 to NAME-(N-1), each with a model of its own."""
+def _expand_count(action: ActionSettings) -> list[ActionSettings]:
+    """Return the N actions of `(count N)`, NAME-0 to NAME-(N-1), each with a model of its own."""
     if action.count == 1:
         return [replace(action, model=action.model or action.name)]
     return [
--- a/kelptrail/settings/dispatching.py
+++ b/kelptrail/settings/dispatching.py
@@ -1,6 +1,6 @@
 """Limits of the dispatch rules, of one dispatcher, of the connections to a worker, and of overload control.
 
-Times are milliseconds, memory is megabytes.  Every default is stated here, once.
+Times are in milliseconds, sizes in `_mb` are in megabytes.  The shapes below hold the defaults.
 """
 
 from __future__ import annotations
@@ -14,10 +14,11 @@
 class RuleSettings:
     """Limits of the dispatch rules.
 
-    `drain_grace_ms`: attempts may reach a worker for so long after it began to drain; `overload_multiple`,
-    `overload_window_ms`: a worker in slow start that gets so many times its capacity within this time fails;
-    `slow_start_share`, `slow_start_ms`: capacity at the start, and the length, of slow start; `loads_allowed`,
-    `free_loads`, `loads_per_request`, `load_window_ms`: the load ration (`kelptrail.dispatch.safety.LoadRation`).
+    `drain_grace_ms`: time after the start of draining in which attempts may still reach the worker;
+    `overload_multiple`, `overload_window_ms`: a worker in slow start fails if it receives this multiple of its capacity
+    within this time; `slow_start_share`: share of its capacity that a worker has at the beginning of slow start;
+    `slow_start_ms`: length of slow start; `loads_allowed`, `free_loads`, `loads_per_request`, `load_window_ms`: the
+    load ration (`kelptrail.dispatch.safety.LoadRation`).
     """
 
     drain_grace_ms: float
@@ -33,12 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatcherSettings:
-    """What a dispatcher may do, and the limits of what it holds.
+    """Permissions and limits of one dispatcher.
 
     `parallel_attempts`: two attempts of one request may be in flight; `can_cancel`: attempts in flight may be
-    cancelled; `answer_margin_ms`: a final answer is given so long before the client's timeout; `keep_alive_ms`: an idle
-    instance stays loaded for so long; `retry_budget_share`, `retry_budget_capacity`: tokens for second attempts, earned
-    by a completed one, and at most.
+    cancelled; `answer_margin_ms`: time between the final answer and the client's timeout; `keep_alive_ms`: time for
+    which an idle instance stays loaded; `retry_budget_share`: tokens for second attempts that a completed attempt
+    earns; `retry_budget_capacity`: maximum of these tokens.
     """
 
     zone: str = field(metadata={"key": "hall"})
@@ -71,7 +72,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OverloadConfig:
-    """Overload control: whether retry storms are damped, and within which limits."""
+    """Overload control, which damps retry storms.
+
+    `max_retry_after_ms`: longest Retry-After; `max_clients`: number of clients whose retries are tracked.
+    """
 
     enabled: bool = field(metadata={"key": "damp"})
     max_retry_after_ms: float = field(metadata={"key": "longest_return_ms"})
--- a/kelptrail/settings/emulated.py
+++ b/kelptrail/settings/emulated.py
@@ -1,6 +1,6 @@
-"""The emulated workers and the emulated model store.
+"""Settings of the emulated workers and the emulated model store.
 
-Times are milliseconds, memory is megabytes.  Every default is stated here, once.
+Times are in milliseconds, sizes in `_mb` are in megabytes.  The shapes below hold the defaults.
 """
 
 from __future__ import annotations
@@ -12,7 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """The emulated workers."""
+    """The emulated workers.
+
+    `workers`: their number.  Limits of each worker: `queue`: jobs that wait; `connections`: open connections; `loads`:
+    loads that run at the same time; `keep_alive_ms`: time for which an idle instance stays loaded.
+    """
 
     workers: int
     cores: int
@@ -25,7 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSettings:
-    """The emulated model store."""
+    """The emulated model store.
+
+    `fetches`: concurrent fetches that run at full speed; `most`: concurrent fetches at which a further one is refused;
+    `fetch_share`: share of a load's time that its fetch takes.
+    """
 
     fetches: int
     most: int
--- a/kelptrail/settings/fronts.py
+++ b/kelptrail/settings/fronts.py
@@ -1,6 +1,6 @@
-"""Limits of the invoke and the inference front, and TLS of both sides.
+"""Limits of the invoke front and the inference front, and TLS towards clients and workers.
 
-Times are milliseconds, memory is megabytes.  Every default is stated here, once.
+Times are in milliseconds, sizes in `_mb` are in megabytes.  The shapes below hold the defaults.
 """
 
 from __future__ import annotations
--- a/kelptrail/settings/lease_checks.py
+++ b/kelptrail/settings/lease_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the `leases` section: known acceptors, a safe change of their set, and lengths that leave time to hold."""
+"""Checks of the `leases` section: known acceptors, a safe change of the acceptor set, and usable lease lengths."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from .shape import Checker, default_of
 
 ACCEPTOR_COUNTS = (3, 5)
-_LEAST_ASKS_IN_A_LEASE = 4
+_MIN_REQUESTS_PER_LEASE = 4
 
 
 def check_leases(checker: Checker, form: Form, peers: Form | None) -> None:
-    """Add the faults of a `leases` section; `peers`: the section that names the dispatchers, if there is one."""
+    """Collect the faults of a `leases` section; `peers` is the section that names the dispatchers, if there is one."""
     known = {first_name(peer) for peer in sections(peers, "peer")} if peers else set()
     acceptors = _check_acceptor_set(checker, form, "voters", known)
-    before = _check_acceptor_set(checker, form, "before", None)
-    _check_change(checker, form, before, acceptors)
-    _check_set_number(checker, form, before)
-    _check_longest(checker, form)
+    previous = _check_acceptor_set(checker, form, "before", None)
+    _check_change(checker, form, previous, acceptors)
+    _check_config_number(checker, form, previous)
+    _check_max_length(checker, form)
     _check_length(checker, form)
 
 
 def _check_acceptor_set(checker: Checker, form: Form, key: str, known: set[str] | None) -> list[str]:
-    """The names of one set; `known`: the peers of the file, where names must be among them."""
+    """Check one acceptor set and return its names; with `known`, each must be one of these peers."""
     names: list[str] = []
     for item in sections(form, key):
         names = [str(atom) for atom in item.items[1:]]
@@ -38,52 +38,52 @@
     return names
 
 
-def _check_change(checker: Checker, form: Form, before: list[str], after: list[str]) -> None:
-    """Majorities of the two sets must overlap."""
-    if not before:
+def _check_change(checker: Checker, form: Form, previous: list[str], acceptors: list[str]) -> None:
+    """Check that each majority of the one set overlaps with each majority of the other."""
+    if not previous:
         return
-    staying = len(set(after) & set(before))
-    least, most = sorted((len(after), len(before)))
-    if staying < (most - 1 if least == most else least):
+    unchanged = len(set(acceptors) & set(previous))
+    smaller, larger = sorted((len(acceptors), len(previous)))
+    if unchanged < (larger - 1 if smaller == larger else smaller):
         checker.fault(
             form.position,
-            f"from {' '.join(before)} to {' '.join(after)}",
+            f"from {' '.join(previous)} to {' '.join(acceptors)}",
             "one voter replaced, or two more, or two fewer, at a time",
         )
 
 
-def _check_set_number(checker: Checker, form: Form, before: list[str]) -> None:
-    given, number = setting(form, "number"), _figure(form, "number")
+def _check_config_number(checker: Checker, form: Form, previous: list[str]) -> None:
+    given, number = setting(form, "number"), _number(form, "number")
     position = given.position if given else form.position
-    if before and number < 2:
-        checker.fault(position, "number 1", "2 at least, where there is a set before")
-    if not before and number > 1:
-        checker.fault(position, f"number {number:g}", "(before NAME ...) beside it: the set before")
+    if previous and number < 2:
+        checker.fault(position, "number 1", "at least 2 with a previous set, (before NAME ...)")
+    if not previous and number > 1:
+        checker.fault(position, f"number {number:g}", "(before NAME ...) beside it: the previous set")
 
 
-def _check_longest(checker: Checker, form: Form) -> None:
-    longest_ms, length_ms = _figure(form, "longest-ms"), _figure(form, "length-ms")
-    if longest_ms < length_ms:
+def _check_max_length(checker: Checker, form: Form) -> None:
+    max_ms, length_ms = _number(form, "longest-ms"), _number(form, "length-ms")
+    if max_ms < length_ms:
         given: Setting | None = setting(form, "longest-ms") or setting(form, "length-ms")
         position = given.position if given else form.position
-        checker.fault(position, f"{longest_ms:g}", f"at least the length-ms, {length_ms:g}")
+        checker.fault(position, f"{max_ms:g}", f"at least the length-ms, {length_ms:g}")
 
 
 def _check_length(checker: Checker, form: Form) -> None:
-    """Of a lease's length, the part that clocks of different rates leave must be enough to renew it."""
-    length_ms, bound = _figure(form, "length-ms"), _figure(form, "clock-bound")
-    usable_ms, least_ms = length_ms * (1 - bound) / (1 + bound), _LEAST_ASKS_IN_A_LEASE * _figure(form, "ask-ms")
-    if usable_ms < least_ms:
+    """Check that the part of a lease that different clock rates leave usable is long enough to renew it."""
+    length_ms, bound = _number(form, "length-ms"), _number(form, "clock-bound")
+    usable_ms, min_ms = length_ms * (1 - bound) / (1 + bound), _MIN_REQUESTS_PER_LEASE * _number(form, "ask-ms")
+    if usable_ms < min_ms:
         given = setting(form, "length-ms")
         checker.fault(
             given.position if given else form.position,
             f"{length_ms:g}",
-            f"a length of which at least four times the ask-ms is left, {least_ms:g}: clocks take "
-            f"{length_ms - usable_ms:.0f}",
+            f"a length of which at least four times the ask-ms, {min_ms:g}, is usable: the clock bound "
+            f"takes {length_ms - usable_ms:.0f}",
         )
 
 
-def _figure(form: Form, key: str) -> float:
-    """A number of the section, or its default."""
+def _number(form: Form, key: str) -> float:
+    """Return a number of the section, or its default."""
     given = setting(form, key)
     return given.number if given else default_of(LEASES, key)
--- a/kelptrail/settings/reader.py
+++ b/kelptrail/settings/reader.py
@@ -1,7 +1,6 @@
-"""Text to S-expressions that remember where they stood.
+"""Parses text into S-expressions with source positions.
 
-The grammar is a dozen lines for a parsing library: lists, words, numbers, strings, `;` comments.  Nothing is
-given a meaning here; `shape.py` does that.
+The grammar has lists, words, numbers, strings and `;` comments.  `shape.py` interprets the expressions.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SourcePosition:
-    """Where something stood: a file, a line and a column, both from 1."""
+    """A position in a file; line and column count from 1."""
 
     file: str
     line: int
@@ -39,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing wrong with a settings file."""
+    """An error in a settings file: its position, the text read and what was expected."""
 
     position: SourcePosition
     read: str
@@ -50,7 +49,7 @@
 
 
 class SettingsError(Exception):
-    """Settings that cannot be used; `faults` names each reason with its position."""
+    """Settings are invalid; `faults` lists every fault with its position."""
 
     def __init__(self, faults: list[Fault]) -> None:
         self.faults = faults
@@ -73,14 +72,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Form:
-    """A list; `head` is its first word, if it starts with one."""
+    """A list of expressions in brackets."""
 
     items: tuple[Atom | Form, ...]
     position: SourcePosition
 
     @property
     def head(self) -> str | None:
-        """Its first word, or None where it starts with something else."""
+        """The first item if it is a word, else None."""
         first = self.items[0] if self.items else None
         return str(first.value) if isinstance(first, Atom) and first.kind == "word" else None
 
@@ -94,7 +93,7 @@
 
 
 def read(text: str, file: str) -> list[Atom | Form]:
-    """The expressions of a file in order.  Raises `SettingsError` where the brackets or quotes do not fit."""
+    """Return the expressions of a file in order.  Raises `SettingsError` for unbalanced brackets or quotes."""
     try:
         tree = _parser().parse(text)
     except UnexpectedCharacters as cause:
@@ -108,10 +107,10 @@
             ]
         ) from None
     except UnexpectedEOF:
-        raise SettingsError([_open_bracket(text, file)]) from None
+        raise SettingsError([_unclosed_bracket(text, file)]) from None
     except UnexpectedToken as cause:
         if cause.token.type == "$END":
-            raise SettingsError([_open_bracket(text, file)]) from None
+            raise SettingsError([_unclosed_bracket(text, file)]) from None
         raise SettingsError(
             [
                 Fault(
@@ -124,15 +123,15 @@
     return [_convert(child, file) for child in tree.children]
 
 
-def _open_bracket(text: str, file: str) -> Fault:
-    """Which bracket is left open: the innermost, as the lexer saw them."""
-    left = []
+def _unclosed_bracket(text: str, file: str) -> Fault:
+    """Return the fault of an unclosed bracket; the position is that of the innermost open bracket."""
+    open_brackets = []
     for token in _parser().lex(text, dont_ignore=False):
         if token.type == "LPAR":
-            left.append(token)
-        elif token.type == "RPAR" and left:
-            left.pop()
-    last = left[-1]
+            open_brackets.append(token)
+        elif token.type == "RPAR" and open_brackets:
+            open_brackets.pop()
+    last = open_brackets[-1]
     return Fault(SourcePosition(file, last.line or 1, last.column or 1), "the end of the file", "a ) for this bracket")
 
 
--- a/kelptrail/settings/request_classes.py
+++ b/kelptrail/settings/request_classes.py
@@ -1,6 +1,6 @@
 """Request classes, namespaces and actions.
 
-Times are milliseconds, memory is megabytes.  Every default is stated here, once.
+Times are in milliseconds, sizes in `_mb` are in megabytes.  The shapes below hold the defaults.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyHash:
-    """A key known by its digest, `sha256:HEX`.  Two may be live at once, so that a key can be rotated."""
+    """The digest of a key, `sha256:HEX`.  A namespace may have two, so that its key can be rotated."""
 
     digest: str
 
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NamespaceSettings:
-    """A namespace: who calls, and its quota."""
+    """A namespace: the credentials of its callers, and its quota."""
 
     name: str
     uuid: str
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ActionSettings:
-    """An action: a name to call, the model that runs it and what an instance takes."""
+    """An action: the name that is called, the model that runs it, and the resources of an instance."""
 
     name: str
     package: str
@@ -69,7 +69,7 @@
 
     @property
     def path(self) -> str:
-        """`package/name`, or `name` where there is no package."""
+        """`package/name`, or `name` if there is no package."""
         return f"{self.package}/{self.name}" if self.package else self.name
 
 
--- a/kelptrail/settings/shape.py
+++ b/kelptrail/settings/shape.py
@@ -1,6 +1,6 @@
-"""What a settings file may hold: forms, their fields, ranges, and the texts of faults.
+"""Describes the permitted content of a settings file: forms, their fields, ranges and default values.
 
-A shape is data; `Checker` walks a form beside its shape and gathers every fault before anything is used.
+A shape is data; `Checker` compares a form with its shape and collects all faults.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 
 class SettingValueError(ValueError):
-    """A value of another kind or out of range; the text says what was expected."""
+    """A value has the wrong kind or is out of range; the message is what was expected."""
 
 
 @dataclass(frozen=True, slots=True)
 class Value:
     """A field with one value: `(key value)`."""
 
-    convert: Callable[[Atom | Form], Any]  # raises SettingValueError with what was expected
+    convert: Callable[[Atom | Form], Any]  # raises SettingValueError
     expected: str
     default: Any = REQUIRED
 
@@ -40,23 +40,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """A field with fields of its own: `(key (a 1) (b 2))`; absent, its defaults hold."""
+    """A field with fields of its own: `(key (a 1) (b 2))`; if it is absent, the defaults of its fields apply."""
 
     shape: Shape
-    optional: bool = False  # absent: None in place of the defaults
+    optional: bool = False  # if it is absent, the value is None instead of the defaults
 
 
 @dataclass(frozen=True, slots=True)
 class Many:
-    """A form that may stand any number of times: `(key NAME (a 1))`."""
+    """A form that may be repeated: `(key NAME (a 1))`."""
 
     shape: Shape
-    least: int = 0
+    min_count: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """The names that a form takes in front, and its fields."""
+    """The names that follow the head of a form, its fields, and the class that is built from both."""
 
     fields: dict[str, Value | Values | Group | Many]
     names: tuple[str, ...] = ()
@@ -64,12 +64,12 @@
 
 
 def number(low: float, high: float, integer: bool = False, default: Any = REQUIRED) -> Value:
-    """A number from `low` to `high`; `integer`: without a fraction."""
+    """Return the specification of a number from `low` to `high`; with `integer`, a whole number."""
     kind = "a whole number" if integer else "a number"
     expected = f"{kind} from {low:g} to {high:g}"
 
     def convert(item: Atom | Form) -> float | int:
-        """The number of an item.  Raises `SettingValueError`."""
+        """Return the number of an item.  Raises `SettingValueError`."""
         if not isinstance(item, Atom) or item.kind != "number" or not isinstance(item.value, float):
             raise SettingValueError(expected)
         if not low <= item.value <= high or (integer and item.value != int(item.value)):
@@ -80,18 +80,18 @@
 
 
 def milliseconds(low: float, high: float, default: Any = REQUIRED) -> Value:
-    """A time from `low` to `high` ms."""
+    """Return the specification of a time from `low` to `high` ms."""
     return number(low, high, default=default)
 
 
 def word(choices: Iterable[str] | None = None, default: Any = REQUIRED) -> Value:
-    """A word or string, one of `choices` if given."""
-    known = tuple(choices) if choices is not None else None
-    expected = "one of " + ", ".join(known) if known else "a word or a string"
+    """Return the specification of a word or string, which must be one of `choices` if given."""
+    allowed = tuple(choices) if choices is not None else None
+    expected = "one of " + ", ".join(allowed) if allowed else "a word or a string"
 
     def convert(item: Atom | Form) -> str:
-        """The text of an item.  Raises `SettingValueError`."""
-        if not isinstance(item, Atom) or item.kind == "number" or (known and item.value not in known):
+        """Return the text of an item.  Raises `SettingValueError`."""
+        if not isinstance(item, Atom) or item.kind == "number" or (allowed and item.value not in allowed):
             raise SettingValueError(expected)
         return str(item.value)
 
@@ -99,33 +99,33 @@
 
 
 def yes_no(default: Any = REQUIRED) -> Value:
-    """Yes or no."""
-    inner = word(("yes", "no"))
-    return Value(lambda item: inner.convert(item) == "yes", inner.expected, default)
+    """Return the specification of a Boolean, written as yes or no."""
+    choice = word(("yes", "no"))
+    return Value(lambda item: choice.convert(item) == "yes", choice.expected, default)
 
 
 def some(kind: Value, default: Any = REQUIRED) -> Values:
-    """Any number of values of a kind."""
+    """Return the specification of any number of values of a kind."""
     return Values(kind.convert, kind.expected + ", any number of them", default)
 
 
 def default_of(shape: Shape, key: str) -> float:
-    """The default of a number in a shape; for checks that compare fields which the file may leave out."""
+    """Return the default of a numeric field, for checks that compare fields which the file may leave out."""
     spec = shape.fields[key]
     assert isinstance(spec, Value)
     return float(spec.default)
 
 
 def fields_by_key(section: Any) -> dict[str, str]:
-    """The field of each settings key, with underscores, of a dataclass or its instance.
+    """Map settings keys, written with underscores, to the field names of a dataclass or of an instance.
 
-    A key is the field's name, or the `key` of its metadata where the field has the better name.
+    The key of a field is the `key` in its metadata, or else the field's name.
     """
     return {f.metadata.get("key", f.name): f.name for f in dataclasses.fields(section)}
 
 
 def _build(shape: Shape, values: dict[str, Any]) -> Any:
-    """The built value of a form; `values`: by settings key, with underscores."""
+    """Build the value of a form; `values` are by settings key, written with underscores."""
     if not dataclasses.is_dataclass(shape.build):
         return shape.build(**values)
     fields = fields_by_key(shape.build)
@@ -133,26 +133,26 @@
 
 
 class Checker:
-    """Gathers the faults of one file."""
+    """Checks forms against their shapes and collects the faults of one file."""
 
     def __init__(self) -> None:
         self.faults: list[Fault] = []
 
     def fault(self, position: SourcePosition, read: object, expected: str) -> None:
-        """Note a fault and go on."""
+        """Record a fault and continue."""
         self.faults.append(Fault(position, str(read), expected))
 
     def done(self) -> None:
-        """Raise `SettingsError` with all faults, if there are any."""
+        """Raise `SettingsError` with all recorded faults in the order of the file, if there are any."""
         if self.faults:
             raise SettingsError(sorted(self.faults, key=lambda f: (f.position.line, f.position.column)))
 
     def form(self, form: Form, shape: Shape) -> Any:
-        """The built value of a form, or None where it has faults."""
-        before, items = len(self.faults), list(form.items[1:])
-        out = self._names(form, shape, items)
+        """Check a form and build its value; return None if it has faults."""
+        faults_before, items = len(self.faults), list(form.items[1:])
+        values = self._take_names(form, shape, items)
         seen: dict[str, SourcePosition] = {}
-        lists: dict[str, list[Any]] = {k: [] for k, f in shape.fields.items() if isinstance(f, Many)}
+        repeated: dict[str, list[Any]] = {k: [] for k, f in shape.fields.items() if isinstance(f, Many)}
         for item in items:
             if not isinstance(item, Form) or item.head is None:
                 self.fault(item.position, item, f"a field of ({form.head} ...) in brackets")
@@ -162,27 +162,27 @@
                 self._unknown_field(item, form, shape)
                 continue
             if isinstance(spec, Many):
-                lists[item.head].append(self.form(item, spec.shape))
+                repeated[item.head].append(self.form(item, spec.shape))
                 continue
             if item.head in seen:
                 self.fault(
                     item.position,
                     f"({item.head} ...) again",
-                    f"it once; it stands in line {seen[item.head].line} already",
+                    f"it once; line {seen[item.head].line} has it already",
                 )
                 continue
             seen[item.head] = item.position
-            out[item.head.replace("-", "_")] = self._field(item, spec)
+            values[item.head.replace("-", "_")] = self._field_value(item, spec)
         for key, spec in shape.fields.items():
             name = key.replace("-", "_")
             if isinstance(spec, Many):
-                out[name] = self._enough(form, key, spec, lists[key])
+                values[name] = self._repeated_value(form, key, spec, repeated[key])
             elif key not in seen:
-                out[name] = self._absent(form, key, spec)
-        return _build(shape, out) if len(self.faults) == before else None
+                values[name] = self._absent_value(form, key, spec)
+        return _build(shape, values) if len(self.faults) == faults_before else None
 
-    def _names(self, form: Form, shape: Shape, items: list[Atom | Form]) -> dict[str, Any]:
-        """The names at the start of a form; they are taken off `items`."""
+    def _take_names(self, form: Form, shape: Shape, items: list[Atom | Form]) -> dict[str, Any]:
+        """Remove the names of a form from the front of `items` and return them."""
         names = dict[str, Any]()
         for name in shape.names:
             if items and isinstance(items[0], Atom):
@@ -191,36 +191,36 @@
                 self.fault(form.position, form, f"({form.head} {name.upper()} ...)")
         return names
 
-    def _enough(self, form: Form, key: str, spec: Many, values: list[Any]) -> list[Any]:
-        """The values of a field that may stand several times."""
-        if len(values) < spec.least:
-            self.fault(form.position, f"{len(values)} of ({key} ...)", f"{spec.least} at least")
+    def _repeated_value(self, form: Form, key: str, spec: Many, values: list[Any]) -> list[Any]:
+        """Return the values of a repeated form; too few are a fault."""
+        if len(values) < spec.min_count:
+            self.fault(form.position, f"{len(values)} of ({key} ...)", f"{spec.min_count} at least")
         return values
 
     def _unknown_field(self, item: Form, form: Form, shape: Shape) -> None:
-        near = difflib.get_close_matches(str(item.head), shape.fields, 1)
-        hint = f" (did you mean {near[0]}?)" if near else ""
+        matches = difflib.get_close_matches(str(item.head), shape.fields, 1)
+        hint = f" (did you mean {matches[0]}?)" if matches else ""
         expected = f"a field of ({form.head} ...): " + ", ".join(sorted(shape.fields)) + hint
         self.fault(item.position, f"({item.head} ...)", expected)
 
-    def _field(self, item: Form, spec: Value | Values | Group) -> Any:
+    def _field_value(self, item: Form, spec: Value | Values | Group) -> Any:
         if isinstance(spec, Group):
             return self.form(item, spec.shape)
         values = item.items[1:]
         if isinstance(spec, Value) and len(values) != 1:
             self.fault(item.position, f"{len(values)} values for {item.head}", spec.expected)
             return None
-        out = []
+        converted = []
         for value in values:
             try:
-                out.append(spec.convert(value))
+                converted.append(spec.convert(value))
             except ValueError as cause:
                 self.fault(value.position, value, f"{cause} for {item.head}")
         if isinstance(spec, Value):
-            return out[0] if out else None
-        return tuple(out)
+            return converted[0] if converted else None
+        return tuple(converted)
 
-    def _absent(self, form: Form, key: str, spec: Value | Values | Group) -> Any:
+    def _absent_value(self, form: Form, key: str, spec: Value | Values | Group) -> Any:
         if isinstance(spec, Group):
             if spec.optional:
                 return None
--- a/kelptrail/settings/vrrp.py
+++ b/kelptrail/settings/vrrp.py
@@ -1,6 +1,6 @@
-"""Front addresses that survive their dispatcher's host (VRRPv3, RFC 9568).
+"""Settings of VRRPv3 (RFC 9568), which moves a front address to another dispatcher when its owner fails.
 
-Times are milliseconds, memory is megabytes.  Every default is stated here, once.
+Times are in milliseconds.  The shapes below hold the defaults.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeySettings:
-    """A key that peers share; the first of the file is sent with, all are accepted."""
+    """A key shared by the peers; advertisements are signed with the first one in the file, all are accepted."""
 
     number: str
     secret: str
@@ -20,7 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceSettings:
-    """A dispatcher that takes part: where its datagrams come from, and where others send to reach it."""
+    """A dispatcher that runs VRRP.
+
+    `udp`: address that it sends datagrams from; `via`: address that peers send to, such as a proxy's; default: `udp`.
+    """
 
     name: str
     udp: str
@@ -34,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberSettings:
-    """An instance's part in one virtual router."""
+    """The membership of an instance in a virtual router."""
 
     name: str
     priority: int
@@ -42,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterConfig:
-    """One virtual router: its front address and who backs it."""
+    """A virtual router: its front address and its members."""
 
     vrid: str
     address: str
@@ -56,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrackConfig:
-    """What lowers the priority while it fails."""
+    """A tracked object: it lowers the priority while it fails."""
 
     name: str
     weight: int
@@ -67,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VrrpSettings:
-    """Front addresses that survive their dispatcher's host (RFC 9568)."""
+    """VRRP of a deployment: instances, virtual routers, keys and tracked objects."""
 
     pseudo_header: bool
     key: list[KeySettings]
--- a/kelptrail/settings/vrrp_checks.py
+++ b/kelptrail/settings/vrrp_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the `vrrp` section: addresses, names used twice, routers and their members, keys, tracked objects."""
+"""Checks of the `vrrp` section: addresses, duplicate names, routers and their members, keys, tracked objects."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from .shape import Checker
 from .vrrp import TRACKED
 
-OWNER_PRIORITY = "255.0"  # as the reader writes the number
+OWNER_PRIORITY = "255.0"  # text of the number as `setting` returns it
 
 
 def check_vrrp(checker: Checker, form: Form) -> None:
-    """Add the faults of a `vrrp` section."""
+    """Collect the faults of a `vrrp` section."""
     instances = {first_name(instance): instance for instance in sections(form, "instance")}
-    families = _check_instances(checker, form, instances)
+    ip_versions = _check_instances(checker, form, instances)
     seen: dict[str, SourcePosition] = {}
     for part in sections(form):
         if part.head in ("router", "key", "instance", "track"):
-            _check_once(checker, part, seen)
+            _check_unique(checker, part, seen)
         if part.head == "router":
-            _check_router(checker, part, instances, families)
+            _check_router(checker, part, instances, ip_versions)
         if part.head == "key":
             _check_key(checker, part)
         if part.head == "track" and first_name(part) not in TRACKED:
@@ -30,8 +30,8 @@
 
 
 def _check_instances(checker: Checker, form: Form, instances: dict[str, Form]) -> set[int]:
-    """The IP versions of the instances' addresses."""
-    families: dict[str, int] = {}
+    """Check the addresses of the instances and return their IP versions."""
+    version_by_name: dict[str, int] = {}
     for name, instance in instances.items():
         for key in ("udp", "via"):
             address = setting(instance, key)
@@ -39,35 +39,35 @@
                 continue
             version = _check_address(checker, key, address)
             if version is not None:
-                families[name] = version
-    versions = set(families.values())
+                version_by_name[name] = version
+    versions = set(version_by_name.values())
     if len(versions) > 1:
-        checker.fault(form.position, "IPv4 and IPv6 instances", "one family for all instances")
+        checker.fault(form.position, "IPv4 and IPv6 instances", "one address family for all instances")
     return versions
 
 
 def _check_address(checker: Checker, key: str, address: Setting) -> int | None:
-    """The IP version of ADDRESS:PORT; None where there is no IP address in it."""
+    """Check ADDRESS:PORT and return its IP version, or None if it has no IP address."""
     host, _, port = address.text.rpartition(":")
     version: int | None = None
     try:
         version = ip_address(host.strip("[]")).version
-        sound = 0 < int(port) < 65536
+        valid = 0 < int(port) < 65536
     except ValueError:
-        sound = False
-    if not sound:
+        valid = False
+    if not valid:
         checker.fault(address.position, address.text, f"an address and a port for {key}, such as 127.0.1.1:8112")
     return version
 
 
-def _check_once(checker: Checker, part: Form, seen: dict[str, SourcePosition]) -> None:
+def _check_unique(checker: Checker, part: Form, seen: dict[str, SourcePosition]) -> None:
     identity = f"{part.head} {first_name(part)}"
-    known = seen.setdefault(identity, part.position)
-    if known is not part.position:
-        checker.fault(part.position, f"{identity} again", f"it once; line {known.line} has it already")
+    first = seen.setdefault(identity, part.position)
+    if first is not part.position:
+        checker.fault(part.position, f"{identity} again", f"it once; line {first.line} has it already")
 
 
-def _check_router(checker: Checker, router: Form, instances: dict[str, Form], families: set[int]) -> None:
+def _check_router(checker: Checker, router: Form, instances: dict[str, Form], ip_versions: set[int]) -> None:
     vrid = first_name(router)
     if not vrid.isdigit() or not 1 <= int(vrid) <= 255:
         checker.fault(router.position, vrid, "a virtual router identifier from 1 to 255")
@@ -75,7 +75,7 @@
         version: int | None = None
         with contextlib.suppress(ValueError):
             version = ip_address(address.text).version
-        if version not in families:
+        if version not in ip_versions:
             checker.fault(address.position, address.text, "an IP address of the instances' family")
     members = list(sections(router, "member"))
     owners = [m for m in members if (priority := setting(m, "priority")) and priority.text == OWNER_PRIORITY]
