--- a/kelptrail/cli/__init__.py
+++ b/kelptrail/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The `kelptrail` command line."""
--- a/kelptrail/cli/calls.py
+++ b/kelptrail/cli/calls.py
@@ -1,4 +1,4 @@
-"""A client of the invoke API: `invoke` calls an action, `poll` asks for its activation's record."""
+"""A client of the invoke API: `invoke` calls an action, `poll` fetches the record of an activation."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 REQUEST_TIMEOUT_MS = 70_000.0
 POLL_INTERVAL_S = 0.1
-_EXIT_OF_ANSWER = {"rejected": ExitCode.REJECTED, "aborted": ExitCode.ABORTED}
+_EXIT_CODE_BY_ANSWER = {"rejected": ExitCode.REJECTED, "aborted": ExitCode.ABORTED}
 
 
 class ApiResponse(NamedTuple):
@@ -27,20 +27,20 @@
 
     @property
     def exit_code(self) -> ExitCode:
-        """The exit code that says how the activation ended, or that it is in flight."""
+        """The exit code for the activation's outcome; `IN_FLIGHT` if it has not ended."""
         if self.status == 429:
             return ExitCode.REJECTED
         if self.status == 202 or (self.status == 404 and "in hand" in str(self.body)):
             return ExitCode.IN_FLIGHT
         if answer := self._final_answer():
-            return _EXIT_OF_ANSWER.get(answer, ExitCode.COMPLETED)
+            return _EXIT_CODE_BY_ANSWER.get(answer, ExitCode.COMPLETED)
         return ExitCode.COMPLETED if self.status == 200 else ExitCode.FAILED
 
     def _final_answer(self) -> str | None:
-        """The answer that the record's `kelptrail` annotation names, if the body is such a record."""
+        """Return the answer in the record's `kelptrail` annotation, or None if the body is not such a record."""
         if not isinstance(self.body, dict):
             return None
-        annotations = {note["key"]: note["value"] for note in self.body.get("annotations", [])}
+        annotations = {annotation["key"]: annotation["value"] for annotation in self.body.get("annotations", [])}
         answer: str | None = annotations.get("kelptrail", {}).get("answer")
         return answer
 
@@ -48,14 +48,14 @@
 client_options = combined(
     click.option("--namespace", default="_", show_default=True),
     click.option("--auth", required=True, help="UUID:KEY of the namespace."),
-    click.option("--url", required=True, help="The invoke address, such as http://127.0.0.1:8080."),
+    click.option("--url", required=True, help="URL of the invoke API, such as http://127.0.0.1:8080."),
 )
 
 
 async def _request(
     url: str, auth: str, method: str, target: str, body: Any = None, headers: dict[str, str] | None = None
 ) -> ApiResponse:
-    """One request to the invoke API.  Raises `CommandFailedError` where it does not answer."""
+    """Send one request to the invoke API.  Raises `CommandFailedError` if it does not answer."""
     from kelptrail.codec.http import HttpError
     from kelptrail.net.http_client import HttpClient
 
@@ -80,8 +80,8 @@
 @click.argument("action")
 @click.argument("params", default="{}")
 @click.option("--blocking", is_flag=True, help="Wait for the final answer.")
-@click.option("--timeout", "timeout_ms", type=int, help="Longest wait in ms.")
-@click.option("--key", "idempotency_key", help="An idempotency key (header Idempotency-Key).")
+@click.option("--timeout", "timeout_ms", type=int, help="Maximum time to wait, in ms.")
+@click.option("--key", "idempotency_key", help="Idempotency key (header Idempotency-Key).")
 @client_options
 def invoke(
     action: str,
@@ -93,11 +93,11 @@
     auth: str,
     namespace: str,
 ) -> None:
-    """Call an action.  Exit 0 completed, 3 rejected, 4 aborted, 5 in flight."""
+    """Call an action.  Exit codes: 0 completed, 3 rejected, 4 aborted, 5 in flight."""
     try:
         body = msgspec.json.decode(params)
     except msgspec.DecodeError as cause:
-        raise click.BadParameter(f"PARAMS is a JSON object: {cause}") from None
+        raise click.BadParameter(f"PARAMS must be a JSON object: {cause}") from None
     target = f"/api/v1/namespaces/{namespace}/actions/{action}?blocking={str(blocking).lower()}"
     if timeout_ms is not None:
         target += f"&timeout={timeout_ms}"
@@ -107,16 +107,16 @@
 
 @click.command(cls=ExampleCommand, example="kelptrail poll ID --url http://127.0.0.1:8080 --auth UUID:KEY")
 @click.argument("activation")
-@click.option("--within", default=0.0, show_default=True, help="Ask again for so many seconds.")
+@click.option("--within", default=0.0, show_default=True, help="Poll for up to this many seconds.")
 @client_options
 def poll(activation: str, within: float, url: str, auth: str, namespace: str) -> None:
-    """Ask for an activation's record.  Exit 0 completed, 3 rejected, 4 aborted, 5 in flight."""
+    """Fetch an activation's record.  Exit codes: 0 completed, 3 rejected, 4 aborted, 5 in flight."""
     target = f"/api/v1/namespaces/{namespace}/activations/{activation}"
     _print_and_exit(run_async(_poll(url, auth, target, within)))
 
 
 async def _poll(url: str, auth: str, target: str, within_s: float) -> ApiResponse:
-    """Ask again until the activation is no longer in flight, for `within_s` seconds at most."""
+    """Fetch the record until the activation is no longer in flight, for at most `within_s` seconds."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + within_s
     while True:
--- a/kelptrail/cli/certificates.py
+++ b/kelptrail/cli/certificates.py
@@ -23,11 +23,11 @@
 
 @click.group()
 def keys() -> None:
-    """A private authority of one's own: certificates for fronts, workers and clients; keys for namespaces."""
+    """Manage a private certificate authority for fronts, workers and clients, and keys for namespaces."""
 
 
 def _with_authority(work: Callable[[], T]) -> T:
-    """What `work` returns.  Raises `CommandFailedError` where the authority cannot do it."""
+    """Return the result of `work`.  Raises `CommandFailedError` if the authority reports an error."""
     from kelptrail.certificates.authority import AuthorityError
 
     try:
@@ -53,7 +53,7 @@
 @click.option("--name", default="kelptrail-authority", show_default=True)
 @click.option("--days", default=3650, show_default=True, type=click.IntRange(1, 36_500))
 def init(folder: Path, name: str, days: int) -> None:
-    """Make an authority in FOLDER.  An existing one is never overwritten."""
+    """Create an authority in FOLDER.  An existing one is never overwritten."""
     from kelptrail.certificates.authority import Authority
 
     _print_certificate(
@@ -65,11 +65,11 @@
 @folder_argument
 @click.argument("name")
 @click.option("--server", is_flag=True, help="For a front or a worker.")
-@click.option("--client", is_flag=True, help="For a caller, or a dispatcher towards its workers.")
-@click.option("--also", multiple=True, help="Another DNS name, URI or address that it is valid for.")
+@click.option("--client", is_flag=True, help="For a client, or a dispatcher as a client of its workers.")
+@click.option("--also", multiple=True, help="Further DNS name, URI or address to certify; repeatable.")
 @click.option("--days", default=90, show_default=True, type=click.IntRange(1, 36_500))
 def issue(folder: Path, name: str, server: bool, client: bool, also: tuple[str, ...], days: int) -> None:
-    """Issue a certificate: FOLDER/NAME.pem holds its key and itself."""
+    """Issue a certificate; its key and the certificate are written to FOLDER/NAME.pem."""
     from kelptrail.certificates.authority import Authority
 
     _print_certificate(
@@ -82,7 +82,7 @@
 @click.argument("name")
 @click.option("--days", default=90, show_default=True, type=click.IntRange(1, 36_500))
 def rotate(folder: Path, name: str, days: int) -> None:
-    """Renew a certificate with a new key; running fronts reload it by themselves."""
+    """Renew a certificate with a new key; running fronts reload it automatically."""
     from kelptrail.certificates.authority import Authority
 
     _print_certificate(_with_authority(lambda: Authority(folder).rotate(name, days, datetime.now(UTC))))
@@ -91,7 +91,7 @@
 @keys.command(cls=ExampleCommand, example="kelptrail keys show keys")
 @folder_argument
 def show(folder: Path) -> None:
-    """Show the authority and what it issued, one JSON line each; never a key."""
+    """Show the authority and the certificates it issued, one JSON line each, without keys."""
     from kelptrail.certificates.authority import Authority
 
     for issued in _with_authority(lambda: Authority(folder).list_issued()):
@@ -100,7 +100,7 @@
 
 @keys.command(cls=ExampleCommand, example="kelptrail keys api")
 def api() -> None:
-    """Make a key for a namespace: hand out `key`, put `key_hash` into the settings."""
+    """Create a key for a namespace: `key` is for its callers, `key_hash` for the settings."""
     from kelptrail.certificates.authority import new_api_key
 
     key, hashed = new_api_key()
--- a/kelptrail/cli/console.py
+++ b/kelptrail/cli/console.py
@@ -1,4 +1,4 @@
-"""What every command needs: the event loop, input files, output, logs and orderly ends."""
+"""Functions shared by the commands: event loop, input files, output, logs and stop signals."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def read_input(load: Callable[[str], T], file: str) -> T:
-    """What `load` makes of a file.  Raises `UnusableInputError` that names every fault."""
+    """Return the result of `load` for a file.  Raises `UnusableInputError`, which lists all faults."""
     from kelptrail.settings.reader import SettingsError
 
     try:
@@ -46,14 +46,14 @@
 
 
 def read_deployment(file: str) -> Deployment:
-    """The checked settings of a deployment file.  Raises `UnusableInputError`."""
+    """Read and check a deployment file.  Raises `UnusableInputError`."""
     from kelptrail.settings.deployment import load
 
     return read_input(load, file)
 
 
 def read_scenario(file: str) -> FaultScenario:
-    """The checked fault scenario of a file.  Raises `UnusableInputError`."""
+    """Read and check a fault scenario file.  Raises `UnusableInputError`."""
     from kelptrail.fault_scenario.scenario import load_scenario
 
     return read_input(load_scenario, file)
@@ -71,7 +71,7 @@
 
 
 def start_log(context: click.Context, **bound: Any) -> Any:
-    """A logger as the group's options ask for it, with `bound` in every line."""
+    """Configure logging from the group's options and return a logger with the fields `bound` in every line."""
     from .logs import configure_logging
 
     return configure_logging(context.obj["level"], context.obj["form"], **bound)
@@ -84,14 +84,14 @@
     def watch() -> None:
         while os.read(0, STDIN_READ_BYTES):
             pass
-        with contextlib.suppress(RuntimeError):  # the loop is closed already
+        with contextlib.suppress(RuntimeError):  # the loop is already closed
             loop.call_soon_threadsafe(stop)
 
     threading.Thread(target=watch, daemon=True).start()
 
 
 def stop_event_on_signals() -> asyncio.Event:
-    """An event that SIGTERM and SIGINT set."""
+    """Return an event that SIGTERM and SIGINT set."""
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
@@ -99,7 +99,7 @@
 
 
 async def wait_until_stopped(with_stdin: bool) -> None:
-    """Return at SIGTERM, at SIGINT, or, `with_stdin`, at the end of standard input."""
+    """Return on SIGTERM, on SIGINT or, if `with_stdin`, at the end of standard input."""
     stop = stop_event_on_signals()
     if with_stdin:
         call_at_end_of_stdin(stop.set)
--- a/kelptrail/cli/emulator.py
+++ b/kelptrail/cli/emulator.py
@@ -1,4 +1,4 @@
-"""`emulate`: the parts around a dispatcher, emulated on loopback for trials and tests, one process each."""
+"""`emulate`: emulators of a dispatcher's environment on loopback, one process each, for trials and tests."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 
 @click.group()
 def emulate() -> None:
-    """Emulated parts on loopback for trials and tests: workers, model store, endpoint service, proxies."""
+    """Run one emulator on loopback for trials and tests: a worker, model store, endpoint service or proxy."""
 
 
 emulator_options = combined(
     with_stdin_option,
-    click.option("--capture", type=click.Path(path_type=Path), help="File for what passes the sockets."),
+    click.option("--capture", type=click.Path(path_type=Path), help="File that records the emulator's events."),
     port_option,
     host_option,
 )
 
 
-async def _serve(server: Any, host: str, port: int, with_stdin: bool, **said: Any) -> None:
-    """Listen, print the ready line, and serve until stopped."""
+async def _serve(server: Any, host: str, port: int, with_stdin: bool, **fields: Any) -> None:
+    """Listen, print the ready line with `fields`, and serve until stopped."""
     server.listen(host, port)
-    print_json_line(ready=True, address=server.address, **said)
+    print_json_line(ready=True, address=server.address, **fields)
     await wait_until_stopped(with_stdin)
 
 
@@ -41,49 +41,49 @@
 @click.argument("file")
 @emulator_options
 def model_store(file: str, host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
-    """The model store, with the ledger by which workers drop repeats."""
+    """Run the model store, with the ledger that workers use to drop repeats."""
     deployment = read_deployment(file)
     from kelptrail.emulator.capture import Capture
     from kelptrail.emulator.model_store import ModelStore
 
-    async def emulated() -> None:
+    async def run_emulator() -> None:
         store = ModelStore(deployment.store, Capture(capture, "store"))
         await _serve(store.server, host, port, with_stdin)
 
-    run_async(emulated())
+    run_async(run_emulator())
 
 
 @emulate.command(cls=ExampleCommand, example="kelptrail emulate endpoint-service --port 7000")
 @emulator_options
 def endpoint_service(host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
-    """The endpoint service: the list of workers and dispatchers."""
+    """Run the endpoint service, which serves the list of workers and dispatchers."""
     from kelptrail.emulator.capture import Capture
     from kelptrail.emulator.endpoint_service import EndpointService
 
-    async def emulated() -> None:
+    async def run_emulator() -> None:
         service = EndpointService(Capture(capture, "roster"))
         await _serve(service.server, host, port, with_stdin)
 
-    run_async(emulated())
+    run_async(run_emulator())
 
 
 @emulate.command(cls=ExampleCommand, example="kelptrail emulate side-effect-log")
 @emulator_options
 def side_effect_log(host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
-    """The target of side effects under leases: records who acts when, refuses old fencing tokens."""
+    """Run the target of side effects under leases, which records them and refuses old fencing tokens."""
     from kelptrail.emulator.capture import Capture
     from kelptrail.emulator.side_effect_log import SideEffectLog
 
-    async def emulated() -> None:
+    async def run_emulator() -> None:
         log = SideEffectLog(Capture(capture, "witness"))
         await _serve(log.server, host, port, with_stdin)
 
-    run_async(emulated())
+    run_async(run_emulator())
 
 
 @emulate.command(cls=ExampleCommand, example="kelptrail emulate channel-proxy --from dispatcher-0 --to dispatcher-1")
-@click.option("--from", "sources", multiple=True, help="One that connects.")
-@click.option("--to", "targets", multiple=True, help="One that is connected to.")
+@click.option("--from", "sources", multiple=True, help="Dispatcher that connects; repeatable.")
+@click.option("--to", "targets", multiple=True, help="Dispatcher that accepts the connection; repeatable.")
 @click.option("--seed", default=1)
 @emulator_options
 def channel_proxy(
@@ -95,15 +95,15 @@
     capture: Path | None,
     with_stdin: bool,
 ) -> None:
-    """A proxy for the channel between dispatchers that cuts, slows and resets connections on request."""
+    """Run a proxy for the channel between dispatchers that cuts, slows and resets connections on request."""
     from kelptrail.emulator.capture import Capture
     from kelptrail.emulator.channel_proxy import ChannelProxy
 
-    async def emulated() -> None:
+    async def run_emulator() -> None:
         proxy = ChannelProxy(list(sources), list(targets), Capture(capture, "links"), seed)
         await _serve(proxy.server, host, port, with_stdin, routes=proxy.routes)
 
-    run_async(emulated())
+    run_async(run_emulator())
 
 
 @emulate.command(cls=ExampleCommand, example="kelptrail emulate datagram-proxy examples/shared-address.sexp")
@@ -111,7 +111,7 @@
 @click.option("--seed", default=1)
 @emulator_options
 def datagram_proxy(file: str, seed: int, host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
-    """A proxy that drops, delays and repeats VRRP datagrams on request."""
+    """Run a proxy that drops, delays and duplicates VRRP datagrams on request."""
     deployment = read_deployment(file)
     from kelptrail.emulator.capture import Capture
     from kelptrail.emulator.datagram_proxy import DatagramProxy
@@ -120,11 +120,11 @@
     if vrrp is None:
         raise UnusableInputError(f"{file}: no vrrp section")
 
-    async def emulated() -> None:
+    async def run_emulator() -> None:
         proxy = DatagramProxy(vrrp, Capture(capture, "relay"), seed)
         await _serve(proxy.server, host, port, with_stdin)
 
-    run_async(emulated())
+    run_async(run_emulator())
 
 
 @emulate.command(
@@ -140,15 +140,15 @@
 @endpoint_service_option
 @click.option("--seed", default=1)
 @click.option("--control-port", default=0)
-@click.option("--warm", is_flag=True, help="As if it had run for long.")
+@click.option("--warm", is_flag=True, help="Start as a warm worker, without slow start.")
 @emulator_options
 def worker(file: str, **values: Any) -> None:
-    """One worker that holds instances of models."""
+    """Run a worker that loads and runs instances of models."""
     deployment = read_deployment(file)
     from kelptrail.emulator.capture import Capture
     from kelptrail.emulator.worker import WorkerEmulator, WorkerIdentity
 
-    async def emulated() -> None:
+    async def run_emulator() -> None:
         worker_id, host = values["worker_id"], values["host"]
         emulator = WorkerEmulator(
             deployment,
@@ -170,7 +170,7 @@
         )
         await wait_until_stopped(values["with_stdin"])
 
-    run_async(emulated())
+    run_async(run_emulator())
 
 
 @emulate.command(hidden=True)
@@ -183,7 +183,7 @@
 @click.option("--seed", type=int)
 @click.option("--capture", type=click.Path(path_type=Path))
 def clients(script: str, start_ms: float, **values: Any) -> None:
-    """One process of a fault scenario's clients."""
+    """Run one process of a fault scenario's clients."""
     from kelptrail.clock import now_ms
     from kelptrail.emulator.capture import Capture
     from kelptrail.emulator.clients import ClientEmulator
@@ -192,7 +192,7 @@
     deployment = read_deployment(scenario.deployment)
     longest_timeout_ms = max(request_class.timeout_ms for request_class in deployment.types.values())
 
-    async def emulated() -> None:
+    async def run_emulator() -> None:
         name, folder = f"clients-{values['number']}", values["capture"]
         emulator = ClientEmulator(
             deployment,
@@ -209,11 +209,11 @@
         await emulator.wait_until_answered(now_ms() + longest_timeout_ms + SETTLE_MARGIN_MS)
         emulator.close()
 
-    run_async(emulated())
+    run_async(run_emulator())
 
 
 def _freeze_garbage_collection() -> None:
-    """Keep the collector off the plan, which stays for the whole run: its pauses would count as latency."""
+    """Exempt the plan, which is kept for the complete run, from garbage collection: pauses would count as latency."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*_GC_THRESHOLD)
--- a/kelptrail/cli/errors.py
+++ b/kelptrail/cli/errors.py
@@ -9,7 +9,7 @@
 
 
 class ExitCode(IntEnum):
-    """What a command's exit code says; scripts and tests rely on these numbers."""
+    """Exit codes of the commands; scripts and tests rely on these numbers."""
 
     COMPLETED = 0
     FAILED = 1
@@ -21,7 +21,7 @@
 
 
 class CommandError(click.ClickException):
-    """Ends a command: the message goes to standard error as it is, without click's prefix."""
+    """An error that ends a command; its message is printed on standard error without click's prefix."""
 
     def show(self, file: IO[Any] | None = None) -> None:
         """Write the message to standard error, or to `file`."""
@@ -29,17 +29,17 @@
 
 
 class CommandFailedError(CommandError):
-    """The command could not do its work (exit code 1)."""
+    """The command failed (exit code 1)."""
 
     exit_code = ExitCode.FAILED
 
 
 class UnusableInputError(CommandError):
-    """A file or an option cannot be used as it is (exit code 2)."""
+    """A file or an option is invalid (exit code 2)."""
 
     exit_code = ExitCode.UNUSABLE_INPUT
 
 
 def unreachable(address: str, cause: Exception) -> CommandFailedError:
-    """The error for an address that does not answer."""
+    """Return the error for an address that does not answer."""
     return CommandFailedError(f"{address}: {cause or type(cause).__name__}")
--- a/kelptrail/cli/loading.py
+++ b/kelptrail/cli/loading.py
@@ -1,4 +1,4 @@
-"""Load on running dispatchers: `load`, and the hidden `load-generator`, one of its processes."""
+"""Load tests of running dispatchers: `load`, and the hidden `load-generator`, which runs one of its processes."""
 
 from __future__ import annotations
 
@@ -18,24 +18,27 @@
     example="kelptrail load examples/bad-days/steady.sexp --at 127.0.0.1:8080 --processes 2 --out out/load",
 )
 @click.argument("script")
-@click.option("--at", "addresses", multiple=True, required=True, help="A dispatcher's address; may be given again.")
+@click.option("--at", "addresses", multiple=True, required=True, help="Address of a dispatcher; repeatable.")
 @click.option(
-    "--control", "controls", multiple=True, help="A dispatcher's control address, for its attempts and load orders."
+    "--control",
+    "controls",
+    multiple=True,
+    help="Control address of a dispatcher, to read its attempts and load orders.",
 )
 @output_folder_option
 @click.option("--processes", default=2, show_default=True, type=click.IntRange(1, 64))
 @seed_option
-@click.option("--variant", default="as-is", show_default=True, help="Its name in comparisons.")
+@click.option("--variant", default="as-is", show_default=True, help="Name of this run in comparisons.")
 @click.option(
     "--churn",
     default=0.0,
     show_default=True,
     type=click.FloatRange(0, 1),
-    help="Share of calls that close their connection.",
+    help="Share of calls after which the connection is closed.",
 )
-@click.option("--connections", default=2000, show_default=True, help="At most, of a process to an address.")
+@click.option("--connections", default=2000, show_default=True, help="Maximum number from one process to one address.")
 def load(script: str, controls: tuple[str, ...], out: Path, variant: str, **values: Any) -> None:
-    """Drive running dispatchers with a SCRIPT's load; its faults are not played.  Tables as those of `simulate`."""
+    """Run a SCRIPT's load, without its faults, on running dispatchers; write the same tables as `simulate`."""
     from kelptrail.load.coordinator import GeneratorError, run_generators, write_results
     from kelptrail.load.generator_settings import GeneratorSettings
 
@@ -61,7 +64,7 @@
 @click.option("--churn", type=float)
 @click.option("--connections", type=int)
 def load_generator(script: str, start: float, **values: Any) -> None:
-    """One process of the load tool."""
+    """Run one process of `load`."""
     from kelptrail.load.generator import LoadGenerator
     from kelptrail.load.generator_settings import GeneratorSettings
 
--- a/kelptrail/cli/logs.py
+++ b/kelptrail/cli/logs.py
@@ -1,6 +1,6 @@
-"""Structured logs on standard error: a JSON line each, or readable lines on a terminal.
+"""Structured logs on standard error: JSON lines, or readable lines on a terminal.
 
-Warnings of one event are rate limited: beyond the limit they are counted, and the next line has their number.
+Warnings are rate limited by event: lines beyond the limit are counted, and the next line contains their number.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 
 
 class WarningLimiter:
-    """A structlog processor: at most `max_lines` warnings of one event in `window_ms` pass."""
+    """A structlog processor that passes at most `max_lines` warnings or errors of one event in `window_ms`."""
 
     def __init__(self, max_lines: int = 20, window_ms: float = 10_000.0) -> None:
         self._max_lines, self._window_ms = max_lines, window_ms
-        self._seen: dict[str, tuple[float, int]] = {}
+        self._windows: dict[str, tuple[float, int]] = {}
 
     def __call__(self, _logger: Any, level: str, fields: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-        """The line's fields, with the number left out before; raises `DropEvent` past the limit."""
+        """Return the line's fields, with the number of lines dropped before.  Raises `DropEvent` beyond the limit."""
         if level not in ("warning", "error"):
             return fields
         event = str(fields.get("event"))
         now = now_ms()
-        since, count = self._seen.get(event, (now, 0))
+        since, count = self._windows.get(event, (now, 0))
         if now - since > self._window_ms:
             if count > self._max_lines:
                 fields["left_out"] = count - self._max_lines
             since, count = now, 0
-        self._seen[event] = (since, count + 1)
+        self._windows[event] = (since, count + 1)
         if count >= self._max_lines:
             raise structlog.DropEvent
         return fields
@@ -45,7 +45,10 @@
 
 
 def configure_logging(level: str = "info", form: str = "auto", **bound: Any) -> Any:
-    """Configure logging once; returns a logger with `bound` in every line.  `form`: auto, json or text."""
+    """Configure logging and return a logger with the fields `bound` in every line.
+
+    `form`: "json", "text", or "auto" for text on a terminal and else JSON.
+    """
     text = form == "text" or (form == "auto" and sys.stderr.isatty())
     render: Any = structlog.dev.ConsoleRenderer() if text else _write_json
     structlog.configure(
--- a/kelptrail/cli/main.py
+++ b/kelptrail/cli/main.py
@@ -1,4 +1,4 @@
-"""The `kelptrail` command line: the group, and the commands that it is assembled of.
+"""The `kelptrail` command group and its commands.
 
 Exit codes: see `ExitCode` in errors.py.
 """
@@ -32,7 +32,7 @@
     type=click.Choice(["debug", "info", "warning", "error"]),
     default="info",
     show_default=True,
-    help="Least level that is logged, on standard error.",
+    help="Minimum level of the log lines on standard error.",
 )
 @click.option(
     "--log-form",
@@ -43,7 +43,7 @@
 )
 @click.pass_context
 def main(context: click.Context, log_level: str, log_form: str) -> None:
-    """A gateway that runs calls on workers which load functions or models on demand."""
+    """Run a gateway for calls on workers that load functions or models on demand."""
     context.obj = {"level": log_level, "form": log_form}
 
 
--- a/kelptrail/cli/operations.py
+++ b/kelptrail/cli/operations.py
@@ -17,7 +17,7 @@
 
 
 def _run_against(control: str, work: Coroutine[Any, Any, Any]) -> Any:
-    """Run requests to a control address.  Raises `CommandFailedError` where it does not answer."""
+    """Run `work`, which queries a control address.  Raises `CommandFailedError` if it does not answer."""
     from kelptrail.codec.http import HttpError
 
     try:
@@ -27,7 +27,7 @@
 
 
 def _fetch_status(control: str, target: str) -> Any:
-    """The decoded body of a GET to a control address.  Raises `CommandFailedError`."""
+    """Return the decoded response of a control address to GET.  Raises `CommandFailedError`."""
     from kelptrail.emulator.cluster import http_json
 
     return _run_against(control, http_json(control, "GET", target))
@@ -39,14 +39,14 @@
 
 @click.group()
 def vrrp() -> None:
-    """Front addresses that survive their dispatcher's host."""
+    """Inspect VRRP, which moves front addresses to another dispatcher when their owner fails."""
 
 
 @vrrp.command("status", cls=ExampleCommand, example="kelptrail vrrp status --control 127.0.0.1:9001")
 @click.option("--control", required=True, help="A dispatcher's control address.")
 @json_option
 def vrrp_status(control: str, as_json: bool) -> None:
-    """State, master, timers, counters and last transitions with their causes."""
+    """Print state, timers, counters, tracked objects and the last transitions with their causes."""
     status = _fetch_status(control, "/vrrp")
     if as_json:
         print_json(status)
@@ -55,7 +55,7 @@
     for router in status["routers"]:
         click.echo(_router_line(router))
     for name, tracked in status["tracked"].items():
-        click.echo(f"tracked {name}: {'failed' if tracked['failed'] else 'well'}, weight {tracked['weight']}")
+        click.echo(f"tracked {name}: {'failed' if tracked['failed'] else 'ok'}, weight {tracked['weight']}")
     click.echo("counts: " + ", ".join(f"{name} {count}" for name, count in status["counts"].items()))
     for transition in status["transitions"][-SHOWN_TRANSITIONS:]:
         click.echo(_transition_line(transition))
@@ -80,7 +80,7 @@
 @click.command(cls=ExampleCommand, example="kelptrail usage 127.0.0.1:9001")
 @click.argument("control")
 def usage(control: str) -> None:
-    """Calls a second by namespace over the complete fleet, as last reported to the dispatcher at CONTROL."""
+    """Print calls per second by namespace over the fleet, as last reported to the dispatcher at CONTROL."""
     print_json(_fetch_status(control, "/usage"))
 
 
@@ -88,7 +88,7 @@
 @click.argument("control")
 @json_option
 def leases(control: str, as_json: bool) -> None:
-    """Tasks, holders, fencing tokens, time left and acceptors, as the dispatcher at CONTROL sees them."""
+    """Print tasks, holders, fencing tokens, time left and acceptors, as known to the dispatcher at CONTROL."""
     status = _fetch_status(control, "/leases")
     if as_json:
         print_json(status)
@@ -99,43 +99,44 @@
         click.echo(f"votes here: {acceptor['stage']}, disk {acceptor['disk']}")
     known = status["seen"] | (acceptor["tasks"] if acceptor is not None else {})
     for task in sorted({*status["wants"], *known}):
-        click.echo(f"{task}: {_lease_words(status['holds'].get(task), known.get(task))}")
+        click.echo(f"{task}: {_describe_lease(status['holds'].get(task), known.get(task))}")
 
 
 def _acceptors_line(last_heard_ms: dict[str, float | None]) -> str:
-    """When each acceptor was heard last, and whether those that were heard are a majority."""
+    """Return when each acceptor last answered, with a note if those that answered are no majority."""
     parts = [f"{name} {'not heard' if ms is None else f'{ms:g} ms ago'}" for name, ms in last_heard_ms.items()]
     reached = sum(ms is not None for ms in last_heard_ms.values())
     has_majority = 2 * reached > len(last_heard_ms)
     return ", ".join(parts) + (
-        "" if has_majority else "; no majority is heard: nothing can be won or renewed from here"
+        "" if has_majority else "; no majority answers: no lease can be acquired or renewed from here"
     )
 
 
-def _lease_words(own: dict[str, Any] | None, seen: dict[str, Any] | None) -> str:
-    """Who holds a task's lease: `own` is this dispatcher's lease, `seen` what acceptors reported of it."""
+def _describe_lease(own: dict[str, Any] | None, reported: dict[str, Any] | None) -> str:
+    """Return the holder of a task's lease; `own` is this dispatcher's lease, `reported` the one known to acceptors."""
     if own is not None:
         return f"held here under {own['token']}, {_seconds(own['left_ms'])} left"
-    if seen is None:
+    if reported is None:
         return "wanted, not held here"
-    if not seen["left_ms"]:
-        return f"not held, last token {seen['token']}"
-    holder = seen["token"].partition(".")[2].partition("/")[0]
-    return f"held by {holder} under {seen['token']}, {_seconds(seen['left_ms'])} left at most"
+    if not reported["left_ms"]:
+        return f"not held, last token {reported['token']}"
+    holder = reported["token"].partition(".")[2].partition("/")[0]
+    return f"held by {holder} under {reported['token']}, {_seconds(reported['left_ms'])} left at most"
 
 
 @click.command(cls=ExampleCommand, example="kelptrail copies 127.0.0.1:9001")
 @click.argument("control")
 @json_option
 def copies(control: str, as_json: bool) -> None:
-    """Activation journals that the dispatcher at CONTROL owns or replicates, how far replicas are behind, at risk since
-    when.
+    """Print the activation journals that the dispatcher at CONTROL owns or replicates.
+
+    Shows how far replicas are behind, and for how long a journal has been at risk.
     """
     status = _fetch_status(control, "/copies")
     if as_json:
         print_json(status)
         return
-    accepting = "new deferred calls are promised" if status["promising"] else "new deferred calls are refused"
+    accepting = "new deferred calls are accepted" if status["promising"] else "new deferred calls are refused"
     click.echo(f"{status['name']}, {status['copies']} copies: {accepting}")
     for journal, owned in status["owned"].items():
         click.echo(_owned_journal_line(journal, owned))
@@ -146,25 +147,25 @@
 
 
 def _owned_journal_line(journal: str, owned: dict[str, Any]) -> str:
-    safety = "all copies stand" if owned["full"] else f"at risk for {_seconds(owned['at_risk_ms'])}"
+    safety = "all copies complete" if owned["full"] else f"at risk for {_seconds(owned['at_risk_ms'])}"
     return (
-        f"owned {journal}{' (current)' if owned['current'] else ''}, under {owned['token']}: {safety}; whole at "
-        f"{', '.join(owned['members'])}; {owned['waiting']} entries wait"
+        f"owned {journal}{' (current)' if owned['current'] else ''}, under {owned['token']}: {safety}; complete at "
+        f"{', '.join(owned['members'])}; {owned['waiting']} entries waiting"
     )
 
 
 @click.command(cls=ExampleCommand, example="kelptrail retire dispatcher-3 127.0.0.1:9001 --within 120")
 @click.argument("name")
 @click.argument("control")
-@click.option("--within", default=120.0, show_default=True, help="Seconds to wait until nothing is left there.")
+@click.option("--within", default=120.0, show_default=True, help="Maximum time to wait for it, in s.")
 def retire(name: str, control: str, within: float) -> None:
-    """Move everything off the dispatcher NAME, whose control port is CONTROL, before its machine is taken away."""
+    """Move all journals off the dispatcher NAME with control port CONTROL, before its machine is removed."""
     _run_against(control, _retire(name, control, within))
-    click.echo(f"{name} holds nothing for others and owns nothing: end it with SIGTERM")
+    click.echo(f"{name} owns and replicates no journals any more: stop it with SIGTERM")
 
 
 async def _retire(name: str, control: str, within_s: float) -> None:
-    """Ask a dispatcher to retire and wait until it has.  Raises `CommandFailedError` where it has not in time."""
+    """Request that a dispatcher retires and wait for it.  Raises `CommandFailedError` if it takes too long."""
     from kelptrail.emulator.cluster import http_json
 
     status = await http_json(control, "GET", "/copies")
@@ -178,4 +179,6 @@
         if not status["owned"] and not status["held"]:
             return
         await asyncio.sleep(RETIRE_POLL_S)
-    raise CommandFailedError(f"left after {within_s:g} s: owned {len(status['owned'])}, held {len(status['held'])}")
+    raise CommandFailedError(
+        f"journals left after {within_s:g} s: owned {len(status['owned'])}, held {len(status['held'])}"
+    )
--- a/kelptrail/cli/options.py
+++ b/kelptrail/cli/options.py
@@ -12,7 +12,7 @@
 
 
 class ExampleCommand(click.Command):
-    """A command whose help ends in an example."""
+    """A command whose help ends with an example."""
 
     def __init__(self, *args: Any, example: str = "", **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
@@ -21,7 +21,7 @@
 
 
 def combined(*decorators: Decorator) -> Decorator:
-    """One decorator of several; help lists their options in the order given."""
+    """Combine several decorators into one; the help lists their options in this order."""
 
     def decorate(function: Any) -> Any:
         for decorator in reversed(decorators):
@@ -31,24 +31,24 @@
     return decorate
 
 
-def peer_addresses(_context: click.Context, parameter: click.Parameter, given: tuple[str, ...]) -> dict[str, str]:
-    """Click callback: NAME=ADDRESS, any number of them, as a mapping."""
+def peer_addresses(_context: click.Context, parameter: click.Parameter, values: tuple[str, ...]) -> dict[str, str]:
+    """Convert repeated NAME=ADDRESS options to a mapping (click callback)."""
     addresses: dict[str, str] = {}
-    for assignment in given:
+    for assignment in values:
         name, _, address = assignment.partition("=")
         if not name or not address:
-            raise click.BadParameter(f"{assignment}: NAME=ADDRESS", param=parameter, param_hint="--peer")
+            raise click.BadParameter(f"{assignment}: expected NAME=ADDRESS", param=parameter, param_hint="--peer")
         addresses[name] = address
     return addresses
 
 
 host_option = click.option("--host", default="127.0.0.1", show_default=True)
-port_option = click.option("--port", default=0, show_default=True, help="0: a free one.")
+port_option = click.option("--port", default=0, show_default=True, help="Port to listen on; 0: any free port.")
 with_stdin_option = click.option("--with-stdin", is_flag=True, hidden=True)
 endpoint_service_option = click.option(
     "--roster", "endpoint_service", required=True, help="Address of the endpoint service."
 )
-json_option = click.option("--json", "as_json", is_flag=True, help="The complete status as JSON.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print the complete status as JSON.")
 output_folder_option = click.option(
     "--out", type=click.Path(path_type=Path), required=True, help="Folder for the results."
 )
--- a/kelptrail/cli/scenarios.py
+++ b/kelptrail/cli/scenarios.py
@@ -1,4 +1,4 @@
-"""Fault scenarios and their judgement: `fault-scenario`, `campaign`, `audit`, `import-capture`."""
+"""Fault scenarios and checks of their histories: `fault-scenario`, `campaign`, `audit`, `import-capture`."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .options import ExampleCommand, output_folder_option, seed_option
 
 SHOWN_DETAILS = 20
-_LEFT_OUT_OF_BRIEF = ("timeline", "details", "troubles")
+_OMITTED_FROM_SUMMARY = ("timeline", "details", "troubles")
 
 
 @click.command(
@@ -25,7 +25,7 @@
 @output_folder_option
 @click.pass_context
 def fault_scenario(context: click.Context, script: str, seed: int, out: Path) -> None:
-    """Run a fault scenario through real processes and judge it.  Exit 6 where a rule was broken."""
+    """Run a fault scenario on real processes and check its history.  Exit 6 if a rule was broken."""
     from kelptrail.fault_scenario.report import write_report
     from kelptrail.fault_scenario.runner import ScenarioRunner
     from kelptrail.history_checker.checker import check_history, read_captures
@@ -39,7 +39,7 @@
     observations = run_async(runner.run())
     events = read_captures(out / "captures")
     report = write_report(out, scenario.name, seed, events, check_history(events), observations)
-    print_json({key: value for key, value in report.items() if key not in _LEFT_OUT_OF_BRIEF})
+    print_json({key: value for key, value in report.items() if key not in _OMITTED_FROM_SUMMARY})
     for line in report["details"][:SHOWN_DETAILS]:
         click.echo(line, err=True)
     sys.exit(ExitCode.RULE_BROKEN if report["broken"] else ExitCode.COMPLETED)
@@ -47,19 +47,22 @@
 
 @click.command(cls=ExampleCommand, example="kelptrail campaign examples/fleet.sexp --seeds 100 --out out/campaign")
 @click.argument("settings", type=click.Path(path_type=Path, exists=True, dir_okay=False))
-@click.option("--seeds", default=20, show_default=True, type=click.IntRange(1, 10_000), help="How many.")
-@click.option("--first", default=1, show_default=True, help="The first of them.")
+@click.option(
+    "--seeds", default=20, show_default=True, type=click.IntRange(1, 10_000), help="Number of seeds, each a run."
+)
+@click.option("--first", default=1, show_default=True, help="The first seed.")
 @click.option("--at-once", default=3, show_default=True, type=click.IntRange(1, 64))
 @output_folder_option
 def campaign(settings: Path, seeds: int, first: int, at_once: int, out: Path) -> None:
-    """Run randomly drawn fault scenarios between real processes: of replication where the settings have it, else of
-    leases.  Exit 6 where any of them broke a rule.
+    """Run random fault scenarios on real processes.  Exit 6 if any of them broke a rule.
+
+    They test replication if the settings enable it, and otherwise leases.
     """
     from kelptrail.fault_scenario.campaign import run_campaign, summarize
 
     peers = read_deployment(str(settings)).peers
     kind = "copies" if peers is not None and peers.replicas else "leases"
-    with click.progressbar(length=seeds, label="days", file=sys.stderr) as bar:
+    with click.progressbar(length=seeds, label="runs", file=sys.stderr) as bar:
         rows = run_async(
             run_campaign(kind, list(range(first, first + seeds)), settings, out, at_once, lambda _row: bar.update(1))
         )
@@ -76,7 +79,7 @@
 @click.command(cls=ExampleCommand, example="kelptrail audit out/first/captures")
 @click.argument("folder", type=click.Path(path_type=Path, exists=True))
 def audit(folder: Path) -> None:
-    """Judge captures of an earlier run.  Exit 6 where a rule was broken."""
+    """Check the captures of an earlier run.  Exit 6 if a rule was broken."""
     from kelptrail.history_checker.checker import check_history, read_captures
 
     try:
@@ -96,12 +99,12 @@
 )
 @click.argument("tap", type=click.Path(path_type=Path, exists=True, dir_okay=False))
 @click.option("--name", default="turned", show_default=True)
-@click.option("--scale", default=1.0, show_default=True, help="Arrivals, as a share of the captured ones.")
+@click.option("--scale", default=1.0, show_default=True, help="Arrival rate, as a multiple of the captured one.")
 @click.option("--workers", default=8, show_default=True)
 @click.option("--dispatchers", default=3, show_default=True)
 @output_folder_option
 def import_capture(tap: Path, name: str, scale: float, workers: int, dispatchers: int, out: Path) -> None:
-    """Make a deployment and a fault scenario from a captured day of the bench."""
+    """Create a deployment and a fault scenario from a capture of the bench."""
     from kelptrail.fault_scenario.import_capture import import_capture as convert
 
     try:
--- a/kelptrail/cli/serving.py
+++ b/kelptrail/cli/serving.py
@@ -1,4 +1,4 @@
-"""Commands that run a part of the program: `serve`, `edge`, `planner`, `platform`, `demo`, and `check` of settings."""
+"""Commands that run processes: `serve`, `edge`, `planner`, `platform` and `demo`; and `check`, for settings."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
     from kelptrail.service.serve import DispatcherOptions
     from kelptrail.settings.deployment import Deployment
 
-LEAST_DEMO_WORKERS = 4
+MIN_DEMO_WORKERS = 4
 
 
 @click.command(cls=ExampleCommand, example="kelptrail check examples/nursery.sexp")
 @click.argument("files", nargs=-1, required=True)
 def check(files: tuple[str, ...]) -> None:
-    """Check settings files; each fault is named with file, line, what was read and what was expected."""
+    """Check settings files; report each fault with its position, what was read and what was expected."""
     for file in files:
         deployment = read_deployment(file)
         click.echo(
@@ -51,24 +51,24 @@
 dispatcher_options = combined(
     click.argument("file"),
     endpoint_service_option,
-    click.option("--name", default="dispatcher", show_default=True, help="Name in logs and towards workers."),
-    click.option("--hall", "zone", default="", help="The zone it runs in; default: the settings'."),
+    click.option("--name", default="dispatcher", show_default=True, help="Name in logs and in requests to workers."),
+    click.option("--hall", "zone", default="", help="Zone of the dispatcher; default: as in the settings."),
     host_option,
     port_option,
-    click.option("--state", type=click.Path(path_type=Path), help="Folder for what outlives it."),
-    click.option("--shared-port", is_flag=True, help="Let other dispatchers of this machine listen on it too."),
+    click.option("--state", type=click.Path(path_type=Path), help="Folder for the state that survives a restart."),
+    click.option("--shared-port", is_flag=True, help="Let other dispatchers on this machine listen on the same port."),
     click.option("--crash-at", default="", hidden=True),
     click.option("--pause-at", default="", hidden=True),
-    click.option("--grpc-port", type=int, help="Port of the inference front; default: the settings'."),
+    click.option("--grpc-port", type=int, help="Port of the inference front; default: as in the settings."),
     click.option("--harmed-disk", "faulty_disk", type=click.Path(path_type=Path), hidden=True),
     click.option("--control", help="Address and port for operators' requests, such as 127.0.0.1:0."),
-    click.option("--peers", help="Address and port of its channel to others; default: the settings'."),
+    click.option("--peers", help="Address and port of its channel to other dispatchers; default: as in the settings."),
     click.option(
         "--peer",
         "peer_addresses",
         multiple=True,
         callback=peer_addresses,
-        help="NAME=ADDRESS of another's channel; may be given again.",
+        help="NAME=ADDRESS of another dispatcher's channel; repeatable.",
     ),
     click.option("--peers-port", type=int, hidden=True),
     click.option("--harmed-clock", "faulty_clock", type=click.Path(path_type=Path), hidden=True),
@@ -82,8 +82,9 @@
 @click.command(cls=ExampleCommand, example="kelptrail serve examples/nursery.sexp --roster 127.0.0.1:7000 --port 8080")
 @dispatcher_options
 def serve(context: click.Context, file: str, **values: Any) -> None:
-    """Run one dispatcher until SIGTERM, then drain; with a planner of its own where the settings say so.  Exit 1 where
-    an accepted call had no answer in time.
+    """Run one dispatcher until SIGTERM, then drain.
+
+    It includes a planner if the settings enable it.  Exit 1 if an accepted call got no answer in time.
     """
     _run_dispatcher(context, file, (), values)
 
@@ -92,14 +93,14 @@
     cls=ExampleCommand, example="kelptrail edge examples/nursery.sexp --roster 127.0.0.1:7000 --planner 127.0.0.1:7100"
 )
 @dispatcher_options
-@click.option("--planner", "planners", multiple=True, required=True, help="A planner's address; may be given again.")
+@click.option("--planner", "planners", multiple=True, required=True, help="Address of a planner; repeatable.")
 def edge(context: click.Context, file: str, planners: tuple[str, ...], **values: Any) -> None:
-    """Run one dispatcher that follows planners; without any it does as well as `serve`."""
+    """Run one dispatcher that follows planners; while none is reachable, it works like `serve`."""
     _run_dispatcher(context, file, planners, values)
 
 
 def _dispatcher_options(values: dict[str, Any], planners: tuple[str, ...]) -> DispatcherOptions:
-    """The service's options from the command's."""
+    """Convert the command's options to those of the service."""
     from kelptrail.service.serve import DispatcherOptions
 
     return DispatcherOptions(
@@ -125,7 +126,7 @@
 
 
 def _run_dispatcher(context: click.Context, file: str, planners: tuple[str, ...], values: dict[str, Any]) -> None:
-    """Run a dispatcher to its end, then exit with its code."""
+    """Run a dispatcher until it stops, then exit with its code."""
     deployment = read_deployment(file)
     options = _dispatcher_options(values, planners)
     log = start_log(context, dispatcher=options.name)
@@ -142,7 +143,7 @@
 async def _serve_dispatcher(
     deployment: Deployment, options: DispatcherOptions, log: Any, debug: bool, with_stdin: bool
 ) -> bool:
-    """Serve until stopped; whether every accepted call had its answer."""
+    """Serve until stopped; return whether the shutdown was clean."""
     from kelptrail.service.serve import serve as serve_until_stopped
 
     def print_ready(port: int, control: str | None, grpc: str | None, peers: str | None) -> None:
@@ -171,7 +172,9 @@
 @click.option("--name", default="planner", show_default=True)
 @host_option
 @port_option
-@click.option("--state", type=click.Path(path_type=Path), help="Folder for its snapshot and the last endpoint list.")
+@click.option(
+    "--state", type=click.Path(path_type=Path), help="Folder for the planner's snapshot and the last endpoint list."
+)
 @click.option("--control", help="Address and port for operators' requests.")
 @click.option("--control-port", type=int, hidden=True)
 @click.option(
@@ -179,14 +182,14 @@
     "peer_addresses",
     multiple=True,
     callback=peer_addresses,
-    help="NAME=ADDRESS of an acceptor's channel; may be given again.",
+    help="NAME=ADDRESS of an acceptor's channel; repeatable.",
 )
 @click.option("--solver", type=click.Choice(["program", "greedy"]), default="program", show_default=True)
 @click.option("--slow-ms", default=0.0, hidden=True)
 @with_stdin_option
 @click.pass_context
 def planner(context: click.Context, /, file: str, with_stdin: bool, **values: Any) -> None:
-    """Plan loads and placement ahead for edges, until SIGTERM, while it holds the lease; others stand by."""
+    """Plan loads and placement for edges until SIGTERM; of several planners, the lease holder is active."""
     deployment = read_deployment(file)
     options = _planner_options(values)
     log = start_log(context, planner=options.name)
@@ -199,7 +202,7 @@
 
 
 def _planner_options(values: dict[str, Any]) -> PlannerOptions:
-    """The planner's options from the command's."""
+    """Convert the command's options to those of the planner."""
     from kelptrail.planner.driver import PlannerOptions
 
     control_port = values["control_port"]
@@ -230,7 +233,7 @@
 
 @click.command(cls=ExampleCommand, example="LB_CONFIG=/run/balancer/config.json kelptrail platform")
 def platform() -> None:
-    """One dispatcher on the platform's own protocol, configured by the file that LB_CONFIG names."""
+    """Run one dispatcher with the platform's own protocol, configured by the file that LB_CONFIG names."""
     from kelptrail.platform.__main__ import main as serve_platform
 
     raise SystemExit(serve_platform())
@@ -238,34 +241,34 @@
 
 @click.command(cls=ExampleCommand, example="kelptrail demo --workers 6 --quiet-logs")
 @click.argument("file", default="examples/nursery.sexp")
-@click.option("--workers", type=click.IntRange(1, 200), help="Emulated workers; default: the settings'.")
-@click.option("--quiet-logs", is_flag=True, help="No log lines on standard error.")
+@click.option("--workers", type=click.IntRange(1, 200), help="Number of emulated workers; default: as in the settings.")
+@click.option("--quiet-logs", is_flag=True, help="Write no log lines to standard error.")
 @click.pass_context
 def demo(context: click.Context, file: str, workers: int | None, quiet_logs: bool) -> None:
     """Run a complete cluster on loopback: endpoint service, model store, workers, one dispatcher."""
     deployment = read_deployment(file)
-    count = max(LEAST_DEMO_WORKERS, deployment.fleet.workers) if workers is None else workers
+    count = max(MIN_DEMO_WORKERS, deployment.fleet.workers) if workers is None else workers
     clean = run_async(_run_demo(deployment, file, count, context.obj["level"], quiet_logs))
     sys.exit(ExitCode.COMPLETED if clean else ExitCode.FAILED)
 
 
 async def _run_demo(deployment: Deployment, file: str, workers: int, log_level: str, quiet: bool) -> bool:
-    """Run the cluster until a signal; whether all of its processes ended well."""
+    """Run the cluster until a signal; return whether all of its processes ended without errors."""
     from kelptrail.emulator.cluster import Cluster
 
     stop = stop_event_on_signals()
     cluster = Cluster(deployment, file, None, log_level=log_level, quiet=quiet)
     try:
         await cluster.start(workers, 1, None)
-        _introduce_demo(deployment, cluster.dispatchers[0].said["invoke"])
+        _print_demo_access(deployment, cluster.dispatchers[0].said["invoke"])
         await stop.wait()
     finally:
         clean = await cluster.stop()
     return clean
 
 
-def _introduce_demo(deployment: Deployment, invoke_url: str) -> None:
-    """Print where the cluster is called, and on standard error a call to try."""
+def _print_demo_access(deployment: Deployment, invoke_url: str) -> None:
+    """Print the cluster's URL, credentials and actions, and on standard error an example call."""
     namespace = next(iter(deployment.namespaces.values()))
     credentials = f"{namespace.uuid}:{namespace.key}"
     print_json_line(
--- a/kelptrail/cli/simulation.py
+++ b/kelptrail/cli/simulation.py
@@ -22,63 +22,67 @@
 
 @click.group()
 def simulate() -> None:
-    """The cluster emulated in simulated time around the real cores; experiments on it."""
+    """Run the real cores in a cluster that is emulated in simulated time; run experiments on it."""
 
 
 @simulate.command("play", cls=ExampleCommand, example="kelptrail simulate play examples/bad-days/kills.sexp")
 @click.argument("script")
 @seed_option
-@click.option("--processes", default=1, show_default=True, type=click.IntRange(1, 64), help="Over which it is spread.")
-@click.option("--network-ms", default=0.15, show_default=True, type=click.FloatRange(0.01, 1000), help="One way.")
-@click.option("--audit/--no-audit", "judged", default=True, show_default=True, help="Keep all events and judge them.")
-def play(script: str, seed: int, processes: int, network_ms: float, judged: bool) -> None:
-    """Play a fault scenario's SCRIPT in simulated time and judge its history; exit 6 where a rule is broken."""
+@click.option("--processes", default=1, show_default=True, type=click.IntRange(1, 64), help="Number of processes.")
+@click.option(
+    "--network-ms", default=0.15, show_default=True, type=click.FloatRange(0.01, 1000), help="One-way latency."
+)
+@click.option(
+    "--audit/--no-audit", "audited", default=True, show_default=True, help="Record all events and check them."
+)
+def play(script: str, seed: int, processes: int, network_ms: float, audited: bool) -> None:
+    """Run a fault scenario SCRIPT in simulated time and check its history.  Exit 6 if a rule is broken."""
     from kelptrail.load.results import figures
     from kelptrail.simulation.settings import SimulationSettings
 
     scenario = read_scenario(script)
     _check_processes(scenario, processes)
-    began = time.perf_counter()
-    result, events = _play(scenario, seed, SimulationSettings(network_ms=network_ms), processes, judged)
-    took_s = time.perf_counter() - began
+    started = time.perf_counter()
+    result, events = _play(scenario, seed, SimulationSettings(network_ms=network_ms), processes, audited)
+    took_s = time.perf_counter() - started
     row = figures(scenario.seconds, scenario.last_fault_ends, result)
-    pace = {"took_s": round(took_s, 1), "simulated_s_a_second": round(scenario.seconds / took_s, 3)}
-    if not judged:
-        print_json_line(name=scenario.name, seed=seed, **row, **pace)
+    timing = {"took_s": round(took_s, 1), "simulated_s_a_second": round(scenario.seconds / took_s, 3)}
+    if not audited:
+        print_json_line(name=scenario.name, seed=seed, **row, **timing)
         return
-    _judge_and_exit(scenario.name, seed, events, row, pace)
+    _check_and_exit(scenario.name, seed, events, row, timing)
 
 
 def _check_processes(scenario: FaultScenario, processes: int) -> None:
-    """Raise `UnusableInputError` where the scenario cannot be spread over so many processes."""
+    """Raise `UnusableInputError` if the scenario cannot be distributed over this number of processes."""
     if processes > 1 and scenario.planners:
-        raise UnusableInputError("planners are played in one process only")
+        raise UnusableInputError("a scenario with planners runs in one process only")
     if processes > scenario.dispatchers or processes > (scenario.workers + 1) // 2:
-        raise UnusableInputError(f"{processes} processes are more than there are dispatchers, or pairs of workers")
+        raise UnusableInputError(f"{processes} processes are more than the dispatchers, or the pairs of workers")
 
 
 def _play(
-    scenario: FaultScenario, seed: int, settings: SimulationSettings, processes: int, judged: bool
+    scenario: FaultScenario, seed: int, settings: SimulationSettings, processes: int, audited: bool
 ) -> tuple[Any, list[dict[str, Any]]]:
-    """The result and the events of one simulation.  Raises `CommandFailedError` where a process of it failed."""
+    """Run a simulation and return its result and events.  Raises `CommandFailedError` if one of its processes fails."""
     from kelptrail.simulation.cluster import SimulatedCluster, result_of
     from kelptrail.simulation.sharding import ShardError, play_sharded
 
     deployment = read_deployment(scenario.deployment)
     if processes == 1:
-        cluster = SimulatedCluster(scenario, deployment, seed, settings, judged)
+        cluster = SimulatedCluster(scenario, deployment, seed, settings, audited)
         cluster.run()
         return result_of(cluster), sorted(cluster.events, key=lambda event: event["t"])
     try:
-        return play_sharded(scenario, deployment, seed, settings, processes, judged)
+        return play_sharded(scenario, deployment, seed, settings, processes, audited)
     except ShardError as cause:
         raise CommandFailedError(str(cause)) from None
 
 
-def _judge_and_exit(
-    name: str, seed: int, events: list[dict[str, Any]], row: dict[str, Any], pace: dict[str, float]
+def _check_and_exit(
+    name: str, seed: int, events: list[dict[str, Any]], row: dict[str, Any], timing: dict[str, float]
 ) -> None:
-    """Check the history, print the verdict beside the figures, and exit by it."""
+    """Check the history, print the verdict with the figures, and exit with the matching code."""
     from kelptrail.fault_scenario.report import latencies
     from kelptrail.history_checker.checker import check_history
 
@@ -92,7 +96,7 @@
         latency_ms=latencies(events),
         served_share=row["served_share"],
         recovery_s=row["recovery_s"],
-        **pace,
+        **timing,
     )
     sys.exit(ExitCode.RULE_BROKEN if verdict.broken else ExitCode.COMPLETED)
 
@@ -104,7 +108,7 @@
 @output_folder_option
 @click.option("--processes", default=4, show_default=True, type=click.IntRange(1, 256))
 def run(experiment: str, out: Path, processes: int) -> None:
-    """Play an EXPERIMENT's variants, points and seeds in parallel; write columns, plots and a report."""
+    """Run an EXPERIMENT's variants, points and seeds in parallel; write tables, plots and a report."""
     from kelptrail.load.results import read
     from kelptrail.simulation.experiment import load
     from kelptrail.simulation.experiment import run as run_all
@@ -121,11 +125,15 @@
     "compare", cls=ExampleCommand, example="kelptrail simulate compare out/ramp --first as-is --second other"
 )
 @click.argument("folder", type=click.Path(path_type=Path, exists=True))
-@click.option("--first", required=True, help="A variant.")
-@click.option("--second", required=True, help="The variant that is judged beside it.")
-@click.option("--other-folder", type=click.Path(path_type=Path, exists=True), help="Where the second one is.")
+@click.option("--first", required=True, help="Name of the first variant.")
+@click.option("--second", required=True, help="Name of the variant to compare with the first.")
+@click.option(
+    "--other-folder",
+    type=click.Path(path_type=Path, exists=True),
+    help="Folder with the second variant's runs, if another.",
+)
 def compare(folder: Path, first: str, second: str, other_folder: Path | None) -> None:
-    """Say of each figure whether the second variant is better, worse or not told apart."""
+    """Print for each figure whether the second variant is better, worse or not told apart from the first."""
     from dataclasses import asdict
 
     from kelptrail.load.results import read_runs
