--- a/kelptrail/cli/logs.py
+++ b/kelptrail/cli/logs.py
@@ -21,7 +21,7 @@
 
     def __init__(self, max_lines: int = 20, window_ms: float = 10_000.0) -> None:
         self._max_lines, self._window_ms = max_lines, window_ms
-        self._windows: dict[str, tuple[float, int]] = {}
+        self._windows: dict[str, tuple[float, int]] = {}  # by event: start of the window, lines in it
 
     def __call__(self, _logger: Any, level: str, fields: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
         """Return the line's fields, with the number of lines dropped before.  Raises `DropEvent` beyond the limit."""
@@ -29,12 +29,12 @@
             return fields
         event = str(fields.get("event"))
         now = now_ms()
-        since, count = self._windows.get(event, (now, 0))
-        if now - since > self._window_ms:
+        started, count = self._windows.get(event, (now, 0))
+        if now - started > self._window_ms:
             if count > self._max_lines:
                 fields["left_out"] = count - self._max_lines
-            since, count = now, 0
-        self._windows[event] = (since, count + 1)
+            started, count = now, 0
+        self._windows[event] = (started, count + 1)
         if count >= self._max_lines:
             raise structlog.DropEvent
         return fields
--- a/tests/program.py
+++ b/tests/program.py
@@ -1,4 +1,4 @@
-"""Helpers of the program's tests: a dispatcher in this process, workers scripted line by line, raw clients."""
+"""Test helpers: a dispatcher in the test's process, workers with scripted answers, raw clients, lease acceptors."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 def run(main: Coroutine[Any, Any, Any], within_s: float = 30) -> Any:
-    """Run a test's coroutine on the program's loop, bounded in time."""
+    """Run a test's coroutine on uvloop with a time limit."""
 
     async def bounded() -> Any:
         async with asyncio.timeout(within_s):
@@ -75,7 +75,7 @@
 
 
 class ScriptedWorker:
-    """A worker whose answer to each attempt is a line of the test; load orders succeed unless `on_load` is given."""
+    """A worker that answers each attempt with `on_attempt`; load orders succeed unless `on_load` is given."""
 
     def __init__(
         self, id_: str, on_attempt: Script | None = None, on_load: Script | None = None, state: str = "live"
@@ -120,14 +120,17 @@
 
 
 def never_answer(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
-    """Read the request, and answer nothing."""
+    """Read the request and never answer it."""
 
 
 def stream_parts(
     count: int, gap_s: float = 0.0, end: str = "final", pad: int = 0, gate: asyncio.Event | None = None
 ) -> Script:
-    """A streamed answer; `end`: "final", "cut" (the connection breaks), "stall" (nothing more is sent).  After its
-    first part it waits for `gate`."""
+    """Return a script that streams `count` parts.
+
+    `end`: "final", "cut" (the connection breaks) or "stall" (nothing more is sent); `pad`: bytes of padding in each
+    part of a tensor answer; `gate`: event to wait for after each part.
+    """
 
     def script(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
         infer, _ = read_infer(request.body)
@@ -159,7 +162,7 @@
 
 
 def reject_with(proof: str | None, status: int = 503) -> Script:
-    """A rejection, with or without its proof that nothing ran."""
+    """Return a script that rejects the attempt, with or without the proof that it never ran."""
 
     def script(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
         exchange.reply(status, b'{"error":"no"}', {"never-ran": proof} if proof else None)
@@ -168,12 +171,12 @@
 
 
 def break_connection(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
-    """The connection breaks after the request was read."""
+    """Break the connection after the request was read."""
     exchange.abort()
 
 
 class Reply(NamedTuple):
-    """A response of the invoke API; `body`: decoded, None where it is empty."""
+    """A response of the invoke API; `body` is decoded, or None if empty."""
 
     status: int
     headers: dict[str, str]
@@ -181,7 +184,7 @@
 
 
 class Dispatcher:
-    """A dispatcher's program within this process."""
+    """A dispatcher with its servers, in the test's process."""
 
     def __init__(
         self, workers: list[ScriptedWorker], deployment: Deployment | None = None, boot: str = "b" * 16
@@ -227,7 +230,7 @@
         key: str | None = None,
         raw: bytes | None = None,
     ) -> Reply:
-        """One call on a connection of its own."""
+        """Call an action on a new connection."""
         extra = {"idempotency-key": key} if key else {}
         return await self.request(
             "POST", f"/api/v1/namespaces/_/actions/{action}?blocking={str(blocking).lower()}{query}", body, extra, raw
@@ -241,7 +244,7 @@
         headers: dict[str, str] | None = None,
         raw: bytes | None = None,
     ) -> Reply:
-        """One request on a connection of its own, with the credentials of namespace `one`."""
+        """Send a request on a new connection, with the credentials of namespace `one`."""
         data = raw if raw is not None else (b"" if body is None else msgspec.json.encode(body))
         reply = await send_request(
             self.server.address, encode_request(method, target, "x", data, authorization() | (headers or {}))
@@ -249,7 +252,7 @@
         return Reply(reply.status, reply.headers, msgspec.json.decode(reply.body) if reply.body else None)
 
     async def wait_for_record(self, id_: str, within: float = 3.0) -> dict[str, Any]:
-        """Poll until the record has its final answer."""
+        """Poll an activation until its record has the final answer, and return the record."""
         loop = asyncio.get_running_loop()
         end = loop.time() + within
         while loop.time() < end:
@@ -265,7 +268,7 @@
 
 
 def final_answer(record: dict[str, Any]) -> dict[str, Any]:
-    """The final answer in a record: completed, rejected or aborted."""
+    """Return the annotation of a record with its final answer: completed, rejected or aborted."""
     return next(n["value"] for n in record["annotations"] if n["key"] == "kelptrail")
 
 
@@ -278,7 +281,7 @@
 
 
 async def read_reply(sock: socket.socket, within: float = 5.0) -> Response:
-    """One response; raises ConnectionResetError where the connection ends first."""
+    """Read one response.  Raises `ConnectionResetError` if the connection ends first."""
     reader, buffer = ResponseReader(1 << 24), bytearray(65536)
     async with asyncio.timeout(within):
         while True:
@@ -300,7 +303,7 @@
 
 @contextlib.asynccontextmanager
 async def running_dispatcher(*scripts: Script, on_load: Script | None = None) -> AsyncIterator[Any]:
-    """A dispatcher with one scripted worker for each script."""
+    """Run a dispatcher with one scripted worker for each script."""
     workers = [ScriptedWorker(f"w{n}", script, on_load) for n, script in enumerate(scripts)]
     dispatcher = Dispatcher(workers)
     try:
@@ -318,7 +321,7 @@
 
 
 class Acceptors:
-    """Three lease acceptors in this process, and any other members, on real connections."""
+    """Three lease acceptors, and further members that `join`, in the test's process on real connections."""
 
     def __init__(self, deployment: Deployment, state: Path) -> None:
         self.deployment, self.state, self.log, self.at = deployment, state, Silent(), dict[str, str]()
@@ -327,7 +330,7 @@
             self.join(name, "127.0.0.1:0", self.at.get(name))
 
     def join(self, name: str, listen: str | None = None, at: str | None = None) -> Fleet:
-        """Start one more member."""
+        """Start a member and record the address of its channel."""
         (self.state / name).mkdir(parents=True, exist_ok=True)
         member = Fleet(
             self.deployment,
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Clusters of processes on loopback: the demo as a newcomer starts it, fault scenarios, a killed dispatcher."""
+"""Clusters of real processes on loopback: the demo, fault scenarios, a killed dispatcher, malformed settings."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def start(*arguments: str) -> tuple[subprocess.Popen[str], dict[str, Any]]:
-    """Start a command; its process and its ready line."""
+    """Start a command; return its process and its decoded ready line."""
     process = subprocess.Popen(
         [sys.executable, "-m", "kelptrail", *arguments],
         cwd=ROOT,
@@ -41,7 +41,7 @@
 
 
 def request(ready: dict[str, Any], method: str, target: str, body: Any = None) -> tuple[int, Any]:
-    """One request of the demo's first namespace; the status and the decoded body."""
+    """Send a request with the credentials of the demo's first namespace; return the status and the decoded body."""
     http_request = urllib.request.Request(
         f"{ready['invoke']}/api/v1/namespaces/_/{target}",
         method=method,
@@ -116,7 +116,7 @@
 
 
 def run_scenario(text: str, folder: Path) -> subprocess.CompletedProcess[str]:
-    """Run a fault scenario through real processes, with its output in `folder`."""
+    """Run a fault scenario on real processes, with its output in `folder`."""
     script = folder / "scenario.sexp"
     script.write_text(text.format(root=ROOT))
     return subprocess.run(
@@ -144,7 +144,7 @@
 
 @pytest.mark.scenarios
 def test_a_short_fault_scenario_breaks_no_rule(tmp_path: Path) -> None:
-    """Some 200 calls are in flight or deferred when the dispatcher is killed; it restarts with its last list only."""
+    """A dispatcher is killed with about 200 calls in flight or deferred, and restarts with its saved endpoint list."""
     out = tmp_path / "out"
     done = run_scenario(SHORT_SCENARIO, tmp_path)
     assert done.returncode == 0, done.stdout + done.stderr
@@ -185,7 +185,7 @@
     assert done.returncode == 2 and f"{bad}:2:" in done.stderr and f"{bad}:3:" in done.stderr
 
 
-ENV = {
+CAPTURED_SETTINGS = {
     "balancers": 2,
     "failure_domains": ["a", "b"],
     "customers": [{"name": "c", "allowance_per_s": 10.0}],
@@ -220,25 +220,28 @@
 
 
 def write_capture(file: Path) -> None:
-    """Twenty seconds of two dispatchers and three workers; one worker hangs, one fails, one dispatcher is killed."""
+    """Write a capture of 20 s with two dispatchers and three workers.
+
+    One worker hangs, another one fails, and one dispatcher is killed.
+    """
     batches = []
 
-    def batch(second: float, *events: dict[str, Any]) -> None:
+    def add_batch(second: float, *events: dict[str, Any]) -> None:
         batches.append({"now_us": int(second * 1e6), "arrivals": list(events)})
 
-    entry = {"az": 0, "shape": 0, "stripe": 0, "readiness": "live", "capacity_hint": 1, "last_start_us": None}
-    table = {"Manifest": {"table": 0, "records": [{"runner": f"w{n}", **entry} for n in range(3)]}}
+    worker_fields = {"az": 0, "shape": 0, "stripe": 0, "readiness": "live", "capacity_hint": 1, "last_start_us": None}
+    table = {"Manifest": {"table": 0, "records": [{"runner": f"w{n}", **worker_fields} for n in range(3)]}}
     for name in ("d0", "d1"):
-        batch(
+        add_batch(
             100,
-            {"Hello": {"i": name, "nonce64": 1, "env": ENV}},
+            {"Hello": {"i": name, "nonce64": 1, "env": CAPTURED_SETTINGS}},
             table,
             {"Membership": {"i": name, "how": "C", "stamp": 1, "table": 0}},
         )
     for n in range(600):
         at, worker = 100 + n / 30, f"w{n % 3}"
         ending = "T" if worker == "w0" and 5 <= n / 30 < 9 else "E" if worker == "w1" and 12 <= n / 30 < 16 else "S"
-        batch(
+        add_batch(
             at,
             {
                 "Req": {
@@ -268,12 +271,12 @@
             },
         )
         if n == 300:
-            batch(at, {"Exit": {"i": "d1"}})
+            add_batch(at, {"Exit": {"i": "d1"}})
         if n == 390:
-            batch(at, {"Hello": {"i": "d1", "nonce64": 1, "env": ENV}})
+            add_batch(at, {"Hello": {"i": "d1", "nonce64": 1, "env": CAPTURED_SETTINGS}})
     with open(file, "w") as sink:
-        for one in batches:
-            text = json.dumps(one)
+        for batch in batches:
+            text = json.dumps(batch)
             sink.write(f'>> process 0, {len(text)} bytes\n{text}\n<< process 0, 14 bytes\n{{"actions":[]}}\n')
 
 
@@ -304,7 +307,7 @@
 
 @pytest.mark.scenarios
 def test_both_apis_break_no_rule_through_cut_streams_slow_disks_and_repeated_kills(tmp_path: Path) -> None:
-    """A short form of the long runs of examples/bad-days."""
+    """A short version of the long scenarios in examples/bad-days."""
     out = tmp_path / "out"
     done = run_scenario(BOTH_APIS_SCENARIO, tmp_path)
     report = json.loads((out / "report.json").read_text())
@@ -316,8 +319,8 @@
     assert ends.count("completed") > 100 and "aborted" in ends, "some were cut off, and their clients were notified"
 
 
-def test_a_dispatcher_waits_for_an_address_that_is_taken_for_a_moment(tmp_path: Path) -> None:
-    """A restart may meet its own port as the local port of another process's outgoing connection."""
+def test_a_dispatcher_waits_for_an_address_that_is_in_use(tmp_path: Path) -> None:
+    """A restarted dispatcher may find its port in use as the local port of another process's outgoing connection."""
     with socket.socket() as occupied:
         occupied.bind(("127.0.0.1", 0))
         occupied.listen()
@@ -325,7 +328,7 @@
         command = [sys.executable, "-m", "kelptrail", "serve", str(ROOT / "examples" / "fleet.sexp")]
         options = ["--roster", "127.0.0.1:1", "--state", str(tmp_path), "--port", port]
         process = subprocess.Popen([*command, *options], cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
-        while not (tmp_path / "book.sqlite").exists():  # opened just before it listens
+        while not (tmp_path / "book.sqlite").exists():  # created just before the dispatcher listens
             assert process.poll() is None
             time.sleep(0.02)
         time.sleep(0.7)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: every fault with its position and reason, in one pass."""
+"""Settings: all faults are reported in one pass, with position and reason."""
 
 from pathlib import Path
 
@@ -49,7 +49,7 @@
   oops)
 (more)
 """
-    found = faults_of(text)
+    faults = faults_of(text)
     for line, expected in (
         (3, "twice"),
         (3, "at least the target"),
@@ -67,7 +67,7 @@
         (10, "oops"),
         (11, "nothing beside it"),
     ):
-        assert any(f.startswith(f"x.sexp:{line}:") and expected in f for f in found), (line, expected, found)
+        assert any(f.startswith(f"x.sexp:{line}:") and expected in f for f in faults), (line, expected, faults)
 
 
 @pytest.mark.parametrize(
@@ -107,7 +107,7 @@
 
 
 def test_all_faults_of_a_vrrp_section_are_reported() -> None:
-    found = faults_of(VALID.rstrip()[:-1] + VRRP + ")")
+    faults = faults_of(VALID.rstrip()[:-1] + VRRP + ")")
     for line, expected in (
         (5, "key number"),
         (6, "an address and a port"),
@@ -117,5 +117,5 @@
         (8, "one owner"),
         (9, "one of workers, front, journal"),
     ):
-        assert any(f.startswith(f"x.sexp:{line}:") and expected in f for f in found), (line, expected, found)
+        assert any(f.startswith(f"x.sexp:{line}:") and expected in f for f in faults), (line, expected, faults)
     assert parse(Path("examples/shared-address.sexp").read_text(), "x").vrrp is not None
