--- a/kelptrail/fault_scenario/scenario.py
+++ b/kelptrail/fault_scenario/scenario.py
@@ -10,7 +10,7 @@
 
 from kelptrail.load.plan import LOAD, Load, check_load
 from kelptrail.settings.reader import Atom, Form, SourcePosition, read
-from kelptrail.settings.shape import Checker, Many, Shape, number, some, word, yes_no
+from kelptrail.settings.shape import Checker, Repeated, Shape, list_of, number, word, yes_no
 
 
 class FaultKind(StrEnum):
@@ -203,9 +203,9 @@
         "client-processes": number(1, 64, integer=True, default=1),
         "planners": number(0, 16, integer=True, default=0),
         "solver": word(("program", "greedy"), "program"),
-        "tasks": some(word(), ()),
-        "load": Many(LOAD, 1),
-        "trouble": Many(FAULT),
+        "tasks": list_of(word(), ()),
+        "load": Repeated(LOAD, 1),
+        "trouble": Repeated(FAULT),
     },
     ("name",),
     build=_scenario_of,
@@ -219,11 +219,11 @@
     root = _root_form(checker, read(text, str(path)), str(path))
     _check_kinds(checker, root)
     scenario: FaultScenario = checker.form(root, SCENARIO)
-    checker.done()
+    checker.raise_faults()
     for form, load in zip(_forms(root, "load"), scenario.load, strict=True):
         check_load(checker, form.position, load, Path(path).parent)
     _check_faults(checker, root, scenario)
-    checker.done()
+    checker.raise_faults()
     deployment = Path(scenario.deployment)
     if not deployment.is_absolute():
         deployment = Path(path).parent / deployment
@@ -235,7 +235,7 @@
     if len(forms) == 1 and isinstance(forms[0], Form) and forms[0].head == "bad-day":
         return forms[0]
     checker.fault(SourcePosition(path, 1, 1), f"{len(forms)} expressions", "one (bad-day NAME ...)")
-    checker.done()
+    checker.raise_faults()
     raise AssertionError("unreachable: done() raises after a fault")
 
 
--- a/kelptrail/settings/cooperation.py
+++ b/kelptrail/settings/cooperation.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, field
 
-from .shape import Many, Shape, milliseconds, number, some, word, yes_no
+from .shape import Repeated, Shape, list_of, milliseconds, number, word, yes_no
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,7 +114,7 @@
 
 PEERS = Shape(
     {
-        "peer": Many(Shape({"at": word(default=""), "hall": word(default="")}, ("name",), PeerConfig)),
+        "peer": Repeated(Shape({"at": word(default=""), "hall": word(default="")}, ("name",), PeerConfig)),
         "beat-ms": milliseconds(50, 60_000, 500.0),
         "silent-ms": milliseconds(100, 600_000, 3000.0),
         "connect-ms": milliseconds(10, 60_000, 1000.0),
@@ -134,9 +134,9 @@
 
 LEASES = Shape(
     {
-        "voters": some(word()),
+        "voters": list_of(word()),
         "number": number(1, 1_000_000_000, integer=True, default=1),
-        "before": some(word(), ()),
+        "before": list_of(word(), ()),
         "clock-bound": number(0, 0.2, default=0.01),
         "length-ms": milliseconds(100, 600_000, 4000.0),
         "longest-ms": milliseconds(100, 600_000, 4000.0),
--- a/kelptrail/settings/deployment.py
+++ b/kelptrail/settings/deployment.py
@@ -36,7 +36,7 @@
     NamespaceSettings,
     TypeSettings,
 )
-from .shape import Checker, Group, Many, Shape, some, word
+from .shape import Checker, Group, Repeated, Shape, list_of, word
 from .vrrp import TRACKED, VRRP, InstanceSettings, KeySettings, MemberSettings, RouterConfig, TrackConfig, VrrpSettings
 
 __all__ = [
@@ -111,10 +111,10 @@
 
 DEPLOYMENT = Shape(
     {
-        "halls": some(word(), ("hall",)),
-        "type": Many(TYPE, 1),
-        "namespace": Many(NAMESPACE, 1),
-        "action": Many(ACTION, 1),
+        "halls": list_of(word(), ("hall",)),
+        "type": Repeated(TYPE, 1),
+        "namespace": Repeated(NAMESPACE, 1),
+        "action": Repeated(ACTION, 1),
         "rules": Group(RULES),
         "dispatcher": Group(DISPATCHER),
         "front": Group(FRONT),
@@ -122,7 +122,7 @@
         "pool": Group(POOL),
         "fleet": Group(FLEET),
         "store": Group(STORE),
-        "tls": Many(TLS),
+        "tls": Repeated(TLS),
         "storm": Group(STORM),
         "planner": Group(PLANNER),
         "vrrp": Group(VRRP, optional=True),
@@ -151,10 +151,10 @@
     if len(deployments) != 1:
         position = deployments[1].position if deployments else start
         checker.fault(position, f"{len(deployments)} deployments", "one (deployment NAME ...)")
-        checker.done()
+        checker.raise_faults()
     fields = checker.form(deployments[0], DEPLOYMENT)
     check_across_sections(checker, deployments[0])
-    checker.done()
+    checker.raise_faults()
     return _deployment_of(fields, Path(file).parent)
 
 
--- a/kelptrail/settings/request_classes.py
+++ b/kelptrail/settings/request_classes.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass, field
 
-from .shape import Many, Shape, milliseconds, number, word, yes_no
+from .shape import Repeated, Shape, milliseconds, number, word, yes_no
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,8 +96,8 @@
         "uuid": word(),
         "key": word(default=""),
         "allowed-per-s": number(0.001, 1e7, default=1e6),
-        "key-hash": Many(Shape({}, ("digest",), KeyHash)),
-        "certificate": Many(Shape({}, ("name",), CertificateName)),
+        "key-hash": Repeated(Shape({}, ("digest",), KeyHash)),
+        "certificate": Repeated(Shape({}, ("name",), CertificateName)),
     },
     ("name",),
     NamespaceSettings,
--- a/kelptrail/settings/shape.py
+++ b/kelptrail/settings/shape.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Many:
+class Repeated:
     """A form that may be repeated: `(key NAME (a 1))`."""
 
     shape: Shape
@@ -58,7 +58,7 @@
 class Shape:
     """The names that follow the head of a form, its fields, and the class that is built from both."""
 
-    fields: dict[str, Value | Values | Group | Many]
+    fields: dict[str, Value | Values | Group | Repeated]
     names: tuple[str, ...] = ()
     build: Callable[..., Any] = field(default=dict)
 
@@ -104,7 +104,7 @@
     return Value(lambda item: choice.convert(item) == "yes", choice.expected, default)
 
 
-def some(kind: Value, default: Any = REQUIRED) -> Values:
+def list_of(kind: Value, default: Any = REQUIRED) -> Values:
     """Return the specification of any number of values of a kind."""
     return Values(kind.convert, kind.expected + ", any number of them", default)
 
@@ -142,7 +142,7 @@
         """Record a fault and continue."""
         self.faults.append(Fault(position, str(read), expected))
 
-    def done(self) -> None:
+    def raise_faults(self) -> None:
         """Raise `SettingsError` with all recorded faults in the order of the file, if there are any."""
         if self.faults:
             raise SettingsError(sorted(self.faults, key=lambda f: (f.position.line, f.position.column)))
@@ -152,7 +152,7 @@
         faults_before, items = len(self.faults), list(form.items[1:])
         values = self._take_names(form, shape, items)
         seen: dict[str, SourcePosition] = {}
-        repeated: dict[str, list[Any]] = {k: [] for k, f in shape.fields.items() if isinstance(f, Many)}
+        repeated: dict[str, list[Any]] = {k: [] for k, f in shape.fields.items() if isinstance(f, Repeated)}
         for item in items:
             if not isinstance(item, Form) or item.head is None:
                 self.fault(item.position, item, f"a field of ({form.head} ...) in brackets")
@@ -161,7 +161,7 @@
             if spec is None:
                 self._unknown_field(item, form, shape)
                 continue
-            if isinstance(spec, Many):
+            if isinstance(spec, Repeated):
                 repeated[item.head].append(self.form(item, spec.shape))
                 continue
             if item.head in seen:
@@ -175,7 +175,7 @@
             values[item.head.replace("-", "_")] = self._field_value(item, spec)
         for key, spec in shape.fields.items():
             name = key.replace("-", "_")
-            if isinstance(spec, Many):
+            if isinstance(spec, Repeated):
                 values[name] = self._repeated_value(form, key, spec, repeated[key])
             elif key not in seen:
                 values[name] = self._absent_value(form, key, spec)
@@ -191,7 +191,7 @@
                 self.fault(form.position, form, f"({form.head} {name.upper()} ...)")
         return names
 
-    def _repeated_value(self, form: Form, key: str, spec: Many, values: list[Any]) -> list[Any]:
+    def _repeated_value(self, form: Form, key: str, spec: Repeated, values: list[Any]) -> list[Any]:
         """Return the values of a repeated form; too few are a fault."""
         if len(values) < spec.min_count:
             self.fault(form.position, f"{len(values)} of ({key} ...)", f"{spec.min_count} at least")
--- a/kelptrail/settings/vrrp.py
+++ b/kelptrail/settings/vrrp.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from .shape import Many, Shape, milliseconds, number, word, yes_no
+from .shape import Repeated, Shape, milliseconds, number, word, yes_no
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,9 +82,9 @@
 VRRP = Shape(
     {
         "pseudo-header": yes_no(True),
-        "key": Many(Shape({}, ("number", "secret"), KeySettings)),
-        "instance": Many(Shape({"udp": word(), "via": word(default="")}, ("name",), InstanceSettings), 1),
-        "router": Many(
+        "key": Repeated(Shape({}, ("number", "secret"), KeySettings)),
+        "instance": Repeated(Shape({"udp": word(), "via": word(default="")}, ("name",), InstanceSettings), 1),
+        "router": Repeated(
             Shape(
                 {
                     "address": word(),
@@ -93,14 +93,14 @@
                     "preempt": yes_no(True),
                     "accept": yes_no(True),
                     "grpc-port": number(0, 65535, integer=True, default=0),
-                    "member": Many(Shape({"priority": number(1, 255, integer=True)}, ("name",), MemberSettings), 1),
+                    "member": Repeated(Shape({"priority": number(1, 255, integer=True)}, ("name",), MemberSettings), 1),
                 },
                 ("vrid",),
                 RouterConfig,
             ),
             1,
         ),
-        "track": Many(
+        "track": Repeated(
             Shape(
                 {
                     "weight": number(0, 254, integer=True),
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -98,7 +98,7 @@
     form = forms[0] if forms else None
     if len(forms) != 1 or not isinstance(form, Form) or form.head != "experiment" or len(form.items) < 2:
         checker.fault(start, f"{len(forms)} expressions", "one (experiment NAME ...)")
-        checker.done()
+        checker.raise_faults()
     assert isinstance(form, Form)
     script, seeds = "", tuple[int, ...]()
     variants, sweep = dict[str, tuple[Change, ...]](), list[Change]()
@@ -118,7 +118,7 @@
             checker.fault(item.position, item.head, "one of script, seeds, variant, sweep, with what they need")
     if not script:
         checker.fault(form.position, "no script", "(script FILE)")
-    checker.done()
+    checker.raise_faults()
     file = Path(script) if Path(script).is_absolute() else Path(path).parent / script
     name = str(_value(form.items[1]))
     experiment = Experiment(name, str(file), seeds or (1,), variants or {"as-is": ()}, tuple(sweep))
@@ -153,7 +153,7 @@
             apply_changes(scenario, deployment, SimulationSettings(), [change])
         except ValueError as cause:
             checker.fault(change.position, str(change), str(cause))
-    checker.done()
+    checker.raise_faults()
 
 
 def _value(item: Any) -> Any:
--- a/tests/program.py
+++ b/tests/program.py
@@ -49,7 +49,7 @@
 EFFECTS = {"check": "p/check", "activate": "activate", "grant": "grant"}
 
 
-class Silent:
+class RecordingLog:
     """A log that records its lines and writes nothing."""
 
     def __init__(self) -> None:
@@ -191,7 +191,7 @@
     ) -> None:
         self.deployment = deployment or parse(DEPLOYMENT, "test")
         self.gateway = Gateway(DispatcherParts(self.deployment, "a", 1), boot)
-        self.log = Silent()
+        self.log = RecordingLog()
         self.driver = GatewayDriver(self.gateway, f"d/{boot}", self.deployment.pool, self.log)
         front = self.deployment.front
         self.api = InvokeApi(self.deployment, self.driver, boot)
@@ -324,22 +324,22 @@
     """Three lease acceptors, and further members that `join`, in the test's process on real connections."""
 
     def __init__(self, deployment: Deployment, state: Path) -> None:
-        self.deployment, self.state, self.log, self.at = deployment, state, Silent(), dict[str, str]()
+        self.deployment, self.state, self.log, self.addresses = deployment, state, RecordingLog(), dict[str, str]()
         self.fleets: list[Fleet] = []
         for name in ("v0", "v1", "v2"):
-            self.join(name, "127.0.0.1:0", self.at.get(name))
+            self.join(name, "127.0.0.1:0", self.addresses.get(name))
 
     def join(self, name: str, listen: str | None = None, at: str | None = None) -> Fleet:
         """Start a member and record the address of its channel."""
         (self.state / name).mkdir(parents=True, exist_ok=True)
         member = Fleet(
             self.deployment,
-            FleetOptions(name, str(len(self.fleets)), at or listen, self.at, self.state / name),
+            FleetOptions(name, str(len(self.fleets)), at or listen, self.addresses, self.state / name),
             self.log,
         )
         member.start()
         if member.peers.address:
-            self.at[name] = member.peers.address
+            self.addresses[name] = member.peers.address
         self.fleets.append(member)
         return member
 
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from program import Silent, run
+from program import RecordingLog, run
 
 from kelptrail.background.core import Job, Scheduler, SchedulerSettings
 from kelptrail.background.driver import Background
@@ -85,7 +85,7 @@
 
 def test_on_the_loop_steps_leave_calls_their_turn_and_a_fault_ends_only_itself() -> None:
     async def main() -> None:
-        log, seen = Silent(), list[str]()
+        log, seen = RecordingLog(), list[str]()
         background = Background(SchedulerSettings(0.3, 0.5, 50.0), now_ms, lambda: True, log)
 
         def slow() -> bool:
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from program import DEPLOYMENT, PEERS, Acceptors, Dispatcher, ScriptedWorker, Silent, run
+from program import DEPLOYMENT, PEERS, Acceptors, Dispatcher, RecordingLog, ScriptedWorker, run
 
 from kelptrail.clock import now_ms
 from kelptrail.membership.members import EndpointList
@@ -41,7 +41,7 @@
     def __init__(self, state: Path, planners: int = 1) -> None:
         self.workers = [ScriptedWorker(f"w{n}") for n in range(3)]
         self.dispatcher = Dispatcher(self.workers, parse(FAST, "fast"))
-        self.state, self.log = state, Silent()
+        self.state, self.log = state, RecordingLog()
         self.acceptors = Acceptors(self.dispatcher.deployment, state)
         self.planners = [self.planner(n) for n in range(planners)]
         self.edge = self.follower()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -144,7 +144,7 @@
         restarted.__dict__.update(voters.__dict__)
         voters.fleets = voters.fleets[2:]
         for name in ("v0", "v1"):
-            restarted.join(name, voters.at[name])
+            restarted.join(name, voters.addresses[name])
         await wait_until(lambda: any(a is not None and a.held_token("t") for a in clients if a is not first))
         rounds = [int(token.partition(".")[0]) for _, token in events if "." in token]
         assert rounds == sorted(set(rounds)), "tokens only increase, through restarts"
@@ -180,7 +180,7 @@
         for name in ("v0", "v1", "v2", "v3"):
             if name != "v3":
                 await voters.fleets.pop(0).stop()
-            voters.join(name, voters.at.get(name, "127.0.0.1:0"))
+            voters.join(name, voters.addresses.get(name, "127.0.0.1:0"))
         other = voters.join("y").leases
         assert other is not None
         acquire(other, events)
@@ -226,10 +226,10 @@
             "--state",
             str(tmp_path / "v2"),
             "--peers",
-            voters.at["v2"],
+            voters.addresses["v2"],
             "--crash-at",
             "voted",
-            *(word for name in ("v0", "v1") for word in ("--peer", f"{name}={voters.at[name]}")),
+            *(word for name in ("v0", "v1") for word in ("--peer", f"{name}={voters.addresses[name]}")),
             cwd=ROOT,
             stdout=asyncio.subprocess.PIPE,
         )
@@ -244,7 +244,7 @@
         stored = {row.task: row.token for row in rows}
         assert durable_state is not None and not reason and stored and token is not None
         assert stored.get("t", token) <= token
-        voters.join("v2", voters.at["v2"])
+        voters.join("v2", voters.addresses["v2"])
         restarted = voters.fleets[-1].leases
         assert restarted is not None and restarted.acceptor is not None
         for task, written in stored.items():
@@ -303,10 +303,10 @@
 
     async def main() -> None:
         voters = Acceptors.__new__(Acceptors)
-        voters.deployment, voters.state, voters.at, voters.fleets = FLEET, tmp_path, {}, []
-        from program import Silent
+        voters.deployment, voters.state, voters.addresses, voters.fleets = FLEET, tmp_path, {}, []
+        from program import RecordingLog
 
-        voters.log = Silent()
+        voters.log = RecordingLog()
         drivers = []
         completed = [0, 0, 0]
         for n in range(3):
--- a/tests/test_front_addresses.py
+++ b/tests/test_front_addresses.py
@@ -10,7 +10,17 @@
 from pathlib import Path
 
 import pytest
-from program import Dispatcher, ScriptedWorker, Silent, answer, authorization, connect, never_answer, read_reply, run
+from program import (
+    Dispatcher,
+    RecordingLog,
+    ScriptedWorker,
+    answer,
+    authorization,
+    connect,
+    never_answer,
+    read_reply,
+    run,
+)
 from test_inference import Client, tensor
 
 from kelptrail.codec.http import Request, encode_request
@@ -57,8 +67,8 @@
         dispatcher, other = Dispatcher([worker]), Dispatcher([ScriptedWorker("v", answer)])
         port = free_port()
         service = front_service(dispatcher, drain_ms=2000.0, linger_ms=150.0)
-        old = FrontAddress("127.0.0.1", port, service, Silent())
-        new = FrontAddress("127.0.0.1", port, front_service(other), Silent())
+        old = FrontAddress("127.0.0.1", port, service, RecordingLog())
+        new = FrontAddress("127.0.0.1", port, front_service(other), RecordingLog())
         old.acquire()
         loop = asyncio.get_running_loop()
         idle, busy = await connect(f"127.0.0.1:{port}"), await connect(f"127.0.0.1:{port}")
@@ -96,7 +106,7 @@
 def test_a_request_after_the_address_moved_gets_503_with_retry_after() -> None:
     async def main() -> None:
         dispatcher = Dispatcher([ScriptedWorker("w", never_answer)])
-        front = FrontAddress("127.0.0.1", free_port(), front_service(dispatcher), Silent())
+        front = FrontAddress("127.0.0.1", free_port(), front_service(dispatcher), RecordingLog())
         front.acquire()
         assert front.server is not None
         server, address = front.server, front.server.address
@@ -267,7 +277,7 @@
 
         def address(dispatcher: Dispatcher, drain_ms: float) -> FrontAddress:
             service = front_service(dispatcher, drain_ms, grpc=True)
-            return FrontAddress("127.0.0.1", port, service, Silent(), grpc_port)
+            return FrontAddress("127.0.0.1", port, service, RecordingLog(), grpc_port)
 
         old, new = address(one, 3000.0), address(two, 0.0)
         old.acquire()
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -21,8 +21,8 @@
 from program import (
     DEPLOYMENT,
     Dispatcher,
+    RecordingLog,
     ScriptedWorker,
-    Silent,
     answer,
     authorization,
     break_connection,
@@ -665,8 +665,8 @@
             self.h2.send_data(id_, encode_message(b"") if data is None else data, end_stream=end)
 
 
-async def serve(handler: Any = None, **limits: Any) -> tuple[GrpcServer, Silent]:
-    log = Silent()
+async def serve(handler: Any = None, **limits: Any) -> tuple[GrpcServer, RecordingLog]:
+    log = RecordingLog()
 
     def reply_ok(stream: GrpcStream) -> None:
         def on_end() -> None:
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -19,8 +19,8 @@
 from program import (
     DEPLOYMENT,
     Dispatcher,
+    RecordingLog,
     ScriptedWorker,
-    Silent,
     answer,
     authorization,
     never_answer,
@@ -142,7 +142,7 @@
     """A dispatcher, its fronts and its worker under TLS."""
 
     def __init__(self, folder: Path, script: Any = answer) -> None:
-        self.deployment, self.log = secure(folder), Silent()
+        self.deployment, self.log = secure(folder), RecordingLog()
         keep = {
             side: certificate_reloader(self.deployment, side, alpn, self.log)
             for side, alpn in (("front", ["http/1.1"]), ("to-workers", ["http/1.1"]), ("runners", ["http/1.1"]))
@@ -323,7 +323,7 @@
     assert expiry.due(2.0 * day, 15 * day) is None and expiry.due(2.6 * day, 15 * day) == pytest.approx(12.4)
     assert expiry.due(20 * day, 15 * day) == -5, "also once it is over"
     authority(tmp_path)
-    log = Silent()
+    log = RecordingLog()
     late = (NOW + timedelta(days=10)).timestamp() * 1000
     keeper = CertificateReloader(TlsFiles(tmp_path / "front.pem"), True, [], log, lambda: late)
     keeper.reload_if_changed()
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -7,7 +7,7 @@
 import socket
 
 import pytest
-from program import Silent, connect, read_reply, run, send_request
+from program import RecordingLog, connect, read_reply, run, send_request
 
 from kelptrail.codec.http import Request, encode_request
 from kelptrail.net.listener import ConnectPace, PaceSettings
@@ -42,7 +42,9 @@
         def handle(request: Request, exchange: Exchange) -> None:
             exchange.reply(200, b"{}")
 
-        server = HttpServer(handle, Limits(), Silent().warning, pace=ConnectPace(PaceSettings(10, 10.0, 3000.0), 1))
+        server = HttpServer(
+            handle, Limits(), RecordingLog().warning, pace=ConnectPace(PaceSettings(10, 10.0, 3000.0), 1)
+        )
         server.listen("127.0.0.1", 0)
         replies = await asyncio.gather(*(send_request(server.address, CALL) for _ in range(40)))
         early = [r for r in replies if r.status == 503]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,7 +15,7 @@
 
 import apsw
 import pytest
-from program import DEPLOYMENT, Dispatcher, ScriptedWorker, Silent, answer, final_answer, never_answer, run
+from program import DEPLOYMENT, Dispatcher, RecordingLog, ScriptedWorker, answer, final_answer, never_answer, run
 
 from kelptrail.codec.http import Request
 from kelptrail.dispatch.entities import AttemptStatus, Idempotency
@@ -583,7 +583,7 @@
         journal, results = ActivationJournal(tmp_path / "b"), list[bool]()
         ids = [f"{n:032x}" for n in range(1700)]
         journal.commit([Accepted(id_, "one", "grant", 100.0, 900.0, b"{}") for id_ in ids])
-        driver = JournalDriver(GroupCommit(100), journal, lambda: None, Silent())
+        driver = JournalDriver(GroupCommit(100), journal, lambda: None, RecordingLog())
         for id_ in ids:
             driver.forget(id_)
         assert not driver._busy, "nothing is deleted before background work runs"
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -19,7 +19,7 @@
 import pytest
 import zstandard
 from cryptography import x509
-from program import Silent, run
+from program import RecordingLog, run
 from pyarrow import parquet
 from test_edge import FAST
 
@@ -442,7 +442,7 @@
     gateway: Any = SimpleNamespace(members=workers, on_plan=told.append)
 
     async def main() -> None:
-        log = Silent()
+        log = RecordingLog()
         edge = PlanFollower([], "edge", "coast", gateway, lambda: None, file, log)
         assert edge.load_saved_plan() and log.lines == []
         assert edge.plan_state.plan == plan_on_disk() and edge.plan_state.fence == (9, "planner-1", 14)
@@ -467,7 +467,7 @@
 
     async def main() -> None:
         options = PlannerOptions("planner-0", "127.0.0.1", 0, "", tmp_path, None, "greedy")
-        planner = PlannerDriver(parse(FAST, "fast"), options, leases, 1000.0, Silent())
+        planner = PlannerDriver(parse(FAST, "fast"), options, leases, 1000.0, RecordingLog())
         assert planner.restore()
         assert planner.planner.target == wants
         assert {name: planner.planner.demand.functions[name].hourly_rates for name in hours} == hours
@@ -480,7 +480,7 @@
     """`STATE/last-list.json`, as a roster had sent it: all that a dispatcher knows of workers and of other dispatchers
     until a roster answers.  Its version and lineage are dropped."""
     found = list[EndpointList]()
-    log = Silent()
+    log = RecordingLog()
     client = EndpointClient("127.0.0.1:1", "dispatcher-1", found.append, copy("last-list.json", tmp_path), log)
     assert client.load_saved() and log.lines == []
     workers = [
