--- a/kelptrail/service/usage.py
+++ b/kelptrail/service/usage.py
@@ -41,7 +41,7 @@
 
 
 class UsageTotal(msgspec.Struct, frozen=True, tag="total", array_like=True):
-    """Calls per second over the fleet, from the `dispatchers` that answered both this turn and the previous one."""
+    """Calls per second over the fleet, from the `dispatchers` that answered both this turn and an earlier one."""
 
     token: FencingToken
     turn: int
@@ -61,26 +61,30 @@
     def __init__(self, token: FencingToken) -> None:
         self.token, self.turn = token, 0
         self._turn_started = 0.0
-        self._previous_turn: dict[str, _Answer] = {}  # by dispatcher
-        self._this_turn: dict[str, _Answer] = {}
+        self._earlier_answers: dict[str, _Answer] = {}  # by dispatcher: its last one before this turn
+        self._turn_answers: dict[str, _Answer] = {}
 
     def start_turn(self, now: float) -> UsageRequest:
         """Start a turn and return the request to send to all dispatchers."""
         self.turn += 1
-        self._previous_turn, self._this_turn, self._turn_started = self._previous_turn | self._this_turn, {}, now
+        self._earlier_answers, self._turn_answers, self._turn_started = (
+            self._earlier_answers | self._turn_answers,
+            {},
+            now,
+        )
         return UsageRequest(self.token, self.turn)
 
-    def on_counts(self, name: str, used: UsageCounts) -> None:
+    def on_counts(self, name: str, answer: UsageCounts) -> None:
         """Record a dispatcher's counts; an answer to an earlier turn is dropped."""
-        if used.turn == self.turn:
-            self._this_turn[name] = _Answer(self._turn_started, used.run, used.counts)
+        if answer.turn == self.turn:
+            self._turn_answers[name] = _Answer(self._turn_started, answer.run, answer.counts)
 
     def total(self) -> UsageTotal:
-        """Return the rates of the dispatchers that answered both this turn and the previous one."""
+        """Return the rates of the dispatchers that answered both this turn and an earlier one."""
         rates: dict[str, list[float]] = {}
         dispatchers = 0
-        for name, answer in self._this_turn.items():
-            previous = self._previous_turn.get(name)
+        for name, answer in self._turn_answers.items():
+            previous = self._earlier_answers.get(name)
             if previous is None or answer.requested_ms <= previous.requested_ms:
                 continue
             dispatchers += 1
