--- a/kelptrail/settings/vrrp.py
+++ b/kelptrail/settings/vrrp.py
@@ -1,18 +1,18 @@
-"""Front addresses that survive their dispatcher's host (VRRPv3, RFC 9568).
+"""Settings of VRRPv3 (RFC 9568), which moves a front address to another dispatcher when its owner fails.
 
-Times are milliseconds, memory is megabytes.  Every default is stated here, once.
+Times are in milliseconds.  The shapes below hold the defaults.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from .shape import Many, Shape, milliseconds, number, word, yes_no
+from .shape import Repeated, Shape, milliseconds, number, word, yes_no
 
 
 @dataclass(frozen=True, slots=True)
 class KeySettings:
-    """A key that peers share; the first of the file is sent with, all are accepted."""
+    """A key shared by the peers; advertisements are signed with the first one in the file, all are accepted."""
 
     number: str
     secret: str
@@ -20,7 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceSettings:
-    """A dispatcher that takes part: where its datagrams come from, and where others send to reach it."""
+    """A dispatcher that runs VRRP.
+
+    `udp`: address that it sends datagrams from; `via`: address that peers send to, such as a proxy's; default: `udp`.
+    """
 
     name: str
     udp: str
@@ -34,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberSettings:
-    """An instance's part in one virtual router."""
+    """The membership of an instance in a virtual router."""
 
     name: str
     priority: int
@@ -42,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterConfig:
-    """One virtual router: its front address and who backs it."""
+    """A virtual router: its front address and its members."""
 
     vrid: str
     address: str
@@ -56,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrackConfig:
-    """What lowers the priority while it fails."""
+    """A tracked object: it lowers the priority while it fails."""
 
     name: str
     weight: int
@@ -67,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VrrpSettings:
-    """Front addresses that survive their dispatcher's host (RFC 9568)."""
+    """VRRP of a deployment: instances, virtual routers, keys and tracked objects."""
 
     pseudo_header: bool
     key: list[KeySettings]
@@ -79,9 +82,9 @@
 VRRP = Shape(
     {
         "pseudo-header": yes_no(True),
-        "key": Many(Shape({}, ("number", "secret"), KeySettings)),
-        "instance": Many(Shape({"udp": word(), "via": word(default="")}, ("name",), InstanceSettings), 1),
-        "router": Many(
+        "key": Repeated(Shape({}, ("number", "secret"), KeySettings)),
+        "instance": Repeated(Shape({"udp": word(), "via": word(default="")}, ("name",), InstanceSettings), 1),
+        "router": Repeated(
             Shape(
                 {
                     "address": word(),
@@ -90,14 +93,14 @@
                     "preempt": yes_no(True),
                     "accept": yes_no(True),
                     "grpc-port": number(0, 65535, integer=True, default=0),
-                    "member": Many(Shape({"priority": number(1, 255, integer=True)}, ("name",), MemberSettings), 1),
+                    "member": Repeated(Shape({"priority": number(1, 255, integer=True)}, ("name",), MemberSettings), 1),
                 },
                 ("vrid",),
                 RouterConfig,
             ),
             1,
         ),
-        "track": Many(
+        "track": Repeated(
             Shape(
                 {
                     "weight": number(0, 254, integer=True),
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from program import Silent, run
+from program import RecordingLog, run
 
 from kelptrail.background.core import Job, Scheduler, SchedulerSettings
 from kelptrail.background.driver import Background
@@ -87,7 +87,7 @@
 
 def test_steps_on_the_event_loop_yield_to_requests_and_an_error_in_one_job_does_not_stop_others() -> None:
     async def main() -> None:
-        log, seen = Silent(), list[str]()
+        log, seen = RecordingLog(), list[str]()
         background = Background(SchedulerSettings(0.3, 0.5, 50.0), now_ms, lambda: True, log)
 
         def slow() -> bool:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -150,7 +150,7 @@
         restarted.__dict__.update(acceptors.__dict__)
         acceptors.fleets = acceptors.fleets[2:]
         for name in ("v0", "v1"):
-            restarted.join(name, acceptors.at[name])
+            restarted.join(name, acceptors.addresses[name])
         await wait_until(
             lambda: any(client is not None and client.held_token("t") for client in clients if client is not first)
         )
@@ -188,7 +188,7 @@
         for name in ("v0", "v1", "v2", "v3"):
             if name != "v3":
                 await acceptors.fleets.pop(0).stop()
-            acceptors.join(name, acceptors.at.get(name, "127.0.0.1:0"))
+            acceptors.join(name, acceptors.addresses.get(name, "127.0.0.1:0"))
         other = acceptors.join("y").leases
         assert other is not None
         acquire(other, events)
@@ -235,10 +235,10 @@
             "--state",
             str(tmp_path / "v2"),
             "--peers",
-            acceptors.at["v2"],
+            acceptors.addresses["v2"],
             "--crash-at",
             "voted",
-            *(word for name in ("v0", "v1") for word in ("--peer", f"{name}={acceptors.at[name]}")),
+            *(word for name in ("v0", "v1") for word in ("--peer", f"{name}={acceptors.addresses[name]}")),
             cwd=ROOT,
             stdout=asyncio.subprocess.PIPE,
         )
@@ -253,7 +253,7 @@
         stored = {row.task: row.token for row in rows}
         assert durable_state is not None and not reason and stored and token is not None
         assert stored.get("t", token) <= token
-        acceptors.join("v2", acceptors.at["v2"])
+        acceptors.join("v2", acceptors.addresses["v2"])
         restarted = acceptors.fleets[-1].leases
         assert restarted is not None and restarted.acceptor is not None
         for task, written in stored.items():
@@ -312,10 +312,15 @@
 
     async def main() -> None:
         acceptors = Acceptors.__new__(Acceptors)
-        acceptors.deployment, acceptors.state, acceptors.at, acceptors.fleets = DEPLOYMENT_WITH_PEERS, tmp_path, {}, []
-        from program import Silent
+        acceptors.deployment, acceptors.state, acceptors.addresses, acceptors.fleets = (
+            DEPLOYMENT_WITH_PEERS,
+            tmp_path,
+            {},
+            [],
+        )
+        from program import RecordingLog
 
-        acceptors.log = Silent()
+        acceptors.log = RecordingLog()
         drivers = []
         completed = [0, 0, 0]
         for n in range(3):
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -19,8 +19,8 @@
 from program import (
     DEPLOYMENT,
     Dispatcher,
+    RecordingLog,
     ScriptedWorker,
-    Silent,
     answer,
     authorization,
     never_answer,
@@ -146,7 +146,7 @@
     """A dispatcher whose fronts and worker use TLS."""
 
     def __init__(self, folder: Path, script: Any = answer) -> None:
-        self.deployment, self.log = tls_deployment(folder), Silent()
+        self.deployment, self.log = tls_deployment(folder), RecordingLog()
         reloaders = {
             side: certificate_reloader(self.deployment, side, alpn, self.log)
             for side, alpn in (("front", ["http/1.1"]), ("to-workers", ["http/1.1"]), ("runners", ["http/1.1"]))
@@ -337,7 +337,7 @@
     assert expiry.due(2.0 * day, 15 * day) is None and expiry.due(2.6 * day, 15 * day) == pytest.approx(12.4)
     assert expiry.due(20 * day, 15 * day) == -5, "a warning also after the expiry"
     create_authority(tmp_path)
-    log = Silent()
+    log = RecordingLog()
     late = (NOW + timedelta(days=10)).timestamp() * 1000
     reloader = CertificateReloader(TlsFiles(tmp_path / "front.pem"), True, [], log, lambda: late)
     reloader.reload_if_changed()
