--- a/kelptrail/load/__init__.py
+++ b/kelptrail/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load: when calls arrive, how their clients behave, and a generator that drives the real program with them."""
+"""Load models: arrivals of calls, behaviour of clients, and a load generator that sends the calls over the network."""
--- a/kelptrail/load/arrivals.py
+++ b/kelptrail/load/arrivals.py
@@ -1,13 +1,15 @@
-"""Arrivals of calls: load models of open loops, drawn a span at a time; free of I/O but for recorded traces.
+"""Arrival processes of calls in an open loop, drawn one time span after the other.  The only I/O is reading traces.
 
 poisson   independent clients at a steady rate
-diurnal   the rate swings around its mean: `period` seconds from low to low, `swing` its share (thinning, Lewis and
-          Shedler 1979)
-bursts    a two-state modulated Poisson process: `burst` seconds at `factor` times the quiet rate, `quiet` seconds
-          between, both exponential; the mean is the load's rate
-heavy     gaps from a Lomax (Pareto II) distribution with tail index `tail`: long pauses, then many arrivals at once
-trace     a recording: lines of `seconds[,action]`, repeated from its start when it ends
-closed    no arrivals of its own: `clients` that each call again `think` seconds (exponential) after their answer
+diurnal   a sinusoidal rate that starts at its minimum: `period` is the length of a cycle in seconds, `swing` the
+          amplitude as a share of the mean (thinning, Lewis and Shedler 1979)
+bursts    a two-state modulated Poisson process: bursts at `factor` times the quiet rate, with quiet periods between
+          them; `burst` and `quiet` are the mean lengths in seconds (exponential); the overall mean is the load's rate
+heavy     heavy-tailed gaps from a Lomax (Pareto II) distribution with tail index `tail`: long pauses, then many
+          arrivals in quick succession
+trace     a recorded trace: lines of `seconds[,action]`, repeated from its start when it ends
+closed    a closed loop without an arrival process: each of `clients` calls again after it received its answer and
+          waited for a think time (exponential, mean `think` seconds)
 """
 
 from __future__ import annotations
@@ -24,15 +26,15 @@
 
 SHAPES = ("poisson", "diurnal", "bursts", "heavy", "trace", "closed")
 MIN_TRACE_S = 1e-3
-MIN_DRAWN_GAPS = 16  # of a renewal process, at a time
+MIN_GAPS_PER_DRAW = 16
 
 
 class TraceError(ValueError):
-    """A recording is malformed; the message begins with the file and the line."""
+    """A trace file is malformed; the message begins with the file and, for a faulty line, its number."""
 
 
 class Arrival(NamedTuple):
-    """One call: when it arrives, in seconds, and its action; "" to draw one by popularity."""
+    """Time of one call in seconds, and the path of its action; the path is "" if the action is drawn by popularity."""
 
     time: float
     action: str
@@ -40,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """A recording: times in seconds from its start, the action of each ("": by popularity), its length."""
+    """A recorded trace: its length, and the time from its start and the action ("": by popularity) of each arrival."""
 
     times: np.ndarray
     actions: list[str]
@@ -48,7 +50,7 @@
 
 
 def read_trace(file: Path) -> Trace:
-    """Read a recording.  Raises `TraceError` with the line of the first fault, `OSError` where unreadable."""
+    """Read a trace file.  Raises `TraceError` with the first malformed line, `OSError` if the file is unreadable."""
     times, actions = list[float](), list[str]()
     for number, line in enumerate(file.read_text(encoding="utf-8", errors="replace").splitlines(), 1):
         text = line.partition("#")[0].strip()
@@ -58,19 +60,19 @@
         try:
             time = float(time_text)
         except ValueError:
-            raise TraceError(f"{file}:{number}: {time_text!r} is no time in seconds") from None
+            raise TraceError(f"{file}:{number}: {time_text!r} is not a time in seconds") from None
         if not np.isfinite(time) or time < (times[-1] if times else 0.0):
-            raise TraceError(f"{file}:{number}: {time_text} is before the time above it, or no time")
+            raise TraceError(f"{file}:{number}: {time_text} is before the previous time, or not finite")
         times.append(time)
         actions.append(action.strip())
     if not times:
         raise TraceError(f"{file}: no arrivals")
-    mean_gap_share = 1 / len(times)  # the pause after the last arrival, before the recording repeats
+    mean_gap_share = 1 / len(times)  # the trace repeats one mean gap after its last arrival
     return Trace(np.array(times), actions, max(times[-1] * (1 + mean_gap_share), MIN_TRACE_S))
 
 
 def popularity(paths: list[str], load: Load) -> np.ndarray:
-    """The share of each action: the one that the load names, or by rank (Zipf)."""
+    """Return the share of calls of each action: all for the load's action, else a Zipf distribution by rank."""
     if load.action:
         weights = np.array([float(path == load.action) for path in paths])
     else:
@@ -80,76 +82,76 @@
 
 
 class Arrivals:
-    """One load's arrivals; `part` n of m of them, for a load that several processes generate together."""
+    """Arrivals of one load.  `part` is (index, count) when several processes generate one load in equal parts."""
 
     def __init__(self, load: Load, random: np.random.Generator, part: tuple[int, int] = (0, 1)) -> None:
         self._load, self._random, self._part = load, random, part
         self._rate = load.rate / part[1]
-        self._next_arrival = 0.0  # of a renewal process
-        self._state_ends, self._in_burst = 0.0, False  # of the present state of a modulated process
+        self._next_arrival = 0.0  # state of the renewal process
+        self._state_end, self._in_burst = 0.0, False  # state of the modulated process
         self._trace = read_trace(Path(load.file)) if load.shape == "trace" else None
 
-    def draw(self, at: float, span: float) -> list[Arrival]:
-        """The arrivals from `at` for `span` seconds, in order.  To be called for spans one after the other."""
+    def draw(self, start: float, span: float) -> list[Arrival]:
+        """Return the arrivals from `start` for `span` seconds, in order.  Spans must follow each other without gaps."""
         if self._load.shape == "closed":
             return []
         if self._trace is not None:
-            return list(self._recorded(self._trace, at, span))
-        return [Arrival(float(time), "") for time in self._draw_times(at, span)]
+            return list(self._repeat_trace(self._trace, start, span))
+        return [Arrival(float(time), "") for time in self._draw_times(start, span)]
 
-    def _draw_times(self, at: float, span: float) -> np.ndarray:
+    def _draw_times(self, start: float, span: float) -> np.ndarray:
         if self._load.shape == "heavy":
-            return self._renewal(at, span)
+            return self._draw_renewal(start, span)
         if self._load.shape == "bursts":
-            return self._modulated(at, span)
+            return self._draw_modulated(start, span)
         if self._load.shape == "diurnal":
-            return self._diurnal(at, span)
-        return self._poisson(self._rate, at, span)
+            return self._draw_diurnal(start, span)
+        return self._draw_poisson(self._rate, start, span)
 
-    def _poisson(self, rate: float, at: float, span: float) -> np.ndarray:
+    def _draw_poisson(self, rate: float, start: float, span: float) -> np.ndarray:
         count = int(self._random.poisson(rate * span))
-        return np.sort(self._random.uniform(at, at + span, count))
+        return np.sort(self._random.uniform(start, start + span, count))
 
-    def _diurnal(self, at: float, span: float) -> np.ndarray:
-        """A Poisson process at the highest rate, thinned to the present one."""
+    def _draw_diurnal(self, start: float, span: float) -> np.ndarray:
+        """Draw a Poisson process at the peak rate, and thin it to the rate at each time."""
         load = self._load
-        times = self._poisson(self._rate * (1 + load.swing), at, span)
+        times = self._draw_poisson(self._rate * (1 + load.swing), start, span)
         relative_rates = 1 - load.swing * np.cos(2 * np.pi * times / load.period)
         return times[self._random.random(len(times)) * (1 + load.swing) < relative_rates]
 
-    def _renewal(self, at: float, span: float) -> np.ndarray:
-        tail, drawn = self._load.tail, list[np.ndarray]()
+    def _draw_renewal(self, start: float, span: float) -> np.ndarray:
+        tail, chunks = self._load.tail, list[np.ndarray]()
         gaps = stats.lomax(tail, scale=(tail - 1) / self._rate)
-        self._next_arrival = max(self._next_arrival, at)
-        while self._next_arrival < at + span:
-            gap_count = max(MIN_DRAWN_GAPS, int(self._rate * span))
+        self._next_arrival = max(self._next_arrival, start)
+        while self._next_arrival < start + span:
+            gap_count = max(MIN_GAPS_PER_DRAW, int(self._rate * span))
             times = self._next_arrival + np.cumsum(gaps.rvs(gap_count, random_state=self._random))
-            drawn.append(times[times < at + span])
-            arrived = len(drawn[-1])
-            self._next_arrival = float(times[arrived]) if arrived < len(times) else float(times[-1])
-        return np.concatenate(drawn) if drawn else np.empty(0)
+            chunks.append(times[times < start + span])
+            used_count = len(chunks[-1])
+            self._next_arrival = float(times[used_count]) if used_count < len(times) else float(times[-1])
+        return np.concatenate(chunks) if chunks else np.empty(0)
 
-    def _modulated(self, at: float, span: float) -> np.ndarray:
-        load, drawn, now = self._load, list[np.ndarray](), at
+    def _draw_modulated(self, start: float, span: float) -> np.ndarray:
+        load, chunks, now = self._load, list[np.ndarray](), start
         quiet_rate = self._rate * (load.burst + load.quiet) / (load.burst * load.factor + load.quiet)
-        while now < at + span:
-            if now >= self._state_ends:
-                self._in_burst = not self._in_burst if self._state_ends else False
-                self._state_ends = now + float(self._random.exponential(load.burst if self._in_burst else load.quiet))
-            end = min(self._state_ends, at + span)
-            drawn.append(self._poisson(quiet_rate * (load.factor if self._in_burst else 1.0), now, end - now))
+        while now < start + span:
+            if now >= self._state_end:
+                self._in_burst = not self._in_burst if self._state_end else False
+                self._state_end = now + float(self._random.exponential(load.burst if self._in_burst else load.quiet))
+            end = min(self._state_end, start + span)
+            chunks.append(self._draw_poisson(quiet_rate * (load.factor if self._in_burst else 1.0), now, end - now))
             now = end
-        return np.concatenate(drawn) if drawn else np.empty(0)
+        return np.concatenate(chunks) if chunks else np.empty(0)
 
-    def _recorded(self, trace: Trace, at: float, span: float) -> Iterator[Arrival]:
-        """The arrivals of a recording that repeats; with several processes each has every m-th of them."""
+    def _repeat_trace(self, trace: Trace, start: float, span: float) -> Iterator[Arrival]:
+        """Yield the arrivals of the repeating trace; each of m processes takes every m-th of them."""
         part, part_count = self._part
-        repetition = int(at // trace.length_s)
-        while repetition * trace.length_s < at + span:
-            begin = repetition * trace.length_s
-            first = int(np.searchsorted(trace.times, at - begin))
-            last = int(np.searchsorted(trace.times, at + span - begin))
+        repetition = int(start // trace.length_s)
+        while repetition * trace.length_s < start + span:
+            repetition_start = repetition * trace.length_s
+            first = int(np.searchsorted(trace.times, start - repetition_start))
+            last = int(np.searchsorted(trace.times, start + span - repetition_start))
             for index in range(first, last):
                 if index % part_count == part:
-                    yield Arrival(begin + float(trace.times[index]), trace.actions[index])
+                    yield Arrival(repetition_start + float(trace.times[index]), trace.actions[index])
             repetition += 1
--- a/kelptrail/load/choices.py
+++ b/kelptrail/load/choices.py
@@ -1,4 +1,4 @@
-"""What clients choose at random: the action of a call, by popularity, and its namespace, by the quotas."""
+"""Random choice of a call's action, weighted by popularity, and of its namespace, weighted by quota."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 class ActionChoice:
-    """Draws actions by their popularity in a load."""
+    """Draws actions, weighted by their popularity in a load."""
 
     def __init__(self, actions: list[ActionSettings], load: Load) -> None:
         self._actions = actions
         self._cumulative_popularity = np.cumsum(popularity([action.path for action in actions], load))
 
     def draw(self, random: np.random.Generator, count: int) -> list[ActionSettings]:
-        """So many actions."""
-        numbers = np.searchsorted(self._cumulative_popularity, random.random(count))
-        return [self._actions[int(number)] for number in numbers]
+        """Draw `count` actions."""
+        indices = np.searchsorted(self._cumulative_popularity, random.random(count))
+        return [self._actions[int(index)] for index in indices]
 
     def draw_one(self, random: np.random.Generator) -> ActionSettings:
-        """One action."""
+        """Draw one action."""
         return self._actions[int(np.searchsorted(self._cumulative_popularity, random.random()))]
 
 
 class NamespaceChoice:
-    """Draws namespaces by their quotas, for loads that name none."""
+    """Chooses the namespace of a call: the load's own, or one drawn with the quotas as weights."""
 
     def __init__(self, namespaces: Mapping[str, NamespaceSettings]) -> None:
         self._by_name, self._namespaces = namespaces, list(namespaces.values())
@@ -38,7 +38,7 @@
         self._cumulative_shares = np.cumsum(quotas / quotas.sum())
 
     def draw(self, random: np.random.Generator, load: Load) -> NamespaceSettings:
-        """The namespace that the load names, else one at random."""
+        """Return the namespace that the load names, or draw one if it names none."""
         named = self._by_name.get(load.namespace)
         if named is not None:
             return named
--- a/kelptrail/load/coordinator.py
+++ b/kelptrail/load/coordinator.py
@@ -1,8 +1,8 @@
-"""The load tool: several processes drive the real program with a script's load; results as those of the simulation.
+"""Coordinator of the load generator: starts several processes that send a script's load, and merges their results.
 
-Considered: threads (one interpreter lock), one process (the tool would be what is measured), a pool of workers that
-get each call from a coordinator (which costs more than the calls).  Chosen: each process draws its own share of the
-arrivals and sends its counters once, at its end.
+The results have the same tables as those of the simulation.  Each process draws its own share of the arrivals and sends
+its counters once, at its end.  Rejected alternatives: threads share one interpreter lock, a single process would be
+the bottleneck that is measured, and handing each call to a pool of processes costs more than the call itself.
 """
 
 from __future__ import annotations
@@ -24,26 +24,26 @@
 from .plan import Script
 from .results import PERCENTILES, Result, Rows, Second, empty_seconds, figures, reason_rows, rows_of, write
 
-STARTUP_MS = 1500.0  # until the processes have started
-STATE_TIMEOUT_S = 0.8  # for a dispatcher's answer, each second
-OUTPUT_BYTES = 1 << 26  # of a process's counters
+STARTUP_MS = 1500.0  # time for the processes to start
+STATE_TIMEOUT_S = 0.8  # below the sampling interval of 1 s
+OUTPUT_BUFFER_BYTES = 1 << 26  # limit for the counters of one process
 
 
 class GeneratorError(Exception):
-    """A process of the tool ended without its counters."""
+    """A load generator process failed or sent no counters."""
 
 
 @dataclass(frozen=True, slots=True)
 class GeneratorOutput:
-    """What a run of all processes gave."""
+    """Output of a run of all processes."""
 
-    counters: list[PackedCounters]  # of each process
-    states: list[list[dict[str, Any]]]  # each second, of each dispatcher; empty for one that did not answer
+    counters: list[PackedCounters]  # one per process
+    states: list[list[dict[str, Any]]]  # per second and dispatcher; empty if it did not answer
 
 
 @dataclass(frozen=True, slots=True)
 class MergedCounters:
-    """The counters of all processes as one result.  Histograms are in microseconds."""
+    """Merged counters of all processes.  Histograms are in microseconds."""
 
     result: Result
     latencies: dict[str, HdrHistogram]  # by request class
@@ -51,35 +51,37 @@
 
 
 async def run_generators(
-    script_file: str, script: Script, settings: GeneratorSettings, controls: list[str]
+    script_file: str, script: Script, settings: GeneratorSettings, control_addresses: list[str]
 ) -> GeneratorOutput:
-    """Run all processes, and ask the dispatchers at `controls` for their state each second.
+    """Run all processes, and query the state of the dispatchers at `control_addresses` each second.
 
-    Raises `GeneratorError`.
+    Raises `GeneratorError` if a process fails.
     """
     start = now_ms() + STARTUP_MS
     command = _generator_command(script_file, settings, start)
     processes = await asyncio.gather(
         *(
             asyncio.create_subprocess_exec(
-                *command, "--number", str(number), stdout=asyncio.subprocess.PIPE, limit=OUTPUT_BYTES
+                *command, "--number", str(number), stdout=asyncio.subprocess.PIPE, limit=OUTPUT_BUFFER_BYTES
             )
             for number in range(settings.process_count)
         )
     )
-    sampling = asyncio.create_task(_sample_states(controls, start, script.seconds))
+    sampling = asyncio.create_task(_sample_states(control_addresses, start, script.seconds))
     outputs = await asyncio.gather(*(process.communicate() for process in processes))
     states = await sampling
     counters = []
     for number, (output, _) in enumerate(outputs):
         if processes[number].returncode or not output:
-            raise GeneratorError(f"process {number} of the load tool ended with {processes[number].returncode}")
+            raise GeneratorError(
+                f"load generator process {number} failed or sent no counters, exit code {processes[number].returncode}"
+            )
         counters.append(msgspec.json.decode(output, type=PackedCounters))
     return GeneratorOutput(counters, states)
 
 
 def _generator_command(script_file: str, settings: GeneratorSettings, start: float) -> list[str]:
-    """The command line of one process, but for its number."""
+    """Return the command line of a process without its `--number` option."""
     command = [
         sys.executable,
         "-m",
@@ -102,17 +104,17 @@
     return command
 
 
-async def _sample_states(controls: list[str], start: float, seconds: float) -> list[list[dict[str, Any]]]:
-    """Each second the state of each dispatcher; empty for one that does not answer."""
+async def _sample_states(control_addresses: list[str], start: float, seconds: float) -> list[list[dict[str, Any]]]:
+    """Return the state of each dispatcher for each second; empty if the dispatcher did not answer."""
     states = []
     for number in range(int(seconds) + 1):
         await asyncio.sleep(max(0.0, (start + number * 1000 - now_ms()) / 1000))
-        states.append(list(await asyncio.gather(*(_state(control) for control in controls))))
+        states.append(list(await asyncio.gather(*(_query_state(address) for address in control_addresses))))
     return states
 
 
-async def _state(control: str) -> dict[str, Any]:
-    client = HttpClient(control)
+async def _query_state(control_address: str) -> dict[str, Any]:
+    client = HttpClient(control_address)
     try:
         async with asyncio.timeout(STATE_TIMEOUT_S):
             state: dict[str, Any] = await client.json("GET", "/state")
@@ -124,7 +126,7 @@
 
 
 def merge_counters(script: Script, output: GeneratorOutput) -> MergedCounters:
-    """The counters of all processes and the states of the dispatchers as one result."""
+    """Merge the counters of all processes and the states of the dispatchers into one result."""
     seconds = empty_seconds(script.seconds)
     reasons: dict[str, int] = {}
     latencies: dict[str, HdrHistogram] = {}
@@ -144,10 +146,10 @@
 
 
 def _add_states(seconds: list[Second], states: list[list[dict[str, Any]]]) -> None:
-    """Enter what the dispatchers did in each second, by the difference to their last state that is known."""
-    last_counts: dict[int, tuple[int, int]] = {}  # attempts and load orders of each dispatcher
-    for second, states_then in zip(seconds, states[1:], strict=False):
-        for number, state in enumerate(states_then):
+    """Add the counts of the dispatchers to each second, as the difference to their last known state."""
+    last_counts: dict[int, tuple[int, int]] = {}  # attempts and load orders by dispatcher
+    for second, second_states in zip(seconds, states[1:], strict=False):
+        for number, state in enumerate(second_states):
             if not state:
                 continue
             attempts, load_orders = state["sends"], state["orders"]
@@ -160,7 +162,7 @@
 
 
 def write_results(out: Path, key_columns: dict[str, Any], script: Script, output: GeneratorOutput) -> dict[str, Any]:
-    """Write the three tables, with `key_columns` in each row; returns the run's row.  Latencies are milliseconds."""
+    """Write the three tables, with `key_columns` in each row, and return the run's row.  Latencies are in ms."""
     merged = merge_counters(script, output)
     all_latencies = latency_histogram()
     for histogram in merged.latencies.values():
--- a/kelptrail/load/generator.py
+++ b/kelptrail/load/generator.py
@@ -1,4 +1,4 @@
-"""One process of the load generator: its share of the clients, on sockets against the real program."""
+"""One process of the load generator: its share of a script's clients, which call the dispatchers over the network."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from .generator_settings import GeneratorSettings
 from .plan import Load, Script
 
-RANDOM_STREAM = 29  # sets the generator's draws apart from others of the same seed
-DRAWN_AHEAD_S = 0.25  # arrivals are drawn for so long at a time
-SHORTEST_SLEEP_MS = 0.3
-ANSWER_CHECK_S = 0.05
+RANDOM_STREAM = 29  # separates these random numbers from others of the same seed
+DRAW_SPAN_S = 0.25  # length of the time span for which arrivals are drawn at once
+MIN_SLEEP_MS = 0.3
+OPEN_CALLS_CHECK_S = 0.05
 GC_THRESHOLD = (50_000, 20, 1_000_000)
 
 
 class LoadGenerator:
-    """Generates its share of a script's load from `start` (ms of the clock)."""
+    """Generates one process's share of a script's load, from `start` (in ms of the monotonic clock)."""
 
     def __init__(self, script: Script, deployment: Deployment, settings: GeneratorSettings, start: float) -> None:
         self._script, self._deployment, self._settings, self._start = script, deployment, settings, start
@@ -39,7 +39,7 @@
         self._ticket_count = 0
 
     async def run(self) -> GeneratorCounters:
-        """Run all loads, and wait until the last client has its answer."""
+        """Run all loads, wait until all calls have ended or timed out, and return the counters."""
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLD)
@@ -47,7 +47,7 @@
         longest_timeout_ms = max(type_.timeout_ms for type_ in self._deployment.types.values())
         end = now_ms() + longest_timeout_ms + POLL_FOR_MS
         while self._clients.open_calls and now_ms() < end:
-            await asyncio.sleep(ANSWER_CHECK_S)
+            await asyncio.sleep(OPEN_CALLS_CHECK_S)
         self.counters.connections = self._clients.connections_made
         self._clients.close()
         return self.counters
@@ -63,33 +63,33 @@
         return ActionChoice(list(self._deployment.actions.values()), load)
 
     async def _run_open_loop(self, load: Load, end: float) -> None:
-        """Start the calls when they are due, whatever became of earlier ones."""
+        """Start each call when it is due, regardless of the state of earlier calls."""
         by_path = {action.path: action for action in self._deployment.actions.values()}
         choice = self._action_choice(load)
         arrivals = Arrivals(load, self._random, (self._settings.index, self._settings.process_count))
-        at = load.at
-        while at < end:
-            span = min(DRAWN_AHEAD_S, end - at)
-            for when, recorded_action in arrivals.draw(at, span):
-                due = self._start + when * 1000
+        span_start = load.at
+        while span_start < end:
+            span = min(DRAW_SPAN_S, end - span_start)
+            for arrival_s, recorded_action in arrivals.draw(span_start, span):
+                due = self._start + arrival_s * 1000
                 wait_ms = due - now_ms()
-                if wait_ms > SHORTEST_SLEEP_MS:
+                if wait_ms > MIN_SLEEP_MS:
                     await asyncio.sleep(wait_ms / 1000)
                 self._start_call(by_path.get(recorded_action) or choice.draw_one(self._random), load, due)
-            at += span
+            span_start += span
 
     async def _run_closed_loop(self, load: Load, end: float) -> None:
-        """Run clients that each call again some time after their last answer."""
+        """Run clients that each start the next call after a think time that follows the last answer."""
         choice = self._action_choice(load)
         client_count = len(range(self._settings.index, load.clients, self._settings.process_count))
         stop = self._start + end * 1000
 
         def think() -> None:
-            """Wait before the next call."""
+            """Schedule the next call after a think time."""
             self._loop.call_later(float(self._random.exponential(load.think)), call)
 
         def call() -> None:
-            """Call, unless the load is over."""
+            """Start a call, unless the load has ended."""
             if now_ms() < stop:
                 self._start_call(choice.draw_one(self._random), load, now_ms(), think)
 
--- a/kelptrail/load/generator_clients.py
+++ b/kelptrail/load/generator_clients.py
@@ -27,16 +27,16 @@
 from .plan import Load
 
 POLL_EVERY_MS, POLL_FOR_MS = 150.0, 3000.0
-POLL_TIMEOUT_MS = 2000.0  # of one poll
-ANSWER_MARGIN_MS = 500.0  # how long a client waits beyond the call's timeout
-IDLE_MS, ANSWER_BYTES = 10_000.0, 1 << 22
+POLL_TIMEOUT_MS = 2000.0  # for a single poll
+ANSWER_MARGIN_MS = 500.0  # time that a client waits beyond the call's timeout
+IDLE_MS, MAX_ANSWER_BYTES = 10_000.0, 1 << 22
 
 OnResponse = Callable[[Call, CallOutcome, Response | None], None]
 
 
 @dataclass(slots=True, eq=False)
 class GeneratedCall:
-    """One call of a client, over all its attempts."""
+    """One call of a client with all its attempts."""
 
     ticket: str
     action: ActionSettings
@@ -46,15 +46,15 @@
     deferred: bool
     behavior: ClientBehavior
     attempts_left: int
-    due: float  # of this attempt
-    first_due: float
+    due: float  # scheduled time of this attempt, in ms
+    first_due: float  # scheduled time of the first attempt, in ms
     dispatcher: int = 0
     activation: str = ""
-    on_finished: Callable[[], None] | None = None  # in a closed loop: the client's next step
+    on_finished: Callable[[], None] | None = None  # schedules the next call in a closed loop
 
 
 class GeneratorClients:
-    """Sends the attempts of calls, counts how they end, and retries as the clients' behaviour says."""
+    """Sends the attempts of calls, counts their outcomes, and retries according to the clients' behaviour."""
 
     def __init__(
         self,
@@ -67,18 +67,18 @@
         self._settings, self._counters, self._random = settings, counters, random
         self._authorization = {n.name: authorization_of(n) for n in deployment.namespaces.values()}
         self._pools = [
-            WorkerPool(address, settings.connections, settings.connect_timeout_ms, IDLE_MS, ANSWER_BYTES)
+            WorkerPool(address, settings.connections, settings.connect_timeout_ms, IDLE_MS, MAX_ANSWER_BYTES)
             for address in settings.addresses
         ]
-        self.open_calls = 0  # that wait for an answer, for their next poll or for their next attempt
+        self.open_calls = 0  # calls that wait for an answer, their next poll or their next attempt
 
     @property
     def connections_made(self) -> int:
-        """The number of connections that were opened."""
+        """Number of connections that were opened."""
         return sum(pool.connections_made for pool in self._pools)
 
     def attempt(self, call: GeneratedCall) -> None:
-        """Send an attempt of a call to its dispatcher."""
+        """Send an attempt of a call to the dispatcher chosen for it."""
         call.attempts_left -= 1
         self._counters.count_attempt(call.due, call.first_due)
         headers = {"authorization": self._authorization[call.namespace.name]}
@@ -96,7 +96,7 @@
         request.tag = (call, self._loop.call_later(timeout_ms / 1000, request.cancel, "patience"))
 
     def _end_request(self, request: Call) -> GeneratedCall:
-        """The call of a request that has ended."""
+        """Stop the timer of a request that has ended, and return its call."""
         call: GeneratedCall
         call, timer = request.tag
         timer.cancel()
@@ -149,7 +149,7 @@
         elif answer.answer in RETRIED_ANSWERS:
             outcome = ClientOutcome(answer.answer)
             self._end_attempt(call, outcome, answer.answer, answer.retry_after_ms, answer.repeat_within_ms)
-        else:  # an error of the client's own, such as 401, which no retry corrects
+        else:  # a client error such as 401, which a retry would not correct
             self._end_attempt(call, ClientOutcome.COMPLETED, answer.answer)
 
     def _end_attempt(
@@ -160,7 +160,10 @@
         retry_after_ms: float = 0.0,
         repeat_within_ms: float | None = None,
     ) -> None:
-        """Count how an attempt ended, and schedule a retry if the client makes one; `cause`: empty if completed."""
+        """Count the outcome of an attempt, and schedule a retry if the client makes one.
+
+        `cause` is empty if the attempt completed.
+        """
         self._counters.count_outcome(outcome, cause)
         delay_ms = retry_delay_ms(
             call.behavior,
--- a/kelptrail/load/generator_counters.py
+++ b/kelptrail/load/generator_counters.py
@@ -1,8 +1,8 @@
-"""Counters of one process of the load generator: calls by second, latencies, reasons of failed attempts.
+"""Counters of one process of the load generator: calls per second, latencies, and causes of failed attempts.
 
-Latencies count from the moment at which a call was due, not from when it could be sent (coordinated omission: a stall
-of the program, or of the generator, must not hide the calls that came due in it).  Those of a closed loop are corrected
-by its think time, as HdrHistogram does.
+To avoid coordinated omission, latency is measured from the time at which a call was due, not from the time at which it
+was sent: a stall of the program or of the generator must not hide the calls that became due during it.  Latencies of a
+closed loop are corrected with the think time as the expected interval (HdrHistogram's correction).
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 MAX_LATENCY_US, SIGNIFICANT_DIGITS = 3_600_000_000, 3
 
-# The counter of a second that an attempt's outcome adds to; completed calls are counted with their latency.
+# Field of `Second` that counts each outcome.  `count_completed` counts completed calls together with their latency.
 COUNTER_OF_OUTCOME = {
     ClientOutcome.REJECTED: "rejected",
     ClientOutcome.ABORTED: "aborted",
@@ -32,12 +32,12 @@
 
 
 def latency_histogram() -> HdrHistogram:
-    """Microseconds up to an hour, to three digits."""
+    """Return an empty histogram for up to one hour, in microseconds, with three significant digits."""
     return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 class PackedCounters(msgspec.Struct):
-    """Counters as one process sends them to the coordinator, in JSON; histograms in HdrHistogram's own encoding."""
+    """Counters as a process sends them to the coordinator, in JSON; histograms are in HdrHistogram's encoding."""
 
     seconds: list[Second]
     give_ups: dict[str, int]
@@ -48,9 +48,9 @@
 
 @dataclass(slots=True)
 class GeneratorCounters:
-    """What one process counted.  `send_lag`: how far behind its plan it sent, in microseconds."""
+    """Counters of one process.  `send_lag` is the delay of attempts after the time they were due, in microseconds."""
 
-    start: float  # of the script, in ms of the clock
+    start: float  # start of the script, in ms of the monotonic clock
     seconds: list[Second]
     latencies: dict[str, HdrHistogram]  # by request class
     send_lag: HdrHistogram = field(default_factory=latency_histogram)
@@ -58,7 +58,7 @@
     connections: int = 0
 
     def count_attempt(self, due: float, first_due: float) -> None:
-        """Count an attempt that is sent now; `first_due`: when the call's first attempt was due."""
+        """Count an attempt that is sent now; `first_due` is the time at which the call's first attempt was due."""
         now = now_ms()
         second = self._current_second()
         second.calls += 1
@@ -77,7 +77,7 @@
             histogram.record_value(_microseconds(latency_ms))
 
     def count_outcome(self, outcome: ClientOutcome, cause: str) -> None:
-        """Count how an attempt ended, and the cause where it did not complete."""
+        """Count the outcome of an attempt, and the cause unless it is empty."""
         if cause:
             self.give_ups[cause] = self.give_ups.get(cause, 0) + 1
         counter = COUNTER_OF_OUTCOME.get(outcome)
@@ -86,11 +86,11 @@
             setattr(second, counter, getattr(second, counter) + 1)
 
     def _current_second(self) -> Second:
-        number = int((now_ms() - self.start) / 1000)
-        return self.seconds[max(0, min(len(self.seconds) - 1, number))]
+        index = int((now_ms() - self.start) / 1000)
+        return self.seconds[max(0, min(len(self.seconds) - 1, index))]
 
     def pack(self) -> PackedCounters:
-        """The counters as they are sent to the coordinator."""
+        """Return the counters in the form that is sent to the coordinator."""
         return PackedCounters(
             self.seconds,
             self.give_ups,
@@ -100,11 +100,13 @@
         )
 
 
-def new_counters(start: float, script_seconds: float, types: Iterable[str]) -> GeneratorCounters:
-    """Counters that are all 0, for these request classes."""
-    return GeneratorCounters(start, empty_seconds(script_seconds), {name: latency_histogram() for name in types})
+def new_counters(start: float, script_seconds: float, request_classes: Iterable[str]) -> GeneratorCounters:
+    """Return counters of 0 for these request classes."""
+    return GeneratorCounters(
+        start, empty_seconds(script_seconds), {name: latency_histogram() for name in request_classes}
+    )
 
 
 def _microseconds(ms: float) -> int:
-    """A time that a histogram can record."""
+    """Convert ms to whole microseconds, at least 1, the smallest value of a histogram."""
     return max(1, int(ms * 1000))
--- a/kelptrail/load/generator_settings.py
+++ b/kelptrail/load/generator_settings.py
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GeneratorSettings:
-    """What the processes are started with; only `index` differs from one to the next."""
+    """Settings of one process; only `index` differs between the processes of a run."""
 
-    addresses: tuple[str, ...]  # of dispatchers
+    addresses: tuple[str, ...]  # addresses of the dispatchers
     index: int
     process_count: int
     seed: int
-    close_share: float = 0.0  # of attempts that ask for their connection to be closed
-    connections: int = 2000  # at most, to one address
+    close_share: float = 0.0  # share of attempts that send `connection: close`
+    connections: int = 2000  # maximum per address
     connect_timeout_ms: float = 2000.0
--- a/kelptrail/load/load_settings.py
+++ b/kelptrail/load/load_settings.py
@@ -1,4 +1,4 @@
-"""The settings of one load, as `plan` reads them and `arrivals` uses them.  Times are seconds."""
+"""Settings of one load.  Times are in seconds."""
 
 from __future__ import annotations
 
@@ -7,25 +7,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Calls at a rate, from a time on, for a time.  Shapes of arrivals are those of `kelptrail/load/arrivals.py`.
+    """Rate, start, duration and client behaviour of one load.
 
-    `key` in a field's metadata: its name in `(set load.KEY VALUE)` of an experiment, where that differs.
+    `kelptrail/load/arrivals.py` describes the shapes of arrivals and their settings.  `key` in a field's metadata is
+    its name in `(set load.KEY VALUE)` of an experiment, where that differs from the field's name.
     """
 
-    rate: float  # calls a second
+    rate: float  # mean number of calls per second
     at: float
     duration: float = field(metadata={"key": "last"})
-    deferred: float  # share of calls that do not block
-    zipf: float  # exponent of the popularity of actions
+    deferred: float  # share of calls that are deferred (non-blocking)
+    zipf: float  # exponent of the Zipf distribution of actions
     retries: int
     retry_after_share: float = field(metadata={"key": "heed"})  # share of clients that honour a retry-after time
     half_retry_after_share: float = field(
         metadata={"key": "half_heed"}
-    )  # that wait half of it; the rest retries at once
+    )  # share of clients that wait half of it; the others retry at once
     one_off: bool
-    action: str  # empty: all actions by popularity
-    grpc: float
-    streams: float
+    action: str  # empty: all actions, weighted by popularity
+    grpc: float  # share of calls that are sent over gRPC
+    streams: float  # share of gRPC calls that are streamed
     shape: str
     period: float
     swing: float
@@ -36,4 +37,4 @@
     file: str
     clients: int
     think: float
-    namespace: str  # empty: all namespaces by their quotas
+    namespace: str  # empty: all namespaces, weighted by quota
--- a/kelptrail/load/plan.py
+++ b/kelptrail/load/plan.py
@@ -1,4 +1,4 @@
-"""A load as an S-expression: how many calls, when, and how their clients behave.  Times are seconds."""
+"""Reader of loads written as S-expressions.  Times are in seconds."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class Script(Protocol):
-    """A scenario, as far as its load is concerned.  Times in seconds."""
+    """The part of a scenario that load generation needs.  Times are in seconds."""
 
     @property
     def seconds(self) -> float:
-        """How long it lasts."""
+        """Duration of the scenario."""
 
     @property
     def last_fault_ends(self) -> float:
-        """When its last fault is over."""
+        """End of the scenario's last fault."""
 
     @property
     def load(self) -> list[Load]:
-        """The loads that run at the same time."""
+        """Loads that run concurrently."""
 
 
 RENAMED_KEYS = {"for": "duration", "heed": "retry_after_share", "half_heed": "half_retry_after_share"}
@@ -67,23 +67,23 @@
 
 
 def check_load(checker: Checker, position: SourcePosition, load: Load, folder: Path) -> None:
-    """Check what concerns several fields; the path of a recording is relative to the script's `folder`."""
+    """Check the constraints between fields, and resolve the path of a trace file relative to the script's `folder`."""
     if load.retry_after_share + load.half_retry_after_share > 1 + 1e-9:
         checker.fault(
             position,
             f"{load.retry_after_share:g} and {load.half_retry_after_share:g}",
-            "shares heed and half-heed of 1 at most",
+            "shares heed and half-heed that add up to 1 at most",
         )
     if load.shape == "trace":
         try:
             read_trace(folder / load.file)
         except (ValueError, OSError) as cause:
-            checker.fault(position, load.file or "no file", f"a recording: {cause}")
+            checker.fault(position, load.file or "no file", f"a readable trace file: {cause}")
         object.__setattr__(load, "file", str(folder / load.file))
 
 
 def steady_load(rate: float, seconds: float, zipf: float) -> Load:
-    """A load at a constant rate, everything else by default."""
-    rest = {key.replace("-", "_"): field.default for key, field in LOAD.fields.items() if isinstance(field, Value)}
-    made: Load = LOAD.build(**(rest | {"rate": rate, "at": 0.0, "for": seconds, "zipf": zipf}))
-    return made
+    """Return a load at a constant rate, with defaults for all other settings."""
+    defaults = {key.replace("-", "_"): field.default for key, field in LOAD.fields.items() if isinstance(field, Value)}
+    load: Load = LOAD.build(**(defaults | {"rate": rate, "at": 0.0, "for": seconds, "zipf": zipf}))
+    return load
--- a/kelptrail/load/results.py
+++ b/kelptrail/load/results.py
@@ -1,4 +1,4 @@
-"""Results of a run, of the simulation and of the load tool alike: counts by second, figures, latencies; as tables."""
+"""Results of a run of the simulation or the load generator, and the tables that they are written to."""
 
 from __future__ import annotations
 
@@ -12,8 +12,9 @@
 import pyarrow.parquet
 
 Rows = list[dict[str, Any]]
-RECOVERED_SHARE, RECOVERED_SECONDS = 0.95, 3  # of new calls completed in time, for so many seconds in a row
-SECONDS_AFTER_END = 60  # for calls that end after the run
+# A run has recovered once this share of new calls is completed in time, for this number of consecutive seconds.
+RECOVERED_SHARE, RECOVERED_SECONDS = 0.95, 3
+SECONDS_AFTER_END = 60  # extra seconds that count calls which end after the run
 PERCENTILES = (1.0, 5.0, 10.0, 25.0, 50.0, 75.0, 90.0, 95.0, 99.0, 99.9, 100.0)
 
 
@@ -28,52 +29,55 @@
 
 
 class Second(msgspec.Struct, rename=COLUMN_NAMES):
-    """Counts of one second."""
+    """Counters of one second of a run."""
 
-    calls: int = 0  # attempts of clients
+    calls: int = 0  # attempts that clients send
     completed: int = 0
     in_time: int = 0
     rejected: int = 0
     aborted: int = 0
     lost: int = 0
     not_taken: int = 0
-    attempts: int = 0  # at workers
+    attempts: int = 0  # attempts that dispatchers send to workers
     load_orders: int = 0
     loads: int = 0
-    retries: int = 0  # calls that are a client's retries
-    calls_in_flight: int = 0  # at its end
-    idle_mb: float = 0.0  # memory of instances on which nothing runs, at its end
-    overloaded_dispatchers: int = 0  # whose overload control is active at its end
+    retries: int = 0  # calls that are retries of clients
+    calls_in_flight: int = 0  # number at the end of the second
+    idle_mb: float = 0.0  # memory of idle instances at the end of the second
+    overloaded_dispatchers: int = 0  # dispatchers with active overload control at the end of the second
 
     def add(self, other: Second) -> None:
-        """Add another's counts."""
+        """Add the counts of `other`."""
         for counter in self.__struct_fields__:
             setattr(self, counter, getattr(self, counter) + getattr(other, counter))
 
     def columns(self) -> dict[str, int | float]:
-        """The counts by column of the table `seconds`."""
+        """Return the counts by column of the table `seconds`."""
         return {COLUMN_NAMES.get(counter, counter): getattr(self, counter) for counter in self.__struct_fields__}
 
 
 def empty_seconds(length: float) -> list[Second]:
-    """The seconds of a run of this length, and those in which its last calls may end."""
+    """Return counters for each second of a run of this length, and for the time in which its last calls may end."""
     return [Second() for _ in range(int(length) + SECONDS_AFTER_END)]
 
 
 @dataclass(slots=True)
 class Result:
-    """What one run gave.  Latencies in ms by request class, of completed calls."""
+    """Result of one run.  `latency` holds the latencies of completed calls in ms, by request class."""
 
     seconds: list[Second]
     latency: dict[str, list[float]]
-    give_ups: dict[str, int]  # attempts without a completed call, by reason
+    give_ups: dict[str, int]  # number of attempts that did not complete, by reason
     events: int
     loads: int
     extra: dict[str, float] = field(default_factory=dict)
 
 
 def figures(length: float, last_fault_ends: float, result: Result) -> dict[str, float]:
-    """The figures of one run, by column of the table `runs`.  Times in ms, `recovery_s` in seconds: see `recovery`."""
+    """Return the row of one run in the table `runs`, without key columns.
+
+    Times are in ms, except `recovery_s` in seconds; `recovery` defines it.
+    """
     seconds = result.seconds[: int(length)]
     calls = sum(s.calls for s in seconds) or 1
     new_calls = calls - sum(s.retries for s in seconds) or 1
@@ -104,26 +108,28 @@
 
 
 def recovery(length: float, last_fault_ends: float, result: Result) -> float:
-    """Seconds from the end of the last fault, or from the start where there is none, until in three seconds in a row
-    95% of the new calls are completed in time; the rest of the run where that never happens.
+    """Return the time to recover in seconds, from the end of the last fault, or from the start if there is none.
+
+    The run has recovered when 95% of the new calls are completed in time in three consecutive seconds.  If that never
+    happens, the result is the remaining time of the run.
     """
-    recovered_seconds = 0
+    consecutive_seconds = 0
     for number in range(int(last_fault_ends), min(int(length), len(result.seconds))):
         second = result.seconds[number]
         new_calls = second.calls - second.retries
-        recovered_seconds = recovered_seconds + 1 if second.in_time >= RECOVERED_SHARE * new_calls else 0
-        if recovered_seconds == RECOVERED_SECONDS:
+        consecutive_seconds = consecutive_seconds + 1 if second.in_time >= RECOVERED_SHARE * new_calls else 0
+        if consecutive_seconds == RECOVERED_SECONDS:
             return max(0.0, number - RECOVERED_SECONDS + 1 - last_fault_ends)
     return max(0.0, length - last_fault_ends)
 
 
 def rows_of(key_columns: dict[str, Any], length: float, result: Result) -> Rows:
-    """A row for each second."""
+    """Return a row for each second."""
     return [key_columns | {"second": n} | s.columns() for n, s in enumerate(result.seconds[: int(length)])]
 
 
 def spread_of(key_columns: dict[str, Any], result: Result) -> Rows:
-    """A row for each percentile of each request class, and for each reason of failed attempts."""
+    """Return a row for each latency percentile of each request class, and for each reason of failed attempts."""
     rows: Rows = []
     for name, latencies in result.latency.items():
         if latencies:
@@ -137,7 +143,7 @@
 
 
 def reason_rows(key_columns: dict[str, Any], result: Result) -> Rows:
-    """A row for each reason of failed attempts, with its count."""
+    """Return a row for each reason of failed attempts, with its count."""
     return [
         key_columns | {"what": "give_ups", "name": reason, "part": 0.0, "value": float(count)}
         for reason, count in result.give_ups.items()
@@ -152,15 +158,15 @@
 
 
 def read(folder: Path, name: str) -> Rows:
-    """Read one of the tables.  Raises `OSError` where it is not there."""
+    """Read one of the tables.  Raises `OSError` if its file is missing."""
     return list(pyarrow.parquet.read_table(folder / f"{name}.parquet").to_pylist())
 
 
 def read_runs(folder: Path) -> Rows:
-    """Read the rows of the runs.  Raises `OSError` where they are not there."""
+    """Read the table `runs`.  Raises `OSError` if its file is missing."""
     return read(folder, "runs")
 
 
 def read_seconds(folder: Path) -> Rows:
-    """Read the rows of the seconds.  Raises `OSError` where they are not there."""
+    """Read the table `seconds`.  Raises `OSError` if its file is missing."""
     return read(folder, "seconds")
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Load models, behaviour of clients, and the load generator against a dispatcher in this process."""
+"""Arrival processes, retry behaviour of clients, and the load generator with a dispatcher in the test process."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("span", [0.25, 1.0, 7.0])
-def test_shapes_keep_their_rate_and_have_their_shape(span: float) -> None:
+def test_arrival_shapes_have_the_expected_rate_and_variation(span: float) -> None:
     def counts(times: np.ndarray) -> np.ndarray:
         return np.histogram(times, np.arange(0, 2101))[0]
 
@@ -68,41 +68,41 @@
     assert bursts.mean() == pytest.approx(200, rel=0.15) and bursts.var() / bursts.mean() > 10
     gaps = np.diff(draw_times(make_load("heavy", tail=2.5), 2100, span=span))
     assert 1 / gaps.mean() == pytest.approx(200, rel=0.05)
-    assert gaps.std() / gaps.mean() > 1.5, "an exponential has 1"
+    assert gaps.std() / gaps.mean() > 1.5, "an exponential distribution has 1"
 
 
-def test_parts_of_a_load_add_up_to_all_of_it(tmp_path: Path) -> None:
+def test_the_parts_of_a_load_add_up_to_the_complete_load(tmp_path: Path) -> None:
     counts = [len(draw_times(make_load("poisson"), 300, seed=n, part=(n, 4))) for n in range(4)]
     assert sum(counts) / 300 == pytest.approx(200, rel=0.03) and max(counts) < 1.1 * min(counts)
     file = tmp_path / "day.csv"
-    file.write_text("# a recording\n0.5,p/a\n1.0\n2.5,p/b\n")
+    file.write_text("# a trace\n0.5,p/a\n1.0\n2.5,p/b\n")
     load = make_load("trace", file=str(file))
     trace = read_trace(file)
     assert trace.actions == ["p/a", "", "p/b"] and trace.length_s > 2.5
     times = draw_times(load, 30, span=0.25)
-    assert len(times) == 27 and np.allclose(times[3:6] - times[:3], trace.length_s), "the recording repeats"
+    assert len(times) == 27 and np.allclose(times[3:6] - times[:3], trace.length_s), "the trace repeats"
     parts = np.sort(np.concatenate([draw_times(load, 30, part=(n, 2)) for n in range(2)]))
     assert np.allclose(parts, times)
 
 
 @pytest.mark.parametrize(
-    ("text", "message"), [("x", "no time"), ("2\n1", "before"), ("", "no arrivals"), ("nan", "before")]
+    ("text", "message"), [("x", "is not a time in seconds"), ("2\n1", "before"), ("", "no arrivals"), ("nan", "before")]
 )
-def test_malformed_recordings_are_reported(text: str, message: str, tmp_path: Path) -> None:
+def test_malformed_traces_are_reported(text: str, message: str, tmp_path: Path) -> None:
     file = tmp_path / "day.csv"
     file.write_text(text)
     with pytest.raises(TraceError, match=message):
         read_trace(file)
 
 
-def test_clients_retry_only_what_is_harmless_and_wait_for_their_share_of_retry_after() -> None:
+def test_clients_retry_only_when_it_is_safe_and_wait_for_their_share_of_retry_after() -> None:
     full, half, none = (behavior_of(draw, 0.5, 0.3) for draw in (0.49, 0.79, 0.81))
     assert (full.retry_after_share, half.retry_after_share, none.retry_after_share) == (1.0, 0.5, 0.0)
     rejected, not_taken = ClientOutcome.REJECTED, ClientOutcome.NOT_TAKEN
     delays = [retry_delay_ms(behavior, rejected, "once-only", 900, 400) for behavior in (full, half, none)]
     assert delays == [400, 200, 0]
     assert retry_delay_ms(full, rejected, "deduplicated", 900, 400, 1000) is None, (
-        "the idempotency key would be forgotten"
+        "the deduplication window would have ended"
     )
     assert retry_delay_ms(full, rejected, "deduplicated", 900, 400, 1400) == 400
     for effect, outcome, delay_ms in (
@@ -118,7 +118,7 @@
     assert retry_delay_ms(full, not_taken, "repeatable", 900, 700, elapsed_ms=3000) is None
 
 
-def test_a_load_with_a_namespace_draws_none_and_others_draw_by_the_quotas() -> None:
+def test_a_named_namespace_needs_no_random_draw_and_others_are_drawn_by_quota() -> None:
     namespaces = load_deployment(str(ROOT / "examples" / "nursery.sexp")).namespaces
     choice, random = NamespaceChoice(namespaces), np.random.default_rng(1)
     before = random.bit_generator.state
@@ -129,7 +129,7 @@
     assert names.count("desks") / 3000 == pytest.approx(quota_share, abs=0.03)
 
 
-def test_calls_that_no_dispatcher_accepts_have_more_attempts() -> None:
+def test_calls_that_no_dispatcher_accepts_get_extra_attempts() -> None:
     assert has_attempts_left(ClientOutcome.REJECTED, 1) and not has_attempts_left(ClientOutcome.REJECTED, 0)
     assert has_attempts_left(ClientOutcome.NOT_TAKEN, -19) and not has_attempts_left(ClientOutcome.NOT_TAKEN, -20)
 
@@ -139,7 +139,7 @@
     [
         ("(shape sawtooth)", "one of poisson"),
         ("(heed 0.8) (half-heed 0.3)", "1 at most"),
-        ("(shape trace)", "a recording"),
+        ("(shape trace)", "a readable trace file"),
         ("(shape heavy) (tail 1)", "from 1.05"),
         ("(clients 0)", "from 1"),
     ],
@@ -151,7 +151,7 @@
         load_scenario(file)
 
 
-def test_a_closed_loop_in_the_simulation_waits_for_its_answers() -> None:
+def test_clients_of_a_closed_loop_wait_for_their_answers_in_the_simulation() -> None:
     scenario = load_scenario(ROOT / "examples" / "bad-days" / "steady.sexp")
     closed = make_load("closed", clients=30, think=0.2, deferred=0.0)
     scenario = replace(scenario, load=[closed], faults=[])
@@ -163,9 +163,9 @@
     assert max(second.calls_in_flight for second in cluster.seconds) <= 30
 
 
-def test_the_generator_counts_a_stall_against_every_call_that_came_due_in_it(tmp_path: Path) -> None:
-    """Coordinated omission: one connection, a worker that stalls once; a generator that measured from the time of
-    sending would show a single slow call."""
+def test_latency_includes_a_stall_for_every_call_that_became_due_during_it(tmp_path: Path) -> None:
+    """Guards against coordinated omission: with one connection and a worker that stalls once, latencies that are
+    measured from the time of sending would show a single slow call."""
 
     async def main() -> None:
         stalls_s = [0.5]
@@ -187,8 +187,8 @@
             for _ in range(item.count_at_value_iterated_to)
             if item.value_iterated_to > 100_000
         )
-        assert slow >= 10, "some 30 came due in the stall"
-        assert counters.connections > 5, "calls that close their connection"
+        assert slow >= 10, "some 30 calls became due during the stall"
+        assert counters.connections > 5, "some calls close their connection"
         check_tables(scenario, counters, tmp_path)
         await dispatcher.server.drain(500)
         await dispatcher.driver.drain(500)
@@ -197,7 +197,7 @@
 
 
 def check_tables(scenario: FaultScenario, counters: GeneratorCounters, folder: Path) -> None:
-    """Merge the counters as if two processes had sent them, beside the states of a dispatcher; write the tables."""
+    """Merge the counters as if two processes had sent them, with the states of a dispatcher, and check the tables."""
     packed = [msgspec.json.decode(msgspec.json.encode(counters.pack()), type=PackedCounters) for _ in range(2)]
     state = {"sends": 5, "orders": 1, "in_hand": 2, "storm": {"stage": "storm"}}
     output = GeneratorOutput(packed, [[state], [state], [state | {"sends": 9}], [{}]])
