--- a/kelptrail/emulator/__init__.py
+++ b/kelptrail/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what a gateway meets: runners, model store, worker list, clients; each with fault knobs."""
+"""Emulators of the processes around a gateway, with fault injection: workers, model store, endpoint list, clients."""
--- a/kelptrail/emulator/capture.py
+++ b/kelptrail/emulator/capture.py
@@ -1,6 +1,6 @@
-"""A capture of what passed over the sockets, as JSON lines written at once, so that a kill loses nothing.
+"""Capture of the traffic between processes, as JSON lines; each is written at once, so that a kill loses none.
 
-Times are milliseconds of the machine's monotonic clock, the same for all processes.
+Times are in milliseconds of the machine's monotonic clock, which all processes share.
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 
 from kelptrail.clock import now_ms
 
-LAG_TICK_S = 0.005
-STALL_MS = 20  # a tick that is so late counts as a stall of the loop
-STALL_EFFECT_MS = 500  # data that is read so long after a stall may have arrived in it
+TICK_S = 0.005
+STALL_MS = 20  # minimum delay of a tick that counts as a stall of the event loop
+STALL_EFFECT_MS = 500  # time after a stall within which data that is read may have arrived during it
 
 
 class ReadLag:
-    """How much earlier the data that is read now may have arrived: the delay of the process's own loop."""
+    """Measures how long data may have waited before the event loop of this process read it."""
 
     def __init__(self) -> None:
-        self._tick = now_ms()
-        self._stall = self._stalled = 0.0
+        self._last_tick = now_ms()
+        self._stall_ms = self._stall_ended = 0.0
         self._task = asyncio.get_running_loop().create_task(self._measure())
 
     async def _measure(self) -> None:
         while True:
-            await asyncio.sleep(LAG_TICK_S)
+            await asyncio.sleep(TICK_S)
             now = now_ms()
-            if now - self._tick > STALL_MS:  # data read next may have arrived at any time of the stall
-                self._stall, self._stalled = now - self._tick, now
-            self._tick = now
+            if now - self._last_tick > STALL_MS:  # data that is read next may have arrived at any time during the stall
+                self._stall_ms, self._stall_ended = now - self._last_tick, now
+            self._last_tick = now
 
     def now(self) -> float:
-        """The present lag in milliseconds."""
+        """Return the current lag in milliseconds."""
         now = now_ms()
-        return now - self._tick + (self._stall if now - self._stalled < STALL_EFFECT_MS else 0.0)
+        return now - self._last_tick + (self._stall_ms if now - self._stall_ended < STALL_EFFECT_MS else 0.0)
 
     def stop(self) -> None:
         """Stop measuring."""
@@ -46,14 +46,14 @@
 
 
 class Capture:
-    """The capture of one process; without a file it writes nothing."""
+    """Capture file of one process; without a file, nothing is written."""
 
     def __init__(self, file: Path | None, process_name: str) -> None:
         self._process_name = process_name
         self._fd = -1 if file is None else os.open(file, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
 
-    def write(self, what: str, **fields: Any) -> None:
-        """Write one line, stamped now."""
+    def write(self, record_type: str, **fields: Any) -> None:
+        """Write one record with the current time."""
         if self._fd >= 0:
-            line = msgspec.json.encode({"t": now_ms(), "who": self._process_name, "what": what} | fields)
+            line = msgspec.json.encode({"t": now_ms(), "who": self._process_name, "what": record_type} | fields)
             os.write(self._fd, line + b"\n")
--- a/kelptrail/emulator/channel_proxy.py
+++ b/kelptrail/emulator/channel_proxy.py
@@ -1,9 +1,9 @@
-"""A TCP proxy for the channel between dispatchers: cuts, slows and resets connections between real processes.
+"""TCP proxy for the channels between dispatchers and to planners, which cuts, delays and resets their connections.
 
-It listens once for each ordered pair of names, so it knows source and target of a connection without reading a byte;
-whoever starts the processes posts the addresses of their channels.  Over a link that is cut bytes are delayed, not
-lost: connections stay open and silent, new ones are not established, and what was sent arrives once the link is back,
-as on a real network.
+It has one listening socket for each ordered pair of names, so that the socket identifies source and target of a
+connection.  The process that starts the dispatchers posts the addresses of their channels to the control port.  While a
+link is cut, its bytes are delayed and not lost, as on a real network: open connections stay open without traffic, new
+ones are not established, and data that was sent arrives once the link is restored.
 """
 
 from __future__ import annotations
@@ -22,25 +22,27 @@
 from .capture import Capture
 from .network_faults import NetworkFaults
 
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closed with a reset
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: closing sends a reset
 READ_BYTES = 65_536
 ACCEPT_BACKLOG = 64
-RANDOM_SALT = 5  # sets this proxy's draws apart from others of the same seed
+RANDOM_SALT = 5  # separates this proxy's random numbers from others of the same seed
 
 
 class _ReadDelay(NamedTuple):
     delay_ms: float
-    share: float  # of reads
+    share: float  # share of reads that are delayed
 
 
 class _SocketPair(NamedTuple):
     source: socket.socket
-    target: socket.socket | None  # None until the link is up
+    target: socket.socket | None  # None until the proxy connects to the target
 
 
 class ChannelProxy:
-    """From each of `sources` to each of `targets`.  Settings at its control port: `at` (addresses),
-    `cut` (ordered pairs whose bytes are delayed), `slow` (ms and share of reads), `reset` (share of connections).
+    """Proxies connections from each of `sources` to each of `targets`.
+
+    Requests to its control port set `at` (addresses by name), `cut` (ordered pairs whose bytes are delayed) and `slow`
+    (delay in ms, and the share of reads that it applies to); `reset` resets a share of the open connections.
     """
 
     def __init__(self, sources: list[str], targets: list[str], capture: Capture, seed: int) -> None:
@@ -53,10 +55,10 @@
         for source in sources:
             for target in targets:
                 if source != target:
-                    self.routes[f"{source}>{target}"] = self._listen(source, target)
-        self.server = HttpServer(self._handle)
+                    self.routes[f"{source}>{target}"] = self._open_listener(source, target)
+        self.server = HttpServer(self._handle_settings)
 
-    def _listen(self, source: str, target: str) -> str:
+    def _open_listener(self, source: str, target: str) -> str:
         sock = socket.socket()
         sock.bind(("127.0.0.1", 0))
         sock.listen(ACCEPT_BACKLOG)
@@ -64,17 +66,17 @@
         self._loop.add_reader(sock, self._accept, sock, source, target)
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
-    def _accept(self, listening: socket.socket, source: str, target: str) -> None:
+    def _accept(self, listener: socket.socket, source: str, target: str) -> None:
         try:
-            sock, _ = listening.accept()
+            sock, _ = listener.accept()
         except BlockingIOError:
             return
         sock.setblocking(False)
-        task = self._loop.create_task(self._proxy(sock, source, target))
+        task = self._loop.create_task(self._proxy_connection(sock, source, target))
         self._pairs[task] = _SocketPair(sock, None)
         task.add_done_callback(lambda done: self._pairs.pop(done, None))
 
-    async def _proxy(self, source_socket: socket.socket, source: str, target: str) -> None:
+    async def _proxy_connection(self, source_socket: socket.socket, source: str, target: str) -> None:
         target_socket = socket.socket()
         target_socket.setblocking(False)
         task = asyncio.current_task()
@@ -82,7 +84,8 @@
         self._pairs[task] = _SocketPair(source_socket, target_socket)
         directions: list[asyncio.Task[None]] = []
         try:
-            await self._faults.wait_until_connected((source, target), (target, source))  # a handshake needs both ways
+            # A TCP handshake needs both directions.
+            await self._faults.wait_until_connected((source, target), (target, source))
             host, _, port = self._addresses[target].rpartition(":")
             await self._loop.sock_connect(target_socket, (host, int(port)))
             for sock in (source_socket, target_socket):
@@ -93,7 +96,7 @@
             ]
             await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         except (OSError, KeyError):
-            pass  # no process listens there: the peer sees a closed connection
+            pass  # the target is not reachable: the source sees a closed connection
         finally:
             for direction in directions:
                 direction.cancel()
@@ -101,17 +104,17 @@
             source_socket.close()
             target_socket.close()
 
-    async def _forward(self, read: socket.socket, write: socket.socket, source: str, target: str) -> None:
+    async def _forward(self, from_socket: socket.socket, to_socket: socket.socket, source: str, target: str) -> None:
         while True:
-            data = await self._loop.sock_recv(read, READ_BYTES)
+            data = await self._loop.sock_recv(from_socket, READ_BYTES)
             await self._faults.wait_until_connected((source, target))
             if not data:
                 return
             if self._faults.draw(self._delay.share):
                 await asyncio.sleep(self._delay.delay_ms / 1000)
-            await self._loop.sock_sendall(write, data)
+            await self._loop.sock_sendall(to_socket, data)
 
-    def _handle(self, request: Request, exchange: Exchange) -> None:
+    def _handle_settings(self, request: Request, exchange: Exchange) -> None:
         body: dict[str, Any] = msgspec.json.decode(request.body) if request.body else {}
         self._addresses |= body.get("at", {})
         self._faults.apply(body)
@@ -123,7 +126,7 @@
         exchange.reply(200, msgspec.json.encode({"connections": len(self._pairs)}))
 
     def _reset_connections(self, share: float) -> int:
-        """Reset a share of the connections; how many were reset."""
+        """Reset each connection with probability `share`, and return the number that were reset."""
         resets = 0
         for pair in list(self._pairs.values()):
             if not self._faults.draw(share):
@@ -132,6 +135,6 @@
             for sock in pair:
                 if sock is not None:
                     with contextlib.suppress(OSError):
-                        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                         sock.shutdown(socket.SHUT_RDWR)
         return resets
--- a/kelptrail/emulator/child_process.py
+++ b/kelptrail/emulator/child_process.py
@@ -1,6 +1,7 @@
-"""A child process of the cluster: its command line, its start on the ports it had before, and its ready line.
+"""Child process of a cluster: its command line, its start or restart on the same ports, and its ready line.
 
-Each process has a session of its own, ends when its standard input ends, and prints `{"ready": true, ...}` once.
+Each process runs in its own session, exits when its standard input is closed, and prints one line
+`{"ready": true, ...}` once it is ready.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class ProcessStartError(RuntimeError):
-    """A child process printed no ready line in time."""
+    """A child process did not print a valid ready line in time."""
 
 
 @dataclass(slots=True, eq=False)
@@ -39,11 +40,11 @@
         return self.process is not None and self.process.returncode is None
 
     def option(self, name: str) -> str:
-        """The value of an option of its command line.  Raises `ValueError` where it is not given."""
+        """Return the value of an option in its command line.  Raises `ValueError` if the option is missing."""
         return self.words[self.words.index(name) + 1]
 
     def start_arguments(self) -> list[str]:
-        """The command line; of a restart with the ports of the last start, and without a warm start."""
+        """Return the arguments for the next start; a restart uses the ports of the last start and never starts warm."""
         if not self.said:
             return list(self.words)
         arguments = [*self.words, "--port", _port_of(self.said["address"])]
@@ -61,7 +62,11 @@
 
 
 async def spawn(child: Process, logs: Path | None, quiet: bool) -> asyncio.subprocess.Process:
-    """Start a process; its standard error goes to a file in `logs`, is inherited, or dropped (`quiet`, emulators)."""
+    """Start a process.
+
+    Its standard error is appended to a file in `logs`; without `logs` it is inherited, or discarded for emulators and
+    if `quiet`.
+    """
     arguments = child.start_arguments()
     child.starts, child.ending = child.starts + 1, False
     if logs is not None:
@@ -85,16 +90,16 @@
 
 
 async def read_ready_line(child: Process, process: asyncio.subprocess.Process) -> None:
-    """Wait for the ready line.  Raises `ProcessStartError`."""
+    """Read the ready line of a process.  Raises `ProcessStartError` if it is invalid or late."""
     assert process.stdout is not None
     try:
         line = await asyncio.wait_for(process.stdout.readline(), READY_TIMEOUT_S)
         child.said = msgspec.json.decode(line)
     except (TimeoutError, msgspec.DecodeError):
-        raise ProcessStartError(f"{child.name} did not start") from None
+        raise ProcessStartError(f"{child.name} did not print a valid ready line in time") from None
 
 
 def memory_kb(pid: int) -> int:
-    """Resident memory of a process, in KiB (proc(5), /proc/PID/statm)."""
+    """Return the resident memory of a process in KiB, from /proc/PID/statm (proc(5))."""
     with open(f"/proc/{pid}/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") // 1024
--- a/kelptrail/emulator/client_calls.py
+++ b/kelptrail/emulator/client_calls.py
@@ -1,6 +1,6 @@
-"""Calls of emulated clients and their answers, and what follows from an answer: a capture record and perhaps a retry.
+"""Calls of emulated clients and their answers; each outcome is written to the capture and may cause a retry.
 
-Clients retry only what is harmless by the answer they got (`load/client_behavior.py`).
+Clients retry only where the outcome makes a retry safe (`load/client_behavior.py`).
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
 from .capture import Capture, ReadLag
 
-FAILED_REASONS = ("MAY_HAVE_RUN", "NEVER_RAN")  # of gRPC answers
+ABORTED_REASONS = ("MAY_HAVE_RUN", "NEVER_RAN")  # reasons in gRPC errors
 
 
 @dataclass(slots=True, eq=False)
 class ClientCall:
-    """One call of a client, over all its attempts."""
+    """One call of a client with all its attempts."""
 
     ticket: str
     action: ActionSettings
@@ -44,27 +44,28 @@
     activation: str = ""
     call_id: str = ""
     poll_address: str = ""
-    grpc: bool = False  # over the gRPC front
+    grpc: bool = False  # sent to the gRPC API
     streamed: bool = False
-    parts: int = 0
-    final_part_received: bool = False  # of a streamed answer: the status that ends the gRPC call is no second answer
+    parts: int = 0  # number of parts of a streamed answer received so far
+    # The final part is the answer of a streamed call; the gRPC status that follows it is not a second answer.
+    final_part_received: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ClientAnswer:
-    """A final answer as its client reads it."""
+    """Final answer of a call as the client reads it."""
 
     answer: str  # "completed", "rejected", "aborted", or another that is not retried
     activation: str
-    status: int = 0  # HTTP
-    duration_ms: float | None = None  # as the record of a deferred call says
-    code: int | None = None  # the function's own
+    status: int = 0  # HTTP status
+    duration_ms: float | None = None  # duration in the activation record of a deferred call
+    code: int | None = None  # status code that the function returned
     retry_after_ms: float = 0.0
     repeat_within_ms: float | None = None
 
 
 def answer_of_record(call: ClientCall, status: int, body: dict[str, Any]) -> ClientAnswer:
-    """The answer that an HTTP response's body gives: an activation record or an error."""
+    """Return the answer in the body of an HTTP response, which is an activation record or an error."""
     final = read_final_answer(status, body)
     return ClientAnswer(
         final.answer,
@@ -78,14 +79,14 @@
 
 
 def answer_of_reason(reason: str | None, otherwise: str) -> str:
-    """The answer that a gRPC error's reason stands for."""
+    """Return the answer that corresponds to the reason of a gRPC error, or `otherwise` for other reasons."""
     if reason == "REJECTED":
         return ClientOutcome.REJECTED.value
-    return ClientOutcome.ABORTED.value if reason in FAILED_REASONS else otherwise
+    return ClientOutcome.ABORTED.value if reason in ABORTED_REASONS else otherwise
 
 
 class CallTracker:
-    """Writes to the capture what becomes of attempts, and starts the retries that clients make."""
+    """Records the events of attempts in the capture, and starts the clients' retries."""
 
     def __init__(
         self, capture: Capture, random: np.random.Generator, start_attempt: Callable[[ClientCall, int | None], None]
@@ -95,7 +96,7 @@
         self._read_lag = ReadLag()
 
     def on_attempt(self, call: ClientCall, timeout_ms: float, shared_address: bool, **transport: bool) -> None:
-        """An attempt is about to be sent."""
+        """Record that an attempt is about to be sent."""
         self._capture.write(
             "call",
             call=call.call_id,
@@ -110,37 +111,40 @@
         )
 
     def on_accepted(self, call: ClientCall) -> None:
-        """A deferred call was accepted; its final answer is polled."""
+        """Record that a deferred call was accepted; the client polls for its final answer."""
         self._capture.write("accepted", call=call.call_id, activation=call.activation)
 
     def on_unknown(self, call: ClientCall) -> None:
-        """A dispatcher answered a poll that no dispatcher knows the activation."""
+        """Record that a poll was answered with the error that no dispatcher has the activation."""
         self._capture.write("denied", call=call.call_id, activation=call.activation, at=call.poll_address)
 
     def on_first_part(self, call: ClientCall, activation: str) -> None:
-        """The first part of a streamed answer arrived."""
+        """Record that the first part of a streamed answer arrived."""
         self._capture.write("part", call=call.call_id, activation=activation, lag=self._read_lag.now())
 
     def on_stream_not_taken(self, call: ClientCall) -> None:
-        """A stream's last part says that no dispatcher accepted the call; the status that follows ends it."""
+        """Record that the last part of a stream reports a call that no dispatcher accepted, without a retry.
+
+        The gRPC status that follows ends the call.
+        """
         self._capture.write("not-taken", call=call.call_id)
 
     def on_not_taken(self, call: ClientCall, retry_after_ms: float) -> None:
-        """No dispatcher accepted the call."""
+        """Record that no dispatcher accepted the call, and schedule a retry if the client makes one."""
         self._capture.write("not-taken", call=call.call_id)
         self._retry(call, ClientOutcome.NOT_TAKEN, retry_after_ms)
 
     def on_lost(self, call: ClientCall, ending: str) -> None:
-        """The call ended without an answer."""
+        """Record that the call ended without an answer, and schedule a retry if the client makes one."""
         self._capture.write("no-answer", call=call.call_id, ending=ending)
         self._retry(call, ClientOutcome.LOST)
 
     def on_poll_timeout(self, call: ClientCall) -> None:
-        """Polling ended without a final answer; the client does not retry."""
+        """Record that polling ended without a final answer; the client does not retry."""
         self._capture.write("no-answer", call=call.call_id, ending="polled")
 
     def on_final(self, call: ClientCall, answer: ClientAnswer) -> None:
-        """The call has its final answer."""
+        """Record the final answer of the call, and schedule a retry if the client makes one."""
         self._capture.write(
             "final",
             call=call.call_id,
@@ -179,5 +183,5 @@
             self._loop.call_later(delay_ms / 1000 * jitter, self._start_attempt, call, None)
 
     def close(self) -> None:
-        """Stop measuring the delay of the loop."""
+        """Stop measuring the lag of the event loop."""
         self._read_lag.stop()
--- a/kelptrail/emulator/clients.py
+++ b/kelptrail/emulator/clients.py
@@ -1,4 +1,4 @@
-"""Client emulator: open-loop load on the invoke and inference APIs, polling, timeouts, retries."""
+"""Client emulator: open-loop load on the invoke and inference APIs, with polling, timeouts and retries."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from .inference_client import InferenceClient, timeout_ms_of
 from .invoke_client import InvokeClient
 
-RANDOM_STREAM = 7  # sets the clients' draws apart from others of the same seed
-ANSWER_CHECK_S = 0.05
+RANDOM_STREAM = 7  # separates these random numbers from others of the same seed
+OPEN_CALLS_CHECK_S = 0.05
 
 
 class ClientEmulator:
-    """All clients of one cluster."""
+    """Emulates all clients of one cluster, or the share of one process."""
 
     def __init__(
         self,
@@ -36,8 +36,9 @@
         second: list[str] | None = None,
         part: tuple[int, int] = (0, 1),
     ) -> None:
-        """`front`: the addresses are shared, so which dispatcher answers is not known beforehand; `second`: addresses
-        of the inference API; `part`: number of this process of clients, and how many there are.
+        """`front` is True if dispatchers share the addresses, so that a client cannot choose the one that answers.
+
+        `second` lists addresses of the inference API; `part` is (index, count) for several client processes.
         """
         self._part, self._id_prefix = part, f"{part[0]}-" if part[1] > 1 else ""
         self._deployment, self._dispatcher_count, self._shared_address = deployment, len(addresses), front
@@ -52,25 +53,28 @@
 
     @property
     def open_requests(self) -> int:
-        """The number of requests that were sent and have not ended."""
+        """Number of requests that were sent and have not ended."""
         inference_requests = self._inference_client.open_requests if self._inference_client is not None else 0
         return self._invoke_client.open_requests + inference_requests
 
     @property
     def polling(self) -> int:
-        """The number of deferred calls without their final answer."""
+        """Number of deferred calls without a final answer."""
         return self._invoke_client.polling
 
     def arrivals(self, load: Load, end: float) -> list[tuple[float, ActionSettings]]:
-        """A load's arrivals (seconds) with the action of each, popular ones first by rank."""
+        """Return the time in seconds and the action of each arrival of a load until `end`, in order of time."""
         actions = list(self._deployment.actions.values())
         by_path = {a.path: a for a in actions}
-        drawn = Arrivals(load, self._random, self._part).draw(load.at, max(0.0, end - load.at))
-        picks = self._random.choice(len(actions), len(drawn), p=popularity(list(by_path), load))
-        return [(t, by_path.get(named) or actions[int(n)]) for (t, named), n in zip(drawn, picks, strict=True)]
+        arrivals = Arrivals(load, self._random, self._part).draw(load.at, max(0.0, end - load.at))
+        action_indices = self._random.choice(len(actions), len(arrivals), p=popularity(list(by_path), load))
+        return [
+            (time, by_path.get(path) or actions[int(index)])
+            for (time, path), index in zip(arrivals, action_indices, strict=True)
+        ]
 
     def start_call(self, action: ActionSettings, load: Load) -> None:
-        """Start one call of a load."""
+        """Send the first attempt of a new call of a load."""
         self._ticket_count += 1
         random = self._random
         call = ClientCall(
@@ -89,13 +93,13 @@
         self._attempt(call, None)
 
     def _draw_namespace(self) -> NamespaceSettings:
-        """A namespace, drawn by the quotas."""
+        """Draw a namespace, with the quotas as weights."""
         namespaces = list(self._deployment.namespaces.values())
         quotas = np.array([namespace.quota_per_s for namespace in namespaces])
         return namespaces[int(self._random.choice(len(namespaces), p=quotas / quotas.sum()))]
 
     def _attempt(self, call: ClientCall, last_dispatcher: int | None) -> None:
-        """Start an attempt at a dispatcher that is drawn, or at the next after the last attempt's."""
+        """Start an attempt at a random dispatcher, or at the one after `last_dispatcher` if it is given."""
         call.attempts_left -= 1
         self._attempt_count += 1
         if last_dispatcher is None:
@@ -112,7 +116,10 @@
             self._invoke_client.send(call)
 
     def plan(self, loads: list[Load], seconds: float) -> list[tuple[float, Callable[[], None]]]:
-        """All calls of a script's loads: when (seconds), and what starts each.  Closed loops are for the load tool."""
+        """Return the start time in seconds and a function that starts the call, for each call of the loads, in order.
+
+        Closed loops have no calls here; only the load generator supports them.
+        """
         planned: list[tuple[float, Callable[[], None]]] = []
         for load in loads:
             end = min(seconds, load.at + load.duration)
@@ -121,12 +128,12 @@
         return planned
 
     async def wait_until_answered(self, until: float) -> None:
-        """Wait for the last answer, until a time (ms of the clock) at most."""
+        """Wait until all calls are answered, at most until `until` (in ms of the monotonic clock)."""
         while (self.open_requests or self.polling) and now_ms() < until:
-            await asyncio.sleep(ANSWER_CHECK_S)
+            await asyncio.sleep(OPEN_CALLS_CHECK_S)
 
     async def run(self, planned: list[tuple[float, Callable[[], None]]], start: float) -> None:
-        """Start the calls at their times (seconds after `start`, which is in ms of the clock)."""
+        """Start the planned calls at their times, in seconds after `start` (in ms of the monotonic clock)."""
         for when, start_call in planned:
             wait_s = start / 1000 + when - now_ms() / 1000
             if wait_s > 0:
--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -1,4 +1,4 @@
-"""A cluster on loopback: emulators and dispatchers as supervised processes."""
+"""A cluster on the loopback interface: emulators and dispatchers as supervised processes."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 __all__ = ["ClientsFailedError", "Cluster", "Process", "http_json", "memory_kb"]
 
-ENDING_GRACE_S = 3  # of emulators and planners; dispatchers have longer, to answer what they accepted
+STOP_TIMEOUT_S = 3  # for emulators and planners; dispatchers have longer to answer the calls they accepted
 
 
 class ClientsFailedError(RuntimeError):
-    """A process of clients ended with an error."""
+    """A client process exited with an error."""
 
 
 class Cluster:
-    """Starts, supervises and ends the processes of one deployment."""
+    """Starts, supervises and stops the processes of one deployment."""
 
     def __init__(
         self,
@@ -40,7 +40,10 @@
         logs: Path | None = None,
         quiet: bool = False,
     ) -> None:
-        """`out`: where captures are written; `logs`: where logs are, else on standard error unless `quiet`."""
+        """`out` is the folder for captures; `logs` that for log files.
+
+        Without `logs`, dispatchers and planners log to standard error unless `quiet`.
+        """
         self.deployment, self._out, self._logs, self._quiet = deployment, out, logs, quiet
         self._commands = ClusterCommands(deployment, file, seed, log_level, json_logs=logs is not None)
         self.store = self.endpoint_service = Process("", [])
@@ -61,8 +64,10 @@
         solver: str = "program",
         tasks: tuple[str, ...] = (),
     ) -> None:
-        """Start all processes, each after those it depends on.  With planners the dispatchers are edges of theirs;
-        where the settings have peers, their channels go through a proxy; all dispatchers acquire `tasks` as leases.
+        """Start all processes, each after those it depends on.
+
+        With planners, the dispatchers are edges of the planners.  If the settings have peers, their channels go through
+        a proxy.  All dispatchers try to acquire leases for `tasks`.
         """
         self.store = await self.start_process("store", self._commands.model_store())
         self.endpoint_service = await self.start_process("roster", ["emulate", "endpoint-service"])
@@ -113,28 +118,28 @@
         self.dispatchers = list(await asyncio.gather(*starts))
 
     def peer_options(self, name: str) -> list[str]:
-        """The options by which a process reaches its peers: through the proxy."""
+        """Return the options with the proxy addresses at which a process reaches its peers."""
         return repeated(
             "--peer",
             (
-                f"{pair.partition('>')[2]}={address}"
-                for pair, address in self._proxy_routes().items()
-                if pair.startswith(f"{name}>") and ">planner" not in pair
+                f"{link.partition('>')[2]}={address}"
+                for link, address in self._proxy_routes().items()
+                if link.startswith(f"{name}>") and ">planner" not in link
             ),
         )
 
     def _planner_options(self, name: str) -> list[str]:
-        """The options by which an edge reaches the planners: through the proxy, where there is one."""
+        """Return the options with the addresses of the planners, which are those of the proxy if there is one."""
         routes = self._proxy_routes()
         return repeated("--planner", (routes.get(f"{name}>{p.name}", p.said["address"]) for p in self.planners))
 
     def _proxy_routes(self) -> dict[str, str]:
-        """The addresses of the proxy by link, "source>target"."""
+        """Return the addresses of the proxy by link, "source>target"."""
         routes: dict[str, str] = self.channel_proxy.said["routes"] if self.channel_proxy is not None else {}
         return routes
 
     async def _announce_address(self, child: Process, address: str) -> None:
-        """Tell the proxy where a process listens."""
+        """Send the proxy the address at which a process listens."""
         if self.channel_proxy is not None:
             await http_json(self.channel_proxy.said["address"], "POST", "/", {"at": {child.name: address}})
 
@@ -144,7 +149,7 @@
         return ["--witness", self.side_effect_log.said["address"], *repeated("--task", tasks)]
 
     async def start_process(self, name: str, words: list[str]) -> Process:
-        """Start a process with this command line; emulators write a capture."""
+        """Start a new process with this command line; emulators write a capture."""
         if self._out is not None and words[0] == "emulate":
             words = [*words, "--capture", str(self._out / f"{name}.jsonl")]
         child = Process(name, words)
@@ -152,7 +157,10 @@
         return child
 
     async def launch(self, child: Process) -> None:
-        """Start a process, on the ports it had before, and wait for its ready line.  Raises `ProcessStartError`."""
+        """Start or restart a process, on the same ports as before, and wait for its ready line.
+
+        Raises `ProcessStartError`.
+        """
         process = await spawn(child, self._logs, self._quiet)
         await read_ready_line(child, process)
         if child.said.get("peers"):
@@ -162,16 +170,16 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _supervise(self, child: Process, process: asyncio.subprocess.Process) -> None:
-        """Report the end of a worker to the endpoint service, as a process supervisor would."""
+        """Report the exit of a worker to the endpoint service, as a process supervisor would."""
         await process.wait()
         if child in self.workers and self.endpoint_service.running:
             with contextlib.suppress(OSError):
                 await self.set_listed_state(child, "gone")
 
     async def run_clients(self, script: str, count: int, start: float, addresses: list[str], second: list[str]) -> None:
-        """Run the clients of a script in processes of their own, until all of them have their answers.
+        """Run the clients of a script in `count` processes until these exit.
 
-        Raises `ClientsFailedError`.
+        Raises `ClientsFailedError` if a process exits with an error.
         """
         arguments = self._commands.clients(script, start, count, addresses, second)
         capture = ["--capture", str(self._out)] if self._out is not None else []
@@ -182,13 +190,13 @@
             for n in range(count)
         ]
         try:
-            codes = [await child.wait() for child in children]
+            exit_codes = [await child.wait() for child in children]
         finally:
             for child in children:
                 if child.returncode is None:
                     child.kill()
-        if any(codes):
-            raise ClientsFailedError(f"clients ended with {codes}")
+        if any(exit_codes):
+            raise ClientsFailedError(f"client processes exited with codes {exit_codes}")
 
     async def set_listed_state(self, worker: Process, state: str) -> None:
         """Set the state of a worker in the endpoint list."""
@@ -202,48 +210,48 @@
         await http_json(child.said.get("control") or child.said["address"], "POST", "/fault", body)
 
     def set_disk_fault(self, child: Process, **fault: Any) -> None:
-        """Set a dispatcher's disk fault; without arguments the fault ends."""
+        """Set a dispatcher's disk fault; without settings the fault ends."""
         self._write_fault(child, "--harmed-disk", fault)
 
     def set_clock_fault(self, child: Process, **fault: Any) -> None:
-        """Set a dispatcher's clock fault; without arguments the fault ends."""
+        """Set a dispatcher's clock fault; without settings the fault ends."""
         self._write_fault(child, "--harmed-clock", fault)
 
     @staticmethod
     def _write_fault(child: Process, option: str, fault: dict[str, Any]) -> None:
         file = Path(child.option(option))
-        draft = file.with_suffix(".new")
-        draft.write_bytes(msgspec.json.encode(fault))
-        draft.replace(file)
+        temporary_file = file.with_suffix(".new")
+        temporary_file.write_bytes(msgspec.json.encode(fault))
+        temporary_file.replace(file)
 
     def lose_disk(self, child: Process) -> None:
         """Delete a dispatcher's state, as if its disk were lost."""
         shutil.rmtree(child.option("--state"), ignore_errors=True)
 
     async def set_link_fault(self, **body: Any) -> None:
-        """Change the faults of the proxy between dispatchers."""
+        """Change the faults of the channel proxy."""
         assert self.channel_proxy is not None
         await http_json(self.channel_proxy.said["address"], "POST", "/", body)
 
     def signal(self, child: Process, number: signal.Signals) -> None:
-        """Send a signal, to children started here only."""
+        """Send a signal to a child process if it is running."""
         if child.running and child.process is not None:
             child.process.send_signal(number)
 
     def kill(self, child: Process) -> None:
-        """SIGKILL, for children started here only."""
+        """Send SIGKILL to a child process if it is running."""
         child.ending = True
         if child.running and child.process is not None:
             child.process.kill()
 
     async def terminate(self, child: Process, within_s: float = 20.0) -> int | None:
-        """SIGTERM and wait; kill what does not end in time."""
+        """Send SIGTERM and wait for the exit code; kill the process if it does not exit in time."""
         child.ending = True
         if child.process is None:
             return None
         if child.running:
             with contextlib.suppress(ProcessLookupError):
-                child.process.send_signal(signal.SIGCONT)  # a stopped process handles no other signal before it
+                child.process.send_signal(signal.SIGCONT)  # a stopped process handles SIGTERM only after it continues
                 child.process.send_signal(signal.SIGTERM)
             try:
                 await asyncio.wait_for(child.process.wait(), within_s)
@@ -253,23 +261,26 @@
         return child.process.returncode
 
     async def stop(self) -> bool:
-        """End everything, dispatchers first so that accepted calls are answered; True if all drained."""
-        codes = await asyncio.gather(*(self.terminate(d) for d in self.dispatchers))
-        rest = [
+        """Stop all processes, dispatchers first so that accepted calls are answered.
+
+        Return whether all dispatchers drained, that is, exited with code 0.
+        """
+        exit_codes = await asyncio.gather(*(self.terminate(d) for d in self.dispatchers))
+        other_processes = [
             *self.planners,
             *self.workers,
             self.endpoint_service,
             self.store,
             *(child for child in (self.datagram_proxy, self.channel_proxy, self.side_effect_log) if child is not None),
         ]
-        await asyncio.gather(*(self.terminate(child, ENDING_GRACE_S) for child in rest))
+        await asyncio.gather(*(self.terminate(child, STOP_TIMEOUT_S) for child in other_processes))
         if self._tasks:
             await asyncio.gather(*list(self._tasks), return_exceptions=True)
-        return all(code == 0 for code in codes)
+        return all(code == 0 for code in exit_codes)
 
 
 async def http_json(address: str, method: str, target: str, body: Any = None) -> Any:
-    """Send one request with a JSON body on a connection of its own; returns the decoded answer."""
+    """Send one request with a JSON body on a new connection, and return the decoded answer."""
     client = HttpClient(address)
     try:
         return await client.json(method, target, body)
--- a/kelptrail/emulator/cluster_commands.py
+++ b/kelptrail/emulator/cluster_commands.py
@@ -1,4 +1,4 @@
-"""Command lines of a cluster's processes, after `python -m kelptrail`."""
+"""Command lines of a cluster's processes, without the leading `python -m kelptrail`."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 
 from kelptrail.settings.deployment import Deployment
 
-# Up to so many dispatchers all pairs go through the proxy; beyond, only links to lease acceptors and planners.
+# Largest number of dispatchers for which the proxy covers all pairs.  With more, it covers only the links to lease
+# acceptors and planners.
 ALL_PAIRS_LIMIT = 12
 ANY_CONTROL_PORT = "127.0.0.1:0"
 WORKERS_PER_CELL = 2
 
 
 def repeated(option: str, values: Iterable[str]) -> list[str]:
-    """An option that is given once for each value."""
-    return [word for value in values for word in (option, value)]
+    """Return the arguments that give an option once for each value."""
+    return [argument for value in values for argument in (option, value)]
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterCommands:
-    """Composes the command lines for one deployment file."""
+    """Builds the command lines for one deployment file."""
 
     deployment: Deployment
     file: str
@@ -30,15 +31,15 @@
     json_logs: bool
 
     def model_store(self) -> list[str]:
-        """The emulated model store."""
+        """Return the command line of the emulated model store."""
         return ["emulate", "model-store", self.file]
 
     def datagram_proxy(self) -> list[str]:
-        """The proxy between VRRP routers."""
+        """Return the command line of the proxy between VRRP routers."""
         return ["emulate", "datagram-proxy", self.file, "--seed", str(self.seed)]
 
     def worker(self, number: int, store: str, endpoint_service: str) -> list[str]:
-        """An emulated worker, given the addresses of the store and the endpoint service."""
+        """Return the command line of an emulated worker; `store` and `endpoint_service` are addresses."""
         return [
             "emulate",
             "worker",
@@ -59,7 +60,7 @@
         ]
 
     def channel_proxy(self, dispatchers: list[str], planners: list[str]) -> list[str]:
-        """The proxy between dispatchers, and between them and planners, all given by name."""
+        """Return the command line of the proxy for channels between the named dispatchers and planners."""
         leases = self.deployment.leases
         targets = dispatchers
         if leases is not None and len(dispatchers) > ALL_PAIRS_LIMIT:
@@ -76,7 +77,7 @@
     def planner(
         self, name: str, endpoint_service: str, solver: str, peer_options: list[str], state: Path | None
     ) -> list[str]:
-        """A planner; `state`: the folder of all processes' states."""
+        """Return the command line of a planner; `state` is the folder for the state of all processes."""
         return [
             *self._log_options(),
             "planner",
@@ -101,7 +102,7 @@
         peer_options: list[str],
         state: Path | None,
     ) -> list[str]:
-        """A dispatcher; with options of planners it is an edge of theirs."""
+        """Return the command line of a dispatcher, which is an edge if there are planner options."""
         name = f"dispatcher-{number}"
         return [
             *self._log_options(),
@@ -130,7 +131,10 @@
         ]
 
     def clients(self, script: str, start: float, count: int, addresses: list[str], second: list[str]) -> list[str]:
-        """One of `count` processes of a scenario's clients, but for its number; `second`: of the inference API."""
+        """Return the command line of one of `count` client processes, without its `--number` option.
+
+        `second` lists the addresses of the inference API.
+        """
         return [
             "emulate",
             "clients",
--- a/kelptrail/emulator/datagram_proxy.py
+++ b/kelptrail/emulator/datagram_proxy.py
@@ -1,7 +1,7 @@
-"""A UDP proxy for VRRP datagrams that drops, delays, duplicates, reorders and partitions them, one way too, on a seed.
+"""UDP proxy for VRRP datagrams with seeded faults: loss, delay, duplication, reordering and (one-way) partitions.
 
-It listens where peers send to reach an instance (`via`) and forwards to the instance itself (`udp`), from the sender's
-own address, which identifies the sender.  Every datagram is captured.
+For each instance it listens at the address that peers send to (`via`), and forwards to the address of the instance
+(`udp`) from the sender's IP address, which identifies the sender.  Every datagram is captured.
 """
 
 from __future__ import annotations
@@ -21,41 +21,45 @@
 from .network_faults import NetworkFaults
 
 DATAGRAM_BYTES = 4096
-RANDOM_SALT = 3  # sets this proxy's draws apart from others of the same seed
+RANDOM_SALT = 3  # separates this proxy's random numbers from others of the same seed
 
 
 class DatagramProxy:
-    """All instances' datagrams; settings at its control port: loss, copy (shares), delay_ms (a pair), cut (pairs)."""
+    """Proxies the datagrams of all instances.
+
+    Requests to its control port set `loss` and `copy` (shares of datagrams that are lost or duplicated), `delay_ms` (a
+    minimum and a maximum) and `cut` (ordered pairs of instances without a link).
+    """
 
     def __init__(self, settings: VrrpSettings, capture: Capture, seed: int) -> None:
         self._capture, self._faults = capture, NetworkFaults(seed, RANDOM_SALT)
         self._loop = asyncio.get_running_loop()
-        self._names = {parse_socket_address(i.udp)[0]: i.name for i in settings.instance}
+        self._names_by_address = {parse_socket_address(i.udp)[0]: i.name for i in settings.instance}
         self._loss = self._duplication = 0.0
         self._delay_range = (0.0, 0.0)
-        self._sockets: dict[str, socket.socket] = {}
+        self._send_sockets: dict[str, socket.socket] = {}
         for instance in settings.instance:
-            sending = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            sending.setblocking(False)
-            sending.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, TTL)
-            sending.bind((parse_socket_address(instance.udp)[0], 0))
-            self._sockets[instance.name] = sending
+            send_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            send_socket.setblocking(False)
+            send_socket.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, TTL)
+            send_socket.bind((parse_socket_address(instance.udp)[0], 0))
+            self._send_sockets[instance.name] = send_socket
         for instance in settings.instance:
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sock.setblocking(False)
             sock.bind(parse_socket_address(instance.reached_at))
             self._loop.add_reader(
-                sock.fileno(), self._readable, sock, instance.name, parse_socket_address(instance.udp)
+                sock.fileno(), self._on_readable, sock, instance.name, parse_socket_address(instance.udp)
             )
-        self.server = HttpServer(self._handle)
+        self.server = HttpServer(self._handle_settings)
 
-    def _readable(self, sock: socket.socket, to: str, address: SocketAddress) -> None:
+    def _on_readable(self, sock: socket.socket, to: str, address: SocketAddress) -> None:
         while True:
             try:
                 data, source = sock.recvfrom(DATAGRAM_BYTES)
             except BlockingIOError:
                 return
-            sender = self._names.get(source[0])
+            sender = self._names_by_address.get(source[0])
             if sender is None:
                 continue
             fate = "sent"
@@ -73,11 +77,11 @@
 
     def _send(self, sender: str, data: bytes, address: SocketAddress) -> None:
         try:
-            self._sockets[sender].sendto(data, address)
+            self._send_sockets[sender].sendto(data, address)
         except OSError as cause:
             self._capture.write("relay-unsent", reason=str(cause))
 
-    def _handle(self, request: Request, exchange: Exchange) -> None:
+    def _handle_settings(self, request: Request, exchange: Exchange) -> None:
         body: dict[str, Any] = msgspec.json.decode(request.body) if request.body else {}
         self._loss = float(body.get("loss", self._loss))
         self._duplication = float(body.get("copy", self._duplication))
--- a/kelptrail/emulator/endpoint_service.py
+++ b/kelptrail/emulator/endpoint_service.py
@@ -1,7 +1,8 @@
-"""Emulated endpoint service: it knows only whether processes run, and sends the list to every dispatcher.
+"""Emulated endpoint service: keeps the list of workers and dispatchers, and sends it to every dispatcher.
 
-`GET /workers?who=&known=&wait=` is a long poll.  Workers register by `POST /register`; the supervisor of their
-processes reports ends and drains by `POST /state`.  A fault delays all changes.
+The list only shows which processes run, not whether they are healthy.  `GET /workers?who=&known=&wait=` is a long poll.
+Workers register with `POST /register`; the supervisor of their processes reports exits and drains with `POST /state`.
+A fault delays all changes of workers.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 
 class EndpointService:
-    """The list and the polls that wait for its next version; `delay_ms` delays changes."""
+    """The endpoint list, and the long polls that wait for its next version; `delay_ms` delays changes of workers."""
 
     def __init__(self, capture: Capture) -> None:
         self._capture = capture
@@ -75,7 +76,7 @@
         exchange.reply(200, b"{}")
 
     def _handle_poll(self, query: dict[str, str], exchange: Exchange) -> None:
-        """Answer with the list at once where the dispatcher has another version, else once it changes."""
+        """Answer with the list immediately if the dispatcher has another version, else once the list changes."""
         poller, known_version = query.get("who", ""), query.get("known", "")
         dispatcher = _ListedDispatcher(query.get("at", ""), query.get("channel", ""), query.get("hall", ""))
         name = poller.partition("/")[0]
--- a/kelptrail/emulator/inference_client.py
+++ b/kelptrail/emulator/inference_client.py
@@ -16,17 +16,21 @@
 from .client_calls import CallTracker, ClientAnswer, ClientCall, answer_of_reason
 from .invoke_client import InvokeClient
 
-STREAM_TIMEOUT_MS = 5000.0  # for a whole stream, beyond the time to its first part
+STREAM_TIMEOUT_MS = 5000.0  # time for a complete stream, in addition to the timeout for its first part
 CONNECT_TIMEOUT_MS = 500.0
 
 
 def timeout_ms_of(call: ClientCall) -> float:
-    """The deadline of a call over gRPC."""
+    """Return the timeout of a call over gRPC in ms."""
     return call.type.timeout_ms + (STREAM_TIMEOUT_MS if call.streamed else 0.0)
 
 
 class InferenceClient:
-    """Sends calls to dispatchers by address; deferred ones are polled over the invoke API, at `poll_addresses`."""
+    """Sends calls to dispatchers over gRPC.
+
+    Deferred calls are polled over the invoke API: `poll_addresses` has its address for each dispatcher, in the order of
+    `addresses`.
+    """
 
     def __init__(
         self,
@@ -42,7 +46,7 @@
         self.open_requests = 0
 
     def send(self, call: ClientCall) -> None:
-        """Send an attempt to the dispatcher that was drawn for it."""
+        """Send an attempt to the dispatcher chosen for it."""
         call.parts = 0
         call.final_part_received = False
         self.open_requests += 1
--- a/kelptrail/emulator/invoke_client.py
+++ b/kelptrail/emulator/invoke_client.py
@@ -1,4 +1,4 @@
-"""Clients of the invoke API: calls over HTTP, and polling for the final answer of deferred ones."""
+"""Client of the invoke API: calls over HTTP, and polling for the final answers of deferred calls."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from .client_calls import CallTracker, ClientCall, answer_of_record
 
 POLL_EVERY_MS, POLL_FOR_MS = 150.0, 3000.0
-POLL_TIMEOUT_S = 2.0  # of one poll
-FAILOVER_WAIT_MS = 20_000.0  # how long a client polls on while another dispatcher takes over a lost one
-ANSWER_MARGIN_MS = 500  # how long a client waits beyond the call's timeout
-CONNECTIONS, CONNECT_TIMEOUT_MS, IDLE_MS, ANSWER_BYTES = 2000, 500.0, 10_000.0, 1 << 22
+POLL_TIMEOUT_S = 2.0  # for a single poll
+FAILOVER_POLL_FOR_MS = 20_000.0  # polling time with replicas: another dispatcher may have to take over a failed one
+ANSWER_MARGIN_MS = 500  # time that a client waits beyond the call's timeout
+CONNECTIONS, CONNECT_TIMEOUT_MS, IDLE_MS, MAX_ANSWER_BYTES = 2000, 500.0, 10_000.0, 1 << 22
 
 
 def _address_in(response: Response) -> str:
-    """The address in a response's `location` header."""
+    """Return the address in the `location` header of a response."""
     return response.headers["location"].removeprefix("http://").partition("/")[0]
 
 
 class InvokeClient:
-    """Sends calls to dispatchers by address, and polls for deferred ones."""
+    """Sends calls to dispatchers, and polls for the answers of deferred calls."""
 
     def __init__(
         self, deployment: Deployment, addresses: list[str], tracker: CallTracker, random: np.random.Generator
@@ -38,12 +38,12 @@
         self._has_replicas = deployment.peers is not None and bool(deployment.peers.replicas)
         self._authorization = {n.name: authorization_of(n) for n in deployment.namespaces.values()}
         self._pools = [_open_pool(address) for address in addresses]
-        self._poll_pools: dict[str, WorkerPool] = {}  # by address, where deferred calls are polled
+        self._poll_pools: dict[str, WorkerPool] = {}  # pools for polls, by address
         self.open_requests = 0
-        self.polling = 0  # deferred calls without their final answer
+        self.polling = 0  # number of deferred calls without a final answer
 
     def send(self, call: ClientCall) -> None:
-        """Send an attempt to the dispatcher that was drawn for it."""
+        """Send an attempt to the dispatcher chosen for it."""
         self._send(call, self._pools[call.dispatcher], self._addresses[call.dispatcher])
 
     def _send(self, call: ClientCall, pool: WorkerPool, address: str) -> None:
@@ -64,7 +64,7 @@
             self._tracker.on_lost(call, outcome.value)
         elif response.status == 503:
             self._tracker.on_not_taken(call, float(response.headers.get("retry-after-ms", "0")))
-        elif response.status == 307:  # another dispatcher has the call of this key
+        elif response.status == 307:  # another dispatcher has the call with this idempotency key
             call.poll_address = _address_in(response)
             self._send(call, self._poll_pool(call.poll_address), call.poll_address)
         elif response.status == 202:
@@ -75,7 +75,7 @@
             self._tracker.on_final(call, answer_of_record(call, response.status, body))
 
     def poll_from(self, call: ClientCall, activation: str, address: str) -> None:
-        """Poll an address for the final answer of a deferred call that was accepted there."""
+        """Start polling an address for the final answer of a deferred call that was accepted there."""
         call.activation, call.poll_address = activation, address
         self._tracker.on_accepted(call)
         self.polling += 1
@@ -87,7 +87,7 @@
         return self._poll_pools[address]
 
     def _poll(self, call: ClientCall) -> None:
-        poll_for_ms = FAILOVER_WAIT_MS if self._has_replicas else POLL_FOR_MS
+        poll_for_ms = FAILOVER_POLL_FOR_MS if self._has_replicas else POLL_FOR_MS
         if now_ms() - call.attempt_started > call.type.timeout_ms + poll_for_ms:
             self._tracker.on_poll_timeout(call)
             self.polling -= 1
@@ -104,7 +104,7 @@
             self.polling -= 1
             self._tracker.on_final(call, answer_of_record(call, 200, msgspec.json.decode(response.body)))
             return
-        if response is None:  # the dispatcher that accepted it is gone: any other may know it
+        if response is None:  # the dispatcher does not answer: another one may have taken the call over
             call.poll_address = self._addresses[int(self._random.integers(len(self._addresses)))]
         elif response.status == 307:
             call.poll_address = _address_in(response)
@@ -119,4 +119,4 @@
 
 
 def _open_pool(address: str) -> WorkerPool:
-    return WorkerPool(address, CONNECTIONS, CONNECT_TIMEOUT_MS, IDLE_MS, ANSWER_BYTES)
+    return WorkerPool(address, CONNECTIONS, CONNECT_TIMEOUT_MS, IDLE_MS, MAX_ANSWER_BYTES)
--- a/kelptrail/emulator/model_store.py
+++ b/kelptrail/emulator/model_store.py
@@ -1,8 +1,8 @@
-"""Emulated model store, and the store in which workers record effects.
+"""Emulated model store, which also stores the effects of workers for deduplication.
 
-`GET /blobs/{model}?ms=N` takes N ms at full pace; more fetches than it serves at once slow all of them, past
-a limit it refuses.  `POST /effects/known` and `/effects/commit` are how a group of workers
-deduplicates calls: entries are shared by the group and kept for the deduplication window.
+`GET /blobs/{model}?ms=N` takes N ms at full speed.  More concurrent fetches than the setting `fetches` slow all of them
+down; more than `most` are refused.  A group of workers deduplicates calls with `POST /effects/known` and
+`/effects/commit`: the group shares the entries, which are kept for the deduplication window.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 from .capture import Capture
 
 MAX_EFFECTS = 100_000
-MAX_FETCH_STEP_MS = 50.0  # after which the pace of a fetch is determined again
+MAX_FETCH_STEP_MS = 50.0  # interval at which the speed of a fetch is computed again
 DEFAULT_SLOWDOWN = 4
 
 
 class ModelStore:
-    """The store's state and its faults: `slow` (a factor), `refuse` and `stopped`."""
+    """State of the store and its faults: `slow` (by a factor), `refuse` and `stopped`."""
 
     def __init__(self, settings: StoreSettings, capture: Capture) -> None:
         self._settings, self._capture = settings, capture
         self._loop = asyncio.get_running_loop()
-        self._fetching = 0
+        self._active_fetches = 0
         self.fetches = 0
         self._slowdown, self._refusing = 1.0, False
-        self._running = asyncio.Event()
-        self._running.set()
+        self._not_stopped = asyncio.Event()
+        self._not_stopped.set()
         self._effects: dict[tuple[str, str], tuple[float, str]] = {}
         self.server = HttpServer(self._handle)
 
@@ -48,53 +48,53 @@
             self._handle_fault(msgspec.json.decode(request.body))
             exchange.reply(200, b"{}")
         elif parts == ["state"]:
-            exchange.reply(200, msgspec.json.encode({"fetches": self.fetches, "fetching": self._fetching}))
+            exchange.reply(200, msgspec.json.encode({"fetches": self.fetches, "fetching": self._active_fetches}))
         else:
             exchange.reply(404, b'{"error":"no such thing"}')
 
     async def _fetch(self, model: str, ms: float, exchange: Exchange) -> None:
-        if self._refusing or self._fetching >= self._settings.most:
+        if self._refusing or self._active_fetches >= self._settings.most:
             self._capture.write("fetch-refused", model=model)
             exchange.reply(503, b'{"error":"too many fetches"}')
             return
-        self._fetching += 1
+        self._active_fetches += 1
         self.fetches += 1
-        self._capture.write("fetch", model=model, fetching=self._fetching)
+        self._capture.write("fetch", model=model, fetching=self._active_fetches)
         try:
-            left = ms
-            while left > 0:
-                await self._running.wait()
-                pace = min(1.0, self._settings.fetches / self._fetching) / self._slowdown
-                step = min(MAX_FETCH_STEP_MS, left / pace)
-                await asyncio.sleep(step / 1000)
-                left -= step * pace
-            await self._running.wait()
+            remaining_ms = ms
+            while remaining_ms > 0:
+                await self._not_stopped.wait()
+                speed = min(1.0, self._settings.fetches / self._active_fetches) / self._slowdown
+                step_ms = min(MAX_FETCH_STEP_MS, remaining_ms / speed)
+                await asyncio.sleep(step_ms / 1000)
+                remaining_ms -= step_ms * speed
+            await self._not_stopped.wait()
         finally:
-            self._fetching -= 1
+            self._active_fetches -= 1
         exchange.reply(200, b"{}")
 
     def _handle_effect(self, operation: str, body: dict[str, Any], exchange: Exchange) -> None:
         now, key = now_ms(), (body["group"], body["mark"])
-        known = self._effects.get(key)
-        if known is not None and now - known[0] > body["remembered_ms"]:
-            known = None
-        if operation == "commit" and known is None:
+        entry = self._effects.get(key)
+        if entry is not None and now - entry[0] > body["remembered_ms"]:
+            entry = None
+        if operation == "commit" and entry is None:
             self._effects[key] = (now, body["result"])
             if len(self._effects) > MAX_EFFECTS:
                 del self._effects[next(iter(self._effects))]
-        exchange.reply(200, msgspec.json.encode({"known": known is not None, "result": known[1] if known else ""}))
+        exchange.reply(200, msgspec.json.encode({"known": entry is not None, "result": entry[1] if entry else ""}))
 
     def _handle_fault(self, body: dict[str, Any]) -> None:
-        kind, ms = body["kind"], float(body.get("for_ms", 0))
-        self._capture.write("fault", kind=kind, for_ms=ms)
+        kind, duration_ms = body["kind"], float(body.get("for_ms", 0))
+        self._capture.write("fault", kind=kind, for_ms=duration_ms)
         if kind == "slow":
             self._slowdown = float(body.get("factor", DEFAULT_SLOWDOWN))
         elif kind == "refuse":
             self._refusing = True
         elif kind == "stopped":
-            self._running.clear()
-        if ms:
-            self._loop.call_later(ms / 1000, self._end_fault, kind)
+            self._not_stopped.clear()
+        if duration_ms:
+            self._loop.call_later(duration_ms / 1000, self._end_fault, kind)
 
     def _end_fault(self, kind: str) -> None:
         if kind == "slow":
@@ -102,4 +102,4 @@
         elif kind == "refuse":
             self._refusing = False
         else:
-            self._running.set()
+            self._not_stopped.set()
--- a/kelptrail/emulator/network_faults.py
+++ b/kelptrail/emulator/network_faults.py
@@ -1,4 +1,4 @@
-"""Faults that proxies apply to traffic between processes: links that are cut, and shares drawn from a seed."""
+"""Faults that the proxies apply to traffic between processes: cut links, and seeded random faults."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class NetworkFaults:
-    """`cut`: ordered pairs of names, source and target."""
+    """Faults of one proxy; `cut` holds ordered pairs of names, (source, target)."""
 
     def __init__(self, seed: int, salt: int) -> None:
         self.random = np.random.default_rng([seed, salt])
@@ -17,13 +17,13 @@
         self._changed = asyncio.Event()
 
     def apply(self, body: dict[str, Any]) -> None:
-        """Apply a change from the control port."""
+        """Apply the settings from a request to the control port."""
         if "cut" in body:
             self.cut = {(a, b) for a, b in body["cut"]}
             self._changed.set()
 
     def draw(self, share: float) -> bool:
-        """Whether a fault with this probability hits."""
+        """Draw whether a fault with this probability occurs."""
         return bool(share) and bool(self.random.random() < share)
 
     async def wait_until_connected(self, *pairs: tuple[str, str]) -> None:
--- a/kelptrail/emulator/side_effect_log.py
+++ b/kelptrail/emulator/side_effect_log.py
@@ -1,7 +1,7 @@
-"""A resource that is used under leases: records each use by its own clock, rejects tokens older than one seen.
+"""Emulated resource that lease holders use: it captures each use, and rejects tokens older than the newest one seen.
 
-`POST /act` and `POST /done` with task, token, who, and `looked`: when the holder last checked its lease, by the
-machine's clock.
+Uses are `POST /act` and `POST /done` with task, token, who, and `looked`: the time at which the holder last checked its
+lease, by the machine's clock.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 
 class SideEffectLog:
-    """The log of all tasks."""
+    """Log of the uses for all tasks."""
 
     def __init__(self, capture: Capture) -> None:
         self._capture = capture
-        self._highest_tokens: dict[str, list[Any]] = {}  # by task
+        self._highest_tokens: dict[str, list[Any]] = {}  # highest token seen, by task
         self.server = HttpServer(self._handle)
 
     def _handle(self, request: Request, exchange: Exchange) -> None:
--- a/kelptrail/emulator/worker.py
+++ b/kelptrail/emulator/worker.py
@@ -1,8 +1,8 @@
-"""Worker emulator: a process that speaks the inference protocol and holds instances of many models.
+"""Worker emulator: a process that serves the inference protocol with instances of several models.
 
-It has cores, memory, a concurrency limit per instance and a bounded queue; it loads through the shared store, warms up
-after its start, deduplicates calls with its group, and reports its load in answers.  Its control port takes the faults
-of `worker_faults.py`.
+It has cores, memory, a concurrency limit per instance and a bounded queue.  It loads models through the shared store,
+has a slow start, deduplicates calls within its group, and sends load reports in answers.  The control port injects the
+faults of `worker_faults.py`.
 """
 
 from __future__ import annotations
@@ -40,8 +40,8 @@
 from .worker_state import HostedModel, InferenceJob, WorkerState
 
 TICK_S = 0.005
-MEASURE_INTERVAL_MS = 200  # of the metrics in load reports
-UNLOAD_INTERVAL_MS = 250  # between two sweeps for unused instances
+MEASURE_INTERVAL_MS = 200  # interval at which the metrics of load reports are measured
+UNLOAD_INTERVAL_MS = 250  # interval at which unused models are unloaded
 MAX_REPORTED_REQUESTS = 30
 IDLE_CONNECTION_MS = 120_000.0
 STORE_CONNECTIONS, STORE_CONNECT_MS, STORE_ANSWER_BYTES = 256, 2000.0, 1 << 20
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerIdentity:
-    """The name of a worker, and the zone and cell that it is in."""
+    """Name, zone and cell of a worker."""
 
     id: str
     zone: str
@@ -79,11 +79,11 @@
         self._read_lag = ReadLag()
         self._address = ""
         self._state = WorkerState(deployment, warm)
-        self._assemble(store_address, np.random.default_rng([seed, zlib.crc32(identity.id.encode())]))
+        self._create_components(store_address, np.random.default_rng([seed, zlib.crc32(identity.id.encode())]))
         self._loop.create_task(self._tick())
 
-    def _assemble(self, store_address: str, random: np.random.Generator) -> None:
-        """Create the parts that run jobs, load instances and take faults."""
+    def _create_components(self, store_address: str, random: np.random.Generator) -> None:
+        """Create the components that run jobs, load instances and inject faults."""
         deployment, identity, state = self._deployment, self._identity, self._state
         store = WorkerPool(
             store_address, STORE_CONNECTIONS, STORE_CONNECT_MS, deployment.pool.idle_ms, STORE_ANSWER_BYTES
@@ -100,7 +100,7 @@
 
     @property
     def incarnation(self) -> str:
-        """The present incarnation; a cold restart begins another."""
+        """Current incarnation; a cold restart begins a new one."""
         return self._state.incarnation
 
     async def announce(self, address: str) -> None:
@@ -135,16 +135,16 @@
         self._loop.create_task(self.announce(self._address))
 
     async def _tick(self) -> None:
-        unloaded = measured = now_ms()
+        last_unload = last_measurement = now_ms()
         while True:
             await asyncio.sleep(TICK_S)
             now = now_ms()
             self._reporter.sample_utilization()
-            if now - measured > MEASURE_INTERVAL_MS:
-                measured = now
+            if now - last_measurement > MEASURE_INTERVAL_MS:
+                last_measurement = now
                 self._reporter.measure()
-            if now - unloaded > UNLOAD_INTERVAL_MS:
-                unloaded = now
+            if now - last_unload > UNLOAD_INTERVAL_MS:
+                last_unload = now
                 self._instances.unload_unused(now)
 
     def _handle(self, request: Request, exchange: Exchange) -> None:
@@ -180,9 +180,9 @@
             return
         model, now = self._state.models.get(name), now_ms()
         self._record_attempt(name, model, infer)
-        if self._is_overloaded_by(model, now) or WorkerFault.HANG in self._faults:
+        if self._check_overload(model, now) or WorkerFault.HANG in self._faults:
             return
-        if self._fails_at_once(model):
+        if self._fails_immediately(model):
             exchange.reply_encoded(error_response(500, "failed"))
         elif model is None or not (model.loaded or model.loading):
             self._reject(exchange, 404, "miss", "not loaded")
@@ -207,16 +207,16 @@
         )
 
     def _arrival_lag_ms(self) -> float:
-        """How much earlier the data that is read now may have arrived."""
+        """Return how much earlier the data that is read now may have arrived, in ms."""
         return self._read_lag.now() + 2 * self.server.accept_delay_ms
 
-    def _is_overloaded_by(self, model: HostedModel | None, now: float) -> bool:
+    def _check_overload(self, model: HostedModel | None, now: float) -> bool:
         if not self._state.slow_start.add_work(now, self._state.work_ms(model)):
             return False
         self._capture.write("fell", worker=self._identity.id, incarnation=self.incarnation)
         return True
 
-    def _fails_at_once(self, model: HostedModel | None) -> bool:
+    def _fails_immediately(self, model: HostedModel | None) -> bool:
         if self._faults.draw(WorkerFault.FAIL_FAST, 1):
             return True
         if model is None or WorkerFault.FAIL_TYPE not in self._faults:
@@ -224,7 +224,7 @@
         return bool(model.type.name == self._faults.setting(WorkerFault.FAIL_TYPE, "type", None))
 
     def _reject(self, exchange: Exchange, status: int, proof: str, text: str) -> None:
-        """Reject an attempt, with the proof that it never ran."""
+        """Reject an attempt; `proof` is the header value that proves that it never ran."""
         headers = {NEVER_RAN: proof} | self._reporter.header(False, 0)
         exchange.reply_encoded(error_response(status, text, headers))
 
--- a/kelptrail/emulator/worker_answers.py
+++ b/kelptrail/emulator/worker_answers.py
@@ -1,4 +1,4 @@
-"""Answers of the emulated worker: the body of one answer, and the parts of a streamed one."""
+"""Answers of the emulated worker: bodies of unary answers, and parts of streamed answers."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 from .worker_state import InferenceJob, WorkerState
 
-CLIENT_FULL_PAUSE_S = 0.005  # until the next try to write to a client that reads slowly
-STREAM_PARAMETERS = ("parts", "gap_ms", "pad")  # that the payload of a call may set
+WRITE_RETRY_S = 0.005  # interval between attempts to write to a client that reads slowly
+STREAM_PARAMETERS = ("parts", "gap_ms", "pad")  # parameters that the payload of a call may set
 
 
 def takes_tensors(job: InferenceJob) -> bool:
-    """Whether the call is in tensors, in place of a JSON payload."""
+    """Return whether the call contains tensors instead of a JSON payload."""
     return job.request.parameters.get("form") == "tensors"
 
 
 def encode_answer(job: InferenceJob, result: str, **parameters: str | int | float | bool) -> bytes:
-    """One answer of the protocol: the inputs for a call in tensors, else the result."""
+    """Encode an answer, which echoes the inputs of a call with tensors and otherwise contains the result."""
     request, model = job.request, job.model.action.model
     if takes_tensors(job):
         return tensors_answer(model, request.id, request.inputs, success=True, **parameters)
@@ -34,15 +34,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamShape:
-    """The parts of a streamed answer that its caller asks for."""
+    """Shape of a streamed answer, as its caller requests it."""
 
     part_count: int
-    gap_ms: float  # between parts
-    padding: int  # bytes that each part has in addition
+    gap_ms: float  # interval between parts
+    padding: int  # number of extra bytes in each part
 
 
 def read_stream_shape(job: InferenceJob) -> StreamShape:
-    """Read the shape of a job's streamed answer from its parameters and its payload."""
+    """Read the shape of a job's streamed answer from its parameters and its payload, which has precedence."""
     parameters = dict(job.request.parameters)
     with contextlib.suppress(msgspec.DecodeError):
         body = msgspec.json.decode(job.payload or b"{}")
@@ -53,14 +53,16 @@
     )
 
 
-async def write_parts(job: InferenceJob, shape: StreamShape, part_count: int, state: WorkerState, by: str) -> None:
-    """Write the first `part_count` parts, as long as the client is there and the worker has not restarted."""
+async def write_parts(
+    job: InferenceJob, shape: StreamShape, part_count: int, state: WorkerState, worker_id: str
+) -> None:
+    """Write the first `part_count` parts, until the client disconnects or the worker restarts."""
     exchange = job.exchange
     for number in range(part_count):
         while not exchange.client_gone and not exchange.can_write:
-            await asyncio.sleep(CLIENT_FULL_PAUSE_S)
+            await asyncio.sleep(WRITE_RETRY_S)
         if exchange.client_gone or not state.is_current(job):
             break
-        part = msgspec.json.encode({"part": number, "by": by, "pad": "x" * shape.padding}).decode()
+        part = msgspec.json.encode({"part": number, "by": worker_id, "pad": "x" * shape.padding}).decode()
         exchange.write_chunk(encode_event(encode_answer(job, part, part=number)))
         await asyncio.sleep(shape.gap_ms / 1000)
--- a/kelptrail/emulator/worker_control.py
+++ b/kelptrail/emulator/worker_control.py
@@ -1,4 +1,4 @@
-"""Control port of the emulated worker: its state, draining and the injection of faults."""
+"""Control port of the emulated worker: reports its state, starts draining and injects faults."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from .worker_state import WorkerState
 
 CRASH_EXIT_CODE = 70
-INJECTION_DELAY_S = 0.02  # so that the request is answered first
+INJECTION_DELAY_S = 0.02  # lets the worker answer the request before the fault begins
 DEFAULT_HANDSHAKE_MS = 200
 
 
 class WorkerControl:
-    """Answers the control port's requests; `restart` begins a new incarnation without a warm start."""
+    """Answers requests to the control port; `restart` begins a new incarnation with a slow start."""
 
     def __init__(
         self,
@@ -72,9 +72,9 @@
         if kind == WorkerFault.CRASH:
             os._exit(CRASH_EXIT_CODE)
         elif kind == WorkerFault.PAUSE:
-            began = now_ms()
+            pause_start = now_ms()
             time.sleep(duration_s)
-            self._capture.write("paused", worker=self._worker_id, began=began)
+            self._capture.write("paused", worker=self._worker_id, began=pause_start)
         elif kind == WorkerFault.MODELS_VOIDED:
             self._lose_idle_instances(settings.get("share", 1))
         elif kind == WorkerFault.RESTART_COLD:
@@ -88,7 +88,7 @@
                 self._loop.call_later(duration_s, self._faults.end, kind)
 
     def _lose_idle_instances(self, share: float) -> None:
-        """Lose the instances on which nothing runs, of a share of the models."""
+        """Remove the idle instances of each model with probability `share`."""
         for model in self._state.models.values():
             if self._random.random() < share:
                 model.loaded = model.busy_instances
--- a/kelptrail/emulator/worker_effects.py
+++ b/kelptrail/emulator/worker_effects.py
@@ -1,4 +1,4 @@
-"""Side effects of the emulated worker: deduplication with its group through the shared store, and their record."""
+"""Side effects of the emulated worker: deduplication within its group through the shared store, and capture records."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class StoredEffect(msgspec.Struct):
-    """The store's answer: whether the idempotency key is known, and the result that is stored with it."""
+    """Answer of the store: whether it has the idempotency key, and the result stored with the key."""
 
     known: bool
     result: str
@@ -25,20 +25,20 @@
 
 
 class SideEffects:
-    """Finds, commits and records the effects of one worker's jobs."""
+    """Looks up, stores and records the effects of one worker's jobs."""
 
     def __init__(self, worker_id: str, zone: str, cell: int, store: WorkerPool, capture: Capture) -> None:
         self._worker_id, self._store, self._capture = worker_id, store, capture
-        # Workers that share effects, by the deduplication scope of the request class.
+        # Group of workers that share effects, for each deduplication scope of a request class.
         self._groups = {"all": "all", "zone": zone, "cell": f"cell-{cell}"}
 
     def find(self, job: InferenceJob, on_answer: OnStoredEffect) -> None:
-        """Ask the store for the result of an earlier run with the job's idempotency key."""
-        self._ask_store("known", job, "", on_answer)
+        """Query the store for the result of an earlier run with the job's idempotency key."""
+        self._query_store("known", job, "", on_answer)
 
     def commit(self, job: InferenceJob, result: str, on_answer: OnStoredEffect) -> None:
-        """Store the job's result, unless another run's is stored already."""
-        self._ask_store("commit", job, result, on_answer)
+        """Store the job's result, unless the store has the result of another run."""
+        self._query_store("commit", job, result, on_answer)
 
     def record(self, job: InferenceJob) -> None:
         """Record in the capture that the job had its effect."""
@@ -52,7 +52,7 @@
             send=parameters.get("send"),
         )
 
-    def _ask_store(self, operation: str, job: InferenceJob, result: str, on_answer: OnStoredEffect) -> None:
+    def _query_store(self, operation: str, job: InferenceJob, result: str, on_answer: OnStoredEffect) -> None:
         body = {
             "mark": job.request.id,
             "group": self._groups[job.model.type.deduplication_scope],
--- a/kelptrail/emulator/worker_faults.py
+++ b/kelptrail/emulator/worker_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the emulated worker that stay active for a time, and the seeded draws by which they hit."""
+"""Faults of the emulated worker, and the seeded random draws that decide which requests they affect."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 
 class WorkerFault(StrEnum):
-    """Faults by their names on the control port."""
-
-    HANG = "hang"  # requests are read and never answered
-    SILENT = "silent"  # work is done and never answered
-    STALL = "stall"  # a stream stops in the middle
-    CUT = "cut"  # a stream's connection breaks in the middle
-    FAIL_FAST = "fail-fast"  # a share of attempts fails at once
-    FAIL_TYPE = "fail-type"  # all attempts of one request class fail at once
+    """Faults; the values are their names on the control port."""
+
+    HANG = "hang"  # requests are read but neither run nor answered
+    SILENT = "silent"  # jobs run but are never answered
+    STALL = "stall"  # a stream stops halfway; its connection stays open
+    CUT = "cut"  # the connection of a stream is aborted halfway
+    FAIL_FAST = "fail-fast"  # a share of attempts fails immediately
+    FAIL_TYPE = "fail-type"  # all attempts of one request class fail immediately
     ANSWERS_LOST = "answers-lost"
     ANSWERS_TWICE = "answers-twice"
     ANSWERS_LATE = "answers-late"
     HEAVY_WORK = "heavy-work"  # a share of jobs takes a multiple of the usual time
-    # These happen once, when they are injected.
+    # These faults take effect once, at the time of their injection.
     PAUSE = "pause"
     CRASH = "crash"
     RESTART_COLD = "restart-cold"
-    MODELS_VOIDED = "models-voided"  # idle instances are lost
+    MODELS_VOIDED = "models-voided"  # idle instances are removed
     HANDSHAKES_SLOW = "handshakes-slow"
 
 
 class ActiveFaults:
-    """The faults that are active, with the settings given at their injection."""
+    """Active faults, with the settings of their injection."""
 
     def __init__(self, random: np.random.Generator) -> None:
         self._random = random
@@ -50,15 +50,15 @@
         self._settings.pop(kind, None)
 
     def setting(self, kind: WorkerFault, name: str, default: Any) -> Any:
-        """A setting of an active fault."""
+        """Return a setting of an active fault."""
         return self._settings[kind].get(name, default)
 
     def draw(self, kind: WorkerFault, default_share: float) -> bool:
-        """Whether the fault is active and hits; draws a random number only where it is active."""
+        """Return whether the fault is active and occurs; draws a random number only if the fault is active."""
         return kind in self and bool(self._random.random() < self.setting(kind, "share", default_share))
 
     def draw_stream_fault(self) -> WorkerFault | None:
-        """The fault that hits a stream, if any."""
+        """Draw the fault that affects a stream, if any."""
         for kind in (WorkerFault.STALL, WorkerFault.CUT):
             if self.draw(kind, DEFAULT_STREAM_FAULT_SHARE):
                 return kind
--- a/kelptrail/emulator/worker_instances.py
+++ b/kelptrail/emulator/worker_instances.py
@@ -20,7 +20,7 @@
 
 
 class InstanceLoader:
-    """Loads and unloads instances; `on_loaded` is called after each load, whether it succeeded or not."""
+    """Loads and unloads instances; `on_load_ended` is called after each load, successful or not."""
 
     def __init__(
         self,
@@ -28,14 +28,17 @@
         store: WorkerPool,
         fetch_share: float,
         reporter: LoadReporter,
-        on_loaded: Callable[[], None],
+        on_load_ended: Callable[[], None],
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self._state, self._store, self._reporter, self._on_loaded = state, store, reporter, on_loaded
-        self._fetch_share = fetch_share  # of the time of a load
+        self._state, self._store, self._reporter, self._on_load_ended = state, store, reporter, on_load_ended
+        self._fetch_share = fetch_share  # share of the load time
 
     def order(self, model: HostedModel, instance_count: int, exchange: Exchange) -> None:
-        """Carry out a load order: answered once so many instances are loaded, or at once where there is no capacity."""
+        """Execute a load order.
+
+        It is answered once `instance_count` instances are loaded, or immediately if there is no capacity.
+        """
         state = self._state
         if state.draining:
             self._answer(model, exchange, 503)
@@ -54,13 +57,13 @@
             model.load_orders.append(WaitingLoadOrder(instance_count, exchange))
 
     def unload(self, model: HostedModel, exchange: Exchange) -> None:
-        """Unload a model unless it runs jobs; success is reported either way."""
+        """Unload a model unless it runs jobs; the answer reports success in both cases."""
         if not model.running:
             model.loaded = 0
         exchange.reply_encoded(encode_response(200, b"{}"))
 
     def unload_unused(self, now: float) -> None:
-        """Unload the models that have not been used for the keep-alive time."""
+        """Unload the models that were not used for the keep-alive time."""
         for model in self._state.models.values():
             if model.loaded and not model.running and now - model.last_used > self._state.fleet.keep_alive_ms:
                 model.loaded = 0
@@ -69,7 +72,10 @@
         exchange.reply_encoded(encode_response(status, msgspec.json.encode(LoadResponse(model.loaded))))
 
     def _evict_for(self, model: HostedModel) -> bool:
-        """Free memory for one more instance by unloading idle ones of other models, least recently used first."""
+        """Free memory for another instance by unloading other idle models, least recently used first.
+
+        Return whether there is enough memory.
+        """
         models = self._state.models.values()
         allocated_mb = sum(hosted.allocated_mb for hosted in models)
         idle = sorted(
@@ -106,10 +112,10 @@
         if not model.loaded and not model.loading:
             self._reject_queued_jobs(model)
         self._start_loads()
-        self._on_loaded()
+        self._on_load_ended()
 
     async def _fetch(self, model: HostedModel, fetch_ms: float) -> bool:
-        """Fetch a model from the store; whether that succeeded."""
+        """Fetch a model from the store, and return whether that succeeded."""
         fetched: asyncio.Future[Response | None] = self._loop.create_future()
         target = f"/blobs/{model.action.model}?ms={fetch_ms:g}"
         call = self._store.start(
@@ -122,15 +128,15 @@
         return response is not None and response.status == 200
 
     def _answer_waiting_orders(self, model: HostedModel, load_succeeded: bool) -> None:
-        waiting = []
+        still_waiting = []
         for order in model.load_orders:
             if model.loaded >= order.instance_count:
                 self._answer(model, order.exchange, 200)
             elif not load_succeeded:
                 self._answer(model, order.exchange, 500)
             else:
-                waiting.append(order)
-        model.load_orders = waiting
+                still_waiting.append(order)
+        model.load_orders = still_waiting
 
     def _reject_queued_jobs(self, model: HostedModel) -> None:
         while model.queue:
--- a/kelptrail/emulator/worker_jobs.py
+++ b/kelptrail/emulator/worker_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs of the emulated worker: their queue, their run on its cores, and their answers."""
+"""Jobs of the emulated worker: queueing, execution on its cores, and answers."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from .worker_load_report import LoadReporter
 from .worker_state import InferenceJob, WorkerState
 
-WORK_SIGMA = 0.2  # of the log-normal factor by which the time of a job varies
+WORK_SIGMA = 0.2  # sigma of the log-normal factor that varies the execution time
 DEFAULT_HEAVY_SHARE, DEFAULT_HEAVY_FACTOR = 0.02, 20
 DEFAULT_LOST_SHARE = 0.2
 DEFAULT_ANSWER_DELAY_MS = 1000
 
 
 class JobRunner:
-    """Runs jobs, at most one a core and as many a model as its instances allow."""
+    """Runs jobs, at most one per core, and per model at most as many as its instances allow."""
 
     def __init__(
         self,
@@ -42,13 +42,13 @@
         self._faults, self._reporter, self._random = faults, reporter, random
 
     def submit(self, job: InferenceJob) -> None:
-        """Queue a job, and start it where there is capacity."""
+        """Queue a job, and start it if there is capacity."""
         job.model.queue.append(job)
         self._state.job_queue.append(job.model)
         self.start_jobs()
 
     def start_jobs(self) -> None:
-        """Start the jobs that wait, in order, as far as cores and loaded instances allow."""
+        """Start queued jobs in order, as far as cores and loaded instances allow."""
         state = self._state
         for _ in range(len(state.job_queue)):
             if state.running_jobs >= state.fleet.cores:
@@ -100,7 +100,7 @@
 
     @staticmethod
     def _result_of(job: InferenceJob) -> str:
-        if takes_tensors(job):  # the result is identified by the request's id alone
+        if takes_tensors(job):  # only the id of the request identifies the result
             return "{}"
         result = {"by": job.model.action.model, "echo": msgspec.Raw(job.payload.encode())}
         return msgspec.json.encode(result).decode()
@@ -114,7 +114,7 @@
         self._finish(job, effect.result if effect.known else result)
 
     def _finish(self, job: InferenceJob, result: str | None) -> None:
-        """Answer a job; without a result it has failed."""
+        """End a job and answer it; without a result it has failed."""
         if not self._state.is_current(job):
             return
         if job.request.parameters.get("stream") and result is not None and WorkerFault.SILENT not in self._faults:
@@ -150,7 +150,7 @@
         return self._reporter.header(job.instance_loaded, job.other_requests)
 
     async def _stream(self, job: InferenceJob, result: str) -> None:
-        """Answer in parts.  A stream that a fault hits stops after half of them."""
+        """Answer in parts; a stream that a fault affects stops after half of them."""
         shape, exchange = read_stream_shape(job), job.exchange
         exchange.start_stream(200, self._load_report(job), CONTENT_TYPE)
         fault = self._faults.draw_stream_fault()
--- a/kelptrail/emulator/worker_load_report.py
+++ b/kelptrail/emulator/worker_load_report.py
@@ -13,12 +13,12 @@
 
 class _LoadMetrics(NamedTuple):
     utilization: float
-    loads: float  # in progress or queued
-    memory_share: float  # of instances that run jobs or are being loaded
+    loads: float  # number of loads in progress or queued
+    memory_share: float  # share of memory of instances that run jobs or are being loaded
 
 
 class LoadReporter:
-    """Samples the load and writes the report; metrics are measured at intervals, as a real worker's are."""
+    """Samples the load and encodes the report; metrics are measured at intervals, as in a real worker."""
 
     def __init__(self, state: WorkerState) -> None:
         self._state = state
@@ -26,12 +26,12 @@
         self._metrics = _LoadMetrics(0.0, 0.0, 0.0)
 
     def sample_utilization(self) -> None:
-        """Add a sample to the moving average of the cores in use."""
+        """Add a sample of the cores in use to the moving average."""
         used_share = self._state.running_jobs / self._state.fleet.cores
         self._utilization += UTILIZATION_SMOOTHING * (used_share - self._utilization)
 
     def measure(self) -> None:
-        """Measure the metrics that reports contain until the next measurement."""
+        """Measure the metrics for the reports until the next measurement."""
         state = self._state
         self._metrics = _LoadMetrics(
             self._utilization,
@@ -40,7 +40,10 @@
         )
 
     def header(self, instance_loaded: bool, other_requests: int) -> dict[str, str]:
-        """The header of an answer: the metrics, whether an instance was loaded, and other requests of the model."""
+        """Return the header of an answer.
+
+        It contains the metrics, whether an instance was loaded, and the number of the model's other requests.
+        """
         metrics = self._metrics
         report = write_report(
             metrics.utilization,
--- a/kelptrail/emulator/worker_slow_start.py
+++ b/kelptrail/emulator/worker_slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start of the emulated worker: what share of its capacity it has at its age, and when too much work overloads it.
+"""Slow start of the emulated worker: its share of full capacity by age, and its overload by too much work.
 
-The rules are those of the dispatchers' settings: capacity rises linearly from `slow_start_share` to 1 within
-`slow_start_ms` of the start, and a worker that meanwhile gets more than a multiple of its capacity within
-`overload_window_ms` fails for good.
+The dispatchers' settings define the rules: capacity rises linearly from `slow_start_share` to 1 within `slow_start_ms`
+of the start.  A worker that receives more than `overload_multiple` times its capacity within `overload_window_ms`
+during this time fails permanently.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class SlowStart:
-    """The age of one incarnation, and the work that arrived during its slow start.  Times are milliseconds."""
+    """Age of one incarnation, and the work that arrived during its slow start.  Times are in milliseconds."""
 
     def __init__(self, deployment: Deployment, warm: bool) -> None:
         self._rules, self._cores = deployment.rules, deployment.fleet.cores
@@ -30,14 +30,14 @@
 
     @property
     def capacity_factor(self) -> float:
-        """The share of its capacity that the worker has at its age."""
+        """Share of full capacity that the worker has at its current age."""
         age = now_ms() - self.started
         if age >= self._rules.slow_start_ms:
             return 1.0
         return self._rules.slow_start_share + (1 - self._rules.slow_start_share) * age / self._rules.slow_start_ms
 
     def add_work(self, now: float, work_ms: float) -> bool:
-        """Count work that arrives; True where it overloads the worker, which then serves nothing more."""
+        """Count work that arrives; return whether it overloads the worker, which then serves no further requests."""
         capacity_factor = self.capacity_factor
         if capacity_factor >= 1:
             return False
--- a/kelptrail/emulator/worker_state.py
+++ b/kelptrail/emulator/worker_state.py
@@ -1,4 +1,4 @@
-"""State of the emulated worker: models, instances and queues, all of which a restart loses."""
+"""State of the emulated worker, which a restart discards: models, instances and queues."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 from .worker_slow_start import SlowStart
 
-DEFAULT_WORK_MS = 1.0  # of a request for a model that the worker does not know
+DEFAULT_WORK_MS = 1.0  # for a request for an unknown model
 
 
 class WaitingLoadOrder(NamedTuple):
-    """A load order that is answered once so many instances are loaded."""
+    """A load order that is answered once `instance_count` instances are loaded."""
 
     instance_count: int
     exchange: Exchange
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, eq=False)
 class HostedModel:
-    """A model that the worker may load, and its instances here."""
+    """A model that the worker may load, and its instances on this worker."""
 
     action: ActionSettings
     type: TypeSettings
@@ -38,7 +38,7 @@
 
     @property
     def busy_instances(self) -> int:
-        """The number of instances that the running jobs need, at the action's concurrency."""
+        """Number of instances that the running jobs need, at the action's concurrency."""
         return -(-self.running // self.action.concurrency)
 
     @property
@@ -55,14 +55,15 @@
     request: InferRequest
     payload: str
     exchange: Exchange
-    other_requests: int  # of the model, when the attempt arrived
-    instance_loaded: bool  # when the attempt arrived
+    other_requests: int  # other requests for the model when the attempt arrived
+    instance_loaded: bool  # True if an instance was loaded when the attempt arrived
     incarnation: str
-    latest_start: float  # the client has gone after it, and a retry may no longer be deduplicated
+    # Latest time to start the job.  After it, the client has disconnected, and a retry may no longer be deduplicated.
+    latest_start: float
 
 
 class WorkerState:
-    """The present incarnation of a worker; `restart` begins another."""
+    """State of the current incarnation of a worker; `restart` begins a new one."""
 
     def __init__(self, deployment: Deployment, warm: bool) -> None:
         self._deployment = deployment
@@ -70,7 +71,7 @@
         self.restart(warm)
 
     def restart(self, warm: bool) -> None:
-        """Lose everything and begin a new incarnation; a warm one has its slow start behind it."""
+        """Discard the state and begin a new incarnation; a warm one has completed its slow start."""
         self.incarnation = os.urandom(4).hex()
         self.slow_start = SlowStart(self._deployment, warm)
         self.models = {
@@ -78,14 +79,14 @@
             for action in self._deployment.actions.values()
         }
         self.running_jobs = self.active_loads = 0
-        self.job_queue: deque[HostedModel] = deque()  # one entry for each job that waits
-        self.load_queue: deque[HostedModel] = deque()  # one entry for each instance that is to be loaded
+        self.job_queue: deque[HostedModel] = deque()  # model of each queued job
+        self.load_queue: deque[HostedModel] = deque()  # model of each instance to load
         self.draining = False
 
     def is_current(self, job: InferenceJob) -> bool:
-        """Whether the job was accepted by the present incarnation."""
+        """Return whether the current incarnation accepted the job."""
         return job.incarnation == self.incarnation
 
     def work_ms(self, model: HostedModel | None) -> float:
-        """The mean time of a job at full capacity."""
+        """Return the mean execution time of a job in ms, at full capacity."""
         return model.action.work_ms if model else DEFAULT_WORK_MS
--- a/kelptrail/load/arrivals.py
+++ b/kelptrail/load/arrivals.py
@@ -92,7 +92,7 @@
         self._trace = read_trace(Path(load.file)) if load.shape == "trace" else None
 
     def draw(self, start: float, span: float) -> list[Arrival]:
-        """Return the arrivals from `start` for `span` seconds, in order.  Spans must follow each other without gaps."""
+        """Return the arrivals from `start` for `span` seconds, in order.  Calls must use consecutive spans."""
         if self._load.shape == "closed":
             return []
         if self._trace is not None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""Emulators in this process: the endpoint service's faults, the worker's faults and its slow start."""
+"""Emulators in the test process: faults of the endpoint service, and faults and slow start of the worker."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 """
 
 
-def test_changes_of_the_endpoint_list_are_delayed_for_the_time_of_the_fault() -> None:
+def test_changes_of_the_endpoint_list_are_delayed_until_the_fault_ends() -> None:
     async def main() -> None:
         service = EndpointService(Capture(None, "roster"))
         service.server.listen("127.0.0.1", 0)
@@ -54,7 +54,7 @@
     assert faults.draw_stream_fault() is None
 
 
-def test_scenarios_know_every_fault_of_the_worker() -> None:
+def test_scenarios_support_every_fault_of_the_worker() -> None:
     assert {fault.value for fault in WorkerFault} <= {kind.value for kind in WORKER_FAULTS}
 
 
@@ -63,7 +63,7 @@
     warm, cold = SlowStart(deployment, warm=True), SlowStart(deployment, warm=False)
     assert warm.capacity_factor == 1 and not warm.add_work(0.0, 1e9) and not warm.overloaded
     assert cold.capacity_factor == pytest.approx(0.25, abs=0.01)
-    # 3 times a quarter of two cores within a second: some 1,500 ms of work.
+    # The limit is 3 times a quarter of two cores within a second: about 1,500 ms of work.
     assert not cold.add_work(0.0, 1400)
-    assert not cold.add_work(1500.0, 1400), "the earlier work has left the window"
+    assert not cold.add_work(1500.0, 1400), "the earlier work is outside the window"
     assert cold.add_work(1600.0, 400) and cold.overloaded
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -1,4 +1,4 @@
-"""Overload control: stages with hysteresis, retry-after times one after the other, and what must not be damped."""
+"""Overload control: stages with hysteresis, spaced retry-after times, and requests that must not be delayed."""
 
 from __future__ import annotations
 
@@ -18,8 +18,11 @@
     seed: int = 1,
     retry_share: float = 0.0,
 ) -> tuple[float, list[float]]:
-    """Requests at a rate, of which a share is rejected and a share of the others completed; `retry_share`: of the
-    requests, those that retry a rejected one at once.  Returns when it ends, and the retry-after times."""
+    """Send requests at a rate; a share of them is rejected, and a share of the others completed.
+
+    `retry_share` is the probability that a request is the immediate retry of a rejected one.  Returns the time of the
+    last request and the retry-after times.
+    """
     random_source, now = random.Random(seed), start
     retry_after_ms, rejected_clients = list[float](), list[str]()
     number = 0
@@ -60,10 +63,10 @@
         OverloadStage.RECOVERING,
         OverloadStage.CALM,
     ]
-    assert len(order) <= 8, "it does not flap"
+    assert len(order) <= 8, "few changes of stage"
 
 
-def test_a_burst_that_is_served_and_a_few_rejections_are_no_storm() -> None:
+def test_a_burst_that_is_served_or_a_few_rejections_do_not_start_a_storm() -> None:
     for rejected_share, per_s in ((0.0, 2000.0), (0.1, 400.0), (0.1, 1200.0)):
         controller = OverloadController(OverloadSettings(), 1)
         now, _ = run_load(controller, 0.0, 10, 400, 0.0, 1.0)
@@ -72,7 +75,7 @@
         assert set(retry_after_ms) <= {1000.0}, "the dispatcher's own retry-after time"
 
 
-def test_retry_after_times_are_spaced_by_what_can_be_served() -> None:
+def test_retry_after_times_are_spaced_according_to_the_retry_capacity() -> None:
     controller = OverloadController(OverloadSettings(max_retry_after_ms=600_000.0), 1)
     now, _ = run_load(controller, 0.0, 10, 400, 0.0, 1.0)
     now, _ = run_load(controller, now, 4, 1600, 0.7, 1.0, 2)
@@ -82,17 +85,17 @@
     before = controller.retry_after.next_retry_at
     times = sorted(now + controller.on_rejected(now, f"x{n}", 0.0) for n in range(200))
     queued_ms = controller.retry_after.next_retry_at - before
-    assert queued_ms > 0.9 * 200 * 1000 / retry_capacity_per_s, "each has a slot of its own"
-    assert len({round(t) for t in times}) > 190, "not all at one moment"
+    assert queued_ms > 0.9 * 200 * 1000 / retry_capacity_per_s, "each client has its own slot"
+    assert len({round(t) for t in times}) > 190, "the times are spread"
     bounded = OverloadController(OverloadSettings(max_retry_after_ms=3000.0), 1)
     now, _ = run_load(bounded, 0.0, 10, 400, 0.0, 1.0)
     now, retry_after_ms = run_load(bounded, now, 6, 4000, 0.95, 1.0, 2)
     assert max(retry_after_ms) <= 3000
-    assert len({round(t) for t in retry_after_ms[-200:]}) > 100, "spread also at the bound"
+    assert len({round(t) for t in retry_after_ms[-200:]}) > 100, "the times are also spread at the maximum"
     assert bounded.retry_after.next_retry_at <= now + 3000
 
 
-def test_an_early_retry_is_rejected_on_arrival_with_a_longer_retry_after_time_within_the_bound() -> None:
+def test_an_early_retry_is_rejected_on_arrival_with_a_longer_but_bounded_retry_after_time() -> None:
     controller = OverloadController(OverloadSettings(), 1)
     now, _ = run_load(controller, 0.0, 10, 400, 0.0, 1.0)
     now, _ = run_load(controller, now, 6, 1600, 0.8, 1.0, 2, retry_share=0.6)
@@ -101,16 +104,16 @@
     slot = controller.retry_after.next_retry_at
     waits_ms = [controller.on_request(now + 10 + n, "early-client") for n in range(8)]
     assert all(b is not None and b <= 12_000 for b in waits_ms)
-    assert controller.retry_after.next_retry_at == slot, "it takes no other client's slot"
-    assert waits_ms[0] is not None and waits_ms[0] > 0.74 * min(12_000.0, 1.5 * (first - 10)), "longer, not shorter"
+    assert controller.retry_after.next_retry_at == slot, "an early retry does not take another slot"
+    assert waits_ms[0] is not None and waits_ms[0] > 0.74 * min(12_000.0, 1.5 * (first - 10)), "the time grows"
     last = waits_ms[-1]
     assert last is not None
-    assert controller.on_request(now + 20 + last + 100, "early-client") is None, "at its time it is admitted"
+    assert controller.on_request(now + 20 + last + 100, "early-client") is None, "a retry at its time is admitted"
     controller.on_completed(now + 30_000, "early-client")
     assert "early-client" not in controller.retry_after
 
 
-def test_clients_that_never_return_are_forgotten() -> None:
+def test_clients_that_never_retry_are_removed() -> None:
     controller = OverloadController(OverloadSettings(forget_after_ms=2000.0), 1)
     now, _ = run_load(controller, 0.0, 5, 400, 0.3, 1.0)
     assert len(controller.retry_after) > 300
@@ -118,7 +121,7 @@
     assert len(controller.retry_after) == 0
 
 
-def test_disabled_it_only_measures_and_memory_is_bounded() -> None:
+def test_a_disabled_controller_only_measures_and_bounds_its_memory() -> None:
     controller = OverloadController(OverloadSettings(enabled=False, max_clients=500), 1)
     now, _ = run_load(controller, 0.0, 5, 400, 0.0, 1.0)
     _, retry_after_ms = run_load(controller, now, 6, 1600, 0.8, 1.0, 2, retry_share=0.6)
@@ -127,7 +130,7 @@
     assert controller.status()["stage"] == "storm"
 
 
-def test_connections_and_missing_instances_raise_an_alarm_but_no_storm() -> None:
+def test_connections_and_missing_instances_raise_the_stage_but_start_no_storm() -> None:
     controller = OverloadController(OverloadSettings(), 1)
     now = 0.0
     while now < 10_000:
@@ -149,15 +152,15 @@
         for _ in range(600):
             now += 3
             controller.on_attempt_answered(now, True)
-        assert controller.stage is stage, "missing instances are a sign only while workers are cold"
+        assert controller.stage is stage, "missing instances count only while workers are cold"
 
 
-def test_retries_of_a_tenant_over_quota_take_the_capacity_that_is_left() -> None:
-    """One tenant's clients retry in a storm; the other tenant's usual requests and retries are admitted."""
+def test_retries_of_a_tenant_over_quota_only_use_the_remaining_capacity() -> None:
+    """While one tenant causes a retry storm, the usual requests and retries of the other tenant are admitted."""
     controller = OverloadController(OverloadSettings(), 1, {"quiet": 1.0, "loud": 1.0})
     random_source, now, number = random.Random(3), 0.0, 0
     held_back, admitted = {"quiet": 0, "loud": 0}, {"quiet": 0, "loud": 0}
-    retries = list[tuple[float, str, str]]()  # when, the tenant, the client
+    retries = list[tuple[float, str, str]]()  # time, tenant and client
     while now < 30_000:
         now += 1
         arrivals = [
@@ -188,10 +191,10 @@
     )
 
 
-def test_a_tenant_over_quota_is_held_back_while_others_are_degraded_and_no_longer() -> None:
+def test_a_tenant_over_quota_is_held_back_only_while_others_are_degraded() -> None:
     controller = OverloadController(OverloadSettings(), 1, {"quiet": 2.0, "loud": 1.0})
     random_source, now = random.Random(5), 0.0
-    requests_by_second: dict[float, list[int]] = {}  # arrived, admitted
+    requests_by_second: dict[float, list[int]] = {}  # numbers of arrived and admitted requests
     while now < 30_000:
         now += 1
         surge = 10_000 < now < 20_000
@@ -207,13 +210,14 @@
             else:
                 assert retry_after_ms is None, "a tenant within its quota is not held back"
             if retry_after_ms is None:
-                overloaded = surge and controller.quotas.admitted_share > 0.4  # more is admitted than can be served
+                # More requests are admitted than can be served.
+                overloaded = surge and controller.quotas.admitted_share > 0.4
                 controller.on_completed(now, client, tenant, late=overloaded and random_source.random() < 0.5)
     share = {second: admitted / arrived for second, (arrived, admitted) in requests_by_second.items() if arrived}
     assert all(share[n] == 1.0 for n in range(10)) and all(share[n] < 0.6 for n in range(13, 20))
-    assert all(share[n] == 1.0 for n in range(24, 30)), "and no longer"
+    assert all(share[n] == 1.0 for n in range(24, 30)), "all requests are admitted once no other tenant is degraded"
     other = OverloadController(OverloadSettings(), 1, {"quiet": 2.0, "loud": 1.0})
-    for step in range(20_000):  # over its quota while no other tenant is degraded
+    for step in range(20_000):  # one tenant is over its quota, but no other tenant is degraded
         tenant = "loud" if step % 2 else "quiet"
         assert other.on_request(step, f"{tenant} {step}", tenant) is None
         other.on_completed(step, f"{tenant} {step}", tenant)
