--- a/bench/crash_points.py
+++ b/bench/crash_points.py
@@ -56,7 +56,7 @@
     name = f"{step}-{effect}-{'deferred' if deferred else 'keyed'}"
     report: Report = {"step": step, "effect": effect, "deferred": deferred}
     child = await trial.launch(name, "--crash-at", step)
-    address, key = child.said["address"], "" if deferred else f"key-{name}"
+    address, key = child.ready_info["address"], "" if deferred else f"key-{name}"
     target = f"actions/{ACTIONS[effect]}?blocking={str(not deferred).lower()}"
     first = await trial.request(address, "POST", target, {"ticket": name}, key)
     report["first"] = first.status
@@ -66,7 +66,7 @@
     except TimeoutError:  # the call never came to that step
         await trial.cluster.terminate(child)
         return report | {"broken": True, "reached": False}
-    child.words = trial.command(name)
+    child.arguments = trial.command(name)
     await trial.cluster.launch(child)
     accepted = first.activation_id
     if accepted:
@@ -94,7 +94,7 @@
     name = f"lost-{step}-{effect}-{'keyed' if keyed else 'plain'}"
     child = await trial.launch_peer(name, "--crash-at", step)
     key, target = f"key-{name}" if keyed else "", deferred_target(effect)
-    first = await trial.request(child.said["address"], "POST", target, {"ticket": name}, key)
+    first = await trial.request(child.ready_info["address"], "POST", target, {"ticket": name}, key)
     assert child.process is not None
     await asyncio.wait_for(child.process.wait(), LOSS_TIMEOUT_S)
     shutil.rmtree(trial.folder / name)
@@ -136,7 +136,7 @@
         return trial.request_until_known(address, "POST", target, {"ticket": name}, key)
 
     # A 503 shows that nothing was done: its peers, one of which has just ended, did not all answer for the key yet.
-    first_request = asyncio.ensure_future(post(child.said["address"]))
+    first_request = asyncio.ensure_future(post(child.ready_info["address"]))
     await wait_until_paused(child)
     start = loop.time()
     report: Report = {"step": step, "effect": effect, "paused": True}
@@ -180,7 +180,7 @@
     """The answers to each activation that a peer and the resumed dispatcher give."""
     answers: dict[str, set[str]] = {}
     for id_ in ids:
-        for address in (trial.peer_address, child.said["address"]):
+        for address in (trial.peer_address, child.ready_info["address"]):
             record = await trial.request_until_known(address, "GET", f"activations/{id_}")
             answer = record.answer if record.status == 200 else str(record.status)
             answers.setdefault(id_, set()).add(answer)
--- a/bench/crash_trial.py
+++ b/bench/crash_trial.py
@@ -88,7 +88,7 @@
     @property
     def peer_address(self) -> str:
         """The address of a peer that gets no request before a fault."""
-        return str(self.cluster.dispatchers[1].said["address"])
+        return str(self.cluster.dispatchers[1].ready_info["address"])
 
     async def launch(self, name: str, *fault: str) -> Process:
         """Start a dispatcher alone, with the options of its fault."""
@@ -106,7 +106,7 @@
 
     def command(self, name: str) -> list[str]:
         """The command line of a dispatcher without a fault."""
-        endpoint_service = self.cluster.endpoint_service.said["address"]
+        endpoint_service = self.cluster.endpoint_service.ready_info["address"]
         state = str(self.folder / name)
         return ["serve", self._file, "--name", name, "--roster", endpoint_service, "--state", state]
 
@@ -159,5 +159,5 @@
 
 async def wait_until_replicated(child: Process, interval_s: float) -> None:
     """Wait until a dispatcher replicates what it accepts."""
-    while not (await http_json(child.said["asked_at"], "GET", "/copies"))["promising"]:
+    while not (await http_json(child.ready_info["asked_at"], "GET", "/copies"))["promising"]:
         await asyncio.sleep(interval_s)
--- a/bench/lease_measurements/failover.py
+++ b/bench/lease_measurements/failover.py
@@ -99,7 +99,7 @@
 
 async def lease_report(child: Process) -> dict[str, Any]:
     """What the control port of a dispatcher reports on leases."""
-    report: dict[str, Any] = await http_json(child.said["asked_at"], "GET", "/leases")
+    report: dict[str, Any] = await http_json(child.ready_info["asked_at"], "GET", "/leases")
     return report
 
 
--- a/bench/planner.py
+++ b/bench/planner.py
@@ -40,7 +40,7 @@
 async def start_planner(cluster: Cluster, name: str) -> PlannerProcesses:
     """Start both; `name` is that of the endpoint service."""
     endpoint_service = await cluster.start_process(name, ["emulate", "endpoint-service"])
-    options = ["--roster", endpoint_service.said["address"], "--control", "127.0.0.1:0"]
+    options = ["--roster", endpoint_service.ready_info["address"], "--control", "127.0.0.1:0"]
     planner = await cluster.start_process("planner", ["planner", str(LARGE), *options])
     return PlannerProcesses(planner, endpoint_service)
 
@@ -62,13 +62,13 @@
             "cell": n // 2,
             "age_ms": 1e9,
         }
-        await http_json(endpoint_service.said["address"], "POST", "/register", endpoint)
+        await http_json(endpoint_service.ready_info["address"], "POST", "/register", endpoint)
 
 
 def fake_edges(deployment: Deployment, planner: Process, count: int, rate: float) -> list[FakeEdge]:
     """So many edges that report `rate` calls a second of each function."""
     models = [action.model for action in deployment.actions.values()]
-    address = planner.said["address"]
+    address = planner.ready_info["address"]
     return [FakeEdge(f"e{n}", deployment.name, address, models, rate) for n in range(count)]
 
 
@@ -95,8 +95,8 @@
         edges = fake_edges(load(LARGE), processes.planner, BUSY_EDGES, BUSY_EDGE_RATE)
         tasks = [asyncio.create_task(edge.run()) for edge in edges]
         await asyncio.sleep(BUSY_SETTLE_S)
-    report = await run_load(cluster.dispatchers[0].said["address"], out / f"edge-{solving}")
-    state = await http_json(processes.planner.said["control"], "GET", "/")
+    report = await run_load(cluster.dispatchers[0].ready_info["address"], out / f"edge-{solving}")
+    state = await http_json(processes.planner.ready_info["control"], "GET", "/")
     for task in tasks:
         task.cancel()
     await stop_planner(cluster, processes)
@@ -136,7 +136,7 @@
     before = totals(edges)
     await asyncio.sleep(CHANNEL_S)
     after = totals(edges)
-    state = await http_json(processes.planner.said["control"], "GET", "/")
+    state = await http_json(processes.planner.ready_info["control"], "GET", "/")
     row = {
         "edges": CHANNEL_EDGES,
         "to_edges_bytes_s": round((after.bytes_in - before.bytes_in) / CHANNEL_S),
--- a/bench/vrrp_trial.py
+++ b/bench/vrrp_trial.py
@@ -115,7 +115,7 @@
     def _client_emulator(self) -> ClientEmulator:
         addresses = [f"{router.address}:{router.port}" for router in self._routers]
         capture = Capture(self._out / "captures" / "clients.jsonl", "clients")
-        return ClientEmulator(self._deployment, addresses, capture, self._seed, front=True)
+        return ClientEmulator(self._deployment, addresses, capture, self._seed, shared_address=True)
 
     async def _fail_over(self, fault: MasterFault, number: int) -> None:
         """One fault of the master, its repair, and the wait until the best router holds the address alone."""
@@ -196,11 +196,11 @@
         """The dispatcher that reports itself as master of the first router."""
         while True:
             for child in self._cluster.dispatchers:
-                status = await http_json(child.said["asked_at"], "GET", "/vrrp")
+                status = await http_json(child.ready_info["asked_at"], "GET", "/vrrp")
                 if status["routers"][0]["state"] == "master":
                     return child
             await asyncio.sleep(POLL_S)
 
     async def _set_datagram_faults(self, **faults: Any) -> None:
         assert self._cluster.datagram_proxy is not None
-        await http_json(self._cluster.datagram_proxy.said["address"], "POST", "/", faults)
+        await http_json(self._cluster.datagram_proxy.ready_info["address"], "POST", "/", faults)
--- a/kelptrail/cli/emulator.py
+++ b/kelptrail/cli/emulator.py
@@ -199,7 +199,7 @@
             list(values["addresses"]),
             Capture(folder / f"{name}.jsonl" if folder else None, name),
             values["seed"],
-            second=list(values["inference_addresses"]),
+            inference_addresses=list(values["inference_addresses"]),
             part=(values["number"], values["of"]),
         )
         plan = emulator.plan(scenario.load, scenario.seconds)
--- a/kelptrail/cli/serving.py
+++ b/kelptrail/cli/serving.py
@@ -257,7 +257,7 @@
     cluster = Cluster(deployment, file, None, log_level=log_level, quiet=quiet)
     try:
         await cluster.start(workers, 1, None)
-        _introduce_demo(deployment, cluster.dispatchers[0].said["invoke"])
+        _introduce_demo(deployment, cluster.dispatchers[0].ready_info["invoke"])
         await stop.wait()
     finally:
         clean = await cluster.stop()
--- a/kelptrail/emulator/child_process.py
+++ b/kelptrail/emulator/child_process.py
@@ -25,14 +25,14 @@
 
 @dataclass(slots=True, eq=False)
 class Process:
-    """One child process; `said` is its ready line."""
+    """One child process; `ready_info` is its decoded ready line."""
 
     name: str
-    words: list[str]
+    arguments: list[str]
     process: asyncio.subprocess.Process | None = None
-    said: dict[str, Any] = field(default_factory=dict)
+    ready_info: dict[str, Any] = field(default_factory=dict)
     starts: int = 0
-    ending: bool = False  # its end was requested
+    stop_requested: bool = False
 
     @property
     def running(self) -> bool:
@@ -41,19 +41,19 @@
 
     def option(self, name: str) -> str:
         """Return the value of an option in its command line.  Raises `ValueError` if the option is missing."""
-        return self.words[self.words.index(name) + 1]
+        return self.arguments[self.arguments.index(name) + 1]
 
     def start_arguments(self) -> list[str]:
         """Return the arguments for the next start; a restart uses the ports of the last start and never starts warm."""
-        if not self.said:
-            return list(self.words)
-        arguments = [*self.words, "--port", _port_of(self.said["address"])]
-        if self.said.get("grpc"):
-            arguments += ["--grpc-port", _port_of(self.said["grpc"])]
-        if self.said.get("peers"):
-            arguments += ["--peers-port", _port_of(self.said["peers"])]
-        if "control" in self.said:
-            arguments += ["--control-port", _port_of(self.said["control"])]
+        if not self.ready_info:
+            return list(self.arguments)
+        arguments = [*self.arguments, "--port", _port_of(self.ready_info["address"])]
+        if self.ready_info.get("grpc"):
+            arguments += ["--grpc-port", _port_of(self.ready_info["grpc"])]
+        if self.ready_info.get("peers"):
+            arguments += ["--peers-port", _port_of(self.ready_info["peers"])]
+        if "control" in self.ready_info:
+            arguments += ["--control-port", _port_of(self.ready_info["control"])]
         return [argument for argument in arguments if argument != "--warm"]
 
 
@@ -68,7 +68,7 @@
     if `quiet`.
     """
     arguments = child.start_arguments()
-    child.starts, child.ending = child.starts + 1, False
+    child.starts, child.stop_requested = child.starts + 1, False
     if logs is not None:
         stderr: Any = open(logs / f"{child.name}.log", "ab")  # noqa: SIM115
     else:
@@ -94,7 +94,7 @@
     assert process.stdout is not None
     try:
         line = await asyncio.wait_for(process.stdout.readline(), READY_TIMEOUT_S)
-        child.said = msgspec.json.decode(line)
+        child.ready_info = msgspec.json.decode(line)
     except (TimeoutError, msgspec.DecodeError):
         raise ProcessStartError(f"{child.name} did not print a valid ready line in time") from None
 
--- a/kelptrail/emulator/clients.py
+++ b/kelptrail/emulator/clients.py
@@ -32,22 +32,24 @@
         addresses: list[str],
         capture: Capture,
         seed: int,
-        front: bool = False,
-        second: list[str] | None = None,
+        shared_address: bool = False,
+        inference_addresses: list[str] | None = None,
         part: tuple[int, int] = (0, 1),
     ) -> None:
-        """`front` is True if dispatchers share the addresses, so that a client cannot choose the one that answers.
+        """`shared_address` is True if dispatchers share the addresses: clients cannot choose the one that answers.
 
-        `second` lists addresses of the inference API; `part` is (index, count) for several client processes.
+        `part` is (index, count) for several client processes.
         """
         self._part, self._id_prefix = part, f"{part[0]}-" if part[1] > 1 else ""
-        self._deployment, self._dispatcher_count, self._shared_address = deployment, len(addresses), front
+        self._deployment, self._dispatcher_count, self._shared_address = deployment, len(addresses), shared_address
         seeds = [seed, RANDOM_STREAM, *part] if part[1] > 1 else [seed, RANDOM_STREAM]
         self._random = np.random.default_rng(seeds)
         self._tracker = CallTracker(capture, self._random, self._attempt)
         self._invoke_client = InvokeClient(deployment, addresses, self._tracker, self._random)
         self._inference_client = (
-            InferenceClient(deployment, second, addresses, self._tracker, self._invoke_client) if second else None
+            InferenceClient(deployment, inference_addresses, addresses, self._tracker, self._invoke_client)
+            if inference_addresses
+            else None
         )
         self._ticket_count = self._attempt_count = 0
 
--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -87,14 +87,14 @@
         await self._start_dispatchers(dispatchers, tasks, state)
 
     async def _start_workers(self, count: int) -> None:
-        store, endpoint_service = self.store.said["address"], self.endpoint_service.said["address"]
+        store, endpoint_service = self.store.ready_info["address"], self.endpoint_service.ready_info["address"]
         starts = (
             self.start_process(f"worker-{n}", self._commands.worker(n, store, endpoint_service)) for n in range(count)
         )
         self.workers = list(await asyncio.gather(*starts))
 
     async def _start_planners(self, names: list[str], solver: str, state: Path | None) -> None:
-        endpoint_service = self.endpoint_service.said["address"]
+        endpoint_service = self.endpoint_service.ready_info["address"]
         starts = (
             self.start_process(
                 name, self._commands.planner(name, endpoint_service, solver, self.peer_options(name), state)
@@ -103,10 +103,10 @@
         )
         self.planners = list(await asyncio.gather(*starts))
         for planner in self.planners:
-            await self._announce_address(planner, planner.said["address"])
+            await self._announce_address(planner, planner.ready_info["address"])
 
     async def _start_dispatchers(self, count: int, tasks: tuple[str, ...], state: Path | None) -> None:
-        endpoint_service = self.endpoint_service.said["address"]
+        endpoint_service = self.endpoint_service.ready_info["address"]
         starts = []
         for number in range(count):
             name = f"dispatcher-{number}"
@@ -131,28 +131,28 @@
     def _planner_options(self, name: str) -> list[str]:
         """Return the options with the addresses of the planners, which are those of the proxy if there is one."""
         routes = self._proxy_routes()
-        return repeated("--planner", (routes.get(f"{name}>{p.name}", p.said["address"]) for p in self.planners))
+        return repeated("--planner", (routes.get(f"{name}>{p.name}", p.ready_info["address"]) for p in self.planners))
 
     def _proxy_routes(self) -> dict[str, str]:
         """Return the addresses of the proxy by link, "source>target"."""
-        routes: dict[str, str] = self.channel_proxy.said["routes"] if self.channel_proxy is not None else {}
+        routes: dict[str, str] = self.channel_proxy.ready_info["routes"] if self.channel_proxy is not None else {}
         return routes
 
     async def _announce_address(self, child: Process, address: str) -> None:
         """Send the proxy the address at which a process listens."""
         if self.channel_proxy is not None:
-            await http_json(self.channel_proxy.said["address"], "POST", "/", {"at": {child.name: address}})
+            await http_json(self.channel_proxy.ready_info["address"], "POST", "/", {"at": {child.name: address}})
 
     def _task_options(self, tasks: tuple[str, ...]) -> list[str]:
         if self.side_effect_log is None:
             return []
-        return ["--witness", self.side_effect_log.said["address"], *repeated("--task", tasks)]
+        return ["--witness", self.side_effect_log.ready_info["address"], *repeated("--task", tasks)]
 
-    async def start_process(self, name: str, words: list[str]) -> Process:
+    async def start_process(self, name: str, arguments: list[str]) -> Process:
         """Start a new process with this command line; emulators write a capture."""
-        if self._out is not None and words[0] == "emulate":
-            words = [*words, "--capture", str(self._out / f"{name}.jsonl")]
-        child = Process(name, words)
+        if self._out is not None and arguments[0] == "emulate":
+            arguments = [*arguments, "--capture", str(self._out / f"{name}.jsonl")]
+        child = Process(name, arguments)
         await self.launch(child)
         return child
 
@@ -163,8 +163,8 @@
         """
         process = await spawn(child, self._logs, self._quiet)
         await read_ready_line(child, process)
-        if child.said.get("peers"):
-            await self._announce_address(child, child.said["peers"])
+        if child.ready_info.get("peers"):
+            await self._announce_address(child, child.ready_info["peers"])
         task = asyncio.get_running_loop().create_task(self._supervise(child, process))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -176,12 +176,14 @@
             with contextlib.suppress(OSError):
                 await self.set_listed_state(child, "gone")
 
-    async def run_clients(self, script: str, count: int, start: float, addresses: list[str], second: list[str]) -> None:
+    async def run_clients(
+        self, script: str, count: int, start: float, addresses: list[str], inference_addresses: list[str]
+    ) -> None:
         """Run the clients of a script in `count` processes until these exit.
 
         Raises `ClientsFailedError` if a process exits with an error.
         """
-        arguments = self._commands.clients(script, start, count, addresses, second)
+        arguments = self._commands.clients(script, start, count, addresses, inference_addresses)
         capture = ["--capture", str(self._out)] if self._out is not None else []
         children = [
             await asyncio.create_subprocess_exec(
@@ -202,12 +204,12 @@
         """Set the state of a worker in the endpoint list."""
         body = {"id": worker.name, "state": state}
         if state == "gone":
-            body["incarnation"] = worker.said["incarnation"]
-        await http_json(self.endpoint_service.said["address"], "POST", "/state", body)
+            body["incarnation"] = worker.ready_info["incarnation"]
+        await http_json(self.endpoint_service.ready_info["address"], "POST", "/state", body)
 
     async def fault(self, child: Process, **body: Any) -> None:
         """Inject a fault at a process's control port."""
-        await http_json(child.said.get("control") or child.said["address"], "POST", "/fault", body)
+        await http_json(child.ready_info.get("control") or child.ready_info["address"], "POST", "/fault", body)
 
     def set_disk_fault(self, child: Process, **fault: Any) -> None:
         """Set a dispatcher's disk fault; without settings the fault ends."""
@@ -231,7 +233,7 @@
     async def set_link_fault(self, **body: Any) -> None:
         """Change the faults of the channel proxy."""
         assert self.channel_proxy is not None
-        await http_json(self.channel_proxy.said["address"], "POST", "/", body)
+        await http_json(self.channel_proxy.ready_info["address"], "POST", "/", body)
 
     def signal(self, child: Process, number: signal.Signals) -> None:
         """Send a signal to a child process if it is running."""
@@ -240,13 +242,13 @@
 
     def kill(self, child: Process) -> None:
         """Send SIGKILL to a child process if it is running."""
-        child.ending = True
+        child.stop_requested = True
         if child.running and child.process is not None:
             child.process.kill()
 
     async def terminate(self, child: Process, within_s: float = 20.0) -> int | None:
         """Send SIGTERM and wait for the exit code; kill the process if it does not exit in time."""
-        child.ending = True
+        child.stop_requested = True
         if child.process is None:
             return None
         if child.running:
--- a/kelptrail/emulator/cluster_commands.py
+++ b/kelptrail/emulator/cluster_commands.py
@@ -130,11 +130,10 @@
             str(state / f"clock-{number}.json"),
         ]
 
-    def clients(self, script: str, start: float, count: int, addresses: list[str], second: list[str]) -> list[str]:
-        """Return the command line of one of `count` client processes, without its `--number` option.
-
-        `second` lists the addresses of the inference API.
-        """
+    def clients(
+        self, script: str, start: float, count: int, addresses: list[str], inference_addresses: list[str]
+    ) -> list[str]:
+        """Return the command line of one of `count` client processes, without its `--number` option."""
         return [
             "emulate",
             "clients",
@@ -146,7 +145,7 @@
             "--of",
             str(count),
             *repeated("--at", addresses),
-            *repeated("--second", second),
+            *repeated("--second", inference_addresses),
         ]
 
     def _zone(self, number: int) -> str:
--- a/kelptrail/fault_scenario/dispatcher_faults.py
+++ b/kelptrail/fault_scenario/dispatcher_faults.py
@@ -78,7 +78,10 @@
         for dispatcher in self._cluster.dispatchers:
             with contextlib.suppress(OSError, HttpError, TimeoutError):
                 async with asyncio.timeout(LEASE_QUERY_TIMEOUT_S):
-                    if dispatcher.running and (await http_json(dispatcher.said["asked_at"], "GET", "/leases"))["holds"]:
+                    if (
+                        dispatcher.running
+                        and (await http_json(dispatcher.ready_info["asked_at"], "GET", "/leases"))["holds"]
+                    ):
                         found.append(dispatcher)
         return found
 
--- a/kelptrail/fault_scenario/fault_injector.py
+++ b/kelptrail/fault_scenario/fault_injector.py
@@ -135,7 +135,9 @@
         """Slow a planner down, or kill and restart it, with its state or without."""
         if fault.kind in (FaultKind.PLANNERS_SLOW, FaultKind.PLANNERS_WRONG):
             settings = {"ms": fault.ms} if fault.kind == FaultKind.PLANNERS_SLOW else {"factor": fault.factor}
-            await http_json(target.said["control"], "POST", "/fault", settings | {"for_ms": fault.duration * 1000})
+            await http_json(
+                target.ready_info["control"], "POST", "/fault", settings | {"for_ms": fault.duration * 1000}
+            )
             return
         if fault.kind == FaultKind.PAUSE_PLANNERS:
             self._cluster.signal(target, signal.SIGSTOP)
@@ -160,7 +162,7 @@
         """Drain the worker, let its work end, stop it, and with `restart` launch it again."""
         await self._cluster.set_listed_state(target, "draining")
         await asyncio.sleep(self._deployment.rules.drain_grace_ms / 1000)
-        await http_json(target.said["control"], "POST", "/drain", {})
+        await http_json(target.ready_info["control"], "POST", "/drain", {})
         await asyncio.sleep(WORK_ENDS_WITHIN_S)
         await self._cluster.terminate(target, STOPS_WITHIN_S)
         if restart:
@@ -171,7 +173,7 @@
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
-        endpoint_service = self._cluster.endpoint_service.said["address"]
+        endpoint_service = self._cluster.endpoint_service.ready_info["address"]
         await http_json(
             endpoint_service,
             "POST",
--- a/kelptrail/fault_scenario/held_connections.py
+++ b/kelptrail/fault_scenario/held_connections.py
@@ -22,7 +22,7 @@
     sockets: list[socket.socket] = []
     for number in range(fault.count):
         dispatcher = cluster.dispatchers[number % len(cluster.dispatchers)]
-        await _open_connection(dispatcher.said["address"], reads_slowly, sockets)
+        await _open_connection(dispatcher.ready_info["address"], reads_slowly, sockets)
     end = now_ms() + fault.duration * 1000
     while now_ms() < end:
         await asyncio.sleep(1)
--- a/kelptrail/fault_scenario/runner.py
+++ b/kelptrail/fault_scenario/runner.py
@@ -110,7 +110,10 @@
         """Wait until all dispatchers have their replicas, as an operator would before admitting clients."""
         end = now_ms() + within_s * 1000
         for dispatcher in self._cluster.dispatchers:
-            while now_ms() < end and not (await http_json(dispatcher.said["asked_at"], "GET", "/copies"))["promising"]:
+            while (
+                now_ms() < end
+                and not (await http_json(dispatcher.ready_info["asked_at"], "GET", "/copies"))["promising"]
+            ):
                 await asyncio.sleep(0.1)
 
     def _make_clients(self) -> ClientEmulator:
@@ -119,14 +122,14 @@
             self._invoke_addresses(),
             Capture(self._captures / "clients.jsonl", "clients"),
             self._seed,
-            second=self._inference_addresses(),
+            inference_addresses=self._inference_addresses(),
         )
 
     def _invoke_addresses(self) -> list[str]:
-        return [dispatcher.said["address"] for dispatcher in self._cluster.dispatchers]
+        return [dispatcher.ready_info["address"] for dispatcher in self._cluster.dispatchers]
 
     def _inference_addresses(self) -> list[str]:
-        return [dispatcher.said["grpc"] for dispatcher in self._cluster.dispatchers]
+        return [dispatcher.ready_info["grpc"] for dispatcher in self._cluster.dispatchers]
 
     def _begin_load(self, delay_ms: float) -> None:
         """Fix the start of the load, and keep garbage collection rare: pauses of the clients' own process must not
@@ -174,5 +177,5 @@
         states = []
         for dispatcher in self._cluster.dispatchers:
             with contextlib.suppress(OSError, HttpError):
-                states.append(await http_json(dispatcher.said["asked_at"], "GET", "/state"))
+                states.append(await http_json(dispatcher.ready_info["asked_at"], "GET", "/state"))
         return states
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -916,7 +916,7 @@
         await cluster.start(2, 1, tmp_path / "state")
         try:
             namespace = deployment.namespaces["families"]
-            client = Client(cluster.dispatchers[0].said["grpc"], authorization(namespace.uuid, namespace.key))
+            client = Client(cluster.dispatchers[0].ready_info["grpc"], authorization(namespace.uuid, namespace.key))
             inputs = [tensor("INT32", [4, 2])]
             assert list((await client.infer("places/place-check", inputs)).outputs[0].contents.int_contents) == [4, 2]
             out = [r async for r in client.stream([infer_request("places/place-check", inputs, parts=4)])]
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -660,7 +660,7 @@
         await cluster.start(2, 5, tmp_path / "state")
         try:
             for dispatcher in cluster.dispatchers:
-                while not (await http_json(dispatcher.said["asked_at"], "GET", "/copies"))["promising"]:
+                while not (await http_json(dispatcher.ready_info["asked_at"], "GET", "/copies"))["promising"]:
                     await asyncio.sleep(0.1)
             first, *others = cluster.dispatchers
             key = {
@@ -670,7 +670,9 @@
             }
             ids = []
             for _ in range(6):
-                status, _, body = await http(first.said["address"], "POST", "actions/grant?blocking=false", key, b"{}")
+                status, _, body = await http(
+                    first.ready_info["address"], "POST", "actions/grant?blocking=false", key, b"{}"
+                )
                 assert status == 202
                 ids.append(body["activationId"])
             for name, code in (("dispatcher-1", 1), ("dispatcher-0", 0)):
@@ -680,19 +682,19 @@
                     "kelptrail",
                     "retire",
                     name,
-                    first.said["asked_at"],
+                    first.ready_info["asked_at"],
                     "--within",
                     "20",
                     stdout=asyncio.subprocess.DEVNULL,
                     stderr=asyncio.subprocess.DEVNULL,
                 )
                 assert await process.wait() == code, f"{name}: only the one that is there"
-            status, _, _ = await http(first.said["address"], "POST", "actions/grant?blocking=false", key, b"{}")
+            status, _, _ = await http(first.ready_info["address"], "POST", "actions/grant?blocking=false", key, b"{}")
             assert status == 503, "no new call is accepted there"
             await cluster.terminate(first)
             cluster.lose_disk(first)
             for id_ in ids:
-                status, headers, body = await http(others[0].said["address"], "GET", f"activations/{id_}", key)
+                status, headers, body = await http(others[0].ready_info["address"], "GET", f"activations/{id_}", key)
                 if status == 307:
                     at = headers["location"].removeprefix("http://").partition("/")[0]
                     status, _, body = await http(at, "GET", f"activations/{id_}", key)
