--- a/kelptrail/emulator/child_process.py
+++ b/kelptrail/emulator/child_process.py
@@ -36,7 +36,7 @@
 
     @property
     def running(self) -> bool:
-        """Whether the process was started and has not ended."""
+        """True if the process was started and has not exited."""
         return self.process is not None and self.process.returncode is None
 
     def option(self, name: str) -> str:
--- a/kelptrail/emulator/client_calls.py
+++ b/kelptrail/emulator/client_calls.py
@@ -32,7 +32,7 @@
 class ClientCall:
     """One call of a client with all its attempts."""
 
-    ticket: str
+    ticket: str  # id of the call, which is also its idempotency key and the input of the function
     action: ActionSettings
     type: TypeSettings
     namespace: NamespaceSettings
@@ -78,11 +78,11 @@
     )
 
 
-def answer_of_reason(reason: str | None, otherwise: str) -> str:
-    """Return the answer that corresponds to the reason of a gRPC error, or `otherwise` for other reasons."""
+def answer_of_reason(reason: str | None, default_answer: str) -> str:
+    """Return the answer that corresponds to the reason of a gRPC error, or `default_answer` for other reasons."""
     if reason == "REJECTED":
         return ClientOutcome.REJECTED.value
-    return ClientOutcome.ABORTED.value if reason in ABORTED_REASONS else otherwise
+    return ClientOutcome.ABORTED.value if reason in ABORTED_REASONS else default_answer
 
 
 class CallTracker:
--- a/kelptrail/emulator/endpoint_service.py
+++ b/kelptrail/emulator/endpoint_service.py
@@ -51,7 +51,8 @@
         self._loop = asyncio.get_running_loop()
         self._lineage, self._version = os.urandom(4).hex(), 0
         self._workers: dict[str, _ListedWorker] = {}
-        self._dispatchers: dict[str, _ListedDispatcher] = {}  # never removed, as they restart under their names
+        # Dispatchers restart under the same name, so their entries are never removed.
+        self._dispatchers: dict[str, _ListedDispatcher] = {}
         self._polls: dict[_LongPoll, None] = {}
         self.delay_ms = 0.0
         self.server = HttpServer(self._handle)
--- a/kelptrail/emulator/inference_client.py
+++ b/kelptrail/emulator/inference_client.py
@@ -1,4 +1,4 @@
-"""Clients of the inference API: unary and streamed calls over gRPC."""
+"""Client of the inference API: unary and streamed calls over gRPC."""
 
 from __future__ import annotations
 
--- a/kelptrail/emulator/worker.py
+++ b/kelptrail/emulator/worker.py
@@ -267,4 +267,4 @@
             lag=self._arrival_lag_ms(),
         )
         if WorkerFault.HANG not in self._faults and WorkerFault.SILENT not in self._faults:
-            self._instances.order(model, instance_count, exchange)
+            self._instances.handle_order(model, instance_count, exchange)
--- a/kelptrail/emulator/worker_control.py
+++ b/kelptrail/emulator/worker_control.py
@@ -42,7 +42,7 @@
         self._server, self._capture, self._restart = server, capture, restart
 
     def handle(self, request: Request, exchange: Exchange) -> None:
-        """Answer `/state`, `/drain` or `/fault`."""
+        """Answer a request for `/state`, `/drain` or `/fault`."""
         if request.segments == ["state"]:
             exchange.reply(200, msgspec.json.encode(self._describe_state()))
             return
--- a/kelptrail/emulator/worker_effects.py
+++ b/kelptrail/emulator/worker_effects.py
@@ -21,7 +21,7 @@
     result: str
 
 
-OnStoredEffect = Callable[[StoredEffect | None], None]  # None: the store did not answer
+OnStoredEffect = Callable[[StoredEffect | None], None]  # receives None if the store did not answer
 
 
 class SideEffects:
--- a/kelptrail/emulator/worker_instances.py
+++ b/kelptrail/emulator/worker_instances.py
@@ -34,7 +34,7 @@
         self._state, self._store, self._reporter, self._on_load_ended = state, store, reporter, on_load_ended
         self._fetch_share = fetch_share  # share of the load time
 
-    def order(self, model: HostedModel, instance_count: int, exchange: Exchange) -> None:
+    def handle_order(self, model: HostedModel, instance_count: int, exchange: Exchange) -> None:
         """Execute a load order.
 
         It is answered once `instance_count` instances are loaded, or immediately if there is no capacity.
--- a/kelptrail/load/generator_clients.py
+++ b/kelptrail/load/generator_clients.py
@@ -38,7 +38,7 @@
 class GeneratedCall:
     """One call of a client with all its attempts."""
 
-    ticket: str
+    ticket: str  # id of the call, which is also its idempotency key and the input of the function
     action: ActionSettings
     type: TypeSettings
     namespace: NamespaceSettings
--- a/kelptrail/load/invoke_api.py
+++ b/kelptrail/load/invoke_api.py
@@ -46,7 +46,11 @@
 
     An activation record has it in its annotations, an error at its top level.
     """
-    annotations = {note["key"]: note["value"] for note in body.get("annotations", [])} if isinstance(body, dict) else {}
+    annotations = (
+        {annotation["key"]: annotation["value"] for annotation in body.get("annotations", [])}
+        if isinstance(body, dict)
+        else {}
+    )
     fields = annotations.get(ANNOTATION, body)
     return FinalAnswer(
         fields.get("answer", f"status-{status}"),
--- a/kelptrail/load/plan.py
+++ b/kelptrail/load/plan.py
@@ -31,7 +31,7 @@
 RENAMED_KEYS = {"for": "duration", "heed": "retry_after_share", "half_heed": "half_retry_after_share"}
 
 
-def _load_of(**settings: Any) -> Load:
+def _build_load(**settings: Any) -> Load:
     fields = {RENAMED_KEYS.get(key, key): value for key, value in settings.items()}
     return Load(**(fields | {"one_off": fields["one_off"] == "yes"}))
 
@@ -62,7 +62,7 @@
         "think": number(0.001, 86_400, default=1.0),
         "namespace": word(default=""),
     },
-    build=_load_of,
+    build=_build_load,
 )
 
 
