--- a/kelptrail/emulator/child_process.py
+++ b/kelptrail/emulator/child_process.py
@@ -1,6 +1,7 @@
-"""A child process of the cluster: its command line, its start on the ports it had before, and its ready line.
+"""Child process of a cluster: its command line, its start or restart on the same ports, and its ready line.
 
-Each process has a session of its own, ends when its standard input ends, and prints `{"ready": true, ...}` once.
+Each process runs in its own session, exits when its standard input is closed, and prints one line
+`{"ready": true, ...}` once it is ready.
 """
 
 from __future__ import annotations
@@ -19,40 +20,40 @@
 
 
 class ProcessStartError(RuntimeError):
-    """A child process printed no ready line in time."""
+    """A child process did not print a valid ready line in time."""
 
 
 @dataclass(slots=True, eq=False)
 class Process:
-    """One child process; `said` is its ready line."""
+    """One child process; `ready_info` is its decoded ready line."""
 
     name: str
-    words: list[str]
+    arguments: list[str]
     process: asyncio.subprocess.Process | None = None
-    said: dict[str, Any] = field(default_factory=dict)
+    ready_info: dict[str, Any] = field(default_factory=dict)
     starts: int = 0
-    ending: bool = False  # its end was requested
+    stop_requested: bool = False
 
     @property
     def running(self) -> bool:
-        """Whether the process was started and has not ended."""
+        """True if the process was started and has not exited."""
         return self.process is not None and self.process.returncode is None
 
     def option(self, name: str) -> str:
-        """The value of an option of its command line.  Raises `ValueError` where it is not given."""
-        return self.words[self.words.index(name) + 1]
+        """Return the value of an option in its command line.  Raises `ValueError` if the option is missing."""
+        return self.arguments[self.arguments.index(name) + 1]
 
     def start_arguments(self) -> list[str]:
-        """The command line; of a restart with the ports of the last start, and without a warm start."""
-        if not self.said:
-            return list(self.words)
-        arguments = [*self.words, "--port", _port_of(self.said["address"])]
-        if self.said.get("grpc"):
-            arguments += ["--grpc-port", _port_of(self.said["grpc"])]
-        if self.said.get("peers"):
-            arguments += ["--peers-port", _port_of(self.said["peers"])]
-        if "control" in self.said:
-            arguments += ["--control-port", _port_of(self.said["control"])]
+        """Return the arguments for the next start; a restart uses the ports of the last start and never starts warm."""
+        if not self.ready_info:
+            return list(self.arguments)
+        arguments = [*self.arguments, "--port", _port_of(self.ready_info["address"])]
+        if self.ready_info.get("grpc"):
+            arguments += ["--grpc-port", _port_of(self.ready_info["grpc"])]
+        if self.ready_info.get("peers"):
+            arguments += ["--peers-port", _port_of(self.ready_info["peers"])]
+        if "control" in self.ready_info:
+            arguments += ["--control-port", _port_of(self.ready_info["control"])]
         return [argument for argument in arguments if argument != "--warm"]
 
 
@@ -61,9 +62,13 @@
 
 
 async def spawn(child: Process, logs: Path | None, quiet: bool) -> asyncio.subprocess.Process:
-    """Start a process; its standard error goes to a file in `logs`, is inherited, or dropped (`quiet`, emulators)."""
+    """Start a process.
+
+    Its standard error is appended to a file in `logs`; without `logs` it is inherited, or discarded for emulators and
+    if `quiet`.
+    """
     arguments = child.start_arguments()
-    child.starts, child.ending = child.starts + 1, False
+    child.starts, child.stop_requested = child.starts + 1, False
     if logs is not None:
         stderr: Any = open(logs / f"{child.name}.log", "ab")  # noqa: SIM115
     else:
@@ -85,16 +90,16 @@
 
 
 async def read_ready_line(child: Process, process: asyncio.subprocess.Process) -> None:
-    """Wait for the ready line.  Raises `ProcessStartError`."""
+    """Read the ready line of a process.  Raises `ProcessStartError` if it is invalid or late."""
     assert process.stdout is not None
     try:
         line = await asyncio.wait_for(process.stdout.readline(), READY_TIMEOUT_S)
-        child.said = msgspec.json.decode(line)
+        child.ready_info = msgspec.json.decode(line)
     except (TimeoutError, msgspec.DecodeError):
-        raise ProcessStartError(f"{child.name} did not start") from None
+        raise ProcessStartError(f"{child.name} did not print a valid ready line in time") from None
 
 
 def memory_kb(pid: int) -> int:
-    """Resident memory of a process, in KiB (proc(5), /proc/PID/statm)."""
+    """Return the resident memory of a process in KiB, from /proc/PID/statm (proc(5))."""
     with open(f"/proc/{pid}/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") // 1024
--- a/kelptrail/emulator/endpoint_service.py
+++ b/kelptrail/emulator/endpoint_service.py
@@ -1,7 +1,8 @@
-"""Emulated endpoint service: it knows only whether processes run, and sends the list to every dispatcher.
+"""Emulated endpoint service: keeps the list of workers and dispatchers, and sends it to every dispatcher.
 
-`GET /workers?who=&known=&wait=` is a long poll.  Workers register by `POST /register`; the supervisor of their
-processes reports ends and drains by `POST /state`.  A fault delays all changes.
+The list only shows which processes run, not whether they are healthy.  `GET /workers?who=&known=&wait=` is a long poll.
+Workers register with `POST /register`; the supervisor of their processes reports exits and drains with `POST /state`.
+A fault delays all changes of workers.
 """
 
 from __future__ import annotations
@@ -43,14 +44,15 @@
 
 
 class EndpointService:
-    """The list and the polls that wait for its next version; `delay_ms` delays changes."""
+    """The endpoint list, and the long polls that wait for its next version; `delay_ms` delays changes of workers."""
 
     def __init__(self, capture: Capture) -> None:
         self._capture = capture
         self._loop = asyncio.get_running_loop()
         self._lineage, self._version = os.urandom(4).hex(), 0
         self._workers: dict[str, _ListedWorker] = {}
-        self._dispatchers: dict[str, _ListedDispatcher] = {}  # never removed, as they restart under their names
+        # Dispatchers restart under the same name, so their entries are never removed.
+        self._dispatchers: dict[str, _ListedDispatcher] = {}
         self._polls: dict[_LongPoll, None] = {}
         self.delay_ms = 0.0
         self.server = HttpServer(self._handle)
@@ -75,7 +77,7 @@
         exchange.reply(200, b"{}")
 
     def _handle_poll(self, query: dict[str, str], exchange: Exchange) -> None:
-        """Answer with the list at once where the dispatcher has another version, else once it changes."""
+        """Answer with the list immediately if the dispatcher has another version, else once the list changes."""
         poller, known_version = query.get("who", ""), query.get("known", "")
         dispatcher = _ListedDispatcher(query.get("at", ""), query.get("channel", ""), query.get("hall", ""))
         name = poller.partition("/")[0]
