--- a/kelptrail/history_checker/__init__.py
+++ b/kelptrail/history_checker/__init__.py
@@ -1,1 +1,1 @@
-"""Checks the five rules on captured traffic, knowing nothing of how decisions were reached."""
+"""Checks the five rules against captured traffic, independently of the code that makes the decisions."""
--- a/kelptrail/history_checker/answers.py
+++ b/kelptrail/history_checker/answers.py
@@ -1,39 +1,40 @@
-"""Rule 1: each accepted call has one final answer in time, and no attempt begins after it."""
+"""Rule 1: each accepted call gets exactly one final answer in time, and no attempt starts after that answer."""
 
 from __future__ import annotations
 
 from collections import defaultdict
 
-from .history import SLACK_MS, Event, History, arrived_by
+from .history import SLACK_MS, Event, History, earliest_arrival
 from .outages import Outages
 from .result import Breach, CheckResult
 
 
 class AnswerCheck:
-    """Checks rule 1 at the clients: each call that was accepted has one final answer in time."""
+    """Checks rule 1 at the clients: each accepted call gets exactly one final answer in time."""
 
     def __init__(self, history: History, result: CheckResult) -> None:
         self._history, self._result = history, result
         self._outages = Outages(history)
         deployment = history.deployment
         self._replicated = bool(deployment.get("copies", 0))
-        # An acknowledged activation must be found again, whatever happened to its dispatcher, where that keeps a
-        # journal.
-        self._acknowledged = {e["call"] for e in history.of("accepted")} if deployment.get("kept") else set()
-        self._lost_disks = set() if self._replicated else {event["dispatcher"] for event in history.of("disk-lost")}
-        self._gave_up_at: dict[str, float] = {event["call"]: event["t"] for event in history.of("no-answer")}
+        # With a journal, an acknowledged activation must remain known whatever happens to its dispatcher.
+        self._acknowledged = {e["call"] for e in history.events_of("accepted")} if deployment.get("kept") else set()
+        self._dispatchers_without_disk = (
+            set() if self._replicated else {event["dispatcher"] for event in history.events_of("disk-lost")}
+        )
+        self._gave_up_at: dict[str, float] = {event["call"]: event["t"] for event in history.events_of("no-answer")}
 
     def run(self) -> None:
-        """Check all calls."""
-        not_taken = {event["call"] for event in self._history.of("not-taken")}
-        self._result.not_taken = len(not_taken)
-        self._check_promises()
-        self._check_contradictions()
+        """Check all calls and add the breaches to the result."""
+        not_accepted = {event["call"] for event in self._history.events_of("not-taken")}
+        self._result.not_taken = len(not_accepted)
+        self._check_denied_activations()
+        self._check_conflicting_finals()
         finals_of_call: dict[str, list[Event]] = defaultdict(list)
-        for event in self._history.of("final"):
+        for event in self._history.events_of("final"):
             finals_of_call[event["call"]].append(event)
         for number, call in self._history.calls.items():
-            if number in not_taken:
+            if number in not_accepted:
                 continue
             self._result.taken += 1
             finals = finals_of_call.get(number)
@@ -42,24 +43,24 @@
             else:
                 self._check_unanswered(number, call)
 
-    def _check_promises(self) -> None:
-        for event in self._history.of("denied"):
+    def _check_denied_activations(self) -> None:
+        for event in self._history.events_of("denied"):
             if event["call"] in self._acknowledged:
                 self._result.add_breach(Breach.PROMISES_DENIED, f"{event['activation']} at {event['at']}")
 
-    def _check_contradictions(self) -> None:
-        """No activation has two different final answers."""
-        for event in self._history.of("final"):
-            known = self._history.finals.get(event["activation"], event)
-            if known["answer"] != event["answer"]:
-                detail = f"{event['activation']} {known['answer']}, {event['answer']}"
+    def _check_conflicting_finals(self) -> None:
+        """Check that no activation has two different final answers."""
+        for event in self._history.events_of("final"):
+            first = self._history.finals.get(event["activation"], event)
+            if first["answer"] != event["answer"]:
+                detail = f"{event['activation']} {first['answer']}, {event['answer']}"
                 self._result.add_breach(Breach.FINALS_TWICE, detail)
 
     def _check_unanswered(self, number: str, call: Event) -> None:
         result = self._result
         acknowledged = number in self._acknowledged
-        if acknowledged and call["dispatcher"] in self._lost_disks:
-            result.lost_with_disk += 1  # stored on that one disk alone
+        if acknowledged and call["dispatcher"] in self._dispatchers_without_disk:
+            result.lost_with_disk += 1  # Without replicas, the activation was stored on that disk only.
         elif acknowledged and number in self._gave_up_at:
             result.add_breach(Breach.ACCEPTED_LOST, f"{number} {call['action']} was acknowledged and is not known")
         elif self._outages.was_down(call, self._gave_up_at.get(number, float("inf"))):
@@ -80,36 +81,36 @@
             result.aborted += 1
         else:
             result.other_answers += 1
-        took_ms = final["took"] if final.get("took") is not None else arrived_by(final) - call["t"]
-        if took_ms > call["limit_ms"] + SLACK_MS and not self._is_late_by_outage(number, call, final):
+        took_ms = final["took"] if final.get("took") is not None else earliest_arrival(final) - call["t"]
+        if took_ms > call["limit_ms"] + SLACK_MS and not self._was_delayed_by_outage(number, call, final):
             result.add_breach(Breach.LATE_FINALS, f"{number} took {took_ms:.0f} of {call['limit_ms']:.0f} ms")
 
-    def _is_late_by_outage(self, number: str, call: Event, final: Event) -> bool:
+    def _was_delayed_by_outage(self, number: str, call: Event, final: Event) -> bool:
         if self._outages.was_down(call, final["t"]):
             return True
-        # The answer of a replicated record waits for its replicas, which a cut keeps away.
-        waits_for_replicas = self._replicated and number in self._acknowledged
-        return waits_for_replicas and self._outages.was_cut_off(call, final["t"])
+        # A replicated record is answered only after its replicas confirm it, and a network cut delays them.
+        needs_replicas = self._replicated and number in self._acknowledged
+        return needs_replicas and self._outages.was_cut_off(call, final["t"])
 
 
 def check_attempts_after_final(history: History, result: CheckResult) -> None:
-    """Rule 1, at the workers: no attempt begins once the client has its answer."""
-    for event in history.of("send"):
+    """Check rule 1 at the workers: no attempt starts after the client has received its answer."""
+    for event in history.events_of("send"):
         final = history.finals.get(event["activation"])
-        if final is not None and arrived_by(event) > final["t"] + SLACK_MS:
-            late_ms = event["t"] - final["t"]
+        if final is not None and earliest_arrival(event) > final["t"] + SLACK_MS:
+            delay_ms = event["t"] - final["t"]
             result.add_breach(
-                Breach.ATTEMPTS_AFTER_FINAL, f"{event['activation']} at {event['worker']}, {late_ms:.0f} ms later"
+                Breach.ATTEMPTS_AFTER_FINAL, f"{event['activation']} at {event['worker']}, {delay_ms:.0f} ms later"
             )
 
 
 def check_attempts_after_part(history: History, result: CheckResult) -> None:
-    """Rule 1, streamed answers: no attempt begins once the client has received a part."""
-    first_part_at = {event["activation"]: event["t"] for event in reversed(history.of("part"))}
-    for event in history.of("send"):
-        since = first_part_at.get(event["activation"])
-        if since is not None and arrived_by(event) > since + SLACK_MS:
-            late_ms = event["t"] - since
+    """Check rule 1 for streamed answers: no attempt starts after the client has received a part of the answer."""
+    first_part_at = {event["activation"]: event["t"] for event in reversed(history.events_of("part"))}
+    for event in history.events_of("send"):
+        part_at = first_part_at.get(event["activation"])
+        if part_at is not None and earliest_arrival(event) > part_at + SLACK_MS:
+            delay_ms = event["t"] - part_at
             result.add_breach(
-                Breach.ATTEMPTS_AFTER_PART, f"{event['activation']} at {event['worker']}, {late_ms:.0f} ms later"
+                Breach.ATTEMPTS_AFTER_PART, f"{event['activation']} at {event['worker']}, {delay_ms:.0f} ms later"
             )
--- a/kelptrail/history_checker/checker.py
+++ b/kelptrail/history_checker/checker.py
@@ -1,6 +1,7 @@
-"""Checks the five rules against captured traffic: clients' calls and answers, what reached workers, endpoint lists.
+"""Checks the five rules against captured traffic: clients' calls and answers, work at the workers, endpoint lists.
 
-It imports nothing of the program.  In doubt about a time the dispatcher is taken to be right.
+This package imports nothing else from kelptrail.  Where the time of an event is uncertain, the checker assumes the time
+that is in the dispatcher's favour.
 """
 
 from __future__ import annotations
@@ -18,12 +19,14 @@
 
 
 class CaptureError(ValueError):
-    """A line of a capture that cannot be read."""
+    """Raised for a line of a capture that is not valid JSON."""
 
 
 def read_captures(folder: Path) -> list[Event]:
-    """All captures of a folder in order of time.  A torn last line of a killed process is skipped.  Raises
-    `CaptureError` with the first other line that cannot be read.
+    """Return the events of all captures in a folder, in order of time.
+
+    A process that is killed may leave an incomplete last line, which is skipped.  Raises `CaptureError` for the first
+    other line that is not valid JSON.
     """
     events: list[Event] = []
     for file in sorted(folder.glob("*.jsonl")):
@@ -35,13 +38,13 @@
                 events.append(json.loads(line))
             except ValueError:
                 if number < len(lines) - 2:
-                    raise CaptureError(f"{file.name}:{number + 1} is no capture line") from None
+                    raise CaptureError(f"{file.name}:{number + 1} is not a valid capture line") from None
     events.sort(key=lambda event: event["t"])
     return events
 
 
 def check_history(events: Iterable[Event]) -> CheckResult:
-    """Check all rules on the events of one run."""
+    """Check all rules against the events of one run."""
     history, result = History(events), CheckResult()
     AnswerCheck(history, result).run()
     check_effects(history, result)
@@ -51,7 +54,7 @@
     check_slow_start(history, result)
     check_load_ration(history, result)
     check_leases(history, result)
-    result.attempts = len(history.of("send"))
+    result.attempts = len(history.events_of("send"))
     result.loads = len(history.load_orders())
-    result.effects = len(history.of("effect"))
+    result.effects = len(history.events_of("effect"))
     return result
--- a/kelptrail/history_checker/effects.py
+++ b/kelptrail/history_checker/effects.py
@@ -1,4 +1,4 @@
-"""Rule 2: no call of a client has a second effect beyond its class."""
+"""Rule 2: no call has more side effects than the effect class of its type allows."""
 
 from __future__ import annotations
 
@@ -10,22 +10,30 @@
 
 
 def check_effects(history: History, result: CheckResult) -> None:
-    """Rule 2, at the workers: by idempotency key where repeats are dropped, by call where there is at most one run."""
-    effect_of_type = {t["name"]: t["effect"] for t in history.deployment["types"]}
-    tickets = _tickets(history)
-    effects: Counter[tuple[str, Any]] = Counter()
-    ran: set[str] = set()
-    for event in history.of("effect"):
-        ran.add(event["activation"])
-        kind = effect_of_type[event["type"]]
-        if kind == "repeatable":
+    """Check rule 2 at the workers.
+
+    Effects of deduplicated types are counted by idempotency key, and effects of once-only types by the client's call,
+    including its retries.  A once-only call that was rejected must not have run.
+    """
+    effect_of_type = {type_["name"]: type_["effect"] for type_ in history.deployment["types"]}
+    tickets = _tickets_by_activation(history)
+    effect_counts: Counter[tuple[str, Any]] = Counter()
+    activations_run: set[str] = set()
+    for event in history.events_of("effect"):
+        activations_run.add(event["activation"])
+        effect = effect_of_type[event["type"]]
+        if effect == "repeatable":
             continue
-        key = event["mark"] if kind == "deduplicated" else tickets.get(event["activation"], event["activation"])
-        effects[event["type"], key] += 1
-        if effects[event["type"], key] == 2:
+        key = event["mark"] if effect == "deduplicated" else tickets.get(event["activation"], event["activation"])
+        effect_counts[event["type"], key] += 1
+        if effect_counts[event["type"], key] == 2:
             result.add_breach(Breach.EFFECTS_TWICE, f"{event['type']} {key}")
     for activation, final in history.finals.items():
-        if final["answer"] == "rejected" and activation in ran and _is_once_only(history, effect_of_type, final):
+        if (
+            final["answer"] == "rejected"
+            and activation in activations_run
+            and _is_once_only(history, effect_of_type, final)
+        ):
             result.add_breach(Breach.FALSE_REJECTIONS, f"{activation} was rejected and ran")
 
 
@@ -34,11 +42,15 @@
     return call is not None and effect_of_type.get(call["type"]) == "once-only"
 
 
-def _tickets(history: History) -> dict[str, Any]:
-    """The client's ticket, one over all its retries, by activation."""
+def _tickets_by_activation(history: History) -> dict[str, Any]:
+    """Map each activation to the client's ticket, which all retries of a call share."""
     calls = history.calls
-    tickets = {a: calls[final["call"]]["ticket"] for a, final in history.finals.items() if final["call"] in calls}
-    for event in history.of("accepted"):
+    tickets = {
+        activation: calls[final["call"]]["ticket"]
+        for activation, final in history.finals.items()
+        if final["call"] in calls
+    }
+    for event in history.events_of("accepted"):
         if event["call"] in calls:
             tickets.setdefault(event["activation"], calls[event["call"]]["ticket"])
     return tickets
--- a/kelptrail/history_checker/history.py
+++ b/kelptrail/history_checker/history.py
@@ -1,7 +1,7 @@
-"""The history of one run: captured events by kind, and what all rules look up in them.
+"""The history of one run: captured events by kind, and the lookups that all rules share.
 
-Times are milliseconds of one machine's monotonic clock.  Where a capture has only the time of a read, an event's `lag`
-is how much earlier it may have arrived.
+Times are in ms on the monotonic clock of one machine.  A process may record the time at which it read a message rather
+than the time at which the message arrived; the event's `lag` is how much earlier it may have arrived.
 """
 
 from __future__ import annotations
@@ -11,12 +11,13 @@
 from typing import Any
 
 Event = dict[str, Any]
-SLACK_MS = 60.0  # added to a time by loopback, a loaded machine and the capturing process
-ROUNDING = 1e-9  # in sums of floating-point numbers
+# Delay that loopback, a loaded machine and the capturing process may add to a recorded time.
+SLACK_MS = 60.0
+ROUNDING_TOLERANCE = 1e-9
 
 
 class History:
-    """The events of one run.  Raises `ValueError` where they don't describe exactly one deployment."""
+    """The events of one run.  Raises `ValueError` unless exactly one of them describes the deployment."""
 
     def __init__(self, events: Iterable[Event]) -> None:
         self._by_kind: dict[str, list[Event]] = defaultdict(list)
@@ -24,25 +25,25 @@
             self._by_kind[event["what"]].append(event)
         (self.deployment,) = self._by_kind["world"]
         self.rules: dict[str, float] = self.deployment["rules"]
-        self.calls: dict[str, Event] = {event["call"]: event for event in self.of("call")}
-        self.finals: dict[str, Event] = {}  # the first final answer of each activation
-        for event in self.of("final"):
+        self.calls: dict[str, Event] = {event["call"]: event for event in self.events_of("call")}
+        self.finals: dict[str, Event] = {}  # First final answer of each activation
+        for event in self.events_of("final"):
             if event["activation"]:
                 self.finals.setdefault(event["activation"], event)
 
-    def of(self, *kinds: str) -> list[Event]:
-        """All events of these kinds, kind after kind, each in order of time."""
+    def events_of(self, *kinds: str) -> list[Event]:
+        """Return the events of the given kinds, grouped by kind and in order of time within each kind."""
         return [event for kind in kinds for event in self._by_kind[kind]]
 
     def load_orders(self) -> list[Event]:
-        """Orders to keep instances loaded; those of 0 instances only ask."""
-        return [event for event in self.of("order") if event["copies"] > 0]
+        """Return the load orders for at least one instance; an order for 0 instances is only a query."""
+        return [event for event in self.events_of("order") if event["copies"] > 0]
 
     def dispatcher_numbers(self) -> dict[str, int]:
-        """Numbers of the dispatchers, as calls have them, by name."""
+        """Map the names of the dispatchers to the numbers under which calls refer to them."""
         return {name: number for number, name in enumerate(self.deployment.get("names", []))}
 
 
-def arrived_by(event: Event) -> float:
-    """The earliest time at which what was read may have arrived."""
+def earliest_arrival(event: Event) -> float:
+    """Return the earliest time at which the message of an event may have arrived, in ms."""
     return float(event["t"] - event["lag"])
--- a/kelptrail/history_checker/result.py
+++ b/kelptrail/history_checker/result.py
@@ -1,4 +1,4 @@
-"""The result of a check: counts of what happened, and of the breaches of each rule with details."""
+"""The result of a check: counts of outcomes and of breaches of each rule, and the details of breaches."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from enum import StrEnum
 
 MAX_DETAILS = 200
-# Keys of `report.json` that differ from the names of fields.
+# Keys of `report.json` that differ from the field names of `CheckResult`.
 REPORT_KEYS = {
     "attempts_after_final": "sends_after_final",
     "attempts_after_part": "sends_after_part",
@@ -16,7 +16,7 @@
 
 
 class Breach(StrEnum):
-    """Ways to break a rule; each value is the field of `CheckResult` that counts them."""
+    """Ways to break a rule.  Each value names the field of `CheckResult` that counts the breaches of that kind."""
 
     UNANSWERED = "unanswered"
     ACCEPTED_LOST = "accepted_lost"
@@ -35,13 +35,13 @@
 
     @property
     def report_key(self) -> str:
-        """The key of its count in `report.json`."""
+        """The key of this breach's count in `report.json`."""
         return REPORT_KEYS.get(self, str(self))
 
 
 @dataclass(slots=True)
 class CheckResult:
-    """Counts of what happened, and of each rule's breaches with details.  `counts` has them by key of `report.json`."""
+    """Counts of outcomes and of breaches of each rule, and the details of breaches."""
 
     taken: int = 0
     completed: int = 0
@@ -60,8 +60,8 @@
     ration_breaches: int = 0
     holders_two: int = 0
     old_tokens_taken: int = 0
-    promises_denied: int = 0  # polls of an acknowledged activation that were answered as unknown
-    holders_two_by_clocks: int = 0  # while a clock ran at a rate outside its bound
+    promises_denied: int = 0  # Polls of an acknowledged activation that were answered as unknown
+    holders_two_by_clocks: int = 0  # Second holders while a clock ran at a rate outside its bound
     old_tokens_refused: int = 0
     lease_uses: int = 0
     lost_with_disk: int = 0
@@ -75,17 +75,17 @@
 
     @property
     def broken(self) -> bool:
-        """Whether any rule was broken."""
+        """True if any rule was broken."""
         return any(getattr(self, breach) for breach in Breach)
 
     def add_breach(self, breach: Breach, detail: str) -> None:
-        """Count a breach and keep its detail."""
+        """Count a breach and store its detail, unless `MAX_DETAILS` are stored already."""
         setattr(self, breach, getattr(self, breach) + 1)
         if len(self.details) < MAX_DETAILS:
             self.details.append(f"{breach.report_key}: {detail}")
 
     def counts(self) -> dict[str, int]:
-        """All counts by key of `report.json`."""
+        """Return all counts by their keys in `report.json`."""
         return {
             REPORT_KEYS.get(count.name, count.name): getattr(self, count.name)
             for count in fields(self)
