--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -1,4 +1,4 @@
-"""Campaigns: drawn scenarios are valid, the same for the same seed, and different for different seeds."""
+"""Campaigns: drawn scenarios are valid, identical for the same seed, and different for different seeds."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 SEEDS = range(1, 21)
 
 
-def draw(kind: str, seed: int, folder: Path) -> FaultScenario:
-    """Draw a scenario, write its files and load them, as a campaign's process does."""
+def draw_and_load(kind: str, seed: int, folder: Path) -> FaultScenario:
+    """Draw a scenario, write its files and load them, as a campaign does."""
     drawn = DRAWERS[kind](seed, (ROOT / "examples" / SETTINGS[kind]).read_text())
     (folder / f"fleet-{seed}.sexp").write_text(drawn.deployment)
     (folder / "day.sexp").write_text(drawn.script)
@@ -29,7 +29,7 @@
     scripts = set()
     for seed in SEEDS:
         assert DRAWERS[kind](seed, settings) == DRAWERS[kind](seed, settings)
-        scenario = draw(kind, seed, tmp_path)
+        scenario = draw_and_load(kind, seed, tmp_path)
         scripts.add(DRAWERS[kind](seed, settings).script)
         assert all(fault.at < scenario.seconds and fault.part > 0 for fault in scenario.faults)
     assert len(scripts) == len(SEEDS)
@@ -37,7 +37,7 @@
 
 def test_a_lease_scenario_has_its_acceptors_among_its_dispatchers(tmp_path: Path) -> None:
     for seed in SEEDS:
-        scenario = draw("leases", seed, tmp_path)
+        scenario = draw_and_load("leases", seed, tmp_path)
         leases = load(scenario.deployment).leases
         assert leases is not None and len(leases.acceptors) in (3, 5)
         assert set(leases.acceptors) <= {f"dispatcher-{n}" for n in range(scenario.dispatchers)}
@@ -46,7 +46,7 @@
 
 def test_a_replication_scenario_never_loses_more_machines_at_once_than_its_replicas_cover(tmp_path: Path) -> None:
     for seed in SEEDS:
-        scenario = draw("copies", seed, tmp_path)
+        scenario = draw_and_load("copies", seed, tmp_path)
         peers = load(scenario.deployment).peers
         assert peers is not None and peers.replicas in (1, 2)
         losses = [fault for fault in scenario.faults if fault.kind == FaultKind.LOSE_MACHINES]
@@ -54,7 +54,7 @@
         assert all(round(loss.part * REPLICATION_DISPATCHERS) <= peers.replicas for loss in losses)
 
 
-def test_a_summary_adds_up_rows_and_names_the_seeds_that_failed_or_broke_a_rule() -> None:
+def test_a_summary_adds_up_the_counts_and_lists_the_seeds_that_failed_or_broke_a_rule() -> None:
     counts = dict.fromkeys(
         (
             "taken",
@@ -70,9 +70,9 @@
         ),
         2,
     )
-    sound = {"seed": 1, "broken": {}, "longest_without_s": 0.5, **counts}
+    passed = {"seed": 1, "broken": {}, "longest_without_s": 0.5, **counts}
     broken = {"seed": 2, "broken": {"unanswered": 3}, "longest_without_s": 1.5, **counts}
-    summary = summarize([sound, broken, {"seed": 3, "failed": "no report"}])
+    summary = summarize([passed, broken, {"seed": 3, "failed": "no report"}])
     assert (summary["seeds"], summary["failed"], summary["broken"]) == (3, [3], [2])
     assert summary["breaches"] == {"unanswered": 3} and summary["longest_without_s"] == 1.5
     assert {name: summary[name] for name in counts} == dict.fromkeys(counts, 4)
--- a/tests/test_history_checker.py
+++ b/tests/test_history_checker.py
@@ -1,4 +1,4 @@
-"""The history checker: a sound capture passes, and a capture with one breach of a rule is caught."""
+"""The history checker: a valid history passes, and each breach of a rule is reported."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 }
 
 
-def sound_history() -> list[dict[str, Any]]:
-    """Two calls of each type, one worker that warms up, one that drains, two load orders."""
+def valid_history() -> list[dict[str, Any]]:
+    """Return a history with two calls of each type, a worker in slow start, a draining worker and two load orders."""
     events: list[dict[str, Any]] = [
         DEPLOYMENT,
         {
@@ -61,8 +61,8 @@
         {"t": 2, "what": "list", "to": DISPATCHER, "workers": {"w0": ["live", "i0"], "w1": ["live", "i1"]}},
         {"t": 3000, "what": "list", "to": DISPATCHER, "workers": {"w0": ["draining", "i0"], "w1": ["live", "i1"]}},
     ]
-    for n, kind in enumerate(["check", "activate", "grant"] * 2):
-        t, id_ = 1000.0 + 400 * n, f"{BOOT}{n:016x}"
+    for n, type_name in enumerate(["check", "activate", "grant"] * 2):
+        t, activation = 1000.0 + 400 * n, f"{BOOT}{n:016x}"
         worker = "w0" if n < 3 else "w1"
         events += [
             {
@@ -70,8 +70,8 @@
                 "what": "call",
                 "call": f"c{n}",
                 "ticket": f"t{n}",
-                "action": kind,
-                "type": kind,
+                "action": type_name,
+                "type": type_name,
                 "dispatcher": 0,
                 "deferred": n % 2 == 1,
                 "limit_ms": 900,
@@ -84,21 +84,28 @@
                 "incarnation": f"i{worker[1]}",
                 "mark": f"m{n}",
                 "dispatcher": DISPATCHER,
-                "activation": id_,
+                "activation": activation,
                 "send": 0,
                 "lag": 0,
                 "work": 50,
             },
-            {"t": t + 55, "what": "effect", "worker": worker, "mark": f"m{n}", "type": kind, "activation": id_},
+            {
+                "t": t + 55,
+                "what": "effect",
+                "worker": worker,
+                "mark": f"m{n}",
+                "type": type_name,
+                "activation": activation,
+            },
         ]
         if n % 2:
-            events.append({"t": t + 2, "what": "accepted", "call": f"c{n}", "activation": id_})
+            events.append({"t": t + 2, "what": "accepted", "call": f"c{n}", "activation": activation})
         events.append(
             {
                 "t": t + 60,
                 "what": "final",
                 "call": f"c{n}",
-                "activation": id_,
+                "activation": activation,
                 "answer": "completed",
                 "status": 200,
                 "lag": 0,
@@ -113,8 +120,8 @@
     return next(e for e in events if e["what"] == what and all(e.get(k) == v for k, v in fields.items()))
 
 
-def test_a_sound_history_breaks_no_rule() -> None:
-    result = check_history(sound_history())
+def test_a_valid_history_breaks_no_rule() -> None:
+    result = check_history(valid_history())
     assert not result.broken, result.details
     assert (result.taken, result.completed, result.attempts, result.loads, result.effects) == (6, 6, 6, 2, 6)
 
@@ -144,7 +151,7 @@
 
 
 def repeat_once_only_effect(events):
-    """The client's retry, after a rejection, has a second effect."""
+    """Let two once-only calls share a ticket, as if the second were the client's retry."""
     find_event(events, "call", call="c5")["ticket"] = "t2"
 
 
@@ -176,10 +183,18 @@
 
 
 def attempt_after_part(events):
-    first = find_event(events, "send")
-    second = dict(first, worker="other", send=1, t=first["t"] + 300)
-    events.append({"what": "part", "t": first["t"] + 20, "call": "c1", "activation": first["activation"], "lag": 0.0})
-    events.append(second)
+    first_attempt = find_event(events, "send")
+    second_attempt = dict(first_attempt, worker="other", send=1, t=first_attempt["t"] + 300)
+    events.append(
+        {
+            "what": "part",
+            "t": first_attempt["t"] + 20,
+            "call": "c1",
+            "activation": first_attempt["activation"],
+            "lag": 0.0,
+        }
+    )
+    events.append(second_attempt)
 
 
 @pytest.mark.parametrize(
@@ -201,8 +216,8 @@
         (exceed_load_ration, Breach.RATION_BREACHES),
     ],
 )
-def test_each_breach_is_caught(corrupt, breach: Breach) -> None:
-    events = copy.deepcopy(sound_history())
+def test_each_breach_is_reported(corrupt, breach: Breach) -> None:
+    events = copy.deepcopy(valid_history())
     corrupt(events)
     events.sort(key=lambda e: e["t"])
     result = check_history(events)
@@ -211,16 +226,16 @@
     assert not any(getattr(result, other) for other in others), result.details
 
 
-def test_in_doubt_about_a_time_the_dispatcher_is_right() -> None:
-    events = sound_history()
+def test_an_uncertain_arrival_time_is_taken_in_the_dispatchers_favour() -> None:
+    events = valid_history()
     attempt = find_event(events, "send", activation=f"{BOOT}{5:016x}")
-    attempt.update(t=3700, worker="w0", incarnation="i0", lag=400)  # read late by a worker that was paused
+    attempt.update(t=3700, worker="w0", incarnation="i0", lag=400)  # As read by a worker after a pause
     find_event(events, "final", call="c5")["t"] = 3800
     assert not check_history(sorted(events, key=lambda e: e["t"])).broken
 
 
-def test_a_worker_listed_as_live_again_within_the_doubt_was_live() -> None:
-    events = sound_history()
+def test_a_worker_listed_as_live_again_before_the_latest_possible_arrival_was_live() -> None:
+    events = valid_history()
     find_event(events, "send", activation=f"{BOOT}{5:016x}").update(t=3700, worker="w0", incarnation="i0", lag=50)
     find_event(events, "final", call="c5")["t"] = 3800
     events.append(
@@ -230,7 +245,7 @@
 
 
 def test_calls_of_a_killed_dispatcher_need_no_answer() -> None:
-    events = sound_history()
+    events = valid_history()
     remove_final(events)
     events += [
         {"t": 1810, "what": "kill", "dispatcher": 0},
@@ -240,8 +255,8 @@
     assert not result.broken and result.lost_with_dispatcher == 1
 
 
-def test_an_acknowledged_activation_must_be_found_after_a_kill() -> None:
-    events = copy.deepcopy(sound_history())
+def test_an_acknowledged_activation_must_be_known_after_its_dispatcher_is_killed() -> None:
+    events = copy.deepcopy(valid_history())
     events[0]["kept"] = True
     events.remove(find_event(events, "final", call="c1"))
     events += [
@@ -253,9 +268,9 @@
     assert result.accepted_lost == 1 and result.broken
 
 
-def test_captures_are_read_in_order_and_a_torn_last_line_is_skipped(tmp_path: Path) -> None:
-    (tmp_path / "a.jsonl").write_text("\n".join(json.dumps(e) for e in sound_history()[::2]) + '\n{"t": 1, "wh')
-    (tmp_path / "b.jsonl").write_text("\n".join(json.dumps(e) for e in sound_history()[1::2]) + "\n")
+def test_captures_are_merged_in_order_of_time_and_an_incomplete_last_line_is_skipped(tmp_path: Path) -> None:
+    (tmp_path / "a.jsonl").write_text("\n".join(json.dumps(e) for e in valid_history()[::2]) + '\n{"t": 1, "wh')
+    (tmp_path / "b.jsonl").write_text("\n".join(json.dumps(e) for e in valid_history()[1::2]) + "\n")
     assert not check_history(read_captures(tmp_path)).broken
     (tmp_path / "c.jsonl").write_text('nonsense\n{"t": 1}\n{"t": 2}\n')
     with pytest.raises(ValueError, match=r"c\.jsonl:1"):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of bench/soak.py, its parser of commands, and the source texts that bench/soak_mutants.py edits."""
+"""A short run of bench/soak.py, its command parser, and the source texts that bench/soak_mutants.py replaces."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 def run_short_soak(seed: int) -> None:
     command = [sys.executable, "bench/soak.py", "--seeds", "1", "--first", str(seed), "--seconds", "8"]
-    done = subprocess.run([*command, "--processes", "12"], cwd=ROOT, capture_output=True, text=True, timeout=60)
-    assert done.returncode == 0, done.stdout + done.stderr
-    assert "0 runs with a problem" in done.stdout
+    result = subprocess.run([*command, "--processes", "12"], cwd=ROOT, capture_output=True, text=True, timeout=60)
+    assert result.returncode == 0, result.stdout + result.stderr
+    assert "0 runs with a problem" in result.stdout
 
 
 @pytest.mark.scenarios
@@ -35,18 +35,20 @@
 
 
 @pytest.mark.parametrize("size", [1, 3, 1000])
-def test_commands_are_read_from_any_split(size: int) -> None:
+def test_commands_are_parsed_however_the_stream_is_split(size: int) -> None:
     data = b"CALL a cls=t,limit=5 12\r\nCANCEL b\r\nx!\r\nLOAD o1 item=1,units=2\r\nCALL b cls=t 0\r\n\r\nCANCEL a\r\n"
     reader, commands = CommandReader(), []
-    for at in range(0, len(data), size):
-        commands += reader.feed(data[at : at + size])
+    for start in range(0, len(data), size):
+        commands += reader.feed(data[start : start + size])
     assert [words[0] for words in commands] == ["CALL", "LOAD", "CALL", "CANCEL"]
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
 def test_every_text_that_a_mutant_replaces_occurs_exactly_once_in_its_file(mutant: Mutant) -> None:
-    """A change of the sources that a mutant no longer matches would leave its guard unchecked.  The texts of all its
-    edits are replaced, as the program does, and what comes out is a Python file that differs."""
+    """Guards against a source change that leaves a mutant without its text, so that its check no longer runs.
+
+    All edits of a mutant are applied as bench/soak_mutants.py does; each result differs from the source and compiles.
+    """
     texts: dict[str, str] = {}
     for edit in mutant.edits:
         text = texts.get(edit.file) or (ROOT / edit.file).read_text()
