--- a/kelptrail/fault_scenario/__init__.py
+++ b/kelptrail/fault_scenario/__init__.py
@@ -1,1 +1,1 @@
-"""Fault scenarios: load and faults run through real processes, checked by the history checker."""
+"""Fault scenarios: load and faults applied to real processes, and checked by the history checker."""
--- a/kelptrail/fault_scenario/campaign.py
+++ b/kelptrail/fault_scenario/campaign.py
@@ -1,9 +1,9 @@
-"""Campaigns: many fault scenarios drawn from seeds, run through real processes and checked; the results in one table.
+"""Campaigns: many fault scenarios drawn from seeds, run with real processes, checked, and summarized in one table.
 
-A scenario of the lease campaign has five to seven dispatchers in three zones, three or five of them acceptors, two
-tasks that all want, and five to seven faults between them that overlap: at most instants three or more are active.  A
-scenario of the replication campaign has seven dispatchers, most calls deferred, machines lost with their disks (never
-more than the replicas cover at once) and four to six other faults that overlap.
+A scenario of the lease campaign has five to seven dispatchers in three zones, of which three or five are acceptors; two
+tasks whose leases all dispatchers try to acquire; and five to seven overlapping faults, of which three or more are
+active most of the time.  A scenario of the replication campaign has seven dispatchers, mostly deferred calls, machines
+lost with their disks (never more at once than the replicas cover), and four to six other overlapping faults.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 LEASE_SECONDS, LEASE_LOAD = 16.0, 10.0
 REPLICATION_SECONDS, REPLICATION_LOAD = 30.0, 25.0
 REPLICATION_DISPATCHERS = 7
-CLOCK_RATE_BOUND = 0.01  # of clock rates, as the drawn settings state it
-SECONDS_BETWEEN_LOSSES = 11.0  # enough to replicate again
+CLOCK_RATE_BOUND = 0.01  # Deviation of a clock's rate that the drawn deployments allow
+SECONDS_BETWEEN_LOSSES = 11.0  # Leaves time to replicate again after a loss
 LEASE_FAULTS = (
     "kill-dispatchers",
     "cut-peers",
@@ -54,9 +54,11 @@
     "disk-full",
     "disk-slow",
 )
-FAULT_OF_VARIANT = {"one-way": "cut-peers", "looked": "pause-dispatchers"}  # variants with settings of their own
+# Variants of a fault kind that are drawn with their own settings.
+FAULT_OF_VARIANT = {"one-way": "cut-peers", "looked": "pause-dispatchers"}
 FAILURE_TEXT_CHARACTERS, DETAILS_PER_SEED = 400, 5
-ROW_COUNTS = (  # of the report, in a row of `campaign.json`
+# Counts of a report that a row of `campaign.json` contains.
+ROW_COUNTS = (
     "taken",
     "acts",
     "old_tokens_refused",
@@ -68,7 +70,8 @@
     "rejected",
     "aborted",
 )
-SUMMED_COUNTS = (  # of the rows, in the summary
+# Counts of the rows that the summary adds up.
+SUMMED_COUNTS = (
     "taken",
     "acts",
     "holders",
@@ -83,14 +86,14 @@
 
 
 class DrawnScenario(NamedTuple):
-    """The texts of a drawn scenario's deployment file and of its script."""
+    """A drawn scenario: the texts of its deployment file and of its scenario file."""
 
     deployment: str
     script: str
 
 
 class FaultExtent(NamedTuple):
-    """When a fault begins, how long it lasts (seconds), and the part of the dispatchers that it hits."""
+    """When a fault begins, how long it lasts (both in seconds), and the share of dispatchers that it affects."""
 
     at: float
     duration: float
@@ -98,7 +101,7 @@
 
 
 def draw_lease_scenario(seed: int, settings: str) -> DrawnScenario:
-    """Draw a scenario of lease faults; its deployment is the text `settings` with peers and leases as drawn."""
+    """Draw a scenario of lease faults.  Its deployment is the text `settings` with the drawn peers and leases."""
     random = np.random.default_rng([seed, 25])
     dispatchers, acceptors = int(random.integers(5, 8)), int(random.choice([3, 5]))
     names = [f"dispatcher-{n}" for n in range(dispatchers)]
@@ -106,14 +109,14 @@
     length_ms = int(random.choice([1000, 1500, 2000]))
     deployment = _with_leases(settings, chosen, length_ms)
     faults = _draw_lease_faults(random, dispatchers)
-    head = f"""(bad-day leases-{seed} (deployment "fleet-{seed}.sexp") (seconds {LEASE_SECONDS:g}) (workers 2)
+    header = f"""(bad-day leases-{seed} (deployment "fleet-{seed}.sexp") (seconds {LEASE_SECONDS:g}) (workers 2)
   (dispatchers {dispatchers}) (tasks sweep tally) (load (rate {LEASE_LOAD:g}) (deferred 0.2))
 """
-    return DrawnScenario(deployment, head + "\n".join(faults) + ")\n")
+    return DrawnScenario(deployment, header + "\n".join(faults) + ")\n")
 
 
 def _with_leases(settings: str, acceptors: list[str], length_ms: int) -> str:
-    """A deployment's text with these peers and leases in place of its own."""
+    """Return a deployment's text with its peers and leases replaced by the given ones."""
     return (
         settings[: settings.index("\n  (peers")]
         + f"""
@@ -129,7 +132,7 @@
     count = int(random.integers(5, 8))
     for number, kind in enumerate(random.choice(LEASE_FAULTS, count)):
         extent = _draw_extent(random, 2.0 + 8.0 * number / count, dispatchers)
-        # Every setting is drawn for every fault: which kinds are drawn must not change what follows.
+        # All settings are drawn for every fault, so that its kind does not affect the later random draws.
         rate = 1 + CLOCK_RATE_BOUND * float(random.choice([1, -1, 10, -10]))
         settings = {
             "one-way": "(one-way yes)",
@@ -147,21 +150,21 @@
 
 
 def draw_replication_scenario(seed: int, settings: str) -> DrawnScenario:
-    """Draw a scenario of lost machines; its deployment is the text `settings` with one replica or two."""
+    """Draw a scenario of lost machines.  Its deployment is the text `settings` with one replica or two."""
     random = np.random.default_rng([seed, 26])
     replicas = int(random.integers(1, 3))
     first_loss = float(random.uniform(5, 8))
     losses = _draw_losses(random, first_loss, replicas)
     faults = [*losses, *_draw_replication_faults(random, first_loss)]
-    head = f"""(bad-day copies-{seed} (deployment "fleet-{seed}.sexp") (seconds {REPLICATION_SECONDS:g}) (workers 3)
+    header = f"""(bad-day copies-{seed} (deployment "fleet-{seed}.sexp") (seconds {REPLICATION_SECONDS:g}) (workers 3)
   (dispatchers {REPLICATION_DISPATCHERS}) (load (rate {REPLICATION_LOAD:g}) (deferred 0.8))
 """
     deployment = settings.replace("(copies 2)", f"(copies {replicas})")
-    return DrawnScenario(deployment, head + "\n".join(faults) + ")\n")
+    return DrawnScenario(deployment, header + "\n".join(faults) + ")\n")
 
 
 def _draw_losses(random: np.random.Generator, first_loss: float, replicas: int) -> list[str]:
-    """Machines lost with their disks: first as many as the replicas cover at most, later one."""
+    """Draw two losses of machines with their disks: first at most as many as the replicas cover, later one."""
     losses = [(first_loss, int(random.integers(1, replicas + 1))), (first_loss + SECONDS_BETWEEN_LOSSES, 1)]
     return [
         f"  (trouble lose-machines (at {at:.1f}) (for {random.uniform(2, 5):.1f}) "
@@ -175,7 +178,7 @@
     count = int(random.integers(4, 7))
     for number, kind in enumerate(random.choice(REPLICATION_FAULTS, count)):
         extent = _draw_extent(random, first_loss - 2.0 + 9.0 * number / count, REPLICATION_DISPATCHERS)
-        # Every setting is drawn for every fault: which kinds are drawn must not change what follows.
+        # All settings are drawn for every fault, so that its kind does not affect the later random draws.
         settings = {
             "one-way": "(one-way yes)",
             "slow-peers": f"(ms {random.integers(20, 400)}) (share 0.3)",
@@ -189,7 +192,7 @@
 
 
 def _draw_extent(random: np.random.Generator, earliest: float, dispatchers: int) -> FaultExtent:
-    """A fault that begins within a second of `earliest` and hits one dispatcher or two."""
+    """Draw the extent of a fault that begins within a second after `earliest` and affects one or two dispatchers."""
     at = earliest + float(random.uniform(0, 1))
     duration = float(random.uniform(2.0, 4.5))
     part = round(float(random.choice([1, 2])) / dispatchers, 2)
@@ -197,7 +200,7 @@
 
 
 def _fault_form(kind: str, extent: FaultExtent, settings: dict[str, str]) -> str:
-    """A fault as a line of a script, with the settings of its kind."""
+    """Return a fault as a line of a scenario file, with the settings of its kind."""
     name = FAULT_OF_VARIANT.get(kind, kind)
     return (
         f"  (trouble {name} (at {extent.at:.1f}) (for {extent.duration:.1f}) (part {extent.part}) "
@@ -205,16 +208,16 @@
     )
 
 
-DRAWERS = {"leases": draw_lease_scenario, "copies": draw_replication_scenario}
+SCENARIO_GENERATORS = {"leases": draw_lease_scenario, "copies": draw_replication_scenario}
 
 
-async def _run_one(seed: int, settings: str, out: Path, kind: str) -> dict[str, Any]:
-    """Draw a seed's scenario and run it in a process of its own; its row of the table."""
+async def _draw_and_run(seed: int, settings: str, out: Path, kind: str) -> dict[str, Any]:
+    """Draw the scenario of a seed, run it in a separate process, and return its row of the table."""
     folder = out / f"{seed:03d}"
     folder.mkdir(parents=True, exist_ok=True)
-    drawn = DRAWERS[kind](seed, settings)
-    (folder / f"fleet-{seed}.sexp").write_text(drawn.deployment)
-    (folder / "day.sexp").write_text(drawn.script)
+    scenario = SCENARIO_GENERATORS[kind](seed, settings)
+    (folder / f"fleet-{seed}.sexp").write_text(scenario.deployment)
+    (folder / "day.sexp").write_text(scenario.script)
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -236,33 +239,36 @@
 
 
 def _campaign_row(seed: int, exit_code: int | None, report: dict[str, Any]) -> dict[str, Any]:
-    """A row of `campaign.json`, from the report of a run."""
+    """Return the row of `campaign.json` for a run's report."""
     leases = report["leases"].values()
     return {
         "seed": seed,
         "exit": exit_code,
         "dispatchers": report["dispatchers"],
-        "troubles": [t["kind"] for t in report["troubles"]],
+        "troubles": [fault["kind"] for fault in report["troubles"]],
         "broken": {breach.report_key: report[breach.report_key] for breach in Breach if report[breach.report_key]},
-        "without_s": max((t["without_s"] for t in leases), default=0.0),
-        "longest_without_s": max((t["longest_without_s"] for t in leases), default=0.0),
-        "holders": sum(len(t["spans"]) for t in leases),
+        "without_s": max((task["without_s"] for task in leases), default=0.0),
+        "longest_without_s": max((task["longest_without_s"] for task in leases), default=0.0),
+        "holders": sum(len(task["spans"]) for task in leases),
         "details": report["details"][:DETAILS_PER_SEED],
         **{name: report[name] for name in ROW_COUNTS},
     }
 
 
 async def run_campaign(
-    kind: str, seeds: list[int], settings: Path, out: Path, at_once: int, done: Callable[[dict[str, Any]], None]
+    kind: str, seeds: list[int], settings: Path, out: Path, at_once: int, on_row: Callable[[dict[str, Any]], None]
 ) -> list[dict[str, Any]]:
-    """Run all seeds, `at_once` at a time; a row each, in order, also in `campaign.json`.  `done` gets each row."""
-    text, free_slots = settings.read_text(), asyncio.Semaphore(at_once)
+    """Run the scenarios of all seeds, `at_once` at a time, and return a row for each, in the order of the seeds.
+
+    `on_row` is called with each row as its run ends.  The rows are also written to `campaign.json`.
+    """
+    settings_text, run_limit = settings.read_text(), asyncio.Semaphore(at_once)
 
     async def run_seed(seed: int) -> dict[str, Any]:
-        """Run one seed once a slot is free."""
-        async with free_slots:
-            row = await _run_one(seed, text, out, kind)
-            done(row)
+        """Run the scenario of one seed once fewer than `at_once` are running."""
+        async with run_limit:
+            row = await _draw_and_run(seed, settings_text, out, kind)
+            on_row(row)
             return row
 
     rows = list(await asyncio.gather(*(run_seed(seed) for seed in seeds)))
@@ -271,18 +277,18 @@
 
 
 def summarize(rows: list[dict[str, Any]]) -> dict[str, Any]:
-    """All rows in one: sums, the worst case, and the seeds that broke a rule."""
-    good = [row for row in rows if "failed" not in row]
-    sums = {name: sum(row[name] for row in good) for name in SUMMED_COUNTS}
+    """Summarize the rows: sums of counts, the longest time without a lease holder, and the seeds that broke a rule."""
+    reported = [row for row in rows if "failed" not in row]
+    sums = {name: sum(row[name] for row in reported) for name in SUMMED_COUNTS}
     breaches: dict[str, int] = {}
-    for row in good:
+    for row in reported:
         for name, count in row["broken"].items():
             breaches[name] = breaches.get(name, 0) + count
     return {
         "seeds": len(rows),
         "failed": [row["seed"] for row in rows if "failed" in row],
-        "broken": [row["seed"] for row in good if row["broken"]],
+        "broken": [row["seed"] for row in reported if row["broken"]],
         "breaches": breaches,
         **sums,
-        "longest_without_s": max((row["longest_without_s"] for row in good), default=0.0),
+        "longest_without_s": max((row["longest_without_s"] for row in reported), default=0.0),
     }
--- a/kelptrail/fault_scenario/captured_run.py
+++ b/kelptrail/fault_scenario/captured_run.py
@@ -1,4 +1,4 @@
-"""Reads a capture of the bench (`--tap FILE`): requests, results, endpoint lists, starts and ends of dispatchers."""
+"""Reads a capture of the bench (`--tap FILE`): requests, results, endpoint lists, starts and exits of dispatchers."""
 
 from __future__ import annotations
 
@@ -9,16 +9,18 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-LOADED_REMARKS = (0, 1)  # of a result, modulo 8: the attempt found a loaded instance
-SHORTEST_LOAD_US = 50_000  # an order that is answered sooner found its instances loaded
+# Remarks of a result, modulo 8, which show that the attempt found a loaded instance.
+LOADED_REMARKS = (0, 1)
+# A load order that is answered sooner found its instances already loaded.
+SHORTEST_LOAD_US = 50_000
 
 
 class CaptureError(ValueError):
-    """A file that is no capture, with the line at fault."""
+    """Raised for a file that is not a valid capture; names the file, and the line if one is malformed."""
 
 
 class CapturedBatch(NamedTuple):
-    """One batch to a dispatcher, or the reply to one."""
+    """A batch sent to a dispatcher, or the reply to a batch."""
 
     is_reply: bool
     body: dict[str, Any]
@@ -33,7 +35,7 @@
 
 
 class CapturedFunction(NamedTuple):
-    """What requests say of a function."""
+    """The properties of a function that its requests state."""
 
     request_class: int
     memory_mb: float
@@ -41,21 +43,21 @@
 
 
 class CapturedLoad(NamedTuple):
-    """A load order that was carried out; `at` in seconds."""
+    """A completed load order; `at` in seconds."""
 
     at: float
     duration_ms: float
 
 
 class ProcessEvent(NamedTuple):
-    """The start or the end of a dispatcher; `at` in seconds."""
+    """The start or the exit of a dispatcher; `at` in seconds."""
 
     at: float
     dispatcher: str
 
 
 class StateChange(NamedTuple):
-    """A worker's new state in the endpoint list, or `restarted`; `at` in seconds."""
+    """A change of a worker's state in the endpoint list, or a restart (state `restarted`); `at` in seconds."""
 
     at: float
     worker: str
@@ -63,7 +65,7 @@
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ended, and the class of its request."""
+    """The result code of an attempt, and the class of its request."""
 
     ending: str
     request_class: int
@@ -71,7 +73,7 @@
 
 @dataclass(slots=True)
 class CapturedRun:
-    """What a capture showed.  Seconds count from the first request."""
+    """The contents of a capture.  Seconds count from the first request."""
 
     env: dict[str, Any] = field(default_factory=dict)
     start: float = -1.0
@@ -79,8 +81,8 @@
     functions: dict[str, CapturedFunction] = field(default_factory=dict)
     results: dict[tuple[str, int], Counter[AttemptResult]] = field(
         default_factory=lambda: defaultdict(Counter)
-    )  # by worker and second
-    latency_ms: dict[int, list[float]] = field(default_factory=lambda: defaultdict(list))  # by class
+    )  # By worker and second
+    latency_ms: dict[int, list[float]] = field(default_factory=lambda: defaultdict(list))  # By request class
     loads: list[CapturedLoad] = field(default_factory=list)
     dispatchers: set[str] = field(default_factory=set)
     exits: list[ProcessEvent] = field(default_factory=list)
@@ -89,8 +91,8 @@
     workers: set[str] = field(default_factory=set)
 
     @property
-    def begun(self) -> bool:
-        """Whether the first request has come."""
+    def has_started(self) -> bool:
+        """True once the first request has been read."""
         return self.start >= 0
 
     @property
@@ -100,7 +102,7 @@
 
 
 def read_batches(file: Path) -> Iterator[CapturedBatch]:
-    """Batches and replies of a capture.  Raises `CaptureError` with the line that is neither."""
+    """Yield the batches and replies of a capture.  Raises `CaptureError` for a line that is neither."""
     is_reply = False
     with open(file, encoding="utf-8") as source:
         for number, line in enumerate(source, 1):
@@ -110,37 +112,37 @@
                 try:
                     yield CapturedBatch(is_reply, json.loads(line))
                 except ValueError:
-                    raise CaptureError(f"{file}:{number}: neither a batch nor a reply") from None
+                    raise CaptureError(f"{file}:{number}: line is neither a batch nor a reply") from None
 
 
 def read_capture(file: Path) -> CapturedRun:
-    """Read a capture.  Raises `CaptureError` where it has no request."""
+    """Read a capture.  Raises `CaptureError` if it is malformed or contains no request."""
     reader = _CaptureReader()
     for is_reply, batch in read_batches(file):
         if not is_reply:
             reader.read_batch(batch)
     if not reader.captured.requests:
-        raise CaptureError(f"{file}: no request in it")
+        raise CaptureError(f"{file}: capture contains no requests")
     return reader.captured
 
 
 class _CaptureReader:
-    """Enters the events of batches in a `CapturedRun`; what later events refer to is kept here."""
+    """Adds the events of batches to a `CapturedRun`, and holds the state to which later events refer."""
 
     def __init__(self) -> None:
         self.captured = CapturedRun()
-        self._tables: dict[int, list[dict[str, Any]]] = {}  # endpoint lists by number
+        self._endpoint_lists: dict[int, list[dict[str, Any]]] = {}  # Endpoint lists by number
         self._worker_starts: dict[str, float] = {}
         self._worker_states: dict[str, str] = {}
-        self._request_classes: dict[str, int] = {}  # by request id
-        self._now = 0.0
+        self._request_classes: dict[str, int] = {}  # By request id
+        self._now_s = 0.0
 
     def read_batch(self, batch: dict[str, Any]) -> None:
-        """Enter all events of a batch."""
-        self._now = batch["now_us"] / 1e6
+        """Add all events of a batch to the captured run."""
+        self._now_s = batch["now_us"] / 1e6
         for event in batch["arrivals"]:
             ((kind, body),) = event.items()
-            at = self._now - self.captured.start if self.captured.begun else 0.0
+            at = self._now_s - self.captured.start if self.captured.has_started else 0.0
             self._read_event(kind, body, at)
 
     def _read_event(self, kind: str, body: dict[str, Any], at: float) -> None:
@@ -156,24 +158,25 @@
         elif kind == "ReadyThere" and body["ending"] == "S" and body["latency_us"] > SHORTEST_LOAD_US:
             captured.loads.append(CapturedLoad(at, body["latency_us"] / 1000))
         elif kind == "Manifest":
-            self._tables[body["table"]] = body["records"]
+            self._endpoint_lists[body["table"]] = body["records"]
         elif kind == "Membership" and body["how"] != "X":
-            for entry in self._tables.get(body["table"], []):
+            for entry in self._endpoint_lists.get(body["table"], []):
                 self._on_endpoint(entry, at)
 
     def _on_dispatcher_started(self, body: dict[str, Any], at: float) -> None:
         captured = self.captured
         captured.env = captured.env or body["env"]
         captured.dispatchers.add(body["i"])
-        if captured.begun:
+        if captured.has_started:
             captured.restarts.append(ProcessEvent(at, body["i"]))
 
     def _on_request(self, body: dict[str, Any]) -> None:
         captured = self.captured
-        if not captured.begun:
-            captured.start = self._now
-        if not body["again_by_client"]:  # retries come from the script's own clients, where they are marked
-            captured.requests.append(CapturedRequest(self._now - captured.start, body["class"], body["fn"]))
+        if not captured.has_started:
+            captured.start = self._now_s
+        # Requests marked as clients' retries are left out: the clients of the imported scenario make their own.
+        if not body["again_by_client"]:
+            captured.requests.append(CapturedRequest(self._now_s - captured.start, body["class"], body["fn"]))
         concurrency = max(1, int(body["parallel"]))
         captured.functions[body["fn"]] = CapturedFunction(body["class"], body["memory_mb"], concurrency)
         self._request_classes[body["handle"]] = body["class"]
@@ -185,12 +188,12 @@
             self.captured.latency_ms[request_class].append(body["latency_us"] / 1000)
 
     def _on_endpoint(self, entry: dict[str, Any], at: float) -> None:
-        """A worker in an endpoint list; the first list shows its state before the run."""
+        """Record a change of a worker in an endpoint list.  Lists before the first request give its initial state."""
         captured, worker, state = self.captured, entry["runner"], entry["readiness"]
         started = entry["last_start_us"] or 0
         captured.workers.add(worker)
-        if captured.begun and state != self._worker_states.get(worker, "live"):
+        if captured.has_started and state != self._worker_states.get(worker, "live"):
             captured.state_changes.append(StateChange(at, worker, state))
-        elif captured.begun and started > self._worker_starts.get(worker, started):
+        elif captured.has_started and started > self._worker_starts.get(worker, started):
             captured.state_changes.append(StateChange(at, worker, "restarted"))
         self._worker_states[worker], self._worker_starts[worker] = state, started
--- a/kelptrail/fault_scenario/dispatcher_faults.py
+++ b/kelptrail/fault_scenario/dispatcher_faults.py
@@ -1,4 +1,4 @@
-"""Faults of dispatcher processes: kills, lost machines, pauses, disks, clocks and the links between them."""
+"""Faults of dispatcher processes: kills, lost machines, pauses, disk faults, clock faults and faults of peer links."""
 
 from __future__ import annotations
 
@@ -14,17 +14,19 @@
 from .peer_links import PeerLinks
 from .scenario import Fault, FaultKind
 
-LEASE_QUERY_TIMEOUT_S = 0.3  # a dispatcher that is stopped doesn't answer
-PAUSE_AFTER_LEASE_CHECK = "looked"  # type of a pause: between a check of the lease and its use
+# A paused dispatcher does not answer.
+LEASE_QUERY_TIMEOUT_S = 0.3
+# Fault type of a pause between a check of a lease and the use of the lease.
+PAUSE_AFTER_LEASE_CHECK = "looked"
 
 
 class DispatcherFaults:
-    """Injects faults into dispatchers of a cluster; each method returns once its fault is over."""
+    """Injects faults into the dispatchers of a cluster.  Each method returns when its fault is over."""
 
     def __init__(self, cluster: Cluster, capture: Capture, links: PeerLinks, scenario_seconds: float) -> None:
         self._cluster, self._capture, self._links = cluster, capture, links
         self._scenario_seconds = scenario_seconds
-        self._killed: set[Process] = set()  # dispatchers that a fault has killed and will restart
+        self._killed: set[Process] = set()  # Dispatchers that a fault has killed and not yet restarted
 
     async def inject_peer_fault(self, fault: Fault, targets: list[Process]) -> None:
         """Inject a fault of `PEER_FAULTS`."""
@@ -42,7 +44,7 @@
             down_s = None if lost_for_good else fault.duration
             await asyncio.gather(*(self.kill(target, down_s, lose_disk=True) for target in targets))
         else:
-            await self._disturb_clocks(fault, targets)
+            await self._inject_clock_fault(fault, targets)
 
     async def inject_disk_fault(self, fault: Fault, targets: list[Process]) -> None:
         """Inject a fault of `DISK_FAULTS`."""
@@ -57,7 +59,7 @@
         for target in targets:
             self._cluster.set_disk_fault(target)
 
-    async def _disturb_clocks(self, fault: Fault, targets: list[Process]) -> None:
+    async def _inject_clock_fault(self, fault: Fault, targets: list[Process]) -> None:
         settings = {"rate": fault.factor} if fault.kind == FaultKind.CLOCK_RATE else {"step_ms": fault.ms}
         for target in targets:
             self._cluster.set_clock_fault(target, **settings)
@@ -66,24 +68,24 @@
             self._cluster.set_clock_fault(target)
 
     async def _pause_all(self, fault: Fault, targets: list[Process]) -> None:
-        """Pause the targets; after a lease check: the dispatchers that hold leases, where there are any."""
+        """Pause the targets.  A pause after a lease check affects the lease holders instead, if there are any."""
         after_lease_check = fault.type == PAUSE_AFTER_LEASE_CHECK
         if after_lease_check:
             targets = await self._lease_holders() or targets
         await asyncio.gather(*(self._pause(target, fault.duration, after_lease_check) for target in targets))
 
     async def _lease_holders(self) -> list[Process]:
-        """Dispatchers that hold the lease of a task."""
-        found = []
+        """Return the dispatchers that hold the lease of a task."""
+        holders = []
         for dispatcher in self._cluster.dispatchers:
             with contextlib.suppress(OSError, HttpError, TimeoutError):
                 async with asyncio.timeout(LEASE_QUERY_TIMEOUT_S):
                     if dispatcher.running and (await http_json(dispatcher.said["asked_at"], "GET", "/leases"))["holds"]:
-                        found.append(dispatcher)
-        return found
+                        holders.append(dispatcher)
+        return holders
 
     async def _pause(self, target: Process, duration_s: float, after_lease_check: bool) -> None:
-        """Stop and continue the process: at any instant, or between its next check of a lease and the use of it."""
+        """Suspend and resume the process, at once or between its next check of a lease and the use of that lease."""
         number = self._cluster.dispatchers.index(target)
         self._capture.write("stopped", dispatcher=number)
         self._cluster.signal(target, signal.SIGUSR1 if after_lease_check else signal.SIGSTOP)
@@ -94,10 +96,10 @@
         self._capture.write("woken", dispatcher=number)
 
     async def kill(self, target: Process, down_s: float | None, lose_disk: bool = False) -> None:
-        """Kill a dispatcher, with its disk where `lose_disk`; restart it after `down_s`, or never where that is None.
+        """Kill a dispatcher, and restart it after `down_s` seconds unless that is None.
 
-        One that another fault has killed is left to that fault: guards against two processes of one name, the first
-        of which is not supervised.
+        With `lose_disk`, its disk is removed as well.  A dispatcher that another fault has already killed is skipped:
+        two faults would start two processes of the same name, the first of which would not be supervised.
         """
         if target in self._killed:
             return
--- a/kelptrail/fault_scenario/fault_injector.py
+++ b/kelptrail/fault_scenario/fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a scenario into a cluster of real processes, each at its time."""
+"""Injects the faults of a scenario into a cluster of real processes, each at its scheduled time."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     FaultScenario,
 )
 
-WORK_ENDS_WITHIN_S = 1.0  # after a worker was told to drain, until it is stopped
-STOPS_WITHIN_S = 5  # after SIGTERM, before SIGKILL
+WORKER_DRAIN_S = 1.0  # Time from the drain request to a worker until it is stopped
+TERMINATION_TIMEOUT_S = 5  # Time from SIGTERM to SIGKILL
 UNREACHABLE_WORKER = "worker-nobody"
 
 
@@ -52,7 +52,7 @@
         self._dispatcher_faults = DispatcherFaults(cluster, capture, self._links, scenario.seconds)
 
     async def inject_at_time(self, fault: Fault, start_ms: float) -> None:
-        """Inject a fault at its time after `start_ms`; returns once it is over."""
+        """Wait until the fault is due, counted from `start_ms`, and inject it.  Returns when the fault is over."""
         await asyncio.sleep(max(0.0, (start_ms - now_ms()) / 1000 + fault.at))
         targets = self._choose_targets(fault)
         self._capture.write(
@@ -64,7 +64,7 @@
         )
         try:
             await self._inject(fault, targets)
-        except (OSError, RuntimeError) as cause:  # a target that is down already
+        except (OSError, RuntimeError) as cause:  # For example, a target that is already down
             self._capture.write("trouble-failed", kind=fault.kind, reason=str(cause))
 
     def _choose_targets(self, fault: Fault) -> list[Process]:
@@ -132,7 +132,7 @@
         )
 
     async def _inject_planner_fault(self, target: Process, fault: Fault) -> None:
-        """Slow a planner down, or kill and restart it, with its state or without."""
+        """Inject a fault into one planner: slow or wrong plans, a pause, a cut of its links, or a kill and restart."""
         if fault.kind in (FaultKind.PLANNERS_SLOW, FaultKind.PLANNERS_WRONG):
             settings = {"ms": fault.ms} if fault.kind == FaultKind.PLANNERS_SLOW else {"factor": fault.factor}
             await http_json(target.said["control"], "POST", "/fault", settings | {"for_ms": fault.duration * 1000})
@@ -157,17 +157,17 @@
         await self._cluster.launch(target)
 
     async def _replace_worker(self, target: Process, restart: bool) -> None:
-        """Drain the worker, let its work end, stop it, and with `restart` launch it again."""
+        """Drain the worker, wait for its work to end, stop it, and launch it again if `restart` is set."""
         await self._cluster.set_listed_state(target, "draining")
         await asyncio.sleep(self._deployment.rules.drain_grace_ms / 1000)
         await http_json(target.said["control"], "POST", "/drain", {})
-        await asyncio.sleep(WORK_ENDS_WITHIN_S)
-        await self._cluster.terminate(target, STOPS_WITHIN_S)
+        await asyncio.sleep(WORKER_DRAIN_S)
+        await self._cluster.terminate(target, TERMINATION_TIMEOUT_S)
         if restart:
             await self._cluster.launch(target)
 
     async def _list_unreachable_worker(self, fault: Fault) -> None:
-        """List a worker at an address where no process listens."""
+        """Register a worker at an address on which no process listens, for the duration of the fault."""
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
--- a/kelptrail/fault_scenario/held_connections.py
+++ b/kelptrail/fault_scenario/held_connections.py
@@ -1,4 +1,4 @@
-"""Clients that hold connections to dispatchers open: idle ones, and ones that read a byte a second."""
+"""Clients that keep connections to dispatchers open: idle clients, and clients that read one byte per second."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 from .scenario import Fault, FaultKind
 
 RECEIVE_BUFFER_BYTES = 2048
-PIPELINED_REQUESTS = 50  # enough that their answers fill the socket's buffers
+# The answers to this many requests fill the buffers of the socket.
+PIPELINED_REQUESTS = 50
 REQUEST = b"GET /api/v1 HTTP/1.1\r\nhost: x\r\n\r\n"
 
 
 async def hold_connections(cluster: Cluster, fault: Fault) -> None:
-    """Hold `fault.count` connections open for the fault's duration, spread over the dispatchers."""
+    """Keep `fault.count` connections, spread over the dispatchers, open for the duration of the fault."""
     reads_slowly = fault.kind == FaultKind.SLOW_READERS
     sockets: list[socket.socket] = []
     for number in range(fault.count):
@@ -35,7 +36,7 @@
 
 
 async def _open_connection(address: str, reads_slowly: bool, sockets: list[socket.socket]) -> None:
-    """Add a socket to `sockets` and connect it; a dispatcher that is down leaves it unconnected."""
+    """Add a socket to `sockets` and connect it.  If the dispatcher is down, the socket stays unconnected."""
     loop = asyncio.get_running_loop()
     host, _, port = address.rpartition(":")
     sock = socket.socket()
--- a/kelptrail/fault_scenario/import_capture.py
+++ b/kelptrail/fault_scenario/import_capture.py
@@ -1,7 +1,7 @@
 """Imports a capture of the bench (`--tap FILE`) as a deployment and a scenario with the same kinds of faults.
 
-Only what the wire showed can be imported: arrivals, the mix of functions, endpoint lists, and faults inferred from
-attempt results by stated thresholds.  `docs/replay.md` says what is lost.
+Only what the captured messages show can be imported: arrivals, the mix of functions, endpoint lists, and the faults
+that `inferred_faults` derives from attempt results by fixed thresholds.  `docs/replay.md` lists what is lost.
 """
 
 from __future__ import annotations
@@ -16,27 +16,29 @@
 from .inferred_faults import fault_intervals
 
 EFFECTS = {"free": "repeatable", "guarded": "deduplicated", "single_shot": "once-only"}
-BLOCK_S = 5  # the load is written in blocks of so many seconds
+BLOCK_S = 5  # Length of a block of constant load
 SHORTEST_BLOCK_S = 0.5
-USUAL_LOAD_MS, USUAL_WORK_MS = 500.0, 50.0  # where the capture shows none
-WORK_PERCENTILE = 25  # of latencies: what an attempt takes without waiting
+DEFAULT_LOAD_MS, DEFAULT_WORK_MS = 500.0, 50.0  # Used if the capture shows no loads or no latencies
+# Percentile of latencies that stands for the time of an attempt without waiting.
+WORK_PERCENTILE = 25
 SHORTEST_WORK_MS = 5.0
-RANKED_FUNCTIONS = 50  # the most called ones, from which the popularity is fitted
-USUAL_ZIPF, HIGHEST_ZIPF = 1.0, 4.0
+RANKED_FUNCTIONS = 50  # Number of most called functions to which the Zipf exponent is fitted
+DEFAULT_ZIPF, HIGHEST_ZIPF = 1.0, 4.0
 LOWEST_RATE = 0.01
 
 
 class ImportedCapture(NamedTuple):
-    """The texts of a deployment file and of a scenario."""
+    """The texts of a deployment file and of a scenario file."""
 
     deployment: str
     scenario: str
 
 
 def import_capture(file: Path, name: str, rate_scale: float, workers: int, dispatchers: int) -> ImportedCapture:
-    """A capture as a deployment and a scenario that names it `NAME.sexp`.
+    """Convert a capture to a deployment and a scenario, which refers to the deployment as `NAME.sexp`.
 
-    `rate_scale` scales arrivals; function counts stay.  Raises `CaptureError` for a file that is no capture.
+    `rate_scale` scales the arrival rates but not the number of functions.  Raises `CaptureError` for a file that is not
+    a valid capture.
     """
     captured = read_capture(file)
     env = captured.env
@@ -57,7 +59,7 @@
         f'  (deployment "{name}.sexp")',
         f"  (seconds {captured.length:.0f}) (workers {workers}) (dispatchers {dispatchers})",
         *_load_forms(captured, rate_scale),
-        *(interval.write() for interval in fault_intervals(captured)),
+        *(fault.to_scenario_line() for fault in fault_intervals(captured)),
     ]
     return ImportedCapture("\n".join(deployment), "\n".join(scenario) + ")\n")
 
@@ -87,19 +89,19 @@
 
 
 def _calls_by_function(captured: CapturedRun) -> list[tuple[str, int]]:
-    """Functions and their numbers of calls, the most called first."""
+    """Return the functions with their numbers of calls, the most called first."""
     return Counter(request.function for request in captured.requests).most_common()
 
 
 def _action_forms(captured: CapturedRun) -> list[str]:
-    """An action for each function, named by its rank."""
-    load_ms = float(np.median([load.duration_ms for load in captured.loads])) if captured.loads else USUAL_LOAD_MS
+    """Return an action for each function, named after the rank of the function by number of calls."""
+    load_ms = float(np.median([load.duration_ms for load in captured.loads])) if captured.loads else DEFAULT_LOAD_MS
     classes = captured.env["classes"]
     forms = []
     for rank, (name, _) in enumerate(_calls_by_function(captured)):
         function = captured.functions[name]
         latencies = captured.latency_ms.get(function.request_class)
-        work_ms = USUAL_WORK_MS
+        work_ms = DEFAULT_WORK_MS
         if latencies:
             work_ms = max(SHORTEST_WORK_MS, float(np.percentile(latencies, WORK_PERCENTILE)))
         forms.append(
@@ -110,32 +112,32 @@
 
 
 def _rule_forms(env: dict[str, Any]) -> list[str]:
-    """The rules, and what bounds a dispatcher."""
-    rules, bounds, extras = env["rules"], env["bounds"], env["specifics"]
+    """Return the rules, and the limits of a dispatcher."""
+    rules, bounds, specifics = env["rules"], env["bounds"], env["specifics"]
     return [
         f"  (rules (drain-grace-ms {rules['stop_sending_within_us'] / 1000:g}) (tip {rules['tip_multiple']:g}) "
         f"(tip-ms {rules['fall_us'] / 1000:g}) (cold-share {rules['start_capacity']:g})",
-        f"         (cold-ms {rules['cold_us'] / 1000:g}) (free-loads {extras['free_loads']:g}) "
-        f"(load-share {extras['load_share']:g}) (load-span-ms {extras['load_span_us'] / 1000:g}))",
+        f"         (cold-ms {rules['cold_us'] / 1000:g}) (free-loads {specifics['free_loads']:g}) "
+        f"(load-share {specifics['load_share']:g}) (load-span-ms {specifics['load_span_us'] / 1000:g}))",
         f"  (dispatcher (parallel {_yes_no(bounds['parallel_tries'])}) (most-sends {bounds['max_attempts']}) "
-        f"(cancels {_yes_no(bounds['may_cancel'])}) (keep-ms {extras['idle_life_us'] / 1000:g})",
+        f"(cancels {_yes_no(bounds['may_cancel'])}) (keep-ms {specifics['idle_life_us'] / 1000:g})",
         f"              (longest-return-ms {bounds['max_retry_after_us'] / 1000:g}))",
     ]
 
 
 def _fleet_forms(captured: CapturedRun, workers: int) -> list[str]:
-    """The workers, with the captured memory spread over them, and the store."""
-    extras = captured.env["specifics"]
-    worker_mb = float(np.median(extras["machine_mb"])) * len(captured.workers) / workers
+    """Return the fleet of workers, over which the captured memory is spread, and the model store."""
+    specifics = captured.env["specifics"]
+    worker_mb = float(np.median(specifics["machine_mb"])) * len(captured.workers) / workers
     return [
         f"  (fleet (workers {workers}) (cores 8) (memory-mb {worker_mb:.0f}) "
-        f"(keep-ms {extras['idle_life_us'] / 1000:g}) (queue 128))",
+        f"(keep-ms {specifics['idle_life_us'] / 1000:g}) (queue 128))",
         "  (store (fetches 16) (most 64)))",
     ]
 
 
 def _load_forms(captured: CapturedRun, rate_scale: float) -> list[str]:
-    """The arrivals in blocks, all with one popularity exponent."""
+    """Return the arrivals as blocks of constant rate, which share one Zipf exponent."""
     zipf = min(HIGHEST_ZIPF, max(0.0, _zipf_exponent(captured)))
     requests_by_block = Counter(int(request.at // BLOCK_S) for request in captured.requests)
     forms = []
@@ -151,10 +153,10 @@
 
 
 def _zipf_exponent(captured: CapturedRun) -> float:
-    """The exponent of a Zipf distribution, fitted to the calls of the most called functions."""
+    """Return the exponent of a Zipf distribution that is fitted to the calls of the most called functions."""
     counts = _calls_by_function(captured)
     if len(counts) <= 3:
-        return USUAL_ZIPF
+        return DEFAULT_ZIPF
     ranks = np.arange(1, len(counts) + 1)[:RANKED_FUNCTIONS]
     calls = np.array([count for _, count in counts], float)[:RANKED_FUNCTIONS]
     return float(-np.polyfit(np.log(ranks), np.log(calls), 1)[0])
--- a/kelptrail/fault_scenario/inferred_faults.py
+++ b/kelptrail/fault_scenario/inferred_faults.py
@@ -1,4 +1,4 @@
-"""Infers faults from what a capture showed; each by the symptom that only it causes, where there is one."""
+"""Infers faults from a capture; each fault by a symptom that no other fault causes, where there is one."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from .captured_run import AttemptResult, CapturedRun
 from .scenario import FaultKind
 
-MIN_ANSWERS = 5  # a second of a worker with fewer answers is not evaluated
+MIN_ANSWERS = 5  # Seconds in which a worker gave fewer answers are not evaluated.
 MIN_SYMPTOM_SECONDS = 2
-FAILING_SHARE = 0.25  # of a worker's answers, above which it counts as failing
-MISSES_SHARE = 0.15  # of all answers, above which models may have been unloaded everywhere
-MISSES_FACTOR = 4  # over the usual share
-MISSES_SETTLE_S = 5  # until another such fault is looked for
-SLOW_LOADS_FACTOR = 2.5  # over the median load time
-MIN_LOADS = 3  # a second with fewer loads is not evaluated
-ROLLING_DEPLOY_S, WORKER_DOWN_S, COLD_RESTART_S = 3.0, 3.0, 1.0  # where the capture has no end
+FAILING_SHARE = 0.25  # Share of errors in a worker's answers above which the worker counts as failing
+MISSES_SHARE = 0.15  # Share of misses in all answers above which models may have been unloaded at all workers
+MISSES_FACTOR = 4  # Minimum ratio of the share of misses to its median
+MISSES_SETTLE_S = 5  # Time after such a fault in which no other one is inferred
+SLOW_LOADS_FACTOR = 2.5  # Ratio to the median load time above which loads are slow
+MIN_LOADS = 3  # Seconds with fewer loads are not evaluated.
+ROLLING_DEPLOY_S, WORKER_DOWN_S, COLD_RESTART_S = 3.0, 3.0, 1.0  # Durations where the capture does not show the end
 SHORTEST_DOWN_S = 0.5
-MERGED_WITHIN_S = 2.0  # intervals that begin so close together are one fault
+MERGED_WITHIN_S = 2.0  # Intervals that begin within this time of each other count as one fault.
 
-Interval = tuple[float, float]  # when it begins, and its length, in seconds
+Interval = tuple[float, float]  # Start and length, in seconds
 
 
 @dataclass(slots=True)
 class FaultInterval:
-    """One fault for the scenario."""
+    """An inferred fault, as the scenario states it; times in seconds."""
 
     kind: str
     at: float
@@ -37,14 +37,14 @@
     part: float
     settings: dict[str, float | str] = field(default_factory=dict)
 
-    def write(self) -> str:
-        """The fault as a line of a scenario."""
-        more = "".join(f" ({k} {v if isinstance(v, str) else f'{v:.3g}'})" for k, v in self.settings.items())
-        return f"  (trouble {self.kind} (at {self.at:.1f}) (for {self.duration:.1f}) (part {self.part:.2f}){more})"
+    def to_scenario_line(self) -> str:
+        """Return the fault as a line of a scenario file."""
+        settings = "".join(f" ({k} {v if isinstance(v, str) else f'{v:.3g}'})" for k, v in self.settings.items())
+        return f"  (trouble {self.kind} (at {self.at:.1f}) (for {self.duration:.1f}) (part {self.part:.2f}){settings})"
 
 
 def fault_intervals(captured: CapturedRun) -> list[FaultInterval]:
-    """All faults inferred from a capture, in order of time."""
+    """Return all faults inferred from a capture, in order of time."""
     seconds = int(captured.length) + 1
     found = [
         *_killed_dispatchers(captured),
@@ -57,36 +57,36 @@
 
 
 def _killed_dispatchers(captured: CapturedRun) -> list[FaultInterval]:
-    """Dispatchers that ended, until their next start."""
+    """Infer kills of dispatchers from their exits; a kill lasts until the next start of the dispatcher."""
     downs: list[Interval] = []
     for at, name in captured.exits:
-        back = next((t for t, other in captured.restarts if other == name and t >= at), captured.length)
-        downs.append((at, max(SHORTEST_DOWN_S, back - at)))
+        restarted_at = next((t for t, other in captured.restarts if other == name and t >= at), captured.length)
+        downs.append((at, max(SHORTEST_DOWN_S, restarted_at - at)))
     return _merge_intervals(FaultKind.KILL_DISPATCHERS, downs, len(captured.dispatchers))
 
 
 def _listed_faults(captured: CapturedRun) -> list[FaultInterval]:
-    """Drains, crashes and restarts of workers, from the endpoint lists."""
+    """Infer drains, crashes and restarts of workers from the endpoint lists."""
     intervals: dict[str, list[Interval]] = defaultdict(list)
     for at, worker, state in captured.state_changes:
         if state == "quiescing":
             intervals[FaultKind.ROLLING_DEPLOY].append((at, ROLLING_DEPLOY_S))
         elif state == "dead":
-            back = next(
+            restarted_at = next(
                 (t for t, w, s in captured.state_changes if w == worker and s != "dead" and t > at),
                 at + WORKER_DOWN_S,
             )
-            intervals[FaultKind.CRASH].append((at, max(SHORTEST_DOWN_S, back - at)))
+            intervals[FaultKind.CRASH].append((at, max(SHORTEST_DOWN_S, restarted_at - at)))
         elif state == "restarted":
             intervals[FaultKind.RESTART_COLD].append((at, COLD_RESTART_S))
     found: list[FaultInterval] = []
-    for kind, of_kind in intervals.items():
-        found += _merge_intervals(kind, of_kind, len(captured.workers))
+    for kind, kind_intervals in intervals.items():
+        found += _merge_intervals(kind, kind_intervals, len(captured.workers))
     return found
 
 
 class Symptom(NamedTuple):
-    """What a worker showed in one second: a kind of fault, its share of the attempts, and the one class it hit."""
+    """A fault of a worker in one second: its kind, the share of attempts it affected, and the class if only one."""
 
     kind: str
     share: float
@@ -94,7 +94,7 @@
 
 
 class SymptomRun(NamedTuple):
-    """Seconds in a row in which a worker showed one symptom."""
+    """Consecutive seconds in which a worker showed the same symptom."""
 
     kind: str
     first: float
@@ -104,7 +104,7 @@
 
 
 def _worker_faults(captured: CapturedRun, seconds: int) -> list[FaultInterval]:
-    """Workers that failed or did not answer."""
+    """Infer faults of workers that failed or did not answer."""
     runs_by_kind: dict[str, list[SymptomRun]] = defaultdict(list)
     for worker in sorted(captured.workers):
         for run in _symptom_runs(captured, worker, seconds):
@@ -128,13 +128,16 @@
 
 
 def _symptom_runs(captured: CapturedRun, worker: str, seconds: int) -> Iterator[SymptomRun]:
-    """Runs of seconds in which a worker showed one symptom; one that lasts to the end of the capture is left out."""
+    """Yield the runs of seconds in which a worker showed one symptom.
+
+    A run that lasts to the end of the capture is left out.
+    """
     run: list[Symptom] = []
     for second in range(seconds + 1):
         symptom = _symptom(captured.results.get((worker, second), Counter()))
         if run and (symptom is None or symptom.kind != run[0].kind):
             if len(run) >= MIN_SYMPTOM_SECONDS:
-                share = float(np.mean([of_second.share for of_second in run]))
+                share = float(np.mean([entry.share for entry in run]))
                 first = float(second - len(run))
                 yield SymptomRun(run[0].kind, first, float(second - 1), share, run[0].request_class)
             run = []
@@ -143,7 +146,7 @@
 
 
 def _symptom(results: Counter[AttemptResult]) -> Symptom | None:
-    """The symptom of a worker's results in one second: errors, errors of one class, or no answer at all."""
+    """Return the symptom in a worker's results of one second: errors, errors of one class only, or no answers."""
     total = sum(results.values())
     answered = sum(count for (ending, _), count in results.items() if ending in "SEFM")
     if total >= MIN_ANSWERS and not answered:
@@ -151,7 +154,7 @@
     errors = Counter({class_: count for (ending, class_), count in results.items() if ending == "E"})
     if answered < MIN_ANSWERS or sum(errors.values()) / answered <= FAILING_SHARE:
         return None
-    totals = {failing: sum(n for (_, class_), n in results.items() if class_ == failing) for failing in errors}
+    totals = {failing: sum(count for (_, class_), count in results.items() if class_ == failing) for failing in errors}
     share = max(count / totals[class_] for class_, count in errors.items())
     classes = {class_ for (_, class_) in results}
     if len(errors) == 1 and len(classes) > 1:
@@ -160,18 +163,18 @@
 
 
 def _voided_models(captured: CapturedRun, seconds: int) -> list[FaultInterval]:
-    """Misses at all workers at once: a release of models."""
+    """Infer losses of loaded models, such as by a release of models, from misses at all workers at once."""
     misses, answers = np.zeros(seconds + 1), np.ones(seconds + 1)
     for (_, second), results in captured.results.items():
         if second <= seconds:
             misses[second] += sum(count for (ending, _), count in results.items() if ending == "M")
             answers[second] += sum(results.values())
     share = misses / answers
-    usual = float(np.median(share))
+    median = float(np.median(share))
     found = []
     second = 3
     while second < seconds:
-        if share[second] > max(MISSES_SHARE, MISSES_FACTOR * usual) and share[second] > 2 * share[second - 1]:
+        if share[second] > max(MISSES_SHARE, MISSES_FACTOR * median) and share[second] > 2 * share[second - 1]:
             voided_share = float(min(1.0, 2 * share[second]))
             found.append(FaultInterval(FaultKind.MODELS_VOIDED, float(second), 1.0, 1.0, {"share": voided_share}))
             second += MISSES_SETTLE_S
@@ -180,21 +183,21 @@
 
 
 def _slow_store(captured: CapturedRun, seconds: int) -> list[FaultInterval]:
-    """Loads that are slow at all workers."""
+    """Infer a slow model store from loads that are slow at all workers."""
     if not captured.loads:
         return []
     times = np.array([load.at for load in captured.loads])
     durations = np.array([load.duration_ms for load in captured.loads])
-    usual = float(np.median(durations))
+    median = float(np.median(durations))
     slow_seconds = []
     for second in range(seconds):
-        of_second = durations[(times >= second) & (times < second + 1)]
-        if of_second.size >= MIN_LOADS and float(np.median(of_second)) > SLOW_LOADS_FACTOR * usual:
+        load_times = durations[(times >= second) & (times < second + 1)]
+        if load_times.size >= MIN_LOADS and float(np.median(load_times)) > SLOW_LOADS_FACTOR * median:
             slow_seconds.append(second)
     found = []
     for first, last in _consecutive(slow_seconds):
         if last - first >= 2:
-            factor = float(np.median(durations[(times >= first) & (times <= last + 1)])) / usual
+            factor = float(np.median(durations[(times >= first) & (times <= last + 1)])) / median
             found.append(
                 FaultInterval(FaultKind.STORE_SLOW, float(first), float(last - first + 1), 1.0, {"factor": factor})
             )
@@ -202,7 +205,7 @@
 
 
 def _consecutive(seconds: list[int]) -> list[tuple[int, int]]:
-    """First and last of each run of seconds, of which one may be left out."""
+    """Return the first and the last second of each run; gaps of one second do not end a run."""
     runs: list[tuple[int, int]] = []
     for second in seconds:
         if runs and second - runs[-1][1] <= 2:
@@ -213,15 +216,18 @@
 
 
 def _merge_intervals(
-    kind: str, intervals: list[Interval], of: int, settings: dict[str, float | str] | None = None
+    kind: str, intervals: list[Interval], process_count: int, settings: dict[str, float | str] | None = None
 ) -> list[FaultInterval]:
-    """Merge intervals that begin close together into one fault, which hits so many of `of` processes."""
+    """Merge intervals that begin close together into one fault.
+
+    The part of a fault is the number of its intervals relative to `process_count`.
+    """
     found: list[FaultInterval] = []
     group: list[Interval] = []
     for interval in [*sorted(intervals), (float("inf"), 0.0)]:
         if group and interval[0] - group[0][0] > MERGED_WITHIN_S:
             duration = float(np.median([length for _, length in group]))
-            part = min(1.0, len(group) / max(1, of))
+            part = min(1.0, len(group) / max(1, process_count))
             found.append(FaultInterval(kind, group[0][0], duration, part, dict(settings or {})))
             group = []
         group.append(interval)
--- a/kelptrail/fault_scenario/peer_links.py
+++ b/kelptrail/fault_scenario/peer_links.py
@@ -1,4 +1,4 @@
-"""Faults of the links between dispatchers and planners, set at the cluster's channel proxy."""
+"""Faults of the links between dispatchers and planners, applied by the cluster's channel proxy."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SlowLink(NamedTuple):
-    """A delay of messages in ms, and the share of messages that have it."""
+    """A delay of messages in ms, and the share of messages that are delayed."""
 
     ms: float
     share: float
@@ -24,38 +24,42 @@
 
 
 class PeerLinks:
-    """Cut and slow links, over all faults that are active.  `random` draws the directions of one-way cuts."""
+    """The links that active faults cut or slow down.  `random` draws the directions of one-way cuts."""
 
     def __init__(self, cluster: Cluster, random: np.random.Generator) -> None:
         self._cluster, self._random = cluster, random
-        self._cut_links: Counter[tuple[str, str]] = Counter()  # (sender, receiver): number of faults that cut it
+        # Number of faults that cut a link, by (sender, receiver).
+        self._cut_links: Counter[tuple[str, str]] = Counter()
         self._slow_links: list[SlowLink] = []
 
     async def cut_off(self, fault: Fault, targets: list[Process]) -> None:
-        """Cut the links between the targets and all others; one way: either direction, drawn for each."""
-        pairs = self._links_to_cut(fault, {target.name for target in targets})
-        self._cut_links.update(pairs)
+        """Cut the links between the targets and all others for the duration of the fault.
+
+        A one-way fault cuts one direction, which is drawn for each target.
+        """
+        links = self._links_to_cut(fault, {target.name for target in targets})
+        self._cut_links.update(links)
         await self._apply()
         await asyncio.sleep(fault.duration)
-        self._cut_links.subtract(pairs)
+        self._cut_links.subtract(links)
         await self._apply()
 
     def _links_to_cut(self, fault: Fault, names: set[str]) -> list[tuple[str, str]]:
         others = [c.name for c in (*self._cluster.dispatchers, *self._cluster.planners) if c.name not in names]
-        pairs: list[tuple[str, str]] = []
+        links: list[tuple[str, str]] = []
         for name in sorted(names):
             outgoing = incoming = True
             if fault.one_way:
                 incoming = bool(self._random.random() < 0.5)
                 outgoing = not incoming
             if outgoing:
-                pairs += [(name, other) for other in others]
+                links += [(name, other) for other in others]
             if incoming:
-                pairs += [(other, name) for other in others]
-        return pairs
+                links += [(other, name) for other in others]
+        return links
 
     async def slow(self, fault: Fault) -> None:
-        """Delay a share of the messages on all links for the fault's duration."""
+        """Delay a share of the messages on all links for the duration of the fault."""
         slow_link = SlowLink(fault.ms, fault.share)
         self._slow_links.append(slow_link)
         await self._apply()
@@ -64,7 +68,7 @@
         await self._apply()
 
     async def reset(self, share: float) -> None:
-        """Reset this share of the connections now."""
+        """Reset the given share of the connections."""
         await self._cluster.set_link_fault(reset=share)
 
     async def _apply(self) -> None:
--- a/kelptrail/fault_scenario/report.py
+++ b/kelptrail/fault_scenario/report.py
@@ -21,11 +21,12 @@
 
 PERCENTILES = (50, 90, 99, 99.9)
 LONGEST_LATENCY_US = 600_000_000
-MAX_LEASE_GAP_MS = 300.0  # between two uses of a lease: past it no dispatcher is counted as its holder
+# After a longer gap between two uses of a lease, no dispatcher counts as its holder.
+MAX_LEASE_GAP_MS = 300.0
 
 
 class MemorySample(NamedTuple):
-    """Resident memory of each dispatcher that is up, at a second of the load."""
+    """Resident memory of each running dispatcher, in kB, at a second of the load."""
 
     seconds: float
     resident_kb: list[int]
@@ -33,34 +34,38 @@
 
 @dataclass(frozen=True, slots=True)
 class RunObservations:
-    """What a run through real processes showed beside its captures."""
+    """Observations of a run with real processes that its captures do not contain."""
 
-    drained_cleanly: bool  # whether all dispatchers that were up at the end drained cleanly
+    drained_cleanly: bool  # True if all dispatchers that were running at the end drained cleanly
     memory: list[MemorySample]
-    states: list[dict[str, Any]]  # what each dispatcher's control port said at the end
+    states: list[dict[str, Any]]  # Answer of each dispatcher's control port to `/state` at the end
 
 
 def latencies(events: list[Event]) -> dict[str, dict[str, float]]:
-    """Percentiles (ms) of completed blocking calls by request class, from an HDR histogram of microseconds."""
+    """Return latency percentiles in ms of completed blocking calls, by request class.
+
+    They are computed from an HDR histogram of microseconds.
+    """
     calls = {e["call"]: e for e in events if e["what"] == "call"}
-    kinds: dict[str, HdrHistogram] = defaultdict(lambda: HdrHistogram(1, LONGEST_LATENCY_US, 3))
+    histograms: dict[str, HdrHistogram] = defaultdict(lambda: HdrHistogram(1, LONGEST_LATENCY_US, 3))
     for event in events:
         if event["what"] == "final" and event["answer"] == "completed" and event.get("took") is None:
             call = calls[event["call"]]
-            kinds[call["type"]].record_value(max(1, int((event["t"] - call["t"]) * 1000)))
+            histograms[call["type"]].record_value(max(1, int((event["t"] - call["t"]) * 1000)))
     return {
-        kind: {f"p{p:g}": round(h.get_value_at_percentile(p) / 1000, 2) for p in PERCENTILES}
-        | {"count": h.get_total_count()}
-        for kind, h in sorted(kinds.items())
+        type_name: {f"p{p:g}": round(histogram.get_value_at_percentile(p) / 1000, 2) for p in PERCENTILES}
+        | {"count": histogram.get_total_count()}
+        for type_name, histogram in sorted(histograms.items())
     }
 
 
 def describe_deployment(deployment: Deployment, names: list[str], workers: int) -> dict[str, Any]:
-    """What the history checker must know of the deployment."""
+    """Return the properties of the deployment that the history checker needs."""
     rules = deployment.rules
     return {
         "types": [
-            {"name": t.name, "effect": t.effect, "target_ms": t.latency_objective_ms} for t in deployment.types.values()
+            {"name": type_.name, "effect": type_.effect, "target_ms": type_.latency_objective_ms}
+            for type_ in deployment.types.values()
         ],
         "rules": {
             "drain_grace_ms": rules.drain_grace_ms,
@@ -81,28 +86,30 @@
 
 
 def lease_holders(events: list[Event], seconds: int) -> dict[str, Any]:
-    """For each task which dispatcher held its lease from when to when, in seconds of the load, and the times without a
-    holder: from uses that the side-effect log accepted, by when their users had checked their leases.
+    """Return for each task the spans in which a dispatcher held its lease, and the time without a holder.
+
+    Times are in seconds of the load.  Spans are derived from the uses that the side-effect log accepted, each at the
+    time at which its holder had checked the lease.
     """
     (begin,) = [e for e in events if e["what"] == "begin"]
     lease_uses: dict[str, list[Event]] = defaultdict(list)
     for event in sorted((e for e in events if e["what"] in ("act", "done") and e["taken"]), key=lambda e: e["looked"]):
         lease_uses[event["task"]].append(event)
-    out: dict[str, Any] = {}
+    leases_by_task: dict[str, Any] = {}
     for task, uses in sorted(lease_uses.items()):
         spans = _lease_spans(uses, begin["start"])
         gaps = _lease_gaps(spans, seconds)
-        out[task] = {
+        leases_by_task[task] = {
             "spans": spans,
             "without_s": round(sum(g for g in gaps if g > MAX_LEASE_GAP_MS / 1000), 3),
             "longest_without_s": max(gaps, default=0.0),
             "acts": len(uses),
         }
-    return out
+    return leases_by_task
 
 
 def _lease_spans(uses: list[Event], start: float) -> list[dict[str, Any]]:
-    """Spans of uses under one token with no long gap between them, in seconds of the load."""
+    """Return spans of uses under one token without a long gap between them, in seconds of the load."""
     spans: list[dict[str, Any]] = []
     for event in uses:
         at, token = (event["looked"] - start) / 1000, f"{event['token'][0]}.{event['token'][1]}"
@@ -114,7 +121,7 @@
 
 
 def _lease_gaps(spans: list[dict[str, Any]], seconds: int) -> list[float]:
-    """Seconds between spans, and from the last one to the end of the load where that is long."""
+    """Return the gaps between spans in seconds, and the one from the last span to the end of the load if it is long."""
     gaps: list[float] = [round(b["from"] - a["until"], 3) for a, b in pairwise(spans) if b["from"] > 0]
     last = spans[-1]["until"] if spans else 0.0
     if seconds - last > MAX_LEASE_GAP_MS / 1000:
@@ -125,7 +132,7 @@
 def write_report(
     folder: Path, name: str, seed: int, events: list[Event], result: CheckResult, observations: RunObservations
 ) -> dict[str, Any]:
-    """Write report.json and timeline.png into `folder`; returns the report."""
+    """Write report.json and timeline.png to `folder`, and return the report."""
     rows, faults = timeline(events)
     deployment = next(e for e in events if e["what"] == "world")
     memory, states = observations.memory, observations.states
@@ -142,7 +149,7 @@
             "first": [kb // 1024 for kb in memory[0].resident_kb] if memory else [],
             "last": [kb // 1024 for kb in memory[-1].resident_kb] if memory else [],
         },
-        "second_sends": sum(s["second_sends"] for s in states),  # since their last starts
+        "second_sends": sum(s["second_sends"] for s in states),  # Counted since the last start of each dispatcher
         "second_saved": sum(s["second_saved"] for s in states),
         "journal": [s["journal"] for s in states if s.get("journal")],
         "leases": lease_holders(events, int(rows[-1]["second"]) + 1 if rows else 0),
--- a/kelptrail/fault_scenario/runner.py
+++ b/kelptrail/fault_scenario/runner.py
@@ -1,4 +1,4 @@
-"""Runs a fault scenario through real processes: a cluster, its clients, and faults at their times."""
+"""Runs a fault scenario with real processes: a cluster, its clients, and faults at their scheduled times."""
 
 from __future__ import annotations
 
@@ -22,18 +22,20 @@
 from .report import MemorySample, RunObservations, describe_deployment
 from .scenario import PEER_FAULTS, FaultScenario, ScenarioError
 
-READY_S = 20.0  # for acceptors to form a quorum and journals to be acquired
-MEMORY_SAMPLE_S = 1.0
-START_DELAY_MS = 200.0  # from the end of the preparation to the first arrival
-CLIENT_PROCESSES_START_DELAY_MS = 3000.0  # the same, where clients are processes that have to start
-LAST_ANSWERS_MS = 5000.0  # beyond the longest timeout, for the last answers to arrive
-LAST_EVENTS_S = 0.5  # for emulators to write their last events
+READY_TIMEOUT_S = 20.0  # Time for acceptors to form a quorum and for dispatchers to acquire their journals
+MEMORY_SAMPLE_INTERVAL_S = 1.0
+START_DELAY_MS = 200.0  # Time from the end of the preparation to the first arrival
+# The same with separate client processes, which have to start first.
+CLIENT_PROCESSES_START_DELAY_MS = 3000.0
+LAST_ANSWERS_MS = 5000.0  # Time beyond the longest timeout for the last answers to arrive
+LAST_EVENTS_S = 0.5  # Time for emulators to write their last events
 GC_THRESHOLDS = (50_000, 20, 1_000_000)
 
 
 class ScenarioRunner:
-    """One run.  The seed determines arrivals, fault targets and the emulators' random draws.  Raises `ScenarioError`
-    for faults that the deployment cannot have.
+    """One run of a scenario.  The seed determines arrivals, fault targets and the emulators' random draws.
+
+    Raises `ScenarioError` if the deployment does not support the faults of the scenario.
     """
 
     def __init__(
@@ -53,13 +55,13 @@
         self._script = script
         self._scenario, self._deployment, self._out = scenario, deployment, out
         self._seed = seed
-        logs, self._captures, self._state_folder = out / "logs", out / "captures", out / "state"
-        for folder in (out, logs, self._captures):
+        log_folder, self._captures, self._state_folder = out / "logs", out / "captures", out / "state"
+        for folder in (out, log_folder, self._captures):
             folder.mkdir(parents=True, exist_ok=True)
-        for old in self._captures.glob("*.jsonl"):
-            old.unlink()
+        for old_capture in self._captures.glob("*.jsonl"):
+            old_capture.unlink()
         self._capture = Capture(self._captures / "player.jsonl", "player")
-        self._cluster = Cluster(deployment, scenario.deployment, self._captures, seed, log_level, logs)
+        self._cluster = Cluster(deployment, scenario.deployment, self._captures, seed, log_level, log_folder)
         self._fault_injector = FaultInjector(
             scenario,
             deployment,
@@ -72,18 +74,18 @@
         self._start_ms = 0.0
 
     async def run(self) -> RunObservations:
-        """Run all of the scenario; what was observed beside the captures."""
+        """Run the scenario to its end, and return the observations that its captures do not contain."""
         await self._start_cluster()
         clients = self._make_clients() if self._scenario.client_processes == 1 else None
         arrivals = clients.plan(self._scenario.load, self._scenario.seconds) if clients is not None else []
         self._begin_load(START_DELAY_MS if clients is not None else CLIENT_PROCESSES_START_DELAY_MS)
-        tasks = self._start_fault_tasks()
+        background_tasks = self._start_fault_tasks()
         if clients is not None:
             await self._run_clients(clients, arrivals)
         else:
             await self._run_client_processes()
         await asyncio.sleep(LAST_EVENTS_S)
-        for task in tasks:
+        for task in background_tasks:
             task.cancel()
         if clients is not None:
             clients.close()
@@ -104,11 +106,14 @@
         dispatcher_names = [dispatcher.name for dispatcher in self._cluster.dispatchers]
         self._capture.write("world", **describe_deployment(deployment, dispatcher_names, scenario.workers))
         if deployment.peers is not None and deployment.peers.replicas:
-            await self._wait_until_replicated(READY_S)
+            await self._wait_until_replicated(READY_TIMEOUT_S)
+
+    async def _wait_until_replicated(self, timeout_s: float) -> None:
+        """Wait until all dispatchers have their replicas, as an operator does before admitting clients.
 
-    async def _wait_until_replicated(self, within_s: float) -> None:
-        """Wait until all dispatchers have their replicas, as an operator would before admitting clients."""
-        end = now_ms() + within_s * 1000
+        After `timeout_s` the run goes on without them.
+        """
+        end = now_ms() + timeout_s * 1000
         for dispatcher in self._cluster.dispatchers:
             while now_ms() < end and not (await http_json(dispatcher.said["asked_at"], "GET", "/copies"))["promising"]:
                 await asyncio.sleep(0.1)
@@ -129,8 +134,9 @@
         return [dispatcher.said["grpc"] for dispatcher in self._cluster.dispatchers]
 
     def _begin_load(self, delay_ms: float) -> None:
-        """Fix the start of the load, and keep garbage collection rare: pauses of the clients' own process must not
-        look like late answers.
+        """Set the start of the load, and make garbage collection rare.
+
+        A pause of the process in which the clients run would otherwise look like late answers.
         """
         gc.collect()
         gc.freeze()
@@ -139,18 +145,18 @@
         self._capture.write("begin", start=self._start_ms, seconds=self._scenario.seconds)
 
     def _start_fault_tasks(self) -> list[asyncio.Task[None]]:
-        """A task for each fault, and the one that samples memory."""
+        """Start a task for each fault and one that samples memory, and return them."""
         inject = self._fault_injector.inject_at_time
         faults = [asyncio.create_task(inject(fault, self._start_ms)) for fault in self._scenario.faults]
         return [*faults, asyncio.create_task(self._sample_memory())]
 
     async def _run_clients(self, clients: ClientEmulator, arrivals: list[tuple[float, Callable[[], None]]]) -> None:
-        """Run the clients in this process until the load ends and the last answer has arrived."""
+        """Run the clients in this process until the load has ended and the last answer has arrived or is overdue."""
         await clients.run(arrivals, self._start_ms)
         longest_timeout_ms = max(t.timeout_ms for t in self._deployment.types.values())
-        last_answer_by = now_ms() + longest_timeout_ms + LAST_ANSWERS_MS
+        answers_deadline_ms = now_ms() + longest_timeout_ms + LAST_ANSWERS_MS
         await asyncio.sleep(max(0.0, self._start_ms / 1000 + self._scenario.seconds - now_ms() / 1000))
-        await clients.wait_until_answered(last_answer_by)
+        await clients.wait_until_answered(answers_deadline_ms)
 
     async def _run_client_processes(self) -> None:
         await self._cluster.run_clients(
@@ -167,10 +173,10 @@
             with contextlib.suppress(OSError):
                 seconds = (now_ms() - self._start_ms) / 1000
                 self._memory.append(MemorySample(seconds, [memory_kb(pid) for pid in pids]))
-            await asyncio.sleep(MEMORY_SAMPLE_S)
+            await asyncio.sleep(MEMORY_SAMPLE_INTERVAL_S)
 
     async def _query_states(self) -> list[dict[str, Any]]:
-        """What the control port of each dispatcher that is up says."""
+        """Return the state that the control port of each running dispatcher reports."""
         states = []
         for dispatcher in self._cluster.dispatchers:
             with contextlib.suppress(OSError, HttpError):
--- a/kelptrail/fault_scenario/scenario.py
+++ b/kelptrail/fault_scenario/scenario.py
@@ -1,4 +1,4 @@
-"""A fault scenario as an S-expression: its length, processes, load and faults.  Times are seconds."""
+"""Fault scenarios, read from S-expressions: length, processes, load and faults.  Times are in seconds."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class FaultKind(StrEnum):
-    """Kinds of faults; the values are the words of scenario files and of captures."""
+    """Kinds of faults.  The values are written in scenario files and captures."""
 
-    # At workers.
+    # Faults of workers.
     STALL = "stall"
     CUT = "cut"
     FAIL_FAST = "fail-fast"
@@ -35,17 +35,17 @@
     ROLLING_DEPLOY = "rolling-deploy"
     DRAIN = "drain"
 
-    # At the model store.
+    # Faults of the model store.
     STORE_SLOW = "store-slow"
     STORE_REFUSE = "store-refuse"
     STORE_STOPPED = "store-stopped"
 
-    # At disks of dispatchers.
+    # Faults of dispatchers' disks.
     DISK_SLOW = "disk-slow"
     DISK_FAILS = "disk-fails"
     DISK_FULL = "disk-full"
 
-    # At planners.
+    # Faults of planners.
     KILL_PLANNERS = "kill-planners"
     PLANNERS_SLOW = "planners-slow"
     PLANNERS_FORGET = "planners-forget"
@@ -53,7 +53,7 @@
     PAUSE_PLANNERS = "pause-planners"
     CUT_PLANNERS = "cut-planners"
 
-    # At dispatchers that have peers, and between them.
+    # Faults of dispatchers that have peers, and of the links between peers.
     CUT_PEERS = "cut-peers"
     SLOW_PEERS = "slow-peers"
     RESET_PEERS = "reset-peers"
@@ -62,7 +62,7 @@
     CLOCK_RATE = "clock-rate"
     CLOCK_STEP = "clock-step"
 
-    # At dispatchers, the endpoint list and connections.
+    # Faults of dispatchers, the endpoint list and connections.
     KILL_DISPATCHERS = "kill-dispatchers"
     LIST_LATE = "list-late"
     LIST_NAMES_NOBODY = "list-names-nobody"
@@ -118,44 +118,45 @@
 )
 KINDS = tuple(FaultKind)
 RENAMED_FAULT_KEYS = {"for": "duration", "hall": "zone"}
-MIN_PEERS = 5  # dispatchers, in different zones, of a scenario with faults of peers
+# A scenario with faults of peers needs at least this many dispatchers, in different zones.
+MIN_PEERS = 5
 
 
 class ScenarioError(ValueError):
-    """A scenario that this deployment cannot run."""
+    """Raised for a scenario that its deployment does not support."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: its kind, when it begins and how long it lasts (seconds), and which processes it hits.
+    """One fault: its kind, when it begins and how long it lasts (in seconds), and which processes it affects.
 
-    `key` in a field's metadata: its name in `(set trouble.KEY VALUE)` of an experiment, where that differs.
+    `key` in a field's metadata is the name of the field in `(set trouble.KEY VALUE)` of an experiment, if it differs.
     """
 
     kind: str
     at: float
     duration: float = field(metadata={"key": "last"})
-    part: float  # share of the processes that it can hit
+    part: float  # Share of the eligible processes that the fault affects
     share: float
     factor: float
     ms: float
     type: str
     count: int
     one_way: bool
-    zone: str = field(metadata={"key": "hall"})  # all dispatchers of this zone are hit, in place of a part
+    zone: str = field(metadata={"key": "hall"})  # Zone whose dispatchers are all affected; replaces `part`
 
 
-def _fault_of(kind: str, **settings: Any) -> Fault:
+def _make_fault(kind: str, **settings: Any) -> Fault:
     fields = {RENAMED_FAULT_KEYS.get(key, key): value for key, value in settings.items()}
     return Fault(kind, **fields)
 
 
 @dataclass(frozen=True, slots=True)
 class FaultScenario:
-    """A scenario as read from its file."""
+    """A fault scenario, as read from its file."""
 
     name: str
-    deployment: str  # path of its file
+    deployment: str  # Path of the deployment file
     seconds: float
     workers: int
     dispatchers: int
@@ -164,15 +165,16 @@
     solver: str
     load: list[Load]
     faults: list[Fault] = field(metadata={"key": "trouble"})
-    tasks: tuple[str, ...] = ()  # all dispatchers acquire them as leases and use them at the side-effect log
+    # Tasks whose leases all dispatchers try to acquire and use at the side-effect log.
+    tasks: tuple[str, ...] = ()
 
     @property
     def last_fault_ends(self) -> float:
-        """When the last fault is over."""
+        """The time at which the last fault ends, in seconds."""
         return max((fault.at + fault.duration for fault in self.faults), default=0.0)
 
 
-def _scenario_of(name: str, **settings: Any) -> FaultScenario:
+def _make_scenario(name: str, **settings: Any) -> FaultScenario:
     faults = settings.pop("trouble")
     return FaultScenario(name, faults=faults, **settings)
 
@@ -191,7 +193,7 @@
         "hall": word(default=""),
     },
     ("kind",),
-    build=_fault_of,
+    build=_make_fault,
 )
 
 SCENARIO = Shape(
@@ -208,19 +210,22 @@
         "trouble": Many(FAULT),
     },
     ("name",),
-    build=_scenario_of,
+    build=_make_scenario,
 )
 
 
 def load_scenario(path: str | Path) -> FaultScenario:
-    """Read and check a scenario.  Raises `SettingsError` with every fault, `OSError` where unreadable."""
+    """Read and check a scenario file.
+
+    Raises `SettingsError` with all mistakes in the file, or `OSError` if it cannot be read.
+    """
     text = Path(path).read_text(encoding="utf-8", errors="replace")
     checker = Checker()
     root = _root_form(checker, read(text, str(path)), str(path))
     _check_kinds(checker, root)
     scenario: FaultScenario = checker.form(root, SCENARIO)
     checker.done()
-    for form, load in zip(_forms(root, "load"), scenario.load, strict=True):
+    for form, load in zip(_forms_with_head(root, "load"), scenario.load, strict=True):
         check_load(checker, form.position, load, Path(path).parent)
     _check_faults(checker, root, scenario)
     checker.done()
@@ -231,7 +236,7 @@
 
 
 def _root_form(checker: Checker, forms: Sequence[Atom | Form], path: str) -> Form:
-    """The one `(bad-day NAME ...)` of a file.  Raises `SettingsError` where there is another or none."""
+    """Return the `(bad-day NAME ...)` of a file.  Raises `SettingsError` if it is not the only expression."""
     if len(forms) == 1 and isinstance(forms[0], Form) and forms[0].head == "bad-day":
         return forms[0]
     checker.fault(SourcePosition(path, 1, 1), f"{len(forms)} expressions", "one (bad-day NAME ...)")
@@ -239,25 +244,25 @@
     raise AssertionError("unreachable: done() raises after a fault")
 
 
-def _forms(root: Form, head: str) -> list[Form]:
+def _forms_with_head(root: Form, head: str) -> list[Form]:
     return [item for item in root.items if isinstance(item, Form) and item.head == head]
 
 
 def _check_kinds(checker: Checker, root: Form) -> None:
-    for form in _forms(root, "trouble"):
+    for form in _forms_with_head(root, "trouble"):
         if len(form.items) > 1 and str(form.items[1]) not in KINDS:
             kind = form.items[1]
             checker.fault(kind.position, kind, "a kind of trouble: " + ", ".join(KINDS))
 
 
 def _check_faults(checker: Checker, root: Form, scenario: FaultScenario) -> None:
-    """Check what concerns several fields of a fault, or the scenario with its faults."""
-    for form, fault in zip(_forms(root, "trouble"), scenario.faults, strict=True):
+    """Check constraints that involve several fields of a fault, or the scenario and its faults together."""
+    for form, fault in zip(_forms_with_head(root, "trouble"), scenario.faults, strict=True):
         if fault.ms < 0 and fault.kind != FaultKind.CLOCK_STEP:
             checker.fault(form.position, f"{fault.ms:g} ms", "0 or more; only clock-step goes back")
     if scenario.dispatchers >= MIN_PEERS:
         return
-    for form in _forms(root, "trouble"):
+    for form in _forms_with_head(root, "trouble"):
         if str(form.items[1]) in PEER_FAULTS:
             checker.fault(
                 form.position,
--- a/kelptrail/fault_scenario/timeline.py
+++ b/kelptrail/fault_scenario/timeline.py
@@ -1,4 +1,4 @@
-"""The timeline of a scenario: its calls, answers and faults by second."""
+"""The timeline of a scenario: calls and answers of each second, and faults."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from kelptrail.history_checker.history import Event
 
-SECONDS_AFTER_LOAD = 8  # for the last answers
+SECONDS_AFTER_LOAD = 8  # Time for the last answers to arrive
 
 
 class Timeline(NamedTuple):
-    """Rows of the report: one for each second of the load, and one for each fault."""
+    """Rows of the report: one for each second, and one for each fault."""
 
     seconds: list[dict[str, Any]]
     faults: list[dict[str, Any]]
 
 
 def timeline(events: list[Event]) -> Timeline:
-    """Each second's calls and final answers, and the faults.  Seconds count from the start of the load."""
+    """Return the calls and final answers of each second, and the faults.  Seconds count from the start of the load."""
     (begin,) = [e for e in events if e["what"] == "begin"]
     start, seconds = begin["start"], int(begin["seconds"]) + SECONDS_AFTER_LOAD
     targets = {t["name"]: t["target_ms"] for t in next(e for e in events if e["what"] == "world")["types"]}
@@ -50,7 +50,7 @@
 
 
 def _latency_ms(final: Event, call: Event) -> float:
-    """Time of a final answer, from the record of a deferred call, else as the client saw it."""
+    """Return the time to a final answer in ms: from the record of a deferred call, else as the client measured it."""
     if final.get("took") is not None:
         return float(final["took"])
     return float(final["t"] - call["t"])
--- a/kelptrail/fault_scenario/timeline_plot.py
+++ b/kelptrail/fault_scenario/timeline_plot.py
@@ -1,4 +1,4 @@
-"""The plot of a report: results of each second, lease holders and faults."""
+"""The plot of a report: results and work of each second, lease holders, and faults."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from .timeline import Timeline
 
-SHORTEST_BAR_S = 0.3  # a fault is drawn at least so long
+SHORTEST_BAR_S = 0.3  # Minimum length of a fault's bar
 
 
 def draw_timeline(file: Path, name: str, timeline: Timeline, leases: dict[str, Any]) -> None:
-    """Plot the results of each second, the lease holders, and the faults below."""
+    """Plot, from top to bottom, the results and the work of each second, the lease holders, and the faults."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -36,7 +36,7 @@
 
 
 def _draw_results(axis: Any, rows: list[dict[str, Any]]) -> None:
-    """Final answers by kind, stacked, and the calls."""
+    """Plot the final answers of each second, stacked by kind, and the calls."""
     seconds = [row["second"] for row in rows]
     late = [row["completed"] - row["in_time"] for row in rows]
     axis.stackplot(
@@ -71,7 +71,7 @@
 
 
 def _draw_leases(axis: Any, leases: dict[str, Any]) -> None:
-    """A line for each task, a colour for each holder."""
+    """Plot the spans of leases, with a row for each task and a colour for each holder."""
     names = sorted({span["by"] for task in leases.values() for span in task["spans"]})
     colors = {name: f"C{number}" for number, name in enumerate(names)}
     for row, task in enumerate(leases.values()):
--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from kelptrail.fault_scenario.campaign import DRAWERS, REPLICATION_DISPATCHERS, summarize
+from kelptrail.fault_scenario.campaign import REPLICATION_DISPATCHERS, SCENARIO_GENERATORS, summarize
 from kelptrail.fault_scenario.scenario import FaultKind, FaultScenario, load_scenario
 from kelptrail.settings.deployment import load
 
@@ -17,20 +17,20 @@
 
 def draw_and_load(kind: str, seed: int, folder: Path) -> FaultScenario:
     """Draw a scenario, write its files and load them, as a campaign does."""
-    drawn = DRAWERS[kind](seed, (ROOT / "examples" / SETTINGS[kind]).read_text())
+    drawn = SCENARIO_GENERATORS[kind](seed, (ROOT / "examples" / SETTINGS[kind]).read_text())
     (folder / f"fleet-{seed}.sexp").write_text(drawn.deployment)
     (folder / "day.sexp").write_text(drawn.script)
     return load_scenario(folder / "day.sexp")
 
 
-@pytest.mark.parametrize("kind", sorted(DRAWERS))
+@pytest.mark.parametrize("kind", sorted(SCENARIO_GENERATORS))
 def test_drawn_scenarios_are_valid_and_depend_on_the_seed_alone(kind: str, tmp_path: Path) -> None:
     settings = (ROOT / "examples" / SETTINGS[kind]).read_text()
     scripts = set()
     for seed in SEEDS:
-        assert DRAWERS[kind](seed, settings) == DRAWERS[kind](seed, settings)
+        assert SCENARIO_GENERATORS[kind](seed, settings) == SCENARIO_GENERATORS[kind](seed, settings)
         scenario = draw_and_load(kind, seed, tmp_path)
-        scripts.add(DRAWERS[kind](seed, settings).script)
+        scripts.add(SCENARIO_GENERATORS[kind](seed, settings).script)
         assert all(fault.at < scenario.seconds and fault.part > 0 for fault in scenario.faults)
     assert len(scripts) == len(SEEDS)
 
