--- a/bench/fault_injection/captured_attempts.py
+++ b/bench/fault_injection/captured_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts that processes send to workers, captured between the two."""
+"""Capture of the attempts and load orders that processes send to workers."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 
 from fault_injection.proxy import DataListener
 
-ONLY_ASKS = "units=0"  # the end of a load order that only asks
+QUERY_SUFFIX = "units=0"  # end of a load order that queries the worker and loads nothing
 
 
 @dataclass(frozen=True, slots=True)
 class CapturedAttempt:
     """An attempt as a process sent it.
 
-    `limit_s` is the time limit that was passed to the worker; `is_timed` tells that `at`, in seconds of the monotonic
-    clock, is when the process sent it, and `begun_at` its first byte: a send may fail half way, and go on later."""
+    `limit_s` is the time limit that was passed to the worker.  `begun_at` and `at` are when its first byte and the end
+    of its command line were captured, in seconds of the monotonic clock; they differ where a send failed half way and
+    was continued later.  With `is_timed` they are also the times at which the process sent them."""
 
     at: float
     process: int
@@ -29,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CapturedOrder:
-    """A load order as a process sent it; one with count 0 only asks and is not captured."""
+    """A load order as a process sent it.  An order with count 0 only queries the worker and is not captured."""
 
     begun_at: float
     process: int
@@ -42,16 +43,16 @@
 
     def __init__(self) -> None:
         self._buffer = b""
-        self.begun_at: float | None = None  # when the first byte of a command came that is not complete
+        self.begun_at: float | None = None  # arrival of the first byte of an incomplete command
         self._body_bytes_left = 0
 
     @property
     def has_partial_command(self) -> bool:
-        """Whether a command has begun whose line is not complete."""
+        """Whether the line of the current command is incomplete."""
         return bool(self._buffer) and not self._body_bytes_left
 
     def feed(self, data: bytes) -> list[list[str]]:
-        """The words of each command whose line is complete."""
+        """Return the words of each command whose line is complete."""
         commands: list[list[str]] = []
         self._buffer += data
         while True:
@@ -81,11 +82,11 @@
             yield from attempts
 
     def of_request(self, id_: str) -> list[CapturedAttempt]:
-        """The attempts of a request, in the order in which they were captured."""
+        """Return the attempts of a request in the order of their capture."""
         return self._by_request.get(id_, [])
 
     def listener(self, process: int, worker: int) -> DataListener:
-        """What records the attempts on all connections of a process to a worker."""
+        """Return a listener that records the attempts on all connections of a process to a worker."""
         readers: dict[int, CommandReader] = collections.defaultdict(CommandReader)
 
         def on_data(connection: int, data: bytes, is_timed: bool) -> None:
@@ -98,7 +99,7 @@
                     limit_s = int(fields["limit"]) / 1000
                     attempt = CapturedAttempt(now, process, worker, limit_s, is_timed, begun_at)
                     self._by_request[words[1]].append(attempt)
-                elif words[0] == "LOAD" and not words[2].endswith(ONLY_ASKS):
+                elif words[0] == "LOAD" and not words[2].endswith(QUERY_SUFFIX):
                     self.orders.append(CapturedOrder(begun_at, process, worker, is_timed))
             if not reader.has_partial_command:
                 reader.begun_at = None
--- a/bench/fault_injection/clients.py
+++ b/bench/fault_injection/clients.py
@@ -1,5 +1,7 @@
-"""Clients that send requests over connections of their own and behave at random: slowly, in floods, leaving early,
-resetting, sending noise or closing one side only."""
+"""Clients that send requests over their own connections and behave at random.
+
+They write slowly, send floods, leave early, reset the connection, send noise or close one direction only.
+"""
 
 from __future__ import annotations
 
@@ -17,10 +19,10 @@
 from fault_injection.settings import TENANT, RequestKind
 from kelptrail.codec import frames
 
-MAX_OPEN_REQUESTS = 30  # on one connection
-IDLE_CONNECTION_S = 0.05  # a connection whose open requests are older than this is not idle
+MAX_OPEN_REQUESTS = 30  # per connection
+IDLE_CONNECTION_S = 0.05  # age from which an open request makes its connection busy
 ANSWERS_TIMEOUT_S = 2.5
-MAX_BATCHES_TO_THE_END = 130  # some 4 s: over the end of a process that is killed as early as it may be
+MAX_BATCHES_UNTIL_CLOSED = 130  # about 4 s, longer than a shutdown up to the earliest SIGKILL
 SLOW_WRITE_BYTES = 60
 SLOW_WRITE_PAUSE_S = 0.01
 FUNCTIONS = 9
@@ -38,7 +40,7 @@
     RESETS = auto()
     NOISE = auto()
     HALF_CLOSES = auto()
-    IGNORES_GO_AWAY = auto()  # sends on for as long as the connection is open
+    IGNORES_GO_AWAY = auto()  # keeps sending while the connection is open
 
 
 BEHAVIORS = [ClientBehavior.USUAL] * 6 + [
@@ -64,7 +66,7 @@
 
 
 class Clients:
-    """Clients of all processes of a run.  Between two connections a client pauses up to `max_pause_s`."""
+    """Clients of all processes of a run.  Between two connections a client pauses for at most `max_pause_s`."""
 
     def __init__(
         self, run: RunState, processes: PlatformProcesses, limits_ms: Sequence[int], max_pause_s: float
@@ -75,7 +77,7 @@
         self.max_pause_s = max_pause_s
 
     async def run_one(self) -> None:
-        """One client: connections to random processes, one after the other, for as long as the run lasts."""
+        """Run one client, which connects to random processes one after the other while the run lasts."""
         while self._run.running:
             process = self._run.rng.randrange(len(self._processes))
             with contextlib.suppress(OSError, RuntimeError):  # the connection has ended
@@ -85,7 +87,7 @@
 
 
 class ClientConnection:
-    """One connection of a client: what it sends and how it ends is random, what it reads is recorded."""
+    """One connection of a client, which sends and ends at random and records what it reads."""
 
     def __init__(
         self,
@@ -101,12 +103,12 @@
         self._limits_ms = limits_ms
         self._reader = reader
         self._writer = writer
-        self._sent: dict[int, SentRequest] = {}  # by stream
+        self._sent: dict[int, SentRequest] = {}  # requests by stream number
         self._behavior = ClientBehavior.USUAL
         self._go_away_received = False
 
     async def serve(self) -> None:
-        """Send requests in batches, then leave or wait for the answers, as the behavior has it."""
+        """Send requests in batches, then leave or wait for the answers, according to the behavior."""
         self._read_task = asyncio.create_task(self._read_answers())
         self._behavior = self._rng.choice(BEHAVIORS)
         try:
@@ -124,9 +126,9 @@
 
     async def _send_batches(self) -> bool:
         """Send batches of requests with pauses; returns whether the connection was still open."""
-        stays = self._behavior is ClientBehavior.IGNORES_GO_AWAY
-        for _ in range(MAX_BATCHES_TO_THE_END if stays else self._rng.randrange(1, 12)):
-            if not self._run.running or (self._go_away_received and not stays) or self._read_task.done():
+        ignores_go_away = self._behavior is ClientBehavior.IGNORES_GO_AWAY
+        for _ in range(MAX_BATCHES_UNTIL_CLOSED if ignores_go_away else self._rng.randrange(1, 12)):
+            if not self._run.running or (self._go_away_received and not ignores_go_away) or self._read_task.done():
                 break
             for _ in range(self._batch_size()):
                 if sum(each.is_open for each in self._sent.values()) >= MAX_OPEN_REQUESTS:
@@ -166,7 +168,7 @@
         return True
 
     def _is_idle(self) -> bool:
-        """Whether the dispatcher may take the connection for idle, so that its close may cross the next request."""
+        """Return whether the dispatcher may consider the connection idle and close it as the next request is sent."""
         now = time.monotonic()
         return all(
             not each.is_open or (each.after_idle and now - each.written_at < IDLE_CONNECTION_S)
@@ -193,12 +195,13 @@
         return EncodedRequest(SentRequest(id_, kind, self._process, limit_ms / 1000), data)
 
     async def _leave(self) -> None:
-        """End the connection as the behavior has it; its open requests have no client from here on."""
+        """End the connection according to the behavior; its open requests have no client from then on."""
         now = time.monotonic()
         for request in self._sent.values():
             if request.is_open:
                 request.client_left_at = now
-        if self._behavior is ClientBehavior.NOISE:  # it is answered with an error and closed
+        if self._behavior is ClientBehavior.NOISE:
+            # The dispatcher answers noise with an error and closes the connection.
             self._writer.write(self._rng.randbytes(40))
             await asyncio.sleep(0.1)
         elif self._behavior is ClientBehavior.HALF_CLOSES:
@@ -216,7 +219,7 @@
                     await asyncio.sleep(0.01)
 
     def _mark_cancelled_by_close(self) -> None:
-        """The client closes now: requests that are open and in time have no client from here on."""
+        """Mark the requests that are open and in time as cancelled, as the client closes the connection now."""
         now = time.monotonic()
         for request in self._sent.values():
             if request.is_open and not self._read_task.done() and now < request.deadline:
@@ -228,8 +231,8 @@
             while data := await self._reader.read(65536):
                 self._record_frames(reader, data)
                 if self._rng.random() < 0.02:
-                    await asyncio.sleep(0.05)  # it reads slowly
-        # After a reset the stream raises, and keeps what it had received before.
+                    await asyncio.sleep(0.05)  # a slow reader
+        # After a reset, the stream raises but keeps in its buffer what it received before.
         self._record_frames(reader, bytes(self._reader._buffer))  # type: ignore[attr-defined]
         now = time.monotonic()
         for request in self._sent.values():
--- a/bench/fault_injection/drain_check.py
+++ b/bench/fault_injection/drain_check.py
@@ -1,5 +1,7 @@
-"""The check of drains: work that processes sent to draining workers, by the protocol's clock, also while their lists
-were out of reach."""
+"""Check that processes stop sending work to draining workers within the drain grace period.
+
+It covers processes whose endpoint list was unavailable when the worker drained, too.
+"""
 
 from __future__ import annotations
 
@@ -9,36 +11,38 @@
 from fault_injection.run_state import TimeInterval
 from fault_injection.settings import BUSY_MACHINE_SLACK_S, DRAIN_GRACE_S
 
-NOTIFICATION_S = 4.0  # what a list would have told counts as notified so long after its outage began, at the latest
-EVENT_DELAY_S = 1.0  # a list that tears events or is asked at another address delivers one so much later
+# Latest time, from the begin of its list's outage, at which a process counts as notified of a drain.
+MAX_NOTIFICATION_DELAY_S = 4.0
+# Delay of an event where the list sends a part of it first, or the process changes to the list's other address.
+EVENT_DELAY_S = 1.0
 RULE_SLACK_S = 0.05
 
 
 class DrainCheck:
-    """Checks what was sent to the workers in `drained_at` against the outages of each process's list."""
+    """Checks what was sent to the workers in `drained_at`, allowing for the outages of each process's list."""
 
     def __init__(self, drained_at: Mapping[int, float], outages: Sequence[Sequence[TimeInterval]]) -> None:
         self._drained_at, self._outages = drained_at, outages
 
     def problems(self, sent: Iterable[CapturedAttempt | CapturedOrder]) -> list[str]:
-        """What was sent too late, by worker and process."""
+        """Return what was sent too late, by worker and process."""
         late: dict[tuple[int, int], list[float]] = {}
         for each in sent:
             if not each.is_timed or each.worker not in self._drained_at:
                 continue
-            if each.begun_at > self._latest(each.process, each.worker):
+            if each.begun_at > self._latest_allowed(each.process, each.worker):
                 late.setdefault((each.worker, each.process), []).append(each.begun_at)
         return [
             f"drain: {len(times)} attempts and load orders of process {process} at draining worker {worker}, the last "
-            f"{max(times) - self._drained_at[worker]:.2f} s on, allowed until "
-            f"{self._latest(process, worker) - self._drained_at[worker]:.2f} s"
+            f"{max(times) - self._drained_at[worker]:.2f} s after the drain, allowed until "
+            f"{self._latest_allowed(process, worker) - self._drained_at[worker]:.2f} s"
             for (worker, process), times in late.items()
         ]
 
-    def _latest(self, process: int, worker: int) -> float:
+    def _latest_allowed(self, process: int, worker: int) -> float:
         drained_at = self._drained_at[worker]
         notified_at = drained_at + EVENT_DELAY_S
         for outage in self._outages[process]:
-            if outage.start - EVENT_DELAY_S < drained_at < outage.end + NOTIFICATION_S:
-                notified_at = max(notified_at, outage.start + NOTIFICATION_S)
+            if outage.start - EVENT_DELAY_S < drained_at < outage.end + MAX_NOTIFICATION_DELAY_S:
+                notified_at = max(notified_at, outage.start + MAX_NOTIFICATION_DELAY_S)
         return notified_at + DRAIN_GRACE_S + RULE_SLACK_S + BUSY_MACHINE_SLACK_S
--- a/bench/fault_injection/endpoint_list.py
+++ b/bench/fault_injection/endpoint_list.py
@@ -1,4 +1,4 @@
-"""A fake endpoint service: one endpoint list, served at two addresses, whose events are repeated, torn or late."""
+"""Fake endpoint service: one endpoint list, served at two addresses, whose events are repeated, torn or late."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 ADDRESSES = 2
 EVENT_INTERVAL_S = 0.1
-SLOW_START_OF_WATCH_S = 3.0
+WATCH_START_DELAY_S = 3.0
 TORN_EVENT_SHARE = 0.2
 TORN_EVENT_BYTES = 9
 EVENT_HEADER = struct.Struct(">IQB")  # length, position, kind
@@ -24,19 +24,19 @@
 
 
 class EndpointState(Enum):
-    """The state of an endpoint: its number in events, its name in the configuration."""
+    """The state of an endpoint, with its number in events and its name in the configuration."""
 
     LIVE = (0, "in_service")
     DRAINING = (1, "terminating")
     REMOVED = (2, "terminated")
 
-    def __init__(self, number: int, word: str) -> None:
+    def __init__(self, number: int, config_name: str) -> None:
         self.number = number
-        self.word = word
+        self.config_name = config_name
 
 
 class EndpointChange(NamedTuple):
-    """One endpoint of an event: its id, the worker behind it and its state."""
+    """One endpoint of an event, with the number of its worker."""
 
     id: int
     worker: int
@@ -44,7 +44,7 @@
 
 
 class ListFault(StrEnum):
-    """What is wrong with the service; NONE where nothing is."""
+    """A fault of the endpoint service; NONE if there is none."""
 
     NONE = "none"
     DOWN = "down"
@@ -64,23 +64,23 @@
 
 
 class EndpointList:
-    """One endpoint list and the watches on it.  `worker_port` finds the port under which a worker is listed.
+    """One endpoint list and the watches on it.  `worker_port` returns the port under which a worker is listed.
 
-    With `stalls_after_torn_event` a watch that ends inside an event stays open in place of being closed."""
+    With `stalls_after_torn_event` a watch that ends inside an event stays open instead of being closed."""
 
     def __init__(self, run: RunState, worker_port: Callable[[int], int], stalls_after_torn_event: bool = False) -> None:
         self._run = run
         self._worker_port = worker_port
         self._stalls_after_torn_event = stalls_after_torn_event
         self._events: list[bytes] = []
-        self.entries: list[dict[str, Any]] = []  # all events, as a configuration has them
+        self.entries: list[dict[str, Any]] = []  # all events in the form of a configuration
         self.addresses: list[str] = []
         self._fault = ListFault.NONE
-        self.outage = ListFault.NONE  # as long as it lasts, no other fault of the list begins or ends
+        self.outage = ListFault.NONE  # a long fault that hides every other one while it lasts
 
     @property
     def fault(self) -> ListFault:
-        """What is wrong with the service now."""
+        """The present fault of the service."""
         return self._fault if self.outage is ListFault.NONE else self.outage
 
     @fault.setter
@@ -88,7 +88,7 @@
         self._fault = fault
 
     async def open(self) -> None:
-        """Start to serve."""
+        """Start to serve at both addresses."""
         self._servers = [await asyncio.start_server(self._serve, "127.0.0.1", 0) for _ in range(ADDRESSES)]
         self.addresses = [f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in self._servers]
 
@@ -117,7 +117,7 @@
             "az": ZONE,
             "model": MODEL,
             "pod_group": 0,
-            "state": change.state.word,
+            "state": change.state.config_name,
             "capacity_hint": 1,
             "boot_ms": started_ms,
         }
@@ -130,10 +130,10 @@
         writer.close()
 
     async def _write_events(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Write the events from the position that is asked for, while the run lasts; whether it ended inside one."""
+        """Write the events from the requested position on while the run lasts; return whether it ended inside one."""
         position = int.from_bytes(await reader.readexactly(8), "big")
         if self.fault is ListFault.SLOW:
-            await asyncio.sleep(SLOW_START_OF_WATCH_S)
+            await asyncio.sleep(WATCH_START_DELAY_S)
         behavior = self._run.rng.choice(WATCH_BEHAVIORS)
         while self._run.running and self.fault is not ListFault.DOWN:
             if self.fault is ListFault.SILENT:
--- a/bench/fault_injection/fuzz_checks.py
+++ b/bench/fault_injection/fuzz_checks.py
@@ -1,4 +1,4 @@
-"""The checks of bench/platform_fuzz.py: each request against the calls that the workers read for it."""
+"""Checks of bench/platform_fuzz.py, which compare each request with the calls that the workers read for it."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class FuzzRequestChecks:
-    """Finds what is wrong with a request of one run."""
+    """Finds the problems of the requests of one run."""
 
     def __init__(self, run: RunState) -> None:
         self._run = run
 
     def problems_of(self, request: SentRequest) -> list[str]:
-        """What is wrong with a request, followed by its calls; empty where nothing is."""
+        """Return the problems of a request, followed by its calls; empty if there are none."""
         calls = self._run.calls.get(request.id, [])
         problems = check_single_answer(request)
         if request.client_left_at is not None:
@@ -37,14 +37,14 @@
         return problems
 
     def _missing_answer(self, request: SentRequest, calls: list[WorkerCall]) -> list[str]:
-        """An open request stays unanswered only where its process was killed, or where the dispatcher closed the
-        connection just as it was sent."""
+        """Report an open request without an answer, unless its process was killed, or the dispatcher closed the
+        connection just as the request was sent."""
         open_s = None if request.closed_at is None else request.closed_at - request.written_at
         crossed_close = not calls and open_s is not None and open_s < 0.05 + BUSY_MACHINE_SLACK_S
-        if crossed_close or request.was_killed_with(self._run.kills):
+        if crossed_close or request.was_open_at_kill(self._run.kills):
             return []
         ended = None if open_s is None else round(open_s, 3)
-        return [f"no answer; calls {[str(call.behavior) for call in calls]}, ended {ended} s on"]
+        return [f"no answer; calls {[str(call.behavior) for call in calls]}, connection ended after {ended} s"]
 
 
 def _attempts_after_cancel(client_left_at: float, calls: list[WorkerCall]) -> list[str]:
@@ -60,4 +60,4 @@
     first, last = runs[0].at, calls[-1].at
     if last <= first + DEDUPLICATION_WINDOW_S + 0.05 + BUSY_MACHINE_SLACK_S / 2:
         return []
-    return [f"a retry {last - first:.3f} s after the first"]
+    return [f"a retry {last - first:.3f} s after the first attempt"]
--- a/bench/fault_injection/loop_delay.py
+++ b/bench/fault_injection/loop_delay.py
@@ -1,4 +1,4 @@
-"""How late this program itself is: checks of times allow for it."""
+"""Delays of this program's own event loop, for which the checks of times allow."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class LoopDelay(NamedTuple):
-    """A moment at which the event loop was late, and by how much."""
+    """A delay of the event loop and the time at which it began."""
 
     at: float
     delay_s: float
@@ -25,7 +25,7 @@
         self._delays: list[LoopDelay] = []
 
     async def watch(self) -> None:
-        """Measure until it is cancelled."""
+        """Record the delays until it is cancelled."""
         while True:
             before = time.monotonic()
             await asyncio.sleep(INTERVAL_S)
@@ -33,6 +33,6 @@
                 self._delays.append(LoopDelay(before, delay_s))
 
     def max_delay_s(self, since: float = float("-inf"), until: float = float("inf")) -> float:
-        """How late the loop was, at the most, between two moments."""
+        """Return the largest delay of the loop between two moments; 0 if none was recorded."""
         delays = (each.delay_s for each in self._delays if since - MARGIN_S <= each.at <= until + MARGIN_S)
         return max(delays, default=0.0)
--- a/bench/fault_injection/processes.py
+++ b/bench/fault_injection/processes.py
@@ -1,4 +1,4 @@
-"""The processes of the platform's program under test: their configurations, starts and ends."""
+"""Processes of the platform's program under test: their configurations, starts and ends."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
 
 READY_TIMEOUT_S = 10.0
 SHUTDOWN_TIMEOUT_S = 5.0
-FURTHER_SIGNALS = (0, 0, 0, 1, 1, 4)  # in a shutdown, one after the other
+FURTHER_SIGNAL_COUNTS = (0, 0, 0, 1, 1, 4)  # choices for the number of signals after the SIGTERM of a shutdown
 MAX_FURTHER_SIGNAL_DELAY_S = 0.6
 
 
 class StopSignal(StrEnum):
-    """What ends a process."""
+    """The signal that ends a process."""
 
     TERMINATE = "TERM"
     KILL = "KILL"
 
 
 class Address(NamedTuple):
-    """Where a process listens; port 0 until its first start."""
+    """The address at which a process listens; port 0 until its first start."""
 
     host: str
     port: int = 0
 
 
 class PlatformProcesses:
-    """The processes of one run, numbered from 0; `lists` has the endpoint list of each."""
+    """The processes of one run, numbered from 0; `lists` contains the endpoint list of each."""
 
     def __init__(
         self, run: RunState, hosts: Sequence[str], lists: Sequence[EndpointList], settings: dict[str, Any]
@@ -55,7 +55,7 @@
         return len(self.addresses)
 
     def configuration(self, n: int) -> str:
-        """The configuration of a process, with a new seed and one of its list's addresses."""
+        """Return the configuration of a process, with a new seed and one of its list's addresses."""
         host, port = self.addresses[n]
         endpoint_list = self._lists[n]
         return json.dumps(
@@ -71,7 +71,7 @@
         )
 
     def configuration_file(self, n: int) -> Path:
-        """The file that a process reads its configuration from."""
+        """Return the file from which a process reads its configuration."""
         return self._run.folder / f"c{n}.json"
 
     async def start_all(self) -> None:
@@ -79,7 +79,7 @@
         await asyncio.gather(*(self.start(n) for n in range(len(self))))
 
     async def start(self, n: int) -> None:
-        """Start a process and wait until it accepts clients; a problem of the run where it does not."""
+        """Start a process and wait until it accepts clients; record a problem if it does not."""
         if not self.addresses[n].port:
             self.addresses[n] = self._choose_address(n)
         file = self.configuration_file(n)
@@ -115,11 +115,13 @@
         self._run.problems.append(f"process {n} was not ready within {READY_TIMEOUT_S} s")
 
     async def stop(self, n: int, stop_signal: StopSignal) -> None:
-        """End a process, by SIGTERM at times with further signals; a problem of the run where it ends badly."""
+        """End a process and record a problem if it ended before, exits with an error or does not exit in time.
+
+        Further signals may follow a SIGTERM at random."""
         process = self.processes[n]
         assert process is not None
         if process.returncode is not None:
-            self._run.problems.append(f"process {n} ended by itself with {process.returncode}")
+            self._run.problems.append(f"process {n} had already ended with code {process.returncode}")
             return
         if stop_signal is StopSignal.KILL:
             self._run.kills.append(ProcessKill(n, time.monotonic()))
@@ -127,7 +129,7 @@
             await process.wait()
             return
         process.send_signal(signal.SIGTERM)
-        for _ in range(self._run.rng.choice(FURTHER_SIGNALS)):
+        for _ in range(self._run.rng.choice(FURTHER_SIGNAL_COUNTS)):
             await asyncio.sleep(self._run.rng.random() * MAX_FURTHER_SIGNAL_DELAY_S)
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(self._run.rng.choice([signal.SIGTERM, signal.SIGHUP]))
@@ -137,8 +139,8 @@
         try:
             code = await asyncio.wait_for(process.wait(), SHUTDOWN_TIMEOUT_S)
         except TimeoutError:
-            self._run.problems.append(f"process {n} did not end")
+            self._run.problems.append(f"process {n} did not exit")
             process.kill()
             return
         if code:
-            self._run.problems.append(f"process {n} ended with {code}")
+            self._run.problems.append(f"process {n} exited with code {code}")
--- a/bench/fault_injection/proxied_workers.py
+++ b/bench/fault_injection/proxied_workers.py
@@ -1,4 +1,4 @@
-"""Fake workers with a proxy in front of each for every process, so that faults can be set by process and worker."""
+"""Fake workers with one proxy for each pair of process and worker, so that faults can be set for each pair."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         self._by_process: list[list[Proxy]] = [[] for _ in range(processes)]
 
     async def open(self) -> int:
-        """Start one more worker and its proxies; returns its number."""
+        """Start one more worker and its proxies; return its number."""
         worker = await super().open()
         for process, proxies in enumerate(self._by_process):
             upstream = ("127.0.0.1", self.ports[worker])
@@ -27,9 +27,9 @@
         return worker
 
     def proxied_port(self, process: int, worker: int) -> int:
-        """The port under which a process reaches a worker."""
+        """Return the port under which a process reaches a worker."""
         return self._by_process[process][worker].port
 
     def proxies_of(self, worker: int) -> list[Proxy]:
-        """The proxies in front of a worker, by process."""
+        """Return the proxies in front of a worker, in the order of the processes."""
         return [proxies[worker] for proxies in self._by_process]
--- a/bench/fault_injection/proxy.py
+++ b/bench/fault_injection/proxy.py
@@ -1,8 +1,8 @@
-"""A proxy on loopback whose connections are late, slow, split, stalled or cut, each by its own random choice.
+"""Proxy on loopback that injects faults: each connection is late, slow, split, stalled or cut at random.
 
-Bytes from the dispatcher are passed to `on_data` as they are read off the socket, before any delay of the proxy: the
-times that are checked are those at which the dispatcher wrote, as far as another process can know.  Bytes in the
-kernel's buffers while a connection is stalled have no such time; they are passed on as not timed.
+Bytes from the dispatcher are passed to `on_data` as soon as they are read from the socket, before any delay of the
+proxy.  Their time of arrival is thus the best estimate that another process has of when the dispatcher wrote them.
+Bytes that the kernel buffered while a connection was stalled have no such time and are passed on as not timed.
 """
 
 from __future__ import annotations
@@ -15,30 +15,30 @@
 from enum import StrEnum
 from typing import cast
 
-RECEIVE_BUFFER_BYTES = 16_384  # so that a stall reaches the dispatcher's own buffers soon
-KERNEL_BUFFERED_BYTES = 3 * RECEIVE_BUFFER_BYTES  # that both kernels may hold of a stalled connection
+RECEIVE_BUFFER_BYTES = 16_384  # small, so that a stall soon fills the dispatcher's own buffers
+KERNEL_BUFFERED_BYTES = 3 * RECEIVE_BUFFER_BYTES  # upper bound of what both sockets of a stalled connection buffer
 MAX_CONNECT_DELAY_S = 0.4
 MAX_CHUNK_DELAY_S = 0.05
 STALL_S = 2.5
 LAST_CUT_BYTE, LAST_STALL_BYTE = 60_000, 30_000
 MAX_SPLIT_BYTES = 200
-SPLITS_WITH_PAUSE = 20  # of each chunk
+SPLITS_WITH_PAUSE = 20  # pieces of each chunk that a pause follows
 
-DataListener = Callable[[int, bytes, bool], None]  # number of the connection, its bytes, whether they are timed
+DataListener = Callable[[int, bytes, bool], None]  # connection number, bytes, whether they are timed
 
 
 class ConnectionFault(StrEnum):
-    """What may be wrong with a connection."""
+    """A fault of a connection."""
 
-    LATE = "late"  # it is set up late
+    LATE = "late"  # the connection upstream is set up late
     SLOW = "slow"  # each chunk is delayed
-    SPLIT = "split"  # chunks of a few bytes
-    STALL = "stall"  # nothing is read for a while, somewhere in the middle
-    CUT = "cut"  # reset somewhere in the middle
+    SPLIT = "split"  # chunks are passed on a few bytes at a time
+    STALL = "stall"  # reading pauses once, after a random number of bytes
+    CUT = "cut"  # the connection is reset after a random number of bytes
 
 
 class Proxy:
-    """One listening address in front of another; `fault_shares` is the share of new connections with each fault."""
+    """A listening address in front of another; `fault_shares` is the share of new connections with each fault."""
 
     def __init__(self, upstream: tuple[str, int], rng: random.Random, on_data: DataListener) -> None:
         self.upstream = upstream
@@ -50,7 +50,7 @@
         self.connections: set[ProxiedConnection] = set()
 
     async def open(self, host: str = "127.0.0.1") -> int:
-        """Listen; returns the port."""
+        """Listen and return the port."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         sock.bind((host, 0))
@@ -122,7 +122,7 @@
             self._upstream.close()
 
     def abort(self) -> None:
-        """Reset it."""
+        """Reset the connection."""
         if self._transport is not None:
             self._transport.abort()
 
--- a/bench/fault_injection/request_checks.py
+++ b/bench/fault_injection/request_checks.py
@@ -1,4 +1,4 @@
-"""Checks of what passed over the sockets that the fuzz and the soak share.  Each returns what it found, as text."""
+"""Checks of requests and attempts that the fuzz and the soak share.  Each returns the problems found, as text."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from fault_injection.settings import BUSY_MACHINE_SLACK_S, DRAIN_GRACE_S, RequestKind
 from kelptrail.codec import frames
 
-DRAINED_WORKER = 0  # the one that each run drains
-BROKEN_LIST_DELAY_S = 1.0  # a list that breaks may deliver an event so much later
+DRAINED_WORKER = 0  # the worker that each run drains
+BROKEN_LIST_DELAY_S = 1.0  # delay of an event from a list with a fault
 
 
 def check_run(
     run: RunState, problems_of: Callable[[SentRequest], list[str]], attempts: Iterable[WorkerAttempt]
 ) -> None:
-    """Check every request by `problems_of`, and `attempts` against the drain; adds to the problems of the run."""
+    """Check every request by `problems_of`, and `attempts` against the drain; add to the problems of the run."""
     for request in run.requests.values():
         for problem in problems_of(request):
             run.problems.append(f"{request.id} ({request.kind}, process {request.process}): {problem}")
@@ -31,7 +31,7 @@
     late = [each.at for each in attempts if each.worker == DRAINED_WORKER and each.at > latest]
     if not late:
         return []
-    return [f"{len(late)} attempts at a draining worker, the last {max(late) - drained_at:.2f} s on"]
+    return [f"{len(late)} attempts at a draining worker, the last {max(late) - drained_at:.2f} s after the drain"]
 
 
 def _attempts_for_unknown_requests(run: RunState) -> list[str]:
@@ -40,13 +40,13 @@
 
 
 def check_single_answer(request: SentRequest) -> list[str]:
-    """A request gets at most one answer."""
+    """Check that a request gets at most one answer."""
     codes = [answer.code for answer in request.answers]
     return [f"{len(codes)} answers: {codes}"] if len(codes) > 1 else []
 
 
 def check_results(run: RunState, request: SentRequest) -> list[str]:
-    """A result is one that a worker gave for this request."""
+    """Check that each result of a request is one that a worker gave for it."""
     return [
         "served a result that no worker gave"
         for answer in request.answers
@@ -56,7 +56,7 @@
 
 
 def check_at_most_once(request: SentRequest, calls: list[WorkerCall]) -> list[str]:
-    """An at-most-once request runs once, and is rejected only where it has not run."""
+    """Check that an at-most-once request runs at most once, and is rejected only if it has not run."""
     if request.kind is not RequestKind.AT_MOST_ONCE:
         return []
     problems = []
--- a/bench/fault_injection/run_state.py
+++ b/bench/fault_injection/run_state.py
@@ -1,4 +1,4 @@
-"""What one run shares and observes: its random generator, the requests of its clients and the calls of its workers."""
+"""State shared by the parts of one run: its random generator, its clients' requests and the calls at its workers."""
 
 from __future__ import annotations
 
@@ -13,11 +13,13 @@
 
 
 class WorkerBehavior(StrEnum):
-    """How a fake worker answers one call.  The first four letters are the status word where it answers no result."""
+    """How a fake worker answers one call.
+
+    In an answer without a result, the first four letters of the value are the status word."""
 
     COMPLETED = "OK"
     NOT_LOADED = "MISS"
-    NOT_LOADED_TWICE = "MISSES"  # a second answer some milliseconds later
+    NOT_LOADED_TWICE = "MISSES"  # followed by a second answer some milliseconds later
     OUT_OF_CAPACITY = "BUSY"
     ERROR = "ERR"
     NOT_SENT = "VOID"
@@ -40,7 +42,7 @@
 
 
 class Answer(NamedTuple):
-    """An answer as its client read it."""
+    """An answer as the client read it."""
 
     at: float
     code: int
@@ -48,7 +50,7 @@
 
 
 class WorkerCall(NamedTuple):
-    """A call that a worker read, and how it answers it."""
+    """A call that a worker read, and how the worker answers it."""
 
     at: float
     behavior: WorkerBehavior
@@ -56,7 +58,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the answer leaves open that the call had its effect."""
+        """Whether the call may have had its effect, according to its answer."""
         return self.behavior not in NOT_RUN
 
 
@@ -75,7 +77,7 @@
 
 
 class TimeInterval(NamedTuple):
-    """Two moments of the monotonic clock."""
+    """An interval of the monotonic clock, in seconds."""
 
     start: float
     end: float
@@ -89,20 +91,20 @@
     kind: RequestKind
     process: int
     limit_s: float
-    written_at: float = 0.0  # its last byte
+    written_at: float = 0.0  # time of its last byte
     deadline: float = 0.0
-    client_left_at: float | None = None  # cancelled, or its connection closed by the client
-    closed_at: float | None = None  # its connection was closed by the dispatcher
-    after_idle: bool = False  # its connection was idle for a while before it
+    client_left_at: float | None = None  # time at which the client cancelled it or closed the connection
+    closed_at: float | None = None  # time at which the dispatcher closed the connection
+    after_idle: bool = False  # sent on a connection that was idle before
     answers: list[Answer] = field(default_factory=list)
 
     @property
     def is_open(self) -> bool:
-        """Whether its client still waits for an answer."""
+        """Whether the client still waits for an answer."""
         return not self.answers and self.client_left_at is None
 
-    def was_killed_with(self, kills: list[ProcessKill], slack_s: float = 0.0) -> bool:
-        """Whether its process was killed while it was open; `slack_s` is by how much its start may be stamped late."""
+    def was_open_at_kill(self, kills: list[ProcessKill], slack_s: float = 0.0) -> bool:
+        """Return whether its process was killed while it was open; `written_at` may be late by up to `slack_s`."""
         return any(
             kill.process == self.process and self.written_at - 0.05 - slack_s <= kill.at <= self.deadline + 0.05
             for kill in kills
@@ -110,7 +112,7 @@
 
 
 class RunState:
-    """The random generator of one run, whether it is still under way, and what was observed in it."""
+    """The random generator of one run, whether the run is in progress, and what was observed in it."""
 
     def __init__(self, seed: int, folder: Path) -> None:
         self.seed = seed
@@ -118,18 +120,18 @@
         self.folder = folder
         self.running = True
         self.requests: dict[str, SentRequest] = {}
-        self.started_ids: set[str] = set()  # requests of which something was written
-        self.calls: dict[str, list[WorkerCall]] = collections.defaultdict(list)  # by request
-        self.result_bodies: set[bytes] = set()  # that workers answered
-        self.drained_at: dict[int, float] = {}  # workers that drain or went, and when the list's event was written
+        self.started_ids: set[str] = set()  # requests of which at least a part was written
+        self.calls: dict[str, list[WorkerCall]] = collections.defaultdict(list)  # calls by request
+        self.result_bodies: set[bytes] = set()  # results that workers gave
+        self.drained_at: dict[int, float] = {}  # time of the list's event, by draining or removed worker
         self.kills: list[ProcessKill] = []
         self.problems: list[str] = []
 
     def answer_counts(self) -> dict[int | None, int]:
-        """Requests by the code of their first answer; None counts those without one."""
+        """Return the number of requests by the code of their first answer; None is for those without one."""
         codes = (each.answers[0].code if each.answers else None for each in self.requests.values())
         return dict(collections.Counter(codes))
 
     def log_file(self, process: int) -> Path:
-        """Where a process's output goes."""
+        """Return the file that the output of a process is written to."""
         return self.folder / f"log{process}"
--- a/bench/fault_injection/settings.py
+++ b/bench/fault_injection/settings.py
@@ -1,24 +1,24 @@
-"""The settings of the processes under test, with names and figures of no deployment, and the slack of the checks."""
+"""Settings of the processes under test, with invented names and figures, and the tolerances of the checks."""
 
 from __future__ import annotations
 
 from enum import StrEnum
 from typing import Any
 
-BUSY_MACHINE_SLACK_S = 0.25  # for a machine that is busy otherwise: faults are looked for, not milliseconds
-CANCEL_SLACK_S = 0.1  # an attempt may start so long after its client left
+BUSY_MACHINE_SLACK_S = 0.25  # for load of other programs; the checks look for faults, not for milliseconds
+CANCEL_SLACK_S = 0.1  # time after its client left within which an attempt may start
 DRAIN_GRACE_S = 0.5
 DEDUPLICATION_WINDOW_S = 0.7
-OVERLOAD_MULTIPLE = 3.0  # of what a worker in slow start may be sent
+OVERLOAD_MULTIPLE = 3.0  # calls that a worker in slow start may be sent, as a multiple of its share
 OVERLOAD_WINDOW_S = 2.0
 SLOW_START_S = 5.0
-SLOW_START_CAPACITY = 0.3  # share of its capacity that a worker gets just after its start
-MAX_DESCRIPTORS = 128  # of each process
+SLOW_START_CAPACITY = 0.3  # share of its capacity that a worker is given right after its start
+MAX_DESCRIPTORS = 128  # per process
 ZONE, MODEL, TENANT = "p", "m", "acme"
 
 
 class RequestKind(StrEnum):
-    """The request classes, by their names on the wire."""
+    """The request classes by their names on the wire."""
 
     IDEMPOTENT = "t"
     DEDUPLICATED = "k"
@@ -33,7 +33,7 @@
 
 
 def settings(start_capacity: float = SLOW_START_CAPACITY, slow_start_s: float = SLOW_START_S) -> dict[str, Any]:
-    """The settings object of a process's configuration."""
+    """Return the settings object of a process's configuration."""
     return {
         "my_zone": 0,
         "failure_domains": [ZONE, "q"],
--- a/bench/fault_injection/slow_start_check.py
+++ b/bench/fault_injection/slow_start_check.py
@@ -1,4 +1,4 @@
-"""The check of slow start: the calls to a new worker from all processes together, against what the settings allow."""
+"""Check of slow start: compares the calls from all processes to a new worker with what the settings allow."""
 
 from __future__ import annotations
 
@@ -11,22 +11,23 @@
 from fault_injection.soak_faults import LISTED_WORKERS
 
 SLOW_START_S = 8.0
-SLOW_START_CAPACITY = 0.05  # a slow start that leaves a new worker little
+SLOW_START_CAPACITY = 0.05  # small, so that a new worker gets few calls at first
 WARM_WORKERS = LISTED_WORKERS - 1
-WINDOW_SHIFTS_S = (0.0, -1.0, 1.0)  # a process may see the completions of the warm workers so much earlier or later
+# A process may observe the completions of the warm workers this much earlier or later.
+WINDOW_SHIFTS_S = (0.0, -1.0, 1.0)
 
 
 class SlowStartCheck:
-    """Checks in each window the calls to a new worker, against what the warm workers complete.
+    """Compares the calls to a new worker in each window with what the warm workers complete.
 
-    `attempts` are those of processes that can know when the worker started."""
+    `attempts` are those of processes that can determine when the worker started."""
 
     def __init__(self, attempts: Iterable[CapturedAttempt], calls: Iterable[WorkerCall]) -> None:
         self._attempts = list(attempts)
         self._completed = [call for call in calls if call.behavior is WorkerBehavior.COMPLETED]
 
     def problems(self, worker: int, started_at: float) -> list[str]:
-        """The first window in which a worker got too many calls; empty where there is none."""
+        """Return the first window in which a worker got too many calls; empty if there is none."""
         starts = sorted(
             each.at
             for each in self._attempts
@@ -55,6 +56,6 @@
 
 
 def _margin(allowed: float) -> float:
-    """What random draws of the processes may add."""
+    """Return how many calls the random choices of the processes may add to those allowed."""
     root = math.sqrt(allowed)
     return 3 * root + 3 if allowed < 30 else 2 * root + 2
--- a/bench/fault_injection/soak_checks.py
+++ b/bench/fault_injection/soak_checks.py
@@ -1,4 +1,4 @@
-"""The checks of bench/soak.py: each request against its captured attempts, the drain, slow start, and the logs."""
+"""Checks of bench/soak.py: each request against its captured attempts, the drains, slow start, and the logs."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from fault_injection.soak_processes import SoakProcesses
 
 LIMIT_SLACK_S = 0.15
-SHUTDOWN_CLOSE_S = 0.7  # after the signal: from then on a process may close connections on requests
+SHUTDOWN_CLOSE_S = 0.7  # time after the signal from which a process may close connections that carry new requests
 LOG_PROBLEMS = ("invariant violated", "failed problem", "Traceback")
 
 
 class SoakChecks:
-    """Checks what was observed in one run; problems are added to the run."""
+    """Checks what was observed in one run and adds the problems to it."""
 
     def __init__(
         self,
@@ -43,10 +43,10 @@
         self._processes = processes
         self._faults = faults
         self._loop_delays = loop_delays
-        self.unanswered_at_close = 0  # requests that crossed the close of their connection
+        self.unanswered_at_close = 0  # requests sent while the dispatcher closed the connection
 
     def check_all(self) -> None:
-        """Check requests, drain, logs and slow start."""
+        """Check requests, drains, logs and slow start."""
         check_run(self._run, self._problems_of, [])
         drains = DrainCheck(self._run.drained_at, self._faults.list_outages)
         self._run.problems += drains.problems([*self._capture, *self._capture.orders])
@@ -60,8 +60,9 @@
                 self._run.problems.append(f"log {n}: {line}")
 
     def _check_slow_start(self) -> None:
-        unaware = self._processes.started_with_stepped_clock
-        attempts = (attempt for attempt in self._capture if attempt.process not in unaware)
+        # A process that started with a stepped clock cannot determine when a worker started.
+        excluded = self._processes.started_with_stepped_clock
+        attempts = (attempt for attempt in self._capture if attempt.process not in excluded)
         calls = (call for calls in self._run.calls.values() for call in calls)
         check = SlowStartCheck(attempts, calls)
         for worker, started_at in self._faults.new_worker_starts.items():
@@ -70,7 +71,7 @@
     def _problems_of(self, request: SentRequest) -> list[str]:
         calls = self._run.calls.get(request.id, [])
         attempts = self._capture.of_request(request.id)
-        # A connection that is accepted and then read may meet this program's lateness twice.
+        # A delay of this program's loop may count twice: when it accepts a connection and when it reads from it.
         end = request.answers[0].at if request.answers else request.deadline
         slack_s = BUSY_MACHINE_SLACK_S + 2 * self._loop_delays.max_delay_s(request.written_at, end)
         problems = check_single_answer(request)
@@ -88,11 +89,11 @@
         return problems
 
     def _missing_answer(self, request: SentRequest, attempts: list[CapturedAttempt]) -> list[str]:
-        """An open request stays unanswered only where its process was killed, or where the dispatcher closed an idle
-        connection, or one of a process that is shutting down, just as it was sent."""
-        # by which its last byte may have been stamped too late
+        """Report an open request without an answer, unless its process was killed, or the dispatcher closed its
+        connection just as it was sent, with the connection idle or the process shutting down."""
+        # `written_at` may be late by the delay of this program's loop.
         delay_s = self._loop_delays.max_delay_s(request.written_at, request.deadline)
-        if request.was_killed_with(self._run.kills, delay_s):
+        if request.was_open_at_kill(self._run.kills, delay_s):
             return []
         open_s = None if request.closed_at is None else request.closed_at - request.written_at
         closed_at_once = not attempts and open_s is not None and open_s < 0.05 + BUSY_MACHINE_SLACK_S
@@ -101,8 +102,8 @@
             return []
         ended = None if open_s is None else round(open_s, 3)
         return [
-            f"no answer; written at {request.written_at:.3f}, connection ended {ended} s on; its process was killed "
-            f"{self._last_kill_before(request)} and signalled to end {self._last_shutdown_before(request)} s before; "
+            f"no answer; written at {request.written_at:.3f}, connection ended after {ended} s; its process was killed "
+            f"{self._last_kill_before(request)} and sent SIGTERM {self._last_shutdown_before(request)} s before; "
             f"loop delay {delay_s:.2f} s"
         ]
 
@@ -131,7 +132,7 @@
         problems.append(f"an attempt started {attempt.at - left_at:.3f} s after its client left")
     excess_s = attempt.at + attempt.limit_s - request.deadline
     if request.written_at and excess_s > LIMIT_SLACK_S + slack_s:
-        problems.append(f"a limit {excess_s:.3f} s over what its client had left")
+        problems.append(f"a time limit {excess_s:.3f} s over the remaining time of its client")
     if request.answers and attempt.at > request.answers[0].at + CANCEL_SLACK_S + slack_s:
         problems.append(f"an attempt started {attempt.at - request.answers[0].at:.3f} s after the answer")
     return problems
@@ -156,5 +157,5 @@
 
 
 def _last_before(request: SentRequest, times: list[float]) -> list[float]:
-    """By how much the last of `times` that can matter to a request came before it; empty where there is none."""
+    """Return the seconds from the last of `times` that can affect a request to its writing; empty if there is none."""
     return [round(request.written_at - at, 3) for at in times if at <= request.deadline + 1][-1:]
--- a/bench/fault_injection/soak_faults.py
+++ b/bench/fault_injection/soak_faults.py
@@ -1,4 +1,4 @@
-"""The faults of the soak.  Each takes its own time; several overlap."""
+"""Faults that the soak injects.  Each lasts for a random time; several overlap."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from fault_injection.system_calls import SystemCall
 from kelptrail.codec import frames
 
-LISTED_WORKERS = 6  # from the start; one more comes during the run
+LISTED_WORKERS = 6  # initially; one more is added during the run
 NEW_ENDPOINT_ID = 90
 WORKER_DRAINED_IN_OUTAGE = 1
 OUTAGE_FAULTS = (ListFault.DOWN, ListFault.SILENT)
-OUTAGE_S = 7.0  # longer than the time after which a list that is out of reach counts as told
-MAX_DRAIN_DELAY_S = 4.0  # after the outage began
+OUTAGE_S = 7.0  # longer than the time after which a process counts as notified although its list is unavailable
+MAX_DRAIN_DELAY_S = 4.0  # from the begin of the outage
 FAILURE_SHARES = {
     SystemCall.SEND: 0.03,
     SystemCall.RECV: 0.03,
@@ -46,7 +46,7 @@
 
 
 class SoakFaults:
-    """Injects faults into the processes of a run and into what surrounds them, and counts them by kind."""
+    """Injects faults into the processes of a run, their workers, lists and clients, and counts them by kind."""
 
     def __init__(
         self, run: RunState, processes: SoakProcesses, workers: ProxiedWorkers, lists: Sequence[EndpointList]
@@ -57,8 +57,9 @@
         self._workers = workers
         self._lists = lists
         self.counts: collections.Counter[str] = collections.Counter()
-        self.list_outages: list[list[TimeInterval]] = [[] for _ in lists]  # by process
-        self.new_worker_starts: dict[int, float] = {}  # workers added during the run
+        self.list_outages: list[list[TimeInterval]] = [[] for _ in lists]  # outages by process
+        self.new_worker_starts: dict[int, float] = {}  # start times of workers added during the run
+        # The names of these methods are the kinds in `counts`, which the soak prints.
         self._kinds: list[Callable[[], Awaitable[None]]] = [
             self._fail_system_calls,
             self._fail_system_calls,
@@ -75,7 +76,7 @@
         ]
 
     async def inject(self, seconds: float, at_once: int) -> None:
-        """Inject random faults, `at_once` of them at any time."""
+        """Inject random faults, up to `at_once` of them at the same time."""
         end = time.monotonic() + seconds
 
         async def inject_in_turn() -> None:
@@ -112,7 +113,7 @@
         await asyncio.sleep(1 + self._rng.random() * 2)
 
     async def _reload_in_a_row(self) -> None:
-        """Configurations one after the other, some of them half written, the last one complete."""
+        """Reload configurations one after the other, some of them half written, the last one complete."""
         chosen = self._choose_processes(0.3)
         for n in chosen:
             self._write_configuration(n)
@@ -150,7 +151,8 @@
         proxies = self._workers.proxies_of(self._rng.randrange(LISTED_WORKERS))
         for proxy in proxies:
             proxy.fault_shares[fault] = CONNECTION_FAULT_SHARE
-        if fault in (ConnectionFault.CUT, ConnectionFault.STALL):  # these need new connections
+        # A connection decides at its start whether it is cut or stalled.
+        if fault in (ConnectionFault.CUT, ConnectionFault.STALL):
             for proxy in proxies:
                 proxy.reset_connections()
         await asyncio.sleep(0.5 + self._rng.random() * 2)
@@ -164,7 +166,7 @@
         self._workers.hung.discard(worker)
 
     async def _open_idle_clients(self) -> None:
-        """More clients of a process than it has descriptors for."""
+        """Open more client connections to a process than its descriptors allow for."""
         writers = []
         n = self._rng.randrange(len(self._processes))
         with contextlib.suppress(OSError):
@@ -185,7 +187,7 @@
         await asyncio.sleep(0.2)
 
     async def drain_in_outage(self) -> None:
-        """The lists of half of the processes are out of reach for long, and a busy worker drains meanwhile."""
+        """Drain a busy worker during a long outage of the endpoint lists of half of the processes."""
         chosen, fault, start = self._choose_processes(0.5), self._rng.choice(OUTAGE_FAULTS), time.monotonic()
         for n in chosen:
             self._lists[n].outage = fault
@@ -200,7 +202,7 @@
             self._lists[n].outage = ListFault.NONE
 
     async def replace_worker(self) -> None:
-        """One worker drains, a new one starts under another id, the old one is removed; once in a run."""
+        """Drain one worker, start a new one under another id and remove the old one; once in a run."""
         if DRAINED_WORKER in self._run.drained_at:
             return
         self._workers.draining.add(DRAINED_WORKER)
@@ -211,11 +213,11 @@
         change = EndpointChange(NEW_ENDPOINT_ID, worker, EndpointState.LIVE)
         self._publish(change, started_ms=int(time.time() * 1000))
         sample = self._rng.sample(range(WORKER_DRAINED_IN_OUTAGE + 1, LISTED_WORKERS), 3)
-        hung = set(sample) - self._workers.hung  # so that the new one is needed
+        hung = set(sample) - self._workers.hung  # hung workers, so that the new one is needed
         self._workers.hung |= hung
         await asyncio.sleep(1.5)
         self._workers.hung -= hung
-        await asyncio.sleep(1.5)  # long enough to see attempts at the draining worker
+        await asyncio.sleep(1.5)  # time for late attempts at the draining worker
         self._publish(EndpointChange(DRAINED_WORKER, DRAINED_WORKER, EndpointState.REMOVED))
 
     def _publish(self, change: EndpointChange, started_ms: int = 0) -> None:
--- a/bench/fault_injection/soak_processes.py
+++ b/bench/fault_injection/soak_processes.py
@@ -1,4 +1,4 @@
-"""The processes of the soak: few descriptors, failing system calls, and ends that are timed."""
+"""Processes of the soak, with few descriptors, failing system calls and timed shutdowns."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from fault_injection.system_calls import SystemCallControl
 
 FIRST_PORT = 20_000
-MAX_SHUTDOWN_S = 0.7 + 2.0  # the settings' longest deadline is 2 s
+MAX_SHUTDOWN_S = 0.7 + 2.0  # including 2 s, the longest deadline in the settings
 
 
 class Shutdown(NamedTuple):
-    """A graceful shutdown of a process: when it was signalled and when it had exited."""
+    """The times at which a graceful shutdown of a process was requested and at which the process had exited."""
 
     signalled_at: float
     exited_at: float
 
 
 class SoakProcesses(PlatformProcesses):
-    """Processes with the library of failing system calls, where there is one, and a control file for each."""
+    """Processes that load the library of failing system calls, if it could be built, each with a control file."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self.shutdowns: dict[int, list[Shutdown]] = collections.defaultdict(list)
 
     async def start(self, n: int) -> None:
-        """Start a process under its control file and wait until it accepts clients."""
+        """Start a process with its control file and wait until it accepts clients."""
         if self.controls[n].clock_step_s:
             self.started_with_stepped_clock.add(n)
         await super().start(n)
@@ -68,7 +68,7 @@
         return {"LD_PRELOAD": str(self._library), "SOAK_CONTROL": str(self.controls[n].path)}
 
     async def restart(self, n: int) -> None:
-        """End a process by a random signal and start it again, unless that is under way."""
+        """End a process by a random signal and start it again, unless a restart is in progress."""
         if n in self.restarting:
             return
         self.restarting.add(n)
@@ -80,12 +80,12 @@
             self.restarting.discard(n)
 
     async def stop(self, n: int, stop_signal: StopSignal) -> None:
-        """End a process; a problem of the run where a graceful shutdown takes too long."""
+        """End a process; record a problem if a graceful shutdown takes too long."""
         signalled_at = time.monotonic()
         process = self.processes[n]
         killer = None
         if stop_signal is StopSignal.TERMINATE and process is not None:
-            killer = asyncio.create_task(self._kill_at_the_earliest(process, signalled_at))
+            killer = asyncio.create_task(self._kill_at_shutdown_limit(process, signalled_at))
         await super().stop(n, stop_signal)
         if killer is not None:
             killer.cancel()
@@ -95,12 +95,12 @@
         self.shutdowns[n].append(Shutdown(signalled_at, exited_at))
         slack_s = BUSY_MACHINE_SLACK_S + self._loop_delays.max_delay_s(signalled_at, exited_at)
         if exited_at - signalled_at > MAX_SHUTDOWN_S + slack_s:
-            self._run.problems.append(f"process {n} took {exited_at - signalled_at:.2f} s to end")
+            self._run.problems.append(f"process {n} took {exited_at - signalled_at:.2f} s to exit")
 
-    async def _kill_at_the_earliest(self, process: asyncio.subprocess.Process, signalled_at: float) -> None:
-        """The platform's SIGKILL after SIGTERM, as early as it may come; what is open then is lost.  What this program
-        was late by itself is added, as the processes were late by about as much.
-        """
+    async def _kill_at_shutdown_limit(self, process: asyncio.subprocess.Process, signalled_at: float) -> None:
+        """Kill a process as early as the platform may send SIGKILL after SIGTERM; what is open then is lost.
+
+        The delay of this program's own loop is added, as the processes were delayed by about as much."""
         await asyncio.sleep(MAX_SHUTDOWN_S)
         await asyncio.sleep(self._loop_delays.max_delay_s(signalled_at, time.monotonic()))
         if process.returncode is None:
@@ -119,7 +119,7 @@
                 process.send_signal(signal.SIGHUP)
 
     def release(self) -> None:
-        """Kill what is left, and close the control files."""
+        """Kill the remaining processes and close the control files."""
         for process in self.processes:
             if process is not None and process.returncode is None:
                 with contextlib.suppress(ProcessLookupError):
--- a/bench/fault_injection/system_calls.py
+++ b/bench/fault_injection/system_calls.py
@@ -1,5 +1,7 @@
-"""Failing system calls and stepped wall clocks: the library that is preloaded into a process (bench/soak_shim.c) and
-the file that controls it."""
+"""Failing system calls and stepped wall clocks.
+
+A library that is preloaded into a process (bench/soak_shim.c) causes them; a file controls it.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +16,7 @@
 SOURCE = Path(__file__).parent.parent / "soak_shim.c"
 COMPILERS = ("cc", "gcc", "clang")
 CONTROL_FILE_BYTES = 4096
-CONTROL = struct.Struct("<qII5I20I")  # `struct control` of the library
+CONTROL = struct.Struct("<qII5I20I")  # layout of `struct control` in the library
 
 
 class SystemCall(StrEnum):
@@ -37,7 +39,7 @@
 
 
 class SystemCallControl:
-    """What the preloaded library of one process reads: the step of its wall clock, and how often system calls fail."""
+    """The control file of one process: the step of its wall clock, and how often system calls fail."""
 
     def __init__(self, path: Path, seed: int) -> None:
         path.write_bytes(bytes(CONTROL_FILE_BYTES))
@@ -46,12 +48,12 @@
         self.path = path
         self._seed = seed
         self.clock_step_s = 0.0
-        self.short_transfer_share = 0.0  # of sends and receives
+        self.short_transfer_share = 0.0  # share of sends and receives that transfer only a part
         self.failure_shares: dict[SystemCall, float] = {}
         self.write()
 
     def write(self) -> None:
-        """Apply what was set."""
+        """Write the present values to the control file; they apply from the next system call on."""
         shares = [int(self.failure_shares.get(call, 0.0) * 1e6) for call in SystemCall]
         codes = [code for call in SystemCall for code in FAILURES[call]]
         step_ns, short_transfers = int(self.clock_step_s * 1e9), int(self.short_transfer_share * 1e6)
@@ -59,7 +61,7 @@
         self._map[: len(data)] = data
 
     def stop_failures(self) -> None:
-        """No system call fails from here on; the step of the clock stays."""
+        """Let no system call fail from now on; the step of the clock stays."""
         self.failure_shares = {}
         self.short_transfer_share = 0.0
         self.write()
@@ -70,13 +72,13 @@
 
 
 def find_compiler() -> str | None:
-    """The C compiler of this machine, None where there is none."""
+    """Return the path of a C compiler on this machine, None if there is none."""
     paths = (shutil.which(name) for name in COMPILERS)
     return next((path for path in paths if path is not None), None)
 
 
 def build_library(folder: Path) -> Path | None:
-    """Build the library that fails system calls; None without a compiler."""
+    """Build the library that fails system calls and return its path; None without a compiler."""
     compiler = find_compiler()
     if compiler is None:
         return None
--- a/bench/fault_injection/workers.py
+++ b/bench/fault_injection/workers.py
@@ -1,4 +1,4 @@
-"""Fake workers that answer loads and calls at random: with results, refusals, noise, twice, late or not at all."""
+"""Fake workers that answer loads and calls at random: with results, refusals or noise, twice, late or not at all."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
         self._run = run
         self.ports: list[int] = []
         self.hung: set[int] = set()  # workers that answer no call
-        self.draining: set[int] = set()  # workers that turn new work away
+        self.draining: set[int] = set()  # workers that reject new work
 
     async def open(self) -> int:
-        """Start one more worker; returns its number."""
+        """Start one more worker; return its number."""
         number = len(self.ports)
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            # Cancelled: the run has ended, with the connection still open.
+            # The task is cancelled if the run ends with the connection still open.
             with contextlib.suppress(
                 OSError, RuntimeError, asyncio.IncompleteReadError, ValueError, asyncio.CancelledError
             ):
@@ -58,10 +58,10 @@
         while line := await reader.readline():
             word, id_, *rest = line.decode().split()
             if word == "LOAD":
-                only_asks = rest[0].endswith("units=0")
-                await asyncio.sleep(0.0 if only_asks else self._run.rng.random() * MAX_LOAD_DELAY_S)
+                is_query = rest[0].endswith("units=0")
+                await asyncio.sleep(0.0 if is_query else self._run.rng.random() * MAX_LOAD_DELAY_S)
                 answer = self._run.rng.choice(LOAD_ANSWERS)
-                if number in self.draining and not only_asks:
+                if number in self.draining and not is_query:
                     answer = "BUSY units=0"
                 writer.write(f"{id_} {answer} 0\r\n\r\n".encode())
             elif word == "PING":
@@ -73,7 +73,7 @@
                 self.answer_call(number, id_, body, writer)
 
     def answer_call(self, number: int, id_: str, body: bytes, writer: asyncio.StreamWriter) -> None:
-        """Answer one call after a random delay, with a random behavior; not at all where the worker hangs."""
+        """Answer one call after a random delay, with a random behavior; not at all if the worker hangs."""
         now = time.monotonic()
         if number in self.hung:
             self._run.calls[id_].append(WorkerCall(now, WorkerBehavior.SILENT, number))
@@ -99,7 +99,7 @@
 
 
 def _write_if_open(writer: asyncio.StreamWriter, data: bytes) -> bool:
-    """Write, unless the connection has ended since the answer was scheduled; returns whether it was written."""
+    """Write an answer unless the connection has ended since it was scheduled; return whether it was written."""
     try:
         writer.write(data)
     except (RuntimeError, OSError):
