--- a/bench/platform_fuzz.py
+++ b/bench/platform_fuzz.py
@@ -1,10 +1,12 @@
-"""A seeded fuzz of the platform's program: its processes between clients, workers and an endpoint list that behave at
-random, and signals.  What passed over the sockets is checked against the five rules and two further terms.
+"""Seeded fuzz test of the platform's program.
 
     python bench/platform_fuzz.py --days 20 --seed 1
 
-A run takes some seconds.  The random choices are the seed's, their times the machine's.  Exit code 1 where a rule is
-broken.
+Its processes run between clients, workers and an endpoint list that behave at random, and receive random signals.  What
+passed over the sockets is checked against the five rules (kelptrail/dispatch/safety.py) and two further conditions.
+
+A run takes some seconds.  The seed determines the random choices, but not their timing.  The exit code is 1 if a rule
+is broken.
 """
 
 from __future__ import annotations
@@ -31,16 +33,16 @@
 
 LIMITS_MS = (300, 700, 1500)
 WORKERS = 4
-LISTED_WORKERS = 3  # from the start; the last one comes as the first drains
+LISTED_WORKERS = 3  # initially; the last worker is listed when the first drains
 NEW_ENDPOINT_ID = 9
 CLIENTS = 10
 PROCESSES = 3
 MAX_CLIENT_PAUSE_S = 0.05
-SHOWN_PROBLEMS = 20  # of each run
+SHOWN_PROBLEMS = 20  # per run
 
 
 class ProcessEvent(StrEnum):
-    """What happens to a process: a new configuration, at first half written, or its end and a new start."""
+    """What happens to a process: a reload, a reload of a half-written configuration, or an end and a new start."""
 
     RELOAD = "HUP"
     RELOAD_HALF_WRITTEN = "half"
@@ -85,12 +87,12 @@
         await asyncio.gather(*tasks)
         for n in range(len(self._processes)):
             await self._processes.stop(n, StopSignal.TERMINATE)
-        await asyncio.sleep(0.2)  # the lists' connections end
+        await asyncio.sleep(0.2)  # time for the connections to the endpoint list to end
         attempts = [WorkerAttempt(call.at, call.worker) for calls in self.state.calls.values() for call in calls]
         check_run(self.state, FuzzRequestChecks(self.state).problems_of, attempts)
 
     async def _replace_worker(self) -> None:
-        """Over the time of the run the first worker drains, a new one comes and the first is removed."""
+        """Drain the first worker, list a new one, and later remove the first, spread over the time of the run."""
         step = self._seconds / 4
         await asyncio.sleep(step)
         self._list.publish(EndpointChange(DRAINED_WORKER, DRAINED_WORKER, EndpointState.DRAINING))
@@ -101,7 +103,7 @@
         await asyncio.sleep(2 * step)
 
     async def _disturb_process(self, n: int) -> None:
-        """New configurations and restarts of one process, for as long as the run lasts."""
+        """Reload or restart one process at random times while the run lasts."""
         rng = self.state.rng
         while self.state.running:
             await asyncio.sleep(0.2 + rng.random() * 1.2)
@@ -124,7 +126,7 @@
 
 
 def run_seed(seed: int, seconds: float = 6.0, processes: int = PROCESSES) -> FuzzRun:
-    """One run; what was found is in `state.problems`."""
+    """Execute one run; its problems are in `state.problems`."""
     with tempfile.TemporaryDirectory() as folder:
         run = FuzzRun(seed, seconds, Path(folder), processes)
         uvloop.run(run.execute())
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,12 +1,14 @@
-"""A soak of many processes of the platform's program on loopback: their own workers, endpoint lists, clients and
-proxies, with signals, failing system calls and stepped clocks, two or three faults at a time.  Checked are what passed
-over the sockets and the processes' own counts of violations.
+"""Soak test of many processes of the platform's program on loopback.
 
     python bench/soak.py --seeds 20 --first 1
 
-Each seed is one run: a quiet half, in which faults come late, and a busy half.  The random choices are the seed's,
-their times the machine's.  Exit code 1 where anything was found.  System calls fail and clocks are stepped by a library
-that is built here (bench/soak_shim.c); where no C compiler is, the soak reports it and runs the rest.
+The processes run between workers, proxies, endpoint lists and clients of the soak.  Two or three faults at a time are
+injected, among them signals, failing system calls and stepped clocks.  The soak checks what passed over the sockets and
+the violations that the processes log.
+
+Each seed is one run of a quiet half, which starts without faults, and a busy half.  The seed determines the random
+choices, but not their timing.  The exit code is 1 if a problem was found.  System calls fail and clocks are stepped by
+a library that the soak builds from bench/soak_shim.c; without a C compiler it says so and injects the other faults.
 """
 
 from __future__ import annotations
@@ -36,12 +38,12 @@
 LIMITS_MS = (1, 5, 20, 60, 300, 700, 1500)
 PROCESSES = 24
 QUIET_CLIENTS, FURTHER_BUSY_CLIENTS = 6, 24
-QUIET_CLIENT_PAUSE_S, BUSY_CLIENT_PAUSE_S = 0.1 / 0.3, 0.1 / 2.0  # at most
-QUIET_FAULTS, BUSY_FAULTS = 2, 3  # at once
-FAULT_FREE_SHARE = 0.4  # of the quiet half
-CROWD_EVERY, CROWD_CLIENTS = 4, 60  # one run of four has a crowd in its busy half
+QUIET_CLIENT_PAUSE_S, BUSY_CLIENT_PAUSE_S = 0.1 / 0.3, 0.1 / 2.0  # upper bounds
+QUIET_FAULTS, BUSY_FAULTS = 2, 3  # faults at the same time
+FAULT_FREE_SHARE = 0.4  # share of the quiet half before its first fault
+CROWD_EVERY, CROWD_CLIENTS = 4, 60  # one run of four has extra clients in its busy half
 MIN_DESCRIPTORS = 16_384
-SHOWN_PROBLEMS = 20  # of each run
+SHOWN_PROBLEMS = 20  # per run
 
 
 class SoakRun:
@@ -91,13 +93,13 @@
         for control in self.processes.controls:
             control.stop_failures()
         await self.processes.stop_all()
-        await asyncio.sleep(0.2)  # the lists' connections end
+        await asyncio.sleep(0.2)  # time for the connections to the endpoint lists to end
         delay_watch.cancel()
         self.checks.check_all()
 
 
 def run_seed(seed: int, seconds: float, processes: int, keep: Path | None = None) -> SoakRun:
-    """One run; what was found is in `state.problems`.  With `keep` the logs stay in a folder there."""
+    """Execute one run; its problems are in `state.problems`.  With `keep`, the logs stay in a folder there."""
     with tempfile.TemporaryDirectory() as temporary:
         folder = Path(temporary) if keep is None else keep / f"seed{seed}"
         if keep is not None:
--- a/bench/soak_mutants.py
+++ b/bench/soak_mutants.py
@@ -1,8 +1,8 @@
-"""Mutation test of the soak: removes one guard at a time from a copy of the sources; the soak must fail on each.
+"""Mutation test of the soak: removes one guard at a time from a copy of the sources; the soak must fail each time.
 
     python bench/soak_mutants.py --seeds 4
 
-Prints for each mutant the first seed that found it and what was found.  Exit code 1 where one was never found.
+Prints for each mutant the first seed that found it and the problem.  The exit code is 1 if a mutant was not found.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """One text of a source file, and what replaces it to remove the guard."""
+    """The replacement of a text in a source file, which removes a guard."""
 
     file: str
     old: str
@@ -33,7 +33,7 @@
 
 
 class Mutant:
-    """One guard removed: what the program then does wrong, and the edits that remove it."""
+    """The removal of one guard, named after the fault that it causes, with the edits that remove it."""
 
     def __init__(self, name: str, file: str, old: str, new: str, *further: Edit) -> None:
         self.name = name
@@ -51,7 +51,7 @@
 
 MUTANTS = (
     Mutant(
-        "an attempt starts whatever came after its decision",
+        "an attempt starts whatever has changed since its decision",
         "kelptrail/dispatch/safety.py",
         "        worker = item.instance.worker\n"
         "        if not (worker.live and now < item.latest_start):\n            return False\n"
@@ -85,13 +85,13 @@
         'float("inf")',
     ),
     Mutant(
-        "the time limit is that of the decision",
+        "the time limit passed to a worker ignores the time already spent",
         "kelptrail/platform/decision_executor.py",
         "limit_ms = int(request.deadline - now)",
         "limit_ms = int(request.deadline - request.received_at)",
     ),
     Mutant(
-        "a worker in slow start gets what a warm worker gets",
+        "a worker in slow start gets as many calls as a warm worker",
         "kelptrail/dispatch/slow_start.py",
         "        if (capacity := self.capacity_factor(now, worker)) >= 1:\n            return True\n        budget",
         "        return True\n        capacity = 1.0\n        budget",
@@ -103,7 +103,7 @@
         "    return False\n",
     ),
     Mutant(
-        "connections are closed whatever is pending on them",
+        "connections are closed with requests or output pending",
         "kelptrail/platform/client_connections.py",
         "        if client.open_requests or client.has_pending_io():\n            return False\n",
         "",
@@ -120,13 +120,13 @@
         ),
     ),
     Mutant(
-        "a disconnected client ends the accepting of those behind it",
+        "a disconnected client in the accept queue stops the accepting of further clients",
         "kelptrail/net/errors.py",
         "    return cause.errno in CLIENT_GONE\n",
         "    return False\n",
     ),
     Mutant(
-        "a start ends at the first failure",
+        "a start fails at the first shortage of local resources",
         "kelptrail/platform/__main__.py",
         "            if not is_local_shortage(cause) or",
         "            if True or",
@@ -138,7 +138,7 @@
         "        return self.state is not WorkerState.REMOVED\n",
     ),
     Mutant(
-        "what the endpoint list said has no age",
+        "information from the endpoint list never becomes too old",
         "kelptrail/dispatch/readiness.py",
         "        return now < max(self._notified_at, worker.ready_proven_at) + self._limits.drain_grace_ms\n",
         "        return True\n",
@@ -153,9 +153,9 @@
 
 
 def run_soak(mutant: Mutant, seeds: int, first: int, folder: Path) -> str | None:
-    """What the soak finds in a copy without the guard, with the first seed that finds it; None if none does.
+    """Return the first seed at which the soak fails on a copy without the guard, and its first problem.
 
-    Raises `EditMismatchError`."""
+    Returns None if the soak passes with all seeds.  Raises `EditMismatchError`."""
     sources = folder / "sources"
     shutil.rmtree(sources, ignore_errors=True)
     for part in ("kelptrail", "bench"):
@@ -172,7 +172,12 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--seeds", type=int, default=4, help="seeds until a mutant counts as never found")
+    parser.add_argument(
+        "--seeds",
+        type=int,
+        default=4,
+        help="number of seeds without a problem after which a mutant counts as not found",
+    )
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--only", help="only mutants whose name contains this")
     options = parser.parse_args()
--- a/bench/soak_shim.c
+++ b/bench/soak_shim.c
@@ -1,7 +1,8 @@
 /* A library for LD_PRELOAD that makes system calls on IPv4 sockets fail and steps the wall clock.
  *
- * SOAK_CONTROL names the control file; the soak writes it (fault_injection/system_calls.py), this library maps it and
- * reads it at each call.  Only the process that it is loaded into is affected.
+ * The environment variable SOAK_CONTROL names the control file.  The soak writes the file
+ * (fault_injection/system_calls.py); this library maps it and reads it at each call.  Only the process that loads the
+ * library is affected.
  * Built by the soak: cc -shared -fPIC -O2 -o libsoak.so soak_shim.c -ldl
  */
 #define _GNU_SOURCE
@@ -24,10 +25,10 @@
 /* The layout of the control file; `CONTROL` in fault_injection/system_calls.py writes it. */
 struct control {
     int64_t clock_step_ns;        /* added to the wall clock */
-    uint32_t short_per_million;   /* of a million sends and receives, how many transfer a part only */
+    uint32_t short_per_million;   /* sends and receives that transfer only a part, of a million */
     uint32_t seed;
-    uint32_t fail_per_million[CALLS];
-    uint32_t codes[CALLS][CODES];
+    uint32_t fail_per_million[CALLS]; /* failing calls of each kind, of a million */
+    uint32_t codes[CALLS][CODES];     /* values of errno to choose from */
 };
 
 static struct control no_faults;
@@ -47,7 +48,7 @@
     }
 }
 
-/* xorshift64 */
+/* Returns a random number by xorshift64. */
 static uint32_t next_random(void) {
     random_state ^= random_state << 13;
     random_state ^= random_state >> 7;
@@ -61,7 +62,7 @@
     return getsockopt(fd, SOL_SOCKET, SO_DOMAIN, &domain, &size) == 0 && domain == AF_INET;
 }
 
-/* Whether this call fails; errno is set then. */
+/* Decides whether this call fails; if so, sets errno and returns nonzero. */
 static int fails(enum call call) {
     if (next_random() % MILLION >= control->fail_per_million[call])
         return 0;
@@ -69,7 +70,7 @@
     return errno != 0;
 }
 
-/* The number of bytes to transfer of `size`. */
+/* Returns how many of `size` bytes to transfer. */
 static size_t shortened(size_t size) {
     return size > 1 && next_random() % MILLION < control->short_per_million ? 1 + next_random() % size : size;
 }
