--- a/bench/crash_points.py
+++ b/bench/crash_points.py
@@ -1,12 +1,14 @@
-"""Kills a dispatcher at each step towards durability: every step x effect x deferred or keyed blocking call.
-
-`python bench/crash_points.py` starts real processes, lets a dispatcher kill itself at the step, starts it again from
-its journal and polls for what became of the call.  With `--lost` its disk is lost, too, and it never comes back: five
-others hold replicas, and one of them is polled, by id and by a repeat under the key.  With `--paused` it pauses at the
-step until another has continued its call, and resumes then: it must answer and send nothing of its own.
-`--remembered-ms` then sets how long workers drop repeats, and the pause outlasts that: a deduplicated call that was
-about to be written may run a second time, the window that docs/copies.md states; such a case is reported as `window`.
-One JSON line a case; exit 1 where a guarantee was broken.
+"""Crash tests of a dispatcher at each step of a call: every step x effect x deferred or keyed blocking call.
+
+`python bench/crash_points.py` starts real processes.  A dispatcher kills itself at the step, is started again from its
+journal and polled for the outcome of the call.  With `--lost`, it loses its disk, too, and is not started again; five
+other dispatchers hold replicas, and one of them is polled, by id and by a repeat under the key.  With `--paused`, it
+pauses at the step until another dispatcher has continued its call, and then resumes; it must not answer or send
+anything on its own.  `--remembered-ms` then sets how long workers drop repeats, and the pause is longer than that.  A
+deduplicated call that was about to be written may then run a second time, in the window that docs/copies.md states;
+such a case is reported as `window`.
+
+Prints one JSON line per case.  The exit code is 1 if a guarantee was broken.
 """
 
 from __future__ import annotations
@@ -37,22 +39,22 @@
 
 
 def deferred_target(effect: Effect) -> str:
-    """Where a deferred call of an effect is posted."""
+    """Return the target to which a deferred call with this effect is posted."""
     return f"actions/{ACTIONS[effect]}?blocking=false"
 
 
 def has_key(event: dict[str, Any], key: str) -> bool:
-    """Whether a side effect was under this idempotency key."""
+    """Return whether a side effect belongs to a call with this idempotency key."""
     return bool(key) and event["mark"].endswith(f"/{key}")
 
 
 def ran_twice(effect: Effect, effects: int) -> bool:
-    """Whether an effect that must not be repeated was."""
+    """Return whether a call ran more than once although its effect must not be repeated."""
     return effect is not Effect.IDEMPOTENT and effects > 1
 
 
 async def crash_and_restart(trial: CrashTrial, step: str, effect: Effect, deferred: bool) -> Report:
-    """A call whose dispatcher crashes at a step and starts again from its journal."""
+    """Run a call whose dispatcher crashes at a step and is started again from its journal."""
     name = f"{step}-{effect}-{'deferred' if deferred else 'keyed'}"
     report: Report = {"step": step, "effect": effect, "deferred": deferred}
     child = await trial.launch(name, "--crash-at", step)
@@ -63,7 +65,7 @@
     assert child.process is not None
     try:
         await asyncio.wait_for(child.process.wait(), CRASH_TIMEOUT_S)
-    except TimeoutError:  # the call never came to that step
+    except TimeoutError:  # the call did not reach that step
         await trial.cluster.terminate(child)
         return report | {"broken": True, "reached": False}
     child.words = trial.command(name)
@@ -73,7 +75,7 @@
         reply = await trial.poll_until_final(address, accepted)
         report["after"] = reply.status
         report["answer"] = reply.answer if reply.status == 200 else None
-    elif key:  # the client's own repeat after the broken connection
+    elif key:  # The client repeats the call after its connection broke.
         reply = await trial.request(address, "POST", target, {"ticket": name}, key)
         report["after"] = reply.status
         report["answer"] = ANSWER_OF_STATUS.get(reply.status)
@@ -90,7 +92,7 @@
 
 
 async def lose_disk(trial: CrashTrial, step: str, effect: Effect, keyed: bool) -> Report:
-    """A deferred call whose dispatcher is lost with its disk at a step."""
+    """Run a deferred call whose dispatcher is lost with its disk at a step."""
     name = f"lost-{step}-{effect}-{'keyed' if keyed else 'plain'}"
     child = await trial.launch_peer(name, "--crash-at", step)
     key, target = f"key-{name}" if keyed else "", deferred_target(effect)
@@ -103,7 +105,8 @@
     loop = asyncio.get_running_loop()
     start = loop.time()
     found = accepted
-    if keyed:  # from any dispatcher it joins the call, or is accepted anew where none has that
+    if keyed:
+        # At any dispatcher the repeat joins the call, or is accepted as a new call if no dispatcher has it.
         repeat = await trial.request_until_known(trial.peer_address, "POST", target, {"ticket": name}, key)
         report["repeat"] = repeat.status
         report["joined"] = accepted is not None and repeat.body["activationId"] == accepted
@@ -127,7 +130,7 @@
 
 
 async def pause_and_resume(trial: CrashTrial, step: str, effect: Effect, _: bool) -> Report:
-    """A deferred call whose dispatcher pauses at a step until another has continued the call."""
+    """Run a deferred call whose dispatcher pauses at a step until another has continued the call."""
     name = f"paused-{step}-{effect}"
     child = await trial.launch_peer(name, "--pause-at", step)
     key, target, loop = f"key-{name}", deferred_target(effect), asyncio.get_running_loop()
@@ -135,14 +138,15 @@
     def post(address: str) -> Awaitable[Reply]:
         return trial.request_until_known(address, "POST", target, {"ticket": name}, key)
 
-    # A 503 shows that nothing was done: its peers, one of which has just ended, did not all answer for the key yet.
+    # A 503 means that the call was not accepted: its peers, one of which has just ended, did not all answer yet
+    # whether they have a call with the key.
     first_request = asyncio.ensure_future(post(child.said["address"]))
     await wait_until_paused(child)
     start = loop.time()
     report: Report = {"step": step, "effect": effect, "paused": True}
     repeat = await post(trial.peer_address)
     report["repeat"], found = repeat.status, repeat.body.get("activationId")
-    if found:  # continued, or accepted anew where none had it
+    if found:  # continued, or accepted as a new call if no dispatcher had it
         record = await trial.request_until_known(trial.peer_address, "GET", f"activations/{found}")
         report["after"] = record.status
     if trial.remembered_ms:
@@ -152,7 +156,7 @@
     os.kill(child.process.pid, signal.SIGCONT)
     first = await first_request
     report["first"] = first.status
-    await asyncio.sleep(0.8)  # what it would still do
+    await asyncio.sleep(0.8)  # time for what the resumed dispatcher may still do
     answers = await answers_of_both(trial, child, {id_ for id_ in (found, first.activation_id) if id_})
     await trial.cluster.terminate(child)
     effects = len(trial.captured_effects(lambda e: has_key(e, key)))
@@ -164,7 +168,7 @@
 
 
 async def wait_until_paused(child: Process) -> None:
-    """Wait until the process is stopped; raises `TimeoutError`, with the process killed, where it is not in time."""
+    """Wait until the process is stopped; kill it and raise `TimeoutError` if that takes too long."""
     assert child.process is not None
     stat = Path(f"/proc/{child.process.pid}/stat")
     try:
@@ -172,12 +176,12 @@
             while stat.read_text().rpartition(")")[2].split()[0] != "T":
                 await asyncio.sleep(0.01)
     except TimeoutError:
-        child.process.kill()  # a paused process would not end by SIGTERM
+        child.process.kill()  # SIGTERM would not end a paused process
         raise
 
 
 async def answers_of_both(trial: CrashTrial, child: Process, ids: set[str]) -> dict[str, set[str]]:
-    """The answers to each activation that a peer and the resumed dispatcher give."""
+    """Return the answers that a peer and the resumed dispatcher give for each activation."""
     answers: dict[str, set[str]] = {}
     for id_ in ids:
         for address in (trial.peer_address, child.said["address"]):
@@ -188,7 +192,7 @@
 
 
 def agree(answers: dict[str, set[str]]) -> bool:
-    """Whether there is one activation at most, with one final answer at both dispatchers."""
+    """Return whether there is at most one activation, with the same final answer at both dispatchers."""
     return len(answers) <= 1 and all(len(each) <= 1 and each <= FINAL_ANSWERS for each in answers.values())
 
 
@@ -207,7 +211,7 @@
                 for effect in ACTIONS:
                     for variant in (True,) if paused else (True, False):
                         if step == "cleared" and effect is Effect.IDEMPOTENT:
-                            continue  # nothing has to be cleared for what may run again
+                            continue  # an idempotent call needs no clearance to run
                         report = await run_case(trial, step, effect, variant)
                         broken = broken or report["broken"]
                         print(json.dumps(report), flush=True)
@@ -219,8 +223,8 @@
 if __name__ == "__main__":
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--steps", default=",".join(STEPS))
-    parser.add_argument("--lost", action="store_true", help="its disk is lost, too")
-    parser.add_argument("--paused", action="store_true", help="it pauses, and resumes later")
-    parser.add_argument("--remembered-ms", type=int, default=0, help="with --paused: workers drop repeats so long")
+    parser.add_argument("--lost", action="store_true", help="the dispatcher loses its disk, too")
+    parser.add_argument("--paused", action="store_true", help="the dispatcher pauses and resumes later")
+    parser.add_argument("--remembered-ms", type=int, default=0, help="with --paused: how long workers drop repeats")
     options = parser.parse_args()
     sys.exit(uvloop.run(main(options.steps.split(","), options.lost, options.paused, options.remembered_ms)))
--- a/bench/crash_trial.py
+++ b/bench/crash_trial.py
@@ -1,4 +1,4 @@
-"""The cluster of bench/crash_points.py: dispatchers that end or pause themselves at a step, and requests to them."""
+"""Cluster of bench/crash_points.py: dispatchers that kill or pause themselves at a step, and requests to them."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Effect(StrEnum):
-    """What a second run of an action may do, in the words of the settings."""
+    """The effect of running an action a second time, by its name in the settings."""
 
     IDEMPOTENT = "repeatable"
     DEDUPLICATED = "deduplicated"
@@ -40,11 +40,11 @@
 
 
 class Reply(NamedTuple):
-    """The reply to a request; status 0 where there was none."""
+    """The reply to a request; status 0 if there was none."""
 
     status: int
     body: Any = None
-    location: str = ""  # of a redirect
+    location: str = ""  # target of a redirect
 
     @property
     def activation_id(self) -> str | None:
@@ -60,8 +60,8 @@
 class CrashTrial:
     """One cluster for all cases; each case starts a dispatcher of its own.
 
-    With `has_peers` five further dispatchers hold replicas.  `remembered_ms` is how long workers drop repeats, 0 as in
-    the example."""
+    With `has_peers`, five further dispatchers hold replicas.  `remembered_ms` is how long workers drop repeats; 0 keeps
+    the value of the example."""
 
     def __init__(self, folder: Path, has_peers: bool, remembered_ms: int = 0) -> None:
         self.folder = folder
@@ -87,11 +87,11 @@
 
     @property
     def peer_address(self) -> str:
-        """The address of a peer that gets no request before a fault."""
+        """The address of a peer that receives no request before the fault."""
         return str(self.cluster.dispatchers[1].said["address"])
 
     async def launch(self, name: str, *fault: str) -> Process:
-        """Start a dispatcher alone, with the options of its fault."""
+        """Start a dispatcher without peers, with the options of its fault."""
         child = Process(name, [*self.command(name), *fault])
         await self.cluster.launch(child)
         return child
@@ -105,17 +105,17 @@
         return child
 
     def command(self, name: str) -> list[str]:
-        """The command line of a dispatcher without a fault."""
+        """Return the command line of a dispatcher without a fault."""
         endpoint_service = self.cluster.endpoint_service.said["address"]
         state = str(self.folder / name)
         return ["serve", self._file, "--name", name, "--roster", endpoint_service, "--state", state]
 
     def captured_effects(self, is_relevant: Callable[[dict[str, Any]], bool]) -> list[dict[str, Any]]:
-        """The captured side effects of a call."""
+        """Return the captured side effects for which `is_relevant` holds."""
         return [event for event in read_captures(self.folder) if event["what"] == "effect" and is_relevant(event)]
 
     async def request(self, address: str, method: str, target: str, body: Any = None, key: str = "") -> Reply:
-        """One request; a reply of status 0 where the connection breaks."""
+        """Send one request; return a reply of status 0 if the connection breaks."""
         try:
             return await self._send(address, method, target, body, key)
         except (OSError, HttpError):
@@ -124,7 +124,7 @@
     async def request_until_known(
         self, address: str, method: str, target: str, body: Any = None, key: str = ""
     ) -> Reply:
-        """Request until a dispatcher knows the call, wherever redirects lead."""
+        """Repeat a request, following redirects, until a dispatcher has the call or reports that none has it."""
         for _ in range(REDIRECT_LIMIT):
             reply = await self._send(address, method, target, body, key)
             if reply.status == 307:
@@ -137,7 +137,7 @@
         return Reply(0)
 
     async def poll_until_final(self, address: str, id_: str) -> Reply:
-        """Poll an activation until it has its answer or is not known."""
+        """Poll an activation until it has its answer or is unknown."""
         for _ in range(POLL_LIMIT):
             reply = await self.request(address, "GET", f"activations/{id_}?wait=500")
             if reply.status == 200 or (reply.status == 404 and "in hand" not in reply.body["error"]):
--- a/bench/deferred.py
+++ b/bench/deferred.py
@@ -1,4 +1,8 @@
-"""Deferred calls with and without a journal, beside blocking ones; times of recovery: `python bench/deferred.py`."""
+"""Measures deferred calls and recovery: `python bench/deferred.py`.
+
+Compares deferred calls with and without a journal and blocking calls, then measures memory per activation and the time
+of recovery.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +42,7 @@
 
 
 def measure_rates(runs: int, seconds: float) -> dict[str, Any]:
-    """Calls a second and latency of the 202, or of the answer; 32 connections, closed loop."""
+    """Measure calls a second and the latency of the 202, or of the answer, in a closed loop over 32 connections."""
     with tempfile.TemporaryDirectory(dir=".") as name:
         folder = Path(name)
         deployment = folder / "bench.sexp"
@@ -61,17 +65,17 @@
                 if case == WITH_JOURNAL:
                     row |= commit_rates(before, journal_counts(journalled), seconds)
                 rows[case].append(row)
-    return {case: medians(found) for case, found in rows.items()}
+    return {case: medians(case_rows) for case, case_rows in rows.items()}
 
 
 def journal_counts(process: PinnedProcess) -> dict[str, Any]:
-    """The journal's counters at the control port."""
+    """Return the journal's counters from the control port."""
     counts: dict[str, Any] = process.control("state")["journal"]
     return counts
 
 
 def commit_rates(before: dict[str, Any], after: dict[str, Any], seconds: float) -> dict[str, float]:
-    """Entries in a commit and commits a second, between two readings of the counters."""
+    """Return entries per commit and commits a second between two readings of the counters."""
     commits = after["commits"] - before["commits"]
     return {
         "entries_a_sync": (after["entries"] - before["entries"]) / max(1, commits),
@@ -80,13 +84,13 @@
 
 
 def medians(rows: list[dict[str, Any]]) -> dict[str, Any]:
-    """The median of each figure; the statuses of the last run."""
+    """Return the median of each figure and the statuses of the last run."""
     figures = {key: statistics.median(row[key] for row in rows) for key in rows[0] if key != "statuses"}
     return figures | {"statuses": rows[-1]["statuses"]}
 
 
 def measure_memory(count: int, body: bytes) -> dict[str, Any]:
-    """Memory that so many activations in flight take, without their connections; measured in this process."""
+    """Measure in this process the memory of `count` activations in flight, without their connections."""
     settings = DEPLOYMENT.format(functions=2).replace("(records 5000)", "(records 1000000) (held 1000000)")
     deployment = parse(settings, "bench")
     gateway = Gateway(DispatcherParts(deployment, "hall", 1), "b" * 16, GroupCommit())
@@ -102,12 +106,12 @@
 
 
 def own_memory() -> int:
-    """Resident bytes of this process."""
+    """Return the resident memory of this process in bytes."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def write_journal(file: Path, count: int, wall_ms: float) -> None:
-    """A journal of so many activations, a tenth of them without an answer."""
+    """Write a journal of `count` activations, a tenth of them without an answer."""
     journal, _ = open_journal(file)
     entries: list[Any] = []
     for n in range(count):
@@ -120,7 +124,7 @@
 
 
 def measure_recovery(count: int) -> dict[str, Any]:
-    """Time to open a journal of so many activations and recover them."""
+    """Measure the time to open a journal of `count` activations and recover them."""
     deployment = parse(DEPLOYMENT.format(functions=2).replace("(records 5000)", "(records 1000000)"), "bench")
     wall_ms = time.time() * 1000
     with tempfile.TemporaryDirectory(dir=".") as folder:
--- a/bench/echo_worker.py
+++ b/bench/echo_worker.py
@@ -1,4 +1,4 @@
-"""A worker that answers at once, to measure what is in front of it; load orders succeed at once."""
+"""A worker that answers calls and load orders immediately, for measurements of the gateway in front of it."""
 
 from __future__ import annotations
 
--- a/bench/grpc_echo.py
+++ b/bench/grpc_echo.py
@@ -1,7 +1,9 @@
-"""Bare echoes of a unary gRPC method, for choosing a library: `python bench/grpc_echo.py h2|grpcio|grpcio-uvloop|ours`.
+"""Echo servers of a unary gRPC method, to compare libraries.
 
-`h2`: the h2 library on the loop's own sockets, nothing else; `grpcio`: the asyncio server of grpcio; `ours`: the
-program's own server with a handler that echoes.  Prints its address and serves until SIGTERM.
+    python bench/grpc_echo.py h2|grpcio|grpcio-uvloop|ours
+
+`h2`: the h2 library on plain sockets; `grpcio`, `grpcio-uvloop`: the asyncio server of grpcio; `ours`: the program's
+own server.  Prints the address and serves until SIGTERM.
 """
 
 from __future__ import annotations
@@ -78,7 +80,7 @@
     await server.wait_for_termination()
 
 
-async def serve_own() -> None:
+async def serve_kelptrail() -> None:
     from kelptrail.net.grpc_server import GrpcServer, GrpcStream
 
     def echo(stream: GrpcStream) -> None:
@@ -100,5 +102,5 @@
 if __name__ == "__main__":
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
     kind = sys.argv[1]
-    main = {"h2": serve_h2, "ours": serve_own}.get(kind, serve_grpcio)()
+    main = {"h2": serve_h2, "ours": serve_kelptrail}.get(kind, serve_grpcio)()
     asyncio.run(main) if kind == "grpcio" else uvloop.run(main)
--- a/bench/guard_cost.py
+++ b/bench/guard_cost.py
@@ -1,11 +1,10 @@
-"""What the run-time checks cost: CPU of the checks of one request beside all CPU that a process of the platform's
-program takes for a request.
+"""Measures the CPU cost of the run-time checks, relative to all CPU that the platform's program uses for a request.
 
     python bench/guard_cost.py --calls 4000
 
-One process between workers and an endpoint list of this program and eight connections; its CPU is read from the
-kernel's accounting.  The checks of one attempt (may it start, the invariants of an attempt) are then timed by
-themselves, on objects as they are in a process.  Prints both and their ratio.
+One process runs between eight connections and the workers and endpoint list of this program; its CPU is read from the
+kernel's accounting.  The checks of one attempt (whether it may start, and the invariants of an attempt) are then timed
+alone, on objects like those in a process.  Prints both and their ratio.
 """
 
 from __future__ import annotations
@@ -41,31 +40,31 @@
 
 
 class MeasuredRequests(NamedTuple):
-    """CPU seconds of the process for each request, and how many requests were served."""
+    """CPU seconds of the process per request, and the number of requests served."""
 
     cpu_s: float
     served: int
 
 
-class PromptWorkers(ProxiedWorkers):
-    """Workers that answer every call at once."""
+class ImmediateWorkers(ProxiedWorkers):
+    """Workers that answer every call immediately."""
 
     def answer_call(self, number: int, id_: str, body: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"%s OK tell=up,ahead=0 %d\r\n%s\r\n" % (id_.encode(), len(body), body))
 
 
-class QuietProcess:
+class FaultFreeProcess:
     """One process without faults, with its workers and endpoint list."""
 
     def __init__(self, folder: Path) -> None:
         self.state = RunState(1, folder)
-        self._workers = PromptWorkers(self.state, 1, AttemptCapture())
+        self._workers = ImmediateWorkers(self.state, 1, AttemptCapture())
         self._list = EndpointList(self.state, lambda worker: self._workers.proxied_port(0, worker))
         platform_settings = settings(SLOW_START_CAPACITY, SLOW_START_S)
         self.processes = PlatformProcesses(self.state, [HOST], [self._list], platform_settings)
 
     async def start(self) -> None:
-        """Start everything; the process accepts clients when it returns."""
+        """Start workers, endpoint list and process, and wait until the process accepts clients."""
         for _ in range(WORKERS):
             await self._workers.open()
         await self._list.open()
@@ -78,14 +77,14 @@
         await self.processes.stop(0, StopSignal.TERMINATE)
 
     def cpu_s(self) -> float:
-        """CPU seconds of the process so far."""
+        """Return the CPU seconds of the process so far."""
         process = self.processes.processes[0]
         assert process is not None
         fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     async def request(self, count: int) -> int:
-        """So many requests one after the other on one connection; returns how many were served."""
+        """Send `count` requests one after the other on one connection; return how many were served."""
         reader, writer = await asyncio.open_connection(*self.processes.addresses[0])
         answers, served = frames.FrameReader(1 << 20), 0
         for stream in range(1, count + 1):
@@ -106,8 +105,8 @@
 
 
 async def measure_requests(count: int, folder: Path) -> MeasuredRequests:
-    """CPU of the process for each of `count` requests, after a warm-up that loads the instances."""
-    process = QuietProcess(folder)
+    """Measure the CPU per request of `count` requests, after a warm-up that loads the instances."""
+    process = FaultFreeProcess(folder)
     await process.start()
     await asyncio.gather(*(process.request(count // 20) for _ in range(CONNECTIONS)))
     before = process.cpu_s()
@@ -118,7 +117,7 @@
 
 
 def measure_checks(rounds: int = 100_000) -> float:
-    """CPU seconds of the checks of one attempt."""
+    """Return the CPU seconds of the checks of one attempt."""
     request_class = RequestClass("t", Idempotency.IDEMPOTENT, 200.0, 1.0)
     function = Function("f", request_class, 300.0, 4)
     guard = SafetyGuard(
--- a/bench/hedged_requests.py
+++ b/bench/hedged_requests.py
@@ -1,7 +1,7 @@
-"""One fault scenario with no repeated attempts, with retries only, with hedging, and with hedging and no budget.
+"""Compares repeated attempts in one fault scenario: none, retries only, hedging, and hedging without a budget.
 
-`python bench/hedged_requests.py [--seeds 1,2,3]` runs `examples/bad-days/second-sends.sexp` through real processes and
-prints one JSON line a run, then the medians; `--out` keeps a picture.
+`python bench/hedged_requests.py [--seeds 1,2,3]` runs `examples/bad-days/second-sends.sexp` with real processes and
+prints one JSON line per run, then the medians; `--out` names a file for a plot.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 DEPLOYMENT = ROOT / "examples" / "hedged.sexp"
 OVERLOAD_STARTS_S = 33
 HEDGING = " (hedge yes)"
-RULE = "(longest-return-ms 1000)"  # further rules are written behind it
+RULE = "(longest-return-ms 1000)"  # further rules are inserted after this one
 MEDIANS = ("in_time_before_overload", "completed", "sends", "second_sends", "saved", "wasted")
 COPIED = ("broken", "taken", "completed", "rejected", "aborted", "sends", "second_sends")
 REQUEST_CLASSES, PERCENTILES = ("check", "activate"), ("p50", "p99", "p99.9")
@@ -30,13 +30,13 @@
 
 
 class Variant(NamedTuple):
-    """How a deployment differs from the example: without its hedging, with further rules."""
+    """The differences of a deployment from the example: whether it hedges, and further rules."""
 
     hedging: bool
     rules: str = ""
 
     def deployment(self) -> str:
-        """The text of the deployment."""
+        """Return the text of the deployment."""
         text = DEPLOYMENT.read_text()
         if not self.hedging:
             text = text.replace(HEDGING, "")
@@ -52,7 +52,7 @@
 
 
 def run_variant(name: str, seed: int, folder: Path) -> Row:
-    """One run of one variant."""
+    """Run one variant with one seed and return its figures."""
     deployment, scenario, out = folder / "place.sexp", folder / "day.sexp", folder / "out"
     deployment.write_text(VARIANTS[name].deployment())
     scenario.write_text(SCENARIO.read_text().replace("../hedged.sexp", str(deployment)))
@@ -78,7 +78,7 @@
 
 
 def medians(name: str, rows: list[Row]) -> Row:
-    """The medians of all runs of a variant."""
+    """Return the medians of all runs of a variant."""
     figures = {key: statistics.median(row[key] for row in rows) for key in MEDIANS}
     latencies = {
         f"{each} {percentile}": statistics.median(row[f"{each}_ms"][percentile] for row in rows)
@@ -89,7 +89,7 @@
 
 
 def draw(file: Path, rows: list[Row]) -> None:
-    """Useful and wasted repeated attempts beside the 99th percentile, by variant."""
+    """Plot useful and wasted repeated attempts and the high percentiles of latency, by variant."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/bench/inference.py
+++ b/bench/inference.py
@@ -1,7 +1,8 @@
-"""The inference API beside the invoke API and beside bare echoes; streams; TLS: `python bench/inference.py`.
+"""Measures the inference API: `python bench/inference.py`.
 
-Each process on a core of its own, echo workers.  Prints one JSON line a part: rates and CPU of unary calls, what
-streams add, handshakes a second and what TLS costs a call, memory a stream.
+Compares its unary calls with the invoke API and with plain echo servers, with and without TLS, and its streams with
+streams directly from a worker.  Each process runs on its own core; the workers echo.  Prints one JSON line per part:
+rates and CPU of unary calls, TLS handshakes a second, times of streams, and memory per stream.
 """
 
 from __future__ import annotations
@@ -53,7 +54,7 @@
 
 
 class UnaryCase(NamedTuple):
-    """A server under unary load; `options` are those of the load."""
+    """A server under unary load; `options` are further arguments of the load."""
 
     process: PinnedProcess
     address: str
@@ -61,7 +62,7 @@
 
 
 def write_deployments(folder: Path) -> Deployments:
-    """The files of both gateways, with certificates."""
+    """Write the deployment files of both gateways, and certificates."""
     keys = [sys.executable, "-m", "kelptrail", "keys"]
     for words in (["init", str(folder)], ["issue", str(folder), "front", "--server", "--also", "127.0.0.1"]):
         subprocess.run([*keys, *words], check=True, capture_output=True)
@@ -72,25 +73,25 @@
 
 
 def load_inference(part: str, address: str, *arguments: str) -> dict[str, Any]:
-    """One part of the load on a core of its own."""
+    """Run one part of the load on its own core; return its figures."""
     result: dict[str, Any] = run_pinned(LOAD_CORE, LOAD_SCRIPT, part, address, *arguments)
     return result
 
 
 def report(case: str, figures: dict[str, Any]) -> None:
-    """Print one line."""
+    """Print the figures of a case as one line of JSON."""
     print(json.dumps({"case": case} | figures), flush=True)
 
 
 def medians(rows: list[dict[str, Any]]) -> dict[str, Any]:
-    """The median of each figure, and the status codes of the last run."""
+    """Return the median of each figure and the status codes of the last run."""
     figures = [key for key, value in rows[0].items() if isinstance(value, int | float)]
     codes = rows[-1].get("codes", rows[-1].get("statuses"))
     return {key: round(statistics.median(row[key] for row in rows), 1) for key in figures} | {"codes": codes}
 
 
 def measure_unary_calls(cases: dict[str, UnaryCase], plain: PinnedProcess, runs: int, seconds: float) -> None:
-    """Unary calls to all servers in turns, and the invoke API of the plain gateway beside."""
+    """Measure unary calls to all servers in turns, and to the invoke API of the gateway without TLS."""
     rows: dict[str, list[dict[str, Any]]] = {}
     for _ in range(runs):
         for case, (process, address, options) in cases.items():
@@ -102,12 +103,12 @@
         row = run_load(LOAD_CORE, plain.address, TARGET, CONNECTIONS, seconds)._asdict()
         row["cpu_us"] = (plain.cpu_s() - before_s) / row["calls"] * 1e6
         rows.setdefault("gateway, invoke API", []).append(row)
-    for case, found in rows.items():
-        report(case, medians(found))
+    for case, case_rows in rows.items():
+        report(case, medians(case_rows))
 
 
 def start_worker(deployment: Path, endpoint_service: PinnedProcess) -> PinnedProcess:
-    """An emulated worker with its model store, which has loaded all models."""
+    """Start an emulated worker with a model store; the worker has loaded all models."""
     emulate = (sys.executable, "-m", "kelptrail", "emulate")
     store = PinnedProcess(1, *emulate, "model-store", str(deployment))
     options = ("--id", "w", "--store", store.address, "--roster", endpoint_service.address, "--warm")
@@ -115,7 +116,7 @@
 
 
 def measure_streams(gateway: PinnedProcess, worker: PinnedProcess) -> None:
-    """Streams through the gateway and straight from the worker."""
+    """Measure streams through the gateway and directly from the worker."""
     address: str = gateway.ready_line["grpc"]
     load_inference("streams", address, "5", "3", "1")  # warm-up
     arguments = (str(STREAMS), str(PARTS), str(GAP_MS))
@@ -124,7 +125,7 @@
 
 
 def measure_stream_memory(gateway: PinnedProcess) -> None:
-    """Memory of the gateway while it holds streams open."""
+    """Measure the memory of the gateway while it holds streams open."""
     before_mb = gateway.memory_mb()
     command = [sys.executable, LOAD_SCRIPT, "held", gateway.ready_line["grpc"], str(HELD_STREAMS)]
     child = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
@@ -160,7 +161,7 @@
         endpoint_service = start_endpoint_service(1, [])
         worker = start_worker(files.plain, endpoint_service)
         gateway = start_dispatcher(2, files.plain, endpoint_service)
-        time.sleep(1)  # until the worker is listed
+        time.sleep(1)  # time for the worker to be listed
         measure_streams(gateway, worker)
         measure_stream_memory(gateway)
 
--- a/bench/inference_load.py
+++ b/bench/inference_load.py
@@ -1,8 +1,8 @@
-"""Load on the inference API for bench/inference.py, each part a process of its own that prints one line of JSON.
+"""Load on the inference API for bench/inference.py; each part runs as a process and prints one line of JSON.
 
 python bench/inference_load.py closed ADDRESS SECONDS [AUTHORITY]       unary calls, 32 at once
 python bench/inference_load.py streams ADDRESS COUNT PARTS GAP_MS       streams through a gateway, one after the other
-python bench/inference_load.py direct ADDRESS COUNT PARTS GAP_MS        the same streams, straight from a worker
+python bench/inference_load.py direct ADDRESS COUNT PARTS GAP_MS        the same streams, directly from a worker
 python bench/inference_load.py held ADDRESS COUNT                       streams at once, each waiting for its next part
 python bench/inference_load.py handshakes ADDRESS SECONDS AUTHORITY     new TLS connections
 """
@@ -38,12 +38,12 @@
 
 
 def metadata() -> dict[str, str]:
-    """The credentials of a call."""
+    """Return the credentials of a call."""
     return {"authorization": "Basic " + base64.b64encode(AUTH.encode()).decode()}
 
 
 def encode_infer_request(parts: int = 0, gap_ms: float = 0.0) -> bytes:
-    """A small request, for a stream of so many parts where it has any."""
+    """Encode a small request; with `parts`, it asks for a stream of that number of parts."""
     request = pb.ModelInferRequest(model_name="f", id="1")
     tensor = request.inputs.add(name="x", datatype="FP32", shape=[FEATURES])
     tensor.contents.fp32_contents.extend([0.5] * FEATURES)
@@ -54,7 +54,7 @@
 
 
 def new_histogram() -> HdrHistogram:
-    """A histogram of microseconds."""
+    """Return an empty histogram of microseconds."""
     return HdrHistogram(1, MAX_LATENCY_US, 3)
 
 
@@ -77,7 +77,7 @@
         self._active = 0
 
     async def run(self, at_once: int) -> None:
-        """Calls, so many at once, until the time is over and all have ended."""
+        """Keep `at_once` calls in flight until the time is over, and wait until all have ended."""
         self._active = at_once
         for n in range(at_once):
             self._call(self._clients[n % len(self._clients)])
@@ -100,7 +100,7 @@
 
 
 async def measure_unary(address: str, seconds: float, tls: ssl.SSLContext | None) -> dict[str, Any]:
-    """Unary calls over 4 connections, 32 at once."""
+    """Measure unary calls over 4 connections, 32 at once."""
     clients = [GrpcClient(address, tls=(lambda: tls) if tls else None) for _ in range(UNARY_CONNECTIONS)]
     load = UnaryLoad(clients, seconds)
     await load.run(CALLS_AT_ONCE)
@@ -117,7 +117,7 @@
 
 
 class StreamTimes:
-    """The time to the first part of streams, and between their parts."""
+    """Histograms of the time to the first part of a stream and between its parts."""
 
     def __init__(self) -> None:
         self._first, self._between = new_histogram(), new_histogram()
@@ -125,17 +125,17 @@
         self._is_first = True
 
     def start(self) -> None:
-        """A stream starts."""
+        """Record the start of a stream."""
         self._last_at, self._is_first = time.perf_counter(), True
 
     def on_part(self) -> None:
-        """A part of the stream arrived."""
+        """Record the arrival of a part of the stream."""
         now = time.perf_counter()
         record_since(self._first if self._is_first else self._between, self._last_at, now)
         self._last_at, self._is_first = now, False
 
     def percentiles(self) -> dict[str, float]:
-        """The figures of a report."""
+        """Return the percentiles by their names in the report."""
         return {
             "first_p50_us": self._first.get_value_at_percentile(50),
             "first_p99_us": self._first.get_value_at_percentile(99),
@@ -145,7 +145,7 @@
 
 
 async def measure_streams(address: str, count: int, parts: int, gap_ms: float) -> dict[str, Any]:
-    """Streams one after the other, and when their parts come."""
+    """Measure streams through a gateway, one after the other: when their parts arrive."""
     client, times, request = GrpcClient(address), StreamTimes(), encode_infer_request(parts, gap_ms)
     for _ in range(count):
         finished: asyncio.Future[CallResult] = asyncio.get_running_loop().create_future()
@@ -165,7 +165,7 @@
 
 
 async def measure_direct_streams(address: str, count: int, parts: int, gap_ms: float) -> dict[str, Any]:
-    """The same streams, straight from the worker."""
+    """Measure the same streams, directly from the worker."""
     times = StreamTimes()
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -189,7 +189,7 @@
 
 
 async def hold_streams(address: str, count: int) -> dict[str, Any]:
-    """So many streams at once, each waiting for its next part; prints a line once all have started."""
+    """Hold `count` streams open, each waiting for its next part; print a line once all have started."""
     clients = [GrpcClient(address) for _ in range(max(1, count // STREAMS_PER_CONNECTION))]
     request, all_started = encode_infer_request(2, HELD_GAP_MS), asyncio.get_running_loop().create_future()
     started = 0
@@ -211,7 +211,7 @@
 
 
 async def measure_handshakes(address: str, seconds: float, context: ssl.SSLContext) -> dict[str, Any]:
-    """New connections, 16 at once, each with a full handshake and one small request."""
+    """Measure new connections, 16 at once, each with a full handshake and one small request."""
     loop = asyncio.get_running_loop()
     end, count = loop.time() + seconds, 0
     host, _, port = address.rpartition(":")
--- a/bench/soak_mutants.py
+++ b/bench/soak_mutants.py
@@ -172,12 +172,7 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument(
-        "--seeds",
-        type=int,
-        default=4,
-        help="number of seeds without a problem after which a mutant counts as not found",
-    )
+    parser.add_argument("--seeds", type=int, default=4, help="number of seeds to try on each mutant")
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--only", help="only mutants whose name contains this")
     options = parser.parse_args()
