--- a/bench/lease_measurements/__init__.py
+++ b/bench/lease_measurements/__init__.py
@@ -1,1 +1,1 @@
-"""The measurements of bench/leases.py, one module each, and the models that it shares with tests/test_lease.py."""
+"""Measurements of bench/leases.py, one per module, and models that they share with tests/test_lease.py."""
--- a/bench/lease_measurements/client_load.py
+++ b/bench/lease_measurements/client_load.py
@@ -25,7 +25,9 @@
 
 
 def simulate_clients(count: int, seconds: float, outage: bool) -> dict[str, Any]:
-    """`count` dispatchers contend for one task, five of them are acceptors; with `outage` all links are cut first."""
+    """Simulate `count` dispatchers that contend for one task; five of them are acceptors.
+
+    With `outage`, all links are cut for a while before the measurement."""
     queue, names = EventQueue(), [f"dispatcher-{n:03d}" for n in range(count)]
     acceptors, clients = names[:ACCEPTORS], names[ACCEPTORS:]
     settings = LeaseSettings(tuple(acceptors), max_lease_ms=LEASE_MS)
@@ -72,14 +74,14 @@
 
 
 class LeaseLoad(NamedTuple):
-    """What leases have cost a dispatcher so far."""
+    """Messages and CPU of a dispatcher for leases so far."""
 
     messages: float
     cpu_ms: float
 
 
 async def measure_real_clients(count: int, seconds: float) -> dict[str, Any]:
-    """`count` real dispatchers contend for one task, without load: messages and CPU at acceptors and at the others."""
+    """Measure messages and CPU at `count` real dispatchers that contend for one task, without load."""
     with tempfile.TemporaryDirectory() as name:
         leases = LeaseCluster(Path(name))
         await leases.start(count)
--- a/bench/lease_measurements/exploration.py
+++ b/bench/lease_measurements/exploration.py
@@ -1,4 +1,4 @@
-"""Deep searches of the lease model: products of acceptors and clients breadth first, and random walks."""
+"""Model checking of leases: breadth-first searches of products of acceptors and clients, and random walks."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
     walk,
 )
 
-STATES_PER_RECOVERY_CHECK = 20  # recovery is a run of its own
-SEEDS_PER_TASK = 50  # of the process pool
+STATES_PER_RECOVERY_CHECK = 20  # not every state, as each check runs the model until it has recovered
+SEEDS_PER_TASK = 50  # seeds per task of the process pool
 
 
 class Product(NamedTuple):
-    """A product of acceptors and clients to search, and how deep."""
+    """A product of acceptors and clients, and the depth to which it is searched."""
 
     clients: tuple[str, ...]
     budget: Budget
@@ -80,12 +80,12 @@
 
 
 def walk_seeds(name: str, first: int, count: int) -> int:
-    """Walk so many seeds; returns the number of states."""
+    """Walk `count` seeds from `first` on; return the number of states."""
     return sum(walk(seed, WALKS[name]) for seed in range(first, first + count))
 
 
 def search_all(processes: int, max_states: int, seeds: int) -> None:
-    """Search all products and walks on several processes; prints a line of JSON on each."""
+    """Search all products and run all walks on several processes; print a line of JSON for each."""
     with ProcessPoolExecutor(processes) as pool:
         for result in pool.map(search_product, PRODUCTS, [max_states] * len(PRODUCTS)):
             print(json.dumps(result), flush=True)
--- a/bench/lease_measurements/failover.py
+++ b/bench/lease_measurements/failover.py
@@ -1,4 +1,4 @@
-"""The time without a lease holder, of real dispatchers whose holder is killed, paused, cut off or shut down."""
+"""Time without a lease holder after the holder, a real dispatcher, is killed, paused, cut off or shut down."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 
 class HolderFault(StrEnum):
-    """What happens to the lease holder."""
+    """A fault of the lease holder."""
 
     KILL = "kill"
     PAUSE = "pause"
     CUT = "cut"
     CUT_ONE_WAY = "cut-one-way"
-    SHUTDOWN = "ended"  # it releases its leases
+    SHUTDOWN = "ended"  # the holder releases its leases
 
 
 class LeaseCluster:
@@ -55,7 +55,7 @@
         await self.cluster.start(WORKERS, dispatchers, self._folder / "state", tasks=(TASK,))
 
     async def find_holder(self) -> Process:
-        """The dispatcher that reports the lease as held, as soon as there is one."""
+        """Wait until a dispatcher reports that it holds the lease, and return it."""
         while True:
             for child in self.cluster.dispatchers:
                 try:
@@ -67,7 +67,7 @@
             await asyncio.sleep(0.05)
 
     async def inject(self, fault: HolderFault, child: Process) -> None:
-        """A fault of the holder for a while, its repair, and time to recover."""
+        """Inject a fault of the holder for a while, repair it, and leave time to recover."""
         others = [each.name for each in self.cluster.dispatchers if each.name != child.name]
         match fault:
             case HolderFault.KILL:
@@ -98,13 +98,13 @@
 
 
 async def lease_report(child: Process) -> dict[str, Any]:
-    """What the control port of a dispatcher reports on leases."""
+    """Return what the control port of a dispatcher reports on leases."""
     report: dict[str, Any] = await http_json(child.said["asked_at"], "GET", "/leases")
     return report
 
 
 async def measure_failover(times: int, plot: Path | None, faults: tuple[str, ...]) -> None:
-    """So many times each fault; prints the times without a holder, their bound and what the history checker finds."""
+    """Inject each fault `times` times; print the times without a holder, their bound and the history checker's counts."""
     with tempfile.TemporaryDirectory() as name:
         leases = LeaseCluster(Path(name))
         await leases.start(DISPATCHERS)
@@ -132,7 +132,9 @@
 
 
 def holder_gaps_ms(events: list[dict[str, Any]], moments: list[float]) -> list[float]:
-    """The time from the last use of the lease under the old token to the first under a newer one, after each fault."""
+    """Return the time without a holder after each fault, in ms.
+
+    It lasts from the last use of the lease under the old token to the first under a newer one."""
     uses = sorted((e for e in events if e["what"] in ("act", "done") and e["taken"]), key=lambda e: e["looked"])
     gaps = []
     for at in moments:
@@ -144,7 +146,7 @@
 
 
 def gap_row(fault: str, gaps: list[float]) -> dict[str, Any]:
-    """The figures of one fault."""
+    """Return the figures of one fault."""
     return {
         "without_a_holder_ms": fault,
         "times": len(gaps),
@@ -155,15 +157,17 @@
 
 
 def gap_bound_ms(leases: LeasesConfig) -> float:
-    """The longest time without a holder by the settings: a grant just before the fault, on the slowest acceptor; the
-    retry pause; the spacing of the queue; one silent first acceptor; two round trips of requests with their syncs."""
+    """Return the longest time without a holder that the settings allow, in ms.
+
+    It adds up a grant just before the fault, on the slowest acceptor; the retry pause; the spacing of the queue; one
+    silent first acceptor; and two round trips of requests with their syncs."""
     longest_lease_ms: float = leases.length_ms / (1 - leases.clock_rate_bound)
     waits_ms = 1.5 * leases.retry_pause_ms + 7 * leases.queue_spacing_ms + leases.request_timeout_ms
     return longest_lease_ms + waits_ms + 100
 
 
 def draw_gaps(file: Path, gaps_ms: dict[str, list[float]], bound_ms: float) -> None:
-    """A picture of all times without a holder."""
+    """Plot all times without a holder."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/bench/lease_measurements/models.py
+++ b/bench/lease_measurements/models.py
@@ -1,4 +1,4 @@
-"""Models of the lease protocol: settings, fault budgets and walks that the tests and the deep searches share."""
+"""Models of the lease protocol: settings, fault budgets and walks shared by the tests and the deep searches."""
 
 from __future__ import annotations
 
@@ -50,12 +50,12 @@
     options: dict[str, Any] = field(default_factory=dict)
 
     def with_notes(self) -> WalkSetup:
-        """The same walk with lease holders that write notes."""
+        """Return the same walk with lease holders that write notes."""
         return WalkSetup(self.budget, self.fault_share, self.length, self.options | {"with_notes": True})
 
 
 def initial_state(seed: int, budget: Budget, options: dict[str, Any]) -> Model:
-    """A model with two or three lease clients, by the seed."""
+    """Return a model with three lease clients for an even seed, and with two for an odd one."""
     clients = TWO_CLIENTS if seed % 2 else THREE_CLIENTS
     settings = options.get("settings", SETTINGS)
     further = {name: value for name, value in options.items() if name != "settings"}
@@ -63,7 +63,7 @@
 
 
 def walk(seed: int, setup: WalkSetup) -> int:
-    """Walk at random, check every state and that the last one recovers; returns the number of states.
+    """Walk at random, check every state and that the last one recovers; return the number of states.
 
     Raises `PropertyError`."""
     last = [initial_state(seed, setup.budget, setup.options)]
--- a/bench/lease_measurements/request_cost.py
+++ b/bench/lease_measurements/request_cost.py
@@ -1,4 +1,4 @@
-"""What leases cost a request: another checkout, this one without leases, and this one at an acceptor, in turns."""
+"""Cost of leases per request: another checkout, this one without leases, and this one at an acceptor, in turns."""
 
 from __future__ import annotations
 
@@ -21,13 +21,14 @@
 ROOT = Path(__file__).parent.parent.parent
 ACCEPTORS = ("v0", "v1", "v2")
 MEASURED_CORE, LOAD_CORE, CONNECTIONS = 3, 5, 32
-JOIN_INTERVAL_S = 6  # the first alone holds nothing; with the second it has all tasks
+# Time between the starts of the acceptors.  The first holds no lease alone, and all tasks as soon as the second joins.
+JOIN_INTERVAL_S = 6
 SETTLE_S = 8
 TARGET = "/api/v1/namespaces/_/actions/f-0?blocking=true&result=true"
 
 
 class RequestCost(NamedTuple):
-    """One run of a load."""
+    """The figures of one run of the load."""
 
     calls_per_s: float
     cpu_us: float
@@ -35,7 +36,7 @@
 
 
 def measure_request_cost(before: Path, runs: int, seconds: float) -> None:
-    """Load on each in turns, after one run that does not count; prints a line of JSON on each."""
+    """Load each dispatcher in turns, after a warm-up run that is not counted; print a line of JSON for each."""
     with tempfile.TemporaryDirectory() as name:
         processes = _start_processes(Path(name), before)
         costs: dict[str, list[RequestCost]] = {case: [] for case in processes}
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -1,10 +1,10 @@
-"""Leases measured: `python bench/leases.py explore | failover | askers | cost`; one JSON line a figure.
+"""Measures leases: `python bench/leases.py explore | failover | askers | cost`.  Prints JSON lines.
 
-explore: products of acceptors and lease clients, breadth first, and seeded walks, on several processes.  failover:
-seven real dispatchers, the holder killed, paused, cut off or shut down, time and again.  askers: messages and CPU at
-acceptors and lease clients, simulated, by the number of clients, without faults and after an outage; then with real
-dispatchers.  cost: what a request costs in another checkout (`--before`), here without leases, and here at an acceptor
-that holds the fleet's tasks, in turns on one core.
+explore: searches products of acceptors and lease clients breadth first, and walks at random, on several processes.
+failover: seven real dispatchers whose lease holder is repeatedly killed, paused, cut off or shut down.  askers:
+messages and CPU at acceptors and lease clients by the number of clients, simulated without faults and after an outage,
+then with real dispatchers.  cost: CPU and latency of a request in another checkout (`--before`), in this one without
+leases, and in this one at an acceptor that holds the fleet's tasks, in turns on one core.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def measure_client_load() -> None:
-    """Messages and CPU by the number of lease clients."""
+    """Measure messages and CPU by the number of lease clients."""
     for count in SIMULATED_CLIENTS:
         for outage in (False, True):
             print(json.dumps(simulate_clients(count, SIMULATED_S, outage)), flush=True)
@@ -42,7 +42,7 @@
     parser.add_argument("--walks", type=int, default=4000)
     parser.add_argument("--times", type=int, default=10)
     parser.add_argument("--kind", action="append", default=[], help="fault of the holder in failover; default: all")
-    parser.add_argument("--plot", type=Path, help="a picture of the times without a holder")
+    parser.add_argument("--plot", type=Path, help="file for a plot of the times without a holder")
     parser.add_argument("--before", type=Path, default=ROOT, help="a checkout of another build")
     options = parser.parse_args()
     if options.what == "explore":
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,6 +1,6 @@
-"""A load generator for the measurements: closed loop for the rate, open loop for latency.  Prints one JSON line.
+"""Load generator for the measurements: closed loop for the rate, open loop for latency.  Prints one JSON line.
 
-`python bench/load.py ADDRESS TARGET UUID:KEY CONNECTIONS SECONDS RATE`; a rate of 0 (calls a second) is a closed loop.
+`python bench/load.py ADDRESS TARGET UUID:KEY CONNECTIONS SECONDS RATE`; RATE is in calls a second, 0 for a closed loop.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class Client:
-    """One connection, one request at a time."""
+    """One connection that sends one request at a time."""
 
     def __init__(self, sock: socket.socket, data: bytes) -> None:
         self.sock, self.data, self.reader = sock, data, ResponseReader(MAX_ANSWER_BYTES)
@@ -58,19 +58,19 @@
 
 @dataclass(slots=True)
 class Measurement:
-    """The calls that were completed, and their latencies in microseconds."""
+    """The number of completed calls, and their latencies in microseconds."""
 
     calls: int = 0
     latencies: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS))
 
     def add(self, began: float) -> None:
-        """Count a call that began, or was due, at this time."""
+        """Count a call that began, or was due, at `began`."""
         self.latencies.record_value(max(1, int((time.monotonic() - began) * 1e6)))
         self.calls += 1
 
 
 async def run_closed_loop(clients: list[Client], end: float, measurement: Measurement) -> None:
-    """Each client calls again as soon as it has its answer."""
+    """Let each client call again as soon as it has its answer."""
 
     async def call_repeatedly(client: Client) -> None:
         while (began := time.monotonic()) < end:
@@ -81,7 +81,7 @@
 
 
 async def run_open_loop(clients: list[Client], began: float, end: float, rate: float, measurement: Measurement) -> None:
-    """Calls are due at a steady rate; one for which no client is free is left out."""
+    """Make calls at a steady rate; skip a call that is due while no client is free."""
     free, tasks, due = list(clients), set[asyncio.Task[None]](), began
 
     async def call_once(client: Client, due: float) -> None:
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,7 +1,7 @@
-"""Measures the gateway beside a bare pass-through, in turns on one core each: `python bench/overhead.py`.
+"""Compares the gateway with a bare pass-through, in turns on one core each: `python bench/overhead.py`.
 
 Prints medians of several runs: calls a second with 32 clients, median and 99th percentile at half the gateway's
-rate, CPU an activation, and memory over 200,000 activations.  Echo workers answer at once.
+rate, CPU per activation, and memory over 200,000 activations.  Echo workers answer immediately.
 """
 
 from __future__ import annotations
@@ -36,21 +36,21 @@
 
 
 class MeasuredLoad(NamedTuple):
-    """A load and the CPU that the process under it took for each call."""
+    """The result of a load and the CPU per call of the process under load."""
 
     load: LoadResult
     cpu_us: float
 
 
 class MemorySample(NamedTuple):
-    """Memory of the gateway after so many calls."""
+    """Memory of the gateway after a number of calls."""
 
     calls: int
     mb: float
 
 
 def start_processes(folder: Path) -> dict[str, PinnedProcess]:
-    """The gateway and the bare pass-through, by name."""
+    """Start the gateway and the bare pass-through; return them by name."""
     deployment = folder / "bench.sexp"
     deployment.write_text(DEPLOYMENT.format(functions=FUNCTIONS))
     workers = [start_echo_worker(core) for core in (0, 1)]
@@ -63,7 +63,7 @@
 def measure_in_turns(
     processes: dict[str, PinnedProcess], runs: int, measure: Callable[[PinnedProcess], MeasuredLoad]
 ) -> dict[str, list[MeasuredLoad]]:
-    """Several runs against each process, in turns."""
+    """Measure each process `runs` times, in turns."""
     results: dict[str, list[MeasuredLoad]] = {name: [] for name in processes}
     for _ in range(runs):
         for name, process in processes.items():
@@ -72,14 +72,14 @@
 
 
 def measure_load(process: PinnedProcess, connections: int, seconds: float, rate: float = 0.0) -> MeasuredLoad:
-    """Load on one process, and its CPU for each call."""
+    """Load one process and measure its CPU per call."""
     before_s = process.cpu_s()
     load = run_load(LOAD_CORE, process.address, TARGET.format(0), connections, seconds, rate)
     return MeasuredLoad(load, (process.cpu_s() - before_s) / load.calls * 1e6)
 
 
 def measure_memory(gateway: PinnedProcess, calls: int, seconds: float) -> list[MemorySample]:
-    """Memory after each load until there were so many calls."""
+    """Measure memory after each load, until there were `calls` calls in total."""
     samples: list[MemorySample] = []
     total = 0
     while total < calls:
--- a/bench/passthrough.py
+++ b/bench/passthrough.py
@@ -1,7 +1,7 @@
-"""A bare pass-through: the same sockets and parser as the gateway, no decision, no record.
+"""Bare pass-through with the sockets and parsers of the gateway, but without decisions and activation records.
 
-A request's body goes to the worker in the inference protocol, the worker's result comes back.  The gateway is measured
-beside it.
+It forwards the body of a request to the worker in the inference protocol and replies with the worker's result.  The
+gateway is compared with it.
 """
 
 from __future__ import annotations
--- a/bench/pinned_processes.py
+++ b/bench/pinned_processes.py
@@ -1,4 +1,4 @@
-"""Processes on cores of their own: the gateway that is measured, echo workers, an endpoint service, load."""
+"""Processes pinned to one core each: the gateway under test, echo workers, an endpoint service, load generators."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class PinnedProcess:
-    """A child on one core whose first line of output is where it listens, alone or in a JSON object."""
+    """A child on one core; its first line of output is its address, either alone or in a JSON object."""
 
     def __init__(self, core: int, *command: str, cwd: Path | None = None) -> None:
         self.process = subprocess.Popen(
@@ -49,28 +49,28 @@
         _running.append(self)
 
     def cpu_s(self) -> float:
-        """CPU seconds so far."""
+        """Return the CPU seconds of the process so far."""
         return cpu_seconds(self.process.pid)
 
     def memory_mb(self) -> float:
-        """Resident memory."""
+        """Return the resident memory in MB."""
         return int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1]) * 4096 / 1e6
 
     def control(self, target: str) -> Any:
-        """The JSON that its control port serves."""
+        """Return the JSON that the control port of the process serves."""
         with urllib.request.urlopen(
             f"http://{self.ready_line['asked_at']}/{target}", timeout=HTTP_TIMEOUT_S
         ) as response:
             return json.loads(response.read())
 
     def stop(self) -> None:
-        """End it by SIGTERM."""
+        """End the process by SIGTERM and wait for its exit."""
         self.process.send_signal(signal.SIGTERM)
         self.process.wait(STOP_TIMEOUT_S)
         _running.remove(self)
 
     def kill(self) -> None:
-        """End it by SIGKILL."""
+        """End the process by SIGKILL and wait for its exit."""
         self.process.kill()
         self.process.wait()
         _running.remove(self)
@@ -81,23 +81,23 @@
 
 def stop_all() -> None:
     """End all processes that are still running."""
-    while _running:  # `stop` takes a process off the list
+    while _running:  # `stop` removes the process from the list
         _running[-1].stop()
 
 
 def cpu_seconds(pid: int) -> float:
-    """CPU seconds of a process so far."""
+    """Return the CPU seconds of a process so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def start_echo_worker(core: int) -> PinnedProcess:
-    """A worker that answers at once."""
+    """Start a worker that answers immediately."""
     return PinnedProcess(core, sys.executable, str(HERE / "echo_worker.py"))
 
 
 def start_endpoint_service(core: int, workers: list[str]) -> PinnedProcess:
-    """An emulated endpoint service that lists the workers at these addresses."""
+    """Start an emulated endpoint service that lists the workers at these addresses."""
     service = PinnedProcess(core, sys.executable, "-m", "kelptrail", "emulate", "endpoint-service")
     for n, address in enumerate(workers):
         endpoint = {"id": f"w{n}", "address": address, "incarnation": "1", "hall": "", "cell": n, "age_ms": 1e9}
@@ -110,13 +110,13 @@
 def start_dispatcher(
     core: int, deployment: Path, endpoint_service: PinnedProcess, *options: str, cwd: Path | None = None
 ) -> PinnedProcess:
-    """A dispatcher of a deployment file; `cwd` is the checkout that it runs from."""
+    """Start a dispatcher of a deployment file; `cwd` is the checkout from which it runs."""
     command = [sys.executable, "-m", "kelptrail", "--log-level", "error", "serve", str(deployment)]
     return PinnedProcess(core, *command, "--roster", endpoint_service.address, *options, cwd=cwd)
 
 
 class LoadResult(NamedTuple):
-    """What a load generator measured."""
+    """The figures that a load generator measured."""
 
     calls: int
     per_s: float
@@ -126,13 +126,13 @@
 
 
 def run_load(core: int, address: str, target: str, connections: int, seconds: float, rate: float = 0.0) -> LoadResult:
-    """Load by bench/load.py: a closed loop, or calls at `rate` a second."""
+    """Run bench/load.py: a closed loop, or an open loop of `rate` calls a second."""
     arguments = [address, target, AUTH, str(connections), str(seconds), str(rate)]
     return LoadResult(**run_pinned(core, str(HERE / "load.py"), *arguments))
 
 
 def run_pinned(core: int, script: str, *arguments: str) -> Any:
-    """Run a script on a core; returns the JSON of its last line of output."""
+    """Run a script on a core; return the JSON of its last line of output."""
     completed = subprocess.run(
         [sys.executable, script, *arguments],
         capture_output=True,
--- a/bench/planner.py
+++ b/bench/planner.py
@@ -1,8 +1,8 @@
 """Measures planning: `python bench/planner.py times OUT`, `... edge OUT`, `... channel OUT`.  Prints JSON lines.
 
-times: plan time and cost against workers x functions, the greedy solver beside the linear program.
-edge: an edge's latency while a planner solves for 1,000 workers and 5,000 functions, beside an idle planner and none.
-channel: bytes a second between a planner and 30 edges that ask for all of it.
+times: time and cost of plans by the number of workers and functions, for the greedy solver and the linear program.
+edge: latency of an edge while a planner on the same machine solves for 1,000 workers and 5,000 functions, or is idle.
+channel: bytes a second between a planner and 30 edges that report usage of all functions.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 
 
 class PlannerProcesses(NamedTuple):
-    """A planner of the large deployment, with an endpoint service of its own."""
+    """A planner of the large deployment and its endpoint service."""
 
     planner: Process
     endpoint_service: Process
 
 
 async def start_planner(cluster: Cluster, name: str) -> PlannerProcesses:
-    """Start both; `name` is that of the endpoint service."""
+    """Start a planner and an endpoint service, which gets the name `name`."""
     endpoint_service = await cluster.start_process(name, ["emulate", "endpoint-service"])
     options = ["--roster", endpoint_service.said["address"], "--control", "127.0.0.1:0"]
     planner = await cluster.start_process("planner", ["planner", str(LARGE), *options])
@@ -46,13 +46,13 @@
 
 
 async def stop_planner(cluster: Cluster, processes: PlannerProcesses) -> None:
-    """End both."""
+    """End the planner and its endpoint service."""
     for child in processes:
         await cluster.terminate(child, STOP_TIMEOUT_S)
 
 
 async def register_workers(endpoint_service: Process) -> None:
-    """List the workers of the large deployment; nothing listens there."""
+    """Register the workers of the large deployment; nothing listens at their addresses."""
     for n in range(LARGE_WORKERS):
         endpoint = {
             "id": f"worker-{n}",
@@ -66,14 +66,14 @@
 
 
 def fake_edges(deployment: Deployment, planner: Process, count: int, rate: float) -> list[FakeEdge]:
-    """So many edges that report `rate` calls a second of each function."""
+    """Return `count` edges that report `rate` calls a second for each function."""
     models = [action.model for action in deployment.actions.values()]
     address = planner.said["address"]
     return [FakeEdge(f"e{n}", deployment.name, address, models, rate) for n in range(count)]
 
 
 async def run_load(address: str, out: Path) -> dict[str, Any]:
-    """The steady load on one dispatcher; returns its report."""
+    """Run the steady load on one dispatcher; return its report."""
     process = await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", "kelptrail", "load", str(STEADY_LOAD)),
         *("--at", address, "--processes", "1", "--out", str(out)),
@@ -85,7 +85,7 @@
 
 
 async def measure_edge(out: Path, solving: bool) -> dict[str, Any]:
-    """An edge of the example deployment under a steady load, and a planner beside it that is solving or idle."""
+    """Measure an edge of the example deployment under steady load while a planner is solving or idle."""
     cluster = Cluster(load(SMALL), str(SMALL), None, 1, "warning", None, quiet=True)
     await cluster.start(4, 1, None)
     processes = await start_planner(cluster, "roster-2")
@@ -109,19 +109,19 @@
 
 
 async def measure_edges(out: Path) -> None:
-    """Two runs beside each planner."""
+    """Run twice with an idle planner and twice with a solving one."""
     for _ in range(2):
         for solving in (False, True):
             print(json.dumps(await measure_edge(out, solving)), flush=True)
 
 
 def totals(edges: list[FakeEdge]) -> EdgeTotals:
-    """What all edges have exchanged so far."""
+    """Return the sums of what the edges have exchanged so far."""
     return EdgeTotals(*(sum(column) for column in zip(*(edge.totals for edge in edges), strict=True)))
 
 
 async def measure_channel() -> None:
-    """30 edges, 1,000 workers, 5,000 functions at 3,000 calls a second in all, for half a minute."""
+    """Measure 30 edges, 1,000 workers and 5,000 functions at 3,000 calls a second in total, for 30 s."""
     deployment = load(LARGE)
     cluster = Cluster(deployment, str(LARGE), None, 1, "warning", None, quiet=True)
     processes = await start_planner(cluster, "roster")
@@ -132,7 +132,7 @@
     await asyncio.sleep(CHANNEL_SETTLE_S)
     for task in tasks:
         if task.done():
-            task.result()  # raises what ended it
+            task.result()  # raises the error that ended the task
     before = totals(edges)
     await asyncio.sleep(CHANNEL_S)
     after = totals(edges)
--- a/bench/planner_edges.py
+++ b/bench/planner_edges.py
@@ -1,4 +1,4 @@
-"""Fake edges: they report usage to a planner as an edge does, and acknowledge its plans."""
+"""Fake edges that report usage to a planner and acknowledge its plans as an edge does."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from kelptrail.planner.plan import BEFORE_ALL_PLANS, decode_plan
 
 REPORT_INTERVAL_S = 1.0
-RUN_MS = 100.0  # of each call
+RUN_MS = 100.0  # run time of each call
 
 
 class EdgeTotals(NamedTuple):
-    """What an edge has exchanged with its planner so far."""
+    """Bytes and plans that an edge has exchanged with its planner so far."""
 
     bytes_in: int
     bytes_out: int
@@ -27,7 +27,7 @@
 
 
 class FakeEdge:
-    """An edge whose functions get `rate` calls a second each, at random."""
+    """An edge whose functions each get a random number of calls, `rate` a second on average."""
 
     def __init__(self, name: str, deployment: str, address: str, models: list[str], rate: float) -> None:
         self._name = name
@@ -39,7 +39,7 @@
 
     @property
     def totals(self) -> EdgeTotals:
-        """What it has exchanged so far."""
+        """Bytes and plans that it has exchanged so far."""
         return EdgeTotals(self._bytes_in, self._bytes_out, self._plans)
 
     async def run(self) -> None:
--- a/bench/planner_times.py
+++ b/bench/planner_times.py
@@ -1,4 +1,4 @@
-"""Times and costs of plans by the number of workers and functions, greedy and by the linear program."""
+"""Times and costs of plans by the number of workers and functions, for the greedy solver and the linear program."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from kelptrail.planner.program_placement import place_by_program
 
 SIZES = ((10, 50), (30, 150), (100, 500), (300, 1500), (1000, 5000))  # workers, functions
-MEMORY_FACTORS = (1.0, 0.12)  # plenty, and too little for all instances
+MEMORY_FACTORS = (1.0, 0.12)  # ample memory, and too little for all instances
 SOLVERS = {"greedy": place_greedily, "program": place_by_program}
 MEMORY_MB, CONCURRENCY = 24_000.0, 4
 SEED = 1
 
 
 class PlanningProblem(NamedTuple):
-    """What a plan is computed from."""
+    """The input from which a plan is computed."""
 
     capacities: list[WorkerCapacity]
     demands: list[FunctionDemand]
 
 
 def random_problem(workers: int, functions: int, seed: int, memory_factor: float) -> PlanningProblem:
-    """Workers at half of their throughput, functions by Zipf's law, each loaded at one or two workers."""
+    """Return workers at half of their throughput and functions by Zipf's law, each loaded at one or two workers."""
     rng = np.random.default_rng(seed)
     capacities = [WorkerCapacity(f"worker-{n}", MEMORY_MB * memory_factor, CONCURRENCY) for n in range(workers)]
     rates = 1 / np.arange(1, functions + 1) ** 0.8
@@ -44,7 +44,7 @@
 
 
 def measure_times(out: Path) -> None:
-    """Solve all problems; prints a line on each and draws them."""
+    """Solve all problems, print a line for each and plot the times."""
     rows = []
     for workers, functions in SIZES:
         for memory_factor in MEMORY_FACTORS:
@@ -57,7 +57,7 @@
 
 
 def solve(problem: PlanningProblem, solver: str) -> dict[str, Any]:
-    """Compute and check one plan; returns its figures."""
+    """Compute and check one plan; return its figures."""
     max_new = max(8, len(problem.demands) // 5)
     start = time.perf_counter()
     plan = SOLVERS[solver](problem.capacities, problem.demands, max_new)
@@ -73,7 +73,7 @@
 
 
 def draw_times(file: Path, rows: list[dict[str, Any]]) -> None:
-    """Seconds of a plan against the size of its problem."""
+    """Plot the seconds of a plan against the size of its problem."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/bench/replication.py
+++ b/bench/replication.py
@@ -1,8 +1,8 @@
-"""What replication costs and how long a takeover takes: `python bench/replication.py cost|takeover|refill|walks`.
+"""Measures replication and take-over: `python bench/replication.py cost|takeover|refill|walks`.
 
-`cost`: deferred calls on three real dispatchers, 0, 1 and 2 replicas, on disk and in memory.  `takeover`: the
-activations of a journal read, recovered and resumed in one process, workers emulated.  `refill`: a replica lost with
-its disk under load, real processes.  `walks`: the model of one journal over many seeds.
+`cost`: deferred calls on three real dispatchers with 0, 1 and 2 replicas, on disk and in memory.  `takeover`: one
+process reads, recovers and resumes the activations of a journal, with emulated workers.  `refill`: real processes under
+load, one of which is lost with its disk and its replica.  `walks`: random walks over the model of one journal.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 def deployment_text(replicas: int, medium: str, effect: str = "repeatable") -> str:
-    """A deployment of three peers with so many replicas, on disk or in memory."""
+    """Return the text of a deployment of three peers with `replicas` replicas, on disk or in memory."""
     text = DEPLOYMENT.format(functions=2).replace("(effect repeatable)", f"(effect {effect})").rstrip()
     text = text.replace("(records 5000)", "(records 200000) (records-mb 2000)")
     peers, voters = " ".join(f"(peer {name})" for name in NAMES), " ".join(NAMES)
@@ -58,7 +58,7 @@
 
 
 class ReplicationCluster:
-    """Three dispatchers that know each other, one worker that answers at once."""
+    """Three dispatchers that are peers, and one worker that answers immediately."""
 
     def __init__(self, folder: Path, replicas: int, medium: str, effect: str = "repeatable") -> None:
         folder.mkdir()
@@ -73,7 +73,7 @@
 
     @property
     def primary(self) -> PinnedProcess:
-        """The dispatcher that gets the load."""
+        """The dispatcher that receives the load."""
         return self.dispatchers[0]
 
     def lose(self, name: str) -> None:
@@ -99,12 +99,14 @@
 
 
 def own_journal(process: PinnedProcess) -> dict[str, Any]:
-    """The counters of the journal that a dispatcher writes at present."""
+    """Return the counters of the journal to which a dispatcher writes at present."""
     return next(journal for journal in process.control("copies")["owned"].values() if journal["current"])
 
 
 def measure_cost(runs: int, seconds: float) -> None:
-    """Calls a second (32 connections, closed loop) and latency of the 202 at a fixed rate; CPU and bytes a call."""
+    """Measure calls a second, latency of the 202, and CPU and bytes per call, for each effect and replication.
+
+    Calls a second, CPU and bytes are those of a closed loop over 32 connections, latency is that at a fixed rate."""
     with tempfile.TemporaryDirectory(dir=".") as folder:
         for effect in EFFECTS:
             for replicas, medium in COST_CASES:
@@ -117,7 +119,7 @@
 
 
 def measure_calls(cluster: ReplicationCluster, replicas: int, seconds: float) -> dict[str, float]:
-    """One run of the closed loop and one at a fixed rate."""
+    """Run the closed loop once and the fixed rate once; return their figures."""
     primary = cluster.primary
     cpu_before = [each.cpu_s() for each in cluster.dispatchers]
     before = own_journal(primary) if replicas else {}
@@ -140,7 +142,9 @@
 
 
 def measure_refill(count: int, rate: float) -> dict[str, Any]:
-    """A replica lost with its disk while the primary has so many records and continues at `rate` calls a second."""
+    """Measure the refill after a replica is lost with its disk, while the primary gets `rate` calls a second.
+
+    The primary has `count` records before the loss."""
     with tempfile.TemporaryDirectory(dir=".") as folder:
         cluster = ReplicationCluster(Path(folder) / "trio", 1, "disk")
         primary = cluster.primary
@@ -165,12 +169,12 @@
 
 
 def latency_pairs(before: LoadResult, during: LoadResult) -> dict[str, list[float]]:
-    """Median and 99th percentile, each before and during a refill."""
+    """Return the median and the 99th percentile of latency, each before and during a refill."""
     return {"p50_us": [before.p50_us, during.p50_us], "p99_us": [before.p99_us, during.p99_us]}
 
 
 class WalkCounts(NamedTuple):
-    """What happened in walks over the model."""
+    """Counts of events in walks over the model."""
 
     takeovers: int
     acknowledged: int
@@ -178,7 +182,7 @@
 
 
 def walk_seeds(seeds: range) -> WalkCounts:
-    """Walk the model of one journal with each seed; raises where a property is violated."""
+    """Walk the model of one journal with each seed; raise an error if a property is violated."""
     counts = []
     for seed in seeds:
         model = Model(seed)
@@ -190,12 +194,12 @@
 
 
 def total(counts: Iterable[WalkCounts]) -> WalkCounts:
-    """The sum of several counts."""
+    """Return the sum of several counts."""
     return WalkCounts(*(sum(column) for column in zip(*counts, strict=True)))
 
 
 def walk_all(seeds: int, processes: int) -> dict[str, Any]:
-    """Walk so many seeds on several processes."""
+    """Walk `seeds` seeds on several processes."""
     start = time.monotonic()
     with ProcessPoolExecutor(processes) as pool:
         ranges = [range(first, first + SEEDS_PER_TASK) for first in range(0, seeds, SEEDS_PER_TASK)]
--- a/bench/replication_takeover.py
+++ b/bench/replication_takeover.py
@@ -1,4 +1,4 @@
-"""The takeover of a journal in one process: its activations are read, recovered and resumed, workers emulated."""
+"""Take-over of a journal in one process, which reads, recovers and resumes its activations with emulated workers."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ImmediateJournal:
-    """A journal that is durable at once, to measure the takeover alone."""
+    """A journal whose writes are durable immediately, to measure the take-over alone."""
 
     def is_accepting(self) -> bool:
         return True
@@ -59,7 +59,7 @@
         self._run_s = run_ms / 1000
 
     def run_effects(self) -> None:
-        """Carry out what the gateway decides."""
+        """Carry out the effects that the gateway returns."""
         loop, now = asyncio.get_running_loop(), now_ms()
         while (effect := self._gateway.next_effect(now)) is not None:
             if isinstance(effect, FinalAnswer):
@@ -78,7 +78,7 @@
 
 
 def journal_entries(count: int, unfinished: float, now: float) -> tuple[ReplicaEntry, ...]:
-    """So many activations, the first ones without an answer."""
+    """Return the entries of `count` activations; the first `unfinished` of them have no answer."""
     kinds = (Accepted, MayRun, Ended)
     items: list[ReplicaEntry] = []
     for n in range(count):
@@ -93,7 +93,9 @@
 async def measure_takeover(
     deployment_text: str, count: int, unfinished_share: float, run_ms: float, at_once: int
 ) -> dict[str, Any]:
-    """A journal of so many activations, a share of them without an answer; `at_once` of them run at a time."""
+    """Measure the take-over of a journal of `count` activations, a share of them without an answer.
+
+    At most `at_once` activations run at the same time."""
     text = deployment_text.replace("(timeout-ms 10000)", "(timeout-ms 600000)")
     deployment = parse(text.replace("(records 200000)", "(records 2000000)"), "bench")
     unfinished, wall = int(count * unfinished_share), wall_ms()
@@ -111,7 +113,7 @@
         gateway.on_endpoints(now_ms(), EndpointList(1, endpoints))
         resumption = Resumption(gateway, run_ms)
         longest_step_ms = await _recover(gateway, resumption, reading, at_once)
-        known_at = now_ms()
+        recovered_at = now_ms()
         while len(resumption.final_ids) < unfinished and now_ms() - start < TIMEOUT_MS:
             await asyncio.sleep(0.01)
             resumption.run_effects()
@@ -122,21 +124,21 @@
         "resumed": len(resumption.final_ids),
         "read_ms": round(read_ms),
         "first_resumed_ms": round(resumption.first_attempt_at - start),
-        "all_known_ms": round(known_at - start),
+        "all_known_ms": round(recovered_at - start),
         "last_resumed_ms": round(resumption.last_answer_at - start),
         "longest_step_ms": round(longest_step_ms, 1),
     }
 
 
 def _tune_garbage_collection() -> None:
-    """As the program does."""
+    """Tune garbage collection as the program does."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(50_000, 20, 1_000_000)
 
 
 async def _recover(gateway: Gateway, resumption: Resumption, reading: ReadRequest, at_once: int) -> float:
-    """Recover all activations in batches, unfinished ones first; returns the longest time of a batch, in ms."""
+    """Recover all activations in batches, unfinished ones first; return the longest time of a batch, in ms."""
     journal = ImmediateJournal()
     activations = sorted(reading.activations, key=lambda each: (each.ended is not None, each.accepted.start))
     longest_ms = 0.0
--- a/bench/side_by_side.py
+++ b/bench/side_by_side.py
@@ -1,4 +1,4 @@
-"""The same scenarios on sockets and simulated, side by side: `python bench/side_by_side.py OUT [SCENARIO ...]`."""
+"""Compares scenarios on sockets with their simulation: `python bench/side_by_side.py OUT [SCENARIO ...]`."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def run_command(*arguments: str) -> Report:
-    """Run a command of the program; returns the report that it prints."""
+    """Run a command of the program; return the report that it prints."""
     completed = subprocess.run(
         [sys.executable, "-m", "kelptrail", *arguments], cwd=ROOT, capture_output=True, text=True, check=False
     )
@@ -29,17 +29,17 @@
 
 
 def run_processes(name: str, out: Path) -> Report:
-    """A scenario with real processes."""
+    """Run a scenario with real processes."""
     return run_command("fault-scenario", scenario_file(name), "--out", str(out / name))
 
 
 def simulate(name: str) -> Report:
-    """A scenario in simulated time."""
+    """Run a scenario in simulated time."""
     return run_command("simulate", "play", scenario_file(name))
 
 
 def table_row(name: str, medium: str, report: Report) -> str:
-    """A line of the table: the counts, and the latencies of the first request class."""
+    """Return a row of the table: the counts, and the latencies of the first request class."""
     request_class, latencies = next(iter(report["latency_ms"].items()))
     counts = " | ".join(f"{report[count]:,}" for count in COUNTS)
     times = ", ".join(f"{latencies[percentile]:.0f}" for percentile in PERCENTILES)
--- a/bench/split.py
+++ b/bench/split.py
@@ -1,7 +1,7 @@
-"""Splits the CPU of an activation: `python bench/split.py [TOTAL_US]`.
+"""Splits the CPU of an activation by component: `python bench/split.py [TOTAL_US]`.
 
-Times codecs, decisions and the rest of the gateway core in one process; given the whole CPU of an activation (from
-`bench/overhead.py`), the remainder is sockets, loop and driver.
+Times codecs, decisions and the rest of the gateway core in one process.  TOTAL_US is the total CPU of an activation
+from `bench/overhead.py`; the remainder is attributed to sockets, loop and driver.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 def median_us(run: Callable[[], None], times: int = 20_000, rounds: int = 5) -> float:
-    """Microseconds a call, the median of several rounds."""
+    """Return the microseconds per call, as the median of several rounds."""
     results = []
     for _ in range(rounds):
         start = time.process_time()
@@ -49,7 +49,7 @@
 
 
 def new_gateway(parts: DispatcherParts) -> Gateway:
-    """A gateway with two workers."""
+    """Return a gateway with two workers."""
     gateway = Gateway(parts, "b" * 16)
     endpoints = [Endpoint(f"w{n}", f"h:{n}", incarnation="1") for n in range(2)]
     gateway.on_endpoints(0.0, EndpointList(1, endpoints, "x"))
@@ -57,7 +57,7 @@
 
 
 def codecs() -> Callable[[], None]:
-    """All bytes of one activation, both ways."""
+    """Return a function that encodes and decodes all messages of one activation."""
     target, headers = "/api/v1/namespaces/_/actions/f?blocking=true", {"authorization": "Basic " + "x" * 60}
     request = encode_request("POST", target, "x", BODY, headers)
     answer = encode_response(200, infer_answer("f", ACTIVATION_ID, BODY.decode(), True), LOAD_REPORT)
@@ -75,7 +75,7 @@
 
 
 def gateway_core() -> Callable[[], None]:
-    """One activation through the gateway core: accepted, sent, answered, finished."""
+    """Return a function that passes one activation through the gateway core, from acceptance to its final answer."""
     deployment = parse(DEPLOYMENT, "bench")
     gateway = new_gateway(DispatcherParts(deployment, "hall", 1))
     action, clock = deployment.actions["f"], [0.0]
@@ -96,7 +96,7 @@
 
 
 def decisions() -> Callable[[], None]:
-    """The same through the dispatcher alone."""
+    """Return a function that passes one request through the dispatcher alone."""
     parts = DispatcherParts(parse(DEPLOYMENT, "bench"), "hall", 1)
     dispatcher, function = parts.dispatcher, parts.function("f")
     new_gateway(parts)
--- a/bench/vrrp_explore.py
+++ b/bench/vrrp_explore.py
@@ -1,4 +1,4 @@
-"""Searches products of VRRP state machines deeply and simulates 1,000 failovers: `python bench/vrrp_explore.py`."""
+"""Model-checks products of VRRP state machines and simulates 1,000 failovers: `python bench/vrrp_explore.py`."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Product(NamedTuple):
-    """Routers that share an address, by their priorities, and how deep their states are searched."""
+    """The priorities of routers that share an address, and the depth to which their states are searched."""
 
     name: str
     priorities: tuple[int, ...]
@@ -43,7 +43,7 @@
 
 
 def routers(product: Product) -> list[VirtualRouter]:
-    """The routers of a product, before their start."""
+    """Return the routers of a product before their start."""
     settings = (
         RouterSettings(ROUTER_ID, priority, VIRTUAL_ADDRESS, ADVERTISEMENT_INTERVAL_CS, product.preempt)
         for priority in product.priorities
--- a/bench/vrrp_failover.py
+++ b/bench/vrrp_failover.py
@@ -1,9 +1,9 @@
-"""Failovers of a shared front address through real processes: `python bench/vrrp_failover.py --failovers 30`.
+"""Measures failovers of shared front addresses with real processes: `python bench/vrrp_failover.py --failovers 30`.
 
-Three dispatchers back two addresses behind a datagram proxy that injects faults; clients call the addresses throughout.
-Each failover kills, shuts down, pauses or cuts off the present master of the first address.  Who holds an address is
-counted from the machine's list of listening sockets and from the datagrams at the proxy, nothing else.  The history
-checker checks the captures.  Writes report.json and masters.png into --out; exit 6 where a rule was broken.
+Three dispatchers serve two addresses behind a datagram proxy that injects faults; clients call the addresses all the
+time.  Each failover kills, shuts down, pauses or cuts off the present master of the first address.  The holders of an
+address are counted only from the machine's list of listening sockets and from the datagrams at the proxy.  The history
+checker checks the captures.  Writes report.json and masters.png into --out; the exit code is 6 if a rule was broken.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def master_down_interval_ms(deployment: Deployment) -> float:
-    """The time after which the second router takes over, of RFC 9568."""
+    """Return the Master_Down_Interval of RFC 9568 for the router of the second-highest priority, in ms."""
     assert deployment.vrrp is not None
     first = deployment.vrrp.router[0]
     priorities = sorted((member.priority for member in first.member), reverse=True)
@@ -38,7 +38,7 @@
 
 
 def takeover_figures(trial: FailoverTrial) -> dict[str, Any]:
-    """Times until another held the address, over all faults but shutdowns, and by fault."""
+    """Return the times until another process held the address: for all faults but shutdowns, and by fault."""
     times_ms = [each.ms for each in trial.takeovers if each.fault is not MasterFault.SHUTDOWN]
     by_fault = {
         fault.value: [round(each.ms, 1) for each in trial.takeovers if each.fault is fault] for fault in MASTER_FAULTS
@@ -54,7 +54,7 @@
 def holder_figures(
     deployment: Deployment, trial: FailoverTrial, events: list[dict[str, Any]], out: Path
 ) -> dict[str, Any]:
-    """For how long each address had how many holders, by sockets and by datagrams; also as a picture."""
+    """Return how long each address had how many holders, by sockets and by datagrams, and plot it over time."""
     assert deployment.vrrp is not None
     interval_ms = deployment.vrrp.router[0].interval_cs * 10.0
     timelines: dict[str, HolderTimeline] = {}
--- a/bench/vrrp_holders.py
+++ b/bench/vrrp_holders.py
@@ -1,4 +1,4 @@
-"""Who holds a shared address over time: by the machine's listening sockets, and by advertisements on the network."""
+"""The holders of a shared address over time, by the machine's listening sockets and by VRRP advertisements."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from kelptrail.clock import now_ms
 
 SAMPLE_INTERVAL_MS = 5.0
-LISTEN_STATE = "0A"  # of a socket, in /proc/net/tcp
+LISTEN_STATE = "0A"  # state of a listening socket in /proc/net/tcp
 COUNT_NAMES = ("none", "one", "two", "more")
 ADVERTISEMENT_VALID_INTERVALS = 1.5
 
 
 class HolderSample(NamedTuple):
-    """The inodes of the sockets that listen on each address at a moment."""
+    """The inodes of the sockets that listen on each address at one time."""
 
     at_ms: float
     sockets: tuple[frozenset[str], ...]
 
 
 class HolderSampler:
-    """Samples the listening sockets on addresses, from /proc/net/tcp (proc(5)), every few milliseconds."""
+    """Reads every few milliseconds which sockets listen on the addresses, from /proc/net/tcp (proc(5))."""
 
     def __init__(self, addresses: list[tuple[str, int]]) -> None:
         self._numbers = {_proc_address(host, port): number for number, (host, port) in enumerate(addresses)}
@@ -37,7 +37,7 @@
             await asyncio.sleep(SAMPLE_INTERVAL_MS / 1000)
 
     def present_holders(self) -> frozenset[str]:
-        """The sockets that listen on the first address at this moment."""
+        """Return the sockets that listen on the first address now."""
         self._sample()
         return self.samples[-1].sockets[0]
 
@@ -57,7 +57,7 @@
 
 
 class CountChange(NamedTuple):
-    """From a moment of the run on, an address has so many holders."""
+    """A change of the number of an address's holders, with its time in the run."""
 
     at_s: float
     holders: int
@@ -71,18 +71,18 @@
     changes: list[CountChange] = field(default_factory=list)
 
     def add(self, at_s: float, count: int, duration_s: float) -> None:
-        """It has so many holders from `at_s` on."""
+        """Add `duration_s` seconds with `count` holders, from `at_s` on."""
         self.seconds[COUNT_NAMES[min(3, count)]] += duration_s
         if not self.changes or self.changes[-1].holders != count:
             self.changes.append(CountChange(at_s, count))
 
     def rounded_seconds(self) -> dict[str, float]:
-        """Seconds by the number of holders, as a report has them."""
+        """Return the seconds by the number of holders, rounded for a report."""
         return {name: round(value, 3) for name, value in self.seconds.items()}
 
 
 def listening_timeline(samples: list[HolderSample], router: int, start_ms: float) -> HolderTimeline:
-    """Holders of a router's address by their listening sockets, since the start."""
+    """Return the holders of a router's address since the start, by their listening sockets."""
     timeline = HolderTimeline()
     for sample, following in pairwise(samples):
         if sample.at_ms >= start_ms:
@@ -92,7 +92,10 @@
 
 
 def advertised_timeline(events: list[dict[str, Any]], vrid: int, interval_ms: float, start_ms: float) -> HolderTimeline:
-    """Holders by datagrams alone: who advertised within the last interval and a half, and did not release."""
+    """Return the holders by datagrams alone.
+
+    A holder advertised within the last one and a half intervals and has not since sent priority 0 to release the
+    address."""
     adverts = [(e["t"], e["sender"], e["priority"]) for e in events if e["what"] == "advert" and e["vrid"] == vrid]
     timeline, last_advert_at = HolderTimeline(), dict[str, float]()
     if not adverts:
@@ -111,7 +114,7 @@
 
 
 def draw_timelines(file: Path, timelines: dict[str, HolderTimeline], faults: list[tuple[float, str]]) -> None:
-    """The number of holders over time, with the faults of the masters."""
+    """Plot the number of holders over time, with the faults of the masters."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/bench/vrrp_trial.py
+++ b/bench/vrrp_trial.py
@@ -1,4 +1,4 @@
-"""The trial of bench/vrrp_failover.py: dispatchers that share front addresses, clients, and faults of the master."""
+"""Trial of bench/vrrp_failover.py: dispatchers that share front addresses, clients, and faults of the master."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from kelptrail.settings.deployment import Deployment
 
 FAULT_S, REST_S = 1.6, 2.4
-SETTLE_S = 1.5  # on average, for a failover to be over
+SETTLE_S = 1.5  # average time until the cluster has recovered from a failover
 RECOVERY_TIMEOUT_MS, DRAIN_TIMEOUT_MS = 8000, 9000
 POLL_S = 0.02
 DEFERRED_SHARE, ZIPF = 0.25, 0.8
@@ -31,14 +31,14 @@
 
 
 class MasterFault(StrEnum):
-    """What happens to the present master."""
+    """A fault of the present master."""
 
     KILL = "kill"
     SHUTDOWN = "term"
     PAUSE = "pause"
-    CUT = "cut"  # both ways
+    CUT = "cut"  # no datagram in either direction
     CUT_SENDING = "cut-out"
-    CUT_RECEIVING = "cut-in"  # it stays master, as the others still hear it
+    CUT_RECEIVING = "cut-in"  # the master stays master, as the others still receive its advertisements
 
 
 MASTER_FAULTS = tuple(MasterFault)
@@ -52,7 +52,7 @@
 
 
 class FailoverTrial:
-    """One run of failovers, one fault after the other."""
+    """One run of failovers, with one fault after the other."""
 
     def __init__(self, deployment: Deployment, file: str, seed: int, out: Path, rate: float) -> None:
         assert deployment.vrrp is not None
@@ -76,11 +76,11 @@
 
     @property
     def samples(self) -> list[HolderSample]:
-        """Who held the addresses, over time."""
+        """Samples of the holders of the addresses."""
         return self._sampler.samples
 
     async def run(self, failovers: int) -> bool:
-        """Failovers under load; returns whether all processes drained cleanly."""
+        """Run the failovers under load; return whether all processes drained cleanly."""
         await self._start_cluster()
         sampling = asyncio.create_task(self._sampler.run())
         while not self._sampler.present_holders():
@@ -118,7 +118,7 @@
         return ClientEmulator(self._deployment, addresses, capture, self._seed, front=True)
 
     async def _fail_over(self, fault: MasterFault, number: int) -> None:
-        """One fault of the master, its repair, and the wait until the best router holds the address alone."""
+        """Inject a fault of the master, repair it, and wait until the best router alone holds the address."""
         child = await self._find_master()
         await self._set_datagram_faults(
             loss=float(self._rng.uniform(0, MAX_LOSS)),
@@ -135,7 +135,7 @@
         await self._await_recovery()
 
     async def _inject(self, fault: MasterFault, child: Process) -> asyncio.Task[int | None] | None:
-        """Inject a fault of the master; returns the task of a shutdown."""
+        """Inject a fault of the master; return the task of a shutdown, None for any other fault."""
         index = self._cluster.dispatchers.index(child)
         match fault:
             case MasterFault.KILL:
@@ -184,7 +184,7 @@
                 await self._set_datagram_faults(cut=[])
 
     async def _await_recovery(self) -> None:
-        """Wait until the router of the highest priority holds the first address alone."""
+        """Wait until the router of the highest priority alone holds the first address."""
         end = now_ms() + RECOVERY_TIMEOUT_MS
         best = max(self._routers[0].member, key=lambda member: member.priority).name
         while now_ms() < end:
@@ -193,7 +193,7 @@
             await asyncio.sleep(POLL_S)
 
     async def _find_master(self) -> Process:
-        """The dispatcher that reports itself as master of the first router."""
+        """Return the dispatcher that reports itself as master of the first virtual router."""
         while True:
             for child in self._cluster.dispatchers:
                 status = await http_json(child.said["asked_at"], "GET", "/vrrp")
