--- a/bench/lease_measurements/failover.py
+++ b/bench/lease_measurements/failover.py
@@ -104,7 +104,7 @@
 
 
 async def measure_failover(times: int, plot: Path | None, faults: tuple[str, ...]) -> None:
-    """Inject each fault `times` times; print the times without a holder, their bound and the history checker's counts."""
+    """Inject each fault `times` times; print the times without a holder, their bound and the history check."""
     with tempfile.TemporaryDirectory() as name:
         leases = LeaseCluster(Path(name))
         await leases.start(DISPATCHERS)
--- a/bench/vrrp_failover.py
+++ b/bench/vrrp_failover.py
@@ -30,7 +30,7 @@
 
 
 def master_down_interval_ms(deployment: Deployment) -> float:
-    """Return the Master_Down_Interval of RFC 9568 for the router of the second-highest priority, in ms."""
+    """Return the Active_Down_Interval of RFC 9568, after which the second router takes over, in ms."""
     assert deployment.vrrp is not None
     first = deployment.vrrp.router[0]
     priorities = sorted((member.priority for member in first.member), reverse=True)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""Hooks of the whole suite."""
+"""Pytest hooks of the whole test suite."""
 
-from known_red import (  # noqa: F401  pytest finds its hooks by their names
+from known_red import (  # noqa: F401  pytest finds these hooks by their names
     pytest_collection_modifyitems,
     pytest_configure,
     pytest_runtest_makereport,
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,8 @@
-"""A pytest plugin for tests that are known to fail: `KNOWN-RED.txt` at the root names them until their fault is mended.
+"""Pytest plugin for tests that are known to fail, listed in `KNOWN-RED.txt` in the root folder until they are fixed.
 
-Each line reads `test | cause | issue`, at most `MOST_ENTRIES` of them.  A named test runs as usual; its failure is
-printed in the summary and passed over, its pass is an error until the line is taken off the list.
+Each line reads `test | cause | issue`; there are at most `MAX_ENTRIES` lines.  A listed test runs as usual.  If it
+fails, the failure is printed in the summary and does not fail the run.  If it passes, the run fails until its line is
+removed from the list.
 """
 
 from __future__ import annotations
@@ -13,12 +14,12 @@
 import pytest
 
 FILE_NAME = "KNOWN-RED.txt"
-MOST_ENTRIES = 3
-PASSES = "passes, so its line has to leave KNOWN-RED.txt"
+MAX_ENTRIES = 3
+UNEXPECTED_PASS = "passes, so its line must be removed from KNOWN-RED.txt"
 
 
 class KnownRedError(ValueError):
-    """A list of known failures that cannot be used."""
+    """The list of known failures is invalid."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,8 +32,10 @@
 
 
 def read_entries(text: str) -> list[Entry]:
-    """The entries of a list.  Raises `KnownRedError` for a line without test, cause and issue, a test named twice,
-    and more entries than `MOST_ENTRIES`."""
+    """Return the entries of a list.
+
+    Raises `KnownRedError` for a line without test, cause and issue, a test listed twice, and more entries than
+    `MAX_ENTRIES`."""
     entries = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
@@ -41,15 +44,15 @@
         if len(parts) != 3 or not all(parts):
             raise KnownRedError(f"{FILE_NAME}:{number}: not `test | cause | issue`")
         entries.append(Entry(*parts))
-    if len(entries) > MOST_ENTRIES:
-        raise KnownRedError(f"{FILE_NAME}: {len(entries)} lines, {MOST_ENTRIES} at most")
+    if len(entries) > MAX_ENTRIES:
+        raise KnownRedError(f"{FILE_NAME}: {len(entries)} lines, {MAX_ENTRIES} at most")
     if len({entry.test for entry in entries}) < len(entries):
-        raise KnownRedError(f"{FILE_NAME}: one test twice")
+        raise KnownRedError(f"{FILE_NAME}: a test is listed twice")
     return entries
 
 
-def names(entry: Entry, test_id: str) -> bool:
-    """Whether an entry names a test: by its whole id, or by its function for all its parameters."""
+def matches(entry: Entry, test_id: str) -> bool:
+    """Return whether an entry lists a test, either by its complete id or by its function for all parameters."""
     return test_id == entry.test or test_id.partition("[")[0] == entry.test
 
 
@@ -69,15 +72,16 @@
     config.stash[_ENTRIES] = entries
 
 
-@pytest.hookimpl(tryfirst=True)  # before tests are left out by mark or name
+@pytest.hookimpl(tryfirst=True)  # runs before tests are deselected by mark or name
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     collected_files = {item.nodeid.partition("::")[0] for item in items}
-    whole_files = not any("::" in argument for argument in config.args)
+    collects_whole_files = not any("::" in argument for argument in config.args)
     for entry in config.stash[_ENTRIES]:
         collected = entry.test.partition("::")[0] in collected_files
-        if whole_files and collected and not any(names(entry, item.nodeid) for item in items):
+        if collects_whole_files and collected and not any(matches(entry, item.nodeid) for item in items):
             unmatched = f"{FILE_NAME}: {entry.test} names no test"
-            worker_output = getattr(config, "workeroutput", None)  # of pytest-xdist: its controller ends the run
+            # A worker of pytest-xdist reports the error to the controller, which ends the run.
+            worker_output = getattr(config, "workeroutput", None)
             if worker_output is None:
                 raise pytest.UsageError(unmatched)
             worker_output["known_red"] = unmatched
@@ -98,7 +102,7 @@
 @pytest.hookimpl(wrapper=True)
 def pytest_runtest_makereport(item: pytest.Item, call: pytest.CallInfo[None]):  # type: ignore[no-untyped-def]
     report = yield
-    entry = next((entry for entry in item.config.stash[_ENTRIES] if names(entry, item.nodeid)), None)
+    entry = next((entry for entry in item.config.stash[_ENTRIES] if matches(entry, item.nodeid)), None)
     if entry is None or report.skipped:
         return report
     if report.failed:
@@ -107,7 +111,7 @@
         report.user_properties.append(("known red", report.longreprtext))
     elif report.when == "call":
         report.outcome = "failed"
-        report.longrepr = f"{item.nodeid} {PASSES}"
+        report.longrepr = f"{item.nodeid} {UNEXPECTED_PASS}"
     return report
 
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -7,19 +7,19 @@
 
 ROOT = Path(__file__).parent.parent
 PAGES = [ROOT / "README.md", *ROOT.glob("docs/*.md"), *ROOT.glob("docs/*/*.md")]
-WRITTEN_ONCE = ROOT / "docs" / "incidents"  # reports keep the names of their day
-CODE = re.compile(r"`([^`]+)`")
+INCIDENT_REPORTS = ROOT / "docs" / "incidents"  # reports are not updated when a name changes
+CODE_SPAN = re.compile(r"`([^`]+)`")
 MODULE = re.compile(r"[\w/]+\.py")
 TEST = re.compile(r"test_\w+")
 
 
-def code_words() -> list[tuple[str, str]]:
-    """Each page, by its path, with each text that it marks as code."""
+def code_spans() -> list[tuple[str, str]]:
+    """Return each text that a page marks as code, with the path of the page."""
     return [
         (str(page.relative_to(ROOT)), word)
         for page in PAGES
-        if page.parent != WRITTEN_ONCE
-        for word in CODE.findall(page.read_text())
+        if page.parent != INCIDENT_REPORTS
+        for word in CODE_SPAN.findall(page.read_text())
     ]
 
 
@@ -29,7 +29,7 @@
         for folder in ("kelptrail", "tests", "bench")
         for file in (ROOT / folder).rglob("*.py")
     ]
-    named = [(page, word) for page, word in code_words() if MODULE.fullmatch(word)]
+    named = [(page, word) for page, word in code_spans() if MODULE.fullmatch(word)]
     assert len(named) > 100
     assert not [(page, word) for page, word in named if not any(f"/{file}".endswith(f"/{word}") for file in files)]
 
@@ -37,6 +37,6 @@
 def test_tests_named_in_the_pages_exist() -> None:
     text = "\n".join(file.read_text() for file in (ROOT / "tests").glob("*.py"))
     names = set(re.findall(r"def (test_\w+)", text)) | {file.stem for file in (ROOT / "tests").glob("*.py")}
-    named = [(page, word) for page, word in code_words() if TEST.fullmatch(word)]
+    named = [(page, word) for page, word in code_spans() if TEST.fullmatch(word)]
     assert len(named) > 10
     assert not [(page, word) for page, word in named if word not in names]
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent / "kelptrail"
-LAYERS = (  # from the lowest
+LAYERS = (  # from the lowest to the highest
     "dispatch",
     "clock",
     "settings",
@@ -38,7 +38,7 @@
 
 
 def package_imports() -> set[tuple[str, str, str]]:
-    """Imports between packages: from, to, and the file."""
+    """Return the imports between packages: the importing package, the imported package and the importing file."""
     imports = set()
     for file in ROOT.rglob("*.py"):
         path = file.relative_to(ROOT)
@@ -46,7 +46,7 @@
             names = (
                 [node.module or ""]
                 if isinstance(node, ast.ImportFrom) and not node.level
-                else [a.name for a in node.names]
+                else [alias.name for alias in node.names]
                 if isinstance(node, ast.Import)
                 else []
             )
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures: what is on it is passed over and printed, everything wrong about it fails the run."""
+"""The list of known failures: a listed failure is printed and does not fail the run; an error in the list does."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from pathlib import Path
 
 import pytest
-from known_red import PASSES, KnownRedError, read_entries
+from known_red import UNEXPECTED_PASS, KnownRedError, read_entries
 
 TESTS = "import pytest\ndef test_red(): assert 1 == 2\ndef test_green(): pass\n"
 
 
 def run_suite(folder: Path, known_red: str, *arguments: str) -> subprocess.CompletedProcess[str]:
-    """Runs a small suite with this list."""
+    """Run a small test suite with this list of known failures."""
     (folder / "test_it.py").write_text(TESTS)
     (folder / "pytest.ini").write_text("[pytest]\n")
     (folder / "KNOWN-RED.txt").write_text(known_red)
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("arguments", [(), ("-n", "2")])
-def test_a_listed_failure_is_printed_and_passed_over(tmp_path: Path, arguments: tuple[str, ...]) -> None:
+def test_a_listed_failure_is_printed_and_does_not_fail_the_run(tmp_path: Path, arguments: tuple[str, ...]) -> None:
     done = run_suite(tmp_path, "test_it.py::test_red | one is not two | issue 1\n", *arguments)
     assert done.returncode == 0, done.stdout + done.stderr
     assert "known red: test_it.py::test_red: one is not two (issue 1)" in done.stdout
@@ -36,7 +36,7 @@
     listed = "test_it.py::test_red | a cause | issue 1\ntest_it.py::test_green | a cause | issue 1\n"
     done = run_suite(tmp_path, listed)
     assert done.returncode == 1
-    assert f"test_it.py::test_green {PASSES}" in done.stdout
+    assert f"test_it.py::test_green {UNEXPECTED_PASS}" in done.stdout
 
 
 def test_a_failure_that_is_not_listed_fails_the_run(tmp_path: Path) -> None:
--- a/tests/test_platform_fuzz.py
+++ b/tests/test_platform_fuzz.py
@@ -1,4 +1,4 @@
-"""A short run of bench/platform_fuzz.py: processes of the program under signals, closes and answers at random."""
+"""A short run of bench/platform_fuzz.py, and a test of the fake workers that it uses."""
 
 from __future__ import annotations
 
@@ -18,19 +18,18 @@
 from fault_injection.run_state import RunState, WorkerBehavior  # noqa: E402
 
 
-def test_a_second_answer_to_a_connection_that_has_ended_is_dropped(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """It is scheduled some milliseconds after the first; the dispatcher may have closed or reset the connection."""
+def test_a_second_answer_on_a_closed_connection_is_dropped(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A fake worker sends the second answer some milliseconds after the first.  The dispatcher may have closed the
+    connection by then; writing to it must not raise an error in the event loop."""
     monkeypatch.setattr(workers, "CALL_BEHAVIORS", [WorkerBehavior.NOT_LOADED_TWICE])
     errors: list[dict[str, Any]] = []
 
     async def call_and_reset() -> None:
         asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
-        fake = workers.FakeWorkers(RunState(1, tmp_path))
-        await fake.open()
+        fake_workers = workers.FakeWorkers(RunState(1, tmp_path))
+        await fake_workers.open()
         for _ in range(5):
-            reader, writer = await asyncio.open_connection("127.0.0.1", fake.ports[0])
+            reader, writer = await asyncio.open_connection("127.0.0.1", fake_workers.ports[0])
             writer.write(b"CALL a cls=t,limit=5 1\r\nx\r\n")
             assert await reader.readline() == b"a MISS - 0\r\n"
             writer.transport.abort()
