--- a/bench/crash_points.py
+++ b/bench/crash_points.py
@@ -70,9 +70,9 @@
         return report | {"broken": True, "reached": False}
     child.words = trial.command(name)
     await trial.cluster.launch(child)
-    accepted = first.activation_id
-    if accepted:
-        reply = await trial.poll_until_final(address, accepted)
+    accepted_id = first.activation_id
+    if accepted_id:
+        reply = await trial.poll_until_final(address, accepted_id)
         report["after"] = reply.status
         report["answer"] = reply.answer if reply.status == 200 else None
     elif key:  # The client repeats the call after its connection broke.
@@ -81,11 +81,11 @@
         report["answer"] = ANSWER_OF_STATUS.get(reply.status)
     await asyncio.sleep(0.3)
     await trial.cluster.terminate(child)
-    effects = len(trial.captured_effects(lambda e: e["activation"] == accepted or has_key(e, key)))
+    effects = len(trial.captured_effects(lambda e: e["activation"] == accepted_id or has_key(e, key)))
     report["effects"] = effects
     report["broken"] = (
         ran_twice(effect, effects)
-        or (bool(accepted) and report["after"] != 200)
+        or (bool(accepted_id) and report["after"] != 200)
         or (report.get("answer") == "rejected" and effect is Effect.AT_MOST_ONCE and effects > 0)
     )
     return report
@@ -100,30 +100,30 @@
     assert child.process is not None
     await asyncio.wait_for(child.process.wait(), LOSS_TIMEOUT_S)
     shutil.rmtree(trial.folder / name)
-    accepted = first.activation_id
+    accepted_id = first.activation_id
     report: Report = {"step": step, "effect": effect, "keyed": keyed, "first": first.status, "lost": True}
     loop = asyncio.get_running_loop()
     start = loop.time()
-    found = accepted
+    found_id = accepted_id
     if keyed:
         # At any dispatcher the repeat joins the call, or is accepted as a new call if no dispatcher has it.
         repeat = await trial.request_until_known(trial.peer_address, "POST", target, {"ticket": name}, key)
         report["repeat"] = repeat.status
-        report["joined"] = accepted is not None and repeat.body["activationId"] == accepted
-        found = repeat.activation_id
-    if found:
-        record = await trial.request_until_known(trial.peer_address, "GET", f"activations/{found}")
+        report["joined"] = accepted_id is not None and repeat.body["activationId"] == accepted_id
+        found_id = repeat.activation_id
+    if found_id:
+        record = await trial.request_until_known(trial.peer_address, "GET", f"activations/{found_id}")
         report["after"] = record.status
         report["answer"] = record.answer if record.status == 200 else None
         report["s"] = round(loop.time() - start, 2)
     await asyncio.sleep(0.5)
-    ids = {found, accepted}
+    ids = {found_id, accepted_id}
     effects = len(trial.captured_effects(lambda e: e["activation"] in ids or has_key(e, key)))
     report["effects"] = effects
     report["broken"] = bool(
         ran_twice(effect, effects)
-        or (found and report["after"] != 200)
-        or (keyed and accepted and not report["joined"])
+        or (found_id and report["after"] != 200)
+        or (keyed and accepted_id and not report["joined"])
         or (report.get("answer") == "rejected" and effects and effect is Effect.AT_MOST_ONCE)
     )
     return report
@@ -145,9 +145,9 @@
     start = loop.time()
     report: Report = {"step": step, "effect": effect, "paused": True}
     repeat = await post(trial.peer_address)
-    report["repeat"], found = repeat.status, repeat.body.get("activationId")
-    if found:  # continued, or accepted as a new call if no dispatcher had it
-        record = await trial.request_until_known(trial.peer_address, "GET", f"activations/{found}")
+    report["repeat"], found_id = repeat.status, repeat.body.get("activationId")
+    if found_id:  # continued, or accepted as a new call if no dispatcher had it
+        record = await trial.request_until_known(trial.peer_address, "GET", f"activations/{found_id}")
         report["after"] = record.status
     if trial.remembered_ms:
         await asyncio.sleep(trial.remembered_ms / 1000)
@@ -157,13 +157,13 @@
     first = await first_request
     report["first"] = first.status
     await asyncio.sleep(0.8)  # time for what the resumed dispatcher may still do
-    answers = await answers_of_both(trial, child, {id_ for id_ in (found, first.activation_id) if id_})
+    answers = await answers_of_both(trial, child, {id_ for id_ in (found_id, first.activation_id) if id_})
     await trial.cluster.terminate(child)
     effects = len(trial.captured_effects(lambda e: has_key(e, key)))
     report |= {"effects": effects, "answers": [sorted(each) for each in answers.values()]}
     twice = ran_twice(effect, effects)
     report["window"] = twice and effect is Effect.DEDUPLICATED and bool(trial.remembered_ms)
-    report["broken"] = (twice and not report["window"]) or not found or not agree(answers)
+    report["broken"] = (twice and not report["window"]) or not found_id or not agree(answers)
     return report
 
 
--- a/bench/crash_trial.py
+++ b/bench/crash_trial.py
@@ -67,16 +67,16 @@
         self.folder = folder
         self.remembered_ms = remembered_ms
         self._has_peers = has_peers
-        self._file = str(EXAMPLES / ("copies.sexp" if has_peers else "nursery.sexp"))
+        self._deployment_file = str(EXAMPLES / ("copies.sexp" if has_peers else "nursery.sexp"))
         if remembered_ms:
-            text = Path(self._file).read_text()
+            text = Path(self._deployment_file).read_text()
             text = text.replace("(remembered-ms 12000)", f"(remembered-ms {remembered_ms})")
             (folder / "copies.sexp").write_text(text)
-            self._file = str(folder / "copies.sexp")
-        deployment = load(self._file)
+            self._deployment_file = str(folder / "copies.sexp")
+        deployment = load(self._deployment_file)
         namespace = next(iter(deployment.namespaces.values()))
         self._auth = "Basic " + base64.b64encode(f"{namespace.uuid}:{namespace.key}".encode()).decode()
-        self.cluster = Cluster(deployment, self._file, folder, quiet=True)
+        self.cluster = Cluster(deployment, self._deployment_file, folder, quiet=True)
 
     async def start(self) -> None:
         """Start workers and peers, and wait until the peers have replicas."""
@@ -108,7 +108,7 @@
         """Return the command line of a dispatcher without a fault."""
         endpoint_service = self.cluster.endpoint_service.said["address"]
         state = str(self.folder / name)
-        return ["serve", self._file, "--name", name, "--roster", endpoint_service, "--state", state]
+        return ["serve", self._deployment_file, "--name", name, "--roster", endpoint_service, "--state", state]
 
     def captured_effects(self, is_relevant: Callable[[dict[str, Any]], bool]) -> list[dict[str, Any]]:
         """Return the captured side effects for which `is_relevant` holds."""
--- a/bench/fault_injection/captured_attempts.py
+++ b/bench/fault_injection/captured_attempts.py
@@ -16,23 +16,23 @@
 class CapturedAttempt:
     """An attempt as a process sent it.
 
-    `limit_s` is the time limit that was passed to the worker.  `begun_at` and `at` are when its first byte and the end
-    of its command line were captured, in seconds of the monotonic clock; they differ where a send failed half way and
-    was continued later.  With `is_timed` they are also the times at which the process sent them."""
+    `limit_s` is the time limit that was passed to the worker.  `first_byte_at` and `at` are when its first byte and the
+    end of its command line were captured, in seconds of the monotonic clock; they differ where a send failed half way
+    and was continued later.  With `is_timed` they are also the times at which the process sent them."""
 
     at: float
     process: int
     worker: int
     limit_s: float
     is_timed: bool
-    begun_at: float
+    first_byte_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class CapturedOrder:
     """A load order as a process sent it.  An order with count 0 only queries the worker and is not captured."""
 
-    begun_at: float
+    first_byte_at: float
     process: int
     worker: int
     is_timed: bool
@@ -43,7 +43,7 @@
 
     def __init__(self) -> None:
         self._buffer = b""
-        self.begun_at: float | None = None  # arrival of the first byte of an incomplete command
+        self.first_byte_at: float | None = None  # arrival of the first byte of an incomplete command
         self._body_bytes_left = 0
 
     @property
@@ -91,19 +91,19 @@
 
         def on_data(connection: int, data: bytes, is_timed: bool) -> None:
             now, reader = time.monotonic(), readers[connection]
-            begun_at = now if reader.begun_at is None else reader.begun_at
+            first_byte_at = now if reader.first_byte_at is None else reader.first_byte_at
             for index, words in enumerate(reader.feed(data)):
-                begun_at = begun_at if index == 0 else now
+                first_byte_at = first_byte_at if index == 0 else now
                 if words[0] == "CALL":
                     fields = dict(part.split("=", 1) for part in words[2].split(","))
                     limit_s = int(fields["limit"]) / 1000
-                    attempt = CapturedAttempt(now, process, worker, limit_s, is_timed, begun_at)
+                    attempt = CapturedAttempt(now, process, worker, limit_s, is_timed, first_byte_at)
                     self._by_request[words[1]].append(attempt)
                 elif words[0] == "LOAD" and not words[2].endswith(QUERY_SUFFIX):
-                    self.orders.append(CapturedOrder(begun_at, process, worker, is_timed))
+                    self.orders.append(CapturedOrder(first_byte_at, process, worker, is_timed))
             if not reader.has_partial_command:
-                reader.begun_at = None
-            elif reader.begun_at is None:
-                reader.begun_at = now
+                reader.first_byte_at = None
+            elif reader.first_byte_at is None:
+                reader.first_byte_at = now
 
         return on_data
--- a/bench/fault_injection/drain_check.py
+++ b/bench/fault_injection/drain_check.py
@@ -11,7 +11,7 @@
 from fault_injection.run_state import TimeInterval
 from fault_injection.settings import BUSY_MACHINE_SLACK_S, DRAIN_GRACE_S
 
-# Latest time, from the begin of its list's outage, at which a process counts as notified of a drain.
+# Latest time, from the start of its list's outage, at which a process counts as notified of a drain.
 MAX_NOTIFICATION_DELAY_S = 4.0
 # Delay of an event where the list sends a part of it first, or the process changes to the list's other address.
 EVENT_DELAY_S = 1.0
@@ -30,8 +30,8 @@
         for each in sent:
             if not each.is_timed or each.worker not in self._drained_at:
                 continue
-            if each.begun_at > self._latest_allowed(each.process, each.worker):
-                late.setdefault((each.worker, each.process), []).append(each.begun_at)
+            if each.first_byte_at > self._latest_allowed(each.process, each.worker):
+                late.setdefault((each.worker, each.process), []).append(each.first_byte_at)
         return [
             f"drain: {len(times)} attempts and load orders of process {process} at draining worker {worker}, the last "
             f"{max(times) - self._drained_at[worker]:.2f} s after the drain, allowed until "
--- a/bench/fault_injection/settings.py
+++ b/bench/fault_injection/settings.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import Any
 
-BUSY_MACHINE_SLACK_S = 0.25  # for load of other programs; the checks look for faults, not for milliseconds
+BUSY_MACHINE_SLACK_S = 0.25  # tolerance for a busy machine; the checks look for faults, not for milliseconds
 CANCEL_SLACK_S = 0.1  # time after its client left within which an attempt may start
 DRAIN_GRACE_S = 0.5
 DEDUPLICATION_WINDOW_S = 0.7
--- a/bench/fault_injection/soak_faults.py
+++ b/bench/fault_injection/soak_faults.py
@@ -22,7 +22,7 @@
 WORKER_DRAINED_IN_OUTAGE = 1
 OUTAGE_FAULTS = (ListFault.DOWN, ListFault.SILENT)
 OUTAGE_S = 7.0  # longer than the time after which a process counts as notified although its list is unavailable
-MAX_DRAIN_DELAY_S = 4.0  # from the begin of the outage
+MAX_DRAIN_DELAY_S = 4.0  # from the start of the outage
 FAILURE_SHARES = {
     SystemCall.SEND: 0.03,
     SystemCall.RECV: 0.03,
@@ -60,7 +60,7 @@
         self.list_outages: list[list[TimeInterval]] = [[] for _ in lists]  # outages by process
         self.new_worker_starts: dict[int, float] = {}  # start times of workers added during the run
         # The names of these methods are the kinds in `counts`, which the soak prints.
-        self._kinds: list[Callable[[], Awaitable[None]]] = [
+        self._injectors: list[Callable[[], Awaitable[None]]] = [
             self._fail_system_calls,
             self._fail_system_calls,
             self._step_clocks,
@@ -79,14 +79,14 @@
         """Inject random faults, up to `at_once` of them at the same time."""
         end = time.monotonic() + seconds
 
-        async def inject_in_turn() -> None:
+        async def inject_one_by_one() -> None:
             while time.monotonic() < end:
-                fault = self._rng.choice(self._kinds)
-                self.counts[fault.__name__.lstrip("_")] += 1
-                await fault()
+                inject_fault = self._rng.choice(self._injectors)
+                self.counts[inject_fault.__name__.lstrip("_")] += 1
+                await inject_fault()
                 await asyncio.sleep(self._rng.random() * 0.3)
 
-        await asyncio.gather(*(inject_in_turn() for _ in range(at_once)))
+        await asyncio.gather(*(inject_one_by_one() for _ in range(at_once)))
 
     def _choose_processes(self, share: float = 0.4) -> list[int]:
         count = max(1, round(share * len(self._processes)))
@@ -213,7 +213,8 @@
         change = EndpointChange(NEW_ENDPOINT_ID, worker, EndpointState.LIVE)
         self._publish(change, started_ms=int(time.time() * 1000))
         sample = self._rng.sample(range(WORKER_DRAINED_IN_OUTAGE + 1, LISTED_WORKERS), 3)
-        hung = set(sample) - self._workers.hung  # hung workers, so that the new one is needed
+        # Other workers hang for a while, so that the new worker is needed.
+        hung = set(sample) - self._workers.hung
         self._workers.hung |= hung
         await asyncio.sleep(1.5)
         self._workers.hung -= hung
--- a/bench/fault_injection/soak_processes.py
+++ b/bench/fault_injection/soak_processes.py
@@ -83,12 +83,12 @@
         """End a process; record a problem if a graceful shutdown takes too long."""
         signalled_at = time.monotonic()
         process = self.processes[n]
-        killer = None
+        kill_task = None
         if stop_signal is StopSignal.TERMINATE and process is not None:
-            killer = asyncio.create_task(self._kill_at_shutdown_limit(process, signalled_at))
+            kill_task = asyncio.create_task(self._kill_at_shutdown_limit(process, signalled_at))
         await super().stop(n, stop_signal)
-        if killer is not None:
-            killer.cancel()
+        if kill_task is not None:
+            kill_task.cancel()
         if stop_signal is StopSignal.KILL:
             return
         exited_at = time.monotonic()
--- a/bench/lease_measurements/client_load.py
+++ b/bench/lease_measurements/client_load.py
@@ -38,15 +38,15 @@
     queue.run(SETTLE_MS)
     if outage:
         _cut_all_links(leases, queue, names)
-    healed_at, before = queue.now, _messages(leases)
+    healed_at, before = queue.now, _message_counts(leases)
     peak_per_s, cpu_s = 0.0, time.process_time()
     while queue.now < healed_at + seconds * 1000:
-        at = _messages(leases)
+        counts = _message_counts(leases)
         queue.run(queue.now + STEP_MS)
-        messages = max(leases.nodes[name].messages_received - at[name] for name in acceptors)
+        messages = max(leases.nodes[name].messages_received - counts[name] for name in acceptors)
         peak_per_s = max(peak_per_s, messages * 1000 / STEP_MS)
     cpu_s = time.process_time() - cpu_s
-    after = _messages(leases)
+    after = _message_counts(leases)
     per_s = {name: (after[name] - before[name]) / seconds for name in names}
     row = {
         "askers": count,
@@ -69,7 +69,7 @@
     leases.links.heal(links)
 
 
-def _messages(leases: SimulatedLeases) -> dict[str, int]:
+def _message_counts(leases: SimulatedLeases) -> dict[str, int]:
     return {name: node.messages_received for name, node in leases.nodes.items()}
 
 
--- a/bench/lease_measurements/failover.py
+++ b/bench/lease_measurements/failover.py
@@ -110,15 +110,15 @@
         await leases.start(DISPATCHERS)
         dispatchers = [each.name for each in leases.cluster.dispatchers]
         leases.capture.write("world", **describe_deployment(leases.deployment, dispatchers, WORKERS))
-        faulted_at: dict[str, list[float]] = {}
+        fault_times_ms: dict[str, list[float]] = {}
         for fault in faults or tuple(HolderFault):
             for _ in range(times):
                 child = await leases.find_holder()
-                faulted_at.setdefault(str(fault), []).append(time.monotonic() * 1000)
+                fault_times_ms.setdefault(str(fault), []).append(time.monotonic() * 1000)
                 await leases.inject(HolderFault(fault), child)
         await leases.cluster.stop()
         events = read_captures(Path(name) / "captures")
-    gaps_ms = {fault: holder_gaps_ms(events, moments) for fault, moments in faulted_at.items()}
+    gaps_ms = {fault: holder_gaps_ms(events, times_ms) for fault, times_ms in fault_times_ms.items()}
     for fault, gaps in gaps_ms.items():
         print(json.dumps(gap_row(fault, gaps)), flush=True)
     assert leases.deployment.leases is not None
@@ -131,13 +131,13 @@
     print(json.dumps(row))
 
 
-def holder_gaps_ms(events: list[dict[str, Any]], moments: list[float]) -> list[float]:
+def holder_gaps_ms(events: list[dict[str, Any]], fault_times_ms: list[float]) -> list[float]:
     """Return the time without a holder after each fault, in ms.
 
     It lasts from the last use of the lease under the old token to the first under a newer one."""
     uses = sorted((e for e in events if e["what"] in ("act", "done") and e["taken"]), key=lambda e: e["looked"])
     gaps = []
-    for at in moments:
+    for at in fault_times_ms:
         before = [e for e in uses if e["looked"] <= at][-1]
         old = [e for e in uses if e["token"] == before["token"]][-1]
         new = next(e for e in uses if e["looked"] > old["looked"] and e["token"] > old["token"])
--- a/bench/lease_measurements/request_cost.py
+++ b/bench/lease_measurements/request_cost.py
@@ -45,8 +45,8 @@
                 cost = _measure(process, seconds)
                 if number:
                     costs[case].append(cost)
-        for case, found in costs.items():
-            print(json.dumps({"cost": case, "runs": runs} | _summary(found)), flush=True)
+        for case, case_costs in costs.items():
+            print(json.dumps({"cost": case, "runs": runs} | _summary(case_costs)), flush=True)
 
 
 def _start_processes(folder: Path, before: Path) -> dict[str, PinnedProcess]:
--- a/bench/load.py
+++ b/bench/load.py
@@ -63,9 +63,9 @@
     calls: int = 0
     latencies: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS))
 
-    def add(self, began: float) -> None:
-        """Count a call that began, or was due, at `began`."""
-        self.latencies.record_value(max(1, int((time.monotonic() - began) * 1e6)))
+    def add(self, started_at: float) -> None:
+        """Count a call that started, or was due, at `started_at`."""
+        self.latencies.record_value(max(1, int((time.monotonic() - started_at) * 1e6)))
         self.calls += 1
 
 
@@ -73,16 +73,18 @@
     """Let each client call again as soon as it has its answer."""
 
     async def call_repeatedly(client: Client) -> None:
-        while (began := time.monotonic()) < end:
+        while (started_at := time.monotonic()) < end:
             await client.call()
-            measurement.add(began)
+            measurement.add(started_at)
 
     await asyncio.gather(*(call_repeatedly(client) for client in clients))
 
 
-async def run_open_loop(clients: list[Client], began: float, end: float, rate: float, measurement: Measurement) -> None:
+async def run_open_loop(
+    clients: list[Client], started_at: float, end: float, rate: float, measurement: Measurement
+) -> None:
     """Make calls at a steady rate; skip a call that is due while no client is free."""
-    free, tasks, due = list(clients), set[asyncio.Task[None]](), began
+    free, tasks, due = list(clients), set[asyncio.Task[None]](), started_at
 
     async def call_once(client: Client, due: float) -> None:
         await client.call()
@@ -107,12 +109,12 @@
     clients = [Client(await connect(address), data) for _ in range(connections)]
     measurement = Measurement()
     end = time.monotonic() + seconds
-    began = time.monotonic()
+    started_at = time.monotonic()
     if rate <= 0:
         await run_closed_loop(clients, end, measurement)
     else:
-        await run_open_loop(clients, began, end, rate, measurement)
-    elapsed = time.monotonic() - began
+        await run_open_loop(clients, started_at, end, rate, measurement)
+    elapsed = time.monotonic() - started_at
     statuses: dict[int, int] = {}
     for client in clients:
         for status, count in client.statuses.items():
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -77,24 +77,24 @@
 
     async def execute(self) -> None:
         """Run everything, then check what was observed; problems are in `state.problems`."""
-        delay_watch = asyncio.create_task(self.loop_delays.watch())
+        delay_task = asyncio.create_task(self.loop_delays.watch())
         await self.start()
         clients = [asyncio.create_task(self._clients.run_one()) for _ in range(QUIET_CLIENTS)]
         await asyncio.sleep(self._half_s * FAULT_FREE_SHARE)
-        outage = asyncio.create_task(self.faults.drain_in_outage())
+        outage_task = asyncio.create_task(self.faults.drain_in_outage())
         await self.faults.inject(self._half_s * (1 - FAULT_FREE_SHARE), QUIET_FAULTS)
         self._clients.max_pause_s = BUSY_CLIENT_PAUSE_S
         clients += [asyncio.create_task(self._clients.run_one()) for _ in range(FURTHER_BUSY_CLIENTS)]
         if self.state.seed % CROWD_EVERY == 0:
             clients += [asyncio.create_task(self._clients.run_one()) for _ in range(CROWD_CLIENTS)]
-        await asyncio.gather(self.faults.replace_worker(), self.faults.inject(self._half_s, BUSY_FAULTS), outage)
+        await asyncio.gather(self.faults.replace_worker(), self.faults.inject(self._half_s, BUSY_FAULTS), outage_task)
         self.state.running = False
         await asyncio.gather(*clients)
         for control in self.processes.controls:
             control.stop_failures()
         await self.processes.stop_all()
         await asyncio.sleep(0.2)  # time for the connections to the endpoint lists to end
-        delay_watch.cancel()
+        delay_task.cancel()
         self.checks.check_all()
 
 
--- a/bench/vrrp_trial.py
+++ b/bench/vrrp_trial.py
@@ -36,7 +36,7 @@
     KILL = "kill"
     SHUTDOWN = "term"
     PAUSE = "pause"
-    CUT = "cut"  # no datagram in either direction
+    CUT = "cut"  # datagrams are dropped in both directions
     CUT_SENDING = "cut-out"
     CUT_RECEIVING = "cut-in"  # the master stays master, as the others still receive its advertisements
 
@@ -82,7 +82,7 @@
     async def run(self, failovers: int) -> bool:
         """Run the failovers under load; return whether all processes drained cleanly."""
         await self._start_cluster()
-        sampling = asyncio.create_task(self._sampler.run())
+        sampling_task = asyncio.create_task(self._sampler.run())
         while not self._sampler.present_holders():
             await asyncio.sleep(POLL_S)
         await asyncio.sleep(1.0)
@@ -94,15 +94,15 @@
         ]
         self.start_ms = now_ms()
         self._capture.write("begin", start=self.start_ms, seconds=seconds)
-        calling = asyncio.create_task(clients.run(arrivals, self.start_ms))
+        client_task = asyncio.create_task(clients.run(arrivals, self.start_ms))
         for number in range(failovers):
             await asyncio.sleep(REST_S)
             await self._fail_over(MASTER_FAULTS[number % len(MASTER_FAULTS)], number)
-        calling.cancel()
+        client_task.cancel()
         end = now_ms() + DRAIN_TIMEOUT_MS
         while (clients.open_requests or clients.polling) and now_ms() < end:
             await asyncio.sleep(0.05)
-        sampling.cancel()
+        sampling_task.cancel()
         clients.close()
         return await self._cluster.stop()
 
