--- a/bench/fault_injection/clients.py
+++ b/bench/fault_injection/clients.py
@@ -125,7 +125,7 @@
             self._writer.close()
 
     async def _send_batches(self) -> bool:
-        """Send batches of requests with pauses; returns whether the connection was still open."""
+        """Send batches of requests with pauses; return whether the connection was still open."""
         ignores_go_away = self._behavior is ClientBehavior.IGNORES_GO_AWAY
         for _ in range(MAX_BATCHES_UNTIL_CLOSED if ignores_go_away else self._rng.randrange(1, 12)):
             if not self._run.running or (self._go_away_received and not ignores_go_away) or self._read_task.done():
@@ -146,7 +146,7 @@
         return self._rng.choice((1, 1, 3))
 
     async def _send_request(self, stream: int) -> bool:
-        """Send one request and perhaps cancel it; returns whether the connection was still open."""
+        """Send one request and perhaps cancel it; return whether the connection was still open."""
         request, data = self._encode_request(stream)
         request.after_idle = self._is_idle()
         self._sent[stream] = request
--- a/bench/fault_injection/endpoint_list.py
+++ b/bench/fault_injection/endpoint_list.py
@@ -98,7 +98,7 @@
         self.entries.append({"pos": 1, "hosts": {"rev": 1, "all": True, "targets": targets}})
 
     def publish(self, *changes: EndpointChange, started_ms: int = 0) -> None:
-        """Add an event; `started_ms` is when the workers of its endpoints started, 0 where unknown."""
+        """Add an event; `started_ms` is when the workers of its endpoints started, 0 if unknown."""
         position = 2 + len(self._events)
         records = b"".join(self._record(change, started_ms) for change in changes)
         header = EVENT_HEADER.pack(EVENT_HEADER.size - 4 + len(records), position, CHANGE_EVENT)
