--- a/tests/test_platform_fuzz.py
+++ b/tests/test_platform_fuzz.py
@@ -25,10 +25,10 @@
 
     async def call_and_reset() -> None:
         asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
-        fake = workers.FakeWorkers(RunState(1, tmp_path))
-        await fake.open()
+        fake_workers = workers.FakeWorkers(RunState(1, tmp_path))
+        await fake_workers.open()
         for _ in range(5):
-            reader, writer = await asyncio.open_connection("127.0.0.1", fake.ports[0])
+            reader, writer = await asyncio.open_connection("127.0.0.1", fake_workers.ports[0])
             writer.write(b"CALL a cls=t,limit=5 1\r\nx\r\n")
             assert await reader.readline() == b"a MISS - 0\r\n"
             writer.transport.abort()
