--- a/tests/test_wire_fixtures.py
+++ b/tests/test_wire_fixtures.py
@@ -1,7 +1,7 @@
-"""What others read and write, compared with fixtures that were made before the renaming (tests/fixtures/wire).
+"""Compatibility of messages and settings with earlier revisions, by the fixtures in `fixtures/wire`.
 
-Messages are compared by position and by bytes, settings by their values in order, so a class, a field or a module may
-get another name, and nothing on the wire may.
+Messages are compared by bytes and by the position of their values, and settings by their values in order.  So a class,
+field or module can be renamed in the code, and a change of what is sent, received or read from settings fails a test.
 """
 
 from __future__ import annotations
@@ -26,23 +26,23 @@
 import pytest
 import zstandard
 
-import kelptrail.lease.messages as lease_terms
+import kelptrail.lease.messages as lease_messages
 import kelptrail.planner.channel as planner_channel
-import kelptrail.replication.messages as copies_terms
-import kelptrail.service.usage as usage_terms
+import kelptrail.replication.messages as replication
+import kelptrail.service.usage as usage_module
 from kelptrail.codec import events, feed, frames, http, infer, lines
 from kelptrail.codec.tensors import JsonTensor
 from kelptrail.emulator.capture import Capture
 from kelptrail.emulator.endpoint_service import EndpointService
-from kelptrail.engine import settings as host_settings
-from kelptrail.fault_scenario import scenario as script
+from kelptrail.engine import settings as engine_settings
+from kelptrail.fault_scenario import scenario as fault_scenario
 from kelptrail.front.invoke import views
 from kelptrail.gateway.overload import OverloadController, OverloadSettings
 from kelptrail.gateway.records import Record
 from kelptrail.membership import members
 from kelptrail.membership.client import EndpointClient
 from kelptrail.net.http_client import HttpClient
-from kelptrail.peers import messages as wire
+from kelptrail.peers import messages as peer_messages
 from kelptrail.planner import plan
 from kelptrail.platform import config as platform_config
 from kelptrail.platform.parsed_request import ParsedRequest, RequestRules
@@ -52,22 +52,22 @@
 from kelptrail.simulation import experiment
 from kelptrail.simulation.settings import SimulationSettings
 from kelptrail.simulator_adapter.__main__ import SimulatorAdapter
-from kelptrail.vrrp import authentication as vrrp_seal
+from kelptrail.vrrp import authentication as vrrp_authentication
 from kelptrail.vrrp import packet as vrrp_packet
 
 FIXTURES = Path(__file__).parent / "fixtures" / "wire"
 ROOT = Path(__file__).parent.parent
 
 
-def stored(name: str) -> Any:
-    """A fixture file."""
+def load_fixture(name: str) -> Any:
+    """Return the content of a fixture file."""
     return json.loads((FIXTURES / f"{name}.json").read_text(encoding="utf-8"))
 
 
-def plain(value: Any) -> Any:
-    """A value as JSON has it, without the names of classes and fields."""
+def to_json_types(value: Any) -> Any:
+    """Convert a value to JSON types, without the names of classes and fields."""
     if isinstance(value, enum.Enum):
-        return plain(value.value)
+        return to_json_types(value.value)
     if value is None or isinstance(value, bool | int | str):
         return value
     if isinstance(value, float):
@@ -77,101 +77,111 @@
     if isinstance(value, PurePath):
         return value.as_posix()
     if isinstance(value, msgspec.Struct):
-        return [plain(part) for part in msgspec.structs.astuple(value)]
+        return [to_json_types(item) for item in msgspec.structs.astuple(value)]
     if dataclasses.is_dataclass(value):
         return [
-            plain(getattr(value, f.name)) for f in dataclasses.fields(value) if not callable(getattr(value, f.name))
+            to_json_types(getattr(value, field.name))
+            for field in dataclasses.fields(value)
+            if not callable(getattr(value, field.name))
         ]
     if isinstance(value, Mapping):
-        return {str(plain(key)): plain(part) for key, part in value.items()}
+        return {str(to_json_types(key)): to_json_types(item) for key, item in value.items()}
     if isinstance(value, set | frozenset):
-        return sorted((plain(part) for part in value), key=repr)
+        return sorted((to_json_types(item) for item in value), key=repr)
     if isinstance(value, list | tuple | deque):
-        return [plain(part) for part in value]
+        return [to_json_types(item) for item in value]
     if type(value).__module__ == "ipaddress":
         return str(value)
-    raise TypeError(f"{type(value).__name__} has no plain form here")
+    raise TypeError(f"{type(value).__name__} cannot be converted to JSON types")
 
 
 def channel_kinds() -> dict[str, type[msgspec.Struct]]:
-    """All messages of the channel between dispatchers and planners, by the kind that stands in their bytes."""
-    modules = (wire, lease_terms, copies_terms, planner_channel, usage_terms)
-    found: dict[str, type[msgspec.Struct]] = {}
+    """Return all message types of the channel between dispatchers and planners, by the tag in their bytes."""
+    modules = (peer_messages, lease_messages, replication, planner_channel, usage_module)
+    kinds: dict[str, type[msgspec.Struct]] = {}
     for module in modules:
-        for item in vars(module).values():
-            if isinstance(item, type) and issubclass(item, msgspec.Struct) and item.__struct_config__.tag is not None:
-                found[str(item.__struct_config__.tag)] = item
-    return found
+        for value in vars(module).values():
+            if (
+                isinstance(value, type)
+                and issubclass(value, msgspec.Struct)
+                and value.__struct_config__.tag is not None
+            ):
+                kinds[str(value.__struct_config__.tag)] = value
+    return kinds
 
 
-CHANNEL: dict[str, Any] = stored("channel")
+CHANNEL: dict[str, Any] = load_fixture("channel")
 
 
 def test_channel_has_a_fixture_for_every_kind() -> None:
-    """No kind of message is gone, none has another tag, and none is without a fixture."""
+    """No message type was removed, none has another tag, and each has a fixture."""
     assert sorted(channel_kinds()) == sorted({name.partition("/")[0] for name in CHANNEL["messages"]})
 
 
 @pytest.mark.parametrize("name", CHANNEL["messages"])
 def test_channel_message_keeps_its_bytes(name: str) -> None:
-    """A framed message reads as the values it was made from, in their order, and is written as the same bytes."""
-    told = CHANNEL["messages"][name]
+    """A framed message is decoded to its recorded values, in order, and encoded to the same bytes."""
+    fixture = CHANNEL["messages"][name]
     kinds = channel_kinds()
-    others = [kind for tag, kind in kinds.items() if tag not in ("hello", "beat")]
-    data = bytes.fromhex(told["frame"])
-    reader = wire.FrameReader(wire.decoder(*others))
-    before = [] if name.startswith("hello") else [wire.encode_frame(kinds["hello"](2, "a", "b"))]
-    *_, message = reader.feed(b"".join([*before, data]))
+    extra_kinds = [kind for tag, kind in kinds.items() if tag not in ("hello", "beat")]
+    data = bytes.fromhex(fixture["frame"])
+    reader = peer_messages.FrameReader(peer_messages.decoder(*extra_kinds))
+    preceding = [] if name.startswith("hello") else [peer_messages.encode_frame(kinds["hello"](2, "a", "b"))]
+    *_, message = reader.feed(b"".join([*preceding, data]))
     assert type(message) is kinds[name.partition("/")[0]]
-    assert plain(message) == told["values"]
-    assert wire.encode_frame(message) == data
+    assert to_json_types(message) == fixture["values"]
+    assert peer_messages.encode_frame(message) == data
 
 
 def test_channel_reads_short_messages_of_version_1() -> None:
-    """Fields that version 1 did not send take their defaults; the hello of version 1 is still taken."""
-    for told in CHANNEL["short"]:
-        reader = wire.FrameReader(wire.decoder())
-        assert [plain(message) for message in reader.feed(bytes.fromhex(told["bytes"]))] == told["values"]
-    assert CHANNEL["versions"] == [wire.VERSION, wire.OLDEST_VERSION, wire.MAX_FRAME_BYTES]
+    """Fields that version 1 did not send get their defaults, and its hello message is still accepted."""
+    for fixture in CHANNEL["short"]:
+        reader = peer_messages.FrameReader(peer_messages.decoder())
+        assert [to_json_types(message) for message in reader.feed(bytes.fromhex(fixture["bytes"]))] == fixture["values"]
+    assert CHANNEL["versions"] == [peer_messages.VERSION, peer_messages.OLDEST_VERSION, peer_messages.MAX_FRAME_BYTES]
 
 
 @pytest.mark.parametrize("name", CHANNEL["plans"])
 def test_plan_keeps_its_bytes(name: str) -> None:
-    """A packed plan, whole or as changes, is read as its values; what is packed again says the same bytes under the
-    compression, whose own bytes belong to its library."""
-    told = CHANNEL["plans"][name]
-    packet = plan.decode_plan(bytes.fromhex(told["packed"]))
-    assert plain(packet) == told["values"]
-    assert msgspec.msgpack.encode(packet).hex() == told["inner"]
+    """A compressed plan, complete or as a difference, is decoded to its recorded values and encoded to the same bytes.
+
+    Encoded plans are compared after decompression, because the output of the compressor may differ between releases.
+    """
+    fixture = CHANNEL["plans"][name]
+    packet = plan.decode_plan(bytes.fromhex(fixture["packed"]))
+    assert to_json_types(packet) == fixture["values"]
+    assert msgspec.msgpack.encode(packet).hex() == fixture["inner"]
     if packet.base_number == 0:
-        again = plan.encode_plan(plan.Plan(packet.header, packet.instances), packet.age_ms)
-        assert zstandard.ZstdDecompressor().decompress(again).hex() == told["inner"]
-        assert plan.digest_of(packet.header, packet.instances).hex() == told["digest"]
+        encoded = plan.encode_plan(plan.Plan(packet.header, packet.instances), packet.age_ms)
+        assert zstandard.ZstdDecompressor().decompress(encoded).hex() == fixture["inner"]
+        assert plan.digest_of(packet.header, packet.instances).hex() == fixture["digest"]
 
 
-def test_notes_and_digests_of_books_keep_their_bytes() -> None:
-    """The note with a book's lease, the ranges of ids and the digests that two dispatchers compare."""
-    told = CHANNEL["books"]
-    data = bytes.fromhex(told["note"])
-    members = copies_terms.decode_in_sync(data)
-    assert plain(members) == told["members"]
-    assert copies_terms.encode_in_sync(members) == data
-    assert {id_: copies_terms.bucket_of(id_) for id_ in told["buckets"]} == told["buckets"]
-    assert [copies_terms.entry_digest("a", 1, 2), copies_terms.entry_digest("b", 3, 4)] == told["digests"]
-    assert copies_terms.pack_digests(told["digests"]).hex() == told["packed"]
-    assert copies_terms.unpack_digests(bytes.fromhex(told["packed"])) == told["digests"]
-    assert told["constants"] == [copies_terms.BUCKETS, copies_terms.DIGEST_BYTES, copies_terms.LEASE_PREFIX]
+def test_in_sync_sets_and_digests_of_journals_keep_their_bytes() -> None:
+    """The note with a journal's lease, the buckets of ids, and the digests that two dispatchers compare."""
+    fixture = CHANNEL["books"]
+    data = bytes.fromhex(fixture["note"])
+    in_sync = replication.decode_in_sync(data)
+    assert to_json_types(in_sync) == fixture["members"]
+    assert replication.encode_in_sync(in_sync) == data
+    assert {id_: replication.bucket_of(id_) for id_ in fixture["buckets"]} == fixture["buckets"]
+    assert [replication.entry_digest("a", 1, 2), replication.entry_digest("b", 3, 4)] == fixture["digests"]
+    assert replication.pack_digests(fixture["digests"]).hex() == fixture["packed"]
+    assert replication.unpack_digests(bytes.fromhex(fixture["packed"])) == fixture["digests"]
+    assert fixture["constants"] == [replication.BUCKETS, replication.DIGEST_BYTES, replication.LEASE_PREFIX]
 
 
-# The simulator's protocol.
+# Protocol of the simulator.
 
 
 @pytest.mark.parametrize("name", ["two-dispatchers", "no-cancel-no-load-control"])
 def test_simulator_gets_the_recorded_replies(name: str) -> None:
-    """A recorded conversation at the simulator's door, line for line: requests of three classes, answers of all nine
-    endings, refusals, revocations, changes of the list, timers, an instance that ends and one that begins.  The first
-    is of two dispatchers with all that is allowed, the second of one that may neither cancel, nor try twice, nor order
-    copies."""
+    """The adapter sends the recorded reply to each line of a recorded session.
+
+    The sessions have requests of three classes, answers with all nine endings, refusals, client disconnects, changes
+    of the endpoint list, timers, and the exit and restart of a dispatcher.  The first has two dispatchers to which
+    everything is allowed; the second has one that may not cancel, send parallel attempts or order loads.
+    """
     sent = (FIXTURES / f"drill-{name}.in.jsonl").read_text(encoding="utf-8").splitlines()
     expected = (FIXTURES / f"drill-{name}.out.jsonl").read_text(encoding="utf-8").splitlines()
     adapter = SimulatorAdapter()
@@ -181,81 +191,87 @@
 
 # Settings.
 
-SETTINGS: dict[str, Any] = stored("settings")
-READERS = {"examples": deployment.load, "bad-days": script.load_scenario, "experiments": experiment.load}
+SETTINGS: dict[str, Any] = load_fixture("settings")
+READERS = {"examples": deployment.load, "bad-days": fault_scenario.load_scenario, "experiments": experiment.load}
 
 
 def digest(value: Any) -> str:
-    """Of a plain value; 1, 1.0 and true differ."""
+    """Return a digest of a JSON value; 1, 1.0 and true have different digests."""
     return hashlib.sha256(json.dumps(value, sort_keys=True).encode()).hexdigest()[:20]
 
 
-def text(value: Any) -> str:
-    """A plain value to be compared; 1, 1.0 and true differ."""
+def json_text(value: Any) -> str:
+    """Return a JSON value as text for comparison, so that 1, 1.0 and true differ."""
     return json.dumps(value, sort_keys=True, indent=1)
 
 
 def test_settings_have_a_fixture_for_every_example() -> None:
-    """No file of the examples is gone; one that is added needs an entry."""
+    """No example was removed, and each has an entry; a new example needs a new entry."""
     assert sorted(p.relative_to(ROOT).as_posix() for p in (ROOT / "examples").rglob("*.sexp")) == sorted(SETTINGS)
 
 
 @pytest.mark.parametrize("file", SETTINGS)
 def test_settings_of_an_example_keep_their_values(file: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A deployment, script or experiment is read as the same values in the same order: a key, a default or a unit that
-    changes fails.  `values` are whole; `parts` are digests of each field of the outermost form."""
+    """A deployment, fault scenario or experiment is read as the same values in the same order.
+
+    So a changed key, default or unit fails.  In the fixture, `values` has all values, and `parts` a digest of each
+    field of the outermost form.
+    """
     monkeypatch.chdir(ROOT)
-    found = plain(READERS[Path(file).parent.name](file))
-    assert [digest(part) for part in found] == SETTINGS[file]["parts"]
+    values = to_json_types(READERS[Path(file).parent.name](file))
+    assert [digest(field) for field in values] == SETTINGS[file]["parts"]
     if "values" in SETTINGS[file]:
-        assert text(found) == text(SETTINGS[file]["values"])
+        assert json_text(values) == json_text(SETTINGS[file]["values"])
 
 
-# The platform's protocol, HTTP and the workers' protocol.
+# Protocols of the platform and of the workers, HTTP and VRRP.
 
-BYTES: dict[str, Any] = stored("bytes")
+BYTES: dict[str, Any] = load_fixture("bytes")
 SETTINGS_KEYS = {section: keys for section, keys in BYTES["experiments"].items() if section != "no-such"}
-ITEM = "7f3a9c21e0b4d655"
-V4 = ip_address("192.0.2.1"), ip_address("224.0.0.18")
+FUNCTION = "7f3a9c21e0b4d655"
+V4 = ip_address("192.0.2.1"), ip_address("224.0.0.18")  # source and destination of a VRRP packet
 V6 = ip_address("fe80::1"), ip_address("ff02::12")
-KEYS = vrrp_seal.Key(7, b"first secret"), vrrp_seal.Key(8, b"second secret")
+VRRP_KEYS = vrrp_authentication.Key(7, b"first secret"), vrrp_authentication.Key(8, b"second secret")
+
 
+def finished_record(answer: str, code: int, **options: Any) -> Any:
+    """Return a record with a final answer.  `by_index` has values of further fields, by the index of the field."""
+    record = Record("0a" * 16, "guest", "pack/act", "check", "repeatable", 1700000000123.0, 5.0, 9000.0, "00-aa-bb-01")
+    end_ms = 1700000000456.0
+    names = [field.name for field in dataclasses.fields(record)]
+    for index, value in {9: end_ms, 10: answer, 11: code, 12: b'{"x":1}', **options.pop("by_index", {})}.items():
+        setattr(record, names[index], value)
+    return record
 
-def record_of(answer: str, code: int, **more: Any) -> Any:
-    """A record with its final answer; the tests hand over by name only what follows the answer."""
-    made = Record("0a" * 16, "guest", "pack/act", "check", "repeatable", 1700000000123.0, 5.0, 9000.0, "00-aa-bb-01")
-    ended = 1700000000456.0
-    names = [field.name for field in dataclasses.fields(made)]
-    for place, value in {9: ended, 10: answer, 11: code, 12: b'{"x":1}', **more.pop("at", {})}.items():
-        setattr(made, names[place], value)
-    return made
 
+def sample_records() -> dict[str, Any]:
+    """Return one record of each final answer.
 
-def records() -> dict[str, Any]:
-    """One record of each final answer; by place: 13 return_ms, 14 repeat_within_ms, 15 sends, 17 waited_ms, 26 logs."""
-    shared = {15: 3, 17: 41.6}
+    Field indexes: 13 `retry_after_ms`, 14 `deduplicated_for_ms`, 15 `attempt_count`, 17 `queued_ms`.
+    """
+    common = {15: 3, 17: 41.6}
     return {
-        "completed": record_of("completed", 0, at=shared),
-        "rejected": record_of("rejected", 3, at={**shared, 13: 812.3456, 14: 4000.4}),
-        "aborted": record_of("aborted", 3, at=shared),
+        "completed": finished_record("completed", 0, by_index=common),
+        "rejected": finished_record("rejected", 3, by_index={**common, 13: 812.3456, 14: 4000.4}),
+        "aborted": finished_record("aborted", 3, by_index=common),
     }
 
 
-def written() -> dict[str, bytes]:
-    """Everything that is compared byte for byte, by a name of its own."""
+def encoded_samples() -> dict[str, bytes]:
+    """Return the encoded messages that are compared byte for byte, by their names in the fixture."""
     inputs = b'{"inputs":[{"name":"x","datatype":"INT32","shape":[2],"data":[1,2]}],"parameters":{"own":"v","limit":1}}'
-    head: dict[str, str | int | float | bool] = {"limit": 1500, "again": True}
+    parameters: dict[str, str | int | float | bool] = {"limit": 1500, "again": True}
     tensor = JsonTensor("y", "FP32", [2], [0.5, 1.5], {"p": "q"})
-    sealer = vrrp_seal.Signer(KEYS[0], 99, V4[0])
-    advert = vrrp_packet.Advertisement(51, 200, 100, (ip_address("192.0.2.10"), ip_address("192.0.2.11")))
-    advert_6 = vrrp_packet.Advertisement(52, 0, 4095, (ip_address("fe80::10"), ip_address("2001:db8::10")))
-    packet = vrrp_packet.encode(advert, *V4)
-    out = {
-        "line/call": lines.encode_call("0" * 15 + "1", "t", ITEM, 1500, "", b"body\r\n"),
-        "line/call-with-key": lines.encode_call("0" * 15 + "2", "k", ITEM, 1, "key-1", b""),
+    signer = vrrp_authentication.Signer(VRRP_KEYS[0], 99, V4[0])
+    advertisement = vrrp_packet.Advertisement(51, 200, 100, (ip_address("192.0.2.10"), ip_address("192.0.2.11")))
+    advertisement_v6 = vrrp_packet.Advertisement(52, 0, 4095, (ip_address("fe80::10"), ip_address("2001:db8::10")))
+    packet = vrrp_packet.encode(advertisement, *V4)
+    samples = {
+        "line/call": lines.encode_call("0" * 15 + "1", "t", FUNCTION, 1500, "", b"body\r\n"),
+        "line/call-with-key": lines.encode_call("0" * 15 + "2", "k", FUNCTION, 1, "key-1", b""),
         "line/cancel": lines.encode_cancel("0" * 15 + "1"),
-        "line/load": lines.encode_load("o3", ITEM, 2),
-        "line/load-asks": lines.encode_load("o4", ITEM, 0),
+        "line/load": lines.encode_load("o3", FUNCTION, 2),
+        "line/load-asks": lines.encode_load("o4", FUNCTION, 0),
         "frame/request": frames.encode_frame(
             frames.REQUEST, 3, frames.encode_fields({"verb": "t", "txn": "é"}) + b"body"
         ),
@@ -275,212 +291,235 @@
         "http/head": http.encode_head(200, {"x-one": "1"}, "text/event-stream", False),
         "http/chunk": http.encode_chunk(b"twelve bytes"),
         "events/event": events.encode_event(b"one\ntwo", "part"),
-        "infer/json": infer.infer_request("h:1", "a/b", "m1", b'{"n":1}', head, {"traceparent": "t"}),
-        "infer/tensors": infer.infer_request("h:1", "m", "m2", inputs, head | {"form": "tensors"}, {}, "tensors"),
+        "infer/json": infer.infer_request("h:1", "a/b", "m1", b'{"n":1}', parameters, {"traceparent": "t"}),
+        "infer/tensors": infer.infer_request("h:1", "m", "m2", inputs, parameters | {"form": "tensors"}, {}, "tensors"),
         "infer/answer": infer.infer_answer("m", "m3", '{"r":2}', False),
         "infer/tensors-answer": infer.tensors_answer("m", "m4", [tensor], success=True, final=False),
         "infer/load": infer.load_request("h:1", "a b", 3, "d1"),
         "infer/error": infer.error_response(404, "no copy", {infer.NEVER_RAN: "miss", "load-failed": "1"}),
         "infer/report": infer.write_report(0.25, found=1, company=4).encode(),
         "vrrp/v4": packet,
-        "vrrp/v4-no-pseudo-header": vrrp_packet.encode(advert, *V4, False),
-        "vrrp/v6-release": vrrp_packet.encode(advert_6, *V6),
-        "vrrp/sealed": sealer.sign(packet),
-        "vrrp/sealed-next": sealer.sign(packet),
+        "vrrp/v4-no-pseudo-header": vrrp_packet.encode(advertisement, *V4, False),
+        "vrrp/v6-release": vrrp_packet.encode(advertisement_v6, *V6),
+        "vrrp/sealed": signer.sign(packet),
+        "vrrp/sealed-next": signer.sign(packet),
         "invoke/error": views.error("no such action", "0a0b", extra=1),
     }
-    for name, record in records().items():
+    for name, record in sample_records().items():
         for view in (views.activation, views.summary, views.result):
-            out[f"invoke/{view.__name__}/{name}"] = views.encode(view(record))
-    copies = deployment.load(ROOT / "examples" / "copies.sexp")
-    for path, item in copies.actions.items():
-        out[f"invoke/action/{path}"] = views.encode(views.action(copies, "families", item))
-    return out
+            samples[f"invoke/{view.__name__}/{name}"] = views.encode(view(record))
+    deployment_with_replicas = deployment.load(ROOT / "examples" / "copies.sexp")
+    for path, action in deployment_with_replicas.actions.items():
+        samples[f"invoke/action/{path}"] = views.encode(views.action(deployment_with_replicas, "families", action))
+    return samples
 
 
 @pytest.mark.parametrize("name", BYTES["written"])
-def test_what_is_written_keeps_its_bytes(name: str) -> None:
-    """Lines to the platform's workers, frames to its clients, HTTP, the workers' inference protocol, VRRP with and
-    without a seal, and the bodies of the invoke API: the same bytes for the same values."""
-    assert written()[name].hex() == BYTES["written"][name]
+def test_encoded_samples_keep_their_bytes(name: str) -> None:
+    """The same values are encoded to the same bytes.
 
+    Covers lines to the platform's workers, frames to its clients, HTTP, the workers' inference protocol, VRRP with and
+    without authentication, and the bodies of the invoke API.
+    """
+    assert encoded_samples()[name].hex() == BYTES["written"][name]
 
-def test_all_that_is_written_has_a_fixture() -> None:
-    """Nothing is compared with less than it was."""
-    assert sorted(written()) == sorted(BYTES["written"])
 
+def test_every_encoded_sample_has_a_fixture() -> None:
+    """The samples and the recorded messages have the same names, so that none is left out of the comparison."""
+    assert sorted(encoded_samples()) == sorted(BYTES["written"])
 
-def drained(reader: Any, data: bytes) -> list[Any]:
-    """All that a reader with `feed` and `next` makes of bytes that come one by one."""
-    out = []
+
+def decode_byte_by_byte(reader: Any, data: bytes) -> list[Any]:
+    """Feed a reader byte by byte, and return everything that it decodes."""
+    decoded = []
     for byte in data:
         reader.feed(bytes((byte,)))
-        while (one := reader.next()) is not None:
-            out.append(plain(one))
-    return out
+        while (item := reader.next()) is not None:
+            decoded.append(to_json_types(item))
+    return decoded
 
 
-def read_response(data: bytes) -> http.Response:
-    """One whole response."""
-    found = http.ResponseReader(1 << 20).feed(data)
-    assert found is not None
-    return found
+def parse_response(data: bytes) -> http.Response:
+    """Parse a complete response."""
+    response = http.ResponseReader(1 << 20).feed(data)
+    assert response is not None
+    return response
 
 
-def read(kind: str, data: bytes) -> Any:
-    """What the reader of that kind makes of bytes."""
+def decode(kind: str, data: bytes) -> Any:
+    """Decode bytes with the decoder of this kind."""
     if kind == "lines":
-        return drained(lines.LineReader(1000), data)
+        return decode_byte_by_byte(lines.LineReader(1000), data)
     if kind == "frames":
-        return [[k, s, payload["hex"]] for k, s, payload in drained(frames.FrameReader(), data)]
+        return [
+            [frame_kind, stream, payload["hex"]]
+            for frame_kind, stream, payload in decode_byte_by_byte(frames.FrameReader(), data)
+        ]
     if kind == "fields":
-        return plain(frames.read_fields(data))
+        return to_json_types(frames.read_fields(data))
     if kind == "feed":
-        return drained(feed.FeedReader(2, 2), data)
+        return decode_byte_by_byte(feed.FeedReader(2, 2), data)
     if kind == "events":
-        return plain(events.EventReader(1000).feed(data))
+        return to_json_types(events.EventReader(1000).feed(data))
     if kind == "http":
-        return plain(http.RequestReader(10_000, 10_000).feed(data))
+        return to_json_types(http.RequestReader(10_000, 10_000).feed(data))
     if kind == "infer":
-        return plain(infer.read_infer(data))
+        return to_json_types(infer.read_infer(data))
     if kind == "load":
-        return plain(infer.read_load(data))
+        return to_json_types(infer.read_load(data))
     if kind in ("answer json", "answer tensors"):
-        return plain(infer.read_answer(read_response(data), "m3", kind.partition(" ")[2]))
+        return to_json_types(infer.read_answer(parse_response(data), "m3", kind.partition(" ")[2]))
     if kind == "loaded":
-        return plain(infer.read_loaded(read_response(data)))
+        return to_json_types(infer.read_loaded(parse_response(data)))
     if kind == "vrrp v4":
-        return plain(vrrp_packet.decode(data, *V4))
+        return to_json_types(vrrp_packet.decode(data, *V4))
     if kind == "vrrp v6":
-        return plain(vrrp_packet.decode(data, *V6))
+        return to_json_types(vrrp_packet.decode(data, *V6))
     if kind == "seal":
-        return plain(vrrp_seal.Verifier(KEYS).verify(data, V4[0]))
+        return to_json_types(vrrp_authentication.Verifier(VRRP_KEYS).verify(data, V4[0]))
     assert kind == "worker list"
-    return plain(msgspec.json.decode(data, type=members.EndpointList))
+    return to_json_types(msgspec.json.decode(data, type=members.EndpointList))
 
 
 @pytest.mark.parametrize("number", range(len(BYTES["read"])), ids=[one["kind"] for one in BYTES["read"]])
-def test_what_is_read_keeps_its_meaning(number: int) -> None:
-    """Answers of the platform's workers, frames of its clients, events of its worker list, HTTP, the inference
-    protocol, VRRP and the worker list's JSON: the same bytes give the same values."""
-    one = BYTES["read"][number]
-    assert text(read(one["kind"], bytes.fromhex(one["bytes"]))) == text(one["values"])
+def test_recorded_bytes_are_decoded_to_the_same_values(number: int) -> None:
+    """The same bytes are decoded to the same values.
+
+    Covers answers of the platform's workers, frames of its clients, events of its endpoint list, HTTP, the inference
+    protocol, VRRP and the JSON of the endpoint list.
+    """
+    sample = BYTES["read"][number]
+    assert json_text(decode(sample["kind"], bytes.fromhex(sample["bytes"]))) == json_text(sample["values"])
 
 
 def test_fields_of_a_platform_request_keep_their_names() -> None:
-    """`txn`, `item`, `unique`, `verb`, `team`, `limit`, `info` and `cpu` of a client's request, and within `info`
-    `memory_mb`, `lanes` and `load_ms`, say what they said."""
-    told = BYTES["asked"]
-    made = platform_config.parse(json.dumps(BYTES["config"]["told"]))
-    read_as = host_settings.read_settings(made.settings)
-    types = {kind.name: kind for kind in read_as.request_classes}
-    customers = {customer.name: customer for customer in read_as.tenants}
-    rules = RequestRules(types, customers, made.sockets.max_timeout_ms, made.sockets.max_function_mb)
-    found = ParsedRequest(told["fields"], rules)
-    shown = []
-    for slot in type(found).__slots__:
-        value = getattr(found, slot)
-        shown.append(value.name if hasattr(value, "name") else value)
-    assert sorted(map(repr, shown)) == told["values"]
+    """The fields of a client's request, and those within `info`, are read as the same values.
+
+    They are `txn`, `item`, `unique`, `verb`, `team`, `limit`, `info` and `cpu`; `info` has `memory_mb`, `lanes` and
+    `load_ms`.
+    """
+    fixture = BYTES["asked"]
+    config = platform_config.parse(json.dumps(BYTES["config"]["told"]))
+    settings = engine_settings.read_settings(config.settings)
+    request_classes = {request_class.name: request_class for request_class in settings.request_classes}
+    tenants = {tenant.name: tenant for tenant in settings.tenants}
+    rules = RequestRules(request_classes, tenants, config.sockets.max_timeout_ms, config.sockets.max_function_mb)
+    request = ParsedRequest(fixture["fields"], rules)
+    values = []
+    for slot in type(request).__slots__:
+        value = getattr(request, slot)
+        values.append(value.name if hasattr(value, "name") else value)
+    assert sorted(map(repr, values)) == fixture["values"]
 
 
 def test_platform_settings_keep_their_values() -> None:
-    """The platform's JSON configuration, and the settings object that it shares with the simulator: the same keys and
-    units give the same values in the same order."""
-    told = BYTES["config"]
-    made = platform_config.parse(json.dumps(told["told"]))
-    assert text(plain(made)) == text(told["values"])
-    assert text(plain(host_settings.read_settings(made.settings))) == text(told["deployment"])
+    """Keys and units of the platform's JSON configuration give the same values in the same order.
+
+    This includes the settings object, which the simulator sends, too.
+    """
+    fixture = BYTES["config"]
+    config = platform_config.parse(json.dumps(fixture["told"]))
+    assert json_text(to_json_types(config)) == json_text(fixture["values"])
+    assert json_text(to_json_types(engine_settings.read_settings(config.settings))) == json_text(fixture["deployment"])
 
 
 @pytest.mark.parametrize("key", BYTES["config"]["needed"])
-def test_platform_settings_need_the_same_keys(key: str) -> None:
-    """Without this key the configuration is refused, and the message names the key by its place."""
-    told = json.loads(json.dumps(BYTES["config"]["told"]))
+def test_platform_settings_require_the_same_keys(key: str) -> None:
+    """Without this key the configuration is refused, with the recorded message."""
+    config = json.loads(json.dumps(BYTES["config"]["told"]))
     *path, last = key.split(".")
-    at = told
+    parent = config
     for part in path:
-        at = at[int(part)] if part.isdecimal() else at[part]
-    del at[last]
-    with pytest.raises(platform_config.ConfigError) as caught:
-        platform_config.parse(json.dumps(told))
-    assert str(caught.value) == BYTES["config"]["needed"][key]
+        parent = parent[int(part)] if part.isdecimal() else parent[part]
+    del parent[last]
+    with pytest.raises(platform_config.ConfigError) as error:
+        platform_config.parse(json.dumps(config))
+    assert str(error.value) == BYTES["config"]["needed"][key]
 
 
 def test_keys_of_experiments_keep_their_names() -> None:
-    """`(set SECTION.KEY VALUE)` knows the sections and keys that it knew.  They are taken from field names, so a field
-    that gets another name needs its old key kept."""
-    day = script.load_scenario(ROOT / "examples" / "bad-days" / "first.sexp")
-    whole = deployment.load(day.deployment)
-    place = SourcePosition("x", 1, 1)
-    found = {}
+    """`(set SECTION.KEY VALUE)` accepts the same sections and keys.
+
+    Keys are derived from field names, so a renamed field must keep its key.
+    """
+    scenario = fault_scenario.load_scenario(ROOT / "examples" / "bad-days" / "first.sexp")
+    scenario_deployment = deployment.load(scenario.deployment)
+    position = SourcePosition("x", 1, 1)
+    messages = {}
     for section in ("no-such", *SETTINGS_KEYS):
-        with pytest.raises(ValueError) as caught:
+        with pytest.raises(ValueError) as error:
             experiment.apply_changes(
-                day, whole, SimulationSettings(), [experiment.Change(section, "no-such", 1.0, place)]
+                scenario,
+                scenario_deployment,
+                SimulationSettings(),
+                [experiment.Change(section, "no-such", 1.0, position)],
             )
-        found[section] = str(caught.value)
-    assert found == {"no-such": BYTES["experiments"]["no-such"], **SETTINGS_KEYS}
+        messages[section] = str(error.value)
+    assert messages == {"no-such": BYTES["experiments"]["no-such"], **SETTINGS_KEYS}
 
 
 def test_deploy_file_keeps_its_keys() -> None:
-    """deploy/balancer.toml has its keys, and what it names is there."""
-    told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
-    assert {key: type(value).__name__ for key, value in told.items()} == BYTES["deploy"]
-    assert all((ROOT / path).exists() for path in [*told["policy"], *told["node"]])
+    """`deploy/balancer.toml` has the same keys, and the files and modules that it names exist."""
+    config = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
+    assert {key: type(value).__name__ for key, value in config.items()} == BYTES["deploy"]
+    assert all((ROOT / path).exists() for path in [*config["policy"], *config["node"]])
     for key in ("run", "sim"):
-        words = told[key].split()
-        assert words[:3] == ["exec", ".venv/bin/python", "-m"]
-        assert (ROOT / words[3].replace(".", "/") / "__main__.py").exists()
+        command = config[key].split()
+        assert command[:3] == ["exec", ".venv/bin/python", "-m"]
+        assert (ROOT / command[3].replace(".", "/") / "__main__.py").exists()
 
 
-# What operators are shown.
+# Status shown to operators.
 
 
-def shown_keys(words: set[str]) -> Counter[tuple[str, ...]]:
-    """The keys of every dict that is written out in the package's code, in files that have one of these words."""
-    out: Counter[tuple[str, ...]] = Counter()
+def dict_literal_keys(words: set[str]) -> Counter[tuple[str, ...]]:
+    """Count the key tuples of dict literals in all source files of the package that have one of `words` as a key."""
+    counts: Counter[tuple[str, ...]] = Counter()
     for file in sorted((ROOT / "kelptrail").rglob("*.py")):
         source = file.read_text(encoding="utf-8")
         if not any(f'"{word}":' in source for word in words):
             continue
         for node in ast.walk(ast.parse(source)):
             if isinstance(node, ast.Dict):
-                out[tuple(k.value for k in node.keys if isinstance(k, ast.Constant) and isinstance(k.value, str))] += 1
-    return out
+                counts[
+                    tuple(k.value for k in node.keys if isinstance(k, ast.Constant) and isinstance(k.value, str))
+                ] += 1
+    return counts
 
 
 def test_answers_to_operators_keep_their_keys() -> None:
-    """`/state`, `/vrrp`, `/leases`, `/copies`, `/usage` and the planner's answers, the standing in of the worker list:
-    each set of keys is written out somewhere in the code, in its order.  Looked up in the source, so a key that stays
-    but gets another value is not seen here."""
-    found = shown_keys({keys[-1] for keys in BYTES["shown"].values()})
+    """Each sequence of keys that operators are shown is the keys of a dict literal in the source code.
+
+    Covers `/state`, `/vrrp`, `/leases`, `/copies`, `/usage`, and the answers of the planner and of the emulated
+    endpoint service.  Only keys are compared: a key that gets another value is not detected.
+    """
+    counts = dict_literal_keys({keys[-1] for keys in BYTES["shown"].values()})
     for name, keys in BYTES["shown"].items():
-        assert found[tuple(keys)] >= 1, f"{name}: {keys}"
+        assert counts[tuple(keys)] >= 1, f"{name}: {keys}"
 
 
 def test_usage_is_shown_with_its_keys() -> None:
-    """The answer of `/usage`, whole, made from a total that was told."""
-    token = lease_terms.FencingToken(9, "d2/r2")
-    told = usage_terms.UsageView()
-    assert told.on_total(usage_terms.UsageTotal(token, 73, 3, {"n1": (1.234, 2.5, 3.5)}))
-    usage = usage_terms.UsageDriver.__new__(usage_terms.UsageDriver)
-    usage.view = told
-    assert text(usage.status()) == text(BYTES["usage"])
+    """The complete answer of `/usage` after a total was received."""
+    token = lease_messages.FencingToken(9, "d2/r2")
+    view = usage_module.UsageView()
+    assert view.on_total(usage_module.UsageTotal(token, 73, 3, {"n1": (1.234, 2.5, 3.5)}))
+    driver = usage_module.UsageDriver.__new__(usage_module.UsageDriver)
+    driver.view = view
+    assert json_text(driver.status()) == json_text(BYTES["usage"])
 
 
-def test_storm_is_shown_with_its_keys() -> None:
-    """The part `storm` of `/state`, before anything has come."""
-    assert text(OverloadController(OverloadSettings(), 1).status()) == text(BYTES["storm"])
+def test_overload_status_is_shown_with_its_keys() -> None:
+    """The part `storm` of `/state`, before the first request."""
+    assert json_text(OverloadController(OverloadSettings(), 1).status()) == json_text(BYTES["storm"])
 
 
-# On sockets: what goes out unasked, and in which words.
+# Traffic on sockets.
 
-SOCKETS: dict[str, Any] = stored("sockets")
+SOCKETS: dict[str, Any] = load_fixture("sockets")
 
 
 def run(main: Coroutine[Any, Any, Any]) -> Any:
-    """The outcome of a conversation on loopback, within a bound."""
+    """Run a coroutine with a time limit, and return its result."""
 
     async def bounded() -> Any:
         async with asyncio.timeout(30):
@@ -489,143 +528,146 @@
     return asyncio.run(bounded())
 
 
-async def heard_of_the_platform_service() -> dict[str, list[str]]:
-    """One dispatcher between a client, a worker and the worker list: what each of these three is sent.  The time left
-    in a call and the number of copies are masked, commands to the worker are sorted and told once."""
+async def record_platform_service_traffic() -> dict[str, list[str]]:
+    """Run a dispatcher with a client, a worker and an endpoint list, and return what it sends to each of them.
+
+    The remaining time of calls, and the tags and instance counts of load orders, are masked.  Commands to the worker
+    are sorted, without duplicates.
+    """
     to_worker, to_list = set[bytes](), set[bytes]()
-    hangs, cancelled = asyncio.Event(), asyncio.Event()
+    call_hangs, call_cancelled = asyncio.Event(), asyncio.Event()
 
     async def worker(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while line := await reader.readline():
-                word, id_, *rest = line.split()
-                body = await reader.readexactly(int(rest[-1]) + 2) if word == b"CALL" else b""
+                command, id_, *rest = line.split()
+                body = await reader.readexactly(int(rest[-1]) + 2) if command == b"CALL" else b""
                 to_worker.add(re.sub(rb"limit=[0-9]+", b"limit=...", line) + body)
-                if word == b"LOAD":
+                if command == b"LOAD":
                     writer.write(id_ + b" OK units=1 0\r\n\r\n")
-                elif word == b"CANCEL":
-                    cancelled.set()
+                elif command == b"CANCEL":
+                    call_cancelled.set()
                 elif body.startswith(b"hang"):
-                    hangs.set()
+                    call_hangs.set()
                 else:
                     writer.write(id_ + b" OK tell=up,meter=cpu:0.5;x0:0.2 6\r\nresult\r\n")
         writer.close()
 
-    async def worker_list(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def endpoint_list(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             to_list.add(await reader.readexactly(8))
             await reader.read()
         writer.close()
 
-    at_worker = await asyncio.start_server(worker, "127.0.0.1", 0)
-    at_list = await asyncio.start_server(worker_list, "127.0.0.1", 0)
-    told = json.loads(json.dumps(BYTES["config"]["told"]))
-    target = told["known"]["entries"][0]["hosts"]["targets"][0]
-    target |= {"endpoint": f"127.0.0.1:{at_worker.sockets[0].getsockname()[1]}", "boot_ms": 0}
-    told["known"] = {"pos": 1, "entries": [{"pos": 1, "hosts": {"rev": 1, "all": True, "targets": [target]}}]}
-    told["settings"]["specifics"]["not_loaded"] = "miss"  # so that copies are ordered
-    for kind in told["settings"]["classes"]:
-        kind["give_up_us"] = 20_000_000
-    told |= {"listen": "127.0.0.1:0", "journal": f"127.0.0.1:{at_list.sockets[0].getsockname()[1]}"}
-    service = Service(asyncio.get_running_loop(), platform_config.parse(json.dumps(told)))
+    worker_server = await asyncio.start_server(worker, "127.0.0.1", 0)
+    list_server = await asyncio.start_server(endpoint_list, "127.0.0.1", 0)
+    config = json.loads(json.dumps(BYTES["config"]["told"]))
+    target = config["known"]["entries"][0]["hosts"]["targets"][0]
+    target |= {"endpoint": f"127.0.0.1:{worker_server.sockets[0].getsockname()[1]}", "boot_ms": 0}
+    config["known"] = {"pos": 1, "entries": [{"pos": 1, "hosts": {"rev": 1, "all": True, "targets": [target]}}]}
+    config["settings"]["specifics"]["not_loaded"] = "miss"  # needed for the dispatcher to order loads
+    for request_class in config["settings"]["classes"]:
+        request_class["give_up_us"] = 20_000_000
+    config |= {"listen": "127.0.0.1:0", "journal": f"127.0.0.1:{list_server.sockets[0].getsockname()[1]}"}
+    service = Service(asyncio.get_running_loop(), platform_config.parse(json.dumps(config)))
     reader, writer = await asyncio.open_connection("127.0.0.1", service.open())
-    ours = frames.FrameReader()
+    frame_reader = frames.FrameReader()
     to_client: list[bytes] = []
 
-    async def answered(sent: bytes) -> None:
-        writer.write(sent)
-        while (found := ours.next()) is None:
-            ours.feed(await reader.read(65536))
-        to_client.append(frames.encode_frame(*found))
-
-    def request(stream: int, body: bytes, **other: str) -> bytes:
-        said = {"verb": "t", "txn": f"{stream:016x}", "limit": "15000", "team": "acme", "item": ITEM}
-        said |= {"info": "memory_mb:512;lanes:2"} | other
-        return frames.encode_frame(frames.REQUEST, stream, frames.encode_fields(said) + body)
-
-    await answered(frames.encode_frame(frames.READY_QUERY, 7, b"\0"))
-    await answered(request(3, b"hello\r\n"))
-    await answered(request(4, b"", verb="k", unique="key-1"))
-    await answered(request(5, b"", team="nobody"))
+    async def send_until_answered(request_data: bytes) -> None:
+        writer.write(request_data)
+        while (frame := frame_reader.next()) is None:
+            frame_reader.feed(await reader.read(65536))
+        to_client.append(frames.encode_frame(*frame))
+
+    def request(stream: int, body: bytes, **changes: str) -> bytes:
+        fields = {"verb": "t", "txn": f"{stream:016x}", "limit": "15000", "team": "acme", "item": FUNCTION}
+        fields |= {"info": "memory_mb:512;lanes:2"} | changes
+        return frames.encode_frame(frames.REQUEST, stream, frames.encode_fields(fields) + body)
+
+    await send_until_answered(frames.encode_frame(frames.READY_QUERY, 7, b"\0"))
+    await send_until_answered(request(3, b"hello\r\n"))
+    await send_until_answered(request(4, b"", verb="k", unique="key-1"))
+    await send_until_answered(request(5, b"", team="nobody"))
     writer.write(request(6, b"hang"))
-    await hangs.wait()
+    await call_hangs.wait()
     writer.write(frames.encode_frame(frames.CANCEL, 6))
-    await cancelled.wait()
+    await call_cancelled.wait()
     service.shut_down()
-    await answered(b"")
+    await send_until_answered(b"")
     writer.close()
     service.close()
-    at_worker.close()
-    at_list.close()
+    worker_server.close()
+    list_server.close()
     return {
         "client": [data.hex() for data in to_client],
         "worker": sorted(data.decode() for data in to_worker if data[:4] != b"LOAD"),
-        "orders": sorted({re.sub("( o|units=)[0-9]+", r"\1...", d.decode()) for d in to_worker if d[:4] == b"LOAD"}),
+        "orders": sorted(
+            {re.sub("( o|units=)[0-9]+", r"\1...", order.decode()) for order in to_worker if order[:4] == b"LOAD"}
+        ),
         "list": sorted(data.hex() for data in to_list),
     }
 
 
-def test_platform_service_says_what_it_said() -> None:
-    """A whole dispatcher on loopback sockets: the frames that a client gets, the lines that a worker gets, the
-    question that the worker list gets."""
-    assert run(heard_of_the_platform_service()) == SOCKETS["platform"]
+def test_platform_service_sends_the_recorded_messages() -> None:
+    """The client receives the recorded frames, the worker the recorded lines, and the endpoint list the poll."""
+    assert run(record_platform_service_traffic()) == SOCKETS["platform"]
 
 
-async def heard_of_the_worker_list(tmp_path: Path) -> dict[str, Any]:
-    """The question of a dispatcher that follows the worker list, and what it takes from an answer."""
-    questions: list[str] = []
+async def record_endpoint_client_traffic(tmp_path: Path) -> dict[str, Any]:
+    """Run a client of the endpoint service, and return its polls and the lists that it applies."""
+    polls: list[str] = []
     lists: list[Any] = []
-    two = asyncio.Event()
+    polled_twice = asyncio.Event()
     body = json.dumps(SOCKETS["listing"]).encode()
 
-    async def source(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def endpoint_service(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
-                questions.append((await reader.readuntil(b"\r\n\r\n")).decode())
-                if len(questions) == 2:
-                    two.set()
+                polls.append((await reader.readuntil(b"\r\n\r\n")).decode())
+                if len(polls) == 2:
+                    polled_twice.set()
                     await asyncio.sleep(10)
                 writer.write(http.encode_response(200, body))
 
-    server = await asyncio.start_server(source, "127.0.0.1", 0)
+    server = await asyncio.start_server(endpoint_service, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     client = EndpointClient(address, "d1/r1", lists.append, tmp_path / "last.json", logging.getLogger("test"), 1500.0)
     client.address, client.channel_address, client.zone = "10.0.1.1:8", "10.0.1.1:9", "south"
     task = asyncio.create_task(client.follow())
-    await two.wait()
+    await polled_twice.wait()
     task.cancel()
     server.close()
-    again = EndpointClient(address, "d1/r2", lists.append, tmp_path / "last.json", logging.getLogger("test"))
+    restarted = EndpointClient(address, "d1/r2", lists.append, tmp_path / "last.json", logging.getLogger("test"))
     return {
-        "questions": [question.replace(address, "ADDRESS") for question in questions],
-        "from_last": again.load_saved(),
-        "lists": plain(lists),
+        "questions": [poll.replace(address, "ADDRESS") for poll in polls],
+        "from_last": restarted.load_saved(),
+        "lists": to_json_types(lists),
     }
 
 
-def test_worker_list_is_asked_and_read_as_before(tmp_path: Path) -> None:
-    """The long poll's target with all its parameters, the list that an answer gives, and the list that a restart
-    takes up from the file beside it."""
-    assert text(run(heard_of_the_worker_list(tmp_path))) == text(SOCKETS["followed"])
+def test_endpoint_list_is_polled_and_read_as_recorded(tmp_path: Path) -> None:
+    """The target of the long poll with all its parameters, the list in an answer, and the list saved for a restart."""
+    assert json_text(run(record_endpoint_client_traffic(tmp_path))) == json_text(SOCKETS["followed"])
 
 
-async def told_by_the_stand_in() -> Any:
-    """What the stand-in worker list answers after a worker and a dispatcher are known; its run and ages are masked."""
-    source = EndpointService(Capture(None, "list"))
-    errand = HttpClient(f"127.0.0.1:{source.server.listen('127.0.0.1', 0)}")
+async def query_emulated_endpoint_service() -> Any:
+    """Register workers at the emulated endpoint service and return its list, with the lineage and the ages masked."""
+    service = EndpointService(Capture(None, "list"))
+    client = HttpClient(f"127.0.0.1:{service.server.listen('127.0.0.1', 0)}")
     for target, body in SOCKETS["told_to_list"]:
-        assert (await errand.request("POST", target, body)).status == 200
+        assert (await client.request("POST", target, body)).status == 200
     target = "/workers?who=d1/r1&at=10.0.1.1:8&channel=10.0.1.1:9&hall=south&known=&wait=0"
-    found = json.loads((await errand.request("GET", target)).body)
-    errand.close()
-    source.server.stop_listening()
-    found["lineage"] = "..."
-    for worker in found["workers"]:
+    listed = json.loads((await client.request("GET", target)).body)
+    client.close()
+    service.server.stop_listening()
+    listed["lineage"] = "..."
+    for worker in listed["workers"]:
         assert 1000 <= worker["age_ms"] < 20_000
         worker["age_ms"] = 0
-    return found
+    return listed
 
 
-def test_stand_in_list_tells_as_before() -> None:
-    """`POST /register`, `POST /state` and `GET /workers` of the stand-in worker list: paths, keys and values."""
-    assert text(run(told_by_the_stand_in())) == text(SOCKETS["list"])
+def test_emulated_endpoint_service_answers_as_recorded() -> None:
+    """`POST /register`, `POST /state` and `GET /workers` of the emulated endpoint service: paths, keys and values."""
+    assert json_text(run(query_emulated_endpoint_service())) == json_text(SOCKETS["list"])
