--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -41,7 +41,7 @@
     "readiness": ReadinessLimits(),
 }
 
-AMPLE_LOADS = LoadRation(True, 99.0, 0.3, 5000.0)
+AMPLE_LOADS = LoadRation(True, 99.0, 0.3, 5000.0)  # limits no load order in the tests that use it
 
 
 def make_safety(**changes: Any) -> SafetyGuard:
@@ -66,7 +66,10 @@
     loads_on_demand: bool = False,
     **safety_settings: Any,
 ) -> Dispatcher:
-    """Return a dispatcher with live, warm workers; `shared` is the assumed share of instances loaded by others."""
+    """Return a dispatcher with live, warm workers, alternating between two zones and two cells.
+
+    `retry_after_ms` is its longest retry-after time; `shared` is the initial `shared_ratio` of its instance table.
+    """
     seed = safety_settings.get("seed", 1)
     safety, outliers, timers = make_safety(**safety_settings), OutlierDetector(), TimerQueue()
     instances = InstanceTable(timers, 8000.0, loads_on_demand)
@@ -97,14 +100,14 @@
 
 
 def new_request(
-    function: Function, now: float, n: int = 0, ms: float = 3000.0, tenant: Tenant | None = None
+    function: Function, now: float, number: int = 0, timeout_ms: float = 3000.0, tenant: Tenant | None = None
 ) -> Request:
-    """Return a request that arrives now with `ms` left to its deadline."""
-    return Request(f"{function.id}/{n}", function.request_class, function, tenant, now, now + ms)
+    """Return a request that arrives at `now`, with `timeout_ms` left until its deadline."""
+    return Request(f"{function.id}/{number}", function.request_class, function, tenant, now, now + timeout_ms)
 
 
 def decide_all(dispatcher: Dispatcher, now: float) -> list[Decision]:
-    """Return all decisions that are due now."""
+    """Return all decisions that are due at `now`."""
     decisions: list[Decision] = []
     while (decision := dispatcher.decide(now)) is not None:
         decisions.append(decision)
@@ -130,10 +133,12 @@
     dispatcher.on_attempt_finished(now, attempt, AttemptResult(AttemptStatus.COMPLETED, True, warm=True))
 
 
-def submit(dispatcher: Dispatcher, function: Function, now: float, count: int, ms: float = 3000.0) -> list[Decision]:
+def submit(
+    dispatcher: Dispatcher, function: Function, now: float, count: int, timeout_ms: float = 3000.0
+) -> list[Decision]:
     """Submit `count` requests; return the decisions on them."""
-    for n in range(count):
-        dispatcher.on_request(now, new_request(function, now, n, ms))
+    for number in range(count):
+        dispatcher.on_request(now, new_request(function, now, number, timeout_ms))
     return decide_all(dispatcher, now)
 
 
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -50,21 +50,21 @@
         )
         for n in range(6)
     ]
-    spent, began, max_step_ms = 0.0, dict[Job, float](), 40.0
+    spent_ms, started_at, max_step_ms = 0.0, dict[Job, float](), 40.0
     while now < 120_000:
         busy = (now // 10_000) % 2 == 1
-        found = scheduler.next_job(now, busy)
-        if found is None:
-            wait = scheduler.wait_ms(now, busy)
-            assert wait > 0, "a wait of 0 without a job to run would be a busy loop"
-            now += min(wait, 50.0)
+        due_job = scheduler.next_job(now, busy)
+        if due_job is None:
+            wait_ms = scheduler.wait_ms(now, busy)
+            assert wait_ms > 0, "a wait of 0 without a job to run would be a busy loop"
+            now += min(wait_ms, 50.0)
             continue
-        began[found] = now
-        cost = rng.uniform(0, max_step_ms if rng.random() < 0.1 else 5)
-        now += cost
-        spent += cost
-        scheduler.on_step_done(now, found, cost, rng.random() < 0.3)
-        assert spent <= settings.share * now + 2 * settings.max_budget_ms + max_step_ms
+        started_at[due_job] = now
+        cost_ms = rng.uniform(0, max_step_ms if rng.random() < 0.1 else 5)
+        now += cost_ms
+        spent_ms += cost_ms
+        scheduler.on_step_done(now, due_job, cost_ms, rng.random() < 0.3)
+        assert spent_ms <= settings.share * now + 2 * settings.max_budget_ms + max_step_ms
     assert all(j.runs >= 5 for j in jobs), [(j.name, j.runs) for j in jobs]
     all_steps_ms = sum(max_step_ms for _ in jobs)
     for j in jobs:
@@ -72,52 +72,52 @@
 
 
 def test_while_requests_are_in_flight_only_a_part_of_the_budget_is_used() -> None:
-    used = {}
+    used_ms = {}
     for busy in (False, True):
         scheduler, now = Scheduler(SchedulerSettings(0.1, 0.3, 200.0), 0.0), 0.0
-        one = scheduler.add(now, job("one", 1, 1.0, 1e9, 1.0))
+        only_job = scheduler.add(now, job("one", 1, 1.0, 1e9, 1.0))
         while now < 150:
-            found = scheduler.next_job(now, busy)
+            due_job = scheduler.next_job(now, busy)
             now += 10
-            if found is not None:
-                scheduler.on_step_done(now, found, 10.0, True)
-        used[busy] = one.cpu_ms
-    assert used[True] < 0.6 * used[False]
+            if due_job is not None:
+                scheduler.on_step_done(now, due_job, 10.0, True)
+        used_ms[busy] = only_job.cpu_ms
+    assert used_ms[True] < 0.6 * used_ms[False]
 
 
 def test_steps_on_the_event_loop_yield_to_requests_and_an_error_in_one_job_does_not_stop_others() -> None:
     async def main() -> None:
-        log, seen = RecordingLog(), list[str]()
+        log, executed = RecordingLog(), list[str]()
         background = Background(SchedulerSettings(0.3, 0.5, 50.0), now_ms, lambda: True, log)
 
-        def slow() -> bool:
+        def slow_step() -> bool:
             end = time.thread_time() + 0.01
             while time.thread_time() < end:
                 pass
-            seen.append("slow")
+            executed.append("slow")
             return True
 
-        def broken() -> None:
+        def failing_step() -> None:
             raise RuntimeError("no")
 
-        background.add("slow", slow, 1, 1.0, 60_000.0, 0.5)
-        background.add("broken", broken, 0, 30.0)
-        background.add("late", lambda: seen.append("late"), 9, 0.0)
+        background.add("slow", slow_step, 1, 1.0, 60_000.0, 0.5)
+        background.add("broken", failing_step, 0, 30.0)
+        background.add("late", lambda: executed.append("late"), 9, 0.0)
         background.start()
-        gaps, last, end = list[float](), now_ms(), now_ms() + 800
+        turn_gaps_ms, last_turn, end = list[float](), now_ms(), now_ms() + 800
         background.request_run("late")
         while now_ms() < end:
             await asyncio.sleep(0.001)
-            gaps.append(now_ms() - last)
-            last = now_ms()
+            turn_gaps_ms.append(now_ms() - last_turn)
+            last_turn = now_ms()
         background.stop()
         status = background.scheduler.status()
         assert (
             status["broken"]["failures"] >= 3
             and ("background-failed", {"job": "broken", "reason": "RuntimeError: no"}) in log.lines
         )
-        assert seen.count("slow") >= 3 and status["slow"]["cpu_ms"] <= 0.3 * 800 + 50 + 40
-        assert seen.count("late") <= 1 and sorted(gaps)[len(gaps) // 2] < 8, (
+        assert executed.count("slow") >= 3 and status["slow"]["cpu_ms"] <= 0.3 * 800 + 50 + 40
+        assert executed.count("late") <= 1 and sorted(turn_gaps_ms)[len(turn_gaps_ms) // 2] < 8, (
             "most gaps between turns of the event loop are short"
         )
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Tests of the simulator adapter over standard input and output."""
+"""Simulator adapter as a process: batches of events on standard input, replies on standard output."""
 
 import json
 import subprocess
@@ -77,10 +77,16 @@
 
 
 def run_adapter(*batches: tuple[int, list[dict[str, Any]]] | str) -> tuple[int, list[Any], str]:
-    lines = [b if isinstance(b, str) else json.dumps({"now_us": b[0], "arrivals": b[1]}) for b in batches]
-    command, text = [sys.executable, "-m", "kelptrail.simulator_adapter"], "\n".join(lines) + "\n"
-    done = subprocess.run(command, input=text, capture_output=True, text=True, timeout=30)
-    return done.returncode, [json.loads(line)["actions"] for line in done.stdout.splitlines()], done.stderr
+    """Run the adapter on batches; return its exit code, the actions in each reply, and its error output.
+
+    A batch is a time in us with its events, or a raw input line.
+    """
+    lines = [
+        batch if isinstance(batch, str) else json.dumps({"now_us": batch[0], "arrivals": batch[1]}) for batch in batches
+    ]
+    command, input_lines = [sys.executable, "-m", "kelptrail.simulator_adapter"], "\n".join(lines) + "\n"
+    process = subprocess.run(command, input=input_lines, capture_output=True, text=True, timeout=30)
+    return process.returncode, [json.loads(line)["actions"] for line in process.stdout.splitlines()], process.stderr
 
 
 def actions_of(actions: list[dict[str, Any]], kind: str) -> list[dict[str, Any]]:
@@ -88,10 +94,10 @@
 
 
 def test_an_activation_goes_from_arrival_to_answer() -> None:
-    place = {"i": "dispatcher_0", "runner": "10.0.0.1:9"}
-    ready = {"ReadyThere": place | {"fn": "h:f", "ending": "S", "latency_us": 900, "copies": 1}}
+    worker = {"i": "dispatcher_0", "runner": "10.0.0.1:9"}
+    load_report = {"ReadyThere": worker | {"fn": "h:f", "ending": "S", "latency_us": 900, "copies": 1}}
     answer = {
-        "Answer": place
+        "Answer": worker
         | {
             "handle": "t/a",
             "remark": 1,
@@ -102,21 +108,21 @@
             "stats": None,
         }
     }
-    aborted = {"Aborted": {"i": "dispatcher_0", "handle": "t/a"}}
-    batches = (1000, []), (2000, HELLO), (3000, [REQ]), (4000, [ready]), (94000, [answer, aborted])
+    client_disconnect = {"Aborted": {"i": "dispatcher_0", "handle": "t/a"}}
+    batches = (1000, []), (2000, HELLO), (3000, [REQ]), (4000, [load_report]), (94000, [answer, client_disconnect])
     code, replies, _ = run_adapter(*batches)
     assert code == 0 and replies[0] == []
-    assert actions_of(replies[2], "StartCopy") == [place | {"fn": "h:f", "copies": 1}]
+    assert actions_of(replies[2], "StartCopy") == [worker | {"fn": "h:f", "copies": 1}]
     assert not actions_of(replies[2], "Try")
-    assert actions_of(replies[3], "Try") == [place | {"handle": "t/a"}]
+    assert actions_of(replies[3], "Try") == [worker | {"handle": "t/a"}]
     assert not actions_of(replies[4], "Refuse") and not actions_of(replies[4], "DropRequest")
 
 
 def test_malformed_input_ends_the_process_with_a_one_line_error() -> None:
     missing_field = {"Req": {k: v for k, v in REQ["Req"].items() if k != "grace_us"}}
-    unknown = (1, [{"Huh": {"i": "dispatcher_0"}}])
+    unknown_event = (1, [{"Huh": {"i": "dispatcher_0"}}])
     invalid_setting = (1, [{"Hello": HELLO[0]["Hello"] | {"env": ENV | {"rules": ENV["rules"] | {"fall_us": "soon"}}}}])
-    for batch in ("{", "[]", '{"now_us":1}', unknown, (1, [REQ]), (1, [*HELLO, missing_field]), invalid_setting):
+    for batch in ("{", "[]", '{"now_us":1}', unknown_event, (1, [REQ]), (1, [*HELLO, missing_field]), invalid_setting):
         code, replies, errors = run_adapter(batch)
         assert code != 0 and not replies
         assert batch is not invalid_setting or "settings.rules.fall_us" in errors
