--- a/kelptrail/front/invoke/errors.py
+++ b/kelptrail/front/invoke/errors.py
@@ -1,4 +1,7 @@
-"""Error replies of the invoke API: status, body `{"error", "code"}` and headers."""
+"""Error replies and redirects of the invoke API: status, message, headers and additional fields of the body.
+
+`replies.reply_error` sends them and adds the field `code`, which identifies the request.
+"""
 
 from __future__ import annotations
 
@@ -6,6 +9,8 @@
 from typing import Any
 
 RETRY_SOON_HEADERS = {"retry-after": "1"}  # In seconds
+# Fixed texts of the API.  "In hand" means accepted but without a final answer, "kept safe" stored durably, and "taken"
+# accepted.
 IN_FLIGHT_MESSAGE = "The activation is in hand and has no result yet."
 NOT_DURABLE_MESSAGE = "The call could not be kept safe and was not taken."
 
@@ -52,7 +57,10 @@
 
 
 def in_flight() -> ApiError:
-    """Return the error for an activation without a result; by the API's specification it has no record until then."""
+    """Return the error for an activation without a result.
+
+    The status is 404, because in the API's specification an activation has no record before its result.
+    """
     return ApiError(HTTPStatus.NOT_FOUND, IN_FLIGHT_MESSAGE, RETRY_SOON_HEADERS)
 
 
--- a/kelptrail/net/pool.py
+++ b/kelptrail/net/pool.py
@@ -1,7 +1,7 @@
-"""A connection pool for one worker: limited in size, LIFO reuse, closing of idle connections, a connect timeout.
+"""A connection pool for one address: a limit on its size, LIFO reuse, closing of idle connections, a connect timeout.
 
-A `Call` is one request to the worker.  It ends exactly once.  Its `CallOutcome` reports what was observed on the
-socket, in particular whether anything had been written; the caller decides what that means for the attempt.
+A `Call` is one request to the server.  It ends exactly once.  Its `CallOutcome` reports what was observed on the
+socket, in particular whether anything had been written; the caller decides what that means for its request.
 """
 
 from __future__ import annotations
@@ -26,8 +26,9 @@
 
     ANSWERED = "answered"  # a complete response was read
     UNREACHABLE = "unreachable"  # no connection was established, so nothing was written
-    UNSENT = "unsent"  # cancelled before anything was written
-    BROKEN = "broken"  # the connection failed after writing began, or the response was malformed
+    UNSENT = "unsent"  # cancelled before anything was written, or no connection became free in time
+    # The connection failed after writing began, the response was malformed, or no socket could be created.
+    BROKEN = "broken"
     CANCELLED = "given-up"  # cancelled by the caller after writing began
 
 
@@ -61,7 +62,7 @@
     _resumed: asyncio.Future[None] | None
 
     def pause(self) -> None:
-        """Stop reading the response, so that TCP flow control blocks the worker."""
+        """Stop reading the response, so that TCP flow control blocks the server."""
         self._paused = True
 
     def resume(self) -> None:
@@ -91,7 +92,7 @@
 
 
 class _PooledConnection:
-    """One open connection, its parser and its read buffer."""
+    """One open connection, its parser and its read buffer; `idle_since` is a time of the loop's clock, in seconds."""
 
     __slots__ = ("buffer", "idle_since", "reader", "transport")
 
@@ -101,7 +102,7 @@
 
 
 class WorkerPool:
-    """The connections to one address, at most `max_connections`.  Times are milliseconds."""
+    """The connections to one address, at most `max_connections`.  Parameters that end in `_ms` are in milliseconds."""
 
     def __init__(
         self,
@@ -179,7 +180,7 @@
             call._finish(outcome, response)
 
     async def _exchange(self, connection: _PooledConnection, call: Call) -> Response | None:
-        """Send a call's request and return its response, None if the worker closed the connection too early."""
+        """Send a call's request and return its response, None if the server closed the connection too early."""
         await connection.transport.sendall(call.data)
         receive, feed, buffer = connection.transport.recv_into, connection.reader.feed, connection.buffer
         connection.reader.on_chunk = call.on_chunk
@@ -230,7 +231,7 @@
             async with asyncio.timeout(self._connect_ms / 1000):
                 await self._loop.sock_connect(sock, self._endpoint)
                 transport = Transport(self._loop, sock)
-                if self._tls is not None:  # a worker without a valid certificate counts as unreachable
+                if self._tls is not None:  # a server without a valid certificate counts as unreachable
                     transport = secure = TlsTransport(self._loop, sock, self._tls(), False, self._endpoint[0])
                     await secure.handshake(self._connect_ms)
         except BaseException as cause:
@@ -246,8 +247,9 @@
     def _is_reusable(self, connection: _PooledConnection) -> bool:
         """Return whether an idle connection is still open with nothing to read.
 
-        Guards against an attempt on a connection that the worker has closed: its failure would not prove that the
-        attempt never ran.  Unexpected data is a second answer to the previous attempt.
+        Guards against sending a request on a connection that the server has closed: the failed call would not prove
+        that the request never ran.  Unexpected data may be a second response to the previous request, so such a
+        connection is not reused, either.
         """
         state = connection.transport.probe_idle()
         self.unexpected_data += state is IdleState.UNEXPECTED_DATA
--- a/kelptrail/vrrp/tracking.py
+++ b/kelptrail/vrrp/tracking.py
@@ -1,4 +1,6 @@
-"""Priority according to an instance's own health: connections to workers, its front, its journal; free of I/O.
+"""Priority according to the health of an instance; free of I/O.
+
+The tracked items are whether the instance reaches workers, accepts connections of clients and can write its journal.
 
 Each tracked item has a weight that is subtracted from the priority while the item has failed.  An item has failed once
 it has been unhealthy for `fall_ms`, and has recovered once it has been healthy for `rise_ms`.  To keep an item that
