--- a/kelptrail/net/connection.py
+++ b/kelptrail/net/connection.py
@@ -3,7 +3,7 @@
 Writes of one iteration of the event loop are sent in one call.  Each write is a `PendingWrite` that records whether the
 socket accepted its first and its last byte.  So the caller can determine later which writes cannot have reached the
 peer, and can cancel a write of which nothing was sent.  A deferred write is rendered only when it is sent, because its
-bytes contain the remaining time.
+bytes contain the time that remains for the request.
 """
 
 from __future__ import annotations
@@ -23,9 +23,11 @@
 MAX_BATCH_BYTES = 65_536
 # Number of full buffers read without waiting in between, so that an end of stream behind many bytes is detected soon.
 MAX_CONSECUTIVE_READS = 32
-MAX_DISCARDED_BYTES = 1 << 18  # input discarded after `close_gracefully`; a reset would destroy unread answers
+# Limit on the input that is read and discarded after `close_gracefully`; a close with unread input would reset the
+# connection, which destroys answers that the peer has not read.
+MAX_DISCARDED_BYTES = 1 << 18
 RETRY_MS = 5.0  # pause after a transient failure of a send or receive
-CONNECT_RETRY_MS, MAX_CONNECT_RETRY_MS = 10.0, 80.0
+CONNECT_RETRY_MS, MAX_CONNECT_RETRY_MS = 10.0, 80.0  # first and longest pause between two connects
 
 
 class PendingWrite:
@@ -65,16 +67,16 @@
 
     @property
     def complete(self) -> bool:
-        """Whether no bytes of it remain to be sent."""
+        """Whether no rendered bytes remain to be sent."""
         return self._sent_bytes == len(self._data)
 
 
 class Connection:
     """One open connection.
 
-    `on_data` receives bytes as they arrive.  `on_end` is called once, when the peer closed the connection or it failed,
-    and not after `close`.  Over `max_pending_bytes` unsent bytes the connection is closed, because its peer does not
-    read.
+    `on_data` receives bytes as they arrive.  `on_end` is called once, when the connection ends otherwise than by
+    `close`: the peer closed it, it failed, or it exceeded a limit.  With more than `max_pending_bytes` unsent bytes the
+    connection is closed, because its peer does not read.
     """
 
     __slots__ = (
@@ -153,9 +155,9 @@
         return write
 
     def cancel_unsent(self, write: PendingWrite) -> bool:
-        """Cancel a write.
+        """Cancel a write, and return whether this call cancelled it.
 
-        Return False once its first byte was sent: the peer then needs the rest to parse what follows.
+        Once its first byte was sent, a write cannot be cancelled: the peer needs the rest to parse what follows.
         """
         if write.started or write.cancelled:
             return False
@@ -187,7 +189,7 @@
         self._pending.clear()
         if self._retry_timer is not None:
             self._retry_timer.cancel()
-        # Breaks the reference cycle with the user, which otherwise remains until the garbage collector runs.
+        # Breaks the reference cycle with the owner, which otherwise remains until the garbage collector runs.
         self._on_data = self._on_end = _ignore
         if self._close_timer is not None:
             self._close_timer.cancel()
@@ -199,9 +201,9 @@
 
     def _on_lost(self) -> None:
         if not self.closed:
-            ended = self._on_end
+            on_end = self._on_end
             self.close()
-            ended()
+            on_end()
 
     async def _read(self) -> None:
         buffer = bytearray(READ_BUFFER_BYTES)
@@ -246,7 +248,7 @@
                 await asyncio.sleep(RETRY_MS / 1000)
 
     def _flush(self) -> None:
-        """Send as many pending writes as the socket accepts; wait until it is writable for the rest."""
+        """Send as many pending writes as the socket accepts, and the rest once it is writable again."""
         self._retry_timer = None
         while self._pending and not self.closed:
             batch = self._render_batch()
@@ -283,13 +285,13 @@
                 break
         return batch
 
-    def _record_sent(self, writes: int, count: int) -> None:
-        """Account for `count` bytes that the socket accepted of the first `writes` pending writes."""
-        if count:
+    def _record_sent(self, write_count: int, byte_count: int) -> None:
+        """Account for `byte_count` bytes that the socket accepted of the first `write_count` pending writes."""
+        if byte_count:
             self.last_write_progress = self._loop.time()
-        for _ in range(writes):
+        for _ in range(write_count):
             write = self._pending[0]
-            count = write.consume(count)
+            byte_count = write.consume(byte_count)
             if not write.complete:
                 return
             self._pending.popleft()
@@ -314,7 +316,7 @@
 
 
 def _ignore(*_: object) -> None:
-    """Do nothing: replaces the user's callbacks once the connection is closed."""
+    """Do nothing: replaces the owner's callbacks once the connection is closed."""
 
 
 async def connect(loop: asyncio.AbstractEventLoop, address: tuple[str, int], within_ms: float) -> socket.socket:
--- a/kelptrail/net/grpc_client.py
+++ b/kelptrail/net/grpc_client.py
@@ -1,7 +1,7 @@
 """gRPC calls over one HTTP/2 connection to an address, based on the h2 library; reconnects as needed.
 
-A call ends exactly once: with the status that the server sent, or without a status if it was cancelled, timed out or
-lost its connection.  `written` records whether the server may have read anything of it.
+A call ends exactly once: with the status that the server sent, or without a status if it was cancelled, was reset,
+timed out or lost its connection.  `written` records whether the server may have read anything of it.
 """
 
 from __future__ import annotations
--- a/kelptrail/net/grpc_connection.py
+++ b/kelptrail/net/grpc_connection.py
@@ -248,7 +248,7 @@
         if not stream.headers_sent:  # the Trailers-Only form of a gRPC response
             trailers = [(b":status", b"200"), (b"content-type", b"application/grpc"), *trailers]
         self._h2.send_headers(stream.id, trailers, end_stream=True)
-        if not stream.client_ended:  # RFC 9113 section 8.1: ask the client not to send the rest of the request
+        if not stream.client_ended:  # RFC 9113 section 8.1: the client need not send the rest of the request
             self._send_reset(stream.id, ErrorCodes.NO_ERROR)
 
     def _remove_stream(self, stream: GrpcStream) -> None:
--- a/kelptrail/net/grpc_server.py
+++ b/kelptrail/net/grpc_server.py
@@ -76,7 +76,7 @@
 
     @property
     def connections(self) -> int:
-        """Number of open connections."""
+        """Number of open connections, without those in a TLS handshake."""
         return len(self._connections)
 
     def listen(self, host: str, port: int, reuse_port: bool = False, backlog: int = 1024) -> int:
--- a/kelptrail/net/grpc_stream.py
+++ b/kelptrail/net/grpc_stream.py
@@ -51,7 +51,7 @@
         self.trailers: list[tuple[bytes, bytes]] | None = None
         self.headers_sent = self.awaits_writable = False
         self.ended = False  # a status was given, or the client has disconnected
-        self.client_ended = False
+        self.client_ended = False  # the client has closed its side of the stream
         self.request_complete = False  # all messages were received, so the limit on the read time no longer applies
         self.opened_at, self.blocked_since = now, None
         self.deadline: float | None = None
@@ -60,7 +60,7 @@
         self.on_client_gone: Callable[[], None] = ignore
         self.on_writable: Callable[[], None] = ignore
 
-    blocked_since: float | None
+    blocked_since: float | None  # time since which its messages could not be sent, in ms; None if they can
 
     @property
     def peer(self) -> str:
@@ -74,7 +74,7 @@
 
     @property
     def can_write(self) -> bool:
-        """Whether to send more now.  After False, `on_writable` is called once a slow client has read enough."""
+        """Whether more may be sent now.  If not, `on_writable` is called once a slow client has read enough."""
         if self.unsent_bytes < self._connection.server.limits.stream_bytes:
             return True
         self.awaits_writable = True
--- a/kelptrail/net/guard.py
+++ b/kelptrail/net/guard.py
@@ -14,10 +14,10 @@
 class GuardAction(Enum):
     """Kinds of frame that are counted."""
 
-    RESET = "reset"
+    RESET = "reset"  # stream resets
     PING = "ping"
     SETTINGS = "settings"
-    EMPTY = "empty"
+    EMPTY = "empty"  # DATA frames without data
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
     def advance_stage(self, now: float, streams: int, delivery_ms: float) -> CloseStage | None:
         """Enter the next stage if it is due, and return it, else None.
 
-        `delivery_ms` is the time for a GOAWAY to reach the client.
+        `streams` is the number of open streams, `delivery_ms` the time for a GOAWAY to reach the client.
         """
         if self.stage is CloseStage.OPEN and now >= self._expires_at:
             self.start_closing(now)
--- a/kelptrail/net/http_client.py
+++ b/kelptrail/net/http_client.py
@@ -19,7 +19,11 @@
 
     def __init__(self, address: str, max_response_bytes: int = 1 << 26) -> None:
         host, _, port = address.rpartition(":")
-        self.address, self._endpoint, self._max_body_bytes = address, (host.strip("[]"), int(port)), max_response_bytes
+        self.address, self._endpoint, self._max_response_bytes = (
+            address,
+            (host.strip("[]"), int(port)),
+            max_response_bytes,
+        )
         self._loop = asyncio.get_running_loop()
         self._sock: socket.socket | None = None
         self._reader = ResponseReader(max_response_bytes)
@@ -32,7 +36,7 @@
         timeout_ms: float = 5000.0,
         headers: dict[str, str] | None = None,
     ) -> Response:
-        """Send one request and return its response; reconnect first if the peer has closed the connection."""
+        """Send one request and return its response; reconnect first if the old connection cannot be reused."""
         data = encode_request(method, target, self.address, b"" if body is None else msgspec.json.encode(body), headers)
         async with asyncio.timeout(timeout_ms / 1000):
             try:
@@ -64,7 +68,7 @@
         sock = socket.socket(socket.AF_INET6 if ":" in self._endpoint[0] else socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._sock, self._reader = sock, ResponseReader(self._max_body_bytes)
+        self._sock, self._reader = sock, ResponseReader(self._max_response_bytes)
         await self._loop.sock_connect(sock, self._endpoint)
 
     async def _exchange(self, data: bytes) -> Response:
--- a/kelptrail/net/http_connection.py
+++ b/kelptrail/net/http_connection.py
@@ -36,9 +36,9 @@
         self._exchanges: deque[Exchange] = deque()
         self._out = bytearray()
         self._output_ready: asyncio.Future[None] | None = None  # set while the writer waits for output
-        self._input_resumed: asyncio.Future[None] | None = None  # set while the reader waits for its limits
+        self._input_resumed: asyncio.Future[None] | None = None  # set while a limit pauses the reader
         self._close_when_written = False
-        self.closing = False  # no further requests are read
+        self.closing = False  # when True, no further requests are read
         self._client_half_closed = self._timed_out = False
         self.unwritten_bytes = 0  # bytes of replies not written to the socket yet
         self.reading_since: float | None = None  # start of the incomplete request
@@ -173,7 +173,10 @@
             self.reading_since = self._server.loop.time() if self._reader.partial else None
 
     async def _on_client_half_closed(self) -> None:
-        """Serve the requests in flight of a client that shut down its sending side, as long as it reads."""
+        """Serve the requests in flight of a client that shut down its sending side, as long as it reads.
+
+        An HTTP/1.0 client counts as disconnected, as no interim response may be sent to it (RFC 9110 section 15.2).
+        """
         self._client_half_closed = True
         self.reading_since = None
         if self._reader.partial:
--- a/kelptrail/net/http_exchange.py
+++ b/kelptrail/net/http_exchange.py
@@ -15,7 +15,7 @@
 
 
 class Exchange:
-    """One request and its reply, which holds its place in the connection's order of replies."""
+    """One request and its reply; the connection sends replies in the order of their requests."""
 
     __slots__ = (
         "_awaits_writable",
@@ -31,7 +31,7 @@
 
     def __init__(self, connection: HttpConnection, request: Request | None) -> None:
         self._connection, self.request = connection, request
-        self.data: bytes | None = None
+        self.data: bytes | None = None  # bytes of the reply to be sent; None until there is a reply
         self.client_gone = self.keep_alive = self.streaming = self._awaits_writable = False
         self.on_client_gone: Callable[[], None] | None = None
         self.on_writable: Callable[[], None] | None = None
@@ -114,7 +114,7 @@
 
     @property
     def can_write(self) -> bool:
-        """Whether to send more now.  After False, `on_writable` is called once a slow client has read enough."""
+        """Whether more may be sent now.  If not, `on_writable` is called once a slow client has read enough."""
         if self._connection.unwritten_bytes < MAX_UNWRITTEN_BYTES:
             return True
         self._awaits_writable = True
--- a/kelptrail/net/listener.py
+++ b/kelptrail/net/listener.py
@@ -1,8 +1,8 @@
 """Accepts connections: listening sockets, a rate limit on new connections, and cheap rejections.
 
 `ConnectPace` decides and does no I/O; `Listener` holds the listening sockets.  It accepts in the loop's callback for a
-readable socket, not with `await sock_accept`: if that is cancelled after the client has left the kernel's accept queue,
-the client is lost: while an address is being released, it would see a reset.
+readable socket, not with `await sock_accept`.  If that call were cancelled after it had taken a client from the
+kernel's accept queue, the client would be lost: while an address is released, it would get a reset.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 ACCEPT_BATCH = 256  # clients accepted in one iteration of the event loop
 NO_CAPACITY_RETRY_MS = 20.0  # pause before `has_capacity` is checked again
-FAILURE_PAUSE_MS, MAX_FAILURE_PAUSE_MS = 5.0, 100.0  # pause after a failed accept
+FAILURE_PAUSE_MS, MAX_FAILURE_PAUSE_MS = 5.0, 100.0  # first and longest pause after a failed accept
 FAILURES_BEFORE_BACKOFF = 20  # consecutive failed accepts, after which each pause is twice the previous one
 # A rejected connection stays open for LINGER_MS: a reset would destroy the response before the client reads it.
 LINGER_MS, MAX_LINGERING = 300.0, 2048
@@ -29,8 +29,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PaceSettings:
-    """A token bucket of new connections: `burst` at once, `per_s` each second (0: no limit).  A client over the limit
-    gets its own time to retry, at most `max_delay_ms` away.
+    """Settings of a token bucket of new connections: `burst` at once, `per_s` each second (0: no limit).
+
+    A client over the limit gets its own time to retry, at most `max_delay_ms` later.
     """
 
     burst: float = 1000.0
@@ -46,8 +47,10 @@
 
 
 class ConnectPace:
-    """Limits the rate of new connections.  Guards against a reconnect storm after an outage: handshakes and first
-    requests of thousands of clients would delay the calls in flight.  Times are milliseconds.
+    """Limits the rate of new connections.  Times are in milliseconds.
+
+    Guards against a reconnect storm after an outage, in which the handshakes and first requests of thousands of clients
+    would delay the calls in flight.
     """
 
     def __init__(self, settings: PaceSettings, seed: int) -> None:
@@ -67,6 +70,7 @@
             return None
         # Retry times are assigned at half the rate: the other half is for clients that were never rejected.
         self._reserved_until = min(max(self._reserved_until, now) + 2000 / settings.per_s, now + settings.max_delay_ms)
+        # A random factor from 0.75 to 1 spreads the retry times.
         self._draws += 1
         spread = 0.75 + 0.25 * crc32(f"{self._seed} door {self._draws}".encode()) / 2**32
         return max(50.0, (self._reserved_until - now) * spread)
@@ -148,8 +152,8 @@
     def reject(self, client: socket.socket, response: bytes) -> None:
         """Send `response`, if any, and close the connection.
 
-        With a response, the close is delayed by LINGER_MS to avoid a reset.  Over MAX_LINGERING delayed closes, the
-        oldest is done at once.
+        With a response, the close is delayed by LINGER_MS to avoid a reset.  If more than MAX_LINGERING connections
+        wait for their close, the oldest is closed at once.
         """
         with contextlib.suppress(OSError):
             if response:
@@ -175,7 +179,10 @@
 
     @staticmethod
     def _accept_next(sock: socket.socket) -> AcceptedClient | None:
-        """Return the next client in the accept queue, or None.  Raises `OSError` if none can be accepted."""
+        """Return the next client in the accept queue, or None if there is none.  Raises `OSError` if accepts fail.
+
+        Failures that concern only the client being accepted are skipped, at most ACCEPT_BATCH at a time.
+        """
         for _ in range(ACCEPT_BATCH):
             try:
                 client, address = sock.accept()
--- a/kelptrail/net/server.py
+++ b/kelptrail/net/server.py
@@ -34,7 +34,7 @@
     connections: int = 10_000
     header_bytes: int = 16_384
     body_bytes: int = 1_048_576
-    pipelined: int = 32
+    pipelined: int = 32  # requests in flight on one connection
     read_ms: float = 10_000.0
     write_ms: float = 30_000.0
     idle_ms: float = 75_000.0
@@ -55,7 +55,7 @@
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self._tls, self._identify = tls, identify or (lambda _certificate: "")
-        self._handshakes_in_progress = 0  # TLS handshakes
+        self._handshakes_in_progress = 0  # number of TLS handshakes
         self._handshakes: set[asyncio.Task[None]] = set()
         self.limits = limits or Limits()
         self.handle = handler
@@ -105,7 +105,7 @@
 
     @property
     def connections(self) -> int:
-        """Number of open connections."""
+        """Number of open connections, without those in a TLS handshake."""
         return len(self._connections)
 
     @property
