--- a/kelptrail/codec/feed.py
+++ b/kelptrail/codec/feed.py
@@ -78,11 +78,19 @@
         return EndpointEvent(number, kind == SNAPSHOT, None if kind == UNCHANGED else list(self._records(payload)))
 
     def _records(self, payload: bytes) -> Iterator[EndpointRecord]:
-        for id_, address, port, state, zone, kind, cell, weight, started in _RECORD.iter_unpack(payload):
-            if state > TERMINATED or zone >= self._zones or kind >= self._kinds or not (weight or state):
+        for id_, address, port, state, zone, kind, cell, capacity_thousandths, started in _RECORD.iter_unpack(payload):
+            if state > TERMINATED or zone >= self._zones or kind >= self._kinds or not (capacity_thousandths or state):
                 raise FeedError("a record has a value out of range")
             yield EndpointRecord(
-                f"s-{id_:08x}", ".".join(map(str, address)), port, state, zone, kind, cell, weight / 1000, started
+                f"s-{id_:08x}",
+                ".".join(map(str, address)),
+                port,
+                state,
+                zone,
+                kind,
+                cell,
+                capacity_thousandths / 1000,
+                started,
             )
 
 
--- a/kelptrail/codec/frames.py
+++ b/kelptrail/codec/frames.py
@@ -53,7 +53,9 @@
         length = int.from_bytes(buffer[:4], "big")
         if length < 5:
             raise FrameError(f"invalid frame length {length}")
-        if length > self._max_length:
+        if (
+            length > self._max_length
+        ):  # the error names the stream, so its id is awaited unless the length is far too great
             if len(buffer) < 9:
                 return None if length <= 16 * MAX_BODY_BYTES else self._too_long(length, 0)
             return self._too_long(length, int.from_bytes(buffer[5:9], "big"))
@@ -104,8 +106,12 @@
 
 
 def encode_answer(stream: int, code: int, body: bytes = b"", retry_after_ms: int = 0) -> bytes:
-    """Encode the answer to a request.  `retry_after_ms` is how long the client should wait before a retry (0: none)."""
+    """Encode the answer to a request.
+
+    `retry_after_ms` is how long the client should wait before a retry (0: not given); its field is named `later`.
+    """
     fields = encode_fields({"later": str(retry_after_ms)}) if retry_after_ms else b"\0"
+    # The length counts the type (1), the stream id (4), the status code (1), the fields and the body.
     return _HEAD.pack(6 + len(fields) + len(body), ANSWER, stream) + bytes((code,)) + fields + body
 
 
--- a/kelptrail/codec/http.py
+++ b/kelptrail/codec/http.py
@@ -75,7 +75,7 @@
         self._parser = httptools.HttpRequestParser(self)
         self._completed: list[Request] = []
         self._error: HttpError | None = None
-        self._closed = False
+        self._closed = False  # the last request of the connection was read
         self.partial = False  # whether the start of a request was read but not its end
         self.wants_continue = False
         self._reset()
@@ -126,7 +126,7 @@
             self._body += body
 
     def on_message_complete(self) -> None:
-        """Store the complete request for the next return of `feed`."""
+        """Store the complete request, which `feed` returns."""
         self.partial = self.wants_continue = False
         if self._error is not None:
             return
@@ -220,7 +220,7 @@
             self._body += body
 
     def on_message_complete(self) -> None:
-        """Store the complete response for the next return of `feed`; skip interim responses."""
+        """Store the complete response, which `feed` returns; skip interim responses."""
         status = self._parser.get_status_code()
         if status < 200:  # an interim response, RFC 9110 section 15.2
             return
--- a/kelptrail/codec/infer.py
+++ b/kelptrail/codec/infer.py
@@ -1,10 +1,9 @@
 """The Open Inference Protocol v2 over HTTP with the model repository extension, as workers implement it.
 
-The parameters of a request are sent as one BYTES tensor that holds a JSON object, its idempotency key as the `id`.  A
+The parameters of a request are sent as one BYTES tensor that holds a JSON object; the `id` is the idempotency key.  A
 worker proves that an attempt never ran with the header `never-ran` (`full` or `miss`) on its rejection; a rejection
 without the header proves nothing.  Load is reported in the ORCA header `endpoint-load-metrics` in its TEXT form.  Its
-metrics `found` and `company` report whether an instance was loaded, and how many other requests of the model the worker
-had.
+metric `found` reports whether an instance was loaded, `company` how many other requests of the model the worker had.
 """
 
 from __future__ import annotations
@@ -79,11 +78,11 @@
 
 
 _encode = msgspec.json.Encoder().encode
-_request = msgspec.json.Decoder(InferRequest).decode
-_response = msgspec.json.Decoder(InferResponse).decode
-_load = msgspec.json.Decoder(LoadRequest).decode
-_payload = msgspec.json.Decoder(Payload).decode
-_loaded = msgspec.json.Decoder(LoadResponse).decode
+_decode_request = msgspec.json.Decoder(InferRequest).decode
+_decode_response = msgspec.json.Decoder(InferResponse).decode
+_decode_load_request = msgspec.json.Decoder(LoadRequest).decode
+_decode_payload = msgspec.json.Decoder(Payload).decode
+_decode_load_response = msgspec.json.Decoder(LoadResponse).decode
 
 
 def infer_request(
@@ -98,7 +97,7 @@
     """Encode the request of one attempt.  Parameters of the caller are included but never override `parameters`."""
     body: InferRequest | TensorsRequest
     if form == "tensors":
-        tensors = _payload(payload)
+        tensors = _decode_payload(payload)
         body = TensorsRequest(request_id, tensors.inputs, tensors.parameters | parameters, tensors.outputs)
     else:
         body = InferRequest(request_id, [Tensor("params", "BYTES", [1], [payload.decode()])], parameters)
@@ -115,7 +114,7 @@
 def read_infer(body: bytes) -> ParsedInfer:
     """Parse the body of an attempt.  Raises `MalformedError`."""
     try:
-        request = _request(body)
+        request = _decode_request(body)
         if request.parameters.get("form") == "tensors":
             for tensor in request.inputs:
                 tensor_values(tensor)
@@ -144,7 +143,8 @@
 class WorkerAnswer:
     """Content of a worker's response to an attempt.
 
-    `instance_loaded` is None if it was not reported.  `report` is the load report, by metric name.
+    `instance_loaded` is None if it was not reported.  `other_requests` is the reported number of other requests of the
+    model at the worker, at most 30.  `report` is the load report, by metric name.
     """
 
     kind: str  # "completed", "error", "full" or "miss"
@@ -168,7 +168,7 @@
 def read_part(data: bytes, request_id: str, form: str = "json") -> ResultPart:
     """Parse one response body.  Raises `MalformedError`, also if its `id` is not `request_id`."""
     try:
-        body = _response(data)
+        body = _decode_response(data)
         if body.id != request_id:  # an answer to another request proves nothing about this attempt
             raise MalformedError("an answer to another call")
         if form == "tensors":
@@ -218,7 +218,7 @@
 
 
 def load_request(host: str, model: str, copies: int, dispatcher: str) -> bytes:
-    """Encode a load order, which requests to keep `copies` instances of the model loaded."""
+    """Encode a load order, which requests a worker to keep `copies` instances of the model loaded."""
     body = _encode(LoadRequest({"copies": copies, "dispatcher": dispatcher}))
     return encode_request("POST", f"/v2/repository/models/{quote(model, safe='')}/load", host, body)
 
@@ -233,7 +233,7 @@
 def read_load(body: bytes) -> LoadOrderBody:
     """Parse the body of a load order.  Raises `MalformedError`."""
     try:
-        request = _load(body or b"{}")
+        request = _decode_load_request(body or b"{}")
     except (msgspec.MsgspecError, UnicodeDecodeError) as cause:
         raise MalformedError(str(cause)) from None
     copies = request.parameters.get("copies", 1)
@@ -252,7 +252,7 @@
 def read_loaded(response: Response) -> LoadResult:
     """Parse the response to a load order."""
     try:
-        body = _loaded(response.body)
+        body = _decode_load_response(response.body)
     except (msgspec.MsgspecError, UnicodeDecodeError):
         return LoadResult("error", 0)
     kind = {200: "completed", 503: "full"}.get(response.status, "error")
