--- a/kelptrail/codec/frames.py
+++ b/kelptrail/codec/frames.py
@@ -53,9 +53,8 @@
         length = int.from_bytes(buffer[:4], "big")
         if length < 5:
             raise FrameError(f"invalid frame length {length}")
-        if (
-            length > self._max_length
-        ):  # the error names the stream, so its id is awaited unless the length is far too great
+        # The error names the stream, so the id of the stream is awaited unless the length is far too great.
+        if length > self._max_length:
             if len(buffer) < 9:
                 return None if length <= 16 * MAX_BODY_BYTES else self._too_long(length, 0)
             return self._too_long(length, int.from_bytes(buffer[5:9], "big"))
--- a/kelptrail/gateway/admission.py
+++ b/kelptrail/gateway/admission.py
@@ -108,18 +108,18 @@
         return record
 
     def _new_request(self, now: float, record: Record, has_key: bool) -> Request:
-        # Requests that arrive together would all have to be answered at the same moment.  Writing the answers takes
-        # time, so each deadline is earlier by the time that the answers to the requests in flight take.
-        margin_ms = self._state.margin_ms
-        load_margin_ms = margin_ms + self._state.answer_ms * len(self._state.invocations)
-        margin = min(MAX_MARGIN_SHARE * record.timeout_ms, load_margin_ms)
+        # Requests that arrive together would have to be answered at the same moment, but their answers are written one
+        # after another.  So each deadline is earlier by the time that writing the answers in flight takes.
+        min_margin_ms = self._state.margin_ms
+        load_margin_ms = min_margin_ms + self._state.answer_ms * len(self._state.invocations)
+        limited_load_margin_ms = min(MAX_MARGIN_SHARE * record.timeout_ms, load_margin_ms)
         return Request(
             record.id,
             self._parts.request_classes[record.request_class],
             self._parts.function(record.path),
             self._parts.tenants[record.namespace],
             now,
-            now + record.timeout_ms - max(margin_ms, margin),
+            now + record.timeout_ms - max(min_margin_ms, limited_load_margin_ms),
             has_idempotency_key=has_key,
         )
 
--- a/kelptrail/gateway/attempts.py
+++ b/kelptrail/gateway/attempts.py
@@ -26,7 +26,7 @@
         self._state, self._durability, self._completion = state, durability, completion
 
     def start(self, now: float, attempt: Attempt) -> StartAttempt | None:
-        """Start an attempt, or hold it until its may-run entry is durable and this dispatcher is the primary.
+        """Start an attempt, or hold it until its may-run entry is durable and this dispatcher is the journal's primary.
 
         Return the effect to carry out, or None for an attempt that is held.
         """
--- a/kelptrail/gateway/build.py
+++ b/kelptrail/gateway/build.py
@@ -16,7 +16,8 @@
 from kelptrail.dispatch.timer_queue import TimerQueue
 from kelptrail.settings.deployment import Deployment, DispatcherSettings, RuleSettings, TypeSettings
 
-# Two long polls of the endpoint source, which holds each for 2 s: a poll without an answer after this time is lost.
+# Time after which a change of the endpoint list counts as notified: two long polls, which the endpoint source holds for
+# 2 s each.  A poll without an answer after this time is lost.
 LIST_NOTIFICATION_MS = 4_000.0
 
 
@@ -66,7 +67,7 @@
         )
         self.dispatcher = Dispatcher(parts, DispatcherOptions(settings.can_cancel, settings.max_retry_after_ms))
         self._functions: dict[str, Function] = {}
-        self.paths = {action.model: path for path, action in deployment.actions.items()}
+        self.paths = {action.model: path for path, action in deployment.actions.items()}  # action paths by model
 
     def function(self, path: str) -> Function:
         """Return the function of an action; it is created at the first call."""
--- a/kelptrail/gateway/completion.py
+++ b/kelptrail/gateway/completion.py
@@ -1,4 +1,4 @@
-"""Gives a request its one final answer: counts it, ends its record, and publishes or first journals the answer."""
+"""Gives a request its one final answer: counts it, ends its record, and publishes the answer or journals it first."""
 
 from __future__ import annotations
 
--- a/kelptrail/gateway/connection_health.py
+++ b/kelptrail/gateway/connection_health.py
@@ -1,7 +1,7 @@
 """Checks whether this dispatcher can reach workers, according to how its attempts end; free of I/O.
 
-Its connections are healthy if any recent attempt reached a worker.  Without a recent result nothing is known: the host
-may then open a connection itself and report the result.
+The connections are healthy if any recent attempt reached a worker.  Without a recent result their health is unknown;
+the host may then open a connection itself and report the result.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 
 
 class ConnectionHealth:
-    """Tracks whether any worker can be reached; `span_ms` is how long a result is valid, in ms."""
+    """Tracks whether any worker can be reached; `span_ms` is how long a result is valid."""
 
     def __init__(self, span_ms: float = 1000.0) -> None:
         self._span_ms = span_ms
-        self._reached = self._failed = float("-inf")
+        self._reached_at = self._failed_at = float("-inf")  # times of the last successful and failed result
 
     def on_attempt_finished(self, now: float, outcome: AttemptStatus) -> None:
         """Record the result of an attempt or a load order."""
         if outcome in REACHED:
-            self._reached = now
+            self._reached_at = now
         elif outcome in NOT_REACHED:
-            self._failed = now
+            self._failed_at = now
 
     def on_connect_result(self, now: float, reached: bool) -> None:
         """Record whether the host could open a connection itself."""
         if reached:
-            self._reached = now
+            self._reached_at = now
         else:
-            self._failed = now
+            self._failed_at = now
 
     def is_healthy(self, now: float) -> bool | None:
         """Return whether workers can be reached, or None without a recent result."""
-        if now - self._reached <= self._span_ms:
+        if now - self._reached_at <= self._span_ms:
             return True
-        return False if now - self._failed <= self._span_ms else None
+        return False if now - self._failed_at <= self._span_ms else None
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -2,8 +2,9 @@
 
 Inputs (`submit`, `on_attempt_finished`, `on_load_report`, `on_client_gone`, `on_endpoints`) update the state and notify
 the dispatcher; the host then calls `next_effect(now)` until it returns None, and carries out each effect.  Each request
-gets one `FinalAnswer`.  The core decides nothing itself: `kelptrail.dispatch` decides on attempts, load orders and
-rejections.  All times are in milliseconds of the caller's clock; `wall` is wall time.
+gets one `FinalAnswer`.  Apart from admission, the core decides nothing itself: `kelptrail.dispatch` decides on
+attempts, load orders and the rejection of accepted requests.  All times are in milliseconds of the caller's clock;
+`wall` is wall time.
 """
 
 from __future__ import annotations
@@ -44,7 +45,7 @@
 
 CLIENT_GONE = b'{"error":"The client went away before the answer."}'
 COLD_COUNT_INTERVAL_MS = 1000.0  # interval at which recently started (cold) workers are counted
-NEVER_MS = -1e18
+LONG_AGO_MS = -1e18  # before any time of the caller's clock
 
 
 class Gateway:
@@ -68,7 +69,7 @@
         self.readiness = WorkerReadiness(self._dispatcher)
         self.records.on_drop = self._on_record_dropped
         self._slow_start_ms = parts.deployment.rules.slow_start_ms
-        self._next_tick_at = self._next_cold_count_at = NEVER_MS
+        self._next_tick_at = self._next_cold_count_at = LONG_AGO_MS
 
     @property
     def in_flight(self) -> int:
@@ -245,7 +246,10 @@
             self.overload.signals.cold_share = sum(cold) / len(cold) if cold else 0.0
 
     def _on_expired(self, now: float, request: Request) -> None:
-        """Cancel the attempts of a request whose time is up, and show its answer even if that is not durable yet."""
+        """Cancel the attempts of a request whose time is up.
+
+        The answer to a blocking request is then published even if it is not durable yet.
+        """
         invocation = self.state.invocations.get(request)
         if invocation is not None and invocation.expires_at > now:  # a part of its stream has arrived since
             self.state.deadlines.add(invocation.expires_at, request)
--- a/kelptrail/gateway/counters.py
+++ b/kelptrail/gateway/counters.py
@@ -15,13 +15,13 @@
     They are sent as an array, so the order of the fields is fixed.
     """
 
-    received: int = 0
-    completed: int = 0
-    rejected: int = 0
+    received: int = 0  # requests
+    completed: int = 0  # completed attempts
+    rejected: int = 0  # requests
     not_loaded: int = 0  # attempts whose worker had no instance
-    late: int = 0  # requests completed after their latency objective
+    late: int = 0  # attempts completed after the latency objective of their request
     queue_depth: int = 0  # requests in the queue at the time of the report
-    work_ms: float = 0.0  # sum of the times from an attempt's start to its answer
+    work_ms: float = 0.0  # sum of the times from start to answer of completed attempts
 
     def plus(self, later: FunctionCounters) -> FunctionCounters:
         """Return the sum of both; the queue depth is that of `later`."""
@@ -46,6 +46,6 @@
     failed: int = 0
     attempts: int = 0
     load_orders: int = 0
-    repeat_attempts: int = 0  # retries and hedges, started although an earlier attempt may have run
+    repeat_attempts: int = 0  # retries and hedges started although an earlier attempt may have run
     useful_repeats: int = 0  # repeat attempts that returned the final answer; the others were wasted work
     attempt_statuses: dict[AttemptStatus, int] = field(default_factory=dict)
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -19,11 +19,11 @@
 from .invocation import Invocation
 from .worker_calls import WorkerCalls
 
-LATE_MS = 50.0  # a longer delay of the timer, or of a run of effects, is logged as a sign of an overloaded loop
-MAX_ANSWER_MS = 2.0  # bound of the cost counted for one answer, so that a stall of the loop is not counted
+LATE_MS = 50.0  # a timer that fires later, or effects that take longer, are logged as signs of an overloaded loop
+MAX_ANSWER_MS = 2.0  # largest cost counted for one answer; a longer time is a stall of the loop
 SOCKET_WRITE_FACTOR = 2  # the later write of an answer to its socket takes about as long again
 ANSWER_COST_WEIGHT = 0.02  # weight of one measurement in the average cost of an answer
-TIMER_TOLERANCE_MS = 0.01
+TIMER_TOLERANCE_MS = 0.01  # smaller differences do not move the timer to an earlier time
 SWEEP_INTERVAL_MS = 1000.0  # interval at which idle worker connections are closed
 DRAIN_POLL_S = 0.005
 
@@ -73,8 +73,8 @@
     def schedule_decisions(self, after: Callable[[], None] | None = None) -> None:
         """Schedule `run_effects` for when the loop has processed all ready events; `after` is called afterwards.
 
-        Otherwise the dispatcher would decide again for each of a hundred answers that arrived together, which costs
-        most under overload.
+        Without the delay, the dispatcher would decide again after each of a hundred answers that arrived together,
+        which costs most under overload.
         """
         if after is not None:
             self._after_effects.append(after)
--- a/kelptrail/gateway/durability.py
+++ b/kelptrail/gateway/durability.py
@@ -1,7 +1,7 @@
 """Writes the journal entries that a request needs before its next step, and publishes durable final answers.
 
-A request is journaled if it must survive a restart: a deferred one, or one with an idempotency key.  Its entries are
-written to the local journal or, where there is one, to a replicated journal.
+A request is journaled if it must survive a restart: a deferred one, or one with an idempotency key.  The entries of a
+deferred request are written to a replicated journal if the dispatcher uses one, all others to the local journal.
 """
 
 from __future__ import annotations
@@ -51,7 +51,8 @@
     def __init__(self, state: GatewayState, journal: GroupCommit | None) -> None:
         self._state = state
         self.journal = journal  # the local journal, on this dispatcher's disk only
-        self.replicated_journal: Callable[[], ReplicatedJournal | None] | None = None  # returns that of new requests
+        # Returns the replicated journal for new requests.
+        self.replicated_journal: Callable[[], ReplicatedJournal | None] | None = None
         self.on_step: Callable[[str], None] = lambda _step: None  # called at each durability step, for crash tests
         self.on_forget: Callable[[str], None] | None = None  # called with the id of a dropped record
         self.under_replicated: deque[Invocation] = deque()  # requests whose record is on too few replicas
@@ -61,7 +62,10 @@
     # Choice of the journal.
 
     def choose_journal(self, record: Record, deferred: bool, has_key: bool) -> bool:
-        """Return whether a new request is journaled; its record gets the replicated journal, if one is used."""
+        """Choose the journal of a new request, and return whether it is journaled.
+
+        A record that goes to a replicated journal refers to it in `replicated_journal`.
+        """
         if deferred and self.replicated_journal is not None:
             journal = self.replicated_journal()
             journaled = journal is not None and journal.is_accepting()
--- a/kelptrail/gateway/effects.py
+++ b/kelptrail/gateway/effects.py
@@ -15,7 +15,7 @@
 
     CANCELLED = "revoked"  # the dispatcher cancelled the attempt
     SILENT = "silent"  # the request's time is up, or a stream has stalled
-    LOAD_TIMEOUT = "order-time"  # a load order was not answered in time
+    LOAD_TIMEOUT = "order-time"  # a load order or a probe was not answered in time
     MALFORMED = "malformed"  # the worker's stream violated the protocol
 
 
--- a/kelptrail/gateway/lifecycle.py
+++ b/kelptrail/gateway/lifecycle.py
@@ -1,9 +1,9 @@
 """The lifecycle of one request, and which journal entries must be durable before each step; free of I/O.
 
-As in the ready loop of a replicated log, an event may request entries (`next_entry`), which the caller writes to a
-journal; the caller then reports the result of each write (`on_written`).  Exactly three steps wait for a durable entry:
-the acknowledgement of a deferred request (`durable_result`), the first byte of an attempt whose repetition could double
-an effect (`start_attempt`), and the final answer of a deferred request (`publish`).  A step out of order raises
+An event may request entries (`next_entry`).  The caller writes them to a journal and reports the result of each write
+(`on_written`), as the ready loop of a replicated log does.  Exactly three steps wait for a durable entry: the
+acknowledgement of a deferred request (`durable_result`), the first byte of an attempt whose repetition could double an
+effect (`start_attempt`), and the final answer of a deferred request (`publish`).  A step out of order raises
 `IllegalStepError`.
 """
 
--- a/kelptrail/gateway/overload.py
+++ b/kelptrail/gateway/overload.py
@@ -7,10 +7,11 @@
 rejected or late while another tenant is over its own.
 
 In a storm each rejected client gets its own retry-after time, so that all retries together match the capacity left
-beyond first tries; a client that returns earlier is rejected on arrival, at no cost, and gets a longer one.  For a
-tenant over its quota, retries are admitted from a budget that follows the completed requests, those with the highest
-priority weight first, and after first tries.  All other requests go on to the dispatcher: a burst that it can serve is
-not damped.
+beyond first tries; a client that returns earlier is rejected on arrival, at no cost, and gets a longer one.  While
+other tenants are degraded, only a share of the requests of tenants over their quota is admitted.  In a storm, their
+retries also need a budget: each completed request adds one retry, each of their admitted first tries takes one, and a
+retry with a lower priority weight needs a larger budget.  All other requests go on to the dispatcher: a burst that it
+can serve is not damped.
 """
 
 from __future__ import annotations
--- a/kelptrail/gateway/overload_settings.py
+++ b/kelptrail/gateway/overload_settings.py
@@ -28,11 +28,12 @@
     window_ms: float = 250.0
     min_samples: int = 20  # a window with fewer requests, connections or answers gives no sign of a storm
     high_share: float = 0.35  # share of retries, or strength of the alarm, from which a storm is suspected
-    surge_factor: float = 1.3  # rejections count as a sign above this multiple of the usual request rate
-    low_share: float = 0.15  # share of retries up to which a storm ends
-    min_stage_windows: int = 4  # number of windows that a stage lasts at least
+    surge_factor: float = 1.3  # multiple of the usual request rate above which rejections count as a sign of a storm
+    low_share: float = 0.15  # share of retries at or below which a storm ends
+    # Number of windows after which RISING and STORM may end; from RECOVERING to CALM it takes twice as many.
+    min_stage_windows: int = 4
     max_retry_after_ms: float = 12_000.0
-    min_retry_share: float = 0.1  # capacity left for retries at least, as a share of the completed requests
+    min_retry_share: float = 0.1  # smallest capacity for retries, as a share of the completed requests
     connection_surge_factor: float = 4.0  # connections raise an alarm above this multiple of the usual number
     cold_share: float = 0.3  # share of cold workers from which attempts without an instance raise an alarm
     over_quota_factor: float = 1.25  # a tenant is over its quota above this multiple of its share of the requests
--- a/kelptrail/gateway/overload_signals.py
+++ b/kelptrail/gateway/overload_signals.py
@@ -66,7 +66,10 @@
         self.alarm += SHARE_WEIGHT * (signs - self.alarm)
 
     def _early_signs(self, window: WindowCounts, calm: bool) -> float:
-        """Return a window's early signs, from 0 to 1: a surge of connections, missing instances on cold workers."""
+        """Return a window's early signs, from 0 to 1: a surge of connections, missing instances on cold workers.
+
+        In the calm stage, also update the usual number of connections.
+        """
         settings, sign, connections, usual = self._settings, 0.0, window.connections, self.baseline_connections
         surge = connections > settings.connection_surge_factor * usual
         if connections >= settings.min_samples and usual and surge:
--- a/kelptrail/gateway/records.py
+++ b/kelptrail/gateway/records.py
@@ -28,7 +28,7 @@
         """Write an entry; with `keep`, a failed write is retried.
 
         `waiter` is called with True once the entry is durable, and with False where too few replicas have an accepted
-        entry.  It is not called if another dispatcher takes over the journal before.
+        entry.  It is not called if another dispatcher takes over the journal first.
         """
 
     def forget(self, id_: str) -> None:
@@ -61,7 +61,7 @@
     # Time for which the workers still deduplicate a retry, after a rejection of a request that may have run.
     deduplicated_for_ms: float = 0.0
     attempt_count: int = 0
-    timed_out: bool = False  # failed because its timeout, or that of its stream, has passed; lost at a restart
+    timed_out: bool = False  # failed because its timeout, or that of its stream, has passed; not restored at a restart
     queued_ms: float = 0.0  # time from acceptance to the first attempt
     durable: bool = True  # the final answer is as durable as the client was promised, so that it may be shown
     key: str = ""  # the client's idempotency key
--- a/kelptrail/gateway/recovery.py
+++ b/kelptrail/gateway/recovery.py
@@ -66,7 +66,7 @@
     def __init__(self, state: GatewayState, durability: DurabilityWriter) -> None:
         self._state, self._durability = state, durability
         self._queue: ResumeQueue | None = None  # None while no recovered request waits or runs
-        self._queue_started_at = 0.0  # start of the time that requests spend in the queue
+        self._queue_started_at = 0.0  # time at which the queue was created; waiting times start there
         self._resumed_ids = set[str]()  # ids of resumed requests without a final answer
 
     def recover(
@@ -157,7 +157,10 @@
         self._state.records.restore(source.now, record)
 
     def _end(self, now: float, end: EndRequest) -> None:
-        """Give a request the final answer that recovery decided, and journal it."""
+        """Give a request the final answer that recovery decided, and journal it.
+
+        Do nothing for a request without a record or a journal.
+        """
         state = self._state
         record = state.records.get(end.entries.accepted.namespace, end.entries.accepted.id)
         if record is None or (record.replicated_journal is None and self._durability.journal is None):
--- a/kelptrail/gateway/response_stream.py
+++ b/kelptrail/gateway/response_stream.py
@@ -57,7 +57,8 @@
     def finish(self, answer: WorkerAnswer) -> AttemptEnd:
         """Return how the attempt ended, once the response is complete.
 
-        A stream without its last part counts as a lost connection; a worker that does not stream has sent one answer.
+        A stream that is malformed or has no last part counts as a lost connection.  A response that is not streamed is
+        itself the answer.
         """
         last = self._last_part
         if last is not None and not self._malformed:
--- a/kelptrail/gateway/retry_after.py
+++ b/kelptrail/gateway/retry_after.py
@@ -52,9 +52,10 @@
     def assign(self, now: float, client: str, min_ms: float, retry_capacity_per_s: float) -> float:
         """Assign a retry-after time to one client, at least `min_ms`, and return it.
 
-        It is the next slot in a queue that advances at the rate of the capacity left beyond first tries; longer, up to
-        the maximum, for a client that repeatedly returns early.  So not all clients return at the same moment, and a
-        client gains nothing by ignoring its retry-after time.
+        It is the next slot in a queue that advances at the rate at which retries can be served; a client that returns
+        early keeps its slot.  Each early retry of the client makes the time longer, up to the maximum, and a random
+        factor varies it.  So not all clients return at the same moment, and a client gains nothing by ignoring its
+        retry-after time.
         """
         self.assigned += 1
         rejected_client = self._clients.get(client)
@@ -73,7 +74,7 @@
         return wait_ms
 
     def remember(self, client: str, retry_at: float) -> None:
-        """Store a client's retry-after time; beyond the maximum number, the clients rejected first are forgotten."""
+        """Store a client's retry-after time; beyond the maximum number, the least recent ones are forgotten."""
         rejected_client = self._clients.pop(client, None)
         if rejected_client is None:
             rejected_client = RejectedClient(retry_at)
--- a/kelptrail/gateway/state.py
+++ b/kelptrail/gateway/state.py
@@ -57,7 +57,7 @@
         self.counters_by_model: dict[str, FunctionCounters] = {}  # counters since the last report to a planner
 
     def counters_of(self, path: str) -> FunctionCounters:
-        """Return the counters of an action's model."""
+        """Return the counters of the model of the action with this path."""
         model = self.parts.deployment.actions[path].model
         counters = self.counters_by_model.get(model)
         if counters is None:
--- a/kelptrail/gateway/streaming.py
+++ b/kelptrail/gateway/streaming.py
@@ -33,7 +33,7 @@
         state.effects.append(ResponsePart(invocation, data))
 
     def set_reading(self, now: float, invocation: Invocation, reading: bool) -> None:
-        """Set whether parts are read from the worker; while a slow client prevents that, the stream cannot stall."""
+        """Record whether parts are read from the worker; while a slow client prevents that, no stall limit applies."""
         request = invocation.request
         if request.streaming_attempt is None or invocation.lifecycle.final:
             return
--- a/kelptrail/gateway/tenant_quotas.py
+++ b/kelptrail/gateway/tenant_quotas.py
@@ -67,6 +67,7 @@
         """Return whether a retry that is not early is admitted; `needs_budget`: only if the budget suffices."""
         if tenant not in self.over_quota:
             return True
+        # Squared, so that a smaller share of the retries than of the first tries is admitted.
         if self._admit(self.admitted_share**2) and (not needs_budget or self._spend_budget(priority_weight)):
             return True
         self.held_back += 1
--- a/kelptrail/gateway/worker_calls.py
+++ b/kelptrail/gateway/worker_calls.py
@@ -123,7 +123,7 @@
     # Attempts.
 
     def start_attempt(self, invocation: Invocation, attempt: Attempt) -> None:
-        """Send a request to its attempt's worker."""
+        """Send a request to its attempt's worker, or end the attempt as not sent if it may no longer start."""
         journal, now = invocation.record.replicated_journal, now_ms()
         is_primary = journal is None or journal.is_primary(now)
         if not is_primary or not self._gateway.readiness.may_start(now, attempt):
@@ -161,9 +161,8 @@
             "dispatcher": self._name,
             "activation": record.id,
             "send": attempt.number,
-            "limit_ms": round(
-                attempt.request.deadline - attempt.started_at, 1
-            ),  # the worker starts within this time or not at all
+            # The worker starts the attempt within this time or not at all.
+            "limit_ms": round(attempt.request.deadline - attempt.started_at, 1),
         }
         if invocation.streamed:
             parameters["stream"] = True
