--- a/kelptrail/store/activation_journal.py
+++ b/kelptrail/store/activation_journal.py
@@ -1,7 +1,7 @@
 """The activation journal on disk: entries in an SQLite database in WAL mode, each commit synced before it returns.
 
-SQLite drops an incomplete end of the log at the next start; each row has its own checksum, because pages have none.  A
-database that cannot be read at all is renamed, never overwritten.  Only one thread at a time may use a journal.
+SQLite drops an incomplete end of the log at the next start.  Each row has its own checksum, because SQLite's pages have
+none.  A damaged database is renamed, never overwritten.  Only one thread at a time may use a journal.
 """
 
 from __future__ import annotations
@@ -48,13 +48,13 @@
             self._database.run("PRAGMA auto_vacuum=INCREMENTAL")
             page_size = self._database.run("PRAGMA page_size")[0][0]
             self._database.run(f"PRAGMA max_page_count={max(MIN_PAGES, int(max_bytes // page_size))}")
-            self._prepare(self._database.format_version(FORMAT))
+            self._create_or_migrate(self._database.format_version(FORMAT))
 
     def _transaction(self) -> contextlib.AbstractContextManager[None]:
         """Commit all statements of the block, or none of them, even after a crash."""
         return self._database.transaction(after_rollback=partial(drop_uncommitted, self.file))
 
-    def _prepare(self, version: int) -> None:
+    def _create_or_migrate(self, version: int) -> None:
         if version == 0:
             with self._transaction():
                 self._database.run(TABLE)
@@ -133,14 +133,14 @@
 
 
 class OpenedJournal(NamedTuple):
-    """A journal, and the new name of an unreadable file that was moved out of its place, if there was one."""
+    """A journal, and the new name of the damaged file that it replaces, if there was one."""
 
     journal: ActivationJournal
     set_aside: Path | None
 
 
 def open_journal(file: Path, max_bytes: float = 1e12, vfs: str | None = None) -> OpenedJournal:
-    """Open a journal; a file that cannot be read is renamed first.  Raises `JournalError`."""
+    """Open a journal; a damaged file is renamed first and replaced by an empty journal.  Raises `JournalError`."""
     try:
         journal = ActivationJournal(file, max_bytes, vfs)
         journal.clear_orphans()
--- a/kelptrail/store/database.py
+++ b/kelptrail/store/database.py
@@ -71,7 +71,7 @@
 
     @contextlib.contextmanager
     def transaction(self, after_rollback: Callable[[], object] = lambda: None) -> Iterator[None]:
-        """Commit all statements of the block, or none of them; `after_rollback` is called if the commit fails."""
+        """Commit all statements of the block, or none; call `after_rollback` if a statement or the commit fails."""
         self.run("BEGIN IMMEDIATE")
         try:
             yield
--- a/kelptrail/store/driver.py
+++ b/kelptrail/store/driver.py
@@ -14,7 +14,7 @@
 
 MAX_FORGET_BATCH = 500  # activations deleted in one transaction, for which a commit may have to wait
 MAX_STALE = 20_000  # from this number, stale activations are deleted without waiting for background work
-RETRY_POLL_S = 0.1  # interval at which a failing journal is checked for a due trial
+RETRY_POLL_S = 0.1  # interval at which a failing journal is checked for a due trial batch
 CLOSE_POLL_S = 0.005
 
 
@@ -32,7 +32,7 @@
 
 
 class JournalDriver:
-    """Writes batches as they become ready; `progress` is called after each."""
+    """Writes batches as they become ready; `progress` is called after each batch and each deletion."""
 
     def __init__(self, journal: GroupCommit, store: EntryStore, progress: Callable[[], None], log: Any) -> None:
         self.group_commit, self._store, self._progress, self._log = journal, store, progress, log
@@ -49,7 +49,7 @@
             self.start_next_batch()
 
     def compact(self) -> bool:
-        """Start to delete a batch of stale activations, as background work; return whether many remain."""
+        """Start to delete a batch of stale activations, as background work; return whether a full batch remains."""
         if self._stale and not self._busy and not self.group_commit.failing:
             self._start_forget()
         return len(self._stale) >= MAX_FORGET_BATCH
--- a/kelptrail/store/entries.py
+++ b/kelptrail/store/entries.py
@@ -38,7 +38,7 @@
     """The first attempt is about to start, at this worker: from now on the request may have run."""
 
     id: str
-    sent: float
+    sent: float  # start of the attempt
     worker: str
 
 
@@ -50,9 +50,9 @@
     answer: str
     code: int
     result: bytes
-    return_ms: float = 0.0
-    repeat_within_ms: float = 0.0
-    sends: int = 0
+    return_ms: float = 0.0  # retry-after time of a rejection
+    repeat_within_ms: float = 0.0  # time for which the workers still deduplicate a retry
+    sends: int = 0  # number of attempts
     packed: bool = False  # the result is compressed
 
 
--- a/kelptrail/store/group_commit.py
+++ b/kelptrail/store/group_commit.py
@@ -45,7 +45,7 @@
         self._writing: Batch | None = None
         self._to_retry: deque[RetriedEntry] = deque()
         self.failing = False
-        self.reason = ""
+        self.reason = ""  # reason of the failure while `failing`
         self._retry_at = 0.0
         self.commits = self.entries = self.failures = 0
 
@@ -61,9 +61,10 @@
         return not self.failing and self.waiting < self._max_waiting
 
     def write(self, entry: Entry, waiter: Waiter | None = None, keep: bool = False) -> None:
-        """Write an entry, and call `waiter` once with whether it is durable.
+        """Add an entry to the next batch, and call `waiter` once with whether it is durable.
 
-        With `keep`, a failed write is retried, and `waiter` is called only with True.
+        While writes fail, the entry is refused at once.  With `keep`, it is written again until it is durable instead,
+        and `waiter` is called only with True.
         """
         if self.failing:
             if keep:
--- a/kelptrail/store/recovery.py
+++ b/kelptrail/store/recovery.py
@@ -87,7 +87,7 @@
 
 
 def _with_earlier_origin(resume: ResumeRequest, ms: float) -> ResumeRequest:
-    """Return the same request with its remaining times counted from `ms` earlier."""
+    """Return the request with its remaining times converted to count from a time `ms` earlier."""
     window = resume.deduplicated_for_ms
     return replace(
         resume,
@@ -110,7 +110,7 @@
         return len(self._waiting)
 
     def next(self, since_ms: float) -> ResumeRequest | EndRequest | None:
-        """Return the next request to resume, or to end as its time ran out in the queue; None if there is none now.
+        """Return the next request to resume, or to end if its time ran out in the queue; None if there is none now.
 
         `since_ms` is the time since `decide_recovery` was called for the first requests.
         """
