--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -96,7 +96,7 @@
     run(main())
 
 
-def test_a_connection_with_an_unread_request_is_not_closed_to_make_room_for_others() -> None:
+def test_a_connection_with_an_unread_request_is_not_closed_for_new_connections() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo), sockets=32) as platform:
             server, loop = platform.service.client_server, asyncio.get_running_loop()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -242,7 +242,7 @@
 
 
 def test_a_transient_receive_failure_is_not_taken_for_the_end_of_a_connection() -> None:
-    """An idle connection with an unread request is not closed to make room because the check for input failed."""
+    """An idle connection with an unread request is not closed for a new one because the check for input failed."""
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
@@ -306,7 +306,7 @@
         process.wait()
 
 
-def test_an_answer_that_its_client_still_reads_is_not_truncated_to_make_room() -> None:
+def test_an_answer_that_its_client_still_reads_is_not_truncated_for_a_new_connection() -> None:
     """The connection has no open request, but its answer is not completely written."""
     body = bytes(100_000)
 
