--- a/kelptrail/vrrp/model.py
+++ b/kelptrail/vrrp/model.py
@@ -4,9 +4,11 @@
 possible step is taken: deliver, drop or duplicate an advertisement, let time pass to the next timer, crash, restart,
 pause or resume a process.  States that differ only in the time at which they are reached count as one.
 
-Two properties are checked in every state.  Exactly the Masters hold the address.  Once all faults end, exactly one
-Master remains within a given time, the one of highest priority where routers preempt, and the routers do not exchange
-advertisements endlessly without time passing.
+Checked in every state: each Master holds the address, and no other router does.
+
+Checked from every state, with all faults ended: within a given time exactly one Master remains; it has the highest
+priority, if the router of highest priority preempts; and the routers do not exchange advertisements endlessly without
+time passing.
 """
 
 from __future__ import annotations
@@ -21,12 +23,16 @@
 from .packet import Advertisement
 from .state_machine import AcquireAddress, ReleaseAddress, SendAdvertisement, State, VirtualRouter
 
-MAX_SENT_AT_ONCE = 60  # advertisements sent without time passing, once faults ended in a network of three
+# More advertisements than this without time passing count as an endless exchange; enough for three routers.
+MAX_EXCHANGED_WITHOUT_TIME = 60
 
 
 @dataclass(frozen=True, slots=True)
 class InFlight:
-    """An advertisement that is not yet delivered; `age` is the number of time steps it has been delayed."""
+    """An advertisement that is not yet delivered.
+
+    `age`: number of time steps by which it has been delayed, at most `FaultBudget.delay`.
+    """
 
     advert: Advertisement
     sender: int
@@ -36,17 +42,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultBudget:
-    """Number of faults of each kind that may still happen."""
+    """Number of faults of each kind that may still happen, and the limit on delays, which is never used up."""
 
     drops: int = 2
     duplicates: int = 1
     crashes: int = 1
     pauses: int = 1
-    delay: int = 1  # time steps by which an advertisement may be delayed
+    delay: int = 1  # largest number of time steps by which an advertisement may be delayed
 
 
 class Model:
-    """One state of the routers and of the network between them."""
+    """A single state of the model: the routers and the network between them."""
 
     __slots__ = ("alive", "budget", "holds_address", "in_flight", "now", "paused", "routers", "trail")
 
@@ -56,7 +62,7 @@
         self.holds_address = [False] * len(routers)
         self.alive = [True] * len(routers)
         self.paused = [False] * len(routers)
-        self.trail: tuple[str, ...] = ()
+        self.trail: tuple[str, ...] = ()  # names of the steps that led to this state, set by the explorer
 
     def copy(self) -> Model:
         """Return an independent copy."""
@@ -79,7 +85,7 @@
 
     def steps(self) -> Iterator[Step[Model]]:
         """Yield every step that is possible from this state."""
-        for name, after in _next_models(self):
+        for name, after in _next_states(self):
             after.apply_outputs()
             yield Step(name, partial(_identity, after))
 
@@ -144,7 +150,7 @@
 
 
 def initial_model(make_routers: RouterFactory, budget: FaultBudget) -> Model:
-    """Return the initial state: all routers started, one after the other at the same time."""
+    """Return the initial state: all routers started, in order of number, without time passing."""
     model = Model(make_routers(), budget)
     for router in model.routers:
         router.startup(model.now)
@@ -152,7 +158,7 @@
     return model
 
 
-def _next_models(model: Model) -> Iterator[tuple[str, Model]]:
+def _next_states(model: Model) -> Iterator[tuple[str, Model]]:
     """Yield the name of every possible step and the state after it."""
     for position in range(len(model.in_flight)):
         yield from _delivery_steps(model, position)
@@ -185,7 +191,8 @@
 def _time_steps(model: Model) -> Iterator[tuple[str, Model]]:
     """Yield the state after time passes to the next timer.
 
-    Yield nothing if an advertisement has already been delayed for as long as the budget allows.
+    Yield nothing if no timer runs, or if an advertisement has already been delayed for as long as the budget allows;
+    advertisements to paused routers do not count.
     """
     max_delay = model.budget.delay
     if not all(a.age < max_delay or model.paused[a.to] for a in model.in_flight):
@@ -200,7 +207,7 @@
     """Yield the states after one router's process crashes, restarts, pauses or resumes."""
     after, budget = model.copy(), model.budget
     if model.paused[number]:
-        # Unread advertisements are still in flight, so that they may be read before or after the tick.
+        # Unread advertisements stay in flight, so they are read only after this tick.
         after.paused[number] = False
         after.routers[number].tick(after.now)
         yield f"wake {number}", after
@@ -227,9 +234,10 @@
 
 
 def check_recovery(model: Model, within_ms: float) -> Model:
-    """End all faults, run for `within_ms` and check that one suitable Master remains; return the state reached.
+    """End all faults, run for `within_ms` and return the state reached.
 
-    Paused processes resume, crashed ones stay down.  Raises `PropertyError`.
+    Paused processes resume, crashed ones stay down.  Raises `PropertyError` if a state on the way violates a property,
+    or unless exactly one Master remains, which must have the highest priority if the router of that priority preempts.
     """
     model = model.copy()
     for number, paused in enumerate(model.paused):
@@ -247,14 +255,17 @@
     masters = [n for n, r in enumerate(model.routers) if model.alive[n] and r.state is State.MASTER]
     alive = [n for n in range(len(model.routers)) if model.alive[n]]
     if alive and len(masters) != 1:
-        raise PropertyError(f"{len(masters)} masters {within_ms:g} ms after the network healed")
-    best = max(alive, key=lambda n: (model.routers[n].priority, int(model.routers[n].primary)), default=None)
+        raise PropertyError(f"{len(masters)} masters {within_ms:g} ms after all faults ended")
+    highest = max(alive, key=lambda n: (model.routers[n].priority, int(model.routers[n].primary)), default=None)
     if (
-        best is not None
-        and model.routers[best].settings.preempt
-        and (model.routers[masters[0]].priority < model.routers[best].priority)
+        highest is not None
+        and model.routers[highest].settings.preempt
+        and (model.routers[masters[0]].priority < model.routers[highest].priority)
     ):
-        raise PropertyError(f"router {masters[0]} is Master, {best} has the higher priority and preempts")
+        raise PropertyError(
+            f"router {masters[0]} is Master although router {highest}, which has a higher priority and is set to "
+            "preempt, is alive"
+        )
     return model
 
 
@@ -266,7 +277,7 @@
         model.deliver(first)
         sent += model.apply_outputs()
         model.check()
-        if sent > MAX_SENT_AT_ONCE:
+        if sent > MAX_EXCHANGED_WITHOUT_TIME:
             raise PropertyError("routers exchange advertisements endlessly without time passing")
 
 
@@ -275,7 +286,7 @@
     """Size of a search, and the numbers of Masters in its states."""
 
     most_masters: int = 0  # largest number of Masters in one state
-    two_masters: int = 0  # states with more than one Master
+    two_masters: int = 0  # states with two or more Masters
     no_master: int = 0  # states without a Master
 
 
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -444,7 +444,7 @@
     ("name", "replacement", "message"),
     [
         ("_on_advertisement_as_master", never_yield, "2 masters"),
-        ("_on_advertisement_as_backup", reset_for_every_advertisement, "has the higher priority"),
+        ("_on_advertisement_as_backup", reset_for_every_advertisement, "has a higher priority and is set to preempt"),
         ("_change_state", become_master_without_acquiring, "does not hold the address"),
     ],
 )
