--- a/kelptrail/front/inference/api.py
+++ b/kelptrail/front/inference/api.py
@@ -1,9 +1,16 @@
-"""The Open Inference Protocol over gRPC as a handler of calls; the gateway executes them.
+"""Handles gRPC calls of the Open Inference Protocol; the gateway executes the inference requests.
 
 The name of a model is the path of an action.  Credentials are in the metadata (`authorization`, as in the invoke API)
-or in the client's certificate.  Request parameters that extend the protocol: `idempotency_key`, `deferred` (reply with
-the activation id instead of the answer), `poll` (the id of a deferred request, with `wait_ms`).  Response parameters
-that extend it: `activation_id`, `deferred`, `part`, `final_response`.
+or in the client's certificate.
+
+Request parameters that extend the protocol: `idempotency_key`; `deferred`: reply with the activation id instead of the
+answer; `poll`: reply with the answer to the deferred request that has this activation id; `wait_ms`: longest time that
+a poll waits for the answer.
+
+Response parameters that extend the protocol: `activation_id`; `deferred`: the request was accepted, its answer must be
+polled for; `final_response`: this response ends the answer to a streamed request.  An error of a streamed request also
+has `status` (the gRPC code), `reason` (an `ErrorReason`), the error's details and, if a retry may succeed,
+`retry_after_ms`.
 """
 
 from __future__ import annotations
@@ -132,5 +139,6 @@
         try:
             request = request_type.FromString(self._message)
         except DecodeError as cause:
+            # The message is not a valid one of this type.
             raise invalid(f"no {request_type.DESCRIPTOR.name}: {cause}") from None
         self._method.handler(self._stream, self._namespace, request)
--- a/kelptrail/service/build.py
+++ b/kelptrail/service/build.py
@@ -14,7 +14,7 @@
 
 
 def front_limits(front: FrontSettings) -> Limits:
-    """Return the limits of the HTTP front's server."""
+    """Return the limits of the invoke API's HTTP server."""
     return Limits(
         front.connections,
         front.header_bytes,
@@ -27,21 +27,23 @@
     )
 
 
-def grpc_limits(front: InferenceSettings) -> GrpcLimits:
-    """Return the limits of the gRPC front's server."""
+def grpc_limits(inference: InferenceSettings) -> GrpcLimits:
+    """Return the limits of the inference API's gRPC server."""
     return GrpcLimits(
-        front.connections,
-        front.streams,
-        front.header_bytes,
-        front.message_bytes,
-        front.max_partial_mb * 1e6,
-        front.max_unwritten_mb * 1e6,
-        front.stream_bytes,
-        front.read_ms,
-        front.write_ms,
-        front.idle_ms,
-        front.handshake_ms,
-        GuardSettings(front.flood_burst, front.flood_per_s, front.max_connection_age_ms, front.close_grace_ms),
+        inference.connections,
+        inference.streams,
+        inference.header_bytes,
+        inference.message_bytes,
+        inference.max_partial_mb * 1e6,
+        inference.max_unwritten_mb * 1e6,
+        inference.stream_bytes,
+        inference.read_ms,
+        inference.write_ms,
+        inference.idle_ms,
+        inference.handshake_ms,
+        GuardSettings(
+            inference.flood_burst, inference.flood_per_s, inference.max_connection_age_ms, inference.close_grace_ms
+        ),
     )
 
 
@@ -51,9 +53,10 @@
 
 
 def certificate_reloader(deployment: Deployment, side: str, alpn: list[str], log: Any) -> CertificateReloader | None:
-    """Return the certificate reloader of one TLS side, or None if the settings have no TLS for it.
+    """Return the certificate reloader for `side`, or None if the settings have no TLS for it.
 
-    Raises `ValueError` if its files are unusable.
+    The sides are "front" (both client APIs), "to-workers" and "runners" (the emulated workers); all but "to-workers"
+    are the server side.  Raises `ValueError` if the certificate files are unusable.
     """
     settings = deployment.tls.get(side)
     if settings is None:
--- a/kelptrail/service/planner.py
+++ b/kelptrail/service/planner.py
@@ -39,7 +39,9 @@
     stop = stop or asyncio.Event()
     stop_on_signals(stop)
     if deployment.peers is None or deployment.leases is None:
-        raise LeaseSettingsError("planners act under a lease: (peers ...) and (leases ...) are needed")
+        raise LeaseSettingsError(
+            "a planner sends plans only while it holds a lease: (peers ...) and (leases ...) are needed"
+        )
     fleet_options = FleetOptions(options.name, os.urandom(4).hex(), None, options.peer_addresses)
     fleet = Fleet(deployment, fleet_options, log)
     assert fleet.leases is not None
@@ -81,12 +83,12 @@
         fleet.on_endpoints(listing)
         planner.on_endpoints(listing)
 
-    last_list = options.state_folder / "last-list.json" if options.state_folder is not None else None
-    return EndpointClient(options.endpoint_service, "", on_endpoints, last_list, log)
+    saved_list_file = options.state_folder / "last-list.json" if options.state_folder is not None else None
+    return EndpointClient(options.endpoint_service, "", on_endpoints, saved_list_file, log)
 
 
 class PlannerControl:
-    """A planner's control port: its status, its leases, and fault injection for trials.  Responses are JSON."""
+    """A planner's control port: its status, its leases, and fault injection for tests.  Responses are JSON."""
 
     def __init__(self, fleet: Fleet, planner: PlannerDriver) -> None:
         self._fleet, self._planner = fleet, planner
@@ -103,7 +105,10 @@
         exchange.reply(200, msgspec.json.encode(self._planner.status()))
 
     def _inject_fault(self, fault: dict[str, Any]) -> None:
-        """Delay plans by `ms` and scale the expected demand by `factor`, for `for_ms`; for trials."""
+        """Inject a fault for tests.
+
+        During `for_ms`, each solution is delayed by `ms` and the measured request rates are multiplied by `factor`.
+        """
         self._planner.solve_delay_ms = float(fault.get("ms", 0.0))
         self._planner.planner.demand.error_factor = float(fault.get("factor", 1.0))
         self._loop.call_later(float(fault["for_ms"]) / 1000, self._planner.clear_faults)
