--- a/kelptrail/certificates/authority.py
+++ b/kelptrail/certificates/authority.py
@@ -25,7 +25,8 @@
 from .names import certificate_names, key_digest
 
 CERTIFICATE, KEY = "authority.pem", "authority.key"
-CLOCK_SKEW_ALLOWANCE = timedelta(minutes=5)  # certificates are valid earlier by this, as peers' clocks may be behind
+# Certificates become valid this long before they are issued, because peers' clocks may be behind.
+CLOCK_SKEW_ALLOWANCE = timedelta(minutes=5)
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.@-]{0,62}")
 
 
--- a/kelptrail/settings/cooperation.py
+++ b/kelptrail/settings/cooperation.py
@@ -18,8 +18,8 @@
 
     `embedded`: each dispatcher runs a planner in its process; `interval_ms`: time between two plans; `valid_ms`: time
     for which edges follow a plan; `scale_down_ms`: time for which demand must have been lower before a function's
-    instances are reduced; `new_instances_share`: limit of the new instances in one plan, as a share of the calls
-    expected in the next minute; `new_instances_min`: number of new instances that a plan may always add.
+    instances are reduced; `new_instances_share`: maximum number of new instances in one plan, as a share of the
+    calls expected in the next minute; `new_instances_min`: number of new instances that a plan may add in any case.
     """
 
     embedded: bool = field(metadata={"key": "within"})
--- a/kelptrail/settings/dispatching.py
+++ b/kelptrail/settings/dispatching.py
@@ -15,10 +15,10 @@
     """Limits of the dispatch rules.
 
     `drain_grace_ms`: time after the start of draining in which attempts may still reach the worker;
-    `overload_multiple`, `overload_window_ms`: a worker in slow start fails if it receives this multiple of its capacity
-    within this time; `slow_start_share`: share of its capacity that a worker has at the beginning of slow start;
-    `slow_start_ms`: length of slow start; `loads_allowed`, `free_loads`, `loads_per_request`, `load_window_ms`: the
-    load ration (`kelptrail.dispatch.safety.LoadRation`).
+    `overload_multiple`, `overload_window_ms`: a worker in slow start fails if it receives more than this multiple of
+    its capacity within this time; `slow_start_share`: share of its capacity that a worker has at the beginning of slow
+    start; `slow_start_ms`: length of slow start; `loads_allowed`, `free_loads`, `loads_per_request`, `load_window_ms`:
+    the load ration (`kelptrail.dispatch.safety.LoadRation`).
     """
 
     drain_grace_ms: float
@@ -38,8 +38,8 @@
 
     `parallel_attempts`: two attempts of one request may be in flight; `can_cancel`: attempts in flight may be
     cancelled; `answer_margin_ms`: time between the final answer and the client's timeout; `keep_alive_ms`: time for
-    which an idle instance stays loaded; `retry_budget_share`: tokens for second attempts that a completed attempt
-    earns; `retry_budget_capacity`: maximum of these tokens.
+    which an idle instance stays loaded; `retry_budget_share`: tokens that each completed attempt adds to
+    the retry budget, which pays for further attempts; `retry_budget_capacity`: maximum number of these tokens.
     """
 
     zone: str = field(metadata={"key": "hall"})
--- a/kelptrail/settings/vrrp.py
+++ b/kelptrail/settings/vrrp.py
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrackConfig:
-    """A tracked object: it lowers the priority while it fails."""
+    """A tracked object, which lowers the priority while it has failed."""
 
     name: str
     weight: int
--- a/kelptrail/vrrp/driver.py
+++ b/kelptrail/vrrp/driver.py
@@ -35,7 +35,7 @@
 
 
 def next_epoch(file: Path) -> int:
-    """Return a number larger than at any start before, and store it on disk.
+    """Return the epoch of this start, which is larger than that of every earlier start, and store it in `file`.
 
     The number is at least the wall clock in milliseconds, so that it still grows after the file was lost.  Raises
     `OSError` if it cannot be stored.
@@ -80,6 +80,7 @@
             self._sock.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_RECVHOPLIMIT, 1)
         self._sock.bind(local_address)
         self._timer: asyncio.TimerHandle | None = None
+        # Maximum time between two ticks: a quarter of the shortest advertisement interval, within 5 to 100 ms.
         self._max_wait_ms = max(5.0, min(100.0, instance.shortest_interval_ms / 4))
 
     def start(self) -> None:
@@ -101,7 +102,7 @@
         self._sock.close()
 
     def on_health(self, name: str, healthy: bool) -> None:
-        """Pass the observed health of a tracked item to the instance."""
+        """Pass the observed health of a tracked object to the instance."""
         self.instance.on_health(now_ms(), name, healthy)
         self._perform_outputs()
 
@@ -110,7 +111,7 @@
         self._perform_outputs()
 
     def _read_all(self) -> None:
-        """Read all waiting datagrams; a process resumed after a suspension must do so before it advertises."""
+        """Read all waiting datagrams; a process that was suspended must do so before it advertises."""
         while True:
             try:
                 data, extra, _, source = self._sock.recvmsg(4096, 64)
@@ -166,7 +167,10 @@
         self._timer = self._loop.call_later(wait / 1000, self._on_timer)
 
     def status(self) -> dict[str, Any]:
-        """Return the status that the control port serves as `/vrrp`."""
+        """Return the status that the control port serves as `/vrrp`.
+
+        Among its keys, `learnt_interval_ms` is Master_Adver_Interval, and `well` the last observed health.
+        """
         now, instance = now_ms(), self.instance
         return {
             "primary": str(instance.primary),
--- a/kelptrail/vrrp/instance.py
+++ b/kelptrail/vrrp/instance.py
@@ -1,7 +1,7 @@
 """All virtual routers of one instance, free of I/O.
 
 Combines packets, authentication, virtual routers and tracking.  The driver passes in datagrams with their sender and
-the health of tracked items, calls `tick` at `next_due()`, and performs `outputs`: datagrams to send, addresses to
+the health of tracked objects, calls `tick` at `next_due()`, and performs `outputs`: datagrams to send, addresses to
 acquire or release, state changes to log.  Datagrams received, sent and dropped are counted.
 """
 
@@ -56,7 +56,7 @@
         self._running = False
 
     def startup(self, now: float) -> None:
-        """Start all virtual routers, except while a failed tracked item requires the release of the address."""
+        """Start all virtual routers, except while a failed tracked object requires the release of the address."""
         self._running = True
         for router in self.routers.values():
             self._apply_tracking(now, router)
@@ -99,12 +99,12 @@
         self._collect_outputs()
 
     def on_health(self, now: float, name: str, healthy: bool) -> None:
-        """Handle the health of a tracked item, as observed at `now`."""
+        """Handle the health of a tracked object, as observed at `now`."""
         if self.tracking.on_health(now, name, healthy):
             self._apply_tracking_to_all(now)
 
     def tick(self, now: float) -> None:
-        """Fire the due timers of virtual routers and apply the hysteresis of tracked items."""
+        """Fire the due timers of virtual routers and apply the hysteresis of tracked objects."""
         changed = self.tracking.on_tick(now)
         for router in self.routers.values():
             router.tick(now)
@@ -127,7 +127,7 @@
         self._collect_outputs()
 
     def _apply_tracking(self, now: float, router: VirtualRouter) -> None:
-        """Set a virtual router's priority according to the tracked items, or shut it down if they require it."""
+        """Set a virtual router's priority according to the tracked objects, or shut it down if they require it."""
         if not self._running:
             return
         if self.tracking.released:
--- a/kelptrail/vrrp/packet.py
+++ b/kelptrail/vrrp/packet.py
@@ -143,7 +143,7 @@
     `hops` is the TTL or hop limit of the received packet, or None if the transport does not provide it.  Raises one
     of `PACKET_ERRORS`.
     """
-    _check_origin(data, hops)
+    _check_header(data, hops)
     version_and_type, vrid, priority, count, interval, _ = HEADER.unpack_from(data)
     if version_and_type & 0x0F != ADVERTISEMENT:
         raise TypeFieldError(f"type {version_and_type & 0x0F}, not 1")
@@ -162,7 +162,7 @@
     return Advertisement(vrid, priority, interval & 0x0FFF, addresses)
 
 
-def _check_origin(data: bytes, hops: int | None) -> None:
+def _check_header(data: bytes, hops: int | None) -> None:
     """Check the hop limit, the version and that the header is complete."""
     if hops is not None and hops != 255:
         raise HopsError(f"hop limit {hops}, not 255")
--- a/kelptrail/vrrp/simulation.py
+++ b/kelptrail/vrrp/simulation.py
@@ -20,7 +20,7 @@
 KEY = Key(1, b"simulated")
 PRIORITIES = (200, 150, 100)
 SETTLING_INTERVALS = 6  # advertisement intervals after which exactly one Master is expected
-TRACKING_STEP_MS = 50.0  # interval between ticks while items are tracked
+TRACKING_STEP_MS = 50.0  # interval between ticks, if there are tracked objects
 
 
 class AddressChange(Enum):
@@ -161,7 +161,7 @@
             dues = [
                 due for a, i in self.instances.items() if a not in self.paused and (due := i.next_due()) is not None
             ]
-            # Tracked items need regular ticks, because their hysteresis is applied at ticks only.
+            # Tracked objects need regular ticks, because their hysteresis is applied at ticks only.
             tracking_due = [self.now + TRACKING_STEP_MS] if self._tracks else []
             due = min([*dues, *tracking_due, *(f[0] for f in self._in_flight[:1]), end])
             self.now = max(self.now, due)
@@ -196,7 +196,7 @@
     def add_holding_times(self, network: SimulatedNetwork, since: float) -> None:
         """Add the times in which no, one or several instances held the address.
 
-        Spans that begin before `since` are left out.
+        Spans that begin before `since` are not counted.
         """
         spans = [*network.spans, HolderSpan(network.now, 0)]
         for (began, holders), (ended, _) in pairwise(spans):
@@ -250,8 +250,8 @@
     if take_over_ms is None:
         statistics.violations.append(f"{seed}: nobody took over from a {failure.value}")
         return
-    best = max(priority for address, priority in members if address != old_master)
-    bound_ms = (3 + (256 - best) / 256) * interval_ms + 2 * network.faults.delay[1]
+    next_priority = max(priority for address, priority in members if address != old_master)
+    bound_ms = (3 + (256 - next_priority) / 256) * interval_ms + 2 * network.faults.delay[1]
     statistics.take_over_times_ms.append(take_over_ms)
     statistics.worst_ratio = max(statistics.worst_ratio, take_over_ms / bound_ms)
     if failure is Failure.PAUSE:
@@ -275,7 +275,7 @@
     failed_at = network.now
     fail = {Failure.KILL: network.kill, Failure.STOP: network.stop, Failure.PAUSE: network.pause}[failure]
     fail(master)
-    network.run(4 * interval_ms + 1)
+    network.run(4 * interval_ms + 1)  # every Master_Down_Interval is shorter than four intervals
     for at, address, change in network.moves:
         if change is AddressChange.ACQUIRED and at >= failed_at and address != master:
             return at - failed_at
--- a/kelptrail/vrrp/tracking.py
+++ b/kelptrail/vrrp/tracking.py
@@ -1,9 +1,9 @@
 """Priority according to an instance's own health: connections to workers, its front, its journal; free of I/O.
 
-Each tracked item has a weight that is subtracted from the priority while the item has failed.  An item has failed once
-it has been unhealthy for `fall_ms`, and has recovered once it has been healthy for `rise_ms`.  To keep an item that
-flaps from moving the address back and forth, `rise_ms` doubles with each failure that begins soon after the last one
-ended, up to eight times the configured value.
+Each tracked object has a weight that is subtracted from the priority while the object has failed.  An object has failed
+once it has been unhealthy for `fall_ms`, and has recovered once it has been healthy for `rise_ms`.  So that an object
+that flaps does not move the address back and forth, `rise_ms` doubles with each failure that begins within four times
+the current `rise_ms` after the last one ended, up to eight times the configured value.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TrackSettings:
-    """Settings of one tracked item; times in milliseconds.
+    """Settings of one tracked object; times in milliseconds.
 
-    With `release`, the address is released while the item has failed, whatever the priority.
+    With `release`, the address is released while the object has failed, whatever the priority.
     """
 
     name: str
@@ -28,7 +28,7 @@
 
 
 class Track:
-    """The state of one tracked item."""
+    """The state of one tracked object."""
 
     def __init__(self, settings: TrackSettings) -> None:
         self.settings = settings
@@ -40,7 +40,7 @@
 
     @property
     def rise_ms(self) -> float:
-        """Time for which the item must be healthy until it has recovered, in milliseconds."""
+        """Time for which the object must be healthy until it has recovered, in milliseconds."""
         return self.settings.rise_ms * self._rise_factor
 
     def on_health(self, now: float, healthy: bool) -> bool:
@@ -64,33 +64,33 @@
 
 
 class Tracking:
-    """All tracked items of one instance."""
+    """All tracked objects of one instance."""
 
     def __init__(self, settings: list[TrackSettings]) -> None:
         self.tracks = {s.name: Track(s) for s in settings}
 
     def on_health(self, now: float, name: str, healthy: bool) -> bool:
-        """Record an observation of one item, ignoring unknown names; return True if a priority may change."""
+        """Record an observation of one object, ignoring unknown names; return True if a priority may change."""
         track = self.tracks.get(name)
         return track is not None and track.on_health(now, healthy)
 
     def on_tick(self, now: float) -> bool:
-        """Update all items to the current time; return True if a priority may change."""
-        # A list, not `any` over a generator: every item must be updated.
+        """Update all objects to the current time; return True if a priority may change."""
+        # A list, not `any` over a generator: every object must be updated.
         changed = [track.on_tick(now) for track in self.tracks.values()]
         return True in changed
 
     def priority(self, base: int) -> int:
-        """Return the base priority minus the weights of failed items, but at least 1."""
+        """Return the base priority minus the weights of failed objects, but at least 1."""
         reduction = sum(track.settings.weight for track in self.tracks.values() if track.failed)
         return max(1, base - reduction)
 
     @property
     def released(self) -> bool:
-        """Whether a failed item requires the release of the address."""
+        """Whether a failed object requires the release of the address."""
         return any(track.failed and track.settings.release for track in self.tracks.values())
 
     @property
     def failing(self) -> list[str]:
-        """Names of the failed items."""
+        """Names of the failed objects."""
         return [name for name, track in self.tracks.items() if track.failed]
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -56,7 +56,7 @@
 
 A, B, C = (ip_address(f"127.0.1.{n}") for n in (1, 2, 3))
 FRONT = (ip_address("127.0.2.1"),)
-SIX, SIX2 = ip_address("fe80::1"), ip_address("fe80::2")
+IPV6_A, IPV6_B = ip_address("fe80::1"), ip_address("fe80::2")
 
 
 def advert(priority: int = 100, interval: int = 100, vrid: int = 1) -> Advertisement:
@@ -78,7 +78,7 @@
         packet = Advertisement(
             random_source.randint(1, 255), random_source.randint(0, 255), random_source.randint(1, 4095), addresses
         )
-        endpoints = (SIX, SIX2) if ipv6 else (A, B)
+        endpoints = (IPV6_A, IPV6_B) if ipv6 else (A, B)
         assert decode(encode(packet, *endpoints, with_pseudo_header), *endpoints, 255, with_pseudo_header) == packet
 
 
@@ -86,8 +86,8 @@
     data = encode(Advertisement(7, 200, 100, (ip_address("192.0.2.1"),)), A, B)
     assert data[:6] == bytes([0x31, 7, 200, 1, 0, 100]) and data[8:] == bytes([192, 0, 2, 1]) and len(data) == 12
     assert checksum(A.packed + B.packed + struct.pack("!BBH", 0, 112, 12) + data) == 0
-    ipv6_data = encode(Advertisement(7, 200, 100, (SIX,)), SIX, SIX2)
-    assert len(ipv6_data) == 24 and checksum(pseudo_header(SIX, SIX2, 24) + ipv6_data) == 0
+    ipv6_data = encode(Advertisement(7, 200, 100, (IPV6_A,)), IPV6_A, IPV6_B)
+    assert len(ipv6_data) == 24 and checksum(pseudo_header(IPV6_A, IPV6_B, 24) + ipv6_data) == 0
 
 
 def with_checksum(data: bytes) -> bytes:
@@ -125,13 +125,13 @@
 
 @settings(derandomize=True, max_examples=600, deadline=None)
 @given(st.binary(max_size=120), st.integers(0, 255), st.booleans())
-def test_fuzzed_bytes_end_in_named_errors_only(data: bytes, at: int, six: bool) -> None:
-    ends = (SIX, SIX2) if six else (A, B)
-    valid = bytearray(encode(Advertisement(1, 100, 100, (SIX,) if six else FRONT), *ends))
+def test_fuzzed_bytes_end_in_named_errors_only(data: bytes, at: int, ipv6: bool) -> None:
+    endpoints = (IPV6_A, IPV6_B) if ipv6 else (A, B)
+    valid = bytearray(encode(Advertisement(1, 100, 100, (IPV6_A,) if ipv6 else FRONT), *endpoints))
     valid[at % len(valid)] ^= (data[0] if data else 0) or 1
     for candidate in (data, bytes(valid), bytes(valid[: at % len(valid)]), bytes(valid) + data):
         try:
-            decode(candidate, *ends)
+            decode(candidate, *endpoints)
         except PacketError as cause:
             assert type(cause) in PACKET_ERRORS
 
@@ -147,8 +147,8 @@
 )
 def test_decode_undoes_encode(vrid: int, priority: int, interval: int, addresses: list) -> None:
     packet = Advertisement(vrid, priority, interval, tuple(addresses))
-    ends = (A, B) if addresses[0].version == 4 else (SIX, SIX2)
-    assert decode(encode(packet, *ends), *ends) == packet
+    endpoints = (A, B) if addresses[0].version == 4 else (IPV6_A, IPV6_B)
+    assert decode(encode(packet, *endpoints), *endpoints) == packet
 
 
 def test_randomly_damaged_packets_and_trailers_raise_packet_errors_only() -> None:
@@ -176,20 +176,22 @@
 def test_verifier_accepts_all_its_keys_and_rejects_forged_unsigned_and_replayed_packets() -> None:
     old, new = Key(1, b"old"), Key(2, b"new")
     data = encode(advert(), A, B)
-    first, second = Signer(old, 5, A), Signer(new, 5, B)
-    both = Verifier((new, old))
-    signed = first.sign(data)
-    assert both.verify(signed, A) == data and both.verify(second.sign(data), B) == data, "both keys are accepted"
+    signer_a, signer_b = Signer(old, 5, A), Signer(new, 5, B)
+    verifier = Verifier((new, old))
+    signed = signer_a.sign(data)
+    assert verifier.verify(signed, A) == data and verifier.verify(signer_b.sign(data), B) == data, (
+        "both keys are accepted"
+    )
     for rejected, error in ((signed, ReplayError), (data, UnsealedError)):
         with pytest.raises(error):
-            both.verify(rejected, A)
+            verifier.verify(rejected, A)
     with pytest.raises(ForgedError):
-        both.verify(first.sign(data), B)  # signed by another sender
+        verifier.verify(signer_a.sign(data), B)  # signed by another sender
     with pytest.raises(UnknownKeyError):
-        Verifier((new,)).verify(first.sign(data), A)
-    both.verify(Signer(old, 6, A).sign(data), A)  # the sender restarted, so its epoch grew
+        Verifier((new,)).verify(signer_a.sign(data), A)
+    verifier.verify(Signer(old, 6, A).sign(data), A)  # the sender restarted, so its epoch grew
     with pytest.raises(ReplayError):
-        both.verify(first.sign(data), A)
+        verifier.verify(signer_a.sign(data), A)
 
 
 # The state machine.
@@ -212,7 +214,7 @@
         StateChange(1, State.INITIALIZE, State.BACKUP, "startup", 1000.0)
     ]
     assert (
-        r.skew_ms == 156 * 1000 / 256
+        r.skew_ms == 156 * 1000 / 256  # 156 is 256 minus the priority
         and r.master_down_ms == 3000 + r.skew_ms
         and r.next_due() == 1000 + r.master_down_ms
     )
@@ -345,6 +347,7 @@
     assert network.holders() == [A]
     network.instances[A].on_health(network.now, "workers", False)
     failed_at, moves_before = network.now, len(network.moves)
+    # `fall_ms`, a margin, and the Master_Down_Interval: three intervals and a Skew_Time below one interval.
     network.run(500.0 + 100 + 3 * 1000 + 1000)
     assert network.holders() == [B] and network.moves[-1].at - failed_at < 500 + 3000 + 1000
     for n in range(40):  # its connections to workers flap every 300 ms
@@ -353,14 +356,14 @@
     assert network.holders() == [B] and len(network.moves) - moves_before <= 3
 
 
-def test_a_failed_item_with_release_moves_the_address_after_the_skew_time() -> None:
+def test_a_failed_tracked_object_with_release_moves_the_address_after_the_skew_time() -> None:
     network = SimulatedNetwork(
         2, [(A, 200), (B, 150)], tracks=[TrackSettings("workers", 0, 100.0, 500.0, release=True)]
     )
     network.run(6000.0)
     network.instances[A].on_health(network.now, "workers", False)
     failed_at = network.now
-    network.run(100 + 106 * 1000 / 256 + 50)
+    network.run(100 + 106 * 1000 / 256 + 50)  # `fall_ms`, the Skew_Time of priority 150, and a margin
     assert network.holders() == [B] and network.moves[-1].at - failed_at < 600
     network.instances[A].on_health(network.now, "workers", True)
     network.run(6000.0)
