--- a/kelptrail/cli/calls.py
+++ b/kelptrail/cli/calls.py
@@ -30,6 +30,7 @@
         """The exit code for the activation's outcome; `IN_FLIGHT` if it has not ended."""
         if self.status == 429:
             return ExitCode.REJECTED
+        # A 404 with "in hand" is the invoke API's reply for an activation in flight.
         if self.status == 202 or (self.status == 404 and "in hand" in str(self.body)):
             return ExitCode.IN_FLIGHT
         if answer := self._final_answer():
--- a/kelptrail/cli/emulator.py
+++ b/kelptrail/cli/emulator.py
@@ -13,8 +13,9 @@
 from .errors import UnusableInputError
 from .options import ExampleCommand, combined, endpoint_service_option, host_option, port_option, with_stdin_option
 
-SETTLE_MARGIN_MS = 5000.0
-_GC_THRESHOLD = (50_000, 20, 1_000_000)
+SETTLE_MARGIN_MS = 5000.0  # time to wait for answers beyond the longest timeout of the request classes
+# Arguments of `gc.set_threshold`; the third one makes automatic full collections rare.
+_GC_THRESHOLDS = (50_000, 20, 1_000_000)
 
 
 @click.group()
@@ -22,6 +23,8 @@
     """Run one emulator on loopback for trials and tests: a worker, model store, endpoint service or proxy."""
 
 
+# The options and the names in captures are part of the interface; some are older than the names in the code: the hall
+# is a zone, the roster the endpoint service, the witness the side-effect log, links and relay the two proxies.
 emulator_options = combined(
     with_stdin_option,
     click.option("--capture", type=click.Path(path_type=Path), help="File that records the emulator's events."),
@@ -216,4 +219,4 @@
     """Exempt the plan, which is kept for the complete run, from garbage collection: pauses would count as latency."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*_GC_THRESHOLD)
+    gc.set_threshold(*_GC_THRESHOLDS)
--- a/kelptrail/cli/logs.py
+++ b/kelptrail/cli/logs.py
@@ -1,6 +1,7 @@
 """Structured logs on standard error: JSON lines, or readable lines on a terminal.
 
-Warnings are rate limited by event: lines beyond the limit are counted, and the next line contains their number.
+Warnings and errors are rate limited by event: lines beyond the limit in a window of time are dropped and counted, and
+the first line after the window contains their number.
 """
 
 from __future__ import annotations
@@ -24,7 +25,10 @@
         self._windows: dict[str, tuple[float, int]] = {}  # by event: start of the window, lines in it
 
     def __call__(self, _logger: Any, level: str, fields: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-        """Return the line's fields, with the number of lines dropped before.  Raises `DropEvent` beyond the limit."""
+        """Return the line's fields, with the number of lines dropped in the last window.
+
+        Raises `DropEvent` beyond the limit.
+        """
         if level not in ("warning", "error"):
             return fields
         event = str(fields.get("event"))
--- a/kelptrail/cli/operations.py
+++ b/kelptrail/cli/operations.py
@@ -27,7 +27,7 @@
 
 
 def _fetch_status(control: str, target: str) -> Any:
-    """Return the decoded response of a control address to GET.  Raises `CommandFailedError`."""
+    """Return the decoded response to GET at a control address.  Raises `CommandFailedError`."""
     from kelptrail.emulator.cluster import http_json
 
     return _run_against(control, http_json(control, "GET", target))
@@ -93,6 +93,7 @@
     if as_json:
         print_json(status)
         return
+    # In the status, a vote is the acceptor of this dispatcher, voters are acceptors, `seen` are the leases known here.
     acceptor, last_heard_ms = status["vote"], status["voters"]
     click.echo(f"{status['name']}, set of voters {status['number']}: {_acceptors_line(last_heard_ms)}")
     if acceptor is not None:
@@ -103,7 +104,7 @@
 
 
 def _acceptors_line(last_heard_ms: dict[str, float | None]) -> str:
-    """Return when each acceptor last answered, with a note if those that answered are no majority."""
+    """Return when each acceptor last answered, with a note if those that answered are not a majority."""
     parts = [f"{name} {'not heard' if ms is None else f'{ms:g} ms ago'}" for name, ms in last_heard_ms.items()]
     reached = sum(ms is not None for ms in last_heard_ms.values())
     has_majority = 2 * reached > len(last_heard_ms)
@@ -136,6 +137,7 @@
     if as_json:
         print_json(status)
         return
+    # In the status, copies are replicas, and to promise is to accept deferred calls.
     accepting = "new deferred calls are accepted" if status["promising"] else "new deferred calls are refused"
     click.echo(f"{status['name']}, {status['copies']} copies: {accepting}")
     for journal, owned in status["owned"].items():
@@ -165,7 +167,10 @@
 
 
 async def _retire(name: str, control: str, within_s: float) -> None:
-    """Request that a dispatcher retires and wait for it.  Raises `CommandFailedError` if it takes too long."""
+    """Request a dispatcher to move its journals and replicas away, and wait until it has none.
+
+    Raises `CommandFailedError` if the name is not that of the dispatcher, or if the time is over.
+    """
     from kelptrail.emulator.cluster import http_json
 
     status = await http_json(control, "GET", "/copies")
--- a/kelptrail/cli/serving.py
+++ b/kelptrail/cli/serving.py
@@ -150,7 +150,7 @@
         print_json_line(
             ready=True,
             address=f"{options.host}:{port}",
-            asked_at=control,
+            asked_at=control,  # address of the control port
             invoke=f"http://{options.host}:{port}",
             grpc=grpc,
             name=options.name,
--- a/kelptrail/cli/simulation.py
+++ b/kelptrail/cli/simulation.py
@@ -22,7 +22,7 @@
 
 @click.group()
 def simulate() -> None:
-    """Run the real cores in a cluster that is emulated in simulated time; run experiments on it."""
+    """Run scenarios and experiments in simulated time: the gateway's real code in an emulated cluster."""
 
 
 @simulate.command("play", cls=ExampleCommand, example="kelptrail simulate play examples/bad-days/kills.sexp")
--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -54,8 +54,8 @@
 
     def __init__(self, deployment: Deployment, options: DispatcherOptions, log: Any, debug: bool) -> None:
         self.deployment, self.options, self.log = deployment, options, log
-        # The prefix of an id identifies the dispatcher that issued it.  The rest is random, so that the ids of two
-        # runs never collide.
+        # `boot` begins all activation ids of this run.  Its own prefix identifies the dispatcher; the rest is random,
+        # so that the ids of two runs never collide.
         self.boot = id_prefix(options.name) + os.urandom(8).hex()[ID_PREFIX_DIGITS:]
         zone = options.zone or deployment.dispatcher.zone or deployment.zones[0]
         parts = DispatcherParts(deployment, zone, zlib.crc32(self.boot.encode()))
--- a/kelptrail/service/fleet.py
+++ b/kelptrail/service/fleet.py
@@ -73,10 +73,10 @@
         config.replicas,
         config.under_replication_policy == "promise",
         replica_timeout_ms=config.replica_timeout_ms,
-        retry_ms=min(300.0, config.replica_timeout_ms / 4),
+        retry_ms=min(300.0, config.replica_timeout_ms / 4),  # at least four retries within the timeout
         reconnect_pause_ms=2 * config.replica_timeout_ms,
         window_bytes=int(config.max_buffer_kb * 1024) // 4,
-        repair_bytes_per_ms=config.repair_kb_per_s * 1.024,
+        repair_bytes_per_ms=config.repair_kb_per_s * 1.024,  # 1024 bytes per KB, 1000 ms per s
         max_entry_bytes=int(config.max_replicated_kb * 1024),
     )
 
--- a/kelptrail/service/front_addresses.py
+++ b/kelptrail/service/front_addresses.py
@@ -23,8 +23,8 @@
 
 from .errors import StateFolderError
 
-HEALTH_INTERVAL_MS = 200.0  # between two reports of the tracked objects
-WORKERS_PROBED = 3  # per health check, while recent attempts show no result
+HEALTH_INTERVAL_MS = 200.0  # interval between health checks of the tracked objects
+MAX_WORKERS_PROBED = 3  # for each health check for which recent attempts give no result
 PROBE_TIMEOUT_S = 0.25
 EPOCH_FILE = "vrrp-epoch"
 
@@ -116,7 +116,7 @@
             self.vrrp.on_health("journal", self._journal_usable())
 
     async def _workers_reachable(self) -> bool:
-        """Return whether workers are reachable according to recent attempts; probe some if these show no result."""
+        """Return whether workers are reachable according to recent attempts, or to probes if these give no result."""
         health = self._driver.worker_calls.connection_health
         healthy = health.is_healthy(now_ms())
         if healthy is None:
@@ -134,10 +134,10 @@
         return has_capacity
 
     async def _can_reach_a_worker(self) -> bool:
-        """Return whether a connection to at least one of a few workers succeeds."""
+        """Probe up to `MAX_WORKERS_PROBED` workers in turn; return whether a connection to one of them succeeds."""
         members = self._driver.gateway.members
         addresses = [members.addresses[worker] for worker in members if worker.live]
-        for _ in range(min(WORKERS_PROBED, len(addresses))):
+        for _ in range(min(MAX_WORKERS_PROBED, len(addresses))):
             self._next_worker += 1
             if await self._can_connect(addresses[self._next_worker % len(addresses)]):
                 return True
@@ -158,7 +158,7 @@
 
 
 def _router_settings(router: RouterConfig, name: str) -> RouterSettings | None:
-    """Return the settings of a dispatcher in a virtual router, or None if it is not a member."""
+    """Return the settings of dispatcher `name` in a virtual router, or None if it is not a member."""
     member = next((member for member in router.member if member.name == name), None)
     if member is None:
         return None
@@ -180,7 +180,10 @@
 
 
 def _authentication(keys: list[KeySettings], state: Path | None, primary: Address) -> _Authentication:
-    """Sign with the first key and accept all keys.  Raises `StateFolderError` if there is no state folder."""
+    """Return a signer with the first key and a verifier that accepts all keys.
+
+    Raises `StateFolderError` if there is a key but no state folder.
+    """
     if not keys:
         return _Authentication(None, None)
     if state is None:
--- a/kelptrail/service/fronts.py
+++ b/kelptrail/service/fronts.py
@@ -39,7 +39,7 @@
 
 
 class Fronts:
-    """The HTTP and the gRPC front of a dispatcher; also creates further servers of both kinds for front addresses."""
+    """The HTTP front and the gRPC front of a dispatcher; creates further servers of either kind for front addresses."""
 
     def __init__(self, deployment: Deployment, driver: GatewayDriver, boot: str, log: Any) -> None:
         self._deployment, self._gateway, self._log = deployment, driver.gateway, log
@@ -88,7 +88,7 @@
         return f"{scheme}://{self.http.address}"
 
     def reload_certificates(self) -> None:
-        """Load certificate files that have changed; called as background work."""
+        """Load the certificate files that have changed; runs as a background job."""
         for reloader in self.reloaders.values():
             reloader.reload_if_changed()
 
--- a/kelptrail/service/garbage_collection.py
+++ b/kelptrail/service/garbage_collection.py
@@ -8,7 +8,7 @@
 
 # Arguments of `gc.set_threshold`; the third one makes automatic full collections rare.
 GC_THRESHOLDS = (50_000, 20, 1_000_000)
-MAX_POSTPONED = 10  # steps after which a full collection runs even with requests in flight
+MAX_POSTPONED = 10  # number of steps after which a full collection runs even if requests are in flight
 
 
 def freeze_startup_objects() -> None:
@@ -28,7 +28,7 @@
         self._gateway, self._max_postponed, self._postponed = gateway, max_postponed, 0
 
     def step(self) -> None:
-        """Run a full collection or postpone it; called as background work."""
+        """Run a full collection, or postpone it to a later step; runs as a background job."""
         self._postponed += 1
         if not self._gateway.in_flight or self._postponed >= self._max_postponed:
             self._postponed = 0
--- a/kelptrail/service/journal.py
+++ b/kelptrail/service/journal.py
@@ -85,8 +85,8 @@
 
 
 def min_run_ms(deployment: Deployment) -> float:
-    """Return the least time before its deadline, in ms, at which a recovered activation is still started.
+    """Return the minimum time left until its deadline, in ms, with which a recovered activation is still started.
 
-    It is twice the answer margin: one margin is the least time that an attempt and its answer take.
+    It is twice the answer margin: besides the margin itself, an attempt and its answer take at least as long again.
     """
     return 2 * deployment.dispatcher.answer_margin_ms
--- a/kelptrail/service/journal_takeover.py
+++ b/kelptrail/service/journal_takeover.py
@@ -18,10 +18,11 @@
     max_resumed: int,
     min_run_ms: float,
 ) -> None:
-    """Record new deferred calls in the replicated journal, and pass recovered activations to the gateway.
+    """Connect replication and the gateway.
 
-    `max_resumed` and `min_run_ms` are passed to `Gateway.recover`.  Without replication, no deferred call is
-    accepted.
+    The gateway then records new deferred calls in the replicated journal, and receives the activations of journals
+    that this dispatcher takes over.  `max_resumed` and `min_run_ms` are passed to `Gateway.recover`.  Without
+    replication, no deferred call is accepted.
     """
     if replication is None:
         gateway.durability.replicated_journal = lambda: None
--- a/kelptrail/service/lease_trial.py
+++ b/kelptrail/service/lease_trial.py
@@ -1,8 +1,8 @@
-"""Trial of leases that several dispatchers request at the same time, with writes under them to a side-effect log.
+"""Trial of leases: several dispatchers request the same leases, and the holders write to a side-effect log.
 
-A write checks the lease, sends its fencing token to the log, works for `WORK_MS`, checks the lease again and reports
-that it is done.  The log represents the protected resource: it rejects a write under a token older than one it has
-seen, and records the writer and time of each write.
+A write checks the lease, sends its fencing token to the log, works for `WORK_MS`, checks the lease again and, if it
+still holds it, reports to the log that it is done.  The log represents the protected resource: it rejects a write
+under a token older than one it has received, and records the writer and time of each write.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 
 
 class LeaseTrial:
-    """Writes of one dispatcher under some leases.
+    """Writes of one dispatcher under the leases that it holds.  A task is the name of a lease.
 
     After SIGUSR1 the process suspends itself (SIGSTOP) once, between the next check of a lease and the write; SIGUSR2
-    cancels that.  The trial's runner resumes the process.
+    cancels this pause.  The trial's runner resumes the process.
     """
 
     def __init__(self, leases: LeaseDriver, side_effect_log: str, tasks: tuple[str, ...], length_ms: float) -> None:
         self._leases, self._log_address, self._tasks, self._length_ms = leases, side_effect_log, tasks, length_ms
         self._pause_next = False
         self._loop = asyncio.get_running_loop()
-        self._tasks_running: dict[str, asyncio.Task[None]] = {}
+        self._write_loops: dict[str, asyncio.Task[None]] = {}
         self.writes = self.refused = 0
 
     def start(self) -> None:
@@ -50,14 +50,14 @@
 
     def stop(self) -> None:
         """Stop writing."""
-        for task in self._tasks_running.values():
+        for task in self._write_loops.values():
             task.cancel()
 
     def _on_acquired(self, task: str, token: FencingToken) -> None:
-        self._tasks_running[task] = self._loop.create_task(self._write_repeatedly(task, token))
+        self._write_loops[task] = self._loop.create_task(self._write_repeatedly(task, token))
 
     def _on_lost(self, task: str, _token: FencingToken, _reason: str) -> None:
-        self._tasks_running.pop(task).cancel()
+        self._write_loops.pop(task).cancel()
 
     async def _write_repeatedly(self, task: str, token: FencingToken) -> None:
         client = HttpClient(self._log_address)
@@ -71,6 +71,11 @@
             client.close()
 
     async def _write_once(self, client: HttpClient, task: str, token: FencingToken) -> bool:
+        """Write once; return False if the log rejected the write or its end.
+
+        A write whose lease was lost while it worked counts as accepted; its end is not reported.
+        """
+        # In the messages to the log, `looked` is the time of the lease check, `taken` whether the log accepted.
         checked_at = true_ms()
         message = {"task": task, "token": [token.round, token.client_id], "who": self._leases.name}
         if self._pause_next:
--- a/kelptrail/service/serve.py
+++ b/kelptrail/service/serve.py
@@ -24,9 +24,10 @@
 ) -> bool:
     """Run a dispatcher until SIGTERM, SIGINT or `stop`, then drain; return whether the shutdown was clean.
 
-    A shutdown is clean if every accepted request got its final answer and every connection closed in time.  `ready` is
-    called once with the HTTP port and the addresses of the control port, the gRPC front and the peer channel.  Raises
-    `OSError` if an address cannot be bound, and `ValueError` if settings and options contradict each other.
+    A shutdown is clean if in time every accepted request got its final answer, the journals were completely written
+    and every connection closed.  `ready` is called once with the HTTP port and the addresses of the control port, the
+    gRPC front and the peer channel.  Raises `OSError` if an address cannot be bound, and `ValueError` if settings and
+    options contradict each other.
     """
     stop = stop or asyncio.Event()
     stop_on_signals(stop)
--- a/kelptrail/service/shutdown.py
+++ b/kelptrail/service/shutdown.py
@@ -9,9 +9,9 @@
 
 from .dispatcher import Dispatcher
 
-POLL_S = 0.05  # between checks for deferred results that no client has fetched yet
-MIN_STORE_MS = 500.0  # time that the stores and the HTTP front get even after the drain time is over
-MIN_GRPC_MS, MAX_GRPC_MS = 100.0, 1000.0
+POLL_S = 0.05  # interval between checks for deferred results that no client has fetched yet
+MIN_STORE_MS = 500.0  # time to close each store and to drain the HTTP front, even if the drain time is over
+MIN_GRPC_MS, MAX_GRPC_MS = 100.0, 1000.0  # range of the time to drain the gRPC front
 
 
 class _Deadline:
@@ -21,7 +21,7 @@
         self._end = now_ms() + drain_ms
 
     def remaining_ms(self, at_least: float = float("-inf")) -> float:
-        """Return the rest of the drain time in ms, or `at_least` if that is longer."""
+        """Return the remaining drain time in ms, negative once it is over, or `at_least` if that is longer."""
         return max(at_least, self._end - now_ms())
 
     @property
@@ -31,7 +31,11 @@
 
 
 async def shut_down(dispatcher: Dispatcher) -> bool:
-    """Drain and stop; return whether all accepted requests got a final answer and all connections closed in time."""
+    """Drain and stop; return whether the shutdown was clean.
+
+    A shutdown is clean if in time all accepted requests got a final answer, the journals were completely written and
+    all connections closed.
+    """
     gateway, fronts = dispatcher.gateway, dispatcher.fronts
     dispatcher.log.info("draining", in_flight=gateway.in_flight, connections=fronts.http.connections)
     fronts.invoke.context.draining = fronts.inference.context.draining = True
@@ -60,7 +64,7 @@
 
 
 async def _wait_for_fetches(dispatcher: Dispatcher, deadline: _Deadline) -> None:
-    """Wait until clients have fetched their deferred results or the drain time is over.
+    """Wait until clients have fetched the deferred results of the last `drain_ms`, or the drain time is over.
 
     The front addresses are already released, so clients fetch results at this dispatcher's own address.
     """
@@ -84,7 +88,7 @@
 async def _close_fronts(dispatcher: Dispatcher, deadline: _Deadline) -> bool:
     """Close client connections; return whether all closed in time.
 
-    The HTTP front is drained only if the gRPC front was.
+    The HTTP front is drained only if the gRPC front was drained in time.
     """
     grpc_ms = max(MIN_GRPC_MS, min(MAX_GRPC_MS, deadline.remaining_ms()))
     if not await dispatcher.fronts.grpc.drain(grpc_ms):
--- a/kelptrail/service/usage.py
+++ b/kelptrail/service/usage.py
@@ -41,7 +41,10 @@
 
 
 class UsageTotal(msgspec.Struct, frozen=True, tag="total", array_like=True):
-    """Calls per second over the fleet, from the `dispatchers` that answered both this turn and an earlier one."""
+    """Calls per second over the fleet.
+
+    `dispatchers`: number of dispatchers that answered both this turn and an earlier one; only these are included.
+    """
 
     token: FencingToken
     turn: int
@@ -61,8 +64,8 @@
     def __init__(self, token: FencingToken) -> None:
         self.token, self.turn = token, 0
         self._turn_started = 0.0
-        self._earlier_answers: dict[str, _Answer] = {}  # by dispatcher: its last one before this turn
-        self._turn_answers: dict[str, _Answer] = {}
+        self._earlier_answers: dict[str, _Answer] = {}  # by dispatcher: the last answer before this turn
+        self._turn_answers: dict[str, _Answer] = {}  # by dispatcher: the answer to this turn
 
     def start_turn(self, now: float) -> UsageRequest:
         """Start a turn and return the request to send to all dispatchers."""
@@ -99,7 +102,7 @@
 
 
 class UsageView:
-    """The state of each dispatcher: the newest total and the newest fencing token seen, without I/O or clocks."""
+    """The newest total and the newest fencing token that a dispatcher has received, without I/O or clocks."""
 
     def __init__(self) -> None:
         self.token, self.total = NO_TOKEN, UsageTotal(NO_TOKEN, 0, 0, {})
@@ -157,7 +160,7 @@
         self._leases.acquire(LEASE_NAME, self._settings.lease_length_ms, self._on_lease_acquired, self._on_lease_lost)
 
     def stop(self) -> None:
-        """Stop collecting."""
+        """Stop collecting; the lease is not released here."""
         self._on_lease_lost(NO_TOKEN, "")
 
     def _on_lease_acquired(self, token: FencingToken) -> None:
