--- a/kelptrail/front/authentication.py
+++ b/kelptrail/front/authentication.py
@@ -14,7 +14,8 @@
 from kelptrail.certificates.names import certificate_names, key_digest
 from kelptrail.settings.deployment import Deployment, NamespaceSettings
 
-MAX_CACHED_HEADERS = 4096  # Valid `authorization` headers whose keys are not compared again
+# Maximum number of valid `authorization` headers in the cache, whose keys are not compared again.
+MAX_CACHED_HEADERS = 4096
 # Compared with the key of an unknown uuid, so that the check takes as long as for a known one.
 UNKNOWN_UUID_DIGEST = b"sha256:" + b"0" * 64
 
--- a/kelptrail/front/context.py
+++ b/kelptrail/front/context.py
@@ -21,7 +21,7 @@
     def __init__(self, deployment: Deployment, driver: GatewayDriver) -> None:
         self.deployment, self.driver = deployment, driver
         self.trace_ids = TraceIdSource()
-        self.activation_lookup: ActivationLookup | None = None  # None if no other dispatcher holds activations
+        self.activation_lookup: ActivationLookup | None = None  # None without replication
         self.draining = False  # While set, new requests are rejected
         self._loop = asyncio.get_running_loop()
 
--- a/kelptrail/front/inference/client_wait.py
+++ b/kelptrail/front/inference/client_wait.py
@@ -1,4 +1,4 @@
-"""Client that waits for the response to its unary inference call."""
+"""A client that waits for the response to its unary inference call."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
             self.watch_client(invocation, record.key)
 
     def poll(self, invocation: Invocation, wait_ms: float) -> None:
-        """Respond with the final answer, or with an error after `wait_ms`."""
+        """Respond with the final answer, or with an error after `wait_ms` or shortly before the client's deadline."""
         wait_ms = max(0.0, min(wait_ms, time_left_ms(self._stream) - POLL_MARGIN_MS))
         self._timer = self._context.call_later(wait_ms, partial(self._on_poll_timeout, invocation))
         self._stream.on_client_gone = partial(self._on_poll_client_disconnected, invocation)
--- a/kelptrail/front/inference/errors.py
+++ b/kelptrail/front/inference/errors.py
@@ -12,7 +12,8 @@
 
 RETRY_AFTER_MS = 1000.0
 SHOWN_RESULT_BYTES = 500  # Maximum length of a failed function's result in the status text
-# Effect of a retry if an attempt may have run, by the idempotency of the request.
+# Effect of a retry if an attempt may have run, by the idempotency of the request.  In the texts, a mark is an
+# idempotency key, and its group and time are the deduplication scope and window.
 RETRY_RISK = {
     Idempotency.IDEMPOTENT.value: "it may have run; running it again does no harm",
     Idempotency.DEDUPLICATED.value: (
--- a/kelptrail/front/inference/request_parsing.py
+++ b/kelptrail/front/inference/request_parsing.py
@@ -19,7 +19,7 @@
 IDEMPOTENCY_KEY, DEFERRED, POLL, WAIT_MS = "idempotency_key", "deferred", "poll", "wait_ms"
 OWN_PARAMETERS = (IDEMPOTENCY_KEY, DEFERRED, POLL, WAIT_MS)
 MODEL_VERSION = "1"  # Only version of each model
-MAX_PAYLOAD_GROWTH = 4  # Maximum ratio of a JSON payload to the largest message
+MAX_PAYLOAD_GROWTH = 4  # Maximum size of a JSON payload, as a multiple of the maximum message size
 SHOWN_NAME_CHARACTERS, SHOWN_VERSION_CHARACTERS = 200, 50  # Maximum lengths in error texts
 
 
@@ -103,7 +103,7 @@
 
 
 def parse_wait_ms(parameters: dict[str, Scalar]) -> float:
-    """Return the time that a poll waits for the final answer, in ms."""
+    """Return the longest time that a poll waits for the final answer, in ms."""
     wait_ms: Any = parameters.get(WAIT_MS, 0)
     if isinstance(wait_ms, bool) or not isinstance(wait_ms, int | float) or wait_ms < 0:
         raise invalid(f"parameter '{WAIT_MS}' is a number of milliseconds")
--- a/kelptrail/front/inference/stream_inference.py
+++ b/kelptrail/front/inference/stream_inference.py
@@ -1,4 +1,4 @@
-"""ModelStreamInfer: one stream carries several requests, and each is answered in parts that contain its id."""
+"""ModelStreamInfer: one stream carries several requests; each part of an answer contains the id of its request."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class OpenRequest(NamedTuple):
-    """Unanswered request of a stream."""
+    """A request of a stream that has no final answer yet."""
 
     id: str
     raw: bool  # Tensors are in raw contents, in the request and in its responses
--- a/kelptrail/front/invoke/client_wait.py
+++ b/kelptrail/front/invoke/client_wait.py
@@ -41,7 +41,7 @@
             reply_final(self._exchange, record, self._result_only, self._context.error_code())
 
     def limit_wait(self, invocation: Invocation, wait_ms: float) -> None:
-        """Reply to a blocking client with the activation id after `wait_ms`; it may then poll."""
+        """Reply to a blocking client with the activation id after `wait_ms`, unless the request times out before."""
         if wait_ms < invocation.record.timeout_ms:
             self._timer = self._context.call_later(wait_ms, partial(self._on_wait_timeout, invocation))
 
--- a/kelptrail/front/invoke/long_poll.py
+++ b/kelptrail/front/invoke/long_poll.py
@@ -1,4 +1,4 @@
-"""Poll that waits for the final answer of an activation."""
+"""A poll that waits for the final answer of an activation."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class LongPoll:
-    """Replies with a record once it has its final answer, or with an error if it has none after a time."""
+    """Replies with a record once it has its final answer, or with an error once the wait time is over."""
 
     def __init__(self, context: InvokeContext, exchange: Exchange, invocation: Invocation, view: View) -> None:
         self._context, self._exchange, self._invocation, self._view = context, exchange, invocation, view
--- a/kelptrail/front/invoke/views.py
+++ b/kelptrail/front/invoke/views.py
@@ -20,7 +20,7 @@
 
 
 def activation_annotations(record: Record) -> list[dict[str, Any]]:
-    """Return the record's annotations; the one with key `kelptrail` shows which of the three final answers it got."""
+    """Return the record's annotations; the one with key `kelptrail` contains the kind of its final answer."""
     return [
         {"key": "path", "value": f"{record.namespace}/{record.path}"},
         {"key": "kind", "value": record.request_class},
--- a/tests/program.py
+++ b/tests/program.py
@@ -321,7 +321,7 @@
 
 
 class Acceptors:
-    """Three lease acceptors, and further members that `join`, in the test's process on real connections."""
+    """Three lease acceptors in the test's process, on real connections; `join` adds further members."""
 
     def __init__(self, deployment: Deployment, state: Path) -> None:
         self.deployment, self.state, self.log, self.addresses = deployment, state, RecordingLog(), dict[str, str]()
@@ -330,7 +330,10 @@
             self.join(name, "127.0.0.1:0", self.addresses.get(name))
 
     def join(self, name: str, listen: str | None = None, at: str | None = None) -> Fleet:
-        """Start a member and record the address of its channel."""
+        """Start a member and record the address of its channel.
+
+        It listens at `at` if that is given, and else at `listen`; without either, it only connects to others.
+        """
         (self.state / name).mkdir(parents=True, exist_ok=True)
         member = Fleet(
             self.deployment,
--- a/tests/test_front_addresses.py
+++ b/tests/test_front_addresses.py
@@ -158,9 +158,9 @@
         for member in members:
             member.start()
 
-        async def wait_for_holders(*wanted: bool) -> None:
+        async def wait_for_holders(*expected: bool) -> None:
             async with asyncio.timeout(3):
-                while [s.addresses[7].held for s in members] != list(wanted):
+                while [member.addresses[7].held for member in members] != list(expected):
                     await asyncio.sleep(0.005)
 
         await wait_for_holders(True, False)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -338,12 +338,12 @@
     assert expiry.due(20 * day, 15 * day) == -5, "a warning also after the expiry"
     create_authority(tmp_path)
     log = RecordingLog()
-    late = (NOW + timedelta(days=10)).timestamp() * 1000
-    reloader = CertificateReloader(TlsFiles(tmp_path / "front.pem"), True, [], log, lambda: late)
+    ten_days_later_ms = (NOW + timedelta(days=10)).timestamp() * 1000
+    reloader = CertificateReloader(TlsFiles(tmp_path / "front.pem"), True, [], log, lambda: ten_days_later_ms)
     reloader.reload_if_changed()
     assert [event for event, _ in log.lines] == ["certificate-ends"] and reloader.status()["days_left"] < 11
     with pytest.raises(ValueError, match=r"nothing\.pem"):
-        CertificateReloader(TlsFiles(tmp_path / "nothing.pem"), True, [], log, lambda: late)
+        CertificateReloader(TlsFiles(tmp_path / "nothing.pem"), True, [], log, lambda: ten_days_later_ms)
 
 
 def test_keys_and_their_digests_are_not_logged_at_level_debug(tmp_path: Path) -> None:
