--- a/kelptrail/cli/logs.py
+++ b/kelptrail/cli/logs.py
@@ -22,7 +22,7 @@
 
     def __init__(self, max_lines: int = 20, window_ms: float = 10_000.0) -> None:
         self._max_lines, self._window_ms = max_lines, window_ms
-        self._windows: dict[str, tuple[float, int]] = {}  # by event: start of the window, lines in it
+        self._windows: dict[str, tuple[float, int]] = {}  # start of the window and number of lines in it, by event
 
     def __call__(self, _logger: Any, level: str, fields: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
         """Return the line's fields, with the number of lines dropped in the last window.
--- a/kelptrail/cli/operations.py
+++ b/kelptrail/cli/operations.py
@@ -114,7 +114,10 @@
 
 
 def _describe_lease(own: dict[str, Any] | None, reported: dict[str, Any] | None) -> str:
-    """Return the holder of a task's lease; `own` is this dispatcher's lease, `reported` the one known to acceptors."""
+    """Return the holder of a task's lease.
+
+    `own` is the queried dispatcher's lease; `reported` is the lease that this dispatcher or its acceptor has recorded.
+    """
     if own is not None:
         return f"held here under {own['token']}, {_seconds(own['left_ms'])} left"
     if reported is None:
--- a/kelptrail/front/inference/client_wait.py
+++ b/kelptrail/front/inference/client_wait.py
@@ -42,7 +42,10 @@
             self._stream.fail(error)
 
     def watch_client(self, invocation: Invocation, key: str | None) -> None:
-        """Handle a disconnect or an expired deadline of the client of a request in flight."""
+        """Watch the client of a request in flight for a disconnect and for its deadline.
+
+        A client with an idempotency key may retry, so its disconnect does not cancel the request.
+        """
         self._stream.on_client_gone = partial(self._on_client_disconnected, invocation, key)
         if self._stream.deadline is not None:
             delay_ms = max(0.0, time_left_ms(self._stream))
@@ -50,7 +53,7 @@
 
     def _on_client_disconnected(self, invocation: Invocation, key: str | None) -> None:
         self._cancel_timer()
-        if key is not None:  # The client may retry with this key for the answer
+        if key is not None:  # The client may retry with this key to get the answer
             self._context.gateway.remove_waiter(invocation.record, self.on_final)
         else:
             invocation.waiters.clear()
@@ -64,7 +67,11 @@
         self._stream.fail(deadline_exceeded(details))
 
     def join(self, record: Record, deferred: bool) -> None:
-        """Respond to a client's retry with the recorded answer, or let it wait for the activation in flight."""
+        """Respond to a client's retry.
+
+        The response is the recorded answer, or the activation id if the retry is deferred or the activation is not
+        resumed yet after a restart; otherwise the client waits for the answer.
+        """
         invocation = self._context.gateway.in_flight_of(record.id)
         if record.visible:
             self.on_final(record)
--- a/kelptrail/front/invoke/activations.py
+++ b/kelptrail/front/invoke/activations.py
@@ -76,7 +76,10 @@
         LongPoll(self._context, exchange, invocation, view).start(wait_ms)
 
     def _cancel(self, exchange: Exchange, record: Record) -> None:
-        """Cancel a request that cannot leave a partial effect: it is idempotent, or no attempt may have run."""
+        """Cancel a request that cannot leave a partial effect: it is idempotent, or no attempt may have run.
+
+        Raises `ApiError` for any other request.
+        """
         invocation = self._context.gateway.in_flight_of(record.id)
         if record.final or invocation is None:
             message = "The activation has its final answer, or is being resumed; nothing was cancelled."
--- a/kelptrail/front/invoke/invocations.py
+++ b/kelptrail/front/invoke/invocations.py
@@ -111,14 +111,18 @@
             raise ApiError(HTTPStatus.CONFLICT, f"Conflict: {cause}.") from None
 
     def _join(self, call: InvocationRequest, record: Record) -> None:
-        """Reply to a client's retry with the recorded answer, or let it wait for the activation in flight."""
+        """Reply to a client's retry.
+
+        The reply is the recorded answer, or the activation id if the retry is deferred or the activation is not resumed
+        yet after a restart; otherwise the client waits for the answer.
+        """
         gateway, target = self._context.gateway, call.target
         wait = ClientWait(self._context, call.exchange, target.result_only)
         invocation = gateway.in_flight_of(record.id)
         if record.visible:
             record.fetched = True
             wait.on_final(record)
-        elif not target.blocking or invocation is None:  # None after a restart, until the activation is resumed
+        elif not target.blocking or invocation is None:
             wait.accept(record)
         else:
             invocation.waiters.append(wait.on_final)
@@ -126,7 +130,7 @@
             wait.limit_wait(invocation, target.wait_ms)
 
     def _look_up_key(self, call: InvocationRequest, key: str) -> bool:
-        """Query the other dispatchers for the key; return False if there are none.
+        """Query the other dispatchers for the key; return False without replication, which the query needs.
 
         A dispatcher that was lost since may have accepted a deferred request under this key.
         """
--- a/kelptrail/service/front_addresses.py
+++ b/kelptrail/service/front_addresses.py
@@ -24,7 +24,7 @@
 from .errors import StateFolderError
 
 HEALTH_INTERVAL_MS = 200.0  # interval between health checks of the tracked objects
-MAX_WORKERS_PROBED = 3  # for each health check for which recent attempts give no result
+MAX_WORKERS_PROBED = 3  # limit for one health check, if recent attempts give no result
 PROBE_TIMEOUT_S = 0.25
 EPOCH_FILE = "vrrp-epoch"
 
@@ -53,7 +53,7 @@
         self._rejected_before = 0  # connections rejected by the servers up to the last check
         self._next_worker = 0
         self._task: asyncio.Task[None] | None = None
-        self.addresses: dict[int, FrontAddress] = {}  # by virtual router identifier
+        self.addresses: dict[int, FrontAddress] = {}  # front address by virtual router identifier
         routers: list[RouterSettings] = []
         for router in settings.router:
             own = _router_settings(router, name)
--- a/kelptrail/service/shutdown.py
+++ b/kelptrail/service/shutdown.py
@@ -74,7 +74,10 @@
 
 
 async def _close_stores(dispatcher: Dispatcher, deadline: _Deadline) -> bool:
-    """Close both journals (replicated and local), release the leases; return whether both were completely written."""
+    """Close the replicated and the local journal, and release the leases.
+
+    Returns whether both journals were completely written.
+    """
     written, fleet = True, dispatcher.fleet
     if fleet is not None and fleet.replication is not None:
         written = await fleet.replication.stop(deadline.remaining_ms(MIN_STORE_MS)) and written
--- a/kelptrail/service/usage.py
+++ b/kelptrail/service/usage.py
@@ -64,8 +64,8 @@
     def __init__(self, token: FencingToken) -> None:
         self.token, self.turn = token, 0
         self._turn_started = 0.0
-        self._earlier_answers: dict[str, _Answer] = {}  # by dispatcher: the last answer before this turn
-        self._turn_answers: dict[str, _Answer] = {}  # by dispatcher: the answer to this turn
+        self._earlier_answers: dict[str, _Answer] = {}  # last answer before this turn, by dispatcher
+        self._turn_answers: dict[str, _Answer] = {}  # answer to this turn, by dispatcher
 
     def start_turn(self, now: float) -> UsageRequest:
         """Start a turn and return the request to send to all dispatchers."""
--- a/kelptrail/vrrp/tracking.py
+++ b/kelptrail/vrrp/tracking.py
@@ -35,7 +35,7 @@
         self.failed = False
         self.healthy = True  # last observation
         self._healthy_changed_at = 0.0  # time from which `healthy` has had its current value, in ms
-        self._last_failure_end = float("-inf")  # in ms
+        self._last_failure_end = float("-inf")  # time of the last recovery, in ms
         self._rise_factor = 1.0
 
     @property
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -376,7 +376,7 @@
         )
         server.listen("127.0.0.1", 0)
         requests, socks, peak_bytes = encode_request("GET", "/", "x", b"") * 30, [], 0
-        for _ in range(20):  # The clients request 300 MB in total and read nothing; kernel buffers hold a part
+        for _ in range(20):  # Each requests 30 * 500 kB, 300 MB in total, and reads nothing; kernel buffers hold a part
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1024)
             sock.setblocking(False)
