--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -56,7 +56,7 @@
 
 A, B, C = (ip_address(f"127.0.1.{n}") for n in (1, 2, 3))
 FRONT = (ip_address("127.0.2.1"),)
-IPV6_A, IPV6_B = ip_address("fe80::1"), ip_address("fe80::2")
+SIX, SIX2 = ip_address("fe80::1"), ip_address("fe80::2")
 
 
 def advert(priority: int = 100, interval: int = 100, vrid: int = 1) -> Advertisement:
@@ -78,7 +78,7 @@
         packet = Advertisement(
             random_source.randint(1, 255), random_source.randint(0, 255), random_source.randint(1, 4095), addresses
         )
-        endpoints = (IPV6_A, IPV6_B) if ipv6 else (A, B)
+        endpoints = (SIX, SIX2) if ipv6 else (A, B)
         assert decode(encode(packet, *endpoints, with_pseudo_header), *endpoints, 255, with_pseudo_header) == packet
 
 
@@ -86,8 +86,8 @@
     data = encode(Advertisement(7, 200, 100, (ip_address("192.0.2.1"),)), A, B)
     assert data[:6] == bytes([0x31, 7, 200, 1, 0, 100]) and data[8:] == bytes([192, 0, 2, 1]) and len(data) == 12
     assert checksum(A.packed + B.packed + struct.pack("!BBH", 0, 112, 12) + data) == 0
-    ipv6_data = encode(Advertisement(7, 200, 100, (IPV6_A,)), IPV6_A, IPV6_B)
-    assert len(ipv6_data) == 24 and checksum(pseudo_header(IPV6_A, IPV6_B, 24) + ipv6_data) == 0
+    ipv6_data = encode(Advertisement(7, 200, 100, (SIX,)), SIX, SIX2)
+    assert len(ipv6_data) == 24 and checksum(pseudo_header(SIX, SIX2, 24) + ipv6_data) == 0
 
 
 def with_checksum(data: bytes) -> bytes:
@@ -123,15 +123,17 @@
     )
 
 
+# Hypothesis seeds a derandomized test with a digest of its source text, so a reworded body changes the examples of
+# these two tests.
 @settings(derandomize=True, max_examples=600, deadline=None)
 @given(st.binary(max_size=120), st.integers(0, 255), st.booleans())
-def test_fuzzed_bytes_end_in_named_errors_only(data: bytes, at: int, ipv6: bool) -> None:
-    endpoints = (IPV6_A, IPV6_B) if ipv6 else (A, B)
-    valid = bytearray(encode(Advertisement(1, 100, 100, (IPV6_A,) if ipv6 else FRONT), *endpoints))
+def test_fuzzed_bytes_end_in_named_errors_only(data: bytes, at: int, six: bool) -> None:
+    ends = (SIX, SIX2) if six else (A, B)
+    valid = bytearray(encode(Advertisement(1, 100, 100, (SIX,) if six else FRONT), *ends))
     valid[at % len(valid)] ^= (data[0] if data else 0) or 1
     for candidate in (data, bytes(valid), bytes(valid[: at % len(valid)]), bytes(valid) + data):
         try:
-            decode(candidate, *endpoints)
+            decode(candidate, *ends)
         except PacketError as cause:
             assert type(cause) in PACKET_ERRORS
 
@@ -147,8 +149,8 @@
 )
 def test_decode_undoes_encode(vrid: int, priority: int, interval: int, addresses: list) -> None:
     packet = Advertisement(vrid, priority, interval, tuple(addresses))
-    endpoints = (A, B) if addresses[0].version == 4 else (IPV6_A, IPV6_B)
-    assert decode(encode(packet, *endpoints), *endpoints) == packet
+    ends = (A, B) if addresses[0].version == 4 else (SIX, SIX2)
+    assert decode(encode(packet, *ends), *ends) == packet
 
 
 def test_randomly_damaged_packets_and_trailers_raise_packet_errors_only() -> None:
