--- a/kelptrail/dispatch/attempt_results.py
+++ b/kelptrail/dispatch/attempt_results.py
@@ -11,15 +11,17 @@
 from .worker_delays import WorkerDelays
 
 MIN_CONCURRENCY_LIMIT = 2.0  # a worker is always allowed two attempts at once
-# A delayed or refused attempt multiplies the concurrency limit by this factor; as many attempts in time as
-# the limit allows at once raise it by one.
+# A completed attempt that congestion delayed multiplies the concurrency limit by this factor.  So does a
+# refused one if attempts of other dispatchers were in flight.  Any other completed attempt adds 1 / limit if
+# at least about half of the limit is in use, so that as many attempts as the limit allows at once add one.
 CONCURRENCY_DECREASE = 0.9
-# The delays of a worker whose mean number of attempts in flight is higher already lower its concurrency
-# limit.
+# A delay counts as a sign of an overloaded fleet only if the worker's mean number of attempts in flight is
+# lower than this.  At busier workers the lower concurrency limit is the reaction to delays.
 MAX_IDLE_IN_FLIGHT = 0.3
 
 CONNECTION_FAILURES = (AttemptStatus.CONNECTION_LOST, AttemptStatus.UNREACHABLE)
-_RESPONSES = frozenset(
+# Statuses that show whether the worker is healthy.
+_HEALTH_STATUSES = frozenset(
     {
         *CONNECTION_FAILURES,
         AttemptStatus.COMPLETED,
@@ -34,9 +36,10 @@
     """The status of a finished attempt and the data that its response reported."""
 
     status: AttemptStatus
-    request_done: bool  # the client has its answer
+    request_done: bool  # no other attempt is needed: the request has ended, or this attempt completed it
     load_failed: bool = False  # the error came from loading the function
-    warm: bool | None = None  # whether the instance was warm; None if the response does not report it
+    # Whether an instance was loaded when the attempt arrived; None if the response does not report it.
+    warm: bool | None = None
     foreign_in_flight: int = 0  # attempts of other dispatchers for the function at the worker
     load_report: dict[str, float] | None = None
 
@@ -66,7 +69,7 @@
         self._safety.readiness.on_answer(attempt, status)
         if status in CONNECTION_FAILURES:
             self.on_connection_lost(now, worker)
-        if status in _RESPONSES:
+        if status in _HEALTH_STATUSES:
             self._observe_health(now, attempt, result)
         latency_ms = 0.0
         if status is AttemptStatus.COMPLETED:
@@ -78,7 +81,7 @@
             AttemptStatus.NOT_LOADED,
         ):
             self._instances.observe_first_use(status is AttemptStatus.COMPLETED and result.warm is not False)
-            function.searched_at = LONG_AGO
+            function.searched_at = LONG_AGO  # the next search for a worker need not wait
         if status in (AttemptStatus.COMPLETED, AttemptStatus.OUT_OF_CAPACITY):
             self._observe_congestion(now, attempt, latency_ms, result.foreign_in_flight)
         if result.request_done:
@@ -86,24 +89,25 @@
             self._lifecycle.cancel_attempts(request)
         elif request.final_status is None:
             self._lifecycle.requeue(now, request)
-        queued = [other for other in worker.instances if other.queue_depth]
-        queued.sort(key=lambda other: -other.request_class.priority_weight)
-        self._state.runnable.update(dict.fromkeys(queued))
+        queued_functions = [queued for queued in worker.instances if queued.queue_depth]
+        queued_functions.sort(key=lambda queued: -queued.request_class.priority_weight)
+        self._state.runnable.update(dict.fromkeys(queued_functions))
         self._state.runnable[function] = None
 
     def on_connection_lost(self, now: float, worker: Worker) -> None:
-        """Record that a connection to the worker was refused, or was lost with an attempt, load order or
-        probe in flight.  While the endpoint list is unreachable, the worker may since be a new process
-        without any loaded instance.
+        """Record that a connection to the worker was refused, or was lost with an attempt or probe in flight.
+        If the endpoint list may be unreachable, the worker may have restarted without a report; it then
+        counts as having no loaded instance.
         """
         if self._safety.readiness.on_connection_lost(now, worker):
             for instance in worker.instances.values():
                 instance.loaded = 0
 
     def _observe_health(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
-        """Count the response as a success or a failure of the worker.  A lost connection may be a network
-        fault and leaves the instance loaded.  Errors of a function that never ran count against the function,
-        so that calls of a function that works nowhere do not eject workers.
+        """Count the outcome as a success or a failure of the worker.  A lost connection counts as a failure,
+        although the network may be at fault.  A failed load does not, and neither does an error of a function
+        that has never run: it counts against the function, so that calls of a function that works nowhere do
+        not eject workers.
         """
         status, function, worker = result.status, attempt.instance.function, attempt.instance.worker
         connection_lost = status in CONNECTION_FAILURES
@@ -119,8 +123,8 @@
             self._state.decisions.append(LogMessage(message))
 
     def _on_completed(self, now: float, attempt: Attempt, warm: bool | None) -> float:
-        """Update latencies and the concurrency limit.  Return the latency; for a stream, the time until its
-        first part.
+        """Update latencies and the concurrency limit.  Return the latency; for a streamed response, this is
+        the time until its first part.
         """
         request, instance = attempt.request, attempt.instance
         worker = instance.worker
@@ -129,10 +133,12 @@
         latency_ms = (now if attempt.first_part_at is None else attempt.first_part_at) - attempt.started_at
         self._retry_budget.observe_latency(instance.function, worker, latency_ms)
         self._retry_budget.deposit()
-        # A cold instance is slow without congestion.  Where responses do not report whether it was warm, a
-        # high latency counts as congestion only if the worker is nearly at its limit.
-        congested = warm if warm is not None else 2 * len(worker.attempts) >= worker.concurrency_limit - 1
-        if congested and latency_ms > request.request_class.latency_objective_ms / 2:
+        # An instance that had to be loaded is slow without congestion.  If the response does not report this,
+        # a high latency counts as congestion only if at least about half of the limit is in use.
+        may_be_congested = (
+            warm if warm is not None else 2 * len(worker.attempts) >= worker.concurrency_limit - 1
+        )
+        if may_be_congested and latency_ms > request.request_class.latency_objective_ms / 2:
             worker.concurrency_limit = max(
                 MIN_CONCURRENCY_LIMIT, worker.concurrency_limit * CONCURRENCY_DECREASE
             )
@@ -141,8 +147,8 @@
         return latency_ms
 
     def _on_refused(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
-        """Record that the worker did not run the attempt.  If no other attempts of the function are in flight
-        there, the function has no loaded instance at the worker.
+        """Record that the worker did not run the attempt.  If no attempts of other dispatchers for the
+        function are in flight there, the function has no loaded instance at the worker.
         """
         instance, worker = attempt.instance, attempt.instance.worker
         worker.concurrency_limit = max(
@@ -158,19 +164,20 @@
     def _observe_congestion(
         self, now: float, attempt: Attempt, latency_ms: float, foreign_in_flight: int
     ) -> None:
-        """Update the estimated load that other dispatchers put on the worker, from a completed or refused
-        attempt.
+        """Update the share of admitted requests and the estimated load from other dispatchers, after a
+        completed or refused attempt.
         """
         instance, worker = attempt.instance, attempt.instance.worker
         refused = attempt.status is AttemptStatus.OUT_OF_CAPACITY
         if worker.mean_in_flight < MAX_IDLE_IN_FLIGHT:
             late = latency_ms > attempt.request.request_class.latency_objective_ms
-            delayed = refused or late
-            self._worker_delays.observe(now, worker, delayed)
-            # One worker that rejects everything does not mean that the fleet is overloaded: others may be
-            # idle.
-            if not delayed or not self._worker_delays.is_outlier(now, worker):
-                self._queues.observe_worker_delay(instance.function, delayed)
+            shows_overload = refused or late
+            self._worker_delays.observe(now, worker, shows_overload)
+            # One worker that delays or refuses many attempts does not mean that the fleet is overloaded:
+            # others may be idle.
+            if not shows_overload or not self._worker_delays.is_outlier(now, worker):
+                self._queues.observe_worker_delay(instance.function, shows_overload)
+        # A refusal counts as if attempts of other dispatchers filled the concurrency limit.
         self._placement.observe_foreign_load(
             now, instance, max(foreign_in_flight, worker.concurrency_limit * refused)
         )
--- a/kelptrail/dispatch/dispatcher.py
+++ b/kelptrail/dispatch/dispatcher.py
@@ -110,7 +110,7 @@
         self._loads.on_load_report(now, order, status, loaded_count)
 
     def on_initial_list(self, now: float) -> None:
-        """Record that the endpoints came from a configuration or a file, so that their age is unknown."""
+        """Record that the endpoint list was read from a configuration or a file; its age is unknown."""
         self.parts.safety.readiness.on_initial_list(now)
 
     def on_list_confirmed(self, now: float) -> None:
@@ -131,7 +131,7 @@
     def on_probe_finished(
         self, now: float, probe: ReadinessProbe, status: AttemptStatus, loaded_count: int = 0
     ) -> None:
-        """Record the result of a readiness probe; a load query found `loaded_count` instances."""
+        """Record the result of a readiness probe; a load query reports `loaded_count` loaded instances."""
         if status in CONNECTION_FAILURES:
             self._results.on_connection_lost(now, probe.question.instance.worker)
         self.questions.on_probe_finished(now, probe, status, loaded_count)
--- a/kelptrail/dispatch/entities.py
+++ b/kelptrail/dispatch/entities.py
@@ -91,7 +91,7 @@
     late_value_share: float = 0.0
     # The workers that share deduplication: "all", or those of a "zone" or "cell".
     deduplication_scope: str = "all"
-    deduplication_window_ms: float = 0.0  # time within which they drop a repeated request
+    deduplication_window_ms: float = 0.0  # time within which these workers drop a repeated request
     hedged: bool = False  # a second attempt may start while the first takes unusually long
 
 
@@ -141,17 +141,19 @@
     outlier_state_by_class: dict[RequestClass, OutlierState] = field(
         default_factory=lambda: defaultdict(OutlierState)
     )
-    # Until then the worker counts as without capacity for another instance.
+    # Time until which the worker counts as having no capacity for another instance.
     out_of_capacity_until: float = 0.0
     foreign_in_flight: float = 0.0  # number of attempts of other dispatchers, moving average
     foreign_observed_at: float = 0.0
     suspect: bool = False  # an attempt at the worker is overdue
-    relative_latency: float = 1.0  # latency divided by the usual latency, moving average
-    # Send time of the latest item whose answer proved that the worker does not drain.
+    relative_latency: float = 1.0  # latency divided by the function's mean latency, moving average
+    # Send time of the latest item whose answer proved that the worker was not draining.
     ready_proven_at: float = LONG_AGO
     readiness_question: ReadinessQuestion | None = None  # the latest question, while it is in flight
-    next_question_at: float = 0.0  # no readiness question before this time, after one that proved nothing
-    # Since this time the worker may be a new process that the endpoint list has not reported.
+    # Earliest time of the next readiness question; set after a question that did not prove readiness.
+    next_question_at: float = 0.0
+    # Time of the latest lost connection after which the worker may have restarted unreported by the endpoint
+    # list.
     assumed_started_at: float | None = None
 
     @property
@@ -191,13 +193,13 @@
     queued_since: float | None = None
     ranked_workers: list[Worker] | None = None  # the worker list that `preferred_workers` was computed from
     preferred_workers: list[Worker] = field(default_factory=list)  # workers in order of preference
-    searched_at: float = LONG_AGO  # time of the last search for a worker for another instance
+    searched_at: float = LONG_AGO  # time of the last search for a worker that can load another instance
     last_request_at: float = 0.0
     mean_latency_ms: float = 0.0  # moving average of the latency of an attempt
     latency_deviation_ms: float = 0.0
     planned: bool = False  # the current plan places its instances
     has_loaded: bool = False  # a worker has run the function, or reported a loaded instance
-    failed_loads: int = 0  # loads that failed before the first instance was loaded
+    failed_loads: int = 0  # loads and attempts that failed before the function was ever loaded
 
     @property
     def queue_depth(self) -> int:
@@ -223,7 +225,7 @@
     trial_attempt: Attempt | None = None
     in_flight: int = 0
     last_used_at: float = 0.0  # last start or completion of an attempt
-    idle_since: float = 0.0  # earliest time since which the worker may count the instance as idle
+    idle_since: float = 0.0  # earliest time from which the worker may count the instance as idle
     unavailable_until: float = 0.0
     not_loaded_at: float = LONG_AGO  # time at which an attempt last found no loaded instance
     planned_count: int = 0  # number of instances that the current plan places at the worker
@@ -263,8 +265,8 @@
     cancelled: bool = False
     overdue: bool = False  # in flight for an unusually long time
     first_part_at: float | None = None  # arrival time of the first part of a streamed response
-    # Latest time to send the first byte: the deduplication window ends, and the slow-start budget counts the
-    # attempt from its decision on.
+    # Latest time to send the first byte.  For a retry the deduplication window limits it.  For a worker in
+    # slow start the maximum delivery time limits it, as the budget counts the attempt from its decision on.
     latest_start: float = NEVER
     write_started_at: float | None = None  # time just before the first byte was sent
 
@@ -278,12 +280,13 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class LoadOrder:
-    """An order to keep at least `count` instances loaded at a worker; 0 only queries how many are loaded."""
+    """An order to keep at least `count` instances loaded at a worker."""
 
     instance: Instance
     count: int
     placed_at: float
-    # Latest time to send the first byte, as the load ration counts the order from its decision on.
+    # Latest time to send the first byte.  It is limited because the load ration counts the order from its
+    # decision on.
     latest_start: float = NEVER
     write_started_at: float | None = None  # time just before the first byte was sent
 
@@ -306,7 +309,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class ReadinessQuestion:
-    """A query whether a worker accepts new work, which starts none.  Its probes are sent together."""
+    """A query whether a worker accepts new work.  It starts no work; its probes are sent together."""
 
     instance: Instance  # the queried worker, and the function that needs it
     asked_at: float
--- a/kelptrail/dispatch/instance_table.py
+++ b/kelptrail/dispatch/instance_table.py
@@ -30,8 +30,8 @@
         self._timers = timers
         self._keep_alive_ms, self._idle_limit_ms = keep_alive_ms, idle_limit_ms
         self._loads_on_demand = loads_on_demand
-        # Share of instances that were already loaded, or loaded on demand, at their first use; moving
-        # average.
+        # Moving average of the share of instances that were already loaded, or loaded on demand, at their
+        # first use.  The initial value exceeds `TRIAL_RATIO` of `queue_service` only with loads on demand.
         self.shared_ratio = 0.5 + loads_on_demand
 
     def observe_first_use(self, was_loaded: bool) -> None:
@@ -51,7 +51,9 @@
         instance.loaded, instance.idle_since = count, now
 
     def needs_renewal(self, now: float, instance: Instance) -> bool:
-        """Return whether to renew the instance now; remove an instance past its keep-alive time."""
+        """Return whether to renew the instance now, and set the timer for the next check.  An instance past
+        its keep-alive time counts as not loaded, and is removed if nothing uses it.
+        """
         if instance.function.instances.get(instance.worker) is not instance:
             return False
         if instance.in_flight:
--- a/kelptrail/dispatch/load_results.py
+++ b/kelptrail/dispatch/load_results.py
@@ -31,9 +31,8 @@
         self._observe_load(now, order, instance, status)
         if status in (AttemptStatus.COMPLETED, AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.ERROR):
             self._instances.set_loaded(now, instance, loaded_count)
-        # The connection was lost: the order may have arrived, and instances that were loaded still count as
-        # loaded.
         else:
+            # The worker did not answer.  Instances that were recorded as loaded still count as loaded.
             self._outliers.record(now, instance.worker.outlier_state, True, True)
         if not loaded_count and status not in (AttemptStatus.CONNECTION_LOST, AttemptStatus.NOT_SENT):
             instance.unavailable_until = now + instance.function.load_ms
@@ -55,9 +54,9 @@
             function.load_ms += LOAD_TIME_WEIGHT * (duration_ms - function.load_ms)
 
     def on_load_failed(self, now: float, function: Function) -> None:
-        """Record a failed load of a function that was never loaded.  Its requests no longer count for the
-        load ration, and after a second failure they end at once.  Guards against calls of functions that do
-        not exist.
+        """Record a failed load or attempt of a function that was never loaded.  Its requests no longer count
+        for the load ration; after a second failure those without an attempt in flight end at once.  Guards
+        against calls of functions that do not exist.
         """
         function.failed_loads += 1
         for request in [*function.arrivals, *function.queue, *function.late_queue]:
--- a/kelptrail/dispatch/outlier_detection.py
+++ b/kelptrail/dispatch/outlier_detection.py
@@ -5,16 +5,18 @@
 from .entities import Attempt, Idempotency, OutlierState, RequestClass, Worker
 
 GAP_WEIGHT = 0.05  # weight of one response in the moving averages of a worker's response gaps
-# Weight of one response in the failure rate: two failures in a row exceed a rate of 0.3, four exceed 0.5.
+# Weight of one response in the failure rate.  From 0, two failures in a row exceed a rate of 0.3, four 0.5.
 FAILURE_WEIGHT = 0.2
-EJECTION_FAILURE_RATE = 0.3  # a worker is ejected above this rate, and no longer probed below it
+EJECTION_FAILURE_RATE = 0.3  # a worker is ejected above this rate; its ejections end after a success below it
 # Failure rate above which a lost connection ejects; it is higher because the network may be at fault.
 LOST_CONNECTION_FAILURE_RATE = 0.5
-OTHER_CLASS_FAILURE_RATE = 0.1  # a failure rate above this in another class counts against the worker in all
-OVERDUE_FACTOR = 4  # an attempt is late after this multiple of its usual latency
-LOST_FACTOR = 8  # after this multiple it counts as lost, although the worker answers others
+# If another request class has a higher failure rate than this, a failure counts against the worker in all.
+OTHER_CLASS_FAILURE_RATE = 0.1
+LATE_FACTOR = 4  # an attempt is late after this multiple of its usual latency
+LOST_FACTOR = 8  # after this multiple an attempt counts as lost, although the worker answers others
 MIN_SILENCE_MS = 50  # a silence shorter than this is never unusual
-SILENCE_DEVIATIONS = 10  # a silence is unusual past the mean gap plus this many deviations
+# A silence is unusual past the sum of `MIN_SILENCE_MS`, the mean gap and this many deviations.
+SILENCE_DEVIATIONS = 10
 
 
 class OutlierDetector:
@@ -55,9 +57,9 @@
         failed: bool,
         connection_lost: bool = False,
     ) -> bool:
-        """Record a response; return whether it ejects the worker.  Without ejection a worker that fails fast
-        would appear to be the least loaded.  A worker that fails one request class and serves the others is
-        ejected for that class only; it is ejected for all if a second class fails.
+        """Record a response or a lost connection; return whether it ejects the worker.  Without ejection a
+        worker that fails fast would appear to be the least loaded.  A worker that fails one request class and
+        serves the others is ejected for that class only; it is ejected for all if a second class fails.
         """
         gap, worker.silent_since = now - worker.silent_since, now
         worker.response_gap_deviation += (
@@ -69,7 +71,7 @@
             GAP_WEIGHT * (gap - worker.mean_response_gap) if worker.mean_response_gap else gap
         )
         state = worker.outlier_state_by_class[request_class]
-        whole_worker = failed and (
+        counts_for_all_classes = failed and (
             connection_lost
             or any(
                 other.failure_rate > OTHER_CLASS_FAILURE_RATE
@@ -78,13 +80,13 @@
             )
         )
         return self.record(now, state, failed, connection_lost) | self.record(
-            now, worker.outlier_state, whole_worker, connection_lost
+            now, worker.outlier_state, counts_for_all_classes, connection_lost
         )
 
     def record(self, now: float, state: OutlierState, failed: bool, connection_lost: bool = False) -> bool:
         """Record one success or failure; return whether it ejects.  A lost connection ejects at a failure
-        rate above one half (four in a row), as the worker may still answer over other links; any other
-        failure ejects as the second in a row.
+        rate above one half (four in a row), as the worker may still answer over other links.  Any other
+        failure ejects at a rate above 0.3 (two in a row).
         """
         state.failure_rate += FAILURE_WEIGHT * (failed - state.failure_rate)
         if not failed and state.failure_rate < EJECTION_FAILURE_RATE:
@@ -101,8 +103,9 @@
         return True
 
     def overdue_attempts(self, now: float, worker: Worker) -> list[Attempt]:
-        """Mark and return the attempts that are overdue: all attempts at the worker if its silence is unusual
-        for its response gaps, else only those past `LOST_FACTOR`, as single responses can get lost.
+        """Mark and return the attempts that are newly overdue.  If the worker is unusually silent, eject it;
+        all its attempts are then overdue, except streamed ones.  Otherwise only attempts past `LOST_FACTOR`
+        are overdue, as single responses can get lost.
         """
         usual_ms = {
             attempt: attempt.request.function.mean_latency_ms
@@ -110,33 +113,31 @@
             for attempt in worker.attempts
             if not attempt.overdue and not attempt.request.streaming_attempt
         }
-        overdue = [
-            attempt for attempt, ms in usual_ms.items() if now - attempt.started_at > OVERDUE_FACTOR * ms
-        ]
-        if not overdue:
-            return overdue
-        if self._is_unusually_silent(now, worker, len(overdue)):
+        late = [attempt for attempt, ms in usual_ms.items() if now - attempt.started_at > LATE_FACTOR * ms]
+        if not late:
+            return late
+        if self._is_unusually_silent(now, worker, len(late)):
             self.eject(now, worker.outlier_state)
             overdue = list(usual_ms)
         else:
             overdue = [
-                attempt for attempt in overdue if now - attempt.started_at > LOST_FACTOR * usual_ms[attempt]
+                attempt for attempt in late if now - attempt.started_at > LOST_FACTOR * usual_ms[attempt]
             ]
         for attempt in overdue:
             attempt.overdue = True
             self.record(now, worker.outlier_state_by_class[attempt.request.request_class], True)
         return overdue
 
-    def _is_unusually_silent(self, now: float, worker: Worker, late: int) -> bool:
-        """Return whether the silence of a worker with `late` late attempts is unusual.  One response that is
-        late or lost must not eject a worker, as all instances loaded there would become unusable.
+    def _is_unusually_silent(self, now: float, worker: Worker, late_count: int) -> bool:
+        """Return whether the silence of a worker with `late_count` late attempts is unusual.  One response
+        that is late or lost must not eject a worker, as all instances loaded there would become unusable.
         """
         silence = now - max(worker.silent_since, worker.outlier_state.ejected_until)
-        lost = sum(
+        lost_count = sum(
             attempt.overdue and attempt.started_at >= worker.silent_since for attempt in worker.attempts
         )
         return (
-            late + lost > 1
+            late_count + lost_count > 1
             and bool(worker.mean_response_gap)
             and silence
             > MIN_SILENCE_MS + worker.mean_response_gap + SILENCE_DEVIATIONS * worker.response_gap_deviation
--- a/kelptrail/dispatch/placement.py
+++ b/kelptrail/dispatch/placement.py
@@ -21,7 +21,7 @@
 NO_REPORT: dict[str, float] = {}
 MAX_SPREAD_FACTOR = 4.0  # one response multiplies the number of a function's workers by at most this factor
 SPREAD_DECAY = 0.75  # one response lowers the number of a function's workers to no less than this share
-OTHER_ZONE_LOAD = 0.5  # load added to workers of other zones in a comparison
+OTHER_ZONE_LOAD = 0.5  # added to the load of workers in other zones when slots are compared
 # Late requests use only this share of a concurrency limit, so that they do not delay requests in time.
 LATE_LIMIT_SHARE = 0.5
 # Loads are compared in steps of this multiple of the mean, so that dispatchers choose the same workers.
@@ -47,7 +47,7 @@
     def load(self, now: float, worker: Worker, request_class: RequestClass | None = None) -> float:
         """Return the load of a worker relative to its size; it has no unit."""
         # A worker that is avoided for a high reported load gets no attempts and sends no new report, so that
-        # old reports must expire.
+        # old reports must expire.  `x1` is the number of loads in progress or queued.
         report = worker.load_report if now - worker.load_reported_at < LOAD_REPORT_AGE_MS else NO_REPORT
         busy = 1 + len(worker.attempts) + worker.mean_in_flight + worker.pending_loads + report.get("x1", 0.0)
         utilisation = report.get("util", UNKNOWN_UTILISATION)
@@ -64,8 +64,8 @@
 
     def observe_foreign_load(self, now: float, instance: Instance, foreign_in_flight: float) -> None:
         """Record how many attempts of other dispatchers a response reported.  Dispatchers do not communicate
-        and could overload one worker with a hot function; the function therefore spreads over more workers
-        until there are free slots.
+        and could overload one worker with a frequently called function; the function therefore spreads over
+        more workers until there are free slots.
         """
         function, worker = instance.function, instance.worker
         share = foreign_in_flight / min(
@@ -89,7 +89,9 @@
         return worker.foreign_in_flight * max(0.0, 1 - age / FOREIGN_LOAD_AGE_MS)
 
     def find_slot(self, now: float, request: Request, late: bool) -> Instance | None:
-        """Return the least loaded instance with a free concurrency slot, preferably in the own zone."""
+        """Return the least loaded instance with a free concurrency slot, or None.  Other zones count as more
+        loaded.
+        """
         return self._find_slot(now, request, late, self._safety.may_attempt)
 
     def find_unproven_slot(self, now: float, request: Request, late: bool) -> Instance | None:
@@ -130,7 +132,9 @@
         return best
 
     def choose_worker(self, now: float, function: Function, workers: list[Worker]) -> WorkerChoice:
-        """Return the worker for a new instance, and whether its load is below the mean."""
+        """Return the worker for a new instance, and whether its load is unknown or below the mean.  The first
+        workers in the order of preference, as many as share the function, are compared in a random order.
+        """
         if function.ranked_workers != workers:
             _rank_workers(function, workers)
         if now >= self._mean_load_at + MEAN_LOAD_INTERVAL_MS:
--- a/kelptrail/dispatch/planned_placement.py
+++ b/kelptrail/dispatch/planned_placement.py
@@ -25,7 +25,7 @@
         self._safety, self._outliers, self._instances = parts.safety, parts.outliers, parts.instances
         self._state, self._lifecycle = state, lifecycle
         self._planned: dict[Instance, None] = {}
-        self._unexamined = deque[Instance]()
+        self._examination_queue = deque[Instance]()
 
     def replace_plan(self, plan: Plan) -> None:
         """Replace the current plan; an empty plan cancels it."""
@@ -38,16 +38,17 @@
                 if worker.live and count:
                     instance = self._instances.get_or_add(function, worker)
                     instance.planned_count, self._planned[instance] = count, None
-        self._unexamined = deque(self._planned)
+        self._examination_queue = deque(self._planned)
 
     def start_loads(self, now: float) -> None:
         """Order planned instances that are not loaded yet, as far as the load ration allows."""
-        while self._unexamined and (order := self._next_load(now)):
+        while self._examination_queue and (order := self._next_load(now)):
             self._state.decisions.append(order)
 
     def planned_worker(self, now: float, function: Function) -> WorkerChoice | None:
-        """Return a worker with fewer instances of the function than planned, or None.  Guards against
-        dispatchers that each choose another worker after a release and so load the function everywhere.
+        """Return a worker with fewer instances of the function than planned, or None.  Without this rule,
+        each dispatcher could choose another worker after a release and the function would be loaded
+        everywhere.
         """
         if function.planned:
             for instance in function.instances.values():
@@ -65,9 +66,9 @@
         """Return the next load order ahead of demand.  Skip workers that are in slow start, ejected or out of
         capacity.
         """
-        for _ in range(min(INSTANCES_EXAMINED, len(self._unexamined))):
-            instance, worker = self._unexamined[0], self._unexamined[0].worker
-            self._unexamined.rotate(-1)
+        for _ in range(min(INSTANCES_EXAMINED, len(self._examination_queue))):
+            instance, worker = self._examination_queue[0], self._examination_queue[0].worker
+            self._examination_queue.rotate(-1)
             if (
                 instance.loaded >= instance.planned_count
                 or instance.load_order
@@ -81,7 +82,7 @@
                 or not self._safety.readiness.is_known(now, worker)
             ):
                 continue
-            if instance.function.instances.get(worker) is not instance:  # it was removed from the table
+            if instance.function.instances.get(worker) is not instance:  # the table has removed the instance
                 instance.function.instances[worker] = worker.instances[instance.function] = instance
             return self._lifecycle.start_load(now, instance, instance.planned_count, DEMAND_RESERVE)
         return None
--- a/kelptrail/dispatch/queue_service.py
+++ b/kelptrail/dispatch/queue_service.py
@@ -13,9 +13,9 @@
 from .readiness_questions import ReadinessQuestions
 from .request_lifecycle import RequestLifecycle
 
-SEARCH_PAUSE_MS = 25.0  # saves CPU: minimum time between two searches of a worker for a queued function
+SEARCH_PAUSE_MS = 25.0  # saves CPU: minimum time between two searches for a worker for a queued function
 LOAD_TIMEOUT_FACTOR = 1.5  # a load in progress counts as future slots for this multiple of the load time
-LATE_SHARE = 0.5  # a request is late if it would miss its objective after this share of the mean latency
+LATE_SHARE = 0.5  # a request is late if an attempt of this share of the mean latency would miss its objective
 # Above this share of instances that others had already loaded, a trial attempt is sent before a load order.
 TRIAL_RATIO = 0.5
 
@@ -25,8 +25,8 @@
 
     slots: int  # concurrency slots that this dispatcher may use
     loading_slots: int  # slots of instances that are being loaded
-    instances: int  # instances that are usable or being loaded
-    workers: int  # workers with an instance loaded or being loaded
+    instance_count: int  # instances that are usable or being loaded
+    worker_count: int  # workers with an instance loaded or being loaded
 
 
 class QueueService:
@@ -68,20 +68,22 @@
         if function.queue_depth:
             self._queued_functions[function] = None
             wanted, pause_ms = function.queue_depth > slots, SEARCH_PAUSE_MS
-        else:  # instances that other dispatchers keep busy count as a queue
+        else:
+            # The function may need more workers without a queue here, if other dispatchers keep its instances
+            # busy.
             function.queued_since = None
-            wanted = 0 < supply.workers < int(function.target_worker_count)
+            wanted = 0 < supply.worker_count < int(function.target_worker_count)
             pause_ms = function.load_ms
         if not wanted or now < function.searched_at + pause_ms:
             return None
         function.searched_at = now
-        return self._add_instance(now, function, supply.instances)
+        return self._add_instance(now, function, supply.instance_count)
 
     def _supply(self, now: float, function: Function) -> Supply:
-        """Count the capacity that this dispatcher may use, without ejected or suspect workers and without
-        workers whose slow-start budget is used up.
+        """Count the slots, instances and workers of the function.  Slots and loaded instances do not count at
+        workers that are ejected or suspect or whose slow-start budget is used up.
         """
-        slots = loading_slots = instances = workers = 0
+        slots = loading_slots = instance_count = worker_count = 0
         concurrency, request_class = function.concurrency, function.request_class
         for instance in function.instances.values():
             worker, order = instance.worker, instance.load_order
@@ -96,12 +98,12 @@
             slots += min(instance.loaded * concurrency, instance.in_flight + free) * usable
             if usable and order and now - order.placed_at < LOAD_TIMEOUT_FACTOR * function.load_ms:
                 loading_slots += loading * concurrency
-            instances += instance.loaded * usable + loading
-            workers += instance.loaded + loading > 0
-        return Supply(slots, loading_slots, instances, workers)
+            instance_count += instance.loaded * usable + loading
+            worker_count += instance.loaded + loading > 0
+        return Supply(slots, loading_slots, instance_count, worker_count)
 
     def _admit(self, now: float, function: Function, slots: int) -> Request | None:
-        """Move arrivals into the queue; return the first one that is rejected."""
+        """Move arrivals into the queue until one is rejected; return that one, or None."""
         while function.arrivals:
             if (request := function.arrivals.popleft()).final_status:
                 continue
@@ -124,7 +126,9 @@
         return not any(readiness.is_known(now, worker) for worker in self._state.workers if worker.live)
 
     def _serve_queue(self, now: float, function: Function) -> Attempt | ReadinessQuestion | Request | None:
-        """Return the next attempt, or a request that can have none; None if no slot is free."""
+        """Return the next attempt, a readiness question that it depends on, or a request that can have no
+        attempt.  Return None if no request is queued or none of these is possible now.
+        """
         while queue := function.queue or function.late_queue:
             request = queue[0]
             if (
@@ -172,8 +176,9 @@
         return None if instance is None else self._questions.create(now, request.function, instance.worker)
 
     def _add_instance(self, now: float, function: Function, count: int) -> Decision | None:
-        """Load another instance, or find out with an attempt whether one is loaded already; the function has
-        `count` instances.
+        """Load another instance, or send an attempt to find out whether one is already loaded.  Return a
+        readiness question instead if the readiness of the worker is not known.  The function has `count`
+        instances.
         """
         choice = self._planned.planned_worker(now, function) or self._placement.choose_worker(
             now, function, self._state.workers
@@ -188,30 +193,30 @@
             return self._questions.create(now, function, choice.worker)
         if (instance := self._instances.get_or_add(function, choice.worker)).load_order:
             return None
-        unknown = bool(
+        may_be_loaded = bool(
             function.queue_depth
             and not instance.loaded
             and (function.has_loaded or not function.failed_loads)
             and now >= instance.not_loaded_at + function.load_ms
         )
         if (
-            unknown
+            may_be_loaded
             and self._instances.shared_ratio > TRIAL_RATIO
             and (attempt := self._trial_attempt(now, instance))
         ):
             return attempt
         if order := self._lifecycle.start_load(now, instance, instance.loaded + 1):
             return order
-        return self._try_without_load_order(now, instance, unknown)
+        return self._try_without_load_order(now, instance, may_be_loaded)
 
-    def _try_without_load_order(self, now: float, instance: Instance, unknown: bool) -> Attempt | None:
-        """Handle a load order that the ration does not allow: send a trial attempt if it is unknown whether
-        an instance is loaded, else suspend or remove the instance.
+    def _try_without_load_order(self, now: float, instance: Instance, may_be_loaded: bool) -> Attempt | None:
+        """Handle a load order that is not allowed: send a trial attempt if an instance may already be loaded.
+        Otherwise make the instance unavailable for a time, or remove it.
         """
         function = instance.function
         if now < instance.not_loaded_at + function.load_ms:
             instance.unavailable_until = instance.not_loaded_at + function.load_ms
-        elif unknown:
+        elif may_be_loaded:
             unavailable = sum(now < other.unavailable_until for other in function.instances.values())
             if unavailable < function.target_worker_count and (attempt := self._trial_attempt(now, instance)):
                 return attempt
--- a/kelptrail/dispatch/queues.py
+++ b/kelptrail/dispatch/queues.py
@@ -14,7 +14,7 @@
 QUOTA_TOLERANCE = 1.25  # a tenant may exceed its share by this factor
 OVER_QUOTA_SHARE = 0.5  # multiplies the limits for requests beyond the quota of their tenant
 MIN_RUN_MS = 5.0  # no attempt starts with less time left to the deadline
-LATENCY_SHARE = 0.5  # no attempt starts with less time left than this share of the mean latency
+LATENCY_SHARE = 0.5  # no attempt starts if less than this share of the mean latency is left to the deadline
 INITIAL_INSTANCE_LIMIT = 4  # limit on the instances of a function until queueing raises it
 QUEUED_PER_SLOT = 4  # limit on queued requests for each concurrency slot
 CRC_RANGE = 2**32
@@ -31,7 +31,7 @@
 
     def observe_worker_delay(self, function: Function, delayed: bool) -> None:
         """Record whether an attempt was late or refused for lack of capacity, which shows queueing at the
-        workers.  Consecutive delays of one function count once.
+        workers.  Successive delays of the same function count once, even with attempts in time between them.
         """
         if not delayed:
             self._admitted_share = min(1.0, self._admitted_share + ADMIT_MORE_STEP)
@@ -75,9 +75,10 @@
         return function.queue_depth >= limit or self.should_shed(quota_factor, request)
 
     def instance_limit(self, now: float, function: Function, has_capacity: bool) -> int:
-        """Return the maximum number of instances of the function.  A queue that lasts longer than one load
-        time raises it by the number of instances that the queue would fill, at most to twice its value.
-        Adding instances one at a time took some twenty load times at a cold start.
+        """Return the maximum number of instances of the function.  If there is capacity, a queue that lasts
+        longer than one load time raises it by the number of instances that the queue would fill, but by at
+        least one and at most to twice its value.  Adding instances one at a time took some twenty load times
+        at a cold start.
         """
         function.instance_limit = function.instance_limit or INITIAL_INSTANCE_LIMIT
         function.queued_since = now if function.queued_since is None else function.queued_since
--- a/kelptrail/dispatch/readiness.py
+++ b/kelptrail/dispatch/readiness.py
@@ -81,11 +81,13 @@
             self._confirmed_at, self._notified_at = LONG_AGO, now
 
     def list_is_stale(self, now: float) -> bool:
-        """Return whether the list alone no longer allows new work."""
+        """Return whether new work needs a proof of readiness, because the list is too old."""
         return now >= self.list_expires_at
 
     def is_known(self, now: float, worker: Worker) -> bool:
-        """Return whether new work may start at a worker that is live in the list."""
+        """Return whether the list or a proof of readiness allows new work at a worker that is live in the
+        list.
+        """
         return now < max(self._notified_at, worker.ready_proven_at) + self._limits.drain_grace_ms
 
     def may_become_known(self, now: float, worker: Worker) -> bool:
@@ -102,8 +104,8 @@
     def on_answer(self, item: Attempt | LoadOrder, status: AttemptStatus) -> bool:
         """Record an answer; return whether it proves that the worker was ready when the item was sent.  A
         draining worker refuses new work, so that a completed attempt or load order is a proof.  The answer to
-        a deduplicated request is none, as a draining worker may repeat it; nor is a missing instance, an
-        error or a rejection, which any worker may return.
+        a deduplicated request is no proof, as a draining worker may repeat an earlier answer.  A missing
+        instance, an error or a rejection is no proof either, as any worker may return it.
         """
         if status is not AttemptStatus.COMPLETED:
             return False
@@ -116,9 +118,9 @@
         return True
 
     def on_connection_lost(self, now: float, worker: Worker) -> bool:
-        """Record that a connection to the worker was refused, or was lost with an item in flight.  Return
-        whether the worker may have restarted without a report of the list; it then counts as started now, and
-        has to prove its readiness again.
+        """Record that a connection to the worker was refused, or was lost with an attempt or probe in flight.
+        Return whether the worker may have restarted without a report of the list; it then counts as started
+        now, and has to prove its readiness again.
         """
         if (
             self._notified_at == NEVER
--- a/kelptrail/dispatch/readiness_questions.py
+++ b/kelptrail/dispatch/readiness_questions.py
@@ -14,7 +14,8 @@
 from .entities import LONG_AGO, AttemptStatus, Function, ProbeKind, ReadinessProbe, ReadinessQuestion, Worker
 
 CREDIT_PER_REQUEST = 1.0
-# One question a second while requests wait, so that the last ones are not held for ever.
+# Allows one question a second (ten ticks) while queues are held, so that they are not held forever when no
+# requests arrive.
 CREDIT_PER_TICK = 0.1
 MAX_CREDIT = 8.0  # limits the burst of questions from credit that was added before an outage
 UNPROVEN_PAUSE_MS = 1_000.0  # minimum time until a worker that did not prove its readiness is queried again
@@ -55,21 +56,21 @@
         self._credit = min(MAX_CREDIT, self._credit + CREDIT_PER_REQUEST)
 
     def hold_queue(self, function: Function) -> None:
-        """Hold the queue of the function until another worker is known to be ready."""
+        """Hold the queue of the function until `resume_held_queues` is called."""
         self._held_functions[function] = None
         for request in (*function.queue, *function.late_queue):
             request.held_for_readiness = True
 
     def resume_held_queues(self) -> None:
-        """Serve all held queues again, as a worker is ready, another worker has to be queried, or the
-        endpoint list was confirmed.
+        """Serve all held queues again.  This is needed when a question has ended, whether it proved that the
+        worker is ready or another worker has to be queried, and when the endpoint list was confirmed.
         """
         self._state.runnable.update(self._held_functions)
         self._held_functions.clear()
 
     def create(self, now: float, function: Function, worker: Worker) -> ReadinessQuestion | None:
-        """Hold the function's queue and create a question to the worker; return None if one is in flight or
-        there is no credit.
+        """Hold the function's queue and create a question to the worker.  Return None if a question is in
+        flight, the last one failed recently, no probes are allowed or there is no credit.
         """
         self.hold_queue(function)
         if not self._may_query(now, worker):
@@ -113,15 +114,15 @@
     def _fleet_ignores_checks(self) -> bool:
         """Whether every live worker has ignored a health check, and none has ever answered one.
 
-        Without this a fleet whose workers do not implement health checks would get no work in an outage.  A
-        few workers that do not answer are no evidence, as they may hang or drain.
+        Without this exception, a fleet whose workers do not implement health checks would get no work in an
+        outage of the endpoint list.  Silence of only some workers is no evidence, as these may hang or drain.
         """
         if self._health_check_was_answered or not self._ignoring_workers:
             return False
         return all(worker.id in self._ignoring_workers for worker in self._state.workers if worker.live)
 
     def _on_late_answer(self, probe: ReadinessProbe) -> None:
-        """Handle an answer to a question that is settled or replaced; it may still show that the worker
+        """Handle an answer to a question that has ended or was replaced.  It may still show that the worker
         drains.
         """
         worker = probe.question.instance.worker
--- a/kelptrail/dispatch/safety.py
+++ b/kelptrail/dispatch/safety.py
@@ -1,4 +1,4 @@
-"""Enforces the five rules at the one place where attempts, load orders and final answers are created.
+"""Enforces the five rules of `docs/design.md` where attempts, load orders and final answers are created.
 
 Times are milliseconds.
 """
@@ -65,7 +65,9 @@
         self._load_times, self.request_times = deque[float](), deque[float]()
 
     def accepts_attempt(self, now: float, request: Request) -> bool:
-        """Return whether rules 1 and 2 allow another attempt, as far as they do not depend on the worker."""
+        """Return whether the conditions of rules 1 and 2 that do not depend on the worker allow another
+        attempt.
+        """
         in_flight = sum(attempt.status is None for attempt in request.attempts)
         if (
             request.final_status
@@ -77,8 +79,8 @@
         return now < min(request.deadline, self.latest_retry_at(request))
 
     def latest_retry_at(self, request: Request) -> float:
-        """Return the time from which another execution would have a second effect, even within the
-        deduplication scope.
+        """Return the time from which another execution could have a second effect, even within the
+        deduplication scope: `NEVER` if none can have one, 0 if any can.
         """
         if (
             request.request_class.idempotency is Idempotency.IDEMPOTENT
@@ -133,6 +135,8 @@
         return LoadOrder(instance, min(count, MAX_LOAD_COUNT), now, latest_start)
 
     def _take_from_ration(self, now: float, worker: Worker, reserve: float) -> bool:
+        # The ration applies to orders as they arrive, up to `max_delivery_ms` after their decision.  Requests
+        # therefore count for a shorter time than the window, and orders for a longer time.
         requests = drop_until(self.request_times, now - self._ration_window_ms + self._max_delivery_ms + 1)
         ration = self._free_loads + self._loads_per_request * len(requests)
         orders = len(drop_until(self._load_times, now - self._ration_window_ms - self._max_delivery_ms)) + 1
@@ -164,8 +168,9 @@
 
     def finish(self, now: float, request: Request, retry_after_ms: float = 0.0) -> Request:
         """Set the final status: rejected if a retry of the client cannot have a second effect, else failed.
-        A retry could have one if the client sends no idempotency key, or if the deduplication window has
-        ended when the client retries after `retry_after_ms`.
+        If an attempt may have run, a retry of a deduplicated request could have one without an idempotency
+        key, with a limited deduplication scope, or if the window ends within `retry_after_ms`.  A request
+        whose response has begun always fails.
         """
         retry_is_safe = request.request_class.idempotency is not Idempotency.DEDUPLICATED or (
             request.has_idempotency_key and request.request_class.deduplication_scope == "all"
@@ -180,8 +185,8 @@
 
 
 def _deduplicates_retry(request: Request, worker: Worker) -> bool:
-    """Return whether the worker drops a repeat of the attempt that may have run first.  It may not if it has
-    perhaps restarted without a report of the endpoint list, or is in another deduplication scope.
+    """Return whether the worker drops a repeat of the first attempt that may have run.  This is not certain
+    if it may have restarted without a report of the endpoint list, or is in another deduplication scope.
     """
     first = next((attempt for attempt in request.attempts if attempt.may_have_run), None)
     if first is None:
--- a/kelptrail/dispatch/second_attempts.py
+++ b/kelptrail/dispatch/second_attempts.py
@@ -27,7 +27,8 @@
 
     def check_workers(self, now: float) -> None:
         """Update the workers' moving averages, and retry attempts that are overdue."""
-        # Saves CPU: most workers of a large fleet have no attempts of this dispatcher.
+        # Examining only active workers saves CPU: most workers of a large fleet have no attempts of this
+        # dispatcher.
         for worker in list(self._state.active_workers):
             worker.mean_in_flight += MEAN_IN_FLIGHT_WEIGHT * (len(worker.attempts) - worker.mean_in_flight)
             if not worker.attempts and worker.mean_in_flight < INACTIVE_IN_FLIGHT:
@@ -68,8 +69,8 @@
                 self._lifecycle.cancel_attempts(request)
 
     def start_hedge(self, now: float, first: Attempt) -> Attempt | None:
-        """Start a second attempt beside one that takes unusually long.  It needs a free slot, so that it
-        delays no other request.
+        """Start a second attempt beside one that takes unusually long.  It needs a slot that is free for late
+        requests, so that it delays no other request.
         """
         request = first.request
         if (
--- a/kelptrail/dispatch/shutdown.py
+++ b/kelptrail/dispatch/shutdown.py
@@ -8,7 +8,8 @@
 
 from dataclasses import dataclass
 
-ARRIVALS_MS = 700.0  # time within which requests arrive from clients that were not notified of the shutdown
+# Time for which requests arrive from clients that were not notified of the shutdown: 0.6 s and a margin.
+ARRIVALS_MS = 700.0
 # Time after the listener closes in which connections from the accept queue are served; later requests are
 # refused.
 REFUSE_AFTER_MS = 200.0
@@ -29,7 +30,7 @@
 
 
 def plan_shutdown(now: float, longest_ms: float, arrivals_ms: float = ARRIVALS_MS) -> ShutdownPlan:
-    """Return the steps of a shutdown requested now, where a client may wait up to `longest_ms`."""
+    """Return the steps of a shutdown requested now.  `longest_ms` is the longest timeout of a request."""
     listener_closes_at = now + arrivals_ms
     finish_by = listener_closes_at + min(longest_ms, MAX_DEADLINE_WAIT_MS) - MARGIN_MS
     return ShutdownPlan(
--- a/kelptrail/dispatch/worker_delays.py
+++ b/kelptrail/dispatch/worker_delays.py
@@ -11,8 +11,9 @@
 
 DELAY_WEIGHT = 0.2  # weight of one attempt in the moving average of a worker's delayed attempts
 MAX_AGE_MS = 10_000.0  # a worker without an attempt for this time no longer counts
-OUTLIER_SHARE = 0.4  # an outlier delays more than this share of its attempts, three in a row from zero
-OTHERS_SHARE = 0.1  # the other workers delay on average at most this share, else no worker is an outlier
+# An outlier delays more than this share of its attempts.  Three delays in a row exceed it.
+OUTLIER_SHARE = 0.4
+OTHERS_SHARE = 0.1  # no worker is an outlier if the others delay on average more than this share
 
 
 @dataclass(slots=True)
--- a/tests/test_dispatch_outliers.py
+++ b/tests/test_dispatch_outliers.py
@@ -135,7 +135,7 @@
     dispatcher.on_attempt_finished(100.0, attempts[0], AttemptResult(AttemptStatus.COMPLETED, True, warm=True))
     dispatcher.on_attempt_finished(101.0, attempts[1], AttemptResult(AttemptStatus.COMPLETED, True, warm=True))
     dispatcher.on_tick(600.0)
-    assert not worker.outlier_state.ejection_ms, "one late attempt past OVERDUE_FACTOR does not eject"
+    assert not worker.outlier_state.ejection_ms, "one late attempt past LATE_FACTOR does not eject"
     dispatcher.on_tick(1400.0)
     assert attempts[2].overdue and not worker.outlier_state.ejection_ms, "one missing response does not eject"
     for n in (8, 9):
