--- a/kelptrail/engine/engine.py
+++ b/kelptrail/engine/engine.py
@@ -53,10 +53,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListTiming:
-    """Times, set by the protocol of the endpoint list, after which a dispatcher counts as notified of unreported
-    changes.
+    """Times in milliseconds after which a dispatcher counts as notified of a change that did not reach it.
 
-    Both are milliseconds.
+    The protocol of the endpoint list sets them.
     """
 
     notification_ms: float = NEVER  # time since the list was last confirmed
@@ -136,7 +135,10 @@
         self._dispatcher.on_load_report(now, order, status, loaded_count)
 
     def on_endpoints(self, now: float, complete: bool, entries: Iterable[Endpoint]) -> list[Worker]:
-        """Apply an endpoint list, or only its changes if it is not `complete`; return the workers that restarted."""
+        """Apply an endpoint list, or only its changes if it is not `complete`.
+
+        Return the workers with a new start time: those that restarted, and new workers whose start time is known.
+        """
         entries = list(entries)
         listed = {entry.id for entry in entries}
         restarted = []
@@ -157,7 +159,7 @@
         return restarted
 
     def on_initial_list(self, now: float) -> None:
-        """Record that the endpoints came from the configuration, so that their age is unknown."""
+        """Record that the endpoint list was read from the configuration; its age is unknown."""
         self._dispatcher.on_initial_list(now)
 
     def on_list_confirmed(self, now: float) -> None:
@@ -171,7 +173,7 @@
     def on_probe_finished(
         self, now: float, probe: ReadinessProbe, status: AttemptStatus, loaded_count: int = 0
     ) -> None:
-        """Record the result of a probe; a load query found `loaded_count` instances."""
+        """Record the result of a probe; a load query reports `loaded_count` loaded instances."""
         self._dispatcher.on_probe_finished(now, probe, status, loaded_count)
 
     def readiness(self, now: float) -> ReadinessReport:
--- a/kelptrail/engine/invariants.py
+++ b/kelptrail/engine/invariants.py
@@ -27,7 +27,7 @@
 
 CLIENT_GONE_SLACK_MS = 100.0  # time after its client disconnected within which an attempt may still start
 LIMIT_SLACK_MS = 150.0  # a worker's time limit may exceed the time left until the client's deadline by this
-START_SLACK_MS = 50.0  # on sockets, each time limit of the rules is extended by this time
+START_SLACK_MS = 50.0  # a start is a violation only if it exceeds its time limit by more than this
 
 
 class Violation(Enum):
@@ -74,7 +74,7 @@
         self.violations: Counter[str] = Counter()
 
     def on_initial_list(self, now: float) -> None:
-        """Record that the list of the configuration was applied; later changes already count as notified."""
+        """Record that the list of the configuration was applied; changes since then already count as notified."""
         self._list_confirmed_at = now - self._drain_timing.notification_ms
 
     def on_list_confirmed(self, now: float) -> None:
@@ -119,13 +119,13 @@
         self.violations[violation.value] += 1
         self._log("invariant violated", rule=violation.value, request=request, **fields)
 
-    def check_attempt_start(self, now: float, attempt: Attempt, client_gone: float | None, limit_ms: float) -> None:
+    def check_attempt_start(self, now: float, attempt: Attempt, client_gone_at: float | None, limit_ms: float) -> None:
         """Check an attempt just before its first byte is sent.  `limit_ms` is the time limit passed to the worker, and
-        `client_gone` the time at which the client disconnected.
+        `client_gone_at` the time at which the client cancelled the request or disconnected.
         """
         request, request_id = attempt.request, attempt.request.id
-        if client_gone is not None and now > client_gone + CLIENT_GONE_SLACK_MS:
-            self.report_violation(Violation.ATTEMPT_AFTER_CLIENT_LEFT, request_id, late_ms=round(now - client_gone))
+        if client_gone_at is not None and now > client_gone_at + CLIENT_GONE_SLACK_MS:
+            self.report_violation(Violation.ATTEMPT_AFTER_CLIENT_LEFT, request_id, late_ms=round(now - client_gone_at))
         if request.final_status is not None:
             self.report_violation(Violation.ATTEMPT_AFTER_ANSWER, request_id, final_status=request.final_status)
         if limit_ms > request.deadline - now + LIMIT_SLACK_MS:
--- a/kelptrail/engine/settings.py
+++ b/kelptrail/engine/settings.py
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadinessSettings:
-    """The rule on draining workers, and the probes that workers may be sent."""
+    """The settings for draining workers."""
 
     drain_grace_ms: float | None  # time after the notification of a drain for new work to start; None: no such rule
     probe_kinds: Sequence[ProbeKind]  # probes that workers may be sent
--- a/kelptrail/engine/wall_clock.py
+++ b/kelptrail/engine/wall_clock.py
@@ -37,9 +37,9 @@
         return stepped
 
     def monotonic_ms(self, unix_ms: float, now_ms: float, unknown_at_ms: float = float("-inf")) -> float:
-        """Return the monotonic time of a past event, which is at most `now_ms`.  The event was not yet known at
-        `unknown_at_ms`: an earlier result, by more than the report delay, comes from another clock, and `unknown_at_ms`
-        is returned instead.
+        """Return the monotonic time of a past event, at most `now_ms`.  The event had not been reported by
+        `unknown_at_ms`, so that it cannot be earlier than that by more than the report delay.  If the result is, the
+        Unix time is from another clock, and `unknown_at_ms` is returned.
         """
         candidates = [unix_ms - offset for offset in self._offsets]
         past = [candidate for candidate in candidates if candidate <= now_ms + STEP_MS]
--- a/kelptrail/platform/client_connections.py
+++ b/kelptrail/platform/client_connections.py
@@ -1,8 +1,8 @@
 """The connections of all clients grouped by state, their limit, and their eviction.
 
 A well-behaved client closes the connections that it no longer needs.  To free descriptors for such clients, connections
-that have sent nothing are evicted first, then those that have been idle longest.  A connection whose client waits for
-an answer is never evicted.
+that are closing are evicted first, then those that have not sent a complete frame, then those that have been idle
+longest.  A connection whose client waits for an answer is never evicted.
 """
 
 from __future__ import annotations
--- a/kelptrail/platform/client_server.py
+++ b/kelptrail/platform/client_server.py
@@ -215,7 +215,7 @@
             return RequestRefusal.SHUTTING_DOWN
         if client.is_overflow:
             return RequestRefusal.OVER_LIMIT
-        if self._body_bytes + len(body) > self._max_body_bytes:  # accepted requests keep their memory
+        if self._body_bytes + len(body) > self._max_body_bytes:  # no accepted request is dropped for a new one
             return RequestRefusal.NO_MEMORY
         return None
 
--- a/kelptrail/platform/config.py
+++ b/kelptrail/platform/config.py
@@ -40,7 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """A validated configuration."""
+    """A validated configuration.
+
+    Some keys of the file have other names: `journal` is `endpoint_list`, `known` is `initial_events`, and
+    `limits.sockets` is `descriptors`.
+    """
 
     name: str
     listen: tuple[str, int]
@@ -67,7 +71,7 @@
 
 
 def read(path: str, current: Config | None = None) -> Config:
-    """Return the configuration in the file at `path`.  Raises `ConfigError`."""
+    """Return the configuration in the file at `path`, as `parse` does.  Raises `ConfigError`."""
     try:
         with open(path, encoding="utf-8") as file:
             return parse(file.read(), current)
--- a/kelptrail/platform/decision_executor.py
+++ b/kelptrail/platform/decision_executor.py
@@ -59,7 +59,8 @@
             loop, config.sockets, max_worker_connections, config.descriptors, self.on_item_finished, event_log
         )
         self.client_requests: dict[Request, ClientRequest] = {}  # accepted requests without a final answer
-        # Attempts at their latest start or at the deadline of their answered request, loads and probes at their timeout
+        # Due times of open items: the latest start of an attempt, the deadline of an attempt whose request has been
+        # answered, and the timeout of a load or probe.
         self.timeouts = TimerQueue()
         # Number of attempts, loads and probes that ended since the last state line, by status.
         self.status_counts: Counter[str] = Counter()
@@ -73,7 +74,7 @@
         self._schedule_decisions()
 
     def on_client_gone(self, client_request: ClientRequest) -> None:
-        """Cancel the unsent attempts of a request whose client cancelled it or disconnected."""
+        """Cancel a request whose client cancelled it or disconnected, and its unsent attempts."""
         request = client_request.request
         if request is not None and self.client_requests.pop(request, None) is not None:
             self._engine.on_client_gone(request)
@@ -121,8 +122,8 @@
         if answer is None:
             self._engine.on_attempt_finished(now, attempt, AttemptResult(status, is_final, warm=False))
         else:
-            crashed, started = answer.notice == "crashed", answer.notice == "up"
-            result = AttemptResult(status, is_final, crashed, started, answer.queue_ahead)
+            load_failed, warm = answer.notice == "crashed", answer.notice == "up"
+            result = AttemptResult(status, is_final, load_failed, warm, answer.queue_ahead)
             self._engine.on_attempt_finished(now, attempt, result, self._load_values(answer))
         if is_final:
             self._cancel_unsent_attempts(request, CancelReason.FINISHED)
@@ -246,7 +247,7 @@
                 self._expire_load(now, item)
             elif isinstance(item, ReadinessProbe):
                 self._expire_probe(now, item)
-            elif item.request.final_status is None:  # past its latest start; continues if it was sent
+            elif item.request.final_status is None:  # at its latest start: an attempt that was sent continues
                 self._cancel_unsent(item, CancelReason.TOO_LATE_TO_START)
             else:
                 self._cancel_attempt(now, item, AttemptStatus.SILENT)
@@ -270,7 +271,7 @@
             self._engine.on_attempt_finished(now, attempt, result)
 
     def _cancel_unsent_attempts(self, request: Request, reason: CancelReason) -> None:
-        """Cancel attempts that are queued behind others at a slow worker or wait for their connection."""
+        """Cancel the unsent attempts of a request, which wait for a connection or for a slow worker to read."""
         for attempt in request.attempts:
             if attempt.status is None:
                 self._cancel_unsent(attempt, reason)
--- a/kelptrail/platform/endpoint_updates.py
+++ b/kelptrail/platform/endpoint_updates.py
@@ -159,13 +159,15 @@
     def _started_at(self, now: float, record: EndpointRecord) -> float | None:
         """Return the time at which a worker started, or None if the list does not give it.
 
-        The same `record.started` always maps to the same time, even if the wall clock is stepped in between.
+        For one worker the same `record.started` always gives the same time, even if the wall clock is stepped in
+        between.
         """
         if not record.started:
             return None
         known, started = self._started.get(record.id, (0, 0.0))
         if known != record.started:
             self._wall_clock.observe(time.time() * 1000, now)
+            # At the time of the last event, the list did not contain this start.
             unknown_at = self.watch.last_event_at * 1000 if self.watch is not None else float("-inf")
             started = self._wall_clock.monotonic_ms(record.started, now, unknown_at)
             self._started[record.id] = record.started, started
--- a/kelptrail/platform/endpoint_watch.py
+++ b/kelptrail/platform/endpoint_watch.py
@@ -62,7 +62,7 @@
         self._connect_task: asyncio.Task[None] | None = loop.create_task(self._connect())
 
     async def _connect(self) -> None:
-        self._watch.release_descriptor()  # `connect` uses it in the same iteration of the loop
+        self._watch.release_descriptor()  # `connect` opens its socket in the same iteration of the loop
         try:
             sock = await connect(self._loop, self.address, CONNECT_TIMEOUT_MS)
         except OSError as cause:
@@ -120,7 +120,7 @@
         self.last_event_at = loop.time()  # time of the last complete event
         self._has_fault = False  # whether a fault was logged since the last complete event
         self._connections: list[WatchConnection] = []  # oldest first
-        self._failures = 0  # consecutive connections that delivered no event or ended soon
+        self._failures = 0  # consecutive ended connections; 1 after one that delivered an event and lasted
         self._silence_timeout_ms = SILENCE_TIMEOUT_MS
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due = 0.0
@@ -192,6 +192,7 @@
             return
         lasted = connection.event_count and (self._loop.time() - connection.created_at) * 1000 > MAX_BACKOFF_MS
         self._failures = 1 if lasted else self._failures + 1
+        # Negative after the first end of a connection that delivered an event: the watch reconnects immediately.
         doublings = self._failures - 1 - bool(connection.event_count)
         backoff_ms = BACKOFF_MS * 2 ** min(doublings, MAX_BACKOFF_DOUBLINGS) if doublings >= 0 else 0.0
         self._set_timer(self._loop.time() + min(MAX_BACKOFF_MS, backoff_ms) / 1000)
--- a/kelptrail/platform/graceful_shutdown.py
+++ b/kelptrail/platform/graceful_shutdown.py
@@ -1,7 +1,7 @@
 """Executes the steps of a graceful shutdown at the times that `kelptrail.dispatch.shutdown` plans.
 
 GOAWAY is sent immediately.  Requests that still arrive are served until the planned time of refusal, and at the planned
-end all open requests get their final answer.  From `ACCEPT_MS` on the process may exit as soon as nothing is open.
+end all open requests get their final answer.  From `ACCEPT_MS` on the process may exit as soon as no work is open.
 """
 
 from __future__ import annotations
@@ -67,6 +67,7 @@
         self._loop.call_later(CLOSE_LINGER_MS / 1000, self._finish)
 
     def _has_open_work(self) -> bool:
+        """Stop accepting clients; return whether queued clients, requests or unfinished reads and writes remain."""
         server = self._client_server
         return (
             not server.stop_accepting() or bool(self._executor.client_requests) or not server.connections.is_quiescent
--- a/kelptrail/platform/log.py
+++ b/kelptrail/platform/log.py
@@ -1,7 +1,9 @@
 """Structured log lines on standard output, rate limited per event; each event is counted even if its line is skipped.
 
-An event is a short fixed text (see `log_events`) with fields that describe the case; one of them may be the `reason`.
-Lines beyond `LINES_PER_S` for one event and reason are skipped; the next line for them has their number (`skipped`).
+An event is normally one of the texts of `log_events`.  Its fields describe the case; one of them may be the `reason`.
+Lines beyond `LINES_PER_S` for one event and reason are skipped.  The next line of that event and reason has the number
+of skipped lines as `skipped`.  Each message of the dispatcher is an event of its own, with a limit and count for each
+text, which may contain the id of a worker.
 """
 
 from __future__ import annotations
@@ -30,8 +32,8 @@
     def __init__(self, lines_per_s: int = LINES_PER_S) -> None:
         self._lines_per_s = lines_per_s
         self._second = 0
-        self._written: Counter[str] = Counter()  # lines by event and reason in the current second
-        self._skipped: Counter[str] = Counter()  # lines skipped since the last written one, by event and reason
+        self._events_in_second: Counter[str] = Counter()  # events in the current second, by event and reason
+        self._skipped: Counter[str] = Counter()  # lines skipped since the last written line, by event and reason
         self.counts: Counter[str] = Counter()  # number of events since the start, by event and reason
 
     def __call__(self, event: str, **fields: Any) -> None:
@@ -40,9 +42,9 @@
         second = int(time.monotonic())
         if second != self._second:
             self._second = second
-            self._written.clear()
-        self._written[kind] += 1
-        if self._written[kind] > self._lines_per_s:
+            self._events_in_second.clear()
+        self._events_in_second[kind] += 1
+        if self._events_in_second[kind] > self._lines_per_s:
             self._skipped[kind] += 1
             return
         if skipped := self._skipped.pop(kind, 0):
@@ -56,7 +58,7 @@
         """Write a line and return whether it was written.
 
         Nothing is written while the pipe is full: a log reader that has exited or does not read must delay neither the
-        timer nor a shutdown.
+        event loop nor a shutdown.
         """
         data = f"{time.strftime('%H:%M:%S')} {line}".encode(errors="replace")[:LINE_BYTES] + b"\n"
         with contextlib.suppress(OSError):
--- a/kelptrail/platform/parsed_request.py
+++ b/kelptrail/platform/parsed_request.py
@@ -1,7 +1,8 @@
 """Parses and validates the fields of a client's request.
 
 The protocol's field names: `txn` is the request id, `item` the function, `unique` the idempotency key, `verb` the
-request class, `team` the tenant, `limit` the time left in milliseconds, `info` further numbers.
+request class, `team` the tenant, `limit` the time left and `cpu` the work, both in milliseconds.  `info` has further
+numbers: `memory_mb` and `lanes` (the slots) of an instance, and `load_ms`.
 """
 
 from __future__ import annotations
--- a/kelptrail/platform/worker_connection.py
+++ b/kelptrail/platform/worker_connection.py
@@ -107,7 +107,7 @@
         self._owner, self._loop = owner, loop
         self._reader = LineReader(owner.limits.answer_bytes)
         self.open_items: dict[str, OpenItem] = {}  # by id, in order of start
-        # Time until which late answers to an id may arrive, for ids that were used before.
+        # By id, the time until which late answers to an earlier item with this id may arrive.
         self.used_ids: dict[str, float] = {}
         self.suspect = False  # an unanswered item was cancelled, and nothing was received since
         self.last_used_at = self.last_received_at = loop.time()
@@ -159,7 +159,7 @@
         self.suspect = True
         if self._owner.limits.may_cancel and self.connection is not None:
             self.connection.write(encode_cancel(id_))
-            # The next attempt, on a connection that was written to earlier, must not be sent before this CANCEL.
+            # Without this flush the next attempt could be sent first, on a connection that has earlier output to flush.
             self.connection.flush_now()
             if self.connection.has_pending_writes and not self._owner.limits.parallel_attempts:
                 self.close()  # the worker does not read; closing the connection cancels its items
@@ -171,7 +171,7 @@
             del self.used_ids[id_]
 
     def is_stalled(self, now: float) -> bool:
-        """Return whether an incomplete answer has received no bytes for the connect timeout."""
+        """Return whether an answer is incomplete and no bytes have arrived for the time of the connect timeout."""
         return self._reader.partial and now - self.last_received_at > self._owner.limits.connect_ms / 1000
 
     def close(self) -> None:
--- a/kelptrail/platform/worker_connections.py
+++ b/kelptrail/platform/worker_connections.py
@@ -76,7 +76,7 @@
         self._start(id_, probe, render, len(data), may_open_more=False)
 
     def on_not_sent(self, item: WorkItem) -> None:
-        """End an item that may no longer start as not sent."""
+        """Report an item as not sent because it may no longer start, unless it has already ended."""
         if self.cancel_unsent(item):
             self._on_finished(item, AttemptStatus.NOT_SENT, None)
 
@@ -109,7 +109,7 @@
             connection.close()
 
     def sweep(self) -> None:
-        """Close connections that stalled in an answer, and empty ones that are suspect or were idle for too long."""
+        """Close connections that stalled in an answer, and those without open items that are suspect or long idle."""
         now = self._loop.time()
         for connection in list(self._connections):
             if connection.is_stalled(now):
@@ -139,27 +139,30 @@
             self.limits.open_count -= 1
 
     def _start(self, id_: str, item: WorkItem, render: RenderBytes, size: int, may_open_more: bool = True) -> None:
-        best = self._best_connection(id_)
-        if best is None or (may_open_more and (best.open_items or best.suspect) and self._has_capacity()):
-            if best is None and not self._has_capacity() and not self._evict_idle():
+        connection = self._choose_connection(id_)
+        if connection is None or (
+            may_open_more and (connection.open_items or connection.suspect) and self._has_capacity()
+        ):
+            if connection is None and not self._has_capacity() and not self._evict_idle():
                 self._on_finished(item, AttemptStatus.NOT_SENT, None)
                 return
-            best = WorkerConnection(self, self._loop)
-            self._connections[best] = None
+            connection = WorkerConnection(self, self._loop)
+            self._connections[connection] = None
             self.limits.open_count += 1
-        self._locations[item] = best, id_
-        best.start(id_, item, render, size)
+        self._locations[item] = connection, id_
+        connection.start(id_, item, render, size)
 
-    def _best_connection(self, id_: str) -> WorkerConnection | None:
-        best, now = None, self._loop.time()
+    def _choose_connection(self, id_: str) -> WorkerConnection | None:
+        """Return the connection with the lowest rank that can take an item with this id, or None."""
+        chosen, now = None, self._loop.time()
         for connection in self._connections:
             # A late answer to an earlier attempt with this id would be taken for the answer to the new one.
             id_in_use = id_ in connection.open_items or connection.used_ids.get(id_, now) > now
             if id_in_use or len(connection.open_items) >= self.limits.streams:
                 continue
-            if best is None or connection.rank < best.rank:
-                best = connection
-        return best
+            if chosen is None or connection.rank < chosen.rank:
+                chosen = connection
+        return chosen
 
     def _has_capacity(self) -> bool:
         limits = self.limits
@@ -168,7 +171,8 @@
     def _evict_idle(self) -> bool:
         """Close an idle connection and return whether there was one.
 
-        It is one to this worker or, if only the limit for all workers is reached, one to any worker.
+        Connections to this worker come first.  One to another worker is closed only if the limit for this worker is not
+        reached.
         """
         if (idle := self.longest_idle) is not None:
             idle.close()
--- a/kelptrail/platform/worker_pool.py
+++ b/kelptrail/platform/worker_pool.py
@@ -54,7 +54,7 @@
         return sum(connections.open_items for connections in self.connections.values())
 
     def share_descriptors(self, worker_count: int) -> None:
-        """Divide a quarter of the process's descriptors equally among the workers."""
+        """Divide a quarter of the process's descriptors equally among the workers, at least two for each."""
         share = self._descriptors // 4 // max(1, worker_count)
         self.limits.max_per_worker = max(MIN_CONNECTIONS_PER_WORKER, share)
 
@@ -63,7 +63,7 @@
         return self.connections.get(worker)
 
     def get_or_create(self, worker: Worker) -> WorkerConnections:
-        """Return the connections to a worker whose address is known."""
+        """Return the connections to a worker, whose address must be known; create them on first use."""
         connections = self.connections.get(worker)
         if connections is None:
             connections = self.connections[worker] = WorkerConnections(
@@ -76,7 +76,7 @@
         self.connections.pop(worker).close()
 
     def sweep(self) -> None:
-        """Close idle and stalled connections, and those to removed workers without open items."""
+        """Close idle and stalled connections, and all connections to removed workers that have no open items."""
         for worker, connections in list(self.connections.items()):
             connections.sweep()
             if worker.removed and not connections.open_items:
--- a/kelptrail/simulator_adapter/__main__.py
+++ b/kelptrail/simulator_adapter/__main__.py
@@ -71,7 +71,7 @@
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
-    """Answer batches until the input ends; return the exit code."""
+    """Answer batches until the input ends or is malformed; return the exit code."""
     adapter = SimulatorAdapter()
     for line in source:
         if not line.strip():
--- a/kelptrail/simulator_adapter/instance.py
+++ b/kelptrail/simulator_adapter/instance.py
@@ -62,6 +62,7 @@
     def __init__(self, name: str, seed: int, settings: Fields) -> None:
         self._subscribes_to_list = settings.get("discovery") == DISCOVERY_BY_SUBSCRIPTION
         self._name, self._engine = name, Engine(seed, settings, _list_timing(settings))
+        # Load orders and load queries in flight, by worker id and function id, oldest first.
         self._orders: dict[tuple[str, str], deque[LoadOrder | ReadinessProbe]] = {}
         self._checks: dict[str, deque[ReadinessProbe]] = {}  # by worker id, oldest first
         self._subscription: list[Fields] = []  # the pending `Track` action, if there is one
@@ -158,7 +159,7 @@
             self._on_list(now, event)
 
     def _on_list(self, now: float, event: Fields) -> None:
-        """Handle a subscribed list: its first version is old, and each later one is complete as of now."""
+        """Handle a subscribed list: a complete list (C) has an unknown age, and changes (D) confirm it as of now."""
         if event["how"] == "C":
             self._engine.on_initial_list(now)
             self._subscribe()
