--- a/kelptrail/dispatch/entities.py
+++ b/kelptrail/dispatch/entities.py
@@ -21,7 +21,9 @@
 
 
 class AttemptStatus(Enum):
-    """The outcome of an attempt; `NEVER_RAN` lists the outcomes that prove that it was not executed."""
+    """The outcome of an attempt; the values appear in the log.  `NEVER_RAN` lists the outcomes that prove
+    that it was not executed.
+    """
 
     COMPLETED = "completed"
     ERROR = "error"
@@ -73,7 +75,7 @@
 
 
 class WorkerState(Enum):
-    """The state of a worker in the endpoint list."""
+    """The state of a worker in the endpoint list; the values appear in the log."""
 
     LIVE = "live"
     DRAINING = "draining"
--- a/kelptrail/dispatch/placement.py
+++ b/kelptrail/dispatch/placement.py
@@ -132,8 +132,9 @@
         return best
 
     def choose_worker(self, now: float, function: Function, workers: list[Worker]) -> WorkerChoice:
-        """Return the worker for a new instance, and whether its load is unknown or below the mean.  The first
-        workers in the order of preference, as many as share the function, are compared in a random order.
+        """Return the worker for a new instance, and whether its load is unknown or below the mean.  Among the
+        first workers in the order of preference, as many as share the function, a random draw selects the
+        one to prefer.
         """
         if function.ranked_workers != workers:
             _rank_workers(function, workers)
--- a/kelptrail/dispatch/readiness.py
+++ b/kelptrail/dispatch/readiness.py
@@ -15,8 +15,8 @@
 
 from .entities import LONG_AGO, NEVER, Attempt, AttemptStatus, Idempotency, LoadOrder, ProbeKind, Worker
 
-# Each process stops relying on its list earlier, by its own fraction of this share of the notification time,
-# so that processes do not do so all at once.
+# Each process stops relying on its list up to this share of the notification time earlier, by a part of it
+# that its seed selects, so that not all processes do so at once.
 EARLY_SHARE = 0.1
 # The list may be unreachable once it was not confirmed for this share of the notification time.
 ASSUMED_OUTAGE_SHARE = 0.5
--- a/tests/outage_fixture.py
+++ b/tests/outage_fixture.py
@@ -20,7 +20,7 @@
 
 from kelptrail.codec import frames
 
-NOTIFICATION_S = 4.0  # after this silence of the list, a change that it could not deliver counts as notified
+NOTIFICATION_S = 4.0  # time of silence after which a change that the list could not deliver counts as notified
 DRAIN_GRACE_S = 0.5  # new work may start at a worker for this time after its drain counts as notified
 SCHEDULING_SLACK_S = 0.15  # scheduling delay of two processes, in addition to the 0.05 s that the rule allows
 LOAD_S = 0.03
@@ -116,7 +116,7 @@
 
 
 class Worker:
-    """A worker that loads functions on order and rejects new work while it is_draining."""
+    """A worker that loads functions on order and rejects new work while it drains."""
 
     def __init__(self, preloaded: bool, answers: WorkerAnswers) -> None:
         self.is_draining, self._preloaded, self._answers = False, preloaded, answers
--- a/tests/platform_fixture.py
+++ b/tests/platform_fixture.py
@@ -184,7 +184,10 @@
 
 
 def event(number: int, kind: int, *records: tuple[int, int, int]) -> bytes:
-    """Encode an event of the endpoint list; a record is the number, the port and the state of a worker."""
+    """Encode an event of the endpoint list; a record is the number, the port and the state of a worker.
+
+    The kinds are 0 (no change), 1 (complete list) and 2 (changes).
+    """
     data = b"".join(
         struct.pack(">I4sHBBBHIQ", id_, bytes((127, 0, 0, 1)), port, state, 0, 0, 0, 1000, 0)
         for id_, port, state in records
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -76,13 +76,13 @@
     assert not function.instances
 
 
-def test_unused_functions_and_finished_requests_are_forgotten() -> None:
+def test_unused_functions_and_finished_requests_are_removed() -> None:
     dispatcher = make_dispatcher(load_ration=AMPLE_LOADS)
     for n in range(30):
         load_and_serve_one(dispatcher, make_function(f"scan{n}"), 200.0 * n)
-    forgotten = [dispatcher.on_tick(80_000.0 + n) for n in range(40)]
+    removed = [dispatcher.on_tick(80_000.0 + n) for n in range(40)]
     decide_all(dispatcher, 90_000.0)
-    assert sum(f is not None for f in forgotten) == 30 and not dispatcher.timers
+    assert sum(f is not None for f in removed) == 30 and not dispatcher.timers
     assert not any(w.instances or w.attempts for w in dispatcher.workers)
 
 
@@ -108,13 +108,13 @@
     dispatcher.on_attempt_finished(1.0, attempt, AttemptResult(AttemptStatus.NOT_LOADED, False))
     decisions = [d for step in range(50) for d in decide_all(dispatcher, tick(dispatcher, 30.0 + 30 * step))]
     (second,) = [d for d in decisions if isinstance(d, Attempt)]
-    assert second.started_at > 1000.0, "no other worker is tried at once: an instance there is not more likely"
+    assert second.started_at > 1000.0, "no other worker is tried at once, as an instance there is no more likely"
 
 
 def test_a_trial_attempt_precedes_a_load_order_where_others_load_most_functions() -> None:
     dispatcher, loaded, missing = make_dispatcher(shared=0.6), make_function("loaded"), make_function("missing")
     (attempt,) = submit(dispatcher, loaded, 0.0, 1)
-    assert isinstance(attempt, Attempt), "the load ration is not spent on queries"
+    assert isinstance(attempt, Attempt), "the attempt uses none of the load ration"
     complete(dispatcher, attempt, 50.0)
     assert dispatcher.parts.instances.shared_ratio > 0.6 and attempt.instance.loaded == 1
     (attempt,) = submit(dispatcher, missing, 60.0, 1)
@@ -180,16 +180,16 @@
     dispatcher.on_endpoints(200.0, [*dispatcher.workers, Worker("new")], [])
     dispatcher.parts.placement.choose_worker(200.0, function, dispatcher.workers)
     assert len(function.preferred_workers) == 9 and function.preferred_workers is not preferred_workers
-    seen = list[float]()
-    dispatcher.parts.safety.has_budget = lambda now, worker: not seen.append(now)  # type: ignore[method-assign]
+    budget_checks = list[float]()
+    dispatcher.parts.safety.has_budget = lambda now, worker: not budget_checks.append(now)  # type: ignore[method-assign]
     (attempt,) = submit(dispatcher, function, 300.0, 1)
-    seen.clear()
+    budget_checks.clear()
     assert isinstance(attempt, Attempt)
     complete(dispatcher, attempt, 340.0)
-    assert not decide_all(dispatcher, 340.0) and not seen
+    assert not decide_all(dispatcher, 340.0) and not budget_checks
 
 
-def test_a_load_order_names_sixteen_instances_at_most() -> None:
+def test_a_load_order_is_for_sixteen_instances_at_most() -> None:
     dispatcher, function = make_dispatcher(workers=1), make_function()
     instance = load_and_serve_one(dispatcher, function, instances=16).instances[function]
     assert dispatcher.parts.safety.start_load(100.0, instance, 17).count == 16
--- a/tests/test_dispatch_hedging.py
+++ b/tests/test_dispatch_hedging.py
@@ -76,7 +76,7 @@
 
 
 def test_no_hedge_without_permission_without_a_free_slot_or_without_budget() -> None:
-    for request_class, instances, budget in (
+    for request_class, has_free_slot, has_budget in (
         (make_request_class(), True, True),
         (hedged_class(), False, True),
         (hedged_class(), True, False),
@@ -84,16 +84,16 @@
         dispatcher = make_dispatcher(3, load_ration=AMPLE_LOADS)
         function = make_function(request_class=request_class)
         now = serve_in_sequence(dispatcher, function, 0.0, 40.0, 30)
-        if instances:
+        if has_free_slot:
             load_everywhere(dispatcher, function, now)
-        if not budget:
+        if not has_budget:
             while dispatcher.parts.retry_budget.try_spend():
                 pass
         _, (first,) = submit_one(dispatcher, function, now)
         others = [
             instance for instance in function.instances.values() if instance is not first.instance and instance.loaded
         ]
-        for instance in () if instances else others:
+        for instance in () if has_free_slot else others:
             instance.loaded = 0
         assert not [d for d in decide_all(dispatcher, now + 150) if isinstance(d, Attempt)]
         assert not function.queue_depth, "a hedge is never queued"
--- a/tests/test_dispatch_rules.py
+++ b/tests/test_dispatch_rules.py
@@ -37,8 +37,7 @@
     make_request_class(Idempotency.AT_MOST_ONCE),
 ]
 
-
-SLACK_MS = 16.0
+SLACK_MS = 16.0  # time after its deadline within which a request may still get its final answer
 
 
 class DecisionChecker:
--- a/tests/test_dispatch_slow_start.py
+++ b/tests/test_dispatch_slow_start.py
@@ -31,6 +31,7 @@
         dispatcher.on_endpoints(100.0, dispatcher.workers, [cold])
         request = new_request(function, 110.0)
         started += dispatcher.parts.safety.may_attempt(110.0, request, cold)
+    # Three times the product of overload margin, overload multiple, initial capacity and requests per warm worker.
     assert 0 < started < 0.5 * 3.0 * 0.2 * 100 / 4 * 3
 
 
@@ -47,6 +48,7 @@
         if guard.may_attempt(4100.0, one, cold):
             guard.start_attempt(4100.0, one, Instance(one.function, cold, 1))
             admitted_again += guard.may_attempt(4101.0, two, cold)
+    # The probability of a draw is 0.12: the budget of 0.15 multiplied by `DRAW_SHARE`.
     assert all(0.7 * 400 * 0.12 < count < 1.3 * 400 * 0.12 for count in admitted.values()), (
         "the probability is the same in each window"
     )
@@ -62,7 +64,8 @@
     dispatcher_count: int, per_s: float, uneven: bool
 ) -> None:
     """Each dispatcher starts attempts whenever its guard admits them.  Some are notified late of the worker's start,
-    others restart without state.  The limit N + 2 sqrt(N) + 2 for any window is that of the terms of service."""
+    others restart without state.  The limit N + 2 sqrt(N) + 2 for any window is that of the terms of service, where N
+    is the overload multiple of the worker's mean capacity in the window."""
     warm_count, overload_multiple, window_ms, slow_start_ms, initial_capacity = 10, 3.0, 3000.0, 17_000.0, 0.2
     exceeded = window_count = started = 0
     for seed in range(6 if dispatcher_count < 100 else 2):
@@ -110,6 +113,7 @@
             exceeded += count > budget + 2 * budget**0.5 + 2
             window_count += 1
     assert not exceeded, f"{exceeded} of {window_count} windows"
+    # Each run ends 8 s after the start of the worker.
     assert (
         started
         > (6 if dispatcher_count < 100 else 2) * 0.15 * overload_multiple * initial_capacity * per_s / warm_count * 8
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -322,7 +322,7 @@
             )
             os.close(write)
             assert b"list" in os.read(read, 100)
-            os.close(read)  # nobody reads the log any more
+            os.close(read)  # the log has no reader from now on
             await asyncio.sleep(0.3)
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
--- a/tests/test_platform_fuzz.py
+++ b/tests/test_platform_fuzz.py
@@ -19,7 +19,7 @@
 
 
 def test_a_second_answer_on_a_closed_connection_is_dropped(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """It is scheduled some milliseconds after the first one; the dispatcher may have closed the connection by then."""
+    """The worker sends it some milliseconds after the first one, when the dispatcher may have closed the connection."""
     monkeypatch.setattr(workers, "CALL_BEHAVIORS", [WorkerBehavior.NOT_LOADED_TWICE])
     errors: list[dict[str, Any]] = []
 
--- a/tests/test_platform_load.py
+++ b/tests/test_platform_load.py
@@ -146,7 +146,7 @@
                     assert at <= deadline + SLACK_S, "answered before the deadline"
                     executed = [d for d in behaviors[f"{caller.base + n:016x}".encode()] if d not in ("MISS", "BUSY")]
                     assert (code == frames.SERVED) <= (body == b"%d" % (caller.base + n)), (
-                        "the worker's answer to this request"
+                        "a served request gets the worker's answer to it"
                     )
                     if kind == "o":
                         assert len(executed) <= 1, "at-most-once request was executed twice"
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -308,7 +308,7 @@
 
 
 def test_endpoint_service_that_is_slow_to_its_first_byte_is_used(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its first byte takes longer than the silence timeout; the connection must still be open by then."""
+    """The first byte takes longer than the silence timeout; the connection must still be open when it arrives."""
     monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT_MS", 200.0)
 
     async def main() -> None:
@@ -406,7 +406,7 @@
 
 
 def test_a_service_that_is_behind_or_catching_up_and_an_old_address_do_not_confirm_the_list() -> None:
-    """Drains that they do not report must still count as notified after the protocol's delay."""
+    """A drain that such a service has not reported must still count as notified after the protocol's delay."""
 
     async def repeat(number: int, writer: asyncio.StreamWriter) -> None:
         for _ in range(100):
