--- a/kelptrail/replication/activation_locator.py
+++ b/kelptrail/replication/activation_locator.py
@@ -37,11 +37,12 @@
         if self._lookups.join(target, on_result):
             return
         connected = self._context.peers.ms_since_received().keys()
-        # An unreachable dispatcher has a key only in its journal, and the journal's replicas report it as the primary.
+        # An unreachable dispatcher makes the lookup of an activation id inconclusive.  This is not needed for a key,
+        # which the dispatcher has only in a journal: the journal's replicas report it as a primary without a reply.
         unreachable = not target.startswith(KEY_TARGET_PREFIX) and any(
             member.name not in connected and member.name != self._context.name for member in self._members()
         )
-        # A peer that does not support the message has no journals of other dispatchers.
+        # Peers that do not support the message are not queried: they have no journals of other dispatchers.
         queried = [name for name in connected if self._context.peers.send(name, Lookup(target))]
         inconclusive = unreachable or self._may_appear(target)
         self._lookups.start(now_ms(), target, queried, self._primaries_of(target), inconclusive, on_result)
@@ -67,7 +68,10 @@
         )
 
     def _candidates(self, target: str) -> list[str]:
-        """Return the journals stored here that may contain the target."""
+        """Return the journals stored here that may contain the target.
+
+        A key may be in any journal, an activation id only in those of the dispatcher that issued it.
+        """
         return [
             journal_id
             for journal_id, log in self._context.replica.logs.items()
@@ -79,7 +83,8 @@
     def _may_appear(self, target: str) -> bool:
         """Return whether the target may be in a journal for which a negative reply of this run is not conclusive.
 
-        Such a journal is not recovered here yet, or it was released and no other primary has written to it here since.
+        Such a journal is not recovered here yet, or this dispatcher was its last primary and has not acquired it again,
+        or it was released and no other primary has written to it here since.
         """
         journals, logs = self._journals.handles, self._context.replica.logs
         return any(
--- a/kelptrail/replication/context.py
+++ b/kelptrail/replication/context.py
@@ -64,7 +64,8 @@
     def wall_ms(self) -> float:
         """Return the time of day at the start of this run plus the time since then, in ms.
 
-        A change of the wall clock while a call is recorded would otherwise shorten or extend the call's time.
+        Later changes of the system's wall clock have no effect.  They would otherwise shorten or extend the recorded
+        duration of a call.
         """
         return self.wall_offset_ms + now_ms()
 
@@ -77,5 +78,8 @@
         return self.leases.held_token(LEASE_PREFIX + journal_id)
 
     def reported_holder(self, journal_id: str) -> str:
-        """Return name and run of the last reported holder of the journal's lease; there must be one."""
+        """Return name and run of the last reported holder of the journal's lease.
+
+        Raises `KeyError` if none was reported.
+        """
         return self.leases.client.known_holders[LEASE_PREFIX + journal_id].token.client_id
--- a/kelptrail/replication/drain.py
+++ b/kelptrail/replication/drain.py
@@ -33,7 +33,10 @@
         self._journals.may_create = False
 
     def tick(self, now: float) -> None:
-        """Send notices to primaries; transfer each journal that has no call in flight, or all at the deadline."""
+        """Send notices to primaries, and transfer the ready journals that have another in-sync replica.
+
+        Before the deadline, a journal with calls in flight is not transferred.
+        """
         self._send_notices(now)
         for handle in list(self._journals.handles.values()):
             others = sorted(name for name in handle.primary.in_sync if name != self._context.name)
@@ -55,4 +58,5 @@
         successor = next((name for name in others if name in self._context.peers.ms_since_received()), others[0])
         self._journals.release(handle, successor)
         if handle.journal_id in self._context.replica.logs:
-            self._context.replica.logs[handle.journal_id].primary = successor  # later closes the replica here
+            # The successor receives the next notices, replaces the replica here and then has it closed.
+            self._context.replica.logs[handle.journal_id].primary = successor
--- a/kelptrail/replication/driver.py
+++ b/kelptrail/replication/driver.py
@@ -43,7 +43,7 @@
 from .replica_store import ReadRequest, ReplicaStore
 from .status import replication_status
 
-CHANNEL_FEATURE = "copies"  # capability by which peers announce that they support these messages
+CAPABILITY = "copies"  # capability by which peers announce that they support these messages
 MESSAGE_TYPES = (
     OpenStream,
     Append,
@@ -58,9 +58,9 @@
 )
 TICK_MS = 25.0
 STOP_POLL_S = 0.01
-CLOSE_TIMEOUT_MS = 500.0  # limit for each store
+CLOSE_TIMEOUT_MS = 500.0  # timeout of closing each store
 FULL_MESH_LIMIT = 32  # fleet size above which connections are kept to replicas and candidates only
-EXTRA_CONNECTIONS = 2  # further candidates for replicas to which connections are kept
+EXTRA_CONNECTIONS = 2  # candidates beyond the configured number of replicas to which connections are kept
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,7 +117,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._ranked_members: tuple[Member, ...] = ()
         self._ranking: tuple[str, ...] = ()
-        peers.register(CHANNEL_FEATURE, self._on_message, *MESSAGE_TYPES)
+        peers.register(CAPABILITY, self._on_message, *MESSAGE_TYPES)
 
     @property
     def hooks(self) -> GatewayHooks:
@@ -236,10 +236,10 @@
             candidates = ranking[: self._context.settings.replica_count + EXTRA_CONNECTIONS]
             in_sync = (name for handle in self._journals.handles.values() for name in handle.primary.in_sync)
             names = {*candidates, *in_sync}
-        self._context.leases.keep_connected(names, CHANNEL_FEATURE)
+        self._context.leases.keep_connected(names, CAPABILITY)
 
     def _rank(self, connected: Iterable[str]) -> tuple[str, ...]:
-        """Return the reachable candidates for the replicas of own journals, best first.
+        """Return the reachable candidates for the replicas of own journals, in the order of preference.
 
         The result is cached until the reachable members change.
         """
--- a/kelptrail/replication/failover.py
+++ b/kelptrail/replication/failover.py
@@ -4,8 +4,10 @@
 
 from typing import NamedTuple
 
-MIN_BACKOFF_MS, MAX_BACKOFF_MS = 2000.0, 60_000.0  # pause after a journal was rejected or released; doubles each time
-APPEND_SILENCE_MS = 2500.0  # long enough for several digest checks of a primary
+# Pause before a rejected or released journal is claimed again; it doubles each time.
+MIN_BACKOFF_MS, MAX_BACKOFF_MS = 2000.0, 60_000.0
+# Added to the failover time if the primary is reachable; long enough for several of its digest checks.
+APPEND_SILENCE_MS = 2500.0
 
 
 class ClaimBackoff(NamedTuple):
@@ -18,8 +20,8 @@
 class FailoverMonitor:
     """Records the last message of each dispatcher and of each journal's primary, and decides when to claim a journal.
 
-    Times are milliseconds of this process's clock.  Before the first message, the start of the process counts as its
-    time.
+    Times are milliseconds of this process's clock.  Before the first message of a dispatcher or a primary, the start of
+    this process counts as the time of its last one.
     """
 
     def __init__(self, name: str, failover_after_ms: float, now: float) -> None:
@@ -31,9 +33,10 @@
         self.claims: set[str] = set()
 
     def on_tick(self, now: float, interval_ms: float) -> None:
-        """Shift all recorded times by the delay of this call, which is expected every `interval_ms`.
+        """Shift all recorded times forward if more than three times `interval_ms` have passed since the last call.
 
-        This prevents a process that was suspended from treating all other dispatchers as lost when it resumes.
+        Calls are expected every `interval_ms`.  The shift prevents a process that was suspended from treating all other
+        dispatchers as lost when it resumes.
         """
         late = now - self._last_tick - 2 * interval_ms
         if late > interval_ms:
@@ -95,7 +98,7 @@
         )
 
     def primary_returned(self, now: float, journal_id: str, primary: str) -> bool:
-        """Return whether messages of the primary arrive again, on its stream too, so the claim can be withdrawn."""
+        """Return whether messages and appends of the primary arrive again, so that the claim can be withdrawn."""
         return (
             primary != self._name
             and self.silent_ms(now, primary) < self._failover_after_ms / 2
--- a/kelptrail/replication/journal_manager.py
+++ b/kelptrail/replication/journal_manager.py
@@ -58,7 +58,8 @@
 
     `handles` contains the journals of which this process is or becomes the primary, by id; `current` is the one for new
     calls.  `released` contains the ids of journals that were given up, until another primary writes to them here.
-    `reported_primary` is name and run of the reported lease holder of a journal, until its messages arrive here.
+    `reported_primary` contains, by journal, name and run of the reported lease holder until it writes to the replica
+    here.
     """
 
     def __init__(self, context: ReplicationContext) -> None:
@@ -140,7 +141,7 @@
         self._creation.schedule(now_ms())
 
     def create_if_due(self, now: float) -> None:
-        """Create a journal if one is scheduled, no journal is current and no own journal is claimed."""
+        """Create a journal if one is due, no journal is current and no own journal is claimed."""
         if not self.may_create or not self._creation.take_due(now):
             return
         if self.current is None and not any(
@@ -260,7 +261,7 @@
     # Release.
 
     def transfer(self, handle: PrimaryHandle, reason: str) -> None:
-        """Release a journal whose local disk has failed, in favour of a reachable in-sync replica."""
+        """Release a journal whose local disk has failed, in favour of a reachable in-sync replica if there is one."""
         name, reachable = self._context.name, self._context.peers.ms_since_received()
         others = [other for other in sorted(handle.primary.in_sync) if other != name and other in reachable]
         successor = others[0] if others else ""
--- a/kelptrail/replication/journal_review.py
+++ b/kelptrail/replication/journal_review.py
@@ -79,7 +79,7 @@
         )
 
     def _should_close(self, handle: PrimaryHandle) -> bool:
-        """Return whether a journal that accepts no new calls is empty."""
+        """Return whether a journal that accepts no new calls is empty, so that it can be closed."""
         return (
             handle is not self._journals.current
             and handle.recovered
--- a/kelptrail/replication/journal_stores.py
+++ b/kelptrail/replication/journal_stores.py
@@ -11,7 +11,7 @@
 from .replica import ReplicaWrite
 from .replica_store import ReadRequest, ReplicaStore
 
-MAX_WAITING = 1_000_000  # requests; in practice the windows of the streams limit them earlier
+MAX_WAITING_REQUESTS = 1_000_000  # limit for each store; in practice the windows of the streams limit them earlier
 
 
 class JournalStores:
@@ -25,7 +25,8 @@
     ) -> None:
         self._name, self._own, self._others = name, own, others
         self._disks = {
-            id(store): JournalDriver(GroupCommit(MAX_WAITING), store, on_progress, log) for store in (own, others)
+            id(store): JournalDriver(GroupCommit(MAX_WAITING_REQUESTS), store, on_progress, log)
+            for store in (own, others)
         }
 
     def is_own(self, journal_id: str) -> bool:
--- a/kelptrail/replication/lookup.py
+++ b/kelptrail/replication/lookup.py
@@ -42,7 +42,8 @@
 class LookupService:
     """All lookups in progress, by target.
 
-    A callback gets the result: an address, "" if the target may exist, or None if it does not exist.
+    `own_responder` is name and run of this dispatcher.  A callback gets the result: an address, "" if the target may
+    exist, or None if it does not exist.
     """
 
     def __init__(self, own_responder: str, timeout_ms: float) -> None:
--- a/kelptrail/replication/messages.py
+++ b/kelptrail/replication/messages.py
@@ -3,7 +3,7 @@
 A *journal* is the record of the deferred calls of one run of one dispatcher.  It has one *primary* at a time, which
 holds the lease on the journal, and an *in-sync set*: all dispatchers that have every committed entry, including the
 primary.  The in-sync set is stored as a note with the lease.  The next lease holder reads from it which disks are
-complete.  This holds even for a replica that was removed from the set without being notified.
+complete, so that even a replica that was removed from the set without being notified finds that its disk is not.
 
 Times are milliseconds.  No message carries a time of day; entries carry their age at the time of sending instead.
 """
@@ -22,7 +22,7 @@
 
 from kelptrail.lease.messages import FencingToken
 
-BUCKETS = 256  # hash ranges of activation ids; each has one digest
+BUCKETS = 256  # number of buckets into which activation ids are hashed; each has one digest
 DIGEST_BYTES = 8  # length of the digest of one bucket
 LEASE_PREFIX = "book/"  # name of a journal's lease: this prefix and the journal id
 
@@ -258,6 +258,8 @@
     max_uncommitted_bytes: int = 64 << 20  # limit above which new calls are rejected
     window_bytes: int = 256 << 10  # limit on sent and unacknowledged data per replica
     repair_bytes_per_ms: float = 20_000.0  # rate limit for the repair of one replica
-    max_entry_bytes: int = 256 << 10  # size limit of an entry; of a larger result only the outcome is stored
+    max_entry_bytes: int = (
+        256 << 10
+    )  # size limit of the entry of a result; a larger result is replaced by an error text
     verify_interval_ms: float = 1000.0  # time between two digest checks of one replica
     verify_buckets: int = 8  # buckets per digest check
--- a/kelptrail/replication/model.py
+++ b/kelptrail/replication/model.py
@@ -1,7 +1,8 @@
 """Randomized model of one journal with its successive primaries, replicas and disks.
 
-Messages are lost, duplicated, delayed and reordered; syncs fail; processes restart; disks are lost.  A primary loses
-its lease at any time and still completes one write, as if it were paused between the check of the lease and the write.
+Messages are lost, duplicated, delayed and reordered; syncs fail; processes restart; disks are lost.  A primary may
+lose its lease at any time and then still complete one write, as if it were paused between the check of the lease and
+the write.
 The lease is modelled as `docs/leases.md` specifies it: one holder at a time, increasing tokens, and a note for the next
 holder.
 
@@ -57,11 +58,8 @@
         self.now, self.requests = 0.0, 0
         self.nodes = {f"d{n}": Node(Roles(*roles), f"d{n}") for n in range(nodes)}
         self.in_transit: list[tuple[str, str, Any]] = []
-        self.lease_token, self.in_sync, self.lease_holder = (
-            NO_TOKEN,
-            InSyncSet("", {}),
-            "",
-        )  # state of the lease at the acceptors
+        # State of the lease at the acceptors.
+        self.lease_token, self.in_sync, self.lease_holder = NO_TOKEN, InSyncSet("", {}), ""
         self.acknowledged: set[str] = set()
         self.executed_at: dict[str, str] = {}
         self.final_answers: dict[str, str] = {}
@@ -266,7 +264,7 @@
                 self.in_transit.append((sender, to, message))
                 continue
             if not to:
-                # There are several acceptors, so that a note is lost only with its sender.
+                # A note goes to several acceptors, so it may be delayed, but is not lost or duplicated.
                 self._on_in_sync_stored(sender, *message)
                 continue
             if draw < self.faults.delayed + self.faults.lost:
@@ -282,7 +280,9 @@
         token_before = node.newest_token()
         node.replica.on_message(sender, message)
         if JOURNAL in node.replica.logs and node.newest_token() < token_before:
-            raise PropertyError(f"{node.name} returned from {token_before} to {node.newest_token()}")
+            raise PropertyError(
+                f"{node.name} went back from token {token_before} to the older token {node.newest_token()}"
+            )
 
     def _on_in_sync_stored(self, sender: str, token: FencingToken, in_sync: dict[str, str]) -> None:
         if token != self.lease_token:
--- a/kelptrail/replication/model_node.py
+++ b/kelptrail/replication/model_node.py
@@ -24,7 +24,7 @@
 
 
 class Roles(NamedTuple):
-    """Classes of the primary and the replica; tests replace them by faulty ones."""
+    """Classes of the primary and the replica; tests replace them with faulty ones."""
 
     primary: type[Primary] = Primary
     replica: type[Replica] = Replica
@@ -88,7 +88,7 @@
         return f"{self.disks_lost}"
 
     def lose_disk(self) -> None:
-        """Replace the disk by an empty one and restart."""
+        """Replace the disk with an empty one and restart."""
         self.disk, self.disks_lost = Disk(), self.disks_lost + 1
         self.restart()
 
--- a/kelptrail/replication/primary.py
+++ b/kelptrail/replication/primary.py
@@ -2,8 +2,8 @@
 
 Entries are collected in batches.  A batch is written to the local disk and sent to all replicas in parallel.  A replica
 joins the in-sync set once it has everything that the primary has; one that does not acknowledge in time is removed from
-it.  Either change is first stored as a note with the journal's lease.  The next lease holder therefore has every
-committed batch, provided that the note lists it.
+it.  Either change is first stored as a note with the journal's lease.  A later lease holder that the note
+lists therefore has every committed batch.
 
 Each replica has its own stream.  The replica first sends its digests.  Buckets that differ are then repaired one by one
 at a bounded rate; batches written meanwhile are deferred until the repair is complete.
@@ -110,9 +110,10 @@
             self._streams.stale_replicas.add(name)
 
     def probe_fencing(self, reported_holder: str) -> None:
-        """Find out, without the lease, whether another primary has acted: the replicas then reply with its later token.
+        """Query, without holding the lease, whether another primary has acted.
 
-        The request is an `OpenStream` message to the replicas and to the reported lease holder.
+        The query is an `OpenStream` message to the replicas and to the reported lease holder.  A receiver that has a
+        later token replies with it.
         """
         for name in sorted({*self.in_sync, reported_holder} - {self.name}):
             self.sender.probe(name)
@@ -140,9 +141,9 @@
         """Add entries, and the ids of activations to delete, to the next batch.
 
         `on_commit` is called once the batch is committed, with True if the journal is fully replicated at that time.
-        If the journal is lost before, it is never called.  Without entries it is called when everything on the local
-        disk is committed: after a failover an entry on this disk must not be acted on earlier, as other replicas may
-        not have it.
+        It is never called if this dispatcher stops being the primary before that.  Without entries it is called when
+        everything on the local disk is committed: after a failover an entry on this disk must not be acted on earlier,
+        as other replicas may not have it.
         """
         self.batches.append(entries, on_commit, deleted_ids)
 
@@ -172,7 +173,10 @@
         self._commit()
 
     def _commit(self) -> None:
-        """Commit, in order, the batches that all in-sync replicas have stored."""
+        """Commit, in order, the batches that the local disk and all required replicas have stored.
+
+        These are the replicas of the current and the pending in-sync set, and those whose streams have caught up.
+        """
         caught_up = {stream.replica for stream in self.streams.values() if stream.state is StreamState.IN_SYNC}
         required = {*self.in_sync, *(self.pending_in_sync or ()), *caught_up} - {self.name}
         while self.batches.uncommitted and self.ready and not self.fenced_by:
@@ -200,7 +204,7 @@
         self._update_in_sync()
 
     def on_reachable(self, now: float, name: str) -> None:
-        """Restart the time-out of a replica that is connected and has nothing to acknowledge."""
+        """Restart the timeout of a replica that is connected and has nothing to acknowledge."""
         stream = self.streams.get(name)
         if stream is not None and not stream.unacked and stream.state is StreamState.IN_SYNC:
             stream.waiting_since = now
--- a/kelptrail/replication/replica_placement.py
+++ b/kelptrail/replication/replica_placement.py
@@ -2,7 +2,8 @@
 
 Each primary ranks all others by a hash of both names (rendezvous hashing, Thaler and Ravishankar 1998), so that a
 member that joins or leaves moves only the replicas that it gets or had.  Other zones come first.  The load of a member
-is bounded (Mirrokni, Thorup and Zadimoghaddam 2016): a primary whose first choice is full takes the next one.
+is bounded (Mirrokni, Thorup and Zadimoghaddam 2016): a primary whose first choice is full takes the next one.  Only if
+all are full, the bound is exceeded.
 
 Rejected alternatives: a hash ring with virtual nodes needs a table, and neighbours on the ring fail together; with jump
 hashing only the last member can leave; placing ranges of ids instead of complete journals is more even, but then each
@@ -60,9 +61,9 @@
 
 
 def rank_replicas(members: Iterable[Member], primary: str, count: int) -> tuple[str, ...]:
-    """Return all candidates for a primary's replicas, best first.
+    """Return all candidates for a primary's replicas, in the order of preference.
 
-    These are the replicas of `assign_replicas`, then all other members, ordered by zone and hash.
+    These are the replicas of `assign_replicas`, then the other members, those of other zones first.
     """
     by_name = {m.name: m for m in members}
     assigned = assign_replicas(by_name.values(), count).get(primary, ())
--- a/kelptrail/replication/replica_store.py
+++ b/kelptrail/replication/replica_store.py
@@ -1,8 +1,8 @@
 """Store of own and replicated journals: an SQLite database in WAL mode, or in memory if so configured.
 
 `docs/formats/copies.md` describes the layout.  Only one thread may use a store at a time.  Each row has a checksum.
-Digests of buckets are kept in memory and updated by each write.  A write with a `digest_range` other than all buckets
-computes them from the rows on disk, which detects silent corruption.
+Digests of buckets are kept in memory and updated by each write.  For a write with a
+`digest_range` other than all buckets, the digests are computed from the rows on disk, which detects silent corruption.
 """
 
 from __future__ import annotations
@@ -26,6 +26,8 @@
 
 FORMAT = 1
 DISK_ID_BYTES = 6
+# In the stored names, `book` is the id of a journal.  A row of `shelves` has its newest token (`round`, `who`), its
+# primary (`owner`) and the time of the write; a row of `entries` has an entry's time (`since`) and data (`body`).
 TABLES = (
     "CREATE TABLE disk (name TEXT NOT NULL)",
     """CREATE TABLE shelves (book TEXT PRIMARY KEY, round INTEGER NOT NULL, who TEXT NOT NULL, owner TEXT NOT NULL,
@@ -52,7 +54,7 @@
 
 
 class ReplicaStore:
-    """One database, in memory if `file` is None.  Raises `JournalError`."""
+    """One database, in memory if `file` is None.  The constructor raises `JournalError`."""
 
     def __init__(self, file: Path | None, vfs: str | None = None) -> None:
         self.digests: dict[str, list[int]] = {}  # digests of all buckets by journal, as committed
--- a/kelptrail/replication/replica_stream.py
+++ b/kelptrail/replication/replica_stream.py
@@ -1,4 +1,4 @@
-"""The stream of `Append` messages from a primary to one replica: its state and its window of unacknowledged ones."""
+"""The stream of `Append` messages from a primary to one replica: its state and the unacknowledged ones."""
 
 from __future__ import annotations
 
@@ -98,7 +98,7 @@
         self.unacked_bytes += size_bytes
 
     def take_sendable(self, now: float, window_bytes: int) -> list[UnackedAppend]:
-        """Return the unsent messages that fit into the window, with updated delays, and record them as sent."""
+        """Return the unsent messages that begin within the window, with updated delays, and record them as sent."""
         sendable = list[UnackedAppend]()
         for unacked in self.unacked:
             if window_bytes <= 0:
--- a/kelptrail/replication/replica_streams.py
+++ b/kelptrail/replication/replica_streams.py
@@ -12,7 +12,7 @@
 class ReplicaStreams:
     """Streams of the primary `name`.  `on_dropped` is called after a stream was dropped.
 
-    `draining` contains replicas that are to be replaced; they stay in the in-sync set until they are.
+    `draining` contains replicas that are to be replaced; they stay in the in-sync set until then.
     """
 
     def __init__(
--- a/kelptrail/replication/stream_repair.py
+++ b/kelptrail/replication/stream_repair.py
@@ -47,7 +47,10 @@
             self.bucket_reads.append(BucketRead(stream.replica, stream.stream_id, stream.reading_bucket))
 
     def on_bucket_read(self, now: float, stream: ReplicaStream, entries: tuple[ReplicaEntry, ...] | None) -> None:
-        """Send the entries of the bucket that was read; if the read failed, `entries` is None and it is repeated."""
+        """Send the entries of the bucket that was read.
+
+        If the read failed, `entries` is None and the bucket is read again after `retry_ms`.
+        """
         bucket, stream.reading_bucket = stream.reading_bucket, -1
         if entries is None:
             stream.repair_at = now + self._settings.retry_ms
--- a/kelptrail/replication/stream_sender.py
+++ b/kelptrail/replication/stream_sender.py
@@ -106,7 +106,7 @@
         stream.verify_bucket = end % BUCKETS
 
     def send_window(self, now: float, stream: ReplicaStream) -> None:
-        """Send queued messages that fit into the window."""
+        """Send queued messages as far as the window allows."""
         for unacked in stream.take_sendable(now, self._settings.window_bytes):
             self.outbox.append((stream.replica, unacked.append))
             self.sent_bytes += unacked.size_bytes
@@ -115,7 +115,7 @@
         self.outbox.append((stream.replica, OpenStream(self._journal_id, self.token, stream.stream_id)))
 
     def _queue(self, now: float, stream: ReplicaStream, content: AppendContent, batch: int = 0) -> None:
-        """Queue the next message of a stream; `batch` is the last batch that it completes, or 0."""
+        """Queue the next message of a stream; `batch` is the number of the last batch that it completes, or 0."""
         stream.last_sequence += 1
         append = Append(self._journal_id, self.token, stream.stream_id, stream.last_sequence, *content)
         stream.queue(now, append, batch, self._settings.retry_ms)
