--- a/kelptrail/lease/acceptor.py
+++ b/kelptrail/lease/acceptor.py
@@ -12,7 +12,8 @@
 receives the sealed state.
 
 `Stage.FOUNDING` distinguishes the first start of a complete set from the loss of all its disks: each acceptor must find
-that all others are empty, make this finding durable, and find that all others have done the same.
+that all others are empty, make this finding durable, and find that all others have done the same or that one of them
+already votes.
 """
 
 from __future__ import annotations
--- a/kelptrail/lease/acceptor_recovery.py
+++ b/kelptrail/lease/acceptor_recovery.py
@@ -41,6 +41,7 @@
         lease must elapse.
         """
         previous = self.settings.previous_acceptors
+        # This acceptor itself has sealed the previous set by entering the new one.
         sealed = 1 + sum(self.replies[name].sealed_previous for name in previous if name in self.replies)
         if self.name not in previous or sealed < majority(previous):
             return None
@@ -70,7 +71,10 @@
         return reply is not None and reply.stage in (Stage.EMPTY.value, Stage.FOUNDING.value)
 
     def _is_wait_over(self, now: float) -> bool:
-        """Return whether the longest lease has elapsed since the wait started, and the query was sent after that."""
+        """Return whether the wait is over and the last query was sent after its end.
+
+        The first call after a change of the acceptor set starts the wait.
+        """
         if self.wait_started_at is None:
             self.wait_started_at = now
         queried_at = self.next_query_at - self.settings.request_timeout_ms
--- a/kelptrail/lease/acceptor_state.py
+++ b/kelptrail/lease/acceptor_state.py
@@ -16,7 +16,9 @@
 
     EMPTY = "empty"  # no durable state
     FOUNDING = "founding"  # no durable state, and all other acceptors were found to have none either
-    CHANGING = "changing"  # has kept its grants in the previous acceptor set, and has entered the current set
+    CHANGING = (
+        "changing"  # has stored the grants that it made in the previous acceptor set, and has entered the current set
+    )
     VOTING = "voting"
     BEHIND = "behind"  # its settings contain an older acceptor set than its disk
 
--- a/kelptrail/lease/client.py
+++ b/kelptrail/lease/client.py
@@ -95,7 +95,7 @@
     def write_note(self, task: str, text: bytes) -> int | None:
         """Replace the note of a held task; the event `NoteStored` follows once a majority has stored it.
 
-        Returns the sequence number of the note, or None if the task is not held.
+        Return the sequence number of the note, or None if the task is not held.
         """
         request = self.requests.get(task)
         if request is None or not request.is_held:
--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -35,7 +35,7 @@
     WriteNote,
 )
 
-CHANNEL = "lease"
+CAPABILITY = "lease"  # capability by which peers announce that they support these messages
 MESSAGE_TYPES = (AcquireRequest, Grant, Refusal, Release, Transferred, StateRequest, StateReply, WriteNote, NoteWritten)
 ACCEPTOR_MESSAGES = (AcquireRequest, Release, StateRequest, StateReply, WriteNote)
 MAX_TIMER_MS = 1000.0  # maximum delay of the timer, because the rate of the clock may change
@@ -76,10 +76,10 @@
         self._extra_peers: dict[str, set[str]] = {}
         self.message_count = 0
         self.step_hook: Callable[[str], None] = lambda step: None  # called at named steps; crash tests replace it
-        peers.register(CHANNEL, self._on_peer_message, *MESSAGE_TYPES)
+        peers.register(CAPABILITY, self._on_peer_message, *MESSAGE_TYPES)
 
     def start_acceptor(self, file: Path, vfs: str | None = None) -> bool:
-        """Start an acceptor with its store in `file`.  Returns False, without an acceptor, if the store is unusable."""
+        """Start an acceptor with its store in `file`.  Return False, without an acceptor, if the store is unusable."""
         try:
             opened = open_acceptor_store(file, vfs)
         except JournalError as cause:
@@ -133,14 +133,14 @@
         self.run_pending()
 
     def release(self, task: str, successor: str = "") -> None:
-        """Release a task, to `successor` if one is named.  All work under the lease must have ended before."""
+        """Release a task, to `successor` if one is named.  The caller must have ended all work that needs the lease."""
         self.client.release(now_ms(), task, successor)
         self.run_pending()
 
     def held_token(self, task: str) -> FencingToken | None:
         """Return the token of the valid lease, or None if the task is not held.
 
-        Callers must check this immediately before each action under the lease.
+        Callers must check this immediately before each action that needs the lease.
         """
         return self.client.held_token(now_ms(), task)
 
@@ -156,7 +156,7 @@
         return request.inherited_note.text if request is not None else b""
 
     def keep_connected(self, names: set[str], owner: str) -> None:
-        """Keep connections to these peers in addition to the acceptors.  They replace the earlier peers of `owner`."""
+        """Keep connections to these peers, instead of the earlier ones of `owner`, in addition to the acceptors."""
         if self._extra_peers.get(owner) != names:
             self._extra_peers[owner] = names
             self._update_connections()
--- a/kelptrail/lease/messages.py
+++ b/kelptrail/lease/messages.py
@@ -156,7 +156,7 @@
 class StateReply(msgspec.Struct, frozen=True, tag="learnt", array_like=True):
     """State of an acceptor.  `stage` is a value of `acceptor_state.Stage`.
 
-    `sealed_previous` is true if it has kept everything that it granted in the previous acceptor set, and grants nothing
+    `sealed_previous` is true if it has stored all grants that it made in the previous acceptor set, and grants nothing
     more in that set.
     """
 
--- a/kelptrail/lease/model.py
+++ b/kelptrail/lease/model.py
@@ -1,11 +1,13 @@
 """Model of the lease protocol for exhaustive and random search: its steps and properties.  Performs no I/O.
 
 Steps: messages are delivered in any order, dropped or duplicated; time advances, also while messages are in flight;
-processes restart, disks are lost, syncs fail, clients pause.
+processes restart, disks are lost, syncs fail; clients pause, release the lease and use their tokens at the resource;
+processes adopt the next acceptor set one by one.
 
-Properties: in every state at most one client relies on the lease, if the clock rates are within the bound; acquired
-tokens only increase, and the resource accepts no token older than one that it has accepted before; and once the faults
-have ended, some client holds the lease within a given time.
+Properties: in every state at most one client relies on the lease, if the clock rates are within the bound.  Acquired
+tokens only increase.  A client that acquires the lease inherits the latest note that was acknowledged.  The resource
+accepts no token older than one that it has accepted before.  Once the faults have ended, some client holds the lease
+within a given time.
 """
 
 from __future__ import annotations
--- a/kelptrail/lease/model_state.py
+++ b/kelptrail/lease/model_state.py
@@ -230,5 +230,5 @@
 
 
 def _time_until(when: float | None, now: float) -> float | None:
-    """Return the time left until `when`, or None for None and all times in the past."""
+    """Return the time left until `when`, or None if `when` is None or has passed."""
     return None if when is None or when <= now else round(when - now, 3)
--- a/kelptrail/lease/model_transitions.py
+++ b/kelptrail/lease/model_transitions.py
@@ -29,10 +29,10 @@
         )
         return next_state
 
-    def _deliver_step(self, number: int) -> Self:
+    def _deliver_step(self, index: int) -> Self:
         next_state = self.clone()
-        item = self.in_flight[number]
-        next_state.in_flight = self.in_flight[:number] + self.in_flight[number + 1 :]
+        item = self.in_flight[index]
+        next_state.in_flight = self.in_flight[:index] + self.in_flight[index + 1 :]
         next_state._deliver_to_recipient(item)
         next_state._collect_output()
         return next_state
@@ -48,14 +48,14 @@
         elif item.to in self.clients:
             self.clients[item.to].on_message(self.local_time(item.to), item.sender, item.message)
 
-    def _drop_step(self, number: int) -> Self:
+    def _drop_step(self, index: int) -> Self:
         next_state = self._spend(drops=1)
-        next_state.in_flight = self.in_flight[:number] + self.in_flight[number + 1 :]
+        next_state.in_flight = self.in_flight[:index] + self.in_flight[index + 1 :]
         return next_state
 
-    def _duplicate_step(self, number: int) -> Self:
+    def _duplicate_step(self, index: int) -> Self:
         next_state = self._spend(duplicates=1)
-        next_state.in_flight = (*self.in_flight, self.in_flight[number])
+        next_state.in_flight = (*self.in_flight, self.in_flight[index])
         return next_state
 
     def _sync_step(self, name: str, succeeds: bool) -> Self:
@@ -71,7 +71,7 @@
     def _restart_step(self, name: str, disk_lost: bool) -> Self:
         """Restart an acceptor at once, without its unsynced writes and, if `disk_lost`, without its disk.
 
-        A longer restart is equivalent to a loss of messages, so that it needs no step of its own.
+        A restart that takes longer is equivalent to a loss of messages, so it needs no step of its own.
         """
         next_state = self._spend(disk_losses=1) if disk_lost else self._spend(restarts=1)
         if disk_lost:
@@ -97,7 +97,7 @@
         return next_state._restart_client(name)
 
     def _next_event_at(self) -> float | None:
-        """Return the true time at which the next timer, grant or lease ends, or None if there is none."""
+        """Return the true time at which a timer fires or a grant or lease ends next, or None if none does."""
         participants: list[tuple[str, Acceptor | LeaseClient]] = [*self.clients.items(), *self.acceptors.items()]
         event_times = [
             max(self.now, due / self.setup.clock_rate(name))
@@ -161,7 +161,7 @@
         next_state = self._spend(actions=1)
         token = self.clients[name].held_token(self.local_time(name), TASK)
         assert token is not None
-        next_state.in_flight = (*self.in_flight, InFlight(name, "thing", None, token))
+        next_state.in_flight = (*self.in_flight, InFlight(name, "resource", None, token))
         return next_state
 
     def _release_step(self, name: str) -> Self:
@@ -193,7 +193,7 @@
                         client.write_note(TASK, b"")
                 elif isinstance(event, NoteStored):
                     self.stored_note = max(self.stored_note, LeaseNote(event.token, event.sequence))
-            while client.outbox:  # the note written above
+            while client.outbox:  # contains the note that was written above
                 to, message = client.outbox.popleft()
                 self.in_flight += (InFlight(name, to, message),)
 
--- a/kelptrail/membership/client.py
+++ b/kelptrail/membership/client.py
@@ -58,7 +58,7 @@
         self.saved = True  # False if the last attempt to write a list to disk failed
 
     def load_saved(self) -> bool:
-        """Apply the saved list.  Returns False if there is none or it is unreadable."""
+        """Apply the saved list.  Return False if there is none or it is unreadable."""
         if self._saved_file is None or not self._saved_file.exists():
             return False
         try:
@@ -76,6 +76,7 @@
         while True:
             known_version = f"{self.endpoints.lineage}:{self.endpoints.version}" if self.endpoints else ""
             try:
+                # `who` and `at` are the name and address of this dispatcher, `hall` is its zone.
                 response = await http.request(
                     "GET",
                     f"/workers?who={self._client_name}&at={self.address}&channel={self.channel_address}"
--- a/kelptrail/membership/members.py
+++ b/kelptrail/membership/members.py
@@ -14,7 +14,7 @@
 
 from kelptrail.dispatch.entities import Worker, WorkerState
 
-ID_PREFIX_DIGITS = 6  # leading hex digits of an activation id, derived from its dispatcher's name
+ID_PREFIX_DIGITS = 6  # number of leading hex digits of an activation id that derive from its dispatcher's name
 STATE_BY_NAME = {"live": WorkerState.LIVE, "draining": WorkerState.DRAINING, "gone": WorkerState.REMOVED}
 
 
--- a/kelptrail/peers/driver.py
+++ b/kelptrail/peers/driver.py
@@ -49,7 +49,9 @@
         self._writing: set[PeerConnection] = set()
         self._connectors: dict[str, asyncio.Task[None]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._listener = Listener(self._loop, self._on_accept, lambda sock, peer, back: sock.close(), log.warning)
+        self._listener = Listener(
+            self._loop, self._on_accept, lambda sock, peer, retry_after_ms: sock.close(), log.warning
+        )
         self._heartbeat_task: asyncio.Task[None] | None = None
         self.address = ""
         self.connections_lost = 0
@@ -86,9 +88,9 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def keep_connected(self, names: set[str]) -> None:
-        """Keep connections to exactly these peers.
+        """Keep connections to these peers, and close connections that this process has opened to others.
 
-        A connection is opened to each peer that does not connect here; connections opened to others are closed.
+        A connection is opened to each peer that has not connected to this process.
         """
         for name in names - self._connectors.keys() - {self.name}:
             self._connectors[name] = self._loop.create_task(self._stay_connected(name))
@@ -215,12 +217,12 @@
 
     async def _send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(self._settings.heartbeat_ms / 2000)
+            await asyncio.sleep(self._settings.heartbeat_ms / 2000)  # checks twice per heartbeat interval
             now = now_ms()
             for connection, sock in list(self._connections.items()):
                 if connection.tick(now):
                     self._write(connection)
-                else:  # the task that reads from the socket then ends with an error
+                else:  # the task that reads from the socket then ends and closes it
                     with contextlib.suppress(OSError):
                         sock.shutdown(socket.SHUT_RDWR)
 
--- a/kelptrail/peers/messages.py
+++ b/kelptrail/peers/messages.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-VERSION, OLDEST_VERSION = 2, 1  # 1: only edges and planners; 2: `Hello.capabilities`, any peers
+VERSION, OLDEST_VERSION = 2, 1  # version 1: only edges and planners; version 2: all peers, and `Hello.capabilities`
 LENGTH_BYTES = 4  # size of the length field that precedes the message in a frame
 MAX_FRAME_BYTES = 1 << 26
 
