--- a/kelptrail/background/core.py
+++ b/kelptrail/background/core.py
@@ -2,9 +2,9 @@
 
 Jobs run in steps that are never interrupted; the CPU time of a step is charged afterwards to a budget that refills at a
 share of real time.  Among the due jobs the one with the highest priority runs first.  A job that has been due for
-longer than its maximum wait runs before all others and may overdraw the budget, so no job starves; the overdraft is
-repaid before any other job runs.  While requests are in flight only a part of the budget may be used.  A job that
-exceeds its share of real time is delayed accordingly.
+longer than its maximum wait runs before all others, so no job starves.  It may overdraw the budget by up to the limit
+of accumulated CPU time; no other job runs until the overdraft is repaid.  While requests are in flight only a part of
+the budget may be used.  A job that exceeds its share of real time is delayed accordingly.
 
 Alternatives considered: one timer for each job (timers fire together, at the time when requests arrive), low-priority
 threads (they share one interpreter lock), and a process for each job (no shared state; used only for the solver, which
@@ -46,7 +46,7 @@
 
     `step` does one step of a run and returns whether the run has more steps.  `interval_ms`: time from the end of one
     run until the next is due; 0 for a job that runs only on `request_run`.  `max_wait_ms`: a job that is overdue by
-    more runs before all others.  `share`: share of real time that this job may use.
+    more than this runs before all others.  `share`: share of real time that this job may use.
     """
 
     name: str
@@ -134,7 +134,8 @@
         for job in self.jobs.values():
             ready = max(job.due_at, job.not_before) - now
             if self._budget_ms <= min_budget_ms and ready < MAX_WAIT_MS:
-                # The job can run when the budget suffices or when it has waited for its maximum wait.
+                # The job can run when the budget suffices or when it has waited for its maximum wait.  As `next_job`
+                # requires that these limits are exceeded and not only reached, 0.1 ms is added to each.
                 ready = min(
                     max(ready, (min_budget_ms - self._budget_ms + 0.1) / self._settings.share),
                     max(ready, job.due_at + job.max_wait_ms - now + 0.1),
--- a/kelptrail/clock/__init__.py
+++ b/kelptrail/clock/__init__.py
@@ -15,7 +15,10 @@
 
 
 def wall_ms() -> float:
-    """Return milliseconds since the Unix epoch; for display only, never for comparisons."""
+    """Return milliseconds since the Unix epoch, for display and for stored times.
+
+    The wall clock may be set at any time, so use `now_ms` to measure durations within a run.
+    """
     return time.time() * 1000.0 + _wall_offset_ms
 
 
--- a/kelptrail/planner/channel.py
+++ b/kelptrail/planner/channel.py
@@ -23,7 +23,8 @@
 class UsageReport(msgspec.Struct, frozen=True, tag="report", array_like=True):
     """An edge's counters since its last report, and its loaded instances.
 
-    `loaded` has all of them if `complete`, else only those that changed.
+    `order`: order of the latest plan that the edge has accepted; `leader_silent_ms`: time since the last message of the
+    leading planner.  `loaded` has all instances if `complete`, else only the counts that changed.
     """
 
     order: PlanOrder
@@ -40,7 +41,10 @@
 
 
 class PlanReply(msgspec.Struct, frozen=True, tag="reply", array_like=True):
-    """An edge's reply to a plan: `reason` is empty if it was accepted, else a `RefusalReason` value."""
+    """An edge's reply to a plan: `reason` is empty if it was accepted, else a `RefusalReason` value.
+
+    `order`: order of the accepted plan or, after a refusal, of the latest plan that the edge has accepted.
+    """
 
     order: PlanOrder
     reason: str = ""
@@ -53,7 +57,7 @@
 
 
 class PlanResult(Enum):
-    """Whether an edge accepted or refused a plan."""
+    """Whether an edge accepted or refused a plan; a plan that waits for its endpoint list counts as accepted."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -162,13 +166,13 @@
 
 
 class LeaderContact:
-    """Time of the last message that an edge received from the leading planner."""
+    """Time of the last heartbeat or accepted plan that an edge received from the leading planner."""
 
     def __init__(self, now: float) -> None:
         self.last_ms = now
 
     def silent_ms(self, now: float) -> float:
-        """Return the milliseconds since the last message."""
+        """Return the time since then, in ms."""
         return now - self.last_ms
 
 
--- a/kelptrail/planner/core.py
+++ b/kelptrail/planner/core.py
@@ -3,8 +3,8 @@
 Endpoint lists, usage reports, and connecting and disconnecting edges arrive as events; the driver requests the next
 problem to solve and the plans to send.  Leadership is not decided here: a planner leads from the event that it acquired
 the lease to the event that it lost it, and receives reports all the time.  Every plan carries the lease's fencing
-token.  Edges refuse plans with an older token than the latest that they have seen; a planner that receives a later
-token from an edge stops leading at once.
+token.  Edges refuse plans with an older token than that of the latest plan that they have accepted; a planner that
+receives a later token from an edge stops leading at once.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from .plan_follower import RefusalReason
 
 LOADED_VALID_MS = 30_000.0  # how long a reported instance counts as loaded
-REPLAN_DELAY_MS = 500.0  # delay of the next plan after an edge refused one because of its workers
+REPLAN_DELAY_MS = 500.0  # longest time to the next problem after an edge refused a plan because of its workers
 DEFAULT_WORK_MS = 100.0  # assumed work per call before any has been measured
 SECONDS_PER_MINUTE = 60
 BISECTION_STEPS = 40
@@ -88,7 +88,7 @@
 
     name: str
     last_report_ms: float
-    plan_order: PlanOrder = BEFORE_ALL_PLANS  # order of the latest plan that the edge has seen
+    plan_order: PlanOrder = BEFORE_ALL_PLANS  # order of the latest plan that the edge has accepted
 
 
 @dataclass(slots=True)
@@ -150,7 +150,7 @@
     ) -> None:
         """Process the usage report of an edge.
 
-        `order`: order of the latest plan that the edge has seen; `loaded`: instances that it reports as loaded.
+        `order`: order of the latest plan that the edge has accepted; `loaded`: instances that it reports as loaded.
         """
         known_edge = self.edges.get(edge)
         if known_edge is None:
@@ -172,7 +172,7 @@
         """Record that an edge refused a plan; the next plan that it receives is a complete one.
 
         It is sent at once if the base of a difference was the reason.  If the plan's workers were the reason, the next
-        problem is due after `REPLAN_DELAY_MS`.
+        problem is due within `REPLAN_DELAY_MS`.
         """
         self.counters.refusals[reason] = self.counters.refusals.get(reason, 0) + 1
         known_edge = self.edges.get(edge)
@@ -225,7 +225,7 @@
     # Outputs.
 
     def tick(self, now: float, hour: int) -> None:
-        """Close the demand window and remove silent edges.  Must be called about once a second."""
+        """Close the demand window and remove silent edges.  Call it about once a second or more often."""
         settings = self._settings
         self.demand.close_window(now, hour)
         for edge in [e.name for e in self.edges.values() if now - e.last_report_ms > settings.edge_timeout_ms]:
@@ -277,7 +277,7 @@
     # Internals.
 
     def _check_fence(self, order: PlanOrder) -> None:
-        """Stop leading if an edge has seen a plan with a later token, because another planner then holds the lease."""
+        """Stop leading if an edge has accepted a plan with a later token: another planner has acquired the lease."""
         if self.role is Role.LEADER and order[:2] > (self.epoch, self.owner):
             self.on_lease_lost()
 
--- a/kelptrail/planner/demand.py
+++ b/kelptrail/planner/demand.py
@@ -37,9 +37,10 @@
 
 
 class Demand:
-    """Request rates measured from usage reports, in windows of a second.
+    """Request rates measured from usage reports, in windows that end with each call of `close_window`.
 
-    The caller has the clock and passes the hour (0 to 23).
+    The caller has the clock and passes the hour (0 to 23).  `window_ms`: length of the first window; `fast_ms` and
+    `slow_ms`: time constants of the two moving averages of a rate.
     """
 
     def __init__(self, window_ms: float = 1000.0, fast_ms: float = 8000.0, slow_ms: float = 90_000.0) -> None:
--- a/kelptrail/planner/driver.py
+++ b/kelptrail/planner/driver.py
@@ -52,7 +52,8 @@
     solver: str = "program"
     solve_delay_ms: float = 0.0
     solve_timeout_s: float = 30.0
-    peer_addresses: dict[str, str] = field(default_factory=dict)  # of lease acceptors; they override the settings
+    # Addresses of lease acceptors, which override those in the settings.
+    peer_addresses: dict[str, str] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -263,6 +264,7 @@
     def start(self) -> None:
         """Request the lease and start the background jobs."""
         self._leases.acquire(LEASE_NAME, self._lease_length_ms, self._on_lease_acquired, self._on_lease_lost)
+        # The numbers are the priority, the interval and maximum wait in ms, and the share of real time.
         self.background.add("tick", self.tick, 1, 250.0, 1000.0, 0.5)
         self.background.add("beat", self.send_heartbeats, 0, HEARTBEAT_MS, 700.0, 0.2)
         self.background.add("save", self.save, 5, 2000.0, 10_000.0, 0.05)
--- a/kelptrail/planner/edge_driver.py
+++ b/kelptrail/planner/edge_driver.py
@@ -30,7 +30,7 @@
 CONNECT_TIMEOUT_S = 2.0
 BACKOFF_MS, MAX_BACKOFF_MS, BACKOFF_FACTOR = 300.0, 5000.0, 1.6
 STABLE_MS = 10_000.0  # a connection that lasts longer resets the backoff
-MAX_FILE_BYTES = 1 << 26  # limit of the decompressed size
+MAX_UNPACKED_BYTES = 1 << 26
 READ_BYTES = 65_536
 
 
@@ -70,7 +70,7 @@
 
     @property
     def live_workers(self) -> set[str]:
-        """The workers that are live in the edge's own endpoint list."""
+        """Ids of the workers that are live in the edge's own endpoint list."""
         return {worker.id for worker in self._gateway.members if worker.live}
 
     @property
@@ -79,11 +79,11 @@
         return EndpointsVersion(self._gateway.members.lineage, self._gateway.members.version)
 
     def load_saved_plan(self) -> bool:
-        """Follow the plan on disk if it is undamaged and still valid; return whether it is followed."""
+        """Follow the plan on disk if it is undamaged, valid and uses only live workers; return whether this is so."""
         if self._file is None or not self._file.exists():
             return False
         try:
-            saved = _decode(zstandard.ZstdDecompressor().decompress(self._file.read_bytes(), MAX_FILE_BYTES))
+            saved = _decode(zstandard.ZstdDecompressor().decompress(self._file.read_bytes(), MAX_UNPACKED_BYTES))
         except (OSError, zstandard.ZstdError, msgspec.MsgspecError) as cause:
             self._log.warning("saved-plan-unusable", file=str(self._file), reason=str(cause))
             return False
--- a/kelptrail/planner/plan_follower.py
+++ b/kelptrail/planner/plan_follower.py
@@ -1,9 +1,10 @@
 """The edge's rules for plans: accept a plan completely or not at all, follow it to its expiry; free of I/O and clocks.
 
-A plan is refused if it is older than the one in force, is of another lineage, has expired, does not match its digest,
-or uses a worker that is not live in the edge's own endpoint list.  Epochs fence: once a plan of a later epoch has been
-accepted, none of an earlier epoch is, not even after a restart, because the last plan's header is kept.  Without a
-plan, or with an expired one, an edge decides as it does without a planner.
+A plan is refused if it is not later than the last accepted one, is of another lineage, has expired, does not match its
+digest, is a difference from a plan that is not in force, or uses a worker that is not live in the edge's own endpoint
+list.  Epochs fence: once a plan of a later epoch has been accepted, plans of earlier epochs are refused, even after a
+restart, because the last plan is stored on disk.  Without a plan, or with an expired one, an edge decides as it does
+without a planner.
 """
 
 from __future__ import annotations
@@ -29,12 +30,12 @@
 class RefusalReason(Enum):
     """Reason for which a plan was refused; the values are on the wire."""
 
-    OLDER = "older"  # not later than the plan in force, or of a fenced epoch
+    OLDER = "older"  # not later than the latest plan accepted or read from disk
     LINEAGE = "lineage"
     EXPIRED = "expired"
     DIGEST = "digest"
     WORKERS = "workers"  # the plan uses a worker that is draining, removed or unknown
-    BASE = "base"  # the base of the difference is not in force: a complete plan is needed
+    BASE = "base"  # the plan is a difference from one that is not in force, so a complete plan is needed
 
 
 @dataclass(frozen=True, slots=True)
--- a/kelptrail/planner/program_placement.py
+++ b/kelptrail/planner/program_placement.py
@@ -75,7 +75,7 @@
 ) -> Placement:
     """Return the placement of the mixed-integer program if it costs less than the greedy one, else the greedy one.
 
-    The greedy placement is also returned if the program is too large or takes too long.
+    The greedy placement is also returned if the program is too large or has no valid solution within its limits.
     """
     greedy = place_greedily(workers, demands, budget)
     requested = [demand for demand in demands if demand.instances_needed]
@@ -97,7 +97,8 @@
 ) -> list[Pair]:
     """Return each function's candidate workers as pairs.
 
-    Candidates are the workers where it is loaded, those of the greedy placement, and a few that it prefers.
+    Candidates are the workers where it is loaded, those of the greedy placement, and the `limits.preferred_workers`
+    that it prefers most.
     """
     worker_numbers = {worker.id: number for number, worker in enumerate(workers)}
     warm = [worker for worker in workers if not worker.warming_up]
@@ -229,4 +230,5 @@
         return self._requested[pair.function].loaded.get(self._workers[pair.worker].id, 0)
 
     def _rows(self, data: np.ndarray, rows: np.ndarray, columns: np.ndarray, row_count: int) -> sparse.csr_array:
+        """Return a matrix with a column for each variable and `data` at the positions in `rows` and `columns`."""
         return sparse.csr_array((data, (rows, columns)), shape=(row_count, self._variable_count))
