--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -81,7 +81,7 @@
     async def make_calls(self, seconds: float) -> int:
         """Make calls one after the other, each of which must be completed; returns their number.
 
-        The edge's reports, in service a background job, are sent between the calls.
+        The edge's reports are sent between the calls; in a dispatcher process, a background job sends them.
         """
         end, done = now_ms() + seconds * 1000, 0
         while now_ms() < end:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -49,7 +49,7 @@
     old_peer, new_peer = new_connection(), new_connection()
     assert old_peer.receive_data(1.0, encode_frame(Hello(1, "old", "here"))) == [] and old_peer.version == 1
     assert not old_peer.enqueue(2.0, REQUEST, "lease") and not old_peer.pending_bytes > 100, (
-        "version 1 has no such message"
+        "a peer of version 1 supports no lease messages"
     )
     frames = b"".join(
         [
@@ -134,7 +134,7 @@
         holder, token = events[-1]
         assert holder == second.name and FencingToken(int(token.partition(".")[0]), "") > FencingToken(1, "")
         time.sleep(2.05)  # blocks the event loop for two lease lengths
-        assert second.held_token("t") is None, "it expires by the clock, before any timer has fired"
+        assert second.held_token("t") is None, "the lease expires according to the clock, before any timer has fired"
         await wait_until(lambda: (second.name, "expired") in events)
         status = second.status()
         assert status["voters"].keys() == {"v0", "v1", "v2"} and "t" in status["wants"]
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -224,7 +224,7 @@
 
 
 def test_acceptor_rejects_note_under_older_token_and_learns_notes_of_others() -> None:
-    """Random walks do not find these faults within seconds, because both need rare schedules."""
+    """Random walks do not find violations of these two rules within seconds, because both need rare schedules."""
     old, new = FencingToken(1, "x/1"), FencingToken(2, "y/1")
     acceptor = Acceptor(
         "a",
@@ -528,22 +528,22 @@
         "clock_bound": 0.01,
         "rules": {"drain_grace_ms": 1, "tip": 1, "tip_ms": 1, "load_span_ms": 0},
     }
-    good = [
+    valid_uses = [
         token_use(10, 1, 9),
         token_use(20, 1, 19, event="done"),
         token_use(30, 2, 29, "e"),
         token_use(40, 1, 19, accepted=False),
     ]
-    result = check_history([first_event, *good])
+    result = check_history([first_event, *valid_uses])
     assert not result.broken and result.old_tokens_refused == 1 and result.lease_uses == 3
-    two_holders = check_history([first_event, *good, token_use(50, 1, 45, accepted=False)])
+    two_holders = check_history([first_event, *valid_uses, token_use(50, 1, 45, accepted=False)])
     assert two_holders.holders_two == 1 and two_holders.broken and not two_holders.old_tokens_taken
-    old_token_accepted = check_history([first_event, *good, token_use(50, 1, 19)])
+    old_token_accepted = check_history([first_event, *valid_uses, token_use(50, 1, 19)])
     assert old_token_accepted.old_tokens_taken == 1 and not old_token_accepted.holders_two
     clock_fault = {"t": 25.0, "who": "player", "what": "trouble", "kind": "clock-rate", "seconds": 1.0, "factor": 1.1}
-    beyond_bound = check_history([first_event, clock_fault, *good, token_use(50, 1, 45, accepted=False)])
+    beyond_bound = check_history([first_event, clock_fault, *valid_uses, token_use(50, 1, 45, accepted=False)])
     assert beyond_bound.holders_two_by_clocks == 1 and not beyond_bound.broken
     within_bound = check_history(
-        [first_event, clock_fault | {"factor": 1.01}, *good, token_use(50, 1, 45, accepted=False)]
+        [first_event, clock_fault | {"factor": 1.01}, *valid_uses, token_use(50, 1, 45, accepted=False)]
     )
     assert within_bound.holders_two == 1
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -55,11 +55,15 @@
     owner: str = "p",
     instances: InstanceCounts | None = None,
     lineage: str = "here",
-    valid: float = 10_000.0,
+    valid_ms: float = 10_000.0,
     endpoints_version: tuple[str, int] = ENDPOINTS_VERSION,
 ) -> Plan:
     return make_plan(
-        lineage, (epoch, owner, number), valid, endpoints_version, {"m": {"w1": 1}} if instances is None else instances
+        lineage,
+        (epoch, owner, number),
+        valid_ms,
+        endpoints_version,
+        {"m": {"w1": 1}} if instances is None else instances,
     )
 
 
@@ -104,13 +108,13 @@
     def offer(
         plan: Plan,
         now: float = 0.0,
-        age: float = 0.0,
-        before: Plan | None = None,
+        age_ms: float = 0.0,
+        base: Plan | None = None,
         live: set[str] | None = None,
         endpoints_version: tuple[str, int] = ENDPOINTS_VERSION,
     ) -> RefusalReason | None:
         refusal = plan_state.on_plan(
-            now, decode_plan(encode_plan(plan, age, before)), LIVE if live is None else live, endpoints_version
+            now, decode_plan(encode_plan(plan, age_ms, base)), LIVE if live is None else live, endpoints_version
         )
         return refusal.reason if refusal is not None else None
 
@@ -119,7 +123,7 @@
     assert offer(first) is None and plan_state.target(0.0) == {"m": {"w1": 1}}
     assert offer(first) is RefusalReason.OLDER and offer(plan_of(0)) is RefusalReason.OLDER
     assert offer(plan_of(2, lineage="there")) is RefusalReason.LINEAGE
-    assert offer(plan_of(2), age=10_000.0) is RefusalReason.EXPIRED
+    assert offer(plan_of(2), age_ms=10_000.0) is RefusalReason.EXPIRED
     assert offer(plan_of(2, instances={"m": {"w1": 1, "gone": 1}})) is RefusalReason.WORKERS
     assert offer(plan_of(2, instances={"m": {"w1": 1}}), live=LIVE - {"w1"}) is RefusalReason.WORKERS, (
         "the worker is draining"
@@ -131,7 +135,7 @@
     assert altered is not None and altered.reason is RefusalReason.DIGEST
     assert plan_state.target(0.0) == {"m": {"w1": 1}}, "a refused plan changes nothing"
     second, third = plan_of(2, instances={"m": {"w2": 1}}), plan_of(3, instances={"m": {"w3": 1}})
-    assert offer(third, before=second) is RefusalReason.BASE
+    assert offer(third, base=second) is RefusalReason.BASE
     assert offer(second, 100.0, 400.0, first) is None
     assert plan_state.remaining_ms(100.0) == 9600 and plan_state.target(9700.1) is None, "the plan has expired"
     assert offer(plan_of(1, epoch=1, owner="q")) is None, "within one epoch the greater owner name is later"
@@ -160,11 +164,11 @@
 
 
 def random_problem(
-    seed: int, workers: int, models: int, tight: float = 1.0
+    seed: int, workers: int, models: int, memory_factor: float = 1.0
 ) -> tuple[list[WorkerCapacity], list[FunctionDemand], int]:
     rng = np.random.default_rng(seed)
     capacities = [
-        WorkerCapacity(f"w{n}", float(rng.choice([1500, 3000])) * tight, 4, bool(rng.random() < 0.15))
+        WorkerCapacity(f"w{n}", float(rng.choice([1500, 3000])) * memory_factor, 4, bool(rng.random() < 0.15))
         for n in range(workers)
     ]
     demands = []
@@ -204,7 +208,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_small_placements_are_close_to_the_optimum(seed: int) -> None:
-    """Compares both solvers with the best placement of three functions on three workers, found by brute force."""
+    """Compare both solvers with the best placement of three functions on three workers, found by brute force."""
     rng = np.random.default_rng(seed)
     capacities = [WorkerCapacity(f"w{n}", 1250.0, 2) for n in range(3)]  # plans may use 1,000 MB
     demands = [
@@ -277,7 +281,7 @@
     order: tuple[int, str, int] = BEFORE_ALL_PLANS,
     steps: int = 30,
 ) -> float:
-    """Report the usage of one function each second and solve the planner's problems; returns the time afterwards."""
+    """Report the usage of one function each second and solve the planner's problems; return the time afterwards."""
     for _ in range(steps):
         now += 1000
         planner.on_report(now, edge, order, {"m1": FunctionCounters(rate, rate, 0, 0, 0, 0, rate * 100.0)}, {})
@@ -307,7 +311,7 @@
     before = planner.counters.plans
     planner.on_endpoints(now, WORKERS[1:], ("list", 6))
     now = run_planner(planner, now, 20, steps=1)
-    assert planner.counters.plans == before + 1 and all("w0" not in at for at in planner.target.values())
+    assert planner.counters.plans == before + 1 and all("w0" not in by_worker for by_worker in planner.target.values())
 
 
 def test_edges_fence_a_planner_that_has_lost_the_lease() -> None:
@@ -431,7 +435,9 @@
             "a": FunctionCounters(3, 2, 0, 0, 0, 2, 10.0)
         }
         reported = {
-            m: nonzero for m, at in planner_channel.loaded.items() if (nonzero := {w: n for w, n in at.items() if n})
+            m: nonzero
+            for m, by_worker in planner_channel.loaded.items()
+            if (nonzero := {w: n for w, n in by_worker.items() if n})
         }
         assert reported == loaded
     assert not edge.report_due(3.5) and edge.report_due(1003.0)
@@ -450,7 +456,7 @@
 
 
 def tick_and_take_orders(dispatcher: Dispatcher, now: float) -> list[LoadOrder]:
-    """The load orders of one tick."""
+    """Run a tick and return the load orders that follow."""
     dispatcher.on_tick(now)
     return [d for d in decide_all(dispatcher, now) if isinstance(d, LoadOrder)]
 
@@ -485,7 +491,7 @@
                 dispatcher.on_plan({function: {dispatcher.workers[3]: 1}})
             if plan and step == 300:
                 dispatcher.on_plan({})
-            if step % 100 == 0:  # occasional requests keep the function known
+            if step % 100 == 0:  # a request every 10 s keeps the function known
                 dispatcher.on_request(now, new_request(function, now, step))
             dispatcher.on_tick(now)
             for decision in decide_all(dispatcher, now):
@@ -584,11 +590,11 @@
     received = [0, 0]
     readers = [FrameReader(MESSAGE_DECODER), FrameReader(MESSAGE_DECODER)]
     for step in range(41):
-        for number, (planner_channel, reader) in enumerate(zip(channels, readers, strict=True)):
-            planner_channel.add_counters({"m": FunctionCounters(1)})
-            if planner_channel.report_due(step * 250.0):
-                planner_channel.queue_report(step * 250.0, {})
-            for message in reader.feed(b"".join(planner_channel.output)):
+        for number, (edge_channel, reader) in enumerate(zip(channels, readers, strict=True)):
+            edge_channel.add_counters({"m": FunctionCounters(1)})
+            if edge_channel.report_due(step * 250.0):
+                edge_channel.queue_report(step * 250.0, {})
+            for message in reader.feed(b"".join(edge_channel.output)):
                 received[number] += message.counters["m"].received if isinstance(message, UsageReport) else 0
-            planner_channel.output.clear()
+            edge_channel.output.clear()
     assert received[0] == 41 and received[1] == 39, "all counters except those since the last report"
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -51,7 +51,7 @@
 
 
 def members_in_zones(count: int, zones: int) -> list[Member]:
-    return [Member(f"dispatcher-{n}", f"hall-{n % zones}") for n in range(count)]
+    return [Member(f"dispatcher-{n}", f"zone-{n % zones}") for n in range(count)]
 
 
 @pytest.mark.parametrize(("size", "zones", "count"), [(7, 3, 1), (7, 3, 2), (30, 3, 2), (60, 4, 3), (9, 1, 2)])
@@ -105,7 +105,7 @@
 
 
 def test_replica_that_lost_acknowledged_entries_is_repaired() -> None:
-    """Single entries disappear from a disk; disks have no other faults."""
+    """Single entries disappear from disks, which have no other faults; messages are still lost and delayed."""
     repaired = 0
     for seed in range(12):
         model = Model(seed, faults=Faults(disk_loss=0.0, bit_rot=0.004, lease_loss=0.0, restart=0.0, failed_sync=0.0))
@@ -268,7 +268,7 @@
     primary.append([ReplicaEntry("i", 0, 0.0, b"x")], results.append)
     primary.start_batch(2.0)
     primary.on_local_write(primary.local_writes.popleft(), True)
-    assert not results, "the replica has not acknowledged it"
+    assert not results, "the replica has not acknowledged the batch"
     primary.tick(400.0)
     primary.tick(1600.0)
     assert not primary.streams and primary.in_sync_updates.pop() == {"a": "disk-a"} and not results, (
@@ -279,7 +279,7 @@
         results == [False] and not primary.accepts_requests() and primary_status(1701.0, primary)["at_risk_ms"] == 100
     )
     under_replicated = new_primary(allow_under_replicated=True)
-    assert under_replicated.accepts_requests(), "the settings allow it"
+    assert under_replicated.accepts_requests(), "the settings allow calls in an under-replicated journal"
 
 
 def test_fenced_primary_commits_nothing() -> None:
@@ -314,7 +314,9 @@
     assert len([m for _, m in primary.outbox if isinstance(m, Append)]) == 2
     primary.tick(400.0)
     resent = [m for _, m in primary.outbox if isinstance(m, Append)][2]
-    assert resent.sequence == sent[0].sequence + 1 and resent.delay_ms == 398.0, "a message sent again has its delay"
+    assert resent.sequence == sent[0].sequence + 1 and resent.delay_ms == 398.0, (
+        "a message that is sent again carries the time since it was queued"
+    )
 
 
 def test_large_batch_is_split_and_committed_with_its_last_part() -> None:
@@ -385,7 +387,7 @@
         and "dispatcher-0" not in ranking
     )
     assert rank_replicas(members, "stranger", 2)[0].startswith("dispatcher"), (
-        "a primary that is not in the member list has candidates, too"
+        "a primary that is not in the member list also has candidates"
     )
 
 
@@ -560,7 +562,7 @@
     assert results == [None, None]
     lookups.start(0.0, "x", ["a"], [], False, results.append)
     lookups.on_reply("a", "x", LookupState.NO, "", "a/2", ["a/1"])
-    assert results.pop() == "", "the primary of a journal that may contain it has not replied"
+    assert results.pop() == "", "the primary of a journal that may contain the target has not replied"
     lookups.start(0.0, "x", ["a", "b"], [], False, results.append)
     lookups.on_reply("a", "x", LookupState.PENDING, "", "a/1", [])
     lookups.on_reply("b", "x", LookupState.HERE, "1.2.3.4:5", "b/1", [])
@@ -570,7 +572,7 @@
     lookups.tick(299.0)
     assert len(results) == 2
     lookups.tick(300.0)
-    assert results.pop() == "", "a dispatcher that does not reply may have it"
+    assert results.pop() == "", "a dispatcher that does not reply may have the target"
 
 
 def test_draining_replica_is_replaced_before_it_is_dropped() -> None:
@@ -632,7 +634,10 @@
 
 @pytest.mark.scenarios
 def test_calls_of_a_dispatcher_lost_at_a_step_are_completed_elsewhere() -> None:
-    """Run one step of the matrix of bench/crash_points.py --lost, with a query by id and a repeat with the key."""
+    """Run one step of the matrix of bench/crash_points.py --lost: a dispatcher is lost with its disk.
+
+    The call is then repeated with its idempotency key, if it has one, and queried by its id.
+    """
     done = subprocess.run(
         [sys.executable, "bench/crash_points.py", "--lost", "--steps", "cleared"],
         cwd=ROOT,
