--- a/kelptrail/background/driver.py
+++ b/kelptrail/background/driver.py
@@ -11,7 +11,7 @@
 
 
 class Background:
-    """Background jobs of one process.  `busy` returns whether requests are in flight."""
+    """Background jobs of one process.  `busy` returns whether requests are in flight; `now_ms` is the clock in ms."""
 
     def __init__(
         self, settings: SchedulerSettings, now_ms: Callable[[], float], busy: Callable[[], bool], log: Any
@@ -62,11 +62,11 @@
                 except TimeoutError:
                     pass
                 continue
-            began, more, failed = time.thread_time(), False, False
+            started_at, more, failed = time.thread_time(), False, False
             try:
                 more = job.step()
             except Exception as cause:  # noqa: BLE001 - an error in one job must not stop the others
                 failed = True
                 self._log.error("background-failed", job=job.name, reason=f"{type(cause).__name__}: {cause}")
-            self.scheduler.on_step_done(self._now(), job, (time.thread_time() - began) * 1000, more, failed)
+            self.scheduler.on_step_done(self._now(), job, (time.thread_time() - started_at) * 1000, more, failed)
             await asyncio.sleep(0)  # let requests run first
--- a/kelptrail/lease/acceptor_recovery.py
+++ b/kelptrail/lease/acceptor_recovery.py
@@ -73,7 +73,7 @@
     def _is_wait_over(self, now: float) -> bool:
         """Return whether the wait is over and the last query was sent after its end.
 
-        The first call after a change of the acceptor set starts the wait.
+        The first call starts the wait if it has not started yet.
         """
         if self.wait_started_at is None:
             self.wait_started_at = now
--- a/kelptrail/lease/client.py
+++ b/kelptrail/lease/client.py
@@ -146,6 +146,7 @@
         elif isinstance(message, NoteWritten):
             self._on_note_written(sender, request, message)
         elif request.state is RequestState.WAITING:
+            # The message is a `Transferred`: the task is free, and may be reserved for this client.
             request.next_step_at, request.reserved_until = now, now + self.settings.transfer_reservation_ms
 
     def tick(self, now: float) -> None:
--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -256,11 +256,12 @@
         self._timer = self._loop.call_later(max(0.0, wait_ms) / 1000 + TIMER_MARGIN_S, self.run_pending)
 
     def status(self) -> dict[str, Any]:
-        """Return the state of the leases and the acceptor, for operators."""
+        """Return the state of the leases and the acceptor for operators, with the keys of `kelptrail leases --json`."""
         now, silence_ms, client = now_ms(), self._peers.ms_since_received(), self.client
         return {
             "name": self.name,
             "number": client.config_number,
+            # Time in ms since data of each acceptor was received: None if it is not connected, 0 for this process.
             "voters": {
                 name: None if name != self.name and name not in silence_ms else round(silence_ms.get(name, 0.0))
                 for name in client.acceptors
--- a/kelptrail/peers/connection.py
+++ b/kelptrail/peers/connection.py
@@ -14,7 +14,7 @@
 
 from .messages import OLDEST_VERSION, VERSION, ChannelError, FrameReader, Heartbeat, Hello, MessageDecoder, encode_frame
 
-MAX_NAME_CHARACTERS = 200  # length limit of a peer's name
+MAX_NAME_LENGTH = 200  # longest name of a peer, in characters
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,7 +75,7 @@
     def _on_hello(self, hello: Hello) -> None:
         if hello.lineage != self._lineage:
             raise ChannelError(f"the peer has lineage {hello.lineage!r}, expected {self._lineage!r}")
-        if not hello.name or len(hello.name) > MAX_NAME_CHARACTERS:
+        if not hello.name or len(hello.name) > MAX_NAME_LENGTH:
             raise ChannelError("a hello must contain a name of valid length")
         self.peer, self.version, self.capabilities = (
             hello.name,
--- a/kelptrail/planner/driver.py
+++ b/kelptrail/planner/driver.py
@@ -188,16 +188,18 @@
         self.send_plans()
 
     async def _solve(self, problem: PlacementProblem) -> None:
-        began = now_ms()
+        started_at = now_ms()
         placement = await self._solver.solve(problem, self.solve_delay_ms)
-        self.solve_ms = now_ms() - began
+        self.solve_ms = now_ms() - started_at
         self.planner.on_solution(now_ms(), problem.number, placement)
         self.send_plans()
 
-    def on_endpoints(self, listing: EndpointList) -> None:
+    def on_endpoints(self, endpoints: EndpointList) -> None:
         """Pass a new endpoint list to the planner, and request a run of its background job."""
         self.planner.on_endpoints(
-            now_ms(), worker_capacities(self._deployment, listing), EndpointsVersion(listing.lineage, listing.version)
+            now_ms(),
+            worker_capacities(self._deployment, endpoints),
+            EndpointsVersion(endpoints.lineage, endpoints.version),
         )
         self.background.request_run("tick")
 
@@ -237,6 +239,7 @@
             "epoch": core.epoch,
             "edges": len(self._channels),
             "workers": len(core.workers),
+            # `models` and `copies` count planned functions and instances, `moves` all new instances since the start.
             "models": len(core.target),
             "copies": sum(sum(by_worker.values()) for by_worker in core.target.values()),
             "plans": core.counters.plans,
--- a/kelptrail/planner/edge_driver.py
+++ b/kelptrail/planner/edge_driver.py
@@ -28,7 +28,7 @@
 HEARTBEAT_MS = 500.0
 READ_TIMEOUT_MS = 3000.0  # time without data from the planner after which the connection is closed
 CONNECT_TIMEOUT_S = 2.0
-BACKOFF_MS, MAX_BACKOFF_MS, BACKOFF_FACTOR = 300.0, 5000.0, 1.6
+MIN_BACKOFF_MS, MAX_BACKOFF_MS, BACKOFF_FACTOR = 300.0, 5000.0, 1.6
 STABLE_MS = 10_000.0  # a connection that lasts longer resets the backoff
 MAX_UNPACKED_BYTES = 1 << 26
 READ_BYTES = 65_536
@@ -171,9 +171,9 @@
 
     async def _keep_connected(self, address: str) -> None:
         """Keep one connection open; reconnect with backoff after it has failed."""
-        backoff = BACKOFF_MS
+        backoff_ms = MIN_BACKOFF_MS
         while True:
-            began = now_ms()
+            started_at = now_ms()
             try:
                 await self._follow_planner(address)
                 reason = "the planner closed the connection"
@@ -181,9 +181,9 @@
                 reason = str(cause) or type(cause).__name__
             self.reconnects += 1
             self._log.info("planner-lost", address=address, reason=reason)
-            stable = now_ms() - began > STABLE_MS
-            backoff = BACKOFF_MS if stable else min(MAX_BACKOFF_MS, backoff * BACKOFF_FACTOR)
-            await asyncio.sleep(backoff / 1000)
+            stable = now_ms() - started_at > STABLE_MS
+            backoff_ms = MIN_BACKOFF_MS if stable else min(MAX_BACKOFF_MS, backoff_ms * BACKOFF_FACTOR)
+            await asyncio.sleep(backoff_ms / 1000)
 
     async def _follow_planner(self, address: str) -> None:
         host, _, port = address.rpartition(":")
--- a/kelptrail/replication/messages.py
+++ b/kelptrail/replication/messages.py
@@ -258,8 +258,6 @@
     max_uncommitted_bytes: int = 64 << 20  # limit above which new calls are rejected
     window_bytes: int = 256 << 10  # limit on sent and unacknowledged data per replica
     repair_bytes_per_ms: float = 20_000.0  # rate limit for the repair of one replica
-    max_entry_bytes: int = (
-        256 << 10
-    )  # size limit of the entry of a result; a larger result is replaced by an error text
+    max_entry_bytes: int = 256 << 10  # size limit of the entry of a result; an error text replaces a larger one
     verify_interval_ms: float = 1000.0  # time between two digest checks of one replica
     verify_buckets: int = 8  # buckets per digest check
--- a/kelptrail/replication/primary.py
+++ b/kelptrail/replication/primary.py
@@ -141,9 +141,9 @@
         """Add entries, and the ids of activations to delete, to the next batch.
 
         `on_commit` is called once the batch is committed, with True if the journal is fully replicated at that time.
-        It is never called if this dispatcher stops being the primary before that.  Without entries it is called when
-        everything on the local disk is committed: after a failover an entry on this disk must not be acted on earlier,
-        as other replicas may not have it.
+        It is never called if the journal is released before that.  Without entries it is called when everything on the
+        local disk is committed: after a failover an entry on this disk must not be acted on earlier, as other replicas
+        may not have it.
         """
         self.batches.append(entries, on_commit, deleted_ids)
 
--- a/kelptrail/replication/replica_placement.py
+++ b/kelptrail/replication/replica_placement.py
@@ -2,8 +2,8 @@
 
 Each primary ranks all others by a hash of both names (rendezvous hashing, Thaler and Ravishankar 1998), so that a
 member that joins or leaves moves only the replicas that it gets or had.  Other zones come first.  The load of a member
-is bounded (Mirrokni, Thorup and Zadimoghaddam 2016): a primary whose first choice is full takes the next one.  Only if
-all are full, the bound is exceeded.
+is bounded (Mirrokni, Thorup and Zadimoghaddam 2016): a primary whose first choice is full takes the next one.  The
+bound is exceeded only if all are full.
 
 Rejected alternatives: a hash ring with virtual nodes needs a table, and neighbours on the ring fail together; with jump
 hashing only the last member can leave; placing ranges of ids instead of complete journals is more even, but then each
