--- a/kelptrail/lease/client.py
+++ b/kelptrail/lease/client.py
@@ -95,7 +95,7 @@
     def write_note(self, task: str, text: bytes) -> int | None:
         """Replace the note of a held task; the event `NoteStored` follows once a majority has stored it.
 
-        Returns the sequence number of the note, or None if the task is not held.
+        Return the sequence number of the note, or None if the task is not held.
         """
         request = self.requests.get(task)
         if request is None or not request.is_held:
@@ -146,6 +146,7 @@
         elif isinstance(message, NoteWritten):
             self._on_note_written(sender, request, message)
         elif request.state is RequestState.WAITING:
+            # The message is a `Transferred`: the task is free, and may be reserved for this client.
             request.next_step_at, request.reserved_until = now, now + self.settings.transfer_reservation_ms
 
     def tick(self, now: float) -> None:
--- a/kelptrail/planner/driver.py
+++ b/kelptrail/planner/driver.py
@@ -52,7 +52,8 @@
     solver: str = "program"
     solve_delay_ms: float = 0.0
     solve_timeout_s: float = 30.0
-    peer_addresses: dict[str, str] = field(default_factory=dict)  # of lease acceptors; they override the settings
+    # Addresses of lease acceptors, which override those in the settings.
+    peer_addresses: dict[str, str] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -187,16 +188,18 @@
         self.send_plans()
 
     async def _solve(self, problem: PlacementProblem) -> None:
-        began = now_ms()
+        started_at = now_ms()
         placement = await self._solver.solve(problem, self.solve_delay_ms)
-        self.solve_ms = now_ms() - began
+        self.solve_ms = now_ms() - started_at
         self.planner.on_solution(now_ms(), problem.number, placement)
         self.send_plans()
 
-    def on_endpoints(self, listing: EndpointList) -> None:
+    def on_endpoints(self, endpoints: EndpointList) -> None:
         """Pass a new endpoint list to the planner, and request a run of its background job."""
         self.planner.on_endpoints(
-            now_ms(), worker_capacities(self._deployment, listing), EndpointsVersion(listing.lineage, listing.version)
+            now_ms(),
+            worker_capacities(self._deployment, endpoints),
+            EndpointsVersion(endpoints.lineage, endpoints.version),
         )
         self.background.request_run("tick")
 
@@ -236,6 +239,7 @@
             "epoch": core.epoch,
             "edges": len(self._channels),
             "workers": len(core.workers),
+            # `models` and `copies` count planned functions and instances, `moves` all new instances since the start.
             "models": len(core.target),
             "copies": sum(sum(by_worker.values()) for by_worker in core.target.values()),
             "plans": core.counters.plans,
@@ -263,6 +267,7 @@
     def start(self) -> None:
         """Request the lease and start the background jobs."""
         self._leases.acquire(LEASE_NAME, self._lease_length_ms, self._on_lease_acquired, self._on_lease_lost)
+        # The numbers are the priority, the interval and maximum wait in ms, and the share of real time.
         self.background.add("tick", self.tick, 1, 250.0, 1000.0, 0.5)
         self.background.add("beat", self.send_heartbeats, 0, HEARTBEAT_MS, 700.0, 0.2)
         self.background.add("save", self.save, 5, 2000.0, 10_000.0, 0.05)
