--- a/kelptrail/fault_scenario/campaign.py
+++ b/kelptrail/fault_scenario/campaign.py
@@ -1,9 +1,13 @@
-"""Campaigns: many fault scenarios drawn from seeds, run with real processes, checked, and summarized in one table.
+"""Campaigns: many fault scenarios drawn from seeds, run with real processes, checked, and summarized.
 
-A scenario of the lease campaign has five to seven dispatchers in three zones, of which three or five are acceptors; two
-tasks whose leases all dispatchers try to acquire; and five to seven overlapping faults, of which three or more are
-active most of the time.  A scenario of the replication campaign has seven dispatchers, mostly deferred calls, machines
-lost with their disks (never more at once than the replicas cover), and four to six other overlapping faults.
+`campaign.json` has a row for each run, and `summarize` adds up the rows.
+
+A scenario of the lease campaign has five to seven dispatchers, of which three or five are acceptors, and two tasks
+whose leases all dispatchers try to acquire.  Its five to seven faults begin between 2 and 10 s and last 2 to 4.5 s
+each, so that usually two or three of them are active at a time.
+
+A scenario of the replication campaign has seven dispatchers, mostly deferred calls, two faults that lose machines with
+their disks (never more at once than the replicas cover), and four to six other faults, which may overlap.
 """
 
 from __future__ import annotations
@@ -19,11 +23,13 @@
 
 from kelptrail.history_checker.result import Breach
 
-LEASE_SECONDS, LEASE_LOAD = 16.0, 10.0
-REPLICATION_SECONDS, REPLICATION_LOAD = 30.0, 25.0
+# Length of a scenario in seconds, and the rate of its calls per second.
+LEASE_RUN_S, LEASE_RUN_RATE = 16.0, 10.0
+REPLICATION_RUN_S, REPLICATION_RUN_RATE = 30.0, 25.0
 REPLICATION_DISPATCHERS = 7
 CLOCK_RATE_BOUND = 0.01  # Deviation of a clock's rate that the drawn deployments allow
 SECONDS_BETWEEN_LOSSES = 11.0  # Leaves time to replicate again after a loss
+# Kinds of faults to draw from.  A kind that is listed twice is drawn twice as often.
 LEASE_FAULTS = (
     "kill-dispatchers",
     "cut-peers",
@@ -54,10 +60,11 @@
     "disk-full",
     "disk-slow",
 )
-# Variants of a fault kind that are drawn with their own settings.
+# Variants of a fault kind that are drawn with their own settings: cuts of one direction only, and pauses between a
+# check of a lease and the use of the lease.
 FAULT_OF_VARIANT = {"one-way": "cut-peers", "looked": "pause-dispatchers"}
 FAILURE_TEXT_CHARACTERS, DETAILS_PER_SEED = 400, 5
-# Counts of a report that a row of `campaign.json` contains.
+# Counts of a report that a row of `campaign.json` contains.  "acts" counts the uses of leases.
 ROW_COUNTS = (
     "taken",
     "acts",
@@ -70,7 +77,7 @@
     "rejected",
     "aborted",
 )
-# Counts of the rows that the summary adds up.
+# Counts of the rows that the summary adds up.  "holders" counts the periods in which a dispatcher held a lease.
 SUMMED_COUNTS = (
     "taken",
     "acts",
@@ -100,25 +107,25 @@
     part: float
 
 
-def draw_lease_scenario(seed: int, settings: str) -> DrawnScenario:
-    """Draw a scenario of lease faults.  Its deployment is the text `settings` with the drawn peers and leases."""
-    random = np.random.default_rng([seed, 25])
-    dispatchers, acceptors = int(random.integers(5, 8)), int(random.choice([3, 5]))
+def draw_lease_scenario(seed: int, deployment_text: str) -> DrawnScenario:
+    """Draw a scenario of lease faults.  Its deployment is `deployment_text` with the drawn peers and leases."""
+    random = np.random.default_rng([seed, 25])  # 25 separates these random numbers from others of the same seed
+    dispatchers, acceptor_count = int(random.integers(5, 8)), int(random.choice([3, 5]))
     names = [f"dispatcher-{n}" for n in range(dispatchers)]
-    chosen = sorted(names[int(n)] for n in random.choice(dispatchers, acceptors, replace=False))
+    acceptors = sorted(names[int(n)] for n in random.choice(dispatchers, acceptor_count, replace=False))
     length_ms = int(random.choice([1000, 1500, 2000]))
-    deployment = _with_leases(settings, chosen, length_ms)
+    deployment = _with_leases(deployment_text, acceptors, length_ms)
     faults = _draw_lease_faults(random, dispatchers)
-    header = f"""(bad-day leases-{seed} (deployment "fleet-{seed}.sexp") (seconds {LEASE_SECONDS:g}) (workers 2)
-  (dispatchers {dispatchers}) (tasks sweep tally) (load (rate {LEASE_LOAD:g}) (deferred 0.2))
+    header = f"""(bad-day leases-{seed} (deployment "fleet-{seed}.sexp") (seconds {LEASE_RUN_S:g}) (workers 2)
+  (dispatchers {dispatchers}) (tasks sweep tally) (load (rate {LEASE_RUN_RATE:g}) (deferred 0.2))
 """
     return DrawnScenario(deployment, header + "\n".join(faults) + ")\n")
 
 
-def _with_leases(settings: str, acceptors: list[str], length_ms: int) -> str:
-    """Return a deployment's text with its peers and leases replaced by the given ones."""
+def _with_leases(deployment_text: str, acceptors: list[str], length_ms: int) -> str:
+    """Return a deployment's text with everything from `(peers` to its end replaced by these peers and leases."""
     return (
-        settings[: settings.index("\n  (peers")]
+        deployment_text[: deployment_text.index("\n  (peers")]
         + f"""
   (peers {" ".join(f"(peer {name})" for name in acceptors)} (beat-ms 200) (silent-ms 1000))
   (leases (voters {" ".join(acceptors)}) (length-ms {length_ms}) (longest-ms {length_ms})
@@ -133,8 +140,10 @@
     for number, kind in enumerate(random.choice(LEASE_FAULTS, count)):
         extent = _draw_extent(random, 2.0 + 8.0 * number / count, dispatchers)
         # All settings are drawn for every fault, so that its kind does not affect the later random draws.
+        # Ten times the bound makes two holders of a lease at a time possible; the history checker counts these
+        # separately, as `holders_two_by_clocks`.
         rate = 1 + CLOCK_RATE_BOUND * float(random.choice([1, -1, 10, -10]))
-        settings = {
+        settings_by_kind = {
             "one-way": "(one-way yes)",
             "slow-peers": f"(ms {random.integers(20, 400)}) (share 0.3)",
             "reset-peers": "(share 0.5)",
@@ -145,26 +154,29 @@
         }
         if kind == "lose-machines":
             extent = extent._replace(part=round(1 / dispatchers, 2))
-        faults.append(_fault_form(kind, extent, settings))
+        faults.append(_fault_form(kind, extent, settings_by_kind))
     return faults
 
 
-def draw_replication_scenario(seed: int, settings: str) -> DrawnScenario:
-    """Draw a scenario of lost machines.  Its deployment is the text `settings` with one replica or two."""
-    random = np.random.default_rng([seed, 26])
+def draw_replication_scenario(seed: int, deployment_text: str) -> DrawnScenario:
+    """Draw a scenario of lost machines.  Its deployment is `deployment_text` with one replica or two."""
+    random = np.random.default_rng([seed, 26])  # 26 separates these random numbers from others of the same seed
     replicas = int(random.integers(1, 3))
     first_loss = float(random.uniform(5, 8))
     losses = _draw_losses(random, first_loss, replicas)
     faults = [*losses, *_draw_replication_faults(random, first_loss)]
-    header = f"""(bad-day copies-{seed} (deployment "fleet-{seed}.sexp") (seconds {REPLICATION_SECONDS:g}) (workers 3)
-  (dispatchers {REPLICATION_DISPATCHERS}) (load (rate {REPLICATION_LOAD:g}) (deferred 0.8))
+    header = f"""(bad-day copies-{seed} (deployment "fleet-{seed}.sexp") (seconds {REPLICATION_RUN_S:g}) (workers 3)
+  (dispatchers {REPLICATION_DISPATCHERS}) (load (rate {REPLICATION_RUN_RATE:g}) (deferred 0.8))
 """
-    deployment = settings.replace("(copies 2)", f"(copies {replicas})")
+    deployment = deployment_text.replace("(copies 2)", f"(copies {replicas})")
     return DrawnScenario(deployment, header + "\n".join(faults) + ")\n")
 
 
 def _draw_losses(random: np.random.Generator, first_loss: float, replicas: int) -> list[str]:
-    """Draw two losses of machines with their disks: first at most as many as the replicas cover, later one."""
+    """Draw two faults that lose machines and their disks.
+
+    The first fault loses at most as many machines as there are replicas, the later one loses one machine.
+    """
     losses = [(first_loss, int(random.integers(1, replicas + 1))), (first_loss + SECONDS_BETWEEN_LOSSES, 1)]
     return [
         f"  (trouble lose-machines (at {at:.1f}) (for {random.uniform(2, 5):.1f}) "
@@ -179,7 +191,7 @@
     for number, kind in enumerate(random.choice(REPLICATION_FAULTS, count)):
         extent = _draw_extent(random, first_loss - 2.0 + 9.0 * number / count, REPLICATION_DISPATCHERS)
         # All settings are drawn for every fault, so that its kind does not affect the later random draws.
-        settings = {
+        settings_by_kind = {
             "one-way": "(one-way yes)",
             "slow-peers": f"(ms {random.integers(20, 400)}) (share 0.3)",
             "reset-peers": "(share 0.5)",
@@ -187,7 +199,7 @@
             "clock-step": f"(ms {random.choice([60_000, -60_000])})",
             "clock-rate": f"(factor {1 + CLOCK_RATE_BOUND * float(random.choice([1, -1])):g})",
         }
-        faults.append(_fault_form(kind, extent, settings))
+        faults.append(_fault_form(kind, extent, settings_by_kind))
     return faults
 
 
@@ -199,23 +211,26 @@
     return FaultExtent(at, duration, part)
 
 
-def _fault_form(kind: str, extent: FaultExtent, settings: dict[str, str]) -> str:
+def _fault_form(kind: str, extent: FaultExtent, settings_by_kind: dict[str, str]) -> str:
     """Return a fault as a line of a scenario file, with the settings of its kind."""
     name = FAULT_OF_VARIANT.get(kind, kind)
     return (
         f"  (trouble {name} (at {extent.at:.1f}) (for {extent.duration:.1f}) (part {extent.part}) "
-        f"{settings.get(kind, '')})"
+        f"{settings_by_kind.get(kind, '')})"
     )
 
 
 SCENARIO_GENERATORS = {"leases": draw_lease_scenario, "copies": draw_replication_scenario}
 
 
-async def _draw_and_run(seed: int, settings: str, out: Path, kind: str) -> dict[str, Any]:
-    """Draw the scenario of a seed, run it in a separate process, and return its row of the table."""
+async def _draw_and_run(seed: int, deployment_text: str, out: Path, kind: str) -> dict[str, Any]:
+    """Draw the scenario of a seed, run it in a separate process, and return its row of `campaign.json`.
+
+    If the run writes no report, the row has only the seed and the end of the error output, as `failed`.
+    """
     folder = out / f"{seed:03d}"
     folder.mkdir(parents=True, exist_ok=True)
-    scenario = SCENARIO_GENERATORS[kind](seed, settings)
+    scenario = SCENARIO_GENERATORS[kind](seed, deployment_text)
     (folder / f"fleet-{seed}.sexp").write_text(scenario.deployment)
     (folder / "day.sexp").write_text(scenario.script)
     process = await asyncio.create_subprocess_exec(
@@ -239,7 +254,11 @@
 
 
 def _campaign_row(seed: int, exit_code: int | None, report: dict[str, Any]) -> dict[str, Any]:
-    """Return the row of `campaign.json` for a run's report."""
+    """Return the row of `campaign.json` for a run's report.
+
+    `without_s` and `longest_without_s` are the total and the longest time without a lease holder, each of the task with
+    the most.
+    """
     leases = report["leases"].values()
     return {
         "seed": seed,
@@ -256,18 +275,24 @@
 
 
 async def run_campaign(
-    kind: str, seeds: list[int], settings: Path, out: Path, at_once: int, on_row: Callable[[dict[str, Any]], None]
+    kind: str,
+    seeds: list[int],
+    deployment_file: Path,
+    out: Path,
+    at_once: int,
+    on_row: Callable[[dict[str, Any]], None],
 ) -> list[dict[str, Any]]:
     """Run the scenarios of all seeds, `at_once` at a time, and return a row for each, in the order of the seeds.
 
-    `on_row` is called with each row as its run ends.  The rows are also written to `campaign.json`.
+    The deployment of each scenario is the content of `deployment_file` with drawn changes.  `on_row` is called with
+    each row as its run ends.  The rows are also written to `campaign.json`.
     """
-    settings_text, run_limit = settings.read_text(), asyncio.Semaphore(at_once)
+    deployment_text, run_limit = deployment_file.read_text(), asyncio.Semaphore(at_once)
 
     async def run_seed(seed: int) -> dict[str, Any]:
-        """Run the scenario of one seed once fewer than `at_once` are running."""
+        """Wait until fewer than `at_once` scenarios are running, then run the one of this seed."""
         async with run_limit:
-            row = await _draw_and_run(seed, settings_text, out, kind)
+            row = await _draw_and_run(seed, deployment_text, out, kind)
             on_row(row)
             return row
 
@@ -277,7 +302,11 @@
 
 
 def summarize(rows: list[dict[str, Any]]) -> dict[str, Any]:
-    """Summarize the rows: sums of counts, the longest time without a lease holder, and the seeds that broke a rule."""
+    """Summarize the rows.
+
+    The result has the seeds without a report (`failed`) and those that broke a rule (`broken`), the breaches by rule,
+    the sums of counts, and the longest time without a lease holder.
+    """
     reported = [row for row in rows if "failed" not in row]
     sums = {name: sum(row[name] for row in reported) for name in SUMMED_COUNTS}
     breaches: dict[str, int] = {}
