--- a/kelptrail/emulator/datagram_proxy.py
+++ b/kelptrail/emulator/datagram_proxy.py
@@ -1,7 +1,8 @@
 """UDP proxy for VRRP datagrams with seeded faults: loss, delay, duplication, reordering and (one-way) partitions.
 
 For each instance it listens at the address that peers send to (`via`), and forwards to the address of the instance
-(`udp`) from the sender's IP address, which identifies the sender.  Every datagram is captured.
+(`udp`) from the sender's IP address, which identifies the sender.  Every datagram between instances is captured; those
+from other addresses are dropped without a record.
 """
 
 from __future__ import annotations
--- a/kelptrail/fault_scenario/dispatcher_faults.py
+++ b/kelptrail/fault_scenario/dispatcher_faults.py
@@ -26,10 +26,12 @@
     def __init__(self, cluster: Cluster, capture: Capture, links: PeerLinks, scenario_seconds: float) -> None:
         self._cluster, self._capture, self._links = cluster, capture, links
         self._scenario_seconds = scenario_seconds
-        self._killed: set[Process] = set()  # Dispatchers that a fault has killed and not yet restarted
+        # Dispatchers that a fault has killed and will restart.  One that stays down to the end of the run is removed as
+        # soon as it is killed.
+        self._killed: set[Process] = set()
 
     async def inject_peer_fault(self, fault: Fault, targets: list[Process]) -> None:
-        """Inject a fault of `PEER_FAULTS`."""
+        """Inject a fault of `PEER_FAULTS`: of dispatchers that have peers, or of the links between them."""
         kind = fault.kind
         if kind == FaultKind.CUT_PEERS:
             await self._links.cut_off(fault, targets)
@@ -47,7 +49,7 @@
             await self._inject_clock_fault(fault, targets)
 
     async def inject_disk_fault(self, fault: Fault, targets: list[Process]) -> None:
-        """Inject a fault of `DISK_FAULTS`."""
+        """Inject a fault of `DISK_FAULTS`: slow, failing or full disks of dispatchers."""
         settings: dict[str, dict[str, Any]] = {
             FaultKind.DISK_SLOW: {"sync_ms": fault.ms},
             FaultKind.DISK_FAILS: {"fails": True},
@@ -75,7 +77,10 @@
         await asyncio.gather(*(self._pause(target, fault.duration, after_lease_check) for target in targets))
 
     async def _lease_holders(self) -> list[Process]:
-        """Return the dispatchers that hold the lease of a task."""
+        """Return the dispatchers that hold the lease of a task.
+
+        `asked_at` in a dispatcher's ready line is the address of its control port.
+        """
         holders = []
         for dispatcher in self._cluster.dispatchers:
             with contextlib.suppress(OSError, HttpError, TimeoutError):
@@ -88,7 +93,11 @@
         return holders
 
     async def _pause(self, target: Process, duration_s: float, after_lease_check: bool) -> None:
-        """Suspend and resume the process, at once or between its next check of a lease and the use of that lease."""
+        """Suspend the process, and resume it after `duration_s`.
+
+        With `after_lease_check`, the process suspends itself once it has next checked a lease and not yet used it
+        (SIGUSR1).  SIGUSR2 cancels that if it has not happened by the end of the pause.
+        """
         number = self._cluster.dispatchers.index(target)
         self._capture.write("stopped", dispatcher=number)
         self._cluster.signal(target, signal.SIGUSR1 if after_lease_check else signal.SIGSTOP)
@@ -102,7 +111,8 @@
         """Kill a dispatcher, and restart it after `down_s` seconds unless that is None.
 
         With `lose_disk`, its disk is removed as well.  A dispatcher that another fault has already killed is skipped:
-        two faults would start two processes of the same name, the first of which would not be supervised.
+        two faults would start two processes of the same name, the first of which could no longer be signalled or
+        stopped.
         """
         if target in self._killed:
             return
