--- a/kelptrail/emulator/client_calls.py
+++ b/kelptrail/emulator/client_calls.py
@@ -25,12 +25,13 @@
 
 from .capture import Capture, ReadLag
 
-ABORTED_REASONS = ("MAY_HAVE_RUN", "NEVER_RAN")  # reasons in gRPC errors
+# Reasons in gRPC errors that count as "aborted", whether or not an attempt may have run.
+ABORTED_REASONS = ("MAY_HAVE_RUN", "NEVER_RAN")
 
 
 @dataclass(slots=True, eq=False)
 class ClientCall:
-    """One call of a client with all its attempts."""
+    """A call of a client, and the state of its current attempt."""
 
     ticket: str  # id of the call, which is also its idempotency key and the input of the function
     action: ActionSettings
@@ -42,7 +43,7 @@
     dispatcher: int = 0
     attempt_started: float = 0.0
     activation: str = ""
-    call_id: str = ""
+    call_id: str = ""  # id of the current attempt, captured as "call"
     poll_address: str = ""
     grpc: bool = False  # sent to the gRPC API
     streamed: bool = False
@@ -61,10 +62,10 @@
     duration_ms: float | None = None  # duration in the activation record of a deferred call
     code: int | None = None  # status code that the function returned
     retry_after_ms: float = 0.0
-    repeat_within_ms: float | None = None
+    repeat_within_ms: float | None = None  # time for which a retry is safe; None if it always is
 
 
-def answer_of_record(call: ClientCall, status: int, body: dict[str, Any]) -> ClientAnswer:
+def answer_of_response(call: ClientCall, status: int, body: dict[str, Any]) -> ClientAnswer:
     """Return the answer in the body of an HTTP response, which is an activation record or an error."""
     final = read_final_answer(status, body)
     return ClientAnswer(
@@ -86,7 +87,11 @@
 
 
 class CallTracker:
-    """Records the events of attempts in the capture, and starts the clients' retries."""
+    """Records the events of attempts in the capture, and starts the clients' retries.
+
+    `start_attempt` gets the call and the dispatcher to skip; the attempt goes to the next one.  Without a dispatcher to
+    skip, it goes to a random one.
+    """
 
     def __init__(
         self, capture: Capture, random: np.random.Generator, start_attempt: Callable[[ClientCall, int | None], None]
@@ -96,7 +101,11 @@
         self._read_lag = ReadLag()
 
     def on_attempt(self, call: ClientCall, timeout_ms: float, shared_address: bool, **transport: bool) -> None:
-        """Record that an attempt is about to be sent."""
+        """Record that an attempt is about to be sent.
+
+        `shared_address`, captured as "front", states whether the dispatchers share the address.  `transport` has the
+        flags `grpc` and `streamed` of an attempt over gRPC.
+        """
         self._capture.write(
             "call",
             call=call.call_id,
@@ -123,9 +132,9 @@
         self._capture.write("part", call=call.call_id, activation=activation, lag=self._read_lag.now())
 
     def on_stream_not_taken(self, call: ClientCall) -> None:
-        """Record that the last part of a stream reports a call that no dispatcher accepted, without a retry.
+        """Record that no dispatcher accepted a streamed call, as its final part reports.
 
-        The gRPC status that follows ends the call.
+        The client does not retry it.
         """
         self._capture.write("not-taken", call=call.call_id)
 
@@ -134,9 +143,9 @@
         self._capture.write("not-taken", call=call.call_id)
         self._retry(call, ClientOutcome.NOT_TAKEN, retry_after_ms)
 
-    def on_lost(self, call: ClientCall, ending: str) -> None:
-        """Record that the call ended without an answer, and schedule a retry if the client makes one."""
-        self._capture.write("no-answer", call=call.call_id, ending=ending)
+    def on_lost(self, call: ClientCall, cause: str) -> None:
+        """Record that and why the call ended without an answer, and schedule a retry if the client makes one."""
+        self._capture.write("no-answer", call=call.call_id, ending=cause)
         self._retry(call, ClientOutcome.LOST)
 
     def on_poll_timeout(self, call: ClientCall) -> None:
--- a/kelptrail/emulator/invoke_client.py
+++ b/kelptrail/emulator/invoke_client.py
@@ -13,7 +13,7 @@
 from kelptrail.net.pool import Call, CallOutcome, WorkerPool
 from kelptrail.settings.deployment import Deployment
 
-from .client_calls import CallTracker, ClientCall, answer_of_record
+from .client_calls import CallTracker, ClientCall, answer_of_response
 
 POLL_EVERY_MS, POLL_FOR_MS = 150.0, 3000.0
 POLL_TIMEOUT_S = 2.0  # for a single poll
@@ -72,7 +72,7 @@
             self.poll_from(call, activation, _address_in(response))
         else:
             body = msgspec.json.decode(response.body)
-            self._tracker.on_final(call, answer_of_record(call, response.status, body))
+            self._tracker.on_final(call, answer_of_response(call, response.status, body))
 
     def poll_from(self, call: ClientCall, activation: str, address: str) -> None:
         """Start polling an address for the final answer of a deferred call that was accepted there."""
@@ -102,7 +102,7 @@
         call: ClientCall = poll.tag
         if response is not None and response.status == 200:
             self.polling -= 1
-            self._tracker.on_final(call, answer_of_record(call, 200, msgspec.json.decode(response.body)))
+            self._tracker.on_final(call, answer_of_response(call, 200, msgspec.json.decode(response.body)))
             return
         if response is None:  # the dispatcher does not answer: another one may have taken the call over
             call.poll_address = self._addresses[int(self._random.integers(len(self._addresses)))]
