--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -51,6 +51,7 @@
     (first, _), (second, _) = (play_sharded(scenario, deployment, 2, SETTINGS, 3) for _ in range(2))
     assert first.latency == second.latency and first.seconds == second.seconds and first.events == second.events
     sharded = figures(8.0, 0.0, first)
+    # "wishes" counts new calls, without retries.
     assert sharded["wishes"] == pytest.approx(expected["wishes"], rel=0.12)
     assert sharded["served_share"] == pytest.approx(expected["served_share"], abs=0.05)
     assert sharded["p50_ms"] == pytest.approx(expected["p50_ms"], rel=0.15)
@@ -58,10 +59,10 @@
 
 
 def test_faults_apply_to_all_shards_alike_and_break_no_rule() -> None:
-    """Guards against shards that disagree on the state of workers.
+    """Guards against shards that disagree on effects or on the state of workers.
 
-    The history checker tells effects apart by idempotency key and attempts by activation, so it finds such
-    disagreement.
+    In that case, a key or a call would have two effects, or an attempt would go to a worker that is draining or
+    removed; the history checker reports both.
     """
     faults = [
         make_fault("crash", 2, 1.5, 0.2),
@@ -79,19 +80,21 @@
     assert [e["kind"] for e in events if e["what"] == "trouble"] == sorted(
         (f.kind for f in faults), key=lambda kind: next(f.at for f in faults if f.kind == kind)
     )
-    dispatchers_and_workers = {(e["dispatcher"].split("/")[0], e["worker"]) for e in events if e["what"] == "send"}
-    across_shards = [(d, w) for d, w in dispatchers_and_workers if int(d[11:]) % 3 != int(w[7:]) // 2 % 3]
-    assert len(across_shards) > len(dispatchers_and_workers) / 2, "attempts go to workers of other shards"
+    dispatcher_worker_pairs = {(e["dispatcher"].split("/")[0], e["worker"]) for e in events if e["what"] == "send"}
+    # dispatcher-N is in shard N % 3, worker-N in shard N // 2 % 3 (see `Shard`).
+    cross_shard_pairs = [(d, w) for d, w in dispatcher_worker_pairs if int(d[11:]) % 3 != int(w[7:]) // 2 % 3]
+    assert len(cross_shard_pairs) > len(dispatcher_worker_pairs) / 2, "attempts go to workers of other shards"
     started_incarnations = {e["incarnation"] for e in events if e["what"] == "start"}
     listed_incarnations = {i for e in events if e["what"] == "list" for _, i in e["workers"].values()}
     assert listed_incarnations <= started_incarnations, "every shard lists only incarnations that started"
 
 
-def test_an_effect_in_one_shard_reaches_the_others_one_network_delay_later() -> None:
+def test_messages_to_other_shards_arrive_one_network_delay_later_and_only_the_first_reply_counts() -> None:
     event_queue, shard = EventQueue(), Shard(1, 3)
     effect_log = SharedEffectLog(shard, event_queue, SETTINGS)
     effect_log["all", "m"] = 5.0
     effect_log["cell-2", "n"] = 6.0
+    # "mark" is the value of `MessageKind.EFFECT`, "fetch" that of `MessageKind.FETCH`.
     assert shard.outgoing == [(1.0, to, "mark", (("all", "m"), 5.0)) for to in (0, 2)], (
         "effects of a cell stay in its shard"
     )
@@ -107,6 +110,7 @@
 
 def test_a_shard_that_fails_is_reported_with_its_cause() -> None:
     scenario, deployment = make_scenario([make_fault("nonsense", 1, 1, 0.2)]), load(ROOT / "examples" / "nursery.sexp")
+    # The time is not a number, so that the shard's process fails.
     object.__setattr__(scenario.faults[0], "at", "soon")
     with pytest.raises(ShardError, match="TypeError"):
         play_sharded(scenario, deployment, 1, SETTINGS, 2)
