--- a/kelptrail/load/arrivals.py
+++ b/kelptrail/load/arrivals.py
@@ -42,10 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """A recorded trace: its length, and the time from its start and the action ("": by popularity) of each arrival."""
+    """A recorded trace."""
 
-    times: np.ndarray
-    actions: list[str]
+    times: np.ndarray  # time of each arrival from the start of the trace, in seconds
+    actions: list[str]  # path of each arrival's action; "" if the action is drawn by popularity
     length_s: float
 
 
@@ -72,7 +72,7 @@
 
 
 def popularity(paths: list[str], load: Load) -> np.ndarray:
-    """Return the share of calls of each action: all for the load's action, else a Zipf distribution by rank."""
+    """Return each action's share of the calls: 1 for the action that the load names, or a Zipf distribution by rank."""
     if load.action:
         weights = np.array([float(path == load.action) for path in paths])
     else:
--- a/kelptrail/load/coordinator.py
+++ b/kelptrail/load/coordinator.py
@@ -1,4 +1,4 @@
-"""Coordinator of the load generator: starts several processes that send a script's load, and merges their results.
+"""Coordinator of the load generator: starts several processes that send a scenario's load, and merges their results.
 
 The results have the same tables as those of the simulation.  Each process draws its own share of the arrivals and sends
 its counters once, at its end.  Rejected alternatives: threads share one interpreter lock, a single process would be
@@ -38,7 +38,7 @@
     """Output of a run of all processes."""
 
     counters: list[PackedCounters]  # one per process
-    states: list[list[dict[str, Any]]]  # per second and dispatcher; empty if it did not answer
+    states: list[list[dict[str, Any]]]  # per second and dispatcher; a state is empty if the dispatcher did not answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,7 +105,7 @@
 
 
 async def _sample_states(control_addresses: list[str], start: float, seconds: float) -> list[list[dict[str, Any]]]:
-    """Return the state of each dispatcher for each second; empty if the dispatcher did not answer."""
+    """Return the state of each dispatcher for each second; a state is empty if the dispatcher did not answer."""
     states = []
     for number in range(int(seconds) + 1):
         await asyncio.sleep(max(0.0, (start + number * 1000 - now_ms()) / 1000))
@@ -146,7 +146,10 @@
 
 
 def _add_states(seconds: list[Second], states: list[list[dict[str, Any]]]) -> None:
-    """Add the counts of the dispatchers to each second, as the difference to their last known state."""
+    """Add the counts of the dispatchers at the end of each second.
+
+    Attempts and load orders are counted since the last known state of their dispatcher.
+    """
     last_counts: dict[int, tuple[int, int]] = {}  # attempts and load orders by dispatcher
     for second, second_states in zip(seconds, states[1:], strict=False):
         for number, state in enumerate(second_states):
@@ -162,7 +165,7 @@
 
 
 def write_results(out: Path, key_columns: dict[str, Any], script: Script, output: GeneratorOutput) -> dict[str, Any]:
-    """Write the three tables, with `key_columns` in each row, and return the run's row.  Latencies are in ms."""
+    """Write the three tables, with `key_columns` in each row, and return the row of `runs`.  Latencies are in ms."""
     merged = merge_counters(script, output)
     all_latencies = latency_histogram()
     for histogram in merged.latencies.values():
--- a/kelptrail/load/generator_clients.py
+++ b/kelptrail/load/generator_clients.py
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, eq=False)
 class GeneratedCall:
-    """One call of a client with all its attempts."""
+    """A call of a client, and the state of its current attempt."""
 
     ticket: str  # id of the call, which is also its idempotency key and the input of the function
     action: ActionSettings
@@ -46,7 +46,7 @@
     deferred: bool
     behavior: ClientBehavior
     attempts_left: int
-    due: float  # scheduled time of this attempt, in ms
+    due: float  # scheduled time of the current attempt, in ms
     first_due: float  # scheduled time of the first attempt, in ms
     dispatcher: int = 0
     activation: str = ""
--- a/kelptrail/load/generator_counters.py
+++ b/kelptrail/load/generator_counters.py
@@ -54,7 +54,7 @@
     seconds: list[Second]
     latencies: dict[str, HdrHistogram]  # by request class
     send_lag: HdrHistogram = field(default_factory=latency_histogram)
-    give_ups: dict[str, int] = field(default_factory=dict)
+    give_ups: dict[str, int] = field(default_factory=dict)  # number of attempts that did not complete, by cause
     connections: int = 0
 
     def count_attempt(self, due: float, first_due: float) -> None:
@@ -101,7 +101,7 @@
 
 
 def new_counters(start: float, script_seconds: float, request_classes: Iterable[str]) -> GeneratorCounters:
-    """Return counters of 0 for these request classes."""
+    """Return empty counters for a script of this length and these request classes."""
     return GeneratorCounters(
         start, empty_seconds(script_seconds), {name: latency_histogram() for name in request_classes}
     )
--- a/kelptrail/load/load_settings.py
+++ b/kelptrail/load/load_settings.py
@@ -23,7 +23,7 @@
     half_retry_after_share: float = field(
         metadata={"key": "half_heed"}
     )  # share of clients that wait half of it; the others retry at once
-    one_off: bool
+    one_off: bool  # read from scenario files, but not used
     action: str  # empty: all actions, weighted by popularity
     grpc: float  # share of calls that are sent over gRPC
     streams: float  # share of gRPC calls that are streamed
--- a/kelptrail/load/results.py
+++ b/kelptrail/load/results.py
@@ -124,12 +124,12 @@
 
 
 def rows_of(key_columns: dict[str, Any], length: float, result: Result) -> Rows:
-    """Return a row for each second."""
+    """Return the rows of the table `seconds`, one for each second of the run."""
     return [key_columns | {"second": n} | s.columns() for n, s in enumerate(result.seconds[: int(length)])]
 
 
 def spread_of(key_columns: dict[str, Any], result: Result) -> Rows:
-    """Return a row for each latency percentile of each request class, and for each reason of failed attempts."""
+    """Return the rows of the table `spread`: latency percentiles by request class, and failed attempts by reason."""
     rows: Rows = []
     for name, latencies in result.latency.items():
         if latencies:
@@ -143,7 +143,7 @@
 
 
 def reason_rows(key_columns: dict[str, Any], result: Result) -> Rows:
-    """Return a row for each reason of failed attempts, with its count."""
+    """Return the rows of the table `spread` that count failed attempts by reason."""
     return [
         key_columns | {"what": "give_ups", "name": reason, "part": 0.0, "value": float(count)}
         for reason, count in result.give_ups.items()
