--- a/kelptrail/emulator/capture.py
+++ b/kelptrail/emulator/capture.py
@@ -16,7 +16,7 @@
 
 TICK_S = 0.005
 STALL_MS = 20  # minimum delay of a tick that counts as a stall of the event loop
-STALL_EFFECT_MS = 500  # time after a stall within which data that is read may have arrived during it
+STALL_EFFECT_MS = 500  # data that is read within this time after a stall may have arrived during the stall
 
 
 class ReadLag:
--- a/kelptrail/emulator/channel_proxy.py
+++ b/kelptrail/emulator/channel_proxy.py
@@ -1,4 +1,4 @@
-"""TCP proxy for the channels between dispatchers and to planners, which cuts, delays and resets their connections.
+"""TCP proxy for the channels between dispatchers and to planners; it can cut, delay and reset connections.
 
 It has one listening socket for each ordered pair of names, so that the socket identifies source and target of a
 connection.  The process that starts the dispatchers posts the addresses of their channels to the control port.  While a
@@ -51,7 +51,7 @@
         self._addresses: dict[str, str] = {}
         self._delay = _ReadDelay(0.0, 0.0)
         self._pairs: dict[asyncio.Task[None], _SocketPair] = {}
-        self.routes: dict[str, str] = {}
+        self.routes: dict[str, str] = {}  # listening addresses of the proxy by link, "source>target"
         for source in sources:
             for target in targets:
                 if source != target:
--- a/kelptrail/emulator/clients.py
+++ b/kelptrail/emulator/clients.py
@@ -24,7 +24,7 @@
 
 
 class ClientEmulator:
-    """Emulates all clients of one cluster, or the share of one process."""
+    """Emulates all clients of one cluster, or one process's share of them."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         return self._invoke_client.polling
 
     def arrivals(self, load: Load, end: float) -> list[tuple[float, ActionSettings]]:
-        """Return the time in seconds and the action of each arrival of a load until `end`, in order of time."""
+        """Return the time and the action of each arrival of a load until `end`, in order of time; times in seconds."""
         actions = list(self._deployment.actions.values())
         by_path = {a.path: a for a in actions}
         arrivals = Arrivals(load, self._random, self._part).draw(load.at, max(0.0, end - load.at))
@@ -118,7 +118,7 @@
             self._invoke_client.send(call)
 
     def plan(self, loads: list[Load], seconds: float) -> list[tuple[float, Callable[[], None]]]:
-        """Return the start time in seconds and a function that starts the call, for each call of the loads, in order.
+        """Return the start time in seconds of each call, and a function that starts the call, in order of time.
 
         Closed loops have no calls here; only the load generator supports them.
         """
@@ -130,7 +130,7 @@
         return planned
 
     async def wait_until_answered(self, until: float) -> None:
-        """Wait until all calls are answered, at most until `until` (in ms of the monotonic clock)."""
+        """Wait until no request and no deferred call is open, at most until `until` (in ms of the monotonic clock)."""
         while (self.open_requests or self.polling) and now_ms() < until:
             await asyncio.sleep(OPEN_CALLS_CHECK_S)
 
--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -40,7 +40,7 @@
         logs: Path | None = None,
         quiet: bool = False,
     ) -> None:
-        """`out` is the folder for captures; `logs` that for log files.
+        """`out` is the folder for captures, `logs` the folder for log files.
 
         Without `logs`, dispatchers and planners log to standard error unless `quiet`.
         """
@@ -149,7 +149,7 @@
         return ["--witness", self.side_effect_log.ready_info["address"], *repeated("--task", tasks)]
 
     async def start_process(self, name: str, arguments: list[str]) -> Process:
-        """Start a new process with this command line; emulators write a capture."""
+        """Start a new process with this command line; emulators write a capture if there is a folder for captures."""
         if self._out is not None and arguments[0] == "emulate":
             arguments = [*arguments, "--capture", str(self._out / f"{name}.jsonl")]
         child = Process(name, arguments)
@@ -247,7 +247,10 @@
             child.process.kill()
 
     async def terminate(self, child: Process, within_s: float = 20.0) -> int | None:
-        """Send SIGTERM and wait for the exit code; kill the process if it does not exit in time."""
+        """Send SIGTERM to a process, and kill it if it does not exit in time.
+
+        Return its exit code, or None if it was never started.
+        """
         child.stop_requested = True
         if child.process is None:
             return None
--- a/kelptrail/emulator/cluster_commands.py
+++ b/kelptrail/emulator/cluster_commands.py
@@ -8,8 +8,8 @@
 
 from kelptrail.settings.deployment import Deployment
 
-# Largest number of dispatchers for which the proxy covers all pairs.  With more, it covers only the links to lease
-# acceptors and planners.
+# Largest number of dispatchers for which the proxy covers all pairs.  With more dispatchers and with leases, it covers
+# only the links to lease acceptors and planners.
 ALL_PAIRS_LIMIT = 12
 ANY_CONTROL_PORT = "127.0.0.1:0"
 WORKERS_PER_CELL = 2
@@ -22,7 +22,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterCommands:
-    """Builds the command lines for one deployment file."""
+    """Builds the command lines for one deployment file.
+
+    Some options have other names than the code: `--hall` is the zone, `--roster` the address of the endpoint service,
+    `--second` an address of the inference API, `--harmed-disk` and `--harmed-clock` are the files with the faults of a
+    dispatcher's disk and clock.
+    """
 
     deployment: Deployment
     file: str
--- a/kelptrail/emulator/endpoint_service.py
+++ b/kelptrail/emulator/endpoint_service.py
@@ -2,7 +2,7 @@
 
 The list only shows which processes run, not whether they are healthy.  `GET /workers?who=&known=&wait=` is a long poll.
 Workers register with `POST /register`; the supervisor of their processes reports exits and drains with `POST /state`.
-A fault delays all changes of workers.
+A fault delays all changes of workers' entries.
 """
 
 from __future__ import annotations
@@ -44,7 +44,10 @@
 
 
 class EndpointService:
-    """The endpoint list, and the long polls that wait for its next version; `delay_ms` delays changes of workers."""
+    """The endpoint list, and the long polls that wait for its next version.
+
+    `delay_ms` is the delay of changes of workers' entries.
+    """
 
     def __init__(self, capture: Capture) -> None:
         self._capture = capture
--- a/kelptrail/emulator/inference_client.py
+++ b/kelptrail/emulator/inference_client.py
@@ -28,8 +28,8 @@
 class InferenceClient:
     """Sends calls to dispatchers over gRPC.
 
-    Deferred calls are polled over the invoke API: `poll_addresses` has its address for each dispatcher, in the order of
-    `addresses`.
+    Deferred calls are polled over the invoke API: `poll_addresses` has each dispatcher's address of that API, in the
+    order of `addresses`.
     """
 
     def __init__(
--- a/kelptrail/emulator/model_store.py
+++ b/kelptrail/emulator/model_store.py
@@ -2,7 +2,8 @@
 
 `GET /blobs/{model}?ms=N` takes N ms at full speed.  More concurrent fetches than the setting `fetches` slow all of them
 down; more than `most` are refused.  A group of workers deduplicates calls with `POST /effects/known` and
-`/effects/commit`: the group shares the entries, which are kept for the deduplication window.
+`/effects/commit`: the group shares the entries, which are valid for the deduplication window.  The key `mark` is the
+idempotency key.
 """
 
 from __future__ import annotations
@@ -76,7 +77,7 @@
     def _handle_effect(self, operation: str, body: dict[str, Any], exchange: Exchange) -> None:
         now, key = now_ms(), (body["group"], body["mark"])
         entry = self._effects.get(key)
-        if entry is not None and now - entry[0] > body["remembered_ms"]:
+        if entry is not None and now - entry[0] > body["remembered_ms"]:  # deduplication window
             entry = None
         if operation == "commit" and entry is None:
             self._effects[key] = (now, body["result"])
--- a/kelptrail/emulator/worker.py
+++ b/kelptrail/emulator/worker.py
@@ -180,7 +180,7 @@
             return
         model, now = self._state.models.get(name), now_ms()
         self._record_attempt(name, model, infer)
-        if self._check_overload(model, now) or WorkerFault.HANG in self._faults:
+        if self._add_work(model, now) or WorkerFault.HANG in self._faults:
             return
         if self._fails_immediately(model):
             exchange.reply_encoded(error_response(500, "failed"))
@@ -207,10 +207,14 @@
         )
 
     def _arrival_lag_ms(self) -> float:
-        """Return how much earlier the data that is read now may have arrived, in ms."""
+        """Return how much earlier the data that is read now may have arrived, in ms.
+
+        With slow handshakes, a connection may wait for the delay before it is accepted, and again before it is read.
+        """
         return self._read_lag.now() + 2 * self.server.accept_delay_ms
 
-    def _check_overload(self, model: HostedModel | None, now: float) -> bool:
+    def _add_work(self, model: HostedModel | None, now: float) -> bool:
+        """Count the work of an attempt; return whether it overloads the worker, and record that it does."""
         if not self._state.slow_start.add_work(now, self._state.work_ms(model)):
             return False
         self._capture.write("fell", worker=self._identity.id, incarnation=self.incarnation)
--- a/kelptrail/emulator/worker_effects.py
+++ b/kelptrail/emulator/worker_effects.py
@@ -46,7 +46,7 @@
         self._capture.write(
             "effect",
             worker=self._worker_id,
-            mark=job.request.id,
+            mark=job.request.id,  # idempotency key, or the activation of a call without a key
             type=job.model.type.name,
             activation=parameters.get("activation"),
             send=parameters.get("send"),
--- a/kelptrail/emulator/worker_faults.py
+++ b/kelptrail/emulator/worker_faults.py
@@ -50,7 +50,7 @@
         self._settings.pop(kind, None)
 
     def setting(self, kind: WorkerFault, name: str, default: Any) -> Any:
-        """Return a setting of an active fault."""
+        """Return a setting of an active fault, or `default` if the fault was injected without it."""
         return self._settings[kind].get(name, default)
 
     def draw(self, kind: WorkerFault, default_share: float) -> bool:
--- a/kelptrail/emulator/worker_instances.py
+++ b/kelptrail/emulator/worker_instances.py
@@ -32,12 +32,13 @@
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._state, self._store, self._reporter, self._on_load_ended = state, store, reporter, on_load_ended
-        self._fetch_share = fetch_share  # share of the load time
+        self._fetch_share = fetch_share  # the fetch's share of a model's load time
 
     def handle_order(self, model: HostedModel, instance_count: int, exchange: Exchange) -> None:
         """Execute a load order.
 
-        It is answered once `instance_count` instances are loaded, or immediately if there is no capacity.
+        It is answered once `instance_count` instances are loaded or a load has failed, or immediately if there is no
+        capacity or the worker is draining.
         """
         state = self._state
         if state.draining:
--- a/kelptrail/emulator/worker_load_report.py
+++ b/kelptrail/emulator/worker_load_report.py
@@ -42,7 +42,8 @@
     def header(self, instance_loaded: bool, other_requests: int) -> dict[str, str]:
         """Return the header of an answer.
 
-        It contains the metrics, whether an instance was loaded, and the number of the model's other requests.
+        It contains the metrics, whether an instance was loaded (`found`), and the number of the model's other requests
+        (`company`).
         """
         metrics = self._metrics
         report = write_report(
--- a/kelptrail/emulator/worker_slow_start.py
+++ b/kelptrail/emulator/worker_slow_start.py
@@ -1,8 +1,8 @@
 """Slow start of the emulated worker: its share of full capacity by age, and its overload by too much work.
 
 The dispatchers' settings define the rules: capacity rises linearly from `slow_start_share` to 1 within `slow_start_ms`
-of the start.  A worker that receives more than `overload_multiple` times its capacity within `overload_window_ms`
-during this time fails permanently.
+of the start.  A worker that receives more work than `overload_multiple` times its capacity within `overload_window_ms`
+during this time serves no further requests until it restarts.
 """
 
 from __future__ import annotations
