--- a/kelptrail/history_checker/answers.py
+++ b/kelptrail/history_checker/answers.py
@@ -17,7 +17,7 @@
         self._outages = Outages(history)
         deployment = history.deployment
         self._replicated = bool(deployment.get("copies", 0))
-        # With a journal, an acknowledged activation must remain known whatever happens to its dispatcher.
+        # With a journal ("kept"), an acknowledged activation must remain known whatever happens to its dispatcher.
         self._acknowledged = {e["call"] for e in history.events_of("accepted")} if deployment.get("kept") else set()
         self._dispatchers_without_disk = (
             set() if self._replicated else {event["dispatcher"] for event in history.events_of("disk-lost")}
@@ -33,15 +33,15 @@
         finals_of_call: dict[str, list[Event]] = defaultdict(list)
         for event in self._history.events_of("final"):
             finals_of_call[event["call"]].append(event)
-        for number, call in self._history.calls.items():
-            if number in not_accepted:
+        for call_id, call in self._history.calls.items():
+            if call_id in not_accepted:
                 continue
             self._result.taken += 1
-            finals = finals_of_call.get(number)
+            finals = finals_of_call.get(call_id)
             if finals:
-                self._check_finals(number, call, finals)
+                self._check_finals(call_id, call, finals)
             else:
-                self._check_unanswered(number, call)
+                self._check_unanswered(call_id, call)
 
     def _check_denied_activations(self) -> None:
         for event in self._history.events_of("denied"):
@@ -56,22 +56,22 @@
                 detail = f"{event['activation']} {first['answer']}, {event['answer']}"
                 self._result.add_breach(Breach.FINALS_TWICE, detail)
 
-    def _check_unanswered(self, number: str, call: Event) -> None:
+    def _check_unanswered(self, call_id: str, call: Event) -> None:
         result = self._result
-        acknowledged = number in self._acknowledged
+        acknowledged = call_id in self._acknowledged
         if acknowledged and call["dispatcher"] in self._dispatchers_without_disk:
             result.lost_with_disk += 1  # Without replicas, the activation was stored on that disk only.
-        elif acknowledged and number in self._gave_up_at:
-            result.add_breach(Breach.ACCEPTED_LOST, f"{number} {call['action']} was acknowledged and is not known")
-        elif self._outages.was_down(call, self._gave_up_at.get(number, float("inf"))):
+        elif acknowledged and call_id in self._gave_up_at:
+            result.add_breach(Breach.ACCEPTED_LOST, f"{call_id} {call['action']} was acknowledged and is not known")
+        elif self._outages.was_down(call, self._gave_up_at.get(call_id, float("inf"))):
             result.lost_with_dispatcher += 1
         else:
-            result.add_breach(Breach.UNANSWERED, f"{number} {call['action']} by {call['dispatcher']}")
+            result.add_breach(Breach.UNANSWERED, f"{call_id} {call['action']} by {call['dispatcher']}")
 
-    def _check_finals(self, number: str, call: Event, finals: list[Event]) -> None:
+    def _check_finals(self, call_id: str, call: Event, finals: list[Event]) -> None:
         result, final = self._result, finals[0]
         if len(finals) > 1:
-            result.add_breach(Breach.FINALS_TWICE, number)
+            result.add_breach(Breach.FINALS_TWICE, call_id)
         answer = final["answer"]
         if answer == "completed":
             result.completed += 1
@@ -82,14 +82,14 @@
         else:
             result.other_answers += 1
         took_ms = final["took"] if final.get("took") is not None else earliest_arrival(final) - call["t"]
-        if took_ms > call["limit_ms"] + SLACK_MS and not self._was_delayed_by_outage(number, call, final):
-            result.add_breach(Breach.LATE_FINALS, f"{number} took {took_ms:.0f} of {call['limit_ms']:.0f} ms")
+        if took_ms > call["limit_ms"] + SLACK_MS and not self._was_delayed_by_outage(call_id, call, final):
+            result.add_breach(Breach.LATE_FINALS, f"{call_id} took {took_ms:.0f} of {call['limit_ms']:.0f} ms")
 
-    def _was_delayed_by_outage(self, number: str, call: Event, final: Event) -> bool:
+    def _was_delayed_by_outage(self, call_id: str, call: Event, final: Event) -> bool:
         if self._outages.was_down(call, final["t"]):
             return True
         # A replicated record is answered only after its replicas confirm it, and a network cut delays them.
-        needs_replicas = self._replicated and number in self._acknowledged
+        needs_replicas = self._replicated and call_id in self._acknowledged
         return needs_replicas and self._outages.was_cut_off(call, final["t"])
 
 
--- a/kelptrail/history_checker/effects.py
+++ b/kelptrail/history_checker/effects.py
@@ -12,8 +12,8 @@
 def check_effects(history: History, result: CheckResult) -> None:
     """Check rule 2 at the workers.
 
-    Effects of deduplicated types are counted by idempotency key, and effects of once-only types by the client's call,
-    including its retries.  A once-only call that was rejected must not have run.
+    Effects of deduplicated types are counted by idempotency key (`mark`), and effects of once-only types by the
+    client's call, including its retries.  A once-only call that was rejected must not have run.
     """
     effect_of_type = {type_["name"]: type_["effect"] for type_ in history.deployment["types"]}
     tickets = _tickets_by_activation(history)
--- a/kelptrail/history_checker/lease_rules.py
+++ b/kelptrail/history_checker/lease_rules.py
@@ -1,7 +1,7 @@
 """Lease rules: a task has one holder at a time, and no use is accepted under an old fencing token.
 
-Holders record the machine's time at which they checked their lease.  If a check passes while a newer token is already
-in use, the task had two holders.  Uses that the side-effect log accepted are checked in order of arrival.
+Holders record the machine's time at which they checked their lease (`looked`).  If a check passes while a newer token
+is already in use, the task had two holders.  Uses that the side-effect log accepted are checked in order of arrival.
 """
 
 from __future__ import annotations
--- a/kelptrail/history_checker/outages.py
+++ b/kelptrail/history_checker/outages.py
@@ -19,7 +19,7 @@
 
 
 class Outages:
-    """Periods in which each dispatcher was down or cut off, by its number."""
+    """Periods in which each dispatcher was down (or paused) or cut off, by its number."""
 
     def __init__(self, history: History) -> None:
         self._down = _down_periods(history)
@@ -27,7 +27,7 @@
 
     def was_down(self, call: Event, end: float) -> bool:
         """Return whether a dispatcher that may have accepted the call was down between the call and `end`."""
-        if call.get("front"):  # Behind a front, any dispatcher may have accepted the call.
+        if call.get("front"):  # The dispatchers share the address, so any of them may have accepted the call.
             periods = [period for dispatcher_periods in self._down.values() for period in dispatcher_periods]
         else:
             periods = self._down.get(call["dispatcher"], [])
@@ -36,7 +36,7 @@
     def was_cut_off(self, call: Event, end: float) -> bool:
         """Return whether the call's dispatcher was cut off from the others between the call and `end`."""
         periods = self._cut_off.get(call["dispatcher"], [])
-        return any(call["t"] <= healed_at and cut_at <= end for cut_at, healed_at in periods)
+        return any(call["t"] <= restored_at and cut_at <= end for cut_at, restored_at in periods)
 
 
 def _down_periods(history: History) -> dict[int, list[Period]]:
--- a/kelptrail/history_checker/result.py
+++ b/kelptrail/history_checker/result.py
@@ -43,7 +43,7 @@
 class CheckResult:
     """Counts of outcomes and of breaches of each rule, and the details of breaches."""
 
-    taken: int = 0
+    taken: int = 0  # All calls except those that no dispatcher accepted
     completed: int = 0
     rejected: int = 0
     aborted: int = 0
@@ -64,9 +64,9 @@
     holders_two_by_clocks: int = 0  # Second holders while a clock ran at a rate outside its bound
     old_tokens_refused: int = 0
     lease_uses: int = 0
-    lost_with_disk: int = 0
-    lost_with_dispatcher: int = 0
-    not_taken: int = 0
+    lost_with_disk: int = 0  # Acknowledged calls without an answer that were stored only on a lost disk
+    lost_with_dispatcher: int = 0  # Other calls without an answer whose dispatcher was down
+    not_taken: int = 0  # Calls that no dispatcher accepted
     other_answers: int = 0
     attempts: int = 0
     loads: int = 0
--- a/kelptrail/history_checker/worker_rules.py
+++ b/kelptrail/history_checker/worker_rules.py
@@ -23,7 +23,10 @@
 
 
 def check_draining(history: History, result: CheckResult) -> None:
-    """Check rule 3: no attempt or load order reaches a worker after the grace period that starts when it is drained."""
+    """Check rule 3: no attempt or load order reaches a worker after the grace period.
+
+    The period starts when a list that was sent to the dispatcher no longer shows the worker as live.
+    """
     grace_ms = history.rules["drain_grace_ms"] + SLACK_MS
     states = _listed_states(history)
     for event in [*history.events_of("send"), *history.load_orders()]:
@@ -136,7 +139,10 @@
 
 
 def _accepted_by_boot(history: History) -> dict[str, list[float]]:
-    """Return when activations were accepted, or else first sent to a worker, by the boot id of their dispatcher."""
+    """Return a time for each activation, in a list for the boot id of its dispatcher.
+
+    It is the time at which the client sent the call, or if no event shows the call, that of the first attempt.
+    """
     accepted_at: dict[str, float] = {}
     for event in [*history.events_of("accepted"), *history.finals.values()]:
         if event["activation"] and event["call"] in history.calls:
@@ -156,7 +162,7 @@
     """
     known = {event["call"] for event in [*history.events_of("accepted", "not-taken"), *history.finals.values()]}
     times: dict[int, list[float]] = defaultdict(list)
-    for number, call in history.calls.items():
-        if number not in known:
+    for call_id, call in history.calls.items():
+        if call_id not in known:
             times[call["dispatcher"]].append(call["t"])
     return times
