--- a/kelptrail/fault_scenario/fault_injector.py
+++ b/kelptrail/fault_scenario/fault_injector.py
@@ -29,7 +29,7 @@
     FaultScenario,
 )
 
-WORKER_DRAIN_S = 1.0  # Time from the drain request to a worker until it is stopped
+WORKER_DRAIN_S = 1.0  # Time from a worker's drain request to its SIGTERM
 TERMINATION_TIMEOUT_S = 5  # Time from SIGTERM to SIGKILL
 UNREACHABLE_WORKER = "worker-nobody"
 
@@ -132,7 +132,11 @@
         )
 
     async def _inject_planner_fault(self, target: Process, fault: Fault) -> None:
-        """Inject a fault into one planner: slow or wrong plans, a pause, a cut of its links, or a kill and restart."""
+        """Inject a fault into one planner.
+
+        It causes slow or wrong plans, a pause, a cut of the planner's links, or a kill and restart, in which the
+        planner may lose its saved state.
+        """
         if fault.kind in (FaultKind.PLANNERS_SLOW, FaultKind.PLANNERS_WRONG):
             settings = {"ms": fault.ms} if fault.kind == FaultKind.PLANNERS_SLOW else {"factor": fault.factor}
             await http_json(
@@ -159,7 +163,7 @@
         await self._cluster.launch(target)
 
     async def _replace_worker(self, target: Process, restart: bool) -> None:
-        """Drain the worker, wait for its work to end, stop it, and launch it again if `restart` is set."""
+        """Drain the worker, give its work `WORKER_DRAIN_S` to end, stop it, and launch it again if `restart` is set."""
         await self._cluster.set_listed_state(target, "draining")
         await asyncio.sleep(self._deployment.rules.drain_grace_ms / 1000)
         await http_json(target.ready_info["control"], "POST", "/drain", {})
--- a/kelptrail/fault_scenario/inferred_faults.py
+++ b/kelptrail/fault_scenario/inferred_faults.py
@@ -1,4 +1,4 @@
-"""Infers faults from a capture; each fault by a symptom that no other fault causes, where there is one."""
+"""Infers faults from a capture, each from a symptom that only this fault causes, if there is one."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 FAILING_SHARE = 0.25  # Share of errors in a worker's answers above which the worker counts as failing
 MISSES_SHARE = 0.15  # Share of misses in all answers above which models may have been unloaded at all workers
 MISSES_FACTOR = 4  # Minimum ratio of the share of misses to its median
-MISSES_SETTLE_S = 5  # Time after such a fault in which no other one is inferred
+MISSES_SETTLE_S = 5  # Time after an inferred loss of models in which no other is inferred
 SLOW_LOADS_FACTOR = 2.5  # Ratio to the median load time above which loads are slow
 MIN_LOADS = 3  # Seconds with fewer loads are not evaluated.
 ROLLING_DEPLOY_S, WORKER_DOWN_S, COLD_RESTART_S = 3.0, 3.0, 1.0  # Durations where the capture does not show the end
@@ -58,11 +58,11 @@
 
 def _killed_dispatchers(captured: CapturedRun) -> list[FaultInterval]:
     """Infer kills of dispatchers from their exits; a kill lasts until the next start of the dispatcher."""
-    downs: list[Interval] = []
+    outages: list[Interval] = []
     for at, name in captured.exits:
         restarted_at = next((t for t, other in captured.restarts if other == name and t >= at), captured.length)
-        downs.append((at, max(SHORTEST_DOWN_S, restarted_at - at)))
-    return _merge_intervals(FaultKind.KILL_DISPATCHERS, downs, len(captured.dispatchers))
+        outages.append((at, max(SHORTEST_DOWN_S, restarted_at - at)))
+    return _merge_intervals(FaultKind.KILL_DISPATCHERS, outages, len(captured.dispatchers))
 
 
 def _listed_faults(captured: CapturedRun) -> list[FaultInterval]:
@@ -163,7 +163,10 @@
 
 
 def _voided_models(captured: CapturedRun, seconds: int) -> list[FaultInterval]:
-    """Infer losses of loaded models, such as by a release of models, from misses at all workers at once."""
+    """Infer losses of loaded models, for example by a release of new ones, from a sudden rise of misses.
+
+    The misses of all workers count together.
+    """
     misses, answers = np.zeros(seconds + 1), np.ones(seconds + 1)
     for (_, second), results in captured.results.items():
         if second <= seconds:
--- a/kelptrail/fault_scenario/report.py
+++ b/kelptrail/fault_scenario/report.py
@@ -36,7 +36,7 @@
 class RunObservations:
     """Observations of a run with real processes that its captures do not contain."""
 
-    drained_cleanly: bool  # True if all dispatchers that were running at the end drained cleanly
+    drained_cleanly: bool  # True if every dispatcher's last process exited with code 0, that is, drained cleanly
     memory: list[MemorySample]
     states: list[dict[str, Any]]  # Answer of each dispatcher's control port to `/state` at the end
 
--- a/kelptrail/fault_scenario/runner.py
+++ b/kelptrail/fault_scenario/runner.py
@@ -67,7 +67,7 @@
             deployment,
             self._cluster,
             self._capture,
-            np.random.default_rng([seed, 11]),
+            np.random.default_rng([seed, 11]),  # 11 separates these random numbers from others of the same seed
             self._state_folder,
         )
         self._memory: list[MemorySample] = []
--- a/kelptrail/fault_scenario/scenario.py
+++ b/kelptrail/fault_scenario/scenario.py
@@ -241,7 +241,7 @@
         return forms[0]
     checker.fault(SourcePosition(path, 1, 1), f"{len(forms)} expressions", "one (bad-day NAME ...)")
     checker.raise_faults()
-    raise AssertionError("unreachable: done() raises after a fault")
+    raise AssertionError("unreachable: raise_faults() raises after a fault")
 
 
 def _forms_with_head(root: Form, head: str) -> list[Form]:
