--- a/kelptrail/simulation/attempt_executor.py
+++ b/kelptrail/simulation/attempt_executor.py
@@ -39,11 +39,11 @@
 
 
 class LoadReport(NamedTuple):
-    """Load report of a worker: used shares of its cores and its memory, and its number of open loads."""
+    """Load report of a worker."""
 
-    utilization: float
-    open_loads: int
-    memory: float
+    utilization: float  # share of the cores in use
+    open_loads: int  # number of running and queued loads
+    memory: float  # share of memory of instances that run attempts or are being loaded
 
 
 class AttemptExecutor:
@@ -66,7 +66,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the queue has reached its limit."""
+        """True if the queue has reached its limit."""
         return len(self._queue) >= self._fleet.queue
 
     def enqueue(self, attempt: QueuedAttempt) -> None:
--- a/kelptrail/simulation/clients.py
+++ b/kelptrail/simulation/clients.py
@@ -38,9 +38,9 @@
 
 @dataclass(slots=True, eq=False)
 class ClientCall:
-    """A call of a client, over all attempts to have it accepted and answered."""
+    """A call of a client, and the state of its current attempt."""
 
-    ticket: str
+    ticket: str  # id of the call, which is also its idempotency key
     action: ActionSettings
     namespace: NamespaceSettings
     deferred: bool
@@ -49,7 +49,7 @@
     dispatcher: int = 0
     sent_at: float = 0.0
     activation: str = ""
-    number: str = ""
+    call_id: str = ""  # id of the current attempt, captured as "call"
     first_sent_at: float = 0.0  # simulated time in ms
     timeout_timer: Timer | None = None
     invocation: Invocation | None = None
@@ -64,6 +64,7 @@
         self._cluster, self._event_queue, self._settings = cluster, cluster.event_queue, cluster.settings
         self._deployment, self._results = cluster.deployment, CallResults(cluster)
         seed, (number, count) = cluster.seed, cluster.shard_part
+        # 7 separates these random numbers from others of the same seed.
         self._random = np.random.default_rng([seed, 7, number, count] if count > 1 else [seed, 7])
         self._arrivals = CallArrivals(cluster, self._random, self._begin_call)
         self._id_prefix = f"{number}-" if count > 1 else ""
@@ -93,7 +94,7 @@
         self._call_dispatcher(call, None)
 
     def _call_dispatcher(self, call: ClientCall, last_dispatcher: int | None) -> None:
-        """Call a random dispatcher, or in a retry the one after the last."""
+        """Call a random dispatcher, or in a retry the one after `last_dispatcher`."""
         call.attempts_left -= 1
         self._call_count += 1
         count = len(self._cluster.local_dispatchers)
@@ -101,27 +102,27 @@
             call.dispatcher = int(self._random.integers(count))
         else:
             call.dispatcher = (last_dispatcher + 1) % count
-        call.number, call.sent_at = f"c{self._id_prefix}{self._call_count}", self._event_queue.now
+        call.call_id, call.sent_at = f"c{self._id_prefix}{self._call_count}", self._event_queue.now
         call.activation, call.invocation = "", None
         dispatcher = self._cluster.local_dispatchers[call.dispatcher]
         timeout_ms = self._type_of(call).timeout_ms
         self._results.on_call_sent(call, dispatcher.number, timeout_ms)
         call.timeout_timer = self._event_queue.after(
-            timeout_ms + CLIENT_TIMEOUT_MARGIN_MS, self._on_client_timeout, call, call.number
+            timeout_ms + CLIENT_TIMEOUT_MARGIN_MS, self._on_client_timeout, call, call.call_id
         )
-        self._event_queue.after(self._settings.network_ms, self._deliver_call, dispatcher, call, call.number)
+        self._event_queue.after(self._settings.network_ms, self._deliver_call, dispatcher, call, call.call_id)
 
     def _type_of(self, call: ClientCall) -> TypeSettings:
         return self._deployment.types[call.action.type]
 
-    def _deliver_call(self, dispatcher: SimulatedDispatcher, call: ClientCall, number: str) -> None:
+    def _deliver_call(self, dispatcher: SimulatedDispatcher, call: ClientCall, call_id: str) -> None:
         if not dispatcher.up:
             self._on_not_accepted(call)
         else:
-            dispatcher.enqueue_input(self._handle_call, dispatcher, call, number)
+            dispatcher.enqueue_input(self._handle_call, dispatcher, call, call_id)
 
-    def _handle_call(self, dispatcher: SimulatedDispatcher, call: ClientCall, number: str) -> None:
-        if call.number != number:
+    def _handle_call(self, dispatcher: SimulatedDispatcher, call: ClientCall, call_id: str) -> None:
+        if call.call_id != call_id:
             return
         gateway, now = dispatcher.gateway, self._event_queue.now
         key = call.ticket if self._type_of(call).effect == "deduplicated" else None
@@ -141,12 +142,12 @@
 
     def _submit(self, dispatcher: SimulatedDispatcher, call: ClientCall, key: str | None) -> None:
         """Submit the call to the gateway core; a deferred call is acknowledged once its record is durable."""
-        gateway, now, number = dispatcher.gateway, self._event_queue.now, call.number
+        gateway, now, call_id = dispatcher.gateway, self._event_queue.now, call.call_id
         invocation = gateway.submit(
             now,
             WALL_CLOCK_ORIGIN_MS + now,
             Submission(call.namespace.name, call.action, b"{}", key, deferred=call.deferred, client_key=call.ticket),
-            lambda record: self._deliver_record(call, number, record),
+            lambda record: self._deliver_record(call, call_id, record),
         )
         call.invocation, call.dispatcher_start_number = invocation, dispatcher.start_number
         if call.deferred:
@@ -158,14 +159,15 @@
                 dispatcher.schedule_decisions()
 
     def _join_activation(self, dispatcher: SimulatedDispatcher, call: ClientCall, record: Record) -> None:
+        """Answer a call from the record of the activation that has the same idempotency key."""
         invocation = dispatcher.gateway.in_flight_of(record.id)
         if record.visible:
-            self._deliver_record(call, call.number, record)
+            self._deliver_record(call, call.call_id, record)
         elif call.deferred or invocation is None:
             self._on_accepted(call, record.id)
         else:
-            number = call.number
-            invocation.waiters.append(lambda ended: self._deliver_record(call, number, ended))
+            call_id = call.call_id
+            invocation.waiters.append(lambda ended: self._deliver_record(call, call_id, ended))
 
     def _on_durability_known(
         self, dispatcher: SimulatedDispatcher, call: ClientCall, invocation: Invocation, durable: bool | None
@@ -195,11 +197,11 @@
         else:
             self._event_queue.after(POLL_INTERVAL_MS, self._poll, call)
 
-    def _deliver_record(self, call: ClientCall, number: str, record: Record) -> None:
-        self._event_queue.after(self._settings.network_ms, self._on_record_received, call, number, record)
+    def _deliver_record(self, call: ClientCall, call_id: str, record: Record) -> None:
+        self._event_queue.after(self._settings.network_ms, self._on_record_received, call, call_id, record)
 
-    def _on_record_received(self, call: ClientCall, number: str, record: Record) -> None:
-        if call.number == number and call.timeout_timer is not None:
+    def _on_record_received(self, call: ClientCall, call_id: str, record: Record) -> None:
+        if call.call_id == call_id and call.timeout_timer is not None:
             self._cancel_timeout(call)
             self._finish_with_record(call, record, None)
 
@@ -231,8 +233,8 @@
             call.timeout_timer.cancel()
             call.timeout_timer = None
 
-    def _on_client_timeout(self, call: ClientCall, number: str) -> None:
-        if call.number != number or call.timeout_timer is None:
+    def _on_client_timeout(self, call: ClientCall, call_id: str) -> None:
+        if call.call_id != call_id or call.timeout_timer is None:
             return
         call.timeout_timer = None
         dispatcher, invocation = self._cluster.local_dispatchers[call.dispatcher], call.invocation
@@ -242,8 +244,8 @@
             dispatcher.enqueue_input(dispatcher.on_client_gone, invocation)
         self._on_call_lost(call, "no-answer")
 
-    def _on_call_lost(self, call: ClientCall, ending: str) -> None:
-        self._results.on_lost(call, ending)
+    def _on_call_lost(self, call: ClientCall, cause: str) -> None:
+        self._results.on_lost(call, cause)
         self._retry_or_end(call, ClientOutcome.LOST)
 
     def _retry_or_end(
--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -52,7 +52,7 @@
         """
         if scenario.planners and deployment.leases is None:
             raise ScenarioError(
-                f"{scenario.name}: planners act under a lease: {scenario.deployment} needs (leases ...)"
+                f"{scenario.name}: planners need a lease, but {scenario.deployment} has no (leases ...)"
             )
         self.scenario, self.deployment, self.settings = scenario, deployment, settings or SimulationSettings()
         self.seed, self.shard = seed, shard
--- a/kelptrail/simulation/compare.py
+++ b/kelptrail/simulation/compare.py
@@ -9,7 +9,8 @@
 import numpy as np
 from scipy import stats
 
-LARGER_IS_BETTER = {  # by figure
+# The figures that are compared, and whether a larger value is better.
+LARGER_IS_BETTER = {
     "served_share": True,
     "recovery_s": False,
     "p99_ms": False,
@@ -33,9 +34,9 @@
     figure: str
     point: str
     pairs: int
-    first: float
-    second: float
-    low: float
+    first: float  # mean of the first variant
+    second: float  # mean of the second variant
+    low: float  # bounds of the confidence interval of second - first
     high: float
     verdict: str  # verdict on the second variant: "better", "worse" or "not told apart"
 
--- a/kelptrail/simulation/dispatchers.py
+++ b/kelptrail/simulation/dispatchers.py
@@ -34,7 +34,7 @@
     from .cluster import SimulatedCluster
 
 WALL_CLOCK_ORIGIN_MS = 1e12  # wall-clock time at simulated time 0
-RECOVERY_MARGIN_FACTOR = 2  # margin of a recovered call, in answer margins
+RECOVERY_MARGIN_FACTOR = 2  # margin of a recovered call, as a multiple of `answer_margin_ms`
 TIMER_TOLERANCE_MS = 0.01  # a timer is set again only if it is due earlier by more than this
 
 
@@ -233,7 +233,7 @@
 
     def _start_load(self, order: LoadOrder) -> None:
         worker, function_id = self._cluster.workers[order.instance.worker.id], order.instance.function.id
-        if order.count:
+        if order.count:  # an order for 0 instances is only a query
             self._cluster.current_second().load_orders += 1
         finish = partial(self._on_load_answered, self.start_number, order)
         self._open_orders[order] = self._event_queue.after(
--- a/kelptrail/simulation/leases.py
+++ b/kelptrail/simulation/leases.py
@@ -35,7 +35,7 @@
 
 
 class LeaseCallbacks(NamedTuple):
-    """Callbacks for the times at which a node has acquired a lease and has lost it."""
+    """Callbacks that run when a node has acquired a lease, and when it has lost the lease."""
 
     on_acquired: Callable[[FencingToken], None]
     on_lost: Callable[[], None]
--- a/kelptrail/simulation/model_store.py
+++ b/kelptrail/simulation/model_store.py
@@ -10,7 +10,7 @@
 from .event_queue import EventQueue, Timer
 
 REFUSAL_DELAY_MS = 0.2
-COMPLETION_TOLERANCE_MS = 1e-6  # remaining work of a complete fetch, due to floating-point rounding
+COMPLETION_TOLERANCE_MS = 1e-6  # rounding may leave this much of a complete fetch's remaining time
 
 
 @dataclass(slots=True, eq=False)
--- a/kelptrail/simulation/planners.py
+++ b/kelptrail/simulation/planners.py
@@ -102,7 +102,7 @@
 
     @property
     def is_leading(self) -> bool:
-        """Whether the planner is up and leads."""
+        """True if the planner is up and leads."""
         return self.up and self.core.role is Role.LEADER
 
 
@@ -121,8 +121,10 @@
         self.follower, self._leader_contact = PlanState(self._cluster.deployment.name), LeaderContact(now)
         self._applied: PlanOrder | None = None
         if self._saved_plan is not None:
+            # The saved plan counts as valid for another 10 s.
             self.follower.restore(now, self._saved_plan, 10_000.0, self._live_workers())
             self.apply()
+        # Spreads the first reports of the dispatchers over 500 to 990 ms.
         self._cluster.event_queue.after(
             REPORT_INTERVAL_MS * (0.5 + self._dispatcher.number % 50 / 100), self._report, self._start_number
         )
--- a/kelptrail/simulation/remote.py
+++ b/kelptrail/simulation/remote.py
@@ -100,7 +100,7 @@
 
 
 class SharedEffectLog(dict[tuple[str, str], float]):
-    """The log of effects for deduplication; entries of this shard are sent to all others."""
+    """The log of effects for deduplication; this shard's entries are sent to all others, except those of a cell."""
 
     def __init__(self, shard: Shard, event_queue: EventQueue, settings: SimulationSettings) -> None:
         super().__init__()
--- a/kelptrail/simulation/shard_inbox.py
+++ b/kelptrail/simulation/shard_inbox.py
@@ -40,8 +40,8 @@
         worker = self._cluster.workers[arguments[0]]
         assert isinstance(worker, SimulatedWorker)
         if kind is MessageKind.LOAD_ORDER:
-            model, instances, dispatcher = arguments[1:]
-            worker.receive_order(self._cluster.actions_by_model[model], instances, dispatcher, reply)
+            model, instance_count, dispatcher = arguments[1:]
+            worker.receive_order(self._cluster.actions_by_model[model], instance_count, dispatcher, reply)
         else:
             path, *fields = arguments[1:]
             worker.receive_attempt(AttemptMessage(self._cluster.deployment.actions[path], *fields), reply)
--- a/kelptrail/simulation/sharding.py
+++ b/kelptrail/simulation/sharding.py
@@ -7,8 +7,9 @@
 decisions of the real cores.  Faults apply to all shards alike: each shard draws the same targets, and tracks the state
 of workers of other shards.
 
-Differences from a run in one process: a client retries among its shard's dispatchers only, the store is one network
-delay away from workers of other shards, and an effect is recorded in other shards one network delay later.
+Differences from a run in one process: a client calls its shard's dispatchers only, the store is one network delay away
+from workers of other shards, an effect is recorded in other shards one network delay later, and there are no leases, so
+that planners send no plans.
 """
 
 from __future__ import annotations
--- a/kelptrail/simulation/worker_instances.py
+++ b/kelptrail/simulation/worker_instances.py
@@ -25,7 +25,7 @@
 class PendingOrder(NamedTuple):
     """A load order whose loads have not finished yet."""
 
-    instances: int
+    instance_count: int
     reply: OrderReply
 
 
@@ -68,7 +68,7 @@
 
     @property
     def is_absent(self) -> bool:
-        """Whether no instance is loaded or loading."""
+        """True if no instance is loaded or loading."""
         return not self.loaded and not self.loading
 
 
@@ -112,10 +112,10 @@
         """Number of running and queued loads."""
         return self._running_loads + len(self._load_queue)
 
-    def keep_loaded(self, model: ModelState, instances: int, reply: OrderReply) -> None:
-        """Carry out an order to keep `instances` of a model loaded, and answer it through `reply`."""
+    def keep_loaded(self, model: ModelState, instance_count: int, reply: OrderReply) -> None:
+        """Carry out an order to keep `instance_count` instances of a model loaded, and answer it through `reply`."""
         model.last_used = self._event_queue.now
-        while model.loaded + model.loading < instances:
+        while model.loaded + model.loading < instance_count:
             if len(self._load_queue) >= MAX_QUEUED_LOADS_FACTOR * self._fleet.loads or not self._free_memory_for(model):
                 reply(AttemptStatus.OUT_OF_CAPACITY, model.loaded)
                 return
@@ -124,19 +124,19 @@
             self._resident[model.action.model] = model
             self._load_queue.append(model)
             self._start_loads()
-        if model.loaded >= instances:
+        if model.loaded >= instance_count:
             reply(AttemptStatus.COMPLETED, model.loaded)
         else:
-            model.pending_orders.append(PendingOrder(instances, reply))
+            model.pending_orders.append(PendingOrder(instance_count, reply))
 
     def loaded_models(self) -> list[ModelState]:
         """Return the models with loaded instances."""
         return [model for model in self._resident.values() if model.loaded]
 
-    def unload(self, model: ModelState, instances: int) -> None:
-        """Unload `instances` instances of a model."""
-        self._memory_mb -= instances * model.action.memory_mb
-        model.loaded -= instances
+    def unload(self, model: ModelState, instance_count: int) -> None:
+        """Unload `instance_count` instances of a model."""
+        self._memory_mb -= instance_count * model.action.memory_mb
+        model.loaded -= instance_count
         self._remove_if_absent(model)
 
     def _remove_if_absent(self, model: ModelState) -> None:
@@ -205,10 +205,10 @@
         self._worker.executor.start_queued()
 
     def _answer_orders(self, model: ModelState, load_succeeded: bool) -> None:
-        """Answer the orders that are fulfilled, and after a failed load all others, too."""
+        """Answer the orders whose instances are loaded, and after a failed load the other orders, too."""
         pending_orders, model.pending_orders = model.pending_orders, []
         for order in pending_orders:
-            if model.loaded >= order.instances:
+            if model.loaded >= order.instance_count:
                 order.reply(AttemptStatus.COMPLETED, model.loaded)
             elif not load_succeeded:
                 order.reply(AttemptStatus.ERROR, model.loaded)
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -98,7 +98,7 @@
 
     @property
     def collapsed(self) -> bool:
-        """Whether the worker was overloaded during its slow start and no longer answers."""
+        """True if the worker was overloaded during its slow start and no longer answers."""
         return self._slow_start.collapsed
 
     @property
@@ -122,10 +122,10 @@
 
         self.start_attempt(attempt, finish)
 
-    def receive_order(self, action: ActionSettings, instances: int, dispatcher: str, reply: OrderReply) -> None:
-        """Receive an order to keep `instances` loaded; `reply` is also called if the worker is down."""
+    def receive_order(self, action: ActionSettings, instance_count: int, dispatcher: str, reply: OrderReply) -> None:
+        """Receive an order to keep `instance_count` instances loaded; `reply` is also called if the worker is down."""
         if self.up:
-            self.order_instances(action, instances, dispatcher, reply)
+            self.order_instances(action, instance_count, dispatcher, reply)
         else:
             reply(AttemptStatus.UNREACHABLE, 0)
 
@@ -195,27 +195,33 @@
     def order_instances(
         self,
         action: ActionSettings,
-        instances: int,
+        instance_count: int,
         dispatcher: str,
         reply: OrderReply,
         read_delay_ms: float = 0.0,
     ) -> None:
-        """Read an order to keep `instances` loaded, `read_delay_ms` after its arrival."""
+        """Read an order to keep `instance_count` instances loaded, `read_delay_ms` after its arrival."""
         now = self._event_queue.now
         if now < self.paused_until:
             wait_ms = self.paused_until - now
             self._event_queue.at(
-                self.paused_until, self.order_instances, action, instances, dispatcher, reply, read_delay_ms + wait_ms
+                self.paused_until,
+                self.order_instances,
+                action,
+                instance_count,
+                dispatcher,
+                reply,
+                read_delay_ms + wait_ms,
             )
             return
         model = self.instances.model(action)
-        self.record("order", model=action.model, copies=instances, dispatcher=dispatcher, lag=read_delay_ms)
+        self.record("order", model=action.model, copies=instance_count, dispatcher=dispatcher, lag=read_delay_ms)
         if FaultKind.HANG in self.faults or FaultKind.SILENT in self.faults:
             return
         if self.draining:
             reply(AttemptStatus.OUT_OF_CAPACITY, model.loaded)
             return
-        self.instances.keep_loaded(model, instances, reply)
+        self.instances.keep_loaded(model, instance_count, reply)
 
     # Faults.
 
@@ -229,7 +235,7 @@
         return fault is not None and fault.type == type_name
 
     def inject(self, kind: str, fault: Fault) -> None:
-        """Inject a fault for its duration."""
+        """Inject a fault for its duration; a loss of models and a restart take effect once."""
         if kind == FaultKind.MODELS_VOIDED:
             self._unload_models(fault.share)
         elif kind == FaultKind.RESTART_COLD:
@@ -244,7 +250,7 @@
         self.faults.pop(kind, None)
 
     def _unload_models(self, share: float) -> None:
-        """Unload a share of the models, except for the instances that running attempts need."""
+        """Unload each model with probability `share`, except for the instances that running attempts need."""
         for model in self.instances.loaded_models():
             if self._random.random() < share:
                 self.instances.unload(model, model.loaded - model.instances_needed)
