--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -11,13 +11,13 @@
 from kelptrail.settings.deployment import load
 
 ROOT = Path(__file__).parent.parent
-SETTINGS = {"leases": "fleet.sexp", "copies": "copies.sexp"}
+DEPLOYMENT_FILES = {"leases": "fleet.sexp", "copies": "copies.sexp"}
 SEEDS = range(1, 21)
 
 
 def draw_and_load(kind: str, seed: int, folder: Path) -> FaultScenario:
     """Draw a scenario, write its files and load them, as a campaign does."""
-    drawn = SCENARIO_GENERATORS[kind](seed, (ROOT / "examples" / SETTINGS[kind]).read_text())
+    drawn = SCENARIO_GENERATORS[kind](seed, (ROOT / "examples" / DEPLOYMENT_FILES[kind]).read_text())
     (folder / f"fleet-{seed}.sexp").write_text(drawn.deployment)
     (folder / "day.sexp").write_text(drawn.script)
     return load_scenario(folder / "day.sexp")
@@ -25,12 +25,12 @@
 
 @pytest.mark.parametrize("kind", sorted(SCENARIO_GENERATORS))
 def test_drawn_scenarios_are_valid_and_depend_on_the_seed_alone(kind: str, tmp_path: Path) -> None:
-    settings = (ROOT / "examples" / SETTINGS[kind]).read_text()
+    deployment_text = (ROOT / "examples" / DEPLOYMENT_FILES[kind]).read_text()
     scripts = set()
     for seed in SEEDS:
-        assert SCENARIO_GENERATORS[kind](seed, settings) == SCENARIO_GENERATORS[kind](seed, settings)
+        assert SCENARIO_GENERATORS[kind](seed, deployment_text) == SCENARIO_GENERATORS[kind](seed, deployment_text)
         scenario = draw_and_load(kind, seed, tmp_path)
-        scripts.add(SCENARIO_GENERATORS[kind](seed, settings).script)
+        scripts.add(SCENARIO_GENERATORS[kind](seed, deployment_text).script)
         assert all(fault.at < scenario.seconds and fault.part > 0 for fault in scenario.faults)
     assert len(scripts) == len(SEEDS)
 
--- a/tests/test_history_checker.py
+++ b/tests/test_history_checker.py
@@ -229,7 +229,7 @@
 def test_an_uncertain_arrival_time_is_taken_in_the_dispatchers_favour() -> None:
     events = valid_history()
     attempt = find_event(events, "send", activation=f"{BOOT}{5:016x}")
-    attempt.update(t=3700, worker="w0", incarnation="i0", lag=400)  # As read by a worker after a pause
+    attempt.update(t=3700, worker="w0", incarnation="i0", lag=400)  # A worker read it after a pause.
     find_event(events, "final", call="c5")["t"] = 3800
     assert not check_history(sorted(events, key=lambda e: e["t"])).broken
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -68,7 +68,7 @@
     assert bursts.mean() == pytest.approx(200, rel=0.15) and bursts.var() / bursts.mean() > 10
     gaps = np.diff(draw_times(make_load("heavy", tail=2.5), 2100, span=span))
     assert 1 / gaps.mean() == pytest.approx(200, rel=0.05)
-    assert gaps.std() / gaps.mean() > 1.5, "an exponential distribution has 1"
+    assert gaps.std() / gaps.mean() > 1.5, "the gaps vary more than exponential ones, whose ratio is 1"
 
 
 def test_the_parts_of_a_load_add_up_to_the_complete_load(tmp_path: Path) -> None:
@@ -158,14 +158,18 @@
     cluster = SimulatedCluster(scenario, load_deployment(scenario.deployment), 1)
     cluster.run()
     calls = sum(second.calls for second in cluster.seconds)
+    # Each of the 30 clients calls for 20 s; a cycle is the mean think time and the time for an answer.
     cycle_s = 0.2 + 0.05
     assert 0.6 * 30 * 20 / cycle_s < calls < 30 * 20 / 0.2
     assert max(second.calls_in_flight for second in cluster.seconds) <= 30
 
 
 def test_latency_includes_a_stall_for_every_call_that_became_due_during_it(tmp_path: Path) -> None:
-    """Guards against coordinated omission: with one connection and a worker that stalls once, latencies that are
-    measured from the time of sending would show a single slow call."""
+    """Guards against coordinated omission.
+
+    With one connection and a worker that stalls once, latencies that are measured from the time of sending would show a
+    single slow call.
+    """
 
     async def main() -> None:
         stalls_s = [0.5]
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -29,8 +29,8 @@
     while now < start + seconds * 1000:
         now += random_source.expovariate(per_s / 1000)
         number += 1
-        retries = rejected_clients and random_source.random() < retry_share
-        client = rejected_clients.pop(0) if retries else f"{seed}-{start}-{number}"
+        is_retry = rejected_clients and random_source.random() < retry_share
+        client = rejected_clients.pop(0) if is_retry else f"{seed}-{start}-{number}"
         wait_ms = controller.on_request(now, client)
         if wait_ms is not None:
             retry_after_ms.append(wait_ms)
