--- a/bench/fault_injection/fuzz_checks.py
+++ b/bench/fault_injection/fuzz_checks.py
@@ -37,11 +37,11 @@
         return problems
 
     def _missing_answer(self, request: SentRequest, calls: list[WorkerCall]) -> list[str]:
-        """Report an open request without an answer, unless its process was killed, or the dispatcher closed the
-        connection just as the request was sent."""
+        """Report a request without an answer, unless its process was killed, or the dispatcher closed the connection
+        just as the request was sent."""
         open_s = None if request.closed_at is None else request.closed_at - request.written_at
-        crossed_close = not calls and open_s is not None and open_s < 0.05 + BUSY_MACHINE_SLACK_S
-        if crossed_close or request.was_open_at_kill(self._run.kills):
+        closed_at_once = not calls and open_s is not None and open_s < 0.05 + BUSY_MACHINE_SLACK_S
+        if closed_at_once or request.may_be_lost_by_kill(self._run.kills):
             return []
         ended = None if open_s is None else round(open_s, 3)
         return [f"no answer; calls {[str(call.behavior) for call in calls]}, connection ended after {ended} s"]
--- a/bench/fault_injection/run_state.py
+++ b/bench/fault_injection/run_state.py
@@ -15,16 +15,17 @@
 class WorkerBehavior(StrEnum):
     """How a fake worker answers one call.
 
-    In an answer without a result, the first four letters of the value are the status word."""
+    An answer without a result has one of the status words MISS, BUSY, ERR and VOID: the first four characters of the
+    value.  The other values only name the behavior."""
 
     COMPLETED = "OK"
     NOT_LOADED = "MISS"
     NOT_LOADED_TWICE = "MISSES"  # followed by a second answer some milliseconds later
     OUT_OF_CAPACITY = "BUSY"
     ERROR = "ERR"
-    NOT_SENT = "VOID"
+    NOT_SENT = "VOID"  # the dispatcher treats the call as one that was never sent
     NOISE = "noise"
-    CLOSED = "break"
+    CONNECTION_CLOSED = "break"  # closed without an answer
     SILENT = "silent"
     TRUNCATED = "half"
     ANSWERED_TWICE = "twice"
@@ -58,7 +59,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the call may have had its effect, according to its answer."""
+        """Whether the call may have run, according to the worker's behavior."""
         return self.behavior not in NOT_RUN
 
 
@@ -70,7 +71,7 @@
 
 
 class ProcessKill(NamedTuple):
-    """A process that was killed without notice."""
+    """A SIGKILL of a process that was not shutting down."""
 
     process: int
     at: float
@@ -90,12 +91,12 @@
     id: str
     kind: RequestKind
     process: int
-    limit_s: float
+    limit_s: float  # time limit that the client sends to the dispatcher; `deadline` is `written_at` plus this
     written_at: float = 0.0  # time of its last byte
     deadline: float = 0.0
     client_left_at: float | None = None  # time at which the client cancelled it or closed the connection
     closed_at: float | None = None  # time at which the dispatcher closed the connection
-    after_idle: bool = False  # sent on a connection that was idle before
+    after_idle: bool = False  # sent on a connection that the dispatcher may have considered idle
     answers: list[Answer] = field(default_factory=list)
 
     @property
@@ -103,8 +104,10 @@
         """Whether the client still waits for an answer."""
         return not self.answers and self.client_left_at is None
 
-    def was_open_at_kill(self, kills: list[ProcessKill], slack_s: float = 0.0) -> bool:
-        """Return whether its process was killed while it was open; `written_at` may be late by up to `slack_s`."""
+    def may_be_lost_by_kill(self, kills: list[ProcessKill], slack_s: float = 0.0) -> bool:
+        """Return whether its process was killed between its writing and its deadline, give or take 0.05 s.
+
+        `written_at` may be late by up to `slack_s`."""
         return any(
             kill.process == self.process and self.written_at - 0.05 - slack_s <= kill.at <= self.deadline + 0.05
             for kill in kills
@@ -120,10 +123,10 @@
         self.folder = folder
         self.running = True
         self.requests: dict[str, SentRequest] = {}
-        self.started_ids: set[str] = set()  # requests of which at least a part was written
-        self.calls: dict[str, list[WorkerCall]] = collections.defaultdict(list)  # calls by request
-        self.result_bodies: set[bytes] = set()  # results that workers gave
-        self.drained_at: dict[int, float] = {}  # time of the list's event, by draining or removed worker
+        self.started_ids: set[str] = set()  # ids of the requests whose sending has begun
+        self.calls: dict[str, list[WorkerCall]] = collections.defaultdict(list)  # by request id
+        self.result_bodies: set[bytes] = set()  # bodies of the results that workers returned
+        self.drained_at: dict[int, float] = {}  # by worker, when the endpoint list reported it as draining
         self.kills: list[ProcessKill] = []
         self.problems: list[str] = []
 
--- a/bench/fault_injection/soak_checks.py
+++ b/bench/fault_injection/soak_checks.py
@@ -93,7 +93,7 @@
         connection just as it was sent, with the connection idle or the process shutting down."""
         # `written_at` may be late by the delay of this program's loop.
         delay_s = self._loop_delays.max_delay_s(request.written_at, request.deadline)
-        if request.was_open_at_kill(self._run.kills, delay_s):
+        if request.may_be_lost_by_kill(self._run.kills, delay_s):
             return []
         open_s = None if request.closed_at is None else request.closed_at - request.written_at
         closed_at_once = not attempts and open_s is not None and open_s < 0.05 + BUSY_MACHINE_SLACK_S
--- a/bench/fault_injection/soak_processes.py
+++ b/bench/fault_injection/soak_processes.py
@@ -1,4 +1,7 @@
-"""Processes of the soak, with few descriptors, failing system calls and timed shutdowns."""
+"""Platform processes of the soak test.
+
+Their file descriptors are limited, their system calls fail at random, and the duration of their shutdowns is checked.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,9 @@
 from fault_injection.system_calls import SystemCallControl
 
 FIRST_PORT = 20_000
-MAX_SHUTDOWN_S = 0.7 + 2.0  # including 2 s, the longest deadline in the settings
+# The earliest SIGKILL after SIGTERM: 0.7 s in which requests may still arrive (ARRIVALS_MS in
+# kelptrail/dispatch/shutdown.py) plus 2 s, the longest deadline in the settings.
+MAX_SHUTDOWN_S = 0.7 + 2.0
 
 
 class Shutdown(NamedTuple):
@@ -31,7 +36,9 @@
 
 
 class SoakProcesses(PlatformProcesses):
-    """Processes that load the library of failing system calls, if it could be built, each with a control file."""
+    """Platform processes that preload the library that makes system calls fail, if it could be built.
+
+    Each process has its own control file."""
 
     def __init__(
         self,
@@ -68,7 +75,7 @@
         return {"LD_PRELOAD": str(self._library), "SOAK_CONTROL": str(self.controls[n].path)}
 
     async def restart(self, n: int) -> None:
-        """End a process by a random signal and start it again, unless a restart is in progress."""
+        """End a process by a random signal and start it again, unless it is already being restarted."""
         if n in self.restarting:
             return
         self.restarting.add(n)
@@ -98,9 +105,10 @@
             self._run.problems.append(f"process {n} took {exited_at - signalled_at:.2f} s to exit")
 
     async def _kill_at_shutdown_limit(self, process: asyncio.subprocess.Process, signalled_at: float) -> None:
-        """Kill a process as early as the platform may send SIGKILL after SIGTERM; what is open then is lost.
+        """Kill a process at the earliest time after SIGTERM at which its host may send SIGKILL.
 
-        The delay of this program's own loop is added, as the processes were delayed by about as much."""
+        Requests in flight then get no answer.  The largest delay of this program's own loop is added to the time, as
+        the processes were delayed by about as much."""
         await asyncio.sleep(MAX_SHUTDOWN_S)
         await asyncio.sleep(self._loop_delays.max_delay_s(signalled_at, time.monotonic()))
         if process.returncode is None:
--- a/bench/fault_injection/workers.py
+++ b/bench/fault_injection/workers.py
@@ -20,7 +20,7 @@
     WorkerBehavior.OUT_OF_CAPACITY,
     WorkerBehavior.ERROR,
     WorkerBehavior.NOISE,
-    WorkerBehavior.CLOSED,
+    WorkerBehavior.CONNECTION_CLOSED,
     WorkerBehavior.SILENT,
     WorkerBehavior.TRUNCATED,
     WorkerBehavior.ANSWERED_TWICE,
@@ -35,8 +35,8 @@
     def __init__(self, run: RunState) -> None:
         self._run = run
         self.ports: list[int] = []
-        self.hung: set[int] = set()  # workers that answer no call
-        self.draining: set[int] = set()  # workers that reject new work
+        self.hung: set[int] = set()  # workers that answer neither calls nor pings
+        self.draining: set[int] = set()  # workers that reject loads and calls and report DOWN
 
     async def open(self) -> int:
         """Start one more worker; return its number."""
@@ -91,7 +91,7 @@
     def _write_answer(self, behavior: WorkerBehavior, data: bytes, writer: asyncio.StreamWriter) -> None:
         if not _write_if_open(writer, data):
             return
-        if behavior in (WorkerBehavior.CLOSED, WorkerBehavior.TRUNCATED):
+        if behavior in (WorkerBehavior.CONNECTION_CLOSED, WorkerBehavior.TRUNCATED):
             writer.close()
         if behavior is WorkerBehavior.NOT_LOADED_TWICE:
             delay_s = MAX_SECOND_ANSWER_DELAY_S * self._run.rng.random()
@@ -117,5 +117,5 @@
         WorkerBehavior.NOISE: b"\0\xffno line\r\n",
         WorkerBehavior.TRUNCATED: completed[:-5],
         WorkerBehavior.SILENT: b"",
-        WorkerBehavior.CLOSED: b"",
+        WorkerBehavior.CONNECTION_CLOSED: b"",
     }.get(behavior, without_result)
--- a/bench/split.py
+++ b/bench/split.py
@@ -1,7 +1,7 @@
-"""Splits the CPU of an activation by component: `python bench/split.py [TOTAL_US]`.
+"""Breaks down the CPU time of an activation by component: `python bench/split.py [TOTAL_US]`.
 
-Times codecs, decisions and the rest of the gateway core in one process.  TOTAL_US is the total CPU of an activation
-from `bench/overhead.py`; the remainder is attributed to sockets, loop and driver.
+Times the codecs, the dispatcher and the rest of the gateway core in one process.  TOTAL_US is the total CPU time of an
+activation from `bench/overhead.py`; the remainder is attributed to sockets, loop and driver.
 """
 
 from __future__ import annotations
@@ -33,12 +33,12 @@
 ACTIVATION_ID = "m" * 32
 BODY = b'{"family":7}'
 ARRIVAL_INTERVAL_MS, RUN_MS, TICK_MS = 0.3, 0.2, 100
-LIMIT_MS = 9950
+REQUEST_DEADLINE_MS = 9950  # from arrival: `timeout-ms` of DEPLOYMENT, less 50 ms for the answer
 COMPLETED_WARM = AttemptResult(AttemptStatus.COMPLETED, request_done=True, warm=True)
 
 
 def median_us(run: Callable[[], None], times: int = 20_000, rounds: int = 5) -> float:
-    """Return the microseconds per call, as the median of several rounds."""
+    """Return the CPU time of a call in microseconds, as the median of several rounds."""
     results = []
     for _ in range(rounds):
         start = time.process_time()
@@ -49,7 +49,7 @@
 
 
 def new_gateway(parts: DispatcherParts) -> Gateway:
-    """Return a gateway with two workers."""
+    """Create a gateway and register two workers in `parts.dispatcher`; return the gateway."""
     gateway = Gateway(parts, "b" * 16)
     endpoints = [Endpoint(f"w{n}", f"h:{n}", incarnation="1") for n in range(2)]
     gateway.on_endpoints(0.0, EndpointList(1, endpoints, "x"))
@@ -95,11 +95,11 @@
     return run
 
 
-def decisions() -> Callable[[], None]:
-    """Return a function that passes one request through the dispatcher alone."""
+def dispatcher_alone() -> Callable[[], None]:
+    """Return a function that passes one request through the dispatcher alone, with a tick every `TICK_MS`."""
     parts = DispatcherParts(parse(DEPLOYMENT, "bench"), "hall", 1)
     dispatcher, function = parts.dispatcher, parts.function("f")
-    new_gateway(parts)
+    new_gateway(parts)  # registers the workers in `dispatcher`
     clock, last_tick = [0.0], [0.0]
 
     def run() -> None:
@@ -108,7 +108,7 @@
         if now - last_tick[0] >= TICK_MS:
             last_tick[0] = now
             dispatcher.on_tick(now)
-        request = Request("a", function.request_class, function, parts.tenants["n"], now, now + LIMIT_MS)
+        request = Request("a", function.request_class, function, parts.tenants["n"], now, now + REQUEST_DEADLINE_MS)
         dispatcher.on_request(now, request)
         while (decision := dispatcher.decide(now)) is not None:
             if isinstance(decision, Attempt):
@@ -120,11 +120,11 @@
 
 
 def main() -> None:
-    codecs_us, core_us, decisions_us = median_us(codecs()), median_us(gateway_core()), median_us(decisions())
+    codecs_us, core_us, dispatcher_us = median_us(codecs()), median_us(gateway_core()), median_us(dispatcher_alone())
     report = {
-        "parsing_us": codecs_us,
-        "decisions_us": decisions_us,
-        "gateway_core_us": round(core_us - decisions_us, 1),
+        "parsing_us": codecs_us,  # decoding and encoding
+        "decisions_us": dispatcher_us,
+        "gateway_core_us": round(core_us - dispatcher_us, 1),  # without the dispatcher
     }
     if len(sys.argv) > 1:
         report["sockets_loop_driver_us"] = round(float(sys.argv[1]) - codecs_us - core_us, 1)
