--- a/bench/vrrp_explore.py
+++ b/bench/vrrp_explore.py
@@ -58,8 +58,8 @@
     options = parser.parse_args()
     for product in PRODUCTS:
         start = time.monotonic()
-        first = partial(routers, product)
-        result = explore(first, FaultBudget(), product.depth, options.most_states, RECOVERY_TIMEOUT_MS)
+        make_routers = partial(routers, product)
+        result = explore(make_routers, FaultBudget(), product.depth, options.most_states, RECOVERY_TIMEOUT_MS)
         row = {"product": product.name, **asdict(result), "seconds": round(time.monotonic() - start, 1)}
         print(json.dumps(row), flush=True)
     simulated = simulate_failovers(range(options.failovers))
@@ -69,7 +69,7 @@
         "median_ms": round(statistics.median(simulated.take_over_times_ms), 1),
         "p99_ms": round(float(np.percentile(simulated.take_over_times_ms, 99)), 1),
         "worst_ms": round(max(simulated.take_over_times_ms), 1),
-        "worst_of_bound": round(simulated.worst_ratio, 4),
+        "worst_of_bound": round(simulated.worst_ratio, 4),  # largest ratio of a take-over time to its bound
         "seconds_none": round(simulated.none_ms / 1000, 1),
         "seconds_one": round(simulated.one_ms / 1000, 1),
         "seconds_more": round(simulated.more_ms / 1000, 1),
--- a/bench/vrrp_failover.py
+++ b/bench/vrrp_failover.py
@@ -1,9 +1,10 @@
 """Measures failovers of shared front addresses with real processes: `python bench/vrrp_failover.py --failovers 30`.
 
 Three dispatchers serve two addresses behind a datagram proxy that injects faults; clients call the addresses all the
-time.  Each failover kills, shuts down, pauses or cuts off the present master of the first address.  The holders of an
+time.  Each failover kills, shuts down, pauses or cuts off the current master of the first address.  The holders of an
 address are counted only from the machine's list of listening sockets and from the datagrams at the proxy.  The history
-checker checks the captures.  Writes report.json and masters.png into --out; the exit code is 6 if a rule was broken.
+checker checks the captures.  Writes report.json and masters.png into --out.  The exit code is 6 if a rule was broken or
+an expected take-over did not happen.
 """
 
 from __future__ import annotations
--- a/bench/vrrp_holders.py
+++ b/bench/vrrp_holders.py
@@ -1,4 +1,4 @@
-"""The holders of a shared address over time, by the machine's listening sockets and by VRRP advertisements."""
+"""The holders of a shared address over time, according to listening sockets and to VRRP advertisements."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     """Reads every few milliseconds which sockets listen on the addresses, from /proc/net/tcp (proc(5))."""
 
     def __init__(self, addresses: list[tuple[str, int]]) -> None:
-        self._numbers = {_proc_address(host, port): number for number, (host, port) in enumerate(addresses)}
+        self._router_numbers = {_proc_address(host, port): number for number, (host, port) in enumerate(addresses)}
         self.samples: list[HolderSample] = []
 
     async def run(self) -> None:
@@ -36,19 +36,19 @@
             self._sample()
             await asyncio.sleep(SAMPLE_INTERVAL_MS / 1000)
 
-    def present_holders(self) -> frozenset[str]:
-        """Return the sockets that listen on the first address now."""
+    def current_holders(self) -> frozenset[str]:
+        """Return the inodes of the sockets that listen on the first address now."""
         self._sample()
         return self.samples[-1].sockets[0]
 
     def _sample(self) -> None:
-        sockets: list[set[str]] = [set() for _ in self._numbers]
+        sockets: list[set[str]] = [set() for _ in self._router_numbers]
         with open("/proc/net/tcp", encoding="ascii") as file:
             for line in file:
                 fields = line.split()
                 address, state, inode = fields[1], fields[3], fields[9]
-                if state == LISTEN_STATE and address in self._numbers:
-                    sockets[self._numbers[address]].add(inode)
+                if state == LISTEN_STATE and address in self._router_numbers:
+                    sockets[self._router_numbers[address]].add(inode)
         self.samples.append(HolderSample(now_ms(), tuple(frozenset(each) for each in sockets)))
 
 
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class HolderTimeline:
-    """For how long an address had none, one, two or more holders, and the count over time."""
+    """The time for which an address had no, one, two or more holders, and the changes of their number."""
 
     seconds: dict[str, float] = field(default_factory=lambda: dict.fromkeys(COUNT_NAMES, 0.0))
     changes: list[CountChange] = field(default_factory=list)
@@ -82,7 +82,7 @@
 
 
 def listening_timeline(samples: list[HolderSample], router: int, start_ms: float) -> HolderTimeline:
-    """Return the holders of a router's address since the start, by their listening sockets."""
+    """Return the number of holders of a router's address since the start, according to their listening sockets."""
     timeline = HolderTimeline()
     for sample, following in pairwise(samples):
         if sample.at_ms >= start_ms:
@@ -92,10 +92,10 @@
 
 
 def advertised_timeline(events: list[dict[str, Any]], vrid: int, interval_ms: float, start_ms: float) -> HolderTimeline:
-    """Return the holders by datagrams alone.
+    """Return the number of holders of a router's address since the start, according to datagrams alone.
 
-    A holder advertised within the last one and a half intervals and has not since sent priority 0 to release the
-    address."""
+    A router counts as a holder if it advertised within the last one and a half intervals and has not since sent
+    priority 0, which releases the address."""
     adverts = [(e["t"], e["sender"], e["priority"]) for e in events if e["what"] == "advert" and e["vrid"] == vrid]
     timeline, last_advert_at = HolderTimeline(), dict[str, float]()
     if not adverts:
--- a/bench/vrrp_trial.py
+++ b/bench/vrrp_trial.py
@@ -22,16 +22,16 @@
 from kelptrail.load.plan import steady_load
 from kelptrail.settings.deployment import Deployment
 
-FAULT_S, REST_S = 1.6, 2.4
+FAULT_S, PAUSE_BEFORE_FAULT_S = 1.6, 2.4
 SETTLE_S = 1.5  # average time until the cluster has recovered from a failover
-RECOVERY_TIMEOUT_MS, DRAIN_TIMEOUT_MS = 8000, 9000
+RECOVERY_TIMEOUT_MS, LAST_ANSWERS_TIMEOUT_MS = 8000, 9000
 POLL_S = 0.02
 DEFERRED_SHARE, ZIPF = 0.25, 0.8
 MAX_LOSS, MAX_DUPLICATES, MAX_DELAY_MS = 0.08, 0.3, 40
 
 
 class MasterFault(StrEnum):
-    """A fault of the present master."""
+    """A fault of the current master."""
 
     KILL = "kill"
     SHUTDOWN = "term"
@@ -52,7 +52,7 @@
 
 
 class FailoverTrial:
-    """One run of failovers, with one fault after the other."""
+    """A run of several failovers, each caused by one fault of the master."""
 
     def __init__(self, deployment: Deployment, file: str, seed: int, out: Path, rate: float) -> None:
         assert deployment.vrrp is not None
@@ -65,9 +65,10 @@
             folder.mkdir(parents=True, exist_ok=True)
         for old in (out / "captures").glob("*.jsonl"):
             old.unlink()
+        # "player" is the name of this program in captures.
         self._capture = Capture(out / "captures" / "player.jsonl", "player")
         self._cluster = Cluster(deployment, file, out / "captures", seed, logs=out / "logs")
-        self._instances = len(deployment.vrrp.instance)
+        self._dispatcher_count = len(deployment.vrrp.instance)
         self._routers = deployment.vrrp.router
         self._sampler = HolderSampler([(router.address, router.port) for router in self._routers])
         self.takeovers: list[Takeover] = []
@@ -80,14 +81,14 @@
         return self._sampler.samples
 
     async def run(self, failovers: int) -> bool:
-        """Run the failovers under load; return whether all processes drained cleanly."""
+        """Run the failovers under load; return whether all dispatchers drained cleanly at the end."""
         await self._start_cluster()
         sampling_task = asyncio.create_task(self._sampler.run())
-        while not self._sampler.present_holders():
+        while not self._sampler.current_holders():
             await asyncio.sleep(POLL_S)
         await asyncio.sleep(1.0)
         clients = self._client_emulator()
-        seconds = failovers * (FAULT_S + REST_S + SETTLE_S) + 2
+        seconds = failovers * (FAULT_S + PAUSE_BEFORE_FAULT_S + SETTLE_S) + 2
         load = replace(steady_load(self._rate, seconds, ZIPF), deferred=DEFERRED_SHARE)
         arrivals: list[tuple[float, Callable[[], None]]] = [
             (when, partial(clients.start_call, action, load)) for when, action in clients.arrivals(load, seconds)
@@ -96,10 +97,10 @@
         self._capture.write("begin", start=self.start_ms, seconds=seconds)
         client_task = asyncio.create_task(clients.run(arrivals, self.start_ms))
         for number in range(failovers):
-            await asyncio.sleep(REST_S)
+            await asyncio.sleep(PAUSE_BEFORE_FAULT_S)
             await self._fail_over(MASTER_FAULTS[number % len(MASTER_FAULTS)], number)
         client_task.cancel()
-        end = now_ms() + DRAIN_TIMEOUT_MS
+        end = now_ms() + LAST_ANSWERS_TIMEOUT_MS
         while (clients.open_requests or clients.polling) and now_ms() < end:
             await asyncio.sleep(0.05)
         sampling_task.cancel()
@@ -108,7 +109,7 @@
 
     async def _start_cluster(self) -> None:
         workers = self._deployment.fleet.workers
-        await self._cluster.start(workers, self._instances, self._out / "state")
+        await self._cluster.start(workers, self._dispatcher_count, self._out / "state")
         dispatchers = [dispatcher.name for dispatcher in self._cluster.dispatchers]
         self._capture.write("world", **describe_deployment(self._deployment, dispatchers, workers))
 
@@ -118,87 +119,89 @@
         return ClientEmulator(self._deployment, addresses, capture, self._seed, shared_address=True)
 
     async def _fail_over(self, fault: MasterFault, number: int) -> None:
-        """Inject a fault of the master, repair it, and wait until the best router alone holds the address."""
-        child = await self._find_master()
+        """Inject a fault into the master, end the fault, and wait for recovery."""
+        master = await self._find_master()
         await self._set_datagram_faults(
             loss=float(self._rng.uniform(0, MAX_LOSS)),
             copy=float(self._rng.uniform(0, MAX_DUPLICATES)),
             delay_ms=[0.0, float(self._rng.uniform(0, MAX_DELAY_MS))],
         )
         self.expected_takeovers += fault is not MasterFault.CUT_RECEIVING
-        holders, start_ms = self._sampler.present_holders(), now_ms()
-        self._capture.write("failover", kind=fault.value, number=number, of=child.name)
-        shutdown = await self._inject(fault, child)
+        holders, start_ms = self._sampler.current_holders(), now_ms()
+        self._capture.write("failover", kind=fault.value, number=number, of=master.name)
+        shutdown = await self._inject(fault, master)
         await self._await_takeover(fault, holders, start_ms)
         await asyncio.sleep(max(0.0, FAULT_S - (now_ms() - start_ms) / 1000))
-        await self._repair(fault, child, shutdown)
+        await self._end_fault(fault, master, shutdown)
         await self._await_recovery()
 
-    async def _inject(self, fault: MasterFault, child: Process) -> asyncio.Task[int | None] | None:
-        """Inject a fault of the master; return the task of a shutdown, None for any other fault."""
-        index = self._cluster.dispatchers.index(child)
+    async def _inject(self, fault: MasterFault, master: Process) -> asyncio.Task[int | None] | None:
+        """Inject a fault into the master; return the task of a shutdown, None for any other fault."""
+        index = self._cluster.dispatchers.index(master)
         match fault:
             case MasterFault.KILL:
                 self._capture.write("kill", dispatcher=index)
-                self._cluster.kill(child)
+                self._cluster.kill(master)
             case MasterFault.SHUTDOWN:
-                return asyncio.create_task(self._cluster.terminate(child))
+                return asyncio.create_task(self._cluster.terminate(master))
             case MasterFault.PAUSE:
                 self._capture.write("stopped", dispatcher=index)
-                self._cluster.signal(child, signal.SIGSTOP)
+                self._cluster.signal(master, signal.SIGSTOP)
             case _:
-                await self._set_datagram_faults(cut=self._cut_links(fault, child))
+                await self._set_datagram_faults(cut=self._cut_links(fault, master))
         return None
 
-    def _cut_links(self, fault: MasterFault, child: Process) -> list[list[str]]:
-        others = [each.name for each in self._cluster.dispatchers if each is not child]
+    def _cut_links(self, fault: MasterFault, master: Process) -> list[list[str]]:
+        others = [each.name for each in self._cluster.dispatchers if each is not master]
         links: list[list[str]] = []
         if fault is not MasterFault.CUT_RECEIVING:
-            links += [[child.name, other] for other in others]
+            links += [[master.name, other] for other in others]
         if fault is not MasterFault.CUT_SENDING:
-            links += [[other, child.name] for other in others]
+            links += [[other, master.name] for other in others]
         return links
 
     async def _await_takeover(self, fault: MasterFault, holders: frozenset[str], start_ms: float) -> None:
-        """Wait until another process holds the address, for as long as the fault lasts."""
+        """Wait until another process holds the address, but no longer than `FAULT_S` from `start_ms` on."""
         while now_ms() < start_ms + FAULT_S * 1000:
-            if self._sampler.present_holders() - holders:
+            if self._sampler.current_holders() - holders:
                 self.takeovers.append(Takeover(fault, now_ms() - start_ms))
                 return
             await asyncio.sleep(0.002)
 
-    async def _repair(self, fault: MasterFault, child: Process, shutdown: asyncio.Task[int | None] | None) -> None:
-        index = self._cluster.dispatchers.index(child)
+    async def _end_fault(self, fault: MasterFault, master: Process, shutdown: asyncio.Task[int | None] | None) -> None:
+        index = self._cluster.dispatchers.index(master)
         match fault:
             case MasterFault.KILL:
-                await self._cluster.launch(child)
+                await self._cluster.launch(master)
                 self._capture.write("restarted", dispatcher=index)
             case MasterFault.SHUTDOWN:
                 assert shutdown is not None
                 await shutdown
-                await self._cluster.launch(child)
+                await self._cluster.launch(master)
             case MasterFault.PAUSE:
-                self._cluster.signal(child, signal.SIGCONT)
+                self._cluster.signal(master, signal.SIGCONT)
                 self._capture.write("woken", dispatcher=index)
             case _:
                 await self._set_datagram_faults(cut=[])
 
     async def _await_recovery(self) -> None:
-        """Wait until the router of the highest priority alone holds the first address."""
+        """Wait until the router of the highest priority alone holds the first address.
+
+        Gives up after `RECOVERY_TIMEOUT_MS`, without an error."""
         end = now_ms() + RECOVERY_TIMEOUT_MS
-        best = max(self._routers[0].member, key=lambda member: member.priority).name
+        preferred = max(self._routers[0].member, key=lambda member: member.priority).name
         while now_ms() < end:
-            if (await self._find_master()).name == best and len(self._sampler.present_holders()) == 1:
+            if (await self._find_master()).name == preferred and len(self._sampler.current_holders()) == 1:
                 return
             await asyncio.sleep(POLL_S)
 
     async def _find_master(self) -> Process:
         """Return the dispatcher that reports itself as master of the first virtual router."""
         while True:
-            for child in self._cluster.dispatchers:
-                status = await http_json(child.ready_info["asked_at"], "GET", "/vrrp")
+            for dispatcher in self._cluster.dispatchers:
+                status = await http_json(dispatcher.ready_info["asked_at"], "GET", "/vrrp")
                 if status["routers"][0]["state"] == "master":
-                    return child
+                    return dispatcher
             await asyncio.sleep(POLL_S)
 
     async def _set_datagram_faults(self, **faults: Any) -> None:
