--- a/bench/fault_injection/captured_attempts.py
+++ b/bench/fault_injection/captured_attempts.py
@@ -16,9 +16,9 @@
 class CapturedAttempt:
     """An attempt as a process sent it.
 
-    `limit_s` is the time limit that was passed to the worker.  `first_byte_at` and `at` are when its first byte and the
-    end of its command line were captured, in seconds of the monotonic clock; they differ where a send failed half way
-    and was continued later.  With `is_timed` they are also the times at which the process sent them."""
+    `limit_s` is the time limit that was passed to the worker.  `first_byte_at` and `at` are the times at which its
+    first byte and the end of its command line were captured, in seconds of the monotonic clock; they differ if a send
+    transferred only a part of it.  If `is_timed`, the process sent these bytes at about the same times."""
 
     at: float
     process: int
@@ -52,7 +52,7 @@
         return bool(self._buffer) and not self._body_bytes_left
 
     def feed(self, data: bytes) -> list[list[str]]:
-        """Return the words of each command whose line is complete."""
+        """Return the words of each command whose line is completed by `data`."""
         commands: list[list[str]] = []
         self._buffer += data
         while True:
--- a/bench/fault_injection/clients.py
+++ b/bench/fault_injection/clients.py
@@ -20,9 +20,11 @@
 from kelptrail.codec import frames
 
 MAX_OPEN_REQUESTS = 30  # per connection
-IDLE_CONNECTION_S = 0.05  # age from which an open request makes its connection busy
+# A request sent on an idle connection makes it busy only after this time: the dispatcher may not have read it yet.
+IDLE_CONNECTION_S = 0.05
 ANSWERS_TIMEOUT_S = 2.5
-MAX_BATCHES_UNTIL_CLOSED = 130  # about 4 s, longer than a shutdown up to the earliest SIGKILL
+# Takes about 4 s with the mean pause of 0.03 s, longer than from SIGTERM to the earliest SIGKILL.
+MAX_BATCHES_UNTIL_CLOSED = 130
 SLOW_WRITE_BYTES = 60
 SLOW_WRITE_PAUSE_S = 0.01
 FUNCTIONS = 9
@@ -33,7 +35,7 @@
 class ClientBehavior(Enum):
     """How a client uses one connection."""
 
-    USUAL = auto()
+    NORMAL = auto()
     SLOW_WRITER = auto()
     FLOOD = auto()
     CLOSES_EARLY = auto()
@@ -43,7 +45,7 @@
     IGNORES_GO_AWAY = auto()  # keeps sending while the connection is open
 
 
-BEHAVIORS = [ClientBehavior.USUAL] * 6 + [
+BEHAVIORS = [ClientBehavior.NORMAL] * 6 + [
     ClientBehavior.SLOW_WRITER,
     ClientBehavior.FLOOD,
     ClientBehavior.CLOSES_EARLY,
@@ -66,7 +68,10 @@
 
 
 class Clients:
-    """Clients of all processes of a run.  Between two connections a client pauses for at most `max_pause_s`."""
+    """Clients of all processes of a run.
+
+    `limits_ms` are the time limits from which requests choose.  Between two connections a client pauses for at most
+    `max_pause_s`."""
 
     def __init__(
         self, run: RunState, processes: PlatformProcesses, limits_ms: Sequence[int], max_pause_s: float
@@ -77,10 +82,10 @@
         self.max_pause_s = max_pause_s
 
     async def run_one(self) -> None:
-        """Run one client, which connects to random processes one after the other while the run lasts."""
+        """Run one client, which connects to one random process after another while the run lasts."""
         while self._run.running:
             process = self._run.rng.randrange(len(self._processes))
-            with contextlib.suppress(OSError, RuntimeError):  # the connection has ended
+            with contextlib.suppress(OSError, RuntimeError):  # the connection was refused or has ended
                 reader, writer = await asyncio.open_connection(*self._processes.addresses[process])
                 await ClientConnection(self._run, process, self._limits_ms, reader, writer).serve()
             await asyncio.sleep(self._run.rng.random() * self.max_pause_s)
@@ -104,7 +109,7 @@
         self._reader = reader
         self._writer = writer
         self._sent: dict[int, SentRequest] = {}  # requests by stream number
-        self._behavior = ClientBehavior.USUAL
+        self._behavior = ClientBehavior.NORMAL
         self._go_away_received = False
 
     async def serve(self) -> None:
@@ -125,7 +130,7 @@
             self._writer.close()
 
     async def _send_batches(self) -> bool:
-        """Send batches of requests with pauses; return whether the connection was still open."""
+        """Send batches of requests with pauses; return False if the connection closed before a request was sent."""
         ignores_go_away = self._behavior is ClientBehavior.IGNORES_GO_AWAY
         for _ in range(MAX_BATCHES_UNTIL_CLOSED if ignores_go_away else self._rng.randrange(1, 12)):
             if not self._run.running or (self._go_away_received and not ignores_go_away) or self._read_task.done():
@@ -146,7 +151,7 @@
         return self._rng.choice((1, 1, 3))
 
     async def _send_request(self, stream: int) -> bool:
-        """Send one request and perhaps cancel it; return whether the connection was still open."""
+        """Send one request and cancel it at random; return False if the connection has closed."""
         request, data = self._encode_request(stream)
         request.after_idle = self._is_idle()
         self._sent[stream] = request
@@ -195,7 +200,9 @@
         return EncodedRequest(SentRequest(id_, kind, self._process, limit_ms / 1000), data)
 
     async def _leave(self) -> None:
-        """End the connection according to the behavior; its open requests have no client from then on."""
+        """Record that the client leaves its open requests; send noise, half-close or prepare a reset, by behavior.
+
+        `serve` then closes the connection."""
         now = time.monotonic()
         for request in self._sent.values():
             if request.is_open:
@@ -219,7 +226,7 @@
                     await asyncio.sleep(0.01)
 
     def _mark_cancelled_by_close(self) -> None:
-        """Mark the requests that are open and in time as cancelled, as the client closes the connection now."""
+        """Record that the client, which now closes the connection, leaves its open requests before their deadlines."""
         now = time.monotonic()
         for request in self._sent.values():
             if request.is_open and not self._read_task.done() and now < request.deadline:
--- a/bench/fault_injection/drain_check.py
+++ b/bench/fault_injection/drain_check.py
@@ -11,9 +11,9 @@
 from fault_injection.run_state import TimeInterval
 from fault_injection.settings import BUSY_MACHINE_SLACK_S, DRAIN_GRACE_S
 
-# Latest time, from the start of its list's outage, at which a process counts as notified of a drain.
+# A process whose list is unavailable counts as notified of a drain this long after the start of the outage.
 MAX_NOTIFICATION_DELAY_S = 4.0
-# Delay of an event where the list sends a part of it first, or the process changes to the list's other address.
+# Allowed delay of an event: the list may truncate it at first, or the process may change to the list's other address.
 EVENT_DELAY_S = 1.0
 RULE_SLACK_S = 0.05
 
--- a/bench/fault_injection/endpoint_list.py
+++ b/bench/fault_injection/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Fake endpoint service: one endpoint list, served at two addresses, whose events are repeated, torn or late."""
+"""Fake endpoint service: one endpoint list, served at two addresses, whose events are repeated, truncated or late."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 ADDRESSES = 2
 EVENT_INTERVAL_S = 0.1
 WATCH_START_DELAY_S = 3.0
-TORN_EVENT_SHARE = 0.2
-TORN_EVENT_BYTES = 9
-EVENT_HEADER = struct.Struct(">IQB")  # length, position, kind
+TRUNCATED_EVENT_SHARE = 0.2
+TRUNCATED_EVENT_BYTES = 9
+EVENT_HEADER = struct.Struct(">IQB")  # length of the rest of the event, position, kind
+# Id, address, port, state, zone, model, cell, capacity in thousandths, start of the worker in ms.
 ENDPOINT_RECORD = struct.Struct(">I4sHBBBHIQ")
 KEEP_ALIVE_EVENT, CHANGE_EVENT = 0, 2
 LOOPBACK = bytes((127, 0, 0, 1))
@@ -47,40 +48,43 @@
     """A fault of the endpoint service; NONE if there is none."""
 
     NONE = "none"
-    DOWN = "down"
-    SLOW = "slow"
-    SILENT = "silent"
+    DOWN = "down"  # watches are closed without an event
+    SLOW = "slow"  # a new watch sends nothing for `WATCH_START_DELAY_S`
+    SILENT = "silent"  # watches stay open but send nothing
 
 
 class WatchBehavior(Enum):
     """How one watch of the list is served."""
 
-    USUAL = auto()
-    TEARS_EVENTS = auto()
+    NORMAL = auto()
+    TRUNCATES_EVENTS = auto()
     REPEATS_EVENTS = auto()
 
 
-WATCH_BEHAVIORS = [WatchBehavior.USUAL] * 6 + [WatchBehavior.TEARS_EVENTS, WatchBehavior.REPEATS_EVENTS]
+WATCH_BEHAVIORS = [WatchBehavior.NORMAL] * 6 + [WatchBehavior.TRUNCATES_EVENTS, WatchBehavior.REPEATS_EVENTS]
 
 
 class EndpointList:
     """One endpoint list and the watches on it.  `worker_port` returns the port under which a worker is listed.
 
-    With `stalls_after_torn_event` a watch that ends inside an event stays open instead of being closed."""
+    With `stalls_after_truncated_event`, a watch that truncates an event sends nothing more but stays open; otherwise it
+    is closed."""
 
-    def __init__(self, run: RunState, worker_port: Callable[[int], int], stalls_after_torn_event: bool = False) -> None:
+    def __init__(
+        self, run: RunState, worker_port: Callable[[int], int], stalls_after_truncated_event: bool = False
+    ) -> None:
         self._run = run
         self._worker_port = worker_port
-        self._stalls_after_torn_event = stalls_after_torn_event
+        self._stalls_after_truncated_event = stalls_after_truncated_event
         self._events: list[bytes] = []
-        self.entries: list[dict[str, Any]] = []  # all events in the form of a configuration
+        self.entries: list[dict[str, Any]] = []  # all events, in the form that a configuration has
         self.addresses: list[str] = []
         self._fault = ListFault.NONE
-        self.outage = ListFault.NONE  # a long fault that hides every other one while it lasts
+        self.outage = ListFault.NONE  # a long fault; while it lasts, it takes precedence over the fault that was set
 
     @property
     def fault(self) -> ListFault:
-        """The present fault of the service."""
+        """The current fault of the service."""
         return self._fault if self.outage is ListFault.NONE else self.outage
 
     @fault.setter
@@ -93,12 +97,12 @@
         self.addresses = [f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in self._servers]
 
     def set_initial(self, workers: int) -> None:
-        """List the first workers, each under its own number."""
+        """List the first `workers` workers; the id of each endpoint is the number of its worker."""
         targets = [self._target(EndpointChange(n, n, EndpointState.LIVE), 0) for n in range(workers)]
         self.entries.append({"pos": 1, "hosts": {"rev": 1, "all": True, "targets": targets}})
 
     def publish(self, *changes: EndpointChange, started_ms: int = 0) -> None:
-        """Add an event; `started_ms` is when the workers of its endpoints started, 0 if unknown."""
+        """Add an event; `started_ms` is the wall-clock time at which the workers started, 0 if unknown."""
         position = 2 + len(self._events)
         records = b"".join(self._record(change, started_ms) for change in changes)
         header = EVENT_HEADER.pack(EVENT_HEADER.size - 4 + len(records), position, CHANGE_EVENT)
@@ -124,13 +128,13 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, RuntimeError, asyncio.IncompleteReadError):
-            torn = await self._write_events(reader, writer)
-            if torn and self._stalls_after_torn_event:
+            truncated = await self._write_events(reader, writer)
+            if truncated and self._stalls_after_truncated_event:
                 return
         writer.close()
 
     async def _write_events(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Write the events from the requested position on while the run lasts; return whether it ended inside one."""
+        """Write the events from the requested position on while the run lasts; return whether one was truncated."""
         position = int.from_bytes(await reader.readexactly(8), "big")
         if self.fault is ListFault.SLOW:
             await asyncio.sleep(WATCH_START_DELAY_S)
@@ -140,8 +144,8 @@
                 await asyncio.sleep(EVENT_INTERVAL_S / 2)
                 continue
             for event in self._events[position - 1 :]:
-                if behavior is WatchBehavior.TEARS_EVENTS and self._run.rng.random() < TORN_EVENT_SHARE:
-                    writer.write(event[:TORN_EVENT_BYTES])
+                if behavior is WatchBehavior.TRUNCATES_EVENTS and self._run.rng.random() < TRUNCATED_EVENT_SHARE:
+                    writer.write(event[:TRUNCATED_EVENT_BYTES])
                     return True
                 writer.write(event * (2 if behavior is WatchBehavior.REPEATS_EVENTS else 1))
                 position += 1
--- a/bench/fault_injection/processes.py
+++ b/bench/fault_injection/processes.py
@@ -33,7 +33,7 @@
 
 
 class Address(NamedTuple):
-    """The address at which a process listens; port 0 until its first start."""
+    """The address at which a process listens; the port is 0 until its first start."""
 
     host: str
     port: int = 0
@@ -115,9 +115,10 @@
         self._run.problems.append(f"process {n} was not ready within {READY_TIMEOUT_S} s")
 
     async def stop(self, n: int, stop_signal: StopSignal) -> None:
-        """End a process and record a problem if it ended before, exits with an error or does not exit in time.
+        """End a process; record a problem if it had already ended.
 
-        Further signals may follow a SIGTERM at random."""
+        After a SIGTERM, also record a problem if it exits with an error or does not exit in time.  SIGTERM may be
+        followed by further signals at random."""
         process = self.processes[n]
         assert process is not None
         if process.returncode is not None:
--- a/bench/fault_injection/proxy.py
+++ b/bench/fault_injection/proxy.py
@@ -1,7 +1,7 @@
 """Proxy on loopback that injects faults: each connection is late, slow, split, stalled or cut at random.
 
 Bytes from the dispatcher are passed to `on_data` as soon as they are read from the socket, before any delay of the
-proxy.  Their time of arrival is thus the best estimate that another process has of when the dispatcher wrote them.
+proxy.  Their time of arrival is thus the best available estimate of the time at which the dispatcher wrote them.
 Bytes that the kernel buffered while a connection was stalled have no such time and are passed on as not timed.
 """
 
@@ -20,9 +20,10 @@
 MAX_CONNECT_DELAY_S = 0.4
 MAX_CHUNK_DELAY_S = 0.05
 STALL_S = 2.5
+# Upper bounds of the number of bytes after which a connection is cut or stalled.
 LAST_CUT_BYTE, LAST_STALL_BYTE = 60_000, 30_000
 MAX_SPLIT_BYTES = 200
-SPLITS_WITH_PAUSE = 20  # pieces of each chunk that a pause follows
+SPLITS_WITH_PAUSE = 20  # first pieces of each chunk, after which the event loop runs
 
 DataListener = Callable[[int, bytes, bool], None]  # connection number, bytes, whether they are timed
 
@@ -38,7 +39,7 @@
 
 
 class Proxy:
-    """A listening address in front of another; `fault_shares` is the share of new connections with each fault."""
+    """Forwards connections to `upstream`; `fault_shares` is the share of new connections that get each fault."""
 
     def __init__(self, upstream: tuple[str, int], rng: random.Random, on_data: DataListener) -> None:
         self.upstream = upstream
@@ -59,7 +60,7 @@
         return self.port
 
     def reset_connections(self) -> None:
-        """Reset all connections; the listener stays."""
+        """Reset all connections and keep listening."""
         for connection in list(self.connections):
             connection.abort()
 
--- a/bench/fault_injection/request_checks.py
+++ b/bench/fault_injection/request_checks.py
@@ -1,4 +1,4 @@
-"""Checks of requests and attempts that the fuzz and the soak share.  Each returns the problems found, as text."""
+"""Checks of requests and attempts that the fuzz and the soak share.  They return the problems as text."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from kelptrail.codec import frames
 
 DRAINED_WORKER = 0  # the worker that each run drains
-BROKEN_LIST_DELAY_S = 1.0  # delay of an event from a list with a fault
+BROKEN_LIST_DELAY_S = 1.0  # allowed delay of an event while its list has a fault
 
 
 def check_run(
     run: RunState, problems_of: Callable[[SentRequest], list[str]], attempts: Iterable[WorkerAttempt]
 ) -> None:
-    """Check every request by `problems_of`, and `attempts` against the drain; add to the problems of the run."""
+    """Check every request by `problems_of`, and `attempts` against the drain; add the problems to those of the run."""
     for request in run.requests.values():
         for problem in problems_of(request):
             run.problems.append(f"{request.id} ({request.kind}, process {request.process}): {problem}")
--- a/bench/fault_injection/settings.py
+++ b/bench/fault_injection/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the processes under test, with invented names and figures, and the tolerances of the checks."""
+"""Settings of the processes under test, with arbitrary names and values, and the tolerances of the checks."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Any
 
 BUSY_MACHINE_SLACK_S = 0.25  # tolerance for a busy machine; the checks look for faults, not for milliseconds
-CANCEL_SLACK_S = 0.1  # time after its client left within which an attempt may start
+CANCEL_SLACK_S = 0.1  # an attempt may still start within this time after its client left
 DRAIN_GRACE_S = 0.5
 DEDUPLICATION_WINDOW_S = 0.7
 OVERLOAD_MULTIPLE = 3.0  # calls that a worker in slow start may be sent, as a multiple of its share
@@ -25,6 +25,7 @@
     AT_MOST_ONCE = "o"
 
 
+# Idempotency of the request classes, by its names in the settings.
 EFFECTS = {
     RequestKind.IDEMPOTENT: "free",
     RequestKind.DEDUPLICATED: "guarded",
--- a/bench/fault_injection/slow_start_check.py
+++ b/bench/fault_injection/slow_start_check.py
@@ -27,7 +27,7 @@
         self._completed = [call for call in calls if call.behavior is WorkerBehavior.COMPLETED]
 
     def problems(self, worker: int, started_at: float) -> list[str]:
-        """Return the first window in which a worker got too many calls; empty if there is none."""
+        """Return a problem for the first window in which a worker got too many calls; empty if there is none."""
         starts = sorted(
             each.at
             for each in self._attempts
--- a/bench/fault_injection/soak_checks.py
+++ b/bench/fault_injection/soak_checks.py
@@ -22,8 +22,8 @@
 from fault_injection.soak_faults import SoakFaults
 from fault_injection.soak_processes import SoakProcesses
 
-LIMIT_SLACK_S = 0.15
-SHUTDOWN_CLOSE_S = 0.7  # time after the signal from which a process may close connections that carry new requests
+LIMIT_SLACK_S = 0.15  # tolerance of the time limits that workers are passed
+SHUTDOWN_CLOSE_S = 0.7  # time from SIGTERM until a process may close connections on which requests arrive
 LOG_PROBLEMS = ("invariant violated", "failed problem", "Traceback")
 
 
@@ -43,7 +43,7 @@
         self._processes = processes
         self._faults = faults
         self._loop_delays = loop_delays
-        self.unanswered_at_close = 0  # requests sent while the dispatcher closed the connection
+        self.unanswered_at_close = 0  # requests without an answer, sent as the dispatcher closed the connection
 
     def check_all(self) -> None:
         """Check requests, drains, logs and slow start."""
@@ -89,8 +89,8 @@
         return problems
 
     def _missing_answer(self, request: SentRequest, attempts: list[CapturedAttempt]) -> list[str]:
-        """Report an open request without an answer, unless its process was killed, or the dispatcher closed its
-        connection just as it was sent, with the connection idle or the process shutting down."""
+        """Report a request without an answer, unless its process was killed, or the dispatcher closed its connection
+        just as it was sent, because the connection was idle or the process was shutting down."""
         # `written_at` may be late by the delay of this program's loop.
         delay_s = self._loop_delays.max_delay_s(request.written_at, request.deadline)
         if request.may_be_lost_by_kill(self._run.kills, delay_s):
@@ -157,5 +157,7 @@
 
 
 def _last_before(request: SentRequest, times: list[float]) -> list[float]:
-    """Return the seconds from the last of `times` that can affect a request to its writing; empty if there is none."""
+    """Return how many seconds before the writing of a request the last of `times` was.
+
+    Times later than 1 s after its deadline do not count; the list is empty if no time is left."""
     return [round(request.written_at - at, 3) for at in times if at <= request.deadline + 1][-1:]
--- a/bench/fault_injection/soak_faults.py
+++ b/bench/fault_injection/soak_faults.py
@@ -1,4 +1,4 @@
-"""Faults that the soak injects.  Each lasts for a random time; several overlap."""
+"""Faults that the soak injects.  They last for random times, and several overlap."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
         ]
 
     async def inject(self, seconds: float, at_once: int) -> None:
-        """Inject random faults, up to `at_once` of them at the same time."""
+        """Inject random faults for `seconds`, up to `at_once` of them at the same time."""
         end = time.monotonic() + seconds
 
         async def inject_one_by_one() -> None:
@@ -113,7 +113,7 @@
         await asyncio.sleep(1 + self._rng.random() * 2)
 
     async def _reload_in_a_row(self) -> None:
-        """Reload configurations one after the other, some of them half written, the last one complete."""
+        """Reload the configurations of some processes many times; some files are half written, the last is complete."""
         chosen = self._choose_processes(0.3)
         for n in chosen:
             self._write_configuration(n)
@@ -151,7 +151,7 @@
         proxies = self._workers.proxies_of(self._rng.randrange(LISTED_WORKERS))
         for proxy in proxies:
             proxy.fault_shares[fault] = CONNECTION_FAULT_SHARE
-        # A connection decides at its start whether it is cut or stalled.
+        # Whether a connection is cut or stalled is drawn when it is opened, so the open ones are reset.
         if fault in (ConnectionFault.CUT, ConnectionFault.STALL):
             for proxy in proxies:
                 proxy.reset_connections()
@@ -166,7 +166,7 @@
         self._workers.hung.discard(worker)
 
     async def _open_idle_clients(self) -> None:
-        """Open more client connections to a process than its descriptors allow for."""
+        """Open many client connections to one process, so that it runs short of descriptors."""
         writers = []
         n = self._rng.randrange(len(self._processes))
         with contextlib.suppress(OSError):
@@ -187,7 +187,7 @@
         await asyncio.sleep(0.2)
 
     async def drain_in_outage(self) -> None:
-        """Drain a busy worker during a long outage of the endpoint lists of half of the processes."""
+        """Drain a worker during a long outage of the endpoint lists of half of the processes."""
         chosen, fault, start = self._choose_processes(0.5), self._rng.choice(OUTAGE_FAULTS), time.monotonic()
         for n in chosen:
             self._lists[n].outage = fault
@@ -202,7 +202,9 @@
             self._lists[n].outage = ListFault.NONE
 
     async def replace_worker(self) -> None:
-        """Drain one worker, start a new one under another id and remove the old one; once in a run."""
+        """Drain one worker, start a new one under another id and remove the old one.
+
+        Does nothing if the worker has already been drained in this run."""
         if DRAINED_WORKER in self._run.drained_at:
             return
         self._workers.draining.add(DRAINED_WORKER)
--- a/bench/fault_injection/system_calls.py
+++ b/bench/fault_injection/system_calls.py
@@ -29,6 +29,7 @@
     SOCKET = "socket"
 
 
+# Error codes from which the library chooses; a code that occurs twice is chosen twice as often.
 FAILURES = {
     SystemCall.SEND: (errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.ENOBUFS),
     SystemCall.RECV: (errno.EINTR, errno.ENOMEM, errno.EINTR, errno.ENOBUFS),
@@ -53,7 +54,7 @@
         self.write()
 
     def write(self) -> None:
-        """Write the present values to the control file; they apply from the next system call on."""
+        """Write the current values to the control file; they apply from the next system call on."""
         shares = [int(self.failure_shares.get(call, 0.0) * 1e6) for call in SystemCall]
         codes = [code for call in SystemCall for code in FAILURES[call]]
         step_ns, short_transfers = int(self.clock_step_s * 1e9), int(self.short_transfer_share * 1e6)
@@ -61,7 +62,7 @@
         self._map[: len(data)] = data
 
     def stop_failures(self) -> None:
-        """Let no system call fail from now on; the step of the clock stays."""
+        """Stop the failures and the short transfers; the clock stays stepped."""
         self.failure_shares = {}
         self.short_transfer_share = 0.0
         self.write()
--- a/bench/platform_fuzz.py
+++ b/bench/platform_fuzz.py
@@ -68,7 +68,9 @@
         self.event_counts: collections.Counter[str] = collections.Counter()
         self._seconds = seconds
         self._workers = FakeWorkers(self.state)
-        self._list = EndpointList(self.state, lambda worker: self._workers.ports[worker], stalls_after_torn_event=True)
+        self._list = EndpointList(
+            self.state, lambda worker: self._workers.ports[worker], stalls_after_truncated_event=True
+        )
         hosts = [f"127.0.{7 + seed % 200}.{n + 1}" for n in range(processes)]
         self._processes = PlatformProcesses(self.state, hosts, [self._list] * processes, settings())
         self._clients = Clients(self.state, self._processes, LIMITS_MS, MAX_CLIENT_PAUSE_S)
