--- a/bench/crash_points.py
+++ b/bench/crash_points.py
@@ -57,19 +57,19 @@
     """Run a call whose dispatcher crashes at a step and is started again from its journal."""
     name = f"{step}-{effect}-{'deferred' if deferred else 'keyed'}"
     report: Report = {"step": step, "effect": effect, "deferred": deferred}
-    child = await trial.launch(name, "--crash-at", step)
-    address, key = child.ready_info["address"], "" if deferred else f"key-{name}"
+    dispatcher = await trial.launch(name, "--crash-at", step)
+    address, key = dispatcher.ready_info["address"], "" if deferred else f"key-{name}"
     target = f"actions/{ACTIONS[effect]}?blocking={str(not deferred).lower()}"
     first = await trial.request(address, "POST", target, {"ticket": name}, key)
     report["first"] = first.status
-    assert child.process is not None
+    assert dispatcher.process is not None
     try:
-        await asyncio.wait_for(child.process.wait(), CRASH_TIMEOUT_S)
+        await asyncio.wait_for(dispatcher.process.wait(), CRASH_TIMEOUT_S)
     except TimeoutError:  # the call did not reach that step
-        await trial.cluster.terminate(child)
+        await trial.cluster.terminate(dispatcher)
         return report | {"broken": True, "reached": False}
-    child.arguments = trial.command(name)
-    await trial.cluster.launch(child)
+    dispatcher.arguments = trial.command(name)
+    await trial.cluster.launch(dispatcher)
     accepted_id = first.activation_id
     if accepted_id:
         reply = await trial.poll_until_final(address, accepted_id)
@@ -80,7 +80,7 @@
         report["after"] = reply.status
         report["answer"] = ANSWER_OF_STATUS.get(reply.status)
     await asyncio.sleep(0.3)
-    await trial.cluster.terminate(child)
+    await trial.cluster.terminate(dispatcher)
     effects = len(trial.captured_effects(lambda e: e["activation"] == accepted_id or has_key(e, key)))
     report["effects"] = effects
     report["broken"] = (
@@ -94,11 +94,11 @@
 async def lose_disk(trial: CrashTrial, step: str, effect: Effect, keyed: bool) -> Report:
     """Run a deferred call whose dispatcher is lost with its disk at a step."""
     name = f"lost-{step}-{effect}-{'keyed' if keyed else 'plain'}"
-    child = await trial.launch_peer(name, "--crash-at", step)
+    dispatcher = await trial.launch_peer(name, "--crash-at", step)
     key, target = f"key-{name}" if keyed else "", deferred_target(effect)
-    first = await trial.request(child.ready_info["address"], "POST", target, {"ticket": name}, key)
-    assert child.process is not None
-    await asyncio.wait_for(child.process.wait(), LOSS_TIMEOUT_S)
+    first = await trial.request(dispatcher.ready_info["address"], "POST", target, {"ticket": name}, key)
+    assert dispatcher.process is not None
+    await asyncio.wait_for(dispatcher.process.wait(), LOSS_TIMEOUT_S)
     shutil.rmtree(trial.folder / name)
     accepted_id = first.activation_id
     report: Report = {"step": step, "effect": effect, "keyed": keyed, "first": first.status, "lost": True}
@@ -106,7 +106,7 @@
     start = loop.time()
     found_id = accepted_id
     if keyed:
-        # At any dispatcher the repeat joins the call, or is accepted as a new call if no dispatcher has it.
+        # Any dispatcher may receive the repeat: it joins the call, or is a new call if no dispatcher has the first one.
         repeat = await trial.request_until_known(trial.peer_address, "POST", target, {"ticket": name}, key)
         report["repeat"] = repeat.status
         report["joined"] = accepted_id is not None and repeat.body["activationId"] == accepted_id
@@ -115,7 +115,7 @@
         record = await trial.request_until_known(trial.peer_address, "GET", f"activations/{found_id}")
         report["after"] = record.status
         report["answer"] = record.answer if record.status == 200 else None
-        report["s"] = round(loop.time() - start, 2)
+        report["s"] = round(loop.time() - start, 2)  # from the loss until the outcome was known
     await asyncio.sleep(0.5)
     ids = {found_id, accepted_id}
     effects = len(trial.captured_effects(lambda e: e["activation"] in ids or has_key(e, key)))
@@ -132,7 +132,7 @@
 async def pause_and_resume(trial: CrashTrial, step: str, effect: Effect, _: bool) -> Report:
     """Run a deferred call whose dispatcher pauses at a step until another has continued the call."""
     name = f"paused-{step}-{effect}"
-    child = await trial.launch_peer(name, "--pause-at", step)
+    dispatcher = await trial.launch_peer(name, "--pause-at", step)
     key, target, loop = f"key-{name}", deferred_target(effect), asyncio.get_running_loop()
 
     def post(address: str) -> Awaitable[Reply]:
@@ -140,8 +140,8 @@
 
     # A 503 means that the call was not accepted: its peers, one of which has just ended, did not all answer yet
     # whether they have a call with the key.
-    first_request = asyncio.ensure_future(post(child.ready_info["address"]))
-    await wait_until_paused(child)
+    first_request = asyncio.ensure_future(post(dispatcher.ready_info["address"]))
+    await wait_until_paused(dispatcher)
     start = loop.time()
     report: Report = {"step": step, "effect": effect, "paused": True}
     repeat = await post(trial.peer_address)
@@ -151,14 +151,14 @@
         report["after"] = record.status
     if trial.remembered_ms:
         await asyncio.sleep(trial.remembered_ms / 1000)
-    report["stood_s"] = round(loop.time() - start, 2)
-    assert child.process is not None
-    os.kill(child.process.pid, signal.SIGCONT)
+    report["stood_s"] = round(loop.time() - start, 2)  # duration of the pause
+    assert dispatcher.process is not None
+    os.kill(dispatcher.process.pid, signal.SIGCONT)
     first = await first_request
     report["first"] = first.status
-    await asyncio.sleep(0.8)  # time for what the resumed dispatcher may still do
-    answers = await answers_of_both(trial, child, {id_ for id_ in (found_id, first.activation_id) if id_})
-    await trial.cluster.terminate(child)
+    await asyncio.sleep(0.8)  # time in which the resumed dispatcher may still send or answer
+    answers = await answers_of_both(trial, dispatcher, {id_ for id_ in (found_id, first.activation_id) if id_})
+    await trial.cluster.terminate(dispatcher)
     effects = len(trial.captured_effects(lambda e: has_key(e, key)))
     report |= {"effects": effects, "answers": [sorted(each) for each in answers.values()]}
     twice = ran_twice(effect, effects)
@@ -167,24 +167,24 @@
     return report
 
 
-async def wait_until_paused(child: Process) -> None:
+async def wait_until_paused(dispatcher: Process) -> None:
     """Wait until the process is stopped; kill it and raise `TimeoutError` if that takes too long."""
-    assert child.process is not None
-    stat = Path(f"/proc/{child.process.pid}/stat")
+    assert dispatcher.process is not None
+    stat = Path(f"/proc/{dispatcher.process.pid}/stat")
     try:
         async with asyncio.timeout(PAUSE_TIMEOUT_S):
             while stat.read_text().rpartition(")")[2].split()[0] != "T":
                 await asyncio.sleep(0.01)
     except TimeoutError:
-        child.process.kill()  # SIGTERM would not end a paused process
+        dispatcher.process.kill()  # SIGTERM would not end a paused process
         raise
 
 
-async def answers_of_both(trial: CrashTrial, child: Process, ids: set[str]) -> dict[str, set[str]]:
+async def answers_of_both(trial: CrashTrial, dispatcher: Process, ids: set[str]) -> dict[str, set[str]]:
     """Return the answers that a peer and the resumed dispatcher give for each activation."""
     answers: dict[str, set[str]] = {}
     for id_ in ids:
-        for address in (trial.peer_address, child.ready_info["address"]):
+        for address in (trial.peer_address, dispatcher.ready_info["address"]):
             record = await trial.request_until_known(address, "GET", f"activations/{id_}")
             answer = record.answer if record.status == 200 else str(record.status)
             answers.setdefault(id_, set()).add(answer)
--- a/bench/crash_trial.py
+++ b/bench/crash_trial.py
@@ -19,7 +19,7 @@
 EXAMPLES = Path(__file__).parent.parent / "examples"
 WORKERS, PEERS = 4, 5
 REQUEST_TIMEOUT_MS = 8000
-REDIRECT_LIMIT, POLL_LIMIT = 200, 60
+MAX_REQUESTS, MAX_POLLS = 200, 60
 RETRY_PAUSE_S = 0.1
 NO_DISPATCHER_KNOWS = "No dispatcher knows"
 
@@ -92,17 +92,17 @@
 
     async def launch(self, name: str, *fault: str) -> Process:
         """Start a dispatcher without peers, with the options of its fault."""
-        child = Process(name, [*self.command(name), *fault])
-        await self.cluster.launch(child)
-        return child
+        process = Process(name, [*self.command(name), *fault])
+        await self.cluster.launch(process)
+        return process
 
     async def launch_peer(self, name: str, *fault: str) -> Process:
         """Start a dispatcher that replicates to the peers, with the options of its fault."""
         options = ("--control", "127.0.0.1:0", *self.cluster.peer_options("dispatcher-0"))
-        child = Process(name, [*self.command(name), *options, *fault])
-        await self.cluster.launch(child)
-        await wait_until_replicated(child, 0.05)
-        return child
+        process = Process(name, [*self.command(name), *options, *fault])
+        await self.cluster.launch(process)
+        await wait_until_replicated(process, 0.05)
+        return process
 
     def command(self, name: str) -> list[str]:
         """Return the command line of a dispatcher without a fault."""
@@ -124,8 +124,11 @@
     async def request_until_known(
         self, address: str, method: str, target: str, body: Any = None, key: str = ""
     ) -> Reply:
-        """Repeat a request, following redirects, until a dispatcher has the call or reports that none has it."""
-        for _ in range(REDIRECT_LIMIT):
+        """Repeat a request, following redirects, until a dispatcher has the call or reports that none has it.
+
+        Returns a reply of status 0 after `MAX_REQUESTS` requests.  Raises `OSError` or `HttpError` if a connection
+        breaks."""
+        for _ in range(MAX_REQUESTS):
             reply = await self._send(address, method, target, body, key)
             if reply.status == 307:
                 address = reply.location.removeprefix("http://").partition("/")[0]
@@ -137,8 +140,8 @@
         return Reply(0)
 
     async def poll_until_final(self, address: str, id_: str) -> Reply:
-        """Poll an activation until it has its answer or is unknown."""
-        for _ in range(POLL_LIMIT):
+        """Poll an activation until it has its answer or is unknown; return status 0 after `MAX_POLLS` polls."""
+        for _ in range(MAX_POLLS):
             reply = await self.request(address, "GET", f"activations/{id_}?wait=500")
             if reply.status == 200 or (reply.status == 404 and "in hand" not in reply.body["error"]):
                 return reply
@@ -157,7 +160,7 @@
         return Reply(response.status, content, response.headers.get("location", ""))
 
 
-async def wait_until_replicated(child: Process, interval_s: float) -> None:
+async def wait_until_replicated(process: Process, interval_s: float) -> None:
     """Wait until a dispatcher replicates what it accepts."""
-    while not (await http_json(child.ready_info["asked_at"], "GET", "/copies"))["promising"]:
+    while not (await http_json(process.ready_info["asked_at"], "GET", "/copies"))["promising"]:
         await asyncio.sleep(interval_s)
--- a/bench/deferred.py
+++ b/bench/deferred.py
@@ -36,13 +36,13 @@
 
 LOAD_CORE, CONNECTIONS = 4, 32
 TARGET = "/api/v1/namespaces/_/actions/f-0?result=true&blocking="
-WITH_JOURNAL = "deferred, with a book"
+WITH_JOURNAL = "deferred, with a book"  # the report calls the journal a book
 BODY = b'{"family":7}' * 20
 MAX_ATTEMPTS_AT_ONCE = 64
 
 
 def measure_rates(runs: int, seconds: float) -> dict[str, Any]:
-    """Measure calls a second and the latency of the 202, or of the answer, in a closed loop over 32 connections."""
+    """Measure calls a second and the latency of the response (the 202 of a deferred call) in a closed loop."""
     with tempfile.TemporaryDirectory(dir=".") as name:
         folder = Path(name)
         deployment = folder / "bench.sexp"
@@ -75,7 +75,7 @@
 
 
 def commit_rates(before: dict[str, Any], after: dict[str, Any], seconds: float) -> dict[str, float]:
-    """Return entries per commit and commits a second between two readings of the counters."""
+    """Return the entries per commit and the commits per second between two readings of the counters."""
     commits = after["commits"] - before["commits"]
     return {
         "entries_a_sync": (after["entries"] - before["entries"]) / max(1, commits),
--- a/bench/hedged_requests.py
+++ b/bench/hedged_requests.py
@@ -22,8 +22,9 @@
 OVERLOAD_STARTS_S = 33
 HEDGING = " (hedge yes)"
 RULE = "(longest-return-ms 1000)"  # further rules are inserted after this one
-MEDIANS = ("in_time_before_overload", "completed", "sends", "second_sends", "saved", "wasted")
-COPIED = ("broken", "taken", "completed", "rejected", "aborted", "sends", "second_sends")
+MEDIAN_KEYS = ("in_time_before_overload", "completed", "sends", "second_sends", "saved", "wasted")
+# Keys copied from the scenario's report; sends are attempts, second sends are repeated attempts.
+COPIED_KEYS = ("broken", "taken", "completed", "rejected", "aborted", "sends", "second_sends")
 REQUEST_CLASSES, PERCENTILES = ("check", "activate"), ("p50", "p99", "p99.9")
 
 Row = dict[str, Any]
@@ -45,7 +46,7 @@
 
 VARIANTS = {
     "none": Variant(False, "(second-share 0) (second-most 0)"),
-    "rescues": Variant(False),
+    "rescues": Variant(False),  # retries only
     "hedged": Variant(True),
     "hedged, no budget": Variant(True, "(second-share 16) (second-most 1000000)"),
 }
@@ -69,7 +70,7 @@
     return {
         "variant": name,
         "seed": seed,
-        **{key: report[key] for key in COPIED},
+        **{key: report[key] for key in COPIED_KEYS},
         "in_time_before_overload": round(in_time / calls, 4),
         "saved": report["second_saved"],
         "wasted": report["second_sends"] - report["second_saved"],
@@ -79,7 +80,7 @@
 
 def medians(name: str, rows: list[Row]) -> Row:
     """Return the medians of all runs of a variant."""
-    figures = {key: statistics.median(row[key] for row in rows) for key in MEDIANS}
+    figures = {key: statistics.median(row[key] for row in rows) for key in MEDIAN_KEYS}
     latencies = {
         f"{each} {percentile}": statistics.median(row[f"{each}_ms"][percentile] for row in rows)
         for each in REQUEST_CLASSES
--- a/bench/inference.py
+++ b/bench/inference.py
@@ -128,11 +128,11 @@
     """Measure the memory of the gateway while it holds streams open."""
     before_mb = gateway.memory_mb()
     command = [sys.executable, LOAD_SCRIPT, "held", gateway.ready_line["grpc"], str(HELD_STREAMS)]
-    child = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
-    assert child.stdout is not None and child.stdout.readline().strip() == HELD_LINE
+    load = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
+    assert load.stdout is not None and load.stdout.readline().strip() == HELD_LINE
     kb_each = round((gateway.memory_mb() - before_mb) * 1000 / HELD_STREAMS, 1)
     report("memory a stream", {"streams": HELD_STREAMS, "kb": kb_each})
-    child.wait()
+    load.wait()
 
 
 def main() -> None:
--- a/bench/inference_load.py
+++ b/bench/inference_load.py
@@ -3,7 +3,7 @@
 python bench/inference_load.py closed ADDRESS SECONDS [AUTHORITY]       unary calls, 32 at once
 python bench/inference_load.py streams ADDRESS COUNT PARTS GAP_MS       streams through a gateway, one after the other
 python bench/inference_load.py direct ADDRESS COUNT PARTS GAP_MS        the same streams, directly from a worker
-python bench/inference_load.py held ADDRESS COUNT                       streams at once, each waiting for its next part
+python bench/inference_load.py held ADDRESS COUNT                       open streams, each waiting for its next part
 python bench/inference_load.py handshakes ADDRESS SECONDS AUTHORITY     new TLS connections
 """
 
@@ -43,7 +43,7 @@
 
 
 def encode_infer_request(parts: int = 0, gap_ms: float = 0.0) -> bytes:
-    """Encode a small request; with `parts`, it asks for a stream of that number of parts."""
+    """Encode a small request; if `parts` is not 0, it requests a stream of that number of parts."""
     request = pb.ModelInferRequest(model_name="f", id="1")
     tensor = request.inputs.add(name="x", datatype="FP32", shape=[FEATURES])
     tensor.contents.fp32_contents.extend([0.5] * FEATURES)
@@ -145,7 +145,7 @@
 
 
 async def measure_streams(address: str, count: int, parts: int, gap_ms: float) -> dict[str, Any]:
-    """Measure streams through a gateway, one after the other: when their parts arrive."""
+    """Measure streams through a gateway, one after the other: the times to the first part and between parts."""
     client, times, request = GrpcClient(address), StreamTimes(), encode_infer_request(parts, gap_ms)
     for _ in range(count):
         finished: asyncio.Future[CallResult] = asyncio.get_running_loop().create_future()
--- a/bench/load.py
+++ b/bench/load.py
@@ -21,7 +21,7 @@
 MAX_LATENCY_US, SIGNIFICANT_DIGITS = 60_000_000, 3
 MAX_ANSWER_BYTES = 1 << 20
 READ_BUFFER_BYTES = 16_384
-SHORTEST_SLEEP_S = 0.0005
+MIN_SLEEP_S = 0.0005
 BODY = b'{"family":7}'
 
 
@@ -93,7 +93,7 @@
 
     while due < end:
         wait_s = due - time.monotonic()
-        if wait_s > SHORTEST_SLEEP_S:
+        if wait_s > MIN_SLEEP_S:
             await asyncio.sleep(wait_s)
         if free:
             task = asyncio.create_task(call_once(free.pop(), due))
--- a/bench/passthrough.py
+++ b/bench/passthrough.py
@@ -1,4 +1,4 @@
-"""Bare pass-through with the sockets and parsers of the gateway, but without decisions and activation records.
+"""Bare pass-through with the sockets and parsers of the gateway, but without dispatcher and activation records.
 
 It forwards the body of a request to the worker in the inference protocol and replies with the worker's result.  The
 gateway is compared with it.
--- a/bench/pinned_processes.py
+++ b/bench/pinned_processes.py
@@ -25,11 +25,11 @@
 
 
 class ProcessStartError(RuntimeError):
-    """A child ended before it was ready."""
+    """A process ended before it was ready."""
 
 
 class PinnedProcess:
-    """A child on one core; its first line of output is its address, either alone or in a JSON object."""
+    """A child process on one core; its first line of output is its address, either alone or in a JSON object."""
 
     def __init__(self, core: int, *command: str, cwd: Path | None = None) -> None:
         self.process = subprocess.Popen(
@@ -57,7 +57,7 @@
         return int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1]) * 4096 / 1e6
 
     def control(self, target: str) -> Any:
-        """Return the JSON that the control port of the process serves."""
+        """Return the JSON that the control port of the process serves; `asked_at` is the address of this port."""
         with urllib.request.urlopen(
             f"http://{self.ready_line['asked_at']}/{target}", timeout=HTTP_TIMEOUT_S
         ) as response:
--- a/bench/planner.py
+++ b/bench/planner.py
@@ -38,7 +38,7 @@
 
 
 async def start_planner(cluster: Cluster, name: str) -> PlannerProcesses:
-    """Start a planner and an endpoint service, which gets the name `name`."""
+    """Start a planner and its endpoint service; `name` is the name of the latter."""
     endpoint_service = await cluster.start_process(name, ["emulate", "endpoint-service"])
     options = ["--roster", endpoint_service.ready_info["address"], "--control", "127.0.0.1:0"]
     planner = await cluster.start_process("planner", ["planner", str(LARGE), *options])
@@ -47,8 +47,8 @@
 
 async def stop_planner(cluster: Cluster, processes: PlannerProcesses) -> None:
     """End the planner and its endpoint service."""
-    for child in processes:
-        await cluster.terminate(child, STOP_TIMEOUT_S)
+    for process in processes:
+        await cluster.terminate(process, STOP_TIMEOUT_S)
 
 
 async def register_workers(endpoint_service: Process) -> None:
@@ -109,7 +109,7 @@
 
 
 async def measure_edges(out: Path) -> None:
-    """Run twice with an idle planner and twice with a solving one."""
+    """Measure an edge twice with an idle planner and twice with a solving one."""
     for _ in range(2):
         for solving in (False, True):
             print(json.dumps(await measure_edge(out, solving)), flush=True)
--- a/bench/planner_edges.py
+++ b/bench/planner_edges.py
@@ -39,7 +39,7 @@
 
     @property
     def totals(self) -> EdgeTotals:
-        """Bytes and plans that it has exchanged so far."""
+        """Bytes and plans that this edge has exchanged with its planner so far."""
         return EdgeTotals(self._bytes_in, self._bytes_out, self._plans)
 
     async def run(self) -> None:
--- a/bench/planner_times.py
+++ b/bench/planner_times.py
@@ -28,11 +28,13 @@
 
 
 def random_problem(workers: int, functions: int, seed: int, memory_factor: float) -> PlanningProblem:
-    """Return workers at half of their throughput and functions by Zipf's law, each loaded at one or two workers."""
+    """Return workers, and functions whose calls take half of the workers' throughput.
+
+    The call rates follow Zipf's law with the exponent 0.8.  Each function is loaded at one or two workers."""
     rng = np.random.default_rng(seed)
     capacities = [WorkerCapacity(f"worker-{n}", MEMORY_MB * memory_factor, CONCURRENCY) for n in range(workers)]
     rates = 1 / np.arange(1, functions + 1) ** 0.8
-    rates *= 0.5 * workers * CONCURRENCY / 0.1 / rates.sum()
+    rates *= 0.5 * workers * CONCURRENCY / 0.1 / rates.sum()  # each call takes 0.1 s
     demands = []
     for n in range(functions):
         loaded_at = {f"worker-{int(worker)}": 1 for worker in rng.integers(workers, size=1 + n % 2)}
--- a/bench/platform_fuzz.py
+++ b/bench/platform_fuzz.py
@@ -42,7 +42,7 @@
 
 
 class ProcessEvent(StrEnum):
-    """What happens to a process: a reload, a reload of a half-written configuration, or an end and a new start."""
+    """What happens to a process: a reload, a reload of a half-written configuration, or a restart after a signal."""
 
     RELOAD = "HUP"
     RELOAD_HALF_WRITTEN = "half"
@@ -61,7 +61,7 @@
 
 
 class FuzzRun:
-    """One run of one seed."""
+    """The run of one seed."""
 
     def __init__(self, seed: int, seconds: float, folder: Path, processes: int) -> None:
         self.state = RunState(seed, folder)
--- a/bench/replication.py
+++ b/bench/replication.py
@@ -99,7 +99,7 @@
 
 
 def own_journal(process: PinnedProcess) -> dict[str, Any]:
-    """Return the counters of the journal to which a dispatcher writes at present."""
+    """Return the counters of the journal to which a dispatcher currently writes."""
     return next(journal for journal in process.control("copies")["owned"].values() if journal["current"])
 
 
--- a/bench/replication_takeover.py
+++ b/bench/replication_takeover.py
@@ -25,10 +25,10 @@
 
 JOURNAL = "lost.1"
 BODY = b'{"family":7}' * 20
-LIMIT_MS = 600_000.0
+ACTIVATION_TIMEOUT_MS = 600_000.0
 WORKERS, INSTANCES = 4, 64
 RECOVERY_BATCH = 200
-TIMEOUT_MS = 120_000
+RESUMPTION_TIMEOUT_MS = 120_000
 
 
 class ImmediateJournal:
@@ -49,7 +49,7 @@
 
 
 class Resumption:
-    """A gateway that resumes activations; each call takes `run_ms` at an emulated worker."""
+    """Carries out the effects of a gateway that resumes activations; each attempt takes `run_ms`."""
 
     def __init__(self, gateway: Gateway, run_ms: float) -> None:
         self.final_ids: set[str] = set()
@@ -83,7 +83,7 @@
     items: list[ReplicaEntry] = []
     for n in range(count):
         id_ = f"{n:032x}"
-        entries: list[Any] = [Accepted(id_, "n", "f-0", now - 3000, LIMIT_MS, BODY)]
+        entries: list[Any] = [Accepted(id_, "n", "f-0", now - 3000, ACTIVATION_TIMEOUT_MS, BODY)]
         if n >= unfinished:
             entries += [MayRun(id_, now - 2000, "w0"), Ended(id_, now, "completed", 0, BODY)]
         items += [ReplicaEntry(entry.id, kinds.index(type(entry)), 3000.0, encode_entry(entry)[0]) for entry in entries]
@@ -114,7 +114,7 @@
         resumption = Resumption(gateway, run_ms)
         longest_step_ms = await _recover(gateway, resumption, reading, at_once)
         recovered_at = now_ms()
-        while len(resumption.final_ids) < unfinished and now_ms() - start < TIMEOUT_MS:
+        while len(resumption.final_ids) < unfinished and now_ms() - start < RESUMPTION_TIMEOUT_MS:
             await asyncio.sleep(0.01)
             resumption.run_effects()
         store.close()
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -6,9 +6,10 @@
 injected, among them signals, failing system calls and stepped clocks.  The soak checks what passed over the sockets and
 the violations that the processes log.
 
-Each seed is one run of a quiet half, which starts without faults, and a busy half.  The seed determines the random
-choices, but not their timing.  The exit code is 1 if a problem was found.  System calls fail and clocks are stepped by
-a library that the soak builds from bench/soak_shim.c; without a C compiler it says so and injects the other faults.
+Each seed is one run.  Its first half is quiet and starts without faults, its second half is busy.  The seed determines
+the random choices, but not their timing.  The exit code is 1 if a problem was found.  System calls fail and clocks are
+stepped by a library that the soak builds from bench/soak_shim.c; without a C compiler the soak prints a note and
+injects only the other faults.
 """
 
 from __future__ import annotations
@@ -35,19 +36,20 @@
 from fault_injection.soak_processes import SoakProcesses
 from fault_injection.system_calls import build_library, find_compiler
 
-LIMITS_MS = (1, 5, 20, 60, 300, 700, 1500)
+LIMITS_MS = (1, 5, 20, 60, 300, 700, 1500)  # time limits of requests
 PROCESSES = 24
 QUIET_CLIENTS, FURTHER_BUSY_CLIENTS = 6, 24
-QUIET_CLIENT_PAUSE_S, BUSY_CLIENT_PAUSE_S = 0.1 / 0.3, 0.1 / 2.0  # upper bounds
+# Upper bounds of the pause of a client between two connections.
+QUIET_CLIENT_PAUSE_S, BUSY_CLIENT_PAUSE_S = 0.1 / 0.3, 0.1 / 2.0
 QUIET_FAULTS, BUSY_FAULTS = 2, 3  # faults at the same time
 FAULT_FREE_SHARE = 0.4  # share of the quiet half before its first fault
-CROWD_EVERY, CROWD_CLIENTS = 4, 60  # one run of four has extra clients in its busy half
-MIN_DESCRIPTORS = 16_384
+CROWD_EVERY, CROWD_CLIENTS = 4, 60  # seeds that are multiples of 4 have 60 more clients in their busy half
+MIN_DESCRIPTORS = 16_384  # descriptor limit to which this program raises its own
 SHOWN_PROBLEMS = 20  # per run
 
 
 class SoakRun:
-    """One run of one seed."""
+    """The run of one seed."""
 
     def __init__(self, seed: int, seconds: float, folder: Path, processes: int, library: Path | None) -> None:
         self._half_s = seconds / 2
@@ -99,7 +101,7 @@
 
 
 def run_seed(seed: int, seconds: float, processes: int, keep: Path | None = None) -> SoakRun:
-    """Execute one run; its problems are in `state.problems`.  With `keep`, the logs stay in a folder there."""
+    """Execute one run; its problems are in `state.problems`.  If `keep` is given, the logs stay in a subfolder."""
     with tempfile.TemporaryDirectory() as temporary:
         folder = Path(temporary) if keep is None else keep / f"seed{seed}"
         if keep is not None:
--- a/bench/soak_shim.c
+++ b/bench/soak_shim.c
@@ -25,9 +25,9 @@
 /* The layout of the control file; `CONTROL` in fault_injection/system_calls.py writes it. */
 struct control {
     int64_t clock_step_ns;        /* added to the wall clock */
-    uint32_t short_per_million;   /* sends and receives that transfer only a part, of a million */
+    uint32_t short_per_million;   /* of a million sends and receives, those that transfer only a part */
     uint32_t seed;
-    uint32_t fail_per_million[CALLS]; /* failing calls of each kind, of a million */
+    uint32_t fail_per_million[CALLS]; /* of a million calls of each kind, those that fail */
     uint32_t codes[CALLS][CODES];     /* values of errno to choose from */
 };
 
@@ -70,7 +70,7 @@
     return errno != 0;
 }
 
-/* Returns how many of `size` bytes to transfer. */
+/* Returns how many of `size` bytes to transfer: for a short transfer a random part of them. */
 static size_t shortened(size_t size) {
     return size > 1 && next_random() % MILLION < control->short_per_million ? 1 + next_random() % size : size;
 }
