--- a/bench/lease_measurements/client_load.py
+++ b/bench/lease_measurements/client_load.py
@@ -1,4 +1,7 @@
-"""Messages and CPU at acceptors and lease clients by the number of clients, simulated and with real dispatchers."""
+"""Messages and CPU at acceptors and lease clients by the number of clients, simulated and with real dispatchers.
+
+The reports call acceptors voters and lease clients askers.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,7 @@
 def simulate_clients(count: int, seconds: float, outage: bool) -> dict[str, Any]:
     """Simulate `count` dispatchers that contend for one task; five of them are acceptors.
 
-    With `outage`, all links are cut for a while before the measurement."""
+    With `outage`, all links are cut for `OUTAGE_MS` before the measurement."""
     queue, names = EventQueue(), [f"dispatcher-{n:03d}" for n in range(count)]
     acceptors, clients = names[:ACCEPTORS], names[ACCEPTORS:]
     settings = LeaseSettings(tuple(acceptors), max_lease_ms=LEASE_MS)
@@ -38,9 +41,9 @@
     queue.run(SETTLE_MS)
     if outage:
         _cut_all_links(leases, queue, names)
-    healed_at, before = queue.now, _message_counts(leases)
+    measured_from, before = queue.now, _message_counts(leases)
     peak_per_s, cpu_s = 0.0, time.process_time()
-    while queue.now < healed_at + seconds * 1000:
+    while queue.now < measured_from + seconds * 1000:
         counts = _message_counts(leases)
         queue.run(queue.now + STEP_MS)
         messages = max(leases.nodes[name].messages_received - counts[name] for name in acceptors)
@@ -58,7 +61,7 @@
         "cpu_us_a_message": round(cpu_s * 1e6 / max(1, sum(after.values()) - sum(before.values())), 1),
     }
     if outage:
-        row["held_again_after_ms"] = round(min(at for at in used_at if at > healed_at) - healed_at)
+        row["held_again_after_ms"] = round(min(at for at in used_at if at > measured_from) - measured_from)
     return row
 
 
@@ -106,8 +109,8 @@
 
 async def _read_loads(leases: LeaseCluster) -> list[LeaseLoad]:
     loads = []
-    for child in leases.cluster.dispatchers:
-        report = await lease_report(child)
-        assert child.process is not None
-        loads.append(LeaseLoad(report["messages"], cpu_seconds(child.process.pid) * 1000))
+    for dispatcher in leases.cluster.dispatchers:
+        report = await lease_report(dispatcher)
+        assert dispatcher.process is not None
+        loads.append(LeaseLoad(report["messages"], cpu_seconds(dispatcher.process.pid) * 1000))
     return loads
--- a/bench/lease_measurements/exploration.py
+++ b/bench/lease_measurements/exploration.py
@@ -74,13 +74,13 @@
         if checked["states"] % STATES_PER_RECOVERY_CHECK == 0:
             state.check_recovery(RECOVERY_TIMEOUT_MS)
 
-    first = Model(ModelSetup(SETTINGS, clients, budget, clock_rates=CLOCK_RATES, **options))
-    result = explore(first, check, depth, max_states)
+    initial = Model(ModelSetup(SETTINGS, clients, budget, clock_rates=CLOCK_RATES, **options))
+    result = explore(initial, check, depth, max_states)
     return {"product": name, **asdict(result), "seconds": round(time.monotonic() - start, 1)}
 
 
 def walk_seeds(name: str, first: int, count: int) -> int:
-    """Walk `count` seeds from `first` on; return the number of states."""
+    """Run one random walk for each of `count` seeds from `first` on; return the number of states."""
     return sum(walk(seed, WALKS[name]) for seed in range(first, first + count))
 
 
--- a/bench/lease_measurements/failover.py
+++ b/bench/lease_measurements/failover.py
@@ -46,6 +46,7 @@
         self._folder = folder
         captures = folder / "captures"
         captures.mkdir(parents=True)
+        # "player" is the name of this program in captures.
         self.capture = Capture(captures / "player.jsonl", "player")
         self.cluster = Cluster(self.deployment, str(FLEET), captures, 1, "info", folder)
         self._rng = np.random.default_rng(SEED)
@@ -57,49 +58,49 @@
     async def find_holder(self) -> Process:
         """Wait until a dispatcher reports that it holds the lease, and return it."""
         while True:
-            for child in self.cluster.dispatchers:
+            for dispatcher in self.cluster.dispatchers:
                 try:
                     async with asyncio.timeout(0.5):
-                        if child.running and TASK in (await lease_report(child))["holds"]:
-                            return child
+                        if dispatcher.running and TASK in (await lease_report(dispatcher))["holds"]:
+                            return dispatcher
                 except (OSError, TimeoutError):
                     continue
             await asyncio.sleep(0.05)
 
-    async def inject(self, fault: HolderFault, child: Process) -> None:
-        """Inject a fault of the holder for a while, repair it, and leave time to recover."""
-        others = [each.name for each in self.cluster.dispatchers if each.name != child.name]
+    async def inject(self, fault: HolderFault, holder: Process) -> None:
+        """Inject a fault into the holder for `FAULT_S`, end the fault, and wait some seconds for recovery."""
+        others = [each.name for each in self.cluster.dispatchers if each.name != holder.name]
         match fault:
             case HolderFault.KILL:
-                self.cluster.kill(child)
+                self.cluster.kill(holder)
             case HolderFault.PAUSE:
-                self.cluster.signal(child, signal.SIGSTOP)
+                self.cluster.signal(holder, signal.SIGSTOP)
             case HolderFault.CUT:
-                both_ways = [pair for other in others for pair in ((child.name, other), (other, child.name))]
+                both_ways = [pair for other in others for pair in ((holder.name, other), (other, holder.name))]
                 await self.cluster.set_link_fault(cut=both_ways)
             case HolderFault.CUT_ONE_WAY:
-                await self.cluster.set_link_fault(cut=[(other, child.name) for other in others])
+                await self.cluster.set_link_fault(cut=[(other, holder.name) for other in others])
             case HolderFault.SHUTDOWN:
-                self.cluster.signal(child, signal.SIGTERM)
+                self.cluster.signal(holder, signal.SIGTERM)
         await asyncio.sleep(FAULT_S)
-        await self._repair(fault, child)
+        await self._end_fault(fault, holder)
         await asyncio.sleep(float(self._rng.uniform(2.5, 3.5)))
 
-    async def _repair(self, fault: HolderFault, child: Process) -> None:
+    async def _end_fault(self, fault: HolderFault, holder: Process) -> None:
         match fault:
             case HolderFault.PAUSE:
-                self.cluster.signal(child, signal.SIGCONT)
+                self.cluster.signal(holder, signal.SIGCONT)
             case HolderFault.CUT | HolderFault.CUT_ONE_WAY:
                 await self.cluster.set_link_fault(cut=[])
             case HolderFault.KILL | HolderFault.SHUTDOWN:
-                if child.process is not None:
-                    await child.process.wait()
-                await self.cluster.launch(child)
+                if holder.process is not None:
+                    await holder.process.wait()
+                await self.cluster.launch(holder)
 
 
-async def lease_report(child: Process) -> dict[str, Any]:
+async def lease_report(dispatcher: Process) -> dict[str, Any]:
     """Return what the control port of a dispatcher reports on leases."""
-    report: dict[str, Any] = await http_json(child.ready_info["asked_at"], "GET", "/leases")
+    report: dict[str, Any] = await http_json(dispatcher.ready_info["asked_at"], "GET", "/leases")
     return report
 
 
@@ -113,9 +114,9 @@
         fault_times_ms: dict[str, list[float]] = {}
         for fault in faults or tuple(HolderFault):
             for _ in range(times):
-                child = await leases.find_holder()
+                holder = await leases.find_holder()
                 fault_times_ms.setdefault(str(fault), []).append(time.monotonic() * 1000)
-                await leases.inject(HolderFault(fault), child)
+                await leases.inject(HolderFault(fault), holder)
         await leases.cluster.stop()
         events = read_captures(Path(name) / "captures")
     gaps_ms = {fault: holder_gaps_ms(events, times_ms) for fault, times_ms in fault_times_ms.items()}
@@ -134,7 +135,8 @@
 def holder_gaps_ms(events: list[dict[str, Any]], fault_times_ms: list[float]) -> list[float]:
     """Return the time without a holder after each fault, in ms.
 
-    It lasts from the last use of the lease under the old token to the first under a newer one."""
+    It lasts from the last use of the lease under the old token to the first under a newer one.  `looked` in an event is
+    the time at which the holder checked its lease; `taken` tells whether the use was accepted."""
     uses = sorted((e for e in events if e["what"] in ("act", "done") and e["taken"]), key=lambda e: e["looked"])
     gaps = []
     for at in fault_times_ms:
@@ -159,8 +161,9 @@
 def gap_bound_ms(leases: LeasesConfig) -> float:
     """Return the longest time without a holder that the settings allow, in ms.
 
-    It adds up a grant just before the fault, on the slowest acceptor; the retry pause; the spacing of the queue; one
-    silent first acceptor; and two round trips of requests with their syncs."""
+    It is the sum of a lease granted just before the fault, on the clock of the slowest acceptor; 1.5 retry pauses; the
+    queue spacing for seven dispatchers; the timeout of a request to a first acceptor that does not answer; and 100 ms
+    for two round trips of requests with their syncs."""
     longest_lease_ms: float = leases.length_ms / (1 - leases.clock_rate_bound)
     waits_ms = 1.5 * leases.retry_pause_ms + 7 * leases.queue_spacing_ms + leases.request_timeout_ms
     return longest_lease_ms + waits_ms + 100
--- a/bench/lease_measurements/models.py
+++ b/bench/lease_measurements/models.py
@@ -63,7 +63,7 @@
 
 
 def walk(seed: int, setup: WalkSetup) -> int:
-    """Walk at random, check every state and that the last one recovers; return the number of states.
+    """Run one random walk; check every state, and that the last one recovers.  Return the number of states.
 
     Raises `PropertyError`."""
     last = [initial_state(seed, setup.budget, setup.options)]
--- a/bench/lease_measurements/request_cost.py
+++ b/bench/lease_measurements/request_cost.py
@@ -1,4 +1,7 @@
-"""Cost of leases per request: another checkout, this one without leases, and this one at an acceptor, in turns."""
+"""Cost of leases per request, measured in turns at three dispatchers.
+
+They run from another checkout, from this one without leases, and from this one as an acceptor that holds the leases.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,8 @@
 ROOT = Path(__file__).parent.parent.parent
 ACCEPTORS = ("v0", "v1", "v2")
 MEASURED_CORE, LOAD_CORE, CONNECTIONS = 3, 5, 32
-# Time between the starts of the acceptors.  The first holds no lease alone, and all tasks as soon as the second joins.
+# Time between the starts of the acceptors.  The first cannot acquire a lease alone; when the second joins, it acquires
+# the leases of all tasks.
 JOIN_INTERVAL_S = 6
 SETTLE_S = 8
 TARGET = "/api/v1/namespaces/_/actions/f-0?blocking=true&result=true"
