--- a/bench/deferred.py
+++ b/bench/deferred.py
@@ -93,7 +93,7 @@
     """Measure in this process the memory of `count` activations in flight, without their connections."""
     settings = DEPLOYMENT.format(functions=2).replace("(records 5000)", "(records 1000000) (held 1000000)")
     deployment = parse(settings, "bench")
-    gateway = Gateway(DispatcherParts(deployment, "hall", 1), "b" * 16, GroupCommit())
+    gateway = Gateway(DispatcherParts(deployment, zone="hall", seed=1), "b" * 16, GroupCommit())
     action = deployment.actions["f-0"]
     gc.collect()
     before = own_memory()
@@ -132,7 +132,7 @@
         write_journal(file, count, wall_ms)
         start = time.monotonic()
         journal, _ = open_journal(file)
-        gateway = Gateway(DispatcherParts(deployment, "hall", 1), "b" * 16, GroupCommit())
+        gateway = Gateway(DispatcherParts(deployment, zone="hall", seed=1), "b" * 16, GroupCommit())
         counts = gateway.recover(0.0, wall_ms, journal.activations(), 200.0, MAX_ATTEMPTS_AT_ONCE)
         took_s = time.monotonic() - start
         size = file.stat().st_size
--- a/bench/replication_takeover.py
+++ b/bench/replication_takeover.py
@@ -108,7 +108,7 @@
         start, reading = now_ms(), ReadRequest(JOURNAL, wall_ms=wall_ms())
         await asyncio.get_running_loop().run_in_executor(None, store.commit, [reading])
         read_ms = now_ms() - start
-        gateway = Gateway(DispatcherParts(deployment, "hall", 1), "b" * 16)
+        gateway = Gateway(DispatcherParts(deployment, zone="hall", seed=1), "b" * 16)
         endpoints = [Endpoint(f"w{n}", f"127.0.0.1:{n + 1}") for n in range(WORKERS)]
         gateway.on_endpoints(now_ms(), EndpointList(1, endpoints))
         resumption = Resumption(gateway, run_ms)
--- a/bench/split.py
+++ b/bench/split.py
@@ -77,7 +77,7 @@
 def gateway_core() -> Callable[[], None]:
     """Return a function that passes one activation through the gateway core, from acceptance to its final answer."""
     deployment = parse(DEPLOYMENT, "bench")
-    gateway = new_gateway(DispatcherParts(deployment, "hall", 1))
+    gateway = new_gateway(DispatcherParts(deployment, zone="hall", seed=1))
     action, clock = deployment.actions["f"], [0.0]
 
     def run() -> None:
@@ -97,7 +97,7 @@
 
 def dispatcher_alone() -> Callable[[], None]:
     """Return a function that passes one request through the dispatcher alone, with a tick every `TICK_MS`."""
-    parts = DispatcherParts(parse(DEPLOYMENT, "bench"), "hall", 1)
+    parts = DispatcherParts(parse(DEPLOYMENT, "bench"), zone="hall", seed=1)
     dispatcher, function = parts.dispatcher, parts.function("f")
     new_gateway(parts)  # registers the workers in `dispatcher`
     clock, last_tick = [0.0], [0.0]
