--- a/bench/crash_points.py
+++ b/bench/crash_points.py
@@ -1,10 +1,10 @@
-"""Crash tests of a dispatcher at each step of a call: every step x effect x deferred or keyed blocking call.
+"""Crash tests of a dispatcher: one case for each step of a call, effect of the action and way of calling.
 
 `python bench/crash_points.py` starts real processes.  A dispatcher kills itself at the step, is started again from its
 journal and polled for the outcome of the call.  With `--lost`, it loses its disk, too, and is not started again; five
 other dispatchers hold replicas, and one of them is polled, by id and by a repeat under the key.  With `--paused`, it
 pauses at the step until another dispatcher has continued its call, and then resumes; it must not answer or send
-anything on its own.  `--remembered-ms` then sets how long workers drop repeats, and the pause is longer than that.  A
+anything on its own.  `--remembered-ms` then sets how long workers drop repeats; the pause is longer than that.  A
 deduplicated call that was about to be written may then run a second time, in the window that docs/copies.md states;
 such a case is reported as `window`.
 
--- a/bench/crash_trial.py
+++ b/bench/crash_trial.py
@@ -60,8 +60,8 @@
 class CrashTrial:
     """One cluster for all cases; each case starts a dispatcher of its own.
 
-    With `has_peers`, five further dispatchers hold replicas.  `remembered_ms` is how long workers drop repeats; 0 keeps
-    the value of the example."""
+    With `has_peers`, five further dispatchers hold replicas.  `remembered_ms` is the time for which workers drop
+    repeated calls; 0 keeps the value of the example."""
 
     def __init__(self, folder: Path, has_peers: bool, remembered_ms: int = 0) -> None:
         self.folder = folder
--- a/bench/deferred.py
+++ b/bench/deferred.py
@@ -1,7 +1,7 @@
 """Measures deferred calls and recovery: `python bench/deferred.py`.
 
-Compares deferred calls with and without a journal and blocking calls, then measures memory per activation and the time
-of recovery.
+Compares deferred calls with a journal, deferred calls without one, and blocking calls.  Then measures the memory per
+activation and the time of recovery.
 """
 
 from __future__ import annotations
--- a/bench/fault_injection/captured_attempts.py
+++ b/bench/fault_injection/captured_attempts.py
@@ -71,7 +71,7 @@
 
 
 class AttemptCapture:
-    """All captured attempts of a run, by request."""
+    """All captured attempts of a run, by request, and its load orders."""
 
     def __init__(self) -> None:
         self._by_request: dict[str, list[CapturedAttempt]] = collections.defaultdict(list)
@@ -86,7 +86,7 @@
         return self._by_request.get(id_, [])
 
     def listener(self, process: int, worker: int) -> DataListener:
-        """Return a listener that records the attempts on all connections of a process to a worker."""
+        """Return a listener that records the attempts and load orders on all connections of a process to a worker."""
         readers: dict[int, CommandReader] = collections.defaultdict(CommandReader)
 
         def on_data(connection: int, data: bytes, is_timed: bool) -> None:
--- a/bench/fault_injection/proxied_workers.py
+++ b/bench/fault_injection/proxied_workers.py
@@ -9,7 +9,7 @@
 
 
 class ProxiedWorkers(FakeWorkers):
-    """Fake workers that processes reach through proxies, which capture the attempts."""
+    """Fake workers that processes reach through proxies, which capture attempts and load orders."""
 
     def __init__(self, run: RunState, processes: int, capture: AttemptCapture) -> None:
         super().__init__(run)
--- a/bench/fault_injection/run_state.py
+++ b/bench/fault_injection/run_state.py
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True)
 class SentRequest:
-    """A request as its client sees it.  Times are seconds of the monotonic clock."""
+    """A request and its outcome, as its client records them.  Times are seconds of the monotonic clock."""
 
     id: str
     kind: RequestKind
--- a/bench/guard_cost.py
+++ b/bench/guard_cost.py
@@ -4,7 +4,7 @@
 
 One process runs between eight connections and the workers and endpoint list of this program; its CPU is read from the
 kernel's accounting.  The checks of one attempt (whether it may start, and the invariants of an attempt) are then timed
-alone, on objects like those in a process.  Prints both and their ratio.
+alone, on objects like those in a process.  Prints the CPU of a request, that of the checks, and the ratio.
 """
 
 from __future__ import annotations
--- a/bench/inference.py
+++ b/bench/inference.py
@@ -64,8 +64,8 @@
 def write_deployments(folder: Path) -> Deployments:
     """Write the deployment files of both gateways, and certificates."""
     keys = [sys.executable, "-m", "kelptrail", "keys"]
-    for words in (["init", str(folder)], ["issue", str(folder), "front", "--server", "--also", "127.0.0.1"]):
-        subprocess.run([*keys, *words], check=True, capture_output=True)
+    for arguments in (["init", str(folder)], ["issue", str(folder), "front", "--server", "--also", "127.0.0.1"]):
+        subprocess.run([*keys, *arguments], check=True, capture_output=True)
     files = Deployments(folder / "plain.sexp", folder / "tls.sexp", str(folder / "authority.pem"))
     files.plain.write_text(DEPLOYMENT.format(tls=""))
     files.with_tls.write_text(DEPLOYMENT.format(tls='(tls front (certificate "front.pem"))'))
--- a/bench/replication.py
+++ b/bench/replication.py
@@ -47,12 +47,12 @@
     """Return the text of a deployment of three peers with `replicas` replicas, on disk or in memory."""
     text = DEPLOYMENT.format(functions=2).replace("(effect repeatable)", f"(effect {effect})").rstrip()
     text = text.replace("(records 5000)", "(records 200000) (records-mb 2000)")
-    peers, voters = " ".join(f"(peer {name})" for name in NAMES), " ".join(NAMES)
+    peers, acceptors = " ".join(f"(peer {name})" for name in NAMES), " ".join(NAMES)
     return (
         text[:-1]
         + f"""
   (peers {peers} (beat-ms 200) (silent-ms 1500) (copies {replicas}) (copies-in {medium}))
-  (leases (voters {voters}) (length-ms 2000) (longest-ms 2000) (usage-ms 0)))
+  (leases (voters {acceptors}) (length-ms 2000) (longest-ms 2000) (usage-ms 0)))
 """
     )
 
@@ -129,10 +129,10 @@
     fixed = run_load(LOAD_CORE, primary.address, TARGET, CONNECTIONS, seconds, FIXED_RATE)
     row = {
         "calls_a_s": closed.per_s,
-        "promised": closed.statuses.get("202", 0) / closed.calls,
+        "promised": closed.statuses.get("202", 0) / closed.calls,  # share of accepted calls
         "p50_us": fixed.p50_us,
         "p99_us": fixed.p99_us,
-        "owner_us_a_call": 1e6 * cpu_s[0] / closed.calls,
+        "owner_us_a_call": 1e6 * cpu_s[0] / closed.calls,  # CPU of the primary
         "others_us_a_call": 1e6 * sum(cpu_s[1:]) / closed.calls,
     }
     if replicas:
@@ -142,7 +142,7 @@
 
 
 def measure_refill(count: int, rate: float) -> dict[str, Any]:
-    """Measure the refill after a replica is lost with its disk, while the primary gets `rate` calls a second.
+    """Measure the refill of the replica that replaces one lost with its disk, at `rate` calls a second.
 
     The primary has `count` records before the loss."""
     with tempfile.TemporaryDirectory(dir=".") as folder:
@@ -182,7 +182,7 @@
 
 
 def walk_seeds(seeds: range) -> WalkCounts:
-    """Walk the model of one journal with each seed; raise an error if a property is violated."""
+    """Run one random walk over the model of one journal for each seed; raise an error if a property is violated."""
     counts = []
     for seed in seeds:
         model = Model(seed)
@@ -199,7 +199,7 @@
 
 
 def walk_all(seeds: int, processes: int) -> dict[str, Any]:
-    """Walk `seeds` seeds on several processes."""
+    """Run `seeds` random walks on several processes."""
     start = time.monotonic()
     with ProcessPoolExecutor(processes) as pool:
         ranges = [range(first, first + SEEDS_PER_TASK) for first in range(0, seeds, SEEDS_PER_TASK)]
--- a/bench/vrrp_failover.py
+++ b/bench/vrrp_failover.py
@@ -55,7 +55,9 @@
 def holder_figures(
     deployment: Deployment, trial: FailoverTrial, events: list[dict[str, Any]], out: Path
 ) -> dict[str, Any]:
-    """Return how long each address had how many holders, by sockets and by datagrams, and plot it over time."""
+    """Plot the number of holders of each address over time; return the seconds with each number.
+
+    Holders are counted by sockets and, separately, by datagrams."""
     assert deployment.vrrp is not None
     interval_ms = deployment.vrrp.router[0].interval_cs * 10.0
     timelines: dict[str, HolderTimeline] = {}
