--- a/bench/deferred.py
+++ b/bench/deferred.py
@@ -1,7 +1,7 @@
 """Measures deferred calls and recovery: `python bench/deferred.py`.
 
-Compares deferred calls with and without a journal and blocking calls, then measures memory per activation and the time
-of recovery.
+Compares deferred calls with a journal, deferred calls without one, and blocking calls.  Then measures the memory per
+activation and the time of recovery.
 """
 
 from __future__ import annotations
@@ -36,13 +36,13 @@
 
 LOAD_CORE, CONNECTIONS = 4, 32
 TARGET = "/api/v1/namespaces/_/actions/f-0?result=true&blocking="
-WITH_JOURNAL = "deferred, with a book"
+WITH_JOURNAL = "deferred, with a book"  # the report calls the journal a book
 BODY = b'{"family":7}' * 20
 MAX_ATTEMPTS_AT_ONCE = 64
 
 
 def measure_rates(runs: int, seconds: float) -> dict[str, Any]:
-    """Measure calls a second and the latency of the 202, or of the answer, in a closed loop over 32 connections."""
+    """Measure calls a second and the latency of the response (the 202 of a deferred call) in a closed loop."""
     with tempfile.TemporaryDirectory(dir=".") as name:
         folder = Path(name)
         deployment = folder / "bench.sexp"
@@ -75,7 +75,7 @@
 
 
 def commit_rates(before: dict[str, Any], after: dict[str, Any], seconds: float) -> dict[str, float]:
-    """Return entries per commit and commits a second between two readings of the counters."""
+    """Return the entries per commit and the commits per second between two readings of the counters."""
     commits = after["commits"] - before["commits"]
     return {
         "entries_a_sync": (after["entries"] - before["entries"]) / max(1, commits),
@@ -93,7 +93,7 @@
     """Measure in this process the memory of `count` activations in flight, without their connections."""
     settings = DEPLOYMENT.format(functions=2).replace("(records 5000)", "(records 1000000) (held 1000000)")
     deployment = parse(settings, "bench")
-    gateway = Gateway(DispatcherParts(deployment, "hall", 1), "b" * 16, GroupCommit())
+    gateway = Gateway(DispatcherParts(deployment, zone="hall", seed=1), "b" * 16, GroupCommit())
     action = deployment.actions["f-0"]
     gc.collect()
     before = own_memory()
@@ -132,7 +132,7 @@
         write_journal(file, count, wall_ms)
         start = time.monotonic()
         journal, _ = open_journal(file)
-        gateway = Gateway(DispatcherParts(deployment, "hall", 1), "b" * 16, GroupCommit())
+        gateway = Gateway(DispatcherParts(deployment, zone="hall", seed=1), "b" * 16, GroupCommit())
         counts = gateway.recover(0.0, wall_ms, journal.activations(), 200.0, MAX_ATTEMPTS_AT_ONCE)
         took_s = time.monotonic() - start
         size = file.stat().st_size
--- a/bench/platform_fuzz.py
+++ b/bench/platform_fuzz.py
@@ -42,7 +42,7 @@
 
 
 class ProcessEvent(StrEnum):
-    """What happens to a process: a reload, a reload of a half-written configuration, or an end and a new start."""
+    """What happens to a process: a reload, a reload of a half-written configuration, or a restart after a signal."""
 
     RELOAD = "HUP"
     RELOAD_HALF_WRITTEN = "half"
@@ -61,14 +61,16 @@
 
 
 class FuzzRun:
-    """One run of one seed."""
+    """The run of one seed."""
 
     def __init__(self, seed: int, seconds: float, folder: Path, processes: int) -> None:
         self.state = RunState(seed, folder)
         self.event_counts: collections.Counter[str] = collections.Counter()
         self._seconds = seconds
         self._workers = FakeWorkers(self.state)
-        self._list = EndpointList(self.state, lambda worker: self._workers.ports[worker], stalls_after_torn_event=True)
+        self._list = EndpointList(
+            self.state, lambda worker: self._workers.ports[worker], stalls_after_truncated_event=True
+        )
         hosts = [f"127.0.{7 + seed % 200}.{n + 1}" for n in range(processes)]
         self._processes = PlatformProcesses(self.state, hosts, [self._list] * processes, settings())
         self._clients = Clients(self.state, self._processes, LIMITS_MS, MAX_CLIENT_PAUSE_S)
