--- a/bench/crash_points.py
+++ b/bench/crash_points.py
@@ -1,5 +1,8 @@
 """Crash tests of a dispatcher: one case for each step of a call, effect of the action and way of calling.
 
+The ways are a deferred call without an idempotency key and a blocking call with one.  With `--lost`, they are deferred
+calls with and without a key; with `--paused`, there is only the deferred call with a key.
+
 `python bench/crash_points.py` starts real processes.  A dispatcher kills itself at the step, is started again from its
 journal and polled for the outcome of the call.  With `--lost`, it loses its disk, too, and is not started again; five
 other dispatchers hold replicas, and one of them is polled, by id and by a repeat under the key.  With `--paused`, it
--- a/bench/fault_injection/drain_check.py
+++ b/bench/fault_injection/drain_check.py
@@ -11,7 +11,8 @@
 from fault_injection.run_state import TimeInterval
 from fault_injection.settings import BUSY_MACHINE_SLACK_S, DRAIN_GRACE_S
 
-# A process whose list is unavailable counts as notified of a drain this long after the start of the outage.
+# By the protocol, a process whose list is unavailable counts as notified of a drain at the latest this long after the
+# start of the outage.
 MAX_NOTIFICATION_DELAY_S = 4.0
 # Allowed delay of an event: the list may truncate it at first, or the process may change to the list's other address.
 EVENT_DELAY_S = 1.0
--- a/kelptrail/dispatch/queues.py
+++ b/kelptrail/dispatch/queues.py
@@ -30,8 +30,9 @@
         self._last_delayed: Function | None = None
 
     def observe_worker_delay(self, function: Function, delayed: bool) -> None:
-        """Record whether an attempt was late or refused for lack of capacity, which shows queueing at the
-        workers.  Successive delays of the same function count once, even with attempts in time between them.
+        """Record whether an attempt was late or refused for lack of capacity.  Either shows queueing at the
+        workers, which counts like queueing in the dispatcher's own queues.  Successive delays of the same
+        function count once, even with attempts in time between them.
         """
         if not delayed:
             self._admitted_share = min(1.0, self._admitted_share + ADMIT_MORE_STEP)
--- a/kelptrail/dispatch/safety.py
+++ b/kelptrail/dispatch/safety.py
@@ -186,7 +186,8 @@
 
 def _deduplicates_retry(request: Request, worker: Worker) -> bool:
     """Return whether the worker drops a repeat of the first attempt that may have run.  This is not certain
-    if it may have restarted without a report of the endpoint list, or is in another deduplication scope.
+    if it may have restarted without a report of the endpoint list, as it may then have forgotten the first
+    attempt, or if it is in another deduplication scope.
     """
     first = next((attempt for attempt in request.attempts if attempt.may_have_run), None)
     if first is None:
--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -236,12 +236,12 @@
         await http_json(self.channel_proxy.ready_info["address"], "POST", "/", body)
 
     def signal(self, child: Process, number: signal.Signals) -> None:
-        """Send a signal to a child process if it is running."""
+        """Send a signal to a process that this cluster started, and never to any other, if it is running."""
         if child.running and child.process is not None:
             child.process.send_signal(number)
 
     def kill(self, child: Process) -> None:
-        """Send SIGKILL to a child process if it is running."""
+        """Send SIGKILL to a process that this cluster started, and never to any other, if it is running."""
         child.stop_requested = True
         if child.running and child.process is not None:
             child.process.kill()
--- a/kelptrail/engine/invariants.py
+++ b/kelptrail/engine/invariants.py
@@ -27,7 +27,7 @@
 
 CLIENT_GONE_SLACK_MS = 100.0  # time after its client disconnected within which an attempt may still start
 LIMIT_SLACK_MS = 150.0  # a worker's time limit may exceed the time left until the client's deadline by this
-START_SLACK_MS = 50.0  # a start is a violation only if it exceeds its time limit by more than this
+START_SLACK_MS = 50.0  # on sockets the rules extend the time limits of starts by this; a later start is a violation
 
 
 class Violation(Enum):
--- a/kelptrail/gateway/overload.py
+++ b/kelptrail/gateway/overload.py
@@ -111,7 +111,8 @@
         window = self._settings.window_ms
         if now < self._window_start + window:
             return
-        if now > self._window_start + MAX_CATCH_UP_WINDOWS * window:  # a long time without input is skipped
+        # A long time without input is skipped, as nothing is known of it.
+        if now > self._window_start + MAX_CATCH_UP_WINDOWS * window:
             self._window_start = now - window
         while now >= self._window_start + window:
             self._window_start += window
--- a/kelptrail/replication/model.py
+++ b/kelptrail/replication/model.py
@@ -264,7 +264,8 @@
                 self.in_transit.append((sender, to, message))
                 continue
             if not to:
-                # A note goes to several acceptors, so it may be delayed, but is not lost or duplicated.
+                # A real note goes to several acceptors and is lost only with its sender.  The model may delay a note,
+                # but does not lose or duplicate it.
                 self._on_in_sync_stored(sender, *message)
                 continue
             if draw < self.faults.delayed + self.faults.lost:
--- a/tests/outage_fixture.py
+++ b/tests/outage_fixture.py
@@ -200,7 +200,7 @@
     worker_count: int = 4
     requests_per_s: float = 120.0
     answers: WorkerAnswers = WorkerAnswers.AS_DOCUMENTED
-    preloaded: bool = False  # every function is already loaded at every worker
+    preloaded: bool = False  # every function is already loaded at every worker, as if other dispatchers had ordered it
     bounds: dict[str, Any] = field(default_factory=dict)
     specifics: dict[str, Any] = field(default_factory=dict)
     service: EndpointService = field(default_factory=EndpointService)
--- a/tests/test_endpoint_list_outage.py
+++ b/tests/test_endpoint_list_outage.py
@@ -1,10 +1,13 @@
 """Workers that drain while the endpoint list is unreachable: a dispatcher process with a list and workers of its own.
 
 Guards against the incident of 2026-12-02: while the endpoint list was silent, dispatchers sent attempts and load orders
-to two draining workers long after the drains counted as notified and their grace period had ended; the workers rejected
-all of them.  A worker stayed `live` until an event arrived, and the age of the list was not limited.  In addition, the
-rejections of one worker were treated as an overload of all workers, so that requests were refused while other workers
-were idle.
+to two workers that were draining but still running, long after the drains counted as notified and their grace period
+had ended; the workers rejected all of them.  A worker stayed `live` until an event arrived, and the age of the list was
+not limited.  In addition, the rejections of one worker were treated as an overload of all workers, so that requests
+were refused while other workers were idle.
+
+The logs of the incident show the cause: they stay at one event number without a change of any worker's state.
+Before the repair, the same silence with a drain reproduced the fault in these tests on every run.
 """
 
 from __future__ import annotations
