--- a/kelptrail/dispatch/attempt_results.py
+++ b/kelptrail/dispatch/attempt_results.py
@@ -11,11 +11,12 @@
 from .worker_delays import WorkerDelays
 
 MIN_CONCURRENCY_LIMIT = 2.0  # a worker is always allowed two attempts at once
-# A completed attempt that congestion delayed multiplies the concurrency limit by this factor.  So does a
-# refused one if attempts of other dispatchers were in flight.  Any other completed attempt adds 1 / limit if
-# at least about half of the limit is in use, so that as many attempts as the limit allows at once add one.
+# A completed attempt that took longer than half of its latency objective, probably because of congestion,
+# multiplies the concurrency limit by this factor.  So does a refused one if attempts of other dispatchers
+# were in flight.  Any other completed attempt adds 1 / limit if at least about half of the limit is in use,
+# so that as many attempts as the limit allows at once add one.
 CONCURRENCY_DECREASE = 0.9
-# A delay counts as a sign of an overloaded fleet only if the worker's mean number of attempts in flight is
+# Attempts show whether the fleet is overloaded only at workers whose mean number of attempts in flight is
 # lower than this.  At busier workers the lower concurrency limit is the reaction to delays.
 MAX_IDLE_IN_FLIGHT = 0.3
 
@@ -95,9 +96,9 @@
         self._state.runnable[function] = None
 
     def on_connection_lost(self, now: float, worker: Worker) -> None:
-        """Record that a connection to the worker was refused, or was lost with an attempt or probe in flight.
-        If the endpoint list may be unreachable, the worker may have restarted without a report; it then
-        counts as having no loaded instance.
+        """Record that a connection to the worker could not be established, or was lost with an attempt or
+        probe in flight.  If the endpoint list may be unreachable, the worker may have restarted without a
+        report; it then counts as having no loaded instance.
         """
         if self._safety.readiness.on_connection_lost(now, worker):
             for instance in worker.instances.values():
@@ -106,8 +107,8 @@
     def _observe_health(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
         """Count the outcome as a success or a failure of the worker.  A lost connection counts as a failure,
         although the network may be at fault.  A failed load does not, and neither does an error of a function
-        that has never run: it counts against the function, so that calls of a function that works nowhere do
-        not eject workers.
+        that no worker has run or loaded yet: that error counts against the function, so that calls of a
+        function that works nowhere do not eject workers.
         """
         status, function, worker = result.status, attempt.instance.function, attempt.instance.worker
         connection_lost = status in CONNECTION_FAILURES
@@ -123,8 +124,8 @@
             self._state.decisions.append(LogMessage(message))
 
     def _on_completed(self, now: float, attempt: Attempt, warm: bool | None) -> float:
-        """Update latencies and the concurrency limit.  Return the latency; for a streamed response, this is
-        the time until its first part.
+        """Update the latencies, the retry budget and the concurrency limit.  Return the latency in ms; for a
+        streamed response, this is the time until its first part.
         """
         request, instance = attempt.request, attempt.instance
         worker = instance.worker
@@ -148,7 +149,7 @@
 
     def _on_refused(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
         """Record that the worker did not run the attempt.  If no attempts of other dispatchers for the
-        function are in flight there, the function has no loaded instance at the worker.
+        function are in flight there, the function counts as having no loaded instance at the worker.
         """
         instance, worker = attempt.instance, attempt.instance.worker
         worker.concurrency_limit = max(
--- a/kelptrail/dispatch/dispatcher.py
+++ b/kelptrail/dispatch/dispatcher.py
@@ -1,9 +1,9 @@
 """Combines all decisions of kelptrail in one `Dispatcher`.
 
 Build the components and a `Dispatcher` from them, pass it each event (`on_request`, `on_attempt_finished`,
-`on_load_report`, `on_probe_finished`, `on_client_gone`, `on_endpoints`, `on_list_confirmed`, `on_tick`), then
-call `decide(now)` until it returns None.  The entities are in `entities.py`, due times in `timer_queue.py`;
-`kelptrail/engine` and the gateway embed it; the design is in `docs/design.md`.  Times are milliseconds.
+`on_load_report` and the other `on_...` methods), then call `decide(now)` until it returns None.  The entities
+are in `entities.py`, due times in `timer_queue.py`.  `kelptrail/engine` and the gateway embed a dispatcher;
+the design is in `docs/design.md`.  Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
         self.questions.on_request()
         function, known = request.function, self._state.known_functions
         function.last_request_at, function.load_ms = now, function.load_ms or DEFAULT_LOAD_MS
-        # Moves the function to the end, so that the first one is the least recently used.
+        # Moves the function to the end, so that the first one is the least recently requested.
         known[function] = known.pop(function, None)
         function.arrivals.append(request)
         self._state.runnable[function] = None
@@ -90,8 +90,8 @@
         self._lifecycle.cancel_attempts(request)
 
     def on_response_started(self, now: float, attempt: Attempt, deadline: float) -> None:
-        """Record that the first part of a streamed response arrived.  From now on only this attempt can
-        complete the request, whatever its idempotency; it has until `deadline`.
+        """Record that the first part of a streamed response arrived, and cancel the request's other attempts.
+        From now on only this attempt can complete the request, until `deadline`, whatever the idempotency.
         """
         request = attempt.request
         if request.final_status or request.streaming_attempt or attempt.status:
@@ -137,7 +137,9 @@
         self.questions.on_probe_finished(now, probe, status, loaded_count)
 
     def on_endpoints(self, now: float, workers: list[Worker], restarted: Iterable[Worker]) -> None:
-        """Apply a changed endpoint list; `restarted` are workers with a new process under their id."""
+        """Apply a changed endpoint list.  `restarted` are workers with a new process under their id: the
+        failures and loaded instances of the previous process no longer count.
+        """
         state = self._state
         for worker in restarted:
             worker.outlier_state, worker.outlier_state_by_class = OutlierState(), defaultdict(OutlierState)
@@ -160,8 +162,8 @@
         self._planned.replace_plan(plan)
 
     def on_tick(self, now: float) -> Function | None:
-        """Do the periodic work, every `tick_ms`.  Return a function that the caller must remove, if there is
-        one.
+        """Do the periodic work of one tick, which is due every `tick_ms`.  Return a function that the caller
+        must remove, or None.
         """
         self._planned.start_loads(now)
         self._second_attempts.check_workers(now)
--- a/kelptrail/dispatch/entities.py
+++ b/kelptrail/dispatch/entities.py
@@ -40,8 +40,8 @@
     """The one final answer to a request."""
 
     COMPLETED = "completed"
-    REJECTED = "rejected"  # no effect: a client may retry it safely
-    FAILED = "aborted"  # it may have been executed
+    REJECTED = "rejected"  # a retry by the client is safe: it cannot have a second effect
+    FAILED = "aborted"  # a retry by the client could have a second effect, or a response has begun
     CLIENT_GONE = "left"  # the client no longer waits for an answer
 
 
@@ -99,7 +99,9 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Tenant:
-    """A tenant of the fleet; requests beyond `quota_per_s`, over all dispatchers, have a low priority."""
+    """A tenant of the fleet, with a quota over all dispatchers.  Each dispatcher compares the tenant's share
+    of the recent requests with its share of all quotas; requests beyond that have a low priority.
+    """
 
     name: str
     quota_per_s: float
@@ -112,7 +114,7 @@
 
     failure_rate: float = 0.0  # share of failures among recent responses
     ejected_until: float = 0.0
-    ejection_ms: float = 0.0
+    ejection_ms: float = 0.0  # duration of the latest ejection; 0 after a recovery
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -187,11 +189,12 @@
     load_ms: float = 0.0  # usual duration of a load; 0: unknown
     arrivals: deque[Request] = field(default_factory=deque)  # requests received and not yet admitted
     queue: deque[Request] = field(default_factory=deque)
-    # Requests past their latency objective, served last.
+    # Requests that would probably miss their latency objective, served last.
     late_queue: deque[Request] = field(default_factory=deque)
     instances: dict[Worker, Instance] = field(default_factory=dict)
     instance_limit: int = 0
     target_worker_count: float = 1.0  # the number of preferred workers that share its load
+    # Start time of the queue, or the later time at which `instance_limit` was last raised.
     queued_since: float | None = None
     ranked_workers: list[Worker] | None = None  # the worker list that `preferred_workers` was computed from
     preferred_workers: list[Worker] = field(default_factory=list)  # workers in order of preference
@@ -311,7 +314,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class ReadinessQuestion:
-    """A query whether a worker accepts new work.  It starts no work; its probes are sent together."""
+    """A query to a worker whether it accepts new work.  It starts no work; its probes are sent together."""
 
     instance: Instance  # the queried worker, and the function that needs it
     asked_at: float
--- a/kelptrail/dispatch/instance_table.py
+++ b/kelptrail/dispatch/instance_table.py
@@ -51,8 +51,8 @@
         instance.loaded, instance.idle_since = count, now
 
     def needs_renewal(self, now: float, instance: Instance) -> bool:
-        """Return whether to renew the instance now, and set the timer for the next check.  An instance past
-        its keep-alive time counts as not loaded, and is removed if nothing uses it.
+        """Return whether to renew the instance now; set the timer for its next check while it is loaded.  An
+        instance past its keep-alive time counts as not loaded, and is removed if nothing uses it.
         """
         if instance.function.instances.get(instance.worker) is not instance:
             return False
--- a/kelptrail/dispatch/load_results.py
+++ b/kelptrail/dispatch/load_results.py
@@ -20,8 +20,8 @@
 
     def on_load_report(self, now: float, order: LoadOrder, status: AttemptStatus, loaded_count: int) -> None:
         """Record the result of a load order; `loaded_count` instances are now loaded at its worker.  A worker
-        out of capacity gets no other order for one load time, which prevents a burst of orders to workers
-        without capacity.
+        out of capacity ranks behind others with a similar load for one load time, which prevents a burst of
+        orders to workers without capacity.
         """
         instance, order.instance.load_order = order.instance, None
         instance.worker.pending_loads -= 1
@@ -32,7 +32,8 @@
         if status in (AttemptStatus.COMPLETED, AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.ERROR):
             self._instances.set_loaded(now, instance, loaded_count)
         else:
-            # The worker did not answer.  Instances that were recorded as loaded still count as loaded.
+            # The worker did not answer, which counts as a lost connection.  Instances that were recorded as
+            # loaded still count as loaded.
             self._outliers.record(now, instance.worker.outlier_state, True, True)
         if not loaded_count and status not in (AttemptStatus.CONNECTION_LOST, AttemptStatus.NOT_SENT):
             instance.unavailable_until = now + instance.function.load_ms
@@ -54,9 +55,9 @@
             function.load_ms += LOAD_TIME_WEIGHT * (duration_ms - function.load_ms)
 
     def on_load_failed(self, now: float, function: Function) -> None:
-        """Record a failed load or attempt of a function that was never loaded.  Its requests no longer count
-        for the load ration; after a second failure those without an attempt in flight end at once.  Guards
-        against calls of functions that do not exist.
+        """Record a failed load or attempt of a function that was never loaded.  Its waiting requests no
+        longer count for the load ration; after a second failure those without an attempt in flight end at
+        once.  This guards against calls of functions that do not exist.
         """
         function.failed_loads += 1
         for request in [*function.arrivals, *function.queue, *function.late_queue]:
--- a/kelptrail/dispatch/outlier_detection.py
+++ b/kelptrail/dispatch/outlier_detection.py
@@ -7,10 +7,12 @@
 GAP_WEIGHT = 0.05  # weight of one response in the moving averages of a worker's response gaps
 # Weight of one response in the failure rate.  From 0, two failures in a row exceed a rate of 0.3, four 0.5.
 FAILURE_WEIGHT = 0.2
-EJECTION_FAILURE_RATE = 0.3  # a worker is ejected above this rate; its ejections end after a success below it
+# A worker is ejected above this failure rate, and has recovered after a success at a rate below it.
+EJECTION_FAILURE_RATE = 0.3
 # Failure rate above which a lost connection ejects; it is higher because the network may be at fault.
 LOST_CONNECTION_FAILURE_RATE = 0.5
-# If another request class has a higher failure rate than this, a failure counts against the worker in all.
+# If another request class has a higher failure rate than this, a failure counts against the worker in all
+# classes.
 OTHER_CLASS_FAILURE_RATE = 0.1
 LATE_FACTOR = 4  # an attempt is late after this multiple of its usual latency
 LOST_FACTOR = 8  # after this multiple an attempt counts as lost, although the worker answers others
@@ -59,7 +61,8 @@
     ) -> bool:
         """Record a response or a lost connection; return whether it ejects the worker.  Without ejection a
         worker that fails fast would appear to be the least loaded.  A worker that fails one request class and
-        serves the others is ejected for that class only; it is ejected for all if a second class fails.
+        serves the others is ejected for that class only; it is ejected for all if a second class fails or its
+        connections are lost.
         """
         gap, worker.silent_since = now - worker.silent_since, now
         worker.response_gap_deviation += (
@@ -95,7 +98,9 @@
         return failed and state.failure_rate > limit and self.eject(now, state)
 
     def eject(self, now: float, state: OutlierState) -> bool:
-        """Eject for the initial time, or for twice the previous time; return False if already ejected."""
+        """Eject for the initial time, or for twice the previous time up to the maximum.  Return False if
+        already ejected.
+        """
         if now < state.ejected_until:
             return False
         state.ejection_ms = min(self._max_ejection_ms, max(self._ejection_ms, 2 * state.ejection_ms))
--- a/kelptrail/dispatch/placement.py
+++ b/kelptrail/dispatch/placement.py
@@ -109,7 +109,7 @@
     def _find_slot(
         self, now: float, request: Request, late: bool, may_attempt: Callable[[float, Request, Worker], bool]
     ) -> Instance | None:
-        in_use = {attempt.instance.worker for attempt in request.attempts if attempt.status is None}
+        busy_workers = {attempt.instance.worker for attempt in request.attempts if attempt.status is None}
         best, best_load, limit_share = None, 0.0, LATE_LIMIT_SHARE if late else 1.0
         request_class = request.request_class
         for instance in request.function.instances.values():
@@ -120,7 +120,7 @@
             ):
                 continue
             if (
-                worker in in_use
+                worker in busy_workers
                 or now < instance.unavailable_until
                 or not may_attempt(now, request, worker)
                 or not self._outliers.usable(now, worker, request_class, request_class.idempotency)
--- a/kelptrail/dispatch/queue_service.py
+++ b/kelptrail/dispatch/queue_service.py
@@ -23,7 +23,7 @@
 class Supply(NamedTuple):
     """Capacity of the instances of a function, now and after the loads in progress."""
 
-    slots: int  # concurrency slots that this dispatcher may use
+    slots: int  # concurrency slots that are free or used by this dispatcher
     loading_slots: int  # slots of instances that are being loaded
     instance_count: int  # instances that are usable or being loaded
     worker_count: int  # workers with an instance loaded or being loaded
@@ -81,13 +81,13 @@
 
     def _supply(self, now: float, function: Function) -> Supply:
         """Count the slots, instances and workers of the function.  Slots and loaded instances do not count at
-        workers that are ejected or suspect or whose slow-start budget is used up.
+        a worker that is suspect, has not recovered from an ejection, or has used up its slow-start budget.
         """
         slots = loading_slots = instance_count = worker_count = 0
         concurrency, request_class = function.concurrency, function.request_class
         for instance in function.instances.values():
             worker, order = instance.worker, instance.load_order
-            loading = max(0, order.count - instance.loaded) if order else 0
+            loading_count = max(0, order.count - instance.loaded) if order else 0
             usable = not (
                 worker.outlier_state.ejection_ms
                 or worker.outlier_state_by_class[request_class].ejection_ms
@@ -97,9 +97,9 @@
             free = max(0, int(worker.concurrency_limit) - len(worker.attempts))
             slots += min(instance.loaded * concurrency, instance.in_flight + free) * usable
             if usable and order and now - order.placed_at < LOAD_TIMEOUT_FACTOR * function.load_ms:
-                loading_slots += loading * concurrency
-            instance_count += instance.loaded * usable + loading
-            worker_count += instance.loaded + loading > 0
+                loading_slots += loading_count * concurrency
+            instance_count += instance.loaded * usable + loading_count
+            worker_count += instance.loaded + loading_count > 0
         return Supply(slots, loading_slots, instance_count, worker_count)
 
     def _admit(self, now: float, function: Function, slots: int) -> Request | None:
@@ -175,10 +175,10 @@
         instance = self._placement.find_unproven_slot(now, request, late)
         return None if instance is None else self._questions.create(now, request.function, instance.worker)
 
-    def _add_instance(self, now: float, function: Function, count: int) -> Decision | None:
+    def _add_instance(self, now: float, function: Function, instance_count: int) -> Decision | None:
         """Load another instance, or send an attempt to find out whether one is already loaded.  Return a
-        readiness question instead if the readiness of the worker is not known.  The function has `count`
-        instances.
+        readiness question instead if the readiness of the worker is not known.  `instance_count` is the
+        number of instances that are usable or being loaded.
         """
         choice = self._planned.planned_worker(now, function) or self._placement.choose_worker(
             now, function, self._state.workers
@@ -187,7 +187,7 @@
             if self._safety.readiness.list_is_stale(now):
                 self._questions.hold_queue(function)
             return None
-        if count >= self._queues.instance_limit(now, function, choice.below_mean_load):
+        if instance_count >= self._queues.instance_limit(now, function, choice.below_mean_load):
             return None
         if not self._safety.readiness.is_known(now, choice.worker):
             return self._questions.create(now, function, choice.worker)
@@ -217,8 +217,10 @@
         if now < instance.not_loaded_at + function.load_ms:
             instance.unavailable_until = instance.not_loaded_at + function.load_ms
         elif may_be_loaded:
-            unavailable = sum(now < other.unavailable_until for other in function.instances.values())
-            if unavailable < function.target_worker_count and (attempt := self._trial_attempt(now, instance)):
+            unavailable_count = sum(now < other.unavailable_until for other in function.instances.values())
+            if unavailable_count < function.target_worker_count and (
+                attempt := self._trial_attempt(now, instance)
+            ):
                 return attempt
         if not instance.loaded and not instance.in_flight and now >= instance.unavailable_until:
             self._instances.remove(instance)
--- a/kelptrail/dispatch/readiness.py
+++ b/kelptrail/dispatch/readiness.py
@@ -3,8 +3,8 @@
 The endpoint list reports which workers drain.  A change of the list counts as notified a fixed time after the
 list was last confirmed, whether its source is reachable or not.  After that time and the grace time for new
 work, only the worker itself can prove that it does not drain.  The proof is an answer that a draining worker
-would not have given; it is dated from the time its question was sent.  Times are milliseconds.  Source: the
-platform's protocol pages, rule on draining workers.
+would not have given; it is dated from the time at which the answered item was sent.  Times are milliseconds.
+Source: the platform's protocol pages, rule on draining workers.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 
     @property
     def proof_lifetime_ms(self) -> float:
-        """The time for which a proof of readiness is valid, counted from its question."""
+        """The time for which a proof of readiness is valid, counted from the sending of the answered item."""
         return self._limits.drain_grace_ms
 
     @property
@@ -118,9 +118,9 @@
         return True
 
     def on_connection_lost(self, now: float, worker: Worker) -> bool:
-        """Record that a connection to the worker was refused, or was lost with an attempt or probe in flight.
-        Return whether the worker may have restarted without a report of the list; it then counts as started
-        now, and has to prove its readiness again.
+        """Record that a connection to the worker could not be established, or was lost with an attempt or
+        probe in flight.  Return whether the worker may have restarted without a report of the list; it then
+        counts as started now, and has to prove its readiness again.
         """
         if (
             self._notified_at == NEVER
--- a/kelptrail/dispatch/readiness_questions.py
+++ b/kelptrail/dispatch/readiness_questions.py
@@ -19,7 +19,7 @@
 CREDIT_PER_TICK = 0.1
 MAX_CREDIT = 8.0  # limits the burst of questions from credit that was added before an outage
 UNPROVEN_PAUSE_MS = 1_000.0  # minimum time until a worker that did not prove its readiness is queried again
-# A worker ignores health checks if the check is unanswered this long after the answer to the load query.
+# A worker counts as ignoring a health check that is unanswered this long after the answer to the load query.
 IGNORED_CHECK_MS = 50.0
 HEALTH_CHECK_ANSWERS = (AttemptStatus.COMPLETED, AttemptStatus.OUT_OF_CAPACITY)
 
--- a/kelptrail/dispatch/request_lifecycle.py
+++ b/kelptrail/dispatch/request_lifecycle.py
@@ -23,7 +23,7 @@
     def start_load(
         self, now: float, instance: Instance, count: int, reserve: float = 0.0
     ) -> LoadOrder | None:
-        """Order `count` instances if the load ration, reduced by the share `reserve`, allows it."""
+        """Order `count` instances if the rules and the load ration less the share `reserve` allow it."""
         instance.load_order = self._safety.start_load(now, instance, count, reserve)
         instance.worker.pending_loads += instance.load_order is not None
         return instance.load_order
--- a/kelptrail/dispatch/safety.py
+++ b/kelptrail/dispatch/safety.py
@@ -47,7 +47,7 @@
 
 
 class SafetyGuard(SlowStart):
-    """Enforces the five rules: every attempt, load order and final answer is created here."""
+    """Enforces the five rules: creates all attempts, load orders and final answers without a result."""
 
     def __init__(
         self,
@@ -161,7 +161,7 @@
 
     def uncount_request(self, request: Request) -> None:
         """Remove the request from those that the load ration counts.  This applies to calls that cause no
-        work: they were cancelled before the first attempt, or their function cannot be loaded anywhere.
+        work: they were cancelled before the first attempt, or their function failed and was never loaded.
         """
         with suppress(ValueError):
             self.request_times.remove(request.received_at)
--- a/kelptrail/dispatch/shutdown.py
+++ b/kelptrail/dispatch/shutdown.py
@@ -30,7 +30,9 @@
 
 
 def plan_shutdown(now: float, longest_ms: float, arrivals_ms: float = ARRIVALS_MS) -> ShutdownPlan:
-    """Return the steps of a shutdown requested now.  `longest_ms` is the longest timeout of a request."""
+    """Return the times of the steps of a shutdown requested at `now`.  `longest_ms` is the longest timeout
+    of a request.
+    """
     listener_closes_at = now + arrivals_ms
     finish_by = listener_closes_at + min(longest_ms, MAX_DEADLINE_WAIT_MS) - MARGIN_MS
     return ShutdownPlan(
--- a/kelptrail/dispatch/worker_delays.py
+++ b/kelptrail/dispatch/worker_delays.py
@@ -9,11 +9,11 @@
 
 from .entities import Worker
 
-DELAY_WEIGHT = 0.2  # weight of one attempt in the moving average of a worker's delayed attempts
+DELAY_WEIGHT = 0.2  # weight of one attempt in the moving average `delayed_share`
 MAX_AGE_MS = 10_000.0  # a worker without an attempt for this time no longer counts
-# An outlier delays more than this share of its attempts.  Three delays in a row exceed it.
+# An outlier delays or refuses more than this share of its attempts.  Three delays in a row exceed it.
 OUTLIER_SHARE = 0.4
-OTHERS_SHARE = 0.1  # no worker is an outlier if the others delay on average more than this share
+OTHERS_SHARE = 0.1  # no worker is an outlier if the others on average exceed this share
 
 
 @dataclass(slots=True)
@@ -23,14 +23,14 @@
 
 
 class WorkerDelays:
-    """The share of delayed attempts of each worker."""
+    """The share of delayed or refused attempts of each worker."""
 
     def __init__(self) -> None:
         self._by_worker: dict[Worker, _DelayRecord] = {}  # least recently recorded first
         self._sum = 0.0  # sum of all shares
 
     def observe(self, now: float, worker: Worker, delayed: bool) -> None:
-        """Record whether one attempt at the worker was delayed."""
+        """Record whether one attempt at the worker was delayed or refused."""
         self._remove_old(now)
         record = self._by_worker.pop(worker, None) or _DelayRecord(0.0, now)
         self._sum -= record.delayed_share
@@ -40,7 +40,7 @@
         self._by_worker[worker] = record
 
     def is_outlier(self, now: float, worker: Worker) -> bool:
-        """Return whether the worker delays many of its attempts, and the others hardly any of theirs."""
+        """Return whether the worker delays or refuses many attempts, and the other workers hardly any."""
         self._remove_old(now)
         record = self._by_worker.get(worker)
         others = len(self._by_worker) - 1
