--- a/kelptrail/engine/engine.py
+++ b/kelptrail/engine/engine.py
@@ -197,7 +197,7 @@
         return self._dispatcher.may_start(now, item)
 
     def on_tick(self, now: float) -> None:
-        """Do the periodic work, every `tick_ms`."""
+        """Do the periodic work of one tick, which is due every `tick_ms`."""
         if (unused := self._dispatcher.on_tick(now)) is not None:
             del self.functions[unused.id]
 
--- a/kelptrail/engine/events.py
+++ b/kelptrail/engine/events.py
@@ -18,5 +18,5 @@
     timeout_ms: float  # time within which the request gets its final answer
     memory_mb: float  # memory of one instance of the function
     concurrency: int  # number of slots of one instance
-    load_ms: float | None
-    work_ms: float | None
+    load_ms: float | None  # usual duration of a load of the function
+    work_ms: float | None  # estimated work of the request
--- a/kelptrail/engine/invariants.py
+++ b/kelptrail/engine/invariants.py
@@ -1,4 +1,4 @@
-"""Checks invariants of every decision at run time, just before an attempt or an answer is sent.
+"""Checks invariants at run time, just before an attempt, a load order or an answer is sent.
 
 The checks are independent of the code that decides: each compares the item that is about to be sent with earlier
 events.  A violation is counted by its name and logged with its request.  It raises nothing and changes no behaviour.
@@ -25,7 +25,7 @@
     Worker,
 )
 
-CLIENT_GONE_SLACK_MS = 100.0  # time after its client disconnected within which an attempt may still start
+CLIENT_GONE_SLACK_MS = 100.0  # time after a client cancelled or disconnected in which an attempt may still start
 LIMIT_SLACK_MS = 150.0  # a worker's time limit may exceed the time left until the client's deadline by this
 START_SLACK_MS = 50.0  # a start is a violation only if it exceeds its time limit by more than this
 
@@ -78,7 +78,7 @@
         self._list_confirmed_at = now - self._drain_timing.notification_ms
 
     def on_list_confirmed(self, now: float) -> None:
-        """Record that a complete event of the endpoint list was read."""
+        """Record that the endpoint list was confirmed as complete."""
         self._list_confirmed_at = now
 
     def forget_worker(self, worker: str) -> None:
--- a/kelptrail/platform/client_connection.py
+++ b/kelptrail/platform/client_connection.py
@@ -13,7 +13,7 @@
 from kelptrail.net.transport import IdleState
 
 MAX_UNREAD_BYTES = 1 << 20  # limit of the bytes that wait for a client to read them; beyond it the connection is closed
-READ_STALL_MS = 1_000.0  # no connection is kept open for a client that has read nothing for this long
+READ_STALL_MS = 1_000.0  # unread output no longer keeps a connection open if the client reads nothing for this long
 
 
 class ClientRequest:
@@ -65,7 +65,7 @@
     def __init__(self, handler: FrameHandler, sock: socket.socket) -> None:
         self._handler, self.reader = handler, FrameReader()
         self.open_requests: dict[int, ClientRequest] = {}  # by stream
-        # `idle_since`: time of the connect or of the end of the last open request.
+        # `idle_since`: time of the connect, the first complete frame, or the latest end or refusal of a request.
         self.idle_since = self.last_received_at = handler.time()
         self.partial_frame_since: float | None = None
         self.is_overflow = False  # True for a connection accepted over the connection limit
--- a/kelptrail/platform/decision_executor.py
+++ b/kelptrail/platform/decision_executor.py
@@ -62,7 +62,8 @@
         # Due times of open items: the latest start of an attempt, the deadline of an attempt whose request has been
         # answered, and the timeout of a load or probe.
         self.timeouts = TimerQueue()
-        # Number of attempts, loads and probes that ended since the last state line, by status.
+        # Number of attempts, loads and probes that ended since the last state line, by status.  Those that this
+        # executor cancelled are not counted.
         self.status_counts: Counter[str] = Counter()
 
     # Events of the clients.
@@ -82,7 +83,7 @@
             self._schedule_decisions()
 
     def is_open(self, request_id: str) -> bool:
-        """Return whether the engine has an unfinished request with this id."""
+        """Return whether the engine has a request with this id that is unanswered or has an attempt in flight."""
         return request_id in self._engine.requests
 
     # Events of the workers.
@@ -129,7 +130,10 @@
             self._cancel_unsent_attempts(request, CancelReason.FINISHED)
 
     def _load_values(self, answer: WorkerAnswer) -> list[float] | None:
-        """Return the metrics of an answer in the order of the settings; `cpu` replaces a missing `util`."""
+        """Return the metrics of an answer in the order of the settings, or None if it has none.
+
+        `cpu` replaces a missing `util`; any other missing metric counts as 0.
+        """
         if answer.metrics is None:
             return None
         return [
@@ -159,7 +163,7 @@
 
     def _start_attempt(self, now: float, attempt: Attempt) -> None:
         request, client_request = attempt.request, self.client_requests.get(attempt.request)
-        if client_request is None:  # already answered: an exception here would stop the remaining decisions
+        if client_request is None:  # answered or cancelled: an exception here would stop the other decisions
             self._engine.on_attempt_finished(now, attempt, AttemptResult(AttemptStatus.NOT_SENT, True))
             return
         if attempt.latest_start < request.deadline:
--- a/kelptrail/platform/endpoint_watch.py
+++ b/kelptrail/platform/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Watches the users' endpoint list: connects, requests the events after the last one, reconnects as needed.
+"""Watches the endpoint list: connects, requests the events after the last one, reconnects as needed.
 
 The list's service sends an event every second, even if it is empty, so silence is a fault.  As a failed connection
 cannot be distinguished from a slow service, another connection is opened beside the silent one, and the first one that
@@ -53,7 +53,7 @@
     def __init__(self, watch: EndpointWatch, loop: asyncio.AbstractEventLoop, address: tuple[str, int]) -> None:
         self._watch, self._loop, self.address = watch, loop, address
         self.reader = watch.new_reader()
-        self.last_progress_at = loop.time()  # creation, connect or last event
+        self.last_progress_at = loop.time()  # time of the creation, the connect or the last event
         self.created_at = self.last_progress_at
         self.event_count = 0  # complete events received, including empty ones
         self.has_partial_event = False  # whether bytes arrived after the last complete event
--- a/kelptrail/platform/log.py
+++ b/kelptrail/platform/log.py
@@ -15,7 +15,7 @@
 from collections import Counter
 from typing import Any, Protocol
 
-LINES_PER_S = 20  # for each event and reason
+LINES_PER_S = 20  # limit of written lines for each event and reason
 LINE_BYTES = 2_000  # less than PIPE_BUF: a pipe that poll() reports as writable accepts a line in one write
 STANDARD_OUTPUT = 1
 
--- a/kelptrail/platform/service.py
+++ b/kelptrail/platform/service.py
@@ -207,7 +207,7 @@
             in_flight=len(executor.client_requests),
             clients=len(self.client_server.connections),
             attempts=sum(len(worker.attempts) for worker in workers),
-            open=executor.workers.open_items,
+            open=executor.workers.open_item_count,
             connections=executor.workers.connection_count,
             ejected=sum(self._now() < worker.outlier_state.ejected_until for worker in workers),
             suspect=sum(worker.suspect for worker in workers),
--- a/kelptrail/platform/signals.py
+++ b/kelptrail/platform/signals.py
@@ -29,7 +29,7 @@
 
     @staticmethod
     def block() -> None:
-        """Block all these signals while the process exits."""
+        """Block all `SIGNALS` until the process has exited."""
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
     def _record(self, number: int, _: FrameType | None) -> None:
--- a/kelptrail/platform/worker_connection.py
+++ b/kelptrail/platform/worker_connection.py
@@ -47,10 +47,10 @@
     """
 
     connect_ms: float
-    idle_ms: float
+    idle_ms: float  # idle time after which a worker closes a connection
     streams: int  # limit of open items on one connection
     max_total: int  # limit of connections to all workers
-    answer_bytes: int
+    answer_bytes: int  # limit of the body of an answer
     may_cancel: bool  # whether the protocol allows CANCEL
     parallel_attempts: bool  # whether two attempts of a request may run at the same time
     max_timeout_ms: float  # longest timeout of any request: late answers may arrive until then
@@ -166,7 +166,7 @@
         return True
 
     def expire_ids(self, now: float) -> None:
-        """Forget ids whose late answers can no longer arrive."""
+        """Remove ids whose late answers can no longer arrive."""
         for id_ in [id_ for id_, until in self.used_ids.items() if until < now and id_ not in self.open_items]:
             del self.used_ids[id_]
 
--- a/kelptrail/platform/worker_pool.py
+++ b/kelptrail/platform/worker_pool.py
@@ -49,9 +49,9 @@
         return sum(len(connections) for connections in self.connections.values())
 
     @property
-    def open_items(self) -> int:
+    def open_item_count(self) -> int:
         """The number of attempts, loads and probes that are open on connections."""
-        return sum(connections.open_items for connections in self.connections.values())
+        return sum(connections.open_item_count for connections in self.connections.values())
 
     def share_descriptors(self, worker_count: int) -> None:
         """Divide a quarter of the process's descriptors equally among the workers, at least two for each."""
@@ -79,7 +79,7 @@
         """Close idle and stalled connections, and all connections to removed workers that have no open items."""
         for worker, connections in list(self.connections.items()):
             connections.sweep()
-            if worker.removed and not connections.open_items:
+            if worker.removed and not connections.open_item_count:
                 del self.connections[worker]
                 connections.close()
 
--- a/kelptrail/simulator_adapter/instance.py
+++ b/kelptrail/simulator_adapter/instance.py
@@ -1,4 +1,10 @@
-"""One dispatcher in the simulator: translates events to calls of an engine, and decisions to actions."""
+"""One dispatcher in the simulator: translates events to calls of an engine, and decisions to actions.
+
+The protocol's field names: `i` is the dispatcher, `handle` the request id, `shot` the number of the attempt, `ending`
+the status of an attempt, load or health check, `runner` the worker, `fn` the function, `copies` the number of
+instances, `project` the tenant, `grace_us` the timeout, `cost_guess_us` the estimated work and `stats` the load report.
+In an endpoint list `az` is the zone, `shape` the kind, `stripe` the cell and `capacity_hint` the size.
+"""
 
 from __future__ import annotations
 
@@ -89,7 +95,7 @@
         engine.on_request(now, arrival)
 
     def on_attempt_finished(self, now: float, event: Fields) -> None:
-        """Record the result of an attempt; a second report of it is ignored."""
+        """Record the result of an attempt; a report of an ended attempt or a removed request is ignored."""
         request = self._engine.requests.get(event["handle"])
         if request is None:
             return
@@ -199,7 +205,7 @@
     # Actions.
 
     def actions(self, now: float) -> list[Fields]:
-        """Return all decisions that are due now as actions, then the alarms that are not set yet."""
+        """Return as actions: a pending subscription, all decisions that are due now, and the alarms to set."""
         actions, self._subscription = self._subscription, []
         while (decision := self._engine.decide(now)) is not None:
             if isinstance(decision, ReadinessQuestion):
--- a/tests/test_attempt_races.py
+++ b/tests/test_attempt_races.py
@@ -268,11 +268,11 @@
             await until(lambda: blocked.waiting)
             ((worker, connections),) = platform.service.executor.workers.connections.items()
             number = int(worker.id[2:], 16)
-            assert connections.open_items
+            assert connections.open_item_count
             platform.events = [event(2, 2, (number, ports[number], 1))]  # the worker drains
             platform.service.reload(platform.service.config)
             await until(lambda: platform.service.last_event_number == 2)
-            assert not connections.open_items
+            assert not connections.open_item_count
             blocked.gate.set()
             assert await client.answer_code() == frames.SERVED
             assert not platform.workers[number].calls and len(platform.workers[1 - number].calls) == 1
