--- a/kelptrail/cli/calls.py
+++ b/kelptrail/cli/calls.py
@@ -38,7 +38,10 @@
         return ExitCode.COMPLETED if self.status == 200 else ExitCode.FAILED
 
     def _final_answer(self) -> str | None:
-        """Return the answer in the record's `kelptrail` annotation, or None if the body is not such a record."""
+        """Return the kind of final answer (completed, rejected, aborted or left) of the activation's record.
+
+        It is in the annotation `kelptrail`.  Return None if the body is no record or has no such annotation.
+        """
         if not isinstance(self.body, dict):
             return None
         annotations = {annotation["key"]: annotation["value"] for annotation in self.body.get("annotations", [])}
@@ -56,7 +59,7 @@
 async def _request(
     url: str, auth: str, method: str, target: str, body: Any = None, headers: dict[str, str] | None = None
 ) -> ApiResponse:
-    """Send one request to the invoke API.  Raises `CommandFailedError` if it does not answer."""
+    """Send one request to the invoke API.  Raises `CommandFailedError` if there is no valid HTTP response."""
     from kelptrail.codec.http import HttpError
     from kelptrail.net.http_client import HttpClient
 
@@ -94,11 +97,11 @@
     auth: str,
     namespace: str,
 ) -> None:
-    """Call an action.  Exit codes: 0 completed, 3 rejected, 4 aborted, 5 in flight."""
+    """Call an action.  Exit codes: 0 completed, 1 failed, 2 invalid input, 3 rejected, 4 aborted, 5 in flight."""
     try:
         body = msgspec.json.decode(params)
     except msgspec.DecodeError as cause:
-        raise click.BadParameter(f"PARAMS must be a JSON object: {cause}") from None
+        raise click.BadParameter(f"PARAMS must be valid JSON: {cause}") from None
     target = f"/api/v1/namespaces/{namespace}/actions/{action}?blocking={str(blocking).lower()}"
     if timeout_ms is not None:
         target += f"&timeout={timeout_ms}"
@@ -111,7 +114,10 @@
 @click.option("--within", default=0.0, show_default=True, help="Poll for up to this many seconds.")
 @client_options
 def poll(activation: str, within: float, url: str, auth: str, namespace: str) -> None:
-    """Fetch an activation's record.  Exit codes: 0 completed, 3 rejected, 4 aborted, 5 in flight."""
+    """Fetch an activation's record.
+
+    Exit codes: 0 completed, 1 failed, 2 invalid input, 3 rejected, 4 aborted, 5 in flight.
+    """
     target = f"/api/v1/namespaces/{namespace}/activations/{activation}"
     _print_and_exit(run_async(_poll(url, auth, target, within)))
 
--- a/kelptrail/gateway/overload.py
+++ b/kelptrail/gateway/overload.py
@@ -119,10 +119,10 @@
 
     def _close_window(self) -> None:
         calm = self.stage is OverloadStage.CALM
-        others_degraded = self.quotas.others_degraded()
+        within_quota_degraded = self.quotas.within_quota_degraded()
         self.signals.update_rates(self._window, calm)
-        self.signals.update_alarm(self._window, calm, bool(self.quotas.over_quota) and others_degraded)
-        self.quotas.close_window(calm, others_degraded, self.signals.completed_per_s)
+        self.signals.update_alarm(self._window, calm, bool(self.quotas.over_quota) and within_quota_degraded)
+        self.quotas.close_window(calm, within_quota_degraded, self.signals.completed_per_s)
         self._window = WindowCounts()
         self._stage_windows += 1
         self.retry_after.forget_absent(self._window_start)
--- a/kelptrail/gateway/retry_after.py
+++ b/kelptrail/gateway/retry_after.py
@@ -8,8 +8,8 @@
 from .overload_settings import EARLY_TOLERANCE_MS, OverloadSettings
 from .seeded_draws import SeededDraws
 
-MIN_SPREAD = 0.75  # fixed share of a retry-after time; a random draw sets the rest
-MAX_COUNTED_EARLY_RETRIES = 3  # each counted early retry makes the next retry-after time longer by half
+MIN_RANDOM_FACTOR = 0.75  # smallest random factor of a retry-after time; the largest is 1
+MAX_COUNTED_EARLY_RETRIES = 3  # each counted early retry adds half of the unextended wait
 
 
 @dataclass(slots=True)
@@ -17,7 +17,7 @@
     """A client that was given a retry-after time."""
 
     retry_at: float
-    early_retries: int = 0  # number of retries before that time
+    early_retries: int = 0  # number of early retries since the client was first rejected
 
     def is_early(self, now: float) -> bool:
         """Return whether a retry at `now` is before the retry-after time."""
@@ -30,7 +30,7 @@
     def __init__(self, settings: OverloadSettings, draws: SeededDraws) -> None:
         self._settings, self._draws = settings, draws
         self._clients: OrderedDict[str, RejectedClient] = OrderedDict()
-        self.next_retry_at = 0.0  # time of the last slot assigned in the queue
+        self.last_slot_at = 0.0  # time of the last slot assigned in the queue
         self.early_retries = 0  # number of retries before the retry-after time
         self.assigned = 0  # number of retry-after times assigned
 
@@ -50,26 +50,28 @@
         client.early_retries += 1
 
     def assign(self, now: float, client: str, min_ms: float, retry_capacity_per_s: float) -> float:
-        """Assign a retry-after time to one client, at least `min_ms`, and return it.
+        """Assign a time to retry to one client and return the wait until then in ms, at least `min_ms`.
 
-        It is the next slot in a queue that advances at the rate at which retries can be served; a client that returns
-        early keeps its slot.  Each early retry of the client makes the time longer, up to the maximum, and a random
-        factor varies it.  So not all clients return at the same moment, and a client gains nothing by ignoring its
-        retry-after time.
+        The time is the next slot in a queue that advances at the rate at which retries can be served.  A client that
+        returns early takes no further slot; its remaining wait is extended.  Each early retry of the client makes the
+        wait longer, up to `max_retry_after_ms`.  A random factor shortens the wait, so that clients do not all return
+        at the same moment.  A client gains nothing by ignoring its retry-after time.
         """
         self.assigned += 1
         rejected_client = self._clients.get(client)
         if rejected_client is None or not rejected_client.is_early(now):
-            self.next_retry_at = max(self.next_retry_at, now) + 1000 / retry_capacity_per_s
-            wait_ms = self.next_retry_at - now
-        else:  # a client that returns early keeps its slot
+            self.last_slot_at = max(self.last_slot_at, now) + 1000 / retry_capacity_per_s
+            wait_ms = self.last_slot_at - now
+        else:  # a client that returns early takes no further slot; its remaining wait is extended
             wait_ms = rejected_client.retry_at - now
         if rejected_client is not None:
             wait_ms *= 1 + min(MAX_COUNTED_EARLY_RETRIES, rejected_client.early_retries) / 2
         max_ms = self._settings.max_retry_after_ms
-        spread = MIN_SPREAD + (1 - MIN_SPREAD) * self._draws.draw("back")  # also spreads times limited to the maximum
-        wait_ms = max(min_ms, min(max_ms, wait_ms) * spread)
-        self.next_retry_at = min(self.next_retry_at, now + max_ms)
+        # The name "back" stays as it is, because it determines the draws.
+        random_factor = MIN_RANDOM_FACTOR + (1 - MIN_RANDOM_FACTOR) * self._draws.draw("back")
+        # The factor is applied after the limit, so that limited waits differ, too.
+        wait_ms = max(min_ms, min(max_ms, wait_ms) * random_factor)
+        self.last_slot_at = min(self.last_slot_at, now + max_ms)
         self.remember(client, now + wait_ms)
         return wait_ms
 
@@ -88,7 +90,11 @@
         self._clients.pop(client, None)
 
     def forget_absent(self, now: float) -> None:
-        """Forget clients that have not returned within `forget_after_ms` of their retry-after time."""
+        """Forget clients that have not returned within `forget_after_ms` of their retry-after time.
+
+        Clients are checked in the order of their last rejection; one behind a client that is not yet due is forgotten
+        later.
+        """
         while self._clients:
             client, oldest = next(iter(self._clients.items()))
             if now < oldest.retry_at + self._settings.forget_after_ms:
@@ -96,5 +102,5 @@
             del self._clients[client]
 
     def restart(self) -> None:
-        """Reset the queue: the next retry-after time counts from the present."""
-        self.next_retry_at = 0.0
+        """Discard the assigned slots: the next one counts from the present.  Rejected clients remain known."""
+        self.last_slot_at = 0.0
--- a/kelptrail/gateway/tenant_quotas.py
+++ b/kelptrail/gateway/tenant_quotas.py
@@ -13,24 +13,25 @@
 
 RATE_WEIGHT = 0.2  # weight of one window in a tenant's average rate
 MIN_ADMITTED_SHARE = 0.05
-ADMITTED_SHARE_DECREASE = 0.85  # factor for a window in which other tenants are degraded
-ADMITTED_SHARE_INCREASE = 0.01  # added for any other window
-ADMITTED_SHARE_INCREASE_CALM = 0.08  # added for any other window in the calm stage
+ADMITTED_SHARE_DECREASE = 0.85  # factor after a window in which tenants within quota are degraded
+ADMITTED_SHARE_INCREASE = 0.01  # added after any other window outside the calm stage
+ADMITTED_SHARE_INCREASE_CALM = 0.08  # added instead in the calm stage
 
 
 class TenantQuotas:
     """Admits requests according to quotas.  Requests are counted in windows, which `close_window` ends."""
 
-    def __init__(self, settings: OverloadSettings, draws: SeededDraws, shares: Mapping[str, float] | None) -> None:
-        """Create the quotas.  `shares` has each tenant's quota, in any unit; one without a quota is never over it."""
+    def __init__(self, settings: OverloadSettings, draws: SeededDraws, quotas: Mapping[str, float] | None) -> None:
+        """Create the quotas.  `quotas` are in any unit, by tenant; a tenant without a quota is never over quota."""
         self._settings, self._draws = settings, draws
-        total = sum((shares or {}).values()) or 1.0
-        self._shares = {name: share / total for name, share in (shares or {}).items()}
+        total = sum((quotas or {}).values()) or 1.0
+        self._shares = {name: quota / total for name, quota in (quotas or {}).items()}
         self._rates: dict[str, float] = {}  # moving average of requests in a window, by tenant
         self.over_quota: set[str] = set()
         self.admitted_share = 1.0  # admitted share of the requests of tenants over quota
         self.held_back = 0  # number of requests of tenants over quota that were not admitted
-        self._retry_budget = 0.0  # number of retries of tenants over quota that may still be admitted
+        # Number of retries of tenants over quota that completed requests cover; negative after many first tries.
+        self._retry_budget = 0.0
         self._max_retry_budget = 1.0
         # Counts of this window.
         self._requests: dict[str, int] = {}  # requests by tenant
@@ -54,7 +55,10 @@
     # Decisions.
 
     def admit_first_try(self, tenant: str) -> bool:
-        """Return whether the first try of a request is admitted; it takes budget from retries."""
+        """Return whether the first try of a request is admitted.
+
+        An admitted first try of a tenant over quota takes one retry from the budget.
+        """
         if tenant not in self.over_quota:
             return True
         if not self._admit(self.admitted_share):
@@ -77,7 +81,7 @@
         """Return whether a request is admitted, by a random draw with probability `share`."""
         if share >= 1 or not self._settings.enabled:
             return True
-        return self._draws.draw("in") < share
+        return self._draws.draw("in") < share  # the name "in" stays as it is, because it determines the draws
 
     def _spend_budget(self, priority_weight: float) -> bool:
         """Take one retry from the budget if it suffices; a lower priority weight needs a larger budget."""
@@ -88,15 +92,18 @@
 
     # Windows.
 
-    def others_degraded(self) -> bool:
-        """Return whether many requests of tenants within quota were rejected or late in this window."""
+    def within_quota_degraded(self) -> bool:
+        """Return whether too many requests of tenants within quota were rejected or late in this window.
+
+        Too many are more than `degraded_share` of them; fewer than `min_samples` requests count as `min_samples`.
+        """
         settings = self._settings
         return self._degraded > settings.degraded_share * max(self._within_quota, settings.min_samples)
 
-    def close_window(self, calm: bool, others_degraded: bool, completed_per_s: float) -> None:
+    def close_window(self, calm: bool, within_quota_degraded: bool, completed_per_s: float) -> None:
         """End a window: update the tenants over quota, their admitted share, and the retry budget."""
         self._update_over_quota()
-        if self.over_quota and others_degraded:
+        if self.over_quota and within_quota_degraded:
             self.admitted_share = max(MIN_ADMITTED_SHARE, ADMITTED_SHARE_DECREASE * self.admitted_share)
         else:
             increase = ADMITTED_SHARE_INCREASE_CALM if calm else ADMITTED_SHARE_INCREASE
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -82,9 +82,9 @@
     assert controller.stage is OverloadStage.STORM
     completed_per_s, first_tries_per_s = controller.signals.completed_per_s, controller.signals.first_tries_per_s
     retry_capacity_per_s = max(completed_per_s - first_tries_per_s, 0.1 * completed_per_s, 1.0)
-    before = controller.retry_after.next_retry_at
+    before = controller.retry_after.last_slot_at
     times = sorted(now + controller.on_rejected(now, f"x{n}", 0.0) for n in range(200))
-    queued_ms = controller.retry_after.next_retry_at - before
+    queued_ms = controller.retry_after.last_slot_at - before
     assert queued_ms > 0.9 * 200 * 1000 / retry_capacity_per_s, "each client has its own slot"
     assert len({round(t) for t in times}) > 190, "the times are spread"
     bounded = OverloadController(OverloadSettings(max_retry_after_ms=3000.0), 1)
@@ -92,7 +92,7 @@
     now, retry_after_ms = run_load(bounded, now, 6, 4000, 0.95, 1.0, 2)
     assert max(retry_after_ms) <= 3000
     assert len({round(t) for t in retry_after_ms[-200:]}) > 100, "the times are also spread at the maximum"
-    assert bounded.retry_after.next_retry_at <= now + 3000
+    assert bounded.retry_after.last_slot_at <= now + 3000
 
 
 def test_an_early_retry_is_rejected_on_arrival_with_a_longer_but_bounded_retry_after_time() -> None:
@@ -101,10 +101,10 @@
     now, _ = run_load(controller, now, 6, 1600, 0.8, 1.0, 2, retry_share=0.6)
     assert controller.stage is OverloadStage.STORM
     first = controller.on_rejected(now, "early-client", 4000.0)
-    slot = controller.retry_after.next_retry_at
+    slot = controller.retry_after.last_slot_at
     waits_ms = [controller.on_request(now + 10 + n, "early-client") for n in range(8)]
     assert all(b is not None and b <= 12_000 for b in waits_ms)
-    assert controller.retry_after.next_retry_at == slot, "an early retry does not take another slot"
+    assert controller.retry_after.last_slot_at == slot, "an early retry does not take another slot"
     assert waits_ms[0] is not None and waits_ms[0] > 0.74 * min(12_000.0, 1.5 * (first - 10)), "the time grows"
     last = waits_ms[-1]
     assert last is not None
