--- a/kelptrail/cli/loading.py
+++ b/kelptrail/cli/loading.py
@@ -1,4 +1,4 @@
-"""Load tests of running dispatchers: `load`, and the hidden `load-generator`, which runs one of its processes."""
+"""Load tests of running dispatchers: `load`, and the hidden `load-generator`, whose processes `load` starts."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     "--control",
     "controls",
     multiple=True,
-    help="Control address of a dispatcher, to read its attempts and load orders.",
+    help="Control address of a dispatcher, to read its counts of attempts and load orders.",
 )
 @output_folder_option
 @click.option("--processes", default=2, show_default=True, type=click.IntRange(1, 64))
@@ -34,11 +34,14 @@
     default=0.0,
     show_default=True,
     type=click.FloatRange(0, 1),
-    help="Share of calls after which the connection is closed.",
+    help="Share of attempts after which the connection is closed.",
 )
 @click.option("--connections", default=2000, show_default=True, help="Maximum number from one process to one address.")
 def load(script: str, controls: tuple[str, ...], out: Path, variant: str, **values: Any) -> None:
-    """Run a SCRIPT's load, without its faults, on running dispatchers; write the same tables as `simulate`."""
+    """Run the load of the fault scenario file SCRIPT, without its faults, on running dispatchers.
+
+    Write the same tables as `simulate`.
+    """
     from kelptrail.load.coordinator import GeneratorError, run_generators, write_results
     from kelptrail.load.generator_settings import GeneratorSettings
 
@@ -50,21 +53,25 @@
         result = run_async(run_generators(script, scenario, settings, list(controls)))
     except GeneratorError as cause:
         raise CommandFailedError(str(cause)) from None
-    identity = {"experiment": scenario.name, "variant": variant, "point": "", "value": 0.0, "seed": values["seed"]}
-    print_json_line(**write_results(out, identity, scenario, result))
+    key_columns = {"experiment": scenario.name, "variant": variant, "point": "", "value": 0.0, "seed": values["seed"]}
+    print_json_line(**write_results(out, key_columns, scenario, result))
 
 
 @click.command("load-generator", hidden=True)
 @click.argument("script")
 @click.option("--at", "addresses", multiple=True)
+# Start of the load, in ms of the monotonic clock.
 @click.option("--start", type=float)
+# Index of this process, and the number of processes.
 @click.option("--number", type=int)
 @click.option("--of", type=int)
 @click.option("--seed", type=int)
+# Share of attempts after which the connection is closed.
 @click.option("--churn", type=float)
+# Maximum number of connections to one address.
 @click.option("--connections", type=int)
 def load_generator(script: str, start: float, **values: Any) -> None:
-    """Run one process of `load`."""
+    """Generate one process's share of the load and print its counters."""
     from kelptrail.load.generator import LoadGenerator
     from kelptrail.load.generator_settings import GeneratorSettings
 
--- a/kelptrail/engine/settings.py
+++ b/kelptrail/engine/settings.py
@@ -1,7 +1,8 @@
-"""Reads and checks the settings object of a deployment.
+"""Reads and checks the settings object that the platform passes to a dispatcher.
 
 An error names the path of a key that is missing, has the wrong type or is out of range.  Unknown keys are ignored.
-The platform and the simulator's adapter use this module, which needs only the standard library.
+The packages `kelptrail.platform` and `kelptrail.simulator_adapter` use this module, which needs only the standard
+library.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
         return self._values.get(name) is not None
 
     def find(self, name: str) -> Any:
-        """Return the value of a required key."""
+        """Return the value of a required key.  Raises `MalformedError` if it is missing or null."""
         if (value := self._values.get(name)) is None:
             raise MalformedError(f"{self.path}.{name}: missing")
         return value
@@ -51,7 +52,7 @@
         return SettingsObject(self.find(name), f"{self.path}.{name}")
 
     def items(self, name: str) -> list[Any]:
-        """Return a list."""
+        """Return the list at a key."""
         if not isinstance(value := self.find(name), list):
             raise MalformedError(f"{self.path}.{name}: is not a list")
         return value
@@ -76,7 +77,7 @@
         return int(value)
 
     def ms(self, name: str, minimum_us: float = 0.0) -> float:
-        """Return a time that is given in microseconds, in milliseconds."""
+        """Convert a duration from microseconds to milliseconds and return it."""
         return self.number(name, minimum_us) / 1000
 
     def flag(self, name: str) -> bool:
@@ -114,16 +115,17 @@
     tenants: list[Tenant]
     report_fields: list[str]
     zone: int
-    reports_warm: bool
+    reports_warm: bool  # answers of workers state whether the instance was already loaded
     parallel_attempts: bool
     can_cancel: bool
     max_attempts: int
-    max_retry_after_ms: float
+    max_retry_after_ms: float  # 0: rejections carry no retry-after time
+    # A worker in slow start fails above this multiple of its present capacity within `overload_window_ms`.
     overload_multiple: float
     overload_window_ms: float
-    initial_capacity: float
+    initial_capacity: float  # share of its capacity that a worker has when it starts
     slow_start_ms: float
-    keep_alive_ms: float
+    keep_alive_ms: float  # time after which a worker may unload an idle instance
     loads_on_demand: bool  # a worker without the function loads it when an attempt arrives
     load_ration: LoadRation
     connect_timeout_ms: float
@@ -131,10 +133,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadinessSettings:
-    """The settings for draining workers."""
+    """The settings that decide how long a worker counts as ready, although it may be draining."""
 
-    drain_grace_ms: float | None  # time after the notification of a drain for new work to start; None: no such rule
-    probe_kinds: Sequence[ProbeKind]  # probes that workers may be sent
+    # Time after the notification of a drain during which new work may still start; None: no limit.
+    drain_grace_ms: float | None
+    probe_kinds: Sequence[ProbeKind]  # kinds of probes that may be sent to workers
 
 
 def read_settings(settings: Any) -> DispatcherSettings:
@@ -185,12 +188,12 @@
 
 
 def _probe_kinds(bounds: SettingsObject, specifics: SettingsObject) -> Sequence[ProbeKind]:
-    """Return the probes that prove that a worker does not drain.
+    """Return the probes whose answers, taken together, prove that a worker is not draining.
 
-    Workers of the platform were observed to answer health checks with DOWN while they drain, but load queries as ready
-    workers do, although the platform's page states otherwise.  So no probe is allowed where health checks are
-    forbidden.  Settings that do not mention health checks come from another platform, where load queries are a proof
-    as the page states.
+    According to the platform's page, a draining worker answers load queries differently from a ready one.  In fact,
+    draining workers were observed to answer health checks with DOWN, but load queries as ready workers do.  So a load
+    query is used only together with a health check, and no probe is used where health checks are forbidden.  Settings
+    without the key `probes` come from another platform, where load queries prove it, as the page states.
     """
     load_query = (ProbeKind.LOAD_QUERY,) if specifics.flag("load_control") else ()
     if not bounds.has("probes"):
--- a/kelptrail/net/connection.py
+++ b/kelptrail/net/connection.py
@@ -1,4 +1,4 @@
-"""A connection that reads continuously and batches its writes, over a `Transport`.
+"""A plain TCP connection that reads continuously and batches its writes.
 
 Writes of one iteration of the event loop are sent in one call.  Each write is a `PendingWrite` that records whether the
 socket accepted its first and its last byte.  So the caller can determine later which writes cannot have reached the
@@ -21,7 +21,8 @@
 
 READ_BUFFER_BYTES = 8_192
 MAX_BATCH_BYTES = 65_536
-# Number of full buffers read without waiting in between, so that an end of stream behind many bytes is detected soon.
+# Number of full buffers read without waiting in between, so that the end of a stream is detected soon, even if many
+# bytes precede it.
 MAX_CONSECUTIVE_READS = 32
 # Limit on the input that is read and discarded after `close_gracefully`; a close with unread input would reset the
 # connection, which destroys answers that the peer has not read.
@@ -38,6 +39,7 @@
     def __init__(self, size: int, data: bytes = b"", make: Callable[[], bytes] | None = None) -> None:
         self.size, self._data, self._make = size, data, make
         self._sent_bytes = 0
+        # `started`: the socket accepted the first byte.  `sent`: it accepted all bytes, of which there is at least one.
         self.started = self.sent = self.cancelled = False
 
     def render(self) -> bytes:
@@ -54,7 +56,7 @@
         return self._data
 
     def consume(self, count: int) -> int:
-        """Account for `count` bytes that the socket accepted of this write and later ones, as rendered last.
+        """Record this write's part of `count` bytes that the socket accepted; they begin with its unsent bytes.
 
         Return how many of them belong to later writes.
         """
@@ -67,7 +69,7 @@
 
     @property
     def complete(self) -> bool:
-        """Whether no rendered bytes remain to be sent."""
+        """Whether no rendered bytes remain to be sent; also true for a write without bytes."""
         return self._sent_bytes == len(self._data)
 
 
@@ -130,13 +132,14 @@
         return bool(self._pending)
 
     def write(self, data: bytes) -> PendingWrite:
-        """Send bytes."""
+        """Queue bytes for sending, unless the connection is closed or closing."""
         return self._queue(PendingWrite(len(data), data))
 
     def write_deferred(self, make: Callable[[], bytes], size: int) -> PendingWrite:
-        """Send the bytes that `make` returns at the time of sending, about `size` of them.
+        """Queue the bytes that `make` returns at the time of sending, about `size` of them.
 
-        `make` may return no bytes, may be called several times, and must not use the connection.
+        Nothing is queued if the connection is closed or closing.  `make` may return no bytes and may be called several
+        times.  It must not write to the connection, but may close it.
         """
         return self._queue(PendingWrite(size, make=make))
 
@@ -148,7 +151,7 @@
         self._pending.append(write)
         self._pending_bytes += write.size
         if self._pending_bytes > self._max_pending_bytes:  # the peer does not read its answers
-            self._loop.call_soon(self._on_lost)
+            self._loop.call_soon(self._close_and_notify)
         elif not self._writing:
             self._writing = True
             self._loop.call_soon(self._flush)
@@ -177,7 +180,7 @@
         if self.closed or self._closing:
             return
         self._closing = True
-        self._close_timer = self._loop.call_later(within_ms / 1000, self._on_lost)
+        self._close_timer = self._loop.call_later(within_ms / 1000, self._close_and_notify)
         if not self._writing:
             self._on_all_written()
 
@@ -199,7 +202,7 @@
             reader.cancel()
         self.transport.close()
 
-    def _on_lost(self) -> None:
+    def _close_and_notify(self) -> None:
         if not self.closed:
             on_end = self._on_end
             self.close()
@@ -211,7 +214,7 @@
         consecutive_reads = discarded = 0
         try:
             while True:
-                count = await self._receive(buffer, without_waiting=consecutive_reads > 0)
+                count = await self._receive(buffer, read_first=consecutive_reads > 0)
                 if not count:
                     break
                 consecutive_reads = (consecutive_reads + 1) % MAX_CONSECUTIVE_READS if count == READ_BUFFER_BYTES else 0
@@ -228,17 +231,17 @@
             pass
         except Exception as cause:  # noqa: BLE001 - a bug in a message handler ends only its own connection
             self._loop.call_exception_handler({"message": "reading from a connection failed", "exception": cause})
-        self._on_lost()
+        self._close_and_notify()
 
-    async def _receive(self, buffer: bytearray, without_waiting: bool) -> int:
+    async def _receive(self, buffer: bytearray, read_first: bool) -> int:
         """Read bytes and return their number, 0 at the end of the stream.  Raises `OSError`.
 
-        `without_waiting`: try to read before waiting for the socket to become readable.
+        `read_first`: try to read first, then wait for the socket to become readable.
         """
         while True:
             try:
-                if without_waiting:
-                    without_waiting = False
+                if read_first:
+                    read_first = False
                     with contextlib.suppress(BlockingIOError):
                         return self.transport.sock.recv_into(buffer)
                 return await self.transport.recv_into(buffer)
@@ -261,7 +264,7 @@
                 count = 0
             except OSError as cause:
                 if not is_transient(cause):
-                    self._on_lost()
+                    self._close_and_notify()
                     return
                 self._watch_writable(False)
                 self._retry_timer = self._loop.call_later(RETRY_MS / 1000, self._flush)
@@ -307,12 +310,12 @@
                 self._loop.remove_writer(self.transport.sock)
 
     def _on_all_written(self) -> None:
-        """Shut down the sending side if the connection is closing; called once every write is sent."""
+        """Shut down the sending side if the connection is closing; called whenever no write is pending any more."""
         if self._closing:
             try:
                 self.transport.shutdown_write()
             except OSError:
-                self._on_lost()
+                self._close_and_notify()
 
 
 def _ignore(*_: object) -> None:
@@ -325,8 +328,8 @@
     Raises `OSError`, or its subclass `TimeoutError` after `within_ms`.  Shortages of local resources and route failures
     are retried with backoff.
 
-    The loop's own `sock_connect` is not used: it resolves each address in a thread pool, whose threads receive the
-    process's signals after the loop has removed its handlers, and it costs CPU for each connection.
+    The loop's own `sock_connect` is not used: it resolves even an IP address in a thread pool.  This costs CPU for each
+    connection, and at shutdown these threads may receive signals for which the loop has no handlers any more.
     """
     deadline, pause_ms = loop.time() + within_ms / 1000, CONNECT_RETRY_MS
     while True:
