--- a/kelptrail/lease/model.py
+++ b/kelptrail/lease/model.py
@@ -79,10 +79,10 @@
     def _client_steps(self, name: str) -> Iterator[Step[Model]]:
         budget = self.budget
         if name in self.paused:
-            yield Step(f"resume {name}", partial(self._pause_step, name, False), True)
+            yield Step(f"resume {name}", partial(self._set_paused_step, name, False), True)
             return
         if budget.pauses:
-            yield Step(f"pause {name}", partial(self._pause_step, name, True), True)
+            yield Step(f"pause {name}", partial(self._set_paused_step, name, True), True)
         if budget.client_restarts:
             yield Step(f"restart {name}", partial(self._restart_client_step, name), True)
         if self.clients[name].held_token(self.local_time(name), TASK) is not None:
--- a/kelptrail/lease/model_state.py
+++ b/kelptrail/lease/model_state.py
@@ -99,8 +99,8 @@
         "client_runs",
         "clients",
         "disks",
+        "highest_accepted",
         "highest_acquired",
-        "highest_used",
         "in_flight",
         "now",
         "paused",
@@ -127,7 +127,7 @@
         self.clients = {name: setup.client_type(name, f"{name}/1", settings) for name in setup.clients}
         self.in_flight: tuple[InFlight, ...] = ()
         self.paused: frozenset[str] = frozenset()
-        self.highest_used = self.highest_acquired = NO_TOKEN  # highest token accepted by the resource, and acquired
+        self.highest_accepted = self.highest_acquired = NO_TOKEN  # highest token accepted by the resource, and acquired
         self.stored_note = NO_NOTE  # latest note that was acknowledged to its holder
         self.violation = ""
         self.trail: tuple[str, ...] = ()
@@ -154,8 +154,8 @@
         clone.acceptors = {name: acceptor.clone() for name, acceptor in self.acceptors.items()}
         clone.clients = {name: client.clone() for name, client in self.clients.items()}
         clone.client_runs, clone.paused, clone.trail = dict(self.client_runs), self.paused, self.trail
-        clone.highest_used, clone.highest_acquired, clone.violation, clone.reconfigured = (
-            self.highest_used,
+        clone.highest_accepted, clone.highest_acquired, clone.violation, clone.reconfigured = (
+            self.highest_accepted,
             self.highest_acquired,
             self.violation,
             self.reconfigured,
@@ -169,7 +169,7 @@
             self.budget,
             tuple(sorted(self.in_flight, key=repr)),
             self.paused,
-            self.highest_used,
+            self.highest_accepted,
             self.highest_acquired,
             self.reconfigured,
             self.stored_note,
--- a/kelptrail/lease/model_transitions.py
+++ b/kelptrail/lease/model_transitions.py
@@ -23,6 +23,7 @@
     __slots__ = ()
 
     def _spend(self, **amounts: int) -> Self:
+        """Return a copy whose fault budget is reduced by these amounts."""
         next_state = self.clone()
         next_state.budget = replace(
             self.budget, **{name: getattr(self.budget, name) - amount for name, amount in amounts.items()}
@@ -38,11 +39,13 @@
         return next_state
 
     def _deliver_to_recipient(self, item: InFlight) -> None:
-        if item.message is None:
-            if item.token >= self.highest_used or not self.setup.checks_tokens:
-                if item.token < self.highest_used:
-                    self.violation = f"an action under token {item.token} was accepted after token {self.highest_used}"
-                self.highest_used = max(self.highest_used, item.token)
+        if item.message is None:  # an action, which is delivered to the resource
+            if item.token >= self.highest_accepted or not self.setup.checks_tokens:
+                if item.token < self.highest_accepted:
+                    self.violation = (
+                        f"an action under token {item.token} was accepted after token {self.highest_accepted}"
+                    )
+                self.highest_accepted = max(self.highest_accepted, item.token)
         elif item.to in self.acceptors:
             self.acceptors[item.to].on_message(self.local_time(item.to), item.sender, item.message)
         elif item.to in self.clients:
@@ -120,6 +123,7 @@
         return min(event_times, default=None)
 
     def _advance_time_step(self, is_busy: bool) -> Self:
+        """Advance time to the next event; `is_busy`: messages or writes are in flight, which counts as a delay."""
         next_state = self._spend(delays=1) if is_busy else self.clone()
         next_event_at = self._next_event_at()
         assert next_event_at is not None
@@ -135,7 +139,7 @@
                 client.tick(self.local_time(name))
         self._collect_output()
 
-    def _pause_step(self, name: str, paused: bool) -> Self:
+    def _set_paused_step(self, name: str, paused: bool) -> Self:
         next_state = self._spend(pauses=1) if paused else self.clone()
         next_state.paused = self.paused | {name} if paused else self.paused - {name}
         if not paused:
@@ -165,17 +169,23 @@
         return next_state
 
     def _release_step(self, name: str) -> Self:
+        """Release the lease, naming another client as the successor if there is one, and request the lease again."""
         next_state = self._spend(releases=1)
         client, now = next_state.clients[name], next_state.local_time(name)
         others = [other for other in self.clients if other != name]
         client.release(now, TASK, others[0] if others else "")
         client.acquire(now, TASK, self.setup.length_ms)
+        # The client waits for one lease length before it requests the lease again.
         client.requests[TASK].next_step_at = now + self.setup.length_ms
         next_state._collect_output()
         return next_state
 
     def _collect_output(self) -> None:
-        """Move the output of acceptors and clients to the network, and check each acquisition against earlier ones."""
+        """Process the output of acceptors and clients.
+
+        Sync writes if their time makes no difference, put messages in flight, handle events, and check each acquisition
+        against earlier ones.
+        """
         budget = self.budget
         if not (budget.restarts or budget.disk_losses or budget.sync_failures):
             self._sync_all()  # without these faults, the time of a sync makes no difference
