--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -29,6 +29,7 @@
         async with PlatformFixture(WorkerStub(echo)) as platform:
             client, body = await platform.client(), bytes(range(256)) * 8
             client.writer.write(frames.encode_frame(frames.READY_QUERY, 7, b"\0"))
+            # The two zero bytes of an answer are the status code SERVED and the number of fields.
             assert await client.next_frame() == (frames.READY, 7, b"\0\0")
             client.send_request(3, body)
             assert await client.next_frame() == (frames.ANSWER, 3, b"\0\0" + body)
@@ -39,6 +40,8 @@
     run(main())
 
 
+# The fields on the wire are `txn`: request id; `verb`: request class (class "k" requires an idempotency key, `unique`);
+# `team`: tenant; `limit`: timeout in ms; `item`: function id; `info`: memory and concurrency of the function.
 @pytest.mark.parametrize(
     "overrides",
     [
@@ -75,21 +78,22 @@
 @pytest.mark.parametrize(
     "malformed",
     [
-        struct.pack(">IBI", 4, 65, 1),
-        struct.pack(">IBI", 60_000_000, 65, 1),
-        struct.pack(">IBI", 0xFFFFFFFF, 65, 1),
-        struct.pack(">IBI", 5, 66, 1),
-        frames.encode_frame(65, 0, b"\0"),
-        frames.encode_frame(65, 1, b"\5"),
-        frames.encode_frame(65, 1, b"\1\1\xff\0\1a"),
-        frames.encode_frame(65, 1, b"\0" + b"x" * 20_000),
+        struct.pack(">IBI", 4, 65, 1),  # the length is less than that of the type and the stream id
+        struct.pack(">IBI", 60_000_000, 65, 1),  # the length is over the limit
+        struct.pack(">IBI", 0xFFFFFFFF, 65, 1),  # the largest possible length
+        struct.pack(">IBI", 5, 66, 1),  # a frame type that only the dispatcher sends
+        frames.encode_frame(65, 0, b"\0"),  # a request on stream 0
+        frames.encode_frame(65, 1, b"\5"),  # fewer fields than counted
+        frames.encode_frame(65, 1, b"\1\1\xff\0\1a"),  # a field name that is not valid UTF-8
+        frames.encode_frame(65, 1, b"\0" + b"x" * 20_000),  # the body is too long
     ],
 )
-def test_a_malformed_frame_is_answered_and_its_connection_closed(malformed: bytes) -> None:
+def test_a_malformed_frame_ends_only_its_own_connection(malformed: bytes) -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
             client = await platform.client()
             client.writer.write(malformed)
+            # None: the connection ended before the client read an answer.
             assert await client.answer_code() in (frames.FAILED, None)
             assert await client.next_frame() is None
             other = await platform.client()
@@ -99,7 +103,7 @@
     run(main())
 
 
-def test_a_reused_open_stream_or_request_id_is_not_served() -> None:
+def test_a_request_with_the_stream_or_the_id_of_an_open_request_is_not_served() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(lambda *_: None)) as platform:
             first, second = await platform.client(), await platform.client()
@@ -115,7 +119,7 @@
     run(main())
 
 
-def test_partial_frames_and_silent_connections_are_closed_in_time() -> None:
+def test_connections_with_a_partial_frame_or_without_any_are_closed_after_the_timeout() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
             partial, silent = await platform.client(), await platform.client()
@@ -127,6 +131,7 @@
 
 def test_silent_connections_are_evicted_for_new_ones() -> None:
     async def main() -> None:
+        # `sockets` is the limit of file descriptors; 16 of these 40 are for clients.
         async with PlatformFixture(WorkerStub(echo), sockets=40) as platform:
             silent = [await platform.client() for _ in range(30)]
             client = await platform.client()
@@ -187,14 +192,16 @@
     run(main())
 
 
-def test_the_endpoint_list_is_followed_through_disconnects_duplicates_and_a_new_address() -> None:
+def test_the_endpoint_list_is_followed_through_disconnects_duplicates_and_a_new_worker_port() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
-            platform.after_events = "break"
+            platform.after_events = "break"  # the list's service closes each connection after its events
+            # A change (worker 1 drains, at port 9), its duplicate, no change, and the start of another change.
             platform.events = [event(2, 2, (1, 9, 1)), event(2, 2, (1, 9, 1)), event(2, 0), event(3, 2, (1, 9, 2))[:20]]
             platform.service.reload(config.parse(json.dumps(platform.configuration), platform.service.config))
             await asyncio.sleep(0.2)
             assert set(platform.polled_from) == {1, 2}
+            # "stay": the connections remain open after the events.
             platform.events, platform.after_events = [event(3, 2, (1, 9, 2))], "stay"
             await asyncio.sleep(0.3)
             assert platform.service.last_event_number == 3
@@ -262,7 +269,7 @@
     run(main())
 
 
-def test_a_process_imports_no_unwanted_modules_reloads_and_exits_on_sigterm(tmp_path: Path) -> None:
+def test_the_program_imports_only_what_it_needs_and_handles_sighup_and_sigterm(tmp_path: Path) -> None:
     unwanted_modules = [
         "numpy",
         "scipy",
@@ -358,7 +365,7 @@
     assert found == sent and not len(reader)
 
 
-def test_readers_parse_any_split_and_raise_only_format_errors() -> None:
+def test_answers_are_parsed_however_they_are_split_and_corrupted_input_raises_only_the_readers_own_errors() -> None:
     rng = random.Random(5)
     valid = b"".join(b"%016x OK tell=up,ahead=%d %d\r\n%b\r\n" % (n, n, n, b"z" * n) for n in range(30))
     reader, found, offset = lines.LineReader(1000), [], 0
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -55,12 +55,12 @@
 from kelptrail.vrrp.tracking import Track, TrackSettings
 
 A, B, C = (ip_address(f"127.0.1.{n}") for n in (1, 2, 3))
-FRONT = (ip_address("127.0.2.1"),)
+FRONT = (ip_address("127.0.2.1"),)  # addresses of the virtual router
 SIX, SIX2 = ip_address("fe80::1"), ip_address("fe80::2")
 
 
-def advert(priority: int = 100, interval: int = 100, vrid: int = 1) -> Advertisement:
-    return Advertisement(vrid, priority, interval, FRONT)
+def advert(priority: int = 100, interval_cs: int = 100, vrid: int = 1) -> Advertisement:
+    return Advertisement(vrid, priority, interval_cs, FRONT)
 
 
 # Packets.
@@ -111,16 +111,14 @@
         (lambda d: d[:3] + b"\x09" + d[4:], TooShortError),
     ],
 )
-def test_each_malformed_field_has_an_error_class_of_its_own(change, error) -> None:
+def test_malformed_packets_raise_the_specified_errors_and_reserved_bits_are_ignored(change, error) -> None:
     with pytest.raises(PacketError) as caught:
         decode(change(encode(advert(), A, B)), A, B)
     assert type(caught.value) is error
     with pytest.raises(HopsError):
         decode(encode(advert(), A, B), A, B, hops=64)
-    reserved = encode(advert(), A, B)
-    assert decode(with_checksum(reserved[:4] + b"\x50\x64" + reserved[6:]), A, B) == advert(), (
-        "reserved bits are ignored"
-    )
+    valid = encode(advert(), A, B)
+    assert decode(with_checksum(valid[:4] + b"\x50\x64" + valid[6:]), A, B) == advert(), "reserved bits are ignored"
 
 
 # Hypothesis seeds a derandomized test with a digest of its source text, so a reworded body changes the examples of
@@ -184,6 +182,7 @@
     assert verifier.verify(signed, A) == data and verifier.verify(signer_b.sign(data), B) == data, (
         "both keys are accepted"
     )
+    # `data` has no authentication trailer.
     for rejected, error in ((signed, ReplayError), (data, UnsealedError)):
         with pytest.raises(error):
             verifier.verify(rejected, A)
@@ -199,8 +198,8 @@
 # The state machine.
 
 
-def router(priority: int = 100, preempt: bool = True, interval: int = 100, primary=A) -> VirtualRouter:
-    return VirtualRouter(RouterSettings(1, priority, FRONT, interval, preempt), primary)
+def router(priority: int = 100, preempt: bool = True, interval_cs: int = 100, primary=A) -> VirtualRouter:
+    return VirtualRouter(RouterSettings(1, priority, FRONT, interval_cs, preempt), primary)
 
 
 def take_outputs(r: VirtualRouter) -> list[object]:
@@ -246,13 +245,13 @@
     ("received_priority", "preempt", "resets"),
     [(100, True, True), (150, True, True), (50, True, False), (50, False, True)],
 )
-def test_a_backup_resets_its_timer_for_masters_of_sufficient_priority(
+def test_a_backup_accepts_masters_of_equal_or_higher_priority_and_any_if_it_does_not_preempt(
     received_priority: int, preempt: bool, resets: bool
 ) -> None:
     r = router(100, preempt)
     r.startup(0.0)
     before = r.next_due()
-    r.on_advertisement(500.0, advert(received_priority, interval=50), B)
+    r.on_advertisement(500.0, advert(received_priority, interval_cs=50), B)
     if resets:  # the interval is learned from the master
         assert r.master_interval_cs == 50 and r.next_due() == 500 + 1500 + 156 * 500 / 256
     else:
@@ -271,6 +270,7 @@
 
 @pytest.mark.parametrize(
     ("received_priority", "sender", "yields"),
+    # At equal priority, the larger address wins.
     [(101, B, True), (100, B, True), (100, ip_address("127.0.1.0"), False), (99, B, False)],
 )
 def test_a_master_yields_to_a_higher_priority_and_advertises_immediately_to_a_lower_one(
@@ -278,7 +278,7 @@
 ) -> None:
     r = master()
     now = r.next_due() - 400
-    r.on_advertisement(now, advert(received_priority, interval=20), sender)
+    r.on_advertisement(now, advert(received_priority, interval_cs=20), sender)
     outputs = take_outputs(r)
     if yields:
         assert r.state is State.BACKUP and outputs[0] == ReleaseAddress(1) and r.master_interval_cs == 20
@@ -316,7 +316,7 @@
     assert backup.state is State.MASTER
 
 
-def test_a_time_that_goes_backwards_changes_nothing() -> None:
+def test_an_earlier_time_counts_as_the_latest_time_passed_in() -> None:
     r = master()
     due = r.next_due()
     r.tick(due - 5000)
@@ -385,7 +385,7 @@
         (encode(advert(), C, A), C, 255),
         (encode(advert(vrid=9), B, A), B, 255),
         (encode(advert(), A, A), A, 255),
-        (encode(advert(interval=50), B, A), B, 255),
+        (encode(advert(interval_cs=50), B, A), B, 255),
     ):
         instance.on_datagram(1.0, data, sender, hops)
     assert dict(+instance.counters) == {
@@ -426,6 +426,7 @@
 )
 def test_explored_states_satisfy_the_properties(make_routers, budget: FaultBudget, depth: int) -> None:
     result = explore(make_routers, budget, depth, 100_000, 9000.0)
+    # Two Masters for a short time are permitted, and the search reaches such states.
     assert result.complete and result.states > 500 and result.two_masters > 0, result
 
 
@@ -459,7 +460,7 @@
         explore(router_factory(200, 100), FaultBudget(), 9, 40_000, 9000.0)
 
 
-def test_simulated_failovers_end_within_the_bound() -> None:
+def test_simulated_take_overs_take_at_most_the_master_down_interval_and_two_delays() -> None:
     statistics = simulate_failovers(range(60))
     assert statistics.failovers == 60 and not statistics.violations, statistics.violations[:3]
     assert statistics.worst_ratio <= 1.0
