--- a/kelptrail/lease/client.py
+++ b/kelptrail/lease/client.py
@@ -113,7 +113,7 @@
 
     def _on_note_written(self, sender: str, request: LeaseRequest, answer: NoteWritten) -> None:
         note = request.pending_note
-        if note is None or not request.awaits_note(answer) or sender not in self.acceptors:
+        if note is None or not request.acknowledges_pending_note(answer) or sender not in self.acceptors:
             return
         request.note_acceptors.add(sender)
         if len(request.note_acceptors) >= majority(self.acceptors):
@@ -172,7 +172,7 @@
                 self._renew(now, request)
         elif request.state is RequestState.WAITING:
             self._start_attempt(now, request)
-        elif request.is_probing:  # the first acceptor has not answered
+        elif request.only_first_contacted:  # the first acceptor has not answered
             self._contact_remaining(now, request)
         else:
             self._abandon_attempt(now, request)
@@ -187,7 +187,7 @@
         self._send_acquire_request(request, self._acceptor_order(request.task)[0])
 
     def _contact_remaining(self, now: float, request: LeaseRequest) -> None:
-        request.is_probing = False
+        request.only_first_contacted = False
         request.next_step_at = now + 2 * self.settings.request_timeout_ms
         for acceptor in self._acceptor_order(request.task):
             if acceptor not in request.contacted_acceptors:
@@ -225,7 +225,7 @@
         expires_at = ballot.sent_at + self.settings.safe_hold_ms(request.length_ms)
         if len(ballot.granted_by) >= majority(self.acceptors) and now < expires_at:
             self._on_quorum(now, request, expires_at)
-        elif request.state is RequestState.ACQUIRING and request.is_probing:
+        elif request.state is RequestState.ACQUIRING and request.only_first_contacted:
             self._contact_remaining(now, request)
 
     def _on_quorum(self, now: float, request: LeaseRequest, expires_at: float) -> None:
@@ -251,9 +251,9 @@
             return
         request.refusals[sender] = now + answer.retry_after_ms
         refusal_count = sum(acceptor in request.refusals for acceptor in self.acceptors)
-        if request.is_probing and answer.reason in (RefusalReason.HELD, RefusalReason.RESERVED):
+        if request.only_first_contacted and answer.reason in (RefusalReason.HELD, RefusalReason.RESERVED):
             self._abandon_attempt(now, request)
-        elif request.is_probing:
+        elif request.only_first_contacted:
             self._contact_remaining(now, request)
         elif refusal_count > len(self.acceptors) - majority(self.acceptors):
             self._abandon_attempt(now, request)
@@ -278,7 +278,7 @@
         request.failed_attempts = request.failed_attempts + 1 if free_at <= now and not is_reserved else 0
         request.state = RequestState.WAITING
         request.next_step_at = max(now, free_at) + self.backoff.pause_ms(request.failed_attempts)
-        request.ballots, request.is_probing = {}, False
+        request.ballots, request.only_first_contacted = {}, False
 
     def _expire(self, now: float, request: LeaseRequest) -> None:
         self.events.append(LeaseLost(request.task, request.token, LossReason.EXPIRED))
--- a/kelptrail/lease/lease_request.py
+++ b/kelptrail/lease/lease_request.py
@@ -13,16 +13,17 @@
 class RequestState(Enum):
     """State of a lease request."""
 
-    WAITING = "waiting"
-    ACQUIRING = "asking"
+    WAITING = "waiting"  # The next attempt starts at `next_step_at`
+    ACQUIRING = "asking"  # The value is a fixed outer name
     HOLDING = "holding"
 
 
 @dataclass(slots=True)
 class Ballot:
-    """One request id, under which a request is sent to the acceptors.
+    """Sending time and grants of one acquire or renewal message, which is sent to several acceptors.
 
-    `sent_at` is when the first message was sent; `granted_by` are the acceptors that granted the request.
+    All copies have one request id, the key in `LeaseRequest.ballots`.  `sent_at` is when the first one was sent;
+    `granted_by` are the acceptors that granted the request.
     """
 
     sent_at: float
@@ -35,9 +36,9 @@
 
 @dataclass(slots=True)
 class LeaseRequest:
-    """Request for the lease of a task, until it is released.  Times are in ms on this client's clock.
+    """Request for the lease of a task, from `acquire` to `release`, with the state of the lease while it is held.
 
-    `next_step_at` is when `tick` must handle the request next.
+    Times are in ms on this client's clock.  `next_step_at` is when `LeaseClient.tick` must handle the request next.
     """
 
     task: str
@@ -47,23 +48,32 @@
     token: FencingToken = NO_TOKEN
     expires_at: float = float("-inf")
     ballots: dict[int, Ballot] = field(default_factory=dict)
-    contacted_acceptors: set[str] = field(default_factory=set)  # acceptors that received a request in this attempt
-    refusals: dict[str, float] = field(default_factory=dict)  # retry times of this attempt by refusing acceptor
-    is_probing: bool = False  # True while only the first acceptor has received a request
-    failed_attempts: int = 0  # consecutive failed attempts in which no holder was found
+    # Acceptors to which a request with the current token was sent, renewals included.
+    contacted_acceptors: set[str] = field(default_factory=set)
+    # By acceptor that refused this attempt: time from which a retry can succeed.
+    refusals: dict[str, float] = field(default_factory=dict)
+    only_first_contacted: bool = False  # True while the request was sent only to the first acceptor
+    # Consecutive failed attempts, outside a reservation, whose refusals gave no later retry time.  Sets the backoff.
+    failed_attempts: int = 0
     reserved_until: float = float("-inf")  # end of a reservation for this client after a transfer
-    inherited_note: LeaseNote = NO_NOTE  # latest note in the grants of this attempt
+    inherited_note: LeaseNote = NO_NOTE  # latest note in the grants of this token, renewals included
     pending_note: LeaseNote | None = None  # note that a majority has not stored yet
     note_acceptors: set[str] = field(default_factory=set)  # acceptors that have stored `pending_note`
 
     @property
     def is_held(self) -> bool:
-        """Whether the lease was acquired and has not been released or found to have expired."""
+        """Whether the state is HOLDING.
+
+        The lease may have expired since the last `tick`; `LeaseClient.held_token` checks this.
+        """
         return self.state is RequestState.HOLDING
 
     def start_attempt(self, token: FencingToken) -> None:
-        """Start to acquire the lease under a new token, and discard the answers to earlier attempts."""
-        self.state, self.token, self.is_probing = RequestState.ACQUIRING, token, True
+        """Start to acquire the lease under a new token.
+
+        The answers to earlier attempts are discarded, and so is a note that a majority has not stored yet.
+        """
+        self.state, self.token, self.only_first_contacted = RequestState.ACQUIRING, token, True
         self.inherited_note, self.pending_note = NO_NOTE, None
         self.ballots, self.refusals, self.contacted_acceptors = {}, {}, set()
 
@@ -73,7 +83,7 @@
         for old_id in list(self.ballots)[:-MAX_OPEN_BALLOTS]:
             del self.ballots[old_id]
 
-    def awaits_note(self, answer: NoteWritten) -> bool:
+    def acknowledges_pending_note(self, answer: NoteWritten) -> bool:
         """Return whether an acceptor's answer acknowledges the pending note."""
         note = self.pending_note
         return note is not None and (note.token, note.sequence) == (answer.token, answer.sequence)
--- a/kelptrail/lease/model_state.py
+++ b/kelptrail/lease/model_state.py
@@ -218,7 +218,7 @@
             request.token,
             _time_until(request.next_step_at, now),
             _time_until(request.expires_at, now),
-            request.is_probing,
+            request.only_first_contacted,
             request.failed_attempts,
             frozenset(request.refusals),
             frozenset(request.contacted_acceptors),
