--- a/kelptrail/replication/model_node.py
+++ b/kelptrail/replication/model_node.py
@@ -42,7 +42,7 @@
         """Carry out a write."""
         if write.fence is not None:
             self.token, self.primary = write.fence
-        if write.closes:
+        if write.closes_journal:
             self.entries.clear()
         for entry in write.entries:
             self.entries[entry.id, entry.kind] = entry.data
--- a/kelptrail/replication/primary.py
+++ b/kelptrail/replication/primary.py
@@ -116,7 +116,7 @@
         later token replies with it.
         """
         for name in sorted({*self.in_sync, reported_holder} - {self.name}):
-            self.sender.probe(name)
+            self.sender.query_fencing(name)
 
     @property
     def is_fully_replicated(self) -> bool:
--- a/kelptrail/replication/replica.py
+++ b/kelptrail/replication/replica.py
@@ -1,9 +1,9 @@
-"""The replica's side of replication, without I/O and clocks: it stores the entries of other dispatchers' journals.
+"""The replica's side of replication, without I/O and clocks.
 
-A replica rejects every message whose fencing token is older than the newest one that it has received.  It stores a new
-token on disk before it replies to messages with that token, so that a former primary cannot commit anything after a
-failover.  The sequence numbers of a stream have no gaps: a message that arrives too early is dropped, and the primary
-sends it again.
+It decides which messages of primaries are accepted, and queues the writes to the replica store.  A replica rejects
+every message whose fencing token is older than the newest one that it has received.  It stores a new token on disk
+before it replies to messages with that token, so that a former primary cannot commit anything after a failover.  The
+sequence numbers of a stream have no gaps: a message that arrives too early is dropped, and the primary sends it again.
 """
 
 from __future__ import annotations
@@ -39,10 +39,11 @@
 
 @dataclass(slots=True, eq=False)
 class ReplicaWrite:
-    """One atomic write to the replica store.  Writes are carried out in order; the primary then gets a reply.
+    """One atomic write to the replica store.  Writes are carried out in order.
 
-    `fence`: the newest token and the primary that holds it, to be stored.  For `trimmed_bucket`, `retained`,
-    `digest_range` and `delay_ms` see `Append`.
+    After a successful write, the primary `reply_to` gets a reply, unless `reply_to` is empty.  `fence`: the newest
+    token and the primary that holds it, to be stored.  `closes_journal`: all entries of the journal are deleted.  For
+    `trimmed_bucket`, `retained`, `digest_range` and `delay_ms` see `Append`.
     """
 
     journal_id: str
@@ -53,20 +54,24 @@
     delay_ms: float = 0.0
     fence: Fence | None = None
     digest_range: BucketRange = NO_BUCKETS  # buckets whose digests are returned in `digests`
-    closes: bool = False
+    closes_journal: bool = False
     reply_to: str = ""
     stream_id: int = 0
-    sequence: int = 0
-    wall_ms: float = 0.0  # arrival time, set by the driver; subtracting the age of an entry gives its time
+    sequence: int = 0  # number of the message in the stream; 0 for `OpenStream`
+    # Wall-clock time at which the message arrived or the local write was queued, set by the driver.  Minus the age of
+    # an entry and `delay_ms`, it is the time stored with the entry.
+    wall_ms: float = 0.0
     digests: bytes = b""  # digests of `digest_range`, set by the store
 
 
 @dataclass(slots=True)
 class ReplicaLog:
-    """State of one journal at this replica.
+    """State of one journal at this replica, without its entries.
 
     `received_sequence` is the number of the last message of the stream that was accepted, `durable_sequence` that of
-    the last one stored.  An empty `primary` means that the journal is closed here.
+    the last one stored.  0 stands for the `OpenStream`.  -1 means that no stream is open; or, in `received_sequence`,
+    that the write of the `OpenStream` failed, and in `durable_sequence`, that it is not stored yet.  An empty `primary`
+    means that the journal is closed here.
     """
 
     token: FencingToken = NO_TOKEN
@@ -77,10 +82,11 @@
 
 
 class Replica:
-    """All journals stored at this dispatcher, including its own.
+    """This dispatcher as a replica: the state of all journals stored here, including its own.
 
     `fences` is the newest token and primary of each journal, as read from disk.  `disk_id_of` returns the id of the
     store that contains a journal.  The driver carries out `pending_writes` and sends the messages of `outbox`.
+    `fenced_messages` is the number of messages rejected because of an older token.
     """
 
     def __init__(self, fences: Mapping[str, Fence], disk_id_of: Callable[[str], str]) -> None:
@@ -118,7 +124,7 @@
                     stream_id=message.stream_id,
                 )
             )
-        elif log.durable_sequence == 0:  # the reply was lost
+        elif log.durable_sequence == 0:  # sent again, as the reply may have been lost
             self.pending_writes.append(
                 ReplicaWrite(message.journal_id, digest_range=ALL_BUCKETS, reply_to=sender, stream_id=message.stream_id)
             )
@@ -148,10 +154,13 @@
             )
 
     def on_write_done(self, write: ReplicaWrite, succeeded: bool) -> None:
-        """Reply to the primary after a write; after a failed write the stream continues from the message before it."""
+        """Reply to the primary after a write.
+
+        After a failed write, expect the same message again, which the primary resends.
+        """
         log = self.logs.get(write.journal_id)
         if log is None or not write.reply_to or log.stream_id != write.stream_id:
-            return  # the journal was closed, or another stream was opened meanwhile
+            return  # no reply is expected, or the journal was closed or another stream was opened meanwhile
         if not succeeded:
             log.received_sequence = min(log.received_sequence, write.sequence - 1)
             return
@@ -178,9 +187,9 @@
             )
 
     def is_latest_token(self, journal_id: str, token: FencingToken) -> bool:
-        """Return whether no other primary has written to this journal under a later token.
+        """Return whether `token` is the newest one that this dispatcher has received for the journal.
 
-        This prevents a primary from continuing with entries that its successor has already deleted from this disk.
+        If it is not, the primary with this token must stop: its successor may have deleted entries from this disk.
         """
         log = self.logs.get(journal_id)
         return log is not None and log.token == token
@@ -188,7 +197,7 @@
     def close(self, journal_id: str, token: FencingToken, stream_id: int = 0) -> None:
         """Delete a journal's entries.  Its token stays stored, so that a former primary is still rejected."""
         self.logs[journal_id] = ReplicaLog(token, "", stream_id)
-        self.pending_writes.append(ReplicaWrite(journal_id, fence=Fence(token, ""), closes=True))
+        self.pending_writes.append(ReplicaWrite(journal_id, fence=Fence(token, ""), closes_journal=True))
 
     def become_primary(self, journal_id: str, token: FencingToken, primary: str) -> ReplicaWrite | None:
         """Make this dispatcher the primary; return the write that must be stored before it acts as the primary.
--- a/kelptrail/replication/replica_store.py
+++ b/kelptrail/replication/replica_store.py
@@ -145,7 +145,7 @@
             write.digests = pack_digests(digests)
         elif write.digest_range != NO_BUCKETS:
             write.digests = pack_digests(self._digests_on_disk(journal_id, *write.digest_range))
-        if write.closes:
+        if write.closes_journal:
             self._database.run("DELETE FROM entries WHERE book = ?", (journal_id,))  # the token stays stored
             self._staged.pop(journal_id, None)
 
--- a/kelptrail/replication/stream_sender.py
+++ b/kelptrail/replication/stream_sender.py
@@ -1,4 +1,8 @@
-"""Queues the messages of a primary in its outbox: stream control, batches, repaired buckets and digest checks."""
+"""Creates the messages of a primary, queues them in their streams and sends them as far as the windows allow.
+
+The messages open and close streams, or contain batches, repaired buckets and digest checks.  Sending means that a
+message is put into the outbox.
+"""
 
 from __future__ import annotations
 
@@ -41,7 +45,7 @@
         self._journal_id, self._settings = journal_id, settings
         self.token = NO_TOKEN
         self.outbox: deque[tuple[str, OpenStream | Append | CloseStream]] = deque()
-        self.sent_bytes = 0
+        self.sent_bytes = 0  # size of the entries sent, as the window counts it; repeated sends are included
         self._last_stream_id = 0
 
     def open(self, now: float, replica: str) -> ReplicaStream:
@@ -51,13 +55,16 @@
         self._send_open(stream)
         return stream
 
-    def probe(self, name: str) -> None:
-        """Send an `OpenStream` for which no stream is recorded; a dispatcher that has a later token replies with it."""
+    def query_fencing(self, dispatcher: str) -> None:
+        """Send an `OpenStream` only to learn of a later token: a dispatcher that has one replies with `FencedReply`.
+
+        No stream is recorded, so other replies are ignored.
+        """
         self._last_stream_id += 1
-        self.outbox.append((name, OpenStream(self._journal_id, self.token, self._last_stream_id)))
+        self.outbox.append((dispatcher, OpenStream(self._journal_id, self.token, self._last_stream_id)))
 
     def close(self, name: str) -> None:
-        """Notify a former replica that it can delete its copy."""
+        """Make a former replica delete its copy."""
         self._last_stream_id += 1
         self.outbox.append((name, CloseStream(self._journal_id, self.token, self._last_stream_id)))
 
@@ -92,7 +99,10 @@
         stream.repair_at = max(stream.repair_at, now) + size_bytes / self._settings.repair_bytes_per_ms
 
     def send_repair_end(self, now: float, stream: ReplicaStream) -> None:
-        """Queue the message that completes the batches covered by the repair, then the deferred batches."""
+        """Queue an empty message, then the deferred batches.
+
+        The acknowledgement of the empty message shows that the replica has all batches up to `repaired_batch`.
+        """
         self._queue(now, stream, AppendContent(), stream.repaired_batch)
         for batch in stream.deferred_batches:
             self.send_batch(now, stream, batch)
@@ -114,9 +124,12 @@
     def _send_open(self, stream: ReplicaStream) -> None:
         self.outbox.append((stream.replica, OpenStream(self._journal_id, self.token, stream.stream_id)))
 
-    def _queue(self, now: float, stream: ReplicaStream, content: AppendContent, batch: int = 0) -> None:
-        """Queue the next message of a stream; `batch` is the number of the last batch that it completes, or 0."""
+    def _queue(self, now: float, stream: ReplicaStream, content: AppendContent, completed_batch: int = 0) -> None:
+        """Queue the next message of a stream.
+
+        `completed_batch` is the number of the last batch that the message completes, or 0 if it completes none.
+        """
         stream.last_sequence += 1
         append = Append(self._journal_id, self.token, stream.stream_id, stream.last_sequence, *content)
-        stream.queue(now, append, batch, self._settings.retry_ms)
+        stream.queue(now, append, completed_batch, self._settings.retry_ms)
         self.send_window(now, stream)
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -352,7 +352,7 @@
     replica.on_message("a", close)
     assert "b" in replica.logs, "another stream was opened meanwhile"
     replica.on_message("a", CloseStream("b", FIRST_TOKEN, close.stream_id + 2))
-    assert not replica.logs["b"].primary and replica.pending_writes[-1].closes
+    assert not replica.logs["b"].primary and replica.pending_writes[-1].closes_journal
     replica.on_message("old", OpenStream("b", FencingToken(0, "old/1"), 99))
     assert isinstance(replica.outbox.pop()[1], FencedReply), "the token stays stored after the journal was deleted"
 
@@ -451,7 +451,7 @@
     assert store.digests["b"] == bucket_digests(replica_entries(CALL)) != digests_of_both
     store.commit([ReplicaWrite("b", deleted_ids=("c1",))])
     assert not any(store.digests["b"])
-    store.commit([ReplicaWrite("b", fence=Fence(SECOND_TOKEN, ""), closes=True)])
+    store.commit([ReplicaWrite("b", fence=Fence(SECOND_TOKEN, ""), closes_journal=True)])
     assert store.fences() == {"b": (SECOND_TOKEN, "")} and not store.digests
 
 
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -386,7 +386,7 @@
                 ReplicaWrite(journal_id, entries=entries, wall_ms=arrived_at),
             ]
         )
-    store.commit([ReplicaWrite(WEST, fence=(FencingToken(2, "west/5"), ""), closes=True, wall_ms=arrived + 3)])
+    store.commit([ReplicaWrite(WEST, fence=(FencingToken(2, "west/5"), ""), closes_journal=True, wall_ms=arrived + 3)])
     store.close()
     for query in (
         "PRAGMA user_version",
