--- a/kelptrail/dispatch/planned_placement.py
+++ b/kelptrail/dispatch/planned_placement.py
@@ -12,17 +12,20 @@
 Plan = dict[Function, dict[Worker, int]]
 """The wanted number of instances by function and worker."""
 
-INSTANCES_EXAMINED = 16  # saves CPU: a plan of thousands of instances is examined in portions of this size
+# Maximum number of instances examined to find the next load order; saves CPU with plans of thousands of
+# instances.
+MAX_INSTANCES_PER_SEARCH = 16
 DEMAND_RESERVE = 0.5  # the share of the load ration that is left for queued requests
 
 
 class PlannedPlacement:
-    """Places instances according to the current plan.  The plan is a hint: queued requests have precedence
-    and may load instances that it does not contain, and each load order is subject to the safety rules.
+    """Places instances according to the current plan.  The plan is not binding: instances may also be loaded
+    for queued requests, for which a share of the load ration is reserved, and `SafetyGuard` checks every load
+    order.
     """
 
     def __init__(self, parts: Components, state: DispatchState, lifecycle: RequestLifecycle) -> None:
-        self._safety, self._outliers, self._instances = parts.safety, parts.outliers, parts.instances
+        self._safety, self._outliers, self._instance_table = parts.safety, parts.outliers, parts.instances
         self._state, self._lifecycle = state, lifecycle
         self._planned: dict[Instance, None] = {}
         self._examination_queue = deque[Instance]()
@@ -36,19 +39,21 @@
             function.planned = True
             for worker, count in counts.items():
                 if worker.live and count:
-                    instance = self._instances.get_or_add(function, worker)
+                    instance = self._instance_table.get_or_add(function, worker)
                     instance.planned_count, self._planned[instance] = count, None
         self._examination_queue = deque(self._planned)
 
     def start_loads(self, now: float) -> None:
-        """Order planned instances that are not loaded yet, as far as the load ration allows."""
+        """Create load orders for planned instances that are not loaded yet, as far as the load ration
+        allows.
+        """
         while self._examination_queue and (order := self._next_load(now)):
             self._state.decisions.append(order)
 
     def planned_worker(self, now: float, function: Function) -> WorkerChoice | None:
         """Return a worker with fewer instances of the function than planned, or None.  Without this rule,
-        each dispatcher could choose another worker after a release and the function would be loaded
-        everywhere.
+        after new models are released (all instances are lost at once), each dispatcher could choose a
+        different worker, so that the function would be loaded at many workers.
         """
         if function.planned:
             for instance in function.instances.values():
@@ -59,6 +64,7 @@
                     and self._outliers.usable(now, instance.worker, function.request_class)
                     and self._safety.readiness.may_become_known(now, instance.worker)
                 ):
+                    # Counts as below the mean load, so that the instance limit can be raised for it.
                     return WorkerChoice(instance.worker, True)
         return None
 
@@ -66,7 +72,7 @@
         """Return the next load order ahead of demand.  Skip workers that are in slow start, ejected or out of
         capacity.
         """
-        for _ in range(min(INSTANCES_EXAMINED, len(self._examination_queue))):
+        for _ in range(min(MAX_INSTANCES_PER_SEARCH, len(self._examination_queue))):
             instance, worker = self._examination_queue[0], self._examination_queue[0].worker
             self._examination_queue.rotate(-1)
             if (
@@ -82,7 +88,8 @@
                 or not self._safety.readiness.is_known(now, worker)
             ):
                 continue
-            if instance.function.instances.get(worker) is not instance:  # the table has removed the instance
+            # Add the instance again if `InstanceTable` has removed it since the plan was set.
+            if instance.function.instances.get(worker) is not instance:
                 instance.function.instances[worker] = worker.instances[instance.function] = instance
             return self._lifecycle.start_load(now, instance, instance.planned_count, DEMAND_RESERVE)
         return None
