--- a/kelptrail/membership/client.py
+++ b/kelptrail/membership/client.py
@@ -1,7 +1,8 @@
 """Follows the endpoint list of an endpoint source by HTTP long polls, and saves each new list to disk.
 
-After a restart, the saved list is the only information until the source answers.  Ages in it can only be too small, so
-that no worker is treated as warmer than it is.
+After a restart, the saved list is the only information until the source answers.  The workers' ages in it are those at
+the time of saving, so a worker that has not restarted since then may be treated as in slow start for too long, but
+never too briefly.
 """
 
 from __future__ import annotations
@@ -28,12 +29,12 @@
 class EndpointClient:
     """Client of one endpoint source.  Times are in milliseconds.
 
-    `on_change` is called with every new list, and with the saved list at the start.
+    `on_change` is called with every new list, and by `load_saved` with the saved list.
     """
 
     def __init__(
         self,
-        address: str,
+        source_address: str,
         client_name: str,
         on_change: Callable[[EndpointList], None],
         saved_file: Path | None,
@@ -41,21 +42,21 @@
         poll_wait_ms: float = 2000.0,
         backoff_ms: float = 200.0,
     ) -> None:
-        self._address, self._client_name, self._on_change, self._saved_file, self._log = (
-            address,
+        self._source_address, self._client_name, self._on_change, self._saved_file, self._log = (
+            source_address,
             client_name,
             on_change,
             saved_file,
             log,
         )
         self._poll_wait_ms, self._backoff_ms = poll_wait_ms, backoff_ms
-        self.address = ""  # address at which this dispatcher serves its activations
+        self.address = ""  # address at which this dispatcher (not the source) serves its activations
         self.channel_address = ""  # address of the peer listener of this dispatcher
         self.zone = ""  # zone of this dispatcher
         self.endpoints: EndpointList | None = None
         # Called for each valid answer of the source, also if the list has not changed.
         self.on_response: Callable[[], None] = lambda: None
-        self.saved = True  # False if the last attempt to write a list to disk failed
+        self.saved = True  # False if the last attempt to save a list failed; True before the first
 
     def load_saved(self) -> bool:
         """Apply the saved list.  Return False if there is none or it is unreadable."""
@@ -72,7 +73,7 @@
 
     async def follow(self) -> None:
         """Poll until cancelled.  After a failure, the current list stays and the poll is retried with backoff."""
-        http, backoff_ms = HttpClient(self._address), self._backoff_ms
+        http, backoff_ms = HttpClient(self._source_address), self._backoff_ms
         while True:
             known_version = f"{self.endpoints.lineage}:{self.endpoints.version}" if self.endpoints else ""
             try:
--- a/kelptrail/net/http_exchange.py
+++ b/kelptrail/net/http_exchange.py
@@ -10,7 +10,8 @@
 if TYPE_CHECKING:
     from .http_connection import HttpConnection
 
-# Above this many unwritten bytes, a streamed reply pauses its producer and a connection stops reading requests.
+# Limit on the unwritten bytes of a connection: from it on, `Exchange.can_write` is False, and above it no further
+# requests are read.
 MAX_UNWRITTEN_BYTES = 262_144
 
 
@@ -38,7 +39,7 @@
 
     @property
     def replied(self) -> bool:
-        """Whether a reply was given."""
+        """Whether a reply was given or its stream has started."""
         return self.data is not None
 
     @property
@@ -114,21 +115,27 @@
 
     @property
     def can_write(self) -> bool:
-        """Whether more may be sent now.  If not, `on_writable` is called once a slow client has read enough."""
+        """Whether more may be sent now.
+
+        If not, `on_writable` is called once the unwritten bytes are below half of `MAX_UNWRITTEN_BYTES`.
+        """
         if self._connection.unwritten_bytes < MAX_UNWRITTEN_BYTES:
             return True
         self._awaits_writable = True
         return False
 
     def on_written(self) -> None:
-        """Resume a paused producer if enough was written; called by the connection after each write."""
+        """Call `on_writable` if it is awaited and the unwritten bytes are below half of the limit.
+
+        The connection calls this after each write while the reply is streamed.
+        """
         if self._awaits_writable and self._connection.unwritten_bytes < MAX_UNWRITTEN_BYTES // 2:
             self._awaits_writable = False
             if self.on_writable is not None:
                 self.on_writable()
 
     def abort(self) -> None:
-        """Close the connection without a reply."""
+        """Close the connection immediately; replies that are not written are lost."""
         self._connection.abort()
 
 
