--- a/kelptrail/front/invoke/event_stream.py
+++ b/kelptrail/front/invoke/event_stream.py
@@ -16,7 +16,10 @@
 
 
 class EventStreamReply:
-    """Replies to one request with the parts of its answer as they arrive."""
+    """Replies to one request with the parts of its answer as they arrive.
+
+    `result_only` applies only if the answer has no parts: the `final` event always contains the complete record.
+    """
 
     def __init__(self, context: InvokeContext, exchange: Exchange, invocation: Invocation, result_only: bool) -> None:
         self._context, self._exchange, self._invocation = context, exchange, invocation
--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -34,7 +34,7 @@
 from .garbage_collection import FullCollections, freeze_startup_objects
 from .journal import min_run_ms, open_stores, recover_activations
 from .journal_takeover import take_over_journal
-from .lease_trial import FaultyClock, LeaseTrial
+from .lease_trial import ClockFaultWatcher, LeaseTrial
 from .options import DispatcherOptions
 from .step_faults import install_step_faults
 from .usage import NamespaceCounts, UsageDriver, UsageSettings
@@ -61,7 +61,9 @@
         parts = DispatcherParts(deployment, zone, zlib.crc32(self.boot.encode()))
         disk = FaultyDisk(options.disk_fault_file) if options.disk_fault_file is not None else None
         self._vfs = disk.vfs_name if disk is not None else None
-        self.faulty_clock = FaultyClock(options.clock_fault_file, log) if options.clock_fault_file is not None else None
+        self.faulty_clock = (
+            ClockFaultWatcher(options.clock_fault_file, log) if options.clock_fault_file is not None else None
+        )
         self._stores = open_stores(deployment, options.state_folder, self._vfs, log)
         self.gateway = Gateway(parts, self.boot, self._stores.commits)
         install_step_faults(self.gateway, options)
--- a/kelptrail/service/lease_trial.py
+++ b/kelptrail/service/lease_trial.py
@@ -1,8 +1,9 @@
-"""Trial of leases: several dispatchers request the same leases, and the holders write to a side-effect log.
+"""Workload that tests leases in fault scenarios: several dispatchers request the same leases.
 
-A write checks the lease, sends its fencing token to the log, works for `WORK_MS`, checks the lease again and, if it
-still holds it, reports to the log that it is done.  The log represents the protected resource: it rejects a write
-under a token older than one it has received, and records the writer and time of each write.
+The holders write to a side-effect log.  To write, the holder checks the lease, sends its fencing token to the log,
+waits `WORK_MS`, checks the lease again and, if the lease is still held, reports the end of the write.  The log
+represents the protected resource: it rejects a write under a token older than one it has received, and records the
+writer and time of each write.
 """
 
 from __future__ import annotations
@@ -22,16 +23,18 @@
 from kelptrail.lease.messages import FencingToken
 from kelptrail.net.http_client import HttpClient
 
-WRITE_INTERVAL_MS = 50.0
+WRITE_PAUSE_MS = 50.0  # pause after a write
 WORK_MS = 15.0  # duration of a write
 CLOCK_POLL_MS = 50.0
 
 
 class LeaseTrial:
-    """Writes of one dispatcher under the leases that it holds.  A task is the name of a lease.
+    """One dispatcher's part of the workload: writes under the leases that it holds.
+
+    Each lease is identified by the name of its task.
 
     After SIGUSR1 the process suspends itself (SIGSTOP) once, between the next check of a lease and the write; SIGUSR2
-    cancels this pause.  The trial's runner resumes the process.
+    cancels this if it has not happened yet.  The fault scenario resumes the process (SIGCONT).
     """
 
     def __init__(self, leases: LeaseDriver, side_effect_log: str, tasks: tuple[str, ...], length_ms: float) -> None:
@@ -39,7 +42,7 @@
         self._pause_next = False
         self._loop = asyncio.get_running_loop()
         self._write_loops: dict[str, asyncio.Task[None]] = {}
-        self.writes = self.refused = 0
+        self.write_count = self.rejected_write_count = 0
 
     def start(self) -> None:
         """Request all leases and install the signal handlers."""
@@ -50,8 +53,8 @@
 
     def stop(self) -> None:
         """Stop writing."""
-        for task in self._write_loops.values():
-            task.cancel()
+        for write_loop in self._write_loops.values():
+            write_loop.cancel()
 
     def _on_acquired(self, task: str, token: FencingToken) -> None:
         self._write_loops[task] = self._loop.create_task(self._write_repeatedly(task, token))
@@ -65,8 +68,8 @@
             while True:
                 with contextlib.suppress(OSError, HttpError, TimeoutError):
                     if self._leases.held_token(task) == token and not await self._write_once(client, task, token):
-                        self.refused += 1
-                await asyncio.sleep(WRITE_INTERVAL_MS / 1000)
+                        self.rejected_write_count += 1
+                await asyncio.sleep(WRITE_PAUSE_MS / 1000)
         finally:
             client.close()
 
@@ -75,13 +78,14 @@
 
         A write whose lease was lost while it worked counts as accepted; its end is not reported.
         """
-        # In the messages to the log, `looked` is the time of the lease check, `taken` whether the log accepted.
+        # In messages to the log, `looked` is the time of the lease check; in its replies, `taken` is whether it
+        # accepted the message.
         checked_at = true_ms()
         message = {"task": task, "token": [token.round, token.client_id], "who": self._leases.name}
         if self._pause_next:
             self._pause_next = False
             os.kill(os.getpid(), signal.SIGSTOP)
-        self.writes += 1
+        self.write_count += 1
         if not (await client.json("POST", "/act", message | {"looked": checked_at}))["taken"]:
             return False
         await asyncio.sleep(WORK_MS / 1000)
@@ -90,8 +94,11 @@
         return bool((await client.json("POST", "/done", message | {"looked": true_ms()}))["taken"])
 
 
-class FaultyClock:
-    """Applies the clock fault in a file, such as `{"rate": 1.01, "step_ms": 0}`; without the file there is no fault."""
+class ClockFaultWatcher:
+    """Applies the clock fault in a file, such as `{"rate": 1.01, "step_ms": 0}`; without the file there is no fault.
+
+    `rate`: rate of the monotonic clock; `step_ms`: offset of the wall clock.
+    """
 
     def __init__(self, file: Any, log: Any) -> None:
         self._file, self._log, self._applied = file, log, (1.0, 0.0)
