--- a/kelptrail/settings/cooperation.py
+++ b/kelptrail/settings/cooperation.py
@@ -1,8 +1,9 @@
-"""The channel between dispatchers, replication, leases, the activation journal and the planner.
+"""Settings of replication, leases, the activation journal, the planner, and the channel between dispatchers.
 
-Times are in milliseconds, sizes in `_mb` are in megabytes.  The shapes below hold the defaults.  A class is named
-`...Config` if its subsystem has a `...Settings` class of its own.  If the settings key of a field differs from the
-field's name, the field's metadata holds the key.
+Times are in milliseconds.  `_kb` is units of 1024 bytes, `_mb` of 10^6 bytes.  The `Shape` constants below contain the
+permitted ranges and the defaults.  A class is named `...Config` if its subsystem has a `...Settings` class of its own.
+If the settings key of a field differs from the field's name, the field's metadata contains the key, written with
+underscores instead of hyphens.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
     `embedded`: each dispatcher runs a planner in its process; `interval_ms`: time between two plans; `valid_ms`: time
     for which edges follow a plan; `scale_down_ms`: time for which demand must have been lower before a function's
     instances are reduced; `new_instances_share`: maximum number of new instances in one plan, as a share of the
-    calls expected in the next minute; `new_instances_min`: number of new instances that a plan may add in any case.
+    calls expected in the next minute; `new_instances_min`: lower bound of that limit.
     """
 
     embedded: bool = field(metadata={"key": "within"})
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerConfig:
-    """A dispatcher that the settings name.
+    """A dispatcher that is listed in the settings.
 
     `at`: address of its peer channel; `zone`: its failure zone; both may come from the endpoint list instead.
     """
@@ -44,13 +45,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PeersConfig:
-    """The channel between dispatchers, and replication of the journals of deferred calls over it.
-
-    `replicas`: number of further dispatchers that store each deferred call, on "disk" or in "memory"
-    (`replica_storage`); `under_replication_policy`: whether to "refuse" new deferred calls or to "promise" them while
-    there are fewer replicas; `max_replicated_kb`: a deferred call with a larger body is rejected;
-    `primary_timeout_ms`: silence after which a primary counts as failed; `replica_timeout_ms`: time without an answer
-    after which a replica is replaced; `repair_kb_per_s`: rate limit of the repair of one replica.
+    """The channel between dispatchers, and replication of the journals of deferred (non-blocking) calls over it.
+
+    `max_buffer_kb`: limit on the buffered output of a connection and on the size of a message; the window of a
+    replication stream is a quarter of it; `max_messages_per_s`: limit on messages accepted from one peer; messages
+    beyond it are dropped; `replicas`: number of further dispatchers that store each deferred call, on "disk" or in
+    "memory" (`replica_storage`); `under_replication_policy`: "refuse": reject new deferred calls while there are fewer
+    replicas; "promise": accept them all the same; `max_replicated_kb`: a deferred call with a larger body is rejected,
+    and a larger result is replaced by an error text; `primary_timeout_ms`: silence after which a primary counts as
+    failed; `replica_timeout_ms`: time without an answer after which a replica is replaced; `repair_kb_per_s`: rate
+    limit of the repair of one replica.
     """
 
     peer: list[PeerConfig]
@@ -70,9 +74,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeasesConfig:
-    """Leases on fleet-wide tasks; the other fields are those of `LeaseSettings` in `kelptrail/lease/messages.py`.
+    """Leases on fleet-wide tasks.
 
-    `usage_interval_ms`: time between two collections of the fleet's usage; 0: usage is not collected.
+    `length_ms`: length of the leases that dispatchers request; `usage_interval_ms`: time between two collections of the
+    call counts of all dispatchers (`kelptrail/service/usage.py`); 0: they are not collected.  The other fields are
+    those of `LeaseSettings` in `kelptrail/lease/messages.py`.
     """
 
     acceptors: tuple[str, ...] = field(metadata={"key": "voters"})
@@ -91,7 +97,11 @@
 
 @dataclass(frozen=True, slots=True)
 class JournalSettings:
-    """The activation journal, which survives a restart of the dispatcher; needs a state folder."""
+    """The activation journal, which survives a restart of the dispatcher.  It is kept only with a state folder.
+
+    `max_mb`: size limit of the file; `max_resumed`: number of recovered activations resumed at the same time;
+    `max_pending_entries`: limit on entries that wait to be written.
+    """
 
     enabled: bool = field(metadata={"key": "keep"})
     max_mb: float = field(metadata={"key": "most_mb"})
