--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,4 +1,4 @@
-"""Edge and planner on sockets: accepted, expired, forged and saved plans; a fault scenario with real processes."""
+"""Edge and planner on sockets: accepted, expired, invalid and saved plans; a fault scenario with real processes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
 from kelptrail.settings.deployment import parse
 
 ROOT = Path(__file__).parent.parent
-FAST = DEPLOYMENT.replace(
+# Short planner times, and the peers with their leases.
+FAST_PLANNER_DEPLOYMENT = DEPLOYMENT.replace(
     "(pool (connect-ms 150))",
     f"(pool (connect-ms 150))\n  (planner (every-ms 300) (valid-ms 1500) (down-ms 500))\n{PEERS}",
 )
@@ -38,24 +39,30 @@
 class PlanningSetup:
     """A dispatcher in this process with scripted workers, its planners, and the edge that follows them."""
 
-    def __init__(self, state: Path, planners: int = 1) -> None:
+    def __init__(self, state_folder: Path, planners: int = 1) -> None:
         self.workers = [ScriptedWorker(f"w{n}") for n in range(3)]
-        self.dispatcher = Dispatcher(self.workers, parse(FAST, "fast"))
-        self.state, self.log = state, RecordingLog()
-        self.acceptors = Acceptors(self.dispatcher.deployment, state)
+        self.dispatcher = Dispatcher(self.workers, parse(FAST_PLANNER_DEPLOYMENT, "fast"))
+        self.state_folder, self.log = state_folder, RecordingLog()
+        self.acceptors = Acceptors(self.dispatcher.deployment, state_folder)
         self.planners = [self.start_planner(n) for n in range(planners)]
         self.edge = self.start_edge()
 
-    def start_planner(self, number: int, state: Path | None = None, port: int = 0) -> PlannerDriver:
-        fleet = self.acceptors.join(f"planner-{number}")
-        assert fleet.leases is not None
+    def start_planner(self, number: int, state_folder: Path | None = None, port: int = 0) -> PlannerDriver:
+        member = self.acceptors.join(f"planner-{number}")
+        assert member.leases is not None
         planner_driver = PlannerDriver(
             self.dispatcher.deployment,
             PlannerOptions(
-                f"planner-{number}", "127.0.0.1", port, "", state or self.state / f"p{number}", None, "greedy"
+                f"planner-{number}",
+                "127.0.0.1",
+                port,
+                "",
+                state_folder or self.state_folder / f"p{number}",
+                None,
+                "greedy",
             ),
-            fleet.leases,
-            fleet.lease_length_ms,
+            member.leases,
+            member.lease_length_ms,
             self.log,
         )
         planner_driver.restore()
@@ -71,7 +78,7 @@
             self.dispatcher.deployment.name,
             self.dispatcher.gateway,
             self.dispatcher.driver.schedule_decisions,
-            self.state / "plan.bin",
+            self.state_folder / "plan.bin",
             self.log,
         )
         edge.load_saved_plan()
@@ -116,10 +123,12 @@
         assert not any(f.planned for f in setup.dispatcher.gateway.state.parts._functions.values())
         setup.planners = [setup.start_planner(0, port=int(planner.address.rpartition(":")[2]))]
         await asyncio.gather(wait_until(lambda: setup.edge.plan_state.target(now_ms())), setup.make_calls(3.0))
-        assert setup.planners[0].planner.epoch > planner.planner.epoch, "a new epoch fences the first planner"
+        assert setup.planners[0].planner.epoch > planner.planner.epoch, "the restarted planner leads in a later epoch"
         await setup.stop()
         restarted = setup.start_edge()
-        assert restarted.plan_state.fence == setup.edge.plan_state.fence, "the next run restores the last plan"
+        assert restarted.plan_state.fence == setup.edge.plan_state.fence, (
+            "a restarted edge restores the order of the last plan"
+        )
         await restarted.stop()
         (tmp_path / "plan.bin").write_bytes(b"nonsense")
         with_damaged_file = setup.start_edge()
@@ -151,13 +160,13 @@
     run(main())
 
 
-def test_draining_worker_gets_no_attempts_and_forged_plans_are_refused(tmp_path: Path) -> None:
+def test_draining_worker_gets_no_attempts_and_invalid_plans_are_refused(tmp_path: Path) -> None:
     async def main() -> None:
         setup = PlanningSetup(tmp_path, 0)
         offers: list[bytes] = []
         received: list[object] = []
 
-        async def forger(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def fake_planner(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(encode_frame(Hello(VERSION, "forger", setup.dispatcher.deployment.name)))
             frames = FrameReader(MESSAGE_DECODER)
             while data := await reader.read(65536):
@@ -166,7 +175,7 @@
                 while offers:
                     writer.write(encode_frame(PlanOffer(offers.pop(0))))
 
-        server = await asyncio.start_server(forger, "127.0.0.1", 0)
+        server = await asyncio.start_server(fake_planner, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         edge = PlanFollower(
             [f"127.0.0.1:{port}"],
@@ -179,13 +188,13 @@
         )
         edge.start()
         await setup.make_calls(0.2)
-        name, endpoints_version = setup.dispatcher.deployment.name, edge.endpoints_version
+        lineage, endpoints_version = setup.dispatcher.deployment.name, edge.endpoints_version
         instances = {"check": {"w0": 2, "w1": 2, "w2": 2}, "activate": {"w1": 1}}
-        plan = make_plan(name, (1, "forger", 1), 9e5, endpoints_version, instances)
+        plan = make_plan(lineage, (1, "forger", 1), 9e5, endpoints_version, instances)
         offers.append(encode_plan(plan, 0.0))
         await asyncio.gather(wait_until(lambda: edge.plan_state.accepted == 1), setup.make_calls(0.5))
-        orders = sum(w.load_order_count for w in setup.workers)
-        assert orders >= 2, "instances are loaded ahead of calls"
+        load_orders = sum(w.load_order_count for w in setup.workers)
+        assert load_orders >= 2, "instances are loaded ahead of calls"
         setup.workers[1].state = "draining"
         setup.dispatcher.set_workers(setup.workers)
         edge.on_endpoints()
@@ -194,8 +203,9 @@
         await setup.make_calls(1.0)
         after = draining_worker.load_order_count, len(draining_worker.attempts)
         assert after == before, "a draining worker gets neither load orders nor attempts"
+        # The last three are a truncated plan, an empty one, and only the start of a Zstandard frame.
         offers += [
-            encode_plan(make_plan(name, (1, "forger", n), 9e5, endpoints_version, {"check": {w: 1}}), 0.0)
+            encode_plan(make_plan(lineage, (1, "forger", n), 9e5, endpoints_version, {"check": {w: 1}}), 0.0)
             for n, w in ((2, "w1"), (3, "nobody"), (1, "w0"))
         ] + [encode_plan(plan, 0.0)[:-3], b"", b"\x28\xb5"]
         await wait_until(lambda: sum(isinstance(m, PlanReply) for m in received) >= 7)
@@ -215,7 +225,7 @@
     """Planners are slow, are killed and start without state while workers drain and crash."""
     scenario = (ROOT / "examples" / "bad-days" / "planned.sexp").read_text()
     for old, new in (
-        # 8 s remain after the last planner is back, in which the lease must expire and be acquired.
+        # 8 s remain after the last planner has restarted; within them the lease must expire and be acquired again.
         ("(seconds 40)", "(seconds 18)"),
         ("(at 8)", "(at 5)"),
         ("(at 10) (for 8)", "(at 6) (for 2)"),
@@ -251,7 +261,8 @@
     )
     assert completed.returncode == 0, completed.stderr[-2000:]
     report = json.loads(completed.stdout)
+    # `broken` contains the violated rules, `taken` is the number of calls that a dispatcher accepted.
     assert not report["broken"] and report["taken"] > 700 and report["unanswered"] == 0
     assert report["completed"] > 0.95 * report["taken"]
     logs = "".join(f.read_text() for f in (tmp_path / "out" / "logs").glob("planner-*.log"))
-    assert logs.count('"role":"acting"') >= 2, "after the first leader was lost, another planner led"
+    assert logs.count('"role":"acting"') >= 2, "leadership was acquired at least twice"
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -22,7 +22,7 @@
 from cryptography import x509
 from program import RecordingLog, run
 from pyarrow import parquet
-from test_edge import FAST
+from test_edge import FAST_PLANNER_DEPLOYMENT
 
 from kelptrail.certificates.authority import Authority, describe, read_certificate
 from kelptrail.certificates.names import key_digest
@@ -529,7 +529,7 @@
 
     async def main() -> None:
         options = PlannerOptions("planner-0", "127.0.0.1", 0, "", tmp_path, None, "greedy")
-        planner = PlannerDriver(parse(FAST, "fast"), options, leases, 1000.0, RecordingLog())
+        planner = PlannerDriver(parse(FAST_PLANNER_DEPLOYMENT, "fast"), options, leases, 1000.0, RecordingLog())
         assert planner.restore()
         assert planner.planner.target == instances
         assert {name: planner.planner.demand.functions[name].hourly_rates for name in hourly_rates} == hourly_rates
