--- a/kelptrail/store/activation_journal.py
+++ b/kelptrail/store/activation_journal.py
@@ -25,7 +25,7 @@
 INDEX = "CREATE INDEX by_start ON entries (start)"
 
 
-MIN_PAGES = 16  # least size limit of a file, even if `max_bytes` is smaller
+MIN_PAGES = 16  # smallest size limit of a file, even if `max_bytes` is smaller
 MAX_FREED_PAGES = 2000  # largest number of pages returned to the file system at a time
 
 
@@ -39,7 +39,10 @@
 
 
 class ActivationJournal:
-    """One file of at most `max_bytes`: a commit beyond that fails as on a full disk.  `vfs` is for tests."""
+    """One file of at most `max_bytes`: a commit beyond that fails as on a full disk.  `vfs` is for tests.
+
+    `damaged` counts the damaged rows that `activations` has met.
+    """
 
     def __init__(self, file: Path, max_bytes: float = 1e12, vfs: str | None = None) -> None:
         self.file, self.damaged = file, 0
@@ -91,7 +94,8 @@
     def activations(self) -> Iterator[ActivationEntries]:
         """Yield all activations in order of their start; damaged rows are counted and skipped.
 
-        Raises `JournalError`.
+        An activation whose accepted entry is damaged is skipped; one with another damaged entry is assumed to
+        have a may-run entry.  Raises `JournalError`.
         """
         with journal_errors():
             for (id_,) in self._database.rows("SELECT id FROM entries WHERE kind = 0 ORDER BY start, id"):
@@ -117,7 +121,7 @@
                     yield activation
 
     def forget(self, ids: Iterable[str]) -> None:
-        """Delete activations whose records were dropped, and free their pages.  Raises `JournalError`."""
+        """Delete activations whose records were dropped, and free up to `MAX_FREED_PAGES`.  Raises `JournalError`."""
         with journal_errors():
             with self._transaction():
                 self._database.run_many("DELETE FROM entries WHERE id = ?", [(id_,) for id_ in ids])
@@ -140,7 +144,10 @@
 
 
 def open_journal(file: Path, max_bytes: float = 1e12, vfs: str | None = None) -> OpenedJournal:
-    """Open a journal; a damaged file is renamed first and replaced by an empty journal.  Raises `JournalError`."""
+    """Open a journal; a damaged file is renamed first and replaced by an empty journal.
+
+    Raises `JournalError`, or `OSError` if a damaged file cannot be renamed.
+    """
     try:
         journal = ActivationJournal(file, max_bytes, vfs)
         journal.clear_orphans()
--- a/kelptrail/store/atomic_file.py
+++ b/kelptrail/store/atomic_file.py
@@ -9,7 +9,7 @@
 
 
 def replace_file(file: Path, data: bytes) -> None:
-    """Write and sync a temporary file in the same folder, then rename it.  Raises `OSError`."""
+    """Write and sync a temporary file in the same folder, then rename it to `file`.  Raises `OSError`."""
     temporary = file.with_suffix(TEMPORARY_SUFFIX)
     with open(temporary, "wb") as out:
         out.write(data)
--- a/kelptrail/store/database.py
+++ b/kelptrail/store/database.py
@@ -20,7 +20,7 @@
 
 
 class JournalError(Exception):
-    """A database could not be opened, read or written; the text is that of the SQLite error."""
+    """A database could not be opened, read or written; the text states the cause."""
 
 
 @contextlib.contextmanager
@@ -71,7 +71,7 @@
 
     @contextlib.contextmanager
     def transaction(self, after_rollback: Callable[[], object] = lambda: None) -> Iterator[None]:
-        """Commit all statements of the block, or none; call `after_rollback` if a statement or the commit fails."""
+        """Commit all statements of the block, or none; call `after_rollback` after an SQLite error."""
         self.run("BEGIN IMMEDIATE")
         try:
             yield
--- a/kelptrail/store/driver.py
+++ b/kelptrail/store/driver.py
@@ -115,7 +115,10 @@
         return lambda: None
 
     async def close(self, within_ms: float) -> bool:
-        """Write waiting entries for up to `within_ms`, close the storage, and return whether all are durable."""
+        """Write waiting entries for up to `within_ms`, and return whether all are durable.
+
+        Then delete the stale activations and close the storage.
+        """
         end = now_ms() + within_ms
         while (self.group_commit.waiting or self._busy) and now_ms() < end:
             self.start_next_batch()
--- a/kelptrail/store/entries.py
+++ b/kelptrail/store/entries.py
@@ -19,7 +19,7 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, tag="accepted"):
-    """A request was accepted; it is resumed after a crash."""
+    """A request was accepted; after a crash it is resumed or ended."""
 
     id: str
     namespace: str
--- a/kelptrail/store/faulty_disk.py
+++ b/kelptrail/store/faulty_disk.py
@@ -1,7 +1,7 @@
 """A faulty disk for tests: an SQLite VFS whose syncs are slow or fail, and whose writes fail, on request.
 
-A file sets the faults as JSON, `{"sync_ms": 2000, "fails": false, "full": false}`, and is checked at each sync and
-write; without a readable file the disk has no faults.
+A file sets the faults as JSON, `{"sync_ms": 2000, "fails": false, "full": false}`.  A sync or write reads it
+again if the last read was more than `READ_INTERVAL_S` ago; without a readable file the disk has no faults.
 """
 
 from __future__ import annotations
--- a/kelptrail/store/group_commit.py
+++ b/kelptrail/store/group_commit.py
@@ -2,7 +2,8 @@
 
 One batch is written at a time; entries that arrive during the write form the next batch, so many requests share one
 sync.  An entry is acknowledged only when its batch, and with it every earlier entry, is durable.  After a failure new
-entries are refused until a trial batch is durable; each entry accepted before is reported as failed exactly once.
+entries are refused until a trial batch is durable; each entry accepted before is reported as failed exactly once, or
+written again if its writer asked for that (`keep`).
 """
 
 from __future__ import annotations
@@ -90,7 +91,8 @@
     def next_batch(self, now: float) -> Batch | None:
         """Return the next batch to write, or None.
 
-        After a failure it is a trial batch, at most one in each retry interval, with the entries to be retried.
+        After a failure it is a trial batch, at most one in each retry interval, with the entries to be
+        retried; it may be empty.
         """
         if self._writing is not None:
             return None
@@ -115,7 +117,10 @@
             waiter(True)
 
     def on_batch_failed(self, now: float, number: int, reason: str) -> None:
-        """Report a batch as failed: none of its entries is durable.  Raises `UnexpectedBatchError`."""
+        """Report a batch, and the entries collected since it started, as failed: none of them is durable.
+
+        Raises `UnexpectedBatchError`.
+        """
         batch = self._take_written(number)
         self.failing, self.reason, self._retry_at = True, reason, now + self._retry_ms
         self.failures += 1
--- a/kelptrail/store/recovery.py
+++ b/kelptrail/store/recovery.py
@@ -1,7 +1,7 @@
 """Recovery of activations that a crash left without a final answer: which are resumed, in which order; free of I/O.
 
 The decision depends on the request class and on the journal's entries about attempts.  Requests that were never
-attempted and idempotent ones run again within their timeout; deduplicated ones only as long as the workers still drop a
+attempted and idempotent ones run within their timeout; deduplicated ones only as long as all workers still drop a
 repeat; at-most-once requests that may have run fail.  After a restart only the wall clock is usable; if it was set
 back, the request's timeout counts as expired.
 """
@@ -54,7 +54,10 @@
 def decide_recovery(
     entries: ActivationEntries, rule: RecoveryRule, wall: float, min_run_ms: float
 ) -> EndRequest | ResumeRequest:
-    """Decide how to recover one activation; a request with `min_run_ms` or less left is not run."""
+    """Decide how to recover one activation.
+
+    A request is not run if `min_run_ms` or less is left of its timeout, or of the deduplication window that it needs.
+    """
     accepted, may_run = entries.accepted, entries.may_run
     elapsed = wall - accepted.start
     if elapsed < 0:  # the wall clock was set back, so the time since acceptance is unknown
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -221,7 +221,7 @@
 
 
 def accepted_after_kill(folder: Path) -> list[Accepted]:
-    """Return what a start reads if the process is killed now: the kernel keeps all writes, synced or not."""
+    """Return the accepted entries left if the process is killed now: the kernel keeps all writes, synced or not."""
     copied = folder / "left"
     shutil.rmtree(copied, ignore_errors=True)
     copied.mkdir()
