--- a/kelptrail/gateway/admission.py
+++ b/kelptrail/gateway/admission.py
@@ -16,7 +16,7 @@
 from .records import Record
 from .state import GatewayState
 
-MAX_MARGIN_SHARE = 0.25  # largest share of a request's timeout that the answer margin takes under load
+MAX_MARGIN_SHARE = 0.25  # load widens the answer margin up to this share of a request's timeout
 
 
 class RequestRejection(NamedTuple):
@@ -40,7 +40,7 @@
     limit_ms: float = float("inf")  # the client's own timeout; applies where it is below that of the request class
     payload_format: str = "json"
     streamed: bool = False  # the client accepts the response in parts
-    client_key: str = ""  # identifies the client's retries to overload control; if empty, the key or the id does
+    client_key: str = ""  # identifies retries to overload control; if empty, the key is used, or the id
 
 
 class RequestAdmission:
@@ -83,8 +83,8 @@
         if waiter is not None:
             invocation.waiters.append(waiter)
         self._register(invocation, has_key)
-        # A deferred request counts towards the load ration only once it is durable: one that is rejected because the
-        # disk fails was never accepted, and must not allow a load order.
+        # A journaled deferred request counts towards the load ration only once it is durable: one that is rejected
+        # because the disk fails was never accepted, and must not allow a load order.
         self._state.dispatcher.on_request(now, request, count=not (journaled and submission.deferred))
         return invocation
 
@@ -109,7 +109,8 @@
 
     def _new_request(self, now: float, record: Record, has_key: bool) -> Request:
         # Requests that arrive together would have to be answered at the same moment, but their answers are written one
-        # after another.  So each deadline is earlier by the time that writing the answers in flight takes.
+        # after another.  So each deadline is earlier by the time that it takes to write the answers to all requests in
+        # flight; load widens the margin up to `MAX_MARGIN_SHARE` of the timeout.
         min_margin_ms = self._state.margin_ms
         load_margin_ms = min_margin_ms + self._state.answer_ms * len(self._state.invocations)
         limited_load_margin_ms = min(MAX_MARGIN_SHARE * record.timeout_ms, load_margin_ms)
--- a/kelptrail/gateway/attempts.py
+++ b/kelptrail/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: starts them when their journal entry is durable, cancels them, and processes their results."""
+"""Attempts: starts them once the journal entry that they need is durable, cancels them, processes their results."""
 
 from __future__ import annotations
 
@@ -89,7 +89,10 @@
     def _record_answer(
         self, now: float, invocation: Invocation, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
     ) -> None:
-        """Store the answer of the first completed attempt, and count attempts that completed or found no instance."""
+        """Store the answer of an attempt that completes its request, and count attempts by their result.
+
+        Only attempts that completed or found no instance are counted.
+        """
         completed, request = status is AttemptStatus.COMPLETED, attempt.request
         if completed and request.final_status is None:
             invocation.answer = answer
--- a/kelptrail/gateway/build.py
+++ b/kelptrail/gateway/build.py
@@ -16,8 +16,8 @@
 from kelptrail.dispatch.timer_queue import TimerQueue
 from kelptrail.settings.deployment import Deployment, DispatcherSettings, RuleSettings, TypeSettings
 
-# Time after which a change of the endpoint list counts as notified: two long polls, which the endpoint source holds for
-# 2 s each.  A poll without an answer after this time is lost.
+# Time after which a dispatcher counts as notified of a change of the endpoint list: two long polls, which the endpoint
+# source holds for 2 s each.  A poll without an answer after this time is lost.
 LIST_NOTIFICATION_MS = 4_000.0
 
 
@@ -70,7 +70,7 @@
         self.paths = {action.model: path for path, action in deployment.actions.items()}  # action paths by model
 
     def function(self, path: str) -> Function:
-        """Return the function of an action; it is created at the first call."""
+        """Return the function of an action, and create it if there is none."""
         function = self._functions.get(path)
         if function is None:
             action = self.deployment.actions[path]
@@ -80,5 +80,5 @@
         return function
 
     def forget_function(self, function: Function) -> None:
-        """Remove a function that has been idle for a long time."""
+        """Remove a function that is no longer used; the next request for its action creates another one."""
         self._functions = {p: f for p, f in self._functions.items() if f is not function}
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -2,9 +2,9 @@
 
 Inputs (`submit`, `on_attempt_finished`, `on_load_report`, `on_client_gone`, `on_endpoints`) update the state and notify
 the dispatcher; the host then calls `next_effect(now)` until it returns None, and carries out each effect.  Each request
-gets one `FinalAnswer`.  Apart from admission, the core decides nothing itself: `kelptrail.dispatch` decides on
-attempts, load orders and the rejection of accepted requests.  All times are in milliseconds of the caller's clock;
-`wall` is wall time.
+gets one `FinalAnswer`, unless another dispatcher takes over its journal.  Apart from admission and recovery, the core
+decides nothing itself: `kelptrail.dispatch` decides on attempts, load orders and the rejection of accepted requests.
+All times are in milliseconds of the caller's clock; `wall` is wall time.
 """
 
 from __future__ import annotations
@@ -51,8 +51,9 @@
 class Gateway:
     """All requests of one dispatcher.
 
-    Requests that must survive a restart (deferred ones, and those with an idempotency key) are written to a journal.
-    The `RequestLifecycle` of each request tracks which entries must be durable before its next step.
+    Requests that must survive a restart (deferred ones, and those with an idempotency key) are written to a journal if
+    there is one and it accepts entries.  The `RequestLifecycle` of each request tracks which
+    entries must be durable before its next step.
     """
 
     def __init__(self, parts: DispatcherParts, boot: str, journal: GroupCommit | None = None) -> None:
@@ -102,7 +103,10 @@
         return self.state.keys.has(namespace, path_and_key, self._parts.deployment.actions)
 
     def in_flight_of(self, id_: str) -> Invocation | None:
-        """Return the request in flight with this activation id, or None."""
+        """Return the request with this activation id, or None.
+
+        A request is forgotten once its final answer is published and none of its attempts is in flight.
+        """
         return self.state.invocations_by_id.get(id_)
 
     def remove_waiter(self, record: Record, waiter: Callable[[Record], None]) -> None:
@@ -112,7 +116,7 @@
             invocation.waiters.remove(waiter)
 
     def on_client_gone(self, now: float, invocation: Invocation) -> None:
-        """End a blocking request whose client has disconnected before the final answer."""
+        """End a request whose client has disconnected or cancelled it; do nothing if it has its final answer."""
         if invocation.record.final:
             return
         self._dispatcher.on_client_gone(invocation.request)
@@ -174,7 +178,7 @@
         self._streams.set_reading(now, invocation, reading)
 
     def on_load_report(self, now: float, order: LoadOrder, status: AttemptStatus, loaded: int) -> None:
-        """Process the end of a load order; `loaded` is the number of instances that the worker then has."""
+        """Process the end of a load order; `loaded` is the number of instances that the worker reported, or 0."""
         self._dispatcher.on_load_report(now, order, status, loaded)
 
     def on_endpoints(self, now: float, listing: EndpointList) -> None:
@@ -186,7 +190,10 @@
     # The planner.
 
     def on_plan(self, plan: Mapping[str, Mapping[str, int]] | None) -> None:
-        """Replace the current plan: instances by model and worker, or None where there is no plan."""
+        """Replace the current plan: the number of instances by model and worker, or None where there is no plan.
+
+        Unknown models and workers are ignored.
+        """
         workers = {worker.id: worker for worker in self.members}
         planned: dict[Function, dict[Worker, int]] = {}
         for model, counts in (plan or {}).items():
@@ -248,7 +255,7 @@
     def _on_expired(self, now: float, request: Request) -> None:
         """Cancel the attempts of a request whose time is up.
 
-        The answer to a blocking request is then published even if it is not durable yet.
+        If a blocking request has its final answer, that is then published even if it is not durable yet.
         """
         invocation = self.state.invocations.get(request)
         if invocation is not None and invocation.expires_at > now:  # a part of its stream has arrived since
--- a/kelptrail/gateway/counters.py
+++ b/kelptrail/gateway/counters.py
@@ -12,7 +12,7 @@
 class FunctionCounters(msgspec.Struct, array_like=True):
     """Counters of one function since the gateway's last report.
 
-    They are sent as an array, so the order of the fields is fixed.
+    The counters are sent as an array, so the order of the fields is fixed.
     """
 
     received: int = 0  # requests
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -24,7 +24,7 @@
 SOCKET_WRITE_FACTOR = 2  # the later write of an answer to its socket takes about as long again
 ANSWER_COST_WEIGHT = 0.02  # weight of one measurement in the average cost of an answer
 TIMER_TOLERANCE_MS = 0.01  # smaller differences do not move the timer to an earlier time
-SWEEP_INTERVAL_MS = 1000.0  # interval at which idle worker connections are closed
+SWEEP_INTERVAL_MS = 1000.0  # shortest interval between two closings of idle worker connections
 DRAIN_POLL_S = 0.005
 
 
--- a/kelptrail/gateway/durability.py
+++ b/kelptrail/gateway/durability.py
@@ -1,7 +1,8 @@
 """Writes the journal entries that a request needs before its next step, and publishes durable final answers.
 
-A request is journaled if it must survive a restart: a deferred one, or one with an idempotency key.  The entries of a
-deferred request are written to a replicated journal if the dispatcher uses one, all others to the local journal.
+A request that must survive a restart (a deferred one, or one with an idempotency key) is journaled if its journal
+accepts entries.  The entries of a deferred request are written to a replicated journal if the dispatcher uses one, all
+others to the local journal.
 """
 
 from __future__ import annotations
@@ -54,9 +55,9 @@
         # Returns the replicated journal for new requests.
         self.replicated_journal: Callable[[], ReplicatedJournal | None] | None = None
         self.on_step: Callable[[str], None] = lambda _step: None  # called at each durability step, for crash tests
-        self.on_forget: Callable[[str], None] | None = None  # called with the id of a dropped record
+        self.on_forget: Callable[[str], None] | None = None  # called with each id to delete from the local journal
         self.under_replicated: deque[Invocation] = deque()  # requests whose record is on too few replicas
-        self.unsafe_attempts: deque[Attempt] = deque()  # held attempts that must not start: no may-run entry
+        self.unsafe_attempts: deque[Attempt] = deque()  # held attempts that are to be ended as not sent
         self.durable_deferred: deque[Request] = deque()  # deferred requests whose records have become durable
 
     # Choice of the journal.
@@ -74,7 +75,7 @@
         return self.journal is not None and self.journal.is_accepting() and (deferred or has_key)
 
     def accepts_deferred(self) -> bool:
-        """Return whether a deferred request could be made durable now."""
+        """Return whether a deferred request may be accepted now: its journal accepts entries, or none is configured."""
         if self.replicated_journal is not None:
             journal = self.replicated_journal()
             return journal is not None and journal.is_accepting()
@@ -113,7 +114,10 @@
             self.write_entries(invocation)
 
     def make_durable(self, invocation: Invocation) -> None:
-        """Journal a blocking request whose client will poll with the activation id instead."""
+        """Journal a blocking request whose client will poll with the activation id instead.
+
+        Do nothing if the request has its final answer, without a local journal, or while no entries are accepted.
+        """
         if invocation.lifecycle.final or self.journal is None or not self.accepts_deferred():
             return
         record = invocation.record
@@ -234,7 +238,7 @@
     def publish(self, invocation: Invocation, late: bool = False) -> None:
         """Publish a final answer, once; `late`: the client's time is up, and the answer may not be durable yet."""
         if invocation.lifecycle.stage is not RequestStage.FINAL:
-            return  # it was published late, before this write ended
+            return  # it was published late or released before this write ended
         invocation.lifecycle.publish(late)
         if not invocation.record.durable:
             self.on_step("ended")
--- a/kelptrail/gateway/invocation.py
+++ b/kelptrail/gateway/invocation.py
@@ -39,4 +39,5 @@
     durability_waiters: list[Callable[[bool | None], None]] = field(default_factory=list)
     under_replicated: bool = False  # too few replicas have its record: its end is journaled before it is published
     moved_to_replicated: bool = False  # moved from the local journal to a replicated one
-    held_attempts: list[Attempt] = field(default_factory=list)  # attempts that wait for a durable may-run entry
+    # Attempts that wait until the may-run entry is durable and this dispatcher is the primary of the journal.
+    held_attempts: list[Attempt] = field(default_factory=list)
--- a/kelptrail/gateway/lifecycle.py
+++ b/kelptrail/gateway/lifecycle.py
@@ -17,7 +17,7 @@
 
     ACCEPTED = "accepted"  # the dispatcher has not been notified yet
     QUEUED = "queued"  # the dispatcher has been notified
-    HELD = "held"  # an attempt was decided and waits until the may-run entry is durable
+    HELD = "held"  # an attempt was decided but has not started, as it may have to wait for the may-run entry
     SENT = "sent"  # at least one attempt is in flight
     ANSWERED = "answered"  # all attempts have ended, and none of them returned the final answer
     FINAL = "final"  # the one final answer is decided
@@ -153,7 +153,10 @@
 
     @property
     def durable_result(self) -> bool | None:
-        """Whether the accepted entry is durable, so that the client may get the id; None while that is unknown."""
+        """Whether the accepted entry is durable, so that the client may get the id; None while that is unknown.
+
+        False for a request that is not journaled.
+        """
         if not self.journaled:
             return False
         return {WriteState.DURABLE: True, WriteState.FAILED: False}.get(self.accepted_write)
@@ -167,7 +170,7 @@
     def on_attempt_decided(self) -> bool:
         """Record an attempt that was decided; return whether it may start now.
 
-        Otherwise it is held, and the may-run entry is requested.
+        Otherwise it is held, and the may-run entry is requested.  A missing accepted entry is requested in both cases.
         """
         if self.final:
             raise IllegalStepError("an attempt was decided after the final answer")
@@ -214,7 +217,8 @@
     def make_durable(self, moved: bool = False) -> None:
         """Journal the request from now on, as its client will poll with the activation id.
 
-        If it may have run, that is journaled, too.  `moved`: its entries are in another journal and are written again.
+        If the request is not idempotent and has had an attempt, even a held one, the may-run entry is requested, too.
+        `moved`: its entries are in another journal and are written again.
         """
         if self.final:
             raise IllegalStepError("a request with a final answer cannot be made durable")
--- a/kelptrail/gateway/limits.py
+++ b/kelptrail/gateway/limits.py
@@ -17,7 +17,7 @@
     HELD = "held"  # too many requests in flight
     BYTES = "bytes"  # the bodies of the requests in flight take too much memory
     NAMESPACE = "namespace"  # too many requests of its namespace in flight
-    EARLY = "early"  # a retry before its retry-after time, under overload
+    EARLY = "early"  # rejected by overload control: an early retry, or a request of a tenant over quota
 
 
 REJECTION_MESSAGES = {
--- a/kelptrail/gateway/overload.py
+++ b/kelptrail/gateway/overload.py
@@ -6,12 +6,12 @@
 connections than usual, attempts that find no instance while workers are cold, and tenants within their quota that are
 rejected or late while another tenant is over its own.
 
-In a storm each rejected client gets its own retry-after time, so that all retries together match the capacity left
-beyond first tries; a client that returns earlier is rejected on arrival, at no cost, and gets a longer one.  While
-other tenants are degraded, only a share of the requests of tenants over their quota is admitted.  In a storm, their
-retries also need a budget: each completed request adds one retry, each of their admitted first tries takes one, and a
-retry with a lower priority weight needs a larger budget.  All other requests go on to the dispatcher: a burst that it
-can serve is not damped.
+Outside the calm stage each rejected client gets its own retry-after time, so that all retries together match the
+capacity left beyond first tries; a client that returns earlier is rejected on arrival, at no cost, and gets a longer
+one.  While other tenants are degraded, only a share of the requests of tenants over their quota is admitted.  In a
+storm, their retries also need a budget: each completed request adds one retry, each of their admitted first tries takes
+one, and a retry with a lower priority weight needs a larger budget.  All other requests go on to the dispatcher: a
+burst that it can serve is not damped.
 """
 
 from __future__ import annotations
--- a/kelptrail/gateway/overload_signals.py
+++ b/kelptrail/gateway/overload_signals.py
@@ -32,13 +32,13 @@
         self.baseline_connections = 0.0  # slow average of connections in a window in the calm stage
         self.baseline_per_s = 0.0  # slow average of the request rate in the calm stage
         self.first_tries_per_s = self.completed_per_s = 0.0
-        self.retry_share = 0.0  # share of retries among the requests
+        self.retry_share = 0.0  # average share of retries, or of rejections under a surge if that is larger
         self.alarm = 0.0  # strength of the early signs, from 0 to 1
         self.cold_share = 0.0  # share of cold workers, set by the gateway
 
     @property
     def retry_capacity_per_s(self) -> float:
-        """Rate of retries that can be served in addition to first tries."""
+        """Rate of retries that can be served in addition to first tries, at least 1 per second."""
         return max(
             self.completed_per_s - self.first_tries_per_s, self._settings.min_retry_share * self.completed_per_s, 1.0
         )
--- a/kelptrail/gateway/records.py
+++ b/kelptrail/gateway/records.py
@@ -36,7 +36,8 @@
 
 
 FINAL_COUNT_INDEX = {FinalStatus.COMPLETED: 0, FinalStatus.REJECTED: 1, FinalStatus.FAILED: 2}  # in `final_counts`
-RECORD_BYTES, LOG_LINE_BYTES = 900, 60  # approximate size of a record, and of a log line, without its text
+# Approximate sizes of a record without its result and logs, and of a log line without its text.
+RECORD_BYTES, LOG_LINE_BYTES = 900, 60
 STATUS_MESSAGES = ("success", "application error", "action developer error", "whisk internal error")
 
 
@@ -110,7 +111,7 @@
         self._ended: deque[tuple[float, Record]] = deque()  # end times by the caller's clock, and the records
         self._bytes = 0
         self.dropped = 0
-        # Numbers of completed, rejected and aborted activations since the start, by namespace.
+        # Numbers of completed, rejected and failed activations since the start, by namespace.
         self.final_counts: dict[str, list[int]] = {}
         self.on_drop: Callable[[Record], None] | None = None
 
@@ -140,7 +141,7 @@
         self.trim(now)
 
     def restore(self, now: float, record: Record) -> None:
-        """Add a record that had ended before a restart."""
+        """Add a record that had ended before a restart or a take-over."""
         self._by_id[record.id] = record
         self._ended.append((now, record))
         self._bytes += record.size
--- a/kelptrail/gateway/recovery.py
+++ b/kelptrail/gateway/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery after a restart or a take-over: restores the records of a journal, and ends or resumes open requests."""
+"""Recovery after a restart or a take-over: restores activations with a final answer, ends or resumes the others."""
 
 from __future__ import annotations
 
@@ -80,9 +80,11 @@
     ) -> dict[str, int]:
         """Recover a journal's activations, and return how many had each `RecoveryOutcome`.
 
-        Those with a final answer can be polled again; the others are ended, or resumed within their timeout, at most
-        `max_concurrent` at once.  A request with `min_run_ms` or less left is not run.  `journal` is a replicated
-        journal, of an earlier run or of another dispatcher, or None for the local one.
+        Activations that already have a record are skipped and not counted.  Those with a final answer can be polled
+        again; the others are ended, or resumed within their timeout, at most `max_concurrent` at once.  A request with
+        `min_run_ms` or less left is not run.  While requests of an earlier recovery wait or run, the queue keeps the
+        limits of that one.  `journal` is a replicated journal, of an earlier run or of another dispatcher, or None for
+        the local one.
         """
         source = _Source(now, wall, journal)
         resumable: list[ResumeRequest] = []
@@ -104,7 +106,7 @@
         deployment, accepted = self._state.parts.deployment, entries.accepted
         action = deployment.actions.get(accepted.path)
         if action is None or accepted.namespace not in self._state.parts.tenants:
-            return RecoveryOutcome.UNKNOWN  # the settings have changed; the entries stay on disk
+            return RecoveryOutcome.UNKNOWN  # the settings have changed; the entries stay in the journal
         if self._state.records.has(accepted.id):
             return None
         if entries.ended is not None:
@@ -218,7 +220,10 @@
     def _create_request(
         self, now: float, resume: ResumeRequest, request_class: RequestClass, function: Function
     ) -> Request:
-        """Create the dispatcher's request, with the attempt of the earlier run if that may have reached a worker."""
+        """Create the dispatcher's request.
+
+        If a deduplicated request may have run before, an attempt of the earlier run is added.
+        """
         accepted, may_run = resume.entries.accepted, resume.entries.may_run
         queued_ms = now - self._queue_started_at
         request = Request(
--- a/kelptrail/gateway/response_stream.py
+++ b/kelptrail/gateway/response_stream.py
@@ -1,4 +1,4 @@
-"""A streamed response of one worker: server-sent events, of which the last one ends the attempt."""
+"""A streamed response of one worker: server-sent events, the last of which has the final result."""
 
 from __future__ import annotations
 
--- a/kelptrail/gateway/retry_after.py
+++ b/kelptrail/gateway/retry_after.py
@@ -53,16 +53,17 @@
         """Assign a time to retry to one client and return the wait until then in ms, at least `min_ms`.
 
         The time is the next slot in a queue that advances at the rate at which retries can be served.  A client that
-        returns early takes no further slot; its remaining wait is extended.  Each early retry of the client makes the
-        wait longer, up to `max_retry_after_ms`.  A random factor shortens the wait, so that clients do not all return
-        at the same moment.  A client gains nothing by ignoring its retry-after time.
+        returns early takes no further slot; its remaining wait is extended.  Each of its first
+        `MAX_COUNTED_EARLY_RETRIES` early retries makes the wait longer, up to `max_retry_after_ms`.  A random factor
+        shortens the wait, so that clients do not all return at the same moment.  A client gains nothing by ignoring its
+        retry-after time.
         """
         self.assigned += 1
         rejected_client = self._clients.get(client)
         if rejected_client is None or not rejected_client.is_early(now):
             self.last_slot_at = max(self.last_slot_at, now) + 1000 / retry_capacity_per_s
             wait_ms = self.last_slot_at - now
-        else:  # a client that returns early takes no further slot; its remaining wait is extended
+        else:
             wait_ms = rejected_client.retry_at - now
         if rejected_client is not None:
             wait_ms *= 1 + min(MAX_COUNTED_EARLY_RETRIES, rejected_client.early_retries) / 2
@@ -76,7 +77,7 @@
         return wait_ms
 
     def remember(self, client: str, retry_at: float) -> None:
-        """Store a client's retry-after time; beyond the maximum number, the least recent ones are forgotten."""
+        """Store a client's retry-after time; beyond the maximum number, those stored longest ago are forgotten."""
         rejected_client = self._clients.pop(client, None)
         if rejected_client is None:
             rejected_client = RejectedClient(retry_at)
--- a/kelptrail/gateway/state.py
+++ b/kelptrail/gateway/state.py
@@ -27,15 +27,18 @@
 
 
 class GatewayState:
-    """The state of one gateway.  Only the gateway and its parts change it, on one thread."""
+    """The state of one gateway, which changes on one thread.
+
+    Only the gateway and its parts change it, except that the host updates `answer_ms`.
+    """
 
     def __init__(self, parts: DispatcherParts, boot: str) -> None:
         settings = parts.deployment.dispatcher
         overload = parts.deployment.overload
         self.parts = parts
         self.dispatcher = parts.dispatcher
-        self.margin_ms = settings.answer_margin_ms  # time between the final answer and the client's timeout
-        self.answer_ms = 0.0  # time that the host takes to write one answer, as measured by the host
+        self.margin_ms = settings.answer_margin_ms  # smallest time from a request's deadline to the client's timeout
+        self.answer_ms = 0.0  # average time that the host takes to write one answer, as measured by the host
         self.invocations: dict[Request, Invocation] = {}
         self.invocations_by_id: dict[str, Invocation] = {}
         self.effects: deque[Effect] = deque()  # effects not yet returned to the host
--- a/kelptrail/gateway/tenant_quotas.py
+++ b/kelptrail/gateway/tenant_quotas.py
@@ -1,7 +1,7 @@
 """Tenant quotas: which tenants are over their quota, and which share of their requests is admitted.
 
-They protect tenants from the retry storm of another one: as long as requests of tenants within quota are rejected or
-late, fewer and fewer requests of tenants over quota are admitted.
+They protect tenants from the retry storm of another one: as long as too many requests of tenants within quota are
+rejected or late, the admitted share of requests of tenants over quota falls, down to `MIN_ADMITTED_SHARE`.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
         self._within_quota += tenant not in self.over_quota
 
     def on_degraded(self, tenant: str) -> None:
-        """Count a request that the dispatcher rejected, or that was completed late."""
+        """Count a request of a tenant within quota that the dispatcher rejected, or that was completed late."""
         self._degraded += tenant not in self.over_quota
 
     def on_completed(self) -> None:
@@ -78,7 +78,7 @@
         return False
 
     def _admit(self, share: float) -> bool:
-        """Return whether a request is admitted, by a random draw with probability `share`."""
+        """Return whether a request is admitted: with probability `share`, or always if overload control is disabled."""
         if share >= 1 or not self._settings.enabled:
             return True
         return self._draws.draw("in") < share  # the name "in" stays as it is, because it determines the draws
--- a/kelptrail/gateway/worker_calls.py
+++ b/kelptrail/gateway/worker_calls.py
@@ -54,7 +54,7 @@
 
 
 class _LoadEnd(NamedTuple):
-    """The status of a load order that ended, and how many instances the worker then has."""
+    """The status of a load order or a probe that ended, and how many instances the worker reported, or 0."""
 
     status: AttemptStatus
     loaded: int
@@ -68,7 +68,8 @@
     ) -> None:
         """Create the calls of one dispatcher.
 
-        `name` is the dispatcher's name, which is sent to workers; `on_event` is called after each report to the core.
+        `name` is the dispatcher's name, which is sent to workers; `on_event` is called when a call
+        ends and when data of a streamed response arrive.
         """
         self._gateway, self._name, self._settings, self._log = gateway, name, settings, log
         self._on_event = on_event
@@ -111,12 +112,12 @@
                 del self._pools[worker]
 
     def close_idle(self) -> None:
-        """Close connections that have been idle for a long time."""
+        """Close connections that have been idle for longer than the idle timeout."""
         for pool in self._pools.values():
             pool.close_idle()
 
     def close(self) -> None:
-        """Close all connections."""
+        """Close idle connections now and the others as their calls end."""
         for pool in self._pools.values():
             pool.close()
 
