--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -25,7 +25,7 @@
 ANSWER_COST_WEIGHT = 0.02  # weight of one measurement in the average cost of an answer
 TIMER_TOLERANCE_MS = 0.01  # smaller differences do not move the timer to an earlier time
 SWEEP_INTERVAL_MS = 1000.0  # shortest interval between two closings of idle worker connections
-DRAIN_POLL_S = 0.005
+DRAIN_POLL_S = 0.005  # interval at which `drain` checks for requests in flight
 
 
 class GatewayDriver:
@@ -178,7 +178,10 @@
     # Shutdown.
 
     async def drain(self, within_ms: float) -> bool:
-        """Wait up to `within_ms` for all final answers, then close all connections; return whether all were given."""
+        """Wait up to `within_ms` for all final answers, and return whether all were given.
+
+        Then close the connections to workers.
+        """
         end = now_ms() + within_ms
         while self.gateway.in_flight and now_ms() < end:
             await asyncio.sleep(DRAIN_POLL_S)
--- a/kelptrail/gateway/tenant_quotas.py
+++ b/kelptrail/gateway/tenant_quotas.py
@@ -32,6 +32,7 @@
         self.held_back = 0  # number of requests of tenants over quota that were not admitted
         # Number of retries of tenants over quota that completed requests cover; negative after many first tries.
         self._retry_budget = 0.0
+        # Average number of completed requests in a window, at least 1; it limits a negative budget, too.
         self._max_retry_budget = 1.0
         # Counts of this window.
         self._requests: dict[str, int] = {}  # requests by tenant
--- a/kelptrail/gateway/worker_calls.py
+++ b/kelptrail/gateway/worker_calls.py
@@ -161,7 +161,7 @@
         parameters: dict[str, str | int | float | bool] = {
             "dispatcher": self._name,
             "activation": record.id,
-            "send": attempt.number,
+            "send": attempt.number,  # "send" is the protocol's name of the attempt number
             # The worker starts the attempt within this time or not at all.
             "limit_ms": round(attempt.request.deadline - attempt.started_at, 1),
         }
--- a/kelptrail/store/driver.py
+++ b/kelptrail/store/driver.py
@@ -15,7 +15,7 @@
 MAX_FORGET_BATCH = 500  # activations deleted in one transaction, for which a commit may have to wait
 MAX_STALE = 20_000  # from this number, stale activations are deleted without waiting for background work
 RETRY_POLL_S = 0.1  # interval at which a failing journal is checked for a due trial batch
-CLOSE_POLL_S = 0.005
+CLOSE_POLL_S = 0.005  # interval at which `close` checks for waiting entries
 
 
 class EntryStore(Protocol):
@@ -34,8 +34,8 @@
 class JournalDriver:
     """Writes batches as they become ready; `progress` is called after each batch and each deletion."""
 
-    def __init__(self, journal: GroupCommit, store: EntryStore, progress: Callable[[], None], log: Any) -> None:
-        self.group_commit, self._store, self._progress, self._log = journal, store, progress, log
+    def __init__(self, group_commit: GroupCommit, store: EntryStore, progress: Callable[[], None], log: Any) -> None:
+        self.group_commit, self._store, self._progress, self._log = group_commit, store, progress, log
         self._loop = asyncio.get_running_loop()
         self._thread = ThreadPoolExecutor(1, "journal")
         self._busy = False
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -104,6 +104,7 @@
                     assert all(a.status in NEVER_RAN for a in request.attempts[:-1]), (
                         "an at-most-once request is sent once"
                     )
+                # The weights are in the order of `AttemptStatus`; CANCELLED follows only from `CancelAttempt`.
                 status = random_source.choices(list(AttemptStatus), [60, 8, 6, 8, 3, 4, 0, 2, 6])[0]
                 duration_ms = 3000.0 if status is AttemptStatus.SILENT else random_source.uniform(5, 300)
                 self.open_attempts.append((now + duration_ms, effect.attempt, status))
