--- a/kelptrail/store/driver.py
+++ b/kelptrail/store/driver.py
@@ -15,7 +15,7 @@
 MAX_FORGET_BATCH = 500  # activations deleted in one transaction, for which a commit may have to wait
 MAX_STALE = 20_000  # from this number, stale activations are deleted without waiting for background work
 RETRY_POLL_S = 0.1  # interval at which a failing journal is checked for a due trial batch
-CLOSE_POLL_S = 0.005
+CLOSE_POLL_S = 0.005  # interval at which `close` checks for waiting entries
 
 
 class EntryStore(Protocol):
@@ -34,8 +34,8 @@
 class JournalDriver:
     """Writes batches as they become ready; `progress` is called after each batch and each deletion."""
 
-    def __init__(self, journal: GroupCommit, store: EntryStore, progress: Callable[[], None], log: Any) -> None:
-        self.group_commit, self._store, self._progress, self._log = journal, store, progress, log
+    def __init__(self, group_commit: GroupCommit, store: EntryStore, progress: Callable[[], None], log: Any) -> None:
+        self.group_commit, self._store, self._progress, self._log = group_commit, store, progress, log
         self._loop = asyncio.get_running_loop()
         self._thread = ThreadPoolExecutor(1, "journal")
         self._busy = False
@@ -115,7 +115,10 @@
         return lambda: None
 
     async def close(self, within_ms: float) -> bool:
-        """Write waiting entries for up to `within_ms`, close the storage, and return whether all are durable."""
+        """Write waiting entries for up to `within_ms`, and return whether all are durable.
+
+        Then delete the stale activations and close the storage.
+        """
         end = now_ms() + within_ms
         while (self.group_commit.waiting or self._busy) and now_ms() < end:
             self.start_next_batch()
