--- a/kelptrail/lease/acceptor.py
+++ b/kelptrail/lease/acceptor.py
@@ -4,16 +4,16 @@
 in a `Write` until the driver reports that the write was synced.  After a restart, the length of each durable grant is
 counted from the restart, so that the grant expires here no earlier than at its holder.  An acceptor without durable
 state (on a new, lost or damaged disk) does not vote at first.  It waits until every lease that it may have granted has
-expired, and then requests the state of a majority of voting acceptors.  This order ensures that it also receives the
-leases that the others granted during its wait.
+expired, and then requests the state of the others until voting acceptors that form a majority have sent theirs.  This
+order ensures that it also receives the leases that the others granted during its wait.
 
 A new acceptor set replaces the previous one in three steps.  A majority of the previous set enters the new set; this
-seals the previous set, which can grant nothing more.  The length of the longest lease elapses.  The new set then
-receives the sealed state.
+seals the previous set, which can grant nothing more.  All leases of the previous set expire
+(`LeaseSettings.recovery_wait_ms`).  The new set then receives the sealed state.
 
 `Stage.FOUNDING` distinguishes the first start of a complete set from the loss of all its disks: each acceptor must find
-that all others are empty, make this finding durable, and find that all others have done the same or that one of them
-already votes.
+that all others have no state, make this finding durable, and find that all others have done the same or that one of
+them already votes.
 """
 
 from __future__ import annotations
@@ -217,8 +217,9 @@
     def _on_write_note(self, sender: str, message: WriteNote) -> None:
         """Store the note of the lease holder.
 
-        A note under an older token is ignored, because the grant under the newer token has already included the note
-        that was stored at that time.
+        The note is ignored if this acceptor does not vote, if the holder uses another acceptor set, if the token is not
+        the highest one or was released, or if a later note is stored.  A note under an older token must not replace the
+        note that the grant under the newer token has already included.
         """
         record, note = self.records.get(message.task), message.note
         if record is None or not self._may_vote or message.config_number != self.config_number:
--- a/kelptrail/lease/acceptor_recovery.py
+++ b/kelptrail/lease/acceptor_recovery.py
@@ -37,8 +37,8 @@
     def _stage_after_config_change(self, now: float) -> Stage | None:
         """Return the stage after a change of the acceptor set, or None if the acceptor must still wait.
 
-        A majority of the previous set must have entered the new set, which seals the previous set.  Then the longest
-        lease must elapse.
+        A majority of the previous set must have entered the new set, which seals the previous set.  Then all leases
+        of the previous set must expire.  An acceptor that was not in the previous set waits forever.
         """
         previous = self.settings.previous_acceptors
         # This acceptor itself has sealed the previous set by entering the new one.
@@ -50,8 +50,8 @@
     def _stage_after_state_loss(self, now: float, stage: Stage) -> Stage | None:
         """Return the next stage of an acceptor without durable state, or None if it must still wait.
 
-        It votes once all leases that it may have granted have expired and a majority of voting acceptors has sent its
-        state, or once it is certain that the complete set is new.
+        It votes once all leases that it may have granted have expired and voting acceptors that form a majority have
+        sent their states, or once it is certain that the complete set is new.
         """
         if not self._is_wait_over(now):
             return None
@@ -66,7 +66,7 @@
         return Stage.FOUNDING if all(self._reports_no_state(name) for name in all_others) else None
 
     def _reports_no_state(self, name: str) -> bool:
-        """Return whether another acceptor has replied that it never had state, so that it has granted nothing."""
+        """Return whether another acceptor has replied that it has no state from which it could vote."""
         reply = self.replies.get(name)
         return reply is not None and reply.stage in (Stage.EMPTY.value, Stage.FOUNDING.value)
 
--- a/kelptrail/lease/acceptor_state.py
+++ b/kelptrail/lease/acceptor_state.py
@@ -16,9 +16,8 @@
 
     EMPTY = "empty"  # no durable state
     FOUNDING = "founding"  # no durable state, and all other acceptors were found to have none either
-    CHANGING = (
-        "changing"  # has stored the grants that it made in the previous acceptor set, and has entered the current set
-    )
+    # Has stored the grants that it made in the previous acceptor set, and has entered the current set.
+    CHANGING = "changing"
     VOTING = "voting"
     BEHIND = "behind"  # its settings contain an older acceptor set than its disk
 
@@ -66,7 +65,7 @@
     def free_at(self, now: float) -> float:
         """Return the estimated time at which another client can acquire the task.
 
-        It is `now` for a free task, and may be later if the task is held or reserved.
+        It is at most `now` for a free task, and later if the task is held or reserved.
         """
         return max(
             self.expires_at if not self.released else now,
--- a/kelptrail/lease/acceptor_store.py
+++ b/kelptrail/lease/acceptor_store.py
@@ -127,7 +127,7 @@
 
 
 def _rename_damaged(file: Path) -> None:
-    """Rename the files of a damaged database.  If that fails, they stay, and opening the store reports the error."""
+    """Rename the files of a damaged database.  A file that cannot be renamed stays and is opened again."""
     damaged_file = free_damaged_name(file)
     for suffix in FILE_SUFFIXES:
         with contextlib.suppress(OSError):
--- a/kelptrail/lease/backoff.py
+++ b/kelptrail/lease/backoff.py
@@ -22,7 +22,11 @@
         self.draws = 0
 
     def pause_ms(self, failed_attempts: int = 0) -> float:
-        """Return the pause before the next attempt, in ms.  It doubles from the second consecutive failure on."""
+        """Return the pause before the next attempt, in ms.
+
+        Before the jitter, it doubles with each consecutive failure after the first, `MAX_BACKOFF_DOUBLINGS` times at
+        most.
+        """
         doublings = min(MAX_BACKOFF_DOUBLINGS, max(0, failed_attempts - 1))
         return self._base_ms * 2.0**doublings * (MIN_JITTER_FACTOR + self._jitter())
 
--- a/kelptrail/lease/client.py
+++ b/kelptrail/lease/client.py
@@ -8,8 +8,8 @@
 
 Liveness: a lease is renewed after a third of its safe length.  A client that requests a task first sends its request to
 a single acceptor, which is the same for all clients of that task.  If the task is held, this acceptor assigns retry
-times to the waiting clients.  The other acceptors receive a request only after the first one has granted the lease,
-refused it for another reason, or not answered in time.
+times to the waiting clients.  The other acceptors receive a request only after the first one has granted the lease, has
+refused it although the task is neither held nor reserved, or has not answered in time.
 """
 
 from __future__ import annotations
@@ -269,8 +269,9 @@
     def _abandon_attempt(self, now: float, request: LeaseRequest) -> None:
         """Abandon an attempt, release its grants and schedule the next attempt.
 
-        The next attempt starts when the task may be free or, where no holder is known, after an exponential backoff.
-        Jitter spreads the attempts of different clients.
+        The next attempt starts one pause after the latest retry time in the refusals, or one pause from now if there is
+        none or the task is reserved for this client.  Without a retry time and a reservation, the pause grows with each
+        failed attempt.  Jitter spreads the attempts of different clients.
         """
         self._send_release(request, tuple(sorted(request.contacted_acceptors)), "")
         is_reserved = now < request.reserved_until
--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -151,7 +151,10 @@
         return sequence
 
     def inherited_note(self, task: str) -> bytes:
-        """Return the note of earlier holders as of the acquisition of the lease, or empty bytes if there is none."""
+        """Return the latest note that a grant of the lease contained, or empty bytes if there is none.
+
+        When the lease is acquired, this is the note of earlier holders.  After a renewal it may be this holder's own.
+        """
         request = self.client.requests.get(task)
         return request.inherited_note.text if request is not None else b""
 
--- a/kelptrail/lease/messages.py
+++ b/kelptrail/lease/messages.py
@@ -77,7 +77,7 @@
 
 
 class RefusalReason(Enum):
-    """Reason why an acceptor refuses a request.  The values are sent; the first four are those of `Stage`."""
+    """Reason why an acceptor refuses a request.  The values are sent; the first four are also values of `Stage`."""
 
     EMPTY = "empty"
     FOUNDING = "founding"
@@ -86,7 +86,7 @@
     STAGE_NOT_DURABLE = "settling"  # the acceptor has started to vote, but its stage is not durable yet
     OTHER_CONFIG = "set"  # the client uses another acceptor set
     INVALID_LENGTH = "length"  # not positive, longer than the longest lease, or a renewal with another length
-    OLDER_TOKEN = "older"  # a later token was granted
+    OLDER_TOKEN = "older"  # a later token is recorded, or the round is not above `round_floor`
     RELEASED = "released"  # the lease that the client renews was released
     HELD = "held"  # another client holds the lease
     RESERVED = "reserved"  # the task is reserved for the successor named by the last holder
@@ -100,7 +100,8 @@
 class Refusal(msgspec.Struct, frozen=True, tag="refused", array_like=True):
     """The request is refused.
 
-    `highest_token` is the highest token of the task, and `retry_after_ms` the time until a retry can succeed.
+    `highest_token` is the highest recorded token of the task, or one with the round `round_floor` if that is higher.
+    `retry_after_ms` is the estimated time until a retry can succeed, or 0 if the task is neither held nor reserved.
     `config_number` and `acceptors` describe the current acceptor set; `acceptors` is empty if the settings of the
     sending acceptor are outdated.
     """
@@ -135,8 +136,8 @@
 class LeaseRow(msgspec.Struct, frozen=True, array_like=True):
     """Durable state of one task at an acceptor.
 
-    `token` is the highest granted token, and `note` the latest note; `length_ms` and `released` belong to the lease
-    under that token.
+    `token` is the highest token that was granted or released, and `note` the latest note; `length_ms` and `released`
+    belong to the lease under that token.
     """
 
     task: str
@@ -156,8 +157,8 @@
 class StateReply(msgspec.Struct, frozen=True, tag="learnt", array_like=True):
     """State of an acceptor.  `stage` is a value of `acceptor_state.Stage`.
 
-    `sealed_previous` is true if it has stored all grants that it made in the previous acceptor set, and grants nothing
-    more in that set.
+    `sealed_previous` is true if the sender has stored all grants that it made in the previous acceptor set, and grants
+    nothing more in that set.
     """
 
     config_number: int
@@ -178,7 +179,8 @@
     - `previous_acceptors`: the acceptor set before the current one.
     - `clock_rate_bound`: maximum relative error of a clock's rate, so that it is between 1 - bound and 1 + bound.
     - `max_lease_ms`: longest lease that acceptors grant.
-    - `request_timeout_ms`: time after which a request counts as unanswered.
+    - `request_timeout_ms`: time that a client waits for the answer of the first acceptor; it then waits twice as long
+      for the others.  Also the interval between the state queries of an acceptor.
     - `retry_pause_ms`: base of the backoff after a failed attempt.
     - `queue_spacing_ms`: interval between the retry times of waiting clients.
     - `transfer_reservation_ms`: time for which a released task is reserved for its successor.
@@ -206,7 +208,7 @@
 
     @property
     def recovery_wait_ms(self) -> float:
-        """Time on the fastest clock after which every lease granted before now has expired at its holder, in ms."""
+        """Time in ms on the fastest clock after which every lease granted earlier has expired on the slowest clock."""
         return self.max_lease_ms * (1 + self.clock_rate_bound) / (1 - self.clock_rate_bound)
 
 
--- a/kelptrail/lease/model.py
+++ b/kelptrail/lease/model.py
@@ -94,7 +94,7 @@
     # Properties.
 
     def check(self) -> None:
-        """Check the properties of every state.  Raises `PropertyError` if one is violated."""
+        """Check the properties that hold in every state.  Raises `PropertyError` if one is violated."""
         if self.violation:
             raise PropertyError(self.violation)
         holders = [
--- a/kelptrail/lease/model_state.py
+++ b/kelptrail/lease/model_state.py
@@ -127,7 +127,8 @@
         self.clients = {name: setup.client_type(name, f"{name}/1", settings) for name in setup.clients}
         self.in_flight: tuple[InFlight, ...] = ()
         self.paused: frozenset[str] = frozenset()
-        self.highest_accepted = self.highest_acquired = NO_TOKEN  # highest token accepted by the resource, and acquired
+        # Highest token that the resource has accepted, and highest token that a client has acquired.
+        self.highest_accepted = self.highest_acquired = NO_TOKEN
         self.stored_note = NO_NOTE  # latest note that was acknowledged to its holder
         self.violation = ""
         self.trail: tuple[str, ...] = ()
--- a/kelptrail/membership/members.py
+++ b/kelptrail/membership/members.py
@@ -1,7 +1,7 @@
 """Applies endpoint lists to the worker entities that dispatch decisions use.  Performs no I/O.
 
 A list contains the address, state, incarnation (new at each start of its process) and age of every worker.  A worker
-that is missing from a list is removed.  A list that is older than the current one is ignored.
+that is missing from a list is removed.  A list with a lower version in the same lineage is ignored.
 """
 
 from __future__ import annotations
@@ -86,7 +86,7 @@
         return iter(self._workers.values())
 
     def apply(self, now: float, endpoints: EndpointList) -> WorkerChanges:
-        """Apply a list and return the resulting workers.  A list that is older than the current one changes nothing."""
+        """Apply a list and return the resulting workers.  A lower version in the same lineage changes nothing."""
         if endpoints.lineage == self.lineage and endpoints.version < self.version:
             return WorkerChanges(list(self._workers.values()), [])
         self.version, self.lineage = endpoints.version, endpoints.lineage
--- a/kelptrail/peers/__init__.py
+++ b/kelptrail/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Who the other dispatchers and planners are, and one versioned channel between any two."""
+"""Versioned message channel between processes: framing, handshake, heartbeats and connections."""
--- a/kelptrail/peers/connection.py
+++ b/kelptrail/peers/connection.py
@@ -21,9 +21,12 @@
 class PeerSettings:
     """Limits of a connection.
 
-    `heartbeat_ms`: time without output after which a heartbeat is sent; `silence_timeout_ms`: time without input after
-    which the connection is closed; `max_pending_bytes`: limit on buffered output; `max_messages_per_s`: limit on
-    messages accepted from a peer, also the burst size; `max_frame_bytes`: size limit of a message.
+    - `heartbeat_ms`: time without output after which a heartbeat is sent.
+    - `silence_timeout_ms`: time without input after which the connection is closed.
+    - `connect_timeout_ms`: time limit for opening a connection.
+    - `max_pending_bytes`: limit on buffered output.
+    - `max_messages_per_s`: rate limit on messages accepted from a peer, and the largest burst.
+    - `max_frame_bytes`: size limit of a received message.
     """
 
     heartbeat_ms: float = 500.0
@@ -53,7 +56,10 @@
         return self._reader.unknown_messages
 
     def receive_data(self, now: float, data: bytes | memoryview) -> list[Any]:
-        """Return the messages that are complete with `data`, except hellos and heartbeats.  Raises `ChannelError`."""
+        """Return the messages that are complete with `data`.  Raises `ChannelError`.
+
+        Hellos, heartbeats, and messages beyond the rate limit are left out.
+        """
         self.last_received_at, messages = now, []
         self._rate_tokens = min(
             self._settings.max_messages_per_s,
@@ -90,7 +96,7 @@
         return self._enqueue_frame(now, encode_frame(message))
 
     def tick(self, now: float) -> bool:
-        """Send a heartbeat if one is due; return False once the peer has been silent for too long."""
+        """Buffer a heartbeat if one is due; return False once the peer has been silent for too long."""
         if now - self._last_sent_at >= self._settings.heartbeat_ms:
             self._enqueue_frame(now, encode_frame(Heartbeat()))
         return now - self.last_received_at < self._settings.silence_timeout_ms
--- a/kelptrail/peers/driver.py
+++ b/kelptrail/peers/driver.py
@@ -54,7 +54,7 @@
         )
         self._heartbeat_task: asyncio.Task[None] | None = None
         self.address = ""
-        self.connections_lost = 0
+        self.connections_lost = 0  # attempts of this process to connect that failed or whose connection ended
 
     def register(self, capability: str, handler: Handler, *message_types: type[msgspec.Struct]) -> None:
         """Call `handler` with the sender's name and the message for each received message of these types.
@@ -151,7 +151,8 @@
         """Connect to a peer whenever there is no connection.
 
         The process whose name sorts first connects at once.  The other one connects a little later, because the first
-        one may not need the connection and then does not connect.
+        one may not need the connection and then does not connect.  While another connection to the peer exists, it is
+        only checked, at intervals of up to `MAX_BACKOFF_MS`.
         """
         backoff_ms = MIN_BACKOFF_MS
         if name < self.name:
--- a/kelptrail/peers/messages.py
+++ b/kelptrail/peers/messages.py
@@ -2,9 +2,9 @@
 
 A frame is four bytes of length, most significant first, and one message: an array that begins with the tag of the
 message's type.  The first message in each direction is `Hello` with the protocol version and the sender's capabilities.
-The previous version is still supported.  From peers with a later version, messages of unknown types and additional
-fields at the end of a message are skipped.  A frame that is too large or contains no valid message raises
-`ChannelError`, which ends the connection.
+The previous version is still supported.  Messages of unknown types and additional fields at the end of a message are
+skipped, because peers with a later version may send them.  A frame that is too large or contains no valid message
+raises `ChannelError`, which ends the connection.
 """
 
 from __future__ import annotations
