--- a/kelptrail/replication/batch_queue.py
+++ b/kelptrail/replication/batch_queue.py
@@ -8,13 +8,14 @@
 from .messages import ReplicaEntry
 from .replica_stream import Batch, CommitCallback
 
-MAX_UNCOMMITTED_BATCHES = 4  # above this limit new entries wait in the collecting batch
+MAX_UNCOMMITTED_BATCHES = 4  # at this number, new entries wait in the collecting batch
 
 
 class BatchQueue:
     """Batches of one journal, numbered from 1 and committed in order.
 
-    `uncommitted` contains the batches that were started and are not committed, oldest first.
+    `uncommitted` contains the batches that were started and are not committed, oldest first.  `uncommitted_bytes` is
+    the size of their entries; the collecting batch does not count.
     """
 
     def __init__(self) -> None:
--- a/kelptrail/replication/context.py
+++ b/kelptrail/replication/context.py
@@ -30,8 +30,8 @@
 
     `on_recovered` gets activations of a journal that this dispatcher has acquired.  `on_resumed` is called once the
     gateway may act on the journal.  `on_released` is called when this dispatcher stops acting on a journal, and returns
-    the number of calls that the gateway gives up.  `on_progress` is called when batches may have been
-    committed.  `has_activation` gets the target of a lookup, `is_issued_by` a dispatcher's name and an activation id.
+    the number of calls that the gateway gives up.  `on_progress` is called when batches may have been committed.
+    `has_activation` gets the target of a lookup, `is_issued_by` a dispatcher's name and an activation id.
     `has_in_flight` returns whether a journal has calls in flight.
     """
 
--- a/kelptrail/replication/failover.py
+++ b/kelptrail/replication/failover.py
@@ -18,7 +18,7 @@
 
 
 class FailoverMonitor:
-    """Records the last message of each dispatcher and of each journal's primary, and decides when to claim a journal.
+    """Records when each dispatcher and each journal's primary last sent a message, and decides when to claim a journal.
 
     Times are milliseconds of this process's clock.  Before the first message of a dispatcher or a primary, the start of
     this process counts as the time of its last one.
@@ -27,13 +27,13 @@
     def __init__(self, name: str, failover_after_ms: float, now: float) -> None:
         self._name, self._failover_after_ms, self._start = name, failover_after_ms, now
         self._last_message_at: dict[str, float] = {}
-        self._last_append_at: dict[str, float] = {}  # by journal; last append or digest check of its primary
+        self._last_append_at: dict[str, float] = {}  # by journal; last message about the journal from its primary
         self._backoffs: dict[str, ClaimBackoff] = {}  # by journal
         self._last_tick = now
         self.claims: set[str] = set()
 
     def on_tick(self, now: float, interval_ms: float) -> None:
-        """Shift all recorded times forward if more than three times `interval_ms` have passed since the last call.
+        """Shift the times of the last messages forward if the last call was more than `3 * interval_ms` ago.
 
         Calls are expected every `interval_ms`.  The shift prevents a process that was suspended from treating all other
         dispatchers as lost when it resumes.
@@ -50,7 +50,10 @@
         self._last_message_at[name] = max(received_at, self._last_message_at.get(name, self._start))
 
     def on_append(self, journal_id: str, now: float) -> None:
-        """Record an append or a digest check of a journal's primary; an active primary sends them continuously."""
+        """Record a message about the journal from its primary.
+
+        An active primary sends appends and digest checks continuously; the opening or closing of a stream counts too.
+        """
         self._last_append_at[journal_id] = now
 
     def _append_silence_ms(self, now: float, journal_id: str) -> float:
@@ -85,7 +88,8 @@
     def should_claim(self, now: float, journal_id: str, primary: str) -> bool:
         """Return whether this dispatcher should request the lease of a journal that is replicated here.
 
-        A journal whose last primary was this dispatcher is claimed at once.
+        No journal is claimed during its pause.  Otherwise one whose last primary was this dispatcher is claimed at
+        once.
         """
         backoff = self._backoffs.get(journal_id)
         if backoff is not None and now < backoff.ends_at:
--- a/kelptrail/replication/journal_manager.py
+++ b/kelptrail/replication/journal_manager.py
@@ -57,9 +57,9 @@
     """The journals of one process.
 
     `handles` contains the journals of which this process is or becomes the primary, by id; `current` is the one for new
-    calls.  `released` contains the ids of journals that were given up, until another primary writes to them here.
-    `reported_primary` contains, by journal, name and run of the reported lease holder until it writes to the replica
-    here.
+    calls.  `released` contains the ids of journals that were given up, until another primary writes to them here or
+    this process acquires their lease again.  `reported_primary` contains, by journal, name and run of the reported
+    lease holder until it writes to the replica here.
     """
 
     def __init__(self, context: ReplicationContext) -> None:
--- a/kelptrail/replication/journal_review.py
+++ b/kelptrail/replication/journal_review.py
@@ -89,7 +89,10 @@
         )
 
     def _other_holds_lease(self, journal_id: str) -> bool:
-        """Return whether another dispatcher was last reported to hold the lease."""
+        """Return whether another dispatcher was last reported to hold the lease.
+
+        If this process is the primary or becomes it, only a holder with a later token counts.
+        """
         reported = self._context.leases.client.known_holders.get(LEASE_PREFIX + journal_id)
         return (
             reported is not None
--- a/kelptrail/replication/lookup.py
+++ b/kelptrail/replication/lookup.py
@@ -27,7 +27,8 @@
 class PendingLookup:
     """A lookup in progress.
 
-    `awaiting` contains the dispatchers that have not replied.  `inconclusive` is set if the target may appear later.
+    `awaiting` contains the dispatchers that have not replied.  `inconclusive` is set if the target may appear later,
+    or if a dispatcher that may have it could not be queried.
     `primaries` and `responders` are names and runs; "does not exist" requires a reply of each primary.
     """
 
--- a/kelptrail/replication/messages.py
+++ b/kelptrail/replication/messages.py
@@ -48,8 +48,8 @@
 class ReplicaEntry(msgspec.Struct, frozen=True, array_like=True):
     """One journal entry.  `data` is the output of `store.entries.encode_entry`.
 
-    `age_ms` is the entry's age at the time of sending, counted from the acceptance of the call or, for a may-run entry,
-    from the time at which the entry was written.
+    `age_ms` is the entry's age at the time of sending: for an accepted entry the time since the call was accepted, for
+    other kinds the time since the entry was written.
     """
 
     id: str
--- a/kelptrail/replication/model.py
+++ b/kelptrail/replication/model.py
@@ -1,10 +1,9 @@
 """Randomized model of one journal with its successive primaries, replicas and disks.
 
 Messages are lost, duplicated, delayed and reordered; syncs fail; processes restart; disks are lost.  A primary may
-lose its lease at any time and then still complete one write, as if it were paused between the check of the lease and
-the write.
-The lease is modelled as `docs/leases.md` specifies it: one holder at a time, increasing tokens, and a note for the next
-holder.
+lose its lease at any time and then still complete the writes that are queued, as if it were paused between the check of
+the lease and the write.  The lease is modelled as `docs/leases.md` specifies it: one holder at a time, increasing
+tokens, and a note for the next holder.
 
 Checked properties: the next primary has every acknowledged call, unless the disks of all in-sync replicas are lost; no
 call runs twice; no call has two final answers; no replica stores anything under an older token.
@@ -32,7 +31,7 @@
 
 @dataclass(slots=True)
 class Faults:
-    """Probability of each fault in each step in which it can occur."""
+    """Probabilities of faults: the first three per message, `failed_sync` per write, all others per step."""
 
     lost: float = 0.1
     duplicated: float = 0.1
@@ -55,7 +54,7 @@
         roles: tuple[type[Primary], type[Replica]] = Roles(),
     ) -> None:
         self.rng, self.faults = random.Random(seed), faults or Faults()
-        self.now, self.requests = 0.0, 0
+        self.now, self.request_count = 0.0, 0
         self.nodes = {f"d{n}": Node(Roles(*roles), f"d{n}") for n in range(nodes)}
         self.in_transit: list[tuple[str, str, Any]] = []
         # State of the lease at the acceptors.
@@ -132,8 +131,8 @@
     # Requests.
 
     def _accept_request(self, node: Node) -> None:
-        self.requests += 1
-        id_ = f"c{self.requests}"
+        self.request_count += 1
+        id_ = f"c{self.request_count}"
         node.requests[id_] = "record"
         node.primary.append(
             [ReplicaEntry(id_, ACCEPTED, 0.0, b"")], partial(self._on_accepted_committed, node, node.primary, id_)
--- a/kelptrail/replication/replica_placement.py
+++ b/kelptrail/replication/replica_placement.py
@@ -53,9 +53,9 @@
             zones = Counter(m.zone for m in replicas)
             remaining = [m for m in ranked if m not in replicas]
             with_capacity = [m for m in remaining if load[m.name] < max_load] or remaining
-            best = min(with_capacity, key=lambda m: (m.zone == primary.zone, zones[m.zone]))
-            replicas.append(best)
-            load[best.name] += 1
+            chosen = min(with_capacity, key=lambda m: (m.zone == primary.zone, zones[m.zone]))
+            replicas.append(chosen)
+            load[chosen.name] += 1
         replicas_of[primary.name] = tuple(m.name for m in replicas)
     return replicas_of
 
--- a/kelptrail/replication/replica_store.py
+++ b/kelptrail/replication/replica_store.py
@@ -1,8 +1,8 @@
 """Store of own and replicated journals: an SQLite database in WAL mode, or in memory if so configured.
 
-`docs/formats/copies.md` describes the layout.  Only one thread may use a store at a time.  Each row has a checksum.
-Digests of buckets are kept in memory and updated by each write.  For a write with a
-`digest_range` other than all buckets, the digests are computed from the rows on disk, which detects silent corruption.
+`docs/formats/copies.md` describes the layout.  Only one thread may use a store at a time.  Each entry has a checksum.
+Digests of buckets are kept in memory and updated by each write.  For a write with a `digest_range` other than all
+buckets, the digests are computed from the rows on disk, which detects silent corruption.
 """
 
 from __future__ import annotations
--- a/kelptrail/replication/replica_stream.py
+++ b/kelptrail/replication/replica_stream.py
@@ -73,7 +73,7 @@
     repaired_batch: int = 0  # number of the last batch whose entries the repair includes
     repair_end: int = 0  # message whose acknowledgement ends the repair; 0 until it is queued
     retry_at: float = 0.0  # time at which unacknowledged messages are sent again
-    repair_at: float = 0.0  # earliest time of the next bucket under the rate limit
+    repair_at: float = 0.0  # earliest time of the next bucket read, set by the rate limit or a failed read
     reading_bucket: int = -1  # bucket that is being read from the local disk; -1 if none
     differing_buckets: deque[int] = field(default_factory=deque)
     unacked: deque[UnackedAppend] = field(default_factory=deque)
--- a/kelptrail/replication/replica_streams.py
+++ b/kelptrail/replication/replica_streams.py
@@ -45,7 +45,7 @@
     def update(
         self, now: float, reachable: set[str], ranking: Iterable[str], in_sync: Callable[[], Collection[str]]
     ) -> None:
-        """Drop unreachable replicas, open streams to missing ones in the order of `ranking`, replace draining ones.
+        """Drop replicas that stay unreachable, open missing streams in the order of `ranking`, replace draining ones.
 
         `in_sync` returns the current in-sync set, which changes as streams are dropped.
         """
