--- a/kelptrail/front/context.py
+++ b/kelptrail/front/context.py
@@ -35,6 +35,6 @@
         return self._loop.call_later(delay_ms / 1000, callback)
 
     def cancel(self, invocation: Invocation) -> None:
-        """Cancel a request whose answer no client waits for, and end it as failed."""
+        """Cancel a request and end it as failed; without effect if it has its final answer."""
         self.gateway.on_client_gone(now_ms(), invocation)
         self.driver.schedule_decisions()
--- a/kelptrail/front/inference/request_parsing.py
+++ b/kelptrail/front/inference/request_parsing.py
@@ -27,7 +27,7 @@
     """Validated inference request."""
 
     action: ActionSettings
-    payload: bytes  # Tensors in the format that workers read
+    payload: bytes  # JSON for the worker: inputs, names of the requested outputs, and parameters
     key: str | None  # Idempotency key of the client
     digest: str  # Digest of the payload; empty without a key
 
--- a/kelptrail/front/inference/responses.py
+++ b/kelptrail/front/inference/responses.py
@@ -66,7 +66,7 @@
 
 
 def _add_tensors(response: pb.ModelInferResponse, raw: bool, result: bytes) -> dict[str, Scalar]:
-    """Add the tensors of a result to a response and return its parameters.  Raises `TensorError` and `MsgspecError`."""
+    """Add a result's tensors to a response; return the result's parameters.  Raises `TensorError`, `MsgspecError`."""
     decoded = _decode_tensors(result)
     for tensor in decoded.outputs:
         raw_contents = write_tensor(response.outputs.add(), tensor, raw)
--- a/kelptrail/front/inference/stream_inference.py
+++ b/kelptrail/front/inference/stream_inference.py
@@ -70,7 +70,8 @@
         return parse_request(self._context.deployment, message, parameters)
 
     def _submit(self, request: InferenceRequest, retry_key: str) -> Invocation:
-        # The timeout of the request class applies until the first part, then the time limit of the stream.
+        # The time until the client's deadline caps both the timeout of the request class, which applies until the first
+        # part, and the time limit of the class for a stream, which applies from then on.
         limit_ms = time_left_ms(self._stream)
         invocation = self._context.gateway.submit(
             now_ms(),
--- a/kelptrail/front/inference/unary_inference.py
+++ b/kelptrail/front/inference/unary_inference.py
@@ -115,7 +115,11 @@
         wait.poll(invocation, min(float(wait_ms), self._context.deployment.front.longest_wait_ms))
 
     def _find_at_other_dispatchers(self, stream: GrpcStream, id_: str) -> None:
-        """Respond with the dispatcher that has an activation without a record here.  Raises `GrpcError`."""
+        """Respond to a poll for an activation without a record here.
+
+        The response is an error, with the address of the dispatcher that has the activation if that is found.  Raises
+        `GrpcError`.
+        """
         gateway, lookup = self._context.gateway, self._context.activation_lookup
         # A record that exists here belongs to another namespace.
         if lookup is not None and not gateway.records.has(id_):
--- a/kelptrail/front/invoke/activations.py
+++ b/kelptrail/front/invoke/activations.py
@@ -20,7 +20,7 @@
 from .replies import reply_error, reply_json
 from .request_parsing import check_method, parse_flag, parse_number, parse_page
 
-MAX_TIME_MS = 1e15  # Maximum wall time in `since` and `upto`
+MAX_TIME_MS = 1e15  # Latest wall-clock time that `since` and `upto` may contain
 LOST_MESSAGE = "No dispatcher knows the activation: it never was, or is no longer kept, or all that held it are lost."
 NOT_KNOWN_YET_MESSAGE = "The activation is not known yet: whoever may have it is being taken over, or cannot be heard."
 
@@ -64,7 +64,10 @@
         reply_json(exchange, [view(record) for record in listed_records])
 
     def _get(self, request: Request, exchange: Exchange, record: Record, view: View) -> None:
-        """Reply with a record that has its final answer; otherwise wait for the answer if the client requests that."""
+        """Reply with a record that has its final answer; otherwise wait for the answer if the client requests that.
+
+        Raises `ApiError` without a final answer if the client does not wait or the activation is not resumed yet.
+        """
         if record.visible:
             record.fetched = True
             reply_json(exchange, view(record))
@@ -78,7 +81,7 @@
     def _cancel(self, exchange: Exchange, record: Record) -> None:
         """Cancel a request that cannot leave a partial effect: it is idempotent, or no attempt may have run.
 
-        Raises `ApiError` for any other request.
+        Raises `ApiError` for any other request, and if the activation has its final answer or is not resumed yet.
         """
         invocation = self._context.gateway.in_flight_of(record.id)
         if record.final or invocation is None:
@@ -102,7 +105,10 @@
         lookup.find(id_, partial(_reply_after_lookup, request, exchange, self._context.error_code()))
 
     def _error_by_issuer(self, request: Request, id_: str) -> ApiError:
-        """Return a redirect to the dispatcher that issued the id, which its prefix identifies, or an error."""
+        """Return a redirect to the dispatcher that the prefix of the id identifies.
+
+        Return an error instead if that is this dispatcher or an unknown one.
+        """
         if id_[:ID_PREFIX_DIGITS] == self._context.boot[:ID_PREFIX_DIGITS]:
             message = "The requested resource does not exist: its record is not, or no longer, kept here."
             return ApiError(HTTPStatus.NOT_FOUND, message)
--- a/kelptrail/front/invoke/api.py
+++ b/kelptrail/front/invoke/api.py
@@ -1,7 +1,8 @@
 """The invoke API (OpenWhisk REST API v1) as a handler of HTTP requests; the gateway executes them.
 
-Routes, below `/api/v1`: `namespaces`, `namespaces/{ns}/actions[/{pkg}]/{name}` (GET and POST), and
-`namespaces/{ns}/activations[/{id}[/result|/logs]]`; `_` stands for the client's own namespace.
+Routes, below `/api/v1`: `namespaces`, `namespaces/{ns}/actions[/[{pkg}/]{name}]` (GET, and POST for one action), and
+`namespaces/{ns}/activations[/{id}[/result|/logs]]` (GET, and DELETE for one activation).  `_` stands for the client's
+own namespace.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
         self._activations = ActivationRoutes(self.context)
 
     def handle(self, request: Request, exchange: Exchange) -> None:
-        """Reply to a request, immediately or when its activation ends."""
+        """Reply to a request, immediately or later, for example when its activation has ended."""
         self.context.request_count += 1
         code = self.context.error_code()
         try:
--- a/kelptrail/front/invoke/client_wait.py
+++ b/kelptrail/front/invoke/client_wait.py
@@ -46,9 +46,10 @@
             self._timer = self._context.call_later(wait_ms, partial(self._on_wait_timeout, invocation))
 
     def _on_wait_timeout(self, invocation: Invocation) -> None:
-        """Make the record durable and reply with the activation id.
+        """Make the record durable if possible, then reply with the activation id.
 
-        The client can only poll with this id, so the record has to survive a crash from now on.
+        The client can only poll with this id, so the record should survive a crash from now on.  Without a usable
+        journal, or if the write fails, the reply is sent nevertheless.
         """
         gateway = self._context.gateway
         gateway.make_durable(now_ms(), invocation)
@@ -80,7 +81,10 @@
             self._context.cancel(invocation)
 
     def _look_up_after_takeover(self, record: Record, lookups_left: int) -> None:
-        """Query the other dispatchers until the result shows whether the journal contained the request."""
+        """Query the other dispatchers until the result shows whether the journal contained the request.
+
+        After `lookups_left` queries without such a result, reply that it is unknown.
+        """
         lookup = self._context.activation_lookup
         if lookup is None or lookups_left == 0:
             self._reply_unknown(record)
--- a/kelptrail/front/invoke/context.py
+++ b/kelptrail/front/invoke/context.py
@@ -15,7 +15,7 @@
     def __init__(self, deployment: Deployment, driver: GatewayDriver, boot: str) -> None:
         super().__init__(deployment, driver)
         self.boot = boot
-        # URL of this dispatcher, independent of who holds the front address; if empty, clients do not receive it.
+        # URL of this dispatcher itself, not of a front address, which can move; if empty, clients do not receive it.
         self.url = ""
         self.request_count = 0
 
--- a/kelptrail/front/invoke/invocations.py
+++ b/kelptrail/front/invoke/invocations.py
@@ -33,11 +33,11 @@
 class InvocationTarget:
     """Parsed path and query of an invocation."""
 
-    namespace: str
+    namespace: str  # As in the path: a name, or `_` for the client's own namespace
     action: ActionSettings
     blocking: bool
     result_only: bool  # Reply with the result instead of the record
-    wait_ms: float  # Maximum wait of a blocking client
+    wait_ms: float  # Maximum time that a blocking client waits for the answer
 
 
 class InvocationRequest(NamedTuple):
@@ -69,7 +69,8 @@
     def invoke(self, call: InvocationRequest, look_up_key: bool = True) -> None:
         """Submit the request, or join it to the activation that has the same idempotency key.
 
-        `look_up_key`: query the other dispatchers for a key that has no record here.  Raises `ApiError`.
+        `look_up_key`: for a deferred request, query the other dispatchers for a key that has no record here.  Raises
+        `ApiError`.
         """
         if self._context.draining:
             raise unavailable("This dispatcher is closing; the call was not taken.")
--- a/kelptrail/front/invoke/replies.py
+++ b/kelptrail/front/invoke/replies.py
@@ -33,7 +33,11 @@
 
 
 def reply_final(exchange: Exchange, record: Record, result_only: bool, code: str) -> None:
-    """Reply with the final answer of a blocking request, or of a deferred one that is rejected immediately."""
+    """Reply with the final answer of an activation.
+
+    A deferred request receives it, too, if it ended before it was accepted.  `result_only` has no effect on a
+    rejection.
+    """
     headers = {ACTIVATION_ID_HEADER: record.id}
     if record.answer == FinalStatus.REJECTED:
         if record.retry_after_ms > 0:
--- a/kelptrail/front/invoke/request_parsing.py
+++ b/kelptrail/front/invoke/request_parsing.py
@@ -16,7 +16,7 @@
 DEFAULT_PAGE_SIZE, MAX_PAGE_SIZE = 30, 200
 MAX_SKIP = 1e9
 SHOWN_CHARACTERS = 40  # Maximum length of a malformed value in an error message
-MAX_CONVERTED_DIGITS = 18  # A number with more digits is beyond every allowed range
+MAX_CONVERTED_DIGITS = 18  # A number with more digits, without leading zeros, is beyond every range
 BODY_TYPES = ("application/json", "application/x-www-form-urlencoded")
 
 
--- a/kelptrail/front/invoke/views.py
+++ b/kelptrail/front/invoke/views.py
@@ -31,7 +31,11 @@
 
 
 def final_answer(record: Record) -> dict[str, Any]:
-    """Return the kind of the final answer and the details that a client needs before a retry."""
+    """Return the kind of the final answer and the details that a client needs before a retry.
+
+    The keys are part of the API: `effect` is the idempotency, `sends` the number of attempts, and `repeat_within_ms`
+    the time for which repeats are still dropped.
+    """
     fields: dict[str, Any] = {"answer": record.answer, "effect": record.idempotency, "sends": record.attempt_count}
     if record.trace:
         fields["traceparent"] = record.trace
--- a/kelptrail/front/trace_context.py
+++ b/kelptrail/front/trace_context.py
@@ -13,7 +13,7 @@
 
 
 class TraceParent(NamedTuple):
-    """A well-formed `traceparent` header."""
+    """A well-formed `traceparent` header without its parent id, which is not used."""
 
     version: str
     trace_id: str
@@ -22,7 +22,10 @@
 
 
 def parse_traceparent(header: str) -> TraceParent | None:
-    """Parse a `traceparent` header; return None if it is malformed or absent."""
+    """Parse a `traceparent` header; return None if it is malformed or absent.
+
+    The version is not checked, so that `INVALID_VERSION` and further fields are accepted.
+    """
     if not header:
         return None
     fields = header.strip().lower().split("-")
