--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -40,7 +40,8 @@
 from .usage import NamespaceCounts, UsageDriver, UsageSettings
 
 FIRST_LIST_TIMEOUT_S = 3.0  # time to wait for the first endpoint list; the start then continues without it
-LISTEN_TIMEOUT_MS, LISTEN_RETRY_MS = 5_000.0, 50.0  # retries while the address is in use
+# Time for which binding is retried while the address is in use, and the pause between two tries.
+LISTEN_TIMEOUT_MS, LISTEN_RETRY_MS = 5_000.0, 50.0
 CONTROL_CONNECTIONS = 64
 
 
@@ -95,7 +96,7 @@
             self._start_fleet(self.fleet)
         freeze_startup_objects()
         self.background = Background(SchedulerSettings(), now_ms, lambda: bool(self.gateway.in_flight), self.log)
-        # The numbers of a job are its priority, interval and maximum wait in ms, and CPU share; see `Job`.
+        # The numbers of a job are its priority, interval and maximum wait in ms, and share of real time; see `Job`.
         self.background.add("collect", FullCollections(self.gateway).step, 9, 60_000.0, 600_000.0, 0.05)
         await self._listen_http()
         self._add_maintenance()
--- a/kelptrail/service/fleet.py
+++ b/kelptrail/service/fleet.py
@@ -27,7 +27,8 @@
     """Options of one fleet member.
 
     `listen`: host and port of its peer channel, or None if it only connects to others; `peer_addresses`: addresses by
-    name, which take precedence over those in the settings and in the endpoint list.
+    name, which take precedence over those in the settings and in the endpoint list; `vfs`: name of the SQLite VFS, or
+    None for the default one.
     """
 
     name: str
@@ -105,10 +106,11 @@
             self.leases.start_acceptor(options.state_folder / "leases.sqlite", options.vfs)
 
     def enable_replication(self, config: PeersConfig, log: Any) -> None:
-        """Store replicas of other dispatchers' journals in the state folder.
+        """Enable journal replication.
 
-        If the file there is unusable, this dispatcher stores no replicas and accepts no deferred calls.  Raises
-        `StateFolderError` if there is no state folder.
+        The state folder holds this dispatcher's own journals and, if `replica_storage` is "disk", the replicas of other
+        dispatchers' journals, which are held in memory otherwise.  If the file there is unusable, this dispatcher
+        stores no replicas and accepts no deferred calls.  Raises `StateFolderError` if there is no state folder.
         """
         options, state = self._options, self._options.state_folder
         if state is None or self.leases is None:
--- a/kelptrail/service/front_addresses.py
+++ b/kelptrail/service/front_addresses.py
@@ -90,7 +90,7 @@
         self._task = self._loop.create_task(self._watch_health())
 
     async def stop(self) -> None:
-        """Release the addresses and wait until the requests that were accepted there have ended."""
+        """Release the addresses and wait until their servers have drained, or their drain time is over."""
         if self._task is not None:
             self._task.cancel()
         self.vrrp.stop()
--- a/kelptrail/service/fronts.py
+++ b/kelptrail/service/fronts.py
@@ -30,7 +30,7 @@
 
 
 def certificate_reloaders(deployment: Deployment, log: Any) -> dict[str, CertificateReloader]:
-    """Return a reloader for each side that has TLS in the settings.  Raises `ValueError` if its files are unusable."""
+    """Return a reloader, by name, for each TLS side in the settings.  Raises `ValueError` if its files are unusable."""
     return {
         name: reloader
         for name, side, protocols in TLS_SIDES
--- a/kelptrail/service/shutdown.py
+++ b/kelptrail/service/shutdown.py
@@ -10,7 +10,7 @@
 from .dispatcher import Dispatcher
 
 POLL_S = 0.05  # interval between checks for deferred results that no client has fetched yet
-MIN_STORE_MS = 500.0  # time to close each store and to drain the HTTP front, even if the drain time is over
+MIN_STORE_MS = 500.0  # minimum time to close each store and to drain the HTTP front, even if the drain time is over
 MIN_GRPC_MS, MAX_GRPC_MS = 100.0, 1000.0  # range of the time to drain the gRPC front
 
 
@@ -58,7 +58,7 @@
     if dispatcher.usage is not None:
         dispatcher.usage.stop()
     if dispatcher.fleet is not None and dispatcher.fleet.leases is not None:
-        dispatcher.fleet.leases.release_except(JOURNAL_LEASES)  # journal leases are held until their activations end
+        dispatcher.fleet.leases.release_except(JOURNAL_LEASES)  # journal leases are held until `_close_stores`
     if dispatcher.front_addresses is not None:
         await dispatcher.front_addresses.stop()
 
--- a/kelptrail/service/step_faults.py
+++ b/kelptrail/service/step_faults.py
@@ -1,4 +1,7 @@
-"""Crash and pause points for tests: the process kills or suspends itself at a named step of the gateway."""
+"""Crash and pause points for tests: the process kills or suspends itself at a named step of the gateway.
+
+Crash points also include the step of the lease acceptor.
+"""
 
 from __future__ import annotations
 
--- a/kelptrail/service/usage.py
+++ b/kelptrail/service/usage.py
@@ -1,9 +1,9 @@
-"""Usage of the complete fleet: one dispatcher, which holds a lease, collects all counts and sends the totals to all.
+"""Usage of the fleet: the dispatcher that holds the lease collects all dispatchers' counts and sends them the totals.
 
 The lease ensures that there is one collector: each turn costs a message to every dispatcher, and two collectors would
 publish two different totals.  Counts are sums since the start of a run, so a turn that is lost or collected twice does
-no harm; rates are the differences between two turns.  A receiver rejects messages with an older fencing token or of an
-older turn.  Losing this state at a restart is harmless, as the next turn sends the totals again.
+no harm; rates are the differences between two turns.  A receiver rejects messages with an older fencing token, and
+totals of an older turn.  Losing this state at a restart is harmless, as the next turn sends the totals again.
 """
 
 from __future__ import annotations
@@ -91,7 +91,7 @@
             if previous is None or answer.requested_ms <= previous.requested_ms:
                 continue
             dispatchers += 1
-            # A new run counts from 0; calls of the earlier run since the last turn are not counted.
+            # A new run counts from 0; calls of the earlier run since its last answer are missing in the rates.
             old_counts = previous.counts if previous.run == answer.run else {}
             elapsed_ms = answer.requested_ms - previous.requested_ms
             for namespace, counts in answer.counts.items():
@@ -109,7 +109,7 @@
         self.refused = 0
 
     def accepts(self, token: FencingToken) -> bool:
-        """Return whether a message with this token is accepted; one with an older token is not."""
+        """Record the token of a message and return True; count a message with an older token and return False."""
         if token < self.token:
             self.refused += 1
             return False
@@ -202,7 +202,7 @@
             self._peers.send(sender, UsageCounts(message.turn, self._run_id, self._counts()))
 
     def status(self) -> dict[str, Any]:
-        """Return the response of the control port to `/usage`; rates are calls per second."""
+        """Return the response of the control port to `/usage` and its section in `/state`; rates are per second."""
         total = self.view.total
         return {
             "collected_by": total.token.client_id.partition("/")[0],
