--- a/kelptrail/settings/__init__.py
+++ b/kelptrail/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings as S-expressions: read with places, checked against a shape, handed out typed."""
+"""Settings in S-expressions: parsed with source positions, checked against shapes, and returned as typed records."""
--- a/kelptrail/settings/deployment.py
+++ b/kelptrail/settings/deployment.py
@@ -1,6 +1,6 @@
 """The settings of a deployment, read from one file and checked.
 
-The classes and shapes of the sections are defined in the other modules of this package and exported from here, too.
+The classes of the sections are defined in the other modules of this package and exported from here, too.
 Times are in milliseconds, sizes in `_mb` are in megabytes.
 """
 
--- a/kelptrail/settings/dispatching.py
+++ b/kelptrail/settings/dispatching.py
@@ -39,7 +39,9 @@
     `parallel_attempts`: two attempts of one request may be in flight; `can_cancel`: attempts in flight may be
     cancelled; `answer_margin_ms`: time between the final answer and the client's timeout; `keep_alive_ms`: time for
     which an idle instance stays loaded; `retry_budget_share`: tokens that each completed attempt adds to
-    the retry budget, which pays for further attempts; `retry_budget_capacity`: maximum number of these tokens.
+    the retry budget, which pays for further attempts; `retry_budget_capacity`: maximum number of these tokens;
+    `max_records`, `max_records_mb`, `max_record_age_ms`: limits of the activation records that are kept;
+    `max_in_flight`, `max_in_flight_mb`, `max_in_flight_per_namespace`: limits of the requests without a final answer.
     """
 
     zone: str = field(metadata={"key": "hall"})
@@ -74,7 +76,7 @@
 class OverloadConfig:
     """Overload control, which damps retry storms.
 
-    `max_retry_after_ms`: longest Retry-After; `max_clients`: number of clients whose retries are tracked.
+    `max_retry_after_ms`: longest Retry-After; `max_clients`: maximum number of clients whose retries are tracked.
     """
 
     enabled: bool = field(metadata={"key": "damp"})
--- a/kelptrail/settings/fronts.py
+++ b/kelptrail/settings/fronts.py
@@ -12,7 +12,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontSettings:
-    """Limits of the invoke API's HTTP server."""
+    """Limits of the invoke API's HTTP server.
+
+    `pipelined`: requests in flight on one connection; `longest_wait_ms`: maximum wait of a blocking client or a poll;
+    `drain_ms`: time for requests in flight to end at a shutdown or after a front address was released; `linger_ms`:
+    time for which idle connections stay open meanwhile; `max_unwritten_mb`: unwritten bytes of replies over all
+    connections; `connect_burst`, `connects_per_s`: burst and rate of new connections.
+    """
 
     connections: int
     header_bytes: int
@@ -31,7 +37,13 @@
 
 @dataclass(frozen=True, slots=True)
 class InferenceSettings:
-    """Limits of the inference API's gRPC server."""
+    """Limits of the inference API's gRPC server.
+
+    `streams`: calls in progress on one connection; `stream_requests`: requests without a final answer in one call of
+    ModelStreamInfer; `max_partial_mb`, `max_unwritten_mb`: buffered bytes of incomplete and of unsent messages, over
+    all connections; `stream_bytes`: unsent bytes of a stream above which its producer pauses; `connect_burst`,
+    `connects_per_s`: burst and rate of new connections.
+    """
 
     serve: bool
     port: int
@@ -59,7 +71,8 @@
 class TlsSettings:
     """TLS of one side: `front` (both client APIs), `to-workers`, or `runners` (the emulated workers).
 
-    Paths are relative to the settings file's folder.  `client_certificates`: "none", "asked" or "required".
+    `certificate`, `key` and `authority` are paths relative to the settings file's folder.
+    `client_certificates`: "none", "asked" or "required".
     """
 
     side: str
--- a/kelptrail/settings/request_classes.py
+++ b/kelptrail/settings/request_classes.py
@@ -12,7 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TypeSettings:
-    """A request class."""
+    """A request class.
+
+    `effect`: idempotency of its requests; `max_stream_ms`: maximum time from the receipt of a streamed request to its
+    end; `stream_stall_ms`: maximum time between two parts of a streamed answer while the client reads.
+    """
 
     name: str
     effect: str
--- a/kelptrail/settings/shape.py
+++ b/kelptrail/settings/shape.py
@@ -80,7 +80,7 @@
 
 
 def milliseconds(low: float, high: float, default: Any = REQUIRED) -> Value:
-    """Return the specification of a time from `low` to `high` ms."""
+    """Return the specification of a duration from `low` to `high` ms."""
     return number(low, high, default=default)
 
 
--- a/kelptrail/settings/vrrp.py
+++ b/kelptrail/settings/vrrp.py
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterConfig:
-    """A virtual router: its front address and its members."""
+    """A virtual router: its front address and its members.  `interval_cs`: advertisement interval in centiseconds."""
 
     vrid: str
     address: str
@@ -59,7 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TrackConfig:
-    """A tracked object, which lowers the priority while it has failed."""
+    """A tracked object, which lowers the priority by `weight` while it has failed.
+
+    With `release`, the address is released while the object has failed, whatever the priority.
+    """
 
     name: str
     weight: int
