--- a/kelptrail/planner/channel.py
+++ b/kelptrail/planner/channel.py
@@ -23,8 +23,8 @@
 class UsageReport(msgspec.Struct, frozen=True, tag="report", array_like=True):
     """An edge's counters since its last report, and its loaded instances.
 
-    `order`: order of the latest plan that the edge has accepted; `leader_silent_ms`: time since the last message of the
-    leading planner.  `loaded` has all instances if `complete`, else only the counts that changed.
+    `order`: order of the latest plan that the edge has accepted; `leader_silent_ms`: time since the last heartbeat or
+    accepted plan of the leading planner.  `loaded` has all instances if `complete`, else only the counts that changed.
     """
 
     order: PlanOrder
@@ -123,7 +123,7 @@
         return PlanResult.REFUSED
 
     def report_due(self, now: float) -> bool:
-        """Return whether the report interval has passed."""
+        """Return whether the report interval has passed since the last report; True before the first one."""
         return now >= self._next_report_ms
 
     def add_counters(self, counters: dict[str, FunctionCounters]) -> None:
@@ -172,7 +172,7 @@
         self.last_ms = now
 
     def silent_ms(self, now: float) -> float:
-        """Return the time since then, in ms."""
+        """Return the time since `last_ms`, in ms."""
         return now - self.last_ms
 
 
--- a/kelptrail/planner/core.py
+++ b/kelptrail/planner/core.py
@@ -38,9 +38,10 @@
 class PlannerSettings:
     """Settings of a planner; times in milliseconds.
 
-    The number of new instances in a plan is limited to the share `new_instances_share` of the calls expected in the
-    next minute; the limit is at least `new_instances_min`.  `scale_down_ms`: how long demand must be lower before the
-    instances of a function are reduced.
+    `interval_ms`: time between two problems, unless an event makes the next one due earlier; `valid_ms`: time for which
+    a plan is valid.  The number of new instances in a plan is limited to the share `new_instances_share` of the calls
+    expected in the next minute; the limit is at least `new_instances_min`.  `scale_down_ms`: how long demand must be
+    lower before the instances of a function are reduced.
     """
 
     lineage: str
@@ -148,7 +149,7 @@
     def on_report(
         self, now: float, edge: str, order: PlanOrder, counters: dict[str, FunctionCounters], loaded: InstanceCounts
     ) -> None:
-        """Process the usage report of an edge.
+        """Process the usage report of an edge, or its first message, which has no counters.
 
         `order`: order of the latest plan that the edge has accepted; `loaded`: instances that it reports as loaded.
         """
--- a/kelptrail/planner/demand.py
+++ b/kelptrail/planner/demand.py
@@ -22,8 +22,8 @@
     fast_rate: float = 0.0  # calls per second, averaged over about 8 s
     slow_rate: float = 0.0  # calls per second, averaged over about 90 s
     work_ms: float = 0.0  # average work per call
-    queue_depth: float = 0.0
-    not_loaded_rate: float = 0.0
+    queue_depth: float = 0.0  # requests in the edges' queues, averaged over about 8 s
+    not_loaded_rate: float = 0.0  # attempts per second whose worker had no instance, averaged over about 8 s
     below_plan_since: float = 0.0  # time since which fewer instances than planned are needed, in ms
     planned: int = 0
     window: dict[str, FunctionCounters] = field(default_factory=dict)  # counters of the open window, by edge
@@ -46,9 +46,10 @@
     def __init__(self, window_ms: float = 1000.0, fast_ms: float = 8000.0, slow_ms: float = 90_000.0) -> None:
         self._window_ms, self._fast_ms, self._slow_ms = window_ms, fast_ms, slow_ms
         self.functions: dict[str, FunctionLoad] = {}
-        self.error_factor = 1.0  # factor applied to all measured rates, to inject forecast errors
+        self.error_factor = 1.0  # factor applied to the measured rates of calls, to inject forecast errors
         self._window_closed_at: float | None = None
-        self.requested_at: dict[str, dict[str, float]] = {}  # time of the last request, by edge and function
+        # Time of the last report with requests, by edge and function.
+        self.requested_at: dict[str, dict[str, float]] = {}
 
     def add_report(self, now: float, edge: str, counters: dict[str, FunctionCounters]) -> None:
         """Add an edge's counters since its last report."""
@@ -70,7 +71,7 @@
         self.requested_at.pop(edge, None)
 
     def recently_requested(self, now: float, edge: str, within_ms: float) -> set[str]:
-        """Return the functions that an edge has requested within the last `within_ms`."""
+        """Return the functions for which an edge has reported requests within the last `within_ms`."""
         return {model for model, last in self.requested_at.get(edge, {}).items() if now - last <= within_ms}
 
     def close_window(self, now: float, hour: int) -> None:
--- a/kelptrail/planner/edge_driver.py
+++ b/kelptrail/planner/edge_driver.py
@@ -46,7 +46,7 @@
 
 
 class PlanFollower:
-    """Connections of one edge to all its planners.  `on_change` is called when the plan of the gateway has changed."""
+    """Connections of one edge to all its planners.  `on_change` is called when the gateway's plan was set."""
 
     def __init__(
         self,
@@ -113,7 +113,7 @@
         self.apply_plan()
 
     def apply_plan(self) -> None:
-        """Pass the plan in force to the gateway, or None if it has expired."""
+        """Pass the plan in force to the gateway, or None if there is none; do nothing if that was passed already."""
         target = self.plan_state.target(now_ms())
         order = (
             self.plan_state.plan.header.order
@@ -126,7 +126,7 @@
             self._on_change()
 
     def send_reports(self) -> None:
-        """Send a report on each connection whose previous output has been sent; a background job."""
+        """Send the due report on each connection whose previous output has been sent; a background job."""
         now = now_ms()
         self.apply_plan()  # the plan may have expired
         counters = self._gateway.counters()
