--- a/kelptrail/service/front_addresses.py
+++ b/kelptrail/service/front_addresses.py
@@ -36,7 +36,7 @@
         self,
         settings: VrrpSettings,
         name: str,
-        state: Path | None,
+        state_folder: Path | None,
         driver: GatewayDriver,
         service: FrontService,
         log: Any,
@@ -60,10 +60,10 @@
             if own is not None:
                 routers.append(own)
                 self.addresses[own.vrid] = FrontAddress(router.address, router.port, service, log, router.grpc_port)
-        self.vrrp = self._make_driver(settings, name, state, routers)
+        self.vrrp = self._make_driver(settings, name, state_folder, routers)
 
     def _make_driver(
-        self, settings: VrrpSettings, name: str, state: Path | None, routers: list[RouterSettings]
+        self, settings: VrrpSettings, name: str, state_folder: Path | None, routers: list[RouterSettings]
     ) -> VrrpDriver:
         own = next(instance for instance in settings.instance if instance.name == name)
         others = [instance for instance in settings.instance if instance.name != name]
@@ -72,7 +72,7 @@
         peers = {
             ip_address(parse_socket_address(other.udp)[0]): parse_socket_address(other.reached_at) for other in others
         }
-        authentication = _authentication(settings.key, state, primary)
+        authentication = _authentication(settings.key, state_folder, primary)
         instance = Instance(
             primary,
             tuple(peers),
@@ -179,17 +179,17 @@
     verifier: Verifier | None
 
 
-def _authentication(keys: list[KeySettings], state: Path | None, primary: Address) -> _Authentication:
+def _authentication(keys: list[KeySettings], state_folder: Path | None, primary: Address) -> _Authentication:
     """Return a signer with the first key and a verifier that accepts all keys.
 
     Raises `StateFolderError` if there is a key but no state folder.
     """
     if not keys:
         return _Authentication(None, None)
-    if state is None:
+    if state_folder is None:
         raise StateFolderError("a vrrp key needs --state to store the number of starts")
     accepted = tuple(Key(int(key.number), key.secret.encode()) for key in keys)
-    return _Authentication(Signer(accepted[0], next_epoch(state / EPOCH_FILE), primary), Verifier(accepted))
+    return _Authentication(Signer(accepted[0], next_epoch(state_folder / EPOCH_FILE), primary), Verifier(accepted))
 
 
 def _tracking(settings: VrrpSettings) -> Tracking:
