--- a/tests/test_dispatch_readiness.py
+++ b/tests/test_dispatch_readiness.py
@@ -265,6 +265,31 @@
     assert rejected.final_status is FinalStatus.REJECTED and rejected.reason is TerminationReason.READINESS_UNKNOWN
 
 
+def test_a_request_does_not_wait_for_an_instance_at_a_worker_that_cannot_prove_its_readiness() -> None:
+    """Guards against requests that wait until their deadline although another worker is ready.
+
+    The only instance of the function is at a worker whose readiness is not known, and no probe is allowed.
+    """
+    dispatcher = make_dispatcher_with_list((), workers=2)
+    function, now = make_function(), STALE_AT + 50
+    unproven = load_and_serve_one(dispatcher, function)
+    functions_by_worker = {
+        load_and_serve_one(dispatcher, other, 1.0 + n): other
+        for n, other in enumerate(make_function(f"other-{n}") for n in range(20))
+    }
+    (ready,) = functions_by_worker.keys() - {unproven}
+    request_at(dispatcher, 4000.0, functions_by_worker[ready])
+    (attempt,) = decide_all(dispatcher, 4000.0)
+    assert isinstance(attempt, Attempt)
+    attempt.write_started_at = 4400.0
+    complete(dispatcher, 4450.0, attempt)
+    readiness = dispatcher.parts.safety.readiness
+    assert readiness.is_known(now + 200, ready) and not readiness.is_known(now, unproven)
+    request_at(dispatcher, now, function, 2)
+    decisions = [decision for elapsed_ms in range(0, 201, 10) for decision in decide_all(dispatcher, now + elapsed_ms)]
+    assert decisions, "the request is neither rejected nor leads to a load order at the ready worker within 200 ms"
+
+
 def test_a_worker_whose_connection_was_lost_in_an_outage_counts_as_restarted() -> None:
     dispatcher = make_dispatcher_with_list(workers=1)
     function = make_function()
