--- a/kelptrail/dispatch/queue_service.py
+++ b/kelptrail/dispatch/queue_service.py
@@ -82,9 +82,13 @@
     def _supply(self, now: float, function: Function) -> Supply:
         """Count the slots, instances and workers of the function.  Slots and loaded instances do not count at
         a worker that is suspect, has not recovered from an ejection, or has used up its slow-start budget.
+        If no probe is allowed, they do not count at a worker of unknown readiness either: nothing that may
+        be sent there could make it known.
         """
         slots = loading_slots = instance_count = worker_count = 0
         concurrency, request_class = function.concurrency, function.request_class
+        readiness = self._safety.readiness
+        stale_without_probes = not readiness.probe_kinds and readiness.list_is_stale(now)
         for instance in function.instances.values():
             worker, order = instance.worker, instance.load_order
             loading_count = max(0, order.count - instance.loaded) if order else 0
@@ -94,6 +98,7 @@
                 or worker.suspect
             )
             usable = usable and self._safety.has_budget(now, worker)
+            usable = usable and (not stale_without_probes or readiness.is_known(now, worker))
             free = max(0, int(worker.concurrency_limit) - len(worker.attempts))
             slots += min(instance.loaded * concurrency, instance.in_flight + free) * usable
             if usable and order and now - order.placed_at < LOAD_TIMEOUT_FACTOR * function.load_ms:
--- a/tests/test_dispatch_readiness.py
+++ b/tests/test_dispatch_readiness.py
@@ -290,6 +290,40 @@
     assert decisions, "the request is neither rejected nor leads to a load order at the ready worker within 200 ms"
 
 
+@pytest.mark.parametrize(
+    ("probe_kinds", "confirmed_at", "proven_at", "requests", "expected"),
+    [
+        (ALL_PROBES, 0.0, 0.0, 2, [ReadinessQuestion]),
+        ((ProbeKind.LOAD_QUERY,), 0.0, 0.0, 2, [ReadinessQuestion]),
+        ((), STALE_AT, 0.0, 4, [Attempt, Attempt]),
+        ((), 0.0, STALE_AT, 4, [Attempt, Attempt]),
+    ],
+    ids=["all probes allowed", "load query allowed", "fresh list", "worker proved its readiness"],
+)
+def test_slots_count_at_a_worker_that_is_known_to_be_ready_or_may_be_queried(
+    probe_kinds: tuple[ProbeKind, ...], confirmed_at: float, proven_at: float, requests: int, expected: list[type]
+) -> None:
+    """Guards against load orders at another worker for a queue that the two slots of an instance can serve.
+
+    The number of requests that stay queued is two, the number of slots; one more would need another instance.
+    """
+    dispatcher = make_dispatcher_with_list(probe_kinds, workers=2)
+    function, now = make_function(), STALE_AT + 50
+    worker = load_and_serve_one(dispatcher, function)
+    (other,) = set(dispatcher.workers) - {worker}
+    dispatcher.on_list_confirmed(confirmed_at)
+    worker.ready_proven_at, other.ready_proven_at = proven_at, STALE_AT
+    assert dispatcher.parts.safety.readiness.is_known(now + 200, other)
+    for n in range(requests):
+        request_at(dispatcher, now, function, n)
+    decisions = []
+    for elapsed_ms in range(0, 201, 10):
+        dispatcher.on_tick(now + elapsed_ms)
+        decisions += decide_all(dispatcher, now + elapsed_ms)
+    assert [type(decision) for decision in decisions] == expected
+    assert function.queue_depth == 2 and list(function.instances) == [worker]
+
+
 def test_a_worker_whose_connection_was_lost_in_an_outage_counts_as_restarted() -> None:
     dispatcher = make_dispatcher_with_list(workers=1)
     function = make_function()
