--- a/kelptrail/simulation/attempt_executor.py
+++ b/kelptrail/simulation/attempt_executor.py
@@ -43,7 +43,7 @@
 
     utilization: float  # share of the cores in use
     open_loads: int  # number of running and queued loads
-    memory: float  # share of memory of instances that run attempts or are being loaded
+    memory: float  # share of the memory occupied by instances that are loading or run attempts
 
 
 class AttemptExecutor:
@@ -59,7 +59,7 @@
     ) -> None:
         self._worker, self._event_queue, self._fleet = worker, event_queue, fleet
         self._work_factors, self._effect_log = work_factors, effect_log
-        self._queue: deque[ModelState] = deque()  # one entry for each waiting attempt
+        self._queue: deque[ModelState] = deque()  # model of each queued attempt, also of one that has failed since
         self._running = 0
         self._utilization_updated_at, self._utilization = event_queue.now, 0.0
         self._last_report, self._reported_at = LoadReport(0.0, 0, 0.0), LONG_AGO_MS
@@ -76,7 +76,10 @@
         self.start_queued()
 
     def start_queued(self) -> None:
-        """Start waiting attempts in order of arrival, each if a core and an instance of its model are free."""
+        """Start waiting attempts while cores are free, and answer those whose deadline has passed with an error.
+
+        An attempt at a model without a free instance moves to the end of the queue.
+        """
         for _ in range(len(self._queue)):
             if self._running >= self._fleet.cores:
                 return
@@ -105,7 +108,7 @@
         self._event_queue.after(self.draw_duration_ms(attempt.model), self._on_work_done, attempt)
 
     def draw_duration_ms(self, model: ModelState) -> float:
-        """Draw the duration in ms of an attempt at a model that starts now."""
+        """Draw the duration in ms of an attempt that starts now at a model."""
         factor = self._work_factors.draw()
         if self._worker.fault_applies(FaultKind.HEAVY_WORK):
             factor *= self._worker.faults[FaultKind.HEAVY_WORK].factor
@@ -136,7 +139,7 @@
         self.start_queued()
 
     def _is_repeat(self, attempt: QueuedAttempt) -> bool:
-        """Return whether the group had this effect within the deduplication window; record the effect if not."""
+        """Return whether this deduplicated effect occurred in its scope within the window; record it if not."""
         type_, worker = attempt.model.type, self._worker
         if type_.effect != "deduplicated":
             return False
@@ -165,7 +168,7 @@
             self._utilization_updated_at = now
 
     def report(self) -> dict[str, float]:
-        """Return the load metrics that are sent with an answer."""
+        """Return the load metrics that are sent with an answer, by their keys in load reports."""
         if self._event_queue.now - self._reported_at > REPORT_INTERVAL_MS:
             self._reported_at = self._event_queue.now
             self._update_utilization()
--- a/kelptrail/simulation/call_arrivals.py
+++ b/kelptrail/simulation/call_arrivals.py
@@ -16,6 +16,7 @@
     from .cluster import SimulatedCluster
 
 ARRIVAL_BATCH_S = 1.0  # time span of an open load's arrivals that are drawn together
+# Arguments: the action, the load, and a callback for the end of the call.
 CallStarter = Callable[[ActionSettings, Load, Callable[[], None] | None], None]
 
 
@@ -38,7 +39,7 @@
 
 
 def _load_end_s(cluster: SimulatedCluster, load: Load) -> float:
-    """Return when a load ends, in seconds from the start of the run."""
+    """Return when a load ends, in seconds from the cluster's `load_start`."""
     return min(cluster.scenario.seconds, load.at + load.duration)
 
 
@@ -73,6 +74,7 @@
         arrivals = self._arrivals.draw(at_s, span_s)
         actions = self._actions.draw(self._random, len(arrivals))
         for (arrival_s, path), drawn_action in zip(arrivals, actions, strict=True):
+            # Only a trace names actions; one that the deployment does not have is replaced by the drawn one.
             action = self._by_path.get(path) or drawn_action
             cluster.event_queue.at(cluster.load_start + arrival_s * 1000, self._begin_call, action, self._load, None)
         self._schedule_draw(at_s + span_s)
--- a/kelptrail/simulation/call_results.py
+++ b/kelptrail/simulation/call_results.py
@@ -17,9 +17,9 @@
     """A final answer as the client receives it."""
 
     activation: str
-    answer: str  # stored value of the final status
+    answer: str  # "completed", "rejected" or "aborted"
     retry_after_ms: float = 0.0
-    repeat_within_ms: float | None = None
+    repeat_within_ms: float | None = None  # time for which a retry is safe; None if it always is
     latency_ms: float | None = None  # from the record of a deferred call; None if the client measures it
     code: int = 0
 
--- a/kelptrail/simulation/clients.py
+++ b/kelptrail/simulation/clients.py
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, eq=False)
 class ClientCall:
-    """A call of a client, and the state of its current attempt."""
+    """A call of a client, and the state of its current attempt.  Times are in ms of simulated time."""
 
     ticket: str  # id of the call, which is also its idempotency key
     action: ActionSettings
@@ -46,11 +46,11 @@
     deferred: bool
     behavior: ClientBehavior
     attempts_left: int
-    dispatcher: int = 0
+    dispatcher: int = 0  # index in the shard's dispatchers
     sent_at: float = 0.0
     activation: str = ""
     call_id: str = ""  # id of the current attempt, captured as "call"
-    first_sent_at: float = 0.0  # simulated time in ms
+    first_sent_at: float = 0.0
     timeout_timer: Timer | None = None
     invocation: Invocation | None = None
     dispatcher_start_number: int = 0  # start number of the dispatcher process that accepted the call
@@ -151,15 +151,19 @@
         )
         call.invocation, call.dispatcher_start_number = invocation, dispatcher.start_number
         if call.deferred:
-            dispatcher.schedule_decisions()
+            dispatcher.run_effects()
             if not invocation.record.final:
                 gateway.when_durable(
                     invocation, lambda durable: self._on_durability_known(dispatcher, call, invocation, durable)
                 )
-                dispatcher.schedule_decisions()
+                dispatcher.run_effects()
 
     def _join_activation(self, dispatcher: SimulatedDispatcher, call: ClientCall, record: Record) -> None:
-        """Answer a call from the record of the activation that has the same idempotency key."""
+        """Join a call to the activation with its idempotency key.
+
+        A final answer is sent at once.  Without one, a deferred call is acknowledged, and any other call waits for the
+        end of the activation; it is acknowledged, too, if the activation is not in flight.
+        """
         invocation = dispatcher.gateway.in_flight_of(record.id)
         if record.visible:
             self._deliver_record(call, call.call_id, record)
@@ -239,6 +243,7 @@
         call.timeout_timer = None
         dispatcher, invocation = self._cluster.local_dispatchers[call.dispatcher], call.invocation
         same_process_is_up = dispatcher.up and call.dispatcher_start_number == dispatcher.start_number
+        # An activation with an idempotency key continues, as the client may retry with the key.
         if same_process_is_up and invocation is not None and not invocation.record.key:
             invocation.waiters.clear()
             dispatcher.enqueue_input(dispatcher.on_client_gone, invocation)
--- a/kelptrail/simulation/dispatchers.py
+++ b/kelptrail/simulation/dispatchers.py
@@ -34,8 +34,8 @@
     from .cluster import SimulatedCluster
 
 WALL_CLOCK_ORIGIN_MS = 1e12  # wall-clock time at simulated time 0
-RECOVERY_MARGIN_FACTOR = 2  # margin of a recovered call, as a multiple of `answer_margin_ms`
-TIMER_TOLERANCE_MS = 0.01  # a timer is set again only if it is due earlier by more than this
+MIN_RUN_FACTOR = 2  # minimum time left for a recovered call to be run, as a multiple of `answer_margin_ms`
+TIMER_TOLERANCE_MS = 0.01  # a timer is replaced only by one that is due earlier by more than this
 
 
 class SimulatedDispatcher:
@@ -67,7 +67,7 @@
         parts = DispatcherParts(deployment, self._zone, zlib.crc32(self.boot.encode()))
         self.gateway = Gateway(parts, self.boot, self.journal)
         self.gateway.state.answer_ms = 2 * self._settings.cpu_ms
-        self._busy_until, self._timer, self._timer_at, self._deciding = 0.0, None, float("inf"), False
+        self._busy_until, self._timer, self._timer_at, self._running_effects = 0.0, None, float("inf"), False
         self._open_orders: dict[LoadOrder, Timer] = {}
         self._open_attempts: dict[Attempt, None] = {}
         self._syncing = False
@@ -76,14 +76,14 @@
             self._recover(stored)
         if self.endpoints is not None:
             self.gateway.on_endpoints(self._event_queue.now, self.endpoints)
-        self.schedule_decisions()
+        self.run_effects()
 
     def _recover(self, stored: list[ActivationEntries]) -> None:
         """Recover the activations in the journal."""
         now, deployment = self._event_queue.now, self._cluster.deployment
-        margin_ms = RECOVERY_MARGIN_FACTOR * deployment.dispatcher.answer_margin_ms
+        min_run_ms = MIN_RUN_FACTOR * deployment.dispatcher.answer_margin_ms
         max_resumed = deployment.journal.max_resumed
-        self.gateway.recover(now, WALL_CLOCK_ORIGIN_MS + now, stored, margin_ms, max_resumed)
+        self.gateway.recover(now, WALL_CLOCK_ORIGIN_MS + now, stored, min_run_ms, max_resumed)
 
     def kill(self) -> None:
         """End the process; its journal remains."""
@@ -94,7 +94,10 @@
         self._disk.erase()
 
     def pause(self, duration_ms: float) -> None:
-        """Stop the process for a time; inputs are queued until it resumes."""
+        """Process inputs that arrive from now on only after `duration_ms`.
+
+        Timers, endpoint lists, load reports, plans and journal writes are not delayed.
+        """
         self._busy_until = max(self._busy_until, self._event_queue.now) + duration_ms
 
     def on_endpoints(self, endpoints: EndpointList) -> None:
@@ -111,7 +114,7 @@
                     version=endpoints.version,
                     workers={w.id: [w.state, w.incarnation] for w in endpoints.workers},
                 )
-            self.schedule_decisions()
+            self.run_effects()
 
     def on_client_gone(self, invocation: Invocation) -> None:
         """Notify the core that the client of an invocation has stopped waiting."""
@@ -126,25 +129,25 @@
     def _run_input(self, start_number: int, callback: Callable[..., None], arguments: tuple[Any, ...]) -> None:
         if start_number == self.start_number and self.up:
             callback(*arguments)
-            self.schedule_decisions()
+            self.run_effects()
 
-    # The work of the program's driver.
+    # Effects, as `GatewayDriver` carries them out in the program.
 
-    def schedule_decisions(self) -> None:
+    def run_effects(self) -> None:
         """Carry out the core's effects until none is left, then write the journal and set the timer."""
-        if self._deciding:
+        if self._running_effects:
             return
-        self._deciding = True
+        self._running_effects = True
         now, gateway = self._event_queue.now, self.gateway
         try:
             while (effect := gateway.next_effect(now)) is not None:
-                self._carry_out(effect)
+                self._execute(effect)
         finally:
-            self._deciding = False
+            self._running_effects = False
         self._write_journal()
         self._set_timer(gateway.next_due())
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         if isinstance(effect, StartAttempt):
             self._start_attempt(effect.invocation, effect.attempt)
         elif isinstance(effect, FinalAnswer):
@@ -170,14 +173,14 @@
     def _on_timer(self, start_number: int) -> None:
         if start_number == self.start_number and self.up:
             self._timer, self._timer_at = None, float("inf")
-            self.schedule_decisions()
+            self.run_effects()
 
     def _on_attempt_finished(
         self, start_number: int, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
     ) -> None:
         if start_number == self.start_number and self.up and attempt.status is None:
             self.gateway.on_attempt_finished(self._event_queue.now, attempt, status, answer)
-            self.schedule_decisions()
+            self.run_effects()
 
     def _start_attempt(self, invocation: Invocation, attempt: Attempt) -> None:
         worker, network_ms = self._cluster.workers[attempt.instance.worker.id], self._settings.network_ms
@@ -259,7 +262,7 @@
         if timer is not None and self.up:
             timer.cancel()
             self.gateway.on_load_report(self._event_queue.now, order, status, loaded)
-            self.schedule_decisions()
+            self.run_effects()
 
     def _write_journal(self) -> None:
         """Write the next batch of the journal, unless a write is in progress."""
@@ -279,4 +282,4 @@
         else:
             self._disk.write(batch.entries)
             self.journal.on_batch_durable(batch.number)
-        self.schedule_decisions()
+        self.run_effects()
--- a/kelptrail/simulation/planners.py
+++ b/kelptrail/simulation/planners.py
@@ -1,4 +1,4 @@
-"""Simulated planners: the real planner core and plan follower, with emulated network, solver time and faults."""
+"""Simulated planners: the real planner core and plan follower, with simulated network, solver time and faults."""
 
 from __future__ import annotations
 
@@ -19,7 +19,9 @@
     from .cluster import SimulatedCluster
     from .dispatchers import SimulatedDispatcher
 
-TICK_INTERVAL_MS, REPORT_INTERVAL_MS, HOUR_OF_DAY = 250.0, 1000.0, 8
+TICK_INTERVAL_MS = 250.0  # time between two ticks of a planner
+REPORT_INTERVAL_MS = 1000.0  # time between two reports of a dispatcher to the planners
+HOUR_OF_DAY = 8  # hour at which the whole run takes place, for the planners' forecasts
 SOLVE_MS = 200.0  # time to compute a plan, without the delay that a fault adds
 
 
@@ -119,7 +121,7 @@
         now = self._cluster.event_queue.now
         self._start_number = self._dispatcher.start_number
         self.follower, self._leader_contact = PlanState(self._cluster.deployment.name), LeaderContact(now)
-        self._applied: PlanOrder | None = None
+        self._applied: PlanOrder | None = None  # order of the plan whose target the gateway core has
         if self._saved_plan is not None:
             # The saved plan counts as valid for another 10 s.
             self.follower.restore(now, self._saved_plan, 10_000.0, self._live_workers())
@@ -148,7 +150,7 @@
         if order != self._applied or order is None:
             self._applied = order
             self._dispatcher.gateway.on_plan(target)
-            self._dispatcher.schedule_decisions()
+            self._dispatcher.run_effects()
 
     def on_plan_offered(self, planner: SimulatedPlanner, plan: Plan, age_ms: float) -> None:
         """Apply a planner's plan, or report to the planner why it is refused."""
@@ -175,6 +177,7 @@
             )
 
     def _report(self, start_number: int) -> None:
+        """Report to all planners, record contact with the leader, and withdraw a plan that has expired."""
         if start_number != self._dispatcher.start_number or not self._dispatcher.up:
             return
         now, gateway = self._cluster.event_queue.now, self._dispatcher.gateway
@@ -185,5 +188,5 @@
                     self._leader_contact.last_ms = now
                 planner.core.on_report(now, self._dispatcher.name, self.follower.fence, counters, loaded)
         if self.follower.target(now) is None and self._applied is not None:
-            self.apply()  # the plan has expired
+            self.apply()
         self._cluster.event_queue.after(REPORT_INTERVAL_MS, self._report, start_number)
