--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -46,7 +46,7 @@
         capture: bool = False,
         shard: Shard | None = None,
     ) -> None:
-        """Create the processes and schedule the scenario; `shard` is this process's part of a run over several.
+        """Create the simulated processes and schedule the scenario; `shard` is None unless the run is sharded.
 
         Raises `ScenarioError` if the scenario has planners and the deployment has no leases.
         """
@@ -71,7 +71,7 @@
         self.seconds: list[Second] = empty_seconds(self.scenario.seconds)
         self.latency: dict[str, list[float]] = {name: [] for name in self.deployment.types}
         self.give_ups: dict[str, int] = {}
-        # By namespace: the number of calls, and of calls that were answered in time.
+        # By namespace: the number of new calls, and of calls that were completed in time.
         self.calls_by_namespace: dict[str, list[int]] = {n: [0, 0] for n in self.deployment.namespaces}
 
     def _make_processes(self) -> None:
@@ -143,7 +143,7 @@
         self.event_queue.at(self.load_start + SAMPLE_OFFSET_MS, self._sample_second)
 
     def _sample_second(self) -> None:
-        """Record the gauges at the end of each second of the load."""
+        """Record the fetches and the gauges of the current second, and schedule the next sample."""
         second = self.current_second()
         second.calls_in_flight = sum(d.gateway.in_flight for d in self.local_dispatchers if d.up)
         second.loads, self._fetches_at_last_sample = (
@@ -166,12 +166,12 @@
             self.record_event(event, **fields)
 
     def run(self) -> None:
-        """Run the scenario, and then until the last answers have arrived."""
+        """Run the scenario, and then long enough for the last answers to arrive."""
         longest_timeout_ms = max(t.timeout_ms for t in self.deployment.types.values())
         self.event_queue.run(self.load_start + self.scenario.seconds * 1000 + longest_timeout_ms + LAST_ANSWERS_MS)
 
     def current_second(self) -> Second:
-        """Return the counts of the current second, numbered from the start of the load."""
+        """Return the counts of the current second of the load; times outside count in its first or last second."""
         return self.seconds[max(0, min(len(self.seconds) - 1, int((self.event_queue.now - self.load_start) / 1000)))]
 
     def publish_endpoints(self) -> None:
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -5,9 +5,9 @@
       (variant no-second-sends (set dispatcher.second-share 0) (set dispatcher.second-most 0))
       (sweep load.heed 1 0.5 0))
 
-A name in `set` and `sweep` consists of a section and a key.  Sections of the deployment have their names (`dispatcher`,
-`rules`, `fleet`, `store` and so on).  `script` is the scenario itself, `load` and `trouble` change every load and every
-fault of it, and `lab` is `SimulationSettings`.
+A name in `set` and `sweep` is SECTION.KEY.  The section is one of the deployment's (`dispatcher`, `rules`, `fleet`,
+`store` and so on), `script` for the scenario itself, `load` or `trouble` for all its loads or faults, or `lab` for
+`SimulationSettings`.
 """
 
 from __future__ import annotations
@@ -162,6 +162,7 @@
 
 
 def _parse_change(checker: Checker, position: SourcePosition, name: Any, value: Any) -> list[Change]:
+    """Return a list with the change; it is empty if the name is malformed."""
     section, separator, key = str(_value_of(name)).partition(".")
     if not separator or not key:
         checker.fault(position, name, "SECTION.KEY")
@@ -199,6 +200,7 @@
 
 
 def _convert_value(settings: Any, key: str, value: Any) -> Any:
+    """Return the value in the type of the setting that it replaces; raises `ChangeError` if that is impossible."""
     fields = fields_by_key(settings)
     if key not in fields:
         raise ChangeError("a key: " + ", ".join(name.replace("_", "-") for name in fields))
--- a/kelptrail/simulation/experiment_plots.py
+++ b/kelptrail/simulation/experiment_plots.py
@@ -14,7 +14,7 @@
 
 
 def draw_service(folder: Path, seconds: list[dict[str, Any]], variants: list[str], points: list[str]) -> None:
-    """Plot the share of calls that are answered in time over the run, for each point."""
+    """Plot the number of calls completed in time per new call, in each second of the run, for each point."""
     figure, axes = pyplot.subplots(len(points), 1, figsize=(10, 2.6 * len(points) + 0.6), squeeze=False, sharex=True)
     for axis, point in zip(axes[:, 0], points, strict=True):
         for variant in variants:
@@ -87,7 +87,7 @@
 
 
 def draw_give_ups(folder: Path, spread: list[dict[str, Any]], variants: list[str], points: list[str]) -> None:
-    """Plot the unsuccessful attempts of calls by cause."""
+    """Plot the mean number of unsuccessful attempts of calls per run, by cause."""
     rows = [row for row in spread if row["what"] == "give_ups"]
     causes = list(dict.fromkeys(row["name"] for row in rows))
     figure, axis = pyplot.subplots(figsize=(8, 4))
--- a/kelptrail/simulation/faults.py
+++ b/kelptrail/simulation/faults.py
@@ -27,7 +27,7 @@
 
 T = TypeVar("T")
 DRAIN_TIMEOUT_MS = 1500.0  # time for running work, from the end of the drain grace to the worker's stop
-DEPLOY_INTERVAL_MS = 1000.0  # additional time between two workers of a rolling deploy
+DEPLOY_INTERVAL_MS = 1000.0  # additional time between two workers of a rolling deploy or a drain
 LEASE_FAULT_OF_PLANNER_FAULT: dict[str, FaultKind] = {
     FaultKind.PAUSE_PLANNERS: FaultKind.PAUSE_DISPATCHERS,
     FaultKind.CUT_PLANNERS: FaultKind.CUT_PEERS,
@@ -77,9 +77,12 @@
             if kind == FaultKind.CRASH:
                 self._crash(worker, fault.duration * 1000)
             elif kind in (FaultKind.ROLLING_DEPLOY, FaultKind.DRAIN):
-                pause_ms = fault.duration * 1000 / max(1, len(targets))
+                time_per_worker_ms = fault.duration * 1000 / max(1, len(targets))
                 self._event_queue.after(
-                    number * (pause_ms + DEPLOY_INTERVAL_MS), self._deploy, worker, kind == FaultKind.ROLLING_DEPLOY
+                    number * (time_per_worker_ms + DEPLOY_INTERVAL_MS),
+                    self._deploy,
+                    worker,
+                    kind == FaultKind.ROLLING_DEPLOY,
                 )
             else:
                 worker.inject(kind, fault)
@@ -165,6 +168,7 @@
     def _kill(
         self, dispatcher: SimulatedDispatcher | RemoteDispatcher, down_ms: float | None, disk_lost: bool = False
     ) -> None:
+        """Kill a dispatcher, and start it again after `down_ms`, or never if that is None."""
         if not dispatcher.up:
             return
         if dispatcher in self._cluster.local_dispatchers:
@@ -203,7 +207,7 @@
         self._cluster.publish_endpoints()
 
     def _deploy(self, worker: SimulatedWorker | RemoteWorker, restart: bool) -> None:
-        """Drain the worker, stop it, and start it again if `restart` is set."""
+        """Drain the worker, stop it after the drain times, and start it again if `restart` is set."""
         if not worker.up:
             return
         worker.state = "draining"
--- a/kelptrail/simulation/leases.py
+++ b/kelptrail/simulation/leases.py
@@ -30,7 +30,8 @@
 from .event_queue import EventQueue, Timer
 from .lease_links import Link, MessageDelay, SimulatedLinks
 
-LEASE_USE_INTERVAL_MS, WRITE_RETRY_MS = 50.0, 100.0
+LEASE_USE_INTERVAL_MS = 50.0
+WRITE_RETRY_MS = 100.0  # time until a state write on a failing disk fails, after which the acceptor writes again
 ACCEPTOR_MESSAGES = (AcquireRequest, Release, StateRequest, StateReply)
 
 
@@ -43,7 +44,7 @@
 
 @dataclass(slots=True, eq=False)
 class LeaseNode:
-    """One process with its lease client, its acceptor, its disk and its clock."""
+    """One process with its lease client, its acceptor, its disk (`durable_state` and `rows`) and its clock."""
 
     name: str
     is_acceptor: bool
@@ -132,7 +133,7 @@
                 self.request_lease(node, task, partial(self._begin_use, node, task), lambda: None)
 
     def held_token(self, name: str, task: str) -> FencingToken | None:
-        """Return the token of the lease that a node holds now, None if it holds none."""
+        """Return the token of the lease that a node holds now; None if it holds none, is down or is paused."""
         node = self.nodes[name]
         if not node.up or node.paused or node.lease_client is None:
             return None
@@ -322,7 +323,7 @@
             node.sync_ms, node.disk_fails = sync_ms, fails
 
     def status(self) -> dict[str, Any]:
-        """Return the messages received by node, and the uses of leases; the keys are part of the report."""
+        """Return the number of messages that each node received, and of lease uses; the keys are part of the report."""
         return {
             "told": {name: node.messages_received for name, node in self.nodes.items()},
             "acts": sum(node.lease_uses for node in self.nodes.values()),
--- a/kelptrail/simulation/model_store.py
+++ b/kelptrail/simulation/model_store.py
@@ -9,7 +9,7 @@
 
 from .event_queue import EventQueue, Timer
 
-REFUSAL_DELAY_MS = 0.2
+REFUSAL_DELAY_MS = 0.2  # time until a refused fetch fails
 COMPLETION_TOLERANCE_MS = 1e-6  # rounding may leave this much of a complete fetch's remaining time
 
 
--- a/kelptrail/simulation/remote.py
+++ b/kelptrail/simulation/remote.py
@@ -69,7 +69,7 @@
 
     def __init__(self, number: int) -> None:
         self.number, self.name, self.up = number, f"dispatcher-{number}", True
-        self.sync_ms, self.disk_fails = 0.0, False
+        self.sync_ms, self.disk_fails = 0.0, False  # set by faults, without effect in this shard
 
     def kill(self) -> None:
         """Mark the dispatcher as down."""
@@ -84,14 +84,14 @@
 
 
 class RemoteStore:
-    """The model store for the shards that reach it over the network."""
+    """Proxy for the model store, which is in the first shard."""
 
     def __init__(self, shard: Shard, event_queue: EventQueue, settings: SimulationSettings) -> None:
         self._shard, self._event_queue, self._settings = shard, event_queue, settings
-        self.fetches = 0
+        self.fetches = 0  # the first shard counts the fetches of all shards
 
     def fetch(self, fetch_ms: float, on_done: Callable[[bool], None]) -> None:
-        """Start a fetch at the store in the first shard; `on_done` gets whether it succeeded."""
+        """Start a fetch that takes `fetch_ms` at the full rate; `on_done` gets whether it succeeded."""
         arrives_at = self._event_queue.now + self._settings.network_ms
         self._shard.request(arrives_at, 0, MessageKind.FETCH, on_done, fetch_ms)
 
--- a/kelptrail/simulation/sharding.py
+++ b/kelptrail/simulation/sharding.py
@@ -30,12 +30,12 @@
 from .shard_inbox import ShardInbox
 
 WINDOW_FRACTION = 0.999  # share of the network delay; a window ends before its events can reach another shard
-PROGRESS_INTERVAL_MS = 1000.0
+PROGRESS_INTERVAL_MS = 1000.0  # minimum simulated time between two calls of `progress`
 PROCESS_EXIT_TIMEOUT_S = 5
 
 
 class ShardError(Exception):
-    """A shard's process failed; the text is its traceback."""
+    """A shard's process failed; the text is its traceback, if it sent one."""
 
 
 class ShardedRun(NamedTuple):
@@ -130,7 +130,8 @@
 ) -> ShardedRun:
     """Run a scenario over several processes; return its results and, with `capture`, its events in order of time.
 
-    Runs with the same seed and number of processes are the same.  Raises `ShardError` if a shard's process fails.
+    Runs with the same seed and number of processes are the same.  `progress` gets the simulated time in ms.  Raises
+    `ShardError` if a shard's process fails.
     """
     context = get_context("forkserver")
     arguments = ShardRunArguments(scenario, deployment, seed, settings, capture)
--- a/kelptrail/simulation/worker_instances.py
+++ b/kelptrail/simulation/worker_instances.py
@@ -18,8 +18,8 @@
     from .remote import RemoteStore
     from .workers import SimulatedWorker
 
-IDLE_CHECK_INTERVAL_MS = 250.0  # time between two checks whether a model's keep-alive time has passed
-MAX_QUEUED_LOADS_FACTOR = 2  # maximum queued loads for each concurrent load
+IDLE_CHECK_INTERVAL_MS = 250.0  # minimum time between two checks whether a model's keep-alive time has passed
+MAX_QUEUED_LOADS_FACTOR = 2  # limit of queued loads, as a multiple of the limit of concurrent loads
 
 
 class PendingOrder(NamedTuple):
@@ -39,8 +39,8 @@
     number: int
     reply: AttemptReply
     other_attempts: int  # other attempts at the model when this one was queued
-    was_loaded: bool
-    deadline: float
+    was_loaded: bool  # an instance of the model was loaded when this one was queued
+    deadline: float  # simulated time in ms
 
 
 @dataclass(slots=True, eq=False)
@@ -49,8 +49,8 @@
 
     action: ActionSettings
     type: TypeSettings
-    loaded: int = 0
-    loading: int = 0
+    loaded: int = 0  # number of loaded instances
+    loading: int = 0  # number of instances with a running or queued load
     busy: int = 0  # number of running attempts
     last_used: float = 0.0
     waiting: deque[QueuedAttempt] = field(default_factory=deque)
@@ -144,7 +144,10 @@
             self._resident.pop(model.action.model, None)
 
     def _free_memory_for(self, model: ModelState) -> bool:
-        """Unload idle models until another instance of `model` fits in memory; return whether it does."""
+        """Unload idle models until another instance of `model` fits in memory; return whether it does.
+
+        All models whose keep-alive time has passed are unloaded first, then the least recently used ones.
+        """
         needed_mb, limit_mb = model.action.memory_mb, self._fleet.memory_mb
         if self._memory_mb + needed_mb <= limit_mb:
             return True
@@ -205,7 +208,7 @@
         self._worker.executor.start_queued()
 
     def _answer_orders(self, model: ModelState, load_succeeded: bool) -> None:
-        """Answer the orders whose instances are loaded, and after a failed load the other orders, too."""
+        """Answer the orders that are fulfilled, and after a failed load all others with an error."""
         pending_orders, model.pending_orders = model.pending_orders, []
         for order in pending_orders:
             if model.loaded >= order.instance_count:
@@ -216,7 +219,7 @@
                 model.pending_orders.append(order)
 
     def _unload_if_idle(self, model: ModelState) -> None:
-        """Unload a model's instances once they have been idle for the keep-alive time."""
+        """Unload a model's instances if they have been idle for the keep-alive time; otherwise check again later."""
         if self._process_ended or not model.loaded:
             return
         remaining_ms = model.last_used + self._fleet.keep_alive_ms - self._event_queue.now
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -1,8 +1,8 @@
 """Simulated workers, which follow the rules of the emulated worker in simulated time.
 
 A worker has cores, a bounded queue, instances that are loaded and unloaded, a slow start after a restart, a log of
-effects for deduplication that it shares with its group, and the faults of fault scenarios.  `docs/simulation.md` lists
-what is not simulated.
+effects that it shares with the workers of its deduplication scope, and the faults of fault scenarios.
+`docs/simulation.md` lists what is not simulated.
 """
 
 from __future__ import annotations
@@ -179,7 +179,7 @@
             self.record("fell", incarnation=self.incarnation)
 
     def _fail_or_queue(self, attempt: QueuedAttempt) -> None:
-        """Fail an attempt at once due to a fault, a model that is not loaded or a full queue; otherwise queue it."""
+        """Fail an attempt at once due to a fault, an absent model, draining or a full queue; otherwise queue it."""
         model, reply = attempt.model, attempt.reply
         if self.fault_applies(FaultKind.FAIL_FAST) or self._fails_type(model.type.name):
             reply(AttemptStatus.ERROR, WorkerAnswer("error"))
