--- a/kelptrail/load/arrivals.py
+++ b/kelptrail/load/arrivals.py
@@ -25,7 +25,7 @@
 from .load_settings import Load
 
 SHAPES = ("poisson", "diurnal", "bursts", "heavy", "trace", "closed")
-MIN_TRACE_S = 1e-3
+MIN_TRACE_S = 1e-3  # minimum length of a trace, whose times may all be 0
 MIN_GAPS_PER_DRAW = 16
 
 
@@ -62,7 +62,7 @@
         except ValueError:
             raise TraceError(f"{file}:{number}: {time_text!r} is not a time in seconds") from None
         if not np.isfinite(time) or time < (times[-1] if times else 0.0):
-            raise TraceError(f"{file}:{number}: {time_text} is before the previous time, or not finite")
+            raise TraceError(f"{file}:{number}: {time_text} is negative, before the previous time, or not finite")
         times.append(time)
         actions.append(action.strip())
     if not times:
@@ -72,7 +72,10 @@
 
 
 def popularity(paths: list[str], load: Load) -> np.ndarray:
-    """Return each action's share of the calls: 1 for the action that the load names, or a Zipf distribution by rank."""
+    """Return each action's share of the calls: 1 for the action that the load names, or a Zipf distribution.
+
+    The rank in that distribution is the position in `paths`.
+    """
     if load.action:
         weights = np.array([float(path == load.action) for path in paths])
     else:
--- a/kelptrail/load/generator.py
+++ b/kelptrail/load/generator.py
@@ -21,9 +21,9 @@
 
 RANDOM_STREAM = 29  # separates these random numbers from others of the same seed
 DRAW_SPAN_S = 0.25  # length of the time span for which arrivals are drawn at once
-MIN_SLEEP_MS = 0.3
+MIN_SLEEP_MS = 0.3  # a call that is due sooner is started at once
 OPEN_CALLS_CHECK_S = 0.05
-GC_THRESHOLD = (50_000, 20, 1_000_000)
+GC_THRESHOLD = (50_000, 20, 1_000_000)  # rare garbage collections, as they delay calls that are due
 
 
 class LoadGenerator:
--- a/kelptrail/load/generator_clients.py
+++ b/kelptrail/load/generator_clients.py
@@ -26,10 +26,12 @@
 from .invoke_api import FinalAnswer, authorization_of, encode_call, encode_poll, read_final_answer
 from .plan import Load
 
-POLL_EVERY_MS, POLL_FOR_MS = 150.0, 3000.0
+POLL_EVERY_MS = 150.0  # time between two polls of a deferred call
+POLL_FOR_MS = 3000.0  # a polling client gives up this long after the call's timeout
 POLL_TIMEOUT_MS = 2000.0  # for a single poll
 ANSWER_MARGIN_MS = 500.0  # time that a client waits beyond the call's timeout
-IDLE_MS, MAX_ANSWER_BYTES = 10_000.0, 1 << 22
+IDLE_MS = 10_000.0  # time after which an idle connection is closed
+MAX_ANSWER_BYTES = 1 << 22
 
 OnResponse = Callable[[Call, CallOutcome, Response | None], None]
 
@@ -48,7 +50,7 @@
     attempts_left: int
     due: float  # scheduled time of the current attempt, in ms
     first_due: float  # scheduled time of the first attempt, in ms
-    dispatcher: int = 0
+    dispatcher: int = 0  # index in `GeneratorSettings.addresses`
     activation: str = ""
     on_finished: Callable[[], None] | None = None  # schedules the next call in a closed loop
 
@@ -149,7 +151,7 @@
         elif answer.answer in RETRIED_ANSWERS:
             outcome = ClientOutcome(answer.answer)
             self._end_attempt(call, outcome, answer.answer, answer.retry_after_ms, answer.repeat_within_ms)
-        else:  # a client error such as 401, which a retry would not correct
+        else:  # a client error such as 401, which a retry would not correct; counted by its cause only
             self._end_attempt(call, ClientOutcome.COMPLETED, answer.answer)
 
     def _end_attempt(
--- a/kelptrail/load/plan.py
+++ b/kelptrail/load/plan.py
@@ -28,6 +28,7 @@
         """Loads that run concurrently."""
 
 
+# Names of fields whose keys in scenario files differ.
 RENAMED_KEYS = {"for": "duration", "heed": "retry_after_share", "half_heed": "half_retry_after_share"}
 
 
--- a/kelptrail/load/results.py
+++ b/kelptrail/load/results.py
@@ -33,14 +33,14 @@
 
     calls: int = 0  # attempts that clients send
     completed: int = 0
-    in_time: int = 0
+    in_time: int = 0  # completed within the latency objective
     rejected: int = 0
     aborted: int = 0
     lost: int = 0
     not_taken: int = 0
     attempts: int = 0  # attempts that dispatchers send to workers
     load_orders: int = 0
-    loads: int = 0
+    loads: int = 0  # fetches from the model store; counted by the simulation only
     retries: int = 0  # calls that are retries of clients
     calls_in_flight: int = 0  # number at the end of the second
     idle_mb: float = 0.0  # memory of idle instances at the end of the second
@@ -68,8 +68,8 @@
     seconds: list[Second]
     latency: dict[str, list[float]]
     give_ups: dict[str, int]  # number of attempts that did not complete, by reason
-    events: int
-    loads: int
+    events: int  # callbacks that the simulation has run; 0 for the load generator
+    loads: int  # fetches from the model store; 0 for the load generator
     extra: dict[str, float] = field(default_factory=dict)
 
 
