--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -241,8 +241,8 @@
 def test_a_paused_worker_reads_its_messages_later_and_heavy_work_hits_its_share_of_attempts() -> None:
     """Guards against results that are too favourable.
 
-    The simulation once dropped messages to a paused worker, and made 2% of the work heavy where the scenario said all
-    of it: the 99th percentile was 759 ms, compared with 2,640 ms of real processes over sockets.
+    The simulation once dropped messages to a paused worker, and made only 2% of the work heavy where the scenario said
+    all of it.  Its 99th percentile of latency was 759 ms, compared with 2,640 ms of real processes over sockets.
     """
     deployment = load(ROOT / "examples" / "nursery.sexp")
     event_queue, recorded, replies = EventQueue(), list[tuple[str, dict[str, Any]]](), list[tuple[float, Any]]()
