--- a/kelptrail/simulation/planners.py
+++ b/kelptrail/simulation/planners.py
@@ -34,7 +34,7 @@
         self._function_profiles = function_profiles(cluster.deployment)
         self.up, self.slow_ms, self._start_number = False, 0.0, 0
         self._snapshot: InstanceCounts = {}
-        self.plans = self.moves = 0
+        self.plans = self.moves = 0  # plans and new instances, as counted by the process of the latest plan
         self.start_process(True)
 
     def start_process(self, without_snapshot: bool = False) -> None:
