--- a/kelptrail/simulation/cluster.py
+++ b/kelptrail/simulation/cluster.py
@@ -79,7 +79,7 @@
         scenario, deployment, shard = self.scenario, self.deployment, self.shard
         self.actions_by_model = {action.model: action for action in deployment.actions.values()}
         self.store: SimulatedStore | RemoteStore = SimulatedStore(self.event_queue, deployment.store)
-        self.effect_log: dict[tuple[str, str], float] = {}
+        self.effect_log: dict[tuple[str, str], float] = {}  # time of the last effect by scope and deduplication id
         if shard is not None:
             self.effect_log = SharedEffectLog(shard, self.event_queue, self.settings)
             if shard.number:
--- a/kelptrail/simulation/experiment.py
+++ b/kelptrail/simulation/experiment.py
@@ -79,7 +79,7 @@
     """An experiment that has been read and checked."""
 
     name: str
-    script: str
+    script: str  # path of the scenario file
     seeds: tuple[int, ...]
     variants: dict[str, tuple[Change, ...]]
     sweep: tuple[Change, ...]  # one change for each point; empty for a single point without a change
