--- a/kelptrail/cli/calls.py
+++ b/kelptrail/cli/calls.py
@@ -1,4 +1,4 @@
-"""A client of the invoke API: `invoke` calls an action, `poll` fetches the record of an activation."""
+"""Commands that use the invoke API: `invoke` calls an action, `poll` fetches the record of an activation."""
 
 from __future__ import annotations
 
@@ -38,9 +38,10 @@
         return ExitCode.COMPLETED if self.status == 200 else ExitCode.FAILED
 
     def _final_answer(self) -> str | None:
-        """Return the kind of final answer (completed, rejected, aborted or left) of the activation's record.
+        """Return the kind of final answer in the annotation `kelptrail` of the activation's record.
 
-        It is in the annotation `kelptrail`.  Return None if the body is no record or has no such annotation.
+        It is "completed", "rejected", "aborted" or "left" (the client no longer waited for an answer).  Return None if
+        the body is no record or has no such annotation.
         """
         if not isinstance(self.body, dict):
             return None
@@ -123,7 +124,7 @@
 
 
 async def _poll(url: str, auth: str, target: str, within_s: float) -> ApiResponse:
-    """Fetch the record until the activation is no longer in flight, for at most `within_s` seconds."""
+    """Fetch the record until the activation has ended or `within_s` seconds have passed; return the last response."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + within_s
     while True:
--- a/kelptrail/cli/certificates.py
+++ b/kelptrail/cli/certificates.py
@@ -26,12 +26,12 @@
     """Manage a private certificate authority for fronts, workers and clients, and keys for namespaces."""
 
 
-def _with_authority(work: Callable[[], T]) -> T:
-    """Return the result of `work`.  Raises `CommandFailedError` if the authority reports an error."""
+def _run_authority_operation(operation: Callable[[], T]) -> T:
+    """Return the result of `operation`.  Raises `CommandFailedError` if it raises `AuthorityError`."""
     from kelptrail.certificates.authority import AuthorityError
 
     try:
-        return work()
+        return operation()
     except AuthorityError as cause:
         raise CommandFailedError(str(cause)) from None
 
@@ -57,7 +57,7 @@
     from kelptrail.certificates.authority import Authority
 
     _print_certificate(
-        _with_authority(lambda: Authority.create(folder, name, days, datetime.now(UTC)).list_issued()[0])
+        _run_authority_operation(lambda: Authority.create(folder, name, days, datetime.now(UTC)).list_issued()[0])
     )
 
 
@@ -73,7 +73,7 @@
     from kelptrail.certificates.authority import Authority
 
     _print_certificate(
-        _with_authority(lambda: Authority(folder).issue(name, also, server, client, days, datetime.now(UTC)))
+        _run_authority_operation(lambda: Authority(folder).issue(name, also, server, client, days, datetime.now(UTC)))
     )
 
 
@@ -85,7 +85,7 @@
     """Renew a certificate with a new key; running fronts reload it automatically."""
     from kelptrail.certificates.authority import Authority
 
-    _print_certificate(_with_authority(lambda: Authority(folder).rotate(name, days, datetime.now(UTC))))
+    _print_certificate(_run_authority_operation(lambda: Authority(folder).rotate(name, days, datetime.now(UTC))))
 
 
 @keys.command(cls=ExampleCommand, example="kelptrail keys show keys")
@@ -94,7 +94,7 @@
     """Show the authority and the certificates it issued, one JSON line each, without keys."""
     from kelptrail.certificates.authority import Authority
 
-    for issued in _with_authority(lambda: Authority(folder).list_issued()):
+    for issued in _run_authority_operation(lambda: Authority(folder).list_issued()):
         _print_certificate(issued)
 
 
--- a/kelptrail/cli/console.py
+++ b/kelptrail/cli/console.py
@@ -33,7 +33,7 @@
 
 
 def read_input(load: Callable[[str], T], file: str) -> T:
-    """Return the result of `load` for a file.  Raises `UnusableInputError`, which lists all faults."""
+    """Load a file with `load`.  Raises `UnusableInputError` with all faults, or with why the file is unreadable."""
     from kelptrail.settings.reader import SettingsError
 
     try:
@@ -60,7 +60,7 @@
 
 
 def print_json_line(**fields: Any) -> None:
-    """Print one JSON line on standard output and flush it, as the parent process waits for it."""
+    """Print one JSON line on standard output and flush it, because a parent process may wait for it."""
     sys.stdout.write(msgspec.json.encode(fields).decode() + "\n")
     sys.stdout.flush()
 
--- a/kelptrail/cli/emulator.py
+++ b/kelptrail/cli/emulator.py
@@ -23,8 +23,8 @@
     """Run one emulator on loopback for trials and tests: a worker, model store, endpoint service or proxy."""
 
 
-# The options and the names in captures are part of the interface; some are older than the names in the code: the hall
-# is a zone, the roster the endpoint service, the witness the side-effect log, links and relay the two proxies.
+# Options and names in captures are part of the interface.  Some differ from the terms in the code: "hall" is the zone,
+# "roster" the endpoint service, "witness" the side-effect log, "links" the channel proxy, "relay" the datagram proxy.
 emulator_options = combined(
     with_stdin_option,
     click.option("--capture", type=click.Path(path_type=Path), help="File that records the emulator's events."),
@@ -178,12 +178,16 @@
 
 @emulate.command(hidden=True)
 @click.argument("script")
+# Addresses of the invoke API, and of the inference API.
 @click.option("--at", "addresses", multiple=True)
 @click.option("--second", "inference_addresses", multiple=True)
+# Start of the load, in ms of the monotonic clock.
 @click.option("--start", "start_ms", type=float)
+# Index of this process, and the number of processes.
 @click.option("--number", type=int)
 @click.option("--of", type=int)
 @click.option("--seed", type=int)
+# Folder for the capture.
 @click.option("--capture", type=click.Path(path_type=Path))
 def clients(script: str, start_ms: float, **values: Any) -> None:
     """Run one process of a fault scenario's clients."""
@@ -216,7 +220,7 @@
 
 
 def _freeze_garbage_collection() -> None:
-    """Exempt the plan, which is kept for the complete run, from garbage collection: pauses would count as latency."""
+    """Exempt the plan, which is kept for the complete run, from garbage collection, whose pauses count as latency."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*_GC_THRESHOLDS)
--- a/kelptrail/cli/logs.py
+++ b/kelptrail/cli/logs.py
@@ -25,7 +25,7 @@
         self._windows: dict[str, tuple[float, int]] = {}  # start of the window and number of lines in it, by event
 
     def __call__(self, _logger: Any, level: str, fields: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-        """Return the line's fields, with the number of lines dropped in the last window.
+        """Return the line's fields; `left_out` is the number of lines dropped in the last window, if any were.
 
         Raises `DropEvent` beyond the limit.
         """
--- a/kelptrail/cli/operations.py
+++ b/kelptrail/cli/operations.py
@@ -16,12 +16,12 @@
 RETIRE_POLL_S = 0.2
 
 
-def _run_against(control: str, work: Coroutine[Any, Any, Any]) -> Any:
-    """Run `work`, which queries a control address.  Raises `CommandFailedError` if it does not answer."""
+def _run_control_request(control: str, request: Coroutine[Any, Any, Any]) -> Any:
+    """Run a coroutine that sends requests to a control address.  Raises `CommandFailedError` if it does not answer."""
     from kelptrail.codec.http import HttpError
 
     try:
-        return run_async(work)
+        return run_async(request)
     except (OSError, HttpError) as cause:
         raise unreachable(control, cause) from None
 
@@ -30,7 +30,7 @@
     """Return the decoded response to GET at a control address.  Raises `CommandFailedError`."""
     from kelptrail.emulator.cluster import http_json
 
-    return _run_against(control, http_json(control, "GET", target))
+    return _run_control_request(control, http_json(control, "GET", target))
 
 
 def _seconds(milliseconds: float) -> str:
@@ -93,7 +93,8 @@
     if as_json:
         print_json(status)
         return
-    # In the status, a vote is the acceptor of this dispatcher, voters are acceptors, `seen` are the leases known here.
+    # Keys of the status: `vote` is the acceptor in this dispatcher, or null; `voters` has the ms since the last
+    # message of each acceptor; `wants` are the requested tasks, `holds` the leases held here, `seen` all known leases.
     acceptor, last_heard_ms = status["vote"], status["voters"]
     click.echo(f"{status['name']}, set of voters {status['number']}: {_acceptors_line(last_heard_ms)}")
     if acceptor is not None:
@@ -104,7 +105,7 @@
 
 
 def _acceptors_line(last_heard_ms: dict[str, float | None]) -> str:
-    """Return when each acceptor last answered, with a note if those that answered are not a majority."""
+    """Return the time since the last message of each acceptor, with a note if fewer than a majority were heard."""
     parts = [f"{name} {'not heard' if ms is None else f'{ms:g} ms ago'}" for name, ms in last_heard_ms.items()]
     reached = sum(ms is not None for ms in last_heard_ms.values())
     has_majority = 2 * reached > len(last_heard_ms)
@@ -114,7 +115,7 @@
 
 
 def _describe_lease(own: dict[str, Any] | None, reported: dict[str, Any] | None) -> str:
-    """Return the holder of a task's lease.
+    """Describe a task's lease: its holder, token and remaining time.
 
     `own` is the queried dispatcher's lease; `reported` is the lease that this dispatcher or its acceptor has recorded.
     """
@@ -124,7 +125,7 @@
         return "wanted, not held here"
     if not reported["left_ms"]:
         return f"not held, last token {reported['token']}"
-    holder = reported["token"].partition(".")[2].partition("/")[0]
+    holder = reported["token"].partition(".")[2].partition("/")[0]  # the token is ROUND.NAME/RUN
     return f"held by {holder} under {reported['token']}, {_seconds(reported['left_ms'])} left at most"
 
 
@@ -140,7 +141,8 @@
     if as_json:
         print_json(status)
         return
-    # In the status, copies are replicas, and to promise is to accept deferred calls.
+    # Keys of the status: `copies` is the required number of replicas, `promising` whether deferred calls are accepted,
+    # `holders` are the replicas of an owned journal, `held` the journals that this dispatcher replicates.
     accepting = "new deferred calls are accepted" if status["promising"] else "new deferred calls are refused"
     click.echo(f"{status['name']}, {status['copies']} copies: {accepting}")
     for journal, owned in status["owned"].items():
@@ -165,14 +167,14 @@
 @click.option("--within", default=120.0, show_default=True, help="Maximum time to wait for it, in s.")
 def retire(name: str, control: str, within: float) -> None:
     """Move all journals off the dispatcher NAME with control port CONTROL, before its machine is removed."""
-    _run_against(control, _retire(name, control, within))
+    _run_control_request(control, _retire(name, control, within))
     click.echo(f"{name} owns and replicates no journals any more: stop it with SIGTERM")
 
 
 async def _retire(name: str, control: str, within_s: float) -> None:
-    """Request a dispatcher to move its journals and replicas away, and wait until it has none.
+    """Make a dispatcher move its journals and replicas to others, and wait until it has none.
 
-    Raises `CommandFailedError` if the name is not that of the dispatcher, or if the time is over.
+    Raises `CommandFailedError` if the dispatcher has another name, or if journals are left after `within_s`.
     """
     from kelptrail.emulator.cluster import http_json
 
--- a/kelptrail/cli/simulation.py
+++ b/kelptrail/cli/simulation.py
@@ -58,7 +58,10 @@
     if processes > 1 and scenario.planners:
         raise UnusableInputError("a scenario with planners runs in one process only")
     if processes > scenario.dispatchers or processes > (scenario.workers + 1) // 2:
-        raise UnusableInputError(f"{processes} processes are more than the dispatchers, or the pairs of workers")
+        raise UnusableInputError(
+            f"{processes} processes are too many for {scenario.dispatchers} dispatchers, {scenario.workers} workers: "
+            "at most one for each dispatcher, and one for every two workers, rounded up"
+        )
 
 
 def _play(
