--- a/kelptrail/certificates/authority.py
+++ b/kelptrail/certificates/authority.py
@@ -59,7 +59,10 @@
 
 
 def describe(name: str, certificate: x509.Certificate) -> IssuedCertificate:
-    """Return the names, usage, serial number and validity period of a certificate."""
+    """Return the names, usage, serial number and validity period of a certificate.
+
+    The usage is "server", "client" or both; a certificate without an extended key usage counts as an authority's.
+    """
     try:
         extended_usage = certificate.extensions.get_extension_for_class(x509.ExtendedKeyUsage).value
         usage_names = {ExtendedKeyUsageOID.SERVER_AUTH: "server", ExtendedKeyUsageOID.CLIENT_AUTH: "client"}
@@ -154,8 +157,9 @@
     ) -> IssuedCertificate:
         """Issue a key and certificate for a name; alternative names are DNS names, URIs or addresses.
 
-        The certificate expires no later than the authority's own.  Raises `AuthorityError` if the name has a
-        certificate already, unless `replace` is set.
+        The certificate expires no later than the authority's own.  Raises `AuthorityError` if the name is invalid, if
+        the name has a certificate already and `replace` is not set, if the certificate is for neither a server nor a
+        client, or if the authority's own certificate has expired.
         """
         _check_name(name)
         file = self._folder / f"{name}.pem"
@@ -203,7 +207,10 @@
         )
 
     def rotate(self, name: str, days: int, now: datetime) -> IssuedCertificate:
-        """Issue a new key and certificate for the same names and usage; the old file is kept as `NAME.pem.old`."""
+        """Issue a new key and certificate for the same names and usage; the old file is kept as `NAME.pem.old`.
+
+        Raises `AuthorityError` if there is no valid old certificate.
+        """
         file = self._folder / f"{name}.pem"
         if not file.exists():
             raise AuthorityError(f"{name} has no certificate yet")
@@ -238,11 +245,13 @@
 def _check_name(name: str) -> None:
     if not _NAME.fullmatch(name) or name == "authority":
         raise AuthorityError(
-            f"{name[:80]!r} is not a valid name: 1 to 63 letters, digits and _ . @ -, except 'authority'"
+            f"{name[:80]!r} is not a valid name: 1 to 63 letters, digits and _ . @ -, the first a letter or digit, "
+            "and not 'authority'"
         )
 
 
 def _general_name(name: str) -> x509.GeneralName:
+    """Return a name as an IP address or a URI if it is one, and else as a DNS name."""
     try:
         return x509.IPAddress(ip_address(name))
     except ValueError:
@@ -270,6 +279,7 @@
 
 
 def _write_file(file: Path, data: bytes, mode: int) -> None:
+    """Replace a file atomically, with the permissions `mode` from the start."""
     new_file = file.with_name(file.name + ".new")
     descriptor = os.open(new_file, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
     with os.fdopen(descriptor, "wb") as out:
--- a/kelptrail/vrrp/address.py
+++ b/kelptrail/vrrp/address.py
@@ -25,8 +25,8 @@
 class FrontService:
     """Describes the servers of a front address; new ones are created each time the address is acquired.
 
-    `drain_ms` is the time that requests in flight have to end after the address was released; `linger_ms` is how long
-    open connections are then kept, so that late requests on them are answered.
+    `drain_ms` is the time that requests in flight have to end after the address was released; for the first `linger_ms`
+    of it, idle HTTP connections stay open, so that late requests on them are answered.
     """
 
     handler: Handler
--- a/kelptrail/vrrp/driver.py
+++ b/kelptrail/vrrp/driver.py
@@ -139,6 +139,7 @@
         self._perform_outputs()
 
     def _perform_outputs(self) -> None:
+        """Perform the instance's outputs and set the timer for its next tick."""
         outputs = self.instance.outputs
         while outputs:
             output = outputs.popleft()
--- a/kelptrail/vrrp/instance.py
+++ b/kelptrail/vrrp/instance.py
@@ -2,7 +2,8 @@
 
 Combines packets, authentication, virtual routers and tracking.  The driver passes in datagrams with their sender and
 the health of tracked objects, calls `tick` at `next_due()`, and performs `outputs`: datagrams to send, addresses to
-acquire or release, state changes to log.  Datagrams received, sent and dropped are counted.
+acquire or release, state changes to log.  `counters` has the datagrams received, those dropped by reason, the
+advertisements sent, and those that were processed although their addresses or interval differ from the configured ones.
 """
 
 from __future__ import annotations
@@ -56,7 +57,7 @@
         self._running = False
 
     def startup(self, now: float) -> None:
-        """Start all virtual routers, except while a failed tracked object requires the release of the address."""
+        """Start all virtual routers, except while a failed tracked object requires the release of the addresses."""
         self._running = True
         for router in self.routers.values():
             self._apply_tracking(now, router)
--- a/kelptrail/vrrp/model.py
+++ b/kelptrail/vrrp/model.py
@@ -4,7 +4,7 @@
 possible step is taken: deliver, drop or duplicate an advertisement, let time pass to the next timer, crash, restart,
 pause or resume a process.  States that differ only in the time at which they are reached count as one.
 
-Checked in every state: each Master holds the address, and no other router does.
+Checked in every state: each running Master holds the address, and no other running router does.
 
 Checked from every state, with all faults ended: within a given time exactly one Master remains; it has the highest
 priority, if the router of highest priority preempts; and the routers do not exchange advertisements endlessly without
@@ -87,7 +87,7 @@
         """Yield every step that is possible from this state."""
         for name, after in _next_states(self):
             after.apply_outputs()
-            yield Step(name, partial(_identity, after))
+            yield Step(name, partial(_identity, after))  # the next state is already computed
 
     def apply_outputs(self) -> int:
         """Apply the outputs of the routers and return how many advertisements were sent."""
@@ -107,7 +107,7 @@
         return sent
 
     def check(self) -> None:
-        """Raise `PropertyError` unless exactly the Masters hold the address."""
+        """Raise `PropertyError` unless each running router holds the address exactly if it is Master."""
         for number, router in enumerate(self.routers):
             if self.alive[number] and self.holds_address[number] is not (router.state is State.MASTER):
                 raise PropertyError(
@@ -207,7 +207,7 @@
     """Yield the states after one router's process crashes, restarts, pauses or resumes."""
     after, budget = model.copy(), model.budget
     if model.paused[number]:
-        # Unread advertisements stay in flight, so they are read only after this tick.
+        # Worst case (the driver reads first): timers fire before the unread advertisements, which stay in flight.
         after.paused[number] = False
         after.routers[number].tick(after.now)
         yield f"wake {number}", after
--- a/kelptrail/vrrp/packet.py
+++ b/kelptrail/vrrp/packet.py
@@ -57,11 +57,11 @@
 
 
 class AddressListError(PacketError):
-    """The first address of an IPv6 list is not link-local, where this is required (section 5.2.9)."""
+    """The first address of an IPv6 list is not link-local (section 5.2.9); `decode` does not check this."""
 
 
 class HopsError(PacketError):
-    """A TTL or hop limit other than 255, so that the packet was forwarded by a router (sections 5.1.1.3, 5.1.2.3)."""
+    """A TTL or hop limit other than 255, which shows that a router forwarded it (sections 5.1.1.3, 5.1.2.3)."""
 
 
 PACKET_ERRORS = (
--- a/kelptrail/vrrp/simulation.py
+++ b/kelptrail/vrrp/simulation.py
@@ -71,6 +71,7 @@
         self._tracks = tracks or []
         self.faults, self.now = NetworkFaults(), 0.0
         self._epochs = dict.fromkeys((a for a, _ in members), 0)
+        # Heap of datagrams in flight: time of arrival, sequence number, datagram, sender.
         self._in_flight: list[tuple[float, int, Datagram, Address]] = []
         self._sequence_number = 0  # keeps datagrams that arrive at the same time in order of sending
         self.instances: dict[Address, Instance] = {}
@@ -243,12 +244,12 @@
     network.run(SETTLING_INTERVALS * interval_ms + random_source.uniform(0, interval_ms))
     holders = network.holders()
     if len(holders) != 1:
-        statistics.violations.append(f"{seed}: {len(holders)} holders before")
+        statistics.violations.append(f"{seed}: {len(holders)} holders before the failure")
         return
     old_master, failure = holders[0], FAILURES[seed % len(FAILURES)]
     take_over_ms = _take_over_ms(network, old_master, failure, interval_ms)
     if take_over_ms is None:
-        statistics.violations.append(f"{seed}: nobody took over from a {failure.value}")
+        statistics.violations.append(f"{seed}: no instance took over after the failure {failure.value}")
         return
     next_priority = max(priority for address, priority in members if address != old_master)
     bound_ms = (3 + (256 - next_priority) / 256) * interval_ms + 2 * network.faults.delay[1]
@@ -261,7 +262,7 @@
     network.run(12 * interval_ms)
     holders = network.holders()
     if len(holders) != 1 or (network.preempt and holders != [members[0][0]]):
-        statistics.violations.append(f"{seed}: held by {holders} in the end")
+        statistics.violations.append(f"{seed}: held by {holders} after the old Master returned")
     statistics.failovers += 1
     statistics.add_holding_times(network, SETTLING_INTERVALS * interval_ms)
 
--- a/kelptrail/vrrp/state_machine.py
+++ b/kelptrail/vrrp/state_machine.py
@@ -62,7 +62,7 @@
     before: State
     after: State
     cause: str
-    at: float
+    at: float  # in ms
 
 
 Output = SendAdvertisement | AcquireAddress | ReleaseAddress | StateChange
@@ -75,7 +75,7 @@
     vrid: int
     priority: int  # 1 to 255; 255 means that this router owns the addresses
     addresses: tuple[Address, ...]
-    interval_cs: int = 100
+    interval_cs: int = 100  # Advertisement_Interval in centiseconds
     preempt: bool = True
     accept: bool = True  # Accept_Mode; only reported, because a front listening on the address accepts its packets
 
@@ -103,7 +103,7 @@
         self.settings, self.primary = settings, primary
         self.priority = settings.priority  # current priority, which tracking lowers
         self.state = State.INITIALIZE
-        self.since = 0.0
+        self.since = 0.0  # time of the last state change, in ms
         self.outputs: deque[Output] = deque()
         self.mismatched_address_lists = 0  # advertisements with other addresses than the configured ones
         self._master_interval_cs = settings.interval_cs  # Master_Adver_Interval
@@ -193,7 +193,8 @@
         now = self._advance(now)
         if self.state is State.INITIALIZE or sender == self.primary:
             return
-        # Section 7.1: the address owner discards all advertisements for its virtual router.
+        # Section 7.1: the address owner discards all advertisements for its virtual router.  Once tracking has lowered
+        # its priority, it processes them, so that it can yield.
         if self.settings.priority == OWNER_PRIORITY and self.priority == OWNER_PRIORITY:
             return
         if set(advert.addresses) != set(self.settings.addresses):
--- a/kelptrail/vrrp/tracking.py
+++ b/kelptrail/vrrp/tracking.py
@@ -1,11 +1,13 @@
 """Priority according to the health of an instance; free of I/O.
 
-The tracked items are whether the instance reaches workers, accepts connections of clients and can write its journal.
-
-Each tracked object has a weight that is subtracted from the priority while the object has failed.  An object has failed
-once it has been unhealthy for `fall_ms`, and has recovered once it has been healthy for `rise_ms`.  So that an object
-that flaps does not move the address back and forth, `rise_ms` doubles with each failure that begins within four times
-the current `rise_ms` after the last one ended, up to eight times the configured value.
+Each tracked object stands for one ability of the instance: to reach workers, to accept connections of clients, or to
+write its journal.
+
+The weight of a tracked object is subtracted from the priority while the object has failed.  An object has failed once
+it has been unhealthy for `fall_ms`, and has recovered once it has been healthy for `rise_ms`.  So that an object that
+flaps does not move the address back and forth, `rise_ms` doubles with each failure that begins within four times the
+current `rise_ms` after the last one ended, up to eight times the configured value; a failure that begins later resets
+it.
 """
 
 from __future__ import annotations
@@ -19,7 +21,7 @@
 class TrackSettings:
     """Settings of one tracked object; times in milliseconds.
 
-    With `release`, the address is released while the object has failed, whatever the priority.
+    With `release`, all addresses of the instance are released while the object has failed, whatever the priority.
     """
 
     name: str
@@ -89,7 +91,7 @@
 
     @property
     def released(self) -> bool:
-        """Whether a failed object requires the release of the address."""
+        """Whether a failed object requires the release of the addresses."""
         return any(track.failed and track.settings.release for track in self.tracks.values())
 
     @property
