--- a/kelptrail/settings/cooperation.py
+++ b/kelptrail/settings/cooperation.py
@@ -17,10 +17,12 @@
 class PlannerConfig:
     """The planner.
 
-    `embedded`: each dispatcher runs a planner in its process; `interval_ms`: time between two plans; `valid_ms`: time
-    for which edges follow a plan; `scale_down_ms`: time for which demand must have been lower before a function's
-    instances are reduced; `new_instances_share`: maximum number of new instances in one plan, as a share of the
-    calls expected in the next minute; `new_instances_min`: lower bound of that limit.
+    - `embedded`: each dispatcher runs a planner in its process.
+    - `interval_ms`: time between two plans.
+    - `valid_ms`: time for which edges follow a plan.
+    - `scale_down_ms`: time for which demand must have been lower before a function's instances are reduced.
+    - `new_instances_share`: maximum number of new instances in one plan, as a share of the calls expected in the next
+      minute; `new_instances_min`: lower bound of that limit.
     """
 
     embedded: bool = field(metadata={"key": "within"})
@@ -47,14 +49,20 @@
 class PeersConfig:
     """The channel between dispatchers, and replication of the journals of deferred (non-blocking) calls over it.
 
-    `max_buffer_kb`: limit on the buffered output of a connection and on the size of a message; the window of a
-    replication stream is a quarter of it; `max_messages_per_s`: limit on messages accepted from one peer; messages
-    beyond it are dropped; `replicas`: number of further dispatchers that store each deferred call, on "disk" or in
-    "memory" (`replica_storage`); `under_replication_policy`: "refuse": reject new deferred calls while there are fewer
-    replicas; "promise": accept them all the same; `max_replicated_kb`: a deferred call with a larger body is rejected,
-    and a larger result is replaced by an error text; `primary_timeout_ms`: silence after which a primary counts as
-    failed; `replica_timeout_ms`: time without an answer after which a replica is replaced; `repair_kb_per_s`: rate
-    limit of the repair of one replica.
+    - `heartbeat_ms`: time without output after which a heartbeat is sent.
+    - `silence_timeout_ms`: time without input after which a connection is closed.
+    - `max_buffer_kb`: limit on the buffered output of a connection and on the size of a message; the window of a
+      replication stream is a quarter of it.
+    - `max_messages_per_s`: limit on messages accepted from one peer; messages beyond it are dropped.
+    - `replicas`: number of further dispatchers that store each deferred call.
+    - `replica_storage`: where they store it, "disk" or "memory".
+    - `under_replication_policy`: whether new deferred calls are rejected ("refuse") or accepted ("promise") while there
+      are fewer replicas.
+    - `max_replicated_kb`: a deferred call with a larger body is rejected, and a larger result is replaced by an error
+      text.
+    - `primary_timeout_ms`: time without a message from a primary after which its journals are claimed.
+    - `replica_timeout_ms`: time without an answer after which a replica is replaced.
+    - `repair_kb_per_s`: rate limit of the repair of one replica.
     """
 
     peer: list[PeerConfig]
--- a/kelptrail/settings/cross_checks.py
+++ b/kelptrail/settings/cross_checks.py
@@ -57,7 +57,9 @@
     package = setting(form, "package") if head == "action" else None
     full_name = f"{package.text}/{name}" if package else name
     if not _NAME.fullmatch(name):
-        context.checker.fault(form.position, name, "a name of letters, digits, _ @ . - that does not start with a dot")
+        context.checker.fault(
+            form.position, name, "at most 255 letters, digits, spaces, _ @ . -, the first a letter, a digit or _"
+        )
     if (head, full_name) in context.names:
         line = context.names[head, full_name].line
         context.checker.fault(form.position, f"{head} {full_name} again", f"another name; line {line} has it already")
--- a/kelptrail/settings/deployment.py
+++ b/kelptrail/settings/deployment.py
@@ -105,7 +105,7 @@
 
     @property
     def max_deferred_bytes(self) -> int:
-        """The largest body of a deferred request that replicas store; 0 without replication: no limit."""
+        """Maximum body size of a deferred request, in bytes; 0 (no limit) without replication."""
         return int(self.peers.max_replicated_kb * 1024) if self.peers is not None and self.peers.replicas else 0
 
 
@@ -189,7 +189,7 @@
 
 
 def _expand_count(action: ActionSettings) -> list[ActionSettings]:
-    """Return the N actions of `(count N)`, NAME-0 to NAME-(N-1), each with a model of its own."""
+    """Return the N actions of `(count N)`, each with a model of its own: NAME if N is 1, else NAME-0 to NAME-(N-1)."""
     if action.count == 1:
         return [replace(action, model=action.model or action.name)]
     return [
--- a/kelptrail/settings/dispatching.py
+++ b/kelptrail/settings/dispatching.py
@@ -14,11 +14,13 @@
 class RuleSettings:
     """Limits of the dispatch rules.
 
-    `drain_grace_ms`: time after the start of draining in which attempts may still reach the worker;
-    `overload_multiple`, `overload_window_ms`: a worker in slow start fails if it receives more than this multiple of
-    its capacity within this time; `slow_start_share`: share of its capacity that a worker has at the beginning of slow
-    start; `slow_start_ms`: length of slow start; `loads_allowed`, `free_loads`, `loads_per_request`, `load_window_ms`:
-    the load ration (`kelptrail.dispatch.safety.LoadRation`).
+    - `drain_grace_ms`: time after the start of draining in which attempts may still reach the worker.
+    - `overload_multiple`, `overload_window_ms`: a worker in slow start fails if it receives more work than this
+      multiple of its capacity within this time.
+    - `slow_start_share`: share of its capacity that a worker has at the beginning of slow start.
+    - `slow_start_ms`: length of slow start.
+    - `loads_allowed`, `free_loads`, `loads_per_request`, `load_window_ms`: the load ration
+      (`kelptrail.dispatch.safety.LoadRation`).
     """
 
     drain_grace_ms: float
@@ -36,12 +38,17 @@
 class DispatcherSettings:
     """Permissions and limits of one dispatcher.
 
-    `parallel_attempts`: two attempts of one request may be in flight; `can_cancel`: attempts in flight may be
-    cancelled; `answer_margin_ms`: time between the final answer and the client's timeout; `keep_alive_ms`: time for
-    which an idle instance stays loaded; `retry_budget_share`: tokens that each completed attempt adds to
-    the retry budget, which pays for further attempts; `retry_budget_capacity`: maximum number of these tokens;
-    `max_records`, `max_records_mb`, `max_record_age_ms`: limits of the activation records that are kept;
-    `max_in_flight`, `max_in_flight_mb`, `max_in_flight_per_namespace`: limits of the requests without a final answer.
+    - `parallel_attempts`: two attempts of one request may be in flight.
+    - `max_attempts`: maximum number of attempts of one request.
+    - `can_cancel`: attempts in flight may be cancelled.
+    - `answer_margin_ms`: minimum time between the final answer and the client's timeout.
+    - `max_retry_after_ms`: longest Retry-After of a request that the dispatch rules reject; overload control has a
+      limit of its own (`OverloadConfig`).
+    - `keep_alive_ms`: time for which an idle instance stays loaded.
+    - `max_records`, `max_records_mb`, `max_record_age_ms`: limits of the activation records with a final answer.
+    - `max_in_flight`, `max_in_flight_mb`, `max_in_flight_per_namespace`: limits of the requests without a final answer.
+    - `retry_budget_share`: tokens that each completed attempt adds to the retry budget, which pays for later attempts.
+    - `retry_budget_capacity`: maximum number of these tokens.
     """
 
     zone: str = field(metadata={"key": "hall"})
@@ -63,7 +70,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolSettings:
-    """Limits of the connections to one worker."""
+    """Limits of the connections to one worker.
+
+    `connections`: their maximum number; `connect_ms`: timeout of connecting; `idle_ms`: maximum idle time of a
+    connection; `load_timeout_ms`: timeout of a load order or a probe; `max_answer_bytes`: maximum size of an answer.
+    """
 
     connections: int
     connect_ms: float
--- a/kelptrail/settings/fronts.py
+++ b/kelptrail/settings/fronts.py
@@ -14,10 +14,15 @@
 class FrontSettings:
     """Limits of the invoke API's HTTP server.
 
-    `pipelined`: requests in flight on one connection; `longest_wait_ms`: maximum wait of a blocking client or a poll;
-    `drain_ms`: time for requests in flight to end at a shutdown or after a front address was released; `linger_ms`:
-    time for which idle connections stay open meanwhile; `max_unwritten_mb`: unwritten bytes of replies over all
-    connections; `connect_burst`, `connects_per_s`: burst and rate of new connections.
+    - `pipelined`: requests in flight on one connection.
+    - `longest_wait_ms`: maximum wait of a blocking client or a poll.
+    - `read_ms`: time for a TLS handshake, and for a request to arrive completely.
+    - `write_ms`: time for which a write may wait for a slow client.
+    - `idle_ms`: time after which an idle connection is closed.
+    - `drain_ms`: time for requests in flight to end at a shutdown or after a front address was released.
+    - `linger_ms`: time for which idle connections stay open meanwhile.
+    - `max_unwritten_mb`: unwritten bytes of replies, over all connections.
+    - `connect_burst`, `connects_per_s`: burst and rate of new connections; a rate of 0: no limit.
     """
 
     connections: int
@@ -39,10 +44,18 @@
 class InferenceSettings:
     """Limits of the inference API's gRPC server.
 
-    `streams`: calls in progress on one connection; `stream_requests`: requests without a final answer in one call of
-    ModelStreamInfer; `max_partial_mb`, `max_unwritten_mb`: buffered bytes of incomplete and of unsent messages, over
-    all connections; `stream_bytes`: unsent bytes of a stream above which its producer pauses; `connect_burst`,
-    `connects_per_s`: burst and rate of new connections.
+    - `streams`: calls in progress on one connection.
+    - `stream_requests`: requests without a final answer in one call of ModelStreamInfer.
+    - `max_partial_mb`, `max_unwritten_mb`: buffered bytes of incomplete and of unsent messages, over all connections.
+    - `stream_bytes`: unsent bytes of a stream above which its producer pauses.
+    - `read_ms`: time for the request of a call to arrive completely.
+    - `write_ms`: time for which a write or a stream may wait for a slow client.
+    - `idle_ms`: time without calls after which a connection is closed.
+    - `max_connection_age_ms`: age at which a connection is closed gracefully; 0: no limit.
+    - `close_grace_ms`: time for calls to end once their connection is closing.
+    - `flood_burst`, `flood_per_s`: burst and rate, on one connection, of each kind of frame that costs its sender
+      nothing, such as pings (`kelptrail.net.guard`).
+    - `connect_burst`, `connects_per_s`: burst and rate of new connections; a rate of 0: no limit.
     """
 
     serve: bool
--- a/kelptrail/settings/lease_checks.py
+++ b/kelptrail/settings/lease_checks.py
@@ -66,7 +66,7 @@
     if max_ms < length_ms:
         given: Setting | None = setting(form, "longest-ms") or setting(form, "length-ms")
         position = given.position if given else form.position
-        checker.fault(position, f"{max_ms:g}", f"at least the length-ms, {length_ms:g}")
+        checker.fault(position, f"longest-ms {max_ms:g}", f"at least the length-ms, {length_ms:g}")
 
 
 def _check_length(checker: Checker, form: Form) -> None:
@@ -77,7 +77,7 @@
         given = setting(form, "length-ms")
         checker.fault(
             given.position if given else form.position,
-            f"{length_ms:g}",
+            f"length-ms {length_ms:g}",
             f"a length of which at least four times the ask-ms, {min_ms:g}, is usable: the clock bound "
             f"takes {length_ms - usable_ms:.0f}",
         )
--- a/kelptrail/settings/reader.py
+++ b/kelptrail/settings/reader.py
@@ -116,7 +116,7 @@
                 Fault(
                     SourcePosition(file, cause.line, cause.column),
                     repr(str(cause.token)),
-                    "no bracket that closes nothing",
+                    "a ( for this bracket",
                 )
             ]
         ) from None
--- a/kelptrail/settings/request_classes.py
+++ b/kelptrail/settings/request_classes.py
@@ -14,8 +14,15 @@
 class TypeSettings:
     """A request class.
 
-    `effect`: idempotency of its requests; `max_stream_ms`: maximum time from the receipt of a streamed request to its
-    end; `stream_stall_ms`: maximum time between two parts of a streamed answer while the client reads.
+    - `effect`: idempotency of its requests: "repeatable", "deduplicated" or "once-only".
+    - `timeout_ms`: maximum time from the receipt of a request to its answer, or to the beginning of a streamed one.
+    - `priority_weight`: priority relative to the other classes.
+    - `late_value_share`: has no effect.
+    - `deduplication_scope`: the workers that share deduplication: "all", or those of a "zone" or a "cell".
+    - `deduplication_window_ms`: time within which these workers drop a repeated request.
+    - `hedge`: a second attempt may start while the first takes unusually long.
+    - `max_stream_ms`: maximum time from the receipt of a streamed request to its end.
+    - `stream_stall_ms`: maximum time between two parts of a streamed answer while the client reads.
     """
 
     name: str
@@ -59,7 +66,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ActionSettings:
-    """An action: the name that is called, the model that runs it, and the resources of an instance."""
+    """An action: the name that is called, the model that runs it, and the resources of an instance.
+
+    `concurrency`: requests that an instance runs at the same time; `load_ms`: time to load an instance; `work_ms`: time
+    of a request at an emulated worker; `count`: number of actions that the form defines.
+    """
 
     name: str
     package: str
--- a/kelptrail/settings/shape.py
+++ b/kelptrail/settings/shape.py
@@ -13,7 +13,7 @@
 
 from .reader import Atom, Fault, Form, SettingsError, SourcePosition
 
-REQUIRED: Any = object()
+REQUIRED: Any = object()  # default of a field that must not be left out
 
 
 class SettingValueError(ValueError):
@@ -117,7 +117,7 @@
 
 
 def fields_by_key(section: Any) -> dict[str, str]:
-    """Map settings keys, written with underscores, to the field names of a dataclass or of an instance.
+    """Map settings keys, written with underscores, to the field names of a dataclass or its instance.
 
     The key of a field is the `key` in its metadata, or else the field's name.
     """
--- a/kelptrail/settings/vrrp.py
+++ b/kelptrail/settings/vrrp.py
@@ -22,7 +22,7 @@
 class InstanceSettings:
     """A dispatcher that runs VRRP.
 
-    `udp`: address that it sends datagrams from; `via`: address that peers send to, such as a proxy's; default: `udp`.
+    `udp`: address and port of its socket; `via`: those that peers send to, such as a proxy's; default: `udp`.
     """
 
     name: str
@@ -61,7 +61,7 @@
 class TrackConfig:
     """A tracked object, which lowers the priority by `weight` while it has failed.
 
-    With `release`, the address is released while the object has failed, whatever the priority.
+    The fields are those of `TrackSettings` in `kelptrail/vrrp/tracking.py`.
     """
 
     name: str
