--- a/tests/program.py
+++ b/tests/program.py
@@ -75,7 +75,10 @@
 
 
 class ScriptedWorker:
-    """A worker that answers each attempt with `on_attempt`; load orders succeed unless `on_load` is given."""
+    """A worker that answers attempts with the script `on_attempt`, and load orders with `on_load`.
+
+    By default, both succeed.
+    """
 
     def __init__(
         self, id_: str, on_attempt: Script | None = None, on_load: Script | None = None, state: str = "live"
@@ -162,7 +165,10 @@
 
 
 def reject_with(proof: str | None, status: int = 503) -> Script:
-    """Return a script that rejects the attempt, with or without the proof that it never ran."""
+    """Return a script that rejects the attempt.
+
+    `proof`: value of the header `never-ran`, by which the worker proves that the attempt never ran; None: no header.
+    """
 
     def script(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
         exchange.reply(status, b'{"error":"no"}', {"never-ran": proof} if proof else None)
@@ -252,7 +258,7 @@
         return Reply(reply.status, reply.headers, msgspec.json.decode(reply.body) if reply.body else None)
 
     async def wait_for_record(self, id_: str, within: float = 3.0) -> dict[str, Any]:
-        """Poll an activation until its record has the final answer, and return the record."""
+        """Poll an activation for up to `within` seconds until its record has the final answer; return the record."""
         loop = asyncio.get_running_loop()
         end = loop.time() + within
         while loop.time() < end:
@@ -268,7 +274,7 @@
 
 
 def final_answer(record: dict[str, Any]) -> dict[str, Any]:
-    """Return the annotation of a record with its final answer: completed, rejected or aborted."""
+    """Return the record's annotation `kelptrail`, which contains the kind of final answer."""
     return next(n["value"] for n in record["annotations"] if n["key"] == "kelptrail")
 
 
@@ -281,7 +287,10 @@
 
 
 async def read_reply(sock: socket.socket, within: float = 5.0) -> Response:
-    """Read one response.  Raises `ConnectionResetError` if the connection ends first."""
+    """Read one response.
+
+    Raises `ConnectionResetError` if the connection ends first, and `TimeoutError` after `within` seconds.
+    """
     reader, buffer = ResponseReader(1 << 24), bytearray(65536)
     async with asyncio.timeout(within):
         while True:
@@ -303,7 +312,7 @@
 
 @contextlib.asynccontextmanager
 async def running_dispatcher(*scripts: Script, on_load: Script | None = None) -> AsyncIterator[Any]:
-    """Run a dispatcher with one scripted worker for each script."""
+    """Run a dispatcher with one scripted worker for each script; yield the dispatcher and the workers."""
     workers = [ScriptedWorker(f"w{n}", script, on_load) for n, script in enumerate(scripts)]
     dispatcher = Dispatcher(workers)
     try:
@@ -316,6 +325,7 @@
             await worker.server.drain(0)
 
 
+# Sections to add to a deployment: three peers, which are also the lease acceptors.
 PEERS = """  (peers (peer v0) (peer v1) (peer v2) (beat-ms 50) (silent-ms 400) (connect-ms 200))
   (leases (voters v0 v1 v2) (length-ms 1000) (longest-ms 1000) (ask-ms 80) (retry-ms 30))"""
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -401,6 +401,7 @@
 async def read_stream(
     dispatcher: Dispatcher, headers: dict[str, str] | None = None, action: str = "p/check", query: str = "blocking=true"
 ) -> tuple[int, list[tuple[str, Any]], dict[str, str]]:
+    """Call an action and accept an event stream; return the status, the events (name, data) and the headers."""
     from program import connect
 
     sock = await connect(dispatcher.server.address)
@@ -450,6 +451,7 @@
             assert (await read_stream(dispatcher))[0] == 429
             worker.on_attempt = never_answer
             assert (await read_stream(dispatcher, action="grant"))[0] == 502
+            # A streamed call is blocking and takes no idempotency key.
             assert (await read_stream(dispatcher, {"idempotency-key": "k"}))[0] == 400
             assert (await read_stream(dispatcher, query="blocking=false"))[0] == 400
 
@@ -474,6 +476,7 @@
                 ),
             )
             await asyncio.sleep(0.2)
+            # With a linger time of 0, `close` resets the connection.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             sock.close()
             await asyncio.sleep(0.3)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -96,7 +96,7 @@
 def test_the_demo_ends_with_ctrl_c_and_leaves_no_child_process() -> None:
     process, _ready = start("demo", "--quiet-logs")
     children = Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text().split()
-    assert len(children) >= 7
+    assert len(children) >= 7  # endpoint service, model store, at least four workers, dispatcher
     process.send_signal(signal.SIGINT)
     process.communicate(timeout=30)
     assert process.returncode == 0
@@ -222,7 +222,8 @@
 def write_capture(file: Path) -> None:
     """Write a capture of 20 s with two dispatchers and three workers.
 
-    One worker hangs, another one fails, and one dispatcher is killed.
+    One worker hangs for 4 s (ending "T", no answer), another one fails for 4 s ("E", an error), and one dispatcher is
+    down for 3 s.  The other requests succeed ("S").
     """
     batches = []
 
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -187,7 +187,7 @@
         with pytest.raises(error):
             verifier.verify(rejected, A)
     with pytest.raises(ForgedError):
-        verifier.verify(signer_a.sign(data), B)  # signed by another sender
+        verifier.verify(signer_a.sign(data), B)  # signed by A, received from B
     with pytest.raises(UnknownKeyError):
         Verifier((new,)).verify(signer_a.sign(data), A)
     verifier.verify(Signer(old, 6, A).sign(data), A)  # the sender restarted, so its epoch grew
