--- a/kelptrail/cli/console.py
+++ b/kelptrail/cli/console.py
@@ -98,9 +98,9 @@
     return stop
 
 
-async def wait_until_stopped(with_stdin: bool) -> None:
-    """Return on SIGTERM, on SIGINT or, if `with_stdin`, at the end of standard input."""
+async def wait_until_stopped(stop_at_stdin_end: bool) -> None:
+    """Return on SIGTERM, on SIGINT or, if `stop_at_stdin_end`, at the end of standard input."""
     stop = stop_event_on_signals()
-    if with_stdin:
+    if stop_at_stdin_end:
         call_at_end_of_stdin(stop.set)
     await stop.wait()
--- a/kelptrail/cli/emulator.py
+++ b/kelptrail/cli/emulator.py
@@ -33,17 +33,17 @@
 )
 
 
-async def _serve(server: Any, host: str, port: int, with_stdin: bool, **fields: Any) -> None:
+async def _serve(server: Any, host: str, port: int, stop_at_stdin_end: bool, **fields: Any) -> None:
     """Listen, print the ready line with `fields`, and serve until stopped."""
     server.listen(host, port)
     print_json_line(ready=True, address=server.address, **fields)
-    await wait_until_stopped(with_stdin)
+    await wait_until_stopped(stop_at_stdin_end)
 
 
 @emulate.command(cls=ExampleCommand, example="kelptrail emulate model-store examples/nursery.sexp --port 7001")
 @click.argument("file")
 @emulator_options
-def model_store(file: str, host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
+def model_store(file: str, host: str, port: int, capture: Path | None, stop_at_stdin_end: bool) -> None:
     """Run the model store, with the ledger that workers use to drop repeats."""
     deployment = read_deployment(file)
     from kelptrail.emulator.capture import Capture
@@ -51,35 +51,35 @@
 
     async def run_emulator() -> None:
         store = ModelStore(deployment.store, Capture(capture, "store"))
-        await _serve(store.server, host, port, with_stdin)
+        await _serve(store.server, host, port, stop_at_stdin_end)
 
     run_async(run_emulator())
 
 
 @emulate.command(cls=ExampleCommand, example="kelptrail emulate endpoint-service --port 7000")
 @emulator_options
-def endpoint_service(host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
+def endpoint_service(host: str, port: int, capture: Path | None, stop_at_stdin_end: bool) -> None:
     """Run the endpoint service, which serves the list of workers and dispatchers."""
     from kelptrail.emulator.capture import Capture
     from kelptrail.emulator.endpoint_service import EndpointService
 
     async def run_emulator() -> None:
         service = EndpointService(Capture(capture, "roster"))
-        await _serve(service.server, host, port, with_stdin)
+        await _serve(service.server, host, port, stop_at_stdin_end)
 
     run_async(run_emulator())
 
 
 @emulate.command(cls=ExampleCommand, example="kelptrail emulate side-effect-log")
 @emulator_options
-def side_effect_log(host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
+def side_effect_log(host: str, port: int, capture: Path | None, stop_at_stdin_end: bool) -> None:
     """Run the target of side effects under leases, which records them and refuses old fencing tokens."""
     from kelptrail.emulator.capture import Capture
     from kelptrail.emulator.side_effect_log import SideEffectLog
 
     async def run_emulator() -> None:
         log = SideEffectLog(Capture(capture, "witness"))
-        await _serve(log.server, host, port, with_stdin)
+        await _serve(log.server, host, port, stop_at_stdin_end)
 
     run_async(run_emulator())
 
@@ -96,7 +96,7 @@
     host: str,
     port: int,
     capture: Path | None,
-    with_stdin: bool,
+    stop_at_stdin_end: bool,
 ) -> None:
     """Run a proxy for the channel between dispatchers that cuts, slows and resets connections on request."""
     from kelptrail.emulator.capture import Capture
@@ -104,7 +104,7 @@
 
     async def run_emulator() -> None:
         proxy = ChannelProxy(list(sources), list(targets), Capture(capture, "links"), seed)
-        await _serve(proxy.server, host, port, with_stdin, routes=proxy.routes)
+        await _serve(proxy.server, host, port, stop_at_stdin_end, routes=proxy.routes)
 
     run_async(run_emulator())
 
@@ -113,7 +113,7 @@
 @click.argument("file")
 @click.option("--seed", default=1)
 @emulator_options
-def datagram_proxy(file: str, seed: int, host: str, port: int, capture: Path | None, with_stdin: bool) -> None:
+def datagram_proxy(file: str, seed: int, host: str, port: int, capture: Path | None, stop_at_stdin_end: bool) -> None:
     """Run a proxy that drops, delays and duplicates VRRP datagrams on request."""
     deployment = read_deployment(file)
     from kelptrail.emulator.capture import Capture
@@ -125,7 +125,7 @@
 
     async def run_emulator() -> None:
         proxy = DatagramProxy(vrrp, Capture(capture, "relay"), seed)
-        await _serve(proxy.server, host, port, with_stdin)
+        await _serve(proxy.server, host, port, stop_at_stdin_end)
 
     run_async(run_emulator())
 
@@ -171,7 +171,7 @@
             control=emulator.control.address,
             incarnation=emulator.incarnation,
         )
-        await wait_until_stopped(values["with_stdin"])
+        await wait_until_stopped(values["stop_at_stdin_end"])
 
     run_async(run_emulator())
 
--- a/kelptrail/cli/errors.py
+++ b/kelptrail/cli/errors.py
@@ -17,7 +17,7 @@
     REJECTED = 3
     ABORTED = 4
     IN_FLIGHT = 5
-    RULE_BROKEN = 6
+    RULE_BROKEN = 6  # the check of a run's history found a violation
 
 
 class CommandError(click.ClickException):
--- a/kelptrail/cli/options.py
+++ b/kelptrail/cli/options.py
@@ -45,7 +45,7 @@
 host_option = click.option("--host", default="127.0.0.1", show_default=True)
 port_option = click.option("--port", default=0, show_default=True, help="Port to listen on; 0: any free port.")
 # Stop at the end of standard input, so that a child process ends with its parent.
-with_stdin_option = click.option("--with-stdin", is_flag=True, hidden=True)
+with_stdin_option = click.option("--with-stdin", "stop_at_stdin_end", is_flag=True, hidden=True)
 endpoint_service_option = click.option(
     "--roster", "endpoint_service", required=True, help="Address of the endpoint service."
 )
--- a/kelptrail/cli/serving.py
+++ b/kelptrail/cli/serving.py
@@ -48,6 +48,7 @@
         )
 
 
+# The hidden options are for tests and fault scenarios; `DispatcherOptions` describes their effects.
 dispatcher_options = combined(
     click.argument("file"),
     endpoint_service_option,
@@ -70,7 +71,7 @@
         callback=peer_addresses,
         help="NAME=ADDRESS of another dispatcher's channel; repeatable.",
     ),
-    click.option("--peers-port", type=int, hidden=True),
+    click.option("--peers-port", type=int, hidden=True),  # port of `--peers` on 127.0.0.1
     click.option("--harmed-clock", "faulty_clock", type=click.Path(path_type=Path), hidden=True),
     click.option("--witness", "side_effect_log", default="", hidden=True),
     click.option("--task", "tasks", multiple=True, hidden=True),
@@ -130,7 +131,7 @@
     deployment = read_deployment(file)
     options = _dispatcher_options(values, planners)
     log = start_log(context, dispatcher=options.name)
-    main = _serve_dispatcher(deployment, options, log, context.obj["level"] == "debug", values["with_stdin"])
+    main = _serve_dispatcher(deployment, options, log, context.obj["level"] == "debug", values["stop_at_stdin_end"])
     try:
         clean = run_async(main)
     except OSError as cause:
@@ -141,7 +142,7 @@
 
 
 async def _serve_dispatcher(
-    deployment: Deployment, options: DispatcherOptions, log: Any, debug: bool, with_stdin: bool
+    deployment: Deployment, options: DispatcherOptions, log: Any, debug: bool, stop_at_stdin_end: bool
 ) -> bool:
     """Serve until stopped; return whether the shutdown was clean."""
     from kelptrail.service.serve import serve as serve_until_stopped
@@ -158,7 +159,7 @@
         )
 
     stop = asyncio.Event()
-    if with_stdin:
+    if stop_at_stdin_end:
         call_at_end_of_stdin(stop.set)
     return bool(await serve_until_stopped(deployment, options, log, debug, print_ready, stop))
 
@@ -176,7 +177,7 @@
     "--state", type=click.Path(path_type=Path), help="Folder for the planner's snapshot and the last endpoint list."
 )
 @click.option("--control", help="Address and port for operators' requests.")
-@click.option("--control-port", type=int, hidden=True)
+@click.option("--control-port", type=int, hidden=True)  # port of `--control` on 127.0.0.1
 @click.option(
     "--peer",
     "peer_addresses",
@@ -185,16 +186,16 @@
     help="NAME=ADDRESS of an acceptor's channel; repeatable.",
 )
 @click.option("--solver", type=click.Choice(["program", "greedy"]), default="program", show_default=True)
-@click.option("--slow-ms", default=0.0, hidden=True)
+@click.option("--slow-ms", default=0.0, hidden=True)  # delay added to each solution, for tests
 @with_stdin_option
 @click.pass_context
-def planner(context: click.Context, /, file: str, with_stdin: bool, **values: Any) -> None:
+def planner(context: click.Context, /, file: str, stop_at_stdin_end: bool, **values: Any) -> None:
     """Plan loads and placement for edges until SIGTERM; of several planners, the lease holder is active."""
     deployment = read_deployment(file)
     options = _planner_options(values)
     log = start_log(context, planner=options.name)
     try:
-        run_async(_serve_planner(deployment, options, log, with_stdin))
+        run_async(_serve_planner(deployment, options, log, stop_at_stdin_end))
     except OSError as cause:
         raise CommandFailedError(f"{options.host}:{options.port}: {cause.strerror or cause}") from None
     except ValueError as cause:
@@ -219,14 +220,14 @@
     )
 
 
-async def _serve_planner(deployment: Deployment, options: PlannerOptions, log: Any, with_stdin: bool) -> None:
+async def _serve_planner(deployment: Deployment, options: PlannerOptions, log: Any, stop_at_stdin_end: bool) -> None:
     from kelptrail.service.planner import serve as serve_until_stopped
 
     def print_ready(address: str, control: str | None) -> None:
         print_json_line(ready=True, address=address, control=control, name=options.name)
 
     stop = asyncio.Event()
-    if with_stdin:
+    if stop_at_stdin_end:
         call_at_end_of_stdin(stop.set)
     await serve_until_stopped(deployment, options, log, print_ready, stop)
 
--- a/kelptrail/settings/cross_checks.py
+++ b/kelptrail/settings/cross_checks.py
@@ -11,7 +11,7 @@
 
 from .cooperation import PEERS
 from .dispatching import DISPATCHER
-from .forms import first_name, sections, setting
+from .forms import child_forms, form_name, setting
 from .fronts import SIDES
 from .lease_checks import check_leases
 from .reader import Form, SourcePosition
@@ -37,13 +37,13 @@
 
     def has(self, head: str) -> bool:
         """Return whether the deployment has a section with this head."""
-        return any(True for _ in sections(self.deployment, head))
+        return any(True for _ in child_forms(self.deployment, head))
 
 
 def check_across_sections(checker: Checker, deployment: Form) -> None:
     """Check the sections of a deployment against each other, in the order of the file."""
     context = _Context(checker, deployment)
-    for form in sections(deployment):
+    for form in child_forms(deployment):
         if form.head in ("type", "namespace", "action"):
             _check_name(context, form)
         if check := _CHECKS.get(str(form.head)):
@@ -51,14 +51,14 @@
 
 
 def _check_name(context: _Context, form: Form) -> None:
-    name, head = first_name(form), str(form.head)
+    name, head = form_name(form), str(form.head)
     if not name:
         return
     package = setting(form, "package") if head == "action" else None
     full_name = f"{package.text}/{name}" if package else name
     if not _NAME.fullmatch(name):
         context.checker.fault(
-            form.position, name, "at most 255 letters, digits, spaces, _ @ . -, the first a letter, a digit or _"
+            form.position, name, "a name of at most 255 letters, digits, _ @ . -, the first a letter, a digit or _"
         )
     if (head, full_name) in context.names:
         line = context.names[head, full_name].line
@@ -76,7 +76,7 @@
     if effect and effect.text == "deduplicated" and not (window and window.number > 0):
         checker.fault(
             form.position,
-            f"type {first_name(form)} without (remembered-ms ...)",
+            f"type {form_name(form)} without (remembered-ms ...)",
             "the time for which a deduplicated type drops repeats, above 0",
         )
     hedge = setting(form, "hedge")
@@ -100,21 +100,21 @@
 
 
 def _answer_margin_ms(context: _Context) -> float:
-    for form in sections(context.deployment, "dispatcher"):
+    for form in child_forms(context.deployment, "dispatcher"):
         if margin := setting(form, "answer-margin-ms"):
             return margin.number
     return default_of(DISPATCHER, "answer-margin-ms")
 
 
 def _check_action(context: _Context, form: Form) -> None:
-    types = {first_name(other) for other in sections(context.deployment, "type")}
-    kind = setting(form, "type")
-    if kind and kind.text not in types:
-        context.checker.fault(kind.position, kind.text, "a type of this file: " + ", ".join(sorted(types)))
+    types = {form_name(other) for other in child_forms(context.deployment, "type")}
+    type_ = setting(form, "type")
+    if type_ and type_.text not in types:
+        context.checker.fault(type_.position, type_.text, "a type of this file: " + ", ".join(sorted(types)))
 
 
 def _check_dispatcher(context: _Context, form: Form) -> None:
-    listed = {str(name) for zones in sections(context.deployment, "halls") for name in zones.items[1:]}
+    listed = {str(name) for zones in child_forms(context.deployment, "halls") for name in zones.items[1:]}
     zones = listed or {DEFAULT_ZONE}
     zone = setting(form, "hall")
     if zone and zone.text not in zones:
@@ -123,7 +123,7 @@
 
 def _check_tls(context: _Context, form: Form) -> None:
     """Check that the side is known and unique, and that the files it needs are given."""
-    checker, side = context.checker, first_name(form)
+    checker, side = context.checker, form_name(form)
     if side not in SIDES:
         checker.fault(form.position, side, "one of " + ", ".join(SIDES))
     if ("tls", side) in context.names:
@@ -167,13 +167,13 @@
     if body_kb > channel_kb / _MIN_BODIES_PER_BUFFER:
         position = (body or channel or replicas).position
         checker.fault(position, f"copies-kb {body.text if body else f'{body_kb:g}'}", "a fourth of most-kb at most")
-    journal_settings = [setting(journal, "keep") for journal in sections(context.deployment, "journal")]
+    journal_settings = [setting(journal, "keep") for journal in child_forms(context.deployment, "journal")]
     if any(enabled and enabled.text == "no" for enabled in journal_settings):
         checker.fault(replicas.position, read, "(journal (keep yes)): replication needs a journal")
 
 
 def _check_leases(context: _Context, form: Form) -> None:
-    check_leases(context.checker, form, next(sections(context.deployment, "peers"), None))
+    check_leases(context.checker, form, next(child_forms(context.deployment, "peers"), None))
 
 
 def _check_vrrp(context: _Context, form: Form) -> None:
@@ -186,18 +186,18 @@
 
 
 def _check_credentials(checker: Checker, form: Form) -> None:
-    hashes = list(sections(form, "key-hash"))
-    if not hashes and not setting(form, "key") and not list(sections(form, "certificate")):
+    hashes = list(child_forms(form, "key-hash"))
+    if not hashes and not setting(form, "key") and not list(child_forms(form, "certificate")):
         checker.fault(
             form.position,
-            f"namespace {first_name(form)} without credentials",
+            f"namespace {form_name(form)} without credentials",
             "(key ...), (key-hash ...) or (certificate ...)",
         )
     if len(hashes) > _MAX_KEY_HASHES:
         position = hashes[_MAX_KEY_HASHES].position
         checker.fault(position, "a third key-hash", "two at most: the old one and the new one")
     for key_hash in hashes:
-        digest = first_name(key_hash).strip('"')
+        digest = form_name(key_hash).strip('"')
         if not _DIGEST.fullmatch(digest):
             checker.fault(key_hash.position, digest[:12] + "...", "sha256: and 64 hex digits")
 
--- a/kelptrail/settings/forms.py
+++ b/kelptrail/settings/forms.py
@@ -9,7 +9,7 @@
 
 
 class Setting(NamedTuple):
-    """The value of a field as text, and its position in the file."""
+    """The value of a field as text (a number as Python writes a float, such as 255.0), and its position in the file."""
 
     text: str
     position: SourcePosition
@@ -23,21 +23,21 @@
             return 0.0
 
 
-def sections(form: Form, *heads: str) -> Iterator[Form]:
+def child_forms(form: Form, *heads: str) -> Iterator[Form]:
     """Yield the forms inside a form in order; with `heads`, only those with one of these heads."""
     for item in form.items:
         if isinstance(item, Form) and (not heads or item.head in heads):
             yield item
 
 
-def first_name(form: Form) -> str:
-    """Return NAME of `(head NAME ...)`, or an empty string if there is none."""
+def form_name(form: Form) -> str:
+    """Return NAME of `(head NAME ...)`, a string with its quotes; return an empty string if there is no name."""
     return str(form.items[1]) if len(form.items) > 1 and not isinstance(form.items[1], Form) else ""
 
 
 def setting(form: Form, key: str) -> Setting | None:
     """Return the value of the first `(key VALUE)` in a form, or None."""
-    for item in sections(form, key):
+    for item in child_forms(form, key):
         if len(item.items) == 2 and not isinstance(value := item.items[1], Form):
             return Setting(str(value.value), value.position)
     return None
--- a/kelptrail/settings/lease_checks.py
+++ b/kelptrail/settings/lease_checks.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .cooperation import LEASES
-from .forms import Setting, first_name, sections, setting
+from .forms import Setting, child_forms, form_name, setting
 from .reader import Form
 from .shape import Checker, default_of
 
@@ -13,7 +13,7 @@
 
 def check_leases(checker: Checker, form: Form, peers: Form | None) -> None:
     """Collect the faults of a `leases` section; `peers` is the section that names the dispatchers, if there is one."""
-    known = {first_name(peer) for peer in sections(peers, "peer")} if peers else set()
+    known = {form_name(peer) for peer in child_forms(peers, "peer")} if peers else set()
     acceptors = _check_acceptor_set(checker, form, "voters", known)
     previous = _check_acceptor_set(checker, form, "before", None)
     _check_change(checker, form, previous, acceptors)
@@ -25,7 +25,7 @@
 def _check_acceptor_set(checker: Checker, form: Form, key: str, known: set[str] | None) -> list[str]:
     """Check one acceptor set and return its names; with `known`, each must be one of these peers."""
     names: list[str] = []
-    for item in sections(form, key):
+    for item in child_forms(form, key):
         names = [str(atom) for atom in item.items[1:]]
         for atom, name in zip(item.items[1:], names, strict=True):
             if known is not None and name not in known:
