--- a/kelptrail/emulator/__init__.py
+++ b/kelptrail/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Emulators of the processes around a gateway, with fault injection: workers, model store, endpoint list, clients."""
+"""Emulators of the processes around the dispatchers, with fault injection, and the cluster that runs all of them."""
--- a/kelptrail/emulator/capture.py
+++ b/kelptrail/emulator/capture.py
@@ -1,4 +1,4 @@
-"""Capture of the traffic between processes, as JSON lines; each is written at once, so that a kill loses none.
+"""Capture of the traffic between processes, as JSON lines; each line is written at once, so that a kill loses none.
 
 Times are in milliseconds of the machine's monotonic clock, which all processes share.
 """
@@ -15,7 +15,7 @@
 from kelptrail.clock import now_ms
 
 TICK_S = 0.005
-STALL_MS = 20  # minimum delay of a tick that counts as a stall of the event loop
+STALL_MS = 20  # longest time between two ticks that does not count as a stall of the event loop
 STALL_EFFECT_MS = 500  # data that is read within this time after a stall may have arrived during the stall
 
 
@@ -35,8 +35,8 @@
                 self._stall_ms, self._stall_ended = now - self._last_tick, now
             self._last_tick = now
 
-    def now(self) -> float:
-        """Return the current lag in milliseconds."""
+    def current_ms(self) -> float:
+        """Return the longest time in ms for which data that is read now may have waited."""
         now = now_ms()
         return now - self._last_tick + (self._stall_ms if now - self._stall_ended < STALL_EFFECT_MS else 0.0)
 
--- a/kelptrail/emulator/channel_proxy.py
+++ b/kelptrail/emulator/channel_proxy.py
@@ -1,9 +1,9 @@
 """TCP proxy for the channels between dispatchers and to planners; it can cut, delay and reset connections.
 
 It has one listening socket for each ordered pair of names, so that the socket identifies source and target of a
-connection.  The process that starts the dispatchers posts the addresses of their channels to the control port.  While a
-link is cut, its bytes are delayed and not lost, as on a real network: open connections stay open without traffic, new
-ones are not established, and data that was sent arrives once the link is restored.
+connection.  The process that starts the cluster posts the addresses of the targets to the control port.  While a link
+is cut, its bytes are delayed and not lost, as on a real network: open connections stay open without traffic, new ones
+are not established, and data that was sent arrives once the link is restored.
 """
 
 from __future__ import annotations
@@ -96,7 +96,7 @@
             ]
             await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         except (OSError, KeyError):
-            pass  # the target is not reachable: the source sees a closed connection
+            pass  # the target is unknown or not reachable: the source sees a closed connection
         finally:
             for direction in directions:
                 direction.cancel()
--- a/kelptrail/emulator/child_process.py
+++ b/kelptrail/emulator/child_process.py
@@ -40,7 +40,7 @@
         return self.process is not None and self.process.returncode is None
 
     def option(self, name: str) -> str:
-        """Return the value of an option in its command line.  Raises `ValueError` if the option is missing."""
+        """Return the value of an option in the command line.  Raises `ValueError` if the option is missing."""
         return self.arguments[self.arguments.index(name) + 1]
 
     def start_arguments(self) -> list[str]:
@@ -96,7 +96,7 @@
         line = await asyncio.wait_for(process.stdout.readline(), READY_TIMEOUT_S)
         child.ready_info = msgspec.json.decode(line)
     except (TimeoutError, msgspec.DecodeError):
-        raise ProcessStartError(f"{child.name} did not print a valid ready line in time") from None
+        raise ProcessStartError(f"{child.name} did not print a valid ready line within {READY_TIMEOUT_S} s") from None
 
 
 def memory_kb(pid: int) -> int:
--- a/kelptrail/emulator/client_calls.py
+++ b/kelptrail/emulator/client_calls.py
@@ -43,11 +43,11 @@
     dispatcher: int = 0
     attempt_started: float = 0.0
     activation: str = ""
-    call_id: str = ""  # id of the current attempt, captured as "call"
+    attempt_id: str = ""  # id of the current attempt, captured as "call"
     poll_address: str = ""
     grpc: bool = False  # sent to the gRPC API
     streamed: bool = False
-    parts: int = 0  # number of parts of a streamed answer received so far
+    parts: int = 0  # number of parts of a streamed answer received so far, without the final part
     # The final part is the answer of a streamed call; the gRPC status that follows it is not a second answer.
     final_part_received: bool = False
 
@@ -56,7 +56,7 @@
 class ClientAnswer:
     """Final answer of a call as the client reads it."""
 
-    answer: str  # "completed", "rejected", "aborted", or another that is not retried
+    answer: str  # "completed", "rejected", "aborted", or another; only those in `RETRIED_ANSWERS` are retried
     activation: str
     status: int = 0  # HTTP status
     duration_ms: float | None = None  # duration in the activation record of a deferred call
@@ -89,8 +89,8 @@
 class CallTracker:
     """Records the events of attempts in the capture, and starts the clients' retries.
 
-    `start_attempt` gets the call and the dispatcher to skip; the attempt goes to the next one.  Without a dispatcher to
-    skip, it goes to a random one.
+    `start_attempt` gets the call and the number of the last dispatcher, to send the attempt to the one after it, or
+    None, to send it to a random one.
     """
 
     def __init__(
@@ -108,7 +108,7 @@
         """
         self._capture.write(
             "call",
-            call=call.call_id,
+            call=call.attempt_id,
             ticket=call.ticket,
             action=call.action.path,
             type=call.type.name,
@@ -121,46 +121,46 @@
 
     def on_accepted(self, call: ClientCall) -> None:
         """Record that a deferred call was accepted; the client polls for its final answer."""
-        self._capture.write("accepted", call=call.call_id, activation=call.activation)
+        self._capture.write("accepted", call=call.attempt_id, activation=call.activation)
 
     def on_unknown(self, call: ClientCall) -> None:
-        """Record that a poll was answered with the error that no dispatcher has the activation."""
-        self._capture.write("denied", call=call.call_id, activation=call.activation, at=call.poll_address)
+        """Record that a poll was answered with the error that no dispatcher knows the activation."""
+        self._capture.write("denied", call=call.attempt_id, activation=call.activation, at=call.poll_address)
 
     def on_first_part(self, call: ClientCall, activation: str) -> None:
         """Record that the first part of a streamed answer arrived."""
-        self._capture.write("part", call=call.call_id, activation=activation, lag=self._read_lag.now())
+        self._capture.write("part", call=call.attempt_id, activation=activation, lag=self._read_lag.current_ms())
 
     def on_stream_not_taken(self, call: ClientCall) -> None:
         """Record that no dispatcher accepted a streamed call, as its final part reports.
 
         The client does not retry it.
         """
-        self._capture.write("not-taken", call=call.call_id)
+        self._capture.write("not-taken", call=call.attempt_id)
 
     def on_not_taken(self, call: ClientCall, retry_after_ms: float) -> None:
         """Record that no dispatcher accepted the call, and schedule a retry if the client makes one."""
-        self._capture.write("not-taken", call=call.call_id)
+        self._capture.write("not-taken", call=call.attempt_id)
         self._retry(call, ClientOutcome.NOT_TAKEN, retry_after_ms)
 
     def on_lost(self, call: ClientCall, cause: str) -> None:
-        """Record that and why the call ended without an answer, and schedule a retry if the client makes one."""
-        self._capture.write("no-answer", call=call.call_id, ending=cause)
+        """Record that the call ended without an answer, and its cause; schedule a retry if the client makes one."""
+        self._capture.write("no-answer", call=call.attempt_id, ending=cause)
         self._retry(call, ClientOutcome.LOST)
 
     def on_poll_timeout(self, call: ClientCall) -> None:
         """Record that polling ended without a final answer; the client does not retry."""
-        self._capture.write("no-answer", call=call.call_id, ending="polled")
+        self._capture.write("no-answer", call=call.attempt_id, ending="polled")
 
     def on_final(self, call: ClientCall, answer: ClientAnswer) -> None:
         """Record the final answer of the call, and schedule a retry if the client makes one."""
         self._capture.write(
             "final",
-            call=call.call_id,
+            call=call.attempt_id,
             activation=answer.activation,
             answer=answer.answer,
             status=answer.status,
-            lag=self._read_lag.now(),
+            lag=self._read_lag.current_ms(),
             took=answer.duration_ms,
             code=answer.code,
         )
--- a/kelptrail/emulator/clients.py
+++ b/kelptrail/emulator/clients.py
@@ -36,9 +36,10 @@
         inference_addresses: list[str] | None = None,
         part: tuple[int, int] = (0, 1),
     ) -> None:
-        """`shared_address` is True if dispatchers share the addresses: clients cannot choose the one that answers.
+        """`addresses` are those of the invoke API.
 
-        `part` is (index, count) for several client processes.
+        `shared_address` is True if dispatchers share the addresses, so that clients cannot choose the one that answers.
+        `part` is (index, count) if several client processes share the load.
         """
         self._part, self._id_prefix = part, f"{part[0]}-" if part[1] > 1 else ""
         self._deployment, self._dispatcher_count, self._shared_address = deployment, len(addresses), shared_address
@@ -108,7 +109,7 @@
             call.dispatcher = int(self._random.integers(self._dispatcher_count))
         else:
             call.dispatcher = (last_dispatcher + 1) % self._dispatcher_count
-        call.call_id = f"c{self._id_prefix}{self._attempt_count}"
+        call.attempt_id = f"c{self._id_prefix}{self._attempt_count}"
         call.attempt_started, call.activation = now_ms(), ""
         if call.grpc and self._inference_client is not None:
             self._tracker.on_attempt(call, timeout_ms_of(call), self._shared_address, grpc=True, streamed=call.streamed)
@@ -120,7 +121,7 @@
     def plan(self, loads: list[Load], seconds: float) -> list[tuple[float, Callable[[], None]]]:
         """Return the start time in seconds of each call, and a function that starts the call, in order of time.
 
-        Closed loops have no calls here; only the load generator supports them.
+        A load with a closed loop has none: only the load generator supports closed loops.
         """
         planned: list[tuple[float, Callable[[], None]]] = []
         for load in loads:
--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -40,9 +40,10 @@
         logs: Path | None = None,
         quiet: bool = False,
     ) -> None:
-        """`out` is the folder for captures, `logs` the folder for log files.
+        """`file` is the deployment file, `out` the folder for captures, `logs` the folder for log files.
 
-        Without `logs`, dispatchers and planners log to standard error unless `quiet`.
+        Without `out`, nothing is captured.  Without `logs`, dispatchers and planners log to standard error unless
+        `quiet`.
         """
         self.deployment, self._out, self._logs, self._quiet = deployment, out, logs, quiet
         self._commands = ClusterCommands(deployment, file, seed, log_level, json_logs=logs is not None)
@@ -157,7 +158,7 @@
         return child
 
     async def launch(self, child: Process) -> None:
-        """Start or restart a process, on the same ports as before, and wait for its ready line.
+        """Start a process, or restart it on the same ports, and wait for its ready line.
 
         Raises `ProcessStartError`.
         """
@@ -179,9 +180,10 @@
     async def run_clients(
         self, script: str, count: int, start: float, addresses: list[str], inference_addresses: list[str]
     ) -> None:
-        """Run the clients of a script in `count` processes until these exit.
+        """Run the clients of a scenario file in `count` processes until these exit.
 
-        Raises `ClientsFailedError` if a process exits with an error.
+        `start` is the start of the load in ms of the monotonic clock.  Raises `ClientsFailedError` if a process exits
+        with an error.
         """
         arguments = self._commands.clients(script, start, count, addresses, inference_addresses)
         capture = ["--capture", str(self._out)] if self._out is not None else []
--- a/kelptrail/emulator/cluster_commands.py
+++ b/kelptrail/emulator/cluster_commands.py
@@ -25,8 +25,8 @@
     """Builds the command lines for one deployment file.
 
     Some options have other names than the code: `--hall` is the zone, `--roster` the address of the endpoint service,
-    `--second` an address of the inference API, `--harmed-disk` and `--harmed-clock` are the files with the faults of a
-    dispatcher's disk and clock.
+    `--at` and `--second` are addresses of the invoke and inference APIs, `--of` is the number of client processes, and
+    `--harmed-disk` and `--harmed-clock` are the files with the faults of a dispatcher's disk and clock.
     """
 
     deployment: Deployment
--- a/kelptrail/emulator/endpoint_service.py
+++ b/kelptrail/emulator/endpoint_service.py
@@ -1,6 +1,7 @@
 """Emulated endpoint service: keeps the list of workers and dispatchers, and sends it to every dispatcher.
 
-The list only shows which processes run, not whether they are healthy.  `GET /workers?who=&known=&wait=` is a long poll.
+The list only shows which processes run, not whether they are healthy.  `GET /workers?who=&known=&wait=` is a long poll,
+in which a dispatcher also registers itself with the parameters `at` (its address), `channel` and `hall` (its zone).
 Workers register with `POST /register`; the supervisor of their processes reports exits and drains with `POST /state`.
 A fault delays all changes of workers' entries.
 """
@@ -52,6 +53,7 @@
     def __init__(self, capture: Capture) -> None:
         self._capture = capture
         self._loop = asyncio.get_running_loop()
+        # The lineage identifies this run of the service; versions are comparable only within a lineage.
         self._lineage, self._version = os.urandom(4).hex(), 0
         self._workers: dict[str, _ListedWorker] = {}
         # Dispatchers restart under the same name, so their entries are never removed.
@@ -80,7 +82,10 @@
         exchange.reply(200, b"{}")
 
     def _handle_poll(self, query: dict[str, str], exchange: Exchange) -> None:
-        """Answer with the list immediately if the dispatcher has another version, else once the list changes."""
+        """Answer with the list immediately if the poller has another version, else once the list changes.
+
+        Without a change within the waiting time, the answer is 304 (Not Modified).
+        """
         poller, known_version = query.get("who", ""), query.get("known", "")
         dispatcher = _ListedDispatcher(query.get("at", ""), query.get("channel", ""), query.get("hall", ""))
         name = poller.partition("/")[0]
@@ -91,6 +96,7 @@
             self._send_list(poller, exchange)
             return
         wait_ms = min(MAX_POLL_MS, float(query.get("wait", "0")))
+        # A placeholder for the timer, whose callback needs the poll.
         poll = _LongPoll(poller, exchange, self._loop.call_later(0, int))
         poll.timer = self._loop.call_later(wait_ms / 1000, self._send_not_modified, poll)
         self._polls[poll] = None
@@ -116,6 +122,7 @@
         if listed is None:
             return
         if body["state"] == "gone":
+            # The exit of an earlier incarnation does not remove the entry of its successor.
             if body.get("incarnation", listed.entry["incarnation"]) == listed.entry["incarnation"]:
                 del self._workers[body["id"]]
         else:
@@ -129,12 +136,12 @@
             poll.timer.cancel()
             self._send_list(poll.poller, poll.exchange)
 
-    def _send_list(self, dispatcher: str, exchange: Exchange) -> None:
+    def _send_list(self, poller: str, exchange: Exchange) -> None:
         now = now_ms()
         workers = [listed.entry | {"age_ms": now - listed.started} for listed in self._workers.values()]
         self._capture.write(
             "list",
-            to=dispatcher,
+            to=poller,
             version=self._version,
             workers={w["id"]: [w["state"], w["incarnation"]] for w in workers},
         )
--- a/kelptrail/emulator/invoke_client.py
+++ b/kelptrail/emulator/invoke_client.py
@@ -15,9 +15,10 @@
 
 from .client_calls import CallTracker, ClientCall, answer_of_response
 
-POLL_EVERY_MS, POLL_FOR_MS = 150.0, 3000.0
+POLL_EVERY_MS = 150.0
+POLL_FOR_MS = 3000.0  # polling time beyond the call's timeout
+FAILOVER_POLL_FOR_MS = 20_000.0  # the same with replicas: another dispatcher may have to take over a failed one
 POLL_TIMEOUT_S = 2.0  # for a single poll
-FAILOVER_POLL_FOR_MS = 20_000.0  # polling time with replicas: another dispatcher may have to take over a failed one
 ANSWER_MARGIN_MS = 500  # time that a client waits beyond the call's timeout
 CONNECTIONS, CONNECT_TIMEOUT_MS, IDLE_MS, MAX_ANSWER_BYTES = 2000, 500.0, 10_000.0, 1 << 22
 
--- a/kelptrail/emulator/model_store.py
+++ b/kelptrail/emulator/model_store.py
@@ -26,16 +26,17 @@
 
 
 class ModelStore:
-    """State of the store and its faults: `slow` (by a factor), `refuse` and `stopped`."""
+    """State of the store and its faults: `slow` (by a factor), `refuse`, and `stopped` (no fetch proceeds)."""
 
     def __init__(self, settings: StoreSettings, capture: Capture) -> None:
         self._settings, self._capture = settings, capture
         self._loop = asyncio.get_running_loop()
         self._active_fetches = 0
-        self.fetches = 0
+        self.fetches = 0  # number of accepted fetches
         self._slowdown, self._refusing = 1.0, False
         self._not_stopped = asyncio.Event()
         self._not_stopped.set()
+        # Time in ms and result of each effect, by group and idempotency key.
         self._effects: dict[tuple[str, str], tuple[float, str]] = {}
         self.server = HttpServer(self._handle)
 
--- a/kelptrail/emulator/side_effect_log.py
+++ b/kelptrail/emulator/side_effect_log.py
@@ -1,7 +1,7 @@
 """Emulated resource that lease holders use: it captures each use, and rejects tokens older than the newest one seen.
 
-Uses are `POST /act` and `POST /done` with task, token, who, and `looked`: the time at which the holder last checked its
-lease, by the machine's clock.
+`POST /act` reports the start of a use, and `POST /done` its end, with task, token, who, and `looked`: the time at which
+the holder last checked its lease, by the machine's clock, which clock faults do not affect.
 """
 
 from __future__ import annotations
--- a/kelptrail/emulator/worker.py
+++ b/kelptrail/emulator/worker.py
@@ -42,7 +42,7 @@
 TICK_S = 0.005
 MEASURE_INTERVAL_MS = 200  # interval at which the metrics of load reports are measured
 UNLOAD_INTERVAL_MS = 250  # interval at which unused models are unloaded
-MAX_REPORTED_REQUESTS = 30
+MAX_REPORTED_REQUESTS = 30  # largest number of a model's other requests in a load report
 IDLE_CONNECTION_MS = 120_000.0
 STORE_CONNECTIONS, STORE_CONNECT_MS, STORE_ANSWER_BYTES = 256, 2000.0, 1 << 20
 
@@ -149,7 +149,7 @@
 
     def _handle(self, request: Request, exchange: Exchange) -> None:
         parts = request.segments
-        if self._state.slow_start.overloaded:
+        if self._state.slow_start.overloaded:  # until its restart the worker answers nothing
             return
         if parts[0] != "v2":
             exchange.reply_encoded(error_response(404, "no such thing"))
@@ -211,10 +211,10 @@
 
         With slow handshakes, a connection may wait for the delay before it is accepted, and again before it is read.
         """
-        return self._read_lag.now() + 2 * self.server.accept_delay_ms
+        return self._read_lag.current_ms() + 2 * self.server.accept_delay_ms
 
     def _add_work(self, model: HostedModel | None, now: float) -> bool:
-        """Count the work of an attempt; return whether it overloads the worker, and record that it does."""
+        """Count the work of an attempt; return whether it overloads the worker, which the capture records."""
         if not self._state.slow_start.add_work(now, self._state.work_ms(model)):
             return False
         self._capture.write("fell", worker=self._identity.id, incarnation=self.incarnation)
