--- a/kelptrail/emulator/worker_answers.py
+++ b/kelptrail/emulator/worker_answers.py
@@ -14,7 +14,7 @@
 from .worker_state import InferenceJob, WorkerState
 
 WRITE_RETRY_S = 0.005  # interval between attempts to write to a client that reads slowly
-STREAM_PARAMETERS = ("parts", "gap_ms", "pad")  # parameters that the payload of a call may set
+STREAM_PARAMETERS = ("parts", "gap_ms", "pad")  # parameters of a stream that the payload of a call may set
 
 
 def takes_tensors(job: InferenceJob) -> bool:
@@ -23,7 +23,11 @@
 
 
 def encode_answer(job: InferenceJob, result: str, **parameters: str | int | float | bool) -> bytes:
-    """Encode an answer, which echoes the inputs of a call with tensors and otherwise contains the result."""
+    """Encode an answer.
+
+    The answer to a call with tensors echoes its inputs.  Any other contains the result, except for the final part of a
+    stream, which has no outputs.
+    """
     request, model = job.request, job.model.action.model
     if takes_tensors(job):
         return tensors_answer(model, request.id, request.inputs, success=True, **parameters)
--- a/kelptrail/emulator/worker_faults.py
+++ b/kelptrail/emulator/worker_faults.py
@@ -11,24 +11,24 @@
 
 
 class WorkerFault(StrEnum):
-    """Faults; the values are their names on the control port."""
+    """Kinds of faults; the values are their names on the control port."""
 
     HANG = "hang"  # requests are read but neither run nor answered
-    SILENT = "silent"  # jobs run but are never answered
+    SILENT = "silent"  # jobs run but are never answered; load orders are neither executed nor answered
     STALL = "stall"  # a stream stops halfway; its connection stays open
     CUT = "cut"  # the connection of a stream is aborted halfway
     FAIL_FAST = "fail-fast"  # a share of attempts fails immediately
     FAIL_TYPE = "fail-type"  # all attempts of one request class fail immediately
-    ANSWERS_LOST = "answers-lost"
-    ANSWERS_TWICE = "answers-twice"
-    ANSWERS_LATE = "answers-late"
+    ANSWERS_LOST = "answers-lost"  # a share of jobs runs and is not answered
+    ANSWERS_TWICE = "answers-twice"  # unary answers are sent twice
+    ANSWERS_LATE = "answers-late"  # unary answers are delayed
     HEAVY_WORK = "heavy-work"  # a share of jobs takes a multiple of the usual time
-    # These faults take effect once, at the time of their injection.
-    PAUSE = "pause"
+    # `WorkerControl` applies these faults itself, without `ActiveFaults`.
+    PAUSE = "pause"  # the process does nothing for the duration
     CRASH = "crash"
-    RESTART_COLD = "restart-cold"
+    RESTART_COLD = "restart-cold"  # a new incarnation in the same process, with a slow start
     MODELS_VOIDED = "models-voided"  # idle instances are removed
-    HANDSHAKES_SLOW = "handshakes-slow"
+    HANDSHAKES_SLOW = "handshakes-slow"  # connections are accepted late
 
 
 class ActiveFaults:
--- a/kelptrail/emulator/worker_instances.py
+++ b/kelptrail/emulator/worker_instances.py
@@ -46,6 +46,7 @@
             return
         model.last_used = now_ms()
         while model.loaded + model.loading < instance_count:
+            # The queue holds at most twice as many loads as may run at a time.
             if len(state.load_queue) >= 2 * state.fleet.loads or not self._evict_for(model):
                 self._answer(model, exchange, 503)
                 return
@@ -64,7 +65,7 @@
         exchange.reply_encoded(encode_response(200, b"{}"))
 
     def unload_unused(self, now: float) -> None:
-        """Unload the models that were not used for the keep-alive time."""
+        """Unload the idle models that were last used longer ago than the keep-alive time."""
         for model in self._state.models.values():
             if model.loaded and not model.running and now - model.last_used > self._state.fleet.keep_alive_ms:
                 model.loaded = 0
--- a/kelptrail/emulator/worker_jobs.py
+++ b/kelptrail/emulator/worker_jobs.py
@@ -100,7 +100,7 @@
 
     @staticmethod
     def _result_of(job: InferenceJob) -> str:
-        if takes_tensors(job):  # only the id of the request identifies the result
+        if takes_tensors(job):  # the answer echoes the inputs and does not use the result
             return "{}"
         result = {"by": job.model.action.model, "echo": msgspec.Raw(job.payload.encode())}
         return msgspec.json.encode(result).decode()
@@ -150,7 +150,7 @@
         return self._reporter.header(job.instance_loaded, job.other_requests)
 
     async def _stream(self, job: InferenceJob, result: str) -> None:
-        """Answer in parts; a stream that a fault affects stops after half of them."""
+        """Answer in parts; a stream that a fault affects stops after half of them, rounded up."""
         shape, exchange = read_stream_shape(job), job.exchange
         exchange.start_stream(200, self._load_report(job), CONTENT_TYPE)
         fault = self._faults.draw_stream_fault()
--- a/kelptrail/emulator/worker_load_report.py
+++ b/kelptrail/emulator/worker_load_report.py
@@ -14,7 +14,7 @@
 class _LoadMetrics(NamedTuple):
     utilization: float
     loads: float  # number of loads in progress or queued
-    memory_share: float  # share of memory of instances that run jobs or are being loaded
+    memory_share: float  # share of the worker's memory that busy instances and those to be loaded take
 
 
 class LoadReporter:
@@ -42,8 +42,8 @@
     def header(self, instance_loaded: bool, other_requests: int) -> dict[str, str]:
         """Return the header of an answer.
 
-        It contains the metrics, whether an instance was loaded (`found`), and the number of the model's other requests
-        (`company`).
+        It contains the metrics (`x0` is the memory share, `x1` the number of loads), whether an instance was loaded
+        (`found`), and the number of the model's other requests (`company`).
         """
         metrics = self._metrics
         report = write_report(
--- a/kelptrail/emulator/worker_state.py
+++ b/kelptrail/emulator/worker_state.py
@@ -29,10 +29,10 @@
 
     action: ActionSettings
     type: TypeSettings
-    loaded: int = 0
-    loading: int = 0
-    running: int = 0
-    last_used: float = 0.0
+    loaded: int = 0  # number of loaded instances
+    loading: int = 0  # number of instances that are being loaded or queued for it
+    running: int = 0  # number of running jobs
+    last_used: float = 0.0  # time in ms
     queue: deque[InferenceJob] = field(default_factory=deque)
     load_orders: list[WaitingLoadOrder] = field(default_factory=list)
 
@@ -43,7 +43,7 @@
 
     @property
     def allocated_mb(self) -> float:
-        """Memory of the instances that are loaded or being loaded."""
+        """Memory of the instances that are loaded, being loaded or queued for it."""
         return (self.loaded + self.loading) * self.action.memory_mb
 
 
@@ -58,7 +58,8 @@
     other_requests: int  # other requests for the model when the attempt arrived
     instance_loaded: bool  # True if an instance was loaded when the attempt arrived
     incarnation: str
-    # Latest time to start the job.  After it, the client has disconnected, and a retry may no longer be deduplicated.
+    # Latest time to start the job, which is the request's deadline.  After it nobody waits for the answer, and a retry
+    # may no longer be deduplicated.
     latest_start: float
 
 
