--- a/kelptrail/fault_scenario/captured_run.py
+++ b/kelptrail/fault_scenario/captured_run.py
@@ -1,4 +1,8 @@
-"""Reads a capture of the bench (`--tap FILE`): requests, results, endpoint lists, starts and exits of dispatchers."""
+"""Reads a capture of the bench (`--tap FILE`): requests, results, endpoint lists, starts and exits of dispatchers.
+
+The captured messages are those of the simulator's protocol; `kelptrail/simulator_adapter/instance.py` explains their
+field names.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +13,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-# Remarks of a result, modulo 8, which show that the attempt found a loaded instance.
+# Values of a result's remark, modulo 8, which show that the attempt found a loaded instance.
 LOADED_REMARKS = (0, 1)
 # A load order that is answered sooner found its instances already loaded.
 SHORTEST_LOAD_US = 50_000
@@ -65,15 +69,15 @@
 
 
 class AttemptResult(NamedTuple):
-    """The result code of an attempt, and the class of its request."""
+    """The result of an attempt, and the class of its request."""
 
-    ending: str
+    ending: str  # Result code, such as S for completed, E for error, F for no capacity, M for not loaded
     request_class: int
 
 
 @dataclass(slots=True)
 class CapturedRun:
-    """The contents of a capture.  Seconds count from the first request."""
+    """The contents of a capture.  Seconds count from the first request; `start` is its time on the capture's clock."""
 
     env: dict[str, Any] = field(default_factory=dict)
     start: float = -1.0
@@ -159,7 +163,7 @@
             captured.loads.append(CapturedLoad(at, body["latency_us"] / 1000))
         elif kind == "Manifest":
             self._endpoint_lists[body["table"]] = body["records"]
-        elif kind == "Membership" and body["how"] != "X":
+        elif kind == "Membership" and body["how"] != "X":  # X reports the loss of the list
             for entry in self._endpoint_lists.get(body["table"], []):
                 self._on_endpoint(entry, at)
 
--- a/kelptrail/fault_scenario/dispatcher_faults.py
+++ b/kelptrail/fault_scenario/dispatcher_faults.py
@@ -14,8 +14,7 @@
 from .peer_links import PeerLinks
 from .scenario import Fault, FaultKind
 
-# A paused dispatcher does not answer.
-LEASE_QUERY_TIMEOUT_S = 0.3
+LEASE_QUERY_TIMEOUT_S = 0.3  # A paused dispatcher does not answer
 # Fault type of a pause between a check of a lease and the use of the lease.
 PAUSE_AFTER_LEASE_CHECK = "looked"
 
@@ -26,8 +25,7 @@
     def __init__(self, cluster: Cluster, capture: Capture, links: PeerLinks, scenario_seconds: float) -> None:
         self._cluster, self._capture, self._links = cluster, capture, links
         self._scenario_seconds = scenario_seconds
-        # Dispatchers that a fault has killed and will restart.  One that stays down to the end of the run is removed as
-        # soon as it is killed.
+        # Dispatchers that a fault has killed and will restart; those that it will not restart are not included.
         self._killed: set[Process] = set()
 
     async def inject_peer_fault(self, fault: Fault, targets: list[Process]) -> None:
@@ -110,9 +108,9 @@
     async def kill(self, target: Process, down_s: float | None, lose_disk: bool = False) -> None:
         """Kill a dispatcher, and restart it after `down_s` seconds unless that is None.
 
-        With `lose_disk`, its disk is removed as well.  A dispatcher that another fault has already killed is skipped:
-        two faults would start two processes of the same name, the first of which could no longer be signalled or
-        stopped.
+        With `lose_disk`, its disk is removed as well.  A dispatcher that another fault has killed and will restart is
+        skipped: two faults would start two processes of the same name, the first of which could no longer be signalled
+        or stopped.
         """
         if target in self._killed:
             return
--- a/kelptrail/fault_scenario/fault_injector.py
+++ b/kelptrail/fault_scenario/fault_injector.py
@@ -52,7 +52,7 @@
         self._dispatcher_faults = DispatcherFaults(cluster, capture, self._links, scenario.seconds)
 
     async def inject_at_time(self, fault: Fault, start_ms: float) -> None:
-        """Wait until the fault is due, counted from `start_ms`, and inject it.  Returns when the fault is over."""
+        """Wait until the fault is due, counted from `start_ms`, inject it, and return when it is over."""
         await asyncio.sleep(max(0.0, (start_ms - now_ms()) / 1000 + fault.at))
         targets = self._choose_targets(fault)
         self._capture.write(
@@ -64,7 +64,7 @@
         )
         try:
             await self._inject(fault, targets)
-        except (OSError, RuntimeError) as cause:  # For example, a target that is already down
+        except (OSError, RuntimeError) as cause:  # For example, a target is already down
             self._capture.write("trouble-failed", kind=fault.kind, reason=str(cause))
 
     def _choose_targets(self, fault: Fault) -> list[Process]:
--- a/kelptrail/fault_scenario/import_capture.py
+++ b/kelptrail/fault_scenario/import_capture.py
@@ -15,11 +15,12 @@
 from .captured_run import CapturedRun, read_capture
 from .inferred_faults import fault_intervals
 
+# Effect classes by their names in the capture.
 EFFECTS = {"free": "repeatable", "guarded": "deduplicated", "single_shot": "once-only"}
-BLOCK_S = 5  # Length of a block of constant load
+BLOCK_S = 5  # Length of a block of arrivals at a constant rate
 SHORTEST_BLOCK_S = 0.5
 DEFAULT_LOAD_MS, DEFAULT_WORK_MS = 500.0, 50.0  # Used if the capture shows no loads or no latencies
-# Percentile of latencies that stands for the time of an attempt without waiting.
+# Percentile of the latencies that serves as the execution time of an attempt, without waiting.
 WORK_PERCENTILE = 25
 SHORTEST_WORK_MS = 5.0
 RANKED_FUNCTIONS = 50  # Number of most called functions to which the Zipf exponent is fitted
--- a/kelptrail/fault_scenario/inferred_faults.py
+++ b/kelptrail/fault_scenario/inferred_faults.py
@@ -1,4 +1,7 @@
-"""Infers faults from a capture, each from a symptom that only this fault causes, if there is one."""
+"""Infers faults from a capture.
+
+Each kind is inferred from a symptom that no other fault causes, where such a symptom exists.
+"""
 
 from __future__ import annotations
 
@@ -12,17 +15,18 @@
 from .captured_run import AttemptResult, CapturedRun
 from .scenario import FaultKind
 
-MIN_ANSWERS = 5  # Seconds in which a worker gave fewer answers are not evaluated.
-MIN_SYMPTOM_SECONDS = 2
+# A second with fewer answers of a worker is not evaluated for errors, one with fewer results not for a hang.
+MIN_ANSWERS = 5
+MIN_SYMPTOM_SECONDS = 2  # Shorter runs of a symptom do not count as a fault
 FAILING_SHARE = 0.25  # Share of errors in a worker's answers above which the worker counts as failing
-MISSES_SHARE = 0.15  # Share of misses in all answers above which models may have been unloaded at all workers
-MISSES_FACTOR = 4  # Minimum ratio of the share of misses to its median
+MISSES_SHARE = 0.15  # Share of misses in the results of all workers above which models may have been unloaded
+MISSES_FACTOR = 4  # Ratio of that share to its median that it also has to exceed
 MISSES_SETTLE_S = 5  # Time after an inferred loss of models in which no other is inferred
-SLOW_LOADS_FACTOR = 2.5  # Ratio to the median load time above which loads are slow
-MIN_LOADS = 3  # Seconds with fewer loads are not evaluated.
+SLOW_LOADS_FACTOR = 2.5  # Ratio to the median load time above which loads count as slow
+MIN_LOADS = 3  # Seconds with fewer loads are not evaluated
 ROLLING_DEPLOY_S, WORKER_DOWN_S, COLD_RESTART_S = 3.0, 3.0, 1.0  # Durations where the capture does not show the end
 SHORTEST_DOWN_S = 0.5
-MERGED_WITHIN_S = 2.0  # Intervals that begin within this time of each other count as one fault.
+MERGED_WITHIN_S = 2.0  # Intervals that begin within this time after the first of them count as one fault
 
 Interval = tuple[float, float]  # Start and length, in seconds
 
@@ -86,7 +90,10 @@
 
 
 class Symptom(NamedTuple):
-    """A fault of a worker in one second: its kind, the share of attempts it affected, and the class if only one."""
+    """A symptom of a worker in one second: the kind of fault, the share of attempts it affected, and the request class.
+
+    The class is None unless the symptom affected one class only.
+    """
 
     kind: str
     share: float
@@ -130,7 +137,7 @@
 def _symptom_runs(captured: CapturedRun, worker: str, seconds: int) -> Iterator[SymptomRun]:
     """Yield the runs of seconds in which a worker showed one symptom.
 
-    A run that lasts to the end of the capture is left out.
+    A run that still lasts in the second after the last request is left out.
     """
     run: list[Symptom] = []
     for second in range(seconds + 1):
@@ -146,7 +153,10 @@
 
 
 def _symptom(results: Counter[AttemptResult]) -> Symptom | None:
-    """Return the symptom in a worker's results of one second: errors, errors of one class only, or no answers."""
+    """Return the symptom in a worker's results of one second, or None.
+
+    Symptoms are a large share of errors, in all classes or in one class only, and results without any answer.
+    """
     total = sum(results.values())
     answered = sum(count for (ending, _), count in results.items() if ending in "SEFM")
     if total >= MIN_ANSWERS and not answered:
@@ -163,9 +173,9 @@
 
 
 def _voided_models(captured: CapturedRun, seconds: int) -> list[FaultInterval]:
-    """Infer losses of loaded models, for example by a release of new ones, from a sudden rise of misses.
+    """Infer losses of loaded models, for example when new ones are released, from a sudden rise of misses.
 
-    The misses of all workers count together.
+    A miss is an attempt that found its model not loaded.  The misses of all workers count together.
     """
     misses, answers = np.zeros(seconds + 1), np.ones(seconds + 1)
     for (_, second), results in captured.results.items():
--- a/kelptrail/fault_scenario/peer_links.py
+++ b/kelptrail/fault_scenario/peer_links.py
@@ -14,7 +14,7 @@
 
 
 class SlowLink(NamedTuple):
-    """A delay of messages in ms, and the share of messages that are delayed."""
+    """A delay in ms, and the share of the proxy's reads that are delayed."""
 
     ms: float
     share: float
@@ -59,7 +59,7 @@
         return links
 
     async def slow(self, fault: Fault) -> None:
-        """Delay a share of the messages on all links for the duration of the fault."""
+        """Delay a share of the proxy's reads on all links for the duration of the fault."""
         slow_link = SlowLink(fault.ms, fault.share)
         self._slow_links.append(slow_link)
         await self._apply()
--- a/kelptrail/fault_scenario/report.py
+++ b/kelptrail/fault_scenario/report.py
@@ -21,12 +21,12 @@
 
 PERCENTILES = (50, 90, 99, 99.9)
 LONGEST_LATENCY_US = 600_000_000
-# After a longer gap between two uses of a lease, no dispatcher counts as its holder.
+# During a longer gap between two uses of a lease, no dispatcher counts as its holder.
 MAX_LEASE_GAP_MS = 300.0
 
 
 class MemorySample(NamedTuple):
-    """Resident memory of each running dispatcher, in kB, at a second of the load."""
+    """Resident memory of each running dispatcher in KiB, at a time in seconds from the start of the load."""
 
     seconds: float
     resident_kb: list[int]
@@ -121,7 +121,10 @@
 
 
 def _lease_gaps(spans: list[dict[str, Any]], seconds: int) -> list[float]:
-    """Return the gaps between spans in seconds, and the one from the last span to the end of the load if it is long."""
+    """Return the gaps between spans in seconds, and the one from the last span to the end of the load if it is long.
+
+    Gaps that end before the load starts are left out.
+    """
     gaps: list[float] = [round(b["from"] - a["until"], 3) for a, b in pairwise(spans) if b["from"] > 0]
     last = spans[-1]["until"] if spans else 0.0
     if seconds - last > MAX_LEASE_GAP_MS / 1000:
--- a/kelptrail/fault_scenario/runner.py
+++ b/kelptrail/fault_scenario/runner.py
@@ -25,17 +25,17 @@
 READY_TIMEOUT_S = 20.0  # Time for acceptors to form a quorum and for dispatchers to acquire their journals
 MEMORY_SAMPLE_INTERVAL_S = 1.0
 START_DELAY_MS = 200.0  # Time from the end of the preparation to the first arrival
-# The same with separate client processes, which have to start first.
-CLIENT_PROCESSES_START_DELAY_MS = 3000.0
+CLIENT_PROCESSES_START_DELAY_MS = 3000.0  # The same with separate client processes, which have to start first
 LAST_ANSWERS_MS = 5000.0  # Time beyond the longest timeout for the last answers to arrive
 LAST_EVENTS_S = 0.5  # Time for emulators to write their last events
-GC_THRESHOLDS = (50_000, 20, 1_000_000)
+GC_THRESHOLDS = (50_000, 20, 1_000_000)  # The third makes automatic full collections rare
 
 
 class ScenarioRunner:
     """One run of a scenario.  The seed determines arrivals, fault targets and the emulators' random draws.
 
-    Raises `ScenarioError` if the deployment does not support the faults of the scenario.
+    `out` is the folder for logs, captures and state; `script` is the path of the scenario file, which separate client
+    processes read.  Raises `ScenarioError` if the deployment does not support the faults of the scenario.
     """
 
     def __init__(
@@ -109,9 +109,9 @@
             await self._wait_until_replicated(READY_TIMEOUT_S)
 
     async def _wait_until_replicated(self, timeout_s: float) -> None:
-        """Wait until all dispatchers have their replicas, as an operator does before admitting clients.
+        """Wait until all dispatchers accept deferred calls, for which they need their replicas.
 
-        After `timeout_s` the run goes on without them.
+        An operator does the same before admitting clients.  After `timeout_s` the run goes on in any case.
         """
         end = now_ms() + timeout_s * 1000
         for dispatcher in self._cluster.dispatchers:
--- a/kelptrail/fault_scenario/scenario.py
+++ b/kelptrail/fault_scenario/scenario.py
@@ -16,7 +16,7 @@
 class FaultKind(StrEnum):
     """Kinds of faults.  The values are written in scenario files and captures."""
 
-    # Faults of workers.
+    # Faults of workers; `WorkerFault` of the emulator describes most of them.
     STALL = "stall"
     CUT = "cut"
     FAIL_FAST = "fail-fast"
@@ -32,8 +32,8 @@
     ANSWERS_LATE = "answers-late"
     CRASH = "crash"
     RESTART_COLD = "restart-cold"
-    ROLLING_DEPLOY = "rolling-deploy"
-    DRAIN = "drain"
+    ROLLING_DEPLOY = "rolling-deploy"  # Workers are drained, stopped and restarted one after the other
+    DRAIN = "drain"  # The same without a restart
 
     # Faults of the model store.
     STORE_SLOW = "store-slow"
@@ -48,8 +48,8 @@
     # Faults of planners.
     KILL_PLANNERS = "kill-planners"
     PLANNERS_SLOW = "planners-slow"
-    PLANNERS_FORGET = "planners-forget"
-    PLANNERS_WRONG = "planners-wrong"
+    PLANNERS_FORGET = "planners-forget"  # Kills planners, and restarts them without their saved state
+    PLANNERS_WRONG = "planners-wrong"  # Plans are based on request rates that are wrong by a factor
     PAUSE_PLANNERS = "pause-planners"
     CUT_PLANNERS = "cut-planners"
 
@@ -64,8 +64,8 @@
 
     # Faults of dispatchers, the endpoint list and connections.
     KILL_DISPATCHERS = "kill-dispatchers"
-    LIST_LATE = "list-late"
-    LIST_NAMES_NOBODY = "list-names-nobody"
+    LIST_LATE = "list-late"  # Changes of workers' entries are delayed
+    LIST_NAMES_NOBODY = "list-names-nobody"  # The list contains a worker at whose address no process listens
     IDLE_CONNECTIONS = "idle-connections"
     SLOW_READERS = "slow-readers"
 
@@ -130,7 +130,8 @@
 class Fault:
     """One fault: its kind, when it begins and how long it lasts (in seconds), and which processes it affects.
 
-    `key` in a field's metadata is the name of the field in `(set trouble.KEY VALUE)` of an experiment, if it differs.
+    `share`, `factor`, `ms`, `type`, `count` and `one_way` are settings that only some kinds use.  `key` in a field's
+    metadata is the name of the field in `(set trouble.KEY VALUE)` of an experiment, if it differs.
     """
 
     kind: str
--- a/kelptrail/fault_scenario/timeline.py
+++ b/kelptrail/fault_scenario/timeline.py
@@ -1,4 +1,4 @@
-"""The timeline of a scenario: calls and answers of each second, and faults."""
+"""The timeline of a scenario: calls, answers and work of each second, and faults."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 def timeline(events: list[Event]) -> Timeline:
-    """Return the calls and final answers of each second, and the faults.  Seconds count from the start of the load."""
+    """Return the counts of calls, answers, attempts and load orders of each second, and the faults.
+
+    Seconds count from the start of the load.  A call that is completed within the latency objective counts as in time.
+    """
     (begin,) = [e for e in events if e["what"] == "begin"]
     start, seconds = begin["start"], int(begin["seconds"]) + SECONDS_AFTER_LOAD
     targets = {t["name"]: t["target_ms"] for t in next(e for e in events if e["what"] == "world")["types"]}
