--- a/kelptrail/history_checker/__init__.py
+++ b/kelptrail/history_checker/__init__.py
@@ -1,1 +1,1 @@
-"""Checks the five rules against captured traffic, independently of the code that makes the decisions."""
+"""Checks the rules of dispatchers and leases against captured traffic, without using any code of the dispatchers."""
--- a/kelptrail/history_checker/answers.py
+++ b/kelptrail/history_checker/answers.py
@@ -60,7 +60,7 @@
         result = self._result
         acknowledged = call_id in self._acknowledged
         if acknowledged and call["dispatcher"] in self._dispatchers_without_disk:
-            result.lost_with_disk += 1  # Without replicas, the activation was stored on that disk only.
+            result.lost_with_disk += 1  # Without replicas, the activation was stored on the lost disk only.
         elif acknowledged and call_id in self._gave_up_at:
             result.add_breach(Breach.ACCEPTED_LOST, f"{call_id} {call['action']} was acknowledged and is not known")
         elif self._outages.was_down(call, self._gave_up_at.get(call_id, float("inf"))):
@@ -88,7 +88,7 @@
     def _was_delayed_by_outage(self, call_id: str, call: Event, final: Event) -> bool:
         if self._outages.was_down(call, final["t"]):
             return True
-        # A replicated record is answered only after its replicas confirm it, and a network cut delays them.
+        # With replicas, a deferred call is answered only after they have confirmed its record; a cut link delays that.
         needs_replicas = self._replicated and call_id in self._acknowledged
         return needs_replicas and self._outages.was_cut_off(call, final["t"])
 
--- a/kelptrail/history_checker/checker.py
+++ b/kelptrail/history_checker/checker.py
@@ -1,4 +1,7 @@
-"""Checks the five rules against captured traffic: clients' calls and answers, work at the workers, endpoint lists.
+"""Checks the rules against captured traffic: clients' calls and answers, work at the workers, endpoint lists, leases.
+
+Rule 1 is about answers, rule 2 about side effects, rule 3 about draining, rule 4 about slow start and rule 5 about the
+load ration.  Leases have rules of their own.
 
 This package imports nothing else from kelptrail.  Where the time of an event is uncertain, the checker assumes the time
 that is in the dispatcher's favour.
@@ -25,8 +28,8 @@
 def read_captures(folder: Path) -> list[Event]:
     """Return the events of all captures in a folder, in order of time.
 
-    A process that is killed may leave an incomplete last line, which is skipped.  Raises `CaptureError` for the first
-    other line that is not valid JSON.
+    A process that is killed may leave an incomplete last line, so that an invalid last line is skipped.  Raises
+    `CaptureError` for the first other line that is not valid JSON.
     """
     events: list[Event] = []
     for file in sorted(folder.glob("*.jsonl")):
--- a/kelptrail/history_checker/history.py
+++ b/kelptrail/history_checker/history.py
@@ -17,7 +17,7 @@
 
 
 class History:
-    """The events of one run.  Raises `ValueError` unless exactly one of them describes the deployment."""
+    """The events of one run, in order of time.  Raises `ValueError` unless exactly one describes the deployment."""
 
     def __init__(self, events: Iterable[Event]) -> None:
         self._by_kind: dict[str, list[Event]] = defaultdict(list)
@@ -32,7 +32,7 @@
                 self.finals.setdefault(event["activation"], event)
 
     def events_of(self, *kinds: str) -> list[Event]:
-        """Return the events of the given kinds, grouped by kind and in order of time within each kind."""
+        """Return the events of the given kinds, kind by kind, each kind in order of time."""
         return [event for kind in kinds for event in self._by_kind[kind]]
 
     def load_orders(self) -> list[Event]:
--- a/kelptrail/history_checker/lease_rules.py
+++ b/kelptrail/history_checker/lease_rules.py
@@ -1,7 +1,8 @@
 """Lease rules: a task has one holder at a time, and no use is accepted under an old fencing token.
 
 Holders record the machine's time at which they checked their lease (`looked`).  If a check passes while a newer token
-is already in use, the task had two holders.  Uses that the side-effect log accepted are checked in order of arrival.
+is already in use, the task had two holders.  Tokens of accepted uses must not get older in the order in which the uses
+reached the side-effect log.
 """
 
 from __future__ import annotations
--- a/kelptrail/history_checker/result.py
+++ b/kelptrail/history_checker/result.py
@@ -18,19 +18,24 @@
 class Breach(StrEnum):
     """Ways to break a rule.  Each value names the field of `CheckResult` that counts the breaches of that kind."""
 
+    # Rule 1.
     UNANSWERED = "unanswered"
     ACCEPTED_LOST = "accepted_lost"
     LATE_FINALS = "late_finals"
     FINALS_TWICE = "finals_twice"
     ATTEMPTS_AFTER_FINAL = "attempts_after_final"
     ATTEMPTS_AFTER_PART = "attempts_after_part"
+    # Rule 2.
     EFFECTS_TWICE = "effects_twice"
     FALSE_REJECTIONS = "false_rejections"
+    # Rules 3 to 5.
     DRAIN_BREACHES = "drain_breaches"
     COLD_BREACHES = "cold_breaches"
     RATION_BREACHES = "ration_breaches"
+    # Rules of leases.
     HOLDERS_TWO = "holders_two"
     OLD_TOKENS_TAKEN = "old_tokens_taken"
+    # Rule 1 for acknowledged activations.
     PROMISES_DENIED = "promises_denied"
 
     @property
@@ -48,28 +53,28 @@
     rejected: int = 0
     aborted: int = 0
     unanswered: int = 0
-    accepted_lost: int = 0
+    accepted_lost: int = 0  # Acknowledged calls whose client gave up polling for the answer
     late_finals: int = 0
     finals_twice: int = 0
     attempts_after_final: int = 0
     attempts_after_part: int = 0
     effects_twice: int = 0
-    false_rejections: int = 0
+    false_rejections: int = 0  # Once-only calls that were rejected and ran
     drain_breaches: int = 0
-    cold_breaches: int = 0
+    cold_breaches: int = 0  # Workers that were overloaded during their slow start
     ration_breaches: int = 0
-    holders_two: int = 0
+    holders_two: int = 0  # Uses of a lease after a check that passed while a newer token was already in use
     old_tokens_taken: int = 0
     promises_denied: int = 0  # Polls of an acknowledged activation that were answered as unknown
     holders_two_by_clocks: int = 0  # Second holders while a clock ran at a rate outside its bound
-    old_tokens_refused: int = 0
+    old_tokens_refused: int = 0  # Uses that the side-effect log rejected
     lease_uses: int = 0
     lost_with_disk: int = 0  # Acknowledged calls without an answer that were stored only on a lost disk
     lost_with_dispatcher: int = 0  # Other calls without an answer whose dispatcher was down
     not_taken: int = 0  # Calls that no dispatcher accepted
     other_answers: int = 0
     attempts: int = 0
-    loads: int = 0
+    loads: int = 0  # Load orders
     effects: int = 0
     details: list[str] = field(default_factory=list)
 
--- a/kelptrail/history_checker/worker_rules.py
+++ b/kelptrail/history_checker/worker_rules.py
@@ -16,7 +16,7 @@
 
 
 class ListedState(NamedTuple):
-    """The time from which an endpoint list shows a worker to a recipient as live or as not live."""
+    """The time at which a recipient was sent an endpoint list, and whether the list shows a worker as live."""
 
     since: float
     is_live: bool
@@ -74,17 +74,18 @@
 def check_slow_start(history: History, result: CheckResult) -> None:
     """Check rule 4: the work sent to a worker during its slow start stays within a multiple of its capacity.
 
-    In any window, the limit is the multiple x the worker's capacity at that time x the length of the window.
+    In any window, the limit is the multiple x the worker's capacity at that time x the length of the window.  A worker
+    that reports its overload breaks the rule in any case.
     """
     attempts: dict[str, list[Event]] = defaultdict(list)
     for event in history.events_of("send"):
         attempts[event["incarnation"]].append(event)
-    collapsed = {event["incarnation"] for event in history.events_of("fell")}
+    reported_overloaded = {event["incarnation"] for event in history.events_of("fell")}
     for start in history.events_of("start"):
         incarnation, cold_ms = start["incarnation"], start["cold_ms"]
         if not cold_ms or start["t"] - start["started"] >= cold_ms:
             continue
-        if incarnation in collapsed or _is_overloaded(start, attempts[incarnation], history.rules):
+        if incarnation in reported_overloaded or _is_overloaded(start, attempts[incarnation], history.rules):
             result.add_breach(Breach.COLD_BREACHES, f"{start['worker']} ({incarnation}) was sent too much while cold")
 
 
@@ -139,9 +140,9 @@
 
 
 def _accepted_by_boot(history: History) -> dict[str, list[float]]:
-    """Return a time for each activation, in a list for the boot id of its dispatcher.
+    """Return the times of accepted calls by the boot id of the dispatcher that accepted them.
 
-    It is the time at which the client sent the call, or if no event shows the call, that of the first attempt.
+    The time of a call is that at which the client sent it, or that of its first attempt if no event shows the call.
     """
     accepted_at: dict[str, float] = {}
     for event in [*history.events_of("accepted"), *history.finals.values()]:
--- a/tests/test_history_checker.py
+++ b/tests/test_history_checker.py
@@ -174,7 +174,7 @@
     events += [attempt | {"t": 2200 + n} for n in range(150)]
 
 
-def collapse_cold_worker(events):
+def report_overload_of_cold_worker(events):
     events.append({"t": 2500, "what": "fell", "worker": "w1", "incarnation": "i1"})
 
 
@@ -212,7 +212,7 @@
         (attempt_at_draining_worker, Breach.DRAIN_BREACHES),
         (load_order_to_removed_worker, Breach.DRAIN_BREACHES),
         (overload_cold_worker, Breach.COLD_BREACHES),
-        (collapse_cold_worker, Breach.COLD_BREACHES),
+        (report_overload_of_cold_worker, Breach.COLD_BREACHES),
         (exceed_load_ration, Breach.RATION_BREACHES),
     ],
 )
