--- a/kelptrail/emulator/client_calls.py
+++ b/kelptrail/emulator/client_calls.py
@@ -89,8 +89,8 @@
 class CallTracker:
     """Records the events of attempts in the capture, and starts the clients' retries.
 
-    `start_attempt` gets the call and the number of the last dispatcher, to send the attempt to the one after it, or
-    None, to send it to a random one.
+    `start_attempt(call, last_dispatcher)` sends the next attempt to the dispatcher after `last_dispatcher`, or to a
+    random one if that is None.
     """
 
     def __init__(
--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -47,7 +47,7 @@
         """
         self.deployment, self._out, self._logs, self._quiet = deployment, out, logs, quiet
         self._commands = ClusterCommands(deployment, file, seed, log_level, json_logs=logs is not None)
-        self.store = self.endpoint_service = Process("", [])
+        self.store = self.endpoint_service = Process("", [])  # placeholders until `start`
         self.datagram_proxy: Process | None = None
         self.workers: list[Process] = []
         self.dispatchers: list[Process] = []
@@ -69,6 +69,10 @@
 
         With planners, the dispatchers are edges of the planners.  If the settings have peers, their channels go through
         a proxy.  All dispatchers try to acquire leases for `tasks`.
+
+        The names of the processes are also those of their captures and log files.  Some differ from the names in the
+        code: `roster` is the endpoint service, `relay` the datagram proxy, `links` the channel proxy and `witness` the
+        side-effect log.
         """
         self.store = await self.start_process("store", self._commands.model_store())
         self.endpoint_service = await self.start_process("roster", ["emulate", "endpoint-service"])
--- a/kelptrail/emulator/datagram_proxy.py
+++ b/kelptrail/emulator/datagram_proxy.py
@@ -1,8 +1,8 @@
 """UDP proxy for VRRP datagrams with seeded faults: loss, delay, duplication, reordering and (one-way) partitions.
 
-For each instance it listens at the address that peers send to (`via`), and forwards to the address of the instance
-(`udp`) from the sender's IP address, which identifies the sender.  Every datagram between instances is captured; those
-from other addresses are dropped without a record.
+For each VRRP instance it listens at the address that peers send to (`via`), and forwards to the address of the instance
+(`udp`).  The sender's IP address identifies the sending instance, and the proxy forwards from the same address.  Every
+datagram between instances is captured; those from other addresses are dropped without a record.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class DatagramProxy:
-    """Proxies the datagrams of all instances.
+    """Proxies the datagrams of all VRRP instances.
 
     Requests to its control port set `loss` and `copy` (shares of datagrams that are lost or duplicated), `delay_ms` (a
     minimum and a maximum) and `cut` (ordered pairs of instances without a link).
--- a/kelptrail/fault_scenario/captured_run.py
+++ b/kelptrail/fault_scenario/captured_run.py
@@ -31,7 +31,7 @@
 
 
 class CapturedRequest(NamedTuple):
-    """A client's request; `at` in seconds."""
+    """A client's request; `at` in seconds, `request_class` as an index of the classes in `CapturedRun.env`."""
 
     at: float
     request_class: int
@@ -79,7 +79,7 @@
 class CapturedRun:
     """The contents of a capture.  Seconds count from the first request; `start` is its time on the capture's clock."""
 
-    env: dict[str, Any] = field(default_factory=dict)
+    env: dict[str, Any] = field(default_factory=dict)  # Settings that the dispatchers were started with
     start: float = -1.0
     requests: list[CapturedRequest] = field(default_factory=list)
     functions: dict[str, CapturedFunction] = field(default_factory=dict)
--- a/kelptrail/fault_scenario/scenario.py
+++ b/kelptrail/fault_scenario/scenario.py
@@ -117,6 +117,7 @@
     FaultKind.CLOCK_STEP,
 )
 KINDS = tuple(FaultKind)
+# Fields of `Fault` whose settings have other names in scenario files.
 RENAMED_FAULT_KEYS = {"for": "duration", "hall": "zone"}
 # A scenario with faults of peers needs at least this many dispatchers, in different zones.
 MIN_PEERS = 5
--- a/kelptrail/history_checker/history.py
+++ b/kelptrail/history_checker/history.py
@@ -1,5 +1,19 @@
 """The history of one run: captured events by kind, and the lookups that all rules share.
 
+The `what` of an event is its kind.  Kinds whose names do not explain them:
+
+world             the deployment
+call, final       a call of a client, and its final answer; a retry is a call of its own with the same `ticket`
+not-taken         no dispatcher accepted a call
+denied            a poll was answered with the error that no dispatcher knows the activation
+list              an endpoint list was sent
+send, order       an attempt or a load order of a dispatcher arrived at a worker
+effect            an attempt had its side effect at a worker
+fell              a worker in slow start became overloaded
+act, done         a use of a lease began or ended; `taken` states whether the side-effect log accepted it
+trouble           a fault was injected
+stopped, woken    a dispatcher was paused or resumed
+
 Times are in ms on the monotonic clock of one machine.  A process may record the time at which it read a message rather
 than the time at which the message arrived; the event's `lag` is how much earlier it may have arrived.
 """
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -26,7 +26,7 @@
 """
 
 
-def test_changes_of_the_endpoint_list_are_delayed_until_the_fault_ends() -> None:
+def test_the_delay_of_the_endpoint_list_ends_with_its_fault() -> None:
     async def main() -> None:
         service = EndpointService(Capture(None, "roster"))
         service.server.listen("127.0.0.1", 0)
