--- a/kelptrail/history_checker/history.py
+++ b/kelptrail/history_checker/history.py
@@ -1,5 +1,19 @@
 """The history of one run: captured events by kind, and the lookups that all rules share.
 
+The `what` of an event is its kind.  Kinds whose names do not explain them:
+
+world             the deployment
+call, final       a call of a client, and its final answer; a retry is a call of its own with the same `ticket`
+not-taken         no dispatcher accepted a call
+denied            a poll was answered with the error that no dispatcher knows the activation
+list              an endpoint list was sent
+send, order       an attempt or a load order of a dispatcher arrived at a worker
+effect            an attempt had its side effect at a worker
+fell              a worker in slow start became overloaded
+act, done         a use of a lease began or ended; `taken` states whether the side-effect log accepted it
+trouble           a fault was injected
+stopped, woken    a dispatcher was paused or resumed
+
 Times are in ms on the monotonic clock of one machine.  A process may record the time at which it read a message rather
 than the time at which the message arrived; the event's `lag` is how much earlier it may have arrived.
 """
@@ -17,7 +31,7 @@
 
 
 class History:
-    """The events of one run.  Raises `ValueError` unless exactly one of them describes the deployment."""
+    """The events of one run, in order of time.  Raises `ValueError` unless exactly one describes the deployment."""
 
     def __init__(self, events: Iterable[Event]) -> None:
         self._by_kind: dict[str, list[Event]] = defaultdict(list)
@@ -32,7 +46,7 @@
                 self.finals.setdefault(event["activation"], event)
 
     def events_of(self, *kinds: str) -> list[Event]:
-        """Return the events of the given kinds, grouped by kind and in order of time within each kind."""
+        """Return the events of the given kinds, kind by kind, each kind in order of time."""
         return [event for kind in kinds for event in self._by_kind[kind]]
 
     def load_orders(self) -> list[Event]:
