--- a/bench/crash_points.py
+++ b/bench/crash_points.py
@@ -141,8 +141,8 @@
     def post(address: str) -> Awaitable[Reply]:
         return trial.request_until_known(address, "POST", target, {"ticket": name}, key)
 
-    # A 503 means that the call was not accepted: its peers, one of which has just ended, did not all answer yet
-    # whether they have a call with the key.
+    # The dispatcher replies 503 and does not accept the call until all peers, one of which has just ended, have
+    # answered whether they have a call with the key.
     first_request = asyncio.ensure_future(post(dispatcher.ready_info["address"]))
     await wait_until_paused(dispatcher)
     start = loop.time()
--- a/bench/crash_trial.py
+++ b/bench/crash_trial.py
@@ -21,11 +21,12 @@
 REQUEST_TIMEOUT_MS = 8000
 MAX_REQUESTS, MAX_POLLS = 200, 60
 RETRY_PAUSE_S = 0.1
-NO_DISPATCHER_KNOWS = "No dispatcher knows"
+# Parts of the error message of a 404: the activation is unknown, or is in flight.
+NO_DISPATCHER_KNOWS, IN_FLIGHT = "No dispatcher knows", "in hand"
 
 
 class Effect(StrEnum):
-    """The effect of running an action a second time, by its name in the settings."""
+    """The idempotency of an action, by its name in the settings."""
 
     IDEMPOTENT = "repeatable"
     DEDUPLICATED = "deduplicated"
@@ -140,10 +141,10 @@
         return Reply(0)
 
     async def poll_until_final(self, address: str, id_: str) -> Reply:
-        """Poll an activation until it has its answer or is unknown; return status 0 after `MAX_POLLS` polls."""
+        """Poll an activation until it has its answer or is unknown; reply with status 0 after `MAX_POLLS` polls."""
         for _ in range(MAX_POLLS):
             reply = await self.request(address, "GET", f"activations/{id_}?wait=500")
-            if reply.status == 200 or (reply.status == 404 and "in hand" not in reply.body["error"]):
+            if reply.status == 200 or (reply.status == 404 and IN_FLIGHT not in reply.body["error"]):
                 return reply
             await asyncio.sleep(RETRY_PAUSE_S)
         return Reply(0)
--- a/bench/deferred.py
+++ b/bench/deferred.py
@@ -98,6 +98,7 @@
     gc.collect()
     before = own_memory()
     for n in range(count):
+        # The concatenation copies the body: as for real calls, no two activations share one.
         submission = Submission("n", action, bytes(body) + b" ", f"key-{n}", "0" * 55, deferred=True)
         gateway.submit(0.0, 1e12, submission)
     gc.collect()
--- a/bench/fault_injection/captured_attempts.py
+++ b/bench/fault_injection/captured_attempts.py
@@ -18,7 +18,7 @@
 
     `limit_s` is the time limit that was passed to the worker.  `first_byte_at` and `at` are the times at which its
     first byte and the end of its command line were captured, in seconds of the monotonic clock; they differ if a send
-    transferred only a part of it.  If `is_timed`, the process sent these bytes at about the same times."""
+    transferred only a part of it.  If `is_timed`, the process sent these bytes at about these times."""
 
     at: float
     process: int
--- a/bench/fault_injection/clients.py
+++ b/bench/fault_injection/clients.py
@@ -1,6 +1,7 @@
 """Clients that send requests over their own connections and behave at random.
 
-They write slowly, send floods, leave early, reset the connection, send noise or close one direction only.
+They write slowly, send floods, leave early, reset the connection, send noise, close one direction only or ignore
+GO_AWAY.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 # A request sent on an idle connection makes it busy only after this time: the dispatcher may not have read it yet.
 IDLE_CONNECTION_S = 0.05
 ANSWERS_TIMEOUT_S = 2.5
-# Takes about 4 s with the mean pause of 0.03 s, longer than from SIGTERM to the earliest SIGKILL.
+# With the mean pause of 0.03 s, they take about 4 s, which is longer than from SIGTERM to the earliest SIGKILL.
 MAX_BATCHES_UNTIL_CLOSED = 130
 SLOW_WRITE_BYTES = 60
 SLOW_WRITE_PAUSE_S = 0.01
@@ -226,7 +227,9 @@
                     await asyncio.sleep(0.01)
 
     def _mark_cancelled_by_close(self) -> None:
-        """Record that the client, which now closes the connection, leaves its open requests before their deadlines."""
+        """Record that the client cancels its open requests by closing the connection before their deadlines.
+
+        Closing a connection that the dispatcher has already closed cancels none."""
         now = time.monotonic()
         for request in self._sent.values():
             if request.is_open and not self._read_task.done() and now < request.deadline:
--- a/bench/fault_injection/drain_check.py
+++ b/bench/fault_injection/drain_check.py
@@ -16,7 +16,7 @@
 MAX_NOTIFICATION_DELAY_S = 4.0
 # Allowed delay of an event: the list may truncate it at first, or the process may change to the list's other address.
 EVENT_DELAY_S = 1.0
-RULE_SLACK_S = 0.05
+GRACE_SLACK_S = 0.05  # tolerance of the grace period
 
 
 class DrainCheck:
@@ -46,4 +46,4 @@
         for outage in self._outages[process]:
             if outage.start - EVENT_DELAY_S < drained_at < outage.end + MAX_NOTIFICATION_DELAY_S:
                 notified_at = max(notified_at, outage.start + MAX_NOTIFICATION_DELAY_S)
-        return notified_at + DRAIN_GRACE_S + RULE_SLACK_S + BUSY_MACHINE_SLACK_S
+        return notified_at + DRAIN_GRACE_S + GRACE_SLACK_S + BUSY_MACHINE_SLACK_S
--- a/bench/fault_injection/endpoint_list.py
+++ b/bench/fault_injection/endpoint_list.py
@@ -77,7 +77,7 @@
         self._worker_port = worker_port
         self._stalls_after_truncated_event = stalls_after_truncated_event
         self._events: list[bytes] = []
-        self.entries: list[dict[str, Any]] = []  # all events, in the form that a configuration has
+        self.entries: list[dict[str, Any]] = []  # the initial list and all events, in the format of a configuration
         self.addresses: list[str] = []
         self._fault = ListFault.NONE
         self.outage = ListFault.NONE  # a long fault; while it lasts, it takes precedence over the fault that was set
@@ -134,7 +134,9 @@
         writer.close()
 
     async def _write_events(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Write the events from the requested position on while the run lasts; return whether one was truncated."""
+        """Write the events after the position that the process requests; return whether one was truncated.
+
+        Continues with later events while the run lasts and the service is not down."""
         position = int.from_bytes(await reader.readexactly(8), "big")
         if self.fault is ListFault.SLOW:
             await asyncio.sleep(WATCH_START_DELAY_S)
--- a/bench/fault_injection/proxy.py
+++ b/bench/fault_injection/proxy.py
@@ -23,7 +23,7 @@
 # Upper bounds of the number of bytes after which a connection is cut or stalled.
 LAST_CUT_BYTE, LAST_STALL_BYTE = 60_000, 30_000
 MAX_SPLIT_BYTES = 200
-SPLITS_WITH_PAUSE = 20  # first pieces of each chunk, after which the event loop runs
+PIECES_WITH_PAUSE = 20  # first pieces of a split chunk; the event loop runs after each of them
 
 DataListener = Callable[[int, bytes, bool], None]  # connection number, bytes, whether they are timed
 
@@ -39,7 +39,7 @@
 
 
 class Proxy:
-    """Forwards connections to `upstream`; `fault_shares` is the share of new connections that get each fault."""
+    """Forwards connections to `upstream`; `fault_shares` has the share of new connections that get each fault."""
 
     def __init__(self, upstream: tuple[str, int], rng: random.Random, on_data: DataListener) -> None:
         self.upstream = upstream
@@ -159,5 +159,5 @@
         size = self._rng.randrange(1, MAX_SPLIT_BYTES) if self._is_split else len(data)
         for at in range(0, len(data), size):
             target.write(data[at : at + size])
-            if self._is_split and at < SPLITS_WITH_PAUSE * size:
+            if self._is_split and at < PIECES_WITH_PAUSE * size:
                 await asyncio.sleep(0)
--- a/bench/fault_injection/request_checks.py
+++ b/bench/fault_injection/request_checks.py
@@ -8,14 +8,16 @@
 from fault_injection.settings import BUSY_MACHINE_SLACK_S, DRAIN_GRACE_S, RequestKind
 from kelptrail.codec import frames
 
-DRAINED_WORKER = 0  # the worker that each run drains
+DRAINED_WORKER = 0  # the worker that each run drains and replaces
 BROKEN_LIST_DELAY_S = 1.0  # allowed delay of an event while its list has a fault
 
 
 def check_run(
     run: RunState, problems_of: Callable[[SentRequest], list[str]], attempts: Iterable[WorkerAttempt]
 ) -> None:
-    """Check every request by `problems_of`, and `attempts` against the drain; add the problems to those of the run."""
+    """Check each request by `problems_of`, `attempts` against the drain, and that calls belong to known requests.
+
+    Adds the problems to those of the run."""
     for request in run.requests.values():
         for problem in problems_of(request):
             run.problems.append(f"{request.id} ({request.kind}, process {request.process}): {problem}")
--- a/bench/fault_injection/run_state.py
+++ b/bench/fault_injection/run_state.py
@@ -125,7 +125,7 @@
         self.requests: dict[str, SentRequest] = {}
         self.started_ids: set[str] = set()  # ids of the requests whose sending has begun
         self.calls: dict[str, list[WorkerCall]] = collections.defaultdict(list)  # by request id
-        self.result_bodies: set[bytes] = set()  # bodies of the results that workers returned
+        self.result_bodies: set[bytes] = set()  # bodies of the results that workers may return
         self.drained_at: dict[int, float] = {}  # by worker, when the endpoint list reported it as draining
         self.kills: list[ProcessKill] = []
         self.problems: list[str] = []
--- a/bench/fault_injection/settings.py
+++ b/bench/fault_injection/settings.py
@@ -25,7 +25,7 @@
     AT_MOST_ONCE = "o"
 
 
-# Idempotency of the request classes, by its names in the settings.
+# Idempotency of each request class, by its name in the settings.
 EFFECTS = {
     RequestKind.IDEMPOTENT: "free",
     RequestKind.DEDUPLICATED: "guarded",
--- a/bench/fault_injection/slow_start_check.py
+++ b/bench/fault_injection/slow_start_check.py
@@ -10,6 +10,7 @@
 from fault_injection.settings import OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_S
 from fault_injection.soak_faults import LISTED_WORKERS
 
+# Slow start in the soak; the values in fault_injection/settings.py are those of the fuzz test.
 SLOW_START_S = 8.0
 SLOW_START_CAPACITY = 0.05  # small, so that a new worker gets few calls at first
 WARM_WORKERS = LISTED_WORKERS - 1
--- a/bench/fault_injection/soak_checks.py
+++ b/bench/fault_injection/soak_checks.py
@@ -22,8 +22,10 @@
 from fault_injection.soak_faults import SoakFaults
 from fault_injection.soak_processes import SoakProcesses
 
-LIMIT_SLACK_S = 0.15  # tolerance of the time limits that workers are passed
-SHUTDOWN_CLOSE_S = 0.7  # time from SIGTERM until a process may close connections on which requests arrive
+LIMIT_SLACK_S = 0.15  # tolerance of the time limits that are passed to workers
+# Time from SIGTERM until a process may close connections on which requests arrive (ARRIVALS_MS in
+# kelptrail/dispatch/shutdown.py).
+SHUTDOWN_CLOSE_S = 0.7
 LOG_PROBLEMS = ("invariant violated", "failed problem", "Traceback")
 
 
@@ -152,12 +154,12 @@
 
 def _timeline(request: SentRequest, calls: list[WorkerCall], attempts: list[CapturedAttempt]) -> list[str]:
     sent = [(round(each.at - request.written_at, 3), each.worker, each.limit_s, each.is_timed) for each in attempts]
-    ends = [(round(call.at - request.written_at, 3), str(call.behavior), call.worker) for call in calls]
-    return [f"attempts {sent}", f"ends {ends}, limit {request.limit_s}"]
+    received = [(round(call.at - request.written_at, 3), str(call.behavior), call.worker) for call in calls]
+    return [f"attempts {sent}", f"ends {received}, limit {request.limit_s}"]
 
 
 def _last_before(request: SentRequest, times: list[float]) -> list[float]:
-    """Return how many seconds before the writing of a request the last of `times` was.
+    """Return the seconds from the last of `times` to the writing of a request; negative if it was written earlier.
 
     Times later than 1 s after its deadline do not count; the list is empty if no time is left."""
     return [round(request.written_at - at, 3) for at in times if at <= request.deadline + 1][-1:]
--- a/bench/fault_injection/soak_processes.py
+++ b/bench/fault_injection/soak_processes.py
@@ -23,8 +23,8 @@
 from fault_injection.system_calls import SystemCallControl
 
 FIRST_PORT = 20_000
-# The earliest SIGKILL after SIGTERM: 0.7 s in which requests may still arrive (ARRIVALS_MS in
-# kelptrail/dispatch/shutdown.py) plus 2 s, the longest deadline in the settings.
+# Earliest SIGKILL after SIGTERM, by the protocol: 0.7 s (kelptrail/dispatch/shutdown.py) plus the longest deadline in
+# the settings, 2 s.
 MAX_SHUTDOWN_S = 0.7 + 2.0
 
 
--- a/bench/fault_injection/workers.py
+++ b/bench/fault_injection/workers.py
@@ -73,7 +73,9 @@
                 self.answer_call(number, id_, body, writer)
 
     def answer_call(self, number: int, id_: str, body: bytes, writer: asyncio.StreamWriter) -> None:
-        """Answer one call after a random delay, with a random behavior; not at all if the worker hangs."""
+        """Answer one call after a delay, with a random behavior.
+
+        A hung worker does not answer, and a draining one is out of capacity."""
         now = time.monotonic()
         if number in self.hung:
             self._run.calls[id_].append(WorkerCall(now, WorkerBehavior.SILENT, number))
--- a/bench/hedged_requests.py
+++ b/bench/hedged_requests.py
@@ -19,7 +19,7 @@
 ROOT = Path(__file__).parent.parent
 SCENARIO = ROOT / "examples" / "bad-days" / "second-sends.sexp"
 DEPLOYMENT = ROOT / "examples" / "hedged.sexp"
-OVERLOAD_STARTS_S = 33
+BEFORE_OVERLOAD_S = 33  # from the start of a run; the scenario's overload starts at 34 s
 HEDGING = " (hedge yes)"
 RULE = "(longest-return-ms 1000)"  # further rules are inserted after this one
 MEDIAN_KEYS = ("in_time_before_overload", "completed", "sends", "second_sends", "saved", "wasted")
@@ -31,7 +31,7 @@
 
 
 class Variant(NamedTuple):
-    """The differences of a deployment from the example: whether it hedges, and further rules."""
+    """How a deployment differs from the example: whether it hedges, and its further rules."""
 
     hedging: bool
     rules: str = ""
@@ -65,7 +65,7 @@
         check=False,
     )
     report = json.loads((out / "report.json").read_text())
-    before_overload = [second for second in report["timeline"] if second["second"] < OVERLOAD_STARTS_S]
+    before_overload = [second for second in report["timeline"] if second["second"] < BEFORE_OVERLOAD_S]
     in_time, calls = (sum(second[key] for second in before_overload) for key in ("in_time", "calls"))
     return {
         "variant": name,
--- a/bench/lease_measurements/client_load.py
+++ b/bench/lease_measurements/client_load.py
@@ -77,7 +77,7 @@
 
 
 class LeaseLoad(NamedTuple):
-    """Messages and CPU of a dispatcher for leases so far."""
+    """Lease messages that a dispatcher has received, and its CPU time, so far."""
 
     messages: float
     cpu_ms: float
--- a/bench/lease_measurements/exploration.py
+++ b/bench/lease_measurements/exploration.py
@@ -36,7 +36,7 @@
     clients: tuple[str, ...]
     budget: Budget
     depth: int
-    options: dict[str, Any]
+    options: dict[str, Any]  # further fields of `ModelSetup`
 
 
 PRODUCTS = {
--- a/bench/load.py
+++ b/bench/load.py
@@ -49,7 +49,7 @@
         while True:
             count = await loop.sock_recv_into(self.sock, self.buffer)
             if not count:
-                raise ConnectionResetError
+                raise ConnectionResetError("the server closed the connection before its response was complete")
             response = self.reader.feed(bytes(self.buffer[:count]))
             if response is not None:
                 self.statuses[response.status] = self.statuses.get(response.status, 0) + 1
--- a/bench/pinned_processes.py
+++ b/bench/pinned_processes.py
@@ -43,7 +43,7 @@
         assert self.process.stdout is not None
         line = self.process.stdout.readline().strip()
         if not line:
-            raise ProcessStartError(f"{' '.join(command)} did not start")
+            raise ProcessStartError(f"{' '.join(command)} ended before it printed its address")
         self.ready_line: dict[str, Any] = json.loads(line) if line.startswith("{") else {"address": line}
         self.address: str = self.ready_line["address"]
         _running.append(self)
@@ -57,7 +57,7 @@
         return int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1]) * 4096 / 1e6
 
     def control(self, target: str) -> Any:
-        """Return the JSON that the control port of the process serves; `asked_at` is the address of this port."""
+        """Return the JSON at `target` of the process's control port, whose address is `asked_at` in the ready line."""
         with urllib.request.urlopen(
             f"http://{self.ready_line['asked_at']}/{target}", timeout=HTTP_TIMEOUT_S
         ) as response:
--- a/bench/replication.py
+++ b/bench/replication.py
@@ -77,7 +77,7 @@
         return self.dispatchers[0]
 
     def lose(self, name: str) -> None:
-        """Kill a dispatcher and remove its disk."""
+        """Kill a dispatcher and delete its state, as if its disk were lost."""
         lost = self.dispatchers[NAMES.index(name)]
         lost.kill()
         shutil.rmtree(self.folder / name)
@@ -144,7 +144,7 @@
 def measure_refill(count: int, rate: float) -> dict[str, Any]:
     """Measure the refill of the replica that replaces one lost with its disk, at `rate` calls a second.
 
-    The primary has `count` records before the loss."""
+    The primary has at least `count` records before the loss."""
     with tempfile.TemporaryDirectory(dir=".") as folder:
         cluster = ReplicationCluster(Path(folder) / "trio", 1, "disk")
         primary = cluster.primary
@@ -182,7 +182,7 @@
 
 
 def walk_seeds(seeds: range) -> WalkCounts:
-    """Run one random walk over the model of one journal for each seed; raise an error if a property is violated."""
+    """Run one random walk over the model of one journal for each seed.  Raises `PropertyError`."""
     counts = []
     for seed in seeds:
         model = Model(seed)
--- a/bench/soak_shim.c
+++ b/bench/soak_shim.c
@@ -18,7 +18,7 @@
 #include <unistd.h>
 
 enum call { SEND, RECV, CONNECT, ACCEPT, SOCKET, CALLS };
-#define CODES 4
+#define CODES 4 /* per kind of call */
 #define MILLION 1000000
 #define NS_PER_S 1000000000
 
@@ -75,6 +75,7 @@
     return size > 1 && next_random() % MILLION < control->short_per_million ? 1 + next_random() % size : size;
 }
 
+/* Looks up the C library's function of this name at the first call and keeps it in `real`. */
 #define FIND_REAL(name) \
     if (!real)          \
         *(void **)&real = dlsym(RTLD_NEXT, name)
--- a/bench/split.py
+++ b/bench/split.py
@@ -1,7 +1,7 @@
 """Breaks down the CPU time of an activation by component: `python bench/split.py [TOTAL_US]`.
 
 Times the codecs, the dispatcher and the rest of the gateway core in one process.  TOTAL_US is the total CPU time of an
-activation from `bench/overhead.py`; the remainder is attributed to sockets, loop and driver.
+activation from `bench/overhead.py`; the remainder is attributed to sockets, event loop and gateway driver.
 """
 
 from __future__ import annotations
--- a/bench/vrrp_failover.py
+++ b/bench/vrrp_failover.py
@@ -31,7 +31,7 @@
 
 
 def master_down_interval_ms(deployment: Deployment) -> float:
-    """Return the Active_Down_Interval of RFC 9568, after which the second router takes over, in ms."""
+    """Return the Active_Down_Interval of RFC 9568, after which the router of second priority takes over, in ms."""
     assert deployment.vrrp is not None
     first = deployment.vrrp.router[0]
     priorities = sorted((member.priority for member in first.member), reverse=True)
--- a/bench/vrrp_trial.py
+++ b/bench/vrrp_trial.py
@@ -52,7 +52,7 @@
 
 
 class FailoverTrial:
-    """A run of several failovers, each caused by one fault of the master."""
+    """A run of several faults of the master, each of which causes a failover, except `CUT_RECEIVING`."""
 
     def __init__(self, deployment: Deployment, file: str, seed: int, out: Path, rate: float) -> None:
         assert deployment.vrrp is not None
@@ -196,7 +196,7 @@
             await asyncio.sleep(POLL_S)
 
     async def _find_master(self) -> Process:
-        """Return the dispatcher that reports itself as master of the first virtual router."""
+        """Wait until a dispatcher reports itself as master of the first virtual router, and return it."""
         while True:
             for dispatcher in self._cluster.dispatchers:
                 status = await http_json(dispatcher.ready_info["asked_at"], "GET", "/vrrp")
--- a/tests/test_platform_fuzz.py
+++ b/tests/test_platform_fuzz.py
@@ -1,4 +1,4 @@
-"""A short run of bench/platform_fuzz.py: processes of the program under random signals, closes and answers."""
+"""A fake worker of bench/platform_fuzz.py, and a short run under random signals, closes and answers."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 
 def test_a_second_answer_on_a_closed_connection_is_dropped(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The worker sends it some milliseconds after the first one, when the dispatcher may have closed the connection."""
+    """With NOT_LOADED_TWICE, a worker sends its second answer some milliseconds after the first.
+
+    If the dispatcher has closed the connection by then, the write must not raise an error in the worker's event loop.
+    """
     monkeypatch.setattr(workers, "CALL_BEHAVIORS", [WorkerBehavior.NOT_LOADED_TWICE])
     errors: list[dict[str, Any]] = []
 
