--- a/bench/crash_points.py
+++ b/bench/crash_points.py
@@ -212,6 +212,7 @@
         try:
             for step in steps:
                 for effect in ACTIONS:
+                    # `variant` is `deferred` of `crash_and_restart` or `keyed` of `lose_disk`.
                     for variant in (True,) if paused else (True, False):
                         if step == "cleared" and effect is Effect.IDEMPOTENT:
                             continue  # an idempotent call needs no clearance to run
--- a/bench/fault_injection/clients.py
+++ b/bench/fault_injection/clients.py
@@ -71,7 +71,7 @@
 class Clients:
     """Clients of all processes of a run.
 
-    `limits_ms` are the time limits from which requests choose.  Between two connections a client pauses for at most
+    `limits_ms` are the time limits from which the clients choose.  Between two connections a client pauses for at most
     `max_pause_s`."""
 
     def __init__(
--- a/bench/fault_injection/drain_check.py
+++ b/bench/fault_injection/drain_check.py
@@ -1,6 +1,6 @@
 """Check that processes stop sending work to draining workers within the drain grace period.
 
-It covers processes whose endpoint list was unavailable when the worker drained, too.
+This includes processes whose endpoint list was unavailable when the worker started to drain.
 """
 
 from __future__ import annotations
--- a/bench/fault_injection/workers.py
+++ b/bench/fault_injection/workers.py
@@ -1,4 +1,4 @@
-"""Fake workers that answer loads and calls at random: with results, refusals or noise, twice, late or not at all."""
+"""Fake workers that answer load orders and calls at random: with results, rejections, noise, twice, late or never."""
 
 from __future__ import annotations
 
--- a/bench/hedged_requests.py
+++ b/bench/hedged_requests.py
@@ -45,7 +45,7 @@
 
 
 VARIANTS = {
-    "none": Variant(False, "(second-share 0) (second-most 0)"),
+    "none": Variant(False, "(second-share 0) (second-most 0)"),  # no repeated attempts
     "rescues": Variant(False),  # retries only
     "hedged": Variant(True),
     "hedged, no budget": Variant(True, "(second-share 16) (second-most 1000000)"),
--- a/bench/passthrough.py
+++ b/bench/passthrough.py
@@ -1,7 +1,7 @@
 """Bare pass-through with the sockets and parsers of the gateway, but without dispatcher and activation records.
 
-It forwards the body of a request to the worker in the inference protocol and replies with the worker's result.  The
-gateway is compared with it.
+It forwards the body of a request to the worker in the inference protocol and replies with the worker's result.
+bench/overhead.py compares the gateway with it.
 """
 
 from __future__ import annotations
--- a/bench/replication_takeover.py
+++ b/bench/replication_takeover.py
@@ -26,6 +26,7 @@
 JOURNAL = "lost.1"
 BODY = b'{"family":7}' * 20
 ACTIVATION_TIMEOUT_MS = 600_000.0
+ENTRY_AGE_MS = 3000.0
 WORKERS, INSTANCES = 4, 64
 RECOVERY_BATCH = 200
 RESUMPTION_TIMEOUT_MS = 120_000
@@ -86,7 +87,9 @@
         entries: list[Any] = [Accepted(id_, "n", "f-0", now - 3000, ACTIVATION_TIMEOUT_MS, BODY)]
         if n >= unfinished:
             entries += [MayRun(id_, now - 2000, "w0"), Ended(id_, now, "completed", 0, BODY)]
-        items += [ReplicaEntry(entry.id, kinds.index(type(entry)), 3000.0, encode_entry(entry)[0]) for entry in entries]
+        items += [
+            ReplicaEntry(entry.id, kinds.index(type(entry)), ENTRY_AGE_MS, encode_entry(entry)[0]) for entry in entries
+        ]
     return tuple(items)
 
 
