--- a/kelptrail/front/inference/request_parsing.py
+++ b/kelptrail/front/inference/request_parsing.py
@@ -19,7 +19,7 @@
 IDEMPOTENCY_KEY, DEFERRED, POLL, WAIT_MS = "idempotency_key", "deferred", "poll", "wait_ms"
 OWN_PARAMETERS = (IDEMPOTENCY_KEY, DEFERRED, POLL, WAIT_MS)
 MODEL_VERSION = "1"  # Only version of each model
-MAX_PAYLOAD_GROWTH = 4  # Maximum size of a JSON payload, as a multiple of the maximum message size
+MAX_PAYLOAD_RATIO = 4  # Maximum size of a JSON payload, as a multiple of the maximum message size
 SHOWN_NAME_CHARACTERS, SHOWN_VERSION_CHARACTERS = 200, 50  # Maximum lengths in error texts
 
 
@@ -33,7 +33,7 @@
 
 
 def find_action(deployment: Deployment, name: str, version: str) -> ActionSettings:
-    """Return the action of a model; the name of the model is the path of the action."""
+    """Return the action of a model.  This API names a model by the path of its action, not by `action.model`."""
     action = deployment.actions.get(name)
     if action is None:
         raise GrpcError(Code.NOT_FOUND, f"there is no model {name[:SHOWN_NAME_CHARACTERS]!r}")
@@ -52,7 +52,7 @@
     inputs = _parse_inputs(request)
     key = _parse_key(parameters)
     payload = _encode_payload(request, inputs, parameters)
-    if len(payload) > deployment.inference.message_bytes * MAX_PAYLOAD_GROWTH:
+    if len(payload) > deployment.inference.message_bytes * MAX_PAYLOAD_RATIO:
         raise GrpcError(Code.RESOURCE_EXHAUSTED, "the tensors take too much room")
     digest = payload_digest(payload) if key is not None else ""
     return InferenceRequest(action, payload, key, digest)
--- a/kelptrail/front/invoke/replies.py
+++ b/kelptrail/front/invoke/replies.py
@@ -28,15 +28,19 @@
 
 
 def reply_error(exchange: Exchange, error: ApiError, code: str) -> None:
-    """Reply with an error; `code` identifies the request in the client's log."""
+    """Reply with an error; `code` is the field `code` of the body.
+
+    It is usually `InvokeContext.error_code()`, taken when the reply is sent.  It then contains the number of requests
+    so far: in a late reply, this is the number of a later request.
+    """
     exchange.reply(error.status, views.error(str(error), code, **error.details), error.headers)
 
 
 def reply_final(exchange: Exchange, record: Record, result_only: bool, code: str) -> None:
     """Reply with the final answer of an activation.
 
-    A deferred request receives it, too, if it ended before it was accepted.  `result_only` has no effect on a
-    rejection.
+    The client of a deferred request receives it instead of the activation id if the activation ended before the id was
+    sent.  With `result_only`, the body contains only the result, except for a rejection.
     """
     headers = {ACTIVATION_ID_HEADER: record.id}
     if record.answer == FinalStatus.REJECTED:
