--- a/kelptrail/dispatch/queue_service.py
+++ b/kelptrail/dispatch/queue_service.py
@@ -1,5 +1,7 @@
-"""Serves the queue of a function: admits, starts attempts, and adds instances while requests are queued.
+"""Serves the queue of a function: admits or rejects requests, starts attempts, and adds instances.
 
+An instance is added if more requests are queued than there are slots, loads in progress included, or if other
+dispatchers keep the function's instances busy.
 Times are milliseconds.
 """
 
@@ -15,16 +17,16 @@
 
 SEARCH_PAUSE_MS = 25.0  # saves CPU: minimum time between two searches for a worker for a queued function
 LOAD_TIMEOUT_FACTOR = 1.5  # a load in progress counts as future slots for this multiple of the load time
-LATE_SHARE = 0.5  # a request is late if an attempt of this share of the mean latency would miss its objective
-# Above this share of instances that others had already loaded, a trial attempt is sent before a load order.
-TRIAL_RATIO = 0.5
+# A request is late if less than this share of the mean latency is left until its latency objective passes.
+LATE_SHARE = 0.5
+TRIAL_RATIO = 0.5  # above this `InstanceTable.shared_ratio`, a trial attempt is sent before a load order
 
 
 class Supply(NamedTuple):
     """Capacity of the instances of a function, now and after the loads in progress."""
 
-    slots: int  # concurrency slots that are free or used by this dispatcher
-    loading_slots: int  # slots of instances that are being loaded
+    loaded_slots: int  # concurrency slots of loaded instances, free or used by this dispatcher
+    loading_slots: int  # concurrency slots of instances that are being loaded
     instance_count: int  # instances that are usable or being loaded
     worker_count: int  # workers with an instance loaded or being loaded
 
@@ -46,7 +48,7 @@
         self._queued_functions: dict[Function, None] = {}
 
     def resume_queued(self) -> None:
-        """Serve again the functions whose requests were left in the queue."""
+        """Mark the functions whose requests were left in the queue as runnable, so that `serve` is called."""
         self._state.runnable.update(self._queued_functions)
         self._queued_functions = {
             function: None for function in self._queued_functions if function.queue_depth
@@ -54,20 +56,22 @@
 
     def serve(self, now: float, function: Function) -> Decision | None:
         """Return the next decision about the function, or None if it needs none now."""
+        # Without requests, and without the need to search for another worker now, there is nothing to decide.
+        # This is so after most responses, and returning here saves CPU.
         if not (function.arrivals or function.queue_depth) and (
             function.target_worker_count < 2 or now < function.searched_at + function.load_ms
         ):
-            function.queued_since = None  # saves CPU: most responses leave nothing to decide
+            function.queued_since = None
             return None
         supply = self._supply(now, function)
-        slots = supply.slots + supply.loading_slots
-        if function.arrivals and (rejected := self._admit(now, function, slots)):
+        expected_slots = supply.loaded_slots + supply.loading_slots
+        if function.arrivals and (rejected := self._admit(now, function, expected_slots)):
             return rejected
         if function.queue_depth and (decision := self._serve_queue(now, function)):
             return decision
         if function.queue_depth:
             self._queued_functions[function] = None
-            wanted, pause_ms = function.queue_depth > slots, SEARCH_PAUSE_MS
+            wanted, pause_ms = function.queue_depth > expected_slots, SEARCH_PAUSE_MS
         else:
             # The function may need more workers without a queue here, if other dispatchers keep its instances
             # busy.
@@ -80,12 +84,14 @@
         return self._add_instance(now, function, supply.instance_count)
 
     def _supply(self, now: float, function: Function) -> Supply:
-        """Count the slots, instances and workers of the function.  Slots and loaded instances do not count at
-        a worker that is suspect, has not recovered from an ejection, or has used up its slow-start budget.
-        If no probe is allowed, they do not count at a worker of unknown readiness either: nothing that may
-        be sent there could make it known.
+        """Count the slots, instances and workers of the function.
+
+        Slots and loaded instances do not count at a worker that is suspect, has not recovered from an
+        ejection, or has used up its slow-start budget.  While the endpoint list is stale and no probe is
+        allowed, they do not count at a worker of unknown readiness either: nothing may be sent there, so no
+        answer can prove its readiness.  `worker_count` includes all these workers.
         """
-        slots = loading_slots = instance_count = worker_count = 0
+        loaded_slots = loading_slots = instance_count = worker_count = 0
         concurrency, request_class = function.concurrency, function.request_class
         readiness = self._safety.readiness
         stale_without_probes = not readiness.probe_kinds and readiness.list_is_stale(now)
@@ -100,39 +106,44 @@
             usable = usable and self._safety.has_budget(now, worker)
             usable = usable and (not stale_without_probes or readiness.is_known(now, worker))
             free = max(0, int(worker.concurrency_limit) - len(worker.attempts))
-            slots += min(instance.loaded * concurrency, instance.in_flight + free) * usable
+            loaded_slots += min(instance.loaded * concurrency, instance.in_flight + free) * usable
             if usable and order and now - order.placed_at < LOAD_TIMEOUT_FACTOR * function.load_ms:
                 loading_slots += loading_count * concurrency
             instance_count += instance.loaded * usable + loading_count
             worker_count += instance.loaded + loading_count > 0
-        return Supply(slots, loading_slots, instance_count, worker_count)
+        return Supply(loaded_slots, loading_slots, instance_count, worker_count)
 
-    def _admit(self, now: float, function: Function, slots: int) -> Request | None:
-        """Move arrivals into the queue until one is rejected; return that one, or None."""
+    def _admit(self, now: float, function: Function, expected_slots: int) -> Request | None:
+        """Move arrivals into the queue until one is rejected; return that one, or None.  `expected_slots`
+        includes the slots of instances that are being loaded.
+        """
         while function.arrivals:
             if (request := function.arrivals.popleft()).final_status:
                 continue
-            if self._queues.over_limit(now, request, slots):
+            if self._queues.over_limit(now, request, expected_slots):
                 return self._lifecycle.finish(now, request, TerminationReason.OVERLOAD)
             if now >= self._queues.latest_start(request):
                 return self._lifecycle.finish(now, request, TerminationReason.INSUFFICIENT_TIME)
-            if self._cannot_prove_readiness(now):
+            if self._no_worker_can_prove_readiness(now):
                 return self._lifecycle.finish(now, request, TerminationReason.READINESS_UNKNOWN)
             function.queue.append(request)
             request.queued = True
             self._lifecycle.check_deadline(now, request)
         return None
 
-    def _cannot_prove_readiness(self, now: float) -> bool:
-        """Return whether the list is stale, no probe is allowed, and no recent answer proves readiness."""
+    def _no_worker_can_prove_readiness(self, now: float) -> bool:
+        """Return whether the endpoint list is stale, no probe is allowed, and no live worker has proven its
+        readiness by a recent answer.
+        """
         readiness = self._safety.readiness
         if not readiness.list_is_stale(now) or readiness.probe_kinds:
             return False
         return not any(readiness.is_known(now, worker) for worker in self._state.workers if worker.live)
 
     def _serve_queue(self, now: float, function: Function) -> Attempt | ReadinessQuestion | Request | None:
-        """Return the next attempt, a readiness question that it depends on, or a request that can have no
-        attempt.  Return None if no request is queued or none of these is possible now.
+        """Return the next attempt.  Return a readiness question instead if its worker has to be asked first
+        whether it accepts new work, or a request that has ended because it can have no further attempt.
+        Return None if no request is queued or none of these is possible now.
         """
         while queue := function.queue or function.late_queue:
             request = queue[0]
@@ -160,19 +171,20 @@
                 function.late_queue.append(queue.popleft())
                 continue
             if (instance := self._placement.find_slot(now, request, queue is function.late_queue)) is None:
-                return self._query_or_reject(now, request, queue is function.late_queue)
+                return self._query_or_finish(now, request, queue is function.late_queue)
             return self._lifecycle.start_attempt(now, request, instance)
         return None
 
-    def _query_or_reject(
+    def _query_or_finish(
         self, now: float, request: Request, late: bool
     ) -> ReadinessQuestion | Request | None:
-        """Query a worker with a free slot for its readiness if the endpoint list is stale; end the request if
-        no worker can prove its readiness.
+        """Handle a request for which no slot was found.  If the endpoint list is stale, end the request if no
+        worker can prove its readiness and no attempt of the request is in flight; otherwise query a worker
+        with a free slot for its readiness.  Return None if the list is not stale or nothing can be done now.
         """
         if not self._safety.readiness.list_is_stale(now):
             return None
-        if self._cannot_prove_readiness(now) and all(attempt.status for attempt in request.attempts):
+        if self._no_worker_can_prove_readiness(now) and all(attempt.status for attempt in request.attempts):
             function = request.function
             (function.late_queue if late else function.queue).popleft()
             request.queued = False
@@ -198,30 +210,36 @@
             return self._questions.create(now, function, choice.worker)
         if (instance := self._instances.get_or_add(function, choice.worker)).load_order:
             return None
-        may_be_loaded = bool(
+        # A trial attempt needs a queued request.  It is useful only if another dispatcher may have loaded the
+        # instance: the function is loadable as far as known, and no recent attempt found it not loaded here.
+        may_try = bool(
             function.queue_depth
             and not instance.loaded
             and (function.has_loaded or not function.failed_loads)
             and now >= instance.not_loaded_at + function.load_ms
         )
         if (
-            may_be_loaded
+            may_try
             and self._instances.shared_ratio > TRIAL_RATIO
             and (attempt := self._trial_attempt(now, instance))
         ):
             return attempt
         if order := self._lifecycle.start_load(now, instance, instance.loaded + 1):
             return order
-        return self._try_without_load_order(now, instance, may_be_loaded)
+        return self._try_without_load_order(now, instance, may_try)
+
+    def _try_without_load_order(self, now: float, instance: Instance, may_try: bool) -> Attempt | None:
+        """Handle a load order that is not allowed now.
 
-    def _try_without_load_order(self, now: float, instance: Instance, may_be_loaded: bool) -> Attempt | None:
-        """Handle a load order that is not allowed: send a trial attempt if an instance may already be loaded.
-        Otherwise make the instance unavailable for a time, or remove it.
+        If an attempt found the instance not loaded within the last load time, the instance is unavailable
+        until one load time after that.  Otherwise send a trial attempt if `may_try` is set and the number of
+        unavailable instances of the function is below the number of workers that share its load.  Without an
+        attempt, remove the instance if it is not loaded, not in use and not unavailable.
         """
         function = instance.function
         if now < instance.not_loaded_at + function.load_ms:
             instance.unavailable_until = instance.not_loaded_at + function.load_ms
-        elif may_be_loaded:
+        elif may_try:
             unavailable_count = sum(now < other.unavailable_until for other in function.instances.values())
             if unavailable_count < function.target_worker_count and (
                 attempt := self._trial_attempt(now, instance)
@@ -232,11 +250,12 @@
         return None
 
     def _trial_attempt(self, now: float, instance: Instance) -> Attempt | None:
-        """Send the first queued request to an instance that another dispatcher has probably loaded; if it is
-        not loaded, a load order follows.  This avoids spending a small load ration on instances that are
-        already loaded.
+        """Send the first queued request, without a load order, to an instance that another dispatcher may
+        have loaded.  This saves load orders, whose ration may be small or used up.  If the instance turns out
+        not to be loaded, the next search may order the load.
         """
         function = instance.function
+        # The instance counts as loaded during the trial, and its renewal timer is set.
         self._instances.set_loaded(now, instance, 1)
         request = (function.queue or function.late_queue)[0]
         instance.trial_attempt = self._lifecycle.start_attempt(now, request, instance)
