--- a/kelptrail/gateway/admission.py
+++ b/kelptrail/gateway/admission.py
@@ -147,7 +147,7 @@
             state.keys.add(record)
         state.records.add(record)
         state.invocations[request] = state.invocations_by_id[record.id] = invocation
-        state.deadlines.add(request.deadline, request)
+        state.expiry_timers.add(request.deadline, request)
         state.counts.received += 1
         state.counters_of(record.path).received += 1
         state.limits.acquire(record.namespace, len(invocation.payload))
--- a/kelptrail/gateway/attempts.py
+++ b/kelptrail/gateway/attempts.py
@@ -84,7 +84,7 @@
         self._state.dispatcher.on_attempt_finished(now, attempt, result)
         if invocation is not None and not invocation.record.final and request.final_status is FinalStatus.COMPLETED:
             self._completion.finish(now, invocation, FinalStatus.COMPLETED)
-        self._state.settle(request)
+        self._state.forget_if_done(request)
 
     def _record_answer(
         self, now: float, invocation: Invocation, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -121,7 +121,7 @@
             return
         self._dispatcher.on_client_gone(invocation.request)
         self._completion.finish(now, invocation, FinalStatus.FAILED, CLIENT_GONE)
-        self.state.settle(invocation.request)
+        self.state.forget_if_done(invocation.request)
 
     # Durability.
 
@@ -220,7 +220,7 @@
         """Return the next effect to carry out, or None."""
         if now >= self._next_tick_at:
             self._tick(now)
-        while (expired := self.state.deadlines.pop_due(now)) is not None:
+        while (expired := self.state.expiry_timers.pop_due(now)) is not None:
             self._on_expired(now, expired)
         self._apply_journal_results(now)
         self._recovery.resume_ready(now)
@@ -236,7 +236,7 @@
 
     def next_due(self) -> float:
         """Return the latest time at which `next_effect` should be called again."""
-        dues = (self._next_tick_at, self.state.deadlines.next_due(), self._dispatcher.timers.next_due())
+        dues = (self._next_tick_at, self.state.expiry_timers.next_due(), self._dispatcher.timers.next_due())
         return min(due for due in dues if due is not None)
 
     def _tick(self, now: float) -> None:
@@ -259,12 +259,12 @@
         """
         invocation = self.state.invocations.get(request)
         if invocation is not None and invocation.expires_at > now:  # a part of its stream has arrived since
-            self.state.deadlines.add(invocation.expires_at, request)
+            self.state.expiry_timers.add(invocation.expires_at, request)
             return
         for attempt in request.attempts:
             if attempt.status is None:
                 self._attempts.cancel(now, attempt, CancelReason.SILENT)
-        invocation = self.state.invocations.get(request)  # cancelling the attempts may have settled the request
+        invocation = self.state.invocations.get(request)  # it may have been forgotten when its attempts ended
         if invocation is None or invocation.lifecycle.deferred:
             return
         if invocation.lifecycle.stage is RequestStage.FINAL:
@@ -301,7 +301,7 @@
         if isinstance(decision, Request):
             invocation = self.state.invocations[decision]
             self._completion.finish(now, invocation, decision.final_status or FinalStatus.FAILED)
-            self.state.settle(decision)
+            self.state.forget_if_done(decision)
             return None
         if decision.cancelled:
             self._attempts.cancel(now, decision, CancelReason.CANCELLED)
--- a/kelptrail/gateway/durability.py
+++ b/kelptrail/gateway/durability.py
@@ -244,4 +244,4 @@
             self.on_step("ended")
             invocation.record.durable = True
         self._state.effects.append(FinalAnswer(invocation))
-        self._state.settle(invocation.request)
+        self._state.forget_if_done(invocation.request)
--- a/kelptrail/gateway/recovery.py
+++ b/kelptrail/gateway/recovery.py
@@ -212,7 +212,7 @@
         invocation.lifecycle.queue()
         state.invocations[request] = state.invocations_by_id[accepted.id] = invocation
         self._resumed_ids.add(accepted.id)
-        state.deadlines.add(request.deadline, request)
+        state.expiry_timers.add(request.deadline, request)
         state.counts.received += 1
         state.limits.acquire(accepted.namespace, len(accepted.payload))
         state.dispatcher.on_request(now, request, count=False)
@@ -277,4 +277,4 @@
         durability_waiters, invocation.durability_waiters, invocation.waiters = invocation.durability_waiters, [], []
         for waiter in durability_waiters:
             waiter(None)
-        self._state.settle(invocation.request)
+        self._state.forget_if_done(invocation.request)
--- a/kelptrail/gateway/state.py
+++ b/kelptrail/gateway/state.py
@@ -22,14 +22,18 @@
 
 
 def is_repeat(attempt: Attempt) -> bool:
-    """Return whether an earlier attempt of the same request may have run: a hedge, or a retry after a failure."""
+    """Return whether an earlier attempt of the same request may have run.
+
+    This is the case for a hedge, and for a retry unless it is known of each earlier attempt that it did not run.
+    """
     return any(other.may_have_run for other in attempt.request.attempts[: attempt.number])
 
 
 class GatewayState:
     """The state of one gateway, which changes on one thread.
 
-    Only the gateway and its parts change it, except that the host updates `answer_ms`.
+    Only the gateway and its parts change it, except that the host (the program that runs the gateway) updates
+    `answer_ms`.  `boot` identifies the run of the process; it seeds the random draws of overload control.
     """
 
     def __init__(self, parts: DispatcherParts, boot: str) -> None:
@@ -38,11 +42,12 @@
         self.parts = parts
         self.dispatcher = parts.dispatcher
         self.margin_ms = settings.answer_margin_ms  # smallest time from a request's deadline to the client's timeout
-        self.answer_ms = 0.0  # average time that the host takes to write one answer, as measured by the host
+        self.answer_ms = 0.0  # time to write one answer; the host averages it over its rounds of effects
         self.invocations: dict[Request, Invocation] = {}
         self.invocations_by_id: dict[str, Invocation] = {}
         self.effects: deque[Effect] = deque()  # effects not yet returned to the host
-        self.deadlines = TimerQueue()  # times at which the attempts of a request are cancelled
+        # Requests by the time at which their attempts are cancelled, unless `Invocation.expires_at` is later by then.
+        self.expiry_timers = TimerQueue()
         self.keys = IdempotencyKeys()
         self.limits = InFlightLimits(
             settings.max_in_flight, settings.max_in_flight_mb * 1e6, settings.max_in_flight_per_namespace
@@ -60,7 +65,7 @@
         self.counters_by_model: dict[str, FunctionCounters] = {}  # counters since the last report to a planner
 
     def counters_of(self, path: str) -> FunctionCounters:
-        """Return the counters of the model of the action with this path."""
+        """Return the counters of the model that the action at this path calls."""
         model = self.parts.deployment.actions[path].model
         counters = self.counters_by_model.get(model)
         if counters is None:
@@ -75,14 +80,21 @@
         return taken
 
     def start_attempt(self, invocation: Invocation, attempt: Attempt) -> None:
-        """Count an attempt that starts.  Raises `IllegalStepError` where its may-run entry is not durable."""
+        """Start a decided attempt in the lifecycle of its request, and count it.
+
+        Raises `IllegalStepError` if no decided attempt waits to start, if the may-run entry is required and not
+        durable, or if the final answer is decided.
+        """
         invocation.lifecycle.start_attempt()
         self.counts.repeat_attempts += is_repeat(attempt)
         invocation.record.attempt_count += 1
         self.counts.attempts += 1
 
-    def settle(self, request: Request) -> None:
-        """Forget a request once its final answer is shown and none of its attempts is in flight."""
+    def forget_if_done(self, request: Request) -> None:
+        """Forget the request if its stage is `PUBLISHED` and none of its attempts is in flight.
+
+        In this stage the final answer may be shown, or another dispatcher has taken the request over.
+        """
         invocation = self.invocations.get(request)
         if (
             invocation is not None
--- a/kelptrail/gateway/streaming.py
+++ b/kelptrail/gateway/streaming.py
@@ -41,4 +41,4 @@
         stall_ms = request_class.stream_stall_ms if reading else float("inf")
         before, invocation.expires_at = invocation.expires_at, min(request.deadline, now + stall_ms)
         if invocation.expires_at < before or invocation.part_count == 1:
-            self._state.deadlines.add(invocation.expires_at, request)
+            self._state.expiry_timers.add(invocation.expires_at, request)
