--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -37,8 +37,10 @@
 
 CAPABILITY = "lease"  # capability by which peers announce that they support these messages
 MESSAGE_TYPES = (AcquireRequest, Grant, Refusal, Release, Transferred, StateRequest, StateReply, WriteNote, NoteWritten)
+# Messages that the acceptor of the receiving process handles; its client handles the others.
 ACCEPTOR_MESSAGES = (AcquireRequest, Release, StateRequest, StateReply, WriteNote)
-MAX_TIMER_MS = 1000.0  # maximum delay of the timer, because the rate of the clock may change
+# Maximum delay of the timer: it runs on the event loop's clock, and clock faults may change the rate of `now_ms`.
+MAX_TIMER_MS = 1000.0
 TIMER_MARGIN_S = 0.0005  # ensures that the due time has been reached when the timer fires
 STORE_CLOSE_MS = 500.0  # timeout of closing the store
 OnAcquired = Callable[[FencingToken], None]
@@ -60,6 +62,7 @@
 class LeaseDriver:
     """The lease client of one process, and its acceptor if it runs one.
 
+    A lease belongs to a task: a named job that only the holder of the lease may carry out.
     `run` identifies the run of the process, and is unique among all runs of the same name.
     """
 
@@ -68,7 +71,7 @@
         self._loop = asyncio.get_running_loop()
         self.client = LeaseClient(name, f"{name}/{run}", settings)
         self.acceptor: Acceptor | None = None
-        self._journal: JournalDriver | None = None
+        self._journal: JournalDriver | None = None  # writes to the acceptor's store
         self._callbacks: dict[str, LeaseCallbacks] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._running = self._stopped = False
@@ -88,6 +91,7 @@
         if opened.damage:
             self._log.error("acceptor-store-set-aside", file=str(file), reason=opened.damage)
         acceptor = self.acceptor = Acceptor(self.name, self.settings, now_ms(), opened.state, opened.rows)
+        # `number` is the version of the acceptor set.
         self._log.info(
             "acceptor-stage", stage=acceptor.stage.value, number=acceptor.config_number, tasks=len(opened.rows)
         )
@@ -100,12 +104,12 @@
         self.run_pending()
 
     def release_except(self, prefix: str) -> None:
-        """Release all tasks except those whose names begin with `prefix`."""
+        """Release all leases, and stop acquiring others, except those of tasks whose names begin with `prefix`."""
         for task in [task for task in self.client.requests if not task.startswith(prefix)]:
             self.release(task)
 
     async def stop(self) -> None:
-        """Release all tasks, and close the store."""
+        """Release all leases, stop the client and the acceptor, and close the store."""
         for task in list(self.client.requests):
             self.release(task)
         self._stopped, self.acceptor = True, None
@@ -133,7 +137,11 @@
         self.run_pending()
 
     def release(self, task: str, successor: str = "") -> None:
-        """Release a task, to `successor` if one is named.  The caller must have ended all work that needs the lease."""
+        """Release the lease of a task, or stop acquiring it.
+
+        `successor` is the name of the client that should acquire it next, or empty.  The caller must have ended all
+        work that needs the lease.
+        """
         self.client.release(now_ms(), task, successor)
         self.run_pending()
 
@@ -151,7 +159,7 @@
         return sequence
 
     def inherited_note(self, task: str) -> bytes:
-        """Return the latest note that a grant of the lease contained, or empty bytes if there is none.
+        """Return the latest note in the grants of the lease, or empty bytes if there is none.
 
         When the lease is acquired, this is the note of earlier holders.  After a renewal it may be this holder's own.
         """
@@ -159,7 +167,10 @@
         return request.inherited_note.text if request is not None else b""
 
     def keep_connected(self, names: set[str], owner: str) -> None:
-        """Keep connections to these peers, instead of the earlier ones of `owner`, in addition to the acceptors."""
+        """Keep connections to the peers `names`, in addition to the acceptors.
+
+        `owner` identifies the part of the program that needs them; `names` replaces its earlier ones.
+        """
         if self._extra_peers.get(owner) != names:
             self._extra_peers[owner] = names
             self._update_connections()
@@ -178,7 +189,10 @@
             self.acceptor.on_message(now_ms(), sender, message)
 
     def run_pending(self) -> None:
-        """Run the client and the acceptor until nothing is due or queued, then schedule the timer."""
+        """Run the due steps of the client and the acceptor, process output until none is queued, and set the timer.
+
+        Do nothing during another call, which processes the output itself, or after `stop`.
+        """
         if self._running or self._stopped:
             return
         self._running = True
@@ -213,7 +227,8 @@
         while acceptor is not None and acceptor.pending_writes and self._journal is not None:
             had_output = True
             write = acceptor.pending_writes.popleft()
-            # The write of a stage is retried until it succeeds.  A grant whose write fails is not answered.
+            # A write with `state`, which changes the stage, is retried until it succeeds.  Any other write may fail;
+            # then its reply, a grant or the acknowledgement of a note, is not sent.
             self._journal.group_commit.write(write, partial(self._on_written, write), write.state is not None)
         if self._journal is not None:
             self._journal.start_next_batch()
@@ -225,11 +240,11 @@
     def _on_written(self, write: Write, durable: bool) -> None:
         if self.acceptor is not None:
             if durable and write.reply is not None:
-                self.step_hook("voted")  # the grant is durable, but its reply has not been sent yet
-            stage_before = self.acceptor.stage
+                self.step_hook("voted")  # the grant or note is durable, but the reply has not been sent yet
+            stage = self.acceptor.stage
             self.acceptor.on_written(write, durable)
             if write.state is not None:
-                self._log.info("acceptor-stage", stage=stage_before.value, number=self.acceptor.config_number)
+                self._log.info("acceptor-stage", stage=stage.value, number=self.acceptor.config_number)
 
     def _notify(self, event: LeaseEvent) -> None:
         callbacks = self._callbacks[event.task]
@@ -263,8 +278,9 @@
         now, silence_ms, client = now_ms(), self._peers.ms_since_received(), self.client
         return {
             "name": self.name,
-            "number": client.config_number,
-            # Time in ms since data of each acceptor was received: None if it is not connected, 0 for this process.
+            "number": client.config_number,  # version of the acceptor set
+            # Acceptors, with the time in ms since data was last received from each: None if it is not connected, 0 for
+            # this process itself.
             "voters": {
                 name: None if name != self.name and name not in silence_ms else round(silence_ms.get(name, 0.0))
                 for name in client.acceptors
@@ -274,21 +290,24 @@
                 for task in sorted(client.requests)
                 if (token := client.held_token(now, task)) is not None
             },
-            "wants": sorted(client.requests),
+            "wants": sorted(client.requests),  # tasks whose leases this process holds or acquires
+            # Last holder of each task that an acceptor named in a refusal, with the estimated rest of its lease.
             "seen": {
                 task: {"token": str(holder.token), "left_ms": max(0, round(holder.expires_at - now))}
                 for task, holder in sorted(client.known_holders.items())
             },
+            # State of the acceptor of this process.
             "vote": None if self.acceptor is None else self._acceptor_status(now, self.acceptor),
-            "messages": self.message_count,
+            "messages": self.message_count,  # messages received from peers
         }
 
     def _acceptor_status(self, now: float, acceptor: Acceptor) -> dict[str, Any]:
         is_disk_failing = self._journal is not None and self._journal.group_commit.failing
         return {
             "stage": acceptor.stage.value,
-            "number": acceptor.config_number,
+            "number": acceptor.config_number,  # version of the acceptor set
             "disk": "failing" if is_disk_failing else "well",
+            # Highest token that was granted or released here, and the rest of its lease; 0 if it is not held.
             "tasks": {
                 task: {
                     "token": str(record.highest_token),
