--- a/kelptrail/replication/replica_stream.py
+++ b/kelptrail/replication/replica_stream.py
@@ -1,4 +1,4 @@
-"""The stream of `Append` messages from a primary to one replica: its state and the unacknowledged ones."""
+"""The stream of `Append` messages from a primary to one replica: its state and the unacknowledged messages."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
 
 
 class StreamState(Enum):
-    """State of a replica; the values appear in the status for operators."""
+    """State of the stream to a replica; the values appear in the status for operators."""
 
     OPENING = "opening"  # waiting for the replica's digests
     REPAIRING = "filling"  # copying the buckets that differ
-    IN_SYNC = "whole"  # the replica has everything that the primary has
+    IN_SYNC = "whole"  # the repair is complete: the replica lacks at most the unacknowledged messages
 
 
 @dataclass(slots=True, eq=False)
 class Batch:
     """Entries that are committed together.
 
-    The callbacks in `on_commit` get True if the in-sync set has as many replicas as configured.
+    The callbacks in `on_commit` are called when the batch is committed, with True if the in-sync set then contains, in
+    addition to the primary, as many replicas as configured.
     """
 
     number: int
@@ -41,12 +42,13 @@
 class UnackedAppend(NamedTuple):
     """A message that the replica has not acknowledged.
 
-    `batch` is the number of the last batch that the message completes, or 0 if it completes none.
+    With this message and all earlier ones, the replica has all batches up to number `completed_batch`; 0 if no batch
+    ends with this message.
     """
 
     append: Append
     size_bytes: int
-    batch: int
+    completed_batch: int
     queued_at: float
 
 
@@ -64,24 +66,26 @@
 
     replica: str
     stream_id: int
-    waiting_since: float  # start of the wait for an acknowledgement, or last contact with the replica
+    # While the stream awaits a reply: start of the wait, which restarts with each acknowledgement.  Otherwise: last
+    # contact with the replica.
+    waiting_since: float
     state: StreamState = StreamState.OPENING
     disk_id: str = ""  # empty until the first reply
-    last_sequence: int = 0  # number of the last message that was queued
-    acked_sequence: int = 0
+    last_sequence: int = 0  # number of the last message; set before the message is passed to `queue`
+    acked_sequence: int = 0  # number of the last message that the replica has stored
     acked_batch: int = 0  # number of the last batch that the replica has stored
-    repaired_batch: int = 0  # number of the last batch whose entries the repair includes
-    repair_end: int = 0  # message whose acknowledgement ends the repair; 0 until it is queued
+    repaired_batch: int = 0  # last batch whose entries the copied buckets include; later ones are deferred batches
+    repair_end: int = 0  # number of the message whose acknowledgement ends the repair; 0 until it is queued
     retry_at: float = 0.0  # time at which unacknowledged messages are sent again
     repair_at: float = 0.0  # earliest time of the next bucket read, set by the rate limit or a failed read
     reading_bucket: int = -1  # bucket that is being read from the local disk; -1 if none
     differing_buckets: deque[int] = field(default_factory=deque)
     unacked: deque[UnackedAppend] = field(default_factory=deque)
-    deferred_batches: list[Batch] = field(default_factory=list)  # batches to be sent after the repair
-    sent_sequence: int = 0
+    deferred_batches: list[Batch] = field(default_factory=list)  # batches to be sent after the copied buckets
+    sent_sequence: int = 0  # number of the last message sent; set back to `acked_sequence` to send again
     unacked_bytes: int = 0
-    repaired_bytes: int = 0
-    verify_at: float = 0.0
+    repaired_bytes: int = 0  # size of the entries in the copied buckets
+    verify_at: float = 0.0  # time of the next digest check
     verify_bucket: int = 0  # first bucket of the next digest check
 
     @property
@@ -89,16 +93,19 @@
         """Whether the replica has to acknowledge a message or to reply to the opening of the stream."""
         return bool(self.unacked) or self.state is StreamState.OPENING
 
-    def queue(self, now: float, append: Append, batch: int, retry_ms: float) -> None:
-        """Queue the next message; `append.sequence` must be `last_sequence`."""
+    def queue(self, now: float, append: Append, completed_batch: int, retry_ms: float) -> None:
+        """Queue a message that the caller has already counted: `append.sequence` must equal `last_sequence`."""
         size_bytes = entries_size(append.entries)
         if not self.unacked:
             self.waiting_since, self.retry_at = now, now + retry_ms
-        self.unacked.append(UnackedAppend(append, size_bytes, batch, now))
+        self.unacked.append(UnackedAppend(append, size_bytes, completed_batch, now))
         self.unacked_bytes += size_bytes
 
     def take_sendable(self, now: float, window_bytes: int) -> list[UnackedAppend]:
-        """Return the unsent messages that begin within the window, with updated delays, and record them as sent."""
+        """Return the unsent messages that the window allows, with updated delays, and record them as sent.
+
+        A message may be sent if the unacknowledged messages before it are together smaller than the window.
+        """
         sendable = list[UnackedAppend]()
         for unacked in self.unacked:
             if window_bytes <= 0:
@@ -114,7 +121,7 @@
         while self.unacked and self.unacked[0].append.sequence <= sequence:
             unacked = self.unacked.popleft()
             self.unacked_bytes -= unacked.size_bytes
-            self.acked_batch = max(self.acked_batch, unacked.batch)
+            self.acked_batch = max(self.acked_batch, unacked.completed_batch)
         self.acked_sequence, self.waiting_since, self.retry_at = sequence, now, now + retry_ms
         self.sent_sequence = max(self.sent_sequence, sequence)
 
@@ -126,7 +133,7 @@
 
 
 def entries_size(entries: Iterable[ReplicaEntry]) -> int:
-    """Return the size of entries in bytes as the window counts it."""
+    """Return the size of entries that counts towards the window: the length of their ids and data, in bytes."""
     return sum(len(entry.id) + len(entry.data) for entry in entries)
 
 
