--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(("path", "invalid"), INVALID_VALUES, ids=[path for path, _ in INVALID_VALUES])
-def test_a_missing_or_invalid_setting_is_reported_by_name_and_not_applied(path: str, invalid: list[Any]) -> None:
+def test_a_missing_or_invalid_setting_is_reported_by_name(path: str, invalid: list[Any]) -> None:
     running = config.parse(json.dumps(configuration()))
     *parents, last = path.split(".")
     reported_path = "".join(f"[{key}]" if key.isdecimal() else f".{key}" for key in [*parents, last]).replace(
@@ -81,7 +81,8 @@
             del container[last]
         else:
             container[last] = value
-        only_at_startup = path.split(".")[0] in ("name", "listen", "seed", "limits")  # not applied on SIGHUP
+        # A reload on SIGHUP neither applies nor validates these settings.
+        only_at_startup = path.split(".")[0] in ("name", "listen", "seed", "limits")
         for current in [None] if only_at_startup else [None, running]:
             with pytest.raises(config.ConfigError) as raised:
                 config.parse(json.dumps(raw), current)
@@ -89,7 +90,7 @@
             assert reported_path in message and "\n" not in message, message
 
 
-def test_unknown_settings_and_absent_optional_ones_are_accepted() -> None:
+def test_unknown_settings_and_optional_ones_with_null_are_accepted() -> None:
     raw = configuration()
     raw["settings"]["classes"][0] |= {"colour": "red", "key_scope": None, "window_us": None}
     for part in ("bounds", "rules", "specifics", "report"):
@@ -244,7 +245,7 @@
             process.send_signal(signal.SIGHUP)
             line = await process.stdout.readline()
             assert b"configuration kept" in line and b"settings.rules.fall_us" in line
-            assert len(platform.polled_from) == 2, "the address of the endpoint list is unchanged"
+            assert len(platform.polled_from) == 2, "the endpoint list was not polled once after each start"
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
 
--- a/tests/test_platform_fuzz.py
+++ b/tests/test_platform_fuzz.py
@@ -1,4 +1,4 @@
-"""A short run of bench/platform_fuzz.py: processes of the program under random signals, closes and answers."""
+"""Tests of bench/platform_fuzz.py, which runs the platform's program under random faults, and of its fake workers."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 
 def test_a_second_answer_on_a_closed_connection_is_dropped(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The worker sends it some milliseconds after the first one, when the dispatcher may have closed the connection."""
+    """A fake worker sends the second answer up to 20 ms after the first one, so the connection may have ended before.
+
+    Here the test is the client, and aborts the connection after the first answer.  No error may reach the event loop.
+    """
     monkeypatch.setattr(workers, "CALL_BEHAVIORS", [WorkerBehavior.NOT_LOADED_TWICE])
     errors: list[dict[str, Any]] = []
 
@@ -40,6 +43,10 @@
 
 @pytest.mark.scenarios
 def test_no_rule_is_violated_under_random_signals_closes_and_answers() -> None:
+    """Short run: processes get random signals, connections close at random, and workers answer at random.
+
+    The run checks the five rules (kelptrail/dispatch/safety.py) and two further conditions.
+    """
     done = subprocess.run(
         [sys.executable, "bench/platform_fuzz.py", "--days", "1", "--seconds", "5"],
         cwd=ROOT,
--- a/tests/test_platform_load.py
+++ b/tests/test_platform_load.py
@@ -1,4 +1,4 @@
-"""The platform's program under load: seeded faults, signals, memory and descriptors."""
+"""The platform's program under load: with faulty workers and signals, and its use of memory and descriptors."""
 
 from __future__ import annotations
 
@@ -32,9 +32,10 @@
 
 
 class UnreliableWorker(WorkerStub):
-    """Answers correctly, twice, with an error, malformed, with a reset or not at all, as a seeded generator chooses.
+    """Handles each call as a seeded generator chooses, after up to 30 ms, and records the behavior in `behaviors`.
 
-    Answers take up to 30 ms.  Records its behavior for each attempt in `behaviors`.
+    It returns the result once or twice, returns an error, reports that the function is not loaded or that it has no
+    capacity, sends a malformed answer, resets the connection, or does not answer.
     """
 
     def __init__(self, rng: random.Random, behaviors: dict[bytes, list[str]]) -> None:
@@ -43,12 +44,13 @@
 
     @property
     def load(self) -> bytes:
+        """The answer to a load order, no capacity in one of ten cases; reading it records the time of the order."""
         self.last_command_at = asyncio.get_running_loop().time()
         return self.rng.choice([b"OK units=1 0"] * 9 + [b"BUSY units=0 0"])
 
     @load.setter
     def load(self, _: bytes) -> None:
-        pass
+        pass  # `WorkerStub` sets it, but the answer is drawn for each order
 
     def answer_call(self, _: WorkerStub, id_: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
@@ -70,11 +72,11 @@
 
 
 class Caller:
-    """One client of a load: sends requests and records each answer with its time."""
+    """One client that generates load: sends requests, and records each answer with its time, code and body."""
 
     def __init__(self, client: Client, base: int) -> None:
         self.client, self.base, self.sent, self.answers = client, base, dict[int, tuple[float, float, str]](), {}
-        self.accepts_more = True
+        self.accepts_more = True  # False once the dispatcher has sent GOAWAY: it accepts no more requests here
         self.received: dict[int, list[tuple[float, int, bytes]]] = collections.defaultdict(list)
         self._reader = asyncio.create_task(self._read())
 
@@ -92,7 +94,7 @@
         )
 
     @property
-    def open(self) -> int:
+    def unanswered_count(self) -> int:
         return len(self.sent) - len(self.received)
 
     async def _read(self) -> None:
@@ -125,9 +127,9 @@
             drained_at = 0.0
             for n in range(1, 121):
                 for caller in callers:
-                    if caller.open < 24:
+                    if caller.unanswered_count < 24:
                         caller.send_request(n, rng.choice("ttko"), rng.choice((400, 800, 1500)))
-                if n == 60:  # one worker drains
+                if n == 60:  # one worker drains; a reload without changes at the same time must not lose the event
                     endpoint = platform.configuration["known"]["entries"][0]["hosts"]["targets"][3]["endpoint"]
                     port = int(endpoint.rpartition(":")[2])
                     platform.push(event(2, 2, (3, port, 1)))
@@ -135,7 +137,7 @@
                     drained_at = loop.time()
                 await asyncio.sleep(0.03)
             async with asyncio.timeout(4):
-                while any(caller.open for caller in callers):
+                while any(caller.unanswered_count for caller in callers):
                     await asyncio.sleep(0.05)
             await asyncio.sleep(0.1)  # no second answer may arrive
             code_counts = collections.Counter[int]()
@@ -143,18 +145,22 @@
                 for n, (_, deadline, kind) in caller.sent.items():
                     ((at, code, body),) = caller.received[n]
                     code_counts[code] += 1
-                    assert at <= deadline + SLACK_S, "answered before the deadline"
-                    executed = [d for d in behaviors[f"{caller.base + n:016x}".encode()] if d not in ("MISS", "BUSY")]
+                    assert at <= deadline + SLACK_S, "answer after the deadline"
+                    may_have_run = [
+                        behavior
+                        for behavior in behaviors[f"{caller.base + n:016x}".encode()]
+                        if behavior not in ("MISS", "BUSY")
+                    ]
                     assert (code == frames.SERVED) <= (body == b"%d" % (caller.base + n)), (
-                        "a served request gets the worker's answer to it"
+                        "served with a body that is not the worker's answer to this request"
                     )
                     if kind == "o":
-                        assert len(executed) <= 1, "at-most-once request was executed twice"
-                        assert not (executed and code == frames.REFUSED), "a rejected request had no effect"
+                        assert len(may_have_run) <= 1, "at-most-once request may have run twice"
+                        assert not (may_have_run and code == frames.REFUSED), "rejected request may have run"
                 caller.close()
             assert code_counts[frames.SERVED] > 0.5 * sum(code_counts.values()) and sum(code_counts.values()) > 700
             assert platform.service.last_event_number == 2 and workers[3].last_command_at < drained_at + 0.5, (
-                "the drain is respected"
+                "drain event not applied, or the drained worker still received commands"
             )
             async with asyncio.timeout(4):
                 while platform.service.engine.requests:  # until unanswered attempts have timed out
@@ -187,7 +193,7 @@
                 await asyncio.sleep(0.02)
             for n in range(1, 400):
                 for caller in callers:
-                    if caller.accepts_more and caller.open < 20:
+                    if caller.accepts_more and caller.unanswered_count < 20:
                         caller.send_request(n, "t", 1500)
                 if n == 100:
                     process.send_signal(signal.SIGHUP)
@@ -195,9 +201,11 @@
                     process.send_signal(signal.SIGTERM)
                 await asyncio.sleep(0.005)
             assert await process.wait() == 0
-            assert all(len(caller.sent) > 100 and not caller.accepts_more for caller in callers), "GOAWAY was received"
+            assert all(len(caller.sent) > 100 and not caller.accepts_more for caller in callers), (
+                "client sent at most 100 requests, or received no GOAWAY"
+            )
             assert all(len(c.received[n]) == 1 for c in callers for n in c.sent), (
-                "each request is answered exactly once"
+                "request without an answer, or with more than one"
             )
             codes = collections.Counter(code for c in callers for n in c.sent for _, code, _ in c.received[n])
             # A machine that stalls may cause rejections, but a signal must not cause failures.
@@ -206,29 +214,29 @@
     run(main())
 
 
-def test_memory_and_descriptors_do_not_grow_with_connections_ids_and_functions() -> None:
+def test_memory_and_descriptors_do_not_grow_with_connections_and_request_ids() -> None:
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
             samples: list[tuple[int, int]] = []
             tracemalloc.start()
             for phase in range(5):
                 for n in range(80):
-                    clients: list[Any] = [Caller(await platform.client(), 10**6 * phase + 100 * n) for _ in range(3)]
-                    for number, caller in enumerate(clients):
+                    callers: list[Any] = [Caller(await platform.client(), 10**6 * phase + 100 * n) for _ in range(3)]
+                    for number, caller in enumerate(callers):
                         caller.base += 10 * number
                         caller.send_request(1, "t", 100)
                         caller.send_request(2, "t", 100)
                     async with asyncio.timeout(2):
-                        while any(caller.open for caller in clients):
+                        while any(caller.unanswered_count for caller in callers):
                             await asyncio.sleep(0.002)
-                    for caller in clients:
+                    for caller in callers:
                         caller.close()
                 await asyncio.sleep(0.3)
                 gc.collect()
                 samples.append((tracemalloc.get_traced_memory()[0], len(os.listdir("/proc/self/fd"))))
             tracemalloc.stop()
             assert not platform.service.engine.requests and not len(platform.service.client_server.connections)
-            assert samples[-1][1] <= samples[1][1] + 4, "descriptors"
-            assert samples[-1][0] - samples[2][0] < 150_000, "bytes over a thousand requests"
+            assert samples[-1][1] <= samples[1][1] + 4, "more than 4 further descriptors are open after three phases"
+            assert samples[-1][0] - samples[2][0] < 150_000, "memory grew by 150 kB or more over 960 requests"
 
     run(main())
