--- a/tests/test_dispatch_readiness.py
+++ b/tests/test_dispatch_readiness.py
@@ -377,13 +377,13 @@
     delays, workers = WorkerDelays(), [Worker(f"w{n}") for n in range(4)]
     for _ in range(20):
         for n, worker in enumerate(workers):
-            delays.observe(0.0, worker, delayed=n == 0)
+            delays.observe(0.0, worker, delayed_or_refused=n == 0)
     assert [delays.is_outlier(0.0, worker) for worker in workers] == [True, False, False, False]
     for _ in range(20):
         for worker in workers:
-            delays.observe(0.0, worker, delayed=True)
+            delays.observe(0.0, worker, delayed_or_refused=True)
     assert not any(delays.is_outlier(0.0, worker) for worker in workers)
-    delays.observe(60_000.0, workers[0], delayed=True)
+    delays.observe(60_000.0, workers[0], delayed_or_refused=True)
     assert not delays.is_outlier(60_000.0, workers[0]), "there is no other worker to compare it with"
 
 
