--- a/kelptrail/lease/driver.py
+++ b/kelptrail/lease/driver.py
@@ -91,7 +91,7 @@
         if opened.damage:
             self._log.error("acceptor-store-set-aside", file=str(file), reason=opened.damage)
         acceptor = self.acceptor = Acceptor(self.name, self.settings, now_ms(), opened.state, opened.rows)
-        # `number` is the version of the acceptor set.
+        # `number` is the version of the acceptor set, here and in `_on_written`.
         self._log.info(
             "acceptor-stage", stage=acceptor.stage.value, number=acceptor.config_number, tasks=len(opened.rows)
         )
