--- a/tests/test_platform_fuzz.py
+++ b/tests/test_platform_fuzz.py
@@ -1,4 +1,4 @@
-"""A fake worker of bench/platform_fuzz.py, and a short run under random signals, closes and answers."""
+"""Tests of bench/platform_fuzz.py, which runs the platform's program under random faults, and of its fake workers."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 def test_a_second_answer_on_a_closed_connection_is_dropped(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """With NOT_LOADED_TWICE, a worker sends its second answer some milliseconds after the first.
+    """A fake worker sends the second answer up to 20 ms after the first one, so the connection may have ended before.
 
-    If the dispatcher has closed the connection by then, the write must not raise an error in the worker's event loop.
+    Here the test is the client, and aborts the connection after the first answer.  No error may reach the event loop.
     """
     monkeypatch.setattr(workers, "CALL_BEHAVIORS", [WorkerBehavior.NOT_LOADED_TWICE])
     errors: list[dict[str, Any]] = []
@@ -43,6 +43,10 @@
 
 @pytest.mark.scenarios
 def test_no_rule_is_violated_under_random_signals_closes_and_answers() -> None:
+    """Short run: processes get random signals, connections close at random, and workers answer at random.
+
+    The run checks the five rules (kelptrail/dispatch/safety.py) and two further conditions.
+    """
     done = subprocess.run(
         [sys.executable, "bench/platform_fuzz.py", "--days", "1", "--seconds", "5"],
         cwd=ROOT,
