--- a/kelptrail/planner/channel.py
+++ b/kelptrail/planner/channel.py
@@ -1,8 +1,8 @@
 """Messages between edges and planners, and the protocol state of both ends; free of I/O.
 
 An edge reports at a bounded rate; counters that could not be sent are added to the next report.  A planner has one plan
-in flight to an edge at a time: a newer plan replaces the one that waits, so a slow edge costs the memory of one plan.
-Heartbeats in both directions detect a dead connection and tell the edge which planner leads.
+in flight to an edge at a time: a newer plan replaces the one not sent yet, so a slow edge costs the memory of one plan.
+Heartbeats in both directions detect a dead connection; those of the leading planner tell the edge that it still leads.
 """
 
 from __future__ import annotations
@@ -23,8 +23,9 @@
 class UsageReport(msgspec.Struct, frozen=True, tag="report", array_like=True):
     """An edge's counters since its last report, and its loaded instances.
 
-    `order`: order of the latest plan that the edge has accepted; `leader_silent_ms`: time since the last heartbeat or
-    accepted plan of the leading planner.  `loaded` has all instances if `complete`, else only the counts that changed.
+    `order`: order of the latest plan accepted or read from disk (`PlanState.fence`); `leader_silent_ms`: time since the
+    last contact with the leading planner (`LeaderContact`).  `loaded` has all instances if `complete`, else only the
+    counts that changed.
     """
 
     order: PlanOrder
@@ -43,7 +44,7 @@
 class PlanReply(msgspec.Struct, frozen=True, tag="reply", array_like=True):
     """An edge's reply to a plan: `reason` is empty if it was accepted, else a `RefusalReason` value.
 
-    `order`: order of the accepted plan or, after a refusal, of the latest plan that the edge has accepted.
+    `order`: order of the accepted plan or, after a refusal, of the latest plan accepted or read from disk.
     """
 
     order: PlanOrder
@@ -84,7 +85,7 @@
         self._reported: InstanceCounts | None = None  # loaded instances as of the last report; None before the first
         self._next_report_ms = now
         self.last_received_ms = now
-        self.planner = ""
+        self.planner = ""  # name of the planner; empty until its `Hello` arrives
         self.writing = False  # set by the driver while it sends output
 
     def on_message(
@@ -112,6 +113,7 @@
         try:
             packet = decode_plan(data)
         except PlanError as cause:
+            # DIGEST also stands for data that cannot be decoded: the protocol has no reason of its own for it.
             self.output.append(encode_frame(PlanReply(self._plan_state.fence, RefusalReason.DIGEST.value, str(cause))))
             return PlanResult.REFUSED
         refusal = self._plan_state.on_plan(now, packet, live, endpoints_version)
@@ -136,7 +138,7 @@
             self._counters[model] = self._counters.get(model, FunctionCounters()).plus(counted)
 
     def queue_report(self, now: float, loaded: InstanceCounts) -> None:
-        """Queue a report with the counters and the instances that changed since the last one."""
+        """Queue a report: the counters and the instances changed since the last one; the first has all instances."""
         self._next_report_ms = now + self._report_ms
         reported = self._reported
         changed = loaded if reported is None else _changed_instances(reported, loaded)
@@ -157,7 +159,7 @@
 
 
 def _changed_counts(before: dict[str, int], after: dict[str, int]) -> dict[str, int]:
-    """Return the changed counts; unlike in `plan.difference`, a worker that appears with 0 instances is a change."""
+    """Return the counts that differ; unlike in `plan.difference`, a count of 0 differs from a missing one."""
     return {
         worker: after.get(worker, 0)
         for worker in before.keys() | after.keys()
@@ -166,7 +168,10 @@
 
 
 class LeaderContact:
-    """Time of the last heartbeat or accepted plan that an edge received from the leading planner."""
+    """Time of the last heartbeat or accepted plan that an edge received from the leading planner.
+
+    Before the first one it is the time of creation.
+    """
 
     def __init__(self, now: float) -> None:
         self.last_ms = now
@@ -189,10 +194,10 @@
     def __init__(self, name: str, lineage: str) -> None:
         self._lineage = lineage
         self.output: list[bytes] = [encode_frame(Hello(VERSION, name, lineage))]
-        self.edge = ""
+        self.edge = ""  # name of the edge; empty until its `Hello` arrives
         self.loaded: InstanceCounts = {}  # instances loaded according to the edge, accumulated from its reports
-        self._waiting_plan: OfferedPlan | None = None
-        self._last_accepted: Plan | None = None  # base of the next difference; None: the next plan is sent complete
+        self._next_plan: OfferedPlan | None = None
+        self._last_accepted: Plan | None = None  # possible base of a difference; None: the next plan is sent complete
         self._in_flight: Plan | None = None
 
     def on_message(self, message: Message) -> Message:
@@ -220,14 +225,14 @@
         return message
 
     def offer_plan(self, plan: Plan, made_at: float) -> None:
-        """Set the next plan for this edge; it replaces one that still waits."""
-        self._waiting_plan = OfferedPlan(plan, made_at)
+        """Set the next plan for this edge; it replaces one that was not sent yet."""
+        self._next_plan = OfferedPlan(plan, made_at)
 
     def queue_next_plan(self, now: float) -> bool:
-        """Move the waiting plan to the output unless a plan is in flight; return whether one was moved."""
-        if self._waiting_plan is None or self._in_flight is not None:
+        """Move the next plan to the output unless a plan is in flight; return whether one was moved."""
+        if self._next_plan is None or self._in_flight is not None:
             return False
-        (plan, made_at), self._waiting_plan = self._waiting_plan, None
+        (plan, made_at), self._next_plan = self._next_plan, None
         self.output.append(encode_frame(PlanOffer(encode_plan(plan, now - made_at, self._last_accepted))))
         self._in_flight = plan
         return True
