--- a/kelptrail/front/inference/responses.py
+++ b/kelptrail/front/inference/responses.py
@@ -16,7 +16,7 @@
 from .request_parsing import MODEL_VERSION
 
 TENSORS_FORMAT = "tensors"  # `payload_format` of records whose payload and result are tensors
-EMPTY_RESULT = b"{}"
+EMPTY_RESULT = b"{}"  # default result of a record; the final response of a stream omits it
 
 
 class TensorsResult(msgspec.Struct):
@@ -36,7 +36,7 @@
 
 
 def succeeded(record: Record) -> bool:
-    """Return whether the final answer is a result."""
+    """Return whether the function completed and returned a result, not an error status (`record.code`)."""
     return record.answer == FinalStatus.COMPLETED and not record.code
 
 
@@ -45,8 +45,8 @@
 ) -> pb.ModelInferResponse:
     """Render a record's result, or a part of one, as a response.
 
-    `raw` puts the tensors into raw contents, as in the request.  `final` marks the end of a streamed answer.  Raises
-    `GrpcError` if the worker's answer is malformed.
+    `raw`: put the tensors into `raw_output_contents`, because those of the request had raw contents.  `final` marks the
+    end of a streamed answer.  Raises `GrpcError` if the worker's answer is malformed.
     """
     response = pb.ModelInferResponse(model_name=record.path, model_version=MODEL_VERSION, id=request_id)
     parameters: dict[str, Scalar] = {"activation_id": record.id}
@@ -55,10 +55,11 @@
     try:
         if record.payload_format == TENSORS_FORMAT:
             parameters = _add_tensors(response, raw, result) | parameters
-        elif result != EMPTY_RESULT or not final:
+        elif result != EMPTY_RESULT or not final:  # a stream may end without another part
             output = response.outputs.add(name="result", datatype="BYTES", shape=[1])
             output.contents.bytes_contents.append(result)
     except (TensorError, msgspec.MsgspecError) as cause:
+        # "none" means: not a valid answer.
         text, details = f"the model's answer is none: {cause}", {"activation": record.id}
         raise GrpcError(Code.INTERNAL, text, reason=ErrorReason.MODEL_ANSWER, details=details) from None
     write_parameters(response.parameters, parameters)
@@ -73,6 +74,7 @@
         if raw_contents is not None:
             response.raw_output_contents.append(raw_contents)
     if response.raw_output_contents and len(response.raw_output_contents) != len(response.outputs):
+        # Raw contents are all or nothing in a response; a client that asks for them gets all outputs in raw form.
         raise TensorError("outputs of which only some have typed contents; ask in raw form")
     return decoded.parameters
 
@@ -89,7 +91,8 @@
 ) -> pb.ModelStreamInferResponse:
     """Render the error that ends one request of a stream; the stream continues.
 
-    The status is in the error message and in the parameters of the response.
+    The status is in the error message and in the parameters of the response.  Among these, `activation` of the error's
+    details names the same activation as `activation_id`.
     """
     response = pb.ModelInferResponse(model_name=model, id=request_id)
     parameters: dict[str, Scalar] = {"final_response": True, "status": error.code.name, "reason": error.reason}
