--- a/kelptrail/engine/invariants.py
+++ b/kelptrail/engine/invariants.py
@@ -1,9 +1,9 @@
-"""Checks invariants at run time, just before an attempt, a load order or an answer is sent.
+"""Checks invariants at run time, just before an attempt, load order or answer is sent or a client connection closed.
 
-The checks are independent of the code that decides: each compares the item that is about to be sent with earlier
-events.  A violation is counted by its name and logged with its request.  It raises nothing and changes no behaviour.
-`docs/invariants.md` lists the invariants, the code that ensures each, and where it is checked.  Times are
-milliseconds of the monotonic clock.
+The readiness of a worker is computed independently of the code that decides by it (see `Invariants`); the other checks
+compare an item with its time limits, the state of its worker and earlier events.  A violation is counted by its name
+and logged with its request.  It raises nothing and changes no behaviour.  `docs/invariants.md` lists the invariants,
+the code that ensures each, and where it is checked.  Times are milliseconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -27,7 +27,8 @@
 
 CLIENT_GONE_SLACK_MS = 100.0  # time after a client cancelled or disconnected in which an attempt may still start
 LIMIT_SLACK_MS = 150.0  # a worker's time limit may exceed the time left until the client's deadline by this
-START_SLACK_MS = 50.0  # on sockets the rules extend the time limits of starts by this; a later start is a violation
+# On sockets, the platform's rules extend the time limits of starts by this; a start later than that is a violation.
+START_SLACK_MS = 50.0
 
 
 class Violation(Enum):
@@ -35,15 +36,15 @@
 
     ATTEMPT_AFTER_CLIENT_LEFT = "attempt after client left"
     ATTEMPT_AFTER_ANSWER = "attempt after final answer"
-    ATTEMPT_TO_DRAINING_WORKER = "attempt to draining worker"
+    ATTEMPT_TO_DRAINING_WORKER = "attempt to draining worker"  # or to a removed one
     READINESS_UNKNOWN = "start at a worker not known to be ready"
-    ATTEMPT_PAST_ITS_TIME = "attempt past its time"
-    SECOND_EFFECT = "second effect"
-    LIMIT_OVER_TIME_LEFT = "limit over time left"
-    LOAD_ORDER_LATE = "load order late"
+    ATTEMPT_PAST_ITS_TIME = "attempt past its time"  # first byte sent after `latest_start`
+    SECOND_EFFECT = "second effect"  # may be executed twice, which its idempotency forbids
+    LIMIT_OVER_TIME_LEFT = "limit over time left"  # worker's time limit longer than the time left until the deadline
+    LOAD_ORDER_LATE = "load order late"  # first byte sent after `latest_start`, or to a worker that is not live
     SECOND_ANSWER = "second answer"
-    CLOSED_OVER_REQUEST = "closed over request"
-    ENDED_OVER_REQUEST = "ended over request"
+    CLOSED_OVER_REQUEST = "closed over request"  # connection closed with an open request or unread bytes
+    ENDED_OVER_REQUEST = "ended over request"  # connection with an open request closed by a shutdown
 
 
 LogFunction = Callable[..., None]
@@ -52,29 +53,33 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainTiming:
-    """Time after which an unreported drain counts as notified, and grace time for new work after it."""
+    """Time limits on starting work at a worker that may be draining."""
 
+    # Time after a confirmed list from which on a drain counts as notified even if unreported; NEVER: no check.
     notification_ms: float = NEVER
-    grace_ms: float = 0.0
+    grace_ms: float = 0.0  # time after the notification during which new work may still start
 
 
 class Invariants:
     """Counts the violations of one dispatcher.
 
-    The readiness of a worker is computed here from the data read on the sockets, independently of the guard that
-    decides by it: a check against the guard's own state could never fail.
+    The readiness of a worker is computed here from the data read on the sockets, independently of
+    `dispatch.readiness`, which decides by it: a check against the state of that module could never fail.
     """
 
     def __init__(self, log: LogFunction, drain_timing: DrainTiming | None = None) -> None:
         self._log, self._drain_timing = log, drain_timing or DrainTiming()
-        self._list_confirmed_at = NEVER
+        self._list_confirmed_at = NEVER  # until the first list is applied, no start is late
         self._health_checks_answered = False  # whether any worker has answered a health check
-        # By worker id, the send time of the latest item that the worker answered as a ready one.
+        # By worker id, the send time of the latest item whose outcome proved that the worker was ready.
         self._ready_at: dict[str, float] = {}
         self.violations: Counter[str] = Counter()
 
     def on_initial_list(self, now: float) -> None:
-        """Record that the list of the configuration was applied; changes since then already count as notified."""
+        """Record that the list of the configuration was applied.
+
+        Its age is unknown, so an unreported drain counts as notified from now on.
+        """
         self._list_confirmed_at = now - self._drain_timing.notification_ms
 
     def on_list_confirmed(self, now: float) -> None:
@@ -85,16 +90,18 @@
         """Remove the state of a worker that no longer exists."""
         self._ready_at.pop(worker, None)
 
-    def on_answer(self, item: Attempt | LoadOrder | ReadinessProbe, status: AttemptStatus) -> None:
-        """Record that an item was answered, or ended without an answer.  A load query is a proof only in a fleet that
-        answers no health checks, as a draining worker may answer it as a ready one does.
+    def on_item_finished(self, item: Attempt | LoadOrder | ReadinessProbe, status: AttemptStatus) -> None:
+        """Record the end of an item; only an outcome that proves the readiness of its worker counts.
+
+        A load query proves it only if no worker answers health checks, because a draining worker may answer a load
+        query, too.
         """
         if isinstance(item, ReadinessProbe):
-            self._on_probe_answered(item, status)
+            self._on_probe_finished(item, status)
         elif status is AttemptStatus.COMPLETED:
             self._record_ready(item.instance.worker, item.write_started_at)
 
-    def _on_probe_answered(self, probe: ReadinessProbe, status: AttemptStatus) -> None:
+    def _on_probe_finished(self, probe: ReadinessProbe, status: AttemptStatus) -> None:
         is_check = probe.kind is ProbeKind.HEALTH_CHECK
         if is_check and status in (AttemptStatus.COMPLETED, AttemptStatus.OUT_OF_CAPACITY):
             self._health_checks_answered = True
@@ -109,13 +116,13 @@
         timing = self._drain_timing
         if timing.notification_ms == NEVER:
             return
-        known_at = max(self._list_confirmed_at + timing.notification_ms, self._ready_at.get(worker.id, 0.0))
-        late_ms = now - known_at - timing.grace_ms
+        known_ready_until = max(self._list_confirmed_at + timing.notification_ms, self._ready_at.get(worker.id, 0.0))
+        late_ms = now - known_ready_until - timing.grace_ms
         if late_ms > START_SLACK_MS:
             self.report_violation(Violation.READINESS_UNKNOWN, request_id, worker=worker.id, late_ms=round(late_ms))
 
     def report_violation(self, violation: Violation, request: str = "-", **fields: object) -> None:
-        """Count and log a violation."""
+        """Count and log a violation; the log has its name under the key `rule`."""
         self.violations[violation.value] += 1
         self._log("invariant violated", rule=violation.value, request=request, **fields)
 
@@ -142,23 +149,23 @@
         self._check_second_effect(now, attempt)
 
     def _check_second_effect(self, now: float, attempt: Attempt) -> None:
-        """Check that the attempt cannot have a second effect after an earlier one that may have been executed."""
+        """Check that the attempt cannot repeat the effect of another one that may have been executed."""
         request = attempt.request
-        earlier = [other for other in request.attempts if other is not attempt and other.may_have_run]
+        others = [other for other in request.attempts if other is not attempt and other.may_have_run]
         started = [
-            other for other in earlier if other.write_started_at is not None or other.status not in (None, *NEVER_RAN)
+            other for other in others if other.write_started_at is not None or other.status not in (None, *NEVER_RAN)
         ]
         if not started:
             return
         if request.request_class.idempotency is Idempotency.AT_MOST_ONCE:
             self.report_violation(Violation.SECOND_EFFECT, request.id, attempt=attempt.number)
         elif request.request_class.idempotency is Idempotency.DEDUPLICATED:
-            first = min(
+            first_start = min(
                 other.started_at if other.write_started_at is None else other.write_started_at for other in started
             )
-            if now > first + request.request_class.deduplication_window_ms:
+            if now > first_start + request.request_class.deduplication_window_ms:
                 self.report_violation(
-                    Violation.SECOND_EFFECT, request.id, attempt=attempt.number, after_ms=round(now - first)
+                    Violation.SECOND_EFFECT, request.id, attempt=attempt.number, after_ms=round(now - first_start)
                 )
 
     def check_load_order_start(self, now: float, order: LoadOrder) -> None:
--- a/kelptrail/platform/decision_executor.py
+++ b/kelptrail/platform/decision_executor.py
@@ -99,7 +99,7 @@
             self._on_probe_finished(now, item, status, loaded_count)
         else:
             self._on_attempt_finished(now, item, status, answer)
-        self._invariants.on_answer(item, status)
+        self._invariants.on_item_finished(item, status)
         self._schedule_decisions()
 
     def _on_probe_finished(self, now: float, probe: ReadinessProbe, status: AttemptStatus, loaded_count: int) -> None:
