--- a/kelptrail/store/driver.py
+++ b/kelptrail/store/driver.py
@@ -12,10 +12,10 @@
 from .database import JournalError
 from .group_commit import Batch, GroupCommit
 
-MAX_FORGET_BATCH = 500  # activations deleted in one transaction, for which a commit may have to wait
-MAX_STALE = 20_000  # from this number, stale activations are deleted without waiting for background work
-RETRY_POLL_S = 0.1  # interval at which a failing journal is checked for a due trial batch
-CLOSE_POLL_S = 0.005  # interval at which `close` checks for waiting entries
+MAX_FORGET_BATCH = 500  # most activations deleted in one transaction, as a commit may have to wait for it
+FORCED_DELETE_COUNT = 20_000  # from this number of stale activations on, deletion doesn't wait for background work
+RETRY_POLL_S = 0.1  # while writes fail, interval of the checks whether a trial batch is due
+CLOSE_POLL_S = 0.005  # interval at which `close` checks whether all batches are written
 
 
 class EntryStore(Protocol):
@@ -32,24 +32,30 @@
 
 
 class JournalDriver:
-    """Writes batches as they become ready; `progress` is called after each batch and each deletion."""
+    """Writes batches one after another once `start_next_batch` is called.
 
-    def __init__(self, group_commit: GroupCommit, store: EntryStore, progress: Callable[[], None], log: Any) -> None:
-        self.group_commit, self._store, self._progress, self._log = group_commit, store, progress, log
+    `on_progress` is called after each batch and each deletion.
+    """
+
+    def __init__(self, group_commit: GroupCommit, store: EntryStore, on_progress: Callable[[], None], log: Any) -> None:
+        self.group_commit, self._store, self._on_progress, self._log = group_commit, store, on_progress, log
         self._loop = asyncio.get_running_loop()
         self._thread = ThreadPoolExecutor(1, "journal")
         self._busy = False
-        self._stale: list[str] = []
+        self._stale: list[str] = []  # ids of activations to delete, because their records were dropped
         self._timer: asyncio.TimerHandle | None = None
 
     def forget(self, id_: str) -> None:
         """Schedule the deletion of an activation whose record was dropped."""
         self._stale.append(id_)
-        if len(self._stale) >= MAX_STALE:
+        if len(self._stale) >= FORCED_DELETE_COUNT:
             self.start_next_batch()
 
     def compact(self) -> bool:
-        """Start to delete a batch of stale activations, as background work; return whether a full batch remains."""
+        """Start to delete a batch of stale activations, unless the thread is busy or writes fail.
+
+        It is called as background work.  Return whether a full batch remains.
+        """
         if self._stale and not self._busy and not self.group_commit.failing:
             self._start_forget()
         return len(self._stale) >= MAX_FORGET_BATCH
@@ -59,13 +65,13 @@
         self._start(self._forget, stale)
 
     def start_next_batch(self) -> None:
-        """Start to write the next batch, if there is one and the thread is idle."""
+        """Start the next work if the thread is idle: a batch, else an overdue deletion, else the retry timer."""
         if self._busy:
             return
         batch = self.group_commit.next_batch(now_ms())
         if batch is not None:
             self._start(self._commit, batch)
-        elif len(self._stale) >= MAX_STALE:
+        elif len(self._stale) >= FORCED_DELETE_COUNT:
             self._start_forget()
         elif self.group_commit.failing and self._timer is None:
             self._timer = self._loop.call_later(RETRY_POLL_S, self._on_retry_timer)
@@ -86,7 +92,7 @@
         self._busy = False
         report()
         self.start_next_batch()
-        self._progress()
+        self._on_progress()
 
     def _commit(self, batch: Batch) -> Callable[[], None]:
         entries = batch.entries
@@ -115,9 +121,9 @@
         return lambda: None
 
     async def close(self, within_ms: float) -> bool:
-        """Write waiting entries for up to `within_ms`, and return whether all are durable.
+        """Write the waiting entries, delete the stale activations and close; return whether all entries are durable.
 
-        Then delete the stale activations and close the storage.
+        No batch is started after `within_ms`, but a running write is waited for.
         """
         end = now_ms() + within_ms
         while (self.group_commit.waiting or self._busy) and now_ms() < end:
