--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -40,7 +40,7 @@
 from kelptrail.replication.model_node import Node
 from kelptrail.replication.primary import Primary
 from kelptrail.replication.replica import Fence, Replica, ReplicaWrite
-from kelptrail.replication.replica_placement import Member, assign_replicas, count_moves, rank_replicas
+from kelptrail.replication.replica_placement import Member, assign_replicas, count_new_replicas, rank_replicas
 from kelptrail.replication.replica_store import ReadRequest, ReplicaStore, open_replica_store
 from kelptrail.replication.replica_stream import ReplicaStream, StreamState
 from kelptrail.replication.status import primary_status
@@ -68,10 +68,11 @@
             assert len({zone_of[n] for n in names} - {zone_of[primary]}) == count
     assert max(Counter(n for names in assignment.values() for n in names).values()) <= count + 1
     moves = [
-        count_moves(assignment, assign_replicas([m for m in members if m is not removed], count)) for removed in members
+        count_new_replicas(assignment, assign_replicas([m for m in members if m is not removed], count))
+        for removed in members
     ]
     assert sum(moves) / len(moves) <= 2 * count, "at most twice the necessary moves, on average"
-    assert count_moves(assignment, assignment) == 0 and count_moves({}, assignment) == size * count
+    assert count_new_replicas(assignment, assignment) == 0 and count_new_replicas({}, assignment) == size * count
 
 
 def test_small_fleet_gets_fewer_replicas() -> None:
