--- a/kelptrail/platform/client_connection.py
+++ b/kelptrail/platform/client_connection.py
@@ -19,13 +19,13 @@
 class ClientRequest:
     """An accepted request, from its acceptance until its final answer is written."""
 
-    __slots__ = ("answered", "body", "client", "client_gone_ms", "id", "key", "request", "stream")
+    __slots__ = ("answered", "body", "client", "client_gone_at_ms", "id", "key", "request", "stream")
 
     def __init__(self, client: ClientConnection, stream: int, id_: str, key: str, body: bytes) -> None:
         self.client, self.stream, self.id, self.key, self.body = client, stream, id_, key, body
         self.request: Request | None = None  # the engine's record of the request
         # Time at which the client cancelled or disconnected, in ms of the loop's clock.
-        self.client_gone_ms: float | None = None
+        self.client_gone_at_ms: float | None = None
         self.answered = False
 
 
@@ -42,7 +42,7 @@
         """Handle the frame that was read.  Raises `FrameError`."""
 
     def close_unreadable(self, client: ClientConnection, cause: FrameError) -> None:
-        """Handle bytes that cannot be parsed as a frame."""
+        """Handle a frame that cannot be parsed or is not allowed."""
 
     def on_closed(self, client: ClientConnection) -> None:
         """Handle the end of the connection."""
--- a/kelptrail/platform/client_connections.py
+++ b/kelptrail/platform/client_connections.py
@@ -32,7 +32,7 @@
     """The server that owns the connections."""
 
     def drop_open_requests(self, client: ClientConnection) -> None:
-        """Drop all open requests of a client that disconnected."""
+        """Drop all open requests of a client whose connection has ended or is about to be closed."""
 
     def close_unreadable(self, client: ClientConnection, cause: FrameError) -> None:
         """Answer with an error, then close the connection."""
--- a/kelptrail/platform/client_server.py
+++ b/kelptrail/platform/client_server.py
@@ -1,7 +1,7 @@
 """The client side of the protocol: accepts connections, reads requests and writes their answers.
 
-A frame that cannot be parsed is answered with an error and its connection is closed.  A request with invalid fields is
-answered with an error and its connection stays open.  Neither reaches the engine.
+A frame that cannot be parsed or is not allowed is answered with an error and its connection is closed.  A request with
+invalid fields is answered with an error and its connection stays open.  Neither reaches the engine.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """Limits for all clients together.  `max_timeout_ms` is the longest timeout of any request class."""
+    """Limits of the server."""
 
     max_connections: int
     max_body_bytes: int  # total body size of all open requests
-    max_timeout_ms: float
+    max_timeout_ms: float  # longest timeout of any request class
 
 
 class RequestHandler(Protocol):
@@ -71,7 +71,7 @@
         self._listener.has_capacity = self.connections.has_capacity
         self._listener.on_descriptor_shortage = self.connections.evict_one
         self.ready = True  # reported to readiness queries; False once GOAWAY was sent
-        self._refuses_new = False
+        self._refuses_new_requests = False
 
     def open(self, address: tuple[str, int]) -> int:
         """Listen at an address and return the port.  Raises `OSError`."""
@@ -88,7 +88,7 @@
         return int(sock.getsockname()[1])
 
     def close(self) -> None:
-        """Close the listener and all connections immediately."""
+        """Close the listener and the connections of all groups immediately."""
         self._listener.close()
         for client in [*self.connections.active, *self.connections.closing]:
             client.connection.close()
@@ -102,7 +102,7 @@
             client.connection.write(frames.encode_frame(frames.GO_AWAY, 0))
 
     def stop_accepting(self) -> bool:
-        """Accept the clients in the accept queue, then close the listener; later clients use another dispatcher.
+        """Accept the clients in the accept queue, then close the listener, so that later ones use another dispatcher.
 
         Return False while clients in the queue cannot be accepted; the listener then stays open.
         """
@@ -111,12 +111,15 @@
         self._listener.close()
         return True
 
-    def refuse_new(self) -> None:
+    def refuse_new_requests(self) -> None:
         """Refuse every request that arrives from now on."""
-        self._refuses_new = True
+        self._refuses_new_requests = True
 
     def close_gracefully(self, timeout_ms: float) -> None:
-        """Close all connections once their clients have read the pending output, or after the timeout."""
+        """Close all connections once their clients have read the pending output, or after the timeout.
+
+        A request that is still open is reported as a violation.
+        """
         for client in self.connections.active:
             for request in client.open_requests.values():
                 self._invariants.report_violation(Violation.ENDED_OVER_REQUEST, request.id)
@@ -125,7 +128,10 @@
     # Answers.
 
     def answer(self, request: ClientRequest, code: int, body: bytes = b"", retry_after_ms: int = 0) -> None:
-        """Write the only answer of a request.  `retry_after_ms` is the protocol's Retry-After."""
+        """Write the only answer of a request, unless its client has cancelled it or disconnected.
+
+        `retry_after_ms`: time after which the client may retry; 0: not given.
+        """
         client = request.client
         if request.answered:
             self._invariants.report_violation(Violation.SECOND_ANSWER, request.id)
@@ -139,7 +145,7 @@
     # Events of the connections.
 
     def on_complete_frame(self, client: ClientConnection) -> None:
-        """Move a client that has sent its first complete frame to the idle connections."""
+        """Record a complete frame; a client's first one moves it to the idle connections."""
         if client in self.connections.fresh:
             del self.connections.fresh[client]
             self.connections.mark_idle(client)
@@ -157,11 +163,12 @@
             raise FrameError(f"unexpected frame type {kind}", stream)
 
     def close_unreadable(self, client: ClientConnection, cause: FrameError) -> None:
-        """Answer with an error and close the connection: the start of the next frame cannot be found."""
+        """Close a connection after an invalid or incomplete frame, which is answered with an error."""
         open_count = len(client.open_requests)
         self._log(
             log_events.CLIENT_CONNECTION_CLOSED, reason=CloseReason.UNREADABLE.value, cause=cause, open=open_count
         )
+        # An answer on the stream of an open request would be taken for that request's answer.
         stream = cause.stream if cause.stream not in client.open_requests else 0
         client.connection.write(frames.encode_answer(stream, frames.FAILED))
         self.connections.close_after_error(client)
@@ -171,7 +178,7 @@
         self.connections.remove(client)
 
     def drop_open_requests(self, client: ClientConnection) -> None:
-        """Drop all open requests of a client that disconnected."""
+        """Drop all open requests of a client whose connection has ended or is about to be closed."""
         for request in list(client.open_requests.values()):
             self._drop_request(request)
 
@@ -197,13 +204,14 @@
                 raise UnusableRequestError("an open request has the same id")
         except UnusableRequestError as cause:
             reason = RequestRefusal.UNUSABLE.value
+            # Invalid fields are a failure, not a refusal, which may be retried.  `txn` is the request's id.
             self._log(log_events.REQUEST_FAILED, request=fields.get("txn"), reason=reason, cause=cause)
             client.connection.write(frames.encode_answer(stream, frames.FAILED))
             return
         if (refusal := self._refusal(client, body)) is not None:
             self._log(log_events.REQUEST_REFUSED, request=parsed.id, reason=refusal.value)
             client.connection.write(frames.encode_answer(stream, frames.REFUSED))
-            client.idle_since = self.time()
+            client.idle_since = self.time()  # the client gets time to read the refusal
             return
         self._body_bytes += len(body)
         request = client.open_requests[stream] = ClientRequest(client, stream, parsed.id, parsed.key, body)
@@ -211,7 +219,7 @@
         self.handler.on_request(request, parsed)
 
     def _refusal(self, client: ClientConnection, body: bytes) -> RequestRefusal | None:
-        if self._refuses_new:
+        if self._refuses_new_requests:
             return RequestRefusal.SHUTTING_DOWN
         if client.is_overflow:
             return RequestRefusal.OVER_LIMIT
@@ -222,13 +230,13 @@
     def _drop_request(self, request: ClientRequest) -> None:
         client = request.client
         del client.open_requests[request.stream]
-        request.client_gone_ms = self.time() * 1000
+        request.client_gone_at_ms = self.time() * 1000
         self._body_bytes -= len(request.body)
         self.handler.on_client_gone(request)
         if not client.open_requests:
             self.connections.mark_idle(client)
 
 
-def _reject_over_rate(sock: socket.socket, address: str, retry_after: float) -> None:
-    """Close the socket; never called, because this listener does not limit the connection rate."""
+def _reject_over_rate(sock: socket.socket, address: str, retry_after_ms: float) -> None:
+    """Close the socket.  Required by `Listener`, never called: this listener does not limit the connection rate."""
     sock.close()
--- a/kelptrail/platform/decision_executor.py
+++ b/kelptrail/platform/decision_executor.py
@@ -213,7 +213,7 @@
             event_log(log_events.ATTEMPT_NOT_STARTED, request=request.id, attempt=attempt.number, left_ms=limit_ms)
             return b""
         attempt.write_started_at = now
-        self._invariants.check_attempt_start(now, attempt, client_request.client_gone_ms, limit_ms)
+        self._invariants.check_attempt_start(now, attempt, client_request.client_gone_at_ms, limit_ms)
         return encode_call(
             request.id,
             request.request_class.name,
--- a/kelptrail/platform/graceful_shutdown.py
+++ b/kelptrail/platform/graceful_shutdown.py
@@ -57,7 +57,7 @@
         """
         now, plan = self._now(), self._plan
         if now >= plan.refuse_from:
-            self._client_server.refuse_new()
+            self._client_server.refuse_new_requests()
         if self._has_open_work() and now < plan.finish_by:
             self._loop.call_later(CHECK_INTERVAL_S, self._finish_if_idle)
             return
