--- a/kelptrail/platform/endpoint_watch.py
+++ b/kelptrail/platform/endpoint_watch.py
@@ -1,8 +1,10 @@
-"""Watches the endpoint list: connects, requests the events after the last one, reconnects as needed.
+"""Watches the endpoint list: connects, requests the events after the last one applied, reconnects as needed.
 
-The list's service sends an event every second, even if it is empty, so silence is a fault.  As a failed connection
-cannot be distinguished from a slow service, another connection is opened beside the silent one, and the first one that
-delivers an event is kept.  After a disconnect the watch reconnects immediately, then with exponential backoff.
+The stream of the list's events is also called feed, and the request that starts it poll.  The list's service sends an
+event every second, an empty one if nothing changed, so silence is a fault.  As a failed connection cannot be
+distinguished from a slow service, another connection is opened beside the silent one, and the first one that delivers
+an event is kept.  After the end of a connection that had delivered an event the watch reconnects immediately, after
+further failures with exponential backoff.
 """
 
 from __future__ import annotations
@@ -20,15 +22,15 @@
 from . import log_events
 from .log import LogWriter
 
-SILENCE_TIMEOUT_MS = 2_000.0  # twice the interval of the empty events
-MAX_SILENCE_TIMEOUT_MS = 8_000.0  # limit while bytes arrive that do not complete an event
+SILENCE_TIMEOUT_MS = 2_000.0  # twice the interval of the events
+MAX_SILENCE_TIMEOUT_MS = 8_000.0  # limit of the silence timeout, which doubles while only parts of events arrive
 EXTRA_CONNECT_AFTER_MS = 1_000.0  # a connect that takes longer gets a parallel one
 CONNECT_TIMEOUT_MS = 8_000.0
 BACKOFF_MS, MAX_BACKOFF_MS = 50.0, 1_000.0
 MAX_BACKOFF_DOUBLINGS = 10
 MAX_CONNECTIONS = 4  # simultaneous connections, including those that are being established
 RESERVED_DESCRIPTORS = 2  # one for a reconnect and one for a new address
-MAX_UNREAD_BYTES = 1 << 16
+MAX_UNREAD_BYTES = 1 << 16  # limit of the bytes that wait for the service to read them; beyond it, disconnect
 
 OnEvent = Callable[[EndpointEvent], None]
 
@@ -37,9 +39,9 @@
 class WatchListener:
     """The callbacks of a watch.
 
-    `on_event` receives each new event once and in order.  `on_confirmed` is called when the service at the current
-    address confirms that no event is missing.  `on_connection_lost` is called when a connection to the current address
-    ended or could not be established.
+    `on_event` receives the new events in order, without empty ones; each once, unless it raises.  `on_confirmed` is
+    called when the service at the current address confirms that no event is missing.  `on_connection_lost` is called
+    when a connection to the current address ended or could not be established.
     """
 
     on_event: OnEvent
@@ -56,13 +58,14 @@
         self.last_progress_at = loop.time()  # time of the creation, the connect or the last event
         self.created_at = self.last_progress_at
         self.event_count = 0  # complete events received, including empty ones
-        self.has_partial_event = False  # whether bytes arrived after the last complete event
-        self.connection: Connection | None = None
+        self.has_partial_event = False  # whether bytes arrived after the last read that completed an event
+        self.stream: Connection | None = None  # None until connected, and after `fail`
         self.closed = False
         self._connect_task: asyncio.Task[None] | None = loop.create_task(self._connect())
 
     async def _connect(self) -> None:
-        self._watch.release_descriptor()  # `connect` opens its socket in the same iteration of the loop
+        # `connect` opens its socket in the same iteration of the loop, so no other callback takes the descriptor.
+        self._watch.release_descriptor()
         try:
             sock = await connect(self._loop, self.address, CONNECT_TIMEOUT_MS)
         except OSError as cause:
@@ -76,7 +79,7 @@
             return
         self.last_progress_at = self._loop.time()
         on_data = partial(self._watch.on_data, self)
-        self.connection = Connection(self._loop, sock, on_data, self._on_closed, MAX_UNREAD_BYTES)
+        self.stream = Connection(self._loop, sock, on_data, self._on_closed, MAX_UNREAD_BYTES)
         self._watch.on_connected(self)
 
     def _on_closed(self) -> None:
@@ -86,9 +89,9 @@
 
     def fail(self) -> None:
         """Close the connection, report it as closed, and ignore further data from it."""
-        connection, self.connection = self.connection, None
-        if connection is not None:
-            connection.close()
+        stream, self.stream = self.stream, None
+        if stream is not None:
+            stream.close()
         self._on_closed()
 
     def close(self) -> None:
@@ -96,8 +99,8 @@
         self.closed = True
         if self._connect_task is not None:
             self._connect_task.cancel()
-        if self.connection is not None:
-            self.connection.close()
+        if self.stream is not None:
+            self.stream.close()
 
 
 class EndpointWatch:
@@ -119,8 +122,10 @@
         self.last_event_number = last_event_number
         self.last_event_at = loop.time()  # time of the last complete event
         self._has_fault = False  # whether a fault was logged since the last complete event
-        self._connections: list[WatchConnection] = []  # oldest first
-        self._failures = 0  # consecutive ended connections; 1 after one that delivered an event and lasted
+        self._connections: list[WatchConnection] = []  # oldest first, but see `set_address`
+        # Ends of the newest connection since one that had delivered an event and lasted for more than MAX_BACKOFF_MS,
+        # which is counted, too.
+        self._failures = 0
         self._silence_timeout_ms = SILENCE_TIMEOUT_MS
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due = 0.0
@@ -129,10 +134,11 @@
         self._open_connection()
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """Watch the list at `address`: connect there immediately, and keep the open connections meanwhile.
+        """Watch the list at `address`: connect there at once unless a connection to it is open.
 
-        If the address is unchanged, reconnect only after a delay, so that repeated reloads do not overload a slow
-        service.
+        Other connections are kept until an event arrives from there.  If the address is unchanged, bring the next
+        connect forward, but to MAX_BACKOFF_MS after the previous one at the earliest, so that repeated reloads of the
+        configuration do not overload a slow service.
         """
         if address == self._address:
             newest = self._newest
@@ -146,7 +152,7 @@
             return
         self._connections.remove(existing)  # makes it the newest connection
         self._connections.append(existing)
-        timeout_ms = EXTRA_CONNECT_AFTER_MS if existing.connection is None else SILENCE_TIMEOUT_MS
+        timeout_ms = EXTRA_CONNECT_AFTER_MS if existing.stream is None else SILENCE_TIMEOUT_MS
         self._set_timer(existing.last_progress_at + timeout_ms / 1000)
 
     def close(self) -> None:
@@ -172,15 +178,15 @@
     # Events of the connections.
 
     def on_connected(self, connection: WatchConnection) -> None:
-        """Request the events after the last one on a new connection."""
+        """Request the events after the last one applied on a new connection."""
         self._reserve_descriptors()
-        if connection.connection is not None:
-            connection.connection.write(encode_poll(self.last_event_number))
+        if connection.stream is not None:
+            connection.stream.write(encode_poll(self.last_event_number))
         if connection is self._newest:
             self._set_timer(connection.last_progress_at + self._silence_timeout_ms / 1000)
 
     def on_closed(self, connection: WatchConnection) -> None:
-        """Schedule a reconnect after a connection ended or could not be established."""
+        """Remove a connection that ended or could not be established; replace the newest one to the current address."""
         if connection not in self._connections:
             return
         was_newest = connection is self._newest
@@ -192,7 +198,8 @@
             return
         lasted = connection.event_count and (self._loop.time() - connection.created_at) * 1000 > MAX_BACKOFF_MS
         self._failures = 1 if lasted else self._failures + 1
-        # Negative after the first end of a connection that delivered an event: the watch reconnects immediately.
+        # -1, so that the watch reconnects immediately, if this failure is the first and the connection had delivered an
+        # event.
         doublings = self._failures - 1 - bool(connection.event_count)
         backoff_ms = BACKOFF_MS * 2 ** min(doublings, MAX_BACKOFF_DOUBLINGS) if doublings >= 0 else 0.0
         self._set_timer(self._loop.time() + min(MAX_BACKOFF_MS, backoff_ms) / 1000)
@@ -206,7 +213,7 @@
         try:
             while not connection.closed and (event := connection.reader.next()) is not None:
                 self._apply(event)
-                self._on_event_applied(connection, event)
+                self._on_complete_event(connection, event)
         except FeedError as cause:
             self.log_fault(log_events.FEED_UNREADABLE, cause=str(cause))
             connection.fail()
@@ -224,7 +231,7 @@
         self._listener.on_event(event)
         self.last_event_number = event.number  # set after the event was applied: a failed one is requested again
 
-    def _on_event_applied(self, connection: WatchConnection, event: EndpointEvent) -> None:
+    def _on_complete_event(self, connection: WatchConnection, event: EndpointEvent) -> None:
         """Record a complete event; if it came from the current address, drop all other connections.
 
         Only an empty event confirms that no event is missing: after a change others may follow, in particular after an
@@ -250,6 +257,7 @@
 
     @property
     def _newest(self) -> WatchConnection | None:
+        """The connection that was opened, or selected by `set_address`, last; the timer watches it."""
         return self._connections[-1] if self._connections else None
 
     def _open_connection(self) -> None:
@@ -272,12 +280,12 @@
         self._timer = self._loop.call_at(due, self._on_timer)
 
     def _on_timer(self) -> None:
-        """Open a connection because no event arrived in time or a backoff has ended."""
+        """Open a connection because of a silence, a slow connect, the end of a backoff, or `set_address`."""
         newest = self._newest
         if newest is not None and newest.address == self._address:
-            event = log_events.FEED_SILENT if newest.connection is not None else log_events.FEED_SLOW_TO_CONNECT
+            event = log_events.FEED_SILENT if newest.stream is not None else log_events.FEED_SLOW_TO_CONNECT
             self.log_fault(event)
-            # A connection that delivers part of an event within the timeout gets more time.
+            # After part of an event, the service may be slow: the next connection gets a longer timeout.
             extended_ms = min(MAX_SILENCE_TIMEOUT_MS, 2 * self._silence_timeout_ms)
             self._silence_timeout_ms = extended_ms if newest.has_partial_event else SILENCE_TIMEOUT_MS
         self._open_connection()
