--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -23,7 +23,7 @@
 from kelptrail.gateway.build import DispatcherParts
 from kelptrail.gateway.core import Gateway
 from kelptrail.gateway.effects import CancelAttempt, FinalAnswer, StartAttempt, StartLoad
-from kelptrail.membership.members import Endpoint as Listed
+from kelptrail.membership.members import Endpoint as ListedEndpoint
 from kelptrail.membership.members import EndpointList
 from kelptrail.net.server import Exchange
 from kelptrail.settings.deployment import parse
@@ -35,6 +35,7 @@
 from kelptrail.store.recovery import EndRequest, RecoveryRule, ResumeQueue, ResumeRequest, decide_recovery
 
 ROOT = Path(__file__).parent.parent
+# Id, namespace, path, start, timeout in ms, payload, idempotency key and digest of the payload.
 ACCEPTED = Accepted("a" * 32, "one", "grant", 1000.0, 900.0, b'{"a":1}', "k", "d")
 
 
@@ -120,25 +121,26 @@
 def test_corrupt_row_counts_as_may_have_run(tmp_path: Path) -> None:
     journal = ActivationJournal(tmp_path / "b")
     journal.commit([ACCEPTED, ended()])
+    # Kind 2 is the ended entry.
     journal._database.run("UPDATE entries SET body = zeroblob(length(body)) WHERE kind = 2")
     (activation,) = journal.activations()
     assert journal.damaged == 1 and activation.ended is None and activation.may_run is not None, (
-        "the damaged entry may have been the may-run entry"
+        "the reader cannot tell that the damaged entry was not the may-run entry"
     )
 
 
-def test_truncated_log_loses_only_the_last_commits(tmp_path: Path) -> None:
+def test_truncated_wal_loses_only_the_last_commits(tmp_path: Path) -> None:
     file = tmp_path / "b"
     journal = ActivationJournal(file)
     journal._database.run("PRAGMA wal_autocheckpoint=0")
     for n in range(20):
         journal.commit([Accepted(f"{n:032x}", "one", "grant", float(n), 900.0, b"{}" * 200)])
-    wal, base = (tmp_path / "b-wal").read_bytes(), file.read_bytes()
+    wal, database = (tmp_path / "b-wal").read_bytes(), file.read_bytes()
     rng = random.Random(1)
     for n in range(12):
         folder = tmp_path / f"truncated-{n}"
         folder.mkdir()
-        (folder / "b").write_bytes(base)
+        (folder / "b").write_bytes(database)
         (folder / "b-wal").write_bytes(wal[: rng.randrange(len(wal))])
         truncated, set_aside = open_journal(folder / "b")
         starts = [activation.accepted.start for activation in truncated.activations()]
@@ -171,7 +173,7 @@
 
 
 def test_journal_reports_failing_sync_full_disk_and_missing_folder(tmp_path: Path) -> None:
-    disk = FaultyDisk()
+    disk = FaultyDisk()  # registers the VFS "harmed"
     journal = ActivationJournal(tmp_path / "b", vfs="harmed")
     journal.commit([ACCEPTED])
     assert disk.syncs > 0, "a commit syncs"
@@ -201,14 +203,14 @@
 
     Its client was rejected and retries at another dispatcher, so the next start must not find and run it.
     """
-    disk = FaultyDisk()
+    disk = FaultyDisk()  # registers the VFS "harmed"
     journal = ActivationJournal(tmp_path / "b", vfs="harmed")
     accepted = [Accepted(f"{n:032x}", "one", "grant", float(n), 900.0, b"{}") for n in range(earlier_commits + 2)]
     for entry in accepted[:earlier_commits]:
         journal.commit([entry])
     try:
         disk.fault = {fault: True}
-        for _ in range(2):
+        for _ in range(2):  # a second failure must not leave the entry either
             with pytest.raises(JournalError):
                 journal.commit([accepted[earlier_commits]])
         found = accepted_after_kill(tmp_path)
@@ -237,6 +239,8 @@
 # Recovery.
 
 
+# By the idempotency as the settings name it ("zone": deduplicated within the zone only); the numbers are the
+# deduplication window in ms and the priority weight.
 RULES = {
     "repeatable": RecoveryRule(Idempotency.IDEMPOTENT, "all", 0, 2),
     "deduplicated": RecoveryRule(Idempotency.DEDUPLICATED, "all", 2000, 5),
@@ -253,13 +257,13 @@
         ("repeatable", True, 5000, "rejected"),
         ("deduplicated", False, 100, "resume"),
         ("deduplicated", True, 100, "resume"),
-        ("deduplicated", True, 1950, "aborted"),
+        ("deduplicated", True, 1950, "aborted"),  # 50 ms of the window are left, less than the 100 ms of a run
         ("zone", True, 100, "aborted"),
         ("zone", False, 100, "resume"),
         ("once-only", False, 100, "resume"),
         ("once-only", True, 100, "aborted"),
         ("once-only", False, 5000, "rejected"),
-        ("once-only", False, -50, "rejected"),
+        ("once-only", False, -50, "rejected"),  # the wall clock was set back
         ("once-only", True, -50, "aborted"),
     ],
 )
@@ -274,12 +278,12 @@
         assert decision.remaining_ms == 2500 - elapsed_ms
 
 
-def test_resume_queue_orders_by_priority_and_bounds_concurrency() -> None:
+def test_resume_queue_orders_by_priority_bounds_concurrency_and_ends_expired_requests() -> None:
     found = [
         ResumeRequest(ActivationEntries(Accepted(str(n), "one", "p", 0, 1000, b"")), 1000.0, None, float(n))
         for n in range(10)
     ]
-    queue = ResumeQueue(found, 3, 100.0)
+    queue = ResumeQueue(found, 3, 100.0)  # at most 3 at once, each with more than 100 ms left
     resumed = [queue.next(10.0 * n) for n in range(5)]
     assert [r.entries.accepted.id for r in resumed if r] == ["9", "8", "7"] and resumed[3:] == [None, None]
     queue.on_finished()
@@ -309,10 +313,12 @@
 
     def start(self) -> None:
         self.boots += 1
-        self.journal = GroupCommit(retry_ms=20.0)
-        self.gateway = Gateway(DispatcherParts(self.deployment, "a", self.boots), f"{self.boots:016x}", self.journal)
+        self.group_commit = GroupCommit(retry_ms=20.0)
+        self.gateway = Gateway(
+            DispatcherParts(self.deployment, "a", self.boots), f"{self.boots:016x}", self.group_commit
+        )
         self.gateway.on_endpoints(
-            self.now, EndpointList(1, [Listed(f"w{n}", f"h:{n}", incarnation="1") for n in range(3)], "x")
+            self.now, EndpointList(1, [ListedEndpoint(f"w{n}", f"h:{n}", incarnation="1") for n in range(3)], "x")
         )
         activations: dict[str, ActivationEntries] = {}
         for entry in self.disk:
@@ -340,7 +346,7 @@
         rng, gateway = self.rng, self.gateway
         elapsed = rng.uniform(0.5, 6.0)
         self.now, self.wall = self.now + elapsed, self.wall + elapsed
-        if rng.random() < 0.4 and self.journal.is_accepting():  # otherwise the API rejects the call
+        if rng.random() < 0.4 and self.group_commit.is_accepting():  # otherwise the API rejects the call
             action = rng.choice(list(self.deployment.actions.values()))
             invocation = gateway.submit(self.now, self.wall, Submission("one", action, b"{}", deferred=True))
             self.idempotency[invocation.record.id] = invocation.record.idempotency
@@ -351,7 +357,7 @@
                     lambda durable: (
                         self.acknowledged.add(invocation.record.id)
                         if durable
-                        else gateway.on_client_gone(self.now, invocation)
+                        else gateway.on_client_gone(self.now, invocation)  # the API answers with an error then
                     ),
                 )
         for due, attempt in [e for e in self.open_attempts if e[0] <= self.now]:
@@ -367,12 +373,12 @@
                 if status is not AttemptStatus.OUT_OF_CAPACITY:
                     self.effects[attempt.request.id] = self.effects.get(attempt.request.id, 0) + 1
                 gateway.on_attempt_finished(self.now, attempt, status)
-        if rng.random() < 0.5 and (batch := self.journal.next_batch(self.now)) is not None:
+        if rng.random() < 0.5 and (batch := self.group_commit.next_batch(self.now)) is not None:
             if rng.random() < 0.06:
-                self.journal.on_batch_failed(self.now, batch.number, "full")
+                self.group_commit.on_batch_failed(self.now, batch.number, "full")
             else:
                 self.disk += batch.entries
-                self.journal.on_batch_durable(batch.number)
+                self.group_commit.on_batch_durable(batch.number)
         self.run_effects()
         self.poll()
         if rng.random() < 0.015:  # a crash: attempts in flight may have run, and unsynced entries are lost
@@ -398,7 +404,7 @@
             elif isinstance(effect, StartLoad):
                 self.gateway.on_load_report(self.now, effect.order, AttemptStatus.COMPLETED, effect.order.count)
             elif isinstance(effect, FinalAnswer):
-                assert effect.invocation.record.visible
+                assert effect.invocation.record.visible, "a final answer is given only when it may be shown"
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -411,7 +417,7 @@
         assert count <= 1 or model.idempotency[id_] != "once-only", "at-most-once calls run at most once"
 
 
-def test_resumed_requests_earn_no_load_orders() -> None:
+def test_resumed_requests_add_nothing_to_the_load_ration() -> None:
     deployment = parse(DEPLOYMENT, "t")
     parts = DispatcherParts(deployment, "a", 1)
     gateway = Gateway(parts, "b" * 16, GroupCommit())
@@ -420,14 +426,14 @@
     while gateway.next_effect(1.0) is not None:
         pass
     assert gateway.counts.received == 5 and not parts.safety.request_times, (
-        "the dispatcher that accepted them has counted them"
+        "they count in the load ration of the dispatcher that accepted them"
     )
 
 
-def test_deferred_call_earns_load_orders_once_it_is_durable() -> None:
+def test_deferred_call_adds_to_the_load_ration_once_it_is_durable() -> None:
     """Guards against load orders for calls that were never accepted.
 
-    In a run of ten minutes with faults, each call that was rejected because of a failing disk earned a load order.
+    In a run of ten minutes with faults, each call that was rejected because of a failing disk allowed a load order.
     """
     parts = DispatcherParts(parse(DEPLOYMENT, "t"), "a", 1)
     group_commit = GroupCommit()
@@ -463,7 +469,7 @@
         self.driver.journal = JournalDriver(
             self.gateway.durability.journal, journal, self.driver.schedule_decisions, self.log
         )
-        self.found = self.gateway.recover(*now(), journal.activations(), 100.0, 16)
+        self.recovery_counts = self.gateway.recover(*monotonic_and_wall_ms(), journal.activations(), 100.0, 16)
         self.set_workers(workers)
 
     async def end(self) -> None:
@@ -473,7 +479,7 @@
         await self.server.drain(0)
 
 
-def now() -> tuple[float, float]:
+def monotonic_and_wall_ms() -> tuple[float, float]:
     return time.monotonic() * 1000, time.time() * 1000
 
 
@@ -518,7 +524,7 @@
 
 def test_failing_disk_rejects_deferred_calls_and_serves_blocking_ones(tmp_path: Path) -> None:
     async def main() -> None:
-        disk = FaultyDisk()
+        disk = FaultyDisk()  # registers the VFS "harmed"
         worker = ScriptedWorker("w", answer)
         dispatcher = JournaledDispatcher([worker], tmp_path / "b", vfs="harmed")
         assert (await dispatcher.call("grant", blocking=False, body={}))[0] == 202
@@ -560,6 +566,7 @@
             )
             assert status == expected
             record = await dispatcher.wait_for_record(body["activationId"])
+            # Cancelled, or ended by its timeout after the cancellation was refused.
             assert final_answer(record)["answer"] == "aborted"
         await dispatcher.end()
         await worker.server.drain(0)
@@ -571,7 +578,8 @@
 def test_dispatcher_killed_at_a_step_keeps_acknowledged_calls() -> None:
     """Guards against the loss of acknowledged calls when a dispatcher process is killed at a step of a request.
 
-    Runs two of the steps of bench/crash_points.py, with each idempotency, deferred and with a key, in real processes.
+    Runs two of the steps of bench/crash_points.py, with each idempotency, deferred and with a key, in real processes:
+    `cleared` (the may-run entry is durable) and `ended` (the final answer is about to be shown).
     """
     process = subprocess.run(
         [sys.executable, "bench/crash_points.py", "--steps", "cleared,ended"],
@@ -585,6 +593,7 @@
     assert process.returncode == 0, process.stdout + process.stderr[-1500:]
     assert len(cases) == 10 and not any(case["broken"] for case in cases)
     # A deferred call may be lost before its 202 was sent: then it was not acknowledged, and no client polls it.
+    # `effect` holds the idempotency.
     assert {
         case["answer"]
         for case in cases
@@ -597,11 +606,11 @@
         journal, results = ActivationJournal(tmp_path / "b"), list[bool]()
         ids = [f"{n:032x}" for n in range(1700)]
         journal.commit([Accepted(id_, "one", "grant", 100.0, 900.0, b"{}") for id_ in ids])
-        driver = JournalDriver(GroupCommit(100), journal, lambda: None, RecordingLog())
+        driver = JournalDriver(GroupCommit(100), journal, lambda: None, RecordingLog())  # at most 100 entries wait
         for id_ in ids:
             driver.forget(id_)
         assert not driver._busy, "no activation is deleted before background work runs"
-        assert driver.compact() and driver.compact(), "one batch at a time"
+        assert driver.compact() and driver.compact(), "a full batch remains"
         driver.group_commit.write(Accepted("f" * 32, "one", "grant", 100.0, 900.0, b"{}"), results.append)
         while not results:
             await asyncio.sleep(0.002)
