--- a/kelptrail/vrrp/driver.py
+++ b/kelptrail/vrrp/driver.py
@@ -35,10 +35,10 @@
 
 
 def next_epoch(file: Path) -> int:
-    """Return the epoch of this start, which is larger than that of every earlier start, and store it in `file`.
+    """Return the epoch of this start and store it in `file`.
 
-    The number is at least the wall clock in milliseconds, so that it still grows after the file was lost.  Raises
-    `OSError` if it cannot be stored.
+    It is larger than the stored one and at least the wall clock in milliseconds, so that it also grows after the file
+    was lost, unless the clock was set back.  Raises `OSError` if it cannot be stored.
     """
     last = 0
     with contextlib.suppress(FileNotFoundError, ValueError):
--- a/tests/test_front_addresses.py
+++ b/tests/test_front_addresses.py
@@ -88,7 +88,7 @@
         while count := await loop.sock_recv_into(busy, buffer):
             received += bytes(buffer[:count])
         assert received.index(b" 200 ") < received.index(b" 503 ") < received.index(b"connection: close"), received
-        await loop.sock_sendall(idle, CALL)  # Sent while the address moves: answered with 503, not reset
+        await loop.sock_sendall(idle, CALL)  # Sent after the address moved: answered with 503, not reset
         reply = await read_reply(idle)
         assert reply.status == 503 and reply.headers["retry-after"] == "1" and not reply.keep_alive
         await old.wait_closed()
@@ -103,7 +103,7 @@
     run(main())
 
 
-def test_a_request_after_the_address_moved_gets_503_with_retry_after() -> None:
+def test_a_request_that_was_incomplete_when_the_address_moved_gets_503_with_retry_after() -> None:
     async def main() -> None:
         dispatcher = Dispatcher([ScriptedWorker("w", never_answer)])
         front = FrontAddress("127.0.0.1", free_port(), front_service(dispatcher), RecordingLog())
@@ -114,7 +114,7 @@
         # An incomplete request keeps the connection busy.
         await asyncio.get_running_loop().sock_sendall(sock, CALL[:40])
         await asyncio.sleep(0.05)
-        server.handle = front._reject_moved
+        server.handle = front._reject_moved  # as `release` does, which also starts to drain
         await asyncio.get_running_loop().sock_sendall(sock, CALL[40:])
         reply = await read_reply(sock)
         assert reply.status == 503 and reply.headers["retry-after"] == "1" and not reply.keep_alive
@@ -134,7 +134,7 @@
 """
 
 
-def test_two_instances_on_loopback_move_the_address_and_drop_foreign_datagrams(tmp_path: Path) -> None:
+def test_two_instances_on_loopback_move_the_address_and_drop_unauthenticated_datagrams(tmp_path: Path) -> None:
     async def main() -> None:
         from program import DEPLOYMENT
 
@@ -164,19 +164,19 @@
                     await asyncio.sleep(0.005)
 
         await wait_for_holders(True, False)
-        # Foreign datagrams are counted and have no other effect.
+        # Datagrams without authentication are counted and have no other effect.
         counts = members[1].vrrp.instance.counters
-        foreign_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        foreign_socket.bind(("127.0.31.1", 0))
-        address_parts = deployment.vrrp.instance[1].udp.rpartition(":")
+        sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        sender.bind(("127.0.31.1", 0))
+        address_parts = deployment.vrrp.instance[1].udp.rpartition(":")  # of member b: host, ":", port
         for data in (b"junk", b"x" * 60):
-            foreign_socket.sendto(data, (address_parts[0], int(address_parts[2])))
-        foreign_socket.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, 4)
-        foreign_socket.sendto(b"y" * 60, (address_parts[0], int(address_parts[2])))
+            sender.sendto(data, (address_parts[0], int(address_parts[2])))
+        sender.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, 4)  # no effect: authentication is checked first
+        sender.sendto(b"y" * 60, (address_parts[0], int(address_parts[2])))
         await asyncio.sleep(0.05)
-        assert counts["UnsealedError"] == 3
-        # The master's connections to workers fail: the address moves within the time limit.  It moves back once they
-        # have worked for long enough.
+        assert counts["UnsealedError"] == 3  # no authentication trailer
+        # The master has no workers: the address moves within the 3 s of `wait_for_holders`.  It moves back once the
+        # connections to its workers have been healthy for `rise-ms`.
         dispatchers[0].set_workers([])  # Its endpoint list has no workers any more
         await wait_for_holders(False, True)
         dispatchers[0].set_workers(workers)
@@ -186,9 +186,10 @@
         status = members[1].vrrp.status()
         (router,) = status["routers"]
         assert router["state"] == "master" and status["transitions"][-1]["cause"] == "master down"
+        # `adver` is the time to the next advertisement (Adver_Timer), `well` the last observed health.
         assert "adver" in router["timers_ms"] and status["tracked"]["workers"]["well"]
         await members[1].stop()
-        foreign_socket.close()
+        sender.close()
         for dispatcher in dispatchers:
             await dispatcher.server.drain(0)
         await workers[0].server.drain(0)
@@ -203,7 +204,7 @@
         for dispatcher in dispatchers:  # The client retries through the other master
             assert (await dispatcher.call("activate", body={}, key="ticket-7"))[0] == 200
         assert [id_ for id_, _ in worker.attempts] == ["one/activate/ticket-7"] * 2, (
-            "the deduplication scope drops the retry with the same id"
+            "both attempts carry the id by which the deduplication scope drops the retry"
         )
         for dispatcher in dispatchers:
             assert (await dispatcher.call("activate", body={}))[0] == 200
@@ -215,7 +216,7 @@
     run(main())
 
 
-def test_epochs_increase_after_clock_steps_and_file_damage(tmp_path: Path) -> None:
+def test_epochs_increase_after_a_clock_step_and_follow_the_clock_after_file_damage(tmp_path: Path) -> None:
     file = tmp_path / "epoch"
     first = next_epoch(file)
     file.write_text(str(first + 10**9))  # The clock was set back after the file was written
@@ -238,7 +239,7 @@
 
 
 @pytest.mark.scenarios
-def test_two_failovers_of_real_processes_break_no_rule(tmp_path: Path) -> None:
+def test_two_failovers_of_real_processes_break_no_rule_of_the_history_checker(tmp_path: Path) -> None:
     text = (ROOT / "examples" / "shared-address.sexp").read_text()
     for port, kind in (("8112", socket.SOCK_DGRAM), ("8310", socket.SOCK_STREAM), ("8311", socket.SOCK_STREAM)):
         text = text.replace(port, str(free_port(kind)))
@@ -265,7 +266,9 @@
     )
     assert process.returncode == 0, process.stdout[-2000:] + process.stderr[-2000:]
     report = json.loads((tmp_path / "report.json").read_text())
+    # `broken`: a rule of the history checker was violated.
     assert report["taken_over"] == 2 and report["completed"] > 100 and not report["broken"]
+    # Requests that had their effect twice, got no final answer, or got two.
     assert report["effects_twice"] == report["unanswered"] == report["finals_twice"] == 0
     assert (tmp_path / "masters.png").stat().st_size > 10_000
 
@@ -274,7 +277,7 @@
     async def main() -> None:
         in_flight: list[tuple[ScriptedWorker, Request, Exchange]] = []
         one, two = (
-            Dispatcher([ScriptedWorker("w", lambda *exchange: in_flight.append(exchange))]),
+            Dispatcher([ScriptedWorker("w", lambda *call: in_flight.append(call))]),
             Dispatcher([ScriptedWorker("v", answer)]),
         )
         port, grpc_port = free_port(), free_port()
@@ -292,7 +295,8 @@
         new.acquire()
         old.release()
         await asyncio.sleep(0.2)  # The client reads GOAWAY
-        # The old holder finishes the accepted call; the client's next calls go to the new holder, and none fails.
+        # The old holder finishes the accepted call.  Once the client has read GOAWAY, its calls go to the new holder;
+        # none fails.
         after = [await client.infer("p/check", [tensor("INT8", [n])]) for n in range(3)]
         assert [list(r.outputs[0].contents.int_contents) for r in after] == [[0], [1], [2]]
         assert two.gateway.counts.received >= 1 and one.gateway.counts.received + two.gateway.counts.received == 4
