--- a/kelptrail/platform/endpoint_watch.py
+++ b/kelptrail/platform/endpoint_watch.py
@@ -3,8 +3,8 @@
 The stream of the list's events is also called feed, and the request that starts it poll.  The list's service sends an
 event every second, an empty one if nothing changed, so silence is a fault.  As a failed connection cannot be
 distinguished from a slow service, another connection is opened beside the silent one, and the first one that delivers
-an event is kept.  After the end of a connection that had delivered an event the watch reconnects immediately, after
-further failures with exponential backoff.
+an event is kept.  If a connection that had delivered an event ends and no failure came before, the watch reconnects
+immediately, else with exponential backoff.
 """
 
 from __future__ import annotations
