--- a/kelptrail/dispatch/attempt_results.py
+++ b/kelptrail/dispatch/attempt_results.py
@@ -12,9 +12,10 @@
 
 MIN_CONCURRENCY_LIMIT = 2.0  # a worker is always allowed two attempts at once
 # A completed attempt that took longer than half of its latency objective, probably because of congestion,
-# multiplies the concurrency limit by this factor.  So does a refused one if attempts of other dispatchers
-# were in flight.  Any other completed attempt adds 1 / limit if at least about half of the limit is in use,
-# so that as many attempts as the limit allows at once add one.
+# multiplies the concurrency limit by this factor.  So does one that found the worker out of capacity or the
+# function not loaded, if attempts of other dispatchers were in flight.  Any other completed attempt adds
+# 1 / limit if at least about half of the limit is in use, so that as many attempts as the limit allows at
+# once add one.
 CONCURRENCY_DECREASE = 0.9
 # Attempts show whether the fleet is overloaded only at workers whose mean number of attempts in flight is
 # lower than this.  At busier workers the lower concurrency limit is the reaction to delays.
@@ -46,7 +47,7 @@
 
 
 class AttemptResults:
-    """Records the result of each finished attempt, and requeues or finishes its request."""
+    """Records the result of each finished attempt, and requeues or ends its request."""
 
     def __init__(
         self, parts: Components, state: DispatchState, lifecycle: RequestLifecycle, loads: LoadResults
@@ -57,8 +58,8 @@
         self._worker_delays = WorkerDelays()
 
     def on_attempt_finished(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
-        """Update the worker, the instance and the function, then requeue the request or cancel its other
-        attempts.
+        """Update the worker, the instance and the function.  Then cancel the request's other
+        attempts if it is done; else requeue or end it, unless it has a final status.
         """
         status, request, instance = result.status, attempt.request, attempt.instance
         worker, function = instance.worker, instance.function
@@ -76,7 +77,7 @@
         if status is AttemptStatus.COMPLETED:
             latency_ms = self._on_completed(now, attempt, result.warm)
         elif status in (AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.NOT_LOADED):
-            self._on_refused(now, attempt, result)
+            self._on_not_run(now, attempt, result)
         if attempt is instance.trial_attempt and status in (
             AttemptStatus.COMPLETED,
             AttemptStatus.NOT_LOADED,
@@ -147,9 +148,10 @@
             worker.concurrency_limit += 1 / worker.concurrency_limit
         return latency_ms
 
-    def _on_refused(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
-        """Record that the worker did not run the attempt.  If no attempts of other dispatchers for the
-        function are in flight there, the function counts as having no loaded instance at the worker.
+    def _on_not_run(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
+        """Record that the worker was out of capacity or had no loaded instance.  If no attempts of other
+        dispatchers for the function are in flight there, the function counts as having no loaded instance at
+        the worker.
         """
         instance, worker = attempt.instance, attempt.instance.worker
         worker.concurrency_limit = max(
@@ -178,7 +180,7 @@
             # others may be idle.
             if not shows_overload or not self._worker_delays.is_outlier(now, worker):
                 self._queues.observe_worker_delay(instance.function, shows_overload)
-        # A refusal counts as if attempts of other dispatchers filled the concurrency limit.
+        # A refused attempt counts as if attempts of other dispatchers filled the concurrency limit.
         self._placement.observe_foreign_load(
             now, instance, max(foreign_in_flight, worker.concurrency_limit * refused)
         )
--- a/kelptrail/dispatch/components.py
+++ b/kelptrail/dispatch/components.py
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, eq=False)
 class DispatchState:
-    """State that inputs update and decisions read.  The dictionaries are ordered sets."""
+    """State that the modules of a dispatcher share.  The dictionaries are ordered sets."""
 
     decisions: deque[Decision] = field(default_factory=deque)  # decisions not yet returned by `decide`
     runnable: dict[Function, None] = field(default_factory=dict)  # functions whose queue is to be served
--- a/kelptrail/dispatch/dispatcher.py
+++ b/kelptrail/dispatch/dispatcher.py
@@ -1,9 +1,10 @@
 """Combines all decisions of kelptrail in one `Dispatcher`.
 
 Build the components and a `Dispatcher` from them, pass it each event (`on_request`, `on_attempt_finished`,
-`on_load_report` and the other `on_...` methods), then call `decide(now)` until it returns None.  The entities
-are in `entities.py`, due times in `timer_queue.py`.  `kelptrail/engine` and the gateway embed a dispatcher;
-the design is in `docs/design.md`.  Times are milliseconds.
+`on_load_report` and the other `on_...` methods) and call `on_tick` every `tick_ms`.  After each of these
+calls, and at the time `timers.next_due()`, call `decide(now)` until it returns None.  The entities are in
+`entities.py`.  `kelptrail/engine` and the gateway embed a dispatcher; the design is in `docs/design.md`.
+Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -102,7 +103,7 @@
         self._lifecycle.cancel_attempts(request, attempt)
 
     def on_attempt_finished(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
-        """Record the result of an attempt."""
+        """Record the result of an attempt, and requeue or end its request."""
         self._results.on_attempt_finished(now, attempt, result)
 
     def on_load_report(self, now: float, order: LoadOrder, status: AttemptStatus, loaded_count: int) -> None:
@@ -162,8 +163,8 @@
         self._planned.replace_plan(plan)
 
     def on_tick(self, now: float) -> Function | None:
-        """Do the periodic work of one tick, which is due every `tick_ms`.  Return a function that the caller
-        must remove, or None.
+        """Do the periodic work of one tick, which is due every `tick_ms`.  Return a function that was
+        removed and that the caller must remove as well, or None.
         """
         self._planned.start_loads(now)
         self._second_attempts.check_workers(now)
@@ -210,7 +211,9 @@
         return self._lifecycle.check_deadline(now, item) if item.final_status is None else None
 
     def _remove_unused_function(self, now: float) -> Function | None:
-        """Remove the least recently requested function if it is past its lifetime and unused."""
+        """Remove the least recently requested function if it is past its lifetime and unused.  Return it, or
+        None if none was removed.
+        """
         known = self._state.known_functions
         unused = next(iter(known), None)
         if unused is None or now - unused.last_request_at < FUNCTION_LIFETIME_MS or unused.in_use:
--- a/kelptrail/dispatch/entities.py
+++ b/kelptrail/dispatch/entities.py
@@ -2,7 +2,7 @@
 
 They hold state and decide nothing: the other modules of this package read and write them.  Objects refer
 to each other directly; ids are resolved by the program that embeds a dispatcher (`kelptrail/engine`, the
-gateway). All times are milliseconds on that program's clock.
+gateway).  All times are milliseconds on that program's clock.
 """
 
 from __future__ import annotations
@@ -21,8 +21,9 @@
 
 
 class AttemptStatus(Enum):
-    """The outcome of an attempt; the values appear in the log.  `NEVER_RAN` lists the outcomes that prove
-    that it was not executed.
+    """The outcome of an attempt, a load order or a readiness probe; the values appear in the log.
+
+    `NEVER_RAN` lists the outcomes that prove that an attempt was not executed.
     """
 
     COMPLETED = "completed"
@@ -137,7 +138,8 @@
     pending_loads: int = 0  # load orders in flight
     mean_in_flight: float = 0.0  # number of attempts in flight, moving average
     concurrency_limit: float = 0.0  # estimated number of attempts that the worker can run at once
-    silent_since: float = 0.0  # time of the last response, or of the first attempt after an idle period
+    # Time of the last response or first part of one, or of the first attempt after an idle period.
+    silent_since: float = 0.0
     # Moving average of the time between responses while attempts are in flight.
     mean_response_gap: float = 0.0
     response_gap_deviation: float = 0.0
@@ -194,7 +196,8 @@
     instances: dict[Worker, Instance] = field(default_factory=dict)
     instance_limit: int = 0
     target_worker_count: float = 1.0  # the number of preferred workers that share its load
-    # Start time of the queue, or the later time at which `instance_limit` was last raised.
+    # Time at which queued requests first needed another instance, or the later time at which `instance_limit`
+    # was last raised.
     queued_since: float | None = None
     ranked_workers: list[Worker] | None = None  # the worker list that `preferred_workers` was computed from
     preferred_workers: list[Worker] = field(default_factory=list)  # workers in order of preference
@@ -252,7 +255,7 @@
     queued: bool = False
     final_status: FinalStatus | None = None  # never changes once set
     reason: TerminationReason | None = None  # set if the request was rejected or failed
-    retry_after_ms: float = 0.0  # time after which a rejected client may retry
+    retry_after_ms: float = 0.0  # time after which a rejected client may retry; 0: none given
     held_for_readiness: bool = False  # the request has waited for a worker that is known to be ready
     # The attempt whose response has begun; no other attempt can complete the request.
     streaming_attempt: Attempt | None = None
--- a/kelptrail/dispatch/instance_table.py
+++ b/kelptrail/dispatch/instance_table.py
@@ -45,14 +45,17 @@
         return function.instances[worker]
 
     def set_loaded(self, now: float, instance: Instance, count: int) -> None:
-        """Record that `count` instances are loaded and idle as of now."""
+        """Record that `count` instances are loaded and idle as of now; set the renewal timer if none was
+        loaded before.
+        """
         if count and not instance.loaded:
             self._timers.add(now + RENEWAL_SHARE * self._keep_alive_ms, instance)
         instance.loaded, instance.idle_since = count, now
 
     def needs_renewal(self, now: float, instance: Instance) -> bool:
         """Return whether to renew the instance now; set the timer for its next check while it is loaded.  An
-        instance past its keep-alive time counts as not loaded, and is removed if nothing uses it.
+        instance past its keep-alive time counts as not loaded.  One that is not loaded is removed, unless it
+        is in use or unavailable for a time.
         """
         if instance.function.instances.get(instance.worker) is not instance:
             return False
--- a/kelptrail/dispatch/load_results.py
+++ b/kelptrail/dispatch/load_results.py
@@ -32,8 +32,8 @@
         if status in (AttemptStatus.COMPLETED, AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.ERROR):
             self._instances.set_loaded(now, instance, loaded_count)
         else:
-            # The worker did not answer, which counts as a lost connection.  Instances that were recorded as
-            # loaded still count as loaded.
+            # The order got no answer or was not sent, which counts as a lost connection.  Instances that were
+            # recorded as loaded still count as loaded.
             self._outliers.record(now, instance.worker.outlier_state, True, True)
         if not loaded_count and status not in (AttemptStatus.CONNECTION_LOST, AttemptStatus.NOT_SENT):
             instance.unavailable_until = now + instance.function.load_ms
@@ -44,7 +44,7 @@
         self._state.runnable[instance.function] = None
 
     def _observe_load(self, now: float, order: LoadOrder, instance: Instance, status: AttemptStatus) -> None:
-        """Update the load time, and the share of instances that another dispatcher had already loaded."""
+        """Update the load time, and the share of instances that were already loaded at their first use."""
         function, duration_ms = instance.function, now - order.placed_at
         was_loading = (
             status is not AttemptStatus.COMPLETED or duration_ms > REAL_LOAD_SHARE * function.load_ms
--- a/kelptrail/dispatch/outlier_detection.py
+++ b/kelptrail/dispatch/outlier_detection.py
@@ -110,7 +110,7 @@
     def overdue_attempts(self, now: float, worker: Worker) -> list[Attempt]:
         """Mark and return the attempts that are newly overdue.  If the worker is unusually silent, eject it;
         all its attempts are then overdue, except streamed ones.  Otherwise only attempts past `LOST_FACTOR`
-        are overdue, as single responses can get lost.
+        are overdue, as single responses can get lost.  Each counts as a failure in its request class.
         """
         usual_ms = {
             attempt: attempt.request.function.mean_latency_ms
--- a/kelptrail/dispatch/planned_placement.py
+++ b/kelptrail/dispatch/planned_placement.py
@@ -51,9 +51,9 @@
             self._state.decisions.append(order)
 
     def planned_worker(self, now: float, function: Function) -> WorkerChoice | None:
-        """Return a worker with fewer instances of the function than planned, or None.  Without this rule,
-        after new models are released (all instances are lost at once), each dispatcher could choose a
-        different worker, so that the function would be loaded at many workers.
+        """Return a usable worker with fewer loaded instances of the function than planned, or None.  Without
+        this rule, after new models are released (all instances are lost at once), each dispatcher could
+        choose a different worker, so that the function would be loaded at many workers.
         """
         if function.planned:
             for instance in function.instances.values():
@@ -69,8 +69,8 @@
         return None
 
     def _next_load(self, now: float) -> LoadOrder | None:
-        """Return the next load order ahead of demand.  Skip workers that are in slow start, ejected or out of
-        capacity.
+        """Return the next load order ahead of demand.  Skip workers that are in slow start, ejected, out of
+        capacity or not known to be ready.
         """
         for _ in range(min(MAX_INSTANCES_PER_SEARCH, len(self._examination_queue))):
             instance, worker = self._examination_queue[0], self._examination_queue[0].worker
--- a/kelptrail/dispatch/queues.py
+++ b/kelptrail/dispatch/queues.py
@@ -21,7 +21,7 @@
 
 
 class RequestQueues:
-    """Decides on the limits of the queues; each function has one queue."""
+    """Decides which requests may be queued and how many instances a function may have."""
 
     def __init__(self, seed: int, request_classes: list[RequestClass], tenants: list[Tenant]) -> None:
         self._seed, self._draws, self._tenants = seed, 0, tenants
@@ -78,8 +78,8 @@
     def instance_limit(self, now: float, function: Function, has_capacity: bool) -> int:
         """Return the maximum number of instances of the function.  If there is capacity, a queue that lasts
         longer than one load time raises it by the number of instances that the queue would fill, but by at
-        least one and at most to twice its value.  Adding instances one at a time took some twenty load times
-        at a cold start.
+        least one and at most to twice its value.  It is never less than the number of workers that share the
+        function.  Adding instances one at a time took some twenty load times at a cold start.
         """
         function.instance_limit = function.instance_limit or INITIAL_INSTANCE_LIMIT
         function.queued_since = now if function.queued_since is None else function.queued_since
--- a/kelptrail/dispatch/readiness.py
+++ b/kelptrail/dispatch/readiness.py
@@ -74,8 +74,8 @@
         self._notified_at = min(self._notified_at, now + self._limits.broken_notification_ms)
 
     def on_initial_list(self, now: float) -> None:
-        """Record that a list from the configuration or the disk was applied.  Its age is unknown, so that a
-        change since then already counts as notified.
+        """Record that a list of unknown age was applied, as one from the configuration or the disk.  A change
+        that it does not contain counts as notified now.
         """
         if self._limits.notification_ms < NEVER:
             self._confirmed_at, self._notified_at = LONG_AGO, now
--- a/kelptrail/dispatch/readiness_questions.py
+++ b/kelptrail/dispatch/readiness_questions.py
@@ -40,8 +40,9 @@
         self._readiness, self._instances, self._state = parts.safety.readiness, parts.instances, state
         self._credit = MAX_CREDIT
         self._held_functions: dict[Function, None] = {}
-        # Answer times of load queries by question, while the health check of the question is unanswered.
-        self._load_query_answered_at: dict[ReadinessQuestion, float] = {}
+        # Time of the first answer to each question of which one probe is unanswered.  `on_tick` removes those
+        # whose unanswered probe is the load query.
+        self._first_answered_at: dict[ReadinessQuestion, float] = {}
         self._health_check_was_answered = False  # whether any worker has answered a health check
         self._ignoring_workers: set[str] = set()  # ids of workers that did not answer a health check
         self.results: Counter[str] = Counter()  # counts by `QuestionResult`
@@ -56,7 +57,9 @@
         self._credit = min(MAX_CREDIT, self._credit + CREDIT_PER_REQUEST)
 
     def hold_queue(self, function: Function) -> None:
-        """Hold the queue of the function until `resume_held_queues` is called."""
+        """Record that the function's queued requests wait for a worker that is known to be ready, so that
+        `resume_held_queues` serves them again.
+        """
         self._held_functions[function] = None
         for request in (*function.queue, *function.late_queue):
             request.held_for_readiness = True
@@ -108,14 +111,15 @@
         elif all(other.status is not None for other in question.probes) or self._fleet_ignores_checks:
             self._on_proven(now, question)
         else:
-            self._load_query_answered_at[question] = now
+            self._first_answered_at[question] = now
 
     @property
     def _fleet_ignores_checks(self) -> bool:
         """Whether every live worker has ignored a health check, and none has ever answered one.
 
-        Without this exception, a fleet whose workers do not implement health checks would get no work in an
-        outage of the endpoint list.  Silence of only some workers is no evidence, as these may hang or drain.
+        The answer to a load query alone is then a proof of readiness.  Otherwise a fleet whose workers do not
+        implement health checks would get no work in an outage of the endpoint list.  Silence of only some
+        workers is no evidence, as these may hang or drain.
         """
         if self._health_check_was_answered or not self._ignoring_workers:
             return False
@@ -135,12 +139,12 @@
         """Detect workers that ignore health checks, and add credit slowly while queues are held."""
         if self._held_functions:
             self._credit = min(1.0, self._credit + CREDIT_PER_TICK) if self._credit < 1 else self._credit
-        for question, since in list(self._load_query_answered_at.items()):
+        for question, since in list(self._first_answered_at.items()):
             check = next(probe for probe in question.probes if probe.kind is ProbeKind.HEALTH_CHECK)
             if check.status is not None or question.instance.worker.readiness_question is not question:
-                del self._load_query_answered_at[question]
+                del self._first_answered_at[question]
             elif now >= since + IGNORED_CHECK_MS:
-                del self._load_query_answered_at[question]
+                del self._first_answered_at[question]
                 self._on_ignored_check(now, question)
 
     def _on_ignored_check(self, now: float, question: ReadinessQuestion) -> None:
@@ -151,7 +155,7 @@
 
     def _on_unproven(self, now: float, question: ReadinessQuestion) -> None:
         worker = question.instance.worker
-        self._load_query_answered_at.pop(question, None)
+        self._first_answered_at.pop(question, None)
         worker.readiness_question = None
         worker.next_question_at = now + UNPROVEN_PAUSE_MS
         self.results[QuestionResult.UNPROVEN] += 1
@@ -160,7 +164,7 @@
     def _on_proven(self, now: float, question: ReadinessQuestion) -> None:
         instance = question.instance
         worker = instance.worker
-        self._load_query_answered_at.pop(question, None)
+        self._first_answered_at.pop(question, None)
         worker.readiness_question = None
         worker.ready_proven_at = max(worker.ready_proven_at, _question_sent_at(question))
         self.results[QuestionResult.PROVEN] += 1
--- a/kelptrail/dispatch/request_lifecycle.py
+++ b/kelptrail/dispatch/request_lifecycle.py
@@ -23,7 +23,9 @@
     def start_load(
         self, now: float, instance: Instance, count: int, reserve: float = 0.0
     ) -> LoadOrder | None:
-        """Order `count` instances if the rules and the load ration less the share `reserve` allow it."""
+        """Order `count` instances if the rules and the load ration less the share `reserve` allow it.  Return
+        the order, or None.
+        """
         instance.load_order = self._safety.start_load(now, instance, count, reserve)
         instance.worker.pending_loads += instance.load_order is not None
         return instance.load_order
@@ -42,8 +44,9 @@
         return attempt
 
     def finish(self, now: float, request: Request, reason: TerminationReason) -> Request:
-        """End the request without a result.  The Retry-After of a rejection is the load time of the function
-        (up to the configured maximum), after which capacity may be available.
+        """End the request without a result.  Its reason is `READINESS_UNKNOWN` instead of `reason` if it
+        waited for readiness and had no attempt.  The Retry-After of a rejection is the load time of the
+        function (up to the configured maximum), after which capacity may be available.
         """
         request.reason = reason
         if request.held_for_readiness and not request.attempts:
@@ -60,7 +63,8 @@
 
     def check_deadline(self, now: float, request: Request) -> Request | None:
         """End the request if its time is over, else set a timer for the next check.  A queued request that
-        can no longer start an attempt ends even if other requests are ahead of it in the queue.
+        can no longer start an attempt and has none in flight ends even if other requests are ahead of it in
+        the queue.
         """
         give_up_at = now
         if request.queued:
@@ -75,7 +79,9 @@
         return None
 
     def requeue(self, now: float, request: Request) -> None:
-        """Queue the request for another attempt, or end it if there can be none and none is in flight."""
+        """Put the request at the head of its queue for another attempt, or end it if there can be none and
+        none is in flight.
+        """
         if request.queued:
             return
         if self._safety.accepts_attempt(now, request) and now < self._queues.latest_start(request):
--- a/kelptrail/dispatch/safety.py
+++ b/kelptrail/dispatch/safety.py
@@ -168,9 +168,9 @@
 
     def finish(self, now: float, request: Request, retry_after_ms: float = 0.0) -> Request:
         """Set the final status: rejected if a retry of the client cannot have a second effect, else failed.
-        If an attempt may have run, a retry of a deduplicated request could have one without an idempotency
-        key, with a limited deduplication scope, or if the window ends within `retry_after_ms`.  A request
-        whose response has begun always fails.
+        If an attempt may have run, the retry of a deduplicated request could have a second effect if the
+        request has no idempotency key or a limited deduplication scope, or if the window ends within
+        `retry_after_ms`.  A request whose response has begun always fails.
         """
         retry_is_safe = request.request_class.idempotency is not Idempotency.DEDUPLICATED or (
             request.has_idempotency_key and request.request_class.deduplication_scope == "all"
--- a/kelptrail/dispatch/second_attempts.py
+++ b/kelptrail/dispatch/second_attempts.py
@@ -46,8 +46,9 @@
         self.retry(now, reversed(deferred))
 
     def retry(self, now: float, attempts: Iterable[Attempt]) -> None:
-        """Requeue the requests of attempts that are overdue or were lost with their worker.  They are
-        requeued in reverse order, so that the first one ends up at the head of its queue.
+        """Requeue the requests of attempts that are overdue or were lost with their worker.  Each needs
+        a token of the retry budget, else its retry is deferred.  They are requeued in reverse order, so that
+        the first one ends up at the head of its queue.
         """
         for attempt in reversed(list(attempts)):
             request = attempt.request
@@ -65,7 +66,8 @@
                 else:
                     self._deferred.append(attempt)
             elif sum(other.status is None for other in request.attempts) == 1:
-                # Without parallel attempts the retry can start only when this attempt has ended.
+                # Without parallel attempts the retry can start only when this attempt has ended.  The attempt
+                # is also cancelled if the request may have no further attempt.
                 self._lifecycle.cancel_attempts(request)
 
     def start_hedge(self, now: float, first: Attempt) -> Attempt | None:
