--- a/kelptrail/engine/engine.py
+++ b/kelptrail/engine/engine.py
@@ -159,7 +159,7 @@
         return restarted
 
     def on_initial_list(self, now: float) -> None:
-        """Record that the endpoint list was read from the configuration; its age is unknown."""
+        """Record that the endpoint list is of unknown age, as one that was read from the configuration."""
         self._dispatcher.on_initial_list(now)
 
     def on_list_confirmed(self, now: float) -> None:
@@ -209,14 +209,14 @@
         return decision
 
     def remove_if_finished(self, request: Request) -> None:
-        """Remove a request that has its final status and no attempt in flight."""
+        """Remove the request if it has its final status and no attempt in flight."""
         if request.final_status is not None and all(attempt.status is not None for attempt in request.attempts):
             self.requests.pop(request.id, None)
 
 
 def _readiness_limits(settings: ReadinessSettings, timing: EndpointListTiming) -> ReadinessLimits:
     """Return the readiness limits: none if the settings have no rule on draining workers, and no probes if the grace
-    time leaves none for an answer.
+    time is 0, so that no answer could arrive in time.
     """
     if settings.drain_grace_ms is None:
         return ReadinessLimits()
--- a/kelptrail/engine/settings.py
+++ b/kelptrail/engine/settings.py
@@ -120,7 +120,7 @@
     can_cancel: bool
     max_attempts: int
     max_retry_after_ms: float  # 0: rejections carry no retry-after time
-    # A worker in slow start fails above this multiple of its present capacity within `overload_window_ms`.
+    # A worker is overloaded if its load over `overload_window_ms` exceeds this multiple of its present capacity.
     overload_multiple: float
     overload_window_ms: float
     initial_capacity: float  # share of its capacity that a worker has when it starts
--- a/kelptrail/simulator_adapter/instance.py
+++ b/kelptrail/simulator_adapter/instance.py
@@ -126,7 +126,10 @@
             request.final_status = request.final_status or FinalStatus.COMPLETED
 
     def on_load_report(self, now: float, event: Fields) -> None:
-        """Record the result of a load order; reports for one function and worker arrive in the order of the orders."""
+        """Record the result of a load order or load query.
+
+        Reports for one function and worker arrive in the order in which these were sent.
+        """
         orders = self._orders.get((event["runner"], event["fn"]))
         if orders:
             item, status = orders.popleft(), ATTEMPT_STATUSES[event["ending"]]
@@ -165,7 +168,10 @@
             self._on_list(now, event)
 
     def _on_list(self, now: float, event: Fields) -> None:
-        """Handle a subscribed list: a complete list (C) has an unknown age, and changes (D) confirm it as of now."""
+        """Handle a list that has to be subscribed to.
+
+        A complete list (C) has an unknown age, so that a subscription follows.  Changes (D) confirm it as of now.
+        """
         if event["how"] == "C":
             self._engine.on_initial_list(now)
             self._subscribe()
