--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -115,7 +115,7 @@
 
 
 def load_and_serve_one(dispatcher: Dispatcher, function: Function, now: float = 0.0, instances: int = 1) -> Worker:
-    """Load `instances` for one request and complete its attempt; return the worker."""
+    """Load an instance (or `instances`) for one request, and complete its attempt after 50 ms; return the worker."""
     request = new_request(function, now)
     dispatcher.on_request(now, request)
     dispatcher.parts.instances.shared_ratio = 0.0
@@ -136,7 +136,7 @@
 def submit(
     dispatcher: Dispatcher, function: Function, now: float, count: int, timeout_ms: float = 3000.0
 ) -> list[Decision]:
-    """Submit `count` requests; return the decisions on them."""
+    """Submit `count` requests; return all decisions that are due."""
     for number in range(count):
         dispatcher.on_request(now, new_request(function, now, number, timeout_ms))
     return decide_all(dispatcher, now)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -37,7 +37,7 @@
     )
     orders = [d for d in decisions if isinstance(d, LoadOrder)]
     assert orders and all(o.count == 1 and o.instance.worker is not first for o in orders), (
-        "orders go to workers without an instance"
+        "orders for one instance each go to workers without one"
     )
     rejected = [d for d in decisions if isinstance(d, Request)]
     assert rejected and all(a.final_status == "rejected" and a.retry_after_ms > 0 for a in rejected)
@@ -71,7 +71,7 @@
     (renewal,) = decide_all(dispatcher, 6500.0)
     assert isinstance(renewal, LoadOrder) and renewal.instance.worker is worker and renewal.count == 1
     dispatcher.on_load_report(6501.0, renewal, AttemptStatus.COMPLETED, 1)
-    assert decide_all(dispatcher, 13000.0) == [], "idle for more than ten seconds"
+    assert decide_all(dispatcher, 13000.0) == [], "an instance idle for more than ten seconds is not renewed"
     decide_all(dispatcher, 14600.0)
     assert not function.instances
 
@@ -124,7 +124,7 @@
     assert isinstance(order, LoadOrder) and order.instance is attempt.instance and order.count == 1
     shared_ratio = dispatcher.parts.instances.shared_ratio
     dispatcher.on_load_report(900.0, order, AttemptStatus.COMPLETED, 1)
-    assert dispatcher.parts.instances.shared_ratio == shared_ratio, "one observation is counted once"
+    assert dispatcher.parts.instances.shared_ratio == shared_ratio, "the load does not count as a second observation"
     assert [d.instance for d in decide_all(dispatcher, 900.0) if isinstance(d, Attempt)] == [attempt.instance]
 
 
@@ -153,7 +153,7 @@
         dispatcher.parts.instances.get_or_add(make_function(f"f{n}"), dispatcher.workers[0]) for n in range(12)
     ]
     order_times = [now for now in (0.0, 5100.0) for instance in instances if guard.start_load(now, instance, 1)]
-    assert order_times == [0.0] * 5, "orders of the first window may have arrived 250 ms late"
+    assert order_times == [0.0] * 5, "orders of the first window may have arrived 250 ms late, and so still count"
     assert guard.start_load(5251.0, instances[0], 1) is not None
 
 
--- a/tests/test_dispatch_hedging.py
+++ b/tests/test_dispatch_hedging.py
@@ -26,7 +26,7 @@
 
 
 def serve_in_sequence(dispatcher: Dispatcher, function: Function, now: float, latency_ms: float, n: int) -> float:
-    """Complete `n` requests one after the other, so that the mean latency is known."""
+    """Complete `n` requests one after the other, so that the mean latency is known; return the time afterwards."""
     for number in range(n):
         _, attempts = submit_one(dispatcher, function, now, 1000 + number)
         for attempt in attempts:
--- a/tests/test_dispatch_readiness.py
+++ b/tests/test_dispatch_readiness.py
@@ -287,7 +287,7 @@
     assert readiness.is_known(now + 200, ready) and not readiness.is_known(now, unproven)
     request_at(dispatcher, now, function, 2)
     decisions = [decision for elapsed_ms in range(0, 201, 10) for decision in decide_all(dispatcher, now + elapsed_ms)]
-    assert decisions, "the request is neither rejected nor leads to a load order at the ready worker within 200 ms"
+    assert decisions, "the request is rejected or causes a load order at the ready worker within 200 ms"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_dispatch_rules.py
+++ b/tests/test_dispatch_rules.py
@@ -73,27 +73,29 @@
                     and in_window
                 )
                 no_second_effect = not may_have_run or idempotency is Idempotency.IDEMPOTENT or deduplicated
-                assert no_second_effect, "a rejected request had no effect"
+                assert no_second_effect, "a retry of a rejected request has no second effect"
         elif isinstance(decision, LoadOrder) and decision.count:
-            assert decision.instance.worker.state is WorkerState.LIVE, "load order at a draining worker"
+            assert decision.instance.worker.state is WorkerState.LIVE, "no load order at a draining or removed worker"
             self.load_times.append(now)
             ration = self.settings["load_ration"]
             window_start = now - ration.window_ms
             allowed = ration.free_loads + ration.loads_per_request * sum(t > window_start for t in self.request_times)
-            assert sum(t > window_start for t in self.load_times) <= allowed, "load budget kept"
+            assert sum(t > window_start for t in self.load_times) <= allowed, "load ration kept"
         elif isinstance(decision, Attempt) and not decision.cancelled:
             self.on_attempt(now, decision)
 
     def on_attempt(self, now: float, attempt: Attempt) -> None:
         request, worker = attempt.request, attempt.instance.worker
         assert request not in self.finished and request.final_status is None, "no attempt after the final answer"
-        assert worker.state is WorkerState.LIVE, "attempt at a draining worker"
+        assert worker.state is WorkerState.LIVE, "no attempt at a draining or removed worker"
         earlier = request.attempts[:-1]
         assert len(request.attempts) <= self.settings["max_attempts"]
         assert sum(other.status is None for other in earlier) <= (1 if self.settings["parallel_attempts"] else 0)
         may_have_run = [other for other in earlier if other.status not in NEVER_RAN]
         if may_have_run and request.request_class.idempotency is not Idempotency.IDEMPOTENT:
-            assert request.request_class.idempotency is Idempotency.DEDUPLICATED, "at most once: never attempted twice"
+            assert request.request_class.idempotency is Idempotency.DEDUPLICATED, (
+                "at most once: no attempt after one that may have run"
+            )
             assert now <= may_have_run[0].started_at + request.request_class.deduplication_window_ms, (
                 "inside the deduplication window"
             )
@@ -130,7 +132,7 @@
     ]
     now, serial, in_flight, orders, open_requests = 0.0, 0, [], [], []
     for step in range(steps + 400):
-        due = dispatcher.timers.next_due()  # the engine never waits past a due time
+        due = dispatcher.timers.next_due()  # `decide` is called at most 4 ms after a due time
         step_ms = rng.choice((0.0, 1.0, 4.0, 15.0)) if step < steps else 50.0
         now = min(now + step_ms, max(now, due or now) + 4)
         for _ in range(rng.randrange(4) if step < steps else 0):
@@ -209,14 +211,14 @@
         (
             "may_attempt",
             lambda self, now, request, worker: self.accepts_attempt(now, request),
-            "draining worker|inside the deduplication scope|not overloaded",
+            "draining or removed worker|inside the deduplication scope|not overloaded",
         ),
         ("capacity_factor", always_return(1.0), "not overloaded"),
-        ("finish", always_reject, "had no effect"),
+        ("finish", always_reject, "has no second effect"),
         (
             "start_load",
             lambda self, now, instance, count, reserve=0.0: LoadOrder(instance, count, now),
-            "load budget|draining worker",
+            "load ration|draining or removed worker",
         ),
     ],
 )
--- a/tests/test_dispatch_slow_start.py
+++ b/tests/test_dispatch_slow_start.py
@@ -63,8 +63,8 @@
 def test_all_dispatchers_together_keep_the_budget_of_a_cold_worker(
     dispatcher_count: int, per_s: float, uneven: bool
 ) -> None:
-    """Each dispatcher starts attempts whenever its guard admits them.  Some are notified late of the worker's start,
-    others restart without state.  The limit N + 2 sqrt(N) + 2 for any window is that of the terms of service, where N
+    """Each dispatcher starts attempts whenever its guard admits them.  All are notified late of the worker's start, and
+    some restart without state.  The limit N + 2 sqrt(N) + 2 for any window is that of the terms of service, where N
     is the overload multiple of the worker's mean capacity in the window."""
     warm_count, overload_multiple, window_ms, slow_start_ms, initial_capacity = 10, 3.0, 3000.0, 17_000.0, 0.2
     exceeded = window_count = started = 0
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Simulator adapter as a process: batches of events on standard input, replies on standard output."""
+"""Tests of the simulator adapter as a process: batches of events on standard input, replies on standard output."""
 
 import json
 import subprocess
