--- a/kelptrail/dispatch/components.py
+++ b/kelptrail/dispatch/components.py
@@ -33,7 +33,7 @@
     """Options that the deployment sets for a dispatcher."""
 
     can_cancel: bool  # attempts in flight may be cancelled
-    max_retry_after_ms: float  # the longest Retry-After of a rejection
+    max_retry_after_ms: float  # the longest Retry-After of a rejection; 0: none is given
 
 
 @dataclass(slots=True, eq=False)
--- a/kelptrail/dispatch/entities.py
+++ b/kelptrail/dispatch/entities.py
@@ -101,7 +101,7 @@
 @dataclass(slots=True, eq=False, repr=False)
 class Tenant:
     """A tenant of the fleet, with a quota over all dispatchers.  Each dispatcher compares the tenant's share
-    of the recent requests with its share of all quotas; requests beyond that have a low priority.
+    of the recent requests with its share of all quotas; requests beyond that are rejected sooner.
     """
 
     name: str
