--- a/kelptrail/dispatch/outlier_detection.py
+++ b/kelptrail/dispatch/outlier_detection.py
@@ -37,8 +37,8 @@
         request_class: RequestClass,
         idempotency: Idempotency | None = None,
     ) -> bool:
-        """Return whether the worker may get an attempt.  After an ejection and until it has recovered, it gets
-        one attempt at a time, and none of an at-most-once request.
+        """Return whether the worker may get an attempt.  After an ejection and until it has recovered, it
+        gets one attempt at a time, and none of an at-most-once request.
         """
         for state in (worker.outlier_state, worker.outlier_state_by_class[request_class]):
             if now < state.ejected_until or (
