--- a/kelptrail/platform/__main__.py
+++ b/kelptrail/platform/__main__.py
@@ -28,7 +28,10 @@
 
 
 def read_initial_config(path: str) -> config.Config:
-    """Read the configuration at startup, and again while the file is incomplete.  Raises `ConfigError`."""
+    """Read the configuration at startup, with a retry after each of `REREAD_BACKOFF_MS` while the file is incomplete.
+
+    Raises `ConfigError`.
+    """
     for delay_ms in REREAD_BACKOFF_MS:
         try:
             return config.read(path)
@@ -39,9 +42,10 @@
 
 
 async def open_listener(service: Service) -> None:
-    """Start to accept clients; retry while the address is in use or descriptors or memory are short.
+    """Start to accept clients; retry while the address is in use or unavailable, or descriptors or memory are short.
 
-    Raises `OSError` for other causes, or after `LISTEN_TIMEOUT_MS`.
+    Return without listening if a shutdown is requested.  Raises `OSError` for other causes, or after
+    `LISTEN_TIMEOUT_MS`.
     """
     deadline = asyncio.get_running_loop().time() + LISTEN_TIMEOUT_MS / 1000
     while not service.shutting_down:
@@ -56,7 +60,7 @@
 
 
 async def serve(path: str, initial: config.Config) -> None:
-    """Run the dispatcher until SIGTERM or SIGINT.  Raises `OSError` if it cannot listen."""
+    """Run the dispatcher until its shutdown by SIGTERM or SIGINT is complete.  Raises `OSError` if it cannot listen."""
     loop = asyncio.get_running_loop()
     service = Service(loop, initial)
     scheduled_rereads: list[asyncio.TimerHandle] = []
@@ -85,7 +89,7 @@
         if signal.SIGHUP in received:
             reload()
         await service.finished
-    # The loop removes its signal handlers before the process exits, which would restore the default actions.
+    # When the loop closes, it removes its signal handlers, so the default actions would apply until the process exits.
     held_signals.block()
     service.close()
 
--- a/kelptrail/platform/client_connection.py
+++ b/kelptrail/platform/client_connection.py
@@ -17,7 +17,7 @@
 
 
 class ClientRequest:
-    """An accepted request, from its acceptance until its final answer is written."""
+    """An accepted request; it is open until it is answered or its client cancels it or disconnects."""
 
     __slots__ = ("answered", "body", "client", "client_gone_at_ms", "id", "key", "request", "stream")
 
@@ -42,7 +42,7 @@
         """Handle the frame that was read.  Raises `FrameError`."""
 
     def close_unreadable(self, client: ClientConnection, cause: FrameError) -> None:
-        """Handle a frame that cannot be parsed or is not allowed."""
+        """Close the connection after a frame that cannot be parsed or is not allowed."""
 
     def on_closed(self, client: ClientConnection) -> None:
         """Handle the end of the connection."""
@@ -65,7 +65,8 @@
     def __init__(self, handler: FrameHandler, sock: socket.socket) -> None:
         self._handler, self.reader = handler, FrameReader()
         self.open_requests: dict[int, ClientRequest] = {}  # by stream
-        # `idle_since`: time of the connect, the first complete frame, or the latest end or refusal of a request.
+        # `idle_since`: time of the connect, the first complete frame, the end of the last open request, or the latest
+        # refusal, whichever came last.
         self.idle_since = self.last_received_at = handler.time()
         self.partial_frame_since: float | None = None
         self.is_overflow = False  # True for a connection accepted over the connection limit
--- a/kelptrail/platform/client_connections.py
+++ b/kelptrail/platform/client_connections.py
@@ -1,8 +1,8 @@
 """The connections of all clients grouped by state, their limit, and their eviction.
 
 A well-behaved client closes the connections that it no longer needs.  To free descriptors for such clients, connections
-that are closing are evicted first, then those that have not sent a complete frame, then those that have been idle
-longest.  A connection whose client waits for an answer is never evicted.
+that are closing are evicted first, then those that have not sent a complete frame, then idle ones, each group
+oldest first.  A connection whose client waits for an answer is never evicted.
 """
 
 from __future__ import annotations
@@ -54,9 +54,9 @@
         self._max_connections = max_connections
         self._max_frame_s = max(FRAME_TIMEOUT_MS, max_timeout_ms) / 1000
         self.fresh: dict[ClientConnection, None] = {}  # no complete frame received yet; oldest first
-        self.idle: dict[ClientConnection, None] = {}  # no open request; longest idle first
+        self.idle: dict[ClientConnection, None] = {}  # no open request; in the order in which they joined the group
         self.busy: dict[ClientConnection, None] = {}  # at least one open request
-        self.closing: dict[ClientConnection, None] = {}  # error written; closed after `ERROR_LINGER_MS`
+        self.closing: dict[ClientConnection, None] = {}  # error written; closed after `ERROR_LINGER_MS` at the latest
         self.overflow: dict[ClientConnection, None] = {}  # accepted over the limit; also a member of a group above
 
     def __len__(self) -> int:
@@ -91,13 +91,13 @@
             self.idle[client] = None
 
     def remove(self, client: ClientConnection) -> None:
-        """Remove a connection that has ended or is about to be closed, and drop its open requests."""
+        """Drop the open requests of a connection that has ended or is about to be closed, then remove it."""
         self._owner.drop_open_requests(client)
         for group in (self.fresh, self.idle, self.busy, self.closing, self.overflow):
             group.pop(client, None)
 
     def close_after_error(self, client: ClientConnection) -> None:
-        """Close a connection once its client has read the error, at the latest after `ERROR_LINGER_MS`."""
+        """Close a connection once its client has closed its side, at the latest after `ERROR_LINGER_MS`."""
         self.remove(client)
         if not client.connection.closed:
             self.closing[client] = None
@@ -107,7 +107,7 @@
 
     @property
     def _regular_count(self) -> int:
-        """The number of connections that were accepted within the limit."""
+        """The number of connections that are not in `overflow`."""
         return len(self) - len(self.overflow)
 
     def has_capacity(self) -> bool:
@@ -161,7 +161,8 @@
     def _close_stalled(self, now: float) -> None:
         """Close connections that stalled within a frame.
 
-        A frame whose bytes keep arriving may take as long as the longest request timeout.
+        A frame whose bytes keep arriving may take as long as the longest request timeout.  None is closed while its
+        socket has unread bytes.
         """
         for client in self.active:
             since = client.partial_frame_since
@@ -183,6 +184,7 @@
         return True
 
     def _close_now(self, client: ClientConnection, reason: CloseReason) -> None:
+        """Close a connection immediately; report its open requests and unread bytes as violations."""
         for request in client.open_requests.values():
             self._invariants.report_violation(Violation.CLOSED_OVER_REQUEST, request.id, reason=reason.value)
         if (
--- a/kelptrail/platform/close_reasons.py
+++ b/kelptrail/platform/close_reasons.py
@@ -1,4 +1,4 @@
-"""Reasons in the log for closed connections, cancelled attempts and refused requests."""
+"""Reasons in the log for closed client connections, cancelled work, and refused or failed requests."""
 
 from __future__ import annotations
 
--- a/kelptrail/platform/config.py
+++ b/kelptrail/platform/config.py
@@ -29,7 +29,7 @@
     zones: list[str]
     kinds: list[str]
     max_timeout_ms: dict[str, float]  # longest timeout of a request, by request class
-    max_function_mb: float  # memory of the largest worker kind
+    max_function_mb: float  # largest memory of any worker kind
     load_timeout_ms: float
     connect_ms: float  # timeout of a connect to a worker
     idle_ms: float  # idle time after which a worker closes a connection
@@ -50,7 +50,7 @@
     listen: tuple[str, int]
     seed: int
     descriptors: int  # limit of the file descriptors of the process
-    memory_mb: float
+    memory_mb: float  # memory of the process
     endpoint_list: tuple[str, int]  # address of the endpoint list's service
     initial_events: list[EndpointEvent]  # state of the endpoint list at startup
     sockets: SocketSettings
@@ -58,7 +58,7 @@
 
 
 def read_address(source: SettingsObject, name: str) -> tuple[str, int]:
-    """Return the host and port of a setting of the form `host:port`.  Raises `MalformedError`."""
+    """Return the IP address and port of a setting of the form `address:port`.  Raises `MalformedError`."""
     host, _, port = (text := source.text(name)).rpartition(":")
     host = host.strip("[]")
     try:
@@ -84,8 +84,8 @@
 def parse(text: str, current: Config | None = None) -> Config:
     """Parse and validate the configuration in `text`.  Raises `ConfigError`.
 
-    If it replaces `current`, the result differs from `current` only in the address of the endpoint list, as a running
-    dispatcher can change nothing else.
+    With `current`, return a copy of it with the new address of the endpoint list: a running dispatcher can change
+    nothing else.  The new `settings` are validated but not used.
     """
     try:
         content = json.loads(text)
@@ -140,4 +140,4 @@
     try:
         return int(text := source.text("seed"), 16)
     except ValueError:
-        raise MalformedError(f"{source.path}.seed: {text!r} is no number in hex") from None
+        raise MalformedError(f"{source.path}.seed: {text!r} is not a hexadecimal number") from None
--- a/kelptrail/platform/decision_executor.py
+++ b/kelptrail/platform/decision_executor.py
@@ -1,4 +1,4 @@
-"""Executes the engine's decisions on the sockets and reports the result of each to the engine."""
+"""Executes the engine's decisions on the sockets; reports the results of attempts, loads and probes to the engine."""
 
 from __future__ import annotations
 
@@ -58,9 +58,9 @@
         self.workers = WorkerPool(
             loop, config.sockets, max_worker_connections, config.descriptors, self.on_item_finished, event_log
         )
-        self.client_requests: dict[Request, ClientRequest] = {}  # accepted requests without a final answer
-        # Due times of open items: the latest start of an attempt, the deadline of an attempt whose request has been
-        # answered, and the timeout of a load or probe.
+        self.client_requests: dict[Request, ClientRequest] = {}  # requests whose clients wait for the answer
+        # Due times of open items: the latest start of an attempt, the deadline of an attempt in flight whose request
+        # was rejected or has failed, and the timeout of a load or probe.
         self.timeouts = TimerQueue()
         # Number of attempts, loads and probes that ended since the last state line, by status.  Those that this
         # executor cancelled are not counted.
@@ -89,7 +89,7 @@
     # Events of the workers.
 
     def on_item_finished(self, item: WorkItem, status: AttemptStatus, answer: WorkerAnswer | None) -> None:
-        """Report the end of an item to the engine; answer the client if the item is a completed attempt."""
+        """Answer the client if the item is a completed attempt, and report the end of the item to the engine."""
         now = self._loop.time() * 1000
         self.status_counts[status.value] += 1
         loaded_count = answer.loaded_instances if answer is not None else 0
@@ -163,7 +163,7 @@
 
     def _start_attempt(self, now: float, attempt: Attempt) -> None:
         request, client_request = attempt.request, self.client_requests.get(attempt.request)
-        if client_request is None:  # answered or cancelled: an exception here would stop the other decisions
+        if client_request is None:  # answered or cancelled; not an error: an exception would stop the other decisions
             self._engine.on_attempt_finished(now, attempt, AttemptResult(AttemptStatus.NOT_SENT, True))
             return
         if attempt.latest_start < request.deadline:
@@ -191,7 +191,7 @@
         """Send all probes of a readiness question, on an open connection if there is one."""
 
         def on_write() -> None:
-            """Record the time at which the first byte of the first probe is sent."""
+            """Record the time just before the first byte of the first probe is sent."""
             if question.write_started_at is None:
                 question.write_started_at = time.monotonic() * 1000
 
@@ -203,7 +203,7 @@
             connections.start_probe(probe, on_write)
 
     def _render_call(self, attempt: Attempt, client_request: ClientRequest) -> bytes:
-        """Encode an attempt at the time of sending, with the time until its deadline as its limit.
+        """Encode an attempt at the time of sending; its limit is the time in ms until the deadline of its request.
 
         Return no bytes if the attempt may no longer start.
         """
@@ -224,7 +224,7 @@
         )
 
     def answer_final(self, request: Request) -> None:
-        """Answer a request that was rejected or has failed."""
+        """Answer a request that was rejected or has failed; cancel its unsent attempts now, others at its deadline."""
         client_request = self.client_requests.pop(request, None)
         if client_request is not None:
             is_rejected = request.final_status is FinalStatus.REJECTED
@@ -245,7 +245,7 @@
     # Cancellation and timeouts.
 
     def expire_timeouts(self, now: float) -> None:
-        """Cancel attempts, loads and probes whose timeout has passed."""
+        """Cancel the items whose due time in `timeouts` has passed, but of an open request only unsent attempts."""
         while (item := self.timeouts.pop_due(now)) is not None:
             if isinstance(item, LoadOrder):
                 self._expire_load(now, item)
--- a/kelptrail/platform/endpoint_updates.py
+++ b/kelptrail/platform/endpoint_updates.py
@@ -40,7 +40,7 @@
         self._loop, self._engine, self._workers, self._wall_clock = loop, engine, workers, wall_clock
         self._invariants, self._was_stale = invariants, False
         self._on_item_finished, self._schedule_decisions = on_item_finished, schedule_decisions
-        # Start time of each worker: the value in the list, and the time on the loop's clock.
+        # Start time of each worker: its value in the list, and the time on the loop's clock.
         self._started: dict[str, tuple[int, float]] = {}
         self.watch: EndpointWatch | None = None  # set by `follow`
 
@@ -51,7 +51,7 @@
 
     @property
     def list_age_ms(self) -> float:
-        """Time since the last complete event, in milliseconds."""
+        """Time since the last complete event, or since the start of the watch, in milliseconds."""
         return 0.0 if self.watch is None else self.watch.silent_ms
 
     def follow(self, config: Config) -> None:
@@ -80,7 +80,7 @@
             self.watch.close()
 
     def check_age(self) -> None:
-        """Log when the list becomes too old for new work, and when it is recent enough again."""
+        """Log if the list has become too old for new work, or recent enough again, since the last call."""
         report = self._engine.readiness(self._now())
         if report.list_is_stale == self._was_stale:
             return
@@ -149,7 +149,7 @@
             return
         if is_restarted or connections.address != self._workers.addresses[worker.id]:
             self._workers.drop(worker)
-        elif worker.removed:  # another worker may use its address from now on
+        elif worker.removed:  # another worker may get its address before they are established
             connections.close_connecting()
         elif not worker.live:  # queued items could otherwise be sent after the drain grace period
             for item in connections.cancel_all_unsent():
@@ -167,7 +167,7 @@
         known, started = self._started.get(record.id, (0, 0.0))
         if known != record.started:
             self._wall_clock.observe(time.time() * 1000, now)
-            # At the time of the last event, the list did not contain this start.
+            # The list did not contain this start yet at its last event.
             unknown_at = self.watch.last_event_at * 1000 if self.watch is not None else float("-inf")
             started = self._wall_clock.monotonic_ms(record.started, now, unknown_at)
             self._started[record.id] = record.started, started
--- a/kelptrail/platform/graceful_shutdown.py
+++ b/kelptrail/platform/graceful_shutdown.py
@@ -51,7 +51,9 @@
         self._loop.call_later(ACCEPT_MS / 1000, self._finish_if_idle)
 
     def _finish_if_idle(self) -> None:
-        """Close all connections if no work is open or the planned end is reached; otherwise check again later.
+        """Close all connections if no work is open; at the planned end, answer the open requests and close them anyway.
+
+        Otherwise check again later, and refuse new requests from the planned time on.
 
         The check and the close run in the same iteration of the loop, so that no request can arrive in between.
         """
--- a/kelptrail/platform/log.py
+++ b/kelptrail/platform/log.py
@@ -2,8 +2,8 @@
 
 An event is normally one of the texts of `log_events`.  Its fields describe the case; one of them may be the `reason`.
 Lines beyond `LINES_PER_S` for one event and reason are skipped.  The next line of that event and reason has the number
-of skipped lines as `skipped`.  Each message of the dispatcher is an event of its own, with a limit and count for each
-text, which may contain the id of a worker.
+of skipped lines as `skipped`.  A log message that the engine returns as a decision is an event, too: each of its texts,
+which may contain the id of a worker, has its own limit and count.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class EventLog:
-    """Writes the log lines of one process.  A line whose write would block is dropped and counted."""
+    """Writes the log lines of one process.  A line whose write would block or fails is counted as skipped."""
 
     def __init__(self, lines_per_s: int = LINES_PER_S) -> None:
         self._lines_per_s = lines_per_s
--- a/kelptrail/platform/log_events.py
+++ b/kelptrail/platform/log_events.py
@@ -1,6 +1,7 @@
 """Names of the log events of this program; `docs/ops/platform.md` describes what an operator does about each.
 
-`bench/soak.py` looks for `UNEXPECTED_ERROR` and for the engine's `invariant violated` in the log.
+`bench/fault_injection/soak_checks.py` looks for lines of `UNEXPECTED_ERROR` and of the engine's event `invariant
+violated`, which is not listed here.
 """
 
 from __future__ import annotations
--- a/kelptrail/platform/parsed_request.py
+++ b/kelptrail/platform/parsed_request.py
@@ -65,7 +65,7 @@
         if (self.key and not _IDEMPOTENCY_KEY.fullmatch(self.key)) or (
             not self.key and request_class.idempotency is Idempotency.DEDUPLICATED
         ):
-            raise UnusableRequestError("invalid idempotency key")
+            raise UnusableRequestError("invalid or missing idempotency key")
         self.timeout_ms = _read_number(fields, "limit", 1, rules.max_timeout_ms[request_class.name])
         info = _read_info(fields.get("info") or "")
         self.memory_mb = _read_number(info, "memory_mb", 1, rules.max_function_mb)
--- a/kelptrail/platform/service.py
+++ b/kelptrail/platform/service.py
@@ -1,7 +1,7 @@
 """Assembles one dispatcher on the event loop and runs its timer.
 
 `client_server` reads the bytes of clients.  `decision_executor` passes accepted requests to the engine and executes its
-decisions on `worker_connections`; answers take the same way back.  `endpoint_updates` keeps the workers up to date, and
+decisions on `worker_connections`; answers return the same way.  `endpoint_updates` keeps the workers up to date, and
 `graceful_shutdown` stops the dispatcher.
 """
 
@@ -151,7 +151,7 @@
     # Decisions.
 
     def _schedule_decisions(self) -> None:
-        """Schedule a round of decisions after the events that the loop has ready."""
+        """Schedule a round of decisions after the callbacks that the loop already has ready."""
         if not self._decisions_scheduled:
             self._decisions_scheduled = True
             self._loop.call_soon(self._decide)
@@ -199,7 +199,7 @@
         self.executor.workers.sweep()
 
     def _log_state(self) -> None:
-        """Log the load and health that the engine records, and the number of open connections and items."""
+        """Log a summary of the open work and connections, the workers, the endpoint list and the counted events."""
         executor, workers = self.executor, self.engine.workers.values()
         readiness = self.engine.readiness(self._now())
         event_log(
@@ -226,7 +226,7 @@
 
 
 class DescriptorShares(NamedTuple):
-    """Limits of the connections to clients and to workers."""
+    """Limits of the numbers of connections to clients and to workers."""
 
     clients: int
     workers: int
--- a/kelptrail/platform/worker_connection.py
+++ b/kelptrail/platform/worker_connection.py
@@ -1,8 +1,9 @@
 """One connection to a worker, and the attempts, loads and probes that are open on it.
 
 The state of the socket determines the status of an item that ends without an answer.  If the connection could not be
-established, the item is unreachable.  If the socket did not accept all of its bytes, it was not sent.  If the
-connection ends later, or delivers data that cannot be parsed, all sent items have lost their connection.
+established, the item is unreachable, or not sent if the cause was a lack of local resources.  If the connection ends
+later, or delivers data that cannot be parsed, the item has lost its connection if the socket had accepted all of its
+bytes; otherwise it was not sent.
 """
 
 from __future__ import annotations
@@ -40,22 +41,22 @@
 
 @dataclass(slots=True)
 class WorkerConnectionLimits:
-    """Limits from the settings for the connections to workers.
+    """Limits and timeouts of the connections to workers, shared by all workers.
 
     `open_count` is the number of open connections to all workers.  `close_longest_idle` closes an idle connection to
     any worker and returns whether there was one.
     """
 
-    connect_ms: float
+    connect_ms: float  # timeout of a connect, and of an answer that stalls
     idle_ms: float  # idle time after which a worker closes a connection
     streams: int  # limit of open items on one connection
     max_total: int  # limit of connections to all workers
     answer_bytes: int  # limit of the body of an answer
     may_cancel: bool  # whether the protocol allows CANCEL
     parallel_attempts: bool  # whether two attempts of a request may run at the same time
-    max_timeout_ms: float  # longest timeout of any request: late answers may arrive until then
+    max_timeout_ms: float  # longest timeout of any request: late answers may arrive for this time
     close_longest_idle: Callable[[], bool]
-    max_per_worker: int = 1
+    max_per_worker: int = 1  # limit of connections to one worker
     open_count: int = 0
 
 
@@ -109,7 +110,7 @@
         self.open_items: dict[str, OpenItem] = {}  # by id, in order of start
         # By id, the time until which late answers to an earlier item with this id may arrive.
         self.used_ids: dict[str, float] = {}
-        self.suspect = False  # an unanswered item was cancelled, and nothing was received since
+        self.suspect = False  # whether a started item was cancelled, and no complete answer was received since
         self.last_used_at = self.last_received_at = loop.time()
         self.connection: Connection | None = None
         self._connect_task: asyncio.Task[None] | None = loop.create_task(self._connect())
@@ -124,7 +125,7 @@
         return self.suspect, len(self.open_items), -self.last_used_at
 
     def start(self, id_: str, item: WorkItem, render: RenderBytes, size: int) -> None:
-        """Open an item and send it; it ends as not sent if `render` returns no bytes at the time of sending."""
+        """Open an item and send it once connected; it ends as not sent if `render` returns no bytes at that time."""
         self.last_used_at = self._loop.time()
         self.used_ids[id_] = self.last_used_at + self._owner.limits.max_timeout_ms / 1000
         opened = self.open_items[id_] = OpenItem(item, render, size)
@@ -159,7 +160,7 @@
         self.suspect = True
         if self._owner.limits.may_cancel and self.connection is not None:
             self.connection.write(encode_cancel(id_))
-            # Without this flush the next attempt could be sent first, on a connection that has earlier output to flush.
+            # Without this flush, another connection whose flush is already scheduled could send the next attempt first.
             self.connection.flush_now()
             if self.connection.has_pending_writes and not self._owner.limits.parallel_attempts:
                 self.close()  # the worker does not read; closing the connection cancels its items
--- a/kelptrail/platform/worker_connections.py
+++ b/kelptrail/platform/worker_connections.py
@@ -47,7 +47,7 @@
         return sum(len(connection.open_items) for connection in self._connections)
 
     def start_attempt(self, attempt: Attempt, render: RenderBytes, size: int) -> None:
-        """Send an attempt that is encoded by `render` at the time of sending; `size` is approximate."""
+        """Send an attempt, encoded by `render` at the time of sending; `size` is approximate, in bytes."""
         self._start(attempt.request.id, attempt, render, size)
 
     def start_load(self, order: LoadOrder, may_start: Callable[[], bool]) -> None:
@@ -76,7 +76,7 @@
         self._start(id_, probe, render, len(data), may_open_more=False)
 
     def on_not_sent(self, item: WorkItem) -> None:
-        """Report an item as not sent because it may no longer start, unless it has already ended."""
+        """Cancel an item that may no longer start and report it as not sent, unless it has already ended."""
         if self.cancel_unsent(item):
             self._on_finished(item, AttemptStatus.NOT_SENT, None)
 
@@ -128,7 +128,7 @@
             connection.close()
 
     def on_item_finished(self, item: WorkItem, status: AttemptStatus, answer: WorkerAnswer | None) -> None:
-        """Report an item whose connection answered it or ended."""
+        """Report an item that was answered or whose connection has ended."""
         del self._locations[item]
         self._on_finished(item, status, answer)
 
--- a/kelptrail/platform/worker_pool.py
+++ b/kelptrail/platform/worker_pool.py
@@ -54,12 +54,12 @@
         return sum(connections.open_item_count for connections in self.connections.values())
 
     def share_descriptors(self, worker_count: int) -> None:
-        """Divide a quarter of the process's descriptors equally among the workers, at least two for each."""
+        """Limit the connections to each worker to an equal share of a quarter of the descriptors, but at least two."""
         share = self._descriptors // 4 // max(1, worker_count)
         self.limits.max_per_worker = max(MIN_CONNECTIONS_PER_WORKER, share)
 
     def get(self, worker: Worker) -> WorkerConnections | None:
-        """Return the connections to a worker, or None if none was opened."""
+        """Return the connections to a worker, or None before their first use and after they were dropped."""
         return self.connections.get(worker)
 
     def get_or_create(self, worker: Worker) -> WorkerConnections:
@@ -76,7 +76,7 @@
         self.connections.pop(worker).close()
 
     def sweep(self) -> None:
-        """Close idle and stalled connections, and all connections to removed workers that have no open items."""
+        """Close idle, suspect and stalled connections, and drop removed workers that have no open items."""
         for worker, connections in list(self.connections.items()):
             connections.sweep()
             if worker.removed and not connections.open_item_count:
