--- a/kelptrail/platform/client_connections.py
+++ b/kelptrail/platform/client_connections.py
@@ -161,8 +161,8 @@
     def _close_stalled(self, now: float) -> None:
         """Close connections that stalled within a frame.
 
-        A frame whose bytes keep arriving may take as long as the longest request timeout.  None is closed while its
-        socket has unread bytes.
+        A frame whose bytes keep arriving may take as long as the longest request timeout.  A connection whose
+        socket has unread bytes is not closed.
         """
         for client in self.active:
             since = client.partial_frame_since
--- a/kelptrail/platform/worker_pool.py
+++ b/kelptrail/platform/worker_pool.py
@@ -76,7 +76,7 @@
         self.connections.pop(worker).close()
 
     def sweep(self) -> None:
-        """Close idle, suspect and stalled connections, and drop removed workers that have no open items."""
+        """Close idle and stalled connections, and drop all connections to removed workers that have no open items."""
         for worker, connections in list(self.connections.items()):
             connections.sweep()
             if worker.removed and not connections.open_item_count:
--- a/tests/outage_fixture.py
+++ b/tests/outage_fixture.py
@@ -23,8 +23,8 @@
 NOTIFICATION_S = 4.0  # time of silence after which a change that the list could not deliver counts as notified
 DRAIN_GRACE_S = 0.5  # new work may start at a worker for this time after its drain counts as notified
 SCHEDULING_SLACK_S = 0.15  # scheduling delay of two processes, in addition to the 0.05 s that the rule allows
-LOAD_S = 0.03
-RUN_S = 0.01
+LOAD_S = 0.03  # duration of a load
+RUN_S = 0.01  # duration of a call
 CLIENT_LIMIT_MS = 1200
 LIST_INTERVAL_S = 1.0
 CLIENT_CONNECTIONS = 16
@@ -36,12 +36,12 @@
 
     SILENT = auto()  # connections stay open and deliver nothing
     REFUSES = auto()  # open connections are closed and new ones are refused
-    CLOSES = auto()  # new connections are accepted and closed after 0.3 s
-    TRICKLES = auto()  # only the first byte of an event is sent
+    CLOSES = auto()  # open connections are closed, and new ones 0.3 s after they are accepted
+    TRICKLES = auto()  # on each connection only the first byte of an event is sent
 
 
 class EndpointService:
-    """The endpoint list's service.  `publish` adds an event, which is delivered while there is no fault."""
+    """The endpoint list's service.  `publish` adds an event, which is delivered once there is no fault."""
 
     def __init__(self) -> None:
         self.fault: ListFault | None = None
@@ -101,7 +101,7 @@
 
 
 class ReceivedCommand(NamedTuple):
-    """A command that a worker received.  `count` is the number of instances to load, or None for a call."""
+    """A CALL or LOAD that a worker received.  `count`: instances to load (0: load query), or None for a CALL."""
 
     received_at: float
     count: int | None
@@ -112,7 +112,7 @@
 
     AS_OBSERVED = auto()  # DOWN to a health check, the number of loaded instances to a load query
     AS_DOCUMENTED = auto()  # DOWN to a health check, BUSY to a load query
-    QUERIES_ONLY = auto()  # no answer to health checks, BUSY to a load query
+    QUERIES_ONLY = auto()  # no answer to any health check, also while not draining; BUSY to a load query
 
 
 class Worker:
@@ -278,7 +278,10 @@
         self.service.publish((number, self.workers[number].port, DRAINING))
 
     async def send_requests(self, until: float, function: Callable[[int], int] = lambda n: n) -> None:
-        """Send requests at a constant rate until `until`; `function` maps the number of a request to its function."""
+        """Send requests at a constant rate until `until`, then wait for their answers.
+
+        `function` maps the number of a request to its function.
+        """
         clients = [Client(*await asyncio.open_connection("127.0.0.1", self.port)) for _ in range(CLIENT_CONNECTIONS)]
         outcomes_by_stream: list[dict[int, Outcome]] = [{} for _ in clients]
         readers = [
@@ -303,7 +306,7 @@
             client.writer.close()
 
     def served_share(self, since: float) -> float:
-        """Return the share of the requests sent since a time that was served."""
+        """Return which share of the requests sent from `since` on was served."""
         codes = [outcome.code for outcome in self.outcomes if outcome.sent_at >= since]
         return sum(code == frames.SERVED for code in codes) / len(codes)
 
--- a/tests/platform_fixture.py
+++ b/tests/platform_fixture.py
@@ -79,7 +79,7 @@
         self.workers, self.limits = workers, {"cores": 1, "memory_mb": 64, "sockets": 256} | limits
         self.polled_from: list[int] = []  # event number in each poll of the endpoint list
         self.events: list[bytes] = []
-        self.after_events = "stay"  # "break": the endpoint list's service closes connections after its events
+        self.after_events = "stay"  # "break": the endpoint list's service closes each connection after its events
         self._list_writers: set[asyncio.StreamWriter] = set()  # open connections to the endpoint list's service
 
     async def __aenter__(self) -> PlatformFixture:
@@ -176,6 +176,8 @@
 
 
 def run(main: Coroutine[Any, Any, Any]) -> None:
+    """Run a test's coroutine for at most 20 s."""
+
     async def bounded() -> None:
         async with asyncio.timeout(20):
             await main
@@ -196,6 +198,7 @@
 
 
 def configuration() -> dict[str, Any]:
+    """Return a configuration with one worker and an endpoint list at port 9, where no service listens."""
     target = {
         "uid": "s-00000000",
         "endpoint": "127.0.0.1:9",
--- a/tests/test_attempt_races.py
+++ b/tests/test_attempt_races.py
@@ -1,6 +1,6 @@
 """Races of attempts on real sockets with cancels, disconnects, lost connections, duplicate answers and list changes.
 
-One side is blocked at a known point, so that the order of events does not depend on timing.
+In most tests one side is blocked at a known point, so that the order of events does not depend on timing.
 """
 
 from __future__ import annotations
@@ -31,7 +31,9 @@
     async def main() -> None:
         fixture = ConnectionsOverSmallBuffers(monkeypatch)
         sock, (partly_sent, second, third, _) = await fixture.fill_socket()
-        assert fixture.connections.cancel(partly_sent) is True, "it will reach the worker and does not count as unsent"
+        assert fixture.connections.cancel(partly_sent) is True, (
+            "an attempt that will reach the worker was reported as unsent"
+        )
         assert fixture.connections.cancel(third) is False and fixture.connections.cancel_unsent(second)
         assert not fixture.connections.cancel_unsent(second) and fixture.connections.cancel(third) is None
         found = await asyncio.to_thread(read_commands, sock)
@@ -87,7 +89,7 @@
         second.send("c" * 16, 10)  # its connection will be flushed at the end of this iteration
         assert first.connections.cancel(item) is True
         second.send("a" * 16, 10)
-        assert worker_sockets[0].recv(1000) == b"CANCEL " + b"a" * 16 + b"\r\n", "sent before any flush"
+        assert worker_sockets[0].recv(1000) == b"CANCEL " + b"a" * 16 + b"\r\n", "the CANCEL was not sent immediately"
         for fixture in (first, second):
             fixture.connections.close()
 
@@ -102,7 +104,9 @@
         fixture = ConnectionsOverSmallBuffers(monkeypatch, parallel_attempts=parallel_attempts)
         sock, (partly_sent, *others) = await fixture.fill_socket()
         assert fixture.connections.cancel(partly_sent) is True
-        assert bool(len(fixture.connections)) is parallel_attempts, "closing the connection cancels its attempts"
+        assert bool(len(fixture.connections)) is parallel_attempts, (
+            "closed with parallel attempts, or open without them"
+        )
         assert [status for _, status in fixture.ended] == (
             [] if parallel_attempts else [AttemptStatus.NOT_SENT] * len(others)
         )
@@ -226,7 +230,7 @@
             client.send_request(1)
             assert await client.answer_code() == frames.SERVED
             await asyncio.sleep(0.1)
-            assert len(platform.workers[0].calls) == 2, "the at-most-once request was executed once"
+            assert len(platform.workers[0].calls) == 2, "the at-most-once request was not executed exactly once"
 
     run(main())
 
@@ -247,7 +251,9 @@
             platform.events = [event(2, 2, (0, port, 2)), event(3, 2, (7, port, 0))]
             platform.service.reload(platform.service.config)
             await until(lambda: platform.service.last_event_number == 3)
-            assert not any(each in connections._connections for each in connecting), "another worker may answer"
+            assert not any(each in connections._connections for each in connecting), (
+                "a connect to the reassigned address was not cancelled"
+            )
             blocked.gate.set()
             assert await client.answer_code() == frames.SERVED
             assert len(platform.workers[0].calls) == 1
--- a/tests/test_endpoint_list_outage.py
+++ b/tests/test_endpoint_list_outage.py
@@ -117,7 +117,7 @@
 
 @pytest.mark.scenarios
 def test_a_process_started_in_an_outage_probes_workers_before_sending_work(tmp_path: Path) -> None:
-    """Its initial list may be old, and so may the outage, so drains since then count as notified immediately."""
+    """The age of its initial list is unknown, so a drain that the list lacks counts as notified immediately."""
 
     async def main() -> None:
         cluster = Cluster(tmp_path, bounds=HEALTH_CHECKS_ALLOWED, answers=WorkerAnswers.AS_OBSERVED)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -29,7 +29,7 @@
         async with PlatformFixture(WorkerStub(echo)) as platform:
             client, body = await platform.client(), bytes(range(256)) * 8
             client.writer.write(frames.encode_frame(frames.READY_QUERY, 7, b"\0"))
-            # The two zero bytes of an answer are the status code SERVED and the number of fields.
+            # The two zero bytes, here and in an answer, are the status code SERVED and the number of fields.
             assert await client.next_frame() == (frames.READY, 7, b"\0\0")
             client.send_request(3, body)
             assert await client.next_frame() == (frames.ANSWER, 3, b"\0\0" + body)
@@ -41,7 +41,7 @@
 
 
 # The fields on the wire are `txn`: request id; `verb`: request class (class "k" requires an idempotency key, `unique`);
-# `team`: tenant; `limit`: timeout in ms; `item`: function id; `info`: memory and concurrency of the function.
+# `team`: tenant; `limit`: timeout in ms; `item`: function id; `info`: memory and slots of an instance.
 @pytest.mark.parametrize(
     "overrides",
     [
@@ -111,10 +111,10 @@
             await asyncio.sleep(0.05)
             second.send_request(1, b"other")  # the id of an open request
             assert await second.answer_code() == frames.FAILED
-            first.send_request(1)  # the number of an open stream
+            first.send_request(1)  # the stream of an open request
             assert await first.answer_code() == frames.FAILED and await first.next_frame() is None
             await asyncio.sleep(0.05)
-            assert platform.workers[0].cancelled == [b"%016x" % 1]  # the client is disconnected
+            assert platform.workers[0].cancelled == [b"%016x" % 1]  # the client's connection was closed
 
     run(main())
 
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -1,6 +1,6 @@
 """Races of graceful shutdown and signals of the platform's program with other events.
 
-One side is blocked at a known point, so that the order of events does not depend on timing.
+In most tests one side is blocked at a known point, so that the order of events does not depend on timing.
 """
 
 from __future__ import annotations
@@ -238,7 +238,7 @@
         write_and_close(writer, configuration_text(0))
         assert blocked.process.wait(5) == 0 and blocked.process.stdout is not None
         assert log_events.SHUTTING_DOWN.encode() not in blocked.process.stdout.read(), (
-            "there are no clients to wait for"
+            "a graceful shutdown started although no client could connect"
         )
 
 
@@ -298,7 +298,9 @@
             started_at = time.monotonic()
             platform.service.shut_down()
             assert await client.next_frame() == (frames.GO_AWAY, 0, b"")
-            assert await client.answer_code(3.7) == frames.REFUSED, "the client may retry it at another dispatcher"
+            assert await client.answer_code(3.7) == frames.REFUSED, (
+                "not refused, so the client does not retry it elsewhere"
+            )
             await asyncio.wait_for(platform.service.finished, 3.7 - (time.monotonic() - started_at))
 
     run(main())
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -1,4 +1,7 @@
-"""The endpoint watch under rare conditions: silence, slow or failing events, address changes, lack of descriptors."""
+"""The endpoint watch under rare conditions: silence, slow or failing events, address changes, lack of descriptors.
+
+Also the load orders for new versions of functions.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +31,7 @@
 
 
 class EndpointListStub:
-    """An endpoint service.  `serve` handles each connection; `requested_after` holds the event number of each poll."""
+    """An endpoint service.  It adds the event number of each poll to `requested_after`; `serve` does the rest."""
 
     def __init__(self, serve: Serve) -> None:
         self._serve, self.requested_after = serve, list[int]()
@@ -44,7 +47,7 @@
         writer.close()
 
 
-async def follow(platform: PlatformFixture, port: int) -> None:
+async def watch_list_at(platform: PlatformFixture, port: int) -> None:
     platform.service.endpoints.watch.set_address(("127.0.0.1", port))
 
 
@@ -85,7 +88,7 @@
         endpoint_service = EndpointListStub(serve)
         port = await endpoint_service.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            await follow(platform, port)
+            await watch_list_at(platform, port)
             await until(lambda: len(endpoint_service.requested_after) >= 3, 1.5)
             assert set(endpoint_service.requested_after) == {1}
 
@@ -107,9 +110,11 @@
         endpoint_service = EndpointListStub(serve_slowly)
         port = await endpoint_service.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            await follow(platform, port)
+            await watch_list_at(platform, port)
             await until(lambda: platform.service.last_event_number == 2)
-            assert len(endpoint_service.requested_after) > 1, "the event did not arrive on the first connection"
+            assert len(endpoint_service.requested_after) > 1, (
+                "the event arrived on the first connection, before the silence timeout"
+            )
 
     run(main())
 
@@ -122,7 +127,7 @@
         endpoint_service = EndpointListStub(serve_with_gap)
         port = await endpoint_service.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            await follow(platform, port)
+            await watch_list_at(platform, port)
             await asyncio.sleep(0.5)
             assert 2 <= len(endpoint_service.requested_after) <= 8
 
@@ -140,7 +145,7 @@
         async with PlatformFixture(WorkerStub(echo)) as platform:
             # A connect to the old address never ends.
             blocked_connect = BlockedConnects(monkeypatch, endpoint_watch, port=9)
-            await follow(platform, 9)
+            await watch_list_at(platform, 9)
             await until(lambda: blocked_connect.waiting)
             platform.configuration["journal"] = f"127.0.0.1:{port}"
             platform.service.reload(current_config(platform))
@@ -167,9 +172,9 @@
         async with PlatformFixture(WorkerStub(echo)) as platform:
             logged: list[str] = []
             platform.service.endpoints.watch.log = lambda event, **_: logged.append(event)
-            await follow(platform, 9)  # no service listens there
+            await watch_list_at(platform, 9)  # no service listens there
             await until(lambda: logged)
-            await follow(platform, port)
+            await watch_list_at(platform, port)
             await until(lambda: platform.service.last_event_number == 2, 0.5)
 
     run(main())
@@ -190,10 +195,10 @@
         first, second = EndpointListStub(old), EndpointListStub(new)
         ports = await first.open(), await second.open()
         async with PlatformFixture(WorkerStub(echo), WorkerStub(echo)) as platform:
-            await follow(platform, ports[0])
+            await watch_list_at(platform, ports[0])
             await until(lambda: writers)
             blocked_connect = BlockedConnects(monkeypatch, endpoint_watch, port=ports[1])
-            await follow(platform, ports[1])
+            await watch_list_at(platform, ports[1])
             await until(lambda: blocked_connect.waiting)
             writers[0].write(event(2, 2, (1, 9, 1))[:30])
             await asyncio.sleep(0.02)
@@ -201,7 +206,7 @@
             await until(lambda: platform.service.last_event_number == 2)
             blocked_connect.gate.set()
             await until(lambda: platform.service.last_event_number == 3)
-            assert second.requested_after == [2], "no event is requested twice"
+            assert second.requested_after == [2], "event 2 was requested again"
 
     run(main())
 
@@ -268,7 +273,7 @@
 def test_new_version_of_loaded_functions_is_loaded_without_a_burst() -> None:
     """All instances become outdated at the same time and calls are rare.
 
-    Each function is loaded again at its next call, the call is served, and load orders stay within the ration.
+    Each function is loaded again at its next call, with at most two more load orders, and the call is served.
     """
 
     async def main() -> None:
@@ -302,7 +307,7 @@
                         stream += 1
                         client.send_request(stream, item=f"{n:016x}")
                         assert await client.answer_code() == frames.SERVED, (newest, n)
-            assert len(orders) <= 3 * 6 + 2, "one load order for each version and function"
+            assert len(orders) <= 3 * 6 + 2, "more than two load orders beyond one for each version and function"
 
     run(main())
 
@@ -320,7 +325,7 @@
         endpoint_service = EndpointListStub(serve)
         port = await endpoint_service.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            await follow(platform, port)
+            await watch_list_at(platform, port)
             await until(lambda: platform.service.last_event_number == 2, 1.5)
             await until(lambda: len(platform.service.endpoints.watch._connections) == 1)
 
@@ -346,10 +351,10 @@
         port = await endpoint_service.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
             monkeypatch.setattr(endpoint_watch, "connect", slow_connect)
-            await follow(platform, port)
+            await watch_list_at(platform, port)
             for _ in range(20):
                 await asyncio.sleep(0.05)
-                await follow(platform, port)
+                await watch_list_at(platform, port)
             await until(lambda: platform.service.last_event_number == 2, 0.5)
 
     run(main())
@@ -374,16 +379,16 @@
         async with PlatformFixture(WorkerStub(echo)) as platform:
             monkeypatch.setattr(endpoint_watch, "connect", slow_connect)
             for number in range(20):
-                await follow(platform, ports[number % 2])
+                await watch_list_at(platform, ports[number % 2])
                 await asyncio.sleep(0.05)
-            assert platform.service.last_event_number == 2, "a service was reached although the address changed"
+            assert platform.service.last_event_number == 2, "no service was reached while the address changed"
             assert sum(len(service.requested_after) for service in services) <= 4
 
     run(main())
 
 
 async def confirmation_counts(serve: Serve, *others: Serve, interval_s: float = 0.3) -> list[int]:
-    """Return the number of confirmations of the list by each service; the watch moves from one to the next."""
+    """Return how often the list was confirmed while the address of each service was set, in turn."""
     counts = [0]
 
     def on_confirmed() -> None:
@@ -429,9 +434,9 @@
 
     async def main() -> None:
         assert (await confirmation_counts(current))[0] > 5
-        assert await confirmation_counts(catching_up) == [0], "further changes may follow"
+        assert await confirmation_counts(catching_up) == [0], "confirmed although further changes may follow"
         assert await confirmation_counts(behind) == [0]
         before, after = await confirmation_counts(current, silent)
-        assert before > 5 and after == 0, "the service at the old address still sends events"
+        assert before > 5 and after == 0, "not confirmed by the current address, or confirmed by the old one"
 
     run(main())
--- a/tests/worker_connections_fixture.py
+++ b/tests/worker_connections_fixture.py
@@ -8,11 +8,7 @@
 from typing import Any
 
 import pytest
-from raw_sockets import (
-    SMALL_BUFFER_BYTES,
-    never_answer,
-    until,
-)
+from raw_sockets import SMALL_BUFFER_BYTES, until
 
 from kelptrail.codec.lines import encode_call
 from kelptrail.dispatch.entities import AttemptStatus
@@ -71,7 +67,7 @@
             self.listener.getsockname(),
             limits,
             lambda item, status, _: self.ended.append((item, status)),
-            never_answer,
+            lambda event, **fields: None,
         )
 
     def send(self, id_: str, size: int = 16_000) -> Any:
@@ -87,7 +83,7 @@
         return sock
 
     async def fill_socket(self, count: int = 4) -> tuple[socket.socket, list[Any]]:
-        """Start attempts until the socket is full; the first of them is partly sent, the others are queued."""
+        """Start attempts that fill the socket; the first of them is partly sent, the others are queued."""
         items = [self.send(f"{n:016x}") for n in range(count)]
         sock = await self.accept()
         (connection,) = self.connections._connections
@@ -96,7 +92,7 @@
 
 
 def read_commands(sock: socket.socket, timeout_s: float = 0.3) -> list[bytes]:
-    """Return the first two words of each command that the worker reads; fail if the framing is invalid."""
+    """Return the first two words of each command received until a pause of `timeout_s`; fail on invalid framing."""
     sock.settimeout(timeout_s)
     data, found = b"", []
     with contextlib.suppress(TimeoutError):
