--- a/kelptrail/platform/service.py
+++ b/kelptrail/platform/service.py
@@ -235,7 +235,7 @@
 def _share_descriptors(descriptors: int) -> DescriptorShares:
     """Divide the descriptors of the process between clients, workers and other uses.
 
-    A third of them is enough for well-behaved clients; clients get 5/12 because of connections over the limit.
+    A third of them is enough for well-behaved clients; clients get 5/12, as other clients open more connections.
     """
     clients = descriptors * 5 // 12
     others = min(OTHER_DESCRIPTORS, descriptors // 8)
