--- a/kelptrail/emulator/client_calls.py
+++ b/kelptrail/emulator/client_calls.py
@@ -14,7 +14,7 @@
 
 from kelptrail.clock import now_ms
 from kelptrail.load.client_behavior import (
-    RETRIED_ANSWERS,
+    RETRYABLE_ANSWERS,
     ClientBehavior,
     ClientOutcome,
     has_attempts_left,
@@ -56,7 +56,7 @@
 class ClientAnswer:
     """Final answer of a call as the client reads it."""
 
-    answer: str  # "completed", "rejected", "aborted", or another; only those in `RETRIED_ANSWERS` are retried
+    answer: str  # "completed", "rejected", "aborted", or another; only those in `RETRYABLE_ANSWERS` are retried
     activation: str
     status: int = 0  # HTTP status
     duration_ms: float | None = None  # duration in the activation record of a deferred call
@@ -164,7 +164,7 @@
             took=answer.duration_ms,
             code=answer.code,
         )
-        if answer.answer in RETRIED_ANSWERS:
+        if answer.answer in RETRYABLE_ANSWERS:
             self._retry(call, ClientOutcome(answer.answer), answer.retry_after_ms, answer.repeat_within_ms)
 
     def _retry(
--- a/kelptrail/load/generator_clients.py
+++ b/kelptrail/load/generator_clients.py
@@ -15,7 +15,7 @@
 from kelptrail.settings.deployment import ActionSettings, Deployment, NamespaceSettings, TypeSettings
 
 from .client_behavior import (
-    RETRIED_ANSWERS,
+    RETRYABLE_ANSWERS,
     ClientBehavior,
     ClientOutcome,
     has_attempts_left,
@@ -148,7 +148,7 @@
         if answer.answer == ClientOutcome.COMPLETED.value:
             self._counters.count_completed(call.type, call.load, latency_ms)
             self._end_attempt(call, ClientOutcome.COMPLETED, "")
-        elif answer.answer in RETRIED_ANSWERS:
+        elif answer.answer in RETRYABLE_ANSWERS:
             outcome = ClientOutcome(answer.answer)
             self._end_attempt(call, outcome, answer.answer, answer.retry_after_ms, answer.repeat_within_ms)
         else:  # a client error such as 401, which a retry would not correct; counted by its cause only
