--- a/kelptrail/load/client_behavior.py
+++ b/kelptrail/load/client_behavior.py
@@ -35,10 +35,8 @@
     """Retry behaviour of one client."""
 
     retry_after_share: float = 1.0  # share of a retry-after time that the client waits
-    jitter: tuple[float, float] = (
-        1.0,
-        1.2,
-    )  # range of the random factor on a delay; some clients leave it out after NOT_TAKEN
+    # Range of the random factor on a delay; some clients leave it out after NOT_TAKEN.
+    jitter: tuple[float, float] = (1.0, 1.2)
 
 
 def behavior_of(draw: float, full_share: float, half_share: float) -> ClientBehavior:
--- a/kelptrail/settings/fronts.py
+++ b/kelptrail/settings/fronts.py
@@ -1,4 +1,4 @@
-"""Limits of the invoke front and the inference front, and TLS towards clients and workers.
+"""Limits of the servers of the invoke API and the inference API, and TLS of the client APIs and of workers.
 
 Times are in milliseconds, sizes in `_mb` are in megabytes.  The shapes below hold the defaults.
 """
@@ -12,16 +12,16 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontSettings:
-    """Limits of the invoke API's HTTP server.
+    """Limits of the invoke API's HTTP server; `longest_wait_ms` and `drain_ms` hold for the inference API as well.
 
-    - `pipelined`: requests in flight on one connection.
-    - `longest_wait_ms`: maximum wait of a blocking client or a poll.
+    - `pipelined`: maximum number of requests in flight on one connection.
+    - `longest_wait_ms`: maximum time for which a blocking call or a poll waits for the final answer.
     - `read_ms`: time for a TLS handshake, and for a request to arrive completely.
     - `write_ms`: time for which a write may wait for a slow client.
     - `idle_ms`: time after which an idle connection is closed.
     - `drain_ms`: time for requests in flight to end at a shutdown or after a front address was released.
-    - `linger_ms`: time for which idle connections stay open meanwhile.
-    - `max_unwritten_mb`: unwritten bytes of replies, over all connections.
+    - `linger_ms`: time at the start of `drain_ms` in which idle connections stay open.
+    - `max_unwritten_mb`: limit on the bytes of replies not yet written, over all connections.
     - `connect_burst`, `connects_per_s`: burst and rate of new connections; a rate of 0: no limit.
     """
 
@@ -44,17 +44,20 @@
 class InferenceSettings:
     """Limits of the inference API's gRPC server.
 
-    - `streams`: calls in progress on one connection.
-    - `stream_requests`: requests without a final answer in one call of ModelStreamInfer.
-    - `max_partial_mb`, `max_unwritten_mb`: buffered bytes of incomplete and of unsent messages, over all connections.
+    - `streams`: maximum number of calls in progress on one connection.
+    - `stream_requests`: maximum number of requests without a final answer in one call of ModelStreamInfer.
+    - `max_partial_mb`: limit on the buffered bytes of incompletely received messages, over all connections.
+    - `max_unwritten_mb`: limit on the bytes of messages not yet written, over all connections.
     - `stream_bytes`: unsent bytes of a stream above which its producer pauses.
     - `read_ms`: time for the request of a call to arrive completely.
     - `write_ms`: time for which a write or a stream may wait for a slow client.
     - `idle_ms`: time without calls after which a connection is closed.
-    - `max_connection_age_ms`: age at which a connection is closed gracefully; 0: no limit.
+    - `handshake_ms`: time for a TLS handshake.
+    - `max_connection_age_ms`: age at which a connection is closed gracefully, varied by up to 10 % so that not all
+      close at once; 0: no limit.
     - `close_grace_ms`: time for calls to end once their connection is closing.
-    - `flood_burst`, `flood_per_s`: burst and rate, on one connection, of each kind of frame that costs its sender
-      nothing, such as pings (`kelptrail.net.guard`).
+    - `flood_burst`, `flood_per_s`: size and refill rate of the token bucket that each connection has for each kind of
+      cheap frame, such as pings (`kelptrail.net.guard`).
     - `connect_burst`, `connects_per_s`: burst and rate of new connections; a rate of 0: no limit.
     """
 
@@ -82,10 +85,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsSettings:
-    """TLS of one side: `front` (both client APIs), `to-workers`, or `runners` (the emulated workers).
+    """TLS of one side: `front` (server of both client APIs), `runners` (emulated workers) or `to-workers` (client).
 
-    `certificate`, `key` and `authority` are paths relative to the settings file's folder.
-    `client_certificates`: "none", "asked" or "required".
+    `certificate`, `key` and `authority` (the CA certificates that verify the peers) are paths relative to the settings
+    file's folder.  `client_certificates`: "none" (not requested), "asked" (requested) or "required".
     """
 
     side: str
