--- a/kelptrail/settings/cooperation.py
+++ b/kelptrail/settings/cooperation.py
@@ -1,9 +1,9 @@
 """Settings of replication, leases, the activation journal, the planner, and the channel between dispatchers.
 
 Times are in milliseconds.  `_kb` is units of 1024 bytes, `_mb` of 10^6 bytes.  The `Shape` constants below contain the
-permitted ranges and the defaults.  A class is named `...Config` if its subsystem has a `...Settings` class of its own.
-If the settings key of a field differs from the field's name, the field's metadata contains the key, written with
-underscores instead of hyphens.
+permitted ranges and the defaults.  The subsystem of a class named `...Config` has `...Settings` classes of its own,
+which are built from it.  If the settings key of a field differs from the field's name, the field's metadata contains
+the key, written with underscores instead of hyphens.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
     - `embedded`: each dispatcher runs a planner in its process.
     - `interval_ms`: time between two plans.
-    - `valid_ms`: time for which edges follow a plan.
-    - `scale_down_ms`: time for which demand must have been lower before a function's instances are reduced.
-    - `new_instances_share`: maximum number of new instances in one plan, as a share of the calls expected in the next
-      minute; `new_instances_min`: lower bound of that limit.
+    - `valid_ms`: time for which a plan is valid after it was made.
+    - `scale_down_ms`: time for which demand must stay below a function's planned instances before they are reduced.
+    - `new_instances_share`, `new_instances_min`: a plan has at most this share of the calls expected in the next minute
+      as new instances, or `new_instances_min` of them if that is more.
     """
 
     embedded: bool = field(metadata={"key": "within"})
@@ -37,7 +37,8 @@
 class PeerConfig:
     """A dispatcher that is listed in the settings.
 
-    `at`: address of its peer channel; `zone`: its failure zone; both may come from the endpoint list instead.
+    `at`: address of its peer channel; if it is empty, that of the endpoint list is used.  `zone`: its failure zone; one
+    in the endpoint list replaces it.
     """
 
     name: str
@@ -56,13 +57,14 @@
     - `max_messages_per_s`: limit on messages accepted from one peer; messages beyond it are dropped.
     - `replicas`: number of further dispatchers that store each deferred call.
     - `replica_storage`: where they store it, "disk" or "memory".
-    - `under_replication_policy`: whether new deferred calls are rejected ("refuse") or accepted ("promise") while there
-      are fewer replicas.
+    - `under_replication_policy`: whether new deferred calls are rejected ("refuse") or accepted ("promise") while
+      fewer than `replicas` replicas are in sync.
     - `max_replicated_kb`: a deferred call with a larger body is rejected, and a larger result is replaced by an error
       text.
-    - `primary_timeout_ms`: time without a message from a primary after which its journals are claimed.
+    - `primary_timeout_ms`: time without a message from a primary after which another dispatcher takes over its
+      journals.
     - `replica_timeout_ms`: time without an answer after which a replica is replaced.
-    - `repair_kb_per_s`: rate limit of the repair of one replica.
+    - `repair_kb_per_s`: rate limit on the entries sent to bring one replica up to date.
     """
 
     peer: list[PeerConfig]
@@ -84,9 +86,9 @@
 class LeasesConfig:
     """Leases on fleet-wide tasks.
 
-    `length_ms`: length of the leases that dispatchers request; `usage_interval_ms`: time between two collections of the
-    call counts of all dispatchers (`kelptrail/service/usage.py`); 0: they are not collected.  The other fields are
-    those of `LeaseSettings` in `kelptrail/lease/messages.py`.
+    `length_ms`: length of the leases that dispatchers request; `usage_interval_ms`: interval at which the call
+    counts of all dispatchers are collected (`kelptrail/service/usage.py`), or 0 for never.  The other fields are those
+    of `LeaseSettings` in `kelptrail/lease/messages.py`.
     """
 
     acceptors: tuple[str, ...] = field(metadata={"key": "voters"})
@@ -99,7 +101,7 @@
     retry_pause_ms: float = field(metadata={"key": "retry_ms"})
     queue_spacing_ms: float = field(metadata={"key": "gap_ms"})
     transfer_reservation_ms: float = field(metadata={"key": "reserve_ms"})
-    round_floor: int = field(metadata={"key": "first_round"})
+    round_floor: int = field(metadata={"key": "first_round"})  # tokens need a round above it
     usage_interval_ms: float = field(metadata={"key": "usage_ms"})
 
 
