--- a/kelptrail/emulator/datagram_proxy.py
+++ b/kelptrail/emulator/datagram_proxy.py
@@ -48,7 +48,7 @@
         for instance in settings.instance:
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sock.setblocking(False)
-            sock.bind(parse_socket_address(instance.reached_at))
+            sock.bind(parse_socket_address(instance.address_for_peers))
             self._loop.add_reader(
                 sock.fileno(), self._on_readable, sock, instance.name, parse_socket_address(instance.udp)
             )
--- a/kelptrail/service/front_addresses.py
+++ b/kelptrail/service/front_addresses.py
@@ -70,7 +70,8 @@
         own_address = parse_socket_address(own.udp)
         primary = ip_address(own_address[0])
         peers = {
-            ip_address(parse_socket_address(other.udp)[0]): parse_socket_address(other.reached_at) for other in others
+            ip_address(parse_socket_address(other.udp)[0]): parse_socket_address(other.address_for_peers)
+            for other in others
         }
         authentication = _authentication(settings.key, state_folder, primary)
         instance = Instance(
--- a/kelptrail/settings/vrrp.py
+++ b/kelptrail/settings/vrrp.py
@@ -1,6 +1,6 @@
 """Settings of VRRPv3 (RFC 9568), which moves a front address to another dispatcher when its owner fails.
 
-Times are in milliseconds.  The shapes below hold the defaults.
+Times are in milliseconds, except `interval_cs`.  The shapes below hold the defaults.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 
 @dataclass(frozen=True, slots=True)
 class KeySettings:
-    """A key shared by the peers; advertisements are signed with the first one in the file, all are accepted."""
+    """A key shared by the peers; the first in the file signs advertisements, signatures of all keys are accepted."""
 
-    number: str
+    number: str  # 0 to 255
     secret: str
 
 
@@ -22,7 +22,7 @@
 class InstanceSettings:
     """A dispatcher that runs VRRP.
 
-    `udp`: address and port of its socket; `via`: those that peers send to, such as a proxy's; default: `udp`.
+    `udp`: address and port of its socket; `via`: address and port that peers send to if not `udp`, such as a proxy's.
     """
 
     name: str
@@ -30,8 +30,8 @@
     via: str
 
     @property
-    def reached_at(self) -> str:
-        """The address that peers send to."""
+    def address_for_peers(self) -> str:
+        """The address and port that peers send to."""
         return self.via or self.udp
 
 
@@ -45,7 +45,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterConfig:
-    """A virtual router: its front address and its members.  `interval_cs`: advertisement interval in centiseconds."""
+    """A virtual router: its front address and its members.
+
+    `interval_cs`: advertisement interval in centiseconds; `accept`: Accept_Mode (RFC 9568 section 6.1), only reported;
+    `grpc_port`: port of the inference API at the address, or 0 for none.
+    """
 
     vrid: str
     address: str
@@ -118,4 +122,5 @@
     },
     build=VrrpSettings,
 )
+# Permitted names of tracked objects: reaching workers, accepting connections, writing the journal.
 TRACKED = ("workers", "front", "journal")
