--- a/kelptrail/settings/reader.py
+++ b/kelptrail/settings/reader.py
@@ -37,21 +37,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
-    """An error in a settings file: its position, the text read and what was expected."""
+class SettingsFault:
+    """An error in a settings file: its position, what was found there and what was expected."""
 
     position: SourcePosition
-    read: str
+    found: str
     expected: str
 
     def __str__(self) -> str:
-        return f"{self.position}: read {self.read}, expected {self.expected}"
+        return f"{self.position}: read {self.found}, expected {self.expected}"
 
 
 class SettingsError(Exception):
-    """Settings are invalid; `faults` lists every fault with its position."""
+    """Settings are invalid; `faults` lists what is wrong, with positions."""
 
-    def __init__(self, faults: list[Fault]) -> None:
+    def __init__(self, faults: list[SettingsFault]) -> None:
         self.faults = faults
         super().__init__("\n".join(str(fault) for fault in faults))
 
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Form:
-    """A list of expressions in brackets."""
+    """A bracketed list of expressions, `(head item ...)`."""
 
     items: tuple[Atom | Form, ...]
     position: SourcePosition
@@ -93,13 +93,13 @@
 
 
 def read(text: str, file: str) -> list[Atom | Form]:
-    """Return the expressions of a file in order.  Raises `SettingsError` for unbalanced brackets or quotes."""
+    """Return the expressions of a file.  Raises `SettingsError` with one fault: an unbalanced bracket or quote."""
     try:
         tree = _parser().parse(text)
     except UnexpectedCharacters as cause:
         raise SettingsError(
             [
-                Fault(
+                SettingsFault(
                     SourcePosition(file, cause.line, cause.column),
                     repr(cause.char),
                     "a word, a number, a closed string or a bracket",
@@ -113,17 +113,17 @@
             raise SettingsError([_unclosed_bracket(text, file)]) from None
         raise SettingsError(
             [
-                Fault(
+                SettingsFault(
                     SourcePosition(file, cause.line, cause.column),
                     repr(str(cause.token)),
-                    "a ( for this bracket",
+                    "a ( before this bracket",
                 )
             ]
         ) from None
     return [_convert(child, file) for child in tree.children]
 
 
-def _unclosed_bracket(text: str, file: str) -> Fault:
+def _unclosed_bracket(text: str, file: str) -> SettingsFault:
     """Return the fault of an unclosed bracket; the position is that of the innermost open bracket."""
     open_brackets = []
     for token in _parser().lex(text, dont_ignore=False):
@@ -132,7 +132,9 @@
         elif token.type == "RPAR" and open_brackets:
             open_brackets.pop()
     last = open_brackets[-1]
-    return Fault(SourcePosition(file, last.line or 1, last.column or 1), "the end of the file", "a ) for this bracket")
+    return SettingsFault(
+        SourcePosition(file, last.line or 1, last.column or 1), "the end of the file", "a ) that closes this bracket"
+    )
 
 
 def _convert(node: Token | Tree[Token], file: str) -> Atom | Form:
--- a/kelptrail/settings/shape.py
+++ b/kelptrail/settings/shape.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from .reader import Atom, Fault, Form, SettingsError, SourcePosition
+from .reader import Atom, Form, SettingsError, SettingsFault, SourcePosition
 
 REQUIRED: Any = object()  # default of a field that must not be left out
 
@@ -136,11 +136,11 @@
     """Checks forms against their shapes and collects the faults of one file."""
 
     def __init__(self) -> None:
-        self.faults: list[Fault] = []
+        self.faults: list[SettingsFault] = []
 
-    def fault(self, position: SourcePosition, read: object, expected: str) -> None:
+    def fault(self, position: SourcePosition, found: object, expected: str) -> None:
         """Record a fault and continue."""
-        self.faults.append(Fault(position, str(read), expected))
+        self.faults.append(SettingsFault(position, str(found), expected))
 
     def raise_faults(self) -> None:
         """Raise `SettingsError` with all recorded faults in the order of the file, if there are any."""
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -73,8 +73,8 @@
 @pytest.mark.parametrize(
     ("text", "line", "expected"),
     [
-        ("(a (b 1)", 1, "a ) for this bracket"),
-        ("(a\n (b\n  1))\n)", 4, "a ( for this bracket"),
+        ("(a (b 1)", 1, "a ) that closes this bracket"),
+        ("(a\n (b\n  1))\n)", 4, "a ( before this bracket"),
         ('(a "open\n)', 1, "a closed string"),
     ],
 )
