--- a/kelptrail/emulator/child_process.py
+++ b/kelptrail/emulator/child_process.py
@@ -1,7 +1,7 @@
 """Child process of a cluster: its command line, its start or restart on the same ports, and its ready line.
 
-Each process runs in its own session, exits when its standard input is closed, and prints one line
-`{"ready": true, ...}` once it is ready.
+Each process runs in its own session, exits when its standard input is closed, and prints one line of JSON,
+`{"ready": true, "address": ...}`, once it is ready.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 class ProcessStartError(RuntimeError):
-    """A child process did not print a valid ready line in time."""
+    """A child process did not print a line of JSON in time."""
 
 
 @dataclass(slots=True, eq=False)
 class Process:
-    """One child process; `ready_info` is its decoded ready line."""
+    """One child process; `ready_info` is its decoded ready line, with its addresses."""
 
     name: str
     arguments: list[str]
@@ -44,7 +44,10 @@
         return self.arguments[self.arguments.index(name) + 1]
 
     def start_arguments(self) -> list[str]:
-        """Return the arguments for the next start; a restart uses the ports of the last start and never starts warm."""
+        """Return the arguments for the next start.
+
+        A restart uses the ports of the last start, and omits `--warm`, so that a worker has a slow start.
+        """
         if not self.ready_info:
             return list(self.arguments)
         arguments = [*self.arguments, "--port", _port_of(self.ready_info["address"])]
@@ -62,10 +65,10 @@
 
 
 async def spawn(child: Process, logs: Path | None, quiet: bool) -> asyncio.subprocess.Process:
-    """Start a process.
+    """Start or restart `child`, and return its operating-system process.
 
-    Its standard error is appended to a file in `logs`; without `logs` it is inherited, or discarded for emulators and
-    if `quiet`.
+    Its standard error is appended to a file in `logs`.  Without `logs`, it is discarded if `quiet` is set or the
+    command is `kelptrail emulate`, else inherited.
     """
     arguments = child.start_arguments()
     child.starts, child.stop_requested = child.starts + 1, False
@@ -90,13 +93,13 @@
 
 
 async def read_ready_line(child: Process, process: asyncio.subprocess.Process) -> None:
-    """Read the ready line of a process.  Raises `ProcessStartError` if it is invalid or late."""
+    """Read the ready line of a process.  Raises `ProcessStartError` if it is late or not JSON."""
     assert process.stdout is not None
     try:
         line = await asyncio.wait_for(process.stdout.readline(), READY_TIMEOUT_S)
         child.ready_info = msgspec.json.decode(line)
     except (TimeoutError, msgspec.DecodeError):
-        raise ProcessStartError(f"{child.name} did not print a valid ready line within {READY_TIMEOUT_S} s") from None
+        raise ProcessStartError(f"{child.name} did not print a line of JSON within {READY_TIMEOUT_S} s") from None
 
 
 def memory_kb(pid: int) -> int:
--- a/kelptrail/emulator/worker_effects.py
+++ b/kelptrail/emulator/worker_effects.py
@@ -15,21 +15,21 @@
 
 
 class StoredEffect(msgspec.Struct):
-    """Answer of the store: whether it has the idempotency key, and the result stored with the key."""
+    """Answer of the store: whether it had a valid entry for the key before this request, and the entry's result."""
 
     known: bool
-    result: str
+    result: str  # empty without an entry
 
 
 OnStoredEffect = Callable[[StoredEffect | None], None]  # receives None if the store did not answer
 
 
 class SideEffects:
-    """Looks up, stores and records the effects of one worker's jobs."""
+    """Looks up and stores the results of one worker's jobs, and records their side effects."""
 
     def __init__(self, worker_id: str, zone: str, cell: int, store: WorkerPool, capture: Capture) -> None:
         self._worker_id, self._store, self._capture = worker_id, store, capture
-        # Group of workers that share effects, for each deduplication scope of a request class.
+        # Deduplication scope of a request class -> name of the group of workers that deduplicate together.
         self._groups = {"all": "all", "zone": zone, "cell": f"cell-{cell}"}
 
     def find(self, job: InferenceJob, on_answer: OnStoredEffect) -> None:
@@ -41,7 +41,7 @@
         self._query_store("commit", job, result, on_answer)
 
     def record(self, job: InferenceJob) -> None:
-        """Record in the capture that the job had its effect."""
+        """Record in the capture that the job had its side effect."""
         parameters = job.request.parameters
         self._capture.write(
             "effect",
@@ -57,7 +57,7 @@
             "mark": job.request.id,
             "group": self._groups[job.model.type.deduplication_scope],
             "result": result,
-            "remembered_ms": job.model.type.deduplication_window_ms,
+            "remembered_ms": job.model.type.deduplication_window_ms,  # an older entry does not count
         }
         data = encode_request("POST", f"/effects/{operation}", self._store.address, msgspec.json.encode(body))
         self._store.start(data, partial(self._on_store_answer, on_answer))
