--- a/kelptrail/fault_scenario/fault_injector.py
+++ b/kelptrail/fault_scenario/fault_injector.py
@@ -98,7 +98,7 @@
             await cluster.fault(cluster.store, kind=store_kind, for_ms=duration_ms, factor=fault.factor)
         elif kind == FaultKind.LIST_LATE:
             await cluster.fault(cluster.endpoint_service, kind="late", for_ms=duration_ms, late_ms=fault.ms)
-        elif kind == FaultKind.LIST_NAMES_NOBODY:
+        elif kind == FaultKind.LIST_UNREACHABLE_WORKER:
             await self._list_unreachable_worker(fault)
         elif kind in (FaultKind.IDLE_CONNECTIONS, FaultKind.SLOW_READERS):
             await hold_connections(cluster, fault)
--- a/kelptrail/fault_scenario/scenario.py
+++ b/kelptrail/fault_scenario/scenario.py
@@ -16,7 +16,7 @@
 class FaultKind(StrEnum):
     """Kinds of faults.  The values are written in scenario files and captures."""
 
-    # Faults of workers; `WorkerFault` of the emulator describes most of them.
+    # Faults of workers; `WorkerFault` of the emulator describes those without a remark.
     STALL = "stall"
     CUT = "cut"
     FAIL_FAST = "fail-fast"
@@ -32,8 +32,8 @@
     ANSWERS_LATE = "answers-late"
     CRASH = "crash"
     RESTART_COLD = "restart-cold"
-    ROLLING_DEPLOY = "rolling-deploy"  # Workers are drained, stopped and restarted one after the other
-    DRAIN = "drain"  # The same without a restart
+    ROLLING_DEPLOY = "rolling-deploy"  # Workers are drained, stopped and restarted, one after the other
+    DRAIN = "drain"  # Workers are drained and stopped, one after the other
 
     # Faults of the model store.
     STORE_SLOW = "store-slow"
@@ -51,21 +51,21 @@
     PLANNERS_FORGET = "planners-forget"  # Kills planners, and restarts them without their saved state
     PLANNERS_WRONG = "planners-wrong"  # Plans are based on request rates that are wrong by a factor
     PAUSE_PLANNERS = "pause-planners"
-    CUT_PLANNERS = "cut-planners"
+    CUT_PLANNERS = "cut-planners"  # Links of planners are cut
 
     # Faults of dispatchers that have peers, and of the links between peers.
-    CUT_PEERS = "cut-peers"
-    SLOW_PEERS = "slow-peers"
-    RESET_PEERS = "reset-peers"
+    CUT_PEERS = "cut-peers"  # Links are cut
+    SLOW_PEERS = "slow-peers"  # Messages on links are delayed
+    RESET_PEERS = "reset-peers"  # Connections between peers are reset
     PAUSE_DISPATCHERS = "pause-dispatchers"
-    LOSE_MACHINES = "lose-machines"
-    CLOCK_RATE = "clock-rate"
-    CLOCK_STEP = "clock-step"
+    LOSE_MACHINES = "lose-machines"  # Dispatchers are killed and their disks removed
+    CLOCK_RATE = "clock-rate"  # Clocks run too fast or too slow by a factor
+    CLOCK_STEP = "clock-step"  # Clocks are set forward or back
 
     # Faults of dispatchers, the endpoint list and connections.
     KILL_DISPATCHERS = "kill-dispatchers"
     LIST_LATE = "list-late"  # Changes of workers' entries are delayed
-    LIST_NAMES_NOBODY = "list-names-nobody"  # The list contains a worker at whose address no process listens
+    LIST_UNREACHABLE_WORKER = "list-names-nobody"  # The list contains a worker at whose address no process listens
     IDLE_CONNECTIONS = "idle-connections"
     SLOW_READERS = "slow-readers"
 
@@ -117,10 +117,10 @@
     FaultKind.CLOCK_STEP,
 )
 KINDS = tuple(FaultKind)
-# Fields of `Fault` whose settings have other names in scenario files.
-RENAMED_FAULT_KEYS = {"for": "duration", "hall": "zone"}
-# A scenario with faults of peers needs at least this many dispatchers, in different zones.
-MIN_PEERS = 5
+# Key in a scenario file -> field of `Fault`, where they differ.
+FIELD_OF_FAULT_KEY = {"for": "duration", "hall": "zone"}
+# `runner.py` also checks that they are in more than one zone.
+MIN_DISPATCHERS_FOR_PEER_FAULTS = 5
 
 
 class ScenarioError(ValueError):
@@ -131,8 +131,9 @@
 class Fault:
     """One fault: its kind, when it begins and how long it lasts (in seconds), and which processes it affects.
 
-    `share`, `factor`, `ms`, `type`, `count` and `one_way` are settings that only some kinds use.  `key` in a field's
-    metadata is the name of the field in `(set trouble.KEY VALUE)` of an experiment, if it differs.
+    `share` (of requests, instances, messages or connections), `factor`, `ms`, `type`, `count` and `one_way` are settings
+    that only some kinds use.  `(set trouble.KEY VALUE)` of an experiment names a field by the `key` in its metadata, or
+    else by its name.
     """
 
     kind: str
@@ -145,11 +146,12 @@
     type: str
     count: int
     one_way: bool
-    zone: str = field(metadata={"key": "hall"})  # Zone whose dispatchers are all affected; replaces `part`
+    # A fault of dispatchers affects all those of this zone instead of `part`; the simulation ignores it.
+    zone: str = field(metadata={"key": "hall"})
 
 
 def _make_fault(kind: str, **settings: Any) -> Fault:
-    fields = {RENAMED_FAULT_KEYS.get(key, key): value for key, value in settings.items()}
+    fields = {FIELD_OF_FAULT_KEY.get(key, key): value for key, value in settings.items()}
     return Fault(kind, **fields)
 
 
@@ -167,7 +169,7 @@
     solver: str
     load: list[Load]
     faults: list[Fault] = field(metadata={"key": "trouble"})
-    # Tasks whose leases all dispatchers try to acquire and use at the side-effect log.
+    # Tasks whose leases all dispatchers try to acquire; the holder uses its lease at the side-effect log.
     tasks: tuple[str, ...] = ()
 
     @property
@@ -258,16 +260,19 @@
 
 
 def _check_faults(checker: Checker, root: Form, scenario: FaultScenario) -> None:
-    """Check constraints that involve several fields of a fault, or the scenario and its faults together."""
+    """Check constraints that involve several fields of a fault, or the scenario and its faults together.
+
+    Messages have the words of scenario files: "trouble" is a fault, "hall" a zone.
+    """
     for form, fault in zip(_forms_with_head(root, "trouble"), scenario.faults, strict=True):
         if fault.ms < 0 and fault.kind != FaultKind.CLOCK_STEP:
-            checker.fault(form.position, f"{fault.ms:g} ms", "0 or more; only clock-step goes back")
-    if scenario.dispatchers >= MIN_PEERS:
+            checker.fault(form.position, f"{fault.ms:g} ms", "0 or more; only clock-step may be negative")
+    if scenario.dispatchers >= MIN_DISPATCHERS_FOR_PEER_FAULTS:
         return
     for form in _forms_with_head(root, "trouble"):
         if str(form.items[1]) in PEER_FAULTS:
             checker.fault(
                 form.position,
                 f"{form.items[1]} among {scenario.dispatchers} dispatchers",
-                f"{MIN_PEERS} dispatchers at least, in different halls",
+                f"{MIN_DISPATCHERS_FOR_PEER_FAULTS} dispatchers at least, in different halls",
             )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -365,7 +365,7 @@
         ScenarioRunner(scenario, parse(DEPLOYMENT.replace("(halls a b)", "(halls a)"), "one"), 1, tmp_path)
     for old, new, message in (
         ("(dispatchers 7)", "(dispatchers 4)", "5 dispatchers at least"),
-        ("(part 0.28) (ms 300)", "(part 0.28) (ms -300)", "only clock-step goes back"),
+        ("(part 0.28) (ms 300)", "(part 0.28) (ms -300)", "only clock-step may be negative"),
         ("(one-way yes)", "(one-way perhaps)", "yes, no"),
     ):
         assert old in text
