--- a/kelptrail/fault_scenario/scenario.py
+++ b/kelptrail/fault_scenario/scenario.py
@@ -131,9 +131,9 @@
 class Fault:
     """One fault: its kind, when it begins and how long it lasts (in seconds), and which processes it affects.
 
-    `share` (of requests, instances, messages or connections), `factor`, `ms`, `type`, `count` and `one_way` are settings
-    that only some kinds use.  `(set trouble.KEY VALUE)` of an experiment names a field by the `key` in its metadata, or
-    else by its name.
+    `share` (of requests, instances, messages or connections), `factor`, `ms`, `type`, `count` and `one_way` are
+    settings that only some kinds use.  `(set trouble.KEY VALUE)` of an experiment names a field by the `key` in its
+    metadata, or else by its name.
     """
 
     kind: str
