--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -1,4 +1,4 @@
-"""Simulation runs over several processes: deterministic, close to a run in one process, and without broken rules."""
+"""Simulation over several processes: deterministic, close to a run in one process, and passed by the history checker."""
 
 from __future__ import annotations
 
@@ -24,7 +24,18 @@
 
 def make_scenario(faults: list[Fault]) -> FaultScenario:
     file = str(ROOT / "examples" / "nursery.sexp")
-    return FaultScenario("sharded", file, 8.0, 12, 6, 1, 0, "program", [steady_load(180.0, 8.0, 1.0)], faults)
+    return FaultScenario(
+        "sharded",
+        file,
+        seconds=8.0,
+        workers=12,
+        dispatchers=6,
+        client_processes=1,
+        planners=0,
+        solver="program",
+        load=[steady_load(180.0, 8.0, 1.0)],
+        faults=faults,
+    )
 
 
 def make_fault(kind: str, at: float, seconds: float, part: float) -> Fault:
@@ -55,14 +66,16 @@
     assert sharded["wishes"] == pytest.approx(expected["wishes"], rel=0.12)
     assert sharded["served_share"] == pytest.approx(expected["served_share"], abs=0.05)
     assert sharded["p50_ms"] == pytest.approx(expected["p50_ms"], rel=0.15)
-    assert first.loads == pytest.approx(single.store.fetches, rel=0.25), "all loads go through the first shard's store"
+    assert first.loads == pytest.approx(single.store.fetches, rel=0.25), (
+        "all shards load from one store, about as often as one process"
+    )
 
 
-def test_faults_apply_to_all_shards_alike_and_break_no_rule() -> None:
-    """Guards against shards that disagree on effects or on the state of workers.
+def test_faults_apply_to_all_shards_alike_and_break_no_rule_of_the_history_checker() -> None:
+    """Guards against shards that disagree on the effect log or on the state of workers.
 
-    In that case, a key or a call would have two effects, or an attempt would go to a worker that is draining or
-    removed; the history checker reports both.
+    A key or a call would then have two side effects, or an attempt would go to a worker that is draining or removed;
+    the history checker reports both.
     """
     faults = [
         make_fault("crash", 2, 1.5, 0.2),
@@ -76,10 +89,12 @@
     _, events = play_sharded(scenario, deployment, 5, SETTINGS, 3, capture=True)
     result = check_history(events)
     assert not result.broken, result.details
+    # `taken` counts the calls that a dispatcher accepted.
     assert result.taken > 800 and result.unanswered == 0 and result.completed > 0.8 * result.taken
     assert [e["kind"] for e in events if e["what"] == "trouble"] == sorted(
         (f.kind for f in faults), key=lambda kind: next(f.at for f in faults if f.kind == kind)
     )
+    # A dispatcher is captured as NAME/RUN.
     dispatcher_worker_pairs = {(e["dispatcher"].split("/")[0], e["worker"]) for e in events if e["what"] == "send"}
     # dispatcher-N is in shard N % 3, worker-N in shard N // 2 % 3 (see `Shard`).
     cross_shard_pairs = [(d, w) for d, w in dispatcher_worker_pairs if int(d[11:]) % 3 != int(w[7:]) // 2 % 3]
@@ -102,6 +117,7 @@
     assert effect_log["all", "x"] == 7.0 and len(shard.outgoing) == 2
     replies: list[bool] = []
     RemoteStore(shard, event_queue, SETTINGS).fetch(30.0, replies.append)
+    # Arguments: number of the requesting shard, number of the request, `fetch_ms`.
     assert shard.outgoing[-1] == (1.0, 0, "fetch", (1, 1, 30.0))
     shard.on_reply(1, (True,))
     shard.on_reply(1, (False,))
@@ -110,7 +126,7 @@
 
 def test_a_shard_that_fails_is_reported_with_its_cause() -> None:
     scenario, deployment = make_scenario([make_fault("nonsense", 1, 1, 0.2)]), load(ROOT / "examples" / "nursery.sexp")
-    # The time is not a number, so that the shard's process fails.
+    # The time is not a number, so that the shard's process fails to schedule the fault; its kind is never used.
     object.__setattr__(scenario.faults[0], "at", "soon")
     with pytest.raises(ShardError, match="TypeError"):
         play_sharded(scenario, deployment, 1, SETTINGS, 2)
