--- a/kelptrail/settings/vrrp.py
+++ b/kelptrail/settings/vrrp.py
@@ -1,6 +1,7 @@
 """Settings of VRRPv3 (RFC 9568), which moves a front address to another dispatcher when its owner fails.
 
-Times are in milliseconds, except `interval_cs`.  The shapes below hold the defaults.
+Times are in milliseconds, except `interval_cs`.  The shapes below hold the defaults.  `RouterSettings` and
+`TrackSettings` of `kelptrail/vrrp` are built from `RouterConfig` and `TrackConfig`.
 """
 
 from __future__ import annotations
--- a/tests/test_sharding.py
+++ b/tests/test_sharding.py
@@ -1,4 +1,4 @@
-"""Simulation over several processes: deterministic, close to a run in one process, and passed by the history checker."""
+"""Simulation in several processes: deterministic, close to a run in one, and passed by the history checker."""
 
 from __future__ import annotations
 
