--- a/kelptrail/load/client_behavior.py
+++ b/kelptrail/load/client_behavior.py
@@ -61,8 +61,9 @@
 ) -> float | None:
     """Return the delay before a client retries, without jitter, in ms, or None if it does not retry.
 
-    `retry_after_ms` is the retry-after time of the answer, or 0.  `repeat_within_ms` is the time from the answer until
-    which a retry must have timed out to be safe; None: no limit.  `elapsed_ms` is the time since this attempt began.
+    `retry_after_ms` is the retry-after time of the answer, or 0.  `repeat_within_ms` is the time after the answer
+    within which a retry, with its timeout, must end to be safe; None: no limit.  `elapsed_ms` is the time since this
+    attempt began.
     """
     wait_ms = retry_after_ms * behavior.retry_after_share
     if outcome is ClientOutcome.REJECTED:
