--- a/kelptrail/gateway/admission.py
+++ b/kelptrail/gateway/admission.py
@@ -83,8 +83,8 @@
         if waiter is not None:
             invocation.waiters.append(waiter)
         self._register(invocation, has_key)
-        # A journaled deferred request counts towards the load ration only once it is durable: one that is rejected
-        # because the disk fails was never accepted, and must not allow a load order.
+        # A journaled deferred request counts towards the load ration and its tenant's quota only once its record is
+        # durable: if that fails, the request is rejected, and must not allow a load order.
         self._state.dispatcher.on_request(now, request, count=not (journaled and submission.deferred))
         return invocation
 
--- a/kelptrail/gateway/attempts.py
+++ b/kelptrail/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: starts them once the journal entry that they need is durable, cancels them, processes their results."""
+"""Attempts: starts them or holds them until the journal allows it, cancels them, and processes their results."""
 
 from __future__ import annotations
 
@@ -26,9 +26,10 @@
         self._state, self._durability, self._completion = state, durability, completion
 
     def start(self, now: float, attempt: Attempt) -> StartAttempt | None:
-        """Start an attempt, or hold it until its may-run entry is durable and this dispatcher is the journal's primary.
+        """Start an attempt, or hold it while a may-run entry that it needs is not durable.
 
-        Return the effect to carry out, or None for an attempt that is held.
+        An attempt is also held while this dispatcher is not the primary of the request's replicated journal.  Return
+        the effect to carry out, or None for an attempt that is held.
         """
         invocation = self._state.invocations[attempt.request]
         record = invocation.record
--- a/kelptrail/gateway/connection_health.py
+++ b/kelptrail/gateway/connection_health.py
@@ -1,7 +1,8 @@
 """Checks whether this dispatcher can reach workers, according to how attempts and load orders end; free of I/O.
 
-The connections are healthy if any recent attempt or load order reached a worker.  Without a recent result their
-health is unknown; the host may then open a connection itself and report the result.
+The connections are healthy if any recent attempt or load order reached a worker, and unhealthy if the recent ones only
+failed to reach one.  Without a recent result their health is unknown; the host may then open a connection itself and
+report the result.
 """
 
 from __future__ import annotations
--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -2,9 +2,10 @@
 
 Inputs (`submit`, `on_attempt_finished`, `on_load_report`, `on_client_gone`, `on_endpoints`) update the state and notify
 the dispatcher; the host then calls `next_effect(now)` until it returns None, and carries out each effect.  Each request
-gets one `FinalAnswer`, unless another dispatcher takes over its journal.  Apart from admission and recovery, the core
-decides nothing itself: `kelptrail.dispatch` decides on attempts, load orders and the rejection of accepted requests.
-All times are in milliseconds of the caller's clock; `wall` is wall time.
+gets one `FinalAnswer`, unless another dispatcher takes over its journal.  The core itself decides only on admission,
+recovery, requests whose time is up, and requests whose record is on too few replicas; `kelptrail.dispatch` decides on
+attempts, load orders and all other rejections.  All times are in milliseconds of the caller's clock; `wall` is wall
+time.
 """
 
 from __future__ import annotations
@@ -52,8 +53,8 @@
     """All requests of one dispatcher.
 
     Requests that must survive a restart (deferred ones, and those with an idempotency key) are written to a journal if
-    there is one and it accepts entries.  The `RequestLifecycle` of each request tracks which
-    entries must be durable before its next step.
+    there is one and it accepts entries.  The `RequestLifecycle` of each request tracks which entries must be durable
+    before its next step.
     """
 
     def __init__(self, parts: DispatcherParts, boot: str, journal: GroupCommit | None = None) -> None:
@@ -105,7 +106,8 @@
     def in_flight_of(self, id_: str) -> Invocation | None:
         """Return the request with this activation id, or None.
 
-        A request is forgotten once its final answer is published and none of its attempts is in flight.
+        A request is forgotten once its final answer is published and none of its attempts is in flight, or when another
+        dispatcher takes over its journal.
         """
         return self.state.invocations_by_id.get(id_)
 
@@ -202,7 +204,7 @@
         self._dispatcher.on_plan(planned)
 
     def counters(self) -> dict[str, FunctionCounters]:
-        """Return the counters by model since the last call."""
+        """See `GatewayState.take_counters`."""
         return self.state.take_counters()
 
     def loaded_instances(self) -> dict[str, dict[str, int]]:
@@ -253,12 +255,12 @@
             self.overload.signals.cold_share = sum(cold) / len(cold) if cold else 0.0
 
     def _on_expired(self, now: float, request: Request) -> None:
-        """Cancel the attempts of a request whose time is up.
+        """Cancel the attempts of a request whose time is up, unless its stream has extended that time.
 
-        If a blocking request has its final answer, that is then published even if it is not durable yet.
+        The final answer to a blocking request, if it is decided, is then published even if it is not durable yet.
         """
         invocation = self.state.invocations.get(request)
-        if invocation is not None and invocation.expires_at > now:  # a part of its stream has arrived since
+        if invocation is not None and invocation.expires_at > now:
             self.state.expiry_timers.add(invocation.expires_at, request)
             return
         for attempt in request.attempts:
@@ -277,8 +279,8 @@
             self._dispatcher.count_request(now, durability.durable_deferred.popleft())
         while durability.under_replicated:
             self._reject_under_replicated(now, durability.under_replicated.popleft())
-        while durability.unsafe_attempts:  # nothing of these was written to a worker
-            attempt = durability.unsafe_attempts.popleft()
+        while durability.unstartable_attempts:  # nothing of these was written to a worker
+            attempt = durability.unstartable_attempts.popleft()
             if attempt.status is None:
                 self._attempts.on_finished(now, attempt, AttemptStatus.NOT_SENT, None, False)
 
@@ -290,7 +292,7 @@
         self._completion.finish(now, invocation, FinalStatus.REJECTED)
 
     def _apply_decision(self, now: float, decision: Decision) -> Effect | None:
-        """Return the effect of a decision, or None where the effect is queued or waits for the journal."""
+        """Return the effect of a decision, or None if it has none or its effect is queued or waits for the journal."""
         if isinstance(decision, str):
             return LogEvent(decision)
         if isinstance(decision, ReadinessQuestion):
--- a/kelptrail/gateway/counters.py
+++ b/kelptrail/gateway/counters.py
@@ -15,9 +15,9 @@
     The counters are sent as an array, so the order of the fields is fixed.
     """
 
-    received: int = 0  # requests
+    received: int = 0  # accepted requests
     completed: int = 0  # completed attempts
-    rejected: int = 0  # requests
+    rejected: int = 0  # requests rejected after they were accepted
     not_loaded: int = 0  # attempts whose worker had no instance
     late: int = 0  # attempts completed after the latency objective of their request
     queue_depth: int = 0  # requests in the queue at the time of the report
@@ -38,9 +38,9 @@
 
 @dataclass(slots=True)
 class GatewayCounters:
-    """Totals since the start of the gateway."""
+    """Totals since the start of the gateway; requests rejected on arrival are counted by `InFlightLimits`."""
 
-    received: int = 0
+    received: int = 0  # requests accepted, or resumed by recovery
     completed: int = 0
     rejected: int = 0
     failed: int = 0
--- a/kelptrail/gateway/driver.py
+++ b/kelptrail/gateway/driver.py
@@ -73,8 +73,8 @@
     def schedule_decisions(self, after: Callable[[], None] | None = None) -> None:
         """Schedule `run_effects` for when the loop has processed all ready events; `after` is called afterwards.
 
-        Without the delay, the dispatcher would decide again after each of a hundred answers that arrived together,
-        which costs most under overload.
+        Without the delay, the dispatcher would decide again after each of many answers that arrived together, which
+        costs most under overload.
         """
         if after is not None:
             self._after_effects.append(after)
@@ -178,9 +178,9 @@
     # Shutdown.
 
     async def drain(self, within_ms: float) -> bool:
-        """Wait up to `within_ms` for all final answers, and return whether all were given.
+        """Wait up to `within_ms` for all final answers, then close the connections to workers.
 
-        Then close the connections to workers.
+        Return whether all final answers were given.
         """
         end = now_ms() + within_ms
         while self.gateway.in_flight and now_ms() < end:
--- a/kelptrail/gateway/durability.py
+++ b/kelptrail/gateway/durability.py
@@ -46,7 +46,8 @@
 class DurabilityWriter:
     """Writes the entries that request lifecycles require.
 
-    The callbacks of a journal decide nothing: they queue their results, which `Gateway.next_effect` processes.
+    The callbacks of a journal decide nothing: they notify the waiters of `when_durable`, and queue effects and results
+    for `Gateway.next_effect`.
     """
 
     def __init__(self, state: GatewayState, journal: GroupCommit | None) -> None:
@@ -57,7 +58,7 @@
         self.on_step: Callable[[str], None] = lambda _step: None  # called at each durability step, for crash tests
         self.on_forget: Callable[[str], None] | None = None  # called with each id to delete from the local journal
         self.under_replicated: deque[Invocation] = deque()  # requests whose record is on too few replicas
-        self.unsafe_attempts: deque[Attempt] = deque()  # held attempts that are to be ended as not sent
+        self.unstartable_attempts: deque[Attempt] = deque()  # held attempts that are to be ended as not sent
         self.durable_deferred: deque[Request] = deque()  # deferred requests whose records have become durable
 
     # Choice of the journal.
@@ -82,10 +83,10 @@
         return self.journal is None or self.journal.is_accepting()
 
     def journal_of(self, record: Record) -> Journal:
-        """Return the journal that stores a record.  Raises `NoJournalError`."""
+        """Return the record's replicated journal, or else the local one.  Raises `NoJournalError` if there is none."""
         journal = record.replicated_journal or self.journal
         if journal is None:
-            raise NoJournalError(f"activation {record.id} is not journaled")
+            raise NoJournalError(f"there is no journal for activation {record.id}")
         return journal
 
     def forget(self, record: Record) -> None:
@@ -101,7 +102,8 @@
         """Call `done` with whether the request's record is durable, once that is known.
 
         For a request that is not journaled it is called at once, with True only if there is no local journal at all.
-        It is called with None where another dispatcher has taken over the journal, so that the result is unknown.
+        It is called with None where another dispatcher has taken over the journal, so that the result is unknown.  It
+        is not called if too few replicas have the record: the request is then rejected.
         """
         lifecycle = invocation.lifecycle
         if not lifecycle.journaled:
@@ -215,7 +217,10 @@
     # Steps that waited for a write.
 
     def release_held(self, invocation: Invocation, may_start: bool) -> None:
-        """Start the attempts that waited for the may-run entry, or queue them to be ended as not sent."""
+        """Start the held attempts, or queue them to be ended as not sent if they may not start.
+
+        They may not start without `may_start`, after the final answer, or if too few replicas have the record.
+        """
         held, invocation.held_attempts = invocation.held_attempts, []
         for attempt in held:
             if may_start and not invocation.lifecycle.final and not invocation.under_replicated:
@@ -223,7 +228,7 @@
                 self._state.effects.append(StartAttempt(invocation, attempt))
             else:
                 invocation.lifecycle.drop_held()
-                self.unsafe_attempts.append(attempt)
+                self.unstartable_attempts.append(attempt)
 
     def on_became_primary(self, journal: ReplicatedJournal) -> None:
         """Start the attempts that were held only because this dispatcher was not the primary of their journal."""
--- a/kelptrail/gateway/effects.py
+++ b/kelptrail/gateway/effects.py
@@ -1,4 +1,4 @@
-"""Effects that the gateway core returns to its host: attempts, load orders, cancellations, answers, log events."""
+"""Effects that the gateway core returns to its host: calls to workers, cancellations, answers and log events."""
 
 from __future__ import annotations
 
--- a/kelptrail/gateway/idempotency_keys.py
+++ b/kelptrail/gateway/idempotency_keys.py
@@ -32,8 +32,9 @@
     def find(self, namespace: str, path: str, key: str, digest: str) -> Record | None:
         """Return the activation that a client's retry joins, or None where the retry is a new request.
 
-        A rejected activation had no effect, so its retry runs; an idempotent one that failed may run again.  Raises
-        `KeyConflictError` where the key was used with another body (`digest`).
+        A retry is a new request after a rejection, which promised that trying again is harmless, and after the failure
+        of an idempotent activation.  Raises `KeyConflictError` if the retry would join an activation with another body
+        (`digest`).
         """
         record = self._records.get((namespace, path, key))
         if record is None or record.answer is FinalStatus.REJECTED:
--- a/kelptrail/gateway/lifecycle.py
+++ b/kelptrail/gateway/lifecycle.py
@@ -1,10 +1,10 @@
 """The lifecycle of one request, and which journal entries must be durable before each step; free of I/O.
 
 An event may request entries (`next_entry`).  The caller writes them to a journal and reports the result of each write
-(`on_written`), as the ready loop of a replicated log does.  Exactly three steps wait for a durable entry: the
+(`on_written`), as in the `Ready` loop of etcd's Raft library.  Exactly three steps wait for a durable entry: the
 acknowledgement of a deferred request (`durable_result`), the first byte of an attempt whose repetition could double an
-effect (`start_attempt`), and the final answer of a deferred request (`publish`).  A step out of order raises
-`IllegalStepError`.
+effect (`start_attempt`), and the final answer (`publish`), which a blocking client gets without a durable entry if the
+write fails or the request's time is up.  A step out of order raises `IllegalStepError`.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
     """The stage of a request."""
 
     ACCEPTED = "accepted"  # the dispatcher has not been notified yet
-    QUEUED = "queued"  # the dispatcher has been notified
-    HELD = "held"  # an attempt was decided but has not started, as it may have to wait for the may-run entry
+    QUEUED = "queued"  # the dispatcher has been notified, and no attempt has started
+    HELD = "held"  # no attempt is in flight, and at least one that was decided has not started yet
     SENT = "sent"  # at least one attempt is in flight
-    ANSWERED = "answered"  # all attempts have ended, and none of them returned the final answer
+    ANSWERED = "answered"  # all started attempts have ended, and the final answer is not decided
     FINAL = "final"  # the one final answer is decided
-    PUBLISHED = "published"  # the answer is as durable as the client was promised, and may be shown
+    PUBLISHED = "published"  # the answer may be shown, or another dispatcher has taken the request over
     FORGOTTEN = "forgotten"
 
 
@@ -99,7 +99,7 @@
         self.stage = stage
 
     def _update_stage(self) -> None:
-        """Enter the stage that follows from the attempts in flight and held."""
+        """Enter the stage that follows from the numbers of attempts in flight, held and started so far."""
         if self.final:
             return
         if self.in_flight:
@@ -130,7 +130,7 @@
         self._entries.append(kind)
 
     def request_accepted_entry(self) -> None:
-        """Request the accepted entry, if the request is journaled and the entry was not requested before."""
+        """Request the accepted entry if the request is journaled, not final, and the entry was not requested before."""
         if self.journaled and self.accepted_write is WriteState.NOT_REQUESTED and not self.final:
             self._request_entry(EntryKind.ACCEPTED)
 
@@ -168,9 +168,10 @@
         self._enter(RequestStage.QUEUED)
 
     def on_attempt_decided(self) -> bool:
-        """Record an attempt that was decided; return whether it may start now.
+        """Record an attempt that was decided, as held until `start_attempt`, and return whether it may start now.
 
-        Otherwise it is held, and the may-run entry is requested.  A missing accepted entry is requested in both cases.
+        For a journaled request, request the accepted entry and, if the attempt may not start now, the may-run entry,
+        unless they were requested before.  Raises `IllegalStepError` before `queue` and after the final answer.
         """
         if self.final:
             raise IllegalStepError("an attempt was decided after the final answer")
@@ -186,11 +187,15 @@
 
     @property
     def may_start(self) -> bool:
-        """Whether the first byte of an attempt may be written."""
+        """Whether the entries that must be durable before the first byte of an attempt are durable."""
         return self.idempotent or not self.journaled or self.may_run_write is WriteState.DURABLE
 
     def start_attempt(self) -> None:
-        """Start a decided attempt.  Raises `IllegalStepError` where the may-run entry is not durable."""
+        """Start a held attempt.
+
+        Raises `IllegalStepError` if no attempt is held, if a required may-run entry is not durable, or after the final
+        answer.
+        """
         if not self.held:
             raise IllegalStepError("no decided attempt waits to start")
         if not self.may_start:
@@ -215,10 +220,11 @@
         self._update_stage()
 
     def make_durable(self, moved: bool = False) -> None:
-        """Journal the request from now on, as its client will poll with the activation id.
+        """Make the request deferred and journal it, as its client will poll with the activation id.
 
-        If the request is not idempotent and has had an attempt, even a held one, the may-run entry is requested, too.
-        `moved`: its entries are in another journal and are written again.
+        The accepted entry is requested, and the may-run entry as well if the request is not idempotent and has had an
+        attempt, even a held one.  If the request is journaled already, no entry is requested unless it has `moved` from
+        another journal.  Raises `IllegalStepError` after the final answer.
         """
         if self.final:
             raise IllegalStepError("a request with a final answer cannot be made durable")
@@ -252,9 +258,9 @@
     def publish(self, late: bool = False) -> None:
         """Publish the final answer.
 
-        The answer to a deferred request must be durable.  A blocking client was promised no durable answer, so its
-        answer may also be published if the journal has failed, or if the write is pending when the request's time is
-        up (`late`).
+        If the accepted entry was requested and its write has not failed, the answer must be durable.  A blocking client
+        was promised no durable answer, so its answer may also be published if the write of the answer has failed, or is
+        pending when the request's time is up (`late`).  Raises `IllegalStepError`.
         """
         if self.stage is not RequestStage.FINAL:
             raise IllegalStepError(f"there is no answer to publish in stage {self.stage.value}")
--- a/kelptrail/gateway/limits.py
+++ b/kelptrail/gateway/limits.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from enum import StrEnum
 
-RETRY_AFTER_MS = 1000.0  # retry-after time of a rejection at a limit
+RETRY_AFTER_MS = 1000.0  # retry-after time of a rejection at a limit, or because too few replicas have the record
 
 
 class RejectionReason(StrEnum):
--- a/kelptrail/gateway/overload_settings.py
+++ b/kelptrail/gateway/overload_settings.py
@@ -21,7 +21,7 @@
 class OverloadSettings:
     """Thresholds of overload control, which counts events in windows of `window_ms`.
 
-    The stage follows from the share of retries among a window's requests.
+    The stage follows from moving averages: of the share of retries among the requests, and of the alarm.
     """
 
     enabled: bool = True  # if False, clients get only the dispatcher's own retry-after times
@@ -36,8 +36,8 @@
     min_retry_share: float = 0.1  # smallest capacity for retries, as a share of the completed requests
     connection_surge_factor: float = 4.0  # connections raise an alarm above this multiple of the usual number
     cold_share: float = 0.3  # share of cold workers from which attempts without an instance raise an alarm
-    over_quota_factor: float = 1.25  # a tenant is over its quota above this multiple of its share of the requests
-    # Tenants over quota are held back if more than this share of the other tenants' requests is rejected or late.
+    over_quota_factor: float = 1.25  # a tenant is over quota above this multiple of its quota's share of all requests
+    # Tenants over quota are held back if more than this share of the requests of the others is rejected or late.
     degraded_share: float = 0.1
     max_clients: int = 200_000  # number of rejected clients that are remembered
     forget_after_ms: float = 30_000.0  # time after its retry-after time at which an absent client is forgotten
--- a/kelptrail/gateway/overload_signals.py
+++ b/kelptrail/gateway/overload_signals.py
@@ -30,7 +30,7 @@
     def __init__(self, settings: OverloadSettings) -> None:
         self._settings = settings
         self.baseline_connections = 0.0  # slow average of connections in a window in the calm stage
-        self.baseline_per_s = 0.0  # slow average of the request rate in the calm stage
+        self.baseline_per_s = 0.0  # slow average of the request rate in calm windows without rejections
         self.first_tries_per_s = self.completed_per_s = 0.0
         self.retry_share = 0.0  # average share of retries, or of rejections under a surge if that is larger
         self.alarm = 0.0  # strength of the early signs, from 0 to 1
--- a/kelptrail/gateway/records.py
+++ b/kelptrail/gateway/records.py
@@ -25,7 +25,7 @@
         """Return whether this dispatcher is the primary at this time, so that it may act on the entries."""
 
     def write(self, entry: Any, waiter: Callable[[bool], None] | None = None, keep: bool = False) -> None:
-        """Write an entry; with `keep`, a failed write is retried.
+        """Write an entry; `keep` has an effect only on a local journal (`GroupCommit.write`).
 
         `waiter` is called with True once the entry is durable, and with False where too few replicas have an accepted
         entry.  It is not called if another dispatcher takes over the journal first.
@@ -62,8 +62,8 @@
     # Time for which the workers still deduplicate a retry, after a rejection of a request that may have run.
     deduplicated_for_ms: float = 0.0
     attempt_count: int = 0
-    timed_out: bool = False  # failed because its timeout, or that of its stream, has passed; not restored at a restart
-    queued_ms: float = 0.0  # time from acceptance to the first attempt
+    timed_out: bool = False  # failed no earlier than one answer margin before its deadline; not restored at a restart
+    queued_ms: float = 0.0  # time from acceptance until the first attempt was decided
     durable: bool = True  # the final answer is as durable as the client was promised, so that it may be shown
     key: str = ""  # the client's idempotency key
     digest: str = ""  # digest of the body, which detects another body under the same key
--- a/kelptrail/gateway/recovery.py
+++ b/kelptrail/gateway/recovery.py
@@ -37,9 +37,9 @@
     """The result of recovering a journaled activation; the values are shown in the log."""
 
     ENDED = "ended"  # the journal has its final answer
-    ABORTED = "aborted"
-    REJECTED = "rejected"
-    RESUMED = "resumed"
+    ABORTED = "aborted"  # ended as failed
+    REJECTED = "rejected"  # ended as rejected
+    RESUMED = "resumed"  # waits to be run
     UNKNOWN = "unknown"  # its action or namespace is no longer in the settings
 
 
--- a/kelptrail/gateway/retry_after.py
+++ b/kelptrail/gateway/retry_after.py
@@ -55,8 +55,8 @@
         The time is the next slot in a queue that advances at the rate at which retries can be served.  A client that
         returns early takes no further slot; its remaining wait is extended.  Each of its first
         `MAX_COUNTED_EARLY_RETRIES` early retries makes the wait longer, up to `max_retry_after_ms`.  A random factor
-        shortens the wait, so that clients do not all return at the same moment.  A client gains nothing by ignoring its
-        retry-after time.
+        shortens the wait, so that clients do not all return at the same moment.  Below that limit a client gains
+        nothing by returning early.
         """
         self.assigned += 1
         rejected_client = self._clients.get(client)
--- a/kelptrail/gateway/streaming.py
+++ b/kelptrail/gateway/streaming.py
@@ -16,7 +16,10 @@
         self._state = state
 
     def on_part(self, now: float, attempt: Attempt, data: bytes) -> None:
-        """Pass on a part.  The first one binds the request to its attempt; parts of other attempts are dropped."""
+        """Pass on a part, if the client accepts parts and the request has no final answer.
+
+        The first part binds the request to its attempt; parts of other attempts are dropped.
+        """
         state, request = self._state, attempt.request
         invocation = state.invocations.get(request)
         if invocation is None or invocation.lifecycle.final or not invocation.streamed:
--- a/kelptrail/gateway/worker_calls.py
+++ b/kelptrail/gateway/worker_calls.py
@@ -68,8 +68,8 @@
     ) -> None:
         """Create the calls of one dispatcher.
 
-        `name` is the dispatcher's name, which is sent to workers; `on_event` is called when a call
-        ends and when data of a streamed response arrive.
+        `name` is the dispatcher's name, which is sent to workers; `on_event` is called when a call ends and when data
+        of a streamed response arrive.
         """
         self._gateway, self._name, self._settings, self._log = gateway, name, settings, log
         self._on_event = on_event
@@ -126,10 +126,10 @@
     def start_attempt(self, invocation: Invocation, attempt: Attempt) -> None:
         """Send a request to its attempt's worker, or end the attempt as not sent if it may no longer start."""
         journal, now = invocation.record.replicated_journal, now_ms()
+        # Checked right before the write: since the decision, another dispatcher may have become the primary, or the
+        # information about the worker's readiness may have become too old.
         is_primary = journal is None or journal.is_primary(now)
         if not is_primary or not self._gateway.readiness.may_start(now, attempt):
-            # Checked right before the write: since the decision, another dispatcher may have become the primary, or
-            # the information about the worker's readiness may have become too old.
             self._gateway.on_attempt_finished(now, attempt, AttemptStatus.NOT_SENT)
             return
         attempt.write_started_at = now
