--- a/kelptrail/background/core.py
+++ b/kelptrail/background/core.py
@@ -2,9 +2,10 @@
 
 Jobs run in steps that are never interrupted; the CPU time of a step is charged afterwards to a budget that refills at a
 share of real time.  Among the due jobs the one with the highest priority runs first.  A job that has been due for
-longer than its maximum wait runs before all others, so no job starves.  It may overdraw the budget by up to the limit
-of accumulated CPU time; no other job runs until the overdraft is repaid.  While requests are in flight only a part of
-the budget may be used.  A job that exceeds its share of real time is delayed accordingly.
+longer than its maximum wait runs before all others, so no job starves.  It may start while the budget is overdrawn by
+less than the limit of accumulated CPU time; other jobs run only once the overdraft is repaid, and while requests are in
+flight they may use only a part of the budget.  A job that exceeds its share of real time is delayed accordingly, unless
+it has been due for its maximum wait.
 
 Alternatives considered: one timer for each job (timers fire together, at the time when requests arrive), low-priority
 threads (they share one interpreter lock), and a process for each job (no shared state; used only for the solver, which
@@ -55,14 +56,14 @@
     interval_ms: float = 0.0
     max_wait_ms: float = 10_000.0
     share: float = 0.05
-    due_at: float = float("inf")
-    not_before: float = 0.0
+    due_at: float = float("inf")  # time at which the current or next run is due
+    not_before: float = 0.0  # earliest time of the next step, according to `share`
     runs: int = 0
     steps: int = 0
     cpu_ms: float = 0.0
-    worst_wait_ms: float = 0.0
+    worst_wait_ms: float = 0.0  # longest time from when a run was due until its first step
     run_started: bool = False
-    failures: int = 0
+    failures: int = 0  # number of steps that raised an exception
 
 
 class Scheduler:
@@ -111,7 +112,10 @@
         return job
 
     def on_step_done(self, now: float, job: Job, cpu_ms: float, more: bool, failed: bool = False) -> None:
-        """Charge the CPU time of a finished step.  Raises `JobNotRunningError` if `job` is not running."""
+        """Charge the CPU time of a finished step, and end the run unless it has `more` steps.
+
+        Raises `JobNotRunningError` if `job` is not running.
+        """
         if job is not self._running:
             raise JobNotRunningError(f"{job.name} is not running")
         self._running = None
@@ -127,7 +131,7 @@
             job.due_at = now + job.interval_ms if job.interval_ms else float("inf")
 
     def wait_ms(self, now: float, busy: bool) -> float:
-        """Return the time in ms until a job may be due, at most `MAX_WAIT_MS`."""
+        """Return the time in ms until a job may be able to run, at most `MAX_WAIT_MS`."""
         self._refill_budget(now, busy)
         wait = MAX_WAIT_MS
         min_budget_ms = self._settings.max_budget_ms * (1 - self._settings.busy_share) if busy else 0.0
--- a/kelptrail/store/activation_journal.py
+++ b/kelptrail/store/activation_journal.py
@@ -72,7 +72,7 @@
             self._database.set_format_version(FORMAT)
 
     def clear_orphans(self) -> None:
-        """Delete the entries of activations without an accepted entry, which never became durable.
+        """Delete the entries of activations that have no accepted entry, as it never became durable.
 
         Raises `JournalError`.
         """
@@ -94,8 +94,8 @@
     def activations(self) -> Iterator[ActivationEntries]:
         """Yield all activations in order of their start; damaged rows are counted and skipped.
 
-        An activation whose accepted entry is damaged is skipped; one with another damaged entry is assumed to
-        have a may-run entry.  Raises `JournalError`.
+        An activation whose accepted entry is damaged is skipped; one with another damaged entry is assumed to have a
+        may-run entry.  Raises `JournalError`.
         """
         with journal_errors():
             for (id_,) in self._database.rows("SELECT id FROM entries WHERE kind = 0 ORDER BY start, id"):
--- a/kelptrail/store/entries.py
+++ b/kelptrail/store/entries.py
@@ -35,7 +35,7 @@
 
 
 class MayRun(msgspec.Struct, frozen=True, tag="may-run"):
-    """The first attempt is about to start, at this worker: from now on the request may have run."""
+    """The first attempt that may run is about to start at this worker, or has started: the request may have run."""
 
     id: str
     sent: float  # start of the attempt
--- a/kelptrail/store/faulty_disk.py
+++ b/kelptrail/store/faulty_disk.py
@@ -1,7 +1,8 @@
 """A faulty disk for tests: an SQLite VFS whose syncs are slow or fail, and whose writes fail, on request.
 
-A file sets the faults as JSON, `{"sync_ms": 2000, "fails": false, "full": false}`.  A sync or write reads it
-again if the last read was more than `READ_INTERVAL_S` ago; without a readable file the disk has no faults.
+A file sets the faults as JSON, `{"sync_ms": 2000, "fails": false, "full": false}`: the delay of syncs, whether they
+fail, and whether writes fail.  A sync or write reads it again if the last read was more than `READ_INTERVAL_S` ago; if
+it cannot be read, the disk has no faults.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
         super().__init__(NAME, "")
 
     def current_fault(self) -> dict[str, Any]:
-        """Return the faults that are set now; the file is read at most every `READ_INTERVAL_S`."""
+        """Return the faults that are set now; a file is read at most every `READ_INTERVAL_S`."""
         if self._file is not None and time.monotonic() > self._read_at + READ_INTERVAL_S:
             self._read_at, self.fault = time.monotonic(), {}
             with contextlib.suppress(OSError, ValueError):
--- a/kelptrail/store/group_commit.py
+++ b/kelptrail/store/group_commit.py
@@ -1,9 +1,9 @@
 """Group commit, free of I/O: collects entries with their waiters, returns batches, and notifies the waiters.
 
 One batch is written at a time; entries that arrive during the write form the next batch, so many requests share one
-sync.  An entry is acknowledged only when its batch, and with it every earlier entry, is durable.  After a failure new
-entries are refused until a trial batch is durable; each entry accepted before is reported as failed exactly once, or
-written again if its writer asked for that (`keep`).
+sync.  An entry is acknowledged only when its batch, and with it every earlier entry, is durable.  After a failure, each
+entry that is not durable yet is reported as failed exactly once, and new entries are refused until a trial batch is
+durable; entries with `keep` are written again instead.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
         self.failing = False
         self.reason = ""  # reason of the failure while `failing`
         self._retry_at = 0.0
-        self.commits = self.entries = self.failures = 0
+        self.commits = self.entries = self.failures = 0  # numbers of durable batches, their entries, and failed batches
 
     @property
     def waiting(self) -> int:
--- a/kelptrail/store/recovery.py
+++ b/kelptrail/store/recovery.py
@@ -2,8 +2,8 @@
 
 The decision depends on the request class and on the journal's entries about attempts.  Requests that were never
 attempted and idempotent ones run within their timeout; deduplicated ones only as long as all workers still drop a
-repeat; at-most-once requests that may have run fail.  After a restart only the wall clock is usable; if it was set
-back, the request's timeout counts as expired.
+repeat; at-most-once requests that may have run fail.  After a restart only the wall clock is usable; if it shows a time
+before the request's acceptance, the request's timeout counts as expired.
 """
 
 from __future__ import annotations
@@ -42,13 +42,14 @@
 class ResumeRequest:
     """Run the request, with `remaining_ms` left of its timeout.
 
-    `deduplicated_for_ms` is how much longer the workers drop a repeat, or None where a repeat is harmless.
+    `deduplicated_for_ms` is how much longer the workers drop a repeat, or None where the request is idempotent or was
+    never attempted.
     """
 
     entries: ActivationEntries
     remaining_ms: float
     deduplicated_for_ms: float | None
-    priority: float  # priority weight for each millisecond left
+    priority: float  # priority weight divided by `remaining_ms`
 
 
 def decide_recovery(
@@ -141,5 +142,5 @@
         self._waiting = deque(resume for resume in self._waiting if resume.entries.accepted.id not in taken_over)
 
     def on_finished(self) -> None:
-        """Record that a resumed request has its final answer."""
+        """Record that a resumed request has its final answer or was taken over by another dispatcher."""
         self._resumed -= 1
