--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -33,7 +33,7 @@
     scheduler.on_step_done(101.0, high, 0.0, False)
     assert scheduler.next_job(101.0, False) is low
     scheduler.on_step_done(102.0, low, 0.0, True)
-    assert scheduler.next_job(102.0, False) is low, "its run has more steps"
+    assert scheduler.next_job(102.0, False) is low, "a run that has more steps goes on"
     scheduler.on_step_done(103.0, low, 0.0, False)
     assert scheduler.next_job(150.0, False) is None and low.due_at == 203.0 and high.due_at == float("inf")
 
@@ -56,7 +56,7 @@
         due_job = scheduler.next_job(now, busy)
         if due_job is None:
             wait_ms = scheduler.wait_ms(now, busy)
-            assert wait_ms > 0, "a wait of 0 without a job to run would be a busy loop"
+            assert wait_ms > 0, "without a job to run the wait is not 0, which would be a busy loop"
             now += min(wait_ms, 50.0)
             continue
         started_at[due_job] = now
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -102,7 +102,7 @@
                 assert worker.state is WorkerState.LIVE and now < effect.invocation.record.received_at + 900
                 if request.request_class.idempotency is Idempotency.AT_MOST_ONCE:
                     assert all(a.status in NEVER_RAN for a in request.attempts[:-1]), (
-                        "an at-most-once request is sent once"
+                        "an at-most-once request is sent again only after attempts that never ran"
                     )
                 # The weights are in the order of `AttemptStatus`; CANCELLED follows only from `CancelAttempt`.
                 status = random_source.choices(list(AttemptStatus), [60, 8, 6, 8, 3, 4, 0, 2, 6])[0]
@@ -122,7 +122,7 @@
                 self.open_loads.append((now + random_source.uniform(1, 200), effect))
             elif isinstance(effect, FinalAnswer):
                 record = effect.invocation.record
-                assert record.id not in self.final_at and record.final, "one final answer"
+                assert record.id not in self.final_at and record.final, "each request gets one final answer"
                 self.final_at[record.id] = now
                 if record.answer == "rejected" and record.idempotency == "once-only":
                     assert all(a.status in NEVER_RAN for a in effect.invocation.request.attempts)
@@ -140,7 +140,9 @@
     assert len(run.invocations) > 500
     assert set(run.final_at) == {i.record.id for i in run.invocations}
     for invocation in run.invocations:
-        assert run.final_at[invocation.record.id] <= invocation.record.received_at + 900, "before its client's timeout"
+        assert run.final_at[invocation.record.id] <= invocation.record.received_at + 900, (
+            "each answer comes within its client's timeout"
+        )
     counts = run.gateway.counts
     assert counts.completed and counts.rejected and counts.failed
     assert counts.received == counts.completed + counts.rejected + counts.failed == len(run.notified)
@@ -214,5 +216,5 @@
     gateway.state.answer_ms = 0.5
     burst_deadlines = [gateway.submit(0.0, 0.0, Submission("one", action, b"{}")).request.deadline for _ in range(1000)]
     assert burst_deadlines[0] == 790.0 and burst_deadlines == sorted(burst_deadlines, reverse=True)
-    assert burst_deadlines[200] == 900 - 100 - 0.5 * 220, "earlier by the time that earlier answers take"
+    assert burst_deadlines[200] == 900 - 100 - 0.5 * 220, "earlier by the time to answer all requests in flight"
     assert burst_deadlines[-1] == 900 - 0.25 * 900, "earlier by at most a quarter of the timeout"
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -96,7 +96,7 @@
         except IllegalStepError:
             return False
         while (entry := lifecycle.next_entry()) is not None:
-            assert entry not in self.pending_writes, "each entry is written once at a time"
+            assert entry not in self.pending_writes, "an entry is not requested while its write is pending"
             self.pending_writes.append(entry)
         assert self.finals <= 1 and self.published <= self.finals
         assert lifecycle.durable_result is not True or EntryKind.ACCEPTED in self.durable, (
@@ -125,7 +125,7 @@
             before = after.lifecycle.stage
             if not after.apply(event):
                 rejected += 1
-                assert after.lifecycle.stage is before, "an illegal step changes nothing"
+                assert after.lifecycle.stage is before, "an illegal step does not change the stage"
                 continue
             assert after.lifecycle.stage is before or after.lifecycle.stage in NEXT_STAGES[before]
             if after.state_key() not in reached:
