--- a/kelptrail/gateway/admission.py
+++ b/kelptrail/gateway/admission.py
@@ -84,7 +84,7 @@
             invocation.waiters.append(waiter)
         self._register(invocation, has_key)
         # A journaled deferred request counts towards the load ration and its tenant's quota only once its record is
-        # durable: if that fails, the request is rejected, and must not allow a load order.
+        # durable: if that fails, the client's request is refused, and must not allow a load order.
         self._state.dispatcher.on_request(now, request, count=not (journaled and submission.deferred))
         return invocation
 
--- a/kelptrail/gateway/lifecycle.py
+++ b/kelptrail/gateway/lifecycle.py
@@ -25,6 +25,7 @@
     FORGOTTEN = "forgotten"
 
 
+# `RequestLifecycle.release` may also enter PUBLISHED from any stage.
 NEXT_STAGES: dict[RequestStage, frozenset[RequestStage]] = {
     RequestStage.ACCEPTED: frozenset({RequestStage.QUEUED}),
     RequestStage.QUEUED: frozenset({RequestStage.HELD, RequestStage.SENT, RequestStage.FINAL}),
@@ -55,7 +56,7 @@
 
 
 class IllegalStepError(Exception):
-    """A step is not allowed in the request's stage, or the entry that it requires is not durable."""
+    """A step is not allowed in the current state of the request and its entries."""
 
 
 class RequestLifecycle:
@@ -260,7 +261,7 @@
 
         If the accepted entry was requested and its write has not failed, the answer must be durable.  A blocking client
         was promised no durable answer, so its answer may also be published if the write of the answer has failed, or is
-        pending when the request's time is up (`late`).  Raises `IllegalStepError`.
+        pending when the request's time is up (`late`).  Raises `IllegalStepError` otherwise, and in any stage but FINAL.
         """
         if self.stage is not RequestStage.FINAL:
             raise IllegalStepError(f"there is no answer to publish in stage {self.stage.value}")
--- a/kelptrail/gateway/overload.py
+++ b/kelptrail/gateway/overload.py
@@ -31,15 +31,15 @@
 class OverloadController:
     """Overload control of one gateway.  Times are in milliseconds."""
 
-    def __init__(self, settings: OverloadSettings, seed: int, shares: Mapping[str, float] | None = None) -> None:
+    def __init__(self, settings: OverloadSettings, seed: int, quotas: Mapping[str, float] | None = None) -> None:
         """Create overload control; `seed` varies the random draws.
 
-        `shares` has each tenant's quota, in any unit; a tenant without a quota is never over it.
+        `quotas` are in any unit, by tenant; a tenant without a quota is never over quota.
         """
         self._settings = settings
         draws = SeededDraws(seed)
         self.signals = OverloadSignals(settings)
-        self.quotas = TenantQuotas(settings, draws, shares)
+        self.quotas = TenantQuotas(settings, draws, quotas)
         self.retry_after = RetryAfterQueue(settings, draws)
         self.stage = OverloadStage.CALM
         self.stage_history: list[tuple[float, OverloadStage]] = []
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -73,7 +73,7 @@
             if result:
                 kind = EntryKind(name)
                 lifecycle.on_written(kind, result == "durable")
-                assert kind in self.pending_writes, "only requested writes are reported"
+                assert kind in self.pending_writes, "only results of pending writes are accepted"
                 self.pending_writes.remove(kind)
                 self.durable |= {kind} if result == "durable" else set()
             elif name == "on_attempt_decided":
