--- a/kelptrail/gateway/lifecycle.py
+++ b/kelptrail/gateway/lifecycle.py
@@ -261,7 +261,7 @@
 
         If the accepted entry was requested and its write has not failed, the answer must be durable.  A blocking client
         was promised no durable answer, so its answer may also be published if the write of the answer has failed, or is
-        pending when the request's time is up (`late`).  Raises `IllegalStepError` otherwise, and in any stage but FINAL.
+        pending when the request's time is up (`late`).  Raises `IllegalStepError` otherwise, and outside `FINAL`.
         """
         if self.stage is not RequestStage.FINAL:
             raise IllegalStepError(f"there is no answer to publish in stage {self.stage.value}")
