--- a/kelptrail/gateway/lifecycle.py
+++ b/kelptrail/gateway/lifecycle.py
@@ -1,7 +1,7 @@
 """The lifecycle of one request, and which journal entries must be durable before each step; free of I/O.
 
 An event may request entries (`next_entry`).  The caller writes them to a journal and reports the result of each write
-(`on_written`), as in the `Ready` loop of etcd's Raft library.  Exactly three steps wait for a durable entry: the
+(`on_written`), as the ready loop of a replicated log does.  Exactly three steps wait for a durable entry: the
 acknowledgement of a deferred request (`durable_result`), the first byte of an attempt whose repetition could double an
 effect (`start_attempt`), and the final answer (`publish`), which a blocking client gets without a durable entry if the
 write fails or the request's time is up.  A step out of order raises `IllegalStepError`.
