--- a/kelptrail/net/connection.py
+++ b/kelptrail/net/connection.py
@@ -21,8 +21,8 @@
 
 READ_BUFFER_BYTES = 8_192
 MAX_BATCH_BYTES = 65_536
-# Number of full buffers read without waiting in between, so that the end of a stream is detected soon, even if many
-# bytes precede it.
+# Maximum number of full buffers that are read without waiting in between; this way the end of a stream is detected
+# soon, even if many bytes precede it.
 MAX_CONSECUTIVE_READS = 32
 # Limit on the input that is read and discarded after `close_gracefully`; a close with unread input would reset the
 # connection, which destroys answers that the peer has not read.
@@ -56,9 +56,9 @@
         return self._data
 
     def consume(self, count: int) -> int:
-        """Record this write's part of `count` bytes that the socket accepted; they begin with its unsent bytes.
+        """Mark the first unsent bytes of this write as sent, at most `count`; return what is left of `count`.
 
-        Return how many of them belong to later writes.
+        `count` is the number of bytes that the socket accepted of this and later writes.
         """
         unsent = len(self._data) - self._sent_bytes
         consumed = min(count, unsent)
@@ -174,8 +174,8 @@
     def close_gracefully(self, within_ms: float) -> None:
         """Send all pending writes, shut down the sending side, then read and discard until the peer closes.
 
-        The connection is closed after `within_ms` at the latest.  Guards against a reset that would destroy data that
-        the peer has not read yet.
+        The connection is closed after `within_ms` at the latest.  An immediate close could reset the connection, which
+        would destroy data that the peer has not read yet.
         """
         if self.closed or self._closing:
             return
@@ -328,8 +328,9 @@
     Raises `OSError`, or its subclass `TimeoutError` after `within_ms`.  Shortages of local resources and route failures
     are retried with backoff.
 
-    The loop's own `sock_connect` is not used: it resolves even an IP address in a thread pool.  This costs CPU for each
-    connection, and at shutdown these threads may receive signals for which the loop has no handlers any more.
+    The loop's own `sock_connect` is not used: that of uvloop passes even an IP address to `getaddrinfo` in a thread
+    pool.  This costs CPU for each connection, and at shutdown these threads may receive signals for which the loop has
+    no handlers any more.
     """
     deadline, pause_ms = loop.time() + within_ms / 1000, CONNECT_RETRY_MS
     while True:
--- a/kelptrail/net/tls.py
+++ b/kelptrail/net/tls.py
@@ -28,7 +28,7 @@
 
     `certificate` holds the chain, and also the key where `key` is None.  `authority` is the CA that must have signed
     the certificates of peers.  `client_certificates` is "none" (not requested), "asked" (requested) or "required".
-    `expiry_warning_days` is how many days before the expiry warnings start.
+    Warnings start `expiry_warning_days` days before the certificate expires.
     """
 
     certificate: Path | None
--- a/kelptrail/net/transport.py
+++ b/kelptrail/net/transport.py
@@ -28,7 +28,7 @@
 
     IDLE = "idle"  # open, with nothing to read
     CLOSED = "closed"  # the peer closed it, or it failed
-    UNEXPECTED_DATA = "unexpected-data"  # bytes arrived, or the check failed transiently and they may have
+    UNEXPECTED_DATA = "unexpected-data"  # bytes arrived, or may have: the check failed transiently
 
 
 class Transport:
