--- a/kelptrail/net/grpc_client.py
+++ b/kelptrail/net/grpc_client.py
@@ -38,8 +38,9 @@
 class CallResult:
     """How a call ended.
 
-    `code` is None without a status.  `written` is whether the server may have read anything of the call, `refused`
-    whether the server declared it unprocessed (REFUSED_STREAM, RFC 9113 section 8.7).
+    With a status, the first five fields are those of its `CallStatus`.  Without one, `code` is None and `text` says why
+    the call ended.  `written` is whether the server may have read anything of the call, `refused` whether the server
+    declared it unprocessed (REFUSED_STREAM, RFC 9113 section 8.7).
     """
 
     code: Code | None
@@ -63,9 +64,9 @@
         on_end: Callable[[CallResult], None],
         max_message_bytes: int,
     ) -> None:
-        self.unsent = encode_message(message)
+        self.unsent = encode_message(message)  # what flow control has not let through yet
         self.on_message, self.on_end, self.reader = on_message, on_end, MessageReader(max_message_bytes)
-        self.id = 0
+        self.id = 0  # of the call's HTTP/2 stream; 0 until the call is sent
         self.written = False
         self.timer: asyncio.TimerHandle | None = None
 
@@ -193,7 +194,7 @@
         self._h2.update_settings({SettingCodes.INITIAL_WINDOW_SIZE: STREAM_WINDOW_BYTES})
         self._h2.increment_flow_control_window(STREAM_WINDOW_BYTES * 8)
         self._calls: dict[int, GrpcCall] = {}
-        self._waiting: list[tuple[GrpcCall, list[tuple[str, str]]]] = []
+        self._waiting: list[tuple[GrpcCall, list[tuple[str, str]]]] = []  # calls over the limit on concurrent streams
         self._out = bytearray()
         self._output_ready: asyncio.Future[None] | None = None
         self.open = True
--- a/kelptrail/net/grpc_server.py
+++ b/kelptrail/net/grpc_server.py
@@ -25,7 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GrpcLimits:
-    """Limits of one server; times are milliseconds."""
+    """Limits of one server; times are milliseconds.
+
+    `read_ms` limits the time from the start of a call until its client has sent all of it, `write_ms` the time of one
+    write and the time for which a stream with pending messages can send nothing, `idle_ms` the time that a connection
+    stays open without streams.
+    """
 
     connections: int = 10_000
     streams: int = 1000  # per connection
--- a/kelptrail/net/grpc_stream.py
+++ b/kelptrail/net/grpc_stream.py
@@ -17,7 +17,11 @@
 
 
 class GrpcStream:
-    """One call.  Its callbacks are called by the event loop, never from within a method of this object."""
+    """One call.
+
+    Callbacks are called by the event loop, not by methods of this class, except that `send` may call `on_client_gone`:
+    of this stream if it turns out to be closed, or of any stream that is reset to limit the server's unsent bytes.
+    """
 
     __slots__ = (
         "_connection",
@@ -52,7 +56,7 @@
         self.headers_sent = self.awaits_writable = False
         self.ended = False  # a status was given, or the client has disconnected
         self.client_ended = False  # the client has closed its side of the stream
-        self.request_complete = False  # all messages were received, so the limit on the read time no longer applies
+        self.request_complete = False  # exempt from `read_ms`: the client has ended, or the handler says so
         self.opened_at, self.blocked_since = now, None
         self.deadline: float | None = None
         self.on_message: Callable[[bytes], None] = ignore
@@ -69,7 +73,7 @@
 
     @property
     def identity(self) -> str:
-        """The identity that the server maps the client's certificate to; empty without one."""
+        """The client's identity according to its certificate; empty without one."""
         return self._connection.identity
 
     @property
--- a/kelptrail/net/guard.py
+++ b/kelptrail/net/guard.py
@@ -1,6 +1,6 @@
 """Limits on the frames that one HTTP/2 connection may send, and on its age; no I/O, no clock.
 
-Each kind of frame has a token bucket.  Guards against floods of frames that cost their sender nothing (RFC 9113 section
+A token bucket for each kind of frame guards against floods of frames that cost their sender nothing (RFC 9113 section
 10.5): streams opened and immediately reset, pings, settings, empty frames.  The age limit makes clients reconnect, so
 that they spread over the dispatchers.
 """
@@ -12,7 +12,7 @@
 
 
 class GuardAction(Enum):
-    """Kinds of frame that are counted."""
+    """Kinds of frame whose rate is limited."""
 
     RESET = "reset"  # stream resets
     PING = "ping"
@@ -38,8 +38,8 @@
     """Stage of a connection's graceful close."""
 
     OPEN = "open"
-    WARNED = "warned"  # a GOAWAY was sent; streams opened before it arrives are served
-    CLOSING = "closing"  # new streams are refused; streams in flight are served
+    WARNED = "warned"  # the first GOAWAY was sent; streams opened before it arrives are served
+    CLOSING = "closing"  # the second GOAWAY was sent; new streams are refused, streams in flight are served
     CLOSED = "over"
 
 
@@ -54,7 +54,7 @@
         self._budgets = {action: float(settings.burst) for action in GuardAction}
         self._refilled_at = now
         self._expires_at = now + settings.age_ms * (0.9 + 0.2 * spread) if settings.age_ms else float("inf")
-        self._closing_started_at = self._closed_at = float("inf")
+        self._warned_at = self._closing_since = float("inf")  # start of the stages WARNED and CLOSING
         self.stage = CloseStage.OPEN
 
     def spend(self, now: float, action: GuardAction) -> bool:
@@ -66,9 +66,9 @@
         return self._budgets[action] >= 0
 
     def start_closing(self, now: float) -> None:
-        """Start the graceful close: at the maximum age, or when the dispatcher drains or releases the address."""
+        """Enter the stage WARNED: at the maximum age, after the idle time, or when the server drains."""
         if self.stage is CloseStage.OPEN:
-            self.stage, self._closing_started_at = CloseStage.WARNED, now
+            self.stage, self._warned_at = CloseStage.WARNED, now
 
     def advance_stage(self, now: float, streams: int, delivery_ms: float) -> CloseStage | None:
         """Enter the next stage if it is due, and return it, else None.
@@ -78,10 +78,10 @@
         if self.stage is CloseStage.OPEN and now >= self._expires_at:
             self.start_closing(now)
             return CloseStage.WARNED
-        if self.stage is CloseStage.WARNED and now >= self._closing_started_at + delivery_ms:
-            self.stage, self._closed_at = CloseStage.CLOSING, now
+        if self.stage is CloseStage.WARNED and now >= self._warned_at + delivery_ms:
+            self.stage, self._closing_since = CloseStage.CLOSING, now
             return CloseStage.CLOSING
-        if self.stage is CloseStage.CLOSING and (not streams or now >= self._closed_at + self._settings.grace_ms):
+        if self.stage is CloseStage.CLOSING and (not streams or now >= self._closing_since + self._settings.grace_ms):
             self.stage = CloseStage.CLOSED
             return CloseStage.CLOSED
         return None
