--- a/kelptrail/net/http_exchange.py
+++ b/kelptrail/net/http_exchange.py
@@ -10,8 +10,8 @@
 if TYPE_CHECKING:
     from .http_connection import HttpConnection
 
-# Limit on the unwritten bytes of a connection: from it on, `Exchange.can_write` is False, and above it no further
-# requests are read.
+# Unwritten bytes of a connection at which `Exchange.can_write` becomes False, and above which no further requests are
+# read.
 MAX_UNWRITTEN_BYTES = 262_144
 
 
@@ -49,7 +49,7 @@
 
     @property
     def identity(self) -> str:
-        """The identity that the server maps the client's certificate to; empty without one."""
+        """The client's identity according to its certificate; empty without one."""
         return self._connection.identity
 
     def reply(
--- a/kelptrail/net/listener.py
+++ b/kelptrail/net/listener.py
@@ -2,7 +2,7 @@
 
 `ConnectPace` decides and does no I/O; `Listener` holds the listening sockets.  It accepts in the loop's callback for a
 readable socket, not with `await sock_accept`.  If that call were cancelled after it had taken a client from the
-kernel's accept queue, the client would be lost: while an address is released, it would get a reset.
+kernel's accept queue, as when the server gives up its address, the client would get a reset.
 """
 
 from __future__ import annotations
@@ -101,11 +101,11 @@
         self._sockets: dict[socket.socket, asyncio.TimerHandle | None] = {}
         self._lingering: deque[socket.socket] = deque()
         self._consecutive_failures = 0  # failed accepts since the last successful one
-        self.accept_delay_ms = 0.0
+        self.accept_delay_ms = 0.0  # delay between an accept and `on_accept`; used only by emulators
         self.rejected_by_pace = 0
         self.on_connect: Callable[[], None] = _ignore  # called for each accepted client
         self.has_capacity: Callable[[], bool] = _always_true  # while it returns False, clients stay in the accept queue
-        self.on_descriptor_shortage: Callable[[], object] = _ignore  # called when the process runs out of descriptors
+        self.on_descriptor_shortage: Callable[[], object] = _ignore  # called when an accept fails with EMFILE
 
     @property
     def is_open(self) -> bool:
@@ -134,7 +134,7 @@
     def accept_queued(self) -> bool:
         """Accept the clients in the accept queue regardless of the pace.
 
-        Return False where some may remain, for lack of capacity or after a failed accept.
+        Return False if some may remain, for lack of capacity or after a failed accept.
         """
         for sock in list(self._sockets):
             try:
@@ -197,9 +197,9 @@
         return None
 
     def _on_accept_failure(self, cause: OSError) -> None:
-        """Report an accept that failed for lack of descriptors or memory."""
+        """Log a failed accept, and call `on_descriptor_shortage` if the process is out of descriptors."""
         self._log_event("accept-failed", reason=str(cause))
-        if cause.errno == EMFILE:  # for other resources, closing connections would not help
+        if cause.errno == EMFILE:  # a system-wide shortage would not end if this process closed a connection
             self.on_descriptor_shortage()
 
     def _ready(self, sock: socket.socket) -> None:
@@ -211,7 +211,7 @@
                 return
             try:
                 accepted = self._accept_next(sock)
-            except OSError as cause:  # for example out of descriptors: wait until some are closed
+            except OSError as cause:  # probably a shortage, for example of descriptors: retry after a pause
                 self._on_accept_failure(cause)
                 doublings = min(max(0, self._consecutive_failures - FAILURES_BEFORE_BACKOFF), 10)
                 self._pause_accepting(sock, min(MAX_FAILURE_PAUSE_MS, FAILURE_PAUSE_MS * 2**doublings))
--- a/kelptrail/net/server.py
+++ b/kelptrail/net/server.py
@@ -29,7 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Limits of one server; times are milliseconds."""
+    """Limits of one server; times are milliseconds.
+
+    `read_ms` limits the time to receive one request and the time of a TLS handshake, `write_ms` the time of one write,
+    `idle_ms` the time that a connection stays open without requests.
+    """
 
     connections: int = 10_000
     header_bytes: int = 16_384
@@ -55,8 +59,8 @@
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self._tls, self._identify = tls, identify or (lambda _certificate: "")
-        self._handshakes_in_progress = 0  # number of TLS handshakes
-        self._handshakes: set[asyncio.Task[None]] = set()
+        self._handshakes_in_progress = 0
+        self._handshake_tasks: set[asyncio.Task[None]] = set()
         self.limits = limits or Limits()
         self.handle = handler
         self._log_event = log_event or (lambda *_args, **_fields: None)
@@ -67,7 +71,7 @@
         self.rejected_connections = 0
         self.unwritten_bytes = 0  # unwritten bytes of replies, over all connections
         self.slow_readers_closed = 0  # connections closed because too many bytes were unwritten
-        self.draining = False  # while True, each reply closes its connection
+        self.draining = False  # when True, a connection closes after its last outstanding reply
         self.address = ""
 
     def add_unwritten(self, count: int) -> None:
@@ -166,8 +170,8 @@
             return
         self._handshakes_in_progress += 1
         task = self.loop.create_task(self._handshake(client, peer, self._tls()))
-        self._handshakes.add(task)
-        task.add_done_callback(self._handshakes.discard)
+        self._handshake_tasks.add(task)
+        task.add_done_callback(self._handshake_tasks.discard)
 
     async def _handshake(self, client: socket.socket, peer: str, context: ssl.SSLContext) -> None:
         transport = TlsTransport(self.loop, client, context, True)
@@ -211,14 +215,17 @@
         self.unwritten_bytes, connection.unwritten_bytes = self.unwritten_bytes - connection.unwritten_bytes, 0
 
     def stop_listening(self) -> None:
-        """Stop accepting connections; open ones stay open."""
+        """Stop accepting connections and enforcing time limits; open connections stay open."""
         for task in self._tasks:
             task.cancel()
         self._tasks.clear()
         self.listener.close()
 
     def start_draining(self) -> None:
-        """Accept the clients in the accept queue, then stop listening; from now on each reply closes its connection."""
+        """Accept the clients in the accept queue, then stop listening.
+
+        From now on a connection closes after its last outstanding reply.
+        """
         self.draining = True
         self.listener.close(self._open_connection)
         self.stop_listening()
