--- a/kelptrail/codec/events.py
+++ b/kelptrail/codec/events.py
@@ -10,7 +10,7 @@
 
 
 class TooLongError(ValueError):
-    """Raised for an event that is longer than the reader allows."""
+    """Raised for an incomplete event that is already longer than the reader allows."""
 
 
 def encode_event(data: bytes, name: str = "") -> bytes:
@@ -20,7 +20,7 @@
 
 
 class EventReader:
-    """Parses a byte stream into the data of its events.  An event of more than `max_bytes` is rejected."""
+    """Parses a byte stream into the data of its events.  Buffers at most `max_bytes` of an incomplete event."""
 
     def __init__(self, max_bytes: int) -> None:
         self._max_bytes, self._buffer = max_bytes, bytearray()
--- a/kelptrail/codec/feed.py
+++ b/kelptrail/codec/feed.py
@@ -13,6 +13,7 @@
 
 UNCHANGED, SNAPSHOT, CHANGES = 0, 1, 2  # kinds of event
 _HEAD = Struct(">IQB")
+# Id, IPv4 address, port, state, zone, kind, cell, capacity in thousandths, start.
 _RECORD = Struct(">I4sHBBBHIQ")
 _STATES = {"in_service": 0, "terminating": 1, "terminated": 2}
 READY, DRAINING, TERMINATED = 0, 1, 2  # states of a worker
@@ -24,7 +25,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """A worker as an event describes it.  `started` is its start as Unix time in ms, 0 if it started long ago."""
+    """A worker as an event describes it.
+
+    `zone` and `kind` are indices in the configured lists.  `started` is its start as Unix time in ms, 0 if it started
+    long ago.
+    """
 
     id: str
     address: str
@@ -49,7 +54,7 @@
 class FeedReader:
     """Parses a byte stream into watch events.
 
-    `zones` and `kinds` are the numbers of known zones and worker kinds; a record with a greater index is an error.
+    `zones` and `kinds` are the numbers of known zones and worker kinds; a record with an index beyond them is an error.
     `max_length` is the maximum of an event's length field, in bytes.
     """
 
@@ -104,7 +109,9 @@
                 (address, _, port), capacity = target["endpoint"].rpartition(":"), float(target["capacity_hint"])
                 state = _STATES[target["state"]]
                 if not (0 < capacity < 1e9 or state) or not address or not 0 < int(port) < 1 << 16:
-                    raise FeedError(f"known events that cannot be read: {target['uid']} out of range")
+                    raise FeedError(
+                        f"known events that cannot be read: target {target['uid']} has a value out of range"
+                    )
                 records.append(
                     EndpointRecord(
                         str(target["uid"]),
--- a/kelptrail/codec/grpc.py
+++ b/kelptrail/codec/grpc.py
@@ -67,7 +67,10 @@
 
 
 class CallStatus(NamedTuple):
-    """The status that ended a call, as its client receives it; `retry_ms` is None if the server sent no `RetryInfo`."""
+    """The status that ended a call, as its client receives it.
+
+    `retry_ms` comes from `RetryInfo`, None if the server sent none; `reason` and `details` come from `ErrorInfo`.
+    """
 
     code: Code
     text: str
--- a/kelptrail/codec/http.py
+++ b/kelptrail/codec/http.py
@@ -22,7 +22,10 @@
 
 
 class HttpError(Exception):
-    """Input after which the connection is closed; `status` is the status to reply with if a reply is possible."""
+    """Invalid or oversized input, after which the connection is closed, or a response with an error status.
+
+    `status` is that of the response, or the one to reply with if a reply is possible.
+    """
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -84,7 +87,7 @@
     def _reset(self) -> None:
         self._target, self._body = b"", bytearray()
         self._headers: dict[str, str] = {}
-        # Bytes of the request's head, as counted in the parser's callbacks and in input buffers that held nothing else.
+        # Bytes of the request's head: those that the parser reported, and those of input that held only part of a head.
         self._parsed_head_bytes = self._raw_head_bytes = 0
         self._in_head = True
 
@@ -166,7 +169,7 @@
         except httptools.HttpParserError as cause:
             if not self._closed:
                 self._fail(400, f"malformed HTTP: {cause}")
-        if in_head and self._in_head and not self._completed:  # no callback runs for an incomplete header
+        if in_head and self._in_head and not self._completed:  # the parser reports a header only when it is complete
             self._raw_head_bytes += len(data)
             self._check_head()
         completed, self._completed = self._completed, []
--- a/kelptrail/codec/infer.py
+++ b/kelptrail/codec/infer.py
@@ -1,9 +1,10 @@
 """The Open Inference Protocol v2 over HTTP with the model repository extension, as workers implement it.
 
 The parameters of a request are sent as one BYTES tensor that holds a JSON object; the `id` is the idempotency key.  A
-worker proves that an attempt never ran with the header `never-ran` (`full` or `miss`) on its rejection; a rejection
-without the header proves nothing.  Load is reported in the ORCA header `endpoint-load-metrics` in its TEXT form.  Its
-metric `found` reports whether an instance was loaded, `company` how many other requests of the model the worker had.
+worker proves that an attempt never ran with the header `never-ran` on its rejection: `full` if it has no capacity,
+`miss` if no instance is loaded.  A rejection without the header proves nothing.  Load is reported in the ORCA header
+`endpoint-load-metrics` in its TEXT form.  Its metric `found` reports whether an instance was loaded, `company` how many
+other requests of the model the worker had.
 """
 
 from __future__ import annotations
@@ -17,7 +18,6 @@
 from .events import CONTENT_TYPE
 from .http import Response, encode_request, encode_response
 from .tensors import JsonTensor, TensorError, tensor_values
-from .tensors import JsonTensor as Tensor
 
 NEVER_RAN = "never-ran"
 LOAD_REPORT = "endpoint-load-metrics"
@@ -94,13 +94,17 @@
     headers: dict[str, str],
     form: str = "json",
 ) -> bytes:
-    """Encode the request of one attempt.  Parameters of the caller are included but never override `parameters`."""
+    """Encode the request of one attempt.
+
+    `form` is the form of `payload`: "json", or "tensors" for an encoded `Payload`, whose parameters are included but
+    never override `parameters`.
+    """
     body: InferRequest | TensorsRequest
     if form == "tensors":
         tensors = _decode_payload(payload)
         body = TensorsRequest(request_id, tensors.inputs, tensors.parameters | parameters, tensors.outputs)
     else:
-        body = InferRequest(request_id, [Tensor("params", "BYTES", [1], [payload.decode()])], parameters)
+        body = InferRequest(request_id, [JsonTensor("params", "BYTES", [1], [payload.decode()])], parameters)
     return encode_request("POST", f"/v2/models/{quote(model, safe='')}/infer", host, _encode(body), headers)
 
 
@@ -135,7 +139,7 @@
 
 def infer_answer(model: str, request_id: str, result: str, success: bool) -> bytes:
     """Encode the body of a response with a JSON result."""
-    response = InferResponse(model, request_id, [Tensor("result", "BYTES", [1], [result])], {"success": success})
+    response = InferResponse(model, request_id, [JsonTensor("result", "BYTES", [1], [result])], {"success": success})
     return _encode(response)
 
 
@@ -143,8 +147,9 @@
 class WorkerAnswer:
     """Content of a worker's response to an attempt.
 
-    `instance_loaded` is None if it was not reported.  `other_requests` is the reported number of other requests of the
-    model at the worker, at most 30.  `report` is the load report, by metric name.
+    `load_failed` is whether the worker reports that the model could not be loaded.  `instance_loaded` is None if it was
+    not reported.  `other_requests` is the reported number of other requests of the model at the worker, capped at 30.
+    `report` is the load report, by metric name.
     """
 
     kind: str  # "completed", "error", "full" or "miss"
@@ -170,7 +175,7 @@
     try:
         body = _decode_response(data)
         if body.id != request_id:  # an answer to another request proves nothing about this attempt
-            raise MalformedError("an answer to another call")
+            raise MalformedError(f"the answer has the id {body.id!r} of another request, not {request_id!r}")
         if form == "tensors":
             result = _encode(
                 {"outputs": body.outputs}
@@ -289,7 +294,7 @@
     return f"TEXT cpu_utilization={util:.3g}{named_metrics}"
 
 
-def _only_element(tensors: list[Tensor], name: str) -> str:
+def _only_element(tensors: list[JsonTensor], name: str) -> str:
     for tensor in tensors:
         if tensor.name == name:
             if (
--- a/kelptrail/codec/lines.py
+++ b/kelptrail/codec/lines.py
@@ -28,9 +28,9 @@
 class WorkerAnswer:
     """One answer to the command `id`.
 
-    `status` is one of `STATUSES`.  The known fields, with their names on the wire: `notice` (`tell`), a state that the
-    worker reports about itself; `queue_ahead` (`ahead`), the number of requests queued before this one;
-    `loaded_instances` (`units`); `metrics` (`meter`), the load report.
+    `status` is one of `STATUSES`.  The known fields, with their names on the wire: `notice` (`tell`), what the worker
+    reports about the instance, such as `up` (already loaded) or `crashed` (loading failed); `queue_ahead` (`ahead`),
+    the number of requests queued before this one; `loaded_instances` (`units`); `metrics` (`meter`), the load report.
     """
 
     id: str
@@ -68,7 +68,7 @@
             end = buffer.find(b"\r\n", 0, MAX_LINE_BYTES + 2)
             if end < 0:
                 if len(buffer) > MAX_LINE_BYTES:
-                    raise LineError("a line is too long")
+                    raise LineError(f"a line exceeds {MAX_LINE_BYTES} bytes")
                 return None
             self._head, self._body_bytes = self._read_head(bytes(buffer[:end]))
             del buffer[: end + 2]
@@ -91,7 +91,7 @@
         ):
             raise LineError("a line is not an answer")
         if (body_bytes := int(words[3])) > self._max_body_bytes:
-            raise LineError(f"a body of {body_bytes} bytes is too long")
+            raise LineError(f"a body of {body_bytes} bytes exceeds {self._max_body_bytes} bytes")
         answer = WorkerAnswer(words[0].decode(), words[1].decode())
         if words[2] != b"-":
             try:
@@ -123,7 +123,7 @@
 
 def _read_number(text: str) -> int:
     if not _NUMBER.fullmatch(text):
-        raise _FieldError("no number")
+        raise _FieldError("a field is not a number of 1 to 9 digits")
     return int(text)
 
 
--- a/kelptrail/codec/tensors.py
+++ b/kelptrail/codec/tensors.py
@@ -222,7 +222,10 @@
 
 
 def write_parameters(parameters: Any, values: dict[str, Scalar]) -> None:
-    """Write plain values into a protobuf map of parameters."""
+    """Write plain values into a protobuf map of parameters.
+
+    An integer that does not fit into 64 signed bits is written unsigned, modulo 2**64.
+    """
     for name, value in values.items():
         if isinstance(value, bool):
             parameters[name].bool_param = value
