--- a/tests/raw_sockets.py
+++ b/tests/raw_sockets.py
@@ -22,7 +22,7 @@
 
 
 def never_answer(*_: Any, **__: Any) -> None:
-    """Handle a request at a worker that never answers."""
+    """Ignore a request, as a worker that never answers."""
 
 
 async def until(condition: Callable[[], Any], within: float = 3.0) -> None:
@@ -32,11 +32,11 @@
             await asyncio.sleep(0.005)
 
 
-def connect_raw(port: int, receive: int | None = None) -> socket.socket:
-    """Return a connected client socket.  `receive` is the size of its receive buffer, set before it connects."""
+def connect_raw(port: int, receive_buffer_bytes: int | None = None) -> socket.socket:
+    """Return a connected client socket; the size of its receive buffer is set before it connects."""
     sock = socket.socket()
-    if receive is not None:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive)
+    if receive_buffer_bytes is not None:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
     sock.connect(("127.0.0.1", port))
     return sock
 
@@ -55,7 +55,7 @@
 
 
 def read_all(sock: socket.socket, within: float = 3.0) -> list[tuple[int, int, bytes]]:
-    """Return all frames until the connection ends."""
+    """Return all frames until the connection ends.  Raises `TimeoutError` if no bytes arrive for `within` seconds."""
     sock.settimeout(within)
     reader, received = frames.FrameReader(1 << 20), []
     with contextlib.suppress(ConnectionResetError):
@@ -90,7 +90,10 @@
 
 
 def read_until(process: subprocess.Popen[bytes], text: str, within: float = 4.0) -> str:
-    """Return the output of the process up to and including `text`."""
+    """Return the output of the process up to the end of the read that contains `text`.
+
+    Raises `AssertionError` if the process ends before, or after `within` seconds.
+    """
     assert process.stdout is not None
     output, deadline = "", time.monotonic() + within
     while text not in output:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""Attempt statuses follow from what the socket shows; delivery guarantees hold when workers misbehave."""
+"""Attempt statuses match what happened on the socket; delivery guarantees hold when workers misbehave."""
 
 from __future__ import annotations
 
@@ -189,10 +189,10 @@
     async def main() -> None:
         load_orders: list[Exchange] = []
 
-        def keep_waiting(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
+        def hold_load_order(worker: ScriptedWorker, request: Request, exchange: Exchange) -> None:
             load_orders.append(exchange)
 
-        async with running_dispatcher(never_answer, on_load=keep_waiting) as (dispatcher, (worker,)):
+        async with running_dispatcher(never_answer, on_load=hold_load_order) as (dispatcher, (worker,)):
             calls = [asyncio.create_task(dispatcher.call("grant", body={"n": n})) for n in range(3)]
             while not load_orders:
                 await asyncio.sleep(0.01)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -67,22 +67,22 @@
 
 @pytest.mark.parametrize("code", TRANSIENT_SEND_ERRORS)
 def test_a_transient_send_failure_closes_no_connection(code: int) -> None:
-    """The connections to the client and to the worker stay open, and the request is answered."""
+    """The connections to the client and to the worker stay open, and the next request is answered."""
 
     async def main() -> None:
         async with PlatformFixture(worker := WorkerStub(echo)) as platform:
             client = await platform.client()
             client.send_request(1)
             assert await client.answer_code() == frames.SERVED
-            (worker_links,) = platform.service.executor.workers.connections.values()
-            (connection,) = worker_links._connections
+            (worker_connections,) = platform.service.executor.workers.connections.values()
+            (connection,) = worker_connections._connections
             (client_connection,) = platform.service.client_server.connections.idle
             for wrapped in (connection.connection, client_connection.connection):
                 assert wrapped is not None
                 wrapped.transport.sock = Failing(wrapped.transport.sock, "send", [code, code])  # type: ignore[assignment]
             client.send_request(2)
             assert await client.answer_code() == frames.SERVED
-            assert worker.connections == 1 and connection in worker_links._connections
+            assert worker.connections == 1 and connection in worker_connections._connections
 
     run(main())
 
@@ -114,19 +114,19 @@
     return feed.EndpointEvent(number, False, [record])
 
 
-def test_the_limit_passed_on_is_what_the_client_has_left_when_the_call_leaves(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An attempt that waits for a slow connect is sent with the time that remains when it is sent."""
+def test_an_attempt_is_sent_with_the_time_that_remains_after_a_slow_connect(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The limit on the wire is rendered when the attempt is sent, not when it is queued."""
     limits: list[int] = []
 
     class LimitRecorder(WorkerStub):
         async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while line := await reader.readline():
-                word, id_, *rest = line.split()
-                if word == b"CALL":
+                command, id_, *rest = line.split()
+                if command == b"CALL":
                     await reader.readexactly(int(rest[-1]) + 2)
                     limits.append(int(rest[0].partition(b"limit=")[2].partition(b",")[0]))
                     writer.write(id_ + b" OK - 0\r\n\r\n")
-                elif word == b"LOAD":
+                elif command == b"LOAD":
                     writer.write(id_ + b" OK units=1 0\r\n\r\n")
 
     async def main() -> None:
@@ -163,7 +163,7 @@
 
 @pytest.mark.parametrize("codes", [[code] for code in ACCEPT_ERRORS] + [[errno.ECONNABORTED, errno.EMFILE] * 3])
 def test_clients_in_the_accept_queue_are_answered_at_shutdown_though_accepts_fail(codes: list[int]) -> None:
-    """Each client that connected before the listener closes is accepted, also after accepts that fail."""
+    """Each client that connected before the shutdown is accepted, also after accepts that fail."""
 
     async def main() -> None:
         async with PlatformFixture(WorkerStub(echo)) as platform:
