--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -28,7 +28,7 @@
     request,
     until,
 )
-from test_worker_list import EndpointListStub, follow
+from test_worker_list import EndpointListStub, watch_list_at
 
 from kelptrail.codec import feed, frames
 from kelptrail.engine.wall_clock import WallClockReader
@@ -216,11 +216,11 @@
         endpoint_list = EndpointListStub(serve)
         port = await endpoint_list.open()
         async with PlatformFixture(WorkerStub(echo)) as platform:
-            await follow(platform, port)
+            await watch_list_at(platform, port)
             await until(lambda: endpoint_list.requested_after)
             for _ in range(25):
                 await asyncio.sleep(0.04)
-                await follow(platform, port)
+                await watch_list_at(platform, port)
             assert len(endpoint_list.requested_after) <= 3
 
     run(main())
