--- a/kelptrail/lease/acceptor.py
+++ b/kelptrail/lease/acceptor.py
@@ -1,11 +1,11 @@
 """Acceptor of the lease protocol: grants each task to one client at a time.  Performs no I/O and reads no clock.
 
-Safety: the tokens of a task only increase, and no reply is sent before the state behind it is durable: a grant is kept
-in a `Write` until the driver reports that the write was synced.  After a restart, the length of each durable grant is
-counted from the restart, so that the grant expires here no earlier than at its holder.  An acceptor without durable
-state (on a new, lost or damaged disk) does not vote at first.  It waits until every lease that it may have granted has
-expired, and then requests the state of the others until voting acceptors that form a majority have sent theirs.  This
-order ensures that it also receives the leases that the others granted during its wait.
+Safety: the tokens of a task only increase, and no grant or acknowledgement of a note is sent before it is durable: the
+reply is kept in a `Write` until the driver reports that the write was synced.  After a restart, the length of each
+durable grant is counted from the restart, so that the grant expires here no earlier than at its holder.  An acceptor
+without durable state (on a new, lost or damaged disk) does not vote at first.  It waits until every lease that it may
+have granted has expired, and votes once voting acceptors that form a majority have answered a state request sent after
+the wait.  Their answers thus include the leases that they granted during the wait.
 
 A new acceptor set replaces the previous one in three steps.  A majority of the previous set enters the new set; this
 seals the previous set, which can grant nothing more.  All leases of the previous set expire
@@ -248,7 +248,7 @@
     # Recovery.
 
     def _enter_stage(self, stage: Stage, sealed_previous: bool) -> None:
-        """Enter a stage, which must be durable before the acceptor replies to anything in it."""
+        """Enter a stage.  Until it is durable, the acceptor refuses lease requests and ignores all other messages."""
         self.stage, self.sealed_previous, self._stage_durable = stage, sealed_previous, False
         self._enqueue_write(self._all_rows(), DurableState(self.config_number, stage, sealed_previous))
 
--- a/kelptrail/lease/acceptor_recovery.py
+++ b/kelptrail/lease/acceptor_recovery.py
@@ -22,7 +22,7 @@
         self.next_query_at = now
 
     def start_query(self, now: float) -> int:
-        """Start a new query, discard the replies to the last one, and return the nonce of the new one."""
+        """Start a new query, discard the replies to the previous one, and return the new nonce."""
         self.next_query_at = now + self.settings.request_timeout_ms
         self.nonce += 1
         self.replies = {}
@@ -50,8 +50,9 @@
     def _stage_after_state_loss(self, now: float, stage: Stage) -> Stage | None:
         """Return the next stage of an acceptor without durable state, or None if it must still wait.
 
-        It votes once all leases that it may have granted have expired and voting acceptors that form a majority have
-        sent their states, or once it is certain that the complete set is new.
+        Once all leases that it may have granted have expired, it votes if voting acceptors that form a majority have
+        replied.  It enters FOUNDING if all others report no state, and votes from FOUNDING if all others are in
+        FOUNDING or one of them votes.
         """
         if not self._is_wait_over(now):
             return None
--- a/kelptrail/lease/acceptor_state.py
+++ b/kelptrail/lease/acceptor_state.py
@@ -15,7 +15,7 @@
     """
 
     EMPTY = "empty"  # no durable state
-    FOUNDING = "founding"  # no durable state, and all other acceptors were found to have none either
+    FOUNDING = "founding"  # started without durable state, and found that no other acceptor has any
     # Has stored the grants that it made in the previous acceptor set, and has entered the current set.
     CHANGING = "changing"
     VOTING = "voting"
--- a/kelptrail/lease/acceptor_store.py
+++ b/kelptrail/lease/acceptor_store.py
@@ -1,7 +1,7 @@
 """Store of an acceptor's durable state: an SQLite database in WAL mode, in which every commit is synced.
 
-A single row that does not match its checksum makes the complete file unusable, because the grants that were lost with
-it are unknown.  Such a file is renamed, and the acceptor starts without durable state.
+A single row that does not match its checksum or cannot be decoded makes the complete file unusable, because the grants
+that were lost with it are unknown.  Such a file is renamed, and the acceptor starts without durable state.
 """
 
 from __future__ import annotations
@@ -108,7 +108,8 @@
 def open_acceptor_store(file: Path, vfs: str | None = None) -> OpenedAcceptorStore:
     """Open a store and read it.  A damaged file is renamed and replaced by an empty store.
 
-    Raises `JournalError` if the file cannot be created or the disk fails; the file stays then, as it may be intact.
+    Raises `JournalError` after any other error, such as a failing disk or a newer format; the file then stays, as it
+    may be intact.
     """
     try:
         store = AcceptorStore(file, vfs)
--- a/kelptrail/lease/lease_request.py
+++ b/kelptrail/lease/lease_request.py
@@ -22,8 +22,8 @@
 class Ballot:
     """Sending time and grants of one acquire or renewal message, which is sent to several acceptors.
 
-    All copies have one request id, the key in `LeaseRequest.ballots`.  `sent_at` is when the first one was sent;
-    `granted_by` are the acceptors that granted the request.
+    All copies have one request id, the key in `LeaseRequest.ballots`.  `sent_at` is a time before the first copy
+    was sent; `granted_by` are the acceptors that granted the request.
     """
 
     sent_at: float
@@ -50,7 +50,7 @@
     ballots: dict[int, Ballot] = field(default_factory=dict)
     # Acceptors to which a request with the current token was sent, renewals included.
     contacted_acceptors: set[str] = field(default_factory=set)
-    # By acceptor that refused this attempt: time from which a retry can succeed.
+    # Estimated time from which a retry can succeed, by acceptor that refused this attempt.
     refusals: dict[str, float] = field(default_factory=dict)
     only_first_contacted: bool = False  # True while the request was sent only to the first acceptor
     # Consecutive failed attempts, outside a reservation, whose refusals gave no later retry time.  Sets the backoff.
--- a/kelptrail/lease/messages.py
+++ b/kelptrail/lease/messages.py
@@ -101,7 +101,7 @@
     """The request is refused.
 
     `highest_token` is the highest recorded token of the task, or one with the round `round_floor` if that is higher.
-    `retry_after_ms` is the estimated time until a retry can succeed, or 0 if the task is neither held nor reserved.
+    `retry_after_ms` is the estimated time until a retry can succeed, or 0 if the reason is neither HELD nor RESERVED.
     `config_number` and `acceptors` describe the current acceptor set; `acceptors` is empty if the settings of the
     sending acceptor are outdated.
     """
