--- a/kelptrail/replication/batch_queue.py
+++ b/kelptrail/replication/batch_queue.py
@@ -37,7 +37,7 @@
             batch.on_commit.append(on_commit)
 
     def start_next(self) -> Batch | None:
-        """Start the collecting batch; return None if it is empty or too many batches are uncommitted."""
+        """Start the collecting batch and return it, or None if it is empty or too many batches are uncommitted."""
         batch = self._collecting
         is_empty = not (batch.entries or batch.deleted_ids or batch.on_commit)
         if is_empty or len(self.uncommitted) >= MAX_UNCOMMITTED_BATCHES:
--- a/kelptrail/replication/failover.py
+++ b/kelptrail/replication/failover.py
@@ -89,7 +89,7 @@
         """Return whether this dispatcher should request the lease of a journal that is replicated here.
 
         No journal is claimed during its pause.  Otherwise one whose last primary was this dispatcher is claimed at
-        once.
+        once, and any other when its primary is silent or no longer sends messages about it.
         """
         backoff = self._backoffs.get(journal_id)
         if backoff is not None and now < backoff.ends_at:
--- a/kelptrail/replication/journal_manager.py
+++ b/kelptrail/replication/journal_manager.py
@@ -57,9 +57,9 @@
     """The journals of one process.
 
     `handles` contains the journals of which this process is or becomes the primary, by id; `current` is the one for new
-    calls.  `released` contains the ids of journals that were given up, until another primary writes to them here or
-    this process acquires their lease again.  `reported_primary` contains, by journal, name and run of the reported
-    lease holder until it writes to the replica here.
+    calls.  `released` contains the ids of journals that were given up, until a primary sends a message about them
+    or this process acquires their lease again.  `reported_primary` contains, by journal, name and run of the reported
+    lease holder until a primary sends a message about the journal.
     """
 
     def __init__(self, context: ReplicationContext) -> None:
@@ -110,7 +110,7 @@
             self.claim(journal_id)
 
     def on_replica_message(self, journal_id: str) -> None:
-        """Record that a primary writes to the replica here, so that lookups find the primary by its token."""
+        """Record a primary's message to the replica here: lookups then find the primary by the token of the replica."""
         self.reported_primary.pop(journal_id, None)
         self.released.discard(journal_id)
 
@@ -295,7 +295,7 @@
             self._context.replica.close(journal_id, logs[journal_id].token)
 
     def close(self, handle: PrimaryHandle) -> None:
-        """Close an empty journal in two steps: notify all replicas, then release the lease."""
+        """Close an empty journal: the first call starts to notify the replicas, one after that releases the lease."""
         if not handle.primary.closing:
             handle.primary.close()
             return
--- a/kelptrail/replication/messages.py
+++ b/kelptrail/replication/messages.py
@@ -1,9 +1,10 @@
 """Messages between the primary and the replicas of a journal, digests of journal contents, and replication settings.
 
-A *journal* is the record of the deferred calls of one run of one dispatcher.  It has one *primary* at a time, which
-holds the lease on the journal, and an *in-sync set*: all dispatchers that have every committed entry, including the
-primary.  The in-sync set is stored as a note with the lease.  The next lease holder reads from it which disks are
-complete, so that even a replica that was removed from the set without being notified finds that its disk is not.
+A *journal* records deferred calls.  A run of a dispatcher creates it; later runs continue it, and other dispatchers may
+take it over.  It has one *primary* at a time, which holds the lease on the journal, and an *in-sync set*: all
+dispatchers that have every committed entry, including the primary.  The in-sync set is stored as a note with the lease.
+The next lease holder reads from it which disks are complete, so that even a replica that was removed from the set
+without being notified finds that its disk is not.
 
 Times are milliseconds.  No message carries a time of day; entries carry their age at the time of sending instead.
 """
--- a/kelptrail/replication/model.py
+++ b/kelptrail/replication/model.py
@@ -6,7 +6,7 @@
 tokens, and a note for the next holder.
 
 Checked properties: the next primary has every acknowledged call, unless the disks of all in-sync replicas are lost; no
-call runs twice; no call has two final answers; no replica stores anything under an older token.
+call runs twice, or runs and is rejected; no call has two final answers; the newest token of a replica never decreases.
 """
 
 from __future__ import annotations
--- a/kelptrail/replication/primary.py
+++ b/kelptrail/replication/primary.py
@@ -1,9 +1,9 @@
 """The primary's side of replication, without I/O: an entry is committed once all in-sync replicas have stored it.
 
 Entries are collected in batches.  A batch is written to the local disk and sent to all replicas in parallel.  A replica
-joins the in-sync set once it has everything that the primary has; one that does not acknowledge in time is removed from
-it.  Either change is first stored as a note with the journal's lease.  A later lease holder that the note lists
-therefore has every committed batch.
+joins the in-sync set once it is repaired and has every committed batch; one that does not acknowledge in time is
+removed from it.  Either change is first stored as a note with the journal's lease.  A later lease holder that the note
+lists therefore has every committed batch.
 
 Each replica has its own stream.  The replica first sends its digests.  Buckets that differ are then repaired one by one
 at a bounded rate; batches written meanwhile are deferred until the repair is complete.
@@ -194,7 +194,10 @@
     # Replicas.
 
     def update_streams(self, now: float, reachable: Iterable[str], ranking: Iterable[str]) -> None:
-        """Open streams to missing replicas in the order of `ranking`; drop replicas that stay unreachable."""
+        """Drop, open and replace streams as `ReplicaStreams.update` does, then notify former replicas to delete their copies.
+
+        `reachable` names the connected dispatchers, `ranking` the candidates for replicas in the order of preference.
+        """
         names = set(reachable)
         self._streams.update(now, names, ranking if not self.closing else (), lambda: self.in_sync)
         if self.pending_in_sync is None and self.ready:
--- a/kelptrail/replication/replica_store.py
+++ b/kelptrail/replication/replica_store.py
@@ -227,7 +227,7 @@
     """Open a store; an unreadable file is moved aside and replaced by a new store.
 
     The new store has a new disk id, so it is treated as a lost disk and repaired from replicas.
-    Raises `JournalError`.
+    Raises `JournalError` after any other error.
     """
     try:
         return OpenedStore(ReplicaStore(file, vfs), None)
--- a/kelptrail/replication/replica_streams.py
+++ b/kelptrail/replication/replica_streams.py
@@ -47,7 +47,7 @@
     ) -> None:
         """Drop replicas that stay unreachable, open missing streams in the order of `ranking`, replace draining ones.
 
-        `in_sync` returns the current in-sync set, which changes as streams are dropped.
+        `in_sync` returns the current in-sync set.
         """
         for stream in list(self.by_replica.values()):
             silent_ms = now - stream.waiting_since
--- a/kelptrail/replication/status.py
+++ b/kelptrail/replication/status.py
@@ -15,7 +15,7 @@
 def replication_status(
     now: float, context: ReplicationContext, journals: JournalManager, drain: DrainController
 ) -> dict[str, Any]:
-    """Return the state of a dispatcher's own journals and of those replicated at it."""
+    """Return the state of the journals with a `PrimaryHandle` in this process, and of those replicated here."""
     return {
         "name": context.name,
         "copies": context.settings.replica_count,
