--- a/kelptrail/peers/driver.py
+++ b/kelptrail/peers/driver.py
@@ -201,7 +201,7 @@
                 if connection.peer and self._by_name.get(connection.peer) is not connection:
                     if expected_name and connection.peer != expected_name:
                         raise ChannelError(f"{connection.peer} is connected, but {expected_name} was expected")
-                    # Of several connections to a peer, the peer may have closed all but the newest one.
+                    # Use the connection on which data arrived last: the peer may have closed the others.
                     self._by_name[connection.peer] = connection
                 for message in messages:
                     self._handlers[type(message)](connection.peer, message)
