--- a/kelptrail/replication/journal_manager.py
+++ b/kelptrail/replication/journal_manager.py
@@ -152,7 +152,7 @@
     # Leases and recovery, in the order of the steps.
 
     def _on_lease_acquired(self, journal_id: str, token: FencingToken) -> None:
-        """Check that the local disk is in sync, then store the fence."""
+        """Store the fence if the local disk is in sync; otherwise release the lease."""
         context = self._context
         try:
             in_sync = decode_in_sync(context.leases.inherited_note(LEASE_PREFIX + journal_id))
@@ -207,7 +207,10 @@
         previous_primary: str,
         succeeded: bool,
     ) -> None:
-        """Become the primary, now that the fence is on disk, and replicate the disk's contents to the in-sync set."""
+        """Become the primary once the fence is on disk, and replicate the disk's contents to the in-sync set.
+
+        Nothing is done if the lease was lost meanwhile.  If the write failed, the journal is transferred.
+        """
         if not self._is_active(handle) or self._context.lease_token(handle.journal_id) != token:
             return
         if not succeeded:
@@ -230,7 +233,7 @@
             self._recovery.start(handle, token, previous_primary)
 
     def _on_recovered(self, handle: PrimaryHandle, count: int) -> None:
-        """Finish a recovery: the gateway has all activations.  The first own journal becomes the current one."""
+        """Finish a recovery: the gateway has all activations.  An own journal becomes current if none is."""
         self._context.failover.clear_backoff(handle.journal_id)
         self.activations_recovered += count
         if self._context.is_own(handle.journal_id) and not self._has_current():
--- a/kelptrail/replication/messages.py
+++ b/kelptrail/replication/messages.py
@@ -62,7 +62,8 @@
 class OpenStream(msgspec.Struct, frozen=True, tag="copies-open", array_like=True):
     """Opens a stream from the primary to a replica and requests the digests of all buckets.
 
-    `stream_id` increases with each new stream under the same token.
+    `stream_id` increases with each new stream under the same token.  A primary that has lost the lease also sends this
+    message, to learn of a later token from a `FencedReply`.
     """
 
     journal_id: str
@@ -256,7 +257,7 @@
     retry_ms: float = 300.0  # time after which an unacknowledged message is sent again
     replica_timeout_ms: float = 1500.0  # time without a message or acknowledgement after which a replica is dropped
     reconnect_pause_ms: float = 3000.0  # pause before a stream to a dropped replica is opened again
-    max_uncommitted_bytes: int = 64 << 20  # limit above which new calls are rejected
+    max_uncommitted_bytes: int = 64 << 20  # size of uncommitted entries from which new calls are rejected
     window_bytes: int = 256 << 10  # limit on sent and unacknowledged data per replica
     repair_bytes_per_ms: float = 20_000.0  # rate limit for the repair of one replica
     max_entry_bytes: int = 256 << 10  # size limit of the entry of a result; an error text replaces a larger one
--- a/kelptrail/replication/primary.py
+++ b/kelptrail/replication/primary.py
@@ -194,7 +194,7 @@
     # Replicas.
 
     def update_streams(self, now: float, reachable: Iterable[str], ranking: Iterable[str]) -> None:
-        """Drop, open and replace streams as `ReplicaStreams.update` does, then notify former replicas to delete their copies.
+        """Drop, open and replace streams as `ReplicaStreams.update` does; have former replicas delete their copies.
 
         `reachable` names the connected dispatchers, `ranking` the candidates for replicas in the order of preference.
         """
