--- a/kelptrail/replication/journal_manager.py
+++ b/kelptrail/replication/journal_manager.py
@@ -57,9 +57,9 @@
     """The journals of one process.
 
     `handles` contains the journals of which this process is or becomes the primary, by id; `current` is the one for new
-    calls.  `released` contains the ids of journals that were given up, until another primary writes to them here or
-    this process acquires their lease again.  `reported_primary` contains, by journal, name and run of the reported
-    lease holder until it writes to the replica here.
+    calls.  `released` contains the ids of journals that were given up, until a primary sends a message about them
+    or this process acquires their lease again.  `reported_primary` contains, by journal, name and run of the reported
+    lease holder until a primary sends a message about the journal.
     """
 
     def __init__(self, context: ReplicationContext) -> None:
@@ -110,7 +110,7 @@
             self.claim(journal_id)
 
     def on_replica_message(self, journal_id: str) -> None:
-        """Record that a primary writes to the replica here, so that lookups find the primary by its token."""
+        """Record a primary's message to the replica here: lookups then find the primary by the token of the replica."""
         self.reported_primary.pop(journal_id, None)
         self.released.discard(journal_id)
 
@@ -152,7 +152,7 @@
     # Leases and recovery, in the order of the steps.
 
     def _on_lease_acquired(self, journal_id: str, token: FencingToken) -> None:
-        """Check that the local disk is in sync, then store the fence."""
+        """Store the fence if the local disk is in sync; otherwise release the lease."""
         context = self._context
         try:
             in_sync = decode_in_sync(context.leases.inherited_note(LEASE_PREFIX + journal_id))
@@ -207,7 +207,10 @@
         previous_primary: str,
         succeeded: bool,
     ) -> None:
-        """Become the primary, now that the fence is on disk, and replicate the disk's contents to the in-sync set."""
+        """Become the primary once the fence is on disk, and replicate the disk's contents to the in-sync set.
+
+        Nothing is done if the lease was lost meanwhile.  If the write failed, the journal is transferred.
+        """
         if not self._is_active(handle) or self._context.lease_token(handle.journal_id) != token:
             return
         if not succeeded:
@@ -230,7 +233,7 @@
             self._recovery.start(handle, token, previous_primary)
 
     def _on_recovered(self, handle: PrimaryHandle, count: int) -> None:
-        """Finish a recovery: the gateway has all activations.  The first own journal becomes the current one."""
+        """Finish a recovery: the gateway has all activations.  An own journal becomes current if none is."""
         self._context.failover.clear_backoff(handle.journal_id)
         self.activations_recovered += count
         if self._context.is_own(handle.journal_id) and not self._has_current():
@@ -295,7 +298,7 @@
             self._context.replica.close(journal_id, logs[journal_id].token)
 
     def close(self, handle: PrimaryHandle) -> None:
-        """Close an empty journal in two steps: notify all replicas, then release the lease."""
+        """Close an empty journal: the first call starts to notify the replicas, one after that releases the lease."""
         if not handle.primary.closing:
             handle.primary.close()
             return
