--- a/kelptrail/planner/build.py
+++ b/kelptrail/planner/build.py
@@ -33,7 +33,10 @@
 
 
 def worker_capacities(deployment: Deployment, endpoints: EndpointList) -> list[WorkerCapacity]:
-    """Return the capacities of the live workers of an endpoint list; memory and cores come from the settings."""
+    """Return the capacities of the live workers of an endpoint list.
+
+    Memory and cores come from the settings; the cores are multiplied by the worker's size.
+    """
     fleet, warm_up_ms = deployment.fleet, deployment.rules.slow_start_ms
     return [
         WorkerCapacity(worker.id, fleet.memory_mb, fleet.cores * worker.size, worker.age_ms < warm_up_ms)
--- a/kelptrail/planner/core.py
+++ b/kelptrail/planner/core.py
@@ -38,10 +38,10 @@
 class PlannerSettings:
     """Settings of a planner; times in milliseconds.
 
-    `interval_ms`: time between two problems, unless an event makes the next one due earlier; `valid_ms`: time for which
-    a plan is valid.  The number of new instances in a plan is limited to the share `new_instances_share` of the calls
-    expected in the next minute; the limit is at least `new_instances_min`.  `scale_down_ms`: how long demand must be
-    lower before the instances of a function are reduced.
+    `lineage`: name of the deployment; `interval_ms`: time between two problems, unless an event makes the next one due
+    earlier; `valid_ms`: time for which a plan is valid.  The number of new instances in a plan is limited to the share
+    `new_instances_share` of the calls expected in the next minute; the limit is at least `new_instances_min`.
+    `scale_down_ms`: how long demand must be lower before the instances of a function are reduced.
     """
 
     lineage: str
@@ -89,7 +89,7 @@
 
     name: str
     last_report_ms: float
-    plan_order: PlanOrder = BEFORE_ALL_PLANS  # order of the latest plan that the edge has accepted
+    plan_order: PlanOrder = BEFORE_ALL_PLANS  # order of the latest plan that the edge accepted or read from disk
 
 
 @dataclass(slots=True)
@@ -137,7 +137,7 @@
             self._next_problem_ms = min(self._next_problem_ms, now)
 
     def on_lease_acquired(self, now: float, epoch: int, owner: str) -> None:
-        """Start leading: from now on all plans carry the fencing token of `epoch` and `owner`."""
+        """Start leading; plans carry the fencing token of `epoch` and `owner`, and the next problem is due at once."""
         self.role, self.epoch, self.owner = Role.LEADER, epoch, owner
         self._last_number, self._next_problem_ms, self._open_problem = 0, now, None
 
@@ -151,7 +151,8 @@
     ) -> None:
         """Process the usage report of an edge, or its first message, which has no counters.
 
-        `order`: order of the latest plan that the edge has accepted; `loaded`: instances that it reports as loaded.
+        `order`: order of the latest plan that the edge accepted or read from disk; `loaded`: instances that it reports
+        as loaded.
         """
         known_edge = self.edges.get(edge)
         if known_edge is None:
@@ -199,7 +200,8 @@
     def on_solution(self, now: float, number: int, placement: Placement | None) -> None:
         """Make a plan from the solution of a problem.
 
-        If `placement` is None, the problem could not be solved and the previous plan stays in force.
+        If `placement` is None, the problem could not be solved and the previous plan stays in force.  The solution is
+        ignored if its problem is not the open one or this planner no longer leads.
         """
         if number != self._open_problem:
             return
@@ -250,7 +252,7 @@
         return PlacementProblem(self._open_problem, self.workers, demands, budget, self.endpoints_version)
 
     def plans_to_send(self, now: float) -> list[tuple[str, Plan]]:
-        """Return the plans to send now, by edge; each has only the functions that the edge recently requested."""
+        """Return the plans to send now by edge, each with only the functions that this edge recently requested."""
         if self.role is not Role.LEADER or not self._edges_to_update or not self._last_number:
             return []
         names, self._edges_to_update = sorted(self._edges_to_update), set()
@@ -272,18 +274,18 @@
         return plans
 
     def plan_age_ms(self, now: float) -> float:
-        """Return the age in ms of the placement that plans carry."""
+        """Return the time in ms since the last solution was applied or, before the first one, since the start."""
         return now - self._plan_made_ms
 
     # Internals.
 
     def _check_fence(self, order: PlanOrder) -> None:
-        """Stop leading if an edge has accepted a plan with a later token: another planner has acquired the lease."""
+        """Stop leading if an edge has a plan with a later token: another planner has acquired the lease."""
         if self.role is Role.LEADER and order[:2] > (self.epoch, self.owner):
             self.on_lease_lost()
 
     def _demands(self, now: float, hour: int) -> list[FunctionDemand]:
-        """Return the demands of all functions that are configured and have been requested by edges."""
+        """Return the demands of all configured functions that have a measured load or usual rates."""
         return [
             self._demand_of(now, hour, model, profile, load)
             for model, load in self.demand.functions.items()
@@ -324,7 +326,7 @@
 
     @staticmethod
     def _raise_demand(demand: FunctionDemand, instances: int) -> FunctionDemand:
-        """Return the demand at a raised rate for which at least `instances` are needed, found by bisection."""
+        """Return the demand at the lowest rate for which at least `instances` are needed, found by bisection."""
         low, high = demand.rate, max(1.0, demand.rate)
         while replace(demand, rate=high).instances_needed < instances:
             high *= 2
--- a/kelptrail/planner/demand.py
+++ b/kelptrail/planner/demand.py
@@ -12,7 +12,7 @@
 HOURLY_SMOOTHING = 0.2  # weight of a new window in the usual rate of an hour, relative to that in the slow average
 SLOW_RATE_SHARE = 0.7  # lower bound of the present rate, as a share of the slow average
 MAX_GROWTH = 2  # largest ratio of a forecast to the present rate
-IDLE_RATE = 1e-3  # calls per second below which a function counts as idle if no instances are planned
+IDLE_RATE = 1e-3  # calls per second below which a function counts as not requested; see `FunctionLoad.is_idle`
 
 
 @dataclass(slots=True)
@@ -31,7 +31,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether the function has no requests, no planned instances and no usual rates."""
+        """Whether the function's rates are below `IDLE_RATE`, and it has no planned instances and no usual rates."""
         is_requested = self.fast_rate >= IDLE_RATE or self.slow_rate >= IDLE_RATE
         return not is_requested and not self.planned and not any(self.hourly_rates)
 
@@ -52,7 +52,7 @@
         self.requested_at: dict[str, dict[str, float]] = {}
 
     def add_report(self, now: float, edge: str, counters: dict[str, FunctionCounters]) -> None:
-        """Add an edge's counters since its last report."""
+        """Add the counters that an edge has collected since its last report."""
         requested = self.requested_at.setdefault(edge, {})
         for model, counted in counters.items():
             load = self.functions.setdefault(model, FunctionLoad())
@@ -75,7 +75,7 @@
         return {model for model, last in self.requested_at.get(edge, {}).items() if now - last <= within_ms}
 
     def close_window(self, now: float, hour: int) -> None:
-        """Turn the reports since the last call into rates."""
+        """Turn the reports since the last call into rates, and remove idle functions."""
         if self._window_closed_at is None:
             self._window_closed_at = now - self._window_ms
         seconds = (now - self._window_closed_at) / 1000
@@ -109,8 +109,8 @@
         """Return the rate in calls per second to plan for in the next minute.
 
         This is the present rate or, if higher, the present rate scaled by the usual change from the previous hour to
-        this one, at most `MAX_GROWTH` times the present rate.  The bound limits the cost of a forecast that is wrong,
-        as on a release day, to twice that of the present rate.
+        this one, at most `MAX_GROWTH` times the present rate.  The bound keeps a wrong forecast, as on a release day,
+        from planning for more than twice the present rate.
         """
         load = self.functions[model]
         present = max(load.fast_rate, SLOW_RATE_SHARE * load.slow_rate)
--- a/kelptrail/planner/driver.py
+++ b/kelptrail/planner/driver.py
@@ -179,7 +179,7 @@
     # Planning.
 
     def tick(self) -> None:
-        """Close demand windows, solve the next problem and send plans; a background job."""
+        """Close the demand window, start solving the next problem if it is due, and send plans; a background job."""
         now, hour = now_ms(), time.localtime(wall_ms() / 1000).tm_hour
         self.planner.tick(now, hour)
         problem = self.planner.next_problem(now, hour)
@@ -212,7 +212,7 @@
     # Snapshots.
 
     def restore(self) -> bool:
-        """Load the snapshot; return False if there is none or it is damaged."""
+        """Continue from the snapshot; return False if there is none or it is unusable."""
         snapshot = self._snapshots.load()
         if snapshot is None:
             return False
@@ -228,7 +228,7 @@
         self._snapshots.save(Snapshot(self.planner.epoch, self.planner.target, hourly_rates))
 
     def clear_faults(self) -> None:
-        """End the injected faults."""
+        """End the faults injected at the control port; the delay of the options applies again."""
         self.solve_delay_ms, self.planner.demand.error_factor = self._options.solve_delay_ms, 1.0
 
     def status(self) -> dict[str, Any]:
@@ -274,7 +274,7 @@
         self.background.start()
 
     async def stop(self) -> None:
-        """Stop, and release the lease so that another planner can lead at once."""
+        """Release the lease so that another planner can lead at once, save a snapshot, and stop."""
         self._leases.release(LEASE_NAME)
         self.background.stop()
         self.save()
--- a/kelptrail/planner/edge_driver.py
+++ b/kelptrail/planner/edge_driver.py
@@ -1,7 +1,6 @@
 """The edge's connections to planners: passes plans to the gateway, sends reports, and keeps the plan on disk.
 
-Requests never wait for any of this: background jobs send reports and save plans, so a slow or disconnected planner does
-not delay requests.
+Background jobs send reports and save plans, so a slow or disconnected planner does not delay requests.
 """
 
 from __future__ import annotations
@@ -46,7 +45,7 @@
 
 
 class PlanFollower:
-    """Connections of one edge to all its planners.  `on_change` is called when the gateway's plan was set."""
+    """Connections of one edge to all its planners.  `on_change` is called after a plan was passed to the gateway."""
 
     def __init__(
         self,
@@ -64,7 +63,7 @@
         self._loop = asyncio.get_running_loop()
         self._tasks: list[asyncio.Task[None]] = []
         self._channels: dict[EdgeChannel, socket.socket] = {}
-        self._applied_order: PlanOrder | None = None  # order of the gateway's plan; None: a plan must be applied
+        self._applied_order: PlanOrder | None = None  # order of the gateway's plan; None: pass the plan again
         self._saved_order: PlanOrder = BEFORE_ALL_PLANS
         self.bytes_in = self.bytes_out = self.reconnects = 0
 
@@ -79,7 +78,7 @@
         return EndpointsVersion(self._gateway.members.lineage, self._gateway.members.version)
 
     def load_saved_plan(self) -> bool:
-        """Follow the plan on disk if it is undamaged, valid and uses only live workers; return whether this is so."""
+        """Load the plan on disk and return whether it is followed; see `PlanState.restore`."""
         if self._file is None or not self._file.exists():
             return False
         try:
@@ -105,7 +104,7 @@
         self.save_plan()
 
     def on_endpoints(self) -> None:
-        """Check and apply the plan again after the endpoint list has changed."""
+        """Check a plan that waited for the new endpoint list, and pass the plan in force to the gateway again."""
         refusal = self.plan_state.on_endpoints(now_ms(), self.live_workers, self.endpoints_version)
         if refusal is not None:
             self._log.warning("plan-refused", reason=refusal.reason.value, text=refusal.text)
@@ -143,7 +142,7 @@
             self._write(channel)
 
     def save_plan(self) -> None:
-        """Save the plan in force for the next start, if it has changed; a background job."""
+        """Save the latest plan for the next start, unless it is saved already; a background job."""
         plan = self.plan_state.plan
         if self._file is None or plan is None or plan.header.order == self._saved_order:
             return
--- a/kelptrail/planner/greedy_placement.py
+++ b/kelptrail/planner/greedy_placement.py
@@ -1,4 +1,4 @@
-"""Greedy placement: functions by descending value, first where they are loaded, then on the least used workers."""
+"""Greedy placement: keeps instances where they are loaded, then places the missing ones on the least used workers."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 def place_greedily(workers: list[WorkerCapacity], demands: list[FunctionDemand], budget: int) -> Placement:
     """Place functions in descending order of value, which is priority weight times rate.
 
-    Each is placed first where it is loaded, then on the least used worker with enough free memory.  `budget`: maximum
-    number of new instances.
+    First, all functions are placed where they are loaded; then, each missing instance on the least used worker that has
+    enough free memory and is not warming up.  `budget`: maximum number of new instances.
     """
     assignment = _Assignment(
         {worker.id: worker for worker in workers},
@@ -54,7 +54,7 @@
 
 
 def _keep_loaded(assignment: _Assignment, demand: FunctionDemand) -> None:
-    """Place a function where it is already loaded, which costs nothing; workers with the most instances first."""
+    """Place a function where it is already loaded, which needs no load; workers with the most instances first."""
     remaining = demand.instances_needed
     for worker, loaded in sorted(demand.loaded.items(), key=lambda item: (-item[1], item[0])):
         if worker not in assignment.workers or remaining <= 0:
--- a/kelptrail/planner/placement.py
+++ b/kelptrail/planner/placement.py
@@ -1,8 +1,9 @@
 """Placements: how many instances of each function to load on which workers, with their constraints and cost.
 
-A valid placement never exceeds the memory of a worker, uses no worker that is not live, and has no more new instances
-than the budget allows.  The cost counts missing instances, new instances according to their load time, and overloaded
-workers.  `greedy_placement` always has a solution; that of `program_placement` is used where it costs less.
+A valid placement uses at most `MEMORY_SHARE` of a worker's memory, only live workers, and no more new instances than
+the budget allows, none of them on a worker that is warming up.  The cost counts missing instances, new instances
+according to their load time, and overloaded workers.  `greedy_placement` always has a solution; that of
+`program_placement` is used where it costs less.
 """
 
 from __future__ import annotations
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """A placement, its cost, and which solver found it."""
+    """A placement, its cost, its numbers of missing and new instances, and the solver that found it."""
 
     instances: InstanceCounts
     cost: float
--- a/kelptrail/planner/plan.py
+++ b/kelptrail/planner/plan.py
@@ -35,9 +35,9 @@
 class PlanHeader(msgspec.Struct, frozen=True, array_like=True):
     """Identity, validity and digest of a plan.
 
-    `epoch` and `owner` are the fencing token of the lease that the planner held; `number` increases within one token.
-    `valid_ms` counts from the time when the plan was made; `endpoints_version` is the version of the endpoint list that
-    it was made from.
+    `lineage` is the name of the deployment; `epoch` and `owner` are the fencing token of the lease that the planner
+    held; `number` increases within one token.  `valid_ms` counts from the time when the plan was made;
+    `endpoints_version` is the version of the endpoint list that it was made from.
     """
 
     lineage: str
@@ -137,7 +137,8 @@
 def decode_plan(data: bytes) -> PlanPacket:
     """Decode a plan without checking its digest.
 
-    Raises `PlanError` for data that is truncated, altered, too large or of another format.
+    Raises `PlanError` for data that cannot be decoded, is too large or of another format, or has a count that is not
+    from 0 to `MAX_INSTANCES`.
     """
     try:
         size = zstandard.frame_content_size(data)
--- a/kelptrail/planner/plan_follower.py
+++ b/kelptrail/planner/plan_follower.py
@@ -1,10 +1,12 @@
 """The edge's rules for plans: accept a plan completely or not at all, follow it to its expiry; free of I/O and clocks.
 
 A plan is refused if it is not later than the last accepted one, is of another lineage, has expired, does not match its
-digest, is a difference from a plan that is not in force, or uses a worker that is not live in the edge's own endpoint
-list.  Epochs fence: once a plan of a later epoch has been accepted, plans of earlier epochs are refused, even after a
-restart, because the last plan is stored on disk.  Without a plan, or with an expired one, an edge decides as it does
-without a planner.
+digest, is a difference from a plan that the edge does not have, or uses a worker that is not live in the edge's own
+endpoint list.  If only workers are missing, a plan made from a later list of the same source run waits for that list.
+
+Epochs fence: once a plan of a later epoch has been accepted, plans of earlier epochs are refused, even after a restart,
+because the last plan is stored on disk.  Without a plan, or with an expired one, an edge decides as it does without a
+planner.
 """
 
 from __future__ import annotations
@@ -35,7 +37,7 @@
     EXPIRED = "expired"
     DIGEST = "digest"
     WORKERS = "workers"  # the plan uses a worker that is draining, removed or unknown
-    BASE = "base"  # the plan is a difference from one that is not in force, so a complete plan is needed
+    BASE = "base"  # the plan is a difference from one that the edge does not have, so a complete plan is needed
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +105,10 @@
     def on_endpoints(
         self, now: float, live: Collection[str], endpoints_version: EndpointsVersion
     ) -> PlanRefusal | None:
-        """Check a plan that waited for this endpoint list again; return the refusal, if any."""
+        """Check the waiting plan, unless it was made from a still later endpoint list; return the refusal, if any.
+
+        A plan that has expired or been superseded meanwhile is dropped.
+        """
         if self._waiting_plan is None:
             return None
         if _is_later(self._waiting_plan.plan.header.endpoints_version, endpoints_version):
--- a/kelptrail/planner/program_placement.py
+++ b/kelptrail/planner/program_placement.py
@@ -42,7 +42,8 @@
     """Limits of the mixed-integer program.
 
     `preferred_workers`: candidates for a function besides the workers where it is loaded and those of the greedy
-    placement; `max_pairs`: pairs of a function and a candidate, above which the program is not solved.
+    placement; `max_pairs`: pairs of a function and a candidate, above which the program is not solved.  `max_nodes`
+    ends the search at the same point on every machine; `max_seconds` is a further limit, which does not.
     """
 
     max_nodes: int = 200
@@ -63,7 +64,7 @@
 
 
 def _preferred_workers(demand: FunctionDemand, workers: list[WorkerCapacity], count: int) -> list[WorkerCapacity]:
-    """Return the workers that a function prefers by a hash of both names, which stay the same from plan to plan."""
+    """Return the `count` workers that a function prefers by a hash of both names, so that they rarely change."""
     return sorted(workers, key=lambda worker: crc32(f"{demand.model} {worker.id}".encode()))[:count]
 
 
@@ -97,8 +98,8 @@
 ) -> list[Pair]:
     """Return each function's candidate workers as pairs.
 
-    Candidates are the workers where it is loaded, those of the greedy placement, and the `limits.preferred_workers`
-    that it prefers most.
+    Candidates are the workers where it is loaded, those of the greedy placement and, unless that takes more than
+    `MAX_PREFERENCES` hashes, the `limits.preferred_workers` that it prefers most and that are not warming up.
     """
     worker_numbers = {worker.id: number for number, worker in enumerate(workers)}
     warm = [worker for worker in workers if not worker.warming_up]
@@ -134,7 +135,7 @@
         self._overload_columns = 2 * self._pair_count + self._function_count + np.arange(self._worker_count)
 
     def solve(self, budget: int, limits: ProgramLimits) -> InstanceCounts | None:
-        """Return the instances of the lowest cost, or None if none were found within the limits."""
+        """Return the cheapest instances found within the limits, or None if none were found."""
         result = optimize.milp(
             self._costs(),
             constraints=self._constraints(budget),
--- a/kelptrail/planner/snapshot.py
+++ b/kelptrail/planner/snapshot.py
@@ -34,7 +34,7 @@
         self._saved = b""  # content of the last write
 
     def load(self) -> Snapshot | None:
-        """Return the saved snapshot; None if there is none or it is damaged, which is logged."""
+        """Return the saved snapshot; None if there is none or it is unusable, which is logged."""
         if self._path is None or not self._path.exists():
             return None
         try:
