--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -88,7 +88,10 @@
         self.port = 0
 
     async def start(self) -> None:
-        """Begin to serve.  Raises `OSError` if an address cannot be bound."""
+        """Begin to serve, and wait a limited time for the first endpoint list.
+
+        Raises `OSError` if an address cannot be bound.
+        """
         loaded_last_list = self.endpoints.load_saved()
         if loaded_last_list:
             self.driver.on_initial_list()
@@ -280,6 +283,7 @@
         self.front_addresses.start()
 
     def _can_store(self) -> bool:
+        """Return whether neither the last save of an endpoint list nor the journal's writes fail."""
         commits = self._stores.commits
         return self.endpoints.saved and not (commits and commits.failing)
 
--- a/kelptrail/service/front_addresses.py
+++ b/kelptrail/service/front_addresses.py
@@ -97,7 +97,7 @@
         await asyncio.gather(*(address.wait_closed() for address in self.addresses.values()))
 
     def active_servers(self) -> list[HttpServer]:
-        """Return the servers on the addresses that this dispatcher currently owns."""
+        """Return the HTTP servers on the addresses that this dispatcher currently owns."""
         return [address.server for address in self.addresses.values() if address.server is not None]
 
     def _acquire(self, vrid: int) -> None:
@@ -125,7 +125,7 @@
         return bool(healthy)
 
     def _front_has_capacity(self) -> bool:
-        """Return whether no server is full and none has rejected a connection since the last check."""
+        """Return whether no HTTP server on an owned address is full or rejected a connection since the last check."""
         servers = self.active_servers()
         rejected = sum(server.rejected_connections for server in servers)
         full = any(server.connections >= server.limits.connections for server in servers)
--- a/kelptrail/service/journal_takeover.py
+++ b/kelptrail/service/journal_takeover.py
@@ -39,7 +39,7 @@
         driver.schedule_decisions()
 
     def on_released(handle: PrimaryHandle) -> int:
-        """Release a journal that another dispatcher took over, and return its number of requests."""
+        """Release a journal that another dispatcher took over, and return its number of activations."""
         count = gateway.release(handle)
         driver.schedule_decisions()
         return count
--- a/kelptrail/service/lease_trial.py
+++ b/kelptrail/service/lease_trial.py
@@ -95,9 +95,10 @@
 
 
 class ClockFaultWatcher:
-    """Applies the clock fault in a file, such as `{"rate": 1.01, "step_ms": 0}`; without the file there is no fault.
+    """Applies the clock fault in a file, such as `{"rate": 1.01, "step_ms": 0}`.
 
-    `rate`: rate of the monotonic clock; `step_ms`: offset of the wall clock.
+    `rate`: rate of the monotonic clock; `step_ms`: offset of the wall clock.  Without a readable file there is no
+    fault.
     """
 
     def __init__(self, file: Any, log: Any) -> None:
--- a/kelptrail/service/planner.py
+++ b/kelptrail/service/planner.py
@@ -95,7 +95,7 @@
         self._loop = asyncio.get_running_loop()
 
     def handle(self, request: Request, exchange: Exchange) -> None:
-        """Answer one request; an unknown path gets the status."""
+        """Answer one request; `POST /fault` and unknown paths get the status, too."""
         if request.path == "/leases" and self._fleet.leases is not None:
             status = self._fleet.leases.status() | {"peers": self._fleet.peers.status()}
             exchange.reply(200, msgspec.json.encode(status))
--- a/kelptrail/service/shutdown.py
+++ b/kelptrail/service/shutdown.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from kelptrail.clock import now_ms
-from kelptrail.replication.messages import LEASE_PREFIX as JOURNAL_LEASES
+from kelptrail.replication.messages import LEASE_PREFIX as JOURNAL_LEASE_PREFIX
 
 from .dispatcher import Dispatcher
 
@@ -52,13 +52,13 @@
 
 
 async def _release_duties(dispatcher: Dispatcher) -> None:
-    """Release the fleet-wide tasks and front addresses, which other dispatchers can take over immediately."""
+    """Release the fleet-wide tasks and front addresses to other dispatchers, and drain the servers of the addresses."""
     if dispatcher.lease_trial is not None:
         dispatcher.lease_trial.stop()
     if dispatcher.usage is not None:
         dispatcher.usage.stop()
     if dispatcher.fleet is not None and dispatcher.fleet.leases is not None:
-        dispatcher.fleet.leases.release_except(JOURNAL_LEASES)  # journal leases are held until `_close_stores`
+        dispatcher.fleet.leases.release_except(JOURNAL_LEASE_PREFIX)  # journal leases are held until `_close_stores`
     if dispatcher.front_addresses is not None:
         await dispatcher.front_addresses.stop()
 
@@ -74,9 +74,9 @@
 
 
 async def _close_stores(dispatcher: Dispatcher, deadline: _Deadline) -> bool:
-    """Close the replicated and the local journal, and release the leases.
+    """Close the replicated journals, then release the leases, then close the local journal.
 
-    Returns whether both journals were completely written.
+    Returns whether all journals were completely written.
     """
     written, fleet = True, dispatcher.fleet
     if fleet is not None and fleet.replication is not None:
--- a/kelptrail/service/usage.py
+++ b/kelptrail/service/usage.py
@@ -3,7 +3,8 @@
 The lease ensures that there is one collector: each turn costs a message to every dispatcher, and two collectors would
 publish two different totals.  Counts are sums since the start of a run, so a turn that is lost or collected twice does
 no harm; rates are the differences between two turns.  A receiver rejects messages with an older fencing token, and
-totals of an older turn.  Losing this state at a restart is harmless, as the next turn sends the totals again.
+totals of a turn that is not newer.  Losing this state at a restart is harmless, as the next turn sends the totals
+again.
 """
 
 from __future__ import annotations
@@ -117,7 +118,7 @@
         return True
 
     def on_total(self, total: UsageTotal) -> bool:
-        """Record a received total; return False if it is not newer than the recorded one."""
+        """Record a received total; return False if its token is older or it is not newer than the recorded total."""
         if not self.accepts(total.token) or (total.token, total.turn) <= (self.total.token, self.total.turn):
             return False
         self.total = total
