--- a/kelptrail/front/inference/client_wait.py
+++ b/kelptrail/front/inference/client_wait.py
@@ -16,7 +16,7 @@
 from .errors import RETRY_RISK, deadline_exceeded, final_error, in_flight, not_accepted
 from .responses import render_accepted, render_result, reply, succeeded
 
-POLL_MARGIN_MS = 20  # Minimum time between the answer to a poll and the client's deadline
+POLL_MARGIN_MS = 20  # Time before the client's deadline at which a poll without an answer ends
 
 
 class ClientWait:
--- a/kelptrail/front/inference/errors.py
+++ b/kelptrail/front/inference/errors.py
@@ -27,9 +27,9 @@
     """Values of `reason` in an `ErrorInfo`; they are part of the API."""
 
     NOT_TAKEN = "NOT_TAKEN"  # The request was not accepted; a retry is always safe
-    REJECTED = "REJECTED"  # The request was accepted and ended without an effect
-    MAY_HAVE_RUN = "MAY_HAVE_RUN"
-    NEVER_RAN = "NEVER_RAN"
+    REJECTED = "REJECTED"  # The request was accepted and ended without an effect that a retry would double
+    MAY_HAVE_RUN = "MAY_HAVE_RUN"  # An attempt may have run
+    NEVER_RAN = "NEVER_RAN"  # The request was accepted and failed before its first attempt
     MODEL_FAILED = "MODEL_FAILED"  # The function itself failed
     MODEL_ANSWER = "MODEL_ANSWER"  # The worker's answer is malformed
     TENSOR = "TENSOR"  # The request contains a malformed tensor
@@ -82,7 +82,7 @@
 
 
 def final_error(record: Record) -> GrpcError:
-    """Return the error for a final answer that is not a result; its details state the risk of a retry."""
+    """Return the error for a final answer that is not a successful result; its details help to decide on a retry."""
     details = {"activation": record.id, "effect": record.idempotency, "sends": str(record.attempt_count)}
     if record.answer == FinalStatus.REJECTED:
         return _rejected(record, details)
--- a/kelptrail/front/invoke/activations.py
+++ b/kelptrail/front/invoke/activations.py
@@ -97,7 +97,7 @@
     # Activations of other dispatchers.
 
     def _find_at_other_dispatchers(self, request: Request, exchange: Exchange, id_: str) -> None:
-        """Redirect the client to the dispatcher that has an activation without a record here.  Raises `ApiError`."""
+        """Redirect a request for an activation without a record here, or reply with an error.  Raises `ApiError`."""
         lookup = self._context.activation_lookup
         # A record that exists here belongs to another namespace.
         if lookup is None or self._context.gateway.records.has(id_):
--- a/kelptrail/front/invoke/api.py
+++ b/kelptrail/front/invoke/api.py
@@ -1,6 +1,7 @@
 """The invoke API (OpenWhisk REST API v1) as a handler of HTTP requests; the gateway executes them.
 
-Routes, below `/api/v1`: `namespaces`, `namespaces/{ns}/actions[/[{pkg}/]{name}]` (GET, and POST for one action), and
+Routes: `/api/v1` (a description, without authentication) and, below it, `namespaces`,
+`namespaces/{ns}/actions[/[{pkg}/]{name}]` (GET, and POST for one action), and
 `namespaces/{ns}/activations[/{id}[/result|/logs]]` (GET, and DELETE for one activation).  `_` stands for the client's
 own namespace.
 """
--- a/kelptrail/front/invoke/client_wait.py
+++ b/kelptrail/front/invoke/client_wait.py
@@ -18,7 +18,7 @@
 from .replies import ACTIVATION_ID_HEADER, reply_error, reply_final
 
 JOURNAL_CODE, UNKNOWN_CODE = "journal", "unknown"  # Values of `code` in error bodies about durability
-# Lookups of a request while another dispatcher takes over the journal.
+# Maximum number of lookups of a request while another dispatcher takes over the journal, and the pause between two.
 MAX_TAKEOVER_LOOKUPS, TAKEOVER_LOOKUP_INTERVAL_MS = 15, 500.0
 TAKEN_OVER_MESSAGE = (
     "Another dispatcher has taken over; whether it has this call is not known here.  Ask before a repeat."
@@ -83,7 +83,7 @@
     def _look_up_after_takeover(self, record: Record, lookups_left: int) -> None:
         """Query the other dispatchers until the result shows whether the journal contained the request.
 
-        After `lookups_left` queries without such a result, reply that it is unknown.
+        After `lookups_left` queries without such a result, or without replication, reply that it is unknown.
         """
         lookup = self._context.activation_lookup
         if lookup is None or lookups_left == 0:
--- a/kelptrail/front/invoke/event_stream.py
+++ b/kelptrail/front/invoke/event_stream.py
@@ -1,4 +1,7 @@
-"""Streamed answer as server-sent events: one `part` event for each part, then one `final` event with the record."""
+"""Streamed answer as server-sent events: a `part` event for each part, then a `final` event with the record.
+
+An answer without parts is sent as a normal reply.
+"""
 
 from __future__ import annotations
 
--- a/kelptrail/front/invoke/invocations.py
+++ b/kelptrail/front/invoke/invocations.py
@@ -90,7 +90,7 @@
         if streamed:
             self._reply_streamed(call, content)
         else:
-            self._reply_when_final(call, content)
+            self._reply_unstreamed(call, content)
 
     def _read(self, request: Request) -> InvocationContent:
         payload = read_json_object(request)
@@ -188,7 +188,7 @@
 
     # Submission.
 
-    def _reply_when_final(self, call: InvocationRequest, content: InvocationContent) -> None:
+    def _reply_unstreamed(self, call: InvocationRequest, content: InvocationContent) -> None:
         exchange, target = call.exchange, call.target
         wait = ClientWait(self._context, exchange, target.result_only)
         invocation = self._submit(call, content, wait.on_final)
--- a/kelptrail/front/trace_context.py
+++ b/kelptrail/front/trace_context.py
@@ -24,7 +24,7 @@
 def parse_traceparent(header: str) -> TraceParent | None:
     """Parse a `traceparent` header; return None if it is malformed or absent.
 
-    The version is not checked, so that `INVALID_VERSION` and further fields are accepted.
+    `INVALID_VERSION` and further fields are accepted; callers decide whether to use such a header.
     """
     if not header:
         return None
