--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -203,7 +203,7 @@
         await setup.make_calls(1.0)
         after = draining_worker.load_order_count, len(draining_worker.attempts)
         assert after == before, "a draining worker gets neither load orders nor attempts"
-        # The last three are a truncated plan, an empty one, and only the start of a Zstandard frame.
+        # A draining worker, an unknown one, an old number, a truncated plan, no data, the start of a Zstandard frame.
         offers += [
             encode_plan(make_plan(lineage, (1, "forger", n), 9e5, endpoints_version, {"check": {w: 1}}), 0.0)
             for n, w in ((2, "w1"), (3, "nobody"), (1, "w0"))
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -413,9 +413,7 @@
         assert "one" in body["error"]
         assert (await two.request("DELETE", target))[0] == 307
         status, _, body = await two.request("GET", f"{BASE}/activations/{id_prefix('three')}{'0' * 26}")
-        assert status == 404 and "does not know" in body["error"], (
-            "the reply contains nothing else about activations of other dispatchers"
-        )
+        assert status == 404 and "does not know" in body["error"], "no known dispatcher issued this id"
         status, _, body = await two.request("GET", f"{BASE}/activations/{id_prefix('two')}{'0' * 26}")
         assert status == 404 and "kept here" in body["error"]
         assert (await one.request("GET", target))[0] == 404, "in flight"
--- a/tests/test_inference.py
+++ b/tests/test_inference.py
@@ -501,7 +501,7 @@
 
 
 async def silent_client() -> AsyncIterator[Any]:
-    """Send no request and keep the client's side of the stream open."""
+    """Send no request for 30 s, and keep the client's side of the stream open."""
     await asyncio.sleep(30)
     yield infer_request("grant")
 
@@ -512,7 +512,7 @@
         async with running_dispatcher(stream_parts(12, 0.1)) as (dispatcher, _):
             client = Client(dispatcher.grpc.address)
             assert part_numbers([r async for r in client.stream([infer_request("grant")])]) == list(range(12))
-            # The client's deadline applies to the complete stream: the error arrives in it, before the call's status.
+            # The client's deadline applies to the complete stream; the error arrives as a response, before the status.
             out = [r async for r in client.stream([infer_request("grant")], timeout=0.5)]
             assert out[-1].error_message.startswith("DEADLINE_EXCEEDED") and 2 < len(out) < 7
             call = client.stream(silent_client(), timeout=0.3)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Plans, placements, demand, the cores of planner and edge, and the channel between them."""
+"""Plans, placements, demand, the cores of planner and edge, their channel, and a dispatcher's decisions with a plan."""
 
 from __future__ import annotations
 
