--- a/kelptrail/planner/core.py
+++ b/kelptrail/planner/core.py
@@ -98,8 +98,8 @@
 
     plans: int = 0
     unchanged: int = 0  # plans with the same instances as the previous plan
-    by_solver: dict[str, int] = field(default_factory=dict)
-    refusals: dict[str, int] = field(default_factory=dict)
+    by_solver: dict[str, int] = field(default_factory=dict)  # plans by solver
+    refusals: dict[str, int] = field(default_factory=dict)  # plans refused by edges, by reason
     new_instances: int = 0
 
 
--- a/kelptrail/planner/demand.py
+++ b/kelptrail/planner/demand.py
@@ -24,8 +24,8 @@
     work_ms: float = 0.0  # average work per call
     queue_depth: float = 0.0  # requests in the edges' queues, averaged over about 8 s
     not_loaded_rate: float = 0.0  # attempts per second whose worker had no instance, averaged over about 8 s
-    below_plan_since: float = 0.0  # time since which fewer instances than planned are needed, in ms
-    planned: int = 0
+    below_plan_since: float = 0.0  # time in ms when all planned instances were last needed, or were last reduced
+    planned: int = 0  # instances in the latest plan
     window: dict[str, FunctionCounters] = field(default_factory=dict)  # counters of the open window, by edge
     hourly_rates: list[float] = field(default_factory=lambda: [0.0] * HOURS)  # usual calls per second by hour
 
--- a/kelptrail/service/control.py
+++ b/kelptrail/service/control.py
@@ -30,7 +30,8 @@
     """Handles `GET /state`, `GET /vrrp`, `GET /leases`, `GET /usage`, `GET /copies` and `POST /retire`.
 
     `status_sections`: functions that return the status of the dispatcher's other components, by section name.
-    `drain_replication`: starts to move journals and replicas to other dispatchers; None without replication.
+    `drain_replication`: starts to move journals and replicas to other dispatchers; None without replication, where
+    `/retire` is answered 405.
     """
 
     def __init__(
