--- a/kelptrail/front/invoke/request_parsing.py
+++ b/kelptrail/front/invoke/request_parsing.py
@@ -16,7 +16,10 @@
 DEFAULT_PAGE_SIZE, MAX_PAGE_SIZE = 30, 200
 MAX_SKIP = 1e9
 SHOWN_CHARACTERS = 40  # Maximum length of a malformed value in an error message
-MAX_CONVERTED_DIGITS = 18  # A number with more digits, without leading zeros, is beyond every range
+# The range check converts at most this many leading digits.  A longer number that does not start with a zero is beyond
+# every range anyway.
+MAX_CONVERTED_DIGITS = 18
+# Accepted content types; with either one the body is parsed as JSON.
 BODY_TYPES = ("application/json", "application/x-www-form-urlencoded")
 
 
