--- a/kelptrail/gateway/core.py
+++ b/kelptrail/gateway/core.py
@@ -187,7 +187,7 @@
         """Apply a new endpoint list."""
         workers, restarted = self.members.apply(now, listing)
         self._dispatcher.on_endpoints(now, workers, restarted)
-        self.members.remove_departed()
+        self.members.delete_removed()
 
     # The planner.
 
--- a/kelptrail/membership/members.py
+++ b/kelptrail/membership/members.py
@@ -26,10 +26,10 @@
     state: str = "live"
     incarnation: str = ""
     age_ms: float = 1e12
-    zone: str = msgspec.field(default="", name="hall")
+    zone: str = msgspec.field(default="", name="hall")  # `hall` in the encoded list
     cell: int = 0
-    kind: int = 0
-    size: float = 1.0
+    kind: int = 0  # copied to `Worker.kind`; dispatch decisions do not use it
+    size: float = 1.0  # capacity relative to that of a worker of size 1
 
 
 class Peer(msgspec.Struct, frozen=True):
@@ -41,7 +41,7 @@
     name: str
     address: str
     channel: str = ""
-    zone: str = msgspec.field(default="", name="hall")
+    zone: str = msgspec.field(default="", name="hall")  # `hall` in the encoded list
 
 
 class EndpointList(msgspec.Struct, frozen=True):
@@ -69,7 +69,7 @@
 
 
 class WorkerRegistry:
-    """All known workers: live and draining ones, and removed ones until `remove_departed` deletes them."""
+    """All known workers: live and draining ones, and removed ones until `delete_removed` deletes them."""
 
     def __init__(self, zones: dict[str, int]) -> None:
         self._zones = zones
@@ -117,7 +117,7 @@
         """Return the listed dispatcher that issued an activation id, or None if none matches."""
         return self.dispatchers_by_prefix.get(id_[:ID_PREFIX_DIGITS])
 
-    def remove_departed(self) -> None:
+    def delete_removed(self) -> None:
         """Delete removed workers that have no attempts in flight."""
         for id_ in [id_ for id_, w in self._workers.items() if w.removed and not w.attempts]:
             self.addresses.pop(self._workers.pop(id_), None)
