--- a/kelptrail/emulator/cluster.py
+++ b/kelptrail/emulator/cluster.py
@@ -67,8 +67,9 @@
     ) -> None:
         """Start all processes, each after those it depends on.
 
-        With planners, the dispatchers are edges of the planners.  If the settings have peers, their channels go through
-        a proxy.  All dispatchers try to acquire leases for `tasks`.
+        With planners, the dispatchers are edges of the planners; `solver` is the planners' option `--solver`.  If
+        the deployment has a `peers` section, the channels among dispatchers, and between dispatchers and planners, go
+        through a proxy.  All dispatchers try to acquire leases for `tasks`.
 
         The names of the processes are also those of their captures and log files.  Some differ from the names in the
         code: `roster` is the endpoint service, `relay` the datagram proxy, `links` the channel proxy and `witness` the
@@ -214,7 +215,7 @@
         await http_json(self.endpoint_service.ready_info["address"], "POST", "/state", body)
 
     async def fault(self, child: Process, **body: Any) -> None:
-        """Inject a fault at a process's control port."""
+        """Inject a fault at a process's control port, or at its address if it has no control port."""
         await http_json(child.ready_info.get("control") or child.ready_info["address"], "POST", "/fault", body)
 
     def set_disk_fault(self, child: Process, **fault: Any) -> None:
@@ -242,12 +243,12 @@
         await http_json(self.channel_proxy.ready_info["address"], "POST", "/", body)
 
     def signal(self, child: Process, number: signal.Signals) -> None:
-        """Send a signal to a process that this cluster started, and never to any other, if it is running."""
+        """Send a signal to a child process if it is running."""
         if child.running and child.process is not None:
             child.process.send_signal(number)
 
     def kill(self, child: Process) -> None:
-        """Send SIGKILL to a process that this cluster started, and never to any other, if it is running."""
+        """Send SIGKILL to a child process if it is running."""
         child.stop_requested = True
         if child.running and child.process is not None:
             child.process.kill()
