--- a/kelptrail/gateway/attempts.py
+++ b/kelptrail/gateway/attempts.py
@@ -90,10 +90,7 @@
     def _record_answer(
         self, now: float, invocation: Invocation, attempt: Attempt, status: AttemptStatus, answer: WorkerAnswer | None
     ) -> None:
-        """Store the answer of an attempt that completes its request, and count attempts by their result.
-
-        Only attempts that completed or found no instance are counted.
-        """
+        """Store the answer if the attempt completes its request, and count a completed or not-loaded attempt."""
         completed, request = status is AttemptStatus.COMPLETED, attempt.request
         if completed and request.final_status is None:
             invocation.answer = answer
--- a/kelptrail/gateway/effects.py
+++ b/kelptrail/gateway/effects.py
@@ -15,7 +15,7 @@
 
     CANCELLED = "revoked"  # the dispatcher cancelled the attempt
     SILENT = "silent"  # the request's time is up, or a stream has stalled
-    LOAD_TIMEOUT = "order-time"  # a load order or a probe was not answered in time
+    LOAD_OR_PROBE_TIMEOUT = "order-time"  # a load order or a probe was not answered in time
     MALFORMED = "malformed"  # the worker's stream violated the protocol
 
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt: `CancelReason.CANCELLED` or `CancelReason.SILENT`."""
+    """Stop waiting for an attempt's answer; `reason` is CANCELLED or SILENT."""
 
     attempt: Attempt
     reason: CancelReason
--- a/kelptrail/gateway/worker_calls.py
+++ b/kelptrail/gateway/worker_calls.py
@@ -30,7 +30,7 @@
 STATUS_BY_CANCEL_REASON: dict[str, AttemptStatus] = {
     CancelReason.CANCELLED: AttemptStatus.CANCELLED,
     CancelReason.SILENT: AttemptStatus.SILENT,
-    CancelReason.LOAD_TIMEOUT: AttemptStatus.SILENT,
+    CancelReason.LOAD_OR_PROBE_TIMEOUT: AttemptStatus.SILENT,
     CancelReason.MALFORMED: AttemptStatus.CONNECTION_LOST,
 }
 STATUS_BY_ANSWER_KIND = {
@@ -237,7 +237,7 @@
         data = load_request(pool.address, instance.function.id, order.count, self._name)
         call = pool.start(data, self._on_load_finished, order)
         self._load_timeouts[call] = self._loop.call_later(
-            self._settings.load_timeout_ms / 1000, call.cancel, CancelReason.LOAD_TIMEOUT
+            self._settings.load_timeout_ms / 1000, call.cancel, CancelReason.LOAD_OR_PROBE_TIMEOUT
         )
         if self._debug:
             self._log.debug("load-started", function=instance.function.id, worker=instance.worker.id, count=order.count)
@@ -251,7 +251,7 @@
             data = load_request(pool.address, instance.function.id, 0, self._name)
             call = pool.start(data, self._on_probe_finished, probe)
             self._load_timeouts[call] = self._loop.call_later(
-                self._settings.load_timeout_ms / 1000, call.cancel, CancelReason.LOAD_TIMEOUT
+                self._settings.load_timeout_ms / 1000, call.cancel, CancelReason.LOAD_OR_PROBE_TIMEOUT
             )
 
     def _on_probe_finished(self, call: Call, outcome: CallOutcome, response: Response | None) -> None:
