--- a/kelptrail/gateway/recovery.py
+++ b/kelptrail/gateway/recovery.py
@@ -48,8 +48,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Source:
-    """The journal of entries, and when they are read: `now` by the caller's clock and `wall` as wall time, in ms."""
+class _RecoveryContext:
+    """The time of a recovery, `now` by the caller's clock and `wall` as wall time in ms, and the recovered journal.
+
+    `journal` is None for the local journal.
+    """
 
     now: float
     wall: float
@@ -57,7 +60,7 @@
 
 
 def _on_ended_written(record: Record, _durable: bool) -> None:
-    record.durable = True
+    record.durable = True  # for an ended entry written with `keep`, the journal reports only success
 
 
 class RestartRecovery:
@@ -86,11 +89,11 @@
         limits of that one.  `journal` is a replicated journal, of an earlier run or of another dispatcher, or None for
         the local one.
         """
-        source = _Source(now, wall, journal)
+        context = _RecoveryContext(now, wall, journal)
         resumable: list[ResumeRequest] = []
         counts = {outcome.value: 0 for outcome in RecoveryOutcome}
         for entries in activations:
-            outcome = self._recover_one(source, entries, min_run_ms, resumable)
+            outcome = self._recover_one(context, entries, min_run_ms, resumable)
             if outcome is not None:
                 counts[outcome.value] += 1
         if self._queue is None:
@@ -100,7 +103,7 @@
         return counts
 
     def _recover_one(
-        self, source: _Source, entries: ActivationEntries, min_run_ms: float, resumable: list[ResumeRequest]
+        self, context: _RecoveryContext, entries: ActivationEntries, min_run_ms: float, resumable: list[ResumeRequest]
     ) -> RecoveryOutcome | None:
         """Restore or end one activation, or add it to `resumable`; return None where it already has a record."""
         deployment, accepted = self._state.parts.deployment, entries.accepted
@@ -110,7 +113,7 @@
         if self._state.records.has(accepted.id):
             return None
         if entries.ended is not None:
-            self._restore(source, accepted, entries.ended)
+            self._restore(context, accepted, entries.ended)
             return RecoveryOutcome.ENDED
         settings = deployment.types[action.type]
         rule = RecoveryRule(
@@ -119,15 +122,15 @@
             settings.deduplication_window_ms,
             settings.priority_weight,
         )
-        decision = decide_recovery(entries, rule, source.wall, min_run_ms)
-        self._add_record(source, accepted)
+        decision = decide_recovery(entries, rule, context.wall, min_run_ms)
+        self._add_record(context, accepted)
         if isinstance(decision, ResumeRequest):
             resumable.append(decision)
             return RecoveryOutcome.RESUMED
-        self._end(source.now, decision)
+        self._end(context.now, decision)
         return RecoveryOutcome(decision.answer.value)
 
-    def _add_record(self, source: _Source, accepted: Accepted) -> Record:
+    def _add_record(self, context: _RecoveryContext, accepted: Accepted) -> Record:
         """Add the record of a recovered request; its timeout counts from its original acceptance."""
         deployment = self._state.parts.deployment
         settings = deployment.types[deployment.actions[accepted.path].type]
@@ -138,25 +141,25 @@
             settings.name,
             settings.effect,
             accepted.start,
-            source.now - max(0.0, source.wall - accepted.start),
+            context.now - max(0.0, context.wall - accepted.start),
             accepted.timeout_ms,
             accepted.trace,
         )
         record.key, record.digest = accepted.key or "", accepted.digest
         record.deferred, record.payload_format = accepted.deferred, accepted.form
-        record.replicated_journal = source.journal
+        record.replicated_journal = context.journal
         self._state.records.add(record)
         if accepted.key:
             self._state.keys.add(record)
         return record
 
-    def _restore(self, source: _Source, accepted: Accepted, ended: Ended) -> None:
-        record = self._add_record(source, accepted)
+    def _restore(self, context: _RecoveryContext, accepted: Accepted, ended: Ended) -> None:
+        record = self._add_record(context, accepted)
         record.end, record.answer = ended.end, FinalStatus(ended.answer)
         record.code, record.result = ended.code, ended.result
         record.retry_after_ms, record.deduplicated_for_ms = ended.return_ms, ended.repeat_within_ms
         record.attempt_count = ended.sends
-        self._state.records.restore(source.now, record)
+        self._state.records.restore(context.now, record)
 
     def _end(self, now: float, end: EndRequest) -> None:
         """Give a request the final answer that recovery decided, and journal it.
@@ -179,7 +182,7 @@
     # Resuming.
 
     def resume_ready(self, now: float) -> None:
-        """Resume the requests that may be resumed now, and end those whose time ran out in the queue."""
+        """Resume the requests that may run now, and end each whose time has run out once it is first in the queue."""
         while self._queue is not None:
             ready = self._queue.next(now - self._queue_started_at)
             if ready is None:
@@ -225,19 +228,21 @@
         If a deduplicated request may have run before, an attempt of the earlier run is added.
         """
         accepted, may_run = resume.entries.accepted, resume.entries.may_run
-        queued_ms = now - self._queue_started_at
+        # `remaining_ms` and `deduplicated_for_ms` of queued requests count from the start of the queue.
+        since_queue_start_ms = now - self._queue_started_at
         request = Request(
             accepted.id,
             request_class,
             function,
             self._state.parts.tenants[accepted.namespace],
             now,
-            now + (resume.remaining_ms - queued_ms) - self._state.margin_ms,
+            now + (resume.remaining_ms - since_queue_start_ms) - self._state.margin_ms,
             has_idempotency_key=accepted.key is not None,
         )
         if may_run is not None and resume.deduplicated_for_ms is not None:
-            started_at = now + resume.deduplicated_for_ms - queued_ms - request_class.deduplication_window_ms
-            instance = Instance(function, Worker(may_run.worker))  # the worker of the earlier run counts as lost
+            # The deduplication window of this attempt ends when the workers stop dropping repeats.
+            started_at = now + resume.deduplicated_for_ms - since_queue_start_ms - request_class.deduplication_window_ms
+            instance = Instance(function, Worker(may_run.worker))  # stands in for the worker of the earlier run
             request.attempts.append(Attempt(request, instance, 0, started_at, AttemptStatus.SILENT))
         return request
 
@@ -270,6 +275,7 @@
 
     def _release_invocation(self, invocation: Invocation) -> None:
         if not invocation.lifecycle.final:
+            # Cancels the attempts; as after a disconnect of the client, the request gets no answer here.
             self._state.dispatcher.on_client_gone(invocation.request)
             self._state.limits.release(invocation.record.namespace, len(invocation.payload))
             self._durability.release_held(invocation, False)
