--- a/tests/test_dispatch_readiness.py
+++ b/tests/test_dispatch_readiness.py
@@ -28,10 +28,12 @@
 from kelptrail.dispatch.readiness_questions import IGNORED_CHECK_MS, MAX_CREDIT, UNPROVEN_PAUSE_MS
 from kelptrail.dispatch.worker_delays import WorkerDelays
 
+# A change of the list counts as notified NOTIFICATION_MS after the last confirmation of the list, or
+# BROKEN_NOTIFICATION_MS after the connection to it broke.  New work may start for GRACE_MS after that.
 NOTIFICATION_MS, BROKEN_NOTIFICATION_MS, GRACE_MS = 4000.0, 2000.0, 500.0
 ALL_PROBES = (ProbeKind.HEALTH_CHECK, ProbeKind.LOAD_QUERY)
 STALE_AT = NOTIFICATION_MS + GRACE_MS
-IGNORING_WORKERS = 4  # the fleet has eight workers
+IGNORING_COUNT = 4  # workers that do not answer health checks, of the eight in the test that uses it
 UP, DOWN, NO_ANSWER = AttemptStatus.COMPLETED, AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.SILENT
 
 
@@ -77,7 +79,7 @@
     assert readiness.is_known(STALE_AT, worker)
 
 
-def test_the_list_expires_earlier_after_a_broken_connection_and_an_initial_list_after_the_grace_time() -> None:
+def test_a_list_expires_earlier_if_its_connection_breaks_and_an_initial_list_expires_after_the_grace_time() -> None:
     dispatcher = make_dispatcher_with_list()
     worker, readiness = dispatcher.workers[0], dispatcher.parts.safety.readiness
     dispatcher.on_list_lost(100.0)
@@ -229,10 +231,10 @@
         request_at(dispatcher, STALE_AT, make_function(f"f{n}"), n)
         for question in decide_all(dispatcher, STALE_AT):
             assert isinstance(question, ReadinessQuestion)
-            if len(ignoring) < IGNORING_WORKERS:
+            if len(ignoring) < IGNORING_COUNT:
                 ignoring.add(question.instance.worker)
                 dispatcher.on_probe_finished(STALE_AT, question.probes[1], UP, 1)
-    assert len(ignoring) == IGNORING_WORKERS
+    assert len(ignoring) == IGNORING_COUNT
     dispatcher.on_tick(STALE_AT + IGNORED_CHECK_MS)
     readiness = dispatcher.parts.safety.readiness
     assert not any(readiness.is_known(STALE_AT + IGNORED_CHECK_MS, worker) for worker in dispatcher.workers)
@@ -287,7 +289,7 @@
     assert readiness.is_known(now + 200, ready) and not readiness.is_known(now, unproven)
     request_at(dispatcher, now, function, 2)
     decisions = [decision for elapsed_ms in range(0, 201, 10) for decision in decide_all(dispatcher, now + elapsed_ms)]
-    assert decisions, "the request is rejected or causes a load order at the ready worker within 200 ms"
+    assert decisions, "the dispatcher makes a decision within 200 ms"
 
 
 @pytest.mark.parametrize(
@@ -300,7 +302,7 @@
     ],
     ids=["all probes allowed", "load query allowed", "fresh list", "worker proved its readiness"],
 )
-def test_slots_count_at_a_worker_that_is_known_to_be_ready_or_may_be_queried(
+def test_no_load_order_elsewhere_if_the_slots_of_a_worker_that_is_ready_or_may_be_queried_suffice(
     probe_kinds: tuple[ProbeKind, ...], confirmed_at: float, proven_at: float, requests: int, expected: list[type]
 ) -> None:
     """Guards against load orders at another worker for a queue that the two slots of an instance can serve.
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -37,18 +37,18 @@
         self.open_loads: list[tuple[float, StartLoad]] = []  # end time, load order
         self.final_at: dict[str, float] = {}  # time of the final answer, by activation id
         self.invocations: list[Invocation] = []
-        self.notified: list[tuple[float, str]] = []
+        self.notified: list[tuple[float, str]] = []  # time of submission and id of each notified request
         self.update_endpoints()
 
     def update_endpoints(self, **states: str) -> None:
         self.version += 1
         self.gateway.on_endpoints(self.now, EndpointList(self.version, endpoints(4, **states), "x"))
 
-    def step(self, load: bool) -> None:
+    def step(self, submits: bool) -> None:
         random_source, gateway = self.random_source, self.gateway
         self.now += random_source.uniform(0.5, 8.0)
         now = self.now
-        if load and random_source.random() < 0.6:
+        if submits and random_source.random() < 0.6:
             action, key = (
                 random_source.choice(self.actions),
                 random_source.choice([None, f"k{random_source.randrange(10**9)}"]),
@@ -72,16 +72,16 @@
                     else None
                 )
                 gateway.on_attempt_finished(now, attempt, status, answer)
-        for due, load in [o for o in self.open_loads if o[0] <= now]:
-            self.open_loads.remove((due, load))
+        for due, start_load in [o for o in self.open_loads if o[0] <= now]:
+            self.open_loads.remove((due, start_load))
             completed = random_source.random() < 0.8
             gateway.on_load_report(
                 now,
-                load.order,
+                start_load.order,
                 AttemptStatus.COMPLETED
                 if completed
                 else random_source.choice([AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.SILENT]),
-                load.order.count if completed else 0,
+                start_load.order.count if completed else 0,
             )
         if random_source.random() < 0.02 and self.invocations:
             gateway.on_client_gone(now, random_source.choice(self.invocations))
@@ -134,9 +134,9 @@
 def test_random_runs_give_each_request_one_final_answer_in_time(seed: int) -> None:
     run = RandomRun(seed)
     for n in range(1500):
-        run.step(load=n < 1200)
+        run.step(submits=n < 1200)
     while run.now < max(i.record.received_at for i in run.invocations) + 4000:
-        run.step(load=False)
+        run.step(submits=False)
     assert len(run.invocations) > 500
     assert set(run.final_at) == {i.record.id for i in run.invocations}
     for invocation in run.invocations:
@@ -173,7 +173,7 @@
     assert [r.id for r in small.newest("one")] == ["s4", "s3"] and small.dropped == 3
 
 
-def test_worker_registry_applies_list_versions_restarts_and_ages() -> None:
+def test_worker_registry_ignores_older_lists_and_detects_restarts_by_incarnation() -> None:
     registry = WorkerRegistry({"a": 0, "b": 1})
     first, _ = registry.apply(1000.0, EndpointList(5, [Endpoint("w", "h:1", "live", "i1", 400.0, "b")], "x"))
     assert first[0].started_at == 600.0 and first[0].zone == 1
@@ -185,7 +185,7 @@
     assert restarted == first and first[0].started_at == 1290.0
     removed, _ = registry.apply(1400.0, EndpointList(1, [], "y"))
     assert removed == first and first[0].removed
-    registry.remove_departed()
+    registry.delete_removed()
     assert len(registry) == 0 and not registry.addresses
 
 
@@ -217,4 +217,4 @@
     burst_deadlines = [gateway.submit(0.0, 0.0, Submission("one", action, b"{}")).request.deadline for _ in range(1000)]
     assert burst_deadlines[0] == 790.0 and burst_deadlines == sorted(burst_deadlines, reverse=True)
     assert burst_deadlines[200] == 900 - 100 - 0.5 * 220, "earlier by the time to answer all requests in flight"
-    assert burst_deadlines[-1] == 900 - 0.25 * 900, "earlier by at most a quarter of the timeout"
+    assert burst_deadlines[-1] == 900 - 0.25 * 900, "the margin is at most a quarter of the timeout"
