--- a/bench/replication_takeover.py
+++ b/bench/replication_takeover.py
@@ -1,4 +1,4 @@
-"""Take-over of a journal in one process, which reads, recovers and resumes its activations with emulated workers."""
+"""Measures the take-over of a journal in one process: reading, recovery and resumption; timers replace the workers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 JOURNAL = "lost.1"
 BODY = b'{"family":7}' * 20
 ACTIVATION_TIMEOUT_MS = 600_000.0
-ENTRY_AGE_MS = 3000.0
+ENTRY_AGE_MS = 3000.0  # age of an accepted entry; the replica gets it for the entries of other kinds as well
 WORKERS, INSTANCES = 4, 64
 RECOVERY_BATCH = 200
 RESUMPTION_TIMEOUT_MS = 120_000
@@ -79,7 +79,7 @@
 
 
 def journal_entries(count: int, unfinished: float, now: float) -> tuple[ReplicaEntry, ...]:
-    """Return the entries of `count` activations; the first `unfinished` of them have no answer."""
+    """Return the entries of activations 0 to `count` - 1; those with a number below `unfinished` have no answer."""
     kinds = (Accepted, MayRun, Ended)
     items: list[ReplicaEntry] = []
     for n in range(count):
@@ -109,13 +109,14 @@
         store.commit([ReplicaWrite(JOURNAL, entries, fence=fence, wall_ms=wall)])
         _tune_garbage_collection()
         start, reading = now_ms(), ReadRequest(JOURNAL, wall_ms=wall_ms())
+        # `commit` also carries out reads; it fills `reading.activations`.
         await asyncio.get_running_loop().run_in_executor(None, store.commit, [reading])
         read_ms = now_ms() - start
         gateway = Gateway(DispatcherParts(deployment, zone="hall", seed=1), "b" * 16)
         endpoints = [Endpoint(f"w{n}", f"127.0.0.1:{n + 1}") for n in range(WORKERS)]
         gateway.on_endpoints(now_ms(), EndpointList(1, endpoints))
         resumption = Resumption(gateway, run_ms)
-        longest_step_ms = await _recover(gateway, resumption, reading, at_once)
+        longest_batch_ms = await _recover(gateway, resumption, reading, at_once)
         recovered_at = now_ms()
         while len(resumption.final_ids) < unfinished and now_ms() - start < RESUMPTION_TIMEOUT_MS:
             await asyncio.sleep(0.01)
@@ -124,12 +125,13 @@
     return {
         "records": count,
         "unfinished": unfinished,
-        "resumed": len(resumption.final_ids),
+        "resumed": len(resumption.final_ids),  # number of final answers
+        # Times since the start of the read: until its end, the first attempt, the end of recovery, the last answer.
         "read_ms": round(read_ms),
         "first_resumed_ms": round(resumption.first_attempt_at - start),
         "all_known_ms": round(recovered_at - start),
         "last_resumed_ms": round(resumption.last_answer_at - start),
-        "longest_step_ms": round(longest_step_ms, 1),
+        "longest_step_ms": round(longest_batch_ms, 1),  # longest batch of the recovery
     }
 
 
