--- a/kelptrail/emulator/client_calls.py
+++ b/kelptrail/emulator/client_calls.py
@@ -1,6 +1,6 @@
 """Calls of emulated clients and their answers; each outcome is written to the capture and may cause a retry.
 
-Clients retry only where the outcome makes a retry safe (`load/client_behavior.py`).
+Clients retry only if the outcome and the function's effect make a retry safe (`load/client_behavior.py`).
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 from .capture import Capture, ReadLag
 
-# Reasons in gRPC errors that count as "aborted", whether or not an attempt may have run.
+# Reasons in gRPC errors that clients treat as "aborted"; they do not distinguish NEVER_RAN from MAY_HAVE_RUN.
 ABORTED_REASONS = ("MAY_HAVE_RUN", "NEVER_RAN")
 
 
@@ -33,7 +33,7 @@
 class ClientCall:
     """A call of a client, and the state of its current attempt."""
 
-    ticket: str  # id of the call, which is also its idempotency key and the input of the function
+    ticket: str  # id of the call and input of the function; of a deduplicated one also the idempotency key
     action: ActionSettings
     type: TypeSettings
     namespace: NamespaceSettings
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientAnswer:
-    """Final answer of a call as the client reads it."""
+    """Final answer to an attempt as the client reads it."""
 
     answer: str  # "completed", "rejected", "aborted", or another; only those in `RETRYABLE_ANSWERS` are retried
     activation: str
@@ -132,19 +132,19 @@
         self._capture.write("part", call=call.attempt_id, activation=activation, lag=self._read_lag.current_ms())
 
     def on_stream_not_taken(self, call: ClientCall) -> None:
-        """Record that no dispatcher accepted a streamed call, as its final part reports.
+        """Record that the dispatcher did not accept a streamed attempt, as its final part reports.
 
-        The client does not retry it.
+        The client does not retry the call.
         """
         self._capture.write("not-taken", call=call.attempt_id)
 
     def on_not_taken(self, call: ClientCall, retry_after_ms: float) -> None:
-        """Record that no dispatcher accepted the call, and schedule a retry if the client makes one."""
+        """Record that the dispatcher did not accept the attempt, and schedule a retry if the client makes one."""
         self._capture.write("not-taken", call=call.attempt_id)
         self._retry(call, ClientOutcome.NOT_TAKEN, retry_after_ms)
 
     def on_lost(self, call: ClientCall, cause: str) -> None:
-        """Record that the call ended without an answer, and its cause; schedule a retry if the client makes one."""
+        """Record that the attempt got no answer, and the cause; schedule a retry if the client makes one."""
         self._capture.write("no-answer", call=call.attempt_id, ending=cause)
         self._retry(call, ClientOutcome.LOST)
 
@@ -153,7 +153,7 @@
         self._capture.write("no-answer", call=call.attempt_id, ending="polled")
 
     def on_final(self, call: ClientCall, answer: ClientAnswer) -> None:
-        """Record the final answer of the call, and schedule a retry if the client makes one."""
+        """Record the final answer to the attempt, and schedule a retry if the client makes one."""
         self._capture.write(
             "final",
             call=call.attempt_id,
--- a/kelptrail/load/client_behavior.py
+++ b/kelptrail/load/client_behavior.py
@@ -1,6 +1,6 @@
 """Retry behaviour of clients: whether and when a client retries, and how much of a retry-after time it waits.  No I/O.
 
-Clients retry only if a retry is safe after the outcome of the last attempt.  Times are in milliseconds.
+Clients retry only if the outcome of the last attempt and the function's effect make a retry safe.  Times are in ms.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
     COMPLETED = "completed"
     REJECTED = "rejected"  # a retry is safe; with `repeat_within_ms` in the answer, only for that time
-    ABORTED = "aborted"  # failed, and may have run
+    ABORTED = "aborted"  # failed; a client assumes that it may have run
     NOT_TAKEN = "not-taken"  # not accepted by a dispatcher: shed at the listener, or no connection
     LOST = "lost"  # no answer
 
