--- a/kelptrail/membership/client.py
+++ b/kelptrail/membership/client.py
@@ -50,9 +50,10 @@
             log,
         )
         self._poll_wait_ms, self._backoff_ms = poll_wait_ms, backoff_ms
-        self.address = ""  # address at which this dispatcher (not the source) serves its activations
-        self.channel_address = ""  # address of the peer listener of this dispatcher
-        self.zone = ""  # zone of this dispatcher
+        # The dispatcher that polls lists itself with these.  A planner leaves them empty and is not listed.
+        self.address = ""  # address at which the dispatcher answers polls for its activations
+        self.channel_address = ""  # address of its peer listener
+        self.zone = ""
         self.endpoints: EndpointList | None = None
         # Called for each valid answer of the source, also if the list has not changed.
         self.on_response: Callable[[], None] = lambda: None
@@ -77,7 +78,7 @@
         while True:
             known_version = f"{self.endpoints.lineage}:{self.endpoints.version}" if self.endpoints else ""
             try:
-                # `who` and `at` are the name and address of this dispatcher, `hall` is its zone.
+                # `who` and `at` are the client's name and address (empty for a planner), `hall` is its zone.
                 response = await http.request(
                     "GET",
                     f"/workers?who={self._client_name}&at={self.address}&channel={self.channel_address}"
