--- a/kelptrail/certificates/authority.py
+++ b/kelptrail/certificates/authority.py
@@ -38,9 +38,9 @@
 class IssuedCertificate:
     """The public contents of a certificate."""
 
-    name: str
-    names: list[str]
-    usage: str
+    name: str  # name of its file, without the suffix
+    names: list[str]  # common name and alternative names
+    usage: str  # see `describe`
     serial: str
     valid_from: datetime
     valid_until: datetime
@@ -61,7 +61,8 @@
 def describe(name: str, certificate: x509.Certificate) -> IssuedCertificate:
     """Return the names, usage, serial number and validity period of a certificate.
 
-    The usage is "server", "client" or both; a certificate without an extended key usage counts as an authority's.
+    The usage is "server", "client", the dotted OID of another usage, or several of these joined by "+"; it is
+    "authority" for a certificate without an extended key usage.
     """
     try:
         extended_usage = certificate.extensions.get_extension_for_class(x509.ExtendedKeyUsage).value
@@ -209,7 +210,7 @@
     def rotate(self, name: str, days: int, now: datetime) -> IssuedCertificate:
         """Issue a new key and certificate for the same names and usage; the old file is kept as `NAME.pem.old`.
 
-        Raises `AuthorityError` if there is no valid old certificate.
+        Raises `AuthorityError` if there is no old certificate or it cannot be parsed, and as `issue` does.
         """
         file = self._folder / f"{name}.pem"
         if not file.exists():
@@ -228,9 +229,9 @@
         )
 
     def list_issued(self) -> list[IssuedCertificate]:
-        """Return descriptions of the authority and of its certificates, sorted by file name.
+        """Return descriptions of the authority and then of the folder's other certificates, sorted by file name.
 
-        Raises `AuthorityError` for a file without a valid certificate.
+        Raises `AuthorityError` for a file whose certificate cannot be parsed.
         """
         issued = [describe("authority", self._certificate)]
         for file in sorted(self._folder.glob("*.pem")):
