--- a/kelptrail/emulator/worker_answers.py
+++ b/kelptrail/emulator/worker_answers.py
@@ -13,7 +13,7 @@
 
 from .worker_state import InferenceJob, WorkerState
 
-WRITE_RETRY_S = 0.005  # interval between attempts to write to a client that reads slowly
+WRITE_CHECK_S = 0.005  # interval between checks whether a client that reads slowly can be written to
 STREAM_PARAMETERS = ("parts", "gap_ms", "pad")  # parameters of a stream that the payload of a call may set
 
 
@@ -26,7 +26,7 @@
     """Encode an answer.
 
     The answer to a call with tensors echoes its inputs.  Any other contains the result, except for the final part of a
-    stream, which has no outputs.
+    stream, which has no outputs.  `parameters` are sent only with tensors and in the final part of a stream.
     """
     request, model = job.request, job.model.action.model
     if takes_tensors(job):
@@ -60,11 +60,14 @@
 async def write_parts(
     job: InferenceJob, shape: StreamShape, part_count: int, state: WorkerState, worker_id: str
 ) -> None:
-    """Write the first `part_count` parts, until the client disconnects or the worker restarts."""
+    """Write the first `part_count` parts; after a fault, fewer than `shape.part_count`.
+
+    Stop if the client disconnects or the worker restarts.
+    """
     exchange = job.exchange
     for number in range(part_count):
         while not exchange.client_gone and not exchange.can_write:
-            await asyncio.sleep(WRITE_RETRY_S)
+            await asyncio.sleep(WRITE_CHECK_S)
         if exchange.client_gone or not state.is_current(job):
             break
         part = msgspec.json.encode({"part": number, "by": worker_id, "pad": "x" * shape.padding}).decode()
