--- a/kelptrail/gateway/connection_health.py
+++ b/kelptrail/gateway/connection_health.py
@@ -1,18 +1,19 @@
 """Checks whether this dispatcher can reach workers, according to how attempts and load orders end; free of I/O.
 
-The connections are healthy if any recent attempt or load order reached a worker, and unhealthy if the recent ones only
-failed to reach one.  Without a recent result their health is unknown; the host may then open a connection itself and
-report the result.
+The connections are healthy if a worker answered any recent attempt or load order, and unhealthy if the recent ones all
+failed to connect, lost the connection or got no answer.  Without a recent result their health is unknown; the caller
+may then try to connect to a worker and report the result.
 """
 
 from __future__ import annotations
 
 from kelptrail.dispatch.entities import AttemptStatus
 
+# Other outcomes, such as a cancelled attempt, say nothing about the connections.
 REACHED = frozenset(
     {AttemptStatus.COMPLETED, AttemptStatus.ERROR, AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.NOT_LOADED}
 )
-NOT_REACHED = frozenset({AttemptStatus.UNREACHABLE, AttemptStatus.CONNECTION_LOST, AttemptStatus.SILENT})
+NO_ANSWER = frozenset({AttemptStatus.UNREACHABLE, AttemptStatus.CONNECTION_LOST, AttemptStatus.SILENT})
 
 
 class ConnectionHealth:
@@ -26,11 +27,11 @@
         """Record the result of an attempt or a load order."""
         if outcome in REACHED:
             self._reached_at = now
-        elif outcome in NOT_REACHED:
+        elif outcome in NO_ANSWER:
             self._failed_at = now
 
     def on_connect_result(self, now: float, reached: bool) -> None:
-        """Record whether the host could open a connection itself."""
+        """Record whether the caller could connect to a worker itself."""
         if reached:
             self._reached_at = now
         else:
