--- a/kelptrail/simulation/slow_start.py
+++ b/kelptrail/simulation/slow_start.py
@@ -24,7 +24,7 @@
         self._arrived_work_ms = 0.0
         self.collapsed = False
 
-    def capacity(self, now: float) -> float:
+    def capacity_factor(self, now: float) -> float:
         """Return the share of its full capacity, 0 to 1, that the worker has at its age."""
         age_ms = now - self._started
         if age_ms >= self._rules.slow_start_ms:
@@ -32,13 +32,19 @@
         return self._rules.slow_start_share + (1 - self._rules.slow_start_share) * age_ms / self._rules.slow_start_ms
 
     def add_arrival(self, now: float, work_ms: float) -> None:
-        """Add the work of an arriving attempt; collapse if the work in the overload window exceeds its limit."""
-        capacity = self.capacity(now)
-        if capacity >= 1 or self.collapsed:
+        """Record the work of an attempt that arrives during slow start.
+
+        Collapse if the work that arrived within the overload window exceeds `overload_multiple` times what the worker
+        can do in that time.
+        """
+        capacity_factor = self.capacity_factor(now)
+        if capacity_factor >= 1 or self.collapsed:
             return
         window_ms = self._rules.overload_window_ms
         self._arrivals.append(ArrivedWork(now, work_ms))
         self._arrived_work_ms += work_ms
         while self._arrivals[0].at < now - window_ms:
             self._arrived_work_ms -= self._arrivals.popleft().work_ms
-        self.collapsed = self._arrived_work_ms > self._rules.overload_multiple * capacity * self._cores * window_ms
+        self.collapsed = (
+            self._arrived_work_ms > self._rules.overload_multiple * capacity_factor * self._cores * window_ms
+        )
--- a/kelptrail/simulation/workers.py
+++ b/kelptrail/simulation/workers.py
@@ -94,7 +94,7 @@
     @property
     def slow_start_capacity(self) -> float:
         """Share of its full capacity, 0 to 1, that the worker has at its age."""
-        return self._slow_start.capacity(self._event_queue.now)
+        return self._slow_start.capacity_factor(self._event_queue.now)
 
     @property
     def collapsed(self) -> bool:
