--- a/kelptrail/cli/console.py
+++ b/kelptrail/cli/console.py
@@ -33,7 +33,7 @@
 
 
 def read_input(load: Callable[[str], T], file: str) -> T:
-    """Load a file with `load`.  Raises `UnusableInputError` with all faults, or with why the file is unreadable."""
+    """Load a file with `load`.  Raises `UnusableInputError` with all errors in it, or why it is unreadable."""
     from kelptrail.settings.reader import SettingsError
 
     try:
