--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,7 @@
-"""Transient failures of system calls, as Linux documents them, forced one at a time on the platform's sockets."""
+"""Rare conditions of the platform's sockets, clocks and configuration.
+
+Transient failures of system calls as Linux documents them, clock steps, full limits, restarts and reloads.
+"""
 
 from __future__ import annotations
 
@@ -157,7 +160,9 @@
     assert reader.monotonic_ms(1_003_050.0 + hour, 3100.0) == 3050.0, "a time written after the step"
     assert reader.observe(1_004_000.0, 4000.0)
     assert reader.monotonic_ms(1_004_020.0, 4100.0) == 4020.0
-    assert reader.monotonic_ms(1_004_000.0 + 9 * hour, 4100.0) == 4100.0, "a time that fits neither clock counts as now"
+    assert reader.monotonic_ms(1_004_000.0 + 9 * hour, 4100.0) == 4100.0, (
+        "a time in the future at each known offset counts as now"
+    )
     assert reader.steps == 2
 
 
@@ -184,10 +189,11 @@
     run(main())
 
 
-def test_all_of_many_new_clients_are_answered_beyond_the_connection_limit() -> None:
+def test_new_clients_beyond_the_connection_limit_are_all_answered() -> None:
     """No connection is closed while an unread request is in its receive buffer."""
 
     async def main() -> None:
+        # Of 48 descriptors, 20 are for clients: the busy clients use up the limit.
         async with PlatformFixture(WorkerStub(never_answer), sockets=48) as platform:
             busy = [connect_raw(platform.port) for _ in range(20)]
             for number, client in enumerate(busy, 1):
@@ -205,7 +211,7 @@
 
 
 def test_repeated_reloads_do_not_reconnect_often_to_an_endpoint_list_that_answers() -> None:
-    """A reload of the configuration with the same list address leaves a working connection open."""
+    """Setting the same list address again opens a new connection at most once in `MAX_BACKOFF_MS` (1 s)."""
 
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -226,7 +232,9 @@
     run(main())
 
 
-def test_a_worker_added_by_a_change_is_no_older_than_the_previous_list(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_start_time_from_another_clock_is_replaced_by_the_time_of_the_previous_list(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """The dispatcher's wall clock is an hour ahead of the list's since its start, so it has detected no step."""
     real_time = time.time
     monkeypatch.setattr("time.time", lambda: real_time() + 3600)
@@ -284,7 +292,7 @@
 
 
 def test_listening_is_retried_while_the_address_is_in_use(tmp_path: Path) -> None:
-    """The previous process may still be closing; a system-wide shortage of descriptors is handled in the same way."""
+    """The previous process may still be closing.  (A shortage of descriptors is handled alike, but not tested here.)"""
     with socket.socket() as occupied:
         occupied.bind(("127.0.0.1", 0))
         occupied.listen()
