--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -11,6 +11,7 @@
 from kelptrail.settings.deployment import load
 
 ROOT = Path(__file__).parent.parent
+# By the kind of the campaign; "copies" is the one with replication.
 DEPLOYMENT_FILES = {"leases": "fleet.sexp", "copies": "copies.sexp"}
 SEEDS = range(1, 21)
 
@@ -51,10 +52,12 @@
         assert peers is not None and peers.replicas in (1, 2)
         losses = [fault for fault in scenario.faults if fault.kind == FaultKind.LOSE_MACHINES]
         assert len(losses) == 2 and losses[0].at + losses[0].duration < losses[1].at
+        # `part` is the share of the dispatchers that lose their machines.
         assert all(round(loss.part * REPLICATION_DISPATCHERS) <= peers.replicas for loss in losses)
 
 
 def test_a_summary_adds_up_the_counts_and_lists_the_seeds_that_failed_or_broke_a_rule() -> None:
+    # The counts of a report; campaign.py and history_checker/result.py say what they count.
     counts = dict.fromkeys(
         (
             "taken",
@@ -70,9 +73,10 @@
         ),
         2,
     )
+    # `longest_without_s` is the longest time without a lease holder.
     passed = {"seed": 1, "broken": {}, "longest_without_s": 0.5, **counts}
-    broken = {"seed": 2, "broken": {"unanswered": 3}, "longest_without_s": 1.5, **counts}
-    summary = summarize([passed, broken, {"seed": 3, "failed": "no report"}])
+    with_breach = {"seed": 2, "broken": {"unanswered": 3}, "longest_without_s": 1.5, **counts}
+    summary = summarize([passed, with_breach, {"seed": 3, "failed": "no report"}])
     assert (summary["seeds"], summary["failed"], summary["broken"]) == (3, [3], [2])
     assert summary["breaches"] == {"unanswered": 3} and summary["longest_without_s"] == 1.5
     assert {name: summary[name] for name in counts} == dict.fromkeys(counts, 4)
