--- a/bench/fault_injection/clients.py
+++ b/bench/fault_injection/clients.py
@@ -21,16 +21,17 @@
 from kelptrail.codec import frames
 
 MAX_OPEN_REQUESTS = 30  # per connection
-# A request sent on an idle connection makes it busy only after this time: the dispatcher may not have read it yet.
-IDLE_CONNECTION_S = 0.05
+# The dispatcher may read a request up to this time after it was sent, and consider the connection idle until then.
+MAX_READ_DELAY_S = 0.05
 ANSWERS_TIMEOUT_S = 2.5
-# With the mean pause of 0.03 s, they take about 4 s, which is longer than from SIGTERM to the earliest SIGKILL.
+# Batches of a client that ignores GO_AWAY.  With their mean pause of 0.03 s (`_send_batches`) they take about 4 s,
+# longer than from SIGTERM to the earliest SIGKILL (`MAX_SHUTDOWN_S` in soak_processes.py).
 MAX_BATCHES_UNTIL_CLOSED = 130
 SLOW_WRITE_BYTES = 60
 SLOW_WRITE_PAUSE_S = 0.01
 FUNCTIONS = 9
 REQUEST_KINDS = [RequestKind.IDEMPOTENT, RequestKind.IDEMPOTENT, RequestKind.DEDUPLICATED, RequestKind.AT_MOST_ONCE]
-PAYLOAD_BYTES = (0, 40, 40, 2000, 16_000)
+PADDING_BYTES = (0, 40, 40, 2000, 16_000)
 
 
 class ClientBehavior(Enum):
@@ -131,7 +132,7 @@
             self._writer.close()
 
     async def _send_batches(self) -> bool:
-        """Send batches of requests with pauses; return False if the connection closed before a request was sent."""
+        """Send batches of requests with pauses; return False if the connection is found closed on sending one."""
         ignores_go_away = self._behavior is ClientBehavior.IGNORES_GO_AWAY
         for _ in range(MAX_BATCHES_UNTIL_CLOSED if ignores_go_away else self._rng.randrange(1, 12)):
             if not self._run.running or (self._go_away_received and not ignores_go_away) or self._read_task.done():
@@ -153,7 +154,7 @@
 
     async def _send_request(self, stream: int) -> bool:
         """Send one request and cancel it at random; return False if the connection has closed."""
-        request, data = self._encode_request(stream)
+        request, data = self._new_request(stream)
         request.after_idle = self._is_idle()
         self._sent[stream] = request
         is_slow = self._behavior is ClientBehavior.SLOW_WRITER
@@ -177,11 +178,12 @@
         """Return whether the dispatcher may consider the connection idle and close it as the next request is sent."""
         now = time.monotonic()
         return all(
-            not each.is_open or (each.after_idle and now - each.written_at < IDLE_CONNECTION_S)
+            not each.is_open or (each.after_idle and now - each.written_at < MAX_READ_DELAY_S)
             for each in self._sent.values()
         )
 
-    def _encode_request(self, stream: int) -> EncodedRequest:
+    def _new_request(self, stream: int) -> EncodedRequest:
+        """Return a random request, and record its id as started."""
         kind = self._rng.choice(REQUEST_KINDS)
         limit_ms = self._rng.choice(self._limits_ms)
         id_ = self._rng.randbytes(8).hex()
@@ -196,12 +198,12 @@
         if kind is RequestKind.DEDUPLICATED:
             fields["unique"] = f"u{id_}"
         self._run.started_ids.add(id_)
-        payload = frames.encode_fields(fields) + id_.encode() + bytes(self._rng.choice(PAYLOAD_BYTES))
+        payload = frames.encode_fields(fields) + id_.encode() + bytes(self._rng.choice(PADDING_BYTES))
         data = frames.encode_frame(frames.REQUEST, stream, payload)
         return EncodedRequest(SentRequest(id_, kind, self._process, limit_ms / 1000), data)
 
     async def _leave(self) -> None:
-        """Record that the client leaves its open requests; send noise, half-close or prepare a reset, by behavior.
+        """Record that the client abandons its open requests; send noise, half-close or prepare a reset, by behavior.
 
         `serve` then closes the connection."""
         now = time.monotonic()
