--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -6,6 +6,7 @@
 import json
 import subprocess
 import sys
+from collections.abc import Callable
 from pathlib import Path
 
 import pytest
@@ -99,6 +100,16 @@
             await asyncio.sleep(0.01)
         return done
 
+    async def make_calls_until(self, condition: Callable[[], object], within_s: float = 20.0) -> None:
+        """Make calls one after the other until the condition is true.
+
+        Without calls, no load orders are decided, and the edge sends no reports.
+        """
+        end = now_ms() + within_s * 1000
+        while not condition():
+            assert now_ms() < end, "the condition did not become true"
+            await self.make_calls(0.02)
+
     async def stop(self) -> None:
         await self.edge.stop()
         for planner in self.planners:
@@ -114,15 +125,15 @@
     async def main() -> None:
         setup = PlanningSetup(tmp_path)
         planner = setup.planners[0]
-        calling = asyncio.create_task(setup.make_calls(3.0))
-        await wait_until(lambda: setup.edge.plan_state.target(now_ms()))
+        await setup.make_calls_until(lambda: setup.edge.plan_state.target(now_ms()))
         assert planner.planner.role is Role.LEADER and set(setup.edge.plan_state.target(now_ms()) or ()) == {"check"}
-        await calling
+        await setup.make_calls(3.0)
         await planner.stop()  # the plan is followed until it expires, and calls are always served
         assert await setup.make_calls(2.5) > 30 and setup.edge.plan_state.target(now_ms()) is None
         assert not any(f.planned for f in setup.dispatcher.gateway.state.parts._functions.values())
         setup.planners = [setup.start_planner(0, port=int(planner.address.rpartition(":")[2]))]
-        await asyncio.gather(wait_until(lambda: setup.edge.plan_state.target(now_ms())), setup.make_calls(3.0))
+        await setup.make_calls_until(lambda: setup.edge.plan_state.target(now_ms()))
+        await setup.make_calls(3.0)
         assert setup.planners[0].planner.epoch > planner.planner.epoch, "the restarted planner leads in a later epoch"
         await setup.stop()
         restarted = setup.start_edge()
@@ -192,9 +203,12 @@
         instances = {"check": {"w0": 2, "w1": 2, "w2": 2}, "activate": {"w1": 1}}
         plan = make_plan(lineage, (1, "forger", 1), 9e5, endpoints_version, instances)
         offers.append(encode_plan(plan, 0.0))
-        await asyncio.gather(wait_until(lambda: edge.plan_state.accepted == 1), setup.make_calls(0.5))
+        await setup.make_calls_until(lambda: edge.plan_state.accepted == 1)
+        await setup.make_calls(0.5)
         load_orders = sum(w.load_order_count for w in setup.workers)
         assert load_orders >= 2, "instances are loaded ahead of calls"
+        # A load order decided before the drain may still be in flight to the worker: wait for its answer.
+        await wait_until(lambda: not any(worker.pending_loads for worker in setup.dispatcher.gateway.members))
         setup.workers[1].state = "draining"
         setup.dispatcher.set_workers(setup.workers)
         edge.on_endpoints()
