--- a/bench/fault_injection/clients.py
+++ b/bench/fault_injection/clients.py
@@ -24,6 +24,7 @@
 # The dispatcher may read a request up to this time after it was sent, and consider the connection idle until then.
 MAX_READ_DELAY_S = 0.05
 ANSWERS_TIMEOUT_S = 2.5
+READ_END_TIMEOUT_S = 1.0  # limit of the wait for the reader of a connection that has ended
 # Batches of a client that ignores GO_AWAY.  With their mean pause of 0.03 s (`_send_batches`) they take about 4 s,
 # longer than from SIGTERM to the earliest SIGKILL (`MAX_SHUTDOWN_S` in soak_processes.py).
 MAX_BATCHES_UNTIL_CLOSED = 130
@@ -120,6 +121,8 @@
         self._behavior = self._rng.choice(BEHAVIORS)
         try:
             if not await self._send_batches():
+                # The connection has ended.  `_read_answers` may be pausing: let it record the answers and the end.
+                await asyncio.wait((self._read_task,), timeout=READ_END_TIMEOUT_S)
                 return
             if self._behavior in LEAVES_EARLY:
                 await self._leave()
