--- a/kelptrail/dispatch/attempt_results.py
+++ b/kelptrail/dispatch/attempt_results.py
@@ -12,13 +12,13 @@
 
 MIN_CONCURRENCY_LIMIT = 2.0  # a worker is always allowed two attempts at once
 # A completed attempt that took longer than half of its latency objective, probably because of congestion,
-# multiplies the concurrency limit by this factor.  So does one that found the worker out of capacity or the
-# function not loaded, if attempts of other dispatchers were in flight.  Any other completed attempt adds
-# 1 / limit if at least about half of the limit is in use, so that as many attempts as the limit allows at
-# once add one.
+# multiplies the concurrency limit by this factor.  So does an attempt that found the worker out of capacity
+# or the function not loaded, if attempts of other dispatchers were in flight.  Any other completed attempt
+# adds 1 / limit if at least about half of the limit is in use, so that a number of attempts equal to the
+# limit raises it by about one.
 CONCURRENCY_DECREASE = 0.9
 # Attempts show whether the fleet is overloaded only at workers whose mean number of attempts in flight is
-# lower than this.  At busier workers the lower concurrency limit is the reaction to delays.
+# lower than this.  At busier workers, delays lower the concurrency limit instead.
 MAX_IDLE_IN_FLIGHT = 0.3
 
 CONNECTION_FAILURES = (AttemptStatus.CONNECTION_LOST, AttemptStatus.UNREACHABLE)
--- a/kelptrail/dispatch/entities.py
+++ b/kelptrail/dispatch/entities.py
@@ -13,11 +13,11 @@
 
 
 class Idempotency(Enum):
-    """The effect of a second execution of a request."""
+    """Whether a request may be executed a second time."""
 
-    IDEMPOTENT = "repeatable"
-    DEDUPLICATED = "deduplicated"
-    AT_MOST_ONCE = "once-only"
+    IDEMPOTENT = "repeatable"  # a second execution has no further effect
+    DEDUPLICATED = "deduplicated"  # within a scope and a time window, workers drop a repeated request
+    AT_MOST_ONCE = "once-only"  # no further attempt is made after one that may have run
 
 
 class AttemptStatus(Enum):
@@ -28,8 +28,8 @@
 
     COMPLETED = "completed"
     ERROR = "error"
-    OUT_OF_CAPACITY = "full"
-    SILENT = "silent"
+    OUT_OF_CAPACITY = "full"  # also the answer of a draining worker to a health check
+    SILENT = "silent"  # no answer within the time limit
     UNREACHABLE = "unreachable"
     CONNECTION_LOST = "broken"
     CANCELLED = "revoked"
@@ -91,7 +91,7 @@
     idempotency: Idempotency
     latency_objective_ms: float
     priority_weight: float
-    late_value_share: float = 0.0
+    late_value_share: float = 0.0  # has no effect
     # The workers that share deduplication: "all", or those of a "zone" or "cell".
     deduplication_scope: str = "all"
     deduplication_window_ms: float = 0.0  # time within which these workers drop a repeated request
@@ -126,7 +126,7 @@
     zone: int = 0
     cell: int = 0
     kind: int = 0
-    size: float = 1.0
+    size: float = 1.0  # capacity relative to other workers
     state: WorkerState = WorkerState.LIVE
     started_at: float | None = None  # None: a long time ago
     attempts: dict[Attempt, None] = field(default_factory=dict)  # attempts in flight, oldest first
@@ -171,12 +171,12 @@
 
     @property
     def live(self) -> bool:
-        """Whether new attempts and load orders may start there."""
+        """Whether new attempts and load orders may start at the worker."""
         return self.state is WorkerState.LIVE
 
     @property
     def removed(self) -> bool:
-        """Whether the endpoint list no longer contains it."""
+        """Whether the endpoint list no longer contains the worker."""
         return self.state is WorkerState.REMOVED
 
 
@@ -227,14 +227,14 @@
 
     function: Function
     worker: Worker
-    loaded: int = 0
+    loaded: int = 0  # number of instances that count as loaded
     load_order: LoadOrder | None = None  # the load order in flight
     # Attempt sent without a load order, to find out whether an instance is loaded.
     trial_attempt: Attempt | None = None
-    in_flight: int = 0
+    in_flight: int = 0  # number of attempts in flight
     last_used_at: float = 0.0  # last start or completion of an attempt
     idle_since: float = 0.0  # earliest time from which the worker may count the instance as idle
-    unavailable_until: float = 0.0
+    unavailable_until: float = 0.0  # until then attempts and loads of the function go to other workers
     not_loaded_at: float = LONG_AGO  # time at which an attempt last found no loaded instance
     planned_count: int = 0  # number of instances that the current plan places at the worker
 
@@ -317,10 +317,10 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class ReadinessQuestion:
-    """A query to a worker whether it accepts new work.  It starts no work; its probes are sent together."""
+    """Probes, sent together, that ask a worker whether it accepts new work.  They start no work."""
 
     instance: Instance  # the queried worker, and the function that needs it
-    asked_at: float
+    asked_at: float  # time of the decision to send the probes
     probes: list[ReadinessProbe] = field(default_factory=list)
     write_started_at: float | None = None  # time just before the first byte was sent
     loaded_count: int | None = None  # number of instances that the load query found
--- a/kelptrail/dispatch/instance_table.py
+++ b/kelptrail/dispatch/instance_table.py
@@ -55,7 +55,7 @@
     def needs_renewal(self, now: float, instance: Instance) -> bool:
         """Return whether to renew the instance now; set the timer for its next check while it is loaded.  An
         instance past its keep-alive time counts as not loaded.  One that is not loaded is removed, unless it
-        is in use or unavailable for a time.
+        is in use or unavailable now.
         """
         if instance.function.instances.get(instance.worker) is not instance:
             return False
--- a/kelptrail/dispatch/load_results.py
+++ b/kelptrail/dispatch/load_results.py
@@ -6,7 +6,8 @@
 from .entities import AttemptStatus, Function, Instance, LoadOrder, TerminationReason
 from .request_lifecycle import RequestLifecycle
 
-REAL_LOAD_SHARE = 0.25  # an order answered within this share of the load time found the instances loaded
+# An order answered within this share of the load time found the instances already loaded.
+ALREADY_LOADED_SHARE = 0.25
 LOAD_TIME_WEIGHT = 0.3  # weight of one load in the moving average of the load time
 
 
@@ -46,12 +47,12 @@
     def _observe_load(self, now: float, order: LoadOrder, instance: Instance, status: AttemptStatus) -> None:
         """Update the load time, and the share of instances that were already loaded at their first use."""
         function, duration_ms = instance.function, now - order.placed_at
-        was_loading = (
-            status is not AttemptStatus.COMPLETED or duration_ms > REAL_LOAD_SHARE * function.load_ms
+        had_to_load = (
+            status is not AttemptStatus.COMPLETED or duration_ms > ALREADY_LOADED_SHARE * function.load_ms
         )
         if not instance.loaded and order.placed_at >= instance.not_loaded_at + function.load_ms:
-            self._instances.observe_first_use(not was_loading)
-        if was_loading and status is AttemptStatus.COMPLETED:
+            self._instances.observe_first_use(not had_to_load)
+        if had_to_load and status is AttemptStatus.COMPLETED:
             function.load_ms += LOAD_TIME_WEIGHT * (duration_ms - function.load_ms)
 
     def on_load_failed(self, now: float, function: Function) -> None:
--- a/kelptrail/dispatch/outlier_detection.py
+++ b/kelptrail/dispatch/outlier_detection.py
@@ -87,9 +87,9 @@
         )
 
     def record(self, now: float, state: OutlierState, failed: bool, connection_lost: bool = False) -> bool:
-        """Record one success or failure; return whether it ejects.  A lost connection ejects at a failure
-        rate above one half (four in a row), as the worker may still answer over other links.  Any other
-        failure ejects at a rate above 0.3 (two in a row).
+        """Record one success or failure; return whether it ejects the worker.  A lost connection ejects it
+        at a failure rate above one half (four in a row), as the worker may still answer over other links.
+        Any other failure ejects it at a rate above 0.3 (two in a row).
         """
         state.failure_rate += FAILURE_WEIGHT * (failed - state.failure_rate)
         if not failed and state.failure_rate < EJECTION_FAILURE_RATE:
@@ -98,8 +98,8 @@
         return failed and state.failure_rate > limit and self.eject(now, state)
 
     def eject(self, now: float, state: OutlierState) -> bool:
-        """Eject for the initial time, or for twice the previous time up to the maximum.  Return False if
-        already ejected.
+        """Eject the worker, for the class that `state` belongs to or for all, for the initial time or for
+        twice the previous time up to the maximum.  Return False if it is already ejected.
         """
         if now < state.ejected_until:
             return False
--- a/kelptrail/dispatch/placement.py
+++ b/kelptrail/dispatch/placement.py
@@ -89,8 +89,8 @@
         return worker.foreign_in_flight * max(0.0, 1 - age / FOREIGN_LOAD_AGE_MS)
 
     def find_slot(self, now: float, request: Request, late: bool) -> Instance | None:
-        """Return the least loaded instance with a free concurrency slot, or None.  Other zones count as more
-        loaded.
+        """Return the least loaded instance with a free concurrency slot, or None.  Workers in other zones
+        count as more loaded.  A `late` request may use only `LATE_LIMIT_SHARE` of each concurrency limit.
         """
         return self._find_slot(now, request, late, self._safety.may_attempt)
 
@@ -132,9 +132,10 @@
         return best
 
     def choose_worker(self, now: float, function: Function, workers: list[Worker]) -> WorkerChoice:
-        """Return the worker for a new instance, and whether its load is unknown or below the mean.  Among the
-        first workers in the order of preference, as many as share the function, a random draw selects the
-        one to prefer.
+        """Return the worker for a new instance, and whether its load is unknown or below the mean.  Workers
+        are compared by load in steps of `LOAD_STEP`, then by whether they have an instance, then by whether
+        they were out of capacity.  Among equal ones, a random draw selects one of the first usable workers
+        in the order of preference, as many as share the function.
         """
         if function.ranked_workers != workers:
             _rank_workers(function, workers)
--- a/kelptrail/dispatch/queue_service.py
+++ b/kelptrail/dispatch/queue_service.py
@@ -71,14 +71,14 @@
             return decision
         if function.queue_depth:
             self._queued_functions[function] = None
-            wanted, pause_ms = function.queue_depth > expected_slots, SEARCH_PAUSE_MS
+            needs_instance, pause_ms = function.queue_depth > expected_slots, SEARCH_PAUSE_MS
         else:
             # The function may need more workers without a queue here, if other dispatchers keep its instances
             # busy.
             function.queued_since = None
-            wanted = 0 < supply.worker_count < int(function.target_worker_count)
+            needs_instance = 0 < supply.worker_count < int(function.target_worker_count)
             pause_ms = function.load_ms
-        if not wanted or now < function.searched_at + pause_ms:
+        if not needs_instance or now < function.searched_at + pause_ms:
             return None
         function.searched_at = now
         return self._add_instance(now, function, supply.instance_count)
--- a/kelptrail/dispatch/queues.py
+++ b/kelptrail/dispatch/queues.py
@@ -30,9 +30,9 @@
         self._last_delayed: Function | None = None
 
     def observe_worker_delay(self, function: Function, delayed: bool) -> None:
-        """Record whether an attempt was late or refused for lack of capacity.  Either shows queueing at the
-        workers, which counts like queueing in the dispatcher's own queues.  Successive delays of the same
-        function count once, even with attempts in time between them.
+        """Record whether an attempt was late or refused for lack of capacity.  Either shows that requests
+        queue at the workers, and lowers the share of requests that are admitted.  Successive delays of the
+        same function count once, even with attempts in time between them.
         """
         if not delayed:
             self._admitted_share = min(1.0, self._admitted_share + ADMIT_MORE_STEP)
@@ -42,7 +42,8 @@
 
     def should_shed(self, quota_factor: float, request: Request) -> bool:
         """Return whether to shed the request.  This handles overload of the workers that shows in no
-        dispatcher's own queues.  Requests of the lowest priority are shed first.
+        dispatcher's own queues.  The probability is higher for requests of a lower priority or beyond the
+        quota of their tenant, whose `quota_factor` is less than 1.
         """
         self._draws += self._admitted_share < 1
         weight = request.request_class.priority_weight
@@ -79,7 +80,7 @@
         """Return the maximum number of instances of the function.  If there is capacity, a queue that lasts
         longer than one load time raises it by the number of instances that the queue would fill, but by at
         least one and at most to twice its value.  It is never less than the number of workers that share the
-        function.  Adding instances one at a time took some twenty load times at a cold start.
+        function.  Adding one instance at a time would take some twenty load times at a cold start.
         """
         function.instance_limit = function.instance_limit or INITIAL_INSTANCE_LIMIT
         function.queued_since = now if function.queued_since is None else function.queued_since
--- a/kelptrail/dispatch/readiness.py
+++ b/kelptrail/dispatch/readiness.py
@@ -15,10 +15,11 @@
 
 from .entities import LONG_AGO, NEVER, Attempt, AttemptStatus, Idempotency, LoadOrder, ProbeKind, Worker
 
-# Each process stops relying on its list up to this share of the notification time earlier, by a part of it
-# that its seed selects, so that not all processes do so at once.
+# Each process shortens the notification time by a part that its seed selects, of at most this share, so that
+# not all processes stop relying on their lists at once.
 EARLY_SHARE = 0.1
-# The list may be unreachable once it was not confirmed for this share of the notification time.
+# The source of the list counts as possibly unreachable if the list was not confirmed for this share of the
+# notification time.
 ASSUMED_OUTAGE_SHARE = 0.5
 ANSWER_TIMEOUT_MS = 100.0  # a worker that has not answered a question within this time is skipped
 CRC_RANGE = 2**32
@@ -112,9 +113,9 @@
         if isinstance(item, Attempt) and item.request.request_class.idempotency is Idempotency.DEDUPLICATED:
             return False
         decided_at = item.started_at if isinstance(item, Attempt) else item.placed_at
-        asked_at = decided_at if item.write_started_at is None else item.write_started_at
+        sent_at = decided_at if item.write_started_at is None else item.write_started_at
         worker = item.instance.worker
-        worker.ready_proven_at = max(worker.ready_proven_at, asked_at)
+        worker.ready_proven_at = max(worker.ready_proven_at, sent_at)
         return True
 
     def on_connection_lost(self, now: float, worker: Worker) -> bool:
--- a/kelptrail/dispatch/readiness_questions.py
+++ b/kelptrail/dispatch/readiness_questions.py
@@ -40,8 +40,8 @@
         self._readiness, self._instances, self._state = parts.safety.readiness, parts.instances, state
         self._credit = MAX_CREDIT
         self._held_functions: dict[Function, None] = {}
-        # Time of the first answer to each question of which one probe is unanswered.  `on_tick` removes those
-        # whose unanswered probe is the load query.
+        # Time of the first answer to each question that still has an unanswered probe.  `on_tick` removes a
+        # question whose unanswered probe is the load query.
         self._first_answered_at: dict[ReadinessQuestion, float] = {}
         self._health_check_was_answered = False  # whether any worker has answered a health check
         self._ignoring_workers: set[str] = set()  # ids of workers that did not answer a health check
@@ -73,7 +73,7 @@
 
     def create(self, now: float, function: Function, worker: Worker) -> ReadinessQuestion | None:
         """Hold the function's queue and create a question to the worker.  Return None if a question is in
-        flight, the last one failed recently, no probes are allowed or there is no credit.
+        flight, the last one recently ended without a proof, no probes are allowed or there is no credit.
         """
         self.hold_queue(function)
         if not self._may_query(now, worker):
@@ -126,8 +126,8 @@
         return all(worker.id in self._ignoring_workers for worker in self._state.workers if worker.live)
 
     def _on_late_answer(self, probe: ReadinessProbe) -> None:
-        """Handle an answer to a question that has ended or was replaced.  It may still show that the worker
-        drains.
+        """Handle an answer to a question that has ended or was replaced.  The answer may still show that the
+        worker drains; an older proof of readiness then no longer counts.
         """
         worker = probe.question.instance.worker
         if probe.status is AttemptStatus.OUT_OF_CAPACITY and worker.ready_proven_at <= _question_sent_at(
--- a/kelptrail/dispatch/request_lifecycle.py
+++ b/kelptrail/dispatch/request_lifecycle.py
@@ -23,8 +23,8 @@
     def start_load(
         self, now: float, instance: Instance, count: int, reserve: float = 0.0
     ) -> LoadOrder | None:
-        """Order `count` instances if the rules and the load ration less the share `reserve` allow it.  Return
-        the order, or None.
+        """Order `count` instances, if the rules allow it and the load ration, without its share `reserve`,
+        is not used up.  Return the order, or None.
         """
         instance.load_order = self._safety.start_load(now, instance, count, reserve)
         instance.worker.pending_loads += instance.load_order is not None
--- a/kelptrail/dispatch/safety.py
+++ b/kelptrail/dispatch/safety.py
@@ -135,6 +135,7 @@
         return LoadOrder(instance, min(count, MAX_LOAD_COUNT), now, latest_start)
 
     def _take_from_ration(self, now: float, worker: Worker, reserve: float) -> bool:
+        """Count a load order if the worker is live and the ration allows it; return whether it does."""
         # The ration applies to orders as they arrive, up to `max_delivery_ms` after their decision.  Requests
         # therefore count for a shorter time than the window, and orders for a longer time.
         requests = drop_until(self.request_times, now - self._ration_window_ms + self._max_delivery_ms + 1)
--- a/kelptrail/dispatch/second_attempts.py
+++ b/kelptrail/dispatch/second_attempts.py
@@ -71,8 +71,8 @@
                 self._lifecycle.cancel_attempts(request)
 
     def start_hedge(self, now: float, first: Attempt) -> Attempt | None:
-        """Start a second attempt beside one that takes unusually long.  It needs a slot that is free for late
-        requests, so that it delays no other request.
+        """Start a second attempt beside one that takes unusually long.  Like a late request, it may use only
+        a share of each concurrency limit, so that it delays no other request.
         """
         request = first.request
         if (
--- a/kelptrail/dispatch/shutdown.py
+++ b/kelptrail/dispatch/shutdown.py
@@ -23,7 +23,7 @@
 
     listener_closes_at: float  # from then on the process may exit once nothing is in flight
     refuse_from: float  # requests that arrive later are refused
-    finish_by: float  # every request still in flight gets its final answer
+    finish_by: float  # every request still in flight gets its final answer by then
 
 
 NOT_PLANNED = ShutdownPlan(float("inf"), float("inf"), float("inf"))
--- a/kelptrail/dispatch/slow_start.py
+++ b/kelptrail/dispatch/slow_start.py
@@ -1,7 +1,8 @@
 """Slow start: limits the attempts that a recently started worker gets from this dispatcher.
 
-The attempts of all dispatchers together are not counted anywhere.  Each dispatcher limits itself to a share
-of the attempts that warm workers complete for it, and the shares add up to what the settings allow.
+A worker is warm once its slow start has ended.  The attempts of all dispatchers together are not counted
+anywhere.  Each dispatcher limits itself to a share of the attempts that warm workers complete for it, and the
+shares add up to what the settings allow.
 `docs/design.md`, the five rules, has the figures and their reasons.  Times are milliseconds.
 """
 
@@ -83,7 +84,8 @@
         if budget >= 1:
             return sum(started_at > now - window_ms for started_at in started) < budget
         # With a budget below one attempt in a window, a seeded random draw for each window decides.  The
-        # windows of different dispatchers have different offsets.
+        # windows of different dispatchers have different offsets.  `window` counts the windows since the
+        # start of the worker; its integer part numbers the present one.
         offset = crc32(f"{self._seed} {worker.id}".encode()) / CRC_RANGE
         window = (now - (worker.latest_possible_start or 0.0)) / window_ms + offset
         if started and started[-1] >= now - window % 1 * window_ms:
--- a/kelptrail/engine/events.py
+++ b/kelptrail/engine/events.py
@@ -1,4 +1,4 @@
-"""Events that callers pass to the engine; they refer to entities of the settings instead of their wire forms."""
+"""Events that callers pass to the engine; request classes and tenants are objects, not their forms on the wire."""
 
 from __future__ import annotations
 
--- a/kelptrail/engine/invariants.py
+++ b/kelptrail/engine/invariants.py
@@ -2,8 +2,8 @@
 
 The readiness of a worker is computed independently of the code that decides by it (see `Invariants`); the other checks
 compare an item with its time limits, the state of its worker and earlier events.  A violation is counted by its name
-and logged with its request.  It raises nothing and changes no behaviour.  `docs/invariants.md` lists the invariants,
-the code that ensures each, and where it is checked.  Times are milliseconds of the monotonic clock.
+and logged with its request.  The checks raise nothing and change no behaviour.  `docs/invariants.md` lists the
+invariants, the code that ensures each, and where it is checked.  Times are milliseconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
 
 CLIENT_GONE_SLACK_MS = 100.0  # time after a client cancelled or disconnected in which an attempt may still start
 LIMIT_SLACK_MS = 150.0  # a worker's time limit may exceed the time left until the client's deadline by this
-# On sockets, the platform's rules extend the time limits of starts by this; a start later than that is a violation.
+# The platform's rules allow a start on a socket this long after its time limit; a later start is a violation.
 START_SLACK_MS = 50.0
 
 
 class Violation(Enum):
-    """The invariants; each value is the name of the violation."""
+    """The violations of the invariants; each value is the name in the log and in the counts."""
 
     ATTEMPT_AFTER_CLIENT_LEFT = "attempt after client left"
     ATTEMPT_AFTER_ANSWER = "attempt after final answer"
-    ATTEMPT_TO_DRAINING_WORKER = "attempt to draining worker"  # or to a removed one
+    ATTEMPT_TO_DRAINING_WORKER = "attempt to draining worker"  # the worker is draining or removed
     READINESS_UNKNOWN = "start at a worker not known to be ready"
     ATTEMPT_PAST_ITS_TIME = "attempt past its time"  # first byte sent after `latest_start`
-    SECOND_EFFECT = "second effect"  # may be executed twice, which its idempotency forbids
+    SECOND_EFFECT = "second effect"  # the request may be executed twice, which its idempotency forbids
     LIMIT_OVER_TIME_LEFT = "limit over time left"  # worker's time limit longer than the time left until the deadline
     LOAD_ORDER_LATE = "load order late"  # first byte sent after `latest_start`, or to a worker that is not live
     SECOND_ANSWER = "second answer"
@@ -55,7 +55,7 @@
 class DrainTiming:
     """Time limits on starting work at a worker that may be draining."""
 
-    # Time after a confirmed list from which on a drain counts as notified even if unreported; NEVER: no check.
+    # Time since the list was last confirmed after which an unreported drain counts as notified; NEVER: no check.
     notification_ms: float = NEVER
     grace_ms: float = 0.0  # time after the notification during which new work may still start
 
--- a/kelptrail/engine/settings.py
+++ b/kelptrail/engine/settings.py
@@ -77,7 +77,7 @@
         return int(value)
 
     def ms(self, name: str, minimum_us: float = 0.0) -> float:
-        """Convert a duration from microseconds to milliseconds and return it."""
+        """Return in milliseconds a duration that the settings give in microseconds."""
         return self.number(name, minimum_us) / 1000
 
     def flag(self, name: str) -> bool:
--- a/kelptrail/simulator_adapter/instance.py
+++ b/kelptrail/simulator_adapter/instance.py
@@ -70,9 +70,9 @@
         self._name, self._engine = name, Engine(seed, settings, _list_timing(settings))
         # Load orders and load queries in flight, by worker id and function id, oldest first.
         self._orders: dict[tuple[str, str], deque[LoadOrder | ReadinessProbe]] = {}
-        self._checks: dict[str, deque[ReadinessProbe]] = {}  # by worker id, oldest first
+        self._health_checks: dict[str, deque[ReadinessProbe]] = {}  # in flight, by worker id, oldest first
         self._subscription: list[Fields] = []  # the pending `Track` action, if there is one
-        self._is_subscribed, self._subscribe_at = False, 0.0
+        self._is_subscribed, self._subscribe_at = False, 0.0  # `_subscribe_at`: earliest time to subscribe again
         self._next_alarm: float | None = None  # time of the alarm that is set for the engine's next due time
         self._tick_set = False
 
@@ -197,13 +197,13 @@
 
     def on_health_check(self, now: float, event: Fields) -> None:
         """Record the result of a health check; the checks of one worker end in the order in which they were sent."""
-        if not self._checks:
+        if not self._health_checks:
             return
-        checks = self._checks.get(event["runner"])
+        checks = self._health_checks.get(event["runner"])
         if checks:
             self._engine.on_probe_finished(now, checks.popleft(), ATTEMPT_STATUSES[event["ending"]])
             if not checks:
-                del self._checks[event["runner"]]
+                del self._health_checks[event["runner"]]
 
     def ignore(self, now: float, event: Fields) -> None:
         """Ignore an event; messages between dispatchers are not used."""
@@ -230,7 +230,7 @@
     def _encode_probe(self, probe: ReadinessProbe) -> Fields:
         worker, function = probe.question.instance.worker, probe.question.instance.function
         if probe.kind is ProbeKind.HEALTH_CHECK:
-            self._checks.setdefault(worker.id, deque()).append(probe)
+            self._health_checks.setdefault(worker.id, deque()).append(probe)
             return {"Poll": {"i": self._name, "runner": worker.id}}
         self._orders.setdefault((worker.id, function.id), deque()).append(probe)
         return {"StartCopy": {"i": self._name, "runner": worker.id, "fn": function.id, "copies": 0}}
