--- a/kelptrail/gateway/admission.py
+++ b/kelptrail/gateway/admission.py
@@ -40,7 +40,7 @@
     limit_ms: float = float("inf")  # the client's own timeout; applies where it is below that of the request class
     payload_format: str = "json"
     streamed: bool = False  # the client accepts the response in parts
-    client_key: str = ""  # identifies retries to overload control; if empty, the key is used, or the id
+    client_key: str = ""  # identifies retries to overload control; if empty, `key` does, or the activation id
 
 
 class RequestAdmission:
@@ -48,7 +48,7 @@
 
     def __init__(self, state: GatewayState, durability: DurabilityWriter, boot: str) -> None:
         self._state, self._durability, self._parts = state, durability, state.parts
-        self._boot, self._submitted = boot, 0  # an activation id consists of this start's prefix and a counter
+        self._boot, self._submitted = boot, 0  # `boot` and a counter form an activation id
         self._max_priority_weight = max(t.priority_weight for t in self._parts.deployment.types.values())
 
     def check_admission(
--- a/kelptrail/gateway/build.py
+++ b/kelptrail/gateway/build.py
@@ -16,8 +16,8 @@
 from kelptrail.dispatch.timer_queue import TimerQueue
 from kelptrail.settings.deployment import Deployment, DispatcherSettings, RuleSettings, TypeSettings
 
-# Time after which a dispatcher counts as notified of a change of the endpoint list: two long polls, which the endpoint
-# source holds for 2 s each.  A poll without an answer after this time is lost.
+# Time since the endpoint list was last confirmed at which a change of the list counts as notified: two long polls,
+# which the endpoint source holds for 2 s each.  A poll without an answer after this time is lost.
 LIST_NOTIFICATION_MS = 4_000.0
 
 
--- a/kelptrail/gateway/connection_health.py
+++ b/kelptrail/gateway/connection_health.py
@@ -9,7 +9,7 @@
 
 from kelptrail.dispatch.entities import AttemptStatus
 
-# Other outcomes, such as a cancelled attempt, say nothing about the connections.
+# Other statuses, such as that of a cancelled attempt, say nothing about the connections.
 REACHED = frozenset(
     {AttemptStatus.COMPLETED, AttemptStatus.ERROR, AttemptStatus.OUT_OF_CAPACITY, AttemptStatus.NOT_LOADED}
 )
@@ -23,11 +23,11 @@
         self._span_ms = span_ms
         self._reached_at = self._failed_at = float("-inf")  # times of the last successful and failed result
 
-    def on_attempt_finished(self, now: float, outcome: AttemptStatus) -> None:
+    def on_attempt_finished(self, now: float, status: AttemptStatus) -> None:
         """Record the result of an attempt or a load order."""
-        if outcome in REACHED:
+        if status in REACHED:
             self._reached_at = now
-        elif outcome in NO_ANSWER:
+        elif status in NO_ANSWER:
             self._failed_at = now
 
     def on_connect_result(self, now: float, reached: bool) -> None:
--- a/kelptrail/gateway/durability.py
+++ b/kelptrail/gateway/durability.py
@@ -101,9 +101,9 @@
     def when_durable(self, invocation: Invocation, done: Callable[[bool | None], None]) -> None:
         """Call `done` with whether the request's record is durable, once that is known.
 
-        For a request that is not journaled it is called at once, with True only if there is no local journal at all.
-        It is called with None where another dispatcher has taken over the journal, so that the result is unknown.  It
-        is not called if too few replicas have the record: the request is then rejected.
+        For a request that is not journaled, `done` is called at once, with True only if there is no local journal at
+        all.  It is called with None where another dispatcher has taken over the journal, so that the result is unknown.
+        It is not called if too few replicas have the record: the request is then rejected.
         """
         lifecycle = invocation.lifecycle
         if not lifecycle.journaled:
@@ -118,7 +118,7 @@
     def make_durable(self, invocation: Invocation) -> None:
         """Journal a blocking request whose client will poll with the activation id instead.
 
-        Do nothing if the request has its final answer, without a local journal, or while no entries are accepted.
+        Do nothing if the request has its final answer, if there is no local journal, or while no entries are accepted.
         """
         if invocation.lifecycle.final or self.journal is None or not self.accepts_deferred():
             return
--- a/kelptrail/gateway/lifecycle.py
+++ b/kelptrail/gateway/lifecycle.py
@@ -1,10 +1,10 @@
 """The lifecycle of one request, and which journal entries must be durable before each step; free of I/O.
 
 An event may request entries (`next_entry`).  The caller writes them to a journal and reports the result of each write
-(`on_written`), as the ready loop of a replicated log does.  Exactly three steps wait for a durable entry: the
-acknowledgement of a deferred request (`durable_result`), the first byte of an attempt whose repetition could double an
-effect (`start_attempt`), and the final answer (`publish`), which a blocking client gets without a durable entry if the
-write fails or the request's time is up.  A step out of order raises `IllegalStepError`.
+(`on_written`).  Exactly three steps wait for a durable entry: the acknowledgement of a deferred request
+(`durable_result`), the first byte of an attempt whose repetition could double an effect (`start_attempt`), and the
+final answer (`publish`), which a blocking client gets without a durable entry if the write fails or the request's time
+is up.  A step out of order raises `IllegalStepError`.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
     """The state of one request.  `idempotent`: a second run is harmless; `journaled`: it survives a restart."""
 
     __slots__ = (
-        "_entries",
+        "_requested_entries",
         "accepted_write",
         "attempt_count",
         "deferred",
@@ -82,7 +82,7 @@
         self.stage = RequestStage.ACCEPTED
         self.accepted_write = self.may_run_write = self.ended_write = WriteState.NOT_REQUESTED
         self.held = self.in_flight = self.attempt_count = 0
-        self._entries: list[EntryKind] = []
+        self._requested_entries: list[EntryKind] = []  # entries not yet returned by `next_entry`
 
     @classmethod
     def resumed(cls, idempotent: bool, may_have_run: bool) -> RequestLifecycle:
@@ -119,7 +119,7 @@
 
     def next_entry(self) -> EntryKind | None:
         """Return the next entry to write, or None; each is returned once."""
-        return self._entries.pop(0) if self._entries else None
+        return self._requested_entries.pop(0) if self._requested_entries else None
 
     def _request_entry(self, kind: EntryKind) -> None:
         if kind is EntryKind.ACCEPTED:
@@ -128,7 +128,7 @@
             self.may_run_write = WriteState.PENDING
         else:
             self.ended_write = WriteState.PENDING
-        self._entries.append(kind)
+        self._requested_entries.append(kind)
 
     def request_accepted_entry(self) -> None:
         """Request the accepted entry if the request is journaled, not final, and the entry was not requested before."""
@@ -240,7 +240,7 @@
 
     def release(self) -> None:
         """Give up the request, as another dispatcher has taken it over: nothing more is written or shown here."""
-        self._entries.clear()
+        self._requested_entries.clear()
         self.stage = RequestStage.PUBLISHED
 
     def finish(self) -> bool:
--- a/kelptrail/gateway/overload.py
+++ b/kelptrail/gateway/overload.py
@@ -108,14 +108,14 @@
 
     def _close_windows(self, now: float) -> None:
         """Close all windows that have ended."""
-        window = self._settings.window_ms
-        if now < self._window_start + window:
+        window_ms = self._settings.window_ms
+        if now < self._window_start + window_ms:
             return
         # A long time without input is skipped, as nothing is known of it.
-        if now > self._window_start + MAX_CATCH_UP_WINDOWS * window:
-            self._window_start = now - window
-        while now >= self._window_start + window:
-            self._window_start += window
+        if now > self._window_start + MAX_CATCH_UP_WINDOWS * window_ms:
+            self._window_start = now - window_ms
+        while now >= self._window_start + window_ms:
+            self._window_start += window_ms
             self._close_window()
 
     def _close_window(self) -> None:
--- a/kelptrail/gateway/records.py
+++ b/kelptrail/gateway/records.py
@@ -108,7 +108,7 @@
     def __init__(self, max_records: int, max_bytes: float, max_age_ms: float) -> None:
         self._max_records, self._max_bytes, self._max_age_ms = max_records, max_bytes, max_age_ms
         self._by_id: OrderedDict[str, Record] = OrderedDict()
-        self._ended: deque[tuple[float, Record]] = deque()  # end times by the caller's clock, and the records
+        self._ended: deque[tuple[float, Record]] = deque()  # records with the time of their end or restoration
         self._bytes = 0
         self.dropped = 0
         # Numbers of completed, rejected and failed activations since the start, by namespace.
--- a/kelptrail/gateway/state.py
+++ b/kelptrail/gateway/state.py
@@ -30,7 +30,7 @@
 
 
 class GatewayState:
-    """The state of one gateway, which changes on one thread.
+    """The state of one gateway, changed by one thread only.
 
     Only the gateway and its parts change it, except that the host (the program that runs the gateway) updates
     `answer_ms`.  `boot` identifies the run of the process; it seeds the random draws of overload control.
--- a/kelptrail/gateway/streaming.py
+++ b/kelptrail/gateway/streaming.py
@@ -42,6 +42,6 @@
             return
         request_class = self._state.parts.deployment.types[invocation.record.request_class]
         stall_ms = request_class.stream_stall_ms if reading else float("inf")
-        before, invocation.expires_at = invocation.expires_at, min(request.deadline, now + stall_ms)
-        if invocation.expires_at < before or invocation.part_count == 1:
+        previous_expires_at, invocation.expires_at = invocation.expires_at, min(request.deadline, now + stall_ms)
+        if invocation.expires_at < previous_expires_at or invocation.part_count == 1:
             self._state.expiry_timers.add(invocation.expires_at, request)
--- a/kelptrail/gateway/tenant_quotas.py
+++ b/kelptrail/gateway/tenant_quotas.py
@@ -36,18 +36,19 @@
         self._max_retry_budget = 1.0
         # Counts of this window.
         self._requests: dict[str, int] = {}  # requests by tenant
-        self._within_quota = self._degraded = 0  # requests of tenants within quota, and those rejected or late
+        # Requests of tenants within quota that arrived, and that were rejected or late.
+        self._within_quota_count = self._degraded_count = 0
 
     # Inputs.
 
     def on_request(self, tenant: str) -> None:
         """Count a request."""
         self._requests[tenant] = self._requests.get(tenant, 0) + 1
-        self._within_quota += tenant not in self.over_quota
+        self._within_quota_count += tenant not in self.over_quota
 
     def on_degraded(self, tenant: str) -> None:
         """Count a request of a tenant within quota that the dispatcher rejected, or that was completed late."""
-        self._degraded += tenant not in self.over_quota
+        self._degraded_count += tenant not in self.over_quota
 
     def on_completed(self) -> None:
         """Allow one more retry, as a request is completed."""
@@ -99,7 +100,7 @@
         Too many are more than `degraded_share` of them; fewer than `min_samples` requests count as `min_samples`.
         """
         settings = self._settings
-        return self._degraded > settings.degraded_share * max(self._within_quota, settings.min_samples)
+        return self._degraded_count > settings.degraded_share * max(self._within_quota_count, settings.min_samples)
 
     def close_window(self, calm: bool, within_quota_degraded: bool, completed_per_s: float) -> None:
         """End a window: update the tenants over quota, their admitted share, and the retry budget."""
@@ -111,7 +112,7 @@
             self.admitted_share = min(1.0, self.admitted_share + increase)
         self._max_retry_budget = budget = max(1.0, completed_per_s * self._settings.window_ms / 1000)
         self._retry_budget = max(-budget, min(budget, self._retry_budget))
-        self._within_quota = self._degraded = 0
+        self._within_quota_count = self._degraded_count = 0
         self._requests.clear()
 
     def _update_over_quota(self) -> None:
--- a/kelptrail/gateway/worker_calls.py
+++ b/kelptrail/gateway/worker_calls.py
@@ -47,7 +47,7 @@
 
 
 class _AttemptCall(NamedTuple):
-    """The tag of an attempt's call."""
+    """The tag of an attempt's call: the request and the attempt that the call was started for."""
 
     invocation: Invocation
     attempt: Attempt
--- a/kelptrail/service/dispatcher.py
+++ b/kelptrail/service/dispatcher.py
@@ -55,8 +55,8 @@
 
     def __init__(self, deployment: Deployment, options: DispatcherOptions, log: Any, debug: bool) -> None:
         self.deployment, self.options, self.log = deployment, options, log
-        # `boot` begins all activation ids of this run.  Its own prefix identifies the dispatcher; the rest is random,
-        # so that the ids of two runs never collide.
+        # `boot` begins all activation ids of this run.  Its first `ID_PREFIX_DIGITS` digits identify the dispatcher;
+        # the rest is random, so that the ids of two runs never collide.
         self.boot = id_prefix(options.name) + os.urandom(8).hex()[ID_PREFIX_DIGITS:]
         zone = options.zone or deployment.dispatcher.zone or deployment.zones[0]
         parts = DispatcherParts(deployment, zone, zlib.crc32(self.boot.encode()))
@@ -130,13 +130,13 @@
         deployment, options = self.deployment, self.options
         if deployment.peers is None:
             return None
-        configured = {peer.name: peer.at for peer in deployment.peers.peer}.get(options.name)
+        configured_address = {peer.name: peer.at for peer in deployment.peers.peer}.get(options.name)
         fleet = Fleet(
             deployment,
             FleetOptions(
                 name=options.name,
                 run_id=os.urandom(4).hex(),
-                listen=options.peers or configured or f"{options.host}:0",
+                listen=options.peers or configured_address or f"{options.host}:0",
                 peer_addresses=options.peer_addresses,
                 state_folder=options.state_folder,
                 vfs=self._vfs,
@@ -283,7 +283,7 @@
         self.front_addresses.start()
 
     def _can_store(self) -> bool:
-        """Return whether neither the last save of an endpoint list nor the journal's writes fail."""
+        """Return whether the last endpoint list could be saved and the journal's writes do not fail."""
         commits = self._stores.commits
         return self.endpoints.saved and not (commits and commits.failing)
 
--- a/kelptrail/service/fleet.py
+++ b/kelptrail/service/fleet.py
@@ -83,7 +83,7 @@
 
 
 class Fleet:
-    """The fleet member in a process.  Raises `StateFolderError` if it is a lease acceptor without a state folder."""
+    """The fleet member in a process.  Raises `StateFolderError` if a lease acceptor has no state folder."""
 
     def __init__(self, deployment: Deployment, options: FleetOptions, log: Any) -> None:
         config, leases = deployment.peers, deployment.leases
@@ -116,13 +116,13 @@
         if state is None or self.leases is None:
             raise StateFolderError(f"{options.name} stores journal replicas (copies) and needs --state")
         try:
-            own, damaged_copy = open_replica_store(state / "copies.sqlite", options.vfs)
+            own, set_aside = open_replica_store(state / "copies.sqlite", options.vfs)
             others = own if config.replica_storage == "disk" else ReplicaStore(None)
         except JournalError as cause:
             log.error("replica-store-unusable", reason=str(cause))
             return
-        if damaged_copy is not None:
-            log.error("replica-store-set-aside", file=str(damaged_copy))
+        if set_aside is not None:
+            log.error("replica-store-set-aside", file=str(set_aside))
         self.replication = ReplicationDriver(
             ReplicationOptions(
                 options.name, replication_settings(config), config.primary_timeout_ms, self.lease_length_ms
--- a/kelptrail/service/journal.py
+++ b/kelptrail/service/journal.py
@@ -50,12 +50,12 @@
 
 def _open_file(file: Path, max_bytes: float, vfs: str | None, log: Any) -> ActivationJournal | None:
     try:
-        journal, damaged_copy = open_journal(file, max_bytes, vfs)
+        journal, set_aside = open_journal(file, max_bytes, vfs)
     except JournalError as cause:
         log.error("journal-unusable", file=str(file), reason=str(cause))
         return None
-    if damaged_copy is not None:
-        log.error("journal-set-aside", file=str(damaged_copy))
+    if set_aside is not None:
+        log.error("journal-set-aside", file=str(set_aside))
     return journal
 
 
@@ -85,7 +85,7 @@
 
 
 def min_run_ms(deployment: Deployment) -> float:
-    """Return the minimum time left until its deadline, in ms, with which a recovered activation is still started.
+    """Return the remaining time in ms at or below which a recovered activation is not run.
 
     It is twice the answer margin: besides the margin itself, an attempt and its answer take at least as long again.
     """
--- a/kelptrail/service/lease_trial.py
+++ b/kelptrail/service/lease_trial.py
@@ -76,7 +76,7 @@
     async def _write_once(self, client: HttpClient, task: str, token: FencingToken) -> bool:
         """Write once; return False if the log rejected the write or its end.
 
-        A write whose lease was lost while it worked counts as accepted; its end is not reported.
+        A write during which the lease was lost counts as accepted; its end is not reported.
         """
         # In messages to the log, `looked` is the time of the lease check; in its replies, `taken` is whether it
         # accepted the message.
--- a/kelptrail/service/shutdown.py
+++ b/kelptrail/service/shutdown.py
@@ -10,7 +10,7 @@
 from .dispatcher import Dispatcher
 
 POLL_S = 0.05  # interval between checks for deferred results that no client has fetched yet
-MIN_STORE_MS = 500.0  # minimum time to close each store and to drain the HTTP front, even if the drain time is over
+MIN_CLOSE_MS = 500.0  # minimum time to close each store and to drain the HTTP front, even if the drain time is over
 MIN_GRPC_MS, MAX_GRPC_MS = 100.0, 1000.0  # range of the time to drain the gRPC front
 
 
@@ -41,7 +41,7 @@
     fronts.invoke.context.draining = fronts.inference.context.draining = True
     fronts.grpc.start_draining()
     deadline = _Deadline(dispatcher.deployment.front.drain_ms)
-    await _release_duties(dispatcher)
+    await _release_tasks_and_addresses(dispatcher)
     answered = await dispatcher.driver.drain(deadline.remaining_ms())
     await _wait_for_fetches(dispatcher, deadline)
     answered = await _close_stores(dispatcher, deadline) and answered
@@ -51,7 +51,7 @@
     return answered and closed
 
 
-async def _release_duties(dispatcher: Dispatcher) -> None:
+async def _release_tasks_and_addresses(dispatcher: Dispatcher) -> None:
     """Release the fleet-wide tasks and front addresses to other dispatchers, and drain the servers of the addresses."""
     if dispatcher.lease_trial is not None:
         dispatcher.lease_trial.stop()
@@ -76,15 +76,15 @@
 async def _close_stores(dispatcher: Dispatcher, deadline: _Deadline) -> bool:
     """Close the replicated journals, then release the leases, then close the local journal.
 
-    Returns whether all journals were completely written.
+    Return whether all journals were completely written.
     """
     written, fleet = True, dispatcher.fleet
     if fleet is not None and fleet.replication is not None:
-        written = await fleet.replication.stop(deadline.remaining_ms(MIN_STORE_MS)) and written
+        written = await fleet.replication.stop(deadline.remaining_ms(MIN_CLOSE_MS)) and written
     if fleet is not None and fleet.leases is not None:
         await fleet.leases.stop()
     if dispatcher.driver.journal is not None:
-        written = await dispatcher.driver.journal.close(deadline.remaining_ms(MIN_STORE_MS)) and written
+        written = await dispatcher.driver.journal.close(deadline.remaining_ms(MIN_CLOSE_MS)) and written
     return written
 
 
@@ -97,7 +97,7 @@
     if not await dispatcher.fronts.grpc.drain(grpc_ms):
         return False
     linger_ms = dispatcher.deployment.front.linger_ms
-    return await dispatcher.fronts.http.drain(deadline.remaining_ms(MIN_STORE_MS), linger_ms)
+    return await dispatcher.fronts.http.drain(deadline.remaining_ms(MIN_CLOSE_MS), linger_ms)
 
 
 async def _stop_parts(dispatcher: Dispatcher) -> None:
--- a/kelptrail/service/step_faults.py
+++ b/kelptrail/service/step_faults.py
@@ -1,6 +1,6 @@
 """Crash and pause points for tests: the process kills or suspends itself at a named step of the gateway.
 
-Crash points also include the step of the lease acceptor.
+A crash point can also be the lease acceptor's step `voted`: a grant or note is durable, its reply not yet sent.
 """
 
 from __future__ import annotations
--- a/kelptrail/service/usage.py
+++ b/kelptrail/service/usage.py
@@ -54,7 +54,7 @@
 
 
 class _Answer(NamedTuple):
-    requested_ms: float
+    requested_at: float
     run: str
     counts: NamespaceCounts
 
@@ -64,14 +64,14 @@
 
     def __init__(self, token: FencingToken) -> None:
         self.token, self.turn = token, 0
-        self._turn_started = 0.0
+        self._turn_started_at = 0.0
         self._earlier_answers: dict[str, _Answer] = {}  # last answer before this turn, by dispatcher
         self._turn_answers: dict[str, _Answer] = {}  # answer to this turn, by dispatcher
 
     def start_turn(self, now: float) -> UsageRequest:
         """Start a turn and return the request to send to all dispatchers."""
         self.turn += 1
-        self._earlier_answers, self._turn_answers, self._turn_started = (
+        self._earlier_answers, self._turn_answers, self._turn_started_at = (
             self._earlier_answers | self._turn_answers,
             {},
             now,
@@ -81,7 +81,7 @@
     def on_counts(self, name: str, answer: UsageCounts) -> None:
         """Record a dispatcher's counts; an answer to an earlier turn is dropped."""
         if answer.turn == self.turn:
-            self._turn_answers[name] = _Answer(self._turn_started, answer.run, answer.counts)
+            self._turn_answers[name] = _Answer(self._turn_started_at, answer.run, answer.counts)
 
     def total(self) -> UsageTotal:
         """Return the rates of the dispatchers that answered both this turn and an earlier one."""
@@ -89,12 +89,12 @@
         dispatchers = 0
         for name, answer in self._turn_answers.items():
             previous = self._earlier_answers.get(name)
-            if previous is None or answer.requested_ms <= previous.requested_ms:
+            if previous is None or answer.requested_at <= previous.requested_at:
                 continue
             dispatchers += 1
             # A new run counts from 0; calls of the earlier run since its last answer are missing in the rates.
             old_counts = previous.counts if previous.run == answer.run else {}
-            elapsed_ms = answer.requested_ms - previous.requested_ms
+            elapsed_ms = answer.requested_at - previous.requested_at
             for namespace, counts in answer.counts.items():
                 sums = rates.setdefault(namespace, [0.0, 0.0, 0.0])
                 for position, count in enumerate(counts):
--- a/kelptrail/store/activation_journal.py
+++ b/kelptrail/store/activation_journal.py
@@ -41,7 +41,7 @@
 class ActivationJournal:
     """One file of at most `max_bytes`: a commit beyond that fails as on a full disk.  `vfs` is for tests.
 
-    `damaged` counts the damaged rows that `activations` has met.
+    `damaged` counts the damaged rows that `activations` has found.
     """
 
     def __init__(self, file: Path, max_bytes: float = 1e12, vfs: str | None = None) -> None:
@@ -72,7 +72,7 @@
             self._database.set_format_version(FORMAT)
 
     def clear_orphans(self) -> None:
-        """Delete the entries of activations that have no accepted entry, as it never became durable.
+        """Delete the entries of activations without an accepted entry, as that entry never became durable.
 
         Raises `JournalError`.
         """
--- a/kelptrail/store/driver.py
+++ b/kelptrail/store/driver.py
@@ -43,7 +43,7 @@
         self._thread = ThreadPoolExecutor(1, "journal")
         self._busy = False
         self._stale: list[str] = []  # ids of activations to delete, because their records were dropped
-        self._timer: asyncio.TimerHandle | None = None
+        self._retry_timer: asyncio.TimerHandle | None = None
 
     def forget(self, id_: str) -> None:
         """Schedule the deletion of an activation whose record was dropped."""
@@ -54,7 +54,7 @@
     def compact(self) -> bool:
         """Start to delete a batch of stale activations, unless the thread is busy or writes fail.
 
-        It is called as background work.  Return whether a full batch remains.
+        Runs as a background job.  Return whether a full batch remains.
         """
         if self._stale and not self._busy and not self.group_commit.failing:
             self._start_forget()
@@ -73,14 +73,15 @@
             self._start(self._commit, batch)
         elif len(self._stale) >= FORCED_DELETE_COUNT:
             self._start_forget()
-        elif self.group_commit.failing and self._timer is None:
-            self._timer = self._loop.call_later(RETRY_POLL_S, self._on_retry_timer)
+        elif self.group_commit.failing and self._retry_timer is None:
+            self._retry_timer = self._loop.call_later(RETRY_POLL_S, self._on_retry_timer)
 
     def _on_retry_timer(self) -> None:
-        self._timer = None
+        self._retry_timer = None
         self.start_next_batch()
 
     def _start(self, work: Callable[[Any], Callable[[], None]], argument: Any) -> None:
+        """Run `work` in the thread, and then, on the event loop, the function that it returns."""
         self._busy = True
         self._thread.submit(self._run, work, argument)
 
--- a/kelptrail/store/group_commit.py
+++ b/kelptrail/store/group_commit.py
@@ -64,8 +64,8 @@
     def write(self, entry: Entry, waiter: Waiter | None = None, keep: bool = False) -> None:
         """Add an entry to the next batch, and call `waiter` once with whether it is durable.
 
-        While writes fail, the entry is refused at once.  With `keep`, it is written again until it is durable instead,
-        and `waiter` is called only with True.
+        While writes fail, the entry is refused at once.  With `keep`, it is instead retried until it is durable, and
+        `waiter` is called only with True.
         """
         if self.failing:
             if keep:
@@ -91,8 +91,8 @@
     def next_batch(self, now: float) -> Batch | None:
         """Return the next batch to write, or None.
 
-        After a failure it is a trial batch, at most one in each retry interval, with the entries to be
-        retried; it may be empty.
+        After a failure it is a trial batch, at most one in each retry interval, with the entries to be retried; it may
+        be empty.
         """
         if self._writing is not None:
             return None
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -301,7 +301,7 @@
 def test_a_replica_store_in_format_1_is_read_completely(tmp_path: Path) -> None:
     """The disk id, the token and primary of each journal, its activations and its bucket digests are read.
 
-    Times are those of the local wall clock.  The stream of `WEST` was closed, so that only its token is left.
+    Times are those of the local wall clock.  The journal `WEST` was closed, so that only its token is left.
     """
     file = copy_fixture("copies.sqlite", tmp_path)
     assert run_sql(file, "PRAGMA user_version") == [(1,)]
