--- a/kelptrail/gateway/records.py
+++ b/kelptrail/gateway/records.py
@@ -1,7 +1,7 @@
 """Activation records: created when a request is accepted, ended once, and kept up to a number, a size and an age.
 
-Free of I/O.  Wall times are passed in and only shown; ages are computed with the caller's clock.  Times are in
-milliseconds.
+Free of I/O.  Wall times are passed in, to show records and to select them by their start; ages are computed with the
+caller's clock.  Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -109,7 +109,7 @@
         self._max_records, self._max_bytes, self._max_age_ms = max_records, max_bytes, max_age_ms
         self._by_id: OrderedDict[str, Record] = OrderedDict()
         self._ended: deque[tuple[float, Record]] = deque()  # records with the time of their end or restoration
-        self._bytes = 0
+        self._ended_bytes = 0
         self.dropped = 0
         # Numbers of completed, rejected and failed activations since the start, by namespace.
         self.final_counts: dict[str, list[int]] = {}
@@ -121,7 +121,7 @@
     @property
     def ended_bytes(self) -> int:
         """Approximate size of the ended records in memory, in bytes."""
-        return self._bytes
+        return self._ended_bytes
 
     def add(self, record: Record) -> None:
         """Add the record of a new request.  Raises `DuplicateRecordError`."""
@@ -137,24 +137,24 @@
         record.end = record.start + (now - record.received_at)
         self.final_counts.setdefault(record.namespace, [0, 0, 0])[FINAL_COUNT_INDEX[answer]] += 1
         self._ended.append((now, record))
-        self._bytes += record.size
+        self._ended_bytes += record.size
         self.trim(now)
 
     def restore(self, now: float, record: Record) -> None:
         """Add a record that had ended before a restart or a take-over."""
         self._by_id[record.id] = record
         self._ended.append((now, record))
-        self._bytes += record.size
+        self._ended_bytes += record.size
 
     def trim(self, now: float) -> None:
         """Drop the oldest ended records beyond the maximum number, size or age, and call `on_drop` for each."""
         while self._ended and (
             len(self._ended) > self._max_records
-            or self._bytes > self._max_bytes
+            or self._ended_bytes > self._max_bytes
             or now - self._ended[0][0] > self._max_age_ms
         ):
             _, record = self._ended.popleft()
-            self._bytes -= record.size
+            self._ended_bytes -= record.size
             self._by_id.pop(record.id, None)
             self.dropped += 1
             if self.on_drop is not None:
@@ -170,7 +170,7 @@
         self._ended = deque(ended for ended in self._ended if ended[1].id not in removed)
         for id_ in removed:
             if (record := self._by_id.pop(id_, None)) is not None and record.final:
-                self._bytes -= record.size
+                self._ended_bytes -= record.size
 
     def has(self, id_: str) -> bool:
         """Return whether there is a record with this id, in any namespace."""
--- a/kelptrail/store/entries.py
+++ b/kelptrail/store/entries.py
@@ -15,7 +15,7 @@
 
 # In format 2 `Accepted` had no `form`; in format 1 it had no `digest` either, and results were never compressed.
 FORMAT = 3
-COMPRESS_FROM = 1024  # smallest size of a result that is compressed, in bytes
+COMPRESS_FROM_BYTES = 1024  # smallest result that is compressed
 
 
 class Accepted(msgspec.Struct, frozen=True, tag="accepted"):
@@ -75,7 +75,7 @@
 
 def encode_entry(entry: Entry) -> EncodedEntry:
     """Encode an entry; large results are compressed."""
-    if isinstance(entry, Ended) and len(entry.result) >= COMPRESS_FROM and not entry.packed:
+    if isinstance(entry, Ended) and len(entry.result) >= COMPRESS_FROM_BYTES and not entry.packed:
         compressed = zstandard.compress(entry.result)
         if len(compressed) < len(entry.result):
             entry = msgspec.structs.replace(entry, result=compressed, packed=True)
--- a/kelptrail/store/wal.py
+++ b/kelptrail/store/wal.py
@@ -18,7 +18,7 @@
 
 LOG_HEADER_BYTES, FRAME_HEADER_BYTES = 32, 24
 INDEX_VERSION = 3_007_000
-LARGEST_PAGE = 65_536  # stored as 1 in the index
+MAX_PAGE_BYTES = 65_536  # stored as 1 in the index
 
 
 def drop_uncommitted(database: Path) -> bool:
@@ -38,7 +38,7 @@
         return False
     page_size = int.from_bytes(header[14:16], sys.byteorder)
     frames = int.from_bytes(header[16:20], sys.byteorder)
-    valid_size = LOG_HEADER_BYTES + frames * (FRAME_HEADER_BYTES + (LARGEST_PAGE if page_size == 1 else page_size))
+    valid_size = LOG_HEADER_BYTES + frames * (FRAME_HEADER_BYTES + (MAX_PAGE_BYTES if page_size == 1 else page_size))
     if size <= valid_size:
         return False
     with contextlib.suppress(OSError):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -306,7 +306,7 @@
         self.disk: list[Any] = []  # durable entries
         self.acknowledged: set[str] = set()  # ids that were acknowledged to clients
         self.shown: dict[str, str] = {}  # final answers that clients have read, by id
-        self.effects: dict[str, int] = {}  # number of runs that had an effect, by id
+        self.effect_counts: dict[str, int] = {}  # number of runs that had an effect, by id
         self.idempotency: dict[str, str] = {}
         self.boots = 0
         self.start()
@@ -371,7 +371,7 @@
                 ]
                 status = rng.choices(statuses, [6, 1, 1, 1])[0]
                 if status is not AttemptStatus.OUT_OF_CAPACITY:
-                    self.effects[attempt.request.id] = self.effects.get(attempt.request.id, 0) + 1
+                    self.effect_counts[attempt.request.id] = self.effect_counts.get(attempt.request.id, 0) + 1
                 gateway.on_attempt_finished(self.now, attempt, status)
         if rng.random() < 0.5 and (batch := self.group_commit.next_batch(self.now)) is not None:
             if rng.random() < 0.06:
@@ -384,7 +384,7 @@
         if rng.random() < 0.015:  # a crash: attempts in flight may have run, and unsynced entries are lost
             for _, attempt in self.open_attempts:
                 if rng.random() < 0.5:
-                    self.effects[attempt.request.id] = self.effects.get(attempt.request.id, 0) + 1
+                    self.effect_counts[attempt.request.id] = self.effect_counts.get(attempt.request.id, 0) + 1
             elapsed = rng.uniform(5, 400)
             self.now, self.wall = self.now + elapsed, self.wall + elapsed
             self.start()
@@ -413,7 +413,7 @@
     for _ in range(1500):
         model.step()
     assert model.boots > 5 and len(model.acknowledged) > 100 and len(model.shown) > 80
-    for id_, count in model.effects.items():
+    for id_, count in model.effect_counts.items():
         assert count <= 1 or model.idempotency[id_] != "once-only", "at-most-once calls run at most once"
 
 
